--- a/catalog/src/gauge_tests.rs
+++ b/catalog/src/gauge_tests.rs
@@ -1,5 +1,5 @@
-fn told(name: u64, load: u32, age_ms: u32) -> wire::msg::Pressure {
-    wire::msg::Pressure { name, load, age_ms }
+fn told(name: u64, load: u32, age_ms: u32) -> protocol::msg::Pressure {
+    protocol::msg::Pressure { name, load, age_ms }
 }
 
 #[test]
--- a/catalog/src/prefix_index.rs
+++ b/catalog/src/prefix_index.rs
@@ -1,4 +1,4 @@
-//! The catalog itself, in the keeper that holds the duty. Never replicated: after a loss it fills
+//! The catalog itself, in the controller that holds the duty. Never replicated: after a loss it fills
 //! again from what routers register.
 
 struct Owner {
--- a/ledger/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirming at a quorum that what is known is not older than what is committed: pure.
 
 /// The position of an entry in the history of its key.
-pub type Place = (wire::msg::Ballot, u64);
+pub type Place = (protocol::msg::Ballot, u64);
 
 /// How one key stands after a read at a quorum.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,17 +15,17 @@
 
 /// A read of the places of all keys. Invariant: each voter counts once.
 pub struct Confirmation {
-    core: wire::msg::Core,
+    core: protocol::msg::Core,
     heard: Vec<String>,
     told: Vec<(String, String, Place)>,
 }
 
 impl Confirmation {
-    pub fn new(core: &wire::msg::Core) -> Confirmation {
+    pub fn new(core: &protocol::msg::Core) -> Confirmation {
         Confirmation { core: core.clone(), heard: Vec::new(), told: Vec::new() }
     }
 
-    pub fn hear(&mut self, from: &str, places: Vec<(String, wire::msg::Ballot, u64)>) {
+    pub fn hear(&mut self, from: &str, places: Vec<(String, protocol::msg::Ballot, u64)>) {
         if self.heard.iter().any(|known| known == from) {
             return;
         }
@@ -57,10 +57,13 @@
 
 /// The newest entry that a quorum of voters was seen to hold alike, and which therefore is committed.
 /// Voters may move on between two reads: an entry that came after the one looked for serves as well.
-pub fn committed(core: &wire::msg::Core, fetched: &[(String, wire::msg::Entry)]) -> Option<wire::msg::Entry> {
-    let mut entries: Vec<&wire::msg::Entry> = fetched.iter().map(|(_, entry)| entry).collect();
+pub fn committed(
+    core: &protocol::msg::Core,
+    fetched: &[(String, protocol::msg::Entry)],
+) -> Option<protocol::msg::Entry> {
+    let mut entries: Vec<&protocol::msg::Entry> = fetched.iter().map(|(_, entry)| entry).collect();
     entries.sort_by_key(|entry| std::cmp::Reverse(entry.place()));
-    let alike = |entry: &wire::msg::Entry| {
+    let alike = |entry: &protocol::msg::Entry| {
         let holds = fetched.iter().filter(|(_, held)| held.place() == entry.place());
         let holders: Vec<String> = holds.map(|(from, _)| from.clone()).collect();
         crate::quorum::is_quorum(core, &holders)
--- a/ledger/src/confirmation_tests.rs
+++ b/consensus/src/confirmation_tests.rs
@@ -1,6 +1,6 @@
 //! What a read at a quorum says about the state known here.
 use super::{committed, Behind, Confirmation};
-use wire::msg::{Ballot, Core, Entry, Member};
+use protocol::msg::{Ballot, Core, Entry, Member};
 
 fn core(size: usize) -> Core {
     let list = (0..size).map(|at| Member { ip: format!("m{at}"), zone: String::new() }).collect();
--- a/ledger/src/core_body.rs
+++ b/consensus/src/core_body.rs
@@ -1,5 +1,5 @@
 //! The body of the key `core`: the members, as they are committed.
-use wire::msg::Core;
+use protocol::msg::Core;
 
 /// None: not the body of a core.
 pub fn read(body: &[u8]) -> Option<Core> {
--- a/ledger/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -22,7 +22,7 @@
 /// counted its lost votes is over. Invariant: above `ROUND_MS`.
 pub const RECALL_DELAY_MS: u64 = 1300;
 
-/// The seat of a keeper in ballots: its address, so that it differs between live keepers, mixed
+/// The seat of a controller in ballots: its address, so that it differs between live controllers, mixed
 /// with its life, so that two lives never act under one ballot.
 pub fn seat(ip: &str, life: u64) -> u64 {
     kernel::clock::blend(kernel::clock::hash(ip.as_bytes()), life)
--- a/ledger/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -26,15 +26,15 @@
 /// What the next change of the core is decided on.
 pub struct View<'a> {
     pub health: &'a dyn Fn(&str) -> Health,
-    /// Live keepers that may be made members and aren't yet.
-    pub candidates: Vec<wire::msg::Member>,
-    /// Every live keeper counts joint quorums, so that members may be exchanged in one change.
+    /// Live controllers that may be made members and aren't yet.
+    pub candidates: Vec<protocol::msg::Member>,
+    /// Every live controller counts joint quorums, so that members may be exchanged in one change.
     pub joint: bool,
 }
 
 /// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
 /// candidate added. Invariant: the members that stay are a quorum of the next core.
-pub fn next(core: &wire::msg::Core, view: &View) -> Option<wire::msg::Core> {
+pub fn next(core: &protocol::msg::Core, view: &View) -> Option<protocol::msg::Core> {
     let gone = core.list.iter().find(|member| (view.health)(&member.ip).gone());
     let candidate = match gone {
         Some(gone) => view.candidates.iter().find(|one| one.zone == gone.zone).or(view.candidates.first()),
@@ -46,13 +46,13 @@
         (_, Some(candidate)) => with(core, candidate),
         _ => return None,
     };
-    let next = wire::msg::Core { version: core.version + 1, list, prev: core.list.clone(), settled: false };
+    let next = protocol::msg::Core { version: core.version + 1, list, prev: core.list.clone(), settled: false };
     can_settle(&next, view).then_some(next)
 }
 
 /// Those that stay must be a quorum of the next core. Those before it must be able to commit it, and to hear
 /// of it: one that is leaving still can.
-fn can_settle(next: &wire::msg::Core, view: &View) -> bool {
+fn can_settle(next: &protocol::msg::Core, view: &View) -> bool {
     let is_candidate = |address: &str| view.candidates.iter().any(|one| one.ip == address);
     let members = crate::quorum::old_and_new_members(next);
     let (mut staying, mut live) = (Vec::new(), Vec::new());
@@ -68,19 +68,19 @@
     crate::quorum::is_quorum(next, &staying) && crate::quorum::has_majority(&next.prev, &live)
 }
 
-fn without(core: &wire::msg::Core, gone: &wire::msg::Member) -> Vec<wire::msg::Member> {
+fn without(core: &protocol::msg::Core, gone: &protocol::msg::Member) -> Vec<protocol::msg::Member> {
     core.list.iter().filter(|member| *member != gone).cloned().collect()
 }
 
-fn with(core: &wire::msg::Core, candidate: &wire::msg::Member) -> Vec<wire::msg::Member> {
+fn with(core: &protocol::msg::Core, candidate: &protocol::msg::Member) -> Vec<protocol::msg::Member> {
     core.list.iter().chain([candidate]).cloned().collect()
 }
 
 fn exchanged(
-    core: &wire::msg::Core,
-    gone: &wire::msg::Member,
-    candidate: &wire::msg::Member,
-) -> Vec<wire::msg::Member> {
+    core: &protocol::msg::Core,
+    gone: &protocol::msg::Member,
+    candidate: &protocol::msg::Member,
+) -> Vec<protocol::msg::Member> {
     let mut list = without(core, gone);
     list.push(candidate.clone());
     list
@@ -89,26 +89,26 @@
 /// The settling of a changed core. Invariant: before it is done, quorums of the old and the new members
 /// know the new core, and every key that any of them held was committed again under it.
 pub struct Settlement {
-    core: wire::msg::Core,
+    core: protocol::msg::Core,
     knows: Vec<String>,
     keys: std::collections::BTreeSet<String>,
     renewed: std::collections::BTreeSet<String>,
 }
 
 impl Settlement {
-    pub fn new(core: &wire::msg::Core) -> Settlement {
+    pub fn new(core: &protocol::msg::Core) -> Settlement {
         let keys = [crate::CORE.to_string()].into();
         Settlement { core: core.clone(), knows: Vec::new(), keys, renewed: Default::default() }
     }
 
-    pub fn core(&self) -> &wire::msg::Core {
+    pub fn core(&self) -> &protocol::msg::Core {
         &self.core
     }
 
     /// A voter answered a poll that carried the new core. One that did not say which keys it holds does not
     /// count: what only it and others out of touch hold would not be committed again.
-    pub fn hear_vote(&mut self, from: &str, vote: &wire::msg::Vote) {
-        if let wire::msg::Vote::Places { list } = vote {
+    pub fn hear_vote(&mut self, from: &str, vote: &protocol::msg::Vote) {
+        if let protocol::msg::Vote::Places { list } = vote {
             self.hear(from, list.iter().map(|(key, _, _)| key.clone()));
         }
     }
@@ -123,7 +123,7 @@
 
     /// Do quorums of the old and the new members know the core?
     pub fn is_known(&self) -> bool {
-        let known_to = |members: &[wire::msg::Member]| crate::quorum::has_majority(members, &self.knows);
+        let known_to = |members: &[protocol::msg::Member]| crate::quorum::has_majority(members, &self.knows);
         known_to(&self.core.list) && known_to(&self.core.prev)
     }
 
@@ -145,8 +145,8 @@
 }
 
 /// The core as it is committed once a settlement is done.
-pub fn settled(core: &wire::msg::Core) -> wire::msg::Core {
-    wire::msg::Core { settled: true, prev: Vec::new(), ..core.clone() }
+pub fn settled(core: &protocol::msg::Core) -> protocol::msg::Core {
+    protocol::msg::Core { settled: true, prev: Vec::new(), ..core.clone() }
 }
 
 #[cfg(test)]
--- a/ledger/src/membership_tests.rs
+++ b/consensus/src/membership_tests.rs
@@ -1,6 +1,6 @@
 //! Which members a core gets next, and when a change of it is settled.
 use super::{next, Health, Settlement, View, GONE_MS};
-use wire::msg::{Ballot, Core, Member, Vote};
+use protocol::msg::{Ballot, Core, Member, Vote};
 
 const LIVE: Health = Health { silent_ms: 100, live: true, leaving: false };
 const SILENT: Health = Health { silent_ms: GONE_MS + 1, live: false, leaving: false };
--- a/ledger/src/model/action.rs
+++ b/consensus/src/model/action.rs
@@ -14,7 +14,7 @@
     /// A proposer counts the votes of these machines, which are a quorum.
     Count { proposer: usize, machines: MachineSet },
     /// A poll of a round long over reaches a voter.
-    DeliverLate { place: (wire::msg::Ballot, u64), machine: usize },
+    DeliverLate { place: (protocol::msg::Ballot, u64), machine: usize },
     /// A proposer loses its memory and begins a new life.
     Restart { proposer: usize },
     /// A coordinator hears of the newest core.
--- a/ledger/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -1,4 +1,4 @@
-//! Changes of the members, as the keeper that coordinates them makes them.
+//! Changes of the members, as the controller that coordinates them makes them.
 //!
 //! The key of the core is a register like any other, and what the exploration shows of the key that it follows
 //! holds for it as well. So its rounds are not played again: a change of the core is committed in one step, by
@@ -13,7 +13,7 @@
 use super::Model;
 use crate::membership::{Health, Settlement, View};
 use crate::voter::{LogRecord, Voter};
-use wire::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
 
 impl Model {
     pub fn change_core(&self, state: &State, list: &mut Vec<Successor>) {
--- a/ledger/src/model/check.rs
+++ b/consensus/src/model/check.rs
@@ -4,8 +4,8 @@
 use super::state::State;
 use super::violation::Violation;
 use super::{Model, KEY};
+use protocol::msg::{Ask, Ballot, Core, Entry, Vote};
 use std::rc::Rc;
-use wire::msg::{Ask, Ballot, Core, Entry, Vote};
 
 /// What is asked again and again of a core.
 pub struct CoreFacts {
--- a/ledger/src/model/ending.rs
+++ b/consensus/src/model/ending.rs
@@ -3,7 +3,7 @@
 use super::scenario::Flaw;
 use super::state::{Proposer, State, Task};
 use super::{Model, KEY};
-use wire::msg::{Ask, Ballot, Entry, Poll};
+use protocol::msg::{Ask, Ballot, Entry, Poll};
 
 impl Model {
     /// A proposer loses what it has in memory. What it knows of the core may be old, too.
--- a/ledger/src/model/machines.rs
+++ b/consensus/src/model/machines.rs
@@ -6,8 +6,8 @@
 }
 
 /// A member of the core on this machine.
-pub fn member(machine: usize) -> wire::msg::Member {
-    wire::msg::Member { ip: address(machine), zone: String::new() }
+pub fn member(machine: usize) -> protocol::msg::Member {
+    protocol::msg::Member { ip: address(machine), zone: String::new() }
 }
 
 /// A set of at most eight machines.
--- a/ledger/src/model/membership_tests.rs
+++ b/consensus/src/model/membership_tests.rs
@@ -1,4 +1,4 @@
-//! Explorations of every change of members that the keeper makes.
+//! Explorations of every change of members that the controller makes.
 use super::machines::MachineSet;
 use super::runs::{core_of, holds_in_every_state, holds_in_first_states, proposer};
 use super::scenario::{CoreChange, HalfDone, Operation, Scenario};
--- a/ledger/src/model/progress.rs
+++ b/consensus/src/model/progress.rs
@@ -9,8 +9,8 @@
 use crate::membership::Settlement;
 use crate::proposal::{Progress, Proposal};
 use crate::round::next_turn;
+use protocol::msg::{Ask, Ballot, Core, Poll, Vote};
 use std::hash::{Hash, Hasher};
-use wire::msg::{Ask, Ballot, Core, Poll, Vote};
 
 impl Model {
     /// Runs a proposal to its end with these machines answering each poll at once.
--- a/ledger/src/model/proposing.rs
+++ b/consensus/src/model/proposing.rs
@@ -8,7 +8,7 @@
 use super::{Model, KEY};
 use crate::proposal::{Progress, Proposal};
 use crate::round::{next_turn, Ownership};
-use wire::msg::{Ask, Ballot, Core, Poll, Vote};
+use protocol::msg::{Ask, Ballot, Core, Poll, Vote};
 
 /// More lives than any proposer has.
 const LIVES: u64 = 16;
--- a/ledger/src/model/recovering.rs
+++ b/consensus/src/model/recovering.rs
@@ -6,7 +6,7 @@
 use super::violation::Violation;
 use super::Model;
 use crate::voter::{LogRecord, Voter};
-use wire::msg::{Ask, Core, Poll, Vote};
+use protocol::msg::{Ask, Core, Poll, Vote};
 
 /// Time passes in steps so long that a round begun when a disk was lost is over when its voter reads the
 /// others, and one begun a step later is not.
--- a/ledger/src/model/scenario.rs
+++ b/consensus/src/model/scenario.rs
@@ -11,7 +11,7 @@
 }
 
 impl Operation {
-    /// Decides on the body that is committed, as the keeper does for a configuration.
+    /// Decides on the body that is committed, as the controller does for a configuration.
     pub fn judge(self, committed: &[u8]) -> Verdict<Vec<u8>> {
         match self {
             Operation::Write(change) if !committed.contains(&change) => {
@@ -36,7 +36,7 @@
     /// A member that is about to end. It is exchanged, or removed when there is one too many.
     pub leaving: Option<usize>,
     pub candidates: Vec<usize>,
-    /// How many keepers take it on themselves to make the change.
+    /// How many controllers take it on themselves to make the change.
     pub coordinators: usize,
 }
 
--- a/ledger/src/model/state.rs
+++ b/consensus/src/model/state.rs
@@ -2,8 +2,8 @@
 use super::scenario::Operation;
 use super::shared::Shared;
 use crate::round::next_turn;
+use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
 
 /// How often a key may be begun to be committed again under a changed core.
 const COORDINATOR_ATTEMPTS: u8 = 1;
--- a/ledger/src/model/symmetry.rs
+++ b/consensus/src/model/symmetry.rs
@@ -7,8 +7,8 @@
 use super::shared::Shared;
 use super::state::{Proposer, Replica, State};
 use super::Model;
+use protocol::msg::{Ask, Poll};
 use std::collections::BTreeMap;
-use wire::msg::{Ask, Poll};
 
 /// The new number of each machine.
 type Renumbering = Vec<usize>;
--- a/ledger/src/model/violation.rs
+++ b/consensus/src/model/violation.rs
@@ -1,5 +1,5 @@
 //! What an exploration may find.
-use wire::msg::Ballot;
+use protocol::msg::Ballot;
 
 /// A state or an action that must not be.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/ledger/src/model/voting.rs
+++ b/consensus/src/model/voting.rs
@@ -7,7 +7,7 @@
 use super::violation::Violation;
 use super::Model;
 use crate::voter::Voter;
-use wire::msg::{Ask, Ballot, Entry, Poll, Vote};
+use protocol::msg::{Ask, Ballot, Entry, Poll, Vote};
 
 /// A voter after a poll, and its vote.
 #[derive(Clone)]
--- a/ledger/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,5 +1,5 @@
 //! One change or linearizable read of a register, from the first poll to its outcome, as a pure state
-//! machine. The keeper drives it over the network, the simulation in virtual time.
+//! machine. The controller drives it over the network, the simulation in virtual time.
 use crate::round::{Ownership, Round, Step};
 
 /// What a caller decides once it sees what is committed.
@@ -16,7 +16,7 @@
 pub enum Progress<T> {
     Wait,
     /// To be sent to every voter of the proposal's core; answers to earlier polls no longer count.
-    Send(wire::msg::Ask),
+    Send(protocol::msg::Ask),
     /// Committed, or read at a quorum. The ownership serves the next change of the same key.
     Finished {
         answer: T,
@@ -24,9 +24,9 @@
         wrote: bool,
     },
     /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
-    Outbid(wire::msg::Ballot),
+    Outbid(protocol::msg::Ballot),
     /// A voter knows a newer core. The outcome of an own write is unknown.
-    NewerCore(wire::msg::Core),
+    NewerCore(protocol::msg::Core),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -51,12 +51,12 @@
     /// new to this owner.
     pub fn begin(
         key: &str,
-        core: &wire::msg::Core,
+        core: &protocol::msg::Core,
         held: Option<Ownership>,
-        ballot: wire::msg::Ballot,
+        ballot: protocol::msg::Ballot,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
         now: u64,
-    ) -> (Proposal<T>, wire::msg::Ask) {
+    ) -> (Proposal<T>, protocol::msg::Ask) {
         let held = held.filter(|owner| owner.core == core.version);
         if let Some(owner) = held {
             // An answer without a write would rest on a read of some time ago: another may own the key by now.
@@ -69,7 +69,7 @@
         (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
     }
 
-    pub fn core(&self) -> &wire::msg::Core {
+    pub fn core(&self) -> &protocol::msg::Core {
         self.round.core()
     }
 
@@ -82,7 +82,7 @@
     pub fn hear(
         &mut self,
         from: &str,
-        vote: wire::msg::Vote,
+        vote: protocol::msg::Vote,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
         now: u64,
     ) -> Progress<T> {
--- a/ledger/src/proposal_tests.rs
+++ b/consensus/src/proposal_tests.rs
@@ -2,7 +2,7 @@
 use super::{Progress, Proposal, Verdict};
 use crate::round::Ownership;
 use crate::voter::Voter;
-use wire::msg::{Ask, Ballot, Core, Member, Poll, Vote};
+use protocol::msg::{Ask, Ballot, Core, Member, Poll, Vote};
 
 const KEY: &str = "config";
 
--- a/ledger/src/quorum_tests.rs
+++ b/consensus/src/quorum_tests.rs
@@ -1,6 +1,6 @@
 //! Quorums of a core before, during and after a change always share a voter.
 use super::{is_old_or_new_member, is_quorum, old_and_new_members};
-use wire::msg::{Core, Member};
+use protocol::msg::{Core, Member};
 
 fn members(mask: u32) -> Vec<Member> {
     let numbers = (0..8).filter(|bit| mask & (1 << bit) != 0);
--- a/ledger/src/round.rs
+++ b/consensus/src/round.rs
@@ -4,7 +4,7 @@
 /// change carries `entry.step + 1`, so two changes never share a place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ownership {
-    pub entry: wire::msg::Entry,
+    pub entry: protocol::msg::Entry,
     pub core: u64,
 }
 
@@ -22,7 +22,7 @@
 ///
 /// What an owner left half done under the core before may be on one disk only, and its promise on members that
 /// are gone. It must not outrank what was committed since by a quorum that never heard of it.
-pub fn next_turn(last: u64, core: &wire::msg::Core) -> u64 {
+pub fn next_turn(last: u64, core: &protocol::msg::Core) -> u64 {
     (last + 1).max(core.version * TURNS_OF_A_CORE)
 }
 
@@ -30,26 +30,26 @@
 pub enum Step {
     Wait,
     /// To be sent to every member.
-    Send(wire::msg::Ask),
+    Send(protocol::msg::Ask),
     /// Committed: a majority has it on disk.
     Done(Ownership),
     /// Another owner is at work under a higher ballot; the outcome of an own change is unknown.
-    Lost(wire::msg::Ballot),
-    Core(wire::msg::Core),
+    Lost(protocol::msg::Ballot),
+    Core(protocol::msg::Core),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Reading { found: Option<wire::msg::Entry> },
-    Writing(wire::msg::Entry),
+    Reading { found: Option<protocol::msg::Entry> },
+    Writing(protocol::msg::Entry),
 }
 
 /// Invariant: `heard` counts each member once a phase, and only members of the round's core.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
-    core: wire::msg::Core,
-    ballot: wire::msg::Ballot,
+    core: protocol::msg::Core,
+    ballot: protocol::msg::Ballot,
     phase: Phase,
     heard: Vec<String>,
     deadline: u64,
@@ -57,30 +57,35 @@
 
 impl Round {
     /// A take-over: reads a majority under a new ballot and commits again what it finds.
-    pub fn take(key: &str, core: wire::msg::Core, ballot: wire::msg::Ballot, now: u64) -> (Round, wire::msg::Ask) {
-        let ask = wire::msg::Ask::Prepare { key: key.into(), ballot };
+    pub fn take(
+        key: &str,
+        core: protocol::msg::Core,
+        ballot: protocol::msg::Ballot,
+        now: u64,
+    ) -> (Round, protocol::msg::Ask) {
+        let ask = protocol::msg::Ask::Prepare { key: key.into(), ballot };
         (Round::new(key, core, ballot, Phase::Reading { found: None }, now), ask)
     }
 
     /// A change by the holder of a ownership.
     pub fn change(
         key: &str,
-        core: wire::msg::Core,
+        core: protocol::msg::Core,
         ownership: &Ownership,
         body: Vec<u8>,
         now: u64,
-    ) -> (Round, wire::msg::Ask) {
-        let entry = wire::msg::Entry { ballot: ownership.entry.ballot, step: ownership.entry.step + 1, body };
-        let ask = wire::msg::Ask::Accept { key: key.into(), entry: entry.clone() };
+    ) -> (Round, protocol::msg::Ask) {
+        let entry = protocol::msg::Entry { ballot: ownership.entry.ballot, step: ownership.entry.step + 1, body };
+        let ask = protocol::msg::Ask::Accept { key: key.into(), entry: entry.clone() };
         (Round::new(key, core, entry.ballot, Phase::Writing(entry), now), ask)
     }
 
-    fn new(key: &str, core: wire::msg::Core, ballot: wire::msg::Ballot, phase: Phase, now: u64) -> Round {
+    fn new(key: &str, core: protocol::msg::Core, ballot: protocol::msg::Ballot, phase: Phase, now: u64) -> Round {
         let deadline = now + crate::ROUND_MS;
         Round { key: key.into(), core, ballot, phase, heard: Vec::new(), deadline }
     }
 
-    pub fn core(&self) -> &wire::msg::Core {
+    pub fn core(&self) -> &protocol::msg::Core {
         &self.core
     }
 
@@ -88,22 +93,22 @@
         now >= self.deadline
     }
 
-    pub fn hear(&mut self, from: &str, vote: wire::msg::Vote, now: u64) -> Step {
+    pub fn hear(&mut self, from: &str, vote: protocol::msg::Vote, now: u64) -> Step {
         if self.over(now) || !crate::quorum::is_member(&self.core, from) || self.heard.iter().any(|ip| ip == from) {
             return Step::Wait;
         }
         match vote {
-            wire::msg::Vote::Newer { core } => return Step::Core(core),
-            wire::msg::Vote::Refused { promised } if promised > self.ballot => return Step::Lost(promised),
-            wire::msg::Vote::Promise { entry } => {
+            protocol::msg::Vote::Newer { core } => return Step::Core(core),
+            protocol::msg::Vote::Refused { promised } if promised > self.ballot => return Step::Lost(promised),
+            protocol::msg::Vote::Promise { entry } => {
                 let Phase::Reading { found } = &mut self.phase else { return Step::Wait };
-                let best = found.as_ref().map(wire::msg::Entry::place);
-                if entry.as_ref().map(wire::msg::Entry::place) > best {
+                let best = found.as_ref().map(protocol::msg::Entry::place);
+                if entry.as_ref().map(protocol::msg::Entry::place) > best {
                     *found = entry;
                 }
                 self.heard.push(from.into());
             }
-            wire::msg::Vote::Accepted => {
+            protocol::msg::Vote::Accepted => {
                 let Phase::Writing(_) = &self.phase else { return Step::Wait };
                 self.heard.push(from.into());
             }
@@ -116,14 +121,14 @@
             Phase::Writing(entry) => Step::Done(Ownership { entry: entry.clone(), core: self.core.version }),
             Phase::Reading { found } => {
                 let Some(found) = found.take() else {
-                    let entry = wire::msg::Entry { ballot: self.ballot, step: 0, body: Vec::new() };
+                    let entry = protocol::msg::Entry { ballot: self.ballot, step: 0, body: Vec::new() };
                     return Step::Done(Ownership { entry, core: self.core.version });
                 };
                 // A new number: acceptance of the old phase must not count for the new one.
-                let entry = wire::msg::Entry { ballot: self.ballot, step: 0, body: found.body };
+                let entry = protocol::msg::Entry { ballot: self.ballot, step: 0, body: found.body };
                 self.phase = Phase::Writing(entry.clone());
                 self.heard.clear();
-                Step::Send(wire::msg::Ask::Accept { key: self.key.clone(), entry })
+                Step::Send(protocol::msg::Ask::Accept { key: self.key.clone(), entry })
             }
         }
     }
--- a/ledger/src/round_tests.rs
+++ b/consensus/src/round_tests.rs
@@ -1,6 +1,6 @@
 //! The turns of ballots.
 use super::{next_turn, TURNS_OF_A_CORE};
-use wire::msg::Core;
+use protocol::msg::Core;
 
 fn core(version: u64) -> Core {
     Core { version, ..Core::default() }
--- a/ledger/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -1,7 +1,7 @@
 //! A deterministic world for the ledger: virtual time, a seed, messages that are lost, doubled and
 //! reordered, crashes that lose what was not synced, wiped disks, cuts. It checks that nothing
 //! acknowledged is lost and that the history of a key is one line.
-use wire::msg::{Ask, Core, Member, Poll, Vote};
+use protocol::msg::{Ask, Core, Member, Poll, Vote};
 
 const KEY: &str = "k";
 
@@ -36,7 +36,7 @@
     life: u64,
     born: u64,
     turn: u64,
-    reads: std::collections::BTreeMap<usize, Vec<wire::msg::Slot>>,
+    reads: std::collections::BTreeMap<usize, Vec<protocol::msg::Slot>>,
 }
 
 pub struct World {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A keeper begins what its state calls for: a change by a ownership, or a take-over.
+    /// A controller begins what its state calls for: a change by a ownership, or a take-over.
     pub fn propose(&mut self, at: usize) {
         let seat = &mut self.seats[at];
         if !seat.up || seat.work.as_ref().is_some_and(|work| !work.round.over(self.now)) {
@@ -130,7 +130,7 @@
             }
             None => {
                 seat.turn = crate::round::next_turn(seat.turn, &core);
-                let ballot = wire::msg::Ballot { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
+                let ballot = protocol::msg::Ballot { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
                 let (round, ask) = crate::round::Round::take(KEY, core.clone(), ballot, now);
                 (round, ask, None)
             }
--- a/ledger/src/sim_tests.rs
+++ b/consensus/src/sim_tests.rs
@@ -142,10 +142,10 @@
 #[test]
 fn enough_means_that_no_majority_goes_unseen() {
     for size in 2..=9usize {
-        let list: Vec<wire::msg::Member> =
-            (0..size).map(|at| wire::msg::Member { ip: super::ip(at), zone: String::new() }).collect();
+        let list: Vec<protocol::msg::Member> =
+            (0..size).map(|at| protocol::msg::Member { ip: super::ip(at), zone: String::new() }).collect();
         let mut voter = crate::voter::Voter::new(&super::ip(0));
-        voter.core = wire::msg::Core { version: 1, list, prev: Vec::new(), settled: true };
+        voter.core = protocol::msg::Core { version: 1, list, prev: Vec::new(), settled: true };
         for mask in 0..(1u32 << size) {
             let read: Vec<String> = (1..size).filter(|at| mask & (1 << at) != 0).map(super::ip).collect();
             // The largest set without any that was read: could it have been a majority?
--- a/ledger/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -54,13 +54,13 @@
         self.turn += 1;
         match self.dice.below(12) {
             0 => return LogRecord::Vote,
-            1 => return LogRecord::Core(wire::msg::Core { version: self.turn, ..Default::default() }),
+            1 => return LogRecord::Core(protocol::msg::Core { version: self.turn, ..Default::default() }),
             _ => {}
         }
-        let ballot = wire::msg::Ballot { turn: self.turn, seat: 1 };
+        let ballot = protocol::msg::Ballot { turn: self.turn, seat: 1 };
         let body = vec![self.turn as u8; self.dice.below(MOST_BODY) as usize];
-        let entry = Some(wire::msg::Entry { ballot, step: 0, body });
-        LogRecord::Slot(wire::msg::Slot { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
+        let entry = Some(protocol::msg::Entry { ballot, step: 0, body });
+        LogRecord::Slot(protocol::msg::Slot { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
     }
 
     fn batch(&mut self) -> Vec<LogRecord> {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Opens again and again until it works, as the keeper does.
+    /// Opens again and again until it works, as the controller does.
     pub fn open(&mut self) -> Result<Store, String> {
         for attempt in 0.. {
             if attempt == 20 {
--- a/ledger/src/store_tests.rs
+++ b/consensus/src/store_tests.rs
@@ -7,9 +7,9 @@
 }
 
 fn record(turn: u64, body: &[u8]) -> LogRecord {
-    let ballot = wire::msg::Ballot { turn, seat: 1 };
-    let entry = Some(wire::msg::Entry { ballot, step: 0, body: body.to_vec() });
-    LogRecord::Slot(wire::msg::Slot { key: "k".into(), promised: ballot, entry })
+    let ballot = protocol::msg::Ballot { turn, seat: 1 };
+    let entry = Some(protocol::msg::Entry { ballot, step: 0, body: body.to_vec() });
+    LogRecord::Slot(protocol::msg::Slot { key: "k".into(), promised: ballot, entry })
 }
 
 fn open(dir: &std::path::Path) -> Result<(super::Store, Vec<LogRecord>), super::StoreError> {
--- a/ledger/src/voter.rs
+++ b/consensus/src/voter.rs
@@ -4,8 +4,8 @@
 /// What goes to disk, in order.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum LogRecord {
-    Slot(wire::msg::Slot),
-    Core(wire::msg::Core),
+    Slot(protocol::msg::Slot),
+    Core(protocol::msg::Core),
     /// From here on this disk may vote.
     Vote,
 }
@@ -16,8 +16,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     pub ip: String,
-    pub core: wire::msg::Core,
-    pub slots: std::collections::BTreeMap<String, wire::msg::Slot>,
+    pub core: protocol::msg::Core,
+    pub slots: std::collections::BTreeMap<String, protocol::msg::Slot>,
     pub may_vote: bool,
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Takes over a committed core. None when it is no newer.
-    pub fn adopt(&mut self, core: &wire::msg::Core) -> Option<LogRecord> {
+    pub fn adopt(&mut self, core: &protocol::msg::Core) -> Option<LogRecord> {
         let newer = core.version > self.core.version;
         let calmer = core.version == self.core.version && core.settled && !self.core.settled;
         if !newer && !calmer {
@@ -62,59 +62,69 @@
         Some(LogRecord::Core(core.clone()))
     }
 
-    pub fn poll(&mut self, poll: wire::msg::Poll) -> (wire::msg::Vote, Vec<LogRecord>) {
+    pub fn poll(&mut self, poll: protocol::msg::Poll) -> (protocol::msg::Vote, Vec<LogRecord>) {
         if poll.core.version < self.core.version {
-            return (wire::msg::Vote::Newer { core: self.core.clone() }, Vec::new());
+            return (protocol::msg::Vote::Newer { core: self.core.clone() }, Vec::new());
         }
         let mut records: Vec<LogRecord> = self.adopt(&poll.core).into_iter().collect();
         let vote = match poll.ask {
             // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
-            wire::msg::Ask::Whole if self.may_vote => {
-                wire::msg::Vote::Whole { slots: self.slots.values().cloned().collect() }
+            protocol::msg::Ask::Whole if self.may_vote => {
+                protocol::msg::Vote::Whole { slots: self.slots.values().cloned().collect() }
             }
             // The places, too, by one that is no member any more: its keys are part of a change's settlement.
-            wire::msg::Ask::Places if self.may_vote => wire::msg::Vote::Places { list: self.places() },
-            _ if !self.votes() => wire::msg::Vote::Mute,
-            wire::msg::Ask::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
-            wire::msg::Ask::Accept { key, entry } => self.accept(key, entry, &mut records),
-            wire::msg::Ask::Fetch { key } => {
-                wire::msg::Vote::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) }
+            protocol::msg::Ask::Places if self.may_vote => protocol::msg::Vote::Places { list: self.places() },
+            _ if !self.votes() => protocol::msg::Vote::Mute,
+            protocol::msg::Ask::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
+            protocol::msg::Ask::Accept { key, entry } => self.accept(key, entry, &mut records),
+            protocol::msg::Ask::Fetch { key } => {
+                protocol::msg::Vote::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) }
             }
-            wire::msg::Ask::Whole | wire::msg::Ask::Places => wire::msg::Vote::Mute,
+            protocol::msg::Ask::Whole | protocol::msg::Ask::Places => protocol::msg::Vote::Mute,
         };
         (vote, records)
     }
 
-    pub fn places(&self) -> Vec<(String, wire::msg::Ballot, u64)> {
+    pub fn places(&self) -> Vec<(String, protocol::msg::Ballot, u64)> {
         let held = self.slots.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
         held.map(|(slot, entry)| (slot.key.clone(), entry.ballot, entry.step)).collect()
     }
 
-    fn slot(&mut self, key: &str) -> &mut wire::msg::Slot {
-        let empty = || wire::msg::Slot { key: key.into(), promised: Default::default(), entry: None };
+    fn slot(&mut self, key: &str) -> &mut protocol::msg::Slot {
+        let empty = || protocol::msg::Slot { key: key.into(), promised: Default::default(), entry: None };
         self.slots.entry(key.to_string()).or_insert_with(empty)
     }
 
-    fn prepare(&mut self, key: String, ballot: wire::msg::Ballot, records: &mut Vec<LogRecord>) -> wire::msg::Vote {
+    fn prepare(
+        &mut self,
+        key: String,
+        ballot: protocol::msg::Ballot,
+        records: &mut Vec<LogRecord>,
+    ) -> protocol::msg::Vote {
         let slot = self.slot(&key);
         if ballot <= slot.promised {
-            return wire::msg::Vote::Refused { promised: slot.promised };
+            return protocol::msg::Vote::Refused { promised: slot.promised };
         }
         slot.promised = ballot;
         records.push(LogRecord::Slot(slot.clone()));
-        wire::msg::Vote::Promise { entry: slot.entry.clone() }
+        protocol::msg::Vote::Promise { entry: slot.entry.clone() }
     }
 
-    fn accept(&mut self, key: String, entry: wire::msg::Entry, records: &mut Vec<LogRecord>) -> wire::msg::Vote {
+    fn accept(
+        &mut self,
+        key: String,
+        entry: protocol::msg::Entry,
+        records: &mut Vec<LogRecord>,
+    ) -> protocol::msg::Vote {
         let slot = self.slot(&key);
-        let held = slot.entry.as_ref().map(wire::msg::Entry::place);
+        let held = slot.entry.as_ref().map(protocol::msg::Entry::place);
         if entry.ballot < slot.promised || held.is_some_and(|place| place > entry.place()) {
-            return wire::msg::Vote::Refused { promised: slot.promised };
+            return protocol::msg::Vote::Refused { promised: slot.promised };
         }
         slot.promised = entry.ballot;
         slot.entry = Some(entry);
         records.push(LogRecord::Slot(slot.clone()));
-        wire::msg::Vote::Accepted
+        protocol::msg::Vote::Accepted
     }
 
     /// Ends a loss of memory with what `enough` other voters hold. The highest promise of any of them
@@ -122,15 +132,15 @@
     ///
     /// None: a core newer than the one that is known here may be committed. Votes that were lost may have been
     /// given under it, and its quorums need no voter that was read.
-    pub fn recall(&mut self, reads: Vec<Vec<wire::msg::Slot>>) -> Option<Vec<LogRecord>> {
+    pub fn recall(&mut self, reads: Vec<Vec<protocol::msg::Slot>>) -> Option<Vec<LogRecord>> {
         if written_core(&reads).is_some_and(|written| written.version > self.core.version) {
             return None;
         }
         for read in reads.into_iter().flatten() {
             let slot = self.slot(&read.key.clone());
             slot.promised = slot.promised.max(read.promised);
-            let mine = slot.entry.as_ref().map(wire::msg::Entry::place);
-            let held = read.entry.as_ref().map(wire::msg::Entry::place);
+            let mine = slot.entry.as_ref().map(protocol::msg::Entry::place);
+            let held = read.entry.as_ref().map(protocol::msg::Entry::place);
             if held > mine {
                 slot.entry = read.entry;
             }
@@ -143,7 +153,7 @@
     /// before, while that is unsettled) must hold one of them, so that no lost vote goes unseen. Voters
     /// that are themselves without memory do not count, and need not be waited for.
     pub fn enough(&self, read: &[String]) -> bool {
-        let meets = |list: &[wire::msg::Member]| {
+        let meets = |list: &[protocol::msg::Member]| {
             let seen = list.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
             seen + crate::quorum::majority(list.len()) > list.len()
         };
@@ -159,7 +169,7 @@
 }
 
 /// The newest core that any of these voters accepted, committed or not.
-fn written_core(reads: &[Vec<wire::msg::Slot>]) -> Option<wire::msg::Core> {
+fn written_core(reads: &[Vec<protocol::msg::Slot>]) -> Option<protocol::msg::Core> {
     let entries = reads.iter().flatten().filter(|slot| slot.key == crate::CORE).filter_map(|slot| slot.entry.as_ref());
     crate::core_body::read(&entries.max_by_key(|entry| entry.place())?.body)
 }
--- a/ledger/src/voter_tests.rs
+++ b/consensus/src/voter_tests.rs
@@ -1,6 +1,6 @@
 //! Voters that changes of the members concern.
 use super::{LogRecord, Voter};
-use wire::msg::{Ask, Ballot, Core, Entry, Member, Poll, Slot, Vote};
+use protocol::msg::{Ask, Ballot, Core, Entry, Member, Poll, Slot, Vote};
 
 const KEY: &str = "config";
 
--- a/keeper/src/balance.rs
+++ b/controller/src/balance.rs
@@ -1,6 +1,6 @@
 //! The balance of prefill and decode engines: orders to engines, from the one holder of the duty.
 
-use crate::keeper::Keeper;
+use crate::controller::Controller;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,66 +38,66 @@
 
 /// An engine and its load.
 struct Candidate {
-    engine: wire::msg::Engine,
-    seen: engines::balance::Seen,
+    engine: protocol::msg::Engine,
+    seen: load_balancing::balance::Seen,
 }
 
 /// An order to one engine to change its part.
 struct Order {
-    engine: wire::msg::Engine,
+    engine: protocol::msg::Engine,
     prefill: bool,
     switch_ms: u64,
 }
 
-pub fn start(keeper: &Arc<Keeper>) {
+pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
     let client = crate::outbound::at_most_once(wait(CONNECT_MS), wait(UNACKNOWLEDGED_MS)).timeout(wait(CALL_MS));
     let Ok(client) = client.build() else { return };
-    let keeper = keeper.clone();
+    let controller = controller.clone();
     tokio::spawn(async move {
         let mut beat = kernel::entry::beat(LOOK_MS);
         let mut balance = Balance::default();
         loop {
             beat.tick().await;
-            look(&keeper, &client, &mut balance).await;
+            look(&controller, &client, &mut balance).await;
         }
     });
 }
 
-async fn look(keeper: &Arc<Keeper>, client: &reqwest::Client, balance: &mut Balance) {
+async fn look(controller: &Arc<Controller>, client: &reqwest::Client, balance: &mut Balance) {
     let now = kernel::clock::now();
-    keeper.roster.lock().expect("roster").resting.retain(|(_, until)| *until > now);
-    let Some(epoch) = crate::duty::acting_epoch(keeper, crate::duty::BALANCE, now) else {
+    controller.roster.lock().expect("roster").resting.retain(|(_, until)| *until > now);
+    let Some(epoch) = crate::duty::acting_epoch(controller, crate::duty::BALANCE, now) else {
         *balance = Balance::default();
         return;
     };
-    if !crate::duty::declare_clear(keeper, crate::duty::BALANCE, epoch).await {
+    if !crate::duty::declare_clear(controller, crate::duty::BALANCE, epoch).await {
         return;
     }
-    for (service, list) in candidates(keeper, balance, now) {
+    for (service, list) in candidates(controller, balance, now) {
         let Some(change) = balance.decide(&service, &list, now) else { continue };
-        let switch_ms = switch_ms(keeper, &service);
+        let switch_ms = switch_ms(controller, &service);
         balance.calm_until.insert(service, now + SPREAD_MS + switch_ms + LIST_MS);
         for at in change.engines {
             let order = Order { engine: list[at].engine.clone(), prefill: change.prefill, switch_ms };
-            tokio::spawn(carry_out(keeper.clone(), client.clone(), order));
+            tokio::spawn(carry_out(controller.clone(), client.clone(), order));
         }
         return;
     }
 }
 
 /// All engines with a part, by service.
-fn candidates(keeper: &Keeper, balance: &mut Balance, now: u64) -> BTreeMap<String, Vec<Candidate>> {
-    let busy = keeper.roster.lock().expect("roster").pressure(now);
-    let closed = keeper.committed_state.lock().expect("committed_state").closed.clone();
+fn candidates(controller: &Controller, balance: &mut Balance, now: u64) -> BTreeMap<String, Vec<Candidate>> {
+    let busy = controller.roster.lock().expect("roster").pressure(now);
+    let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    for sheet in keeper.sheets.lock().expect("sheets").all().filter(|sheet| !wire::msg::hidden(&sheet.zone)) {
+    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !protocol::msg::hidden(&sheet.zone)) {
         let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
         for engine in sheet.list.iter().filter(|engine| !engine.phase.is_empty()) {
             let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
             let mean = balance.busy.entry(engine.id.clone()).or_insert(told);
             *mean += (told - *mean) * 0.5;
-            let seen = engines::balance::Seen {
+            let seen = load_balancing::balance::Seen {
                 id: engine.id.clone(),
                 prefill: engine.phase == "prefill",
                 slots: engine.slots,
@@ -113,9 +113,9 @@
 
 impl Balance {
     /// The engines to order and their new part, once the judgement has stood for long enough.
-    fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<engines::balance::Change> {
-        let seen: Vec<engines::balance::Seen> = list.iter().map(|candidate| candidate.seen.clone()).collect();
-        let Some(change) = engines::balance::judge(&seen) else {
+    fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<load_balancing::balance::Change> {
+        let seen: Vec<load_balancing::balance::Seen> = list.iter().map(|candidate| candidate.seen.clone()).collect();
+        let Some(change) = load_balancing::balance::judge(&seen) else {
             self.judgements.remove(service);
             return None;
         };
@@ -129,8 +129,8 @@
     }
 }
 
-fn switch_ms(keeper: &Keeper, service: &str) -> u64 {
-    let committed_state = keeper.committed_state.lock().expect("committed_state");
+fn switch_ms(controller: &Controller, service: &str) -> u64 {
+    let committed_state = controller.committed_state.lock().expect("committed_state");
     let services = committed_state.history.current().map(|current| current.config().service_table.as_slice());
     let spec = services.unwrap_or_default().iter().find(|item| item.name == service);
     let wait = spec.and_then(|spec| spec.engine.as_ref()).map(|engine| engine.role_switch_s);
@@ -140,11 +140,11 @@
 
 /// First routers leave the engine alone, then it gets its order. One without an answer may have been
 /// taken, so it is not sent again: the list will show it.
-async fn carry_out(keeper: Arc<Keeper>, client: reqwest::Client, order: Order) {
+async fn carry_out(controller: Arc<Controller>, client: reqwest::Client, order: Order) {
     let engine = &order.engine;
     let begun = kernel::clock::now();
     let until = begun + SPREAD_MS + order.switch_ms + 1200;
-    keeper.roster.lock().expect("roster").resting.push((engine.id.clone(), until));
+    controller.roster.lock().expect("roster").resting.push((engine.id.clone(), until));
     tokio::time::sleep(Duration::from_millis(SPREAD_MS)).await;
     let now = kernel::clock::now();
     // Asleep for longer than meant: what was judged is out of date.
@@ -152,14 +152,14 @@
         return;
     }
     // No longer the holder: no order.
-    let Some(epoch) = crate::duty::acting_epoch(&keeper, crate::duty::BALANCE, now) else { return };
+    let Some(epoch) = crate::duty::acting_epoch(&controller, crate::duty::BALANCE, now) else { return };
     let phase = if order.prefill { "prefill" } else { "decode" };
     let body = serde_json::json!({
-        "opcode": "phase", "phase": phase, "owner": keeper.env.node_name, "fence_token": epoch
+        "opcode": "phase", "phase": phase, "owner": controller.env.node_name, "fence_token": epoch
     });
     let call = client
         .post(format!("http://{}/order", engine.addr))
-        .header(wire::word::TARGET, &engine.id)
+        .header(protocol::word::TARGET, &engine.id)
         .header("content-type", "application/json")
         .body(body.to_string());
     let status = call.send().await.map_or(0, |reply| reply.status().as_u16());
--- a/keeper/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -6,18 +6,18 @@
 fn the_last_order_of_a_holder_arrives_a_lease_before_the_first_of_the_next() {
     let lease_ms = 3000;
     let committed = 50_000;
-    let sure_ms = crate::keeper::SURE_MS;
+    let sure_ms = crate::controller::SURE_MS;
     let last_arrival = committed + sure_ms + super::CONNECT_MS + super::UNACKNOWLEDGED_MS;
-    let held = roster::duty::Held { since: committed, own: false, sure_at: 100_000 };
+    let held = membership::duty::Held { since: committed, own: false, sure_at: 100_000 };
     let first_act = (committed..100_000)
-        .find(|now| roster::duty::may_act(held, *now, false, lease_ms, sure_ms))
+        .find(|now| membership::duty::may_act(held, *now, false, lease_ms, sure_ms))
         .expect("it may act one day");
     assert!(first_act >= last_arrival + lease_ms, "{first_act} is less than a lease after {last_arrival}");
 }
 
 fn candidate(id: &str, prefill: bool, busy: u32) -> Candidate {
-    let seen = engines::balance::Seen { id: id.into(), prefill, slots: 10, busy, fit: true };
-    let engine = wire::msg::Engine {
+    let seen = load_balancing::balance::Seen { id: id.into(), prefill, slots: 10, busy, fit: true };
+    let engine = protocol::msg::Engine {
         id: id.into(),
         service: "s".into(),
         addr: String::new(),
@@ -36,7 +36,7 @@
     let loaded = [candidate("p", true, 9), candidate("d", false, 0), candidate("e", false, 0)];
     let idle = [candidate("p", true, 0), candidate("q", true, 0), candidate("d", false, 9)];
     let mut balance = Balance::default();
-    let one = |at: usize, prefill: bool| Some(engines::balance::Change { engines: vec![at], prefill });
+    let one = |at: usize, prefill: bool| Some(load_balancing::balance::Change { engines: vec![at], prefill });
     for _ in 1..LASTS {
         assert_eq!(balance.decide("s", &loaded, 0), None);
     }
--- a/keeper/src/batches.rs
+++ b/controller/src/batches.rs
@@ -13,13 +13,13 @@
 }
 
 /// A batch as the committed_state has it.
-pub fn batch(committed_state: &crate::keeper::CommittedState, id: &str) -> Option<batch::sheet::Batch> {
+pub fn batch(committed_state: &crate::controller::CommittedState, id: &str) -> Option<batch::sheet::Batch> {
     batch::sheet::Batch::read_bytes(&committed_state.entries.get(&batch_key(id))?.body)
 }
 
 /// A page as the committed_state has it; one that was never written has all jobs waiting.
 pub fn page(
-    committed_state: &crate::keeper::CommittedState,
+    committed_state: &crate::controller::CommittedState,
     id: &str,
     batch: &batch::sheet::Batch,
     number: usize,
@@ -34,7 +34,7 @@
 }
 
 /// Ids of all batches that are not expired.
-pub fn ids(committed_state: &crate::keeper::CommittedState) -> Vec<String> {
+pub fn ids(committed_state: &crate::controller::CommittedState) -> Vec<String> {
     let keys = committed_state.entries.keys().filter_map(|key| key.strip_prefix(KEY));
     let whole = keys.filter(|rest| !rest.contains('/')).map(str::to_string);
     whole.filter(|id| batch(committed_state, id).is_some_and(|batch| !batch.expired)).collect()
@@ -46,18 +46,18 @@
     (disk.min(env.limits.memory_mb) as usize) << 17
 }
 
-pub struct Batches(pub std::sync::Arc<crate::keeper::Keeper>);
-pub struct One(pub std::sync::Arc<crate::keeper::Keeper>);
-pub struct Results(pub std::sync::Arc<crate::keeper::Keeper>);
+pub struct Batches(pub std::sync::Arc<crate::controller::Controller>);
+pub struct One(pub std::sync::Arc<crate::controller::Controller>);
+pub struct Results(pub std::sync::Arc<crate::controller::Controller>);
 
 impl Batches {
     async fn submit(&self, key: &str, text: &str) -> Receipt {
-        let keeper = &self.0;
-        let held = keeper.committed_state.lock().expect("committed_state").history.current().cloned();
+        let controller = &self.0;
+        let held = controller.committed_state.lock().expect("committed_state").history.current().cloned();
         let Some(held) = held else { return Receipt::Bad(409, "no configuration yet: no routes".into()) };
         let route = |host: &str, path: &str| {
-            let host = wire::config::without_port(host);
-            let fits = |route: &&wire::config::Route| {
+            let host = protocol::config::without_port(host);
+            let fits = |route: &&protocol::config::Route| {
                 route.hostname.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix)
             };
             let best = held.config().route_table.iter().filter(fits).max_by_key(|route| route.path_prefix.len())?;
@@ -69,13 +69,13 @@
         };
         let id = batch::sheet::id(key);
         {
-            let committed_state = keeper.committed_state.lock().expect("committed_state");
+            let committed_state = controller.committed_state.lock().expect("committed_state");
             let ids = ids(&committed_state);
             let bytes: usize =
                 ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.bytes()).sum();
             let answers = batch.jobs.len() * batch::ANSWER;
             let new = !ids.contains(&id);
-            let full = ids.len() >= batch::BATCHES || bytes + batch.bytes() + answers > room(&keeper.env);
+            let full = ids.len() >= batch::BATCHES || bytes + batch.bytes() + answers > room(&controller.env);
             if new && full {
                 return Receipt::Full(60_000);
             }
@@ -93,7 +93,7 @@
             }
             None => crate::register::Verdict::Write(body.clone(), Receipt::Good),
         };
-        match keeper.change(&batch_key(&id), crate::control::wait_ms(keeper), judge).await {
+        match controller.change(&batch_key(&id), crate::control::wait_ms(controller), judge).await {
             Some(Receipt::Good) => {
                 kernel::say!(crate::event::BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
                 Receipt::Text(serde_json::json!({ "batch": id, "jobs": batch.jobs.len() }).to_string().into_bytes())
--- a/keeper/src/boot.rs
+++ b/controller/src/boot.rs
@@ -1,22 +1,22 @@
 //! Start and end of the process.
 
-/// The parts of the keeper that announce themselves.
+/// The parts of the controller that announce themselves.
 #[kernel::plug::linkme::distributed_slice]
 #[linkme(crate = kernel::plug::linkme)]
-pub static KEEPER_PARTS: [kernel::plug::Plug<std::sync::Arc<crate::keeper::Keeper>>];
+pub static CONTROLLER_PARTS: [kernel::plug::Plug<std::sync::Arc<crate::controller::Controller>>];
 
 macro_rules! part {
     ($label:ident, $name:literal, $order:literal, $start:path) => {
-        #[kernel::plug::linkme::distributed_slice(KEEPER_PARTS)]
+        #[kernel::plug::linkme::distributed_slice(CONTROLLER_PARTS)]
         #[linkme(crate = kernel::plug::linkme)]
-        static $label: kernel::plug::Plug<std::sync::Arc<crate::keeper::Keeper>> =
+        static $label: kernel::plug::Plug<std::sync::Arc<crate::controller::Controller>> =
             kernel::plug::Plug { name: $name, order: $order, start: $start };
     };
 }
 
 part!(GOSSIP, "gossip", 2, crate::gossip::start);
 part!(PAUSES, "pauses", 1, crate::pause::start);
-part!(MEMBERSHIP, "membership", 3, crate::membership::start);
+part!(MEMBERSHIP, "membership", 3, crate::reconfiguration::start);
 part!(PLATFORM, "platform", 4, crate::platform::start);
 part!(DUTY, "duty", 5, crate::duty::start);
 part!(BATCHES, "batches", 8, crate::runner::start);
@@ -25,15 +25,15 @@
 part!(CONTROL, "control", 6, crate::control::start);
 part!(FELLOWS, "peers", 1, peers);
 
-fn peers(keeper: &std::sync::Arc<crate::keeper::Keeper>) {
-    let addr = format!("{}:{}", keeper.env.ip, keeper.env.peer_port());
-    let keeper = keeper.clone();
-    let handler: wire::link::Handler =
-        std::sync::Arc::new(move |mouth, id, msg| crate::message::take(&keeper, mouth, id, msg));
+fn peers(controller: &std::sync::Arc<crate::controller::Controller>) {
+    let addr = format!("{}:{}", controller.env.ip, controller.env.peer_port());
+    let controller = controller.clone();
+    let handler: protocol::link::Handler =
+        std::sync::Arc::new(move |mouth, id, msg| crate::message::take(&controller, mouth, id, msg));
     tokio::spawn(async move {
         loop {
-            match wire::sock::listen(&addr) {
-                Ok(listener) => wire::link::serve(listener, handler.clone()).await,
+            match protocol::sock::listen(&addr) {
+                Ok(listener) => protocol::link::serve(listener, handler.clone()).await,
                 Err(_) => tokio::time::sleep(std::time::Duration::from_millis(200)).await,
             }
         }
@@ -41,21 +41,21 @@
 }
 
 /// The first core is the seeds: at the first start all daemons are told the same.
-fn found(env: &kernel::env::Env) -> wire::msg::Core {
+fn found(env: &kernel::env::Env) -> protocol::msg::Core {
     let mut ips = env.seed_ips();
     ips.sort();
     ips.dedup();
-    let list = ips.into_iter().map(|ip| wire::msg::Member { ip, zone: String::new() }).collect();
-    wire::msg::Core { version: 1, list, prev: Vec::new(), settled: true }
+    let list = ips.into_iter().map(|ip| protocol::msg::Member { ip, zone: String::new() }).collect();
+    protocol::msg::Core { version: 1, list, prev: Vec::new(), settled: true }
 }
 
 /// Messages to peers that were handed over get so long to leave.
 const FAREWELL: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// Runs a keeper until it is told to end and has finished what it took.
+/// Runs a controller until it is told to end and has finished what it took.
 pub async fn run(env: kernel::env::Env, mut signals: kernel::signal::Signals) -> std::process::ExitCode {
     let life = kernel::clock::life();
-    let mut voter = ledger::voter::Voter::new(&env.ip);
+    let mut voter = consensus::voter::Voter::new(&env.ip);
     let mut store = None;
     let mut empty = true;
     if let Some(dir) = &env.data_dir {
@@ -63,7 +63,7 @@
             Ok((open, found_empty)) => (store, empty) = (Some(open), found_empty),
             Err(error) => {
                 kernel::say!(crate::event::BAD_DISK, "cause" => error.to_string());
-                eprintln!("keeper: {error}");
+                eprintln!("controller: {error}");
                 return std::process::ExitCode::from(4);
             }
         }
@@ -81,17 +81,17 @@
     let disk = crate::disk::Disk::start(store, mirror, metrics.disk_write.clone());
     disk.write(first);
     let prefix_index = catalog::prefix_index::PrefixIndex::new(200_000, 30_000);
-    let keeper = std::sync::Arc::new(crate::keeper::Keeper {
+    let controller = std::sync::Arc::new(crate::controller::Controller {
         life,
-        seat: ledger::seat(&env.ip, life),
+        seat: consensus::seat(&env.ip, life),
         voter: std::sync::Mutex::new(voter),
         disk,
         committed_state: Default::default(),
-        roster: std::sync::Mutex::new(roster::Roster::new(&env.ip, &env.zone, crate::keeper::LIVE_MS)),
+        roster: std::sync::Mutex::new(membership::Roster::new(&env.ip, &env.zone, crate::controller::LIVE_MS)),
         sheets: Default::default(),
         weights: Default::default(),
         followers: Default::default(),
-        catalog: std::sync::Mutex::new(crate::keeper::Catalog {
+        catalog: std::sync::Mutex::new(crate::controller::Catalog {
             prefix_index,
             gauge: Default::default(),
             epoch: 0,
@@ -112,15 +112,15 @@
         metrics,
         env,
     });
-    let observed = keeper.clone();
-    telemetry::start(&keeper.env.ip, keeper.env.metrics.as_ref(), move || observed.metrics.render(&observed));
-    kernel::plug::start(&KEEPER_PARTS, &keeper);
+    let observed = controller.clone();
+    telemetry::start(&controller.env.ip, controller.env.metrics.as_ref(), move || observed.metrics.render(&observed));
+    kernel::plug::start(&CONTROLLER_PARTS, &controller);
     kernel::signal::until_leave(&mut signals).await;
     kernel::say!(crate::event::LEAVE);
-    let end = crate::shutdown::last_moment(keeper.env.bounds.grace_s);
-    crate::membership::leave(&keeper).await;
-    // What was answered is on disk; what is under way is finished. Meanwhile peers hear that this keeper ends.
-    let (finished, ()) = tokio::join!(keeper.shutdown.run(end), tokio::time::sleep(FAREWELL));
-    kernel::say!(crate::event::GONE, "finished" => finished, "orders" => keeper.metrics.orders_under_way.get());
+    let end = crate::shutdown::last_moment(controller.env.bounds.grace_s);
+    crate::reconfiguration::leave(&controller).await;
+    // What was answered is on disk; what is under way is finished. Meanwhile peers hear that this controller ends.
+    let (finished, ()) = tokio::join!(controller.shutdown.run(end), tokio::time::sleep(FAREWELL));
+    kernel::say!(crate::event::GONE, "finished" => finished, "orders" => controller.metrics.orders_under_way.get());
     std::process::ExitCode::SUCCESS
 }
--- a/keeper/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BodyForm {
     Plain,
-    /// Long ones are packed. Keepers of version 2 and later read it.
+    /// Long ones are packed. Controllers of version 2 and later read it.
     Packed,
-    /// Packed, and with digests that are safe to rest on. Keepers of version 4 and later read it.
+    /// Packed, and with digests that are safe to rest on. Controllers of version 4 and later read it.
     Digested,
 }
 
@@ -62,7 +62,7 @@
     Forgotten,
 }
 
-/// Keepers from this version of messages on read packed bodies.
+/// Controllers from this version of messages on read packed bodies.
 const PACKED_SINCE: u64 = 2;
 
 impl BodyForm {
@@ -71,14 +71,14 @@
     /// first configuration would fill the links of all who fetch it.
     pub fn for_readers(versions: impl Iterator<Item = u64>) -> BodyForm {
         let known = versions.map(|version| if version == 0 { PACKED_SINCE } else { version });
-        BodyForm::read_by_all(known.min().unwrap_or(wire::msg::READS))
+        BodyForm::read_by_all(known.min().unwrap_or(protocol::msg::READS))
     }
 
     /// The newest form that everyone reads, where `oldest` is the oldest version of messages that anyone reads.
     pub fn read_by_all(oldest: u64) -> BodyForm {
         match oldest {
             reads if reads < PACKED_SINCE => BodyForm::Plain,
-            reads if reads < wire::msg::DIGESTED_BODIES => BodyForm::Packed,
+            reads if reads < protocol::msg::DIGESTED_BODIES => BodyForm::Packed,
             _ => BodyForm::Digested,
         }
     }
@@ -130,7 +130,7 @@
     }
 
     /// Remembers a change under the kind of digest that a form holds.
-    pub fn remember(&mut self, change: &wire::order::ConfigChange, form: BodyForm) {
+    pub fn remember(&mut self, change: &protocol::order::ConfigChange, form: BodyForm) {
         match form {
             BodyForm::Digested => self.taken.push(TakenChange { base: change.base, digest: digest(change) }),
             BodyForm::Plain | BodyForm::Packed => self.earlier.push(first_digest(change)),
@@ -142,7 +142,7 @@
     }
 
     /// Was this change taken, as far as that is remembered?
-    pub fn recall(&self, change: &wire::order::ConfigChange) -> Memory {
+    pub fn recall(&self, change: &protocol::order::ConfigChange) -> Memory {
         let taken = TakenChange { base: change.base, digest: digest(change) };
         if self.taken.contains(&taken) || self.earlier.contains(&first_digest(change)) {
             return Memory::Taken;
@@ -164,7 +164,7 @@
 }
 
 /// The same for the same change sent again, and for no other: half of a SHA-256 over the change and what it is.
-pub fn digest(change: &wire::order::ConfigChange) -> [u8; 16] {
+pub fn digest(change: &protocol::order::ConfigChange) -> [u8; 16] {
     use sha2::Digest;
     let mut hash = sha2::Sha256::new();
     hash.update(b"tidepoint configuration change 2");
@@ -177,13 +177,13 @@
 }
 
 /// The digest of the first version.
-pub fn first_digest(change: &wire::order::ConfigChange) -> u64 {
+pub fn first_digest(change: &protocol::order::ConfigChange) -> u64 {
     let text = kernel::clock::hash(change.text.as_bytes());
     kernel::clock::blend(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
 /// Tells a body from others where a change of it is told. Invariant: a body of the second version has a part of its
-/// SHA-256; all others have the digest that keepers of version 3 know.
+/// SHA-256; all others have the digest that controllers of version 3 know.
 pub fn body_digest(body: &[u8]) -> u64 {
     use sha2::Digest;
     if BodyForm::of(body) != BodyForm::Digested {
--- a/keeper/src/config_body_tests.rs
+++ b/controller/src/config_body_tests.rs
@@ -1,6 +1,6 @@
 //! The forms of a configuration's body, and what it remembers of changes.
 use super::{digest, BodyForm, Held, Memory, TAKEN};
-use wire::order::ConfigChange;
+use protocol::order::ConfigChange;
 
 fn held(count: usize) -> Held {
     let text: String = (0..count).map(|at| format!("{{\"name\":\"r-{at}\",\"path_prefix\":\"/p{at}/\"}}")).collect();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn every_keeper_must_read_a_form_before_it_is_written() {
+fn every_controller_must_read_a_form_before_it_is_written() {
     let forms = [0, 1, 2, 3, 4, 9].map(BodyForm::read_by_all);
     use BodyForm::{Digested, Packed, Plain};
     assert_eq!(forms, [Plain, Plain, Packed, Packed, Digested, Digested]);
--- a/keeper/src/config_change.rs
+++ b/controller/src/config_change.rs
@@ -1,8 +1,8 @@
 //! What an operator's change of the configuration comes to on top of what is committed: pure.
 use crate::config_body::{BodyForm, Held, Memory};
+use protocol::config::{Checked, ConfigError, Patch};
+use protocol::order::ConfigChange;
 use std::sync::Arc;
-use wire::config::{Checked, ConfigError, Patch};
-use wire::order::ConfigChange;
 
 /// Why a change is refused for good.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/keeper/src/config_history.rs
+++ b/controller/src/config_history.rs
@@ -1,9 +1,9 @@
 //! The configuration in force: as it is stored, as a value, and in the form in which routers take it: frames encoded once
 //! and sent to many.
+use protocol::change::{before_tenants, Change};
+use protocol::config::Checked;
+use protocol::msg::Msg;
 use std::sync::Arc;
-use wire::change::{before_tenants, Change};
-use wire::config::Checked;
-use wire::msg::Msg;
 
 /// How many changes are kept, and how many bytes of them.
 const MOST_CHANGES: usize = 64;
@@ -20,7 +20,7 @@
 impl Layout {
     /// The layout for a router that reads messages of this version.
     pub fn of(reads: u64) -> Layout {
-        match reads >= wire::msg::TENANTS {
+        match reads >= protocol::msg::TENANTS {
             true => Layout::Current,
             false => Layout::BeforeTenants,
         }
@@ -60,12 +60,12 @@
 
 fn quotas(config: &Checked) -> std::collections::HashMap<String, quota::Quota> {
     let limit =
-        |tenant: &wire::config::Tenant| quota::Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
+        |tenant: &protocol::config::Tenant| quota::Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
     config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), limit(tenant))).collect()
 }
 
 fn seal(msg: &Msg) -> Option<bytes::Bytes> {
-    wire::frame::seal(wire::frame::Kind::Cast, 0, msg).ok().map(bytes::Bytes::from)
+    protocol::frame::seal(protocol::frame::Kind::Cast, 0, msg).ok().map(bytes::Bytes::from)
 }
 
 fn encode(change: &Change, layout: Layout) -> Option<bytes::Bytes> {
@@ -89,7 +89,9 @@
     /// The frame in the layout before tenants, which routers of earlier versions read.
     fn older_frame(&mut self) -> Option<bytes::Bytes> {
         if self.before_tenants.is_none() {
-            let Ok(Msg::Update(packed)) = wire::frame::open(&self.frame[wire::frame::HEAD..]) else { return None };
+            let Ok(Msg::Update(packed)) = protocol::frame::open(&self.frame[protocol::frame::HEAD..]) else {
+                return None;
+            };
             self.before_tenants = encode(&Change::read(&packed)?, Layout::BeforeTenants);
         }
         self.before_tenants.clone()
--- a/keeper/src/config_history_tests.rs
+++ b/controller/src/config_history_tests.rs
@@ -1,7 +1,7 @@
 //! The chain of changes as routers get it: old and new ones, with losses, and never to one that may not have it.
 use super::{ConfigHistory, Layout, NotNewer};
+use protocol::config::{Checked, Config};
 use std::sync::Arc;
-use wire::config::{Checked, Config};
 
 fn config(revision: u64, count: usize, timeout: u64) -> Arc<Checked> {
     with_tenants(revision, count, timeout, 0)
@@ -22,14 +22,17 @@
     Arc::new(Checked::read(&text.to_string()).expect("good"))
 }
 
-fn open(frame: &bytes::Bytes) -> wire::change::Change {
-    match wire::frame::open(&frame[wire::frame::HEAD..]).expect("a message") {
-        wire::msg::Msg::Change(body) => {
-            wire::change::before_tenants::read(&body).expect("a change in the layout before tenants")
+fn open(frame: &bytes::Bytes) -> protocol::change::Change {
+    match protocol::frame::open(&frame[protocol::frame::HEAD..]).expect("a message") {
+        protocol::msg::Msg::Change(body) => {
+            protocol::change::before_tenants::read(&body).expect("a change in the layout before tenants")
         }
-        wire::msg::Msg::Update(body) => {
-            assert!(wire::change::before_tenants::read(&body).is_none(), "no older router takes it for its own layout");
-            wire::change::Change::read(&body).expect("a change")
+        protocol::msg::Msg::Update(body) => {
+            assert!(
+                protocol::change::before_tenants::read(&body).is_none(),
+                "no older router takes it for its own layout"
+            );
+            protocol::change::Change::read(&body).expect("a change")
         }
         other => panic!("{other:?}"),
     }
@@ -95,7 +98,7 @@
     for revision in 1..=20 {
         assert_eq!(history.advance(config(revision, 20, revision)), Ok(()));
         let mut has = revision - 1;
-        assert!(history.send_missing(wire::msg::READS, &mut has, |_| true));
+        assert!(history.send_missing(protocol::msg::READS, &mut has, |_| true));
     }
     assert!(history.changes.iter().all(|change| change.before_tenants.is_none()));
     assert!(history.whole_before_tenants.is_none());
@@ -115,7 +118,7 @@
         assert!(!history.send_missing(reads, &mut has, |_| panic!("nothing may be sent")));
         assert_eq!((has, history.text_after(0)), (1, None), "it stays behind");
         let mut current = 1;
-        assert!(history.send_missing(wire::msg::TENANTS, &mut current, |frame| !open(&frame).tenants.is_empty()));
+        assert!(history.send_missing(protocol::msg::TENANTS, &mut current, |frame| !open(&frame).tenants.is_empty()));
         assert_eq!(current, 3);
         // Once there are none any more it gets the whole, and no step through those that had some.
         assert_eq!(history.advance(with_tenants(4, 20, 4, 0)), Ok(()));
@@ -129,11 +132,11 @@
 #[derive(Default)]
 struct Router {
     revision: u64,
-    routes: std::collections::BTreeMap<String, wire::config::Route>,
+    routes: std::collections::BTreeMap<String, protocol::config::Route>,
 }
 
 impl Router {
-    fn take(&mut self, change: wire::change::Change) {
+    fn take(&mut self, change: protocol::change::Change) {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return;
         }
@@ -152,11 +155,11 @@
 }
 
 /// Four hundred changes; a router is away for any time, its buffer is full at any frame, and frames that
-/// were taken may still be lost on their way. It never has a wrong table, the keeper never takes for sent
+/// were taken may still be lost on their way. It never has a wrong table, the controller never takes for sent
 /// what was not, and one call brings it up to date.
 #[test]
 fn a_router_away_for_any_time_gets_the_newest_and_never_a_wrong_table() {
-    for (seed, reads) in (0..15).flat_map(|seed| [(seed, wire::msg::READS), (seed, 3)]) {
+    for (seed, reads) in (0..15).flat_map(|seed| [(seed, protocol::msg::READS), (seed, 3)]) {
         let mut dice = kernel::clock::Dice::new(kernel::clock::blend(seed, 5));
         let mut history = ConfigHistory::default();
         let mut router = Router::default();
--- a/keeper/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -1,13 +1,13 @@
-//! Changes of the configuration carried out: judged on what is committed, written, and told to the other keepers as
+//! Changes of the configuration carried out: judged on what is committed, written, and told to the other controllers as
 //! the change where they can make it, else as the whole.
 use crate::config_body::{body_digest, BodyForm, Held};
 use crate::config_change::{Outcome, Proposed};
 use crate::state::CONFIG;
-use ledger::proposal::Verdict;
+use consensus::proposal::Verdict;
+use protocol::config::Checked;
+use protocol::msg::Entry;
+use protocol::order::{Advance, ConfigChange, OrderResult};
 use std::sync::Arc;
-use wire::config::Checked;
-use wire::msg::Entry;
-use wire::order::{Advance, ConfigChange, OrderResult};
 
 /// What a change was judged to be on top of one committed body.
 enum Judgement {
@@ -27,22 +27,22 @@
 }
 
 /// Carries out an operator's change.
-pub async fn change(keeper: &Arc<crate::keeper::Keeper>, change: &ConfigChange) -> OrderResult {
-    let read_by_all = keeper.body_form();
-    let known = keeper.committed_state.lock().expect("committed_state").history.current().cloned();
+pub async fn change(controller: &Arc<crate::controller::Controller>, change: &ConfigChange) -> OrderResult {
+    let read_by_all = controller.body_form();
+    let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
-    let outcome = keeper.change_untold(CONFIG, crate::orders::wait_ms(keeper), judge).await;
+    let outcome = controller.change_untold(CONFIG, crate::orders::wait_ms(controller), judge).await;
     let Some((judgement, owner, _)) = outcome else { return OrderResult::Unclear };
     match judgement {
         Judgement::Step(step) => {
-            tell(keeper, &owner.entry, change, &step);
+            tell(controller, &owner.entry, change, &step);
             committed(change, step.checked.revision());
             OrderResult::Done
         }
         Judgement::Answer(result) => {
             if !owner.is_blank() {
-                tell_again(keeper, CONFIG, &owner.entry);
+                tell_again(controller, CONFIG, &owner.entry);
             }
             if result == OrderResult::Done {
                 committed(change, Held::open(&owner.entry.body).map_or(0, |held| held.revision));
@@ -59,7 +59,7 @@
 fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Verdict<Judgement> {
     let Some(held) = Held::open(body) else { return Verdict::Answer(Judgement::Answer(OrderResult::Unclear)) };
     let form_before = BodyForm::of(body);
-    // Never an older form than before: a member that is away since this keeper started is unknown here, and long bodies
+    // Never an older form than before: a member that is away since this controller started is unknown here, and long bodies
     // without need fill the links until it is never heard again.
     let form = read_by_all.max(form_before);
     match proposed.on(&held, known, form) {
@@ -76,11 +76,11 @@
     }
 }
 
-/// A committed configuration becomes known here and at the other keepers.
-fn tell(keeper: &crate::keeper::Keeper, entry: &Entry, change: &ConfigChange, step: &Step) {
-    keeper.learn_config(entry, step.checked.clone());
+/// A committed configuration becomes known here and at the other controllers.
+fn tell(controller: &crate::controller::Controller, entry: &Entry, change: &ConfigChange, step: &Step) {
+    controller.learn_config(entry, step.checked.clone());
     let advance = advance_of(entry, change, step);
-    send(keeper, entry, advance, |reads| can_make(reads, change, step));
+    send(controller, entry, advance, |reads| can_make(reads, change, step));
 }
 
 fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> Advance {
@@ -97,46 +97,46 @@
     }
 }
 
-/// Can a keeper that reads messages of this version make the body after the change from the one before it? One of
+/// Can a controller that reads messages of this version make the body after the change from the one before it? One of
 /// version 3 writes the text of a changed configuration otherwise, and a new layout is not told by a change.
 fn can_make(reads: u64, change: &ConfigChange, step: &Step) -> bool {
-    let same_text = !change.partial || reads >= wire::msg::DIGESTED_BODIES;
+    let same_text = !change.partial || reads >= protocol::msg::DIGESTED_BODIES;
     same_text && step.form.same_layout(step.form_before)
 }
 
 /// The short form to those that can use it, the whole to the others.
-fn send(keeper: &crate::keeper::Keeper, entry: &Entry, advance: Advance, can_make: impl Fn(u64) -> bool) {
-    let whole = wire::msg::Msg::Learn(Box::new((advance.key.clone(), entry.clone())));
-    let short = wire::msg::Msg::Advance(Box::new(advance));
-    for peer in keeper.known() {
-        let reads = keeper.roster.lock().expect("roster").keepers.get(&peer).map_or(0, |peer| peer.reads);
-        let is_short = reads >= wire::msg::RELAYED_ORDERS && can_make(reads);
-        keeper.peer(&peer).cast(if is_short { short.clone() } else { whole.clone() });
+fn send(controller: &crate::controller::Controller, entry: &Entry, advance: Advance, can_make: impl Fn(u64) -> bool) {
+    let whole = protocol::msg::Msg::Learn(Box::new((advance.key.clone(), entry.clone())));
+    let short = protocol::msg::Msg::Advance(Box::new(advance));
+    for peer in controller.known() {
+        let reads = controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.reads);
+        let is_short = reads >= protocol::msg::RELAYED_ORDERS && can_make(reads);
+        controller.peer(&peer).cast(if is_short { short.clone() } else { whole.clone() });
     }
 }
 
 /// The same body was committed again, by a read or under a changed core: those that hold it need only its place.
-pub fn tell_again(keeper: &crate::keeper::Keeper, key: &str, entry: &Entry) {
-    keeper.learn(key, entry, false);
+pub fn tell_again(controller: &crate::controller::Controller, key: &str, entry: &Entry) {
+    controller.learn(key, entry, false);
     let (ballot, step) = entry.place();
     let digest = body_digest(&entry.body);
     let (before, after) = (digest, digest);
     let advance = Advance { key: key.into(), ballot, step, before, after, change: None, revision: 0, pack: false };
-    send(keeper, entry, advance, |_| true);
+    send(controller, entry, advance, |_| true);
 }
 
-/// Makes a change that another keeper committed. What does not fit is left to the next confirmation, which
+/// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
 /// fetches the whole.
-pub fn advance(keeper: &crate::keeper::Keeper, advance: &Advance) {
+pub fn advance(controller: &crate::controller::Controller, advance: &Advance) {
     let (held, known) = {
-        let committed_state = keeper.committed_state.lock().expect("committed_state");
+        let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
     };
     let Some(held) = held.filter(|held| held.place() < (advance.ballot, advance.step)) else { return };
     let entry = |body| Entry { ballot: advance.ballot, step: advance.step, body };
     match next_body(&held.body, known.as_deref(), advance) {
-        Some((body, Some(checked))) => keeper.learn_config(&entry(body), checked),
-        Some((body, None)) => keeper.learn(&advance.key, &entry(body), false),
+        Some((body, Some(checked))) => controller.learn_config(&entry(body), checked),
+        Some((body, None)) => controller.learn(&advance.key, &entry(body), false),
         None => {}
     }
 }
--- a/keeper/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -1,11 +1,11 @@
-//! A change told to other keepers gives them the very body that was committed, or nothing.
+//! A change told to other controllers gives them the very body that was committed, or nothing.
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
 use crate::config_body::{body_digest, BodyForm, Held};
 use crate::config_change::Proposed;
 use crate::state::CONFIG;
-use ledger::proposal::Verdict;
-use wire::msg::{Ballot, Entry};
-use wire::order::{Advance, ConfigChange, OrderResult};
+use consensus::proposal::Verdict;
+use protocol::msg::{Ballot, Entry};
+use protocol::order::{Advance, ConfigChange, OrderResult};
 
 fn text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
@@ -33,19 +33,19 @@
 
 const FORMS: [BodyForm; 3] = [BodyForm::Plain, BodyForm::Packed, BodyForm::Digested];
 
-/// The body that a keeper makes.
+/// The body that a controller makes.
 fn made(body: &[u8], advance: &Advance) -> Option<Vec<u8>> {
     next_body(body, None, advance).map(|(body, _)| body)
 }
 
 #[test]
-fn a_keeper_that_holds_the_body_before_gets_the_committed_one() {
+fn a_controller_that_holds_the_body_before_gets_the_committed_one() {
     for (routes, form) in [1, 200].iter().flat_map(|routes| FORMS.map(|form| (*routes, form))) {
         let (body, advance, after) = committed(routes, form);
         assert_eq!(made(&body, &advance), Some(after));
         // Also with the configuration before read already, or with another one at hand.
-        let known = wire::config::Checked::read(&text(5, routes)).expect("good");
-        let other = wire::config::Checked::read(&text(5, routes + 1)).expect("good");
+        let known = protocol::config::Checked::read(&text(5, routes)).expect("good");
+        let other = protocol::config::Checked::read(&text(5, routes + 1)).expect("good");
         for known in [known, other] {
             let (body, checked) = next_body(&body, Some(&known), &advance).expect("made");
             let held = Held::open(&body).expect("read");
@@ -82,7 +82,7 @@
     }
 }
 
-/// Judges a change on a body, as the keeper does that is home to the configuration.
+/// Judges a change on a body, as the controller does that is home to the configuration.
 fn step_on(body: &[u8], change: &ConfigChange, form: BodyForm) -> (Vec<u8>, Step) {
     match judge(&Proposed::read(change), body, None, form) {
         Verdict::Write(next, Judgement::Step(step)) => (next, step),
@@ -102,7 +102,7 @@
     }
 }
 
-/// A change is told with its own revision and bodies, whatever was learned between its commit and the telling: the keeper's
+/// A change is told with its own revision and bodies, whatever was learned between its commit and the telling: the controller's
 /// revision was taken for it once.
 #[test]
 fn what_is_told_of_a_change_is_its_own_though_a_later_one_is_known_by_then() {
@@ -112,7 +112,7 @@
     let second = ConfigChange { base: 7, text: text(9, 2), partial: false };
     let (after_first, step) = step_on(&body, &first, BodyForm::Digested);
     let (after_second, later) = step_on(&after_first, &second, BodyForm::Digested);
-    let mut committed = crate::keeper::CommittedState::default();
+    let mut committed = crate::controller::CommittedState::default();
     let entry = |place, body: &[u8]| Entry { ballot: Ballot { turn: place, seat: 1 }, step: 1, body: body.to_vec() };
     committed.learn(CONFIG, &entry(2, &after_second), Some(later.checked.clone()));
     committed.learn(CONFIG, &entry(1, &after_first), Some(step.checked.clone()));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_keeper_that_would_make_another_body_gets_the_whole() {
+fn a_controller_that_would_make_another_body_gets_the_whole() {
     let held = Held { revision: 5, text: text(5, 2), ..Held::default() };
     let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
     let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
@@ -156,7 +156,7 @@
     for change in [&items, &whole] {
         let (_, step) = step_on(&held.seal(BodyForm::Plain), change, BodyForm::Digested);
         assert_eq!((step.checked.revision(), step.checked.config().route_table.len()), (6, 2));
-        assert!(wire::config::read(step.checked.text()).is_ok());
+        assert!(protocol::config::read(step.checked.text()).is_ok());
     }
     // One that reads as nothing is left alone by changes of items, and can be replaced.
     let torn = Held { text: "{\"revision\":5".into(), ..held };
--- a/keeper/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -1,13 +1,13 @@
 //! What a change of the configuration costs. Run by hand, in release:
-//! `cargo test --release -p keeper --lib config_timing -- --ignored --nocapture`.
+//! `cargo test --release -p controller --lib config_timing -- --ignored --nocapture`.
 use super::{judge, next_body, Judgement};
 use crate::config_body::{BodyForm, Held};
 use crate::config_change::Proposed;
-use crate::keeper::CommittedState;
+use crate::controller::CommittedState;
 use crate::state::CONFIG;
-use ledger::proposal::Verdict;
-use wire::msg::{Ballot, Entry};
-use wire::order::ConfigChange;
+use consensus::proposal::Verdict;
+use protocol::msg::{Ballot, Entry};
+use protocol::order::ConfigChange;
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
@@ -57,7 +57,7 @@
         (0..REMEMBERED).for_each(|base| held.remember(&earlier(base), BodyForm::Digested));
         let body = held.seal(BodyForm::Digested);
         println!("{routes} routes: text of {} bytes, body of {}", held.text.len(), body.len());
-        print_median("read and check", || drop(wire::config::read(&held.text).expect("good")));
+        print_median("read and check", || drop(protocol::config::read(&held.text).expect("good")));
         let mut state = CommittedState::default();
         state.learn(CONFIG, &entry(1, body.clone()), None);
         let known = state.history.current().cloned();
@@ -75,10 +75,10 @@
             let (next, step) = judged();
             let advance = super::advance_of(&entry(2, next), change, &step);
             let old = known.as_deref().expect("a configuration");
-            print_median(&format!("{label}, at a keeper that is told of it"), || {
+            print_median(&format!("{label}, at a controller that is told of it"), || {
                 let (_, checked) = next_body(&body, Some(old), &advance).expect("made");
                 let checked = checked.expect("changed");
-                drop(wire::change::Change::between(old.config(), checked.config()).write());
+                drop(protocol::change::Change::between(old.config(), checked.config()).write());
             });
         }
     }
--- a/keeper/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -1,6 +1,6 @@
 //! Confirming, again and again, that what is known here is not older than what a quorum holds.
-use ledger::confirmation::{Behind, Confirmation, Place};
-use wire::msg::{Ask, Core, Vote};
+use consensus::confirmation::{Behind, Confirmation, Place};
+use protocol::msg::{Ask, Core, Vote};
 
 const READ_MS: u64 = 600;
 const FETCH_MS: u64 = 300;
@@ -9,41 +9,41 @@
 const CATCH_UP_MS: u64 = 600;
 /// What is on no quorum is looked at again after this.
 const ON_ITS_WAY_MS: u64 = 60;
-/// After this it was left half done by its owner, and one keeper commits it again.
+/// After this it was left half done by its owner, and one controller commits it again.
 const HALF_DONE_MS: u64 = 100;
 
 /// Reads the places of all keys at a quorum and fetches what is newer than here. Once nothing is, the
 /// state known here is confirmed as of the time when the read began.
-pub async fn run(keeper: &std::sync::Arc<crate::keeper::Keeper>) {
+pub async fn run(controller: &std::sync::Arc<crate::controller::Controller>) {
     let begun = kernel::clock::now();
-    let core = keeper.core();
+    let core = controller.core();
     if core.list.is_empty() {
         return;
     }
-    let Some(confirmation) = read(keeper, &core).await else { return };
+    let Some(confirmation) = read(controller, &core).await else { return };
     let mut complete = true;
-    for behind in confirmation.behind(|key| known(keeper, key)) {
+    for behind in confirmation.behind(|key| known(controller, key)) {
         // What was fetched and could not be read is not known.
-        complete &= catch_up(keeper, &core, &behind).await && known(keeper, &behind.key) >= Some(behind.place);
+        complete &= catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.place);
     }
     if complete {
-        keeper.committed_state.lock().expect("committed_state").sure = Some(begun);
+        controller.committed_state.lock().expect("committed_state").sure = Some(begun);
     }
 }
 
-fn known(keeper: &crate::keeper::Keeper, key: &str) -> Option<Place> {
-    keeper.committed_state.lock().expect("committed_state").entries.get(key).map(wire::msg::Entry::place)
+fn known(controller: &crate::controller::Controller, key: &str) -> Option<Place> {
+    controller.committed_state.lock().expect("committed_state").entries.get(key).map(protocol::msg::Entry::place)
 }
 
-async fn read(keeper: &std::sync::Arc<crate::keeper::Keeper>, core: &Core) -> Option<Confirmation> {
-    let mut votes = keeper.ask(core, Ask::Places, &ledger::quorum::addresses(core));
+async fn read(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core) -> Option<Confirmation> {
+    let mut votes = controller.ask(core, Ask::Places, &consensus::quorum::addresses(core));
     let mut confirmation = Confirmation::new(core);
     let end = tokio::time::Instant::now() + std::time::Duration::from_millis(READ_MS);
     while !confirmation.is_quorum() {
         match tokio::time::timeout_at(end, votes.recv()).await.ok()?? {
             (from, Vote::Places { list }) => confirmation.hear(&from, list),
             (_, Vote::Newer { core }) => {
-                keeper.adopt(&core);
+                controller.adopt(&core);
                 return None;
             }
             _ => {}
@@ -56,43 +56,43 @@
 ///
 /// A place that is on no quorum may be on its way, overtaken, or left half done by its owner. Whatever became
 /// of it, everything that was committed before it is known once it or a newer committed entry is.
-async fn catch_up(keeper: &std::sync::Arc<crate::keeper::Keeper>, core: &Core, behind: &Behind) -> bool {
+async fn catch_up(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core, behind: &Behind) -> bool {
     let begun = kernel::clock::now();
-    if behind.committed && fetch(keeper, core, behind).await {
+    if behind.committed && fetch(controller, core, behind).await {
         return true;
     }
     while kernel::clock::now() < begun + CATCH_UP_MS {
         tokio::time::sleep(std::time::Duration::from_millis(ON_ITS_WAY_MS)).await;
-        if known(keeper, &behind.key) >= Some(behind.place) || fetch(keeper, core, behind).await {
+        if known(controller, &behind.key) >= Some(behind.place) || fetch(controller, core, behind).await {
             return true;
         }
         let now = kernel::clock::now();
-        let first = keeper.roster.lock().expect("roster").holder("", &behind.key, now);
-        if now > begun + HALF_DONE_MS && first == keeper.me() {
-            return keeper.renew(&behind.key, RENEW_MS).await.is_some();
+        let first = controller.roster.lock().expect("roster").holder("", &behind.key, now);
+        if now > begun + HALF_DONE_MS && first == controller.me() {
+            return controller.renew(&behind.key, RENEW_MS).await.is_some();
         }
     }
     false
 }
 
 /// Takes the entry from the members: the one looked for, or a newer one that a quorum holds by now.
-async fn fetch(keeper: &std::sync::Arc<crate::keeper::Keeper>, core: &Core, behind: &Behind) -> bool {
-    let mut votes = keeper.ask(core, Ask::Fetch { key: behind.key.clone() }, &ledger::quorum::addresses(core));
+async fn fetch(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core, behind: &Behind) -> bool {
+    let mut votes = controller.ask(core, Ask::Fetch { key: behind.key.clone() }, &consensus::quorum::addresses(core));
     let end = tokio::time::Instant::now() + std::time::Duration::from_millis(FETCH_MS);
     let mut fetched = Vec::new();
     while let Ok(Some((from, vote))) = tokio::time::timeout_at(end, votes.recv()).await {
         let Vote::Fetched { entry: Some(entry) } = vote else { continue };
         if behind.committed && entry.place() == behind.place {
-            keeper.learn(&behind.key, &entry, false);
+            controller.learn(&behind.key, &entry, false);
             return true;
         }
         fetched.push((from, entry));
-        let newer = ledger::confirmation::committed(core, &fetched);
+        let newer = consensus::confirmation::committed(core, &fetched);
         if let Some(entry) = newer.filter(|entry| entry.place() >= behind.place) {
-            keeper.learn(&behind.key, &entry, false);
+            controller.learn(&behind.key, &entry, false);
             return true;
         }
     }
     // A note of its owner may have come meanwhile.
-    known(keeper, &behind.key) >= Some(behind.place)
+    known(controller, &behind.key) >= Some(behind.place)
 }
--- a/keeper/src/control.rs
+++ b/controller/src/control.rs
@@ -2,7 +2,7 @@
 //! writes it.
 
 pub use crate::orders::wait_ms;
-use wire::order::{ConfigChange, Order, OrderResult};
+use protocol::order::{ConfigChange, Order, OrderResult};
 
 pub enum Receipt {
     Good,
@@ -12,7 +12,7 @@
     /// No room; come back after so many ms.
     Full(u64),
     Unclear,
-    /// Another keeper is to be asked: its address and the path.
+    /// Another controller is to be asked: its address and the path.
     Elsewhere(String, String),
 }
 
@@ -52,8 +52,8 @@
     }
 }
 
-struct Config(std::sync::Arc<crate::keeper::Keeper>);
-struct Evacuation(std::sync::Arc<crate::keeper::Keeper>);
+struct Config(std::sync::Arc<crate::controller::Controller>);
+struct Evacuation(std::sync::Arc<crate::controller::Controller>);
 
 impl Config {
     async fn read(&self) -> Receipt {
@@ -69,13 +69,13 @@
 
 const CONFIG_PATH: &str = "/config";
 
-async fn submit(keeper: &std::sync::Arc<crate::keeper::Keeper>, path: String, order: Order) -> Receipt {
-    let timer = crate::metrics::OrderTimer::start(&keeper.metrics, &order);
-    if let Some(address) = crate::orders::better_place(keeper, &order) {
+async fn submit(controller: &std::sync::Arc<crate::controller::Controller>, path: String, order: Order) -> Receipt {
+    let timer = crate::metrics::OrderTimer::start(&controller.metrics, &order);
+    if let Some(address) = crate::orders::better_place(controller, &order) {
         timer.finish(crate::metrics::OrderOutcome::Redirected);
         return Receipt::Elsewhere(address, path);
     }
-    let result = crate::orders::submit(keeper, order).await;
+    let result = crate::orders::submit(controller, order).await;
     timer.finish((&result).into());
     match result {
         OrderResult::Found { body } => found(&body),
@@ -108,11 +108,11 @@
     }
 }
 
-/// The last log events of this keeper, for the tracer.
+/// The last log events of this controller, for the tracer.
 struct Journal;
 
-/// Who is there as this keeper sees it, and which configuration each router has in force.
-struct Fleet(std::sync::Arc<crate::keeper::Keeper>);
+/// Who is there as this controller sees it, and which configuration each router has in force.
+struct Fleet(std::sync::Arc<crate::controller::Controller>);
 
 impl poem::Endpoint for Journal {
     type Output = poem::Response;
@@ -132,7 +132,7 @@
 }
 
 /// What tenants have used of their limits, over all routers.
-struct Tenants(std::sync::Arc<crate::keeper::Keeper>);
+struct Tenants(std::sync::Arc<crate::controller::Controller>);
 
 impl poem::Endpoint for Tenants {
     type Output = poem::Response;
@@ -154,7 +154,7 @@
             _ => return Ok(write(Receipt::Bad(405, "method: GET, PUT or PATCH".into()))),
         };
         let base = req.header("if-match").and_then(|value| value.trim().trim_matches('"').parse().ok());
-        let body = match req.take_body().into_bytes_limit(wire::config::LONGEST_TEXT).await {
+        let body = match req.take_body().into_bytes_limit(protocol::config::LONGEST_TEXT).await {
             Ok(body) => body,
             Err(poem::error::ReadBodyError::PayloadTooLarge) => {
                 return Ok(write(Receipt::Bad(413, "body: too large".into())));
@@ -182,26 +182,26 @@
     }
 }
 
-pub fn start(keeper: &std::sync::Arc<crate::keeper::Keeper>) {
-    let Some(addr) = keeper.env.bind_addresses.control_plane.clone() else { return };
+pub fn start(controller: &std::sync::Arc<crate::controller::Controller>) {
+    let Some(addr) = controller.env.bind_addresses.control_plane.clone() else { return };
     let app = std::sync::Arc::new(
         poem::Route::new()
-            .at(CONFIG_PATH, Config(keeper.clone()))
+            .at(CONFIG_PATH, Config(controller.clone()))
             .at("/journal", Journal)
-            .at("/fleet", Fleet(keeper.clone()))
-            .at("/tenants", Tenants(keeper.clone()))
-            .at("/batches", crate::batches::Batches(keeper.clone()))
-            .at("/batches/:id", crate::batches::One(keeper.clone()))
-            .at("/batches/:id/results", crate::batches::Results(keeper.clone()))
-            .at("/rollouts", crate::rollout_calls::Rollouts(keeper.clone()))
-            .at("/rollouts/:service", crate::version_calls::Rollout(keeper.clone()))
-            .at("/rollouts/:service/:model", crate::rollout_calls::Rule(keeper.clone()))
-            .at("/rollouts/:service/:model/latest", crate::rollout_calls::Latest(keeper.clone(), false))
-            .at("/rollouts/:service/:model/rollback", crate::rollout_calls::Latest(keeper.clone(), true))
-            .at("/evacuation/:zone", Evacuation(keeper.clone())),
+            .at("/fleet", Fleet(controller.clone()))
+            .at("/tenants", Tenants(controller.clone()))
+            .at("/batches", crate::batches::Batches(controller.clone()))
+            .at("/batches/:id", crate::batches::One(controller.clone()))
+            .at("/batches/:id/results", crate::batches::Results(controller.clone()))
+            .at("/rollouts", crate::rollout_calls::Rollouts(controller.clone()))
+            .at("/rollouts/:service", crate::version_calls::Rollout(controller.clone()))
+            .at("/rollouts/:service/:model", crate::rollout_calls::Rule(controller.clone()))
+            .at("/rollouts/:service/:model/latest", crate::rollout_calls::Latest(controller.clone(), false))
+            .at("/rollouts/:service/:model/rollback", crate::rollout_calls::Latest(controller.clone(), true))
+            .at("/evacuation/:zone", Evacuation(controller.clone())),
     );
-    let inner = keeper.clone();
-    keeper.shutdown.spawn(async move {
+    let inner = controller.clone();
+    controller.shutdown.spawn(async move {
         while !inner.shutdown.is_closing() {
             serve(&addr, app.clone(), &inner.shutdown).await;
         }
@@ -215,12 +215,12 @@
 
 /// Serves callers until the process closes, and then finishes what is under way.
 async fn serve(addr: &str, app: std::sync::Arc<poem::Route>, shutdown: &crate::shutdown::Shutdown) {
-    let Ok(listener) = wire::sock::listen(addr) else {
+    let Ok(listener) = protocol::sock::listen(addr) else {
         tokio::time::sleep(LISTEN_RETRY).await;
         return;
     };
     let sock = socket2::SockRef::from(&listener);
-    let _ = sock.set_tcp_user_timeout(Some(std::time::Duration::from_millis(wire::sock::SILENCE_MS)));
+    let _ = sock.set_tcp_user_timeout(Some(std::time::Duration::from_millis(protocol::sock::SILENCE_MS)));
     let Ok(acceptor) = poem::listener::TcpAcceptor::from_tokio(listener) else { return };
     let server = poem::Server::new_with_acceptor(acceptor).idle_timeout(IDLE_TIMEOUT);
     let _ = server.run_with_graceful_shutdown(app, shutdown.closing(), None).await;
--- a/keeper/src/control_tests.rs
+++ b/controller/src/control_tests.rs
@@ -2,7 +2,7 @@
 use super::{write, Receipt};
 
 #[test]
-fn an_order_for_another_keeper_is_redirected_with_its_method_kept() {
+fn an_order_for_another_controller_is_redirected_with_its_method_kept() {
     let reply = write(Receipt::Elsewhere("10.0.0.4:8262".into(), "/evacuation/a".into()));
     assert_eq!(reply.status(), 307);
     assert_eq!(reply.header("location"), Some("http://10.0.0.4:8262/evacuation/a"));
--- a/keeper/src/keeper.rs
+++ b/controller/src/controller.rs
@@ -3,21 +3,21 @@
 //! Lock order: ownerships, voter, committed, taken, roster, sheets, weights, followers, catalog, quotas. No lock but an ownership is held over an
 //! await.
 
-pub struct Keeper {
+pub struct Controller {
     pub env: kernel::env::Env,
     pub life: u64,
     pub seat: u64,
-    pub voter: std::sync::Mutex<ledger::voter::Voter>,
+    pub voter: std::sync::Mutex<consensus::voter::Voter>,
     pub disk: crate::disk::Disk,
     pub committed_state: std::sync::Mutex<CommittedState>,
-    pub roster: std::sync::Mutex<roster::Roster>,
-    pub sheets: std::sync::Mutex<engines::sheet::Sheets>,
+    pub roster: std::sync::Mutex<membership::Roster>,
+    pub sheets: std::sync::Mutex<load_balancing::sheet::Sheets>,
     /// Weight versions by zone, kept only while there are rules.
-    pub weights: std::sync::Mutex<std::collections::BTreeMap<String, wire::msg::Versions>>,
+    pub weights: std::sync::Mutex<std::collections::BTreeMap<String, protocol::msg::Versions>>,
     pub followers: std::sync::Mutex<crate::followers::Followers>,
     pub catalog: std::sync::Mutex<Catalog>,
     pub ownerships: std::sync::Mutex<std::collections::HashMap<String, std::sync::Arc<crate::register::OwnershipLock>>>,
-    pub calls: std::sync::Mutex<std::collections::HashMap<String, std::sync::Arc<wire::link::Caller>>>,
+    pub calls: std::sync::Mutex<std::collections::HashMap<String, std::sync::Arc<protocol::link::Caller>>>,
     pub taken: std::sync::Mutex<crate::duty::Taken>,
     pub tallies: std::sync::Mutex<crate::runner::Tallies>,
     pub polls: tokio::sync::Semaphore,
@@ -37,7 +37,7 @@
 /// What is known to be committed. Invariant: the place of an entry never goes back.
 #[derive(Default)]
 pub struct CommittedState {
-    pub entries: std::collections::BTreeMap<String, wire::msg::Entry>,
+    pub entries: std::collections::BTreeMap<String, protocol::msg::Entry>,
     /// When the read began that last confirmed these at a majority; None before the first.
     pub sure: Option<u64>,
     /// The highest turn seen in any ballot.
@@ -46,18 +46,18 @@
     pub history: crate::config_history::ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
-    pub unreadable: Option<(wire::msg::Ballot, u64)>,
+    pub unreadable: Option<(protocol::msg::Ballot, u64)>,
     /// The evacuations with their versions.
     pub closed: std::collections::BTreeMap<String, (u64, bool)>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
-    pub rules: std::collections::BTreeMap<String, wire::msg::Rule>,
+    pub rules: std::collections::BTreeMap<String, protocol::msg::Rule>,
     /// The newest rollout of each service.
-    pub rollouts: std::collections::BTreeMap<String, wire::version_rollout::VersionRollout>,
+    pub rollouts: std::collections::BTreeMap<String, protocol::version_rollout::VersionRollout>,
     /// By key: epoch, holder, and whether it has waited.
     pub duties: std::collections::BTreeMap<String, (u64, String, bool)>,
 }
 
-/// The catalog as held here. Invariant: it answers only under `epoch`, and only while this keeper
+/// The catalog as held here. Invariant: it answers only under `epoch`, and only while this controller
 /// holds the duty.
 pub struct Catalog {
     pub prefix_index: catalog::prefix_index::PrefixIndex,
@@ -68,7 +68,7 @@
     pub drops: u32,
 }
 
-/// A keeper counts as live while heard within this.
+/// A controller counts as live while heard within this.
 pub const LIVE_MS: u64 = 1100;
 pub const BEAT_MS: u64 = 350;
 /// A confirmation older than this no longer makes the news sure.
@@ -76,40 +76,40 @@
 /// How long a router's lease lasts after each renewal.
 pub const ROUTER_LEASE_MS: u64 = 1600;
 
-impl Keeper {
+impl Controller {
     pub fn me(&self) -> &str {
         &self.env.ip
     }
 
-    pub fn peer(&self, ip: &str) -> std::sync::Arc<wire::link::Caller> {
+    pub fn peer(&self, ip: &str) -> std::sync::Arc<protocol::link::Caller> {
         let mut calls = self.calls.lock().expect("calls");
         let addr = format!("{ip}:{}", self.env.peer_port());
-        calls.entry(ip.into()).or_insert_with(|| std::sync::Arc::new(wire::link::Caller::start(addr, None))).clone()
+        calls.entry(ip.into()).or_insert_with(|| std::sync::Arc::new(protocol::link::Caller::start(addr, None))).clone()
     }
 
-    pub fn core(&self) -> wire::msg::Core {
+    pub fn core(&self) -> protocol::msg::Core {
         self.voter.lock().expect("voter").core.clone()
     }
 
-    /// Keepers that are known: the core, the seeds, whoever was heard.
+    /// Controllers that are known: the core, the seeds, whoever was heard.
     pub fn known(&self) -> Vec<String> {
         let mut list = self.env.seed_ips();
         list.extend(self.core().list.into_iter().map(|member| member.ip));
-        list.extend(self.roster.lock().expect("roster").keepers.keys().cloned());
+        list.extend(self.roster.lock().expect("roster").controllers.keys().cloned());
         list.sort();
         list.dedup();
         list.retain(|ip| ip != self.me());
         list
     }
 
-    /// The form of the configuration's body for the members of the core and all keepers that live.
+    /// The form of the configuration's body for the members of the core and all controllers that live.
     pub fn body_form(&self) -> crate::config_body::BodyForm {
         let now = kernel::clock::now();
         let core = self.core();
         let roster = self.roster.lock().expect("roster");
-        let reads = |ip: &str| roster.keepers.get(ip).map_or(0, |peer| peer.reads);
+        let reads = |ip: &str| roster.controllers.get(ip).map_or(0, |peer| peer.reads);
         let members = core.list.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
-        let live = roster.keepers.keys().map(String::as_str).filter(|ip| roster.live(ip, now));
+        let live = roster.controllers.keys().map(String::as_str).filter(|ip| roster.live(ip, now));
         crate::config_body::BodyForm::for_readers(members.chain(live).map(reads))
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Takes over a committed core.
-    pub fn adopt(&self, core: &wire::msg::Core) {
+    pub fn adopt(&self, core: &protocol::msg::Core) {
         let record = self.voter.lock().expect("voter").adopt(core);
         let Some(record) = record else { return };
         kernel::say!(crate::event::CORE, "version" => core.version, "settled" => core.settled,
--- a/keeper/src/disk.rs
+++ b/controller/src/disk.rs
@@ -1,9 +1,9 @@
 //! The disk has a thread of its own, so that one that stalls holds up votes and nothing else. What
 //! is handed over is written in that order; an answer leaves once all before it is on disk.
 
-use ledger::record::LogRecord;
-use ledger::store::{Store, StoreError};
-use ledger::voter::Voter;
+use consensus::record::LogRecord;
+use consensus::store::{Store, StoreError};
+use consensus::voter::Voter;
 use prometheus_client::metrics::histogram::Histogram;
 
 /// The pause before a write that failed is tried again.
--- a/keeper/src/disk_tests.rs
+++ b/controller/src/disk_tests.rs
@@ -1,13 +1,13 @@
-use ledger::record::LogRecord;
-use ledger::voter::Voter;
+use consensus::record::LogRecord;
+use consensus::voter::Voter;
 
 fn slot(key: &str, turn: u64) -> LogRecord {
-    let ballot = wire::msg::Ballot { turn, seat: 1 };
-    LogRecord::Slot(wire::msg::Slot { key: key.into(), promised: ballot, entry: None })
+    let ballot = protocol::msg::Ballot { turn, seat: 1 };
+    LogRecord::Slot(protocol::msg::Slot { key: key.into(), promised: ballot, entry: None })
 }
 
 fn core(version: u64) -> LogRecord {
-    LogRecord::Core(wire::msg::Core { version, ..Default::default() })
+    LogRecord::Core(protocol::msg::Core { version, ..Default::default() })
 }
 
 fn folded(records: &[LogRecord]) -> Vec<LogRecord> {
--- /dev/null
+++ b/controller/src/duty.rs
@@ -0,0 +1,187 @@
+//! Duties that one controller does at a time, each under an epoch of the ledger that no other shares.
+//!
+//! `docs/fencing.md` says what holds and why.
+
+use crate::controller::Controller;
+use crate::register::Verdict;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+pub const CATALOG: &str = "duty/catalog";
+pub const BALANCE: &str = "duty/balance";
+pub const BATCH: &str = "duty/batch";
+
+/// How often a duty is looked after.
+const LOOK_MS: u64 = 400;
+/// A controller that has just started first hears who else is there.
+const LISTEN_MS: u64 = 1200;
+/// How long one change of a duty's register may take.
+const CHANGE_MS: u64 = 1000;
+
+/// A duty as this life of this controller took it.
+#[derive(Clone, Copy)]
+struct Tenure {
+    epoch: u64,
+    /// When the commit of the epoch was known.
+    since: u64,
+    /// Nobody else can have acted lately.
+    own: bool,
+}
+
+/// What this life of this controller took, by duty. Invariant: a duty is done only while the committed state names
+/// this controller under the same epoch and is confirmed.
+#[derive(Default)]
+pub struct Taken(BTreeMap<String, Tenure>);
+
+/// Told beside the versions of lists: whether the teller is sure, and holders of duties that it vouches for.
+const SURE: &str = "sure";
+const VOUCH: &str = "vouch ";
+
+pub fn start(controller: &Arc<Controller>) {
+    for key in [CATALOG, BALANCE, BATCH] {
+        let controller = controller.clone();
+        tokio::spawn(async move {
+            let mut beat = kernel::entry::beat(LOOK_MS);
+            let mut streak = membership::duty::SureStreak::default();
+            loop {
+                beat.tick().await;
+                let now = kernel::clock::now();
+                let sure_ms = streak.sure_ms(controller.sure(now), now);
+                tend(&controller, key, sure_ms).await;
+                if key == CATALOG {
+                    open_catalog(&controller);
+                }
+            }
+        });
+    }
+}
+
+/// The tenure under which a duty is held here, while that is confirmed.
+fn held(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
+    let committed_state = controller.committed_state.lock().expect("committed_state");
+    let (epoch, holder, _) = committed_state.duties.get(key)?;
+    let sure = committed_state.sure.is_some_and(|time| now < time + crate::controller::SURE_MS);
+    let tenure = controller.taken.lock().expect("taken").0.get(key).copied()?;
+    (sure && holder == controller.me() && tenure.epoch == *epoch).then_some(tenure)
+}
+
+/// The epoch under which this controller may act now, where two holders may not act within a lease.
+pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
+    let tenure = held(controller, key, now)?;
+    let sure_at = controller.committed_state.lock().expect("committed_state").sure?;
+    let held = membership::duty::Held { since: tenure.since, own: tenure.own, sure_at };
+    let bounds = &controller.env.bounds;
+    membership::duty::may_act(held, now, bounds.fencing, bounds.lease_ms, crate::controller::SURE_MS)
+        .then_some(tenure.epoch)
+}
+
+/// Says in the register that the wait is over, once, before the first act.
+pub async fn declare_clear(controller: &Controller, key: &str, epoch: u64) -> bool {
+    let said = controller
+        .committed_state
+        .lock()
+        .expect("committed_state")
+        .duties
+        .get(key)
+        .is_some_and(|duty| duty.0 == epoch && duty.2);
+    if said {
+        return true;
+    }
+    let judge = |body: &[u8]| {
+        let held = crate::state::Duty::read_bytes(body).unwrap_or_default();
+        if held.epoch != epoch || held.holder != controller.me() {
+            return Verdict::Answer(false);
+        }
+        let next = crate::state::Duty { clear: true, ..held };
+        Verdict::Write(next.write_bytes(), true)
+    };
+    controller.change(key, CHANGE_MS, judge).await.unwrap_or(false)
+}
+
+/// The catalog answers only under the epoch held; a new epoch starts with an empty one.
+fn open_catalog(controller: &Controller) {
+    let epoch = held(controller, CATALOG, kernel::clock::now()).map_or(0, |tenure| tenure.epoch);
+    let mut catalog = controller.catalog.lock().expect("catalog");
+    if catalog.epoch != epoch && epoch > catalog.last {
+        catalog.prefix_index.clear();
+        catalog.gauge.clear();
+        catalog.last = epoch;
+    }
+    catalog.epoch = epoch;
+}
+
+async fn tend(controller: &Arc<Controller>, key: &str, sure_ms: u64) {
+    let now = kernel::clock::now();
+    if !controller.sure(now) || now < LISTEN_MS || held(controller, key, now).is_some() {
+        return;
+    }
+    // Taken only once there is something to do.
+    if key == BATCH && crate::batches::ids(&controller.committed_state.lock().expect("committed_state")).is_empty() {
+        return;
+    }
+    let (epoch, holder, clear) =
+        controller.committed_state.lock().expect("committed_state").duties.get(key).cloned().unwrap_or_default();
+    if !may_take(controller, key, &holder, sure_ms) {
+        return;
+    }
+    // Only an earlier life that had waited: one that had not may stand between two that acted.
+    let first = !controller.taken.lock().expect("taken").0.contains_key(key);
+    let own = holder.is_empty() || (first && holder == controller.me() && clear);
+    let Some(epoch) = take(controller, key, epoch, own).await else { return };
+    let tenure = Tenure { epoch, since: kernel::clock::now(), own };
+    controller.taken.lock().expect("taken").0.insert(key.into(), tenure);
+    controller.metrics.duties_taken.inc();
+    kernel::say!(crate::event::DUTY, "duty" => key, "epoch" => epoch);
+}
+
+fn may_take(controller: &Controller, key: &str, holder: &str, sure_ms: u64) -> bool {
+    let now = kernel::clock::now();
+    let roster = controller.roster.lock().expect("roster");
+    membership::duty::may_take(membership::duty::Look {
+        me: controller.me(),
+        holder,
+        absent_ms: roster.absent_ms(holder, now).min(sure_ms),
+        first: roster.first_sure(key, now).as_deref() == Some(controller.me()),
+        lease_ms: controller.env.bounds.lease_ms,
+    })
+}
+
+/// What peers are told about who can do a duty.
+pub fn told(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
+    let holders: BTreeSet<String> = {
+        let committed_state = controller.committed_state.lock().expect("committed_state");
+        committed_state.duties.values().map(|(_, holder, _)| holder.clone()).collect()
+    };
+    let sure = controller.sure(now);
+    let roster = controller.roster.lock().expect("roster");
+    let vouched = holders.into_iter().filter(|ip| *ip != roster.me && roster.vouches_for(ip, now));
+    let vouched = vouched.map(|ip| (protocol::msg::hide(&format!("{VOUCH}{ip}")), 1, 0));
+    std::iter::once((protocol::msg::hide(SURE), u64::from(sure), 0)).chain(vouched).collect()
+}
+
+/// What a peer told: whether it is sure, and whom it vouches for. One of an earlier version, which tells
+/// nothing of it, counts as sure while it is heard.
+pub fn heard(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
+    let (sure, vouch) = (protocol::msg::hide(SURE), protocol::msg::hide(VOUCH));
+    let sure = told.iter().find(|item| item.0 == sure).is_none_or(|item| item.1 == 1);
+    let vouches = told.iter().filter_map(|item| Some(item.0.strip_prefix(&vouch)?.to_string()));
+    (sure, vouches.collect())
+}
+
+/// Commits the next epoch on top of `epoch`. None: another controller was first, or the outcome is unknown.
+/// One that was committed all the same is never acted under: it is not among what was taken.
+async fn take(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
+    let judge = |body: &[u8]| {
+        let held = crate::state::Duty::read_bytes(body).unwrap_or_default();
+        if held.epoch != epoch {
+            return Verdict::Answer(None);
+        }
+        let next = crate::state::Duty { epoch: epoch + 1, holder: controller.me().to_string(), clear: own };
+        Verdict::Write(next.write_bytes(), Some(epoch + 1))
+    };
+    controller.change(key, CHANGE_MS, judge).await.flatten()
+}
+
+#[cfg(test)]
+#[path = "duty_tests.rs"]
+mod tests;
--- a/keeper/src/event.rs
+++ b/controller/src/event.rs
@@ -1,7 +1,7 @@
-//! Numbered log events of the keeper; the catalogue is docs/events.md.
+//! Numbered log events of the controller; the catalogue is docs/events.md.
 use kernel::log::Event;
 
-pub const START: Event = Event { code: 101, text: "keeper started" };
+pub const START: Event = Event { code: 101, text: "controller started" };
 pub const BAD_DISK: Event = Event { code: 102, text: "disk refused" };
 pub const DISK_WAIT: Event = Event { code: 103, text: "disk write failed, trying again" };
 pub const CONFIG: Event = Event { code: 110, text: "configuration committed" };
--- a/keeper/src/followers.rs
+++ b/controller/src/followers.rs
@@ -1,9 +1,9 @@
-//! The routers that follow this keeper.
+//! The routers that follow this controller.
 
 /// Invariant: what it says to have is what was handed to its connection or what it told in its last call;
 /// a follower never gets an older version.
 pub struct Follower {
-    pub mouth: wire::link::Mouth,
+    pub mouth: protocol::link::Mouth,
     pub zone: String,
     pub config: u64,
     /// Something for it was dropped: nothing more is pushed before it calls again and tells what it has.
@@ -20,7 +20,7 @@
 
 impl Follower {
     /// Sends a message; one that is dropped is noted. True: it was handed to the connection.
-    pub fn send(&mut self, msg: &wire::msg::Msg) -> bool {
+    pub fn send(&mut self, msg: &protocol::msg::Msg) -> bool {
         let sent = self.mouth.cast(msg);
         self.behind |= !sent;
         sent
--- /dev/null
+++ b/controller/src/gossip.rs
@@ -0,0 +1,109 @@
+//! Heartbeats between controllers.
+
+pub fn hear(controller: &crate::controller::Controller, gossip: &protocol::msg::Gossip) {
+    if gossip.ip == controller.me() {
+        return;
+    }
+    controller.adopt(&gossip.core);
+    let now = kernel::clock::now();
+    let mut roster = controller.roster.lock().expect("roster");
+    let peer = membership::Peer {
+        zone: gossip.zone.clone(),
+        life: gossip.life,
+        heard: now,
+        fit: gossip.fit,
+        seats: gossip.seats,
+        reads: protocol::msg::reads(&gossip.sheets),
+        leaving: protocol::msg::is_leaving(&gossip.sheets),
+        busy: gossip.busy.clone(),
+        doors: gossip.doors.clone(),
+        resting: gossip.resting.iter().map(|id| (id.clone(), now + 2 * crate::controller::LIVE_MS)).collect(),
+    };
+    roster.hear(&gossip.ip, peer);
+    roster.report(&gossip.ip, crate::platform::report(gossip), now);
+    for ip in &gossip.peers {
+        if ip.parse::<std::net::Ipv4Addr>().is_ok() && *ip != roster.me && !roster.controllers.contains_key(ip) {
+            let unseen = membership::Peer { zone: String::new(), life: 0, heard: 0, fit: false, ..Default::default() };
+            roster.controllers.insert(ip.clone(), unseen);
+        }
+    }
+    drop(roster);
+    // Repair: who is behind gets what it lacks.
+    let mut sheets = controller.sheets.lock().expect("sheets");
+    sheets.raise(&gossip.floors);
+    for sheet in sheets.newer(&gossip.sheets) {
+        controller.peer(&gossip.ip).cast(protocol::msg::Msg::Sheet(Box::new(sheet)));
+    }
+}
+
+pub fn start(controller: &std::sync::Arc<crate::controller::Controller>) {
+    let controller = controller.clone();
+    tokio::spawn(async move {
+        let mut beat = kernel::entry::beat(crate::controller::BEAT_MS);
+        loop {
+            beat.tick().await;
+            tell(&controller);
+            crate::confirm::run(&controller).await;
+            if crate::quota::beat(&controller) {
+                controller.push();
+            }
+        }
+    });
+}
+
+/// Tells all controllers that are known how this one stands.
+pub fn tell(controller: &crate::controller::Controller) {
+    let now = kernel::clock::now();
+    let core = controller.core();
+    let (peers, seats, busy, resting, doors) = {
+        let mut roster = controller.roster.lock().expect("roster");
+        roster.sweep(now);
+        let live: Vec<String> = roster.controllers.keys().filter(|ip| roster.live(ip, now)).cloned().collect();
+        (live, roster.routers.len() as u32, roster.own_pressure(), roster.own_resting(now), roster.own_doors())
+    };
+    let (mut sheets, floors) = {
+        let held = controller.sheets.lock().expect("sheets");
+        let mut versions = held.versions();
+        versions.push(protocol::msg::told());
+        if controller.leaving.load(std::sync::atomic::Ordering::Relaxed) {
+            versions.push(protocol::msg::leaving());
+        }
+        (versions, held.floors())
+    };
+    sheets.extend(crate::platform::told(controller, now));
+    sheets.extend(crate::duty::told(controller, now));
+    let gossip = protocol::msg::Gossip {
+        ip: controller.me().into(),
+        zone: controller.env.zone.clone(),
+        life: controller.life,
+        fit: fit(controller),
+        core,
+        peers,
+        seats,
+        busy: Vec::new(),
+        resting,
+        doors: Vec::new(),
+        sheets,
+        floors,
+    };
+    let holder = |duty: &str| {
+        controller.committed_state.lock().expect("committed_state").duties.get(duty).map(|duty| duty.1.clone())
+    };
+    let (balancer, batch_owner) = (holder(crate::duty::BALANCE), holder(crate::duty::BATCH));
+    for ip in controller.known() {
+        let mut gossip = gossip.clone();
+        // What grows with engines or routers goes to the one controller that reads it.
+        if balancer.as_ref() == Some(&ip) {
+            gossip.busy.clone_from(&busy);
+        }
+        if batch_owner.as_ref() == Some(&ip) {
+            gossip.doors.clone_from(&doors);
+        }
+        controller.peer(&ip).cast(protocol::msg::Msg::Gossip(Box::new(gossip)));
+    }
+}
+
+/// May this controller be made a member: a counted machine, or any where none has a disk.
+pub fn fit(controller: &crate::controller::Controller) -> bool {
+    controller.env.quorum_member && controller.voter.lock().expect("voter").may_vote
+}
--- a/keeper/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -26,8 +26,8 @@
         .request(method, format!("http://{router}{}", job.path))
         .timeout(Duration::from_millis(left_ms))
         .header("host", &job.host)
-        .header(wire::word::ATTEMPT, format!("{:016x}", kernel::clock::life()))
-        .header(wire::word::BUDGET, left_ms.to_string())
+        .header(protocol::word::ATTEMPT, format!("{:016x}", kernel::clock::life()))
+        .header(protocol::word::BUDGET, left_ms.to_string())
         .header(DEFERRABLE, if press == batch::turn::Press::Near { "near" } else { "idle" });
     for (name, value) in &job.head {
         call = call.header(name, value);
--- a/keeper/src/job_run.rs
+++ b/controller/src/job_run.rs
@@ -1,6 +1,6 @@
 //! One job under way: begun on a majority, sent once, and its outcome written.
 
-use crate::keeper::Keeper;
+use crate::controller::Controller;
 use batch::attempt::Outcome;
 use batch::page::State;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 const ATTEMPT_MS: u64 = 120_000;
 
 pub async fn run(
-    keeper: Arc<Keeper>,
+    controller: Arc<Controller>,
     client: reqwest::Client,
     in_flight: crate::runner::Shared,
     send: batch::turn::Send,
     epoch: u64,
 ) {
-    attempt(&keeper, &client, &in_flight, &send, epoch).await;
+    attempt(&controller, &client, &in_flight, &send, epoch).await;
     in_flight.lock().expect("in flight").jobs.remove(&(send.id.clone(), send.job));
 }
 
 async fn attempt(
-    keeper: &Arc<Keeper>,
+    controller: &Arc<Controller>,
     client: &reqwest::Client,
     in_flight: &crate::runner::Shared,
     send: &batch::turn::Send,
     epoch: u64,
 ) -> Option<()> {
     let (id, at) = (send.id.as_str(), send.job);
-    let batch = crate::batches::batch(&keeper.committed_state.lock().expect("committed_state"), id)?;
+    let batch = crate::batches::batch(&controller.committed_state.lock().expect("committed_state"), id)?;
     let job = batch.jobs.get(at)?;
     let (number, slot) = (at / batch::PAGE, at % batch::PAGE);
-    let router = keeper.roster.lock().expect("roster").door(kernel::clock::now(), at)?;
-    let begun = crate::runner::change(keeper, id, &batch, number, |page| page.begin(slot, epoch)).await;
+    let router = controller.roster.lock().expect("roster").door(kernel::clock::now(), at)?;
+    let begun = crate::runner::change(controller, id, &batch, number, |page| page.begin(slot, epoch)).await;
     if begun == Some(false) {
         return None;
     }
     // Not durable, or no longer the owner at the moment of the send: it is not sent.
-    let owner = crate::runner::acting_epoch(keeper, kernel::clock::now()) == Some(epoch);
+    let owner = crate::runner::acting_epoch(controller, kernel::clock::now()) == Some(epoch);
     let outcome = match begun.is_some() && owner {
         true => crate::job_request::send(client, &router, job, send.press, batch.left_ms().min(ATTEMPT_MS)).await,
         false => Outcome::NotRun { retry_after_ms: None },
@@ -47,7 +47,7 @@
         kernel::say!(crate::event::JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
     }
     // Until it is written or another owner holds the page: an answer in hand is not thrown away.
-    while crate::runner::change(keeper, id, &batch, number, |page| page.close(slot, epoch, state.clone()))
+    while crate::runner::change(controller, id, &batch, number, |page| page.close(slot, epoch, state.clone()))
         .await
         .is_none()
     {
--- a/keeper/src/listing.rs
+++ b/controller/src/listing.rs
@@ -46,12 +46,12 @@
     pub weights: Weights,
     pub pages: usize,
     /// What was known of this list before the first page was asked for.
-    pub known: engines::sheet::Known,
+    pub known: load_balancing::sheet::Known,
 }
 
 impl Listing {
     /// Nothing read yet.
-    pub fn new(known: engines::sheet::Known) -> Listing {
+    pub fn new(known: load_balancing::sheet::Known) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
@@ -67,7 +67,7 @@
 }
 
 fn engine(item: Item) -> crate::version_lists::ListedEngine {
-    let engine = wire::msg::Engine {
+    let engine = protocol::msg::Engine {
         id: item.instance_id,
         service: item.service,
         addr: item.address,
--- a/keeper/src/main.rs
+++ b/controller/src/main.rs
@@ -5,7 +5,7 @@
 
     xflags::xflags! {
         /// Control-plane daemon of tidepoint.
-        cmd keeper {
+        cmd controller {
             /// Only check the settings and say what is wrong with them.
             optional --check
             /// Print the version.
@@ -17,10 +17,10 @@
 }
 
 fn main() -> std::process::ExitCode {
-    let flags = match flags::Keeper::from_env() {
+    let flags = match flags::Controller::from_env() {
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
     let entry_flags = kernel::entry::EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    kernel::entry::enter("keeper", env!("CARGO_PKG_VERSION"), entry_flags, keeper::boot::run)
+    kernel::entry::enter("controller", env!("CARGO_PKG_VERSION"), entry_flags, controller::boot::run)
 }
--- a/keeper/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a keeper counts. The list with units stands in `docs/metrics.md`; a test holds the two together.
+//! What a controller counts. The list with units stands in `docs/metrics.md`; a test holds the two together.
 
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -57,7 +57,7 @@
     pub answer: QuotaAnswer,
 }
 
-/// All metrics of a keeper. Labels have fixed values only, so that their number never grows.
+/// All metrics of a controller. Labels have fixed values only, so that their number never grows.
 pub struct Metrics {
     registry: Registry,
     pub orders: Family<OrderLabels, Counter>,
@@ -72,7 +72,7 @@
     core_version: Gauge,
     core_members: Gauge,
     core_settled: Gauge,
-    live_keepers: Gauge,
+    live_controllers: Gauge,
     following_routers: Gauge,
     batches: Gauge,
     leaving: Gauge,
@@ -97,7 +97,7 @@
             core_version: Default::default(),
             core_members: Default::default(),
             core_settled: Default::default(),
-            live_keepers: Default::default(),
+            live_controllers: Default::default(),
             following_routers: Default::default(),
             batches: Default::default(),
             leaving: Default::default(),
@@ -135,45 +135,46 @@
         registry.register("core_version", help, self.core_version.clone());
         registry.register("core_members", "Members of the core", self.core_members.clone());
         registry.register("core_settled", "1 while the core is not being changed", self.core_settled.clone());
-        registry.register("live_keepers", "Other keepers heard lately", self.live_keepers.clone());
-        let help = "Routers that hold a lease at this keeper";
+        registry.register("live_keepers", "Other controllers heard lately", self.live_controllers.clone());
+        let help = "Routers that hold a lease at this controller";
         registry.register("following_routers", help, self.following_routers.clone());
         registry.register("batches", "Batches that are kept", self.batches.clone());
         registry.register("leaving", "1 once SIGTERM came", self.leaving.clone());
     }
 
     /// Counts the answer to a request for a token.
-    pub fn note_spent(&self, spent: wire::quota::Spent) {
+    pub fn note_spent(&self, spent: protocol::quota::Spent) {
         let answer = match spent {
-            wire::quota::Spent::Granted => QuotaAnswer::Granted,
-            wire::quota::Spent::Denied { .. } => QuotaAnswer::Denied,
-            wire::quota::Spent::NotHeld => QuotaAnswer::NotHeld,
+            protocol::quota::Spent::Granted => QuotaAnswer::Granted,
+            protocol::quota::Spent::Denied { .. } => QuotaAnswer::Denied,
+            protocol::quota::Spent::NotHeld => QuotaAnswer::NotHeld,
         };
         self.quota_answers.get_or_create(&QuotaLabels { answer }).inc();
     }
 
     /// All metrics as text, with the figures that are only read when asked for.
-    pub fn render(&self, keeper: &crate::keeper::Keeper) -> String {
+    pub fn render(&self, controller: &crate::controller::Controller) -> String {
         let now = kernel::clock::now();
-        let core = keeper.core();
-        self.config_revision.set(keeper.revision() as i64);
-        self.confirmed.set(i64::from(keeper.sure(now)));
+        let core = controller.core();
+        self.config_revision.set(controller.revision() as i64);
+        self.confirmed.set(i64::from(controller.sure(now)));
         self.core_version.set(core.version as i64);
         self.core_members.set(core.list.len() as i64);
         self.core_settled.set(i64::from(core.settled));
-        self.live_keepers.set(live_keepers(keeper, now));
-        let followers = keeper.followers.lock().expect("followers").list.values().filter(|one| one.until > now).count();
+        self.live_controllers.set(live_controllers(controller, now));
+        let followers =
+            controller.followers.lock().expect("followers").list.values().filter(|one| one.until > now).count();
         self.following_routers.set(followers as i64);
-        let batches = crate::batches::ids(&keeper.committed_state.lock().expect("committed_state")).len();
+        let batches = crate::batches::ids(&controller.committed_state.lock().expect("committed_state")).len();
         self.batches.set(batches as i64);
-        self.leaving.set(i64::from(keeper.leaving.load(std::sync::atomic::Ordering::Relaxed)));
+        self.leaving.set(i64::from(controller.leaving.load(std::sync::atomic::Ordering::Relaxed)));
         telemetry::encode(&self.registry)
     }
 }
 
-fn live_keepers(keeper: &crate::keeper::Keeper, now: u64) -> i64 {
-    let roster = keeper.roster.lock().expect("roster");
-    roster.keepers.keys().filter(|ip| **ip != roster.me && roster.live(ip, now)).count() as i64
+fn live_controllers(controller: &crate::controller::Controller, now: u64) -> i64 {
+    let roster = controller.roster.lock().expect("roster");
+    roster.controllers.keys().filter(|ip| **ip != roster.me && roster.live(ip, now)).count() as i64
 }
 
 /// One call of an operator, counted while it is under way.
@@ -184,8 +185,8 @@
 }
 
 impl<'a> OrderTimer<'a> {
-    pub fn start(metrics: &'a Metrics, order: &wire::order::Order) -> OrderTimer<'a> {
-        use wire::order::Order;
+    pub fn start(metrics: &'a Metrics, order: &protocol::order::Order) -> OrderTimer<'a> {
+        use protocol::order::Order;
         let kind = match order {
             Order::ReadConfig => OrderKind::ReadConfig,
             Order::Change(_) => OrderKind::ChangeConfig,
@@ -208,9 +209,9 @@
     }
 }
 
-impl From<&wire::order::OrderResult> for OrderOutcome {
-    fn from(result: &wire::order::OrderResult) -> OrderOutcome {
-        use wire::order::OrderResult;
+impl From<&protocol::order::OrderResult> for OrderOutcome {
+    fn from(result: &protocol::order::OrderResult) -> OrderOutcome {
+        use protocol::order::OrderResult;
         match result {
             OrderResult::Done | OrderResult::Found { .. } => OrderOutcome::Done,
             OrderResult::Refused { .. } => OrderOutcome::Refused,
--- a/keeper/src/news.rs
+++ b/controller/src/news.rs
@@ -1,24 +1,24 @@
 //! What a follower lacks, and sending it: on each of its calls, and at once when something changes.
 
-impl crate::keeper::Keeper {
+impl crate::controller::Controller {
     /// A router renews its lease, tells what it has and gets what it lacks.
-    pub fn follow(&self, mouth: wire::link::Mouth, id: u64, follow: wire::msg::Follow) {
+    pub fn follow(&self, mouth: protocol::link::Mouth, id: u64, follow: protocol::msg::Follow) {
         let now = kernel::clock::now();
         self.roster.lock().expect("roster").lease(
             &follow.node,
-            now + crate::keeper::ROUTER_LEASE_MS,
+            now + crate::controller::ROUTER_LEASE_MS,
             follow.busy,
             follow.door,
         );
         self.sheets.lock().expect("sheets").raise(&follow.sheets);
         let mut follower = crate::followers::Follower {
             rules: crate::rules::told(&follow.closed),
-            until: now + crate::keeper::ROUTER_LEASE_MS,
+            until: now + crate::controller::ROUTER_LEASE_MS,
             mouth,
             zone: follow.zone,
             config: follow.config,
             behind: false,
-            reads: wire::msg::reads(&follow.sheets),
+            reads: protocol::msg::reads(&follow.sheets),
             closed: follow.closed.into_iter().collect(),
             sheets: follow.sheets.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
         };
@@ -28,13 +28,13 @@
         news.sure &= follower.reads < 2 || self.confirmed(&follower);
         // Whoever is told that it is current must have been sent all.
         news.sure &= !follower.behind;
-        follower.mouth.reply(id, &wire::msg::Msg::News(Box::new(news)));
+        follower.mouth.reply(id, &protocol::msg::Msg::News(Box::new(news)));
         self.followers.lock().expect("followers").list.insert(follow.node, follower);
     }
 
     /// Doubt about an engine reaches all routers at once: each asks it for itself.
     pub fn doubt(&self, engine: &str, passed: bool) {
-        let note = |passed| wire::msg::Msg::Doubt(Box::new((engine.to_string(), passed)));
+        let note = |passed| protocol::msg::Msg::Doubt(Box::new((engine.to_string(), passed)));
         for follower in self.followers.lock().expect("followers").list.values() {
             follower.mouth.cast(&note(true));
         }
@@ -54,7 +54,7 @@
         for (node, follower) in reachable {
             let news = self.missing(node, follower, now);
             if news.config.is_some() || !news.closed.is_empty() || !news.sheets.is_empty() {
-                follower.send(&wire::msg::Msg::News(Box::new(news)));
+                follower.send(&protocol::msg::Msg::News(Box::new(news)));
             }
         }
         let mut followers = self.followers.lock().expect("followers");
@@ -65,21 +65,21 @@
     }
 
     /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
-    fn missing(&self, node: &str, follower: &mut crate::followers::Follower, now: u64) -> wire::msg::News {
-        let mut news = wire::msg::News { sure: self.sure(now), ..Default::default() };
+    fn missing(&self, node: &str, follower: &mut crate::followers::Follower, now: u64) -> protocol::msg::News {
+        let mut news = protocol::msg::News { sure: self.sure(now), ..Default::default() };
         self.add_control_state(&mut news, follower);
         self.add_roster(&mut news, node, follower, now);
         self.add_engine_lists(&mut news, follower);
         if follower.reads >= 2 {
             self.send_weights(follower);
         }
-        if follower.reads >= wire::msg::QUOTAS && self.has_tenants() {
+        if follower.reads >= protocol::msg::QUOTAS && self.has_tenants() {
             crate::quota::send_holders(self, follower);
         }
         news
     }
 
-    fn add_control_state(&self, news: &mut wire::msg::News, follower: &mut crate::followers::Follower) {
+    fn add_control_state(&self, news: &mut protocol::msg::News, follower: &mut crate::followers::Follower) {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
         if follower.reads >= 2 {
             // Before the configuration: no route is served whose rule is known here and not there.
@@ -94,7 +94,7 @@
             news.config = Some((revision, text));
             follower.config = revision;
         }
-        if follower.reads >= wire::msg::VERSION_ROLLOUTS {
+        if follower.reads >= protocol::msg::VERSION_ROLLOUTS {
             crate::versions::send(&committed_state, follower);
         }
         follower.behind |= !committed_state.history.can_be_told(follower.reads);
@@ -109,17 +109,17 @@
         news.catalog = (catalog.0, catalog.1);
     }
 
-    fn add_roster(&self, news: &mut wire::msg::News, node: &str, follower: &crate::followers::Follower, now: u64) {
+    fn add_roster(&self, news: &mut protocol::msg::News, node: &str, follower: &crate::followers::Follower, now: u64) {
         let mut roster = self.roster.lock().expect("roster");
         news.seats = roster.seats(now, news.sure);
         news.resting = roster.resting(now);
-        // An order of its own for each router, so that the keepers of a zone share them.
+        // An order of its own for each router, so that the controllers of a zone share them.
         news.peers = roster.order(&follower.zone, node);
     }
 
-    fn add_engine_lists(&self, news: &mut wire::msg::News, follower: &mut crate::followers::Follower) {
+    fn add_engine_lists(&self, news: &mut protocol::msg::News, follower: &mut crate::followers::Follower) {
         for sheet in self.sheets.lock().expect("sheets").all() {
-            if wire::msg::hidden(&sheet.zone) && follower.reads < wire::msg::VERSION_ROLLOUTS {
+            if protocol::msg::hidden(&sheet.zone) && follower.reads < protocol::msg::VERSION_ROLLOUTS {
                 continue;
             }
             let has = follower.sheets.entry(sheet.zone.clone()).or_default();
@@ -139,13 +139,13 @@
         let revision = self.revision();
         let duties = self.committed_state.lock().expect("committed_state").duties.clone();
         let roster = self.roster.lock().expect("roster");
-        let keepers: Vec<&String> = roster.keepers.keys().filter(|ip| roster.live(ip, now)).collect();
+        let controllers: Vec<&String> = roster.controllers.keys().filter(|ip| roster.live(ip, now)).collect();
         let followers = self.followers.lock().expect("followers");
         let routers: std::collections::BTreeMap<&String, u64> =
             followers.list.iter().map(|(node, follower)| (node, follower.config)).collect();
         serde_json::json!({
             "node_name": self.env.node_name, "sure": sure, "revision": revision, "core": members,
-            "core_stamp": core.version, "core_settled": core.settled, "live_keepers": keepers,
+            "core_stamp": core.version, "core_settled": core.settled, "live_keepers": controllers,
             "duties": duties, "routers": routers,
         })
     }
--- a/keeper/src/orders_tests.rs
+++ b/controller/src/orders_tests.rs
@@ -1,6 +1,6 @@
 //! Where orders are sent, and evacuations on top of what is committed.
 use super::{control_address, judge_evacuation};
-use ledger::proposal::Verdict;
+use consensus::proposal::Verdict;
 
 #[test]
 fn a_caller_is_sent_to_the_home_at_the_port_that_all_serve() {
@@ -20,7 +20,7 @@
     assert_eq!((closed.version, closed.on), (2, false));
 }
 
-/// A keeper relays an order, hears nothing, and carries it out itself; what it relayed comes late, after the evacuation was
+/// A controller relays an order, hears nothing, and carries it out itself; what it relayed comes late, after the evacuation was
 /// withdrawn again.
 #[test]
 fn a_relayed_evacuation_that_comes_late_undoes_nothing() {
--- a/keeper/src/outbound.rs
+++ b/controller/src/outbound.rs
@@ -16,7 +16,7 @@
 
 /// A client for reads: connections are kept, and one that closes while idle is replaced.
 pub fn reads(connect_timeout: Duration) -> reqwest::ClientBuilder {
-    no_resend(connect_timeout, Duration::from_millis(wire::sock::SILENCE_MS)).tcp_nodelay(true)
+    no_resend(connect_timeout, Duration::from_millis(protocol::sock::SILENCE_MS)).tcp_nodelay(true)
 }
 
 fn no_resend(connect_timeout: Duration, unacknowledged: Duration) -> reqwest::ClientBuilder {
--- a/keeper/src/outbound_tests.rs
+++ b/controller/src/outbound_tests.rs
@@ -20,7 +20,7 @@
 }
 
 async fn server(replies: &'static [Reply]) -> Server {
-    let listener = wire::sock::listen("127.0.0.1:0").expect("a port");
+    let listener = protocol::sock::listen("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address").to_string();
     let (requests, connections) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (seen, accepted) = (requests.clone(), connections.clone());
--- a/keeper/src/pause.rs
+++ b/controller/src/pause.rs
@@ -9,13 +9,13 @@
 const BEAT_MS: u64 = 250;
 
 /// Beats in a task of its own: one that also does other work would stand still with it.
-pub fn start(keeper: &std::sync::Arc<crate::keeper::Keeper>) {
-    let keeper = keeper.clone();
+pub fn start(controller: &std::sync::Arc<crate::controller::Controller>) {
+    let controller = controller.clone();
     tokio::spawn(async move {
         let mut beat = kernel::entry::beat(BEAT_MS);
         loop {
             beat.tick().await;
-            keeper.pauses.lock().expect("pauses").beat(kernel::clock::now());
+            controller.pauses.lock().expect("pauses").beat(kernel::clock::now());
         }
     });
 }
--- a/keeper/src/platform.rs
+++ b/controller/src/platform.rs
@@ -32,27 +32,27 @@
 const STALL_MS: u64 = 500;
 /// Time after a start to hear who else is there.
 const FIRST_MS: u64 = 160;
-/// Versions go out again with every so many polls, for keepers that missed them.
+/// Versions go out again with every so many polls, for controllers that missed them.
 const AGAIN: u32 = 8;
 /// How many refusals one poll bears before it is left to the next.
 const REFUSED: u32 = 4;
 const PAGES: usize = 1000;
 
-/// Told beside the versions of lists by a keeper that does not reach the platform.
+/// Told beside the versions of lists by a controller that does not reach the platform.
 const UNREACHABLE: &str = "platform unreachable";
 
 /// What is told to peers about the own access to the platform.
-pub fn told(keeper: &crate::keeper::Keeper, now: u64) -> Option<(String, u64, u64)> {
-    let unreachable = keeper.roster.lock().expect("roster").access.unreachable(now);
-    unreachable.then(|| (wire::msg::hide(UNREACHABLE), 1, 0))
+pub fn told(controller: &crate::controller::Controller, now: u64) -> Option<(String, u64, u64)> {
+    let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
+    unreachable.then(|| (protocol::msg::hide(UNREACHABLE), 1, 0))
 }
 
 /// What a peer told of others.
-pub fn report(gossip: &wire::msg::Gossip) -> roster::PeerReport {
-    let name = wire::msg::hide(UNREACHABLE);
+pub fn report(gossip: &protocol::msg::Gossip) -> membership::PeerReport {
+    let name = protocol::msg::hide(UNREACHABLE);
     let platform_unreachable = gossip.sheets.iter().any(|told| told.0 == name);
     let (sure, vouches) = crate::duty::heard(&gossip.sheets);
-    roster::PeerReport { sure, vouches, platform_unreachable }
+    membership::PeerReport { sure, vouches, platform_unreachable }
 }
 
 /// The time between two polls of a zone: often enough for `drain_ms`, within the shared rate.
@@ -69,33 +69,33 @@
     now > begun + allowed_ms + STALL_MS
 }
 
-pub fn start(keeper: &Arc<crate::keeper::Keeper>) {
+pub fn start(controller: &Arc<crate::controller::Controller>) {
     let client = crate::outbound::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
     let Ok(client) = client else { return };
-    for zone in keeper.env.zones.keys() {
-        tokio::spawn(run(keeper.clone(), client.clone(), zone.clone()));
+    for zone in controller.env.zones.keys() {
+        tokio::spawn(run(controller.clone(), client.clone(), zone.clone()));
     }
 }
 
-async fn run(keeper: Arc<crate::keeper::Keeper>, client: reqwest::Client, zone: String) {
+async fn run(controller: Arc<crate::controller::Controller>, client: reqwest::Client, zone: String) {
     let (mut turn, mut polls) = (0, 0u32);
     let mut pages = 1;
     let mut wait = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(wait)).await;
-        wait = pause(&keeper.env, pages);
+        wait = pause(&controller.env, pages);
         let now = kernel::clock::now();
-        let poller = keeper.roster.lock().expect("roster").poller(&zone, now);
-        if poller != keeper.me() || now < FIRST_MS {
+        let poller = controller.roster.lock().expect("roster").poller(&zone, now);
+        if poller != controller.me() || now < FIRST_MS {
             wait = wait.min(FIRST_MS);
             continue;
         }
         // Without rules versions are neither read nor sent.
-        let ruled = !keeper.committed_state.lock().expect("committed_state").rules.is_empty();
-        let outcome = poll(&keeper, &client, &zone, ruled).await;
-        note_access(&keeper, outcome.as_ref().err().copied());
+        let ruled = !controller.committed_state.lock().expect("committed_state").rules.is_empty();
+        let outcome = poll(&controller, &client, &zone, ruled).await;
+        note_access(&controller, outcome.as_ref().err().copied());
         let result = outcome.as_ref().map_or_else(|error| (*error).into(), |_| PollOutcome::Read);
-        keeper.metrics.platform_polls.get_or_create(&PollLabels { result }).inc();
+        controller.metrics.platform_polls.get_or_create(&PollLabels { result }).inc();
         let Ok(listing) = outcome else {
             // What is known stays in force, the next try comes a little later.
             wait = wait * 3 / 2;
@@ -103,14 +103,14 @@
         };
         pages = listing.pages;
         polls += 1;
-        take(&keeper, &zone, &mut turn, listing, ruled.then_some(polls % AGAIN == 0));
+        take(&controller, &zone, &mut turn, listing, ruled.then_some(polls % AGAIN == 0));
     }
 }
 
 /// Keeps count of polls without an answer: a poller that is cut off from the platform lets another
-/// keeper take its place.
-fn note_access(keeper: &crate::keeper::Keeper, error: Option<PollError>) {
-    let mut roster = keeper.roster.lock().expect("roster");
+/// controller take its place.
+fn note_access(controller: &crate::controller::Controller, error: Option<PollError>) {
+    let mut roster = controller.roster.lock().expect("roster");
     match error {
         None | Some(PollError::Refused) => roster.access.succeeded(),
         Some(PollError::Unreachable) => roster.access.failed(kernel::clock::now()),
@@ -120,59 +120,65 @@
 
 /// Sends out what a poll read, unless a list that another poller made became known meanwhile.
 /// `versions`: whether weight versions are wanted, and whether to send them even if unchanged.
-fn take(keeper: &crate::keeper::Keeper, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
-    let parted = crate::version_lists::part(keeper, listing.engines);
+fn take(
+    controller: &crate::controller::Controller,
+    zone: &str,
+    turn: &mut u64,
+    listing: Listing,
+    versions: Option<bool>,
+) {
+    let parted = crate::version_lists::part(controller, listing.engines);
     let (sheet, candidates) = {
-        let mut sheets = keeper.sheets.lock().expect("sheets");
+        let mut sheets = controller.sheets.lock().expect("sheets");
         if sheets.known(zone) != listing.known {
             return;
         }
-        let sheet = sheets.poll(zone, turn, keeper.seat, parted.stable, listing.known);
-        (sheet, candidate_sheet(keeper, &mut sheets, zone, parted.candidates))
+        let sheet = sheets.poll(zone, turn, controller.seat, parted.stable, listing.known);
+        (sheet, candidate_sheet(controller, &mut sheets, zone, parted.candidates))
     };
     if let Some(again) = versions {
-        crate::rules::seen(keeper, zone, listing.weights, again);
+        crate::rules::seen(controller, zone, listing.weights, again);
     }
     // First those of the version in place: an engine that is both for a moment is no more left out.
     for sheet in sheet.into_iter().chain(candidates) {
-        publish(keeper, sheet);
+        publish(controller, sheet);
     }
 }
 
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
 fn candidate_sheet(
-    keeper: &crate::keeper::Keeper,
-    sheets: &mut engines::sheet::Sheets,
+    controller: &crate::controller::Controller,
+    sheets: &mut load_balancing::sheet::Sheets,
     zone: &str,
-    list: Vec<wire::msg::Engine>,
-) -> Option<wire::msg::Sheet> {
-    let name = wire::version_rollout::candidates_of(zone);
+    list: Vec<protocol::msg::Engine>,
+) -> Option<protocol::msg::Sheet> {
+    let name = protocol::version_rollout::candidates_of(zone);
     let held = sheets.all().find(|sheet| sheet.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.list.is_empty()) {
         return None;
     }
     let mut turn = held.map_or(0, |held| held.turn);
     let known = sheets.known(&name);
-    if turn != 0 && !engines::sheet::is_turn_of(turn, keeper.seat) {
+    if turn != 0 && !load_balancing::sheet::is_turn_of(turn, controller.seat) {
         turn = 0;
     }
-    sheets.poll(&name, &mut turn, keeper.seat, list, known)
+    sheets.poll(&name, &mut turn, controller.seat, list, known)
 }
 
 async fn poll(
-    keeper: &crate::keeper::Keeper,
+    controller: &crate::controller::Controller,
     client: &reqwest::Client,
     zone: &str,
     ruled: bool,
 ) -> Result<Listing, PollError> {
-    let _permit = keeper.polls.acquire().await.map_err(|_| PollError::Refused)?;
-    let known = keeper.sheets.lock().expect("sheets").known(zone);
+    let _permit = controller.polls.acquire().await.map_err(|_| PollError::Refused)?;
+    let known = controller.sheets.lock().expect("sheets").known(zone);
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
     let mut refused = 0;
-    let gap_ms = (1000.0 / keeper.env.cloud_api.rate_per_s) as u64;
+    let gap_ms = (1000.0 / controller.env.cloud_api.rate_per_s) as u64;
     loop {
-        let Some(page) = call(client, &url(keeper, zone, token.as_deref())).await? else {
+        let Some(page) = call(client, &url(controller, zone, token.as_deref())).await? else {
             // Over the shared rate: the same page again, what was read of the list stays.
             refused += 1;
             if refused > REFUSED {
@@ -190,8 +196,8 @@
     }
 }
 
-fn url(keeper: &crate::keeper::Keeper, zone: &str, token: Option<&str>) -> String {
-    let address = &keeper.env.cloud_api.address;
+fn url(controller: &crate::controller::Controller, zone: &str, token: Option<&str>) -> String {
+    let address = &controller.env.cloud_api.address;
     let page = token.map(|token| format!("&page_token={token}")).unwrap_or_default();
     format!("http://{address}/instances?zone={zone}{page}")
 }
@@ -223,20 +229,20 @@
     }
 }
 
-fn publish(keeper: &crate::keeper::Keeper, sheet: wire::msg::Sheet) {
+fn publish(controller: &crate::controller::Controller, sheet: protocol::msg::Sheet) {
     kernel::say!(crate::event::LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
         "up" => sheet.list.iter().filter(|engine| engine.up).count(), "all" => sheet.list.len(),
         "prefill" => sheet.list.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
-    prune(keeper, &sheet);
-    for ip in keeper.known() {
-        keeper.peer(&ip).cast(wire::msg::Msg::Sheet(Box::new(sheet.clone())));
+    prune(controller, &sheet);
+    for ip in controller.known() {
+        controller.peer(&ip).cast(protocol::msg::Msg::Sheet(Box::new(sheet.clone())));
     }
-    keeper.push();
+    controller.push();
 }
 
 /// Draining engines leave the catalog's answers at once.
-pub fn prune(keeper: &crate::keeper::Keeper, sheet: &wire::msg::Sheet) {
-    let mut catalog = keeper.catalog.lock().expect("catalog");
+pub fn prune(controller: &crate::controller::Controller, sheet: &protocol::msg::Sheet) {
+    let mut catalog = controller.catalog.lock().expect("catalog");
     for engine in sheet.list.iter().filter(|engine| !engine.up) {
         catalog.prefix_index.drop_engine(&engine.id);
     }
--- a/keeper/src/quota.rs
+++ b/controller/src/quota.rs
@@ -1,8 +1,8 @@
-//! The shards of tenants' limits that this keeper holds. The rules are in the crate `quota`; here they meet the keeper.
+//! The shards of tenants' limits that this controller holds. The rules are in the crate `quota`; here they meet the controller.
 
-use crate::keeper::Keeper;
+use crate::controller::Controller;
+use protocol::quota::{ShardHolder, ShardUsage, Spend, Spent};
 use std::sync::Arc;
-use wire::quota::{ShardHolder, ShardUsage, Spend, Spent};
 
 /// The shards held here, and who may hold others.
 pub struct HeldShards {
@@ -13,22 +13,22 @@
 }
 
 impl HeldShards {
-    /// Those of a keeper that has just started: none.
+    /// Those of a controller that has just started: none.
     pub fn new(ip: &str) -> HeldShards {
         HeldShards { shards: quota::Shards::new(ip), holders: Vec::new(), mark: 0 }
     }
 }
 
 /// Notes who may hold shards. True: that has changed, and routers are to hear of it.
-pub fn beat(keeper: &Keeper) -> bool {
+pub fn beat(controller: &Controller) -> bool {
     let now = kernel::clock::now();
-    let leaving = keeper.leaving.load(std::sync::atomic::Ordering::Relaxed);
-    let confirmed_at = keeper.committed_state.lock().expect("committed_state").sure;
-    let able = keeper.roster.lock().expect("roster").able(wire::msg::QUOTAS, quota::TAKE_OVER_MS, leaving, now);
+    let leaving = controller.leaving.load(std::sync::atomic::Ordering::Relaxed);
+    let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
+    let able = controller.roster.lock().expect("roster").able(protocol::msg::QUOTAS, quota::TAKE_OVER_MS, leaving, now);
     let holders: Vec<ShardHolder> = able.into_iter().map(|one| ShardHolder { ip: one.ip, zone: one.zone }).collect();
-    let mark = wire::quota::holders_mark(&holders);
+    let mark = protocol::quota::holders_mark(&holders);
     let live = holders.iter().map(|one| quota::Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
-    let mut held = keeper.quotas.lock().expect("quotas");
+    let mut held = controller.quotas.lock().expect("quotas");
     held.shards.beat(now, confirmed_at, live);
     let is_new = held.mark != mark;
     (held.holders, held.mark) = (holders, mark);
@@ -36,70 +36,71 @@
 }
 
 /// Takes a token for a router's request.
-pub fn spend(keeper: &Keeper, spend: &Spend) -> Spent {
+pub fn spend(controller: &Controller, spend: &Spend) -> Spent {
     let now = kernel::clock::now();
     let (confirmed_at, limit) = {
-        let committed_state = keeper.committed_state.lock().expect("committed_state");
+        let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.sure, committed_state.history.tenant_quota(&spend.tenant))
     };
-    // The router may know of a newer configuration than this keeper, or of an older one.
-    let (rate_per_s, burst) = (wire::quota::from_milli(spend.rate_milli), wire::quota::from_milli(spend.burst_milli));
+    // The router may know of a newer configuration than this controller, or of an older one.
+    let (rate_per_s, burst) =
+        (protocol::quota::from_milli(spend.rate_milli), protocol::quota::from_milli(spend.burst_milli));
     let limit = limit.unwrap_or(quota::Quota { rate_per_s, burst });
     let Some(quota) = quota::Quota::new(limit.rate_per_s, limit.burst) else { return Spent::Granted };
-    let spent = keeper.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
+    let spent = controller.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
     let spent = match spent {
         quota::Spent::Granted => Spent::Granted,
         quota::Spent::Denied { retry_after_ms } => Spent::Denied { retry_after_ms },
         quota::Spent::NotHeld => Spent::NotHeld,
     };
-    keeper.metrics.note_spent(spent);
+    controller.metrics.note_spent(spent);
     spent
 }
 
 /// Tells a router who may hold shards, where it has another list.
-pub fn send_holders(keeper: &Keeper, follower: &mut crate::followers::Follower) {
-    let held = keeper.quotas.lock().expect("quotas");
-    let has = follower.sheets.entry(wire::quota::holders_key()).or_default();
+pub fn send_holders(controller: &Controller, follower: &mut crate::followers::Follower) {
+    let held = controller.quotas.lock().expect("quotas");
+    let has = follower.sheets.entry(protocol::quota::holders_key()).or_default();
     if has.0 == held.mark {
         return;
     }
-    match follower.mouth.cast(&wire::msg::Msg::Holders(Box::new(held.holders.clone()))) {
+    match follower.mouth.cast(&protocol::msg::Msg::Holders(Box::new(held.holders.clone()))) {
         true => has.0 = held.mark,
         false => follower.behind = true,
     }
 }
 
 /// What the shards held here have given.
-pub fn usage(keeper: &Keeper) -> Vec<ShardUsage> {
-    let told = keeper.quotas.lock().expect("quotas").shards.usage().into_iter();
+pub fn usage(controller: &Controller) -> Vec<ShardUsage> {
+    let told = controller.quotas.lock().expect("quotas").shards.usage().into_iter();
     let shown = told.map(|one| ShardUsage {
         tenant: one.tenant,
         granted: one.granted,
         denied: one.denied,
-        tokens_milli: wire::quota::to_milli(one.tokens),
+        tokens_milli: protocol::quota::to_milli(one.tokens),
     });
     shown.collect()
 }
 
-/// How long a keeper may take to tell what its shards have given.
+/// How long a controller may take to tell what its shards have given.
 const USAGE_MS: u64 = 400;
 
-/// What all shards have given, by tenant, and the keepers that did not answer.
-pub async fn fleet_usage(keeper: &Arc<Keeper>) -> serde_json::Value {
-    let holders = keeper.quotas.lock().expect("quotas").holders.clone();
+/// What all shards have given, by tenant, and the controllers that did not answer.
+pub async fn fleet_usage(controller: &Arc<Controller>) -> serde_json::Value {
+    let holders = controller.quotas.lock().expect("quotas").holders.clone();
     let mut sums = std::collections::BTreeMap::<String, TenantUsage>::new();
     let mut silent = Vec::new();
     for holder in &holders {
-        let told = match holder.ip == keeper.me() {
-            true => Some(usage(keeper)),
-            false => ask_usage(keeper, &holder.ip).await,
+        let told = match holder.ip == controller.me() {
+            true => Some(usage(controller)),
+            false => ask_usage(controller, &holder.ip).await,
         };
         match told {
             Some(list) => list.into_iter().for_each(|one| sums.entry(one.tenant.clone()).or_default().add(&one)),
             None => silent.push(holder.ip.clone()),
         }
     }
-    let committed_state = keeper.committed_state.lock().expect("committed_state");
+    let committed_state = controller.committed_state.lock().expect("committed_state");
     let shown = |(name, sum): (&String, &TenantUsage)| {
         let limit = committed_state.history.tenant_quota(name);
         serde_json::json!({"name": name, "granted": sum.granted, "denied": sum.denied, "tokens": sum.tokens.floor(),
@@ -111,9 +112,9 @@
     serde_json::json!({"tenants": tenants.into_iter().map(shown).collect::<Vec<_>>(), "silent_keepers": silent})
 }
 
-async fn ask_usage(keeper: &Keeper, ip: &str) -> Option<Vec<ShardUsage>> {
-    match keeper.peer(ip).call(wire::msg::Msg::Usage(Box::new(0)), USAGE_MS).await {
-        Some(wire::msg::Msg::Used(list)) => Some(*list),
+async fn ask_usage(controller: &Controller, ip: &str) -> Option<Vec<ShardUsage>> {
+    match controller.peer(ip).call(protocol::msg::Msg::Usage(Box::new(0)), USAGE_MS).await {
+        Some(protocol::msg::Msg::Used(list)) => Some(*list),
         _ => None,
     }
 }
@@ -131,7 +132,7 @@
     fn add(&mut self, shard: &ShardUsage) {
         self.granted += shard.granted;
         self.denied += shard.denied;
-        self.tokens += wire::quota::from_milli(shard.tokens_milli);
+        self.tokens += protocol::quota::from_milli(shard.tokens_milli);
         self.shards += 1;
     }
 }
--- a/keeper/src/register.rs
+++ b/controller/src/register.rs
@@ -1,10 +1,10 @@
 //! Carrying rounds of the ledger out: to all members at once, each vote fed to the round.
 
-/// One key's owner state in this keeper. Invariant: a change is made only while it is locked, so
+/// One key's owner state in this controller. Invariant: a change is made only while it is locked, so
 /// two changes of one owner never share a place.
-pub type OwnershipLock = tokio::sync::Mutex<Option<ledger::round::Ownership>>;
+pub type OwnershipLock = tokio::sync::Mutex<Option<consensus::round::Ownership>>;
 
-pub use ledger::proposal::Verdict;
+pub use consensus::proposal::Verdict;
 
 /// None: no clear outcome.
 pub type Outcome<T> = Option<T>;
@@ -15,11 +15,11 @@
 /// Bodies from this length on are not told again to those that hold them.
 const LONG_BODY: usize = 1024;
 
-type Votes = tokio::sync::mpsc::Receiver<(String, wire::msg::Vote)>;
+type Votes = tokio::sync::mpsc::Receiver<(String, protocol::msg::Vote)>;
 
-impl crate::keeper::Keeper {
+impl crate::controller::Controller {
     /// The own vote, given once it is on disk.
-    pub fn vote(&self, poll: wire::msg::Poll, give: impl FnOnce(wire::msg::Vote) + Send + 'static) {
+    pub fn vote(&self, poll: protocol::msg::Poll, give: impl FnOnce(protocol::msg::Vote) + Send + 'static) {
         let mut voter = self.voter.lock().expect("voter");
         let (vote, records) = voter.poll(poll);
         // Still under the lock: the order on disk is the order of the votes.
@@ -27,10 +27,10 @@
     }
 
     /// Asks some members; the votes come in as they are given.
-    pub fn ask(&self, core: &wire::msg::Core, ask: wire::msg::Ask, ips: &[String]) -> Votes {
+    pub fn ask(&self, core: &protocol::msg::Core, ask: protocol::msg::Ask, ips: &[String]) -> Votes {
         let (send, votes) = tokio::sync::mpsc::channel(ips.len().max(1));
         for ip in ips {
-            let poll = wire::msg::Poll { core: core.clone(), ask: ask.clone() };
+            let poll = protocol::msg::Poll { core: core.clone(), ask: ask.clone() };
             let (send, from) = (send.clone(), ip.clone());
             if ip == self.me() {
                 self.vote(poll, move |vote| {
@@ -40,8 +40,8 @@
             }
             let peer = self.peer(ip);
             tokio::spawn(async move {
-                let msg = wire::msg::Msg::Poll(Box::new(poll));
-                let Some(wire::msg::Msg::Vote(vote)) = peer.call(msg, ledger::ROUND_MS).await else { return };
+                let msg = protocol::msg::Msg::Poll(Box::new(poll));
+                let Some(protocol::msg::Msg::Vote(vote)) = peer.call(msg, consensus::ROUND_MS).await else { return };
                 let _ = send.try_send((from, *vote));
             });
         }
@@ -54,40 +54,42 @@
     }
 
     /// A ballot that no one used before.
-    fn next_ballot(&self, core: &wire::msg::Core) -> wire::msg::Ballot {
+    fn next_ballot(&self, core: &protocol::msg::Core) -> protocol::msg::Ballot {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
-        committed_state.turn = ledger::round::next_turn(committed_state.turn, core);
-        wire::msg::Ballot { turn: committed_state.turn, seat: self.seat }
+        committed_state.turn = consensus::round::next_turn(committed_state.turn, core);
+        protocol::msg::Ballot { turn: committed_state.turn, seat: self.seat }
     }
 
     /// One try: from what is held of the key to an outcome. None: no outcome in time, or overtaken.
     async fn propose<T>(
         &self,
         key: &str,
-        held: Option<ledger::round::Ownership>,
+        held: Option<consensus::round::Ownership>,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
-    ) -> Option<(T, ledger::round::Ownership, bool)> {
+    ) -> Option<(T, consensus::round::Ownership, bool)> {
         let core = self.core();
         if core.list.is_empty() {
             return None;
         }
-        let members = ledger::quorum::addresses(&core);
+        let members = consensus::quorum::addresses(&core);
         let ballot = self.next_ballot(&core);
         let (mut proposal, ask) =
-            ledger::proposal::Proposal::begin(key, &core, held, ballot, judge, kernel::clock::now());
+            consensus::proposal::Proposal::begin(key, &core, held, ballot, judge, kernel::clock::now());
         let mut votes = self.ask(&core, ask, &members);
         loop {
-            let span = std::time::Duration::from_millis(ledger::ROUND_MS);
+            let span = std::time::Duration::from_millis(consensus::ROUND_MS);
             let Ok(Some((from, vote))) = tokio::time::timeout(span, votes.recv()).await else { return None };
             match proposal.hear(&from, vote, judge, kernel::clock::now()) {
-                ledger::proposal::Progress::Wait => {}
-                ledger::proposal::Progress::Send(ask) => votes = self.ask(&core, ask, &members),
-                ledger::proposal::Progress::Finished { answer, owner, wrote } => return Some((answer, owner, wrote)),
-                ledger::proposal::Progress::Outbid(ballot) => {
+                consensus::proposal::Progress::Wait => {}
+                consensus::proposal::Progress::Send(ask) => votes = self.ask(&core, ask, &members),
+                consensus::proposal::Progress::Finished { answer, owner, wrote } => {
+                    return Some((answer, owner, wrote))
+                }
+                consensus::proposal::Progress::Outbid(ballot) => {
                     self.seen(ballot.turn);
                     return None;
                 }
-                ledger::proposal::Progress::NewerCore(core) => {
+                consensus::proposal::Progress::NewerCore(core) => {
                     self.adopt(&core);
                     return None;
                 }
@@ -114,7 +116,7 @@
         key: &str,
         wait_ms: u64,
         mut judge: impl FnMut(&[u8]) -> Verdict<T>,
-    ) -> Outcome<(T, ledger::round::Ownership, bool)> {
+    ) -> Outcome<(T, consensus::round::Ownership, bool)> {
         let own = self.ownerships.lock().expect("ownerships").entry(key.into()).or_default().clone();
         let end = tokio::time::Instant::now() + std::time::Duration::from_millis(wait_ms);
         let mut held = tokio::time::timeout_at(end, own.lock()).await.ok()?;
--- a/keeper/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -4,13 +4,13 @@
 /// Largest body taken.
 const BODY: usize = 256 * 1024;
 
-pub struct Rollouts(pub std::sync::Arc<crate::keeper::Keeper>);
-pub struct Rule(pub std::sync::Arc<crate::keeper::Keeper>);
+pub struct Rollouts(pub std::sync::Arc<crate::controller::Controller>);
+pub struct Rule(pub std::sync::Arc<crate::controller::Controller>);
 /// The trainer's latest; true: a rollback.
-pub struct Latest(pub std::sync::Arc<crate::keeper::Keeper>, pub bool);
+pub struct Latest(pub std::sync::Arc<crate::controller::Controller>, pub bool);
 
 fn key(service: &str, model: &str) -> String {
-    format!("{}{service}/{model}", wire::msg::ROLLOUT)
+    format!("{}{service}/{model}", protocol::msg::ROLLOUT)
 }
 
 fn named(req: &poem::Request) -> (String, String) {
@@ -64,7 +64,7 @@
         Receipt::Text(value.to_string().into_bytes())
     }
 
-    fn replicas(&self, rule: &wire::msg::Rule) -> serde_json::Value {
+    fn replicas(&self, rule: &protocol::msg::Rule) -> serde_json::Value {
         let sheets = self.0.sheets.lock().expect("sheets");
         let weights = self.0.weights.lock().expect("weights");
         let versions: std::collections::HashMap<&str, u64> = weights
--- a/keeper/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -23,7 +23,7 @@
 }
 
 /// What an ask comes to on top of what is held. Ok(None): it holds already.
-pub fn verdict(held: Option<&wire::msg::Rule>, ask: &Ask) -> Result<Option<wire::msg::Rule>, (u16, String)> {
+pub fn verdict(held: Option<&protocol::msg::Rule>, ask: &Ask) -> Result<Option<protocol::msg::Rule>, (u16, String)> {
     let live = held.filter(|held| !held.removed);
     let version = held.map_or(0, |held| held.version);
     let seen = live.map_or(0, |held| held.version);
@@ -34,7 +34,8 @@
     let none = || (404, "no rule for this service and model".to_string());
     match ask {
         Ask::Put { base, latest, lag, routes } => {
-            let same = |held: &wire::msg::Rule| held.latest == *latest && held.lag == *lag && held.routes == *routes;
+            let same =
+                |held: &protocol::msg::Rule| held.latest == *latest && held.lag == *lag && held.routes == *routes;
             if live.is_some_and(same) {
                 return Ok(None);
             }
@@ -44,14 +45,14 @@
             }
             let next = held.cloned().unwrap_or_default();
             let (latest, lag, routes) = (*latest, *lag, routes.clone());
-            Ok(Some(wire::msg::Rule { version: version + 1, latest, lag, routes, removed: false, ..next }))
+            Ok(Some(protocol::msg::Rule { version: version + 1, latest, lag, routes, removed: false, ..next }))
         }
         Ask::Latest(latest) => {
             let held = live.ok_or_else(none)?;
             if *latest < held.latest {
                 return Err((400, format!("latest: found {latest}, {} was reported; a rollback says so", held.latest)));
             }
-            let next = wire::msg::Rule { version: version + 1, latest: *latest, ..held.clone() };
+            let next = protocol::msg::Rule { version: version + 1, latest: *latest, ..held.clone() };
             Ok((*latest > held.latest).then_some(next))
         }
         Ask::Rollback { latest, reason } => {
@@ -63,12 +64,12 @@
                 return Err((400, format!("latest: found {latest}, not older than {}", held.latest)));
             }
             let (rollbacks, reason) = (held.rollbacks + 1, reason.clone());
-            Ok(Some(wire::msg::Rule { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
+            Ok(Some(protocol::msg::Rule { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
         }
         Ask::Remove { base } => {
             let Some(held) = live else { return if held.is_some() { Ok(None) } else { Err(none()) } };
             base_of(*base)?;
-            Ok(Some(wire::msg::Rule { version: version + 1, removed: true, ..held.clone() }))
+            Ok(Some(protocol::msg::Rule { version: version + 1, removed: true, ..held.clone() }))
         }
     }
 }
@@ -83,7 +84,7 @@
     text: &str,
     base: Option<u64>,
     (service, model): (&str, &str),
-    config: &wire::config::Config,
+    config: &protocol::config::Config,
 ) -> Result<Ask, (u16, String)> {
     let value: serde_json::Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
     let Some(spec) = config.service_table.iter().find(|item| item.name == service) else {
@@ -100,7 +101,7 @@
         let Some(route) = config.route_table.iter().find(|route| route.name == name) else {
             return Err((400, format!("route `{name}`: not known")));
         };
-        if !wire::config::targets(route).iter().any(|(target, _)| *target == service) {
+        if !protocol::config::targets(route).iter().any(|(target, _)| *target == service) {
             return Err((400, format!("route `{name}`: does not go to service `{service}`")));
         }
         routes.push(name.to_string());
@@ -125,27 +126,32 @@
 }
 
 /// Carries an ask out: committed, then waited for until it binds everywhere.
-pub async fn carry(keeper: &crate::keeper::Keeper, key: &str, (service, model): (&str, &str), ask: Ask) -> Receipt {
+pub async fn carry(
+    controller: &crate::controller::Controller,
+    key: &str,
+    (service, model): (&str, &str),
+    ask: Ask,
+) -> Receipt {
     let judge = |body: &[u8]| {
-        let held = wire::msg::Rule::read_bytes(body);
+        let held = protocol::msg::Rule::read_bytes(body);
         if held.is_none() && !body.is_empty() {
             return crate::register::Verdict::Answer(Err(Receipt::Unclear));
         }
         match verdict(held.as_ref(), &ask) {
             Ok(None) => crate::register::Verdict::Answer(Ok(held.map_or(0, |held| held.version))),
             Ok(Some(next)) => {
-                let next = wire::msg::Rule { service: service.into(), model: model.into(), ..next };
+                let next = protocol::msg::Rule { service: service.into(), model: model.into(), ..next };
                 crate::register::Verdict::Write(next.write_bytes(), Ok(next.version))
             }
             Err((status, words)) => crate::register::Verdict::Answer(Err(Receipt::Bad(status, words))),
         }
     };
-    let version = match keeper.change(key, crate::control::wait_ms(keeper), judge).await {
+    let version = match controller.change(key, crate::control::wait_ms(controller), judge).await {
         Some(Ok(version)) => version,
         Some(Err(receipt)) => return receipt,
         None => return Receipt::Unclear,
     };
-    if !keeper.settle_rule(key, version).await {
+    if !controller.settle_rule(key, version).await {
         kernel::say!(crate::event::UNSETTLED, "rule" => key, "version" => version);
         return Receipt::Unclear;
     }
--- a/keeper/src/rollouts_tests.rs
+++ b/controller/src/rollouts_tests.rs
@@ -4,9 +4,9 @@
     Ask::Put { base, latest, lag, routes: vec!["r".into()] }
 }
 
-fn made() -> wire::msg::Rule {
+fn made() -> protocol::msg::Rule {
     let next = verdict(None, &put(0, 10, 2)).expect("good").expect("new");
-    wire::msg::Rule { service: "s".into(), model: "m".into(), ..next }
+    protocol::msg::Rule { service: "s".into(), model: "m".into(), ..next }
 }
 
 fn status<T>(verdict: Result<T, (u16, String)>) -> u16 {
@@ -58,7 +58,7 @@
         "route_table": [
             {"name": "r", "hostname": "h", "path_prefix": "/", "route_type": "streaming", "timeout_ms": 5, "service": "s"},
             {"name": "o", "hostname": "i", "path_prefix": "/", "route_type": "streaming", "timeout_ms": 5, "service": "t"}]});
-    let config = wire::config::read(&text.to_string()).expect("good");
+    let config = protocol::config::read(&text.to_string()).expect("good");
     let read = |body: serde_json::Value, names| super::read(&body.to_string(), Some(0), names, &config).map(|_| ());
     let good = serde_json::json!({"latest": 5, "lag": 1, "routes": ["r"]});
     assert_eq!(read(good.clone(), ("s", "m")), Ok(()));
--- a/keeper/src/rules.rs
+++ b/controller/src/rules.rs
@@ -8,27 +8,27 @@
 }
 
 /// Sends the rules that a follower lacks.
-pub fn send(committed_state: &crate::keeper::CommittedState, follower: &mut crate::followers::Follower) {
+pub fn send(committed_state: &crate::controller::CommittedState, follower: &mut crate::followers::Follower) {
     for (key, rule) in &committed_state.rules {
-        let has = follower.closed.entry(wire::msg::hide(key)).or_default();
+        let has = follower.closed.entry(protocol::msg::hide(key)).or_default();
         if rule.version <= *has {
             continue;
         }
-        match follower.mouth.cast(&wire::msg::Msg::Rule(Box::new(rule.clone()))) {
+        match follower.mouth.cast(&protocol::msg::Msg::Rule(Box::new(rule.clone()))) {
             true => *has = rule.version,
             false => follower.behind = true,
         }
     }
 }
 
-/// From a commit on, how long a router that has not heard of it may still send bound work: its keeper may
+/// From a commit on, how long a router that has not heard of it may still send bound work: its controller may
 /// be sure of what it read before for `SURE_MS`, and the lease that it then renews lasts `LEASE_MS`.
-pub const WAIT_MS: u64 = crate::keeper::SURE_MS + engines::floor::LEASE_MS + 200;
-/// The pause between looks, and how long a keeper may take to answer one.
+pub const WAIT_MS: u64 = crate::controller::SURE_MS + load_balancing::floor::LEASE_MS + 200;
+/// The pause between looks, and how long a controller may take to answer one.
 const LOOK_MS: u64 = 60;
 const ANSWER_MS: u64 = 400;
 
-impl crate::keeper::Keeper {
+impl crate::controller::Controller {
     /// Has this follower confirmed every rule known here?
     pub fn confirmed(&self, follower: &crate::followers::Follower) -> bool {
         let committed_state = self.committed_state.lock().expect("committed_state");
@@ -58,14 +58,14 @@
         }
     }
 
-    /// Asks all other keepers. None for one that did not answer.
+    /// Asks all other controllers. None for one that did not answer.
     pub async fn ask_settled(&self, key: &str, version: u64) -> Vec<Option<(u32, u32)>> {
         let asks = self.known().into_iter().map(|ip| {
             let peer = self.peer(&ip);
             async move {
-                let msg = wire::msg::Msg::Settle(Box::new((key.to_string(), version)));
+                let msg = protocol::msg::Msg::Settle(Box::new((key.to_string(), version)));
                 match peer.call(msg, ANSWER_MS).await {
-                    Some(wire::msg::Msg::Settled(reply)) => Some(*reply),
+                    Some(protocol::msg::Msg::Settled(reply)) => Some(*reply),
                     _ => None,
                 }
             }
@@ -94,12 +94,12 @@
     /// Sends the weight versions that a follower lacks.
     pub fn send_weights(&self, follower: &mut crate::followers::Follower) {
         for (zone, list) in self.weights.lock().expect("weights").iter() {
-            let has = follower.sheets.entry(wire::msg::hide(zone)).or_default();
+            let has = follower.sheets.entry(protocol::msg::hide(zone)).or_default();
             let version = (list.turn, list.count);
             if *has == version {
                 continue;
             }
-            match follower.mouth.cast(&wire::msg::Msg::Versions(Box::new(list.clone()))) {
+            match follower.mouth.cast(&protocol::msg::Msg::Versions(Box::new(list.clone()))) {
                 true => *has = version,
                 false => follower.behind = true,
             }
@@ -108,29 +108,29 @@
 }
 
 /// Versions from the poller of a zone, or from the own poll.
-pub fn hear(keeper: &crate::keeper::Keeper, list: wire::msg::Versions) {
+pub fn hear(controller: &crate::controller::Controller, list: protocol::msg::Versions) {
     {
-        let mut held = keeper.weights.lock().expect("weights");
+        let mut held = controller.weights.lock().expect("weights");
         let old = held.get(&list.zone).map(|held| (held.turn, held.count));
         if old.is_some_and(|(turn, count)| turn == list.turn && count >= list.count) {
             return;
         }
         held.insert(list.zone.clone(), list);
     }
-    keeper.push();
+    controller.push();
 }
 
 /// What the poller of a zone saw, asked for only while there are rules.
-pub fn seen(keeper: &crate::keeper::Keeper, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
-    let held = keeper.weights.lock().expect("weights").get(zone).cloned().unwrap_or_default();
-    let same = held.turn == keeper.seat && held.list == list;
+pub fn seen(controller: &crate::controller::Controller, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
+    let held = controller.weights.lock().expect("weights").get(zone).cloned().unwrap_or_default();
+    let same = held.turn == controller.seat && held.list == list;
     if same && !again {
         return;
     }
     let count = held.count + u64::from(!same);
-    let next = wire::msg::Versions { zone: zone.into(), turn: keeper.seat, count, list };
-    for ip in keeper.known() {
-        keeper.peer(&ip).cast(wire::msg::Msg::Versions(Box::new(next.clone())));
+    let next = protocol::msg::Versions { zone: zone.into(), turn: controller.seat, count, list };
+    for ip in controller.known() {
+        controller.peer(&ip).cast(protocol::msg::Msg::Versions(Box::new(next.clone())));
     }
-    hear(keeper, next);
+    hear(controller, next);
 }
--- a/keeper/src/runner.rs
+++ b/controller/src/runner.rs
@@ -1,7 +1,7 @@
 //! The owner of the batches: claims their pages under its epoch, sends jobs to routers as a client
 //! does, and writes their receipts.
 
-use crate::keeper::Keeper;
+use crate::controller::Controller;
 use crate::register::Verdict;
 use batch::page::{Bar, Page, State};
 use batch::sheet::Batch;
@@ -60,11 +60,11 @@
     waiting: Vec<usize>,
 }
 
-pub fn start(keeper: &Arc<Keeper>) {
+pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = crate::outbound::at_most_once(wait(CONNECT_MS), wait(wire::sock::SILENCE_MS));
+    let client = crate::outbound::at_most_once(wait(CONNECT_MS), wait(protocol::sock::SILENCE_MS));
     let Ok(client) = client.build() else { return };
-    let keeper = keeper.clone();
+    let controller = controller.clone();
     tokio::spawn(async move {
         let mut beat = kernel::entry::beat(LOOK_MS);
         let pace = batch::turn::Pace::new(PLACES);
@@ -72,29 +72,29 @@
         let mut runner = Runner::default();
         loop {
             beat.tick().await;
-            look(&keeper, &client, &mut runner, &in_flight).await;
+            look(&controller, &client, &mut runner, &in_flight).await;
         }
     });
 }
 
 /// The epoch under which batches may be run now: the last owner has stopped by then.
-pub fn acting_epoch(keeper: &Keeper, now: u64) -> Option<u64> {
-    crate::duty::acting_epoch(keeper, crate::duty::BATCH, now)
+pub fn acting_epoch(controller: &Controller, now: u64) -> Option<u64> {
+    crate::duty::acting_epoch(controller, crate::duty::BATCH, now)
 }
 
-async fn look(keeper: &Arc<Keeper>, client: &reqwest::Client, runner: &mut Runner, in_flight: &Shared) {
-    if keeper.leaving.load(std::sync::atomic::Ordering::Relaxed) {
+async fn look(controller: &Arc<Controller>, client: &reqwest::Client, runner: &mut Runner, in_flight: &Shared) {
+    if controller.leaving.load(std::sync::atomic::Ordering::Relaxed) {
         // The next holder sends the rest; what is under way here is finished.
         return;
     }
     let now = kernel::clock::now();
-    let ids = crate::batches::ids(&keeper.committed_state.lock().expect("committed_state"));
-    let epoch = if ids.is_empty() { None } else { acting_epoch(keeper, now) };
+    let ids = crate::batches::ids(&controller.committed_state.lock().expect("committed_state"));
+    let epoch = if ids.is_empty() { None } else { acting_epoch(controller, now) };
     let Some(epoch) = epoch else {
         runner.looked = now;
         return;
     };
-    if !crate::duty::declare_clear(keeper, crate::duty::BATCH, epoch).await {
+    if !crate::duty::declare_clear(controller, crate::duty::BATCH, epoch).await {
         return;
     }
     if epoch != runner.epoch {
@@ -104,24 +104,30 @@
     let mut open = Vec::new();
     for id in &ids {
         if !runner.claimed.contains(id) {
-            if !claim(keeper, id, epoch).await {
+            if !claim(controller, id, epoch).await {
                 continue;
             }
             runner.claimed.insert(id.clone());
         }
-        let Some(batch) = tend(keeper, id, spent, epoch).await else { continue };
-        let waiting = waiting(keeper, id, &batch, in_flight);
+        let Some(batch) = tend(controller, id, spent, epoch).await else { continue };
+        let waiting = waiting(controller, id, &batch, in_flight);
         open.push(Open { id: id.clone(), batch, waiting });
     }
     for send in next(&open, in_flight, now) {
         in_flight.lock().expect("in flight").jobs.insert((send.id.clone(), send.job));
-        keeper.shutdown.spawn(crate::job_run::run(keeper.clone(), client.clone(), in_flight.clone(), send, epoch));
+        controller.shutdown.spawn(crate::job_run::run(
+            controller.clone(),
+            client.clone(),
+            in_flight.clone(),
+            send,
+            epoch,
+        ));
     }
 }
 
 /// The jobs of a batch that wait and are not under way.
-fn waiting(keeper: &Keeper, id: &str, batch: &Batch, in_flight: &Shared) -> Vec<usize> {
-    let committed_state = keeper.committed_state.lock().expect("committed_state");
+fn waiting(controller: &Controller, id: &str, batch: &Batch, in_flight: &Shared) -> Vec<usize> {
+    let committed_state = controller.committed_state.lock().expect("committed_state");
     let in_flight = in_flight.lock().expect("in flight");
     let mut list = Vec::new();
     for number in 0..batch.pages() {
@@ -149,7 +155,7 @@
 /// Changes one page under this owner's epoch. Some(false): another owner holds it, or the job has its
 /// receipt; None: no clear outcome.
 pub async fn change(
-    keeper: &Keeper,
+    controller: &Controller,
     id: &str,
     batch: &Batch,
     number: usize,
@@ -163,16 +169,16 @@
             Err(_) => Verdict::Answer(false),
         }
     };
-    keeper.change(&crate::batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
+    controller.change(&crate::batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
 }
 
-async fn claim(keeper: &Keeper, id: &str, epoch: u64) -> bool {
-    let Some(batch) = crate::batches::batch(&keeper.committed_state.lock().expect("committed_state"), id) else {
+async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
+    let Some(batch) = crate::batches::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
         return false;
     };
     for number in 0..batch.pages() {
         let again = |at: usize| batch.jobs.get(number * batch::PAGE + at).is_some_and(|job| job.repeatable);
-        let taken = change(keeper, id, &batch, number, |page| match page.epoch == epoch {
+        let taken = change(controller, id, &batch, number, |page| match page.epoch == epoch {
             true => Ok(()),
             false => page.claim(epoch, again),
         });
@@ -185,31 +191,31 @@
 
 /// Counts the window down, ends what can't make it, forgets what is long finished. Gives the batch if
 /// it has jobs to send.
-async fn tend(keeper: &Keeper, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
+async fn tend(controller: &Controller, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
     let (held, done) = {
-        let committed_state = keeper.committed_state.lock().expect("committed_state");
+        let committed_state = controller.committed_state.lock().expect("committed_state");
         let held = crate::batches::batch(&committed_state, id)?;
         let done = (0..held.pages()).all(|number| crate::batches::page(&committed_state, id, &held, number).closed());
         (held, done)
     };
-    let held = count_down(keeper, id, held, spent, done).await?;
+    let held = count_down(controller, id, held, spent, done).await?;
     let ends = held.cancelled || held.left_ms() == 0;
     if ends && !done {
         let state = if held.cancelled { State::Cancelled } else { State::Missed };
-        end(keeper, id, &held, state, epoch).await;
+        end(controller, id, &held, state, epoch).await;
     }
     (!ends && !done).then_some(held)
 }
 
 /// Written in steps, so that the count outlives this owner without a write for each look.
-async fn count_down(keeper: &Keeper, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
+async fn count_down(controller: &Controller, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
     let step = if done { batch::KEEP_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
-    let tally = keeper.tallies.lock().expect("tallies").add(id, spent);
+    let tally = controller.tallies.lock().expect("tallies").add(id, spent);
     let over = held.spent_ms + tally >= held.window_ms;
     if tally < step && !(over && held.spent_ms < held.window_ms) {
         return Some(held);
     }
-    let gone = keeper.tallies.lock().expect("tallies").take(id);
+    let gone = controller.tallies.lock().expect("tallies").take(id);
     let judge = |body: &[u8]| {
         let Some(mut next) = Batch::read_bytes(body) else { return Verdict::Answer(()) };
         match next.tick(held.spent_ms, gone, done) {
@@ -217,12 +223,12 @@
             false => Verdict::Answer(()),
         }
     };
-    keeper.change(&crate::batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
-    crate::batches::batch(&keeper.committed_state.lock().expect("committed_state"), id)
+    controller.change(&crate::batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
+    crate::batches::batch(&controller.committed_state.lock().expect("committed_state"), id)
 }
 
 /// Closes the jobs that still wait.
-async fn end(keeper: &Keeper, id: &str, batch: &Batch, state: State, epoch: u64) {
+async fn end(controller: &Controller, id: &str, batch: &Batch, state: State, epoch: u64) {
     for number in 0..batch.pages() {
         let close = |page: &mut Page| {
             if page.epoch != epoch {
@@ -232,6 +238,6 @@
             waits.for_each(|held| *held = state.clone());
             Ok(())
         };
-        let _ = change(keeper, id, batch, number, close).await;
+        let _ = change(controller, id, batch, number, close).await;
     }
 }
--- a/keeper/src/shutdown.rs
+++ b/controller/src/shutdown.rs
@@ -1,9 +1,9 @@
-//! The end of a keeper: what it took is finished, and nothing new is taken.
+//! The end of a controller: what it took is finished, and nothing new is taken.
 
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The work that a keeper finishes before it ends: operators' calls and jobs of batches.
+/// The work that a controller finishes before it ends: operators' calls and jobs of batches.
 #[derive(Default)]
 pub struct Shutdown {
     closing: CancellationToken,
--- a/keeper/src/shutdown_tests.rs
+++ b/controller/src/shutdown_tests.rs
@@ -1,4 +1,4 @@
-//! A keeper's end, in virtual time.
+//! A controller's end, in virtual time.
 use super::{last_moment, Shutdown};
 use std::time::Duration;
 
--- a/keeper/src/simulation/bodies.rs
+++ b/controller/src/simulation/bodies.rs
@@ -1,7 +1,7 @@
 //! What operators send: whole configurations and changes of named items, valid and invalid ones of every kind.
 use kernel::clock::Dice;
+use protocol::order::ConfigChange;
 use serde_json::{json, Value};
-use wire::order::ConfigChange;
 
 /// Of so many changes one is invalid.
 const INVALID_ONE_OF: u64 = 5;
--- a/keeper/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -1,7 +1,7 @@
-//! Changes of keys at a simulated keeper: one at a time for each key, tried again until their time is over.
+//! Changes of keys at a simulated controller: one at a time for each key, tried again until their time is over.
 use super::network::Address;
 use super::operator::{Answer, Attempt};
-use ledger::proposal::{Progress, Proposal, Verdict};
+use consensus::proposal::{Progress, Proposal, Verdict};
 
 const FIRST_PAUSE_MS: u64 = 20;
 const LAST_PAUSE_MS: u64 = 200;
@@ -75,18 +75,18 @@
         if change.running.is_some() || now < change.resume || core.list.is_empty() {
             return;
         }
-        node.turn = ledger::round::next_turn(node.turn, &core);
-        let ballot = wire::msg::Ballot { turn: node.turn, seat: ledger::seat(&node.voter.ip, node.life) };
+        node.turn = consensus::round::next_turn(node.turn, &core);
+        let ballot = protocol::msg::Ballot { turn: node.turn, seat: consensus::seat(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
         let (proposal, ask) = Proposal::begin(key, &core, held, ballot, &mut change.judge, now);
-        let members = ledger::quorum::addresses(&core);
+        let members = consensus::quorum::addresses(&core);
         let id = self.poll(at, &core, &ask, &members);
         let change = self.nodes[at].changes.get_mut(key).and_then(|list| list.first_mut());
         change.expect("a change").running = Some((id, proposal));
     }
 
     /// A vote on a proposal. False: it was for something else.
-    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &wire::msg::Vote) -> bool {
+    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &protocol::msg::Vote) -> bool {
         let now = self.now;
         let node = &mut self.nodes[at];
         let is_for = |change: &Change| change.running.as_ref().is_some_and(|(running, _)| *running == id);
@@ -98,7 +98,7 @@
         match proposal.hear(from, vote.clone(), &mut change.judge, now) {
             Progress::Wait => {}
             Progress::Send(ask) => {
-                let members = ledger::quorum::addresses(&core);
+                let members = consensus::quorum::addresses(&core);
                 let next = self.poll(at, &core, &ask, &members);
                 let change = &mut self.nodes[at].changes.get_mut(&key).expect("a change")[0];
                 change.running.as_mut().expect("under way").0 = next;
