--- a/keeper/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -1,9 +1,9 @@
-//! Heartbeats, and the confirmation at a quorum that a simulated keeper knows what is committed.
+//! Heartbeats, and the confirmation at a quorum that a simulated controller knows what is committed.
 use super::changes::Purpose;
 use super::network::{Address, Heartbeat, Message};
-use ledger::confirmation::{Behind, Confirmation};
-use ledger::proposal::Verdict;
-use wire::msg::{Ask, Vote};
+use consensus::confirmation::{Behind, Confirmation};
+use consensus::proposal::Verdict;
+use protocol::msg::{Ask, Vote};
 
 const READ_MS: u64 = 600;
 const FETCH_MS: u64 = 60;
@@ -18,7 +18,7 @@
     since: u64,
     next_try: u64,
     id: u64,
-    fetched: Vec<(String, wire::msg::Entry)>,
+    fetched: Vec<(String, protocol::msg::Entry)>,
 }
 
 /// The confirmation under way. Invariant: `confirmed` is set to `begun` only once nothing is behind.
@@ -46,7 +46,7 @@
         let now = self.now;
         let confirming = &mut self.nodes[at].confirming;
         if now >= confirming.next_beat && !confirming.is_at_work() {
-            confirming.next_beat = now + crate::keeper::BEAT_MS;
+            confirming.next_beat = now + crate::controller::BEAT_MS;
             self.tell(at);
             self.begin_confirmation(at);
             return;
@@ -68,7 +68,7 @@
             fit: node.voter.may_vote,
             leaving: node.leaving.is_some(),
             core: node.voter.core.clone(),
-            peers: node.roster.keepers.keys().filter(live).cloned().collect(),
+            peers: node.roster.controllers.keys().filter(live).cloned().collect(),
         };
         for to in node.known().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
             self.send(Address::Node(at), Address::Node(to), Message::Heartbeat(heartbeat.clone()));
@@ -77,18 +77,18 @@
 
     pub fn take_heartbeat(&mut self, at: usize, heartbeat: Heartbeat) {
         self.adopt(at, &heartbeat.core);
-        let peer = roster::Peer {
+        let peer = membership::Peer {
             heard: self.now,
             fit: heartbeat.fit,
             leaving: heartbeat.leaving,
-            reads: wire::msg::READS,
+            reads: protocol::msg::READS,
             ..Default::default()
         };
         let roster = &mut self.nodes[at].roster;
         roster.hear(&heartbeat.address, peer);
         for ip in heartbeat.peers {
             if ip != roster.me {
-                roster.keepers.entry(ip).or_default();
+                roster.controllers.entry(ip).or_default();
             }
         }
     }
@@ -98,7 +98,7 @@
         if core.list.is_empty() {
             return;
         }
-        let members = ledger::quorum::addresses(&core);
+        let members = consensus::quorum::addresses(&core);
         let id = self.poll(at, &core, &Ask::Places, &members);
         let confirming = &mut self.nodes[at].confirming;
         confirming.begun = self.now;
@@ -159,7 +159,7 @@
             return self.caught_up(at, &key);
         }
         let first = node.roster.holder("", &key, now) == node.voter.ip;
-        let members = ledger::quorum::addresses(&core);
+        let members = consensus::quorum::addresses(&core);
         let id = self.poll(at, &core, &Ask::Fetch { key: key.clone() }, &members);
         self.nodes[at].confirming.behind[number].id = id;
         if half_done && first && !self.is_changing(at, &Purpose::Repair) {
@@ -168,14 +168,14 @@
         }
     }
 
-    fn take_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<wire::msg::Entry>) {
+    fn take_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<protocol::msg::Entry>) {
         let takes_newer = self.guards.newer_entries;
         let node = &mut self.nodes[at];
         let Some(one) = node.confirming.behind.iter_mut().find(|one| one.id == id) else { return };
         let Some(entry) = entry else { return };
         let (key, place) = (one.behind.key.clone(), one.behind.place);
         one.fetched.push((from.into(), entry.clone()));
-        let newer = ledger::confirmation::committed(&node.voter.core, &one.fetched);
+        let newer = consensus::confirmation::committed(&node.voter.core, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.place() >= place);
         let looked_for = Some(entry).filter(|entry| one.behind.committed && entry.place() == place);
         let Some(entry) = looked_for.or(newer) else { return };
--- a/keeper/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -1,7 +1,7 @@
 //! Trouble in the simulation, and the quiet end at which everything is read back.
 use super::{address, Cluster, Node};
 
-/// How long a leaving process stays at most, as the keeper has it.
+/// How long a leaving process stays at most, as the controller has it.
 const HAND_OVER_MS: u64 = 3500;
 /// How long a call under way may take once a process leaves.
 const LAST_CALLS_MS: u64 = 300;
@@ -30,7 +30,7 @@
         node.writes.clear();
         if wipe {
             let core = node.disk.core.clone();
-            node.disk = ledger::voter::Voter::new(&address(at));
+            node.disk = consensus::voter::Voter::new(&address(at));
             if hasty {
                 node.disk.core = core;
                 node.disk.may_vote = true;
@@ -78,7 +78,7 @@
     pub fn end_if_released(&mut self, at: usize) {
         let Some(since) = self.nodes[at].leaving else { return };
         let core = &self.nodes[at].voter.core;
-        let released = core.settled && !ledger::quorum::is_member(core, &address(at));
+        let released = core.settled && !consensus::quorum::is_member(core, &address(at));
         let waited = self.now - since;
         if (released && waited >= LAST_CALLS_MS) || waited >= HAND_OVER_MS + LAST_CALLS_MS {
             self.remove(at);
@@ -97,7 +97,7 @@
         self.nodes.iter().filter(|node| node.runs()).map(|node| node.at).collect()
     }
 
-    /// Is every keeper that runs confirmed, and may it vote?
+    /// Is every controller that runs confirmed, and may it vote?
     pub fn all_confirmed(&self) -> bool {
         let mut running = self.nodes.iter().filter(|node| node.runs());
         running.all(|node| node.is_confirmed(self.now) && node.voter.may_vote)
@@ -114,9 +114,9 @@
         self.operators.iter_mut().for_each(|operator| operator.active = false);
         self.lost_answers = 0;
         self.run(8000);
-        assert!(self.all_confirmed(), "a keeper did not catch up in twelve seconds of calm");
+        assert!(self.all_confirmed(), "a controller did not catch up in twelve seconds of calm");
         let held: Vec<crate::config_body::Held> = self.live().iter().map(|at| self.nodes[*at].config()).collect();
-        let last = held.into_iter().max_by_key(|held| held.revision).expect("a keeper");
+        let last = held.into_iter().max_by_key(|held| held.revision).expect("a controller");
         self.history.check_end(&last);
         last
     }
--- a/keeper/src/simulation/history.rs
+++ b/controller/src/simulation/history.rs
@@ -59,7 +59,7 @@
         self.invalid.insert(attempt);
     }
 
-    /// A keeper answered, whether or not the answer arrives.
+    /// A controller answered, whether or not the answer arrives.
     pub fn answered(&mut self, attempt: Attempt, answer: &Answer) {
         if *answer == Answer::Refused {
             self.refused.push(attempt);
@@ -94,23 +94,24 @@
         }
     }
 
-    /// A keeper says that what it knows was confirmed at `confirmed`: nothing acknowledged by then is missing.
+    /// A controller says that what it knows was confirmed at `confirmed`: nothing acknowledged by then is missing.
     pub fn check_confirmed(&mut self, at: usize, confirmed: u64, config: &Held, evacuated: bool) {
         let before = self.acknowledged.iter().filter(|one| one.at <= confirmed);
         let newest = before.map(|one| one.revision).max().unwrap_or(0);
         if config.revision < newest {
-            let words = format!("{confirmed}: keeper {at} confirms version {}, {newest} is known", config.revision);
+            let words = format!("{confirmed}: controller {at} confirms version {}, {newest} is known", config.revision);
             self.violations.push(words);
         }
         if let Some((_, on)) = self.evacuation.filter(|(time, on)| *time <= confirmed && *on != evacuated) {
-            self.violations.push(format!("{confirmed}: keeper {at} confirms evacuation {evacuated}, {on} is known"));
+            self.violations
+                .push(format!("{confirmed}: controller {at} confirms evacuation {evacuated}, {on} is known"));
         }
     }
 
     /// What was acknowledged is there at the end, and what is there was never refused.
     pub fn check_end(&mut self, last: &Held) {
         if last.revision > 0 {
-            match wire::config::read(&last.text) {
+            match protocol::config::read(&last.text) {
                 Ok(config) if config.revision == last.revision => {}
                 other => self.violations.push(format!("version {} reads as {other:?}", last.revision)),
             }
--- a/keeper/src/simulation/isolation_tests.rs
+++ b/controller/src/simulation/isolation_tests.rs
@@ -1,9 +1,9 @@
-//! A keeper that is cut off, or stands still, for some twenty seconds and comes back.
+//! A controller that is cut off, or stands still, for some twenty seconds and comes back.
 use super::{Cluster, Guards, ALL_GUARDS};
 
 const AWAY_MS: u64 = 20_000;
 
-/// How a keeper loses the others.
+/// How a controller loses the others.
 #[derive(Clone, Copy, Debug)]
 enum Away {
     CutOff,
--- a/keeper/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -1,9 +1,9 @@
-//! Changes of the core at a simulated keeper, and the recovery of a voter that lost its disk.
+//! Changes of the core at a simulated controller, and the recovery of a voter that lost its disk.
 use super::changes::Purpose;
 use super::network::Address;
-use ledger::membership::Settlement;
-use ledger::proposal::Verdict;
-use wire::msg::{Ask, Core, Vote};
+use consensus::membership::Settlement;
+use consensus::proposal::Verdict;
+use protocol::msg::{Ask, Core, Vote};
 
 const BEAT_MS: u64 = 150;
 const SPREAD_MS: u64 = 800;
@@ -16,7 +16,7 @@
     core: Core,
     end: u64,
     from: Vec<String>,
-    reads: Vec<Vec<wire::msg::Slot>>,
+    reads: Vec<Vec<protocol::msg::Slot>>,
 }
 
 #[derive(Default)]
@@ -54,7 +54,7 @@
     fn coordinates(&self, at: usize, core: &Core) -> bool {
         let node = &self.nodes[at];
         let leaving = node.leaving.is_some();
-        let first = crate::membership::first_member(core, &node.roster, leaving, ledger::CORE, self.now);
+        let first = crate::reconfiguration::first_member(core, &node.roster, leaving, consensus::CORE, self.now);
         first.as_deref() == Some(&node.voter.ip)
     }
 
@@ -63,13 +63,13 @@
             return;
         }
         let now = self.now;
-        let Some(next) = crate::membership::next(core, &self.nodes[at].roster, now) else { return };
+        let Some(next) = crate::reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
         let version = core.version;
         let judge = move |body: &[u8]| match crate::state::read_core(body) {
             Some(held) if held.version != version || !held.settled => Verdict::Answer(None),
             _ => Verdict::Write(crate::state::write_core(&next), None),
         };
-        self.begin_change(at, ledger::CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, consensus::CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
 
     fn settle(&mut self, at: usize, core: &Core) {
@@ -87,7 +87,7 @@
             if members.spread.is_some_and(|(_, end)| now < end) {
                 return;
             }
-            let all = ledger::quorum::old_and_new_members(core);
+            let all = consensus::quorum::old_and_new_members(core);
             let id = self.poll(at, core, &Ask::Places, &all);
             self.nodes[at].members.spread = Some((id, now + SPREAD_MS));
             return;
@@ -114,22 +114,22 @@
         let version = core.version;
         let judge = move |body: &[u8]| match crate::state::read_core(body) {
             Some(held) if held.version == version && !held.settled => {
-                let settled = ledger::membership::settled(&held);
+                let settled = consensus::membership::settled(&held);
                 Verdict::Write(crate::state::write_core(&settled), None)
             }
             _ => Verdict::Answer(None),
         };
-        self.begin_change(at, ledger::CORE, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, consensus::CORE, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
     }
 
     fn attempt_recovery(&mut self, at: usize) {
         let node = &self.nodes[at];
         let core = node.voter.core.clone();
         let at_work = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.end);
-        if self.now < node.born + ledger::RECALL_DELAY_MS || core.list.is_empty() || at_work {
+        if self.now < node.born + consensus::RECALL_DELAY_MS || core.list.is_empty() || at_work {
             return;
         }
-        let member = ledger::quorum::is_old_or_new_member(&core, &node.voter.ip);
+        let member = consensus::quorum::is_old_or_new_member(&core, &node.voter.ip);
         let others = node.voter.witnesses();
         let ask = if member { Ask::Whole } else { Ask::Places };
         let id = self.poll(at, &core, &ask, &others);
@@ -178,13 +178,13 @@
             _ => return true,
         }
         recovery.from.push(from.into());
-        let member = ledger::quorum::is_old_or_new_member(&recovery.core, &node.voter.ip);
+        let member = consensus::quorum::is_old_or_new_member(&recovery.core, &node.voter.ip);
         let records = if member && current && node.voter.enough(&recovery.from) {
             let reads = std::mem::take(&mut recovery.reads);
             node.voter.recall(reads).unwrap_or_default()
-        } else if !member && current && ledger::quorum::is_quorum(&recovery.core, &recovery.from) {
+        } else if !member && current && consensus::quorum::is_quorum(&recovery.core, &recovery.from) {
             node.voter.may_vote = true;
-            vec![ledger::voter::LogRecord::Vote]
+            vec![consensus::voter::LogRecord::Vote]
         } else {
             return true;
         };
--- a/keeper/src/simulation/mod.rs
+++ b/controller/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A seeded simulation of the keepers in virtual time: a network that loses, delays and reorders, cuts,
+//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders, cuts,
 //! frozen processes, losses of power and of disks, replaced machines, operators that race and send again.
 //! The nodes run the state machines of `ledger` and the decisions of this crate; only what carries them
 //! (sockets, timers, the disk) is simulated. `history` checks what operators and followers were told.
@@ -41,7 +41,7 @@
     pub recall: bool,
     /// A member tells that it is about to end, and waits to be released.
     pub hand_over: bool,
-    /// A keeper that is behind takes a newer committed entry than the one it asked for.
+    /// A controller that is behind takes a newer committed entry than the one it asked for.
     pub newer_entries: bool,
 }
 
@@ -71,7 +71,7 @@
     pub lost_answers: u64,
     /// The longest time that an operator rests before its next order.
     pub rest_ms: u64,
-    /// Operators send changes of named items and invalid ones too, and some orders are carried out at two keepers at once.
+    /// Operators send changes of named items and invalid ones too, and some orders are carried out at two controllers at once.
     pub mixed_orders: bool,
 }
 
--- a/keeper/src/simulation/network.rs
+++ b/controller/src/simulation/network.rs
@@ -16,27 +16,27 @@
 pub enum Message {
     Poll {
         id: u64,
-        poll: wire::msg::Poll,
+        poll: protocol::msg::Poll,
     },
     Vote {
         id: u64,
-        vote: wire::msg::Vote,
+        vote: protocol::msg::Vote,
     },
     Heartbeat(Heartbeat),
-    Learn(String, wire::msg::Entry),
+    Learn(String, protocol::msg::Entry),
     Order(Attempt, Order),
     Answer(Attempt, Answer),
     /// The operator closed the connection on which it sent an order.
     Close(Attempt),
 }
 
-/// What a keeper tells the others of itself.
+/// What a controller tells the others of itself.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     pub address: String,
     pub fit: bool,
     pub leaving: bool,
-    pub core: wire::msg::Core,
+    pub core: protocol::msg::Core,
     pub peers: Vec<String>,
 }
 
@@ -111,10 +111,16 @@
     }
 
     /// Polls these addresses under a number of its own, by which the votes are told apart.
-    pub fn poll(&mut self, at: usize, core: &wire::msg::Core, ask: &wire::msg::Ask, addresses: &[String]) -> u64 {
+    pub fn poll(
+        &mut self,
+        at: usize,
+        core: &protocol::msg::Core,
+        ask: &protocol::msg::Ask,
+        addresses: &[String],
+    ) -> u64 {
         let id = self.nodes[at].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
-            let poll = wire::msg::Poll { core: core.clone(), ask: ask.clone() };
+            let poll = protocol::msg::Poll { core: core.clone(), ask: ask.clone() };
             self.send(Address::Node(at), Address::Node(to), Message::Poll { id, poll });
         }
         id
--- a/keeper/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One simulated keeper: its voter and disk, what it knows to be committed, and what it is at work on.
+//! One simulated controller: its voter and disk, what it knows to be committed, and what it is at work on.
 use super::changes::Change;
 use super::confirming::Confirming;
 use super::members::Members;
@@ -8,16 +8,16 @@
 /// Records on their way to the disk, and the vote that may leave once they are there.
 pub struct Write {
     pub due: u64,
-    pub records: Vec<ledger::voter::LogRecord>,
-    pub vote: Option<(Address, u64, wire::msg::Vote)>,
+    pub records: Vec<consensus::voter::LogRecord>,
+    pub vote: Option<(Address, u64, protocol::msg::Vote)>,
 }
 
 /// Invariants: `disk` is what was synced; `voter` is ahead of it by what waits in `writes`. All else is lost
 /// with the process.
 pub struct Node {
     pub at: usize,
-    pub voter: ledger::voter::Voter,
-    pub disk: ledger::voter::Voter,
+    pub voter: consensus::voter::Voter,
+    pub disk: consensus::voter::Voter,
     pub writes: Vec<Write>,
     pub up: bool,
     pub frozen: bool,
@@ -27,16 +27,16 @@
     pub born: u64,
     /// Letters that arrived while the process stood still.
     pub inbox: Vec<Letter>,
-    pub committed: BTreeMap<String, wire::msg::Entry>,
+    pub committed: BTreeMap<String, protocol::msg::Entry>,
     /// When the read began that last confirmed `committed` at a quorum.
     pub confirmed: Option<u64>,
     pub turn: u64,
-    pub owned: BTreeMap<String, ledger::round::Ownership>,
+    pub owned: BTreeMap<String, consensus::round::Ownership>,
     /// Changes by key: the first of each list is under way.
     pub changes: BTreeMap<String, Vec<Change>>,
     pub confirming: Confirming,
     pub members: Members,
-    pub roster: roster::Roster,
+    pub roster: membership::Roster,
     pub seeds: Vec<String>,
     pub leaving: Option<u64>,
     pub pauses: crate::pause::PauseMonitor,
@@ -48,8 +48,8 @@
         let address = super::address(at);
         Node {
             at,
-            voter: ledger::voter::Voter::new(&address),
-            disk: ledger::voter::Voter::new(&address),
+            voter: consensus::voter::Voter::new(&address),
+            disk: consensus::voter::Voter::new(&address),
             writes: Vec::new(),
             up: true,
             frozen: false,
@@ -64,7 +64,7 @@
             changes: BTreeMap::new(),
             confirming: Confirming::default(),
             members: Members::default(),
-            roster: roster::Roster::new(&address, "", crate::keeper::LIVE_MS),
+            roster: membership::Roster::new(&address, "", crate::controller::LIVE_MS),
             seeds: seeds.to_vec(),
             leaving: None,
             pauses: Default::default(),
@@ -74,8 +74,8 @@
 
     /// The first start of the whole system: the seeds are the core.
     pub fn found(&mut self, seeds: &[String]) {
-        let list = seeds.iter().map(|ip| wire::msg::Member { ip: ip.clone(), zone: String::new() }).collect();
-        self.voter.core = wire::msg::Core { version: 1, list, prev: Vec::new(), settled: true };
+        let list = seeds.iter().map(|ip| protocol::msg::Member { ip: ip.clone(), zone: String::new() }).collect();
+        self.voter.core = protocol::msg::Core { version: 1, list, prev: Vec::new(), settled: true };
         self.voter.may_vote = true;
         self.disk = self.voter.clone();
     }
@@ -90,11 +90,11 @@
     }
 
     pub fn is_confirmed(&self, now: u64) -> bool {
-        self.confirmed.is_some_and(|time| now < time + crate::keeper::SURE_MS)
+        self.confirmed.is_some_and(|time| now < time + crate::controller::SURE_MS)
     }
 
-    pub fn place(&self, key: &str) -> Option<ledger::confirmation::Place> {
-        self.committed.get(key).map(wire::msg::Entry::place)
+    pub fn place(&self, key: &str) -> Option<consensus::confirmation::Place> {
+        self.committed.get(key).map(protocol::msg::Entry::place)
     }
 
     /// The configuration that it would tell a follower.
@@ -112,11 +112,11 @@
         self.evacuation().on
     }
 
-    /// All that is known of other keepers.
+    /// All that is known of other controllers.
     pub fn known(&self) -> Vec<String> {
         let mut list = self.seeds.clone();
         list.extend(self.voter.core.list.iter().map(|member| member.ip.clone()));
-        list.extend(self.roster.keepers.keys().cloned());
+        list.extend(self.roster.controllers.keys().cloned());
         list.sort();
         list.dedup();
         list.retain(|ip| *ip != self.voter.ip);
@@ -126,7 +126,7 @@
 
 impl super::Cluster {
     /// The vote of a node leaves once what it promises is on its disk.
-    pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: wire::msg::Poll) {
+    pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: protocol::msg::Poll) {
         self.adopt(at, &poll.core);
         let (vote, records) = self.nodes[at].voter.poll(poll);
         self.write(at, records, Some((from, id, vote)));
@@ -135,8 +135,8 @@
     pub fn write(
         &mut self,
         at: usize,
-        records: Vec<ledger::voter::LogRecord>,
-        vote: Option<(Address, u64, wire::msg::Vote)>,
+        records: Vec<consensus::voter::LogRecord>,
+        vote: Option<(Address, u64, protocol::msg::Vote)>,
     ) {
         let slow = if self.random.below(60) == 0 { 400 } else { 5 };
         let late = if records.is_empty() { 0 } else { 1 + self.random.below(slow) };
@@ -157,21 +157,21 @@
         }
     }
 
-    pub fn adopt(&mut self, at: usize, core: &wire::msg::Core) {
+    pub fn adopt(&mut self, at: usize, core: &protocol::msg::Core) {
         if let Some(record) = self.nodes[at].voter.adopt(core) {
             self.write(at, vec![record], None);
         }
     }
 
     /// A committed entry becomes known at a node; with `tell` at the others too.
-    pub fn learn(&mut self, at: usize, key: &str, entry: &wire::msg::Entry, tell: bool) {
+    pub fn learn(&mut self, at: usize, key: &str, entry: &protocol::msg::Entry, tell: bool) {
         let node = &mut self.nodes[at];
         node.turn = node.turn.max(entry.ballot.turn);
         if node.place(key) >= Some(entry.place()) {
             return;
         }
         node.committed.insert(key.into(), entry.clone());
-        if key == ledger::CORE {
+        if key == consensus::CORE {
             if let Some(core) = crate::state::read_core(&entry.body) {
                 self.adopt(at, &core);
             }
--- a/keeper/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -5,10 +5,10 @@
 use super::network::{Address, Message};
 use crate::config_body::{BodyForm, Held};
 use crate::config_change::{Outcome, Refusal};
-use ledger::proposal::Verdict;
-use wire::order::ConfigChange;
+use consensus::proposal::Verdict;
+use protocol::order::ConfigChange;
 
-/// How long an operator waits for an answer, and a keeper for an outcome.
+/// How long an operator waits for an answer, and a controller for an outcome.
 const SILENCE_MS: u64 = 1000;
 const CHANGE_MS: u64 = 2000;
 const EVACUATE_MS: u64 = crate::orders::EVACUATE_MS;
--- a/keeper/src/simulation/orders_tests.rs
+++ b/controller/src/simulation/orders_tests.rs
@@ -38,7 +38,7 @@
 }
 
 /// The same with operators that send everything: changes of named items, invalid ones of every kind, orders that reach two
-/// keepers at once.
+/// controllers at once.
 fn run_mixed(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 4);
     cluster.guards = guards;
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn without_digests_an_order_that_two_keepers_carry_out_is_refused() {
+fn without_digests_an_order_that_two_controllers_carry_out_is_refused() {
     let guards = Guards { digests: false, ..ALL_GUARDS };
     let broken = (1..=20).any(|seed| !run_mixed(seed, guards).history.violations.is_empty());
     assert!(broken, "a simulation that can't fail shows nothing");
 }
 
-/// One keeper after the other is cut off for a moment: what it was relayed meanwhile it carries out late.
+/// One controller after the other is cut off for a moment: what it was relayed meanwhile it carries out late.
 fn run_short_cuts(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 2);
     cluster.guards = guards;
--- a/keeper/src/simulation/replacement_tests.rs
+++ b/controller/src/simulation/replacement_tests.rs
@@ -42,7 +42,7 @@
 
 fn pick(cluster: &Cluster, chance: &mut kernel::clock::Dice, but: &[usize]) -> usize {
     let core = &cluster.nodes[cluster.live()[0]].voter.core;
-    let member = |at: &usize| ledger::quorum::is_member(core, &super::address(*at));
+    let member = |at: &usize| consensus::quorum::is_member(core, &super::address(*at));
     let list: Vec<usize> = cluster.live().into_iter().filter(|at| !but.contains(at) && member(at)).collect();
     list[chance.below(list.len() as u64) as usize]
 }
--- a/keeper/src/state.rs
+++ b/controller/src/state.rs
@@ -1,7 +1,7 @@
 //! What the keys of the control state hold, and how it is read from what was committed.
 use crate::config_body::Held;
+use protocol::config::{Checked, ConfigError};
 use std::sync::Arc;
-use wire::config::{Checked, ConfigError};
 
 #[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Closed {
@@ -24,7 +24,7 @@
 kernel::bytes!(Closed);
 kernel::bytes!(Duty);
 
-pub use ledger::core_body::{read as read_core, write as write_core};
+pub use consensus::core_body::{read as read_core, write as write_core};
 
 /// The value in a body; the first one where there is none yet. None: the body is of another form, and is never taken for
 /// an empty one.
@@ -70,13 +70,13 @@
     }
 }
 
-impl crate::keeper::Keeper {
-    /// A committed entry becomes known here; with `tell` also to the other keepers. Followers get
+impl crate::controller::Controller {
+    /// A committed entry becomes known here; with `tell` also to the other controllers. Followers get
     /// what is new to them at once.
-    pub fn learn(&self, key: &str, entry: &wire::msg::Entry, tell: bool) {
+    pub fn learn(&self, key: &str, entry: &protocol::msg::Entry, tell: bool) {
         let is_news = self.learn_read(key, entry, None);
         if is_news && tell {
-            let note = wire::msg::Msg::Learn(Box::new((key.into(), entry.clone())));
+            let note = protocol::msg::Msg::Learn(Box::new((key.into(), entry.clone())));
             for ip in self.known() {
                 self.peer(&ip).cast(note.clone());
             }
@@ -84,12 +84,12 @@
     }
 
     /// The same for a configuration that was read already.
-    pub fn learn_config(&self, entry: &wire::msg::Entry, read: Arc<Checked>) {
+    pub fn learn_config(&self, entry: &protocol::msg::Entry, read: Arc<Checked>) {
         self.learn_read(CONFIG, entry, Some(read));
     }
 
     /// False: it, or a newer one, was known.
-    fn learn_read(&self, key: &str, entry: &wire::msg::Entry, read: Option<Arc<Checked>>) -> bool {
+    fn learn_read(&self, key: &str, entry: &protocol::msg::Entry, read: Option<Arc<Checked>>) -> bool {
         let learned = self.committed_state.lock().expect("committed_state").learn(key, entry, read);
         match learned {
             Learned::Known => return false,
@@ -106,7 +106,7 @@
                     "step" => entry.step);
             }
         }
-        if key == ledger::CORE {
+        if key == consensus::CORE {
             if let Some(core) = read_core(&entry.body) {
                 self.adopt(&core);
             }
@@ -133,9 +133,9 @@
     },
 }
 
-impl crate::keeper::CommittedState {
+impl crate::controller::CommittedState {
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
-    pub fn learn(&mut self, key: &str, entry: &wire::msg::Entry, read: Option<Arc<Checked>>) -> Learned {
+    pub fn learn(&mut self, key: &str, entry: &protocol::msg::Entry, read: Option<Arc<Checked>>) -> Learned {
         self.turn = self.turn.max(entry.ballot.turn);
         let held = self.entries.get(key);
         if held.is_some_and(|held| held.place() >= entry.place()) {
@@ -164,19 +164,19 @@
             let closed = Closed::open(body).ok_or(Unreadable::Body)?;
             self.closed.insert(zone.into(), (closed.version, closed.on));
         }
-        if key.starts_with(wire::msg::ROLLOUT) && !body.is_empty() {
-            let rule = wire::msg::Rule::read_bytes(body).ok_or(Unreadable::Body)?;
+        if key.starts_with(protocol::msg::ROLLOUT) && !body.is_empty() {
+            let rule = protocol::msg::Rule::read_bytes(body).ok_or(Unreadable::Body)?;
             self.rules.insert(key.into(), rule);
         }
-        if let Some(service) = key.strip_prefix(wire::version_rollout::KEY).filter(|_| !body.is_empty()) {
-            let rollout = wire::version_rollout::VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
+        if let Some(service) = key.strip_prefix(protocol::version_rollout::KEY).filter(|_| !body.is_empty()) {
+            let rollout = protocol::version_rollout::VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
             self.rollouts.insert(service.into(), rollout);
         }
         if key.starts_with(DUTY) {
             let duty = Duty::open(body).ok_or(Unreadable::Body)?;
             self.duties.insert(key.into(), (duty.epoch, duty.holder, duty.clear));
         }
-        if key == ledger::CORE && !body.is_empty() {
+        if key == consensus::CORE && !body.is_empty() {
             read_core(body).ok_or(Unreadable::Body)?;
         }
         Ok(())
--- a/keeper/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -3,8 +3,8 @@
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config_body::{BodyForm, Held};
 use crate::config_history::NotNewer;
-use crate::keeper::CommittedState;
-use wire::msg::{Ballot, Entry};
+use crate::controller::CommittedState;
+use protocol::msg::{Ballot, Entry};
 
 fn text(revision: u64, timeout: u64) -> String {
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": [{"name": "r",
@@ -39,9 +39,11 @@
     }
     let mut has = 0;
     let mut last = 0;
-    assert!(state.history.send_missing(wire::msg::READS, &mut has, |frame| {
-        let Ok(wire::msg::Msg::Update(packed)) = wire::frame::open(&frame[wire::frame::HEAD..]) else { return false };
-        last = wire::change::Change::read(&packed).expect("a change").to;
+    assert!(state.history.send_missing(protocol::msg::READS, &mut has, |frame| {
+        let Ok(protocol::msg::Msg::Update(packed)) = protocol::frame::open(&frame[protocol::frame::HEAD..]) else {
+            return false;
+        };
+        last = protocol::change::Change::read(&packed).expect("a change").to;
         true
     }));
     assert_eq!((has, last), (revision, revision), "routers get what the entry holds");
@@ -71,7 +73,7 @@
     }
 }
 
-/// The revision was taken once, and the keeper went on as sure, while routers got the old configuration.
+/// The revision was taken once, and the controller went on as sure, while routers got the old configuration.
 #[test]
 fn what_cannot_be_read_is_not_known_and_changes_nothing() {
     let broken = [
@@ -97,20 +99,20 @@
     }
 }
 
-/// A confirmation reads places at a quorum; while one cannot be read it must stay open. The keeper's own loop does what this
+/// A confirmation reads places at a quorum; while one cannot be read it must stay open. The controller's own loop does what this
 /// one does.
 #[test]
-fn a_keeper_behind_something_unreadable_stays_behind() {
-    let core = wire::msg::Core {
+fn a_controller_behind_something_unreadable_stays_behind() {
+    let core = protocol::msg::Core {
         version: 1,
-        list: vec![wire::msg::Member { ip: "a".into(), zone: String::new() }],
+        list: vec![protocol::msg::Member { ip: "a".into(), zone: String::new() }],
         prev: Vec::new(),
         settled: true,
     };
     let mut state = CommittedState::default();
     state.learn(CONFIG, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
-        let mut confirmation = ledger::confirmation::Confirmation::new(&core);
+        let mut confirmation = consensus::confirmation::Confirmation::new(&core);
         confirmation.hear("a", vec![(CONFIG.into(), entry.ballot, entry.step)]);
         assert!(confirmation.is_quorum());
         confirmation.behind(|key| state.entries.get(key).map(Entry::place)).len()
@@ -130,7 +132,7 @@
     let zone = format!("{CLOSED}z");
     let closed = Closed { version: 4, on: true }.write_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", wire::msg::ROLLOUT), ledger::CORE] {
+    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", protocol::msg::ROLLOUT), consensus::CORE] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
--- a/keeper/src/version_calls.rs
+++ b/controller/src/version_calls.rs
@@ -2,8 +2,8 @@
 
 use crate::control::Receipt;
 use crate::register::Verdict;
+use protocol::version_rollout::{RolloutState, VersionRollout};
 use std::sync::Arc;
-use wire::version_rollout::{RolloutState, VersionRollout};
 
 /// The longest that a rollout may take.
 const LONGEST_S: f64 = 7.0 * 86_400.0;
@@ -74,11 +74,11 @@
 }
 
 /// Starts a rollout.
-pub async fn start(keeper: &Arc<crate::keeper::Keeper>, text: &str) -> Receipt {
-    if keeper.orders_may_be_stale() {
+pub async fn start(controller: &Arc<crate::controller::Controller>, text: &str) -> Receipt {
+    if controller.orders_may_be_stale() {
         return Receipt::Unclear;
     }
-    let config = keeper.committed_state.lock().expect("committed_state").history.current().cloned();
+    let config = controller.committed_state.lock().expect("committed_state").history.current().cloned();
     let Some(config) = config else { return Receipt::Unclear };
     let knows = |name: &str| config.config().service_table.iter().any(|service| service.name == name);
     let order = match Order::read(text, knows) {
@@ -97,11 +97,11 @@
         }
     };
     let key = VersionRollout::key(&order.service);
-    keeper.change(&key, crate::control::wait_ms(keeper), judge).await.unwrap_or(Receipt::Unclear)
+    controller.change(&key, crate::control::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
 }
 
 /// Where the newest rollout of a service stands.
-pub struct Rollout(pub Arc<crate::keeper::Keeper>);
+pub struct Rollout(pub Arc<crate::controller::Controller>);
 
 impl Rollout {
     async fn read(&self, service: &str) -> Receipt {
--- a/keeper/src/version_calls_tests.rs
+++ b/controller/src/version_calls_tests.rs
@@ -1,6 +1,6 @@
 //! Orders on top of each state.
 use super::Order;
-use wire::version_rollout::{RolloutState, VersionRollout};
+use protocol::version_rollout::{RolloutState, VersionRollout};
 
 fn order(target: &str) -> Order {
     Order { service: "s".into(), target: target.into(), duration_ms: 12_000 }
--- a/keeper/src/version_lists.rs
+++ b/controller/src/version_lists.rs
@@ -1,12 +1,12 @@
 //! Which engines of the platform's list are of the version in place, and which of one that is brought in.
 
+use protocol::version_rollout::VersionRollout;
 use std::collections::BTreeMap;
-use wire::version_rollout::VersionRollout;
 
 /// An engine as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
-    pub engine: wire::msg::Engine,
+    pub engine: protocol::msg::Engine,
     /// The version of its software.
     pub version: String,
 }
@@ -21,16 +21,16 @@
 /// A zone's engines, apart by what they may get.
 #[derive(Debug, Default, PartialEq)]
 pub struct Parted {
-    pub stable: Vec<wire::msg::Engine>,
-    pub candidates: Vec<wire::msg::Engine>,
+    pub stable: Vec<protocol::msg::Engine>,
+    pub candidates: Vec<protocol::msg::Engine>,
 }
 
 /// Parts a zone's list by the rollouts that are known.
-pub fn part(keeper: &crate::keeper::Keeper, list: Vec<ListedEngine>) -> Parted {
-    let rollouts = keeper.committed_state.lock().expect("committed_state").rollouts.clone();
+pub fn part(controller: &crate::controller::Controller, list: Vec<ListedEngine>) -> Parted {
+    let rollouts = controller.committed_state.lock().expect("committed_state").rollouts.clone();
     // Where versions are not brought in by order, engines may be replaced by others of any version.
-    let by_order = keeper.env.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
-    let mut first = keeper.first_versions.lock().expect("first versions");
+    let by_order = controller.env.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
+    let mut first = controller.first_versions.lock().expect("first versions");
     first.part(&rollouts, list, by_order)
 }
 
--- a/keeper/src/version_lists_tests.rs
+++ b/controller/src/version_lists_tests.rs
@@ -1,10 +1,10 @@
 //! Lists with several versions.
 use super::{FirstVersions, ListedEngine, Parted};
+use protocol::version_rollout::{RolloutState, VersionRollout};
 use std::collections::BTreeMap;
-use wire::version_rollout::{RolloutState, VersionRollout};
 
 fn listed(id: &str, version: &str, cold_ms: u32) -> ListedEngine {
-    let engine = wire::msg::Engine {
+    let engine = protocol::msg::Engine {
         id: id.into(),
         service: "s".into(),
         addr: "10.0.0.1:80".into(),
--- a/keeper/src/versions.rs
+++ b/controller/src/versions.rs
@@ -1,12 +1,12 @@
-//! Trials of new versions: routers' samples are pooled at every keeper, and the first that is confirmed judges. It needs no
+//! Trials of new versions: routers' samples are pooled at every controller, and the first that is confirmed judges. It needs no
 //! epoch: each step is a change on top of the very record that it was judged on.
 
-use crate::keeper::{CommittedState, Keeper};
+use crate::controller::{CommittedState, Controller};
 use crate::register::Verdict;
+use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
-use wire::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 
 /// How often samples are passed on and judged.
 const BEAT_MS: u64 = 200;
@@ -22,7 +22,7 @@
     since: u64,
 }
 
-/// All trials, and samples that other keepers have not heard yet.
+/// All trials, and samples that other controllers have not heard yet.
 #[derive(Default)]
 pub struct Trials {
     trials: BTreeMap<String, Trial>,
@@ -47,23 +47,23 @@
 pub fn send(committed_state: &CommittedState, follower: &mut crate::followers::Follower) {
     for rollout in committed_state.rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.closed.entry(wire::msg::hide(&key)).or_default();
+        let has = follower.closed.entry(protocol::msg::hide(&key)).or_default();
         if rollout.number <= *has {
             continue;
         }
-        match follower.mouth.cast(&wire::msg::Msg::VersionRollout(Box::new(rollout.clone()))) {
+        match follower.mouth.cast(&protocol::msg::Msg::VersionRollout(Box::new(rollout.clone()))) {
             true => *has = rollout.number,
             false => follower.behind = true,
         }
     }
 }
 
-/// Takes samples from a router or from another keeper.
-pub fn take_samples(keeper: &Keeper, samples: Samples) {
-    let rollout = keeper.committed_state.lock().expect("committed_state").rollouts.get(&samples.service).cloned();
+/// Takes samples from a router or from another controller.
+pub fn take_samples(controller: &Controller, samples: Samples) {
+    let rollout = controller.committed_state.lock().expect("committed_state").rollouts.get(&samples.service).cloned();
     let Some(rollout) = rollout.filter(|rollout| rollout.order == samples.order) else { return };
     let now = kernel::clock::now();
-    let mut trials = keeper.trials.lock().expect("trials");
+    let mut trials = controller.trials.lock().expect("trials");
     let trial = trials.trial(&rollout, now);
     for one in &samples.list {
         let arm = if one.is_candidate { Arm::Candidate } else { Arm::Stable };
@@ -79,36 +79,36 @@
 }
 
 /// Passes samples on and judges, for as long as the process runs.
-pub fn start(keeper: &Arc<Keeper>) {
-    let keeper = keeper.clone();
+pub fn start(controller: &Arc<Controller>) {
+    let controller = controller.clone();
     tokio::spawn(async move {
         let mut beat = kernel::entry::beat(BEAT_MS);
         loop {
             beat.tick().await;
-            tell(&keeper);
-            for rollout in active(&keeper) {
-                look(&keeper, &rollout).await;
+            tell(&controller);
+            for rollout in active(&controller) {
+                look(&controller, &rollout).await;
             }
         }
     });
 }
 
-fn active(keeper: &Keeper) -> Vec<VersionRollout> {
-    let committed_state = keeper.committed_state.lock().expect("committed_state");
+fn active(controller: &Controller) -> Vec<VersionRollout> {
+    let committed_state = controller.committed_state.lock().expect("committed_state");
     let active = committed_state.rollouts.values().filter(|rollout| rollout.state == RolloutState::Active);
     active.cloned().collect()
 }
 
-/// Tells the other keepers what this one's routers saw.
-fn tell(keeper: &Keeper) {
-    let untold = std::mem::take(&mut keeper.trials.lock().expect("trials").untold);
+/// Tells the other controllers what this one's routers saw.
+fn tell(controller: &Controller) {
+    let untold = std::mem::take(&mut controller.trials.lock().expect("trials").untold);
     if untold.is_empty() {
         return;
     }
     let merged = merge(untold);
-    for ip in keeper.known() {
+    for ip in controller.known() {
         for samples in &merged {
-            keeper.peer(&ip).cast(wire::msg::Msg::Samples(Box::new(samples.clone())));
+            controller.peer(&ip).cast(protocol::msg::Msg::Samples(Box::new(samples.clone())));
         }
     }
 }
@@ -138,15 +138,15 @@
     merged.into_iter().map(whole).collect()
 }
 
-/// Looks at one rollout, and takes the step that is due if this keeper is the one to do so.
-async fn look(keeper: &Arc<Keeper>, rollout: &VersionRollout) {
+/// Looks at one rollout, and takes the step that is due if this controller is the one to do so.
+async fn look(controller: &Arc<Controller>, rollout: &VersionRollout) {
     let now = kernel::clock::now();
     let (finding, since) = {
-        let mut trials = keeper.trials.lock().expect("trials");
+        let mut trials = controller.trials.lock().expect("trials");
         let trial = trials.trial(rollout, now);
         (trial.judge.finding(), trial.since)
     };
-    if !judges(keeper, &rollout.service, now) {
+    if !judges(controller, &rollout.service, now) {
         return;
     }
     let for_ms = now - since;
@@ -154,19 +154,19 @@
     let schedule = Schedule { duration_ms: rollout.duration_ms };
     let step = schedule.step(rollout.share, for_ms, elapsed_ms, finding);
     let Some(next) = after(rollout, step, elapsed_ms, finding) else { return };
-    if commit(keeper, rollout, &next).await {
+    if commit(controller, rollout, &next).await {
         kernel::say!(crate::event::VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
             "state" => next.state.word(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
     }
 }
 
-/// Is this keeper the one that judges a service's rollout?
-fn judges(keeper: &Keeper, service: &str, now: u64) -> bool {
-    if !keeper.sure(now) || keeper.leaving.load(std::sync::atomic::Ordering::Relaxed) {
+/// Is this controller the one that judges a service's rollout?
+fn judges(controller: &Controller, service: &str, now: u64) -> bool {
+    if !controller.sure(now) || controller.leaving.load(std::sync::atomic::Ordering::Relaxed) {
         return false;
     }
-    let roster = keeper.roster.lock().expect("roster");
-    roster.first_sure(&VersionRollout::key(service), now).as_deref() == Some(keeper.me())
+    let roster = controller.roster.lock().expect("roster");
+    roster.first_sure(&VersionRollout::key(service), now).as_deref() == Some(controller.me())
 }
 
 /// The record after a step. None: nothing changes.
@@ -189,12 +189,12 @@
     }
 }
 
-async fn commit(keeper: &Arc<Keeper>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
+async fn commit(controller: &Arc<Controller>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
     let judge = |body: &[u8]| match VersionRollout::read_bytes(body) {
         Some(held) if held.number == rollout.number => Verdict::Write(next.write_bytes(), true),
         _ => Verdict::Answer(false),
     };
-    keeper.change(&VersionRollout::key(&rollout.service), CHANGE_MS, judge).await.unwrap_or(false)
+    controller.change(&VersionRollout::key(&rollout.service), CHANGE_MS, judge).await.unwrap_or(false)
 }
 
 #[cfg(test)]
--- a/keeper/src/versions_tests.rs
+++ b/controller/src/versions_tests.rs
@@ -1,7 +1,7 @@
 //! Records after steps, and samples of several routers in one message.
 use super::{after, merge};
+use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Finding, Step};
-use wire::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 
 fn rollout() -> VersionRollout {
     VersionRollout {
--- a/kernel/src/convergence.rs
+++ b/kernel/src/convergence.rs
@@ -1,7 +1,7 @@
 //! The convergence budget: how the time within which an acknowledged change must be in force on every router
 //! that reaches the core is divided among the waits on its way.
 //!
-//! A change travels from the core to a keeper (pushed, or found by the keeper's next confirmation) and from there
+//! A change travels from the core to a controller (pushed, or found by the controller's next confirmation) and from there
 //! to its routers (pushed, or with the answer to the next renewal). Whatever fails on the way is found out by a
 //! wait. Each of these waits is a named share of `converge_ms`, so that the worst path stays below it whatever
 //! its value; `convergence_tests.rs` adds these paths up.
@@ -18,7 +18,7 @@
 const CONFIRMATION_INTERVAL_MS: std::ops::RangeInclusive<u64> = 150..=300;
 /// Leases and the load told with them are renewed at least so often, however long changes may take.
 const RENEWAL_INTERVAL_MOST_MS: u64 = 400;
-/// A healthy keeper answers well within this: it bears one lost segment and its retransmission.
+/// A healthy controller answers well within this: it bears one lost segment and its retransmission.
 const SILENCE_MOST_MS: u64 = 500;
 /// Clients wait for a refusal that is not certain no longer than this.
 const REFUSAL_WAIT_MOST_MS: u64 = 300;
@@ -42,54 +42,54 @@
         self.converge_ms * thousandths / 1000
     }
 
-    /// Keepers: from the begin of one confirmation to the begin of the next.
+    /// Controllers: from the begin of one confirmation to the begin of the next.
     pub fn confirmation_interval_ms(&self) -> u64 {
         self.share(125).clamp(*CONFIRMATION_INTERVAL_MS.start(), *CONFIRMATION_INTERVAL_MS.end())
     }
 
-    /// Keepers: how long a confirmation may wait for a quorum to tell what it holds.
+    /// Controllers: how long a confirmation may wait for a quorum to tell what it holds.
     pub fn confirmation_read_ms(&self) -> u64 {
         self.share(166)
     }
 
-    /// Keepers: how long a confirmation may take to fetch what was found to be missing, all keys together.
+    /// Controllers: how long a confirmation may take to fetch what was found to be missing, all keys together.
     pub fn confirmation_fetch_ms(&self) -> u64 {
         self.share(125)
     }
 
-    /// How old a healthy keeper's confirmation is at most. Where nothing is missing, no fetch adds to it.
+    /// How old a healthy controller's confirmation is at most. Where nothing is missing, no fetch adds to it.
     pub fn confirmation_age_ms(&self) -> u64 {
         self.confirmation_interval_ms() + self.confirmation_read_ms()
     }
 
-    /// Routers: from one renewal at the home keeper to the next.
+    /// Routers: from one renewal at the home controller to the next.
     pub fn renewal_interval_ms(&self) -> u64 {
         self.share(166).min(RENEWAL_INTERVAL_MOST_MS)
     }
 
-    /// What a call to a healthy keeper takes, with a new connection and a change in the answer: not a wait, but
+    /// What a call to a healthy controller takes, with a new connection and a change in the answer: not a wait, but
     /// the time that the other shares leave for it.
     pub fn answer_ms(&self) -> u64 {
         self.share(100)
     }
 
-    /// Routers: a home keeper that has not answered a renewal for so long may be sick: others are asked too.
+    /// Routers: a home controller that has not answered a renewal for so long may be sick: others are asked too.
     pub fn silence_ms(&self) -> u64 {
         self.share(200).min(SILENCE_MOST_MS)
     }
 
-    /// Routers: once the table was proved current longer ago than this, others than the home keeper are asked too.
+    /// Routers: once the table was proved current longer ago than this, others than the home controller are asked too.
     pub fn hedge_age_ms(&self) -> u64 {
         self.share(450)
     }
 
-    /// Routers: from one further keeper asked to the next.
+    /// Routers: from one further controller asked to the next.
     pub fn hedge_gap_ms(&self) -> u64 {
         self.share(100)
     }
 
-    /// Routers: what `hedge_gap_ms` grows to while no keeper can prove anything. A router whose contact is back
-    /// asks several keepers before it counts as in touch again.
+    /// Routers: what `hedge_gap_ms` grows to while no controller can prove anything. A router whose contact is back
+    /// asks several controllers before it counts as in touch again.
     pub fn hedge_gap_most_ms(&self) -> u64 {
         (self.contact_ms / 4).max(self.hedge_gap_ms())
     }
--- a/kernel/src/convergence_tests.rs
+++ b/kernel/src/convergence_tests.rs
@@ -6,9 +6,9 @@
 
 /// The waits on the way of a change. Those of `Budget`, or others to be judged by the same sums.
 struct Waits {
-    /// A keeper's confirmation is at most so old.
+    /// A controller's confirmation is at most so old.
     confirmation_age: u64,
-    /// What a keeper needs to fetch what it was not pushed.
+    /// What a controller needs to fetch what it was not pushed.
     fetch: u64,
     renewal: u64,
     answer: u64,
@@ -34,7 +34,7 @@
     }
 
     /// A router with one home: silent after a beat and two calls of 700 ms; the next home's first answer has
-    /// 1,500 ms. Keepers are sure for 1,100 ms.
+    /// 1,500 ms. Controllers are sure for 1,100 ms.
     fn single_home() -> Waits {
         Waits {
             confirmation_age: 1100,
@@ -63,8 +63,8 @@
         self.lost_push_to_router() + self.answer
     }
 
-    /// The push to the keeper is lost: its next confirmation finds the change and fetches it.
-    fn lost_push_to_keeper(&self) -> u64 {
+    /// The push to the controller is lost: its next confirmation finds the change and fetches it.
+    fn lost_push_to_controller(&self) -> u64 {
         self.fetch + self.lost_push_to_router()
     }
 
@@ -76,7 +76,7 @@
             ("a sick home and three sick candidates, one of them in the core", self.sick(3)),
             ("a push to the router lost", self.lost_push_to_router()),
             ("a frame dropped at the router", self.dropped_at_router()),
-            ("a push to the keeper lost", self.lost_push_to_keeper()),
+            ("a push to the controller lost", self.lost_push_to_controller()),
         ]
     }
 }
--- a/kernel/src/env.rs
+++ b/kernel/src/env.rs
@@ -261,13 +261,13 @@
 }
 
 impl Env {
-    /// The addresses of keepers that the seeds name: their machine, at the first internal port.
+    /// The addresses of controllers that the seeds name: their machine, at the first internal port.
     pub fn seed_ips(&self) -> Vec<String> {
         let ips = self.seed_peers.iter().filter_map(|seed| seed.split(':').next());
         ips.map(str::to_string).collect()
     }
 
-    /// Where keepers listen for fellows, on every machine of a deployment.
+    /// Where controllers listen for fellows, on every machine of a deployment.
     pub fn peer_port(&self) -> u16 {
         self.internal_ports[0]
     }
--- a/engines/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -48,7 +48,7 @@
 }
 
 impl EngineState {
-    pub fn new(engine: &wire::msg::Engine, service: u32, zone: u32) -> EngineState {
+    pub fn new(engine: &protocol::msg::Engine, service: u32, zone: u32) -> EngineState {
         EngineState {
             id: engine.id.clone(),
             name: kernel::clock::hash(engine.id.as_bytes()),
@@ -93,11 +93,11 @@
     }
 
     /// What it told here, to be passed on while it is fresh.
-    pub fn told(&self, now: u64) -> Option<wire::msg::Pressure> {
+    pub fn told(&self, now: u64) -> Option<protocol::msg::Pressure> {
         let age_ms = now.saturating_sub(self.load_at);
         let fresh = self.load_at > 0 && age_ms < 1000;
         let load = self.load.0 + self.load.1;
-        fresh.then_some(wire::msg::Pressure { name: self.name, load, age_ms: age_ms as u32 })
+        fresh.then_some(protocol::msg::Pressure { name: self.name, load, age_ms: age_ms as u32 })
     }
 
     /// What it told another router at `time`. Own sends since then are not known apart: they count as told.
--- a/engines/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -83,7 +83,7 @@
 
     /// How many zones' lists are known.
     pub fn zones_listed(&self) -> usize {
-        self.sheets.all().filter(|sheet| !wire::msg::hidden(&sheet.zone)).count()
+        self.sheets.all().filter(|sheet| !protocol::msg::hidden(&sheet.zone)).count()
     }
 
     /// Who samples here. The number of routers counts by steps of a quarter: a subset should last.
@@ -146,7 +146,7 @@
     }
 
     /// What an engine told another router lately.
-    pub fn hear(&mut self, told: &wire::msg::Pressure, now: u64) {
+    pub fn hear(&mut self, told: &protocol::msg::Pressure, now: u64) {
         let Some(at) = self.names.get(&told.name).copied() else { return };
         let time = now.saturating_sub(u64::from(told.age_ms));
         let engine = &mut self.list[at];
@@ -177,11 +177,11 @@
     }
 
     /// Takes a sheet; gives the ids of engines that just left or began to drain.
-    pub fn take(&mut self, sheet: &wire::msg::Sheet, now: u64) -> Vec<String> {
+    pub fn take(&mut self, sheet: &protocol::msg::Sheet, now: u64) -> Vec<String> {
         if !self.sheets.take(sheet) {
             return Vec::new();
         }
-        let candidate_zone = wire::version_rollout::candidate_zone(&sheet.zone);
+        let candidate_zone = protocol::version_rollout::candidate_zone(&sheet.zone);
         let candidate = candidate_zone.is_some();
         let zone = self.zone(candidate_zone.unwrap_or(&sheet.zone));
         let mut left = Vec::new();
@@ -225,7 +225,7 @@
         }
     }
 
-    fn add(&mut self, engine: &wire::msg::Engine, service: u32, zone: u32) -> usize {
+    fn add(&mut self, engine: &protocol::msg::Engine, service: u32, zone: u32) -> usize {
         let at = self.list.len();
         self.list.push(EngineState::new(engine, service, zone));
         self.names.insert(self.list[at].name, at);
--- a/engines/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -1,5 +1,5 @@
-fn sheet(count: u64, list: &[(&str, bool, u32)]) -> wire::msg::Sheet {
-    let engine = |(id, up, cold_ms): &(&str, bool, u32)| wire::msg::Engine {
+fn sheet(count: u64, list: &[(&str, bool, u32)]) -> protocol::msg::Sheet {
+    let engine = |(id, up, cold_ms): &(&str, bool, u32)| protocol::msg::Engine {
         id: id.to_string(),
         service: "s".into(),
         addr: format!("10.0.0.1:{}", 80 + id.len()),
@@ -10,7 +10,7 @@
         up: *up,
         cold_ms: *cold_ms,
     };
-    wire::msg::Sheet { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
+    protocol::msg::Sheet { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
 }
 
 #[test]
--- a/engines/src/floor.rs
+++ b/load_balancing/src/floor.rs
@@ -4,7 +4,7 @@
 //! can know of it. What is bound is sent only under a lease: one that lapsed refuses it.
 
 /// How long a lease lasts from the sending of the call that renewed it. Invariant: shorter than the lease
-/// that a keeper counts for its router.
+/// that a controller counts for its router.
 pub const LEASE_MS: u64 = 1200;
 /// How long after it is heard of a loosening takes effect: by then no router is bound by more that could
 /// not know of it.
@@ -24,7 +24,7 @@
 /// newest rule asks for.
 #[derive(Clone, Debug)]
 struct Held {
-    rule: wire::msg::Rule,
+    rule: protocol::msg::Rule,
     service: u32,
     floor: u64,
     routes: Vec<String>,
@@ -39,7 +39,7 @@
 
 impl Floors {
     /// True when the rule is newer than what was held.
-    pub fn take(&mut self, rule: &wire::msg::Rule, service: u32, now: u64) -> bool {
+    pub fn take(&mut self, rule: &protocol::msg::Rule, service: u32, now: u64) -> bool {
         let new = Held {
             rule: rule.clone(),
             service,
@@ -71,7 +71,7 @@
         true
     }
 
-    /// A keeper that is sure answered a call sent at `sent`, which told the versions held here as current.
+    /// A controller that is sure answered a call sent at `sent`, which told the versions held here as current.
     pub fn renew(&mut self, sent: u64) {
         self.lease_until = self.lease_until.max(sent + LEASE_MS);
     }
@@ -94,7 +94,7 @@
         limit
     }
 
-    /// The versions held, as told to keepers.
+    /// The versions held, as told to controllers.
     pub fn versions(&self) -> Vec<(String, u64)> {
         self.list.iter().map(|held| (held.rule.key(), held.rule.version)).collect()
     }
--- a/engines/src/floor_tests.rs
+++ b/load_balancing/src/floor_tests.rs
@@ -1,6 +1,6 @@
-fn rule(version: u64, latest: u64, lag: u64, routes: &[&str]) -> wire::msg::Rule {
+fn rule(version: u64, latest: u64, lag: u64, routes: &[&str]) -> protocol::msg::Rule {
     let routes = routes.iter().map(|route| route.to_string()).collect();
-    wire::msg::Rule { service: "s".into(), model: "m".into(), version, latest, lag, routes, ..Default::default() }
+    protocol::msg::Rule { service: "s".into(), model: "m".into(), version, latest, lag, routes, ..Default::default() }
 }
 
 fn limit(floors: &super::Floors, route: &str, now: u64) -> super::Limit {
@@ -39,7 +39,7 @@
         (limit(&floors, "r", early + 1), limit(&floors, "t", early + 1)),
         (super::Limit::From(5), super::Limit::Free)
     );
-    let gone = wire::msg::Rule { removed: true, ..rule(3, 10, 5, &["r", "u"]) };
+    let gone = protocol::msg::Rule { removed: true, ..rule(3, 10, 5, &["r", "u"]) };
     floors.take(&gone, 0, 4000);
     floors.renew(8000);
     assert_eq!(limit(&floors, "r", 4000 + super::EASE_MS - 1), super::Limit::From(5));
@@ -63,9 +63,9 @@
 const SEAT_MS: u64 = 1600;
 const WAIT_MS: u64 = SURE_MS + super::LEASE_MS + 200;
 
-/// A keeper: the version it knows, until when it is sure, what its routers told and until when they count.
+/// A controller: the version it knows, until when it is sure, what its routers told and until when they count.
 #[derive(Clone, Default)]
-struct Keeper {
+struct Controller {
     knows: u64,
     sure_until: u64,
     cut_until: u64,
@@ -74,7 +74,7 @@
     crew: std::collections::BTreeMap<usize, (u64, u64)>,
 }
 
-/// A router: its floors, its keeper, the next call, and until when it sleeps.
+/// A router: its floors, its controller, the next call, and until when it sleeps.
 struct Router {
     floors: super::Floors,
     home: usize,
@@ -95,7 +95,7 @@
     None,
     /// A raise is acknowledged at once.
     Hasty,
-    /// A keeper that has just started speaks for routers that it forgot.
+    /// A controller that has just started speaks for routers that it forgot.
     Forgetful,
 }
 
@@ -103,7 +103,7 @@
 fn play(seed: u64, fault: Fault) -> (u32, u32) {
     let hasty = fault == Fault::Hasty;
     let mut dice = kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9));
-    let mut keepers = vec![Keeper { knows: 1, ..Default::default() }; 4];
+    let mut controllers = vec![Controller { knows: 1, ..Default::default() }; 4];
     let mut routers: Vec<Router> = (0..8)
         .map(|at| {
             let mut floors = super::Floors::default();
@@ -114,17 +114,17 @@
     let mut mail: Vec<(u64, Mail)> = Vec::new();
     let (mut version, mut committed, mut acked, mut acks, mut wrong) = (1u64, 0u64, 1u64, 0, 0);
     for now in 1..30_000u64 {
-        // Keeper 0 carries the changes; the others read at a majority, unless they are cut off.
-        for (at, keeper) in keepers.iter_mut().enumerate() {
-            if now >= keeper.cut_until && (now + at as u64 * 90).is_multiple_of(350) {
-                keeper.knows = version;
-                keeper.sure_until = now + SURE_MS;
+        // Controller 0 carries the changes; the others read at a majority, unless they are cut off.
+        for (at, controller) in controllers.iter_mut().enumerate() {
+            if now >= controller.cut_until && (now + at as u64 * 90).is_multiple_of(350) {
+                controller.knows = version;
+                controller.sure_until = now + SURE_MS;
             }
             if dice.below(25_000) == 0 {
-                *keeper = Keeper { born: now, ..Default::default() };
+                *controller = Controller { born: now, ..Default::default() };
             }
             if at > 0 && dice.below(2500) == 0 {
-                keeper.cut_until = now + 300 + dice.below(4000);
+                controller.cut_until = now + 300 + dice.below(4000);
             }
         }
         for (at, router) in routers.iter_mut().enumerate() {
@@ -160,10 +160,10 @@
             }
             match letter {
                 Mail::Follow { router, sent, version } => {
-                    let keeper = &mut keepers[routers[router].home];
-                    keeper.crew.insert(router, (version, now + SEAT_MS));
-                    let sure = now < keeper.sure_until && version >= keeper.knows;
-                    let knows = keeper.knows;
+                    let controller = &mut controllers[routers[router].home];
+                    controller.crew.insert(router, (version, now + SEAT_MS));
+                    let sure = now < controller.sure_until && version >= controller.knows;
+                    let knows = controller.knows;
                     let late = now + 1 + dice.below(60);
                     if version < knows {
                         mail.push((late, Mail::Rule { router, version: knows }));
@@ -188,10 +188,10 @@
         // One raise at a time: committed, then acknowledged once all have settled or could be waited out.
         if acked == version && dice.below(700) == 0 {
             (version, committed) = (version + 1, now);
-            keepers[0].knows = version;
+            controllers[0].knows = version;
             if dice.below(4) == 0 {
-                // A keeper falls just then, and starts anew.
-                keepers[1 + dice.below(3) as usize] = Keeper { born: now, ..Default::default() };
+                // A controller falls just then, and starts anew.
+                controllers[1 + dice.below(3) as usize] = Controller { born: now, ..Default::default() };
             }
         }
         // The owner is lost in the middle of a raise: another one is asked again and begins to wait anew.
@@ -200,12 +200,12 @@
         }
         if acked < version && (hasty || (now - committed).is_multiple_of(60)) {
             let late = now >= committed + WAIT_MS;
-            let settled = |keeper: &Keeper| {
-                let live = keeper.crew.values().filter(|(_, until)| *until > now);
-                let grown = fault == Fault::Forgetful || now >= keeper.born + WAIT_MS || keeper.born == 0;
-                grown && keeper.knows >= version && live.into_iter().all(|(told, _)| *told >= version)
+            let settled = |controller: &Controller| {
+                let live = controller.crew.values().filter(|(_, until)| *until > now);
+                let grown = fault == Fault::Forgetful || now >= controller.born + WAIT_MS || controller.born == 0;
+                grown && controller.knows >= version && live.into_iter().all(|(told, _)| *told >= version)
             };
-            let good = keepers.iter().all(|keeper| (now < keeper.cut_until && late) || settled(keeper));
+            let good = controllers.iter().all(|controller| (now < controller.cut_until && late) || settled(controller));
             if good || hasty {
                 acked = version;
                 acks += 1;
@@ -232,6 +232,6 @@
 }
 
 #[test]
-fn the_simulation_shows_the_fault_when_a_new_keeper_speaks_for_those_it_forgot() {
+fn the_simulation_shows_the_fault_when_a_new_controller_speaks_for_those_it_forgot() {
     assert!((1..=60).any(|seed| play(seed, Fault::Forgetful).0 > 0), "a test that can't fail shows nothing");
 }
--- a/engines/src/place_tests.rs
+++ b/load_balancing/src/place_tests.rs
@@ -1,5 +1,5 @@
 fn engine_table() -> crate::engine_table::EngineTable {
-    let engine = |id: &str, zone: &str, phase: &str, up: bool| wire::msg::Engine {
+    let engine = |id: &str, zone: &str, phase: &str, up: bool| protocol::msg::Engine {
         id: id.into(),
         service: "s".into(),
         addr: "10.0.0.1:80".into(),
@@ -18,7 +18,7 @@
             engine(&format!("d-{zone}"), zone, "decode", true),
             engine(&format!("x-{zone}"), zone, "decode", false),
         ];
-        engine_table.take(&wire::msg::Sheet { zone: zone.into(), turn: 1, count: 1, list }, 0);
+        engine_table.take(&protocol::msg::Sheet { zone: zone.into(), turn: 1, count: 1, list }, 0);
     }
     engine_table
 }
--- a/engines/src/sheet.rs
+++ b/load_balancing/src/sheet.rs
@@ -19,14 +19,14 @@
 /// Invariant: the version (turn, count) of a zone's sheet never goes back.
 #[derive(Default)]
 pub struct Sheets {
-    list: std::collections::BTreeMap<String, wire::msg::Sheet>,
+    list: std::collections::BTreeMap<String, protocol::msg::Sheet>,
     /// Turns that others were told of: the next own poll goes above them.
     floor: std::collections::BTreeMap<String, u64>,
 }
 
 impl Sheets {
     /// True when the sheet is newer than what was held.
-    pub fn take(&mut self, sheet: &wire::msg::Sheet) -> bool {
+    pub fn take(&mut self, sheet: &protocol::msg::Sheet) -> bool {
         let held = self.list.get(&sheet.zone).map(|held| (held.turn, held.count));
         if held >= Some((sheet.turn, sheet.count)) {
             return false;
@@ -53,9 +53,9 @@
         zone: &str,
         turn: &mut u64,
         seat: u64,
-        list: Vec<wire::msg::Engine>,
+        list: Vec<protocol::msg::Engine>,
         known: Known,
-    ) -> Option<wire::msg::Sheet> {
+    ) -> Option<protocol::msg::Sheet> {
         if self.known(zone) != known {
             return None;
         }
@@ -69,17 +69,17 @@
             return None;
         }
         let count = held.filter(|held| held.turn == *turn).map_or(1, |held| held.count + 1);
-        let sheet = wire::msg::Sheet { zone: zone.into(), turn: *turn, count, list };
+        let sheet = protocol::msg::Sheet { zone: zone.into(), turn: *turn, count, list };
         self.list.insert(zone.into(), sheet.clone());
         Some(sheet)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &wire::msg::Sheet> {
+    pub fn all(&self) -> impl Iterator<Item = &protocol::msg::Sheet> {
         self.list.values()
     }
 
     /// Those that are newer than the versions told.
-    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<wire::msg::Sheet> {
+    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<protocol::msg::Sheet> {
         let version = |zone: &str| told.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
         self.list.values().filter(|held| Some((held.turn, held.count)) > version(&held.zone)).cloned().collect()
     }
@@ -88,9 +88,10 @@
         self.list.values().map(|sheet| (sheet.zone.clone(), sheet.turn, sheet.count)).collect()
     }
 
-    /// Someone holds lists of these turns: routers outlive the keepers that made them.
+    /// Someone holds lists of these turns: routers outlive the controllers that made them.
     pub fn raise(&mut self, told: &[(String, u64, u64)]) {
-        let is_list = |name: &str| !wire::msg::hidden(name) || wire::version_rollout::candidate_zone(name).is_some();
+        let is_list =
+            |name: &str| !protocol::msg::hidden(name) || protocol::version_rollout::candidate_zone(name).is_some();
         for (zone, turn, _) in told.iter().filter(|item| is_list(&item.0)) {
             let floor = self.floor.entry(zone.clone()).or_default();
             *floor = (*floor).max(*turn);
@@ -103,9 +104,11 @@
 }
 
 /// The same but for the running down of what is left of a cold time.
-fn alike(left: &[wire::msg::Engine], right: &[wire::msg::Engine]) -> bool {
-    let plain =
-        |engine: &wire::msg::Engine| wire::msg::Engine { cold_ms: u32::from(engine.cold_ms > 0), ..engine.clone() };
+fn alike(left: &[protocol::msg::Engine], right: &[protocol::msg::Engine]) -> bool {
+    let plain = |engine: &protocol::msg::Engine| protocol::msg::Engine {
+        cold_ms: u32::from(engine.cold_ms > 0),
+        ..engine.clone()
+    };
     left.len() == right.len() && left.iter().zip(right).all(|(one, two)| plain(one) == plain(two))
 }
 
--- a/engines/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -1,5 +1,5 @@
-fn engine(id: &str, cold_ms: u32) -> wire::msg::Engine {
-    wire::msg::Engine {
+fn engine(id: &str, cold_ms: u32) -> protocol::msg::Engine {
+    protocol::msg::Engine {
         id: id.into(),
         service: "s".into(),
         addr: "10.1.1.1:80".into(),
@@ -17,8 +17,8 @@
     list: &mut super::Sheets,
     turn: &mut u64,
     seat: u64,
-    engines: Vec<wire::msg::Engine>,
-) -> Option<wire::msg::Sheet> {
+    engines: Vec<protocol::msg::Engine>,
+) -> Option<protocol::msg::Sheet> {
     let known = list.known("a");
     list.poll("a", turn, seat, engines, known)
 }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_poller_goes_above_what_a_router_kept_from_before_all_keepers_fell() {
+fn a_poller_goes_above_what_a_router_kept_from_before_all_controllers_fell() {
     let (mut old, mut router) = (super::Sheets::default(), super::Sheets::default());
     let mut turn = 0;
     router.take(&poll(&mut old, &mut turn, 9, vec![engine("i-1", 0)]).expect("new"));
--- a/roster/src/duty.rs
+++ b/membership/src/duty.rs
@@ -1,14 +1,14 @@
 //! When a duty may be taken and when its holder may act: pure.
 
-/// What a keeper knows when it looks at a duty.
+/// What a controller knows when it looks at a duty.
 #[derive(Clone, Copy, Debug)]
 pub struct Look<'a> {
     pub me: &'a str,
     /// The holder that a majority was last seen to name; empty: nobody yet.
     pub holder: &'a str,
-    /// How long the holder has been unable to act, as seen by a keeper that was sure all the while.
+    /// How long the holder has been unable to act, as seen by a controller that was sure all the while.
     pub absent_ms: u64,
-    /// Is this keeper the first in the agreed order that is able?
+    /// Is this controller the first in the agreed order that is able?
     pub first: bool,
     pub lease_ms: u64,
 }
@@ -19,8 +19,8 @@
     look.holder == look.me || (gone && look.first)
 }
 
-/// Since when a keeper has been sure without a break. While nobody reaches a majority the holder can't
-/// act either; that time must not count against it, or each keeper that is back before it would take its
+/// Since when a controller has been sure without a break. While nobody reaches a majority the holder can't
+/// act either; that time must not count against it, or each controller that is back before it would take its
 /// duties.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SureStreak(Option<u64>);
@@ -41,7 +41,7 @@
 pub struct Held {
     pub since: u64,
     /// Nobody else can have acted lately: there was no holder before, or the last one was an earlier
-    /// life of this keeper that had said in the register that it had waited.
+    /// life of this controller that had said in the register that it had waited.
     pub own: bool,
     /// When the read began that last confirmed this epoch at a majority.
     pub sure_at: u64,
--- a/roster/src/duty_tests.rs
+++ b/membership/src/duty_tests.rs
@@ -1,4 +1,4 @@
-//! Keepers that are cut off, freeze, fall and wake, in virtual time: no two holders of a duty act within
+//! Controllers that are cut off, freeze, fall and wake, in virtual time: no two holders of a duty act within
 //! a lease of each other, and epochs only rise.
 
 #[path = "duty_world.rs"]
@@ -43,7 +43,7 @@
     assert!((1..=60).any(|seed| !run(seed, true).sound()), "a test that can't fail shows nothing");
 }
 
-/// A duty that is held, then a cut of 20 s between its holder and the keeper next in order alone. Both
+/// A duty that is held, then a cut of 20 s between its holder and the controller next in order alone. Both
 /// reach the third, so both confirm at a majority, and each takes itself for the first.
 fn cut_between_the_first_two(own_ears_only: bool) -> (u64, usize) {
     let mut world = World::new(0, false);
@@ -52,8 +52,9 @@
     while world.now < 15_000 {
         world.step();
     }
-    let order = world.keepers[0].roster.order("", DUTY);
-    let place = |name: &String| world.keepers.iter().position(|keeper| keeper.name == *name).expect("known");
+    let order = world.controllers[0].roster.order("", DUTY);
+    let place =
+        |name: &String| world.controllers.iter().position(|controller| controller.name == *name).expect("known");
     let (first, second) = (place(&order[0]), place(&order[1]));
     world.pair_cut_until[first.min(second)][first.max(second)] = world.now + 20_000;
     let (epoch, acts) = (world.register.0, world.acts.len());
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_cut_between_two_keepers_does_not_pass_a_duty_to_and_fro() {
+fn a_cut_between_two_controllers_does_not_pass_a_duty_to_and_fro() {
     let (epochs, acts) = cut_between_the_first_two(false);
     assert_eq!(epochs, 0, "the holder is alive and confirmed");
     assert!(acts > 300, "it goes on with its work: {acts} acts");
@@ -81,8 +82,8 @@
         world.step();
     }
     let holder = world.register.1.clone();
-    let place = world.keepers.iter().position(|keeper| keeper.name == holder).expect("held");
-    world.keepers[place].deaf_until = world.now + 20_000;
+    let place = world.controllers.iter().position(|controller| controller.name == holder).expect("held");
+    world.controllers[place].deaf_until = world.now + 20_000;
     while world.now < 30_000 {
         world.step();
     }
@@ -105,7 +106,7 @@
         }
         let register = world.register.clone();
         for at in 0..3 {
-            world.keepers[at].deaf_until = world.now + 20_000 + if at == first_back { 0 } else { 2000 };
+            world.controllers[at].deaf_until = world.now + 20_000 + if at == first_back { 0 } else { 2000 };
         }
         while world.now < 45_000 {
             world.step();
--- a/roster/src/duty_world.rs
+++ b/membership/src/duty_world.rs
@@ -1,9 +1,9 @@
-//! The world of the duty tests: three keepers and the register, in virtual time.
+//! The world of the duty tests: three controllers and the register, in virtual time.
 
 pub const LEASE: u64 = 3000;
 pub const SURE: u64 = 1100;
 pub const BEAT: u64 = 350;
-/// A keeper that has just started first listens for this long.
+/// A controller that has just started first listens for this long.
 pub const LISTEN: u64 = 1200;
 /// The longest that an order is on its way.
 const ON_ITS_WAY: u64 = 800;
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone)]
-pub struct Keeper {
+pub struct Controller {
     pub name: String,
     /// No beat, no look and no act before then.
     pub asleep_until: u64,
@@ -39,8 +39,8 @@
 pub struct World {
     pub now: u64,
     pub dice: kernel::clock::Dice,
-    pub keepers: Vec<Keeper>,
-    /// Until when two keepers are cut off from each other alone.
+    pub controllers: Vec<Controller>,
+    /// Until when two controllers are cut off from each other alone.
     pub pair_cut_until: [[u64; 3]; 3],
     /// The register that a majority holds: epoch, holder, and whether it has waited.
     pub register: (u64, String, bool),
@@ -60,7 +60,7 @@
 
 impl World {
     pub fn new(seed: u64, hasty: bool) -> World {
-        let keeper = |at: usize| Keeper {
+        let controller = |at: usize| Controller {
             name: format!("k{at}"),
             asleep_until: 0,
             cut_until: 0,
@@ -77,7 +77,7 @@
         World {
             now: 0,
             dice: kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9)),
-            keepers: (0..3).map(keeper).collect(),
+            controllers: (0..3).map(controller).collect(),
             pair_cut_until: [[0; 3]; 3],
             register: (0, String::new(), false),
             acts: Vec::new(),
@@ -88,20 +88,20 @@
     }
 
     fn up(&self, at: usize) -> bool {
-        self.now >= self.keepers[at].asleep_until
+        self.now >= self.controllers[at].asleep_until
     }
 
     fn linked(&self, one: usize, two: usize) -> bool {
         self.up(one)
             && self.up(two)
-            && self.keepers[one].cut_until <= self.now
-            && self.keepers[two].cut_until <= self.now
+            && self.controllers[one].cut_until <= self.now
+            && self.controllers[two].cut_until <= self.now
             && self.pair_cut_until[one.min(two)][one.max(two)] <= self.now
     }
 
     fn majority(&self, at: usize) -> bool {
         let reached = (0..3).filter(|other| *other == at || self.linked(at, *other)).count();
-        reached >= 2 && self.now >= self.keepers[at].deaf_until
+        reached >= 2 && self.now >= self.controllers[at].deaf_until
     }
 
     fn trouble(&mut self) {
@@ -111,19 +111,19 @@
         let at = self.dice.below(3) as usize;
         let span = 200 + self.dice.below(7000);
         match self.dice.below(5) {
-            0 => self.keepers[at].asleep_until = self.now + span,
-            1 => self.keepers[at].cut_until = self.now + span,
-            2 => self.keepers[at].deaf_until = self.now + span,
+            0 => self.controllers[at].asleep_until = self.now + span,
+            1 => self.controllers[at].cut_until = self.now + span,
+            2 => self.controllers[at].deaf_until = self.now + span,
             3 => {
                 let other = (at + 1) % 3;
                 self.pair_cut_until[at.min(other)][at.max(other)] = self.now + span;
             }
             _ => {
                 // A new life: nothing is remembered but what the register holds.
-                let old = &self.keepers[at];
+                let old = &self.controllers[at];
                 let lives = old.lives + 1;
                 let asleep_until = self.now + self.dice.below(1000);
-                self.keepers[at] = Keeper {
+                self.controllers[at] = Controller {
                     asleep_until,
                     lives,
                     started: self.now,
@@ -148,8 +148,8 @@
             }
             self.gossip(at);
             if self.majority(at) {
-                self.keepers[at].board = self.register.clone();
-                self.keepers[at].sure_at = Some(self.now);
+                self.controllers[at].board = self.register.clone();
+                self.controllers[at].sure_at = Some(self.now);
             }
             self.take(at);
         }
@@ -161,14 +161,14 @@
     }
 
     fn gossip(&mut self, at: usize) {
-        let (name, now) = (self.keepers[at].name.clone(), self.now);
-        let own = &self.keepers[at].roster;
-        let vouches = own.keepers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
-        let sure = self.keepers[at].sure_at.is_some_and(|time| now < time + SURE);
+        let (name, now) = (self.controllers[at].name.clone(), self.now);
+        let own = &self.controllers[at].roster;
+        let vouches = own.controllers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
+        let sure = self.controllers[at].sure_at.is_some_and(|time| now < time + SURE);
         let report = crate::PeerReport { sure, vouches, ..Default::default() };
         for other in (0..3).filter(|other| *other != at) {
             if self.linked(at, other) {
-                let roster = &mut self.keepers[other].roster;
+                let roster = &mut self.controllers[other].roster;
                 roster.hear(&name, crate::Peer { heard: now, ..Default::default() });
                 roster.report(&name, report.clone(), now);
             }
@@ -176,44 +176,46 @@
     }
 
     fn take(&mut self, at: usize) {
-        if self.now < self.keepers[at].started + LISTEN {
+        if self.now < self.controllers[at].started + LISTEN {
             return;
         }
-        let keeper = &self.keepers[at];
-        let sure = keeper.sure_at.is_some_and(|time| self.now < time + SURE);
-        let held = keeper.held.is_some_and(|(epoch, _)| epoch == keeper.board.0 && keeper.board.1 == keeper.name);
-        let sure_ms = self.keepers[at].streak.sure_ms(sure, self.now);
-        let keeper = &self.keepers[at];
+        let controller = &self.controllers[at];
+        let sure = controller.sure_at.is_some_and(|time| self.now < time + SURE);
+        let held = controller
+            .held
+            .is_some_and(|(epoch, _)| epoch == controller.board.0 && controller.board.1 == controller.name);
+        let sure_ms = self.controllers[at].streak.sure_ms(sure, self.now);
+        let controller = &self.controllers[at];
         if !sure || held {
             return;
         }
-        let holder = keeper.board.1.clone();
+        let holder = controller.board.1.clone();
         let absent_ms = match self.own_ears_only {
-            true => keeper.roster.silent(&holder, self.now),
-            false => keeper.roster.absent_ms(&holder, self.now).min(sure_ms),
+            true => controller.roster.silent(&holder, self.now),
+            false => controller.roster.absent_ms(&holder, self.now).min(sure_ms),
         };
         let look = crate::duty::Look {
-            me: &keeper.name,
+            me: &controller.name,
             holder: &holder,
             absent_ms,
-            first: keeper.roster.first_sure(DUTY, self.now).as_ref() == Some(&keeper.name),
+            first: controller.roster.first_sure(DUTY, self.now).as_ref() == Some(&controller.name),
             lease_ms: LEASE,
         };
-        if !crate::duty::may_take(look) || !self.majority(at) || self.register.0 != keeper.board.0 {
+        if !crate::duty::may_take(look) || !self.majority(at) || self.register.0 != controller.board.0 {
             return;
         }
-        let own = holder.is_empty() || (holder == keeper.name && keeper.held.is_none() && keeper.board.2);
-        let name = keeper.name.clone();
+        let own = holder.is_empty() || (holder == controller.name && controller.held.is_none() && controller.board.2);
+        let name = controller.name.clone();
         let epoch = self.register.0 + 1;
         if !self.change((epoch, name, own)) {
             return;
         }
         let held = crate::duty::Held { since: self.now, own: own || self.hasty, sure_at: self.now };
         let register = self.register.clone();
-        let keeper = &mut self.keepers[at];
-        keeper.held = Some((epoch, held));
-        keeper.declared = own;
-        keeper.board = register;
+        let controller = &mut self.controllers[at];
+        controller.held = Some((epoch, held));
+        controller.declared = own;
+        controller.board = register;
     }
 
     /// A round of the register. False: its outcome is unknown, whether it was carried out or not.
@@ -226,21 +228,21 @@
     }
 
     fn act(&mut self, at: usize) {
-        let keeper = &self.keepers[at];
-        let (Some((epoch, held)), Some(sure_at)) = (keeper.held, keeper.sure_at) else { return };
-        if (keeper.board.0, &keeper.board.1) != (epoch, &keeper.name) {
+        let controller = &self.controllers[at];
+        let (Some((epoch, held)), Some(sure_at)) = (controller.held, controller.sure_at) else { return };
+        if (controller.board.0, &controller.board.1) != (epoch, &controller.name) {
             return;
         }
         if crate::duty::may_act(crate::duty::Held { sure_at, ..held }, self.now, false, LEASE, SURE) {
             // Said in the register before the first act, so that the next life need not wait again.
-            if !keeper.declared {
-                let holder = keeper.name.clone();
+            if !controller.declared {
+                let holder = controller.name.clone();
                 let known = self.majority(at) && self.register.0 == epoch && self.change((epoch, holder, true));
-                self.keepers[at].declared |= known;
+                self.controllers[at].declared |= known;
                 return;
             }
-            if keeper.declared {
-                let act = Act { at: self.now + self.dice.below(ON_ITS_WAY), epoch, holder: keeper.name.clone() };
+            if controller.declared {
+                let act = Act { at: self.now + self.dice.below(ON_ITS_WAY), epoch, holder: controller.name.clone() };
                 self.acts.push(act);
             }
         }
--- a/roster/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Who is there: leases of keepers and routers, and the order in which duties fall to them. Pure:
+//! Who is there: leases of controllers and routers, and the order in which duties fall to them. Pure:
 //! time comes in with every call.
 
 pub mod able;
@@ -36,7 +36,7 @@
 pub struct PeerReport {
     /// It confirmed its state at a majority a moment ago.
     pub sure: bool,
-    /// Keepers that it hears and that are sure.
+    /// Controllers that it hears and that are sure.
     pub vouches: Vec<String>,
     /// It gets no answer from the platform.
     pub platform_unreachable: bool,
@@ -49,7 +49,7 @@
     pub me: String,
     pub zone: String,
     pub span: u64,
-    pub keepers: std::collections::BTreeMap<String, Peer>,
+    pub controllers: std::collections::BTreeMap<String, Peer>,
     pub routers: std::collections::BTreeMap<String, RouterLease>,
     /// Engines about to change their part, by own order, and until when.
     pub resting: Vec<(String, u64)>,
@@ -69,9 +69,9 @@
     }
 
     pub fn hear(&mut self, ip: &str, peer: Peer) {
-        let held = self.keepers.get(ip).map_or(0, |held| held.heard);
+        let held = self.controllers.get(ip).map_or(0, |held| held.heard);
         let heard = held.max(peer.heard);
-        self.keepers.insert(ip.into(), Peer { heard, ..peer });
+        self.controllers.insert(ip.into(), Peer { heard, ..peer });
     }
 
     pub fn lease(&mut self, router: &str, until: u64, busy: Vec<(String, u32)>, door: String) {
@@ -88,7 +88,7 @@
     pub fn door(&self, now: u64, turn: usize) -> Option<String> {
         let mut list = self.own_doors();
         if list.is_empty() {
-            let live = self.keepers.values().filter(|peer| now < peer.heard + self.span);
+            let live = self.controllers.values().filter(|peer| now < peer.heard + self.span);
             list = live.flat_map(|peer| peer.doors.clone()).collect();
         }
         let at = turn.checked_rem(list.len())?;
@@ -107,22 +107,22 @@
     /// The same from all routers.
     pub fn pressure(&self, now: u64) -> std::collections::HashMap<String, u32> {
         let mut sum: std::collections::HashMap<String, u32> = self.own_pressure().into_iter().collect();
-        let live = self.keepers.values().filter(|peer| now < peer.heard + self.span);
+        let live = self.controllers.values().filter(|peer| now < peer.heard + self.span);
         for (id, busy) in live.flat_map(|peer| &peer.busy) {
             *sum.entry(id.clone()).or_default() += busy;
         }
         sum
     }
 
-    /// Engines that this keeper is about to order to change their part.
+    /// Engines that this controller is about to order to change their part.
     pub fn own_resting(&self, now: u64) -> Vec<String> {
         self.resting.iter().filter(|(_, until)| *until > now).map(|(id, _)| id.clone()).collect()
     }
 
-    /// The same from all keepers.
+    /// The same from all controllers.
     pub fn resting(&self, now: u64) -> Vec<String> {
         let mut list = self.own_resting(now);
-        let far = self.keepers.values().flat_map(|peer| &peer.resting);
+        let far = self.controllers.values().flat_map(|peer| &peer.resting);
         list.extend(far.filter(|(_, until)| *until > now).map(|(id, _)| id.clone()));
         list
     }
@@ -132,9 +132,9 @@
         self.routers.retain(|_, lease| lease.until > now);
     }
 
-    /// Was a keeper heard within the span?
+    /// Was a controller heard within the span?
     pub fn live(&self, ip: &str, now: u64) -> bool {
-        ip == self.me || self.keepers.get(ip).is_some_and(|peer| now < peer.heard + self.span)
+        ip == self.me || self.controllers.get(ip).is_some_and(|peer| now < peer.heard + self.span)
     }
 
     /// How long a peer has been silent; never heard counts as for ever.
@@ -142,7 +142,7 @@
         if ip == self.me {
             return 0;
         }
-        self.keepers.get(ip).map_or(u64::MAX, |peer| now.saturating_sub(peer.heard))
+        self.controllers.get(ip).map_or(u64::MAX, |peer| now.saturating_sub(peer.heard))
     }
 
     /// A peer told of others.
@@ -158,13 +158,13 @@
         self.sure_heard.get(ip).map_or(u64::MAX, |heard| now.saturating_sub(*heard))
     }
 
-    /// Is a keeper heard here, and sure? Others are told so.
+    /// Is a controller heard here, and sure? Others are told so.
     pub fn vouches_for(&self, ip: &str, now: u64) -> bool {
         self.live(ip, now) && self.unsure_ms(ip, now) < self.span
     }
 
-    /// How long a keeper has been unable to do a duty, as far as is known: not heard to be sure, here or
-    /// by any live peer. A cut between two keepers alone makes neither of them absent, and one that is
+    /// How long a controller has been unable to do a duty, as far as is known: not heard to be sure, here or
+    /// by any live peer. A cut between two controllers alone makes neither of them absent, and one that is
     /// heard but reaches no majority is.
     pub fn absent_ms(&self, ip: &str, now: u64) -> u64 {
         if ip == self.me {
@@ -183,7 +183,7 @@
         self.order("", duty).into_iter().find(|ip| *ip == self.me || self.vouches_for(ip, now))
     }
 
-    /// Who polls the platform for a zone: the first live keeper in the order that reaches the platform,
+    /// Who polls the platform for a zone: the first live controller in the order that reaches the platform,
     /// or the first live one while none does.
     pub fn poller(&self, zone: &str, now: u64) -> String {
         let reaches = |ip: &String| match *ip == self.me {
@@ -195,29 +195,29 @@
         first.cloned().unwrap_or_else(|| self.me.clone())
     }
 
-    /// The zone of a keeper; empty while it is not known.
+    /// The zone of a controller; empty while it is not known.
     pub fn zone_of(&self, ip: &str) -> &str {
         if ip == self.me {
             return &self.zone;
         }
-        self.keepers.get(ip).map_or("", |peer| peer.zone.as_str())
+        self.controllers.get(ip).map_or("", |peer| peer.zone.as_str())
     }
 
-    /// How many routers hold a lease anywhere, by which shared bounds are cut. A keeper that is not sure may
+    /// How many routers hold a lease anywhere, by which shared bounds are cut. A controller that is not sure may
     /// be cut off from the others and their routers: it never tells less than when it was last sure, or
     /// each side of a cut would take the whole of a bound.
     pub fn seats(&mut self, now: u64, sure: bool) -> u32 {
-        let far = self.keepers.values().filter(|peer| now < peer.heard + 2 * self.span);
+        let far = self.controllers.values().filter(|peer| now < peer.heard + 2 * self.span);
         let own = self.routers.values().filter(|lease| lease.until > now).count() as u32;
         let count = own + far.map(|peer| peer.seats).sum::<u32>();
         self.sure_seats = if sure { count } else { self.sure_seats.max(count) };
         self.sure_seats
     }
 
-    /// The agreed order of keepers for a duty bound to a zone: that zone's own first, the rest by
+    /// The agreed order of controllers for a duty bound to a zone: that zone's own first, the rest by
     /// a hash of duty and address, so that duties spread.
     pub fn order(&self, zone: &str, duty: &str) -> Vec<String> {
-        let mut list: Vec<String> = self.keepers.keys().cloned().collect();
+        let mut list: Vec<String> = self.controllers.keys().cloned().collect();
         if !list.contains(&self.me) {
             list.push(self.me.clone());
         }
--- a/roster/src/lib_tests.rs
+++ b/membership/src/lib_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn all_keepers_agree_on_an_order() {
+fn all_controllers_agree_on_an_order() {
     let mut one = super::Roster::new("10.0.0.1", "a", 1000);
     let mut two = super::Roster::new("10.0.0.2", "b", 1000);
     one.hear("10.0.0.2", peer("b", 1));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_keeper_that_is_cut_off_goes_on_counting_the_routers_of_the_others() {
+fn a_controller_that_is_cut_off_goes_on_counting_the_routers_of_the_others() {
     let mut list = super::Roster::new("10.0.0.1", "a", 1000);
     list.lease("edge-1", 60_000, Vec::new(), String::new());
     list.hear("10.0.0.2", peer("b", 100));
@@ -81,5 +81,5 @@
     list.lease("edge-2", 60_000, Vec::new(), String::new());
     list.hear("10.0.0.2", peer("b", 30_000));
     assert_eq!(list.seats(30_000, false), 5);
-    assert_eq!(list.seats(40_000, true), 2, "at a majority again: the other keeper and its routers are gone");
+    assert_eq!(list.seats(40_000, true), 2, "at a majority again: the other controller and its routers are gone");
 }
--- a/roster/src/platform_access.rs
+++ b/membership/src/platform_access.rs
@@ -1,9 +1,9 @@
-//! Whether this keeper reaches the platform. One that is cut off from it must not stay the poller of a
+//! Whether this controller reaches the platform. One that is cut off from it must not stay the poller of a
 //! zone: its list would go stale while it looks alive to all others.
 
 /// So many polls in a row without an answer show that the platform is out of reach.
 const FAILURES: u32 = 3;
-/// How long another keeper is left to poll before this one tries again.
+/// How long another controller is left to poll before this one tries again.
 const YIELD_MS: u64 = 5000;
 
 #[derive(Clone, Debug, Default)]
--- a/roster/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -1,17 +1,17 @@
-//! Three keepers that poll one zone's list, some of them cut off from the platform, in virtual time.
+//! Three controllers that poll one zone's list, some of them cut off from the platform, in virtual time.
 
 use super::PlatformAccess;
 
 const SPAN: u64 = 1100;
 const BEAT: u64 = 350;
 const POLL: u64 = 600;
-const KEEPERS: usize = 3;
+const CONTROLLERS: usize = 3;
 
 struct World {
     now: u64,
     rosters: Vec<crate::Roster>,
-    /// Until when each keeper is cut off from the platform.
-    cut_until: [u64; KEEPERS],
+    /// Until when each controller is cut off from the platform.
+    cut_until: [u64; CONTROLLERS],
     /// When a poll last succeeded, and by whom.
     polled: (u64, usize),
 }
@@ -22,8 +22,8 @@
 
 impl World {
     fn new() -> World {
-        let rosters = (0..KEEPERS).map(|at| crate::Roster::new(&name(at), "zone", SPAN)).collect();
-        World { now: 0, rosters, cut_until: [0; KEEPERS], polled: (0, KEEPERS) }
+        let rosters = (0..CONTROLLERS).map(|at| crate::Roster::new(&name(at), "zone", SPAN)).collect();
+        World { now: 0, rosters, cut_until: [0; CONTROLLERS], polled: (0, CONTROLLERS) }
     }
 
     fn step(&mut self) {
@@ -31,7 +31,7 @@
         if self.now.is_multiple_of(BEAT) {
             self.gossip();
         }
-        for at in 0..KEEPERS {
+        for at in 0..CONTROLLERS {
             if (self.now + at as u64 * 31).is_multiple_of(POLL) {
                 self.poll(at);
             }
@@ -39,9 +39,9 @@
     }
 
     fn gossip(&mut self) {
-        for from in 0..KEEPERS {
+        for from in 0..CONTROLLERS {
             let platform_unreachable = self.rosters[from].access.unreachable(self.now);
-            for to in (0..KEEPERS).filter(|to| *to != from) {
+            for to in (0..CONTROLLERS).filter(|to| *to != from) {
                 let peer = crate::Peer { zone: "zone".into(), heard: self.now, ..Default::default() };
                 self.rosters[to].hear(&name(from), peer);
                 let report = crate::PeerReport { platform_unreachable, ..Default::default() };
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn another_keeper_polls_while_the_first_is_cut_off_from_the_platform() {
+fn another_controller_polls_while_the_first_is_cut_off_from_the_platform() {
     let mut world = World::new();
     world.run_until(3000);
     let first = world.polled.1;
@@ -93,7 +93,7 @@
     for end in (5000..20_000).step_by(271) {
         let mut world = World::new();
         world.run_until(2000);
-        world.cut_until = [end; KEEPERS];
+        world.cut_until = [end; CONTROLLERS];
         world.run_until(end + 2 * POLL + BEAT);
         assert!(world.polled.0 >= end, "end {end}: the last poll was at {}", world.polled.0);
     }
--- a/wire/src/capability.rs
+++ b/protocol/src/capability.rs
@@ -5,14 +5,14 @@
 /// of the zone without a name, which no sheet has: those that know nothing of it pass it over.
 pub const READS: u64 = 5;
 
-/// Keepers from this version on count joint quorums while the core changes.
+/// Controllers from this version on count joint quorums while the core changes.
 pub const JOINT_QUORUMS: u64 = 3;
-/// Keepers from this version on take orders that others relay, and changes in place of whole entries.
+/// Controllers from this version on take orders that others relay, and changes in place of whole entries.
 pub const RELAYED_ORDERS: u64 = 3;
-/// Keepers from this version on read bodies of the configuration with cryptographic digests, and make a told change of
+/// Controllers from this version on read bodies of the configuration with cryptographic digests, and make a told change of
 /// named items to the letter as its committer did.
 pub const DIGESTED_BODIES: u64 = 4;
-/// Keepers from this version on take `EvacuateFrom`.
+/// Controllers from this version on take `EvacuateFrom`.
 pub const VERSIONED_EVACUATIONS: u64 = 4;
 /// Routers from this version on take `Renewed` as the answer to `Follow`.
 pub const CONFIRMED_NEWS: u64 = 4;
@@ -35,7 +35,7 @@
     format!("\0{name}")
 }
 
-/// Told by a keeper whose process is about to end.
+/// Told by a controller whose process is about to end.
 pub fn leaving() -> (String, u64, u64) {
     (hide(LEAVING), 1, 0)
 }
--- a/wire/src/change.rs
+++ b/protocol/src/change.rs
@@ -11,7 +11,7 @@
 const UNPACKED_MOST: usize = 64 * 1024 * 1024;
 
 /// The way from one revision to another. Invariants: `from` is 0 for a whole one; otherwise it applies only
-/// to the revision `from`. What it names was checked by the keeper that made it.
+/// to the revision `from`. What it names was checked by the controller that made it.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Change {
     pub from: u64,
@@ -71,7 +71,7 @@
         rkyv::from_bytes::<Change, rkyv::rancor::Error>(&unpack(packed)?).ok()
     }
 
-    /// The packed form: after a loss of power everywhere all routers of a keeper ask for the whole at once.
+    /// The packed form: after a loss of power everywhere all routers of a controller ask for the whole at once.
     pub fn write(&self) -> Vec<u8> {
         let body = rkyv::to_bytes::<rkyv::rancor::Error>(self).expect("a change can always be written");
         [&LAYOUT[..], &lz4_flex::compress_prepend_size(&body)].concat()
--- a/wire/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -94,7 +94,7 @@
         let checked = Checked::read(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
         prop_assert_eq!(checked.text(), &text);
         prop_assert_eq!(Some(checked.revision()), value["revision"].as_u64());
-        prop_assert_eq!(Checked::read_committed(&text), Ok(checked.clone()), "a keeper reads what was judged");
+        prop_assert_eq!(Checked::read_committed(&text), Ok(checked.clone()), "a controller reads what was judged");
         let packed = crate::change::Change::whole(checked.config()).write();
         prop_assert_eq!(crate::change::Change::read(&packed), Some(crate::change::Change::whole(checked.config())));
     }
--- a/wire/src/msg.rs
+++ b/protocol/src/msg.rs
@@ -163,7 +163,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct News {
-    /// The keeper confirmed its versions at a majority a moment ago.
+    /// The controller confirmed its versions at a majority a moment ago.
     pub sure: bool,
     pub config: Option<(u64, Vec<u8>)>,
     /// Area, version, whether it is being evacuated.
@@ -202,7 +202,7 @@
     Flushed(Box<(u64, u32)>),
     /// Committed: a key and what it now holds.
     Learn(Box<(String, Entry)>),
-    /// An engine gave a router no sign of life; true: already passed on by a keeper.
+    /// An engine gave a router no sign of life; true: already passed on by a controller.
     Doubt(Box<(String, bool)>),
     No(Box<u16>),
     /// A configuration, whole or as a change: the bytes of `crate::change::Change`. Since version 2.
@@ -216,11 +216,11 @@
     Rule(Box<Rule>),
     /// The weight versions of a zone's engines as its poller saw them. Since version 2.
     Versions(Box<Versions>),
-    /// Have all routers that hold a lease at this keeper confirmed a rule? Its key and version. Since version 2.
+    /// Have all routers that hold a lease at this controller confirmed a rule? Its key and version. Since version 2.
     Settle(Box<(String, u64)>),
     /// Routers that hold a lease, and those of them that confirmed. Since version 2.
     Settled(Box<(u32, u32)>),
-    /// An operator's order, to the keeper that is home to its key. Since version 3.
+    /// An operator's order, to the controller that is home to its key. Since version 3.
     Order(Box<crate::order::Order>),
     OrderDone(Box<crate::order::OrderResult>),
     /// As `Learn`, for those that hold the entry before. Since version 3.
@@ -232,7 +232,7 @@
     /// One token of a tenant's limit. Since version 5.
     Spend(Box<crate::quota::Spend>),
     Spent(Box<crate::quota::Spent>),
-    /// The keepers that may hold shards of tenants' limits, as a keeper sees them. Since version 5.
+    /// The controllers that may hold shards of tenants' limits, as a controller sees them. Since version 5.
     Holders(Box<Vec<crate::quota::ShardHolder>>),
     /// What have the shards held there given? Since version 5.
     Usage(Box<u16>),
--- a/wire/src/order.rs
+++ b/protocol/src/order.rs
@@ -1,4 +1,4 @@
-//! Operators' orders as keepers relay them to the one that is home to their key, and how what became of
+//! Operators' orders as controllers relay them to the one that is home to their key, and how what became of
 //! them reaches the others.
 use crate::msg::Ballot;
 
@@ -46,7 +46,7 @@
     Unclear,
 }
 
-/// A key has a newer committed entry, told to keepers that hold the one before it. Invariant: whoever holds
+/// A key has a newer committed entry, told to controllers that hold the one before it. Invariant: whoever holds
 /// a body with the digest `before` gets one with the digest `after` by making the change.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Advance {
--- a/wire/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -1,6 +1,6 @@
-//! What routers and keepers say about tenants' limits. Since version 5.
+//! What routers and controllers say about tenants' limits. Since version 5.
 
-/// A request for one token of a tenant, to a keeper that holds a shard of its bucket.
+/// A request for one token of a tenant, to a controller that holds a shard of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Spend {
     /// The tenant's name.
@@ -21,11 +21,11 @@
         /// Milliseconds until its next token.
         retry_after_ms: u64,
     },
-    /// The keeper holds no shard of the tenant, or can't know that it still does.
+    /// The controller holds no shard of the tenant, or can't know that it still does.
     NotHeld,
 }
 
-/// A keeper that may hold shards.
+/// A controller that may hold shards.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ShardHolder {
     /// Its address.
--- a/wire/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -101,7 +101,7 @@
     pub order: u64,
     /// By route and version.
     pub list: Vec<RouteSamples>,
-    /// Passed on by a keeper already.
+    /// Passed on by a controller already.
     pub is_relayed: bool,
 }
 
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of keepers and routers in virtual time, for tests: keepers confirm themselves at a majority and hear of one
+//! A fleet of controllers and routers in virtual time, for tests: controllers confirm themselves at a majority and hear of one
 //! another as the real ones do (`roster`), and everything may be cut off, frozen, killed or lose its memory.
 
 use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, Spent, TAKE_OVER_MS};
@@ -19,23 +19,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
     Sound,
-    /// What a keeper held is taken over as soon as it is not heard.
+    /// What a controller held is taken over as soon as it is not heard.
     TakesOverAtOnce,
-    /// A keeper gives whether it is confirmed or not.
+    /// A controller gives whether it is confirmed or not.
     GivesWithoutLease,
     /// Who takes a shard over begins with a full one.
     BeginsFull,
 }
 
 pub struct Size {
-    pub keepers: usize,
+    pub controllers: usize,
     pub zones: usize,
     pub routers: usize,
 }
 
-struct Keeper {
+struct Controller {
     at: Holder,
-    roster: roster::Roster,
+    roster: membership::Roster,
     shards: Shards,
     confirmed_at: Option<u64>,
     frozen_until: u64,
@@ -79,7 +79,7 @@
     /// Times of sends, by tenant.
     pub sends: Vec<Vec<u64>>,
     zones: usize,
-    keepers: Vec<Keeper>,
+    controllers: Vec<Controller>,
     routers: Vec<Router>,
     zone_cut_until: Vec<u64>,
     pair_cut_until: Vec<u64>,
@@ -87,9 +87,9 @@
 
 impl Fleet {
     pub fn new(size: &Size, tenants: Vec<Tenant>, variant: Variant, seed: u64) -> Fleet {
-        let keeper = |at: usize| {
+        let controller = |at: usize| {
             let place = Holder { ip: format!("10.0.{}.1", at), zone: format!("z{}", at % size.zones) };
-            new_keeper(place, variant)
+            new_controller(place, variant)
         };
         let router = |at: usize| Router {
             zone: at % size.zones,
@@ -107,10 +107,10 @@
             counts: vec![Count::default(); tenants.len()],
             sends: vec![Vec::new(); tenants.len()],
             zones: size.zones,
-            keepers: (0..size.keepers).map(keeper).collect(),
+            controllers: (0..size.controllers).map(controller).collect(),
             routers: (0..size.routers).map(router).collect(),
             zone_cut_until: vec![0; size.zones],
-            pair_cut_until: vec![0; size.keepers * size.keepers],
+            pair_cut_until: vec![0; size.controllers * size.controllers],
             tenants,
         }
     }
@@ -122,7 +122,7 @@
             if trouble {
                 self.trouble();
             }
-            self.beat_keepers();
+            self.beat_controllers();
             self.follow();
             self.demand();
         }
@@ -134,23 +134,23 @@
             return;
         }
         let until = self.now + 200 + self.dice.below(8000);
-        let keeper = self.dice.below(self.keepers.len() as u64) as usize;
+        let controller = self.dice.below(self.controllers.len() as u64) as usize;
         match self.dice.below(8) {
-            0 => self.keepers[keeper].frozen_until = until,
-            1 => self.keepers[keeper].cut_until = until,
+            0 => self.controllers[controller].frozen_until = until,
+            1 => self.controllers[controller].cut_until = until,
             2 => {
-                let other = self.dice.below(self.keepers.len() as u64) as usize;
-                let pair = self.pair(keeper, other);
+                let other = self.dice.below(self.controllers.len() as u64) as usize;
+                let pair = self.pair(controller, other);
                 self.pair_cut_until[pair] = until;
             }
-            3 => self.kill(keeper, until.min(self.now + 3000)),
+            3 => self.kill(controller, until.min(self.now + 3000)),
             4 => {
                 let zone = self.dice.below(self.zones as u64) as usize;
                 self.zone_cut_until[zone] = until;
             }
             5 => self.harm_routers(|router| router.cut_until = until),
             6 => self.harm_routers(|router| router.frozen_until = until),
-            _ => (0..self.keepers.len()).for_each(|at| self.kill(at, self.now + 500)),
+            _ => (0..self.controllers.len()).for_each(|at| self.kill(at, self.now + 500)),
         }
     }
 
@@ -163,22 +163,22 @@
         }
     }
 
-    /// Ends a keeper that holds a shard of a tenant for so long.
+    /// Ends a controller that holds a shard of a tenant for so long.
     pub fn kill_holder(&mut self, tenant: usize, time_ms: u64) {
-        let live: Vec<Holder> = self.keepers.iter().map(|keeper| keeper.at.clone()).collect();
+        let live: Vec<Holder> = self.controllers.iter().map(|controller| controller.at.clone()).collect();
         let ip = holders(&self.tenants[tenant].name, &live)[0].ip.clone();
-        let at = self.keepers.iter().position(|keeper| keeper.at.ip == ip).expect("a keeper");
+        let at = self.controllers.iter().position(|controller| controller.at.ip == ip).expect("a controller");
         self.kill(at, self.now + time_ms);
     }
 
     /// A new life that remembers nothing.
     fn kill(&mut self, at: usize, until: u64) {
-        let place = self.keepers[at].at.clone();
-        self.keepers[at] = Keeper { frozen_until: until, ..new_keeper(place, self.variant) };
+        let place = self.controllers[at].at.clone();
+        self.controllers[at] = Controller { frozen_until: until, ..new_controller(place, self.variant) };
     }
 
     fn pair(&self, one: usize, two: usize) -> usize {
-        one.min(two) * self.keepers.len() + one.max(two)
+        one.min(two) * self.controllers.len() + one.max(two)
     }
 
     fn zone_of(&self, at: usize) -> usize {
@@ -190,71 +190,71 @@
     }
 
     fn is_up(&self, at: usize) -> bool {
-        self.keepers[at].frozen_until <= self.now
+        self.controllers[at].frozen_until <= self.now
     }
 
     fn linked(&self, one: usize, two: usize) -> bool {
-        let reachable = |at: usize| self.is_up(at) && self.keepers[at].cut_until <= self.now;
+        let reachable = |at: usize| self.is_up(at) && self.controllers[at].cut_until <= self.now;
         reachable(one)
             && reachable(two)
             && self.pair_cut_until[self.pair(one, two)] <= self.now
             && self.zones_linked(self.zone_of(one), self.zone_of(two))
     }
 
-    /// A cut takes a keeper off from other keepers; routers reach it as long as they and their zones are not cut off.
-    fn reaches(&self, router: usize, keeper: usize) -> bool {
+    /// A cut takes a controller off from other controllers; routers reach it as long as they and their zones are not cut off.
+    fn reaches(&self, router: usize, controller: usize) -> bool {
         let from = &self.routers[router];
-        self.is_up(keeper) && from.cut_until <= self.now && self.zones_linked(from.zone, self.zone_of(keeper))
+        self.is_up(controller) && from.cut_until <= self.now && self.zones_linked(from.zone, self.zone_of(controller))
     }
 
-    fn beat_keepers(&mut self) {
-        for at in 0..self.keepers.len() {
+    fn beat_controllers(&mut self) {
+        for at in 0..self.controllers.len() {
             let beat = (self.now + at as u64 * 70).is_multiple_of(BEAT_MS);
             if !beat || !self.is_up(at) {
                 continue;
             }
             self.gossip(at);
-            let heard = (0..self.keepers.len()).filter(|other| *other == at || self.linked(at, *other)).count();
-            if heard * 2 > self.keepers.len() {
-                self.keepers[at].confirmed_at = Some(self.now);
+            let heard = (0..self.controllers.len()).filter(|other| *other == at || self.linked(at, *other)).count();
+            if heard * 2 > self.controllers.len() {
+                self.controllers[at].confirmed_at = Some(self.now);
             }
             let (now, live) = (self.now, self.live(at));
             let confirmed_at = self.confirmed_at(at);
-            self.keepers[at].shards.beat(now, confirmed_at, live);
+            self.controllers[at].shards.beat(now, confirmed_at, live);
         }
     }
 
     fn confirmed_at(&self, at: usize) -> Option<u64> {
         match self.variant {
             Variant::GivesWithoutLease => Some(self.now),
-            _ => self.keepers[at].confirmed_at,
+            _ => self.controllers[at].confirmed_at,
         }
     }
 
     fn gossip(&mut self, at: usize) {
-        let (ip, now) = (self.keepers[at].at.ip.clone(), self.now);
-        let own = &self.keepers[at].roster;
-        let vouches = own.keepers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
-        let sure = self.keepers[at].confirmed_at.is_some_and(|time| now < time + SURE_MS);
-        let report = roster::PeerReport { sure, vouches, ..Default::default() };
-        let zone = self.keepers[at].at.zone.clone();
-        for other in (0..self.keepers.len()).filter(|other| *other != at) {
+        let (ip, now) = (self.controllers[at].at.ip.clone(), self.now);
+        let own = &self.controllers[at].roster;
+        let vouches = own.controllers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
+        let sure = self.controllers[at].confirmed_at.is_some_and(|time| now < time + SURE_MS);
+        let report = membership::PeerReport { sure, vouches, ..Default::default() };
+        let zone = self.controllers[at].at.zone.clone();
+        for other in (0..self.controllers.len()).filter(|other| *other != at) {
             if self.linked(at, other) {
-                let peer = roster::Peer { zone: zone.clone(), heard: now, ..Default::default() };
-                self.keepers[other].roster.hear(&ip, peer);
-                self.keepers[other].roster.report(&ip, report.clone(), now);
+                let peer = membership::Peer { zone: zone.clone(), heard: now, ..Default::default() };
+                self.controllers[other].roster.hear(&ip, peer);
+                self.controllers[other].roster.report(&ip, report.clone(), now);
             }
         }
     }
 
-    /// Who lives, as a keeper sees it.
+    /// Who lives, as a controller sees it.
     fn live(&self, at: usize) -> Vec<Holder> {
-        let own = &self.keepers[at];
+        let own = &self.controllers[at];
         let gone = |ip: &str| match self.variant {
             Variant::TakesOverAtOnce => own.roster.silent(ip, self.now) > BEAT_MS + STEP_MS,
             _ => own.roster.absent_ms(ip, self.now) >= TAKE_OVER_MS,
         };
-        let others = self.keepers.iter().filter(|other| other.at.ip != own.at.ip && !gone(&other.at.ip));
+        let others = self.controllers.iter().filter(|other| other.at.ip != own.at.ip && !gone(&other.at.ip));
         std::iter::once(own.at.clone()).chain(others.map(|other| other.at.clone())).collect()
     }
 
@@ -265,8 +265,8 @@
                 continue;
             }
             let zone = self.routers[router].zone;
-            let near = (0..self.keepers.len()).filter(|at| self.zone_of(*at) == zone);
-            let home = near.chain(0..self.keepers.len()).find(|at| self.reaches(router, *at));
+            let near = (0..self.controllers.len()).filter(|at| self.zone_of(*at) == zone);
+            let home = near.chain(0..self.controllers.len()).find(|at| self.reaches(router, *at));
             if let Some(home) = home {
                 self.routers[router].known = self.live(home);
             }
@@ -339,12 +339,12 @@
         let mut result = Spent::NotHeld;
         for step in 0..chosen.len() {
             let ip = &chosen[(first + step) % chosen.len()];
-            let Some(at) = self.keepers.iter().position(|keeper| keeper.at.ip == *ip) else { continue };
+            let Some(at) = self.controllers.iter().position(|controller| controller.at.ip == *ip) else { continue };
             if !self.reaches(router, at) {
                 continue;
             }
             let confirmed_at = self.confirmed_at(at);
-            match self.keepers[at].shards.spend(&name, quota, self.now, confirmed_at) {
+            match self.controllers[at].shards.spend(&name, quota, self.now, confirmed_at) {
                 Spent::Granted => return Spent::Granted,
                 Spent::Denied { retry_after_ms } => result = Spent::Denied { retry_after_ms },
                 Spent::NotHeld => {}
@@ -384,9 +384,9 @@
     }
 }
 
-fn new_keeper(at: Holder, variant: Variant) -> Keeper {
+fn new_controller(at: Holder, variant: Variant) -> Controller {
     let mut shards = Shards::new(&at.ip);
     shards.begins_full = variant == Variant::BeginsFull;
-    let roster = roster::Roster::new(&at.ip, &at.zone, SURE_MS);
-    Keeper { at, roster, shards, confirmed_at: None, frozen_until: 0, cut_until: 0 }
+    let roster = membership::Roster::new(&at.ip, &at.zone, SURE_MS);
+    Controller { at, roster, shards, confirmed_at: None, frozen_until: 0, cut_until: 0 }
 }
--- a/quota/src/fleet_tests.rs
+++ b/quota/src/fleet_tests.rs
@@ -2,10 +2,10 @@
 use crate::fleet::{Fleet, Size, Tenant, Variant, BOUNDS};
 use crate::Quota;
 
-const SMALL: Size = Size { keepers: 3, zones: 3, routers: 9 };
-const GROWN: Size = Size { keepers: 6, zones: 3, routers: 88 };
-const LARGE: Size = Size { keepers: 21, zones: 5, routers: 300 };
-const TARGET: Size = Size { keepers: 24, zones: 10, routers: 1600 };
+const SMALL: Size = Size { controllers: 3, zones: 3, routers: 9 };
+const GROWN: Size = Size { controllers: 6, zones: 3, routers: 88 };
+const LARGE: Size = Size { controllers: 21, zones: 5, routers: 300 };
+const TARGET: Size = Size { controllers: 24, zones: 10, routers: 1600 };
 
 /// A tenant that sends a multiple of its limit, whose burst is what it may send in so many seconds.
 fn tenant(at: usize, rate_per_s: f64, burst_s: f64, multiple: f64, zones: usize) -> Tenant {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_keeper_that_gives_without_a_lease_gives_what_another_holds() {
+fn a_controller_that_gives_without_a_lease_gives_what_another_holds() {
     breaks(&GROWN, Variant::GivesWithoutLease);
 }
 
--- a/quota/src/mint_clock.rs
+++ b/quota/src/mint_clock.rs
@@ -1,23 +1,23 @@
-//! The time during which a keeper may mint tokens.
+//! The time during which a controller may mint tokens.
 
-/// From the begin of a read that confirmed a keeper at a quorum on, it may mint for so long.
+/// From the begin of a read that confirmed a controller at a quorum on, it may mint for so long.
 pub const MINT_MS: u64 = 1100;
 /// And it may give tokens that it has for so long. Later nothing is left of them: another may hold the shard.
 pub const LEASE_MS: u64 = 1700;
-/// A keeper that is not known to be confirmed for so long is taken for gone, and its shards are taken over. Longer than a
+/// A controller that is not known to be confirmed for so long is taken for gone, and its shards are taken over. Longer than a
 /// lease, by what hearing of a confirmation may take.
 pub const TAKE_OVER_MS: u64 = 2400;
-/// A keeper that was not confirmed for longer than a lease mints again only so long after it is: by then those that took its
+/// A controller that was not confirmed for longer than a lease mints again only so long after it is: by then those that took its
 /// shards over have heard of it.
 pub const SETTLE_MS: u64 = 1000;
 
-/// A clock that runs only while its keeper may mint. Invariant: it never goes back, and never runs faster than time.
+/// A clock that runs only while its controller may mint. Invariant: it never goes back, and never runs faster than time.
 #[derive(Clone, Debug, Default)]
 pub struct MintClock {
     reading: u64,
     /// The steady time up to which it was advanced.
     advanced_at: u64,
-    /// The begin of the newest read that confirmed the keeper.
+    /// The begin of the newest read that confirmed the controller.
     confirmed_at: Option<u64>,
     /// Before this steady time it does not run.
     runs_from: u64,
--- a/quota/src/mint_clock_tests.rs
+++ b/quota/src/mint_clock_tests.rs
@@ -1,4 +1,4 @@
-//! When the clock of a keeper runs.
+//! When the clock of a controller runs.
 use super::{MintClock, LEASE_MS, MINT_MS, SETTLE_MS, TAKE_OVER_MS};
 
 fn confirmed_for_three_seconds(clock: &mut MintClock) {
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which keepers hold the shards of a tenant's bucket.
+//! Which controllers hold the shards of a tenant's bucket.
 
-/// How many shards a bucket has where there are as many keepers: when one is lost, two thirds of the rate remain at once.
+/// How many shards a bucket has where there are as many controllers: when one is lost, two thirds of the rate remain at once.
 pub const SHARDS: usize = 3;
 
-/// A keeper that may hold shards.
+/// A controller that may hold shards.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Holder {
     /// Its address.
@@ -12,7 +12,7 @@
     pub zone: String,
 }
 
-/// The keepers that hold the shards of a tenant, of those that live: by rendezvous, in different zones where there are so
+/// The controllers that hold the shards of a tenant, of those that live: by rendezvous, in different zones where there are so
 /// many. Whoever has the same list finds the same ones, and one more or less moves only its own shards.
 pub fn holders<'a>(tenant: &str, live: &'a [Holder]) -> Vec<&'a Holder> {
     let seed = kernel::clock::hash(tenant.as_bytes());
--- a/quota/src/placement_tests.rs
+++ b/quota/src/placement_tests.rs
@@ -1,27 +1,27 @@
 //! Where shards are.
 use super::{holders, Holder, SHARDS};
 
-fn keepers(count: usize, zones: usize) -> Vec<Holder> {
+fn controllers(count: usize, zones: usize) -> Vec<Holder> {
     (0..count).map(|at| Holder { ip: format!("10.0.0.{at}"), zone: format!("z{}", at % zones) }).collect()
 }
 
 #[test]
 fn shards_are_in_different_zones_where_there_are_enough() {
-    let live = keepers(9, 3);
+    let live = controllers(9, 3);
     for tenant in 0..200 {
         let mut zones: Vec<_> = holders(&format!("t{tenant}"), &live).iter().map(|holder| &holder.zone).collect();
         zones.sort();
         zones.dedup();
         assert_eq!(zones.len(), SHARDS);
     }
-    assert_eq!(holders("t", &keepers(5, 1)).len(), SHARDS);
-    assert_eq!(holders("t", &keepers(2, 2)).len(), 2);
+    assert_eq!(holders("t", &controllers(5, 1)).len(), SHARDS);
+    assert_eq!(holders("t", &controllers(2, 2)).len(), 2);
     assert_eq!(holders("t", &[]).len(), 0);
 }
 
 #[test]
 fn tenants_spread_evenly() {
-    let live = keepers(6, 3);
+    let live = controllers(6, 3);
     let mut count = std::collections::HashMap::new();
     for tenant in 0..3000 {
         for holder in holders(&format!("tenant-{tenant}"), &live) {
@@ -33,7 +33,7 @@
 
 #[test]
 fn the_order_of_the_list_does_not_matter_and_one_less_moves_only_its_own() {
-    let live = keepers(12, 4);
+    let live = controllers(12, 4);
     let reversed: Vec<Holder> = live.iter().rev().cloned().collect();
     let mut moved = 0;
     for tenant in 0..300 {
--- a/quota/src/shards.rs
+++ b/quota/src/shards.rs
@@ -1,4 +1,4 @@
-//! The shards that one keeper holds.
+//! The shards that one controller holds.
 
 use crate::{holders, Holder, MintClock, Quota, TokenBucket};
 use std::collections::{HashMap, VecDeque};
@@ -13,7 +13,7 @@
         /// Milliseconds until its next token.
         retry_after_ms: u64,
     },
-    /// This keeper holds no shard of the tenant, or can't know that it still does.
+    /// This controller holds no shard of the tenant, or can't know that it still does.
     NotHeld,
 }
 
@@ -40,18 +40,18 @@
     used_at: u64,
 }
 
-/// A list of live keepers, and the minting time from which it counts.
+/// A list of live controllers, and the minting time from which it counts.
 struct Placement {
     from: u64,
     live: Vec<Holder>,
 }
 
-/// How many lists of live keepers are remembered: by them it is told since when a shard is held that nobody asked for yet.
+/// How many lists of live controllers are remembered: by them it is told since when a shard is held that nobody asked for yet.
 const MOST_PLACEMENTS: usize = 8;
 /// A shard that nobody asks for is forgotten after this; it would be full.
 const FORGET_MS: u64 = 600_000;
 
-/// Invariant: `shards` holds buckets only of tenants whose shard this keeper holds by the newest placement.
+/// Invariant: `shards` holds buckets only of tenants whose shard this controller holds by the newest placement.
 pub struct Shards {
     me: String,
     clock: MintClock,
@@ -63,7 +63,7 @@
 }
 
 impl Shards {
-    /// The shards of a keeper that has just started: it holds none before its first lease.
+    /// The shards of a controller that has just started: it holds none before its first lease.
     pub fn new(me: &str) -> Shards {
         Shards {
             me: me.into(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Notes who lives, as this keeper sees it, and when it was last confirmed. To be called often.
+    /// Notes who lives, as this controller sees it, and when it was last confirmed. To be called often.
     pub fn beat(&mut self, now: u64, confirmed_at: Option<u64>, mut live: Vec<Holder>) {
         self.advance(now, confirmed_at);
         live.sort();
@@ -116,7 +116,7 @@
         self.placements.back().map_or(1, |newest| share_count(&newest.live))
     }
 
-    /// The minting time since which this keeper holds a shard of a tenant. None: it holds none.
+    /// The minting time since which this controller holds a shard of a tenant. None: it holds none.
     fn held_since(&self, tenant: &str) -> Option<u64> {
         let held = self.placements.iter().rev().take_while(|placement| holds(&self.me, tenant, &placement.live));
         held.last().map(|oldest| oldest.from)
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -1,4 +1,4 @@
-//! One keeper's shards through leases, lapses and changes of who lives.
+//! One controller's shards through leases, lapses and changes of who lives.
 use super::{Shards, Spent};
 use crate::{Holder, Quota, SETTLE_MS};
 
@@ -8,15 +8,15 @@
     names.iter().map(|name| Holder { ip: (*name).into(), zone: (*name).into() }).collect()
 }
 
-struct Keeper {
+struct Controller {
     shards: Shards,
     now: u64,
     live: Vec<Holder>,
 }
 
-impl Keeper {
-    fn start(names: &[&str]) -> Keeper {
-        Keeper { shards: Shards::new("a"), now: 0, live: live(names) }
+impl Controller {
+    fn start(names: &[&str]) -> Controller {
+        Controller { shards: Shards::new("a"), now: 0, live: live(names) }
     }
 
     fn run(&mut self, time_ms: u64, is_confirmed: bool) {
@@ -35,89 +35,89 @@
 
 #[test]
 fn a_shard_mints_its_share_from_the_end_of_the_settling_on() {
-    let mut keeper = Keeper::start(&["a", "b", "c"]);
-    keeper.run(100, true);
-    assert_eq!(keeper.shards.spend("t", QUOTA, keeper.now, None), Spent::NotHeld);
-    keeper.run(SETTLE_MS + 500, true);
-    assert_eq!(keeper.spend_all(), 5, "half a second of a third");
-    keeper.run(10_000, true);
-    assert_eq!(keeper.spend_all(), 10, "a third of the burst");
+    let mut controller = Controller::start(&["a", "b", "c"]);
+    controller.run(100, true);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::NotHeld);
+    controller.run(SETTLE_MS + 500, true);
+    assert_eq!(controller.spend_all(), 5, "half a second of a third");
+    controller.run(10_000, true);
+    assert_eq!(controller.spend_all(), 10, "a third of the burst");
 }
 
 #[test]
 fn an_empty_shard_says_when_its_next_token_comes() {
-    let mut keeper = Keeper::start(&["a", "b", "c"]);
-    keeper.run(SETTLE_MS + 100, true);
-    assert_eq!(keeper.spend_all(), 0);
-    assert_eq!(keeper.shards.spend("t", QUOTA, keeper.now, None), Spent::Denied { retry_after_ms: 100 });
+    let mut controller = Controller::start(&["a", "b", "c"]);
+    controller.run(SETTLE_MS + 100, true);
+    assert_eq!(controller.spend_all(), 0);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::Denied { retry_after_ms: 100 });
 }
 
 #[test]
 fn a_shard_of_others_is_not_given_from() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let mut keeper = Keeper::start(&names);
-    keeper.run(3000, true);
-    let held = |tenant: &str| crate::holders(tenant, &keeper.live).iter().any(|holder| holder.ip == "a");
+    let mut controller = Controller::start(&names);
+    controller.run(3000, true);
+    let held = |tenant: &str| crate::holders(tenant, &controller.live).iter().any(|holder| holder.ip == "a");
     let (own, other): (Vec<String>, Vec<String>) =
         (0..50).map(|number| format!("t{number}")).partition(|tenant| held(tenant));
     assert!(!own.is_empty() && !other.is_empty());
-    assert!(own.iter().all(|tenant| keeper.shards.spend(tenant, QUOTA, keeper.now, None) == Spent::Granted));
-    assert!(other.iter().all(|tenant| keeper.shards.spend(tenant, QUOTA, keeper.now, None) == Spent::NotHeld));
+    assert!(own.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == Spent::Granted));
+    assert!(other.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == Spent::NotHeld));
 }
 
 #[test]
 fn without_a_quorum_it_gives_what_it_has_until_its_lease_ends_and_mints_nothing() {
-    let mut keeper = Keeper::start(&["a", "b", "c"]);
-    keeper.run(10_000, true);
-    keeper.run(1500, false);
-    assert_eq!(keeper.spend_all(), 10);
-    keeper.run(300, false);
-    assert_eq!(keeper.shards.spend("t", QUOTA, keeper.now, None), Spent::NotHeld);
+    let mut controller = Controller::start(&["a", "b", "c"]);
+    controller.run(10_000, true);
+    controller.run(1500, false);
+    assert_eq!(controller.spend_all(), 10);
+    controller.run(300, false);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::NotHeld);
 }
 
 #[test]
 fn what_it_had_before_a_lapse_is_void() {
-    let mut keeper = Keeper::start(&["a", "b", "c"]);
-    keeper.run(10_000, true);
-    assert_eq!(keeper.shards.spend("t", QUOTA, keeper.now, None), Spent::Granted);
+    let mut controller = Controller::start(&["a", "b", "c"]);
+    controller.run(10_000, true);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::Granted);
     // Frozen: it wakes with all it had.
-    keeper.now += 20_000;
-    assert_eq!(keeper.shards.spend("t", QUOTA, keeper.now, None), Spent::NotHeld);
-    keeper.run(SETTLE_MS + 200, true);
-    assert!(keeper.spend_all() <= 2);
+    controller.now += 20_000;
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::NotHeld);
+    controller.run(SETTLE_MS + 200, true);
+    assert!(controller.spend_all() <= 2);
 }
 
 #[test]
 fn a_shard_that_is_taken_over_begins_empty_even_if_nobody_asked_before() {
     let names = ["a", "b", "c", "d"];
-    let mut keeper = Keeper::start(&names);
-    keeper.run(20_000, true);
+    let mut controller = Controller::start(&names);
+    controller.run(20_000, true);
     let held = |tenant: &str, live: &[Holder]| crate::holders(tenant, live).iter().any(|holder| holder.ip == "a");
     let less = live(&["a", "c", "d"]);
-    let tenant = (0..200).map(|number| format!("t{number}")).find(|tenant| !held(tenant, &keeper.live));
+    let tenant = (0..200).map(|number| format!("t{number}")).find(|tenant| !held(tenant, &controller.live));
     let tenant = tenant.expect("one that others hold");
     assert!(held(&tenant, &less));
-    keeper.live = less;
-    keeper.run(100, true);
-    assert!(matches!(keeper.shards.spend(&tenant, QUOTA, keeper.now, None), Spent::Denied { .. }));
+    controller.live = less;
+    controller.run(100, true);
+    assert!(matches!(controller.shards.spend(&tenant, QUOTA, controller.now, None), Spent::Denied { .. }));
 }
 
 #[test]
 fn a_share_that_grows_when_others_are_lost_mints_no_more_for_the_time_before() {
-    let mut keeper = Keeper::start(&["a", "b", "c"]);
-    keeper.run(SETTLE_MS + 100, true);
-    assert_eq!(keeper.spend_all(), 0);
-    keeper.run(300, true);
-    keeper.live = live(&["a"]);
-    keeper.run(100, true);
-    assert_eq!(keeper.spend_all(), 4, "0.4 s at a third, and nothing at the whole rate yet");
+    let mut controller = Controller::start(&["a", "b", "c"]);
+    controller.run(SETTLE_MS + 100, true);
+    assert_eq!(controller.spend_all(), 0);
+    controller.run(300, true);
+    controller.live = live(&["a"]);
+    controller.run(100, true);
+    assert_eq!(controller.spend_all(), 4, "0.4 s at a third, and nothing at the whole rate yet");
 }
 
 #[test]
 fn usage_tells_what_was_given_and_refused() {
-    let mut keeper = Keeper::start(&["a", "b", "c"]);
-    keeper.run(10_000, true);
-    assert_eq!(keeper.spend_all(), 10);
-    let usage = keeper.shards.usage();
+    let mut controller = Controller::start(&["a", "b", "c"]);
+    controller.run(10_000, true);
+    assert_eq!(controller.spend_all(), 10);
+    let usage = controller.shards.usage();
     assert_eq!((usage[0].tenant.as_str(), usage[0].granted, usage[0].denied), ("t", 10, 1));
 }
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -116,7 +116,7 @@
 /// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
 /// proved to be current.
 async fn admit(state: &crate::state::State, parts: &http::request::Parts) -> Result<Admitted, crate::failure::Failure> {
-    let left_ms = crate::request::number(&parts.headers, wire::word::BUDGET).unwrap_or(EARLY_MS);
+    let left_ms = crate::request::number(&parts.headers, protocol::word::BUDGET).unwrap_or(EARLY_MS);
     let key = crate::authorization::key(&parts.headers);
     let accepts = |table: &crate::table::Table| judge(table, parts, key).is_ok();
     let table = match crate::currency::table_with(state, left_ms, accepts).await {
@@ -144,7 +144,7 @@
         // Just started: what is needed comes within moments. The body is read meanwhile.
         let early = body.take().ok_or(crate::failure::Failure::Malformed)?;
         whole = Some(crate::request::body(early, EARLY_BYTES, EARLY_MS).await?);
-        let wait = crate::request::number(&parts.headers, wire::word::BUDGET).unwrap_or(EARLY_MS) / 3;
+        let wait = crate::request::number(&parts.headers, protocol::word::BUDGET).unwrap_or(EARLY_MS) / 3;
         starting(state, born + wait.min(EARLY_MS)).await;
     }
     let table = state.table();
--- a/router/src/authorization.rs
+++ b/router/src/authorization.rs
@@ -73,9 +73,9 @@
     /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
     pub fn rewrite(&self, head: &mut http::HeaderMap) {
         head.remove(http::header::AUTHORIZATION);
-        head.remove(wire::word::TENANT);
+        head.remove(protocol::word::TENANT);
         if let Some(name) = self.tenant.as_ref().and_then(|tenant| tenant.header.clone()) {
-            head.insert(wire::word::TENANT, name);
+            head.insert(protocol::word::TENANT, name);
         }
     }
 }
--- a/router/src/authorization_tests.rs
+++ b/router/src/authorization_tests.rs
@@ -64,9 +64,11 @@
     };
     let text = serde_json::json!({"revision": 1, "service_table": [{"name": "s"}],
         "route_table": routes.iter().map(route).collect::<Vec<_>>(), "tenant_table": tenants});
-    let config = wire::config::read(&text.to_string()).expect("good");
-    let change = wire::change::Change::whole(&config);
-    crate::table::Table::default().turn(&change, &mut engines::engine_table::EngineTable::default()).expect("newer")
+    let config = protocol::config::read(&text.to_string()).expect("good");
+    let change = protocol::change::Change::whole(&config);
+    crate::table::Table::default()
+        .turn(&change, &mut load_balancing::engine_table::EngineTable::default())
+        .expect("newer")
 }
 
 fn tenants() -> serde_json::Value {
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -30,7 +30,7 @@
     state.dice.lock().expect("dice").roll()
 }
 
-/// Word of an engine from a keeper.
+/// Word of an engine from a controller.
 pub fn hear(state: &std::sync::Arc<crate::state::State>, name: &str) {
     let word = Word::read(name);
     let Some(at) = state.engine_table.lock().expect("engine_table").find(word.engine()) else { return };
@@ -95,7 +95,7 @@
 fn tell(state: &crate::state::State, word: Word) {
     let home = state.home.lock().expect("home").clone();
     if let Some(home) = home {
-        home.cast(wire::msg::Msg::Doubt(Box::new((word.write(), false))));
+        home.cast(protocol::msg::Msg::Doubt(Box::new((word.write(), false))));
     }
 }
 
@@ -186,7 +186,7 @@
     Found::Silent { known }
 }
 
-fn answered(state: &crate::state::State, engine: &mut engines::engine_table::EngineState, now: u64, begun: u64) {
+fn answered(state: &crate::state::State, engine: &mut load_balancing::engine_table::EngineState, now: u64, begun: u64) {
     engine.good(now);
     if now > begun + DARK_MS {
         // It may have been started anew meanwhile.
@@ -202,7 +202,7 @@
     answered(state, engine, kernel::clock::now(), begun);
 }
 
-fn answer_ends(engine: &engines::engine_table::EngineState, now: u64) -> bool {
+fn answer_ends(engine: &load_balancing::engine_table::EngineState, now: u64) -> bool {
     !engine.here || engine.shy_until <= now
 }
 
--- a/router/src/doubt_probe.rs
+++ b/router/src/doubt_probe.rs
@@ -10,7 +10,7 @@
 }
 
 async fn report(addr: &str) -> Option<Option<String>> {
-    let stream = wire::sock::dial(addr, WAIT_MS, wire::sock::SILENCE_MS).await.ok()?;
+    let stream = protocol::sock::dial(addr, WAIT_MS, protocol::sock::SILENCE_MS).await.ok()?;
     let io = hyper_util::rt::TokioIo::new(stream);
     let (mut link, conn) = hyper::client::conn::http1::handshake(io).await.ok()?;
     tokio::spawn(async move {
@@ -21,6 +21,6 @@
     request.headers_mut().insert(http::header::HOST, http::HeaderValue::from_str(addr).ok()?);
     request.headers_mut().insert(http::header::CONNECTION, http::HeaderValue::from_static("close"));
     let reply = link.send_request(request).await.ok()?;
-    let name = reply.headers().get(wire::word::INSTANCE).and_then(|value| value.to_str().ok());
+    let name = reply.headers().get(protocol::word::INSTANCE).and_then(|value| value.to_str().ok());
     Some(name.map(str::to_string))
 }
--- a/router/src/doubt_word.rs
+++ b/router/src/doubt_word.rs
@@ -1,6 +1,6 @@
 //! What routers tell one another of an engine that is in doubt.
 
-/// What routers tell one another of an engine, through the keepers. Peers of earlier versions know no engine of the
+/// What routers tell one another of an engine, through the controllers. Peers of earlier versions know no engine of the
 /// marked names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word<'a> {
--- a/router/src/evacuation.rs
+++ b/router/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones, as keepers tell of them.
+//! Evacuated zones, as controllers tell of them.
 
 /// What the list of engines takes beyond its lag until it is here.
 const DELIVERY_MS: u64 = 1500;
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -32,7 +32,7 @@
     pub in_flight: Vec<(usize, u64)>,
     pub kv_handle: Option<crate::kv_handle::Handle>,
     /// The version that serves it, for all of its sends.
-    pub arm: engines::place::Arm,
+    pub arm: load_balancing::place::Arm,
 }
 
 impl Drop for Exchange {
@@ -103,14 +103,14 @@
         is_allowed
     }
 
-    pub fn view<T>(&self, look: impl FnOnce(&engines::place::View) -> T) -> T {
+    pub fn view<T>(&self, look: impl FnOnce(&load_balancing::place::View) -> T) -> T {
         let table = self.state.table();
         let ramp = table.services.get(&self.service).map_or(0.0, |spec| spec.ramp_per_s);
         let routers = self.state.router_count();
         let weights = self.version_bounds();
         let confirmed = self.state.floors.lock().expect("floors").is_confirmed(kernel::clock::now());
         let engine_table = self.state.engine_table.lock().expect("engine_table");
-        look(&engines::place::View {
+        look(&load_balancing::place::View {
             engine_table: &engine_table,
             now: kernel::clock::now(),
             service: self.service,
@@ -241,7 +241,8 @@
                 if let Some(version) = crate::verdict::version(&answer.head.headers) {
                     engine.weigh(self.request.model_key, Some(version));
                 }
-                if let Some(load) = answer.head.headers.get(wire::word::LOAD).and_then(|value| value.to_str().ok()) {
+                if let Some(load) = answer.head.headers.get(protocol::word::LOAD).and_then(|value| value.to_str().ok())
+                {
                     engine_table.report(at, load, now);
                 }
             }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the keepers: makes the calls that `following` decides on, and takes in what keepers send.
+//! Following the controllers: makes the calls that `following` decides on, and takes in what controllers send.
 
 /// Follows until the process ends.
 pub async fn run(state: std::sync::Arc<crate::state::State>) {
@@ -38,13 +38,13 @@
     }
 
     fn begin(&mut self, call: &crate::following::Call, now: u64) {
-        let at_home = self.following.home() == Some(&call.keeper);
+        let at_home = self.following.home() == Some(&call.controller);
         let standing = crate::follow_absorb::standing(&self.state, at_home);
-        let msg = wire::msg::Msg::Follow(Box::new(standing));
-        self.links.call(&call.keeper, msg, now, call.deadline_ms);
+        let msg = protocol::msg::Msg::Follow(Box::new(standing));
+        self.links.call(&call.controller, msg, now, call.deadline_ms);
         if at_home {
             // The connection may be a new one.
-            *self.state.home.lock().expect("home") = Some(self.links.caller(&call.keeper));
+            *self.state.home.lock().expect("home") = Some(self.links.caller(&call.controller));
         }
     }
 
@@ -55,11 +55,11 @@
         }
     }
 
-    fn take_pushed(&mut self, msg: wire::msg::Msg) {
+    fn take_pushed(&mut self, msg: protocol::msg::Msg) {
         if self.links.may_have_dropped() {
             self.following.frames_lost(kernel::clock::now());
         }
-        if matches!(msg, wire::msg::Msg::Rule(_)) {
+        if matches!(msg, protocol::msg::Msg::Rule(_)) {
             // Confirmed at once: somebody waits for it.
             self.following.renew_now();
         }
@@ -69,41 +69,41 @@
     fn take_end(&mut self, end: crate::follow_links::End) {
         let left = self.following.home().map(str::to_string);
         match end.reply {
-            Some(wire::msg::Msg::Renewed(renewed)) => {
+            Some(protocol::msg::Msg::Renewed(renewed)) => {
                 self.absorb(renewed.news.clone(), end.sent);
                 let answer = crate::following_answer::Answer::renewed(&renewed, self.held());
-                self.answered(&end.keeper, &answer);
+                self.answered(&end.controller, &answer);
             }
-            Some(wire::msg::Msg::News(news)) => {
+            Some(protocol::msg::Msg::News(news)) => {
                 self.absorb((*news).clone(), end.sent);
                 let answer = crate::following_answer::Answer::news(&news, self.held());
-                self.answered(&end.keeper, &answer);
+                self.answered(&end.controller, &answer);
             }
             _ => {
-                self.links.close(&end.keeper);
-                self.following.failed(kernel::clock::now(), &end.keeper);
+                self.links.close(&end.controller);
+                self.following.failed(kernel::clock::now(), &end.controller);
             }
         }
         if self.following.home() != left.as_deref() {
             self.home_moved(left);
         }
         let following = &self.following;
-        self.links.keep(|keeper| following.home() == Some(keeper) || following.is_open(keeper));
+        self.links.keep(|controller| following.home() == Some(controller) || following.is_open(controller));
     }
 
     fn held(&self) -> u64 {
         self.state.news.lock().expect("news").config
     }
 
-    fn absorb(&self, news: wire::msg::News, sent: u64) {
+    fn absorb(&self, news: protocol::msg::News, sent: u64) {
         if news.sure {
             self.state.floors.lock().expect("floors").renew(sent);
         }
         crate::follow_absorb::absorb(&self.state, news);
     }
 
-    fn answered(&mut self, keeper: &str, answer: &crate::following_answer::Answer) {
-        self.following.answered(kernel::clock::now(), keeper, answer);
+    fn answered(&mut self, controller: &str, answer: &crate::following_answer::Answer) {
+        self.following.answered(kernel::clock::now(), controller, answer);
         if let Some(as_of) = self.following.current_as_of() {
             self.state.currency.prove(as_of);
         }
@@ -119,7 +119,7 @@
         self.reload_seeds();
     }
 
-    /// While nothing is proved the settings may name keepers that are better.
+    /// While nothing is proved the settings may name controllers that are better.
     fn read_seeds(&mut self) {
         let now = kernel::clock::now();
         let every = self.state.currency.budget().bulk_age_ms();
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -1,27 +1,27 @@
-//! What a router tells keepers of itself, and what it takes in from them. All of it is monotone: whichever
-//! keeper sends what, in whatever order, the newest counts.
+//! What a router tells controllers of itself, and what it takes in from them. All of it is monotone: whichever
+//! controller sends what, in whatever order, the newest counts.
 
 /// How long news of engines that are about to change their part holds.
 const REST_MS: u64 = 1500;
 /// For how long a number of routers that was told counts.
 const SEATS_MS: u64 = 10_000;
 
-/// A message that a keeper pushed.
-pub fn take(state: &std::sync::Arc<crate::state::State>, msg: wire::msg::Msg) {
+/// A message that a controller pushed.
+pub fn take(state: &std::sync::Arc<crate::state::State>, msg: protocol::msg::Msg) {
     match msg {
-        wire::msg::Msg::News(news) => absorb(state, *news),
-        wire::msg::Msg::Change(body) | wire::msg::Msg::Update(body) => crate::config::change(state, &body),
-        wire::msg::Msg::Holders(list) => state.quota_gate.set_holders(&list),
-        wire::msg::Msg::VersionRollout(rollout) => crate::version_rollouts::take(state, *rollout),
-        wire::msg::Msg::Rule(rule) => crate::fresh::rule(state, &rule),
-        wire::msg::Msg::Versions(list) => crate::fresh::versions(state, &list),
-        wire::msg::Msg::Doubt(doubt) => crate::doubt::hear(state, &doubt.0),
+        protocol::msg::Msg::News(news) => absorb(state, *news),
+        protocol::msg::Msg::Change(body) | protocol::msg::Msg::Update(body) => crate::config::change(state, &body),
+        protocol::msg::Msg::Holders(list) => state.quota_gate.set_holders(&list),
+        protocol::msg::Msg::VersionRollout(rollout) => crate::version_rollouts::take(state, *rollout),
+        protocol::msg::Msg::Rule(rule) => crate::fresh::rule(state, &rule),
+        protocol::msg::Msg::Versions(list) => crate::fresh::versions(state, &list),
+        protocol::msg::Msg::Doubt(doubt) => crate::doubt::hear(state, &doubt.0),
         _ => {}
     }
 }
 
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
-pub fn standing(state: &crate::state::State, at_home: bool) -> wire::msg::Follow {
+pub fn standing(state: &crate::state::State, at_home: bool) -> protocol::msg::Follow {
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
         let engine_table = state.engine_table.lock().expect("engine_table");
         let busy = engine_table
@@ -34,10 +34,10 @@
     let (rules, weights) = crate::fresh::known_versions(state);
     sheets.extend(weights);
     let rollouts = crate::version_rollouts::told(state);
-    sheets.push(wire::msg::told());
-    sheets.push(wire::quota::told_holders(state.quota_gate.mark()));
+    sheets.push(protocol::msg::told());
+    sheets.push(protocol::quota::told_holders(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
-    wire::msg::Follow {
+    protocol::msg::Follow {
         node: state.env.node_name.clone(),
         zone: state.env.zone.clone(),
         life: state.life,
@@ -72,7 +72,7 @@
 }
 
 /// Takes what is newer; versions never go back.
-pub fn absorb(state: &std::sync::Arc<crate::state::State>, news: wire::msg::News) {
+pub fn absorb(state: &std::sync::Arc<crate::state::State>, news: protocol::msg::News) {
     let now = kernel::clock::now();
     if let Some((version, text)) = &news.config {
         crate::config::config(state, *version, text);
@@ -93,7 +93,7 @@
     {
         let mut held = state.news.lock().expect("news");
         if !news.peers.is_empty() {
-            held.keepers = news.peers;
+            held.controllers = news.peers;
         }
         if news.seats > 0 {
             held.seats.retain(|(time, _)| now < time + SEATS_MS);
--- a/router/src/follow_links.rs
+++ b/router/src/follow_links.rs
@@ -1,21 +1,21 @@
-//! Connections to keepers, and the calls that are under way on them.
+//! Connections to controllers, and the calls that are under way on them.
 
 /// How many pushed messages may wait to be taken in.
 const PUSHED_MOST: usize = 256;
 
 /// How a call ended.
 pub struct End {
-    pub keeper: String,
+    pub controller: String,
     /// When the call was begun.
     pub sent: u64,
     /// None: no connection, or no answer in its time.
-    pub reply: Option<wire::msg::Msg>,
+    pub reply: Option<protocol::msg::Msg>,
     number: u64,
 }
 
 /// A connection. `call` is the one that is under way.
 struct Link {
-    caller: std::sync::Arc<wire::link::Caller>,
+    caller: std::sync::Arc<protocol::link::Caller>,
     call: Option<(u64, tokio::task::AbortHandle)>,
 }
 
@@ -27,20 +27,20 @@
     }
 }
 
-/// Invariant: one connection a keeper, and at most one call on it.
+/// Invariant: one connection a controller, and at most one call on it.
 pub struct Links {
     port: u16,
     open: std::collections::BTreeMap<String, Link>,
     calls: tokio::task::JoinSet<End>,
     number: u64,
-    push: tokio::sync::mpsc::Sender<wire::msg::Msg>,
-    pushed: tokio::sync::mpsc::Receiver<wire::msg::Msg>,
+    push: tokio::sync::mpsc::Sender<protocol::msg::Msg>,
+    pushed: tokio::sync::mpsc::Receiver<protocol::msg::Msg>,
 }
 
-/// What comes from keepers.
+/// What comes from controllers.
 pub enum Event {
     Ended(End),
-    Pushed(wire::msg::Msg),
+    Pushed(protocol::msg::Msg),
 }
 
 impl Links {
@@ -49,27 +49,27 @@
         Links { port, open: Default::default(), calls: Default::default(), number: 0, push, pushed }
     }
 
-    /// The connection to a keeper; it comes up with its first call.
-    pub fn caller(&mut self, keeper: &str) -> std::sync::Arc<wire::link::Caller> {
+    /// The connection to a controller; it comes up with its first call.
+    pub fn caller(&mut self, controller: &str) -> std::sync::Arc<protocol::link::Caller> {
         let (port, push) = (self.port, &self.push);
         let connect = || {
-            let caller = wire::link::Caller::start(format!("{keeper}:{port}"), Some(push.clone()));
+            let caller = protocol::link::Caller::start(format!("{controller}:{port}"), Some(push.clone()));
             Link { caller: std::sync::Arc::new(caller), call: None }
         };
-        self.open.entry(keeper.into()).or_insert_with(connect).caller.clone()
+        self.open.entry(controller.into()).or_insert_with(connect).caller.clone()
     }
 
     /// Begins a call.
-    pub fn call(&mut self, keeper: &str, msg: wire::msg::Msg, sent: u64, deadline_ms: u64) {
-        let caller = self.caller(keeper);
+    pub fn call(&mut self, controller: &str, msg: protocol::msg::Msg, sent: u64, deadline_ms: u64) {
+        let caller = self.caller(controller);
         self.number += 1;
-        let (number, keeper) = (self.number, keeper.to_string());
-        let name = keeper.clone();
+        let (number, controller) = (self.number, controller.to_string());
+        let name = controller.clone();
         let handle = self.calls.spawn(async move {
             let reply = caller.call(msg, deadline_ms).await;
-            End { keeper: name, sent, reply, number }
+            End { controller: name, sent, reply, number }
         });
-        if let Some(link) = self.open.get_mut(&keeper) {
+        if let Some(link) = self.open.get_mut(&controller) {
             link.call = Some((number, handle));
         }
     }
@@ -82,7 +82,7 @@
                 Some(msg) = self.pushed.recv() => return Event::Pushed(msg),
                 Some(ended) = self.calls.join_next() => {
                     let Ok(end) = ended else { continue };
-                    let link = self.open.get_mut(&end.keeper);
+                    let link = self.open.get_mut(&end.controller);
                     let current = |link: &&mut Link| link.call.as_ref().is_some_and(|call| call.0 == end.number);
                     let Some(link) = link.filter(current) else { continue };
                     link.call = None;
@@ -100,12 +100,12 @@
 
     /// Closes the connections that are not to be kept; a call that is under way there ends without a report.
     pub fn keep(&mut self, kept: impl Fn(&str) -> bool) {
-        self.open.retain(|keeper, _| kept(keeper));
+        self.open.retain(|controller, _| kept(controller));
     }
 
     /// Closes a connection on which a call failed: the next call dials anew.
-    pub fn close(&mut self, keeper: &str) {
-        self.open.remove(keeper);
+    pub fn close(&mut self, controller: &str) {
+        self.open.remove(controller);
     }
 }
 
--- a/router/src/follow_links_tests.rs
+++ b/router/src/follow_links_tests.rs
@@ -1,14 +1,14 @@
 use super::{Event, Links, PUSHED_MOST};
-use crate::stand_in_keeper::{keepers, Manner};
+use crate::stand_in_controller::{controllers, Manner};
 
-fn config() -> wire::config::Config {
+fn config() -> protocol::config::Config {
     let text = serde_json::json!({"revision": 7, "route_table": [], "service_table": []});
-    wire::config::read(&text.to_string()).expect("good")
+    protocol::config::read(&text.to_string()).expect("good")
 }
 
-fn follow() -> wire::msg::Msg {
+fn follow() -> protocol::msg::Msg {
     let empty = String::new;
-    let follow = wire::msg::Follow {
+    let follow = protocol::msg::Follow {
         node: "edge-1".into(),
         zone: "a".into(),
         life: 1,
@@ -18,41 +18,41 @@
         busy: Vec::new(),
         door: empty(),
     };
-    wire::msg::Msg::Follow(Box::new(follow))
+    protocol::msg::Msg::Follow(Box::new(follow))
 }
 
 #[tokio::test]
 async fn what_was_pushed_before_an_answer_comes_before_it() {
-    let (keepers, port) = keepers(1, &config());
+    let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
-    links.call(&keepers[0].ip, follow(), 5, 5000);
-    assert!(matches!(links.next().await, Event::Pushed(wire::msg::Msg::Change(_))));
+    links.call(&controllers[0].ip, follow(), 5, 5000);
+    assert!(matches!(links.next().await, Event::Pushed(protocol::msg::Msg::Change(_))));
     let Event::Ended(end) = links.next().await else { panic!("an answer") };
-    assert_eq!((end.keeper.as_str(), end.sent), ("127.0.0.1", 5));
-    assert!(matches!(end.reply, Some(wire::msg::Msg::Renewed(_))));
+    assert_eq!((end.controller.as_str(), end.sent), ("127.0.0.1", 5));
+    assert!(matches!(end.reply, Some(protocol::msg::Msg::Renewed(_))));
 }
 
 #[tokio::test]
-async fn calls_to_several_keepers_run_at_once_and_one_that_is_closed_is_not_reported() {
-    let (keepers, port) = keepers(2, &config());
-    keepers[0].set(Manner::Frozen);
+async fn calls_to_several_controllers_run_at_once_and_one_that_is_closed_is_not_reported() {
+    let (controllers, port) = controllers(2, &config());
+    controllers[0].set(Manner::Frozen);
     let mut links = Links::new(port);
-    links.call(&keepers[0].ip, follow(), 5, 60_000);
-    links.call(&keepers[1].ip, follow(), 6, 60_000);
+    links.call(&controllers[0].ip, follow(), 5, 60_000);
+    links.call(&controllers[1].ip, follow(), 6, 60_000);
     assert!(matches!(links.next().await, Event::Pushed(_)));
-    assert!(matches!(links.next().await, Event::Ended(end) if end.keeper == keepers[1].ip));
-    links.keep(|keeper| keeper != keepers[0].ip);
-    keepers[0].set(Manner::Confirming);
-    links.call(&keepers[0].ip, follow(), 7, 60_000);
+    assert!(matches!(links.next().await, Event::Ended(end) if end.controller == controllers[1].ip));
+    links.keep(|controller| controller != controllers[0].ip);
+    controllers[0].set(Manner::Confirming);
+    links.call(&controllers[0].ip, follow(), 7, 60_000);
     assert!(matches!(links.next().await, Event::Pushed(_)));
     assert!(matches!(links.next().await, Event::Ended(end) if end.sent == 7), "not the call that was given up");
 }
 
 #[tokio::test]
 async fn an_answer_to_a_call_that_was_given_up_is_not_taken_for_that_to_the_next() {
-    let (keepers, port) = keepers(1, &config());
+    let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
-    links.call(&keepers[0].ip, follow(), 5, 60_000);
+    links.call(&controllers[0].ip, follow(), 5, 60_000);
     // The change is pushed right before the answer.
     while links.pushed.is_empty() {
         tokio::task::yield_now().await;
@@ -60,8 +60,8 @@
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
-    links.close(&keepers[0].ip);
-    links.call(&keepers[0].ip, follow(), 6, 60_000);
+    links.close(&controllers[0].ip);
+    links.call(&controllers[0].ip, follow(), 6, 60_000);
     loop {
         if let Event::Ended(end) = links.next().await {
             assert_eq!(end.sent, 6);
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn a_queue_that_was_full_is_noticed_with_the_first_message_taken() {
     let mut links = Links::new(1);
-    let doubt = wire::msg::Msg::Doubt(Box::new(("i-1".into(), true)));
+    let doubt = protocol::msg::Msg::Doubt(Box::new(("i-1".into(), true)));
     for _ in 0..PUSHED_MOST / 2 {
         assert!(links.push.try_send(doubt.clone()).is_ok());
     }
--- a/router/src/follow_tests.rs
+++ b/router/src/follow_tests.rs
@@ -1,13 +1,13 @@
-//! A router and keepers on real connections. How long things take is shown in virtual time (`following_tests.rs`);
+//! A router and controllers on real connections. How long things take is shown in virtual time (`following_tests.rs`);
 //! here each test fails where something comes only with a later call or not at all.
-use crate::stand_in_keeper::{keepers, Keeper, Manner};
+use crate::stand_in_controller::{controllers, Controller, Manner};
 use crate::stand_in_router::{ask, status};
 use crate::state::State;
 
 /// Large enough that a busy machine doesn't make a proof too old by itself.
 const CONVERGE_MS: u64 = 2000;
 
-fn config(revision: u64, routes: &[&str]) -> wire::config::Config {
+fn config(revision: u64, routes: &[&str]) -> protocol::config::Config {
     let route = |name: &&str| {
         serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"),
             "route_type": "idempotent", "timeout_ms": 20000, "retry_count": 1, "service": "s"})
@@ -16,12 +16,12 @@
         "route_table": routes.iter().map(route).collect::<Vec<_>>(),
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000,
             "idle_timeout_ms": 15000}});
-    wire::config::read(&text.to_string()).expect("good")
+    protocol::config::read(&text.to_string()).expect("good")
 }
 
-/// A router that knows these keepers, and follows them.
-fn follow(keepers: &[Keeper], port: u16, converge_ms: u64) -> std::sync::Arc<State> {
-    let seeds: Vec<String> = keepers.iter().map(|keeper| format!("\"{}:{port}\"", keeper.ip)).collect();
+/// A router that knows these controllers, and follows them.
+fn follow(controllers: &[Controller], port: u16, converge_ms: u64) -> std::sync::Arc<State> {
+    let seeds: Vec<String> = controllers.iter().map(|controller| format!("\"{}:{port}\"", controller.ip)).collect();
     let text = crate::stand_in_router::SETTINGS
         .replace("[7300, 7315]", &format!("[{port}, {port}]\nseed_peers = [{}]", seeds.join(", ")))
         .replace("retry_budget = 1.0", &format!("converge_ms = {converge_ms}, retry_budget = 1.0"));
@@ -54,27 +54,27 @@
 
 #[tokio::test]
 async fn a_router_is_ready_once_it_has_a_proof() {
-    let (keepers, port) = keepers(3, &config(7, &["x"]));
-    keepers.iter().for_each(|keeper| keeper.set(Manner::Unconfirmed));
-    let state = follow(&keepers, port, CONVERGE_MS);
+    let (controllers, port) = controllers(3, &config(7, &["x"]));
+    controllers.iter().for_each(|controller| controller.set(Manner::Unconfirmed));
+    let state = follow(&controllers, port, CONVERGE_MS);
     in_force(&state, 7).await;
-    keepers[0].called(keepers[0].calls() + 2).await;
+    controllers[0].called(controllers[0].calls() + 2).await;
     assert!(!state.ready.load(std::sync::atomic::Ordering::Relaxed), "it has all, but nothing is confirmed");
-    keepers[1].set(Manner::Confirming);
+    controllers[1].set(Manner::Confirming);
     ready(&state).await;
 }
 
 #[tokio::test]
 async fn a_change_comes_from_others_while_the_home_is_frozen() {
-    let (keepers, port) = keepers(3, &config(7, &["x"]));
-    let state = follow(&keepers, port, 600);
+    let (controllers, port) = controllers(3, &config(7, &["x"]));
+    let state = follow(&controllers, port, 600);
     ready(&state).await;
-    let home = keepers.iter().find(|keeper| keeper.calls() > 0).expect("a home");
+    let home = controllers.iter().find(|controller| controller.calls() > 0).expect("a home");
     home.set(Manner::Frozen);
     home.called(home.calls() + 1).await;
     let begun = std::time::Instant::now();
-    for keeper in keepers.iter().filter(|keeper| keeper.ip != home.ip) {
-        keeper.commit(&config(8, &["x", "y"]));
+    for controller in controllers.iter().filter(|controller| controller.ip != home.ip) {
+        controller.commit(&config(8, &["x", "y"]));
     }
     in_force(&state, 8).await;
     // The call at the home is still open; formerly a home was left after 1,800 ms.
@@ -84,54 +84,54 @@
 
 #[tokio::test]
 async fn a_frame_lost_on_the_way_is_asked_for_again_without_waiting_for_the_beat() {
-    let (keepers, port) = keepers(1, &config(7, &["x"]));
+    let (controllers, port) = controllers(1, &config(7, &["x"]));
     // A beat of 400 ms.
-    let state = follow(&keepers, port, 4000);
+    let state = follow(&controllers, port, 4000);
     ready(&state).await;
-    keepers[0].called(keepers[0].calls() + 2).await;
-    keepers[0].set(Manner::LosingFrames);
-    keepers[0].commit(&config(8, &["x", "y"]));
-    let calls = keepers[0].calls();
-    keepers[0].called(calls + 1).await;
+    controllers[0].called(controllers[0].calls() + 2).await;
+    controllers[0].set(Manner::LosingFrames);
+    controllers[0].commit(&config(8, &["x", "y"]));
+    let calls = controllers[0].calls();
+    controllers[0].called(calls + 1).await;
     let begun = std::time::Instant::now();
-    keepers[0].called(calls + 2).await;
+    controllers[0].called(calls + 2).await;
     let took = begun.elapsed().as_millis();
     assert!(took < 350, "{took} ms");
-    keepers[0].set(Manner::Confirming);
+    controllers[0].set(Manner::Confirming);
     in_force(&state, 8).await;
 }
 
 #[tokio::test]
 async fn a_limit_that_was_pushed_is_confirmed_without_waiting_for_the_beat() {
-    let (keepers, port) = keepers(1, &config(7, &["x"]));
+    let (controllers, port) = controllers(1, &config(7, &["x"]));
     // A beat of 400 ms.
-    let state = follow(&keepers, port, 4000);
+    let state = follow(&controllers, port, 4000);
     ready(&state).await;
-    keepers[0].called(keepers[0].calls() + 1).await;
+    controllers[0].called(controllers[0].calls() + 1).await;
     let begun = std::time::Instant::now();
-    let rule = wire::msg::Rule { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
-    keepers[0].push(&wire::msg::Msg::Rule(Box::new(rule)));
-    keepers[0].called(keepers[0].calls() + 1).await;
+    let rule = protocol::msg::Rule { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
+    controllers[0].push(&protocol::msg::Msg::Rule(Box::new(rule)));
+    controllers[0].called(controllers[0].calls() + 1).await;
     let took = begun.elapsed().as_millis();
     assert!(took < 350, "{took} ms");
 }
 
 #[tokio::test]
-async fn keepers_of_version_three_are_followed() {
-    let (keepers, port) = keepers(2, &config(7, &["x"]));
-    keepers.iter().for_each(|keeper| keeper.set(Manner::Older));
-    let state = follow(&keepers, port, CONVERGE_MS);
+async fn controllers_of_version_three_are_followed() {
+    let (controllers, port) = controllers(2, &config(7, &["x"]));
+    controllers.iter().for_each(|controller| controller.set(Manner::Older));
+    let state = follow(&controllers, port, CONVERGE_MS);
     ready(&state).await;
     assert_eq!(status(&ask(&state, "nowhere", "1", "Time-Budget: 9000\r\n").await), "404");
 }
 
 #[tokio::test]
 async fn an_unknown_route_is_refused_only_with_a_proof() {
-    let (keepers, port) = keepers(2, &config(7, &["x"]));
-    let state = follow(&keepers, port, 600);
+    let (controllers, port) = controllers(2, &config(7, &["x"]));
+    let state = follow(&controllers, port, 600);
     ready(&state).await;
     assert_eq!(status(&ask(&state, "nowhere", "1", "Time-Budget: 9000\r\n").await), "404");
-    keepers.iter().for_each(|keeper| keeper.set(Manner::Frozen));
+    controllers.iter().for_each(|controller| controller.set(Manner::Frozen));
     unproved(&state).await;
     let text = ask(&state, "nowhere", "2", "Time-Budget: 9000\r\n").await;
     assert_eq!(status(&text), "503", "{text}");
@@ -140,33 +140,33 @@
 
 #[tokio::test]
 async fn a_request_on_a_route_that_is_only_late_here_waits_for_it() {
-    let (keepers, port) = keepers(2, &config(7, &["x"]));
-    let state = follow(&keepers, port, CONVERGE_MS);
+    let (controllers, port) = controllers(2, &config(7, &["x"]));
+    let state = follow(&controllers, port, CONVERGE_MS);
     ready(&state).await;
-    keepers.iter().for_each(|keeper| keeper.set(Manner::Unconfirmed));
+    controllers.iter().for_each(|controller| controller.set(Manner::Unconfirmed));
     unproved(&state).await;
-    let calls: usize = keepers.iter().map(Keeper::calls).sum();
+    let calls: usize = controllers.iter().map(Controller::calls).sum();
     let asking = state.clone();
     let answer = tokio::spawn(async move { ask(&asking, "y", "1", "Time-Budget: 9000\r\n").await });
-    for keeper in &keepers {
-        keeper.commit(&config(8, &["x", "y"]));
-        keeper.set(Manner::Confirming);
+    for controller in &controllers {
+        controller.commit(&config(8, &["x", "y"]));
+        controller.set(Manner::Confirming);
     }
     let text = answer.await.expect("it ends");
     // No engine serves it here; what counts is that it is not taken for unknown.
     assert_ne!(status(&text), "404", "{text}");
     assert_eq!(state.table().revision, 8, "{text}");
-    assert!(keepers.iter().map(Keeper::calls).sum::<usize>() > calls);
+    assert!(controllers.iter().map(Controller::calls).sum::<usize>() > calls);
 }
 
 #[tokio::test]
-async fn a_flood_of_unknown_names_asks_keepers_no_more_than_one_does() {
-    let (keepers, port) = keepers(3, &config(7, &["x"]));
-    let state = follow(&keepers, port, CONVERGE_MS);
+async fn a_flood_of_unknown_names_asks_controllers_no_more_than_one_does() {
+    let (controllers, port) = controllers(3, &config(7, &["x"]));
+    let state = follow(&controllers, port, CONVERGE_MS);
     ready(&state).await;
-    keepers.iter().for_each(|keeper| keeper.set(Manner::Unconfirmed));
+    controllers.iter().for_each(|controller| controller.set(Manner::Unconfirmed));
     unproved(&state).await;
-    let total = || keepers.iter().map(Keeper::calls).sum::<usize>();
+    let total = || controllers.iter().map(Controller::calls).sum::<usize>();
     let mut cost = Vec::new();
     for requests in [1, 150] {
         let before = total();
--- a/router/src/following.rs
+++ b/router/src/following.rs
@@ -1,6 +1,6 @@
-//! Which keepers a router asks, and when: a pure state machine, time comes in with every call.
+//! Which controllers a router asks, and when: a pure state machine, time comes in with every call.
 //!
-//! One keeper is the *home*: the router's lease is renewed there on a beat, and it pushes changes. What counts is
+//! One controller is the *home*: the router's lease is renewed there on a beat, and it pushes changes. What counts is
 //! not the home but `current_as_of`, the time as of which the configuration held here is proved to be current.
 //! Once that is too long ago, or the home is silent, others are asked beside it (hedged calls): at once the next
 //! in the router's own order and a member of the core, then one more every gap. The first that proves enough is
@@ -16,7 +16,7 @@
 /// A call to be begun now. Who makes it reports its end: `answered`, or `failed` after `deadline_ms` at the latest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    pub keeper: String,
+    pub controller: String,
     pub deadline_ms: u64,
 }
 
@@ -31,17 +31,17 @@
 
 #[derive(Clone, Debug)]
 struct Home {
-    keeper: String,
+    controller: String,
     renew_at: u64,
     /// When it was last called again because of a lost frame.
     recalled_at: Option<u64>,
     /// Its last call failed.
     failed: bool,
-    /// It answers as keepers of an older version do.
+    /// It answers as controllers of an older version do.
     older: bool,
 }
 
-/// Invariants: at most one call to a keeper is open; `current_as_of` never goes back, and all that was
+/// Invariants: at most one call to a controller is open; `current_as_of` never goes back, and all that was
 /// acknowledged before it is held here.
 #[derive(Clone, Debug)]
 pub struct Following {
@@ -80,7 +80,7 @@
     }
 
     pub fn home(&self) -> Option<&str> {
-        self.home.as_ref().map(|home| home.keeper.as_str())
+        self.home.as_ref().map(|home| home.controller.as_str())
     }
 
     /// All that was acknowledged before this time is held here. None: nothing is proved yet.
@@ -88,9 +88,9 @@
         self.current_as_of
     }
 
-    /// Is an answer of this keeper still waited for? A call may end here before its time, once it is of no use.
-    pub fn is_open(&self, keeper: &str) -> bool {
-        self.open.contains_key(keeper)
+    /// Is an answer of this controller still waited for? A call may end here before its time, once it is of no use.
+    pub fn is_open(&self, controller: &str) -> bool {
+        self.open.contains_key(controller)
     }
 
     pub fn set_seeds(&mut self, seeds: &[String]) {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// A keeper answered, and what it sent is taken in.
-    pub fn answered(&mut self, now: u64, keeper: &str, answer: &Answer) {
-        let Some(call) = self.open.remove(keeper) else { return };
+    /// A controller answered, and what it sent is taken in.
+    pub fn answered(&mut self, now: u64, controller: &str, answer: &Answer) {
+        let Some(call) = self.open.remove(controller) else { return };
         let others_needed = self.needs_others(now);
-        let nearer = self.home().is_some_and(|home| self.candidates.is_nearer(keeper, home, now));
+        let nearer = self.home().is_some_and(|home| self.candidates.is_nearer(controller, home, now));
         self.patience_ms = patience(self.patience_ms, Outcome::Answered);
-        self.candidates.learn(&answer.keepers, &answer.members);
+        self.candidates.learn(&answer.controllers, &answer.members);
         if self.held == 0 && answer.held > 0 {
             // Nobody else need go on sending the whole configuration.
             self.open.clear();
@@ -144,24 +144,24 @@
         let worth = answer.worth(call.sent, self.frames_lost_at);
         let good = self.take_proof(worth, answer.is_older(), now);
         if good {
-            self.candidates.restore(keeper, now);
+            self.candidates.restore(controller, now);
         }
         match &mut self.home {
-            Some(home) if home.keeper == keeper => (home.failed, home.older) = (false, answer.is_older()),
+            Some(home) if home.controller == controller => (home.failed, home.older) = (false, answer.is_older()),
             Some(home) if !home.failed && !(good && (others_needed || nearer)) => {
                 if !good {
-                    self.candidates.pass_over(keeper, Fault::Unproved, now);
+                    self.candidates.pass_over(controller, Fault::Unproved, now);
                 }
                 return;
             }
-            _ => self.move_home(keeper, &call, answer.is_older(), others_needed, now),
+            _ => self.move_home(controller, &call, answer.is_older(), others_needed, now),
         }
         if worth == Worth::FrameLost {
             self.recall(now);
         }
     }
 
-    /// True: the keeper is as good a home as any.
+    /// True: the controller is as good a home as any.
     fn take_proof(&mut self, worth: Worth, older: bool, now: u64) -> bool {
         match worth {
             Worth::Nothing => false,
@@ -173,24 +173,24 @@
         }
     }
 
-    fn move_home(&mut self, keeper: &str, call: &OpenCall, older: bool, others_needed: bool, now: u64) {
+    fn move_home(&mut self, controller: &str, call: &OpenCall, older: bool, others_needed: bool, now: u64) {
         if let Some(left) = self.home.take().filter(|_| others_needed) {
             let fault = if left.failed { Fault::Lost } else { Fault::Unproved };
-            self.candidates.pass_over(&left.keeper, fault, now);
+            self.candidates.pass_over(&left.controller, fault, now);
         }
         let renew_at = call.sent + self.renewal_interval_ms();
-        self.home = Some(Home { keeper: keeper.into(), renew_at, recalled_at: None, failed: false, older });
+        self.home = Some(Home { controller: controller.into(), renew_at, recalled_at: None, failed: false, older });
     }
 
     /// A call ended without an answer: no connection, or none in its time.
-    pub fn failed(&mut self, now: u64, keeper: &str) {
+    pub fn failed(&mut self, now: u64, controller: &str) {
         self.note_waited_in_vain(now);
-        let Some(call) = self.open.remove(keeper) else { return };
+        let Some(call) = self.open.remove(controller) else { return };
         if now < call.deadline {
             self.patience_ms = patience(self.patience_ms, Outcome::Unreached);
         }
-        self.candidates.pass_over(keeper, Fault::Lost, now);
-        match self.home.as_mut().filter(|home| home.keeper == keeper) {
+        self.candidates.pass_over(controller, Fault::Lost, now);
+        match self.home.as_mut().filter(|home| home.controller == controller) {
             Some(home) => home.failed = true,
             None if now < call.deadline => self.pace.note_failure(),
             None => {}
--- a/router/src/following_answer.rs
+++ b/router/src/following_answer.rs
@@ -1,9 +1,9 @@
-//! What a keeper's answer proves of the configuration that is held here.
+//! What a controller's answer proves of the configuration that is held here.
 
-/// How old a confirmation may be behind a keeper of an older version, which says no more than that it is sure.
-pub const OLDER_KEEPER_SURE_MS: u64 = 1100;
+/// How old a confirmation may be behind a controller of an older version, which says no more than that it is sure.
+pub const OLDER_CONTROLLER_SURE_MS: u64 = 1100;
 
-/// What a keeper says of its own state.
+/// What a controller says of its own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
     Nothing,
@@ -22,8 +22,8 @@
     pub proof: Proof,
     /// The revision held here after it.
     pub held: u64,
-    /// Keepers in the router's order, nearest first.
-    pub keepers: Vec<String>,
+    /// Controllers in the router's order, nearest first.
+    pub controllers: Vec<String>,
     /// Members of the core.
     pub members: Vec<String>,
 }
@@ -32,25 +32,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Worth {
     Nothing,
-    /// The keeper knows more than has come here: a frame was lost on the way.
+    /// The controller knows more than has come here: a frame was lost on the way.
     FrameLost,
     /// All that was acknowledged before this time is held here.
     CurrentAsOf(i64),
 }
 
 impl Answer {
-    pub fn renewed(renewed: &wire::renewal::Renewed, held: u64) -> Answer {
+    pub fn renewed(renewed: &protocol::renewal::Renewed, held: u64) -> Answer {
         let proof = renewed.confirmation.as_ref().map_or(Proof::Nothing, |confirmation| Proof::Confirmed {
             age_ms: confirmation.age_ms,
             config: confirmation.config,
         });
-        Answer { proof, held, keepers: renewed.news.peers.clone(), members: renewed.members.clone() }
+        Answer { proof, held, controllers: renewed.news.peers.clone(), members: renewed.members.clone() }
     }
 
-    /// Of a keeper of an older version.
-    pub fn news(news: &wire::msg::News, held: u64) -> Answer {
+    /// Of a controller of an older version.
+    pub fn news(news: &protocol::msg::News, held: u64) -> Answer {
         let proof = if news.sure { Proof::Sure } else { Proof::Nothing };
-        Answer { proof, held, keepers: news.peers.clone(), members: Vec::new() }
+        Answer { proof, held, controllers: news.peers.clone(), members: Vec::new() }
     }
 
     /// Of the answer to a call sent at `sent`. `frames_lost_at`: when frames were last lost on this side.
@@ -61,11 +61,11 @@
             Proof::Confirmed { config, .. } if config > self.held => Worth::FrameLost,
             Proof::Confirmed { age_ms, .. } => Worth::CurrentAsOf(before(age_ms)),
             Proof::Sure if frames_lost_at.is_some_and(|lost| lost >= sent) => Worth::FrameLost,
-            Proof::Sure => Worth::CurrentAsOf(before(OLDER_KEEPER_SURE_MS)),
+            Proof::Sure => Worth::CurrentAsOf(before(OLDER_CONTROLLER_SURE_MS)),
         }
     }
 
-    /// Was it given by a keeper of an older version?
+    /// Was it given by a controller of an older version?
     pub fn is_older(&self) -> bool {
         self.proof == Proof::Sure
     }
--- a/router/src/following_calls.rs
+++ b/router/src/following_calls.rs
@@ -20,8 +20,8 @@
     pub fn due(&mut self, now: u64) -> Vec<Call> {
         self.note_waited_in_vain(now);
         let mut calls = Vec::new();
-        if let Some(home) = self.home.as_ref().filter(|home| now >= home.renew_at && !self.is_open(&home.keeper)) {
-            calls.push(self.begin(home.keeper.clone(), now));
+        if let Some(home) = self.home.as_ref().filter(|home| now >= home.renew_at && !self.is_open(&home.controller)) {
+            calls.push(self.begin(home.controller.clone(), now));
         }
         if self.needs_others(now) {
             self.ask_others(now, &mut calls);
@@ -42,7 +42,7 @@
         let mut times = vec![now + IDLE_MS];
         if let Some(home) = &self.home {
             let silent_at = |call: &OpenCall| call.sent + self.budget.silence_ms() + 1;
-            times.push(self.open.get(&home.keeper).map_or(home.renew_at, silent_at));
+            times.push(self.open.get(&home.controller).map_or(home.renew_at, silent_at));
         }
         match self.current_as_of.filter(|_| !self.needs_others(now)) {
             Some(as_of) => times.push((as_of + self.home_hedge_age_ms() as i64 + 1).max(0) as u64),
@@ -52,15 +52,15 @@
         times.into_iter().filter(|time| *time > now).min().unwrap_or(now + IDLE_MS)
     }
 
-    fn begin(&mut self, keeper: String, now: u64) -> Call {
+    fn begin(&mut self, controller: String, now: u64) -> Call {
         let interval = self.renewal_interval_ms();
-        if let Some(home) = self.home.as_mut().filter(|home| home.keeper == keeper) {
+        if let Some(home) = self.home.as_mut().filter(|home| home.controller == controller) {
             home.renew_at = now + interval;
         }
         let deadline_ms = if self.answers_may_be_long(now) { PATIENCE_MOST_MS } else { self.patience_ms };
         let (deadline, patient_until) = (now + deadline_ms, now + self.patience_ms);
-        self.open.insert(keeper.clone(), OpenCall { sent: now, deadline, patient_until, waited_in_vain: false });
-        Call { keeper, deadline_ms }
+        self.open.insert(controller.clone(), OpenCall { sent: now, deadline, patient_until, waited_in_vain: false });
+        Call { controller, deadline_ms }
     }
 
     pub(super) fn renewal_interval_ms(&self) -> u64 {
@@ -71,14 +71,15 @@
         interval / UNREADY_DIVISOR
     }
 
-    /// How old a proof may be before others are asked. One from a keeper of an older version is never young.
+    /// How old a proof may be before others are asked. One from a controller of an older version is never young.
     pub(super) fn hedge_age_ms(&self, older: bool) -> u64 {
         let budget = &self.budget;
         let age = budget.hedge_age_ms();
         if !older {
             return age;
         }
-        let usual = crate::following_answer::OLDER_KEEPER_SURE_MS + budget.renewal_interval_ms() + budget.answer_ms();
+        let usual =
+            crate::following_answer::OLDER_CONTROLLER_SURE_MS + budget.renewal_interval_ms() + budget.answer_ms();
         age.max(usual)
     }
 
@@ -94,7 +95,7 @@
     pub(super) fn needs_others(&self, now: u64) -> bool {
         let Some(home) = &self.home else { return true };
         let silence_ms = self.budget.silence_ms();
-        let silent = self.open.get(&home.keeper).is_some_and(|call| now > call.sent + silence_ms);
+        let silent = self.open.get(&home.controller).is_some_and(|call| now > call.sent + silence_ms);
         home.failed || silent || !self.is_current(now, self.home_hedge_age_ms())
     }
 
@@ -109,12 +110,12 @@
         }
         let first = self.pace.asks() == 0 && !self.answers_may_be_long(now);
         for _ in 0..if first { ASKED_AT_ONCE } else { 1 } {
-            let keeper = self.next_to_ask(now);
+            let controller = self.next_to_ask(now);
             self.pace.note_ask(now);
             self.proof_wanted = false;
-            let Some(keeper) = keeper else { return };
-            *self.asked.entry(keeper.clone()).or_default() += 1;
-            calls.push(self.begin(keeper, now));
+            let Some(controller) = controller else { return };
+            *self.asked.entry(controller.clone()).or_default() += 1;
+            calls.push(self.begin(controller, now));
         }
     }
 
@@ -136,14 +137,15 @@
     fn next_to_ask(&self, now: u64) -> Option<String> {
         let turn = self.pace.asks() % ORDER_TURN;
         let order_turn = if self.answers_may_be_long(now) { ORDER_TURN - 1 } else { 0 };
-        let times_asked = |keeper: &str| {
-            let free = !self.is_open(keeper) && self.home() != Some(keeper);
-            free.then(|| self.asked.get(keeper).copied().unwrap_or(0))
+        let times_asked = |controller: &str| {
+            let free = !self.is_open(controller) && self.home() != Some(controller);
+            free.then(|| self.asked.get(controller).copied().unwrap_or(0))
         };
         let next = self.candidates.pick(List::Order, now, times_asked);
         let member = self.candidates.pick(List::Core, now, times_asked).filter(|_| turn != order_turn);
-        let passed_over =
-            |keeper: &Option<String>| keeper.as_ref().is_none_or(|keeper| self.candidates.is_passed_over(keeper, now));
+        let passed_over = |controller: &Option<String>| {
+            controller.as_ref().is_none_or(|controller| self.candidates.is_passed_over(controller, now))
+        };
         let stands_back = self.pace.asks() >= ASKED_AT_ONCE && passed_over(&member) && !passed_over(&next);
         if stands_back {
             return next;
@@ -151,7 +153,7 @@
         member.or(next)
     }
 
-    /// A keeper nearer than the home that is not passed over: all being well, the router goes back to it.
+    /// A controller nearer than the home that is not passed over: all being well, the router goes back to it.
     fn nearer_than_home(&self, now: u64) -> Option<String> {
         let nearest = self.candidates.nearest(now)?;
         let nearer = self.candidates.is_nearer(nearest, self.home()?, now);
@@ -160,14 +162,14 @@
 
     /// Whoever is waited for in vain is followed by one that gets more time.
     pub(super) fn note_waited_in_vain(&mut self, now: u64) {
-        let home = self.home.as_ref().map(|home| home.keeper.as_str());
-        for (keeper, call) in self.open.iter_mut().filter(|(_, call)| now >= call.patient_until) {
+        let home = self.home.as_ref().map(|home| home.controller.as_str());
+        for (controller, call) in self.open.iter_mut().filter(|(_, call)| now >= call.patient_until) {
             if std::mem::replace(&mut call.waited_in_vain, true) {
                 continue;
             }
-            let outcome = if home == Some(keeper) { Outcome::Silent } else { Outcome::Slow };
+            let outcome = if home == Some(controller) { Outcome::Silent } else { Outcome::Slow };
             self.patience_ms = patience(self.patience_ms, outcome);
-            self.candidates.pass_over(keeper, Fault::Lost, now);
+            self.candidates.pass_over(controller, Fault::Lost, now);
         }
     }
 }
--- a/router/src/following_calls_tests.rs
+++ b/router/src/following_calls_tests.rs
@@ -1,13 +1,13 @@
-//! How many calls a router makes, whatever keepers do.
+//! How many calls a router makes, whatever controllers do.
 use crate::following::Following;
 use crate::following_world::{budget, names, Behaviour, World};
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
-const KEEPERS: usize = 18;
+const CONTROLLERS: usize = 18;
 /// By then the router is settled at its first home.
 const SETTLED: u64 = 5000;
 
-/// What happens next at a keeper that is called.
+/// What happens next at a controller that is called.
 fn any_behaviour(dice: &mut kernel::clock::Dice) -> Behaviour {
     match dice.below(8) {
         0 => Behaviour::Frozen,
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn a_proof_never_goes_back_and_calls_are_bounded_whatever_keepers_do() {
+fn a_proof_never_goes_back_and_calls_are_bounded_whatever_controllers_do() {
     for converge_ms in CONVERGE_MS {
         for seed in 1..8 {
             let mut dice = kernel::clock::Dice::new(seed);
-            let mut world = World::new(converge_ms, KEEPERS);
+            let mut world = World::new(converge_ms, CONTROLLERS);
             let mut proved = None;
             for step in 0..600 {
                 world.run(1000 + step * 50, |_, _| any_behaviour(&mut dice));
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn while_the_core_has_no_quorum_routers_do_not_flood_the_keepers() {
+fn while_the_core_has_no_quorum_routers_do_not_flood_the_controllers() {
     for converge_ms in CONVERGE_MS {
-        let mut world = World::new(converge_ms, KEEPERS);
+        let mut world = World::new(converge_ms, CONTROLLERS);
         world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
         world.run(60_000, |_, _| Behaviour::UnconfirmedSince(SETTLED));
         let most = world.most_calls_within(1000, SETTLED + 4000) as u64;
@@ -67,7 +67,7 @@
 fn requests_that_wait_for_a_proof_cause_no_flood_of_calls() {
     for converge_ms in CONVERGE_MS {
         let count = |wanted: bool| {
-            let mut world = World::new(converge_ms, KEEPERS);
+            let mut world = World::new(converge_ms, CONTROLLERS);
             world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
             for now in SETTLED..SETTLED + 20_000 {
                 if wanted {
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_frame_that_was_lost_is_asked_for_at_once_and_is_no_proof() {
-    let mut world = World::new(2000, KEEPERS);
+    let mut world = World::new(2000, CONTROLLERS);
     world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
     let mut lost = false;
     let (before, calls) = (world.policy.current_as_of(), world.begun.len());
@@ -98,7 +98,7 @@
     });
     let first = &world.begun[calls];
     let again = &world.begun[calls + 1];
-    assert_eq!((again.at, &again.keeper), (first.at + 5, &first.keeper), "without waiting for the beat");
+    assert_eq!((again.at, &again.controller), (first.at + 5, &first.controller), "without waiting for the beat");
     assert_eq!(world.policy.current_as_of(), Some(again.at as i64 - 100));
     assert!(before < world.policy.current_as_of());
     // One whose frames are lost for good is called no faster than others would be asked.
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn keepers_of_an_older_version_are_followed_without_asking_others_on_and_on() {
+fn controllers_of_an_older_version_are_followed_without_asking_others_on_and_on() {
     for converge_ms in CONVERGE_MS {
-        let mut world = World::new(converge_ms, KEEPERS);
+        let mut world = World::new(converge_ms, CONTROLLERS);
         world.run(SETTLED, |_, _| Behaviour::Older { answer_ms: 5 });
         world.policy.set_ready();
         let calls = world.begun.len();
@@ -122,18 +122,18 @@
 }
 
 #[test]
-fn the_next_keeper_and_a_member_of_the_core_are_asked_at_once_beside_a_silent_home() {
+fn the_next_controller_and_a_member_of_the_core_are_asked_at_once_beside_a_silent_home() {
     for (node, converge_ms) in (0..40).zip(CONVERGE_MS.into_iter().cycle()) {
         let budget = budget(converge_ms);
-        let keepers = names("k", KEEPERS);
-        let mut world = World::with(Following::new(budget, &format!("edge-{node}"), "k0", &keepers), keepers);
+        let controllers = names("k", CONTROLLERS);
+        let mut world = World::with(Following::new(budget, &format!("edge-{node}"), "k0", &controllers), controllers);
         world.policy.set_ready();
         world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 50 });
         let calls = world.begun.len();
         world.run(SETTLED + 2000, |_, _| Behaviour::Frozen);
         let asked: Vec<_> = world.begun[calls..].iter().collect();
-        assert_eq!((asked[0].keeper.as_str(), asked[1].keeper.as_str()), ("k0", "k1"));
-        assert!(world.members.contains(&asked[2].keeper), "{asked:?}");
+        assert_eq!((asked[0].controller.as_str(), asked[1].controller.as_str()), ("k0", "k1"));
+        assert!(world.members.contains(&asked[2].controller), "{asked:?}");
         assert_eq!(asked[1].at, asked[0].at + budget.silence_ms() + 1);
         assert_eq!(asked[2].at, asked[1].at);
         assert_eq!(asked[3].at, asked[2].at + budget.hedge_gap_ms());
@@ -142,16 +142,16 @@
 
 #[test]
 fn once_the_whole_configuration_has_come_nobody_else_need_go_on_sending_it() {
-    let keepers = names("k", 3);
-    let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &keepers), keepers);
+    let controllers = names("k", 3);
+    let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &controllers), controllers);
     world.held = 0;
     let begin = world.now;
-    let slow = |keeper: &str, _| match keeper {
+    let slow = |controller: &str, _| match controller {
         "k0" => Behaviour::Healthy { answer_ms: 1700, age_ms: 100 },
         _ => Behaviour::Healthy { answer_ms: 5000, age_ms: 100 },
     };
     world.run(begin + 1690, slow);
-    let second = world.begun[1].keeper.clone();
+    let second = world.begun[1].controller.clone();
     assert!(world.policy.is_open("k0") && world.policy.is_open(&second));
     world.run(begin + 1710, slow);
     assert_eq!(world.policy.home(), Some("k0"));
--- a/router/src/following_candidates.rs
+++ b/router/src/following_candidates.rs
@@ -1,6 +1,6 @@
-//! The keepers that a router may ask, in its own order, and those passed over for a while.
+//! The controllers that a router may ask, in its own order, and those passed over for a while.
 
-/// How long a keeper that fell silent, or proved nothing, is passed over while there is another. Each time it
+/// How long a controller that fell silent, or proved nothing, is passed over while there is another. Each time it
 /// happens again soon the time doubles, so that one that is gone for good costs little.
 const LOST_MS: u64 = 5000;
 const UNPROVED_MS: u64 = 2500;
@@ -8,7 +8,7 @@
 /// One that did well for so long starts anew.
 const FORGIVEN_MS: u64 = 30_000;
 
-/// Why a keeper is passed over.
+/// Why a controller is passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It was not reached, or gave no answer.
@@ -33,12 +33,12 @@
     times: u32,
 }
 
-/// Invariant: no list names a keeper twice.
+/// Invariant: no list names a controller twice.
 #[derive(Clone, Debug)]
 pub struct Candidates {
     node: u64,
     own_ip: String,
-    /// All that are known: as keepers told them, nearest first, then members and seeds.
+    /// All that are known: as controllers told them, nearest first, then members and seeds.
     order: Vec<String>,
     told: Vec<String>,
     members: Vec<String>,
@@ -47,7 +47,7 @@
 }
 
 impl Candidates {
-    /// Before a keeper has answered only the seeds are known; one on the own machine comes first.
+    /// Before a controller has answered only the seeds are known; one on the own machine comes first.
     pub fn new(node_name: &str, own_ip: &str, seeds: &[String]) -> Candidates {
         let mut candidates = Candidates {
             node: kernel::clock::hash(node_name.as_bytes()),
--- a/router/src/following_candidates_tests.rs
+++ b/router/src/following_candidates_tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_silent_keeper_is_passed_over_until_all_are() {
+fn a_silent_controller_is_passed_over_until_all_are() {
     let mut candidates = three();
     assert_eq!(pick(&candidates, 10).as_deref(), Some("a"));
     candidates.pass_over("a", Fault::Lost, 0);
@@ -50,12 +50,12 @@
 #[test]
 fn those_asked_less_often_come_first_and_those_passed_over_last() {
     let mut candidates = three();
-    let asked = |keeper: &str| Some(u32::from(keeper == "a"));
+    let asked = |controller: &str| Some(u32::from(controller == "a"));
     assert_eq!(candidates.pick(List::Order, 0, asked).as_deref(), Some("b"));
     candidates.pass_over("b", Fault::Lost, 0);
     candidates.pass_over("c", Fault::Lost, 0);
     assert_eq!(candidates.pick(List::Order, 0, asked).as_deref(), Some("a"));
-    assert_eq!(candidates.pick(List::Order, 0, |keeper| (keeper != "a").then_some(0)).as_deref(), Some("b"));
+    assert_eq!(candidates.pick(List::Order, 0, |controller| (controller != "a").then_some(0)).as_deref(), Some("b"));
 }
 
 #[test]
