--- a/router/src/following_pace.rs
+++ b/router/src/following_pace.rs
@@ -1,9 +1,9 @@
-//! How fast a router asks further keepers, and how long it waits for one that may be sending much.
+//! How fast a router asks further controllers, and how long it waits for one that may be sending much.
 use kernel::convergence::Budget;
 
-/// How long a keeper that was reached has before another is asked beside it, where its answer may hold the
+/// How long a controller that was reached has before another is asked beside it, where its answer may hold the
 /// whole configuration. After a loss of power everywhere all routers ask for it at once: whoever asks another
-/// keeper asks for it again there, so each that was waited for in vain is followed by one that gets more time.
+/// controller asks for it again there, so each that was waited for in vain is followed by one that gets more time.
 pub const PATIENCE_MS: u64 = 1500;
 pub const PATIENCE_MOST_MS: u64 = 6000;
 
@@ -24,8 +24,8 @@
     Silent,
 }
 
-/// The patience with the next keeper. Only one that was reached and waited for shows that links are slow: a
-/// dial that failed, or a keeper that had answered before, does not.
+/// The patience with the next controller. Only one that was reached and waited for shows that links are slow: a
+/// dial that failed, or a controller that had answered before, does not.
 pub fn patience(held: u64, outcome: Outcome) -> u64 {
     match outcome {
         Outcome::Slow => (held * 2).min(PATIENCE_MOST_MS),
@@ -54,13 +54,13 @@
         self.asks = self.asks.saturating_add(1);
     }
 
-    /// A keeper that was asked was not reached.
+    /// A controller that was asked was not reached.
     pub fn note_failure(&mut self) {
         self.failed = true;
     }
 
     /// All is well. What was asked within the last gap still counts: a proof that is soon too old again must not
-    /// have two keepers asked each time. True: the next ask is the first.
+    /// have two controllers asked each time. True: the next ask is the first.
     pub fn note_proof(&mut self, budget: &Budget, now: u64) -> bool {
         if self.last.is_some_and(|last| now < last + budget.hedge_gap_ms()) {
             return false;
--- a/router/src/following_single_home.rs
+++ b/router/src/following_single_home.rs
@@ -41,7 +41,7 @@
     fn leave(&mut self, now: u64) {
         self.passed_over.insert(self.home.clone(), now + PASSED_OVER_MS);
         let until = |ip: &String| self.passed_over.get(ip).copied().filter(|until| *until > now).unwrap_or(0);
-        self.home = self.order.iter().min_by_key(|ip| until(ip)).expect("a keeper").clone();
+        self.home = self.order.iter().min_by_key(|ip| until(ip)).expect("a controller").clone();
         (self.sure_at, self.misses, self.settled, self.call_at) = (now, 0, false, now + PAUSE_MS);
     }
 }
@@ -53,7 +53,7 @@
         }
         self.sent = Some(now);
         let deadline_ms = if self.settled { CALL_MS } else { FIRST_CALL_MS };
-        vec![Call { keeper: self.home.clone(), deadline_ms }]
+        vec![Call { controller: self.home.clone(), deadline_ms }]
     }
 
     fn wake_at(&self, now: u64) -> u64 {
--- a/router/src/following_storm_tests.rs
+++ b/router/src/following_storm_tests.rs
@@ -5,21 +5,21 @@
 use crate::following_world::{budget, names, Behaviour, Policy, World};
 
 const ROUTERS: u64 = 300;
-const KEEPERS: usize = 18;
-/// What a keeper's link takes to carry the whole configuration with the lists of engines.
+const CONTROLLERS: usize = 18;
+/// What a controller's link takes to carry the whole configuration with the lists of engines.
 const WHOLE_MS: u64 = 100;
 const STEP_MS: u64 = 20;
 
-/// Asks all keepers at once, as hedged calls without patience would.
+/// Asks all controllers at once, as hedged calls without patience would.
 struct AskEverybody {
-    keepers: Vec<String>,
+    controllers: Vec<String>,
     current_as_of: Option<i64>,
 }
 
 impl Policy for AskEverybody {
     fn due(&mut self, _: u64) -> Vec<Call> {
-        let call = |keeper| Call { keeper, deadline_ms: 100_000 };
-        std::mem::take(&mut self.keepers).into_iter().map(call).collect()
+        let call = |controller| Call { controller, deadline_ms: 100_000 };
+        std::mem::take(&mut self.controllers).into_iter().map(call).collect()
     }
 
     fn wake_at(&self, now: u64) -> u64 {
@@ -39,9 +39,9 @@
 
 /// When the last router has a proof, and how often the whole configuration was asked for.
 fn storm<P: Policy>(make: impl Fn(&str, &[String]) -> P) -> (u64, u64) {
-    let keepers = names("k", KEEPERS);
+    let controllers = names("k", CONTROLLERS);
     let router = |number: u64| {
-        let mut world = World::with(make(&format!("edge-{number}"), &keepers), keepers.clone());
+        let mut world = World::with(make(&format!("edge-{number}"), &controllers), controllers.clone());
         world.held = 0;
         world
     };
@@ -53,12 +53,12 @@
         now += STEP_MS;
         assert!(now < begin + 120_000, "it ends");
         for router in &mut routers {
-            router.run_by_held(now, |keeper, sent, held| {
+            router.run_by_held(now, |controller, sent, held| {
                 if held > 0 {
                     return Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
                 }
                 wholes += 1;
-                let free_at = link_free_at.entry(keeper.into()).or_default();
+                let free_at = link_free_at.entry(controller.into()).or_default();
                 *free_at = sent.max(*free_at) + WHOLE_MS;
                 Behaviour::Healthy { answer_ms: *free_at - sent, age_ms: 100 }
             });
@@ -69,23 +69,26 @@
 
 #[test]
 fn after_a_loss_of_power_everywhere_routers_do_not_ask_everybody_for_everything() {
-    let alone = ROUTERS * WHOLE_MS / KEEPERS as u64;
+    let alone = ROUTERS * WHOLE_MS / CONTROLLERS as u64;
     let following = |node: &str, seeds: &[String]| Following::new(budget(3000), node, "none", seeds);
     let (took, wholes) = storm(following);
     assert!(took <= 2 * alone, "{took} ms, where the links need {alone} if none is asked twice");
     assert!(wholes <= ROUTERS * 3 / 2, "{wholes}");
-    let everybody = |_: &str, seeds: &[String]| AskEverybody { keepers: seeds.to_vec(), current_as_of: None };
+    let everybody = |_: &str, seeds: &[String]| AskEverybody { controllers: seeds.to_vec(), current_as_of: None };
     let (took, wholes) = storm(everybody);
-    assert!(took > 10 * alone && wholes == ROUTERS * KEEPERS as u64, "the variant without patience: {took}, {wholes}");
+    assert!(
+        took > 10 * alone && wholes == ROUTERS * CONTROLLERS as u64,
+        "the variant without patience: {took}, {wholes}"
+    );
 }
 
 #[test]
 fn a_link_that_carries_slowly_gets_its_time() {
-    let keepers = names("k", 3);
-    let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &keepers), keepers);
+    let controllers = names("k", 3);
+    let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &controllers), controllers);
     world.held = 0;
     let begin = world.now;
-    world.run(begin + 5600, |keeper, _| match keeper {
+    world.run(begin + 5600, |controller, _| match controller {
         "k0" => Behaviour::Healthy { answer_ms: 5500, age_ms: 100 },
         _ => Behaviour::Frozen,
     });
--- a/router/src/following_tests.rs
+++ b/router/src/following_tests.rs
@@ -1,15 +1,15 @@
-//! How long what is held may go without a proof, whatever happens to the keepers that are asked.
+//! How long what is held may go without a proof, whatever happens to the controllers that are asked.
 use crate::following_answer::{Answer, Proof};
 use crate::following_single_home::SingleHome;
 use crate::following_world::{budget, names, Behaviour, Policy, World};
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
-const KEEPERS: usize = 18;
+const CONTROLLERS: usize = 18;
 /// By then the router is settled at its first home.
 const SETTLED: u64 = 5000;
 const END: u64 = 12_000;
 
-/// What befalls the keepers that the router turns to.
+/// What befalls the controllers that the router turns to.
 #[derive(Clone, Copy, Debug)]
 struct Trouble {
     /// The first so many that are called after it began are sick, besides the home.
@@ -17,7 +17,7 @@
     behaviour: Behaviour,
 }
 
-/// A healthy keeper's answer: its confirmation is as old as it may be where nothing goes wrong.
+/// A healthy controller's answer: its confirmation is as old as it may be where nothing goes wrong.
 fn healthy(dice: &mut kernel::clock::Dice, converge_ms: u64) -> Behaviour {
     let budget = budget(converge_ms);
     Behaviour::Healthy { answer_ms: 2 + dice.below(20), age_ms: 5 + dice.below(budget.confirmation_interval_ms()) }
@@ -31,11 +31,11 @@
     assert!(world.proof_age().is_some(), "settled by then");
     world.oldest_proof = 0;
     let mut sick: Vec<String> = Vec::new();
-    world.run(END, |keeper, _| {
-        if sick.len() <= trouble.candidates && !sick.iter().any(|known| known == keeper) {
-            sick.push(keeper.to_string());
+    world.run(END, |controller, _| {
+        if sick.len() <= trouble.candidates && !sick.iter().any(|known| known == controller) {
+            sick.push(controller.to_string());
         }
-        match sick.iter().any(|known| known == keeper) {
+        match sick.iter().any(|known| known == controller) {
             true => trouble.behaviour,
             false => healthy(&mut dice, converge_ms),
         }
@@ -55,7 +55,7 @@
     for converge_ms in CONVERGE_MS {
         for trouble in troubles() {
             for seed in 1..16 {
-                let oldest = oldest_proof(World::new(converge_ms, KEEPERS), trouble, converge_ms, seed);
+                let oldest = oldest_proof(World::new(converge_ms, CONTROLLERS), trouble, converge_ms, seed);
                 assert!(oldest * 10 <= converge_ms as i64 * 9, "{oldest} of {converge_ms}: {trouble:?}, seed {seed}");
             }
         }
@@ -66,8 +66,8 @@
 fn a_single_home_with_fixed_waits_does_not() {
     for converge_ms in CONVERGE_MS {
         let two_sick = Trouble { candidates: 1, behaviour: Behaviour::Frozen };
-        let keepers = names("k", KEEPERS);
-        let world = World::with(SingleHome::new(&keepers), keepers);
+        let controllers = names("k", CONTROLLERS);
+        let world = World::with(SingleHome::new(&controllers), controllers);
         let oldest = oldest_proof(world, two_sick, converge_ms, 1);
         assert!(oldest > converge_ms as i64 * 9 / 10, "{oldest} of {converge_ms}");
     }
@@ -79,16 +79,16 @@
     world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
     let healed = SETTLED + cut_ms;
     // Bytes on the old connection are sent again only long after the cut.
-    world.run(healed, |keeper, now| match keeper == "k0" && now < SETTLED + 500 {
+    world.run(healed, |controller, now| match controller == "k0" && now < SETTLED + 500 {
         true => Behaviour::Frozen,
         false => Behaviour::Unreachable,
     });
     let mut turned_to: Vec<String> = Vec::new();
-    world.run(healed + kernel::env::Bounds::default().contact_ms, |keeper, _| {
-        if turned_to.len() < sick && !turned_to.iter().any(|known| known == keeper) {
-            turned_to.push(keeper.to_string());
+    world.run(healed + kernel::env::Bounds::default().contact_ms, |controller, _| {
+        if turned_to.len() < sick && !turned_to.iter().any(|known| known == controller) {
+            turned_to.push(controller.to_string());
         }
-        match turned_to.iter().any(|known| known == keeper) {
+        match turned_to.iter().any(|known| known == controller) {
             true => Behaviour::Frozen,
             false => Behaviour::Healthy { answer_ms: 5, age_ms: 100 },
         }
@@ -100,32 +100,32 @@
 fn contact_that_is_back_is_used_before_it_counts_though_two_are_sick() {
     for cut_ms in [300, 1000, 2400, 5000, 20_000] {
         for sick in 0..=2 {
-            let world = World::new(2000, KEEPERS);
+            let world = World::new(2000, CONTROLLERS);
             let age = proof_age_once_in_touch(world, cut_ms, sick);
             assert!(age <= 1800, "{age}: cut for {cut_ms}, {sick} sick");
         }
     }
-    let keepers = names("k", KEEPERS);
-    let single = World::with(SingleHome::new(&keepers), keepers);
+    let controllers = names("k", CONTROLLERS);
+    let single = World::with(SingleHome::new(&controllers), controllers);
     let age = proof_age_once_in_touch(single, 5000, 2);
     assert!(age > 2000, "a router with a single home: {age}");
 }
 
 #[test]
-fn a_router_goes_back_to_the_nearest_keeper_once_that_is_well() {
-    let mut world = World::new(2000, KEEPERS);
+fn a_router_goes_back_to_the_nearest_controller_once_that_is_well() {
+    let mut world = World::new(2000, CONTROLLERS);
     let good = Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
     world.run(SETTLED, |_, _| good);
     assert_eq!(world.policy.home(), Some("k0"));
-    world.run(SETTLED + 3000, |keeper, _| if keeper == "k0" { Behaviour::Frozen } else { good });
+    world.run(SETTLED + 3000, |controller, _| if controller == "k0" { Behaviour::Frozen } else { good });
     assert_eq!(world.policy.home(), Some("k1"), "the next in its order, not the core member that answered too");
     world.run(SETTLED + 10_000, |_, _| good);
     assert_eq!(world.policy.home(), Some("k0"));
 }
 
 #[test]
-fn what_an_older_keeper_is_sure_of_counts_only_if_no_frame_was_lost_since() {
-    let mut world = World::new(2000, KEEPERS);
+fn what_an_older_controller_is_sure_of_counts_only_if_no_frame_was_lost_since() {
+    let mut world = World::new(2000, CONTROLLERS);
     world.run(SETTLED, |_, _| Behaviour::Older { answer_ms: 5 });
     let proved = world.policy.current_as_of();
     let Some(call) = (0..2000).find_map(|wait| world.policy.due(SETTLED + wait).pop().map(|call| (call, wait))) else {
@@ -133,28 +133,28 @@
     };
     let (call, sent) = (call.0, SETTLED + call.1);
     world.policy.frames_lost(sent + 1);
-    let answer = Answer { proof: Proof::Sure, held: 7, keepers: world.keepers.clone(), members: Vec::new() };
-    world.policy.answered(sent + 5, &call.keeper, &answer);
+    let answer = Answer { proof: Proof::Sure, held: 7, controllers: world.controllers.clone(), members: Vec::new() };
+    world.policy.answered(sent + 5, &call.controller, &answer);
     assert_eq!(world.policy.current_as_of(), proved);
     let again = world.policy.due(sent + 5);
-    assert_eq!(again.first().map(|call| &call.keeper), Some(&call.keeper), "at once");
-    world.policy.answered(sent + 10, &call.keeper, &answer);
+    assert_eq!(again.first().map(|call| &call.controller), Some(&call.controller), "at once");
+    world.policy.answered(sent + 10, &call.controller, &answer);
     assert_eq!(world.policy.current_as_of(), Some(sent as i64 + 5 - 1100));
 }
 
-/// Two thirds of the keepers outside the core and one member of it are sick, others every two seconds.
+/// Two thirds of the controllers outside the core and one member of it are sick, others every two seconds.
 fn oldest_proof_on_a_bad_day<P: Policy>(mut world: World<P>, converge_ms: u64, seed: u64) -> i64 {
     const CHANGE_MS: u64 = 2000;
     let mut dice = kernel::clock::Dice::new(seed);
     world.run(SETTLED, |_, _| healthy(&mut dice, converge_ms));
     world.oldest_proof = 0;
     let members = world.members.clone();
-    world.run(SETTLED + 60_000, |keeper, now| {
+    world.run(SETTLED + 60_000, |controller, now| {
         let change = now / CHANGE_MS;
-        let luck = kernel::clock::blend(kernel::clock::hash(keeper.as_bytes()), change + (seed << 32));
-        let is_member = members.iter().any(|member| member == keeper);
+        let luck = kernel::clock::blend(kernel::clock::hash(controller.as_bytes()), change + (seed << 32));
+        let is_member = members.iter().any(|member| member == controller);
         let sick_member = change as usize % members.len();
-        let sick = if is_member { members[sick_member] == keeper } else { !luck.is_multiple_of(3) };
+        let sick = if is_member { members[sick_member] == controller } else { !luck.is_multiple_of(3) };
         match luck / 3 % 3 {
             _ if !sick => healthy(&mut dice, converge_ms),
             0 => Behaviour::Frozen,
@@ -166,15 +166,15 @@
 }
 
 #[test]
-fn a_day_on_which_most_keepers_outside_the_core_are_sick_is_borne() {
+fn a_day_on_which_most_controllers_outside_the_core_are_sick_is_borne() {
     let seeds = 1..12;
     for converge_ms in CONVERGE_MS {
-        let following = |seed| oldest_proof_on_a_bad_day(World::new(converge_ms, KEEPERS), converge_ms, seed);
+        let following = |seed| oldest_proof_on_a_bad_day(World::new(converge_ms, CONTROLLERS), converge_ms, seed);
         let oldest = seeds.clone().map(following).max().unwrap_or(0);
         assert!(oldest * 10 <= converge_ms as i64 * 9, "{oldest} of {converge_ms}");
         let single = |seed| {
-            let keepers = names("k", KEEPERS);
-            oldest_proof_on_a_bad_day(World::with(SingleHome::new(&keepers), keepers), converge_ms, seed)
+            let controllers = names("k", CONTROLLERS);
+            oldest_proof_on_a_bad_day(World::with(SingleHome::new(&controllers), controllers), converge_ms, seed)
         };
         let oldest = seeds.clone().map(single).max().unwrap_or(0);
         assert!(oldest > converge_ms as i64, "a single home: {oldest} of {converge_ms}");
--- a/router/src/following_world.rs
+++ b/router/src/following_world.rs
@@ -1,4 +1,4 @@
-//! Keepers in virtual time, for tests of the state machine that decides which of them are asked.
+//! Controllers in virtual time, for tests of the state machine that decides which of them are asked.
 use crate::following::{Call, Following};
 use crate::following_answer::{Answer, Proof};
 use kernel::convergence::Budget;
@@ -6,7 +6,7 @@
 /// A dial that meets silence is given up after this.
 const DIAL_MS: u64 = 500;
 
-/// How a keeper takes a call.
+/// How a controller takes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     /// It answers after `answer_ms` what it confirmed `age_ms` before.
@@ -25,12 +25,12 @@
     Refusing,
 }
 
-/// What decides which keepers are called.
+/// What decides which controllers are called.
 pub trait Policy {
     fn due(&mut self, now: u64) -> Vec<Call>;
     fn wake_at(&self, now: u64) -> u64;
-    fn answered(&mut self, now: u64, keeper: &str, answer: &Answer);
-    fn failed(&mut self, now: u64, keeper: &str);
+    fn answered(&mut self, now: u64, controller: &str, answer: &Answer);
+    fn failed(&mut self, now: u64, controller: &str);
     fn current_as_of(&self) -> Option<i64>;
 }
 
@@ -43,12 +43,12 @@
         Following::wake_at(self, now)
     }
 
-    fn answered(&mut self, now: u64, keeper: &str, answer: &Answer) {
-        Following::answered(self, now, keeper, answer);
+    fn answered(&mut self, now: u64, controller: &str, answer: &Answer) {
+        Following::answered(self, now, controller, answer);
     }
 
-    fn failed(&mut self, now: u64, keeper: &str) {
-        Following::failed(self, now, keeper);
+    fn failed(&mut self, now: u64, controller: &str) {
+        Following::failed(self, now, controller);
     }
 
     fn current_as_of(&self) -> Option<i64> {
@@ -59,7 +59,7 @@
 /// The end of a call that is under way.
 struct End {
     at: u64,
-    keeper: String,
+    controller: String,
     answer: Option<Answer>,
 }
 
@@ -67,14 +67,14 @@
 #[derive(Clone, Debug)]
 pub struct Begun {
     pub at: u64,
-    pub keeper: String,
+    pub controller: String,
 }
 
-/// One router and its keepers.
+/// One router and its controllers.
 pub struct World<P> {
     pub now: u64,
     pub policy: P,
-    pub keepers: Vec<String>,
+    pub controllers: Vec<String>,
     pub members: Vec<String>,
     /// The revision held by the router.
     pub held: u64,
@@ -93,25 +93,25 @@
 }
 
 impl World<Following> {
-    /// A ready router whose order is `k0`, `k1`, ...; from `k4` on every third keeper is a member of the core.
-    pub fn new(converge_ms: u64, keepers: usize) -> World<Following> {
-        let keepers = names("k", keepers);
-        let mut following = Following::new(budget(converge_ms), "edge-1", "k0", &keepers[..1]);
+    /// A ready router whose order is `k0`, `k1`, ...; from `k4` on every third controller is a member of the core.
+    pub fn new(converge_ms: u64, controllers: usize) -> World<Following> {
+        let controllers = names("k", controllers);
+        let mut following = Following::new(budget(converge_ms), "edge-1", "k0", &controllers[..1]);
         following.set_ready();
-        World::with(following, keepers)
+        World::with(following, controllers)
     }
 }
 
 impl<P: Policy> World<P> {
-    pub fn with(policy: P, keepers: Vec<String>) -> World<P> {
-        let members = keepers.iter().skip(4).step_by(3).cloned().collect();
+    pub fn with(policy: P, controllers: Vec<String>) -> World<P> {
+        let members = controllers.iter().skip(4).step_by(3).cloned().collect();
         let (begun, under_way) = (Vec::new(), Vec::new());
-        World { now: 1000, policy, keepers, members, held: 7, begun, oldest_proof: 0, under_way }
+        World { now: 1000, policy, controllers, members, held: 7, begun, oldest_proof: 0, under_way }
     }
 
-    /// Until a time; `behaviour` says how each keeper takes a call that begins at a time.
+    /// Until a time; `behaviour` says how each controller takes a call that begins at a time.
     pub fn run(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64) -> Behaviour) {
-        self.run_by_held(until, |keeper, now, _| behaviour(keeper, now));
+        self.run_by_held(until, |controller, now, _| behaviour(controller, now));
     }
 
     /// As `run`; `behaviour` is also told which revision the router holds.
@@ -120,8 +120,8 @@
             self.end_calls();
             self.note_proof_age();
             for call in self.policy.due(self.now) {
-                let end = self.end_of(&call, behaviour(&call.keeper, self.now, self.held));
-                self.begun.push(Begun { at: self.now, keeper: call.keeper });
+                let end = self.end_of(&call, behaviour(&call.controller, self.now, self.held));
+                self.begun.push(Begun { at: self.now, controller: call.controller });
                 self.under_way.push(end);
             }
             let wake_at = self.policy.wake_at(self.now);
@@ -139,9 +139,9 @@
                 Some(answer) => {
                     self.held = self.held.max(answer.held);
                     let answer = Answer { held: self.held, ..answer };
-                    self.policy.answered(self.now, &end.keeper, &answer);
+                    self.policy.answered(self.now, &end.controller, &answer);
                 }
-                None => self.policy.failed(self.now, &end.keeper),
+                None => self.policy.failed(self.now, &end.controller),
             }
         }
     }
@@ -155,9 +155,12 @@
     }
 
     fn end_of(&self, call: &Call, behaviour: Behaviour) -> End {
-        let keeper = call.keeper.clone();
-        let failure =
-            |after: u64| End { at: self.now + after.min(call.deadline_ms), keeper: keeper.clone(), answer: None };
+        let controller = call.controller.clone();
+        let failure = |after: u64| End {
+            at: self.now + after.min(call.deadline_ms),
+            controller: controller.clone(),
+            answer: None,
+        };
         let confirmed = |age_ms| Proof::Confirmed { age_ms, config: 7 };
         let (after, proof, held) = match behaviour {
             Behaviour::Frozen => return failure(call.deadline_ms),
@@ -171,8 +174,8 @@
         if after > call.deadline_ms {
             return failure(call.deadline_ms);
         }
-        let answer = Answer { proof, held, keepers: self.keepers.clone(), members: self.members.clone() };
-        End { at: self.now + after, keeper, answer: Some(answer) }
+        let answer = Answer { proof, held, controllers: self.controllers.clone(), members: self.members.clone() };
+        End { at: self.now + after, controller, answer: Some(answer) }
     }
 
     /// The most calls that were begun within any span of this length, from a time on.
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -11,9 +11,9 @@
         let floors = self.state.floors.lock().expect("floors");
         let model = self.request.model_key;
         match floors.limit(self.service, &self.request.model, &self.route, now) {
-            engines::floor::Limit::Free => None,
-            engines::floor::Limit::Lapsed => Some((model, u64::MAX, 0)),
-            engines::floor::Limit::From(floor) => match self.pinned_version {
+            load_balancing::floor::Limit::Free => None,
+            load_balancing::floor::Limit::Lapsed => Some((model, u64::MAX, 0)),
+            load_balancing::floor::Limit::From(floor) => match self.pinned_version {
                 Some(exact) if exact >= floor => Some((model, exact, exact)),
                 _ => Some((model, floor, u64::MAX)),
             },
@@ -50,8 +50,8 @@
     }
 }
 
-/// A rule from a keeper; binds at once where it is tighter.
-pub fn rule(state: &crate::state::State, rule: &wire::msg::Rule) {
+/// A rule from a controller; binds at once where it is tighter.
+pub fn rule(state: &crate::state::State, rule: &protocol::msg::Rule) {
     let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
     let now = kernel::clock::now();
     if state.floors.lock().expect("floors").take(rule, service, now) {
@@ -61,7 +61,7 @@
 }
 
 /// Weight versions of a zone. Older ones of the same poller change nothing.
-pub fn versions(state: &crate::state::State, list: &wire::msg::Versions) {
+pub fn versions(state: &crate::state::State, list: &protocol::msg::Versions) {
     {
         let mut held = state.weights.lock().expect("weights");
         let version = held.entry(list.zone.clone()).or_default();
@@ -80,6 +80,6 @@
 pub fn known_versions(state: &crate::state::State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
     let rules = state.floors.lock().expect("floors").versions();
     let weights = state.weights.lock().expect("weights");
-    let weights = weights.iter().map(|(zone, (turn, count))| (wire::msg::hide(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (wire::msg::hide(&key), version)).collect(), weights.collect())
+    let weights = weights.iter().map(|(zone, (turn, count))| (protocol::msg::hide(zone), *turn, *count));
+    (rules.into_iter().map(|(key, version)| (protocol::msg::hide(&key), version)).collect(), weights.collect())
 }
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -46,7 +46,7 @@
     at: usize,
     answer: crate::send::Answer,
 ) -> Result<Reading, ()> {
-    if answer.head.headers.contains_key(wire::word::SEAL) {
+    if answer.head.headers.contains_key(protocol::word::SEAL) {
         // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
         (exchange.sends, exchange.arrived, exchange.may_have_run) = (exchange.sends + 1, true, true);
         return Ok(Reading::Answer(at, answer));
@@ -102,7 +102,7 @@
         let mut record = exchange.state.record.lock().expect("record");
         for key in &exchange.request.keys {
             record.note(*key, &id, now);
-            list.push(wire::msg::Record { key: *key, engine: id.clone() });
+            list.push(protocol::msg::Record { key: *key, engine: id.clone() });
         }
     }
     let count = list.len() as u32;
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -59,7 +59,7 @@
 mod stand_in_answers;
 
 #[cfg(test)]
-mod stand_in_keeper;
+mod stand_in_controller;
 
 #[cfg(test)]
 mod stand_in_router;
--- a/router/src/lookup.rs
+++ b/router/src/lookup.rs
@@ -11,7 +11,7 @@
 struct Inner {
     epoch: u64,
     holder: String,
-    peer: Option<std::sync::Arc<wire::link::Caller>>,
+    peer: Option<std::sync::Arc<protocol::link::Caller>>,
     misses: u32,
     rest_until: u64,
     drops: u32,
@@ -22,7 +22,7 @@
 /// What the catalog told.
 pub struct Found {
     pub owners: Vec<Vec<String>>,
-    pub list: Vec<wire::msg::Pressure>,
+    pub list: Vec<protocol::msg::Pressure>,
 }
 
 const WAIT_MS: u64 = 40;
@@ -39,7 +39,7 @@
         inner.epoch = epoch;
         if inner.holder != holder {
             inner.holder = holder.into();
-            inner.peer = Some(std::sync::Arc::new(wire::link::Caller::start(addr, None)));
+            inner.peer = Some(std::sync::Arc::new(protocol::link::Caller::start(addr, None)));
         }
         inner.misses = 0;
         inner.rest_until = 0;
@@ -47,7 +47,7 @@
         true
     }
 
-    fn peer(&self, now: u64) -> Option<(u64, std::sync::Arc<wire::link::Caller>)> {
+    fn peer(&self, now: u64) -> Option<(u64, std::sync::Arc<protocol::link::Caller>)> {
         let inner = self.inner.lock().expect("lookup");
         if now < inner.rest_until {
             return None;
@@ -69,14 +69,14 @@
         let (epoch, peer) = self.peer(kernel::clock::now())?;
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = match plain {
-            true => wire::msg::Msg::Query(Box::new((epoch, keys.to_vec()))),
-            false => wire::msg::Msg::Seek(Box::new(wire::msg::Seek { epoch, keys: keys.to_vec(), sample })),
+            true => protocol::msg::Msg::Query(Box::new((epoch, keys.to_vec()))),
+            false => protocol::msg::Msg::Seek(Box::new(protocol::msg::Seek { epoch, keys: keys.to_vec(), sample })),
         };
         let reply = peer.call(msg, WAIT_MS).await;
         self.heard(reply.is_some());
         match reply? {
-            wire::msg::Msg::Found(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
-            wire::msg::Msg::Sought(found) if found.epoch == epoch => {
+            protocol::msg::Msg::Found(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
+            protocol::msg::Msg::Sought(found) if found.epoch == epoch => {
                 Some(Found { owners: found.owners, list: found.list })
             }
             _ => None,
@@ -84,12 +84,12 @@
     }
 
     /// Fire and forget; what can't even be sent is counted and told by the next flush.
-    pub fn register(&self, list: Vec<wire::msg::Record>, told: Vec<wire::msg::Pressure>) {
+    pub fn register(&self, list: Vec<protocol::msg::Record>, told: Vec<protocol::msg::Pressure>) {
         let count = list.len() as u32;
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = |epoch| match plain {
-            true => wire::msg::Msg::Register(Box::new((epoch, list))),
-            false => wire::msg::Msg::Note(Box::new(wire::msg::Note { epoch, list, told })),
+            true => protocol::msg::Msg::Register(Box::new((epoch, list))),
+            false => protocol::msg::Msg::Note(Box::new(protocol::msg::Note { epoch, list, told })),
         };
         let sent = match self.peer(kernel::clock::now()) {
             Some((epoch, peer)) => peer.cast(msg(epoch)),
@@ -104,10 +104,10 @@
     pub async fn flush(&self, sent: u32) -> u32 {
         let early = std::mem::take(&mut self.inner.lock().expect("lookup").drops);
         let Some((epoch, peer)) = self.peer(kernel::clock::now()) else { return early };
-        let reply = peer.call(wire::msg::Msg::Flush(Box::new((epoch, sent))), WAIT_MS).await;
+        let reply = peer.call(protocol::msg::Msg::Flush(Box::new((epoch, sent))), WAIT_MS).await;
         self.heard(reply.is_some());
         match reply {
-            Some(wire::msg::Msg::Flushed(flushed)) if flushed.0 == epoch => early + flushed.1,
+            Some(protocol::msg::Msg::Flushed(flushed)) if flushed.0 == epoch => early + flushed.1,
             _ => early + sent,
         }
     }
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -11,7 +11,7 @@
     Alone,
 }
 
-pub fn read(view: &engines::place::View, request: &crate::request::Request, held: &PrefixOwners) -> Plan {
+pub fn read(view: &load_balancing::place::View, request: &crate::request::Request, held: &PrefixOwners) -> Plan {
     let (tokens, rank) = (request.tokens(), rank(request));
     let Some((at, cost)) = view.prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
     if view.alone(tokens, held, rank).is_some_and(|(_, alone)| alone < cost) {
@@ -64,9 +64,9 @@
     let roll = state.dice.lock().expect("dice").roll();
     let engine_table = state.engine_table.lock().expect("engine_table");
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
-    for half in [engines::place::Half::Prefill, engines::place::Half::Decode] {
+    for half in [load_balancing::place::Half::Prefill, load_balancing::place::Half::Decode] {
         let Some(subset) = engine_table.subset(service, half, false) else { continue };
-        if half == engines::place::Half::Prefill {
+        if half == load_balancing::place::Half::Prefill {
             names.extend(subset.homes(rank(request), 2, |at| engine_table.list[at].up && engine_table.list[at].here));
         }
         names.extend(subset.draw(roll, DRAWN));
--- a/router/src/pool.rs
+++ b/router/src/pool.rs
@@ -68,7 +68,8 @@
         }
         count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let hold = Hold(count);
-        let stream = wire::sock::dial(&to.addr, DIAL_MS, wire::sock::SILENCE_MS).await.map_err(|_| SendError::Down)?;
+        let stream =
+            protocol::sock::dial(&to.addr, DIAL_MS, protocol::sock::SILENCE_MS).await.map_err(|_| SendError::Down)?;
         let io = hyper_util::rt::TokioIo::new(stream);
         let (connection, conn) = hyper::client::conn::http1::handshake(io).await.map_err(|_| SendError::Down)?;
         tokio::spawn(async move {
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -4,9 +4,9 @@
 //! their shards empty evenly. While none of them answers, the router has a small allowance of its own.
 
 use crate::failure::Failure;
+use protocol::quota::{ShardHolder, Spend, Spent};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
-use wire::quota::{ShardHolder, Spend, Spent};
 
 /// How long a holder may take to answer.
 const ANSWER_MS: u64 = 60;
@@ -56,7 +56,7 @@
 struct Inner {
     holders: Vec<quota::Holder>,
     mark: u64,
-    links: HashMap<String, Arc<wire::link::Caller>>,
+    links: HashMap<String, Arc<protocol::link::Caller>>,
     resting_until: HashMap<String, u64>,
     empty_until: HashMap<String, u64>,
     allowances: quota::Allowances,
@@ -88,10 +88,10 @@
         QuotaGate { peer_port: env.peer_port(), inner: Mutex::new(inner) }
     }
 
-    /// Takes a list of keepers that may hold shards.
+    /// Takes a list of controllers that may hold shards.
     pub fn set_holders(&self, list: &[ShardHolder]) {
         let mut inner = self.inner.lock().expect("quota gate");
-        inner.mark = wire::quota::holders_mark(list);
+        inner.mark = protocol::quota::holders_mark(list);
         inner.holders = list.iter().map(|one| quota::Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
         inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
@@ -134,7 +134,7 @@
     }
 
     /// The holders of a tenant's shards in the order in which they are asked: those that answered lately.
-    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<wire::link::Caller>)> {
+    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<protocol::link::Caller>)> {
         let now = kernel::clock::now();
         let mut inner = self.inner.lock().expect("quota gate");
         inner.resting_until.retain(|_, until| now < *until);
@@ -145,7 +145,7 @@
         order.retain(|ip| !inner.resting_until.contains_key(ip));
         let port = self.peer_port;
         let link = |ip: String| {
-            let start = || Arc::new(wire::link::Caller::start(format!("{ip}:{port}"), None));
+            let start = || Arc::new(protocol::link::Caller::start(format!("{ip}:{port}"), None));
             let caller = inner.links.entry(ip.clone()).or_insert_with(start).clone();
             (ip, caller)
         };
@@ -155,14 +155,14 @@
     async fn ask(&self, tenant: &str, quota: &quota::Quota, roll: u64) -> Asked {
         let spend = Spend {
             tenant: tenant.into(),
-            rate_milli: wire::quota::to_milli(quota.rate_per_s),
-            burst_milli: wire::quota::to_milli(quota.burst),
+            rate_milli: protocol::quota::to_milli(quota.rate_per_s),
+            burst_milli: protocol::quota::to_milli(quota.burst),
         };
         let mut result = Asked::Nobody;
         for (ip, link) in self.order(tenant, roll) {
-            let message = wire::msg::Msg::Spend(Box::new(spend.clone()));
+            let message = protocol::msg::Msg::Spend(Box::new(spend.clone()));
             match link.call(message, ANSWER_MS).await {
-                Some(wire::msg::Msg::Spent(spent)) => match *spent {
+                Some(protocol::msg::Msg::Spent(spent)) => match *spent {
                     Spent::Granted => return Asked::Granted,
                     Spent::Denied { retry_after_ms } => result = Asked::Empty { retry_after_ms },
                     Spent::NotHeld => {}
--- a/router/src/quota_gate_tests.rs
+++ b/router/src/quota_gate_tests.rs
@@ -1,25 +1,25 @@
-//! A router and stand-ins for the keepers that hold shards.
+//! A router and stand-ins for the controllers that hold shards.
 use super::{Decision, QuotaGate};
 use crate::stand_in::{answer, engines, seen, Act};
 use crate::stand_in_router::{ask, configure, router, status, SETTINGS};
+use protocol::quota::{ShardHolder, Spent};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
-use wire::quota::{ShardHolder, Spent};
 
-/// A keeper that answers every request for a token so.
-async fn keeper(ip: &str, port: u16, spent: Option<Spent>) -> Arc<AtomicUsize> {
+/// A controller that answers every request for a token so.
+async fn controller(ip: &str, port: u16, spent: Option<Spent>) -> Arc<AtomicUsize> {
     let asked = Arc::new(AtomicUsize::new(0));
     let count = asked.clone();
-    let listener = wire::sock::listen(&format!("{ip}:{port}")).expect("a free address");
-    let handler: wire::link::Handler = Arc::new(move |mouth, id, message| {
-        if let wire::msg::Msg::Spend(_) = message {
+    let listener = protocol::sock::listen(&format!("{ip}:{port}")).expect("a free address");
+    let handler: protocol::link::Handler = Arc::new(move |mouth, id, message| {
+        if let protocol::msg::Msg::Spend(_) = message {
             count.fetch_add(1, Ordering::Relaxed);
             if let Some(spent) = spent {
-                mouth.reply(id, &wire::msg::Msg::Spent(Box::new(spent)));
+                mouth.reply(id, &protocol::msg::Msg::Spent(Box::new(spent)));
             }
         }
     });
-    tokio::spawn(wire::link::serve(listener, handler));
+    tokio::spawn(protocol::link::serve(listener, handler));
     asked
 }
 
@@ -39,9 +39,9 @@
 #[tokio::test]
 async fn a_shard_that_is_empty_sends_to_the_next_and_all_empty_ones_refuse() {
     let (ips, port) = (["127.0.81.1", "127.0.81.2", "127.0.81.3"], 7381);
-    keeper(ips[0], port, Some(EMPTY)).await;
-    keeper(ips[1], port, Some(Spent::Granted)).await;
-    keeper(ips[2], port, Some(Spent::NotHeld)).await;
+    controller(ips[0], port, Some(EMPTY)).await;
+    controller(ips[1], port, Some(Spent::Granted)).await;
+    controller(ips[2], port, Some(Spent::NotHeld)).await;
     let gate = gate(port, &ips);
     for roll in 0..6 {
         assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
@@ -56,8 +56,8 @@
 #[tokio::test]
 async fn a_silent_holder_is_passed_over_for_a_while() {
     let (ips, port) = (["127.0.82.1", "127.0.82.2"], 7382);
-    let silent = keeper(ips[0], port, None).await;
-    keeper(ips[1], port, Some(Spent::Granted)).await;
+    let silent = controller(ips[0], port, None).await;
+    controller(ips[1], port, Some(Spent::Granted)).await;
     let gate = gate(port, &ips);
     for roll in 0..10 {
         assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn who_is_over_the_limit_gets_429_and_reaches_no_engine() {
     let (ip, port) = ("127.0.84.1", 7300);
-    let asked = keeper(ip, port, Some(EMPTY)).await;
+    let asked = controller(ip, port, Some(EMPTY)).await;
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
     state.quota_gate.set_holders(&[ShardHolder { ip: ip.into(), zone: "a".into() }]);
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -37,7 +37,9 @@
         // Refused early rather than given up late.
         return Err(failure_of(&exchange));
     }
-    if exchange.version_bounds().is_some() && exchange.view(|view| view.open(engines::place::Half::Decode).is_empty()) {
+    if exchange.version_bounds().is_some()
+        && exchange.view(|view| view.open(load_balancing::place::Half::Decode).is_empty())
+    {
         exchange.report_no_replica();
         return Err(failure_of(&exchange));
     }
@@ -48,7 +50,9 @@
     exchange.spend_quota().await?;
     let split = exchange.is_streaming()
         && !exchange.request.keys.is_empty()
-        && exchange.view(|view| view.has(engines::place::Half::Prefill) && view.has(engines::place::Half::Decode));
+        && exchange.view(|view| {
+            view.has(load_balancing::place::Half::Prefill) && view.has(load_balancing::place::Half::Decode)
+        });
     let carried = if split { crate::halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
@@ -78,7 +82,7 @@
 
 /// A success as an engine gives it.
 fn sealed(answer: &crate::send::Answer) -> bool {
-    answer.head.status.is_success() && answer.head.headers.contains_key(wire::word::SEAL)
+    answer.head.status.is_success() && answer.head.headers.contains_key(protocol::word::SEAL)
 }
 
 /// Services without halves: one engine, and another where that is allowed.
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -32,8 +32,13 @@
 
 /// What the system alone tells engines. From a client these would lead to another request's memory, or have its
 /// own request only read.
-const SYSTEM: [&str; 5] =
-    [wire::word::TARGET, wire::word::STAGE, wire::word::SOURCE, wire::word::URGENCY, wire::word::EXPECT];
+const SYSTEM: [&str; 5] = [
+    protocol::word::TARGET,
+    protocol::word::STAGE,
+    protocol::word::SOURCE,
+    protocol::word::URGENCY,
+    protocol::word::EXPECT,
+];
 
 /// Removes what concerns one connection, and what `Connection` names.
 pub fn strip(head: &mut http::HeaderMap) {
@@ -59,7 +64,7 @@
     let count = |name: http::header::HeaderName| head.get_all(name).iter().count();
     let framed = count(http::header::TRANSFER_ENCODING);
     let sized = count(http::header::CONTENT_LENGTH);
-    let ids = head.get_all(wire::word::ATTEMPT).iter().count();
+    let ids = head.get_all(protocol::word::ATTEMPT).iter().count();
     framed <= 1 && sized <= 1 && framed + sized <= 1 && count(http::header::HOST) == 1 && ids <= 1
 }
 
@@ -134,20 +139,20 @@
         authorization.rewrite(&mut head);
         let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
         let most = authorization.route().timeout_ms;
-        let wait = number(&head, wire::word::BUDGET).unwrap_or(most).min(most);
-        let text = head.get(wire::word::PREFIX).and_then(|value| value.to_str().ok());
+        let wait = number(&head, protocol::word::BUDGET).unwrap_or(most).min(most);
+        let text = head.get(protocol::word::PREFIX).and_then(|value| value.to_str().ok());
         let list = text.and_then(catalog::parts).unwrap_or_default();
-        let model = head.get(wire::word::MODEL).map_or(&b""[..], http::HeaderValue::as_bytes);
+        let model = head.get(protocol::word::MODEL).map_or(&b""[..], http::HeaderValue::as_bytes);
         let model_key = kernel::clock::hash(model);
         let keys = catalog::keys(kernel::clock::blend(seed, model_key), &list);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
             path,
-            attempt: head.get(wire::word::ATTEMPT).cloned(),
+            attempt: head.get(protocol::word::ATTEMPT).cloned(),
             model_key,
             model: String::from_utf8_lossy(model).into_owned(),
-            last: head.get(wire::word::LAST).cloned(),
+            last: head.get(protocol::word::LAST).cloned(),
             head,
             body,
             deadline: born + wait,
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -49,9 +49,9 @@
     let Some(route) = &extra.guard else { return true };
     let limit = state.floors.lock().expect("floors").limit(service, model, route, kernel::clock::now());
     match limit {
-        engines::floor::Limit::Free => true,
-        engines::floor::Limit::From(floor) => extra.expect.is_some_and(|version| version >= floor),
-        engines::floor::Limit::Lapsed => false,
+        load_balancing::floor::Limit::Free => true,
+        load_balancing::floor::Limit::From(floor) => extra.expect.is_some_and(|version| version >= floor),
+        load_balancing::floor::Limit::Lapsed => false,
     }
 }
 
@@ -70,22 +70,22 @@
             head.insert(name, value);
         }
     };
-    set(wire::word::TARGET, engine);
-    set(wire::word::BUDGET, &extra.budget_ms.to_string());
+    set(protocol::word::TARGET, engine);
+    set(protocol::word::BUDGET, &extra.budget_ms.to_string());
     if extra.stage {
-        set(wire::word::STAGE, "prefill");
+        set(protocol::word::STAGE, "prefill");
     }
     if let Some(source) = &extra.source {
-        set(wire::word::SOURCE, source);
+        set(protocol::word::SOURCE, source);
     }
     if let Some(urgency) = extra.urgency {
-        set(wire::word::URGENCY, &urgency.to_string());
+        set(protocol::word::URGENCY, &urgency.to_string());
     }
     if let Some(version) = extra.expect {
-        set(wire::word::EXPECT, &version.to_string());
+        set(protocol::word::EXPECT, &version.to_string());
     }
     if let Some(last) = &extra.last {
-        head.insert(wire::word::LAST, last.clone());
+        head.insert(protocol::word::LAST, last.clone());
     }
     outgoing
 }
--- a/router/src/server.rs
+++ b/router/src/server.rs
@@ -25,7 +25,7 @@
 /// Answers the platform's calls for readiness.
 pub async fn readiness(state: Arc<State>) {
     let Some(addr) = state.env.bind_addresses.readiness.clone() else { return };
-    wire::sock::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
+    protocol::sock::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
 async fn answer_readiness(state: Arc<State>, stream: tokio::net::TcpStream) {
@@ -46,7 +46,7 @@
     let Some(addr) = state.env.bind_addresses.frontend.clone() else { return };
     let room = most_connections(&state.env);
     tokio::select! {
-        () = wire::sock::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
+        () = protocol::sock::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
         () = state.drain.closing() => {}
     }
 }
@@ -90,7 +90,7 @@
 }
 
 async fn serve_connection(state: Arc<State>, stream: tokio::net::TcpStream) {
-    wire::sock::tune(&stream, CLIENT_SILENCE_MS);
+    protocol::sock::tune(&stream, CLIENT_SILENCE_MS);
     let _open = OpenConnection::count(&state);
     let look = crate::frames::Look::new();
     let io = hyper_util::rt::TokioIo::new(crate::frames::Stream::new(stream, look.clone()));
--- a/router/src/stand_in.rs
+++ b/router/src/stand_in.rs
@@ -102,7 +102,7 @@
         script: impl Fn(&Seen) -> Act + Send + Sync + 'static,
     ) -> Engine {
         let greeting = greeting.to_string();
-        let listener = wire::sock::listen("127.0.0.1:0").expect("a free port");
+        let listener = protocol::sock::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address").to_string();
         let seen = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
         let (end, ended) = tokio::sync::watch::channel(0);
@@ -142,8 +142,8 @@
     }
 
     /// Its line in the platform's list.
-    pub fn entry(&self) -> wire::msg::Engine {
-        wire::msg::Engine {
+    pub fn entry(&self) -> protocol::msg::Engine {
+        protocol::msg::Engine {
             id: self.id.clone(),
             service: "s".into(),
             addr: self.addr.clone(),
--- a/router/src/stand_in_router.rs
+++ b/router/src/stand_in_router.rs
@@ -64,7 +64,7 @@
 /// Tells the router which engines there are.
 pub fn list(state: &crate::state::State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let sheet = wire::msg::Sheet { zone: "a".into(), turn: 1, count, list };
+    let sheet = protocol::msg::Sheet { zone: "a".into(), turn: 1, count, list };
     state.engine_table.lock().expect("engine_table").take(&sheet, kernel::clock::now());
 }
 
@@ -73,7 +73,7 @@
 
 impl Client {
     pub async fn connect(state: &std::sync::Arc<crate::state::State>) -> Client {
-        let listener = wire::sock::listen("127.0.0.1:0").expect("a free port");
+        let listener = protocol::sock::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address");
         let state = state.clone();
         tokio::spawn(async move {
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -8,20 +8,20 @@
     /// The own zone, by its dense index.
     pub zone: u32,
     pub table: std::sync::Mutex<std::sync::Arc<crate::table::Table>>,
-    pub engine_table: std::sync::Mutex<engines::engine_table::EngineTable>,
+    pub engine_table: std::sync::Mutex<load_balancing::engine_table::EngineTable>,
     pub record: std::sync::Mutex<catalog::record::Record>,
-    pub budget: std::sync::Mutex<engines::budget::Budget>,
+    pub budget: std::sync::Mutex<load_balancing::budget::Budget>,
     pub pools: crate::pool::Pools,
     pub lookup: crate::lookup::Lookup,
     /// Limits on stale weights. Taken last, never together with another.
-    pub floors: std::sync::Mutex<engines::floor::Floors>,
+    pub floors: std::sync::Mutex<load_balancing::floor::Floors>,
     /// By zone: the version of the weight versions held.
     pub weights: std::sync::Mutex<std::collections::BTreeMap<String, (u64, u64)>>,
     pub news: std::sync::Mutex<News>,
     /// As of when the table is proved to be current.
     pub currency: crate::currency::Currency,
-    /// The home keeper of now.
-    pub home: std::sync::Mutex<Option<std::sync::Arc<wire::link::Caller>>>,
+    /// The home controller of now.
+    pub home: std::sync::Mutex<Option<std::sync::Arc<protocol::link::Caller>>>,
     pub dice: std::sync::Mutex<kernel::clock::Dice>,
     /// When the want of fresh replicas was last told.
     pub few_at: std::sync::atomic::AtomicU64,
@@ -39,14 +39,14 @@
     pub samples_wanted: tokio::sync::Notify,
 }
 
-/// What the keepers told. Invariant: versions never go back.
+/// What the controllers told. Invariant: versions never go back.
 #[derive(Default)]
 pub struct News {
     pub config: u64,
     pub closed: std::collections::BTreeMap<String, (u64, bool)>,
     /// Evacuated zones, by dense index.
     pub shut: Vec<u32>,
-    pub keepers: Vec<String>,
+    pub controllers: Vec<String>,
     pub seats: Vec<(u64, u32)>,
 }
 
@@ -58,7 +58,7 @@
     /// The state of a process that has just started: it knows its settings and nothing else.
     pub fn new(env: kernel::env::Env) -> std::sync::Arc<State> {
         let life = kernel::clock::life();
-        let mut engine_table = engines::engine_table::EngineTable::default();
+        let mut engine_table = load_balancing::engine_table::EngineTable::default();
         let own_zone = engine_table.zone(&env.zone);
         for (zone, region) in &env.zones {
             engine_table.region(zone, region);
@@ -70,7 +70,7 @@
             table: Default::default(),
             engine_table: std::sync::Mutex::new(engine_table),
             record: std::sync::Mutex::new(catalog::record::Record::new(RECORD, STALE_MS)),
-            budget: std::sync::Mutex::new(engines::budget::Budget::new(env.bounds.retry_budget, window_ms)),
+            budget: std::sync::Mutex::new(load_balancing::budget::Budget::new(env.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
--- a/router/src/table.rs
+++ b/router/src/table.rs
@@ -55,13 +55,14 @@
     pub idle_ms: u64,
 }
 
-fn route(item: &wire::config::Route, engine_table: &mut engines::engine_table::EngineTable) -> Route {
+fn route(item: &protocol::config::Route, engine_table: &mut load_balancing::engine_table::EngineTable) -> Route {
     let kind = match item.route_type.as_str() {
         "idempotent" => Kind::Idempotent,
         "streaming" => Kind::Streaming,
         _ => Kind::NonIdempotent,
     };
-    let targets = wire::config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
+    let targets =
+        protocol::config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
@@ -78,7 +79,7 @@
     }
 }
 
-fn service(item: &wire::config::Service) -> Service {
+fn service(item: &protocol::config::Service) -> Service {
     let engine = item.engine.as_ref();
     Service {
         connections: item.max_connections,
@@ -91,8 +92,8 @@
     /// The table after a change. None: it is no newer, or counts on top of another revision than this.
     pub fn turn(
         &self,
-        change: &wire::change::Change,
-        engine_table: &mut engines::engine_table::EngineTable,
+        change: &protocol::change::Change,
+        engine_table: &mut load_balancing::engine_table::EngineTable,
     ) -> Option<Table> {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return None;
--- a/router/src/table_tests.rs
+++ b/router/src/table_tests.rs
@@ -1,23 +1,23 @@
-fn config(revision: u64, routes: &[(&str, &str, &str)]) -> wire::config::Config {
+fn config(revision: u64, routes: &[(&str, &str, &str)]) -> protocol::config::Config {
     let route = |(name, prefix, service): &(&str, &str, &str)| {
         serde_json::json!({"name": name, "hostname": "A.example", "path_prefix": prefix, "route_type": "streaming",
             "timeout_ms": 5, "service": service})
     };
     let text = serde_json::json!({"revision": revision, "route_table": routes.iter().map(route).collect::<Vec<_>>(),
         "service_table": [{"name": "s"}, {"name": "t"}, {"name": "u"}]});
-    wire::config::read(&text.to_string()).expect("good")
+    protocol::config::read(&text.to_string()).expect("good")
 }
 
 const FIRST: [(&str, &str, &str); 3] = [("1", "/", "s"), ("2", "/x/y/", "t"), ("3", "/x/", "u")];
 
-fn made(engine_table: &mut engines::engine_table::EngineTable) -> super::Table {
-    let whole = wire::change::Change::whole(&config(1, &FIRST));
+fn made(engine_table: &mut load_balancing::engine_table::EngineTable) -> super::Table {
+    let whole = protocol::change::Change::whole(&config(1, &FIRST));
     super::Table::default().turn(&whole, engine_table).expect("newer")
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let mut engine_table = engines::engine_table::EngineTable::default();
+    let mut engine_table = load_balancing::engine_table::EngineTable::default();
     let table = made(&mut engine_table);
     let service = |host: &str, path: &str| table.find(host, path).map(|route| route.targets[0].0);
     assert_eq!(service("a.example", "/x/y/z"), Some(engine_table.service("t")));
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_chain_of_changes_gives_the_table_that_the_whole_gives() {
-    let mut engine_table = engines::engine_table::EngineTable::default();
+    let mut engine_table = load_balancing::engine_table::EngineTable::default();
     let mut dice = kernel::clock::Dice::new(7);
     let names: Vec<String> = (0..12).map(|at| format!("r{at}")).collect();
     let (mut held, mut table) = (config(1, &FIRST), made(&mut engine_table));
@@ -44,9 +44,9 @@
             routes.push((name.as_str(), prefixes[(at + turn) % 12], service));
         }
         let next = config(revision, &routes);
-        table = table.turn(&wire::change::Change::between(&held, &next), &mut engine_table).expect("in order");
+        table = table.turn(&protocol::change::Change::between(&held, &next), &mut engine_table).expect("in order");
         let whole =
-            super::Table::default().turn(&wire::change::Change::whole(&next), &mut engine_table).expect("whole");
+            super::Table::default().turn(&protocol::change::Change::whole(&next), &mut engine_table).expect("whole");
         for prefix in prefixes {
             let path = format!("{prefix}x");
             let seen = |table: &super::Table| {
@@ -60,13 +60,13 @@
 
 #[test]
 fn a_gap_and_an_older_one_change_nothing() {
-    let mut engine_table = engines::engine_table::EngineTable::default();
+    let mut engine_table = load_balancing::engine_table::EngineTable::default();
     let table = made(&mut engine_table);
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
-    let gap = wire::change::Change::between(&three, &four);
+    let gap = protocol::change::Change::between(&three, &four);
     assert!(table.turn(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
-    let later = table.turn(&wire::change::Change::whole(&four), &mut engine_table).expect("whole");
-    let back = wire::change::Change::whole(&three);
+    let later = table.turn(&protocol::change::Change::whole(&four), &mut engine_table).expect("whole");
+    let back = protocol::change::Change::whole(&three);
     assert!(later.turn(&back, &mut engine_table).is_none(), "it never goes back");
     assert!(later.turn(&gap, &mut engine_table).is_none(), "the same again");
 }
--- a/router/src/tenants.rs
+++ b/router/src/tenants.rs
@@ -34,7 +34,7 @@
 }
 
 impl Tenant {
-    fn new(item: &wire::config::Tenant) -> Tenant {
+    fn new(item: &protocol::config::Tenant) -> Tenant {
         Tenant {
             name: item.name.clone(),
             header: http::HeaderValue::from_bytes(item.name.as_bytes()).ok(),
@@ -77,7 +77,7 @@
     }
 
     /// The tenants after a change: those that it removes are gone, those that it names stand as it has them.
-    pub fn after(held: &std::sync::Arc<Tenants>, change: &wire::change::Change) -> std::sync::Arc<Tenants> {
+    pub fn after(held: &std::sync::Arc<Tenants>, change: &protocol::change::Change) -> std::sync::Arc<Tenants> {
         let whole = change.from == 0;
         let same_tenants = change.tenants.is_empty() && change.gone_tenants.is_empty();
         if !whole && same_tenants && change.requires_keys == held.requires_keys {
--- a/router/src/tenants_tests.rs
+++ b/router/src/tenants_tests.rs
@@ -3,21 +3,21 @@
 
 type Item<'a> = (&'a str, Vec<&'a str>);
 
-fn config(revision: u64, tenants: &[Item]) -> wire::config::Config {
+fn config(revision: u64, tenants: &[Item]) -> protocol::config::Config {
     let tenant = |(name, keys): &Item| serde_json::json!({"name": name, "api_keys": keys});
     let text = serde_json::json!({"revision": revision, "service_table": [{"name": "s"}],
         "route_table": [{"name": "r", "hostname": "h", "path_prefix": "/", "route_type": "streaming", "timeout_ms": 5,
             "service": "s"}],
         "tenant_table": tenants.iter().map(tenant).collect::<Vec<_>>()});
-    wire::config::read(&text.to_string()).expect("good")
+    protocol::config::read(&text.to_string()).expect("good")
 }
 
-fn without_tenants(revision: u64) -> wire::config::Config {
-    wire::config::Config { requires_keys: false, ..config(revision, &[]) }
+fn without_tenants(revision: u64) -> protocol::config::Config {
+    protocol::config::Config { requires_keys: false, ..config(revision, &[]) }
 }
 
-fn whole(config: &wire::config::Config) -> Arc<Tenants> {
-    Tenants::after(&Arc::default(), &wire::change::Change::whole(config))
+fn whole(config: &protocol::config::Config) -> Arc<Tenants> {
+    Tenants::after(&Arc::default(), &protocol::change::Change::whole(config))
 }
 
 fn holder(tenants: &Tenants, key: &str) -> Option<String> {
@@ -27,7 +27,7 @@
 /// The tenants after the change from one list to another, as routers get it.
 fn after(old: &[Item], new: &[Item]) -> Arc<Tenants> {
     let (old, new) = (config(1, old), config(2, new));
-    Tenants::after(&whole(&old), &wire::change::Change::between(&old, &new))
+    Tenants::after(&whole(&old), &protocol::change::Change::between(&old, &new))
 }
 
 #[test]
@@ -64,9 +64,9 @@
 fn a_tenant_that_was_removed_and_added_again_has_its_new_keys_only() {
     let first = config(1, &[("a", vec!["old"]), ("b", vec!["other"])]);
     let (second, third) = (config(2, &[("b", vec!["other"])]), config(3, &[("a", vec!["new"]), ("b", vec!["other"])]));
-    let removed = Tenants::after(&whole(&first), &wire::change::Change::between(&first, &second));
+    let removed = Tenants::after(&whole(&first), &protocol::change::Change::between(&first, &second));
     assert_eq!(holder(&removed, "old"), None);
-    let added = Tenants::after(&removed, &wire::change::Change::between(&second, &third));
+    let added = Tenants::after(&removed, &protocol::change::Change::between(&second, &third));
     let found = ["old", "new", "other"].map(|key| holder(&added, key));
     assert_eq!(found, [None, Some("a".to_string()), Some("b".to_string())]);
 }
@@ -80,16 +80,16 @@
 #[test]
 fn a_table_that_comes_or_goes_without_any_tenant_is_noticed() {
     let (none, empty) = (without_tenants(1), config(2, &[]));
-    let came = Tenants::after(&whole(&none), &wire::change::Change::between(&none, &empty));
+    let came = Tenants::after(&whole(&none), &protocol::change::Change::between(&none, &empty));
     assert!(came.requires_keys());
-    let gone = Tenants::after(&came, &wire::change::Change::between(&empty, &without_tenants(3)));
+    let gone = Tenants::after(&came, &protocol::change::Change::between(&empty, &without_tenants(3)));
     assert!(!gone.requires_keys());
 }
 
 #[test]
 fn a_whole_configuration_leaves_nothing_of_the_one_before() {
     let held = whole(&config(1, &[("a", vec!["old"])]));
-    let change = wire::change::Change::whole(&config(2, &[("b", vec!["new"])]));
+    let change = protocol::change::Change::whole(&config(2, &[("b", vec!["new"])]));
     let tenants = Tenants::after(&held, &change);
     assert_eq!((holder(&tenants, "old"), holder(&tenants, "new").as_deref()), (None, Some("b")));
 }
@@ -98,7 +98,7 @@
 fn a_change_without_tenants_shares_those_that_are_held() {
     let (old, new) = (config(1, &[("a", vec!["k"])]), config(2, &[("a", vec!["k"])]));
     let held = whole(&old);
-    assert!(Arc::ptr_eq(&held, &Tenants::after(&held, &wire::change::Change::between(&old, &new))));
+    assert!(Arc::ptr_eq(&held, &Tenants::after(&held, &protocol::change::Change::between(&old, &new))));
 }
 
 #[test]
@@ -118,7 +118,7 @@
             }
         }
         let next = config(revision, &list);
-        tenants = Tenants::after(&tenants, &wire::change::Change::between(&held, &next));
+        tenants = Tenants::after(&tenants, &protocol::change::Change::between(&held, &next));
         let expected = whole(&next);
         for key in &keys {
             assert_eq!(holder(&tenants, key), holder(&expected, key), "revision {revision}, {key}");
@@ -131,7 +131,7 @@
 #[test]
 fn a_key_that_several_tenants_hold_is_nobodys() {
     // No valid configuration has one: the change is made by hand.
-    let mut change = wire::change::Change::whole(&config(1, &[("a", vec!["own", "shared"]), ("b", vec![])]));
+    let mut change = protocol::change::Change::whole(&config(1, &[("a", vec!["own", "shared"]), ("b", vec![])]));
     change.tenants[1].api_keys = vec!["shared".into()];
     let tenants = Tenants::after(&Arc::default(), &change);
     assert_eq!((holder(&tenants, "own").as_deref(), holder(&tenants, "shared")), (Some("a"), None));
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_tenant_whose_name_no_header_can_carry_is_not_served() {
-    let mut change = wire::change::Change::whole(&config(1, &[("a", vec!["k"]), ("b", vec!["other"])]));
+    let mut change = protocol::change::Change::whole(&config(1, &[("a", vec!["k"]), ("b", vec!["other"])]));
     change.tenants[0].name = "a\r\nTenant: b".into();
     let tenants = Tenants::after(&Arc::default(), &change);
     assert_eq!((holder(&tenants, "k"), holder(&tenants, "other").as_deref()), (None, Some("b")));
--- a/router/src/verdict.rs
+++ b/router/src/verdict.rs
@@ -31,13 +31,13 @@
 
 /// The version of the weights that an answer names.
 pub fn version(head: &http::HeaderMap) -> Option<u64> {
-    let text = head.get(wire::word::WEIGHTS)?.to_str().ok()?;
+    let text = head.get(protocol::word::WEIGHTS)?.to_str().ok()?;
     text.split(|sign: char| !sign.is_ascii_digit()).find(|part| !part.is_empty())?.parse().ok()
 }
 
 /// Does an answer bear the id of the request, once, or none where that has none?
 pub fn answers(head: &http::HeaderMap, attempt: Option<&http::HeaderValue>) -> bool {
-    let mut ids = head.get_all(wire::word::ATTEMPT).iter();
+    let mut ids = head.get_all(protocol::word::ATTEMPT).iter();
     ids.next() == attempt && ids.next().is_none()
 }
 
@@ -49,7 +49,7 @@
     if status == MISDIRECTED {
         return misdirected(&head.headers, asked);
     }
-    if head.headers.contains_key(wire::word::UNRUN) {
+    if head.headers.contains_key(protocol::word::UNRUN) {
         // A success contradicts that word, and nothing is repeated on it.
         return if head.status.is_success() { Verdict::Unproven } else { Verdict::NotExecuted };
     }
@@ -61,7 +61,7 @@
 
 /// Why an engine turned away a request that it did not run.
 fn misdirected(head: &http::HeaderMap, asked: &Asked) -> Verdict {
-    let name = head.get(wire::word::INSTANCE).and_then(|value| value.to_str().ok());
+    let name = head.get(protocol::word::INSTANCE).and_then(|value| value.to_str().ok());
     if name.is_some_and(|name| name != asked.target) {
         return Verdict::OtherEngine;
     }
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -1,12 +1,12 @@
 //! Rollouts of versions at this router: which version a request goes to, and what is seen of each.
 //!
-//! A new version gets its share only while a keeper that was confirmed renewed this router's lease a moment ago. A router that is
+//! A new version gets its share only while a controller that was confirmed renewed this router's lease a moment ago. A router that is
 //! cut off, or wakes late, sends to the version in place.
 
-use engines::place::Arm;
+use load_balancing::place::Arm;
+use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
-use wire::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 
 /// How long samples are gathered before they are sent.
 const GATHER: std::time::Duration = std::time::Duration::from_millis(200);
@@ -84,7 +84,7 @@
     }
 }
 
-/// A record from a keeper.
+/// A record from a controller.
 pub fn take(state: &crate::state::State, rollout: VersionRollout) {
     let service = state.engine_table.lock().expect("engine_table").service(&rollout.service);
     let (name, target, share, word) =
@@ -94,14 +94,14 @@
     }
 }
 
-/// The records held, as told to keepers.
+/// The records held, as told to controllers.
 pub fn told(state: &crate::state::State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock().expect("rollouts");
-    let told = |rollout: &VersionRollout| (wire::msg::hide(&VersionRollout::key(&rollout.service)), rollout.number);
+    let told = |rollout: &VersionRollout| (protocol::msg::hide(&VersionRollout::key(&rollout.service)), rollout.number);
     rollouts.list.values().map(told).collect()
 }
 
-/// Sends samples to the home keeper as they come, for as long as the process runs.
+/// Sends samples to the home controller as they come, for as long as the process runs.
 pub async fn send_samples(state: Arc<crate::state::State>) {
     loop {
         state.samples_wanted.notified().await;
@@ -110,7 +110,7 @@
         let home = state.home.lock().expect("home").clone();
         let Some(home) = home else { continue };
         for samples in list {
-            home.cast(wire::msg::Msg::Samples(Box::new(samples)));
+            home.cast(protocol::msg::Msg::Samples(Box::new(samples)));
         }
     }
 }
--- a/router/src/version_rollouts_tests.rs
+++ b/router/src/version_rollouts_tests.rs
@@ -2,8 +2,8 @@
 use super::{Rollouts, Seen};
 use crate::stand_in::{answer, engines, events, Act};
 use crate::stand_in_router::{ask, router};
-use engines::place::Arm;
-use wire::version_rollout::{candidates_of, RolloutState, VersionRollout};
+use load_balancing::place::Arm;
+use protocol::version_rollout::{candidates_of, RolloutState, VersionRollout};
 
 fn rollout(number: u64, state: RolloutState, share: u32) -> VersionRollout {
     VersionRollout {
@@ -68,8 +68,8 @@
     .await;
     let state = router(&old);
     let list = new.iter().enumerate();
-    let list = list.map(|(at, engine)| wire::msg::Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
-    let sheet = wire::msg::Sheet { zone: candidates_of("a"), turn: 1, count: 1, list };
+    let list = list.map(|(at, engine)| protocol::msg::Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
+    let sheet = protocol::msg::Sheet { zone: candidates_of("a"), turn: 1, count: 1, list };
     state.engine_table.lock().expect("engine_table").take(&sheet, kernel::clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
     super::take(&state, rollout(1, RolloutState::Active, 1000));
--- a/telemetry/src/endpoint.rs
+++ b/telemetry/src/endpoint.rs
@@ -22,7 +22,7 @@
     let render = Arc::new(render);
     tokio::spawn(async move {
         let serve = |stream| serve_connection(stream, path.clone(), render.clone());
-        wire::sock::accept_each(&address, MAX_SCRAPERS, serve).await;
+        protocol::sock::accept_each(&address, MAX_SCRAPERS, serve).await;
     });
 }
 
--- a/tidepoint/src/call.rs
+++ b/tidepoint/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to a keeper's control address.
+//! Calls to a controller's control address.
 
 pub fn send(call: impl FnOnce(reqwest::Client) -> reqwest::RequestBuilder) -> Result<String, String> {
     let runtime =
--- a/tidepoint/src/flags.rs
+++ b/tidepoint/src/flags.rs
@@ -11,17 +11,17 @@
             optional path: String
         }
 
-        /// Follow one configuration through all daemons, from logs and live keepers.
+        /// Follow one configuration through all daemons, from logs and live controllers.
         cmd trace {
             /// The revision to follow.
             required revision: u64
             /// Log files, one a daemon; lines may begin with a time and a name.
             repeated logs: String
-            /// A keeper's control address (IP:PORT), to ask it as it runs.
+            /// A controller's control address (IP:PORT), to ask it as it runs.
             repeated --at at: String
         }
 
-        /// Show the fleet as a keeper sees it.
+        /// Show the fleet as a controller sees it.
         cmd fleet {
             required --at at: String
         }
--- a/tidepoint/tests/events.rs
+++ b/tidepoint/tests/events.rs
@@ -22,7 +22,7 @@
         .filter(|row| row.len() > 4 && row[1].starts_with('E'))
         .map(|row| (row[1].into(), row[3].into()))
         .collect();
-    let mut known = codes("keeper");
+    let mut known = codes("controller");
     known.extend(codes("router"));
     known.sort();
     listed.sort();
--- a/tidepoint/tests/quota.rs
+++ b/tidepoint/tests/quota.rs
@@ -1,4 +1,4 @@
-//! A tenant's limit through the real daemons: a keeper, a router, an engine, and a client that sends far more.
+//! A tenant's limit through the real daemons: a controller, a router, an engine, and a client that sends far more.
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
 use std::sync::Arc;
@@ -67,9 +67,9 @@
     stand::engine(world.clone(), "i-make", "127.0.75.3:7820", "decode");
     let dir = std::env::temp_dir().join(format!("tidepoint-quota-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    let keeper = env("k", Some(&dir));
+    let controller = env("k", Some(&dir));
     start(move |runtime| {
-        runtime.block_on(async { keeper::boot::run(keeper, kernel::signal::watch()).await });
+        runtime.block_on(async { controller::boot::run(controller, kernel::signal::watch()).await });
     });
     start(|runtime| {
         runtime.block_on(async { router::boot::run(env("e", None), kernel::signal::watch()).await });
@@ -78,7 +78,7 @@
     stand::until(CONTROL, &first, "the configuration", |head| status(head) == "200");
     let ready = stand::request("GET", "/ready", "Host: r\r\n", "");
     stand::until(READY, &ready, "the router to be ready", |head| status(head) == "200");
-    // Until the keeper holds its lease on the shard, there is only the router's own allowance.
+    // Until the controller holds its lease on the shard, there is only the router's own allowance.
     stand::until(DOOR, &ask("first", "k1"), "a token", |head| status(head) == "200");
 
     let (begun, before) = (std::time::Instant::now(), runs(&world));
--- a/tidepoint/tests/rollout.rs
+++ b/tidepoint/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! A live rollout through the real daemons: three halls, a keeper and a router in each, engines with
-//! weight versions, clients that go on all the while. A router is killed, a keeper lost and a hall frozen
+//! A live rollout through the real daemons: three halls, a controller and a router in each, engines with
+//! weight versions, clients that go on all the while. A router is killed, a controller lost and a hall frozen
 //! midway. Counted at the engines and at the clients.
 #[path = "stand/daemon.rs"]
 mod daemon;
@@ -84,12 +84,12 @@
     }
     let dir = std::env::temp_dir().join(format!("tidepoint-rollout-{net}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    let mut keepers: Vec<Daemon> = (0..3)
+    let mut controllers: Vec<Daemon> = (0..3)
         .map(|hall| {
             let data = dir.join(HALLS[hall]);
             std::fs::create_dir_all(&data).expect("a folder");
             let env = env(net, "k", hall, Some(data.to_string_lossy().into_owned()));
-            Daemon::start(move || keeper::boot::run(env, kernel::signal::watch()))
+            Daemon::start(move || controller::boot::run(env, kernel::signal::watch()))
         })
         .collect();
     let mut routers: Vec<Daemon> = (0..3)
@@ -172,17 +172,17 @@
     renew(5, &["i-ra", "i-ma", "i-mc"]);
     raise(5, 1, &mut acks);
     progress("after a router was killed", 120);
-    // A hall is frozen, keeper and router; the raise is waited out.
-    let frozen = [keepers[1].freeze(), routers[1].freeze()];
+    // A hall is frozen, controller and router; the raise is waited out.
+    let frozen = [controllers[1].freeze(), routers[1].freeze()];
     renew(6, &["i-ra", "i-rc", "i-mc", "i-md"]);
     raise(6, 0, &mut acks);
     drop(frozen);
     progress("after a hall was frozen", 120);
-    // A keeper is lost for good.
-    keepers[2].kill();
+    // A controller is lost for good.
+    controllers[2].kill();
     renew(7, &["i-rc", "i-mc", "i-me"]);
     raise(7, 1, &mut acks);
-    progress("after a keeper was lost", 120);
+    progress("after a controller was lost", 120);
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("a client"));
     if limit {
@@ -195,7 +195,7 @@
         let value: serde_json::Value = serde_json::from_slice(&state.body).expect("whole");
         assert_eq!((value["floor"].as_u64(), value["latest"].as_u64()), (Some(7), Some(7)));
     }
-    keepers.iter_mut().chain(routers.iter_mut()).for_each(Daemon::kill);
+    controllers.iter_mut().chain(routers.iter_mut()).for_each(Daemon::kill);
     let _ = std::fs::remove_dir_all(dir);
     let sent = sent.lock().expect("sent").clone();
     Play { world, sent, acks }
--- a/tidepoint/tests/scale.rs
+++ b/tidepoint/tests/scale.rs
@@ -1,4 +1,4 @@
-//! A scale run of this repository's own: real keepers and routers as processes, beside hollow routers that share
+//! A scale run of this repository's own: real controllers and routers as processes, beside hollow routers that share
 //! this one and speak the same messages, and a platform with many engines. It prints what each real daemon costs
 //! as one size grows and the others stay.
 //!
@@ -37,7 +37,7 @@
 /// What a run came to, by kind of daemon: the most of each.
 struct Cost {
     size: Size,
-    keeper: proc::Cost,
+    controller: proc::Cost,
     router: proc::Cost,
     /// ms until a change was everywhere; bytes a second that a router sent and got.
     played: (u64, u64, u64),
@@ -54,17 +54,17 @@
     let fleet = runtime.block_on(Fleet::start(net, size, &ZONES));
     let start =
         |name: &str, part: &str, zone: usize| proc::Child::start(&bins.join(name), &settings(net, part, zone, &dir));
-    let keepers: Vec<proc::Child> = (0..3).map(|zone| start("keeper", "k", zone)).collect();
+    let controllers: Vec<proc::Child> = (0..3).map(|zone| start("controller", "k", zone)).collect();
     let routers: Vec<proc::Child> = (0..2).map(|zone| start("router", "e", zone)).collect();
     let played = runtime.block_on(async {
         fleet.configure().await;
         fleet.settle().await;
-        keepers.iter().chain(&routers).for_each(proc::Child::mark);
+        controllers.iter().chain(&routers).for_each(proc::Child::mark);
         fleet.play(seconds).await
     });
     let worst = |list: &[proc::Child]| list.iter().map(proc::Child::cost).reduce(proc::Cost::most).expect("one");
-    let cost = Cost { size, keeper: worst(&keepers), router: worst(&routers), played };
-    drop((keepers, routers));
+    let cost = Cost { size, controller: worst(&controllers), router: worst(&routers), played };
+    drop((controllers, routers));
     runtime.shutdown_background();
     let _ = std::fs::remove_dir_all(dir);
     cost
@@ -73,9 +73,9 @@
 fn tell(cost: &Cost) {
     let Size { routers, engines, routes, seeks, changes } = cost.size;
     println!(
-        "R {routers:5} E {engines:5} routes {routes:5} seeks/s {seeks:5} changes/s {changes:.1} | keeper {} | router {} | \
+        "R {routers:5} E {engines:5} routes {routes:5} seeks/s {seeks:5} changes/s {changes:.1} | controller {} | router {} | \
          a router's news: out {} B/s, in {} B/s | change everywhere after {} ms",
-        cost.keeper.words(),
+        cost.controller.words(),
         cost.router.words(),
         cost.played.1,
         cost.played.2,
@@ -104,9 +104,9 @@
     }
 }
 
-/// The size of a keeper's beat when its routers have requests at so many engines.
+/// The size of a controller's beat when its routers have requests at so many engines.
 fn beat(engines: usize) -> u64 {
-    let gossip = wire::msg::Gossip {
+    let gossip = protocol::msg::Gossip {
         ip: "10.0.0.1".into(),
         zone: "a".into(),
         life: 1,
@@ -120,12 +120,12 @@
         sheets: Vec::new(),
         floors: Vec::new(),
     };
-    hollow::size(&wire::msg::Msg::Gossip(Box::new(gossip)))
+    hollow::size(&protocol::msg::Msg::Gossip(Box::new(gossip)))
 }
 
 #[test]
 fn what_messages_weigh() {
-    use wire::msg::{Msg, Note, Pressure, Record, Seek, Sought};
+    use protocol::msg::{Msg, Note, Pressure, Record, Seek, Sought};
     let told = |count: u64| (0..count).map(|name| Pressure { name, load: 3, age_ms: 90 }).collect::<Vec<_>>();
     let record = |key| Record { key, engine: "i-0123456789".into() };
     let note = Note { epoch: 1, list: (0..3).map(record).collect(), told: told(1) };
@@ -143,7 +143,7 @@
     // What does not depend on the fleet's size must not come to depend on it.
     assert!(sizes.iter().sum::<u64>() < 2000, "{sizes:?}");
     let beats = [400, 1600, 6400].map(beat);
-    println!("a keeper's beat with 400, 1600, 6400 engines in use: {beats:?} B");
+    println!("a controller's beat with 400, 1600, 6400 engines in use: {beats:?} B");
     assert!(beats[2] > beats[0]);
 }
 
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow routers, which share a process: they follow a keeper, confirm what they get, and look prompts up, but
+//! Hollow routers, which share a process: they follow a controller, confirm what they get, and look prompts up, but
 //! carry no requests. And the platform with its list of engines.
 #[path = "shape.rs"]
 mod shape;
@@ -32,32 +32,32 @@
     sheets: std::sync::Mutex<std::collections::BTreeMap<String, (u64, u64)>>,
     catalog: std::sync::Mutex<(u64, String)>,
     sure: std::sync::atomic::AtomicBool,
-    /// Bytes sent to its keeper and got from it, as frames.
+    /// Bytes sent to its controller and got from it, as frames.
     sent: AtomicU64,
     got: AtomicU64,
 }
 
 /// The size of a message on the wire.
-pub fn size(msg: &wire::msg::Msg) -> u64 {
-    wire::frame::seal(wire::frame::Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
+pub fn size(msg: &protocol::msg::Msg) -> u64 {
+    protocol::frame::seal(protocol::frame::Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
 }
 
-fn keeper(net: u8, at: usize) -> String {
+fn controller(net: u8, at: usize) -> String {
     format!("127.0.{net}.{}:7810", at % 3 + 1)
 }
 
 impl Seat {
-    fn take(&self, msg: wire::msg::Msg) {
+    fn take(&self, msg: protocol::msg::Msg) {
         self.got.fetch_add(size(&msg), Ordering::Relaxed);
         match msg {
-            wire::msg::Msg::Change(body) | wire::msg::Msg::Update(body) => {
-                let Some(change) = wire::change::Change::read(&body) else { return };
+            protocol::msg::Msg::Change(body) | protocol::msg::Msg::Update(body) => {
+                let Some(change) = protocol::change::Change::read(&body) else { return };
                 let has = self.config.load(Ordering::Relaxed);
                 if change.from == 0 || change.from == has {
                     self.config.fetch_max(change.to, Ordering::Relaxed);
                 }
             }
-            wire::msg::Msg::News(news) => {
+            protocol::msg::Msg::News(news) => {
                 let mut sheets = self.sheets.lock().expect("sheets");
                 sheets.extend(news.sheets.iter().map(|sheet| (sheet.zone.clone(), (sheet.turn, sheet.count))));
                 let mut catalog = self.catalog.lock().expect("catalog");
@@ -70,14 +70,14 @@
         }
     }
 
-    fn standing(&self, at: usize, zone: &str) -> wire::msg::Msg {
+    fn standing(&self, at: usize, zone: &str) -> protocol::msg::Msg {
         let held = self.sheets.lock().expect("sheets").clone();
         let mut sheets: Vec<(String, u64, u64)> =
             held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
-        sheets.push(wire::msg::told());
+        sheets.push(protocol::msg::told());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
-        wire::msg::Msg::Follow(Box::new(wire::msg::Follow {
+        protocol::msg::Msg::Follow(Box::new(protocol::msg::Follow {
             node: format!("hollow-{at}"),
             zone: zone.into(),
             life: 1,
@@ -92,7 +92,7 @@
 
 async fn follow(seat: Arc<Seat>, at: usize, net: u8, zone: String) {
     let (send, mut casts) = tokio::sync::mpsc::channel(256);
-    let home = wire::link::Caller::start(keeper(net, at), Some(send));
+    let home = protocol::link::Caller::start(controller(net, at), Some(send));
     loop {
         let standing = seat.standing(at, &zone);
         seat.sent.fetch_add(size(&standing), Ordering::Relaxed);
@@ -125,7 +125,7 @@
                 found.map_or(String::new(), |(_, body)| body.clone())
             }),
         );
-        let listener = wire::sock::listen(&format!("127.0.{net}.99:7800")).expect("a free address");
+        let listener = protocol::sock::listen(&format!("127.0.{net}.99:7800")).expect("a free address");
         let acceptor = poem::listener::TcpAcceptor::from_tokio(listener).expect("a listener");
         tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(app));
         let seats: Vec<Arc<Seat>> = (0..size.routers).map(|_| Arc::default()).collect();
@@ -217,7 +217,7 @@
 async fn seek(seat: Arc<Seat>, rate: usize, net: u8) {
     let (epoch, holder) = seat.catalog.lock().expect("catalog").clone();
     let callers: Vec<_> =
-        (0..16).map(|_| Arc::new(wire::link::Caller::start(format!("{holder}:7810"), None))).collect();
+        (0..16).map(|_| Arc::new(protocol::link::Caller::start(format!("{holder}:7810"), None))).collect();
     let mut beat = tokio::time::interval(std::time::Duration::from_millis(10));
     let (mut number, mut owed) = (u64::from(net), 0.0);
     loop {
@@ -228,17 +228,20 @@
             let (caller, key) = (callers[number as usize % 16].clone(), kernel::clock::blend(number, 1));
             tokio::spawn(async move {
                 let sample = (0..10).map(|at| kernel::clock::blend(key, at)).collect();
-                let ask = wire::msg::Seek { epoch, keys: vec![key, key + 1], sample };
-                caller.call(wire::msg::Msg::Seek(Box::new(ask)), 500).await;
+                let ask = protocol::msg::Seek { epoch, keys: vec![key, key + 1], sample };
+                caller.call(protocol::msg::Msg::Seek(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
                     let id = format!("i-{engine}");
-                    let told = wire::msg::Pressure { name: kernel::clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
-                    let record = |key| wire::msg::Record { key, engine: id.clone() };
-                    let note =
-                        wire::msg::Note { epoch, list: (0..3).map(|at| record(key + at)).collect(), told: vec![told] };
-                    caller.cast(wire::msg::Msg::Note(Box::new(note)));
+                    let told = protocol::msg::Pressure { name: kernel::clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
+                    let record = |key| protocol::msg::Record { key, engine: id.clone() };
+                    let note = protocol::msg::Note {
+                        epoch,
+                        list: (0..3).map(|at| record(key + at)).collect(),
+                        told: vec![told],
+                    };
+                    caller.cast(protocol::msg::Msg::Note(Box::new(note)));
                 }
-                caller.call(wire::msg::Msg::Flush(Box::new((epoch, 3))), 500).await;
+                caller.call(protocol::msg::Msg::Flush(Box::new((epoch, 3))), 500).await;
             });
         }
     }
--- a/tidepoint/tests/tenants.rs
+++ b/tidepoint/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants through the real daemons: a keeper that takes configurations, a router that serves by them, two engines.
+//! Tenants through the real daemons: a controller that takes configurations, a router that serves by them, two engines.
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
 use std::sync::Arc;
@@ -66,9 +66,9 @@
     stand::engine(world.clone(), "i-make", "127.0.76.3:7820", "decode");
     let dir = std::env::temp_dir().join(format!("tidepoint-tenants-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    let keeper = env("k", Some(&dir));
+    let controller = env("k", Some(&dir));
     start(move |runtime| {
-        runtime.block_on(async { keeper::boot::run(keeper, kernel::signal::watch()).await });
+        runtime.block_on(async { controller::boot::run(controller, kernel::signal::watch()).await });
     });
     start(|runtime| {
         runtime.block_on(async { router::boot::run(env("e", None), kernel::signal::watch()).await });
--- a/tidepoint/tests/whole.rs
+++ b/tidepoint/tests/whole.rs
@@ -1,4 +1,4 @@
-//! The whole system beside stand-ins: a keeper, a router, engines, the platform and a client.
+//! The whole system beside stand-ins: a controller, a router, engines, the platform and a client.
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
 use std::sync::Arc;
@@ -65,9 +65,9 @@
     stand::engine(world.clone(), "i-make", "127.0.77.3:7820", "decode");
     let dir = std::env::temp_dir().join(format!("tidepoint-whole-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    let keeper_env = env("k", Some(dir.to_string_lossy().into_owned()));
+    let controller_env = env("k", Some(dir.to_string_lossy().into_owned()));
     start(move |runtime| {
-        runtime.block_on(async { keeper::boot::run(keeper_env, kernel::signal::watch()).await });
+        runtime.block_on(async { controller::boot::run(controller_env, kernel::signal::watch()).await });
     });
     start(|runtime| {
         runtime.block_on(async { router::boot::run(env("e", None), kernel::signal::watch()).await });
