--- a/batch/src/offpeak.rs
+++ b/batch/src/offpeak.rs
@@ -2,6 +2,15 @@
 //! goes, a batch that fills what is idle, halls that leave, owners that crash or freeze. Seeded and in
 //! virtual time: the same input gives the same report.
 
+use std::collections::BTreeSet;
+use std::mem;
+
+use kernel::clock::Dice;
+
+use crate::page::{Page, State};
+use crate::turn::{self, Pace, Press, View};
+use crate::PAGE;
+
 pub use crate::rehearsal::{plan, Plan, Report};
 
 enum Work {
@@ -25,17 +34,17 @@
     epoch: u64,
     asleep_until: u64,
     dead: bool,
-    under_way: std::collections::BTreeSet<usize>,
+    under_way: BTreeSet<usize>,
     mail: Vec<(usize, bool)>,
-    pace: crate::turn::Pace,
+    pace: Pace,
 }
 
 struct World<'a> {
     plan: &'a Plan,
     now: u64,
-    dice: kernel::clock::Dice,
+    dice: Dice,
     engines: Vec<Engine>,
-    pages: Vec<crate::page::Page>,
+    pages: Vec<Page>,
     owners: Vec<Owner>,
     runs: Vec<usize>,
     receipts: Vec<usize>,
@@ -48,12 +57,11 @@
 pub fn run(plan: &Plan, with: bool) -> Report {
     let engines =
         (0..plan.halls * plan.engines).map(|at| Engine { hall: at % plan.halls, up: true, running: Vec::new() });
-    let pages =
-        (0..plan.jobs).step_by(crate::PAGE).map(|first| crate::page::Page::new((plan.jobs - first).min(crate::PAGE)));
+    let pages = (0..plan.jobs).step_by(PAGE).map(|first| Page::new((plan.jobs - first).min(PAGE)));
     let mut world = World {
         plan,
         now: 0,
-        dice: kernel::clock::Dice::new(plan.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+        dice: Dice::new(plan.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
         engines: engines.collect(),
         pages: pages.collect(),
         owners: Vec::new(),
@@ -149,15 +157,15 @@
         for first in 0..self.pages.len() {
             let once = self.plan.once_every;
             let before = self.pages[first].clone();
-            let again = |at: usize| once == 0 || !(first * crate::PAGE + at).is_multiple_of(once);
+            let again = |at: usize| once == 0 || !(first * PAGE + at).is_multiple_of(once);
             let _ = self.pages[first].claim(epoch, again);
             for (at, state) in self.pages[first].states.iter().enumerate() {
                 if state.closed() && !before.states[at].closed() {
-                    self.receipts[first * crate::PAGE + at] += 1;
+                    self.receipts[first * PAGE + at] += 1;
                 }
             }
         }
-        let pace = crate::turn::Pace::new(self.plan.slots * self.plan.halls);
+        let pace = Pace::new(self.plan.slots * self.plan.halls);
         self.owners.push(Owner {
             epoch,
             asleep_until: 0,
@@ -169,12 +177,12 @@
     }
 
     /// A receipt is written only if the page lets it.
-    fn receipt(&mut self, owner: usize, job: usize, state: crate::page::State) {
+    fn receipt(&mut self, owner: usize, job: usize, state: State) {
         let epoch = self.owners[owner].epoch;
-        if state == (crate::page::State::Done { status: 200, body: String::new() }) && self.runs[job] == 0 {
+        if state == (State::Done { status: 200, body: String::new() }) && self.runs[job] == 0 {
             self.report.invented += 1;
         }
-        if self.pages[job / crate::PAGE].close(job % crate::PAGE, epoch, state).is_ok() {
+        if self.pages[job / PAGE].close(job % PAGE, epoch, state).is_ok() {
             self.receipts[job] += 1;
             self.report.last_ms = self.now;
         }
@@ -184,38 +192,38 @@
         if self.owners[at].dead || self.now < self.owners[at].asleep_until {
             return;
         }
-        for (job, whole) in std::mem::take(&mut self.owners[at].mail) {
+        for (job, whole) in mem::take(&mut self.owners[at].mail) {
             self.owners[at].under_way.remove(&job);
             if whole {
-                self.receipt(at, job, crate::page::State::Done { status: 200, body: String::new() });
+                self.receipt(at, job, State::Done { status: 200, body: String::new() });
                 self.owners[at].pace.good();
             } else if self.repeatable(job) {
                 let epoch = self.owners[at].epoch;
-                let _ = self.pages[job / crate::PAGE].unrun(job % crate::PAGE, epoch);
+                let _ = self.pages[job / PAGE].unrun(job % PAGE, epoch);
             } else {
-                self.receipt(at, job, crate::page::State::Unknown);
+                self.receipt(at, job, State::Unknown);
             }
         }
         let left_ms = self.plan.window_ms.saturating_sub(self.now);
         let epoch = self.owners[at].epoch;
         let waiting = |job: &usize| {
-            let page = &self.pages[job / crate::PAGE];
-            page.epoch == epoch && page.states[job % crate::PAGE] == crate::page::State::Waiting
+            let page = &self.pages[job / PAGE];
+            page.epoch == epoch && page.states[job % PAGE] == State::Waiting
         };
         let waiting: Vec<usize> = (0..self.plan.jobs).filter(waiting).collect();
         if left_ms == 0 {
-            waiting.into_iter().for_each(|job| self.receipt(at, job, crate::page::State::Missed));
+            waiting.into_iter().for_each(|job| self.receipt(at, job, State::Missed));
             return;
         }
         let free = self.owners[at].pace.free(self.owners[at].under_way.len(), self.now);
-        let view = crate::turn::View { id: "b", left_ms, window_ms: self.plan.window_ms, waiting };
-        for send in crate::turn::next(&[view], free) {
+        let view = View { id: "b", left_ms, window_ms: self.plan.window_ms, waiting };
+        for send in turn::next(&[view], free) {
             self.send(at, send);
         }
     }
 
-    fn send(&mut self, at: usize, send: crate::turn::Send) {
-        let share = if send.press == crate::turn::Press::Near { 0.75 } else { 0.5 };
+    fn send(&mut self, at: usize, send: turn::Send) {
+        let share = if send.press == Press::Near { 0.75 } else { 0.5 };
         let room = (self.plan.slots as f64 * share) as usize;
         let fit = self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.running.len() < room);
         let Some((place, _)) = fit.min_by_key(|(_, engine)| engine.running.len()) else {
@@ -223,7 +231,7 @@
             let now = self.now;
             return self.owners[at].pace.refused(None, now);
         };
-        let (page, slot, epoch) = (send.job / crate::PAGE, send.job % crate::PAGE, self.owners[at].epoch);
+        let (page, slot, epoch) = (send.job / PAGE, send.job % PAGE, self.owners[at].epoch);
         // Durable before it is sent.
         if self.pages[page].begin(slot, epoch).is_err() {
             return;
--- a/batch/src/offpeak_end.rs
+++ b/batch/src/offpeak_end.rs
@@ -1,11 +1,16 @@
 //! What breaks off in a run, and what the run came to.
 
-impl super::World<'_> {
+use std::mem;
+
+use super::{Report, World};
+use crate::page::State;
+
+impl World<'_> {
     /// Every so many of the streams under way breaks off without an answer; engines stay.
     pub fn cut(&mut self, every: usize) {
         let mut cut = Vec::new();
         for engine in &mut self.engines {
-            let runs = std::mem::take(&mut engine.running);
+            let runs = mem::take(&mut engine.running);
             for (at, run) in runs.into_iter().enumerate() {
                 if at.is_multiple_of(every) {
                     cut.push(run)
@@ -27,12 +32,12 @@
         cut.into_iter().for_each(|run| self.end(run.work, false));
     }
 
-    pub fn close(mut self) -> super::Report {
+    pub fn close(mut self) -> Report {
         for state in self.pages.iter().flat_map(|page| &page.states) {
             match state {
-                crate::page::State::Done { .. } => self.report.done += 1,
-                crate::page::State::Unknown => self.report.unknown += 1,
-                crate::page::State::Missed | crate::page::State::Cancelled => self.report.missed += 1,
+                State::Done { .. } => self.report.done += 1,
+                State::Unknown => self.report.unknown += 1,
+                State::Missed | State::Cancelled => self.report.missed += 1,
                 _ => self.report.open += 1,
             }
         }
--- a/batch/src/page.rs
+++ b/batch/src/page.rs
@@ -1,5 +1,7 @@
 //! The durable state of up to `PAGE` jobs: what one key of the ledger holds.
 
+use crate::sheet::Batch;
+
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum State {
     #[default]
@@ -100,7 +102,7 @@
 }
 
 kernel::bytes!(Page);
-kernel::bytes!(crate::sheet::Batch);
+kernel::bytes!(Batch);
 
 #[cfg(test)]
 #[path = "page_tests.rs"]
--- a/batch/src/sheet.rs
+++ b/batch/src/sheet.rs
@@ -1,5 +1,11 @@
 //! A batch as submitted: read, checked, and named by its idempotency key.
 
+use std::collections::{BTreeMap, HashSet};
+
+use kernel::clock;
+
+use crate::{BYTES, JOBS, KEEP_MS, NAME, PAGE, WINDOW_MAX_S};
+
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Job {
     pub name: String,
@@ -44,7 +50,7 @@
     #[serde(default)]
     path: String,
     #[serde(default)]
-    headers: std::collections::BTreeMap<String, String>,
+    headers: BTreeMap<String, String>,
     #[serde(default)]
     body: String,
 }
@@ -77,19 +83,19 @@
     }
     let sent: Sent = serde_json::from_str(text).map_err(|error| format!("batch: {error}"))?;
     let window = sent.window_s.unwrap_or(0.0);
-    if !(window > 0.0 && window <= crate::WINDOW_MAX_S as f64) {
-        return Err(format!("window_s: found {window}, allowed: above 0, up to {}", crate::WINDOW_MAX_S));
+    if !(window > 0.0 && window <= WINDOW_MAX_S as f64) {
+        return Err(format!("window_s: found {window}, allowed: above 0, up to {}", WINDOW_MAX_S));
     }
-    if sent.jobs.is_empty() || sent.jobs.len() > crate::JOBS {
-        return Err(format!("jobs: found {}, allowed: 1 to {}", sent.jobs.len(), crate::JOBS));
+    if sent.jobs.is_empty() || sent.jobs.len() > JOBS {
+        return Err(format!("jobs: found {}, allowed: 1 to {}", sent.jobs.len(), JOBS));
     }
-    let mut names = std::collections::HashSet::new();
+    let mut names = HashSet::new();
     let mut jobs = Vec::with_capacity(sent.jobs.len());
     let mut bytes = 0;
     for (at, job) in sent.jobs.into_iter().enumerate() {
         let flaw = |words: String| Err(format!("job `{}` (number {at}): {words}", job.name));
-        if job.name.is_empty() || job.name.len() > crate::NAME {
-            return flaw(format!("name missing or over {} bytes", crate::NAME));
+        if job.name.is_empty() || job.name.len() > NAME {
+            return flaw(format!("name missing or over {} bytes", NAME));
         }
         if !names.insert(job.name.clone()) {
             return flaw("name used twice".into());
@@ -106,8 +112,8 @@
         };
         bytes += job.body.len() + job.path.len();
         bytes += job.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>();
-        if bytes > crate::BYTES {
-            return flaw(format!("the batch is over {} bytes here", crate::BYTES));
+        if bytes > BYTES {
+            return flaw(format!("the batch is over {} bytes here", BYTES));
         }
         jobs.push(Job {
             name: job.name,
@@ -119,18 +125,18 @@
             repeatable,
         });
     }
-    let digest = kernel::clock::hash(text.as_bytes());
+    let digest = clock::hash(text.as_bytes());
     Ok(Batch { key: key.into(), digest, window_ms: (window * 1000.0) as u64, jobs, ..Batch::default() })
 }
 
 /// The id of a batch: from its key alone, so that one key is one batch.
 pub fn id(key: &str) -> String {
-    format!("{:016x}", kernel::clock::hash(key.as_bytes()))
+    format!("{:016x}", clock::hash(key.as_bytes()))
 }
 
 impl Batch {
     pub fn pages(&self) -> usize {
-        self.jobs.len().div_ceil(crate::PAGE)
+        self.jobs.len().div_ceil(PAGE)
     }
 
     pub fn left_ms(&self) -> u64 {
@@ -146,7 +152,7 @@
             return false;
         }
         self.spent_ms += spent_ms;
-        if done && self.spent_ms >= self.window_ms + crate::KEEP_MS {
+        if done && self.spent_ms >= self.window_ms + KEEP_MS {
             self.expired = true;
             self.jobs.clear();
         }
--- a/batch/src/sheet_tests.rs
+++ b/batch/src/sheet_tests.rs
@@ -1,4 +1,9 @@
-fn read(change: impl FnOnce(&mut serde_json::Value)) -> Result<super::Batch, String> {
+use serde_json::Value;
+
+use super::Batch;
+use crate::{BYTES, KEEP_MS};
+
+fn read(change: impl FnOnce(&mut Value)) -> Result<Batch, String> {
     let mut value = serde_json::json!({"window_s": 60, "jobs": [
         {"name": "a", "hostname": "h", "path": "/x/1", "headers": {"model": "m"}, "body": "1"},
         {"name": "b", "hostname": "h", "path": "/x/2", "body": "2"}]});
@@ -15,12 +20,12 @@
 #[test]
 fn a_finished_batch_expires_and_an_open_one_never_does() {
     let mut open = read(|_| ()).expect("good");
-    open.tick(0, 60_000 + crate::KEEP_MS, false);
+    open.tick(0, 60_000 + KEEP_MS, false);
     assert!(!open.expired && open.left_ms() == 0 && open.jobs.len() == 2);
     let mut done = read(|_| ()).expect("good");
-    done.tick(0, 59_000 + crate::KEEP_MS, true);
+    done.tick(0, 59_000 + KEEP_MS, true);
     assert!(!done.expired, "kept for its time");
-    done.tick(59_000 + crate::KEEP_MS, 1000, true);
+    done.tick(59_000 + KEEP_MS, 1000, true);
     assert!(done.expired && done.jobs.is_empty() && !done.key.is_empty());
 }
 
@@ -34,7 +39,7 @@
     assert!(read(|value| value["window_s"] = 0.into()).unwrap_err().contains("window_s"));
     assert!(read(|value| value["window_s"] = (-5).into()).unwrap_err().contains("window_s"));
     assert!(read(|value| value["jobs"] = serde_json::json!([])).unwrap_err().contains("jobs"));
-    let big = "x".repeat(crate::BYTES);
+    let big = "x".repeat(BYTES);
     assert!(read(|value| value["jobs"][1]["body"] = big.into()).unwrap_err().contains("`b`"));
 }
 
--- a/catalog/src/prefix_index.rs
+++ b/catalog/src/prefix_index.rs
@@ -1,6 +1,8 @@
 //! The catalog itself, in the controller that holds the duty. Never replicated: after a loss it fills
 //! again from what routers register.
 
+use std::collections::{HashMap, VecDeque};
+
 struct Owner {
     engine: u32,
     heard: u64,
@@ -10,9 +12,9 @@
 /// `room` keys are held, those unheard for longest give way; nothing older than `stale_ms` is told.
 pub struct PrefixIndex {
     names: Vec<String>,
-    index: std::collections::HashMap<String, u32>,
-    keys: std::collections::HashMap<u64, Vec<Owner>>,
-    order: std::collections::VecDeque<u64>,
+    index: HashMap<String, u32>,
+    keys: HashMap<u64, Vec<Owner>>,
+    order: VecDeque<u64>,
     room: usize,
     stale_ms: u64,
 }
--- a/catalog/src/record.rs
+++ b/catalog/src/record.rs
@@ -1,14 +1,18 @@
 //! What one router recorded: the local prefix that it scans before it asks the catalog.
 
+use std::collections::{HashMap, VecDeque};
+
+use crate::Counts;
+
 /// Invariants: an entry is told only while it is younger than `stale_ms` and not suppressed; at
 /// most `room` keys; suppression is keyed by (engine, key), never by request.
 pub struct Record {
-    keys: std::collections::HashMap<u64, Vec<(String, u64)>>,
-    order: std::collections::VecDeque<u64>,
-    hushed: std::collections::HashMap<(String, u64), u64>,
+    keys: HashMap<u64, Vec<(String, u64)>>,
+    order: VecDeque<u64>,
+    hushed: HashMap<(String, u64), u64>,
     room: usize,
     stale_ms: u64,
-    pub counts: crate::Counts,
+    pub counts: Counts,
 }
 
 const OWNERS: usize = 4;
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -1,7 +1,14 @@
 //! Confirming at a quorum that what is known is not older than what is committed: pure.
 
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+use protocol::msg::{Ballot, Core, Entry};
+
+use crate::quorum;
+
 /// The position of an entry in the history of its key.
-pub type Place = (protocol::msg::Ballot, u64);
+pub type Place = (Ballot, u64);
 
 /// How one key stands after a read at a quorum.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,17 +22,17 @@
 
 /// A read of the places of all keys. Invariant: each voter counts once.
 pub struct Confirmation {
-    core: protocol::msg::Core,
+    core: Core,
     heard: Vec<String>,
     told: Vec<(String, String, Place)>,
 }
 
 impl Confirmation {
-    pub fn new(core: &protocol::msg::Core) -> Confirmation {
+    pub fn new(core: &Core) -> Confirmation {
         Confirmation { core: core.clone(), heard: Vec::new(), told: Vec::new() }
     }
 
-    pub fn hear(&mut self, from: &str, places: Vec<(String, protocol::msg::Ballot, u64)>) {
+    pub fn hear(&mut self, from: &str, places: Vec<(String, Ballot, u64)>) {
         if self.heard.iter().any(|known| known == from) {
             return;
         }
@@ -34,12 +41,12 @@
     }
 
     pub fn is_quorum(&self) -> bool {
-        crate::quorum::is_quorum(&self.core, &self.heard)
+        quorum::is_quorum(&self.core, &self.heard)
     }
 
     /// The keys of which a voter holds something newer than what `known` says is committed.
     pub fn behind(&self, known: impl Fn(&str) -> Option<Place>) -> Vec<Behind> {
-        let mut top: std::collections::BTreeMap<&str, Place> = Default::default();
+        let mut top: BTreeMap<&str, Place> = Default::default();
         for (_, key, place) in &self.told {
             let held = top.entry(key).or_default();
             *held = (*held).max(*place);
@@ -51,22 +58,19 @@
     fn is_committed(&self, key: &str, place: Place) -> bool {
         let holds = self.told.iter().filter(|(_, name, held)| name == key && *held == place);
         let holders: Vec<String> = holds.map(|(from, _, _)| from.clone()).collect();
-        crate::quorum::is_quorum(&self.core, &holders)
+        quorum::is_quorum(&self.core, &holders)
     }
 }
 
 /// The newest entry that a quorum of voters was seen to hold alike, and which therefore is committed.
 /// Voters may move on between two reads: an entry that came after the one looked for serves as well.
-pub fn committed(
-    core: &protocol::msg::Core,
-    fetched: &[(String, protocol::msg::Entry)],
-) -> Option<protocol::msg::Entry> {
-    let mut entries: Vec<&protocol::msg::Entry> = fetched.iter().map(|(_, entry)| entry).collect();
-    entries.sort_by_key(|entry| std::cmp::Reverse(entry.place()));
-    let alike = |entry: &protocol::msg::Entry| {
+pub fn committed(core: &Core, fetched: &[(String, Entry)]) -> Option<Entry> {
+    let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
+    entries.sort_by_key(|entry| Reverse(entry.place()));
+    let alike = |entry: &Entry| {
         let holds = fetched.iter().filter(|(_, held)| held.place() == entry.place());
         let holders: Vec<String> = holds.map(|(from, _)| from.clone()).collect();
-        crate::quorum::is_quorum(core, &holders)
+        quorum::is_quorum(core, &holders)
     };
     entries.into_iter().find(|entry| alike(entry)).cloned()
 }
--- a/consensus/src/folder.rs
+++ b/consensus/src/folder.rs
@@ -1,7 +1,9 @@
 //! The few file operations that the store needs, behind traits, so that tests can put a simulated
 //! disk with power losses, full disks and failed syncs in place of the real one.
 
+use std::fs;
 use std::io::Result;
+use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
 /// One folder with files in it. A name that was made, changed or removed lasts once `sync` returned.
@@ -36,9 +38,9 @@
     /// Opens the folder, and makes it where it is missing.
     pub fn open(path: &Path) -> Result<DiskFolder> {
         if !path.exists() {
-            std::fs::create_dir_all(path)?;
+            fs::create_dir_all(path)?;
             if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
-                std::fs::File::open(parent)?.sync_all()?;
+                fs::File::open(parent)?.sync_all()?;
             }
         }
         Ok(DiskFolder { path: path.into() })
@@ -47,30 +49,30 @@
 
 impl Folder for DiskFolder {
     fn names(&self) -> Result<Vec<String>> {
-        std::fs::read_dir(&self.path)?.map(|item| Ok(item?.file_name().to_string_lossy().into_owned())).collect()
+        fs::read_dir(&self.path)?.map(|item| Ok(item?.file_name().to_string_lossy().into_owned())).collect()
     }
 
     fn open(&self, name: &str) -> Result<Box<dyn DataFile>> {
-        let file = std::fs::OpenOptions::new().read(true).write(true).open(self.path(name))?;
+        let file = fs::OpenOptions::new().read(true).write(true).open(self.path(name))?;
         Ok(Box::new(file))
     }
 
     fn create(&self, name: &str) -> Result<Box<dyn DataFile>> {
-        let mut options = std::fs::OpenOptions::new();
+        let mut options = fs::OpenOptions::new();
         options.read(true).write(true).create(true).truncate(true);
         Ok(Box::new(options.open(self.path(name))?))
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<()> {
-        std::fs::rename(self.path(from), self.path(to))
+        fs::rename(self.path(from), self.path(to))
     }
 
     fn remove(&self, name: &str) -> Result<()> {
-        std::fs::remove_file(self.path(name))
+        fs::remove_file(self.path(name))
     }
 
     fn sync(&self) -> Result<()> {
-        std::fs::File::open(&self.path)?.sync_all()
+        fs::File::open(&self.path)?.sync_all()
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -78,17 +80,17 @@
     }
 }
 
-impl DataFile for std::fs::File {
+impl DataFile for fs::File {
     fn size(&self) -> Result<u64> {
         Ok(self.metadata()?.len())
     }
 
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()> {
-        std::os::unix::fs::FileExt::read_exact_at(self, buffer, offset)
+        FileExt::read_exact_at(self, buffer, offset)
     }
 
     fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()> {
-        std::os::unix::fs::FileExt::write_all_at(self, bytes, offset)
+        FileExt::write_all_at(self, bytes, offset)
     }
 
     fn truncate(&self, size: u64) -> Result<()> {
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,5 +1,8 @@
 //! Control state. Each key is a register of its own: one owner at a time under a rising ballot, a
 //! change on a majority of the disks before any answer. No common log, no leader for all.
+
+use kernel::clock;
+
 pub mod confirmation;
 pub mod core_body;
 mod folder;
@@ -25,7 +28,7 @@
 /// The seat of a controller in ballots: its address, so that it differs between live controllers, mixed
 /// with its life, so that two lives never act under one ballot.
 pub fn seat(ip: &str, life: u64) -> u64 {
-    kernel::clock::blend(kernel::clock::hash(ip.as_bytes()), life)
+    clock::blend(clock::hash(ip.as_bytes()), life)
 }
 
 #[cfg(test)]
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -1,5 +1,11 @@
 //! Which members the core is to have next, and the steps that settle a change: pure.
 
+use std::collections::BTreeSet;
+
+use protocol::msg::{Core, Member, Vote};
+
+use crate::{quorum, CORE};
+
 /// How long a member must be silent before it may be taken for gone.
 pub const GONE_MS: u64 = 2500;
 
@@ -27,14 +33,14 @@
 pub struct View<'a> {
     pub health: &'a dyn Fn(&str) -> Health,
     /// Live controllers that may be made members and aren't yet.
-    pub candidates: Vec<protocol::msg::Member>,
+    pub candidates: Vec<Member>,
     /// Every live controller counts joint quorums, so that members may be exchanged in one change.
     pub joint: bool,
 }
 
 /// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
 /// candidate added. Invariant: the members that stay are a quorum of the next core.
-pub fn next(core: &protocol::msg::Core, view: &View) -> Option<protocol::msg::Core> {
+pub fn next(core: &Core, view: &View) -> Option<Core> {
     let gone = core.list.iter().find(|member| (view.health)(&member.ip).gone());
     let candidate = match gone {
         Some(gone) => view.candidates.iter().find(|one| one.zone == gone.zone).or(view.candidates.first()),
@@ -46,15 +52,15 @@
         (_, Some(candidate)) => with(core, candidate),
         _ => return None,
     };
-    let next = protocol::msg::Core { version: core.version + 1, list, prev: core.list.clone(), settled: false };
+    let next = Core { version: core.version + 1, list, prev: core.list.clone(), settled: false };
     can_settle(&next, view).then_some(next)
 }
 
 /// Those that stay must be a quorum of the next core. Those before it must be able to commit it, and to hear
 /// of it: one that is leaving still can.
-fn can_settle(next: &protocol::msg::Core, view: &View) -> bool {
+fn can_settle(next: &Core, view: &View) -> bool {
     let is_candidate = |address: &str| view.candidates.iter().any(|one| one.ip == address);
-    let members = crate::quorum::old_and_new_members(next);
+    let members = quorum::old_and_new_members(next);
     let (mut staying, mut live) = (Vec::new(), Vec::new());
     for address in members {
         let health = (view.health)(&address);
@@ -65,22 +71,18 @@
             live.push(address);
         }
     }
-    crate::quorum::is_quorum(next, &staying) && crate::quorum::has_majority(&next.prev, &live)
+    quorum::is_quorum(next, &staying) && quorum::has_majority(&next.prev, &live)
 }
 
-fn without(core: &protocol::msg::Core, gone: &protocol::msg::Member) -> Vec<protocol::msg::Member> {
+fn without(core: &Core, gone: &Member) -> Vec<Member> {
     core.list.iter().filter(|member| *member != gone).cloned().collect()
 }
 
-fn with(core: &protocol::msg::Core, candidate: &protocol::msg::Member) -> Vec<protocol::msg::Member> {
+fn with(core: &Core, candidate: &Member) -> Vec<Member> {
     core.list.iter().chain([candidate]).cloned().collect()
 }
 
-fn exchanged(
-    core: &protocol::msg::Core,
-    gone: &protocol::msg::Member,
-    candidate: &protocol::msg::Member,
-) -> Vec<protocol::msg::Member> {
+fn exchanged(core: &Core, gone: &Member, candidate: &Member) -> Vec<Member> {
     let mut list = without(core, gone);
     list.push(candidate.clone());
     list
@@ -89,26 +91,26 @@
 /// The settling of a changed core. Invariant: before it is done, quorums of the old and the new members
 /// know the new core, and every key that any of them held was committed again under it.
 pub struct Settlement {
-    core: protocol::msg::Core,
+    core: Core,
     knows: Vec<String>,
-    keys: std::collections::BTreeSet<String>,
-    renewed: std::collections::BTreeSet<String>,
+    keys: BTreeSet<String>,
+    renewed: BTreeSet<String>,
 }
 
 impl Settlement {
-    pub fn new(core: &protocol::msg::Core) -> Settlement {
-        let keys = [crate::CORE.to_string()].into();
+    pub fn new(core: &Core) -> Settlement {
+        let keys = [CORE.to_string()].into();
         Settlement { core: core.clone(), knows: Vec::new(), keys, renewed: Default::default() }
     }
 
-    pub fn core(&self) -> &protocol::msg::Core {
+    pub fn core(&self) -> &Core {
         &self.core
     }
 
     /// A voter answered a poll that carried the new core. One that did not say which keys it holds does not
     /// count: what only it and others out of touch hold would not be committed again.
-    pub fn hear_vote(&mut self, from: &str, vote: &protocol::msg::Vote) {
-        if let protocol::msg::Vote::Places { list } = vote {
+    pub fn hear_vote(&mut self, from: &str, vote: &Vote) {
+        if let Vote::Places { list } = vote {
             self.hear(from, list.iter().map(|(key, _, _)| key.clone()));
         }
     }
@@ -123,7 +125,7 @@
 
     /// Do quorums of the old and the new members know the core?
     pub fn is_known(&self) -> bool {
-        let known_to = |members: &[protocol::msg::Member]| crate::quorum::has_majority(members, &self.knows);
+        let known_to = |members: &[Member]| quorum::has_majority(members, &self.knows);
         known_to(&self.core.list) && known_to(&self.core.prev)
     }
 
@@ -145,8 +147,8 @@
 }
 
 /// The core as it is committed once a settlement is done.
-pub fn settled(core: &protocol::msg::Core) -> protocol::msg::Core {
-    protocol::msg::Core { settled: true, prev: Vec::new(), ..core.clone() }
+pub fn settled(core: &Core) -> Core {
+    Core { settled: true, prev: Vec::new(), ..core.clone() }
 }
 
 #[cfg(test)]
--- a/consensus/src/model/action.rs
+++ b/consensus/src/model/action.rs
@@ -1,5 +1,10 @@
 //! What may happen next.
+
+use protocol::msg::Ballot;
+
+use super::explore::Step;
 use super::machines::MachineSet;
+use super::Model;
 
 /// One atomic event. A message that is lost, late or cut off is one whose action does not come, or comes late;
 /// a doubled one comes again.
@@ -14,7 +19,7 @@
     /// A proposer counts the votes of these machines, which are a quorum.
     Count { proposer: usize, machines: MachineSet },
     /// A poll of a round long over reaches a voter.
-    DeliverLate { place: (protocol::msg::Ballot, u64), machine: usize },
+    DeliverLate { place: (Ballot, u64), machine: usize },
     /// A proposer loses its memory and begins a new life.
     Restart { proposer: usize },
     /// A coordinator hears of the newest core.
@@ -33,4 +38,4 @@
     Spread { proposer: usize, machine: usize },
 }
 
-pub type Successor = super::explore::Step<super::Model>;
+pub type Successor = Step<Model>;
--- a/consensus/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -3,17 +3,20 @@
 //! The key of the core is a register like any other, and what the exploration shows of the key that it follows
 //! holds for it as well. So its rounds are not played again: a change of the core is committed in one step, by
 //! any quorum that answers. What comes of it is explored in full: who knows of the change, and the keys.
+
+use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+
 use super::action::{Action, Successor};
-use super::machines::MachineSet;
+use super::machines::{self, MachineSet};
 use super::scenario::Flaw;
 use super::shared::Shared;
 use super::state::State;
 use super::violation::Violation;
 use super::voting::Answer;
 use super::Model;
-use crate::membership::{Health, Settlement, View};
+use crate::membership::{next, settled, Health, Settlement, View};
 use crate::voter::{LogRecord, Voter};
-use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+use crate::{core_body, quorum, CORE};
 
 impl Model {
     pub fn change_core(&self, state: &State, list: &mut Vec<Successor>) {
@@ -50,7 +53,7 @@
         for (machine, vote) in &proposer.settlement.heard {
             settlement.hear_vote(&self.addresses[*machine], vote);
         }
-        settlement.renewed(crate::CORE);
+        settlement.renewed(CORE);
         proposer.settlement.renewed.iter().for_each(|key| settlement.renewed(key));
         Some(settlement)
     }
@@ -60,12 +63,12 @@
         let change = self.scenario.core_change.as_ref()?;
         let leaving = change.leaving.map(|machine| self.addresses[machine].clone());
         let health = |address: &str| Health { silent_ms: 0, live: true, leaving: leaving.as_deref() == Some(address) };
-        let waits = |machine: &usize| !crate::quorum::is_member(core, &self.addresses[*machine]);
+        let waits = |machine: &usize| !quorum::is_member(core, &self.addresses[*machine]);
         let waiting = change.candidates.iter().copied().filter(waits);
-        let candidates = waiting.map(super::machines::member).collect();
-        let next = crate::membership::next(core, &View { health: &health, candidates, joint: true })?;
+        let candidates = waiting.map(machines::member).collect();
+        let next = next(core, &View { health: &health, candidates, joint: true })?;
         match self.has(Flaw::NoJointQuorums) {
-            true => Some(crate::membership::settled(&next)),
+            true => Some(settled(&next)),
             false => Some(next),
         }
     }
@@ -80,7 +83,7 @@
             return self.spread(state, at, list);
         }
         if settlement.is_done() || self.has(Flaw::SettledWithoutRenewal) {
-            self.commit_core(state, at, &crate::membership::settled(settlement.core()), list);
+            self.commit_core(state, at, &settled(settlement.core()), list);
         }
     }
 
@@ -112,7 +115,7 @@
     /// Tells machines of the changed core.
     fn spread(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let core = &state.cores[state.proposers[at].core];
-        let told = crate::quorum::old_and_new_members(core);
+        let told = quorum::old_and_new_members(core);
         let poll = Shared::new(Poll { core: core.clone(), ask: Ask::Places });
         for machine in (0..self.addresses.len()).filter(|machine| told.contains(&self.addresses[*machine])) {
             let outcome = self.tell_change(state, at, machine, &poll);
@@ -135,8 +138,8 @@
 impl State {
     fn write_core(&mut self, quorum: MachineSet, core: &Core) {
         let ballot = Ballot { turn: self.cores.len() as u64, seat: 0 };
-        let entry = Entry { ballot, step: 0, body: crate::core_body::write(core) };
-        let slot = Slot { key: crate::CORE.into(), promised: ballot, entry: Some(entry) };
+        let entry = Entry { ballot, step: 0, body: core_body::write(core) };
+        let slot = Slot { key: CORE.into(), promised: ballot, entry: Some(entry) };
         for machine in quorum.iter() {
             let mut voter = Voter::clone(&self.replicas[machine].voter);
             voter.fold(LogRecord::Slot(slot.clone()));
@@ -149,6 +152,6 @@
 /// A settlement cares for the keys and not for their places, and always for the key of the core: states that
 /// differ only in these are one.
 fn keys_only(list: &[(String, Ballot, u64)]) -> Vote {
-    let keys = list.iter().map(|(key, _, _)| key).filter(|key| *key != crate::CORE);
+    let keys = list.iter().map(|(key, _, _)| key).filter(|key| *key != CORE);
     Vote::Places { list: keys.map(|key| (key.clone(), Ballot::default(), 0)).collect() }
 }
--- a/consensus/src/model/check.rs
+++ b/consensus/src/model/check.rs
@@ -1,11 +1,17 @@
 //! What must hold in every state.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use protocol::msg::{Ask, Ballot, Core, Entry, Vote};
+
 use super::machines::MachineSet;
 use super::proposing::ballot;
 use super::state::State;
 use super::violation::Violation;
 use super::{Model, KEY};
-use protocol::msg::{Ask, Ballot, Core, Entry, Vote};
-use std::rc::Rc;
+use crate::quorum;
 
 /// What is asked again and again of a core.
 pub struct CoreFacts {
@@ -15,7 +21,7 @@
 }
 
 /// The facts of each core, which its version and whether it is settled tell apart.
-pub type CoreCache = std::cell::RefCell<std::collections::HashMap<(u64, bool), Rc<CoreFacts>>>;
+pub type CoreCache = RefCell<HashMap<(u64, bool), Rc<CoreFacts>>>;
 
 impl Model {
     pub fn core_facts(&self, core: &Core) -> Rc<CoreFacts> {
@@ -23,7 +29,7 @@
         if let Some(known) = self.cores.borrow().get(&key) {
             return known.clone();
         }
-        let is_member = |machine: &usize| crate::quorum::is_member(core, &self.addresses[*machine]);
+        let is_member = |machine: &usize| quorum::is_member(core, &self.addresses[*machine]);
         let members = (0..self.addresses.len()).filter(is_member).collect();
         let facts = Rc::new(CoreFacts { members, quorums: self.smallest_quorums(core, members) });
         self.cores.borrow_mut().insert(key, facts.clone());
@@ -33,7 +39,7 @@
     fn smallest_quorums(&self, core: &Core, members: MachineSet) -> Vec<MachineSet> {
         let is_quorum = |set: MachineSet| {
             let addresses: Vec<String> = set.iter().map(|machine| self.addresses[machine].clone()).collect();
-            crate::quorum::is_quorum(core, &addresses)
+            quorum::is_quorum(core, &addresses)
         };
         let smallest = |set: &MachineSet| is_quorum(*set) && !set.iter().any(|machine| is_quorum(set.without(machine)));
         let sets = MachineSet::subsets(self.addresses.len()).filter(|set| members.includes(*set));
--- a/consensus/src/model/explore.rs
+++ b/consensus/src/model/explore.rs
@@ -1,7 +1,9 @@
 //! Breadth-first search over the states of a system. Each state is visited once; a violation comes with the
 //! shortest sequence of actions that leads to it.
+
 use std::collections::HashMap;
-use std::hash::{Hash, Hasher};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::{fmt, mem};
 
 /// One way on from a state: an action, and the next state or the violation that the action is.
 pub struct Step<S: System + ?Sized> {
@@ -12,8 +14,8 @@
 /// What is explored.
 pub trait System {
     type State: Clone + Hash;
-    type Action: Clone + std::fmt::Debug;
-    type Violation: Clone + std::fmt::Debug;
+    type Action: Clone + fmt::Debug;
+    type Violation: Clone + fmt::Debug;
 
     fn initial(&self) -> Self::State;
 
@@ -47,7 +49,7 @@
 type Fingerprint = u64;
 
 pub fn fingerprint(value: &impl Hash) -> Fingerprint {
-    let mut hasher = std::hash::DefaultHasher::new();
+    let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
@@ -84,7 +86,7 @@
     /// Goes one action further from every state of the frontier, which becomes the next one.
     fn expand_level(&mut self, bound: usize) -> Option<Counterexample<S>> {
         let mut next = Vec::new();
-        let mut level = std::mem::take(&mut self.frontier).into_iter();
+        let mut level = mem::take(&mut self.frontier).into_iter();
         while self.parents.len() < bound {
             let Some(state) = level.next() else { break };
             if let Err(counterexample) = self.expand(&state, &mut next) {
--- a/consensus/src/model/machines.rs
+++ b/consensus/src/model/machines.rs
@@ -1,13 +1,15 @@
 //! Machines by number, and small sets of them.
 
+use protocol::msg::Member;
+
 /// The address of a machine.
 pub fn address(machine: usize) -> String {
     format!("10.0.0.{machine}")
 }
 
 /// A member of the core on this machine.
-pub fn member(machine: usize) -> protocol::msg::Member {
-    protocol::msg::Member { ip: address(machine), zone: String::new() }
+pub fn member(machine: usize) -> Member {
+    Member { ip: address(machine), zone: String::new() }
 }
 
 /// A set of at most eight machines.
--- a/consensus/src/model/mod.rs
+++ b/consensus/src/model/mod.rs
@@ -5,6 +5,15 @@
 //! are lost and members change. What votes, counts votes and decides is the production code: `Voter`,
 //! `Proposal` with `Round`, `quorum` and `membership`. Only what carries them (network, disk, clock, clients)
 //! is modelled here. `docs/ledger.md` says what is checked, what was left out and why that loses nothing.
+
+use std::cell::RefCell;
+use std::collections::HashSet;
+
+use action::{Action, Successor};
+use scenario::Scenario;
+use state::State;
+use violation::Violation;
+
 mod action;
 mod changing_core;
 mod check;
@@ -21,11 +30,6 @@
 mod violation;
 mod voting;
 
-use action::{Action, Successor};
-use scenario::Scenario;
-use state::State;
-use violation::Violation;
-
 /// The key whose history is checked.
 const KEY: &str = "k";
 
@@ -36,7 +40,7 @@
     cores: check::CoreCache,
     answers: voting::AnswerCache,
     /// Contents of disks from which progress was shown.
-    progressed: std::cell::RefCell<std::collections::HashSet<u64>>,
+    progressed: RefCell<HashSet<u64>>,
 }
 
 impl Model {
--- a/consensus/src/model/progress.rs
+++ b/consensus/src/model/progress.rs
@@ -1,4 +1,9 @@
 //! Progress: from every state, with a majority in touch and no further trouble, everything comes to an end.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+use protocol::msg::{Ask, Ballot, Core, Poll, Vote};
+
 use super::machines::MachineSet;
 use super::scenario::Operation;
 use super::shared::Shared;
@@ -6,11 +11,10 @@
 use super::violation::Violation;
 use super::voting::Answer;
 use super::{Model, KEY};
-use crate::membership::Settlement;
+use crate::membership::{settled, Settlement};
 use crate::proposal::{Progress, Proposal};
 use crate::round::next_turn;
-use protocol::msg::{Ask, Ballot, Core, Poll, Vote};
-use std::hash::{Hash, Hasher};
+use crate::{quorum, CORE, RECALL_DELAY_MS, ROUND_MS};
 
 impl Model {
     /// Runs a proposal to its end with these machines answering each poll at once.
@@ -45,7 +49,7 @@
     /// Goes on from this state without further trouble. What is on the disks decides the outcome, so states
     /// with the same disks are looked at once.
     pub fn check_progress(&self, state: &State) -> Result<(), Violation> {
-        let mut hasher = std::hash::DefaultHasher::new();
+        let mut hasher = DefaultHasher::new();
         (&state.replicas, &state.cores, &state.acknowledged).hash(&mut hasher);
         if !self.progressed.borrow_mut().insert(hasher.finish()) {
             return Ok(());
@@ -69,7 +73,7 @@
     fn may_settle(&self, core: &Core, in_touch: MachineSet) -> bool {
         let addresses: Vec<String> = in_touch.iter().map(|machine| self.addresses[machine].clone()).collect();
         let has_quorum = self.core_facts(core).quorums.iter().any(|quorum| in_touch.includes(*quorum));
-        has_quorum && crate::quorum::has_majority(&core.prev, &addresses)
+        has_quorum && quorum::has_majority(&core.prev, &addresses)
     }
 
     /// A read by any quorum that may vote finishes, and returns all that was acknowledged.
@@ -95,7 +99,7 @@
 
     /// All voters without memory read the others and vote again.
     fn end_losses(&self, state: &mut State, core: &Core) -> Result<(), Violation> {
-        state.now += crate::ROUND_MS + crate::RECALL_DELAY_MS;
+        state.now += ROUND_MS + RECALL_DELAY_MS;
         let mute: Vec<usize> = (0..state.replicas.len()).filter(|at| !state.replicas[*at].voter.may_vote).collect();
         for machine in mute {
             state.tell(machine, core);
@@ -117,7 +121,7 @@
     /// A changed core is settled while these machines are in touch, and reads finish after it.
     fn check_settlement(&self, mut state: State, core: &Core, in_touch: MachineSet) -> Result<(), Violation> {
         let mut settlement = Settlement::new(core);
-        let told = crate::quorum::old_and_new_members(core);
+        let told = quorum::old_and_new_members(core);
         let poll = Shared::new(Poll { core: core.clone(), ask: Ask::Places });
         for machine in in_touch.iter().filter(|machine| told.contains(&self.addresses[*machine])) {
             let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
@@ -128,7 +132,7 @@
             self.core_facts(core).members.iter().filter(|machine| in_touch.contains(*machine)).collect();
         for key in settlement.left() {
             let read = self.run(&mut state, core, members, Operation::Read)?;
-            let is_renewed = key == crate::CORE || matches!(read, Progress::Finished { .. });
+            let is_renewed = key == CORE || matches!(read, Progress::Finished { .. });
             if is_renewed {
                 settlement.renewed(&key);
             }
@@ -136,7 +140,7 @@
         if !settlement.is_done() {
             return Err(Violation::Stuck("a change of the core is not settled"));
         }
-        let settled = crate::membership::settled(core);
+        let settled = settled(core);
         state.cores = Shared::new(vec![settled.clone()]);
         self.check_reads(&state, &settled)
     }
--- a/consensus/src/model/recovering.rs
+++ b/consensus/src/model/recovering.rs
@@ -1,4 +1,7 @@
 //! Disks that are lost, and voters that read the others before they vote again.
+
+use protocol::msg::{Ask, Core, Poll, Vote};
+
 use super::action::{Action, Successor};
 use super::scenario::{Flaw, Scenario};
 use super::shared::Shared;
@@ -6,12 +9,12 @@
 use super::violation::Violation;
 use super::Model;
 use crate::voter::{LogRecord, Voter};
-use protocol::msg::{Ask, Core, Poll, Vote};
+use crate::{quorum, RECALL_DELAY_MS, ROUND_MS};
 
 /// Time passes in steps so long that a round begun when a disk was lost is over when its voter reads the
 /// others, and one begun a step later is not.
-const STEP_MS: u64 = crate::RECALL_DELAY_MS / 2;
-const _: () = assert!(STEP_MS < crate::ROUND_MS && crate::ROUND_MS <= 2 * STEP_MS);
+const STEP_MS: u64 = RECALL_DELAY_MS / 2;
+const _: () = assert!(STEP_MS < ROUND_MS && ROUND_MS <= 2 * STEP_MS);
 
 impl Model {
     pub fn recover(&self, state: &State, list: &mut Vec<Successor>) {
@@ -48,7 +51,7 @@
     }
 
     fn is_ready_to_read(&self, replica: &Replica, now: u64) -> bool {
-        let delay = if self.has(Flaw::RecallWithoutDelay) { 0 } else { crate::RECALL_DELAY_MS };
+        let delay = if self.has(Flaw::RecallWithoutDelay) { 0 } else { RECALL_DELAY_MS };
         replica.wiped_at.is_some_and(|wiped_at| now >= wiped_at + delay)
     }
 
@@ -103,7 +106,7 @@
     /// None: the other does not answer what was asked.
     pub fn read_from(&self, state: &State, machine: usize, from: usize) -> Result<Option<State>, Violation> {
         let core = state.replicas[machine].voter.core.clone();
-        let is_member = crate::quorum::is_old_or_new_member(&core, &self.addresses[machine]);
+        let is_member = quorum::is_old_or_new_member(&core, &self.addresses[machine]);
         let ask = if is_member { Ask::Whole } else { Ask::Places };
         let poll = Shared::new(Poll { core: core.clone(), ask });
         let answer = self.poll(from, &state.replicas[from].voter, &poll)?;
@@ -131,7 +134,7 @@
         let replica = &state.replicas[machine];
         let mut voter = Voter { ip: self.addresses[machine].clone(), ..Voter::clone(&replica.voter) };
         let read: Vec<String> = replica.reads.keys().map(|from| self.addresses[*from].clone()).collect();
-        if crate::quorum::is_old_or_new_member(core, &voter.ip) {
+        if quorum::is_old_or_new_member(core, &voter.ip) {
             if !voter.enough(&read) {
                 return;
             }
@@ -140,7 +143,7 @@
                 return;
             }
         } else {
-            if !crate::quorum::is_quorum(core, &read) {
+            if !quorum::is_quorum(core, &read) {
                 return;
             }
             voter.fold(LogRecord::Vote);
--- a/consensus/src/model/runs.rs
+++ b/consensus/src/model/runs.rs
@@ -1,5 +1,9 @@
 //! How tests explore a scenario. `LEDGER_MODEL_STATES` sets how many states the bounded ones visit; whoever sets
 //! it sees, for each scenario, how many there were and how long it took.
+
+use std::env;
+use std::time::Instant;
+
 use super::explore::{explore, Counterexample, Report};
 use super::scenario::{Operation, Scenario, Workload};
 use super::Model;
@@ -18,7 +22,7 @@
 }
 
 fn run(name: &str, scenario: &Scenario, bound: usize) -> Report<Model> {
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     let report = explore(&Model::new(scenario.clone()), bound);
     println!(
         "{name}: {} states, {} transitions, depth {}, {}, {:.1} s",
@@ -50,7 +54,7 @@
 
 /// As many states as `states` or the variable says are visited, those nearest to the initial one first.
 pub fn holds_in_first_states(name: &str, scenario: &Scenario, states: usize) {
-    let wanted = std::env::var(STATES_VARIABLE).ok().map(|text| text.parse().expect("a number of states"));
+    let wanted = env::var(STATES_VARIABLE).ok().map(|text| text.parse().expect("a number of states"));
     if run(name, scenario, wanted.unwrap_or(states)).counterexample.is_some() {
         fail(name, scenario);
     }
--- a/consensus/src/model/scenario.rs
+++ b/consensus/src/model/scenario.rs
@@ -1,6 +1,8 @@
 //! What bounds one exploration: the machines, what is asked of the proposers, and how much trouble there is.
+
 use super::machines::MachineSet;
 use crate::proposal::Verdict;
+use crate::quorum;
 
 /// What a client asks of a proposer. A body is the list of the changes that were made, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -92,6 +94,6 @@
 impl Scenario {
     /// How many members of a core may be without their memory at a time.
     pub fn tolerated_losses(members: usize) -> usize {
-        members - crate::quorum::majority(members)
+        members - quorum::majority(members)
     }
 }
--- a/consensus/src/model/shared.rs
+++ b/consensus/src/model/shared.rs
@@ -1,7 +1,11 @@
 //! A part of a state that many states have in common: copied by reference, hashed once.
+
 use std::hash::{Hash, Hasher};
+use std::ops::Deref;
 use std::rc::Rc;
 
+use super::explore;
+
 /// Invariant: `hash` is that of the value.
 #[derive(Debug, Eq)]
 pub struct Shared<T> {
@@ -11,7 +15,7 @@
 
 impl<T: Hash> Shared<T> {
     pub fn new(value: T) -> Shared<T> {
-        let hash = super::explore::fingerprint(&value);
+        let hash = explore::fingerprint(&value);
         Shared { value: Rc::new(value), hash }
     }
 
@@ -47,7 +51,7 @@
     }
 }
 
-impl<T> std::ops::Deref for Shared<T> {
+impl<T> Deref for Shared<T> {
     type Target = T;
 
     fn deref(&self) -> &T {
--- a/consensus/src/model/state.rs
+++ b/consensus/src/model/state.rs
@@ -1,9 +1,16 @@
 //! The state of the modelled world.
-use super::scenario::Operation;
-use super::shared::Shared;
-use crate::round::next_turn;
-use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+
 use std::collections::{BTreeMap, BTreeSet};
+use std::iter;
+
+use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+
+use super::scenario::{Operation, Workload};
+use super::shared::Shared;
+use super::{machines, Model, KEY};
+use crate::proposal::{Progress, Proposal};
+use crate::round::{next_turn, Ownership};
+use crate::voter::Voter;
 
 /// How often a key may be begun to be committed again under a changed core.
 const COORDINATOR_ATTEMPTS: u8 = 1;
@@ -15,7 +22,7 @@
 /// interchangeable replicas are equal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Replica {
-    pub voter: Shared<crate::voter::Voter>,
+    pub voter: Shared<Voter>,
     /// When it lost its disk, as long as it may not vote again.
     pub wiped_at: Option<u64>,
     /// What it read of others since, in order to vote again.
@@ -44,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Task {
     pub purpose: Purpose,
-    pub proposal: Shared<crate::proposal::Proposal<Vec<u8>>>,
+    pub proposal: Shared<Proposal<Vec<u8>>>,
     /// The present poll, on its way to every member.
     pub poll: Shared<Poll>,
     pub votes: BTreeMap<usize, Shared<Vote>>,
@@ -70,7 +77,7 @@
     /// How many of its operations are done.
     pub done: usize,
     pub attempts_left: u8,
-    pub held: Option<crate::round::Ownership>,
+    pub held: Option<Ownership>,
     pub task: Option<Task>,
     /// This one coordinates changes of the core.
     pub coordinates: bool,
@@ -99,7 +106,7 @@
 
     /// The highest turn that a voter promised.
     pub fn highest_turn(&self) -> u64 {
-        let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(super::KEY));
+        let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY));
         slots.map(|slot| slot.promised.turn).max().unwrap_or_default()
     }
 
@@ -109,16 +116,15 @@
     }
 }
 
-impl super::Model {
+impl Model {
     /// All machines in touch and idle, with what the scenario says was acknowledged before.
     pub fn initial_state(&self) -> State {
-        let list = (0..self.scenario.core_size).map(super::machines::member).collect();
+        let list = (0..self.scenario.core_size).map(machines::member).collect();
         let core = Core { version: 1, list, prev: Vec::new(), settled: true };
-        let voter = crate::voter::Voter { core: core.clone(), may_vote: true, ..Default::default() };
+        let voter = Voter { core: core.clone(), may_vote: true, ..Default::default() };
         let replica = Shared::new(Replica { voter: Shared::new(voter), ..Replica::default() });
-        let idle = |workload: &super::scenario::Workload| {
-            Shared::new(Proposer { attempts_left: workload.attempts, ..Proposer::default() })
-        };
+        let idle =
+            |workload: &Workload| Shared::new(Proposer { attempts_left: workload.attempts, ..Proposer::default() });
         let mut state = State {
             now: 0,
             replicas: vec![replica; self.scenario.machines],
@@ -132,7 +138,7 @@
         if let Some(change) = &self.scenario.core_change {
             let attempts_left = COORDINATOR_ATTEMPTS;
             let coordinator = Proposer { attempts_left, coordinates: true, ..Proposer::default() };
-            state.proposers.extend(std::iter::repeat_n(Shared::new(coordinator), change.coordinators));
+            state.proposers.extend(iter::repeat_n(Shared::new(coordinator), change.coordinators));
         }
         self.do_first(&mut state);
         self.leave_half_done(&mut state);
@@ -144,8 +150,8 @@
         let core = state.newest_core().clone();
         let ballot = Ballot { turn: next_turn(state.highest_turn(), &core), seat: u64::MAX };
         let entry = Entry { ballot, step: 1, body: vec![HALF_DONE_CHANGE] };
-        let prepare = Ask::Prepare { key: super::KEY.into(), ballot };
-        let accept = Ask::Accept { key: super::KEY.into(), entry };
+        let prepare = Ask::Prepare { key: KEY.into(), ballot };
+        let accept = Ask::Accept { key: KEY.into(), entry };
         for (ask, machines) in [(prepare, half_done.promised_by), (accept, half_done.accepted_by)] {
             let poll = Shared::new(Poll { core: core.clone(), ask });
             for machine in machines.iter() {
@@ -159,7 +165,7 @@
         let Some((operation, machines)) = self.scenario.done_before else { return };
         let core = state.newest_core().clone();
         let progress = self.run(state, &core, machines, operation).expect("no violation");
-        let crate::proposal::Progress::Finished { answer, owner, .. } = progress else { panic!("no quorum") };
+        let Progress::Finished { answer, owner, .. } = progress else { panic!("no quorum") };
         state.acknowledged = Shared::new(answer);
         if let Some(first) = state.proposers.first_mut().filter(|proposer| !proposer.coordinates) {
             first.edit(|proposer| proposer.held = Some(owner));
--- a/consensus/src/model/symmetry.rs
+++ b/consensus/src/model/symmetry.rs
@@ -3,12 +3,16 @@
 //! Machines that are interchangeable are numbered anew, in the order of what they hold: a state and the one
 //! with two of them swapped have the same futures but for the numbers. Late polls that no voter will take any
 //! more are dropped.
+
+use std::collections::BTreeMap;
+use std::mem;
+
+use protocol::msg::{Ask, Poll};
+
 use super::explore::fingerprint;
 use super::shared::Shared;
 use super::state::{Proposer, Replica, State};
 use super::Model;
-use protocol::msg::{Ask, Poll};
-use std::collections::BTreeMap;
 
 /// The new number of each machine.
 type Renumbering = Vec<usize>;
@@ -73,7 +77,7 @@
 }
 
 fn renumber(state: &mut State, numbers: &Renumbering) {
-    let old = std::mem::take(&mut state.replicas);
+    let old = mem::take(&mut state.replicas);
     let mut replicas: Vec<(usize, Shared<Replica>)> = numbers.iter().copied().zip(old).collect();
     replicas.sort_by_key(|(number, _)| *number);
     state.replicas = replicas.into_iter().map(|(_, replica)| replica).collect();
@@ -96,7 +100,7 @@
 }
 
 fn renumber_keys<T>(map: &mut BTreeMap<usize, T>, numbers: &Renumbering) {
-    *map = std::mem::take(map).into_iter().map(|(machine, value)| (numbers[machine], value)).collect();
+    *map = mem::take(map).into_iter().map(|(machine, value)| (numbers[machine], value)).collect();
 }
 
 #[cfg(test)]
--- a/consensus/src/model/voting.rs
+++ b/consensus/src/model/voting.rs
@@ -1,4 +1,10 @@
 //! Polls that reach voters, in time or late.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+
+use protocol::msg::{Ask, Ballot, Entry, Poll, Vote};
+
 use super::action::{Action, Successor};
 use super::proposing::ballot;
 use super::scenario::Flaw;
@@ -7,7 +13,6 @@
 use super::violation::Violation;
 use super::Model;
 use crate::voter::Voter;
-use protocol::msg::{Ask, Ballot, Entry, Poll, Vote};
 
 /// A voter after a poll, and its vote.
 #[derive(Clone)]
@@ -17,7 +22,7 @@
 }
 
 /// What each voter answered to each poll: told apart by machine, voter and poll.
-pub type AnswerCache = std::cell::RefCell<std::collections::HashMap<(usize, u64, u64), Answer>>;
+pub type AnswerCache = RefCell<HashMap<(usize, u64, u64), Answer>>;
 
 impl Model {
     /// Lets a voter answer a poll. Both the voter and what a restart would find on its disk are as returned.
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,5 +1,10 @@
 //! One change or linearizable read of a register, from the first poll to its outcome, as a pure state
 //! machine. The controller drives it over the network, the simulation in virtual time.
+
+use std::mem;
+
+use protocol::msg::{Ask, Ballot, Core, Vote};
+
 use crate::round::{Ownership, Round, Step};
 
 /// What a caller decides once it sees what is committed.
@@ -16,7 +21,7 @@
 pub enum Progress<T> {
     Wait,
     /// To be sent to every voter of the proposal's core; answers to earlier polls no longer count.
-    Send(protocol::msg::Ask),
+    Send(Ask),
     /// Committed, or read at a quorum. The ownership serves the next change of the same key.
     Finished {
         answer: T,
@@ -24,9 +29,9 @@
         wrote: bool,
     },
     /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
-    Outbid(protocol::msg::Ballot),
+    Outbid(Ballot),
     /// A voter knows a newer core. The outcome of an own write is unknown.
-    NewerCore(protocol::msg::Core),
+    NewerCore(Core),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -51,12 +56,12 @@
     /// new to this owner.
     pub fn begin(
         key: &str,
-        core: &protocol::msg::Core,
+        core: &Core,
         held: Option<Ownership>,
-        ballot: protocol::msg::Ballot,
+        ballot: Ballot,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
         now: u64,
-    ) -> (Proposal<T>, protocol::msg::Ask) {
+    ) -> (Proposal<T>, Ask) {
         let held = held.filter(|owner| owner.core == core.version);
         if let Some(owner) = held {
             // An answer without a write would rest on a read of some time ago: another may own the key by now.
@@ -69,7 +74,7 @@
         (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
     }
 
-    pub fn core(&self) -> &protocol::msg::Core {
+    pub fn core(&self) -> &Core {
         self.round.core()
     }
 
@@ -82,7 +87,7 @@
     pub fn hear(
         &mut self,
         from: &str,
-        vote: protocol::msg::Vote,
+        vote: Vote,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
         now: u64,
     ) -> Progress<T> {
@@ -93,7 +98,7 @@
             Step::Core(core) => return Progress::NewerCore(core),
             Step::Done(owner) => owner,
         };
-        if let Stage::Writing(answer) = std::mem::replace(&mut self.stage, Stage::Claiming) {
+        if let Stage::Writing(answer) = mem::replace(&mut self.stage, Stage::Claiming) {
             return Progress::Finished { answer, owner, wrote: true };
         }
         match judge(&owner.entry.body) {
--- a/consensus/src/proposal_tests.rs
+++ b/consensus/src/proposal_tests.rs
@@ -1,8 +1,11 @@
 //! One proposal against voters that answer in the order a test says.
+
+use protocol::msg::{Ask, Ballot, Core, Member, Poll, Vote};
+
 use super::{Progress, Proposal, Verdict};
 use crate::round::Ownership;
 use crate::voter::Voter;
-use protocol::msg::{Ask, Ballot, Core, Member, Poll, Vote};
+use crate::ROUND_MS;
 
 const KEY: &str = "config";
 
@@ -113,9 +116,9 @@
     let (mut proposal, poll) = Proposal::begin(KEY, &core(3), None, ballot(1), &mut write("a"), 0);
     for voter in &mut all {
         let vote = ask(voter, &poll);
-        assert_eq!(proposal.hear(&voter.ip, vote, &mut write("a"), crate::ROUND_MS), Progress::Wait);
+        assert_eq!(proposal.hear(&voter.ip, vote, &mut write("a"), ROUND_MS), Progress::Wait);
     }
-    assert!(proposal.expired(crate::ROUND_MS));
+    assert!(proposal.expired(ROUND_MS));
 }
 
 #[test]
--- a/consensus/src/record.rs
+++ b/consensus/src/record.rs
@@ -3,6 +3,10 @@
 //! Header: magic (4 bytes), body length (4), the length of the segment known to be synced when the
 //! record was written (8), check sum of all the rest (4), zero (4). Numbers are little-endian.
 
+use crc32fast::Hasher;
+use rkyv::rancor;
+use rkyv::util::AlignedVec;
+
 pub use crate::voter::LogRecord;
 
 pub const MAGIC: [u8; 4] = *b"tdp1";
@@ -33,7 +37,7 @@
 }
 
 fn check_sum(header: &[u8], body: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
+    let mut sum = Hasher::new();
     sum.update(&header[..CHECKED_HEADER_BYTES]);
     sum.update(body);
     sum.finalize()
@@ -41,7 +45,7 @@
 
 /// Appends the binary form of a record to `out`.
 pub fn encode(record: &LogRecord, synced_before: u64, out: &mut Vec<u8>) {
-    let body = rkyv::to_bytes::<rkyv::rancor::Error>(record).expect("a log record can always be written");
+    let body = rkyv::to_bytes::<rancor::Error>(record).expect("a log record can always be written");
     let start = out.len();
     out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -57,7 +61,7 @@
     if check_sum(header_bytes, body) != header.check_sum {
         return None;
     }
-    let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(body.len());
+    let mut aligned = AlignedVec::<16>::with_capacity(body.len());
     aligned.extend_from_slice(body);
-    rkyv::from_bytes::<LogRecord, rkyv::rancor::Error>(&aligned).ok()
+    rkyv::from_bytes::<LogRecord, rancor::Error>(&aligned).ok()
 }
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -1,10 +1,14 @@
 //! The owning side: one round of a register, as a pure state machine.
 
+use protocol::msg::{Ask, Ballot, Core, Entry, Vote};
+
+use crate::{quorum, ROUND_MS};
+
 /// What an owner holds. Invariants: `entry` is committed; its ballot is the owner's own; a next
 /// change carries `entry.step + 1`, so two changes never share a place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ownership {
-    pub entry: protocol::msg::Entry,
+    pub entry: Entry,
     pub core: u64,
 }
 
@@ -22,7 +26,7 @@
 ///
 /// What an owner left half done under the core before may be on one disk only, and its promise on members that
 /// are gone. It must not outrank what was committed since by a quorum that never heard of it.
-pub fn next_turn(last: u64, core: &protocol::msg::Core) -> u64 {
+pub fn next_turn(last: u64, core: &Core) -> u64 {
     (last + 1).max(core.version * TURNS_OF_A_CORE)
 }
 
@@ -30,26 +34,26 @@
 pub enum Step {
     Wait,
     /// To be sent to every member.
-    Send(protocol::msg::Ask),
+    Send(Ask),
     /// Committed: a majority has it on disk.
     Done(Ownership),
     /// Another owner is at work under a higher ballot; the outcome of an own change is unknown.
-    Lost(protocol::msg::Ballot),
-    Core(protocol::msg::Core),
+    Lost(Ballot),
+    Core(Core),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Reading { found: Option<protocol::msg::Entry> },
-    Writing(protocol::msg::Entry),
+    Reading { found: Option<Entry> },
+    Writing(Entry),
 }
 
 /// Invariant: `heard` counts each member once a phase, and only members of the round's core.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
-    core: protocol::msg::Core,
-    ballot: protocol::msg::Ballot,
+    core: Core,
+    ballot: Ballot,
     phase: Phase,
     heard: Vec<String>,
     deadline: u64,
@@ -57,35 +61,24 @@
 
 impl Round {
     /// A take-over: reads a majority under a new ballot and commits again what it finds.
-    pub fn take(
-        key: &str,
-        core: protocol::msg::Core,
-        ballot: protocol::msg::Ballot,
-        now: u64,
-    ) -> (Round, protocol::msg::Ask) {
-        let ask = protocol::msg::Ask::Prepare { key: key.into(), ballot };
+    pub fn take(key: &str, core: Core, ballot: Ballot, now: u64) -> (Round, Ask) {
+        let ask = Ask::Prepare { key: key.into(), ballot };
         (Round::new(key, core, ballot, Phase::Reading { found: None }, now), ask)
     }
 
     /// A change by the holder of a ownership.
-    pub fn change(
-        key: &str,
-        core: protocol::msg::Core,
-        ownership: &Ownership,
-        body: Vec<u8>,
-        now: u64,
-    ) -> (Round, protocol::msg::Ask) {
-        let entry = protocol::msg::Entry { ballot: ownership.entry.ballot, step: ownership.entry.step + 1, body };
-        let ask = protocol::msg::Ask::Accept { key: key.into(), entry: entry.clone() };
+    pub fn change(key: &str, core: Core, ownership: &Ownership, body: Vec<u8>, now: u64) -> (Round, Ask) {
+        let entry = Entry { ballot: ownership.entry.ballot, step: ownership.entry.step + 1, body };
+        let ask = Ask::Accept { key: key.into(), entry: entry.clone() };
         (Round::new(key, core, entry.ballot, Phase::Writing(entry), now), ask)
     }
 
-    fn new(key: &str, core: protocol::msg::Core, ballot: protocol::msg::Ballot, phase: Phase, now: u64) -> Round {
-        let deadline = now + crate::ROUND_MS;
+    fn new(key: &str, core: Core, ballot: Ballot, phase: Phase, now: u64) -> Round {
+        let deadline = now + ROUND_MS;
         Round { key: key.into(), core, ballot, phase, heard: Vec::new(), deadline }
     }
 
-    pub fn core(&self) -> &protocol::msg::Core {
+    pub fn core(&self) -> &Core {
         &self.core
     }
 
@@ -93,42 +86,42 @@
         now >= self.deadline
     }
 
-    pub fn hear(&mut self, from: &str, vote: protocol::msg::Vote, now: u64) -> Step {
-        if self.over(now) || !crate::quorum::is_member(&self.core, from) || self.heard.iter().any(|ip| ip == from) {
+    pub fn hear(&mut self, from: &str, vote: Vote, now: u64) -> Step {
+        if self.over(now) || !quorum::is_member(&self.core, from) || self.heard.iter().any(|ip| ip == from) {
             return Step::Wait;
         }
         match vote {
-            protocol::msg::Vote::Newer { core } => return Step::Core(core),
-            protocol::msg::Vote::Refused { promised } if promised > self.ballot => return Step::Lost(promised),
-            protocol::msg::Vote::Promise { entry } => {
+            Vote::Newer { core } => return Step::Core(core),
+            Vote::Refused { promised } if promised > self.ballot => return Step::Lost(promised),
+            Vote::Promise { entry } => {
                 let Phase::Reading { found } = &mut self.phase else { return Step::Wait };
-                let best = found.as_ref().map(protocol::msg::Entry::place);
-                if entry.as_ref().map(protocol::msg::Entry::place) > best {
+                let best = found.as_ref().map(Entry::place);
+                if entry.as_ref().map(Entry::place) > best {
                     *found = entry;
                 }
                 self.heard.push(from.into());
             }
-            protocol::msg::Vote::Accepted => {
+            Vote::Accepted => {
                 let Phase::Writing(_) = &self.phase else { return Step::Wait };
                 self.heard.push(from.into());
             }
             _ => return Step::Wait,
         }
-        if !crate::quorum::is_quorum(&self.core, &self.heard) {
+        if !quorum::is_quorum(&self.core, &self.heard) {
             return Step::Wait;
         }
         match &mut self.phase {
             Phase::Writing(entry) => Step::Done(Ownership { entry: entry.clone(), core: self.core.version }),
             Phase::Reading { found } => {
                 let Some(found) = found.take() else {
-                    let entry = protocol::msg::Entry { ballot: self.ballot, step: 0, body: Vec::new() };
+                    let entry = Entry { ballot: self.ballot, step: 0, body: Vec::new() };
                     return Step::Done(Ownership { entry, core: self.core.version });
                 };
                 // A new number: acceptance of the old phase must not count for the new one.
-                let entry = protocol::msg::Entry { ballot: self.ballot, step: 0, body: found.body };
+                let entry = Entry { ballot: self.ballot, step: 0, body: found.body };
                 self.phase = Phase::Writing(entry.clone());
                 self.heard.clear();
-                Step::Send(protocol::msg::Ask::Accept { key: self.key.clone(), entry })
+                Step::Send(Ask::Accept { key: self.key.clone(), entry })
             }
         }
     }
--- a/consensus/src/segment.rs
+++ b/consensus/src/segment.rs
@@ -1,5 +1,7 @@
 //! Reading the records of one file, a piece at a time: memory stays at one piece, or one record.
 
+use std::io;
+
 use crate::folder::DataFile;
 use crate::record::{decode, Header, LogRecord, HEADER_BYTES, MAGIC};
 
@@ -23,7 +25,7 @@
 }
 
 impl<'a> SegmentReader<'a> {
-    pub fn new(file: &'a dyn DataFile) -> std::io::Result<Self> {
+    pub fn new(file: &'a dyn DataFile) -> io::Result<Self> {
         Ok(SegmentReader { file, size: file.size()?, offset: 0, window: Vec::new(), window_start: 0 })
     }
 
@@ -37,7 +39,7 @@
     }
 
     /// The next record. None: the end, or bytes that are no whole record; `at_end` tells which.
-    pub fn next(&mut self) -> std::io::Result<Option<StoredRecord>> {
+    pub fn next(&mut self) -> io::Result<Option<StoredRecord>> {
         let found = self.record_at(self.offset)?;
         self.offset += found.as_ref().map_or(0, |found| found.size);
         Ok(found)
@@ -45,7 +47,7 @@
 
     /// Does a record behind `offset` say that the bytes at `offset` had been synced? Then they are
     /// not the torn end of a write but damage.
-    pub fn synced_later(&mut self) -> std::io::Result<bool> {
+    pub fn synced_later(&mut self) -> io::Result<bool> {
         let mut start = self.offset + 1;
         while start + HEADER_BYTES as u64 <= self.size {
             let length = READ_BYTES.min(self.size - start);
@@ -64,7 +66,7 @@
 
     /// Is this a file that no torn write of records can have left? Only asked when no record was read:
     /// what is missing of a torn write reads as zeros.
-    pub fn is_foreign(&mut self) -> std::io::Result<bool> {
+    pub fn is_foreign(&mut self) -> io::Result<bool> {
         if self.offset > 0 || self.size < MAGIC.len() as u64 {
             return Ok(false);
         }
@@ -72,7 +74,7 @@
         Ok(first.iter().zip(MAGIC).any(|(byte, magic)| *byte != magic && *byte != 0))
     }
 
-    fn record_at(&mut self, offset: u64) -> std::io::Result<Option<StoredRecord>> {
+    fn record_at(&mut self, offset: u64) -> io::Result<Option<StoredRecord>> {
         let left = self.size - offset;
         if left < HEADER_BYTES as u64 {
             return Ok(None);
@@ -90,7 +92,7 @@
     }
 
     /// The bytes from `offset` on, read ahead by a piece.
-    fn bytes(&mut self, offset: u64, length: u64) -> std::io::Result<&[u8]> {
+    fn bytes(&mut self, offset: u64, length: u64) -> io::Result<&[u8]> {
         let window_end = self.window_start + self.window.len() as u64;
         if offset < self.window_start || offset + length > window_end {
             let ahead = length.max(READ_BYTES).min(self.size - offset);
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -1,7 +1,16 @@
 //! A deterministic world for the ledger: virtual time, a seed, messages that are lost, doubled and
 //! reordered, crashes that lose what was not synced, wiped disks, cuts. It checks that nothing
 //! acknowledged is lost and that the history of a key is one line.
-use protocol::msg::{Ask, Core, Member, Poll, Vote};
+
+use std::collections::BTreeMap;
+use std::{mem, str};
+
+use kernel::clock::Dice;
+use protocol::msg::{Ask, Ballot, Core, Member, Poll, Slot, Vote};
+
+use crate::round::{self, Ownership, Round, Step};
+use crate::voter::{LogRecord, Voter};
+use crate::{quorum, RECALL_DELAY_MS};
 
 const KEY: &str = "k";
 
@@ -20,28 +29,28 @@
 
 struct Work {
     id: u64,
-    round: crate::round::Round,
+    round: Round,
     /// The body this round carries, when it is a change.
     body: Option<Vec<u8>>,
 }
 
 /// Invariant: `disk` is what was synced; `voter` may be ahead of it by what waits in `wet`.
 struct Seat {
-    voter: crate::voter::Voter,
-    disk: crate::voter::Voter,
-    wet: Vec<(u64, Vec<crate::voter::LogRecord>, Option<Letter>)>,
-    ownership: Option<crate::round::Ownership>,
+    voter: Voter,
+    disk: Voter,
+    wet: Vec<(u64, Vec<LogRecord>, Option<Letter>)>,
+    ownership: Option<Ownership>,
     work: Option<Work>,
     up: bool,
     life: u64,
     born: u64,
     turn: u64,
-    reads: std::collections::BTreeMap<usize, Vec<protocol::msg::Slot>>,
+    reads: BTreeMap<usize, Vec<Slot>>,
 }
 
 pub struct World {
     now: u64,
-    dice: kernel::clock::Dice,
+    dice: Dice,
     seats: Vec<Seat>,
     mail: Vec<Letter>,
     cut: Vec<(usize, usize)>,
@@ -57,13 +66,13 @@
 }
 
 fn count(body: &[u8]) -> u64 {
-    std::str::from_utf8(body).ok().and_then(|text| text.split('/').next()?.parse().ok()).unwrap_or(0)
+    str::from_utf8(body).ok().and_then(|text| text.split('/').next()?.parse().ok()).unwrap_or(0)
 }
 
 impl Seat {
     /// An empty machine that may vote where the core names it.
     fn fresh(at: usize, core: Core, born: u64) -> Seat {
-        let mut voter = crate::voter::Voter::new(&ip(at));
+        let mut voter = Voter::new(&ip(at));
         (voter.core, voter.may_vote) = (core, true);
         Seat {
             disk: voter.clone(),
@@ -86,7 +95,7 @@
         let core = Core { version: 1, list, prev: Vec::new(), settled: true };
         World {
             now: 0,
-            dice: kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             seats: (0..size).map(|at| Seat::fresh(at, core.clone(), 0)).collect(),
             mail: Vec::new(),
             cut: Vec::new(),
@@ -107,7 +116,7 @@
 
     fn ask(&mut self, from: usize, round: u64, core: &Core, ask: &Ask) {
         for to in 0..self.seats.len() {
-            if crate::quorum::is_member(core, &ip(to)) {
+            if quorum::is_member(core, &ip(to)) {
                 self.post(from, to, Mail::Poll { round, poll: Poll { core: core.clone(), ask: ask.clone() } });
             }
         }
@@ -125,13 +134,13 @@
         let (round, ask, body) = match &seat.ownership {
             Some(ownership) => {
                 let body = format!("{}/{at}.{id}", count(&ownership.entry.body) + 1).into_bytes();
-                let (round, ask) = crate::round::Round::change(KEY, core.clone(), ownership, body.clone(), now);
+                let (round, ask) = Round::change(KEY, core.clone(), ownership, body.clone(), now);
                 (round, ask, Some(body))
             }
             None => {
-                seat.turn = crate::round::next_turn(seat.turn, &core);
-                let ballot = protocol::msg::Ballot { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
-                let (round, ask) = crate::round::Round::take(KEY, core.clone(), ballot, now);
+                seat.turn = round::next_turn(seat.turn, &core);
+                let ballot = Ballot { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
+                let (round, ask) = Round::take(KEY, core.clone(), ballot, now);
                 (round, ask, None)
             }
         };
@@ -156,24 +165,24 @@
         }
         let Some(work) = seat.work.as_mut().filter(|work| work.id == id) else { return };
         match work.round.hear(&ip(from), vote, now) {
-            crate::round::Step::Wait => {}
-            crate::round::Step::Core(core) => {
+            Step::Wait => {}
+            Step::Core(core) => {
                 seat.work = None;
                 let record = seat.voter.adopt(&core);
                 seat.wet.push((now + 2, record.into_iter().collect(), None));
             }
-            crate::round::Step::Send(ask) => {
+            Step::Send(ask) => {
                 // The second half counts under a new number: votes of the first are not for it.
                 work.id = self.next;
                 self.next += 1;
                 let (id, core) = (work.id, work.round.core().clone());
                 self.ask(at, id, &core, &ask);
             }
-            crate::round::Step::Lost(ballot) => {
+            Step::Lost(ballot) => {
                 seat.turn = seat.turn.max(ballot.turn);
                 seat.work = None;
             }
-            crate::round::Step::Done(ownership) => {
+            Step::Done(ownership) => {
                 let body = work.body.take();
                 seat.work = None;
                 if let Some(body) = body {
@@ -216,7 +225,7 @@
                 }
             }
             let seat = &self.seats[at];
-            if seat.up && !seat.voter.may_vote && now >= seat.born + crate::RECALL_DELAY_MS && now.is_multiple_of(50) {
+            if seat.up && !seat.voter.may_vote && now >= seat.born + RECALL_DELAY_MS && now.is_multiple_of(50) {
                 let (core, others) = (seat.voter.core.clone(), seat.voter.witnesses());
                 self.seats[at].reads.clear();
                 for to in 0..self.seats.len() {
@@ -228,7 +237,7 @@
             }
         }
         let due: Vec<Letter> = {
-            let (due, rest) = std::mem::take(&mut self.mail).into_iter().partition(|letter| letter.at <= now);
+            let (due, rest) = mem::take(&mut self.mail).into_iter().partition(|letter| letter.at <= now);
             self.mail = rest;
             due
         };
--- a/consensus/src/sim_membership_tests.rs
+++ b/consensus/src/sim_membership_tests.rs
@@ -1,5 +1,9 @@
 //! Members replaced while the register is at work: the simulated world must not lose what was acknowledged.
+
+use kernel::clock::Dice;
+
 use super::tests::sound;
+use super::World;
 
 /// How a member that is gone is replaced.
 #[derive(Clone, Copy, PartialEq)]
@@ -13,10 +17,10 @@
 }
 
 /// A member is gone for good, an empty one takes its place, and then another falls.
-fn replaced(seed: u64, way: Way) -> (super::World, Vec<u8>) {
+fn replaced(seed: u64, way: Way) -> (World, Vec<u8>) {
     let hasty = way == Way::Hasty;
-    let mut world = super::World::new(seed, 3);
-    let mut chance = kernel::clock::Dice::new(seed ^ 0x7e57);
+    let mut world = World::new(seed, 3);
+    let mut chance = Dice::new(seed ^ 0x7e57);
     let mut stage = 0;
     let mut core = None;
     let gone = 1 + chance.below(2) as usize;
--- a/consensus/src/sim_tests.rs
+++ b/consensus/src/sim_tests.rs
@@ -1,11 +1,18 @@
 //! Runs of the simulated world. Every body is "N/owner.round", N counting the changes before it, so
 //! a lost acknowledgement shows as a count that does not rise.
 
+use kernel::clock::Dice;
+use protocol::msg::{Core, Member};
+
+use super::{count, ip, World};
+use crate::quorum;
+use crate::voter::Voter;
+
 /// Ten seconds of trouble, then quiet. Gives the world and what it holds at the end.
-fn run(seed: u64, size: usize, wipes: bool, hasty: bool) -> (super::World, Vec<u8>) {
-    let mut world = super::World::new(seed, size);
+fn run(seed: u64, size: usize, wipes: bool, hasty: bool) -> (World, Vec<u8>) {
+    let mut world = World::new(seed, size);
     world.hasty = hasty;
-    let mut chance = kernel::clock::Dice::new(seed ^ 0x51ed);
+    let mut chance = Dice::new(seed ^ 0x51ed);
     let mut down: Option<(usize, u64)> = None;
     while world.now < 20_000 {
         world.step();
@@ -33,9 +40,9 @@
 }
 
 /// Nothing acknowledged is lost, and no two acknowledged changes share a place in the line.
-pub fn sound(world: &super::World, last: &[u8]) -> bool {
-    let mut counts: Vec<u64> = world.acked.iter().map(|body| super::count(body)).collect();
-    let held = super::count(last);
+pub fn sound(world: &World, last: &[u8]) -> bool {
+    let mut counts: Vec<u64> = world.acked.iter().map(|body| count(body)).collect();
+    let held = count(last);
     let top = counts.iter().copied().max().unwrap_or(0);
     counts.sort_unstable();
     let unique = counts.windows(2).all(|pair| pair[0] < pair[1]);
@@ -82,10 +89,10 @@
 }
 
 /// Again and again two machines are lost at once, wiped; at times all others lose power with them.
-fn twice(seed: u64, size: usize, hasty: bool) -> (super::World, Vec<u8>, bool) {
-    let mut world = super::World::new(seed, size);
+fn twice(seed: u64, size: usize, hasty: bool) -> (World, Vec<u8>, bool) {
+    let mut world = World::new(seed, size);
     world.hasty = hasty;
-    let mut chance = kernel::clock::Dice::new(seed ^ 0x2f2f);
+    let mut chance = Dice::new(seed ^ 0x2f2f);
     let mut back = 0;
     let mut whole = true;
     while world.now < 24_000 {
@@ -142,19 +149,14 @@
 #[test]
 fn enough_means_that_no_majority_goes_unseen() {
     for size in 2..=9usize {
-        let list: Vec<protocol::msg::Member> =
-            (0..size).map(|at| protocol::msg::Member { ip: super::ip(at), zone: String::new() }).collect();
-        let mut voter = crate::voter::Voter::new(&super::ip(0));
-        voter.core = protocol::msg::Core { version: 1, list, prev: Vec::new(), settled: true };
+        let list: Vec<Member> = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
+        let mut voter = Voter::new(&ip(0));
+        voter.core = Core { version: 1, list, prev: Vec::new(), settled: true };
         for mask in 0..(1u32 << size) {
-            let read: Vec<String> = (1..size).filter(|at| mask & (1 << at) != 0).map(super::ip).collect();
+            let read: Vec<String> = (1..size).filter(|at| mask & (1 << at) != 0).map(ip).collect();
             // The largest set without any that was read: could it have been a majority?
             let unseen = size - read.len();
-            assert_eq!(
-                voter.enough(&read),
-                !read.is_empty() && unseen < crate::quorum::majority(size),
-                "{size} {read:?}"
-            );
+            assert_eq!(voter.enough(&read), !read.is_empty() && unseen < quorum::majority(size), "{size} {read:?}");
         }
     }
 }
--- a/consensus/src/sim_trouble.rs
+++ b/consensus/src/sim_trouble.rs
@@ -1,6 +1,10 @@
 //! Trouble in the simulated world: falls, wipes, returns, and the reading at the end.
 
-impl super::World {
+use super::{ip, Ask, Core, Mail, Member, Poll, Seat, World};
+use crate::quorum;
+use crate::voter::Voter;
+
+impl World {
     /// Power loss: what is not synced is gone. `wipe`: the disk too.
     pub fn fall(&mut self, at: usize, wipe: bool) {
         let now = self.now;
@@ -11,7 +15,7 @@
         seat.reads.clear();
         if wipe {
             let core = seat.disk.core.clone();
-            seat.disk = crate::voter::Voter::new(&super::ip(at));
+            seat.disk = Voter::new(&ip(at));
             seat.disk.core = core;
             seat.disk.may_vote = self.hasty;
         }
@@ -58,16 +62,16 @@
     pub fn join(&mut self) -> usize {
         let at = self.seats.len();
         let core = self.seats[0].voter.core.clone();
-        self.seats.push(super::Seat::fresh(at, core, self.now));
+        self.seats.push(Seat::fresh(at, core, self.now));
         at
     }
 
     /// The next core, known at first to one seat only. `joint`: until it is settled, quorums of the members
     /// before it are needed too.
-    pub fn change(&mut self, list: Vec<usize>, joint: bool) -> super::Core {
+    pub fn change(&mut self, list: Vec<usize>, joint: bool) -> Core {
         let old = self.seats[0].voter.core.clone();
-        let list = list.into_iter().map(|at| super::Member { ip: super::ip(at), zone: String::new() }).collect();
-        let core = super::Core { version: old.version + 1, list, prev: old.list, settled: !joint };
+        let list = list.into_iter().map(|at| Member { ip: ip(at), zone: String::new() }).collect();
+        let core = Core { version: old.version + 1, list, prev: old.list, settled: !joint };
         let record = self.seats[0].voter.adopt(&core);
         (self.seats[0].ownership, self.seats[0].work) = (None, None);
         self.seats[0].wet.push((self.now + 2, record.into_iter().collect(), None));
@@ -75,18 +79,17 @@
     }
 
     /// Tells the members old and new of a core; true once majorities of both have it on disk.
-    pub fn spread(&mut self, core: &super::Core) -> bool {
-        let ask = super::Ask::Places;
+    pub fn spread(&mut self, core: &Core) -> bool {
+        let ask = Ask::Places;
         for to in 0..self.seats.len() {
-            let poll = super::Poll { core: core.clone(), ask: ask.clone() };
-            self.post(0, to, super::Mail::Poll { round: 0, poll });
+            let poll = Poll { core: core.clone(), ask: ask.clone() };
+            self.post(0, to, Mail::Poll { round: 0, poll });
         }
         let knows = |ip: &str| {
             self.seats.iter().any(|seat| seat.up && seat.voter.ip == ip && seat.disk.core.version >= core.version)
         };
-        let most = |list: &[super::Member]| {
-            list.iter().filter(|member| knows(&member.ip)).count() >= crate::quorum::majority(list.len())
-        };
+        let most =
+            |list: &[Member]| list.iter().filter(|member| knows(&member.ip)).count() >= quorum::majority(list.len());
         most(&core.list) && most(&core.prev)
     }
 
--- a/consensus/src/simulated_disk.rs
+++ b/consensus/src/simulated_disk.rs
@@ -4,8 +4,11 @@
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
+use std::mem;
 use std::sync::{Arc, Mutex};
 
+use kernel::clock::{self, Dice};
+
 const BLOCK_BYTES: usize = 64;
 const LOST_PROCESS: &str = "the process is gone";
 
@@ -54,7 +57,7 @@
     pub names: BTreeMap<String, usize>,
     stored_names: BTreeMap<String, usize>,
     pending_names: Vec<NameChange>,
-    dice: kernel::clock::Dice,
+    dice: Dice,
     pub faults: Faults,
     pub crashed: bool,
 }
@@ -94,7 +97,7 @@
     }
 
     /// Some blocks of each write reach the disk, others do not.
-    fn store_in_part(&mut self, change: &FileChange, dice: &mut kernel::clock::Dice, kept_of_ten: u64) {
+    fn store_in_part(&mut self, change: &FileChange, dice: &mut Dice, kept_of_ten: u64) {
         let FileChange::Write(offset, bytes) = change else { return };
         for (place, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
             if dice.below(10) < kept_of_ten {
@@ -107,7 +110,7 @@
 
 impl Disk {
     pub fn new(seed: u64) -> SharedDisk {
-        let dice = kernel::clock::Dice::new(kernel::clock::blend(seed, 77));
+        let dice = Dice::new(clock::blend(seed, 77));
         Arc::new(Mutex::new(Disk {
             inodes: Vec::new(),
             names: BTreeMap::new(),
@@ -128,14 +131,14 @@
     pub fn lose_power(&mut self) {
         // At some losses all that was not synced is gone, at some all is there.
         let kept_of_ten = [0, 2, 5, 8, 10][self.dice.below(5) as usize];
-        let changes = std::mem::take(&mut self.pending_names);
+        let changes = mem::take(&mut self.pending_names);
         for change in changes {
             if self.dice.below(10) < kept_of_ten {
                 apply_name(&mut self.stored_names, &change);
             }
         }
         for inode in &mut self.inodes {
-            for change in std::mem::take(&mut inode.pending) {
+            for change in mem::take(&mut inode.pending) {
                 match change {
                     FileChange::Truncate(_) if self.dice.below(10) < kept_of_ten => inode.store(&change),
                     _ => inode.store_in_part(&change, &mut self.dice, kept_of_ten),
@@ -215,7 +218,7 @@
             return outcome;
         }
         let held = &mut self.inodes[inode];
-        for change in std::mem::take(&mut held.pending) {
+        for change in mem::take(&mut held.pending) {
             match (&outcome, &change) {
                 (Ok(()), _) => held.store(&change),
                 // The length of a file stands in the journal of the file system, which is tried again.
@@ -239,7 +242,7 @@
         if self.faults.folder_sync_ignored {
             return Ok(());
         }
-        for change in std::mem::take(&mut self.pending_names) {
+        for change in mem::take(&mut self.pending_names) {
             apply_name(&mut self.stored_names, &change);
         }
         Ok(())
--- a/consensus/src/simulated_folder.rs
+++ b/consensus/src/simulated_folder.rs
@@ -1,8 +1,10 @@
 //! A folder and its files on a simulated disk, as one process of the store holds them.
 
+use std::io::{Error, ErrorKind, Result};
+use std::path::PathBuf;
+
 use crate::folder::{DataFile, Folder};
 use crate::simulated_disk::{FileChange, Inode, NameChange, SharedDisk};
-use std::io::{Error, ErrorKind, Result};
 
 /// One file of a simulated disk, as one process holds it.
 struct SimulatedFile {
@@ -66,7 +68,7 @@
         self.0.lock().expect("disk").sync_names()
     }
 
-    fn path(&self, name: &str) -> std::path::PathBuf {
+    fn path(&self, name: &str) -> PathBuf {
         name.into()
     }
 }
--- a/consensus/src/store.rs
+++ b/consensus/src/store.rs
@@ -3,11 +3,14 @@
 //! A record counts once its check sum fits. A torn end is cut off when the store is opened; damage in
 //! front of something that was synced is told with file and offset.
 
+use std::path::Path;
+
 use crate::folder::{DataFile, DiskFolder, Folder};
 use crate::listing::{segment_name, snapshot_name, Listing, DRAFT};
 use crate::record::{encode, LogRecord};
 use crate::recovery::{active_segment, read_file, settle_empty, settle_tail, FileEnd};
 use crate::store_error::io;
+
 pub use crate::store_error::StoreError;
 
 /// A segment longer than this is followed by a snapshot and a new segment.
@@ -39,7 +42,7 @@
 impl Store {
     /// Opens a folder; hands all records found there to `apply`, oldest first. When it returns, all of
     /// them are on disk.
-    pub fn open(path: &std::path::Path, apply: &mut dyn FnMut(LogRecord)) -> Result<Store, StoreError> {
+    pub fn open(path: &Path, apply: &mut dyn FnMut(LogRecord)) -> Result<Store, StoreError> {
         let folder = DiskFolder::open(path).map_err(|error| StoreError::Io(path.to_path_buf(), error))?;
         Store::open_folder(Box::new(folder), SEGMENT_BYTES, apply)
     }
--- a/consensus/src/store_error.rs
+++ b/consensus/src/store_error.rs
@@ -1,15 +1,18 @@
 //! Why a store could not be opened or written.
 
+use std::error;
+use std::path::PathBuf;
+
 use crate::folder::Folder;
 
 #[derive(Debug)]
 pub enum StoreError {
     /// The disk refused; the same may work later.
-    Io(std::path::PathBuf, std::io::Error),
+    Io(PathBuf, std::io::Error),
     /// The log must not grow further before a snapshot was made.
     SnapshotOverdue,
     /// What was synced is not there any more, or the file is not one of a store.
-    Damaged { file: std::path::PathBuf, offset: u64, what: &'static str },
+    Damaged { file: PathBuf, offset: u64, what: &'static str },
 }
 
 impl std::fmt::Display for StoreError {
@@ -22,7 +25,7 @@
     }
 }
 
-impl std::error::Error for StoreError {}
+impl error::Error for StoreError {}
 
 /// Turns a file error into one that names the file.
 pub fn io(folder: &dyn Folder, name: &str) -> impl FnOnce(std::io::Error) -> StoreError {
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -2,12 +2,14 @@
 //! After each opening all that was reported as synced must be there, and nothing but part of what was
 //! under way may be new.
 
+use kernel::clock::{self, Dice};
+use protocol::msg::{Ballot, Core, Entry, Slot};
+
 use crate::record::LogRecord;
 use crate::simulated_disk::{Disk, Faults, SharedDisk};
 use crate::simulated_folder::SimulatedFolder;
 use crate::store::{Store, StoreError};
 use crate::voter::Voter;
-use kernel::clock::Dice;
 
 const SEGMENT_BYTES: u64 = 2000;
 const KEYS: u64 = 5;
@@ -39,7 +41,7 @@
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
         let acknowledged = Voter::new("10.0.0.1");
-        Run { disk, dice: Dice::new(kernel::clock::blend(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
+        Run { disk, dice: Dice::new(clock::blend(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
     }
 
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
@@ -54,13 +56,13 @@
         self.turn += 1;
         match self.dice.below(12) {
             0 => return LogRecord::Vote,
-            1 => return LogRecord::Core(protocol::msg::Core { version: self.turn, ..Default::default() }),
+            1 => return LogRecord::Core(Core { version: self.turn, ..Default::default() }),
             _ => {}
         }
-        let ballot = protocol::msg::Ballot { turn: self.turn, seat: 1 };
+        let ballot = Ballot { turn: self.turn, seat: 1 };
         let body = vec![self.turn as u8; self.dice.below(MOST_BODY) as usize];
-        let entry = Some(protocol::msg::Entry { ballot, step: 0, body });
-        LogRecord::Slot(protocol::msg::Slot { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
+        let entry = Some(Entry { ballot, step: 0, body });
+        LogRecord::Slot(Slot { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
     }
 
     fn batch(&mut self) -> Vec<LogRecord> {
--- a/consensus/src/store_model_tests.rs
+++ b/consensus/src/store_model_tests.rs
@@ -1,6 +1,7 @@
+use kernel::clock::{self, Dice};
+
 use crate::simulated_disk::Faults;
 use crate::store_model::Run;
-use kernel::clock::Dice;
 
 fn run(seed: u64, faults: Faults) -> Result<(), String> {
     let strict_names = seed & 1 == 0;
@@ -24,7 +25,7 @@
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
         for ahead in 0.. {
-            let mut run = Run::new(kernel::clock::blend(seed, ahead), Faults::default());
+            let mut run = Run::new(clock::blend(seed, ahead), Faults::default());
             run.dice = Dice::new(seed + 1);
             run.faults(|faults| faults.crash_in = Some(ahead));
             let whole = work(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
--- a/consensus/src/store_tests.rs
+++ b/consensus/src/store_tests.rs
@@ -1,24 +1,30 @@
+use std::path::{Path, PathBuf};
+use std::{env, fs, process};
+
+use protocol::msg::{Ballot, Entry, Slot};
+
+use super::{Store, StoreError};
 use crate::record::LogRecord;
 
-fn folder(name: &str) -> std::path::PathBuf {
-    let dir = std::env::temp_dir().join(format!("tidepoint-store-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
+fn folder(name: &str) -> PathBuf {
+    let dir = env::temp_dir().join(format!("tidepoint-store-{name}-{}", process::id()));
+    let _ = fs::remove_dir_all(&dir);
     dir
 }
 
 fn record(turn: u64, body: &[u8]) -> LogRecord {
-    let ballot = protocol::msg::Ballot { turn, seat: 1 };
-    let entry = Some(protocol::msg::Entry { ballot, step: 0, body: body.to_vec() });
-    LogRecord::Slot(protocol::msg::Slot { key: "k".into(), promised: ballot, entry })
+    let ballot = Ballot { turn, seat: 1 };
+    let entry = Some(Entry { ballot, step: 0, body: body.to_vec() });
+    LogRecord::Slot(Slot { key: "k".into(), promised: ballot, entry })
 }
 
-fn open(dir: &std::path::Path) -> Result<(super::Store, Vec<LogRecord>), super::StoreError> {
+fn open(dir: &Path) -> Result<(Store, Vec<LogRecord>), StoreError> {
     let mut records = Vec::new();
-    let store = super::Store::open(dir, &mut |record| records.push(record))?;
+    let store = Store::open(dir, &mut |record| records.push(record))?;
     Ok((store, records))
 }
 
-fn reopen(dir: &std::path::Path) -> Vec<LogRecord> {
+fn reopen(dir: &Path) -> Vec<LogRecord> {
     open(dir).expect("opens").1
 }
 
@@ -32,7 +38,7 @@
     store.snapshot(&[record(2, b"b")]).expect("written");
     store.append(&[record(3, b"c")]).expect("written");
     assert_eq!(reopen(&dir), [record(2, b"b"), record(3, b"c")]);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
@@ -41,11 +47,11 @@
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     let file = dir.join("log-00000001");
-    let kept = std::fs::read(&file).expect("read").len();
+    let kept = fs::read(&file).expect("read").len();
     store.append(&[record(2, b"bbbb")]).expect("written");
-    let whole = std::fs::read(&file).expect("read");
+    let whole = fs::read(&file).expect("read");
     for len in kept..whole.len() {
-        std::fs::write(&file, &whole[..len]).expect("written");
+        fs::write(&file, &whole[..len]).expect("written");
         assert_eq!(reopen(&dir), [record(1, b"a")], "length {len}");
         // Missing rather than short: zeros where the write should be.
         let mut hole = whole[..len].to_vec();
@@ -53,10 +59,10 @@
         if hole == whole {
             continue; // what is missing was zero: nothing is
         }
-        std::fs::write(&file, &hole).expect("written");
+        fs::write(&file, &hole).expect("written");
         assert_eq!(reopen(&dir), [record(1, b"a")], "hole at {len}");
     }
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
@@ -66,23 +72,23 @@
     store.append(&[record(1, b"a")]).expect("written");
     store.append(&[record(2, b"b")]).expect("written");
     let file = dir.join("log-00000001");
-    let mut bytes = std::fs::read(&file).expect("read");
+    let mut bytes = fs::read(&file).expect("read");
     bytes[30] ^= 0x10;
-    std::fs::write(&file, &bytes).expect("written");
+    fs::write(&file, &bytes).expect("written");
     let error = open(&dir).err().expect("refused").to_string();
     assert!(error.contains("log-00000001") && error.contains("offset 0"), "{error}");
-    assert_eq!(std::fs::read(&file).expect("read"), bytes, "left as it was");
-    let _ = std::fs::remove_dir_all(dir);
+    assert_eq!(fs::read(&file).expect("read"), bytes, "left as it was");
+    let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
 fn a_foreign_file_is_refused() {
     let dir = folder("foreign");
-    std::fs::create_dir_all(&dir).expect("made");
-    std::fs::write(dir.join("log-00000001"), b"#!/bin/sh\necho of another program\n").expect("written");
+    fs::create_dir_all(&dir).expect("made");
+    fs::write(dir.join("log-00000001"), b"#!/bin/sh\necho of another program\n").expect("written");
     let error = open(&dir).err().expect("refused").to_string();
     assert!(error.contains("not a file of a store"), "{error}");
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
@@ -97,14 +103,14 @@
         }
     }
     let size: u64 =
-        std::fs::read_dir(&dir).expect("listed").map(|item| item.expect("item").metadata().expect("size").len()).sum();
+        fs::read_dir(&dir).expect("listed").map(|item| item.expect("item").metadata().expect("size").len()).sum();
     assert!(size < 4 * 1024 * 1024, "{size}");
     assert_eq!(reopen(&dir).last(), Some(&record(59, &body)));
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
-fn fixture() -> std::path::PathBuf {
-    std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/disk-1")
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/disk-1")
 }
 
 /// Written once by version 1; later versions must still read it.
@@ -112,7 +118,7 @@
 #[ignore = "writes the fixture of this version"]
 fn write_fixture() {
     let dir = fixture();
-    let _ = std::fs::remove_dir_all(&dir);
+    let _ = fs::remove_dir_all(&dir);
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     store.snapshot(&[record(1, b"a"), LogRecord::Vote]).expect("written");
@@ -122,13 +128,13 @@
 #[test]
 fn the_disk_of_the_first_version_is_still_read() {
     let dir = folder("first");
-    std::fs::create_dir_all(&dir).expect("made");
-    for item in std::fs::read_dir(fixture()).expect("the fixture") {
+    fs::create_dir_all(&dir).expect("made");
+    for item in fs::read_dir(fixture()).expect("the fixture") {
         let item = item.expect("an item");
-        std::fs::copy(item.path(), dir.join(item.file_name())).expect("copied");
+        fs::copy(item.path(), dir.join(item.file_name())).expect("copied");
     }
     assert_eq!(reopen(&dir), [record(1, b"a"), LogRecord::Vote, record(2, b"b")]);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 /// A snapshot that failed leaves an empty segment behind; the log goes on in the one before it.
@@ -139,11 +145,11 @@
     store.append(&[record(1, b"a")]).expect("written");
     store.append(&[record(2, b"bbbb")]).expect("written");
     let file = dir.join("log-00000001");
-    let whole = std::fs::read(&file).expect("read");
-    std::fs::write(&file, &whole[..whole.len() - 5]).expect("written");
-    std::fs::write(dir.join("log-00000002"), b"").expect("made");
+    let whole = fs::read(&file).expect("read");
+    fs::write(&file, &whole[..whole.len() - 5]).expect("written");
+    fs::write(dir.join("log-00000002"), b"").expect("made");
     assert_eq!(reopen(&dir), [record(1, b"a")]);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
@@ -152,11 +158,11 @@
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, &[7; 5000])]).expect("written");
     let file = dir.join("log-00000001");
-    let mut bytes = std::fs::read(&file).expect("read");
+    let mut bytes = fs::read(&file).expect("read");
     bytes[..4096].fill(0);
-    std::fs::write(&file, &bytes).expect("written");
+    fs::write(&file, &bytes).expect("written");
     assert_eq!(reopen(&dir), []);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
@@ -165,8 +171,8 @@
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     store.snapshot(&[record(1, b"a")]).expect("written");
-    std::fs::remove_file(dir.join("log-00000002")).expect("removed");
+    fs::remove_file(dir.join("log-00000002")).expect("removed");
     let error = open(&dir).err().expect("refused").to_string();
     assert!(error.contains("log-00000002") && error.contains("missing"), "{error}");
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
--- a/consensus/src/voter.rs
+++ b/consensus/src/voter.rs
@@ -1,11 +1,17 @@
 //! The voting side: a pure state machine. Each poll gives a vote, and what must be on disk before
 //! that vote may leave.
 
+use std::collections::BTreeMap;
+
+use protocol::msg::{Ask, Ballot, Core, Entry, Member, Poll, Slot, Vote};
+
+use crate::{core_body, quorum, CORE};
+
 /// What goes to disk, in order.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum LogRecord {
-    Slot(protocol::msg::Slot),
-    Core(protocol::msg::Core),
+    Slot(Slot),
+    Core(Core),
     /// From here on this disk may vote.
     Vote,
 }
@@ -16,8 +22,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     pub ip: String,
-    pub core: protocol::msg::Core,
-    pub slots: std::collections::BTreeMap<String, protocol::msg::Slot>,
+    pub core: Core,
+    pub slots: BTreeMap<String, Slot>,
     pub may_vote: bool,
 }
 
@@ -48,11 +54,11 @@
     }
 
     pub fn votes(&self) -> bool {
-        self.may_vote && crate::quorum::is_member(&self.core, &self.ip)
+        self.may_vote && quorum::is_member(&self.core, &self.ip)
     }
 
     /// Takes over a committed core. None when it is no newer.
-    pub fn adopt(&mut self, core: &protocol::msg::Core) -> Option<LogRecord> {
+    pub fn adopt(&mut self, core: &Core) -> Option<LogRecord> {
         let newer = core.version > self.core.version;
         let calmer = core.version == self.core.version && core.settled && !self.core.settled;
         if !newer && !calmer {
@@ -62,69 +68,55 @@
         Some(LogRecord::Core(core.clone()))
     }
 
-    pub fn poll(&mut self, poll: protocol::msg::Poll) -> (protocol::msg::Vote, Vec<LogRecord>) {
+    pub fn poll(&mut self, poll: Poll) -> (Vote, Vec<LogRecord>) {
         if poll.core.version < self.core.version {
-            return (protocol::msg::Vote::Newer { core: self.core.clone() }, Vec::new());
+            return (Vote::Newer { core: self.core.clone() }, Vec::new());
         }
         let mut records: Vec<LogRecord> = self.adopt(&poll.core).into_iter().collect();
         let vote = match poll.ask {
             // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
-            protocol::msg::Ask::Whole if self.may_vote => {
-                protocol::msg::Vote::Whole { slots: self.slots.values().cloned().collect() }
-            }
+            Ask::Whole if self.may_vote => Vote::Whole { slots: self.slots.values().cloned().collect() },
             // The places, too, by one that is no member any more: its keys are part of a change's settlement.
-            protocol::msg::Ask::Places if self.may_vote => protocol::msg::Vote::Places { list: self.places() },
-            _ if !self.votes() => protocol::msg::Vote::Mute,
-            protocol::msg::Ask::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
-            protocol::msg::Ask::Accept { key, entry } => self.accept(key, entry, &mut records),
-            protocol::msg::Ask::Fetch { key } => {
-                protocol::msg::Vote::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) }
-            }
-            protocol::msg::Ask::Whole | protocol::msg::Ask::Places => protocol::msg::Vote::Mute,
+            Ask::Places if self.may_vote => Vote::Places { list: self.places() },
+            _ if !self.votes() => Vote::Mute,
+            Ask::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
+            Ask::Accept { key, entry } => self.accept(key, entry, &mut records),
+            Ask::Fetch { key } => Vote::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) },
+            Ask::Whole | Ask::Places => Vote::Mute,
         };
         (vote, records)
     }
 
-    pub fn places(&self) -> Vec<(String, protocol::msg::Ballot, u64)> {
+    pub fn places(&self) -> Vec<(String, Ballot, u64)> {
         let held = self.slots.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
         held.map(|(slot, entry)| (slot.key.clone(), entry.ballot, entry.step)).collect()
     }
 
-    fn slot(&mut self, key: &str) -> &mut protocol::msg::Slot {
-        let empty = || protocol::msg::Slot { key: key.into(), promised: Default::default(), entry: None };
+    fn slot(&mut self, key: &str) -> &mut Slot {
+        let empty = || Slot { key: key.into(), promised: Default::default(), entry: None };
         self.slots.entry(key.to_string()).or_insert_with(empty)
     }
 
-    fn prepare(
-        &mut self,
-        key: String,
-        ballot: protocol::msg::Ballot,
-        records: &mut Vec<LogRecord>,
-    ) -> protocol::msg::Vote {
+    fn prepare(&mut self, key: String, ballot: Ballot, records: &mut Vec<LogRecord>) -> Vote {
         let slot = self.slot(&key);
         if ballot <= slot.promised {
-            return protocol::msg::Vote::Refused { promised: slot.promised };
+            return Vote::Refused { promised: slot.promised };
         }
         slot.promised = ballot;
         records.push(LogRecord::Slot(slot.clone()));
-        protocol::msg::Vote::Promise { entry: slot.entry.clone() }
+        Vote::Promise { entry: slot.entry.clone() }
     }
 
-    fn accept(
-        &mut self,
-        key: String,
-        entry: protocol::msg::Entry,
-        records: &mut Vec<LogRecord>,
-    ) -> protocol::msg::Vote {
+    fn accept(&mut self, key: String, entry: Entry, records: &mut Vec<LogRecord>) -> Vote {
         let slot = self.slot(&key);
-        let held = slot.entry.as_ref().map(protocol::msg::Entry::place);
+        let held = slot.entry.as_ref().map(Entry::place);
         if entry.ballot < slot.promised || held.is_some_and(|place| place > entry.place()) {
-            return protocol::msg::Vote::Refused { promised: slot.promised };
+            return Vote::Refused { promised: slot.promised };
         }
         slot.promised = entry.ballot;
         slot.entry = Some(entry);
         records.push(LogRecord::Slot(slot.clone()));
-        protocol::msg::Vote::Accepted
+        Vote::Accepted
     }
 
     /// Ends a loss of memory with what `enough` other voters hold. The highest promise of any of them
@@ -132,15 +124,15 @@
     ///
     /// None: a core newer than the one that is known here may be committed. Votes that were lost may have been
     /// given under it, and its quorums need no voter that was read.
-    pub fn recall(&mut self, reads: Vec<Vec<protocol::msg::Slot>>) -> Option<Vec<LogRecord>> {
+    pub fn recall(&mut self, reads: Vec<Vec<Slot>>) -> Option<Vec<LogRecord>> {
         if written_core(&reads).is_some_and(|written| written.version > self.core.version) {
             return None;
         }
         for read in reads.into_iter().flatten() {
             let slot = self.slot(&read.key.clone());
             slot.promised = slot.promised.max(read.promised);
-            let mine = slot.entry.as_ref().map(protocol::msg::Entry::place);
-            let held = read.entry.as_ref().map(protocol::msg::Entry::place);
+            let mine = slot.entry.as_ref().map(Entry::place);
+            let held = read.entry.as_ref().map(Entry::place);
             if held > mine {
                 slot.entry = read.entry;
             }
@@ -153,25 +145,25 @@
     /// before, while that is unsettled) must hold one of them, so that no lost vote goes unseen. Voters
     /// that are themselves without memory do not count, and need not be waited for.
     pub fn enough(&self, read: &[String]) -> bool {
-        let meets = |list: &[protocol::msg::Member]| {
+        let meets = |list: &[Member]| {
             let seen = list.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
-            seen + crate::quorum::majority(list.len()) > list.len()
+            seen + quorum::majority(list.len()) > list.len()
         };
         !read.is_empty() && meets(&self.core.list) && (self.core.settled || meets(&self.core.prev))
     }
 
     /// Those whom a voter without memory asks: all others of the core and of the one before.
     pub fn witnesses(&self) -> Vec<String> {
-        let mut list = crate::quorum::old_and_new_members(&self.core);
+        let mut list = quorum::old_and_new_members(&self.core);
         list.retain(|address| *address != self.ip);
         list
     }
 }
 
 /// The newest core that any of these voters accepted, committed or not.
-fn written_core(reads: &[Vec<protocol::msg::Slot>]) -> Option<protocol::msg::Core> {
-    let entries = reads.iter().flatten().filter(|slot| slot.key == crate::CORE).filter_map(|slot| slot.entry.as_ref());
-    crate::core_body::read(&entries.max_by_key(|entry| entry.place())?.body)
+fn written_core(reads: &[Vec<Slot>]) -> Option<Core> {
+    let entries = reads.iter().flatten().filter(|slot| slot.key == CORE).filter_map(|slot| slot.entry.as_ref());
+    core_body::read(&entries.max_by_key(|entry| entry.place())?.body)
 }
 
 #[cfg(test)]
--- a/consensus/src/voter_tests.rs
+++ b/consensus/src/voter_tests.rs
@@ -1,7 +1,10 @@
 //! Voters that changes of the members concern.
-use super::{LogRecord, Voter};
+
 use protocol::msg::{Ask, Ballot, Core, Entry, Member, Poll, Slot, Vote};
 
+use super::{LogRecord, Voter};
+use crate::{core_body, CORE};
+
 const KEY: &str = "config";
 
 fn address(machine: usize) -> String {
@@ -45,7 +48,7 @@
 fn voters_as_one_is_removed() -> Vec<Voter> {
     let mut voters: Vec<Voter> = (0..4).map(voter).collect();
     for voter in &mut voters[..3] {
-        accept(voter, four(), crate::CORE, crate::core_body::write(&three()));
+        accept(voter, four(), CORE, core_body::write(&three()));
     }
     voters
 }
--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -1,10 +1,21 @@
 //! The balance of prefill and decode engines: orders to engines, from the one holder of the duty.
 
-use crate::controller::Controller;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
+use kernel::{clock, entry};
+use load_balancing::balance::{self, Change, Seen};
+use protocol::msg::{self, Engine};
+use protocol::word::TARGET;
+use reqwest::Client;
+use tokio::time;
+
+use crate::controller::Controller;
+use crate::duty::{self, BALANCE};
+use crate::event::ORDER;
+use crate::outbound;
+
 /// How often load is looked at, and how often in a row a judgement must stand.
 const LOOK_MS: u64 = 400;
 const STANDS: u32 = 2;
@@ -38,24 +49,24 @@
 
 /// An engine and its load.
 struct Candidate {
-    engine: protocol::msg::Engine,
-    seen: load_balancing::balance::Seen,
+    engine: Engine,
+    seen: Seen,
 }
 
 /// An order to one engine to change its part.
 struct Order {
-    engine: protocol::msg::Engine,
+    engine: Engine,
     prefill: bool,
     switch_ms: u64,
 }
 
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = crate::outbound::at_most_once(wait(CONNECT_MS), wait(UNACKNOWLEDGED_MS)).timeout(wait(CALL_MS));
+    let client = outbound::at_most_once(wait(CONNECT_MS), wait(UNACKNOWLEDGED_MS)).timeout(wait(CALL_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = kernel::entry::beat(LOOK_MS);
+        let mut beat = entry::beat(LOOK_MS);
         let mut balance = Balance::default();
         loop {
             beat.tick().await;
@@ -64,14 +75,14 @@
     });
 }
 
-async fn look(controller: &Arc<Controller>, client: &reqwest::Client, balance: &mut Balance) {
-    let now = kernel::clock::now();
+async fn look(controller: &Arc<Controller>, client: &Client, balance: &mut Balance) {
+    let now = clock::now();
     controller.roster.lock().expect("roster").resting.retain(|(_, until)| *until > now);
-    let Some(epoch) = crate::duty::acting_epoch(controller, crate::duty::BALANCE, now) else {
+    let Some(epoch) = duty::acting_epoch(controller, BALANCE, now) else {
         *balance = Balance::default();
         return;
     };
-    if !crate::duty::declare_clear(controller, crate::duty::BALANCE, epoch).await {
+    if !duty::declare_clear(controller, BALANCE, epoch).await {
         return;
     }
     for (service, list) in candidates(controller, balance, now) {
@@ -91,13 +102,13 @@
     let busy = controller.roster.lock().expect("roster").pressure(now);
     let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !protocol::msg::hidden(&sheet.zone)) {
+    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !msg::hidden(&sheet.zone)) {
         let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
         for engine in sheet.list.iter().filter(|engine| !engine.phase.is_empty()) {
             let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
             let mean = balance.busy.entry(engine.id.clone()).or_insert(told);
             *mean += (told - *mean) * 0.5;
-            let seen = load_balancing::balance::Seen {
+            let seen = Seen {
                 id: engine.id.clone(),
                 prefill: engine.phase == "prefill",
                 slots: engine.slots,
@@ -113,9 +124,9 @@
 
 impl Balance {
     /// The engines to order and their new part, once the judgement has stood for long enough.
-    fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<load_balancing::balance::Change> {
-        let seen: Vec<load_balancing::balance::Seen> = list.iter().map(|candidate| candidate.seen.clone()).collect();
-        let Some(change) = load_balancing::balance::judge(&seen) else {
+    fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<Change> {
+        let seen: Vec<Seen> = list.iter().map(|candidate| candidate.seen.clone()).collect();
+        let Some(change) = balance::judge(&seen) else {
             self.judgements.remove(service);
             return None;
         };
@@ -140,30 +151,30 @@
 
 /// First routers leave the engine alone, then it gets its order. One without an answer may have been
 /// taken, so it is not sent again: the list will show it.
-async fn carry_out(controller: Arc<Controller>, client: reqwest::Client, order: Order) {
+async fn carry_out(controller: Arc<Controller>, client: Client, order: Order) {
     let engine = &order.engine;
-    let begun = kernel::clock::now();
+    let begun = clock::now();
     let until = begun + SPREAD_MS + order.switch_ms + 1200;
     controller.roster.lock().expect("roster").resting.push((engine.id.clone(), until));
-    tokio::time::sleep(Duration::from_millis(SPREAD_MS)).await;
-    let now = kernel::clock::now();
+    time::sleep(Duration::from_millis(SPREAD_MS)).await;
+    let now = clock::now();
     // Asleep for longer than meant: what was judged is out of date.
     if now >= begun + 2 * SPREAD_MS {
         return;
     }
     // No longer the holder: no order.
-    let Some(epoch) = crate::duty::acting_epoch(&controller, crate::duty::BALANCE, now) else { return };
+    let Some(epoch) = duty::acting_epoch(&controller, BALANCE, now) else { return };
     let phase = if order.prefill { "prefill" } else { "decode" };
     let body = serde_json::json!({
         "opcode": "phase", "phase": phase, "owner": controller.env.node_name, "fence_token": epoch
     });
     let call = client
         .post(format!("http://{}/order", engine.addr))
-        .header(protocol::word::TARGET, &engine.id)
+        .header(TARGET, &engine.id)
         .header("content-type", "application/json")
         .body(body.to_string());
     let status = call.send().await.map_or(0, |reply| reply.status().as_u16());
-    kernel::say!(crate::event::ORDER, "engine" => engine.id.clone(), "phase" => phase, "epoch" => epoch, "status" => status);
+    kernel::say!(ORDER, "engine" => engine.id.clone(), "phase" => phase, "epoch" => epoch, "status" => status);
 }
 
 #[cfg(test)]
--- a/controller/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -1,4 +1,9 @@
-use super::{Balance, Candidate, LASTS, STANDS};
+use load_balancing::balance::{Change, Seen};
+use membership::duty::{self, Held};
+use protocol::msg::Engine;
+
+use super::{Balance, Candidate, CONNECT_MS, LASTS, STANDS, UNACKNOWLEDGED_MS};
+use crate::controller::SURE_MS;
 
 /// A holder may act for `SURE_MS` after its last confirmation began, and the next one waits that time
 /// out twice before a lease. What the last order of the first spends on its way must fit in between.
@@ -6,18 +11,18 @@
 fn the_last_order_of_a_holder_arrives_a_lease_before_the_first_of_the_next() {
     let lease_ms = 3000;
     let committed = 50_000;
-    let sure_ms = crate::controller::SURE_MS;
-    let last_arrival = committed + sure_ms + super::CONNECT_MS + super::UNACKNOWLEDGED_MS;
-    let held = membership::duty::Held { since: committed, own: false, sure_at: 100_000 };
+    let sure_ms = SURE_MS;
+    let last_arrival = committed + sure_ms + CONNECT_MS + UNACKNOWLEDGED_MS;
+    let held = Held { since: committed, own: false, sure_at: 100_000 };
     let first_act = (committed..100_000)
-        .find(|now| membership::duty::may_act(held, *now, false, lease_ms, sure_ms))
+        .find(|now| duty::may_act(held, *now, false, lease_ms, sure_ms))
         .expect("it may act one day");
     assert!(first_act >= last_arrival + lease_ms, "{first_act} is less than a lease after {last_arrival}");
 }
 
 fn candidate(id: &str, prefill: bool, busy: u32) -> Candidate {
-    let seen = load_balancing::balance::Seen { id: id.into(), prefill, slots: 10, busy, fit: true };
-    let engine = protocol::msg::Engine {
+    let seen = Seen { id: id.into(), prefill, slots: 10, busy, fit: true };
+    let engine = Engine {
         id: id.into(),
         service: "s".into(),
         addr: String::new(),
@@ -36,7 +41,7 @@
     let loaded = [candidate("p", true, 9), candidate("d", false, 0), candidate("e", false, 0)];
     let idle = [candidate("p", true, 0), candidate("q", true, 0), candidate("d", false, 9)];
     let mut balance = Balance::default();
-    let one = |at: usize, prefill: bool| Some(load_balancing::balance::Change { engines: vec![at], prefill });
+    let one = |at: usize, prefill: bool| Some(Change { engines: vec![at], prefill });
     for _ in 1..LASTS {
         assert_eq!(balance.decide("s", &loaded, 0), None);
     }
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -1,5 +1,19 @@
 //! Batches at the operator's door: submit, state, results, cancel. What is read here is committed.
-use crate::control::Receipt;
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use batch::page::{Page, State};
+use batch::sheet::{self, Batch};
+use batch::{ANSWER, BATCHES, BYTES, PAGE};
+use kernel::env::Env;
+use poem::{Endpoint, Request, Response};
+use protocol::config::{self, Route};
+
+use crate::control::{self, Receipt};
+use crate::controller::{CommittedState, Controller};
+use crate::event::BATCH;
+use crate::register::Verdict;
 
 pub const KEY: &str = "batch/";
 
@@ -13,42 +27,36 @@
 }
 
 /// A batch as the committed_state has it.
-pub fn batch(committed_state: &crate::controller::CommittedState, id: &str) -> Option<batch::sheet::Batch> {
-    batch::sheet::Batch::read_bytes(&committed_state.entries.get(&batch_key(id))?.body)
+pub fn batch(committed_state: &CommittedState, id: &str) -> Option<Batch> {
+    Batch::read_bytes(&committed_state.entries.get(&batch_key(id))?.body)
 }
 
 /// A page as the committed_state has it; one that was never written has all jobs waiting.
-pub fn page(
-    committed_state: &crate::controller::CommittedState,
-    id: &str,
-    batch: &batch::sheet::Batch,
-    number: usize,
-) -> batch::page::Page {
-    let held =
-        committed_state.entries.get(&page_key(id, number)).and_then(|entry| batch::page::Page::read_bytes(&entry.body));
+pub fn page(committed_state: &CommittedState, id: &str, batch: &Batch, number: usize) -> Page {
+    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| Page::read_bytes(&entry.body));
     held.unwrap_or_else(|| blank(batch, number))
 }
 
-pub fn blank(batch: &batch::sheet::Batch, number: usize) -> batch::page::Page {
-    batch::page::Page::new(batch.jobs.len().saturating_sub(number * batch::PAGE).min(batch::PAGE))
+pub fn blank(batch: &Batch, number: usize) -> Page {
+    Page::new(batch.jobs.len().saturating_sub(number * PAGE).min(PAGE))
 }
 
 /// Ids of all batches that are not expired.
-pub fn ids(committed_state: &crate::controller::CommittedState) -> Vec<String> {
+pub fn ids(committed_state: &CommittedState) -> Vec<String> {
     let keys = committed_state.entries.keys().filter_map(|key| key.strip_prefix(KEY));
     let whole = keys.filter(|rest| !rest.contains('/')).map(str::to_string);
     whole.filter(|id| batch(committed_state, id).is_some_and(|batch| !batch.expired)).collect()
 }
 
 /// What batches may take up on disk and in memory: a share of what the machine has.
-fn room(env: &kernel::env::Env) -> usize {
+fn room(env: &Env) -> usize {
     let disk = if env.limits.disk_mb == 0 { env.limits.memory_mb / 2 } else { env.limits.disk_mb };
     (disk.min(env.limits.memory_mb) as usize) << 17
 }
 
-pub struct Batches(pub std::sync::Arc<crate::controller::Controller>);
-pub struct One(pub std::sync::Arc<crate::controller::Controller>);
-pub struct Results(pub std::sync::Arc<crate::controller::Controller>);
+pub struct Batches(pub Arc<Controller>);
+pub struct One(pub Arc<Controller>);
+pub struct Results(pub Arc<Controller>);
 
 impl Batches {
     async fn submit(&self, key: &str, text: &str) -> Receipt {
@@ -56,46 +64,45 @@
         let held = controller.committed_state.lock().expect("committed_state").history.current().cloned();
         let Some(held) = held else { return Receipt::Bad(409, "no configuration yet: no routes".into()) };
         let route = |host: &str, path: &str| {
-            let host = protocol::config::without_port(host);
-            let fits = |route: &&protocol::config::Route| {
-                route.hostname.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix)
-            };
+            let host = config::without_port(host);
+            let fits =
+                |route: &&Route| route.hostname.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix);
             let best = held.config().route_table.iter().filter(fits).max_by_key(|route| route.path_prefix.len())?;
             Some(best.route_type == "idempotent" || (best.route_type == "streaming" && best.resumable))
         };
-        let batch = match batch::sheet::read(key, text, &route) {
+        let batch = match sheet::read(key, text, &route) {
             Ok(batch) => batch,
             Err(words) => return Receipt::Bad(400, words),
         };
-        let id = batch::sheet::id(key);
+        let id = sheet::id(key);
         {
             let committed_state = controller.committed_state.lock().expect("committed_state");
             let ids = ids(&committed_state);
             let bytes: usize =
                 ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.bytes()).sum();
-            let answers = batch.jobs.len() * batch::ANSWER;
+            let answers = batch.jobs.len() * ANSWER;
             let new = !ids.contains(&id);
-            let full = ids.len() >= batch::BATCHES || bytes + batch.bytes() + answers > room(&controller.env);
+            let full = ids.len() >= BATCHES || bytes + batch.bytes() + answers > room(&controller.env);
             if new && full {
                 return Receipt::Full(60_000);
             }
         }
         let body = batch.write_bytes();
-        let judge = |held: &[u8]| match batch::sheet::Batch::read_bytes(held) {
+        let judge = |held: &[u8]| match Batch::read_bytes(held) {
             Some(held) if held.expired => {
                 let words = "Idempotency-Key: its batch has expired; use another";
-                crate::register::Verdict::Answer(Receipt::Bad(409, words.into()))
+                Verdict::Answer(Receipt::Bad(409, words.into()))
             }
-            Some(held) if held.digest == batch.digest => crate::register::Verdict::Answer(Receipt::Good),
+            Some(held) if held.digest == batch.digest => Verdict::Answer(Receipt::Good),
             Some(_) => {
                 let words = "Idempotency-Key: used for a batch with other content";
-                crate::register::Verdict::Answer(Receipt::Bad(409, words.into()))
+                Verdict::Answer(Receipt::Bad(409, words.into()))
             }
-            None => crate::register::Verdict::Write(body.clone(), Receipt::Good),
+            None => Verdict::Write(body.clone(), Receipt::Good),
         };
-        match controller.change(&batch_key(&id), crate::control::wait_ms(controller), judge).await {
+        match controller.change(&batch_key(&id), control::wait_ms(controller), judge).await {
             Some(Receipt::Good) => {
-                kernel::say!(crate::event::BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
+                kernel::say!(BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
                 Receipt::Text(serde_json::json!({ "batch": id, "jobs": batch.jobs.len() }).to_string().into_bytes())
             }
             Some(other) => other,
@@ -115,7 +122,7 @@
         let Some(held) = batch(&committed_state, id) else {
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
-        let mut counts: std::collections::BTreeMap<&str, usize> = Default::default();
+        let mut counts: BTreeMap<&str, usize> = Default::default();
         for number in 0..held.pages() {
             for state in page(&committed_state, id, &held, number).states {
                 *counts.entry(state.word()).or_default() += 1;
@@ -136,15 +143,15 @@
     }
 
     async fn cancel(&self, id: &str) -> Receipt {
-        let judge = |body: &[u8]| match batch::sheet::Batch::read_bytes(body) {
-            None => crate::register::Verdict::Answer(Receipt::Bad(404, format!("batch `{id}`: not known"))),
-            Some(held) if held.cancelled || held.expired => crate::register::Verdict::Answer(Receipt::Good),
+        let judge = |body: &[u8]| match Batch::read_bytes(body) {
+            None => Verdict::Answer(Receipt::Bad(404, format!("batch `{id}`: not known"))),
+            Some(held) if held.cancelled || held.expired => Verdict::Answer(Receipt::Good),
             Some(held) => {
-                let next = batch::sheet::Batch { cancelled: true, ..held };
-                crate::register::Verdict::Write(next.write_bytes(), Receipt::Good)
+                let next = Batch { cancelled: true, ..held };
+                Verdict::Write(next.write_bytes(), Receipt::Good)
             }
         };
-        let done = self.0.change(&batch_key(id), crate::control::wait_ms(&self.0), judge).await;
+        let done = self.0.change(&batch_key(id), control::wait_ms(&self.0), judge).await;
         done.unwrap_or(Receipt::Unclear)
     }
 }
@@ -157,11 +164,11 @@
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut list = Vec::new();
-        for (number, jobs) in held.jobs.chunks(batch::PAGE).enumerate() {
+        for (number, jobs) in held.jobs.chunks(PAGE).enumerate() {
             let page = page(&committed_state, id, &held, number);
             for (job, state) in jobs.iter().zip(&page.states).filter(|(_, state)| state.closed()) {
                 let mut value = serde_json::json!({ "name": job.name, "outcome": state.word() });
-                if let batch::page::State::Done { status, body } = state {
+                if let State::Done { status, body } = state {
                     value["status"] = (*status).into();
                     value["body"] = body.as_str().into();
                 }
@@ -172,46 +179,46 @@
     }
 }
 
-impl poem::Endpoint for Batches {
-    type Output = poem::Response;
+impl Endpoint for Batches {
+    type Output = Response;
 
-    async fn call(&self, mut req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, mut req: Request) -> poem::Result<Response> {
         match req.method().as_str() {
-            "GET" => return Ok(crate::control::write(self.list())),
+            "GET" => return Ok(control::write(self.list())),
             "POST" => {}
-            _ => return Ok(crate::control::write(Receipt::Bad(405, "method: GET or POST".into()))),
+            _ => return Ok(control::write(Receipt::Bad(405, "method: GET or POST".into()))),
         }
         let key = req.header("idempotency-key").unwrap_or("").to_string();
-        let most = 2 * batch::BYTES;
+        let most = 2 * BYTES;
         let Ok(body) = req.take_body().into_bytes_limit(most).await else {
-            return Ok(crate::control::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
+            return Ok(control::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
         };
         let Ok(text) = String::from_utf8(body.to_vec()) else {
-            return Ok(crate::control::write(Receipt::Bad(400, "body: not UTF-8".into())));
+            return Ok(control::write(Receipt::Bad(400, "body: not UTF-8".into())));
         };
-        Ok(crate::control::write(self.submit(&key, &text).await))
+        Ok(control::write(self.submit(&key, &text).await))
     }
 }
 
-impl poem::Endpoint for One {
-    type Output = poem::Response;
+impl Endpoint for One {
+    type Output = Response;
 
-    async fn call(&self, req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, req: Request) -> poem::Result<Response> {
         let id = req.path_params::<String>().unwrap_or_default();
         let receipt = match req.method().as_str() {
             "GET" => self.state(&id),
             "DELETE" => self.cancel(&id).await,
             _ => Receipt::Bad(405, "method: GET or DELETE".into()),
         };
-        Ok(crate::control::write(receipt))
+        Ok(control::write(receipt))
     }
 }
 
-impl poem::Endpoint for Results {
-    type Output = poem::Response;
+impl Endpoint for Results {
+    type Output = Response;
 
-    async fn call(&self, req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, req: Request) -> poem::Result<Response> {
         let id = req.path_params::<String>().unwrap_or_default();
-        Ok(crate::control::write(self.read(&id)))
+        Ok(control::write(self.read(&id)))
     }
 }
--- a/controller/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -1,6 +1,11 @@
 //! What the ledger's key `config` holds: the configuration, and which changes led to it. As bytes it has three forms;
 //! all are read, and a body is never written in an older form than the one before it.
 
+use kernel::clock;
+use protocol::msg::{DIGESTED_BODIES, READS};
+use protocol::order::ConfigChange;
+use sha2::Sha256;
+
 /// How many taken changes are remembered: more than are made while an operator may still resend one.
 pub const TAKEN: usize = 1024;
 
@@ -71,14 +76,14 @@
     /// first configuration would fill the links of all who fetch it.
     pub fn for_readers(versions: impl Iterator<Item = u64>) -> BodyForm {
         let known = versions.map(|version| if version == 0 { PACKED_SINCE } else { version });
-        BodyForm::read_by_all(known.min().unwrap_or(protocol::msg::READS))
+        BodyForm::read_by_all(known.min().unwrap_or(READS))
     }
 
     /// The newest form that everyone reads, where `oldest` is the oldest version of messages that anyone reads.
     pub fn read_by_all(oldest: u64) -> BodyForm {
         match oldest {
             reads if reads < PACKED_SINCE => BodyForm::Plain,
-            reads if reads < protocol::msg::DIGESTED_BODIES => BodyForm::Packed,
+            reads if reads < DIGESTED_BODIES => BodyForm::Packed,
             _ => BodyForm::Digested,
         }
     }
@@ -130,7 +135,7 @@
     }
 
     /// Remembers a change under the kind of digest that a form holds.
-    pub fn remember(&mut self, change: &protocol::order::ConfigChange, form: BodyForm) {
+    pub fn remember(&mut self, change: &ConfigChange, form: BodyForm) {
         match form {
             BodyForm::Digested => self.taken.push(TakenChange { base: change.base, digest: digest(change) }),
             BodyForm::Plain | BodyForm::Packed => self.earlier.push(first_digest(change)),
@@ -142,7 +147,7 @@
     }
 
     /// Was this change taken, as far as that is remembered?
-    pub fn recall(&self, change: &protocol::order::ConfigChange) -> Memory {
+    pub fn recall(&self, change: &ConfigChange) -> Memory {
         let taken = TakenChange { base: change.base, digest: digest(change) };
         if self.taken.contains(&taken) || self.earlier.contains(&first_digest(change)) {
             return Memory::Taken;
@@ -164,9 +169,9 @@
 }
 
 /// The same for the same change sent again, and for no other: half of a SHA-256 over the change and what it is.
-pub fn digest(change: &protocol::order::ConfigChange) -> [u8; 16] {
+pub fn digest(change: &ConfigChange) -> [u8; 16] {
     use sha2::Digest;
-    let mut hash = sha2::Sha256::new();
+    let mut hash = Sha256::new();
     hash.update(b"tidepoint configuration change 2");
     hash.update(change.base.to_le_bytes());
     hash.update([u8::from(change.partial)]);
@@ -177,9 +182,9 @@
 }
 
 /// The digest of the first version.
-pub fn first_digest(change: &protocol::order::ConfigChange) -> u64 {
-    let text = kernel::clock::hash(change.text.as_bytes());
-    kernel::clock::blend(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
+pub fn first_digest(change: &ConfigChange) -> u64 {
+    let text = clock::hash(change.text.as_bytes());
+    clock::blend(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
 /// Tells a body from others where a change of it is told. Invariant: a body of the second version has a part of its
@@ -187,9 +192,9 @@
 pub fn body_digest(body: &[u8]) -> u64 {
     use sha2::Digest;
     if BodyForm::of(body) != BodyForm::Digested {
-        return kernel::clock::hash(body);
+        return clock::hash(body);
     }
-    let hash = sha2::Sha256::digest(body);
+    let hash = Sha256::digest(body);
     hash.iter().take(8).fold(0, |digest, byte| digest << 8 | u64::from(*byte))
 }
 
--- a/controller/src/config_body_tests.rs
+++ b/controller/src/config_body_tests.rs
@@ -1,7 +1,12 @@
 //! The forms of a configuration's body, and what it remembers of changes.
-use super::{digest, BodyForm, Held, Memory, TAKEN};
+
+use std::fs;
+use std::path::Path;
+
 use protocol::order::ConfigChange;
 
+use super::{digest, first_digest, BodyForm, Held, Memory, TAKEN};
+
 fn held(count: usize) -> Held {
     let text: String = (0..count).map(|at| format!("{{\"name\":\"r-{at}\",\"path_prefix\":\"/p{at}/\"}}")).collect();
     Held { revision: 9, text, earlier: vec![1, 2, 3], ..Held::default() }
@@ -46,8 +51,8 @@
 }
 
 fn fixture(name: &str) -> Vec<u8> {
-    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures").join(name);
-    std::fs::read(path).expect("the fixture")
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures").join(name);
+    fs::read(path).expect("the fixture")
 }
 
 fn text(revision: u64, routes: usize) -> String {
@@ -123,7 +128,7 @@
     assert_eq!(digest(&one), digest(&one.clone()));
     for other in &others {
         assert_ne!(digest(&one), digest(other));
-        super::first_digest(other);
+        first_digest(other);
     }
 }
 
--- a/controller/src/config_history.rs
+++ b/controller/src/config_history.rs
@@ -1,10 +1,16 @@
 //! The configuration in force: as it is stored, as a value, and in the form in which routers take it: frames encoded once
 //! and sent to many.
-use protocol::change::{before_tenants, Change};
-use protocol::config::Checked;
-use protocol::msg::Msg;
+
+use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
+use bytes::Bytes;
+use protocol::change::{before_tenants, Change};
+use protocol::config::{Checked, Tenant};
+use protocol::frame::{self, Kind, HEAD};
+use protocol::msg::{Msg, TENANTS};
+use quota::Quota;
+
 /// How many changes are kept, and how many bytes of them.
 const MOST_CHANGES: usize = 64;
 const MOST_BYTES: usize = 1 << 20;
@@ -20,7 +26,7 @@
 impl Layout {
     /// The layout for a router that reads messages of this version.
     pub fn of(reads: u64) -> Layout {
-        match reads >= protocol::msg::TENANTS {
+        match reads >= TENANTS {
             true => Layout::Current,
             false => Layout::BeforeTenants,
         }
@@ -32,9 +38,9 @@
     from: u64,
     /// What it leads to can be told to routers that know no tenants.
     for_all: bool,
-    frame: bytes::Bytes,
+    frame: Bytes,
     /// In the layout before tenants, made when it is first needed.
-    before_tenants: Option<bytes::Bytes>,
+    before_tenants: Option<Bytes>,
 }
 
 /// Why a configuration is not taken for the one in force.
@@ -50,25 +56,24 @@
 #[derive(Default)]
 pub struct ConfigHistory {
     current: Option<Arc<Checked>>,
-    whole: Option<bytes::Bytes>,
-    whole_before_tenants: Option<bytes::Bytes>,
-    changes: std::collections::VecDeque<EncodedChange>,
+    whole: Option<Bytes>,
+    whole_before_tenants: Option<Bytes>,
+    changes: VecDeque<EncodedChange>,
     changes_bytes: usize,
     /// Limits by tenant.
-    quotas: std::collections::HashMap<String, quota::Quota>,
+    quotas: HashMap<String, Quota>,
 }
 
-fn quotas(config: &Checked) -> std::collections::HashMap<String, quota::Quota> {
-    let limit =
-        |tenant: &protocol::config::Tenant| quota::Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
+fn quotas(config: &Checked) -> HashMap<String, Quota> {
+    let limit = |tenant: &Tenant| Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
     config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), limit(tenant))).collect()
 }
 
-fn seal(msg: &Msg) -> Option<bytes::Bytes> {
-    protocol::frame::seal(protocol::frame::Kind::Cast, 0, msg).ok().map(bytes::Bytes::from)
+fn seal(msg: &Msg) -> Option<Bytes> {
+    frame::seal(Kind::Cast, 0, msg).ok().map(Bytes::from)
 }
 
-fn encode(change: &Change, layout: Layout) -> Option<bytes::Bytes> {
+fn encode(change: &Change, layout: Layout) -> Option<Bytes> {
     seal(&match layout {
         Layout::Current => Msg::Update(Box::new(change.write())),
         Layout::BeforeTenants => Msg::Change(Box::new(before_tenants::write(change))),
@@ -83,13 +88,13 @@
     }
 
     fn bytes(&self) -> usize {
-        self.frame.len() + self.before_tenants.as_ref().map_or(0, bytes::Bytes::len)
+        self.frame.len() + self.before_tenants.as_ref().map_or(0, Bytes::len)
     }
 
     /// The frame in the layout before tenants, which routers of earlier versions read.
-    fn older_frame(&mut self) -> Option<bytes::Bytes> {
+    fn older_frame(&mut self) -> Option<Bytes> {
         if self.before_tenants.is_none() {
-            let Ok(Msg::Update(packed)) = protocol::frame::open(&self.frame[protocol::frame::HEAD..]) else {
+            let Ok(Msg::Update(packed)) = frame::open(&self.frame[HEAD..]) else {
                 return None;
             };
             self.before_tenants = encode(&Change::read(&packed)?, Layout::BeforeTenants);
@@ -110,7 +115,7 @@
     }
 
     /// A tenant's limit in the configuration in force; its rate is 0 where it has none.
-    pub fn tenant_quota(&self, name: &str) -> Option<quota::Quota> {
+    pub fn tenant_quota(&self, name: &str) -> Option<Quota> {
         self.quotas.get(name).copied()
     }
 
@@ -169,7 +174,7 @@
 
     /// What brings one that has the revision `has` up to date: the changes from there, or the whole where
     /// there are none or they come to more.
-    pub fn frames(&mut self, has: u64, layout: Layout) -> Vec<bytes::Bytes> {
+    pub fn frames(&mut self, has: u64, layout: Layout) -> Vec<Bytes> {
         if has >= self.revision() {
             return Vec::new();
         }
@@ -179,14 +184,14 @@
             return changes;
         }
         let whole = self.whole(layout);
-        let size: usize = changes.iter().map(bytes::Bytes::len).sum();
+        let size: usize = changes.iter().map(Bytes::len).sum();
         match whole {
             Some(whole) if changes.is_empty() || size >= whole.len() => vec![whole],
             _ => changes,
         }
     }
 
-    fn whole(&mut self, layout: Layout) -> Option<bytes::Bytes> {
+    fn whole(&mut self, layout: Layout) -> Option<Bytes> {
         let kept = match layout {
             Layout::Current => &mut self.whole,
             Layout::BeforeTenants => &mut self.whole_before_tenants,
@@ -198,7 +203,7 @@
     }
 
     /// The chain from a revision on; empty where that revision is not known, or a part can't be told in this layout.
-    fn changes_from(&mut self, has: u64, layout: Layout) -> Vec<bytes::Bytes> {
+    fn changes_from(&mut self, has: u64, layout: Layout) -> Vec<Bytes> {
         let Some(first) = self.changes.iter().position(|change| change.from == has) else { return Vec::new() };
         let known = self.changes.iter_mut().skip(first);
         if layout == Layout::Current {
@@ -211,7 +216,7 @@
 
     /// Sends what a follower lacks, in the layout for the version of messages that it reads. `has` rises only once all of
     /// it was taken by `send`; false: some was not, or it may not be told to this follower.
-    pub fn send_missing(&mut self, reads: u64, has: &mut u64, mut send: impl FnMut(bytes::Bytes) -> bool) -> bool {
+    pub fn send_missing(&mut self, reads: u64, has: &mut u64, mut send: impl FnMut(Bytes) -> bool) -> bool {
         if !self.can_be_told(reads) {
             return false;
         }
--- a/controller/src/config_history_tests.rs
+++ b/controller/src/config_history_tests.rs
@@ -1,8 +1,17 @@
 //! The chain of changes as routers get it: old and new ones, with losses, and never to one that may not have it.
-use super::{ConfigHistory, Layout, NotNewer};
-use protocol::config::{Checked, Config};
+
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use bytes::Bytes;
+use kernel::clock::{self, Dice};
+use protocol::change::{before_tenants, Change};
+use protocol::config::{Checked, Config, Route};
+use protocol::frame::{self, HEAD};
+use protocol::msg::{Msg, READS, TENANTS};
+
+use super::{ConfigHistory, EncodedChange, Layout, NotNewer, MOST_CHANGES};
+
 fn config(revision: u64, count: usize, timeout: u64) -> Arc<Checked> {
     with_tenants(revision, count, timeout, 0)
 }
@@ -22,17 +31,12 @@
     Arc::new(Checked::read(&text.to_string()).expect("good"))
 }
 
-fn open(frame: &bytes::Bytes) -> protocol::change::Change {
-    match protocol::frame::open(&frame[protocol::frame::HEAD..]).expect("a message") {
-        protocol::msg::Msg::Change(body) => {
-            protocol::change::before_tenants::read(&body).expect("a change in the layout before tenants")
-        }
-        protocol::msg::Msg::Update(body) => {
-            assert!(
-                protocol::change::before_tenants::read(&body).is_none(),
-                "no older router takes it for its own layout"
-            );
-            protocol::change::Change::read(&body).expect("a change")
+fn open(frame: &Bytes) -> Change {
+    match frame::open(&frame[HEAD..]).expect("a message") {
+        Msg::Change(body) => before_tenants::read(&body).expect("a change in the layout before tenants"),
+        Msg::Update(body) => {
+            assert!(before_tenants::read(&body).is_none(), "no older router takes it for its own layout");
+            Change::read(&body).expect("a change")
         }
         other => panic!("{other:?}"),
     }
@@ -80,14 +84,14 @@
         for revision in 1..=300 {
             assert_eq!(history.advance(config(revision, 20, revision)), Ok(()));
         }
-        assert!(history.changes.len() <= super::MOST_CHANGES);
+        assert!(history.changes.len() <= MOST_CHANGES);
         assert_eq!(line(&mut history, 1, layout), [(0, 300)], "too far behind: the whole");
         let whole = history.frames(0, layout)[0].len();
         for has in 1..300 {
-            let sent: usize = history.frames(has, layout).iter().map(bytes::Bytes::len).sum();
+            let sent: usize = history.frames(has, layout).iter().map(Bytes::len).sum();
             assert!(sent <= whole, "never more than the whole");
         }
-        let kept: usize = history.changes.iter().map(super::EncodedChange::bytes).sum();
+        let kept: usize = history.changes.iter().map(EncodedChange::bytes).sum();
         assert_eq!(history.changes_bytes, kept, "what is made later is counted too");
     }
 }
@@ -98,7 +102,7 @@
     for revision in 1..=20 {
         assert_eq!(history.advance(config(revision, 20, revision)), Ok(()));
         let mut has = revision - 1;
-        assert!(history.send_missing(protocol::msg::READS, &mut has, |_| true));
+        assert!(history.send_missing(READS, &mut has, |_| true));
     }
     assert!(history.changes.iter().all(|change| change.before_tenants.is_none()));
     assert!(history.whole_before_tenants.is_none());
@@ -118,7 +122,7 @@
         assert!(!history.send_missing(reads, &mut has, |_| panic!("nothing may be sent")));
         assert_eq!((has, history.text_after(0)), (1, None), "it stays behind");
         let mut current = 1;
-        assert!(history.send_missing(protocol::msg::TENANTS, &mut current, |frame| !open(&frame).tenants.is_empty()));
+        assert!(history.send_missing(TENANTS, &mut current, |frame| !open(&frame).tenants.is_empty()));
         assert_eq!(current, 3);
         // Once there are none any more it gets the whole, and no step through those that had some.
         assert_eq!(history.advance(with_tenants(4, 20, 4, 0)), Ok(()));
@@ -132,11 +136,11 @@
 #[derive(Default)]
 struct Router {
     revision: u64,
-    routes: std::collections::BTreeMap<String, protocol::config::Route>,
+    routes: BTreeMap<String, Route>,
 }
 
 impl Router {
-    fn take(&mut self, change: protocol::change::Change) {
+    fn take(&mut self, change: Change) {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return;
         }
@@ -159,12 +163,12 @@
 /// what was not, and one call brings it up to date.
 #[test]
 fn a_router_away_for_any_time_gets_the_newest_and_never_a_wrong_table() {
-    for (seed, reads) in (0..15).flat_map(|seed| [(seed, protocol::msg::READS), (seed, 3)]) {
-        let mut dice = kernel::clock::Dice::new(kernel::clock::blend(seed, 5));
+    for (seed, reads) in (0..15).flat_map(|seed| [(seed, READS), (seed, 3)]) {
+        let mut dice = Dice::new(clock::blend(seed, 5));
         let mut history = ConfigHistory::default();
         let mut router = Router::default();
         let (mut claimed, mut away) = (0, false);
-        let mut configs = std::collections::BTreeMap::new();
+        let mut configs = BTreeMap::new();
         for revision in 1..=400 {
             let next = config(revision, 1 + dice.below(12) as usize, revision);
             configs.insert(revision, next.clone());
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -1,13 +1,18 @@
 //! Changes of the configuration carried out: judged on what is committed, written, and told to the other controllers as
 //! the change where they can make it, else as the whole.
-use crate::config_body::{body_digest, BodyForm, Held};
-use crate::config_change::{Outcome, Proposed};
-use crate::state::CONFIG;
+
+use std::sync::Arc;
+
 use consensus::proposal::Verdict;
 use protocol::config::Checked;
-use protocol::msg::Entry;
+use protocol::msg::{Entry, Msg, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::order::{Advance, ConfigChange, OrderResult};
-use std::sync::Arc;
+
+use crate::config_body::{body_digest, BodyForm, Held};
+use crate::config_change::{self, Outcome, Proposed};
+use crate::controller::Controller;
+use crate::state::CONFIG;
+use crate::{event, orders};
 
 /// What a change was judged to be on top of one committed body.
 enum Judgement {
@@ -27,12 +32,12 @@
 }
 
 /// Carries out an operator's change.
-pub async fn change(controller: &Arc<crate::controller::Controller>, change: &ConfigChange) -> OrderResult {
+pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OrderResult {
     let read_by_all = controller.body_form();
     let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
-    let outcome = controller.change_untold(CONFIG, crate::orders::wait_ms(controller), judge).await;
+    let outcome = controller.change_untold(CONFIG, orders::wait_ms(controller), judge).await;
     let Some((judgement, owner, _)) = outcome else { return OrderResult::Unclear };
     match judgement {
         Judgement::Step(step) => {
@@ -53,7 +58,7 @@
 }
 
 fn committed(change: &ConfigChange, revision: u64) {
-    kernel::say!(crate::event::CONFIG, "base" => change.base, "revision" => revision);
+    kernel::say!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
 fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Verdict<Judgement> {
@@ -77,7 +82,7 @@
 }
 
 /// A committed configuration becomes known here and at the other controllers.
-fn tell(controller: &crate::controller::Controller, entry: &Entry, change: &ConfigChange, step: &Step) {
+fn tell(controller: &Controller, entry: &Entry, change: &ConfigChange, step: &Step) {
     controller.learn_config(entry, step.checked.clone());
     let advance = advance_of(entry, change, step);
     send(controller, entry, advance, |reads| can_make(reads, change, step));
@@ -100,23 +105,23 @@
 /// Can a controller that reads messages of this version make the body after the change from the one before it? One of
 /// version 3 writes the text of a changed configuration otherwise, and a new layout is not told by a change.
 fn can_make(reads: u64, change: &ConfigChange, step: &Step) -> bool {
-    let same_text = !change.partial || reads >= protocol::msg::DIGESTED_BODIES;
+    let same_text = !change.partial || reads >= DIGESTED_BODIES;
     same_text && step.form.same_layout(step.form_before)
 }
 
 /// The short form to those that can use it, the whole to the others.
-fn send(controller: &crate::controller::Controller, entry: &Entry, advance: Advance, can_make: impl Fn(u64) -> bool) {
-    let whole = protocol::msg::Msg::Learn(Box::new((advance.key.clone(), entry.clone())));
-    let short = protocol::msg::Msg::Advance(Box::new(advance));
+fn send(controller: &Controller, entry: &Entry, advance: Advance, can_make: impl Fn(u64) -> bool) {
+    let whole = Msg::Learn(Box::new((advance.key.clone(), entry.clone())));
+    let short = Msg::Advance(Box::new(advance));
     for peer in controller.known() {
         let reads = controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.reads);
-        let is_short = reads >= protocol::msg::RELAYED_ORDERS && can_make(reads);
+        let is_short = reads >= RELAYED_ORDERS && can_make(reads);
         controller.peer(&peer).cast(if is_short { short.clone() } else { whole.clone() });
     }
 }
 
 /// The same body was committed again, by a read or under a changed core: those that hold it need only its place.
-pub fn tell_again(controller: &crate::controller::Controller, key: &str, entry: &Entry) {
+pub fn tell_again(controller: &Controller, key: &str, entry: &Entry) {
     controller.learn(key, entry, false);
     let (ballot, step) = entry.place();
     let digest = body_digest(&entry.body);
@@ -127,7 +132,7 @@
 
 /// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
 /// fetches the whole.
-pub fn advance(controller: &crate::controller::Controller, advance: &Advance) {
+pub fn advance(controller: &Controller, advance: &Advance) {
     let (held, known) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
@@ -153,7 +158,7 @@
         _ if advance.pack => BodyForm::Packed,
         _ => BodyForm::Plain,
     };
-    let next = crate::config_change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
+    let next = config_change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
     let body = next.held.seal(form);
     (body_digest(&body) == advance.after).then_some((body, Some(next.checked)))
 }
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -1,11 +1,15 @@
 //! A change told to other controllers gives them the very body that was committed, or nothing.
+
+use consensus::proposal::Verdict;
+use protocol::config::{self, Checked};
+use protocol::msg::{Ballot, Entry};
+use protocol::order::{Advance, ConfigChange, OrderResult};
+
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
 use crate::config_body::{body_digest, BodyForm, Held};
 use crate::config_change::Proposed;
+use crate::controller::CommittedState;
 use crate::state::CONFIG;
-use consensus::proposal::Verdict;
-use protocol::msg::{Ballot, Entry};
-use protocol::order::{Advance, ConfigChange, OrderResult};
 
 fn text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
@@ -44,8 +48,8 @@
         let (body, advance, after) = committed(routes, form);
         assert_eq!(made(&body, &advance), Some(after));
         // Also with the configuration before read already, or with another one at hand.
-        let known = protocol::config::Checked::read(&text(5, routes)).expect("good");
-        let other = protocol::config::Checked::read(&text(5, routes + 1)).expect("good");
+        let known = Checked::read(&text(5, routes)).expect("good");
+        let other = Checked::read(&text(5, routes + 1)).expect("good");
         for known in [known, other] {
             let (body, checked) = next_body(&body, Some(&known), &advance).expect("made");
             let held = Held::open(&body).expect("read");
@@ -112,7 +116,7 @@
     let second = ConfigChange { base: 7, text: text(9, 2), partial: false };
     let (after_first, step) = step_on(&body, &first, BodyForm::Digested);
     let (after_second, later) = step_on(&after_first, &second, BodyForm::Digested);
-    let mut committed = crate::controller::CommittedState::default();
+    let mut committed = CommittedState::default();
     let entry = |place, body: &[u8]| Entry { ballot: Ballot { turn: place, seat: 1 }, step: 1, body: body.to_vec() };
     committed.learn(CONFIG, &entry(2, &after_second), Some(later.checked.clone()));
     committed.learn(CONFIG, &entry(1, &after_first), Some(step.checked.clone()));
@@ -156,7 +160,7 @@
     for change in [&items, &whole] {
         let (_, step) = step_on(&held.seal(BodyForm::Plain), change, BodyForm::Digested);
         assert_eq!((step.checked.revision(), step.checked.config().route_table.len()), (6, 2));
-        assert!(protocol::config::read(step.checked.text()).is_ok());
+        assert!(config::read(step.checked.text()).is_ok());
     }
     // One that reads as nothing is left alone by changes of items, and can be replaced.
     let torn = Held { text: "{\"revision\":5".into(), ..held };
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -1,13 +1,19 @@
 //! What a change of the configuration costs. Run by hand, in release:
 //! `cargo test --release -p controller --lib config_timing -- --ignored --nocapture`.
-use super::{judge, next_body, Judgement};
+
+use std::time::Instant;
+
+use consensus::proposal::Verdict;
+use protocol::change::Change;
+use protocol::config;
+use protocol::msg::{Ballot, Entry};
+use protocol::order::ConfigChange;
+
+use super::{advance_of, judge, next_body, Judgement};
 use crate::config_body::{BodyForm, Held};
 use crate::config_change::Proposed;
 use crate::controller::CommittedState;
 use crate::state::CONFIG;
-use consensus::proposal::Verdict;
-use protocol::msg::{Ballot, Entry};
-use protocol::order::ConfigChange;
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
@@ -35,7 +41,7 @@
 fn print_median(label: &str, mut act: impl FnMut()) {
     let mut times: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let begun = std::time::Instant::now();
+            let begun = Instant::now();
             act();
             begun.elapsed().as_secs_f64() * 1000.0
         })
@@ -57,7 +63,7 @@
         (0..REMEMBERED).for_each(|base| held.remember(&earlier(base), BodyForm::Digested));
         let body = held.seal(BodyForm::Digested);
         println!("{routes} routes: text of {} bytes, body of {}", held.text.len(), body.len());
-        print_median("read and check", || drop(protocol::config::read(&held.text).expect("good")));
+        print_median("read and check", || drop(config::read(&held.text).expect("good")));
         let mut state = CommittedState::default();
         state.learn(CONFIG, &entry(1, body.clone()), None);
         let known = state.history.current().cloned();
@@ -73,12 +79,12 @@
             };
             print_median(&format!("{label}, judged and sealed by its committer"), || drop(judged()));
             let (next, step) = judged();
-            let advance = super::advance_of(&entry(2, next), change, &step);
+            let advance = advance_of(&entry(2, next), change, &step);
             let old = known.as_deref().expect("a configuration");
             print_median(&format!("{label}, at a controller that is told of it"), || {
                 let (_, checked) = next_body(&body, Some(old), &advance).expect("made");
                 let checked = checked.expect("changed");
-                drop(protocol::change::Change::between(old.config(), checked.config()).write());
+                drop(Change::between(old.config(), checked.config()).write());
             });
         }
     }
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -1,6 +1,15 @@
 //! Confirming, again and again, that what is known here is not older than what a quorum holds.
-use consensus::confirmation::{Behind, Confirmation, Place};
-use protocol::msg::{Ask, Core, Vote};
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use consensus::confirmation::{self, Behind, Confirmation, Place};
+use consensus::quorum;
+use kernel::clock;
+use protocol::msg::{Ask, Core, Entry, Vote};
+use tokio::time::{self, Instant};
+
+use crate::controller::Controller;
 
 const READ_MS: u64 = 600;
 const FETCH_MS: u64 = 300;
@@ -14,8 +23,8 @@
 
 /// Reads the places of all keys at a quorum and fetches what is newer than here. Once nothing is, the
 /// state known here is confirmed as of the time when the read began.
-pub async fn run(controller: &std::sync::Arc<crate::controller::Controller>) {
-    let begun = kernel::clock::now();
+pub async fn run(controller: &Arc<Controller>) {
+    let begun = clock::now();
     let core = controller.core();
     if core.list.is_empty() {
         return;
@@ -31,16 +40,16 @@
     }
 }
 
-fn known(controller: &crate::controller::Controller, key: &str) -> Option<Place> {
-    controller.committed_state.lock().expect("committed_state").entries.get(key).map(protocol::msg::Entry::place)
+fn known(controller: &Controller, key: &str) -> Option<Place> {
+    controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::place)
 }
 
-async fn read(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core) -> Option<Confirmation> {
-    let mut votes = controller.ask(core, Ask::Places, &consensus::quorum::addresses(core));
+async fn read(controller: &Arc<Controller>, core: &Core) -> Option<Confirmation> {
+    let mut votes = controller.ask(core, Ask::Places, &quorum::addresses(core));
     let mut confirmation = Confirmation::new(core);
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(READ_MS);
+    let end = Instant::now() + Duration::from_millis(READ_MS);
     while !confirmation.is_quorum() {
-        match tokio::time::timeout_at(end, votes.recv()).await.ok()?? {
+        match time::timeout_at(end, votes.recv()).await.ok()?? {
             (from, Vote::Places { list }) => confirmation.hear(&from, list),
             (_, Vote::Newer { core }) => {
                 controller.adopt(&core);
@@ -56,17 +65,17 @@
 ///
 /// A place that is on no quorum may be on its way, overtaken, or left half done by its owner. Whatever became
 /// of it, everything that was committed before it is known once it or a newer committed entry is.
-async fn catch_up(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core, behind: &Behind) -> bool {
-    let begun = kernel::clock::now();
+async fn catch_up(controller: &Arc<Controller>, core: &Core, behind: &Behind) -> bool {
+    let begun = clock::now();
     if behind.committed && fetch(controller, core, behind).await {
         return true;
     }
-    while kernel::clock::now() < begun + CATCH_UP_MS {
-        tokio::time::sleep(std::time::Duration::from_millis(ON_ITS_WAY_MS)).await;
+    while clock::now() < begun + CATCH_UP_MS {
+        time::sleep(Duration::from_millis(ON_ITS_WAY_MS)).await;
         if known(controller, &behind.key) >= Some(behind.place) || fetch(controller, core, behind).await {
             return true;
         }
-        let now = kernel::clock::now();
+        let now = clock::now();
         let first = controller.roster.lock().expect("roster").holder("", &behind.key, now);
         if now > begun + HALF_DONE_MS && first == controller.me() {
             return controller.renew(&behind.key, RENEW_MS).await.is_some();
@@ -76,18 +85,18 @@
 }
 
 /// Takes the entry from the members: the one looked for, or a newer one that a quorum holds by now.
-async fn fetch(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core, behind: &Behind) -> bool {
-    let mut votes = controller.ask(core, Ask::Fetch { key: behind.key.clone() }, &consensus::quorum::addresses(core));
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(FETCH_MS);
+async fn fetch(controller: &Arc<Controller>, core: &Core, behind: &Behind) -> bool {
+    let mut votes = controller.ask(core, Ask::Fetch { key: behind.key.clone() }, &quorum::addresses(core));
+    let end = Instant::now() + Duration::from_millis(FETCH_MS);
     let mut fetched = Vec::new();
-    while let Ok(Some((from, vote))) = tokio::time::timeout_at(end, votes.recv()).await {
+    while let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await {
         let Vote::Fetched { entry: Some(entry) } = vote else { continue };
         if behind.committed && entry.place() == behind.place {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
         fetched.push((from, entry));
-        let newer = consensus::confirmation::committed(core, &fetched);
+        let newer = confirmation::committed(core, &fetched);
         if let Some(entry) = newer.filter(|entry| entry.place() >= behind.place) {
             controller.learn(&behind.key, &entry, false);
             return true;
--- a/controller/src/control.rs
+++ b/controller/src/control.rs
@@ -1,8 +1,32 @@
 //! The operator's calls: one handler object a resource. A receipt is a small value; one place
 //! writes it.
 
-pub use crate::orders::wait_ms;
+use std::sync::Arc;
+use std::time::Duration;
+
+use kernel::log;
+use poem::error::ReadBodyError;
+use poem::http::{HeaderValue, StatusCode};
+use poem::listener::TcpAcceptor;
+use poem::{Endpoint, Request, Response, Route, Server};
+use protocol::config::LONGEST_TEXT;
 use protocol::order::{ConfigChange, Order, OrderResult};
+use protocol::sock::{self, SILENCE_MS};
+use socket2::SockRef;
+use tokio::time;
+
+use crate::batches::{Batches, One, Results};
+use crate::config_body::Held;
+use crate::controller::Controller;
+use crate::event::{REFUSED, UNCLEAR};
+use crate::metrics::{OrderOutcome, OrderTimer};
+use crate::orders;
+use crate::quota::fleet_usage;
+use crate::rollout_calls::{Latest, Rollouts, Rule};
+use crate::shutdown::Shutdown;
+use crate::version_calls::Rollout;
+
+pub use crate::orders::wait_ms;
 
 pub enum Receipt {
     Good,
@@ -16,44 +40,44 @@
     Elsewhere(String, String),
 }
 
-pub fn write(receipt: Receipt) -> poem::Response {
+pub fn write(receipt: Receipt) -> Response {
     let json = |status: u16, body: Vec<u8>| {
-        let code = poem::http::StatusCode::from_u16(status).unwrap_or(poem::http::StatusCode::INTERNAL_SERVER_ERROR);
-        poem::Response::builder().status(code).content_type("application/json").body(body)
+        let code = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+        Response::builder().status(code).content_type("application/json").body(body)
     };
     match receipt {
         Receipt::Good => json(200, b"{}".to_vec()),
         Receipt::Text(body) => json(200, body),
         Receipt::Bad(status, words) => {
-            kernel::say!(crate::event::REFUSED, "status" => status, "error" => words.clone());
+            kernel::say!(REFUSED, "status" => status, "error" => words.clone());
             json(status, serde_json::json!({ "error": words }).to_string().into_bytes())
         }
         Receipt::Full(wait) => {
             let mut reply = json(503, serde_json::json!({ "error": "no room for it now" }).to_string().into_bytes());
-            if let Ok(value) = poem::http::HeaderValue::from_str(&format!("{:.1}", wait as f64 / 1000.0)) {
+            if let Ok(value) = HeaderValue::from_str(&format!("{:.1}", wait as f64 / 1000.0)) {
                 reply.headers_mut().insert("retry-after", value);
             }
             reply
         }
         Receipt::Elsewhere(address, path) => {
             let mut reply = json(307, b"{}".to_vec());
-            if let Ok(value) = poem::http::HeaderValue::from_str(&format!("http://{address}{path}")) {
+            if let Ok(value) = HeaderValue::from_str(&format!("http://{address}{path}")) {
                 reply.headers_mut().insert("location", value);
             }
             reply
         }
         Receipt::Unclear => {
-            kernel::say!(crate::event::UNCLEAR);
+            kernel::say!(UNCLEAR);
             let mut reply =
                 json(503, serde_json::json!({ "error": "no majority answered in time" }).to_string().into_bytes());
-            reply.headers_mut().insert("retry-after", poem::http::HeaderValue::from_static("0.3"));
+            reply.headers_mut().insert("retry-after", HeaderValue::from_static("0.3"));
             reply
         }
     }
 }
 
-struct Config(std::sync::Arc<crate::controller::Controller>);
-struct Evacuation(std::sync::Arc<crate::controller::Controller>);
+struct Config(Arc<Controller>);
+struct Evacuation(Arc<Controller>);
 
 impl Config {
     async fn read(&self) -> Receipt {
@@ -69,13 +93,13 @@
 
 const CONFIG_PATH: &str = "/config";
 
-async fn submit(controller: &std::sync::Arc<crate::controller::Controller>, path: String, order: Order) -> Receipt {
-    let timer = crate::metrics::OrderTimer::start(&controller.metrics, &order);
-    if let Some(address) = crate::orders::better_place(controller, &order) {
-        timer.finish(crate::metrics::OrderOutcome::Redirected);
+async fn submit(controller: &Arc<Controller>, path: String, order: Order) -> Receipt {
+    let timer = OrderTimer::start(&controller.metrics, &order);
+    if let Some(address) = orders::better_place(controller, &order) {
+        timer.finish(OrderOutcome::Redirected);
         return Receipt::Elsewhere(address, path);
     }
-    let result = crate::orders::submit(controller, order).await;
+    let result = orders::submit(controller, order).await;
     timer.finish((&result).into());
     match result {
         OrderResult::Found { body } => found(&body),
@@ -84,7 +108,7 @@
 }
 
 fn found(body: &[u8]) -> Receipt {
-    match crate::config_body::Held::open(body) {
+    match Held::open(body) {
         Some(held) if held.revision > 0 => Receipt::Text(held.text.into_bytes()),
         Some(_) => Receipt::Bad(404, "no configuration yet".into()),
         None => Receipt::Unclear,
@@ -112,41 +136,41 @@
 struct Journal;
 
 /// Who is there as this controller sees it, and which configuration each router has in force.
-struct Fleet(std::sync::Arc<crate::controller::Controller>);
+struct Fleet(Arc<Controller>);
 
-impl poem::Endpoint for Journal {
-    type Output = poem::Response;
+impl Endpoint for Journal {
+    type Output = Response;
 
-    async fn call(&self, _: poem::Request) -> poem::Result<poem::Response> {
-        let list: Vec<String> = kernel::log::since(0).into_iter().map(|(_, line)| line).collect();
+    async fn call(&self, _: Request) -> poem::Result<Response> {
+        let list: Vec<String> = log::since(0).into_iter().map(|(_, line)| line).collect();
         Ok(write(Receipt::Text(serde_json::json!({ "events": list }).to_string().into_bytes())))
     }
 }
 
-impl poem::Endpoint for Fleet {
-    type Output = poem::Response;
+impl Endpoint for Fleet {
+    type Output = Response;
 
-    async fn call(&self, _: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, _: Request) -> poem::Result<Response> {
         Ok(write(Receipt::Text(self.0.fleet().to_string().into_bytes())))
     }
 }
 
 /// What tenants have used of their limits, over all routers.
-struct Tenants(std::sync::Arc<crate::controller::Controller>);
+struct Tenants(Arc<Controller>);
 
-impl poem::Endpoint for Tenants {
-    type Output = poem::Response;
+impl Endpoint for Tenants {
+    type Output = Response;
 
-    async fn call(&self, _: poem::Request) -> poem::Result<poem::Response> {
-        let usage = crate::quota::fleet_usage(&self.0).await;
+    async fn call(&self, _: Request) -> poem::Result<Response> {
+        let usage = fleet_usage(&self.0).await;
         Ok(write(Receipt::Text(usage.to_string().into_bytes())))
     }
 }
 
-impl poem::Endpoint for Config {
-    type Output = poem::Response;
+impl Endpoint for Config {
+    type Output = Response;
 
-    async fn call(&self, mut req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, mut req: Request) -> poem::Result<Response> {
         let patch = match req.method().as_str() {
             "GET" => return Ok(write(self.read().await)),
             "PUT" => false,
@@ -154,9 +178,9 @@
             _ => return Ok(write(Receipt::Bad(405, "method: GET, PUT or PATCH".into()))),
         };
         let base = req.header("if-match").and_then(|value| value.trim().trim_matches('"').parse().ok());
-        let body = match req.take_body().into_bytes_limit(protocol::config::LONGEST_TEXT).await {
+        let body = match req.take_body().into_bytes_limit(LONGEST_TEXT).await {
             Ok(body) => body,
-            Err(poem::error::ReadBodyError::PayloadTooLarge) => {
+            Err(ReadBodyError::PayloadTooLarge) => {
                 return Ok(write(Receipt::Bad(413, "body: too large".into())));
             }
             Err(_) => return Ok(write(Receipt::Bad(400, "body: cut short".into()))),
@@ -168,10 +192,10 @@
     }
 }
 
-impl poem::Endpoint for Evacuation {
-    type Output = poem::Response;
+impl Endpoint for Evacuation {
+    type Output = Response;
 
-    async fn call(&self, req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, req: Request) -> poem::Result<Response> {
         let on = match req.method().as_str() {
             "POST" => true,
             "DELETE" => false,
@@ -182,22 +206,22 @@
     }
 }
 
-pub fn start(controller: &std::sync::Arc<crate::controller::Controller>) {
+pub fn start(controller: &Arc<Controller>) {
     let Some(addr) = controller.env.bind_addresses.control_plane.clone() else { return };
-    let app = std::sync::Arc::new(
-        poem::Route::new()
+    let app = Arc::new(
+        Route::new()
             .at(CONFIG_PATH, Config(controller.clone()))
             .at("/journal", Journal)
             .at("/fleet", Fleet(controller.clone()))
             .at("/tenants", Tenants(controller.clone()))
-            .at("/batches", crate::batches::Batches(controller.clone()))
-            .at("/batches/:id", crate::batches::One(controller.clone()))
-            .at("/batches/:id/results", crate::batches::Results(controller.clone()))
-            .at("/rollouts", crate::rollout_calls::Rollouts(controller.clone()))
-            .at("/rollouts/:service", crate::version_calls::Rollout(controller.clone()))
-            .at("/rollouts/:service/:model", crate::rollout_calls::Rule(controller.clone()))
-            .at("/rollouts/:service/:model/latest", crate::rollout_calls::Latest(controller.clone(), false))
-            .at("/rollouts/:service/:model/rollback", crate::rollout_calls::Latest(controller.clone(), true))
+            .at("/batches", Batches(controller.clone()))
+            .at("/batches/:id", One(controller.clone()))
+            .at("/batches/:id/results", Results(controller.clone()))
+            .at("/rollouts", Rollouts(controller.clone()))
+            .at("/rollouts/:service", Rollout(controller.clone()))
+            .at("/rollouts/:service/:model", Rule(controller.clone()))
+            .at("/rollouts/:service/:model/latest", Latest(controller.clone(), false))
+            .at("/rollouts/:service/:model/rollback", Latest(controller.clone(), true))
             .at("/evacuation/:zone", Evacuation(controller.clone())),
     );
     let inner = controller.clone();
@@ -209,20 +233,20 @@
 }
 
 /// The pause before a socket that can't be had is tried again.
-const LISTEN_RETRY: std::time::Duration = std::time::Duration::from_millis(200);
+const LISTEN_RETRY: Duration = Duration::from_millis(200);
 /// How long a connection may stay idle.
-const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves callers until the process closes, and then finishes what is under way.
-async fn serve(addr: &str, app: std::sync::Arc<poem::Route>, shutdown: &crate::shutdown::Shutdown) {
-    let Ok(listener) = protocol::sock::listen(addr) else {
-        tokio::time::sleep(LISTEN_RETRY).await;
+async fn serve(addr: &str, app: Arc<Route>, shutdown: &Shutdown) {
+    let Ok(listener) = sock::listen(addr) else {
+        time::sleep(LISTEN_RETRY).await;
         return;
     };
-    let sock = socket2::SockRef::from(&listener);
-    let _ = sock.set_tcp_user_timeout(Some(std::time::Duration::from_millis(protocol::sock::SILENCE_MS)));
-    let Ok(acceptor) = poem::listener::TcpAcceptor::from_tokio(listener) else { return };
-    let server = poem::Server::new_with_acceptor(acceptor).idle_timeout(IDLE_TIMEOUT);
+    let sock = SockRef::from(&listener);
+    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(SILENCE_MS)));
+    let Ok(acceptor) = TcpAcceptor::from_tokio(listener) else { return };
+    let server = Server::new_with_acceptor(acceptor).idle_timeout(IDLE_TIMEOUT);
     let _ = server.run_with_graceful_shutdown(app, shutdown.closing(), None).await;
 }
 
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -3,65 +3,96 @@
 //! Lock order: ownerships, voter, committed, taken, roster, sheets, weights, followers, catalog, quotas. No lock but an ownership is held over an
 //! await.
 
+use std::collections::{BTreeMap, HashMap};
+use std::sync::atomic::AtomicBool;
+use std::sync::{Arc, Mutex};
+
+use catalog::gauge::Gauge;
+use catalog::prefix_index::PrefixIndex;
+use consensus::voter::Voter;
+use kernel::clock;
+use kernel::env::Env;
+use load_balancing::sheet::Sheets;
+use membership::Roster;
+use protocol::link::Caller;
+use protocol::msg::{Ballot, Core, Entry, Rule, Versions};
+use protocol::version_rollout::VersionRollout;
+use tokio::sync::Semaphore;
+
+use crate::config_body::BodyForm;
+use crate::config_history::ConfigHistory;
+use crate::disk::Disk;
+use crate::duty::Taken;
+use crate::event::CORE;
+use crate::followers::Followers;
+use crate::metrics::Metrics;
+use crate::pause::PauseMonitor;
+use crate::quota::HeldShards;
+use crate::register::OwnershipLock;
+use crate::runner::Tallies;
+use crate::shutdown::Shutdown;
+use crate::version_lists::FirstVersions;
+use crate::versions::Trials;
+
 pub struct Controller {
-    pub env: kernel::env::Env,
+    pub env: Env,
     pub life: u64,
     pub seat: u64,
-    pub voter: std::sync::Mutex<consensus::voter::Voter>,
-    pub disk: crate::disk::Disk,
-    pub committed_state: std::sync::Mutex<CommittedState>,
-    pub roster: std::sync::Mutex<membership::Roster>,
-    pub sheets: std::sync::Mutex<load_balancing::sheet::Sheets>,
+    pub voter: Mutex<Voter>,
+    pub disk: Disk,
+    pub committed_state: Mutex<CommittedState>,
+    pub roster: Mutex<Roster>,
+    pub sheets: Mutex<Sheets>,
     /// Weight versions by zone, kept only while there are rules.
-    pub weights: std::sync::Mutex<std::collections::BTreeMap<String, protocol::msg::Versions>>,
-    pub followers: std::sync::Mutex<crate::followers::Followers>,
-    pub catalog: std::sync::Mutex<Catalog>,
-    pub ownerships: std::sync::Mutex<std::collections::HashMap<String, std::sync::Arc<crate::register::OwnershipLock>>>,
-    pub calls: std::sync::Mutex<std::collections::HashMap<String, std::sync::Arc<protocol::link::Caller>>>,
-    pub taken: std::sync::Mutex<crate::duty::Taken>,
-    pub tallies: std::sync::Mutex<crate::runner::Tallies>,
-    pub polls: tokio::sync::Semaphore,
+    pub weights: Mutex<BTreeMap<String, Versions>>,
+    pub followers: Mutex<Followers>,
+    pub catalog: Mutex<Catalog>,
+    pub ownerships: Mutex<HashMap<String, Arc<OwnershipLock>>>,
+    pub calls: Mutex<HashMap<String, Arc<Caller>>>,
+    pub taken: Mutex<Taken>,
+    pub tallies: Mutex<Tallies>,
+    pub polls: Semaphore,
     /// Trials of new versions. Taken without another.
-    pub trials: std::sync::Mutex<crate::versions::Trials>,
+    pub trials: Mutex<Trials>,
     /// The version of each service that was there before any rollout. Taken last.
-    pub first_versions: std::sync::Mutex<crate::version_lists::FirstVersions>,
+    pub first_versions: Mutex<FirstVersions>,
     /// Shards of tenants' limits. Taken last.
-    pub quotas: std::sync::Mutex<crate::quota::HeldShards>,
-    pub pauses: std::sync::Mutex<crate::pause::PauseMonitor>,
+    pub quotas: Mutex<HeldShards>,
+    pub pauses: Mutex<PauseMonitor>,
     /// The process is about to end.
-    pub leaving: std::sync::atomic::AtomicBool,
-    pub shutdown: crate::shutdown::Shutdown,
-    pub metrics: crate::metrics::Metrics,
+    pub leaving: AtomicBool,
+    pub shutdown: Shutdown,
+    pub metrics: Metrics,
 }
 
 /// What is known to be committed. Invariant: the place of an entry never goes back.
 #[derive(Default)]
 pub struct CommittedState {
-    pub entries: std::collections::BTreeMap<String, protocol::msg::Entry>,
+    pub entries: BTreeMap<String, Entry>,
     /// When the read began that last confirmed these at a majority; None before the first.
     pub sure: Option<u64>,
     /// The highest turn seen in any ballot.
     pub turn: u64,
     /// The configuration in the entry of its key, as a value and as routers take it.
-    pub history: crate::config_history::ConfigHistory,
+    pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
-    pub unreadable: Option<(protocol::msg::Ballot, u64)>,
+    pub unreadable: Option<(Ballot, u64)>,
     /// The evacuations with their versions.
-    pub closed: std::collections::BTreeMap<String, (u64, bool)>,
+    pub closed: BTreeMap<String, (u64, bool)>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
-    pub rules: std::collections::BTreeMap<String, protocol::msg::Rule>,
+    pub rules: BTreeMap<String, Rule>,
     /// The newest rollout of each service.
-    pub rollouts: std::collections::BTreeMap<String, protocol::version_rollout::VersionRollout>,
+    pub rollouts: BTreeMap<String, VersionRollout>,
     /// By key: epoch, holder, and whether it has waited.
-    pub duties: std::collections::BTreeMap<String, (u64, String, bool)>,
+    pub duties: BTreeMap<String, (u64, String, bool)>,
 }
 
 /// The catalog as held here. Invariant: it answers only under `epoch`, and only while this controller
 /// holds the duty.
 pub struct Catalog {
-    pub prefix_index: catalog::prefix_index::PrefixIndex,
-    pub gauge: catalog::gauge::Gauge,
+    pub prefix_index: PrefixIndex,
+    pub gauge: Gauge,
     pub epoch: u64,
     /// The last epoch under which it answered.
     pub last: u64,
@@ -81,13 +112,13 @@
         &self.env.ip
     }
 
-    pub fn peer(&self, ip: &str) -> std::sync::Arc<protocol::link::Caller> {
+    pub fn peer(&self, ip: &str) -> Arc<Caller> {
         let mut calls = self.calls.lock().expect("calls");
         let addr = format!("{ip}:{}", self.env.peer_port());
-        calls.entry(ip.into()).or_insert_with(|| std::sync::Arc::new(protocol::link::Caller::start(addr, None))).clone()
+        calls.entry(ip.into()).or_insert_with(|| Arc::new(Caller::start(addr, None))).clone()
     }
 
-    pub fn core(&self) -> protocol::msg::Core {
+    pub fn core(&self) -> Core {
         self.voter.lock().expect("voter").core.clone()
     }
 
@@ -103,14 +134,14 @@
     }
 
     /// The form of the configuration's body for the members of the core and all controllers that live.
-    pub fn body_form(&self) -> crate::config_body::BodyForm {
-        let now = kernel::clock::now();
+    pub fn body_form(&self) -> BodyForm {
+        let now = clock::now();
         let core = self.core();
         let roster = self.roster.lock().expect("roster");
         let reads = |ip: &str| roster.controllers.get(ip).map_or(0, |peer| peer.reads);
         let members = core.list.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
         let live = roster.controllers.keys().map(String::as_str).filter(|ip| roster.live(ip, now));
-        crate::config_body::BodyForm::for_readers(members.chain(live).map(reads))
+        BodyForm::for_readers(members.chain(live).map(reads))
     }
 
     /// The version of the configuration known to be committed; 0: none yet.
@@ -129,14 +160,14 @@
 
     /// May an order that was just read be one from before a pause of this process?
     pub fn orders_may_be_stale(&self) -> bool {
-        self.pauses.lock().expect("pauses").orders_may_be_stale(kernel::clock::now())
+        self.pauses.lock().expect("pauses").orders_may_be_stale(clock::now())
     }
 
     /// Takes over a committed core.
-    pub fn adopt(&self, core: &protocol::msg::Core) {
+    pub fn adopt(&self, core: &Core) {
         let record = self.voter.lock().expect("voter").adopt(core);
         let Some(record) = record else { return };
-        kernel::say!(crate::event::CORE, "version" => core.version, "settled" => core.settled,
+        kernel::say!(CORE, "version" => core.version, "settled" => core.settled,
             "members" => core.list.iter().map(|member| member.ip.as_str()).collect::<Vec<_>>().join(","));
         self.disk.write(vec![record]);
     }
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -1,13 +1,21 @@
 //! The disk has a thread of its own, so that one that stalls holds up votes and nothing else. What
 //! is handed over is written in that order; an answer leaves once all before it is on disk.
 
+use std::collections::HashSet;
+use std::path::Path;
+use std::sync::mpsc::{self, Receiver, Sender};
+use std::time::{Duration, Instant};
+use std::{iter, mem, thread};
+
 use consensus::record::LogRecord;
 use consensus::store::{Store, StoreError};
 use consensus::voter::Voter;
 use prometheus_client::metrics::histogram::Histogram;
 
+use crate::event::DISK_WAIT;
+
 /// The pause before a write that failed is tried again.
-const RETRY: std::time::Duration = std::time::Duration::from_millis(100);
+const RETRY: Duration = Duration::from_millis(100);
 /// How often a disk that refuses is tried when the process starts, before it ends.
 const OPEN_TRIES: u32 = 50;
 
@@ -19,15 +27,15 @@
 }
 
 pub struct Disk {
-    queue: std::sync::mpsc::Sender<WriteRequest>,
+    queue: Sender<WriteRequest>,
 }
 
 impl Disk {
     /// Without a store everything is kept in memory only. `voter` is what the store holds. The time of each write is
     /// noted in `write_seconds`.
     pub fn start(store: Option<Store>, voter: Voter, write_seconds: Histogram) -> Disk {
-        let (queue, requests) = std::sync::mpsc::channel();
-        std::thread::spawn(move || run(store, voter, &requests, &write_seconds));
+        let (queue, requests) = mpsc::channel();
+        thread::spawn(move || run(store, voter, &requests, &write_seconds));
         Disk { queue }
     }
 
@@ -43,7 +51,7 @@
 
 /// Opens the store of a voter. A disk that refuses is tried again for a while: one in trouble is no
 /// reason to end, a damaged one is. The second value tells whether the disk was empty.
-pub fn open(path: &std::path::Path, voter: &mut Voter) -> Result<(Store, bool), StoreError> {
+pub fn open(path: &Path, voter: &mut Voter) -> Result<(Store, bool), StoreError> {
     let ip = voter.ip.clone();
     let mut tries = 0;
     loop {
@@ -58,7 +66,7 @@
             Err(error @ StoreError::Io(..)) if tries < OPEN_TRIES => report(&error, tries == 1),
             outcome => return outcome.map(|store| (store, empty)),
         }
-        std::thread::sleep(RETRY);
+        thread::sleep(RETRY);
     }
 }
 
@@ -66,18 +74,18 @@
 fn run(
     mut store: Option<Store>,
     mut synced_voter: Voter,
-    requests: &std::sync::mpsc::Receiver<WriteRequest>,
+    requests: &Receiver<WriteRequest>,
     write_seconds: &Histogram,
 ) {
     while let Ok(first) = requests.recv() {
         let mut records = Vec::new();
         let mut completions = Vec::new();
-        for request in std::iter::once(first).chain(requests.try_iter()) {
+        for request in iter::once(first).chain(requests.try_iter()) {
             records.extend(request.records);
             completions.extend(request.completion);
         }
         if let (Some(store), false) = (&mut store, records.is_empty()) {
-            let begun = std::time::Instant::now();
+            let begun = Instant::now();
             persist(store, newest(records), &mut synced_voter);
             write_seconds.observe(begun.elapsed().as_secs_f64());
         }
@@ -90,13 +98,13 @@
 /// Of the records of one write only the last of each kind and key: none of them counts before all are on
 /// disk. The leave to vote goes last, so that a torn write never holds it without what it rests on.
 fn newest(records: Vec<LogRecord>) -> Vec<LogRecord> {
-    let mut keys = std::collections::HashSet::new();
+    let mut keys = HashSet::new();
     let (mut core, mut vote) = (false, false);
     let mut kept = Vec::with_capacity(records.len());
     for record in records.into_iter().rev() {
         let first = match &record {
             LogRecord::Slot(slot) => keys.insert(slot.key.clone()),
-            LogRecord::Core(_) => !std::mem::replace(&mut core, true),
+            LogRecord::Core(_) => !mem::replace(&mut core, true),
             LogRecord::Vote => {
                 vote = true;
                 false
@@ -120,7 +128,7 @@
         if store.full() {
             snapshot(store, synced_voter);
         }
-        std::thread::sleep(RETRY);
+        thread::sleep(RETRY);
     }
     for record in records {
         synced_voter.fold(record);
@@ -139,7 +147,7 @@
 /// `first`: not a repetition of the same.
 fn report(error: &StoreError, first: bool) {
     if first {
-        kernel::say!(crate::event::DISK_WAIT, "cause" => error.to_string());
+        kernel::say!(DISK_WAIT, "cause" => error.to_string());
     }
 }
 
--- a/controller/src/disk_tests.rs
+++ b/controller/src/disk_tests.rs
@@ -1,13 +1,19 @@
+use std::sync::mpsc;
+use std::{env, fs, process};
+
 use consensus::record::LogRecord;
 use consensus::voter::Voter;
+use protocol::msg::{Ballot, Core, Slot};
+
+use super::{newest, open, Disk};
 
 fn slot(key: &str, turn: u64) -> LogRecord {
-    let ballot = protocol::msg::Ballot { turn, seat: 1 };
-    LogRecord::Slot(protocol::msg::Slot { key: key.into(), promised: ballot, entry: None })
+    let ballot = Ballot { turn, seat: 1 };
+    LogRecord::Slot(Slot { key: key.into(), promised: ballot, entry: None })
 }
 
 fn core(version: u64) -> LogRecord {
-    LogRecord::Core(protocol::msg::Core { version, ..Default::default() })
+    LogRecord::Core(Core { version, ..Default::default() })
 }
 
 fn folded(records: &[LogRecord]) -> Vec<LogRecord> {
@@ -19,7 +25,7 @@
 #[test]
 fn of_one_write_the_last_of_each_key_counts_and_the_leave_to_vote_goes_last() {
     let records = vec![slot("a", 1), core(1), LogRecord::Vote, slot("b", 2), slot("a", 3), core(2)];
-    let kept = super::newest(records.clone());
+    let kept = newest(records.clone());
     assert_eq!(kept, [slot("b", 2), slot("a", 3), core(2), LogRecord::Vote]);
     assert_eq!(folded(&kept), folded(&records));
 }
@@ -27,18 +33,18 @@
 #[test]
 fn hundreds_of_waiting_changes_of_one_key_are_one_record() {
     let records: Vec<LogRecord> = (1..500).map(|turn| slot("config", turn)).collect();
-    assert_eq!(super::newest(records), [slot("config", 499)]);
+    assert_eq!(newest(records), [slot("config", 499)]);
 }
 
 #[test]
 fn what_was_completed_is_found_when_the_store_is_opened_again() {
-    let path = std::env::temp_dir().join(format!("tidepoint-disk-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&path);
+    let path = env::temp_dir().join(format!("tidepoint-disk-{}", process::id()));
+    let _ = fs::remove_dir_all(&path);
     let mut voter = Voter::new("10.0.0.1");
-    let (store, empty) = super::open(&path, &mut voter).expect("opens");
+    let (store, empty) = open(&path, &mut voter).expect("opens");
     assert!(empty && voter.whole().len() == 1);
-    let disk = super::Disk::start(Some(store), voter, telemetry::latency_histogram());
-    let (done, wait) = std::sync::mpsc::channel();
+    let disk = Disk::start(Some(store), voter, telemetry::latency_histogram());
+    let (done, wait) = mpsc::channel();
     disk.write(vec![core(1), LogRecord::Vote]);
     for turn in 1..=300 {
         let done = done.clone();
@@ -47,8 +53,8 @@
     let order: Vec<u64> = wait.iter().take(300).collect();
     assert_eq!(order, (1..=300).collect::<Vec<u64>>(), "in the order in which they were handed over");
     let mut found = Voter::new("10.0.0.1");
-    let (_, empty) = super::open(&path, &mut found).expect("opens");
+    let (_, empty) = open(&path, &mut found).expect("opens");
     assert!(!empty);
     assert_eq!(found.whole(), folded(&[core(1), LogRecord::Vote, slot("config", 300)]));
-    let _ = std::fs::remove_dir_all(path);
+    let _ = fs::remove_dir_all(path);
 }
