--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -2,11 +2,20 @@
 //!
 //! `docs/fencing.md` says what holds and why.
 
-use crate::controller::Controller;
-use crate::register::Verdict;
 use std::collections::{BTreeMap, BTreeSet};
+use std::iter;
 use std::sync::Arc;
 
+use kernel::{clock, entry};
+use membership::duty::{self, Held, Look, SureStreak};
+use protocol::msg;
+
+use crate::batches;
+use crate::controller::{Controller, SURE_MS};
+use crate::event::DUTY;
+use crate::register::Verdict;
+use crate::state::Duty;
+
 pub const CATALOG: &str = "duty/catalog";
 pub const BALANCE: &str = "duty/balance";
 pub const BATCH: &str = "duty/batch";
@@ -41,11 +50,11 @@
     for key in [CATALOG, BALANCE, BATCH] {
         let controller = controller.clone();
         tokio::spawn(async move {
-            let mut beat = kernel::entry::beat(LOOK_MS);
-            let mut streak = membership::duty::SureStreak::default();
+            let mut beat = entry::beat(LOOK_MS);
+            let mut streak = SureStreak::default();
             loop {
                 beat.tick().await;
-                let now = kernel::clock::now();
+                let now = clock::now();
                 let sure_ms = streak.sure_ms(controller.sure(now), now);
                 tend(&controller, key, sure_ms).await;
                 if key == CATALOG {
@@ -60,7 +69,7 @@
 fn held(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
     let committed_state = controller.committed_state.lock().expect("committed_state");
     let (epoch, holder, _) = committed_state.duties.get(key)?;
-    let sure = committed_state.sure.is_some_and(|time| now < time + crate::controller::SURE_MS);
+    let sure = committed_state.sure.is_some_and(|time| now < time + SURE_MS);
     let tenure = controller.taken.lock().expect("taken").0.get(key).copied()?;
     (sure && holder == controller.me() && tenure.epoch == *epoch).then_some(tenure)
 }
@@ -69,10 +78,9 @@
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = held(controller, key, now)?;
     let sure_at = controller.committed_state.lock().expect("committed_state").sure?;
-    let held = membership::duty::Held { since: tenure.since, own: tenure.own, sure_at };
+    let held = Held { since: tenure.since, own: tenure.own, sure_at };
     let bounds = &controller.env.bounds;
-    membership::duty::may_act(held, now, bounds.fencing, bounds.lease_ms, crate::controller::SURE_MS)
-        .then_some(tenure.epoch)
+    duty::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
 }
 
 /// Says in the register that the wait is over, once, before the first act.
@@ -88,11 +96,11 @@
         return true;
     }
     let judge = |body: &[u8]| {
-        let held = crate::state::Duty::read_bytes(body).unwrap_or_default();
+        let held = Duty::read_bytes(body).unwrap_or_default();
         if held.epoch != epoch || held.holder != controller.me() {
             return Verdict::Answer(false);
         }
-        let next = crate::state::Duty { clear: true, ..held };
+        let next = Duty { clear: true, ..held };
         Verdict::Write(next.write_bytes(), true)
     };
     controller.change(key, CHANGE_MS, judge).await.unwrap_or(false)
@@ -100,7 +108,7 @@
 
 /// The catalog answers only under the epoch held; a new epoch starts with an empty one.
 fn open_catalog(controller: &Controller) {
-    let epoch = held(controller, CATALOG, kernel::clock::now()).map_or(0, |tenure| tenure.epoch);
+    let epoch = held(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
     let mut catalog = controller.catalog.lock().expect("catalog");
     if catalog.epoch != epoch && epoch > catalog.last {
         catalog.prefix_index.clear();
@@ -111,12 +119,12 @@
 }
 
 async fn tend(controller: &Arc<Controller>, key: &str, sure_ms: u64) {
-    let now = kernel::clock::now();
+    let now = clock::now();
     if !controller.sure(now) || now < LISTEN_MS || held(controller, key, now).is_some() {
         return;
     }
     // Taken only once there is something to do.
-    if key == BATCH && crate::batches::ids(&controller.committed_state.lock().expect("committed_state")).is_empty() {
+    if key == BATCH && batches::ids(&controller.committed_state.lock().expect("committed_state")).is_empty() {
         return;
     }
     let (epoch, holder, clear) =
@@ -128,16 +136,16 @@
     let first = !controller.taken.lock().expect("taken").0.contains_key(key);
     let own = holder.is_empty() || (first && holder == controller.me() && clear);
     let Some(epoch) = take(controller, key, epoch, own).await else { return };
-    let tenure = Tenure { epoch, since: kernel::clock::now(), own };
+    let tenure = Tenure { epoch, since: clock::now(), own };
     controller.taken.lock().expect("taken").0.insert(key.into(), tenure);
     controller.metrics.duties_taken.inc();
-    kernel::say!(crate::event::DUTY, "duty" => key, "epoch" => epoch);
+    kernel::say!(DUTY, "duty" => key, "epoch" => epoch);
 }
 
 fn may_take(controller: &Controller, key: &str, holder: &str, sure_ms: u64) -> bool {
-    let now = kernel::clock::now();
+    let now = clock::now();
     let roster = controller.roster.lock().expect("roster");
-    membership::duty::may_take(membership::duty::Look {
+    duty::may_take(Look {
         me: controller.me(),
         holder,
         absent_ms: roster.absent_ms(holder, now).min(sure_ms),
@@ -155,14 +163,14 @@
     let sure = controller.sure(now);
     let roster = controller.roster.lock().expect("roster");
     let vouched = holders.into_iter().filter(|ip| *ip != roster.me && roster.vouches_for(ip, now));
-    let vouched = vouched.map(|ip| (protocol::msg::hide(&format!("{VOUCH}{ip}")), 1, 0));
-    std::iter::once((protocol::msg::hide(SURE), u64::from(sure), 0)).chain(vouched).collect()
+    let vouched = vouched.map(|ip| (msg::hide(&format!("{VOUCH}{ip}")), 1, 0));
+    iter::once((msg::hide(SURE), u64::from(sure), 0)).chain(vouched).collect()
 }
 
 /// What a peer told: whether it is sure, and whom it vouches for. One of an earlier version, which tells
 /// nothing of it, counts as sure while it is heard.
 pub fn heard(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
-    let (sure, vouch) = (protocol::msg::hide(SURE), protocol::msg::hide(VOUCH));
+    let (sure, vouch) = (msg::hide(SURE), msg::hide(VOUCH));
     let sure = told.iter().find(|item| item.0 == sure).is_none_or(|item| item.1 == 1);
     let vouches = told.iter().filter_map(|item| Some(item.0.strip_prefix(&vouch)?.to_string()));
     (sure, vouches.collect())
@@ -172,11 +180,11 @@
 /// One that was committed all the same is never acted under: it is not among what was taken.
 async fn take(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
     let judge = |body: &[u8]| {
-        let held = crate::state::Duty::read_bytes(body).unwrap_or_default();
+        let held = Duty::read_bytes(body).unwrap_or_default();
         if held.epoch != epoch {
             return Verdict::Answer(None);
         }
-        let next = crate::state::Duty { epoch: epoch + 1, holder: controller.me().to_string(), clear: own };
+        let next = Duty { epoch: epoch + 1, holder: controller.me().to_string(), clear: own };
         Verdict::Write(next.write_bytes(), Some(epoch + 1))
     };
     controller.change(key, CHANGE_MS, judge).await.flatten()
--- a/controller/src/followers.rs
+++ b/controller/src/followers.rs
@@ -1,26 +1,31 @@
 //! The routers that follow this controller.
 
+use std::collections::BTreeMap;
+
+use protocol::link::Mouth;
+use protocol::msg::Msg;
+
 /// Invariant: what it says to have is what was handed to its connection or what it told in its last call;
 /// a follower never gets an older version.
 pub struct Follower {
-    pub mouth: protocol::link::Mouth,
+    pub mouth: Mouth,
     pub zone: String,
     pub config: u64,
     /// Something for it was dropped: nothing more is pushed before it calls again and tells what it has.
     pub behind: bool,
     /// The versions of rules that it told in its last call: what it has confirmed.
-    pub rules: std::collections::BTreeMap<String, u64>,
+    pub rules: BTreeMap<String, u64>,
     /// Until when it holds its lease.
     pub until: u64,
     /// The newest version of messages that it reads.
     pub reads: u64,
-    pub closed: std::collections::BTreeMap<String, u64>,
-    pub sheets: std::collections::BTreeMap<String, (u64, u64)>,
+    pub closed: BTreeMap<String, u64>,
+    pub sheets: BTreeMap<String, (u64, u64)>,
 }
 
 impl Follower {
     /// Sends a message; one that is dropped is noted. True: it was handed to the connection.
-    pub fn send(&mut self, msg: &protocol::msg::Msg) -> bool {
+    pub fn send(&mut self, msg: &Msg) -> bool {
         let sent = self.mouth.cast(msg);
         self.behind |= !sent;
         sent
@@ -30,7 +35,7 @@
 /// The followers by node name.
 #[derive(Default)]
 pub struct Followers {
-    pub list: std::collections::BTreeMap<String, Follower>,
+    pub list: BTreeMap<String, Follower>,
 }
 
 impl Followers {
--- a/controller/src/followers_tests.rs
+++ b/controller/src/followers_tests.rs
@@ -1,5 +1,11 @@
-fn follower(mouth: protocol::link::Mouth, until: u64) -> super::Follower {
-    super::Follower {
+use protocol::link::Mouth;
+use protocol::msg::Msg;
+use tokio::sync::mpsc;
+
+use super::{Follower, Followers};
+
+fn follower(mouth: Mouth, until: u64) -> Follower {
+    Follower {
         mouth,
         zone: "a".into(),
         config: 0,
@@ -12,15 +18,15 @@
     }
 }
 
-fn message() -> protocol::msg::Msg {
-    protocol::msg::Msg::No(Box::new(1))
+fn message() -> Msg {
+    Msg::No(Box::new(1))
 }
 
 #[test]
 fn a_lease_counts_until_it_lapses_also_when_the_connection_is_gone() {
-    let (out, queue) = tokio::sync::mpsc::channel(4);
-    let mut followers = super::Followers::default();
-    followers.list.insert("router-1".into(), follower(protocol::link::Mouth::new(out), 1600));
+    let (out, queue) = mpsc::channel(4);
+    let mut followers = Followers::default();
+    followers.list.insert("router-1".into(), follower(Mouth::new(out), 1600));
     drop(queue);
     followers.forget_lapsed(1599);
     assert_eq!(followers.confirmations("rule", 1, 1599), (1, 0), "it may still act under an older rule");
@@ -30,9 +36,9 @@
 
 #[test]
 fn a_follower_that_does_not_read_is_behind_and_keeps_its_lease() {
-    let (out, mut queue) = tokio::sync::mpsc::channel(1);
-    let mut followers = super::Followers::default();
-    followers.list.insert("router-1".into(), follower(protocol::link::Mouth::new(out), 1600));
+    let (out, mut queue) = mpsc::channel(1);
+    let mut followers = Followers::default();
+    followers.list.insert("router-1".into(), follower(Mouth::new(out), 1600));
     let held = followers.list.get_mut("router-1").expect("held");
     assert!(held.send(&message()) && !held.behind);
     assert!(!held.send(&message()) && held.behind);
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -1,29 +1,41 @@
 //! Heartbeats between controllers.
 
-pub fn hear(controller: &crate::controller::Controller, gossip: &protocol::msg::Gossip) {
+use std::net::Ipv4Addr;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+use kernel::{clock, entry};
+use membership::Peer;
+use protocol::msg::{self, Gossip, Msg};
+
+use crate::controller::{Controller, BEAT_MS, LIVE_MS};
+use crate::duty::{self, BALANCE, BATCH};
+use crate::{confirm, platform};
+
+pub fn hear(controller: &Controller, gossip: &Gossip) {
     if gossip.ip == controller.me() {
         return;
     }
     controller.adopt(&gossip.core);
-    let now = kernel::clock::now();
+    let now = clock::now();
     let mut roster = controller.roster.lock().expect("roster");
-    let peer = membership::Peer {
+    let peer = Peer {
         zone: gossip.zone.clone(),
         life: gossip.life,
         heard: now,
         fit: gossip.fit,
         seats: gossip.seats,
-        reads: protocol::msg::reads(&gossip.sheets),
-        leaving: protocol::msg::is_leaving(&gossip.sheets),
+        reads: msg::reads(&gossip.sheets),
+        leaving: msg::is_leaving(&gossip.sheets),
         busy: gossip.busy.clone(),
         doors: gossip.doors.clone(),
-        resting: gossip.resting.iter().map(|id| (id.clone(), now + 2 * crate::controller::LIVE_MS)).collect(),
+        resting: gossip.resting.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
     };
     roster.hear(&gossip.ip, peer);
-    roster.report(&gossip.ip, crate::platform::report(gossip), now);
+    roster.report(&gossip.ip, platform::report(gossip), now);
     for ip in &gossip.peers {
-        if ip.parse::<std::net::Ipv4Addr>().is_ok() && *ip != roster.me && !roster.controllers.contains_key(ip) {
-            let unseen = membership::Peer { zone: String::new(), life: 0, heard: 0, fit: false, ..Default::default() };
+        if ip.parse::<Ipv4Addr>().is_ok() && *ip != roster.me && !roster.controllers.contains_key(ip) {
+            let unseen = Peer { zone: String::new(), life: 0, heard: 0, fit: false, ..Default::default() };
             roster.controllers.insert(ip.clone(), unseen);
         }
     }
@@ -32,18 +44,18 @@
     let mut sheets = controller.sheets.lock().expect("sheets");
     sheets.raise(&gossip.floors);
     for sheet in sheets.newer(&gossip.sheets) {
-        controller.peer(&gossip.ip).cast(protocol::msg::Msg::Sheet(Box::new(sheet)));
+        controller.peer(&gossip.ip).cast(Msg::Sheet(Box::new(sheet)));
     }
 }
 
-pub fn start(controller: &std::sync::Arc<crate::controller::Controller>) {
+pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = kernel::entry::beat(crate::controller::BEAT_MS);
+        let mut beat = entry::beat(BEAT_MS);
         loop {
             beat.tick().await;
             tell(&controller);
-            crate::confirm::run(&controller).await;
+            confirm::run(&controller).await;
             if crate::quota::beat(&controller) {
                 controller.push();
             }
@@ -52,8 +64,8 @@
 }
 
 /// Tells all controllers that are known how this one stands.
-pub fn tell(controller: &crate::controller::Controller) {
-    let now = kernel::clock::now();
+pub fn tell(controller: &Controller) {
+    let now = clock::now();
     let core = controller.core();
     let (peers, seats, busy, resting, doors) = {
         let mut roster = controller.roster.lock().expect("roster");
@@ -64,15 +76,15 @@
     let (mut sheets, floors) = {
         let held = controller.sheets.lock().expect("sheets");
         let mut versions = held.versions();
-        versions.push(protocol::msg::told());
-        if controller.leaving.load(std::sync::atomic::Ordering::Relaxed) {
-            versions.push(protocol::msg::leaving());
+        versions.push(msg::told());
+        if controller.leaving.load(Ordering::Relaxed) {
+            versions.push(msg::leaving());
         }
         (versions, held.floors())
     };
-    sheets.extend(crate::platform::told(controller, now));
-    sheets.extend(crate::duty::told(controller, now));
-    let gossip = protocol::msg::Gossip {
+    sheets.extend(platform::told(controller, now));
+    sheets.extend(duty::told(controller, now));
+    let gossip = Gossip {
         ip: controller.me().into(),
         zone: controller.env.zone.clone(),
         life: controller.life,
@@ -89,7 +101,7 @@
     let holder = |duty: &str| {
         controller.committed_state.lock().expect("committed_state").duties.get(duty).map(|duty| duty.1.clone())
     };
-    let (balancer, batch_owner) = (holder(crate::duty::BALANCE), holder(crate::duty::BATCH));
+    let (balancer, batch_owner) = (holder(BALANCE), holder(BATCH));
     for ip in controller.known() {
         let mut gossip = gossip.clone();
         // What grows with engines or routers goes to the one controller that reads it.
@@ -99,11 +111,11 @@
         if batch_owner.as_ref() == Some(&ip) {
             gossip.doors.clone_from(&doors);
         }
-        controller.peer(&ip).cast(protocol::msg::Msg::Gossip(Box::new(gossip)));
+        controller.peer(&ip).cast(Msg::Gossip(Box::new(gossip)));
     }
 }
 
 /// May this controller be made a member: a counted machine, or any where none has a disk.
-pub fn fit(controller: &crate::controller::Controller) -> bool {
+pub fn fit(controller: &Controller) -> bool {
     controller.env.quorum_member && controller.voter.lock().expect("voter").may_vote
 }
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -1,8 +1,15 @@
 //! One job as a request to a router, sent once: what came of it, as a value.
 
-use batch::attempt::Outcome;
 use std::time::Duration;
 
+use batch::attempt::Outcome;
+use batch::sheet::Job;
+use batch::turn::Press;
+use batch::ANSWER;
+use kernel::clock;
+use protocol::word::{ATTEMPT, BUDGET};
+use reqwest::{Client, Method, Response};
+
 /// Header by which a router knows deferrable work; it never reaches an engine.
 const DEFERRABLE: &str = "deferrable";
 
@@ -11,14 +18,8 @@
 /// Answers that leave open whether it has run.
 const UNCLEAR: [u16; 3] = [500, 502, 504];
 
-pub async fn send(
-    client: &reqwest::Client,
-    router: &str,
-    job: &batch::sheet::Job,
-    press: batch::turn::Press,
-    left_ms: u64,
-) -> Outcome {
-    let Ok(method) = reqwest::Method::from_bytes(job.method.as_bytes()) else {
+pub async fn send(client: &Client, router: &str, job: &Job, press: Press, left_ms: u64) -> Outcome {
+    let Ok(method) = Method::from_bytes(job.method.as_bytes()) else {
         return Outcome::Answered { status: 400, body: String::new() };
     };
     let left_ms = left_ms.max(1);
@@ -26,9 +27,9 @@
         .request(method, format!("http://{router}{}", job.path))
         .timeout(Duration::from_millis(left_ms))
         .header("host", &job.host)
-        .header(protocol::word::ATTEMPT, format!("{:016x}", kernel::clock::life()))
-        .header(protocol::word::BUDGET, left_ms.to_string())
-        .header(DEFERRABLE, if press == batch::turn::Press::Near { "near" } else { "idle" });
+        .header(ATTEMPT, format!("{:016x}", clock::life()))
+        .header(BUDGET, left_ms.to_string())
+        .header(DEFERRABLE, if press == Press::Near { "near" } else { "idle" });
     for (name, value) in &job.head {
         call = call.header(name, value);
     }
@@ -47,12 +48,12 @@
     read_body(reply).await
 }
 
-fn retry_after_ms(reply: &reqwest::Response) -> Option<u64> {
+fn retry_after_ms(reply: &Response) -> Option<u64> {
     let seconds: f64 = reply.headers().get("retry-after")?.to_str().ok()?.parse().ok()?;
     Some((seconds * 1000.0) as u64)
 }
 
-async fn read_body(mut reply: reqwest::Response) -> Outcome {
+async fn read_body(mut reply: Response) -> Outcome {
     let status = reply.status().as_u16();
     let mut body = Vec::new();
     loop {
@@ -61,9 +62,9 @@
             Ok(None) => break,
             Err(_) => return Outcome::Lost,
         }
-        if body.len() > batch::ANSWER {
+        if body.len() > ANSWER {
             // Told plainly rather than cut: the answer is larger than a receipt may be.
-            return Outcome::Answered { status: 507, body: format!("answer over {} bytes", batch::ANSWER) };
+            return Outcome::Answered { status: 507, body: format!("answer over {} bytes", ANSWER) };
         }
     }
     Outcome::Answered { status, body: String::from_utf8_lossy(&body).into_owned() }
--- a/controller/src/listing.rs
+++ b/controller/src/listing.rs
@@ -1,5 +1,10 @@
 //! The platform's list of engines as it comes: pages, put together to one reading of a zone.
 
+use load_balancing::sheet::Known;
+use protocol::msg::Engine;
+
+use crate::version_lists::ListedEngine;
+
 #[derive(serde::Deserialize)]
 struct Model {
     #[serde(default)]
@@ -42,16 +47,16 @@
 
 /// One whole reading of a zone's list.
 pub struct Listing {
-    pub engines: Vec<crate::version_lists::ListedEngine>,
+    pub engines: Vec<ListedEngine>,
     pub weights: Weights,
     pub pages: usize,
     /// What was known of this list before the first page was asked for.
-    pub known: load_balancing::sheet::Known,
+    pub known: Known,
 }
 
 impl Listing {
     /// Nothing read yet.
-    pub fn new(known: load_balancing::sheet::Known) -> Listing {
+    pub fn new(known: Known) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
@@ -66,8 +71,8 @@
     }
 }
 
-fn engine(item: Item) -> crate::version_lists::ListedEngine {
-    let engine = protocol::msg::Engine {
+fn engine(item: Item) -> ListedEngine {
+    let engine = Engine {
         id: item.instance_id,
         service: item.service,
         addr: item.address,
@@ -78,5 +83,5 @@
         up: item.oper_state == "up",
         cold_ms: item.ramp_left_ms.clamp(0.0, 1e9).ceil() as u32,
     };
-    crate::version_lists::ListedEngine { engine, version: item.revision }
+    ListedEngine { engine, version: item.revision }
 }
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -1,5 +1,10 @@
 //! The control plane: knows which engines and daemons exist, holds and delivers the configuration.
 
+use std::process;
+
+use controller::boot;
+use kernel::entry::{self, EntryFlags};
+
 mod flags {
     use kernel::env::MetricsEndpoint;
 
@@ -16,11 +21,11 @@
     }
 }
 
-fn main() -> std::process::ExitCode {
+fn main() -> process::ExitCode {
     let flags = match flags::Controller::from_env() {
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
-    let entry_flags = kernel::entry::EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    kernel::entry::enter("controller", env!("CARGO_PKG_VERSION"), entry_flags, controller::boot::run)
+    let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
+    entry::enter("controller", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
 }
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -1,11 +1,19 @@
 //! What a controller counts. The list with units stands in `docs/metrics.md`; a test holds the two together.
 
+use std::sync::atomic::Ordering;
+
+use kernel::clock;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
+use protocol::order;
+use protocol::quota::Spent;
+
+use crate::batches;
+use crate::controller::Controller;
 
 /// What an operator's call asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
@@ -143,18 +151,18 @@
     }
 
     /// Counts the answer to a request for a token.
-    pub fn note_spent(&self, spent: protocol::quota::Spent) {
+    pub fn note_spent(&self, spent: Spent) {
         let answer = match spent {
-            protocol::quota::Spent::Granted => QuotaAnswer::Granted,
-            protocol::quota::Spent::Denied { .. } => QuotaAnswer::Denied,
-            protocol::quota::Spent::NotHeld => QuotaAnswer::NotHeld,
+            Spent::Granted => QuotaAnswer::Granted,
+            Spent::Denied { .. } => QuotaAnswer::Denied,
+            Spent::NotHeld => QuotaAnswer::NotHeld,
         };
         self.quota_answers.get_or_create(&QuotaLabels { answer }).inc();
     }
 
     /// All metrics as text, with the figures that are only read when asked for.
-    pub fn render(&self, controller: &crate::controller::Controller) -> String {
-        let now = kernel::clock::now();
+    pub fn render(&self, controller: &Controller) -> String {
+        let now = clock::now();
         let core = controller.core();
         self.config_revision.set(controller.revision() as i64);
         self.confirmed.set(i64::from(controller.sure(now)));
@@ -165,14 +173,14 @@
         let followers =
             controller.followers.lock().expect("followers").list.values().filter(|one| one.until > now).count();
         self.following_routers.set(followers as i64);
-        let batches = crate::batches::ids(&controller.committed_state.lock().expect("committed_state")).len();
+        let batches = batches::ids(&controller.committed_state.lock().expect("committed_state")).len();
         self.batches.set(batches as i64);
-        self.leaving.set(i64::from(controller.leaving.load(std::sync::atomic::Ordering::Relaxed)));
+        self.leaving.set(i64::from(controller.leaving.load(Ordering::Relaxed)));
         telemetry::encode(&self.registry)
     }
 }
 
-fn live_controllers(controller: &crate::controller::Controller, now: u64) -> i64 {
+fn live_controllers(controller: &Controller, now: u64) -> i64 {
     let roster = controller.roster.lock().expect("roster");
     roster.controllers.keys().filter(|ip| **ip != roster.me && roster.live(ip, now)).count() as i64
 }
@@ -185,7 +193,7 @@
 }
 
 impl<'a> OrderTimer<'a> {
-    pub fn start(metrics: &'a Metrics, order: &protocol::order::Order) -> OrderTimer<'a> {
+    pub fn start(metrics: &'a Metrics, order: &order::Order) -> OrderTimer<'a> {
         use protocol::order::Order;
         let kind = match order {
             Order::ReadConfig => OrderKind::ReadConfig,
@@ -193,7 +201,7 @@
             Order::Evacuate { .. } | Order::EvacuateFrom { .. } => OrderKind::Evacuate,
         };
         metrics.orders_under_way.inc();
-        OrderTimer { metrics, kind, begun: kernel::clock::now() }
+        OrderTimer { metrics, kind, begun: clock::now() }
     }
 
     pub fn finish(self, result: OrderOutcome) {
@@ -204,13 +212,13 @@
 impl Drop for OrderTimer<'_> {
     fn drop(&mut self) {
         self.metrics.orders_under_way.dec();
-        let spent_ms = kernel::clock::now() - self.begun;
+        let spent_ms = clock::now() - self.begun;
         self.metrics.order_duration.observe(spent_ms as f64 / MS_PER_S);
     }
 }
 
-impl From<&protocol::order::OrderResult> for OrderOutcome {
-    fn from(result: &protocol::order::OrderResult) -> OrderOutcome {
+impl From<&order::OrderResult> for OrderOutcome {
+    fn from(result: &order::OrderResult) -> OrderOutcome {
         use protocol::order::OrderResult;
         match result {
             OrderResult::Done | OrderResult::Found { .. } => OrderOutcome::Done,
--- a/controller/src/metrics_tests.rs
+++ b/controller/src/metrics_tests.rs
@@ -1,6 +1,9 @@
 //! That the page and the code name the same metrics, and what a call of an operator counts as.
-use super::{Metrics, OrderKind, OrderLabels, OrderOutcome, OrderTimer, PollLabels, PollOutcome};
+
 use protocol::order::{Order, OrderResult};
+use protocol::quota::Spent;
+
+use super::{Metrics, OrderKind, OrderLabels, OrderOutcome, OrderTimer, PollLabels, PollOutcome};
 
 #[test]
 fn every_metric_stands_on_the_page_and_none_besides() {
@@ -9,7 +12,7 @@
     // A family without a series is not told.
     OrderTimer::start(&metrics, &Order::ReadConfig).finish(OrderOutcome::Done);
     metrics.platform_polls.get_or_create(&PollLabels { result: PollOutcome::Read }).inc();
-    metrics.note_spent(protocol::quota::Spent::Granted);
+    metrics.note_spent(Spent::Granted);
     let text = telemetry::encode(&metrics.registry);
     assert_eq!(telemetry::names(&text), telemetry::listed(page, "tidepoint_keeper_"));
 }
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -1,24 +1,33 @@
 //! What a follower lacks, and sending it: on each of its calls, and at once when something changes.
 
-impl crate::controller::Controller {
+use std::collections::BTreeMap;
+use std::mem;
+
+use kernel::clock;
+use protocol::link::Mouth;
+use protocol::msg::{self, Follow, Msg, News, QUOTAS, VERSION_ROLLOUTS};
+use serde_json::Value;
+
+use crate::controller::{Controller, ROUTER_LEASE_MS};
+use crate::duty::CATALOG;
+use crate::followers::Follower;
+use crate::quota::send_holders;
+use crate::rules;
+
+impl Controller {
     /// A router renews its lease, tells what it has and gets what it lacks.
-    pub fn follow(&self, mouth: protocol::link::Mouth, id: u64, follow: protocol::msg::Follow) {
-        let now = kernel::clock::now();
-        self.roster.lock().expect("roster").lease(
-            &follow.node,
-            now + crate::controller::ROUTER_LEASE_MS,
-            follow.busy,
-            follow.door,
-        );
+    pub fn follow(&self, mouth: Mouth, id: u64, follow: Follow) {
+        let now = clock::now();
+        self.roster.lock().expect("roster").lease(&follow.node, now + ROUTER_LEASE_MS, follow.busy, follow.door);
         self.sheets.lock().expect("sheets").raise(&follow.sheets);
-        let mut follower = crate::followers::Follower {
-            rules: crate::rules::told(&follow.closed),
-            until: now + crate::controller::ROUTER_LEASE_MS,
+        let mut follower = Follower {
+            rules: rules::told(&follow.closed),
+            until: now + ROUTER_LEASE_MS,
             mouth,
             zone: follow.zone,
             config: follow.config,
             behind: false,
-            reads: protocol::msg::reads(&follow.sheets),
+            reads: msg::reads(&follow.sheets),
             closed: follow.closed.into_iter().collect(),
             sheets: follow.sheets.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
         };
@@ -28,13 +37,13 @@
         news.sure &= follower.reads < 2 || self.confirmed(&follower);
         // Whoever is told that it is current must have been sent all.
         news.sure &= !follower.behind;
-        follower.mouth.reply(id, &protocol::msg::Msg::News(Box::new(news)));
+        follower.mouth.reply(id, &Msg::News(Box::new(news)));
         self.followers.lock().expect("followers").list.insert(follow.node, follower);
     }
 
     /// Doubt about an engine reaches all routers at once: each asks it for itself.
     pub fn doubt(&self, engine: &str, passed: bool) {
-        let note = |passed| protocol::msg::Msg::Doubt(Box::new((engine.to_string(), passed)));
+        let note = |passed| Msg::Doubt(Box::new((engine.to_string(), passed)));
         for follower in self.followers.lock().expect("followers").list.values() {
             follower.mouth.cast(&note(true));
         }
@@ -48,13 +57,13 @@
 
     /// Sends to each follower what it lacks.
     pub fn push(&self) {
-        let now = kernel::clock::now();
-        let mut list = std::mem::take(&mut self.followers.lock().expect("followers").list);
+        let now = clock::now();
+        let mut list = mem::take(&mut self.followers.lock().expect("followers").list);
         let reachable = list.iter_mut().filter(|(_, follower)| !follower.behind && !follower.mouth.gone());
         for (node, follower) in reachable {
             let news = self.missing(node, follower, now);
             if news.config.is_some() || !news.closed.is_empty() || !news.sheets.is_empty() {
-                follower.send(&protocol::msg::Msg::News(Box::new(news)));
+                follower.send(&Msg::News(Box::new(news)));
             }
         }
         let mut followers = self.followers.lock().expect("followers");
@@ -65,25 +74,25 @@
     }
 
     /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
-    fn missing(&self, node: &str, follower: &mut crate::followers::Follower, now: u64) -> protocol::msg::News {
-        let mut news = protocol::msg::News { sure: self.sure(now), ..Default::default() };
+    fn missing(&self, node: &str, follower: &mut Follower, now: u64) -> News {
+        let mut news = News { sure: self.sure(now), ..Default::default() };
         self.add_control_state(&mut news, follower);
         self.add_roster(&mut news, node, follower, now);
         self.add_engine_lists(&mut news, follower);
         if follower.reads >= 2 {
             self.send_weights(follower);
         }
-        if follower.reads >= protocol::msg::QUOTAS && self.has_tenants() {
-            crate::quota::send_holders(self, follower);
+        if follower.reads >= QUOTAS && self.has_tenants() {
+            send_holders(self, follower);
         }
         news
     }
 
-    fn add_control_state(&self, news: &mut protocol::msg::News, follower: &mut crate::followers::Follower) {
+    fn add_control_state(&self, news: &mut News, follower: &mut Follower) {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
         if follower.reads >= 2 {
             // Before the configuration: no route is served whose rule is known here and not there.
-            crate::rules::send(&committed_state, follower);
+            rules::send(&committed_state, follower);
             // Before the news: whoever is told that it is current has it by then.
             let mouth = &follower.mouth;
             let reads = follower.reads;
@@ -94,7 +103,7 @@
             news.config = Some((revision, text));
             follower.config = revision;
         }
-        if follower.reads >= protocol::msg::VERSION_ROLLOUTS {
+        if follower.reads >= VERSION_ROLLOUTS {
             crate::versions::send(&committed_state, follower);
         }
         follower.behind |= !committed_state.history.can_be_told(follower.reads);
@@ -105,11 +114,11 @@
                 *has = *version;
             }
         }
-        let catalog = committed_state.duties.get(crate::duty::CATALOG).cloned().unwrap_or_default();
+        let catalog = committed_state.duties.get(CATALOG).cloned().unwrap_or_default();
         news.catalog = (catalog.0, catalog.1);
     }
 
-    fn add_roster(&self, news: &mut protocol::msg::News, node: &str, follower: &crate::followers::Follower, now: u64) {
+    fn add_roster(&self, news: &mut News, node: &str, follower: &Follower, now: u64) {
         let mut roster = self.roster.lock().expect("roster");
         news.seats = roster.seats(now, news.sure);
         news.resting = roster.resting(now);
@@ -117,9 +126,9 @@
         news.peers = roster.order(&follower.zone, node);
     }
 
-    fn add_engine_lists(&self, news: &mut protocol::msg::News, follower: &mut crate::followers::Follower) {
+    fn add_engine_lists(&self, news: &mut News, follower: &mut Follower) {
         for sheet in self.sheets.lock().expect("sheets").all() {
-            if protocol::msg::hidden(&sheet.zone) && follower.reads < protocol::msg::VERSION_ROLLOUTS {
+            if msg::hidden(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
                 continue;
             }
             let has = follower.sheets.entry(sheet.zone.clone()).or_default();
@@ -131,8 +140,8 @@
     }
 
     /// The view of the fleet for those who operate it.
-    pub fn fleet(&self) -> serde_json::Value {
-        let now = kernel::clock::now();
+    pub fn fleet(&self) -> Value {
+        let now = clock::now();
         let core = self.core();
         let members: Vec<&str> = core.list.iter().map(|member| member.ip.as_str()).collect();
         let sure = self.sure(now);
@@ -141,7 +150,7 @@
         let roster = self.roster.lock().expect("roster");
         let controllers: Vec<&String> = roster.controllers.keys().filter(|ip| roster.live(ip, now)).collect();
         let followers = self.followers.lock().expect("followers");
-        let routers: std::collections::BTreeMap<&String, u64> =
+        let routers: BTreeMap<&String, u64> =
             followers.list.iter().map(|(node, follower)| (node, follower.config)).collect();
         serde_json::json!({
             "node_name": self.env.node_name, "sure": sure, "revision": revision, "core": members,
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -1,9 +1,20 @@
 //! Operators' orders. One controller is home to a key and carries out what concerns it, so that controllers do not
 //! outbid each other; the others relay to it, and carry an order out themselves when it does not answer.
-use crate::state::Closed;
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
 use consensus::proposal::Verdict;
+use consensus::quorum;
+use kernel::clock;
+use protocol::msg::{Msg, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
 use protocol::order::{Order, OrderResult};
 
+use crate::controller::Controller;
+use crate::event::EVACUATION;
+use crate::state::{Closed, CLOSED, CONFIG};
+use crate::{config_orders, reconfiguration};
+
 /// How long the home of a key may take before an order is carried out here.
 const RELAY_MS: u64 = 500;
 /// How long an evacuation may take: an order without a version must not be carried out after its sender gave
@@ -11,25 +22,25 @@
 pub const EVACUATE_MS: u64 = 900;
 
 /// How long an order on the configuration may take before its outcome is told to be unclear.
-pub fn wait_ms(controller: &crate::controller::Controller) -> u64 {
+pub fn wait_ms(controller: &Controller) -> u64 {
     (controller.env.bounds.ack_ms / 2).clamp(800, 2500)
 }
 
 /// Carries an order out, at its home where that answers in time.
-pub async fn submit(controller: &std::sync::Arc<crate::controller::Controller>, order: Order) -> OrderResult {
+pub async fn submit(controller: &Arc<Controller>, order: Order) -> OrderResult {
     if controller.orders_may_be_stale() {
         return OrderResult::Unclear;
     }
-    let begun = kernel::clock::now();
+    let begun = clock::now();
     if let Some(result) = relay(controller, &order).await {
         return result;
     }
-    let spent = kernel::clock::now() - begun;
+    let spent = clock::now() - begun;
     execute(controller, &order, spent).await
 }
 
 /// An order that another controller relayed. It is not relayed again.
-pub async fn relayed(controller: &std::sync::Arc<crate::controller::Controller>, order: Order) -> OrderResult {
+pub async fn relayed(controller: &Arc<Controller>, order: Order) -> OrderResult {
     if controller.orders_may_be_stale() {
         return OrderResult::Unclear;
     }
@@ -38,27 +49,27 @@
 
 fn key(order: &Order) -> String {
     match order {
-        Order::Change(_) | Order::ReadConfig => crate::state::CONFIG.into(),
-        Order::Evacuate { zone, .. } | Order::EvacuateFrom { zone, .. } => format!("{}{zone}", crate::state::CLOSED),
+        Order::Change(_) | Order::ReadConfig => CONFIG.into(),
+        Order::Evacuate { zone, .. } | Order::EvacuateFrom { zone, .. } => format!("{}{zone}", CLOSED),
     }
 }
 
 /// The controller that is home to a key, if that is another one: the first live member in the agreed order. It
 /// has a disk and votes itself.
-fn home(controller: &crate::controller::Controller, key: &str) -> Option<String> {
-    let now = kernel::clock::now();
+fn home(controller: &Controller, key: &str) -> Option<String> {
+    let now = clock::now();
     let core = controller.core();
-    let leaving = controller.leaving.load(std::sync::atomic::Ordering::Relaxed);
+    let leaving = controller.leaving.load(Ordering::Relaxed);
     let roster = controller.roster.lock().expect("roster");
-    let first = crate::reconfiguration::first_member(&core, &roster, leaving, key, now)?;
-    let takes_orders = roster.controllers.get(&first).is_some_and(|peer| peer.reads >= protocol::msg::RELAYED_ORDERS);
+    let first = reconfiguration::first_member(&core, &roster, leaving, key, now)?;
+    let takes_orders = roster.controllers.get(&first).is_some_and(|peer| peer.reads >= RELAYED_ORDERS);
     takes_orders.then_some(first)
 }
 
 /// Where a caller had better send an order: to the key's home, from a controller that is no member of the core. Such
 /// a one may have a slow link, and would only pass both ways on.
-pub fn better_place(controller: &crate::controller::Controller, order: &Order) -> Option<String> {
-    if consensus::quorum::is_member(&controller.core(), controller.me()) {
+pub fn better_place(controller: &Controller, order: &Order) -> Option<String> {
+    if quorum::is_member(&controller.core(), controller.me()) {
         return None;
     }
     let own = controller.env.bind_addresses.control_plane.as_deref()?;
@@ -72,21 +83,21 @@
 }
 
 /// None: it is to be carried out here.
-async fn relay(controller: &std::sync::Arc<crate::controller::Controller>, order: &Order) -> Option<OrderResult> {
+async fn relay(controller: &Arc<Controller>, order: &Order) -> Option<OrderResult> {
     let home = home(controller, &key(order))?;
     let reads = controller.roster.lock().expect("roster").controllers.get(&home).map_or(0, |peer| peer.reads);
-    let message = protocol::msg::Msg::Order(Box::new(as_relayed(controller, order, reads)));
+    let message = Msg::Order(Box::new(as_relayed(controller, order, reads)));
     match controller.peer(&home).call(message, RELAY_MS).await {
-        Some(protocol::msg::Msg::OrderDone(result)) if *result != OrderResult::Unclear => Some(*result),
+        Some(Msg::OrderDone(result)) if *result != OrderResult::Unclear => Some(*result),
         _ => None,
     }
 }
 
 /// An order as it goes to a controller that reads messages of this version. It may arrive late, after it was carried out here
 /// and then taken back: an evacuation names the version of the zone's that it is made on top of.
-fn as_relayed(controller: &crate::controller::Controller, order: &Order, reads: u64) -> Order {
+fn as_relayed(controller: &Controller, order: &Order, reads: u64) -> Order {
     match order {
-        Order::Evacuate { zone, on } if reads >= protocol::msg::VERSIONED_EVACUATIONS => {
+        Order::Evacuate { zone, on } if reads >= VERSIONED_EVACUATIONS => {
             let committed_state = controller.committed_state.lock().expect("committed_state");
             let version = committed_state.closed.get(zone).map_or(0, |(version, _)| *version);
             Order::EvacuateFrom { zone: zone.clone(), on: *on, version }
@@ -95,14 +106,14 @@
     }
 }
 
-async fn execute(controller: &std::sync::Arc<crate::controller::Controller>, order: &Order, spent: u64) -> OrderResult {
+async fn execute(controller: &Arc<Controller>, order: &Order, spent: u64) -> OrderResult {
     match order {
-        Order::Change(change) => crate::config_orders::change(controller, change).await,
+        Order::Change(change) => config_orders::change(controller, change).await,
         Order::Evacuate { zone, on } => evacuate(controller, zone, *on, None, EVACUATE_MS.saturating_sub(spent)).await,
         Order::EvacuateFrom { zone, on, version } => evacuate(controller, zone, *on, Some(*version), EVACUATE_MS).await,
         Order::ReadConfig => {
             let judge = |body: &[u8]| Verdict::Answer(OrderResult::Found { body: body.to_vec() });
-            controller.change(crate::state::CONFIG, wait_ms(controller), judge).await.unwrap_or(OrderResult::Unclear)
+            controller.change(CONFIG, wait_ms(controller), judge).await.unwrap_or(OrderResult::Unclear)
         }
     }
 }
@@ -120,18 +131,12 @@
     Verdict::Write(Closed { version: held.version + 1, on }.write_bytes(), done)
 }
 
-async fn evacuate(
-    controller: &std::sync::Arc<crate::controller::Controller>,
-    zone: &str,
-    on: bool,
-    from: Option<u64>,
-    wait_ms: u64,
-) -> OrderResult {
-    let key = format!("{}{zone}", crate::state::CLOSED);
+async fn evacuate(controller: &Arc<Controller>, zone: &str, on: bool, from: Option<u64>, wait_ms: u64) -> OrderResult {
+    let key = format!("{}{zone}", CLOSED);
     let judge = |body: &[u8]| judge_evacuation(on, from, body, OrderResult::Done, OrderResult::Unclear);
     let result = controller.change(&key, wait_ms, judge).await.unwrap_or(OrderResult::Unclear);
     if result == OrderResult::Done {
-        kernel::say!(crate::event::EVACUATION, "zone" => zone, "on" => on);
+        kernel::say!(EVACUATION, "zone" => zone, "on" => on);
     }
     result
 }
--- a/controller/src/orders_tests.rs
+++ b/controller/src/orders_tests.rs
@@ -1,7 +1,10 @@
 //! Where orders are sent, and evacuations on top of what is committed.
-use super::{control_address, judge_evacuation};
+
 use consensus::proposal::Verdict;
 
+use super::{control_address, judge_evacuation};
+use crate::state::Closed;
+
 #[test]
 fn a_caller_is_sent_to_the_home_at_the_port_that_all_serve() {
     assert_eq!(control_address("10.0.0.9:8262", "10.0.0.4").as_deref(), Some("10.0.0.4:8262"));
@@ -16,7 +19,7 @@
     let Verdict::Write(body, "done") = judge(true, &[]) else { panic!("a change") };
     assert_eq!(judge(true, &body), Verdict::Answer("done"));
     let Verdict::Write(body, "done") = judge(false, &body) else { panic!("a change") };
-    let closed = crate::state::Closed::open(&body).expect("read");
+    let closed = Closed::open(&body).expect("read");
     assert_eq!((closed.version, closed.on), (2, false));
 }
 
--- a/controller/src/outbound.rs
+++ b/controller/src/outbound.rs
@@ -7,24 +7,28 @@
 
 use std::time::Duration;
 
+use protocol::sock::SILENCE_MS;
+use reqwest::redirect::Policy;
+use reqwest::{retry, Client, ClientBuilder};
+
 /// A client that sends each request at most once, on a connection of its own. `unacknowledged`: how long
 /// sent bytes may stay unacknowledged before the connection is reset. Bytes held up by a cut link are
 /// discarded then, so that they can't arrive long after their sender has lost its lease.
-pub fn at_most_once(connect_timeout: Duration, unacknowledged: Duration) -> reqwest::ClientBuilder {
+pub fn at_most_once(connect_timeout: Duration, unacknowledged: Duration) -> ClientBuilder {
     no_resend(connect_timeout, unacknowledged).pool_max_idle_per_host(0)
 }
 
 /// A client for reads: connections are kept, and one that closes while idle is replaced.
-pub fn reads(connect_timeout: Duration) -> reqwest::ClientBuilder {
-    no_resend(connect_timeout, Duration::from_millis(protocol::sock::SILENCE_MS)).tcp_nodelay(true)
+pub fn reads(connect_timeout: Duration) -> ClientBuilder {
+    no_resend(connect_timeout, Duration::from_millis(SILENCE_MS)).tcp_nodelay(true)
 }
 
-fn no_resend(connect_timeout: Duration, unacknowledged: Duration) -> reqwest::ClientBuilder {
-    reqwest::Client::builder()
+fn no_resend(connect_timeout: Duration, unacknowledged: Duration) -> ClientBuilder {
+    Client::builder()
         .connect_timeout(connect_timeout)
         .tcp_user_timeout(unacknowledged)
-        .redirect(reqwest::redirect::Policy::none())
-        .retry(reqwest::retry::never())
+        .redirect(Policy::none())
+        .retry(retry::never())
         .no_proxy()
 }
 
--- a/controller/src/outbound_tests.rs
+++ b/controller/src/outbound_tests.rs
@@ -1,8 +1,17 @@
-use batch::attempt::Outcome;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+
+use batch::attempt::Outcome;
+use batch::sheet::Job;
+use batch::turn::Press;
+use protocol::sock;
+use reqwest::Client;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+use super::{at_most_once, reads};
+use crate::job_request;
 
 /// What a server does once it has read a request.
 #[derive(Clone, Copy)]
@@ -20,7 +29,7 @@
 }
 
 async fn server(replies: &'static [Reply]) -> Server {
-    let listener = protocol::sock::listen("127.0.0.1:0").expect("a port");
+    let listener = sock::listen("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address").to_string();
     let (requests, connections) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (seen, accepted) = (requests.clone(), connections.clone());
@@ -43,7 +52,7 @@
 }
 
 /// Reads up to the end of a request's head: the requests of these tests have bodies of one byte at most.
-async fn read_request(stream: &mut tokio::net::TcpStream) -> bool {
+async fn read_request(stream: &mut TcpStream) -> bool {
     let mut text = Vec::new();
     let mut buffer = [0; 1024];
     loop {
@@ -62,8 +71,8 @@
 const REDIRECT: Reply =
     Reply::Answer("HTTP/1.1 307 Temporary Redirect\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n");
 
-fn job(repeatable: bool) -> batch::sheet::Job {
-    batch::sheet::Job {
+fn job(repeatable: bool) -> Job {
+    Job {
         name: "j".into(),
         method: "POST".into(),
         host: "h.example".into(),
@@ -74,12 +83,12 @@
     }
 }
 
-async fn send(server: &Server, client: &reqwest::Client) -> Outcome {
-    crate::job_request::send(client, &server.address, &job(false), batch::turn::Press::Idle, 10_000).await
+async fn send(server: &Server, client: &Client) -> Outcome {
+    job_request::send(client, &server.address, &job(false), Press::Idle, 10_000).await
 }
 
-fn client() -> reqwest::Client {
-    super::at_most_once(Duration::from_secs(10), Duration::from_secs(10)).build().expect("a client")
+fn client() -> Client {
+    at_most_once(Duration::from_secs(10), Duration::from_secs(10)).build().expect("a client")
 }
 
 #[tokio::test]
@@ -112,7 +121,7 @@
 #[tokio::test]
 async fn reads_do_not_follow_a_redirect_either() {
     let server = server(&[REDIRECT, OK]).await;
-    let client = super::reads(Duration::from_secs(10)).build().expect("a client");
+    let client = reads(Duration::from_secs(10)).build().expect("a client");
     let reply = client.get(format!("http://{}/instances", server.address)).send().await.expect("an answer");
     assert_eq!(reply.status().as_u16(), 307);
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
--- a/controller/src/pause.rs
+++ b/controller/src/pause.rs
@@ -1,6 +1,12 @@
 //! Notices that the whole process stood still, as when it is frozen and thawed or its machine sleeps. What
 //! waited in its sockets meanwhile is as old as the pause.
 
+use std::sync::Arc;
+
+use kernel::{clock, entry};
+
+use crate::controller::Controller;
+
 /// A pause from this length on is one after which an order in a socket may long have been given up.
 const PAUSE_MS: u64 = 1000;
 /// For so long after the process goes on, orders are taken for old ones.
@@ -9,13 +15,13 @@
 const BEAT_MS: u64 = 250;
 
 /// Beats in a task of its own: one that also does other work would stand still with it.
-pub fn start(controller: &std::sync::Arc<crate::controller::Controller>) {
+pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = kernel::entry::beat(BEAT_MS);
+        let mut beat = entry::beat(BEAT_MS);
         loop {
             beat.tick().await;
-            controller.pauses.lock().expect("pauses").beat(kernel::clock::now());
+            controller.pauses.lock().expect("pauses").beat(clock::now());
         }
     });
 }
--- a/controller/src/pause_tests.rs
+++ b/controller/src/pause_tests.rs
@@ -1,7 +1,9 @@
 //! Orders that were read around a pause of the process.
 
-fn running_until(end: u64) -> super::PauseMonitor {
-    let mut monitor = super::PauseMonitor::default();
+use super::PauseMonitor;
+
+fn running_until(end: u64) -> PauseMonitor {
+    let mut monitor = PauseMonitor::default();
     (0..=end).step_by(150).for_each(|now| monitor.beat(now));
     monitor
 }
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -1,10 +1,23 @@
 //! The platform's list of engines: one poller a zone, within the rate that all daemons share.
 
-use crate::listing::{Listing, Page};
-use crate::metrics::{PollLabels, PollOutcome};
 use std::sync::Arc;
 use std::time::Duration;
 
+use kernel::clock;
+use kernel::env::Env;
+use load_balancing::sheet::{self, Sheets};
+use membership::PeerReport;
+use protocol::msg::{self, Engine, Gossip, Msg, Sheet};
+use protocol::version_rollout;
+use reqwest::{Client, StatusCode};
+use tokio::time;
+
+use crate::controller::Controller;
+use crate::event::LIST;
+use crate::listing::{Listing, Page};
+use crate::metrics::{PollLabels, PollOutcome};
+use crate::{duty, outbound, rules, version_lists};
+
 /// Why a poll gave no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollError {
@@ -42,21 +55,21 @@
 const UNREACHABLE: &str = "platform unreachable";
 
 /// What is told to peers about the own access to the platform.
-pub fn told(controller: &crate::controller::Controller, now: u64) -> Option<(String, u64, u64)> {
+pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
     let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
-    unreachable.then(|| (protocol::msg::hide(UNREACHABLE), 1, 0))
+    unreachable.then(|| (msg::hide(UNREACHABLE), 1, 0))
 }
 
 /// What a peer told of others.
-pub fn report(gossip: &protocol::msg::Gossip) -> membership::PeerReport {
-    let name = protocol::msg::hide(UNREACHABLE);
+pub fn report(gossip: &Gossip) -> PeerReport {
+    let name = msg::hide(UNREACHABLE);
     let platform_unreachable = gossip.sheets.iter().any(|told| told.0 == name);
-    let (sure, vouches) = crate::duty::heard(&gossip.sheets);
-    membership::PeerReport { sure, vouches, platform_unreachable }
+    let (sure, vouches) = duty::heard(&gossip.sheets);
+    PeerReport { sure, vouches, platform_unreachable }
 }
 
 /// The time between two polls of a zone: often enough for `drain_ms`, within the shared rate.
-fn pause(env: &kernel::env::Env, pages: usize) -> u64 {
+fn pause(env: &Env, pages: usize) -> u64 {
     let zones = env.zones.len().max(1);
     let calls = (zones * pages.max(1)) as f64;
     // Two pollers may overlap while a home changes hands, and the wishes stay under half the rate.
@@ -69,22 +82,22 @@
     now > begun + allowed_ms + STALL_MS
 }
 
-pub fn start(controller: &Arc<crate::controller::Controller>) {
-    let client = crate::outbound::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
+pub fn start(controller: &Arc<Controller>) {
+    let client = outbound::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
     let Ok(client) = client else { return };
     for zone in controller.env.zones.keys() {
         tokio::spawn(run(controller.clone(), client.clone(), zone.clone()));
     }
 }
 
-async fn run(controller: Arc<crate::controller::Controller>, client: reqwest::Client, zone: String) {
+async fn run(controller: Arc<Controller>, client: Client, zone: String) {
     let (mut turn, mut polls) = (0, 0u32);
     let mut pages = 1;
     let mut wait = 0;
     loop {
-        tokio::time::sleep(Duration::from_millis(wait)).await;
+        time::sleep(Duration::from_millis(wait)).await;
         wait = pause(&controller.env, pages);
-        let now = kernel::clock::now();
+        let now = clock::now();
         let poller = controller.roster.lock().expect("roster").poller(&zone, now);
         if poller != controller.me() || now < FIRST_MS {
             wait = wait.min(FIRST_MS);
@@ -109,25 +122,19 @@
 
 /// Keeps count of polls without an answer: a poller that is cut off from the platform lets another
 /// controller take its place.
-fn note_access(controller: &crate::controller::Controller, error: Option<PollError>) {
+fn note_access(controller: &Controller, error: Option<PollError>) {
     let mut roster = controller.roster.lock().expect("roster");
     match error {
         None | Some(PollError::Refused) => roster.access.succeeded(),
-        Some(PollError::Unreachable) => roster.access.failed(kernel::clock::now()),
+        Some(PollError::Unreachable) => roster.access.failed(clock::now()),
         Some(PollError::Stalled) => {}
     }
 }
 
 /// Sends out what a poll read, unless a list that another poller made became known meanwhile.
 /// `versions`: whether weight versions are wanted, and whether to send them even if unchanged.
-fn take(
-    controller: &crate::controller::Controller,
-    zone: &str,
-    turn: &mut u64,
-    listing: Listing,
-    versions: Option<bool>,
-) {
-    let parted = crate::version_lists::part(controller, listing.engines);
+fn take(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
+    let parted = version_lists::part(controller, listing.engines);
     let (sheet, candidates) = {
         let mut sheets = controller.sheets.lock().expect("sheets");
         if sheets.known(zone) != listing.known {
@@ -137,7 +144,7 @@
         (sheet, candidate_sheet(controller, &mut sheets, zone, parted.candidates))
     };
     if let Some(again) = versions {
-        crate::rules::seen(controller, zone, listing.weights, again);
+        rules::seen(controller, zone, listing.weights, again);
     }
     // First those of the version in place: an engine that is both for a moment is no more left out.
     for sheet in sheet.into_iter().chain(candidates) {
@@ -146,31 +153,21 @@
 }
 
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
-fn candidate_sheet(
-    controller: &crate::controller::Controller,
-    sheets: &mut load_balancing::sheet::Sheets,
-    zone: &str,
-    list: Vec<protocol::msg::Engine>,
-) -> Option<protocol::msg::Sheet> {
-    let name = protocol::version_rollout::candidates_of(zone);
+fn candidate_sheet(controller: &Controller, sheets: &mut Sheets, zone: &str, list: Vec<Engine>) -> Option<Sheet> {
+    let name = version_rollout::candidates_of(zone);
     let held = sheets.all().find(|sheet| sheet.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.list.is_empty()) {
         return None;
     }
     let mut turn = held.map_or(0, |held| held.turn);
     let known = sheets.known(&name);
-    if turn != 0 && !load_balancing::sheet::is_turn_of(turn, controller.seat) {
+    if turn != 0 && !sheet::is_turn_of(turn, controller.seat) {
         turn = 0;
     }
     sheets.poll(&name, &mut turn, controller.seat, list, known)
 }
 
-async fn poll(
-    controller: &crate::controller::Controller,
-    client: &reqwest::Client,
-    zone: &str,
-    ruled: bool,
-) -> Result<Listing, PollError> {
+async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
     let _permit = controller.polls.acquire().await.map_err(|_| PollError::Refused)?;
     let known = controller.sheets.lock().expect("sheets").known(zone);
     let mut listing = Listing::new(known);
@@ -196,52 +193,52 @@
     }
 }
 
-fn url(controller: &crate::controller::Controller, zone: &str, token: Option<&str>) -> String {
+fn url(controller: &Controller, zone: &str, token: Option<&str>) -> String {
     let address = &controller.env.cloud_api.address;
     let page = token.map(|token| format!("&page_token={token}")).unwrap_or_default();
     format!("http://{address}/instances?zone={zone}{page}")
 }
 
 /// Asks for one page. Ok(None): refused, over the shared rate.
-async fn call(client: &reqwest::Client, url: &str) -> Result<Option<Page>, PollError> {
-    let begun = kernel::clock::now();
+async fn call(client: &Client, url: &str) -> Result<Option<Page>, PollError> {
+    let begun = clock::now();
     let reply = client.get(url).send().await.map_err(|_| PollError::Unreachable)?;
-    if reply.status() == reqwest::StatusCode::TOO_MANY_REQUESTS {
+    if reply.status() == StatusCode::TOO_MANY_REQUESTS {
         return Ok(None);
     }
-    if reply.status() != reqwest::StatusCode::OK {
+    if reply.status() != StatusCode::OK {
         return Err(PollError::Refused);
     }
     let body = reply.bytes().await.map_err(|_| PollError::Unreachable)?;
     let page = serde_json::from_slice(&body).map_err(|_| PollError::Refused)?;
-    match stalled(begun, CALL_MS, kernel::clock::now()) {
+    match stalled(begun, CALL_MS, clock::now()) {
         true => Err(PollError::Stalled),
         false => Ok(Some(page)),
     }
 }
 
 async fn rest(wait_ms: u64) -> Result<(), PollError> {
-    let begun = kernel::clock::now();
-    tokio::time::sleep(Duration::from_millis(wait_ms)).await;
-    match stalled(begun, wait_ms, kernel::clock::now()) {
+    let begun = clock::now();
+    time::sleep(Duration::from_millis(wait_ms)).await;
+    match stalled(begun, wait_ms, clock::now()) {
         true => Err(PollError::Stalled),
         false => Ok(()),
     }
 }
 
-fn publish(controller: &crate::controller::Controller, sheet: protocol::msg::Sheet) {
-    kernel::say!(crate::event::LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
+fn publish(controller: &Controller, sheet: Sheet) {
+    kernel::say!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
         "up" => sheet.list.iter().filter(|engine| engine.up).count(), "all" => sheet.list.len(),
         "prefill" => sheet.list.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     prune(controller, &sheet);
     for ip in controller.known() {
-        controller.peer(&ip).cast(protocol::msg::Msg::Sheet(Box::new(sheet.clone())));
+        controller.peer(&ip).cast(Msg::Sheet(Box::new(sheet.clone())));
     }
     controller.push();
 }
 
 /// Draining engines leave the catalog's answers at once.
-pub fn prune(controller: &crate::controller::Controller, sheet: &protocol::msg::Sheet) {
+pub fn prune(controller: &Controller, sheet: &Sheet) {
     let mut catalog = controller.catalog.lock().expect("catalog");
     for engine in sheet.list.iter().filter(|engine| !engine.up) {
         catalog.prefix_index.drop_engine(&engine.id);
--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -1,12 +1,22 @@
 //! The shards of tenants' limits that this controller holds. The rules are in the crate `quota`; here they meet the controller.
 
-use crate::controller::Controller;
-use protocol::quota::{ShardHolder, ShardUsage, Spend, Spent};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
+use kernel::clock;
+use protocol::msg::{Msg, QUOTAS};
+use protocol::quota::{from_milli, holders_key, holders_mark, to_milli, ShardHolder, ShardUsage, Spend, Spent};
+use quota::{Holder, Quota, Shards, TAKE_OVER_MS};
+use serde_json::Value;
+
+use crate::controller::Controller;
+use crate::followers::Follower;
+
 /// The shards held here, and who may hold others.
 pub struct HeldShards {
-    shards: quota::Shards,
+    shards: Shards,
     holders: Vec<ShardHolder>,
     /// What tells this list of holders from others.
     mark: u64,
@@ -15,19 +25,19 @@
 impl HeldShards {
     /// Those of a controller that has just started: none.
     pub fn new(ip: &str) -> HeldShards {
-        HeldShards { shards: quota::Shards::new(ip), holders: Vec::new(), mark: 0 }
+        HeldShards { shards: Shards::new(ip), holders: Vec::new(), mark: 0 }
     }
 }
 
 /// Notes who may hold shards. True: that has changed, and routers are to hear of it.
 pub fn beat(controller: &Controller) -> bool {
-    let now = kernel::clock::now();
-    let leaving = controller.leaving.load(std::sync::atomic::Ordering::Relaxed);
+    let now = clock::now();
+    let leaving = controller.leaving.load(Ordering::Relaxed);
     let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
-    let able = controller.roster.lock().expect("roster").able(protocol::msg::QUOTAS, quota::TAKE_OVER_MS, leaving, now);
+    let able = controller.roster.lock().expect("roster").able(QUOTAS, TAKE_OVER_MS, leaving, now);
     let holders: Vec<ShardHolder> = able.into_iter().map(|one| ShardHolder { ip: one.ip, zone: one.zone }).collect();
-    let mark = protocol::quota::holders_mark(&holders);
-    let live = holders.iter().map(|one| quota::Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+    let mark = holders_mark(&holders);
+    let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
     let mut held = controller.quotas.lock().expect("quotas");
     held.shards.beat(now, confirmed_at, live);
     let is_new = held.mark != mark;
@@ -37,16 +47,15 @@
 
 /// Takes a token for a router's request.
 pub fn spend(controller: &Controller, spend: &Spend) -> Spent {
-    let now = kernel::clock::now();
+    let now = clock::now();
     let (confirmed_at, limit) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.sure, committed_state.history.tenant_quota(&spend.tenant))
     };
     // The router may know of a newer configuration than this controller, or of an older one.
-    let (rate_per_s, burst) =
-        (protocol::quota::from_milli(spend.rate_milli), protocol::quota::from_milli(spend.burst_milli));
-    let limit = limit.unwrap_or(quota::Quota { rate_per_s, burst });
-    let Some(quota) = quota::Quota::new(limit.rate_per_s, limit.burst) else { return Spent::Granted };
+    let (rate_per_s, burst) = (from_milli(spend.rate_milli), from_milli(spend.burst_milli));
+    let limit = limit.unwrap_or(Quota { rate_per_s, burst });
+    let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return Spent::Granted };
     let spent = controller.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
     let spent = match spent {
         quota::Spent::Granted => Spent::Granted,
@@ -58,13 +67,13 @@
 }
 
 /// Tells a router who may hold shards, where it has another list.
-pub fn send_holders(controller: &Controller, follower: &mut crate::followers::Follower) {
+pub fn send_holders(controller: &Controller, follower: &mut Follower) {
     let held = controller.quotas.lock().expect("quotas");
-    let has = follower.sheets.entry(protocol::quota::holders_key()).or_default();
+    let has = follower.sheets.entry(holders_key()).or_default();
     if has.0 == held.mark {
         return;
     }
-    match follower.mouth.cast(&protocol::msg::Msg::Holders(Box::new(held.holders.clone()))) {
+    match follower.mouth.cast(&Msg::Holders(Box::new(held.holders.clone()))) {
         true => has.0 = held.mark,
         false => follower.behind = true,
     }
@@ -77,7 +86,7 @@
         tenant: one.tenant,
         granted: one.granted,
         denied: one.denied,
-        tokens_milli: protocol::quota::to_milli(one.tokens),
+        tokens_milli: to_milli(one.tokens),
     });
     shown.collect()
 }
@@ -86,9 +95,9 @@
 const USAGE_MS: u64 = 400;
 
 /// What all shards have given, by tenant, and the controllers that did not answer.
-pub async fn fleet_usage(controller: &Arc<Controller>) -> serde_json::Value {
+pub async fn fleet_usage(controller: &Arc<Controller>) -> Value {
     let holders = controller.quotas.lock().expect("quotas").holders.clone();
-    let mut sums = std::collections::BTreeMap::<String, TenantUsage>::new();
+    let mut sums = BTreeMap::<String, TenantUsage>::new();
     let mut silent = Vec::new();
     for holder in &holders {
         let told = match holder.ip == controller.me() {
@@ -108,13 +117,13 @@
             "burst_size": limit.map(|limit| limit.burst)})
     };
     let mut tenants: Vec<_> = sums.iter().collect();
-    tenants.sort_by_key(|(_, sum)| std::cmp::Reverse(sum.granted + sum.denied));
+    tenants.sort_by_key(|(_, sum)| Reverse(sum.granted + sum.denied));
     serde_json::json!({"tenants": tenants.into_iter().map(shown).collect::<Vec<_>>(), "silent_keepers": silent})
 }
 
 async fn ask_usage(controller: &Controller, ip: &str) -> Option<Vec<ShardUsage>> {
-    match controller.peer(ip).call(protocol::msg::Msg::Usage(Box::new(0)), USAGE_MS).await {
-        Some(protocol::msg::Msg::Used(list)) => Some(*list),
+    match controller.peer(ip).call(Msg::Usage(Box::new(0)), USAGE_MS).await {
+        Some(Msg::Used(list)) => Some(*list),
         _ => None,
     }
 }
@@ -132,7 +141,7 @@
     fn add(&mut self, shard: &ShardUsage) {
         self.granted += shard.granted;
         self.denied += shard.denied;
-        self.tokens += protocol::quota::from_milli(shard.tokens_milli);
+        self.tokens += from_milli(shard.tokens_milli);
         self.shards += 1;
     }
 }
--- a/controller/src/reconfiguration_tests.rs
+++ b/controller/src/reconfiguration_tests.rs
@@ -1,20 +1,26 @@
 //! The next core as a controller sees its peers. The decision itself is tested in `consensus::membership`.
 
-fn core(ips: &[&str]) -> protocol::msg::Core {
-    let list = ips.iter().map(|ip| protocol::msg::Member { ip: ip.to_string(), zone: String::new() }).collect();
-    protocol::msg::Core { version: 4, list, prev: Vec::new(), settled: true }
+use membership::{Peer, Roster};
+use protocol::msg::{Core, Member, JOINT_QUORUMS, READS};
+
+use super::next;
+use crate::controller::LIVE_MS;
+
+fn core(ips: &[&str]) -> Core {
+    let list = ips.iter().map(|ip| Member { ip: ip.to_string(), zone: String::new() }).collect();
+    Core { version: 4, list, prev: Vec::new(), settled: true }
 }
 
-fn roster(heard: &[(&str, u64)]) -> membership::Roster {
-    let mut list = membership::Roster::new("10.0.0.1", "a", crate::controller::LIVE_MS);
+fn roster(heard: &[(&str, u64)]) -> Roster {
+    let mut list = Roster::new("10.0.0.1", "a", LIVE_MS);
     for (ip, heard) in heard {
-        let peer = membership::Peer { heard: *heard, fit: true, ..Default::default() };
+        let peer = Peer { heard: *heard, fit: true, ..Default::default() };
         list.hear(ip, peer);
     }
     list
 }
 
-fn names(core: &protocol::msg::Core) -> Vec<&str> {
+fn names(core: &Core) -> Vec<&str> {
     core.list.iter().map(|member| member.ip.as_str()).collect()
 }
 
@@ -31,16 +37,16 @@
 #[test]
 fn nobody_is_removed_without_one_too_many_and_nobody_added_without_a_majority() {
     let gone = roster(&[("10.0.0.2", 9900), ("10.0.0.3", 100)]);
-    assert_eq!(super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &gone, 10_000), None);
+    assert_eq!(next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &gone, 10_000), None);
     let few = roster(&[("10.0.0.2", 100), ("10.0.0.3", 100), ("10.0.0.4", 9900)]);
-    assert_eq!(super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &few, 10_000), None);
+    assert_eq!(next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &few, 10_000), None);
 }
 
 /// All peers read the newest messages, and the second member said that it is about to end.
-fn with_one_leaving(heard: &[(&str, u64)]) -> membership::Roster {
+fn with_one_leaving(heard: &[(&str, u64)]) -> Roster {
     let mut list = roster(heard);
     for (ip, peer) in &mut list.controllers {
-        peer.reads = protocol::msg::READS;
+        peer.reads = READS;
         peer.leaving = ip == "10.0.0.2";
     }
     list
@@ -56,7 +62,7 @@
 #[test]
 fn members_are_not_exchanged_while_a_peer_does_not_count_joint_quorums() {
     let mut list = with_one_leaving(&[("10.0.0.2", 9900), ("10.0.0.3", 9900), ("10.0.0.4", 9900)]);
-    list.controllers.get_mut("10.0.0.3").expect("a peer").reads = protocol::msg::JOINT_QUORUMS - 1;
+    list.controllers.get_mut("10.0.0.3").expect("a peer").reads = JOINT_QUORUMS - 1;
     let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]);
 }
--- a/controller/src/recovery.rs
+++ b/controller/src/recovery.rs
@@ -1,17 +1,28 @@
 //! A voter on an empty disk: either it was never a member, or it must first read so many others that no
 //! vote it gave and lost goes unseen.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use consensus::voter::LogRecord;
+use consensus::{quorum, RECALL_DELAY_MS};
+use kernel::clock;
 use protocol::msg::{Ask, Core, Vote};
+use tokio::time::{self, Instant};
+
+use crate::controller::Controller;
+use crate::event::{FRESH, RECALLED};
 
 const READ_MS: u64 = 800;
 
 /// One attempt. It may be repeated until the voter may vote.
-pub async fn attempt(controller: &std::sync::Arc<crate::controller::Controller>) {
+pub async fn attempt(controller: &Arc<Controller>) {
     let core = controller.core();
-    if kernel::clock::now() < consensus::RECALL_DELAY_MS || core.list.is_empty() {
+    if clock::now() < RECALL_DELAY_MS || core.list.is_empty() {
         return;
     }
     // One that is being removed votes no more, but the change is settled on what it says that it holds.
-    if consensus::quorum::is_old_or_new_member(&core, controller.me()) {
+    if quorum::is_old_or_new_member(&core, controller.me()) {
         recall(controller, &core).await;
     } else {
         become_candidate(controller, &core).await;
@@ -19,7 +30,7 @@
 }
 
 /// Reads what the other voters hold until every quorum of the core has a voter that was read.
-async fn recall(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core) {
+async fn recall(controller: &Arc<Controller>, core: &Core) {
     let others = controller.voter.lock().expect("voter").witnesses();
     let enough = |from: &[String]| controller.voter.lock().expect("voter").enough(from);
     let Some(answers) = gather(controller, core, Ask::Whole, &others, enough).await else { return };
@@ -40,14 +51,14 @@
         let Some(records) = voter.recall(reads) else { return };
         controller.disk.write(records);
     }
-    kernel::say!(crate::event::RECALLED, "from" => from.join(","));
+    kernel::say!(RECALLED, "from" => from.join(","));
 }
 
 /// A quorum says that this core is the current one, and this controller is neither in it nor, as long as it matters,
 /// in the one before: no vote of it counts.
-async fn become_candidate(controller: &std::sync::Arc<crate::controller::Controller>, core: &Core) {
-    let members = consensus::quorum::old_and_new_members(core);
-    let enough = |from: &[String]| consensus::quorum::is_quorum(core, from);
+async fn become_candidate(controller: &Arc<Controller>, core: &Core) {
+    let members = quorum::old_and_new_members(core);
+    let enough = |from: &[String]| quorum::is_quorum(core, from);
     if gather(controller, core, Ask::Places, &members, enough).await.is_none() {
         return;
     }
@@ -56,23 +67,23 @@
         return;
     }
     voter.may_vote = true;
-    controller.disk.write(vec![consensus::voter::LogRecord::Vote]);
-    kernel::say!(crate::event::FRESH, "core" => core.version);
+    controller.disk.write(vec![LogRecord::Vote]);
+    kernel::say!(FRESH, "core" => core.version);
 }
 
 /// Asks voters until enough of them answered what was asked. None: not in time, or the core is not current.
 async fn gather(
-    controller: &std::sync::Arc<crate::controller::Controller>,
+    controller: &Arc<Controller>,
     core: &Core,
     ask: Ask,
     addresses: &[String],
     enough: impl Fn(&[String]) -> bool,
 ) -> Option<Vec<(String, Vote)>> {
     let mut votes = controller.ask(core, ask, addresses);
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(READ_MS);
+    let end = Instant::now() + Duration::from_millis(READ_MS);
     let (mut answers, mut from) = (Vec::new(), Vec::new());
     while !enough(&from) {
-        match tokio::time::timeout_at(end, votes.recv()).await.ok()?? {
+        match time::timeout_at(end, votes.recv()).await.ok()?? {
             (_, Vote::Newer { core }) => {
                 controller.adopt(&core);
                 return None;
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -1,49 +1,61 @@
 //! The resources of rollouts: a rule, the trainer's latest, a rollback, and the state of it all.
-use crate::control::Receipt;
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+
+use poem::http::Method;
+use poem::{Endpoint, Request, Response};
+use protocol::msg::{self, ROLLOUT};
+use serde_json::{Map, Value};
+
+use crate::control::{self, Receipt};
+use crate::controller::Controller;
+use crate::rollouts::{self, Ask};
+use crate::version_calls;
 
 /// Largest body taken.
 const BODY: usize = 256 * 1024;
 
-pub struct Rollouts(pub std::sync::Arc<crate::controller::Controller>);
-pub struct Rule(pub std::sync::Arc<crate::controller::Controller>);
+pub struct Rollouts(pub Arc<Controller>);
+pub struct Rule(pub Arc<Controller>);
 /// The trainer's latest; true: a rollback.
-pub struct Latest(pub std::sync::Arc<crate::controller::Controller>, pub bool);
+pub struct Latest(pub Arc<Controller>, pub bool);
 
 fn key(service: &str, model: &str) -> String {
-    format!("{}{service}/{model}", protocol::msg::ROLLOUT)
+    format!("{}{service}/{model}", ROLLOUT)
 }
 
-fn named(req: &poem::Request) -> (String, String) {
+fn named(req: &Request) -> (String, String) {
     req.path_params::<(String, String)>().unwrap_or_default()
 }
 
-async fn text(req: &mut poem::Request) -> Result<String, Receipt> {
+async fn text(req: &mut Request) -> Result<String, Receipt> {
     let body = req.take_body().into_bytes_limit(BODY).await;
     let body = body.map_err(|_| Receipt::Bad(413, format!("body: cut short or over {BODY} bytes")))?;
     String::from_utf8(body.to_vec()).map_err(|_| Receipt::Bad(400, "body: not UTF-8".into()))
 }
 
-fn base(req: &poem::Request) -> Option<u64> {
+fn base(req: &Request) -> Option<u64> {
     req.header("if-match")?.trim().trim_matches('"').parse().ok()
 }
 
 impl Rule {
-    async fn put(&self, req: &mut poem::Request) -> Result<Receipt, Receipt> {
+    async fn put(&self, req: &mut Request) -> Result<Receipt, Receipt> {
         let ((service, model), base) = (named(req), base(req));
         let text = text(req).await?;
         let config = self.0.committed_state.lock().expect("committed_state").history.current().cloned();
         let config = config.ok_or_else(|| Receipt::Bad(409, "no configuration yet: no routes".into()))?;
-        let ask = crate::rollouts::read(&text, base, (&service, &model), config.config());
+        let ask = rollouts::read(&text, base, (&service, &model), config.config());
         let ask = ask.map_err(|(status, words)| Receipt::Bad(status, words))?;
         let names = (service.as_str(), model.as_str());
-        Ok(crate::rollouts::carry(&self.0, &key(&service, &model), names, ask).await)
+        Ok(rollouts::carry(&self.0, &key(&service, &model), names, ask).await)
     }
 
-    async fn remove(&self, req: &poem::Request) -> Receipt {
+    async fn remove(&self, req: &Request) -> Receipt {
         let (service, model) = named(req);
         let Some(base) = base(req) else { return Receipt::Bad(400, "If-Match: missing or not a number".into()) };
-        let ask = crate::rollouts::Ask::Remove { base };
-        crate::rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
+        let ask = Ask::Remove { base };
+        rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
     }
 
     /// The rule and how far it holds: replicas by zone and half, routers that confirmed.
@@ -64,17 +76,16 @@
         Receipt::Text(value.to_string().into_bytes())
     }
 
-    fn replicas(&self, rule: &protocol::msg::Rule) -> serde_json::Value {
+    fn replicas(&self, rule: &msg::Rule) -> Value {
         let sheets = self.0.sheets.lock().expect("sheets");
         let weights = self.0.weights.lock().expect("weights");
-        let versions: std::collections::HashMap<&str, u64> = weights
+        let versions: HashMap<&str, u64> = weights
             .values()
             .flat_map(|list| &list.list)
             .filter(|(_, model, _)| *model == rule.model)
             .map(|(id, _, version)| (id.as_str(), *version))
             .collect();
-        let mut zones: std::collections::BTreeMap<&str, std::collections::BTreeMap<&str, [u32; 3]>> =
-            Default::default();
+        let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
         let engines = sheets.all().flat_map(|sheet| &sheet.list).filter(|engine| engine.service == rule.service);
         for engine in engines.filter(|engine| engine.up) {
             let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
@@ -87,43 +98,43 @@
         }
         let halves =
             |counts: &[u32; 3]| serde_json::json!({"inside": counts[0], "past": counts[1], "unknown": counts[2]});
-        let zone = |(zone, list): (&&str, &std::collections::BTreeMap<&str, [u32; 3]>)| {
-            let list: serde_json::Map<String, serde_json::Value> =
+        let zone = |(zone, list): (&&str, &BTreeMap<&str, [u32; 3]>)| {
+            let list: Map<String, Value> =
                 list.iter().map(|(half, counts)| (half.to_string(), halves(counts))).collect();
-            (zone.to_string(), serde_json::Value::Object(list))
+            (zone.to_string(), Value::Object(list))
         };
-        serde_json::Value::Object(zones.iter().map(zone).collect())
+        Value::Object(zones.iter().map(zone).collect())
     }
 }
 
-impl poem::Endpoint for Rollouts {
-    type Output = poem::Response;
+impl Endpoint for Rollouts {
+    type Output = Response;
 
-    async fn call(&self, mut req: poem::Request) -> poem::Result<poem::Response> {
-        if req.method() == poem::http::Method::POST {
+    async fn call(&self, mut req: Request) -> poem::Result<Response> {
+        if req.method() == Method::POST {
             let receipt = match text(&mut req).await {
-                Ok(text) => crate::version_calls::start(&self.0, &text).await,
+                Ok(text) => version_calls::start(&self.0, &text).await,
                 Err(receipt) => receipt,
             };
-            return Ok(crate::control::write(receipt));
+            return Ok(control::write(receipt));
         }
         let committed_state = self.0.committed_state.lock().expect("committed_state");
         let live = committed_state.rules.values().filter(|rule| !rule.removed);
-        let list: Vec<serde_json::Value> = live
+        let list: Vec<Value> = live
             .map(|rule| {
                 serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
                     "floor": rule.floor(), "latest": rule.latest, "lag": rule.lag, "routes": rule.routes})
             })
             .collect();
         let body = serde_json::json!({ "rollouts": list }).to_string().into_bytes();
-        Ok(crate::control::write(Receipt::Text(body)))
+        Ok(control::write(Receipt::Text(body)))
     }
 }
 
-impl poem::Endpoint for Rule {
-    type Output = poem::Response;
+impl Endpoint for Rule {
+    type Output = Response;
 
-    async fn call(&self, mut req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, mut req: Request) -> poem::Result<Response> {
         let (service, model) = named(&req);
         let receipt = match req.method().as_str() {
             "GET" => self.state(&service, &model).await,
@@ -131,26 +142,26 @@
             "DELETE" => self.remove(&req).await,
             _ => Receipt::Bad(405, "method: GET, PUT or DELETE".into()),
         };
-        Ok(crate::control::write(receipt))
+        Ok(control::write(receipt))
     }
 }
 
-impl poem::Endpoint for Latest {
-    type Output = poem::Response;
+impl Endpoint for Latest {
+    type Output = Response;
 
-    async fn call(&self, mut req: poem::Request) -> poem::Result<poem::Response> {
-        if req.method() != poem::http::Method::POST {
-            return Ok(crate::control::write(Receipt::Bad(405, "method: POST".into())));
+    async fn call(&self, mut req: Request) -> poem::Result<Response> {
+        if req.method() != Method::POST {
+            return Ok(control::write(Receipt::Bad(405, "method: POST".into())));
         }
         let (service, model) = named(&req);
         let ask = match text(&mut req).await {
-            Ok(text) => crate::rollouts::read_latest(&text, self.1),
-            Err(receipt) => return Ok(crate::control::write(receipt)),
+            Ok(text) => rollouts::read_latest(&text, self.1),
+            Err(receipt) => return Ok(control::write(receipt)),
         };
         let receipt = match ask {
-            Ok(ask) => crate::rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
+            Ok(ask) => rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
             Err((status, words)) => Receipt::Bad(status, words),
         };
-        Ok(crate::control::write(receipt))
+        Ok(control::write(receipt))
     }
 }
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -1,5 +1,13 @@
 //! Limits on stale weights at the operator's door. One key of the ledger a service and model.
-use crate::control::Receipt;
+
+use protocol::config::{self, Config};
+use protocol::msg::Rule;
+use serde_json::Value;
+
+use crate::control::{self, Receipt};
+use crate::controller::Controller;
+use crate::event::{RULE, UNSETTLED};
+use crate::register::Verdict;
 
 /// What a call asks of a rule.
 pub enum Ask {
@@ -23,7 +31,7 @@
 }
 
 /// What an ask comes to on top of what is held. Ok(None): it holds already.
-pub fn verdict(held: Option<&protocol::msg::Rule>, ask: &Ask) -> Result<Option<protocol::msg::Rule>, (u16, String)> {
+pub fn verdict(held: Option<&Rule>, ask: &Ask) -> Result<Option<Rule>, (u16, String)> {
     let live = held.filter(|held| !held.removed);
     let version = held.map_or(0, |held| held.version);
     let seen = live.map_or(0, |held| held.version);
@@ -34,8 +42,7 @@
     let none = || (404, "no rule for this service and model".to_string());
     match ask {
         Ask::Put { base, latest, lag, routes } => {
-            let same =
-                |held: &protocol::msg::Rule| held.latest == *latest && held.lag == *lag && held.routes == *routes;
+            let same = |held: &Rule| held.latest == *latest && held.lag == *lag && held.routes == *routes;
             if live.is_some_and(same) {
                 return Ok(None);
             }
@@ -45,14 +52,14 @@
             }
             let next = held.cloned().unwrap_or_default();
             let (latest, lag, routes) = (*latest, *lag, routes.clone());
-            Ok(Some(protocol::msg::Rule { version: version + 1, latest, lag, routes, removed: false, ..next }))
+            Ok(Some(Rule { version: version + 1, latest, lag, routes, removed: false, ..next }))
         }
         Ask::Latest(latest) => {
             let held = live.ok_or_else(none)?;
             if *latest < held.latest {
                 return Err((400, format!("latest: found {latest}, {} was reported; a rollback says so", held.latest)));
             }
-            let next = protocol::msg::Rule { version: version + 1, latest: *latest, ..held.clone() };
+            let next = Rule { version: version + 1, latest: *latest, ..held.clone() };
             Ok((*latest > held.latest).then_some(next))
         }
         Ask::Rollback { latest, reason } => {
@@ -64,18 +71,18 @@
                 return Err((400, format!("latest: found {latest}, not older than {}", held.latest)));
             }
             let (rollbacks, reason) = (held.rollbacks + 1, reason.clone());
-            Ok(Some(protocol::msg::Rule { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
+            Ok(Some(Rule { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
         }
         Ask::Remove { base } => {
             let Some(held) = live else { return if held.is_some() { Ok(None) } else { Err(none()) } };
             base_of(*base)?;
-            Ok(Some(protocol::msg::Rule { version: version + 1, removed: true, ..held.clone() }))
+            Ok(Some(Rule { version: version + 1, removed: true, ..held.clone() }))
         }
     }
 }
 
 /// A number that is there and not negative.
-fn number(value: &serde_json::Value, name: &str) -> Result<u64, (u16, String)> {
+fn number(value: &Value, name: &str) -> Result<u64, (u16, String)> {
     value[name].as_u64().ok_or_else(|| (400, format!("{name}: found {}, must be a whole number from 0", value[name])))
 }
 
@@ -84,9 +91,9 @@
     text: &str,
     base: Option<u64>,
     (service, model): (&str, &str),
-    config: &protocol::config::Config,
+    config: &Config,
 ) -> Result<Ask, (u16, String)> {
-    let value: serde_json::Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
+    let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
     let Some(spec) = config.service_table.iter().find(|item| item.name == service) else {
         return Err((404, format!("service `{service}`: not known")));
     };
@@ -101,7 +108,7 @@
         let Some(route) = config.route_table.iter().find(|route| route.name == name) else {
             return Err((400, format!("route `{name}`: not known")));
         };
-        if !protocol::config::targets(route).iter().any(|(target, _)| *target == service) {
+        if !config::targets(route).iter().any(|(target, _)| *target == service) {
             return Err((400, format!("route `{name}`: does not go to service `{service}`")));
         }
         routes.push(name.to_string());
@@ -113,7 +120,7 @@
 
 /// Reads what the trainer or a rollback says.
 pub fn read_latest(text: &str, rollback: bool) -> Result<Ask, (u16, String)> {
-    let value: serde_json::Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
+    let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
     let latest = number(&value, "latest")?;
     if !rollback {
         return Ok(Ask::Latest(latest));
@@ -126,36 +133,31 @@
 }
 
 /// Carries an ask out: committed, then waited for until it binds everywhere.
-pub async fn carry(
-    controller: &crate::controller::Controller,
-    key: &str,
-    (service, model): (&str, &str),
-    ask: Ask,
-) -> Receipt {
+pub async fn carry(controller: &Controller, key: &str, (service, model): (&str, &str), ask: Ask) -> Receipt {
     let judge = |body: &[u8]| {
-        let held = protocol::msg::Rule::read_bytes(body);
+        let held = Rule::read_bytes(body);
         if held.is_none() && !body.is_empty() {
-            return crate::register::Verdict::Answer(Err(Receipt::Unclear));
+            return Verdict::Answer(Err(Receipt::Unclear));
         }
         match verdict(held.as_ref(), &ask) {
-            Ok(None) => crate::register::Verdict::Answer(Ok(held.map_or(0, |held| held.version))),
+            Ok(None) => Verdict::Answer(Ok(held.map_or(0, |held| held.version))),
             Ok(Some(next)) => {
-                let next = protocol::msg::Rule { service: service.into(), model: model.into(), ..next };
-                crate::register::Verdict::Write(next.write_bytes(), Ok(next.version))
+                let next = Rule { service: service.into(), model: model.into(), ..next };
+                Verdict::Write(next.write_bytes(), Ok(next.version))
             }
-            Err((status, words)) => crate::register::Verdict::Answer(Err(Receipt::Bad(status, words))),
+            Err((status, words)) => Verdict::Answer(Err(Receipt::Bad(status, words))),
         }
     };
-    let version = match controller.change(key, crate::control::wait_ms(controller), judge).await {
+    let version = match controller.change(key, control::wait_ms(controller), judge).await {
         Some(Ok(version)) => version,
         Some(Err(receipt)) => return receipt,
         None => return Receipt::Unclear,
     };
     if !controller.settle_rule(key, version).await {
-        kernel::say!(crate::event::UNSETTLED, "rule" => key, "version" => version);
+        kernel::say!(UNSETTLED, "rule" => key, "version" => version);
         return Receipt::Unclear;
     }
-    kernel::say!(crate::event::RULE, "rule" => key, "version" => version);
+    kernel::say!(RULE, "rule" => key, "version" => version);
     Receipt::Text(serde_json::json!({ "rule": key, "version": version }).to_string().into_bytes())
 }
 
--- a/controller/src/rollouts_tests.rs
+++ b/controller/src/rollouts_tests.rs
@@ -1,12 +1,16 @@
-use super::{verdict, Ask};
+use protocol::config;
+use protocol::msg::Rule;
+use serde_json::Value;
+
+use super::{read_latest, verdict, Ask};
 
 fn put(base: u64, latest: u64, lag: u64) -> Ask {
     Ask::Put { base, latest, lag, routes: vec!["r".into()] }
 }
 
-fn made() -> protocol::msg::Rule {
+fn made() -> Rule {
     let next = verdict(None, &put(0, 10, 2)).expect("good").expect("new");
-    protocol::msg::Rule { service: "s".into(), model: "m".into(), ..next }
+    Rule { service: "s".into(), model: "m".into(), ..next }
 }
 
 fn status<T>(verdict: Result<T, (u16, String)>) -> u16 {
@@ -58,8 +62,8 @@
         "route_table": [
             {"name": "r", "hostname": "h", "path_prefix": "/", "route_type": "streaming", "timeout_ms": 5, "service": "s"},
             {"name": "o", "hostname": "i", "path_prefix": "/", "route_type": "streaming", "timeout_ms": 5, "service": "t"}]});
-    let config = protocol::config::read(&text.to_string()).expect("good");
-    let read = |body: serde_json::Value, names| super::read(&body.to_string(), Some(0), names, &config).map(|_| ());
+    let config = config::read(&text.to_string()).expect("good");
+    let read = |body: Value, names| super::read(&body.to_string(), Some(0), names, &config).map(|_| ());
     let good = serde_json::json!({"latest": 5, "lag": 1, "routes": ["r"]});
     assert_eq!(read(good.clone(), ("s", "m")), Ok(()));
     for (names, words) in [(("x", "m"), "service `x`"), (("s", "n"), "model `n`"), (("t", "m"), "model `m`")] {
@@ -79,5 +83,5 @@
         assert!(status == 400 && text.contains(words), "{text}");
     }
     assert_eq!(status(super::read(&good.to_string(), None, ("s", "m"), &config)), 400, "no If-Match");
-    assert_eq!(status(super::read_latest("{\"latest\": 4}", true)), 400, "a rollback says why");
+    assert_eq!(status(read_latest("{\"latest\": 4}", true)), 400, "a rollback says why");
 }
--- a/controller/src/rules.rs
+++ b/controller/src/rules.rs
@@ -1,20 +1,32 @@
 //! Limits on stale weights on their way to routers: what a router lacks, what it has confirmed, and the
 //! wait until no router can send bound work under an older rule.
 
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use futures_util::future;
+use kernel::clock;
+use load_balancing::floor::LEASE_MS;
+use protocol::msg::{self, Msg, Versions};
+use tokio::time;
+
+use crate::controller::{CommittedState, Controller, SURE_MS};
+use crate::followers::Follower;
+
 /// The versions of rules among what a router told.
-pub fn told(closed: &[(String, u64)]) -> std::collections::BTreeMap<String, u64> {
+pub fn told(closed: &[(String, u64)]) -> BTreeMap<String, u64> {
     let rules = closed.iter().filter_map(|(name, version)| Some((name.strip_prefix('\0')?.to_string(), *version)));
     rules.collect()
 }
 
 /// Sends the rules that a follower lacks.
-pub fn send(committed_state: &crate::controller::CommittedState, follower: &mut crate::followers::Follower) {
+pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for (key, rule) in &committed_state.rules {
-        let has = follower.closed.entry(protocol::msg::hide(key)).or_default();
+        let has = follower.closed.entry(msg::hide(key)).or_default();
         if rule.version <= *has {
             continue;
         }
-        match follower.mouth.cast(&protocol::msg::Msg::Rule(Box::new(rule.clone()))) {
+        match follower.mouth.cast(&Msg::Rule(Box::new(rule.clone()))) {
             true => *has = rule.version,
             false => follower.behind = true,
         }
@@ -23,14 +35,14 @@
 
 /// From a commit on, how long a router that has not heard of it may still send bound work: its controller may
 /// be sure of what it read before for `SURE_MS`, and the lease that it then renews lasts `LEASE_MS`.
-pub const WAIT_MS: u64 = crate::controller::SURE_MS + load_balancing::floor::LEASE_MS + 200;
+pub const WAIT_MS: u64 = SURE_MS + LEASE_MS + 200;
 /// The pause between looks, and how long a controller may take to answer one.
 const LOOK_MS: u64 = 60;
 const ANSWER_MS: u64 = 400;
 
-impl crate::controller::Controller {
+impl Controller {
     /// Has this follower confirmed every rule known here?
-    pub fn confirmed(&self, follower: &crate::followers::Follower) -> bool {
+    pub fn confirmed(&self, follower: &Follower) -> bool {
         let committed_state = self.committed_state.lock().expect("committed_state");
         committed_state
             .rules
@@ -63,43 +75,43 @@
         let asks = self.known().into_iter().map(|ip| {
             let peer = self.peer(&ip);
             async move {
-                let msg = protocol::msg::Msg::Settle(Box::new((key.to_string(), version)));
+                let msg = Msg::Settle(Box::new((key.to_string(), version)));
                 match peer.call(msg, ANSWER_MS).await {
-                    Some(protocol::msg::Msg::Settled(reply)) => Some(*reply),
+                    Some(Msg::Settled(reply)) => Some(*reply),
                     _ => None,
                 }
             }
         });
-        let mut list = futures_util::future::join_all(asks).await;
-        list.push(Some(self.settled(key, version, kernel::clock::now())));
+        let mut list = future::join_all(asks).await;
+        list.push(Some(self.settled(key, version, clock::now())));
         list
     }
 
     /// Waits until no router can send bound work under an older rule: each has confirmed this one or its
     /// lease has lapsed. False: one keeps its lease without confirming.
     pub async fn settle_rule(&self, key: &str, version: u64) -> bool {
-        let begun = kernel::clock::now();
+        let begun = clock::now();
         loop {
             let list = self.ask_settled(key, version).await;
-            let late = kernel::clock::now() >= begun + WAIT_MS;
+            let late = clock::now() >= begun + WAIT_MS;
             // Who does not answer can be waited out; who answers must have settled.
             let good = list.iter().all(|reply| reply.map_or(late, |(all, good)| all == good));
             if good || late {
                 return good;
             }
-            tokio::time::sleep(std::time::Duration::from_millis(LOOK_MS)).await;
+            time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
     }
 
     /// Sends the weight versions that a follower lacks.
-    pub fn send_weights(&self, follower: &mut crate::followers::Follower) {
+    pub fn send_weights(&self, follower: &mut Follower) {
         for (zone, list) in self.weights.lock().expect("weights").iter() {
-            let has = follower.sheets.entry(protocol::msg::hide(zone)).or_default();
+            let has = follower.sheets.entry(msg::hide(zone)).or_default();
             let version = (list.turn, list.count);
             if *has == version {
                 continue;
             }
-            match follower.mouth.cast(&protocol::msg::Msg::Versions(Box::new(list.clone()))) {
+            match follower.mouth.cast(&Msg::Versions(Box::new(list.clone()))) {
                 true => *has = version,
                 false => follower.behind = true,
             }
@@ -108,7 +120,7 @@
 }
 
 /// Versions from the poller of a zone, or from the own poll.
-pub fn hear(controller: &crate::controller::Controller, list: protocol::msg::Versions) {
+pub fn hear(controller: &Controller, list: Versions) {
     {
         let mut held = controller.weights.lock().expect("weights");
         let old = held.get(&list.zone).map(|held| (held.turn, held.count));
@@ -121,16 +133,16 @@
 }
 
 /// What the poller of a zone saw, asked for only while there are rules.
-pub fn seen(controller: &crate::controller::Controller, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
+pub fn seen(controller: &Controller, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
     let held = controller.weights.lock().expect("weights").get(zone).cloned().unwrap_or_default();
     let same = held.turn == controller.seat && held.list == list;
     if same && !again {
         return;
     }
     let count = held.count + u64::from(!same);
-    let next = protocol::msg::Versions { zone: zone.into(), turn: controller.seat, count, list };
+    let next = Versions { zone: zone.into(), turn: controller.seat, count, list };
     for ip in controller.known() {
-        controller.peer(&ip).cast(protocol::msg::Msg::Versions(Box::new(next.clone())));
+        controller.peer(&ip).cast(Msg::Versions(Box::new(next.clone())));
     }
     hear(controller, next);
 }
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -1,14 +1,25 @@
 //! The owner of the batches: claims their pages under its epoch, sends jobs to routers as a client
 //! does, and writes their receipts.
 
-use crate::controller::Controller;
-use crate::register::Verdict;
-use batch::page::{Bar, Page, State};
-use batch::sheet::Batch;
 use std::collections::{HashMap, HashSet};
+use std::mem;
+use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use batch::page::{Bar, Page, State};
+use batch::sheet::Batch;
+use batch::turn::{self, Pace, View};
+use batch::{KEEP_MS, PAGE};
+use kernel::{clock, entry};
+use protocol::sock::SILENCE_MS;
+use reqwest::Client;
+
+use crate::controller::Controller;
+use crate::duty::{self, BATCH};
+use crate::register::Verdict;
+use crate::{batches, job_run, outbound};
+
 pub const LOOK_MS: u64 = 250;
 const CONNECT_MS: u64 = 700;
 /// How long one change of a batch, and of one of its pages, may take.
@@ -50,7 +61,7 @@
     pub jobs: HashSet<(String, usize)>,
     /// Attempts that were lost, by job.
     pub lost: HashMap<(String, usize), u32>,
-    pub pace: batch::turn::Pace,
+    pub pace: Pace,
 }
 
 /// A batch that has jobs to send.
@@ -62,12 +73,12 @@
 
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = crate::outbound::at_most_once(wait(CONNECT_MS), wait(protocol::sock::SILENCE_MS));
+    let client = outbound::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = kernel::entry::beat(LOOK_MS);
-        let pace = batch::turn::Pace::new(PLACES);
+        let mut beat = entry::beat(LOOK_MS);
+        let pace = Pace::new(PLACES);
         let in_flight: Shared = Arc::new(Mutex::new(InFlight { jobs: HashSet::new(), lost: HashMap::new(), pace }));
         let mut runner = Runner::default();
         loop {
@@ -79,28 +90,28 @@
 
 /// The epoch under which batches may be run now: the last owner has stopped by then.
 pub fn acting_epoch(controller: &Controller, now: u64) -> Option<u64> {
-    crate::duty::acting_epoch(controller, crate::duty::BATCH, now)
+    duty::acting_epoch(controller, BATCH, now)
 }
 
-async fn look(controller: &Arc<Controller>, client: &reqwest::Client, runner: &mut Runner, in_flight: &Shared) {
-    if controller.leaving.load(std::sync::atomic::Ordering::Relaxed) {
+async fn look(controller: &Arc<Controller>, client: &Client, runner: &mut Runner, in_flight: &Shared) {
+    if controller.leaving.load(Ordering::Relaxed) {
         // The next holder sends the rest; what is under way here is finished.
         return;
     }
-    let now = kernel::clock::now();
-    let ids = crate::batches::ids(&controller.committed_state.lock().expect("committed_state"));
+    let now = clock::now();
+    let ids = batches::ids(&controller.committed_state.lock().expect("committed_state"));
     let epoch = if ids.is_empty() { None } else { acting_epoch(controller, now) };
     let Some(epoch) = epoch else {
         runner.looked = now;
         return;
     };
-    if !crate::duty::declare_clear(controller, crate::duty::BATCH, epoch).await {
+    if !duty::declare_clear(controller, BATCH, epoch).await {
         return;
     }
     if epoch != runner.epoch {
         *runner = Runner { epoch, looked: now, ..Runner::default() };
     }
-    let spent = now.saturating_sub(std::mem::replace(&mut runner.looked, now));
+    let spent = now.saturating_sub(mem::replace(&mut runner.looked, now));
     let mut open = Vec::new();
     for id in &ids {
         if !runner.claimed.contains(id) {
@@ -115,13 +126,7 @@
     }
     for send in next(&open, in_flight, now) {
         in_flight.lock().expect("in flight").jobs.insert((send.id.clone(), send.job));
-        controller.shutdown.spawn(crate::job_run::run(
-            controller.clone(),
-            client.clone(),
-            in_flight.clone(),
-            send,
-            epoch,
-        ));
+        controller.shutdown.spawn(job_run::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
     }
 }
 
@@ -131,25 +136,25 @@
     let in_flight = in_flight.lock().expect("in flight");
     let mut list = Vec::new();
     for number in 0..batch.pages() {
-        let page = crate::batches::page(&committed_state, id, batch, number);
+        let page = batches::page(&committed_state, id, batch, number);
         let waits = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
-        list.extend(waits.map(|(slot, _)| number * batch::PAGE + slot));
+        list.extend(waits.map(|(slot, _)| number * PAGE + slot));
     }
     list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
     list
 }
 
 /// What to send now, into the places that are free.
-fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<batch::turn::Send> {
+fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<turn::Send> {
     let in_flight = in_flight.lock().expect("in flight");
     let free = in_flight.pace.free(in_flight.jobs.len(), now);
-    let views = open.iter().map(|open| batch::turn::View {
+    let views = open.iter().map(|open| View {
         id: &open.id,
         left_ms: open.batch.left_ms(),
         window_ms: open.batch.window_ms,
         waiting: open.waiting.clone(),
     });
-    batch::turn::next(&views.collect::<Vec<_>>(), free)
+    turn::next(&views.collect::<Vec<_>>(), free)
 }
 
 /// Changes one page under this owner's epoch. Some(false): another owner holds it, or the job has its
@@ -162,22 +167,22 @@
     mut act: impl FnMut(&mut Page) -> Result<(), Bar>,
 ) -> Option<bool> {
     let judge = |body: &[u8]| {
-        let mut page = Page::read_bytes(body).unwrap_or_else(|| crate::batches::blank(batch, number));
+        let mut page = Page::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
         match act(&mut page) {
             Ok(()) if page.write_bytes() == body => Verdict::Answer(true),
             Ok(()) => Verdict::Write(page.write_bytes(), true),
             Err(_) => Verdict::Answer(false),
         }
     };
-    controller.change(&crate::batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
+    controller.change(&batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
 }
 
 async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
-    let Some(batch) = crate::batches::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
+    let Some(batch) = batches::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
         return false;
     };
     for number in 0..batch.pages() {
-        let again = |at: usize| batch.jobs.get(number * batch::PAGE + at).is_some_and(|job| job.repeatable);
+        let again = |at: usize| batch.jobs.get(number * PAGE + at).is_some_and(|job| job.repeatable);
         let taken = change(controller, id, &batch, number, |page| match page.epoch == epoch {
             true => Ok(()),
             false => page.claim(epoch, again),
@@ -194,8 +199,8 @@
 async fn tend(controller: &Controller, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
     let (held, done) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
-        let held = crate::batches::batch(&committed_state, id)?;
-        let done = (0..held.pages()).all(|number| crate::batches::page(&committed_state, id, &held, number).closed());
+        let held = batches::batch(&committed_state, id)?;
+        let done = (0..held.pages()).all(|number| batches::page(&committed_state, id, &held, number).closed());
         (held, done)
     };
     let held = count_down(controller, id, held, spent, done).await?;
@@ -209,7 +214,7 @@
 
 /// Written in steps, so that the count outlives this owner without a write for each look.
 async fn count_down(controller: &Controller, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
-    let step = if done { batch::KEEP_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
+    let step = if done { KEEP_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
     let tally = controller.tallies.lock().expect("tallies").add(id, spent);
     let over = held.spent_ms + tally >= held.window_ms;
     if tally < step && !(over && held.spent_ms < held.window_ms) {
@@ -223,8 +228,8 @@
             false => Verdict::Answer(()),
         }
     };
-    controller.change(&crate::batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
-    crate::batches::batch(&controller.committed_state.lock().expect("committed_state"), id)
+    controller.change(&batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
+    batches::batch(&controller.committed_state.lock().expect("committed_state"), id)
 }
 
 /// Closes the jobs that still wait.
--- a/controller/src/shutdown.rs
+++ b/controller/src/shutdown.rs
@@ -1,5 +1,9 @@
 //! The end of a controller: what it took is finished, and nothing new is taken.
 
+use std::future::Future;
+use std::time::Duration;
+
+use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
@@ -12,7 +16,7 @@
 
 impl Shutdown {
     /// Starts work that is to be finished before the process ends.
-    pub fn spawn(&self, work: impl std::future::Future<Output = ()> + Send + 'static) {
+    pub fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         self.work.spawn(work);
     }
 
@@ -27,10 +31,10 @@
     }
 
     /// Takes nothing new and waits for what is under way; false if something is not finished at the end.
-    pub async fn run(&self, end: tokio::time::Instant) -> bool {
+    pub async fn run(&self, end: Instant) -> bool {
         self.closing.cancel();
         self.work.close();
-        tokio::time::timeout_at(end, self.work.wait()).await.is_ok()
+        time::timeout_at(end, self.work.wait()).await.is_ok()
     }
 }
 
@@ -38,9 +42,9 @@
 const RESERVE_MS: u64 = 300;
 
 /// When a process that was told to end now must have finished.
-pub fn last_moment(grace_s: f64) -> tokio::time::Instant {
-    let grace = std::time::Duration::from_secs_f64(grace_s);
-    tokio::time::Instant::now() + grace.saturating_sub(std::time::Duration::from_millis(RESERVE_MS))
+pub fn last_moment(grace_s: f64) -> Instant {
+    let grace = Duration::from_secs_f64(grace_s);
+    Instant::now() + grace.saturating_sub(Duration::from_millis(RESERVE_MS))
 }
 
 #[cfg(test)]
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -1,7 +1,14 @@
 //! Changes of keys at a simulated controller: one at a time for each key, tried again until their time is over.
+
+use std::mem;
+
+use consensus::proposal::{Progress, Proposal, Verdict};
+use consensus::{quorum, round};
+use protocol::msg::{Ballot, Vote};
+
 use super::network::Address;
 use super::operator::{Answer, Attempt};
-use consensus::proposal::{Progress, Proposal, Verdict};
+use super::Cluster;
 
 const FIRST_PAUSE_MS: u64 = 20;
 const LAST_PAUSE_MS: u64 = 200;
@@ -31,7 +38,7 @@
     running: Option<(u64, Proposal<Option<Answer>>)>,
 }
 
-impl super::Cluster {
+impl Cluster {
     pub fn begin_change(&mut self, at: usize, key: &str, purpose: Purpose, wait_ms: u64, judge: Judge) {
         let end = self.now + wait_ms;
         let change = Change { purpose, judge, end, resume: self.now, pause: FIRST_PAUSE_MS, running: None };
@@ -54,7 +61,7 @@
     fn drop_late_changes(&mut self, at: usize, key: &str) {
         let now = self.now;
         let Some(list) = self.nodes[at].changes.get_mut(key) else { return };
-        let (late, rest) = std::mem::take(list).into_iter().partition(|change: &Change| now >= change.end);
+        let (late, rest) = mem::take(list).into_iter().partition(|change: &Change| now >= change.end);
         *list = rest;
         let late: Vec<Change> = late;
         for change in late {
@@ -75,18 +82,18 @@
         if change.running.is_some() || now < change.resume || core.list.is_empty() {
             return;
         }
-        node.turn = consensus::round::next_turn(node.turn, &core);
-        let ballot = protocol::msg::Ballot { turn: node.turn, seat: consensus::seat(&node.voter.ip, node.life) };
+        node.turn = round::next_turn(node.turn, &core);
+        let ballot = Ballot { turn: node.turn, seat: consensus::seat(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
         let (proposal, ask) = Proposal::begin(key, &core, held, ballot, &mut change.judge, now);
-        let members = consensus::quorum::addresses(&core);
+        let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &ask, &members);
         let change = self.nodes[at].changes.get_mut(key).and_then(|list| list.first_mut());
         change.expect("a change").running = Some((id, proposal));
     }
 
     /// A vote on a proposal. False: it was for something else.
-    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &protocol::msg::Vote) -> bool {
+    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &Vote) -> bool {
         let now = self.now;
         let node = &mut self.nodes[at];
         let is_for = |change: &Change| change.running.as_ref().is_some_and(|(running, _)| *running == id);
@@ -98,7 +105,7 @@
         match proposal.hear(from, vote.clone(), &mut change.judge, now) {
             Progress::Wait => {}
             Progress::Send(ask) => {
-                let members = consensus::quorum::addresses(&core);
+                let members = quorum::addresses(&core);
                 let next = self.poll(at, &core, &ask, &members);
                 let change = &mut self.nodes[at].changes.get_mut(&key).expect("a change")[0];
                 change.running.as_mut().expect("under way").0 = next;
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -1,9 +1,15 @@
 //! Heartbeats, and the confirmation at a quorum that a simulated controller knows what is committed.
+
+use consensus::confirmation::{self, Behind, Confirmation};
+use consensus::proposal::Verdict;
+use consensus::quorum;
+use membership::Peer;
+use protocol::msg::{Ask, Entry, Vote, READS};
+
 use super::changes::Purpose;
 use super::network::{Address, Heartbeat, Message};
-use consensus::confirmation::{Behind, Confirmation};
-use consensus::proposal::Verdict;
-use protocol::msg::{Ask, Vote};
+use super::Cluster;
+use crate::controller::BEAT_MS;
 
 const READ_MS: u64 = 600;
 const FETCH_MS: u64 = 60;
@@ -18,7 +24,7 @@
     since: u64,
     next_try: u64,
     id: u64,
-    fetched: Vec<(String, protocol::msg::Entry)>,
+    fetched: Vec<(String, Entry)>,
 }
 
 /// The confirmation under way. Invariant: `confirmed` is set to `begun` only once nothing is behind.
@@ -41,12 +47,12 @@
     }
 }
 
-impl super::Cluster {
+impl Cluster {
     pub fn run_confirmation(&mut self, at: usize) {
         let now = self.now;
         let confirming = &mut self.nodes[at].confirming;
         if now >= confirming.next_beat && !confirming.is_at_work() {
-            confirming.next_beat = now + crate::controller::BEAT_MS;
+            confirming.next_beat = now + BEAT_MS;
             self.tell(at);
             self.begin_confirmation(at);
             return;
@@ -77,11 +83,11 @@
 
     pub fn take_heartbeat(&mut self, at: usize, heartbeat: Heartbeat) {
         self.adopt(at, &heartbeat.core);
-        let peer = membership::Peer {
+        let peer = Peer {
             heard: self.now,
             fit: heartbeat.fit,
             leaving: heartbeat.leaving,
-            reads: protocol::msg::READS,
+            reads: READS,
             ..Default::default()
         };
         let roster = &mut self.nodes[at].roster;
@@ -98,7 +104,7 @@
         if core.list.is_empty() {
             return;
         }
-        let members = consensus::quorum::addresses(&core);
+        let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &Ask::Places, &members);
         let confirming = &mut self.nodes[at].confirming;
         confirming.begun = self.now;
@@ -159,7 +165,7 @@
             return self.caught_up(at, &key);
         }
         let first = node.roster.holder("", &key, now) == node.voter.ip;
-        let members = consensus::quorum::addresses(&core);
+        let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &Ask::Fetch { key: key.clone() }, &members);
         self.nodes[at].confirming.behind[number].id = id;
         if half_done && first && !self.is_changing(at, &Purpose::Repair) {
@@ -168,14 +174,14 @@
         }
     }
 
-    fn take_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<protocol::msg::Entry>) {
+    fn take_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<Entry>) {
         let takes_newer = self.guards.newer_entries;
         let node = &mut self.nodes[at];
         let Some(one) = node.confirming.behind.iter_mut().find(|one| one.id == id) else { return };
         let Some(entry) = entry else { return };
         let (key, place) = (one.behind.key.clone(), one.behind.place);
         one.fetched.push((from.into(), entry.clone()));
-        let newer = consensus::confirmation::committed(&node.voter.core, &one.fetched);
+        let newer = confirmation::committed(&node.voter.core, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.place() >= place);
         let looked_for = Some(entry).filter(|entry| one.behind.committed && entry.place() == place);
         let Some(entry) = looked_for.or(newer) else { return };
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -1,5 +1,10 @@
 //! Trouble in the simulation, and the quiet end at which everything is read back.
+
+use consensus::quorum;
+use consensus::voter::Voter;
+
 use super::{address, Cluster, Node};
+use crate::config_body::Held;
 
 /// How long a leaving process stays at most, as the controller has it.
 const HAND_OVER_MS: u64 = 3500;
@@ -30,7 +35,7 @@
         node.writes.clear();
         if wipe {
             let core = node.disk.core.clone();
-            node.disk = consensus::voter::Voter::new(&address(at));
+            node.disk = Voter::new(&address(at));
             if hasty {
                 node.disk.core = core;
                 node.disk.may_vote = true;
@@ -78,7 +83,7 @@
     pub fn end_if_released(&mut self, at: usize) {
         let Some(since) = self.nodes[at].leaving else { return };
         let core = &self.nodes[at].voter.core;
-        let released = core.settled && !consensus::quorum::is_member(core, &address(at));
+        let released = core.settled && !quorum::is_member(core, &address(at));
         let waited = self.now - since;
         if (released && waited >= LAST_CALLS_MS) || waited >= HAND_OVER_MS + LAST_CALLS_MS {
             self.remove(at);
@@ -104,7 +109,7 @@
     }
 
     /// Heals and starts everything, lets the last orders end, and reads back what is committed.
-    pub fn finish(&mut self) -> crate::config_body::Held {
+    pub fn finish(&mut self) -> Held {
         self.network.heal();
         for at in 0..self.nodes.len() {
             self.thaw(at);
@@ -115,7 +120,7 @@
         self.lost_answers = 0;
         self.run(8000);
         assert!(self.all_confirmed(), "a controller did not catch up in twelve seconds of calm");
-        let held: Vec<crate::config_body::Held> = self.live().iter().map(|at| self.nodes[*at].config()).collect();
+        let held: Vec<Held> = self.live().iter().map(|at| self.nodes[*at].config()).collect();
         let last = held.into_iter().max_by_key(|held| held.revision).expect("a controller");
         self.history.check_end(&last);
         last
--- a/controller/src/simulation/history.rs
+++ b/controller/src/simulation/history.rs
@@ -1,7 +1,12 @@
 //! What operators were told, and whether it holds together.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use protocol::config;
+
+use super::bodies;
 use super::operator::{Answer, Attempt, Order};
-use crate::config_body::Held;
-use std::collections::BTreeMap;
+use crate::config_body::{self, Held};
 
 /// A change that an operator knows to be taken.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +25,7 @@
     read_floor: BTreeMap<Attempt, u64>,
     refused: Vec<Attempt>,
     /// Changes that must never be taken.
-    invalid: std::collections::BTreeSet<Attempt>,
+    invalid: BTreeSet<Attempt>,
     acknowledged: Vec<Acknowledged>,
     /// The evacuation that was acknowledged last, and when; None while another is under way.
     evacuation: Option<(u64, bool)>,
@@ -34,7 +39,7 @@
 
 fn revision(order: &Order) -> u64 {
     let Order::Change(change) = order else { return 0 };
-    super::bodies::revision(change)
+    bodies::revision(change)
 }
 
 impl History {
@@ -74,7 +79,7 @@
         let Some(order) = self.orders.get(&attempt) else { return };
         match (order, answer) {
             (Order::Change(change), Answer::Good) => {
-                let (base, digest) = (change.base, crate::config_body::digest(change));
+                let (base, digest) = (change.base, config_body::digest(change));
                 let same_base = self.acknowledged.iter().find(|one| one.base == base && one.digest != digest);
                 if same_base.is_some() {
                     self.violations.push(format!("{now}: two changes of version {base} were acknowledged"));
@@ -111,14 +116,14 @@
     /// What was acknowledged is there at the end, and what is there was never refused.
     pub fn check_end(&mut self, last: &Held) {
         if last.revision > 0 {
-            match protocol::config::read(&last.text) {
+            match config::read(&last.text) {
                 Ok(config) if config.revision == last.revision => {}
                 other => self.violations.push(format!("version {} reads as {other:?}", last.revision)),
             }
         }
         for attempt in &self.invalid {
             let Some(Order::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &crate::config_body::digest(change)) {
+            if is_taken(last, &config_body::digest(change)) {
                 self.violations.push(format!("{attempt:?}: an invalid change is in force"));
             }
         }
@@ -130,7 +135,7 @@
         }
         for attempt in &self.refused {
             let Some(Order::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &crate::config_body::digest(change)) {
+            if is_taken(last, &config_body::digest(change)) {
                 self.violations.push(format!("a change of version {} was taken and refused", change.base));
             }
         }
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -1,9 +1,17 @@
 //! Changes of the core at a simulated controller, and the recovery of a voter that lost its disk.
+
+use std::mem;
+
+use consensus::membership::{settled, Settlement};
+use consensus::proposal::Verdict;
+use consensus::voter::LogRecord;
+use consensus::{quorum, CORE, RECALL_DELAY_MS};
+use protocol::msg::{Ask, Core, Slot, Vote};
+
 use super::changes::Purpose;
 use super::network::Address;
-use consensus::membership::Settlement;
-use consensus::proposal::Verdict;
-use protocol::msg::{Ask, Core, Vote};
+use super::{address, Cluster};
+use crate::{reconfiguration, state};
 
 const BEAT_MS: u64 = 150;
 const SPREAD_MS: u64 = 800;
@@ -16,7 +24,7 @@
     core: Core,
     end: u64,
     from: Vec<String>,
-    reads: Vec<Vec<protocol::msg::Slot>>,
+    reads: Vec<Vec<Slot>>,
 }
 
 #[derive(Default)]
@@ -27,7 +35,7 @@
     recovery: Option<Recovery>,
 }
 
-impl super::Cluster {
+impl Cluster {
     pub fn run_membership(&mut self, at: usize) {
         self.end_if_released(at);
         let now = self.now;
@@ -54,7 +62,7 @@
     fn coordinates(&self, at: usize, core: &Core) -> bool {
         let node = &self.nodes[at];
         let leaving = node.leaving.is_some();
-        let first = crate::reconfiguration::first_member(core, &node.roster, leaving, consensus::CORE, self.now);
+        let first = reconfiguration::first_member(core, &node.roster, leaving, CORE, self.now);
         first.as_deref() == Some(&node.voter.ip)
     }
 
@@ -63,13 +71,13 @@
             return;
         }
         let now = self.now;
-        let Some(next) = crate::reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
+        let Some(next) = reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
         let version = core.version;
-        let judge = move |body: &[u8]| match crate::state::read_core(body) {
+        let judge = move |body: &[u8]| match state::read_core(body) {
             Some(held) if held.version != version || !held.settled => Verdict::Answer(None),
-            _ => Verdict::Write(crate::state::write_core(&next), None),
+            _ => Verdict::Write(state::write_core(&next), None),
         };
-        self.begin_change(at, consensus::CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
 
     fn settle(&mut self, at: usize, core: &Core) {
@@ -87,7 +95,7 @@
             if members.spread.is_some_and(|(_, end)| now < end) {
                 return;
             }
-            let all = consensus::quorum::old_and_new_members(core);
+            let all = quorum::old_and_new_members(core);
             let id = self.poll(at, core, &Ask::Places, &all);
             self.nodes[at].members.spread = Some((id, now + SPREAD_MS));
             return;
@@ -112,24 +120,24 @@
             return;
         }
         let version = core.version;
-        let judge = move |body: &[u8]| match crate::state::read_core(body) {
+        let judge = move |body: &[u8]| match state::read_core(body) {
             Some(held) if held.version == version && !held.settled => {
-                let settled = consensus::membership::settled(&held);
-                Verdict::Write(crate::state::write_core(&settled), None)
+                let settled = settled(&held);
+                Verdict::Write(state::write_core(&settled), None)
             }
             _ => Verdict::Answer(None),
         };
-        self.begin_change(at, consensus::CORE, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, CORE, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
     }
 
     fn attempt_recovery(&mut self, at: usize) {
         let node = &self.nodes[at];
         let core = node.voter.core.clone();
         let at_work = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.end);
-        if self.now < node.born + consensus::RECALL_DELAY_MS || core.list.is_empty() || at_work {
+        if self.now < node.born + RECALL_DELAY_MS || core.list.is_empty() || at_work {
             return;
         }
-        let member = consensus::quorum::is_old_or_new_member(&core, &node.voter.ip);
+        let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
         let others = node.voter.witnesses();
         let ask = if member { Ask::Whole } else { Ask::Places };
         let id = self.poll(at, &core, &ask, &others);
@@ -140,7 +148,7 @@
     /// Routes a vote to what asked for it.
     pub fn take_vote(&mut self, at: usize, from: Address, id: u64, vote: Vote) {
         let Address::Node(from) = from else { return };
-        let from = super::address(from);
+        let from = address(from);
         if self.vote_on_change(at, &from, id, &vote) || self.vote_on_recovery(at, &from, id, &vote) {
             return;
         }
@@ -178,13 +186,13 @@
             _ => return true,
         }
         recovery.from.push(from.into());
-        let member = consensus::quorum::is_old_or_new_member(&recovery.core, &node.voter.ip);
+        let member = quorum::is_old_or_new_member(&recovery.core, &node.voter.ip);
         let records = if member && current && node.voter.enough(&recovery.from) {
-            let reads = std::mem::take(&mut recovery.reads);
+            let reads = mem::take(&mut recovery.reads);
             node.voter.recall(reads).unwrap_or_default()
-        } else if !member && current && consensus::quorum::is_quorum(&recovery.core, &recovery.from) {
+        } else if !member && current && quorum::is_quorum(&recovery.core, &recovery.from) {
             node.voter.may_vote = true;
-            vec![consensus::voter::LogRecord::Vote]
+            vec![LogRecord::Vote]
         } else {
             return true;
         };
--- a/controller/src/simulation/mod.rs
+++ b/controller/src/simulation/mod.rs
@@ -2,6 +2,15 @@
 //! frozen processes, losses of power and of disks, replaced machines, operators that race and send again.
 //! The nodes run the state machines of `ledger` and the decisions of this crate; only what carries them
 //! (sockets, timers, the disk) is simulated. `history` checks what operators and followers were told.
+
+use std::mem;
+
+use history::History;
+use kernel::clock::Dice;
+use network::{Message, Network};
+use node::Node;
+use operator::Operator;
+
 mod bodies;
 mod changes;
 mod confirming;
@@ -19,11 +28,6 @@
 mod replacement_tests;
 mod restart_tests;
 
-use history::History;
-use network::{Message, Network};
-use node::Node;
-use operator::Operator;
-
 /// Guards that a test may switch off to show that the simulation finds the fault they prevent.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
@@ -59,7 +63,7 @@
 /// All machines, operators and the network between them.
 pub struct Cluster {
     pub now: u64,
-    pub random: kernel::clock::Dice,
+    pub random: Dice,
     pub nodes: Vec<Node>,
     pub network: Network,
     pub operators: Vec<Operator>,
@@ -84,7 +88,7 @@
         let seeds: Vec<String> = (0..size).map(address).collect();
         let mut cluster = Cluster {
             now: 0,
-            random: kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            random: Dice::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             nodes: Vec::new(),
             network: Network::default(),
             operators: (0..operators).map(Operator::new).collect(),
@@ -146,7 +150,7 @@
 
     /// Everything that a node does by itself at this time.
     fn run_node(&mut self, at: usize) {
-        for letter in std::mem::take(&mut self.nodes[at].inbox) {
+        for letter in mem::take(&mut self.nodes[at].inbox) {
             self.handle(at, letter);
             // Each is begun before the next is read, as tasks of a process may be.
             self.run_changes(at);
--- a/controller/src/simulation/network.rs
+++ b/controller/src/simulation/network.rs
@@ -1,5 +1,12 @@
 //! The simulated network: letters that arrive late, out of order or never.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::mem;
+
+use protocol::msg::{Ask, Core, Entry, Poll, Vote};
+
 use super::operator::{Answer, Attempt, Order};
+use super::Cluster;
 
 const DELAY_MS: u64 = 8;
 const LATE_ONE_OF: u64 = 25;
@@ -16,14 +23,14 @@
 pub enum Message {
     Poll {
         id: u64,
-        poll: protocol::msg::Poll,
+        poll: Poll,
     },
     Vote {
         id: u64,
-        vote: protocol::msg::Vote,
+        vote: Vote,
     },
     Heartbeat(Heartbeat),
-    Learn(String, protocol::msg::Entry),
+    Learn(String, Entry),
     Order(Attempt, Order),
     Answer(Attempt, Answer),
     /// The operator closed the connection on which it sent an order.
@@ -36,7 +43,7 @@
     pub address: String,
     pub fit: bool,
     pub leaving: bool,
-    pub core: protocol::msg::Core,
+    pub core: Core,
     pub peers: Vec<String>,
 }
 
@@ -53,9 +60,9 @@
 /// Invariant: `letters` are sorted by the time of their arrival, in the order sent where it is the same.
 #[derive(Default)]
 pub struct Network {
-    letters: std::collections::BTreeMap<(u64, u64), Letter>,
+    letters: BTreeMap<(u64, u64), Letter>,
     sent: u64,
-    cuts: std::collections::BTreeSet<(usize, usize)>,
+    cuts: BTreeSet<(usize, usize)>,
 }
 
 impl Network {
@@ -71,7 +78,7 @@
 
     pub fn due(&mut self, now: u64) -> Vec<Letter> {
         let later = self.letters.split_off(&(now + 1, 0));
-        std::mem::replace(&mut self.letters, later).into_values().collect()
+        mem::replace(&mut self.letters, later).into_values().collect()
     }
 
     /// Nothing passes from one node to another any more, nor what is under way.
@@ -86,7 +93,7 @@
     }
 }
 
-impl super::Cluster {
+impl Cluster {
     /// Sends with a delay drawn by lot. Some letters come late, as after a retransmission, and a few between
     /// nodes are lost, as when a connection is reset.
     pub fn send(&mut self, from: Address, to: Address, message: Message) {
@@ -111,16 +118,10 @@
     }
 
     /// Polls these addresses under a number of its own, by which the votes are told apart.
-    pub fn poll(
-        &mut self,
-        at: usize,
-        core: &protocol::msg::Core,
-        ask: &protocol::msg::Ask,
-        addresses: &[String],
-    ) -> u64 {
+    pub fn poll(&mut self, at: usize, core: &Core, ask: &Ask, addresses: &[String]) -> u64 {
         let id = self.nodes[at].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
-            let poll = protocol::msg::Poll { core: core.clone(), ask: ask.clone() };
+            let poll = Poll { core: core.clone(), ask: ask.clone() };
             self.send(Address::Node(at), Address::Node(to), Message::Poll { id, poll });
         }
         id
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -1,23 +1,38 @@
 //! One simulated controller: its voter and disk, what it knows to be committed, and what it is at work on.
+
+use std::collections::BTreeMap;
+
+use consensus::confirmation::Place;
+use consensus::round::Ownership;
+use consensus::voter::{LogRecord, Voter};
+use consensus::CORE;
+use membership::Roster;
+use protocol::msg::{Core, Entry, Member, Poll, Vote};
+
 use super::changes::Change;
 use super::confirming::Confirming;
 use super::members::Members;
 use super::network::{Address, Letter, Message};
-use std::collections::BTreeMap;
+use super::operator::EVACUATION;
+use super::{address, Cluster};
+use crate::config_body::Held;
+use crate::controller::{LIVE_MS, SURE_MS};
+use crate::pause::PauseMonitor;
+use crate::state::{self, Closed, CONFIG};
 
 /// Records on their way to the disk, and the vote that may leave once they are there.
 pub struct Write {
     pub due: u64,
-    pub records: Vec<consensus::voter::LogRecord>,
-    pub vote: Option<(Address, u64, protocol::msg::Vote)>,
+    pub records: Vec<LogRecord>,
+    pub vote: Option<(Address, u64, Vote)>,
 }
 
 /// Invariants: `disk` is what was synced; `voter` is ahead of it by what waits in `writes`. All else is lost
 /// with the process.
 pub struct Node {
     pub at: usize,
-    pub voter: consensus::voter::Voter,
-    pub disk: consensus::voter::Voter,
+    pub voter: Voter,
+    pub disk: Voter,
     pub writes: Vec<Write>,
     pub up: bool,
     pub frozen: bool,
@@ -27,29 +42,29 @@
     pub born: u64,
     /// Letters that arrived while the process stood still.
     pub inbox: Vec<Letter>,
-    pub committed: BTreeMap<String, protocol::msg::Entry>,
+    pub committed: BTreeMap<String, Entry>,
     /// When the read began that last confirmed `committed` at a quorum.
     pub confirmed: Option<u64>,
     pub turn: u64,
-    pub owned: BTreeMap<String, consensus::round::Ownership>,
+    pub owned: BTreeMap<String, Ownership>,
     /// Changes by key: the first of each list is under way.
     pub changes: BTreeMap<String, Vec<Change>>,
     pub confirming: Confirming,
     pub members: Members,
-    pub roster: membership::Roster,
+    pub roster: Roster,
     pub seeds: Vec<String>,
     pub leaving: Option<u64>,
-    pub pauses: crate::pause::PauseMonitor,
+    pub pauses: PauseMonitor,
     polls: u64,
 }
 
 impl Node {
     pub fn new(at: usize, seeds: &[String], now: u64) -> Node {
-        let address = super::address(at);
+        let address = address(at);
         Node {
             at,
-            voter: consensus::voter::Voter::new(&address),
-            disk: consensus::voter::Voter::new(&address),
+            voter: Voter::new(&address),
+            disk: Voter::new(&address),
             writes: Vec::new(),
             up: true,
             frozen: false,
@@ -64,7 +79,7 @@
             changes: BTreeMap::new(),
             confirming: Confirming::default(),
             members: Members::default(),
-            roster: membership::Roster::new(&address, "", crate::controller::LIVE_MS),
+            roster: Roster::new(&address, "", LIVE_MS),
             seeds: seeds.to_vec(),
             leaving: None,
             pauses: Default::default(),
@@ -74,8 +89,8 @@
 
     /// The first start of the whole system: the seeds are the core.
     pub fn found(&mut self, seeds: &[String]) {
-        let list = seeds.iter().map(|ip| protocol::msg::Member { ip: ip.clone(), zone: String::new() }).collect();
-        self.voter.core = protocol::msg::Core { version: 1, list, prev: Vec::new(), settled: true };
+        let list = seeds.iter().map(|ip| Member { ip: ip.clone(), zone: String::new() }).collect();
+        self.voter.core = Core { version: 1, list, prev: Vec::new(), settled: true };
         self.voter.may_vote = true;
         self.disk = self.voter.clone();
     }
@@ -90,22 +105,22 @@
     }
 
     pub fn is_confirmed(&self, now: u64) -> bool {
-        self.confirmed.is_some_and(|time| now < time + crate::controller::SURE_MS)
+        self.confirmed.is_some_and(|time| now < time + SURE_MS)
     }
 
-    pub fn place(&self, key: &str) -> Option<consensus::confirmation::Place> {
-        self.committed.get(key).map(protocol::msg::Entry::place)
+    pub fn place(&self, key: &str) -> Option<Place> {
+        self.committed.get(key).map(Entry::place)
     }
 
     /// The configuration that it would tell a follower.
-    pub fn config(&self) -> crate::config_body::Held {
-        let body = self.committed.get(crate::state::CONFIG).map_or(&[][..], |entry| &entry.body);
-        crate::config_body::Held::open(body).expect("a configuration that reads")
+    pub fn config(&self) -> Held {
+        let body = self.committed.get(CONFIG).map_or(&[][..], |entry| &entry.body);
+        Held::open(body).expect("a configuration that reads")
     }
 
-    pub fn evacuation(&self) -> crate::state::Closed {
-        let body = self.committed.get(super::operator::EVACUATION).map_or(&[][..], |entry| &entry.body);
-        crate::state::Closed::open(body).expect("an evacuation that reads")
+    pub fn evacuation(&self) -> Closed {
+        let body = self.committed.get(EVACUATION).map_or(&[][..], |entry| &entry.body);
+        Closed::open(body).expect("an evacuation that reads")
     }
 
     pub fn is_evacuated(&self) -> bool {
@@ -124,20 +139,15 @@
     }
 }
 
-impl super::Cluster {
+impl Cluster {
     /// The vote of a node leaves once what it promises is on its disk.
-    pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: protocol::msg::Poll) {
+    pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: Poll) {
         self.adopt(at, &poll.core);
         let (vote, records) = self.nodes[at].voter.poll(poll);
         self.write(at, records, Some((from, id, vote)));
     }
 
-    pub fn write(
-        &mut self,
-        at: usize,
-        records: Vec<consensus::voter::LogRecord>,
-        vote: Option<(Address, u64, protocol::msg::Vote)>,
-    ) {
+    pub fn write(&mut self, at: usize, records: Vec<LogRecord>, vote: Option<(Address, u64, Vote)>) {
         let slow = if self.random.below(60) == 0 { 400 } else { 5 };
         let late = if records.is_empty() { 0 } else { 1 + self.random.below(slow) };
         let node = &mut self.nodes[at];
@@ -157,22 +167,22 @@
         }
     }
 
-    pub fn adopt(&mut self, at: usize, core: &protocol::msg::Core) {
+    pub fn adopt(&mut self, at: usize, core: &Core) {
         if let Some(record) = self.nodes[at].voter.adopt(core) {
             self.write(at, vec![record], None);
         }
     }
 
     /// A committed entry becomes known at a node; with `tell` at the others too.
-    pub fn learn(&mut self, at: usize, key: &str, entry: &protocol::msg::Entry, tell: bool) {
+    pub fn learn(&mut self, at: usize, key: &str, entry: &Entry, tell: bool) {
         let node = &mut self.nodes[at];
         node.turn = node.turn.max(entry.ballot.turn);
         if node.place(key) >= Some(entry.place()) {
             return;
         }
         node.committed.insert(key.into(), entry.clone());
-        if key == consensus::CORE {
-            if let Some(core) = crate::state::read_core(&entry.body) {
+        if key == CORE {
+            if let Some(core) = state::read_core(&entry.body) {
                 self.adopt(at, &core);
             }
         }
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -1,17 +1,21 @@
 //! Operators that change the configuration, evacuate zones and read back, and send again what got no
 //! clear answer.
-use super::bodies;
-use super::changes::Purpose;
-use super::network::{Address, Message};
-use crate::config_body::{BodyForm, Held};
-use crate::config_change::{Outcome, Refusal};
+
 use consensus::proposal::Verdict;
 use protocol::order::ConfigChange;
 
+use super::changes::Purpose;
+use super::network::{Address, Message};
+use super::{bodies, Cluster, Guards};
+use crate::config_body::{BodyForm, Held, TakenChange};
+use crate::config_change::{self, Outcome, Refusal};
+use crate::orders;
+use crate::state::CONFIG;
+
 /// How long an operator waits for an answer, and a controller for an outcome.
 const SILENCE_MS: u64 = 1000;
 const CHANGE_MS: u64 = 2000;
-const EVACUATE_MS: u64 = crate::orders::EVACUATE_MS;
+const EVACUATE_MS: u64 = orders::EVACUATE_MS;
 const UNHEARD_CLOSE_ONE_OF: u64 = 4;
 const CARRIED_OUT_TWICE_ONE_OF: u64 = 3;
 pub const EVACUATION: &str = "evacuation/z";
@@ -38,7 +42,7 @@
     /// The configuration, as a read found it.
     Found {
         revision: u64,
-        taken: Vec<crate::config_body::TakenChange>,
+        taken: Vec<TakenChange>,
     },
     Refused,
     /// No clear outcome: to be sent again.
@@ -73,7 +77,7 @@
     }
 }
 
-impl super::Cluster {
+impl Cluster {
     pub fn run_operator(&mut self, number: usize) {
         let now = self.now;
         let operator = &mut self.operators[number];
@@ -157,7 +161,7 @@
             Order::Change(change) => {
                 let guards = self.guards;
                 let judge = Box::new(move |body: &[u8]| judge_change(&change, body, guards));
-                self.begin_change(at, crate::state::CONFIG, purpose, CHANGE_MS, judge);
+                self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
             }
             Order::Evacuate(on) => {
                 let judge = Box::new(move |body: &[u8]| judge_evacuation(on, None, body));
@@ -169,7 +173,7 @@
             }
             Order::Read if self.guards.quorum_reads => {
                 let judge = Box::new(|body: &[u8]| Verdict::Answer(Some(found(&Held::open(body).expect("reads")))));
-                self.begin_change(at, crate::state::CONFIG, purpose, CHANGE_MS, judge);
+                self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
             }
             Order::Read => {
                 let answer = found(&self.nodes[at].config());
@@ -225,17 +229,17 @@
 }
 
 fn judge_evacuation(on: bool, from: Option<u64>, body: &[u8]) -> Verdict<Option<Answer>> {
-    crate::orders::judge_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
+    orders::judge_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
 }
 
-fn judge_change(change: &ConfigChange, body: &[u8], guards: super::Guards) -> Verdict<Option<Answer>> {
+fn judge_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Verdict<Option<Answer>> {
     let mut held = Held::open(body).expect("a configuration that reads");
     if !guards.digests {
         held.taken.clear();
     }
-    let mut outcome = crate::config_change::apply(change, &held);
+    let mut outcome = config_change::apply(change, &held);
     if !guards.validity && matches!(outcome, Err(Refusal::Invalid(_))) {
-        let next = crate::config_change::repeat(change, bodies::revision(change), &held, None, BodyForm::Digested);
+        let next = config_change::repeat(change, bodies::revision(change), &held, None, BodyForm::Digested);
         outcome = next.map(Outcome::Next).ok_or(Refusal::Conflict { base: change.base, current: held.revision });
     }
     match outcome {
--- a/controller/src/simulation/replacement_tests.rs
+++ b/controller/src/simulation/replacement_tests.rs
@@ -1,5 +1,9 @@
 //! Machines of the core replaced, and a second loss as soon as the new one has had its time.
-use super::{Cluster, Guards, ALL_GUARDS};
+
+use consensus::quorum;
+use kernel::clock::Dice;
+
+use super::{address, Cluster, Guards, ALL_GUARDS};
 
 /// How long a new or returned machine has until the next may be lost.
 const SYNC_MS: u64 = 4000;
@@ -18,7 +22,7 @@
 fn run(seed: u64, size: usize, way: Way, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 3);
     cluster.guards = guards;
-    let mut chance = kernel::clock::Dice::new(seed ^ 0x5e7);
+    let mut chance = Dice::new(seed ^ 0x5e7);
     let mut serves = true;
     cluster.run(2000);
     for _ in 0..2 {
@@ -40,15 +44,15 @@
     (cluster, serves)
 }
 
-fn pick(cluster: &Cluster, chance: &mut kernel::clock::Dice, but: &[usize]) -> usize {
+fn pick(cluster: &Cluster, chance: &mut Dice, but: &[usize]) -> usize {
     let core = &cluster.nodes[cluster.live()[0]].voter.core;
-    let member = |at: &usize| consensus::quorum::is_member(core, &super::address(*at));
+    let member = |at: &usize| quorum::is_member(core, &address(*at));
     let list: Vec<usize> = cluster.live().into_iter().filter(|at| !but.contains(at) && member(at)).collect();
     list[chance.below(list.len() as u64) as usize]
 }
 
 /// Returns once the second loss is allowed.
-fn replace(cluster: &mut Cluster, gone: usize, way: Way, chance: &mut kernel::clock::Dice) {
+fn replace(cluster: &mut Cluster, gone: usize, way: Way, chance: &mut Dice) {
     match way {
         Way::Lost => {
             cluster.remove(gone);
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -1,8 +1,18 @@
 //! What the keys of the control state hold, and how it is read from what was committed.
-use crate::config_body::Held;
-use protocol::config::{Checked, ConfigError};
+
+use std::mem;
 use std::sync::Arc;
 
+use consensus::CORE;
+use protocol::config::{Checked, ConfigError};
+use protocol::msg::{Entry, Msg, Rule, ROLLOUT};
+use protocol::version_rollout::{VersionRollout, KEY};
+
+use crate::config_body::Held;
+use crate::config_history::NotNewer;
+use crate::controller::{CommittedState, Controller};
+use crate::event::{LEARNED, UNREADABLE};
+
 #[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Closed {
     pub version: u64,
@@ -56,7 +66,7 @@
         found: u64,
     },
     /// It would lead back from what is known.
-    NotNewer(crate::config_history::NotNewer),
+    NotNewer(NotNewer),
 }
 
 impl std::fmt::Display for Unreadable {
@@ -70,13 +80,13 @@
     }
 }
 
-impl crate::controller::Controller {
+impl Controller {
     /// A committed entry becomes known here; with `tell` also to the other controllers. Followers get
     /// what is new to them at once.
-    pub fn learn(&self, key: &str, entry: &protocol::msg::Entry, tell: bool) {
+    pub fn learn(&self, key: &str, entry: &Entry, tell: bool) {
         let is_news = self.learn_read(key, entry, None);
         if is_news && tell {
-            let note = protocol::msg::Msg::Learn(Box::new((key.into(), entry.clone())));
+            let note = Msg::Learn(Box::new((key.into(), entry.clone())));
             for ip in self.known() {
                 self.peer(&ip).cast(note.clone());
             }
@@ -84,29 +94,29 @@
     }
 
     /// The same for a configuration that was read already.
-    pub fn learn_config(&self, entry: &protocol::msg::Entry, read: Arc<Checked>) {
+    pub fn learn_config(&self, entry: &Entry, read: Arc<Checked>) {
         self.learn_read(CONFIG, entry, Some(read));
     }
 
     /// False: it, or a newer one, was known.
-    fn learn_read(&self, key: &str, entry: &protocol::msg::Entry, read: Option<Arc<Checked>>) -> bool {
+    fn learn_read(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> bool {
         let learned = self.committed_state.lock().expect("committed_state").learn(key, entry, read);
         match learned {
             Learned::Known => return false,
             Learned::Unreadable { error, first } => {
                 if first {
-                    kernel::say!(crate::event::UNREADABLE, "key" => key, "turn" => entry.ballot.turn,
+                    kernel::say!(UNREADABLE, "key" => key, "turn" => entry.ballot.turn,
                         "step" => entry.step, "error" => error.to_string());
                 }
                 return true;
             }
             Learned::Again => {}
             Learned::New { revision } => {
-                kernel::say!(crate::event::LEARNED, "key" => key, "revision" => revision, "turn" => entry.ballot.turn,
+                kernel::say!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.ballot.turn,
                     "step" => entry.step);
             }
         }
-        if key == consensus::CORE {
+        if key == CORE {
             if let Some(core) = read_core(&entry.body) {
                 self.adopt(&core);
             }
@@ -133,9 +143,9 @@
     },
 }
 
-impl crate::controller::CommittedState {
+impl CommittedState {
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
-    pub fn learn(&mut self, key: &str, entry: &protocol::msg::Entry, read: Option<Arc<Checked>>) -> Learned {
+    pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
         self.turn = self.turn.max(entry.ballot.turn);
         let held = self.entries.get(key);
         if held.is_some_and(|held| held.place() >= entry.place()) {
@@ -145,7 +155,7 @@
         if !same {
             if let Err(error) = self.fold(key, &entry.body, read) {
                 let place = Some(entry.place());
-                let first = std::mem::replace(&mut self.unreadable, place) != place;
+                let first = mem::replace(&mut self.unreadable, place) != place;
                 return Learned::Unreadable { error, first };
             }
         }
@@ -164,19 +174,19 @@
             let closed = Closed::open(body).ok_or(Unreadable::Body)?;
             self.closed.insert(zone.into(), (closed.version, closed.on));
         }
-        if key.starts_with(protocol::msg::ROLLOUT) && !body.is_empty() {
-            let rule = protocol::msg::Rule::read_bytes(body).ok_or(Unreadable::Body)?;
+        if key.starts_with(ROLLOUT) && !body.is_empty() {
+            let rule = Rule::read_bytes(body).ok_or(Unreadable::Body)?;
             self.rules.insert(key.into(), rule);
         }
-        if let Some(service) = key.strip_prefix(protocol::version_rollout::KEY).filter(|_| !body.is_empty()) {
-            let rollout = protocol::version_rollout::VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
+        if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
+            let rollout = VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
             self.rollouts.insert(service.into(), rollout);
         }
         if key.starts_with(DUTY) {
             let duty = Duty::open(body).ok_or(Unreadable::Body)?;
             self.duties.insert(key.into(), (duty.epoch, duty.holder, duty.clear));
         }
-        if key == consensus::CORE && !body.is_empty() {
+        if key == CORE && !body.is_empty() {
             read_core(body).ok_or(Unreadable::Body)?;
         }
         Ok(())
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -1,10 +1,19 @@
 //! What is learned of committed entries: a configuration and its history are one value, and what cannot be read is not
 //! known.
+
+use std::sync::Arc;
+
+use consensus::confirmation::Confirmation;
+use consensus::CORE;
+use kernel::clock::{self, Dice};
+use protocol::change::Change;
+use protocol::frame::{self, HEAD};
+use protocol::msg::{Ballot, Core, Entry, Member, Msg, READS, ROLLOUT};
+
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config_body::{BodyForm, Held};
 use crate::config_history::NotNewer;
 use crate::controller::CommittedState;
-use protocol::msg::{Ballot, Entry};
 
 fn text(revision: u64, timeout: u64) -> String {
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": [{"name": "r",
@@ -39,11 +48,11 @@
     }
     let mut has = 0;
     let mut last = 0;
-    assert!(state.history.send_missing(protocol::msg::READS, &mut has, |frame| {
-        let Ok(protocol::msg::Msg::Update(packed)) = protocol::frame::open(&frame[protocol::frame::HEAD..]) else {
+    assert!(state.history.send_missing(READS, &mut has, |frame| {
+        let Ok(Msg::Update(packed)) = frame::open(&frame[HEAD..]) else {
             return false;
         };
-        last = protocol::change::Change::read(&packed).expect("a change").to;
+        last = Change::read(&packed).expect("a change").to;
         true
     }));
     assert_eq!((has, last), (revision, revision), "routers get what the entry holds");
@@ -103,16 +112,16 @@
 /// one does.
 #[test]
 fn a_controller_behind_something_unreadable_stays_behind() {
-    let core = protocol::msg::Core {
+    let core = Core {
         version: 1,
-        list: vec![protocol::msg::Member { ip: "a".into(), zone: String::new() }],
+        list: vec![Member { ip: "a".into(), zone: String::new() }],
         prev: Vec::new(),
         settled: true,
     };
     let mut state = CommittedState::default();
     state.learn(CONFIG, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
-        let mut confirmation = consensus::confirmation::Confirmation::new(&core);
+        let mut confirmation = Confirmation::new(&core);
         confirmation.hear("a", vec![(CONFIG.into(), entry.ballot, entry.step)]);
         assert!(confirmation.is_quorum());
         confirmation.behind(|key| state.entries.get(key).map(Entry::place)).len()
@@ -132,7 +141,7 @@
     let zone = format!("{CLOSED}z");
     let closed = Closed { version: 4, on: true }.write_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", protocol::msg::ROLLOUT), consensus::CORE] {
+    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), CORE] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
@@ -145,7 +154,7 @@
 #[test]
 fn entries_in_any_order_never_lead_back() {
     for seed in 0..200 {
-        let mut dice = kernel::clock::Dice::new(kernel::clock::blend(seed, 9));
+        let mut dice = Dice::new(clock::blend(seed, 9));
         // Two histories never exist under one key; late and repeated entries of one do.
         let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
         let mut state = CommittedState::default();
@@ -156,7 +165,7 @@
                 0 => drop(state.learn(CONFIG, &entry(pick.ballot.turn, pick.step, vec![1, 2, 3]), None)),
                 // An owner's own change, read already.
                 1 => {
-                    let read = std::sync::Arc::new(read_config(&pick.body).expect("good"));
+                    let read = Arc::new(read_config(&pick.body).expect("good"));
                     state.learn(CONFIG, pick, Some(read));
                 }
                 _ => drop(state.learn(CONFIG, pick, None)),
--- a/controller/src/version_calls.rs
+++ b/controller/src/version_calls.rs
@@ -1,10 +1,15 @@
 //! The operator's calls on rollouts of versions: starting one, and where it stands.
 
-use crate::control::Receipt;
-use crate::register::Verdict;
-use protocol::version_rollout::{RolloutState, VersionRollout};
 use std::sync::Arc;
 
+use poem::{Endpoint, Request, Response};
+use protocol::version_rollout::{RolloutState, VersionRollout};
+use serde_json::Value;
+
+use crate::control::{self, Receipt};
+use crate::controller::Controller;
+use crate::register::Verdict;
+
 /// The longest that a rollout may take.
 const LONGEST_S: f64 = 7.0 * 86_400.0;
 
@@ -22,7 +27,7 @@
 impl Order {
     /// Reads an order; `knows`: is there a service of this name?
     pub fn read(text: &str, knows: impl Fn(&str) -> bool) -> Result<Order, Refusal> {
-        let value: serde_json::Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
+        let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
         let word = |name: &str| {
             let text = value[name].as_str().filter(|text| !text.trim().is_empty());
             text.map(str::to_string).ok_or_else(|| (400, format!("{name}: found {}, must be a name", value[name])))
@@ -74,7 +79,7 @@
 }
 
 /// Starts a rollout.
-pub async fn start(controller: &Arc<crate::controller::Controller>, text: &str) -> Receipt {
+pub async fn start(controller: &Arc<Controller>, text: &str) -> Receipt {
     if controller.orders_may_be_stale() {
         return Receipt::Unclear;
     }
@@ -97,17 +102,17 @@
         }
     };
     let key = VersionRollout::key(&order.service);
-    controller.change(&key, crate::control::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
+    controller.change(&key, control::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
 }
 
 /// Where the newest rollout of a service stands.
-pub struct Rollout(pub Arc<crate::controller::Controller>);
+pub struct Rollout(pub Arc<Controller>);
 
 impl Rollout {
     async fn read(&self, service: &str) -> Receipt {
         let judge = |body: &[u8]| Verdict::Answer((VersionRollout::read_bytes(body), body.is_empty()));
         let key = VersionRollout::key(service);
-        match self.0.change(&key, crate::control::wait_ms(&self.0), judge).await {
+        match self.0.change(&key, control::wait_ms(&self.0), judge).await {
             Some((Some(rollout), _)) => Receipt::Text(shown(&rollout).to_string().into_bytes()),
             Some((None, true)) => Receipt::Bad(404, format!("service `{service}`: no rollout")),
             _ => Receipt::Unclear,
@@ -116,21 +121,21 @@
 }
 
 /// A rollout as operators see it.
-fn shown(rollout: &VersionRollout) -> serde_json::Value {
+fn shown(rollout: &VersionRollout) -> Value {
     serde_json::json!({"oper_state": rollout.state.word(), "target_version": rollout.target,
         "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted})
 }
 
-impl poem::Endpoint for Rollout {
-    type Output = poem::Response;
+impl Endpoint for Rollout {
+    type Output = Response;
 
-    async fn call(&self, req: poem::Request) -> poem::Result<poem::Response> {
+    async fn call(&self, req: Request) -> poem::Result<Response> {
         let service = req.path_params::<String>().unwrap_or_default();
         let receipt = match req.method().as_str() {
             "GET" => self.read(&service).await,
             _ => Receipt::Bad(405, "method: GET".into()),
         };
-        Ok(crate::control::write(receipt))
+        Ok(control::write(receipt))
     }
 }
 
--- a/controller/src/version_lists.rs
+++ b/controller/src/version_lists.rs
@@ -1,12 +1,17 @@
 //! Which engines of the platform's list are of the version in place, and which of one that is brought in.
 
-use protocol::version_rollout::VersionRollout;
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
+use protocol::msg::Engine;
+use protocol::version_rollout::VersionRollout;
+
+use crate::controller::Controller;
+
 /// An engine as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
-    pub engine: protocol::msg::Engine,
+    pub engine: Engine,
     /// The version of its software.
     pub version: String,
 }
@@ -21,12 +26,12 @@
 /// A zone's engines, apart by what they may get.
 #[derive(Debug, Default, PartialEq)]
 pub struct Parted {
-    pub stable: Vec<protocol::msg::Engine>,
-    pub candidates: Vec<protocol::msg::Engine>,
+    pub stable: Vec<Engine>,
+    pub candidates: Vec<Engine>,
 }
 
 /// Parts a zone's list by the rollouts that are known.
-pub fn part(controller: &crate::controller::Controller, list: Vec<ListedEngine>) -> Parted {
+pub fn part(controller: &Controller, list: Vec<ListedEngine>) -> Parted {
     let rollouts = controller.committed_state.lock().expect("committed_state").rollouts.clone();
     // Where versions are not brought in by order, engines may be replaced by others of any version.
     let by_order = controller.env.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
@@ -65,7 +70,7 @@
         }
         for (service, versions) in by_service {
             let is_known = self.0.get(service).is_some_and(|first| versions.contains_key(first.as_str()));
-            let most = versions.iter().max_by_key(|(version, count)| (**count, std::cmp::Reverse(**version)));
+            let most = versions.iter().max_by_key(|(version, count)| (**count, Reverse(**version)));
             if let (false, Some((version, _))) = (is_known, most) {
                 self.0.insert(service.into(), version.to_string());
             }
--- a/controller/src/version_lists_tests.rs
+++ b/controller/src/version_lists_tests.rs
@@ -1,10 +1,14 @@
 //! Lists with several versions.
-use super::{FirstVersions, ListedEngine, Parted};
-use protocol::version_rollout::{RolloutState, VersionRollout};
+
 use std::collections::BTreeMap;
 
+use protocol::msg::Engine;
+use protocol::version_rollout::{RolloutState, VersionRollout};
+
+use super::{FirstVersions, ListedEngine, Parted};
+
 fn listed(id: &str, version: &str, cold_ms: u32) -> ListedEngine {
-    let engine = protocol::msg::Engine {
+    let engine = Engine {
         id: id.into(),
         service: "s".into(),
         addr: "10.0.0.1:80".into(),
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -1,13 +1,21 @@
 //! Trials of new versions: routers' samples are pooled at every controller, and the first that is confirmed judges. It needs no
 //! epoch: each step is a change on top of the very record that it was judged on.
 
-use crate::controller::{CommittedState, Controller};
-use crate::register::Verdict;
-use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use std::collections::BTreeMap;
+use std::mem;
+use std::sync::atomic::Ordering;
 use std::sync::Arc;
+
+use kernel::{clock, entry};
+use protocol::msg::{self, Msg};
+use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
+use crate::controller::{CommittedState, Controller};
+use crate::event::VERSION_STEP;
+use crate::followers::Follower;
+use crate::register::Verdict;
+
 /// How often samples are passed on and judged.
 const BEAT_MS: u64 = 200;
 /// How long one step may take.
@@ -44,14 +52,14 @@
 }
 
 /// Sends a follower the rollouts that it lacks.
-pub fn send(committed_state: &CommittedState, follower: &mut crate::followers::Follower) {
+pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for rollout in committed_state.rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.closed.entry(protocol::msg::hide(&key)).or_default();
+        let has = follower.closed.entry(msg::hide(&key)).or_default();
         if rollout.number <= *has {
             continue;
         }
-        match follower.mouth.cast(&protocol::msg::Msg::VersionRollout(Box::new(rollout.clone()))) {
+        match follower.mouth.cast(&Msg::VersionRollout(Box::new(rollout.clone()))) {
             true => *has = rollout.number,
             false => follower.behind = true,
         }
@@ -62,7 +70,7 @@
 pub fn take_samples(controller: &Controller, samples: Samples) {
     let rollout = controller.committed_state.lock().expect("committed_state").rollouts.get(&samples.service).cloned();
     let Some(rollout) = rollout.filter(|rollout| rollout.order == samples.order) else { return };
-    let now = kernel::clock::now();
+    let now = clock::now();
     let mut trials = controller.trials.lock().expect("trials");
     let trial = trials.trial(&rollout, now);
     for one in &samples.list {
@@ -82,7 +90,7 @@
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = kernel::entry::beat(BEAT_MS);
+        let mut beat = entry::beat(BEAT_MS);
         loop {
             beat.tick().await;
             tell(&controller);
@@ -101,14 +109,14 @@
 
 /// Tells the other controllers what this one's routers saw.
 fn tell(controller: &Controller) {
-    let untold = std::mem::take(&mut controller.trials.lock().expect("trials").untold);
+    let untold = mem::take(&mut controller.trials.lock().expect("trials").untold);
     if untold.is_empty() {
         return;
     }
     let merged = merge(untold);
     for ip in controller.known() {
         for samples in &merged {
-            controller.peer(&ip).cast(protocol::msg::Msg::Samples(Box::new(samples.clone())));
+            controller.peer(&ip).cast(Msg::Samples(Box::new(samples.clone())));
         }
     }
 }
@@ -140,7 +148,7 @@
 
 /// Looks at one rollout, and takes the step that is due if this controller is the one to do so.
 async fn look(controller: &Arc<Controller>, rollout: &VersionRollout) {
-    let now = kernel::clock::now();
+    let now = clock::now();
     let (finding, since) = {
         let mut trials = controller.trials.lock().expect("trials");
         let trial = trials.trial(rollout, now);
@@ -155,14 +163,14 @@
     let step = schedule.step(rollout.share, for_ms, elapsed_ms, finding);
     let Some(next) = after(rollout, step, elapsed_ms, finding) else { return };
     if commit(controller, rollout, &next).await {
-        kernel::say!(crate::event::VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
+        kernel::say!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
             "state" => next.state.word(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
     }
 }
 
 /// Is this controller the one that judges a service's rollout?
 fn judges(controller: &Controller, service: &str, now: u64) -> bool {
-    if !controller.sure(now) || controller.leaving.load(std::sync::atomic::Ordering::Relaxed) {
+    if !controller.sure(now) || controller.leaving.load(Ordering::Relaxed) {
         return false;
     }
     let roster = controller.roster.lock().expect("roster");
--- a/kernel/src/clock.rs
+++ b/kernel/src/clock.rs
@@ -1,18 +1,24 @@
 //! The steady clock, in whole milliseconds since the process began. The time of day is never used
 //! for a decision: machines disagree on it and it jumps.
-static BIRTH: std::sync::OnceLock<std::time::Instant> = std::sync::OnceLock::new();
+
+use std::collections::hash_map::RandomState;
+use std::process;
+use std::sync::OnceLock;
+use std::time::Instant;
+
+static BIRTH: OnceLock<Instant> = OnceLock::new();
 
 /// Milliseconds since the first call in this process; never goes back.
 pub fn now() -> u64 {
-    BIRTH.get_or_init(std::time::Instant::now).elapsed().as_millis() as u64
+    BIRTH.get_or_init(Instant::now).elapsed().as_millis() as u64
 }
 
 /// A number that differs between lives of a process: the random state of the standard library.
 pub fn life() -> u64 {
     use std::hash::{BuildHasher, Hasher};
-    let seed = std::collections::hash_map::RandomState::new();
+    let seed = RandomState::new();
     let mut mix = seed.build_hasher();
-    mix.write_u32(std::process::id());
+    mix.write_u32(process::id());
     mix.finish() | 1
 }
 
--- a/kernel/src/convergence.rs
+++ b/kernel/src/convergence.rs
@@ -6,6 +6,10 @@
 //! wait. Each of these waits is a named share of `converge_ms`, so that the worst path stays below it whatever
 //! its value; `convergence_tests.rs` adds these paths up.
 
+use std::ops::RangeInclusive;
+
+use crate::env::Bounds;
+
 /// The shares of `converge_ms`, with the two other bounds that limit waits. Invariant: `converge_ms` is above 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
@@ -15,7 +19,7 @@
 }
 
 /// Confirmations are cheap and no faster than this is of use; slower ones leave no room for a lost read.
-const CONFIRMATION_INTERVAL_MS: std::ops::RangeInclusive<u64> = 150..=300;
+const CONFIRMATION_INTERVAL_MS: RangeInclusive<u64> = 150..=300;
 /// Leases and the load told with them are renewed at least so often, however long changes may take.
 const RENEWAL_INTERVAL_MOST_MS: u64 = 400;
 /// A healthy controller answers well within this: it bears one lost segment and its retransmission.
@@ -25,7 +29,7 @@
 
 impl Budget {
     /// The budget under the bounds of a deployment.
-    pub fn new(bounds: &crate::env::Bounds) -> Budget {
+    pub fn new(bounds: &Bounds) -> Budget {
         Budget {
             converge_ms: bounds.converge_ms.max(1),
             contact_ms: bounds.contact_ms,
--- a/kernel/src/convergence_tests.rs
+++ b/kernel/src/convergence_tests.rs
@@ -1,5 +1,7 @@
 //! The worst paths of a change, added up from the shares.
+
 use super::Budget;
+use crate::env::Bounds;
 
 /// The bounds to try; deployments have 2000 to 3000.
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
@@ -82,7 +84,7 @@
 }
 
 fn budget(converge_ms: u64) -> Budget {
-    Budget::new(&crate::env::Bounds { converge_ms, ..Default::default() })
+    Budget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
 #[test]
@@ -134,7 +136,7 @@
 #[test]
 fn contact_that_is_back_is_used_before_it_counts() {
     for contact_ms in [2000, 3000, 5000] {
-        let bounds = crate::env::Bounds { contact_ms, ..Default::default() };
+        let bounds = Bounds { contact_ms, ..Default::default() };
         let budget = Budget::new(&bounds);
         let two_asked = 2 * budget.hedge_gap_most_ms() + budget.answer_ms();
         assert!(two_asked * 10 <= contact_ms * 9, "{contact_ms}: {two_asked}");
--- a/kernel/src/entry.rs
+++ b/kernel/src/entry.rs
@@ -1,5 +1,15 @@
 //! The beginning of a daemon's process: settings read and checked, one thread, one runtime.
 
+use std::future::Future;
+use std::process;
+use std::time::Duration;
+
+use tokio::runtime::Builder;
+use tokio::time::{self, Interval, MissedTickBehavior};
+
+use crate::env::{self, Env, MetricsEndpoint};
+use crate::signal::{self, Signals};
+
 /// What the command line of a daemon may say.
 #[derive(Default)]
 pub struct EntryFlags {
@@ -8,47 +18,47 @@
     /// Only tell the version.
     pub version: bool,
     /// Where metrics are told, in place of what the settings say.
-    pub metrics: Option<crate::env::MetricsEndpoint>,
+    pub metrics: Option<MetricsEndpoint>,
 }
 
 /// Reads the settings and runs the daemon on one thread.
-pub fn enter<F: std::future::Future<Output = std::process::ExitCode>>(
+pub fn enter<F: Future<Output = process::ExitCode>>(
     name: &str,
     release: &str,
     flags: EntryFlags,
-    run: impl FnOnce(crate::env::Env, crate::signal::Signals) -> F,
-) -> std::process::ExitCode {
+    run: impl FnOnce(Env, Signals) -> F,
+) -> process::ExitCode {
     if flags.version {
         println!("{name} {release}");
-        return std::process::ExitCode::SUCCESS;
+        return process::ExitCode::SUCCESS;
     }
-    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
+    let Ok(runtime) = Builder::new_current_thread().enable_all().build() else {
         eprintln!("{name}: no runtime");
-        return std::process::ExitCode::from(3);
+        return process::ExitCode::from(3);
     };
     runtime.block_on(async {
         // First of all: a signal that comes while the daemon starts must not end it.
-        let signals = crate::signal::watch();
-        let mut env = match crate::env::load(&crate::env::path()) {
+        let signals = signal::watch();
+        let mut env = match env::load(&env::path()) {
             Ok(env) => env,
             Err(error) => {
                 eprintln!("{name}: {}", error.current_context());
-                return std::process::ExitCode::from(2);
+                return process::ExitCode::from(2);
             }
         };
         env.metrics = flags.metrics.or(env.metrics);
         if flags.check {
             println!("settings are good");
-            return std::process::ExitCode::SUCCESS;
+            return process::ExitCode::SUCCESS;
         }
         run(env, signals).await
     })
 }
 
 /// A beat that does not hurry after a pause.
-pub fn beat(every_ms: u64) -> tokio::time::Interval {
-    let mut beat = tokio::time::interval(std::time::Duration::from_millis(every_ms));
-    beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+pub fn beat(every_ms: u64) -> Interval {
+    let mut beat = time::interval(Duration::from_millis(every_ms));
+    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     beat
 }
 
--- a/kernel/src/env.rs
+++ b/kernel/src/env.rs
@@ -1,5 +1,13 @@
 //! The settings of a process. Unknown fields are passed over; a missing or unusable one is named.
 
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::str::FromStr;
+use std::{env, error, fs};
+
+use error_stack::Report;
+use toml::{de, Deserializer};
+
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct Env {
     pub node_name: String,
@@ -24,7 +32,7 @@
     pub data_dir: Option<String>,
     #[serde(default = "beat")]
     pub keepalive_ms: u64,
-    pub zones: std::collections::BTreeMap<String, String>,
+    pub zones: BTreeMap<String, String>,
     #[serde(default)]
     pub bind_addresses: Binds,
     pub limits: Limits,
@@ -55,7 +63,7 @@
     }
 }
 
-impl std::error::Error for BadMetricsEndpoint {}
+impl error::Error for BadMetricsEndpoint {}
 
 impl TryFrom<String> for MetricsEndpoint {
     type Error = BadMetricsEndpoint;
@@ -65,7 +73,7 @@
     }
 }
 
-impl std::str::FromStr for MetricsEndpoint {
+impl FromStr for MetricsEndpoint {
     type Err = BadMetricsEndpoint;
 
     fn from_str(text: &str) -> Result<MetricsEndpoint, BadMetricsEndpoint> {
@@ -174,33 +182,33 @@
     }
 }
 
-impl std::error::Error for BadEnv {}
+impl error::Error for BadEnv {}
 
-fn bad(field: &str, found: impl std::fmt::Display, allowed: &str) -> error_stack::Report<BadEnv> {
-    error_stack::Report::new(BadEnv { field: field.into(), found: found.to_string(), allowed: allowed.into() })
+fn bad(field: &str, found: impl std::fmt::Display, allowed: &str) -> Report<BadEnv> {
+    Report::new(BadEnv { field: field.into(), found: found.to_string(), allowed: allowed.into() })
 }
 
 /// The path from TIDEPOINT_CONFIG, or the usual place.
 pub fn path() -> String {
-    std::env::var("TIDEPOINT_CONFIG").unwrap_or_else(|_| "/etc/tidepoint/settings.toml".into())
+    env::var("TIDEPOINT_CONFIG").unwrap_or_else(|_| "/etc/tidepoint/settings.toml".into())
 }
 
-pub fn load(path: &str) -> Result<Env, error_stack::Report<BadEnv>> {
+pub fn load(path: &str) -> Result<Env, Report<BadEnv>> {
     let text =
-        std::fs::read_to_string(path).map_err(|error| bad("(file)", format!("{path}: {error}"), "a readable file"))?;
+        fs::read_to_string(path).map_err(|error| bad("(file)", format!("{path}: {error}"), "a readable file"))?;
     parse(&text)
 }
 
 /// Reads and checks a settings text.
-pub fn parse(text: &str) -> Result<Env, error_stack::Report<BadEnv>> {
-    let source = toml::Deserializer::new(text);
+pub fn parse(text: &str) -> Result<Env, Report<BadEnv>> {
+    let source = Deserializer::new(text);
     let env: Env = serde_path_to_error::deserialize(source).map_err(|error| unreadable(text, &error))?;
     check(&env)?;
     Ok(env)
 }
 
 /// Names the field of an error by its path: a missing one by the name that the error gives.
-fn unreadable(text: &str, error: &serde_path_to_error::Error<toml::de::Error>) -> error_stack::Report<BadEnv> {
+fn unreadable(text: &str, error: &serde_path_to_error::Error<de::Error>) -> Report<BadEnv> {
     let cause = error.inner();
     let missing = cause.message().strip_prefix("missing field `").and_then(|rest| rest.split('`').next());
     let path = Some(error.path().to_string()).filter(|path| path != "." && path != "?");
@@ -214,8 +222,8 @@
     bad(&field, format!("{} ({})", line.trim(), cause.message()), "as the deployment page lists it")
 }
 
-fn check(env: &Env) -> Result<(), error_stack::Report<BadEnv>> {
-    if env.ip.parse::<std::net::Ipv4Addr>().is_err() {
+fn check(env: &Env) -> Result<(), Report<BadEnv>> {
+    if env.ip.parse::<Ipv4Addr>().is_err() {
         return Err(bad("ip", &env.ip, "an IPv4 address"));
     }
     if env.internal_ports[0] == 0 || env.internal_ports[0] > env.internal_ports[1] {
@@ -236,16 +244,16 @@
     ];
     for (field, value) in named {
         let Some(value) = value else { continue };
-        if value.parse::<std::net::SocketAddrV4>().is_err() {
+        if value.parse::<SocketAddrV4>().is_err() {
             return Err(bad(field, value, "IP:PORT"));
         }
     }
     for seed in &env.seed_peers {
-        if seed.parse::<std::net::SocketAddrV4>().is_err() {
+        if seed.parse::<SocketAddrV4>().is_err() {
             return Err(bad("seed_peers", seed, "a list of IP:PORT"));
         }
     }
-    if env.cloud_api.address.parse::<std::net::SocketAddrV4>().is_err() {
+    if env.cloud_api.address.parse::<SocketAddrV4>().is_err() {
         return Err(bad("cloud_api.address", &env.cloud_api.address, "IP:PORT"));
     }
     if env.cloud_api.rate_per_s <= 0.0 || env.cloud_api.rate_per_s.is_nan() {
--- a/kernel/src/env_tests.rs
+++ b/kernel/src/env_tests.rs
@@ -1,3 +1,5 @@
+use super::{parse, BadEnv};
+
 const GOOD: &str = r#"
 node_name = "edge-1"
 ip = "10.1.0.12"
@@ -18,15 +20,15 @@
 rate_per_s = 40.0
 "#;
 
-fn fault(text: &str) -> super::BadEnv {
-    let report = super::parse(text).expect_err("must be refused");
+fn fault(text: &str) -> BadEnv {
+    let report = parse(text).expect_err("must be refused");
     let bad = report.current_context();
-    super::BadEnv { field: bad.field.clone(), found: bad.found.clone(), allowed: bad.allowed.clone() }
+    BadEnv { field: bad.field.clone(), found: bad.found.clone(), allowed: bad.allowed.clone() }
 }
 
 #[test]
 fn unknown_fields_are_passed_over() {
-    let env = super::parse(GOOD).expect("good settings");
+    let env = parse(GOOD).expect("good settings");
     assert_eq!(env.seed_ips(), ["10.1.0.12"]);
     assert_eq!(env.peer_port(), 7300);
 }
@@ -71,9 +73,9 @@
 #[test]
 fn a_metrics_endpoint_is_a_port_and_a_path() {
     let with = |text: &str| GOOD.replace("new_field", &format!("metrics = {text:?}\nnew_field"));
-    let metrics = super::parse(&with("9464/metrics")).expect("good settings").metrics.expect("given");
+    let metrics = parse(&with("9464/metrics")).expect("good settings").metrics.expect("given");
     assert_eq!((metrics.port, metrics.path.as_str()), (9464, "/metrics"));
-    assert_eq!(super::parse(GOOD).expect("good settings").metrics, None);
+    assert_eq!(parse(GOOD).expect("good settings").metrics, None);
     for bad in ["9464", "metrics", "0/metrics", "70000/metrics", "9464/two words"] {
         let bad = fault(&with(bad));
         assert_eq!(bad.field, "metrics");
--- a/kernel/src/journal.rs
+++ b/kernel/src/journal.rs
@@ -1,15 +1,17 @@
 //! The in-memory journal: events are appended, views are folded from it. Bounded: the oldest go.
 
+use std::collections::VecDeque;
+
 /// Invariants: `list.len() <= room`; numbers rise by one and are never used again.
 pub struct Journal<E> {
-    list: std::collections::VecDeque<(u64, u64, E)>,
+    list: VecDeque<(u64, u64, E)>,
     next: u64,
     room: usize,
 }
 
 impl<E> Journal<E> {
     pub fn new(room: usize) -> Self {
-        Journal { list: std::collections::VecDeque::new(), next: 1, room: room.max(1) }
+        Journal { list: VecDeque::new(), next: 1, room: room.max(1) }
     }
 
     pub fn push(&mut self, time: u64, event: E) -> u64 {
--- a/kernel/src/log.rs
+++ b/kernel/src/log.rs
@@ -1,5 +1,13 @@
 //! Numbered log events over `slog`. The catalogue is `docs/events.md`; a test holds the two together.
 
+use std::sync::{Mutex, OnceLock};
+use std::{fmt, io};
+
+use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer};
+
+use crate::clock;
+use crate::journal::Journal;
+
 /// Invariant: `code` is unique over the project and never given to another meaning.
 pub struct Event {
     pub code: u16,
@@ -7,7 +15,7 @@
 }
 
 /// The last events of this process, for those who ask it.
-static BOOK: std::sync::Mutex<Option<crate::journal::Journal<String>>> = std::sync::Mutex::new(None);
+static BOOK: Mutex<Option<Journal<String>>> = Mutex::new(None);
 
 /// How many events are kept.
 const ROOM: usize = 512;
@@ -24,41 +32,41 @@
     })
 }
 
-static ROOT: std::sync::OnceLock<slog::Logger> = std::sync::OnceLock::new();
+static ROOT: OnceLock<Logger> = OnceLock::new();
 
 /// One line an event: steady milliseconds, code, text, then key=value pairs.
 struct Line;
 
 struct Pairs<'a>(&'a mut String);
 
-impl slog::Serializer for Pairs<'_> {
-    fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments) -> slog::Result {
+impl Serializer for Pairs<'_> {
+    fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments) -> slog::Result {
         use std::fmt::Write;
         let _ = write!(self.0, " {key}={value}");
         Ok(())
     }
 }
 
-impl slog::Drain for Line {
+impl Drain for Line {
     type Ok = ();
-    type Err = slog::Never;
+    type Err = Never;
 
-    fn log(&self, record: &slog::Record, _: &slog::OwnedKVList) -> Result<(), slog::Never> {
+    fn log(&self, record: &Record, _: &OwnedKVList) -> Result<(), Never> {
         use slog::KV;
         use std::io::Write;
-        let mut text = format!("{} {} {}", crate::clock::now(), record.level().as_short_str(), record.msg());
+        let mut text = format!("{} {} {}", clock::now(), record.level().as_short_str(), record.msg());
         let _ = record.kv().serialize(record, &mut Pairs(&mut text));
         let mut book = BOOK.lock().expect("book");
-        book.get_or_insert_with(|| crate::journal::Journal::new(ROOM)).push(crate::clock::now(), text.clone());
+        book.get_or_insert_with(|| Journal::new(ROOM)).push(clock::now(), text.clone());
         drop(book);
         text.push('\n');
-        let _ = std::io::stdout().write_all(text.as_bytes());
+        let _ = io::stdout().write_all(text.as_bytes());
         Ok(())
     }
 }
 
-pub fn root() -> &'static slog::Logger {
-    ROOT.get_or_init(|| slog::Logger::root(Line, slog::o!()))
+pub fn root() -> &'static Logger {
+    ROOT.get_or_init(|| Logger::root(Line, slog::o!()))
 }
 
 /// `say!(EVENT, "key" => value, ...)`: one numbered event at the level info.
--- a/kernel/src/signal.rs
+++ b/kernel/src/signal.rs
@@ -1,5 +1,8 @@
 //! Signals as values: a daemon reads the latest from a watch channel.
 
+use tokio::signal::unix::{self, SignalKind};
+use tokio::sync::watch::{channel, Receiver};
+
 /// What the process was told last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
@@ -12,16 +15,14 @@
 }
 
 /// Where a daemon reads its signals.
-pub type Signals = tokio::sync::watch::Receiver<Signal>;
+pub type Signals = Receiver<Signal>;
 
 /// Takes SIGTERM and SIGHUP over from the system, which would end the process on either. To be called inside a runtime,
 /// before anything else is done.
 pub fn watch() -> Signals {
-    let (sender, signals) = tokio::sync::watch::channel(Signal::None);
-    let kinds = (tokio::signal::unix::SignalKind::terminate(), tokio::signal::unix::SignalKind::hangup());
-    let (Ok(mut terminate), Ok(mut hang_up)) =
-        (tokio::signal::unix::signal(kinds.0), tokio::signal::unix::signal(kinds.1))
-    else {
+    let (sender, signals) = channel(Signal::None);
+    let kinds = (SignalKind::terminate(), SignalKind::hangup());
+    let (Ok(mut terminate), Ok(mut hang_up)) = (unix::signal(kinds.0), unix::signal(kinds.1)) else {
         return signals;
     };
     tokio::spawn(async move {
--- a/load_balancing/src/balance_tests.rs
+++ b/load_balancing/src/balance_tests.rs
@@ -1,13 +1,15 @@
-fn seen(prefill: bool, busy: u32) -> super::Seen {
-    super::Seen { id: format!("i-{prefill}-{busy}"), prefill, slots: 10, busy, fit: true }
+use super::Seen;
+
+fn seen(prefill: bool, busy: u32) -> Seen {
+    Seen { id: format!("i-{prefill}-{busy}"), prefill, slots: 10, busy, fit: true }
 }
 
-fn list(reads: &[u32], makes: &[u32]) -> Vec<super::Seen> {
+fn list(reads: &[u32], makes: &[u32]) -> Vec<Seen> {
     reads.iter().map(|busy| seen(true, *busy)).chain(makes.iter().map(|busy| seen(false, *busy))).collect()
 }
 
 /// The only engine that is to change, and whether it is to be a prefill engine.
-fn judge(list: &[super::Seen]) -> Option<(usize, bool)> {
+fn judge(list: &[Seen]) -> Option<(usize, bool)> {
     let change = super::judge(list)?;
     assert_eq!(change.engines.len(), 1, "one at a time in a small fleet");
     Some((change.engines[0], change.prefill))
--- a/load_balancing/src/budget.rs
+++ b/load_balancing/src/budget.rs
@@ -1,6 +1,8 @@
 //! Slices of bounds that all routers share. No router asks for leave: each keeps to a slice, and the
 //! slices never add up to more than the bound, whatever fails.
 
+use std::collections::{HashMap, VecDeque};
+
 /// Further sends. A router's slice is the ratio of its own requests, so the slices add up to the
 /// ratio of all, and an even part of half the slack: the other half is left for routers that start
 /// anew or are not yet counted. Invariant: within any window that ends at a grant, grants are at most
@@ -8,16 +10,16 @@
 pub struct Budget {
     ratio: f64,
     window_ms: u64,
-    errands: std::collections::HashMap<u32, Flow>,
+    errands: HashMap<u32, Flow>,
 }
 
 #[derive(Default)]
 struct Flow {
-    errands: std::collections::VecDeque<u64>,
-    extras: std::collections::VecDeque<u64>,
+    errands: VecDeque<u64>,
+    extras: VecDeque<u64>,
 }
 
-fn trim(list: &mut std::collections::VecDeque<u64>, edge: u64) {
+fn trim(list: &mut VecDeque<u64>, edge: u64) {
     while list.front().is_some_and(|time| *time < edge) {
         list.pop_front();
     }
@@ -55,7 +57,7 @@
 /// and only these send, one a second each. Invariant: at most the slice in any 1000 ms.
 #[derive(Clone, Debug, Default)]
 pub struct Ramp {
-    sends: std::collections::VecDeque<u64>,
+    sends: VecDeque<u64>,
 }
 
 /// A drawn router's pause: a little over a second, as sends do not arrive evenly.
--- a/load_balancing/src/budget_tests.rs
+++ b/load_balancing/src/budget_tests.rs
@@ -1,6 +1,10 @@
+use kernel::clock::{self, Dice};
+
+use super::{Budget, Ramp};
+
 #[test]
 fn further_sends_keep_to_the_ratio_of_own_requests() {
-    let mut budget = super::Budget::new(0.2, 10_000);
+    let mut budget = Budget::new(0.2, 10_000);
     for time in 0..10 {
         budget.errand(0, time);
     }
@@ -29,13 +33,13 @@
 fn pressed(bound: f64, seats: u32, engine: u64, crash: bool) -> Vec<u64> {
     let mut times = Vec::new();
     for seat in 0..seats {
-        let mark = kernel::clock::hash(format!("edge-{seat}").as_bytes());
-        let mut ramp = super::Ramp::default();
+        let mark = clock::hash(format!("edge-{seat}").as_bytes());
+        let mut ramp = Ramp::default();
         for now in (u64::from(seat) * 7 % 50..3000).step_by(25) {
             if crash && seat.is_multiple_of(29) && now / 25 == 60 {
-                ramp = super::Ramp::default();
+                ramp = Ramp::default();
             }
-            if ramp.allows(bound, seats, kernel::clock::blend(mark, engine), now) {
+            if ramp.allows(bound, seats, clock::blend(mark, engine), now) {
                 ramp.note(now);
                 times.push(now);
             }
@@ -50,7 +54,7 @@
         for seats in [1, 3, 9, 18, 19, 40, 88, 400] {
             let (mut used, mut engines) = (0, 0);
             for engine in 0..16 {
-                let mut times = pressed(bound, seats, kernel::clock::hash(&[engine as u8]), false);
+                let mut times = pressed(bound, seats, clock::hash(&[engine as u8]), false);
                 let most = worst(&mut times, 1000);
                 // Under half of the slack of 5 that the rule has beside the bound.
                 assert!(most as f64 <= bound + 2.0, "{most} of {bound} at {seats} routers, engine {engine}");
@@ -66,7 +70,7 @@
 fn routers_that_start_anew_stay_within_the_slack() {
     for seats in [9, 88, 400] {
         for engine in 0..16u8 {
-            let mut times = pressed(18.0, seats, kernel::clock::hash(&[engine]), true);
+            let mut times = pressed(18.0, seats, clock::hash(&[engine]), true);
             assert!(worst(&mut times, 1000) <= 23, "{seats} routers");
         }
     }
@@ -78,10 +82,10 @@
     for engine in 0..20u8 {
         let mut times = Vec::new();
         for seat in 0..88 {
-            let mark = kernel::clock::hash(format!("edge-{seat}").as_bytes());
-            let mut ramp = super::Ramp::default();
+            let mark = clock::hash(format!("edge-{seat}").as_bytes());
+            let mut ramp = Ramp::default();
             for now in (0..3000).step_by(10) {
-                if ramp.allows(18.0, 66, kernel::clock::blend(mark, kernel::clock::hash(&[engine])), now) {
+                if ramp.allows(18.0, 66, clock::blend(mark, clock::hash(&[engine])), now) {
                     ramp.note(now);
                     times.push(now);
                 }
@@ -98,8 +102,8 @@
         let part = slack * 0.5 / f64::from(seats);
         let (mut requests, mut extras) = (Vec::new(), Vec::new());
         for seat in 0..seats {
-            let mut dice = kernel::clock::Dice::new(u64::from(seat) + 1);
-            let mut budget = super::Budget::new(ratio, window);
+            let mut dice = Dice::new(u64::from(seat) + 1);
+            let mut budget = Budget::new(ratio, window);
             for now in (0..25_000u64).step_by(50) {
                 if dice.below(10) == 0 {
                     budget.errand(0, now);
@@ -123,7 +127,7 @@
 
 #[test]
 fn a_router_without_confirmed_control_state_uses_a_quarter_of_a_bound_at_most() {
-    let mut ramp = super::Ramp::default();
+    let mut ramp = Ramp::default();
     let mut sent = 0;
     for now in (5000..6000).step_by(10) {
         if ramp.allows_unconfirmed(18.0, 9, now) {
@@ -133,5 +137,5 @@
     }
     assert_eq!(sent, 4);
     assert!(ramp.allows_unconfirmed(18.0, 9, 6900), "after a second again");
-    assert!(super::Ramp::default().allows_unconfirmed(2.0, 300, 0), "one send is always allowed");
+    assert!(Ramp::default().allows_unconfirmed(2.0, 300, 0), "one send is always allowed");
 }
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -1,5 +1,10 @@
 //! One engine as a router knows it, with what sending to it has shown.
 
+use kernel::clock;
+use protocol::msg::{Engine, Pressure};
+
+use crate::budget::Ramp;
+
 /// Invariants: an index is never given to another `id`; `busy` counts sends whose outcome is open;
 /// nothing is sent to one that is not `up` and `here`.
 #[derive(Clone, Debug)]
@@ -20,7 +25,7 @@
     /// Its address belongs to another now, whatever the list says.
     pub dead: bool,
     pub cold_until: u64,
-    pub ramp: crate::budget::Ramp,
+    pub ramp: Ramp,
     /// Own sends under way, and the prompt tokens that they have it read.
     pub busy: u32,
     pub tokens: u64,
@@ -48,10 +53,10 @@
 }
 
 impl EngineState {
-    pub fn new(engine: &protocol::msg::Engine, service: u32, zone: u32) -> EngineState {
+    pub fn new(engine: &Engine, service: u32, zone: u32) -> EngineState {
         EngineState {
             id: engine.id.clone(),
-            name: kernel::clock::hash(engine.id.as_bytes()),
+            name: clock::hash(engine.id.as_bytes()),
             service,
             addr: engine.addr.clone(),
             zone,
@@ -93,11 +98,11 @@
     }
 
     /// What it told here, to be passed on while it is fresh.
-    pub fn told(&self, now: u64) -> Option<protocol::msg::Pressure> {
+    pub fn told(&self, now: u64) -> Option<Pressure> {
         let age_ms = now.saturating_sub(self.load_at);
         let fresh = self.load_at > 0 && age_ms < 1000;
         let load = self.load.0 + self.load.1;
-        fresh.then_some(protocol::msg::Pressure { name: self.name, load, age_ms: age_ms as u32 })
+        fresh.then_some(Pressure { name: self.name, load, age_ms: age_ms as u32 })
     }
 
     /// What it told another router at `time`. Own sends since then are not known apart: they count as told.
