--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -1,26 +1,36 @@
 //! The engines a router knows, by dense index, with what sending to them has shown.
 
+use std::collections::{HashMap, HashSet};
+
+use kernel::clock;
+use protocol::msg::{self, Engine, Pressure, Sheet};
+use protocol::version_rollout;
+
+use crate::place::Half;
+use crate::sheet::Sheets;
+use crate::subset::{Named, Seat, Subset};
+
 pub use crate::engine_state::EngineState;
 
 #[derive(Default)]
 pub struct EngineTable {
     pub list: Vec<EngineState>,
-    index: std::collections::HashMap<String, usize>,
+    index: HashMap<String, usize>,
     /// By the hash of the id.
-    names: std::collections::HashMap<u64, usize>,
-    services: std::collections::HashMap<String, u32>,
-    zones: std::collections::HashMap<String, u32>,
+    names: HashMap<u64, usize>,
+    services: HashMap<String, u32>,
+    zones: HashMap<String, u32>,
     /// By zone: its region. A zone that is not named is a region of its own.
-    regions: std::collections::HashMap<u32, String>,
-    sheets: crate::sheet::Sheets,
+    regions: HashMap<u32, String>,
+    sheets: Sheets,
     /// By service: the prompt tokens that a read takes on average, as sent from here.
-    reads: std::collections::HashMap<u32, f64>,
+    reads: HashMap<u32, f64>,
     /// By service, half and whether of a version that is brought in: what choices sample from. Invariant: made anew with
     /// each sheet.
-    subsets: std::collections::HashMap<(u32, crate::place::Half, bool), crate::subset::Subset>,
+    subsets: HashMap<(u32, Half, bool), Subset>,
     /// The same, by whether a reader: requests at an engine on average, from the reports that came lately.
-    means: std::collections::HashMap<(u32, bool, bool), f64>,
-    seat: crate::subset::Seat,
+    means: HashMap<(u32, bool, bool), f64>,
+    seat: Seat,
 }
 
 /// How fast a report loses its worth: by then half of it is left, the rest is the average engine.
@@ -28,7 +38,7 @@
 /// What one report weighs in the average.
 const REPORT: f64 = 0.1;
 
-fn dense(map: &mut std::collections::HashMap<String, u32>, name: &str) -> u32 {
+fn dense(map: &mut HashMap<String, u32>, name: &str) -> u32 {
     let next = map.len() as u32;
     *map.entry(name.to_string()).or_insert(next)
 }
@@ -83,7 +93,7 @@
 
     /// How many zones' lists are known.
     pub fn zones_listed(&self) -> usize {
-        self.sheets.all().filter(|sheet| !protocol::msg::hidden(&sheet.zone)).count()
+        self.sheets.all().filter(|sheet| !msg::hidden(&sheet.zone)).count()
     }
 
     /// Who samples here. The number of routers counts by steps of a quarter: a subset should last.
@@ -94,36 +104,35 @@
         if held.mark == mark && held.zones == zones && near {
             return;
         }
-        self.seat = crate::subset::Seat { mark, zone, routers, zones };
+        self.seat = Seat { mark, zone, routers, zones };
         self.sort();
     }
 
     fn sort(&mut self) {
-        let mut lists: std::collections::HashMap<(u32, crate::place::Half, bool), Vec<crate::subset::Named>> =
-            Default::default();
+        let mut lists: HashMap<(u32, Half, bool), Vec<Named>> = Default::default();
         for (at, engine) in self.list.iter().enumerate().filter(|(_, engine)| engine.up && engine.here) {
             let mut put = |half| {
                 lists.entry((engine.service, half, engine.candidate)).or_default().push((at, engine.zone, engine.name))
             };
             if engine.prefill {
-                put(crate::place::Half::Prefill);
+                put(Half::Prefill);
             }
             if engine.decode {
-                put(crate::place::Half::Decode);
+                put(Half::Decode);
             }
         }
         let seat = self.seat;
-        self.subsets = lists.into_iter().map(|(key, list)| (key, crate::subset::Subset::make(seat, &list))).collect();
+        self.subsets = lists.into_iter().map(|(key, list)| (key, Subset::make(seat, &list))).collect();
     }
 
     /// The engines of one half of a service; `candidate`: those of a version that is brought in.
-    pub fn subset(&self, service: u32, half: crate::place::Half, candidate: bool) -> Option<&crate::subset::Subset> {
+    pub fn subset(&self, service: u32, half: Half, candidate: bool) -> Option<&Subset> {
         self.subsets.get(&(service, half, candidate))
     }
 
     /// This router's draw for an engine.
     pub fn ticket(&self, name: u64) -> u64 {
-        kernel::clock::blend(self.seat.mark, name)
+        clock::blend(self.seat.mark, name)
     }
 
     /// An engine told what runs and waits there.
@@ -140,13 +149,13 @@
     pub fn weigh(&mut self, list: &[(String, String, u64)]) {
         for (id, model, version) in list {
             if let Some(at) = self.find(id) {
-                self.list[at].weigh(kernel::clock::hash(model.as_bytes()), Some(*version));
+                self.list[at].weigh(clock::hash(model.as_bytes()), Some(*version));
             }
         }
     }
 
     /// What an engine told another router lately.
-    pub fn hear(&mut self, told: &protocol::msg::Pressure, now: u64) {
+    pub fn hear(&mut self, told: &Pressure, now: u64) {
         let Some(at) = self.names.get(&told.name).copied() else { return };
         let time = now.saturating_sub(u64::from(told.age_ms));
         let engine = &mut self.list[at];
@@ -177,15 +186,15 @@
     }
 
     /// Takes a sheet; gives the ids of engines that just left or began to drain.
-    pub fn take(&mut self, sheet: &protocol::msg::Sheet, now: u64) -> Vec<String> {
+    pub fn take(&mut self, sheet: &Sheet, now: u64) -> Vec<String> {
         if !self.sheets.take(sheet) {
             return Vec::new();
         }
-        let candidate_zone = protocol::version_rollout::candidate_zone(&sheet.zone);
+        let candidate_zone = version_rollout::candidate_zone(&sheet.zone);
         let candidate = candidate_zone.is_some();
         let zone = self.zone(candidate_zone.unwrap_or(&sheet.zone));
         let mut left = Vec::new();
-        let named: std::collections::HashSet<&str> = sheet.list.iter().map(|engine| engine.id.as_str()).collect();
+        let named: HashSet<&str> = sheet.list.iter().map(|engine| engine.id.as_str()).collect();
         let listed = |engine: &&mut EngineState| engine.zone == zone && engine.candidate == candidate && engine.here;
         for engine in self.list.iter_mut().filter(listed) {
             if !named.contains(engine.id.as_str()) {
@@ -225,7 +234,7 @@
         }
     }
 
-    fn add(&mut self, engine: &protocol::msg::Engine, service: u32, zone: u32) -> usize {
+    fn add(&mut self, engine: &Engine, service: u32, zone: u32) -> usize {
         let at = self.list.len();
         self.list.push(EngineState::new(engine, service, zone));
         self.names.insert(self.list[at].name, at);
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -1,5 +1,10 @@
-fn sheet(count: u64, list: &[(&str, bool, u32)]) -> protocol::msg::Sheet {
-    let engine = |(id, up, cold_ms): &(&str, bool, u32)| protocol::msg::Engine {
+use protocol::msg::{Engine, Sheet};
+
+use super::EngineTable;
+use crate::place::{Half, View};
+
+fn sheet(count: u64, list: &[(&str, bool, u32)]) -> Sheet {
+    let engine = |(id, up, cold_ms): &(&str, bool, u32)| Engine {
         id: id.to_string(),
         service: "s".into(),
         addr: format!("10.0.0.1:{}", 80 + id.len()),
@@ -10,12 +15,12 @@
         up: *up,
         cold_ms: *cold_ms,
     };
-    protocol::msg::Sheet { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
+    Sheet { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
 }
 
 #[test]
 fn engines_that_drain_or_go_are_told_once_and_out_of_the_path() {
-    let mut engine_table = super::EngineTable::default();
+    let mut engine_table = EngineTable::default();
     assert!(engine_table.take(&sheet(1, &[("i-1", true, 0), ("i-22", true, 900)]), 100).is_empty());
     assert_eq!(engine_table.list[1].cold_until, 1000);
     assert_eq!(engine_table.take(&sheet(2, &[("i-1", false, 0), ("i-22", true, 0)]), 200), ["i-1"]);
@@ -28,7 +33,7 @@
 
 #[test]
 fn pressure_moves_with_own_sends_since_the_report_and_fades_into_the_average() {
-    let mut engine_table = super::EngineTable::default();
+    let mut engine_table = EngineTable::default();
     engine_table.take(&sheet(1, &[("i-1", true, 0), ("i-22", true, 0)]), 0);
     assert_eq!(engine_table.pressure(0, 5), 0.0, "nothing is known and nothing sent");
     engine_table.list[0].busy = 2;
@@ -50,11 +55,11 @@
 
 #[test]
 fn a_dark_engine_is_left_alone_until_it_answers_and_its_address_until_never() {
-    let mut engine_table = super::EngineTable::default();
+    let mut engine_table = EngineTable::default();
     engine_table.take(&sheet(1, &[("i-1", true, 0), ("i-22", true, 0)]), 0);
     engine_table.list[0].strike(100, 20_000);
-    let open = |engine_table: &super::EngineTable, now| {
-        let view = crate::place::View {
+    let open = |engine_table: &EngineTable, now| {
+        let view = View {
             engine_table,
             now,
             service: 0,
@@ -67,7 +72,7 @@
             confirmed: true,
             arm: Default::default(),
         };
-        view.open(crate::place::Half::Prefill)
+        view.open(Half::Prefill)
     };
     assert_eq!(open(&engine_table, 5000), [1], "no request tests it");
     engine_table.list[0].good(5000);
--- a/load_balancing/src/floor_tests.rs
+++ b/load_balancing/src/floor_tests.rs
@@ -1,67 +1,68 @@
-fn rule(version: u64, latest: u64, lag: u64, routes: &[&str]) -> protocol::msg::Rule {
+use std::collections::BTreeMap;
+
+use kernel::clock::Dice;
+use protocol::msg::Rule;
+
+use super::{Floors, Limit, EASE_MS, LEASE_MS};
+
+fn rule(version: u64, latest: u64, lag: u64, routes: &[&str]) -> Rule {
     let routes = routes.iter().map(|route| route.to_string()).collect();
-    protocol::msg::Rule { service: "s".into(), model: "m".into(), version, latest, lag, routes, ..Default::default() }
+    Rule { service: "s".into(), model: "m".into(), version, latest, lag, routes, ..Default::default() }
 }
 
-fn limit(floors: &super::Floors, route: &str, now: u64) -> super::Limit {
+fn limit(floors: &Floors, route: &str, now: u64) -> Limit {
     floors.limit(0, "m", route, now)
 }
 
 #[test]
 fn a_raise_binds_at_once_and_only_what_it_names() {
-    let mut floors = super::Floors::default();
+    let mut floors = Floors::default();
     floors.renew(0);
-    assert_eq!(limit(&floors, "r", 10), super::Limit::Free);
+    assert_eq!(limit(&floors, "r", 10), Limit::Free);
     assert!(floors.take(&rule(1, 10, 3, &["r"]), 0, 10));
-    assert_eq!(limit(&floors, "r", 10), super::Limit::From(7));
-    assert_eq!(limit(&floors, "other", 10), super::Limit::Free);
-    assert_eq!(floors.limit(0, "n", "r", 10), super::Limit::Free, "another model");
-    assert_eq!(floors.limit(1, "m", "r", 10), super::Limit::Free, "another service");
+    assert_eq!(limit(&floors, "r", 10), Limit::From(7));
+    assert_eq!(limit(&floors, "other", 10), Limit::Free);
+    assert_eq!(floors.limit(0, "n", "r", 10), Limit::Free, "another model");
+    assert_eq!(floors.limit(1, "m", "r", 10), Limit::Free, "another service");
     assert!(floors.take(&rule(2, 12, 3, &["r", "t"]), 0, 20));
-    assert_eq!((limit(&floors, "r", 20), limit(&floors, "t", 20)), (super::Limit::From(9), super::Limit::From(9)));
+    assert_eq!((limit(&floors, "r", 20), limit(&floors, "t", 20)), (Limit::From(9), Limit::From(9)));
     assert!(!floors.take(&rule(1, 10, 3, &["r"]), 0, 30), "an older version changes nothing");
-    assert_eq!(limit(&floors, "r", 30), super::Limit::From(9));
+    assert_eq!(limit(&floors, "r", 30), Limit::From(9));
 }
 
 #[test]
 fn a_loosening_waits_until_all_could_know() {
-    let mut floors = super::Floors::default();
+    let mut floors = Floors::default();
     floors.take(&rule(1, 10, 2, &["r", "t"]), 0, 0);
     floors.take(&rule(2, 10, 5, &["r", "u"]), 0, 100);
-    floors.renew(100 + super::EASE_MS);
-    let early = 100 + super::EASE_MS - 1;
-    assert_eq!(
-        (limit(&floors, "r", early), limit(&floors, "t", early)),
-        (super::Limit::From(8), super::Limit::From(8))
-    );
-    assert_eq!(limit(&floors, "u", early), super::Limit::From(8), "a route added is bound at once");
-    assert_eq!(
-        (limit(&floors, "r", early + 1), limit(&floors, "t", early + 1)),
-        (super::Limit::From(5), super::Limit::Free)
-    );
-    let gone = protocol::msg::Rule { removed: true, ..rule(3, 10, 5, &["r", "u"]) };
+    floors.renew(100 + EASE_MS);
+    let early = 100 + EASE_MS - 1;
+    assert_eq!((limit(&floors, "r", early), limit(&floors, "t", early)), (Limit::From(8), Limit::From(8)));
+    assert_eq!(limit(&floors, "u", early), Limit::From(8), "a route added is bound at once");
+    assert_eq!((limit(&floors, "r", early + 1), limit(&floors, "t", early + 1)), (Limit::From(5), Limit::Free));
+    let gone = Rule { removed: true, ..rule(3, 10, 5, &["r", "u"]) };
     floors.take(&gone, 0, 4000);
     floors.renew(8000);
-    assert_eq!(limit(&floors, "r", 4000 + super::EASE_MS - 1), super::Limit::From(5));
-    assert_eq!(limit(&floors, "r", 4000 + super::EASE_MS), super::Limit::Free);
+    assert_eq!(limit(&floors, "r", 4000 + EASE_MS - 1), Limit::From(5));
+    assert_eq!(limit(&floors, "r", 4000 + EASE_MS), Limit::Free);
 }
 
 #[test]
 fn a_lapsed_lease_refuses_what_is_bound_and_nothing_else() {
-    let mut floors = super::Floors::default();
+    let mut floors = Floors::default();
     floors.take(&rule(1, 10, 2, &["r"]), 0, 0);
-    assert_eq!(limit(&floors, "r", 0), super::Limit::Lapsed, "never renewed");
+    assert_eq!(limit(&floors, "r", 0), Limit::Lapsed, "never renewed");
     floors.renew(100);
-    assert_eq!(limit(&floors, "r", 99 + super::LEASE_MS), super::Limit::From(8));
-    assert_eq!(limit(&floors, "r", 100 + super::LEASE_MS), super::Limit::Lapsed);
-    assert_eq!(limit(&floors, "t", 100 + super::LEASE_MS), super::Limit::Free);
+    assert_eq!(limit(&floors, "r", 99 + LEASE_MS), Limit::From(8));
+    assert_eq!(limit(&floors, "r", 100 + LEASE_MS), Limit::Lapsed);
+    assert_eq!(limit(&floors, "t", 100 + LEASE_MS), Limit::Free);
     floors.renew(50);
-    assert_eq!(limit(&floors, "r", 100 + super::LEASE_MS), super::Limit::Lapsed, "a late answer to an old call");
+    assert_eq!(limit(&floors, "r", 100 + LEASE_MS), Limit::Lapsed, "a late answer to an old call");
 }
 
 const SURE_MS: u64 = 1100;
 const SEAT_MS: u64 = 1600;
-const WAIT_MS: u64 = SURE_MS + super::LEASE_MS + 200;
+const WAIT_MS: u64 = SURE_MS + LEASE_MS + 200;
 
 /// A controller: the version it knows, until when it is sure, what its routers told and until when they count.
 #[derive(Clone, Default)]
@@ -71,12 +72,12 @@
     cut_until: u64,
     /// When it last started: it has forgotten who held a lease before.
     born: u64,
-    crew: std::collections::BTreeMap<usize, (u64, u64)>,
+    crew: BTreeMap<usize, (u64, u64)>,
 }
 
 /// A router: its floors, its controller, the next call, and until when it sleeps.
 struct Router {
-    floors: super::Floors,
+    floors: Floors,
     home: usize,
     next: u64,
     asleep_until: u64,
@@ -102,11 +103,11 @@
 /// Gives the number of sends under a floor below one that was acknowledged, and of acknowledgements.
 fn play(seed: u64, fault: Fault) -> (u32, u32) {
     let hasty = fault == Fault::Hasty;
-    let mut dice = kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9));
+    let mut dice = Dice::new(seed.wrapping_mul(0x9E37_79B9));
     let mut controllers = vec![Controller { knows: 1, ..Default::default() }; 4];
     let mut routers: Vec<Router> = (0..8)
         .map(|at| {
-            let mut floors = super::Floors::default();
+            let mut floors = Floors::default();
             floors.take(&rule(1, 1, 0, &["r"]), 0, 0);
             Router { floors, home: at % 4, next: at as u64 * 37, asleep_until: 0, cut_until: 0 }
         })
@@ -142,7 +143,7 @@
             }
             // The first thing on waking: a request that was about to be sent.
             if dice.below(7) == 0 || now == router.asleep_until {
-                if let super::Limit::From(floor) = router.floors.limit(0, "m", "r", now) {
+                if let Limit::From(floor) = router.floors.limit(0, "m", "r", now) {
                     wrong += u32::from(floor < acked);
                 }
             }
--- a/load_balancing/src/place.rs
+++ b/load_balancing/src/place.rs
@@ -1,8 +1,13 @@
 //! Choosing engines: pure functions over the engine_table. Lower cost wins; ties go by rendezvous.
 
+use kernel::clock;
+
+use crate::engine_table::{EngineState, EngineTable};
+use crate::subset::Subset;
+
 /// What a choice looks at.
 pub struct View<'a> {
-    pub engine_table: &'a crate::engine_table::EngineTable,
+    pub engine_table: &'a EngineTable,
     pub now: u64,
     pub service: u32,
     /// The router's own zone.
@@ -58,7 +63,7 @@
 const MOVE: [f64; 3] = [1.0, 2.0, 10.0];
 
 impl View<'_> {
-    fn subset(&self, half: Half) -> Option<&crate::subset::Subset> {
+    fn subset(&self, half: Half) -> Option<&Subset> {
         self.engine_table.subset(self.service, half, self.arm.is_candidate())
     }
 
@@ -75,7 +80,7 @@
         !self.open(Half::Decode).is_empty() && (!self.has(Half::Prefill) || !self.open(Half::Prefill).is_empty())
     }
 
-    fn fits(&self, at: usize, engine: &crate::engine_table::EngineState, half: Half) -> bool {
+    fn fits(&self, at: usize, engine: &EngineState, half: Half) -> bool {
         let part = match half {
             Half::Prefill => engine.prefill,
             Half::Decode => engine.decode,
@@ -94,7 +99,7 @@
             })
     }
 
-    fn ramped(&self, engine: &crate::engine_table::EngineState) -> bool {
+    fn ramped(&self, engine: &EngineState) -> bool {
         if self.ramp <= 0.0 {
             return true;
         }
@@ -147,7 +152,7 @@
     /// Is there room beside interactive work: makers under a share of their slots, and readers, where
     /// there are any, with next to nothing to read?
     pub fn idle(&self, share: f64) -> bool {
-        let calm = |half: Half, bound: &dyn Fn(&crate::engine_table::EngineState) -> f64| {
+        let calm = |half: Half, bound: &dyn Fn(&EngineState) -> f64| {
             let open = self.open(half);
             let fits = |at: &usize| {
                 let engine = &self.engine_table.list[*at];
@@ -220,7 +225,7 @@
     }
 
     /// What it costs to send a prompt there from here, in tokens.
-    fn reach(&self, engine: &crate::engine_table::EngineState, tokens: u32) -> f64 {
+    fn reach(&self, engine: &EngineState, tokens: u32) -> f64 {
         let step = self.engine_table.distance(engine.zone, self.zone);
         FAR[step] * f64::from(tokens) + JOURNEY[step]
     }
@@ -247,7 +252,7 @@
 }
 
 fn rank(key: u64, name: u64) -> u64 {
-    kernel::clock::blend(key, name)
+    clock::blend(key, name)
 }
 
 fn cheapest(open: &[usize], cost: impl Fn(usize) -> f64, rank: impl Fn(usize) -> u64) -> Option<(usize, f64)> {
--- a/load_balancing/src/place_tests.rs
+++ b/load_balancing/src/place_tests.rs
@@ -1,5 +1,10 @@
-fn engine_table() -> crate::engine_table::EngineTable {
-    let engine = |id: &str, zone: &str, phase: &str, up: bool| protocol::msg::Engine {
+use protocol::msg::{Engine, Sheet};
+
+use super::{Arm, Half, View};
+use crate::engine_table::EngineTable;
+
+fn engine_table() -> EngineTable {
+    let engine = |id: &str, zone: &str, phase: &str, up: bool| Engine {
         id: id.into(),
         service: "s".into(),
         addr: "10.0.0.1:80".into(),
@@ -10,7 +15,7 @@
         up,
         cold_ms: 0,
     };
-    let mut engine_table = crate::engine_table::EngineTable::default();
+    let mut engine_table = EngineTable::default();
     for zone in ["a", "b"] {
         engine_table.region(zone, "r");
         let list = vec![
@@ -18,17 +23,13 @@
             engine(&format!("d-{zone}"), zone, "decode", true),
             engine(&format!("x-{zone}"), zone, "decode", false),
         ];
-        engine_table.take(&protocol::msg::Sheet { zone: zone.into(), turn: 1, count: 1, list }, 0);
+        engine_table.take(&Sheet { zone: zone.into(), turn: 1, count: 1, list }, 0);
     }
     engine_table
 }
 
-fn view<'a>(
-    engine_table: &'a crate::engine_table::EngineTable,
-    shut: &'a [u32],
-    tried: &'a [usize],
-) -> super::View<'a> {
-    super::View {
+fn view<'a>(engine_table: &'a EngineTable, shut: &'a [u32], tried: &'a [usize]) -> View<'a> {
+    View {
         engine_table,
         now: 1000,
         service: 0,
@@ -39,11 +40,11 @@
         ramp: 3.0,
         weights: None,
         confirmed: true,
-        arm: super::Arm::Stable,
+        arm: Arm::Stable,
     }
 }
 
-fn id(engine_table: &crate::engine_table::EngineTable, at: Option<usize>) -> &str {
+fn id(engine_table: &EngineTable, at: Option<usize>) -> &str {
     at.map_or("", |at| engine_table.list[at].id.as_str())
 }
 
@@ -85,7 +86,7 @@
 fn a_maker_reads_alone_only_when_readers_are_pressed() {
     let mut engine_table = engine_table();
     engine_table.note_read(0, 3000);
-    let costs = |engine_table: &crate::engine_table::EngineTable| {
+    let costs = |engine_table: &EngineTable| {
         let view = view(engine_table, &[], &[]);
         (view.prefill(3000, &[], 0, 1).expect("reader").1, view.alone(3000, &[], 1).expect("maker").1)
     };
@@ -169,7 +170,7 @@
     let (near, far) = (engine_table.find("p-a").expect("known"), engine_table.find("p-b").expect("known"));
     let chosen =
         |key, held: &[(usize, u32)]| view(&engine_table, &[], &[]).prefill(9000, held, 6000, key).map(|best| best.0);
-    let home = |key| engine_table.subset(0, super::Half::Prefill, false).expect("one").homes(key, 1, |_| true)[0];
+    let home = |key| engine_table.subset(0, Half::Prefill, false).expect("one").homes(key, 1, |_| true)[0];
     let key = (0..).find(|key| home(*key) == near).expect("a key at home near");
     assert_eq!(chosen(key, &[(far, 2500)]), Some(near), "the part that all share is not enough");
     assert_eq!(chosen(key, &[(far, 6000)]), Some(far), "the whole shared prefix is");
--- a/load_balancing/src/sheet.rs
+++ b/load_balancing/src/sheet.rs
@@ -1,5 +1,10 @@
 //! The list of engines as the pollers saw it, a sheet a zone.
 
+use std::collections::BTreeMap;
+
+use protocol::msg::{self, Engine, Sheet};
+use protocol::version_rollout;
+
 /// The low bits of a turn that tell pollers apart: enough that no two of a large fleet share them.
 const SEAT_BITS: u32 = 28;
 
@@ -19,14 +24,14 @@
 /// Invariant: the version (turn, count) of a zone's sheet never goes back.
 #[derive(Default)]
 pub struct Sheets {
-    list: std::collections::BTreeMap<String, protocol::msg::Sheet>,
+    list: BTreeMap<String, Sheet>,
     /// Turns that others were told of: the next own poll goes above them.
-    floor: std::collections::BTreeMap<String, u64>,
+    floor: BTreeMap<String, u64>,
 }
 
 impl Sheets {
     /// True when the sheet is newer than what was held.
-    pub fn take(&mut self, sheet: &protocol::msg::Sheet) -> bool {
+    pub fn take(&mut self, sheet: &Sheet) -> bool {
         let held = self.list.get(&sheet.zone).map(|held| (held.turn, held.count));
         if held >= Some((sheet.turn, sheet.count)) {
             return false;
@@ -48,14 +53,7 @@
     ///
     /// Another poller's list that became known meanwhile may be newer than what was seen, so what was
     /// seen is dropped: it would else be put above that list (a poller that froze in mid-poll).
-    pub fn poll(
-        &mut self,
-        zone: &str,
-        turn: &mut u64,
-        seat: u64,
-        list: Vec<protocol::msg::Engine>,
-        known: Known,
-    ) -> Option<protocol::msg::Sheet> {
+    pub fn poll(&mut self, zone: &str, turn: &mut u64, seat: u64, list: Vec<Engine>, known: Known) -> Option<Sheet> {
         if self.known(zone) != known {
             return None;
         }
@@ -69,17 +67,17 @@
             return None;
         }
         let count = held.filter(|held| held.turn == *turn).map_or(1, |held| held.count + 1);
-        let sheet = protocol::msg::Sheet { zone: zone.into(), turn: *turn, count, list };
+        let sheet = Sheet { zone: zone.into(), turn: *turn, count, list };
         self.list.insert(zone.into(), sheet.clone());
         Some(sheet)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &protocol::msg::Sheet> {
+    pub fn all(&self) -> impl Iterator<Item = &Sheet> {
         self.list.values()
     }
 
     /// Those that are newer than the versions told.
-    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<protocol::msg::Sheet> {
+    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<Sheet> {
         let version = |zone: &str| told.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
         self.list.values().filter(|held| Some((held.turn, held.count)) > version(&held.zone)).cloned().collect()
     }
@@ -90,8 +88,7 @@
 
     /// Someone holds lists of these turns: routers outlive the controllers that made them.
     pub fn raise(&mut self, told: &[(String, u64, u64)]) {
-        let is_list =
-            |name: &str| !protocol::msg::hidden(name) || protocol::version_rollout::candidate_zone(name).is_some();
+        let is_list = |name: &str| !msg::hidden(name) || version_rollout::candidate_zone(name).is_some();
         for (zone, turn, _) in told.iter().filter(|item| is_list(&item.0)) {
             let floor = self.floor.entry(zone.clone()).or_default();
             *floor = (*floor).max(*turn);
@@ -104,11 +101,8 @@
 }
 
 /// The same but for the running down of what is left of a cold time.
-fn alike(left: &[protocol::msg::Engine], right: &[protocol::msg::Engine]) -> bool {
-    let plain = |engine: &protocol::msg::Engine| protocol::msg::Engine {
-        cold_ms: u32::from(engine.cold_ms > 0),
-        ..engine.clone()
-    };
+fn alike(left: &[Engine], right: &[Engine]) -> bool {
+    let plain = |engine: &Engine| Engine { cold_ms: u32::from(engine.cold_ms > 0), ..engine.clone() };
     left.len() == right.len() && left.iter().zip(right).all(|(one, two)| plain(one) == plain(two))
 }
 
--- a/load_balancing/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -1,5 +1,10 @@
-fn engine(id: &str, cold_ms: u32) -> protocol::msg::Engine {
-    protocol::msg::Engine {
+use kernel::clock::Dice;
+use protocol::msg::{Engine, Sheet};
+
+use super::{Known, Sheets};
+
+fn engine(id: &str, cold_ms: u32) -> Engine {
+    Engine {
         id: id.into(),
         service: "s".into(),
         addr: "10.1.1.1:80".into(),
@@ -13,19 +18,14 @@
 }
 
 /// A poll that takes no time.
-fn poll(
-    list: &mut super::Sheets,
-    turn: &mut u64,
-    seat: u64,
-    engines: Vec<protocol::msg::Engine>,
-) -> Option<protocol::msg::Sheet> {
+fn poll(list: &mut Sheets, turn: &mut u64, seat: u64, engines: Vec<Engine>) -> Option<Sheet> {
     let known = list.known("a");
     list.poll("a", turn, seat, engines, known)
 }
 
 #[test]
 fn a_successor_goes_above_and_the_first_never_goes_back() {
-    let (mut one, mut two) = (super::Sheets::default(), super::Sheets::default());
+    let (mut one, mut two) = (Sheets::default(), Sheets::default());
     let mut turn = 0;
     let first = poll(&mut one, &mut turn, 1, vec![engine("i-1", 0)]).expect("new");
     assert!(two.take(&first) && !two.take(&first));
@@ -39,13 +39,13 @@
 
 #[test]
 fn one_that_starts_anew_goes_above_what_it_made_before() {
-    let (mut old, mut far) = (super::Sheets::default(), super::Sheets::default());
+    let (mut old, mut far) = (Sheets::default(), Sheets::default());
     let mut turn = 0;
     for count in 0..4 {
         far.take(&poll(&mut old, &mut turn, 1, vec![engine(&format!("i-{count}"), 0)]).expect("new"));
     }
     // A restart: nothing held, no turn. The fellow sends what is newer before the next poll counts.
-    let (mut new, mut again) = (super::Sheets::default(), 0);
+    let (mut new, mut again) = (Sheets::default(), 0);
     let lost = poll(&mut new, &mut again, 1, vec![]).expect("new");
     assert!(!far.take(&lost));
     for sheet in far.newer(&new.versions()) {
@@ -57,10 +57,10 @@
 
 #[test]
 fn a_poller_goes_above_what_a_router_kept_from_before_all_controllers_fell() {
-    let (mut old, mut router) = (super::Sheets::default(), super::Sheets::default());
+    let (mut old, mut router) = (Sheets::default(), Sheets::default());
     let mut turn = 0;
     router.take(&poll(&mut old, &mut turn, 9, vec![engine("i-1", 0)]).expect("new"));
-    let (mut new, mut again) = (super::Sheets::default(), 0);
+    let (mut new, mut again) = (Sheets::default(), 0);
     assert!(!router.take(&poll(&mut new, &mut again, 1, vec![]).expect("new")));
     new.raise(&router.versions());
     assert!(router.take(&poll(&mut new, &mut again, 1, vec![]).expect("new")));
@@ -68,7 +68,7 @@
 
 #[test]
 fn only_a_change_makes_a_sheet() {
-    let mut list = super::Sheets::default();
+    let mut list = Sheets::default();
     let mut turn = 0;
     assert!(poll(&mut list, &mut turn, 1, vec![engine("i-1", 900)]).is_some());
     assert!(poll(&mut list, &mut turn, 1, vec![engine("i-1", 400)]).is_none());
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_poll_that_another_overtook_is_dropped() {
-    let (mut frozen, mut other) = (super::Sheets::default(), super::Sheets::default());
+    let (mut frozen, mut other) = (Sheets::default(), Sheets::default());
     let (mut turn, mut other_turn) = (0, 0);
     let first = poll(&mut frozen, &mut turn, 1, vec![engine("i-1", 0)]).expect("new");
     other.take(&first);
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_poll_is_dropped_when_only_the_turn_of_a_newer_list_became_known() {
-    let mut list = super::Sheets::default();
+    let mut list = Sheets::default();
     let mut turn = 0;
     let first = poll(&mut list, &mut turn, 1, vec![engine("i-1", 0)]).expect("new");
     let known = list.known("a");
@@ -114,12 +114,12 @@
 #[test]
 fn no_list_goes_back_in_time_whatever_overlaps() {
     for seed in 1..=200 {
-        let mut dice = kernel::clock::Dice::new(seed * 7919);
-        let mut pollers: Vec<super::Sheets> = (0..3).map(|_| super::Sheets::default()).collect();
-        let mut router = super::Sheets::default();
+        let mut dice = Dice::new(seed * 7919);
+        let mut pollers: Vec<Sheets> = (0..3).map(|_| Sheets::default()).collect();
+        let mut router = Sheets::default();
         let mut turns = [0u64; 3];
         // What each poll under way has read: the platform's version at that time.
-        let mut under_way: [Option<(super::Known, u32)>; 3] = [None; 3];
+        let mut under_way: [Option<(Known, u32)>; 3] = [None; 3];
         let (mut platform, mut shown) = (0u32, 0u32);
         for _ in 0..400 {
             platform += u32::from(dice.below(4) == 0);
--- a/load_balancing/src/subset.rs
+++ b/load_balancing/src/subset.rs
@@ -2,6 +2,10 @@
 //! routers find the same home for a prefix. Both are made anew only when the list changes, so that a
 //! choice costs the same however many engines there are.
 
+use std::collections::BTreeMap;
+
+use kernel::clock;
+
 /// Invariants: `all` are the engines listed up for this half; `picks` is a part of them, the same as
 /// long as the list and the fleet stay the same; `ring` is sorted.
 #[derive(Clone, Debug, Default)]
@@ -48,10 +52,8 @@
 
 impl Subset {
     pub fn make(seat: Seat, list: &[Named]) -> Subset {
-        let mut ring: Vec<(u64, usize)> = list
-            .iter()
-            .flat_map(|(at, _, name)| (0..PLACES).map(|place| (kernel::clock::blend(*name, place), *at)))
-            .collect();
+        let mut ring: Vec<(u64, usize)> =
+            list.iter().flat_map(|(at, _, name)| (0..PLACES).map(|place| (clock::blend(*name, place), *at))).collect();
         ring.sort_unstable();
         let mut names: Vec<(u64, usize)> = list.iter().map(|(at, _, name)| (*name, *at)).collect();
         names.sort_unstable();
@@ -60,9 +62,9 @@
     }
 
     fn picks(seat: Seat, list: &[Named]) -> Vec<usize> {
-        let mut zones: std::collections::BTreeMap<u32, Vec<(u64, usize)>> = Default::default();
+        let mut zones: BTreeMap<u32, Vec<(u64, usize)>> = Default::default();
         for (at, zone, name) in list {
-            zones.entry(*zone).or_default().push((kernel::clock::blend(seat.mark, *name), *at));
+            zones.entry(*zone).or_default().push((clock::blend(seat.mark, *name), *at));
         }
         let part = |(zone, mut part): (u32, Vec<(u64, usize)>)| {
             part.sort_unstable();
--- a/load_balancing/src/subset_tests.rs
+++ b/load_balancing/src/subset_tests.rs
@@ -1,18 +1,22 @@
+use kernel::clock;
+
+use super::{Seat, Subset};
+
 fn engines(zones: u32, each: usize) -> Vec<(usize, u32, u64)> {
-    let name = |at: usize| kernel::clock::hash(format!("i-{at}").as_bytes());
+    let name = |at: usize| clock::hash(format!("i-{at}").as_bytes());
     (0..zones as usize * each).map(|at| (at, (at / each) as u32, name(at))).collect()
 }
 
-fn seat(at: u32, routers: u32, zones: u32) -> super::Seat {
-    let mark = kernel::clock::hash(format!("edge-{at}").as_bytes());
-    super::Seat { mark, zone: at % zones, routers, zones }
+fn seat(at: u32, routers: u32, zones: u32) -> Seat {
+    let mark = clock::hash(format!("edge-{at}").as_bytes());
+    Seat { mark, zone: at % zones, routers, zones }
 }
 
 #[test]
 fn a_sample_of_a_small_fleet_is_all_of_it() {
     let list = engines(3, 4);
     for at in 0..10 {
-        let mut picks = super::Subset::make(seat(at, 10, 3), &list).picks;
+        let mut picks = Subset::make(seat(at, 10, 3), &list).picks;
         picks.sort_unstable();
         assert_eq!(picks, (0..12).collect::<Vec<_>>());
     }
@@ -29,7 +33,7 @@
         let mut near = vec![0u32; list.len()];
         for at in (0..routers).step_by(zones as usize) {
             let seat = seat(at, routers, zones);
-            for pick in super::Subset::picks(seat, &list) {
+            for pick in Subset::picks(seat, &list) {
                 near[pick] += u32::from(list[pick].1 == seat.zone);
             }
         }
@@ -43,7 +47,7 @@
 #[test]
 fn a_subset_does_not_grow_with_routers_times_engines() {
     for (routers, zones, each) in FLEETS {
-        let picks = super::Subset::picks(seat(1, routers, zones), &engines(zones, each)).len();
+        let picks = Subset::picks(seat(1, routers, zones), &engines(zones, each)).len();
         assert!(picks <= 80, "{routers} routers, {each} engines a zone: {picks}");
     }
 }
@@ -51,14 +55,14 @@
 #[test]
 fn one_engine_more_or_less_moves_only_its_own_place() {
     let list = engines(3, 20);
-    let before = super::Subset::make(seat(5, 88, 3), &list);
+    let before = Subset::make(seat(5, 88, 3), &list);
     for gone in [0, 7, 31, 59] {
         let rest: Vec<_> = list.iter().copied().filter(|(at, _, _)| *at != gone).collect();
-        let after = super::Subset::make(seat(5, 88, 3), &rest);
+        let after = Subset::make(seat(5, 88, 3), &rest);
         let lost = before.picks.iter().filter(|at| !after.picks.contains(at)).count();
         assert!(lost <= 1, "{lost} moved");
         let (mut moved, mut of) = (0, 0);
-        for key in (0..500u64).map(|key| kernel::clock::blend(key, 9)) {
+        for key in (0..500u64).map(|key| clock::blend(key, 9)) {
             let (old, new) = (before.homes(key, 1, |_| true), after.homes(key, 1, |_| true));
             of += 1;
             moved += u32::from(old != new);
@@ -71,9 +75,9 @@
 #[test]
 fn all_routers_find_the_same_homes_and_they_are_spread() {
     let list = engines(3, 8);
-    let (one, two) = (super::Subset::make(seat(1, 88, 3), &list), super::Subset::make(seat(2, 88, 3), &list));
+    let (one, two) = (Subset::make(seat(1, 88, 3), &list), Subset::make(seat(2, 88, 3), &list));
     let mut count = [0u32; 24];
-    for key in (0..4800u64).map(|key| kernel::clock::blend(key, 3)) {
+    for key in (0..4800u64).map(|key| clock::blend(key, 3)) {
         let homes = one.homes(key, 2, |_| true);
         assert_eq!(homes, two.homes(key, 2, |_| true));
         assert!(homes.len() == 2 && homes[0] != homes[1]);
--- a/membership/src/duty_world.rs
+++ b/membership/src/duty_world.rs
@@ -1,5 +1,10 @@
 //! The world of the duty tests: three controllers and the register, in virtual time.
 
+use kernel::clock::Dice;
+
+use crate::duty::{self, Held, Look, SureStreak};
+use crate::{Peer, PeerReport, Roster};
+
 pub const LEASE: u64 = 3000;
 pub const SURE: u64 = 1100;
 pub const BEAT: u64 = 350;
@@ -26,19 +31,19 @@
     /// Heard by all, but its rounds reach no majority.
     pub deaf_until: u64,
     pub started: u64,
-    pub roster: crate::Roster,
-    pub streak: crate::duty::SureStreak,
+    pub roster: Roster,
+    pub streak: SureStreak,
     pub board: (u64, String, bool),
     /// It knows that the register says that it has waited.
     pub declared: bool,
     pub sure_at: Option<u64>,
-    pub held: Option<(u64, crate::duty::Held)>,
+    pub held: Option<(u64, Held)>,
     pub lives: u64,
 }
 
 pub struct World {
     pub now: u64,
-    pub dice: kernel::clock::Dice,
+    pub dice: Dice,
     pub controllers: Vec<Controller>,
     /// Until when two controllers are cut off from each other alone.
     pub pair_cut_until: [[u64; 3]; 3],
@@ -54,8 +59,8 @@
     pub calm: bool,
 }
 
-fn roster(at: usize) -> crate::Roster {
-    crate::Roster::new(&format!("k{at}"), "", SURE)
+fn roster(at: usize) -> Roster {
+    Roster::new(&format!("k{at}"), "", SURE)
 }
 
 impl World {
@@ -76,7 +81,7 @@
         };
         World {
             now: 0,
-            dice: kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9)),
+            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9)),
             controllers: (0..3).map(controller).collect(),
             pair_cut_until: [[0; 3]; 3],
             register: (0, String::new(), false),
@@ -165,11 +170,11 @@
         let own = &self.controllers[at].roster;
         let vouches = own.controllers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
         let sure = self.controllers[at].sure_at.is_some_and(|time| now < time + SURE);
-        let report = crate::PeerReport { sure, vouches, ..Default::default() };
+        let report = PeerReport { sure, vouches, ..Default::default() };
         for other in (0..3).filter(|other| *other != at) {
             if self.linked(at, other) {
                 let roster = &mut self.controllers[other].roster;
-                roster.hear(&name, crate::Peer { heard: now, ..Default::default() });
+                roster.hear(&name, Peer { heard: now, ..Default::default() });
                 roster.report(&name, report.clone(), now);
             }
         }
@@ -194,14 +199,14 @@
             true => controller.roster.silent(&holder, self.now),
             false => controller.roster.absent_ms(&holder, self.now).min(sure_ms),
         };
-        let look = crate::duty::Look {
+        let look = Look {
             me: &controller.name,
             holder: &holder,
             absent_ms,
             first: controller.roster.first_sure(DUTY, self.now).as_ref() == Some(&controller.name),
             lease_ms: LEASE,
         };
-        if !crate::duty::may_take(look) || !self.majority(at) || self.register.0 != controller.board.0 {
+        if !duty::may_take(look) || !self.majority(at) || self.register.0 != controller.board.0 {
             return;
         }
         let own = holder.is_empty() || (holder == controller.name && controller.held.is_none() && controller.board.2);
@@ -210,7 +215,7 @@
         if !self.change((epoch, name, own)) {
             return;
         }
-        let held = crate::duty::Held { since: self.now, own: own || self.hasty, sure_at: self.now };
+        let held = Held { since: self.now, own: own || self.hasty, sure_at: self.now };
         let register = self.register.clone();
         let controller = &mut self.controllers[at];
         controller.held = Some((epoch, held));
@@ -233,7 +238,7 @@
         if (controller.board.0, &controller.board.1) != (epoch, &controller.name) {
             return;
         }
-        if crate::duty::may_act(crate::duty::Held { sure_at, ..held }, self.now, false, LEASE, SURE) {
+        if duty::may_act(Held { sure_at, ..held }, self.now, false, LEASE, SURE) {
             // Said in the register before the first act, so that the next life need not wait again.
             if !controller.declared {
                 let holder = controller.name.clone();
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,6 +1,10 @@
 //! Who is there: leases of controllers and routers, and the order in which duties fall to them. Pure:
 //! time comes in with every call.
 
+use std::collections::{BTreeMap, HashMap};
+
+use kernel::clock;
+
 pub mod able;
 pub mod duty;
 pub mod platform_access;
@@ -49,16 +53,16 @@
     pub me: String,
     pub zone: String,
     pub span: u64,
-    pub controllers: std::collections::BTreeMap<String, Peer>,
-    pub routers: std::collections::BTreeMap<String, RouterLease>,
+    pub controllers: BTreeMap<String, Peer>,
+    pub routers: BTreeMap<String, RouterLease>,
     /// Engines about to change their part, by own order, and until when.
     pub resting: Vec<(String, u64)>,
     /// Routers as counted when last sure, or more that were seen since.
     sure_seats: u32,
     /// By peer: when it was last heard to be sure.
-    sure_heard: std::collections::BTreeMap<String, u64>,
+    sure_heard: BTreeMap<String, u64>,
     /// By peer: what it last told of others.
-    pub reports: std::collections::BTreeMap<String, PeerReport>,
+    pub reports: BTreeMap<String, PeerReport>,
     /// Own access to the platform.
     pub access: platform_access::PlatformAccess,
 }
@@ -97,7 +101,7 @@
 
     /// Requests under way at each engine, from the routers that hold a lease here.
     pub fn own_pressure(&self) -> Vec<(String, u32)> {
-        let mut sum: std::collections::BTreeMap<&str, u32> = Default::default();
+        let mut sum: BTreeMap<&str, u32> = Default::default();
         for (id, busy) in self.routers.values().flat_map(|lease| &lease.busy) {
             *sum.entry(id).or_default() += busy;
         }
@@ -105,8 +109,8 @@
     }
 
     /// The same from all routers.
-    pub fn pressure(&self, now: u64) -> std::collections::HashMap<String, u32> {
-        let mut sum: std::collections::HashMap<String, u32> = self.own_pressure().into_iter().collect();
+    pub fn pressure(&self, now: u64) -> HashMap<String, u32> {
+        let mut sum: HashMap<String, u32> = self.own_pressure().into_iter().collect();
         let live = self.controllers.values().filter(|peer| now < peer.heard + self.span);
         for (id, busy) in live.flat_map(|peer| &peer.busy) {
             *sum.entry(id.clone()).or_default() += busy;
@@ -223,7 +227,7 @@
         }
         list.sort_by_key(|ip| {
             let far = self.zone_of(ip) != zone;
-            (far, kernel::clock::blend(kernel::clock::hash(duty.as_bytes()), kernel::clock::hash(ip.as_bytes())))
+            (far, clock::blend(clock::hash(duty.as_bytes()), clock::hash(ip.as_bytes())))
         });
         list
     }
--- a/membership/src/lib_tests.rs
+++ b/membership/src/lib_tests.rs
@@ -1,18 +1,12 @@
-fn peer(zone: &str, heard: u64) -> super::Peer {
-    super::Peer {
-        zone: zone.into(),
-        life: 1,
-        heard,
-        fit: true,
-        seats: 3,
-        busy: vec![("i-1".into(), 2)],
-        ..Default::default()
-    }
+use super::{Peer, PeerReport, Roster};
+
+fn peer(zone: &str, heard: u64) -> Peer {
+    Peer { zone: zone.into(), life: 1, heard, fit: true, seats: 3, busy: vec![("i-1".into(), 2)], ..Default::default() }
 }
 
 #[test]
 fn own_area_holds_and_the_next_takes_over_when_it_is_silent() {
-    let mut list = super::Roster::new("10.0.0.1", "a", 1000);
+    let mut list = Roster::new("10.0.0.1", "a", 1000);
     list.hear("10.0.0.2", peer("b", 100));
     assert_eq!(list.holder("b", "list", 1000), "10.0.0.2");
     assert_eq!(list.holder("b", "list", 1100), "10.0.0.1");
@@ -21,8 +15,8 @@
 
 #[test]
 fn all_controllers_agree_on_an_order() {
-    let mut one = super::Roster::new("10.0.0.1", "a", 1000);
-    let mut two = super::Roster::new("10.0.0.2", "b", 1000);
+    let mut one = Roster::new("10.0.0.1", "a", 1000);
+    let mut two = Roster::new("10.0.0.2", "b", 1000);
     one.hear("10.0.0.2", peer("b", 1));
     two.hear("10.0.0.1", peer("a", 1));
     for duty in ["x", "y", "z"] {
@@ -32,7 +26,7 @@
 
 #[test]
 fn seats_count_own_leases_and_those_of_fellows() {
-    let mut list = super::Roster::new("10.0.0.1", "a", 1000);
+    let mut list = Roster::new("10.0.0.1", "a", 1000);
     list.hear("10.0.0.2", peer("b", 100));
     list.lease("edge-1", 500, vec![("i-1".into(), 5)], "10.0.0.9:80".into());
     assert_eq!(list.door(400, 7).as_deref(), Some("10.0.0.9:80"));
@@ -45,27 +39,27 @@
 
 #[test]
 fn one_that_is_sure_and_heard_by_a_live_peer_is_not_absent() {
-    let sure = || super::PeerReport { sure: true, ..Default::default() };
-    let mut list = super::Roster::new("10.0.0.1", "a", 1000);
+    let sure = || PeerReport { sure: true, ..Default::default() };
+    let mut list = Roster::new("10.0.0.1", "a", 1000);
     assert_eq!(list.absent_ms("10.0.0.2", 50), u64::MAX, "never heard");
     list.hear("10.0.0.2", peer("b", 100));
     list.report("10.0.0.2", sure(), 100);
     assert!(list.vouches_for("10.0.0.2", 1099) && !list.vouches_for("10.0.0.2", 1100));
     list.hear("10.0.0.3", peer("c", 9000));
-    list.report("10.0.0.3", super::PeerReport { vouches: vec!["10.0.0.2".into()], ..sure() }, 9000);
+    list.report("10.0.0.3", PeerReport { vouches: vec!["10.0.0.2".into()], ..sure() }, 9000);
     assert_eq!((list.silent("10.0.0.2", 9500), list.absent_ms("10.0.0.2", 9500)), (9400, 0));
     assert_eq!(list.absent_ms("10.0.0.2", 10_000), 9900, "the peer itself is no longer heard");
     list.hear("10.0.0.2", peer("b", 10_000));
-    list.report("10.0.0.2", super::PeerReport { vouches: vec!["10.0.0.2".into()], ..sure() }, 10_000);
+    list.report("10.0.0.2", PeerReport { vouches: vec!["10.0.0.2".into()], ..sure() }, 10_000);
     assert_eq!(list.absent_ms("10.0.0.2", 10_100), 100, "nobody vouches for itself");
 }
 
 #[test]
 fn one_that_is_heard_but_reaches_no_majority_is_absent() {
-    let mut list = super::Roster::new("10.0.0.1", "a", 1000);
+    let mut list = Roster::new("10.0.0.1", "a", 1000);
     for now in (0..=5000).step_by(500) {
         list.hear("10.0.0.2", peer("b", now));
-        list.report("10.0.0.2", super::PeerReport { sure: now < 1000, ..Default::default() }, now);
+        list.report("10.0.0.2", PeerReport { sure: now < 1000, ..Default::default() }, now);
     }
     assert_eq!((list.silent("10.0.0.2", 5000), list.absent_ms("10.0.0.2", 5000)), (0, 4500));
     assert!(list.live("10.0.0.2", 5000) && !list.vouches_for("10.0.0.2", 5000));
@@ -73,7 +67,7 @@
 
 #[test]
 fn a_controller_that_is_cut_off_goes_on_counting_the_routers_of_the_others() {
-    let mut list = super::Roster::new("10.0.0.1", "a", 1000);
+    let mut list = Roster::new("10.0.0.1", "a", 1000);
     list.lease("edge-1", 60_000, Vec::new(), String::new());
     list.hear("10.0.0.2", peer("b", 100));
     assert_eq!(list.seats(200, true), 4);
--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -1,6 +1,7 @@
 //! Three controllers that poll one zone's list, some of them cut off from the platform, in virtual time.
 
 use super::PlatformAccess;
+use crate::{Peer, PeerReport, Roster};
 
 const SPAN: u64 = 1100;
 const BEAT: u64 = 350;
@@ -9,7 +10,7 @@
 
 struct World {
     now: u64,
-    rosters: Vec<crate::Roster>,
+    rosters: Vec<Roster>,
     /// Until when each controller is cut off from the platform.
     cut_until: [u64; CONTROLLERS],
     /// When a poll last succeeded, and by whom.
@@ -22,7 +23,7 @@
 
 impl World {
     fn new() -> World {
-        let rosters = (0..CONTROLLERS).map(|at| crate::Roster::new(&name(at), "zone", SPAN)).collect();
+        let rosters = (0..CONTROLLERS).map(|at| Roster::new(&name(at), "zone", SPAN)).collect();
         World { now: 0, rosters, cut_until: [0; CONTROLLERS], polled: (0, CONTROLLERS) }
     }
 
@@ -42,9 +43,9 @@
         for from in 0..CONTROLLERS {
             let platform_unreachable = self.rosters[from].access.unreachable(self.now);
             for to in (0..CONTROLLERS).filter(|to| *to != from) {
-                let peer = crate::Peer { zone: "zone".into(), heard: self.now, ..Default::default() };
+                let peer = Peer { zone: "zone".into(), heard: self.now, ..Default::default() };
                 self.rosters[to].hear(&name(from), peer);
-                let report = crate::PeerReport { platform_unreachable, ..Default::default() };
+                let report = PeerReport { platform_unreachable, ..Default::default() };
                 self.rosters[to].report(&name(from), report, self.now);
             }
         }
--- a/protocol/src/change.rs
+++ b/protocol/src/change.rs
@@ -3,6 +3,14 @@
 //!
 //! The packed form tells its layout: `LAYOUT` stands before that of this version; without it the bytes are of the layout
 //! that routers without tenants read (`before_tenants`).
+
+use std::collections::{HashMap, HashSet};
+
+use rkyv::rancor;
+use rkyv::util::AlignedVec;
+
+use crate::config::{Config, Limits, Route, Service, Tenant};
+
 pub mod before_tenants;
 
 /// Before the packed form of this layout. Without it the bytes begin with their unpacked length, which is never so long.
@@ -17,13 +25,13 @@
     pub from: u64,
     pub to: u64,
     /// Added or replaced, by name.
-    pub routes: Vec<crate::config::Route>,
+    pub routes: Vec<Route>,
     pub gone: Vec<String>,
-    pub services: Vec<crate::config::Service>,
+    pub services: Vec<Service>,
     pub lost: Vec<String>,
-    pub limits: crate::config::Limits,
+    pub limits: Limits,
     /// Added or replaced, by name.
-    pub tenants: Vec<crate::config::Tenant>,
+    pub tenants: Vec<Tenant>,
     pub gone_tenants: Vec<String>,
     /// As in the configuration that it leads to.
     pub requires_keys: bool,
@@ -31,7 +39,7 @@
 
 impl Change {
     /// Everything that a configuration holds.
-    pub fn whole(config: &crate::config::Config) -> Change {
+    pub fn whole(config: &Config) -> Change {
         Change {
             from: 0,
             to: config.revision,
@@ -47,7 +55,7 @@
     }
 
     /// What brings one that holds `old` to `new`.
-    pub fn between(old: &crate::config::Config, new: &crate::config::Config) -> Change {
+    pub fn between(old: &Config, new: &Config) -> Change {
         let (routes, gone) = difference(&old.route_table, &new.route_table, |route| route.name.as_str());
         let (services, lost) = difference(&old.service_table, &new.service_table, |service| service.name.as_str());
         let (tenants, gone_tenants) = difference(&old.tenant_table, &new.tenant_table, |tenant| tenant.name.as_str());
@@ -68,32 +76,32 @@
     /// Decodes the packed form of either layout. None: it is cut short, or no change.
     pub fn read(packed: &[u8]) -> Option<Change> {
         let Some(packed) = packed.strip_prefix(&LAYOUT[..]) else { return before_tenants::read(packed) };
-        rkyv::from_bytes::<Change, rkyv::rancor::Error>(&unpack(packed)?).ok()
+        rkyv::from_bytes::<Change, rancor::Error>(&unpack(packed)?).ok()
     }
 
     /// The packed form: after a loss of power everywhere all routers of a controller ask for the whole at once.
     pub fn write(&self) -> Vec<u8> {
-        let body = rkyv::to_bytes::<rkyv::rancor::Error>(self).expect("a change can always be written");
+        let body = rkyv::to_bytes::<rancor::Error>(self).expect("a change can always be written");
         [&LAYOUT[..], &lz4_flex::compress_prepend_size(&body)].concat()
     }
 }
 
 /// Unpacks into a place where archived values may be read. None: no packed form, or longer than any.
-fn unpack(packed: &[u8]) -> Option<rkyv::util::AlignedVec<16>> {
+fn unpack(packed: &[u8]) -> Option<AlignedVec<16>> {
     let size = u32::from_le_bytes(*packed.first_chunk::<4>()?) as usize;
     if size > UNPACKED_MOST {
         return None;
     }
     let body = lz4_flex::decompress_size_prepended(packed).ok()?;
-    let mut room = rkyv::util::AlignedVec::<16>::with_capacity(body.len());
+    let mut room = AlignedVec::<16>::with_capacity(body.len());
     room.extend_from_slice(&body);
     Some(room)
 }
 
 /// The items that were added or replaced, and the names of those that were removed.
 fn difference<T: Clone + PartialEq>(old: &[T], new: &[T], name: impl Fn(&T) -> &str) -> (Vec<T>, Vec<String>) {
-    let held: std::collections::HashMap<&str, &T> = old.iter().map(|item| (name(item), item)).collect();
-    let kept: std::collections::HashSet<&str> = new.iter().map(&name).collect();
+    let held: HashMap<&str, &T> = old.iter().map(|item| (name(item), item)).collect();
+    let kept: HashSet<&str> = new.iter().map(&name).collect();
     let changed = new.iter().filter(|item| held.get(name(item)) != Some(item)).cloned().collect();
     let removed = old.iter().map(&name).filter(|name| !kept.contains(name)).map(str::to_string).collect();
     (changed, removed)
--- a/protocol/src/change/before_tenants.rs
+++ b/protocol/src/change/before_tenants.rs
@@ -1,6 +1,10 @@
 //! The layout of packed changes that routers of versions 2 and 3 read, frozen: it has neither tenants nor routes that
 //! are served without a key. A configuration with tenants must never be told in it (`can_tell`): whoever read it would
 //! serve requests without keys.
+
+use rkyv::rancor;
+
+use super::unpack;
 use crate::config;
 
 /// As `config::Route`, without `anonymous`.
@@ -81,12 +85,12 @@
 
 /// Decodes the packed form. None: it is cut short, or no change.
 pub fn read(packed: &[u8]) -> Option<super::Change> {
-    rkyv::from_bytes::<Change, rkyv::rancor::Error>(&super::unpack(packed)?).ok().map(super::Change::from)
+    rkyv::from_bytes::<Change, rancor::Error>(&unpack(packed)?).ok().map(super::Change::from)
 }
 
 /// The packed form of a change between configurations that can be told so.
 pub fn write(change: &super::Change) -> Vec<u8> {
-    let body = rkyv::to_bytes::<rkyv::rancor::Error>(&Change::from(change)).expect("a change can always be written");
+    let body = rkyv::to_bytes::<rancor::Error>(&Change::from(change)).expect("a change can always be written");
     lz4_flex::compress_prepend_size(&body)
 }
 
--- a/protocol/src/change_tests.rs
+++ b/protocol/src/change_tests.rs
@@ -1,5 +1,15 @@
 //! The packed forms of configurations and of changes between them.
 
+use std::fs;
+use std::path::Path;
+
+use serde_json::Value;
+
+use super::{before_tenants, Change};
+use crate::config::{Config, LONGEST_TEXT};
+use crate::frame::{self, Kind, HEAD, MOST};
+use crate::msg::Msg;
+
 fn text(revision: u64, routes: &[(&str, u64)]) -> String {
     let route = |(name, timeout): &(&str, u64)| {
         serde_json::json!({"name": name, "hostname": format!("{name}.example"), "path_prefix": "/", "service": "s",
@@ -10,7 +20,7 @@
     .to_string()
 }
 
-fn config(revision: u64, routes: &[(&str, u64)]) -> crate::config::Config {
+fn config(revision: u64, routes: &[(&str, u64)]) -> Config {
     crate::config::read(&text(revision, routes)).expect("good")
 }
 
@@ -18,7 +28,7 @@
 fn a_change_names_only_what_is_other() {
     let old = config(3, &[("a", 5), ("b", 5), ("c", 5)]);
     let new = config(8, &[("a", 5), ("b", 6), ("d", 5)]);
-    let change = super::Change::between(&old, &new);
+    let change = Change::between(&old, &new);
     let names: Vec<&str> = change.routes.iter().map(|route| route.name.as_str()).collect();
     assert_eq!((change.from, change.to, names), (3, 8, vec!["b", "d"]));
     assert_eq!((change.gone, change.services, change.lost), (vec!["c".to_string()], vec![], vec![]));
@@ -31,25 +41,25 @@
     let old = config(1, &routes);
     routes[700].1 = 9;
     let new = config(2, &routes);
-    let (step, whole) = (super::Change::between(&old, &new).write(), super::Change::whole(&new).write());
+    let (step, whole) = (Change::between(&old, &new).write(), Change::whole(&new).write());
     assert!(step.len() < 600 && whole.len() > 30 * step.len(), "{} {}", step.len(), whole.len());
     assert!(whole.len() < 3000 * 40, "packed: {} for 3000 routes", whole.len());
 }
 
 #[test]
 fn it_comes_back_as_it_was_and_a_torn_one_never_passes_for_another_length() {
-    let change = super::Change::whole(&config(3, &[("a", 5), ("b", 5)]));
+    let change = Change::whole(&config(3, &[("a", 5), ("b", 5)]));
     let body = change.write();
-    assert_eq!(super::Change::read(&body), Some(change));
+    assert_eq!(Change::read(&body), Some(change));
     for cut in 0..body.len() {
-        assert_eq!(super::Change::read(&body[..cut]), None, "cut at {cut}");
+        assert_eq!(Change::read(&body[..cut]), None, "cut at {cut}");
     }
 }
 
 /// Changes as the version before tenants wrote them: the whole of one configuration, and the step to the next.
 fn older(name: &str) -> Vec<u8> {
-    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures").join(name);
-    std::fs::read(path).expect("the fixture")
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures").join(name);
+    fs::read(path).expect("the fixture")
 }
 
 #[test]
@@ -99,7 +109,7 @@
         ..Service::default()
     };
     let limits = Limits { header_timeout_ms: 3000, ..Limits::default() };
-    let whole = super::Change {
+    let whole = Change {
         from: 0,
         to: 7,
         routes: vec![one.clone(), two],
@@ -111,7 +121,7 @@
         gone_tenants: Vec::new(),
         requires_keys: false,
     };
-    let step = super::Change {
+    let step = Change {
         from: 7,
         to: 9,
         routes: vec![Route { timeout_ms: 4000, ..one }],
@@ -121,48 +131,46 @@
     };
     for (name, change) in [("change-3-whole.bin", whole), ("change-3-step.bin", step)] {
         let bytes = older(name);
-        assert_eq!(super::Change::read(&bytes).as_ref(), Some(&change), "a router of this version reads both layouts");
-        assert_eq!(super::before_tenants::write(&change), bytes, "one of the version before gets what it knows");
+        assert_eq!(Change::read(&bytes).as_ref(), Some(&change), "a router of this version reads both layouts");
+        assert_eq!(before_tenants::write(&change), bytes, "one of the version before gets what it knows");
     }
 }
 
 /// What a router of version 2 or 3 does with a packed change: nothing in it may be taken for its own layout.
 #[test]
 fn the_layouts_are_never_taken_for_each_other() {
-    let change = super::Change::whole(&config(3, &[("a", 5), ("b", 5)]));
-    let (new, old) = (change.write(), super::before_tenants::write(&change));
-    assert_eq!(super::before_tenants::read(&new), None);
+    let change = Change::whole(&config(3, &[("a", 5), ("b", 5)]));
+    let (new, old) = (change.write(), before_tenants::write(&change));
+    assert_eq!(before_tenants::read(&new), None);
     let unpacked = u32::from_le_bytes(*new.first_chunk().expect("four bytes")) as usize;
-    assert!(unpacked > crate::frame::MOST, "the reader of the version before stops at the length: {unpacked}");
-    assert_eq!(super::Change::read(&old), Some(change));
+    assert!(unpacked > MOST, "the reader of the version before stops at the length: {unpacked}");
+    assert_eq!(Change::read(&old), Some(change));
     let anonymous = |text: &str| text.replace("\"timeout_ms\":5", "\"timeout_ms\":5,\"anonymous\":true");
     let text = anonymous(&text(3, &[("a", 5)]));
-    let open = super::Change::whole(&crate::config::read(&text).expect("good"));
-    assert!(open.routes[0].anonymous && super::Change::read(&open.write()) == Some(open));
+    let open = Change::whole(&crate::config::read(&text).expect("good"));
+    assert!(open.routes[0].anonymous && Change::read(&open.write()) == Some(open));
 }
 
 #[test]
 fn tenants_come_with_a_change_and_keep_it_from_older_routers() {
-    let with = |revision: u64, tenants: serde_json::Value| {
+    let with = |revision: u64, tenants: Value| {
         let text =
             serde_json::json!({"revision": revision, "service_table": [], "route_table": [], "tenant_table": tenants});
         crate::config::read(&text.to_string()).expect("good")
     };
     let old = with(3, serde_json::json!([{"name": "a", "api_keys": ["x"]}, {"name": "b", "api_keys": ["y"]}]));
     let new = with(4, serde_json::json!([{"name": "b", "api_keys": ["y", "z"]}, {"name": "c", "priority": 2}]));
-    let change = super::Change::between(&old, &new);
+    let change = Change::between(&old, &new);
     let names: Vec<&str> = change.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
     assert_eq!((names, &change.gone_tenants), (vec!["b", "c"], &vec!["a".to_string()]));
-    assert_eq!(super::Change::read(&change.write()), Some(change));
-    assert!(
-        !super::before_tenants::can_tell(&old) && super::before_tenants::can_tell(&with(5, serde_json::Value::Null))
-    );
+    assert_eq!(Change::read(&change.write()), Some(change));
+    assert!(!before_tenants::can_tell(&old) && before_tenants::can_tell(&with(5, Value::Null)));
 }
 
 /// The largest configurations that are taken still fit into a message, and are read back.
 #[test]
 fn the_longest_configurations_can_be_delivered() {
-    let most = crate::config::LONGEST_TEXT - 300;
+    let most = LONGEST_TEXT - 300;
     let list = |item: &str, count: usize| vec![item; count].join(",");
     let wide = |routes: String, tenants: String| {
         format!("{{\"revision\":3,\"service_table\":[{{\"name\":\"s\"}}],\"route_table\":[{routes}],\"tenant_table\":[{tenants}]}}")
@@ -174,13 +182,11 @@
     let regions = format!("{{\"name\":\"t\",\"allowed_regions\":[{}]}}", list("\"\"", 990_000));
     for text in [many_routes, wide(String::new(), regions)] {
         assert!(text.len() < most, "{}", text.len());
-        let change = super::Change::whole(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
-        let msg = crate::msg::Msg::Update(Box::new(change.write()));
-        let frame = crate::frame::seal(crate::frame::Kind::Cast, 0, &msg).expect("it fits into a frame");
-        assert!(frame.len() < crate::frame::MOST);
-        let Ok(crate::msg::Msg::Update(packed)) = crate::frame::open(&frame[crate::frame::HEAD..]) else {
-            panic!("read")
-        };
-        assert_eq!(super::Change::read(&packed), Some(change));
+        let change = Change::whole(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
+        let msg = Msg::Update(Box::new(change.write()));
+        let frame = frame::seal(Kind::Cast, 0, &msg).expect("it fits into a frame");
+        assert!(frame.len() < MOST);
+        let Ok(Msg::Update(packed)) = frame::open(&frame[HEAD..]) else { panic!("read") };
+        assert_eq!(Change::read(&packed), Some(change));
     }
 }
--- a/protocol/src/config/apply.rs
+++ b/protocol/src/config/apply.rs
@@ -1,4 +1,8 @@
 //! The configuration that a change of named items leads to: text and value, made of the same parts by the same merge.
+
+use serde_json::value::RawValue;
+use serde_json::Value;
+
 use super::checked::Checked;
 use super::decode::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
 use super::error::ConfigError;
@@ -67,7 +71,7 @@
     let Some(items) = raw_items(table.unwrap_or("[]")) else {
         return Err(decode::not_a(part(UPSERT, &change.name), "what the configuration holds there"));
     };
-    let named = |raw: &serde_json::value::RawValue| {
+    let named = |raw: &RawValue| {
         let name = RawObject::read(raw.get()).and_then(|item| item.name());
         (name, raw.get().to_string())
     };
@@ -98,7 +102,7 @@
         if at > 0 {
             text.push(',');
         }
-        text.push_str(&serde_json::Value::from(name.as_str()).to_string());
+        text.push_str(&Value::from(name.as_str()).to_string());
         text.push(':');
         text.push_str(raw);
     }
--- a/protocol/src/config/checked.rs
+++ b/protocol/src/config/checked.rs
@@ -1,8 +1,10 @@
 //! A configuration as text and as a value, which always agree: the one form in which it is judged, stored and delivered.
-use super::decode::Strictness;
+
+use super::decode::{self, Strictness};
 use super::error::{ConfigError, Flaw, Item};
 use super::model::Config;
 use super::patch::Patch;
+use super::{apply, check, json, LONGEST_TEXT};
 
 /// Invariants: `config` is what `text` says, both come from one reading; a value made by `read` or `patched` passed
 /// every check.
@@ -16,29 +18,29 @@
     /// Reads a whole configuration as an operator sends it.
     pub fn read(text: &str) -> Result<Checked, ConfigError> {
         bounded(text)?;
-        let config = super::decode::config(&super::json::parse(text)?, Strictness::Operator)?;
-        super::check::config(&config)?;
+        let config = decode::config(&json::parse(text)?, Strictness::Operator)?;
+        check::config(&config)?;
         Ok(Checked { text: text.into(), config })
     }
 
     /// Reads one that was committed, maybe by an earlier version that checked less: it is in force, so it is held to its
     /// form only. What stands behind its end was never served, and is passed over.
     pub fn read_committed(text: &str) -> Result<Checked, ConfigError> {
-        let config = super::decode::config(&super::json::parse_loosely(text)?, Strictness::Committed)?;
+        let config = decode::config(&json::parse_loosely(text)?, Strictness::Committed)?;
         Ok(Checked { text: text.into(), config })
     }
 
     /// With a change of named items made, and checked.
     pub fn patched(&self, patch: &Patch) -> Result<Checked, ConfigError> {
-        let next = super::apply::apply(self, patch)?;
+        let next = apply::apply(self, patch)?;
         bounded(&next.text)?;
-        super::check::config(&next.config)?;
+        check::config(&next.config)?;
         Ok(next)
     }
 
     /// With a change made that was checked before it was committed.
     pub fn patched_again(&self, patch: &Patch) -> Result<Checked, ConfigError> {
-        super::apply::apply(self, patch)
+        apply::apply(self, patch)
     }
 
     /// The caller made both of the same parts.
@@ -64,7 +66,7 @@
 }
 
 fn bounded(text: &str) -> Result<(), ConfigError> {
-    if text.len() > super::LONGEST_TEXT {
+    if text.len() > LONGEST_TEXT {
         return Err(ConfigError { item: Item::Body, flaw: Flaw::TooLong { bytes: text.len() } });
     }
     Ok(())
--- a/protocol/src/config/decode.rs
+++ b/protocol/src/config/decode.rs
@@ -2,7 +2,9 @@
 //!
 //! A field that is null counts as one that is not there; fields that are not known are passed over, as later versions of
 //! the protocol may have more. Numbers beyond what a type holds are held as its largest where no request can tell.
+
 use super::error::{ConfigError, Flaw, Item};
+use super::host;
 use super::json::{Json, Number};
 use super::model::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 use super::values::{duration, flag, list, number, object, present, small, text, whole, Fields, Mismatch, FIELDS};
@@ -91,7 +93,7 @@
     each(fields, &item, |field, value| {
         match field {
             "name" => route.name = text(value)?,
-            "hostname" => route.hostname = super::host::normal(&text(value)?),
+            "hostname" => route.hostname = host::normal(&text(value)?),
             "path_prefix" => route.path_prefix = text(value)?,
             "route_type" => route.route_type = text(value)?,
             "timeout_ms" => route.timeout_ms = duration(value)?,
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -1,6 +1,10 @@
 //! Why a configuration, or a change of one, is invalid. An error names the item and never holds a value of the body
 //! other than a name: any value may be a tenant's key.
 
+use std::error;
+
+use super::LONGEST_TEXT;
+
 /// How many characters of a name are shown.
 const SHOWN: usize = 80;
 
@@ -138,7 +142,7 @@
             Flaw::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
             Flaw::TooDeep => out.write_str("nested too deep"),
             Flaw::TooManyValues => out.write_str("too many values"),
-            Flaw::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", super::LONGEST_TEXT),
+            Flaw::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", LONGEST_TEXT),
             Flaw::Doubled => out.write_str("is there twice"),
             Flaw::Missing { field } => write!(out, "{field} missing"),
             Flaw::Not { field, expected } => write!(out, "{field} is not {expected}"),
@@ -165,4 +169,4 @@
     }
 }
 
-impl std::error::Error for ConfigError {}
+impl error::Error for ConfigError {}
--- a/protocol/src/config/json.rs
+++ b/protocol/src/config/json.rs
@@ -1,8 +1,16 @@
 //! Strict JSON: one value and nothing behind it, every field of an object once, bounded in depth and in the number of
 //! values. Strings are borrowed from the text where they can be.
-use super::error::{ConfigError, Flaw, Item, Syntax};
+
 use std::borrow::Cow;
 use std::cell::Cell;
+use std::collections::HashSet;
+use std::fmt;
+
+use serde::de::{self, DeserializeSeed, MapAccess, SeqAccess, Visitor};
+use serde_json::de::StrRead;
+
+use super::error::{ConfigError, Flaw, Item, Syntax};
+use super::values::FIELDS;
 
 /// How deep objects and lists may be nested: far more than any configuration, and far less than a stack holds.
 const DEEPEST: usize = 64;
@@ -47,13 +55,13 @@
     parse_first(text).map(|(value, _)| value)
 }
 
-type Rest<'a> = serde_json::Deserializer<serde_json::de::StrRead<'a>>;
+type Rest<'a> = serde_json::Deserializer<StrRead<'a>>;
 
 fn parse_first(text: &str) -> Result<(Json<'_>, Rest<'_>), ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let bounds = Bounds { values: Cell::new(MOST_VALUES), too_deep: Cell::new(false) };
     let seed = Seed { bounds: &bounds, depth: 0 };
-    match serde::de::DeserializeSeed::deserialize(seed, &mut deserializer) {
+    match DeserializeSeed::deserialize(seed, &mut deserializer) {
         Ok(value) => Ok((value, deserializer)),
         Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, flaw: Flaw::TooDeep }),
         Err(_) if bounds.values.get() == 0 => Err(ConfigError { item: Item::Body, flaw: Flaw::TooManyValues }),
@@ -81,7 +89,7 @@
 }
 
 impl Seed<'_> {
-    fn nested<E: serde::de::Error>(self) -> Result<Self, E> {
+    fn nested<E: de::Error>(self) -> Result<Self, E> {
         if self.depth >= DEEPEST {
             self.bounds.too_deep.set(true);
             return Err(E::custom("too deep"));
@@ -89,7 +97,7 @@
         Ok(Seed { depth: self.depth + 1, ..self })
     }
 
-    fn count<E: serde::de::Error>(self) -> Result<(), E> {
+    fn count<E: de::Error>(self) -> Result<(), E> {
         let left = self.bounds.values.get().saturating_sub(1);
         self.bounds.values.set(left);
         if left == 0 {
@@ -99,7 +107,7 @@
     }
 }
 
-impl<'de> serde::de::DeserializeSeed<'de> for Seed<'_> {
+impl<'de> DeserializeSeed<'de> for Seed<'_> {
     type Value = Json<'de>;
 
     fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<Json<'de>, D::Error> {
@@ -108,10 +116,10 @@
     }
 }
 
-impl<'de> serde::de::Visitor<'de> for Seed<'_> {
+impl<'de> Visitor<'de> for Seed<'_> {
     type Value = Json<'de>;
 
-    fn expecting(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str("a JSON value")
     }
 
@@ -143,7 +151,7 @@
         Ok(Json::Text(Cow::Owned(value.into())))
     }
 
-    fn visit_seq<A: serde::de::SeqAccess<'de>>(self, mut items: A) -> Result<Json<'de>, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<Json<'de>, A::Error> {
         let seed = self.nested()?;
         let mut list = Vec::new();
         while let Some(item) = items.next_element_seed(seed)? {
@@ -152,7 +160,7 @@
         Ok(Json::List(list))
     }
 
-    fn visit_map<A: serde::de::MapAccess<'de>>(self, mut entries: A) -> Result<Json<'de>, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<Json<'de>, A::Error> {
         let seed = self.nested()?;
         let mut fields = Vec::new();
         while let Some(name) = entries.next_key_seed(FieldName)? {
@@ -165,7 +173,7 @@
 /// The name of a field, borrowed where it holds no escapes.
 pub struct FieldName;
 
-impl<'de> serde::de::DeserializeSeed<'de> for FieldName {
+impl<'de> DeserializeSeed<'de> for FieldName {
     type Value = Cow<'de, str>;
 
     fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<Cow<'de, str>, D::Error> {
@@ -173,10 +181,10 @@
     }
 }
 
-impl<'de> serde::de::Visitor<'de> for FieldName {
+impl<'de> Visitor<'de> for FieldName {
     type Value = Cow<'de, str>;
 
-    fn expecting(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str("the name of a field")
     }
 
@@ -214,7 +222,7 @@
 
 /// Only fields of configurations are named in errors: what else stands there may be a key.
 pub fn shown(name: &str) -> &str {
-    if super::values::FIELDS.contains(&name) {
+    if FIELDS.contains(&name) {
         name
     } else {
         "?"
@@ -223,7 +231,7 @@
 
 fn doubled_name<'a>(fields: &'a [(Cow<str>, Json)]) -> Option<&'a str> {
     if fields.len() > FEW_FIELDS {
-        let mut seen = std::collections::HashSet::with_capacity(fields.len());
+        let mut seen = HashSet::with_capacity(fields.len());
         return fields.iter().map(|(name, _)| name.as_ref()).find(|name| !seen.insert(*name));
     }
     let is_before = |at: usize, name: &str| fields[..at].iter().any(|(before, _)| before == name);
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -1,8 +1,11 @@
 //! The text of a configuration: JSON as strict as can be, and the shapes and ranges of single values.
-use super::samples::{good, refused, refused_text, taken};
-use super::{read, ConfigError, Flaw, Item, Syntax};
+
 use serde_json::{json, Value};
 
+use super::samples::{good, refused, refused_text, taken};
+use super::values::LONGEST_MS;
+use super::{read, ConfigError, Flaw, Item, Limits, Syntax, LONGEST_TEXT};
+
 #[test]
 fn a_text_is_one_json_value_and_nothing_else() {
     let text = good().to_string();
@@ -61,7 +64,7 @@
     for none in [json!(0), json!(0.0), json!(-0.0), Value::Null] {
         assert!(refused(|value| value["route_table"][0]["timeout_ms"] = none).contains("`r-1`: timeout_ms is 0"));
     }
-    for (given, held) in [(json!(3000.0), 3000), (json!(3e3), 3000), (json!(u64::MAX), super::values::LONGEST_MS)] {
+    for (given, held) in [(json!(3000.0), 3000), (json!(3e3), 3000), (json!(u64::MAX), LONGEST_MS)] {
         assert_eq!(taken(|value| value["route_table"][0]["timeout_ms"] = given).route_table[0].timeout_ms, held);
     }
     let large = taken(|value| {
@@ -71,7 +74,7 @@
         value["limits"]["max_body_bytes"] = json!(1e30);
     });
     assert_eq!((large.route_table[0].priority, large.service_table[0].max_connections), (u32::MAX, u32::MAX));
-    assert_eq!((large.route_table[0].timeout_ms, large.limits.max_body_bytes), (super::values::LONGEST_MS, u64::MAX));
+    assert_eq!((large.route_table[0].timeout_ms, large.limits.max_body_bytes), (LONGEST_MS, u64::MAX));
     for (table, field) in
         [("service_table", "ramp_per_s"), ("tenant_table", "rate_per_s"), ("tenant_table", "burst_size")]
     {
@@ -97,8 +100,8 @@
         value["later"] = json!([{"deep": [[[]]]}]);
     });
     assert_eq!((config.route_table[0].retry_count, config.service_table[0].health_path.as_str()), (1, "/health"));
-    assert_eq!(config.limits.idle_timeout_ms, super::Limits::default().idle_timeout_ms);
-    assert_eq!(taken(|value| value["limits"] = Value::Null).limits, super::Limits::default());
+    assert_eq!(config.limits.idle_timeout_ms, Limits::default().idle_timeout_ms);
+    assert_eq!(taken(|value| value["limits"] = Value::Null).limits, Limits::default());
     assert!(refused(|value| value["limits"] = json!([])).starts_with("limits"));
     assert!(refused(|value| value["limits"]["idle_timeout_ms"] = json!("x")).starts_with("limits: idle_timeout_ms"));
 }
@@ -114,6 +117,6 @@
     }
     let error = refused_text(&with(&format!("[{}0]", "0,".repeat(1_100_000))));
     assert_eq!((error.status(), error.flaw), (413, Flaw::TooManyValues));
-    let long = with(&format!("\"{}\"", "x".repeat(super::LONGEST_TEXT)));
+    let long = with(&format!("\"{}\"", "x".repeat(LONGEST_TEXT)));
     assert_eq!(refused_text(&long).status(), 413);
 }
--- a/protocol/src/config/merge.rs
+++ b/protocol/src/config/merge.rs
@@ -1,9 +1,16 @@
 //! Pieces of JSON text kept as they were written, and lists of named items merged with changes of them. The same merge
 //! serves the text and the typed value, so that they cannot come apart.
-use super::json::FieldName;
-use serde_json::value::RawValue;
+
 use std::borrow::Cow;
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
+use std::fmt;
+use std::marker::PhantomData;
+
+use serde::de::{MapAccess, Visitor};
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use super::json::FieldName;
 
 /// An object whose fields are kept as text, in their order.
 pub struct RawObject<'a>(pub Vec<(Cow<'a, str>, &'a RawValue)>);
@@ -12,7 +19,7 @@
     /// The first value of a text, if it is an object.
     pub fn read(text: &'a str) -> Option<RawObject<'a>> {
         let mut deserializer = serde_json::Deserializer::from_str(text);
-        serde::Deserialize::deserialize(&mut deserializer).ok()
+        Deserialize::deserialize(&mut deserializer).ok()
     }
 
     /// A field; the last one where an earlier version took a doubled one.
@@ -26,18 +33,18 @@
     }
 }
 
-impl<'de: 'a, 'a> serde::Deserialize<'de> for RawObject<'a> {
+impl<'de: 'a, 'a> Deserialize<'de> for RawObject<'a> {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Fields<'a>(std::marker::PhantomData<&'a ()>);
+        struct Fields<'a>(PhantomData<&'a ()>);
 
-        impl<'de: 'a, 'a> serde::de::Visitor<'de> for Fields<'a> {
+        impl<'de: 'a, 'a> Visitor<'de> for Fields<'a> {
             type Value = RawObject<'a>;
 
-            fn expecting(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+            fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
                 out.write_str("an object")
             }
 
-            fn visit_map<A: serde::de::MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
+            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
                 let mut fields = Vec::new();
                 while let Some(name) = map.next_key_seed(FieldName)? {
                     fields.push((name, map.next_value::<&RawValue>()?));
@@ -46,7 +53,7 @@
             }
         }
 
-        deserializer.deserialize_map(Fields(std::marker::PhantomData))
+        deserializer.deserialize_map(Fields(PhantomData))
     }
 }
 
@@ -57,7 +64,7 @@
 
 /// Without the withdrawn items; each of `upserts` in the place of the item of its name, or at the end.
 pub fn merge<T>(held: Vec<T>, withdrawn: &[String], upserts: Vec<T>, name: impl Fn(&T) -> Option<&str>) -> Vec<T> {
-    let gone: std::collections::HashSet<&str> = withdrawn.iter().map(String::as_str).collect();
+    let gone: HashSet<&str> = withdrawn.iter().map(String::as_str).collect();
     let mut merged: Vec<T> =
         held.into_iter().filter(|item| !name(item).is_some_and(|name| gone.contains(name))).collect();
     let places: HashMap<String, usize> =
--- a/protocol/src/config/patch.rs
+++ b/protocol/src/config/patch.rs
@@ -1,4 +1,7 @@
 //! A change of named items, as an operator sends it.
+
+use std::collections::HashSet;
+
 use super::decode::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
 use super::error::{ConfigError, Flaw, Item};
 use super::json::{self, Json};
@@ -96,7 +99,7 @@
     }
 
     fn read_items(&mut self, table: &str, items: &[Json], raw: &str) -> Result<(), ConfigError> {
-        let mut names = std::collections::HashSet::new();
+        let mut names = HashSet::new();
         for (index, (item, raw)) in items.iter().zip(raw_items(raw).unwrap_or_default()).enumerate() {
             let entry = || Item::Entry { table: path(UPSERT, table), index };
             let Json::Object(fields) = item else { return Err(decode::not_a(entry(), "an object")) };
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -1,8 +1,10 @@
 //! Changes of named items.
-use super::samples::{good, KEY};
-use super::{Checked, ConfigError, Flaw, Patch};
+
 use serde_json::{json, Value};
 
+use super::samples::{good, KEY};
+use super::{Checked, ConfigError, Flaw, Limits, Patch, LONGEST_TEXT};
+
 fn base() -> Checked {
     Checked::read(&good().to_string()).expect("good")
 }
@@ -153,7 +155,7 @@
     let limits = taken(&json!({"revision": 9, "upsert": {"limits": {"max_body_bytes": 5, "idle_timeout_ms": null}}}));
     let held = &limits.config().limits;
     assert_eq!((held.max_body_bytes, held.max_header_bytes), (5, 16384));
-    assert_eq!(held.idle_timeout_ms, super::Limits::default().idle_timeout_ms);
+    assert_eq!(held.idle_timeout_ms, Limits::default().idle_timeout_ms);
     let later = taken(&json!({"revision": 9, "upsert": {"later": [{"name": "x", "y": 1}], "more": {"a": 1}},
         "withdraw": {"never": ["x"]}}));
     let value: Value = serde_json::from_str(later.text()).expect("JSON");
@@ -166,7 +168,7 @@
 #[test]
 fn a_result_that_is_too_long_is_refused() {
     let mut item = route("r-3", "/");
-    item["later"] = "x".repeat(super::LONGEST_TEXT - 200).into();
+    item["later"] = "x".repeat(LONGEST_TEXT - 200).into();
     let error = result(&json!({"revision": 9, "upsert": {"route_table": [item]}})).expect_err("too long");
     assert!(matches!(error.flaw, Flaw::TooLong { .. }) && error.status() == 413);
 }
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -1,12 +1,15 @@
 //! Properties of all bodies: valid ones are taken and kept as they are; each way to spoil one is refused, names its item,
 //! shows no key and never panics; text and value of whatever is taken agree.
-use super::samples::{self, KEY};
-use super::spoils::SPOILS;
-use super::{read, Checked, ConfigError, Patch};
+
 use kernel::clock::Dice;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
+use super::samples::{self, KEY};
+use super::spoils::SPOILS;
+use super::{read, Checked, ConfigError, Patch};
+use crate::change::Change;
+
 /// A change of named items on JSON values, as plain as it can be written: what the real one is held against.
 fn plain_patch(base: &Value, change: &Value) -> Value {
     let mut next = base.clone();
@@ -95,8 +98,8 @@
         prop_assert_eq!(checked.text(), &text);
         prop_assert_eq!(Some(checked.revision()), value["revision"].as_u64());
         prop_assert_eq!(Checked::read_committed(&text), Ok(checked.clone()), "a controller reads what was judged");
-        let packed = crate::change::Change::whole(checked.config()).write();
-        prop_assert_eq!(crate::change::Change::read(&packed), Some(crate::change::Change::whole(checked.config())));
+        let packed = Change::whole(checked.config()).write();
+        prop_assert_eq!(Change::read(&packed), Some(Change::whole(checked.config())));
     }
 
     #[test]
--- a/protocol/src/config/samples.rs
+++ b/protocol/src/config/samples.rs
@@ -1,7 +1,10 @@
 //! Bodies for tests, of the shape that operators send, drawn from a seed.
+
 use kernel::clock::Dice;
 use serde_json::{json, Value};
 
+use super::{read, Checked, Config, ConfigError};
+
 /// A key that must appear in no error.
 pub const KEY: &str = "kept-secret-";
 
@@ -117,8 +120,8 @@
 }
 
 /// Why a text is refused.
-pub fn refused_text(text: &str) -> super::ConfigError {
-    let error = super::read(text).expect_err("must be refused");
+pub fn refused_text(text: &str) -> ConfigError {
+    let error = read(text).expect_err("must be refused");
     assert!((400..500).contains(&error.status()));
     assert!(!error.to_string().contains(KEY), "a key in an error: {error}");
     error
@@ -132,11 +135,11 @@
 }
 
 /// The valid one, changed, which is valid still.
-pub fn taken(change: impl FnOnce(&mut Value)) -> super::Config {
+pub fn taken(change: impl FnOnce(&mut Value)) -> Config {
     let mut value = good();
     change(&mut value);
     let text = value.to_string();
-    let checked = super::Checked::read(&text).unwrap_or_else(|error| panic!("{error}"));
+    let checked = Checked::read(&text).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(checked.text(), text, "kept as it was sent");
     checked.into_config()
 }
--- a/protocol/src/config/values.rs
+++ b/protocol/src/config/values.rs
@@ -1,5 +1,8 @@
 //! Single values of a configuration, from JSON. Numbers beyond what a type holds are held as its largest where no
 //! request can tell the difference.
+
+use std::borrow::Cow;
+
 use super::json::{Json, Number};
 
 /// Names of fields, which may be shown in errors.
@@ -54,7 +57,7 @@
 pub const LONGEST_MS: u64 = 10 * 365 * 24 * 3600 * 1000;
 
 /// The fields of an object.
-pub type Fields<'a> = [(std::borrow::Cow<'a, str>, Json<'a>)];
+pub type Fields<'a> = [(Cow<'a, str>, Json<'a>)];
 
 /// What a field was expected to hold.
 pub struct Mismatch(pub &'static str);
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -1,6 +1,11 @@
 //! Frames: a fixed head, then one validated message. What is malformed or too new is an error that
 //! costs its sender the connection and nothing else.
 
+use rkyv::rancor;
+use rkyv::util::AlignedVec;
+
+use crate::msg::Msg;
+
 pub const OLDEST: u16 = 1;
 pub const NEWEST: u16 = 1;
 /// Invariant: no frame's body is longer; the reader checks before it makes room.
@@ -38,8 +43,8 @@
     }
 }
 
-pub fn seal(kind: Kind, id: u64, msg: &crate::msg::Msg) -> Result<Vec<u8>, Flaw> {
-    let body = rkyv::to_bytes::<rkyv::rancor::Error>(msg).map_err(|_| Flaw::Body)?;
+pub fn seal(kind: Kind, id: u64, msg: &Msg) -> Result<Vec<u8>, Flaw> {
+    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| Flaw::Body)?;
     if body.len() > MOST {
         return Err(Flaw::Long(body.len()));
     }
@@ -82,10 +87,10 @@
 }
 
 /// Validates and reads a body.
-pub fn open(body: &[u8]) -> Result<crate::msg::Msg, Flaw> {
-    let mut room = rkyv::util::AlignedVec::<16>::with_capacity(body.len());
+pub fn open(body: &[u8]) -> Result<Msg, Flaw> {
+    let mut room = AlignedVec::<16>::with_capacity(body.len());
     room.extend_from_slice(body);
-    rkyv::from_bytes::<crate::msg::Msg, rkyv::rancor::Error>(&room).map_err(|_| Flaw::Body)
+    rkyv::from_bytes::<Msg, rancor::Error>(&room).map_err(|_| Flaw::Body)
 }
 
 #[cfg(test)]
--- a/protocol/src/link.rs
+++ b/protocol/src/link.rs
@@ -1,7 +1,22 @@
 //! Links between daemons. One that calls keeps one connection and redials; one that serves hands
 //! each message to a handler. Every wait has a deadline; a full buffer drops and says so.
 
-type Waits = std::collections::HashMap<u64, tokio::sync::oneshot::Sender<crate::msg::Msg>>;
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use bytes::Bytes;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::{self, Receiver};
+use tokio::sync::oneshot;
+use tokio::time;
+
+use crate::frame::{self, Head, Kind, HEAD};
+use crate::msg::Msg;
+use crate::sock::{self, SILENCE_MS};
+
+type Waits = HashMap<u64, oneshot::Sender<Msg>>;
 
 const BUFFER: usize = 512;
 
@@ -9,19 +24,19 @@
 /// that is up; when it breaks they all fail at once.
 pub struct Caller {
     addr: String,
-    send: tokio::sync::mpsc::Sender<Job>,
+    send: mpsc::Sender<Job>,
 }
 
 struct Job {
-    kind: crate::frame::Kind,
-    msg: crate::msg::Msg,
-    back: Option<tokio::sync::oneshot::Sender<crate::msg::Msg>>,
+    kind: Kind,
+    msg: Msg,
+    back: Option<oneshot::Sender<Msg>>,
 }
 
 impl Caller {
     /// Casts that come from the other side go to `news`.
-    pub fn start(addr: String, news: Option<tokio::sync::mpsc::Sender<crate::msg::Msg>>) -> Self {
-        let (send, jobs) = tokio::sync::mpsc::channel(BUFFER);
+    pub fn start(addr: String, news: Option<mpsc::Sender<Msg>>) -> Self {
+        let (send, jobs) = mpsc::channel(BUFFER);
         tokio::spawn(run(addr.clone(), jobs, news));
         Caller { addr, send }
     }
@@ -32,25 +47,21 @@
 
     /// None: no answer within `wait_ms`, for whatever cause; it may have been acted on, and is not sent any more
     /// if it was not yet.
-    pub async fn call(&self, msg: crate::msg::Msg, wait_ms: u64) -> Option<crate::msg::Msg> {
-        let (back, reply) = tokio::sync::oneshot::channel();
-        let job = Job { kind: crate::frame::Kind::Ask, msg, back: Some(back) };
+    pub async fn call(&self, msg: Msg, wait_ms: u64) -> Option<Msg> {
+        let (back, reply) = oneshot::channel();
+        let job = Job { kind: Kind::Ask, msg, back: Some(back) };
         self.send.try_send(job).ok()?;
-        let wait = std::time::Duration::from_millis(wait_ms);
-        tokio::time::timeout(wait, reply).await.ok()?.ok()
+        let wait = Duration::from_millis(wait_ms);
+        time::timeout(wait, reply).await.ok()?.ok()
     }
 
     /// False: dropped here, before it was sent.
-    pub fn cast(&self, msg: crate::msg::Msg) -> bool {
-        self.send.try_send(Job { kind: crate::frame::Kind::Cast, msg, back: None }).is_ok()
+    pub fn cast(&self, msg: Msg) -> bool {
+        self.send.try_send(Job { kind: Kind::Cast, msg, back: None }).is_ok()
     }
 }
 
-async fn run(
-    addr: String,
-    mut jobs: tokio::sync::mpsc::Receiver<Job>,
-    news: Option<tokio::sync::mpsc::Sender<crate::msg::Msg>>,
-) {
+async fn run(addr: String, mut jobs: Receiver<Job>, news: Option<mpsc::Sender<Msg>>) {
     let mut first: Option<Job> = None;
     let mut pause = 50;
     loop {
@@ -58,10 +69,10 @@
             let Some(job) = jobs.recv().await else { return };
             first = Some(job);
         }
-        let Ok(stream) = crate::sock::dial(&addr, 500, crate::sock::SILENCE_MS).await else {
+        let Ok(stream) = sock::dial(&addr, 500, SILENCE_MS).await else {
             first = None;
             while jobs.try_recv().is_ok() {}
-            tokio::time::sleep(std::time::Duration::from_millis(pause)).await;
+            time::sleep(Duration::from_millis(pause)).await;
             pause = (pause * 2).min(150);
             continue;
         };
@@ -74,18 +85,18 @@
 
 /// Until the connection breaks (Some) or the caller is gone (None).
 async fn carry(
-    stream: tokio::net::TcpStream,
+    stream: TcpStream,
     mut first: Option<Job>,
-    jobs: &mut tokio::sync::mpsc::Receiver<Job>,
-    news: &Option<tokio::sync::mpsc::Sender<crate::msg::Msg>>,
+    jobs: &mut Receiver<Job>,
+    news: &Option<mpsc::Sender<Msg>>,
 ) -> Option<()> {
     let (mut read, mut write) = stream.into_split();
-    let waits = std::sync::Arc::new(std::sync::Mutex::new(Waits::new()));
-    let (over, mut ended) = tokio::sync::oneshot::channel::<()>();
+    let waits = Arc::new(Mutex::new(Waits::new()));
+    let (over, mut ended) = oneshot::channel::<()>();
     let (hold, feed) = (waits.clone(), news.clone());
     let reader = tokio::spawn(async move {
         while let Some((head, msg)) = take(&mut read).await {
-            if head.kind == crate::frame::Kind::Reply {
+            if head.kind == Kind::Reply {
                 let back = hold.lock().expect("waits").remove(&head.id);
                 if let Some(back) = back {
                     let _ = back.send(msg);
@@ -114,11 +125,11 @@
                 },
             },
         };
-        if job.back.as_ref().is_some_and(tokio::sync::oneshot::Sender::is_closed) {
+        if job.back.as_ref().is_some_and(oneshot::Sender::is_closed) {
             // Its caller has given up, and may have turned to another.
             continue;
         }
-        let Ok(frame) = crate::frame::seal(job.kind, next, &job.msg) else { continue };
+        let Ok(frame) = frame::seal(job.kind, next, &job.msg) else { continue };
         if let Some(back) = job.back {
             let mut list = waits.lock().expect("waits");
             list.retain(|_, wait| !wait.is_closed());
@@ -134,52 +145,52 @@
     alive
 }
 
-async fn put(write: &mut tokio::net::tcp::OwnedWriteHalf, frame: &[u8]) -> Option<()> {
+async fn put(write: &mut OwnedWriteHalf, frame: &[u8]) -> Option<()> {
     use tokio::io::AsyncWriteExt;
-    let wait = std::time::Duration::from_millis(crate::sock::SILENCE_MS);
-    tokio::time::timeout(wait, write.write_all(frame)).await.ok()?.ok()
+    let wait = Duration::from_millis(SILENCE_MS);
+    time::timeout(wait, write.write_all(frame)).await.ok()?.ok()
 }
 
-async fn take(read: &mut tokio::net::tcp::OwnedReadHalf) -> Option<(crate::frame::Head, crate::msg::Msg)> {
+async fn take(read: &mut OwnedReadHalf) -> Option<(Head, Msg)> {
     use tokio::io::AsyncReadExt;
-    let mut head = [0; crate::frame::HEAD];
+    let mut head = [0; HEAD];
     read.read_exact(&mut head).await.ok()?;
-    let head = crate::frame::head(&head).ok()?;
+    let head = frame::head(&head).ok()?;
     let mut body = vec![0; head.len];
-    let wait = std::time::Duration::from_millis(2 * crate::sock::SILENCE_MS);
-    tokio::time::timeout(wait, read.read_exact(&mut body)).await.ok()?.ok()?;
-    let msg = crate::frame::open(&body).ok()?;
+    let wait = Duration::from_millis(2 * SILENCE_MS);
+    time::timeout(wait, read.read_exact(&mut body)).await.ok()?.ok()?;
+    let msg = frame::open(&body).ok()?;
     Some((head, msg))
 }
 
 /// How a handler answers or pushes on the connection it was called from.
 #[derive(Clone)]
 pub struct Mouth {
-    out: tokio::sync::mpsc::Sender<bytes::Bytes>,
+    out: mpsc::Sender<Bytes>,
 }
 
 impl Mouth {
     /// One whose frames are taken from the other end of `out`.
-    pub fn new(out: tokio::sync::mpsc::Sender<bytes::Bytes>) -> Mouth {
+    pub fn new(out: mpsc::Sender<Bytes>) -> Mouth {
         Mouth { out }
     }
 
     /// False: the other side does not read, or is gone.
-    pub fn cast(&self, msg: &crate::msg::Msg) -> bool {
-        self.put(crate::frame::Kind::Cast, 0, msg)
+    pub fn cast(&self, msg: &Msg) -> bool {
+        self.put(Kind::Cast, 0, msg)
     }
 
-    pub fn reply(&self, id: u64, msg: &crate::msg::Msg) -> bool {
-        self.put(crate::frame::Kind::Reply, id, msg)
+    pub fn reply(&self, id: u64, msg: &Msg) -> bool {
+        self.put(Kind::Reply, id, msg)
     }
 
-    fn put(&self, kind: crate::frame::Kind, id: u64, msg: &crate::msg::Msg) -> bool {
-        let Ok(frame) = crate::frame::seal(kind, id, msg) else { return false };
+    fn put(&self, kind: Kind, id: u64, msg: &Msg) -> bool {
+        let Ok(frame) = frame::seal(kind, id, msg) else { return false };
         self.cast_frame(frame.into())
     }
 
     /// A frame that is the same for many: sealed once, never copied.
-    pub fn cast_frame(&self, frame: bytes::Bytes) -> bool {
+    pub fn cast_frame(&self, frame: Bytes) -> bool {
         self.out.try_send(frame).is_ok()
     }
 
@@ -188,19 +199,19 @@
     }
 }
 
-pub type Handler = std::sync::Arc<dyn Fn(Mouth, u64, crate::msg::Msg) + Send + Sync>;
+pub type Handler = Arc<dyn Fn(Mouth, u64, Msg) + Send + Sync>;
 
-pub async fn serve(listener: tokio::net::TcpListener, handler: Handler) {
+pub async fn serve(listener: TcpListener, handler: Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+            time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        crate::sock::tune(&stream, crate::sock::SILENCE_MS);
+        sock::tune(&stream, SILENCE_MS);
         let handler = handler.clone();
         tokio::spawn(async move {
             let (mut read, mut write) = stream.into_split();
-            let (out, mut queue) = tokio::sync::mpsc::channel::<bytes::Bytes>(BUFFER);
+            let (out, mut queue) = mpsc::channel::<Bytes>(BUFFER);
             let mouth = Mouth::new(out);
             let writer = tokio::spawn(async move {
                 while let Some(frame) = queue.recv().await {
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -1,19 +1,28 @@
+use std::sync::Arc;
+
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+
+use super::{serve, take, Caller, Handler};
+use crate::frame::{self, Kind, HEAD, NEWEST};
+use crate::msg::Msg;
+use crate::sock;
 
 async fn echo() -> String {
-    let listener = crate::sock::listen("127.0.0.1:0").expect("a port");
+    let listener = sock::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
-    let handler: super::Handler = std::sync::Arc::new(|mouth, id, msg| {
+    let handler: Handler = Arc::new(|mouth, id, msg| {
         mouth.reply(id, &msg);
     });
-    tokio::spawn(super::serve(listener, handler));
+    tokio::spawn(serve(listener, handler));
     addr
 }
 
 #[tokio::test]
 async fn calls_are_answered_and_casts_are_not() {
-    let caller = super::Caller::start(echo().await, None);
-    let msg = crate::msg::Msg::Query(Box::new((1, vec![2])));
+    let caller = Caller::start(echo().await, None);
+    let msg = Msg::Query(Box::new((1, vec![2])));
     assert!(caller.cast(msg.clone()));
     assert_eq!(caller.call(msg.clone(), 5000).await, Some(msg));
 }
@@ -21,18 +30,18 @@
 #[tokio::test]
 async fn a_malformed_or_too_new_message_costs_its_sender_the_connection_only() {
     let addr = echo().await;
-    let good = super::Caller::start(addr.clone(), None);
-    let msg = crate::msg::Msg::Query(Box::new((1, vec![2])));
+    let good = Caller::start(addr.clone(), None);
+    let msg = Msg::Query(Box::new((1, vec![2])));
     assert!(good.call(msg.clone(), 5000).await.is_some());
-    let frame = crate::frame::seal(crate::frame::Kind::Ask, 1, &msg).expect("sealed");
+    let frame = frame::seal(Kind::Ask, 1, &msg).expect("sealed");
     let mut newer = frame.clone();
-    newer[4..6].copy_from_slice(&(crate::frame::NEWEST + 1).to_le_bytes());
+    newer[4..6].copy_from_slice(&(NEWEST + 1).to_le_bytes());
     let mut torn = frame.clone();
     let last = torn.len() - 1;
     torn[last] ^= 0xff;
-    torn[crate::frame::HEAD] ^= 0xff;
+    torn[HEAD] ^= 0xff;
     for bad in [newer, torn, b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()] {
-        let mut stream = tokio::net::TcpStream::connect(&addr).await.expect("connected");
+        let mut stream = TcpStream::connect(&addr).await.expect("connected");
         stream.write_all(&bad).await.expect("sent");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
@@ -41,25 +50,23 @@
     assert!(good.call(msg, 5000).await.is_some(), "others feel nothing");
 }
 
-fn query(number: u64) -> crate::msg::Msg {
-    crate::msg::Msg::Query(Box::new((number, Vec::new())))
+fn query(number: u64) -> Msg {
+    Msg::Query(Box::new((number, Vec::new())))
 }
 
 /// A caller and the listener that it calls.
-async fn pair() -> (super::Caller, tokio::net::TcpListener) {
-    let listener = crate::sock::listen("127.0.0.1:0").expect("a port");
+async fn pair() -> (Caller, TcpListener) {
+    let listener = sock::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
-    (super::Caller::start(addr, None), listener)
+    (Caller::start(addr, None), listener)
 }
 
-async fn accept(
-    listener: &tokio::net::TcpListener,
-) -> (tokio::net::tcp::OwnedReadHalf, tokio::net::tcp::OwnedWriteHalf) {
+async fn accept(listener: &TcpListener) -> (OwnedReadHalf, OwnedWriteHalf) {
     listener.accept().await.expect("a caller").0.into_split()
 }
 
-async fn answer(write: &mut tokio::net::tcp::OwnedWriteHalf, id: u64, msg: &crate::msg::Msg) {
-    let frame = crate::frame::seal(crate::frame::Kind::Reply, id, msg).expect("sealed");
+async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Msg) {
+    let frame = frame::seal(Kind::Reply, id, msg).expect("sealed");
     write.write_all(&frame).await.expect("written");
 }
 
@@ -68,12 +75,12 @@
     let (caller, listener) = pair().await;
     let serve = async {
         let (mut read, mut write) = accept(&listener).await;
-        let one = super::take(&mut read).await.expect("the first");
-        let two = super::take(&mut read).await.expect("the second");
+        let one = take(&mut read).await.expect("the first");
+        let two = take(&mut read).await.expect("the second");
         for (head, msg) in [&two, &one, &two, &one] {
             answer(&mut write, head.id, msg).await;
         }
-        let three = super::take(&mut read).await.expect("the third");
+        let three = take(&mut read).await.expect("the third");
         answer(&mut write, one.0.id, &one.1).await;
         answer(&mut write, three.0.id, &three.1).await;
     };
@@ -90,10 +97,10 @@
     let (caller, listener) = pair().await;
     let serve = async {
         let (mut read, write) = accept(&listener).await;
-        assert_eq!(super::take(&mut read).await.expect("the first").1, query(1));
+        assert_eq!(take(&mut read).await.expect("the first").1, query(1));
         drop((read, write));
         let (mut read, mut write) = accept(&listener).await;
-        let (head, msg) = super::take(&mut read).await.expect("the next call");
+        let (head, msg) = take(&mut read).await.expect("the next call");
         assert_eq!(msg, query(2));
         answer(&mut write, head.id, &msg).await;
     };
@@ -108,11 +115,11 @@
 async fn a_call_given_up_before_it_was_sent_is_never_sent() {
     let (caller, listener) = pair().await;
     // More than sockets take in while nobody reads: what follows waits here.
-    let large = crate::msg::Msg::Query(Box::new((0, vec![7; 1_400_000])));
+    let large = Msg::Query(Box::new((0, vec![7; 1_400_000])));
     assert!(caller.cast(large.clone()));
     assert_eq!(caller.call(query(1), 1).await, None);
     assert!(caller.cast(query(2)));
     let (mut read, _write) = accept(&listener).await;
-    assert_eq!(super::take(&mut read).await.expect("the large one").1, large);
-    assert_eq!(super::take(&mut read).await.expect("the next").1, query(2));
+    assert_eq!(take(&mut read).await.expect("the large one").1, large);
+    assert_eq!(take(&mut read).await.expect("the next").1, query(2));
 }
--- a/protocol/src/msg.rs
+++ b/protocol/src/msg.rs
@@ -1,5 +1,10 @@
 //! Messages between our own daemons. Every variant holds a box, so a new one never moves the others.
 
+use crate::order::{Advance, Order, OrderResult};
+use crate::quota::{ShardHolder, ShardUsage, Spend, Spent};
+use crate::renewal::Renewed;
+use crate::version_rollout::{Samples, VersionRollout};
+
 pub use crate::capability::*;
 pub use crate::rollout::{Rule, Versions, ROLLOUT};
 pub use crate::seek::{Note, Pressure, Seek, Sought};
@@ -221,24 +226,24 @@
     /// Routers that hold a lease, and those of them that confirmed. Since version 2.
     Settled(Box<(u32, u32)>),
     /// An operator's order, to the controller that is home to its key. Since version 3.
-    Order(Box<crate::order::Order>),
-    OrderDone(Box<crate::order::OrderResult>),
+    Order(Box<Order>),
+    OrderDone(Box<OrderResult>),
     /// As `Learn`, for those that hold the entry before. Since version 3.
-    Advance(Box<crate::order::Advance>),
+    Advance(Box<Advance>),
     /// The answer to `Follow` for routers that read it. Since version 4.
-    Renewed(Box<crate::renewal::Renewed>),
+    Renewed(Box<Renewed>),
     /// A configuration with tenants, whole or as a change: the bytes of `crate::change::Change`. Since version 4.
     Update(Box<Vec<u8>>),
     /// One token of a tenant's limit. Since version 5.
-    Spend(Box<crate::quota::Spend>),
-    Spent(Box<crate::quota::Spent>),
+    Spend(Box<Spend>),
+    Spent(Box<Spent>),
     /// The controllers that may hold shards of tenants' limits, as a controller sees them. Since version 5.
-    Holders(Box<Vec<crate::quota::ShardHolder>>),
+    Holders(Box<Vec<ShardHolder>>),
     /// What have the shards held there given? Since version 5.
     Usage(Box<u16>),
-    Used(Box<Vec<crate::quota::ShardUsage>>),
+    Used(Box<Vec<ShardUsage>>),
     /// A rollout of a service, newer than what the router told. Since version 5.
-    VersionRollout(Box<crate::version_rollout::VersionRollout>),
+    VersionRollout(Box<VersionRollout>),
     /// What routers saw of a rollout. Since version 5.
-    Samples(Box<crate::version_rollout::Samples>),
+    Samples(Box<Samples>),
 }
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -1,5 +1,9 @@
 //! What routers and controllers say about tenants' limits. Since version 5.
 
+use kernel::clock;
+
+use crate::msg;
+
 /// A request for one token of a tenant, to a controller that holds a shard of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Spend {
@@ -64,22 +68,19 @@
 
 /// The entry by which a router tells which list of holders it has.
 pub fn told_holders(mark: u64) -> (String, u64, u64) {
-    (crate::msg::hide(HOLDERS), mark, 0)
+    (msg::hide(HOLDERS), mark, 0)
 }
 
 /// The key of that entry.
 pub fn holders_key() -> String {
-    crate::msg::hide(HOLDERS)
+    msg::hide(HOLDERS)
 }
 
 /// What tells one list of holders from others.
 pub fn holders_mark(list: &[ShardHolder]) -> u64 {
     list.iter().fold(1, |mark, holder| {
-        let one = kernel::clock::blend(
-            kernel::clock::hash(holder.ip.as_bytes()),
-            kernel::clock::hash(holder.zone.as_bytes()),
-        );
-        kernel::clock::blend(mark, one)
+        let one = clock::blend(clock::hash(holder.ip.as_bytes()), clock::hash(holder.zone.as_bytes()));
+        clock::blend(mark, one)
     })
 }
 
--- a/protocol/src/quota_tests.rs
+++ b/protocol/src/quota_tests.rs
@@ -1,5 +1,10 @@
 //! Marks of lists, and that the messages come back as they were.
-use super::{holders_mark, ShardHolder, Spend, Spent};
+
+use std::collections::HashSet;
+
+use super::{from_milli, holders_mark, to_milli, ShardHolder, Spend, Spent};
+use crate::frame::{self, Kind, HEAD};
+use crate::msg::Msg;
 
 fn holder(ip: &str, zone: &str) -> ShardHolder {
     ShardHolder { ip: ip.into(), zone: zone.into() }
@@ -11,27 +16,27 @@
     let less = vec![holder("10.0.0.1", "a")];
     let moved = vec![holder("10.0.0.1", "b"), holder("10.0.0.2", "b")];
     let marks = [holders_mark(&one), holders_mark(&less), holders_mark(&moved), holders_mark(&[])];
-    let unique: std::collections::HashSet<u64> = marks.into_iter().collect();
+    let unique: HashSet<u64> = marks.into_iter().collect();
     assert_eq!(unique.len(), marks.len());
     assert_eq!(holders_mark(&one), holders_mark(&one.clone()));
 }
 
 #[test]
 fn thousandths_come_back() {
-    assert_eq!(super::from_milli(super::to_milli(0.125)), 0.125);
-    assert_eq!(super::to_milli(-1.0), 0);
+    assert_eq!(from_milli(to_milli(0.125)), 0.125);
+    assert_eq!(to_milli(-1.0), 0);
 }
 
 #[test]
 fn messages_come_back_as_they_were() {
     let spend = Spend { tenant: "t".into(), rate_milli: 2500, burst_milli: 9000 };
     let messages = [
-        crate::msg::Msg::Spend(Box::new(spend)),
-        crate::msg::Msg::Spent(Box::new(Spent::Denied { retry_after_ms: 30 })),
-        crate::msg::Msg::Holders(Box::new(vec![holder("10.0.0.1", "a")])),
+        Msg::Spend(Box::new(spend)),
+        Msg::Spent(Box::new(Spent::Denied { retry_after_ms: 30 })),
+        Msg::Holders(Box::new(vec![holder("10.0.0.1", "a")])),
     ];
     for message in messages {
-        let frame = crate::frame::seal(crate::frame::Kind::Cast, 0, &message).expect("sealed");
-        assert_eq!(crate::frame::open(&frame[crate::frame::HEAD..]).expect("whole"), message);
+        let frame = frame::seal(Kind::Cast, 0, &message).expect("sealed");
+        assert_eq!(frame::open(&frame[HEAD..]).expect("whole"), message);
     }
 }
--- a/protocol/src/renewal.rs
+++ b/protocol/src/renewal.rs
@@ -1,5 +1,7 @@
 //! The answer to a router that renews its lease: what is new, and how far it is known to be current.
 
+use crate::msg::News;
+
 /// What a controller knows to be current. Invariant: everything that was acknowledged `age_ms` before this was
 /// written is contained in the configuration `config`, in the evacuations sent so far, or in newer ones.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -13,7 +15,7 @@
 /// The answer to `Follow`. Since version 4.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Renewed {
-    pub news: crate::msg::News,
+    pub news: News,
     /// None: the controller has not confirmed its state since it started.
     pub confirmation: Option<Confirmation>,
     /// The addresses of the members of the core, which confirm without a relay between.
--- a/protocol/src/seek.rs
+++ b/protocol/src/seek.rs
@@ -1,5 +1,7 @@
 //! What a router asks the catalog for a prompt, and what it tells it.
 
+use crate::msg::Record;
+
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Seek {
     pub epoch: u64,
@@ -27,6 +29,6 @@
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Note {
     pub epoch: u64,
-    pub list: Vec<crate::msg::Record>,
+    pub list: Vec<Record>,
     pub told: Vec<Pressure>,
 }
--- a/protocol/src/sock.rs
+++ b/protocol/src/sock.rs
@@ -1,51 +1,61 @@
 //! Sockets with the options that every connection of ours carries.
 
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use socket2::SockRef;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::sync::Semaphore;
+use tokio::time;
+
 pub const SILENCE_MS: u64 = 2500;
 
-pub fn tune(stream: &tokio::net::TcpStream, silence_ms: u64) {
+pub fn tune(stream: &TcpStream, silence_ms: u64) {
     let _ = stream.set_nodelay(true);
-    let sock = socket2::SockRef::from(stream);
-    let _ = sock.set_tcp_user_timeout(Some(std::time::Duration::from_millis(silence_ms)));
+    let sock = SockRef::from(stream);
+    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(silence_ms)));
 }
 
-pub async fn dial(addr: &str, wait_ms: u64, silence_ms: u64) -> std::io::Result<tokio::net::TcpStream> {
-    let wait = std::time::Duration::from_millis(wait_ms);
-    let stream = match tokio::time::timeout(wait, tokio::net::TcpStream::connect(addr)).await {
+pub async fn dial(addr: &str, wait_ms: u64, silence_ms: u64) -> io::Result<TcpStream> {
+    let wait = Duration::from_millis(wait_ms);
+    let stream = match time::timeout(wait, TcpStream::connect(addr)).await {
         Ok(stream) => stream?,
-        Err(_) => return Err(std::io::ErrorKind::TimedOut.into()),
+        Err(_) => return Err(io::ErrorKind::TimedOut.into()),
     };
     tune(&stream, silence_ms);
     Ok(stream)
 }
 
-pub fn listen(addr: &str) -> std::io::Result<tokio::net::TcpListener> {
-    let addr: std::net::SocketAddr =
-        addr.parse().map_err(|_| std::io::Error::from(std::io::ErrorKind::InvalidInput))?;
-    let sock = tokio::net::TcpSocket::new_v4()?;
+pub fn listen(addr: &str) -> io::Result<TcpListener> {
+    let addr: SocketAddr = addr.parse().map_err(|_| io::Error::from(io::ErrorKind::InvalidInput))?;
+    let sock = TcpSocket::new_v4()?;
     sock.set_reuseaddr(true)?;
     sock.bind(addr)?;
     sock.listen(1024)
 }
 
 /// The pause before a socket that can't be had is tried again.
-const RETRY: std::time::Duration = std::time::Duration::from_millis(100);
+const RETRY: Duration = Duration::from_millis(100);
 
 /// Accepts for ever; over `room` connections at once the next waits in the kernel's queue.
-pub async fn accept_each<F: std::future::Future<Output = ()> + Send + 'static>(
+pub async fn accept_each<F: Future<Output = ()> + Send + 'static>(
     addr: &str,
     room: usize,
-    each: impl Fn(tokio::net::TcpStream) -> F,
+    each: impl Fn(TcpStream) -> F,
 ) {
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(room));
+    let places = Arc::new(Semaphore::new(room));
     loop {
         let Ok(listener) = listen(addr) else {
-            tokio::time::sleep(RETRY).await;
+            time::sleep(RETRY).await;
             continue;
         };
         loop {
             let Ok(place) = places.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(RETRY).await;
+                time::sleep(RETRY).await;
                 continue;
             };
             let work = each(stream);
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -4,9 +4,12 @@
 //! all at once while nobody mints, or by some of them beside holders that mint for the others. A small limit gives less than one request a router and window:
 //! then a hash draws the routers that have one, which needs no agreement.
 
-use crate::Quota;
 use std::collections::{HashMap, VecDeque};
 
+use kernel::clock;
+
+use crate::Quota;
+
 /// The figures by which the sum over all routers is bound.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
@@ -63,8 +66,8 @@
         let part = all / f64::from(routers.max(1));
         let whole = part.floor();
         let window = now / self.bounds.window_ms.max(1);
-        let seed = kernel::clock::blend(self.mark, kernel::clock::hash(tenant.as_bytes()));
-        let draw = kernel::clock::blend(seed, window) as f64 / u64::MAX as f64;
+        let seed = clock::blend(self.mark, clock::hash(tenant.as_bytes()));
+        let draw = clock::blend(seed, window) as f64 / u64::MAX as f64;
         whole as usize + usize::from(draw < part - whole)
     }
 
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -1,6 +1,11 @@
 //! A fleet of controllers and routers in virtual time, for tests: controllers confirm themselves at a majority and hear of one
 //! another as the real ones do (`roster`), and everything may be cut off, frozen, killed or lose its memory.
 
+use std::{iter, mem};
+
+use kernel::clock::{self, Dice};
+use membership::{Peer, PeerReport, Roster};
+
 use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, Spent, TAKE_OVER_MS};
 
 const STEP_MS: u64 = 10;
@@ -35,7 +40,7 @@
 
 struct Controller {
     at: Holder,
-    roster: membership::Roster,
+    roster: Roster,
     shards: Shards,
     confirmed_at: Option<u64>,
     frozen_until: u64,
@@ -72,7 +77,7 @@
 
 pub struct Fleet {
     pub now: u64,
-    pub dice: kernel::clock::Dice,
+    pub dice: Dice,
     pub variant: Variant,
     pub tenants: Vec<Tenant>,
     pub counts: Vec<Count>,
@@ -94,7 +99,7 @@
         let router = |at: usize| Router {
             zone: at % size.zones,
             known: Vec::new(),
-            allowances: Allowances::new(BOUNDS, kernel::clock::hash(format!("edge-{at}").as_bytes())),
+            allowances: Allowances::new(BOUNDS, clock::hash(format!("edge-{at}").as_bytes())),
             denied_until: vec![0; tenants.len()],
             frozen_until: 0,
             cut_until: 0,
@@ -102,7 +107,7 @@
         };
         Fleet {
             now: 0,
-            dice: kernel::clock::Dice::new(seed.wrapping_mul(0x9E37_79B9) + 1),
+            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9) + 1),
             variant,
             counts: vec![Count::default(); tenants.len()],
             sends: vec![Vec::new(); tenants.len()],
@@ -236,11 +241,11 @@
         let own = &self.controllers[at].roster;
         let vouches = own.controllers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
         let sure = self.controllers[at].confirmed_at.is_some_and(|time| now < time + SURE_MS);
-        let report = membership::PeerReport { sure, vouches, ..Default::default() };
+        let report = PeerReport { sure, vouches, ..Default::default() };
         let zone = self.controllers[at].at.zone.clone();
         for other in (0..self.controllers.len()).filter(|other| *other != at) {
             if self.linked(at, other) {
-                let peer = membership::Peer { zone: zone.clone(), heard: now, ..Default::default() };
+                let peer = Peer { zone: zone.clone(), heard: now, ..Default::default() };
                 self.controllers[other].roster.hear(&ip, peer);
                 self.controllers[other].roster.report(&ip, report.clone(), now);
             }
@@ -255,7 +260,7 @@
             _ => own.roster.absent_ms(ip, self.now) >= TAKE_OVER_MS,
         };
         let others = self.controllers.iter().filter(|other| other.at.ip != own.at.ip && !gone(&other.at.ip));
-        std::iter::once(own.at.clone()).chain(others.map(|other| other.at.clone())).collect()
+        iter::once(own.at.clone()).chain(others.map(|other| other.at.clone())).collect()
     }
 
     fn follow(&mut self) {
@@ -276,7 +281,7 @@
     fn demand(&mut self) {
         for router in 0..self.routers.len() {
             if self.routers[router].frozen_until <= self.now {
-                for tenant in std::mem::take(&mut self.routers[router].waiting) {
+                for tenant in mem::take(&mut self.routers[router].waiting) {
                     self.request(router, tenant);
                 }
             }
@@ -387,6 +392,6 @@
 fn new_controller(at: Holder, variant: Variant) -> Controller {
     let mut shards = Shards::new(&at.ip);
     shards.begins_full = variant == Variant::BeginsFull;
-    let roster = membership::Roster::new(&at.ip, &at.zone, SURE_MS);
+    let roster = Roster::new(&at.ip, &at.zone, SURE_MS);
     Controller { at, roster, shards, confirmed_at: None, frozen_until: 0, cut_until: 0 }
 }
--- a/quota/src/fleet_tests.rs
+++ b/quota/src/fleet_tests.rs
@@ -1,4 +1,7 @@
 //! The sum over a whole fleet, in every window, whatever fails; and who is refused while nothing does.
+
+use std::ops::Range;
+
 use crate::fleet::{Fleet, Size, Tenant, Variant, BOUNDS};
 use crate::Quota;
 
@@ -37,7 +40,7 @@
 /// How many times its limit a hot tenant sends.
 const HOT: f64 = 7.5;
 
-fn holds(size: &Size, seeds: std::ops::Range<u64>) {
+fn holds(size: &Size, seeds: Range<u64>) {
     for seed in seeds {
         let fleet = worst(size, Variant::Sound, seed);
         let over = fleet.first_over();
--- a/quota/src/placement_tests.rs
+++ b/quota/src/placement_tests.rs
@@ -1,4 +1,7 @@
 //! Where shards are.
+
+use std::collections::HashMap;
+
 use super::{holders, Holder, SHARDS};
 
 fn controllers(count: usize, zones: usize) -> Vec<Holder> {
@@ -22,7 +25,7 @@
 #[test]
 fn tenants_spread_evenly() {
     let live = controllers(6, 3);
-    let mut count = std::collections::HashMap::new();
+    let mut count = HashMap::new();
     for tenant in 0..3000 {
         for holder in holders(&format!("tenant-{tenant}"), &live) {
             *count.entry(holder.ip.clone()).or_insert(0) += 1;
--- a/quota/src/shards.rs
+++ b/quota/src/shards.rs
@@ -1,8 +1,9 @@
 //! The shards that one controller holds.
 
-use crate::{holders, Holder, MintClock, Quota, TokenBucket};
 use std::collections::{HashMap, VecDeque};
 
+use crate::{holders, Holder, MintClock, Quota, TokenBucket, SHARDS};
+
 /// What a request for a token comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spent {
@@ -162,7 +163,7 @@
 }
 
 fn share_count(live: &[Holder]) -> usize {
-    live.len().clamp(1, crate::SHARDS)
+    live.len().clamp(1, SHARDS)
 }
 
 fn holds(me: &str, tenant: &str, live: &[Holder]) -> bool {
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -1,19 +1,44 @@
 //! A request's entry: read, checked, and sent on its way.
 
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::header::{EXPECT, HOST};
+use http::request::Parts;
+use http::Response;
+use hyper::body::Incoming;
+use kernel::clock;
+use protocol::word::BUDGET;
+use tokio::time;
+
+use crate::authorization::{self, Authorization, UnknownKey};
+use crate::currency::{self, Miss};
 use crate::drain::Phase;
+use crate::event::FIRST;
+use crate::exchange::Exchange;
+use crate::failure::{self, Body, Failure};
+use crate::frames::Look;
+use crate::metrics::{Connection, Outcome, Stage};
+use crate::request_guard::RequestGuard;
+use crate::state::State;
+use crate::table::{self, Table};
+use crate::tenants::KeyDigest;
+use crate::{plan, relay, request};
 
 /// Reads, checks and carries one request; always gives an answer.
 pub async fn serve(
-    state: std::sync::Arc<crate::state::State>,
-    incoming: http::Request<hyper::body::Incoming>,
-    look: &crate::frames::Look,
-    connection: crate::metrics::Connection,
-) -> http::Response<crate::failure::Body> {
-    let mut guard = crate::request_guard::RequestGuard::begin(&state, connection);
+    state: Arc<State>,
+    incoming: http::Request<Incoming>,
+    look: &Look,
+    connection: Connection,
+) -> Response<Body> {
+    let mut guard = RequestGuard::begin(&state, connection);
     let leaving = state.is_leaving();
-    let fail = |failure: crate::failure::Failure, last| (crate::failure::write(failure, last), failure.into());
+    let fail = |failure: Failure, last| (failure::write(failure, last), failure.into());
     if look.both() {
-        let (response, outcome) = fail(crate::failure::Failure::Malformed, leaving);
+        let (response, outcome) = fail(Failure::Malformed, leaving);
         return guard.follow(response, outcome);
     }
     let entered = match guard.phase() {
@@ -24,8 +49,8 @@
     look.arm();
     let (response, outcome) = match entered {
         Ok(exchange) => {
-            guard.enter(crate::metrics::Stage::Forwarding);
-            match crate::relay::answer(exchange).await {
+            guard.enter(Stage::Forwarding);
+            match relay::answer(exchange).await {
                 Ok(response) => {
                     let outcome = passed_on(&response);
                     (response, outcome)
@@ -39,10 +64,10 @@
 }
 
 /// What an engine's answer comes to once it is passed on whole.
-fn passed_on(response: &http::Response<crate::failure::Body>) -> crate::metrics::Outcome {
+fn passed_on(response: &Response<Body>) -> Outcome {
     match response.status().is_success() {
-        true => crate::metrics::Outcome::Success,
-        false => crate::metrics::Outcome::EngineFailure,
+        true => Outcome::Success,
+        false => Outcome::EngineFailure,
     }
 }
 
@@ -53,123 +78,112 @@
 const RETRY_MS: u64 = 300;
 
 /// Until this daemon is ready, or `end`.
-async fn starting(state: &crate::state::State, end: u64) {
-    let order = std::sync::atomic::Ordering::Relaxed;
-    while !state.ready.load(order) && kernel::clock::now() < end {
-        tokio::time::sleep(std::time::Duration::from_millis(15)).await;
+async fn starting(state: &State, end: u64) {
+    let order = Ordering::Relaxed;
+    while !state.ready.load(order) && clock::now() < end {
+        time::sleep(Duration::from_millis(15)).await;
     }
 }
 
 /// A request that is not let in.
 struct Rejection {
-    failure: crate::failure::Failure,
+    failure: Failure,
     /// Its body was not read to the end: the connection can't go on.
     ends: bool,
 }
 
-impl From<crate::failure::Failure> for Rejection {
-    fn from(failure: crate::failure::Failure) -> Rejection {
+impl From<Failure> for Rejection {
+    fn from(failure: Failure) -> Rejection {
         Rejection { failure, ends: false }
     }
 }
 
 /// Rejects a request whose body is not needed. What of it has not been read yet is read and thrown away, so that the
 /// next request on the connection is found where it begins.
-async fn reject(
-    failure: crate::failure::Failure,
-    parts: &http::request::Parts,
-    body: Option<hyper::body::Incoming>,
-) -> Rejection {
+async fn reject(failure: Failure, parts: &Parts, body: Option<Incoming>) -> Rejection {
     // A client that asks before it sends its body is not told to send it.
-    let asks = parts.headers.contains_key(http::header::EXPECT);
+    let asks = parts.headers.contains_key(EXPECT);
     let read = match body {
-        Some(body) => !asks && crate::request::discard(body).await,
+        Some(body) => !asks && request::discard(body).await,
         None => true,
     };
     Rejection { failure, ends: !read }
 }
 
 /// Refuses a request of which only the head was looked at.
-async fn refuse_unread(incoming: http::Request<hyper::body::Incoming>) -> Rejection {
+async fn refuse_unread(incoming: http::Request<Incoming>) -> Rejection {
     let (parts, body) = incoming.into_parts();
-    reject(crate::failure::Failure::Refused(RETRY_MS), &parts, Some(body)).await
+    reject(Failure::Refused(RETRY_MS), &parts, Some(body)).await
 }
 
 /// What lets a request in: the table of that moment, and the route and tenant that it has for the request.
 struct Admitted {
-    table: std::sync::Arc<crate::table::Table>,
-    authorization: crate::authorization::Authorization,
+    table: Arc<Table>,
+    authorization: Authorization,
 }
 
 /// Judges a request by one table: the route first, since it says whether a key is needed.
-fn judge(
-    table: &crate::table::Table,
-    parts: &http::request::Parts,
-    key: Option<crate::tenants::KeyDigest>,
-) -> Result<crate::authorization::Authorization, crate::failure::Failure> {
-    let host = parts.headers.get(http::header::HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
-    let route = table.find(host, parts.uri.path()).ok_or(crate::failure::Failure::NoRoute)?;
-    let granted = crate::authorization::Authorization::grant(table, route, key);
-    granted.map_err(|crate::authorization::UnknownKey| crate::failure::Failure::Unauthorized)
+fn judge(table: &Table, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
+    let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
+    let route = table.find(host, parts.uri.path()).ok_or(Failure::NoRoute)?;
+    let granted = Authorization::grant(table, route, key);
+    granted.map_err(|UnknownKey| Failure::Unauthorized)
 }
 
 /// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
 /// proved to be current.
-async fn admit(state: &crate::state::State, parts: &http::request::Parts) -> Result<Admitted, crate::failure::Failure> {
-    let left_ms = crate::request::number(&parts.headers, protocol::word::BUDGET).unwrap_or(EARLY_MS);
-    let key = crate::authorization::key(&parts.headers);
-    let accepts = |table: &crate::table::Table| judge(table, parts, key).is_ok();
-    let table = match crate::currency::table_with(state, left_ms, accepts).await {
+async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
+    let left_ms = request::number(&parts.headers, BUDGET).unwrap_or(EARLY_MS);
+    let key = authorization::key(&parts.headers);
+    let accepts = |table: &Table| judge(table, parts, key).is_ok();
+    let table = match currency::table_with(state, left_ms, accepts).await {
         Ok(table) => table,
-        Err(crate::currency::Miss::Unproved) => return Err(crate::failure::Failure::Refused(RETRY_MS)),
+        Err(Miss::Unproved) => return Err(Failure::Refused(RETRY_MS)),
         // The proof holds for this table as well: it is the same or a newer one.
-        Err(crate::currency::Miss::Certain) => state.table(),
+        Err(Miss::Certain) => state.table(),
     };
     let authorization = judge(&table, parts, key)?;
     Ok(Admitted { table, authorization })
 }
 
-async fn enter(
-    state: &std::sync::Arc<crate::state::State>,
-    incoming: http::Request<hyper::body::Incoming>,
-) -> Result<crate::exchange::Exchange, Rejection> {
-    let born = kernel::clock::now();
+async fn enter(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
+    let born = clock::now();
     let (parts, body) = incoming.into_parts();
-    if !crate::request::sound(&parts.headers) {
-        return Err(crate::failure::Failure::Malformed.into());
+    if !request::sound(&parts.headers) {
+        return Err(Failure::Malformed.into());
     }
     let mut body = Some(body);
     let mut whole = None;
-    if !state.ready.load(std::sync::atomic::Ordering::Relaxed) {
+    if !state.ready.load(Ordering::Relaxed) {
         // Just started: what is needed comes within moments. The body is read meanwhile.
-        let early = body.take().ok_or(crate::failure::Failure::Malformed)?;
-        whole = Some(crate::request::body(early, EARLY_BYTES, EARLY_MS).await?);
-        let wait = crate::request::number(&parts.headers, protocol::word::BUDGET).unwrap_or(EARLY_MS) / 3;
+        let early = body.take().ok_or(Failure::Malformed)?;
+        whole = Some(request::body(early, EARLY_BYTES, EARLY_MS).await?);
+        let wait = request::number(&parts.headers, BUDGET).unwrap_or(EARLY_MS) / 3;
         starting(state, born + wait.min(EARLY_MS)).await;
     }
     let table = state.table();
     if table.revision == 0 {
-        return Err(crate::failure::Failure::Refused(RETRY_MS).into());
+        return Err(Failure::Refused(RETRY_MS).into());
     }
-    if !table.seen.swap(true, std::sync::atomic::Ordering::Relaxed) {
-        kernel::say!(crate::event::FIRST, "revision" => table.revision);
+    if !table.seen.swap(true, Ordering::Relaxed) {
+        kernel::say!(FIRST, "revision" => table.revision);
     }
     let mut admitted = match admit(state, &parts).await {
         Ok(admitted) => admitted,
         Err(failure) => return Err(reject(failure, &parts, body).await),
     };
-    let looked_up = kernel::clock::now();
+    let looked_up = clock::now();
     let room = (state.env.limits.memory_mb as usize) << 18;
-    if state.held.load(std::sync::atomic::Ordering::Relaxed) > room {
-        return Err(crate::failure::Failure::Refused(250).into());
+    if state.held.load(Ordering::Relaxed) > room {
+        return Err(Failure::Refused(250).into());
     }
     let most = admitted.table.body_bytes;
     let body = match (whole, body) {
         (Some(whole), _) if whole.len() <= most => whole,
-        (None, Some(body)) => crate::request::body(body, most, admitted.table.idle_ms).await?,
-        _ => return Err(crate::failure::Failure::TooLarge.into()),
+        (None, Some(body)) => request::body(body, most, admitted.table.idle_ms).await?,
+        _ => return Err(Failure::TooLarge.into()),
     };
-    if kernel::clock::now() > looked_up + state.currency.budget().lookup_age_ms() {
+    if clock::now() > looked_up + state.currency.budget().lookup_age_ms() {
         // The body came slowly: a newer configuration may send it elsewhere.
         admitted = admit(state, &parts).await?;
     }
@@ -177,24 +191,18 @@
 }
 
 /// The exchange of a request that was let in and read.
-fn begin(
-    state: &std::sync::Arc<crate::state::State>,
-    admitted: Admitted,
-    parts: http::request::Parts,
-    body: bytes::Bytes,
-    born: u64,
-) -> crate::exchange::Exchange {
+fn begin(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, born: u64) -> Exchange {
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
         let mut dice = state.dice.lock().expect("dice");
-        crate::table::split(&route.targets, dice.roll())
+        table::split(&route.targets, dice.roll())
     };
-    let request = crate::request::Request::make(parts, body, authorization, u64::from(service), born);
-    state.held.fetch_add(request.body.len(), std::sync::atomic::Ordering::Relaxed);
+    let request = request::Request::make(parts, body, authorization, u64::from(service), born);
+    state.held.fetch_add(request.body.len(), Ordering::Relaxed);
     state.budget.lock().expect("budget").errand(service, born);
-    crate::exchange::Exchange {
-        closed_zones: crate::plan::closed_zones(state, request.authorization.homes()),
+    Exchange {
+        closed_zones: plan::closed_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
         route: route.name.clone(),
         pinned_version: None,
--- a/router/src/admission_tests.rs
+++ b/router/src/admission_tests.rs
@@ -1,6 +1,12 @@
 //! Refusals that rest on what the configuration lacks, where it is not known to be current.
+
+use std::time::Duration;
+
+use tokio::time;
+
 use crate::stand_in::{answer, engines, seen, Act, Engine};
 use crate::stand_in_router::{ask, configure, post, status, unproved_router, Client};
+use crate::state::State;
 
 const KEYED: &str = "Authorization: Bearer k1\r\n";
 
@@ -9,7 +15,7 @@
 }
 
 /// Brings a configuration into force in which the one tenant has these keys.
-fn keys(state: &crate::state::State, keys: &[&str]) {
+fn keys(state: &State, keys: &[&str]) {
     let revision = state.table().revision + 1;
     configure(state, revision, serde_json::json!({"tenant_table": [{"name": "one", "api_keys": keys}]}));
 }
@@ -38,8 +44,8 @@
     keys(&state, &["k2"]);
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", &format!("Connection: close\r\n{KEYED}"))).await;
-    let asked = std::time::Duration::from_secs(10);
-    tokio::time::timeout(asked, state.currency.wanted()).await.expect("the proof is asked for");
+    let asked = Duration::from_secs(10);
+    time::timeout(asked, state.currency.wanted()).await.expect("the proof is asked for");
     keys(&state, &["k1"]);
     let text = client.rest().await;
     assert_eq!((status(&text), seen(&list).len()), ("200", 1), "{text}");
--- a/router/src/authorization.rs
+++ b/router/src/authorization.rs
@@ -1,18 +1,28 @@
 //! May a request go to an engine, and as which tenant's? Asked when it is admitted, and again before each send.
 
+use std::sync::Arc;
+
+use http::header::AUTHORIZATION;
+use http::HeaderMap;
+use protocol::word::TENANT;
+
+use crate::exchange::Exchange;
+use crate::table::{Route, Table};
+use crate::tenants::{KeyDigest, Tenant};
+
 /// The one scheme by which a key is carried: `Authorization: Bearer KEY`.
 const SCHEME: &[u8] = b"bearer";
 
 /// The key of a request. None: it has none, or not exactly one in the form that the protocol knows.
-pub fn key(head: &http::HeaderMap) -> Option<crate::tenants::KeyDigest> {
-    let mut values = head.get_all(http::header::AUTHORIZATION).iter();
+pub fn key(head: &HeaderMap) -> Option<KeyDigest> {
+    let mut values = head.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes().trim_ascii();
     if values.next().is_some() {
         return None;
     }
     let end = value.iter().position(u8::is_ascii_whitespace)?;
     let (scheme, key) = (&value[..end], value[end..].trim_ascii());
-    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then(|| crate::tenants::KeyDigest::of(key))
+    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
 }
 
 /// The route needs a key, and the request has none that is known.
@@ -21,26 +31,22 @@
 
 /// What a request was admitted with. It is sent as this tenant's, or not at all.
 pub struct Authorization {
-    key: Option<crate::tenants::KeyDigest>,
-    route: std::sync::Arc<crate::table::Route>,
+    key: Option<KeyDigest>,
+    route: Arc<Route>,
     /// None: the request is nobody's, since there are no tenants or its route is anonymous.
-    tenant: Option<std::sync::Arc<crate::tenants::Tenant>>,
+    tenant: Option<Arc<Tenant>>,
 }
 
 impl Authorization {
     /// Judges a request by the configuration of the moment.
-    pub fn grant(
-        table: &crate::table::Table,
-        route: &std::sync::Arc<crate::table::Route>,
-        key: Option<crate::tenants::KeyDigest>,
-    ) -> Result<Authorization, UnknownKey> {
+    pub fn grant(table: &Table, route: &Arc<Route>, key: Option<KeyDigest>) -> Result<Authorization, UnknownKey> {
         let tenant = holder(table, route.anonymous, key.as_ref())?.cloned();
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
     /// Would the request be admitted now, and on the same terms? A key may be revoked, or pass to another tenant,
     /// while its request waits.
-    pub fn holds(&self, table: &crate::table::Table) -> bool {
+    pub fn holds(&self, table: &Table) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
         match (holder(table, anonymous, self.key.as_ref()), &self.tenant) {
             (Err(UnknownKey), _) => false,
@@ -51,11 +57,11 @@
     }
 
     /// Whose request it is, where it is somebody's.
-    pub fn tenant(&self) -> Option<&crate::tenants::Tenant> {
+    pub fn tenant(&self) -> Option<&Tenant> {
         self.tenant.as_deref()
     }
 
-    pub fn route(&self) -> &std::sync::Arc<crate::table::Route> {
+    pub fn route(&self) -> &Arc<Route> {
         &self.route
     }
 
@@ -71,21 +77,21 @@
     }
 
     /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
-    pub fn rewrite(&self, head: &mut http::HeaderMap) {
-        head.remove(http::header::AUTHORIZATION);
-        head.remove(protocol::word::TENANT);
+    pub fn rewrite(&self, head: &mut HeaderMap) {
+        head.remove(AUTHORIZATION);
+        head.remove(TENANT);
         if let Some(name) = self.tenant.as_ref().and_then(|tenant| tenant.header.clone()) {
-            head.insert(protocol::word::TENANT, name);
+            head.insert(TENANT, name);
         }
     }
 }
 
 /// Whose request it is. None: nobody's, and it may go all the same. A known key counts on an anonymous route too.
 fn holder<'a>(
-    table: &'a crate::table::Table,
+    table: &'a Table,
     anonymous: bool,
-    key: Option<&crate::tenants::KeyDigest>,
-) -> Result<Option<&'a std::sync::Arc<crate::tenants::Tenant>>, UnknownKey> {
+    key: Option<&KeyDigest>,
+) -> Result<Option<&'a Arc<Tenant>>, UnknownKey> {
     let tenant = key.and_then(|key| table.tenants.holder(key));
     if tenant.is_some() || anonymous || !table.tenants.requires_keys() {
         return Ok(tenant);
@@ -93,7 +99,7 @@
     Err(UnknownKey)
 }
 
-impl crate::exchange::Exchange {
+impl Exchange {
     /// May the request still be sent to an engine?
     pub fn is_authorized(&self) -> bool {
         self.request.authorization.holds(&self.state.table())
--- a/router/src/authorization_tests.rs
+++ b/router/src/authorization_tests.rs
@@ -1,10 +1,17 @@
+use http::{HeaderMap, HeaderValue};
+use load_balancing::engine_table::EngineTable;
+use protocol::change::Change;
+use protocol::config;
+use serde_json::Value;
+
 use super::{key, Authorization, UnknownKey};
+use crate::table::Table;
 use crate::tenants::KeyDigest;
 
-fn head(values: &[&[u8]]) -> http::HeaderMap {
-    let mut map = http::HeaderMap::new();
+fn head(values: &[&[u8]]) -> HeaderMap {
+    let mut map = HeaderMap::new();
     for value in values {
-        map.append("authorization", http::HeaderValue::from_bytes(value).expect("value"));
+        map.append("authorization", HeaderValue::from_bytes(value).expect("value"));
     }
     map
 }
@@ -53,38 +60,36 @@
 }
 
 /// A configuration with the routes `keyed` and `open`; the latter is anonymous where that is `open`.
-fn table(tenants: serde_json::Value, open: bool) -> crate::table::Table {
+fn table(tenants: Value, open: bool) -> Table {
     table_of(&[("keyed", false), ("open", open)], tenants)
 }
 
-fn table_of(routes: &[(&str, bool)], tenants: serde_json::Value) -> crate::table::Table {
+fn table_of(routes: &[(&str, bool)], tenants: Value) -> Table {
     let route = |(name, anonymous): &(&str, bool)| {
         serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"), "service": "s",
             "route_type": "streaming", "timeout_ms": 5, "priority": 3, "allowed_regions": ["r"], "anonymous": anonymous})
     };
     let text = serde_json::json!({"revision": 1, "service_table": [{"name": "s"}],
         "route_table": routes.iter().map(route).collect::<Vec<_>>(), "tenant_table": tenants});
-    let config = protocol::config::read(&text.to_string()).expect("good");
-    let change = protocol::change::Change::whole(&config);
-    crate::table::Table::default()
-        .turn(&change, &mut load_balancing::engine_table::EngineTable::default())
-        .expect("newer")
+    let config = config::read(&text.to_string()).expect("good");
+    let change = Change::whole(&config);
+    Table::default().turn(&change, &mut EngineTable::default()).expect("newer")
 }
 
-fn tenants() -> serde_json::Value {
+fn tenants() -> Value {
     serde_json::json!([{"name": "one", "api_keys": ["k1"], "priority": 0, "allowed_regions": ["q", "r"]},
         {"name": "two", "api_keys": ["k2"]}])
 }
 
-fn grant(table: &crate::table::Table, route: &str, key: Option<&str>) -> Result<Authorization, UnknownKey> {
+fn grant(table: &Table, route: &str, key: Option<&str>) -> Result<Authorization, UnknownKey> {
     let route = table.find("h", &format!("/{route}/x")).expect("there");
     Authorization::grant(table, route, key.map(|key| KeyDigest::of(key.as_bytes())))
 }
 
 /// The tenant that an engine is told. None: the request is refused; empty: nobody's.
-fn named(table: &crate::table::Table, route: &str, key: Option<&str>) -> Option<String> {
+fn named(table: &Table, route: &str, key: Option<&str>) -> Option<String> {
     let granted = grant(table, route, key).ok()?;
-    let mut head = http::HeaderMap::new();
+    let mut head = HeaderMap::new();
     granted.rewrite(&mut head);
     Some(head.get("tenant").map_or(String::new(), |name| name.to_str().expect("text").into()))
 }
@@ -97,7 +102,7 @@
     // A known key counts there too: the engine is told whose it is.
     let found = [Some("k1"), Some("k3"), None].map(|key| named(&table, "open", key));
     assert_eq!(found, [Some("one".to_string()), Some(String::new()), Some(String::new())]);
-    let without = self::table(serde_json::Value::Null, false);
+    let without = self::table(Value::Null, false);
     let found = [Some("k1"), None].map(|key| named(&without, "keyed", key));
     assert_eq!(found, [Some(String::new()), Some(String::new())]);
 }
@@ -116,7 +121,7 @@
 #[test]
 fn what_was_granted_holds_as_long_as_its_tenant_has_the_key_and_the_same_homes() {
     let first = table(tenants(), true);
-    let next = |change: &dyn Fn(&mut serde_json::Value)| {
+    let next = |change: &dyn Fn(&mut Value)| {
         let mut list = tenants();
         change(&mut list);
         table(list, true)
@@ -142,7 +147,7 @@
     let (open, closed) = (table(tenants(), true), table(tenants(), false));
     let anonymous = grant(&open, "open", None).expect("granted");
     assert!(anonymous.holds(&open) && !anonymous.holds(&closed), "the route is not anonymous any more");
-    let without = table(serde_json::Value::Null, false);
+    let without = table(Value::Null, false);
     let early = grant(&without, "keyed", None).expect("granted");
     assert!(early.holds(&without) && !early.holds(&closed), "there are tenants now");
     let stranger = grant(&without, "keyed", Some("k1")).expect("granted");
--- a/router/src/boot.rs
+++ b/router/src/boot.rs
@@ -1,13 +1,21 @@
 //! Start and end of the process.
 
+use std::process;
+use std::sync::Arc;
+
+use kernel::env::Env;
+use kernel::plug::{self, Plug};
+use kernel::signal::{self, Signals};
+
 use crate::drain::{Phase, Schedule};
+use crate::event::{COUNTS, GONE, LEAVE, START};
 use crate::metrics::Stage;
 use crate::state::State;
-use std::sync::Arc;
+use crate::{follow, server, version_rollouts};
 
 #[kernel::plug::linkme::distributed_slice]
 #[linkme(crate = kernel::plug::linkme)]
-pub static ROUTER_PARTS: [kernel::plug::Plug<Arc<State>>];
+pub static ROUTER_PARTS: [Plug<Arc<State>>];
 
 macro_rules! part {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
@@ -18,28 +26,28 @@
     };
 }
 
-part!(READY, "readiness", 1, |state| drop(tokio::spawn(crate::server::readiness(state.clone()))));
-part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(crate::follow::run(state.clone()))));
-part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(crate::version_rollouts::send_samples(state.clone()))));
-part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(crate::server::frontend(state.clone()))));
+part!(READY, "readiness", 1, |state| drop(tokio::spawn(server::readiness(state.clone()))));
+part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(follow::run(state.clone()))));
+part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(version_rollouts::send_samples(state.clone()))));
+part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(server::frontend(state.clone()))));
 
 /// Runs a router until it is told to end and has finished what it took.
-pub async fn run(env: kernel::env::Env, mut signals: kernel::signal::Signals) -> std::process::ExitCode {
-    kernel::say!(crate::event::START, "node" => env.node_name.clone(), "ip" => env.ip.clone());
+pub async fn run(env: Env, mut signals: Signals) -> process::ExitCode {
+    kernel::say!(START, "node" => env.node_name.clone(), "ip" => env.ip.clone());
     let state = State::new(env);
     let observed = state.clone();
     telemetry::start(&state.env.ip, state.env.metrics.as_ref(), move || observed.metrics.render(&observed));
-    kernel::plug::start(&ROUTER_PARTS, &state);
-    kernel::signal::until_leave(&mut signals).await;
+    plug::start(&ROUTER_PARTS, &state);
+    signal::until_leave(&mut signals).await;
     leave(&state).await;
-    std::process::ExitCode::SUCCESS
+    process::ExitCode::SUCCESS
 }
 
 /// Ends what the router does, well inside the grace.
 pub(crate) async fn leave(state: &State) {
     let counts = state.record.lock().expect("record").counts;
-    kernel::say!(crate::event::LEAVE, "open" => under_way(state, &PHASES, &STAGES));
-    kernel::say!(crate::event::COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
+    kernel::say!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
+    kernel::say!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
         "dropped" => counts.dropped);
     state.drain.run(&Schedule::of(state.env.bounds.grace_s)).await;
@@ -57,7 +65,7 @@
 
 /// What is left unfinished, by how far it is and whether it came before or after SIGTERM.
 fn report_end(state: &State) {
-    kernel::say!(crate::event::GONE, "open" => under_way(state, &PHASES, &STAGES),
+    kernel::say!(GONE, "open" => under_way(state, &PHASES, &STAGES),
         "reading" => under_way(state, &PHASES, &[Stage::Reading]),
         "forwarding" => under_way(state, &PHASES, &[Stage::Forwarding]),
         "answering" => under_way(state, &PHASES, &[Stage::Answering]),
--- a/router/src/currency.rs
+++ b/router/src/currency.rs
@@ -4,6 +4,18 @@
 //! acknowledged in time can be missing. A request that would be refused without that proof waits for a short
 //! time, together with all others: the router's follower is woken once for all of them.
 
+use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+
+use kernel::clock;
+use kernel::convergence::Budget;
+use tokio::sync::Notify;
+use tokio::time::{self, Instant};
+
+use crate::state::State;
+use crate::table::Table;
+
 /// No proof yet.
 const NEVER: i64 = i64::MIN;
 /// How many requests may wait at once. Beyond them the answer is uncertain without a wait.
@@ -20,13 +32,13 @@
 
 /// Invariant: `current_as_of` never goes back, and the table in force contains all that was acknowledged before.
 pub struct Currency {
-    budget: kernel::convergence::Budget,
-    current_as_of: std::sync::atomic::AtomicI64,
-    waiting: std::sync::atomic::AtomicUsize,
+    budget: Budget,
+    current_as_of: AtomicI64,
+    waiting: AtomicUsize,
     /// A proof or a newer table has come.
-    changed: tokio::sync::Notify,
+    changed: Notify,
     /// Somebody waits for a proof.
-    wanted: tokio::sync::Notify,
+    wanted: Notify,
 }
 
 /// One request that waits; counted until it is dropped.
@@ -34,12 +46,12 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.0.waiting.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+        self.0.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Currency {
-    pub fn new(budget: kernel::convergence::Budget) -> Currency {
+    pub fn new(budget: Budget) -> Currency {
         Currency {
             budget,
             current_as_of: NEVER.into(),
@@ -49,13 +61,13 @@
         }
     }
 
-    pub fn budget(&self) -> &kernel::convergence::Budget {
+    pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
     /// All that was acknowledged before this time of the steady clock is in the table in force.
     pub fn prove(&self, as_of: i64) {
-        self.current_as_of.fetch_max(as_of, std::sync::atomic::Ordering::Relaxed);
+        self.current_as_of.fetch_max(as_of, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
@@ -66,7 +78,7 @@
 
     /// May a refusal rest on the table in force?
     pub fn is_proved(&self, now: u64) -> bool {
-        let as_of = self.current_as_of.load(std::sync::atomic::Ordering::Relaxed);
+        let as_of = self.current_as_of.load(Ordering::Relaxed);
         now as i64 <= as_of.saturating_add(self.budget.refusal_age_ms() as i64)
     }
 
@@ -76,18 +88,15 @@
     }
 
     fn enter(&self) -> Option<Waiting<'_>> {
-        let order = std::sync::atomic::Ordering::Relaxed;
+        let order = Ordering::Relaxed;
         let waiting = Waiting(self);
         (self.waiting.fetch_add(1, order) < MOST_WAITING).then_some(waiting)
     }
 }
 
 /// Looks at the table of this moment. The proof is read first: the table that follows is no older.
-fn look(
-    state: &crate::state::State,
-    accepts: &impl Fn(&crate::table::Table) -> bool,
-) -> Result<std::sync::Arc<crate::table::Table>, Miss> {
-    let proved = state.currency.is_proved(kernel::clock::now());
+fn look(state: &State, accepts: &impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
+    let proved = state.currency.is_proved(clock::now());
     let table = state.table();
     match accepts(&table) {
         true => Ok(table),
@@ -98,11 +107,7 @@
 
 /// The first table from now on that has what a request needs. A miss is certain only by a table that is proved
 /// current; that proof is waited for during a third of the time that the request has left at most.
-pub async fn table_with(
-    state: &crate::state::State,
-    left_ms: u64,
-    accepts: impl Fn(&crate::table::Table) -> bool,
-) -> Result<std::sync::Arc<crate::table::Table>, Miss> {
+pub async fn table_with(state: &State, left_ms: u64, accepts: impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
     let first = look(state, &accepts);
     if !matches!(first, Err(Miss::Unproved)) {
         return first;
@@ -110,12 +115,12 @@
     let currency = &state.currency;
     let Some(_waiting) = currency.enter() else { return first };
     currency.wanted.notify_one();
-    let wait = std::time::Duration::from_millis(currency.budget.refusal_wait_ms().min(left_ms / 3));
-    let end = tokio::time::Instant::now() + wait;
+    let wait = Duration::from_millis(currency.budget.refusal_wait_ms().min(left_ms / 3));
+    let end = Instant::now() + wait;
     loop {
         let changed = currency.changed.notified();
         let now = look(state, &accepts);
-        if !matches!(now, Err(Miss::Unproved)) || tokio::time::timeout_at(end, changed).await.is_err() {
+        if !matches!(now, Err(Miss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
             return now;
         }
     }
--- a/router/src/currency_tests.rs
+++ b/router/src/currency_tests.rs
@@ -1,17 +1,26 @@
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+
+use futures_util::future;
+use kernel::{clock, env};
+use tokio::time::Instant;
+
 use super::{table_with, Miss, MOST_WAITING};
+use crate::config;
+use crate::stand_in_router::SETTINGS;
 use crate::state::State;
 use crate::table::Table;
 
 /// A client that has long.
 const LEFT_MS: u64 = 60_000;
 
-fn unproved() -> std::sync::Arc<State> {
-    State::new(kernel::env::parse(crate::stand_in_router::SETTINGS).expect("good settings"))
+fn unproved() -> Arc<State> {
+    State::new(env::parse(SETTINGS).expect("good settings"))
 }
 
 fn put_in_force(state: &State, revision: u64) {
     let config = serde_json::json!({"revision": revision, "route_table": [], "service_table": []});
-    crate::config::config(state, revision, config.to_string().as_bytes());
+    config::config(state, revision, config.to_string().as_bytes());
 }
 
 /// What a request looks for: something that is there from a revision on.
@@ -28,8 +37,8 @@
     let state = unproved();
     put_in_force(&state, 5);
     assert_eq!(look(&state, 5).await, Ok(5));
-    state.currency.prove(kernel::clock::now() as i64);
-    let begun = tokio::time::Instant::now();
+    state.currency.prove(clock::now() as i64);
+    let begun = Instant::now();
     assert_eq!(look(&state, 6).await, Err(Miss::Certain));
     assert_eq!(begun.elapsed().as_millis(), 0);
 }
@@ -38,21 +47,21 @@
 async fn a_proof_that_is_too_old_proves_nothing() {
     let state = unproved();
     let age = state.currency.budget().refusal_age_ms() as i64;
-    state.currency.prove(kernel::clock::now() as i64 - age - 1);
+    state.currency.prove(clock::now() as i64 - age - 1);
     assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
-    state.currency.prove(kernel::clock::now() as i64 - age / 2);
+    state.currency.prove(clock::now() as i64 - age / 2);
     assert_eq!(look(&state, 6).await, Err(Miss::Certain));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_miss_that_is_not_proved_waits_for_a_bounded_time() {
     let state = unproved();
-    let begun = tokio::time::Instant::now();
+    let begun = Instant::now();
     assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
     let waited = begun.elapsed().as_millis() as u64;
     let most = state.currency.budget().refusal_wait_ms();
     assert!((most..most + 10).contains(&waited), "{waited}");
-    let begun = tokio::time::Instant::now();
+    let begun = Instant::now();
     assert!(table_with(&state, 90, since(6)).await.is_err());
     assert!(begun.elapsed().as_millis() <= 31, "a third of what the client has left");
 }
@@ -69,30 +78,30 @@
     put_in_force(&state, 6);
     assert_eq!(added.await.expect("it ends"), Ok(6), "the route was only late");
     assert!(!never.is_finished());
-    state.currency.prove(kernel::clock::now() as i64);
+    state.currency.prove(clock::now() as i64);
     assert_eq!(never.await.expect("it ends"), Err(Miss::Certain));
 }
 
 #[tokio::test(start_paused = true)]
 async fn any_number_that_wait_ask_once_and_no_more_than_a_bound_wait() {
     let state = unproved();
-    let asked = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let asked = Arc::new(AtomicUsize::new(0));
     let (count, follower) = (asked.clone(), state.clone());
     tokio::spawn(async move {
         loop {
             follower.currency.wanted().await;
-            count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            count.fetch_add(1, Ordering::Relaxed);
         }
     });
-    let begun = tokio::time::Instant::now();
+    let begun = Instant::now();
     let all = (0..MOST_WAITING + 50).map(|_| async {
         assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
         begun.elapsed().as_millis()
     });
-    let waited: Vec<u128> = futures_util::future::join_all(all).await;
+    let waited: Vec<u128> = future::join_all(all).await;
     assert_eq!(waited.iter().filter(|waited| **waited == 0).count(), 50);
-    assert_eq!(asked.load(std::sync::atomic::Ordering::Relaxed), 1);
-    let begun = tokio::time::Instant::now();
+    assert_eq!(asked.load(Ordering::Relaxed), 1);
+    let begun = Instant::now();
     assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
     assert!(begun.elapsed().as_millis() > 0, "those that are through are not counted any more");
 }
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -4,6 +4,22 @@
 //! One engine that goes dark must not be asked by every router: one that doubts it tells, some others are drawn to
 //! ask it too, and the rest take their word, both for its silence and for its first answer.
 
+use std::mem;
+use std::sync::Arc;
+use std::time::Duration;
+
+use kernel::clock;
+use load_balancing::engine_table::EngineState;
+use protocol::msg::Msg;
+use tokio::time::{self, Instant};
+
+use crate::doubt_pace::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
+use crate::doubt_probe::probe;
+use crate::doubt_word::Word;
+use crate::evacuation;
+use crate::event::STRIKE;
+use crate::state::State;
+
 /// How long a request may go without a sign of life from its engine before that is asked.
 pub const SIGN_MS: u64 = 150;
 /// How often a router tells of its own doubt while it gets no answer.
@@ -11,10 +27,6 @@
 /// An engine that gave no answer for so long was not only slow.
 const DARK_MS: u64 = 1000;
 
-use crate::doubt_pace::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
-use crate::doubt_probe::probe;
-use crate::doubt_word::Word;
-
 /// Why an engine is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
@@ -26,12 +38,12 @@
     Told,
 }
 
-fn roll(state: &crate::state::State) -> u64 {
+fn roll(state: &State) -> u64 {
     state.dice.lock().expect("dice").roll()
 }
 
 /// Word of an engine from a controller.
-pub fn hear(state: &std::sync::Arc<crate::state::State>, name: &str) {
+pub fn hear(state: &Arc<State>, name: &str) {
     let word = Word::read(name);
     let Some(at) = state.engine_table.lock().expect("engine_table").find(word.engine()) else { return };
     match word {
@@ -40,7 +52,7 @@
             state.calm.notify_waiters();
         }
         Word::Dark(_) => {
-            let now = kernel::clock::now();
+            let now = clock::now();
             {
                 let mut engine_table = state.engine_table.lock().expect("engine_table");
                 let engine = &mut engine_table.list[at];
@@ -58,49 +70,49 @@
 }
 
 /// Until the next probe is due (false), or another router got an answer (true).
-async fn rest(state: &crate::state::State, at: usize, wait_ms: u64) -> bool {
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(wait_ms);
+async fn rest(state: &State, at: usize, wait_ms: u64) -> bool {
+    let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let woken = state.calm.notified();
-        if std::mem::take(&mut state.engine_table.lock().expect("engine_table").list[at].calm) {
+        if mem::take(&mut state.engine_table.lock().expect("engine_table").list[at].calm) {
             return true;
         }
-        if tokio::time::timeout_at(end, woken).await.is_err() {
+        if time::timeout_at(end, woken).await.is_err() {
             return false;
         }
     }
 }
 
 /// As `rest`, until a request of this router gets no sign of life either: then it asks for itself.
-async fn rest_on_word(state: &crate::state::State, at: usize, wait_ms: u64) -> bool {
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(wait_ms);
+async fn rest_on_word(state: &State, at: usize, wait_ms: u64) -> bool {
+    let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let woken = state.calm.notified();
         {
             let mut engine_table = state.engine_table.lock().expect("engine_table");
             let engine = &mut engine_table.list[at];
-            if std::mem::take(&mut engine.calm) {
+            if mem::take(&mut engine.calm) {
                 return true;
             }
-            if std::mem::take(&mut engine.silent) {
+            if mem::take(&mut engine.silent) {
                 return false;
             }
         }
-        if tokio::time::timeout_at(end, woken).await.is_err() {
+        if time::timeout_at(end, woken).await.is_err() {
             return false;
         }
     }
 }
 
-fn tell(state: &crate::state::State, word: Word) {
+fn tell(state: &State, word: Word) {
     let home = state.home.lock().expect("home").clone();
     if let Some(home) = home {
-        home.cast(protocol::msg::Msg::Doubt(Box::new((word.write(), false))));
+        home.cast(Msg::Doubt(Box::new((word.write(), false))));
     }
 }
 
 /// A request got no sign of life from an engine: it is asked until it answers or is gone.
-pub fn raise(state: &std::sync::Arc<crate::state::State>, at: usize) {
+pub fn raise(state: &Arc<State>, at: usize) {
     if let Some(engine) = state.engine_table.lock().expect("engine_table").list.get_mut(at) {
         engine.silent = true;
     }
@@ -109,7 +121,7 @@
 }
 
 /// One asker an engine at a time.
-fn start(state: &std::sync::Arc<crate::state::State>, at: usize, cause: Cause) {
+fn start(state: &Arc<State>, at: usize, cause: Cause) {
     {
         let mut engine_table = state.engine_table.lock().expect("engine_table");
         let Some(engine) = engine_table.list.get_mut(at).filter(|engine| engine.here && !engine.asked) else { return };
@@ -128,11 +140,11 @@
     Silent { known: bool },
 }
 
-async fn ask(state: std::sync::Arc<crate::state::State>, at: usize, cause: Cause) {
-    let begun = kernel::clock::now();
+async fn ask(state: Arc<State>, at: usize, cause: Cause) {
+    let begun = clock::now();
     let roll_of = || roll(&state);
     if cause == Cause::Drawn {
-        tokio::time::sleep(std::time::Duration::from_millis(roll_of() % SPREAD_MS)).await;
+        time::sleep(Duration::from_millis(roll_of() % SPREAD_MS)).await;
     }
     if cause == Cause::Told && rest_on_word(&state, at, told_pause(state.router_count(), roll_of())).await {
         return trust(&state, at, begun);
@@ -167,8 +179,8 @@
 }
 
 /// Takes the answer of an engine, or its silence, for what it says.
-fn judge(state: &crate::state::State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
-    let now = kernel::clock::now();
+fn judge(state: &State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
+    let now = clock::now();
     let mut engine_table = state.engine_table.lock().expect("engine_table");
     let engine = &mut engine_table.list[at];
     let known = engine.shy_until > now;
@@ -182,27 +194,27 @@
         return Found::Ended;
     }
     engine.calm = false;
-    kernel::say!(crate::event::STRIKE, "engine" => id, "strikes" => engine.strikes);
+    kernel::say!(STRIKE, "engine" => id, "strikes" => engine.strikes);
     Found::Silent { known }
 }
 
-fn answered(state: &crate::state::State, engine: &mut load_balancing::engine_table::EngineState, now: u64, begun: u64) {
+fn answered(state: &State, engine: &mut EngineState, now: u64, begun: u64) {
     engine.good(now);
     if now > begun + DARK_MS {
         // It may have been started anew meanwhile.
-        engine.presume_cold(now + crate::evacuation::presumed_cold_ms(state));
+        engine.presume_cold(now + evacuation::presumed_cold_ms(state));
     }
 }
 
 /// Another router got an answer, and this one has no reason of its own to doubt it.
-fn trust(state: &crate::state::State, at: usize, begun: u64) {
+fn trust(state: &State, at: usize, begun: u64) {
     let mut engine_table = state.engine_table.lock().expect("engine_table");
     let engine = &mut engine_table.list[at];
     engine.asked = false;
-    answered(state, engine, kernel::clock::now(), begun);
+    answered(state, engine, clock::now(), begun);
 }
 
-fn answer_ends(engine: &load_balancing::engine_table::EngineState, now: u64) -> bool {
+fn answer_ends(engine: &EngineState, now: u64) -> bool {
     !engine.here || engine.shy_until <= now
 }
 
--- a/router/src/doubt_pace_tests.rs
+++ b/router/src/doubt_pace_tests.rs
@@ -1,9 +1,13 @@
+use std::iter;
+
+use kernel::clock::Dice;
+
 use super::{is_drawn, pause, told_pause, PAUSE_MOST_MS, PAUSE_MS};
 use crate::doubt_probe::WAIT_MS;
 
 /// Probes that all routers send to one engine that stays dark for ten seconds, once one of them has doubted it.
 fn probes(routers: u32) -> u64 {
-    let mut dice = kernel::clock::Dice::new(u64::from(routers));
+    let mut dice = Dice::new(u64::from(routers));
     let mut count = 0;
     for router in 0..routers {
         let (mut now, mut asked) = (0, 0);
@@ -40,9 +44,9 @@
 #[test]
 fn of_many_routers_some_are_always_drawn() {
     for routers in [88u64, 300, 1600] {
-        let mut dice = kernel::clock::Dice::new(routers);
+        let mut dice = Dice::new(routers);
         let drawn = || (0..routers).filter(|_| is_drawn(routers as u32, dice.roll())).count();
-        let counts: Vec<usize> = std::iter::repeat_with(drawn).take(200).collect();
+        let counts: Vec<usize> = iter::repeat_with(drawn).take(200).collect();
         assert!(counts.iter().all(|count| (1..=25).contains(count)), "{routers}: {counts:?}");
     }
 }
--- a/router/src/doubt_tests.rs
+++ b/router/src/doubt_tests.rs
@@ -1,7 +1,15 @@
 //! Engines in doubt: who asks them, and whose word is taken.
+
+use std::time::Duration;
+
+use kernel::clock;
+use tokio::{task, time};
+
+use super::{hear, raise};
 use crate::doubt_word::Word;
 use crate::stand_in::{answer, engines, Act, Engine};
 use crate::stand_in_router::router;
+use crate::state::State;
 
 async fn fleet() -> Vec<Engine> {
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "{}"))).await
@@ -12,22 +20,22 @@
 }
 
 /// Is the engine left alone?
-fn is_left_alone(state: &crate::state::State) -> bool {
-    state.engine_table.lock().expect("engine_table").list[0].shy_until > kernel::clock::now()
+fn is_left_alone(state: &State) -> bool {
+    state.engine_table.lock().expect("engine_table").list[0].shy_until > clock::now()
 }
 
-fn is_asked(state: &crate::state::State) -> bool {
+fn is_asked(state: &State) -> bool {
     state.engine_table.lock().expect("engine_table").list[0].asked
 }
 
 /// Until the asker has ended.
-async fn settled(state: &crate::state::State) {
+async fn settled(state: &State) {
     let done = async {
         while is_asked(state) {
-            tokio::task::yield_now().await;
+            task::yield_now().await;
         }
     };
-    tokio::time::timeout(std::time::Duration::from_secs(20), done).await.expect("it ends");
+    time::timeout(Duration::from_secs(20), done).await.expect("it ends");
 }
 
 #[test]
@@ -42,9 +50,9 @@
 async fn what_others_found_dark_is_left_alone_without_asking_until_it_answers_one_of_them() {
     let list = fleet().await;
     let state = router(&list);
-    super::hear(&state, &Word::Dark(&id(&list)).write());
+    hear(&state, &Word::Dark(&id(&list)).write());
     assert!(is_left_alone(&state) && is_asked(&state));
-    super::hear(&state, &Word::Answered(&id(&list)).write());
+    hear(&state, &Word::Answered(&id(&list)).write());
     settled(&state).await;
     assert!(!is_left_alone(&state));
     assert_eq!(list[0].probes(), 0, "nobody asked it");
@@ -55,7 +63,7 @@
     let list = fleet().await;
     let state = router(&list);
     // A fleet of one: it is always drawn.
-    super::hear(&state, &Word::Doubted(&id(&list)).write());
+    hear(&state, &Word::Doubted(&id(&list)).write());
     assert!(!is_left_alone(&state), "not before somebody got no answer");
     settled(&state).await;
     assert!(!is_left_alone(&state));
@@ -67,9 +75,9 @@
     let list = fleet().await;
     let state = router(&list);
     // Of a thousand routers each would else ask after many seconds.
-    state.news.lock().expect("news").seats.push((kernel::clock::now(), 1000));
-    super::hear(&state, &Word::Dark(&id(&list)).write());
-    super::raise(&state, 0);
+    state.news.lock().expect("news").seats.push((clock::now(), 1000));
+    hear(&state, &Word::Dark(&id(&list)).write());
+    raise(&state, 0);
     settled(&state).await;
     assert!(!is_left_alone(&state));
     assert_eq!(list[0].probes(), 1, "asked, and it answered");
@@ -79,7 +87,7 @@
 async fn an_answer_under_way_is_not_given_up_for_what_others_found() {
     let list = fleet().await;
     let state = router(&list);
-    super::hear(&state, &Word::Dark(&id(&list)).write());
+    hear(&state, &Word::Dark(&id(&list)).write());
     assert_eq!(
         state.engine_table.lock().expect("engine_table").list[0].struck_at,
         0,
--- a/router/src/drain.rs
+++ b/router/src/drain.rs
@@ -6,6 +6,11 @@
 //!
 //! Invariant: the phase only goes forward.
 
+use std::future::Future;
+use std::sync::OnceLock;
+use std::time::Duration;
+
+use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
@@ -27,7 +32,7 @@
     closing: CancellationToken,
     connections: TaskTracker,
     /// When everything must be finished, once that is known.
-    finish_at: std::sync::OnceLock<tokio::time::Instant>,
+    finish_at: OnceLock<Instant>,
 }
 
 impl Drain {
@@ -43,7 +48,7 @@
     /// How long what is taken now may take; None: as long as it likes.
     pub fn left_ms(&self) -> Option<u64> {
         let end = self.finish_at.get()?;
-        Some(end.saturating_duration_since(tokio::time::Instant::now()).as_millis() as u64)
+        Some(end.saturating_duration_since(Instant::now()).as_millis() as u64)
     }
 
     /// Until nothing new is taken any more.
@@ -52,19 +57,19 @@
     }
 
     /// Follows a client's connection to its end.
-    pub async fn follow_connection(&self, connection: impl std::future::Future<Output = ()>) {
+    pub async fn follow_connection(&self, connection: impl Future<Output = ()>) {
         self.connections.track_future(connection).await;
     }
 
     /// Goes through all phases; over once every connection has ended, or the time to finish is.
     pub async fn run(&self, schedule: &Schedule) {
-        let end = tokio::time::Instant::now() + schedule.finish_by;
+        let end = Instant::now() + schedule.finish_by;
         let _ = self.finish_at.set(end);
         self.draining.cancel();
-        tokio::time::sleep(schedule.take_for).await;
+        time::sleep(schedule.take_for).await;
         self.closing.cancel();
         self.connections.close();
-        let _ = tokio::time::timeout_at(end, self.connections.wait()).await;
+        let _ = time::timeout_at(end, self.connections.wait()).await;
     }
 }
 
@@ -72,9 +77,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// For so long requests are taken.
-    pub take_for: std::time::Duration,
+    pub take_for: Duration,
     /// By then what was taken is finished or given up.
-    pub finish_by: std::time::Duration,
+    pub finish_by: Duration,
 }
 
 /// The platform asks for readiness once a second and takes a router out that misses twice; what it passed on by then
@@ -93,8 +98,8 @@
         let take_ms = NOTICED_MS.min((grace_ms * TAKE_SHARE) as u64);
         let reserve_ms = MOST_RESERVE_MS.min((grace_ms * RESERVE_SHARE) as u64);
         Schedule {
-            take_for: std::time::Duration::from_millis(take_ms),
-            finish_by: std::time::Duration::from_millis((grace_ms as u64).saturating_sub(reserve_ms)),
+            take_for: Duration::from_millis(take_ms),
+            finish_by: Duration::from_millis((grace_ms as u64).saturating_sub(reserve_ms)),
         }
     }
 }
--- a/router/src/drain_tests.rs
+++ b/router/src/drain_tests.rs
@@ -1,16 +1,21 @@
 //! The phases of a router that ends, in virtual time.
-use super::{Drain, Phase, Schedule};
+
 use std::sync::Arc;
 use std::time::Duration;
 
+use tokio::task::JoinHandle;
+use tokio::time::{self, Instant};
+
+use super::{Drain, Phase, Schedule};
+
 async fn sleep_ms(time_ms: u64) {
-    tokio::time::sleep(Duration::from_millis(time_ms)).await;
+    time::sleep(Duration::from_millis(time_ms)).await;
 }
 
 /// Runs through the phases of a grace of eight seconds; gives the time that it took.
-fn run(drain: &Arc<Drain>) -> tokio::task::JoinHandle<u128> {
+fn run(drain: &Arc<Drain>) -> JoinHandle<u128> {
     let drain = drain.clone();
-    let begun = tokio::time::Instant::now();
+    let begun = Instant::now();
     tokio::spawn(async move {
         drain.run(&Schedule::of(8.0)).await;
         begun.elapsed().as_millis()
--- a/router/src/evacuation.rs
+++ b/router/src/evacuation.rs
@@ -1,15 +1,20 @@
 //! Evacuated zones, as controllers tell of them.
 
+use kernel::clock;
+
+use crate::event::CLOSED;
+use crate::state::State;
+
 /// What the list of engines takes beyond its lag until it is here.
 const DELIVERY_MS: u64 = 1500;
 
 /// How long an engine that may just have turned cold is taken for cold: until the list would say so.
-pub fn presumed_cold_ms(state: &crate::state::State) -> u64 {
+pub fn presumed_cold_ms(state: &State) -> u64 {
     state.env.cloud_api.lag_ms + DELIVERY_MS
 }
 
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
-pub fn absorb(state: &crate::state::State, list: &[(String, u64, bool)]) {
+pub fn absorb(state: &State, list: &[(String, u64, bool)]) {
     let mut engine_table = state.engine_table.lock().expect("engine_table");
     let mut held = state.news.lock().expect("news");
     for (zone, version, on) in list {
@@ -22,9 +27,9 @@
         if *on {
             held.shut.push(dense);
         } else {
-            engine_table.presume_zone_cold(dense, kernel::clock::now() + presumed_cold_ms(state));
+            engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
         }
-        kernel::say!(crate::event::CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *on);
+        kernel::say!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *on);
     }
 }
 
--- a/router/src/evacuation_tests.rs
+++ b/router/src/evacuation_tests.rs
@@ -1,31 +1,37 @@
 //! What withdrawing an evacuation means for the zone's engines.
+
+use kernel::clock;
+
+use super::{absorb, presumed_cold_ms};
 use crate::stand_in::Engine;
+use crate::stand_in_router;
+use crate::state::State;
 
 async fn engine(id: &str) -> Engine {
     Engine::start(id, "decode", |_| unreachable!("nothing is sent")).await
 }
 
-fn cold_until(state: &crate::state::State, at: usize) -> u64 {
+fn cold_until(state: &State, at: usize) -> u64 {
     state.engine_table.lock().expect("engine_table").list[at].cold_until
 }
 
 #[tokio::test]
 async fn engines_of_a_zone_that_is_taken_back_are_taken_for_cold_until_the_list_would_say_so() {
-    let state = crate::stand_in_router::router(&[engine("i-1").await]);
-    super::absorb(&state, &[("a".into(), 1, true)]);
+    let state = stand_in_router::router(&[engine("i-1").await]);
+    absorb(&state, &[("a".into(), 1, true)]);
     assert_eq!(cold_until(&state, 0), 0);
-    let before = kernel::clock::now();
-    super::absorb(&state, &[("a".into(), 2, false)]);
-    assert!(cold_until(&state, 0) >= before + super::presumed_cold_ms(&state));
+    let before = clock::now();
+    absorb(&state, &[("a".into(), 2, false)]);
+    assert!(cold_until(&state, 0) >= before + presumed_cold_ms(&state));
 }
 
 #[tokio::test]
 async fn other_zones_and_older_news_change_nothing() {
-    let state = crate::stand_in_router::router(&[engine("i-1").await]);
-    super::absorb(&state, &[("b".into(), 1, true), ("b".into(), 2, false)]);
+    let state = stand_in_router::router(&[engine("i-1").await]);
+    absorb(&state, &[("b".into(), 1, true), ("b".into(), 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    super::absorb(&state, &[("a".into(), 3, true)]);
-    super::absorb(&state, &[("a".into(), 2, false)]);
+    absorb(&state, &[("a".into(), 3, true)]);
+    absorb(&state, &[("a".into(), 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
     assert!(state.news.lock().expect("news").closed[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -1,25 +1,46 @@
 //! One request on its way: what was sent, what is open, what is held for it.
 
+use std::mem;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use kernel::clock;
+use load_balancing::place::{Arm, View};
+use protocol::word::LOAD;
+use tokio::time;
+
+use crate::doubt::{self, SIGN_MS};
+use crate::kv_handle::Handle;
+use crate::metrics::{Half, Sent};
+use crate::plan::PrefixOwners;
+use crate::pool::{Endpoint, SendError};
+use crate::request::Request;
+use crate::send::{Extra, Outcome};
+use crate::state::State;
+use crate::table::{Kind, Service};
+use crate::verdict;
+
 /// One request on its way. Invariants: `may_have_run` never goes back to false;
 /// what is still in flight is ended on drop, and memory that is held is given free.
 pub struct Exchange {
-    pub state: std::sync::Arc<crate::state::State>,
-    pub request: crate::request::Request,
-    pub kind: crate::table::Kind,
+    pub state: Arc<State>,
+    pub request: Request,
+    pub kind: Kind,
     pub repeatable: bool,
     /// The greatest number of engines that it may be sent to.
     pub max_sends: u32,
     pub target_ms: u64,
     pub priority: u32,
     pub service: u32,
-    pub service_config: crate::table::Service,
+    pub service_config: Service,
     /// Zones that it may not go to, by dense index.
     pub closed_zones: Vec<u32>,
     /// The name of its route.
     pub route: String,
     /// Bound work goes on at this version only: its prompt was read, or its answer begun, with it.
     pub pinned_version: Option<u64>,
-    pub prefix_owners: crate::plan::PrefixOwners,
+    pub prefix_owners: PrefixOwners,
     /// Sends that count against `max_sends`.
     pub sends: u32,
     /// An engine got it: each further send draws on the retry budget.
@@ -30,9 +51,9 @@
     pub tried: Vec<usize>,
     /// Engines at which it is under way, and the prompt tokens that each has yet to read.
     pub in_flight: Vec<(usize, u64)>,
-    pub kv_handle: Option<crate::kv_handle::Handle>,
+    pub kv_handle: Option<Handle>,
     /// The version that serves it, for all of its sends.
-    pub arm: load_balancing::place::Arm,
+    pub arm: Arm,
 }
 
 impl Drop for Exchange {
@@ -42,10 +63,10 @@
         }
         self.release_handle();
         if self.arrived {
-            let spent_ms = kernel::clock::now().saturating_sub(self.request.born);
+            let spent_ms = clock::now().saturating_sub(self.request.born);
             self.request.authorization.route().durations.note(spent_ms);
         }
-        self.state.held.fetch_sub(self.request.body.len(), std::sync::atomic::Ordering::Relaxed);
+        self.state.held.fetch_sub(self.request.body.len(), Ordering::Relaxed);
     }
 }
 
@@ -57,7 +78,7 @@
     }
 
     pub fn remaining_ms(&self) -> u64 {
-        self.request.left(kernel::clock::now())
+        self.request.left(clock::now())
     }
 
     /// Deferrable work is the least urgent there is; the rest goes by the operator's rank where the
@@ -70,7 +91,7 @@
     }
 
     pub fn is_streaming(&self) -> bool {
-        self.kind == crate::table::Kind::Streaming
+        self.kind == Kind::Streaming
     }
 
     pub fn is_resumable(&self) -> bool {
@@ -82,9 +103,9 @@
         self.repeatable && self.sends < self.max_sends
     }
 
-    pub fn endpoint(&self, at: usize) -> crate::pool::Endpoint {
+    pub fn endpoint(&self, at: usize) -> Endpoint {
         let engine_table = self.state.engine_table.lock().expect("engine_table");
-        crate::pool::Endpoint { addr: engine_table.list[at].addr.clone(), engine: engine_table.list[at].id.clone() }
+        Endpoint { addr: engine_table.list[at].addr.clone(), engine: engine_table.list[at].id.clone() }
     }
 
     /// May one more send be made that the operator counts? The first arrival draws on no budget.
@@ -96,23 +117,23 @@
             return true;
         }
         let part = self.state.env.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
-        let is_allowed = self.state.budget.lock().expect("budget").allow(self.service, kernel::clock::now(), part);
+        let is_allowed = self.state.budget.lock().expect("budget").allow(self.service, clock::now(), part);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
         }
         is_allowed
     }
 
-    pub fn view<T>(&self, look: impl FnOnce(&load_balancing::place::View) -> T) -> T {
+    pub fn view<T>(&self, look: impl FnOnce(&View) -> T) -> T {
         let table = self.state.table();
         let ramp = table.services.get(&self.service).map_or(0.0, |spec| spec.ramp_per_s);
         let routers = self.state.router_count();
         let weights = self.version_bounds();
-        let confirmed = self.state.floors.lock().expect("floors").is_confirmed(kernel::clock::now());
+        let confirmed = self.state.floors.lock().expect("floors").is_confirmed(clock::now());
         let engine_table = self.state.engine_table.lock().expect("engine_table");
-        look(&load_balancing::place::View {
+        look(&View {
             engine_table: &engine_table,
-            now: kernel::clock::now(),
+            now: clock::now(),
             service: self.service,
             zone: self.state.zone,
             shut: &self.closed_zones,
@@ -134,7 +155,7 @@
     /// Its prompt is read: only the making of tokens is left there.
     pub fn prompt_read(&mut self, at: usize) {
         let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == at) else { return };
-        let tokens = std::mem::take(tokens);
+        let tokens = mem::take(tokens);
         let mut engine_table = self.state.engine_table.lock().expect("engine_table");
         engine_table.list[at].tokens = engine_table.list[at].tokens.saturating_sub(tokens);
     }
@@ -151,14 +172,8 @@
     /// One send to one engine, with what it shows about that engine noted.
     /// `reads`: prompt tokens that the engine is to read. `again`: it may be sent elsewhere when the
     /// engine is found dark; one that answers others, or a probe, is only slow.
-    pub async fn send(
-        &mut self,
-        at: usize,
-        mut extra: crate::send::Extra,
-        reads: u32,
-        again: bool,
-    ) -> crate::send::Outcome {
-        let now = kernel::clock::now();
+    pub async fn send(&mut self, at: usize, mut extra: Extra, reads: u32, again: bool) -> Outcome {
+        let now = clock::now();
         let tokens = u64::from(reads);
         let weights = self.version_bounds();
         extra.guard = weights.is_some().then(|| self.route.clone());
@@ -176,11 +191,11 @@
         extra.budget_ms = self.request.left(now).max(1);
         let outcome = self.await_outcome(at, &to, &extra, again).await;
         self.record_outcome(at, &outcome);
-        let half = if extra.stage { crate::metrics::Half::Prefill } else { crate::metrics::Half::Run };
-        let sent = crate::metrics::Sent { half, result: (&outcome).into() };
+        let half = if extra.stage { Half::Prefill } else { Half::Run };
+        let sent = Sent { half, result: (&outcome).into() };
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
-        let answered = matches!(outcome, crate::send::Outcome::Answer(_));
-        let unsent = matches!(outcome, crate::send::Outcome::Unsent(_));
+        let answered = matches!(outcome, Outcome::Answer(_));
+        let unsent = matches!(outcome, Outcome::Unsent(_));
         // The first read that an engine takes up is no arrival that counts. One without an answer
         // may never have been taken up, and counts.
         let free = answered && stage;
@@ -192,31 +207,25 @@
     }
 
     /// Until there is an outcome, time is up, or the engine is found dark and the request may go elsewhere.
-    async fn await_outcome(
-        &self,
-        at: usize,
-        to: &crate::pool::Endpoint,
-        extra: &crate::send::Extra,
-        again: bool,
-    ) -> crate::send::Outcome {
-        let now = kernel::clock::now();
+    async fn await_outcome(&self, at: usize, to: &Endpoint, extra: &Extra, again: bool) -> Outcome {
+        let now = clock::now();
         let wait = self.request.left(now);
         let call = crate::send::send(&self.state, &self.request, self.service, to, self.max_connections(), extra, wait);
         tokio::pin!(call);
-        let span = std::time::Duration::from_millis(crate::doubt::SIGN_MS.min(wait.max(1)));
+        let span = Duration::from_millis(SIGN_MS.min(wait.max(1)));
         loop {
-            if let Ok(outcome) = tokio::time::timeout(span, &mut call).await {
+            if let Ok(outcome) = time::timeout(span, &mut call).await {
                 return outcome;
             }
             if self.remaining_ms() == 0 || (self.found_dark(at, now) && again) {
-                return crate::send::Outcome::Lost;
+                return Outcome::Lost;
             }
         }
     }
 
     /// Was the engine found dark since then? Raises doubt when it gave no sign of life for a while.
     pub fn found_dark(&self, at: usize, since: u64) -> bool {
-        let now = kernel::clock::now();
+        let now = clock::now();
         let (seen, struck) = {
             let engine_table = self.state.engine_table.lock().expect("engine_table");
             (engine_table.list[at].good_at.max(since), engine_table.list[at].struck_at)
@@ -224,42 +233,41 @@
         if struck > seen {
             return true;
         }
-        if now >= seen + crate::doubt::SIGN_MS {
-            crate::doubt::raise(&self.state, at);
+        if now >= seen + SIGN_MS {
+            doubt::raise(&self.state, at);
         }
         false
     }
 
     /// Notes what an outcome shows about the engine.
-    fn record_outcome(&self, at: usize, outcome: &crate::send::Outcome) {
-        let now = kernel::clock::now();
+    fn record_outcome(&self, at: usize, outcome: &Outcome) {
+        let now = clock::now();
         let mut engine_table = self.state.engine_table.lock().expect("engine_table");
         let engine = &mut engine_table.list[at];
         match outcome {
-            crate::send::Outcome::Answer(answer) => {
+            Outcome::Answer(answer) => {
                 engine.good(now);
-                if let Some(version) = crate::verdict::version(&answer.head.headers) {
+                if let Some(version) = verdict::version(&answer.head.headers) {
                     engine.weigh(self.request.model_key, Some(version));
                 }
-                if let Some(load) = answer.head.headers.get(protocol::word::LOAD).and_then(|value| value.to_str().ok())
-                {
+                if let Some(load) = answer.head.headers.get(LOAD).and_then(|value| value.to_str().ok()) {
                     engine_table.report(at, load, now);
                 }
             }
-            crate::send::Outcome::OtherEngine => engine.over(),
-            crate::send::Outcome::NotExecuted => {
+            Outcome::OtherEngine => engine.over(),
+            Outcome::NotExecuted => {
                 engine.good(now);
                 engine.full_until = now + 60;
             }
-            crate::send::Outcome::OtherVersion(version) => {
+            Outcome::OtherVersion(version) => {
                 engine.good(now);
                 engine.weigh(self.request.model_key, *version);
             }
-            crate::send::Outcome::Unsent(crate::pool::SendError::Behind | crate::pool::SendError::Unauthorized) => {}
-            crate::send::Outcome::Unsent(crate::pool::SendError::Full) => engine.full_until = now + 20,
+            Outcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
+            Outcome::Unsent(SendError::Full) => engine.full_until = now + 20,
             _ => {
                 drop(engine_table);
-                crate::doubt::raise(&self.state, at);
+                doubt::raise(&self.state, at);
             }
         }
     }
--- a/router/src/exchange_tests.rs
+++ b/router/src/exchange_tests.rs
@@ -1,7 +1,13 @@
 //! One request and its answer, with engines that misbehave: whose answer a client gets, and how often a
 //! request reaches an engine.
-use crate::stand_in::{answer, engines, not_executed, sealed, seen, Act, Engine};
-use crate::stand_in_router::{ask, router, status};
+
+use std::sync::{Arc, OnceLock};
+
+use kernel::clock;
+
+use crate::stand_in::{answer, engines, not_executed, sealed, seen, Act, Engine, Seen};
+use crate::stand_in_router::{ask, router, status, Client};
+use crate::state::State;
 
 const UNREPEATABLE: [&str; 2] = ["once", "stream"];
 
@@ -19,7 +25,7 @@
 
 #[tokio::test]
 async fn an_unrepeatable_request_is_sent_once_whatever_becomes_of_its_answer() {
-    let faults: [fn(&crate::stand_in::Seen) -> Act; 8] = [
+    let faults: [fn(&Seen) -> Act; 8] = [
         |_| Act::SendAndReset(String::new()),
         |_| Act::SendAndClose(String::new()),
         |_| Act::SendAndClose("HTTP/1.1 200 O".into()),
@@ -145,7 +151,7 @@
 #[tokio::test]
 async fn a_request_without_an_id_gets_no_answer_that_bears_one() {
     let list = engines("decode", 1, |_, _| Act::Send(sealed("another", "200 OK", "of another"))).await;
-    let mut client = crate::stand_in_router::Client::connect(&router(&list)).await;
+    let mut client = Client::connect(&router(&list)).await;
     client.write("POST /once/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
     let text = client.rest().await;
     assert_eq!(status(&text), "502", "{text}");
@@ -198,12 +204,10 @@
 }
 
 /// Engines that say nothing; each is found dark as soon as a request has come to it.
-async fn dark_once_asked(
-    state: std::sync::Arc<std::sync::OnceLock<std::sync::Arc<crate::state::State>>>,
-) -> Vec<Engine> {
+async fn dark_once_asked(state: Arc<OnceLock<Arc<State>>>) -> Vec<Engine> {
     engines("decode", 2, move |seen, before| {
         let state = state.get().expect("set");
-        let now = kernel::clock::now() + 1;
+        let now = clock::now() + 1;
         if before == 0 {
             state.engine_table.lock().expect("engine_table").list.iter_mut().for_each(|engine| engine.strike(now, 0));
             return Act::Silence;
@@ -216,7 +220,7 @@
 #[tokio::test]
 async fn only_a_repeatable_request_leaves_an_engine_that_is_found_dark() {
     for route in ["once", "stream", "again", "resume"] {
-        let cell = std::sync::Arc::new(std::sync::OnceLock::new());
+        let cell = Arc::new(OnceLock::new());
         let list = dark_once_asked(cell.clone()).await;
         let state = router(&list);
         assert!(cell.set(state.clone()).is_ok());
--- a/router/src/failure.rs
+++ b/router/src/failure.rs
@@ -1,6 +1,14 @@
 //! Answers of our own: a small value says which, one place writes it.
 
-pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, std::io::Error>;
+use std::io;
+
+use bytes::Bytes;
+use http::header::{CONNECTION, RETRY_AFTER, WWW_AUTHENTICATE};
+use http::{HeaderValue, Response, StatusCode};
+use http_body_util::combinators::UnsyncBoxBody;
+use http_body_util::{BodyExt, Empty};
+
+pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
@@ -22,7 +30,7 @@
 }
 
 /// `last`: the connection ends with this answer, whatever it says.
-pub fn write(failure: Failure, last: bool) -> http::Response<Body> {
+pub fn write(failure: Failure, last: bool) -> Response<Body> {
     let status = match failure {
         Failure::Malformed => 400,
         Failure::Unauthorized => 401,
@@ -34,23 +42,22 @@
         Failure::Lost => 502,
         Failure::TimedOut => 504,
     };
-    let mut reply = http::Response::new(Body::new(http_body_util::combinators::UnsyncBoxBody::new(
-        http_body_util::BodyExt::map_err(http_body_util::Empty::new(), |never| match never {}),
-    )));
-    *reply.status_mut() = http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
+    let mut reply =
+        Response::new(Body::new(UnsyncBoxBody::new(BodyExt::map_err(Empty::new(), |never| match never {}))));
+    *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let head = reply.headers_mut();
     if let Failure::Refused(wait) | Failure::OverQuota(wait) = failure {
         let text = format!("{}.{:03}", wait / 1000, wait % 1000);
-        if let Ok(value) = http::HeaderValue::from_str(&text) {
-            head.insert(http::header::RETRY_AFTER, value);
+        if let Ok(value) = HeaderValue::from_str(&text) {
+            head.insert(RETRY_AFTER, value);
         }
     }
     if failure == Failure::Unauthorized {
-        head.insert(http::header::WWW_AUTHENTICATE, http::HeaderValue::from_static("Bearer"));
+        head.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
     }
     let ends = matches!(failure, Failure::Malformed | Failure::Late | Failure::TooLarge);
     if ends || last {
-        head.insert(http::header::CONNECTION, http::HeaderValue::from_static("close"));
+        head.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     reply
 }
