--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -1,27 +1,38 @@
 //! What a router tells controllers of itself, and what it takes in from them. All of it is monotone: whichever
 //! controller sends what, in whatever order, the newest counts.
 
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+use kernel::clock;
+use protocol::msg::{self, Follow, Msg, News};
+use protocol::quota::told_holders;
+
+use crate::event::{CATALOG, READY};
+use crate::state::State;
+use crate::{config, doubt, evacuation, fresh, version_rollouts};
+
 /// How long news of engines that are about to change their part holds.
 const REST_MS: u64 = 1500;
 /// For how long a number of routers that was told counts.
 const SEATS_MS: u64 = 10_000;
 
 /// A message that a controller pushed.
-pub fn take(state: &std::sync::Arc<crate::state::State>, msg: protocol::msg::Msg) {
+pub fn take(state: &Arc<State>, msg: Msg) {
     match msg {
-        protocol::msg::Msg::News(news) => absorb(state, *news),
-        protocol::msg::Msg::Change(body) | protocol::msg::Msg::Update(body) => crate::config::change(state, &body),
-        protocol::msg::Msg::Holders(list) => state.quota_gate.set_holders(&list),
-        protocol::msg::Msg::VersionRollout(rollout) => crate::version_rollouts::take(state, *rollout),
-        protocol::msg::Msg::Rule(rule) => crate::fresh::rule(state, &rule),
-        protocol::msg::Msg::Versions(list) => crate::fresh::versions(state, &list),
-        protocol::msg::Msg::Doubt(doubt) => crate::doubt::hear(state, &doubt.0),
+        Msg::News(news) => absorb(state, *news),
+        Msg::Change(body) | Msg::Update(body) => config::change(state, &body),
+        Msg::Holders(list) => state.quota_gate.set_holders(&list),
+        Msg::VersionRollout(rollout) => version_rollouts::take(state, *rollout),
+        Msg::Rule(rule) => fresh::rule(state, &rule),
+        Msg::Versions(list) => fresh::versions(state, &list),
+        Msg::Doubt(doubt) => doubt::hear(state, &doubt.0),
         _ => {}
     }
 }
 
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
-pub fn standing(state: &crate::state::State, at_home: bool) -> protocol::msg::Follow {
+pub fn standing(state: &State, at_home: bool) -> Follow {
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
         let engine_table = state.engine_table.lock().expect("engine_table");
         let busy = engine_table
@@ -31,13 +42,13 @@
             .map(|engine| (engine.id.clone(), engine.busy));
         (engine_table.versions(), busy.collect())
     };
-    let (rules, weights) = crate::fresh::known_versions(state);
+    let (rules, weights) = fresh::known_versions(state);
     sheets.extend(weights);
-    let rollouts = crate::version_rollouts::told(state);
-    sheets.push(protocol::msg::told());
-    sheets.push(protocol::quota::told_holders(state.quota_gate.mark()));
+    let rollouts = version_rollouts::told(state);
+    sheets.push(msg::told());
+    sheets.push(told_holders(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
-    protocol::msg::Follow {
+    Follow {
         node: state.env.node_name.clone(),
         zone: state.env.zone.clone(),
         life: state.life,
@@ -56,26 +67,26 @@
 }
 
 /// Ready once the configuration is proved to be current and the lists are known; from then on until it leaves.
-pub fn ready(state: &crate::state::State) -> bool {
-    let order = std::sync::atomic::Ordering::Relaxed;
+pub fn ready(state: &State) -> bool {
+    let order = Ordering::Relaxed;
     if state.ready.load(order) {
         return true;
     }
     let known = state.engine_table.lock().expect("engine_table").zones_listed();
     let held = state.news.lock().expect("news").config > 0 && known >= state.env.zones.len();
-    if !held || !state.currency.is_proved(kernel::clock::now()) {
+    if !held || !state.currency.is_proved(clock::now()) {
         return false;
     }
     state.ready.store(true, order);
-    kernel::say!(crate::event::READY);
+    kernel::say!(READY);
     true
 }
 
 /// Takes what is newer; versions never go back.
-pub fn absorb(state: &std::sync::Arc<crate::state::State>, news: protocol::msg::News) {
-    let now = kernel::clock::now();
+pub fn absorb(state: &Arc<State>, news: News) {
+    let now = clock::now();
     if let Some((version, text)) = &news.config {
-        crate::config::config(state, *version, text);
+        config::config(state, *version, text);
     }
     let mut left = Vec::new();
     {
@@ -89,7 +100,7 @@
         let mut record = state.record.lock().expect("record");
         left.iter().for_each(|engine| record.forget(engine));
     }
-    crate::evacuation::absorb(state, &news.closed);
+    evacuation::absorb(state, &news.closed);
     {
         let mut held = state.news.lock().expect("news");
         if !news.peers.is_empty() {
@@ -103,7 +114,7 @@
     let seats = state.router_count();
     state.engine_table.lock().expect("engine_table").sit(state.mark(), state.zone, seats);
     if state.lookup.hold(news.catalog.0, &news.catalog.1, state.env.peer_port()) {
-        kernel::say!(crate::event::CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
-        tokio::spawn(crate::config::again(state.clone()));
+        kernel::say!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
+        tokio::spawn(config::again(state.clone()));
     }
 }
--- a/router/src/follow_links.rs
+++ b/router/src/follow_links.rs
@@ -1,5 +1,14 @@
 //! Connections to controllers, and the calls that are under way on them.
 
+use std::collections::BTreeMap;
+use std::future;
+use std::sync::Arc;
+
+use protocol::link::Caller;
+use protocol::msg::Msg;
+use tokio::sync::mpsc::{self, Receiver, Sender};
+use tokio::task::{AbortHandle, JoinSet};
+
 /// How many pushed messages may wait to be taken in.
 const PUSHED_MOST: usize = 256;
 
@@ -9,14 +18,14 @@
     /// When the call was begun.
     pub sent: u64,
     /// None: no connection, or no answer in its time.
-    pub reply: Option<protocol::msg::Msg>,
+    pub reply: Option<Msg>,
     number: u64,
 }
 
 /// A connection. `call` is the one that is under way.
 struct Link {
-    caller: std::sync::Arc<protocol::link::Caller>,
-    call: Option<(u64, tokio::task::AbortHandle)>,
+    caller: Arc<Caller>,
+    call: Option<(u64, AbortHandle)>,
 }
 
 impl Drop for Link {
@@ -30,37 +39,37 @@
 /// Invariant: one connection a controller, and at most one call on it.
 pub struct Links {
     port: u16,
-    open: std::collections::BTreeMap<String, Link>,
-    calls: tokio::task::JoinSet<End>,
+    open: BTreeMap<String, Link>,
+    calls: JoinSet<End>,
     number: u64,
-    push: tokio::sync::mpsc::Sender<protocol::msg::Msg>,
-    pushed: tokio::sync::mpsc::Receiver<protocol::msg::Msg>,
+    push: Sender<Msg>,
+    pushed: Receiver<Msg>,
 }
 
 /// What comes from controllers.
 pub enum Event {
     Ended(End),
-    Pushed(protocol::msg::Msg),
+    Pushed(Msg),
 }
 
 impl Links {
     pub fn new(port: u16) -> Links {
-        let (push, pushed) = tokio::sync::mpsc::channel(PUSHED_MOST);
+        let (push, pushed) = mpsc::channel(PUSHED_MOST);
         Links { port, open: Default::default(), calls: Default::default(), number: 0, push, pushed }
     }
 
     /// The connection to a controller; it comes up with its first call.
-    pub fn caller(&mut self, controller: &str) -> std::sync::Arc<protocol::link::Caller> {
+    pub fn caller(&mut self, controller: &str) -> Arc<Caller> {
         let (port, push) = (self.port, &self.push);
         let connect = || {
-            let caller = protocol::link::Caller::start(format!("{controller}:{port}"), Some(push.clone()));
-            Link { caller: std::sync::Arc::new(caller), call: None }
+            let caller = Caller::start(format!("{controller}:{port}"), Some(push.clone()));
+            Link { caller: Arc::new(caller), call: None }
         };
         self.open.entry(controller.into()).or_insert_with(connect).caller.clone()
     }
 
     /// Begins a call.
-    pub fn call(&mut self, controller: &str, msg: protocol::msg::Msg, sent: u64, deadline_ms: u64) {
+    pub fn call(&mut self, controller: &str, msg: Msg, sent: u64, deadline_ms: u64) {
         let caller = self.caller(controller);
         self.number += 1;
         let (number, controller) = (self.number, controller.to_string());
@@ -88,7 +97,7 @@
                     link.call = None;
                     return Event::Ended(end);
                 }
-                else => std::future::pending::<()>().await,
+                else => future::pending::<()>().await,
             }
         }
     }
--- a/router/src/follow_links_tests.rs
+++ b/router/src/follow_links_tests.rs
@@ -1,14 +1,18 @@
+use protocol::config::{read, Config};
+use protocol::msg::{Follow, Msg};
+use tokio::task;
+
 use super::{Event, Links, PUSHED_MOST};
 use crate::stand_in_controller::{controllers, Manner};
 
-fn config() -> protocol::config::Config {
+fn config() -> Config {
     let text = serde_json::json!({"revision": 7, "route_table": [], "service_table": []});
-    protocol::config::read(&text.to_string()).expect("good")
+    read(&text.to_string()).expect("good")
 }
 
-fn follow() -> protocol::msg::Msg {
+fn follow() -> Msg {
     let empty = String::new;
-    let follow = protocol::msg::Follow {
+    let follow = Follow {
         node: "edge-1".into(),
         zone: "a".into(),
         life: 1,
@@ -18,7 +22,7 @@
         busy: Vec::new(),
         door: empty(),
     };
-    protocol::msg::Msg::Follow(Box::new(follow))
+    Msg::Follow(Box::new(follow))
 }
 
 #[tokio::test]
@@ -26,10 +30,10 @@
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
     links.call(&controllers[0].ip, follow(), 5, 5000);
-    assert!(matches!(links.next().await, Event::Pushed(protocol::msg::Msg::Change(_))));
+    assert!(matches!(links.next().await, Event::Pushed(Msg::Change(_))));
     let Event::Ended(end) = links.next().await else { panic!("an answer") };
     assert_eq!((end.controller.as_str(), end.sent), ("127.0.0.1", 5));
-    assert!(matches!(end.reply, Some(protocol::msg::Msg::Renewed(_))));
+    assert!(matches!(end.reply, Some(Msg::Renewed(_))));
 }
 
 #[tokio::test]
@@ -55,10 +59,10 @@
     links.call(&controllers[0].ip, follow(), 5, 60_000);
     // The change is pushed right before the answer.
     while links.pushed.is_empty() {
-        tokio::task::yield_now().await;
+        task::yield_now().await;
     }
     for _ in 0..100 {
-        tokio::task::yield_now().await;
+        task::yield_now().await;
     }
     links.close(&controllers[0].ip);
     links.call(&controllers[0].ip, follow(), 6, 60_000);
@@ -73,7 +77,7 @@
 #[tokio::test]
 async fn a_queue_that_was_full_is_noticed_with_the_first_message_taken() {
     let mut links = Links::new(1);
-    let doubt = protocol::msg::Msg::Doubt(Box::new(("i-1".into(), true)));
+    let doubt = Msg::Doubt(Box::new(("i-1".into(), true)));
     for _ in 0..PUSHED_MOST / 2 {
         assert!(links.push.try_send(doubt.clone()).is_ok());
     }
--- a/router/src/follow_tests.rs
+++ b/router/src/follow_tests.rs
@@ -1,13 +1,25 @@
 //! A router and controllers on real connections. How long things take is shown in virtual time (`following_tests.rs`);
 //! here each test fails where something comes only with a later call or not at all.
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use futures_util::future;
+use kernel::{clock, env};
+use protocol::config::{read, Config};
+use protocol::msg::{Msg, Rule};
+use tokio::task;
+
+use super::run;
 use crate::stand_in_controller::{controllers, Controller, Manner};
-use crate::stand_in_router::{ask, status};
+use crate::stand_in_router::{ask, status, SETTINGS};
 use crate::state::State;
 
 /// Large enough that a busy machine doesn't make a proof too old by itself.
 const CONVERGE_MS: u64 = 2000;
 
-fn config(revision: u64, routes: &[&str]) -> protocol::config::Config {
+fn config(revision: u64, routes: &[&str]) -> Config {
     let route = |name: &&str| {
         serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"),
             "route_type": "idempotent", "timeout_ms": 20000, "retry_count": 1, "service": "s"})
@@ -16,31 +28,31 @@
         "route_table": routes.iter().map(route).collect::<Vec<_>>(),
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000,
             "idle_timeout_ms": 15000}});
-    protocol::config::read(&text.to_string()).expect("good")
+    read(&text.to_string()).expect("good")
 }
 
 /// A router that knows these controllers, and follows them.
-fn follow(controllers: &[Controller], port: u16, converge_ms: u64) -> std::sync::Arc<State> {
+fn follow(controllers: &[Controller], port: u16, converge_ms: u64) -> Arc<State> {
     let seeds: Vec<String> = controllers.iter().map(|controller| format!("\"{}:{port}\"", controller.ip)).collect();
-    let text = crate::stand_in_router::SETTINGS
+    let text = SETTINGS
         .replace("[7300, 7315]", &format!("[{port}, {port}]\nseed_peers = [{}]", seeds.join(", ")))
         .replace("retry_budget = 1.0", &format!("converge_ms = {converge_ms}, retry_budget = 1.0"));
-    let state = State::new(kernel::env::parse(&text).expect("good settings"));
-    tokio::spawn(super::run(state.clone()));
+    let state = State::new(env::parse(&text).expect("good settings"));
+    tokio::spawn(run(state.clone()));
     state
 }
 
 /// Waits until something holds, but not without end.
 async fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = std::time::Instant::now() + std::time::Duration::from_secs(20);
+    let end = Instant::now() + Duration::from_secs(20);
     while !holds() {
-        assert!(std::time::Instant::now() < end, "{what}");
-        tokio::task::yield_now().await;
+        assert!(Instant::now() < end, "{what}");
+        task::yield_now().await;
     }
 }
 
 async fn ready(state: &State) {
-    until("ready", || state.ready.load(std::sync::atomic::Ordering::Relaxed)).await;
+    until("ready", || state.ready.load(Ordering::Relaxed)).await;
 }
 
 async fn in_force(state: &State, revision: u64) {
@@ -49,7 +61,7 @@
 
 /// Waits until what was proved is too old.
 async fn unproved(state: &State) {
-    until("no proof", || !state.currency.is_proved(kernel::clock::now())).await;
+    until("no proof", || !state.currency.is_proved(clock::now())).await;
 }
 
 #[tokio::test]
@@ -59,7 +71,7 @@
     let state = follow(&controllers, port, CONVERGE_MS);
     in_force(&state, 7).await;
     controllers[0].called(controllers[0].calls() + 2).await;
-    assert!(!state.ready.load(std::sync::atomic::Ordering::Relaxed), "it has all, but nothing is confirmed");
+    assert!(!state.ready.load(Ordering::Relaxed), "it has all, but nothing is confirmed");
     controllers[1].set(Manner::Confirming);
     ready(&state).await;
 }
@@ -72,7 +84,7 @@
     let home = controllers.iter().find(|controller| controller.calls() > 0).expect("a home");
     home.set(Manner::Frozen);
     home.called(home.calls() + 1).await;
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     for controller in controllers.iter().filter(|controller| controller.ip != home.ip) {
         controller.commit(&config(8, &["x", "y"]));
     }
@@ -93,7 +105,7 @@
     controllers[0].commit(&config(8, &["x", "y"]));
     let calls = controllers[0].calls();
     controllers[0].called(calls + 1).await;
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     controllers[0].called(calls + 2).await;
     let took = begun.elapsed().as_millis();
     assert!(took < 350, "{took} ms");
@@ -108,9 +120,9 @@
     let state = follow(&controllers, port, 4000);
     ready(&state).await;
     controllers[0].called(controllers[0].calls() + 1).await;
-    let begun = std::time::Instant::now();
-    let rule = protocol::msg::Rule { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
-    controllers[0].push(&protocol::msg::Msg::Rule(Box::new(rule)));
+    let begun = Instant::now();
+    let rule = Rule { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
+    controllers[0].push(&Msg::Rule(Box::new(rule)));
     controllers[0].called(controllers[0].calls() + 1).await;
     let took = begun.elapsed().as_millis();
     assert!(took < 350, "{took} ms");
@@ -172,7 +184,7 @@
         let before = total();
         let names: Vec<String> = (0..requests).map(|number| format!("nowhere-{number}")).collect();
         let each = names.iter().map(|name| ask(&state, name, name, "Time-Budget: 9000\r\n"));
-        for text in futures_util::future::join_all(each).await {
+        for text in future::join_all(each).await {
             assert_eq!(status(&text), "503", "{text}");
         }
         cost.push(total() - before);
--- a/router/src/following.rs
+++ b/router/src/following.rs
@@ -5,10 +5,14 @@
 //! Once that is too long ago, or the home is silent, others are asked beside it (hedged calls): at once the next
 //! in the router's own order and a member of the core, then one more every gap. The first that proves enough is
 //! the home from then on.
+
+use std::collections::BTreeMap;
+
+use kernel::convergence::Budget;
+
 use crate::following_answer::{Answer, Worth};
 use crate::following_candidates::{Candidates, Fault};
 use crate::following_pace::{patience, Outcome, Pace, PATIENCE_MS};
-use kernel::convergence::Budget;
 
 #[path = "following_calls.rs"]
 mod calls;
@@ -48,10 +52,10 @@
     budget: Budget,
     candidates: Candidates,
     home: Option<Home>,
-    open: std::collections::BTreeMap<String, OpenCall>,
+    open: BTreeMap<String, OpenCall>,
     pace: Pace,
     /// How often each was asked since all was well.
-    asked: std::collections::BTreeMap<String, u32>,
+    asked: BTreeMap<String, u32>,
     patience_ms: u64,
     current_as_of: Option<i64>,
     held: u64,
--- a/router/src/following_answer.rs
+++ b/router/src/following_answer.rs
@@ -1,5 +1,8 @@
 //! What a controller's answer proves of the configuration that is held here.
 
+use protocol::msg::News;
+use protocol::renewal::Renewed;
+
 /// How old a confirmation may be behind a controller of an older version, which says no more than that it is sure.
 pub const OLDER_CONTROLLER_SURE_MS: u64 = 1100;
 
@@ -39,7 +42,7 @@
 }
 
 impl Answer {
-    pub fn renewed(renewed: &protocol::renewal::Renewed, held: u64) -> Answer {
+    pub fn renewed(renewed: &Renewed, held: u64) -> Answer {
         let proof = renewed.confirmation.as_ref().map_or(Proof::Nothing, |confirmation| Proof::Confirmed {
             age_ms: confirmation.age_ms,
             config: confirmation.config,
@@ -48,7 +51,7 @@
     }
 
     /// Of a controller of an older version.
-    pub fn news(news: &protocol::msg::News, held: u64) -> Answer {
+    pub fn news(news: &News, held: u64) -> Answer {
         let proof = if news.sure { Proof::Sure } else { Proof::Nothing };
         Answer { proof, held, controllers: news.peers.clone(), members: Vec::new() }
     }
--- a/router/src/following_calls.rs
+++ b/router/src/following_calls.rs
@@ -1,5 +1,9 @@
 //! Which calls are begun: renewals at the home, and others asked beside it.
+
+use std::mem;
+
 use super::{Call, Following, OpenCall};
+use crate::following_answer::OLDER_CONTROLLER_SURE_MS;
 use crate::following_candidates::{Fault, List};
 use crate::following_pace::{patience, Outcome, PATIENCE_MOST_MS};
 
@@ -78,8 +82,7 @@
         if !older {
             return age;
         }
-        let usual =
-            crate::following_answer::OLDER_CONTROLLER_SURE_MS + budget.renewal_interval_ms() + budget.answer_ms();
+        let usual = OLDER_CONTROLLER_SURE_MS + budget.renewal_interval_ms() + budget.answer_ms();
         age.max(usual)
     }
 
@@ -164,7 +167,7 @@
     pub(super) fn note_waited_in_vain(&mut self, now: u64) {
         let home = self.home.as_ref().map(|home| home.controller.as_str());
         for (controller, call) in self.open.iter_mut().filter(|(_, call)| now >= call.patient_until) {
-            if std::mem::replace(&mut call.waited_in_vain, true) {
+            if mem::replace(&mut call.waited_in_vain, true) {
                 continue;
             }
             let outcome = if home == Some(controller) { Outcome::Silent } else { Outcome::Slow };
--- a/router/src/following_calls_tests.rs
+++ b/router/src/following_calls_tests.rs
@@ -1,4 +1,9 @@
 //! How many calls a router makes, whatever controllers do.
+
+use std::mem;
+
+use kernel::clock::Dice;
+
 use crate::following::Following;
 use crate::following_world::{budget, names, Behaviour, World};
 
@@ -8,7 +13,7 @@
 const SETTLED: u64 = 5000;
 
 /// What happens next at a controller that is called.
-fn any_behaviour(dice: &mut kernel::clock::Dice) -> Behaviour {
+fn any_behaviour(dice: &mut Dice) -> Behaviour {
     match dice.below(8) {
         0 => Behaviour::Frozen,
         1 => Behaviour::Unreachable,
@@ -24,7 +29,7 @@
 fn a_proof_never_goes_back_and_calls_are_bounded_whatever_controllers_do() {
     for converge_ms in CONVERGE_MS {
         for seed in 1..8 {
-            let mut dice = kernel::clock::Dice::new(seed);
+            let mut dice = Dice::new(seed);
             let mut world = World::new(converge_ms, CONTROLLERS);
             let mut proved = None;
             for step in 0..600 {
@@ -91,7 +96,7 @@
     let (before, calls) = (world.policy.current_as_of(), world.begun.len());
     let lost_at = SETTLED + 400;
     world.run(lost_at, |_, _| {
-        if std::mem::replace(&mut lost, true) {
+        if mem::replace(&mut lost, true) {
             return Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
         }
         Behaviour::LosingFrames { answer_ms: 5 }
--- a/router/src/following_candidates.rs
+++ b/router/src/following_candidates.rs
@@ -1,5 +1,9 @@
 //! The controllers that a router may ask, in its own order, and those passed over for a while.
 
+use std::collections::{BTreeMap, HashSet};
+
+use kernel::clock;
+
 /// How long a controller that fell silent, or proved nothing, is passed over while there is another. Each time it
 /// happens again soon the time doubles, so that one that is gone for good costs little.
 const LOST_MS: u64 = 5000;
@@ -43,14 +47,14 @@
     told: Vec<String>,
     members: Vec<String>,
     seeds: Vec<String>,
-    passed_over: std::collections::BTreeMap<String, PassedOver>,
+    passed_over: BTreeMap<String, PassedOver>,
 }
 
 impl Candidates {
     /// Before a controller has answered only the seeds are known; one on the own machine comes first.
     pub fn new(node_name: &str, own_ip: &str, seeds: &[String]) -> Candidates {
         let mut candidates = Candidates {
-            node: kernel::clock::hash(node_name.as_bytes()),
+            node: clock::hash(node_name.as_bytes()),
             own_ip: own_ip.into(),
             order: Vec::new(),
             told: Vec::new(),
@@ -83,13 +87,13 @@
     /// An order of this router's own, so that all routers together spread over a list.
     fn rotated(&self, list: &[String]) -> Vec<String> {
         let mut list = list.to_vec();
-        list.sort_by_key(|ip| kernel::clock::blend(self.node, kernel::clock::hash(ip.as_bytes())));
+        list.sort_by_key(|ip| clock::blend(self.node, clock::hash(ip.as_bytes())));
         list.dedup();
         list
     }
 
     fn rebuild(&mut self) {
-        let mut seen = std::collections::HashSet::new();
+        let mut seen = HashSet::new();
         let all = self.told.iter().chain(&self.members).chain(&self.seeds);
         self.order = all.filter(|ip| seen.insert(ip.as_str())).cloned().collect();
         let order = &self.order;
--- a/router/src/following_candidates_tests.rs
+++ b/router/src/following_candidates_tests.rs
@@ -1,3 +1,5 @@
+use std::collections::BTreeMap;
+
 use super::{Candidates, Fault, List};
 
 fn list(names: &[&str]) -> Vec<String> {
@@ -61,8 +63,8 @@
 #[test]
 fn routers_spread_over_seeds_and_members_and_begin_on_their_own_machine() {
     let names = list(&["a", "b", "c"]);
-    let mut first_seeds = std::collections::BTreeMap::<String, u32>::new();
-    let mut first_members = std::collections::BTreeMap::<String, u32>::new();
+    let mut first_seeds = BTreeMap::<String, u32>::new();
+    let mut first_members = BTreeMap::<String, u32>::new();
     for node in 0..300 {
         let mut candidates = Candidates::new(&format!("edge-{node}"), "own", &names);
         *first_seeds.entry(pick(&candidates, 0).expect("one")).or_default() += 1;
--- a/router/src/following_single_home.rs
+++ b/router/src/following_single_home.rs
@@ -1,7 +1,11 @@
 //! The router as it was before hedged calls, as a broken variant for tests: one home at a time, with waits that
 //! do not go by the bounds.
+
+use std::collections::BTreeMap;
+
 use crate::following::Call;
 use crate::following_answer::{Answer, Proof, Worth};
+use crate::following_world::Policy;
 
 const BEAT_MS: u64 = 400;
 const CALL_MS: u64 = 700;
@@ -13,7 +17,7 @@
 
 pub struct SingleHome {
     order: Vec<String>,
-    passed_over: std::collections::BTreeMap<String, u64>,
+    passed_over: BTreeMap<String, u64>,
     home: String,
     sent: Option<u64>,
     call_at: u64,
@@ -46,7 +50,7 @@
     }
 }
 
-impl crate::following_world::Policy for SingleHome {
+impl Policy for SingleHome {
     fn due(&mut self, now: u64) -> Vec<Call> {
         if self.sent.is_some() || now < self.call_at {
             return Vec::new();
--- a/router/src/following_storm_tests.rs
+++ b/router/src/following_storm_tests.rs
@@ -1,5 +1,9 @@
 //! A loss of power everywhere: all routers start at once with nothing, and the whole configuration comes over
 //! links that carry a few of them a second.
+
+use std::collections::BTreeMap;
+use std::mem;
+
 use crate::following::{Call, Following};
 use crate::following_answer::Answer;
 use crate::following_world::{budget, names, Behaviour, Policy, World};
@@ -19,7 +23,7 @@
 impl Policy for AskEverybody {
     fn due(&mut self, _: u64) -> Vec<Call> {
         let call = |controller| Call { controller, deadline_ms: 100_000 };
-        std::mem::take(&mut self.controllers).into_iter().map(call).collect()
+        mem::take(&mut self.controllers).into_iter().map(call).collect()
     }
 
     fn wake_at(&self, now: u64) -> u64 {
@@ -46,7 +50,7 @@
         world
     };
     let mut routers: Vec<World<P>> = (0..ROUTERS).map(router).collect();
-    let mut link_free_at = std::collections::BTreeMap::<String, u64>::new();
+    let mut link_free_at = BTreeMap::<String, u64>::new();
     let (begin, mut wholes) = (routers[0].now, 0);
     let mut now = begin;
     while routers.iter().any(|router| router.proof_age().is_none()) {
--- a/router/src/following_world.rs
+++ b/router/src/following_world.rs
@@ -1,7 +1,10 @@
 //! Controllers in virtual time, for tests of the state machine that decides which of them are asked.
+
+use kernel::convergence::Budget;
+use kernel::env::Bounds;
+
 use crate::following::{Call, Following};
 use crate::following_answer::{Answer, Proof};
-use kernel::convergence::Budget;
 
 /// A dial that meets silence is given up after this.
 const DIAL_MS: u64 = 500;
@@ -89,7 +92,7 @@
 }
 
 pub fn budget(converge_ms: u64) -> Budget {
-    Budget::new(&kernel::env::Bounds { converge_ms, ..Default::default() })
+    Budget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
 impl World<Following> {
--- a/router/src/frames.rs
+++ b/router/src/frames.rs
@@ -2,33 +2,42 @@
 //! framings in one head. It reads by chunks and drops the length, so nothing can hide; but such a
 //! request is to be refused.
 
+use std::io;
+use std::pin::Pin;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::task::{Context, Poll};
+
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
 /// Invariant: `armed` while the next bytes begin or continue a head; `both` tells of the last head.
 #[derive(Default)]
 pub struct Look {
-    armed: std::sync::atomic::AtomicBool,
-    both: std::sync::atomic::AtomicBool,
+    armed: AtomicBool,
+    both: AtomicBool,
 }
 
 impl Look {
-    pub fn new() -> std::sync::Arc<Look> {
+    pub fn new() -> Arc<Look> {
         let look = Look::default();
         look.arm();
-        std::sync::Arc::new(look)
+        Arc::new(look)
     }
 
     /// The body before is read: a head comes next.
     pub fn arm(&self) {
-        self.armed.store(true, std::sync::atomic::Ordering::Relaxed);
+        self.armed.store(true, Ordering::Relaxed);
     }
 
     pub fn both(&self) -> bool {
-        self.both.load(std::sync::atomic::Ordering::Relaxed)
+        self.both.load(Ordering::Relaxed)
     }
 }
 
 pub struct Stream {
-    inner: tokio::net::TcpStream,
-    look: std::sync::Arc<Look>,
+    inner: TcpStream,
+    look: Arc<Look>,
     head: Vec<u8>,
 }
 
@@ -36,12 +45,12 @@
 const MOST: usize = 256 * 1024;
 
 impl Stream {
-    pub fn new(inner: tokio::net::TcpStream, look: std::sync::Arc<Look>) -> Stream {
+    pub fn new(inner: TcpStream, look: Arc<Look>) -> Stream {
         Stream { inner, look, head: Vec::new() }
     }
 
     fn scan(&mut self, fresh: &[u8]) {
-        let order = std::sync::atomic::Ordering::Relaxed;
+        let order = Ordering::Relaxed;
         if !self.look.armed.load(order) {
             return;
         }
@@ -67,54 +76,40 @@
     usize::from(names(b"content-length")) + usize::from(names(b"transfer-encoding"))
 }
 
-impl tokio::io::AsyncRead for Stream {
-    fn poll_read(
-        mut self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-        buf: &mut tokio::io::ReadBuf<'_>,
-    ) -> std::task::Poll<std::io::Result<()>> {
+impl AsyncRead for Stream {
+    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let done = std::pin::Pin::new(&mut self.inner).poll_read(cx, buf);
-        if let std::task::Poll::Ready(Ok(())) = &done {
+        let done = Pin::new(&mut self.inner).poll_read(cx, buf);
+        if let Poll::Ready(Ok(())) = &done {
             self.scan(&buf.filled()[before..]);
         }
         done
     }
 }
 
-impl tokio::io::AsyncWrite for Stream {
-    fn poll_write(
-        mut self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-        buf: &[u8],
-    ) -> std::task::Poll<std::io::Result<usize>> {
-        std::pin::Pin::new(&mut self.inner).poll_write(cx, buf)
+impl AsyncWrite for Stream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.inner).poll_write(cx, buf)
     }
 
     fn poll_write_vectored(
-        mut self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-        bufs: &[std::io::IoSlice<'_>],
-    ) -> std::task::Poll<std::io::Result<usize>> {
-        std::pin::Pin::new(&mut self.inner).poll_write_vectored(cx, bufs)
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.inner).poll_write_vectored(cx, bufs)
     }
 
     fn is_write_vectored(&self) -> bool {
         self.inner.is_write_vectored()
     }
 
-    fn poll_flush(
-        mut self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<std::io::Result<()>> {
-        std::pin::Pin::new(&mut self.inner).poll_flush(cx)
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.inner).poll_flush(cx)
     }
 
-    fn poll_shutdown(
-        mut self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<std::io::Result<()>> {
-        std::pin::Pin::new(&mut self.inner).poll_shutdown(cx)
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.inner).poll_shutdown(cx)
     }
 }
 
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -1,19 +1,29 @@
 //! The limit on stale weights, as one request meets it.
 
+use std::sync::atomic::Ordering;
+
+use kernel::clock;
+use load_balancing::floor::Limit;
+use protocol::msg::{self, Rule, Versions};
+
+use crate::event::{FEW, RULE};
+use crate::exchange::Exchange;
+use crate::state::State;
+
 /// How often the want of fresh replicas is told, however many requests meet it.
 const TELL_MS: u64 = 1000;
 
-impl crate::exchange::Exchange {
+impl Exchange {
     /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
     /// has lapsed.
     pub fn version_bounds(&self) -> Option<(u64, u64, u64)> {
-        let now = kernel::clock::now();
+        let now = clock::now();
         let floors = self.state.floors.lock().expect("floors");
         let model = self.request.model_key;
         match floors.limit(self.service, &self.request.model, &self.route, now) {
-            load_balancing::floor::Limit::Free => None,
-            load_balancing::floor::Limit::Lapsed => Some((model, u64::MAX, 0)),
-            load_balancing::floor::Limit::From(floor) => match self.pinned_version {
+            Limit::Free => None,
+            Limit::Lapsed => Some((model, u64::MAX, 0)),
+            Limit::From(floor) => match self.pinned_version {
                 Some(exact) if exact >= floor => Some((model, exact, exact)),
                 _ => Some((model, floor, u64::MAX)),
             },
@@ -42,26 +52,26 @@
 
     /// No replica inside the limit: told once a second.
     pub fn report_no_replica(&self) {
-        let (now, order) = (kernel::clock::now(), std::sync::atomic::Ordering::Relaxed);
+        let (now, order) = (clock::now(), Ordering::Relaxed);
         let told = self.state.few_at.load(order);
         if now >= told + TELL_MS && self.state.few_at.compare_exchange(told, now, order, order).is_ok() {
-            kernel::say!(crate::event::FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
+            kernel::say!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
 
 /// A rule from a controller; binds at once where it is tighter.
-pub fn rule(state: &crate::state::State, rule: &protocol::msg::Rule) {
+pub fn rule(state: &State, rule: &Rule) {
     let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
-    let now = kernel::clock::now();
+    let now = clock::now();
     if state.floors.lock().expect("floors").take(rule, service, now) {
-        kernel::say!(crate::event::RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
+        kernel::say!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
 }
 
 /// Weight versions of a zone. Older ones of the same poller change nothing.
-pub fn versions(state: &crate::state::State, list: &protocol::msg::Versions) {
+pub fn versions(state: &State, list: &Versions) {
     {
         let mut held = state.weights.lock().expect("weights");
         let version = held.entry(list.zone.clone()).or_default();
@@ -77,9 +87,9 @@
 type Told = (String, u64);
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
-pub fn known_versions(state: &crate::state::State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
+pub fn known_versions(state: &State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
     let rules = state.floors.lock().expect("floors").versions();
     let weights = state.weights.lock().expect("weights");
-    let weights = weights.iter().map(|(zone, (turn, count))| (protocol::msg::hide(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (protocol::msg::hide(&key), version)).collect(), weights.collect())
+    let weights = weights.iter().map(|(zone, (turn, count))| (msg::hide(zone), *turn, *count));
+    (rules.into_iter().map(|(key, version)| (msg::hide(&key), version)).collect(), weights.collect())
 }
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -1,6 +1,18 @@
 //! The ordinary path of the design: look up, have the prompt read, register, flush, and only then
 //! send to the engine that makes the tokens.
 
+use kernel::clock;
+use protocol::msg::Record;
+use protocol::word::SEAL;
+use serde_json::Value;
+
+use crate::exchange::Exchange;
+use crate::failure::Failure;
+use crate::kv_handle::Handle;
+use crate::plan::{self, Plan};
+use crate::relay;
+use crate::send::{self, Answer, Extra, Outcome};
+
 /// Time kept between the end of a handle's life and its last use.
 const MARGIN_MS: u64 = 400;
 /// How long the engine that came up short is not named for this key again.
@@ -11,23 +23,21 @@
     /// Its memory is held for this request.
     Held,
     /// The engine answered the request itself.
-    Answer(usize, crate::send::Answer),
+    Answer(usize, Answer),
 }
 
 /// A read takes up none of the counted sends unless it is turned away, or a read went before it.
-async fn read(exchange: &mut crate::exchange::Exchange) -> Result<Reading, ()> {
+async fn read(exchange: &mut Exchange) -> Result<Reading, ()> {
     let held = exchange.prefix_owners.clone();
     for _ in 0..3 {
-        let plan = exchange.view(|view| crate::plan::read(view, &exchange.request, &held));
-        let crate::plan::Plan::Read { at, reads } = plan else { return Err(()) };
+        let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
+        let Plan::Read { at, reads } = plan else { return Err(()) };
         exchange.state.engine_table.lock().expect("engine_table").note_read(exchange.service, reads);
-        let extra = crate::send::Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
+        let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
-            crate::send::Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
-            crate::send::Outcome::Unsent(_) => exchange.tried.push(at),
-            crate::send::Outcome::NotExecuted
-            | crate::send::Outcome::OtherEngine
-            | crate::send::Outcome::OtherVersion(_) => {
+            Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
+            Outcome::Unsent(_) => exchange.tried.push(at),
+            Outcome::NotExecuted | Outcome::OtherEngine | Outcome::OtherVersion(_) => {
                 exchange.tried.push(at);
                 exchange.sends += 1;
                 // The last counted send is kept for the half that makes the tokens.
@@ -35,18 +45,14 @@
                     return Err(());
                 }
             }
-            crate::send::Outcome::Lost => return Err(()),
+            Outcome::Lost => return Err(()),
         }
     }
     Err(())
 }
 
-async fn taken(
-    exchange: &mut crate::exchange::Exchange,
-    at: usize,
-    answer: crate::send::Answer,
-) -> Result<Reading, ()> {
-    if answer.head.headers.contains_key(protocol::word::SEAL) {
+async fn taken(exchange: &mut Exchange, at: usize, answer: Answer) -> Result<Reading, ()> {
+    if answer.head.headers.contains_key(SEAL) {
         // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
         (exchange.sends, exchange.arrived, exchange.may_have_run) = (exchange.sends + 1, true, true);
         return Ok(Reading::Answer(at, answer));
@@ -54,10 +60,10 @@
     let reader = exchange.endpoint(at);
     let good = answer.head.status == 200;
     let wait = exchange.remaining_ms().min(1000);
-    let got = kernel::clock::now();
-    let text = crate::send::whole(&exchange.state, &reader, answer, 16 * 1024, wait).await;
+    let got = clock::now();
+    let text = send::whole(&exchange.state, &reader, answer, 16 * 1024, wait).await;
     exchange.end_send(at);
-    let value: serde_json::Value = text.and_then(|text| serde_json::from_slice(&text).ok()).unwrap_or_default();
+    let value: Value = text.and_then(|text| serde_json::from_slice(&text).ok()).unwrap_or_default();
     let id = value["kv_handle"].as_str().filter(|_| good).unwrap_or("").to_string();
     let sound = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
     if !sound {
@@ -72,13 +78,13 @@
         exchange.pinned_version = version.or(exchange.pinned_version);
     }
     let until = got + exchange.service_config.hold_ms.saturating_sub(MARGIN_MS);
-    exchange.hold_handle(crate::kv_handle::Handle { at, reader, id, until });
+    exchange.hold_handle(Handle { at, reader, id, until });
     Ok(Reading::Held)
 }
 
 /// How urgent a read is: a short one goes before long ones, which it hardly delays, while behind them
 /// it would miss its aim; among alike the operator's rank decides.
-fn rush(exchange: &crate::exchange::Exchange, reads: u32) -> u32 {
+fn rush(exchange: &Exchange, reads: u32) -> u32 {
     if exchange.request.spare.is_some() {
         return 9;
     }
@@ -91,8 +97,8 @@
 }
 
 /// Notes an owner here and tells the catalog; gives the number of registrations sent.
-fn register(exchange: &crate::exchange::Exchange, at: usize) -> u32 {
-    let now = kernel::clock::now();
+fn register(exchange: &Exchange, at: usize) -> u32 {
+    let now = clock::now();
     let (id, told) = {
         let engine_table = exchange.state.engine_table.lock().expect("engine_table");
         (engine_table.list[at].id.clone(), engine_table.list[at].told(now))
@@ -102,7 +108,7 @@
         let mut record = exchange.state.record.lock().expect("record");
         for key in &exchange.request.keys {
             record.note(*key, &id, now);
-            list.push(protocol::msg::Record { key: *key, engine: id.clone() });
+            list.push(Record { key: *key, engine: id.clone() });
         }
     }
     let count = list.len() as u32;
@@ -111,10 +117,8 @@
 }
 
 /// Reads the prompt and hands it over; gives the engine that answers and its answer.
-pub async fn carry(
-    exchange: &mut crate::exchange::Exchange,
-) -> Result<(usize, crate::send::Answer), crate::failure::Failure> {
-    exchange.prefix_owners = crate::plan::owners(&exchange.state, &exchange.request, exchange.service).await;
+pub async fn carry(exchange: &mut Exchange) -> Result<(usize, Answer), Failure> {
+    exchange.prefix_owners = plan::owners(&exchange.state, &exchange.request, exchange.service).await;
     let mut reader = None;
     let reading = read(exchange).await;
     if let Ok(Reading::Answer(at, answer)) = reading {
@@ -133,11 +137,8 @@
 }
 
 /// The engine that is to make the tokens, and the memory that it goes on with.
-fn choose_maker(
-    exchange: &mut crate::exchange::Exchange,
-    reader: Option<usize>,
-) -> Option<(usize, Option<crate::kv_handle::Handle>)> {
-    let (tokens, rank) = (exchange.request.tokens(), crate::plan::rank(&exchange.request));
+fn choose_maker(exchange: &mut Exchange, reader: Option<usize>) -> Option<(usize, Option<Handle>)> {
+    let (tokens, rank) = (exchange.request.tokens(), plan::rank(&exchange.request));
     let owners = exchange.prefix_owners.clone();
     loop {
         exchange.drop_stale_handle();
@@ -156,25 +157,22 @@
 }
 
 /// Sends to the engine that makes the tokens, with the memory where there is one.
-async fn make(
-    exchange: &mut crate::exchange::Exchange,
-    reader: Option<usize>,
-) -> Result<(usize, crate::send::Answer), crate::failure::Failure> {
+async fn make(exchange: &mut Exchange, reader: Option<usize>) -> Result<(usize, Answer), Failure> {
     loop {
         let Some((at, handle)) = choose_maker(exchange, reader) else {
-            return Err(crate::relay::failure_of(exchange));
+            return Err(relay::failure_of(exchange));
         };
         if !exchange.grant_send() {
             handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
-            return Err(crate::relay::failure_of(exchange));
+            return Err(relay::failure_of(exchange));
         }
         let reads = if handle.is_some() { 0 } else { exchange.request.tokens() };
         let source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
-        let extra = crate::send::Extra { source, urgency: exchange.urgency(), ..Default::default() };
+        let extra = Extra { source, urgency: exchange.urgency(), ..Default::default() };
         exchange.sends += 1;
         let again = exchange.may_retry();
         let outcome = exchange.send(at, extra, reads, again).await;
-        if let crate::send::Outcome::Answer(answer) = outcome {
+        if let Outcome::Answer(answer) = outcome {
             exchange.prompt_read(at);
             if answer.head.status.is_success() {
                 register(exchange, at);
@@ -185,13 +183,13 @@
         let held = handle.is_some();
         handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
         match outcome {
-            crate::send::Outcome::Unsent(_) => exchange.sends -= 1,
-            crate::send::Outcome::Lost => {
+            Outcome::Unsent(_) => exchange.sends -= 1,
+            Outcome::Lost => {
                 exchange.may_have_run = true;
                 // Where it was not taken nobody else may name it: this maker may yet come for it.
                 exchange.release_handle();
                 if !exchange.repeatable {
-                    return Err(crate::relay::failure_of(exchange));
+                    return Err(relay::failure_of(exchange));
                 }
             }
             _ if held && !is_full(exchange, at) => give_up_handle(exchange),
@@ -200,15 +198,15 @@
     }
 }
 
-fn is_full(exchange: &crate::exchange::Exchange, at: usize) -> bool {
+fn is_full(exchange: &Exchange, at: usize) -> bool {
     let engine_table = exchange.state.engine_table.lock().expect("engine_table");
-    engine_table.pressure(at, kernel::clock::now()) >= f64::from(engine_table.list[at].slots)
+    engine_table.pressure(at, clock::now()) >= f64::from(engine_table.list[at].slots)
 }
 
 /// The memory can't be had: its engine is suppressed for these keys, not for the request.
-fn give_up_handle(exchange: &mut crate::exchange::Exchange) {
+fn give_up_handle(exchange: &mut Exchange) {
     if let Some(reader) = exchange.handle_engine() {
-        let now = kernel::clock::now();
+        let now = clock::now();
         let id = exchange.endpoint(reader).engine;
         let mut record = exchange.state.record.lock().expect("record");
         record.counts.transfer_error += 1;
--- a/router/src/halves_tests.rs
+++ b/router/src/halves_tests.rs
@@ -1,6 +1,11 @@
 //! Requests whose prompt one engine reads and another answers: whose memory is named, and how often.
+
+use std::sync::Arc;
+
+use tokio::sync::Notify;
+
 use crate::stand_in::{answer, engines, events, handle, held, not_executed, seen, Act, Engine, Seen, PROMPT};
-use crate::stand_in_router::{ask, router, status};
+use crate::stand_in_router::{self, ask, router, status};
 
 /// Readers that give a handle and take it back, and makers that follow a script.
 async fn fleet(
@@ -13,7 +18,7 @@
 }
 
 /// The script of a reader that tells when a handle is given free.
-fn holder(freed: std::sync::Arc<tokio::sync::Notify>) -> impl Fn(&Seen, usize) -> Act + Send + Sync + 'static {
+fn holder(freed: Arc<Notify>) -> impl Fn(&Seen, usize) -> Act + Send + Sync + 'static {
     move |seen, _| {
         if seen.head.starts_with("DELETE") {
             freed.notify_one();
@@ -105,7 +110,7 @@
 
 #[tokio::test]
 async fn a_handle_is_named_to_one_maker_that_may_have_taken_it() {
-    let freed = std::sync::Arc::new(tokio::sync::Notify::new());
+    let freed = Arc::new(Notify::new());
     let list = fleet(
         holder(freed.clone()),
         |seen, before| if before == 0 { Act::SendAndReset(String::new()) } else { stream(seen) },
@@ -122,13 +127,13 @@
 #[tokio::test]
 async fn a_handle_near_its_end_is_not_named() {
     let list = fleet(|seen, _| Act::Send(held(seen)), |seen, _| stream(seen)).await;
-    let text = ask(&crate::stand_in_router::router_holding(&list, 0.4), "stream", "1", PROMPT).await;
+    let text = ask(&stand_in_router::router_holding(&list, 0.4), "stream", "1", PROMPT).await;
     assert_eq!((status(&text), sources(&list)), ("200", vec![None]), "{text}");
 }
 
 #[tokio::test]
 async fn memory_that_a_maker_could_not_have_is_given_free_and_the_prompt_read_there() {
-    let freed = std::sync::Arc::new(tokio::sync::Notify::new());
+    let freed = Arc::new(Notify::new());
     let list = fleet(
         holder(freed.clone()),
         |seen, before| if before == 0 { Act::Send(not_executed(seen)) } else { stream(seen) },
--- a/router/src/kept_tests.rs
+++ b/router/src/kept_tests.rs
@@ -1,4 +1,9 @@
 //! Connections that a client keeps: whatever becomes of a request at its engine, it is answered, and the next one is served.
+
+use std::time::Duration;
+
+use tokio::time;
+
 use crate::stand_in::{answer, engines, seen, waiting_engine, Act};
 use crate::stand_in_router::{configure, post, router, status, Client};
 
@@ -35,7 +40,7 @@
     let limits = serde_json::json!({"max_header_bytes": 4096, "max_body_bytes": 1000, "header_timeout_ms": 1,
         "idle_timeout_ms": 1});
     configure(&state, 2, serde_json::json!({"limits": limits, "route_table": []}));
-    tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+    time::sleep(Duration::from_millis(50)).await;
     go_on.notify_one();
     let text = client.until("0\r\n\r\n").await;
     assert!(text.contains("token-2"), "{text}");
--- a/router/src/kv_handle.rs
+++ b/router/src/kv_handle.rs
@@ -1,16 +1,22 @@
 //! The memory of a read prompt, held for one request.
 
+use kernel::clock;
+
+use crate::exchange::Exchange;
+use crate::pool::Endpoint;
+use crate::send;
+
 /// The memory of a read prompt. Invariants: it serves this request only, is taken once, and is
 /// never named after `until`.
 pub struct Handle {
     pub at: usize,
     /// The engine that holds it.
-    pub reader: crate::pool::Endpoint,
+    pub reader: Endpoint,
     pub id: String,
     pub until: u64,
 }
 
-impl crate::exchange::Exchange {
+impl Exchange {
     /// The engine whose memory is held.
     pub fn handle_engine(&self) -> Option<usize> {
         self.kv_handle.as_ref().map(|handle| handle.at)
@@ -23,7 +29,7 @@
 
     /// The handle, if it may still be named. It is out of our hands from here on.
     pub fn take_handle(&mut self) -> Option<Handle> {
-        let now = kernel::clock::now();
+        let now = clock::now();
         let good = self.kv_handle.as_ref().is_some_and(|handle| {
             let engine_table = self.state.engine_table.lock().expect("engine_table");
             let engine = &engine_table.list[handle.at];
@@ -40,6 +46,6 @@
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
         let most = self.max_connections();
-        tokio::spawn(async move { crate::send::free(&state, &handle, most).await });
+        tokio::spawn(async move { send::free(&state, &handle, most).await });
     }
 }
--- a/router/src/leaving_tests.rs
+++ b/router/src/leaving_tests.rs
@@ -1,8 +1,24 @@
 //! A router that ends while clients go on sending to it, as they do where fewer than half of a zone's routers are ready.
-use crate::stand_in::{answer, engines, events, head_and_rest, Act, Engine};
-use crate::stand_in_router::{post, status, unproved_router_of, SETTINGS};
+
+use std::net::TcpListener;
 use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::runtime::Builder;
+use tokio::sync::oneshot::{self, Receiver};
+use tokio::sync::Notify;
+use tokio::task::{self, JoinSet};
+use tokio::time;
+
+use crate::drain::Phase;
+use crate::metrics::Stage;
+use crate::stand_in::{self, answer, engines, events, head_and_rest, Act, Engine};
+use crate::stand_in_router::{post, status, unproved_router_of, SETTINGS};
+use crate::state::State;
+use crate::{boot, server};
 
 /// The grace of these routers, in seconds.
 const GRACE_S: f64 = 1.6;
@@ -10,14 +26,14 @@
 
 /// A router in a runtime of its own, which ends as its process would: with all that is open in it.
 struct Process {
-    state: Arc<crate::state::State>,
+    state: Arc<State>,
     address: String,
-    terminate: Arc<tokio::sync::Notify>,
-    ended: tokio::sync::oneshot::Receiver<()>,
+    terminate: Arc<Notify>,
+    ended: Receiver<()>,
 }
 
 fn free_address() -> String {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("its address").to_string()
 }
 
@@ -31,15 +47,15 @@
         if is_proved {
             state.currency.prove(i64::MAX);
         }
-        let terminate = Arc::new(tokio::sync::Notify::new());
-        let (end, ended) = tokio::sync::oneshot::channel();
+        let terminate = Arc::new(Notify::new());
+        let (end, ended) = oneshot::channel();
         let (inner, signal) = (state.clone(), terminate.clone());
-        std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        thread::spawn(move || {
+            let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
-                tokio::spawn(crate::server::frontend(inner.clone()));
+                tokio::spawn(server::frontend(inner.clone()));
                 signal.notified().await;
-                crate::boot::leave(&inner).await;
+                boot::leave(&inner).await;
             });
             drop(runtime);
             let _ = end.send(());
@@ -48,15 +64,15 @@
     }
 
     /// A connection to it, or none where nobody listens any more.
-    async fn connect(address: &str) -> Option<tokio::net::TcpStream> {
-        tokio::net::TcpStream::connect(address).await.ok()
+    async fn connect(address: &str) -> Option<TcpStream> {
+        TcpStream::connect(address).await.ok()
     }
 
-    async fn first_connection(&self) -> tokio::net::TcpStream {
+    async fn first_connection(&self) -> TcpStream {
         loop {
             match Process::connect(&self.address).await {
                 Some(stream) => return stream,
-                None => tokio::task::yield_now().await,
+                None => task::yield_now().await,
             }
         }
     }
@@ -93,15 +109,15 @@
     if status(&received.text) == "200" {
         return !received.text.ends_with(WHOLE_STREAM);
     }
-    crate::stand_in::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
+    stand_in::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
 }
 
 /// Engines whose streams end at the next beat after their head, so that some are always under way.
 async fn slow_engines() -> Vec<Engine> {
-    let beat = Arc::new(tokio::sync::Notify::new());
+    let beat = Arc::new(Notify::new());
     let ticking = beat.clone();
     tokio::spawn(async move {
-        let mut interval = tokio::time::interval(std::time::Duration::from_millis(150));
+        let mut interval = time::interval(Duration::from_millis(150));
         loop {
             interval.tick().await;
             ticking.notify_waiters();
@@ -119,8 +135,8 @@
     let list = slow_engines().await;
     let mut process = Process::start(&list, true);
     drop(process.first_connection().await);
-    let mut clients = tokio::task::JoinSet::new();
-    let mut arrivals = tokio::time::interval(std::time::Duration::from_millis(15));
+    let mut clients = JoinSet::new();
+    let mut arrivals = time::interval(Duration::from_millis(15));
     let mut number = 0;
     loop {
         arrivals.tick().await;
@@ -148,14 +164,14 @@
     let mut stream = process.first_connection().await;
     process.terminate.notify_one();
     // Its route is not known, and no proof comes: it waits while the time for which the router serves on runs out.
-    let served_on = std::time::Duration::from_secs_f64(GRACE_S * 0.4);
-    tokio::time::sleep(served_on.saturating_sub(std::time::Duration::from_millis(100))).await;
+    let served_on = Duration::from_secs_f64(GRACE_S * 0.4);
+    time::sleep(served_on.saturating_sub(Duration::from_millis(100))).await;
     let text = post("unknown", "1", "Connection: close\r\n");
     stream.write_all(text.as_bytes()).await.expect("written");
     let mut answer = String::new();
     let read = stream.read_to_string(&mut answer).await;
     assert!(read.is_ok() && status(&answer) == "503", "{read:?} {answer:?}");
-    assert_eq!(process.state.metrics.under_way(crate::drain::Phase::Draining, crate::metrics::Stage::Reading), 0);
+    assert_eq!(process.state.metrics.under_way(Phase::Draining, Stage::Reading), 0);
 }
 
 #[tokio::test]
@@ -167,7 +183,7 @@
     (0..40).for_each(|_| durations.note(2500));
     process.terminate.notify_one();
     while process.state.drain.left_ms().is_none() {
-        tokio::task::yield_now().await;
+        task::yield_now().await;
     }
     let long = request(process.address.clone(), "long".into()).await;
     assert_eq!(status(&long.text), "503", "{}", long.text);
@@ -175,6 +191,6 @@
     (0..1000).for_each(|_| durations.note(50));
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
-    let seen = crate::stand_in::seen(&list);
+    let seen = stand_in::seen(&list);
     assert_eq!(seen.iter().map(|one| one.attempt()).collect::<Vec<_>>(), ["short"]);
 }
--- a/router/src/lookup.rs
+++ b/router/src/lookup.rs
@@ -1,17 +1,24 @@
 //! The catalog as a router uses it: short waits, and nothing depends on its answer.
 
+use std::mem;
+use std::sync::{Arc, Mutex};
+
+use kernel::clock;
+use protocol::link::Caller;
+use protocol::msg::{Msg, Note, Pressure, Record, Seek};
+
 /// Invariant: what is sent carries the epoch it was meant for; an answer under a lower epoch than
 /// the one known counts for nothing.
 #[derive(Default)]
 pub struct Lookup {
-    inner: std::sync::Mutex<Inner>,
+    inner: Mutex<Inner>,
 }
 
 #[derive(Default)]
 struct Inner {
     epoch: u64,
     holder: String,
-    peer: Option<std::sync::Arc<protocol::link::Caller>>,
+    peer: Option<Arc<Caller>>,
     misses: u32,
     rest_until: u64,
     drops: u32,
@@ -22,7 +29,7 @@
 /// What the catalog told.
 pub struct Found {
     pub owners: Vec<Vec<String>>,
-    pub list: Vec<protocol::msg::Pressure>,
+    pub list: Vec<Pressure>,
 }
 
 const WAIT_MS: u64 = 40;
@@ -39,7 +46,7 @@
         inner.epoch = epoch;
         if inner.holder != holder {
             inner.holder = holder.into();
-            inner.peer = Some(std::sync::Arc::new(protocol::link::Caller::start(addr, None)));
+            inner.peer = Some(Arc::new(Caller::start(addr, None)));
         }
         inner.misses = 0;
         inner.rest_until = 0;
@@ -47,7 +54,7 @@
         true
     }
 
-    fn peer(&self, now: u64) -> Option<(u64, std::sync::Arc<protocol::link::Caller>)> {
+    fn peer(&self, now: u64) -> Option<(u64, Arc<Caller>)> {
         let inner = self.inner.lock().expect("lookup");
         if now < inner.rest_until {
             return None;
@@ -60,38 +67,36 @@
         inner.misses = if good { 0 } else { inner.misses + 1 };
         if inner.misses >= 2 {
             inner.plain = !inner.plain;
-            inner.rest_until = kernel::clock::now() + REST_MS;
+            inner.rest_until = clock::now() + REST_MS;
         }
     }
 
     /// The owners of each key asked, and how pressed they and the sample are; None: no answer in time.
     pub async fn query(&self, keys: &[u64], sample: Vec<u64>) -> Option<Found> {
-        let (epoch, peer) = self.peer(kernel::clock::now())?;
+        let (epoch, peer) = self.peer(clock::now())?;
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = match plain {
-            true => protocol::msg::Msg::Query(Box::new((epoch, keys.to_vec()))),
-            false => protocol::msg::Msg::Seek(Box::new(protocol::msg::Seek { epoch, keys: keys.to_vec(), sample })),
+            true => Msg::Query(Box::new((epoch, keys.to_vec()))),
+            false => Msg::Seek(Box::new(Seek { epoch, keys: keys.to_vec(), sample })),
         };
         let reply = peer.call(msg, WAIT_MS).await;
         self.heard(reply.is_some());
         match reply? {
-            protocol::msg::Msg::Found(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
-            protocol::msg::Msg::Sought(found) if found.epoch == epoch => {
-                Some(Found { owners: found.owners, list: found.list })
-            }
+            Msg::Found(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
+            Msg::Sought(found) if found.epoch == epoch => Some(Found { owners: found.owners, list: found.list }),
             _ => None,
         }
     }
 
     /// Fire and forget; what can't even be sent is counted and told by the next flush.
-    pub fn register(&self, list: Vec<protocol::msg::Record>, told: Vec<protocol::msg::Pressure>) {
+    pub fn register(&self, list: Vec<Record>, told: Vec<Pressure>) {
         let count = list.len() as u32;
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = |epoch| match plain {
-            true => protocol::msg::Msg::Register(Box::new((epoch, list))),
-            false => protocol::msg::Msg::Note(Box::new(protocol::msg::Note { epoch, list, told })),
+            true => Msg::Register(Box::new((epoch, list))),
+            false => Msg::Note(Box::new(Note { epoch, list, told })),
         };
-        let sent = match self.peer(kernel::clock::now()) {
+        let sent = match self.peer(clock::now()) {
             Some((epoch, peer)) => peer.cast(msg(epoch)),
             None => false,
         };
@@ -102,12 +107,12 @@
 
     /// The barrier before a hand-over: all registrations before it are delivered, or counted here.
     pub async fn flush(&self, sent: u32) -> u32 {
-        let early = std::mem::take(&mut self.inner.lock().expect("lookup").drops);
-        let Some((epoch, peer)) = self.peer(kernel::clock::now()) else { return early };
-        let reply = peer.call(protocol::msg::Msg::Flush(Box::new((epoch, sent))), WAIT_MS).await;
+        let early = mem::take(&mut self.inner.lock().expect("lookup").drops);
+        let Some((epoch, peer)) = self.peer(clock::now()) else { return early };
+        let reply = peer.call(Msg::Flush(Box::new((epoch, sent))), WAIT_MS).await;
         self.heard(reply.is_some());
         match reply {
-            Some(protocol::msg::Msg::Flushed(flushed)) if flushed.0 == epoch => early + flushed.1,
+            Some(Msg::Flushed(flushed)) if flushed.0 == epoch => early + flushed.1,
             _ => early + sent,
         }
     }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,5 +1,10 @@
 //! The data plane: takes clients' requests and carries them to engines.
 
+use std::process;
+
+use kernel::entry::{self, EntryFlags};
+use router::boot;
+
 mod flags {
     use kernel::env::MetricsEndpoint;
 
@@ -16,11 +21,11 @@
     }
 }
 
-fn main() -> std::process::ExitCode {
+fn main() -> process::ExitCode {
     let flags = match flags::Router::from_env() {
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
-    let entry_flags = kernel::entry::EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    kernel::entry::enter("router", env!("CARGO_PKG_VERSION"), entry_flags, router::boot::run)
+    let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
+    entry::enter("router", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
 }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -1,6 +1,7 @@
 //! What a router counts. The list with units stands in `docs/metrics.md`; a test holds the two together.
 
-use crate::drain::Phase;
+use std::sync::atomic::Ordering;
+
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -8,6 +9,11 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
+use crate::drain::Phase;
+use crate::quota_gate::Decision;
+use crate::send;
+use crate::state::State;
+
 /// How far a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Stage {
@@ -99,7 +105,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Quotas {
-    pub decision: crate::quota_gate::Decision,
+    pub decision: Decision,
 }
 
 /// All metrics of a router. Labels have fixed values only, so that their number never grows.
@@ -207,8 +213,8 @@
     }
 
     /// All metrics as text, with the figures that are only read when asked for.
-    pub fn render(&self, state: &crate::state::State) -> String {
-        let order = std::sync::atomic::Ordering::Relaxed;
+    pub fn render(&self, state: &State) -> String {
+        let order = Ordering::Relaxed;
         let counts = state.record.lock().expect("record").counts;
         self.ready.set(i64::from(state.is_ready()));
         self.config_revision.set(state.table().revision as i64);
@@ -220,14 +226,14 @@
     }
 }
 
-impl From<&crate::send::Outcome> for SendResult {
-    fn from(outcome: &crate::send::Outcome) -> SendResult {
+impl From<&send::Outcome> for SendResult {
+    fn from(outcome: &send::Outcome) -> SendResult {
         match outcome {
-            crate::send::Outcome::Answer(_) => SendResult::Answered,
-            crate::send::Outcome::NotExecuted => SendResult::NotExecuted,
-            crate::send::Outcome::OtherEngine | crate::send::Outcome::OtherVersion(_) => SendResult::Misdirected,
-            crate::send::Outcome::Unsent(_) => SendResult::Unsent,
-            crate::send::Outcome::Lost => SendResult::Lost,
+            send::Outcome::Answer(_) => SendResult::Answered,
+            send::Outcome::NotExecuted => SendResult::NotExecuted,
+            send::Outcome::OtherEngine | send::Outcome::OtherVersion(_) => SendResult::Misdirected,
+            send::Outcome::Unsent(_) => SendResult::Unsent,
+            send::Outcome::Lost => SendResult::Lost,
         }
     }
 }
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -1,14 +1,21 @@
 //! What is counted when requests come, and that the page and the code name the same metrics.
+
+use std::time::Duration;
+
+use tokio::{task, time};
+
 use crate::drain::Phase;
-use crate::metrics::{Ended, Outcome, Stage};
+use crate::metrics::{Ended, Outcome, Quotas, Stage};
+use crate::quota_gate::Decision;
 use crate::stand_in::{answer, engines, events, waiting_engine, Act};
 use crate::stand_in_router::{ask, post, router, Client};
+use crate::state::State;
 
-fn ended(state: &crate::state::State, outcome: Outcome) -> u64 {
+fn ended(state: &State, outcome: Outcome) -> u64 {
     state.metrics.requests_ended.get_or_create(&Ended { phase: Phase::Serving, outcome }).get()
 }
 
-fn total_under_way(state: &crate::state::State) -> i64 {
+fn total_under_way(state: &State) -> i64 {
     let stages = [Stage::Reading, Stage::Forwarding, Stage::Answering];
     stages.into_iter().map(|stage| state.metrics.under_way(Phase::Serving, stage)).sum()
 }
@@ -17,10 +24,10 @@
 async fn until(figure: impl Fn() -> bool) {
     let wait = async {
         while !figure() {
-            tokio::task::yield_now().await;
+            task::yield_now().await;
         }
     };
-    tokio::time::timeout(std::time::Duration::from_secs(10), wait).await.expect("the figure comes");
+    time::timeout(Duration::from_secs(10), wait).await.expect("the figure comes");
 }
 
 #[tokio::test]
@@ -67,8 +74,8 @@
     let state = router(&list);
     // A family without a series is not told.
     ask(&state, "once", "1", "").await;
-    let decision = crate::quota_gate::Decision::Granted;
-    state.metrics.quota_decisions.get_or_create(&crate::metrics::Quotas { decision }).inc();
+    let decision = Decision::Granted;
+    state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
     let page = include_str!("../../docs/metrics.md");
     assert_eq!(telemetry::names(&state.metrics.render(&state)), telemetry::listed(page, "tidepoint_router_"));
 }
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -1,5 +1,11 @@
 //! Planning a request's way, as data, before anything is sent.
 
+use kernel::clock;
+use load_balancing::place::{Half, View};
+
+use crate::request::Request;
+use crate::state::State;
+
 /// Who reads the prompt. Invariant: a reader is an engine of the route's service outside `shut`
 /// that was not tried before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,7 +17,7 @@
     Alone,
 }
 
-pub fn read(view: &load_balancing::place::View, request: &crate::request::Request, held: &PrefixOwners) -> Plan {
+pub fn read(view: &View, request: &Request, held: &PrefixOwners) -> Plan {
     let (tokens, rank) = (request.tokens(), rank(request));
     let Some((at, cost)) = view.prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
     if view.alone(tokens, held, rank).is_some_and(|(_, alone)| alone < cost) {
@@ -25,8 +31,8 @@
 pub type PrefixOwners = Vec<(usize, u32)>;
 
 /// Scans the local record, asks the catalog for the missing suffix only, and notes what it finds.
-pub async fn owners(state: &crate::state::State, request: &crate::request::Request, service: u32) -> PrefixOwners {
-    let now = kernel::clock::now();
+pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
+    let now = clock::now();
     let known = {
         let mut record = state.record.lock().expect("record");
         record.counts.queries += 1;
@@ -37,7 +43,7 @@
         let sample = sample(state, request, service);
         let found = state.lookup.query(missing, sample).await;
         if let Some(found) = &found {
-            let (now, mut engine_table) = (kernel::clock::now(), state.engine_table.lock().expect("engine_table"));
+            let (now, mut engine_table) = (clock::now(), state.engine_table.lock().expect("engine_table"));
             found.list.iter().for_each(|told| engine_table.hear(told, now));
         }
         let found = found.map(|found| found.owners);
@@ -60,13 +66,13 @@
 
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
-fn sample(state: &crate::state::State, request: &crate::request::Request, service: u32) -> Vec<u64> {
+fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
     let roll = state.dice.lock().expect("dice").roll();
     let engine_table = state.engine_table.lock().expect("engine_table");
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
-    for half in [load_balancing::place::Half::Prefill, load_balancing::place::Half::Decode] {
+    for half in [Half::Prefill, Half::Decode] {
         let Some(subset) = engine_table.subset(service, half, false) else { continue };
-        if half == load_balancing::place::Half::Prefill {
+        if half == Half::Prefill {
             names.extend(subset.homes(rank(request), 2, |at| engine_table.list[at].up && engine_table.list[at].here));
         }
         names.extend(subset.draw(roll, DRAWN));
@@ -78,8 +84,8 @@
 const DRAWN: usize = 4;
 
 /// The longest prefix each usable engine owns.
-fn held(state: &crate::state::State, request: &crate::request::Request) -> PrefixOwners {
-    let now = kernel::clock::now();
+fn held(state: &State, request: &Request) -> PrefixOwners {
+    let now = clock::now();
     let depths = catalog::depths(&request.parts);
     let engine_table = state.engine_table.lock().expect("engine_table");
     let mut record = state.record.lock().expect("record");
@@ -101,13 +107,13 @@
 }
 
 /// The key by which engines are ranked where nothing else tells them apart: the shared prefix.
-pub fn rank(request: &crate::request::Request) -> u64 {
+pub fn rank(request: &Request) -> u64 {
     let shared = request.keys.len().checked_sub(2).and_then(|at| request.keys.get(at));
     shared.or(request.keys.first()).copied().unwrap_or(request.born)
 }
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
-pub fn closed_zones(state: &crate::state::State, homes: [&[String]; 2]) -> Vec<u32> {
+pub fn closed_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
     let mut list = state.news.lock().expect("news").shut.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
     if homes.iter().all(|homes| homes.is_empty()) {
--- a/router/src/pool.rs
+++ b/router/src/pool.rs
@@ -1,6 +1,19 @@
 //! Connections to engines: kept while the engine keeps them, never more than this router's slice.
 
-pub type Connection = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+
+use bytes::Bytes;
+use http::header::CONNECTION;
+use http::HeaderMap;
+use http_body_util::Full;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use kernel::clock;
+use protocol::sock::{self, SILENCE_MS};
+
+pub type Connection = SendRequest<Full<Bytes>>;
 
 /// Where an engine is reached. An address may pass to another engine; what was kept to the one before is of no
 /// use to it.
@@ -23,11 +36,11 @@
 #[derive(Default)]
 struct Pool {
     idle: Vec<Idle>,
-    count: std::sync::Arc<std::sync::atomic::AtomicUsize>,
+    count: Arc<AtomicUsize>,
 }
 
 #[derive(Default)]
-pub struct Pools(std::sync::Mutex<std::collections::HashMap<String, Pool>>);
+pub struct Pools(Mutex<HashMap<String, Pool>>);
 
 /// An idle connection whose engine named no time is used again only this soon.
 const SHORT_MS: u64 = 700;
@@ -50,7 +63,7 @@
 impl Pools {
     /// A kept connection to this very engine. Those that are of no use any more are dropped on the way.
     pub fn idle(&self, to: &Endpoint) -> Option<Connection> {
-        let now = kernel::clock::now();
+        let now = clock::now();
         let mut pools = self.0.lock().expect("pools");
         let pool = pools.get_mut(&to.addr)?;
         while let Some(idle) = pool.idle.pop() {
@@ -63,15 +76,14 @@
 
     pub async fn dial(&self, to: &Endpoint, most: usize) -> Result<Connection, SendError> {
         let count = self.0.lock().expect("pools").entry(to.addr.clone()).or_default().count.clone();
-        if count.load(std::sync::atomic::Ordering::Relaxed) >= most.max(1) {
+        if count.load(Ordering::Relaxed) >= most.max(1) {
             return Err(SendError::Full);
         }
-        count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        count.fetch_add(1, Ordering::Relaxed);
         let hold = Hold(count);
-        let stream =
-            protocol::sock::dial(&to.addr, DIAL_MS, protocol::sock::SILENCE_MS).await.map_err(|_| SendError::Down)?;
-        let io = hyper_util::rt::TokioIo::new(stream);
-        let (connection, conn) = hyper::client::conn::http1::handshake(io).await.map_err(|_| SendError::Down)?;
+        let stream = sock::dial(&to.addr, DIAL_MS, SILENCE_MS).await.map_err(|_| SendError::Down)?;
+        let io = TokioIo::new(stream);
+        let (connection, conn) = http1::handshake(io).await.map_err(|_| SendError::Down)?;
         tokio::spawn(async move {
             let _ = conn.await;
             drop(hold);
@@ -82,7 +94,7 @@
     /// Takes a connection back once its answer was read whole. `keep` is what the engine named, in
     /// whole seconds cut down; None when it named nothing.
     pub fn put(&self, to: &Endpoint, connection: Connection, keep: Option<u64>) {
-        let now = kernel::clock::now();
+        let now = clock::now();
         let span = keep.map_or(SHORT_MS, |keep| (keep * 1000).saturating_sub(EARLY_MS));
         let mut pools = self.0.lock().expect("pools");
         let pool = pools.entry(to.addr.clone()).or_default();
@@ -106,21 +118,21 @@
     }
 }
 
-struct Hold(std::sync::Arc<std::sync::atomic::AtomicUsize>);
+struct Hold(Arc<AtomicUsize>);
 
 impl Drop for Hold {
     fn drop(&mut self) {
-        self.0.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+        self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// `Keep-Alive: timeout=N`
-pub fn keep(head: &http::HeaderMap) -> Option<u64> {
+pub fn keep(head: &HeaderMap) -> Option<u64> {
     let text = head.get("keep-alive")?.to_str().ok()?;
     text.split(',').find_map(|piece| piece.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
-pub fn closes(head: &http::HeaderMap) -> bool {
-    let list = head.get_all(http::header::CONNECTION);
+pub fn closes(head: &HeaderMap) -> bool {
+    let list = head.get_all(CONNECTION);
     list.iter().any(|value| value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close")))
 }
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -3,11 +3,20 @@
 //! The holders of the shards of the tenant's bucket are asked one after the other, the first of them by chance so that
 //! their shards empty evenly. While none of them answers, the router has a small allowance of its own.
 
-use crate::failure::Failure;
-use protocol::quota::{ShardHolder, Spend, Spent};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
+use kernel::clock;
+use kernel::env::Env;
+use protocol::link::Caller;
+use protocol::msg::Msg;
+use protocol::quota::{holders_mark, to_milli, ShardHolder, Spend, Spent};
+use quota::{Allowances, Bounds, Holder, Quota};
+
+use crate::exchange::Exchange;
+use crate::failure::Failure;
+use crate::metrics::Quotas;
+
 /// How long a holder may take to answer.
 const ANSWER_MS: u64 = 60;
 /// A holder that gave no answer is passed over for so long.
@@ -54,12 +63,12 @@
 }
 
 struct Inner {
-    holders: Vec<quota::Holder>,
+    holders: Vec<Holder>,
     mark: u64,
-    links: HashMap<String, Arc<protocol::link::Caller>>,
+    links: HashMap<String, Arc<Caller>>,
     resting_until: HashMap<String, u64>,
     empty_until: HashMap<String, u64>,
-    allowances: quota::Allowances,
+    allowances: Allowances,
 }
 
 /// Invariant: no lock is held over an await.
@@ -70,20 +79,20 @@
 
 impl QuotaGate {
     /// One that knows no holders yet.
-    pub fn new(env: &kernel::env::Env) -> QuotaGate {
-        let bounds = quota::Bounds {
+    pub fn new(env: &Env) -> QuotaGate {
+        let bounds = Bounds {
             window_ms: (env.bounds.quota_window_s * 1000.0) as u64,
             overage: env.bounds.quota_overage,
             slack: env.bounds.quota_slack,
         };
-        let mark = kernel::clock::hash(env.node_name.as_bytes());
+        let mark = clock::hash(env.node_name.as_bytes());
         let inner = Inner {
             holders: Vec::new(),
             mark: 0,
             links: HashMap::new(),
             resting_until: HashMap::new(),
             empty_until: HashMap::new(),
-            allowances: quota::Allowances::new(bounds, mark),
+            allowances: Allowances::new(bounds, mark),
         };
         QuotaGate { peer_port: env.peer_port(), inner: Mutex::new(inner) }
     }
@@ -91,8 +100,8 @@
     /// Takes a list of controllers that may hold shards.
     pub fn set_holders(&self, list: &[ShardHolder]) {
         let mut inner = self.inner.lock().expect("quota gate");
-        inner.mark = protocol::quota::holders_mark(list);
-        inner.holders = list.iter().map(|one| quota::Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+        inner.mark = holders_mark(list);
+        inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
         inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
         inner.resting_until.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
@@ -104,20 +113,20 @@
     }
 
     /// Decides about one request of a tenant.
-    pub async fn decide(&self, tenant: &str, quota: &quota::Quota, routers: u32, roll: u64) -> Decision {
-        let now = kernel::clock::now();
+    pub async fn decide(&self, tenant: &str, quota: &Quota, routers: u32, roll: u64) -> Decision {
+        let now = clock::now();
         if self.is_known_empty(tenant, now) {
             return Decision::Remembered;
         }
         match self.ask(tenant, quota, roll).await {
             Asked::Granted => Decision::Granted,
             Asked::Empty { retry_after_ms } => {
-                let until = kernel::clock::now() + retry_after_ms.min(MEMORY_MS);
+                let until = clock::now() + retry_after_ms.min(MEMORY_MS);
                 self.inner.lock().expect("quota gate").empty_until.insert(tenant.into(), until);
                 Decision::Denied
             }
             Asked::Nobody => {
-                let now = kernel::clock::now();
+                let now = clock::now();
                 let mut inner = self.inner.lock().expect("quota gate");
                 match inner.allowances.take(tenant, quota, routers, now) {
                     true => Decision::GrantedAlone,
@@ -134,8 +143,8 @@
     }
 
     /// The holders of a tenant's shards in the order in which they are asked: those that answered lately.
-    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<protocol::link::Caller>)> {
-        let now = kernel::clock::now();
+    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<Caller>)> {
+        let now = clock::now();
         let mut inner = self.inner.lock().expect("quota gate");
         inner.resting_until.retain(|_, until| now < *until);
         let chosen = quota::holders(tenant, &inner.holders);
@@ -145,24 +154,21 @@
         order.retain(|ip| !inner.resting_until.contains_key(ip));
         let port = self.peer_port;
         let link = |ip: String| {
-            let start = || Arc::new(protocol::link::Caller::start(format!("{ip}:{port}"), None));
+            let start = || Arc::new(Caller::start(format!("{ip}:{port}"), None));
             let caller = inner.links.entry(ip.clone()).or_insert_with(start).clone();
             (ip, caller)
         };
         order.into_iter().map(link).collect()
     }
 
-    async fn ask(&self, tenant: &str, quota: &quota::Quota, roll: u64) -> Asked {
-        let spend = Spend {
-            tenant: tenant.into(),
-            rate_milli: protocol::quota::to_milli(quota.rate_per_s),
-            burst_milli: protocol::quota::to_milli(quota.burst),
-        };
+    async fn ask(&self, tenant: &str, quota: &Quota, roll: u64) -> Asked {
+        let spend =
+            Spend { tenant: tenant.into(), rate_milli: to_milli(quota.rate_per_s), burst_milli: to_milli(quota.burst) };
         let mut result = Asked::Nobody;
         for (ip, link) in self.order(tenant, roll) {
-            let message = protocol::msg::Msg::Spend(Box::new(spend.clone()));
+            let message = Msg::Spend(Box::new(spend.clone()));
             match link.call(message, ANSWER_MS).await {
-                Some(protocol::msg::Msg::Spent(spent)) => match *spent {
+                Some(Msg::Spent(spent)) => match *spent {
                     Spent::Granted => return Asked::Granted,
                     Spent::Denied { retry_after_ms } => result = Asked::Empty { retry_after_ms },
                     Spent::NotHeld => {}
@@ -174,19 +180,19 @@
     }
 
     fn rest(&self, ip: String) {
-        let until = kernel::clock::now() + REST_MS;
+        let until = clock::now() + REST_MS;
         self.inner.lock().expect("quota gate").resting_until.insert(ip, until);
     }
 }
 
-impl crate::exchange::Exchange {
+impl Exchange {
     /// Takes a token of the tenant's limit for this request, if its tenant has one.
     pub async fn spend_quota(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
         let roll = self.state.dice.lock().expect("dice").roll();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
-        self.state.metrics.quota_decisions.get_or_create(&crate::metrics::Quotas { decision }).inc();
+        self.state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
     }
 }
--- a/router/src/quota_gate_tests.rs
+++ b/router/src/quota_gate_tests.rs
@@ -1,36 +1,44 @@
 //! A router and stand-ins for the controllers that hold shards.
+
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+
+use kernel::env;
+use protocol::link::{self, Handler};
+use protocol::msg::Msg;
+use protocol::quota::{ShardHolder, Spent};
+use protocol::sock;
+use quota::Quota;
+
 use super::{Decision, QuotaGate};
 use crate::stand_in::{answer, engines, seen, Act};
 use crate::stand_in_router::{ask, configure, router, status, SETTINGS};
-use protocol::quota::{ShardHolder, Spent};
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::Arc;
 
 /// A controller that answers every request for a token so.
 async fn controller(ip: &str, port: u16, spent: Option<Spent>) -> Arc<AtomicUsize> {
     let asked = Arc::new(AtomicUsize::new(0));
     let count = asked.clone();
-    let listener = protocol::sock::listen(&format!("{ip}:{port}")).expect("a free address");
-    let handler: protocol::link::Handler = Arc::new(move |mouth, id, message| {
-        if let protocol::msg::Msg::Spend(_) = message {
+    let listener = sock::listen(&format!("{ip}:{port}")).expect("a free address");
+    let handler: Handler = Arc::new(move |mouth, id, message| {
+        if let Msg::Spend(_) = message {
             count.fetch_add(1, Ordering::Relaxed);
             if let Some(spent) = spent {
-                mouth.reply(id, &protocol::msg::Msg::Spent(Box::new(spent)));
+                mouth.reply(id, &Msg::Spent(Box::new(spent)));
             }
         }
     });
-    tokio::spawn(protocol::link::serve(listener, handler));
+    tokio::spawn(link::serve(listener, handler));
     asked
 }
 
-const QUOTA: quota::Quota = quota::Quota { rate_per_s: 10.0, burst: 10.0 };
+const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 10.0 };
 const EMPTY: Spent = Spent::Denied { retry_after_ms: 10_000 };
 
 fn gate(port: u16, ips: &[&str]) -> QuotaGate {
     let settings = SETTINGS.replace("[7300, 7315]", &format!("[{port}, {port}]"));
     let settings =
         settings.replace("budget_slack = 0.0", "budget_slack = 0.0, quota_slack = 20.0, quota_overage = 0.1");
-    let gate = QuotaGate::new(&kernel::env::parse(&settings).expect("good settings"));
+    let gate = QuotaGate::new(&env::parse(&settings).expect("good settings"));
     let holder = |ip: &&str| ShardHolder { ip: ip.to_string(), zone: ip.to_string() };
     gate.set_holders(&ips.iter().map(holder).collect::<Vec<_>>());
     gate
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -1,22 +1,39 @@
 //! Passing an engine's answer on as it comes, and going on at another engine where that is allowed.
-use crate::feed::Pipe;
+
+use std::mem;
+use std::time::Duration;
+
+use http::header::CONNECTION;
+use http::{HeaderValue, Response};
+use kernel::clock;
+use load_balancing::place::Half;
+use protocol::word::SEAL;
+use tokio::time;
+
+use crate::doubt::{self, SIGN_MS};
+use crate::exchange::Exchange;
+use crate::failure::{Body, Failure};
+use crate::feed::{self, Pipe};
+use crate::send::{self, Answer, Extra, Outcome};
+use crate::stream::Splitter;
 use crate::version_rollouts::Seen;
+use crate::{halves, plan, request, verdict};
 
 /// When a refused client may come back: soon, and later the more is waiting.
-fn retry_after_ms(exchange: &crate::exchange::Exchange) -> u64 {
+fn retry_after_ms(exchange: &Exchange) -> u64 {
     let third = exchange.remaining_ms() / 3;
     (exchange.target_ms / 4).clamp(50, 1000).min(third.max(20))
 }
 
 /// The answer to a request that is given up. Nothing that may have run is ever called refused.
-pub fn failure_of(exchange: &crate::exchange::Exchange) -> crate::failure::Failure {
+pub fn failure_of(exchange: &Exchange) -> Failure {
     if !exchange.may_have_run {
-        return crate::failure::Failure::Refused(retry_after_ms(exchange));
+        return Failure::Refused(retry_after_ms(exchange));
     }
     if exchange.remaining_ms() == 0 {
-        return crate::failure::Failure::TimedOut;
+        return Failure::TimedOut;
     }
-    crate::failure::Failure::Lost
+    Failure::Lost
 }
 
 /// By rank: how far over its slots every maker may be before a request is refused at once.
@@ -26,20 +43,16 @@
 const STAND_BACK_MS: u64 = 500;
 
 /// Chooses the path and follows it to an answer.
-pub async fn answer(
-    mut exchange: crate::exchange::Exchange,
-) -> Result<http::Response<crate::failure::Body>, crate::failure::Failure> {
+pub async fn answer(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
     if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.idle(share))) {
-        return Err(crate::failure::Failure::Refused(STAND_BACK_MS));
+        return Err(Failure::Refused(STAND_BACK_MS));
     }
     exchange.choose_version();
     if !exchange.fits_before_the_end() {
         // Refused early rather than given up late.
         return Err(failure_of(&exchange));
     }
-    if exchange.version_bounds().is_some()
-        && exchange.view(|view| view.open(load_balancing::place::Half::Decode).is_empty())
-    {
+    if exchange.version_bounds().is_some() && exchange.view(|view| view.open(Half::Decode).is_empty()) {
         exchange.report_no_replica();
         return Err(failure_of(&exchange));
     }
@@ -50,10 +63,8 @@
     exchange.spend_quota().await?;
     let split = exchange.is_streaming()
         && !exchange.request.keys.is_empty()
-        && exchange.view(|view| {
-            view.has(load_balancing::place::Half::Prefill) && view.has(load_balancing::place::Half::Decode)
-        });
-    let carried = if split { crate::halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
+        && exchange.view(|view| view.has(Half::Prefill) && view.has(Half::Decode));
+    let carried = if split { halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
         Err(failure) => {
@@ -70,7 +81,7 @@
         return Ok(pass(exchange, at, answer));
     }
     if exchange.version_bounds().is_some() {
-        exchange.pinned_version = crate::verdict::version(&answer.head.headers).or(exchange.pinned_version);
+        exchange.pinned_version = verdict::version(&answer.head.headers).or(exchange.pinned_version);
     }
     if !sealed(&answer) {
         // Not an engine's answer, whatever it is.
@@ -81,28 +92,25 @@
 }
 
 /// A success as an engine gives it.
-fn sealed(answer: &crate::send::Answer) -> bool {
-    answer.head.status.is_success() && answer.head.headers.contains_key(protocol::word::SEAL)
+fn sealed(answer: &Answer) -> bool {
+    answer.head.status.is_success() && answer.head.headers.contains_key(SEAL)
 }
 
 /// Services without halves: one engine, and another where that is allowed.
-async fn plain(
-    exchange: &mut crate::exchange::Exchange,
-) -> Result<(usize, crate::send::Answer), crate::failure::Failure> {
+async fn plain(exchange: &mut Exchange) -> Result<(usize, Answer), Failure> {
     // A failed answer is given up only once the next send is granted.
     let mut granted = false;
     loop {
-        let rank = kernel::clock::blend(exchange.request.born, exchange.request.body.len() as u64);
+        let rank = clock::blend(exchange.request.born, exchange.request.body.len() as u64);
         let place = exchange.view(|view| view.decode(0, &[], None, rank));
         let Some(at) = place else { return Err(failure_of(exchange)) };
-        if !std::mem::take(&mut granted) && !exchange.grant_send() {
+        if !mem::take(&mut granted) && !exchange.grant_send() {
             return Err(failure_of(exchange));
         }
         exchange.sends += 1;
-        let (extra, again) =
-            (crate::send::Extra { urgency: exchange.urgency(), ..Default::default() }, exchange.may_retry());
+        let (extra, again) = (Extra { urgency: exchange.urgency(), ..Default::default() }, exchange.may_retry());
         match exchange.send(at, extra, 0, again).await {
-            crate::send::Outcome::Answer(answer) => {
+            Outcome::Answer(answer) => {
                 granted = exchange.repeatable && answer.head.status.is_server_error() && exchange.grant_send();
                 if !granted {
                     return Ok((at, *answer));
@@ -110,11 +118,9 @@
                 exchange.may_have_run = true;
                 exchange.end_send(at);
             }
-            crate::send::Outcome::Unsent(_) => exchange.sends -= 1,
-            crate::send::Outcome::NotExecuted
-            | crate::send::Outcome::OtherEngine
-            | crate::send::Outcome::OtherVersion(_) => {}
-            crate::send::Outcome::Lost => {
+            Outcome::Unsent(_) => exchange.sends -= 1,
+            Outcome::NotExecuted | Outcome::OtherEngine | Outcome::OtherVersion(_) => {}
+            Outcome::Lost => {
                 exchange.may_have_run = true;
                 if !exchange.repeatable {
                     return Err(failure_of(exchange));
@@ -125,16 +131,16 @@
     }
 }
 
-impl crate::exchange::Exchange {
+impl Exchange {
     /// Goes on at another engine after a break, behind the last event that was passed on.
-    async fn resume(&mut self, at: usize, split: &crate::stream::Splitter) -> Option<(usize, crate::send::Answer)> {
+    async fn resume(&mut self, at: usize, split: &Splitter) -> Option<(usize, Answer)> {
         self.may_have_run = true;
-        crate::doubt::raise(&self.state, at);
+        doubt::raise(&self.state, at);
         self.tried.push(at);
         if !self.is_resumable() || !split.resumable() {
             return None;
         }
-        let (tokens, rank) = (self.request.tokens(), crate::plan::rank(&self.request));
+        let (tokens, rank) = (self.request.tokens(), plan::rank(&self.request));
         for _ in 0..3 {
             let held = self.prefix_owners.clone();
             let next = self.view(|view| view.alone(tokens, &held, rank))?.0;
@@ -142,18 +148,18 @@
                 return None;
             }
             let last = match &split.last {
-                Some(last) => http::HeaderValue::from_str(last).ok(),
+                Some(last) => HeaderValue::from_str(last).ok(),
                 None => self.request.last.clone(),
             };
-            let extra = crate::send::Extra { last, urgency: self.urgency(), ..Default::default() };
+            let extra = Extra { last, urgency: self.urgency(), ..Default::default() };
             self.sends += 1;
             let again = self.may_retry();
             match self.send(next, extra, tokens, again).await {
-                crate::send::Outcome::Answer(answer) if sealed(&answer) => {
+                Outcome::Answer(answer) if sealed(&answer) => {
                     return Some((next, *answer));
                 }
-                crate::send::Outcome::Answer(_) => self.end_send(next),
-                crate::send::Outcome::Unsent(_) => self.sends -= 1,
+                Outcome::Answer(_) => self.end_send(next),
+                Outcome::Unsent(_) => self.sends -= 1,
                 _ => {}
             }
             self.tried.push(next);
@@ -171,28 +177,24 @@
 }
 
 /// Answers with the engine's head; its body follows as it comes.
-pub fn pass(
-    mut exchange: crate::exchange::Exchange,
-    at: usize,
-    answer: crate::send::Answer,
-) -> http::Response<crate::failure::Body> {
-    let mut reply = http::Response::new(());
+pub fn pass(mut exchange: Exchange, at: usize, answer: Answer) -> Response<Body> {
+    let mut reply = Response::new(());
     *reply.status_mut() = answer.head.status;
     *reply.headers_mut() = answer.head.headers.clone();
-    let length = crate::request::number(reply.headers(), "content-length").filter(|_| !exchange.is_resumable());
-    crate::request::strip(reply.headers_mut());
+    let length = request::number(reply.headers(), "content-length").filter(|_| !exchange.is_resumable());
+    request::strip(reply.headers_mut());
     if exchange.state.is_leaving() {
-        reply.headers_mut().insert(http::header::CONNECTION, http::HeaderValue::from_static("close"));
+        reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    let (pipe, feed) = crate::feed::pipe(length);
+    let (pipe, feed) = feed::pipe(length);
     tokio::spawn(async move {
         run(&mut exchange, at, answer, &pipe).await;
     });
-    reply.map(|()| crate::failure::Body::new(feed))
+    reply.map(|()| Body::new(feed))
 }
 
-async fn run(exchange: &mut crate::exchange::Exchange, mut at: usize, mut answer: crate::send::Answer, pipe: &Pipe) {
-    let mut split = crate::stream::Splitter::default();
+async fn run(exchange: &mut Exchange, mut at: usize, mut answer: Answer, pipe: &Pipe) {
+    let mut split = Splitter::default();
     let is_success = answer.head.status.is_success();
     loop {
         let end = pump(exchange, at, &mut answer, &mut split, pipe).await;
@@ -205,7 +207,7 @@
                     exchange.note_seen(Seen::Good { pace_us: split.pace_us() });
                 }
                 let to = exchange.endpoint(at);
-                crate::send::give_back(&exchange.state, &to, &answer.head.headers, answer.connection).await;
+                send::give_back(&exchange.state, &to, &answer.head.headers, answer.connection).await;
                 return;
             }
             End::Broken => exchange.note_seen(Seen::Failed),
@@ -216,21 +218,15 @@
     }
 }
 
-async fn pump(
-    exchange: &crate::exchange::Exchange,
-    at: usize,
-    answer: &mut crate::send::Answer,
-    split: &mut crate::stream::Splitter,
-    pipe: &Pipe,
-) -> End {
+async fn pump(exchange: &Exchange, at: usize, answer: &mut Answer, split: &mut Splitter, pipe: &Pipe) -> End {
     use http_body_util::BodyExt;
-    let span = std::time::Duration::from_millis(crate::doubt::SIGN_MS);
+    let span = Duration::from_millis(SIGN_MS);
     let (stream, resumes) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
     let framed = answer.framed();
-    let mut heard = kernel::clock::now();
+    let mut heard = clock::now();
     loop {
         let frame = tokio::select! {
-            frame = tokio::time::timeout(span, answer.body.frame()) => frame,
+            frame = time::timeout(span, answer.body.frame()) => frame,
             () = pipe.closed() => return End::Left,
         };
         let data = match frame {
@@ -243,7 +239,7 @@
             Ok(Some(Err(_))) => return End::Broken,
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
         };
-        heard = kernel::clock::now();
+        heard = clock::now();
         let out = if stream { split.feed(&data) } else { data };
         if !pipe.data(out).await {
             return End::Left;
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -1,22 +1,37 @@
 //! A client's request, read and checked at the door.
 
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use catalog::Part;
+use http::header::{self, HeaderName, CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
+use http::request::Parts;
+use http::{HeaderMap, HeaderValue, Method, Uri};
+use hyper::body::Incoming;
+use kernel::clock;
+use protocol::word::{self, ATTEMPT, BUDGET, LAST, MODEL, PREFIX, SOURCE, STAGE, TARGET, URGENCY};
+use tokio::time;
+
+use crate::authorization::Authorization;
+use crate::failure::Failure;
+
 /// Invariants: `head` carries no header that concerns one connection only; `body` is whole.
 pub struct Request {
-    pub method: http::Method,
-    pub path: http::Uri,
-    pub head: http::HeaderMap,
-    pub body: bytes::Bytes,
-    pub attempt: Option<http::HeaderValue>,
+    pub method: Method,
+    pub path: Uri,
+    pub head: HeaderMap,
+    pub body: Bytes,
+    pub attempt: Option<HeaderValue>,
     pub model: String,
     /// The hash of its name, by which engines' weight versions are kept.
     pub model_key: u64,
     /// Steady time at which the client or the operator no longer wants it.
     pub deadline: u64,
     pub born: u64,
-    pub parts: Vec<catalog::Part>,
+    pub parts: Vec<Part>,
     pub keys: Vec<u64>,
-    pub last: Option<http::HeaderValue>,
-    pub authorization: crate::authorization::Authorization,
+    pub last: Option<HeaderValue>,
+    pub authorization: Authorization,
     /// Deferrable work: it only fills what is idle. The share of places it leaves free.
     pub spare: Option<f64>,
 }
@@ -32,18 +47,12 @@
 
 /// What the system alone tells engines. From a client these would lead to another request's memory, or have its
 /// own request only read.
-const SYSTEM: [&str; 5] = [
-    protocol::word::TARGET,
-    protocol::word::STAGE,
-    protocol::word::SOURCE,
-    protocol::word::URGENCY,
-    protocol::word::EXPECT,
-];
+const SYSTEM: [&str; 5] = [TARGET, STAGE, SOURCE, URGENCY, word::EXPECT];
 
 /// Removes what concerns one connection, and what `Connection` names.
-pub fn strip(head: &mut http::HeaderMap) {
+pub fn strip(head: &mut HeaderMap) {
     let named: Vec<String> = head
-        .get_all(http::header::CONNECTION)
+        .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(',').map(|name| name.trim().to_ascii_lowercase()))
@@ -55,43 +64,39 @@
     }
 }
 
-pub fn number(head: &http::HeaderMap, name: &str) -> Option<u64> {
+pub fn number(head: &HeaderMap, name: &str) -> Option<u64> {
     head.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
 /// Shapes that could hide another request: refused before anything is done.
-pub fn sound(head: &http::HeaderMap) -> bool {
-    let count = |name: http::header::HeaderName| head.get_all(name).iter().count();
-    let framed = count(http::header::TRANSFER_ENCODING);
-    let sized = count(http::header::CONTENT_LENGTH);
-    let ids = head.get_all(protocol::word::ATTEMPT).iter().count();
-    framed <= 1 && sized <= 1 && framed + sized <= 1 && count(http::header::HOST) == 1 && ids <= 1
+pub fn sound(head: &HeaderMap) -> bool {
+    let count = |name: HeaderName| head.get_all(name).iter().count();
+    let framed = count(TRANSFER_ENCODING);
+    let sized = count(CONTENT_LENGTH);
+    let ids = head.get_all(ATTEMPT).iter().count();
+    framed <= 1 && sized <= 1 && framed + sized <= 1 && count(HOST) == 1 && ids <= 1
 }
 
 /// Reads a body within the limit; the pause between pieces is bounded by `idle_ms`.
-pub async fn body(
-    mut body: hyper::body::Incoming,
-    most: usize,
-    idle_ms: u64,
-) -> Result<bytes::Bytes, crate::failure::Failure> {
+pub async fn body(mut body: Incoming, most: usize, idle_ms: u64) -> Result<Bytes, Failure> {
     use http_body_util::BodyExt;
     use hyper::body::Body;
     let hint = body.size_hint().exact().unwrap_or(0) as usize;
     if hint > most {
-        return Err(crate::failure::Failure::TooLarge);
+        return Err(Failure::TooLarge);
     }
-    let wait = std::time::Duration::from_millis(idle_ms.max(1));
-    let mut whole = bytes::BytesMut::with_capacity(hint);
+    let wait = Duration::from_millis(idle_ms.max(1));
+    let mut whole = BytesMut::with_capacity(hint);
     loop {
-        let frame = match tokio::time::timeout(wait, body.frame()).await {
-            Err(_) => return Err(crate::failure::Failure::Late),
+        let frame = match time::timeout(wait, body.frame()).await {
+            Err(_) => return Err(Failure::Late),
             Ok(None) => return Ok(whole.freeze()),
-            Ok(Some(Err(_))) => return Err(crate::failure::Failure::Malformed),
+            Ok(Some(Err(_))) => return Err(Failure::Malformed),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
         if whole.len() + data.len() > most {
-            return Err(crate::failure::Failure::TooLarge);
+            return Err(Failure::TooLarge);
         }
         whole.extend_from_slice(&data);
     }
@@ -103,7 +108,7 @@
 
 /// Reads a body that nobody needs to its end, so that its connection can be used again. False: it is too long,
 /// too slow or broken.
-pub async fn discard(mut body: hyper::body::Incoming) -> bool {
+pub async fn discard(mut body: Incoming) -> bool {
     use http_body_util::BodyExt;
     use hyper::body::Body;
     if body.size_hint().lower() > DISCARD_BYTES as u64 {
@@ -113,46 +118,40 @@
         let mut left = DISCARD_BYTES;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
-            let size = frame.data_ref().map_or(0, bytes::Bytes::len);
+            let size = frame.data_ref().map_or(0, Bytes::len);
             let Some(rest) = left.checked_sub(size) else { return false };
             left = rest;
         }
         true
     };
-    tokio::time::timeout(std::time::Duration::from_millis(DISCARD_MS), whole).await.unwrap_or(false)
+    time::timeout(Duration::from_millis(DISCARD_MS), whole).await.unwrap_or(false)
 }
 
 impl Request {
-    pub fn make(
-        parts: http::request::Parts,
-        body: bytes::Bytes,
-        authorization: crate::authorization::Authorization,
-        seed: u64,
-        born: u64,
-    ) -> Request {
+    pub fn make(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, born: u64) -> Request {
         let mut head = parts.headers;
         strip(&mut head);
-        head.remove(http::header::EXPECT);
+        head.remove(header::EXPECT);
         for name in SYSTEM {
             head.remove(name);
         }
         authorization.rewrite(&mut head);
         let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
         let most = authorization.route().timeout_ms;
-        let wait = number(&head, protocol::word::BUDGET).unwrap_or(most).min(most);
-        let text = head.get(protocol::word::PREFIX).and_then(|value| value.to_str().ok());
+        let wait = number(&head, BUDGET).unwrap_or(most).min(most);
+        let text = head.get(PREFIX).and_then(|value| value.to_str().ok());
         let list = text.and_then(catalog::parts).unwrap_or_default();
-        let model = head.get(protocol::word::MODEL).map_or(&b""[..], http::HeaderValue::as_bytes);
-        let model_key = kernel::clock::hash(model);
-        let keys = catalog::keys(kernel::clock::blend(seed, model_key), &list);
+        let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
+        let model_key = clock::hash(model);
+        let keys = catalog::keys(clock::blend(seed, model_key), &list);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
             path,
-            attempt: head.get(protocol::word::ATTEMPT).cloned(),
+            attempt: head.get(ATTEMPT).cloned(),
             model_key,
             model: String::from_utf8_lossy(model).into_owned(),
-            last: head.get(protocol::word::LAST).cloned(),
+            last: head.get(LAST).cloned(),
             head,
             body,
             deadline: born + wait,
--- a/router/src/request_guard.rs
+++ b/router/src/request_guard.rs
@@ -1,13 +1,24 @@
 //! One request, counted from the reading of its head until its answer has left or its connection is gone.
 
+use std::io;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use http::Response;
+use http_body::{Frame, SizeHint};
+use kernel::clock;
+
 use crate::drain::Phase;
+use crate::failure;
 use crate::metrics::{Arrival, Connection, Ended, Outcome, Stage, UnderWay};
-use std::sync::Arc;
+use crate::state::State;
 
 /// Counts a request under way. Invariant: it is counted in one stage at a time, and its end once, on drop: as cut,
 /// unless an outcome was noted before.
 pub struct RequestGuard {
-    state: Arc<crate::state::State>,
+    state: Arc<State>,
     phase: Phase,
     stage: Stage,
     outcome: Outcome,
@@ -18,12 +29,12 @@
 
 impl RequestGuard {
     /// A request whose head was just read.
-    pub fn begin(state: &Arc<crate::state::State>, connection: Connection) -> RequestGuard {
+    pub fn begin(state: &Arc<State>, connection: Connection) -> RequestGuard {
         let phase = state.drain.phase();
         state.metrics.requests_received.get_or_create(&Arrival { phase, connection }).inc();
         let stage = Stage::Reading;
         state.metrics.requests_under_way.get_or_create(&UnderWay { phase, stage }).inc();
-        RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, begun: kernel::clock::now() }
+        RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, begun: clock::now() }
     }
 
     /// The phase in which it came.
@@ -40,15 +51,11 @@
     }
 
     fn age_s(&self) -> f64 {
-        (kernel::clock::now() - self.begun) as f64 / MS_PER_S
+        (clock::now() - self.begun) as f64 / MS_PER_S
     }
 
     /// Follows the answer to its end: `outcome` counts once all of the body was taken.
-    pub fn follow(
-        mut self,
-        response: http::Response<crate::failure::Body>,
-        outcome: Outcome,
-    ) -> http::Response<crate::failure::Body> {
+    pub fn follow(mut self, response: Response<failure::Body>, outcome: Outcome) -> Response<failure::Body> {
         use http_body::Body;
         self.enter(Stage::Answering);
         self.state.metrics.first_byte.observe(self.age_s());
@@ -56,7 +63,7 @@
             let left = body.size_hint().exact();
             let mut followed = FollowedBody { body, left, outcome, guard: self };
             followed.note_end(left == Some(0));
-            crate::failure::Body::new(followed)
+            failure::Body::new(followed)
         })
     }
 }
@@ -72,7 +79,7 @@
 
 /// The body of an answer, and the request that it ends.
 struct FollowedBody {
-    body: crate::failure::Body,
+    body: failure::Body,
     /// Bytes still to come, where that is known.
     left: Option<u64>,
     /// What the request came to once the body is taken whole.
@@ -89,34 +96,31 @@
 }
 
 impl http_body::Body for FollowedBody {
-    type Data = bytes::Bytes;
-    type Error = std::io::Error;
-
-    fn poll_frame(
-        mut self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<Option<Result<http_body::Frame<bytes::Bytes>, std::io::Error>>> {
-        let frame = std::task::ready!(std::pin::Pin::new(&mut self.body).poll_frame(cx));
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
-            let size = frame.data_ref().map_or(0, bytes::Bytes::len) as u64;
+            let size = frame.data_ref().map_or(0, Bytes::len) as u64;
             self.left = self.left.map(|left| left.saturating_sub(size));
         }
         let is_whole = frame.is_none() || self.left == Some(0);
         self.note_end(is_whole);
-        std::task::Poll::Ready(frame)
+        Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    fn size_hint(&self) -> http_body::SizeHint {
+    fn size_hint(&self) -> SizeHint {
         self.body.size_hint()
     }
 }
 
-impl From<crate::failure::Failure> for Outcome {
-    fn from(failure: crate::failure::Failure) -> Outcome {
+impl From<failure::Failure> for Outcome {
+    fn from(failure: failure::Failure) -> Outcome {
         use crate::failure::Failure;
         match failure {
             Failure::Refused(_) => Outcome::Refused,
--- a/router/src/request_tests.rs
+++ b/router/src/request_tests.rs
@@ -1,5 +1,9 @@
-fn head(list: &[(&'static str, &str)]) -> http::HeaderMap {
-    let mut map = http::HeaderMap::new();
+use http::HeaderMap;
+
+use super::{sound, strip};
+
+fn head(list: &[(&'static str, &str)]) -> HeaderMap {
+    let mut map = HeaderMap::new();
     for (name, value) in list {
         map.append(*name, value.parse().expect("value"));
     }
@@ -8,7 +12,7 @@
 
 #[test]
 fn smuggling_shapes_are_unsound() {
-    assert!(super::sound(&head(&[("host", "a"), ("content-length", "3")])));
+    assert!(sound(&head(&[("host", "a"), ("content-length", "3")])));
     for bad in [
         vec![("host", "a"), ("content-length", "3"), ("content-length", "3")],
         vec![("host", "a"), ("content-length", "3"), ("transfer-encoding", "chunked")],
@@ -16,14 +20,14 @@
         vec![("host", "a"), ("host", "b")],
         vec![],
     ] {
-        assert!(!super::sound(&head(&bad)), "{bad:?}");
+        assert!(!sound(&head(&bad)), "{bad:?}");
     }
 }
 
 #[test]
 fn what_concerns_one_connection_is_not_passed_on() {
     let mut map = head(&[("connection", "close, x-hop"), ("x-hop", "1"), ("keep-alive", "3"), ("x-end", "2")]);
-    super::strip(&mut map);
+    strip(&mut map);
     assert_eq!(map.len(), 1);
     assert!(map.contains_key("x-end"));
 }
--- a/router/src/reuse_tests.rs
+++ b/router/src/reuse_tests.rs
@@ -1,6 +1,13 @@
 //! Connections that serve more than one request, to engines and from clients: nobody gets what is another's.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::time;
+
 use crate::stand_in::{answer, engines, events, sealed, seen, Act, Engine, Seen};
-use crate::stand_in_router::{ask, kept, post, router, status, Client};
+use crate::stand_in_router::{self, ask, kept, post, router, status, Client};
 
 /// An answer with a body that names its request.
 fn own(seen: &Seen) -> String {
@@ -42,7 +49,7 @@
 
 #[tokio::test]
 async fn bytes_that_come_while_a_connection_rests_end_it() {
-    let when = std::sync::Arc::new(tokio::sync::Notify::new());
+    let when = Arc::new(Notify::new());
     let now = when.clone();
     let list = engines("decode", 1, move |seen, before| match before {
         0 => Act::SendAndLater(own(seen), now.clone(), sealed("1", "200 OK", "for-1")),
@@ -70,7 +77,7 @@
         let state = router(&list[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
         kept(&state, 1).await;
-        crate::stand_in_router::list(&state, 2, &list);
+        stand_in_router::list(&state, 2, &list);
         state.engine_table.lock().expect("engine_table").list[1].full_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
@@ -125,7 +132,7 @@
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
     kept(&state, 1).await;
     list[0].id = "successor".into();
-    crate::stand_in_router::list(&state, 2, &list);
+    stand_in_router::list(&state, 2, &list);
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
     assert_eq!(connections(&list), [0, 1]);
 }
@@ -186,7 +193,7 @@
 #[tokio::test]
 async fn a_client_that_leaves_before_the_answer_takes_its_request_with_it() {
     for route in ["once", "again", "resume"] {
-        let asked = std::sync::Arc::new(tokio::sync::Notify::new());
+        let asked = Arc::new(Notify::new());
         let now = asked.clone();
         let list = engines("decode", 2, move |_, _| {
             now.notify_one();
@@ -211,6 +218,6 @@
             () = list[1].ended(1) => {}
         }
     };
-    let bound = std::time::Duration::from_secs(10);
-    tokio::time::timeout(bound, ended).await.expect("the engine's connection is closed");
+    let bound = Duration::from_secs(10);
+    time::timeout(bound, ended).await.expect("the engine's connection is closed");
 }
--- a/router/src/revocation_tests.rs
+++ b/router/src/revocation_tests.rs
@@ -1,18 +1,31 @@
 //! Keys that are revoked, or pass to another tenant, while their clients are connected and their requests wait.
+
+use std::sync::atomic::Ordering;
+use std::sync::{Arc, OnceLock};
+
+use bytes::Bytes;
+use kernel::clock;
+use tokio::task;
+
+use crate::authorization::{self, Authorization};
+use crate::pool::{Endpoint, SendError};
+use crate::request;
+use crate::send::{self, Outcome};
 use crate::stand_in::{answer, engines, events, held, not_executed, sealed, seen, Act, Engine, Seen, PROMPT};
 use crate::stand_in_router::{configure, post, router, status, Client};
+use crate::state::State;
 
 const KEYED: &str = "Authorization: Bearer k1\r\n";
 
 /// Brings a configuration into force in which tenant `one` has these keys and tenant `two` those.
-fn tenants(state: &crate::state::State, one: &[&str], two: &[&str]) {
+fn tenants(state: &State, one: &[&str], two: &[&str]) {
     let revision = state.table().revision + 1;
     let table = serde_json::json!([{"name": "one", "api_keys": one}, {"name": "two", "api_keys": two}]);
     configure(state, revision, serde_json::json!({"tenant_table": table}));
 }
 
 /// A router that the scripts of its engines can reach.
-type Cell = std::sync::Arc<std::sync::OnceLock<std::sync::Arc<crate::state::State>>>;
+type Cell = Arc<OnceLock<Arc<State>>>;
 
 /// Takes `k1` away: from everybody, or to give it to the other tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -143,7 +156,7 @@
         let played = lost_on_the_way(loss, "stream", PROMPT, |seen| Act::Send(held(seen))).await;
         assert_eq!(played.outcome(), ("503", 0), "{loss:?}: {}", played.text);
         while played.readers[0].seen().len() < 2 {
-            tokio::task::yield_now().await;
+            task::yield_now().await;
         }
         let read = played.readers[0].seen();
         assert_eq!(read[0].header("serving-phase"), Some("prefill"));
@@ -190,8 +203,8 @@
             let (first, last) = whole.split_at(whole.len() - 2);
             client.write(first).await;
             // Admitted: the body is waited for.
-            while !state.table().seen.load(std::sync::atomic::Ordering::Relaxed) {
-                tokio::task::yield_now().await;
+            while !state.table().seen.load(Ordering::Relaxed) {
+                task::yield_now().await;
             }
             loss.happen(&cell);
             client.write(last).await;
@@ -204,14 +217,14 @@
 }
 
 /// A request as it was admitted under the table of the moment.
-fn admitted(state: &crate::state::State) -> crate::request::Request {
+fn admitted(state: &State) -> request::Request {
     let request = http::Request::post("/once/x").header("authorization", "Bearer k1").body(()).expect("good");
     let (parts, ()) = request.into_parts();
     let table = state.table();
     let route = table.find("h", "/once/x").expect("there");
-    let key = crate::authorization::key(&parts.headers);
-    let authorization = crate::authorization::Authorization::grant(&table, route, key).expect("granted");
-    crate::request::Request::make(parts, bytes::Bytes::new(), authorization, 0, kernel::clock::now())
+    let key = authorization::key(&parts.headers);
+    let authorization = Authorization::grant(&table, route, key).expect("granted");
+    request::Request::make(parts, Bytes::new(), authorization, 0, clock::now())
 }
 
 #[tokio::test]
@@ -224,9 +237,9 @@
         tenants(&state, &["k1"], &["k2"]);
         let request = admitted(&state);
         loss.happen(&cell);
-        let to = crate::pool::Endpoint { addr: list[2].addr.clone(), engine: list[2].id.clone() };
-        let outcome = crate::send::send(&state, &request, 0, &to, 1, &Default::default(), 1000).await;
-        assert!(matches!(outcome, crate::send::Outcome::Unsent(crate::pool::SendError::Unauthorized)), "{loss:?}");
+        let to = Endpoint { addr: list[2].addr.clone(), engine: list[2].id.clone() };
+        let outcome = send::send(&state, &request, 0, &to, 1, &Default::default(), 1000).await;
+        assert!(matches!(outcome, Outcome::Unsent(SendError::Unauthorized)), "{loss:?}");
         assert_eq!(seen(&list).len(), 0);
     }
 }
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -1,15 +1,35 @@
 //! One send to one engine: what came of it is a value that says whether it may have run.
 
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http::header::{HOST, TRANSFER_ENCODING};
+use http::response::Parts;
+use http::{HeaderMap, HeaderValue, Method};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use kernel::clock;
+use load_balancing::floor::Limit;
+use protocol::word::{BUDGET, EXPECT, LAST, SOURCE, STAGE, TARGET, URGENCY};
+use tokio::time::{self, Instant};
+
+use crate::event::MISFIT;
+use crate::kv_handle::Handle;
+use crate::pool::{self, Connection, Endpoint, SendError};
+use crate::request;
+use crate::state::State;
+use crate::verdict::{self, Asked, Verdict};
+
 pub struct Answer {
-    pub head: http::response::Parts,
-    pub body: hyper::body::Incoming,
-    pub connection: crate::pool::Connection,
+    pub head: Parts,
+    pub body: Incoming,
+    pub connection: Connection,
 }
 
 pub enum Outcome {
     Answer(Box<Answer>),
     /// Nothing of it reached the engine.
-    Unsent(crate::pool::SendError),
+    Unsent(SendError),
     /// The engine says that it has not run.
     NotExecuted,
     /// It has not run, and the address is another engine's.
@@ -26,7 +46,7 @@
     pub budget_ms: u64,
     pub stage: bool,
     pub source: Option<String>,
-    pub last: Option<http::HeaderValue>,
+    pub last: Option<HeaderValue>,
     pub urgency: Option<u32>,
     /// The version that its weights must have.
     pub expect: Option<u64>,
@@ -40,68 +60,64 @@
         use hyper::body::Body;
         self.body.is_end_stream()
             || self.body.size_hint().exact().is_some()
-            || self.head.headers.contains_key(http::header::TRANSFER_ENCODING)
+            || self.head.headers.contains_key(TRANSFER_ENCODING)
     }
 }
 
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
-fn holds(state: &crate::state::State, service: u32, model: &str, extra: &Extra) -> bool {
+fn holds(state: &State, service: u32, model: &str, extra: &Extra) -> bool {
     let Some(route) = &extra.guard else { return true };
-    let limit = state.floors.lock().expect("floors").limit(service, model, route, kernel::clock::now());
+    let limit = state.floors.lock().expect("floors").limit(service, model, route, clock::now());
     match limit {
-        load_balancing::floor::Limit::Free => true,
-        load_balancing::floor::Limit::From(floor) => extra.expect.is_some_and(|version| version >= floor),
-        load_balancing::floor::Limit::Lapsed => false,
+        Limit::Free => true,
+        Limit::From(floor) => extra.expect.is_some_and(|version| version >= floor),
+        Limit::Lapsed => false,
     }
 }
 
-fn compose(
-    request: &crate::request::Request,
-    engine: &str,
-    extra: &Extra,
-) -> http::Request<http_body_util::Full<bytes::Bytes>> {
-    let mut outgoing = http::Request::new(http_body_util::Full::new(request.body.clone()));
+fn compose(request: &request::Request, engine: &str, extra: &Extra) -> http::Request<Full<Bytes>> {
+    let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.path.clone();
     let head = outgoing.headers_mut();
     *head = request.head.clone();
     let mut set = |name: &'static str, text: &str| {
-        if let Ok(value) = http::HeaderValue::from_str(text) {
+        if let Ok(value) = HeaderValue::from_str(text) {
             head.insert(name, value);
         }
     };
-    set(protocol::word::TARGET, engine);
-    set(protocol::word::BUDGET, &extra.budget_ms.to_string());
+    set(TARGET, engine);
+    set(BUDGET, &extra.budget_ms.to_string());
     if extra.stage {
-        set(protocol::word::STAGE, "prefill");
+        set(STAGE, "prefill");
     }
     if let Some(source) = &extra.source {
-        set(protocol::word::SOURCE, source);
+        set(SOURCE, source);
     }
     if let Some(urgency) = extra.urgency {
-        set(protocol::word::URGENCY, &urgency.to_string());
+        set(URGENCY, &urgency.to_string());
     }
     if let Some(version) = extra.expect {
-        set(protocol::word::EXPECT, &version.to_string());
+        set(EXPECT, &version.to_string());
     }
     if let Some(last) = &extra.last {
-        head.insert(protocol::word::LAST, last.clone());
+        head.insert(LAST, last.clone());
     }
     outgoing
 }
 
 /// `silence_ms`: how long the head of the answer may take.
 pub async fn send(
-    state: &crate::state::State,
-    request: &crate::request::Request,
+    state: &State,
+    request: &request::Request,
     service: u32,
-    to: &crate::pool::Endpoint,
+    to: &Endpoint,
     most: usize,
     extra: &Extra,
     silence_ms: u64,
 ) -> Outcome {
     let mut outgoing = compose(request, &to.engine, extra);
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(silence_ms);
+    let end = Instant::now() + Duration::from_millis(silence_ms);
     loop {
         let (mut connection, fresh) = match state.pools.idle(to) {
             Some(connection) => (connection, false),
@@ -114,12 +130,12 @@
             },
         };
         if !holds(state, service, &request.model, extra) {
-            return Outcome::Unsent(crate::pool::SendError::Behind);
+            return Outcome::Unsent(SendError::Behind);
         }
         if !request.authorization.holds(&state.table()) {
-            return Outcome::Unsent(crate::pool::SendError::Unauthorized);
+            return Outcome::Unsent(SendError::Unauthorized);
         }
-        let reply = match tokio::time::timeout_at(end, connection.try_send_request(outgoing)).await {
+        let reply = match time::timeout_at(end, connection.try_send_request(outgoing)).await {
             Err(_) => return Outcome::Lost,
             Ok(Ok(reply)) => reply,
             Ok(Err(mut error)) => match error.take_message() {
@@ -128,7 +144,7 @@
                     outgoing = back;
                     continue;
                 }
-                Some(_) => return Outcome::Unsent(crate::pool::SendError::Down),
+                Some(_) => return Outcome::Unsent(SendError::Down),
                 None => return Outcome::Lost,
             },
         };
@@ -138,49 +154,37 @@
 }
 
 /// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
-async fn judged(
-    state: &crate::state::State,
-    request: &crate::request::Request,
-    to: &crate::pool::Endpoint,
-    extra: &Extra,
-    answer: Answer,
-) -> Outcome {
-    let asked = crate::verdict::Asked { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
-    let outcome = match crate::verdict::judge(&answer.head, &asked) {
-        crate::verdict::Verdict::Executed => return Outcome::Answer(Box::new(answer)),
-        crate::verdict::Verdict::Foreign => {
+async fn judged(state: &State, request: &request::Request, to: &Endpoint, extra: &Extra, answer: Answer) -> Outcome {
+    let asked = Asked { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
+    let outcome = match verdict::judge(&answer.head, &asked) {
+        Verdict::Executed => return Outcome::Answer(Box::new(answer)),
+        Verdict::Foreign => {
             let status = answer.head.status.as_u16();
-            kernel::say!(crate::event::MISFIT, "engine" => to.engine.clone(), "status" => status);
+            kernel::say!(MISFIT, "engine" => to.engine.clone(), "status" => status);
             return Outcome::Lost;
         }
-        crate::verdict::Verdict::Unproven => Outcome::Lost,
-        crate::verdict::Verdict::NotExecuted => Outcome::NotExecuted,
-        crate::verdict::Verdict::OtherEngine => Outcome::OtherEngine,
-        crate::verdict::Verdict::OtherVersion(version) => Outcome::OtherVersion(version),
+        Verdict::Unproven => Outcome::Lost,
+        Verdict::NotExecuted => Outcome::NotExecuted,
+        Verdict::OtherEngine => Outcome::OtherEngine,
+        Verdict::OtherVersion(version) => Outcome::OtherVersion(version),
     };
     finish(state, to, answer).await;
     outcome
 }
 
 /// Reads the rest of an answer that nobody needs and takes the connection back.
-pub async fn finish(state: &crate::state::State, to: &crate::pool::Endpoint, answer: Answer) {
+pub async fn finish(state: &State, to: &Endpoint, answer: Answer) {
     let _ = whole(state, to, answer, 64 * 1024, 200).await;
 }
 
 /// Reads a small answer whole.
-pub async fn whole(
-    state: &crate::state::State,
-    to: &crate::pool::Endpoint,
-    answer: Answer,
-    most: usize,
-    wait_ms: u64,
-) -> Option<bytes::Bytes> {
+pub async fn whole(state: &State, to: &Endpoint, answer: Answer, most: usize, wait_ms: u64) -> Option<Bytes> {
     use http_body_util::BodyExt;
     let framed = answer.framed();
     let Answer { head, mut body, connection } = answer;
-    let end = tokio::time::Instant::now() + std::time::Duration::from_millis(wait_ms);
-    let mut text = bytes::BytesMut::new();
-    while let Some(frame) = tokio::time::timeout_at(end, body.frame()).await.ok()? {
+    let end = Instant::now() + Duration::from_millis(wait_ms);
+    let mut text = BytesMut::new();
+    while let Some(frame) = time::timeout_at(end, body.frame()).await.ok()? {
         if let Ok(data) = frame.ok()?.into_data() {
             text.extend_from_slice(&data);
         }
@@ -193,29 +197,24 @@
 }
 
 /// A connection whose answer was read to its end.
-pub async fn give_back(
-    state: &crate::state::State,
-    to: &crate::pool::Endpoint,
-    head: &http::HeaderMap,
-    mut connection: crate::pool::Connection,
-) {
-    if crate::pool::closes(head) {
+pub async fn give_back(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
+    if pool::closes(head) {
         return;
     }
-    let ready = tokio::time::timeout(std::time::Duration::from_millis(20), connection.ready()).await;
+    let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.pools.put(to, connection, crate::pool::keep(head));
+        state.pools.put(to, connection, pool::keep(head));
     }
 }
 
 /// Gives the memory of a handle free; tried once, since it lapses by itself.
-pub async fn free(state: &crate::state::State, handle: &crate::kv_handle::Handle, most: usize) {
-    let mut outgoing = http::Request::new(http_body_util::Full::new(bytes::Bytes::new()));
-    *outgoing.method_mut() = http::Method::DELETE;
+pub async fn free(state: &State, handle: &Handle, most: usize) {
+    let mut outgoing = http::Request::new(Full::new(Bytes::new()));
+    *outgoing.method_mut() = Method::DELETE;
     let Ok(path) = format!("/kv-handle/{}", handle.id).parse() else { return };
     *outgoing.uri_mut() = path;
-    if let Ok(host) = http::HeaderValue::from_str(&handle.reader.addr) {
-        outgoing.headers_mut().insert(http::header::HOST, host);
+    if let Ok(host) = HeaderValue::from_str(&handle.reader.addr) {
+        outgoing.headers_mut().insert(HOST, host);
     }
     let mut connection = match state.pools.idle(&handle.reader) {
         Some(connection) => connection,
@@ -224,10 +223,10 @@
             Err(_) => return,
         },
     };
-    let wait = std::time::Duration::from_millis(500);
-    let Ok(Ok(reply)) = tokio::time::timeout(wait, connection.send_request(outgoing)).await else { return };
+    let wait = Duration::from_millis(500);
+    let Ok(Ok(reply)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
     let (head, body) = reply.into_parts();
-    if !crate::verdict::answers(&head.headers, None) {
+    if !verdict::answers(&head.headers, None) {
         // Another outgoing's: the answer to this one would be the next that comes.
         return;
     }
--- a/router/src/server.rs
+++ b/router/src/server.rs
@@ -1,8 +1,29 @@
 //! Where clients and the platform come in.
 
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{Request, Response, StatusCode};
+use http_body_util::Empty;
+use hyper::body::Incoming;
+use hyper::server::conn::http1::Builder;
+use hyper::service;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use kernel::env::Env;
+use prometheus_client::metrics::gauge::Gauge;
+use protocol::sock;
+use tokio::net::TcpStream;
+
+use crate::admission;
 use crate::drain::Phase;
+use crate::frames::{Look, Stream};
+use crate::metrics::{Connection, InPhase};
 use crate::state::State;
-use std::sync::Arc;
+use crate::table::Table;
 
 /// Connections that ask for readiness at once.
 const READINESS_CONNECTIONS: usize = 64;
@@ -18,27 +39,27 @@
 /// A kept connection may stay idle for so long at least.
 const SHORTEST_IDLE_MS: u64 = 1000;
 
-fn most_connections(env: &kernel::env::Env) -> usize {
+fn most_connections(env: &Env) -> usize {
     (env.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(FEWEST_CONNECTIONS) as usize
 }
 
 /// Answers the platform's calls for readiness.
 pub async fn readiness(state: Arc<State>) {
     let Some(addr) = state.env.bind_addresses.readiness.clone() else { return };
-    protocol::sock::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
+    sock::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
-async fn answer_readiness(state: Arc<State>, stream: tokio::net::TcpStream) {
-    let service = hyper::service::service_fn(move |_: http::Request<hyper::body::Incoming>| {
-        let mut response = http::Response::new(http_body_util::Empty::<bytes::Bytes>::new());
+async fn answer_readiness(state: Arc<State>, stream: TcpStream) {
+    let service = service::service_fn(move |_: Request<Incoming>| {
+        let mut response = Response::new(Empty::<Bytes>::new());
         if !state.is_ready() {
             state.metrics.readiness_checks_failed.inc();
-            *response.status_mut() = http::StatusCode::SERVICE_UNAVAILABLE;
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
-        async move { Ok::<_, std::convert::Infallible>(response) }
+        async move { Ok::<_, Infallible>(response) }
     });
-    let io = hyper_util::rt::TokioIo::new(stream);
-    let _ = hyper::server::conn::http1::Builder::new().serve_connection(io, service).await;
+    let io = TokioIo::new(stream);
+    let _ = Builder::new().serve_connection(io, service).await;
 }
 
 /// Serves clients until the router closes; then nobody listens any more.
@@ -46,23 +67,23 @@
     let Some(addr) = state.env.bind_addresses.frontend.clone() else { return };
     let room = most_connections(&state.env);
     tokio::select! {
-        () = protocol::sock::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
+        () = sock::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
         () = state.drain.closing() => {}
     }
 }
 
 /// Serves one client's connection until it ends.
-pub async fn client(state: Arc<State>, stream: tokio::net::TcpStream) {
+pub async fn client(state: Arc<State>, stream: TcpStream) {
     state.drain.follow_connection(serve_connection(state.clone(), stream)).await;
 }
 
 /// One client's connection, counted while it is open.
-struct OpenConnection(prometheus_client::metrics::gauge::Gauge);
+struct OpenConnection(Gauge);
 
 impl OpenConnection {
     fn count(state: &State) -> OpenConnection {
         let phase = state.drain.phase();
-        state.metrics.connections_accepted.get_or_create(&crate::metrics::InPhase { phase }).inc();
+        state.metrics.connections_accepted.get_or_create(&InPhase { phase }).inc();
         let gauge = state.metrics.connections_open.clone();
         gauge.inc();
         OpenConnection(gauge)
@@ -76,30 +97,30 @@
 }
 
 /// What the configuration of now says about clients' connections.
-fn http_settings(table: &crate::table::Table) -> hyper::server::conn::http1::Builder {
-    let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(hyper_util::rt::TokioTimer::new());
+fn http_settings(table: &Table) -> Builder {
+    let mut builder = Builder::new();
+    builder.timer(TokioTimer::new());
     builder.keep_alive(true).max_buf_size(table.header_bytes.max(HEAD_BUFFER_BYTES) + BODY_BUFFER_BYTES);
     // Also bounds how long a kept connection may stay idle.
     let wait_ms = table.idle_ms.max(table.header_ms).max(SHORTEST_IDLE_MS);
-    builder.header_read_timeout(std::time::Duration::from_millis(wait_ms));
+    builder.header_read_timeout(Duration::from_millis(wait_ms));
     if table.header_bytes > 0 {
         builder.max_header_size(table.header_bytes);
     }
     builder
 }
 
-async fn serve_connection(state: Arc<State>, stream: tokio::net::TcpStream) {
-    protocol::sock::tune(&stream, CLIENT_SILENCE_MS);
+async fn serve_connection(state: Arc<State>, stream: TcpStream) {
+    sock::tune(&stream, CLIENT_SILENCE_MS);
     let _open = OpenConnection::count(&state);
-    let look = crate::frames::Look::new();
-    let io = hyper_util::rt::TokioIo::new(crate::frames::Stream::new(stream, look.clone()));
+    let look = Look::new();
+    let io = TokioIo::new(Stream::new(stream, look.clone()));
     let inner = state.clone();
-    let connection = std::cell::Cell::new(crate::metrics::Connection::New);
-    let service = hyper::service::service_fn(move |request| {
+    let connection = Cell::new(Connection::New);
+    let service = service::service_fn(move |request| {
         let (state, look) = (inner.clone(), look.clone());
-        let connection = connection.replace(crate::metrics::Connection::Kept);
-        async move { Ok::<_, std::convert::Infallible>(crate::admission::serve(state, request, &look, connection).await) }
+        let connection = connection.replace(Connection::Kept);
+        async move { Ok::<_, Infallible>(admission::serve(state, request, &look, connection).await) }
     });
     let served = http_settings(&state.table()).serve_connection(io, service);
     tokio::pin!(served);
@@ -114,6 +135,6 @@
 impl State {
     /// Does the platform get a 200?
     pub fn is_ready(&self) -> bool {
-        self.ready.load(std::sync::atomic::Ordering::Relaxed) && self.drain.phase() == Phase::Serving
+        self.ready.load(Ordering::Relaxed) && self.drain.phase() == Phase::Serving
     }
 }
--- a/router/src/stand_in.rs
+++ b/router/src/stand_in.rs
@@ -1,7 +1,17 @@
 //! Engines in the test's own process, on real connections over the loopback.
 
-pub use crate::stand_in_answers::*;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use protocol::{msg, sock};
+use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::watch::{self, Receiver};
+use tokio::sync::Notify;
+
+pub use crate::stand_in_answers::*;
 
 /// A request as an engine saw it.
 #[derive(Clone, Debug)]
@@ -37,12 +47,12 @@
     /// Sends these bytes and resets the connection.
     SendAndReset(String),
     /// Sends these bytes, and the others once the test says so.
-    SendAndLater(String, std::sync::Arc<tokio::sync::Notify>, String),
+    SendAndLater(String, Arc<Notify>, String),
     /// Says nothing and keeps the connection open.
     Silence,
 }
 
-type Script = std::sync::Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
+type Script = Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
 
 /// Engines that follow one script, which is also told how many requests came before to any of them.
 pub async fn engines(
@@ -50,20 +60,20 @@
     count: usize,
     script: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
 ) -> Vec<Engine> {
-    let script = std::sync::Arc::new(script);
-    let before = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let script = Arc::new(script);
+    let before = Arc::new(AtomicUsize::new(0));
     let mut list = Vec::new();
     for at in 0..count {
         let (script, before) = (script.clone(), before.clone());
-        let each = move |seen: &Seen| script(seen, before.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
+        let each = move |seen: &Seen| script(seen, before.fetch_add(1, Ordering::Relaxed));
         list.push(Engine::start(&format!("{phase}-{at}"), phase, each).await);
     }
     list
 }
 
 /// An engine that answers with the head of a stream, and sends the rest once the test says so.
-pub async fn waiting_engine() -> (Vec<Engine>, std::sync::Arc<tokio::sync::Notify>) {
-    let go_on = std::sync::Arc::new(tokio::sync::Notify::new());
+pub async fn waiting_engine() -> (Vec<Engine>, Arc<Notify>) {
+    let go_on = Arc::new(Notify::new());
     let later = go_on.clone();
     let list = engines("decode", 1, move |seen, _| {
         let (head, rest) = head_and_rest(seen);
@@ -77,16 +87,16 @@
     engines.iter().flat_map(Engine::seen).collect()
 }
 
-type Probes = std::sync::Arc<std::sync::atomic::AtomicUsize>;
+type Probes = Arc<AtomicUsize>;
 
 /// An engine that follows a script. Probes (`GET /report`) are answered and only counted.
 pub struct Engine {
     pub id: String,
     pub addr: String,
     pub phase: &'static str,
-    seen: std::sync::Arc<std::sync::Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<Seen>>>,
     probes: Probes,
-    ended: tokio::sync::watch::Receiver<usize>,
+    ended: Receiver<usize>,
 }
 
 impl Engine {
@@ -102,15 +112,15 @@
         script: impl Fn(&Seen) -> Act + Send + Sync + 'static,
     ) -> Engine {
         let greeting = greeting.to_string();
-        let listener = protocol::sock::listen("127.0.0.1:0").expect("a free port");
+        let listener = sock::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address").to_string();
-        let seen = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
-        let (end, ended) = tokio::sync::watch::channel(0);
+        let seen = Arc::new(Mutex::new(Vec::new()));
+        let (end, ended) = watch::channel(0);
         let probes = Probes::default();
         let engine = Engine { id: id.into(), addr, phase, seen: seen.clone(), probes: probes.clone(), ended };
-        let script: Script = std::sync::Arc::new(script);
+        let script: Script = Arc::new(script);
         tokio::spawn(async move {
-            let end = std::sync::Arc::new(end);
+            let end = Arc::new(end);
             for connection in 0.. {
                 let Ok((mut stream, _)) = listener.accept().await else { return };
                 let _ = stream.write_all(greeting.as_bytes()).await;
@@ -132,7 +142,7 @@
 
     /// How often it was asked for a report.
     pub fn probes(&self) -> usize {
-        self.probes.load(std::sync::atomic::Ordering::Relaxed)
+        self.probes.load(Ordering::Relaxed)
     }
 
     /// Waits until so many connections have ended, probes apart.
@@ -142,8 +152,8 @@
     }
 
     /// Its line in the platform's list.
-    pub fn entry(&self) -> protocol::msg::Engine {
-        protocol::msg::Engine {
+    pub fn entry(&self) -> msg::Engine {
+        msg::Engine {
             id: self.id.clone(),
             service: "s".into(),
             addr: self.addr.clone(),
@@ -159,16 +169,16 @@
 
 /// Serves a connection to its end. False: it was a probe's.
 async fn follow(
-    mut stream: tokio::net::TcpStream,
+    mut stream: TcpStream,
     connection: usize,
     script: Script,
-    seen: std::sync::Arc<std::sync::Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<Seen>>>,
     probes: Probes,
 ) -> bool {
     let mut unread = Vec::new();
     while let Some((head, body)) = request(&mut stream, &mut unread).await {
         if head.starts_with("GET /report") {
-            probes.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            probes.fetch_add(1, Ordering::Relaxed);
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}").await;
             return false;
         }
@@ -184,7 +194,7 @@
             }
             Act::SendAndReset(text) => {
                 let _ = stream.write_all(text.as_bytes()).await;
-                let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
+                let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 return true;
             }
             Act::SendAndLater(text, when, later) => {
@@ -199,7 +209,7 @@
 }
 
 /// The next request on a connection: its head and its body. None: the connection ended.
-async fn request(stream: &mut tokio::net::TcpStream, unread: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+async fn request(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     let end = loop {
         if let Some(at) = unread.windows(4).position(|four| four == b"\r\n\r\n") {
             break at + 4;
--- a/router/src/stand_in_controller.rs
+++ b/router/src/stand_in_controller.rs
@@ -1,5 +1,19 @@
 //! Controllers in the test's own process, each at an address of its own on the loopback.
 
+use std::iter;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use protocol::change::Change;
+use protocol::config::Config;
+use protocol::link::{self, Handler, Mouth};
+use protocol::msg::{Follow, Msg, News, Sheet};
+use protocol::renewal::{Confirmation, Renewed};
+use protocol::sock;
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+use tokio::time::{self, Instant};
+
 /// What a controller does with the calls of routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
@@ -17,51 +31,46 @@
 
 struct Inner {
     manner: Manner,
-    config: protocol::config::Config,
+    config: Config,
     calls: usize,
-    routers: Vec<protocol::link::Mouth>,
+    routers: Vec<Mouth>,
 }
 
 /// A controller with a configuration of its own.
 pub struct Controller {
     pub ip: String,
-    inner: std::sync::Arc<std::sync::Mutex<Inner>>,
-    called: std::sync::Arc<tokio::sync::Notify>,
+    inner: Arc<Mutex<Inner>>,
+    called: Arc<Notify>,
 }
 
 /// Controllers that listen on one port, as those of a deployment do, and that port.
-pub fn controllers(count: u8, config: &protocol::config::Config) -> (Vec<Controller>, u16) {
+pub fn controllers(count: u8, config: &Config) -> (Vec<Controller>, u16) {
     let ips: Vec<String> = (1..=count).map(|number| format!("127.0.0.{number}")).collect();
     loop {
-        let first = protocol::sock::listen("127.0.0.1:0").expect("a free port");
+        let first = sock::listen("127.0.0.1:0").expect("a free port");
         let port = first.local_addr().expect("its address").port();
-        let others = ips[1..].iter().map(|ip| protocol::sock::listen(&format!("{ip}:{port}")));
+        let others = ips[1..].iter().map(|ip| sock::listen(&format!("{ip}:{port}")));
         // Somebody else may have the port at another address.
         let Ok(others) = others.collect::<Result<Vec<_>, _>>() else { continue };
-        let listeners = std::iter::once(first).chain(others);
+        let listeners = iter::once(first).chain(others);
         let controllers = ips.iter().zip(listeners).map(|(ip, listener)| Controller::start(ip, &ips, listener, config));
         return (controllers.collect(), port);
     }
 }
 
 impl Controller {
-    fn start(
-        ip: &str,
-        all: &[String],
-        listener: tokio::net::TcpListener,
-        config: &protocol::config::Config,
-    ) -> Controller {
+    fn start(ip: &str, all: &[String], listener: TcpListener, config: &Config) -> Controller {
         let inner = Inner { manner: Manner::Confirming, config: config.clone(), calls: 0, routers: Vec::new() };
-        let inner = std::sync::Arc::new(std::sync::Mutex::new(inner));
-        let called = std::sync::Arc::new(tokio::sync::Notify::new());
+        let inner = Arc::new(Mutex::new(inner));
+        let called = Arc::new(Notify::new());
         let (held, told, all) = (inner.clone(), called.clone(), all.to_vec());
-        let handler: protocol::link::Handler = std::sync::Arc::new(move |mouth, id, msg| {
-            if let protocol::msg::Msg::Follow(follow) = msg {
+        let handler: Handler = Arc::new(move |mouth, id, msg| {
+            if let Msg::Follow(follow) = msg {
                 held.lock().expect("inner").answer(&mouth, id, &follow, &all);
                 told.notify_waiters();
             }
         });
-        tokio::spawn(protocol::link::serve(listener, handler));
+        tokio::spawn(link::serve(listener, handler));
         Controller { ip: ip.into(), inner, called }
     }
 
@@ -74,12 +83,12 @@
     }
 
     /// A newer configuration is committed; nothing is pushed.
-    pub fn commit(&self, config: &protocol::config::Config) {
+    pub fn commit(&self, config: &Config) {
         self.inner.lock().expect("inner").config = config.clone();
     }
 
     /// Pushes a message to every router that called.
-    pub fn push(&self, msg: &protocol::msg::Msg) {
+    pub fn push(&self, msg: &Msg) {
         for router in &self.inner.lock().expect("inner").routers {
             router.cast(msg);
         }
@@ -87,41 +96,38 @@
 
     /// Waits until it was called so often, but not without end.
     pub async fn called(&self, times: usize) {
-        let end = tokio::time::Instant::now() + std::time::Duration::from_secs(20);
+        let end = Instant::now() + Duration::from_secs(20);
         loop {
             let called = self.called.notified();
             if self.calls() >= times {
                 return;
             }
-            tokio::time::timeout_at(end, called).await.expect("called in time");
+            time::timeout_at(end, called).await.expect("called in time");
         }
     }
 }
 
 impl Inner {
-    fn answer(&mut self, mouth: &protocol::link::Mouth, id: u64, follow: &protocol::msg::Follow, all: &[String]) {
+    fn answer(&mut self, mouth: &Mouth, id: u64, follow: &Follow, all: &[String]) {
         self.calls += 1;
         self.routers.push(mouth.clone());
         if self.manner == Manner::Frozen {
             return;
         }
-        let change = protocol::change::Change::whole(&self.config);
+        let change = Change::whole(&self.config);
         if follow.config < change.to && self.manner != Manner::LosingFrames {
-            mouth.cast(&protocol::msg::Msg::Change(Box::new(change.write())));
+            mouth.cast(&Msg::Change(Box::new(change.write())));
         }
-        let sheet = protocol::msg::Sheet { zone: "a".into(), turn: 1, ..Default::default() };
+        let sheet = Sheet { zone: "a".into(), turn: 1, ..Default::default() };
         let sure = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
-        let news = protocol::msg::News { sure, peers: all.to_vec(), sheets: vec![sheet], ..Default::default() };
+        let news = News { sure, peers: all.to_vec(), sheets: vec![sheet], ..Default::default() };
         if self.manner == Manner::Older {
-            mouth.reply(id, &protocol::msg::Msg::News(Box::new(news)));
+            mouth.reply(id, &Msg::News(Box::new(news)));
             return;
         }
-        let confirmation = protocol::renewal::Confirmation { age_ms: 0, config: self.config.revision };
+        let confirmation = Confirmation { age_ms: 0, config: self.config.revision };
         let confirmation = sure.then_some(confirmation);
         let members = all.iter().skip(1).cloned().collect();
-        mouth.reply(
-            id,
-            &protocol::msg::Msg::Renewed(Box::new(protocol::renewal::Renewed { news, confirmation, members })),
-        );
+        mouth.reply(id, &Msg::Renewed(Box::new(Renewed { news, confirmation, members })));
     }
 }
--- a/router/src/stand_in_router.rs
+++ b/router/src/stand_in_router.rs
@@ -1,6 +1,19 @@
 //! A router in the test's own process, and clients of it, on real connections over the loopback.
-use crate::stand_in::Engine;
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+use kernel::{clock, env};
+use protocol::msg::Sheet;
+use protocol::sock;
+use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::task;
+
+use crate::stand_in::Engine;
+use crate::state::State;
+use crate::{config, server};
 
 pub const SETTINGS: &str = r#"
 node_name = "edge-1"
@@ -14,12 +27,12 @@
 "#;
 
 /// A ready router with one route of each kind to one service.
-pub fn router(engines: &[Engine]) -> std::sync::Arc<crate::state::State> {
+pub fn router(engines: &[Engine]) -> Arc<State> {
     router_holding(engines, 5.0)
 }
 
 /// One whose engines hold the memory of a prompt for so long.
-pub fn router_holding(engines: &[Engine], hold_s: f64) -> std::sync::Arc<crate::state::State> {
+pub fn router_holding(engines: &[Engine], hold_s: f64) -> Arc<State> {
     let state = unproved_router(engines, hold_s);
     // Nothing is ever in force in these tests that this router does not hold.
     state.currency.prove(i64::MAX);
@@ -27,22 +40,22 @@
 }
 
 /// One that does not know whether its configuration is current.
-pub fn unproved_router(engines: &[Engine], hold_s: f64) -> std::sync::Arc<crate::state::State> {
+pub fn unproved_router(engines: &[Engine], hold_s: f64) -> Arc<State> {
     unproved_router_of(SETTINGS, engines, hold_s)
 }
 
 /// One with these settings that does not know whether its configuration is current.
-pub fn unproved_router_of(settings: &str, engines: &[Engine], hold_s: f64) -> std::sync::Arc<crate::state::State> {
-    let state = crate::state::State::new(kernel::env::parse(settings).expect("good settings"));
+pub fn unproved_router_of(settings: &str, engines: &[Engine], hold_s: f64) -> Arc<State> {
+    let state = State::new(env::parse(settings).expect("good settings"));
     let service = serde_json::json!([{"name": "s", "engine": {"kv_hold_s": hold_s}}]);
     configure(&state, 1, serde_json::json!({"service_table": service}));
     list(&state, 1, engines);
-    state.ready.store(true, std::sync::atomic::Ordering::Relaxed);
+    state.ready.store(true, Ordering::Relaxed);
     state
 }
 
 /// Brings a whole configuration into force: the usual one, with the tables of `more` in place of its own.
-pub fn configure(state: &crate::state::State, revision: u64, more: serde_json::Value) {
+pub fn configure(state: &State, revision: u64, more: Value) {
     let mut config = serde_json::json!({"revision": revision,
         "service_table": [{"name": "s", "engine": {"kv_hold_s": 5.0}}],
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000,
@@ -51,36 +64,36 @@
             route("stream", "streaming", false), route("resume", "streaming", true)]});
     let (tables, more) = (config.as_object_mut().expect("tables"), more.as_object().expect("tables").clone());
     tables.extend(more);
-    crate::config::config(state, revision, config.to_string().as_bytes());
+    config::config(state, revision, config.to_string().as_bytes());
     assert_eq!(state.table().revision, revision, "in force");
 }
 
 /// A route of the usual configuration; its paths begin with its name.
-pub fn route(name: &str, kind: &str, resumable: bool) -> serde_json::Value {
+pub fn route(name: &str, kind: &str, resumable: bool) -> Value {
     serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"), "route_type": kind,
         "timeout_ms": 20000, "target_ms": 1000, "retry_count": 2, "service": "s", "resumable": resumable})
 }
 
 /// Tells the router which engines there are.
-pub fn list(state: &crate::state::State, count: u64, engines: &[Engine]) {
+pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let sheet = protocol::msg::Sheet { zone: "a".into(), turn: 1, count, list };
-    state.engine_table.lock().expect("engine_table").take(&sheet, kernel::clock::now());
+    let sheet = Sheet { zone: "a".into(), turn: 1, count, list };
+    state.engine_table.lock().expect("engine_table").take(&sheet, clock::now());
 }
 
 /// A client's connection to a router.
-pub struct Client(pub tokio::net::TcpStream);
+pub struct Client(pub TcpStream);
 
 impl Client {
-    pub async fn connect(state: &std::sync::Arc<crate::state::State>) -> Client {
-        let listener = protocol::sock::listen("127.0.0.1:0").expect("a free port");
+    pub async fn connect(state: &Arc<State>) -> Client {
+        let listener = sock::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address");
         let state = state.clone();
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.expect("a client");
-            crate::server::client(state, stream).await;
+            server::client(state, stream).await;
         });
-        Client(tokio::net::TcpStream::connect(addr).await.expect("connected"))
+        Client(TcpStream::connect(addr).await.expect("connected"))
     }
 
     pub async fn write(&mut self, text: &str) {
@@ -110,16 +123,16 @@
 }
 
 /// One request on a connection of its own, and all that came back.
-pub async fn ask(state: &std::sync::Arc<crate::state::State>, route: &str, attempt: &str, more: &str) -> String {
+pub async fn ask(state: &Arc<State>, route: &str, attempt: &str, more: &str) -> String {
     let mut client = Client::connect(state).await;
     client.write(&post(route, attempt, &format!("Connection: close\r\n{more}"))).await;
     client.rest().await
 }
 
 /// Waits until the router holds so many kept connections to engines.
-pub async fn kept(state: &crate::state::State, count: usize) {
+pub async fn kept(state: &State, count: usize) {
     while state.pools.ready_count() != count {
-        tokio::task::yield_now().await;
+        task::yield_now().await;
     }
 }
 
--- a/router/src/stream.rs
+++ b/router/src/stream.rs
@@ -1,10 +1,15 @@
 //! Cutting a stream of events at its joints, so that only whole events are passed on.
 
+use std::str;
+
+use bytes::{Bytes, BytesMut};
+use kernel::clock;
+
 /// Invariant: what `feed` gave out ends at the end of an event; `rest` holds the bytes of an event
 /// that is not whole; `last` is the id of the last event given out; `torn` once this does not hold any more.
 #[derive(Default)]
 pub struct Splitter {
-    rest: bytes::BytesMut,
+    rest: BytesMut,
     pub last: Option<String>,
     pub events: u64,
     torn: bool,
@@ -19,7 +24,7 @@
 const MOST: usize = 256 * 1024;
 
 impl Splitter {
-    pub fn feed(&mut self, data: &[u8]) -> bytes::Bytes {
+    pub fn feed(&mut self, data: &[u8]) -> Bytes {
         let scan = self.rest.len().saturating_sub(3);
         self.rest.extend_from_slice(data);
         let Some(end) = joint(&self.rest, scan) else {
@@ -27,7 +32,7 @@
                 self.torn = true;
                 return self.rest.split().freeze();
             }
-            return bytes::Bytes::new();
+            return Bytes::new();
         };
         let out = self.rest.split_to(end).freeze();
         self.note(&out);
@@ -48,11 +53,11 @@
                 self.events += 1;
             }
             let Some(id) = line.strip_prefix(b"id:") else { continue };
-            if let Ok(text) = std::str::from_utf8(id) {
+            if let Ok(text) = str::from_utf8(id) {
                 self.last = Some(text.trim().to_string());
             }
         }
-        self.note_time(kernel::clock::now());
+        self.note_time(clock::now());
     }
 
     fn note_time(&mut self, now: u64) {
@@ -73,7 +78,7 @@
     }
 
     /// What is left at the end of a body that ended as it should.
-    pub fn end(&mut self) -> bytes::Bytes {
+    pub fn end(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 
--- a/router/src/stream_end_tests.rs
+++ b/router/src/stream_end_tests.rs
@@ -1,12 +1,13 @@
 //! Answers that break off, and streams that go on at another engine.
-use crate::stand_in::{answer, engines, events, seen, Act};
+
+use crate::stand_in::{answer, engines, events, seen, Act, Seen};
 use crate::stand_in_router::{ask, router};
 
 const UNREPEATABLE: [&str; 2] = ["once", "stream"];
 
 #[tokio::test]
 async fn an_answer_that_ends_early_does_not_look_complete() {
-    let faults: [fn(&crate::stand_in::Seen) -> Act; 4] = [
+    let faults: [fn(&Seen) -> Act; 4] = [
         |seen| Act::SendAndClose(events(seen, 1, 3, false)),
         |seen| Act::SendAndReset(events(seen, 1, 3, false)),
         |seen| Act::SendAndClose(format!("{}5\r\nid: ", events(seen, 1, 3, false))),
@@ -61,7 +62,7 @@
 
 #[tokio::test]
 async fn a_stream_is_not_joined_with_what_is_no_engines_stream() {
-    let joins: [fn(&crate::stand_in::Seen) -> String; 3] = [
+    let joins: [fn(&Seen) -> String; 3] = [
         |seen| events(seen, 2, 4, true).replace("Response-Seal", "Other"),
         |seen| events(seen, 2, 4, true).replace("Attempt-Id: 1", "Attempt-Id: 2"),
         |seen| answer(seen, "500 Internal Server Error", "id: 2\n\n"),
--- a/router/src/stream_tests.rs
+++ b/router/src/stream_tests.rs
@@ -1,8 +1,10 @@
+use super::Splitter;
+
 #[test]
 fn only_whole_events_come_out_however_the_bytes_arrive() {
     let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c";
     for step in 1..text.len() {
-        let mut split = super::Splitter::default();
+        let mut split = Splitter::default();
         let mut out = Vec::new();
         for piece in text.chunks(step) {
             out.extend_from_slice(&split.feed(piece));
@@ -16,7 +18,7 @@
 
 #[test]
 fn a_cut_event_is_thrown_away() {
-    let mut split = super::Splitter::default();
+    let mut split = Splitter::default();
     split.feed(b"id: 1\ndata: a\n\nid: 2\nda");
     split.cut();
     assert_eq!(&split.feed(b"id: 2\ndata: b\n\n")[..], b"id: 2\ndata: b\n\n");
--- a/router/src/table.rs
+++ b/router/src/table.rs
@@ -1,5 +1,17 @@
 //! The configuration in force, made for look-ups: names are dense indices from here on.
 
+use std::cmp::Reverse;
+use std::collections::HashMap;
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+
+use load_balancing::engine_table::EngineTable;
+use protocol::change::Change;
+use protocol::config;
+
+use crate::duration_estimate::DurationEstimate;
+use crate::tenants::Tenants;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Idempotent,
@@ -22,7 +34,7 @@
     /// Served without a key.
     pub anonymous: bool,
     /// Of its requests at this router, across changes of the route.
-    pub durations: std::sync::Arc<crate::duration_estimate::DurationEstimate>,
+    pub durations: Arc<DurationEstimate>,
 }
 
 impl Route {
@@ -44,25 +56,24 @@
 pub struct Table {
     pub revision: u64,
     /// Has a request been read under it yet?
-    pub seen: std::sync::atomic::AtomicBool,
-    hosts: std::collections::HashMap<std::sync::Arc<str>, Vec<std::sync::Arc<Route>>>,
-    names: std::collections::HashMap<std::sync::Arc<str>, std::sync::Arc<str>>,
-    pub services: std::collections::HashMap<u32, Service>,
-    pub tenants: std::sync::Arc<crate::tenants::Tenants>,
+    pub seen: AtomicBool,
+    hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
+    names: HashMap<Arc<str>, Arc<str>>,
+    pub services: HashMap<u32, Service>,
+    pub tenants: Arc<Tenants>,
     pub header_bytes: usize,
     pub body_bytes: usize,
     pub header_ms: u64,
     pub idle_ms: u64,
 }
 
-fn route(item: &protocol::config::Route, engine_table: &mut load_balancing::engine_table::EngineTable) -> Route {
+fn route(item: &config::Route, engine_table: &mut EngineTable) -> Route {
     let kind = match item.route_type.as_str() {
         "idempotent" => Kind::Idempotent,
         "streaming" => Kind::Streaming,
         _ => Kind::NonIdempotent,
     };
-    let targets =
-        protocol::config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
+    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
@@ -79,7 +90,7 @@
     }
 }
 
-fn service(item: &protocol::config::Service) -> Service {
+fn service(item: &config::Service) -> Service {
     let engine = item.engine.as_ref();
     Service {
         connections: item.max_connections,
@@ -90,11 +101,7 @@
 
 impl Table {
     /// The table after a change. None: it is no newer, or counts on top of another revision than this.
-    pub fn turn(
-        &self,
-        change: &protocol::change::Change,
-        engine_table: &mut load_balancing::engine_table::EngineTable,
-    ) -> Option<Table> {
+    pub fn turn(&self, change: &Change, engine_table: &mut EngineTable) -> Option<Table> {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return None;
         }
@@ -104,7 +111,7 @@
             body_bytes: change.limits.max_body_bytes as usize,
             header_ms: change.limits.header_timeout_ms,
             idle_ms: change.limits.idle_timeout_ms,
-            tenants: crate::tenants::Tenants::after(&self.tenants, change),
+            tenants: Tenants::after(&self.tenants, change),
             ..Table::default()
         };
         if change.from != 0 {
@@ -116,12 +123,12 @@
             next.remove(name);
         }
         for item in &change.routes {
-            let host: std::sync::Arc<str> = item.hostname.to_ascii_lowercase().into();
+            let host: Arc<str> = item.hostname.to_ascii_lowercase().into();
             next.names.insert(item.name.as_str().into(), host.clone());
             let durations = self.route(&item.name).map_or_else(Default::default, |held| held.durations.clone());
             let list = next.hosts.entry(host).or_default();
-            list.push(std::sync::Arc::new(Route { durations, ..route(item, engine_table) }));
-            list.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            list.push(Arc::new(Route { durations, ..route(item, engine_table) }));
+            list.sort_by_key(|route| Reverse(route.prefix.len()));
         }
         for name in &change.lost {
             next.services.remove(&engine_table.service(name));
@@ -141,13 +148,13 @@
         }
     }
 
-    pub fn find(&self, host: &str, path: &str) -> Option<&std::sync::Arc<Route>> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
         let list = self.hosts.get(host.as_str()).or_else(|| self.hosts.get(host.rsplit_once(':')?.0))?;
         list.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    pub fn route(&self, name: &str) -> Option<&std::sync::Arc<Route>> {
+    pub fn route(&self, name: &str) -> Option<&Arc<Route>> {
         let list = self.hosts.get(self.names.get(name)?)?;
         list.iter().find(|route| route.name == name)
     }
--- a/router/src/table_tests.rs
+++ b/router/src/table_tests.rs
@@ -1,23 +1,30 @@
-fn config(revision: u64, routes: &[(&str, &str, &str)]) -> protocol::config::Config {
+use kernel::clock::Dice;
+use load_balancing::engine_table::EngineTable;
+use protocol::change::Change;
+use protocol::config::{read, Config};
+
+use super::{split, Table};
+
+fn config(revision: u64, routes: &[(&str, &str, &str)]) -> Config {
     let route = |(name, prefix, service): &(&str, &str, &str)| {
         serde_json::json!({"name": name, "hostname": "A.example", "path_prefix": prefix, "route_type": "streaming",
             "timeout_ms": 5, "service": service})
     };
     let text = serde_json::json!({"revision": revision, "route_table": routes.iter().map(route).collect::<Vec<_>>(),
         "service_table": [{"name": "s"}, {"name": "t"}, {"name": "u"}]});
-    protocol::config::read(&text.to_string()).expect("good")
+    read(&text.to_string()).expect("good")
 }
 
 const FIRST: [(&str, &str, &str); 3] = [("1", "/", "s"), ("2", "/x/y/", "t"), ("3", "/x/", "u")];
 
-fn made(engine_table: &mut load_balancing::engine_table::EngineTable) -> super::Table {
-    let whole = protocol::change::Change::whole(&config(1, &FIRST));
-    super::Table::default().turn(&whole, engine_table).expect("newer")
+fn made(engine_table: &mut EngineTable) -> Table {
+    let whole = Change::whole(&config(1, &FIRST));
+    Table::default().turn(&whole, engine_table).expect("newer")
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let mut engine_table = load_balancing::engine_table::EngineTable::default();
+    let mut engine_table = EngineTable::default();
     let table = made(&mut engine_table);
     let service = |host: &str, path: &str| table.find(host, path).map(|route| route.targets[0].0);
     assert_eq!(service("a.example", "/x/y/z"), Some(engine_table.service("t")));
@@ -28,8 +35,8 @@
 
 #[test]
 fn a_chain_of_changes_gives_the_table_that_the_whole_gives() {
-    let mut engine_table = load_balancing::engine_table::EngineTable::default();
-    let mut dice = kernel::clock::Dice::new(7);
+    let mut engine_table = EngineTable::default();
+    let mut dice = Dice::new(7);
     let names: Vec<String> = (0..12).map(|at| format!("r{at}")).collect();
     let (mut held, mut table) = (config(1, &FIRST), made(&mut engine_table));
     for revision in 2..200 {
@@ -44,14 +51,12 @@
             routes.push((name.as_str(), prefixes[(at + turn) % 12], service));
         }
         let next = config(revision, &routes);
-        table = table.turn(&protocol::change::Change::between(&held, &next), &mut engine_table).expect("in order");
-        let whole =
-            super::Table::default().turn(&protocol::change::Change::whole(&next), &mut engine_table).expect("whole");
+        table = table.turn(&Change::between(&held, &next), &mut engine_table).expect("in order");
+        let whole = Table::default().turn(&Change::whole(&next), &mut engine_table).expect("whole");
         for prefix in prefixes {
             let path = format!("{prefix}x");
-            let seen = |table: &super::Table| {
-                table.find("a.example", &path).map(|route| (route.name.clone(), route.targets.clone()))
-            };
+            let seen =
+                |table: &Table| table.find("a.example", &path).map(|route| (route.name.clone(), route.targets.clone()));
             assert_eq!(seen(&table), seen(&whole), "revision {revision}, {path}");
         }
         held = next;
@@ -60,13 +65,13 @@
 
 #[test]
 fn a_gap_and_an_older_one_change_nothing() {
-    let mut engine_table = load_balancing::engine_table::EngineTable::default();
+    let mut engine_table = EngineTable::default();
     let table = made(&mut engine_table);
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
-    let gap = protocol::change::Change::between(&three, &four);
+    let gap = Change::between(&three, &four);
     assert!(table.turn(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
-    let later = table.turn(&protocol::change::Change::whole(&four), &mut engine_table).expect("whole");
-    let back = protocol::change::Change::whole(&three);
+    let later = table.turn(&Change::whole(&four), &mut engine_table).expect("whole");
+    let back = Change::whole(&three);
     assert!(later.turn(&back, &mut engine_table).is_none(), "it never goes back");
     assert!(later.turn(&gap, &mut engine_table).is_none(), "the same again");
 }
@@ -74,19 +79,19 @@
 #[test]
 fn weights_split_and_zero_is_never_picked() {
     let targets = [(0, 0), (1, 90), (2, 10)];
-    let count = (0..100).filter(|roll| super::split(&targets, *roll) == 1).count();
+    let count = (0..100).filter(|roll| split(&targets, *roll) == 1).count();
     assert_eq!(count, 90);
-    assert!((0..200).all(|roll| super::split(&targets, roll) != 0));
+    assert!((0..200).all(|roll| split(&targets, roll) != 0));
 }
 
 #[test]
 fn each_part_gets_its_share_of_a_few_hundred_requests() {
     let targets = [(1, 70), (2, 20), (3, 10)];
     for seed in 0..500 {
-        let mut dice = kernel::clock::Dice::new(seed);
+        let mut dice = Dice::new(seed);
         let mut counts = [0.0; 4];
         for _ in 0..200 {
-            counts[super::split(&targets, dice.roll()) as usize] += 1.0;
+            counts[split(&targets, dice.roll()) as usize] += 1.0;
         }
         for (service, weight) in targets {
             let off = counts[service as usize] / 200.0 - weight as f64 / 100.0;
--- a/router/src/tenants.rs
+++ b/router/src/tenants.rs
@@ -1,5 +1,14 @@
 //! The tenants of the configuration in force, found by the digests of their keys.
 
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+
+use http::HeaderValue;
+use protocol::change::Change;
+use protocol::config;
+use quota::Quota;
+use sha2::Sha256;
+
 /// The digest of an API key. Keys are secrets: the clear text is not held, and a digest is not shown either,
 /// since a weak key can be guessed from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
@@ -8,7 +17,7 @@
 impl KeyDigest {
     pub fn of(key: &[u8]) -> KeyDigest {
         use sha2::Digest;
-        KeyDigest(sha2::Sha256::digest(key).into())
+        KeyDigest(Sha256::digest(key).into())
     }
 }
 
@@ -23,24 +32,24 @@
 pub struct Tenant {
     pub name: String,
     /// Its name as engines are told. None: no header can carry it.
-    pub header: Option<http::HeaderValue>,
+    pub header: Option<HeaderValue>,
     /// Takes precedence over the priority of a route.
     pub priority: Option<u32>,
     /// The regions that its requests may go to; empty: all.
     pub homes: Vec<String>,
     /// What it may send, over all routers.
-    pub quota: Option<quota::Quota>,
+    pub quota: Option<Quota>,
     keys: Vec<KeyDigest>,
 }
 
 impl Tenant {
-    fn new(item: &protocol::config::Tenant) -> Tenant {
+    fn new(item: &config::Tenant) -> Tenant {
         Tenant {
             name: item.name.clone(),
-            header: http::HeaderValue::from_bytes(item.name.as_bytes()).ok(),
+            header: HeaderValue::from_bytes(item.name.as_bytes()).ok(),
             priority: item.priority,
             homes: item.allowed_regions.clone(),
-            quota: quota::Quota::new(item.rate_per_s, item.burst_size),
+            quota: Quota::new(item.rate_per_s, item.burst_size),
             keys: item.api_keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect(),
         }
     }
@@ -49,15 +58,15 @@
 /// All tenants. Invariant: `by_key` holds the keys of those in `by_name` and no others.
 #[derive(Debug, Default)]
 pub struct Tenants {
-    by_name: std::collections::BTreeMap<String, std::sync::Arc<Tenant>>,
-    by_key: std::collections::HashMap<KeyDigest, Holder>,
+    by_name: BTreeMap<String, Arc<Tenant>>,
+    by_key: HashMap<KeyDigest, Holder>,
     requires_keys: bool,
 }
 
 /// Who holds a key.
 #[derive(Debug)]
 enum Holder {
-    One(std::sync::Arc<Tenant>),
+    One(Arc<Tenant>),
     /// Several tenants do, which no valid configuration has: the key tells nobody apart and counts as unknown.
     Several,
 }
@@ -69,7 +78,7 @@
     }
 
     /// The tenant that holds a key. None: the key is unknown.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&std::sync::Arc<Tenant>> {
+    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         match self.by_key.get(key)? {
             Holder::One(tenant) => Some(tenant),
             Holder::Several => None,
@@ -77,7 +86,7 @@
     }
 
     /// The tenants after a change: those that it removes are gone, those that it names stand as it has them.
-    pub fn after(held: &std::sync::Arc<Tenants>, change: &protocol::change::Change) -> std::sync::Arc<Tenants> {
+    pub fn after(held: &Arc<Tenants>, change: &Change) -> Arc<Tenants> {
         let whole = change.from == 0;
         let same_tenants = change.tenants.is_empty() && change.gone_tenants.is_empty();
         if !whole && same_tenants && change.requires_keys == held.requires_keys {
@@ -88,24 +97,22 @@
             by_name.remove(name);
         }
         for item in &change.tenants {
-            by_name.insert(item.name.clone(), std::sync::Arc::new(Tenant::new(item)));
+            by_name.insert(item.name.clone(), Arc::new(Tenant::new(item)));
         }
         let by_key = holders(by_name.values());
-        std::sync::Arc::new(Tenants { by_name, by_key, requires_keys: change.requires_keys })
+        Arc::new(Tenants { by_name, by_key, requires_keys: change.requires_keys })
     }
 }
 
 /// The holder of each key. Made anew from all tenants with each change of one: a key that moves from one tenant to
 /// another is then its new holder's whatever the order in which a change names them.
-fn holders<'a>(
-    tenants: impl Iterator<Item = &'a std::sync::Arc<Tenant>>,
-) -> std::collections::HashMap<KeyDigest, Holder> {
-    let mut by_key = std::collections::HashMap::new();
+fn holders<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, Holder> {
+    let mut by_key = HashMap::new();
     // A tenant whose name no header can carry can't be named to engines: its keys stay unknown.
     for tenant in tenants.filter(|tenant| tenant.header.is_some()) {
         for key in &tenant.keys {
             let holder = by_key.entry(*key).or_insert_with(|| Holder::One(tenant.clone()));
-            if matches!(holder, Holder::One(other) if !std::sync::Arc::ptr_eq(other, tenant)) {
+            if matches!(holder, Holder::One(other) if !Arc::ptr_eq(other, tenant)) {
                 *holder = Holder::Several;
             }
         }
--- a/router/src/verdict.rs
+++ b/router/src/verdict.rs
@@ -1,5 +1,9 @@
 //! What the head of an engine's answer says about the request that it came for.
 
+use http::response::Parts;
+use http::{HeaderMap, HeaderValue};
+use protocol::word::{ATTEMPT, INSTANCE, UNRUN, WEIGHTS};
+
 /// What became of a request, as far as the head of an answer tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
@@ -19,7 +23,7 @@
 
 /// What was asked of the engine, as far as its answer may speak to it.
 pub struct Asked<'a> {
-    pub attempt: Option<&'a http::HeaderValue>,
+    pub attempt: Option<&'a HeaderValue>,
     pub target: &'a str,
     /// The version that its weights were to have.
     pub version: Option<u64>,
@@ -30,18 +34,18 @@
 const PROMISES: [u16; 3] = [408, 429, 503];
 
 /// The version of the weights that an answer names.
-pub fn version(head: &http::HeaderMap) -> Option<u64> {
-    let text = head.get(protocol::word::WEIGHTS)?.to_str().ok()?;
+pub fn version(head: &HeaderMap) -> Option<u64> {
+    let text = head.get(WEIGHTS)?.to_str().ok()?;
     text.split(|sign: char| !sign.is_ascii_digit()).find(|part| !part.is_empty())?.parse().ok()
 }
 
 /// Does an answer bear the id of the request, once, or none where that has none?
-pub fn answers(head: &http::HeaderMap, attempt: Option<&http::HeaderValue>) -> bool {
-    let mut ids = head.get_all(protocol::word::ATTEMPT).iter();
+pub fn answers(head: &HeaderMap, attempt: Option<&HeaderValue>) -> bool {
+    let mut ids = head.get_all(ATTEMPT).iter();
     ids.next() == attempt && ids.next().is_none()
 }
 
-pub fn judge(head: &http::response::Parts, asked: &Asked) -> Verdict {
+pub fn judge(head: &Parts, asked: &Asked) -> Verdict {
     if head.status.is_informational() || !answers(&head.headers, asked.attempt) {
         return Verdict::Foreign;
     }
@@ -49,7 +53,7 @@
     if status == MISDIRECTED {
         return misdirected(&head.headers, asked);
     }
-    if head.headers.contains_key(protocol::word::UNRUN) {
+    if head.headers.contains_key(UNRUN) {
         // A success contradicts that word, and nothing is repeated on it.
         return if head.status.is_success() { Verdict::Unproven } else { Verdict::NotExecuted };
     }
@@ -60,8 +64,8 @@
 }
 
 /// Why an engine turned away a request that it did not run.
-fn misdirected(head: &http::HeaderMap, asked: &Asked) -> Verdict {
-    let name = head.get(protocol::word::INSTANCE).and_then(|value| value.to_str().ok());
+fn misdirected(head: &HeaderMap, asked: &Asked) -> Verdict {
+    let name = head.get(INSTANCE).and_then(|value| value.to_str().ok());
     if name.is_some_and(|name| name != asked.target) {
         return Verdict::OtherEngine;
     }
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -3,13 +3,24 @@
 //! A new version gets its share only while a controller that was confirmed renewed this router's lease a moment ago. A router that is
 //! cut off, or wakes late, sends to the version in place.
 
-use load_balancing::place::Arm;
-use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use std::collections::{BTreeMap, HashMap};
+use std::mem;
 use std::sync::Arc;
+use std::time::Duration;
+
+use kernel::clock;
+use load_balancing::place::Arm;
+use protocol::msg::{self, Msg};
+use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
+use tokio::time;
+use versions::WHOLE_SHARE;
+
+use crate::event::VERSION;
+use crate::exchange::Exchange;
+use crate::state::State;
 
 /// How long samples are gathered before they are sent.
-const GATHER: std::time::Duration = std::time::Duration::from_millis(200);
+const GATHER: Duration = Duration::from_millis(200);
 /// The most paces that one message holds for a route and version: more say no more.
 const MOST_PACES: usize = 64;
 
@@ -47,7 +58,7 @@
                 Arm::Candidate(rollout.share)
             }
             // Until the lists follow, its engines still stand among those that are brought in.
-            RolloutState::Complete => Arm::Candidate(versions::WHOLE_SHARE),
+            RolloutState::Complete => Arm::Candidate(WHOLE_SHARE),
             RolloutState::Active | RolloutState::Reverted => Arm::Stable,
         }
     }
@@ -80,46 +91,46 @@
             list: routes.into_values().collect(),
             is_relayed: false,
         };
-        std::mem::take(&mut self.samples).into_iter().map(whole).collect()
+        mem::take(&mut self.samples).into_iter().map(whole).collect()
     }
 }
 
 /// A record from a controller.
-pub fn take(state: &crate::state::State, rollout: VersionRollout) {
+pub fn take(state: &State, rollout: VersionRollout) {
     let service = state.engine_table.lock().expect("engine_table").service(&rollout.service);
     let (name, target, share, word) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.word());
     if state.rollouts.lock().expect("rollouts").take(service, rollout) {
-        kernel::say!(crate::event::VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
+        kernel::say!(VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
     }
 }
 
 /// The records held, as told to controllers.
-pub fn told(state: &crate::state::State) -> Vec<(String, u64)> {
+pub fn told(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock().expect("rollouts");
-    let told = |rollout: &VersionRollout| (protocol::msg::hide(&VersionRollout::key(&rollout.service)), rollout.number);
+    let told = |rollout: &VersionRollout| (msg::hide(&VersionRollout::key(&rollout.service)), rollout.number);
     rollouts.list.values().map(told).collect()
 }
 
 /// Sends samples to the home controller as they come, for as long as the process runs.
-pub async fn send_samples(state: Arc<crate::state::State>) {
+pub async fn send_samples(state: Arc<State>) {
     loop {
         state.samples_wanted.notified().await;
-        tokio::time::sleep(GATHER).await;
+        time::sleep(GATHER).await;
         let list = state.rollouts.lock().expect("rollouts").take_samples();
         let home = state.home.lock().expect("home").clone();
         let Some(home) = home else { continue };
         for samples in list {
-            home.cast(protocol::msg::Msg::Samples(Box::new(samples)));
+            home.cast(Msg::Samples(Box::new(samples)));
         }
     }
 }
 
-impl crate::exchange::Exchange {
+impl Exchange {
     /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
     pub fn choose_version(&mut self) {
         let roll = self.state.dice.lock().expect("dice").roll();
-        let now = kernel::clock::now();
+        let now = clock::now();
         let holds_lease = self.state.floors.lock().expect("floors").is_confirmed(now);
         self.arm = self.state.rollouts.lock().expect("rollouts").arm(self.service, roll, holds_lease);
         if self.arm.is_candidate() && !self.view(|view| view.is_usable()) {
--- a/router/src/version_rollouts_tests.rs
+++ b/router/src/version_rollouts_tests.rs
@@ -1,10 +1,14 @@
 //! Which version requests go to, and what is told of them.
-use super::{Rollouts, Seen};
-use crate::stand_in::{answer, engines, events, Act};
-use crate::stand_in_router::{ask, router};
+
+use kernel::clock;
 use load_balancing::place::Arm;
+use protocol::msg::{Engine, Sheet};
 use protocol::version_rollout::{candidates_of, RolloutState, VersionRollout};
 
+use super::{take, Rollouts, Seen};
+use crate::stand_in::{answer, engines, events, Act};
+use crate::stand_in_router::{ask, router};
+
 fn rollout(number: u64, state: RolloutState, share: u32) -> VersionRollout {
     VersionRollout {
         service: "s".into(),
@@ -68,19 +72,19 @@
     .await;
     let state = router(&old);
     let list = new.iter().enumerate();
-    let list = list.map(|(at, engine)| protocol::msg::Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
-    let sheet = protocol::msg::Sheet { zone: candidates_of("a"), turn: 1, count: 1, list };
-    state.engine_table.lock().expect("engine_table").take(&sheet, kernel::clock::now());
+    let list = list.map(|(at, engine)| Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
+    let sheet = Sheet { zone: candidates_of("a"), turn: 1, count: 1, list };
+    state.engine_table.lock().expect("engine_table").take(&sheet, clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
-    super::take(&state, rollout(1, RolloutState::Active, 1000));
+    take(&state, rollout(1, RolloutState::Active, 1000));
     assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
-    state.floors.lock().expect("floors").renew(kernel::clock::now());
+    state.floors.lock().expect("floors").renew(clock::now());
     assert!(ask(&state, "stream", "c", "").await.contains("token-3"));
     ask(&state, "once", "f", "").await;
     let told = state.rollouts.lock().expect("rollouts").take_samples();
     let counts: Vec<_> =
         told[0].list.iter().map(|one| (one.route.as_str(), one.is_candidate, one.good, one.failed)).collect();
     assert_eq!(counts, [("once", false, 1, 0), ("once", true, 0, 1), ("stream", true, 1, 0)]);
-    super::take(&state, rollout(2, RolloutState::Reverted, 0));
+    take(&state, rollout(2, RolloutState::Reverted, 0));
     assert!(ask(&state, "once", "d", "").await.ends_with("old"), "reverted");
 }
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -1,13 +1,14 @@
 //! Metrics of a process, told over HTTP in the Prometheus text format.
 #![warn(missing_docs)]
 
+use prometheus_client::encoding::text;
+use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
+use prometheus_client::registry::Registry;
+
 mod endpoint;
 
 pub use endpoint::start;
 
-use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
-use prometheus_client::registry::Registry;
-
 /// The upper bound of the first bucket of a latency histogram, in seconds, the factor between buckets and their number:
 /// 1 ms to 16 s.
 const FIRST_BUCKET_S: f64 = 0.001;
@@ -22,7 +23,7 @@
 /// The metrics of a registry as text. Empty where a metric can't be encoded.
 pub fn encode(registry: &Registry) -> String {
     let mut text = String::new();
-    if prometheus_client::encoding::text::encode(&mut text, registry).is_err() {
+    if text::encode(&mut text, registry).is_err() {
         text.clear();
     }
     text
--- a/tidepoint/src/main.rs
+++ b/tidepoint/src/main.rs
@@ -1,18 +1,23 @@
 //! The command line beside the daemons.
+
+use std::process;
+
+use kernel::env;
+
 mod call;
 mod flags;
 mod rehearse;
 mod rollout;
 mod trace;
 
-fn main() -> std::process::ExitCode {
+fn main() -> process::ExitCode {
     let flags = match flags::Tidepoint::from_env() {
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
     if flags.version {
         println!("tidepoint {}", env!("CARGO_PKG_VERSION"));
-        return std::process::ExitCode::SUCCESS;
+        return process::ExitCode::SUCCESS;
     }
     let done = match flags.subcommand {
         flags::TidepointCmd::Check(check) => verify(check.path),
@@ -28,17 +33,17 @@
         flags::TidepointCmd::Rehearse(plan) => rehearse::run(&plan),
     };
     match done {
-        Ok(()) => std::process::ExitCode::SUCCESS,
+        Ok(()) => process::ExitCode::SUCCESS,
         Err(words) => {
             eprintln!("tidepoint: {words}");
-            std::process::ExitCode::from(2)
+            process::ExitCode::from(2)
         }
     }
 }
 
 fn verify(path: Option<String>) -> Result<(), String> {
-    let path = path.unwrap_or_else(kernel::env::path);
-    kernel::env::load(&path).map_err(|error| error.current_context().to_string())?;
+    let path = path.unwrap_or_else(env::path);
+    env::load(&path).map_err(|error| error.current_context().to_string())?;
     println!("{path}: settings are good");
     Ok(())
 }
--- a/tidepoint/src/rehearse.rs
+++ b/tidepoint/src/rehearse.rs
@@ -1,8 +1,12 @@
 //! An off-peak run in the simulation, at a size of one's own.
 
-pub fn run(flags: &crate::flags::Rehearse) -> Result<(), String> {
-    let plan = batch::offpeak::plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
-    let (with, without) = (batch::offpeak::run(&plan, true), batch::offpeak::run(&plan, false));
+use batch::offpeak;
+
+use crate::flags::Rehearse;
+
+pub fn run(flags: &Rehearse) -> Result<(), String> {
+    let plan = offpeak::plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
+    let (with, without) = (offpeak::run(&plan, true), offpeak::run(&plan, false));
     println!("{} jobs, window {} ms, {} halls of {} engines", plan.jobs, plan.window_ms, plan.halls, plan.engines);
     println!("halls leave at {:?}, owner crashes at {:?}, freezes at {:?}", plan.leave, plan.crash, plan.freeze);
     println!("answered {}, unknown {}, missed {}, open {}", with.done, with.unknown, with.missed, with.open);
--- a/tidepoint/src/trace.rs
+++ b/tidepoint/src/trace.rs
@@ -1,5 +1,12 @@
 //! One change through all daemons: from the operator's call to the first request that saw it.
 
+use std::fs;
+
+use serde_json::Value;
+
+use crate::call;
+use crate::flags::Trace;
+
 /// A line of a daemon's log that bears on the change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mark {
@@ -44,19 +51,17 @@
     text
 }
 
-pub fn run(flags: &crate::flags::Trace) -> Result<(), String> {
+pub fn run(flags: &Trace) -> Result<(), String> {
     let mut marks = Vec::new();
     for path in &flags.logs {
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
+        let text = fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
         marks.extend(text.lines().filter_map(|line| read(path, line, flags.revision)));
     }
     for at in &flags.at {
-        let value: serde_json::Value =
-            serde_json::from_str(&crate::call::text(at, "/journal")?).map_err(|error| error.to_string())?;
+        let value: Value = serde_json::from_str(&call::text(at, "/journal")?).map_err(|error| error.to_string())?;
         let lines = value["events"].as_array().cloned().unwrap_or_default();
         marks.extend(lines.iter().filter_map(|line| read(at, line.as_str()?, flags.revision)));
-        let fleet: serde_json::Value =
-            serde_json::from_str(&crate::call::text(at, "/fleet")?).map_err(|error| error.to_string())?;
+        let fleet: Value = serde_json::from_str(&call::text(at, "/fleet")?).map_err(|error| error.to_string())?;
         for (node, held) in fleet["routers"].as_object().into_iter().flatten() {
             let word = if held.as_u64() >= Some(flags.revision) { "has it" } else { "does not have it yet" };
             println!("{node}: {word} (revision {held}, as {at} sees it)");
--- a/tidepoint/tests/events.rs
+++ b/tidepoint/tests/events.rs
@@ -1,8 +1,11 @@
 //! The catalogue of events and the code say the same.
 
+use std::collections::HashSet;
+use std::fs;
+
 fn codes(program: &str) -> Vec<(String, String)> {
     let path = format!("{}/../{program}/src/event.rs", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("the program's events");
+    let text = fs::read_to_string(path).expect("the program's events");
     let mut list = Vec::new();
     for part in text.split("code: ").skip(1) {
         let (code, rest) = part.split_once(',').expect("a number");
@@ -15,7 +18,7 @@
 #[test]
 fn every_event_stands_in_the_catalogue_and_none_besides() {
     let path = format!("{}/../docs/events.md", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("the catalogue");
+    let text = fs::read_to_string(path).expect("the catalogue");
     let rows: Vec<Vec<&str>> = text.lines().map(|line| line.split('|').map(str::trim).collect()).collect();
     let mut listed: Vec<(String, String)> = rows
         .iter()
@@ -27,6 +30,6 @@
     known.sort();
     listed.sort();
     assert_eq!(known, listed);
-    let unique: std::collections::HashSet<&String> = known.iter().map(|(code, _)| code).collect();
+    let unique: HashSet<&String> = known.iter().map(|(code, _)| code).collect();
     assert_eq!(unique.len(), known.len(), "a number is used once");
 }
--- a/tidepoint/tests/quota.rs
+++ b/tidepoint/tests/quota.rs
@@ -1,7 +1,18 @@
 //! A tenant's limit through the real daemons: a controller, a router, an engine, and a client that sends far more.
+
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Instant;
+use std::{fs, process, thread};
+
+use controller::boot;
+use kernel::env::{parse, Env};
+use kernel::signal;
+use serde_json::Value;
+use tokio::runtime::{Builder, Runtime};
+
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
-use std::sync::Arc;
 
 const DOOR: &str = "127.0.75.1:7801";
 const READY: &str = "127.0.75.1:7802";
@@ -10,7 +21,7 @@
 const RATE_PER_S: f64 = 20.0;
 const BURST: f64 = 10.0;
 
-fn env(name: &str, data: Option<&std::path::Path>) -> kernel::env::Env {
+fn env(name: &str, data: Option<&Path>) -> Env {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let text = format!(
         "node_name = \"{name}\"\nip = \"127.0.75.1\"\nzone = \"a\"\ninternal_ports = [7810, 7815]\n\
@@ -19,7 +30,7 @@
          [limits]\nmemory_mb = 260\nfd_limit = 4000\ndisk_mb = 64\n[bounds]\nlease_ms = 400\nbudget_slack = 20.0\n\
          [cloud_api]\naddress = \"{CLOUD}\"\nrate_per_s = 200.0\n"
     );
-    kernel::env::parse(&text).expect("good settings")
+    parse(&text).expect("good settings")
 }
 
 fn config() -> String {
@@ -47,9 +58,9 @@
     head.first.split(' ').nth(1).unwrap_or("")
 }
 
-fn start(run: impl FnOnce(&tokio::runtime::Runtime) + Send + 'static) {
-    std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn start(run: impl FnOnce(&Runtime) + Send + 'static) {
+    thread::spawn(move || {
+        let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         run(&runtime);
     });
 }
@@ -65,14 +76,14 @@
     let world = Arc::new(stand::World::default());
     stand::platform(world.clone(), CLOUD);
     stand::engine(world.clone(), "i-make", "127.0.75.3:7820", "decode");
-    let dir = std::env::temp_dir().join(format!("tidepoint-quota-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
+    let dir = std::env::temp_dir().join(format!("tidepoint-quota-{}", process::id()));
+    let _ = fs::remove_dir_all(&dir);
     let controller = env("k", Some(&dir));
     start(move |runtime| {
-        runtime.block_on(async { controller::boot::run(controller, kernel::signal::watch()).await });
+        runtime.block_on(async { boot::run(controller, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(env("e", None), kernel::signal::watch()).await });
+        runtime.block_on(async { router::boot::run(env("e", None), signal::watch()).await });
     });
     let first = stand::request("PUT", "/config", "Host: c\r\nIf-Match: 0\r\n", &config());
     stand::until(CONTROL, &first, "the configuration", |head| status(head) == "200");
@@ -81,7 +92,7 @@
     // Until the controller holds its lease on the shard, there is only the router's own allowance.
     stand::until(DOOR, &ask("first", "k1"), "a token", |head| status(head) == "200");
 
-    let (begun, before) = (std::time::Instant::now(), runs(&world));
+    let (begun, before) = (Instant::now(), runs(&world));
     let (mut served, mut refused, mut number) = (0u32, 0u32, 0);
     while begun.elapsed().as_secs_f64() < 3.0 {
         number += 1;
@@ -106,11 +117,10 @@
         assert_eq!(status(&reply), "200", "another tenant is not held up");
     }
     let text = stand::request("GET", "/tenants", "Host: c\r\n", "");
-    let usage: serde_json::Value =
-        serde_json::from_slice(&stand::call(CONTROL, &text).expect("an answer").body).expect("whole");
+    let usage: Value = serde_json::from_slice(&stand::call(CONTROL, &text).expect("an answer").body).expect("whole");
     let tenant = &usage["tenants"][0];
     assert_eq!((tenant["name"].as_str(), tenant["rate_per_s"].as_f64()), (Some("limited"), Some(RATE_PER_S)));
     assert!(tenant["granted"].as_u64() >= Some(u64::from(served)) && tenant["denied"].as_u64() > Some(0), "{usage}");
     assert!(!usage.to_string().contains("k1"), "keys are never shown");
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
