--- a/tidepoint/tests/rollout.rs
+++ b/tidepoint/tests/rollout.rs
@@ -1,17 +1,27 @@
 //! A live rollout through the real daemons: three halls, a controller and a router in each, engines with
 //! weight versions, clients that go on all the while. A router is killed, a controller lost and a hall frozen
 //! midway. Counted at the engines and at the clients.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use std::{fs, process, thread};
+
+use controller::boot;
+use daemon::Daemon;
+use kernel::env::{parse, Env};
+use kernel::signal;
+use serde_json::Value;
+
 #[path = "stand/daemon.rs"]
 mod daemon;
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
-use daemon::Daemon;
-use std::sync::{Arc, Mutex};
-use std::time::Instant;
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
 
-fn env(net: u8, part: &str, hall: usize, data: Option<String>) -> kernel::env::Env {
+fn env(net: u8, part: &str, hall: usize, data: Option<String>) -> Env {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let ip = format!("127.0.{net}.{}", if part == "k" { hall + 1 } else { hall + 11 });
     let seeds: Vec<String> = (1..=3).map(|at| format!("127.0.{net}.{at}:7803")).collect();
@@ -27,7 +37,7 @@
         HALLS[hall],
         part == "k"
     );
-    kernel::env::parse(&text).expect("good settings")
+    parse(&text).expect("good settings")
 }
 
 #[derive(Clone, Debug)]
@@ -37,7 +47,7 @@
     router: usize,
     at: Instant,
     status: String,
-    took: std::time::Duration,
+    took: Duration,
 }
 
 fn config() -> String {
@@ -82,20 +92,20 @@
         let addr: &'static str = Box::leak(format!("127.0.{net}.{last}:7820").into_boxed_str());
         stand::engine_in(world.clone(), id, addr, phase, zone);
     }
-    let dir = std::env::temp_dir().join(format!("tidepoint-rollout-{net}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
+    let dir = std::env::temp_dir().join(format!("tidepoint-rollout-{net}-{}", process::id()));
+    let _ = fs::remove_dir_all(&dir);
     let mut controllers: Vec<Daemon> = (0..3)
         .map(|hall| {
             let data = dir.join(HALLS[hall]);
-            std::fs::create_dir_all(&data).expect("a folder");
+            fs::create_dir_all(&data).expect("a folder");
             let env = env(net, "k", hall, Some(data.to_string_lossy().into_owned()));
-            Daemon::start(move || controller::boot::run(env, kernel::signal::watch()))
+            Daemon::start(move || boot::run(env, signal::watch()))
         })
         .collect();
     let mut routers: Vec<Daemon> = (0..3)
         .map(|hall| {
             let env = env(net, "e", hall, None);
-            Daemon::start(move || router::boot::run(env, kernel::signal::watch()))
+            Daemon::start(move || router::boot::run(env, signal::watch()))
         })
         .collect();
     let control = |at: usize| format!("127.0.{net}.{}:7803", at + 1);
@@ -114,14 +124,14 @@
         stand::until(&control(0), &put, "the rule", |head| status(head) == "200");
         acks.push((3, Instant::now()));
     }
-    let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let sent = Arc::new(Mutex::new(Vec::new()));
     let clients: Vec<_> = (0..6)
         .map(|client| {
             let (stop, sent) = (stop.clone(), sent.clone());
-            std::thread::spawn(move || {
+            thread::spawn(move || {
                 let mut number = 0;
-                while !stop.load(std::sync::atomic::Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     number += 1;
                     let (bound, router) = (client % 2 == 0, client / 2);
                     let (host, attempt) = (if bound { "bound" } else { "free" }, format!("{client:x}f{number:x}"));
@@ -159,7 +169,7 @@
         let from = sent.lock().expect("sent").len();
         while sent.lock().expect("sent").len() < from + count {
             assert!(begun.elapsed().as_secs() < 30, "no progress: {what}");
-            std::thread::yield_now();
+            thread::yield_now();
         }
     };
     progress("before", 60);
@@ -183,20 +193,20 @@
     renew(7, &["i-rc", "i-mc", "i-me"]);
     raise(7, 1, &mut acks);
     progress("after a controller was lost", 120);
-    stop.store(true, std::sync::atomic::Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("a client"));
     if limit {
         // The state names what is inside and past the limit.
         let get = stand::request("GET", "/rollouts/s/m", "Host: c\r\n", "");
         let state = stand::until(&control(0), &get, "the state", |head| {
-            let value: serde_json::Value = serde_json::from_slice(&head.body).unwrap_or_default();
+            let value: Value = serde_json::from_slice(&head.body).unwrap_or_default();
             value["replicas"]["b"]["decode"] == serde_json::json!({"inside": 1, "past": 1, "unknown": 0})
         });
-        let value: serde_json::Value = serde_json::from_slice(&state.body).expect("whole");
+        let value: Value = serde_json::from_slice(&state.body).expect("whole");
         assert_eq!((value["floor"].as_u64(), value["latest"].as_u64()), (Some(7), Some(7)));
     }
     controllers.iter_mut().chain(routers.iter_mut()).for_each(Daemon::kill);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
     let sent = sent.lock().expect("sent").clone();
     Play { world, sent, acks }
 }
@@ -222,7 +232,7 @@
     assert!(play.stale(false) > 0, "others may go on using old replicas");
     let seen = play.world.seen.lock().expect("seen").clone();
     let last = |attempt: &str| seen.iter().filter(|seen| seen.attempt == attempt && seen.stage == "make").count();
-    let mut counts: std::collections::BTreeMap<(bool, &str), usize> = Default::default();
+    let mut counts: BTreeMap<(bool, &str), usize> = Default::default();
     for sent in &play.sent {
         *counts.entry((sent.bound, sent.status.as_str())).or_default() += 1;
         let runs = last(&sent.attempt);
--- a/tidepoint/tests/scale.rs
+++ b/tidepoint/tests/scale.rs
@@ -4,19 +4,26 @@
 //!
 //!     cargo build --release
 //!     cargo test --release -p tidepoint --test scale -- --ignored --nocapture
+
+use std::path::{Path, PathBuf};
+use std::{env, fs, process};
+
+use hollow::{Fleet, Size};
+use protocol::msg::{self, Gossip};
+use tokio::runtime::Builder;
+
 #[path = "stand/hollow.rs"]
 mod hollow;
 #[path = "stand/proc.rs"]
 mod proc;
-use hollow::{Fleet, Size};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn settings(net: u8, part: &str, zone: usize, dir: &std::path::Path) -> std::path::PathBuf {
+fn settings(net: u8, part: &str, zone: usize, dir: &Path) -> PathBuf {
     let ip = format!("127.0.{net}.{}", if part == "k" { zone + 1 } else { zone + 11 });
     let seeds: Vec<String> = (1..=3).map(|at| format!("127.0.{net}.{at}:7803")).collect();
     let own = dir.join(format!("{part}-{zone}"));
-    std::fs::create_dir_all(&own).expect("a folder");
+    fs::create_dir_all(&own).expect("a folder");
     let (binds, data) = match part {
         "k" => (format!("control_plane = \"{ip}:7803\"\n"), format!("data_dir = {:?}\n", own.display().to_string())),
         _ => (format!("frontend = \"{ip}:7801\"\nreadiness = \"{ip}:7802\"\n"), String::new()),
@@ -30,7 +37,7 @@
         part == "k"
     );
     let path = dir.join(format!("{part}-{zone}.toml"));
-    std::fs::write(&path, text).expect("written");
+    fs::write(&path, text).expect("written");
     path
 }
 
@@ -44,13 +51,12 @@
 }
 
 fn run(net: u8, size: Size, seconds: u64) -> Cost {
-    let dir = std::env::temp_dir().join(format!("tidepoint-scale-{net}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
-    let bins = std::env::current_exe().expect("a path");
+    let dir = env::temp_dir().join(format!("tidepoint-scale-{net}-{}", process::id()));
+    let _ = fs::remove_dir_all(&dir);
+    fs::create_dir_all(&dir).expect("a folder");
+    let bins = env::current_exe().expect("a path");
     let bins = bins.ancestors().nth(2).expect("the folder of programs").to_path_buf();
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build().expect("a runtime");
+    let runtime = Builder::new_multi_thread().worker_threads(3).enable_all().build().expect("a runtime");
     let fleet = runtime.block_on(Fleet::start(net, size, &ZONES));
     let start =
         |name: &str, part: &str, zone: usize| proc::Child::start(&bins.join(name), &settings(net, part, zone, &dir));
@@ -66,7 +72,7 @@
     let cost = Cost { size, controller: worst(&controllers), router: worst(&routers), played };
     drop((controllers, routers));
     runtime.shutdown_background();
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
     cost
 }
 
@@ -106,7 +112,7 @@
 
 /// The size of a controller's beat when its routers have requests at so many engines.
 fn beat(engines: usize) -> u64 {
-    let gossip = protocol::msg::Gossip {
+    let gossip = Gossip {
         ip: "10.0.0.1".into(),
         zone: "a".into(),
         life: 1,
@@ -120,7 +126,7 @@
         sheets: Vec::new(),
         floors: Vec::new(),
     };
-    hollow::size(&protocol::msg::Msg::Gossip(Box::new(gossip)))
+    hollow::size(&msg::Msg::Gossip(Box::new(gossip)))
 }
 
 #[test]
@@ -150,7 +156,7 @@
 #[test]
 fn a_change_reaches_a_small_hollow_fleet_and_costs_little() {
     // Real daemons only where they are built; the hollow fleet and its platform are tried in any case.
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     let size = Size { routers: 3, engines: 30, routes: 40, seeks: 0, changes: 0.0 };
     let list = runtime.block_on(async {
         let fleet = Fleet::start(90, size, &ZONES).await;
--- a/tidepoint/tests/stand/daemon.rs
+++ b/tidepoint/tests/stand/daemon.rs
@@ -1,17 +1,24 @@
 //! A real daemon inside a test, on a thread and runtime of its own.
 
+use std::future::Future;
+use std::sync::mpsc;
+use std::thread;
+
+use tokio::runtime::{Builder, Handle};
+use tokio::sync::oneshot;
+
 /// A daemon in a thread of its own, which can be killed or frozen.
 pub struct Daemon {
-    kill: Option<tokio::sync::oneshot::Sender<()>>,
-    handle: tokio::runtime::Handle,
+    kill: Option<oneshot::Sender<()>>,
+    handle: Handle,
 }
 
 impl Daemon {
-    pub fn start<F: std::future::Future + 'static>(run: impl FnOnce() -> F + Send + 'static) -> Daemon {
-        let (kill, killed) = tokio::sync::oneshot::channel::<()>();
-        let (send, handle) = std::sync::mpsc::channel();
-        std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    pub fn start<F: Future + 'static>(run: impl FnOnce() -> F + Send + 'static) -> Daemon {
+        let (kill, killed) = oneshot::channel::<()>();
+        let (send, handle) = mpsc::channel();
+        thread::spawn(move || {
+            let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
             send.send(runtime.handle().clone()).expect("told");
             runtime.block_on(async {
                 tokio::select! {
@@ -30,8 +37,8 @@
     }
 
     /// Nothing of it runs until the returned end is dropped.
-    pub fn freeze(&self) -> std::sync::mpsc::Sender<()> {
-        let (thaw, wait) = std::sync::mpsc::channel::<()>();
+    pub fn freeze(&self) -> mpsc::Sender<()> {
+        let (thaw, wait) = mpsc::channel::<()>();
         self.handle.spawn(async move {
             let _ = wait.recv();
         });
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -1,10 +1,27 @@
 //! Hollow routers, which share a process: they follow a controller, confirm what they get, and look prompts up, but
 //! carry no requests. And the platform with its list of engines.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use kernel::clock;
+use poem::listener::TcpAcceptor;
+use poem::{endpoint, Request, Route, Server};
+use protocol::change::Change;
+use protocol::frame::{self, Kind};
+use protocol::link::Caller;
+use protocol::msg::{self, Follow, Msg, Note, Pressure, Record, Seek};
+use protocol::sock;
+use reqwest::Client;
+use serde_json::Value;
+use shape::{engine, route};
+use tokio::sync::mpsc;
+use tokio::time::{self, Instant};
+
 #[path = "shape.rs"]
 mod shape;
-use shape::{engine, route};
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
@@ -22,24 +39,24 @@
     size: Size,
     zones: Vec<String>,
     seats: Vec<Arc<Seat>>,
-    client: reqwest::Client,
+    client: Client,
 }
 
 /// A hollow router. Invariant: `config` never goes back.
 #[derive(Default)]
 struct Seat {
     config: AtomicU64,
-    sheets: std::sync::Mutex<std::collections::BTreeMap<String, (u64, u64)>>,
-    catalog: std::sync::Mutex<(u64, String)>,
-    sure: std::sync::atomic::AtomicBool,
+    sheets: Mutex<BTreeMap<String, (u64, u64)>>,
+    catalog: Mutex<(u64, String)>,
+    sure: AtomicBool,
     /// Bytes sent to its controller and got from it, as frames.
     sent: AtomicU64,
     got: AtomicU64,
 }
 
 /// The size of a message on the wire.
-pub fn size(msg: &protocol::msg::Msg) -> u64 {
-    protocol::frame::seal(protocol::frame::Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
+pub fn size(msg: &Msg) -> u64 {
+    frame::seal(Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
 }
 
 fn controller(net: u8, at: usize) -> String {
@@ -47,17 +64,17 @@
 }
 
 impl Seat {
-    fn take(&self, msg: protocol::msg::Msg) {
+    fn take(&self, msg: Msg) {
         self.got.fetch_add(size(&msg), Ordering::Relaxed);
         match msg {
-            protocol::msg::Msg::Change(body) | protocol::msg::Msg::Update(body) => {
-                let Some(change) = protocol::change::Change::read(&body) else { return };
+            Msg::Change(body) | Msg::Update(body) => {
+                let Some(change) = Change::read(&body) else { return };
                 let has = self.config.load(Ordering::Relaxed);
                 if change.from == 0 || change.from == has {
                     self.config.fetch_max(change.to, Ordering::Relaxed);
                 }
             }
-            protocol::msg::Msg::News(news) => {
+            Msg::News(news) => {
                 let mut sheets = self.sheets.lock().expect("sheets");
                 sheets.extend(news.sheets.iter().map(|sheet| (sheet.zone.clone(), (sheet.turn, sheet.count))));
                 let mut catalog = self.catalog.lock().expect("catalog");
@@ -70,14 +87,14 @@
         }
     }
 
-    fn standing(&self, at: usize, zone: &str) -> protocol::msg::Msg {
+    fn standing(&self, at: usize, zone: &str) -> Msg {
         let held = self.sheets.lock().expect("sheets").clone();
         let mut sheets: Vec<(String, u64, u64)> =
             held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
-        sheets.push(protocol::msg::told());
+        sheets.push(msg::told());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
-        protocol::msg::Msg::Follow(Box::new(protocol::msg::Follow {
+        Msg::Follow(Box::new(Follow {
             node: format!("hollow-{at}"),
             zone: zone.into(),
             life: 1,
@@ -91,16 +108,16 @@
 }
 
 async fn follow(seat: Arc<Seat>, at: usize, net: u8, zone: String) {
-    let (send, mut casts) = tokio::sync::mpsc::channel(256);
-    let home = protocol::link::Caller::start(controller(net, at), Some(send));
+    let (send, mut casts) = mpsc::channel(256);
+    let home = Caller::start(controller(net, at), Some(send));
     loop {
         let standing = seat.standing(at, &zone);
         seat.sent.fetch_add(size(&standing), Ordering::Relaxed);
         if let Some(reply) = home.call(standing, 2000).await {
             seat.take(reply);
         }
-        let end = tokio::time::Instant::now() + std::time::Duration::from_millis(400);
-        while let Ok(Some(cast)) = tokio::time::timeout_at(end, casts.recv()).await {
+        let end = Instant::now() + Duration::from_millis(400);
+        while let Ok(Some(cast)) = time::timeout_at(end, casts.recv()).await {
             seat.take(cast);
         }
     }
@@ -117,22 +134,22 @@
                 (name.to_string(), serde_json::json!({"instance_list": list, "next_token": null}).to_string())
             })
             .collect();
-        let app = poem::Route::new().at(
+        let app = Route::new().at(
             "/instances",
-            poem::endpoint::make_sync(move |req: poem::Request| {
+            endpoint::make_sync(move |req: Request| {
                 let query = req.uri().query().unwrap_or("").to_string();
                 let found = lists.iter().find(|(name, _)| query.contains(&format!("zone={name}")));
                 found.map_or(String::new(), |(_, body)| body.clone())
             }),
         );
-        let listener = protocol::sock::listen(&format!("127.0.{net}.99:7800")).expect("a free address");
-        let acceptor = poem::listener::TcpAcceptor::from_tokio(listener).expect("a listener");
-        tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(app));
+        let listener = sock::listen(&format!("127.0.{net}.99:7800")).expect("a free address");
+        let acceptor = TcpAcceptor::from_tokio(listener).expect("a listener");
+        tokio::spawn(Server::new_with_acceptor(acceptor).run(app));
         let seats: Vec<Arc<Seat>> = (0..size.routers).map(|_| Arc::default()).collect();
         for (at, seat) in seats.iter().enumerate() {
             tokio::spawn(follow(seat.clone(), at, net, zones[at % zones.len()].to_string()));
         }
-        let client = reqwest::Client::builder().no_proxy().build().expect("a client");
+        let client = Client::builder().no_proxy().build().expect("a client");
         Fleet { net, size, zones: zones.iter().map(|zone| zone.to_string()).collect(), seats, client }
     }
 
@@ -142,7 +159,7 @@
         for zone in &self.zones {
             let url = format!("http://127.0.{}.99:7800/instances?zone={zone}", self.net);
             let text = self.client.get(url).send().await.expect("an answer").text().await.expect("whole");
-            let value: serde_json::Value = serde_json::from_str(&text).expect("whole");
+            let value: Value = serde_json::from_str(&text).expect("whole");
             count += value["instance_list"].as_array().map_or(0, Vec::len);
         }
         count
@@ -156,7 +173,7 @@
             if reply.is_ok_and(|reply| reply.status().is_success()) {
                 return;
             }
-            tokio::time::sleep(std::time::Duration::from_millis(100)).await;
+            time::sleep(Duration::from_millis(100)).await;
         }
     }
 
@@ -168,7 +185,7 @@
 
     async fn until(&self, revision: u64) {
         while self.seats.iter().any(|seat| seat.config.load(Ordering::Relaxed) < revision) {
-            tokio::time::sleep(std::time::Duration::from_millis(2)).await;
+            time::sleep(Duration::from_millis(2)).await;
         }
     }
 
@@ -177,9 +194,9 @@
         self.until(1).await;
         let ready = |seat: &Arc<Seat>| seat.sure.load(Ordering::Relaxed) && seat.catalog.lock().expect("catalog").0 > 0;
         while !self.seats.iter().all(ready) {
-            tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+            time::sleep(Duration::from_millis(20)).await;
         }
-        tokio::time::sleep(std::time::Duration::from_secs(2)).await;
+        time::sleep(Duration::from_secs(2)).await;
     }
 
     fn bytes(&self) -> (u64, u64) {
@@ -192,20 +209,20 @@
     /// and the bytes a second that a router sent and got.
     pub async fn play(&self, seconds: u64) -> (u64, u64, u64) {
         let from = self.bytes();
-        let end = tokio::time::Instant::now() + std::time::Duration::from_secs(seconds);
+        let end = Instant::now() + Duration::from_secs(seconds);
         let seeking = tokio::spawn(seek(self.seats[0].clone(), self.size.seeks, self.net));
         let (mut revision, mut late) = (1u64, 0u64);
-        let pause = std::time::Duration::from_secs_f64(1.0 / self.size.changes.max(0.01));
-        while tokio::time::Instant::now() < end {
-            let begun = tokio::time::Instant::now();
+        let pause = Duration::from_secs_f64(1.0 / self.size.changes.max(0.01));
+        while Instant::now() < end {
+            let begun = Instant::now();
             let body = serde_json::json!({"revision": revision + 1,
                 "upsert": {"route_table": [route(revision as usize % self.size.routes, 3000 + revision)]}});
             self.change(true, revision, body.to_string()).await;
             revision += 1;
-            let acked = tokio::time::Instant::now();
+            let acked = Instant::now();
             self.until(revision).await;
             late = late.max(acked.elapsed().as_millis() as u64);
-            tokio::time::sleep_until((begun + pause).min(end)).await;
+            time::sleep_until((begun + pause).min(end)).await;
         }
         seeking.abort();
         let (to, each) = (self.bytes(), seconds * self.size.routers as u64);
@@ -216,32 +233,27 @@
 /// Look-ups, registrations and flushes as a request makes them, spread evenly.
 async fn seek(seat: Arc<Seat>, rate: usize, net: u8) {
     let (epoch, holder) = seat.catalog.lock().expect("catalog").clone();
-    let callers: Vec<_> =
-        (0..16).map(|_| Arc::new(protocol::link::Caller::start(format!("{holder}:7810"), None))).collect();
-    let mut beat = tokio::time::interval(std::time::Duration::from_millis(10));
+    let callers: Vec<_> = (0..16).map(|_| Arc::new(Caller::start(format!("{holder}:7810"), None))).collect();
+    let mut beat = time::interval(Duration::from_millis(10));
     let (mut number, mut owed) = (u64::from(net), 0.0);
     loop {
         beat.tick().await;
         owed += rate as f64 / 100.0;
         while owed >= 1.0 {
             (owed, number) = (owed - 1.0, number + 1);
-            let (caller, key) = (callers[number as usize % 16].clone(), kernel::clock::blend(number, 1));
+            let (caller, key) = (callers[number as usize % 16].clone(), clock::blend(number, 1));
             tokio::spawn(async move {
-                let sample = (0..10).map(|at| kernel::clock::blend(key, at)).collect();
-                let ask = protocol::msg::Seek { epoch, keys: vec![key, key + 1], sample };
-                caller.call(protocol::msg::Msg::Seek(Box::new(ask)), 500).await;
+                let sample = (0..10).map(|at| clock::blend(key, at)).collect();
+                let ask = Seek { epoch, keys: vec![key, key + 1], sample };
+                caller.call(Msg::Seek(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
                     let id = format!("i-{engine}");
-                    let told = protocol::msg::Pressure { name: kernel::clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
-                    let record = |key| protocol::msg::Record { key, engine: id.clone() };
-                    let note = protocol::msg::Note {
-                        epoch,
-                        list: (0..3).map(|at| record(key + at)).collect(),
-                        told: vec![told],
-                    };
-                    caller.cast(protocol::msg::Msg::Note(Box::new(note)));
+                    let told = Pressure { name: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
+                    let record = |key| Record { key, engine: id.clone() };
+                    let note = Note { epoch, list: (0..3).map(|at| record(key + at)).collect(), told: vec![told] };
+                    caller.cast(Msg::Note(Box::new(note)));
                 }
-                caller.call(protocol::msg::Msg::Flush(Box::new((epoch, 3))), 500).await;
+                caller.call(Msg::Flush(Box::new((epoch, 3))), 500).await;
             });
         }
     }
--- a/tidepoint/tests/stand/mod.rs
+++ b/tidepoint/tests/stand/mod.rs
@@ -1,6 +1,15 @@
 //! Stand-ins written for these tests: a platform, engines and a client, on loopback addresses.
+
+use std::collections::HashMap;
 use std::io::{Read, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::str::from_utf8;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
 
 /// What an engine saw: its id, the stage, the attempt, the source it was to take.
 #[derive(Clone, Debug)]
@@ -26,15 +35,15 @@
 
 #[derive(Default)]
 pub struct World {
-    pub list: Mutex<Vec<serde_json::Value>>,
+    pub list: Mutex<Vec<Value>>,
     pub seen: Mutex<Vec<Seen>>,
     /// Handles that were given out and not yet taken or freed.
     pub handles: Mutex<Vec<String>>,
     /// Engines that break off their next stream after two events.
     pub breaks: Mutex<Vec<String>>,
-    pub count: std::sync::atomic::AtomicU64,
+    pub count: AtomicU64,
     /// Weight versions by engine; 1 where none is set.
-    pub versions: Mutex<std::collections::HashMap<String, u64>>,
+    pub versions: Mutex<HashMap<String, u64>>,
 }
 
 impl World {
@@ -76,7 +85,7 @@
                 stream.read_exact(&mut byte).ok()?;
                 line.push(byte[0]);
             }
-            let size = usize::from_str_radix(std::str::from_utf8(&line).ok()?.trim(), 16).ok()?;
+            let size = usize::from_str_radix(from_utf8(&line).ok()?.trim(), 16).ok()?;
             let mut piece = vec![0; size + 2];
             stream.read_exact(&mut piece).ok()?;
             head.body.extend_from_slice(&piece[..size]);
@@ -91,19 +100,19 @@
     Some(head)
 }
 
-fn answer(stream: &mut std::net::TcpStream, status: &str, fields: &str, body: &str) {
+fn answer(stream: &mut TcpStream, status: &str, fields: &str, body: &str) {
     let text = format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len());
     let _ = stream.write_all(text.as_bytes());
 }
 
-fn serve(addr: &str, each: impl Fn(&mut std::net::TcpStream, Head) + Send + Sync + 'static) {
-    let listener = std::net::TcpListener::bind(addr).expect("a free address");
+fn serve(addr: &str, each: impl Fn(&mut TcpStream, Head) + Send + Sync + 'static) {
+    let listener = TcpListener::bind(addr).expect("a free address");
     let each = Arc::new(each);
-    std::thread::spawn(move || {
+    thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
             let each = each.clone();
-            std::thread::spawn(move || {
+            thread::spawn(move || {
                 while let Some(head) = read(&mut stream) {
                     each(&mut stream, head);
                 }
@@ -115,7 +124,7 @@
 /// The platform's list, one engine a page; every fifth call is over the rate.
 pub fn platform(world: Arc<World>, addr: &str) {
     serve(addr, move |stream, head| {
-        if world.count.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 5 == 4 {
+        if world.count.fetch_add(1, Ordering::Relaxed) % 5 == 4 {
             return answer(stream, "429 Too Many Requests", "", "");
         }
         let field = |name: &str| {
@@ -171,7 +180,7 @@
         let whole = head.get("x-whole") == "1";
         if head.get("serving-phase") == "prefill" && !whole {
             note("read");
-            let number = world.count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            let number = world.count.fetch_add(1, Ordering::Relaxed);
             let handle = format!("h{number}");
             world.handles.lock().expect("handles").push(handle.clone());
             let body = serde_json::json!({"kv_handle": handle, "token_count": 9, "revision": version}).to_string();
@@ -197,7 +206,7 @@
         let _ = stream.write_all(top.as_bytes());
         for event in first..=4 {
             if cut && event == 3 {
-                let _ = stream.shutdown(std::net::Shutdown::Both);
+                let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
             let text = format!("id: {event}\ndata: {}-{event}\n\n", String::from_utf8_lossy(&head.body));
@@ -209,8 +218,8 @@
 
 /// One call on a connection of its own. None: the connection ended without a whole answer.
 pub fn call(addr: &str, text: &str) -> Option<Head> {
-    let mut stream = std::net::TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(std::time::Duration::from_secs(10))).ok()?;
+    let mut stream = TcpStream::connect(addr).ok()?;
+    stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
     read(&mut stream)
 }
@@ -221,12 +230,12 @@
 
 /// Calls again and again until the answer is as wished: each call waits on a socket, none sleeps.
 pub fn until(addr: &str, text: &str, what: &str, good: impl Fn(&Head) -> bool) -> Head {
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     while begun.elapsed().as_secs() < 30 {
         if let Some(head) = call(addr, text).filter(&good) {
             return head;
         }
-        std::thread::yield_now();
+        thread::yield_now();
     }
     panic!("waited for {what}");
 }
--- a/tidepoint/tests/stand/proc.rs
+++ b/tidepoint/tests/stand/proc.rs
@@ -1,8 +1,13 @@
 //! A real daemon as a process, and what it costs by its own account of the system.
 
+use std::path::Path;
+use std::sync::Mutex;
+use std::time::Instant;
+use std::{fs, process};
+
 pub struct Child {
-    child: std::process::Child,
-    from: std::sync::Mutex<(std::time::Instant, Cost)>,
+    child: process::Child,
+    from: Mutex<(Instant, Cost)>,
 }
 
 /// Processor ms, bytes written to disk and log, memory held in MB.
@@ -29,25 +34,25 @@
 }
 
 impl Child {
-    pub fn start(program: &std::path::Path, settings: &std::path::Path) -> Child {
-        let child = std::process::Command::new(program)
+    pub fn start(program: &Path, settings: &Path) -> Child {
+        let child = process::Command::new(program)
             .env("TIDEPOINT_CONFIG", settings)
-            .stdout(std::process::Stdio::null())
-            .stderr(std::process::Stdio::null())
+            .stdout(process::Stdio::null())
+            .stderr(process::Stdio::null())
             .spawn()
             .unwrap_or_else(|error| panic!("{}: {error}; build the programs first", program.display()));
-        let from = std::sync::Mutex::new((std::time::Instant::now(), Cost::default()));
+        let from = Mutex::new((Instant::now(), Cost::default()));
         Child { child, from }
     }
 
     fn field(&self, file: &str, name: &str) -> f64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default();
+        let text = fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix(name)).unwrap_or("");
         line.trim_start_matches(':').split_whitespace().next().and_then(|word| word.parse().ok()).unwrap_or(0.0)
     }
 
     fn now(&self) -> Cost {
-        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
+        let text = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let rest = text.rsplit(')').next().unwrap_or("");
         let tick = |at: usize| rest.split_whitespace().nth(at).and_then(|word| word.parse::<f64>().ok()).unwrap_or(0.0);
         // User and system time, in hundredths of a second.
@@ -58,7 +63,7 @@
 
     /// Counting begins here.
     pub fn mark(&self) {
-        *self.from.lock().expect("from") = (std::time::Instant::now(), self.now());
+        *self.from.lock().expect("from") = (Instant::now(), self.now());
     }
 
     pub fn cost(&self) -> Cost {
--- a/tidepoint/tests/tenants.rs
+++ b/tidepoint/tests/tenants.rs
@@ -1,14 +1,26 @@
 //! Tenants through the real daemons: a controller that takes configurations, a router that serves by them, two engines.
+
+use std::net::TcpStream;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use std::{fs, io, process, thread};
+
+use controller::boot;
+use kernel::env::{parse, Env};
+use kernel::signal;
+use serde_json::Value;
+use tokio::runtime::{Builder, Runtime};
+
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
-use std::sync::Arc;
 
 const DOOR: &str = "127.0.76.1:7801";
 const READY: &str = "127.0.76.1:7802";
 const CONTROL: &str = "127.0.76.1:7803";
 const CLOUD: &str = "127.0.76.9:7800";
 
-fn env(name: &str, data: Option<&std::path::Path>) -> kernel::env::Env {
+fn env(name: &str, data: Option<&Path>) -> Env {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let text = format!(
         "node_name = \"{name}\"\nip = \"127.0.76.1\"\nzone = \"a\"\ninternal_ports = [7810, 7815]\n\
@@ -17,20 +29,20 @@
          [limits]\nmemory_mb = 260\nfd_limit = 4000\ndisk_mb = 64\n[bounds]\nlease_ms = 400\nbudget_slack = 20.0\n\
          [cloud_api]\naddress = \"{CLOUD}\"\nrate_per_s = 200.0\n"
     );
-    kernel::env::parse(&text).expect("good settings")
+    parse(&text).expect("good settings")
 }
 
-fn tenant(name: &str, keys: &[&str]) -> serde_json::Value {
+fn tenant(name: &str, keys: &[&str]) -> Value {
     serde_json::json!({"name": name, "api_keys": keys, "priority": 1, "rate_per_s": 1000, "burst_size": 1000})
 }
 
-fn route(name: &str, anonymous: bool) -> serde_json::Value {
+fn route(name: &str, anonymous: bool) -> Value {
     serde_json::json!({"name": name, "hostname": format!("{name}.example"), "path_prefix": "/x/",
         "route_type": "streaming", "timeout_ms": 4000, "target_ms": 400, "service": "s", "retry_count": 2,
         "resumable": true, "persistent": true, "anonymous": anonymous})
 }
 
-fn config() -> serde_json::Value {
+fn config() -> Value {
     serde_json::json!({"revision": 5, "route_table": [route("keyed", false), route("open", true)],
         "service_table": [{"name": "s", "max_connections": 60, "engine": {"slot_count": 8, "kv_hold_s": 5.0,
             "kv_capacity": 1000, "kv_token_bytes": 10, "link_mbps": 10.0}}],
@@ -44,7 +56,7 @@
 }
 
 /// An operator's call: taken sooner or later.
-fn change(method: &str, base: u64, body: &serde_json::Value) {
+fn change(method: &str, base: u64, body: &Value) {
     let text = stand::request(method, "/config", &format!("Host: c\r\nIf-Match: {base}\r\n"), &body.to_string());
     stand::until(CONTROL, &text, "the configuration", |head| status(head) == "200");
 }
@@ -64,14 +76,14 @@
     stand::platform(world.clone(), CLOUD);
     stand::engine(world.clone(), "i-read", "127.0.76.2:7820", "prefill");
     stand::engine(world.clone(), "i-make", "127.0.76.3:7820", "decode");
-    let dir = std::env::temp_dir().join(format!("tidepoint-tenants-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
+    let dir = std::env::temp_dir().join(format!("tidepoint-tenants-{}", process::id()));
+    let _ = fs::remove_dir_all(&dir);
     let controller = env("k", Some(&dir));
     start(move |runtime| {
-        runtime.block_on(async { controller::boot::run(controller, kernel::signal::watch()).await });
+        runtime.block_on(async { boot::run(controller, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(env("e", None), kernel::signal::watch()).await });
+        runtime.block_on(async { router::boot::run(env("e", None), signal::watch()).await });
     });
     change("PUT", 0, &config());
     let ready = stand::request("GET", "/ready", "Host: r\r\n", "");
@@ -82,12 +94,12 @@
     batch_job();
     revoked_and_moved();
     seen_by_engines(&world);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
-fn start(run: impl FnOnce(&tokio::runtime::Runtime) + Send + 'static) {
-    std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn start(run: impl FnOnce(&Runtime) + Send + 'static) {
+    thread::spawn(move || {
+        let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         run(&runtime);
     });
 }
@@ -112,7 +124,7 @@
 
 /// A job carries a key among its headers, as any request does.
 fn batch_job() {
-    let job = |name: &str, headers: serde_json::Value| serde_json::json!({"name": name, "hostname": "keyed.example", "path": "/x/9", "headers": headers, "body": name});
+    let job = |name: &str, headers: Value| serde_json::json!({"name": name, "hostname": "keyed.example", "path": "/x/9", "headers": headers, "body": name});
     let jobs = [
         job("with", serde_json::json!({"Model": "m", "authorization": "Bearer k1"})),
         job("without", serde_json::json!({"Model": "m"})),
@@ -120,24 +132,24 @@
     let body = serde_json::json!({"window_s": 25, "jobs": jobs}).to_string();
     let submit = stand::request("POST", "/batches", "Host: c\r\nIdempotency-Key: night\r\n", &body);
     let taken = stand::until(CONTROL, &submit, "the batch to be taken", |head| status(head) == "200");
-    let id = serde_json::from_slice::<serde_json::Value>(&taken.body).expect("whole")["batch"].clone();
+    let id = serde_json::from_slice::<Value>(&taken.body).expect("whole")["batch"].clone();
     let results = format!("/batches/{}/results", id.as_str().expect("an id"));
     let ended = |head: &stand::Head| {
-        let value: serde_json::Value = serde_json::from_slice(&head.body).unwrap_or_default();
+        let value: Value = serde_json::from_slice(&head.body).unwrap_or_default();
         value["receipts"].as_array().is_some_and(|list| list.len() == 2)
     };
     let results = stand::until(CONTROL, &stand::request("GET", &results, "Host: c\r\n", ""), "receipts", ended);
-    let value: serde_json::Value = serde_json::from_slice(&results.body).expect("whole");
+    let value: Value = serde_json::from_slice(&results.body).expect("whole");
     let found = |name: &str| value["receipts"].as_array()?.iter().find(|item| item["name"] == name)?["status"].as_u64();
     assert_eq!((found("with"), found("without")), (Some(200), Some(401)), "{value}");
 }
 
 /// On one connection that stays open all the while.
 fn revoked_and_moved() {
-    let mut stream = std::net::TcpStream::connect(DOOR).expect("a door");
-    stream.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("set");
+    let mut stream = TcpStream::connect(DOOR).expect("a door");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
     let mut call = |attempt: &str, key: &str| {
-        std::io::Write::write_all(&mut stream, ask("keyed", attempt, key).as_bytes()).expect("sent");
+        io::Write::write_all(&mut stream, ask("keyed", attempt, key).as_bytes()).expect("sent");
         status(&stand::read(&mut stream).expect("an answer")).to_string()
     };
     assert_eq!(call("e1", "k2"), "200");
@@ -145,7 +157,7 @@
     change("PATCH", 5, &serde_json::json!({"revision": 9, "upsert": {"tenant_table": table}}));
     change("PATCH", 9, &serde_json::json!({"revision": 12, "withdraw": {"tenant_table": ["one"]}}));
     // The moved key of the first change is known to be in force once the key of the second is not served any more.
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     while call("e2", "k1") != "401" {
         assert!(begun.elapsed().as_secs() < 5, "a revoked key is still served");
     }
--- a/tidepoint/tests/whole.rs
+++ b/tidepoint/tests/whole.rs
@@ -1,14 +1,25 @@
 //! The whole system beside stand-ins: a controller, a router, engines, the platform and a client.
+
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use std::{fs, io, process, thread};
+
+use controller::boot;
+use kernel::env::{parse, Env};
+use kernel::signal;
+use serde_json::Value;
+use tokio::runtime::{Builder, Runtime};
+
 #[allow(dead_code)] // Each test uses a part of the stand-ins.
 mod stand;
-use std::sync::Arc;
 
 const DOOR: &str = "127.0.77.1:7801";
 const READY: &str = "127.0.77.1:7802";
 const CONTROL: &str = "127.0.77.1:7803";
 const CLOUD: &str = "127.0.77.9:7800";
 
-fn env(name: &str, data: Option<String>) -> kernel::env::Env {
+fn env(name: &str, data: Option<String>) -> Env {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let text = format!(
         "node_name = \"{name}\"\nip = \"127.0.77.1\"\nzone = \"a\"\ninternal_ports = [7810, 7815]\n\
@@ -17,12 +28,12 @@
          [limits]\nmemory_mb = 260\nfd_limit = 4000\ndisk_mb = 64\n[bounds]\nlease_ms = 400\nbudget_slack = 20.0\n\
          [cloud_api]\naddress = \"{CLOUD}\"\nrate_per_s = 200.0\n"
     );
-    kernel::env::parse(&text).expect("good settings")
+    parse(&text).expect("good settings")
 }
 
-fn start(run: impl FnOnce(&tokio::runtime::Runtime) + Send + 'static) {
-    std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn start(run: impl FnOnce(&Runtime) + Send + 'static) {
+    thread::spawn(move || {
+        let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         run(&runtime);
     });
 }
@@ -63,14 +74,14 @@
     stand::platform(world.clone(), CLOUD);
     stand::engine(world.clone(), "i-read", "127.0.77.2:7820", "prefill");
     stand::engine(world.clone(), "i-make", "127.0.77.3:7820", "decode");
-    let dir = std::env::temp_dir().join(format!("tidepoint-whole-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
+    let dir = std::env::temp_dir().join(format!("tidepoint-whole-{}", process::id()));
+    let _ = fs::remove_dir_all(&dir);
     let controller_env = env("k", Some(dir.to_string_lossy().into_owned()));
     start(move |runtime| {
-        runtime.block_on(async { controller::boot::run(controller_env, kernel::signal::watch()).await });
+        runtime.block_on(async { boot::run(controller_env, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(env("e", None), kernel::signal::watch()).await });
+        runtime.block_on(async { router::boot::run(env("e", None), signal::watch()).await });
     });
 
     configurations();
@@ -82,7 +93,7 @@
     batches(&world);
     evacuated(&world);
     drained(&world);
-    let _ = std::fs::remove_dir_all(dir);
+    let _ = fs::remove_dir_all(dir);
 }
 
 fn configurations() {
@@ -98,7 +109,7 @@
     let text = stand::request("PATCH", "/config", "Host: c\r\nIf-Match: 5\r\n", &change);
     assert_eq!(status(&stand::call(CONTROL, &text).expect("an answer")), "200");
     let held = stand::call(CONTROL, &stand::request("GET", "/config", "Host: c\r\n", "")).expect("an answer");
-    let value: serde_json::Value = serde_json::from_slice(&held.body).expect("whole");
+    let value: Value = serde_json::from_slice(&held.body).expect("whole");
     assert_eq!((value["revision"].as_u64(), value["route_table"].as_array().map(Vec::len)), (Some(9), Some(2)));
 }
 
@@ -106,9 +117,9 @@
     let nowhere = stand::call(DOOR, &ask("none.example", "a0", "")).expect("an answer");
     assert_eq!(status(&nowhere), "404");
     let two = "POST /x/1 HTTP/1.1\r\nHost: one.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x/2 HTTP/1.1\r\nHost: one.example\r\n\r\n";
-    let mut stream = std::net::TcpStream::connect(DOOR).expect("a door");
-    stream.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("set");
-    std::io::Write::write_all(&mut stream, two.as_bytes()).expect("sent");
+    let mut stream = TcpStream::connect(DOOR).expect("a door");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+    io::Write::write_all(&mut stream, two.as_bytes()).expect("sent");
     // Both framings: refused, what hides behind is never read as a request, and the connection ends.
     let shape = stand::read(&mut stream).expect("an answer");
     assert_eq!((status(&shape), shape.get("connection")), ("400", "close"));
@@ -142,7 +153,7 @@
     stand::engine(world.clone(), "i-more", "127.0.77.4:7820", "decode");
     let fleet = |attempt: &str| ask("one.example", attempt, "").replace("5c1e07a2", &format!("f{attempt}"));
     let known = || world.seen.lock().expect("seen").iter().any(|seen| seen.engine == "i-more");
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     let mut number = 0;
     while !known() && begun.elapsed().as_secs() < 20 {
         number += 1;
@@ -150,7 +161,7 @@
     }
     world.breaks.lock().expect("breaks").extend(["i-make".to_string(), "i-more".to_string()]);
     // Both break once: the first stream that meets it goes on behind its last whole event.
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     while world.breaks.lock().expect("breaks").len() == 2 && begun.elapsed().as_secs() < 20 {
         number += 1;
         let Some(reply) = stand::call(DOOR, &fleet(&format!("b{number}"))) else { continue };
@@ -173,7 +184,7 @@
     };
     let taken = submit("night-1", &body);
     assert_eq!(status(&taken), "200", "{}", String::from_utf8_lossy(&taken.body));
-    let value: serde_json::Value = serde_json::from_slice(&taken.body).expect("whole");
+    let value: Value = serde_json::from_slice(&taken.body).expect("whole");
     let id = value["batch"].as_str().expect("an id").to_string();
     assert_eq!(submit("night-1", &body).body, taken.body, "the same key, the same batch");
     assert_eq!(status(&submit("night-1", &body.replace("job3", "else"))), "409");
@@ -185,8 +196,7 @@
         String::from_utf8_lossy(&head.body).contains("\"state\":\"finished\"")
     });
     let text = stand::request("GET", &format!("/batches/{id}/results"), "Host: c\r\n", "");
-    let value: serde_json::Value =
-        serde_json::from_slice(&stand::call(CONTROL, &text).expect("an answer").body).expect("whole");
+    let value: Value = serde_json::from_slice(&stand::call(CONTROL, &text).expect("an answer").body).expect("whole");
     let list = value["receipts"].as_array().expect("receipts").clone();
     assert_eq!(list.len(), 5, "each job answered once");
     assert!(list.iter().all(|item| item["outcome"] == "done" && item["status"] == 200), "{list:?}");
@@ -228,14 +238,14 @@
         item["oper_state"] = "draining".into();
     }
     // Seen at the router once a poll and a push are over; then it never gets another request.
-    let begun = std::time::Instant::now();
+    let begun = Instant::now();
     let count = || world.seen.lock().expect("seen").iter().filter(|seen| seen.engine == "i-more").count();
-    let (mut last, mut since, mut number) = (count(), std::time::Instant::now(), 0);
+    let (mut last, mut since, mut number) = (count(), Instant::now(), 0);
     while since.elapsed().as_millis() < 1500 {
         number += 1;
         stand::call(DOOR, &ask("two.example", &format!("d{number}"), ""));
         if count() > last {
-            (last, since) = (count(), std::time::Instant::now());
+            (last, since) = (count(), Instant::now());
         }
         assert!(begun.elapsed().as_millis() < 4500, "a draining engine still gets requests");
     }
--- a/versions/src/judge.rs
+++ b/versions/src/judge.rs
@@ -6,6 +6,9 @@
 //! Pace: the median time between the events of an answer, against the old version's in the same span.
 
 use std::collections::BTreeMap;
+use std::mem;
+
+use hdrhistogram::Histogram;
 
 /// Which version served a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -17,7 +20,7 @@
 }
 
 /// The times between events, in microseconds.
-pub type PaceHistogram = hdrhistogram::Histogram<u64>;
+pub type PaceHistogram = Histogram<u64>;
 
 /// Samples of one route and version that came together.
 #[derive(Clone, Debug, Default)]
@@ -107,7 +110,7 @@
     }
 
     fn turn(&mut self) {
-        self.previous = std::mem::replace(&mut self.current, empty());
+        self.previous = mem::replace(&mut self.current, empty());
     }
 
     fn count(&self) -> u64 {
