--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -2,7 +2,7 @@
 //! their duty unawares, and whose requests are lost, answered or turned away: a job that may not be
 //! repeated never runs twice, and no receipt is changed or invented.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{state_after, Outcome, ATTEMPTS};
 use crate::page::{Bar, Page, State};
@@ -32,7 +32,7 @@
 }
 
 struct World {
-    dice: Dice,
+    dice: Rng,
     page: Page,
     owners: Vec<Owner>,
     epoch: u64,
@@ -52,7 +52,7 @@
 impl World {
     fn new(seed: u64, trusting: bool) -> World {
         World {
-            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9)),
+            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
             page: Page::new(JOBS),
             owners: (0..OWNERS).map(|_| Owner::default()).collect(),
             epoch: 0,
--- a/batch/src/offpeak.rs
+++ b/batch/src/offpeak.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::mem;
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use crate::page::{Page, State};
 use crate::turn::{self, Pace, Press, View};
@@ -42,7 +42,7 @@
 struct World<'a> {
     plan: &'a Plan,
     now: u64,
-    dice: Dice,
+    dice: Rng,
     engines: Vec<Engine>,
     pages: Vec<Page>,
     owners: Vec<Owner>,
@@ -61,7 +61,7 @@
     let mut world = World {
         plan,
         now: 0,
-        dice: Dice::new(plan.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+        dice: Rng::new(plan.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
         engines: engines.collect(),
         pages: pages.collect(),
         owners: Vec::new(),
--- a/batch/src/sim.rs
+++ b/batch/src/sim.rs
@@ -1,6 +1,6 @@
 //! Seeded runs under trouble that count runs and receipts for each job. None sleeps.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use crate::offpeak::{self, Report};
 
@@ -42,7 +42,7 @@
 #[test]
 fn owners_that_crash_and_wake_late_never_answer_twice() {
     for seed in 1..=30 {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let mut plan = offpeak::plan(seed, 96);
         plan.once_every = 1 + dice.below(3) as usize;
         plan.crash = (0..3).map(|_| 500 + dice.below(plan.window_ms)).collect();
@@ -55,7 +55,7 @@
 #[test]
 fn killing_everything_and_losing_routers_never_answers_twice() {
     for seed in 1..=20 {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let mut plan = offpeak::plan(seed, 96);
         plan.once_every = 1 + dice.below(3) as usize;
         plan.kill_all = (0..3).map(|_| 500 + dice.below(plan.window_ms)).collect();
--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -30,7 +30,7 @@
     let mut key = seed;
     let mut list = Vec::with_capacity(parts.len());
     for part in parts {
-        key = clock::blend(key, clock::blend(part.id, u64::from(part.tokens)));
+        key = clock::combine_hashes(key, clock::combine_hashes(part.id, u64::from(part.tokens)));
         list.push(key);
     }
     list
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -28,7 +28,7 @@
 /// The seat of a controller in ballots: its address, so that it differs between live controllers, mixed
 /// with its life, so that two lives never act under one ballot.
 pub fn seat(ip: &str, life: u64) -> u64 {
-    clock::blend(clock::hash(ip.as_bytes()), life)
+    clock::combine_hashes(clock::hash(ip.as_bytes()), life)
 }
 
 #[cfg(test)]
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::{mem, str};
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use protocol::msg::{Ask, Ballot, Core, Member, Poll, Slot, Vote};
 
 use crate::round::{self, Ownership, Round, Step};
@@ -50,7 +50,7 @@
 
 pub struct World {
     now: u64,
-    dice: Dice,
+    dice: Rng,
     seats: Vec<Seat>,
     mail: Vec<Letter>,
     cut: Vec<(usize, usize)>,
@@ -95,7 +95,7 @@
         let core = Core { version: 1, list, prev: Vec::new(), settled: true };
         World {
             now: 0,
-            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             seats: (0..size).map(|at| Seat::fresh(at, core.clone(), 0)).collect(),
             mail: Vec::new(),
             cut: Vec::new(),
--- a/consensus/src/sim_membership_tests.rs
+++ b/consensus/src/sim_membership_tests.rs
@@ -1,6 +1,6 @@
 //! Members replaced while the register is at work: the simulated world must not lose what was acknowledged.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::tests::sound;
 use super::World;
@@ -20,7 +20,7 @@
 fn replaced(seed: u64, way: Way) -> (World, Vec<u8>) {
     let hasty = way == Way::Hasty;
     let mut world = World::new(seed, 3);
-    let mut chance = Dice::new(seed ^ 0x7e57);
+    let mut chance = Rng::new(seed ^ 0x7e57);
     let mut stage = 0;
     let mut core = None;
     let gone = 1 + chance.below(2) as usize;
--- a/consensus/src/sim_tests.rs
+++ b/consensus/src/sim_tests.rs
@@ -1,7 +1,7 @@
 //! Runs of the simulated world. Every body is "N/owner.round", N counting the changes before it, so
 //! a lost acknowledgement shows as a count that does not rise.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use protocol::msg::{Core, Member};
 
 use super::{count, ip, World};
@@ -12,7 +12,7 @@
 fn run(seed: u64, size: usize, wipes: bool, hasty: bool) -> (World, Vec<u8>) {
     let mut world = World::new(seed, size);
     world.hasty = hasty;
-    let mut chance = Dice::new(seed ^ 0x51ed);
+    let mut chance = Rng::new(seed ^ 0x51ed);
     let mut down: Option<(usize, u64)> = None;
     while world.now < 20_000 {
         world.step();
@@ -92,7 +92,7 @@
 fn twice(seed: u64, size: usize, hasty: bool) -> (World, Vec<u8>, bool) {
     let mut world = World::new(seed, size);
     world.hasty = hasty;
-    let mut chance = Dice::new(seed ^ 0x2f2f);
+    let mut chance = Rng::new(seed ^ 0x2f2f);
     let mut back = 0;
     let mut whole = true;
     while world.now < 24_000 {
--- a/consensus/src/simulated_disk.rs
+++ b/consensus/src/simulated_disk.rs
@@ -7,7 +7,7 @@
 use std::mem;
 use std::sync::{Arc, Mutex};
 
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 
 const BLOCK_BYTES: usize = 64;
 const LOST_PROCESS: &str = "the process is gone";
@@ -57,7 +57,7 @@
     pub names: BTreeMap<String, usize>,
     stored_names: BTreeMap<String, usize>,
     pending_names: Vec<NameChange>,
-    dice: Dice,
+    dice: Rng,
     pub faults: Faults,
     pub crashed: bool,
 }
@@ -97,7 +97,7 @@
     }
 
     /// Some blocks of each write reach the disk, others do not.
-    fn store_in_part(&mut self, change: &FileChange, dice: &mut Dice, kept_of_ten: u64) {
+    fn store_in_part(&mut self, change: &FileChange, dice: &mut Rng, kept_of_ten: u64) {
         let FileChange::Write(offset, bytes) = change else { return };
         for (place, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
             if dice.below(10) < kept_of_ten {
@@ -110,7 +110,7 @@
 
 impl Disk {
     pub fn new(seed: u64) -> SharedDisk {
-        let dice = Dice::new(clock::blend(seed, 77));
+        let dice = Rng::new(clock::combine_hashes(seed, 77));
         Arc::new(Mutex::new(Disk {
             inodes: Vec::new(),
             names: BTreeMap::new(),
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -2,7 +2,7 @@
 //! After each opening all that was reported as synced must be there, and nothing but part of what was
 //! under way may be new.
 
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 use protocol::msg::{Ballot, Core, Entry, Slot};
 
 use crate::record::LogRecord;
@@ -22,7 +22,7 @@
 /// The store under test, and what must be found on its disk.
 pub struct Run {
     pub disk: SharedDisk,
-    pub dice: Dice,
+    pub dice: Rng,
     /// All that was reported as synced.
     acknowledged: Voter,
     /// Batches whose writing failed and that nothing has overwritten for certain.
@@ -41,7 +41,7 @@
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
         let acknowledged = Voter::new("10.0.0.1");
-        Run { disk, dice: Dice::new(clock::blend(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
+        Run { disk, dice: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
     }
 
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
--- a/consensus/src/store_model_tests.rs
+++ b/consensus/src/store_model_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 
 use crate::simulated_disk::Faults;
 use crate::store_model::Run;
@@ -25,8 +25,8 @@
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
         for ahead in 0.. {
-            let mut run = Run::new(clock::blend(seed, ahead), Faults::default());
-            run.dice = Dice::new(seed + 1);
+            let mut run = Run::new(clock::combine_hashes(seed, ahead), Faults::default());
+            run.dice = Rng::new(seed + 1);
             run.faults(|faults| faults.crash_in = Some(ahead));
             let whole = work(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
             if whole {
--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 use load_balancing::balance::{self, Change, Seen};
 use protocol::msg::{self, Engine};
 use protocol::word::TARGET;
@@ -66,7 +66,7 @@
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = entry::beat(LOOK_MS);
+        let mut beat = startup::interval(LOOK_MS);
         let mut balance = Balance::default();
         loop {
             beat.tick().await;
@@ -166,7 +166,7 @@
     let Some(epoch) = duty::acting_epoch(&controller, BALANCE, now) else { return };
     let phase = if order.prefill { "prefill" } else { "decode" };
     let body = serde_json::json!({
-        "opcode": "phase", "phase": phase, "owner": controller.env.node_name, "fence_token": epoch
+        "opcode": "phase", "phase": phase, "owner": controller.settings.node_name, "fence_token": epoch
     });
     let call = client
         .post(format!("http://{}/order", engine.addr))
@@ -174,7 +174,7 @@
         .header("content-type", "application/json")
         .body(body.to_string());
     let status = call.send().await.map_or(0, |reply| reply.status().as_u16());
-    kernel::say!(ORDER, "engine" => engine.id.clone(), "phase" => phase, "epoch" => epoch, "status" => status);
+    kernel::log_event!(ORDER, "engine" => engine.id.clone(), "phase" => phase, "epoch" => epoch, "status" => status);
 }
 
 #[cfg(test)]
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -6,7 +6,7 @@
 use batch::page::{Page, State};
 use batch::sheet::{self, Batch};
 use batch::{ANSWER, BATCHES, BYTES, PAGE};
-use kernel::env::Env;
+use kernel::settings::Settings;
 use poem::{Endpoint, Request, Response};
 use protocol::config::{self, Route};
 
@@ -49,9 +49,9 @@
 }
 
 /// What batches may take up on disk and in memory: a share of what the machine has.
-fn room(env: &Env) -> usize {
-    let disk = if env.limits.disk_mb == 0 { env.limits.memory_mb / 2 } else { env.limits.disk_mb };
-    (disk.min(env.limits.memory_mb) as usize) << 17
+fn room(settings: &Settings) -> usize {
+    let disk = if settings.limits.disk_mb == 0 { settings.limits.memory_mb / 2 } else { settings.limits.disk_mb };
+    (disk.min(settings.limits.memory_mb) as usize) << 17
 }
 
 pub struct Batches(pub Arc<Controller>);
@@ -82,7 +82,7 @@
                 ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.bytes()).sum();
             let answers = batch.jobs.len() * ANSWER;
             let new = !ids.contains(&id);
-            let full = ids.len() >= BATCHES || bytes + batch.bytes() + answers > room(&controller.env);
+            let full = ids.len() >= BATCHES || bytes + batch.bytes() + answers > room(&controller.settings);
             if new && full {
                 return Receipt::Full(60_000);
             }
@@ -102,7 +102,7 @@
         };
         match controller.change(&batch_key(&id), control::wait_ms(controller), judge).await {
             Some(Receipt::Good) => {
-                kernel::say!(BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
+                kernel::log_event!(BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
                 Receipt::Text(serde_json::json!({ "batch": id, "jobs": batch.jobs.len() }).to_string().into_bytes())
             }
             Some(other) => other,
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -8,8 +8,8 @@
 use catalog::prefix_index::PrefixIndex;
 use consensus::voter::Voter;
 use kernel::clock;
-use kernel::env::Env;
-use kernel::plug::{self, Plug};
+use kernel::plugin::{self, Plugin};
+use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
 use membership::Roster;
 use protocol::link::{self, Handler};
@@ -26,16 +26,16 @@
 use crate::{balance, control, duty, gossip, message, pause, platform, reconfiguration, runner, shutdown};
 
 /// The parts of the controller that announce themselves.
-#[kernel::plug::linkme::distributed_slice]
-#[linkme(crate = kernel::plug::linkme)]
-pub static CONTROLLER_PARTS: [Plug<Arc<Controller>>];
+#[kernel::plugin::linkme::distributed_slice]
+#[linkme(crate = kernel::plugin::linkme)]
+pub static CONTROLLER_PARTS: [Plugin<Arc<Controller>>];
 
 macro_rules! part {
     ($label:ident, $name:literal, $order:literal, $start:path) => {
-        #[kernel::plug::linkme::distributed_slice(CONTROLLER_PARTS)]
-        #[linkme(crate = kernel::plug::linkme)]
-        static $label: kernel::plug::Plug<std::sync::Arc<crate::controller::Controller>> =
-            kernel::plug::Plug { name: $name, order: $order, start: $start };
+        #[kernel::plugin::linkme::distributed_slice(CONTROLLER_PARTS)]
+        #[linkme(crate = kernel::plugin::linkme)]
+        static $label: kernel::plugin::Plugin<std::sync::Arc<crate::controller::Controller>> =
+            kernel::plugin::Plugin { name: $name, order: $order, start: $start };
     };
 }
 
@@ -51,7 +51,7 @@
 part!(FELLOWS, "peers", 1, peers);
 
 fn peers(controller: &Arc<Controller>) {
-    let addr = format!("{}:{}", controller.env.ip, controller.env.peer_port());
+    let addr = format!("{}:{}", controller.settings.ip, controller.settings.peer_port());
     let controller = controller.clone();
     let handler: Handler = Arc::new(move |mouth, id, msg| message::take(&controller, mouth, id, msg));
     tokio::spawn(async move {
@@ -65,8 +65,8 @@
 }
 
 /// The first core is the seeds: at the first start all daemons are told the same.
-fn found(env: &Env) -> Core {
-    let mut ips = env.seed_ips();
+fn found(settings: &Settings) -> Core {
+    let mut ips = settings.seed_ips();
     ips.sort();
     ips.dedup();
     let list = ips.into_iter().map(|ip| Member { ip, zone: String::new() }).collect();
@@ -77,29 +77,29 @@
 const FAREWELL: Duration = Duration::from_millis(300);
 
 /// Runs a controller until it is told to end and has finished what it took.
-pub async fn run(env: Env, mut signals: Signals) -> process::ExitCode {
-    let life = clock::life();
-    let mut voter = Voter::new(&env.ip);
+pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
+    let life = clock::incarnation();
+    let mut voter = Voter::new(&settings.ip);
     let mut store = None;
     let mut empty = true;
-    if let Some(dir) = &env.data_dir {
+    if let Some(dir) = &settings.data_dir {
         match disk::open(Path::new(dir), &mut voter) {
             Ok((open, found_empty)) => (store, empty) = (Some(open), found_empty),
             Err(error) => {
-                kernel::say!(BAD_DISK, "cause" => error.to_string());
+                kernel::log_event!(BAD_DISK, "cause" => error.to_string());
                 eprintln!("controller: {error}");
                 return process::ExitCode::from(4);
             }
         }
     }
     let mut first = Vec::new();
-    if empty && env.bootstrap {
-        voter.core = found(&env);
+    if empty && settings.bootstrap {
+        voter.core = found(&settings);
         voter.may_vote = true;
         first = voter.whole();
     }
-    kernel::say!(START, "node" => env.node_name.clone(), "ip" => env.ip.clone(), "empty" => empty,
-        "bootstrap" => env.bootstrap, "may_vote" => voter.may_vote, "core" => voter.core.version);
+    kernel::log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone(), "empty" => empty,
+        "bootstrap" => settings.bootstrap, "may_vote" => voter.may_vote, "core" => voter.core.version);
     let mirror = voter.clone();
     let metrics = Metrics::default();
     let disk = Disk::start(store, mirror, metrics.disk_write.clone());
@@ -107,11 +107,11 @@
     let prefix_index = PrefixIndex::new(200_000, 30_000);
     let controller = Arc::new(Controller {
         life,
-        seat: consensus::seat(&env.ip, life),
+        seat: consensus::seat(&settings.ip, life),
         voter: Mutex::new(voter),
         disk,
         committed_state: Default::default(),
-        roster: Mutex::new(Roster::new(&env.ip, &env.zone, LIVE_MS)),
+        roster: Mutex::new(Roster::new(&settings.ip, &settings.zone, LIVE_MS)),
         sheets: Default::default(),
         weights: Default::default(),
         followers: Default::default(),
@@ -123,22 +123,24 @@
         polls: Semaphore::new(1),
         trials: Default::default(),
         first_versions: Default::default(),
-        quotas: Mutex::new(HeldShards::new(&env.ip)),
+        quotas: Mutex::new(HeldShards::new(&settings.ip)),
         pauses: Default::default(),
         leaving: Default::default(),
         shutdown: Default::default(),
         metrics,
-        env,
+        settings,
     });
     let observed = controller.clone();
-    telemetry::start(&controller.env.ip, controller.env.metrics.as_ref(), move || observed.metrics.render(&observed));
-    plug::start(&CONTROLLER_PARTS, &controller);
+    telemetry::start(&controller.settings.ip, controller.settings.metrics.as_ref(), move || {
+        observed.metrics.render(&observed)
+    });
+    plugin::start(&CONTROLLER_PARTS, &controller);
     signal::until_leave(&mut signals).await;
-    kernel::say!(LEAVE);
-    let end = shutdown::last_moment(controller.env.bounds.grace_s);
+    kernel::log_event!(LEAVE);
+    let end = shutdown::last_moment(controller.settings.bounds.grace_s);
     reconfiguration::leave(&controller).await;
     // What was answered is on disk; what is under way is finished. Meanwhile peers hear that this controller ends.
     let (finished, ()) = tokio::join!(controller.shutdown.run(end), time::sleep(FAREWELL));
-    kernel::say!(GONE, "finished" => finished, "orders" => controller.metrics.orders_under_way.get());
+    kernel::log_event!(GONE, "finished" => finished, "orders" => controller.metrics.orders_under_way.get());
     process::ExitCode::SUCCESS
 }
--- a/controller/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -184,7 +184,7 @@
 /// The digest of the first version.
 pub fn first_digest(change: &ConfigChange) -> u64 {
     let text = clock::hash(change.text.as_bytes());
-    clock::blend(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
+    clock::combine_hashes(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
 /// Tells a body from others where a change of it is told. Invariant: a body of the second version has a part of its
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -58,7 +58,7 @@
 }
 
 fn committed(change: &ConfigChange, revision: u64) {
-    kernel::say!(event::CONFIG, "base" => change.base, "revision" => revision);
+    kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
 fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Verdict<Judgement> {
--- a/controller/src/control.rs
+++ b/controller/src/control.rs
@@ -49,7 +49,7 @@
         Receipt::Good => json(200, b"{}".to_vec()),
         Receipt::Text(body) => json(200, body),
         Receipt::Bad(status, words) => {
-            kernel::say!(REFUSED, "status" => status, "error" => words.clone());
+            kernel::log_event!(REFUSED, "status" => status, "error" => words.clone());
             json(status, serde_json::json!({ "error": words }).to_string().into_bytes())
         }
         Receipt::Full(wait) => {
@@ -67,7 +67,7 @@
             reply
         }
         Receipt::Unclear => {
-            kernel::say!(UNCLEAR);
+            kernel::log_event!(UNCLEAR);
             let mut reply =
                 json(503, serde_json::json!({ "error": "no majority answered in time" }).to_string().into_bytes());
             reply.headers_mut().insert("retry-after", HeaderValue::from_static("0.3"));
@@ -125,7 +125,7 @@
 
 impl Evacuation {
     async fn set(&self, zone: &str, on: bool) -> Receipt {
-        if !self.0.env.zones.contains_key(zone) {
+        if !self.0.settings.zones.contains_key(zone) {
             return Receipt::Bad(404, format!("zone `{zone}`: not known"));
         }
         submit(&self.0, format!("/evacuation/{zone}"), Order::Evacuate { zone: zone.into(), on }).await
@@ -207,7 +207,7 @@
 }
 
 pub fn start(controller: &Arc<Controller>) {
-    let Some(addr) = controller.env.bind_addresses.control_plane.clone() else { return };
+    let Some(addr) = controller.settings.bind_addresses.control_plane.clone() else { return };
     let app = Arc::new(
         Route::new()
             .at(CONFIG_PATH, Config(controller.clone()))
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -11,7 +11,7 @@
 use catalog::prefix_index::PrefixIndex;
 use consensus::voter::Voter;
 use kernel::clock;
-use kernel::env::Env;
+use kernel::settings::Settings;
 use load_balancing::sheet::Sheets;
 use membership::Roster;
 use protocol::link::Caller;
@@ -35,7 +35,7 @@
 use crate::versions::Trials;
 
 pub struct Controller {
-    pub env: Env,
+    pub settings: Settings,
     pub life: u64,
     pub seat: u64,
     pub voter: Mutex<Voter>,
@@ -109,12 +109,12 @@
 
 impl Controller {
     pub fn me(&self) -> &str {
-        &self.env.ip
+        &self.settings.ip
     }
 
     pub fn peer(&self, ip: &str) -> Arc<Caller> {
         let mut calls = self.calls.lock().expect("calls");
-        let addr = format!("{ip}:{}", self.env.peer_port());
+        let addr = format!("{ip}:{}", self.settings.peer_port());
         calls.entry(ip.into()).or_insert_with(|| Arc::new(Caller::start(addr, None))).clone()
     }
 
@@ -124,7 +124,7 @@
 
     /// Controllers that are known: the core, the seeds, whoever was heard.
     pub fn known(&self) -> Vec<String> {
-        let mut list = self.env.seed_ips();
+        let mut list = self.settings.seed_ips();
         list.extend(self.core().list.into_iter().map(|member| member.ip));
         list.extend(self.roster.lock().expect("roster").controllers.keys().cloned());
         list.sort();
@@ -167,7 +167,7 @@
     pub fn adopt(&self, core: &Core) {
         let record = self.voter.lock().expect("voter").adopt(core);
         let Some(record) = record else { return };
-        kernel::say!(CORE, "version" => core.version, "settled" => core.settled,
+        kernel::log_event!(CORE, "version" => core.version, "settled" => core.settled,
             "members" => core.list.iter().map(|member| member.ip.as_str()).collect::<Vec<_>>().join(","));
         self.disk.write(vec![record]);
     }
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -147,7 +147,7 @@
 /// `first`: not a repetition of the same.
 fn report(error: &StoreError, first: bool) {
     if first {
-        kernel::say!(DISK_WAIT, "cause" => error.to_string());
+        kernel::log_event!(DISK_WAIT, "cause" => error.to_string());
     }
 }
 
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -6,7 +6,7 @@
 use std::iter;
 use std::sync::Arc;
 
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 use membership::duty::{self, Held, Look, SureStreak};
 use protocol::msg;
 
@@ -50,7 +50,7 @@
     for key in [CATALOG, BALANCE, BATCH] {
         let controller = controller.clone();
         tokio::spawn(async move {
-            let mut beat = entry::beat(LOOK_MS);
+            let mut beat = startup::interval(LOOK_MS);
             let mut streak = SureStreak::default();
             loop {
                 beat.tick().await;
@@ -79,7 +79,7 @@
     let tenure = held(controller, key, now)?;
     let sure_at = controller.committed_state.lock().expect("committed_state").sure?;
     let held = Held { since: tenure.since, own: tenure.own, sure_at };
-    let bounds = &controller.env.bounds;
+    let bounds = &controller.settings.bounds;
     duty::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
 }
 
@@ -139,7 +139,7 @@
     let tenure = Tenure { epoch, since: clock::now(), own };
     controller.taken.lock().expect("taken").0.insert(key.into(), tenure);
     controller.metrics.duties_taken.inc();
-    kernel::say!(DUTY, "duty" => key, "epoch" => epoch);
+    kernel::log_event!(DUTY, "duty" => key, "epoch" => epoch);
 }
 
 fn may_take(controller: &Controller, key: &str, holder: &str, sure_ms: u64) -> bool {
@@ -150,7 +150,7 @@
         holder,
         absent_ms: roster.absent_ms(holder, now).min(sure_ms),
         first: roster.first_sure(key, now).as_deref() == Some(controller.me()),
-        lease_ms: controller.env.bounds.lease_ms,
+        lease_ms: controller.settings.bounds.lease_ms,
     })
 }
 
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 use membership::Peer;
 use protocol::msg::{self, Gossip, Msg};
 
@@ -51,7 +51,7 @@
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = entry::beat(BEAT_MS);
+        let mut beat = startup::interval(BEAT_MS);
         loop {
             beat.tick().await;
             tell(&controller);
@@ -86,7 +86,7 @@
     sheets.extend(duty::told(controller, now));
     let gossip = Gossip {
         ip: controller.me().into(),
-        zone: controller.env.zone.clone(),
+        zone: controller.settings.zone.clone(),
         life: controller.life,
         fit: fit(controller),
         core,
@@ -117,5 +117,5 @@
 
 /// May this controller be made a member: a counted machine, or any where none has a disk.
 pub fn fit(controller: &Controller) -> bool {
-    controller.env.quorum_member && controller.voter.lock().expect("voter").may_vote
+    controller.settings.quorum_member && controller.voter.lock().expect("voter").may_vote
 }
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -27,7 +27,7 @@
         .request(method, format!("http://{router}{}", job.path))
         .timeout(Duration::from_millis(left_ms))
         .header("host", &job.host)
-        .header(ATTEMPT, format!("{:016x}", clock::life()))
+        .header(ATTEMPT, format!("{:016x}", clock::incarnation()))
         .header(BUDGET, left_ms.to_string())
         .header(DEFERRABLE, if press == Press::Near { "near" } else { "idle" });
     for (name, value) in &job.head {
--- a/controller/src/job_run.rs
+++ b/controller/src/job_run.rs
@@ -47,7 +47,7 @@
     };
     let state = in_flight.lock().expect("in flight").note(send, outcome, job.repeatable);
     if state.closed() {
-        kernel::say!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
+        kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
     }
     // Until it is written or another owner holds the page: an answer in hand is not thrown away.
     while runner::change(controller, id, &batch, number, |page| page.close(slot, epoch, state.clone())).await.is_none()
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -3,10 +3,10 @@
 use std::process;
 
 use controller::boot;
-use kernel::entry::{self, EntryFlags};
+use kernel::startup::{self, EntryFlags};
 
 mod flags {
-    use kernel::env::MetricsEndpoint;
+    use kernel::settings::MetricsEndpoint;
 
     xflags::xflags! {
         /// Control-plane daemon of tidepoint.
@@ -27,5 +27,5 @@
         Err(error) => error.exit(),
     };
     let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    entry::enter("controller", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
+    startup::run_daemon("controller", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
 }
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -153,7 +153,7 @@
         let routers: BTreeMap<&String, u64> =
             followers.list.iter().map(|(node, follower)| (node, follower.config)).collect();
         serde_json::json!({
-            "node_name": self.env.node_name, "sure": sure, "revision": revision, "core": members,
+            "node_name": self.settings.node_name, "sure": sure, "revision": revision, "core": members,
             "core_stamp": core.version, "core_settled": core.settled, "live_keepers": controllers,
             "duties": duties, "routers": routers,
         })
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -23,7 +23,7 @@
 
 /// How long an order on the configuration may take before its outcome is told to be unclear.
 pub fn wait_ms(controller: &Controller) -> u64 {
-    (controller.env.bounds.ack_ms / 2).clamp(800, 2500)
+    (controller.settings.bounds.ack_ms / 2).clamp(800, 2500)
 }
 
 /// Carries an order out, at its home where that answers in time.
@@ -72,7 +72,7 @@
     if quorum::is_member(&controller.core(), controller.me()) {
         return None;
     }
-    let own = controller.env.bind_addresses.control_plane.as_deref()?;
+    let own = controller.settings.bind_addresses.control_plane.as_deref()?;
     control_address(own, &home(controller, &key(order))?)
 }
 
@@ -136,7 +136,7 @@
     let judge = |body: &[u8]| judge_evacuation(on, from, body, OrderResult::Done, OrderResult::Unclear);
     let result = controller.change(&key, wait_ms, judge).await.unwrap_or(OrderResult::Unclear);
     if result == OrderResult::Done {
-        kernel::say!(EVACUATION, "zone" => zone, "on" => on);
+        kernel::log_event!(EVACUATION, "zone" => zone, "on" => on);
     }
     result
 }
--- a/controller/src/pause.rs
+++ b/controller/src/pause.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 
 use crate::controller::Controller;
 
@@ -18,7 +18,7 @@
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = entry::beat(BEAT_MS);
+        let mut beat = startup::interval(BEAT_MS);
         loop {
             beat.tick().await;
             controller.pauses.lock().expect("pauses").beat(clock::now());
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use kernel::env::Env;
+use kernel::settings::Settings;
 use load_balancing::sheet::{self, Sheets};
 use membership::PeerReport;
 use protocol::msg::{self, Engine, Gossip, Msg, Sheet};
@@ -69,12 +69,12 @@
 }
 
 /// The time between two polls of a zone: often enough for `drain_ms`, within the shared rate.
-fn pause(env: &Env, pages: usize) -> u64 {
-    let zones = env.zones.len().max(1);
+fn pause(settings: &Settings, pages: usize) -> u64 {
+    let zones = settings.zones.len().max(1);
     let calls = (zones * pages.max(1)) as f64;
     // Two pollers may overlap while a home changes hands, and the wishes stay under half the rate.
-    let floor = (calls * 2000.0 / env.cloud_api.rate_per_s) as u64;
-    (env.bounds.drain_ms / 5).clamp(250, 1000).max(floor)
+    let floor = (calls * 2000.0 / settings.cloud_api.rate_per_s) as u64;
+    (settings.bounds.drain_ms / 5).clamp(250, 1000).max(floor)
 }
 
 /// Did a step that may take `allowed_ms` take so long that the process must have stood still?
@@ -85,7 +85,7 @@
 pub fn start(controller: &Arc<Controller>) {
     let client = outbound::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
     let Ok(client) = client else { return };
-    for zone in controller.env.zones.keys() {
+    for zone in controller.settings.zones.keys() {
         tokio::spawn(run(controller.clone(), client.clone(), zone.clone()));
     }
 }
@@ -96,7 +96,7 @@
     let mut wait = 0;
     loop {
         time::sleep(Duration::from_millis(wait)).await;
-        wait = pause(&controller.env, pages);
+        wait = pause(&controller.settings, pages);
         let now = clock::now();
         let poller = controller.roster.lock().expect("roster").poller(&zone, now);
         if poller != controller.me() || now < FIRST_MS {
@@ -173,7 +173,7 @@
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
     let mut refused = 0;
-    let gap_ms = (1000.0 / controller.env.cloud_api.rate_per_s) as u64;
+    let gap_ms = (1000.0 / controller.settings.cloud_api.rate_per_s) as u64;
     loop {
         let Some(page) = call(client, &url(controller, zone, token.as_deref())).await? else {
             // Over the shared rate: the same page again, what was read of the list stays.
@@ -194,7 +194,7 @@
 }
 
 fn url(controller: &Controller, zone: &str, token: Option<&str>) -> String {
-    let address = &controller.env.cloud_api.address;
+    let address = &controller.settings.cloud_api.address;
     let page = token.map(|token| format!("&page_token={token}")).unwrap_or_default();
     format!("http://{address}/instances?zone={zone}{page}")
 }
@@ -227,7 +227,7 @@
 }
 
 fn publish(controller: &Controller, sheet: Sheet) {
-    kernel::say!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
+    kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
         "up" => sheet.list.iter().filter(|engine| engine.up).count(), "all" => sheet.list.len(),
         "prefill" => sheet.list.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     prune(controller, &sheet);
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -8,7 +8,7 @@
 use consensus::membership::{settled, Health, Settlement, View};
 use consensus::proposal::Verdict;
 use consensus::{quorum, CORE};
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 use membership::{Peer, Roster};
 use protocol::msg::{Ask, Core, Member, Vote, JOINT_QUORUMS};
 use tokio::sync::Semaphore;
@@ -29,7 +29,7 @@
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = entry::beat(BEAT_MS);
+        let mut beat = startup::interval(BEAT_MS);
         let mut settlement = None;
         loop {
             beat.tick().await;
--- a/controller/src/recovery.rs
+++ b/controller/src/recovery.rs
@@ -51,7 +51,7 @@
         let Some(records) = voter.recall(reads) else { return };
         controller.disk.write(records);
     }
-    kernel::say!(RECALLED, "from" => from.join(","));
+    kernel::log_event!(RECALLED, "from" => from.join(","));
 }
 
 /// A quorum says that this core is the current one, and this controller is neither in it nor, as long as it matters,
@@ -68,7 +68,7 @@
     }
     voter.may_vote = true;
     controller.disk.write(vec![LogRecord::Vote]);
-    kernel::say!(FRESH, "core" => core.version);
+    kernel::log_event!(FRESH, "core" => core.version);
 }
 
 /// Asks voters until enough of them answered what was asked. None: not in time, or the core is not current.
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -5,7 +5,7 @@
 use consensus::proposal::{Progress, Proposal};
 use consensus::round::{self, Ownership};
 use consensus::{quorum, ROUND_MS};
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 use protocol::msg::{Ask, Ballot, Core, Msg, Poll, Vote};
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::sync::Mutex;
@@ -131,7 +131,7 @@
         let own = self.ownerships.lock().expect("ownerships").entry(key.into()).or_default().clone();
         let end = Instant::now() + Duration::from_millis(wait_ms);
         let mut held = time::timeout_at(end, own.lock()).await.ok()?;
-        let mut dice = Dice::new(self.life ^ clock::now());
+        let mut dice = Rng::new(self.life ^ clock::now());
         let mut pause = FIRST_PAUSE_MS;
         while Instant::now() < end {
             if let Some(done) = self.propose(key, held.take(), &mut judge).await {
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -154,10 +154,10 @@
         None => return Receipt::Unclear,
     };
     if !controller.settle_rule(key, version).await {
-        kernel::say!(UNSETTLED, "rule" => key, "version" => version);
+        kernel::log_event!(UNSETTLED, "rule" => key, "version" => version);
         return Receipt::Unclear;
     }
-    kernel::say!(RULE, "rule" => key, "version" => version);
+    kernel::log_event!(RULE, "rule" => key, "version" => version);
     Receipt::Text(serde_json::json!({ "rule": key, "version": version }).to_string().into_bytes())
 }
 
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -11,7 +11,7 @@
 use batch::sheet::Batch;
 use batch::turn::{self, Pace, View};
 use batch::{KEEP_MS, PAGE};
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 use protocol::sock::SILENCE_MS;
 use reqwest::Client;
 
@@ -77,7 +77,7 @@
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = entry::beat(LOOK_MS);
+        let mut beat = startup::interval(LOOK_MS);
         let pace = Pace::new(PLACES);
         let in_flight: Shared = Arc::new(Mutex::new(InFlight { jobs: HashSet::new(), lost: HashMap::new(), pace }));
         let mut runner = Runner::default();
--- a/controller/src/simulation/bodies.rs
+++ b/controller/src/simulation/bodies.rs
@@ -1,5 +1,5 @@
 //! What operators send: whole configurations and changes of named items, valid and invalid ones of every kind.
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use protocol::order::ConfigChange;
 use serde_json::{json, Value};
 
@@ -20,7 +20,7 @@
 }
 
 /// A valid whole configuration that no other operator sends, under a number that others may choose too.
-pub fn whole(random: &mut Dice, operator: u64, order: u64, base: u64) -> Body {
+pub fn whole(random: &mut Rng, operator: u64, order: u64, base: u64) -> Body {
     let revision = base + 1 + random.below(2);
     let routes = json!([route("r", "/", 1 + operator + 10 * order)]);
     let value = json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": routes});
@@ -28,7 +28,7 @@
 }
 
 /// A change of any kind. Every configuration holds the route `r` to the service `s`.
-pub fn draw(random: &mut Dice, operator: u64, order: u64, base: u64) -> Body {
+pub fn draw(random: &mut Rng, operator: u64, order: u64, base: u64) -> Body {
     let revision = base + 1 + random.below(2);
     let timeout = 1 + operator + 10 * order;
     let partial = base > 0 && random.below(ITEMS_ONE_OF) == 0;
--- a/controller/src/simulation/catch_up_tests.rs
+++ b/controller/src/simulation/catch_up_tests.rs
@@ -1,6 +1,6 @@
 //! Members that come back after hundreds of changes, or with an empty disk.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
@@ -13,7 +13,7 @@
     let mut cluster = Cluster::new(seed, 3, 8);
     cluster.guards = guards;
     cluster.rest_ms = 20;
-    let mut chance = Dice::new(seed ^ 0xca7);
+    let mut chance = Rng::new(seed ^ 0xca7);
     let mut caught_up = true;
     cluster.run(1500);
     for _ in 0..3 {
--- a/controller/src/simulation/isolation_tests.rs
+++ b/controller/src/simulation/isolation_tests.rs
@@ -1,6 +1,6 @@
 //! A controller that is cut off, or stands still, for some twenty seconds and comes back.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
@@ -19,7 +19,7 @@
     let mut cluster = Cluster::new(seed, 3, 3);
     cluster.guards = guards;
     cluster.lost_answers = 20;
-    let mut chance = Dice::new(seed ^ 0xc07);
+    let mut chance = Rng::new(seed ^ 0xc07);
     cluster.run(2500 + chance.below(1500));
     let at = chance.below(3) as usize;
     match away {
--- a/controller/src/simulation/mod.rs
+++ b/controller/src/simulation/mod.rs
@@ -6,7 +6,7 @@
 use std::mem;
 
 use history::History;
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use network::{Message, Network};
 use node::Node;
 use operator::Operator;
@@ -63,7 +63,7 @@
 /// All machines, operators and the network between them.
 pub struct Cluster {
     pub now: u64,
-    pub random: Dice,
+    pub random: Rng,
     pub nodes: Vec<Node>,
     pub network: Network,
     pub operators: Vec<Operator>,
@@ -88,7 +88,7 @@
         let seeds: Vec<String> = (0..size).map(address).collect();
         let mut cluster = Cluster {
             now: 0,
-            random: Dice::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            random: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             nodes: Vec::new(),
             network: Network::default(),
             operators: (0..operators).map(Operator::new).collect(),
--- a/controller/src/simulation/orders_tests.rs
+++ b/controller/src/simulation/orders_tests.rs
@@ -1,6 +1,6 @@
 //! Operators that race and send again what got no answer.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
@@ -9,7 +9,7 @@
     let mut cluster = Cluster::new(seed, 3, 3);
     cluster.guards = guards;
     cluster.lost_answers = 70;
-    let mut chance = Dice::new(seed ^ 0x0bad);
+    let mut chance = Rng::new(seed ^ 0x0bad);
     for _ in 0..3 {
         cluster.run(3000);
         let at = chance.below(3) as usize;
@@ -47,7 +47,7 @@
     cluster.guards = guards;
     cluster.lost_answers = 40;
     cluster.mixed_orders = true;
-    let mut chance = Dice::new(seed ^ 0x3a1f);
+    let mut chance = Rng::new(seed ^ 0x3a1f);
     for _ in 0..3 {
         cluster.run(3000);
         let at = chance.below(3) as usize;
@@ -91,7 +91,7 @@
     cluster.guards = guards;
     cluster.rest_ms = 20;
     cluster.mixed_orders = true;
-    let mut chance = Dice::new(seed ^ 0x55c1);
+    let mut chance = Rng::new(seed ^ 0x55c1);
     for _ in 0..40 {
         cluster.isolate(chance.below(3) as usize);
         cluster.run(100 + chance.below(700));
--- a/controller/src/simulation/replacement_tests.rs
+++ b/controller/src/simulation/replacement_tests.rs
@@ -1,7 +1,7 @@
 //! Machines of the core replaced, and a second loss as soon as the new one has had its time.
 
 use consensus::quorum;
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{address, Cluster, Guards, ALL_GUARDS};
 
@@ -22,7 +22,7 @@
 fn run(seed: u64, size: usize, way: Way, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 3);
     cluster.guards = guards;
-    let mut chance = Dice::new(seed ^ 0x5e7);
+    let mut chance = Rng::new(seed ^ 0x5e7);
     let mut serves = true;
     cluster.run(2000);
     for _ in 0..2 {
@@ -44,7 +44,7 @@
     (cluster, serves)
 }
 
-fn pick(cluster: &Cluster, chance: &mut Dice, but: &[usize]) -> usize {
+fn pick(cluster: &Cluster, chance: &mut Rng, but: &[usize]) -> usize {
     let core = &cluster.nodes[cluster.live()[0]].voter.core;
     let member = |at: &usize| quorum::is_member(core, &address(*at));
     let list: Vec<usize> = cluster.live().into_iter().filter(|at| !but.contains(at) && member(at)).collect();
@@ -52,7 +52,7 @@
 }
 
 /// Returns once the second loss is allowed.
-fn replace(cluster: &mut Cluster, gone: usize, way: Way, chance: &mut Dice) {
+fn replace(cluster: &mut Cluster, gone: usize, way: Way, chance: &mut Rng) {
     match way {
         Way::Lost => {
             cluster.remove(gone);
--- a/controller/src/simulation/restart_tests.rs
+++ b/controller/src/simulation/restart_tests.rs
@@ -1,6 +1,6 @@
 //! A storm of changes while one member is cut off and all others are restarted one after the other.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{Cluster, ALL_GUARDS};
 
@@ -9,7 +9,7 @@
     let mut cluster = Cluster::new(seed, size, 8);
     cluster.guards = ALL_GUARDS;
     cluster.rest_ms = 20;
-    let mut chance = Dice::new(seed ^ 0x4e57);
+    let mut chance = Rng::new(seed ^ 0x4e57);
     cluster.run(2000);
     let cut = chance.below(size as u64) as usize;
     cluster.isolate(cut);
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -105,14 +105,14 @@
             Learned::Known => return false,
             Learned::Unreadable { error, first } => {
                 if first {
-                    kernel::say!(UNREADABLE, "key" => key, "turn" => entry.ballot.turn,
+                    kernel::log_event!(UNREADABLE, "key" => key, "turn" => entry.ballot.turn,
                         "step" => entry.step, "error" => error.to_string());
                 }
                 return true;
             }
             Learned::Again => {}
             Learned::New { revision } => {
-                kernel::say!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.ballot.turn,
+                kernel::log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.ballot.turn,
                     "step" => entry.step);
             }
         }
--- a/controller/src/version_lists.rs
+++ b/controller/src/version_lists.rs
@@ -34,7 +34,7 @@
 pub fn part(controller: &Controller, list: Vec<ListedEngine>) -> Parted {
     let rollouts = controller.committed_state.lock().expect("committed_state").rollouts.clone();
     // Where versions are not brought in by order, engines may be replaced by others of any version.
-    let by_order = controller.env.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
+    let by_order = controller.settings.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
     let mut first = controller.first_versions.lock().expect("first versions");
     first.part(&rollouts, list, by_order)
 }
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use kernel::{clock, entry};
+use kernel::{clock, startup};
 use protocol::msg::{self, Msg};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
@@ -90,7 +90,7 @@
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = entry::beat(BEAT_MS);
+        let mut beat = startup::interval(BEAT_MS);
         loop {
             beat.tick().await;
             tell(&controller);
@@ -163,7 +163,7 @@
     let step = schedule.step(rollout.share, for_ms, elapsed_ms, finding);
     let Some(next) = after(rollout, step, elapsed_ms, finding) else { return };
     if commit(controller, rollout, &next).await {
-        kernel::say!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
+        kernel::log_event!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
             "state" => next.state.word(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
     }
 }
--- a/kernel/src/clock.rs
+++ b/kernel/src/clock.rs
@@ -14,7 +14,7 @@
 }
 
 /// A number that differs between lives of a process: the random state of the standard library.
-pub fn life() -> u64 {
+pub fn incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let seed = RandomState::new();
     let mut mix = seed.build_hasher();
@@ -24,14 +24,14 @@
 
 /// A small generator for jitter and weighted picks; not for secrets.
 #[derive(Clone, Debug)]
-pub struct Dice(u64);
+pub struct Rng(u64);
 
-impl Dice {
+impl Rng {
     pub fn new(seed: u64) -> Self {
-        Dice(seed | 1)
+        Rng(seed | 1)
     }
 
-    pub fn roll(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
@@ -43,7 +43,7 @@
         if top == 0 {
             return 0;
         }
-        self.roll() % top
+        self.next_u64() % top
     }
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// Mixes two numbers into one.
-pub fn blend(left: u64, right: u64) -> u64 {
+pub fn combine_hashes(left: u64, right: u64) -> u64 {
     stir(left.rotate_left(23) ^ right.wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
--- a/kernel/src/convergence.rs
+++ b/kernel/src/convergence.rs
@@ -8,7 +8,7 @@
 
 use std::ops::RangeInclusive;
 
-use crate::env::Bounds;
+use crate::settings::Bounds;
 
 /// The shares of `converge_ms`, with the two other bounds that limit waits. Invariant: `converge_ms` is above 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,11 +21,11 @@
 /// Confirmations are cheap and no faster than this is of use; slower ones leave no room for a lost read.
 const CONFIRMATION_INTERVAL_MS: RangeInclusive<u64> = 150..=300;
 /// Leases and the load told with them are renewed at least so often, however long changes may take.
-const RENEWAL_INTERVAL_MOST_MS: u64 = 400;
+const MAX_RENEWAL_INTERVAL_MS: u64 = 400;
 /// A healthy controller answers well within this: it bears one lost segment and its retransmission.
-const SILENCE_MOST_MS: u64 = 500;
+const MAX_TIMEOUT_MS: u64 = 500;
 /// Clients wait for a refusal that is not certain no longer than this.
-const REFUSAL_WAIT_MOST_MS: u64 = 300;
+const MAX_REFUSAL_WAIT_MS: u64 = 300;
 
 impl Budget {
     /// The budget under the bounds of a deployment.
@@ -68,7 +68,7 @@
 
     /// Routers: from one renewal at the home controller to the next.
     pub fn renewal_interval_ms(&self) -> u64 {
-        self.share(166).min(RENEWAL_INTERVAL_MOST_MS)
+        self.share(166).min(MAX_RENEWAL_INTERVAL_MS)
     }
 
     /// What a call to a healthy controller takes, with a new connection and a change in the answer: not a wait, but
@@ -78,8 +78,8 @@
     }
 
     /// Routers: a home controller that has not answered a renewal for so long may be sick: others are asked too.
-    pub fn silence_ms(&self) -> u64 {
-        self.share(200).min(SILENCE_MOST_MS)
+    pub fn timeout_ms(&self) -> u64 {
+        self.share(200).min(MAX_TIMEOUT_MS)
     }
 
     /// Routers: once the table was proved current longer ago than this, others than the home controller are asked too.
@@ -111,7 +111,7 @@
 
     /// Routers: how long such a request may wait for that proof.
     pub fn refusal_wait_ms(&self) -> u64 {
-        self.share(125).min(REFUSAL_WAIT_MOST_MS)
+        self.share(125).min(MAX_REFUSAL_WAIT_MS)
     }
 
     /// Routers: how long a request may rest on what it was told by the table before it must look again.
--- a/kernel/src/convergence_tests.rs
+++ b/kernel/src/convergence_tests.rs
@@ -1,7 +1,7 @@
 //! The worst paths of a change, added up from the shares.
 
 use super::Budget;
-use crate::env::Bounds;
+use crate::settings::Bounds;
 
 /// The bounds to try; deployments have 2000 to 3000.
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
--- a/kernel/src/journal.rs
+++ b/kernel/src/event_buffer.rs
@@ -3,15 +3,15 @@
 use std::collections::VecDeque;
 
 /// Invariants: `list.len() <= room`; numbers rise by one and are never used again.
-pub struct Journal<E> {
+pub struct EventBuffer<E> {
     list: VecDeque<(u64, u64, E)>,
     next: u64,
     room: usize,
 }
 
-impl<E> Journal<E> {
+impl<E> EventBuffer<E> {
     pub fn new(room: usize) -> Self {
-        Journal { list: VecDeque::new(), next: 1, room: room.max(1) }
+        EventBuffer { list: VecDeque::new(), next: 1, room: room.max(1) }
     }
 
     pub fn push(&mut self, time: u64, event: E) -> u64 {
@@ -52,7 +52,7 @@
 mod tests {
     #[test]
     fn oldest_events_give_way_and_numbers_rise() {
-        let mut book = super::Journal::new(2);
+        let mut book = super::EventBuffer::new(2);
         for word in ["a", "b", "c"] {
             book.push(0, word);
         }
--- a/kernel/src/log.rs
+++ b/kernel/src/log.rs
@@ -6,7 +6,7 @@
 use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer};
 
 use crate::clock;
-use crate::journal::Journal;
+use crate::event_buffer::EventBuffer;
 
 /// Invariant: `code` is unique over the project and never given to another meaning.
 pub struct Event {
@@ -15,7 +15,7 @@
 }
 
 /// The last events of this process, for those who ask it.
-static BOOK: Mutex<Option<Journal<String>>> = Mutex::new(None);
+static BOOK: Mutex<Option<EventBuffer<String>>> = Mutex::new(None);
 
 /// How many events are kept.
 const ROOM: usize = 512;
@@ -57,7 +57,7 @@
         let mut text = format!("{} {} {}", clock::now(), record.level().as_short_str(), record.msg());
         let _ = record.kv().serialize(record, &mut Pairs(&mut text));
         let mut book = BOOK.lock().expect("book");
-        book.get_or_insert_with(|| Journal::new(ROOM)).push(clock::now(), text.clone());
+        book.get_or_insert_with(|| EventBuffer::new(ROOM)).push(clock::now(), text.clone());
         drop(book);
         text.push('\n');
         let _ = io::stdout().write_all(text.as_bytes());
@@ -69,9 +69,9 @@
     ROOT.get_or_init(|| Logger::root(Line, slog::o!()))
 }
 
-/// `say!(EVENT, "key" => value, ...)`: one numbered event at the level info.
+/// `log_event!(EVENT, "key" => value, ...)`: one numbered event at the level info.
 #[macro_export]
-macro_rules! say {
+macro_rules! log_event {
     ($event:expr $(, $key:literal => $value:expr)* $(,)?) => {
         slog::info!($crate::log::root(), "E{:04} {}", $event.code, $event.text; $($key => $value),*)
     };
--- a/kernel/src/env.rs
+++ b/kernel/src/settings.rs
@@ -9,7 +9,7 @@
 use toml::{de, Deserializer};
 
 #[derive(Clone, Debug, serde::Deserialize)]
-pub struct Env {
+pub struct Settings {
     pub node_name: String,
     #[serde(default)]
     pub role: String,
@@ -34,11 +34,11 @@
     pub keepalive_ms: u64,
     pub zones: BTreeMap<String, String>,
     #[serde(default)]
-    pub bind_addresses: Binds,
+    pub bind_addresses: BindAddresses,
     pub limits: Limits,
     #[serde(default)]
     pub bounds: Bounds,
-    pub cloud_api: Cloud,
+    pub cloud_api: CloudApi,
     /// Where the process tells its metrics; nowhere if left out.
     #[serde(default)]
     pub metrics: Option<MetricsEndpoint>,
@@ -55,29 +55,29 @@
 
 /// A metrics endpoint that is not written `PORT/PATH`.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadMetricsEndpoint(String);
+pub struct InvalidMetricsEndpoint(String);
 
-impl std::fmt::Display for BadMetricsEndpoint {
+impl std::fmt::Display for InvalidMetricsEndpoint {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(out, "`{}` is not PORT/PATH", self.0)
     }
 }
 
-impl error::Error for BadMetricsEndpoint {}
+impl error::Error for InvalidMetricsEndpoint {}
 
 impl TryFrom<String> for MetricsEndpoint {
-    type Error = BadMetricsEndpoint;
+    type Error = InvalidMetricsEndpoint;
 
-    fn try_from(text: String) -> Result<MetricsEndpoint, BadMetricsEndpoint> {
+    fn try_from(text: String) -> Result<MetricsEndpoint, InvalidMetricsEndpoint> {
         text.parse()
     }
 }
 
 impl FromStr for MetricsEndpoint {
-    type Err = BadMetricsEndpoint;
+    type Err = InvalidMetricsEndpoint;
 
-    fn from_str(text: &str) -> Result<MetricsEndpoint, BadMetricsEndpoint> {
-        let bad = || BadMetricsEndpoint(text.to_string());
+    fn from_str(text: &str) -> Result<MetricsEndpoint, InvalidMetricsEndpoint> {
+        let bad = || InvalidMetricsEndpoint(text.to_string());
         let (port, path) = text.split_once('/').ok_or_else(bad)?;
         let port = port.parse().ok().filter(|port| *port > 0).ok_or_else(bad)?;
         if path.contains(|sign: char| sign.is_whitespace() || sign == '?') {
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Debug, Default, serde::Deserialize)]
-pub struct Binds {
+pub struct BindAddresses {
     pub frontend: Option<String>,
     pub readiness: Option<String>,
     pub control_plane: Option<String>,
@@ -156,7 +156,7 @@
 }
 
 #[derive(Clone, Debug, serde::Deserialize)]
-pub struct Cloud {
+pub struct CloudApi {
     pub address: String,
     pub rate_per_s: f64,
     /// How far the list of engines lags behind.
@@ -170,22 +170,22 @@
 
 /// What stops a start: the field, what stood there, what is allowed.
 #[derive(Debug, PartialEq)]
-pub struct BadEnv {
+pub struct SettingsError {
     pub field: String,
     pub found: String,
     pub allowed: String,
 }
 
-impl std::fmt::Display for BadEnv {
+impl std::fmt::Display for SettingsError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(out, "settings: field `{}`: found {}, allowed: {}", self.field, self.found, self.allowed)
     }
 }
 
-impl error::Error for BadEnv {}
+impl error::Error for SettingsError {}
 
-fn bad(field: &str, found: impl std::fmt::Display, allowed: &str) -> Report<BadEnv> {
-    Report::new(BadEnv { field: field.into(), found: found.to_string(), allowed: allowed.into() })
+fn bad(field: &str, found: impl std::fmt::Display, allowed: &str) -> Report<SettingsError> {
+    Report::new(SettingsError { field: field.into(), found: found.to_string(), allowed: allowed.into() })
 }
 
 /// The path from TIDEPOINT_CONFIG, or the usual place.
@@ -193,22 +193,22 @@
     env::var("TIDEPOINT_CONFIG").unwrap_or_else(|_| "/etc/tidepoint/settings.toml".into())
 }
 
-pub fn load(path: &str) -> Result<Env, Report<BadEnv>> {
+pub fn load(path: &str) -> Result<Settings, Report<SettingsError>> {
     let text =
         fs::read_to_string(path).map_err(|error| bad("(file)", format!("{path}: {error}"), "a readable file"))?;
     parse(&text)
 }
 
 /// Reads and checks a settings text.
-pub fn parse(text: &str) -> Result<Env, Report<BadEnv>> {
+pub fn parse(text: &str) -> Result<Settings, Report<SettingsError>> {
     let source = Deserializer::new(text);
-    let env: Env = serde_path_to_error::deserialize(source).map_err(|error| unreadable(text, &error))?;
-    check(&env)?;
-    Ok(env)
+    let settings: Settings = serde_path_to_error::deserialize(source).map_err(|error| unreadable(text, &error))?;
+    check(&settings)?;
+    Ok(settings)
 }
 
 /// Names the field of an error by its path: a missing one by the name that the error gives.
-fn unreadable(text: &str, error: &serde_path_to_error::Error<de::Error>) -> Report<BadEnv> {
+fn unreadable(text: &str, error: &serde_path_to_error::Error<de::Error>) -> Report<SettingsError> {
     let cause = error.inner();
     let missing = cause.message().strip_prefix("missing field `").and_then(|rest| rest.split('`').next());
     let path = Some(error.path().to_string()).filter(|path| path != "." && path != "?");
@@ -222,21 +222,21 @@
     bad(&field, format!("{} ({})", line.trim(), cause.message()), "as the deployment page lists it")
 }
 
-fn check(env: &Env) -> Result<(), Report<BadEnv>> {
-    if env.ip.parse::<Ipv4Addr>().is_err() {
-        return Err(bad("ip", &env.ip, "an IPv4 address"));
+fn check(settings: &Settings) -> Result<(), Report<SettingsError>> {
+    if settings.ip.parse::<Ipv4Addr>().is_err() {
+        return Err(bad("ip", &settings.ip, "an IPv4 address"));
     }
-    if env.internal_ports[0] == 0 || env.internal_ports[0] > env.internal_ports[1] {
+    if settings.internal_ports[0] == 0 || settings.internal_ports[0] > settings.internal_ports[1] {
         return Err(bad(
             "internal_ports",
-            format!("{:?}", env.internal_ports),
+            format!("{:?}", settings.internal_ports),
             "two ports, the first not above the second",
         ));
     }
-    if !env.zones.contains_key(&env.zone) {
-        return Err(bad("zone", &env.zone, "a name listed under zones"));
+    if !settings.zones.contains_key(&settings.zone) {
+        return Err(bad("zone", &settings.zone, "a name listed under zones"));
     }
-    let binds = &env.bind_addresses;
+    let binds = &settings.bind_addresses;
     let named = [
         ("bind_addresses.frontend", &binds.frontend),
         ("bind_addresses.readiness", &binds.readiness),
@@ -248,27 +248,27 @@
             return Err(bad(field, value, "IP:PORT"));
         }
     }
-    for seed in &env.seed_peers {
+    for seed in &settings.seed_peers {
         if seed.parse::<SocketAddrV4>().is_err() {
             return Err(bad("seed_peers", seed, "a list of IP:PORT"));
         }
     }
-    if env.cloud_api.address.parse::<SocketAddrV4>().is_err() {
-        return Err(bad("cloud_api.address", &env.cloud_api.address, "IP:PORT"));
+    if settings.cloud_api.address.parse::<SocketAddrV4>().is_err() {
+        return Err(bad("cloud_api.address", &settings.cloud_api.address, "IP:PORT"));
     }
-    if env.cloud_api.rate_per_s <= 0.0 || env.cloud_api.rate_per_s.is_nan() {
-        return Err(bad("cloud_api.rate_per_s", env.cloud_api.rate_per_s, "a number above 0"));
+    if settings.cloud_api.rate_per_s <= 0.0 || settings.cloud_api.rate_per_s.is_nan() {
+        return Err(bad("cloud_api.rate_per_s", settings.cloud_api.rate_per_s, "a number above 0"));
     }
-    if env.limits.memory_mb < 16 {
-        return Err(bad("limits.memory_mb", env.limits.memory_mb, "16 or more"));
+    if settings.limits.memory_mb < 16 {
+        return Err(bad("limits.memory_mb", settings.limits.memory_mb, "16 or more"));
     }
-    if env.limits.fd_limit < 64 {
-        return Err(bad("limits.fd_limit", env.limits.fd_limit, "64 or more"));
+    if settings.limits.fd_limit < 64 {
+        return Err(bad("limits.fd_limit", settings.limits.fd_limit, "64 or more"));
     }
     Ok(())
 }
 
-impl Env {
+impl Settings {
     /// The addresses of controllers that the seeds name: their machine, at the first internal port.
     pub fn seed_ips(&self) -> Vec<String> {
         let ips = self.seed_peers.iter().filter_map(|seed| seed.split(':').next());
@@ -282,5 +282,5 @@
 }
 
 #[cfg(test)]
-#[path = "env_tests.rs"]
+#[path = "settings_tests.rs"]
 mod tests;
--- a/kernel/src/env_tests.rs
+++ b/kernel/src/settings_tests.rs
@@ -1,4 +1,4 @@
-use super::{parse, BadEnv};
+use super::{parse, SettingsError};
 
 const GOOD: &str = r#"
 node_name = "edge-1"
@@ -20,17 +20,17 @@
 rate_per_s = 40.0
 "#;
 
-fn fault(text: &str) -> BadEnv {
+fn fault(text: &str) -> SettingsError {
     let report = parse(text).expect_err("must be refused");
     let bad = report.current_context();
-    BadEnv { field: bad.field.clone(), found: bad.found.clone(), allowed: bad.allowed.clone() }
+    SettingsError { field: bad.field.clone(), found: bad.found.clone(), allowed: bad.allowed.clone() }
 }
 
 #[test]
 fn unknown_fields_are_passed_over() {
-    let env = parse(GOOD).expect("good settings");
-    assert_eq!(env.seed_ips(), ["10.1.0.12"]);
-    assert_eq!(env.peer_port(), 7300);
+    let settings = parse(GOOD).expect("good settings");
+    assert_eq!(settings.seed_ips(), ["10.1.0.12"]);
+    assert_eq!(settings.peer_port(), 7300);
 }
 
 #[test]
--- a/kernel/src/entry.rs
+++ b/kernel/src/startup.rs
@@ -7,7 +7,7 @@
 use tokio::runtime::Builder;
 use tokio::time::{self, Interval, MissedTickBehavior};
 
-use crate::env::{self, Env, MetricsEndpoint};
+use crate::settings::{self, MetricsEndpoint, Settings};
 use crate::signal::{self, Signals};
 
 /// What the command line of a daemon may say.
@@ -22,11 +22,11 @@
 }
 
 /// Reads the settings and runs the daemon on one thread.
-pub fn enter<F: Future<Output = process::ExitCode>>(
+pub fn run_daemon<F: Future<Output = process::ExitCode>>(
     name: &str,
     release: &str,
     flags: EntryFlags,
-    run: impl FnOnce(Env, Signals) -> F,
+    run: impl FnOnce(Settings, Signals) -> F,
 ) -> process::ExitCode {
     if flags.version {
         println!("{name} {release}");
@@ -39,27 +39,27 @@
     runtime.block_on(async {
         // First of all: a signal that comes while the daemon starts must not end it.
         let signals = signal::watch();
-        let mut env = match env::load(&env::path()) {
-            Ok(env) => env,
+        let mut settings = match settings::load(&settings::path()) {
+            Ok(settings) => settings,
             Err(error) => {
                 eprintln!("{name}: {}", error.current_context());
                 return process::ExitCode::from(2);
             }
         };
-        env.metrics = flags.metrics.or(env.metrics);
+        settings.metrics = flags.metrics.or(settings.metrics);
         if flags.check {
             println!("settings are good");
             return process::ExitCode::SUCCESS;
         }
-        run(env, signals).await
+        run(settings, signals).await
     })
 }
 
 /// A beat that does not hurry after a pause.
-pub fn beat(every_ms: u64) -> Interval {
-    let mut beat = time::interval(Duration::from_millis(every_ms));
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    beat
+pub fn interval(every_ms: u64) -> Interval {
+    let mut interval = time::interval(Duration::from_millis(every_ms));
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    interval
 }
 
 /// Gives a type its form as bytes: validated when read.
--- a/load_balancing/src/budget_tests.rs
+++ b/load_balancing/src/budget_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 
 use super::{Budget, Ramp};
 
@@ -39,7 +39,7 @@
             if crash && seat.is_multiple_of(29) && now / 25 == 60 {
                 ramp = Ramp::default();
             }
-            if ramp.allows(bound, seats, clock::blend(mark, engine), now) {
+            if ramp.allows(bound, seats, clock::combine_hashes(mark, engine), now) {
                 ramp.note(now);
                 times.push(now);
             }
@@ -85,7 +85,7 @@
             let mark = clock::hash(format!("edge-{seat}").as_bytes());
             let mut ramp = Ramp::default();
             for now in (0..3000).step_by(10) {
-                if ramp.allows(18.0, 66, clock::blend(mark, clock::hash(&[engine])), now) {
+                if ramp.allows(18.0, 66, clock::combine_hashes(mark, clock::hash(&[engine])), now) {
                     ramp.note(now);
                     times.push(now);
                 }
@@ -102,7 +102,7 @@
         let part = slack * 0.5 / f64::from(seats);
         let (mut requests, mut extras) = (Vec::new(), Vec::new());
         for seat in 0..seats {
-            let mut dice = Dice::new(u64::from(seat) + 1);
+            let mut dice = Rng::new(u64::from(seat) + 1);
             let mut budget = Budget::new(ratio, window);
             for now in (0..25_000u64).step_by(50) {
                 if dice.below(10) == 0 {
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -132,7 +132,7 @@
 
     /// This router's draw for an engine.
     pub fn ticket(&self, name: u64) -> u64 {
-        clock::blend(self.seat.mark, name)
+        clock::combine_hashes(self.seat.mark, name)
     }
 
     /// An engine told what runs and waits there.
--- a/load_balancing/src/floor_tests.rs
+++ b/load_balancing/src/floor_tests.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use protocol::msg::Rule;
 
 use super::{Floors, Limit, EASE_MS, LEASE_MS};
@@ -103,7 +103,7 @@
 /// Gives the number of sends under a floor below one that was acknowledged, and of acknowledgements.
 fn play(seed: u64, fault: Fault) -> (u32, u32) {
     let hasty = fault == Fault::Hasty;
-    let mut dice = Dice::new(seed.wrapping_mul(0x9E37_79B9));
+    let mut dice = Rng::new(seed.wrapping_mul(0x9E37_79B9));
     let mut controllers = vec![Controller { knows: 1, ..Default::default() }; 4];
     let mut routers: Vec<Router> = (0..8)
         .map(|at| {
--- a/load_balancing/src/place.rs
+++ b/load_balancing/src/place.rs
@@ -252,7 +252,7 @@
 }
 
 fn rank(key: u64, name: u64) -> u64 {
-    clock::blend(key, name)
+    clock::combine_hashes(key, name)
 }
 
 fn cheapest(open: &[usize], cost: impl Fn(usize) -> f64, rank: impl Fn(usize) -> u64) -> Option<(usize, f64)> {
--- a/load_balancing/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use protocol::msg::{Engine, Sheet};
 
 use super::{Known, Sheets};
@@ -114,7 +114,7 @@
 #[test]
 fn no_list_goes_back_in_time_whatever_overlaps() {
     for seed in 1..=200 {
-        let mut dice = Dice::new(seed * 7919);
+        let mut dice = Rng::new(seed * 7919);
         let mut pollers: Vec<Sheets> = (0..3).map(|_| Sheets::default()).collect();
         let mut router = Sheets::default();
         let mut turns = [0u64; 3];
--- a/load_balancing/src/subset.rs
+++ b/load_balancing/src/subset.rs
@@ -52,8 +52,10 @@
 
 impl Subset {
     pub fn make(seat: Seat, list: &[Named]) -> Subset {
-        let mut ring: Vec<(u64, usize)> =
-            list.iter().flat_map(|(at, _, name)| (0..PLACES).map(|place| (clock::blend(*name, place), *at))).collect();
+        let mut ring: Vec<(u64, usize)> = list
+            .iter()
+            .flat_map(|(at, _, name)| (0..PLACES).map(|place| (clock::combine_hashes(*name, place), *at)))
+            .collect();
         ring.sort_unstable();
         let mut names: Vec<(u64, usize)> = list.iter().map(|(at, _, name)| (*name, *at)).collect();
         names.sort_unstable();
@@ -64,7 +66,7 @@
     fn picks(seat: Seat, list: &[Named]) -> Vec<usize> {
         let mut zones: BTreeMap<u32, Vec<(u64, usize)>> = Default::default();
         for (at, zone, name) in list {
-            zones.entry(*zone).or_default().push((clock::blend(seat.mark, *name), *at));
+            zones.entry(*zone).or_default().push((clock::combine_hashes(seat.mark, *name), *at));
         }
         let part = |(zone, mut part): (u32, Vec<(u64, usize)>)| {
             part.sort_unstable();
--- a/membership/src/duty_world.rs
+++ b/membership/src/duty_world.rs
@@ -1,6 +1,6 @@
 //! The world of the duty tests: three controllers and the register, in virtual time.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use crate::duty::{self, Held, Look, SureStreak};
 use crate::{Peer, PeerReport, Roster};
@@ -43,7 +43,7 @@
 
 pub struct World {
     pub now: u64,
-    pub dice: Dice,
+    pub dice: Rng,
     pub controllers: Vec<Controller>,
     /// Until when two controllers are cut off from each other alone.
     pub pair_cut_until: [[u64; 3]; 3],
@@ -81,7 +81,7 @@
         };
         World {
             now: 0,
-            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9)),
+            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
             controllers: (0..3).map(controller).collect(),
             pair_cut_until: [[0; 3]; 3],
             register: (0, String::new(), false),
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -227,7 +227,7 @@
         }
         list.sort_by_key(|ip| {
             let far = self.zone_of(ip) != zone;
-            (far, clock::blend(clock::hash(duty.as_bytes()), clock::hash(ip.as_bytes())))
+            (far, clock::combine_hashes(clock::hash(duty.as_bytes()), clock::hash(ip.as_bytes())))
         });
         list
     }
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -1,7 +1,7 @@
 //! Properties of all bodies: valid ones are taken and kept as they are; each way to spoil one is refused, names its item,
 //! shows no key and never panics; text and value of whatever is taken agree.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -41,7 +41,7 @@
 }
 
 /// A change that is well-formed; its result may be invalid.
-fn change(dice: &mut Dice, revision: u64) -> Value {
+fn change(dice: &mut Rng, revision: u64) -> Value {
     let mut change = json!({"revision": revision});
     let mut numbers = |most: u64| -> Vec<u64> { (0..most).filter(|_| dice.below(4) == 0).collect() };
     let (routes, services, tenants) = (numbers(9), numbers(5), numbers(5));
@@ -78,7 +78,7 @@
     assert!((400..500).contains(&error.status()));
 }
 
-fn valid_with_a_route(dice: &mut Dice) -> Value {
+fn valid_with_a_route(dice: &mut Rng) -> Value {
     let mut value = samples::whole(dice, 7);
     if value["route_table"].as_array().is_some_and(Vec::is_empty) {
         value["route_table"] = json!([samples::route(dice, 0, 1)]);
@@ -91,7 +91,7 @@
 
     #[test]
     fn valid_bodies_are_taken_and_kept_as_they_were_sent(seed: u64) {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let value = samples::whole(&mut dice, 1 + seed % 1000);
         let text = samples::spaced(&mut dice, &value);
         let checked = Checked::read(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
@@ -104,7 +104,7 @@
 
     #[test]
     fn each_way_to_spoil_a_body_is_refused_and_names_the_item(seed: u64, way in 0..SPOILS.len()) {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let mut value = valid_with_a_route(&mut dice);
         let item = SPOILS[way](&mut dice, &mut value);
         let error = read(&samples::spaced(&mut dice, &value)).expect_err("must be refused");
@@ -114,8 +114,8 @@
 
     #[test]
     fn a_body_that_is_cut_or_followed_by_more_is_refused(seed: u64, cut in 0.0..1.0f64, behind in "[^ \\t\\r\\n]{1,3}") {
-        let mut dice = Dice::new(seed);
-        let text = samples::spaced(&mut dice, &samples::whole(&mut Dice::new(seed), 7));
+        let mut dice = Rng::new(seed);
+        let text = samples::spaced(&mut dice, &samples::whole(&mut Rng::new(seed), 7));
         let text = text.trim();
         let at = (0..text.len()).rev().find(|at| *at as f64 <= cut * text.len() as f64 && text.is_char_boundary(*at));
         shows_no_key(&read(&text[..at.unwrap_or(0)]).expect_err("cut"));
@@ -124,7 +124,7 @@
 
     #[test]
     fn a_field_that_is_there_twice_is_refused_wherever_it_is(seed: u64, place: usize) {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let text = valid_with_a_route(&mut dice).to_string();
         // Before some field of some object stands the same field once more.
         let starts: Vec<usize> = text.match_indices("\":").map(|(at, _)| at).collect();
@@ -139,7 +139,7 @@
     /// A change is taken just where the whole configuration that it leads to would be, and comes to the same.
     #[test]
     fn a_change_comes_to_what_the_whole_would(seed: u64, steps in 1..4usize) {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let mut plain = samples::whole(&mut dice, 1);
         let mut held = Checked::read(&samples::spaced(&mut dice, &plain)).expect("valid");
         for step in 0..steps {
@@ -166,7 +166,7 @@
     /// Anything at all: an answer, never a panic, and what is taken reads the same again.
     #[test]
     fn no_text_takes_the_reader_down(seed: u64, edits in 1..6usize, noise in "\\PC{0,12}") {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let mut text = samples::whole(&mut dice, 7).to_string();
         let pieces = ["{", "}", "[", "]", ",", ":", "\"", "null", "0", "-1", "1e999", "\\u0000", "\\ud800", "true", &noise];
         for _ in 0..edits {
--- a/protocol/src/config/samples.rs
+++ b/protocol/src/config/samples.rs
@@ -1,6 +1,6 @@
 //! Bodies for tests, of the shape that operators send, drawn from a seed.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use serde_json::{json, Value};
 
 use super::{read, Checked, Config, ConfigError};
@@ -28,12 +28,12 @@
     })
 }
 
-fn pick<'a, T>(dice: &mut Dice, list: &'a [T]) -> &'a T {
+fn pick<'a, T>(dice: &mut Rng, list: &'a [T]) -> &'a T {
     &list[dice.below(list.len() as u64) as usize]
 }
 
 /// Sometimes with a field that this version does not know, or null in place of nothing.
-fn varied(dice: &mut Dice, mut item: Value) -> Value {
+fn varied(dice: &mut Rng, mut item: Value) -> Value {
     match dice.below(6) {
         0 => item["later_field"] = json!({"a": [1, {"b": null}], "c": 1.5e-3}),
         1 => item["allowed_regions"] = Value::Null,
@@ -43,7 +43,7 @@
     item
 }
 
-pub fn route(dice: &mut Dice, number: u64, services: u64) -> Value {
+pub fn route(dice: &mut Rng, number: u64, services: u64) -> Value {
     let mut service = || format!("s{}", dice.below(services));
     let (one, two) = (service(), service());
     let mut item = json!({
@@ -73,7 +73,7 @@
     varied(dice, item)
 }
 
-pub fn service(dice: &mut Dice, number: u64) -> Value {
+pub fn service(dice: &mut Rng, number: u64) -> Value {
     let mut item = json!({"name": format!("s{number}")});
     if dice.below(2) == 0 {
         item["max_connections"] = json!(dice.below(1000));
@@ -83,7 +83,7 @@
     varied(dice, item)
 }
 
-pub fn tenant(dice: &mut Dice, number: u64) -> Value {
+pub fn tenant(dice: &mut Rng, number: u64) -> Value {
     let keys: Vec<String> = (0..dice.below(4)).map(|key| format!("{KEY}{number}-{key}")).collect();
     let item =
         json!({"name": format!("t{number}"), "api_keys": keys, "rate_per_s": dice.below(100), "burst_size": 1.5});
@@ -91,7 +91,7 @@
 }
 
 /// A valid whole configuration.
-pub fn whole(dice: &mut Dice, revision: u64) -> Value {
+pub fn whole(dice: &mut Rng, revision: u64) -> Value {
     let services = 1 + dice.below(4);
     let routes = dice.below(8);
     let mut value = json!({
@@ -113,7 +113,7 @@
 }
 
 /// The same value with spaces, line ends and escapes where JSON allows them.
-pub fn spaced(dice: &mut Dice, value: &Value) -> String {
+pub fn spaced(dice: &mut Rng, value: &Value) -> String {
     let text = if dice.below(2) == 0 { serde_json::to_string_pretty(value) } else { serde_json::to_string(value) };
     let text = text.expect("a text").replace("\"name\"", "\"n\\u0061me\"");
     format!("{}{text}{}", pick(dice, &["", " ", "\r\n\t"]), pick(dice, &["", "\n", "   "]))
--- a/protocol/src/config/spoils.rs
+++ b/protocol/src/config/spoils.rs
@@ -1,10 +1,10 @@
 //! Ways to spoil a valid body, for tests.
 use super::samples::KEY;
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use serde_json::{json, Value};
 
 /// Ways to spoil a valid configuration with at least one route; each gives what the error must name.
-pub const SPOILS: [fn(&mut Dice, &mut Value) -> String; 17] = [
+pub const SPOILS: [fn(&mut Rng, &mut Value) -> String; 17] = [
     |_, value| {
         value["route_table"] = Value::Null;
         "body: route_table".into()
@@ -66,7 +66,7 @@
     },
 ];
 
-fn on_route(dice: &mut Dice, value: &mut Value, field: &str, spoiled: Value) -> String {
+fn on_route(dice: &mut Rng, value: &mut Value, field: &str, spoiled: Value) -> String {
     let routes = value["route_table"].as_array_mut().expect("a table");
     let at = dice.below(routes.len() as u64) as usize;
     routes[at][field] = spoiled;
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -79,8 +79,8 @@
 /// What tells one list of holders from others.
 pub fn holders_mark(list: &[ShardHolder]) -> u64 {
     list.iter().fold(1, |mark, holder| {
-        let one = clock::blend(clock::hash(holder.ip.as_bytes()), clock::hash(holder.zone.as_bytes()));
-        clock::blend(mark, one)
+        let one = clock::combine_hashes(clock::hash(holder.ip.as_bytes()), clock::hash(holder.zone.as_bytes()));
+        clock::combine_hashes(mark, one)
     })
 }
 
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -66,8 +66,8 @@
         let part = all / f64::from(routers.max(1));
         let whole = part.floor();
         let window = now / self.bounds.window_ms.max(1);
-        let seed = clock::blend(self.mark, clock::hash(tenant.as_bytes()));
-        let draw = clock::blend(seed, window) as f64 / u64::MAX as f64;
+        let seed = clock::combine_hashes(self.mark, clock::hash(tenant.as_bytes()));
+        let draw = clock::combine_hashes(seed, window) as f64 / u64::MAX as f64;
         whole as usize + usize::from(draw < part - whole)
     }
 
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::{iter, mem};
 
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 use membership::{Peer, PeerReport, Roster};
 
 use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, Spent, TAKE_OVER_MS};
@@ -77,7 +77,7 @@
 
 pub struct Fleet {
     pub now: u64,
-    pub dice: Dice,
+    pub dice: Rng,
     pub variant: Variant,
     pub tenants: Vec<Tenant>,
     pub counts: Vec<Count>,
@@ -107,7 +107,7 @@
         };
         Fleet {
             now: 0,
-            dice: Dice::new(seed.wrapping_mul(0x9E37_79B9) + 1),
+            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9) + 1),
             variant,
             counts: vec![Count::default(); tenants.len()],
             sends: vec![Vec::new(); tenants.len()],
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -19,7 +19,7 @@
 pub fn holders<'a>(tenant: &str, live: &'a [Holder]) -> Vec<&'a Holder> {
     let seed = clock::hash(tenant.as_bytes());
     let mut order: Vec<&Holder> = live.iter().collect();
-    order.sort_by_cached_key(|holder| clock::blend(seed, clock::hash(holder.ip.as_bytes())));
+    order.sort_by_cached_key(|holder| clock::combine_hashes(seed, clock::hash(holder.ip.as_bytes())));
     let mut chosen: Vec<&Holder> = Vec::with_capacity(SHARDS);
     for holder in &order {
         if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == holder.zone) {
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -166,14 +166,14 @@
         return Err(Failure::Refused(RETRY_MS).into());
     }
     if !table.seen.swap(true, Ordering::Relaxed) {
-        kernel::say!(FIRST, "revision" => table.revision);
+        kernel::log_event!(FIRST, "revision" => table.revision);
     }
     let mut admitted = match admit(state, &parts).await {
         Ok(admitted) => admitted,
         Err(failure) => return Err(reject(failure, &parts, body).await),
     };
     let looked_up = clock::now();
-    let room = (state.env.limits.memory_mb as usize) << 18;
+    let room = (state.settings.limits.memory_mb as usize) << 18;
     if state.held.load(Ordering::Relaxed) > room {
         return Err(Failure::Refused(250).into());
     }
@@ -196,7 +196,7 @@
     let route = authorization.route().clone();
     let service = {
         let mut dice = state.dice.lock().expect("dice");
-        table::split(&route.targets, dice.roll())
+        table::split(&route.targets, dice.next_u64())
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
     state.held.fetch_add(request.body.len(), Ordering::Relaxed);
--- a/router/src/boot.rs
+++ b/router/src/boot.rs
@@ -3,8 +3,8 @@
 use std::process;
 use std::sync::Arc;
 
-use kernel::env::Env;
-use kernel::plug::{self, Plug};
+use kernel::plugin::{self, Plugin};
+use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
 
 use crate::drain::{Phase, Schedule};
@@ -13,16 +13,16 @@
 use crate::state::State;
 use crate::{follow, server, version_rollouts};
 
-#[kernel::plug::linkme::distributed_slice]
-#[linkme(crate = kernel::plug::linkme)]
-pub static ROUTER_PARTS: [Plug<Arc<State>>];
+#[kernel::plugin::linkme::distributed_slice]
+#[linkme(crate = kernel::plugin::linkme)]
+pub static ROUTER_PARTS: [Plugin<Arc<State>>];
 
 macro_rules! part {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
-        #[kernel::plug::linkme::distributed_slice(ROUTER_PARTS)]
-        #[linkme(crate = kernel::plug::linkme)]
-        static $label: kernel::plug::Plug<Arc<State>> =
-            kernel::plug::Plug { name: $name, order: $order, start: $start };
+        #[kernel::plugin::linkme::distributed_slice(ROUTER_PARTS)]
+        #[linkme(crate = kernel::plugin::linkme)]
+        static $label: kernel::plugin::Plugin<Arc<State>> =
+            kernel::plugin::Plugin { name: $name, order: $order, start: $start };
     };
 }
 
@@ -32,12 +32,12 @@
 part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(server::frontend(state.clone()))));
 
 /// Runs a router until it is told to end and has finished what it took.
-pub async fn run(env: Env, mut signals: Signals) -> process::ExitCode {
-    kernel::say!(START, "node" => env.node_name.clone(), "ip" => env.ip.clone());
-    let state = State::new(env);
+pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
+    kernel::log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
+    let state = State::new(settings);
     let observed = state.clone();
-    telemetry::start(&state.env.ip, state.env.metrics.as_ref(), move || observed.metrics.render(&observed));
-    plug::start(&ROUTER_PARTS, &state);
+    telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
+    plugin::start(&ROUTER_PARTS, &state);
     signal::until_leave(&mut signals).await;
     leave(&state).await;
     process::ExitCode::SUCCESS
@@ -46,11 +46,11 @@
 /// Ends what the router does, well inside the grace.
 pub(crate) async fn leave(state: &State) {
     let counts = state.record.lock().expect("record").counts;
-    kernel::say!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
-    kernel::say!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
+    kernel::log_event!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
+    kernel::log_event!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
         "dropped" => counts.dropped);
-    state.drain.run(&Schedule::of(state.env.bounds.grace_s)).await;
+    state.drain.run(&Schedule::of(state.settings.bounds.grace_s)).await;
     report_end(state);
 }
 
@@ -65,7 +65,7 @@
 
 /// What is left unfinished, by how far it is and whether it came before or after SIGTERM.
 fn report_end(state: &State) {
-    kernel::say!(GONE, "open" => under_way(state, &PHASES, &STAGES),
+    kernel::log_event!(GONE, "open" => under_way(state, &PHASES, &STAGES),
         "reading" => under_way(state, &PHASES, &[Stage::Reading]),
         "forwarding" => under_way(state, &PHASES, &[Stage::Forwarding]),
         "answering" => under_way(state, &PHASES, &[Stage::Answering]),
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -22,7 +22,7 @@
     let read = read.and_then(|text| Checked::read_committed(text).map_err(|error| error.to_string()));
     match read {
         Ok(config) => turn(state, &Change::whole(config.config())),
-        Err(error) => kernel::say!(BAD_CONFIG, "version" => version, "error" => error),
+        Err(error) => kernel::log_event!(BAD_CONFIG, "version" => version, "error" => error),
     }
 }
 
@@ -30,7 +30,7 @@
 pub fn change(state: &State, body: &[u8]) {
     match Change::read(body) {
         Some(change) => turn(state, &change),
-        None => kernel::say!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
+        None => kernel::log_event!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
     }
 }
 
@@ -40,7 +40,7 @@
     *state.table.lock().expect("table") = Arc::new(table);
     state.news.lock().expect("news").config = change.to;
     state.currency.table_changed();
-    kernel::say!(CONFIG, "revision" => change.to);
+    kernel::log_event!(CONFIG, "revision" => change.to);
 }
 
 /// A new holder of the catalog starts empty: what is known here is registered again, in steps.
--- a/router/src/currency_tests.rs
+++ b/router/src/currency_tests.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use futures_util::future;
-use kernel::{clock, env};
+use kernel::{clock, settings};
 use tokio::time::Instant;
 
 use super::{table_with, Miss, MOST_WAITING};
@@ -15,7 +15,7 @@
 const LEFT_MS: u64 = 60_000;
 
 fn unproved() -> Arc<State> {
-    State::new(env::parse(SETTINGS).expect("good settings"))
+    State::new(settings::parse(SETTINGS).expect("good settings"))
 }
 
 fn put_in_force(state: &State, revision: u64) {
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -39,7 +39,7 @@
 }
 
 fn roll(state: &State) -> u64 {
-    state.dice.lock().expect("dice").roll()
+    state.dice.lock().expect("dice").next_u64()
 }
 
 /// Word of an engine from a controller.
@@ -194,7 +194,7 @@
         return Found::Ended;
     }
     engine.calm = false;
-    kernel::say!(STRIKE, "engine" => id, "strikes" => engine.strikes);
+    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.strikes);
     Found::Silent { known }
 }
 
--- a/router/src/doubt_pace_tests.rs
+++ b/router/src/doubt_pace_tests.rs
@@ -1,22 +1,22 @@
 use std::iter;
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::{is_drawn, pause, told_pause, PAUSE_MOST_MS, PAUSE_MS};
 use crate::doubt_probe::WAIT_MS;
 
 /// Probes that all routers send to one engine that stays dark for ten seconds, once one of them has doubted it.
 fn probes(routers: u32) -> u64 {
-    let mut dice = Dice::new(u64::from(routers));
+    let mut dice = Rng::new(u64::from(routers));
     let mut count = 0;
     for router in 0..routers {
         let (mut now, mut asked) = (0, 0);
-        if router > 0 && !is_drawn(routers, dice.roll()) {
-            now += WAIT_MS + told_pause(routers, dice.roll());
+        if router > 0 && !is_drawn(routers, dice.next_u64()) {
+            now += WAIT_MS + told_pause(routers, dice.next_u64());
         }
         while now < 10_000 {
             (count, asked) = (count + 1, asked + 1);
-            now += WAIT_MS + pause(asked, routers, dice.roll());
+            now += WAIT_MS + pause(asked, routers, dice.next_u64());
         }
     }
     count
@@ -44,8 +44,8 @@
 #[test]
 fn of_many_routers_some_are_always_drawn() {
     for routers in [88u64, 300, 1600] {
-        let mut dice = Dice::new(routers);
-        let drawn = || (0..routers).filter(|_| is_drawn(routers as u32, dice.roll())).count();
+        let mut dice = Rng::new(routers);
+        let drawn = || (0..routers).filter(|_| is_drawn(routers as u32, dice.next_u64())).count();
         let counts: Vec<usize> = iter::repeat_with(drawn).take(200).collect();
         assert!(counts.iter().all(|count| (1..=25).contains(count)), "{routers}: {counts:?}");
     }
--- a/router/src/duration_estimate_tests.rs
+++ b/router/src/duration_estimate_tests.rs
@@ -1,6 +1,6 @@
 //! What is expected after runs of short and long requests.
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use super::DurationEstimate;
 
@@ -12,7 +12,7 @@
 #[test]
 fn it_settles_where_few_take_longer() {
     let estimate = DurationEstimate::default();
-    let mut dice = Dice::new(7);
+    let mut dice = Rng::new(7);
     let mut longer = 0;
     for number in 0..20_000 {
         let duration_ms = 100 + dice.below(1000);
--- a/router/src/evacuation.rs
+++ b/router/src/evacuation.rs
@@ -10,7 +10,7 @@
 
 /// How long an engine that may just have turned cold is taken for cold: until the list would say so.
 pub fn presumed_cold_ms(state: &State) -> u64 {
-    state.env.cloud_api.lag_ms + DELIVERY_MS
+    state.settings.cloud_api.lag_ms + DELIVERY_MS
 }
 
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
@@ -29,7 +29,7 @@
         } else {
             engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
         }
-        kernel::say!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *on);
+        kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *on);
     }
 }
 
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -116,7 +116,7 @@
         if !self.arrived {
             return true;
         }
-        let part = self.state.env.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
+        let part = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
         let is_allowed = self.state.budget.lock().expect("budget").allow(self.service, clock::now(), part);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
@@ -139,7 +139,7 @@
             shut: &self.closed_zones,
             tried: &self.tried,
             seats: routers,
-            ramp: ramp * self.state.env.bounds.ramp_overage,
+            ramp: ramp * self.state.settings.bounds.ramp_overage,
             weights,
             confirmed,
             arm: self.arm,
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kernel::{clock, env};
+use kernel::{clock, settings};
 use protocol::msg::{Msg, News};
 use tokio::time;
 
@@ -16,9 +16,13 @@
 
 /// Follows until the process ends.
 pub async fn run(state: Arc<State>) {
-    let links = Links::new(state.env.peer_port());
-    let following =
-        Following::new(*state.currency.budget(), &state.env.node_name, &state.env.ip, &state.env.seed_ips());
+    let links = Links::new(state.settings.peer_port());
+    let following = Following::new(
+        *state.currency.budget(),
+        &state.settings.node_name,
+        &state.settings.ip,
+        &state.settings.seed_ips(),
+    );
     let mut follower = Follower { state, following, links, seeds_read_at: clock::now() };
     loop {
         follower.step().await;
@@ -125,7 +129,7 @@
     fn home_moved(&mut self, left: Option<String>) {
         let home = self.following.home().unwrap_or_default().to_string();
         *self.state.home.lock().expect("home") = Some(self.links.caller(&home));
-        kernel::say!(HOME, "left" => left.unwrap_or_default(), "home" => home);
+        kernel::log_event!(HOME, "left" => left.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
 
@@ -140,8 +144,8 @@
 
     fn reload_seeds(&mut self) {
         self.seeds_read_at = clock::now();
-        if let Ok(env) = env::load(&env::path()) {
-            self.following.set_seeds(&env.seed_ips());
+        if let Ok(settings) = settings::load(&settings::path()) {
+            self.following.set_seeds(&settings.seed_ips());
         }
     }
 }
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -49,8 +49,8 @@
     sheets.push(told_holders(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
     Follow {
-        node: state.env.node_name.clone(),
-        zone: state.env.zone.clone(),
+        node: state.settings.node_name.clone(),
+        zone: state.settings.zone.clone(),
         life: state.life,
         config: news.config,
         closed: news
@@ -62,7 +62,7 @@
             .collect(),
         sheets,
         busy,
-        door: state.env.bind_addresses.frontend.clone().filter(|_| !state.is_leaving()).unwrap_or_default(),
+        door: state.settings.bind_addresses.frontend.clone().filter(|_| !state.is_leaving()).unwrap_or_default(),
     }
 }
 
@@ -73,12 +73,12 @@
         return true;
     }
     let known = state.engine_table.lock().expect("engine_table").zones_listed();
-    let held = state.news.lock().expect("news").config > 0 && known >= state.env.zones.len();
+    let held = state.news.lock().expect("news").config > 0 && known >= state.settings.zones.len();
     if !held || !state.currency.is_proved(clock::now()) {
         return false;
     }
     state.ready.store(true, order);
-    kernel::say!(READY);
+    kernel::log_event!(READY);
     true
 }
 
@@ -113,8 +113,8 @@
     }
     let seats = state.router_count();
     state.engine_table.lock().expect("engine_table").sit(state.mark(), state.zone, seats);
-    if state.lookup.hold(news.catalog.0, &news.catalog.1, state.env.peer_port()) {
-        kernel::say!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
+    if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
+        kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(config::again(state.clone()));
     }
 }
--- a/router/src/follow_tests.rs
+++ b/router/src/follow_tests.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future;
-use kernel::{clock, env};
+use kernel::{clock, settings};
 use protocol::config::{read, Config};
 use protocol::msg::{Msg, Rule};
 use tokio::task;
@@ -37,7 +37,7 @@
     let text = SETTINGS
         .replace("[7300, 7315]", &format!("[{port}, {port}]\nseed_peers = [{}]", seeds.join(", ")))
         .replace("retry_budget = 1.0", &format!("converge_ms = {converge_ms}, retry_budget = 1.0"));
-    let state = State::new(env::parse(&text).expect("good settings"));
+    let state = State::new(settings::parse(&text).expect("good settings"));
     tokio::spawn(run(state.clone()));
     state
 }
--- a/router/src/following_calls.rs
+++ b/router/src/following_calls.rs
@@ -45,7 +45,7 @@
     pub fn wake_at(&self, now: u64) -> u64 {
         let mut times = vec![now + IDLE_MS];
         if let Some(home) = &self.home {
-            let silent_at = |call: &OpenCall| call.sent + self.budget.silence_ms() + 1;
+            let silent_at = |call: &OpenCall| call.sent + self.budget.timeout_ms() + 1;
             times.push(self.open.get(&home.controller).map_or(home.renew_at, silent_at));
         }
         match self.current_as_of.filter(|_| !self.needs_others(now)) {
@@ -97,7 +97,7 @@
     /// Is the home not enough to stay current?
     pub(super) fn needs_others(&self, now: u64) -> bool {
         let Some(home) = &self.home else { return true };
-        let silence_ms = self.budget.silence_ms();
+        let silence_ms = self.budget.timeout_ms();
         let silent = self.open.get(&home.controller).is_some_and(|call| now > call.sent + silence_ms);
         home.failed || silent || !self.is_current(now, self.home_hedge_age_ms())
     }
--- a/router/src/following_calls_tests.rs
+++ b/router/src/following_calls_tests.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 
 use crate::following::Following;
 use crate::following_world::{budget, names, Behaviour, World};
@@ -13,7 +13,7 @@
 const SETTLED: u64 = 5000;
 
 /// What happens next at a controller that is called.
-fn any_behaviour(dice: &mut Dice) -> Behaviour {
+fn any_behaviour(dice: &mut Rng) -> Behaviour {
     match dice.below(8) {
         0 => Behaviour::Frozen,
         1 => Behaviour::Unreachable,
@@ -29,7 +29,7 @@
 fn a_proof_never_goes_back_and_calls_are_bounded_whatever_controllers_do() {
     for converge_ms in CONVERGE_MS {
         for seed in 1..8 {
-            let mut dice = Dice::new(seed);
+            let mut dice = Rng::new(seed);
             let mut world = World::new(converge_ms, CONTROLLERS);
             let mut proved = None;
             for step in 0..600 {
@@ -139,7 +139,7 @@
         let asked: Vec<_> = world.begun[calls..].iter().collect();
         assert_eq!((asked[0].controller.as_str(), asked[1].controller.as_str()), ("k0", "k1"));
         assert!(world.members.contains(&asked[2].controller), "{asked:?}");
-        assert_eq!(asked[1].at, asked[0].at + budget.silence_ms() + 1);
+        assert_eq!(asked[1].at, asked[0].at + budget.timeout_ms() + 1);
         assert_eq!(asked[2].at, asked[1].at);
         assert_eq!(asked[3].at, asked[2].at + budget.hedge_gap_ms());
     }
--- a/router/src/following_candidates.rs
+++ b/router/src/following_candidates.rs
@@ -87,7 +87,7 @@
     /// An order of this router's own, so that all routers together spread over a list.
     fn rotated(&self, list: &[String]) -> Vec<String> {
         let mut list = list.to_vec();
-        list.sort_by_key(|ip| clock::blend(self.node, clock::hash(ip.as_bytes())));
+        list.sort_by_key(|ip| clock::combine_hashes(self.node, clock::hash(ip.as_bytes())));
         list.dedup();
         list
     }
--- a/router/src/following_tests.rs
+++ b/router/src/following_tests.rs
@@ -1,7 +1,7 @@
 //! How long what is held may go without a proof, whatever happens to the controllers that are asked.
 
-use kernel::clock::{self, Dice};
-use kernel::env::Bounds;
+use kernel::clock::{self, Rng};
+use kernel::settings::Bounds;
 
 use crate::following_answer::{Answer, Proof};
 use crate::following_single_home::SingleHome;
@@ -22,14 +22,14 @@
 }
 
 /// A healthy controller's answer: its confirmation is as old as it may be where nothing goes wrong.
-fn healthy(dice: &mut Dice, converge_ms: u64) -> Behaviour {
+fn healthy(dice: &mut Rng, converge_ms: u64) -> Behaviour {
     let budget = budget(converge_ms);
     Behaviour::Healthy { answer_ms: 2 + dice.below(20), age_ms: 5 + dice.below(budget.confirmation_interval_ms()) }
 }
 
 /// The oldest that the proof is while, from a time on, the home and others that are turned to are sick.
 fn oldest_proof<P: Policy>(mut world: World<P>, trouble: Trouble, converge_ms: u64, seed: u64) -> i64 {
-    let mut dice = Dice::new(seed);
+    let mut dice = Rng::new(seed);
     let begin = SETTLED + dice.below(1000);
     world.run(begin, |_, _| healthy(&mut dice, converge_ms));
     assert!(world.proof_age().is_some(), "settled by then");
@@ -149,13 +149,13 @@
 /// Two thirds of the controllers outside the core and one member of it are sick, others every two seconds.
 fn oldest_proof_on_a_bad_day<P: Policy>(mut world: World<P>, converge_ms: u64, seed: u64) -> i64 {
     const CHANGE_MS: u64 = 2000;
-    let mut dice = Dice::new(seed);
+    let mut dice = Rng::new(seed);
     world.run(SETTLED, |_, _| healthy(&mut dice, converge_ms));
     world.oldest_proof = 0;
     let members = world.members.clone();
     world.run(SETTLED + 60_000, |controller, now| {
         let change = now / CHANGE_MS;
-        let luck = clock::blend(clock::hash(controller.as_bytes()), change + (seed << 32));
+        let luck = clock::combine_hashes(clock::hash(controller.as_bytes()), change + (seed << 32));
         let is_member = members.iter().any(|member| member == controller);
         let sick_member = change as usize % members.len();
         let sick = if is_member { members[sick_member] == controller } else { !luck.is_multiple_of(3) };
--- a/router/src/following_world.rs
+++ b/router/src/following_world.rs
@@ -1,7 +1,7 @@
 //! Controllers in virtual time, for tests of the state machine that decides which of them are asked.
 
 use kernel::convergence::Budget;
-use kernel::env::Bounds;
+use kernel::settings::Bounds;
 
 use crate::following::{Call, Following};
 use crate::following_answer::{Answer, Proof};
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -55,7 +55,7 @@
         let (now, order) = (clock::now(), Ordering::Relaxed);
         let told = self.state.few_at.load(order);
         if now >= told + TELL_MS && self.state.few_at.compare_exchange(told, now, order, order).is_ok() {
-            kernel::say!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
+            kernel::log_event!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
@@ -65,7 +65,7 @@
     let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
     let now = clock::now();
     if state.floors.lock().expect("floors").take(rule, service, now) {
-        kernel::say!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
+        kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,11 +2,11 @@
 
 use std::process;
 
-use kernel::entry::{self, EntryFlags};
+use kernel::startup::{self, EntryFlags};
 use router::boot;
 
 mod flags {
-    use kernel::env::MetricsEndpoint;
+    use kernel::settings::MetricsEndpoint;
 
     xflags::xflags! {
         /// Data-plane daemon of tidepoint.
@@ -27,5 +27,5 @@
         Err(error) => error.exit(),
     };
     let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    entry::enter("router", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
+    startup::run_daemon("router", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
 }
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -67,7 +67,7 @@
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
 fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
-    let roll = state.dice.lock().expect("dice").roll();
+    let roll = state.dice.lock().expect("dice").next_u64();
     let engine_table = state.engine_table.lock().expect("engine_table");
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
     for half in [Half::Prefill, Half::Decode] {
@@ -120,7 +120,7 @@
         return list;
     }
     let mut engine_table = state.engine_table.lock().expect("engine_table");
-    for (zone, region) in &state.env.zones {
+    for (zone, region) in &state.settings.zones {
         if outside(region) {
             list.push(engine_table.zone(zone));
         }
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 
 use kernel::clock;
-use kernel::env::Env;
+use kernel::settings::Settings;
 use protocol::link::Caller;
 use protocol::msg::Msg;
 use protocol::quota::{holders_mark, to_milli, ShardHolder, Spend, Spent};
@@ -79,13 +79,13 @@
 
 impl QuotaGate {
     /// One that knows no holders yet.
-    pub fn new(env: &Env) -> QuotaGate {
+    pub fn new(settings: &Settings) -> QuotaGate {
         let bounds = Bounds {
-            window_ms: (env.bounds.quota_window_s * 1000.0) as u64,
-            overage: env.bounds.quota_overage,
-            slack: env.bounds.quota_slack,
+            window_ms: (settings.bounds.quota_window_s * 1000.0) as u64,
+            overage: settings.bounds.quota_overage,
+            slack: settings.bounds.quota_slack,
         };
-        let mark = clock::hash(env.node_name.as_bytes());
+        let mark = clock::hash(settings.node_name.as_bytes());
         let inner = Inner {
             holders: Vec::new(),
             mark: 0,
@@ -94,7 +94,7 @@
             empty_until: HashMap::new(),
             allowances: Allowances::new(bounds, mark),
         };
-        QuotaGate { peer_port: env.peer_port(), inner: Mutex::new(inner) }
+        QuotaGate { peer_port: settings.peer_port(), inner: Mutex::new(inner) }
     }
 
     /// Takes a list of controllers that may hold shards.
@@ -190,7 +190,7 @@
     pub async fn spend_quota(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
-        let roll = self.state.dice.lock().expect("dice").roll();
+        let roll = self.state.dice.lock().expect("dice").next_u64();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
         self.state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
--- a/router/src/quota_gate_tests.rs
+++ b/router/src/quota_gate_tests.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-use kernel::env;
+use kernel::settings;
 use protocol::link::{self, Handler};
 use protocol::msg::Msg;
 use protocol::quota::{ShardHolder, Spent};
@@ -38,7 +38,7 @@
     let settings = SETTINGS.replace("[7300, 7315]", &format!("[{port}, {port}]"));
     let settings =
         settings.replace("budget_slack = 0.0", "budget_slack = 0.0, quota_slack = 20.0, quota_overage = 0.1");
-    let gate = QuotaGate::new(&env::parse(&settings).expect("good settings"));
+    let gate = QuotaGate::new(&settings::parse(&settings).expect("good settings"));
     let holder = |ip: &&str| ShardHolder { ip: ip.to_string(), zone: ip.to_string() };
     gate.set_holders(&ips.iter().map(holder).collect::<Vec<_>>());
     gate
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -143,7 +143,7 @@
         let list = text.and_then(catalog::parts).unwrap_or_default();
         let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
         let model_key = clock::hash(model);
-        let keys = catalog::keys(clock::blend(seed, model_key), &list);
+        let keys = catalog::keys(clock::combine_hashes(seed, model_key), &list);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -160,7 +160,7 @@
         Verdict::Executed => return Outcome::Answer(Box::new(answer)),
         Verdict::Foreign => {
             let status = answer.head.status.as_u16();
-            kernel::say!(MISFIT, "engine" => to.engine.clone(), "status" => status);
+            kernel::log_event!(MISFIT, "engine" => to.engine.clone(), "status" => status);
             return Outcome::Lost;
         }
         Verdict::Unproven => Outcome::Lost,
--- a/router/src/server.rs
+++ b/router/src/server.rs
@@ -13,7 +13,7 @@
 use hyper::server::conn::http1::Builder;
 use hyper::service;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use kernel::env::Env;
+use kernel::settings::Settings;
 use prometheus_client::metrics::gauge::Gauge;
 use protocol::sock;
 use tokio::net::TcpStream;
@@ -39,13 +39,13 @@
 /// A kept connection may stay idle for so long at least.
 const SHORTEST_IDLE_MS: u64 = 1000;
 
-fn most_connections(env: &Env) -> usize {
-    (env.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(FEWEST_CONNECTIONS) as usize
+fn most_connections(settings: &Settings) -> usize {
+    (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(FEWEST_CONNECTIONS) as usize
 }
 
 /// Answers the platform's calls for readiness.
 pub async fn readiness(state: Arc<State>) {
-    let Some(addr) = state.env.bind_addresses.readiness.clone() else { return };
+    let Some(addr) = state.settings.bind_addresses.readiness.clone() else { return };
     sock::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
@@ -64,8 +64,8 @@
 
 /// Serves clients until the router closes; then nobody listens any more.
 pub async fn frontend(state: Arc<State>) {
-    let Some(addr) = state.env.bind_addresses.frontend.clone() else { return };
-    let room = most_connections(&state.env);
+    let Some(addr) = state.settings.bind_addresses.frontend.clone() else { return };
+    let room = most_connections(&state.settings);
     tokio::select! {
         () = sock::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
         () = state.drain.closing() => {}
--- a/router/src/stand_in_router.rs
+++ b/router/src/stand_in_router.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use kernel::{clock, env};
+use kernel::{clock, settings};
 use protocol::msg::Sheet;
 use protocol::sock;
 use serde_json::Value;
@@ -46,7 +46,7 @@
 
 /// One with these settings that does not know whether its configuration is current.
 pub fn unproved_router_of(settings: &str, engines: &[Engine], hold_s: f64) -> Arc<State> {
-    let state = State::new(env::parse(settings).expect("good settings"));
+    let state = State::new(settings::parse(settings).expect("good settings"));
     let service = serde_json::json!([{"name": "s", "engine": {"kv_hold_s": hold_s}}]);
     configure(&state, 1, serde_json::json!({"service_table": service}));
     list(&state, 1, engines);
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 
 use catalog::record::Record;
-use kernel::clock::{self, Dice};
+use kernel::clock::{self, Rng};
 use kernel::convergence;
-use kernel::env::Env;
+use kernel::settings::Settings;
 use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
 use load_balancing::floor::Floors;
@@ -26,7 +26,7 @@
 use crate::version_rollouts::Rollouts;
 
 pub struct State {
-    pub env: Env,
+    pub settings: Settings,
     pub life: u64,
     /// The own zone, by its dense index.
     pub zone: u32,
@@ -45,7 +45,7 @@
     pub currency: Currency,
     /// The home controller of now.
     pub home: Mutex<Option<Arc<Caller>>>,
-    pub dice: Mutex<Dice>,
+    pub dice: Mutex<Rng>,
     /// When the want of fresh replicas was last told.
     pub few_at: AtomicU64,
     /// Woken when an engine in doubt answered another router.
@@ -79,39 +79,39 @@
 
 impl State {
     /// The state of a process that has just started: it knows its settings and nothing else.
-    pub fn new(env: Env) -> Arc<State> {
-        let life = clock::life();
+    pub fn new(settings: Settings) -> Arc<State> {
+        let life = clock::incarnation();
         let mut engine_table = EngineTable::default();
-        let own_zone = engine_table.zone(&env.zone);
-        for (zone, region) in &env.zones {
+        let own_zone = engine_table.zone(&settings.zone);
+        for (zone, region) in &settings.zones {
             engine_table.region(zone, region);
         }
-        let window_ms = (env.bounds.budget_window_s * 1000.0) as u64;
+        let window_ms = (settings.bounds.budget_window_s * 1000.0) as u64;
         Arc::new(State {
             life,
             zone: own_zone,
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
             record: Mutex::new(Record::new(RECORD, STALE_MS)),
-            budget: Mutex::new(budget::Budget::new(env.bounds.retry_budget, window_ms)),
+            budget: Mutex::new(budget::Budget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
             weights: Default::default(),
             news: Default::default(),
-            currency: Currency::new(convergence::Budget::new(&env.bounds)),
+            currency: Currency::new(convergence::Budget::new(&settings.bounds)),
             home: Default::default(),
-            dice: Mutex::new(Dice::new(life)),
+            dice: Mutex::new(Rng::new(life)),
             few_at: Default::default(),
             calm: Default::default(),
             ready: Default::default(),
             drain: Default::default(),
             held: Default::default(),
             metrics: Default::default(),
-            quota_gate: QuotaGate::new(&env),
+            quota_gate: QuotaGate::new(&settings),
             rollouts: Default::default(),
             samples_wanted: Default::default(),
-            env,
+            settings,
         })
     }
 
@@ -123,7 +123,7 @@
 
     /// What tells this router's samples from those of others.
     pub fn mark(&self) -> u64 {
-        clock::hash(self.env.node_name.as_bytes())
+        clock::hash(self.settings.node_name.as_bytes())
     }
 
     pub fn table(&self) -> Arc<Table> {
--- a/router/src/table_tests.rs
+++ b/router/src/table_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use load_balancing::engine_table::EngineTable;
 use protocol::change::Change;
 use protocol::config::{read, Config};
@@ -36,7 +36,7 @@
 #[test]
 fn a_chain_of_changes_gives_the_table_that_the_whole_gives() {
     let mut engine_table = EngineTable::default();
-    let mut dice = Dice::new(7);
+    let mut dice = Rng::new(7);
     let names: Vec<String> = (0..12).map(|at| format!("r{at}")).collect();
     let (mut held, mut table) = (config(1, &FIRST), made(&mut engine_table));
     for revision in 2..200 {
@@ -88,10 +88,10 @@
 fn each_part_gets_its_share_of_a_few_hundred_requests() {
     let targets = [(1, 70), (2, 20), (3, 10)];
     for seed in 0..500 {
-        let mut dice = Dice::new(seed);
+        let mut dice = Rng::new(seed);
         let mut counts = [0.0; 4];
         for _ in 0..200 {
-            counts[split(&targets, dice.roll()) as usize] += 1.0;
+            counts[split(&targets, dice.next_u64()) as usize] += 1.0;
         }
         for (service, weight) in targets {
             let off = counts[service as usize] / 200.0 - weight as f64 / 100.0;
--- a/router/src/tenants_tests.rs
+++ b/router/src/tenants_tests.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use kernel::clock::Dice;
+use kernel::clock::Rng;
 use protocol::change::Change;
 use protocol::config::{read, Config};
 
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_chain_of_changes_gives_the_tenants_that_the_whole_gives() {
-    let mut dice = Dice::new(11);
+    let mut dice = Rng::new(11);
     let keys: Vec<String> = (0..20).map(|at| format!("key-{at}")).collect();
     let names = ["a", "b", "c", "d", "e"];
     let mut held = config(1, &[]);
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -101,7 +101,7 @@
     let (name, target, share, word) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.word());
     if state.rollouts.lock().expect("rollouts").take(service, rollout) {
-        kernel::say!(VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
+        kernel::log_event!(VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
     }
 }
 
@@ -129,7 +129,7 @@
 impl Exchange {
     /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
     pub fn choose_version(&mut self) {
-        let roll = self.state.dice.lock().expect("dice").roll();
+        let roll = self.state.dice.lock().expect("dice").next_u64();
         let now = clock::now();
         let holds_lease = self.state.floors.lock().expect("floors").is_confirmed(now);
         self.arm = self.state.rollouts.lock().expect("rollouts").arm(self.service, roll, holds_lease);
--- a/telemetry/src/endpoint.rs
+++ b/telemetry/src/endpoint.rs
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1::Builder;
 use hyper::service;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use kernel::env::MetricsEndpoint;
+use kernel::settings::MetricsEndpoint;
 use protocol::sock;
 use tokio::net::TcpStream;
 
--- a/telemetry/src/endpoint_tests.rs
+++ b/telemetry/src/endpoint_tests.rs
@@ -2,7 +2,7 @@
 
 use std::net::TcpListener;
 
-use kernel::env::MetricsEndpoint;
+use kernel::settings::MetricsEndpoint;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tidepoint/src/main.rs
+++ b/tidepoint/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::process;
 
-use kernel::env;
+use kernel::settings;
 
 mod call;
 mod flags;
@@ -42,8 +42,8 @@
 }
 
 fn verify(path: Option<String>) -> Result<(), String> {
-    let path = path.unwrap_or_else(env::path);
-    env::load(&path).map_err(|error| error.current_context().to_string())?;
+    let path = path.unwrap_or_else(settings::path);
+    settings::load(&path).map_err(|error| error.current_context().to_string())?;
     println!("{path}: settings are good");
     Ok(())
 }
--- a/tidepoint/tests/quota.rs
+++ b/tidepoint/tests/quota.rs
@@ -6,7 +6,7 @@
 use std::{fs, process, thread};
 
 use controller::boot;
-use kernel::env::{parse, Env};
+use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
 use tokio::runtime::{Builder, Runtime};
@@ -21,7 +21,7 @@
 const RATE_PER_S: f64 = 20.0;
 const BURST: f64 = 10.0;
 
-fn env(name: &str, data: Option<&Path>) -> Env {
+fn settings(name: &str, data: Option<&Path>) -> Settings {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let text = format!(
         "node_name = \"{name}\"\nip = \"127.0.75.1\"\nzone = \"a\"\ninternal_ports = [7810, 7815]\n\
@@ -78,12 +78,12 @@
     stand::engine(world.clone(), "i-make", "127.0.75.3:7820", "decode");
     let dir = std::env::temp_dir().join(format!("tidepoint-quota-{}", process::id()));
     let _ = fs::remove_dir_all(&dir);
-    let controller = env("k", Some(&dir));
+    let controller = settings("k", Some(&dir));
     start(move |runtime| {
         runtime.block_on(async { boot::run(controller, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(env("e", None), signal::watch()).await });
+        runtime.block_on(async { router::boot::run(settings("e", None), signal::watch()).await });
     });
     let first = stand::request("PUT", "/config", "Host: c\r\nIf-Match: 0\r\n", &config());
     stand::until(CONTROL, &first, "the configuration", |head| status(head) == "200");
--- a/tidepoint/tests/rollout.rs
+++ b/tidepoint/tests/rollout.rs
@@ -10,7 +10,7 @@
 
 use controller::boot;
 use daemon::Daemon;
-use kernel::env::{parse, Env};
+use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
 
@@ -21,7 +21,7 @@
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
 
-fn env(net: u8, part: &str, hall: usize, data: Option<String>) -> Env {
+fn settings(net: u8, part: &str, hall: usize, data: Option<String>) -> Settings {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let ip = format!("127.0.{net}.{}", if part == "k" { hall + 1 } else { hall + 11 });
     let seeds: Vec<String> = (1..=3).map(|at| format!("127.0.{net}.{at}:7803")).collect();
@@ -98,14 +98,14 @@
         .map(|hall| {
             let data = dir.join(HALLS[hall]);
             fs::create_dir_all(&data).expect("a folder");
-            let env = env(net, "k", hall, Some(data.to_string_lossy().into_owned()));
-            Daemon::start(move || boot::run(env, signal::watch()))
+            let settings = settings(net, "k", hall, Some(data.to_string_lossy().into_owned()));
+            Daemon::start(move || boot::run(settings, signal::watch()))
         })
         .collect();
     let mut routers: Vec<Daemon> = (0..3)
         .map(|hall| {
-            let env = env(net, "e", hall, None);
-            Daemon::start(move || router::boot::run(env, signal::watch()))
+            let settings = settings(net, "e", hall, None);
+            Daemon::start(move || router::boot::run(settings, signal::watch()))
         })
         .collect();
     let control = |at: usize| format!("127.0.{net}.{}:7803", at + 1);
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -241,9 +241,9 @@
         owed += rate as f64 / 100.0;
         while owed >= 1.0 {
             (owed, number) = (owed - 1.0, number + 1);
-            let (caller, key) = (callers[number as usize % 16].clone(), clock::blend(number, 1));
+            let (caller, key) = (callers[number as usize % 16].clone(), clock::combine_hashes(number, 1));
             tokio::spawn(async move {
-                let sample = (0..10).map(|at| clock::blend(key, at)).collect();
+                let sample = (0..10).map(|at| clock::combine_hashes(key, at)).collect();
                 let ask = Seek { epoch, keys: vec![key, key + 1], sample };
                 caller.call(Msg::Seek(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
--- a/tidepoint/tests/tenants.rs
+++ b/tidepoint/tests/tenants.rs
@@ -7,7 +7,7 @@
 use std::{fs, io, process, thread};
 
 use controller::boot;
-use kernel::env::{parse, Env};
+use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
 use tokio::runtime::{Builder, Runtime};
@@ -20,7 +20,7 @@
 const CONTROL: &str = "127.0.76.1:7803";
 const CLOUD: &str = "127.0.76.9:7800";
 
-fn env(name: &str, data: Option<&Path>) -> Env {
+fn settings(name: &str, data: Option<&Path>) -> Settings {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let text = format!(
         "node_name = \"{name}\"\nip = \"127.0.76.1\"\nzone = \"a\"\ninternal_ports = [7810, 7815]\n\
@@ -78,12 +78,12 @@
     stand::engine(world.clone(), "i-make", "127.0.76.3:7820", "decode");
     let dir = std::env::temp_dir().join(format!("tidepoint-tenants-{}", process::id()));
     let _ = fs::remove_dir_all(&dir);
-    let controller = env("k", Some(&dir));
+    let controller = settings("k", Some(&dir));
     start(move |runtime| {
         runtime.block_on(async { boot::run(controller, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(env("e", None), signal::watch()).await });
+        runtime.block_on(async { router::boot::run(settings("e", None), signal::watch()).await });
     });
     change("PUT", 0, &config());
     let ready = stand::request("GET", "/ready", "Host: r\r\n", "");
--- a/tidepoint/tests/whole.rs
+++ b/tidepoint/tests/whole.rs
@@ -6,7 +6,7 @@
 use std::{fs, io, process, thread};
 
 use controller::boot;
-use kernel::env::{parse, Env};
+use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
 use tokio::runtime::{Builder, Runtime};
@@ -19,7 +19,7 @@
 const CONTROL: &str = "127.0.77.1:7803";
 const CLOUD: &str = "127.0.77.9:7800";
 
-fn env(name: &str, data: Option<String>) -> Env {
+fn settings(name: &str, data: Option<String>) -> Settings {
     let data = data.map_or(String::new(), |dir| format!("data_dir = {dir:?}\n"));
     let text = format!(
         "node_name = \"{name}\"\nip = \"127.0.77.1\"\nzone = \"a\"\ninternal_ports = [7810, 7815]\n\
@@ -76,12 +76,12 @@
     stand::engine(world.clone(), "i-make", "127.0.77.3:7820", "decode");
     let dir = std::env::temp_dir().join(format!("tidepoint-whole-{}", process::id()));
     let _ = fs::remove_dir_all(&dir);
-    let controller_env = env("k", Some(dir.to_string_lossy().into_owned()));
+    let controller_env = settings("k", Some(dir.to_string_lossy().into_owned()));
     start(move |runtime| {
         runtime.block_on(async { boot::run(controller_env, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(env("e", None), signal::watch()).await });
+        runtime.block_on(async { router::boot::run(settings("e", None), signal::watch()).await });
     });
 
     configurations();
