--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -54,7 +54,7 @@
 }
 
 /// An order to one engine to change its part.
-struct Order {
+struct PhaseOrder {
     engine: Engine,
     prefill: bool,
     switch_ms: u64,
@@ -90,7 +90,7 @@
         let switch_ms = switch_ms(controller, &service);
         balance.calm_until.insert(service, now + SPREAD_MS + switch_ms + LIST_MS);
         for at in change.engines {
-            let order = Order { engine: list[at].engine.clone(), prefill: change.prefill, switch_ms };
+            let order = PhaseOrder { engine: list[at].engine.clone(), prefill: change.prefill, switch_ms };
             tokio::spawn(carry_out(controller.clone(), client.clone(), order));
         }
         return;
@@ -151,7 +151,7 @@
 
 /// First routers leave the engine alone, then it gets its order. One without an answer may have been
 /// taken, so it is not sent again: the list will show it.
-async fn carry_out(controller: Arc<Controller>, client: Client, order: Order) {
+async fn carry_out(controller: Arc<Controller>, client: Client, order: PhaseOrder) {
     let engine = &order.engine;
     let begun = clock::now();
     let until = begun + SPREAD_MS + order.switch_ms + 1200;
--- a/controller/src/control.rs
+++ b/controller/src/control.rs
@@ -22,7 +22,7 @@
 use crate::metrics::{OrderOutcome, OrderTimer};
 use crate::orders;
 use crate::quota::fleet_usage;
-use crate::rollout_calls::{Latest, Rollouts, Rule};
+use crate::rollout_calls::{Latest, Rollouts, LimitResource};
 use crate::shutdown::Shutdown;
 use crate::version_calls::Rollout;
 
@@ -219,7 +219,7 @@
             .at("/batches/:id/results", Results(controller.clone()))
             .at("/rollouts", Rollouts(controller.clone()))
             .at("/rollouts/:service", Rollout(controller.clone()))
-            .at("/rollouts/:service/:model", Rule(controller.clone()))
+            .at("/rollouts/:service/:model", LimitResource(controller.clone()))
             .at("/rollouts/:service/:model/latest", Latest(controller.clone(), false))
             .at("/rollouts/:service/:model/rollback", Latest(controller.clone(), true))
             .at("/evacuation/:zone", Evacuation(controller.clone())),
--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -58,9 +58,9 @@
     let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return Spent::Granted };
     let spent = controller.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
     let spent = match spent {
-        quota::Spent::Granted => Spent::Granted,
-        quota::Spent::Denied { retry_after_ms } => Spent::Denied { retry_after_ms },
-        quota::Spent::NotHeld => Spent::NotHeld,
+        quota::TokenDecision::Granted => Spent::Granted,
+        quota::TokenDecision::Denied { retry_after_ms } => Spent::Denied { retry_after_ms },
+        quota::TokenDecision::NotHeld => Spent::NotHeld,
     };
     controller.metrics.note_spent(spent);
     spent
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -10,14 +10,14 @@
 
 use crate::control::{self, Receipt};
 use crate::controller::Controller;
-use crate::rollouts::{self, Ask};
+use crate::rollouts::{self, LimitChange};
 use crate::version_calls;
 
 /// Largest body taken.
 const BODY: usize = 256 * 1024;
 
 pub struct Rollouts(pub Arc<Controller>);
-pub struct Rule(pub Arc<Controller>);
+pub struct LimitResource(pub Arc<Controller>);
 /// The trainer's latest; true: a rollback.
 pub struct Latest(pub Arc<Controller>, pub bool);
 
@@ -39,7 +39,7 @@
     req.header("if-match")?.trim().trim_matches('"').parse().ok()
 }
 
-impl Rule {
+impl LimitResource {
     async fn put(&self, req: &mut Request) -> Result<Receipt, Receipt> {
         let ((service, model), base) = (named(req), base(req));
         let text = text(req).await?;
@@ -54,7 +54,7 @@
     async fn remove(&self, req: &Request) -> Receipt {
         let (service, model) = named(req);
         let Some(base) = base(req) else { return Receipt::Bad(400, "If-Match: missing or not a number".into()) };
-        let ask = Ask::Remove { base };
+        let ask = LimitChange::Remove { base };
         rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
     }
 
@@ -131,7 +131,7 @@
     }
 }
 
-impl Endpoint for Rule {
+impl Endpoint for LimitResource {
     type Output = Response;
 
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -10,7 +10,7 @@
 use crate::register::Verdict;
 
 /// What a call asks of a rule.
-pub enum Ask {
+pub enum LimitChange {
     /// The whole rule; the version it builds on, 0 for the first.
     Put {
         base: u64,
@@ -31,7 +31,7 @@
 }
 
 /// What an ask comes to on top of what is held. Ok(None): it holds already.
-pub fn verdict(held: Option<&Rule>, ask: &Ask) -> Result<Option<Rule>, (u16, String)> {
+pub fn verdict(held: Option<&Rule>, ask: &LimitChange) -> Result<Option<Rule>, (u16, String)> {
     let live = held.filter(|held| !held.removed);
     let version = held.map_or(0, |held| held.version);
     let seen = live.map_or(0, |held| held.version);
@@ -41,7 +41,7 @@
     };
     let none = || (404, "no rule for this service and model".to_string());
     match ask {
-        Ask::Put { base, latest, lag, routes } => {
+        LimitChange::Put { base, latest, lag, routes } => {
             let same = |held: &Rule| held.latest == *latest && held.lag == *lag && held.routes == *routes;
             if live.is_some_and(same) {
                 return Ok(None);
@@ -54,7 +54,7 @@
             let (latest, lag, routes) = (*latest, *lag, routes.clone());
             Ok(Some(Rule { version: version + 1, latest, lag, routes, removed: false, ..next }))
         }
-        Ask::Latest(latest) => {
+        LimitChange::Latest(latest) => {
             let held = live.ok_or_else(none)?;
             if *latest < held.latest {
                 return Err((400, format!("latest: found {latest}, {} was reported; a rollback says so", held.latest)));
@@ -62,7 +62,7 @@
             let next = Rule { version: version + 1, latest: *latest, ..held.clone() };
             Ok((*latest > held.latest).then_some(next))
         }
-        Ask::Rollback { latest, reason } => {
+        LimitChange::Rollback { latest, reason } => {
             let held = live.ok_or_else(none)?;
             if held.latest == *latest && held.reason == *reason {
                 return Ok(None);
@@ -73,7 +73,7 @@
             let (rollbacks, reason) = (held.rollbacks + 1, reason.clone());
             Ok(Some(Rule { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
         }
-        Ask::Remove { base } => {
+        LimitChange::Remove { base } => {
             let Some(held) = live else { return if held.is_some() { Ok(None) } else { Err(none()) } };
             base_of(*base)?;
             Ok(Some(Rule { version: version + 1, removed: true, ..held.clone() }))
@@ -92,7 +92,7 @@
     base: Option<u64>,
     (service, model): (&str, &str),
     config: &Config,
-) -> Result<Ask, (u16, String)> {
+) -> Result<LimitChange, (u16, String)> {
     let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
     let Some(spec) = config.service_table.iter().find(|item| item.name == service) else {
         return Err((404, format!("service `{service}`: not known")));
@@ -115,25 +115,25 @@
     }
     routes.sort();
     routes.dedup();
-    Ok(Ask::Put { base, latest: number(&value, "latest")?, lag: number(&value, "lag")?, routes })
+    Ok(LimitChange::Put { base, latest: number(&value, "latest")?, lag: number(&value, "lag")?, routes })
 }
 
 /// Reads what the trainer or a rollback says.
-pub fn read_latest(text: &str, rollback: bool) -> Result<Ask, (u16, String)> {
+pub fn read_latest(text: &str, rollback: bool) -> Result<LimitChange, (u16, String)> {
     let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
     let latest = number(&value, "latest")?;
     if !rollback {
-        return Ok(Ask::Latest(latest));
+        return Ok(LimitChange::Latest(latest));
     }
     let reason = value["reason"].as_str().unwrap_or("").trim().to_string();
     if reason.is_empty() {
         return Err((400, "reason: a rollback says why".into()));
     }
-    Ok(Ask::Rollback { latest, reason })
+    Ok(LimitChange::Rollback { latest, reason })
 }
 
 /// Carries an ask out: committed, then waited for until it binds everywhere.
-pub async fn carry(controller: &Controller, key: &str, (service, model): (&str, &str), ask: Ask) -> Receipt {
+pub async fn carry(controller: &Controller, key: &str, (service, model): (&str, &str), ask: LimitChange) -> Receipt {
     let judge = |body: &[u8]| {
         let held = Rule::read_bytes(body);
         if held.is_none() && !body.is_empty() {
--- a/controller/src/rollouts_tests.rs
+++ b/controller/src/rollouts_tests.rs
@@ -2,10 +2,10 @@
 use protocol::msg::Rule;
 use serde_json::Value;
 
-use super::{read_latest, verdict, Ask};
+use super::{read_latest, verdict, LimitChange};
 
-fn put(base: u64, latest: u64, lag: u64) -> Ask {
-    Ask::Put { base, latest, lag, routes: vec!["r".into()] }
+fn put(base: u64, latest: u64, lag: u64) -> LimitChange {
+    LimitChange::Put { base, latest, lag, routes: vec!["r".into()] }
 }
 
 fn made() -> Rule {
@@ -22,9 +22,9 @@
     let rule = made();
     assert_eq!((rule.version, rule.floor()), (1, 8));
     assert_eq!(verdict(Some(&rule), &put(0, 10, 2)), Ok(None), "resent unchanged");
-    let next = verdict(Some(&rule), &Ask::Latest(11)).expect("good").expect("new");
+    let next = verdict(Some(&rule), &LimitChange::Latest(11)).expect("good").expect("new");
     assert_eq!((next.version, next.floor()), (2, 9));
-    assert_eq!(verdict(Some(&next), &Ask::Latest(11)), Ok(None));
+    assert_eq!(verdict(Some(&next), &LimitChange::Latest(11)), Ok(None));
     assert_eq!(status(verdict(Some(&next), &put(1, 12, 2))), 412, "another version is current");
     assert_eq!(verdict(Some(&next), &put(2, 12, 2)).expect("good").expect("new").floor(), 10);
 }
@@ -32,26 +32,26 @@
 #[test]
 fn a_version_goes_back_only_by_a_rollback_that_is_counted() {
     let rule = made();
-    assert_eq!(status(verdict(Some(&rule), &Ask::Latest(9))), 400);
+    assert_eq!(status(verdict(Some(&rule), &LimitChange::Latest(9))), 400);
     assert_eq!(status(verdict(Some(&rule), &put(1, 9, 2))), 400);
-    let back = Ask::Rollback { latest: 7, reason: "bad loss".into() };
+    let back = LimitChange::Rollback { latest: 7, reason: "bad loss".into() };
     let next = verdict(Some(&rule), &back).expect("good").expect("new");
     assert_eq!((next.floor(), next.rollbacks, next.reason.as_str()), (5, 1, "bad loss"));
     assert_eq!(verdict(Some(&next), &back), Ok(None), "resent unchanged");
-    assert_eq!(status(verdict(Some(&rule), &Ask::Rollback { latest: 11, reason: "x".into() })), 400);
+    assert_eq!(status(verdict(Some(&rule), &LimitChange::Rollback { latest: 11, reason: "x".into() })), 400);
 }
 
 #[test]
 fn stamps_go_on_behind_a_removal() {
     let rule = made();
-    assert_eq!(status(verdict(Some(&rule), &Ask::Remove { base: 9 })), 412);
-    let gone = verdict(Some(&rule), &Ask::Remove { base: 1 }).expect("good").expect("new");
+    assert_eq!(status(verdict(Some(&rule), &LimitChange::Remove { base: 9 })), 412);
+    let gone = verdict(Some(&rule), &LimitChange::Remove { base: 1 }).expect("good").expect("new");
     assert!(gone.removed && gone.version == 2 && gone.floor() == 0);
-    assert_eq!(verdict(Some(&gone), &Ask::Remove { base: 1 }), Ok(None), "resent");
-    assert_eq!(status(verdict(Some(&gone), &Ask::Latest(12))), 404);
+    assert_eq!(verdict(Some(&gone), &LimitChange::Remove { base: 1 }), Ok(None), "resent");
+    assert_eq!(status(verdict(Some(&gone), &LimitChange::Latest(12))), 404);
     let anew = verdict(Some(&gone), &put(0, 3, 0)).expect("good").expect("new");
     assert_eq!((anew.version, anew.floor(), anew.removed), (3, 3, false));
-    assert_eq!(status(verdict(None, &Ask::Remove { base: 0 })), 404);
+    assert_eq!(status(verdict(None, &LimitChange::Remove { base: 0 })), 404);
 }
 
 #[test]
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -19,7 +19,7 @@
 /// What a change is for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Purpose {
-    Order(Address, Attempt),
+    OperatorAction(Address, Attempt),
     /// Committing a key again under a changed core.
     Renewal(String),
     /// Committing again what its owner left half done.
@@ -143,7 +143,7 @@
     fn end_change(&mut self, at: usize, purpose: Purpose, answer: Option<Answer>) {
         let done = !matches!(answer, Some(Answer::Unclear));
         match purpose {
-            Purpose::Order(to, attempt) => self.answer(at, to, attempt, answer.unwrap_or(Answer::Unclear)),
+            Purpose::OperatorAction(to, attempt) => self.answer(at, to, attempt, answer.unwrap_or(Answer::Unclear)),
             Purpose::Renewal(key) if done => self.renewed(at, &key),
             Purpose::Renewal(_) | Purpose::Repair | Purpose::CoreChange | Purpose::CoreSettled => {}
         }
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -7,7 +7,7 @@
 use protocol::msg::{Ask, Entry, Vote, READS};
 
 use super::changes::Purpose;
-use super::network::{Address, Heartbeat, Message};
+use super::network::{Address, Heartbeat, Packet};
 use super::Cluster;
 use crate::controller::BEAT_MS;
 
@@ -77,7 +77,7 @@
             peers: node.roster.controllers.keys().filter(live).cloned().collect(),
         };
         for to in node.known().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
-            self.send(Address::Node(at), Address::Node(to), Message::Heartbeat(heartbeat.clone()));
+            self.send(Address::Node(at), Address::Node(to), Packet::Heartbeat(heartbeat.clone()));
         }
     }
 
--- a/controller/src/simulation/history.rs
+++ b/controller/src/simulation/history.rs
@@ -5,7 +5,7 @@
 use protocol::config;
 
 use super::bodies;
-use super::operator::{Answer, Attempt, Order};
+use super::operator::{Answer, Attempt, OperatorAction};
 use crate::config_body::{self, Held};
 
 /// A change that an operator knows to be taken.
@@ -20,7 +20,7 @@
 /// Everything that is checked, as it happened. Broken promises are listed in `violations`.
 #[derive(Default)]
 pub struct History {
-    orders: BTreeMap<Attempt, Order>,
+    orders: BTreeMap<Attempt, OperatorAction>,
     /// The newest revision known to be taken when a read was first sent.
     read_floor: BTreeMap<Attempt, u64>,
     refused: Vec<Attempt>,
@@ -37,8 +37,8 @@
     held.taken.iter().any(|taken| taken.digest == *digest)
 }
 
-fn revision(order: &Order) -> u64 {
-    let Order::Change(change) = order else { return 0 };
+fn revision(order: &OperatorAction) -> u64 {
+    let OperatorAction::Change(change) = order else { return 0 };
     bodies::revision(change)
 }
 
@@ -51,8 +51,8 @@
         self.acknowledged.iter().map(|one| one.revision).max().unwrap_or(0)
     }
 
-    pub fn begun(&mut self, attempt: Attempt, order: Order) {
-        if matches!(order, Order::Evacuate(_)) {
+    pub fn begun(&mut self, attempt: Attempt, order: OperatorAction) {
+        if matches!(order, OperatorAction::Evacuate(_)) {
             self.evacuation = None;
         }
         self.read_floor.insert(attempt, self.newest());
@@ -78,7 +78,7 @@
     pub fn heard(&mut self, attempt: Attempt, answer: &Answer, now: u64) {
         let Some(order) = self.orders.get(&attempt) else { return };
         match (order, answer) {
-            (Order::Change(change), Answer::Good) => {
+            (OperatorAction::Change(change), Answer::Good) => {
                 let (base, digest) = (change.base, config_body::digest(change));
                 let same_base = self.acknowledged.iter().find(|one| one.base == base && one.digest != digest);
                 if same_base.is_some() {
@@ -87,8 +87,8 @@
                 let revision = revision(order);
                 self.acknowledged.push(Acknowledged { at: now, base, revision, digest });
             }
-            (Order::Evacuate(on), Answer::Good) => self.evacuation = Some((now, *on)),
-            (Order::Read, Answer::Found { revision, .. }) => {
+            (OperatorAction::Evacuate(on), Answer::Good) => self.evacuation = Some((now, *on)),
+            (OperatorAction::Read, Answer::Found { revision, .. }) => {
                 self.reads += 1;
                 let floor = self.read_floor[&attempt];
                 if *revision < floor {
@@ -122,7 +122,7 @@
             }
         }
         for attempt in &self.invalid {
-            let Some(Order::Change(change)) = self.orders.get(attempt) else { continue };
+            let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
             if is_taken(last, &config_body::digest(change)) {
                 self.violations.push(format!("{attempt:?}: an invalid change is in force"));
             }
@@ -134,7 +134,7 @@
             }
         }
         for attempt in &self.refused {
-            let Some(Order::Change(change)) = self.orders.get(attempt) else { continue };
+            let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
             if is_taken(last, &config_body::digest(change)) {
                 self.violations.push(format!("a change of version {} was taken and refused", change.base));
             }
--- a/controller/src/simulation/mod.rs
+++ b/controller/src/simulation/mod.rs
@@ -7,7 +7,7 @@
 
 use history::History;
 use kernel::clock::Rng;
-use network::{Message, Network};
+use network::{Packet, Network};
 use node::Node;
 use operator::Operator;
 
@@ -130,9 +130,9 @@
         }
     }
 
-    fn deliver(&mut self, letter: network::Letter) {
+    fn deliver(&mut self, letter: network::Envelope) {
         if let network::Address::Operator(number) = letter.to {
-            let Message::Answer(attempt, answer) = letter.message else { return };
+            let Packet::Answer(attempt, answer) = letter.message else { return };
             self.operator_hears(number, attempt, answer);
             return;
         }
@@ -161,15 +161,15 @@
         self.run_membership(at);
     }
 
-    fn handle(&mut self, at: usize, letter: network::Letter) {
+    fn handle(&mut self, at: usize, letter: network::Envelope) {
         match letter.message {
-            Message::Poll { id, poll } => self.vote(at, letter.from, id, poll),
-            Message::Vote { id, vote } => self.take_vote(at, letter.from, id, vote),
-            Message::Heartbeat(heartbeat) => self.take_heartbeat(at, heartbeat),
-            Message::Learn(key, entry) => self.learn(at, &key, &entry, false),
-            Message::Order(attempt, order) => self.take_order(at, letter.from, attempt, order),
-            Message::Close(attempt) => self.drop_order(at, letter.from, attempt),
-            Message::Answer(..) => {}
+            Packet::Poll { id, poll } => self.vote(at, letter.from, id, poll),
+            Packet::Vote { id, vote } => self.take_vote(at, letter.from, id, vote),
+            Packet::Heartbeat(heartbeat) => self.take_heartbeat(at, heartbeat),
+            Packet::Learn(key, entry) => self.learn(at, &key, &entry, false),
+            Packet::OperatorAction(attempt, order) => self.take_order(at, letter.from, attempt, order),
+            Packet::Close(attempt) => self.drop_order(at, letter.from, attempt),
+            Packet::Answer(..) => {}
         }
     }
 }
--- a/controller/src/simulation/network.rs
+++ b/controller/src/simulation/network.rs
@@ -5,7 +5,7 @@
 
 use protocol::msg::{Ask, Core, Entry, Poll, Vote};
 
-use super::operator::{Answer, Attempt, Order};
+use super::operator::{Answer, Attempt, OperatorAction};
 use super::Cluster;
 
 const DELAY_MS: u64 = 8;
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Message {
+pub enum Packet {
     Poll {
         id: u64,
         poll: Poll,
@@ -31,7 +31,7 @@
     },
     Heartbeat(Heartbeat),
     Learn(String, Entry),
-    Order(Attempt, Order),
+    OperatorAction(Attempt, OperatorAction),
     Answer(Attempt, Answer),
     /// The operator closed the connection on which it sent an order.
     Close(Attempt),
@@ -48,25 +48,25 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct Envelope {
     pub at: u64,
     pub from: Address,
     pub to: Address,
     /// The life of the process it is meant for: a connection ends with the process.
     pub life: u64,
-    pub message: Message,
+    pub message: Packet,
 }
 
 /// Invariant: `letters` are sorted by the time of their arrival, in the order sent where it is the same.
 #[derive(Default)]
 pub struct Network {
-    letters: BTreeMap<(u64, u64), Letter>,
+    letters: BTreeMap<(u64, u64), Envelope>,
     sent: u64,
     cuts: BTreeSet<(usize, usize)>,
 }
 
 impl Network {
-    pub fn send(&mut self, letter: Letter) {
+    pub fn send(&mut self, letter: Envelope) {
         if let (Address::Node(from), Address::Node(to)) = (letter.from, letter.to) {
             if self.cuts.contains(&(from, to)) {
                 return;
@@ -76,7 +76,7 @@
         self.letters.insert((letter.at, self.sent), letter);
     }
 
-    pub fn due(&mut self, now: u64) -> Vec<Letter> {
+    pub fn due(&mut self, now: u64) -> Vec<Envelope> {
         let later = self.letters.split_off(&(now + 1, 0));
         mem::replace(&mut self.letters, later).into_values().collect()
     }
@@ -96,7 +96,7 @@
 impl Cluster {
     /// Sends with a delay drawn by lot. Some letters come late, as after a retransmission, and a few between
     /// nodes are lost, as when a connection is reset.
-    pub fn send(&mut self, from: Address, to: Address, message: Message) {
+    pub fn send(&mut self, from: Address, to: Address, message: Packet) {
         let between_nodes = matches!((from, to), (Address::Node(_), Address::Node(_)));
         let itself = from == to;
         if between_nodes && !itself && self.random.below(LOST_ONE_OF) == 0 {
@@ -109,7 +109,7 @@
             Address::Node(at) => self.nodes.get(at).map_or(0, |node| node.life),
             Address::Operator(_) => 0,
         };
-        self.network.send(Letter { at: self.now + 1 + delay, from, to, life, message });
+        self.network.send(Envelope { at: self.now + 1 + delay, from, to, life, message });
     }
 
     /// The node at an address, if there ever was one.
@@ -122,7 +122,7 @@
         let id = self.nodes[at].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
             let poll = Poll { core: core.clone(), ask: ask.clone() };
-            self.send(Address::Node(at), Address::Node(to), Message::Poll { id, poll });
+            self.send(Address::Node(at), Address::Node(to), Packet::Poll { id, poll });
         }
         id
     }
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -12,7 +12,7 @@
 use super::changes::Change;
 use super::confirming::Confirming;
 use super::members::Members;
-use super::network::{Address, Letter, Message};
+use super::network::{Address, Envelope, Packet};
 use super::operator::EVACUATION;
 use super::{address, Cluster};
 use crate::config_body::Held;
@@ -41,7 +41,7 @@
     pub life: u64,
     pub born: u64,
     /// Letters that arrived while the process stood still.
-    pub inbox: Vec<Letter>,
+    pub inbox: Vec<Envelope>,
     pub committed: BTreeMap<String, Entry>,
     /// When the read began that last confirmed `committed` at a quorum.
     pub confirmed: Option<u64>,
@@ -162,7 +162,7 @@
             let write = self.nodes[at].writes.remove(0);
             write.records.into_iter().for_each(|record| self.nodes[at].disk.fold(record));
             if let Some((to, id, vote)) = write.vote {
-                self.send(Address::Node(at), to, Message::Vote { id, vote });
+                self.send(Address::Node(at), to, Packet::Vote { id, vote });
             }
         }
     }
@@ -190,7 +190,7 @@
             return;
         }
         for to in self.nodes[at].known().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
-            self.send(Address::Node(at), Address::Node(to), Message::Learn(key.into(), entry.clone()));
+            self.send(Address::Node(at), Address::Node(to), Packet::Learn(key.into(), entry.clone()));
         }
     }
 }
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -5,7 +5,7 @@
 use protocol::order::ConfigChange;
 
 use super::changes::Purpose;
-use super::network::{Address, Message};
+use super::network::{Address, Packet};
 use super::{bodies, Cluster, Guards};
 use crate::config_body::{BodyForm, Held, TakenChange};
 use crate::config_change::{self, Outcome, Refusal};
@@ -21,7 +21,7 @@
 pub const EVACUATION: &str = "evacuation/z";
 
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum OperatorAction {
     Change(ConfigChange),
     Evacuate(bool),
     /// Relayed: on top of a version.
@@ -54,7 +54,7 @@
     number: usize,
     orders: u64,
     revision: u64,
-    current: Option<(Attempt, Order)>,
+    current: Option<(Attempt, OperatorAction)>,
     /// Where the order was sent last.
     asked: Option<usize>,
     resend: u64,
@@ -97,9 +97,9 @@
         operator.orders += 1;
         let attempt = Attempt { operator: number, number: operator.orders };
         let order = match lot {
-            0 | 1 => Order::Read,
+            0 | 1 => OperatorAction::Read,
             // One operator only, so that what it was told last is what holds.
-            2 | 3 if number == 0 => Order::Evacuate(self.random.below(2) == 0),
+            2 | 3 if number == 0 => OperatorAction::Evacuate(self.random.below(2) == 0),
             _ => {
                 let (order, base) = (operator.orders, operator.revision);
                 let body = match self.mixed_orders {
@@ -109,7 +109,7 @@
                 if !body.valid {
                     self.history.invalid(attempt);
                 }
-                Order::Change(body.change)
+                OperatorAction::Change(body.change)
             }
         };
         operator.current = Some((attempt, order.clone()));
@@ -124,7 +124,7 @@
         // The operator's own machine or path may be gone: then nobody hears that it gave up.
         let before = self.operators[number].asked.take().filter(|_| self.random.below(UNHEARD_CLOSE_ONE_OF) > 0);
         if let Some(before) = before {
-            self.send(Address::Operator(number), Address::Node(before), Message::Close(attempt));
+            self.send(Address::Operator(number), Address::Node(before), Packet::Close(attempt));
         }
         let there: Vec<usize> = self.nodes.iter().filter(|node| !node.removed).map(|node| node.at).collect();
         let to = there[self.random.below(there.len() as u64) as usize];
@@ -133,49 +133,49 @@
             // The one asked relays it to the home of its key, hears nothing, and carries it out too.
             let other = there[self.random.below(there.len() as u64) as usize];
             let relayed = match order {
-                Order::Evacuate(on) if self.guards.versioned_evacuations => {
-                    Order::EvacuateFrom(on, self.nodes[to].evacuation().version)
+                OperatorAction::Evacuate(on) if self.guards.versioned_evacuations => {
+                    OperatorAction::EvacuateFrom(on, self.nodes[to].evacuation().version)
                 }
                 _ => order.clone(),
             };
-            self.send(Address::Node(to), Address::Node(other), Message::Order(attempt, relayed));
+            self.send(Address::Node(to), Address::Node(other), Packet::OperatorAction(attempt, relayed));
         }
-        self.send(Address::Operator(number), Address::Node(to), Message::Order(attempt, order));
+        self.send(Address::Operator(number), Address::Node(to), Packet::OperatorAction(attempt, order));
     }
 
     /// The caller is gone: its call is dropped, whatever became of it.
     pub fn drop_order(&mut self, at: usize, from: Address, attempt: Attempt) {
-        let purpose = Purpose::Order(from, attempt);
+        let purpose = Purpose::OperatorAction(from, attempt);
         for list in self.nodes[at].changes.values_mut() {
             list.retain(|change| change.purpose != purpose);
         }
     }
 
-    pub fn take_order(&mut self, at: usize, from: Address, attempt: Attempt, order: Order) {
+    pub fn take_order(&mut self, at: usize, from: Address, attempt: Attempt, order: OperatorAction) {
         let stale = self.nodes[at].pauses.orders_may_be_stale(self.now) && self.guards.stale_orders;
-        if stale && !matches!(order, Order::Read) {
+        if stale && !matches!(order, OperatorAction::Read) {
             return self.answer(at, from, attempt, Answer::Unclear);
         }
-        let purpose = Purpose::Order(from, attempt);
+        let purpose = Purpose::OperatorAction(from, attempt);
         match order {
-            Order::Change(change) => {
+            OperatorAction::Change(change) => {
                 let guards = self.guards;
                 let judge = Box::new(move |body: &[u8]| judge_change(&change, body, guards));
                 self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
             }
-            Order::Evacuate(on) => {
+            OperatorAction::Evacuate(on) => {
                 let judge = Box::new(move |body: &[u8]| judge_evacuation(on, None, body));
                 self.begin_change(at, EVACUATION, purpose, EVACUATE_MS, judge);
             }
-            Order::EvacuateFrom(on, version) => {
+            OperatorAction::EvacuateFrom(on, version) => {
                 let judge = Box::new(move |body: &[u8]| judge_evacuation(on, Some(version), body));
                 self.begin_change(at, EVACUATION, purpose, EVACUATE_MS, judge);
             }
-            Order::Read if self.guards.quorum_reads => {
+            OperatorAction::Read if self.guards.quorum_reads => {
                 let judge = Box::new(|body: &[u8]| Verdict::Answer(Some(found(&Held::open(body).expect("reads")))));
                 self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
             }
-            Order::Read => {
+            OperatorAction::Read => {
                 let answer = found(&self.nodes[at].config());
                 self.answer(at, from, attempt, answer);
             }
@@ -185,7 +185,7 @@
     pub fn answer(&mut self, at: usize, to: Address, attempt: Attempt, answer: Answer) {
         self.history.answered(attempt, &answer);
         if self.random.below(100) >= self.lost_answers {
-            self.send(Address::Node(at), to, Message::Answer(attempt, answer));
+            self.send(Address::Node(at), to, Packet::Answer(attempt, answer));
         }
     }
 
@@ -204,7 +204,7 @@
             }
             Answer::Found { revision, .. } => operator.revision = *revision,
             Answer::Good => {
-                if let Order::Change(change) = &order {
+                if let OperatorAction::Change(change) = &order {
                     operator.revision = bodies::revision(change);
                 }
             }
@@ -217,9 +217,9 @@
         self.history.heard(current, &answer, now);
         if answer == Answer::Refused {
             let attempt = Attempt { operator: number, number: self.operators[number].orders };
-            self.operators[number].current = Some((attempt, Order::Read));
+            self.operators[number].current = Some((attempt, OperatorAction::Read));
             self.operators[number].resend = now;
-            self.history.begun(attempt, Order::Read);
+            self.history.begun(attempt, OperatorAction::Read);
         }
     }
 }
--- a/controller/src/version_calls.rs
+++ b/controller/src/version_calls.rs
@@ -15,7 +15,7 @@
 
 /// An order to bring a version in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct RolloutRequest {
     pub service: String,
     pub target: String,
     pub duration_ms: u64,
@@ -24,9 +24,9 @@
 /// What is wrong with an order: a status and words.
 pub type Refusal = (u16, String);
 
-impl Order {
+impl RolloutRequest {
     /// Reads an order; `knows`: is there a service of this name?
-    pub fn read(text: &str, knows: impl Fn(&str) -> bool) -> Result<Order, Refusal> {
+    pub fn read(text: &str, knows: impl Fn(&str) -> bool) -> Result<RolloutRequest, Refusal> {
         let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
         let word = |name: &str| {
             let text = value[name].as_str().filter(|text| !text.trim().is_empty());
@@ -40,7 +40,7 @@
         let duration_s = duration_s.ok_or_else(|| {
             (400, format!("duration_s: found {}, must be a number above 0, {LONGEST_S} at most", value["duration_s"]))
         })?;
-        Ok(Order { service, target, duration_ms: (duration_s * 1000.0) as u64 })
+        Ok(RolloutRequest { service, target, duration_ms: (duration_s * 1000.0) as u64 })
     }
 
     /// What the order comes to on top of the newest rollout. Ok(None): it was taken before.
@@ -86,7 +86,7 @@
     let config = controller.committed_state.lock().expect("committed_state").history.current().cloned();
     let Some(config) = config else { return Receipt::Unclear };
     let knows = |name: &str| config.config().service_table.iter().any(|service| service.name == name);
-    let order = match Order::read(text, knows) {
+    let order = match RolloutRequest::read(text, knows) {
         Ok(order) => order,
         Err((status, words)) => return Receipt::Bad(status, words),
     };
--- a/controller/src/version_calls_tests.rs
+++ b/controller/src/version_calls_tests.rs
@@ -1,9 +1,9 @@
 //! Orders on top of each state.
-use super::Order;
+use super::RolloutRequest;
 use protocol::version_rollout::{RolloutState, VersionRollout};
 
-fn order(target: &str) -> Order {
-    Order { service: "s".into(), target: target.into(), duration_ms: 12_000 }
+fn order(target: &str) -> RolloutRequest {
+    RolloutRequest { service: "s".into(), target: target.into(), duration_ms: 12_000 }
 }
 
 fn first() -> VersionRollout {
@@ -13,7 +13,7 @@
 #[test]
 fn flaws_are_named() {
     let read =
-        |text: &str| Order::read(text, |name| name == "s").map_err(|(status, words)| format!("{status} {words}"));
+        |text: &str| RolloutRequest::read(text, |name| name == "s").map_err(|(status, words)| format!("{status} {words}"));
     let good = r#"{"service":"s","target_version":"v2","duration_s":12}"#;
     assert_eq!(read(good), Ok(order("v2")));
     for (text, status, word) in [
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -6,7 +6,7 @@
 use kernel::clock::{self, Rng};
 use membership::{Peer, PeerReport, Roster};
 
-use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, Spent, TAKE_OVER_MS};
+use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
 
 const STEP_MS: u64 = 10;
 const BEAT_MS: u64 = 350;
@@ -319,12 +319,12 @@
             return;
         }
         match self.ask(router, tenant) {
-            Spent::Granted => self.send(router, tenant),
-            Spent::Denied { retry_after_ms } => {
+            TokenDecision::Granted => self.send(router, tenant),
+            TokenDecision::Denied { retry_after_ms } => {
                 self.counts[tenant].over_quota += 1;
                 self.routers[router].denied_until[tenant] = self.now + retry_after_ms.min(MEMORY_MS);
             }
-            Spent::NotHeld => {
+            TokenDecision::NotHeld => {
                 let (name, quota) = (self.tenants[tenant].name.clone(), self.tenants[tenant].quota);
                 let routers = self.routers.len() as u32;
                 match self.routers[router].allowances.take(&name, &quota, routers, self.now) {
@@ -336,12 +336,12 @@
     }
 
     /// Asks one holder after the other until one grants.
-    fn ask(&mut self, router: usize, tenant: usize) -> Spent {
+    fn ask(&mut self, router: usize, tenant: usize) -> TokenDecision {
         let (name, quota) = (self.tenants[tenant].name.clone(), self.tenants[tenant].quota);
         let chosen: Vec<String> =
             holders(&name, &self.routers[router].known).iter().map(|holder| holder.ip.clone()).collect();
         let first = self.dice.below(chosen.len().max(1) as u64) as usize;
-        let mut result = Spent::NotHeld;
+        let mut result = TokenDecision::NotHeld;
         for step in 0..chosen.len() {
             let ip = &chosen[(first + step) % chosen.len()];
             let Some(at) = self.controllers.iter().position(|controller| controller.at.ip == *ip) else { continue };
@@ -350,9 +350,9 @@
             }
             let confirmed_at = self.confirmed_at(at);
             match self.controllers[at].shards.spend(&name, quota, self.now, confirmed_at) {
-                Spent::Granted => return Spent::Granted,
-                Spent::Denied { retry_after_ms } => result = Spent::Denied { retry_after_ms },
-                Spent::NotHeld => {}
+                TokenDecision::Granted => return TokenDecision::Granted,
+                TokenDecision::Denied { retry_after_ms } => result = TokenDecision::Denied { retry_after_ms },
+                TokenDecision::NotHeld => {}
             }
         }
         result
--- a/quota/src/shards.rs
+++ b/quota/src/shards.rs
@@ -6,7 +6,7 @@
 
 /// What a request for a token comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spent {
+pub enum TokenDecision {
     /// The request may be sent.
     Granted,
     /// This shard is empty for so long at least.
@@ -20,7 +20,7 @@
 
 /// What a shard has given and refused.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Usage {
+pub struct ShardCounters {
     /// The tenant's name.
     pub tenant: String,
     /// The whole limit, as it was last told here.
@@ -124,34 +124,34 @@
     }
 
     /// Takes a token of a tenant, if there is one.
-    pub fn spend(&mut self, tenant: &str, quota: Quota, now: u64, confirmed_at: Option<u64>) -> Spent {
+    pub fn spend(&mut self, tenant: &str, quota: Quota, now: u64, confirmed_at: Option<u64>) -> TokenDecision {
         self.advance(now, confirmed_at);
         if !self.clock.holds_lease(now) {
-            return Spent::NotHeld;
+            return TokenDecision::NotHeld;
         }
         let minting_now = self.clock.reading();
         let share = quota.shard(self.share_count());
         if !self.shards.contains_key(tenant) {
-            let Some(since) = self.held_since(tenant) else { return Spent::NotHeld };
+            let Some(since) = self.held_since(tenant) else { return TokenDecision::NotHeld };
             #[cfg(test)]
             let since = if self.begins_full { 0 } else { since };
             let shard = Shard { bucket: TokenBucket::empty(since), quota, granted: 0, denied: 0, used_at: now };
             self.shards.insert(tenant.into(), shard);
         }
-        let Some(shard) = self.shards.get_mut(tenant) else { return Spent::NotHeld };
+        let Some(shard) = self.shards.get_mut(tenant) else { return TokenDecision::NotHeld };
         (shard.quota, shard.used_at) = (quota, now);
         shard.bucket.refill(&share, minting_now);
         if shard.bucket.take() {
             shard.granted += 1;
-            return Spent::Granted;
+            return TokenDecision::Granted;
         }
         shard.denied += 1;
-        Spent::Denied { retry_after_ms: shard.bucket.next_token_ms(&share) }
+        TokenDecision::Denied { retry_after_ms: shard.bucket.next_token_ms(&share) }
     }
 
     /// What the shards held here have given.
-    pub fn usage(&self) -> Vec<Usage> {
-        let told = self.shards.iter().map(|(tenant, shard)| Usage {
+    pub fn usage(&self) -> Vec<ShardCounters> {
+        let told = self.shards.iter().map(|(tenant, shard)| ShardCounters {
             tenant: tenant.clone(),
             quota: shard.quota,
             granted: shard.granted,
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -1,5 +1,5 @@
 //! One controller's shards through leases, lapses and changes of who lives.
-use super::{Shards, Spent};
+use super::{Shards, TokenDecision};
 use crate::{Holder, Quota, SETTLE_MS};
 
 const QUOTA: Quota = Quota { rate_per_s: 30.0, burst: 30.0 };
@@ -28,7 +28,7 @@
     }
 
     fn spend_all(&mut self) -> usize {
-        let granted = |_: &usize| self.shards.spend("t", QUOTA, self.now, None) == Spent::Granted;
+        let granted = |_: &usize| self.shards.spend("t", QUOTA, self.now, None) == TokenDecision::Granted;
         (0..1000).take_while(granted).count()
     }
 }
@@ -37,7 +37,7 @@
 fn a_shard_mints_its_share_from_the_end_of_the_settling_on() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(100, true);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::NotHeld);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::NotHeld);
     controller.run(SETTLE_MS + 500, true);
     assert_eq!(controller.spend_all(), 5, "half a second of a third");
     controller.run(10_000, true);
@@ -49,7 +49,7 @@
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(SETTLE_MS + 100, true);
     assert_eq!(controller.spend_all(), 0);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::Denied { retry_after_ms: 100 });
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::Denied { retry_after_ms: 100 });
 }
 
 #[test]
@@ -61,8 +61,8 @@
     let (own, other): (Vec<String>, Vec<String>) =
         (0..50).map(|number| format!("t{number}")).partition(|tenant| held(tenant));
     assert!(!own.is_empty() && !other.is_empty());
-    assert!(own.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == Spent::Granted));
-    assert!(other.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == Spent::NotHeld));
+    assert!(own.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::Granted));
+    assert!(other.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::NotHeld));
 }
 
 #[test]
@@ -72,17 +72,17 @@
     controller.run(1500, false);
     assert_eq!(controller.spend_all(), 10);
     controller.run(300, false);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::NotHeld);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::NotHeld);
 }
 
 #[test]
 fn what_it_had_before_a_lapse_is_void() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::Granted);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::Granted);
     // Frozen: it wakes with all it had.
     controller.now += 20_000;
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), Spent::NotHeld);
+    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::NotHeld);
     controller.run(SETTLE_MS + 200, true);
     assert!(controller.spend_all() <= 2);
 }
@@ -99,7 +99,7 @@
     assert!(held(&tenant, &less));
     controller.live = less;
     controller.run(100, true);
-    assert!(matches!(controller.shards.spend(&tenant, QUOTA, controller.now, None), Spent::Denied { .. }));
+    assert!(matches!(controller.shards.spend(&tenant, QUOTA, controller.now, None), TokenDecision::Denied { .. }));
 }
 
 #[test]
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -40,7 +40,7 @@
     pub floors: Mutex<Floors>,
     /// By zone: the version of the weight versions held.
     pub weights: Mutex<BTreeMap<String, (u64, u64)>>,
-    pub news: Mutex<News>,
+    pub news: Mutex<SubscribedState>,
     /// As of when the table is proved to be current.
     pub currency: Currency,
     /// The home controller of now.
@@ -64,7 +64,7 @@
 
 /// What the controllers told. Invariant: versions never go back.
 #[derive(Default)]
-pub struct News {
+pub struct SubscribedState {
     pub config: u64,
     pub closed: BTreeMap<String, (u64, bool)>,
     /// Evacuated zones, by dense index.
