--- a/catalog/src/gauge.rs
+++ b/catalog/src/gauge.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use protocol::msg::Pressure;
+use protocol::message::EngineLoad;
 
 /// Invariants: one entry an engine; an older one never replaces a newer one; nothing older than
 /// `STALE_MS` is told; at most `ROOM` are held.
@@ -16,7 +16,7 @@
 const ROOM: usize = 20_000;
 
 impl Gauge {
-    pub fn note(&mut self, told: &Pressure, now: u64) {
+    pub fn note(&mut self, told: &EngineLoad, now: u64) {
         let time = now.saturating_sub(u64::from(told.age_ms));
         if self.held.len() >= ROOM && !self.held.contains_key(&told.name) {
             self.held.retain(|_, (_, time)| now < *time + STALE_MS);
@@ -30,11 +30,11 @@
         }
     }
 
-    pub fn tell(&self, names: impl Iterator<Item = u64>, now: u64) -> Vec<Pressure> {
+    pub fn tell(&self, names: impl Iterator<Item = u64>, now: u64) -> Vec<EngineLoad> {
         let one = |name: u64| {
             let (load, time) = self.held.get(&name).copied()?;
             let age_ms = now.saturating_sub(time);
-            (age_ms < STALE_MS).then_some(Pressure { name, load, age_ms: age_ms as u32 })
+            (age_ms < STALE_MS).then_some(EngineLoad { name, load, age_ms: age_ms as u32 })
         };
         names.filter_map(one).collect()
     }
--- a/catalog/src/gauge_tests.rs
+++ b/catalog/src/gauge_tests.rs
@@ -1,9 +1,9 @@
-use protocol::msg::Pressure;
+use protocol::message::EngineLoad;
 
 use super::{Gauge, ROOM, STALE_MS};
 
-fn told(name: u64, load: u32, age_ms: u32) -> Pressure {
-    Pressure { name, load, age_ms }
+fn told(name: u64, load: u32, age_ms: u32) -> EngineLoad {
+    EngineLoad { name, load, age_ms }
 }
 
 #[test]
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -3,12 +3,12 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use protocol::msg::{Ballot, Core, Entry};
+use protocol::message::{CoreMembership, Entry, ProposalNumber};
 
 use crate::quorum;
 
 /// The position of an entry in the history of its key.
-pub type Place = (Ballot, u64);
+pub type Place = (ProposalNumber, u64);
 
 /// How one key stands after a read at a quorum.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,17 +22,17 @@
 
 /// A read of the places of all keys. Invariant: each voter counts once.
 pub struct Confirmation {
-    core: Core,
+    core: CoreMembership,
     heard: Vec<String>,
     told: Vec<(String, String, Place)>,
 }
 
 impl Confirmation {
-    pub fn new(core: &Core) -> Confirmation {
+    pub fn new(core: &CoreMembership) -> Confirmation {
         Confirmation { core: core.clone(), heard: Vec::new(), told: Vec::new() }
     }
 
-    pub fn hear(&mut self, from: &str, places: Vec<(String, Ballot, u64)>) {
+    pub fn hear(&mut self, from: &str, places: Vec<(String, ProposalNumber, u64)>) {
         if self.heard.iter().any(|known| known == from) {
             return;
         }
@@ -64,7 +64,7 @@
 
 /// The newest entry that a quorum of voters was seen to hold alike, and which therefore is committed.
 /// Voters may move on between two reads: an entry that came after the one looked for serves as well.
-pub fn committed(core: &Core, fetched: &[(String, Entry)]) -> Option<Entry> {
+pub fn committed(core: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
     let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
     entries.sort_by_key(|entry| Reverse(entry.place()));
     let alike = |entry: &Entry| {
--- a/consensus/src/confirmation_tests.rs
+++ b/consensus/src/confirmation_tests.rs
@@ -1,21 +1,21 @@
 //! What a read at a quorum says about the state known here.
 use super::{committed, Behind, Confirmation};
-use protocol::msg::{Ballot, Core, Entry, Member};
+use protocol::message::{CoreMembership, Entry, Member, ProposalNumber};
 
-fn core(size: usize) -> Core {
+fn core(size: usize) -> CoreMembership {
     let list = (0..size).map(|at| Member { ip: format!("m{at}"), zone: String::new() }).collect();
-    Core { version: 1, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, list, prev: Vec::new(), settled: true }
 }
 
-fn ballot(turn: u64) -> Ballot {
-    Ballot { turn, seat: 1 }
+fn ballot(turn: u64) -> ProposalNumber {
+    ProposalNumber { turn, seat: 1 }
 }
 
 fn entry(turn: u64, step: u64) -> Entry {
     Entry { ballot: ballot(turn), step, body: vec![step as u8] }
 }
 
-fn places(list: &[(&str, u64, u64)]) -> Vec<(String, Ballot, u64)> {
+fn places(list: &[(&str, u64, u64)]) -> Vec<(String, ProposalNumber, u64)> {
     list.iter().map(|(key, turn, step)| (key.to_string(), ballot(*turn), *step)).collect()
 }
 
--- a/consensus/src/core_body.rs
+++ b/consensus/src/core_body.rs
@@ -1,16 +1,16 @@
 //! The body of the key `core`: the members, as they are committed.
 
-use protocol::msg::Core;
+use protocol::message::CoreMembership;
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
 /// None: not the body of a core.
-pub fn read(body: &[u8]) -> Option<Core> {
+pub fn read(body: &[u8]) -> Option<CoreMembership> {
     let mut aligned = AlignedVec::<16>::with_capacity(body.len());
     aligned.extend_from_slice(body);
-    rkyv::from_bytes::<Core, rancor::Error>(&aligned).ok()
+    rkyv::from_bytes::<CoreMembership, rancor::Error>(&aligned).ok()
 }
 
-pub fn write(core: &Core) -> Vec<u8> {
+pub fn write(core: &CoreMembership) -> Vec<u8> {
     rkyv::to_bytes::<rancor::Error>(core).map(|body| body.to_vec()).unwrap_or_default()
 }
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use protocol::msg::{Core, Member, Vote};
+use protocol::message::{ConsensusResponse, CoreMembership, Member};
 
 use crate::{quorum, CORE};
 
@@ -40,7 +40,7 @@
 
 /// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
 /// candidate added. Invariant: the members that stay are a quorum of the next core.
-pub fn next(core: &Core, view: &View) -> Option<Core> {
+pub fn next(core: &CoreMembership, view: &View) -> Option<CoreMembership> {
     let gone = core.list.iter().find(|member| (view.health)(&member.ip).gone());
     let candidate = match gone {
         Some(gone) => view.candidates.iter().find(|one| one.zone == gone.zone).or(view.candidates.first()),
@@ -52,13 +52,13 @@
         (_, Some(candidate)) => with(core, candidate),
         _ => return None,
     };
-    let next = Core { version: core.version + 1, list, prev: core.list.clone(), settled: false };
+    let next = CoreMembership { version: core.version + 1, list, prev: core.list.clone(), settled: false };
     can_settle(&next, view).then_some(next)
 }
 
 /// Those that stay must be a quorum of the next core. Those before it must be able to commit it, and to hear
 /// of it: one that is leaving still can.
-fn can_settle(next: &Core, view: &View) -> bool {
+fn can_settle(next: &CoreMembership, view: &View) -> bool {
     let is_candidate = |address: &str| view.candidates.iter().any(|one| one.ip == address);
     let members = quorum::old_and_new_members(next);
     let (mut staying, mut live) = (Vec::new(), Vec::new());
@@ -74,15 +74,15 @@
     quorum::is_quorum(next, &staying) && quorum::has_majority(&next.prev, &live)
 }
 
-fn without(core: &Core, gone: &Member) -> Vec<Member> {
+fn without(core: &CoreMembership, gone: &Member) -> Vec<Member> {
     core.list.iter().filter(|member| *member != gone).cloned().collect()
 }
 
-fn with(core: &Core, candidate: &Member) -> Vec<Member> {
+fn with(core: &CoreMembership, candidate: &Member) -> Vec<Member> {
     core.list.iter().chain([candidate]).cloned().collect()
 }
 
-fn exchanged(core: &Core, gone: &Member, candidate: &Member) -> Vec<Member> {
+fn exchanged(core: &CoreMembership, gone: &Member, candidate: &Member) -> Vec<Member> {
     let mut list = without(core, gone);
     list.push(candidate.clone());
     list
@@ -91,26 +91,26 @@
 /// The settling of a changed core. Invariant: before it is done, quorums of the old and the new members
 /// know the new core, and every key that any of them held was committed again under it.
 pub struct Settlement {
-    core: Core,
+    core: CoreMembership,
     knows: Vec<String>,
     keys: BTreeSet<String>,
     renewed: BTreeSet<String>,
 }
 
 impl Settlement {
-    pub fn new(core: &Core) -> Settlement {
+    pub fn new(core: &CoreMembership) -> Settlement {
         let keys = [CORE.to_string()].into();
         Settlement { core: core.clone(), knows: Vec::new(), keys, renewed: Default::default() }
     }
 
-    pub fn core(&self) -> &Core {
+    pub fn core(&self) -> &CoreMembership {
         &self.core
     }
 
     /// A voter answered a poll that carried the new core. One that did not say which keys it holds does not
     /// count: what only it and others out of touch hold would not be committed again.
-    pub fn hear_vote(&mut self, from: &str, vote: &Vote) {
-        if let Vote::Places { list } = vote {
+    pub fn hear_vote(&mut self, from: &str, vote: &ConsensusResponse) {
+        if let ConsensusResponse::Positions { list } = vote {
             self.hear(from, list.iter().map(|(key, _, _)| key.clone()));
         }
     }
@@ -147,8 +147,8 @@
 }
 
 /// The core as it is committed once a settlement is done.
-pub fn settled(core: &Core) -> Core {
-    Core { settled: true, prev: Vec::new(), ..core.clone() }
+pub fn settled(core: &CoreMembership) -> CoreMembership {
+    CoreMembership { settled: true, prev: Vec::new(), ..core.clone() }
 }
 
 #[cfg(test)]
--- a/consensus/src/membership_tests.rs
+++ b/consensus/src/membership_tests.rs
@@ -1,6 +1,6 @@
 //! Which members a core gets next, and when a change of it is settled.
 use super::{next, Health, Settlement, View, GONE_MS};
-use protocol::msg::{Ballot, Core, Member, Vote};
+use protocol::message::{ConsensusResponse, CoreMembership, Member, ProposalNumber};
 
 const LIVE: Health = Health { silent_ms: 100, live: true, leaving: false };
 const SILENT: Health = Health { silent_ms: GONE_MS + 1, live: false, leaving: false };
@@ -10,16 +10,21 @@
     Member { ip: name.into(), zone: zone.into() }
 }
 
-fn core(names: &[&str]) -> Core {
+fn core(names: &[&str]) -> CoreMembership {
     let list = names.iter().map(|name| member(name, name)).collect();
-    Core { version: 4, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 4, list, prev: Vec::new(), settled: true }
 }
 
-fn names(core: &Core) -> Vec<&str> {
+fn names(core: &CoreMembership) -> Vec<&str> {
     core.list.iter().map(|member| member.ip.as_str()).collect()
 }
 
-fn changed(core: &Core, health: impl Fn(&str) -> Health, candidates: &[Member], joint: bool) -> Option<Core> {
+fn changed(
+    core: &CoreMembership,
+    health: impl Fn(&str) -> Health,
+    candidates: &[Member],
+    joint: bool,
+) -> Option<CoreMembership> {
     next(core, &View { health: &health, candidates: candidates.to_vec(), joint })
 }
 
@@ -84,7 +89,7 @@
 #[test]
 fn a_settlement_waits_for_quorums_of_old_and_new_and_for_every_key() {
     let prev = core(&["a", "b", "c"]).list;
-    let changing = Core { list: core(&["a", "b", "d"]).list, prev, settled: false, version: 5 };
+    let changing = CoreMembership { list: core(&["a", "b", "d"]).list, prev, settled: false, version: 5 };
     let mut settlement = Settlement::new(&changing);
     settlement.hear("a", ["config".to_string()]);
     settlement.hear("d", []);
@@ -102,19 +107,21 @@
 }
 
 /// A voter's answer to a spread: the keys that it holds.
-fn places(keys: &[&str]) -> Vote {
-    Vote::Places { list: keys.iter().map(|key| (key.to_string(), Ballot::default(), 0)).collect() }
+fn places(keys: &[&str]) -> ConsensusResponse {
+    ConsensusResponse::Positions {
+        list: keys.iter().map(|key| (key.to_string(), ProposalNumber::default(), 0)).collect(),
+    }
 }
 
 /// The member `c` exchanged for `d`.
-fn exchange() -> Core {
-    Core { version: 5, list: core(&["a", "b", "d"]).list, prev: core(&["a", "b", "c"]).list, settled: false }
+fn exchange() -> CoreMembership {
+    CoreMembership { version: 5, list: core(&["a", "b", "d"]).list, prev: core(&["a", "b", "c"]).list, settled: false }
 }
 
 #[test]
 fn a_voter_that_does_not_say_what_it_holds_does_not_count_for_a_settlement() {
     let mut settlement = Settlement::new(&exchange());
-    for (from, vote) in [("a", places(&[])), ("d", places(&[])), ("c", Vote::Mute)] {
+    for (from, vote) in [("a", places(&[])), ("d", places(&[])), ("c", ConsensusResponse::NonVoting)] {
         settlement.hear_vote(from, &vote);
     }
     assert!(!settlement.is_known(), "what b and c hold would not be committed again");
--- a/consensus/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -4,11 +4,13 @@
 //! holds for it as well. So its rounds are not played again: a change of the core is committed in one step, by
 //! any quorum that answers. What comes of it is explored in full: who knows of the change, and the keys.
 
-use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, ProposalNumber, RegisterState,
+};
 
 use super::action::{Action, Successor};
 use super::machines::{self, MachineSet};
-use super::scenario::Flaw;
+use super::scenario::Defect;
 use super::shared::Shared;
 use super::state::State;
 use super::violation::Violation;
@@ -59,7 +61,7 @@
     }
 
     /// The next core as the coordinator decides it.
-    fn next_core(&self, core: &Core) -> Option<Core> {
+    fn next_core(&self, core: &CoreMembership) -> Option<CoreMembership> {
         let change = self.scenario.core_change.as_ref()?;
         let leaving = change.leaving.map(|machine| self.addresses[machine].clone());
         let health = |address: &str| Health { silent_ms: 0, live: true, leaving: leaving.as_deref() == Some(address) };
@@ -67,7 +69,7 @@
         let waiting = change.candidates.iter().copied().filter(waits);
         let candidates = waiting.map(machines::member).collect();
         let next = next(core, &View { health: &health, candidates, joint: true })?;
-        match self.has(Flaw::NoJointQuorums) {
+        match self.has(Defect::NoJointQuorums) {
             true => Some(settled(&next)),
             false => Some(next),
         }
@@ -82,13 +84,13 @@
         if !settlement.is_known() {
             return self.spread(state, at, list);
         }
-        if settlement.is_done() || self.has(Flaw::SettledWithoutRenewal) {
+        if settlement.is_done() || self.has(Defect::SettledWithoutRenewal) {
             self.commit_core(state, at, &settled(settlement.core()), list);
         }
     }
 
     /// The next core is committed under the one that the coordinator knows, by any quorum that answers.
-    fn commit_core(&self, state: &State, at: usize, next: &Core, list: &mut Vec<Successor>) {
+    fn commit_core(&self, state: &State, at: usize, next: &CoreMembership, list: &mut Vec<Successor>) {
         let known = state.proposers[at].core;
         if known + 1 < state.cores.len() {
             // What it would change is not what it finds committed.
@@ -116,18 +118,24 @@
     fn spread(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let core = &state.cores[state.proposers[at].core];
         let told = quorum::old_and_new_members(core);
-        let poll = Shared::new(Poll { core: core.clone(), ask: Ask::Places });
+        let poll = Shared::new(ConsensusRequest { core: core.clone(), ask: ConsensusOperation::Positions });
         for machine in (0..self.addresses.len()).filter(|machine| told.contains(&self.addresses[*machine])) {
             let outcome = self.tell_change(state, at, machine, &poll);
             list.push(Successor { action: Action::Spread { proposer: at, machine }, outcome });
         }
     }
 
-    fn tell_change(&self, state: &State, at: usize, machine: usize, poll: &Shared<Poll>) -> Result<State, Violation> {
+    fn tell_change(
+        &self,
+        state: &State,
+        at: usize,
+        machine: usize,
+        poll: &Shared<ConsensusRequest>,
+    ) -> Result<State, Violation> {
         let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, poll)?;
         let mut next = state.clone();
         next.put_voter(machine, voter);
-        if let Vote::Places { list } = &*vote {
+        if let ConsensusResponse::Positions { list } = &*vote {
             let vote = Shared::new(keys_only(list));
             next.proposers[at].edit(|proposer| drop(proposer.settlement.heard.insert(machine, vote)));
         }
@@ -136,10 +144,10 @@
 }
 
 impl State {
-    fn write_core(&mut self, quorum: MachineSet, core: &Core) {
-        let ballot = Ballot { turn: self.cores.len() as u64, seat: 0 };
+    fn write_core(&mut self, quorum: MachineSet, core: &CoreMembership) {
+        let ballot = ProposalNumber { turn: self.cores.len() as u64, seat: 0 };
         let entry = Entry { ballot, step: 0, body: core_body::write(core) };
-        let slot = Slot { key: CORE.into(), promised: ballot, entry: Some(entry) };
+        let slot = RegisterState { key: CORE.into(), promised: ballot, entry: Some(entry) };
         for machine in quorum.iter() {
             let mut voter = Voter::clone(&self.replicas[machine].voter);
             voter.fold(LogRecord::Slot(slot.clone()));
@@ -151,7 +159,7 @@
 
 /// A settlement cares for the keys and not for their places, and always for the key of the core: states that
 /// differ only in these are one.
-fn keys_only(list: &[(String, Ballot, u64)]) -> Vote {
+fn keys_only(list: &[(String, ProposalNumber, u64)]) -> ConsensusResponse {
     let keys = list.iter().map(|(key, _, _)| key).filter(|key| *key != CORE);
-    Vote::Places { list: keys.map(|key| (key.clone(), Ballot::default(), 0)).collect() }
+    ConsensusResponse::Positions { list: keys.map(|key| (key.clone(), ProposalNumber::default(), 0)).collect() }
 }
--- a/consensus/src/model/check.rs
+++ b/consensus/src/model/check.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use protocol::msg::{Ask, Ballot, Core, Entry, Vote};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, ProposalNumber};
 
 use super::machines::MachineSet;
 use super::proposing::ballot;
@@ -24,7 +24,7 @@
 pub type CoreCache = RefCell<HashMap<(u64, bool), Rc<CoreFacts>>>;
 
 impl Model {
-    pub fn core_facts(&self, core: &Core) -> Rc<CoreFacts> {
+    pub fn core_facts(&self, core: &CoreMembership) -> Rc<CoreFacts> {
         let key = (core.version, core.settled);
         if let Some(known) = self.cores.borrow().get(&key) {
             return known.clone();
@@ -36,7 +36,7 @@
         facts
     }
 
-    fn smallest_quorums(&self, core: &Core, members: MachineSet) -> Vec<MachineSet> {
+    fn smallest_quorums(&self, core: &CoreMembership, members: MachineSet) -> Vec<MachineSet> {
         let is_quorum = |set: MachineSet| {
             let addresses: Vec<String> = set.iter().map(|machine| self.addresses[machine].clone()).collect();
             quorum::is_quorum(core, &addresses)
@@ -64,7 +64,7 @@
 
     /// No two proposers act under one ballot.
     pub fn check_owners(&self, state: &State) -> Result<(), Violation> {
-        let mut seen: Vec<Ballot> = Vec::new();
+        let mut seen: Vec<ProposalNumber> = Vec::new();
         for proposer in &state.proposers {
             let own = match (&proposer.task, &proposer.held) {
                 (Some(task), _) => ballot(&task.poll.ask),
@@ -93,7 +93,7 @@
     }
 
     /// Would this voter take part in a round of this core?
-    pub fn answers(&self, state: &State, machine: usize, core: &Core) -> bool {
+    pub fn answers(&self, state: &State, machine: usize, core: &CoreMembership) -> bool {
         let voter = &state.replicas[machine].voter;
         voter.may_vote && voter.core.version <= core.version
     }
@@ -115,11 +115,11 @@
     let tasks = || state.proposers.iter().filter_map(|proposer| proposer.task.as_ref());
     let polls = tasks().map(|task| &task.poll).chain(state.late.iter());
     let proposed = polls.filter_map(|poll| match &poll.ask {
-        Ask::Accept { entry, .. } => Some(entry),
+        ConsensusOperation::Accept { entry, .. } => Some(entry),
         _ => None,
     });
     let voted = tasks().flat_map(|task| task.votes.values()).filter_map(|vote| match &**vote {
-        Vote::Promise { entry } => entry.as_ref(),
+        ConsensusResponse::Prepared { entry } => entry.as_ref(),
         _ => None,
     });
     stored.chain(proposed).chain(voted)
--- a/consensus/src/model/flaw_tests.rs
+++ b/consensus/src/model/defect_tests.rs
@@ -1,7 +1,7 @@
 //! Faults put in on purpose: a check that can't fail shows nothing.
 use super::machines::MachineSet;
 use super::runs::{core_of, finds, proposer};
-use super::scenario::{CoreChange, Flaw, Operation, Scenario};
+use super::scenario::{CoreChange, Defect, Operation, Scenario};
 use super::violation::Violation;
 use Operation::{Read, Write};
 
@@ -9,38 +9,38 @@
     matches!(violation, Violation::Lost { .. })
 }
 
-fn two_changes(flaw: Flaw) -> Scenario {
+fn two_changes(defect: Defect) -> Scenario {
     let proposers = vec![proposer(&[Write(1)], 1), proposer(&[Write(2)], 1)];
-    Scenario { proposers, flaw: Some(flaw), ..core_of(3) }
+    Scenario { proposers, defect: Some(defect), ..core_of(3) }
 }
 
-fn exchange(flaw: Flaw) -> Scenario {
+fn exchange(defect: Defect) -> Scenario {
     let core_change = Some(CoreChange { leaving: Some(2), candidates: vec![3], coordinators: 1 });
     let done_before = Some((Write(9), MachineSet::from_iter([1, 2])));
-    Scenario { machines: 4, core_change, done_before, flaw: Some(flaw), interchangeable: Vec::new(), ..core_of(3) }
+    Scenario { machines: 4, core_change, done_before, defect: Some(defect), interchangeable: Vec::new(), ..core_of(3) }
 }
 
 #[test]
 fn a_quorum_one_short_is_found() {
-    let found = finds("quorum one short", &two_changes(Flaw::QuorumOneShort));
+    let found = finds("quorum one short", &two_changes(Defect::QuorumOneShort));
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
 
 #[test]
 fn an_old_ballot_that_is_accepted_is_found() {
-    let found = finds("old ballot accepted", &two_changes(Flaw::OldBallotAccepted));
+    let found = finds("old ballot accepted", &two_changes(Defect::OldBallotAccepted));
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
 
 #[test]
 fn a_vote_that_is_not_on_disk_is_found() {
-    let found = finds("vote before disk", &two_changes(Flaw::VoteBeforeDisk));
+    let found = finds("vote before disk", &two_changes(Defect::VoteBeforeDisk));
     assert_eq!(found.violation, Violation::NotOnDisk);
 }
 
 #[test]
 fn a_ballot_used_in_two_lives_is_found() {
-    let scenario = Scenario { restarts: 1, ..two_changes(Flaw::BallotsUsedAgain) };
+    let scenario = Scenario { restarts: 1, ..two_changes(Defect::BallotsUsedAgain) };
     let proposers = vec![proposer(&[Write(1)], 2)];
     let found = finds("ballots used again", &Scenario { proposers, ..scenario });
     assert!(matches!(found.violation, Violation::TwoOwners { .. }), "{:?}", found.trace);
@@ -49,29 +49,29 @@
 #[test]
 fn a_read_from_memory_is_found() {
     let proposers = vec![proposer(&[Write(1), Read], 2), proposer(&[Write(2)], 1)];
-    let found = finds("read from memory", &Scenario { proposers, ..two_changes(Flaw::ReadFromMemory) });
+    let found = finds("read from memory", &Scenario { proposers, ..two_changes(Defect::ReadFromMemory) });
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
 
 #[test]
 fn a_wiped_voter_that_votes_at_once_is_found() {
-    let scenario = Scenario { wipes: 1, ..two_changes(Flaw::WipedVotesAtOnce) };
+    let scenario = Scenario { wipes: 1, ..two_changes(Defect::WipedVotesAtOnce) };
     assert!(is_lost(&finds("wiped voter votes at once", &scenario).violation));
 }
 
 #[test]
 fn a_wiped_voter_that_reads_before_the_rounds_with_its_votes_are_over_is_found() {
     let proposers = vec![proposer(&[Write(1)], 1)];
-    let scenario = Scenario { wipes: 1, proposers, ..two_changes(Flaw::RecallWithoutDelay) };
+    let scenario = Scenario { wipes: 1, proposers, ..two_changes(Defect::RecallWithoutDelay) };
     assert!(is_lost(&finds("wiped voter reads at once", &scenario).violation));
 }
 
 #[test]
 fn an_exchange_without_joint_quorums_is_found() {
-    assert!(is_lost(&finds("no joint quorums", &exchange(Flaw::NoJointQuorums)).violation));
+    assert!(is_lost(&finds("no joint quorums", &exchange(Defect::NoJointQuorums)).violation));
 }
 
 #[test]
 fn an_exchange_settled_without_committing_the_keys_again_is_found() {
-    assert!(is_lost(&finds("settled without renewal", &exchange(Flaw::SettledWithoutRenewal)).violation));
+    assert!(is_lost(&finds("settled without renewal", &exchange(Defect::SettledWithoutRenewal)).violation));
 }
--- a/consensus/src/model/ending.rs
+++ b/consensus/src/model/ending.rs
@@ -1,9 +1,9 @@
 //! Proposals that end or are given up, and proposers that restart.
 use super::action::{Action, Successor};
-use super::scenario::Flaw;
+use super::scenario::Defect;
 use super::state::{Proposer, State, Task};
 use super::{Model, KEY};
-use protocol::msg::{Ask, Ballot, Entry, Poll};
+use protocol::message::{ConsensusOperation, ConsensusRequest, Entry, ProposalNumber};
 
 impl Model {
     /// A proposer loses what it has in memory. What it knows of the core may be old, too.
@@ -15,7 +15,7 @@
         let mut next = state.clone();
         next.end_task(at);
         next.restarts_left -= 1;
-        let life = if self.has(Flaw::BallotsUsedAgain) { old.life } else { old.life + 1 };
+        let life = if self.has(Defect::BallotsUsedAgain) { old.life } else { old.life + 1 };
         let (done, attempts_left, coordinates) = (old.done, old.attempts_left, old.coordinates);
         let fresh = Proposer { life, done, attempts_left, coordinates, ..Proposer::default() };
         next.proposers[at].edit(|proposer| *proposer = fresh);
@@ -32,7 +32,7 @@
     /// are left out: with nobody to count the promise they only make voters refuse more.
     pub fn end_task(&mut self, at: usize) {
         let Some(task) = &self.proposers[at].task else { return };
-        if matches!(task.poll.ask, Ask::Accept { .. }) {
+        if matches!(task.poll.ask, ConsensusOperation::Accept { .. }) {
             let poll = task.poll.clone();
             self.late.edit(|late| {
                 if !late.contains(&poll) {
@@ -45,15 +45,15 @@
     }
 
     /// Was this ballot seen by any voter before?
-    pub fn is_used(&self, ballot: Ballot) -> bool {
+    pub fn is_used(&self, ballot: ProposalNumber) -> bool {
         let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY));
         slots.into_iter().any(|slot| slot.promised == ballot)
     }
 }
 
-fn accepted_place(poll: &Poll) -> Option<(Ballot, u64)> {
+fn accepted_place(poll: &ConsensusRequest) -> Option<(ProposalNumber, u64)> {
     match &poll.ask {
-        Ask::Accept { entry, .. } => Some(Entry::place(entry)),
+        ConsensusOperation::Accept { entry, .. } => Some(Entry::place(entry)),
         _ => None,
     }
 }
--- a/consensus/src/model/machines.rs
+++ b/consensus/src/model/machines.rs
@@ -1,6 +1,6 @@
 //! Machines by number, and small sets of them.
 
-use protocol::msg::Member;
+use protocol::message::Member;
 
 /// The address of a machine.
 pub fn address(machine: usize) -> String {
--- a/consensus/src/model/mod.rs
+++ b/consensus/src/model/mod.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    fn has(&self, flaw: scenario::Flaw) -> bool {
-        self.scenario.flaw == Some(flaw)
+    fn has(&self, defect: scenario::Defect) -> bool {
+        self.scenario.defect == Some(defect)
     }
 }
 
@@ -105,5 +105,5 @@
 mod membership_tests;
 
 #[cfg(test)]
-#[path = "flaw_tests.rs"]
-mod flaw_tests;
+#[path = "defect_tests.rs"]
+mod defect_tests;
--- a/consensus/src/model/progress.rs
+++ b/consensus/src/model/progress.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use protocol::msg::{Ask, Ballot, Core, Poll, Vote};
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, ProposalNumber};
 
 use super::machines::MachineSet;
 use super::scenario::Operation;
@@ -21,19 +21,19 @@
     pub fn run(
         &self,
         state: &mut State,
-        core: &Core,
+        core: &CoreMembership,
         machines: MachineSet,
         operation: Operation,
     ) -> Result<Progress<Vec<u8>>, Violation> {
-        let ballot = Ballot { turn: next_turn(state.highest_turn(), core), seat: u64::MAX };
+        let ballot = ProposalNumber { turn: next_turn(state.highest_turn(), core), seat: u64::MAX };
         let mut judge = |body: &[u8]| operation.judge(body);
         let (mut proposal, mut ask) = Proposal::begin(KEY, core, None, ballot, &mut judge, state.now);
         'poll: loop {
-            let poll = Shared::new(Poll { core: core.clone(), ask: ask.clone() });
+            let poll = Shared::new(ConsensusRequest { core: core.clone(), ask: ask.clone() });
             for machine in machines.iter() {
                 let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
                 state.put_voter(machine, voter);
-                match proposal.hear(&self.addresses[machine], Vote::clone(&vote), &mut judge, state.now) {
+                match proposal.hear(&self.addresses[machine], ConsensusResponse::clone(&vote), &mut judge, state.now) {
                     Progress::Wait => {}
                     Progress::Send(next) => {
                         ask = next;
@@ -70,14 +70,14 @@
     }
 
     /// Are these machines a quorum of the changed core, and a majority of the members before it?
-    fn may_settle(&self, core: &Core, in_touch: MachineSet) -> bool {
+    fn may_settle(&self, core: &CoreMembership, in_touch: MachineSet) -> bool {
         let addresses: Vec<String> = in_touch.iter().map(|machine| self.addresses[machine].clone()).collect();
         let has_quorum = self.core_facts(core).quorums.iter().any(|quorum| in_touch.includes(*quorum));
         has_quorum && quorum::has_majority(&core.prev, &addresses)
     }
 
     /// A read by any quorum that may vote finishes, and returns all that was acknowledged.
-    fn check_reads(&self, state: &State, core: &Core) -> Result<(), Violation> {
+    fn check_reads(&self, state: &State, core: &CoreMembership) -> Result<(), Violation> {
         for quorum in self.core_facts(core).quorums.iter() {
             if quorum.iter().all(|machine| self.answers(state, machine, core)) {
                 self.check_read_by(state.clone(), core, *quorum)?;
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    fn check_read_by(&self, mut state: State, core: &Core, quorum: MachineSet) -> Result<(), Violation> {
+    fn check_read_by(&self, mut state: State, core: &CoreMembership, quorum: MachineSet) -> Result<(), Violation> {
         let acknowledged = state.acknowledged.clone();
         match self.run(&mut state, core, quorum, Operation::Read)? {
             Progress::Finished { answer, .. } if answer.starts_with(&acknowledged) => Ok(()),
@@ -98,7 +98,7 @@
     }
 
     /// All voters without memory read the others and vote again.
-    fn end_losses(&self, state: &mut State, core: &Core) -> Result<(), Violation> {
+    fn end_losses(&self, state: &mut State, core: &CoreMembership) -> Result<(), Violation> {
         state.now += ROUND_MS + RECALL_DELAY_MS;
         let mute: Vec<usize> = (0..state.replicas.len()).filter(|at| !state.replicas[*at].voter.may_vote).collect();
         for machine in mute {
@@ -119,10 +119,10 @@
     }
 
     /// A changed core is settled while these machines are in touch, and reads finish after it.
-    fn check_settlement(&self, mut state: State, core: &Core, in_touch: MachineSet) -> Result<(), Violation> {
+    fn check_settlement(&self, mut state: State, core: &CoreMembership, in_touch: MachineSet) -> Result<(), Violation> {
         let mut settlement = Settlement::new(core);
         let told = quorum::old_and_new_members(core);
-        let poll = Shared::new(Poll { core: core.clone(), ask: Ask::Places });
+        let poll = Shared::new(ConsensusRequest { core: core.clone(), ask: ConsensusOperation::Positions });
         for machine in in_touch.iter().filter(|machine| told.contains(&self.addresses[*machine])) {
             let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
             state.put_voter(machine, voter);
--- a/consensus/src/model/proposing.rs
+++ b/consensus/src/model/proposing.rs
@@ -1,14 +1,14 @@
 //! Proposers: beginning, counting votes, ending, restarting.
 use super::action::{Action, Successor};
 use super::machines::MachineSet;
-use super::scenario::{Flaw, Operation};
+use super::scenario::{Defect, Operation};
 use super::shared::Shared;
 use super::state::{Proposer, Purpose, State, Task};
 use super::violation::Violation;
 use super::{Model, KEY};
 use crate::proposal::{Progress, Proposal};
 use crate::round::{next_turn, Ownership};
-use protocol::msg::{Ask, Ballot, Core, Poll, Vote};
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, ProposalNumber};
 
 /// More lives than any proposer has.
 const LIVES: u64 = 16;
@@ -18,10 +18,10 @@
 }
 
 /// The ballot that a poll is sent under.
-pub fn ballot(ask: &Ask) -> Option<Ballot> {
+pub fn ballot(ask: &ConsensusOperation) -> Option<ProposalNumber> {
     match ask {
-        Ask::Prepare { ballot, .. } => Some(*ballot),
-        Ask::Accept { entry, .. } => Some(entry.ballot),
+        ConsensusOperation::Prepare { ballot, .. } => Some(*ballot),
+        ConsensusOperation::Accept { entry, .. } => Some(entry.ballot),
         _ => None,
     }
 }
@@ -83,17 +83,17 @@
             return self.finish(next, at, purpose, &state.acknowledged, owner.entry.body.clone(), owner);
         }
         let operation = purpose.operation();
-        let ballot = Ballot { turn, seat: seat(at, proposer.life) };
+        let ballot = ProposalNumber { turn, seat: seat(at, proposer.life) };
         let mut judge = |body: &[u8]| operation.judge(body);
         let core = &state.cores[core];
         let (proposal, ask) = Proposal::begin(KEY, core, held, ballot, &mut judge, state.now);
-        if matches!(ask, Ask::Prepare { .. }) && state.is_used(ballot) {
+        if matches!(ask, ConsensusOperation::Prepare { .. }) && state.is_used(ballot) {
             return Err(Violation::TwoOwners { ballot });
         }
         let task = Task {
             purpose,
             proposal: Shared::new(proposal),
-            poll: Shared::new(Poll { core: core.clone(), ask }),
+            poll: Shared::new(ConsensusRequest { core: core.clone(), ask }),
             votes: Default::default(),
             acknowledged_before: state.acknowledged.clone(),
         };
@@ -102,7 +102,7 @@
     }
 
     fn answers_from_memory(&self, purpose: Purpose) -> bool {
-        self.has(Flaw::ReadFromMemory) && purpose == Purpose::Operation(Operation::Read)
+        self.has(Defect::ReadFromMemory) && purpose == Purpose::Operation(Operation::Read)
     }
 
     /// Counts the votes of a quorum, for each smallest one whose votes are there.
@@ -112,11 +112,11 @@
         let facts = self.core_facts(&task.poll.core);
         for quorum in &facts.quorums {
             let absent: Vec<usize> = quorum.iter().filter(|machine| !voted.contains(*machine)).collect();
-            let mut votes: Vec<(usize, Shared<Vote>)> =
+            let mut votes: Vec<(usize, Shared<ConsensusResponse>)> =
                 quorum.iter().filter_map(|machine| Some((machine, task.votes.get(&machine)?.clone()))).collect();
             match absent[..] {
                 [] => {}
-                [machine] if self.has(Flaw::QuorumOneShort) => votes.push((machine, invented_vote(&task.poll.ask))),
+                [machine] if self.has(Defect::QuorumOneShort) => votes.push((machine, invented_vote(&task.poll.ask))),
                 _ => continue,
             }
             let action = Action::Count { proposer: at, machines: *quorum };
@@ -125,14 +125,19 @@
     }
 
     /// A proposer hears these votes, the last of which is to bring it on.
-    pub fn hear(&self, state: State, at: usize, votes: &[(usize, Shared<Vote>)]) -> Result<State, Violation> {
+    pub fn hear(
+        &self,
+        state: State,
+        at: usize,
+        votes: &[(usize, Shared<ConsensusResponse>)],
+    ) -> Result<State, Violation> {
         let task = state.proposers[at].task.clone().expect("a task");
         let mut proposal = Proposal::clone(&task.proposal);
         let operation = task.purpose.operation();
         let mut judge = |body: &[u8]| operation.judge(body);
         let mut progress = Progress::Wait;
         for (machine, vote) in votes {
-            progress = proposal.hear(&self.addresses[*machine], Vote::clone(vote), &mut judge, state.now);
+            progress = proposal.hear(&self.addresses[*machine], ConsensusResponse::clone(vote), &mut judge, state.now);
         }
         self.advance(state, at, Task { proposal: Shared::new(proposal), ..task }, progress)
     }
@@ -148,7 +153,7 @@
         match progress {
             Progress::Wait => return Err(Violation::Stuck("the votes of a quorum did not bring a round on")),
             Progress::Send(ask) => {
-                let poll = Shared::new(Poll { core: task.poll.core.clone(), ask });
+                let poll = Shared::new(ConsensusRequest { core: task.poll.core.clone(), ask });
                 let task = Task { poll, votes: Default::default(), ..task };
                 state.proposers[at].edit(|proposer| proposer.task = Some(task));
             }
@@ -200,7 +205,7 @@
 }
 
 /// The turns that a proposer may begin under: it heard of the highest one by now, or not.
-fn turns(state: &State, proposer: &Proposer, core: &Core) -> Vec<u64> {
+fn turns(state: &State, proposer: &Proposer, core: &CoreMembership) -> Vec<u64> {
     let next = next_turn(proposer.turn, core);
     let above_all = next_turn(proposer.turn.max(state.highest_turn()), core);
     match above_all > next && proposer.held.is_none() {
@@ -210,10 +215,10 @@
 }
 
 /// A vote that nobody gave.
-fn invented_vote(ask: &Ask) -> Shared<Vote> {
+fn invented_vote(ask: &ConsensusOperation) -> Shared<ConsensusResponse> {
     Shared::new(match ask {
-        Ask::Prepare { .. } => Vote::Promise { entry: None },
-        _ => Vote::Accepted,
+        ConsensusOperation::Prepare { .. } => ConsensusResponse::Prepared { entry: None },
+        _ => ConsensusResponse::Accepted,
     })
 }
 
--- a/consensus/src/model/recovering.rs
+++ b/consensus/src/model/recovering.rs
@@ -1,9 +1,9 @@
 //! Disks that are lost, and voters that read the others before they vote again.
 
-use protocol::msg::{Ask, Core, Poll, Vote};
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership};
 
 use super::action::{Action, Successor};
-use super::scenario::{Flaw, Scenario};
+use super::scenario::{Defect, Scenario};
 use super::shared::Shared;
 use super::state::{Replica, State};
 use super::violation::Violation;
@@ -38,7 +38,7 @@
         }
         for core in 0..state.cores.len() {
             let mut voter = Voter { core: state.cores[core].clone(), ..Voter::default() };
-            if self.has(Flaw::WipedVotesAtOnce) {
+            if self.has(Defect::WipedVotesAtOnce) {
                 (voter.core, voter.may_vote) = (held.core.clone(), true);
             }
             let wiped_at = (!voter.may_vote).then_some(state.now);
@@ -51,7 +51,7 @@
     }
 
     fn is_ready_to_read(&self, replica: &Replica, now: u64) -> bool {
-        let delay = if self.has(Flaw::RecallWithoutDelay) { 0 } else { RECALL_DELAY_MS };
+        let delay = if self.has(Defect::RecallWithoutDelay) { 0 } else { RECALL_DELAY_MS };
         replica.wiped_at.is_some_and(|wiped_at| now >= wiped_at + delay)
     }
 
@@ -107,20 +107,20 @@
     pub fn read_from(&self, state: &State, machine: usize, from: usize) -> Result<Option<State>, Violation> {
         let core = state.replicas[machine].voter.core.clone();
         let is_member = quorum::is_old_or_new_member(&core, &self.addresses[machine]);
-        let ask = if is_member { Ask::Whole } else { Ask::Places };
-        let poll = Shared::new(Poll { core: core.clone(), ask });
+        let ask = if is_member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
+        let poll = Shared::new(ConsensusRequest { core: core.clone(), ask });
         let answer = self.poll(from, &state.replicas[from].voter, &poll)?;
         let mut next = state.clone();
         next.put_voter(from, answer.voter);
         match &*answer.vote {
-            Vote::Newer { core } => {
+            ConsensusResponse::NewerMembership { core } => {
                 next.tell(machine, core);
                 return Ok(Some(next));
             }
-            Vote::Whole { slots } if is_member => {
+            ConsensusResponse::Snapshot { slots } if is_member => {
                 next.replicas[machine].edit(|replica| drop(replica.reads.insert(from, slots.clone())));
             }
-            Vote::Places { .. } if !is_member => {
+            ConsensusResponse::Positions { .. } if !is_member => {
                 next.replicas[machine].edit(|replica| drop(replica.reads.insert(from, Vec::new())));
             }
             _ => return Ok(None),
@@ -130,7 +130,7 @@
     }
 
     /// Ends the loss of memory if enough others were read.
-    fn vote_again(&self, state: &mut State, machine: usize, core: &Core) {
+    fn vote_again(&self, state: &mut State, machine: usize, core: &CoreMembership) {
         let replica = &state.replicas[machine];
         let mut voter = Voter { ip: self.addresses[machine].clone(), ..Voter::clone(&replica.voter) };
         let read: Vec<String> = replica.reads.keys().map(|from| self.addresses[*from].clone()).collect();
@@ -156,7 +156,7 @@
 
 impl State {
     /// A voter hears of a committed core. False: it is no newer than the one that it knows.
-    pub fn tell(&mut self, machine: usize, core: &Core) -> bool {
+    pub fn tell(&mut self, machine: usize, core: &CoreMembership) -> bool {
         let mut voter = Voter::clone(&self.replicas[machine].voter);
         voter.adopt(core).is_some() && self.put_voter(machine, Shared::new(voter))
     }
--- a/consensus/src/model/runs.rs
+++ b/consensus/src/model/runs.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// The violation that a scenario with a flaw leads to.
+/// The violation that a scenario with a defect leads to.
 pub fn finds(name: &str, scenario: &Scenario) -> Counterexample<Model> {
     run(name, scenario, usize::MAX).counterexample.unwrap_or_else(|| panic!("{name}: nothing was found"))
 }
--- a/consensus/src/model/scenario.rs
+++ b/consensus/src/model/scenario.rs
@@ -51,7 +51,7 @@
 
 /// A fault that is put in on purpose: the exploration must find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum Defect {
     /// A round is over with one vote less than a quorum.
     QuorumOneShort,
     /// A voter accepts a ballot below the one that it promised.
@@ -88,7 +88,7 @@
     pub wipes: u8,
     /// Groups of machines that differ in nothing but their number.
     pub interchangeable: Vec<Vec<usize>>,
-    pub flaw: Option<Flaw>,
+    pub defect: Option<Defect>,
 }
 
 impl Scenario {
--- a/consensus/src/model/state.rs
+++ b/consensus/src/model/state.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter;
 
-use protocol::msg::{Ask, Ballot, Core, Entry, Poll, Slot, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, ProposalNumber, RegisterState,
+};
 
 use super::scenario::{Operation, Workload};
 use super::shared::Shared;
@@ -26,7 +28,7 @@
     /// When it lost its disk, as long as it may not vote again.
     pub wiped_at: Option<u64>,
     /// What it read of others since, in order to vote again.
-    pub reads: BTreeMap<usize, Vec<Slot>>,
+    pub reads: BTreeMap<usize, Vec<RegisterState>>,
 }
 
 /// What a proposal is for.
@@ -53,8 +55,8 @@
     pub purpose: Purpose,
     pub proposal: Shared<Proposal<Vec<u8>>>,
     /// The present poll, on its way to every member.
-    pub poll: Shared<Poll>,
-    pub votes: BTreeMap<usize, Shared<Vote>>,
+    pub poll: Shared<ConsensusRequest>,
+    pub votes: BTreeMap<usize, Shared<ConsensusResponse>>,
     /// What was acknowledged when the proposal began: its answer must hold it.
     pub acknowledged_before: Shared<Vec<u8>>,
 }
@@ -63,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct SettlementRecord {
     /// Votes of those that were told of the core.
-    pub heard: BTreeMap<usize, Shared<Vote>>,
+    pub heard: BTreeMap<usize, Shared<ConsensusResponse>>,
     pub renewed: BTreeSet<String>,
 }
 
@@ -90,9 +92,9 @@
     pub replicas: Vec<Shared<Replica>>,
     pub proposers: Vec<Shared<Proposer>>,
     /// Acceptances asked for in rounds that are over: they may still reach a voter.
-    pub late: Shared<Vec<Shared<Poll>>>,
+    pub late: Shared<Vec<Shared<ConsensusRequest>>>,
     /// The cores that were committed, oldest first.
-    pub cores: Shared<Vec<Core>>,
+    pub cores: Shared<Vec<CoreMembership>>,
     /// The longest body that any client was answered with.
     pub acknowledged: Shared<Vec<u8>>,
     pub restarts_left: u8,
@@ -100,7 +102,7 @@
 }
 
 impl State {
-    pub fn newest_core(&self) -> &Core {
+    pub fn newest_core(&self) -> &CoreMembership {
         self.cores.last().expect("a first core")
     }
 
@@ -120,7 +122,7 @@
     /// All machines in touch and idle, with what the scenario says was acknowledged before.
     pub fn initial_state(&self) -> State {
         let list = (0..self.scenario.core_size).map(machines::member).collect();
-        let core = Core { version: 1, list, prev: Vec::new(), settled: true };
+        let core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
         let voter = Voter { core: core.clone(), may_vote: true, ..Default::default() };
         let replica = Shared::new(Replica { voter: Shared::new(voter), ..Replica::default() });
         let idle =
@@ -148,12 +150,12 @@
     fn leave_half_done(&self, state: &mut State) {
         let Some(half_done) = self.scenario.left_half_done else { return };
         let core = state.newest_core().clone();
-        let ballot = Ballot { turn: next_turn(state.highest_turn(), &core), seat: u64::MAX };
+        let ballot = ProposalNumber { turn: next_turn(state.highest_turn(), &core), seat: u64::MAX };
         let entry = Entry { ballot, step: 1, body: vec![HALF_DONE_CHANGE] };
-        let prepare = Ask::Prepare { key: KEY.into(), ballot };
-        let accept = Ask::Accept { key: KEY.into(), entry };
+        let prepare = ConsensusOperation::Prepare { key: KEY.into(), ballot };
+        let accept = ConsensusOperation::Accept { key: KEY.into(), entry };
         for (ask, machines) in [(prepare, half_done.promised_by), (accept, half_done.accepted_by)] {
-            let poll = Shared::new(Poll { core: core.clone(), ask });
+            let poll = Shared::new(ConsensusRequest { core: core.clone(), ask });
             for machine in machines.iter() {
                 let answer = self.poll(machine, &state.replicas[machine].voter, &poll).expect("no violation");
                 state.put_voter(machine, answer.voter);
--- a/consensus/src/model/symmetry.rs
+++ b/consensus/src/model/symmetry.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::mem;
 
-use protocol::msg::{Ask, Poll};
+use protocol::message::{ConsensusOperation, ConsensusRequest};
 
 use super::explore::fingerprint;
 use super::shared::Shared;
@@ -32,7 +32,7 @@
         if state.late.is_empty() || state.wipes_left > 0 || state.mute() > 0 {
             return;
         }
-        let is_dead = |poll: &Shared<Poll>| {
+        let is_dead = |poll: &Shared<ConsensusRequest>| {
             self.core_facts(&poll.core).members.iter().all(|machine| is_refused(&state.replicas[machine], poll))
         };
         if state.late.iter().any(is_dead) {
@@ -42,8 +42,8 @@
     }
 }
 
-fn is_refused(replica: &Replica, poll: &Poll) -> bool {
-    let Ask::Accept { key, entry } = &poll.ask else { return false };
+fn is_refused(replica: &Replica, poll: &ConsensusRequest) -> bool {
+    let ConsensusOperation::Accept { key, entry } = &poll.ask else { return false };
     let voter = &replica.voter;
     let overtaken = voter.slots.get(key).is_some_and(|slot| {
         slot.promised > entry.ballot || slot.entry.as_ref().is_some_and(|held| held.place() >= entry.place())
--- a/consensus/src/model/violation.rs
+++ b/consensus/src/model/violation.rs
@@ -1,13 +1,13 @@
 //! What an exploration may find.
-use protocol::msg::Ballot;
+use protocol::message::ProposalNumber;
 
 /// A state or an action that must not be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Two bodies at one place of the history.
-    TwoValues { place: (Ballot, u64), bodies: [Vec<u8>; 2] },
+    TwoValues { place: (ProposalNumber, u64), bodies: [Vec<u8>; 2] },
     /// Two owners act under one ballot.
-    TwoOwners { ballot: Ballot },
+    TwoOwners { ballot: ProposalNumber },
     /// What was acknowledged is not part of what a later quorum read returns.
     Lost { acknowledged: Vec<u8>, found: Vec<u8> },
     /// A change was acknowledged and is not in the body that was committed for it.
--- a/consensus/src/model/voting.rs
+++ b/consensus/src/model/voting.rs
@@ -3,11 +3,11 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-use protocol::msg::{Ask, Ballot, Entry, Poll, Vote};
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, Entry, ProposalNumber};
 
 use super::action::{Action, Successor};
 use super::proposing::ballot;
-use super::scenario::Flaw;
+use super::scenario::Defect;
 use super::shared::Shared;
 use super::state::State;
 use super::violation::Violation;
@@ -18,7 +18,7 @@
 #[derive(Clone)]
 pub struct Answer {
     pub voter: Shared<Voter>,
-    pub vote: Shared<Vote>,
+    pub vote: Shared<ConsensusResponse>,
 }
 
 /// What each voter answered to each poll: told apart by machine, voter and poll.
@@ -26,7 +26,12 @@
 
 impl Model {
     /// Lets a voter answer a poll. Both the voter and what a restart would find on its disk are as returned.
-    pub fn poll(&self, machine: usize, voter: &Shared<Voter>, poll: &Shared<Poll>) -> Result<Answer, Violation> {
+    pub fn poll(
+        &self,
+        machine: usize,
+        voter: &Shared<Voter>,
+        poll: &Shared<ConsensusRequest>,
+    ) -> Result<Answer, Violation> {
         let key = (machine, voter.fingerprint(), poll.fingerprint());
         if let Some(known) = self.answers.borrow().get(&key) {
             return Ok(known.clone());
@@ -38,19 +43,24 @@
         Ok(answer)
     }
 
-    fn answer(&self, machine: usize, voter: &Voter, poll: &Poll) -> Result<(Voter, Vote), Violation> {
+    fn answer(
+        &self,
+        machine: usize,
+        voter: &Voter,
+        poll: &ConsensusRequest,
+    ) -> Result<(Voter, ConsensusResponse), Violation> {
         let mut after = Voter { ip: self.addresses[machine].clone(), ..voter.clone() };
-        let accepts_old = self.has(Flaw::OldBallotAccepted);
+        let accepts_old = self.has(Defect::OldBallotAccepted);
         if accepts_old {
             forget_promise(&mut after, &poll.ask);
         }
         let (vote, records) = after.poll(poll.clone());
-        if accepts_old && matches!(vote, Vote::Refused { .. }) {
+        if accepts_old && matches!(vote, ConsensusResponse::Rejected { .. }) {
             return Ok((voter.clone(), vote));
         }
         after.ip.clear();
         let mut restarted = voter.clone();
-        if !self.has(Flaw::VoteBeforeDisk) {
+        if !self.has(Defect::VoteBeforeDisk) {
             records.into_iter().for_each(|record| restarted.fold(record));
         }
         if restarted != after {
@@ -87,13 +97,15 @@
             let changed = next.put_voter(machine, voter);
             match &*vote {
                 // The first vote counts; what is answered to a poll that comes again goes nowhere.
-                Vote::Promise { .. } | Vote::Accepted if !task.votes.contains_key(&machine) => {
+                ConsensusResponse::Prepared { .. } | ConsensusResponse::Accepted
+                    if !task.votes.contains_key(&machine) =>
+                {
                     next.edit_task(proposer, |task| drop(task.votes.insert(machine, vote)));
                     list.push(Successor { action, outcome: Ok(next) });
                 }
                 // A refusal under the own ballot answers a poll that came twice.
-                Vote::Refused { promised } if Some(*promised) <= ballot(&task.poll.ask) => {}
-                Vote::Refused { .. } | Vote::Newer { .. } => {
+                ConsensusResponse::Rejected { promised } if Some(*promised) <= ballot(&task.poll.ask) => {}
+                ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
                     let outcome = self.hear(next, proposer, &[(machine, vote)]);
                     list.push(Successor { action: Action::Refuse { proposer, machine }, outcome });
                 }
@@ -103,8 +115,8 @@
         }
     }
 
-    fn deliver_late(&self, state: &State, poll: &Shared<Poll>, list: &mut Vec<Successor>) {
-        let Ask::Accept { entry, .. } = &poll.ask else { return };
+    fn deliver_late(&self, state: &State, poll: &Shared<ConsensusRequest>, list: &mut Vec<Successor>) {
+        let ConsensusOperation::Accept { entry, .. } = &poll.ask else { return };
         for machine in self.core_facts(&poll.core).members.iter() {
             let action = Action::DeliverLate { place: entry.place(), machine };
             match self.poll(machine, &state.replicas[machine].voter, poll) {
@@ -138,10 +150,10 @@
     }
 }
 
-fn forget_promise(voter: &mut Voter, ask: &Ask) {
-    let Ask::Accept { key, .. } = ask else { return };
+fn forget_promise(voter: &mut Voter, ask: &ConsensusOperation) {
+    let ConsensusOperation::Accept { key, .. } = ask else { return };
     if let Some(slot) = voter.slots.get_mut(key) {
-        slot.promised = Ballot::default();
+        slot.promised = ProposalNumber::default();
     }
 }
 
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -3,7 +3,7 @@
 
 use std::mem;
 
-use protocol::msg::{Ask, Ballot, Core, Vote};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, ProposalNumber};
 
 use crate::round::{Ownership, Round, Step};
 
@@ -21,7 +21,7 @@
 pub enum Progress<T> {
     Wait,
     /// To be sent to every voter of the proposal's core; answers to earlier polls no longer count.
-    Send(Ask),
+    Send(ConsensusOperation),
     /// Committed, or read at a quorum. The ownership serves the next change of the same key.
     Finished {
         answer: T,
@@ -29,9 +29,9 @@
         wrote: bool,
     },
     /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
-    Outbid(Ballot),
+    Outbid(ProposalNumber),
     /// A voter knows a newer core. The outcome of an own write is unknown.
-    NewerCore(Core),
+    NewerCore(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -56,12 +56,12 @@
     /// new to this owner.
     pub fn begin(
         key: &str,
-        core: &Core,
+        core: &CoreMembership,
         held: Option<Ownership>,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
         now: u64,
-    ) -> (Proposal<T>, Ask) {
+    ) -> (Proposal<T>, ConsensusOperation) {
         let held = held.filter(|owner| owner.core == core.version);
         if let Some(owner) = held {
             // An answer without a write would rest on a read of some time ago: another may own the key by now.
@@ -74,7 +74,7 @@
         (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
     }
 
-    pub fn core(&self) -> &Core {
+    pub fn core(&self) -> &CoreMembership {
         self.round.core()
     }
 
@@ -87,7 +87,7 @@
     pub fn hear(
         &mut self,
         from: &str,
-        vote: Vote,
+        vote: ConsensusResponse,
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
         now: u64,
     ) -> Progress<T> {
--- a/consensus/src/proposal_tests.rs
+++ b/consensus/src/proposal_tests.rs
@@ -1,6 +1,8 @@
 //! One proposal against voters that answer in the order a test says.
 
-use protocol::msg::{Ask, Ballot, Core, Member, Poll, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Member, ProposalNumber,
+};
 
 use super::{Progress, Proposal, Verdict};
 use crate::round::Ownership;
@@ -9,9 +11,9 @@
 
 const KEY: &str = "config";
 
-fn core(size: usize) -> Core {
+fn core(size: usize) -> CoreMembership {
     let list = (0..size).map(|at| Member { ip: address(at), zone: String::new() }).collect();
-    Core { version: 1, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, list, prev: Vec::new(), settled: true }
 }
 
 fn address(at: usize) -> String {
@@ -23,13 +25,13 @@
     (0..size).map(voter).collect()
 }
 
-fn ask(voter: &mut Voter, ask: &Ask) -> Vote {
+fn ask(voter: &mut Voter, ask: &ConsensusOperation) -> ConsensusResponse {
     let core = voter.core.clone();
-    voter.poll(Poll { core, ask: ask.clone() }).0
+    voter.poll(ConsensusRequest { core, ask: ask.clone() }).0
 }
 
-fn ballot(turn: u64) -> Ballot {
-    Ballot { turn, seat: 1 }
+fn ballot(turn: u64) -> ProposalNumber {
+    ProposalNumber { turn, seat: 1 }
 }
 
 /// Writes this body whatever is committed.
@@ -107,7 +109,7 @@
     let mut old = owner(run(&mut all, None, 1, &mut write("a")));
     old.core = 0;
     let (_, poll) = Proposal::begin(KEY, &core(3), Some(old), ballot(5), &mut write("b"), 0);
-    assert_eq!(poll, Ask::Prepare { key: KEY.into(), ballot: ballot(5) });
+    assert_eq!(poll, ConsensusOperation::Prepare { key: KEY.into(), ballot: ballot(5) });
 }
 
 #[test]
@@ -127,7 +129,11 @@
     let (mut proposal, poll) = Proposal::begin(KEY, &core(3), None, ballot(1), &mut write("a"), 0);
     for _ in 0..2 {
         let vote = ask(&mut all[0], &poll);
-        let vote = if let Vote::Refused { .. } = vote { Vote::Promise { entry: None } } else { vote };
+        let vote = if let ConsensusResponse::Rejected { .. } = vote {
+            ConsensusResponse::Prepared { entry: None }
+        } else {
+            vote
+        };
         assert_eq!(proposal.hear(&address(0), vote, &mut write("a"), 1), Progress::Wait);
     }
 }
--- a/consensus/src/quorum.rs
+++ b/consensus/src/quorum.rs
@@ -1,6 +1,6 @@
 //! Quorums of the core: majorities of its members, and joint ones while members are exchanged.
 
-use protocol::msg::{Core, Member};
+use protocol::message::{CoreMembership, Member};
 
 /// The smallest number of voters that is more than half of `count`.
 pub fn majority(count: usize) -> usize {
@@ -8,17 +8,17 @@
 }
 
 /// Is this address a member of the core?
-pub fn is_member(core: &Core, address: &str) -> bool {
+pub fn is_member(core: &CoreMembership, address: &str) -> bool {
     core.list.iter().any(|member| member.ip == address)
 }
 
 /// May votes of this address have counted in the core or, until that is settled, in the one before?
-pub fn is_old_or_new_member(core: &Core, address: &str) -> bool {
+pub fn is_old_or_new_member(core: &CoreMembership, address: &str) -> bool {
     is_member(core, address) || (!core.settled && core.prev.iter().any(|member| member.ip == address))
 }
 
 /// The addresses of the members.
-pub fn addresses(core: &Core) -> Vec<String> {
+pub fn addresses(core: &CoreMembership) -> Vec<String> {
     core.list.iter().map(|member| member.ip.clone()).collect()
 }
 
@@ -27,12 +27,12 @@
 /// Usually that is a majority of its members: majorities before and after one member more or less always
 /// share a voter. While members are exchanged a majority of those before the change is needed too (a joint
 /// quorum), since a majority of the old ones and one of the new ones may have no voter in common.
-pub fn is_quorum(core: &Core, voters: &[String]) -> bool {
+pub fn is_quorum(core: &CoreMembership, voters: &[String]) -> bool {
     has_majority(&core.list, voters) && (!is_exchange(core) || has_majority(&core.prev, voters))
 }
 
 /// Is the core changing so that neither the old nor the new members include the others?
-pub fn is_exchange(core: &Core) -> bool {
+pub fn is_exchange(core: &CoreMembership) -> bool {
     let missing =
         |of: &[Member], from: &[Member]| of.iter().any(|member| !from.iter().any(|other| other.ip == member.ip));
     !core.settled && missing(&core.prev, &core.list) && missing(&core.list, &core.prev)
@@ -46,7 +46,7 @@
 
 /// The members and, until the core is settled, those before the change. One that is only among the latter
 /// no longer votes, but is told of the change and asked what it holds.
-pub fn old_and_new_members(core: &Core) -> Vec<String> {
+pub fn old_and_new_members(core: &CoreMembership) -> Vec<String> {
     let mut list = addresses(core);
     if core.settled {
         return list;
--- a/consensus/src/quorum_tests.rs
+++ b/consensus/src/quorum_tests.rs
@@ -1,6 +1,6 @@
 //! Quorums of a core before, during and after a change always share a voter.
 use super::{is_old_or_new_member, is_quorum, old_and_new_members};
-use protocol::msg::{Core, Member};
+use protocol::message::{CoreMembership, Member};
 
 fn members(mask: u32) -> Vec<Member> {
     let numbers = (0..8).filter(|bit| mask & (1 << bit) != 0);
@@ -11,15 +11,15 @@
     members(mask).into_iter().map(|member| member.ip).collect()
 }
 
-fn settled(mask: u32) -> Core {
-    Core { version: 1, list: members(mask), prev: Vec::new(), settled: true }
+fn settled(mask: u32) -> CoreMembership {
+    CoreMembership { version: 1, list: members(mask), prev: Vec::new(), settled: true }
 }
 
-fn changing(old: u32, new: u32) -> Core {
-    Core { version: 2, list: members(new), prev: members(old), settled: false }
+fn changing(old: u32, new: u32) -> CoreMembership {
+    CoreMembership { version: 2, list: members(new), prev: members(old), settled: false }
 }
 
-fn quorums(core: &Core) -> Vec<u32> {
+fn quorums(core: &CoreMembership) -> Vec<u32> {
     (0..64u32).filter(|mask| is_quorum(core, &addresses(*mask))).collect()
 }
 
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -1,6 +1,6 @@
 //! The owning side: one round of a register, as a pure state machine.
 
-use protocol::msg::{Ask, Ballot, Core, Entry, Vote};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, ProposalNumber};
 
 use crate::{quorum, ROUND_MS};
 
@@ -26,7 +26,7 @@
 ///
 /// What an owner left half done under the core before may be on one disk only, and its promise on members that
 /// are gone. It must not outrank what was committed since by a quorum that never heard of it.
-pub fn next_turn(last: u64, core: &Core) -> u64 {
+pub fn next_turn(last: u64, core: &CoreMembership) -> u64 {
     (last + 1).max(core.version * TURNS_OF_A_CORE)
 }
 
@@ -34,12 +34,12 @@
 pub enum Step {
     Wait,
     /// To be sent to every member.
-    Send(Ask),
+    Send(ConsensusOperation),
     /// Committed: a majority has it on disk.
     Done(Ownership),
     /// Another owner is at work under a higher ballot; the outcome of an own change is unknown.
-    Lost(Ballot),
-    Core(Core),
+    Lost(ProposalNumber),
+    Core(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -52,8 +52,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
-    core: Core,
-    ballot: Ballot,
+    core: CoreMembership,
+    ballot: ProposalNumber,
     phase: Phase,
     heard: Vec<String>,
     deadline: u64,
@@ -61,24 +61,30 @@
 
 impl Round {
     /// A take-over: reads a majority under a new ballot and commits again what it finds.
-    pub fn take(key: &str, core: Core, ballot: Ballot, now: u64) -> (Round, Ask) {
-        let ask = Ask::Prepare { key: key.into(), ballot };
+    pub fn take(key: &str, core: CoreMembership, ballot: ProposalNumber, now: u64) -> (Round, ConsensusOperation) {
+        let ask = ConsensusOperation::Prepare { key: key.into(), ballot };
         (Round::new(key, core, ballot, Phase::Reading { found: None }, now), ask)
     }
 
     /// A change by the holder of a ownership.
-    pub fn change(key: &str, core: Core, ownership: &Ownership, body: Vec<u8>, now: u64) -> (Round, Ask) {
+    pub fn change(
+        key: &str,
+        core: CoreMembership,
+        ownership: &Ownership,
+        body: Vec<u8>,
+        now: u64,
+    ) -> (Round, ConsensusOperation) {
         let entry = Entry { ballot: ownership.entry.ballot, step: ownership.entry.step + 1, body };
-        let ask = Ask::Accept { key: key.into(), entry: entry.clone() };
+        let ask = ConsensusOperation::Accept { key: key.into(), entry: entry.clone() };
         (Round::new(key, core, entry.ballot, Phase::Writing(entry), now), ask)
     }
 
-    fn new(key: &str, core: Core, ballot: Ballot, phase: Phase, now: u64) -> Round {
+    fn new(key: &str, core: CoreMembership, ballot: ProposalNumber, phase: Phase, now: u64) -> Round {
         let deadline = now + ROUND_MS;
         Round { key: key.into(), core, ballot, phase, heard: Vec::new(), deadline }
     }
 
-    pub fn core(&self) -> &Core {
+    pub fn core(&self) -> &CoreMembership {
         &self.core
     }
 
@@ -86,14 +92,14 @@
         now >= self.deadline
     }
 
-    pub fn hear(&mut self, from: &str, vote: Vote, now: u64) -> Step {
+    pub fn hear(&mut self, from: &str, vote: ConsensusResponse, now: u64) -> Step {
         if self.over(now) || !quorum::is_member(&self.core, from) || self.heard.iter().any(|ip| ip == from) {
             return Step::Wait;
         }
         match vote {
-            Vote::Newer { core } => return Step::Core(core),
-            Vote::Refused { promised } if promised > self.ballot => return Step::Lost(promised),
-            Vote::Promise { entry } => {
+            ConsensusResponse::NewerMembership { core } => return Step::Core(core),
+            ConsensusResponse::Rejected { promised } if promised > self.ballot => return Step::Lost(promised),
+            ConsensusResponse::Prepared { entry } => {
                 let Phase::Reading { found } = &mut self.phase else { return Step::Wait };
                 let best = found.as_ref().map(Entry::place);
                 if entry.as_ref().map(Entry::place) > best {
@@ -101,7 +107,7 @@
                 }
                 self.heard.push(from.into());
             }
-            Vote::Accepted => {
+            ConsensusResponse::Accepted => {
                 let Phase::Writing(_) = &self.phase else { return Step::Wait };
                 self.heard.push(from.into());
             }
@@ -121,7 +127,7 @@
                 let entry = Entry { ballot: self.ballot, step: 0, body: found.body };
                 self.phase = Phase::Writing(entry.clone());
                 self.heard.clear();
-                Step::Send(Ask::Accept { key: self.key.clone(), entry })
+                Step::Send(ConsensusOperation::Accept { key: self.key.clone(), entry })
             }
         }
     }
--- a/consensus/src/round_tests.rs
+++ b/consensus/src/round_tests.rs
@@ -1,9 +1,9 @@
 //! The turns of ballots.
 use super::{next_turn, TURNS_OF_A_CORE};
-use protocol::msg::Core;
+use protocol::message::CoreMembership;
 
-fn core(version: u64) -> Core {
-    Core { version, ..Core::default() }
+fn core(version: u64) -> CoreMembership {
+    CoreMembership { version, ..CoreMembership::default() }
 }
 
 #[test]
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -6,7 +6,9 @@
 use std::{mem, str};
 
 use kernel::clock::Rng;
-use protocol::msg::{Ask, Ballot, Core, Member, Poll, Slot, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Member, ProposalNumber, RegisterState,
+};
 
 use crate::round::{self, Ownership, Round, Step};
 use crate::voter::{LogRecord, Voter};
@@ -15,8 +17,8 @@
 const KEY: &str = "k";
 
 enum Mail {
-    Poll { round: u64, poll: Poll },
-    Vote { round: u64, vote: Vote },
+    Poll { round: u64, poll: ConsensusRequest },
+    Vote { round: u64, vote: ConsensusResponse },
 }
 
 struct Letter {
@@ -45,7 +47,7 @@
     life: u64,
     born: u64,
     turn: u64,
-    reads: BTreeMap<usize, Vec<Slot>>,
+    reads: BTreeMap<usize, Vec<RegisterState>>,
 }
 
 pub struct World {
@@ -71,7 +73,7 @@
 
 impl Seat {
     /// An empty machine that may vote where the core names it.
-    fn fresh(at: usize, core: Core, born: u64) -> Seat {
+    fn fresh(at: usize, core: CoreMembership, born: u64) -> Seat {
         let mut voter = Voter::new(&ip(at));
         (voter.core, voter.may_vote) = (core, true);
         Seat {
@@ -92,7 +94,7 @@
 impl World {
     pub fn new(seed: u64, size: usize) -> World {
         let list = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let core = Core { version: 1, list, prev: Vec::new(), settled: true };
+        let core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
         World {
             now: 0,
             dice: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
@@ -114,10 +116,14 @@
         self.mail.push(Letter { at: self.now + late, from, to, life: self.seats[to].life, mail });
     }
 
-    fn ask(&mut self, from: usize, round: u64, core: &Core, ask: &Ask) {
+    fn ask(&mut self, from: usize, round: u64, core: &CoreMembership, ask: &ConsensusOperation) {
         for to in 0..self.seats.len() {
             if quorum::is_member(core, &ip(to)) {
-                self.post(from, to, Mail::Poll { round, poll: Poll { core: core.clone(), ask: ask.clone() } });
+                self.post(
+                    from,
+                    to,
+                    Mail::Poll { round, poll: ConsensusRequest { core: core.clone(), ask: ask.clone() } },
+                );
             }
         }
     }
@@ -139,7 +145,7 @@
             }
             None => {
                 seat.turn = round::next_turn(seat.turn, &core);
-                let ballot = Ballot { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
+                let ballot = ProposalNumber { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
                 let (round, ask) = Round::take(KEY, core.clone(), ballot, now);
                 (round, ask, None)
             }
@@ -149,10 +155,10 @@
         self.ask(at, id, &core, &ask);
     }
 
-    fn vote(&mut self, at: usize, from: usize, id: u64, vote: Vote) {
+    fn vote(&mut self, at: usize, from: usize, id: u64, vote: ConsensusResponse) {
         let now = self.now;
         let seat = &mut self.seats[at];
-        if let Vote::Whole { slots } = &vote {
+        if let ConsensusResponse::Snapshot { slots } = &vote {
             if !seat.voter.may_vote {
                 seat.reads.insert(from, slots.clone());
                 let read: Vec<String> = seat.reads.keys().map(|at| ip(*at)).collect();
@@ -230,7 +236,7 @@
                 self.seats[at].reads.clear();
                 for to in 0..self.seats.len() {
                     if others.contains(&ip(to)) {
-                        let poll = Poll { core: core.clone(), ask: Ask::Whole };
+                        let poll = ConsensusRequest { core: core.clone(), ask: ConsensusOperation::Snapshot };
                         self.post(at, to, Mail::Poll { round: 0, poll });
                     }
                 }
--- a/consensus/src/sim_trouble.rs
+++ b/consensus/src/sim_trouble.rs
@@ -1,6 +1,6 @@
 //! Trouble in the simulated world: falls, wipes, returns, and the reading at the end.
 
-use super::{ip, Ask, Core, Mail, Member, Poll, Seat, World};
+use super::{ip, ConsensusOperation, ConsensusRequest, CoreMembership, Mail, Member, Seat, World};
 use crate::quorum;
 use crate::voter::Voter;
 
@@ -68,10 +68,10 @@
 
     /// The next core, known at first to one seat only. `joint`: until it is settled, quorums of the members
     /// before it are needed too.
-    pub fn change(&mut self, list: Vec<usize>, joint: bool) -> Core {
+    pub fn change(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
         let old = self.seats[0].voter.core.clone();
         let list = list.into_iter().map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let core = Core { version: old.version + 1, list, prev: old.list, settled: !joint };
+        let core = CoreMembership { version: old.version + 1, list, prev: old.list, settled: !joint };
         let record = self.seats[0].voter.adopt(&core);
         (self.seats[0].ownership, self.seats[0].work) = (None, None);
         self.seats[0].wet.push((self.now + 2, record.into_iter().collect(), None));
@@ -79,10 +79,10 @@
     }
 
     /// Tells the members old and new of a core; true once majorities of both have it on disk.
-    pub fn spread(&mut self, core: &Core) -> bool {
-        let ask = Ask::Places;
+    pub fn spread(&mut self, core: &CoreMembership) -> bool {
+        let ask = ConsensusOperation::Positions;
         for to in 0..self.seats.len() {
-            let poll = Poll { core: core.clone(), ask: ask.clone() };
+            let poll = ConsensusRequest { core: core.clone(), ask: ask.clone() };
             self.post(0, to, Mail::Poll { round: 0, poll });
         }
         let knows = |ip: &str| {
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -3,7 +3,7 @@
 //! under way may be new.
 
 use kernel::clock::{self, Rng};
-use protocol::msg::{Ballot, Core, Entry, Slot};
+use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
 use crate::record::LogRecord;
 use crate::simulated_disk::{Disk, Faults, SharedDisk};
@@ -56,13 +56,13 @@
         self.turn += 1;
         match self.dice.below(12) {
             0 => return LogRecord::Vote,
-            1 => return LogRecord::Core(Core { version: self.turn, ..Default::default() }),
+            1 => return LogRecord::Core(CoreMembership { version: self.turn, ..Default::default() }),
             _ => {}
         }
-        let ballot = Ballot { turn: self.turn, seat: 1 };
+        let ballot = ProposalNumber { turn: self.turn, seat: 1 };
         let body = vec![self.turn as u8; self.dice.below(MOST_BODY) as usize];
         let entry = Some(Entry { ballot, step: 0, body });
-        LogRecord::Slot(Slot { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
+        LogRecord::Slot(RegisterState { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
     }
 
     fn batch(&mut self) -> Vec<LogRecord> {
--- a/consensus/src/store_tests.rs
+++ b/consensus/src/store_tests.rs
@@ -1,7 +1,7 @@
 use std::path::{Path, PathBuf};
 use std::{env, fs, process};
 
-use protocol::msg::{Ballot, Entry, Slot};
+use protocol::message::{Entry, ProposalNumber, RegisterState};
 
 use super::{Store, StoreError};
 use crate::record::LogRecord;
@@ -13,9 +13,9 @@
 }
 
 fn record(turn: u64, body: &[u8]) -> LogRecord {
-    let ballot = Ballot { turn, seat: 1 };
+    let ballot = ProposalNumber { turn, seat: 1 };
     let entry = Some(Entry { ballot, step: 0, body: body.to_vec() });
-    LogRecord::Slot(Slot { key: "k".into(), promised: ballot, entry })
+    LogRecord::Slot(RegisterState { key: "k".into(), promised: ballot, entry })
 }
 
 fn open(dir: &Path) -> Result<(Store, Vec<LogRecord>), StoreError> {
--- a/consensus/src/voter.rs
+++ b/consensus/src/voter.rs
@@ -3,15 +3,18 @@
 
 use std::collections::BTreeMap;
 
-use protocol::msg::{Ask, Ballot, Core, Entry, Member, Poll, Slot, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, ProposalNumber,
+    RegisterState,
+};
 
 use crate::{core_body, quorum, CORE};
 
 /// What goes to disk, in order.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum LogRecord {
-    Slot(Slot),
-    Core(Core),
+    Slot(RegisterState),
+    Core(CoreMembership),
     /// From here on this disk may vote.
     Vote,
 }
@@ -22,8 +25,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     pub ip: String,
-    pub core: Core,
-    pub slots: BTreeMap<String, Slot>,
+    pub core: CoreMembership,
+    pub slots: BTreeMap<String, RegisterState>,
     pub may_vote: bool,
 }
 
@@ -58,7 +61,7 @@
     }
 
     /// Takes over a committed core. None when it is no newer.
-    pub fn adopt(&mut self, core: &Core) -> Option<LogRecord> {
+    pub fn adopt(&mut self, core: &CoreMembership) -> Option<LogRecord> {
         let newer = core.version > self.core.version;
         let calmer = core.version == self.core.version && core.settled && !self.core.settled;
         if !newer && !calmer {
@@ -68,55 +71,59 @@
         Some(LogRecord::Core(core.clone()))
     }
 
-    pub fn poll(&mut self, poll: Poll) -> (Vote, Vec<LogRecord>) {
+    pub fn poll(&mut self, poll: ConsensusRequest) -> (ConsensusResponse, Vec<LogRecord>) {
         if poll.core.version < self.core.version {
-            return (Vote::Newer { core: self.core.clone() }, Vec::new());
+            return (ConsensusResponse::NewerMembership { core: self.core.clone() }, Vec::new());
         }
         let mut records: Vec<LogRecord> = self.adopt(&poll.core).into_iter().collect();
         let vote = match poll.ask {
             // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
-            Ask::Whole if self.may_vote => Vote::Whole { slots: self.slots.values().cloned().collect() },
+            ConsensusOperation::Snapshot if self.may_vote => {
+                ConsensusResponse::Snapshot { slots: self.slots.values().cloned().collect() }
+            }
             // The places, too, by one that is no member any more: its keys are part of a change's settlement.
-            Ask::Places if self.may_vote => Vote::Places { list: self.places() },
-            _ if !self.votes() => Vote::Mute,
-            Ask::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
-            Ask::Accept { key, entry } => self.accept(key, entry, &mut records),
-            Ask::Fetch { key } => Vote::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) },
-            Ask::Whole | Ask::Places => Vote::Mute,
+            ConsensusOperation::Positions if self.may_vote => ConsensusResponse::Positions { list: self.places() },
+            _ if !self.votes() => ConsensusResponse::NonVoting,
+            ConsensusOperation::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
+            ConsensusOperation::Accept { key, entry } => self.accept(key, entry, &mut records),
+            ConsensusOperation::Fetch { key } => {
+                ConsensusResponse::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) }
+            }
+            ConsensusOperation::Snapshot | ConsensusOperation::Positions => ConsensusResponse::NonVoting,
         };
         (vote, records)
     }
 
-    pub fn places(&self) -> Vec<(String, Ballot, u64)> {
+    pub fn places(&self) -> Vec<(String, ProposalNumber, u64)> {
         let held = self.slots.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
         held.map(|(slot, entry)| (slot.key.clone(), entry.ballot, entry.step)).collect()
     }
 
-    fn slot(&mut self, key: &str) -> &mut Slot {
-        let empty = || Slot { key: key.into(), promised: Default::default(), entry: None };
+    fn slot(&mut self, key: &str) -> &mut RegisterState {
+        let empty = || RegisterState { key: key.into(), promised: Default::default(), entry: None };
         self.slots.entry(key.to_string()).or_insert_with(empty)
     }
 
-    fn prepare(&mut self, key: String, ballot: Ballot, records: &mut Vec<LogRecord>) -> Vote {
+    fn prepare(&mut self, key: String, ballot: ProposalNumber, records: &mut Vec<LogRecord>) -> ConsensusResponse {
         let slot = self.slot(&key);
         if ballot <= slot.promised {
-            return Vote::Refused { promised: slot.promised };
+            return ConsensusResponse::Rejected { promised: slot.promised };
         }
         slot.promised = ballot;
         records.push(LogRecord::Slot(slot.clone()));
-        Vote::Promise { entry: slot.entry.clone() }
+        ConsensusResponse::Prepared { entry: slot.entry.clone() }
     }
 
-    fn accept(&mut self, key: String, entry: Entry, records: &mut Vec<LogRecord>) -> Vote {
+    fn accept(&mut self, key: String, entry: Entry, records: &mut Vec<LogRecord>) -> ConsensusResponse {
         let slot = self.slot(&key);
         let held = slot.entry.as_ref().map(Entry::place);
         if entry.ballot < slot.promised || held.is_some_and(|place| place > entry.place()) {
-            return Vote::Refused { promised: slot.promised };
+            return ConsensusResponse::Rejected { promised: slot.promised };
         }
         slot.promised = entry.ballot;
         slot.entry = Some(entry);
         records.push(LogRecord::Slot(slot.clone()));
-        Vote::Accepted
+        ConsensusResponse::Accepted
     }
 
     /// Ends a loss of memory with what `enough` other voters hold. The highest promise of any of them
@@ -124,7 +131,7 @@
     ///
     /// None: a core newer than the one that is known here may be committed. Votes that were lost may have been
     /// given under it, and its quorums need no voter that was read.
-    pub fn recall(&mut self, reads: Vec<Vec<Slot>>) -> Option<Vec<LogRecord>> {
+    pub fn recall(&mut self, reads: Vec<Vec<RegisterState>>) -> Option<Vec<LogRecord>> {
         if written_core(&reads).is_some_and(|written| written.version > self.core.version) {
             return None;
         }
@@ -161,7 +168,7 @@
 }
 
 /// The newest core that any of these voters accepted, committed or not.
-fn written_core(reads: &[Vec<Slot>]) -> Option<Core> {
+fn written_core(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
     let entries = reads.iter().flatten().filter(|slot| slot.key == CORE).filter_map(|slot| slot.entry.as_ref());
     core_body::read(&entries.max_by_key(|entry| entry.place())?.body)
 }
--- a/consensus/src/voter_tests.rs
+++ b/consensus/src/voter_tests.rs
@@ -1,6 +1,9 @@
 //! Voters that changes of the members concern.
 
-use protocol::msg::{Ask, Ballot, Core, Entry, Member, Poll, Slot, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, ProposalNumber,
+    RegisterState,
+};
 
 use super::{LogRecord, Voter};
 use crate::{core_body, CORE};
@@ -16,12 +19,12 @@
 }
 
 /// Four members, before the last of them is removed.
-fn four() -> Core {
-    Core { version: 1, list: members(&[0, 1, 2, 3]), prev: Vec::new(), settled: true }
+fn four() -> CoreMembership {
+    CoreMembership { version: 1, list: members(&[0, 1, 2, 3]), prev: Vec::new(), settled: true }
 }
 
-fn three() -> Core {
-    Core { version: 2, list: members(&[0, 1, 2]), prev: four().list, settled: false }
+fn three() -> CoreMembership {
+    CoreMembership { version: 2, list: members(&[0, 1, 2]), prev: four().list, settled: false }
 }
 
 fn voter(machine: usize) -> Voter {
@@ -29,17 +32,17 @@
 }
 
 fn entry(body: Vec<u8>) -> Entry {
-    Entry { ballot: Ballot { turn: 1, seat: 1 }, step: 1, body }
+    Entry { ballot: ProposalNumber { turn: 1, seat: 1 }, step: 1, body }
 }
 
-fn accept(voter: &mut Voter, core: Core, key: &str, body: Vec<u8>) {
-    let ask = Ask::Accept { key: key.into(), entry: entry(body) };
-    assert_eq!(voter.poll(Poll { core, ask }).0, Vote::Accepted);
+fn accept(voter: &mut Voter, core: CoreMembership, key: &str, body: Vec<u8>) {
+    let ask = ConsensusOperation::Accept { key: key.into(), entry: entry(body) };
+    assert_eq!(voter.poll(ConsensusRequest { core, ask }).0, ConsensusResponse::Accepted);
 }
 
-fn whole(voter: &mut Voter, core: Core) -> Vec<Slot> {
-    match voter.poll(Poll { core, ask: Ask::Whole }).0 {
-        Vote::Whole { slots } => slots,
+fn whole(voter: &mut Voter, core: CoreMembership) -> Vec<RegisterState> {
+    match voter.poll(ConsensusRequest { core, ask: ConsensusOperation::Snapshot }).0 {
+        ConsensusResponse::Snapshot { slots } => slots,
         other => panic!("{other:?}"),
     }
 }
@@ -57,17 +60,22 @@
 fn one_that_is_no_member_any_more_says_what_it_holds() {
     let mut leaving = voter(3);
     accept(&mut leaving, four(), KEY, b"x".to_vec());
-    let (vote, _) = leaving.poll(Poll { core: three(), ask: Ask::Places });
-    assert_eq!(vote, Vote::Places { list: vec![(KEY.into(), entry(Vec::new()).ballot, 1)] });
-    let (vote, _) =
-        leaving.poll(Poll { core: three(), ask: Ask::Prepare { key: KEY.into(), ballot: Ballot::default() } });
-    assert_eq!(vote, Vote::Mute, "it votes no more");
+    let (vote, _) = leaving.poll(ConsensusRequest { core: three(), ask: ConsensusOperation::Positions });
+    assert_eq!(vote, ConsensusResponse::Positions { list: vec![(KEY.into(), entry(Vec::new()).ballot, 1)] });
+    let (vote, _) = leaving.poll(ConsensusRequest {
+        core: three(),
+        ask: ConsensusOperation::Prepare { key: KEY.into(), ballot: ProposalNumber::default() },
+    });
+    assert_eq!(vote, ConsensusResponse::NonVoting, "it votes no more");
 }
 
 #[test]
 fn one_without_memory_says_nothing_of_places() {
     let mut wiped = Voter { core: four(), ..Voter::new(&address(0)) };
-    assert_eq!(wiped.poll(Poll { core: four(), ask: Ask::Places }).0, Vote::Mute);
+    assert_eq!(
+        wiped.poll(ConsensusRequest { core: four(), ask: ConsensusOperation::Positions }).0,
+        ConsensusResponse::NonVoting
+    );
 }
 
 /// Two of three are a quorum of the new core, and no majority of the four before.
--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -6,8 +6,8 @@
 
 use kernel::{clock, startup};
 use load_balancing::balance::{self, Change, Seen};
-use protocol::msg::{self, Engine};
-use protocol::word::TARGET;
+use protocol::headers::TARGET;
+use protocol::message::{self, Engine};
 use reqwest::Client;
 use tokio::time;
 
@@ -102,7 +102,7 @@
     let busy = controller.roster.lock().expect("roster").pressure(now);
     let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !msg::hidden(&sheet.zone)) {
+    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !message::hidden(&sheet.zone)) {
         let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
         for engine in sheet.list.iter().filter(|engine| !engine.phase.is_empty()) {
             let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
--- a/controller/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -1,6 +1,6 @@
 use load_balancing::balance::{Change, Seen};
 use membership::duty::{self, Held};
-use protocol::msg::Engine;
+use protocol::message::Engine;
 
 use super::{Balance, Candidate, CONNECT_MS, LASTS, STANDS, UNACKNOWLEDGED_MS};
 use crate::controller::SURE_MS;
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -13,8 +13,8 @@
 use kernel::signal::{self, Signals};
 use membership::Roster;
 use protocol::link::{self, Handler};
-use protocol::msg::{Core, Member};
-use protocol::sock;
+use protocol::message::{CoreMembership, Member};
+use protocol::socket;
 use tokio::sync::Semaphore;
 use tokio::time;
 
@@ -56,7 +56,7 @@
     let handler: Handler = Arc::new(move |mouth, id, msg| message::take(&controller, mouth, id, msg));
     tokio::spawn(async move {
         loop {
-            match sock::listen(&addr) {
+            match socket::listen(&addr) {
                 Ok(listener) => link::serve(listener, handler.clone()).await,
                 Err(_) => time::sleep(Duration::from_millis(200)).await,
             }
@@ -65,12 +65,12 @@
 }
 
 /// The first core is the seeds: at the first start all daemons are told the same.
-fn found(settings: &Settings) -> Core {
+fn found(settings: &Settings) -> CoreMembership {
     let mut ips = settings.seed_ips();
     ips.sort();
     ips.dedup();
     let list = ips.into_iter().map(|ip| Member { ip, zone: String::new() }).collect();
-    Core { version: 1, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, list, prev: Vec::new(), settled: true }
 }
 
 /// Messages to peers that were handed over get so long to leave.
--- a/controller/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -2,8 +2,8 @@
 //! all are read, and a body is never written in an older form than the one before it.
 
 use kernel::clock;
-use protocol::msg::{DIGESTED_BODIES, READS};
-use protocol::order::ConfigChange;
+use protocol::message::{DIGESTED_BODIES, READS};
+use protocol::operator_request::ConfigChange;
 use sha2::Sha256;
 
 /// How many taken changes are remembered: more than are made while an operator may still resend one.
--- a/controller/src/config_body_tests.rs
+++ b/controller/src/config_body_tests.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-use protocol::order::ConfigChange;
+use protocol::operator_request::ConfigChange;
 
 use super::{digest, first_digest, BodyForm, Held, Memory, TAKEN};
 
--- a/controller/src/config_change.rs
+++ b/controller/src/config_change.rs
@@ -1,7 +1,7 @@
 //! What an operator's change of the configuration comes to on top of what is committed: pure.
 use crate::config_body::{BodyForm, Held, Memory};
 use protocol::config::{Checked, ConfigError, Patch};
-use protocol::order::ConfigChange;
+use protocol::operator_request::ConfigChange;
 use std::sync::Arc;
 
 /// Why a change is refused for good.
--- a/controller/src/config_change_tests.rs
+++ b/controller/src/config_change_tests.rs
@@ -1,7 +1,7 @@
 //! Operators' changes of the configuration: races, orders sent again, invalid ones.
 use super::{apply, Outcome, Refusal};
 use crate::config_body::{Held, TAKEN};
-use protocol::order::ConfigChange;
+use protocol::operator_request::ConfigChange;
 
 fn text(revision: u64) -> String {
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": [{"name": "r",
--- a/controller/src/config_history.rs
+++ b/controller/src/config_history.rs
@@ -8,7 +8,7 @@
 use protocol::change::{before_tenants, Change};
 use protocol::config::{Checked, Tenant};
 use protocol::frame::{self, Kind, HEAD};
-use protocol::msg::{Msg, TENANTS};
+use protocol::message::{Message, TENANTS};
 use quota::Quota;
 
 /// How many changes are kept, and how many bytes of them.
@@ -69,14 +69,14 @@
     config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), limit(tenant))).collect()
 }
 
-fn seal(msg: &Msg) -> Option<Bytes> {
+fn seal(msg: &Message) -> Option<Bytes> {
     frame::seal(Kind::Cast, 0, msg).ok().map(Bytes::from)
 }
 
 fn encode(change: &Change, layout: Layout) -> Option<Bytes> {
     seal(&match layout {
-        Layout::Current => Msg::Update(Box::new(change.write())),
-        Layout::BeforeTenants => Msg::Change(Box::new(before_tenants::write(change))),
+        Layout::Current => Message::TenantConfigUpdate(Box::new(change.write())),
+        Layout::BeforeTenants => Message::ConfigUpdate(Box::new(before_tenants::write(change))),
     })
 }
 
@@ -94,7 +94,7 @@
     /// The frame in the layout before tenants, which routers of earlier versions read.
     fn older_frame(&mut self) -> Option<Bytes> {
         if self.before_tenants.is_none() {
-            let Ok(Msg::Update(packed)) = frame::open(&self.frame[HEAD..]) else {
+            let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&self.frame[HEAD..]) else {
                 return None;
             };
             self.before_tenants = encode(&Change::read(&packed)?, Layout::BeforeTenants);
--- a/controller/src/config_history_tests.rs
+++ b/controller/src/config_history_tests.rs
@@ -8,7 +8,7 @@
 use protocol::change::{before_tenants, Change};
 use protocol::config::{Checked, Config, Route};
 use protocol::frame::{self, HEAD};
-use protocol::msg::{Msg, READS, TENANTS};
+use protocol::message::{Message, READS, TENANTS};
 
 use super::{ConfigHistory, EncodedChange, Layout, NotNewer, MOST_CHANGES};
 
@@ -33,8 +33,8 @@
 
 fn open(frame: &Bytes) -> Change {
     match frame::open(&frame[HEAD..]).expect("a message") {
-        Msg::Change(body) => before_tenants::read(&body).expect("a change in the layout before tenants"),
-        Msg::Update(body) => {
+        Message::ConfigUpdate(body) => before_tenants::read(&body).expect("a change in the layout before tenants"),
+        Message::TenantConfigUpdate(body) => {
             assert!(before_tenants::read(&body).is_none(), "no older router takes it for its own layout");
             Change::read(&body).expect("a change")
         }
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -5,8 +5,8 @@
 
 use consensus::proposal::Verdict;
 use protocol::config::Checked;
-use protocol::msg::{Entry, Msg, DIGESTED_BODIES, RELAYED_ORDERS};
-use protocol::order::{Advance, ConfigChange, OrderResult};
+use protocol::message::{Entry, Message, DIGESTED_BODIES, RELAYED_ORDERS};
+use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use crate::config_body::{body_digest, BodyForm, Held};
 use crate::config_change::{self, Outcome, Proposed};
@@ -16,7 +16,7 @@
 
 /// What a change was judged to be on top of one committed body.
 enum Judgement {
-    Answer(OrderResult),
+    Answer(OperatorResponse),
     /// It is to be written.
     Step(Step),
 }
@@ -32,24 +32,24 @@
 }
 
 /// Carries out an operator's change.
-pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OrderResult {
+pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_form();
     let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
     let outcome = controller.change_untold(CONFIG, orders::wait_ms(controller), judge).await;
-    let Some((judgement, owner, _)) = outcome else { return OrderResult::Unclear };
+    let Some((judgement, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
     match judgement {
         Judgement::Step(step) => {
             tell(controller, &owner.entry, change, &step);
             committed(change, step.checked.revision());
-            OrderResult::Done
+            OperatorResponse::Done
         }
         Judgement::Answer(result) => {
             if !owner.is_blank() {
                 tell_again(controller, CONFIG, &owner.entry);
             }
-            if result == OrderResult::Done {
+            if result == OperatorResponse::Done {
                 committed(change, Held::open(&owner.entry.body).map_or(0, |held| held.revision));
             }
             result
@@ -62,21 +62,23 @@
 }
 
 fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Verdict<Judgement> {
-    let Some(held) = Held::open(body) else { return Verdict::Answer(Judgement::Answer(OrderResult::Unclear)) };
+    let Some(held) = Held::open(body) else {
+        return Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
+    };
     let form_before = BodyForm::of(body);
     // Never an older form than before: a member that is away since this controller started is unknown here, and long bodies
     // without need fill the links until it is never heard again.
     let form = read_by_all.max(form_before);
     match proposed.on(&held, known, form) {
-        Ok(Outcome::TakenBefore) => Verdict::Answer(Judgement::Answer(OrderResult::Done)),
-        Ok(Outcome::Unknown) => Verdict::Answer(Judgement::Answer(OrderResult::Unclear)),
+        Ok(Outcome::TakenBefore) => Verdict::Answer(Judgement::Answer(OperatorResponse::Done)),
+        Ok(Outcome::Unknown) => Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown)),
         Ok(Outcome::Next(next)) => {
             let step = Step { before: body_digest(body), form_before, form, checked: next.checked };
             Verdict::Write(next.held.seal(form), Judgement::Step(step))
         }
         Err(refusal) => {
             let (status, reason) = (refusal.status(), refusal.to_string());
-            Verdict::Answer(Judgement::Answer(OrderResult::Refused { status, reason }))
+            Verdict::Answer(Judgement::Answer(OperatorResponse::Rejected { status, reason }))
         }
     }
 }
@@ -88,9 +90,9 @@
     send(controller, entry, advance, |reads| can_make(reads, change, step));
 }
 
-fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> Advance {
+fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> CommittedDelta {
     let (ballot, place) = entry.place();
-    Advance {
+    CommittedDelta {
         key: CONFIG.into(),
         ballot,
         step: place,
@@ -110,9 +112,9 @@
 }
 
 /// The short form to those that can use it, the whole to the others.
-fn send(controller: &Controller, entry: &Entry, advance: Advance, can_make: impl Fn(u64) -> bool) {
-    let whole = Msg::Learn(Box::new((advance.key.clone(), entry.clone())));
-    let short = Msg::Advance(Box::new(advance));
+fn send(controller: &Controller, entry: &Entry, advance: CommittedDelta, can_make: impl Fn(u64) -> bool) {
+    let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
+    let short = Message::CommittedDelta(Box::new(advance));
     for peer in controller.known() {
         let reads = controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.reads);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
@@ -126,13 +128,14 @@
     let (ballot, step) = entry.place();
     let digest = body_digest(&entry.body);
     let (before, after) = (digest, digest);
-    let advance = Advance { key: key.into(), ballot, step, before, after, change: None, revision: 0, pack: false };
+    let advance =
+        CommittedDelta { key: key.into(), ballot, step, before, after, change: None, revision: 0, pack: false };
     send(controller, entry, advance, |_| true);
 }
 
 /// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
 /// fetches the whole.
-pub fn advance(controller: &Controller, advance: &Advance) {
+pub fn advance(controller: &Controller, advance: &CommittedDelta) {
     let (held, known) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
@@ -148,7 +151,11 @@
 
 /// The body after the change, if it is the one that was committed, and the configuration in it where it is another.
 /// `known`: the configuration in the body before, where that was read already.
-fn next_body(body: &[u8], known: Option<&Checked>, advance: &Advance) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
+fn next_body(
+    body: &[u8],
+    known: Option<&Checked>,
+    advance: &CommittedDelta,
+) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
     if body_digest(body) != advance.before {
         return None;
     }
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -2,8 +2,8 @@
 
 use consensus::proposal::Verdict;
 use protocol::config::{self, Checked};
-use protocol::msg::{Ballot, Entry};
-use protocol::order::{Advance, ConfigChange, OrderResult};
+use protocol::message::{Entry, ProposalNumber};
+use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
 use crate::config_body::{body_digest, BodyForm, Held};
@@ -21,7 +21,7 @@
 }
 
 /// What is held, the change, and the body that its committer made of both.
-fn committed(routes: usize, form: BodyForm) -> (Vec<u8>, Advance, Vec<u8>) {
+fn committed(routes: usize, form: BodyForm) -> (Vec<u8>, CommittedDelta, Vec<u8>) {
     let held = Held { revision: 5, text: text(5, routes), earlier: vec![7], ..Held::default() };
     let body = held.seal(form);
     let route = serde_json::json!({"name": "new", "hostname": "n", "path_prefix": "/", "route_type": "idempotent",
@@ -29,7 +29,7 @@
     let text = serde_json::json!({"revision": 8, "upsert": {"route_table": [route]}}).to_string();
     let change = ConfigChange { base: 5, text, partial: true };
     let (after, step) = step_on(&body, &change, form);
-    let entry = Entry { ballot: Ballot { turn: 2, seat: 1 }, step: 1, body: after.clone() };
+    let entry = Entry { ballot: ProposalNumber { turn: 2, seat: 1 }, step: 1, body: after.clone() };
     let advance = advance_of(&entry, &change, &step);
     assert_eq!((advance.before, advance.after, advance.revision), (body_digest(&body), body_digest(&after), 8));
     (body, advance, after)
@@ -38,7 +38,7 @@
 const FORMS: [BodyForm; 3] = [BodyForm::Plain, BodyForm::Packed, BodyForm::Digested];
 
 /// The body that a controller makes.
-fn made(body: &[u8], advance: &Advance) -> Option<Vec<u8>> {
+fn made(body: &[u8], advance: &CommittedDelta) -> Option<Vec<u8>> {
     next_body(body, None, advance).map(|(body, _)| body)
 }
 
@@ -72,8 +72,8 @@
 fn a_change_that_comes_out_otherwise_than_committed_is_not_taken() {
     for form in FORMS {
         let (body, advance, _) = committed(1, form);
-        assert_eq!(made(&body, &Advance { after: advance.after ^ 1, ..advance.clone() }), None);
-        assert_eq!(made(&body, &Advance { revision: advance.revision + 1, ..advance }), None);
+        assert_eq!(made(&body, &CommittedDelta { after: advance.after ^ 1, ..advance.clone() }), None);
+        assert_eq!(made(&body, &CommittedDelta { revision: advance.revision + 1, ..advance }), None);
     }
 }
 
@@ -81,7 +81,7 @@
 fn the_same_body_committed_again_stays() {
     for form in FORMS {
         let (body, advance, _) = committed(1, form);
-        let again = Advance { change: None, after: advance.before, ..advance };
+        let again = CommittedDelta { change: None, after: advance.before, ..advance };
         assert_eq!(made(&body, &again), Some(body));
     }
 }
@@ -117,7 +117,8 @@
     let (after_first, step) = step_on(&body, &first, BodyForm::Digested);
     let (after_second, later) = step_on(&after_first, &second, BodyForm::Digested);
     let mut committed = CommittedState::default();
-    let entry = |place, body: &[u8]| Entry { ballot: Ballot { turn: place, seat: 1 }, step: 1, body: body.to_vec() };
+    let entry =
+        |place, body: &[u8]| Entry { ballot: ProposalNumber { turn: place, seat: 1 }, step: 1, body: body.to_vec() };
     committed.learn(CONFIG, &entry(2, &after_second), Some(later.checked.clone()));
     committed.learn(CONFIG, &entry(1, &after_first), Some(step.checked.clone()));
     assert_eq!(committed.history.revision(), 9, "the later one stays");
@@ -147,7 +148,7 @@
     let change = ConfigChange { base: 0, text: text(6, 2), partial: false };
     for body in [&b"of another form"[..], b"\0tdcfg2\0torn", b"\0tdplz4\0torn"] {
         let verdict = judge(&Proposed::read(&change), body, None, BodyForm::Digested);
-        assert!(matches!(verdict, Verdict::Answer(Judgement::Answer(OrderResult::Unclear))));
+        assert!(matches!(verdict, Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
     }
 }
 
@@ -165,6 +166,6 @@
     // One that reads as nothing is left alone by changes of items, and can be replaced.
     let torn = Held { text: "{\"revision\":5".into(), ..held };
     let judged = |change| judge(&Proposed::read(change), &torn.seal(BodyForm::Plain), None, BodyForm::Digested);
-    assert!(matches!(judged(&items), Verdict::Answer(Judgement::Answer(OrderResult::Unclear))));
+    assert!(matches!(judged(&items), Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
     assert!(matches!(judged(&whole), Verdict::Write(..)));
 }
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -6,8 +6,8 @@
 use consensus::proposal::Verdict;
 use protocol::change::Change;
 use protocol::config;
-use protocol::msg::{Ballot, Entry};
-use protocol::order::ConfigChange;
+use protocol::message::{Entry, ProposalNumber};
+use protocol::operator_request::ConfigChange;
 
 use super::{advance_of, judge, next_body, Judgement};
 use crate::config_body::{BodyForm, Held};
@@ -51,7 +51,7 @@
 }
 
 fn entry(turn: u64, body: Vec<u8>) -> Entry {
-    Entry { ballot: Ballot { turn, seat: 1 }, step: 0, body }
+    Entry { ballot: ProposalNumber { turn, seat: 1 }, step: 0, body }
 }
 
 #[test]
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -6,7 +6,7 @@
 use consensus::confirmation::{self, Behind, Confirmation, Place};
 use consensus::quorum;
 use kernel::clock;
-use protocol::msg::{Ask, Core, Entry, Vote};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry};
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
@@ -44,14 +44,14 @@
     controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::place)
 }
 
-async fn read(controller: &Arc<Controller>, core: &Core) -> Option<Confirmation> {
-    let mut votes = controller.ask(core, Ask::Places, &quorum::addresses(core));
+async fn read(controller: &Arc<Controller>, core: &CoreMembership) -> Option<Confirmation> {
+    let mut votes = controller.ask(core, ConsensusOperation::Positions, &quorum::addresses(core));
     let mut confirmation = Confirmation::new(core);
     let end = Instant::now() + Duration::from_millis(READ_MS);
     while !confirmation.is_quorum() {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
-            (from, Vote::Places { list }) => confirmation.hear(&from, list),
-            (_, Vote::Newer { core }) => {
+            (from, ConsensusResponse::Positions { list }) => confirmation.hear(&from, list),
+            (_, ConsensusResponse::NewerMembership { core }) => {
                 controller.adopt(&core);
                 return None;
             }
@@ -65,7 +65,7 @@
 ///
 /// A place that is on no quorum may be on its way, overtaken, or left half done by its owner. Whatever became
 /// of it, everything that was committed before it is known once it or a newer committed entry is.
-async fn catch_up(controller: &Arc<Controller>, core: &Core, behind: &Behind) -> bool {
+async fn catch_up(controller: &Arc<Controller>, core: &CoreMembership, behind: &Behind) -> bool {
     let begun = clock::now();
     if behind.committed && fetch(controller, core, behind).await {
         return true;
@@ -85,12 +85,13 @@
 }
 
 /// Takes the entry from the members: the one looked for, or a newer one that a quorum holds by now.
-async fn fetch(controller: &Arc<Controller>, core: &Core, behind: &Behind) -> bool {
-    let mut votes = controller.ask(core, Ask::Fetch { key: behind.key.clone() }, &quorum::addresses(core));
+async fn fetch(controller: &Arc<Controller>, core: &CoreMembership, behind: &Behind) -> bool {
+    let mut votes =
+        controller.ask(core, ConsensusOperation::Fetch { key: behind.key.clone() }, &quorum::addresses(core));
     let end = Instant::now() + Duration::from_millis(FETCH_MS);
     let mut fetched = Vec::new();
     while let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await {
-        let Vote::Fetched { entry: Some(entry) } = vote else { continue };
+        let ConsensusResponse::Fetched { entry: Some(entry) } = vote else { continue };
         if behind.committed && entry.place() == behind.place {
             controller.learn(&behind.key, &entry, false);
             return true;
--- a/controller/src/control.rs
+++ b/controller/src/control.rs
@@ -10,8 +10,8 @@
 use poem::listener::TcpAcceptor;
 use poem::{Endpoint, Request, Response, Route, Server};
 use protocol::config::LONGEST_TEXT;
-use protocol::order::{ConfigChange, Order, OrderResult};
-use protocol::sock::{self, SILENCE_MS};
+use protocol::operator_request::{ConfigChange, OperatorRequest, OperatorResponse};
+use protocol::socket::{self, SILENCE_MS};
 use socket2::SockRef;
 use tokio::time;
 
@@ -22,7 +22,7 @@
 use crate::metrics::{OrderOutcome, OrderTimer};
 use crate::orders;
 use crate::quota::fleet_usage;
-use crate::rollout_calls::{Latest, Rollouts, LimitResource};
+use crate::rollout_calls::{Latest, LimitResource, Rollouts};
 use crate::shutdown::Shutdown;
 use crate::version_calls::Rollout;
 
@@ -81,19 +81,19 @@
 
 impl Config {
     async fn read(&self) -> Receipt {
-        submit(&self.0, CONFIG_PATH.into(), Order::ReadConfig).await
+        submit(&self.0, CONFIG_PATH.into(), OperatorRequest::ReadConfig).await
     }
 
     async fn change(&self, base: Option<u64>, text: String, partial: bool) -> Receipt {
         let Some(base) = base else { return Receipt::Bad(400, "If-Match: missing or not a number".into()) };
-        let order = Order::Change(ConfigChange { base, text, partial });
+        let order = OperatorRequest::Change(ConfigChange { base, text, partial });
         submit(&self.0, CONFIG_PATH.into(), order).await
     }
 }
 
 const CONFIG_PATH: &str = "/config";
 
-async fn submit(controller: &Arc<Controller>, path: String, order: Order) -> Receipt {
+async fn submit(controller: &Arc<Controller>, path: String, order: OperatorRequest) -> Receipt {
     let timer = OrderTimer::start(&controller.metrics, &order);
     if let Some(address) = orders::better_place(controller, &order) {
         timer.finish(OrderOutcome::Redirected);
@@ -102,7 +102,7 @@
     let result = orders::submit(controller, order).await;
     timer.finish((&result).into());
     match result {
-        OrderResult::Found { body } => found(&body),
+        OperatorResponse::Found { body } => found(&body),
         result => told(result),
     }
 }
@@ -115,11 +115,11 @@
     }
 }
 
-fn told(result: OrderResult) -> Receipt {
+fn told(result: OperatorResponse) -> Receipt {
     match result {
-        OrderResult::Done => Receipt::Good,
-        OrderResult::Refused { status, reason } => Receipt::Bad(status, reason),
-        OrderResult::Found { .. } | OrderResult::Unclear => Receipt::Unclear,
+        OperatorResponse::Done => Receipt::Good,
+        OperatorResponse::Rejected { status, reason } => Receipt::Bad(status, reason),
+        OperatorResponse::Found { .. } | OperatorResponse::OutcomeUnknown => Receipt::Unclear,
     }
 }
 
@@ -128,7 +128,7 @@
         if !self.0.settings.zones.contains_key(zone) {
             return Receipt::Bad(404, format!("zone `{zone}`: not known"));
         }
-        submit(&self.0, format!("/evacuation/{zone}"), Order::Evacuate { zone: zone.into(), on }).await
+        submit(&self.0, format!("/evacuation/{zone}"), OperatorRequest::Evacuate { zone: zone.into(), on }).await
     }
 }
 
@@ -239,7 +239,7 @@
 
 /// Serves callers until the process closes, and then finishes what is under way.
 async fn serve(addr: &str, app: Arc<Route>, shutdown: &Shutdown) {
-    let Ok(listener) = sock::listen(addr) else {
+    let Ok(listener) = socket::listen(addr) else {
         time::sleep(LISTEN_RETRY).await;
         return;
     };
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -14,8 +14,8 @@
 use kernel::settings::Settings;
 use load_balancing::sheet::Sheets;
 use membership::Roster;
-use protocol::link::Caller;
-use protocol::msg::{Ballot, Core, Entry, Rule, Versions};
+use protocol::link::PeerClient;
+use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit, WeightVersions};
 use protocol::version_rollout::VersionRollout;
 use tokio::sync::Semaphore;
 
@@ -44,11 +44,11 @@
     pub roster: Mutex<Roster>,
     pub sheets: Mutex<Sheets>,
     /// Weight versions by zone, kept only while there are rules.
-    pub weights: Mutex<BTreeMap<String, Versions>>,
+    pub weights: Mutex<BTreeMap<String, WeightVersions>>,
     pub followers: Mutex<Followers>,
     pub catalog: Mutex<Catalog>,
     pub ownerships: Mutex<HashMap<String, Arc<OwnershipLock>>>,
-    pub calls: Mutex<HashMap<String, Arc<Caller>>>,
+    pub calls: Mutex<HashMap<String, Arc<PeerClient>>>,
     pub taken: Mutex<Taken>,
     pub tallies: Mutex<Tallies>,
     pub polls: Semaphore,
@@ -77,11 +77,11 @@
     pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
-    pub unreadable: Option<(Ballot, u64)>,
+    pub unreadable: Option<(ProposalNumber, u64)>,
     /// The evacuations with their versions.
     pub closed: BTreeMap<String, (u64, bool)>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
-    pub rules: BTreeMap<String, Rule>,
+    pub rules: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
     pub rollouts: BTreeMap<String, VersionRollout>,
     /// By key: epoch, holder, and whether it has waited.
@@ -112,13 +112,13 @@
         &self.settings.ip
     }
 
-    pub fn peer(&self, ip: &str) -> Arc<Caller> {
+    pub fn peer(&self, ip: &str) -> Arc<PeerClient> {
         let mut calls = self.calls.lock().expect("calls");
         let addr = format!("{ip}:{}", self.settings.peer_port());
-        calls.entry(ip.into()).or_insert_with(|| Arc::new(Caller::start(addr, None))).clone()
+        calls.entry(ip.into()).or_insert_with(|| Arc::new(PeerClient::start(addr, None))).clone()
     }
 
-    pub fn core(&self) -> Core {
+    pub fn core(&self) -> CoreMembership {
         self.voter.lock().expect("voter").core.clone()
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Takes over a committed core.
-    pub fn adopt(&self, core: &Core) {
+    pub fn adopt(&self, core: &CoreMembership) {
         let record = self.voter.lock().expect("voter").adopt(core);
         let Some(record) = record else { return };
         kernel::log_event!(CORE, "version" => core.version, "settled" => core.settled,
--- a/controller/src/disk_tests.rs
+++ b/controller/src/disk_tests.rs
@@ -3,17 +3,17 @@
 
 use consensus::record::LogRecord;
 use consensus::voter::Voter;
-use protocol::msg::{Ballot, Core, Slot};
+use protocol::message::{CoreMembership, ProposalNumber, RegisterState};
 
 use super::{newest, open, Disk};
 
 fn slot(key: &str, turn: u64) -> LogRecord {
-    let ballot = Ballot { turn, seat: 1 };
-    LogRecord::Slot(Slot { key: key.into(), promised: ballot, entry: None })
+    let ballot = ProposalNumber { turn, seat: 1 };
+    LogRecord::Slot(RegisterState { key: key.into(), promised: ballot, entry: None })
 }
 
 fn core(version: u64) -> LogRecord {
-    LogRecord::Core(Core { version, ..Default::default() })
+    LogRecord::Core(CoreMembership { version, ..Default::default() })
 }
 
 fn folded(records: &[LogRecord]) -> Vec<LogRecord> {
--- a/controller/src/followers.rs
+++ b/controller/src/followers.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use protocol::link::Mouth;
-use protocol::msg::Msg;
+use protocol::link::Responder;
+use protocol::message::Message;
 
 /// Invariant: what it says to have is what was handed to its connection or what it told in its last call;
 /// a follower never gets an older version.
 pub struct Follower {
-    pub mouth: Mouth,
+    pub mouth: Responder,
     pub zone: String,
     pub config: u64,
     /// Something for it was dropped: nothing more is pushed before it calls again and tells what it has.
@@ -25,7 +25,7 @@
 
 impl Follower {
     /// Sends a message; one that is dropped is noted. True: it was handed to the connection.
-    pub fn send(&mut self, msg: &Msg) -> bool {
+    pub fn send(&mut self, msg: &Message) -> bool {
         let sent = self.mouth.cast(msg);
         self.behind |= !sent;
         sent
--- a/controller/src/followers_tests.rs
+++ b/controller/src/followers_tests.rs
@@ -1,10 +1,10 @@
-use protocol::link::Mouth;
-use protocol::msg::Msg;
+use protocol::link::Responder;
+use protocol::message::Message;
 use tokio::sync::mpsc;
 
 use super::{Follower, Followers};
 
-fn follower(mouth: Mouth, until: u64) -> Follower {
+fn follower(mouth: Responder, until: u64) -> Follower {
     Follower {
         mouth,
         zone: "a".into(),
@@ -18,15 +18,15 @@
     }
 }
 
-fn message() -> Msg {
-    Msg::No(Box::new(1))
+fn message() -> Message {
+    Message::Rejected(Box::new(1))
 }
 
 #[test]
 fn a_lease_counts_until_it_lapses_also_when_the_connection_is_gone() {
     let (out, queue) = mpsc::channel(4);
     let mut followers = Followers::default();
-    followers.list.insert("router-1".into(), follower(Mouth::new(out), 1600));
+    followers.list.insert("router-1".into(), follower(Responder::new(out), 1600));
     drop(queue);
     followers.forget_lapsed(1599);
     assert_eq!(followers.confirmations("rule", 1, 1599), (1, 0), "it may still act under an older rule");
@@ -38,7 +38,7 @@
 fn a_follower_that_does_not_read_is_behind_and_keeps_its_lease() {
     let (out, mut queue) = mpsc::channel(1);
     let mut followers = Followers::default();
-    followers.list.insert("router-1".into(), follower(Mouth::new(out), 1600));
+    followers.list.insert("router-1".into(), follower(Responder::new(out), 1600));
     let held = followers.list.get_mut("router-1").expect("held");
     assert!(held.send(&message()) && !held.behind);
     assert!(!held.send(&message()) && held.behind);
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -6,7 +6,7 @@
 
 use kernel::{clock, startup};
 use membership::Peer;
-use protocol::msg::{self, Gossip, Msg};
+use protocol::message::{self, Gossip, Message};
 
 use crate::controller::{Controller, BEAT_MS, LIVE_MS};
 use crate::duty::{self, BALANCE, BATCH};
@@ -25,8 +25,8 @@
         heard: now,
         fit: gossip.fit,
         seats: gossip.seats,
-        reads: msg::reads(&gossip.sheets),
-        leaving: msg::is_leaving(&gossip.sheets),
+        reads: message::reads(&gossip.sheets),
+        leaving: message::is_leaving(&gossip.sheets),
         busy: gossip.busy.clone(),
         doors: gossip.doors.clone(),
         resting: gossip.resting.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
@@ -44,7 +44,7 @@
     let mut sheets = controller.sheets.lock().expect("sheets");
     sheets.raise(&gossip.floors);
     for sheet in sheets.newer(&gossip.sheets) {
-        controller.peer(&gossip.ip).cast(Msg::Sheet(Box::new(sheet)));
+        controller.peer(&gossip.ip).cast(Message::EndpointList(Box::new(sheet)));
     }
 }
 
@@ -76,9 +76,9 @@
     let (mut sheets, floors) = {
         let held = controller.sheets.lock().expect("sheets");
         let mut versions = held.versions();
-        versions.push(msg::told());
+        versions.push(message::told());
         if controller.leaving.load(Ordering::Relaxed) {
-            versions.push(msg::leaving());
+            versions.push(message::leaving());
         }
         (versions, held.floors())
     };
@@ -111,7 +111,7 @@
         if batch_owner.as_ref() == Some(&ip) {
             gossip.doors.clone_from(&doors);
         }
-        controller.peer(&ip).cast(Msg::Gossip(Box::new(gossip)));
+        controller.peer(&ip).cast(Message::Gossip(Box::new(gossip)));
     }
 }
 
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -7,7 +7,7 @@
 use batch::turn::Press;
 use batch::ANSWER;
 use kernel::clock;
-use protocol::word::{ATTEMPT, BUDGET};
+use protocol::headers::{ATTEMPT, BUDGET};
 use reqwest::{Client, Method, Response};
 
 /// Header by which a router knows deferrable work; it never reaches an engine.
--- a/controller/src/listing.rs
+++ b/controller/src/listing.rs
@@ -1,7 +1,7 @@
 //! The platform's list of engines as it comes: pages, put together to one reading of a zone.
 
 use load_balancing::sheet::Known;
-use protocol::msg::Engine;
+use protocol::message::Engine;
 
 use crate::version_lists::ListedEngine;
 
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -9,8 +9,8 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
-use protocol::order;
-use protocol::quota::Spent;
+use protocol::operator_request::{OperatorRequest, OperatorResponse};
+use protocol::quota::TokenResponse;
 
 use crate::batches;
 use crate::controller::Controller;
@@ -151,11 +151,11 @@
     }
 
     /// Counts the answer to a request for a token.
-    pub fn note_spent(&self, spent: Spent) {
+    pub fn note_spent(&self, spent: TokenResponse) {
         let answer = match spent {
-            Spent::Granted => QuotaAnswer::Granted,
-            Spent::Denied { .. } => QuotaAnswer::Denied,
-            Spent::NotHeld => QuotaAnswer::NotHeld,
+            TokenResponse::Granted => QuotaAnswer::Granted,
+            TokenResponse::Denied { .. } => QuotaAnswer::Denied,
+            TokenResponse::NotHeld => QuotaAnswer::NotHeld,
         };
         self.quota_answers.get_or_create(&QuotaLabels { answer }).inc();
     }
@@ -193,12 +193,12 @@
 }
 
 impl<'a> OrderTimer<'a> {
-    pub fn start(metrics: &'a Metrics, order: &order::Order) -> OrderTimer<'a> {
-        use protocol::order::Order;
+    pub fn start(metrics: &'a Metrics, order: &OperatorRequest) -> OrderTimer<'a> {
+        use protocol::operator_request::OperatorRequest;
         let kind = match order {
-            Order::ReadConfig => OrderKind::ReadConfig,
-            Order::Change(_) => OrderKind::ChangeConfig,
-            Order::Evacuate { .. } | Order::EvacuateFrom { .. } => OrderKind::Evacuate,
+            OperatorRequest::ReadConfig => OrderKind::ReadConfig,
+            OperatorRequest::Change(_) => OrderKind::ChangeConfig,
+            OperatorRequest::Evacuate { .. } | OperatorRequest::EvacuateFrom { .. } => OrderKind::Evacuate,
         };
         metrics.orders_under_way.inc();
         OrderTimer { metrics, kind, begun: clock::now() }
@@ -217,13 +217,13 @@
     }
 }
 
-impl From<&order::OrderResult> for OrderOutcome {
-    fn from(result: &order::OrderResult) -> OrderOutcome {
-        use protocol::order::OrderResult;
+impl From<&OperatorResponse> for OrderOutcome {
+    fn from(result: &OperatorResponse) -> OrderOutcome {
+        use protocol::operator_request::OperatorResponse;
         match result {
-            OrderResult::Done | OrderResult::Found { .. } => OrderOutcome::Done,
-            OrderResult::Refused { .. } => OrderOutcome::Refused,
-            OrderResult::Unclear => OrderOutcome::Unclear,
+            OperatorResponse::Done | OperatorResponse::Found { .. } => OrderOutcome::Done,
+            OperatorResponse::Rejected { .. } => OrderOutcome::Refused,
+            OperatorResponse::OutcomeUnknown => OrderOutcome::Unclear,
         }
     }
 }
--- a/controller/src/metrics_tests.rs
+++ b/controller/src/metrics_tests.rs
@@ -1,7 +1,7 @@
 //! That the page and the code name the same metrics, and what a call of an operator counts as.
 
-use protocol::order::{Order, OrderResult};
-use protocol::quota::Spent;
+use protocol::operator_request::{OperatorRequest, OperatorResponse};
+use protocol::quota::TokenResponse;
 
 use super::{Metrics, OrderKind, OrderLabels, OrderOutcome, OrderTimer, PollLabels, PollOutcome};
 
@@ -10,9 +10,9 @@
     let page = include_str!("../../docs/metrics.md");
     let metrics = Metrics::default();
     // A family without a series is not told.
-    OrderTimer::start(&metrics, &Order::ReadConfig).finish(OrderOutcome::Done);
+    OrderTimer::start(&metrics, &OperatorRequest::ReadConfig).finish(OrderOutcome::Done);
     metrics.platform_polls.get_or_create(&PollLabels { result: PollOutcome::Read }).inc();
-    metrics.note_spent(Spent::Granted);
+    metrics.note_spent(TokenResponse::Granted);
     let text = telemetry::encode(&metrics.registry);
     assert_eq!(telemetry::names(&text), telemetry::listed(page, "tidepoint_keeper_"));
 }
@@ -20,11 +20,11 @@
 #[test]
 fn a_call_is_under_way_until_it_is_answered_or_given_up() {
     let metrics = Metrics::default();
-    let evacuation = Order::Evacuate { zone: "a".into(), on: true };
+    let evacuation = OperatorRequest::Evacuate { zone: "a".into(), on: true };
     let answered = OrderTimer::start(&metrics, &evacuation);
-    let given_up = OrderTimer::start(&metrics, &Order::ReadConfig);
+    let given_up = OrderTimer::start(&metrics, &OperatorRequest::ReadConfig);
     assert_eq!(metrics.orders_under_way.get(), 2);
-    answered.finish((&OrderResult::Unclear).into());
+    answered.finish((&OperatorResponse::OutcomeUnknown).into());
     drop(given_up);
     assert_eq!(metrics.orders_under_way.get(), 0);
     let count = |kind, result| metrics.orders.get_or_create(&OrderLabels { kind, result }).get();
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -4,8 +4,8 @@
 use std::mem;
 
 use kernel::clock;
-use protocol::link::Mouth;
-use protocol::msg::{self, Follow, Msg, News, QUOTAS, VERSION_ROLLOUTS};
+use protocol::link::Responder;
+use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
 use serde_json::Value;
 
 use crate::controller::{Controller, ROUTER_LEASE_MS};
@@ -16,7 +16,7 @@
 
 impl Controller {
     /// A router renews its lease, tells what it has and gets what it lacks.
-    pub fn follow(&self, mouth: Mouth, id: u64, follow: Follow) {
+    pub fn follow(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
         let now = clock::now();
         self.roster.lock().expect("roster").lease(&follow.node, now + ROUTER_LEASE_MS, follow.busy, follow.door);
         self.sheets.lock().expect("sheets").raise(&follow.sheets);
@@ -27,7 +27,7 @@
             zone: follow.zone,
             config: follow.config,
             behind: false,
-            reads: msg::reads(&follow.sheets),
+            reads: message::reads(&follow.sheets),
             closed: follow.closed.into_iter().collect(),
             sheets: follow.sheets.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
         };
@@ -37,13 +37,13 @@
         news.sure &= follower.reads < 2 || self.confirmed(&follower);
         // Whoever is told that it is current must have been sent all.
         news.sure &= !follower.behind;
-        follower.mouth.reply(id, &Msg::News(Box::new(news)));
+        follower.mouth.reply(id, &Message::StateUpdate(Box::new(news)));
         self.followers.lock().expect("followers").list.insert(follow.node, follower);
     }
 
     /// Doubt about an engine reaches all routers at once: each asks it for itself.
     pub fn doubt(&self, engine: &str, passed: bool) {
-        let note = |passed| Msg::Doubt(Box::new((engine.to_string(), passed)));
+        let note = |passed| Message::SuspectEngine(Box::new((engine.to_string(), passed)));
         for follower in self.followers.lock().expect("followers").list.values() {
             follower.mouth.cast(&note(true));
         }
@@ -63,7 +63,7 @@
         for (node, follower) in reachable {
             let news = self.missing(node, follower, now);
             if news.config.is_some() || !news.closed.is_empty() || !news.sheets.is_empty() {
-                follower.send(&Msg::News(Box::new(news)));
+                follower.send(&Message::StateUpdate(Box::new(news)));
             }
         }
         let mut followers = self.followers.lock().expect("followers");
@@ -74,8 +74,8 @@
     }
 
     /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
-    fn missing(&self, node: &str, follower: &mut Follower, now: u64) -> News {
-        let mut news = News { sure: self.sure(now), ..Default::default() };
+    fn missing(&self, node: &str, follower: &mut Follower, now: u64) -> StateUpdate {
+        let mut news = StateUpdate { sure: self.sure(now), ..Default::default() };
         self.add_control_state(&mut news, follower);
         self.add_roster(&mut news, node, follower, now);
         self.add_engine_lists(&mut news, follower);
@@ -88,7 +88,7 @@
         news
     }
 
-    fn add_control_state(&self, news: &mut News, follower: &mut Follower) {
+    fn add_control_state(&self, news: &mut StateUpdate, follower: &mut Follower) {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
         if follower.reads >= 2 {
             // Before the configuration: no route is served whose rule is known here and not there.
@@ -118,7 +118,7 @@
         news.catalog = (catalog.0, catalog.1);
     }
 
-    fn add_roster(&self, news: &mut News, node: &str, follower: &Follower, now: u64) {
+    fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Follower, now: u64) {
         let mut roster = self.roster.lock().expect("roster");
         news.seats = roster.seats(now, news.sure);
         news.resting = roster.resting(now);
@@ -126,9 +126,9 @@
         news.peers = roster.order(&follower.zone, node);
     }
 
-    fn add_engine_lists(&self, news: &mut News, follower: &mut Follower) {
+    fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
         for sheet in self.sheets.lock().expect("sheets").all() {
-            if msg::hidden(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
+            if message::hidden(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
                 continue;
             }
             let has = follower.sheets.entry(sheet.zone.clone()).or_default();
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -7,8 +7,8 @@
 use consensus::proposal::Verdict;
 use consensus::quorum;
 use kernel::clock;
-use protocol::msg::{Msg, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
-use protocol::order::{Order, OrderResult};
+use protocol::message::{Message, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
+use protocol::operator_request::{OperatorRequest, OperatorResponse};
 
 use crate::controller::Controller;
 use crate::event::EVACUATION;
@@ -27,9 +27,9 @@
 }
 
 /// Carries an order out, at its home where that answers in time.
-pub async fn submit(controller: &Arc<Controller>, order: Order) -> OrderResult {
+pub async fn submit(controller: &Arc<Controller>, order: OperatorRequest) -> OperatorResponse {
     if controller.orders_may_be_stale() {
-        return OrderResult::Unclear;
+        return OperatorResponse::OutcomeUnknown;
     }
     let begun = clock::now();
     if let Some(result) = relay(controller, &order).await {
@@ -40,17 +40,19 @@
 }
 
 /// An order that another controller relayed. It is not relayed again.
-pub async fn relayed(controller: &Arc<Controller>, order: Order) -> OrderResult {
+pub async fn relayed(controller: &Arc<Controller>, order: OperatorRequest) -> OperatorResponse {
     if controller.orders_may_be_stale() {
-        return OrderResult::Unclear;
+        return OperatorResponse::OutcomeUnknown;
     }
     execute(controller, &order, 0).await
 }
 
-fn key(order: &Order) -> String {
+fn key(order: &OperatorRequest) -> String {
     match order {
-        Order::Change(_) | Order::ReadConfig => CONFIG.into(),
-        Order::Evacuate { zone, .. } | Order::EvacuateFrom { zone, .. } => format!("{}{zone}", CLOSED),
+        OperatorRequest::Change(_) | OperatorRequest::ReadConfig => CONFIG.into(),
+        OperatorRequest::Evacuate { zone, .. } | OperatorRequest::EvacuateFrom { zone, .. } => {
+            format!("{}{zone}", CLOSED)
+        }
     }
 }
 
@@ -68,7 +70,7 @@
 
 /// Where a caller had better send an order: to the key's home, from a controller that is no member of the core. Such
 /// a one may have a slow link, and would only pass both ways on.
-pub fn better_place(controller: &Controller, order: &Order) -> Option<String> {
+pub fn better_place(controller: &Controller, order: &OperatorRequest) -> Option<String> {
     if quorum::is_member(&controller.core(), controller.me()) {
         return None;
     }
@@ -83,37 +85,41 @@
 }
 
 /// None: it is to be carried out here.
-async fn relay(controller: &Arc<Controller>, order: &Order) -> Option<OrderResult> {
+async fn relay(controller: &Arc<Controller>, order: &OperatorRequest) -> Option<OperatorResponse> {
     let home = home(controller, &key(order))?;
     let reads = controller.roster.lock().expect("roster").controllers.get(&home).map_or(0, |peer| peer.reads);
-    let message = Msg::Order(Box::new(as_relayed(controller, order, reads)));
+    let message = Message::OperatorRequest(Box::new(as_relayed(controller, order, reads)));
     match controller.peer(&home).call(message, RELAY_MS).await {
-        Some(Msg::OrderDone(result)) if *result != OrderResult::Unclear => Some(*result),
+        Some(Message::OperatorResponse(result)) if *result != OperatorResponse::OutcomeUnknown => Some(*result),
         _ => None,
     }
 }
 
 /// An order as it goes to a controller that reads messages of this version. It may arrive late, after it was carried out here
 /// and then taken back: an evacuation names the version of the zone's that it is made on top of.
-fn as_relayed(controller: &Controller, order: &Order, reads: u64) -> Order {
+fn as_relayed(controller: &Controller, order: &OperatorRequest, reads: u64) -> OperatorRequest {
     match order {
-        Order::Evacuate { zone, on } if reads >= VERSIONED_EVACUATIONS => {
+        OperatorRequest::Evacuate { zone, on } if reads >= VERSIONED_EVACUATIONS => {
             let committed_state = controller.committed_state.lock().expect("committed_state");
             let version = committed_state.closed.get(zone).map_or(0, |(version, _)| *version);
-            Order::EvacuateFrom { zone: zone.clone(), on: *on, version }
+            OperatorRequest::EvacuateFrom { zone: zone.clone(), on: *on, version }
         }
         _ => order.clone(),
     }
 }
 
-async fn execute(controller: &Arc<Controller>, order: &Order, spent: u64) -> OrderResult {
+async fn execute(controller: &Arc<Controller>, order: &OperatorRequest, spent: u64) -> OperatorResponse {
     match order {
-        Order::Change(change) => config_orders::change(controller, change).await,
-        Order::Evacuate { zone, on } => evacuate(controller, zone, *on, None, EVACUATE_MS.saturating_sub(spent)).await,
-        Order::EvacuateFrom { zone, on, version } => evacuate(controller, zone, *on, Some(*version), EVACUATE_MS).await,
-        Order::ReadConfig => {
-            let judge = |body: &[u8]| Verdict::Answer(OrderResult::Found { body: body.to_vec() });
-            controller.change(CONFIG, wait_ms(controller), judge).await.unwrap_or(OrderResult::Unclear)
+        OperatorRequest::Change(change) => config_orders::change(controller, change).await,
+        OperatorRequest::Evacuate { zone, on } => {
+            evacuate(controller, zone, *on, None, EVACUATE_MS.saturating_sub(spent)).await
+        }
+        OperatorRequest::EvacuateFrom { zone, on, version } => {
+            evacuate(controller, zone, *on, Some(*version), EVACUATE_MS).await
+        }
+        OperatorRequest::ReadConfig => {
+            let judge = |body: &[u8]| Verdict::Answer(OperatorResponse::Found { body: body.to_vec() });
+            controller.change(CONFIG, wait_ms(controller), judge).await.unwrap_or(OperatorResponse::OutcomeUnknown)
         }
     }
 }
@@ -131,11 +137,18 @@
     Verdict::Write(Closed { version: held.version + 1, on }.write_bytes(), done)
 }
 
-async fn evacuate(controller: &Arc<Controller>, zone: &str, on: bool, from: Option<u64>, wait_ms: u64) -> OrderResult {
+async fn evacuate(
+    controller: &Arc<Controller>,
+    zone: &str,
+    on: bool,
+    from: Option<u64>,
+    wait_ms: u64,
+) -> OperatorResponse {
     let key = format!("{}{zone}", CLOSED);
-    let judge = |body: &[u8]| judge_evacuation(on, from, body, OrderResult::Done, OrderResult::Unclear);
-    let result = controller.change(&key, wait_ms, judge).await.unwrap_or(OrderResult::Unclear);
-    if result == OrderResult::Done {
+    let judge =
+        |body: &[u8]| judge_evacuation(on, from, body, OperatorResponse::Done, OperatorResponse::OutcomeUnknown);
+    let result = controller.change(&key, wait_ms, judge).await.unwrap_or(OperatorResponse::OutcomeUnknown);
+    if result == OperatorResponse::Done {
         kernel::log_event!(EVACUATION, "zone" => zone, "on" => on);
     }
     result
--- a/controller/src/outbound.rs
+++ b/controller/src/outbound.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use protocol::sock::SILENCE_MS;
+use protocol::socket::SILENCE_MS;
 use reqwest::redirect::Policy;
 use reqwest::{retry, Client, ClientBuilder};
 
--- a/controller/src/outbound_tests.rs
+++ b/controller/src/outbound_tests.rs
@@ -5,7 +5,7 @@
 use batch::attempt::Outcome;
 use batch::sheet::Job;
 use batch::turn::Press;
-use protocol::sock;
+use protocol::socket;
 use reqwest::Client;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -29,7 +29,7 @@
 }
 
 async fn server(replies: &'static [Reply]) -> Server {
-    let listener = sock::listen("127.0.0.1:0").expect("a port");
+    let listener = socket::listen("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address").to_string();
     let (requests, connections) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (seen, accepted) = (requests.clone(), connections.clone());
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -7,7 +7,7 @@
 use kernel::settings::Settings;
 use load_balancing::sheet::{self, Sheets};
 use membership::PeerReport;
-use protocol::msg::{self, Engine, Gossip, Msg, Sheet};
+use protocol::message::{self, EndpointList, Engine, Gossip, Message};
 use protocol::version_rollout;
 use reqwest::{Client, StatusCode};
 use tokio::time;
@@ -57,12 +57,12 @@
 /// What is told to peers about the own access to the platform.
 pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
     let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
-    unreachable.then(|| (msg::hide(UNREACHABLE), 1, 0))
+    unreachable.then(|| (message::hide(UNREACHABLE), 1, 0))
 }
 
 /// What a peer told of others.
 pub fn report(gossip: &Gossip) -> PeerReport {
-    let name = msg::hide(UNREACHABLE);
+    let name = message::hide(UNREACHABLE);
     let platform_unreachable = gossip.sheets.iter().any(|told| told.0 == name);
     let (sure, vouches) = duty::heard(&gossip.sheets);
     PeerReport { sure, vouches, platform_unreachable }
@@ -153,7 +153,12 @@
 }
 
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
-fn candidate_sheet(controller: &Controller, sheets: &mut Sheets, zone: &str, list: Vec<Engine>) -> Option<Sheet> {
+fn candidate_sheet(
+    controller: &Controller,
+    sheets: &mut Sheets,
+    zone: &str,
+    list: Vec<Engine>,
+) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
     let held = sheets.all().find(|sheet| sheet.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.list.is_empty()) {
@@ -226,19 +231,19 @@
     }
 }
 
-fn publish(controller: &Controller, sheet: Sheet) {
+fn publish(controller: &Controller, sheet: EndpointList) {
     kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
         "up" => sheet.list.iter().filter(|engine| engine.up).count(), "all" => sheet.list.len(),
         "prefill" => sheet.list.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     prune(controller, &sheet);
     for ip in controller.known() {
-        controller.peer(&ip).cast(Msg::Sheet(Box::new(sheet.clone())));
+        controller.peer(&ip).cast(Message::EndpointList(Box::new(sheet.clone())));
     }
     controller.push();
 }
 
 /// Draining engines leave the catalog's answers at once.
-pub fn prune(controller: &Controller, sheet: &Sheet) {
+pub fn prune(controller: &Controller, sheet: &EndpointList) {
     let mut catalog = controller.catalog.lock().expect("catalog");
     for engine in sheet.list.iter().filter(|engine| !engine.up) {
         catalog.prefix_index.drop_engine(&engine.id);
--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -6,8 +6,10 @@
 use std::sync::Arc;
 
 use kernel::clock;
-use protocol::msg::{Msg, QUOTAS};
-use protocol::quota::{from_milli, holders_key, holders_mark, to_milli, ShardHolder, ShardUsage, Spend, Spent};
+use protocol::message::{Message, QUOTAS};
+use protocol::quota::{
+    from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
+};
 use quota::{Holder, Quota, Shards, TAKE_OVER_MS};
 use serde_json::Value;
 
@@ -17,7 +19,7 @@
 /// The shards held here, and who may hold others.
 pub struct HeldShards {
     shards: Shards,
-    holders: Vec<ShardHolder>,
+    holders: Vec<ShardOwner>,
     /// What tells this list of holders from others.
     mark: u64,
 }
@@ -35,7 +37,7 @@
     let leaving = controller.leaving.load(Ordering::Relaxed);
     let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
     let able = controller.roster.lock().expect("roster").able(QUOTAS, TAKE_OVER_MS, leaving, now);
-    let holders: Vec<ShardHolder> = able.into_iter().map(|one| ShardHolder { ip: one.ip, zone: one.zone }).collect();
+    let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
     let mark = holders_mark(&holders);
     let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
     let mut held = controller.quotas.lock().expect("quotas");
@@ -46,7 +48,7 @@
 }
 
 /// Takes a token for a router's request.
-pub fn spend(controller: &Controller, spend: &Spend) -> Spent {
+pub fn spend(controller: &Controller, spend: &TokenRequest) -> TokenResponse {
     let now = clock::now();
     let (confirmed_at, limit) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
@@ -55,12 +57,12 @@
     // The router may know of a newer configuration than this controller, or of an older one.
     let (rate_per_s, burst) = (from_milli(spend.rate_milli), from_milli(spend.burst_milli));
     let limit = limit.unwrap_or(Quota { rate_per_s, burst });
-    let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return Spent::Granted };
+    let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return TokenResponse::Granted };
     let spent = controller.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
     let spent = match spent {
-        quota::TokenDecision::Granted => Spent::Granted,
-        quota::TokenDecision::Denied { retry_after_ms } => Spent::Denied { retry_after_ms },
-        quota::TokenDecision::NotHeld => Spent::NotHeld,
+        quota::TokenDecision::Granted => TokenResponse::Granted,
+        quota::TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
+        quota::TokenDecision::NotHeld => TokenResponse::NotHeld,
     };
     controller.metrics.note_spent(spent);
     spent
@@ -73,7 +75,7 @@
     if has.0 == held.mark {
         return;
     }
-    match follower.mouth.cast(&Msg::Holders(Box::new(held.holders.clone()))) {
+    match follower.mouth.cast(&Message::ShardOwners(Box::new(held.holders.clone()))) {
         true => has.0 = held.mark,
         false => follower.behind = true,
     }
@@ -122,8 +124,8 @@
 }
 
 async fn ask_usage(controller: &Controller, ip: &str) -> Option<Vec<ShardUsage>> {
-    match controller.peer(ip).call(Msg::Usage(Box::new(0)), USAGE_MS).await {
-        Some(Msg::Used(list)) => Some(*list),
+    match controller.peer(ip).call(Message::UsageRequest(Box::new(0)), USAGE_MS).await {
+        Some(Message::UsageResponse(list)) => Some(*list),
         _ => None,
     }
 }
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -10,7 +10,7 @@
 use consensus::{quorum, CORE};
 use kernel::{clock, startup};
 use membership::{Peer, Roster};
-use protocol::msg::{Ask, Core, Member, Vote, JOINT_QUORUMS};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Member, JOINT_QUORUMS};
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 use tokio::time::{self, Instant};
@@ -43,7 +43,13 @@
 }
 
 /// The first live member that is not about to end, in the order in which controllers agree for a key or duty.
-pub fn first_member(core: &Core, roster: &Roster, self_leaving: bool, name: &str, now: u64) -> Option<String> {
+pub fn first_member(
+    core: &CoreMembership,
+    roster: &Roster,
+    self_leaving: bool,
+    name: &str,
+    now: u64,
+) -> Option<String> {
     let leaving = |ip: &str| match ip == roster.me {
         true => self_leaving,
         false => roster.controllers.get(ip).is_some_and(|peer| peer.leaving),
@@ -53,7 +59,7 @@
 }
 
 /// Is this controller the one that changes the core?
-fn coordinates(controller: &Controller, core: &Core, now: u64) -> bool {
+fn coordinates(controller: &Controller, core: &CoreMembership, now: u64) -> bool {
     let leaving = controller.leaving.load(Ordering::Relaxed);
     let roster = controller.roster.lock().expect("roster");
     first_member(core, &roster, leaving, CORE, now).as_deref() == Some(controller.me())
@@ -81,14 +87,14 @@
 }
 
 /// Live controllers that may be made members and aren't yet.
-fn candidates(core: &Core, roster: &Roster, now: u64) -> Vec<Member> {
+fn candidates(core: &CoreMembership, roster: &Roster, now: u64) -> Vec<Member> {
     let waits = |ip: &str| !quorum::is_member(core, ip) && roster.live(ip, now);
     let fit = roster.controllers.iter().filter(|(ip, peer)| peer.fit && !peer.leaving && waits(ip));
     fit.map(|(ip, peer)| Member { ip: ip.clone(), zone: peer.zone.clone() }).collect()
 }
 
 /// The next core as this controller sees the others.
-pub fn next(core: &Core, roster: &Roster, now: u64) -> Option<Core> {
+pub fn next(core: &CoreMembership, roster: &Roster, now: u64) -> Option<CoreMembership> {
     let health = |ip: &str| Health {
         silent_ms: roster.silent(ip, now),
         live: roster.live(ip, now),
@@ -101,7 +107,7 @@
 }
 
 /// Goes on with the settlement of a changed core; what was done of it before is not done again.
-async fn settle(controller: &Arc<Controller>, core: &Core, kept: &mut Option<Settlement>) {
+async fn settle(controller: &Arc<Controller>, core: &CoreMembership, kept: &mut Option<Settlement>) {
     let current = |held: &Settlement| held.core() == core;
     if !kept.as_ref().is_some_and(current) {
         *kept = Some(Settlement::new(core));
@@ -127,14 +133,14 @@
 }
 
 /// Tells old and new members of the core and collects the keys they hold. False: not enough answered.
-async fn spread(controller: &Arc<Controller>, core: &Core, settlement: &mut Settlement) -> bool {
+async fn spread(controller: &Arc<Controller>, core: &CoreMembership, settlement: &mut Settlement) -> bool {
     let members = quorum::old_and_new_members(core);
-    let mut votes = controller.ask(core, Ask::Places, &members);
+    let mut votes = controller.ask(core, ConsensusOperation::Positions, &members);
     let end = Instant::now() + Duration::from_millis(SPREAD_MS);
     while !settlement.is_known() {
         let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await else { return false };
         match vote {
-            Vote::Newer { core } => {
+            ConsensusResponse::NewerMembership { core } => {
                 controller.adopt(&core);
                 return false;
             }
--- a/controller/src/reconfiguration_tests.rs
+++ b/controller/src/reconfiguration_tests.rs
@@ -1,14 +1,14 @@
 //! The next core as a controller sees its peers. The decision itself is tested in `consensus::membership`.
 
 use membership::{Peer, Roster};
-use protocol::msg::{Core, Member, JOINT_QUORUMS, READS};
+use protocol::message::{CoreMembership, Member, JOINT_QUORUMS, READS};
 
 use super::next;
 use crate::controller::LIVE_MS;
 
-fn core(ips: &[&str]) -> Core {
+fn core(ips: &[&str]) -> CoreMembership {
     let list = ips.iter().map(|ip| Member { ip: ip.to_string(), zone: String::new() }).collect();
-    Core { version: 4, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 4, list, prev: Vec::new(), settled: true }
 }
 
 fn roster(heard: &[(&str, u64)]) -> Roster {
@@ -20,7 +20,7 @@
     list
 }
 
-fn names(core: &Core) -> Vec<&str> {
+fn names(core: &CoreMembership) -> Vec<&str> {
     core.list.iter().map(|member| member.ip.as_str()).collect()
 }
 
--- a/controller/src/recovery.rs
+++ b/controller/src/recovery.rs
@@ -7,7 +7,7 @@
 use consensus::voter::LogRecord;
 use consensus::{quorum, RECALL_DELAY_MS};
 use kernel::clock;
-use protocol::msg::{Ask, Core, Vote};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership};
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
@@ -30,13 +30,13 @@
 }
 
 /// Reads what the other voters hold until every quorum of the core has a voter that was read.
-async fn recall(controller: &Arc<Controller>, core: &Core) {
+async fn recall(controller: &Arc<Controller>, core: &CoreMembership) {
     let others = controller.voter.lock().expect("voter").witnesses();
     let enough = |from: &[String]| controller.voter.lock().expect("voter").enough(from);
-    let Some(answers) = gather(controller, core, Ask::Whole, &others, enough).await else { return };
+    let Some(answers) = gather(controller, core, ConsensusOperation::Snapshot, &others, enough).await else { return };
     let (mut reads, mut from) = (Vec::new(), Vec::new());
     for (address, vote) in answers {
-        if let Vote::Whole { slots } = vote {
+        if let ConsensusResponse::Snapshot { slots } = vote {
             reads.push(slots);
             from.push(address);
         }
@@ -56,10 +56,10 @@
 
 /// A quorum says that this core is the current one, and this controller is neither in it nor, as long as it matters,
 /// in the one before: no vote of it counts.
-async fn become_candidate(controller: &Arc<Controller>, core: &Core) {
+async fn become_candidate(controller: &Arc<Controller>, core: &CoreMembership) {
     let members = quorum::old_and_new_members(core);
     let enough = |from: &[String]| quorum::is_quorum(core, from);
-    if gather(controller, core, Ask::Places, &members, enough).await.is_none() {
+    if gather(controller, core, ConsensusOperation::Positions, &members, enough).await.is_none() {
         return;
     }
     let mut voter = controller.voter.lock().expect("voter");
@@ -74,21 +74,21 @@
 /// Asks voters until enough of them answered what was asked. None: not in time, or the core is not current.
 async fn gather(
     controller: &Arc<Controller>,
-    core: &Core,
-    ask: Ask,
+    core: &CoreMembership,
+    ask: ConsensusOperation,
     addresses: &[String],
     enough: impl Fn(&[String]) -> bool,
-) -> Option<Vec<(String, Vote)>> {
+) -> Option<Vec<(String, ConsensusResponse)>> {
     let mut votes = controller.ask(core, ask, addresses);
     let end = Instant::now() + Duration::from_millis(READ_MS);
     let (mut answers, mut from) = (Vec::new(), Vec::new());
     while !enough(&from) {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
-            (_, Vote::Newer { core }) => {
+            (_, ConsensusResponse::NewerMembership { core }) => {
                 controller.adopt(&core);
                 return None;
             }
-            (address, vote @ (Vote::Whole { .. } | Vote::Places { .. })) => {
+            (address, vote @ (ConsensusResponse::Snapshot { .. } | ConsensusResponse::Positions { .. })) => {
                 from.push(address.clone());
                 answers.push((address, vote));
             }
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -6,7 +6,9 @@
 use consensus::round::{self, Ownership};
 use consensus::{quorum, ROUND_MS};
 use kernel::clock::{self, Rng};
-use protocol::msg::{Ask, Ballot, Core, Msg, Poll, Vote};
+use protocol::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message, ProposalNumber,
+};
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::sync::Mutex;
 use tokio::time::{self, Instant};
@@ -29,11 +31,11 @@
 /// Bodies from this length on are not told again to those that hold them.
 const LONG_BODY: usize = 1024;
 
-type Votes = Receiver<(String, Vote)>;
+type Votes = Receiver<(String, ConsensusResponse)>;
 
 impl Controller {
     /// The own vote, given once it is on disk.
-    pub fn vote(&self, poll: Poll, give: impl FnOnce(Vote) + Send + 'static) {
+    pub fn vote(&self, poll: ConsensusRequest, give: impl FnOnce(ConsensusResponse) + Send + 'static) {
         let mut voter = self.voter.lock().expect("voter");
         let (vote, records) = voter.poll(poll);
         // Still under the lock: the order on disk is the order of the votes.
@@ -41,10 +43,10 @@
     }
 
     /// Asks some members; the votes come in as they are given.
-    pub fn ask(&self, core: &Core, ask: Ask, ips: &[String]) -> Votes {
+    pub fn ask(&self, core: &CoreMembership, ask: ConsensusOperation, ips: &[String]) -> Votes {
         let (send, votes) = mpsc::channel(ips.len().max(1));
         for ip in ips {
-            let poll = Poll { core: core.clone(), ask: ask.clone() };
+            let poll = ConsensusRequest { core: core.clone(), ask: ask.clone() };
             let (send, from) = (send.clone(), ip.clone());
             if ip == self.me() {
                 self.vote(poll, move |vote| {
@@ -54,8 +56,8 @@
             }
             let peer = self.peer(ip);
             tokio::spawn(async move {
-                let msg = Msg::Poll(Box::new(poll));
-                let Some(Msg::Vote(vote)) = peer.call(msg, ROUND_MS).await else { return };
+                let msg = Message::ConsensusRequest(Box::new(poll));
+                let Some(Message::ConsensusResponse(vote)) = peer.call(msg, ROUND_MS).await else { return };
                 let _ = send.try_send((from, *vote));
             });
         }
@@ -68,10 +70,10 @@
     }
 
     /// A ballot that no one used before.
-    fn next_ballot(&self, core: &Core) -> Ballot {
+    fn next_ballot(&self, core: &CoreMembership) -> ProposalNumber {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
         committed_state.turn = round::next_turn(committed_state.turn, core);
-        Ballot { turn: committed_state.turn, seat: self.seat }
+        ProposalNumber { turn: committed_state.turn, seat: self.seat }
     }
 
     /// One try: from what is held of the key to an outcome. None: no outcome in time, or overtaken.
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -5,7 +5,7 @@
 
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
-use protocol::msg::{self, ROLLOUT};
+use protocol::message::{self, ROLLOUT};
 use serde_json::{Map, Value};
 
 use crate::control::{self, Receipt};
@@ -76,7 +76,7 @@
         Receipt::Text(value.to_string().into_bytes())
     }
 
-    fn replicas(&self, rule: &msg::Rule) -> Value {
+    fn replicas(&self, rule: &message::StalenessLimit) -> Value {
         let sheets = self.0.sheets.lock().expect("sheets");
         let weights = self.0.weights.lock().expect("weights");
         let versions: HashMap<&str, u64> = weights
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -1,7 +1,7 @@
 //! Limits on stale weights at the operator's door. One key of the ledger a service and model.
 
 use protocol::config::{self, Config};
-use protocol::msg::Rule;
+use protocol::message::StalenessLimit;
 use serde_json::Value;
 
 use crate::control::{self, Receipt};
@@ -31,7 +31,7 @@
 }
 
 /// What an ask comes to on top of what is held. Ok(None): it holds already.
-pub fn verdict(held: Option<&Rule>, ask: &LimitChange) -> Result<Option<Rule>, (u16, String)> {
+pub fn verdict(held: Option<&StalenessLimit>, ask: &LimitChange) -> Result<Option<StalenessLimit>, (u16, String)> {
     let live = held.filter(|held| !held.removed);
     let version = held.map_or(0, |held| held.version);
     let seen = live.map_or(0, |held| held.version);
@@ -42,7 +42,7 @@
     let none = || (404, "no rule for this service and model".to_string());
     match ask {
         LimitChange::Put { base, latest, lag, routes } => {
-            let same = |held: &Rule| held.latest == *latest && held.lag == *lag && held.routes == *routes;
+            let same = |held: &StalenessLimit| held.latest == *latest && held.lag == *lag && held.routes == *routes;
             if live.is_some_and(same) {
                 return Ok(None);
             }
@@ -52,14 +52,14 @@
             }
             let next = held.cloned().unwrap_or_default();
             let (latest, lag, routes) = (*latest, *lag, routes.clone());
-            Ok(Some(Rule { version: version + 1, latest, lag, routes, removed: false, ..next }))
+            Ok(Some(StalenessLimit { version: version + 1, latest, lag, routes, removed: false, ..next }))
         }
         LimitChange::Latest(latest) => {
             let held = live.ok_or_else(none)?;
             if *latest < held.latest {
                 return Err((400, format!("latest: found {latest}, {} was reported; a rollback says so", held.latest)));
             }
-            let next = Rule { version: version + 1, latest: *latest, ..held.clone() };
+            let next = StalenessLimit { version: version + 1, latest: *latest, ..held.clone() };
             Ok((*latest > held.latest).then_some(next))
         }
         LimitChange::Rollback { latest, reason } => {
@@ -71,12 +71,12 @@
                 return Err((400, format!("latest: found {latest}, not older than {}", held.latest)));
             }
             let (rollbacks, reason) = (held.rollbacks + 1, reason.clone());
-            Ok(Some(Rule { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
+            Ok(Some(StalenessLimit { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
         }
         LimitChange::Remove { base } => {
             let Some(held) = live else { return if held.is_some() { Ok(None) } else { Err(none()) } };
             base_of(*base)?;
-            Ok(Some(Rule { version: version + 1, removed: true, ..held.clone() }))
+            Ok(Some(StalenessLimit { version: version + 1, removed: true, ..held.clone() }))
         }
     }
 }
@@ -135,14 +135,14 @@
 /// Carries an ask out: committed, then waited for until it binds everywhere.
 pub async fn carry(controller: &Controller, key: &str, (service, model): (&str, &str), ask: LimitChange) -> Receipt {
     let judge = |body: &[u8]| {
-        let held = Rule::read_bytes(body);
+        let held = StalenessLimit::read_bytes(body);
         if held.is_none() && !body.is_empty() {
             return Verdict::Answer(Err(Receipt::Unclear));
         }
         match verdict(held.as_ref(), &ask) {
             Ok(None) => Verdict::Answer(Ok(held.map_or(0, |held| held.version))),
             Ok(Some(next)) => {
-                let next = Rule { service: service.into(), model: model.into(), ..next };
+                let next = StalenessLimit { service: service.into(), model: model.into(), ..next };
                 Verdict::Write(next.write_bytes(), Ok(next.version))
             }
             Err((status, words)) => Verdict::Answer(Err(Receipt::Bad(status, words))),
--- a/controller/src/rollouts_tests.rs
+++ b/controller/src/rollouts_tests.rs
@@ -1,5 +1,5 @@
 use protocol::config;
-use protocol::msg::Rule;
+use protocol::message::StalenessLimit;
 use serde_json::Value;
 
 use super::{read_latest, verdict, LimitChange};
@@ -8,9 +8,9 @@
     LimitChange::Put { base, latest, lag, routes: vec!["r".into()] }
 }
 
-fn made() -> Rule {
+fn made() -> StalenessLimit {
     let next = verdict(None, &put(0, 10, 2)).expect("good").expect("new");
-    Rule { service: "s".into(), model: "m".into(), ..next }
+    StalenessLimit { service: "s".into(), model: "m".into(), ..next }
 }
 
 fn status<T>(verdict: Result<T, (u16, String)>) -> u16 {
--- a/controller/src/rules.rs
+++ b/controller/src/rules.rs
@@ -7,7 +7,7 @@
 use futures_util::future;
 use kernel::clock;
 use load_balancing::floor::LEASE_MS;
-use protocol::msg::{self, Msg, Versions};
+use protocol::message::{self, Message, WeightVersions};
 use tokio::time;
 
 use crate::controller::{CommittedState, Controller, SURE_MS};
@@ -22,11 +22,11 @@
 /// Sends the rules that a follower lacks.
 pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for (key, rule) in &committed_state.rules {
-        let has = follower.closed.entry(msg::hide(key)).or_default();
+        let has = follower.closed.entry(message::hide(key)).or_default();
         if rule.version <= *has {
             continue;
         }
-        match follower.mouth.cast(&Msg::Rule(Box::new(rule.clone()))) {
+        match follower.mouth.cast(&Message::StalenessLimit(Box::new(rule.clone()))) {
             true => *has = rule.version,
             false => follower.behind = true,
         }
@@ -75,9 +75,9 @@
         let asks = self.known().into_iter().map(|ip| {
             let peer = self.peer(&ip);
             async move {
-                let msg = Msg::Settle(Box::new((key.to_string(), version)));
+                let msg = Message::CountConfirmations(Box::new((key.to_string(), version)));
                 match peer.call(msg, ANSWER_MS).await {
-                    Some(Msg::Settled(reply)) => Some(*reply),
+                    Some(Message::ConfirmationCount(reply)) => Some(*reply),
                     _ => None,
                 }
             }
@@ -106,12 +106,12 @@
     /// Sends the weight versions that a follower lacks.
     pub fn send_weights(&self, follower: &mut Follower) {
         for (zone, list) in self.weights.lock().expect("weights").iter() {
-            let has = follower.sheets.entry(msg::hide(zone)).or_default();
+            let has = follower.sheets.entry(message::hide(zone)).or_default();
             let version = (list.turn, list.count);
             if *has == version {
                 continue;
             }
-            match follower.mouth.cast(&Msg::Versions(Box::new(list.clone()))) {
+            match follower.mouth.cast(&Message::WeightVersions(Box::new(list.clone()))) {
                 true => *has = version,
                 false => follower.behind = true,
             }
@@ -120,7 +120,7 @@
 }
 
 /// Versions from the poller of a zone, or from the own poll.
-pub fn hear(controller: &Controller, list: Versions) {
+pub fn hear(controller: &Controller, list: WeightVersions) {
     {
         let mut held = controller.weights.lock().expect("weights");
         let old = held.get(&list.zone).map(|held| (held.turn, held.count));
@@ -140,9 +140,9 @@
         return;
     }
     let count = held.count + u64::from(!same);
-    let next = Versions { zone: zone.into(), turn: controller.seat, count, list };
+    let next = WeightVersions { zone: zone.into(), turn: controller.seat, count, list };
     for ip in controller.known() {
-        controller.peer(&ip).cast(Msg::Versions(Box::new(next.clone())));
+        controller.peer(&ip).cast(Message::WeightVersions(Box::new(next.clone())));
     }
     hear(controller, next);
 }
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -12,7 +12,7 @@
 use batch::turn::{self, Pace, View};
 use batch::{KEEP_MS, PAGE};
 use kernel::{clock, startup};
-use protocol::sock::SILENCE_MS;
+use protocol::socket::SILENCE_MS;
 use reqwest::Client;
 
 use crate::controller::Controller;
--- a/controller/src/simulation/bodies.rs
+++ b/controller/src/simulation/bodies.rs
@@ -1,6 +1,6 @@
 //! What operators send: whole configurations and changes of named items, valid and invalid ones of every kind.
 use kernel::clock::Rng;
-use protocol::order::ConfigChange;
+use protocol::operator_request::ConfigChange;
 use serde_json::{json, Value};
 
 /// Of so many changes one is invalid.
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -4,7 +4,7 @@
 
 use consensus::proposal::{Progress, Proposal, Verdict};
 use consensus::{quorum, round};
-use protocol::msg::{Ballot, Vote};
+use protocol::message::{ConsensusResponse, ProposalNumber};
 
 use super::network::Address;
 use super::operator::{Answer, Attempt};
@@ -83,7 +83,7 @@
             return;
         }
         node.turn = round::next_turn(node.turn, &core);
-        let ballot = Ballot { turn: node.turn, seat: consensus::seat(&node.voter.ip, node.life) };
+        let ballot = ProposalNumber { turn: node.turn, seat: consensus::seat(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
         let (proposal, ask) = Proposal::begin(key, &core, held, ballot, &mut change.judge, now);
         let members = quorum::addresses(&core);
@@ -93,7 +93,7 @@
     }
 
     /// A vote on a proposal. False: it was for something else.
-    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &Vote) -> bool {
+    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
         let now = self.now;
         let node = &mut self.nodes[at];
         let is_for = |change: &Change| change.running.as_ref().is_some_and(|(running, _)| *running == id);
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -4,7 +4,7 @@
 use consensus::proposal::Verdict;
 use consensus::quorum;
 use membership::Peer;
-use protocol::msg::{Ask, Entry, Vote, READS};
+use protocol::message::{ConsensusOperation, ConsensusResponse, Entry, READS};
 
 use super::changes::Purpose;
 use super::network::{Address, Heartbeat, Packet};
@@ -105,15 +105,15 @@
             return;
         }
         let members = quorum::addresses(&core);
-        let id = self.poll(at, &core, &Ask::Places, &members);
+        let id = self.poll(at, &core, &ConsensusOperation::Positions, &members);
         let confirming = &mut self.nodes[at].confirming;
         confirming.begun = self.now;
         confirming.read = Some((id, Confirmation::new(&core)));
     }
 
     /// A vote on the confirmation. False: it was for something else.
-    pub fn vote_on_confirmation(&mut self, at: usize, from: &str, id: u64, vote: &Vote) -> bool {
-        if let Vote::Newer { core } = vote {
+    pub fn vote_on_confirmation(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
+        if let ConsensusResponse::NewerMembership { core } = vote {
             self.adopt(at, core);
             let confirming = &mut self.nodes[at].confirming;
             let stale = confirming.read.as_ref().is_some_and(|(read, _)| *read == id);
@@ -123,7 +123,7 @@
             }
             return false;
         }
-        if let Vote::Fetched { entry } = vote {
+        if let ConsensusResponse::Fetched { entry } = vote {
             self.take_fetched(at, from, id, entry.clone());
             return true;
         }
@@ -132,7 +132,7 @@
         if *read != id {
             return false;
         }
-        let Vote::Places { list } = vote else { return true };
+        let ConsensusResponse::Positions { list } = vote else { return true };
         confirmation.hear(from, list.clone());
         if confirmation.is_quorum() {
             let (_, confirmation) = confirming.read.take().expect("a read");
@@ -166,7 +166,7 @@
         }
         let first = node.roster.holder("", &key, now) == node.voter.ip;
         let members = quorum::addresses(&core);
-        let id = self.poll(at, &core, &Ask::Fetch { key: key.clone() }, &members);
+        let id = self.poll(at, &core, &ConsensusOperation::Fetch { key: key.clone() }, &members);
         self.nodes[at].confirming.behind[number].id = id;
         if half_done && first && !self.is_changing(at, &Purpose::Repair) {
             self.nodes[at].owned.remove(&key);
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -6,7 +6,7 @@
 use consensus::proposal::Verdict;
 use consensus::voter::LogRecord;
 use consensus::{quorum, CORE, RECALL_DELAY_MS};
-use protocol::msg::{Ask, Core, Slot, Vote};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, RegisterState};
 
 use super::changes::Purpose;
 use super::network::Address;
@@ -21,10 +21,10 @@
 /// A read of other voters by one that may not vote.
 struct Recovery {
     id: u64,
-    core: Core,
+    core: CoreMembership,
     end: u64,
     from: Vec<String>,
-    reads: Vec<Vec<Slot>>,
+    reads: Vec<Vec<RegisterState>>,
 }
 
 #[derive(Default)]
@@ -59,14 +59,14 @@
         }
     }
 
-    fn coordinates(&self, at: usize, core: &Core) -> bool {
+    fn coordinates(&self, at: usize, core: &CoreMembership) -> bool {
         let node = &self.nodes[at];
         let leaving = node.leaving.is_some();
         let first = reconfiguration::first_member(core, &node.roster, leaving, CORE, self.now);
         first.as_deref() == Some(&node.voter.ip)
     }
 
-    fn begin_core_change(&mut self, at: usize, core: &Core) {
+    fn begin_core_change(&mut self, at: usize, core: &CoreMembership) {
         if self.is_changing(at, &Purpose::CoreChange) {
             return;
         }
@@ -80,7 +80,7 @@
         self.begin_change(at, CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
 
-    fn settle(&mut self, at: usize, core: &Core) {
+    fn settle(&mut self, at: usize, core: &CoreMembership) {
         let now = self.now;
         let members = &mut self.nodes[at].members;
         if !members.settlement.as_ref().is_some_and(|held| held.core() == core) {
@@ -96,7 +96,7 @@
                 return;
             }
             let all = quorum::old_and_new_members(core);
-            let id = self.poll(at, core, &Ask::Places, &all);
+            let id = self.poll(at, core, &ConsensusOperation::Positions, &all);
             self.nodes[at].members.spread = Some((id, now + SPREAD_MS));
             return;
         }
@@ -115,7 +115,7 @@
         }
     }
 
-    fn finish_settlement(&mut self, at: usize, core: &Core) {
+    fn finish_settlement(&mut self, at: usize, core: &CoreMembership) {
         if self.is_changing(at, &Purpose::CoreSettled) {
             return;
         }
@@ -139,14 +139,14 @@
         }
         let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
         let others = node.voter.witnesses();
-        let ask = if member { Ask::Whole } else { Ask::Places };
+        let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
         let id = self.poll(at, &core, &ask, &others);
         let end = self.now + READ_MS;
         self.nodes[at].members.recovery = Some(Recovery { id, core, end, from: Vec::new(), reads: Vec::new() });
     }
 
     /// Routes a vote to what asked for it.
-    pub fn take_vote(&mut self, at: usize, from: Address, id: u64, vote: Vote) {
+    pub fn take_vote(&mut self, at: usize, from: Address, id: u64, vote: ConsensusResponse) {
         let Address::Node(from) = from else { return };
         let from = address(from);
         if self.vote_on_change(at, &from, id, &vote) || self.vote_on_recovery(at, &from, id, &vote) {
@@ -158,31 +158,31 @@
         self.vote_on_confirmation(at, &from, id, &vote);
     }
 
-    fn vote_on_spread(&mut self, at: usize, from: &str, id: u64, vote: &Vote) -> bool {
+    fn vote_on_spread(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
         let members = &mut self.nodes[at].members;
         if members.spread.is_none_or(|(spread, _)| spread != id) {
             return false;
         }
         let Some(settlement) = &mut members.settlement else { return false };
         match vote {
-            Vote::Newer { core } => self.adopt(at, &core.clone()),
+            ConsensusResponse::NewerMembership { core } => self.adopt(at, &core.clone()),
             vote => settlement.hear_vote(from, vote),
         }
         true
     }
 
-    fn vote_on_recovery(&mut self, at: usize, from: &str, id: u64, vote: &Vote) -> bool {
+    fn vote_on_recovery(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
         let node = &mut self.nodes[at];
         let Some(recovery) = node.members.recovery.as_mut().filter(|recovery| recovery.id == id) else { return false };
         let current = recovery.core.version == node.voter.core.version && !node.voter.may_vote;
         match vote {
-            Vote::Newer { core } => {
+            ConsensusResponse::NewerMembership { core } => {
                 node.members.recovery = None;
                 self.adopt(at, &core.clone());
                 return true;
             }
-            Vote::Whole { slots } => recovery.reads.push(slots.clone()),
-            Vote::Places { .. } => {}
+            ConsensusResponse::Snapshot { slots } => recovery.reads.push(slots.clone()),
+            ConsensusResponse::Positions { .. } => {}
             _ => return true,
         }
         recovery.from.push(from.into());
--- a/controller/src/simulation/mod.rs
+++ b/controller/src/simulation/mod.rs
@@ -7,7 +7,7 @@
 
 use history::History;
 use kernel::clock::Rng;
-use network::{Packet, Network};
+use network::{Network, Packet};
 use node::Node;
 use operator::Operator;
 
--- a/controller/src/simulation/network.rs
+++ b/controller/src/simulation/network.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
 
-use protocol::msg::{Ask, Core, Entry, Poll, Vote};
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry};
 
 use super::operator::{Answer, Attempt, OperatorAction};
 use super::Cluster;
@@ -23,11 +23,11 @@
 pub enum Packet {
     Poll {
         id: u64,
-        poll: Poll,
+        poll: ConsensusRequest,
     },
     Vote {
         id: u64,
-        vote: Vote,
+        vote: ConsensusResponse,
     },
     Heartbeat(Heartbeat),
     Learn(String, Entry),
@@ -43,7 +43,7 @@
     pub address: String,
     pub fit: bool,
     pub leaving: bool,
-    pub core: Core,
+    pub core: CoreMembership,
     pub peers: Vec<String>,
 }
 
@@ -118,10 +118,10 @@
     }
 
     /// Polls these addresses under a number of its own, by which the votes are told apart.
-    pub fn poll(&mut self, at: usize, core: &Core, ask: &Ask, addresses: &[String]) -> u64 {
+    pub fn poll(&mut self, at: usize, core: &CoreMembership, ask: &ConsensusOperation, addresses: &[String]) -> u64 {
         let id = self.nodes[at].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
-            let poll = Poll { core: core.clone(), ask: ask.clone() };
+            let poll = ConsensusRequest { core: core.clone(), ask: ask.clone() };
             self.send(Address::Node(at), Address::Node(to), Packet::Poll { id, poll });
         }
         id
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -7,7 +7,7 @@
 use consensus::voter::{LogRecord, Voter};
 use consensus::CORE;
 use membership::Roster;
-use protocol::msg::{Core, Entry, Member, Poll, Vote};
+use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member};
 
 use super::changes::Change;
 use super::confirming::Confirming;
@@ -24,7 +24,7 @@
 pub struct Write {
     pub due: u64,
     pub records: Vec<LogRecord>,
-    pub vote: Option<(Address, u64, Vote)>,
+    pub vote: Option<(Address, u64, ConsensusResponse)>,
 }
 
 /// Invariants: `disk` is what was synced; `voter` is ahead of it by what waits in `writes`. All else is lost
@@ -90,7 +90,7 @@
     /// The first start of the whole system: the seeds are the core.
     pub fn found(&mut self, seeds: &[String]) {
         let list = seeds.iter().map(|ip| Member { ip: ip.clone(), zone: String::new() }).collect();
-        self.voter.core = Core { version: 1, list, prev: Vec::new(), settled: true };
+        self.voter.core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
         self.voter.may_vote = true;
         self.disk = self.voter.clone();
     }
@@ -141,13 +141,13 @@
 
 impl Cluster {
     /// The vote of a node leaves once what it promises is on its disk.
-    pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: Poll) {
+    pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: ConsensusRequest) {
         self.adopt(at, &poll.core);
         let (vote, records) = self.nodes[at].voter.poll(poll);
         self.write(at, records, Some((from, id, vote)));
     }
 
-    pub fn write(&mut self, at: usize, records: Vec<LogRecord>, vote: Option<(Address, u64, Vote)>) {
+    pub fn write(&mut self, at: usize, records: Vec<LogRecord>, vote: Option<(Address, u64, ConsensusResponse)>) {
         let slow = if self.random.below(60) == 0 { 400 } else { 5 };
         let late = if records.is_empty() { 0 } else { 1 + self.random.below(slow) };
         let node = &mut self.nodes[at];
@@ -167,7 +167,7 @@
         }
     }
 
-    pub fn adopt(&mut self, at: usize, core: &Core) {
+    pub fn adopt(&mut self, at: usize, core: &CoreMembership) {
         if let Some(record) = self.nodes[at].voter.adopt(core) {
             self.write(at, vec![record], None);
         }
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -2,7 +2,7 @@
 //! clear answer.
 
 use consensus::proposal::Verdict;
-use protocol::order::ConfigChange;
+use protocol::operator_request::ConfigChange;
 
 use super::changes::Purpose;
 use super::network::{Address, Packet};
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -5,7 +5,7 @@
 
 use consensus::CORE;
 use protocol::config::{Checked, ConfigError};
-use protocol::msg::{Entry, Msg, Rule, ROLLOUT};
+use protocol::message::{Entry, Message, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 
 use crate::config_body::Held;
@@ -86,7 +86,7 @@
     pub fn learn(&self, key: &str, entry: &Entry, tell: bool) {
         let is_news = self.learn_read(key, entry, None);
         if is_news && tell {
-            let note = Msg::Learn(Box::new((key.into(), entry.clone())));
+            let note = Message::Committed(Box::new((key.into(), entry.clone())));
             for ip in self.known() {
                 self.peer(&ip).cast(note.clone());
             }
@@ -175,7 +175,7 @@
             self.closed.insert(zone.into(), (closed.version, closed.on));
         }
         if key.starts_with(ROLLOUT) && !body.is_empty() {
-            let rule = Rule::read_bytes(body).ok_or(Unreadable::Body)?;
+            let rule = StalenessLimit::read_bytes(body).ok_or(Unreadable::Body)?;
             self.rules.insert(key.into(), rule);
         }
         if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -8,7 +8,7 @@
 use kernel::clock::{self, Rng};
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
-use protocol::msg::{Ballot, Core, Entry, Member, Msg, READS, ROLLOUT};
+use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, READS, ROLLOUT};
 
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config_body::{BodyForm, Held};
@@ -30,7 +30,7 @@
 }
 
 fn entry(turn: u64, step: u64, body: Vec<u8>) -> Entry {
-    Entry { ballot: Ballot { turn, seat: 1 }, step, body }
+    Entry { ballot: ProposalNumber { turn, seat: 1 }, step, body }
 }
 
 fn place(state: &CommittedState, key: &str) -> Option<(u64, u64)> {
@@ -49,7 +49,7 @@
     let mut has = 0;
     let mut last = 0;
     assert!(state.history.send_missing(READS, &mut has, |frame| {
-        let Ok(Msg::Update(packed)) = frame::open(&frame[HEAD..]) else {
+        let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else {
             return false;
         };
         last = Change::read(&packed).expect("a change").to;
@@ -112,7 +112,7 @@
 /// one does.
 #[test]
 fn a_controller_behind_something_unreadable_stays_behind() {
-    let core = Core {
+    let core = CoreMembership {
         version: 1,
         list: vec![Member { ip: "a".into(), zone: String::new() }],
         prev: Vec::new(),
--- a/controller/src/version_calls_tests.rs
+++ b/controller/src/version_calls_tests.rs
@@ -12,8 +12,9 @@
 
 #[test]
 fn flaws_are_named() {
-    let read =
-        |text: &str| RolloutRequest::read(text, |name| name == "s").map_err(|(status, words)| format!("{status} {words}"));
+    let read = |text: &str| {
+        RolloutRequest::read(text, |name| name == "s").map_err(|(status, words)| format!("{status} {words}"))
+    };
     let good = r#"{"service":"s","target_version":"v2","duration_s":12}"#;
     assert_eq!(read(good), Ok(order("v2")));
     for (text, status, word) in [
--- a/controller/src/version_lists.rs
+++ b/controller/src/version_lists.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use protocol::msg::Engine;
+use protocol::message::Engine;
 use protocol::version_rollout::VersionRollout;
 
 use crate::controller::Controller;
--- a/controller/src/version_lists_tests.rs
+++ b/controller/src/version_lists_tests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use protocol::msg::Engine;
+use protocol::message::Engine;
 use protocol::version_rollout::{RolloutState, VersionRollout};
 
 use super::{FirstVersions, ListedEngine, Parted};
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use kernel::{clock, startup};
-use protocol::msg::{self, Msg};
+use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
@@ -55,11 +55,11 @@
 pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for rollout in committed_state.rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.closed.entry(msg::hide(&key)).or_default();
+        let has = follower.closed.entry(message::hide(&key)).or_default();
         if rollout.number <= *has {
             continue;
         }
-        match follower.mouth.cast(&Msg::VersionRollout(Box::new(rollout.clone()))) {
+        match follower.mouth.cast(&Message::VersionRollout(Box::new(rollout.clone()))) {
             true => *has = rollout.number,
             false => follower.behind = true,
         }
@@ -116,7 +116,7 @@
     let merged = merge(untold);
     for ip in controller.known() {
         for samples in &merged {
-            controller.peer(&ip).cast(Msg::Samples(Box::new(samples.clone())));
+            controller.peer(&ip).cast(Message::Samples(Box::new(samples.clone())));
         }
     }
 }
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -1,7 +1,7 @@
 //! One engine as a router knows it, with what sending to it has shown.
 
 use kernel::clock;
-use protocol::msg::{Engine, Pressure};
+use protocol::message::{Engine, EngineLoad};
 
 use crate::budget::Ramp;
 
@@ -98,11 +98,11 @@
     }
 
     /// What it told here, to be passed on while it is fresh.
-    pub fn told(&self, now: u64) -> Option<Pressure> {
+    pub fn told(&self, now: u64) -> Option<EngineLoad> {
         let age_ms = now.saturating_sub(self.load_at);
         let fresh = self.load_at > 0 && age_ms < 1000;
         let load = self.load.0 + self.load.1;
-        fresh.then_some(Pressure { name: self.name, load, age_ms: age_ms as u32 })
+        fresh.then_some(EngineLoad { name: self.name, load, age_ms: age_ms as u32 })
     }
 
     /// What it told another router at `time`. Own sends since then are not known apart: they count as told.
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use kernel::clock;
-use protocol::msg::{self, Engine, Pressure, Sheet};
+use protocol::message::{self, EndpointList, Engine, EngineLoad};
 use protocol::version_rollout;
 
 use crate::place::Half;
@@ -93,7 +93,7 @@
 
     /// How many zones' lists are known.
     pub fn zones_listed(&self) -> usize {
-        self.sheets.all().filter(|sheet| !msg::hidden(&sheet.zone)).count()
+        self.sheets.all().filter(|sheet| !message::hidden(&sheet.zone)).count()
     }
 
     /// Who samples here. The number of routers counts by steps of a quarter: a subset should last.
@@ -155,7 +155,7 @@
     }
 
     /// What an engine told another router lately.
-    pub fn hear(&mut self, told: &Pressure, now: u64) {
+    pub fn hear(&mut self, told: &EngineLoad, now: u64) {
         let Some(at) = self.names.get(&told.name).copied() else { return };
         let time = now.saturating_sub(u64::from(told.age_ms));
         let engine = &mut self.list[at];
@@ -186,7 +186,7 @@
     }
 
     /// Takes a sheet; gives the ids of engines that just left or began to drain.
-    pub fn take(&mut self, sheet: &Sheet, now: u64) -> Vec<String> {
+    pub fn take(&mut self, sheet: &EndpointList, now: u64) -> Vec<String> {
         if !self.sheets.take(sheet) {
             return Vec::new();
         }
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -1,9 +1,9 @@
-use protocol::msg::{Engine, Sheet};
+use protocol::message::{EndpointList, Engine};
 
 use super::EngineTable;
 use crate::place::{Half, View};
 
-fn sheet(count: u64, list: &[(&str, bool, u32)]) -> Sheet {
+fn sheet(count: u64, list: &[(&str, bool, u32)]) -> EndpointList {
     let engine = |(id, up, cold_ms): &(&str, bool, u32)| Engine {
         id: id.to_string(),
         service: "s".into(),
@@ -15,7 +15,7 @@
         up: *up,
         cold_ms: *cold_ms,
     };
-    Sheet { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
+    EndpointList { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
 }
 
 #[test]
--- a/load_balancing/src/floor.rs
+++ b/load_balancing/src/floor.rs
@@ -3,7 +3,7 @@
 //! A raised floor or an added route binds at once; a lowered floor or a freed route only once every router
 //! can know of it. What is bound is sent only under a lease: one that lapsed refuses it.
 
-use protocol::msg::Rule;
+use protocol::message::StalenessLimit;
 
 /// How long a lease lasts from the sending of the call that renewed it. Invariant: shorter than the lease
 /// that a controller counts for its router.
@@ -26,7 +26,7 @@
 /// newest rule asks for.
 #[derive(Clone, Debug)]
 struct Held {
-    rule: Rule,
+    rule: StalenessLimit,
     service: u32,
     floor: u64,
     routes: Vec<String>,
@@ -41,7 +41,7 @@
 
 impl Floors {
     /// True when the rule is newer than what was held.
-    pub fn take(&mut self, rule: &Rule, service: u32, now: u64) -> bool {
+    pub fn take(&mut self, rule: &StalenessLimit, service: u32, now: u64) -> bool {
         let new = Held {
             rule: rule.clone(),
             service,
--- a/load_balancing/src/floor_tests.rs
+++ b/load_balancing/src/floor_tests.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 
 use kernel::clock::Rng;
-use protocol::msg::Rule;
+use protocol::message::StalenessLimit;
 
 use super::{Floors, Limit, EASE_MS, LEASE_MS};
 
-fn rule(version: u64, latest: u64, lag: u64, routes: &[&str]) -> Rule {
+fn rule(version: u64, latest: u64, lag: u64, routes: &[&str]) -> StalenessLimit {
     let routes = routes.iter().map(|route| route.to_string()).collect();
-    Rule { service: "s".into(), model: "m".into(), version, latest, lag, routes, ..Default::default() }
+    StalenessLimit { service: "s".into(), model: "m".into(), version, latest, lag, routes, ..Default::default() }
 }
 
 fn limit(floors: &Floors, route: &str, now: u64) -> Limit {
@@ -40,7 +40,7 @@
     assert_eq!((limit(&floors, "r", early), limit(&floors, "t", early)), (Limit::From(8), Limit::From(8)));
     assert_eq!(limit(&floors, "u", early), Limit::From(8), "a route added is bound at once");
     assert_eq!((limit(&floors, "r", early + 1), limit(&floors, "t", early + 1)), (Limit::From(5), Limit::Free));
-    let gone = Rule { removed: true, ..rule(3, 10, 5, &["r", "u"]) };
+    let gone = StalenessLimit { removed: true, ..rule(3, 10, 5, &["r", "u"]) };
     floors.take(&gone, 0, 4000);
     floors.renew(8000);
     assert_eq!(limit(&floors, "r", 4000 + EASE_MS - 1), Limit::From(5));
--- a/load_balancing/src/place_tests.rs
+++ b/load_balancing/src/place_tests.rs
@@ -1,4 +1,4 @@
-use protocol::msg::{Engine, Sheet};
+use protocol::message::{EndpointList, Engine};
 
 use super::{Arm, Half, View};
 use crate::engine_table::EngineTable;
@@ -23,7 +23,7 @@
             engine(&format!("d-{zone}"), zone, "decode", true),
             engine(&format!("x-{zone}"), zone, "decode", false),
         ];
-        engine_table.take(&Sheet { zone: zone.into(), turn: 1, count: 1, list }, 0);
+        engine_table.take(&EndpointList { zone: zone.into(), turn: 1, count: 1, list }, 0);
     }
     engine_table
 }
--- a/load_balancing/src/sheet.rs
+++ b/load_balancing/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use protocol::msg::{self, Engine, Sheet};
+use protocol::message::{self, EndpointList, Engine};
 use protocol::version_rollout;
 
 /// The low bits of a turn that tell pollers apart: enough that no two of a large fleet share them.
@@ -24,14 +24,14 @@
 /// Invariant: the version (turn, count) of a zone's sheet never goes back.
 #[derive(Default)]
 pub struct Sheets {
-    list: BTreeMap<String, Sheet>,
+    list: BTreeMap<String, EndpointList>,
     /// Turns that others were told of: the next own poll goes above them.
     floor: BTreeMap<String, u64>,
 }
 
 impl Sheets {
     /// True when the sheet is newer than what was held.
-    pub fn take(&mut self, sheet: &Sheet) -> bool {
+    pub fn take(&mut self, sheet: &EndpointList) -> bool {
         let held = self.list.get(&sheet.zone).map(|held| (held.turn, held.count));
         if held >= Some((sheet.turn, sheet.count)) {
             return false;
@@ -53,7 +53,14 @@
     ///
     /// Another poller's list that became known meanwhile may be newer than what was seen, so what was
     /// seen is dropped: it would else be put above that list (a poller that froze in mid-poll).
-    pub fn poll(&mut self, zone: &str, turn: &mut u64, seat: u64, list: Vec<Engine>, known: Known) -> Option<Sheet> {
+    pub fn poll(
+        &mut self,
+        zone: &str,
+        turn: &mut u64,
+        seat: u64,
+        list: Vec<Engine>,
+        known: Known,
+    ) -> Option<EndpointList> {
         if self.known(zone) != known {
             return None;
         }
@@ -67,17 +74,17 @@
             return None;
         }
         let count = held.filter(|held| held.turn == *turn).map_or(1, |held| held.count + 1);
-        let sheet = Sheet { zone: zone.into(), turn: *turn, count, list };
+        let sheet = EndpointList { zone: zone.into(), turn: *turn, count, list };
         self.list.insert(zone.into(), sheet.clone());
         Some(sheet)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Sheet> {
+    pub fn all(&self) -> impl Iterator<Item = &EndpointList> {
         self.list.values()
     }
 
     /// Those that are newer than the versions told.
-    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<Sheet> {
+    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<EndpointList> {
         let version = |zone: &str| told.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
         self.list.values().filter(|held| Some((held.turn, held.count)) > version(&held.zone)).cloned().collect()
     }
@@ -88,7 +95,7 @@
 
     /// Someone holds lists of these turns: routers outlive the controllers that made them.
     pub fn raise(&mut self, told: &[(String, u64, u64)]) {
-        let is_list = |name: &str| !msg::hidden(name) || version_rollout::candidate_zone(name).is_some();
+        let is_list = |name: &str| !message::hidden(name) || version_rollout::candidate_zone(name).is_some();
         for (zone, turn, _) in told.iter().filter(|item| is_list(&item.0)) {
             let floor = self.floor.entry(zone.clone()).or_default();
             *floor = (*floor).max(*turn);
--- a/load_balancing/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -1,5 +1,5 @@
 use kernel::clock::Rng;
-use protocol::msg::{Engine, Sheet};
+use protocol::message::{EndpointList, Engine};
 
 use super::{Known, Sheets};
 
@@ -18,7 +18,7 @@
 }
 
 /// A poll that takes no time.
-fn poll(list: &mut Sheets, turn: &mut u64, seat: u64, engines: Vec<Engine>) -> Option<Sheet> {
+fn poll(list: &mut Sheets, turn: &mut u64, seat: u64, engines: Vec<Engine>) -> Option<EndpointList> {
     let known = list.known("a");
     list.poll("a", turn, seat, engines, known)
 }
--- a/protocol/src/capability.rs
+++ b/protocol/src/capability.rs
@@ -14,7 +14,7 @@
 pub const DIGESTED_BODIES: u64 = 4;
 /// Controllers from this version on take `EvacuateFrom`.
 pub const VERSIONED_EVACUATIONS: u64 = 4;
-/// Routers from this version on take `Renewed` as the answer to `Follow`.
+/// Routers from this version on take `SubscriptionRenewed` as the answer to `SubscriptionRenewal`.
 pub const CONFIRMED_NEWS: u64 = 4;
 /// Routers from this version on know tenants and their keys.
 pub const TENANTS: u64 = 4;
--- a/protocol/src/change_tests.rs
+++ b/protocol/src/change_tests.rs
@@ -8,7 +8,7 @@
 use super::{before_tenants, Change};
 use crate::config::{Config, LONGEST_TEXT};
 use crate::frame::{self, Kind, HEAD, MOST};
-use crate::msg::Msg;
+use crate::message::Message;
 
 fn text(revision: u64, routes: &[(&str, u64)]) -> String {
     let route = |(name, timeout): &(&str, u64)| {
@@ -183,10 +183,10 @@
     for text in [many_routes, wide(String::new(), regions)] {
         assert!(text.len() < most, "{}", text.len());
         let change = Change::whole(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
-        let msg = Msg::Update(Box::new(change.write()));
+        let msg = Message::TenantConfigUpdate(Box::new(change.write()));
         let frame = frame::seal(Kind::Cast, 0, &msg).expect("it fits into a frame");
         assert!(frame.len() < MOST);
-        let Ok(Msg::Update(packed)) = frame::open(&frame[HEAD..]) else { panic!("read") };
+        let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else { panic!("read") };
         assert_eq!(Change::read(&packed), Some(change));
     }
 }
--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -16,7 +16,7 @@
 mod values;
 
 pub use checked::Checked;
-pub use error::{ConfigError, Flaw, Item, Syntax};
+pub use error::{ConfigError, ConfigErrorKind, Item, Syntax};
 pub use host::without_port;
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 pub use patch::Patch;
