--- a/protocol/src/config/check.rs
+++ b/protocol/src/config/check.rs
@@ -1,6 +1,6 @@
 //! Whether the items of a configuration fit together. Each check rests on a sentence of the protocol, told in our words
 //! beside it; what these leave open stands in `docs/questions.md`.
-use super::error::{ConfigError, Flaw, Item};
+use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::model::{Config, Route, Service, Tenant};
 use std::collections::{HashMap, HashSet};
 
@@ -10,7 +10,7 @@
 pub fn config(config: &Config) -> Result<(), ConfigError> {
     // A configuration carries its revision, which must be above the current one, and that is 0 before the first.
     if config.revision == 0 {
-        return Err(ConfigError { item: Item::Field("revision".into()), flaw: Flaw::RevisionZero });
+        return Err(ConfigError { item: Item::Field("revision".into()), flaw: ConfigErrorKind::RevisionZero });
     }
     let services = services(&config.service_table)?;
     routes(&config.route_table, &services)?;
@@ -23,7 +23,7 @@
         let fail = fail(Item::Service, &service.name);
         name("service_table", index, &service.name)?;
         if !names.insert(service.name.as_str()) {
-            return Err(fail(Flaw::NameUsedTwice));
+            return Err(fail(ConfigErrorKind::NameUsedTwice));
         }
         let engine = service.engine.iter();
         let of_engine = engine.flat_map(|engine| {
@@ -38,7 +38,7 @@
         not_negative(numbers.into_iter().chain(of_engine)).map_err(&fail)?;
         // A request names the model that it wants.
         if service.engine.iter().flat_map(|engine| &engine.model_list).any(|model| model.name.is_empty()) {
-            return Err(fail(Flaw::Not { field: "model_list", expected: "made of items with names" }));
+            return Err(fail(ConfigErrorKind::Not { field: "model_list", expected: "made of items with names" }));
         }
     }
     Ok(names)
@@ -51,48 +51,48 @@
         let fail = fail(Item::Route, &route.name);
         name("route_table", index, &route.name)?;
         if !names.insert(route.name.as_str()) {
-            return Err(fail(Flaw::NameUsedTwice));
+            return Err(fail(ConfigErrorKind::NameUsedTwice));
         }
         one_route(route, services).map_err(&fail)?;
         // Two routes that share host and prefix make it invalid.
         let place = (route.hostname.as_str(), route.path_prefix.as_str());
         if let Some(other) = places.insert(place, &route.name) {
-            return Err(fail(Flaw::SamePlace { other: other.into() }));
+            return Err(fail(ConfigErrorKind::SamePlace { other: other.into() }));
         }
     }
     Ok(())
 }
 
-fn one_route(route: &Route, services: &HashSet<&str>) -> Result<(), Flaw> {
+fn one_route(route: &Route, services: &HashSet<&str>) -> Result<(), ConfigErrorKind> {
     // A host and a path pick the route.
     if route.hostname.is_empty() {
-        return Err(Flaw::Missing { field: "hostname" });
+        return Err(ConfigErrorKind::Missing { field: "hostname" });
     }
     // Prefixes begin and end with a slash.
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        return Err(Flaw::NoSlashes);
+        return Err(ConfigErrorKind::NoSlashes);
     }
     // The type says whether a request may run more than once; what another type would say is not known.
     if !ROUTE_TYPES.contains(&route.route_type.as_str()) {
-        return Err(Flaw::UnknownType);
+        return Err(ConfigErrorKind::UnknownType);
     }
     // A timeout of 0 makes it invalid.
     if route.timeout_ms == 0 {
-        return Err(Flaw::TimeoutZero);
+        return Err(ConfigErrorKind::TimeoutZero);
     }
     // A route that names an unknown service makes it invalid, also beside a good split.
     let single = route.service.as_deref().filter(|service| !service.is_empty());
     let parts = route.traffic_split.iter().map(|part| part.service.as_str());
     if let Some(service) = single.into_iter().chain(parts).find(|service| !services.contains(service)) {
-        return Err(Flaw::UnknownService { service: service.into() });
+        return Err(ConfigErrorKind::UnknownService { service: service.into() });
     }
     // Requests go to an engine of the route's service, so it has one.
     if single.is_none() && route.traffic_split.is_empty() {
-        return Err(Flaw::NoService);
+        return Err(ConfigErrorKind::NoService);
     }
     // Weights that sum to 0 make it invalid.
     if !route.traffic_split.is_empty() && route.traffic_split.iter().all(|part| part.weight == 0) {
-        return Err(Flaw::WeightsZero);
+        return Err(ConfigErrorKind::WeightsZero);
     }
     Ok(())
 }
@@ -104,19 +104,19 @@
         let fail = fail(Item::Tenant, &tenant.name);
         name("tenant_table", index, &tenant.name)?;
         if !names.insert(tenant.name.as_str()) {
-            return Err(fail(Flaw::NameUsedTwice));
+            return Err(fail(ConfigErrorKind::NameUsedTwice));
         }
         not_negative([("rate_per_s", tenant.rate_per_s), ("burst_size", tenant.burst_size)].into_iter())
             .map_err(&fail)?;
         for key in &tenant.api_keys {
             // A request must carry a key, and nothing is none.
             if key.is_empty() {
-                return Err(fail(Flaw::EmptyKey));
+                return Err(fail(ConfigErrorKind::EmptyKey));
             }
             // Two tenants that share a key make it invalid; one may list a key twice.
             let other = owners.insert(key, &tenant.name);
             if let Some(other) = other.filter(|other| *other != tenant.name) {
-                return Err(fail(Flaw::SharedKey { other: other.into() }));
+                return Err(fail(ConfigErrorKind::SharedKey { other: other.into() }));
             }
         }
     }
@@ -127,19 +127,19 @@
 fn name(table: &str, index: usize, name: &str) -> Result<(), ConfigError> {
     if name.is_empty() {
         let item = Item::Entry { table: table.into(), index };
-        return Err(ConfigError { item, flaw: Flaw::Missing { field: "name" } });
+        return Err(ConfigError { item, flaw: ConfigErrorKind::Missing { field: "name" } });
     }
     Ok(())
 }
 
 /// Rates, times and sizes: less than none of them cannot be served.
-fn not_negative(mut numbers: impl Iterator<Item = (&'static str, f64)>) -> Result<(), Flaw> {
+fn not_negative(mut numbers: impl Iterator<Item = (&'static str, f64)>) -> Result<(), ConfigErrorKind> {
     match numbers.find(|(_, number)| *number < 0.0) {
-        Some((field, _)) => Err(Flaw::Not { field, expected: "a number from 0" }),
+        Some((field, _)) => Err(ConfigErrorKind::Not { field, expected: "a number from 0" }),
         None => Ok(()),
     }
 }
 
-fn fail<'a>(item: fn(String) -> Item, name: &'a str) -> impl Fn(Flaw) -> ConfigError + 'a {
+fn fail<'a>(item: fn(String) -> Item, name: &'a str) -> impl Fn(ConfigErrorKind) -> ConfigError + 'a {
     move |flaw| ConfigError { item: item(name.into()), flaw }
 }
--- a/protocol/src/config/checked.rs
+++ b/protocol/src/config/checked.rs
@@ -1,7 +1,7 @@
 //! A configuration as text and as a value, which always agree: the one form in which it is judged, stored and delivered.
 
 use super::decode::{self, Strictness};
-use super::error::{ConfigError, Flaw, Item};
+use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::model::Config;
 use super::patch::Patch;
 use super::{apply, check, json, LONGEST_TEXT};
@@ -67,7 +67,7 @@
 
 fn bounded(text: &str) -> Result<(), ConfigError> {
     if text.len() > LONGEST_TEXT {
-        return Err(ConfigError { item: Item::Body, flaw: Flaw::TooLong { bytes: text.len() } });
+        return Err(ConfigError { item: Item::Body, flaw: ConfigErrorKind::TooLong { bytes: text.len() } });
     }
     Ok(())
 }
--- a/protocol/src/config/decode.rs
+++ b/protocol/src/config/decode.rs
@@ -3,7 +3,7 @@
 //! A field that is null counts as one that is not there; fields that are not known are passed over, as later versions of
 //! the protocol may have more. Numbers beyond what a type holds are held as its largest where no request can tell.
 
-use super::error::{ConfigError, Flaw, Item};
+use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::host;
 use super::json::{Json, Number};
 use super::model::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
@@ -41,7 +41,7 @@
             _ => {}
         }
     }
-    let missing = |field| ConfigError { item: Item::Body, flaw: Flaw::Missing { field } };
+    let missing = |field| ConfigError { item: Item::Body, flaw: ConfigErrorKind::Missing { field } };
     if strictness == Strictness::Operator && routes.is_none() {
         return Err(missing(ROUTES));
     }
@@ -215,12 +215,12 @@
         read(name, value).map_err(|Mismatch(expected)| {
             // Only fields that are read can fail.
             let field = FIELDS.iter().find(|known| **known == name).copied().unwrap_or("a field");
-            ConfigError { item: item.clone(), flaw: Flaw::Not { field, expected } }
+            ConfigError { item: item.clone(), flaw: ConfigErrorKind::Not { field, expected } }
         })?;
     }
     Ok(())
 }
 
 pub fn not_a(item: Item, expected: &'static str) -> ConfigError {
-    ConfigError { item, flaw: Flaw::NotA { expected } }
+    ConfigError { item, flaw: ConfigErrorKind::NotA { expected } }
 }
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     pub item: Item,
-    pub flaw: Flaw,
+    pub flaw: ConfigErrorKind,
 }
 
 /// What an error is about.
@@ -44,7 +44,7 @@
 
 /// What is wrong with an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum ConfigErrorKind {
     Syntax {
         syntax: Syntax,
         line: usize,
@@ -95,13 +95,13 @@
 impl ConfigError {
     /// A change of named items came before the first configuration.
     pub fn nothing_to_change() -> ConfigError {
-        ConfigError { item: Item::Body, flaw: Flaw::NothingToChange }
+        ConfigError { item: Item::Body, flaw: ConfigErrorKind::NothingToChange }
     }
 
     /// The status of the answer to whoever sent it.
     pub fn status(&self) -> u16 {
         match self.flaw {
-            Flaw::TooLong { .. } | Flaw::TooManyValues => 413,
+            ConfigErrorKind::TooLong { .. } | ConfigErrorKind::TooManyValues => 413,
             _ => 400,
         }
     }
@@ -136,29 +136,31 @@
     }
 }
 
-impl std::fmt::Display for Flaw {
+impl std::fmt::Display for ConfigErrorKind {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Flaw::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
-            Flaw::TooDeep => out.write_str("nested too deep"),
-            Flaw::TooManyValues => out.write_str("too many values"),
-            Flaw::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", LONGEST_TEXT),
-            Flaw::Doubled => out.write_str("is there twice"),
-            Flaw::Missing { field } => write!(out, "{field} missing"),
-            Flaw::Not { field, expected } => write!(out, "{field} is not {expected}"),
-            Flaw::NotA { expected } => write!(out, "not {expected}"),
-            Flaw::NameUsedTwice => out.write_str("name used twice"),
-            Flaw::NoSlashes => out.write_str("path_prefix does not begin and end with a slash"),
-            Flaw::UnknownType => out.write_str("route_type unknown"),
-            Flaw::TimeoutZero => out.write_str("timeout_ms is 0"),
-            Flaw::SamePlace { other } => write!(out, "hostname and path_prefix are those of `{}`", shown(other)),
-            Flaw::NoService => out.write_str("no service"),
-            Flaw::UnknownService { service } => write!(out, "unknown service `{}`", shown(service)),
-            Flaw::WeightsZero => out.write_str("weights sum to 0"),
-            Flaw::SharedKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
-            Flaw::EmptyKey => out.write_str("an empty key"),
-            Flaw::RevisionZero => out.write_str("missing or 0"),
-            Flaw::NothingToChange => out.write_str("no configuration to change"),
+            ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
+            ConfigErrorKind::TooDeep => out.write_str("nested too deep"),
+            ConfigErrorKind::TooManyValues => out.write_str("too many values"),
+            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", LONGEST_TEXT),
+            ConfigErrorKind::Doubled => out.write_str("is there twice"),
+            ConfigErrorKind::Missing { field } => write!(out, "{field} missing"),
+            ConfigErrorKind::Not { field, expected } => write!(out, "{field} is not {expected}"),
+            ConfigErrorKind::NotA { expected } => write!(out, "not {expected}"),
+            ConfigErrorKind::NameUsedTwice => out.write_str("name used twice"),
+            ConfigErrorKind::NoSlashes => out.write_str("path_prefix does not begin and end with a slash"),
+            ConfigErrorKind::UnknownType => out.write_str("route_type unknown"),
+            ConfigErrorKind::TimeoutZero => out.write_str("timeout_ms is 0"),
+            ConfigErrorKind::SamePlace { other } => {
+                write!(out, "hostname and path_prefix are those of `{}`", shown(other))
+            }
+            ConfigErrorKind::NoService => out.write_str("no service"),
+            ConfigErrorKind::UnknownService { service } => write!(out, "unknown service `{}`", shown(service)),
+            ConfigErrorKind::WeightsZero => out.write_str("weights sum to 0"),
+            ConfigErrorKind::SharedKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
+            ConfigErrorKind::EmptyKey => out.write_str("an empty key"),
+            ConfigErrorKind::RevisionZero => out.write_str("missing or 0"),
+            ConfigErrorKind::NothingToChange => out.write_str("no configuration to change"),
         }
     }
 }
--- a/protocol/src/config/json.rs
+++ b/protocol/src/config/json.rs
@@ -9,7 +9,7 @@
 use serde::de::{self, DeserializeSeed, MapAccess, SeqAccess, Visitor};
 use serde_json::de::StrRead;
 
-use super::error::{ConfigError, Flaw, Item, Syntax};
+use super::error::{ConfigError, ConfigErrorKind, Item, Syntax};
 use super::values::FIELDS;
 
 /// How deep objects and lists may be nested: far more than any configuration, and far less than a stack holds.
@@ -45,7 +45,7 @@
     let (value, mut rest) = parse_first(text)?;
     rest.end().map_err(|error| syntax(Syntax::Trailing, &error))?;
     match doubled(&value) {
-        Some(path) => Err(ConfigError { item: Item::Field(path), flaw: Flaw::Doubled }),
+        Some(path) => Err(ConfigError { item: Item::Field(path), flaw: ConfigErrorKind::Doubled }),
         None => Ok(value),
     }
 }
@@ -63,8 +63,10 @@
     let seed = Seed { bounds: &bounds, depth: 0 };
     match DeserializeSeed::deserialize(seed, &mut deserializer) {
         Ok(value) => Ok((value, deserializer)),
-        Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, flaw: Flaw::TooDeep }),
-        Err(_) if bounds.values.get() == 0 => Err(ConfigError { item: Item::Body, flaw: Flaw::TooManyValues }),
+        Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, flaw: ConfigErrorKind::TooDeep }),
+        Err(_) if bounds.values.get() == 0 => {
+            Err(ConfigError { item: Item::Body, flaw: ConfigErrorKind::TooManyValues })
+        }
         Err(error) if error.is_eof() => Err(syntax(Syntax::CutShort, &error)),
         Err(error) => Err(syntax(Syntax::Malformed, &error)),
     }
@@ -72,7 +74,7 @@
 
 /// The words of the parser may hold a piece of the text, so only the place is kept of them.
 fn syntax(syntax: Syntax, error: &serde_json::Error) -> ConfigError {
-    let flaw = Flaw::Syntax { syntax, line: error.line(), column: error.column() };
+    let flaw = ConfigErrorKind::Syntax { syntax, line: error.line(), column: error.column() };
     ConfigError { item: Item::Body, flaw }
 }
 
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -4,13 +4,13 @@
 
 use super::samples::{good, refused, refused_text, taken};
 use super::values::LONGEST_MS;
-use super::{read, ConfigError, Flaw, Item, Limits, Syntax, LONGEST_TEXT};
+use super::{read, ConfigError, ConfigErrorKind, Item, Limits, Syntax, LONGEST_TEXT};
 
 #[test]
 fn a_text_is_one_json_value_and_nothing_else() {
     let text = good().to_string();
     let syntax = |text: &str| match refused_text(text).flaw {
-        Flaw::Syntax { syntax, .. } => syntax,
+        ConfigErrorKind::Syntax { syntax, .. } => syntax,
         other => panic!("{other:?}"),
     };
     for cut in 0..text.len() {
@@ -36,11 +36,11 @@
     ];
     for (from, to, path) in cases {
         let error = refused_text(&text.replacen(from, to, 1));
-        assert_eq!(error, ConfigError { item: Item::Field(path.into()), flaw: Flaw::Doubled });
+        assert_eq!(error, ConfigError { item: Item::Field(path.into()), flaw: ConfigErrorKind::Doubled });
     }
     let many: Vec<String> = (0..60).map(|at| format!("\"f{}\":1", at % 59)).collect();
     let error = refused_text(&text.replacen("\"new\":1", &format!("\"new\":{{{}}}", many.join(",")), 1));
-    assert_eq!(error.flaw, Flaw::Doubled);
+    assert_eq!(error.flaw, ConfigErrorKind::Doubled);
 }
 
 #[test]
@@ -111,12 +111,12 @@
     let with = |piece: &str| good().to_string().replacen("\"new\":1", &format!("\"new\":{piece}"), 1);
     for (open, close) in [("[", "]"), ("{\"a\":", "}")] {
         let deep = with(&format!("{}1{}", open.repeat(200_000), close.repeat(200_000)));
-        assert_eq!(refused_text(&deep).flaw, Flaw::TooDeep);
-        assert_eq!(refused_text(&with(&open.repeat(200_000))).flaw, Flaw::TooDeep);
+        assert_eq!(refused_text(&deep).flaw, ConfigErrorKind::TooDeep);
+        assert_eq!(refused_text(&with(&open.repeat(200_000))).flaw, ConfigErrorKind::TooDeep);
         assert!(read(&with(&format!("{}1{}", open.repeat(50), close.repeat(50)))).is_ok());
     }
     let error = refused_text(&with(&format!("[{}0]", "0,".repeat(1_100_000))));
-    assert_eq!((error.status(), error.flaw), (413, Flaw::TooManyValues));
+    assert_eq!((error.status(), error.flaw), (413, ConfigErrorKind::TooManyValues));
     let long = with(&format!("\"{}\"", "x".repeat(LONGEST_TEXT)));
     assert_eq!(refused_text(&long).status(), 413);
 }
--- a/protocol/src/config/patch.rs
+++ b/protocol/src/config/patch.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use super::decode::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
-use super::error::{ConfigError, Flaw, Item};
+use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::json::{self, Json};
 use super::merge::{raw_items, RawObject};
 use super::model::{Route, Service, Tenant};
@@ -104,10 +104,10 @@
             let entry = || Item::Entry { table: path(UPSERT, table), index };
             let Json::Object(fields) = item else { return Err(decode::not_a(entry(), "an object")) };
             let Some(name) = decode::name(fields) else {
-                return Err(ConfigError { item: entry(), flaw: Flaw::Missing { field: "name" } });
+                return Err(ConfigError { item: entry(), flaw: ConfigErrorKind::Missing { field: "name" } });
             };
             if !names.insert(name) {
-                return Err(ConfigError { item: entry(), flaw: Flaw::NameUsedTwice });
+                return Err(ConfigError { item: entry(), flaw: ConfigErrorKind::NameUsedTwice });
             }
             self.table(table).upserts.push((name.into(), raw.get().into()));
         }
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 
 use super::samples::{good, KEY};
-use super::{Checked, ConfigError, Flaw, Limits, Patch, LONGEST_TEXT};
+use super::{Checked, ConfigError, ConfigErrorKind, Limits, Patch, LONGEST_TEXT};
 
 fn base() -> Checked {
     Checked::read(&good().to_string()).expect("good")
@@ -170,7 +170,7 @@
     let mut item = route("r-3", "/");
     item["later"] = "x".repeat(LONGEST_TEXT - 200).into();
     let error = result(&json!({"revision": 9, "upsert": {"route_table": [item]}})).expect_err("too long");
-    assert!(matches!(error.flaw, Flaw::TooLong { .. }) && error.status() == 413);
+    assert!(matches!(error.flaw, ConfigErrorKind::TooLong { .. }) && error.status() == 413);
 }
 
 /// Tables that an earlier version let be missing are there afterwards.
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -4,7 +4,7 @@
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
-use crate::msg::Msg;
+use crate::message::Message;
 
 pub const OLDEST: u16 = 1;
 pub const NEWEST: u16 = 1;
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum FrameError {
     Mark,
     Stamp(u16),
     Kind(u16),
@@ -37,16 +37,16 @@
     Body,
 }
 
-impl std::fmt::Display for Flaw {
+impl std::fmt::Display for FrameError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(out, "{self:?}")
     }
 }
 
-pub fn seal(kind: Kind, id: u64, msg: &Msg) -> Result<Vec<u8>, Flaw> {
-    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| Flaw::Body)?;
+pub fn seal(kind: Kind, id: u64, msg: &Message) -> Result<Vec<u8>, FrameError> {
+    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| FrameError::Body)?;
     if body.len() > MOST {
-        return Err(Flaw::Long(body.len()));
+        return Err(FrameError::Long(body.len()));
     }
     let mut out = Vec::with_capacity(HEAD + body.len());
     let word: u16 = match kind {
@@ -63,34 +63,34 @@
     Ok(out)
 }
 
-pub fn head(bytes: &[u8; HEAD]) -> Result<Head, Flaw> {
+pub fn head(bytes: &[u8; HEAD]) -> Result<Head, FrameError> {
     if bytes[..4] != MARK.to_le_bytes() {
-        return Err(Flaw::Mark);
+        return Err(FrameError::Mark);
     }
     let version = u16::from_le_bytes([bytes[4], bytes[5]]);
     if !(OLDEST..=NEWEST).contains(&version) {
-        return Err(Flaw::Stamp(version));
+        return Err(FrameError::Stamp(version));
     }
     let kind = match u16::from_le_bytes([bytes[6], bytes[7]]) {
         1 => Kind::Ask,
         2 => Kind::Reply,
         3 => Kind::Cast,
-        other => return Err(Flaw::Kind(other)),
+        other => return Err(FrameError::Kind(other)),
     };
     let mut id = [0; 8];
     id.copy_from_slice(&bytes[8..16]);
     let len = u32::from_le_bytes([bytes[16], bytes[17], bytes[18], bytes[19]]) as usize;
     if len > MOST {
-        return Err(Flaw::Long(len));
+        return Err(FrameError::Long(len));
     }
     Ok(Head { version, kind, id: u64::from_le_bytes(id), len })
 }
 
 /// Validates and reads a body.
-pub fn open(body: &[u8]) -> Result<Msg, Flaw> {
+pub fn open(body: &[u8]) -> Result<Message, FrameError> {
     let mut room = AlignedVec::<16>::with_capacity(body.len());
     room.extend_from_slice(body);
-    rkyv::from_bytes::<Msg, rancor::Error>(&room).map_err(|_| Flaw::Body)
+    rkyv::from_bytes::<Message, rancor::Error>(&room).map_err(|_| FrameError::Body)
 }
 
 #[cfg(test)]
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -1,11 +1,11 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use super::{head, open, seal, Flaw, Kind, HEAD, NEWEST};
-use crate::msg;
+use super::{head, open, seal, FrameError, Kind, HEAD, NEWEST};
+use crate::message;
 
-fn sample() -> msg::Msg {
-    msg::Msg::Query(Box::new((3, vec![1, 2, 3])))
+fn sample() -> message::Message {
+    message::Message::OwnerQuery(Box::new((3, vec![1, 2, 3])))
 }
 
 fn split(frame: &[u8]) -> ([u8; HEAD], &[u8]) {
@@ -29,14 +29,14 @@
     let (good, body) = split(&frame);
     let mut bad = good;
     bad[0] ^= 1;
-    assert_eq!(head(&bad), Err(Flaw::Mark));
+    assert_eq!(head(&bad), Err(FrameError::Mark));
     let mut new = good;
     new[4..6].copy_from_slice(&(NEWEST + 1).to_le_bytes());
-    assert_eq!(head(&new), Err(Flaw::Stamp(NEWEST + 1)));
+    assert_eq!(head(&new), Err(FrameError::Stamp(NEWEST + 1)));
     let mut long = good;
     long[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(head(&long), Err(Flaw::Long(u32::MAX as usize)));
-    assert_eq!(open(&body[..body.len() - 1]), Err(Flaw::Body));
+    assert_eq!(head(&long), Err(FrameError::Long(u32::MAX as usize)));
+    assert_eq!(open(&body[..body.len() - 1]), Err(FrameError::Body));
     for at in 0..body.len() {
         let mut torn = body.to_vec();
         torn[at] ^= 0xff;
@@ -46,10 +46,13 @@
 }
 
 /// One message of each kind that version 1 sent, as it stood on the wire.
-fn first_version() -> Vec<msg::Msg> {
-    use crate::msg::{Ask, Ballot, Core, Engine, Entry, Member, Msg, News, Poll, Sheet, Vote};
-    let ballot = Ballot { turn: 3, seat: 9 };
-    let core = Core {
+fn first_version() -> Vec<message::Message> {
+    use crate::message::{
+        ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, Entry, Member,
+        Message, ProposalNumber, StateUpdate,
+    };
+    let ballot = ProposalNumber { turn: 3, seat: 9 };
+    let core = CoreMembership {
         version: 2,
         list: vec![Member { ip: "10.0.0.1".into(), zone: "a".into() }],
         prev: vec![],
@@ -67,20 +70,23 @@
         up: true,
         cold_ms: 5,
     };
-    let sheet = Sheet { zone: "a".into(), turn: 1, count: 2, list: vec![engine] };
+    let sheet = EndpointList { zone: "a".into(), turn: 1, count: 2, list: vec![engine] };
     vec![
-        Msg::Poll(Box::new(Poll { core: core.clone(), ask: Ask::Accept { key: "k".into(), entry: entry.clone() } })),
-        Msg::Vote(Box::new(Vote::Promise { entry: Some(entry.clone()) })),
-        Msg::Sheet(Box::new(sheet.clone())),
-        Msg::News(Box::new(News {
+        Message::ConsensusRequest(Box::new(ConsensusRequest {
+            core: core.clone(),
+            ask: ConsensusOperation::Accept { key: "k".into(), entry: entry.clone() },
+        })),
+        Message::ConsensusResponse(Box::new(ConsensusResponse::Prepared { entry: Some(entry.clone()) })),
+        Message::EndpointList(Box::new(sheet.clone())),
+        Message::StateUpdate(Box::new(StateUpdate {
             sure: true,
             config: Some((7, b"{}".to_vec())),
             sheets: vec![sheet],
-            ..News::default()
+            ..StateUpdate::default()
         })),
-        Msg::Query(Box::new((1, vec![5, 6]))),
-        Msg::Learn(Box::new(("k".into(), entry))),
-        Msg::Doubt(Box::new(("i-1".into(), true))),
+        Message::OwnerQuery(Box::new((1, vec![5, 6]))),
+        Message::Committed(Box::new(("k".into(), entry))),
+        Message::SuspectEngine(Box::new(("i-1".into(), true))),
     ]
 }
 
--- a/protocol/src/link.rs
+++ b/protocol/src/link.rs
@@ -13,32 +13,32 @@
 use tokio::time;
 
 use crate::frame::{self, Head, Kind, HEAD};
-use crate::msg::Msg;
-use crate::sock::{self, SILENCE_MS};
+use crate::message::Message;
+use crate::socket::{self, SILENCE_MS};
 
-type Waits = HashMap<u64, oneshot::Sender<Msg>>;
+type Waits = HashMap<u64, oneshot::Sender<Message>>;
 
 const BUFFER: usize = 512;
 
 /// The calling side. Invariant: `waits` holds only calls whose frame was handed to the connection
 /// that is up; when it breaks they all fail at once.
-pub struct Caller {
+pub struct PeerClient {
     addr: String,
     send: mpsc::Sender<Job>,
 }
 
 struct Job {
     kind: Kind,
-    msg: Msg,
-    back: Option<oneshot::Sender<Msg>>,
+    msg: Message,
+    back: Option<oneshot::Sender<Message>>,
 }
 
-impl Caller {
+impl PeerClient {
     /// Casts that come from the other side go to `news`.
-    pub fn start(addr: String, news: Option<mpsc::Sender<Msg>>) -> Self {
+    pub fn start(addr: String, news: Option<mpsc::Sender<Message>>) -> Self {
         let (send, jobs) = mpsc::channel(BUFFER);
         tokio::spawn(run(addr.clone(), jobs, news));
-        Caller { addr, send }
+        PeerClient { addr, send }
     }
 
     pub fn addr(&self) -> &str {
@@ -47,7 +47,7 @@
 
     /// None: no answer within `wait_ms`, for whatever cause; it may have been acted on, and is not sent any more
     /// if it was not yet.
-    pub async fn call(&self, msg: Msg, wait_ms: u64) -> Option<Msg> {
+    pub async fn call(&self, msg: Message, wait_ms: u64) -> Option<Message> {
         let (back, reply) = oneshot::channel();
         let job = Job { kind: Kind::Ask, msg, back: Some(back) };
         self.send.try_send(job).ok()?;
@@ -56,12 +56,12 @@
     }
 
     /// False: dropped here, before it was sent.
-    pub fn cast(&self, msg: Msg) -> bool {
+    pub fn cast(&self, msg: Message) -> bool {
         self.send.try_send(Job { kind: Kind::Cast, msg, back: None }).is_ok()
     }
 }
 
-async fn run(addr: String, mut jobs: Receiver<Job>, news: Option<mpsc::Sender<Msg>>) {
+async fn run(addr: String, mut jobs: Receiver<Job>, news: Option<mpsc::Sender<Message>>) {
     let mut first: Option<Job> = None;
     let mut pause = 50;
     loop {
@@ -69,7 +69,7 @@
             let Some(job) = jobs.recv().await else { return };
             first = Some(job);
         }
-        let Ok(stream) = sock::dial(&addr, 500, SILENCE_MS).await else {
+        let Ok(stream) = socket::dial(&addr, 500, SILENCE_MS).await else {
             first = None;
             while jobs.try_recv().is_ok() {}
             time::sleep(Duration::from_millis(pause)).await;
@@ -88,7 +88,7 @@
     stream: TcpStream,
     mut first: Option<Job>,
     jobs: &mut Receiver<Job>,
-    news: &Option<mpsc::Sender<Msg>>,
+    news: &Option<mpsc::Sender<Message>>,
 ) -> Option<()> {
     let (mut read, mut write) = stream.into_split();
     let waits = Arc::new(Mutex::new(Waits::new()));
@@ -151,7 +151,7 @@
     time::timeout(wait, write.write_all(frame)).await.ok()?.ok()
 }
 
-async fn take(read: &mut OwnedReadHalf) -> Option<(Head, Msg)> {
+async fn take(read: &mut OwnedReadHalf) -> Option<(Head, Message)> {
     use tokio::io::AsyncReadExt;
     let mut head = [0; HEAD];
     read.read_exact(&mut head).await.ok()?;
@@ -165,26 +165,26 @@
 
 /// How a handler answers or pushes on the connection it was called from.
 #[derive(Clone)]
-pub struct Mouth {
+pub struct Responder {
     out: mpsc::Sender<Bytes>,
 }
 
-impl Mouth {
+impl Responder {
     /// One whose frames are taken from the other end of `out`.
-    pub fn new(out: mpsc::Sender<Bytes>) -> Mouth {
-        Mouth { out }
+    pub fn new(out: mpsc::Sender<Bytes>) -> Responder {
+        Responder { out }
     }
 
     /// False: the other side does not read, or is gone.
-    pub fn cast(&self, msg: &Msg) -> bool {
+    pub fn cast(&self, msg: &Message) -> bool {
         self.put(Kind::Cast, 0, msg)
     }
 
-    pub fn reply(&self, id: u64, msg: &Msg) -> bool {
+    pub fn reply(&self, id: u64, msg: &Message) -> bool {
         self.put(Kind::Reply, id, msg)
     }
 
-    fn put(&self, kind: Kind, id: u64, msg: &Msg) -> bool {
+    fn put(&self, kind: Kind, id: u64, msg: &Message) -> bool {
         let Ok(frame) = frame::seal(kind, id, msg) else { return false };
         self.cast_frame(frame.into())
     }
@@ -199,7 +199,7 @@
     }
 }
 
-pub type Handler = Arc<dyn Fn(Mouth, u64, Msg) + Send + Sync>;
+pub type Handler = Arc<dyn Fn(Responder, u64, Message) + Send + Sync>;
 
 pub async fn serve(listener: TcpListener, handler: Handler) {
     loop {
@@ -207,12 +207,12 @@
             time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        sock::tune(&stream, SILENCE_MS);
+        socket::tune(&stream, SILENCE_MS);
         let handler = handler.clone();
         tokio::spawn(async move {
             let (mut read, mut write) = stream.into_split();
             let (out, mut queue) = mpsc::channel::<Bytes>(BUFFER);
-            let mouth = Mouth::new(out);
+            let mouth = Responder::new(out);
             let writer = tokio::spawn(async move {
                 while let Some(frame) = queue.recv().await {
                     if put(&mut write, &frame).await.is_none() {
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -4,13 +4,13 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{serve, take, Caller, Handler};
+use super::{serve, take, Handler, PeerClient};
 use crate::frame::{self, Kind, HEAD, NEWEST};
-use crate::msg::Msg;
-use crate::sock;
+use crate::message::Message;
+use crate::socket;
 
 async fn echo() -> String {
-    let listener = sock::listen("127.0.0.1:0").expect("a port");
+    let listener = socket::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
     let handler: Handler = Arc::new(|mouth, id, msg| {
         mouth.reply(id, &msg);
@@ -21,8 +21,8 @@
 
 #[tokio::test]
 async fn calls_are_answered_and_casts_are_not() {
-    let caller = Caller::start(echo().await, None);
-    let msg = Msg::Query(Box::new((1, vec![2])));
+    let caller = PeerClient::start(echo().await, None);
+    let msg = Message::OwnerQuery(Box::new((1, vec![2])));
     assert!(caller.cast(msg.clone()));
     assert_eq!(caller.call(msg.clone(), 5000).await, Some(msg));
 }
@@ -30,8 +30,8 @@
 #[tokio::test]
 async fn a_malformed_or_too_new_message_costs_its_sender_the_connection_only() {
     let addr = echo().await;
-    let good = Caller::start(addr.clone(), None);
-    let msg = Msg::Query(Box::new((1, vec![2])));
+    let good = PeerClient::start(addr.clone(), None);
+    let msg = Message::OwnerQuery(Box::new((1, vec![2])));
     assert!(good.call(msg.clone(), 5000).await.is_some());
     let frame = frame::seal(Kind::Ask, 1, &msg).expect("sealed");
     let mut newer = frame.clone();
@@ -50,22 +50,22 @@
     assert!(good.call(msg, 5000).await.is_some(), "others feel nothing");
 }
 
-fn query(number: u64) -> Msg {
-    Msg::Query(Box::new((number, Vec::new())))
+fn query(number: u64) -> Message {
+    Message::OwnerQuery(Box::new((number, Vec::new())))
 }
 
 /// A caller and the listener that it calls.
-async fn pair() -> (Caller, TcpListener) {
-    let listener = sock::listen("127.0.0.1:0").expect("a port");
+async fn pair() -> (PeerClient, TcpListener) {
+    let listener = socket::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
-    (Caller::start(addr, None), listener)
+    (PeerClient::start(addr, None), listener)
 }
 
 async fn accept(listener: &TcpListener) -> (OwnedReadHalf, OwnedWriteHalf) {
     listener.accept().await.expect("a caller").0.into_split()
 }
 
-async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Msg) {
+async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Message) {
     let frame = frame::seal(Kind::Reply, id, msg).expect("sealed");
     write.write_all(&frame).await.expect("written");
 }
@@ -115,7 +115,7 @@
 async fn a_call_given_up_before_it_was_sent_is_never_sent() {
     let (caller, listener) = pair().await;
     // More than sockets take in while nobody reads: what follows waits here.
-    let large = Msg::Query(Box::new((0, vec![7; 1_400_000])));
+    let large = Message::OwnerQuery(Box::new((0, vec![7; 1_400_000])));
     assert!(caller.cast(large.clone()));
     assert_eq!(caller.call(query(1), 1).await, None);
     assert!(caller.cast(query(2)));
--- a/protocol/src/msg.rs
+++ b/protocol/src/message.rs
@@ -1,33 +1,33 @@
 //! Messages between our own daemons. Every variant holds a box, so a new one never moves the others.
 
-use crate::order::{Advance, Order, OrderResult};
-use crate::quota::{ShardHolder, ShardUsage, Spend, Spent};
-use crate::renewal::Renewed;
+use crate::operator_request::{CommittedDelta, OperatorRequest, OperatorResponse};
+use crate::quota::{ShardOwner, ShardUsage, TokenRequest, TokenResponse};
+use crate::renewal::SubscriptionRenewed;
 use crate::version_rollout::{Samples, VersionRollout};
 
 pub use crate::capability::*;
-pub use crate::rollout::{Rule, Versions, ROLLOUT};
-pub use crate::seek::{Note, Pressure, Seek, Sought};
+pub use crate::prefix_lookup::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration};
+pub use crate::staleness_limit::{StalenessLimit, WeightVersions, ROLLOUT};
 
 /// A ledger position: rises with each take-over (`turn`, ties by `seat`) and each change (`step`).
 /// Invariant: one owner acts under one (`turn`, `seat`); `step` restarts at 0 with each of them.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
-pub struct Ballot {
+pub struct ProposalNumber {
     pub turn: u64,
     pub seat: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Entry {
-    pub ballot: Ballot,
+    pub ballot: ProposalNumber,
     pub step: u64,
     pub body: Vec<u8>,
 }
 
 impl Entry {
-    pub fn place(&self) -> (Ballot, u64) {
+    pub fn place(&self) -> (ProposalNumber, u64) {
         (self.ballot, self.step)
     }
 }
@@ -41,7 +41,7 @@
 /// The core. Invariants: `version` rises by one a change; a change is made only from a settled core;
 /// until it is settled, `prev` are the members before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Core {
+pub struct CoreMembership {
     pub version: u64,
     pub list: Vec<Member>,
     pub prev: Vec<Member>,
@@ -49,62 +49,62 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Ask {
+pub enum ConsensusOperation {
     Prepare {
         key: String,
-        ballot: Ballot,
+        ballot: ProposalNumber,
     },
     Accept {
         key: String,
         entry: Entry,
     },
     /// The places of all keys, without their bodies.
-    Places,
+    Positions,
     /// All that a voter holds: for a voter that lost its disk.
-    Whole,
+    Snapshot,
     Fetch {
         key: String,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Poll {
+pub struct ConsensusRequest {
     /// A core is only ever sent once it is committed.
-    pub core: Core,
-    pub ask: Ask,
+    pub core: CoreMembership,
+    pub ask: ConsensusOperation,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Slot {
+pub struct RegisterState {
     pub key: String,
-    pub promised: Ballot,
+    pub promised: ProposalNumber,
     pub entry: Option<Entry>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Vote {
-    Promise {
+pub enum ConsensusResponse {
+    Prepared {
         entry: Option<Entry>,
     },
     Accepted,
-    Refused {
-        promised: Ballot,
+    Rejected {
+        promised: ProposalNumber,
     },
-    Places {
-        list: Vec<(String, Ballot, u64)>,
+    Positions {
+        list: Vec<(String, ProposalNumber, u64)>,
     },
-    Whole {
-        slots: Vec<Slot>,
+    Snapshot {
+        slots: Vec<RegisterState>,
     },
     Fetched {
         entry: Option<Entry>,
     },
     /// The asker's core is older than this one.
-    Newer {
-        core: Core,
+    NewerMembership {
+        core: CoreMembership,
     },
     /// Not a voter, or one that must first read the others.
-    Mute,
+    NonVoting,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -114,7 +114,7 @@
     pub life: u64,
     /// It may be made a member of the core.
     pub fit: bool,
-    pub core: Core,
+    pub core: CoreMembership,
     pub peers: Vec<String>,
     /// Routers that hold a lease here.
     pub seats: u32,
@@ -145,7 +145,7 @@
 
 /// The engines of one zone as one poller saw them. Invariant: (`turn`, `count`) never goes back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Sheet {
+pub struct EndpointList {
     pub zone: String,
     pub turn: u64,
     pub count: u64,
@@ -153,7 +153,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Follow {
+pub struct SubscriptionRenewal {
     pub node: String,
     pub zone: String,
     pub life: u64,
@@ -167,13 +167,13 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct News {
+pub struct StateUpdate {
     /// The controller confirmed its versions at a majority a moment ago.
     pub sure: bool,
     pub config: Option<(u64, Vec<u8>)>,
     /// Area, version, whether it is being evacuated.
     pub closed: Vec<(String, u64, bool)>,
-    pub sheets: Vec<Sheet>,
+    pub sheets: Vec<EndpointList>,
     /// How many routers hold a lease: shared bounds are cut into as many slices.
     pub seats: u32,
     pub peers: Vec<String>,
@@ -190,58 +190,58 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Msg {
-    Poll(Box<Poll>),
-    Vote(Box<Vote>),
+pub enum Message {
+    ConsensusRequest(Box<ConsensusRequest>),
+    ConsensusResponse(Box<ConsensusResponse>),
     Gossip(Box<Gossip>),
-    Sheet(Box<Sheet>),
-    Follow(Box<Follow>),
-    News(Box<News>),
+    EndpointList(Box<EndpointList>),
+    SubscriptionRenewal(Box<SubscriptionRenewal>),
+    StateUpdate(Box<StateUpdate>),
     /// The keys of the missing suffix, shortest prefix first.
-    Query(Box<(u64, Vec<u64>)>),
+    OwnerQuery(Box<(u64, Vec<u64>)>),
     /// The catalog's epoch and, for each key asked, the engines that hold it.
-    Found(Box<(u64, Vec<Vec<String>>)>),
-    Register(Box<(u64, Vec<Record>)>),
+    Owners(Box<(u64, Vec<Vec<String>>)>),
+    RegisterOwners(Box<(u64, Vec<Record>)>),
     /// The barrier: answered once all before it was taken, with the number dropped.
     Flush(Box<(u64, u32)>),
     Flushed(Box<(u64, u32)>),
     /// Committed: a key and what it now holds.
-    Learn(Box<(String, Entry)>),
+    Committed(Box<(String, Entry)>),
     /// An engine gave a router no sign of life; true: already passed on by a controller.
-    Doubt(Box<(String, bool)>),
-    No(Box<u16>),
+    SuspectEngine(Box<(String, bool)>),
+    Rejected(Box<u16>),
     /// A configuration, whole or as a change: the bytes of `crate::change::Change`. Since version 2.
-    Change(Box<Vec<u8>>),
+    ConfigUpdate(Box<Vec<u8>>),
     /// As `Query`, and how pressed some engines are. Since version 2.
-    Seek(Box<Seek>),
-    Sought(Box<Sought>),
+    PrefixLookup(Box<PrefixLookup>),
+    PrefixLookupResponse(Box<PrefixLookupResponse>),
     /// As `Register`, and what these engines told of their pressure. Since version 2.
-    Note(Box<Note>),
+    PrefixRegistration(Box<PrefixRegistration>),
     /// A rule on stale weights, newer than what the router told. Since version 2.
-    Rule(Box<Rule>),
+    StalenessLimit(Box<StalenessLimit>),
     /// The weight versions of a zone's engines as its poller saw them. Since version 2.
-    Versions(Box<Versions>),
+    WeightVersions(Box<WeightVersions>),
     /// Have all routers that hold a lease at this controller confirmed a rule? Its key and version. Since version 2.
-    Settle(Box<(String, u64)>),
+    CountConfirmations(Box<(String, u64)>),
     /// Routers that hold a lease, and those of them that confirmed. Since version 2.
-    Settled(Box<(u32, u32)>),
+    ConfirmationCount(Box<(u32, u32)>),
     /// An operator's order, to the controller that is home to its key. Since version 3.
-    Order(Box<Order>),
-    OrderDone(Box<OrderResult>),
+    OperatorRequest(Box<OperatorRequest>),
+    OperatorResponse(Box<OperatorResponse>),
     /// As `Learn`, for those that hold the entry before. Since version 3.
-    Advance(Box<Advance>),
+    CommittedDelta(Box<CommittedDelta>),
     /// The answer to `Follow` for routers that read it. Since version 4.
-    Renewed(Box<Renewed>),
+    SubscriptionRenewed(Box<SubscriptionRenewed>),
     /// A configuration with tenants, whole or as a change: the bytes of `crate::change::Change`. Since version 4.
-    Update(Box<Vec<u8>>),
+    TenantConfigUpdate(Box<Vec<u8>>),
     /// One token of a tenant's limit. Since version 5.
-    Spend(Box<Spend>),
-    Spent(Box<Spent>),
+    TokenRequest(Box<TokenRequest>),
+    TokenResponse(Box<TokenResponse>),
     /// The controllers that may hold shards of tenants' limits, as a controller sees them. Since version 5.
-    Holders(Box<Vec<ShardHolder>>),
+    ShardOwners(Box<Vec<ShardOwner>>),
     /// What have the shards held there given? Since version 5.
-    Usage(Box<u16>),
-    Used(Box<Vec<ShardUsage>>),
+    UsageRequest(Box<u16>),
+    UsageResponse(Box<Vec<ShardUsage>>),
     /// A rollout of a service, newer than what the router told. Since version 5.
     VersionRollout(Box<VersionRollout>),
     /// What routers saw of a rollout. Since version 5.
--- a/protocol/src/order.rs
+++ b/protocol/src/operator_request.rs
@@ -1,10 +1,10 @@
 //! Operators' orders as controllers relay them to the one that is home to their key, and how what became of
 //! them reaches the others.
-use crate::msg::Ballot;
+use crate::message::ProposalNumber;
 
 /// Invariant: no later variant is larger than `Change` in its archived form, or orders of earlier versions would not be read.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Order {
+pub enum OperatorRequest {
     Change(ConfigChange),
     Evacuate {
         zone: String,
@@ -32,26 +32,26 @@
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum OrderResult {
+pub enum OperatorResponse {
     Done,
     /// What the key holds, as it was committed.
     Found {
         body: Vec<u8>,
     },
-    Refused {
+    Rejected {
         status: u16,
         reason: String,
     },
     /// It may have been carried out, or may yet be.
-    Unclear,
+    OutcomeUnknown,
 }
 
 /// A key has a newer committed entry, told to controllers that hold the one before it. Invariant: whoever holds
 /// a body with the digest `before` gets one with the digest `after` by making the change.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Advance {
+pub struct CommittedDelta {
     pub key: String,
-    pub ballot: Ballot,
+    pub ballot: ProposalNumber,
     pub step: u64,
     pub before: u64,
     pub after: u64,
@@ -64,5 +64,5 @@
 }
 
 #[cfg(test)]
-#[path = "order_tests.rs"]
+#[path = "operator_request_tests.rs"]
 mod tests;
--- a/protocol/src/seek.rs
+++ b/protocol/src/prefix_lookup.rs
@@ -1,9 +1,9 @@
 //! What a router asks the catalog for a prompt, and what it tells it.
 
-use crate::msg::Record;
+use crate::message::Record;
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Seek {
+pub struct PrefixLookup {
     pub epoch: u64,
     pub keys: Vec<u64>,
     /// Engines by the hash of their id: a sample, however many there are.
@@ -12,23 +12,23 @@
 
 /// What an engine last told anyone: the hash of its id, requests there, and how many ms ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Pressure {
+pub struct EngineLoad {
     pub name: u64,
     pub load: u32,
     pub age_ms: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Sought {
+pub struct PrefixLookupResponse {
     pub epoch: u64,
     pub owners: Vec<Vec<String>>,
     /// Of the owners and of the sample, as far as known.
-    pub list: Vec<Pressure>,
+    pub list: Vec<EngineLoad>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Note {
+pub struct PrefixRegistration {
     pub epoch: u64,
     pub list: Vec<Record>,
-    pub told: Vec<Pressure>,
+    pub told: Vec<EngineLoad>,
 }
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -2,11 +2,11 @@
 
 use kernel::clock;
 
-use crate::msg;
+use crate::message;
 
 /// A request for one token of a tenant, to a controller that holds a shard of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Spend {
+pub struct TokenRequest {
     /// The tenant's name.
     pub tenant: String,
     /// Its limit in the configuration that the router holds, in thousandths of a request a second.
@@ -15,9 +15,9 @@
     pub burst_milli: u64,
 }
 
-/// The answer to `Spend`.
+/// The answer to `TokenRequest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Spent {
+pub enum TokenResponse {
     /// The request may be sent.
     Granted,
     /// The shard is empty for so long at least.
@@ -31,7 +31,7 @@
 
 /// A controller that may hold shards.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct ShardHolder {
+pub struct ShardOwner {
     /// Its address.
     pub ip: String,
     /// Its zone.
@@ -68,16 +68,16 @@
 
 /// The entry by which a router tells which list of holders it has.
 pub fn told_holders(mark: u64) -> (String, u64, u64) {
-    (msg::hide(HOLDERS), mark, 0)
+    (message::hide(HOLDERS), mark, 0)
 }
 
 /// The key of that entry.
 pub fn holders_key() -> String {
-    msg::hide(HOLDERS)
+    message::hide(HOLDERS)
 }
 
 /// What tells one list of holders from others.
-pub fn holders_mark(list: &[ShardHolder]) -> u64 {
+pub fn holders_mark(list: &[ShardOwner]) -> u64 {
     list.iter().fold(1, |mark, holder| {
         let one = clock::combine_hashes(clock::hash(holder.ip.as_bytes()), clock::hash(holder.zone.as_bytes()));
         clock::combine_hashes(mark, one)
--- a/protocol/src/quota_tests.rs
+++ b/protocol/src/quota_tests.rs
@@ -2,12 +2,12 @@
 
 use std::collections::HashSet;
 
-use super::{from_milli, holders_mark, to_milli, ShardHolder, Spend, Spent};
+use super::{from_milli, holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
 use crate::frame::{self, Kind, HEAD};
-use crate::msg::Msg;
+use crate::message::Message;
 
-fn holder(ip: &str, zone: &str) -> ShardHolder {
-    ShardHolder { ip: ip.into(), zone: zone.into() }
+fn holder(ip: &str, zone: &str) -> ShardOwner {
+    ShardOwner { ip: ip.into(), zone: zone.into() }
 }
 
 #[test]
@@ -29,11 +29,11 @@
 
 #[test]
 fn messages_come_back_as_they_were() {
-    let spend = Spend { tenant: "t".into(), rate_milli: 2500, burst_milli: 9000 };
+    let spend = TokenRequest { tenant: "t".into(), rate_milli: 2500, burst_milli: 9000 };
     let messages = [
-        Msg::Spend(Box::new(spend)),
-        Msg::Spent(Box::new(Spent::Denied { retry_after_ms: 30 })),
-        Msg::Holders(Box::new(vec![holder("10.0.0.1", "a")])),
+        Message::TokenRequest(Box::new(spend)),
+        Message::TokenResponse(Box::new(TokenResponse::Denied { retry_after_ms: 30 })),
+        Message::ShardOwners(Box::new(vec![holder("10.0.0.1", "a")])),
     ];
     for message in messages {
         let frame = frame::seal(Kind::Cast, 0, &message).expect("sealed");
--- a/protocol/src/renewal.rs
+++ b/protocol/src/renewal.rs
@@ -1,6 +1,6 @@
 //! The answer to a router that renews its lease: what is new, and how far it is known to be current.
 
-use crate::msg::News;
+use crate::message::StateUpdate;
 
 /// What a controller knows to be current. Invariant: everything that was acknowledged `age_ms` before this was
 /// written is contained in the configuration `config`, in the evacuations sent so far, or in newer ones.
@@ -12,10 +12,10 @@
     pub config: u64,
 }
 
-/// The answer to `Follow`. Since version 4.
+/// The answer to `SubscriptionRenewal`. Since version 4.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Renewed {
-    pub news: News,
+pub struct SubscriptionRenewed {
+    pub news: StateUpdate,
     /// None: the controller has not confirmed its state since it started.
     pub confirmation: Option<Confirmation>,
     /// The addresses of the members of the core, which confirm without a relay between.
--- a/protocol/src/rollout.rs
+++ b/protocol/src/staleness_limit.rs
@@ -3,7 +3,7 @@
 /// How far behind the trainer's latest weights a replica may fall. Invariants: `version` rises with each
 /// change; the floor goes back only by a rollback, which is counted, or by a wider lag.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Rule {
+pub struct StalenessLimit {
     pub service: String,
     pub model: String,
     pub version: u64,
@@ -17,7 +17,7 @@
     pub reason: String,
 }
 
-impl Rule {
+impl StalenessLimit {
     /// The oldest version that bound work may run on.
     pub fn floor(&self) -> u64 {
         if self.removed {
@@ -32,13 +32,13 @@
     }
 }
 
-kernel::bytes!(Rule);
+kernel::bytes!(StalenessLimit);
 
 pub const ROLLOUT: &str = "rollout/";
 
 /// Invariant: `count` rises with each change that one poller sees; another poller has another `turn`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Versions {
+pub struct WeightVersions {
     pub zone: String,
     pub turn: u64,
     pub count: u64,
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -1,6 +1,6 @@
 //! Bringing in a new version of a service: what is committed of it, and what routers see of it. Since version 5.
 
-use crate::msg;
+use crate::message;
 
 /// The keys of rollouts in the ledger.
 pub const KEY: &str = "versions/";
@@ -112,7 +112,7 @@
 
 /// The name under which a zone's engines of versions that are brought in are listed.
 pub fn candidates_of(zone: &str) -> String {
-    msg::hide(&format!("{CANDIDATES}{zone}"))
+    message::hide(&format!("{CANDIDATES}{zone}"))
 }
 
 /// The zone whose candidates are listed under a name. None: it is a zone's own name.
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -16,7 +16,7 @@
 pub use bucket::{Quota, TokenBucket};
 pub use mint_clock::{MintClock, LEASE_MS, SETTLE_MS, TAKE_OVER_MS};
 pub use placement::{holders, Holder, SHARDS};
-pub use shards::{Shards, TokenDecision, ShardCounters};
+pub use shards::{ShardCounters, Shards, TokenDecision};
 
 #[cfg(test)]
 mod fleet;
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -49,7 +49,10 @@
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(SETTLE_MS + 100, true);
     assert_eq!(controller.spend_all(), 0);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::Denied { retry_after_ms: 100 });
+    assert_eq!(
+        controller.shards.spend("t", QUOTA, controller.now, None),
+        TokenDecision::Denied { retry_after_ms: 100 }
+    );
 }
 
 #[test]
@@ -61,8 +64,12 @@
     let (own, other): (Vec<String>, Vec<String>) =
         (0..50).map(|number| format!("t{number}")).partition(|tenant| held(tenant));
     assert!(!own.is_empty() && !other.is_empty());
-    assert!(own.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::Granted));
-    assert!(other.iter().all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::NotHeld));
+    assert!(own
+        .iter()
+        .all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::Granted));
+    assert!(other
+        .iter()
+        .all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::NotHeld));
 }
 
 #[test]
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -10,7 +10,7 @@
 use http::Response;
 use hyper::body::Incoming;
 use kernel::clock;
-use protocol::word::BUDGET;
+use protocol::headers::BUDGET;
 use tokio::time;
 
 use crate::authorization::{self, Authorization, UnknownKey};
--- a/router/src/authorization.rs
+++ b/router/src/authorization.rs
@@ -4,7 +4,7 @@
 
 use http::header::AUTHORIZATION;
 use http::HeaderMap;
-use protocol::word::TENANT;
+use protocol::headers::TENANT;
 
 use crate::exchange::Exchange;
 use crate::table::{Route, Table};
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -7,7 +7,7 @@
 use kernel::clock;
 use protocol::change::Change;
 use protocol::config::Checked;
-use protocol::msg::Record;
+use protocol::message::Record;
 use tokio::time;
 
 use crate::event::{BAD_CONFIG, CONFIG};
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -10,7 +10,7 @@
 
 use kernel::clock;
 use load_balancing::engine_table::EngineState;
-use protocol::msg::Msg;
+use protocol::message::Message;
 use tokio::time::{self, Instant};
 
 use crate::doubt_pace::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
@@ -107,7 +107,7 @@
 fn tell(state: &State, word: Word) {
     let home = state.home.lock().expect("home").clone();
     if let Some(home) = home {
-        home.cast(Msg::Doubt(Box::new((word.write(), false))));
+        home.cast(Message::SuspectEngine(Box::new((word.write(), false))));
     }
 }
 
--- a/router/src/doubt_probe.rs
+++ b/router/src/doubt_probe.rs
@@ -8,8 +8,8 @@
 use http_body_util::Empty;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use protocol::sock::{self, SILENCE_MS};
-use protocol::word::INSTANCE;
+use protocol::headers::INSTANCE;
+use protocol::socket::{self, SILENCE_MS};
 use tokio::time;
 
 /// How long the answer may take.
@@ -22,7 +22,7 @@
 }
 
 async fn report(addr: &str) -> Option<Option<String>> {
-    let stream = sock::dial(addr, WAIT_MS, SILENCE_MS).await.ok()?;
+    let stream = socket::dial(addr, WAIT_MS, SILENCE_MS).await.ok()?;
     let io = TokioIo::new(stream);
     let (mut link, conn) = http1::handshake(io).await.ok()?;
     tokio::spawn(async move {
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -7,7 +7,7 @@
 
 use kernel::clock;
 use load_balancing::place::{Arm, View};
-use protocol::word::LOAD;
+use protocol::headers::LOAD;
 use tokio::time;
 
 use crate::doubt::{self, SIGN_MS};
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kernel::{clock, settings};
-use protocol::msg::{Msg, News};
+use protocol::message::{Message, StateUpdate};
 use tokio::time;
 
 use crate::event::HOME;
@@ -54,7 +54,7 @@
     fn begin(&mut self, call: &Call, now: u64) {
         let at_home = self.following.home() == Some(&call.controller);
         let standing = follow_absorb::standing(&self.state, at_home);
-        let msg = Msg::Follow(Box::new(standing));
+        let msg = Message::SubscriptionRenewal(Box::new(standing));
         self.links.call(&call.controller, msg, now, call.deadline_ms);
         if at_home {
             // The connection may be a new one.
@@ -69,11 +69,11 @@
         }
     }
 
-    fn take_pushed(&mut self, msg: Msg) {
+    fn take_pushed(&mut self, msg: Message) {
         if self.links.may_have_dropped() {
             self.following.frames_lost(clock::now());
         }
-        if matches!(msg, Msg::Rule(_)) {
+        if matches!(msg, Message::StalenessLimit(_)) {
             // Confirmed at once: somebody waits for it.
             self.following.renew_now();
         }
@@ -83,12 +83,12 @@
     fn take_end(&mut self, end: End) {
         let left = self.following.home().map(str::to_string);
         match end.reply {
-            Some(Msg::Renewed(renewed)) => {
+            Some(Message::SubscriptionRenewed(renewed)) => {
                 self.absorb(renewed.news.clone(), end.sent);
                 let answer = Answer::renewed(&renewed, self.held());
                 self.answered(&end.controller, &answer);
             }
-            Some(Msg::News(news)) => {
+            Some(Message::StateUpdate(news)) => {
                 self.absorb((*news).clone(), end.sent);
                 let answer = Answer::news(&news, self.held());
                 self.answered(&end.controller, &answer);
@@ -109,7 +109,7 @@
         self.state.news.lock().expect("news").config
     }
 
-    fn absorb(&self, news: News, sent: u64) {
+    fn absorb(&self, news: StateUpdate, sent: u64) {
         if news.sure {
             self.state.floors.lock().expect("floors").renew(sent);
         }
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use kernel::clock;
-use protocol::msg::{self, Follow, Msg, News};
+use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal};
 use protocol::quota::told_holders;
 
 use crate::event::{CATALOG, READY};
@@ -18,21 +18,21 @@
 const SEATS_MS: u64 = 10_000;
 
 /// A message that a controller pushed.
-pub fn take(state: &Arc<State>, msg: Msg) {
+pub fn take(state: &Arc<State>, msg: Message) {
     match msg {
-        Msg::News(news) => absorb(state, *news),
-        Msg::Change(body) | Msg::Update(body) => config::change(state, &body),
-        Msg::Holders(list) => state.quota_gate.set_holders(&list),
-        Msg::VersionRollout(rollout) => version_rollouts::take(state, *rollout),
-        Msg::Rule(rule) => fresh::rule(state, &rule),
-        Msg::Versions(list) => fresh::versions(state, &list),
-        Msg::Doubt(doubt) => doubt::hear(state, &doubt.0),
+        Message::StateUpdate(news) => absorb(state, *news),
+        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => config::change(state, &body),
+        Message::ShardOwners(list) => state.quota_gate.set_holders(&list),
+        Message::VersionRollout(rollout) => version_rollouts::take(state, *rollout),
+        Message::StalenessLimit(rule) => fresh::rule(state, &rule),
+        Message::WeightVersions(list) => fresh::versions(state, &list),
+        Message::SuspectEngine(doubt) => doubt::hear(state, &doubt.0),
         _ => {}
     }
 }
 
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
-pub fn standing(state: &State, at_home: bool) -> Follow {
+pub fn standing(state: &State, at_home: bool) -> SubscriptionRenewal {
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
         let engine_table = state.engine_table.lock().expect("engine_table");
         let busy = engine_table
@@ -45,10 +45,10 @@
     let (rules, weights) = fresh::known_versions(state);
     sheets.extend(weights);
     let rollouts = version_rollouts::told(state);
-    sheets.push(msg::told());
+    sheets.push(message::told());
     sheets.push(told_holders(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
-    Follow {
+    SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
         life: state.life,
@@ -83,7 +83,7 @@
 }
 
 /// Takes what is newer; versions never go back.
-pub fn absorb(state: &Arc<State>, news: News) {
+pub fn absorb(state: &Arc<State>, news: StateUpdate) {
     let now = clock::now();
     if let Some((version, text)) = &news.config {
         config::config(state, *version, text);
--- a/router/src/follow_links.rs
+++ b/router/src/follow_links.rs
@@ -4,8 +4,8 @@
 use std::future;
 use std::sync::Arc;
 
-use protocol::link::Caller;
-use protocol::msg::Msg;
+use protocol::link::PeerClient;
+use protocol::message::Message;
 use tokio::sync::mpsc::{self, Receiver, Sender};
 use tokio::task::{AbortHandle, JoinSet};
 
@@ -18,13 +18,13 @@
     /// When the call was begun.
     pub sent: u64,
     /// None: no connection, or no answer in its time.
-    pub reply: Option<Msg>,
+    pub reply: Option<Message>,
     number: u64,
 }
 
 /// A connection. `call` is the one that is under way.
 struct Link {
-    caller: Arc<Caller>,
+    caller: Arc<PeerClient>,
     call: Option<(u64, AbortHandle)>,
 }
 
@@ -42,14 +42,14 @@
     open: BTreeMap<String, Link>,
     calls: JoinSet<End>,
     number: u64,
-    push: Sender<Msg>,
-    pushed: Receiver<Msg>,
+    push: Sender<Message>,
+    pushed: Receiver<Message>,
 }
 
 /// What comes from controllers.
 pub enum Event {
     Ended(End),
-    Pushed(Msg),
+    Pushed(Message),
 }
 
 impl Links {
@@ -59,17 +59,17 @@
     }
 
     /// The connection to a controller; it comes up with its first call.
-    pub fn caller(&mut self, controller: &str) -> Arc<Caller> {
+    pub fn caller(&mut self, controller: &str) -> Arc<PeerClient> {
         let (port, push) = (self.port, &self.push);
         let connect = || {
-            let caller = Caller::start(format!("{controller}:{port}"), Some(push.clone()));
+            let caller = PeerClient::start(format!("{controller}:{port}"), Some(push.clone()));
             Link { caller: Arc::new(caller), call: None }
         };
         self.open.entry(controller.into()).or_insert_with(connect).caller.clone()
     }
 
     /// Begins a call.
-    pub fn call(&mut self, controller: &str, msg: Msg, sent: u64, deadline_ms: u64) {
+    pub fn call(&mut self, controller: &str, msg: Message, sent: u64, deadline_ms: u64) {
         let caller = self.caller(controller);
         self.number += 1;
         let (number, controller) = (self.number, controller.to_string());
--- a/router/src/follow_links_tests.rs
+++ b/router/src/follow_links_tests.rs
@@ -1,5 +1,5 @@
 use protocol::config::{read, Config};
-use protocol::msg::{Follow, Msg};
+use protocol::message::{Message, SubscriptionRenewal};
 use tokio::task;
 
 use super::{Event, Links, PUSHED_MOST};
@@ -10,9 +10,9 @@
     read(&text.to_string()).expect("good")
 }
 
-fn follow() -> Msg {
+fn follow() -> Message {
     let empty = String::new;
-    let follow = Follow {
+    let follow = SubscriptionRenewal {
         node: "edge-1".into(),
         zone: "a".into(),
         life: 1,
@@ -22,7 +22,7 @@
         busy: Vec::new(),
         door: empty(),
     };
-    Msg::Follow(Box::new(follow))
+    Message::SubscriptionRenewal(Box::new(follow))
 }
 
 #[tokio::test]
@@ -30,10 +30,10 @@
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
     links.call(&controllers[0].ip, follow(), 5, 5000);
-    assert!(matches!(links.next().await, Event::Pushed(Msg::Change(_))));
+    assert!(matches!(links.next().await, Event::Pushed(Message::ConfigUpdate(_))));
     let Event::Ended(end) = links.next().await else { panic!("an answer") };
     assert_eq!((end.controller.as_str(), end.sent), ("127.0.0.1", 5));
-    assert!(matches!(end.reply, Some(Msg::Renewed(_))));
+    assert!(matches!(end.reply, Some(Message::SubscriptionRenewed(_))));
 }
 
 #[tokio::test]
@@ -77,7 +77,7 @@
 #[tokio::test]
 async fn a_queue_that_was_full_is_noticed_with_the_first_message_taken() {
     let mut links = Links::new(1);
-    let doubt = Msg::Doubt(Box::new(("i-1".into(), true)));
+    let doubt = Message::SuspectEngine(Box::new(("i-1".into(), true)));
     for _ in 0..PUSHED_MOST / 2 {
         assert!(links.push.try_send(doubt.clone()).is_ok());
     }
--- a/router/src/follow_tests.rs
+++ b/router/src/follow_tests.rs
@@ -8,7 +8,7 @@
 use futures_util::future;
 use kernel::{clock, settings};
 use protocol::config::{read, Config};
-use protocol::msg::{Msg, Rule};
+use protocol::message::{Message, StalenessLimit};
 use tokio::task;
 
 use super::run;
@@ -121,8 +121,8 @@
     ready(&state).await;
     controllers[0].called(controllers[0].calls() + 1).await;
     let begun = Instant::now();
-    let rule = Rule { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
-    controllers[0].push(&Msg::Rule(Box::new(rule)));
+    let rule = StalenessLimit { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
+    controllers[0].push(&Message::StalenessLimit(Box::new(rule)));
     controllers[0].called(controllers[0].calls() + 1).await;
     let took = begun.elapsed().as_millis();
     assert!(took < 350, "{took} ms");
--- a/router/src/following_answer.rs
+++ b/router/src/following_answer.rs
@@ -1,7 +1,7 @@
 //! What a controller's answer proves of the configuration that is held here.
 
-use protocol::msg::News;
-use protocol::renewal::Renewed;
+use protocol::message::StateUpdate;
+use protocol::renewal::SubscriptionRenewed;
 
 /// How old a confirmation may be behind a controller of an older version, which says no more than that it is sure.
 pub const OLDER_CONTROLLER_SURE_MS: u64 = 1100;
@@ -42,7 +42,7 @@
 }
 
 impl Answer {
-    pub fn renewed(renewed: &Renewed, held: u64) -> Answer {
+    pub fn renewed(renewed: &SubscriptionRenewed, held: u64) -> Answer {
         let proof = renewed.confirmation.as_ref().map_or(Proof::Nothing, |confirmation| Proof::Confirmed {
             age_ms: confirmation.age_ms,
             config: confirmation.config,
@@ -51,7 +51,7 @@
     }
 
     /// Of a controller of an older version.
-    pub fn news(news: &News, held: u64) -> Answer {
+    pub fn news(news: &StateUpdate, held: u64) -> Answer {
         let proof = if news.sure { Proof::Sure } else { Proof::Nothing };
         Answer { proof, held, controllers: news.peers.clone(), members: Vec::new() }
     }
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -4,7 +4,7 @@
 
 use kernel::clock;
 use load_balancing::floor::Limit;
-use protocol::msg::{self, Rule, Versions};
+use protocol::message::{self, StalenessLimit, WeightVersions};
 
 use crate::event::{FEW, RULE};
 use crate::exchange::Exchange;
@@ -61,7 +61,7 @@
 }
 
 /// A rule from a controller; binds at once where it is tighter.
-pub fn rule(state: &State, rule: &Rule) {
+pub fn rule(state: &State, rule: &StalenessLimit) {
     let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
     let now = clock::now();
     if state.floors.lock().expect("floors").take(rule, service, now) {
@@ -71,7 +71,7 @@
 }
 
 /// Weight versions of a zone. Older ones of the same poller change nothing.
-pub fn versions(state: &State, list: &Versions) {
+pub fn versions(state: &State, list: &WeightVersions) {
     {
         let mut held = state.weights.lock().expect("weights");
         let version = held.entry(list.zone.clone()).or_default();
@@ -90,6 +90,6 @@
 pub fn known_versions(state: &State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
     let rules = state.floors.lock().expect("floors").versions();
     let weights = state.weights.lock().expect("weights");
-    let weights = weights.iter().map(|(zone, (turn, count))| (msg::hide(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (msg::hide(&key), version)).collect(), weights.collect())
+    let weights = weights.iter().map(|(zone, (turn, count))| (message::hide(zone), *turn, *count));
+    (rules.into_iter().map(|(key, version)| (message::hide(&key), version)).collect(), weights.collect())
 }
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -2,8 +2,8 @@
 //! send to the engine that makes the tokens.
 
 use kernel::clock;
-use protocol::msg::Record;
-use protocol::word::SEAL;
+use protocol::headers::SEAL;
+use protocol::message::Record;
 use serde_json::Value;
 
 use crate::exchange::Exchange;
--- a/router/src/lookup.rs
+++ b/router/src/lookup.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 
 use kernel::clock;
-use protocol::link::Caller;
-use protocol::msg::{Msg, Note, Pressure, Record, Seek};
+use protocol::link::PeerClient;
+use protocol::message::{EngineLoad, Message, PrefixLookup, PrefixRegistration, Record};
 
 /// Invariant: what is sent carries the epoch it was meant for; an answer under a lower epoch than
 /// the one known counts for nothing.
@@ -18,7 +18,7 @@
 struct Inner {
     epoch: u64,
     holder: String,
-    peer: Option<Arc<Caller>>,
+    peer: Option<Arc<PeerClient>>,
     misses: u32,
     rest_until: u64,
     drops: u32,
@@ -29,7 +29,7 @@
 /// What the catalog told.
 pub struct Found {
     pub owners: Vec<Vec<String>>,
-    pub list: Vec<Pressure>,
+    pub list: Vec<EngineLoad>,
 }
 
 const WAIT_MS: u64 = 40;
@@ -46,7 +46,7 @@
         inner.epoch = epoch;
         if inner.holder != holder {
             inner.holder = holder.into();
-            inner.peer = Some(Arc::new(Caller::start(addr, None)));
+            inner.peer = Some(Arc::new(PeerClient::start(addr, None)));
         }
         inner.misses = 0;
         inner.rest_until = 0;
@@ -54,7 +54,7 @@
         true
     }
 
-    fn peer(&self, now: u64) -> Option<(u64, Arc<Caller>)> {
+    fn peer(&self, now: u64) -> Option<(u64, Arc<PeerClient>)> {
         let inner = self.inner.lock().expect("lookup");
         if now < inner.rest_until {
             return None;
@@ -76,25 +76,27 @@
         let (epoch, peer) = self.peer(clock::now())?;
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = match plain {
-            true => Msg::Query(Box::new((epoch, keys.to_vec()))),
-            false => Msg::Seek(Box::new(Seek { epoch, keys: keys.to_vec(), sample })),
+            true => Message::OwnerQuery(Box::new((epoch, keys.to_vec()))),
+            false => Message::PrefixLookup(Box::new(PrefixLookup { epoch, keys: keys.to_vec(), sample })),
         };
         let reply = peer.call(msg, WAIT_MS).await;
         self.heard(reply.is_some());
         match reply? {
-            Msg::Found(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
-            Msg::Sought(found) if found.epoch == epoch => Some(Found { owners: found.owners, list: found.list }),
+            Message::Owners(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
+            Message::PrefixLookupResponse(found) if found.epoch == epoch => {
+                Some(Found { owners: found.owners, list: found.list })
+            }
             _ => None,
         }
     }
 
     /// Fire and forget; what can't even be sent is counted and told by the next flush.
-    pub fn register(&self, list: Vec<Record>, told: Vec<Pressure>) {
+    pub fn register(&self, list: Vec<Record>, told: Vec<EngineLoad>) {
         let count = list.len() as u32;
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = |epoch| match plain {
-            true => Msg::Register(Box::new((epoch, list))),
-            false => Msg::Note(Box::new(Note { epoch, list, told })),
+            true => Message::RegisterOwners(Box::new((epoch, list))),
+            false => Message::PrefixRegistration(Box::new(PrefixRegistration { epoch, list, told })),
         };
         let sent = match self.peer(clock::now()) {
             Some((epoch, peer)) => peer.cast(msg(epoch)),
@@ -109,10 +111,10 @@
     pub async fn flush(&self, sent: u32) -> u32 {
         let early = mem::take(&mut self.inner.lock().expect("lookup").drops);
         let Some((epoch, peer)) = self.peer(clock::now()) else { return early };
-        let reply = peer.call(Msg::Flush(Box::new((epoch, sent))), WAIT_MS).await;
+        let reply = peer.call(Message::Flush(Box::new((epoch, sent))), WAIT_MS).await;
         self.heard(reply.is_some());
         match reply {
-            Some(Msg::Flushed(flushed)) if flushed.0 == epoch => early + flushed.1,
+            Some(Message::Flushed(flushed)) if flushed.0 == epoch => early + flushed.1,
             _ => early + sent,
         }
     }
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -8,9 +8,9 @@
 
 use kernel::clock;
 use kernel::settings::Settings;
-use protocol::link::Caller;
-use protocol::msg::Msg;
-use protocol::quota::{holders_mark, to_milli, ShardHolder, Spend, Spent};
+use protocol::link::PeerClient;
+use protocol::message::Message;
+use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
 use quota::{Allowances, Bounds, Holder, Quota};
 
 use crate::exchange::Exchange;
@@ -65,7 +65,7 @@
 struct Inner {
     holders: Vec<Holder>,
     mark: u64,
-    links: HashMap<String, Arc<Caller>>,
+    links: HashMap<String, Arc<PeerClient>>,
     resting_until: HashMap<String, u64>,
     empty_until: HashMap<String, u64>,
     allowances: Allowances,
@@ -98,7 +98,7 @@
     }
 
     /// Takes a list of controllers that may hold shards.
-    pub fn set_holders(&self, list: &[ShardHolder]) {
+    pub fn set_holders(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock().expect("quota gate");
         inner.mark = holders_mark(list);
         inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
@@ -143,7 +143,7 @@
     }
 
     /// The holders of a tenant's shards in the order in which they are asked: those that answered lately.
-    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<Caller>)> {
+    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<PeerClient>)> {
         let now = clock::now();
         let mut inner = self.inner.lock().expect("quota gate");
         inner.resting_until.retain(|_, until| now < *until);
@@ -154,7 +154,7 @@
         order.retain(|ip| !inner.resting_until.contains_key(ip));
         let port = self.peer_port;
         let link = |ip: String| {
-            let start = || Arc::new(Caller::start(format!("{ip}:{port}"), None));
+            let start = || Arc::new(PeerClient::start(format!("{ip}:{port}"), None));
             let caller = inner.links.entry(ip.clone()).or_insert_with(start).clone();
             (ip, caller)
         };
@@ -162,16 +162,19 @@
     }
 
     async fn ask(&self, tenant: &str, quota: &Quota, roll: u64) -> Asked {
-        let spend =
-            Spend { tenant: tenant.into(), rate_milli: to_milli(quota.rate_per_s), burst_milli: to_milli(quota.burst) };
+        let spend = TokenRequest {
+            tenant: tenant.into(),
+            rate_milli: to_milli(quota.rate_per_s),
+            burst_milli: to_milli(quota.burst),
+        };
         let mut result = Asked::Nobody;
         for (ip, link) in self.order(tenant, roll) {
-            let message = Msg::Spend(Box::new(spend.clone()));
+            let message = Message::TokenRequest(Box::new(spend.clone()));
             match link.call(message, ANSWER_MS).await {
-                Some(Msg::Spent(spent)) => match *spent {
-                    Spent::Granted => return Asked::Granted,
-                    Spent::Denied { retry_after_ms } => result = Asked::Empty { retry_after_ms },
-                    Spent::NotHeld => {}
+                Some(Message::TokenResponse(spent)) => match *spent {
+                    TokenResponse::Granted => return Asked::Granted,
+                    TokenResponse::Denied { retry_after_ms } => result = Asked::Empty { retry_after_ms },
+                    TokenResponse::NotHeld => {}
                 },
                 _ => self.rest(ip),
             }
--- a/router/src/quota_gate_tests.rs
+++ b/router/src/quota_gate_tests.rs
@@ -5,9 +5,9 @@
 
 use kernel::settings;
 use protocol::link::{self, Handler};
-use protocol::msg::Msg;
-use protocol::quota::{ShardHolder, Spent};
-use protocol::sock;
+use protocol::message::Message;
+use protocol::quota::{ShardOwner, TokenResponse};
+use protocol::socket;
 use quota::Quota;
 
 use super::{Decision, QuotaGate};
@@ -15,15 +15,15 @@
 use crate::stand_in_router::{ask, configure, router, status, SETTINGS};
 
 /// A controller that answers every request for a token so.
-async fn controller(ip: &str, port: u16, spent: Option<Spent>) -> Arc<AtomicUsize> {
+async fn controller(ip: &str, port: u16, spent: Option<TokenResponse>) -> Arc<AtomicUsize> {
     let asked = Arc::new(AtomicUsize::new(0));
     let count = asked.clone();
-    let listener = sock::listen(&format!("{ip}:{port}")).expect("a free address");
+    let listener = socket::listen(&format!("{ip}:{port}")).expect("a free address");
     let handler: Handler = Arc::new(move |mouth, id, message| {
-        if let Msg::Spend(_) = message {
+        if let Message::TokenRequest(_) = message {
             count.fetch_add(1, Ordering::Relaxed);
             if let Some(spent) = spent {
-                mouth.reply(id, &Msg::Spent(Box::new(spent)));
+                mouth.reply(id, &Message::TokenResponse(Box::new(spent)));
             }
         }
     });
@@ -32,14 +32,14 @@
 }
 
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 10.0 };
-const EMPTY: Spent = Spent::Denied { retry_after_ms: 10_000 };
+const EMPTY: TokenResponse = TokenResponse::Denied { retry_after_ms: 10_000 };
 
 fn gate(port: u16, ips: &[&str]) -> QuotaGate {
     let settings = SETTINGS.replace("[7300, 7315]", &format!("[{port}, {port}]"));
     let settings =
         settings.replace("budget_slack = 0.0", "budget_slack = 0.0, quota_slack = 20.0, quota_overage = 0.1");
     let gate = QuotaGate::new(&settings::parse(&settings).expect("good settings"));
-    let holder = |ip: &&str| ShardHolder { ip: ip.to_string(), zone: ip.to_string() };
+    let holder = |ip: &&str| ShardOwner { ip: ip.to_string(), zone: ip.to_string() };
     gate.set_holders(&ips.iter().map(holder).collect::<Vec<_>>());
     gate
 }
@@ -48,13 +48,13 @@
 async fn a_shard_that_is_empty_sends_to_the_next_and_all_empty_ones_refuse() {
     let (ips, port) = (["127.0.81.1", "127.0.81.2", "127.0.81.3"], 7381);
     controller(ips[0], port, Some(EMPTY)).await;
-    controller(ips[1], port, Some(Spent::Granted)).await;
-    controller(ips[2], port, Some(Spent::NotHeld)).await;
+    controller(ips[1], port, Some(TokenResponse::Granted)).await;
+    controller(ips[2], port, Some(TokenResponse::NotHeld)).await;
     let gate = gate(port, &ips);
     for roll in 0..6 {
         assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
     }
-    let holder = |ip: &str| ShardHolder { ip: ip.into(), zone: "a".into() };
+    let holder = |ip: &str| ShardOwner { ip: ip.into(), zone: "a".into() };
     gate.set_holders(&[holder(ips[0]), holder(ips[2])]);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Denied);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Remembered);
@@ -65,7 +65,7 @@
 async fn a_silent_holder_is_passed_over_for_a_while() {
     let (ips, port) = (["127.0.82.1", "127.0.82.2"], 7382);
     let silent = controller(ips[0], port, None).await;
-    controller(ips[1], port, Some(Spent::Granted)).await;
+    controller(ips[1], port, Some(TokenResponse::Granted)).await;
     let gate = gate(port, &ips);
     for roll in 0..10 {
         assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
@@ -95,7 +95,7 @@
     let asked = controller(ip, port, Some(EMPTY)).await;
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
-    state.quota_gate.set_holders(&[ShardHolder { ip: ip.into(), zone: "a".into() }]);
+    state.quota_gate.set_holders(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
     let tenant = |rate: f64| serde_json::json!({"tenant_table": [{"name": "one", "api_keys": ["k1"], "rate_per_s": rate, "burst_size": 1}]});
     configure(&state, 2, tenant(5.0));
     let text = ask(&state, "once", "1", KEYED).await;
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response};
 use kernel::clock;
 use load_balancing::place::Half;
-use protocol::word::SEAL;
+use protocol::headers::SEAL;
 use tokio::time;
 
 use crate::doubt::{self, SIGN_MS};
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use hyper::body::Incoming;
 use kernel::clock;
-use protocol::word::{self, ATTEMPT, BUDGET, LAST, MODEL, PREFIX, SOURCE, STAGE, TARGET, URGENCY};
+use protocol::headers::{self, ATTEMPT, BUDGET, LAST, MODEL, PREFIX, SOURCE, STAGE, TARGET, URGENCY};
 use tokio::time;
 
 use crate::authorization::Authorization;
@@ -47,7 +47,7 @@
 
 /// What the system alone tells engines. From a client these would lead to another request's memory, or have its
 /// own request only read.
-const SYSTEM: [&str; 5] = [TARGET, STAGE, SOURCE, URGENCY, word::EXPECT];
+const SYSTEM: [&str; 5] = [TARGET, STAGE, SOURCE, URGENCY, headers::EXPECT];
 
 /// Removes what concerns one connection, and what `Connection` names.
 pub fn strip(head: &mut HeaderMap) {
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use kernel::clock;
 use load_balancing::floor::Limit;
-use protocol::word::{BUDGET, EXPECT, LAST, SOURCE, STAGE, TARGET, URGENCY};
+use protocol::headers::{BUDGET, EXPECT, LAST, SOURCE, STAGE, TARGET, URGENCY};
 use tokio::time::{self, Instant};
 
 use crate::event::MISFIT;
--- a/router/src/server.rs
+++ b/router/src/server.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use kernel::settings::Settings;
 use prometheus_client::metrics::gauge::Gauge;
-use protocol::sock;
+use protocol::socket;
 use tokio::net::TcpStream;
 
 use crate::admission;
@@ -46,7 +46,7 @@
 /// Answers the platform's calls for readiness.
 pub async fn readiness(state: Arc<State>) {
     let Some(addr) = state.settings.bind_addresses.readiness.clone() else { return };
-    sock::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
+    socket::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
 async fn answer_readiness(state: Arc<State>, stream: TcpStream) {
@@ -67,7 +67,7 @@
     let Some(addr) = state.settings.bind_addresses.frontend.clone() else { return };
     let room = most_connections(&state.settings);
     tokio::select! {
-        () = sock::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
+        () = socket::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
         () = state.drain.closing() => {}
     }
 }
@@ -111,7 +111,7 @@
 }
 
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
-    sock::tune(&stream, CLIENT_SILENCE_MS);
+    socket::tune(&stream, CLIENT_SILENCE_MS);
     let _open = OpenConnection::count(&state);
     let look = Look::new();
     let io = TokioIo::new(Stream::new(stream, look.clone()));
--- a/router/src/stand_in.rs
+++ b/router/src/stand_in.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use protocol::{msg, sock};
+use protocol::{message, socket};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -112,7 +112,7 @@
         script: impl Fn(&Seen) -> Act + Send + Sync + 'static,
     ) -> Engine {
         let greeting = greeting.to_string();
-        let listener = sock::listen("127.0.0.1:0").expect("a free port");
+        let listener = socket::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address").to_string();
         let seen = Arc::new(Mutex::new(Vec::new()));
         let (end, ended) = watch::channel(0);
@@ -152,8 +152,8 @@
     }
 
     /// Its line in the platform's list.
-    pub fn entry(&self) -> msg::Engine {
-        msg::Engine {
+    pub fn entry(&self) -> message::Engine {
+        message::Engine {
             id: self.id.clone(),
             service: "s".into(),
             addr: self.addr.clone(),
--- a/router/src/stand_in_controller.rs
+++ b/router/src/stand_in_controller.rs
@@ -6,10 +6,10 @@
 
 use protocol::change::Change;
 use protocol::config::Config;
-use protocol::link::{self, Handler, Mouth};
-use protocol::msg::{Follow, Msg, News, Sheet};
-use protocol::renewal::{Confirmation, Renewed};
-use protocol::sock;
+use protocol::link::{self, Handler, Responder};
+use protocol::message::{EndpointList, Message, StateUpdate, SubscriptionRenewal};
+use protocol::renewal::{Confirmation, SubscriptionRenewed};
+use protocol::socket;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
@@ -33,7 +33,7 @@
     manner: Manner,
     config: Config,
     calls: usize,
-    routers: Vec<Mouth>,
+    routers: Vec<Responder>,
 }
 
 /// A controller with a configuration of its own.
@@ -47,9 +47,9 @@
 pub fn controllers(count: u8, config: &Config) -> (Vec<Controller>, u16) {
     let ips: Vec<String> = (1..=count).map(|number| format!("127.0.0.{number}")).collect();
     loop {
-        let first = sock::listen("127.0.0.1:0").expect("a free port");
+        let first = socket::listen("127.0.0.1:0").expect("a free port");
         let port = first.local_addr().expect("its address").port();
-        let others = ips[1..].iter().map(|ip| sock::listen(&format!("{ip}:{port}")));
+        let others = ips[1..].iter().map(|ip| socket::listen(&format!("{ip}:{port}")));
         // Somebody else may have the port at another address.
         let Ok(others) = others.collect::<Result<Vec<_>, _>>() else { continue };
         let listeners = iter::once(first).chain(others);
@@ -65,7 +65,7 @@
         let called = Arc::new(Notify::new());
         let (held, told, all) = (inner.clone(), called.clone(), all.to_vec());
         let handler: Handler = Arc::new(move |mouth, id, msg| {
-            if let Msg::Follow(follow) = msg {
+            if let Message::SubscriptionRenewal(follow) = msg {
                 held.lock().expect("inner").answer(&mouth, id, &follow, &all);
                 told.notify_waiters();
             }
@@ -88,7 +88,7 @@
     }
 
     /// Pushes a message to every router that called.
-    pub fn push(&self, msg: &Msg) {
+    pub fn push(&self, msg: &Message) {
         for router in &self.inner.lock().expect("inner").routers {
             router.cast(msg);
         }
@@ -108,7 +108,7 @@
 }
 
 impl Inner {
-    fn answer(&mut self, mouth: &Mouth, id: u64, follow: &Follow, all: &[String]) {
+    fn answer(&mut self, mouth: &Responder, id: u64, follow: &SubscriptionRenewal, all: &[String]) {
         self.calls += 1;
         self.routers.push(mouth.clone());
         if self.manner == Manner::Frozen {
@@ -116,18 +116,18 @@
         }
         let change = Change::whole(&self.config);
         if follow.config < change.to && self.manner != Manner::LosingFrames {
-            mouth.cast(&Msg::Change(Box::new(change.write())));
+            mouth.cast(&Message::ConfigUpdate(Box::new(change.write())));
         }
-        let sheet = Sheet { zone: "a".into(), turn: 1, ..Default::default() };
+        let sheet = EndpointList { zone: "a".into(), turn: 1, ..Default::default() };
         let sure = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
-        let news = News { sure, peers: all.to_vec(), sheets: vec![sheet], ..Default::default() };
+        let news = StateUpdate { sure, peers: all.to_vec(), sheets: vec![sheet], ..Default::default() };
         if self.manner == Manner::Older {
-            mouth.reply(id, &Msg::News(Box::new(news)));
+            mouth.reply(id, &Message::StateUpdate(Box::new(news)));
             return;
         }
         let confirmation = Confirmation { age_ms: 0, config: self.config.revision };
         let confirmation = sure.then_some(confirmation);
         let members = all.iter().skip(1).cloned().collect();
-        mouth.reply(id, &Msg::Renewed(Box::new(Renewed { news, confirmation, members })));
+        mouth.reply(id, &Message::SubscriptionRenewed(Box::new(SubscriptionRenewed { news, confirmation, members })));
     }
 }
--- a/router/src/stand_in_router.rs
+++ b/router/src/stand_in_router.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use kernel::{clock, settings};
-use protocol::msg::Sheet;
-use protocol::sock;
+use protocol::message::EndpointList;
+use protocol::socket;
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -77,7 +77,7 @@
 /// Tells the router which engines there are.
 pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let sheet = Sheet { zone: "a".into(), turn: 1, count, list };
+    let sheet = EndpointList { zone: "a".into(), turn: 1, count, list };
     state.engine_table.lock().expect("engine_table").take(&sheet, clock::now());
 }
 
@@ -86,7 +86,7 @@
 
 impl Client {
     pub async fn connect(state: &Arc<State>) -> Client {
-        let listener = sock::listen("127.0.0.1:0").expect("a free port");
+        let listener = socket::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address");
         let state = state.clone();
         tokio::spawn(async move {
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -13,7 +13,7 @@
 use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
 use load_balancing::floor::Floors;
-use protocol::link::Caller;
+use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
 use crate::currency::Currency;
@@ -44,7 +44,7 @@
     /// As of when the table is proved to be current.
     pub currency: Currency,
     /// The home controller of now.
-    pub home: Mutex<Option<Arc<Caller>>>,
+    pub home: Mutex<Option<Arc<PeerClient>>>,
     pub dice: Mutex<Rng>,
     /// When the want of fresh replicas was last told.
     pub few_at: AtomicU64,
--- a/router/src/verdict.rs
+++ b/router/src/verdict.rs
@@ -2,7 +2,7 @@
 
 use http::response::Parts;
 use http::{HeaderMap, HeaderValue};
-use protocol::word::{ATTEMPT, INSTANCE, UNRUN, WEIGHTS};
+use protocol::headers::{ATTEMPT, INSTANCE, UNRUN, WEIGHTS};
 
 /// What became of a request, as far as the head of an answer tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -10,7 +10,7 @@
 
 use kernel::clock;
 use load_balancing::place::Arm;
-use protocol::msg::{self, Msg};
+use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use tokio::time;
 use versions::WHOLE_SHARE;
@@ -108,7 +108,7 @@
 /// The records held, as told to controllers.
 pub fn told(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock().expect("rollouts");
-    let told = |rollout: &VersionRollout| (msg::hide(&VersionRollout::key(&rollout.service)), rollout.number);
+    let told = |rollout: &VersionRollout| (message::hide(&VersionRollout::key(&rollout.service)), rollout.number);
     rollouts.list.values().map(told).collect()
 }
 
@@ -121,7 +121,7 @@
         let home = state.home.lock().expect("home").clone();
         let Some(home) = home else { continue };
         for samples in list {
-            home.cast(Msg::Samples(Box::new(samples)));
+            home.cast(Message::Samples(Box::new(samples)));
         }
     }
 }
--- a/telemetry/src/endpoint.rs
+++ b/telemetry/src/endpoint.rs
@@ -12,7 +12,7 @@
 use hyper::service;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use kernel::settings::MetricsEndpoint;
-use protocol::sock;
+use protocol::socket;
 use tokio::net::TcpStream;
 
 /// Scrapers that may be connected at once.
@@ -31,7 +31,7 @@
     let render = Arc::new(render);
     tokio::spawn(async move {
         let serve = |stream| serve_connection(stream, path.clone(), render.clone());
-        sock::accept_each(&address, MAX_SCRAPERS, serve).await;
+        socket::accept_each(&address, MAX_SCRAPERS, serve).await;
     });
 }
 
--- a/tidepoint/tests/scale.rs
+++ b/tidepoint/tests/scale.rs
@@ -9,7 +9,7 @@
 use std::{env, fs, process};
 
 use hollow::{Fleet, Size};
-use protocol::msg::{self, Gossip};
+use protocol::message::{self, Gossip};
 use tokio::runtime::Builder;
 
 #[path = "stand/hollow.rs"]
@@ -126,23 +126,23 @@
         sheets: Vec::new(),
         floors: Vec::new(),
     };
-    hollow::size(&msg::Msg::Gossip(Box::new(gossip)))
+    hollow::size(&message::Message::Gossip(Box::new(gossip)))
 }
 
 #[test]
 fn what_messages_weigh() {
-    use protocol::msg::{Msg, Note, Pressure, Record, Seek, Sought};
-    let told = |count: u64| (0..count).map(|name| Pressure { name, load: 3, age_ms: 90 }).collect::<Vec<_>>();
+    use protocol::message::{EngineLoad, Message, PrefixLookup, PrefixLookupResponse, PrefixRegistration, Record};
+    let told = |count: u64| (0..count).map(|name| EngineLoad { name, load: 3, age_ms: 90 }).collect::<Vec<_>>();
     let record = |key| Record { key, engine: "i-0123456789".into() };
-    let note = Note { epoch: 1, list: (0..3).map(record).collect(), told: told(1) };
+    let note = PrefixRegistration { epoch: 1, list: (0..3).map(record).collect(), told: told(1) };
     let owners = vec![vec!["i-0123456789".to_string(); 2]; 2];
     let parts = [
-        Msg::Seek(Box::new(Seek { epoch: 1, keys: vec![1, 2], sample: (0..10).collect() })),
-        Msg::Sought(Box::new(Sought { epoch: 1, owners, list: told(12) })),
-        Msg::Note(Box::new(note.clone())),
-        Msg::Flush(Box::new((1, 3))),
-        Msg::Flushed(Box::new((1, 0))),
-        Msg::Note(Box::new(note)),
+        Message::PrefixLookup(Box::new(PrefixLookup { epoch: 1, keys: vec![1, 2], sample: (0..10).collect() })),
+        Message::PrefixLookupResponse(Box::new(PrefixLookupResponse { epoch: 1, owners, list: told(12) })),
+        Message::PrefixRegistration(Box::new(note.clone())),
+        Message::Flush(Box::new((1, 3))),
+        Message::Flushed(Box::new((1, 0))),
+        Message::PrefixRegistration(Box::new(note)),
     ];
     let sizes: Vec<u64> = parts.iter().map(hollow::size).collect();
     println!("of one request at the catalog: {sizes:?}, {} B", sizes.iter().sum::<u64>());
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -11,9 +11,9 @@
 use poem::{endpoint, Request, Route, Server};
 use protocol::change::Change;
 use protocol::frame::{self, Kind};
-use protocol::link::Caller;
-use protocol::msg::{self, Follow, Msg, Note, Pressure, Record, Seek};
-use protocol::sock;
+use protocol::link::PeerClient;
+use protocol::message::{self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal};
+use protocol::socket;
 use reqwest::Client;
 use serde_json::Value;
 use shape::{engine, route};
@@ -55,7 +55,7 @@
 }
 
 /// The size of a message on the wire.
-pub fn size(msg: &Msg) -> u64 {
+pub fn size(msg: &Message) -> u64 {
     frame::seal(Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
 }
 
@@ -64,17 +64,17 @@
 }
 
 impl Seat {
-    fn take(&self, msg: Msg) {
+    fn take(&self, msg: Message) {
         self.got.fetch_add(size(&msg), Ordering::Relaxed);
         match msg {
-            Msg::Change(body) | Msg::Update(body) => {
+            Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => {
                 let Some(change) = Change::read(&body) else { return };
                 let has = self.config.load(Ordering::Relaxed);
                 if change.from == 0 || change.from == has {
                     self.config.fetch_max(change.to, Ordering::Relaxed);
                 }
             }
-            Msg::News(news) => {
+            Message::StateUpdate(news) => {
                 let mut sheets = self.sheets.lock().expect("sheets");
                 sheets.extend(news.sheets.iter().map(|sheet| (sheet.zone.clone(), (sheet.turn, sheet.count))));
                 let mut catalog = self.catalog.lock().expect("catalog");
@@ -87,14 +87,14 @@
         }
     }
 
-    fn standing(&self, at: usize, zone: &str) -> Msg {
+    fn standing(&self, at: usize, zone: &str) -> Message {
         let held = self.sheets.lock().expect("sheets").clone();
         let mut sheets: Vec<(String, u64, u64)> =
             held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
-        sheets.push(msg::told());
+        sheets.push(message::told());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
-        Msg::Follow(Box::new(Follow {
+        Message::SubscriptionRenewal(Box::new(SubscriptionRenewal {
             node: format!("hollow-{at}"),
             zone: zone.into(),
             life: 1,
@@ -109,7 +109,7 @@
 
 async fn follow(seat: Arc<Seat>, at: usize, net: u8, zone: String) {
     let (send, mut casts) = mpsc::channel(256);
-    let home = Caller::start(controller(net, at), Some(send));
+    let home = PeerClient::start(controller(net, at), Some(send));
     loop {
         let standing = seat.standing(at, &zone);
         seat.sent.fetch_add(size(&standing), Ordering::Relaxed);
@@ -142,7 +142,7 @@
                 found.map_or(String::new(), |(_, body)| body.clone())
             }),
         );
-        let listener = sock::listen(&format!("127.0.{net}.99:7800")).expect("a free address");
+        let listener = socket::listen(&format!("127.0.{net}.99:7800")).expect("a free address");
         let acceptor = TcpAcceptor::from_tokio(listener).expect("a listener");
         tokio::spawn(Server::new_with_acceptor(acceptor).run(app));
         let seats: Vec<Arc<Seat>> = (0..size.routers).map(|_| Arc::default()).collect();
@@ -233,7 +233,7 @@
 /// Look-ups, registrations and flushes as a request makes them, spread evenly.
 async fn seek(seat: Arc<Seat>, rate: usize, net: u8) {
     let (epoch, holder) = seat.catalog.lock().expect("catalog").clone();
-    let callers: Vec<_> = (0..16).map(|_| Arc::new(Caller::start(format!("{holder}:7810"), None))).collect();
+    let callers: Vec<_> = (0..16).map(|_| Arc::new(PeerClient::start(format!("{holder}:7810"), None))).collect();
     let mut beat = time::interval(Duration::from_millis(10));
     let (mut number, mut owed) = (u64::from(net), 0.0);
     loop {
@@ -244,16 +244,20 @@
             let (caller, key) = (callers[number as usize % 16].clone(), clock::combine_hashes(number, 1));
             tokio::spawn(async move {
                 let sample = (0..10).map(|at| clock::combine_hashes(key, at)).collect();
-                let ask = Seek { epoch, keys: vec![key, key + 1], sample };
-                caller.call(Msg::Seek(Box::new(ask)), 500).await;
+                let ask = PrefixLookup { epoch, keys: vec![key, key + 1], sample };
+                caller.call(Message::PrefixLookup(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
                     let id = format!("i-{engine}");
-                    let told = Pressure { name: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
+                    let told = EngineLoad { name: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
                     let record = |key| Record { key, engine: id.clone() };
-                    let note = Note { epoch, list: (0..3).map(|at| record(key + at)).collect(), told: vec![told] };
-                    caller.cast(Msg::Note(Box::new(note)));
+                    let note = PrefixRegistration {
+                        epoch,
+                        list: (0..3).map(|at| record(key + at)).collect(),
+                        told: vec![told],
+                    };
+                    caller.cast(Message::PrefixRegistration(Box::new(note)));
                 }
-                caller.call(Msg::Flush(Box::new((epoch, 3))), 500).await;
+                caller.call(Message::Flush(Box::new((epoch, 3))), 500).await;
             });
         }
     }
