--- a/catalog/src/gauge.rs
+++ b/catalog/src/gauge.rs
@@ -18,13 +18,13 @@
 impl Gauge {
     pub fn note(&mut self, told: &EngineLoad, now: u64) {
         let time = now.saturating_sub(u64::from(told.age_ms));
-        if self.held.len() >= ROOM && !self.held.contains_key(&told.name) {
+        if self.held.len() >= ROOM && !self.held.contains_key(&told.engine_hash) {
             self.held.retain(|_, (_, time)| now < *time + STALE_MS);
             if self.held.len() >= ROOM {
                 return;
             }
         }
-        let held = self.held.entry(told.name).or_insert((told.load, time));
+        let held = self.held.entry(told.engine_hash).or_insert((told.load, time));
         if held.1 <= time {
             *held = (told.load, time);
         }
@@ -34,7 +34,7 @@
         let one = |name: u64| {
             let (load, time) = self.held.get(&name).copied()?;
             let age_ms = now.saturating_sub(time);
-            (age_ms < STALE_MS).then_some(EngineLoad { name, load, age_ms: age_ms as u32 })
+            (age_ms < STALE_MS).then_some(EngineLoad { engine_hash: name, load, age_ms: age_ms as u32 })
         };
         names.filter_map(one).collect()
     }
--- a/catalog/src/gauge_tests.rs
+++ b/catalog/src/gauge_tests.rs
@@ -3,7 +3,7 @@
 use super::{Gauge, ROOM, STALE_MS};
 
 fn told(name: u64, load: u32, age_ms: u32) -> EngineLoad {
-    EngineLoad { name, load, age_ms }
+    EngineLoad { engine_hash: name, load, age_ms }
 }
 
 #[test]
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -66,9 +66,9 @@
 /// Voters may move on between two reads: an entry that came after the one looked for serves as well.
 pub fn committed(core: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
     let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
-    entries.sort_by_key(|entry| Reverse(entry.place()));
+    entries.sort_by_key(|entry| Reverse(entry.position()));
     let alike = |entry: &Entry| {
-        let holds = fetched.iter().filter(|(_, held)| held.place() == entry.place());
+        let holds = fetched.iter().filter(|(_, held)| held.position() == entry.position());
         let holders: Vec<String> = holds.map(|(from, _)| from.clone()).collect();
         quorum::is_quorum(core, &holders)
     };
--- a/consensus/src/confirmation_tests.rs
+++ b/consensus/src/confirmation_tests.rs
@@ -4,15 +4,15 @@
 
 fn core(size: usize) -> CoreMembership {
     let list = (0..size).map(|at| Member { ip: format!("m{at}"), zone: String::new() }).collect();
-    CoreMembership { version: 1, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
 }
 
 fn ballot(turn: u64) -> ProposalNumber {
-    ProposalNumber { turn, seat: 1 }
+    ProposalNumber { term: turn, replica_id: 1 }
 }
 
 fn entry(turn: u64, step: u64) -> Entry {
-    Entry { ballot: ballot(turn), step, body: vec![step as u8] }
+    Entry { proposal_number: ballot(turn), index: step, body: vec![step as u8] }
 }
 
 fn places(list: &[(&str, u64, u64)]) -> Vec<(String, ProposalNumber, u64)> {
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -41,18 +41,23 @@
 /// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
 /// candidate added. Invariant: the members that stay are a quorum of the next core.
 pub fn next(core: &CoreMembership, view: &View) -> Option<CoreMembership> {
-    let gone = core.list.iter().find(|member| (view.health)(&member.ip).gone());
+    let gone = core.members.iter().find(|member| (view.health)(&member.ip).gone());
     let candidate = match gone {
         Some(gone) => view.candidates.iter().find(|one| one.zone == gone.zone).or(view.candidates.first()),
         None => view.candidates.first(),
     };
     let list = match (gone, candidate) {
         (Some(gone), Some(candidate)) if view.joint => exchanged(core, gone, candidate),
-        (Some(gone), _) if core.list.len().is_multiple_of(2) => without(core, gone),
+        (Some(gone), _) if core.members.len().is_multiple_of(2) => without(core, gone),
         (_, Some(candidate)) => with(core, candidate),
         _ => return None,
     };
-    let next = CoreMembership { version: core.version + 1, list, prev: core.list.clone(), settled: false };
+    let next = CoreMembership {
+        version: core.version + 1,
+        members: list,
+        previous_members: core.members.clone(),
+        stable: false,
+    };
     can_settle(&next, view).then_some(next)
 }
 
@@ -71,15 +76,15 @@
             live.push(address);
         }
     }
-    quorum::is_quorum(next, &staying) && quorum::has_majority(&next.prev, &live)
+    quorum::is_quorum(next, &staying) && quorum::has_majority(&next.previous_members, &live)
 }
 
 fn without(core: &CoreMembership, gone: &Member) -> Vec<Member> {
-    core.list.iter().filter(|member| *member != gone).cloned().collect()
+    core.members.iter().filter(|member| *member != gone).cloned().collect()
 }
 
 fn with(core: &CoreMembership, candidate: &Member) -> Vec<Member> {
-    core.list.iter().chain([candidate]).cloned().collect()
+    core.members.iter().chain([candidate]).cloned().collect()
 }
 
 fn exchanged(core: &CoreMembership, gone: &Member, candidate: &Member) -> Vec<Member> {
@@ -126,7 +131,7 @@
     /// Do quorums of the old and the new members know the core?
     pub fn is_known(&self) -> bool {
         let known_to = |members: &[Member]| quorum::has_majority(members, &self.knows);
-        known_to(&self.core.list) && known_to(&self.core.prev)
+        known_to(&self.core.members) && known_to(&self.core.previous_members)
     }
 
     /// What must still be committed under the new core. Empty until the core is known.
@@ -148,7 +153,7 @@
 
 /// The core as it is committed once a settlement is done.
 pub fn settled(core: &CoreMembership) -> CoreMembership {
-    CoreMembership { settled: true, prev: Vec::new(), ..core.clone() }
+    CoreMembership { stable: true, previous_members: Vec::new(), ..core.clone() }
 }
 
 #[cfg(test)]
--- a/consensus/src/membership_tests.rs
+++ b/consensus/src/membership_tests.rs
@@ -12,11 +12,11 @@
 
 fn core(names: &[&str]) -> CoreMembership {
     let list = names.iter().map(|name| member(name, name)).collect();
-    CoreMembership { version: 4, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 4, members: list, previous_members: Vec::new(), stable: true }
 }
 
 fn names(core: &CoreMembership) -> Vec<&str> {
-    core.list.iter().map(|member| member.ip.as_str()).collect()
+    core.members.iter().map(|member| member.ip.as_str()).collect()
 }
 
 fn changed(
@@ -36,7 +36,7 @@
 fn a_member_that_is_gone_is_exchanged_in_one_change() {
     let next = changed(&core(&["a", "b", "c"]), all_live_but("c", SILENT), &[member("d", "c")], true).expect("next");
     assert_eq!(names(&next), ["a", "b", "d"]);
-    assert_eq!((next.version, next.settled, next.prev.len()), (5, false, 3));
+    assert_eq!((next.version, next.stable, next.previous_members.len()), (5, false, 3));
 }
 
 #[test]
@@ -88,8 +88,9 @@
 
 #[test]
 fn a_settlement_waits_for_quorums_of_old_and_new_and_for_every_key() {
-    let prev = core(&["a", "b", "c"]).list;
-    let changing = CoreMembership { list: core(&["a", "b", "d"]).list, prev, settled: false, version: 5 };
+    let prev = core(&["a", "b", "c"]).members;
+    let changing =
+        CoreMembership { members: core(&["a", "b", "d"]).members, previous_members: prev, stable: false, version: 5 };
     let mut settlement = Settlement::new(&changing);
     settlement.hear("a", ["config".to_string()]);
     settlement.hear("d", []);
@@ -115,7 +116,12 @@
 
 /// The member `c` exchanged for `d`.
 fn exchange() -> CoreMembership {
-    CoreMembership { version: 5, list: core(&["a", "b", "d"]).list, prev: core(&["a", "b", "c"]).list, settled: false }
+    CoreMembership {
+        version: 5,
+        members: core(&["a", "b", "d"]).members,
+        previous_members: core(&["a", "b", "c"]).members,
+        stable: false,
+    }
 }
 
 #[test]
--- a/consensus/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -48,7 +48,7 @@
     pub fn settlement(&self, state: &State, at: usize) -> Option<Settlement> {
         let proposer = &state.proposers[at];
         let core = &state.cores[proposer.core];
-        if core.settled {
+        if core.stable {
             return None;
         }
         let mut settlement = Settlement::new(core);
@@ -118,7 +118,7 @@
     fn spread(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let core = &state.cores[state.proposers[at].core];
         let told = quorum::old_and_new_members(core);
-        let poll = Shared::new(ConsensusRequest { core: core.clone(), ask: ConsensusOperation::Positions });
+        let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ConsensusOperation::Positions });
         for machine in (0..self.addresses.len()).filter(|machine| told.contains(&self.addresses[*machine])) {
             let outcome = self.tell_change(state, at, machine, &poll);
             list.push(Successor { action: Action::Spread { proposer: at, machine }, outcome });
@@ -145,9 +145,9 @@
 
 impl State {
     fn write_core(&mut self, quorum: MachineSet, core: &CoreMembership) {
-        let ballot = ProposalNumber { turn: self.cores.len() as u64, seat: 0 };
-        let entry = Entry { ballot, step: 0, body: core_body::write(core) };
-        let slot = RegisterState { key: CORE.into(), promised: ballot, entry: Some(entry) };
+        let ballot = ProposalNumber { term: self.cores.len() as u64, replica_id: 0 };
+        let entry = Entry { proposal_number: ballot, index: 0, body: core_body::write(core) };
+        let slot = RegisterState { key: CORE.into(), prepared: ballot, entry: Some(entry) };
         for machine in quorum.iter() {
             let mut voter = Voter::clone(&self.replicas[machine].voter);
             voter.fold(LogRecord::Slot(slot.clone()));
--- a/consensus/src/model/check.rs
+++ b/consensus/src/model/check.rs
@@ -25,7 +25,7 @@
 
 impl Model {
     pub fn core_facts(&self, core: &CoreMembership) -> Rc<CoreFacts> {
-        let key = (core.version, core.settled);
+        let key = (core.version, core.stable);
         if let Some(known) = self.cores.borrow().get(&key) {
             return known.clone();
         }
@@ -50,12 +50,12 @@
     pub fn check_places(&self, state: &State) -> Result<(), Violation> {
         let mut seen: Vec<&Entry> = Vec::new();
         for entry in entries(state) {
-            match seen.iter().find(|other| other.place() == entry.place()) {
+            match seen.iter().find(|other| other.position() == entry.position()) {
                 None => seen.push(entry),
                 Some(other) if other.body == entry.body => {}
                 Some(other) => {
                     let bodies = [other.body.clone(), entry.body.clone()];
-                    return Err(Violation::TwoValues { place: entry.place(), bodies });
+                    return Err(Violation::TwoValues { place: entry.position(), bodies });
                 }
             }
         }
@@ -67,8 +67,8 @@
         let mut seen: Vec<ProposalNumber> = Vec::new();
         for proposer in &state.proposers {
             let own = match (&proposer.task, &proposer.held) {
-                (Some(task), _) => ballot(&task.poll.ask),
-                (None, held) => held.as_ref().map(|owner| owner.entry.ballot),
+                (Some(task), _) => ballot(&task.poll.operation),
+                (None, held) => held.as_ref().map(|owner| owner.entry.proposal_number),
             };
             let Some(ballot) = own else { continue };
             if seen.contains(&ballot) {
@@ -101,7 +101,7 @@
 
 fn check_read(state: &State, quorum: MachineSet) -> Result<(), Violation> {
     let slots = quorum.iter().filter_map(|machine| state.replicas[machine].voter.slots.get(KEY));
-    let newest = slots.filter_map(|slot| slot.entry.as_ref()).max_by_key(|entry| entry.place());
+    let newest = slots.filter_map(|slot| slot.entry.as_ref()).max_by_key(|entry| entry.position());
     let found = newest.map(|entry| entry.body.as_slice()).unwrap_or_default();
     match found.starts_with(&state.acknowledged) {
         true => Ok(()),
@@ -114,7 +114,7 @@
     let stored = state.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY)?.entry.as_ref());
     let tasks = || state.proposers.iter().filter_map(|proposer| proposer.task.as_ref());
     let polls = tasks().map(|task| &task.poll).chain(state.late.iter());
-    let proposed = polls.filter_map(|poll| match &poll.ask {
+    let proposed = polls.filter_map(|poll| match &poll.operation {
         ConsensusOperation::Accept { entry, .. } => Some(entry),
         _ => None,
     });
--- a/consensus/src/model/ending.rs
+++ b/consensus/src/model/ending.rs
@@ -32,12 +32,12 @@
     /// are left out: with nobody to count the promise they only make voters refuse more.
     pub fn end_task(&mut self, at: usize) {
         let Some(task) = &self.proposers[at].task else { return };
-        if matches!(task.poll.ask, ConsensusOperation::Accept { .. }) {
+        if matches!(task.poll.operation, ConsensusOperation::Accept { .. }) {
             let poll = task.poll.clone();
             self.late.edit(|late| {
                 if !late.contains(&poll) {
                     late.push(poll);
-                    late.sort_by_key(|poll| (poll.core.version, poll.core.settled, accepted_place(poll)));
+                    late.sort_by_key(|poll| (poll.membership.version, poll.membership.stable, accepted_place(poll)));
                 }
             });
         }
@@ -47,13 +47,13 @@
     /// Was this ballot seen by any voter before?
     pub fn is_used(&self, ballot: ProposalNumber) -> bool {
         let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY));
-        slots.into_iter().any(|slot| slot.promised == ballot)
+        slots.into_iter().any(|slot| slot.prepared == ballot)
     }
 }
 
 fn accepted_place(poll: &ConsensusRequest) -> Option<(ProposalNumber, u64)> {
-    match &poll.ask {
-        ConsensusOperation::Accept { entry, .. } => Some(Entry::place(entry)),
+    match &poll.operation {
+        ConsensusOperation::Accept { entry, .. } => Some(Entry::position(entry)),
         _ => None,
     }
 }
--- a/consensus/src/model/progress.rs
+++ b/consensus/src/model/progress.rs
@@ -25,11 +25,11 @@
         machines: MachineSet,
         operation: Operation,
     ) -> Result<Progress<Vec<u8>>, Violation> {
-        let ballot = ProposalNumber { turn: next_turn(state.highest_turn(), core), seat: u64::MAX };
+        let ballot = ProposalNumber { term: next_turn(state.highest_turn(), core), replica_id: u64::MAX };
         let mut judge = |body: &[u8]| operation.judge(body);
         let (mut proposal, mut ask) = Proposal::begin(KEY, core, None, ballot, &mut judge, state.now);
         'poll: loop {
-            let poll = Shared::new(ConsensusRequest { core: core.clone(), ask: ask.clone() });
+            let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask.clone() });
             for machine in machines.iter() {
                 let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
                 state.put_voter(machine, voter);
@@ -58,7 +58,7 @@
         self.check_reads(state, &newest)?;
         let mut later = state.clone();
         self.end_losses(&mut later, &newest)?;
-        if newest.settled {
+        if newest.stable {
             return self.check_reads(&later, &newest);
         }
         let everyone = MachineSet::subsets(self.addresses.len()).last().expect("machines");
@@ -73,7 +73,7 @@
     fn may_settle(&self, core: &CoreMembership, in_touch: MachineSet) -> bool {
         let addresses: Vec<String> = in_touch.iter().map(|machine| self.addresses[machine].clone()).collect();
         let has_quorum = self.core_facts(core).quorums.iter().any(|quorum| in_touch.includes(*quorum));
-        has_quorum && quorum::has_majority(&core.prev, &addresses)
+        has_quorum && quorum::has_majority(&core.previous_members, &addresses)
     }
 
     /// A read by any quorum that may vote finishes, and returns all that was acknowledged.
@@ -122,7 +122,7 @@
     fn check_settlement(&self, mut state: State, core: &CoreMembership, in_touch: MachineSet) -> Result<(), Violation> {
         let mut settlement = Settlement::new(core);
         let told = quorum::old_and_new_members(core);
-        let poll = Shared::new(ConsensusRequest { core: core.clone(), ask: ConsensusOperation::Positions });
+        let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ConsensusOperation::Positions });
         for machine in in_touch.iter().filter(|machine| told.contains(&self.addresses[*machine])) {
             let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
             state.put_voter(machine, voter);
--- a/consensus/src/model/proposing.rs
+++ b/consensus/src/model/proposing.rs
@@ -21,7 +21,7 @@
 pub fn ballot(ask: &ConsensusOperation) -> Option<ProposalNumber> {
     match ask {
         ConsensusOperation::Prepare { ballot, .. } => Some(*ballot),
-        ConsensusOperation::Accept { entry, .. } => Some(entry.ballot),
+        ConsensusOperation::Accept { entry, .. } => Some(entry.proposal_number),
         _ => None,
     }
 }
@@ -83,7 +83,7 @@
             return self.finish(next, at, purpose, &state.acknowledged, owner.entry.body.clone(), owner);
         }
         let operation = purpose.operation();
-        let ballot = ProposalNumber { turn, seat: seat(at, proposer.life) };
+        let ballot = ProposalNumber { term: turn, replica_id: seat(at, proposer.life) };
         let mut judge = |body: &[u8]| operation.judge(body);
         let core = &state.cores[core];
         let (proposal, ask) = Proposal::begin(KEY, core, held, ballot, &mut judge, state.now);
@@ -93,7 +93,7 @@
         let task = Task {
             purpose,
             proposal: Shared::new(proposal),
-            poll: Shared::new(ConsensusRequest { core: core.clone(), ask }),
+            poll: Shared::new(ConsensusRequest { membership: core.clone(), operation: ask }),
             votes: Default::default(),
             acknowledged_before: state.acknowledged.clone(),
         };
@@ -109,14 +109,16 @@
     fn count(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[at].task else { return };
         let voted: MachineSet = task.votes.keys().copied().collect();
-        let facts = self.core_facts(&task.poll.core);
+        let facts = self.core_facts(&task.poll.membership);
         for quorum in &facts.quorums {
             let absent: Vec<usize> = quorum.iter().filter(|machine| !voted.contains(*machine)).collect();
             let mut votes: Vec<(usize, Shared<ConsensusResponse>)> =
                 quorum.iter().filter_map(|machine| Some((machine, task.votes.get(&machine)?.clone()))).collect();
             match absent[..] {
                 [] => {}
-                [machine] if self.has(Defect::QuorumOneShort) => votes.push((machine, invented_vote(&task.poll.ask))),
+                [machine] if self.has(Defect::QuorumOneShort) => {
+                    votes.push((machine, invented_vote(&task.poll.operation)))
+                }
                 _ => continue,
             }
             let action = Action::Count { proposer: at, machines: *quorum };
@@ -153,7 +155,7 @@
         match progress {
             Progress::Wait => return Err(Violation::Stuck("the votes of a quorum did not bring a round on")),
             Progress::Send(ask) => {
-                let poll = Shared::new(ConsensusRequest { core: task.poll.core.clone(), ask });
+                let poll = Shared::new(ConsensusRequest { membership: task.poll.membership.clone(), operation: ask });
                 let task = Task { poll, votes: Default::default(), ..task };
                 state.proposers[at].edit(|proposer| proposer.task = Some(task));
             }
@@ -161,7 +163,7 @@
                 return self.finish(state, at, task.purpose, &task.acknowledged_before, answer, owner);
             }
             Progress::Outbid(ballot) => {
-                state.proposers[at].edit(|proposer| proposer.turn = proposer.turn.max(ballot.turn));
+                state.proposers[at].edit(|proposer| proposer.turn = proposer.turn.max(ballot.term));
             }
             Progress::NewerCore(core) => {
                 let known = state.cores.iter().position(|known| *known == core).unwrap_or_default();
--- a/consensus/src/model/recovering.rs
+++ b/consensus/src/model/recovering.rs
@@ -30,7 +30,7 @@
 
     /// A disk is lost, as long as the core tolerates it.
     fn wipe(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
-        let tolerated = Scenario::tolerated_losses(state.newest_core().list.len());
+        let tolerated = Scenario::tolerated_losses(state.newest_core().members.len());
         let held = &state.replicas[machine].voter;
         let forgets = !held.slots.is_empty() || held.core != state.cores[0];
         if state.wipes_left == 0 || !held.may_vote || !forgets || state.mute() >= tolerated {
@@ -108,7 +108,7 @@
         let core = state.replicas[machine].voter.core.clone();
         let is_member = quorum::is_old_or_new_member(&core, &self.addresses[machine]);
         let ask = if is_member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
-        let poll = Shared::new(ConsensusRequest { core: core.clone(), ask });
+        let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask });
         let answer = self.poll(from, &state.replicas[from].voter, &poll)?;
         let mut next = state.clone();
         next.put_voter(from, answer.voter);
--- a/consensus/src/model/state.rs
+++ b/consensus/src/model/state.rs
@@ -109,7 +109,7 @@
     /// The highest turn that a voter promised.
     pub fn highest_turn(&self) -> u64 {
         let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY));
-        slots.map(|slot| slot.promised.turn).max().unwrap_or_default()
+        slots.map(|slot| slot.prepared.term).max().unwrap_or_default()
     }
 
     /// Replicas that may not vote.
@@ -122,7 +122,7 @@
     /// All machines in touch and idle, with what the scenario says was acknowledged before.
     pub fn initial_state(&self) -> State {
         let list = (0..self.scenario.core_size).map(machines::member).collect();
-        let core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
+        let core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         let voter = Voter { core: core.clone(), may_vote: true, ..Default::default() };
         let replica = Shared::new(Replica { voter: Shared::new(voter), ..Replica::default() });
         let idle =
@@ -150,12 +150,12 @@
     fn leave_half_done(&self, state: &mut State) {
         let Some(half_done) = self.scenario.left_half_done else { return };
         let core = state.newest_core().clone();
-        let ballot = ProposalNumber { turn: next_turn(state.highest_turn(), &core), seat: u64::MAX };
-        let entry = Entry { ballot, step: 1, body: vec![HALF_DONE_CHANGE] };
+        let ballot = ProposalNumber { term: next_turn(state.highest_turn(), &core), replica_id: u64::MAX };
+        let entry = Entry { proposal_number: ballot, index: 1, body: vec![HALF_DONE_CHANGE] };
         let prepare = ConsensusOperation::Prepare { key: KEY.into(), ballot };
         let accept = ConsensusOperation::Accept { key: KEY.into(), entry };
         for (ask, machines) in [(prepare, half_done.promised_by), (accept, half_done.accepted_by)] {
-            let poll = Shared::new(ConsensusRequest { core: core.clone(), ask });
+            let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask });
             for machine in machines.iter() {
                 let answer = self.poll(machine, &state.replicas[machine].voter, &poll).expect("no violation");
                 state.put_voter(machine, answer.voter);
--- a/consensus/src/model/symmetry.rs
+++ b/consensus/src/model/symmetry.rs
@@ -33,7 +33,7 @@
             return;
         }
         let is_dead = |poll: &Shared<ConsensusRequest>| {
-            self.core_facts(&poll.core).members.iter().all(|machine| is_refused(&state.replicas[machine], poll))
+            self.core_facts(&poll.membership).members.iter().all(|machine| is_refused(&state.replicas[machine], poll))
         };
         if state.late.iter().any(is_dead) {
             let alive = state.late.iter().filter(|poll| !is_dead(poll)).cloned().collect();
@@ -43,12 +43,13 @@
 }
 
 fn is_refused(replica: &Replica, poll: &ConsensusRequest) -> bool {
-    let ConsensusOperation::Accept { key, entry } = &poll.ask else { return false };
+    let ConsensusOperation::Accept { key, entry } = &poll.operation else { return false };
     let voter = &replica.voter;
     let overtaken = voter.slots.get(key).is_some_and(|slot| {
-        slot.promised > entry.ballot || slot.entry.as_ref().is_some_and(|held| held.place() >= entry.place())
+        slot.prepared > entry.proposal_number
+            || slot.entry.as_ref().is_some_and(|held| held.position() >= entry.position())
     });
-    voter.core.version > poll.core.version || overtaken
+    voter.core.version > poll.membership.version || overtaken
 }
 
 /// What a state says of one machine, without its number.
--- a/consensus/src/model/voting.rs
+++ b/consensus/src/model/voting.rs
@@ -52,7 +52,7 @@
         let mut after = Voter { ip: self.addresses[machine].clone(), ..voter.clone() };
         let accepts_old = self.has(Defect::OldBallotAccepted);
         if accepts_old {
-            forget_promise(&mut after, &poll.ask);
+            forget_promise(&mut after, &poll.operation);
         }
         let (vote, records) = after.poll(poll.clone());
         if accepts_old && matches!(vote, ConsensusResponse::Rejected { .. }) {
@@ -84,7 +84,7 @@
     /// The present poll of a proposer reaches one of the members.
     fn deliver(&self, state: &State, proposer: usize, list: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[proposer].task else { return };
-        for machine in self.core_facts(&task.poll.core).members.iter() {
+        for machine in self.core_facts(&task.poll.membership).members.iter() {
             let action = Action::Deliver { proposer, machine };
             let Answer { voter, vote } = match self.poll(machine, &state.replicas[machine].voter, &task.poll) {
                 Ok(answer) => answer,
@@ -104,7 +104,7 @@
                     list.push(Successor { action, outcome: Ok(next) });
                 }
                 // A refusal under the own ballot answers a poll that came twice.
-                ConsensusResponse::Rejected { promised } if Some(*promised) <= ballot(&task.poll.ask) => {}
+                ConsensusResponse::Rejected { prepared } if Some(*prepared) <= ballot(&task.poll.operation) => {}
                 ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
                     let outcome = self.hear(next, proposer, &[(machine, vote)]);
                     list.push(Successor { action: Action::Refuse { proposer, machine }, outcome });
@@ -116,9 +116,9 @@
     }
 
     fn deliver_late(&self, state: &State, poll: &Shared<ConsensusRequest>, list: &mut Vec<Successor>) {
-        let ConsensusOperation::Accept { entry, .. } = &poll.ask else { return };
-        for machine in self.core_facts(&poll.core).members.iter() {
-            let action = Action::DeliverLate { place: entry.place(), machine };
+        let ConsensusOperation::Accept { entry, .. } = &poll.operation else { return };
+        for machine in self.core_facts(&poll.membership).members.iter() {
+            let action = Action::DeliverLate { place: entry.position(), machine };
             match self.poll(machine, &state.replicas[machine].voter, poll) {
                 Err(violation) => list.push(Successor { action, outcome: Err(violation) }),
                 Ok(answer) if answer.voter == state.replicas[machine].voter => {}
@@ -153,19 +153,19 @@
 fn forget_promise(voter: &mut Voter, ask: &ConsensusOperation) {
     let ConsensusOperation::Accept { key, .. } = ask else { return };
     if let Some(slot) = voter.slots.get_mut(key) {
-        slot.promised = ProposalNumber::default();
+        slot.prepared = ProposalNumber::default();
     }
 }
 
 /// Promises and places of entries never go back, and no entry is above what is promised.
 fn check_only_rises(before: &Voter, after: &Voter) -> Result<(), Violation> {
     for (key, slot) in &after.slots {
-        let place = slot.entry.as_ref().map(Entry::place);
-        let above = slot.entry.as_ref().is_some_and(|entry| entry.ballot > slot.promised);
+        let place = slot.entry.as_ref().map(Entry::position);
+        let above = slot.entry.as_ref().is_some_and(|entry| entry.proposal_number > slot.prepared);
         let back = before
             .slots
             .get(key)
-            .is_some_and(|held| held.promised > slot.promised || held.entry.as_ref().map(Entry::place) > place);
+            .is_some_and(|held| held.prepared > slot.prepared || held.entry.as_ref().map(Entry::position) > place);
         if above || back {
             return Err(Violation::WentBack);
         }
--- a/consensus/src/proposal_tests.rs
+++ b/consensus/src/proposal_tests.rs
@@ -13,7 +13,7 @@
 
 fn core(size: usize) -> CoreMembership {
     let list = (0..size).map(|at| Member { ip: address(at), zone: String::new() }).collect();
-    CoreMembership { version: 1, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
 }
 
 fn address(at: usize) -> String {
@@ -27,11 +27,11 @@
 
 fn ask(voter: &mut Voter, ask: &ConsensusOperation) -> ConsensusResponse {
     let core = voter.core.clone();
-    voter.poll(ConsensusRequest { core, ask: ask.clone() }).0
+    voter.poll(ConsensusRequest { membership: core, operation: ask.clone() }).0
 }
 
 fn ballot(turn: u64) -> ProposalNumber {
-    ProposalNumber { turn, seat: 1 }
+    ProposalNumber { term: turn, replica_id: 1 }
 }
 
 /// Writes this body whatever is committed.
--- a/consensus/src/quorum.rs
+++ b/consensus/src/quorum.rs
@@ -9,17 +9,17 @@
 
 /// Is this address a member of the core?
 pub fn is_member(core: &CoreMembership, address: &str) -> bool {
-    core.list.iter().any(|member| member.ip == address)
+    core.members.iter().any(|member| member.ip == address)
 }
 
 /// May votes of this address have counted in the core or, until that is settled, in the one before?
 pub fn is_old_or_new_member(core: &CoreMembership, address: &str) -> bool {
-    is_member(core, address) || (!core.settled && core.prev.iter().any(|member| member.ip == address))
+    is_member(core, address) || (!core.stable && core.previous_members.iter().any(|member| member.ip == address))
 }
 
 /// The addresses of the members.
 pub fn addresses(core: &CoreMembership) -> Vec<String> {
-    core.list.iter().map(|member| member.ip.clone()).collect()
+    core.members.iter().map(|member| member.ip.clone()).collect()
 }
 
 /// Do these voters form a quorum of the core?
@@ -28,14 +28,14 @@
 /// share a voter. While members are exchanged a majority of those before the change is needed too (a joint
 /// quorum), since a majority of the old ones and one of the new ones may have no voter in common.
 pub fn is_quorum(core: &CoreMembership, voters: &[String]) -> bool {
-    has_majority(&core.list, voters) && (!is_exchange(core) || has_majority(&core.prev, voters))
+    has_majority(&core.members, voters) && (!is_exchange(core) || has_majority(&core.previous_members, voters))
 }
 
 /// Is the core changing so that neither the old nor the new members include the others?
 pub fn is_exchange(core: &CoreMembership) -> bool {
     let missing =
         |of: &[Member], from: &[Member]| of.iter().any(|member| !from.iter().any(|other| other.ip == member.ip));
-    !core.settled && missing(&core.prev, &core.list) && missing(&core.list, &core.prev)
+    !core.stable && missing(&core.previous_members, &core.members) && missing(&core.members, &core.previous_members)
 }
 
 /// Do these voters include more than half of the members of one list?
@@ -48,10 +48,10 @@
 /// no longer votes, but is told of the change and asked what it holds.
 pub fn old_and_new_members(core: &CoreMembership) -> Vec<String> {
     let mut list = addresses(core);
-    if core.settled {
+    if core.stable {
         return list;
     }
-    for member in &core.prev {
+    for member in &core.previous_members {
         if !list.contains(&member.ip) {
             list.push(member.ip.clone());
         }
--- a/consensus/src/quorum_tests.rs
+++ b/consensus/src/quorum_tests.rs
@@ -12,11 +12,11 @@
 }
 
 fn settled(mask: u32) -> CoreMembership {
-    CoreMembership { version: 1, list: members(mask), prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, members: members(mask), previous_members: Vec::new(), stable: true }
 }
 
 fn changing(old: u32, new: u32) -> CoreMembership {
-    CoreMembership { version: 2, list: members(new), prev: members(old), settled: false }
+    CoreMembership { version: 2, members: members(new), previous_members: members(old), stable: false }
 }
 
 fn quorums(core: &CoreMembership) -> Vec<u32> {
@@ -69,7 +69,7 @@
 fn members_before_a_change_are_told_until_it_is_settled() {
     let mut core = changing(0b0111, 0b1011);
     assert_eq!(old_and_new_members(&core).len(), 4);
-    core.settled = true;
+    core.stable = true;
     assert_eq!(old_and_new_members(&core).len(), 3);
 }
 
@@ -77,7 +77,7 @@
 fn old_and_new_members_are_those_that_are_told() {
     for mut core in [changing(0b0111, 0b1011), changing(0b0011, 0b0111), changing(0b1111, 0b0111)] {
         for settled in [false, true] {
-            core.settled = settled;
+            core.stable = settled;
             let told = old_and_new_members(&core);
             for member in addresses(0b1_1111) {
                 assert_eq!(is_old_or_new_member(&core, &member), told.contains(&member), "{core:?} {member}");
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -15,7 +15,7 @@
 impl Ownership {
     /// Nothing was ever committed under this key.
     pub fn is_blank(&self) -> bool {
-        self.entry.step == 0 && self.entry.body.is_empty()
+        self.entry.index == 0 && self.entry.body.is_empty()
     }
 }
 
@@ -74,9 +74,9 @@
         body: Vec<u8>,
         now: u64,
     ) -> (Round, ConsensusOperation) {
-        let entry = Entry { ballot: ownership.entry.ballot, step: ownership.entry.step + 1, body };
+        let entry = Entry { proposal_number: ownership.entry.proposal_number, index: ownership.entry.index + 1, body };
         let ask = ConsensusOperation::Accept { key: key.into(), entry: entry.clone() };
-        (Round::new(key, core, entry.ballot, Phase::Writing(entry), now), ask)
+        (Round::new(key, core, entry.proposal_number, Phase::Writing(entry), now), ask)
     }
 
     fn new(key: &str, core: CoreMembership, ballot: ProposalNumber, phase: Phase, now: u64) -> Round {
@@ -98,11 +98,11 @@
         }
         match vote {
             ConsensusResponse::NewerMembership { core } => return Step::Core(core),
-            ConsensusResponse::Rejected { promised } if promised > self.ballot => return Step::Lost(promised),
+            ConsensusResponse::Rejected { prepared } if prepared > self.ballot => return Step::Lost(prepared),
             ConsensusResponse::Prepared { entry } => {
                 let Phase::Reading { found } = &mut self.phase else { return Step::Wait };
-                let best = found.as_ref().map(Entry::place);
-                if entry.as_ref().map(Entry::place) > best {
+                let best = found.as_ref().map(Entry::position);
+                if entry.as_ref().map(Entry::position) > best {
                     *found = entry;
                 }
                 self.heard.push(from.into());
@@ -120,11 +120,11 @@
             Phase::Writing(entry) => Step::Done(Ownership { entry: entry.clone(), core: self.core.version }),
             Phase::Reading { found } => {
                 let Some(found) = found.take() else {
-                    let entry = Entry { ballot: self.ballot, step: 0, body: Vec::new() };
+                    let entry = Entry { proposal_number: self.ballot, index: 0, body: Vec::new() };
                     return Step::Done(Ownership { entry, core: self.core.version });
                 };
                 // A new number: acceptance of the old phase must not count for the new one.
-                let entry = Entry { ballot: self.ballot, step: 0, body: found.body };
+                let entry = Entry { proposal_number: self.ballot, index: 0, body: found.body };
                 self.phase = Phase::Writing(entry.clone());
                 self.heard.clear();
                 Step::Send(ConsensusOperation::Accept { key: self.key.clone(), entry })
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -94,7 +94,7 @@
 impl World {
     pub fn new(seed: u64, size: usize) -> World {
         let list = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
+        let core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         World {
             now: 0,
             dice: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
@@ -122,7 +122,7 @@
                 self.post(
                     from,
                     to,
-                    Mail::Poll { round, poll: ConsensusRequest { core: core.clone(), ask: ask.clone() } },
+                    Mail::Poll { round, poll: ConsensusRequest { membership: core.clone(), operation: ask.clone() } },
                 );
             }
         }
@@ -145,7 +145,7 @@
             }
             None => {
                 seat.turn = round::next_turn(seat.turn, &core);
-                let ballot = ProposalNumber { turn: seat.turn, seat: crate::seat(&ip(at), seat.life) };
+                let ballot = ProposalNumber { term: seat.turn, replica_id: crate::seat(&ip(at), seat.life) };
                 let (round, ask) = Round::take(KEY, core.clone(), ballot, now);
                 (round, ask, None)
             }
@@ -185,7 +185,7 @@
                 self.ask(at, id, &core, &ask);
             }
             Step::Lost(ballot) => {
-                seat.turn = seat.turn.max(ballot.turn);
+                seat.turn = seat.turn.max(ballot.term);
                 seat.work = None;
             }
             Step::Done(ownership) => {
@@ -236,7 +236,8 @@
                 self.seats[at].reads.clear();
                 for to in 0..self.seats.len() {
                     if others.contains(&ip(to)) {
-                        let poll = ConsensusRequest { core: core.clone(), ask: ConsensusOperation::Snapshot };
+                        let poll =
+                            ConsensusRequest { membership: core.clone(), operation: ConsensusOperation::Snapshot };
                         self.post(at, to, Mail::Poll { round: 0, poll });
                     }
                 }
--- a/consensus/src/sim_tests.rs
+++ b/consensus/src/sim_tests.rs
@@ -151,7 +151,7 @@
     for size in 2..=9usize {
         let list: Vec<Member> = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
         let mut voter = Voter::new(&ip(0));
-        voter.core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
+        voter.core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         for mask in 0..(1u32 << size) {
             let read: Vec<String> = (1..size).filter(|at| mask & (1 << at) != 0).map(ip).collect();
             // The largest set without any that was read: could it have been a majority?
--- a/consensus/src/sim_trouble.rs
+++ b/consensus/src/sim_trouble.rs
@@ -71,7 +71,8 @@
     pub fn change(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
         let old = self.seats[0].voter.core.clone();
         let list = list.into_iter().map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let core = CoreMembership { version: old.version + 1, list, prev: old.list, settled: !joint };
+        let core =
+            CoreMembership { version: old.version + 1, members: list, previous_members: old.members, stable: !joint };
         let record = self.seats[0].voter.adopt(&core);
         (self.seats[0].ownership, self.seats[0].work) = (None, None);
         self.seats[0].wet.push((self.now + 2, record.into_iter().collect(), None));
@@ -82,7 +83,7 @@
     pub fn spread(&mut self, core: &CoreMembership) -> bool {
         let ask = ConsensusOperation::Positions;
         for to in 0..self.seats.len() {
-            let poll = ConsensusRequest { core: core.clone(), ask: ask.clone() };
+            let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
             self.post(0, to, Mail::Poll { round: 0, poll });
         }
         let knows = |ip: &str| {
@@ -90,7 +91,7 @@
         };
         let most =
             |list: &[Member]| list.iter().filter(|member| knows(&member.ip)).count() >= quorum::majority(list.len());
-        most(&core.list) && most(&core.prev)
+        most(&core.members) && most(&core.previous_members)
     }
 
     /// Commits the key again under the core of now; true once done.
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -59,10 +59,10 @@
             1 => return LogRecord::Core(CoreMembership { version: self.turn, ..Default::default() }),
             _ => {}
         }
-        let ballot = ProposalNumber { turn: self.turn, seat: 1 };
+        let ballot = ProposalNumber { term: self.turn, replica_id: 1 };
         let body = vec![self.turn as u8; self.dice.below(MOST_BODY) as usize];
-        let entry = Some(Entry { ballot, step: 0, body });
-        LogRecord::Slot(RegisterState { key: format!("k{}", self.dice.below(KEYS)), promised: ballot, entry })
+        let entry = Some(Entry { proposal_number: ballot, index: 0, body });
+        LogRecord::Slot(RegisterState { key: format!("k{}", self.dice.below(KEYS)), prepared: ballot, entry })
     }
 
     fn batch(&mut self) -> Vec<LogRecord> {
--- a/consensus/src/store_tests.rs
+++ b/consensus/src/store_tests.rs
@@ -13,9 +13,9 @@
 }
 
 fn record(turn: u64, body: &[u8]) -> LogRecord {
-    let ballot = ProposalNumber { turn, seat: 1 };
-    let entry = Some(Entry { ballot, step: 0, body: body.to_vec() });
-    LogRecord::Slot(RegisterState { key: "k".into(), promised: ballot, entry })
+    let ballot = ProposalNumber { term: turn, replica_id: 1 };
+    let entry = Some(Entry { proposal_number: ballot, index: 0, body: body.to_vec() });
+    LogRecord::Slot(RegisterState { key: "k".into(), prepared: ballot, entry })
 }
 
 fn open(dir: &Path) -> Result<(Store, Vec<LogRecord>), StoreError> {
--- a/consensus/src/voter.rs
+++ b/consensus/src/voter.rs
@@ -63,7 +63,7 @@
     /// Takes over a committed core. None when it is no newer.
     pub fn adopt(&mut self, core: &CoreMembership) -> Option<LogRecord> {
         let newer = core.version > self.core.version;
-        let calmer = core.version == self.core.version && core.settled && !self.core.settled;
+        let calmer = core.version == self.core.version && core.stable && !self.core.stable;
         if !newer && !calmer {
             return None;
         }
@@ -72,11 +72,11 @@
     }
 
     pub fn poll(&mut self, poll: ConsensusRequest) -> (ConsensusResponse, Vec<LogRecord>) {
-        if poll.core.version < self.core.version {
+        if poll.membership.version < self.core.version {
             return (ConsensusResponse::NewerMembership { core: self.core.clone() }, Vec::new());
         }
-        let mut records: Vec<LogRecord> = self.adopt(&poll.core).into_iter().collect();
-        let vote = match poll.ask {
+        let mut records: Vec<LogRecord> = self.adopt(&poll.membership).into_iter().collect();
+        let vote = match poll.operation {
             // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
             ConsensusOperation::Snapshot if self.may_vote => {
                 ConsensusResponse::Snapshot { slots: self.slots.values().cloned().collect() }
@@ -96,31 +96,31 @@
 
     pub fn places(&self) -> Vec<(String, ProposalNumber, u64)> {
         let held = self.slots.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
-        held.map(|(slot, entry)| (slot.key.clone(), entry.ballot, entry.step)).collect()
+        held.map(|(slot, entry)| (slot.key.clone(), entry.proposal_number, entry.index)).collect()
     }
 
     fn slot(&mut self, key: &str) -> &mut RegisterState {
-        let empty = || RegisterState { key: key.into(), promised: Default::default(), entry: None };
+        let empty = || RegisterState { key: key.into(), prepared: Default::default(), entry: None };
         self.slots.entry(key.to_string()).or_insert_with(empty)
     }
 
     fn prepare(&mut self, key: String, ballot: ProposalNumber, records: &mut Vec<LogRecord>) -> ConsensusResponse {
         let slot = self.slot(&key);
-        if ballot <= slot.promised {
-            return ConsensusResponse::Rejected { promised: slot.promised };
+        if ballot <= slot.prepared {
+            return ConsensusResponse::Rejected { prepared: slot.prepared };
         }
-        slot.promised = ballot;
+        slot.prepared = ballot;
         records.push(LogRecord::Slot(slot.clone()));
         ConsensusResponse::Prepared { entry: slot.entry.clone() }
     }
 
     fn accept(&mut self, key: String, entry: Entry, records: &mut Vec<LogRecord>) -> ConsensusResponse {
         let slot = self.slot(&key);
-        let held = slot.entry.as_ref().map(Entry::place);
-        if entry.ballot < slot.promised || held.is_some_and(|place| place > entry.place()) {
-            return ConsensusResponse::Rejected { promised: slot.promised };
+        let held = slot.entry.as_ref().map(Entry::position);
+        if entry.proposal_number < slot.prepared || held.is_some_and(|place| place > entry.position()) {
+            return ConsensusResponse::Rejected { prepared: slot.prepared };
         }
-        slot.promised = entry.ballot;
+        slot.prepared = entry.proposal_number;
         slot.entry = Some(entry);
         records.push(LogRecord::Slot(slot.clone()));
         ConsensusResponse::Accepted
@@ -137,9 +137,9 @@
         }
         for read in reads.into_iter().flatten() {
             let slot = self.slot(&read.key.clone());
-            slot.promised = slot.promised.max(read.promised);
-            let mine = slot.entry.as_ref().map(Entry::place);
-            let held = read.entry.as_ref().map(Entry::place);
+            slot.prepared = slot.prepared.max(read.prepared);
+            let mine = slot.entry.as_ref().map(Entry::position);
+            let held = read.entry.as_ref().map(Entry::position);
             if held > mine {
                 slot.entry = read.entry;
             }
@@ -156,7 +156,7 @@
             let seen = list.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
             seen + quorum::majority(list.len()) > list.len()
         };
-        !read.is_empty() && meets(&self.core.list) && (self.core.settled || meets(&self.core.prev))
+        !read.is_empty() && meets(&self.core.members) && (self.core.stable || meets(&self.core.previous_members))
     }
 
     /// Those whom a voter without memory asks: all others of the core and of the one before.
@@ -170,7 +170,7 @@
 /// The newest core that any of these voters accepted, committed or not.
 fn written_core(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
     let entries = reads.iter().flatten().filter(|slot| slot.key == CORE).filter_map(|slot| slot.entry.as_ref());
-    core_body::read(&entries.max_by_key(|entry| entry.place())?.body)
+    core_body::read(&entries.max_by_key(|entry| entry.position())?.body)
 }
 
 #[cfg(test)]
--- a/consensus/src/voter_tests.rs
+++ b/consensus/src/voter_tests.rs
@@ -20,11 +20,11 @@
 
 /// Four members, before the last of them is removed.
 fn four() -> CoreMembership {
-    CoreMembership { version: 1, list: members(&[0, 1, 2, 3]), prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, members: members(&[0, 1, 2, 3]), previous_members: Vec::new(), stable: true }
 }
 
 fn three() -> CoreMembership {
-    CoreMembership { version: 2, list: members(&[0, 1, 2]), prev: four().list, settled: false }
+    CoreMembership { version: 2, members: members(&[0, 1, 2]), previous_members: four().members, stable: false }
 }
 
 fn voter(machine: usize) -> Voter {
@@ -32,16 +32,16 @@
 }
 
 fn entry(body: Vec<u8>) -> Entry {
-    Entry { ballot: ProposalNumber { turn: 1, seat: 1 }, step: 1, body }
+    Entry { proposal_number: ProposalNumber { term: 1, replica_id: 1 }, index: 1, body }
 }
 
 fn accept(voter: &mut Voter, core: CoreMembership, key: &str, body: Vec<u8>) {
     let ask = ConsensusOperation::Accept { key: key.into(), entry: entry(body) };
-    assert_eq!(voter.poll(ConsensusRequest { core, ask }).0, ConsensusResponse::Accepted);
+    assert_eq!(voter.poll(ConsensusRequest { membership: core, operation: ask }).0, ConsensusResponse::Accepted);
 }
 
 fn whole(voter: &mut Voter, core: CoreMembership) -> Vec<RegisterState> {
-    match voter.poll(ConsensusRequest { core, ask: ConsensusOperation::Snapshot }).0 {
+    match voter.poll(ConsensusRequest { membership: core, operation: ConsensusOperation::Snapshot }).0 {
         ConsensusResponse::Snapshot { slots } => slots,
         other => panic!("{other:?}"),
     }
@@ -60,11 +60,11 @@
 fn one_that_is_no_member_any_more_says_what_it_holds() {
     let mut leaving = voter(3);
     accept(&mut leaving, four(), KEY, b"x".to_vec());
-    let (vote, _) = leaving.poll(ConsensusRequest { core: three(), ask: ConsensusOperation::Positions });
-    assert_eq!(vote, ConsensusResponse::Positions { list: vec![(KEY.into(), entry(Vec::new()).ballot, 1)] });
+    let (vote, _) = leaving.poll(ConsensusRequest { membership: three(), operation: ConsensusOperation::Positions });
+    assert_eq!(vote, ConsensusResponse::Positions { list: vec![(KEY.into(), entry(Vec::new()).proposal_number, 1)] });
     let (vote, _) = leaving.poll(ConsensusRequest {
-        core: three(),
-        ask: ConsensusOperation::Prepare { key: KEY.into(), ballot: ProposalNumber::default() },
+        membership: three(),
+        operation: ConsensusOperation::Prepare { key: KEY.into(), ballot: ProposalNumber::default() },
     });
     assert_eq!(vote, ConsensusResponse::NonVoting, "it votes no more");
 }
@@ -73,7 +73,7 @@
 fn one_without_memory_says_nothing_of_places() {
     let mut wiped = Voter { core: four(), ..Voter::new(&address(0)) };
     assert_eq!(
-        wiped.poll(ConsensusRequest { core: four(), ask: ConsensusOperation::Positions }).0,
+        wiped.poll(ConsensusRequest { membership: four(), operation: ConsensusOperation::Positions }).0,
         ConsensusResponse::NonVoting
     );
 }
--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -6,7 +6,7 @@
 
 use kernel::{clock, startup};
 use load_balancing::balance::{self, Change, Seen};
-use protocol::headers::TARGET;
+use protocol::headers::TARGET_INSTANCE;
 use protocol::message::{self, Engine};
 use reqwest::Client;
 use tokio::time;
@@ -102,9 +102,9 @@
     let busy = controller.roster.lock().expect("roster").pressure(now);
     let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !message::hidden(&sheet.zone)) {
+    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
         let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
-        for engine in sheet.list.iter().filter(|engine| !engine.phase.is_empty()) {
+        for engine in sheet.engines.iter().filter(|engine| !engine.phase.is_empty()) {
             let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
             let mean = balance.busy.entry(engine.id.clone()).or_insert(told);
             *mean += (told - *mean) * 0.5;
@@ -170,7 +170,7 @@
     });
     let call = client
         .post(format!("http://{}/order", engine.addr))
-        .header(TARGET, &engine.id)
+        .header(TARGET_INSTANCE, &engine.id)
         .header("content-type", "application/json")
         .body(body.to_string());
     let status = call.send().await.map_or(0, |reply| reply.status().as_u16());
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -70,7 +70,7 @@
     ips.sort();
     ips.dedup();
     let list = ips.into_iter().map(|ip| Member { ip, zone: String::new() }).collect();
-    CoreMembership { version: 1, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
 }
 
 /// Messages to peers that were handed over get so long to leave.
--- a/controller/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -2,7 +2,7 @@
 //! all are read, and a body is never written in an older form than the one before it.
 
 use kernel::clock;
-use protocol::message::{DIGESTED_BODIES, READS};
+use protocol::message::{DIGESTED_BODIES, PROTOCOL_VERSION};
 use protocol::operator_request::ConfigChange;
 use sha2::Sha256;
 
@@ -76,7 +76,7 @@
     /// first configuration would fill the links of all who fetch it.
     pub fn for_readers(versions: impl Iterator<Item = u64>) -> BodyForm {
         let known = versions.map(|version| if version == 0 { PACKED_SINCE } else { version });
-        BodyForm::read_by_all(known.min().unwrap_or(READS))
+        BodyForm::read_by_all(known.min().unwrap_or(PROTOCOL_VERSION))
     }
 
     /// The newest form that everyone reads, where `oldest` is the oldest version of messages that anyone reads.
--- a/controller/src/config_history_tests.rs
+++ b/controller/src/config_history_tests.rs
@@ -8,7 +8,7 @@
 use protocol::change::{before_tenants, Change};
 use protocol::config::{Checked, Config, Route};
 use protocol::frame::{self, HEAD};
-use protocol::message::{Message, READS, TENANTS};
+use protocol::message::{Message, PROTOCOL_VERSION, TENANTS};
 
 use super::{ConfigHistory, EncodedChange, Layout, NotNewer, MOST_CHANGES};
 
@@ -102,7 +102,7 @@
     for revision in 1..=20 {
         assert_eq!(history.advance(config(revision, 20, revision)), Ok(()));
         let mut has = revision - 1;
-        assert!(history.send_missing(READS, &mut has, |_| true));
+        assert!(history.send_missing(PROTOCOL_VERSION, &mut has, |_| true));
     }
     assert!(history.changes.iter().all(|change| change.before_tenants.is_none()));
     assert!(history.whole_before_tenants.is_none());
@@ -163,7 +163,7 @@
 /// what was not, and one call brings it up to date.
 #[test]
 fn a_router_away_for_any_time_gets_the_newest_and_never_a_wrong_table() {
-    for (seed, reads) in (0..15).flat_map(|seed| [(seed, READS), (seed, 3)]) {
+    for (seed, reads) in (0..15).flat_map(|seed| [(seed, PROTOCOL_VERSION), (seed, 3)]) {
         let mut dice = Rng::new(clock::combine_hashes(seed, 5));
         let mut history = ConfigHistory::default();
         let mut router = Router::default();
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -91,11 +91,11 @@
 }
 
 fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> CommittedDelta {
-    let (ballot, place) = entry.place();
+    let (ballot, place) = entry.position();
     CommittedDelta {
         key: CONFIG.into(),
-        ballot,
-        step: place,
+        proposal_number: ballot,
+        index: place,
         before: step.before,
         after: body_digest(&entry.body),
         change: Some(change.clone()),
@@ -118,18 +118,26 @@
     for peer in controller.known() {
         let reads = controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.reads);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
-        controller.peer(&peer).cast(if is_short { short.clone() } else { whole.clone() });
+        controller.peer(&peer).notify(if is_short { short.clone() } else { whole.clone() });
     }
 }
 
 /// The same body was committed again, by a read or under a changed core: those that hold it need only its place.
 pub fn tell_again(controller: &Controller, key: &str, entry: &Entry) {
     controller.learn(key, entry, false);
-    let (ballot, step) = entry.place();
+    let (ballot, step) = entry.position();
     let digest = body_digest(&entry.body);
     let (before, after) = (digest, digest);
-    let advance =
-        CommittedDelta { key: key.into(), ballot, step, before, after, change: None, revision: 0, pack: false };
+    let advance = CommittedDelta {
+        key: key.into(),
+        proposal_number: ballot,
+        index: step,
+        before,
+        after,
+        change: None,
+        revision: 0,
+        pack: false,
+    };
     send(controller, entry, advance, |_| true);
 }
 
@@ -140,8 +148,8 @@
         let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
     };
-    let Some(held) = held.filter(|held| held.place() < (advance.ballot, advance.step)) else { return };
-    let entry = |body| Entry { ballot: advance.ballot, step: advance.step, body };
+    let Some(held) = held.filter(|held| held.position() < (advance.proposal_number, advance.index)) else { return };
+    let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
     match next_body(&held.body, known.as_deref(), advance) {
         Some((body, Some(checked))) => controller.learn_config(&entry(body), checked),
         Some((body, None)) => controller.learn(&advance.key, &entry(body), false),
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -29,7 +29,7 @@
     let text = serde_json::json!({"revision": 8, "upsert": {"route_table": [route]}}).to_string();
     let change = ConfigChange { base: 5, text, partial: true };
     let (after, step) = step_on(&body, &change, form);
-    let entry = Entry { ballot: ProposalNumber { turn: 2, seat: 1 }, step: 1, body: after.clone() };
+    let entry = Entry { proposal_number: ProposalNumber { term: 2, replica_id: 1 }, index: 1, body: after.clone() };
     let advance = advance_of(&entry, &change, &step);
     assert_eq!((advance.before, advance.after, advance.revision), (body_digest(&body), body_digest(&after), 8));
     (body, advance, after)
@@ -117,8 +117,11 @@
     let (after_first, step) = step_on(&body, &first, BodyForm::Digested);
     let (after_second, later) = step_on(&after_first, &second, BodyForm::Digested);
     let mut committed = CommittedState::default();
-    let entry =
-        |place, body: &[u8]| Entry { ballot: ProposalNumber { turn: place, seat: 1 }, step: 1, body: body.to_vec() };
+    let entry = |place, body: &[u8]| Entry {
+        proposal_number: ProposalNumber { term: place, replica_id: 1 },
+        index: 1,
+        body: body.to_vec(),
+    };
     committed.learn(CONFIG, &entry(2, &after_second), Some(later.checked.clone()));
     committed.learn(CONFIG, &entry(1, &after_first), Some(step.checked.clone()));
     assert_eq!(committed.history.revision(), 9, "the later one stays");
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -51,7 +51,7 @@
 }
 
 fn entry(turn: u64, body: Vec<u8>) -> Entry {
-    Entry { ballot: ProposalNumber { turn, seat: 1 }, step: 0, body }
+    Entry { proposal_number: ProposalNumber { term: turn, replica_id: 1 }, index: 0, body }
 }
 
 #[test]
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -26,7 +26,7 @@
 pub async fn run(controller: &Arc<Controller>) {
     let begun = clock::now();
     let core = controller.core();
-    if core.list.is_empty() {
+    if core.members.is_empty() {
         return;
     }
     let Some(confirmation) = read(controller, &core).await else { return };
@@ -41,7 +41,7 @@
 }
 
 fn known(controller: &Controller, key: &str) -> Option<Place> {
-    controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::place)
+    controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::position)
 }
 
 async fn read(controller: &Arc<Controller>, core: &CoreMembership) -> Option<Confirmation> {
@@ -92,13 +92,13 @@
     let mut fetched = Vec::new();
     while let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await {
         let ConsensusResponse::Fetched { entry: Some(entry) } = vote else { continue };
-        if behind.committed && entry.place() == behind.place {
+        if behind.committed && entry.position() == behind.place {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
         fetched.push((from, entry));
         let newer = confirmation::committed(core, &fetched);
-        if let Some(entry) = newer.filter(|entry| entry.place() >= behind.place) {
+        if let Some(entry) = newer.filter(|entry| entry.position() >= behind.place) {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -125,7 +125,7 @@
     /// Controllers that are known: the core, the seeds, whoever was heard.
     pub fn known(&self) -> Vec<String> {
         let mut list = self.settings.seed_ips();
-        list.extend(self.core().list.into_iter().map(|member| member.ip));
+        list.extend(self.core().members.into_iter().map(|member| member.ip));
         list.extend(self.roster.lock().expect("roster").controllers.keys().cloned());
         list.sort();
         list.dedup();
@@ -139,7 +139,7 @@
         let core = self.core();
         let roster = self.roster.lock().expect("roster");
         let reads = |ip: &str| roster.controllers.get(ip).map_or(0, |peer| peer.reads);
-        let members = core.list.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
+        let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
         let live = roster.controllers.keys().map(String::as_str).filter(|ip| roster.live(ip, now));
         BodyForm::for_readers(members.chain(live).map(reads))
     }
@@ -167,8 +167,8 @@
     pub fn adopt(&self, core: &CoreMembership) {
         let record = self.voter.lock().expect("voter").adopt(core);
         let Some(record) = record else { return };
-        kernel::log_event!(CORE, "version" => core.version, "settled" => core.settled,
-            "members" => core.list.iter().map(|member| member.ip.as_str()).collect::<Vec<_>>().join(","));
+        kernel::log_event!(CORE, "version" => core.version, "settled" => core.stable,
+            "members" => core.members.iter().map(|member| member.ip.as_str()).collect::<Vec<_>>().join(","));
         self.disk.write(vec![record]);
     }
 }
--- a/controller/src/disk_tests.rs
+++ b/controller/src/disk_tests.rs
@@ -8,8 +8,8 @@
 use super::{newest, open, Disk};
 
 fn slot(key: &str, turn: u64) -> LogRecord {
-    let ballot = ProposalNumber { turn, seat: 1 };
-    LogRecord::Slot(RegisterState { key: key.into(), promised: ballot, entry: None })
+    let ballot = ProposalNumber { term: turn, replica_id: 1 };
+    LogRecord::Slot(RegisterState { key: key.into(), prepared: ballot, entry: None })
 }
 
 fn core(version: u64) -> LogRecord {
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -163,14 +163,14 @@
     let sure = controller.sure(now);
     let roster = controller.roster.lock().expect("roster");
     let vouched = holders.into_iter().filter(|ip| *ip != roster.me && roster.vouches_for(ip, now));
-    let vouched = vouched.map(|ip| (message::hide(&format!("{VOUCH}{ip}")), 1, 0));
-    iter::once((message::hide(SURE), u64::from(sure), 0)).chain(vouched).collect()
+    let vouched = vouched.map(|ip| (message::hidden_key(&format!("{VOUCH}{ip}")), 1, 0));
+    iter::once((message::hidden_key(SURE), u64::from(sure), 0)).chain(vouched).collect()
 }
 
 /// What a peer told: whether it is sure, and whom it vouches for. One of an earlier version, which tells
 /// nothing of it, counts as sure while it is heard.
 pub fn heard(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
-    let (sure, vouch) = (message::hide(SURE), message::hide(VOUCH));
+    let (sure, vouch) = (message::hidden_key(SURE), message::hidden_key(VOUCH));
     let sure = told.iter().find(|item| item.0 == sure).is_none_or(|item| item.1 == 1);
     let vouches = told.iter().filter_map(|item| Some(item.0.strip_prefix(&vouch)?.to_string()));
     (sure, vouches.collect())
--- a/controller/src/followers.rs
+++ b/controller/src/followers.rs
@@ -26,7 +26,7 @@
 impl Follower {
     /// Sends a message; one that is dropped is noted. True: it was handed to the connection.
     pub fn send(&mut self, msg: &Message) -> bool {
-        let sent = self.mouth.cast(msg);
+        let sent = self.mouth.notify(msg);
         self.behind |= !sent;
         sent
     }
@@ -42,7 +42,7 @@
     /// Forgets followers whose connection is gone, once their leases have lapsed: a lease holds without
     /// the connection over which it was given.
     pub fn forget_lapsed(&mut self, now: u64) {
-        self.list.retain(|_, follower| follower.until > now || !follower.mouth.gone());
+        self.list.retain(|_, follower| follower.until > now || !follower.mouth.is_closed());
     }
 
     /// How many followers hold a lease, and how many of them have confirmed a rule.
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -16,20 +16,20 @@
     if gossip.ip == controller.me() {
         return;
     }
-    controller.adopt(&gossip.core);
+    controller.adopt(&gossip.membership);
     let now = clock::now();
     let mut roster = controller.roster.lock().expect("roster");
     let peer = Peer {
         zone: gossip.zone.clone(),
-        life: gossip.life,
+        life: gossip.incarnation,
         heard: now,
-        fit: gossip.fit,
-        seats: gossip.seats,
-        reads: message::reads(&gossip.sheets),
-        leaving: message::is_leaving(&gossip.sheets),
-        busy: gossip.busy.clone(),
-        doors: gossip.doors.clone(),
-        resting: gossip.resting.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
+        fit: gossip.eligible,
+        seats: gossip.router_count,
+        reads: message::protocol_version_of(&gossip.list_versions),
+        leaving: message::is_shutting_down(&gossip.list_versions),
+        busy: gossip.in_flight.clone(),
+        doors: gossip.frontend_addresses.clone(),
+        resting: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
     };
     roster.hear(&gossip.ip, peer);
     roster.report(&gossip.ip, platform::report(gossip), now);
@@ -42,9 +42,9 @@
     drop(roster);
     // Repair: who is behind gets what it lacks.
     let mut sheets = controller.sheets.lock().expect("sheets");
-    sheets.raise(&gossip.floors);
-    for sheet in sheets.newer(&gossip.sheets) {
-        controller.peer(&gossip.ip).cast(Message::EndpointList(Box::new(sheet)));
+    sheets.raise(&gossip.observed_list_versions);
+    for sheet in sheets.newer(&gossip.list_versions) {
+        controller.peer(&gossip.ip).notify(Message::EndpointList(Box::new(sheet)));
     }
 }
 
@@ -76,9 +76,9 @@
     let (mut sheets, floors) = {
         let held = controller.sheets.lock().expect("sheets");
         let mut versions = held.versions();
-        versions.push(message::told());
+        versions.push(message::own_protocol_version());
         if controller.leaving.load(Ordering::Relaxed) {
-            versions.push(message::leaving());
+            versions.push(message::shutting_down_marker());
         }
         (versions, held.floors())
     };
@@ -87,16 +87,16 @@
     let gossip = Gossip {
         ip: controller.me().into(),
         zone: controller.settings.zone.clone(),
-        life: controller.life,
-        fit: fit(controller),
-        core,
+        incarnation: controller.life,
+        eligible: fit(controller),
+        membership: core,
         peers,
-        seats,
-        busy: Vec::new(),
-        resting,
-        doors: Vec::new(),
-        sheets,
-        floors,
+        router_count: seats,
+        in_flight: Vec::new(),
+        reassigning: resting,
+        frontend_addresses: Vec::new(),
+        list_versions: sheets,
+        observed_list_versions: floors,
     };
     let holder = |duty: &str| {
         controller.committed_state.lock().expect("committed_state").duties.get(duty).map(|duty| duty.1.clone())
@@ -106,12 +106,12 @@
         let mut gossip = gossip.clone();
         // What grows with engines or routers goes to the one controller that reads it.
         if balancer.as_ref() == Some(&ip) {
-            gossip.busy.clone_from(&busy);
+            gossip.in_flight.clone_from(&busy);
         }
         if batch_owner.as_ref() == Some(&ip) {
-            gossip.doors.clone_from(&doors);
+            gossip.frontend_addresses.clone_from(&doors);
         }
-        controller.peer(&ip).cast(Message::Gossip(Box::new(gossip)));
+        controller.peer(&ip).notify(Message::Gossip(Box::new(gossip)));
     }
 }
 
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -7,7 +7,7 @@
 use batch::turn::Press;
 use batch::ANSWER;
 use kernel::clock;
-use protocol::headers::{ATTEMPT, BUDGET};
+use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, Response};
 
 /// Header by which a router knows deferrable work; it never reaches an engine.
@@ -27,8 +27,8 @@
         .request(method, format!("http://{router}{}", job.path))
         .timeout(Duration::from_millis(left_ms))
         .header("host", &job.host)
-        .header(ATTEMPT, format!("{:016x}", clock::incarnation()))
-        .header(BUDGET, left_ms.to_string())
+        .header(ATTEMPT_ID, format!("{:016x}", clock::incarnation()))
+        .header(TIME_BUDGET, left_ms.to_string())
         .header(DEFERRABLE, if press == Press::Near { "near" } else { "idle" });
     for (name, value) in &job.head {
         call = call.header(name, value);
--- a/controller/src/message.rs
+++ b/controller/src/message.rs
@@ -16,7 +16,7 @@
     let now = clock::now();
     match msg {
         Message::ConsensusRequest(poll) => {
-            controller.adopt(&poll.core);
+            controller.adopt(&poll.membership);
             controller.vote(*poll, move |vote| {
                 mouth.reply(id, &Message::ConsensusResponse(Box::new(vote)));
             });
@@ -48,9 +48,9 @@
             mouth.reply(id, &reply);
         }
         Message::PrefixRegistration(note) => {
-            register(controller, note.epoch, &note.list, now);
+            register(controller, note.epoch, &note.owners, now);
             let mut catalog = controller.catalog.lock().expect("catalog");
-            note.told.iter().take(KEYS).for_each(|told| catalog.gauge.note(told, now));
+            note.loads.iter().take(KEYS).for_each(|told| catalog.gauge.note(told, now));
         }
         Message::TokenRequest(spend) => {
             let spent = quota::spend(controller, &spend);
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -167,8 +167,8 @@
         self.config_revision.set(controller.revision() as i64);
         self.confirmed.set(i64::from(controller.sure(now)));
         self.core_version.set(core.version as i64);
-        self.core_members.set(core.list.len() as i64);
-        self.core_settled.set(i64::from(core.settled));
+        self.core_members.set(core.members.len() as i64);
+        self.core_settled.set(i64::from(core.stable));
         self.live_controllers.set(live_controllers(controller, now));
         let followers =
             controller.followers.lock().expect("followers").list.values().filter(|one| one.until > now).count();
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -18,25 +18,30 @@
     /// A router renews its lease, tells what it has and gets what it lacks.
     pub fn follow(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
         let now = clock::now();
-        self.roster.lock().expect("roster").lease(&follow.node, now + ROUTER_LEASE_MS, follow.busy, follow.door);
-        self.sheets.lock().expect("sheets").raise(&follow.sheets);
+        self.roster.lock().expect("roster").lease(
+            &follow.node,
+            now + ROUTER_LEASE_MS,
+            follow.in_flight,
+            follow.frontend_address,
+        );
+        self.sheets.lock().expect("sheets").raise(&follow.list_versions);
         let mut follower = Follower {
-            rules: rules::told(&follow.closed),
+            rules: rules::told(&follow.evacuation_versions),
             until: now + ROUTER_LEASE_MS,
             mouth,
             zone: follow.zone,
-            config: follow.config,
+            config: follow.config_revision,
             behind: false,
-            reads: message::reads(&follow.sheets),
-            closed: follow.closed.into_iter().collect(),
-            sheets: follow.sheets.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
+            reads: message::protocol_version_of(&follow.list_versions),
+            closed: follow.evacuation_versions.into_iter().collect(),
+            sheets: follow.list_versions.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
         };
         let mut news = self.missing(&follow.node, &mut follower, now);
         // A lease on bound work is renewed only for one that has confirmed every rule known here.
         // One of the first version holds none: it serves on, and no rule settles while it is there.
-        news.sure &= follower.reads < 2 || self.confirmed(&follower);
+        news.confirmed &= follower.reads < 2 || self.confirmed(&follower);
         // Whoever is told that it is current must have been sent all.
-        news.sure &= !follower.behind;
+        news.confirmed &= !follower.behind;
         follower.mouth.reply(id, &Message::StateUpdate(Box::new(news)));
         self.followers.lock().expect("followers").list.insert(follow.node, follower);
     }
@@ -45,13 +50,13 @@
     pub fn doubt(&self, engine: &str, passed: bool) {
         let note = |passed| Message::SuspectEngine(Box::new((engine.to_string(), passed)));
         for follower in self.followers.lock().expect("followers").list.values() {
-            follower.mouth.cast(&note(true));
+            follower.mouth.notify(&note(true));
         }
         if passed {
             return;
         }
         for ip in self.known() {
-            self.peer(&ip).cast(note(true));
+            self.peer(&ip).notify(note(true));
         }
     }
 
@@ -59,10 +64,10 @@
     pub fn push(&self) {
         let now = clock::now();
         let mut list = mem::take(&mut self.followers.lock().expect("followers").list);
-        let reachable = list.iter_mut().filter(|(_, follower)| !follower.behind && !follower.mouth.gone());
+        let reachable = list.iter_mut().filter(|(_, follower)| !follower.behind && !follower.mouth.is_closed());
         for (node, follower) in reachable {
             let news = self.missing(node, follower, now);
-            if news.config.is_some() || !news.closed.is_empty() || !news.sheets.is_empty() {
+            if news.config.is_some() || !news.evacuations.is_empty() || !news.endpoint_lists.is_empty() {
                 follower.send(&Message::StateUpdate(Box::new(news)));
             }
         }
@@ -75,7 +80,7 @@
 
     /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
     fn missing(&self, node: &str, follower: &mut Follower, now: u64) -> StateUpdate {
-        let mut news = StateUpdate { sure: self.sure(now), ..Default::default() };
+        let mut news = StateUpdate { confirmed: self.sure(now), ..Default::default() };
         self.add_control_state(&mut news, follower);
         self.add_roster(&mut news, node, follower, now);
         self.add_engine_lists(&mut news, follower);
@@ -97,7 +102,7 @@
             let mouth = &follower.mouth;
             let reads = follower.reads;
             let sent =
-                committed_state.history.send_missing(reads, &mut follower.config, |frame| mouth.cast_frame(frame));
+                committed_state.history.send_missing(reads, &mut follower.config, |frame| mouth.notify_frame(frame));
             follower.behind |= !sent;
         } else if let Some((revision, text)) = committed_state.history.text_after(follower.config) {
             news.config = Some((revision, text));
@@ -110,7 +115,7 @@
         for (zone, (version, on)) in &committed_state.closed {
             let has = follower.closed.entry(zone.clone()).or_default();
             if *version > *has {
-                news.closed.push((zone.clone(), *version, *on));
+                news.evacuations.push((zone.clone(), *version, *on));
                 *has = *version;
             }
         }
@@ -120,21 +125,21 @@
 
     fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Follower, now: u64) {
         let mut roster = self.roster.lock().expect("roster");
-        news.seats = roster.seats(now, news.sure);
-        news.resting = roster.resting(now);
+        news.router_count = roster.seats(now, news.confirmed);
+        news.reassigning = roster.resting(now);
         // An order of its own for each router, so that the controllers of a zone share them.
         news.peers = roster.order(&follower.zone, node);
     }
 
     fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
         for sheet in self.sheets.lock().expect("sheets").all() {
-            if message::hidden(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
+            if message::is_hidden_key(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
                 continue;
             }
             let has = follower.sheets.entry(sheet.zone.clone()).or_default();
-            if (sheet.turn, sheet.count) > *has {
-                *has = (sheet.turn, sheet.count);
-                news.sheets.push(sheet.clone());
+            if (sheet.term, sheet.sequence) > *has {
+                *has = (sheet.term, sheet.sequence);
+                news.endpoint_lists.push(sheet.clone());
             }
         }
     }
@@ -143,7 +148,7 @@
     pub fn fleet(&self) -> Value {
         let now = clock::now();
         let core = self.core();
-        let members: Vec<&str> = core.list.iter().map(|member| member.ip.as_str()).collect();
+        let members: Vec<&str> = core.members.iter().map(|member| member.ip.as_str()).collect();
         let sure = self.sure(now);
         let revision = self.revision();
         let duties = self.committed_state.lock().expect("committed_state").duties.clone();
@@ -154,7 +159,7 @@
             followers.list.iter().map(|(node, follower)| (node, follower.config)).collect();
         serde_json::json!({
             "node_name": self.settings.node_name, "sure": sure, "revision": revision, "core": members,
-            "core_stamp": core.version, "core_settled": core.settled, "live_keepers": controllers,
+            "core_stamp": core.version, "core_settled": core.stable, "live_keepers": controllers,
             "duties": duties, "routers": routers,
         })
     }
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -57,14 +57,14 @@
 /// What is told to peers about the own access to the platform.
 pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
     let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
-    unreachable.then(|| (message::hide(UNREACHABLE), 1, 0))
+    unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
 }
 
 /// What a peer told of others.
 pub fn report(gossip: &Gossip) -> PeerReport {
-    let name = message::hide(UNREACHABLE);
-    let platform_unreachable = gossip.sheets.iter().any(|told| told.0 == name);
-    let (sure, vouches) = duty::heard(&gossip.sheets);
+    let name = message::hidden_key(UNREACHABLE);
+    let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
+    let (sure, vouches) = duty::heard(&gossip.list_versions);
     PeerReport { sure, vouches, platform_unreachable }
 }
 
@@ -161,10 +161,10 @@
 ) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
     let held = sheets.all().find(|sheet| sheet.zone == name);
-    if list.is_empty() && held.is_none_or(|held| held.list.is_empty()) {
+    if list.is_empty() && held.is_none_or(|held| held.engines.is_empty()) {
         return None;
     }
-    let mut turn = held.map_or(0, |held| held.turn);
+    let mut turn = held.map_or(0, |held| held.term);
     let known = sheets.known(&name);
     if turn != 0 && !sheet::is_turn_of(turn, controller.seat) {
         turn = 0;
@@ -232,12 +232,12 @@
 }
 
 fn publish(controller: &Controller, sheet: EndpointList) {
-    kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.turn, "count" => sheet.count,
-        "up" => sheet.list.iter().filter(|engine| engine.up).count(), "all" => sheet.list.len(),
-        "prefill" => sheet.list.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
+    kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.term, "count" => sheet.sequence,
+        "up" => sheet.engines.iter().filter(|engine| engine.up).count(), "all" => sheet.engines.len(),
+        "prefill" => sheet.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     prune(controller, &sheet);
     for ip in controller.known() {
-        controller.peer(&ip).cast(Message::EndpointList(Box::new(sheet.clone())));
+        controller.peer(&ip).notify(Message::EndpointList(Box::new(sheet.clone())));
     }
     controller.push();
 }
@@ -245,7 +245,7 @@
 /// Draining engines leave the catalog's answers at once.
 pub fn prune(controller: &Controller, sheet: &EndpointList) {
     let mut catalog = controller.catalog.lock().expect("catalog");
-    for engine in sheet.list.iter().filter(|engine| !engine.up) {
+    for engine in sheet.engines.iter().filter(|engine| !engine.up) {
         catalog.prefix_index.drop_engine(&engine.id);
     }
 }
--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -75,7 +75,7 @@
     if has.0 == held.mark {
         return;
     }
-    match follower.mouth.cast(&Message::ShardOwners(Box::new(held.holders.clone()))) {
+    match follower.mouth.notify(&Message::ShardOwners(Box::new(held.holders.clone()))) {
         true => has.0 = held.mark,
         false => follower.behind = true,
     }
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -69,16 +69,16 @@
 async fn tend(controller: &Arc<Controller>, settlement: &mut Option<Settlement>) {
     let now = clock::now();
     let core = controller.core();
-    if core.list.is_empty() || !controller.sure(now) || !coordinates(controller, &core, now) {
+    if core.members.is_empty() || !controller.sure(now) || !coordinates(controller, &core, now) {
         return;
     }
-    if !core.settled {
+    if !core.stable {
         return settle(controller, &core, settlement).await;
     }
     let next = next(&core, &controller.roster.lock().expect("roster"), now);
     let Some(next) = next else { return };
     let judge = |body: &[u8]| match state::read_core(body) {
-        Some(held) if held.version != core.version || !held.settled => Verdict::Answer(()),
+        Some(held) if held.version != core.version || !held.stable => Verdict::Answer(()),
         _ => Verdict::Write(state::write_core(&next), ()),
     };
     if controller.change(CORE, COMMIT_MS, judge).await.is_some() {
@@ -121,7 +121,7 @@
         return;
     }
     let judge = |body: &[u8]| match state::read_core(body) {
-        Some(held) if held.version == core.version && !held.settled => {
+        Some(held) if held.version == core.version && !held.stable => {
             let settled = settled(&held);
             Verdict::Write(state::write_core(&settled), ())
         }
@@ -187,10 +187,10 @@
     let now = clock::now();
     let core = controller.core();
     if !quorum::is_member(&core, controller.me()) {
-        return !core.settled;
+        return !core.stable;
     }
     let roster = controller.roster.lock().expect("roster");
-    !candidates(&core, &roster, now).is_empty() || core.list.len().is_multiple_of(2)
+    !candidates(&core, &roster, now).is_empty() || core.members.len().is_multiple_of(2)
 }
 
 #[cfg(test)]
--- a/controller/src/reconfiguration_tests.rs
+++ b/controller/src/reconfiguration_tests.rs
@@ -1,14 +1,14 @@
 //! The next core as a controller sees its peers. The decision itself is tested in `consensus::membership`.
 
 use membership::{Peer, Roster};
-use protocol::message::{CoreMembership, Member, JOINT_QUORUMS, READS};
+use protocol::message::{CoreMembership, Member, JOINT_QUORUMS, PROTOCOL_VERSION};
 
 use super::next;
 use crate::controller::LIVE_MS;
 
 fn core(ips: &[&str]) -> CoreMembership {
     let list = ips.iter().map(|ip| Member { ip: ip.to_string(), zone: String::new() }).collect();
-    CoreMembership { version: 4, list, prev: Vec::new(), settled: true }
+    CoreMembership { version: 4, members: list, previous_members: Vec::new(), stable: true }
 }
 
 fn roster(heard: &[(&str, u64)]) -> Roster {
@@ -21,7 +21,7 @@
 }
 
 fn names(core: &CoreMembership) -> Vec<&str> {
-    core.list.iter().map(|member| member.ip.as_str()).collect()
+    core.members.iter().map(|member| member.ip.as_str()).collect()
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let list = roster(&[("10.0.0.2", 9900), ("10.0.0.3", 5000), ("10.0.0.4", 9900)]);
     let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]);
-    assert_eq!((next.version, next.settled, next.prev.len()), (5, false, 3));
+    assert_eq!((next.version, next.stable, next.previous_members.len()), (5, false, 3));
     let last = super::next(&next, &list, 10_000).expect("removed");
     assert_eq!(names(&last), ["10.0.0.1", "10.0.0.2", "10.0.0.4"]);
 }
@@ -46,7 +46,7 @@
 fn with_one_leaving(heard: &[(&str, u64)]) -> Roster {
     let mut list = roster(heard);
     for (ip, peer) in &mut list.controllers {
-        peer.reads = READS;
+        peer.reads = PROTOCOL_VERSION;
         peer.leaving = ip == "10.0.0.2";
     }
     list
--- a/controller/src/recovery.rs
+++ b/controller/src/recovery.rs
@@ -18,7 +18,7 @@
 /// One attempt. It may be repeated until the voter may vote.
 pub async fn attempt(controller: &Arc<Controller>) {
     let core = controller.core();
-    if clock::now() < RECALL_DELAY_MS || core.list.is_empty() {
+    if clock::now() < RECALL_DELAY_MS || core.members.is_empty() {
         return;
     }
     // One that is being removed votes no more, but the change is settled on what it says that it holds.
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -46,7 +46,7 @@
     pub fn ask(&self, core: &CoreMembership, ask: ConsensusOperation, ips: &[String]) -> Votes {
         let (send, votes) = mpsc::channel(ips.len().max(1));
         for ip in ips {
-            let poll = ConsensusRequest { core: core.clone(), ask: ask.clone() };
+            let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
             let (send, from) = (send.clone(), ip.clone());
             if ip == self.me() {
                 self.vote(poll, move |vote| {
@@ -73,7 +73,7 @@
     fn next_ballot(&self, core: &CoreMembership) -> ProposalNumber {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
         committed_state.turn = round::next_turn(committed_state.turn, core);
-        ProposalNumber { turn: committed_state.turn, seat: self.seat }
+        ProposalNumber { term: committed_state.turn, replica_id: self.seat }
     }
 
     /// One try: from what is held of the key to an outcome. None: no outcome in time, or overtaken.
@@ -84,7 +84,7 @@
         judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
     ) -> Option<(T, Ownership, bool)> {
         let core = self.core();
-        if core.list.is_empty() {
+        if core.members.is_empty() {
             return None;
         }
         let members = quorum::addresses(&core);
@@ -99,7 +99,7 @@
                 Progress::Send(ask) => votes = self.ask(&core, ask, &members),
                 Progress::Finished { answer, owner, wrote } => return Some((answer, owner, wrote)),
                 Progress::Outbid(ballot) => {
-                    self.seen(ballot.turn);
+                    self.seen(ballot.term);
                     return None;
                 }
                 Progress::NewerCore(core) => {
--- a/controller/src/rules.rs
+++ b/controller/src/rules.rs
@@ -22,11 +22,11 @@
 /// Sends the rules that a follower lacks.
 pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for (key, rule) in &committed_state.rules {
-        let has = follower.closed.entry(message::hide(key)).or_default();
+        let has = follower.closed.entry(message::hidden_key(key)).or_default();
         if rule.version <= *has {
             continue;
         }
-        match follower.mouth.cast(&Message::StalenessLimit(Box::new(rule.clone()))) {
+        match follower.mouth.notify(&Message::StalenessLimit(Box::new(rule.clone()))) {
             true => *has = rule.version,
             false => follower.behind = true,
         }
@@ -106,12 +106,12 @@
     /// Sends the weight versions that a follower lacks.
     pub fn send_weights(&self, follower: &mut Follower) {
         for (zone, list) in self.weights.lock().expect("weights").iter() {
-            let has = follower.sheets.entry(message::hide(zone)).or_default();
-            let version = (list.turn, list.count);
+            let has = follower.sheets.entry(message::hidden_key(zone)).or_default();
+            let version = (list.term, list.sequence);
             if *has == version {
                 continue;
             }
-            match follower.mouth.cast(&Message::WeightVersions(Box::new(list.clone()))) {
+            match follower.mouth.notify(&Message::WeightVersions(Box::new(list.clone()))) {
                 true => *has = version,
                 false => follower.behind = true,
             }
@@ -123,8 +123,8 @@
 pub fn hear(controller: &Controller, list: WeightVersions) {
     {
         let mut held = controller.weights.lock().expect("weights");
-        let old = held.get(&list.zone).map(|held| (held.turn, held.count));
-        if old.is_some_and(|(turn, count)| turn == list.turn && count >= list.count) {
+        let old = held.get(&list.zone).map(|held| (held.term, held.sequence));
+        if old.is_some_and(|(turn, count)| turn == list.term && count >= list.sequence) {
             return;
         }
         held.insert(list.zone.clone(), list);
@@ -135,14 +135,14 @@
 /// What the poller of a zone saw, asked for only while there are rules.
 pub fn seen(controller: &Controller, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
     let held = controller.weights.lock().expect("weights").get(zone).cloned().unwrap_or_default();
-    let same = held.turn == controller.seat && held.list == list;
+    let same = held.term == controller.seat && held.list == list;
     if same && !again {
         return;
     }
-    let count = held.count + u64::from(!same);
-    let next = WeightVersions { zone: zone.into(), turn: controller.seat, count, list };
+    let count = held.sequence + u64::from(!same);
+    let next = WeightVersions { zone: zone.into(), term: controller.seat, sequence: count, list };
     for ip in controller.known() {
-        controller.peer(&ip).cast(Message::WeightVersions(Box::new(next.clone())));
+        controller.peer(&ip).notify(Message::WeightVersions(Box::new(next.clone())));
     }
     hear(controller, next);
 }
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -79,11 +79,11 @@
             change.running = None;
             change.resume = now + change.pause;
         }
-        if change.running.is_some() || now < change.resume || core.list.is_empty() {
+        if change.running.is_some() || now < change.resume || core.members.is_empty() {
             return;
         }
         node.turn = round::next_turn(node.turn, &core);
-        let ballot = ProposalNumber { turn: node.turn, seat: consensus::seat(&node.voter.ip, node.life) };
+        let ballot = ProposalNumber { term: node.turn, replica_id: consensus::seat(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
         let (proposal, ask) = Proposal::begin(key, &core, held, ballot, &mut change.judge, now);
         let members = quorum::addresses(&core);
@@ -119,7 +119,7 @@
                 self.end_change(at, change.purpose, answer);
             }
             Progress::Outbid(ballot) => {
-                self.nodes[at].turn = self.nodes[at].turn.max(ballot.turn);
+                self.nodes[at].turn = self.nodes[at].turn.max(ballot.term);
                 self.pause_change(at, &key);
             }
             Progress::NewerCore(core) => {
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -4,7 +4,7 @@
 use consensus::proposal::Verdict;
 use consensus::quorum;
 use membership::Peer;
-use protocol::message::{ConsensusOperation, ConsensusResponse, Entry, READS};
+use protocol::message::{ConsensusOperation, ConsensusResponse, Entry, PROTOCOL_VERSION};
 
 use super::changes::Purpose;
 use super::network::{Address, Heartbeat, Packet};
@@ -87,7 +87,7 @@
             heard: self.now,
             fit: heartbeat.fit,
             leaving: heartbeat.leaving,
-            reads: READS,
+            reads: PROTOCOL_VERSION,
             ..Default::default()
         };
         let roster = &mut self.nodes[at].roster;
@@ -101,7 +101,7 @@
 
     fn begin_confirmation(&mut self, at: usize) {
         let core = self.nodes[at].voter.core.clone();
-        if core.list.is_empty() {
+        if core.members.is_empty() {
             return;
         }
         let members = quorum::addresses(&core);
@@ -182,8 +182,8 @@
         let (key, place) = (one.behind.key.clone(), one.behind.place);
         one.fetched.push((from.into(), entry.clone()));
         let newer = confirmation::committed(&node.voter.core, &one.fetched);
-        let newer = newer.filter(|newer| takes_newer && newer.place() >= place);
-        let looked_for = Some(entry).filter(|entry| one.behind.committed && entry.place() == place);
+        let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
+        let looked_for = Some(entry).filter(|entry| one.behind.committed && entry.position() == place);
         let Some(entry) = looked_for.or(newer) else { return };
         self.learn(at, &key, &entry, false);
         self.caught_up(at, &key);
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -83,7 +83,7 @@
     pub fn end_if_released(&mut self, at: usize) {
         let Some(since) = self.nodes[at].leaving else { return };
         let core = &self.nodes[at].voter.core;
-        let released = core.settled && !quorum::is_member(core, &address(at));
+        let released = core.stable && !quorum::is_member(core, &address(at));
         let waited = self.now - since;
         if (released && waited >= LAST_CALLS_MS) || waited >= HAND_OVER_MS + LAST_CALLS_MS {
             self.remove(at);
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -49,10 +49,10 @@
             return;
         }
         let core = self.nodes[at].voter.core.clone();
-        if core.list.is_empty() || !self.nodes[at].is_confirmed(now) || !self.coordinates(at, &core) {
+        if core.members.is_empty() || !self.nodes[at].is_confirmed(now) || !self.coordinates(at, &core) {
             return;
         }
-        if core.settled {
+        if core.stable {
             self.begin_core_change(at, &core);
         } else {
             self.settle(at, &core);
@@ -74,7 +74,7 @@
         let Some(next) = reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
         let version = core.version;
         let judge = move |body: &[u8]| match state::read_core(body) {
-            Some(held) if held.version != version || !held.settled => Verdict::Answer(None),
+            Some(held) if held.version != version || !held.stable => Verdict::Answer(None),
             _ => Verdict::Write(state::write_core(&next), None),
         };
         self.begin_change(at, CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
@@ -121,7 +121,7 @@
         }
         let version = core.version;
         let judge = move |body: &[u8]| match state::read_core(body) {
-            Some(held) if held.version == version && !held.settled => {
+            Some(held) if held.version == version && !held.stable => {
                 let settled = settled(&held);
                 Verdict::Write(state::write_core(&settled), None)
             }
@@ -134,7 +134,7 @@
         let node = &self.nodes[at];
         let core = node.voter.core.clone();
         let at_work = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.end);
-        if self.now < node.born + RECALL_DELAY_MS || core.list.is_empty() || at_work {
+        if self.now < node.born + RECALL_DELAY_MS || core.members.is_empty() || at_work {
             return;
         }
         let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
--- a/controller/src/simulation/network.rs
+++ b/controller/src/simulation/network.rs
@@ -121,7 +121,7 @@
     pub fn poll(&mut self, at: usize, core: &CoreMembership, ask: &ConsensusOperation, addresses: &[String]) -> u64 {
         let id = self.nodes[at].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
-            let poll = ConsensusRequest { core: core.clone(), ask: ask.clone() };
+            let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
             self.send(Address::Node(at), Address::Node(to), Packet::Poll { id, poll });
         }
         id
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -90,7 +90,7 @@
     /// The first start of the whole system: the seeds are the core.
     pub fn found(&mut self, seeds: &[String]) {
         let list = seeds.iter().map(|ip| Member { ip: ip.clone(), zone: String::new() }).collect();
-        self.voter.core = CoreMembership { version: 1, list, prev: Vec::new(), settled: true };
+        self.voter.core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         self.voter.may_vote = true;
         self.disk = self.voter.clone();
     }
@@ -109,7 +109,7 @@
     }
 
     pub fn place(&self, key: &str) -> Option<Place> {
-        self.committed.get(key).map(Entry::place)
+        self.committed.get(key).map(Entry::position)
     }
 
     /// The configuration that it would tell a follower.
@@ -130,7 +130,7 @@
     /// All that is known of other controllers.
     pub fn known(&self) -> Vec<String> {
         let mut list = self.seeds.clone();
-        list.extend(self.voter.core.list.iter().map(|member| member.ip.clone()));
+        list.extend(self.voter.core.members.iter().map(|member| member.ip.clone()));
         list.extend(self.roster.controllers.keys().cloned());
         list.sort();
         list.dedup();
@@ -142,7 +142,7 @@
 impl Cluster {
     /// The vote of a node leaves once what it promises is on its disk.
     pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: ConsensusRequest) {
-        self.adopt(at, &poll.core);
+        self.adopt(at, &poll.membership);
         let (vote, records) = self.nodes[at].voter.poll(poll);
         self.write(at, records, Some((from, id, vote)));
     }
@@ -176,8 +176,8 @@
     /// A committed entry becomes known at a node; with `tell` at the others too.
     pub fn learn(&mut self, at: usize, key: &str, entry: &Entry, tell: bool) {
         let node = &mut self.nodes[at];
-        node.turn = node.turn.max(entry.ballot.turn);
-        if node.place(key) >= Some(entry.place()) {
+        node.turn = node.turn.max(entry.proposal_number.term);
+        if node.place(key) >= Some(entry.position()) {
             return;
         }
         node.committed.insert(key.into(), entry.clone());
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -88,7 +88,7 @@
         if is_news && tell {
             let note = Message::Committed(Box::new((key.into(), entry.clone())));
             for ip in self.known() {
-                self.peer(&ip).cast(note.clone());
+                self.peer(&ip).notify(note.clone());
             }
         }
     }
@@ -105,15 +105,15 @@
             Learned::Known => return false,
             Learned::Unreadable { error, first } => {
                 if first {
-                    kernel::log_event!(UNREADABLE, "key" => key, "turn" => entry.ballot.turn,
-                        "step" => entry.step, "error" => error.to_string());
+                    kernel::log_event!(UNREADABLE, "key" => key, "turn" => entry.proposal_number.term,
+                        "step" => entry.index, "error" => error.to_string());
                 }
                 return true;
             }
             Learned::Again => {}
             Learned::New { revision } => {
-                kernel::log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.ballot.turn,
-                    "step" => entry.step);
+                kernel::log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
+                    "step" => entry.index);
             }
         }
         if key == CORE {
@@ -146,15 +146,15 @@
 impl CommittedState {
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
     pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
-        self.turn = self.turn.max(entry.ballot.turn);
+        self.turn = self.turn.max(entry.proposal_number.term);
         let held = self.entries.get(key);
-        if held.is_some_and(|held| held.place() >= entry.place()) {
+        if held.is_some_and(|held| held.position() >= entry.position()) {
             return Learned::Known;
         }
         let same = held.is_some_and(|held| held.body == entry.body);
         if !same {
             if let Err(error) = self.fold(key, &entry.body, read) {
-                let place = Some(entry.place());
+                let place = Some(entry.position());
                 let first = mem::replace(&mut self.unreadable, place) != place;
                 return Learned::Unreadable { error, first };
             }
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -8,7 +8,7 @@
 use kernel::clock::{self, Rng};
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
-use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, READS, ROLLOUT};
+use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
 
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config_body::{BodyForm, Held};
@@ -30,11 +30,11 @@
 }
 
 fn entry(turn: u64, step: u64, body: Vec<u8>) -> Entry {
-    Entry { ballot: ProposalNumber { turn, seat: 1 }, step, body }
+    Entry { proposal_number: ProposalNumber { term: turn, replica_id: 1 }, index: step, body }
 }
 
 fn place(state: &CommittedState, key: &str) -> Option<(u64, u64)> {
-    state.entries.get(key).map(|entry| (entry.ballot.turn, entry.step))
+    state.entries.get(key).map(|entry| (entry.proposal_number.term, entry.index))
 }
 
 /// What the state says of the configuration, which must be one thing: entry, text, value and frames.
@@ -48,7 +48,7 @@
     }
     let mut has = 0;
     let mut last = 0;
-    assert!(state.history.send_missing(READS, &mut has, |frame| {
+    assert!(state.history.send_missing(PROTOCOL_VERSION, &mut has, |frame| {
         let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else {
             return false;
         };
@@ -114,17 +114,17 @@
 fn a_controller_behind_something_unreadable_stays_behind() {
     let core = CoreMembership {
         version: 1,
-        list: vec![Member { ip: "a".into(), zone: String::new() }],
-        prev: Vec::new(),
-        settled: true,
+        members: vec![Member { ip: "a".into(), zone: String::new() }],
+        previous_members: Vec::new(),
+        stable: true,
     };
     let mut state = CommittedState::default();
     state.learn(CONFIG, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
         let mut confirmation = Confirmation::new(&core);
-        confirmation.hear("a", vec![(CONFIG.into(), entry.ballot, entry.step)]);
+        confirmation.hear("a", vec![(CONFIG.into(), entry.proposal_number, entry.index)]);
         assert!(confirmation.is_quorum());
-        confirmation.behind(|key| state.entries.get(key).map(Entry::place)).len()
+        confirmation.behind(|key| state.entries.get(key).map(Entry::position)).len()
     };
     let bad = entry(2, 1, b"of another form".to_vec());
     assert_eq!(behind(&state, &bad), 1);
@@ -162,7 +162,7 @@
         for _ in 0..120 {
             let pick = &chain[dice.below(chain.len() as u64) as usize];
             match dice.below(8) {
-                0 => drop(state.learn(CONFIG, &entry(pick.ballot.turn, pick.step, vec![1, 2, 3]), None)),
+                0 => drop(state.learn(CONFIG, &entry(pick.proposal_number.term, pick.index, vec![1, 2, 3]), None)),
                 // An owner's own change, read already.
                 1 => {
                     let read = Arc::new(read_config(&pick.body).expect("good"));
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -55,11 +55,11 @@
 pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for rollout in committed_state.rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.closed.entry(message::hide(&key)).or_default();
+        let has = follower.closed.entry(message::hidden_key(&key)).or_default();
         if rollout.number <= *has {
             continue;
         }
-        match follower.mouth.cast(&Message::VersionRollout(Box::new(rollout.clone()))) {
+        match follower.mouth.notify(&Message::VersionRollout(Box::new(rollout.clone()))) {
             true => *has = rollout.number,
             false => follower.behind = true,
         }
@@ -116,7 +116,7 @@
     let merged = merge(untold);
     for ip in controller.known() {
         for samples in &merged {
-            controller.peer(&ip).cast(Message::Samples(Box::new(samples.clone())));
+            controller.peer(&ip).notify(Message::Samples(Box::new(samples.clone())));
         }
     }
 }
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -102,7 +102,7 @@
         let age_ms = now.saturating_sub(self.load_at);
         let fresh = self.load_at > 0 && age_ms < 1000;
         let load = self.load.0 + self.load.1;
-        fresh.then_some(EngineLoad { name: self.name, load, age_ms: age_ms as u32 })
+        fresh.then_some(EngineLoad { engine_hash: self.name, load, age_ms: age_ms as u32 })
     }
 
     /// What it told another router at `time`. Own sends since then are not known apart: they count as told.
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -93,7 +93,7 @@
 
     /// How many zones' lists are known.
     pub fn zones_listed(&self) -> usize {
-        self.sheets.all().filter(|sheet| !message::hidden(&sheet.zone)).count()
+        self.sheets.all().filter(|sheet| !message::is_hidden_key(&sheet.zone)).count()
     }
 
     /// Who samples here. The number of routers counts by steps of a quarter: a subset should last.
@@ -156,7 +156,7 @@
 
     /// What an engine told another router lately.
     pub fn hear(&mut self, told: &EngineLoad, now: u64) {
-        let Some(at) = self.names.get(&told.name).copied() else { return };
+        let Some(at) = self.names.get(&told.engine_hash).copied() else { return };
         let time = now.saturating_sub(u64::from(told.age_ms));
         let engine = &mut self.list[at];
         if time > engine.load_at {
@@ -194,7 +194,7 @@
         let candidate = candidate_zone.is_some();
         let zone = self.zone(candidate_zone.unwrap_or(&sheet.zone));
         let mut left = Vec::new();
-        let named: HashSet<&str> = sheet.list.iter().map(|engine| engine.id.as_str()).collect();
+        let named: HashSet<&str> = sheet.engines.iter().map(|engine| engine.id.as_str()).collect();
         let listed = |engine: &&mut EngineState| engine.zone == zone && engine.candidate == candidate && engine.here;
         for engine in self.list.iter_mut().filter(listed) {
             if !named.contains(engine.id.as_str()) {
@@ -202,7 +202,7 @@
                 left.push(engine.id.clone());
             }
         }
-        for told in &sheet.list {
+        for told in &sheet.engines {
             let service = self.service(&told.service);
             let at = match self.index.get(&told.id) {
                 Some(at) => *at,
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -15,7 +15,7 @@
         up: *up,
         cold_ms: *cold_ms,
     };
-    EndpointList { zone: "a".into(), turn: 1, count, list: list.iter().map(engine).collect() }
+    EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list.iter().map(engine).collect() }
 }
 
 #[test]
--- a/load_balancing/src/place_tests.rs
+++ b/load_balancing/src/place_tests.rs
@@ -23,7 +23,7 @@
             engine(&format!("d-{zone}"), zone, "decode", true),
             engine(&format!("x-{zone}"), zone, "decode", false),
         ];
-        engine_table.take(&EndpointList { zone: zone.into(), turn: 1, count: 1, list }, 0);
+        engine_table.take(&EndpointList { zone: zone.into(), term: 1, sequence: 1, engines: list }, 0);
     }
     engine_table
 }
--- a/load_balancing/src/sheet.rs
+++ b/load_balancing/src/sheet.rs
@@ -32,8 +32,8 @@
 impl Sheets {
     /// True when the sheet is newer than what was held.
     pub fn take(&mut self, sheet: &EndpointList) -> bool {
-        let held = self.list.get(&sheet.zone).map(|held| (held.turn, held.count));
-        if held >= Some((sheet.turn, sheet.count)) {
+        let held = self.list.get(&sheet.zone).map(|held| (held.term, held.sequence));
+        if held >= Some((sheet.term, sheet.sequence)) {
             return false;
         }
         self.list.insert(sheet.zone.clone(), sheet.clone());
@@ -42,7 +42,7 @@
 
     /// To be asked before the first call of a poll.
     pub fn known(&self, zone: &str) -> Known {
-        let version = self.list.get(zone).map(|held| (held.turn, held.count));
+        let version = self.list.get(zone).map(|held| (held.term, held.sequence));
         let floor = self.floor.get(zone).copied().unwrap_or(0);
         Known { version, newest_turn: version.map_or(0, |held| held.0).max(floor) }
     }
@@ -69,12 +69,12 @@
         if *turn == 0 || *turn != top {
             *turn = ((top >> SEAT_BITS) + 1) << SEAT_BITS | (seat & ((1 << SEAT_BITS) - 1));
         }
-        let same = held.is_some_and(|held| held.turn == *turn && alike(&held.list, &list));
+        let same = held.is_some_and(|held| held.term == *turn && alike(&held.engines, &list));
         if same {
             return None;
         }
-        let count = held.filter(|held| held.turn == *turn).map_or(1, |held| held.count + 1);
-        let sheet = EndpointList { zone: zone.into(), turn: *turn, count, list };
+        let count = held.filter(|held| held.term == *turn).map_or(1, |held| held.sequence + 1);
+        let sheet = EndpointList { zone: zone.into(), term: *turn, sequence: count, engines: list };
         self.list.insert(zone.into(), sheet.clone());
         Some(sheet)
     }
@@ -86,16 +86,16 @@
     /// Those that are newer than the versions told.
     pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<EndpointList> {
         let version = |zone: &str| told.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
-        self.list.values().filter(|held| Some((held.turn, held.count)) > version(&held.zone)).cloned().collect()
+        self.list.values().filter(|held| Some((held.term, held.sequence)) > version(&held.zone)).cloned().collect()
     }
 
     pub fn versions(&self) -> Vec<(String, u64, u64)> {
-        self.list.values().map(|sheet| (sheet.zone.clone(), sheet.turn, sheet.count)).collect()
+        self.list.values().map(|sheet| (sheet.zone.clone(), sheet.term, sheet.sequence)).collect()
     }
 
     /// Someone holds lists of these turns: routers outlive the controllers that made them.
     pub fn raise(&mut self, told: &[(String, u64, u64)]) {
-        let is_list = |name: &str| !message::hidden(name) || version_rollout::candidate_zone(name).is_some();
+        let is_list = |name: &str| !message::is_hidden_key(name) || version_rollout::candidate_zone(name).is_some();
         for (zone, turn, _) in told.iter().filter(|item| is_list(&item.0)) {
             let floor = self.floor.entry(zone.clone()).or_default();
             *floor = (*floor).max(*turn);
--- a/load_balancing/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -31,10 +31,10 @@
     assert!(two.take(&first) && !two.take(&first));
     let mut other = 0;
     let second = poll(&mut two, &mut other, 2, vec![]).expect("new");
-    assert!((second.turn, second.count) > (first.turn, first.count));
+    assert!((second.term, second.sequence) > (first.term, first.sequence));
     assert!(one.take(&second));
     let third = poll(&mut one, &mut turn, 1, vec![engine("i-1", 0)]).expect("new");
-    assert!((third.turn, third.count) > (second.turn, second.count));
+    assert!((third.term, third.sequence) > (second.term, second.sequence));
 }
 
 #[test]
@@ -89,7 +89,7 @@
     // It wakes: first it hears of the newer list, then it gets to its answer.
     assert!(frozen.take(&newer));
     assert_eq!(frozen.poll("a", &mut turn, 1, vec![engine("i-1", 0)], known), None);
-    assert!(frozen.all().all(|sheet| sheet.list == [draining.clone()]), "an old list never replaces a newer one");
+    assert!(frozen.all().all(|sheet| sheet.engines == [draining.clone()]), "an old list never replaces a newer one");
     // The next poll is its own again, above the other's.
     let next = poll(&mut frozen, &mut turn, 1, vec![draining]).expect("new");
     assert!(other.take(&next));
@@ -101,11 +101,11 @@
     let mut turn = 0;
     let first = poll(&mut list, &mut turn, 1, vec![engine("i-1", 0)]).expect("new");
     let known = list.known("a");
-    list.raise(&[("a".into(), first.turn, 0)]);
+    list.raise(&[("a".into(), first.term, 0)]);
     let second = list.poll("a", &mut turn, 1, vec![], known).expect("its own turn is no news");
-    assert!((second.turn, second.count) > (first.turn, first.count));
+    assert!((second.term, second.sequence) > (first.term, first.sequence));
     let known = list.known("a");
-    list.raise(&[("a".into(), first.turn << 1, 0)]);
+    list.raise(&[("a".into(), first.term << 1, 0)]);
     assert_eq!(list.poll("a", &mut turn, 1, vec![engine("i-1", 0)], known), None);
 }
 
--- a/protocol/src/capability.rs
+++ b/protocol/src/capability.rs
@@ -3,7 +3,7 @@
 
 /// The newest version of these messages. Daemons tell it beside the versions of their sheets, as the turn
 /// of the zone without a name, which no sheet has: those that know nothing of it pass it over.
-pub const READS: u64 = 5;
+pub const PROTOCOL_VERSION: u64 = 5;
 
 /// Controllers from this version on count joint quorums while the core changes.
 pub const JOINT_QUORUMS: u64 = 3;
@@ -15,7 +15,7 @@
 /// Controllers from this version on take `EvacuateFrom`.
 pub const VERSIONED_EVACUATIONS: u64 = 4;
 /// Routers from this version on take `SubscriptionRenewed` as the answer to `SubscriptionRenewal`.
-pub const CONFIRMED_NEWS: u64 = 4;
+pub const CONFIRMED_UPDATES: u64 = 4;
 /// Routers from this version on know tenants and their keys.
 pub const TENANTS: u64 = 4;
 
@@ -26,32 +26,32 @@
 pub const VERSION_ROLLOUTS: u64 = 5;
 
 /// Not a zone: told beside the versions of zones.
-pub fn hidden(name: &str) -> bool {
+pub fn is_hidden_key(name: &str) -> bool {
     name.is_empty() || name.starts_with('\0')
 }
 
 /// The name under which the version of a zone's weight versions, or of a rule, is told.
-pub fn hide(name: &str) -> String {
+pub fn hidden_key(name: &str) -> String {
     format!("\0{name}")
 }
 
 /// Told by a controller whose process is about to end.
-pub fn leaving() -> (String, u64, u64) {
-    (hide(LEAVING), 1, 0)
+pub fn shutting_down_marker() -> (String, u64, u64) {
+    (hidden_key(LEAVING), 1, 0)
 }
 
 /// Did the teller of these versions say that its process is about to end?
-pub fn is_leaving(versions: &[(String, u64, u64)]) -> bool {
-    versions.iter().any(|item| item.0 == hide(LEAVING))
+pub fn is_shutting_down(versions: &[(String, u64, u64)]) -> bool {
+    versions.iter().any(|item| item.0 == hidden_key(LEAVING))
 }
 
 const LEAVING: &str = "leaving";
 
-pub fn told() -> (String, u64, u64) {
-    (String::new(), READS, 0)
+pub fn own_protocol_version() -> (String, u64, u64) {
+    (String::new(), PROTOCOL_VERSION, 0)
 }
 
 /// The newest version that the teller of these versions reads.
-pub fn reads(versions: &[(String, u64, u64)]) -> u64 {
+pub fn protocol_version_of(versions: &[(String, u64, u64)]) -> u64 {
     versions.iter().find(|item| item.0.is_empty()).map_or(1, |item| item.1)
 }
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -51,14 +51,14 @@
         ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, Entry, Member,
         Message, ProposalNumber, StateUpdate,
     };
-    let ballot = ProposalNumber { turn: 3, seat: 9 };
+    let ballot = ProposalNumber { term: 3, replica_id: 9 };
     let core = CoreMembership {
         version: 2,
-        list: vec![Member { ip: "10.0.0.1".into(), zone: "a".into() }],
-        prev: vec![],
-        settled: true,
+        members: vec![Member { ip: "10.0.0.1".into(), zone: "a".into() }],
+        previous_members: vec![],
+        stable: true,
     };
-    let entry = Entry { ballot, step: 4, body: b"body".to_vec() };
+    let entry = Entry { proposal_number: ballot, index: 4, body: b"body".to_vec() };
     let engine = Engine {
         id: "i-1".into(),
         service: "s".into(),
@@ -70,18 +70,18 @@
         up: true,
         cold_ms: 5,
     };
-    let sheet = EndpointList { zone: "a".into(), turn: 1, count: 2, list: vec![engine] };
+    let sheet = EndpointList { zone: "a".into(), term: 1, sequence: 2, engines: vec![engine] };
     vec![
         Message::ConsensusRequest(Box::new(ConsensusRequest {
-            core: core.clone(),
-            ask: ConsensusOperation::Accept { key: "k".into(), entry: entry.clone() },
+            membership: core.clone(),
+            operation: ConsensusOperation::Accept { key: "k".into(), entry: entry.clone() },
         })),
         Message::ConsensusResponse(Box::new(ConsensusResponse::Prepared { entry: Some(entry.clone()) })),
         Message::EndpointList(Box::new(sheet.clone())),
         Message::StateUpdate(Box::new(StateUpdate {
-            sure: true,
+            confirmed: true,
             config: Some((7, b"{}".to_vec())),
-            sheets: vec![sheet],
+            endpoint_lists: vec![sheet],
             ..StateUpdate::default()
         })),
         Message::OwnerQuery(Box::new((1, vec![5, 6]))),
--- a/protocol/src/link.rs
+++ b/protocol/src/link.rs
@@ -56,7 +56,7 @@
     }
 
     /// False: dropped here, before it was sent.
-    pub fn cast(&self, msg: Message) -> bool {
+    pub fn notify(&self, msg: Message) -> bool {
         self.send.try_send(Job { kind: Kind::Cast, msg, back: None }).is_ok()
     }
 }
@@ -176,7 +176,7 @@
     }
 
     /// False: the other side does not read, or is gone.
-    pub fn cast(&self, msg: &Message) -> bool {
+    pub fn notify(&self, msg: &Message) -> bool {
         self.put(Kind::Cast, 0, msg)
     }
 
@@ -186,15 +186,15 @@
 
     fn put(&self, kind: Kind, id: u64, msg: &Message) -> bool {
         let Ok(frame) = frame::seal(kind, id, msg) else { return false };
-        self.cast_frame(frame.into())
+        self.notify_frame(frame.into())
     }
 
     /// A frame that is the same for many: sealed once, never copied.
-    pub fn cast_frame(&self, frame: Bytes) -> bool {
+    pub fn notify_frame(&self, frame: Bytes) -> bool {
         self.out.try_send(frame).is_ok()
     }
 
-    pub fn gone(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.out.is_closed()
     }
 }
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -23,7 +23,7 @@
 async fn calls_are_answered_and_casts_are_not() {
     let caller = PeerClient::start(echo().await, None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
-    assert!(caller.cast(msg.clone()));
+    assert!(caller.notify(msg.clone()));
     assert_eq!(caller.call(msg.clone(), 5000).await, Some(msg));
 }
 
@@ -116,9 +116,9 @@
     let (caller, listener) = pair().await;
     // More than sockets take in while nobody reads: what follows waits here.
     let large = Message::OwnerQuery(Box::new((0, vec![7; 1_400_000])));
-    assert!(caller.cast(large.clone()));
+    assert!(caller.notify(large.clone()));
     assert_eq!(caller.call(query(1), 1).await, None);
-    assert!(caller.cast(query(2)));
+    assert!(caller.notify(query(2)));
     let (mut read, _write) = accept(&listener).await;
     assert_eq!(take(&mut read).await.expect("the large one").1, large);
     assert_eq!(take(&mut read).await.expect("the next").1, query(2));
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -15,20 +15,20 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub struct ProposalNumber {
-    pub turn: u64,
-    pub seat: u64,
+    pub term: u64,
+    pub replica_id: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Entry {
-    pub ballot: ProposalNumber,
-    pub step: u64,
+    pub proposal_number: ProposalNumber,
+    pub index: u64,
     pub body: Vec<u8>,
 }
 
 impl Entry {
-    pub fn place(&self) -> (ProposalNumber, u64) {
-        (self.ballot, self.step)
+    pub fn position(&self) -> (ProposalNumber, u64) {
+        (self.proposal_number, self.index)
     }
 }
 
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct CoreMembership {
     pub version: u64,
-    pub list: Vec<Member>,
-    pub prev: Vec<Member>,
-    pub settled: bool,
+    pub members: Vec<Member>,
+    pub previous_members: Vec<Member>,
+    pub stable: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -70,14 +70,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ConsensusRequest {
     /// A core is only ever sent once it is committed.
-    pub core: CoreMembership,
-    pub ask: ConsensusOperation,
+    pub membership: CoreMembership,
+    pub operation: ConsensusOperation,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RegisterState {
     pub key: String,
-    pub promised: ProposalNumber,
+    pub prepared: ProposalNumber,
     pub entry: Option<Entry>,
 }
 
@@ -88,7 +88,7 @@
     },
     Accepted,
     Rejected {
-        promised: ProposalNumber,
+        prepared: ProposalNumber,
     },
     Positions {
         list: Vec<(String, ProposalNumber, u64)>,
@@ -111,23 +111,23 @@
 pub struct Gossip {
     pub ip: String,
     pub zone: String,
-    pub life: u64,
+    pub incarnation: u64,
     /// It may be made a member of the core.
-    pub fit: bool,
-    pub core: CoreMembership,
+    pub eligible: bool,
+    pub membership: CoreMembership,
     pub peers: Vec<String>,
     /// Routers that hold a lease here.
-    pub seats: u32,
+    pub router_count: u32,
     /// Requests of those routers under way, by engine.
-    pub busy: Vec<(String, u32)>,
+    pub in_flight: Vec<(String, u32)>,
     /// Engines about to change their part.
-    pub resting: Vec<String>,
+    pub reassigning: Vec<String>,
     /// Where clients reach the routers that hold a lease here.
-    pub doors: Vec<String>,
+    pub frontend_addresses: Vec<String>,
     /// The versions of the engine lists held: who has newer ones sends them.
-    pub sheets: Vec<(String, u64, u64)>,
+    pub list_versions: Vec<(String, u64, u64)>,
     /// Turns of lists that routers told of.
-    pub floors: Vec<(String, u64, u64)>,
+    pub observed_list_versions: Vec<(String, u64, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -147,38 +147,38 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EndpointList {
     pub zone: String,
-    pub turn: u64,
-    pub count: u64,
-    pub list: Vec<Engine>,
+    pub term: u64,
+    pub sequence: u64,
+    pub engines: Vec<Engine>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct SubscriptionRenewal {
     pub node: String,
     pub zone: String,
-    pub life: u64,
-    pub config: u64,
-    pub closed: Vec<(String, u64)>,
-    pub sheets: Vec<(String, u64, u64)>,
+    pub incarnation: u64,
+    pub config_revision: u64,
+    pub evacuation_versions: Vec<(String, u64)>,
+    pub list_versions: Vec<(String, u64, u64)>,
     /// Own requests under way, by engine.
-    pub busy: Vec<(String, u32)>,
+    pub in_flight: Vec<(String, u32)>,
     /// Where clients reach it.
-    pub door: String,
+    pub frontend_address: String,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct StateUpdate {
     /// The controller confirmed its versions at a majority a moment ago.
-    pub sure: bool,
+    pub confirmed: bool,
     pub config: Option<(u64, Vec<u8>)>,
     /// Area, version, whether it is being evacuated.
-    pub closed: Vec<(String, u64, bool)>,
-    pub sheets: Vec<EndpointList>,
+    pub evacuations: Vec<(String, u64, bool)>,
+    pub endpoint_lists: Vec<EndpointList>,
     /// How many routers hold a lease: shared bounds are cut into as many slices.
-    pub seats: u32,
+    pub router_count: u32,
     pub peers: Vec<String>,
     /// Engines about to change their part: nothing new is sent to them.
-    pub resting: Vec<String>,
+    pub reassigning: Vec<String>,
     /// The holder of the catalog and its epoch.
     pub catalog: (u64, String),
 }
--- a/protocol/src/operator_request.rs
+++ b/protocol/src/operator_request.rs
@@ -51,8 +51,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct CommittedDelta {
     pub key: String,
-    pub ballot: ProposalNumber,
-    pub step: u64,
+    pub proposal_number: ProposalNumber,
+    pub index: u64,
     pub before: u64,
     pub after: u64,
     /// None: the same body was committed again.
--- a/protocol/src/prefix_lookup.rs
+++ b/protocol/src/prefix_lookup.rs
@@ -13,7 +13,7 @@
 /// What an engine last told anyone: the hash of its id, requests there, and how many ms ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EngineLoad {
-    pub name: u64,
+    pub engine_hash: u64,
     pub load: u32,
     pub age_ms: u32,
 }
@@ -29,6 +29,6 @@
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct PrefixRegistration {
     pub epoch: u64,
-    pub list: Vec<Record>,
-    pub told: Vec<EngineLoad>,
+    pub owners: Vec<Record>,
+    pub loads: Vec<EngineLoad>,
 }
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -68,12 +68,12 @@
 
 /// The entry by which a router tells which list of holders it has.
 pub fn told_holders(mark: u64) -> (String, u64, u64) {
-    (message::hide(HOLDERS), mark, 0)
+    (message::hidden_key(HOLDERS), mark, 0)
 }
 
 /// The key of that entry.
 pub fn holders_key() -> String {
-    message::hide(HOLDERS)
+    message::hidden_key(HOLDERS)
 }
 
 /// What tells one list of holders from others.
--- a/protocol/src/renewal.rs
+++ b/protocol/src/renewal.rs
@@ -9,15 +9,15 @@
     /// Milliseconds since the begin of the read that confirmed the controller's state at a quorum.
     pub age_ms: u64,
     /// The revision of the configuration confirmed so; 0 for none yet.
-    pub config: u64,
+    pub config_revision: u64,
 }
 
 /// The answer to `SubscriptionRenewal`. Since version 4.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct SubscriptionRenewed {
-    pub news: StateUpdate,
+    pub update: StateUpdate,
     /// None: the controller has not confirmed its state since it started.
     pub confirmation: Option<Confirmation>,
     /// The addresses of the members of the core, which confirm without a relay between.
-    pub members: Vec<String>,
+    pub core_members: Vec<String>,
 }
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -40,8 +40,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct WeightVersions {
     pub zone: String,
-    pub turn: u64,
-    pub count: u64,
+    pub term: u64,
+    pub sequence: u64,
     /// Engine, model, version.
     pub list: Vec<(String, String, u64)>,
 }
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -112,7 +112,7 @@
 
 /// The name under which a zone's engines of versions that are brought in are listed.
 pub fn candidates_of(zone: &str) -> String {
-    message::hide(&format!("{CANDIDATES}{zone}"))
+    message::hidden_key(&format!("{CANDIDATES}{zone}"))
 }
 
 /// The zone whose candidates are listed under a name. None: it is a zone's own name.
--- a/protocol/src/version_rollout_tests.rs
+++ b/protocol/src/version_rollout_tests.rs
@@ -47,5 +47,5 @@
     assert_eq!(VersionRollout::read_bytes(&one.write_bytes()), Some(one));
     assert_eq!(candidate_zone(&candidates_of("hall-a")), Some("hall-a"));
     assert_eq!(candidate_zone("hall-a"), None);
-    assert!(message::hidden(&candidates_of("hall-a")));
+    assert!(message::is_hidden_key(&candidates_of("hall-a")));
 }
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -10,7 +10,7 @@
 use http::Response;
 use hyper::body::Incoming;
 use kernel::clock;
-use protocol::headers::BUDGET;
+use protocol::headers::TIME_BUDGET;
 use tokio::time;
 
 use crate::authorization::{self, Authorization, UnknownKey};
@@ -133,7 +133,7 @@
 /// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
 /// proved to be current.
 async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
-    let left_ms = request::number(&parts.headers, BUDGET).unwrap_or(EARLY_MS);
+    let left_ms = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
     let key = authorization::key(&parts.headers);
     let accepts = |table: &Table| judge(table, parts, key).is_ok();
     let table = match currency::table_with(state, left_ms, accepts).await {
@@ -158,7 +158,7 @@
         // Just started: what is needed comes within moments. The body is read meanwhile.
         let early = body.take().ok_or(Failure::Malformed)?;
         whole = Some(request::body(early, EARLY_BYTES, EARLY_MS).await?);
-        let wait = request::number(&parts.headers, BUDGET).unwrap_or(EARLY_MS) / 3;
+        let wait = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS) / 3;
         starting(state, born + wait.min(EARLY_MS)).await;
     }
     let table = state.table();
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -107,7 +107,7 @@
 fn tell(state: &State, word: Word) {
     let home = state.home.lock().expect("home").clone();
     if let Some(home) = home {
-        home.cast(Message::SuspectEngine(Box::new((word.write(), false))));
+        home.notify(Message::SuspectEngine(Box::new((word.write(), false))));
     }
 }
 
--- a/router/src/doubt_probe.rs
+++ b/router/src/doubt_probe.rs
@@ -8,7 +8,7 @@
 use http_body_util::Empty;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use protocol::headers::INSTANCE;
+use protocol::headers::INSTANCE_ID;
 use protocol::socket::{self, SILENCE_MS};
 use tokio::time;
 
@@ -33,6 +33,6 @@
     request.headers_mut().insert(HOST, HeaderValue::from_str(addr).ok()?);
     request.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     let reply = link.send_request(request).await.ok()?;
-    let name = reply.headers().get(INSTANCE).and_then(|value| value.to_str().ok());
+    let name = reply.headers().get(INSTANCE_ID).and_then(|value| value.to_str().ok());
     Some(name.map(str::to_string))
 }
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -7,7 +7,7 @@
 
 use kernel::clock;
 use load_balancing::place::{Arm, View};
-use protocol::headers::LOAD;
+use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
 use crate::doubt::{self, SIGN_MS};
@@ -250,7 +250,7 @@
                 if let Some(version) = verdict::version(&answer.head.headers) {
                     engine.weigh(self.request.model_key, Some(version));
                 }
-                if let Some(load) = answer.head.headers.get(LOAD).and_then(|value| value.to_str().ok()) {
+                if let Some(load) = answer.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
                     engine_table.report(at, load, now);
                 }
             }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -84,7 +84,7 @@
         let left = self.following.home().map(str::to_string);
         match end.reply {
             Some(Message::SubscriptionRenewed(renewed)) => {
-                self.absorb(renewed.news.clone(), end.sent);
+                self.absorb(renewed.update.clone(), end.sent);
                 let answer = Answer::renewed(&renewed, self.held());
                 self.answered(&end.controller, &answer);
             }
@@ -110,7 +110,7 @@
     }
 
     fn absorb(&self, news: StateUpdate, sent: u64) {
-        if news.sure {
+        if news.confirmed {
             self.state.floors.lock().expect("floors").renew(sent);
         }
         follow_absorb::absorb(&self.state, news);
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -45,24 +45,30 @@
     let (rules, weights) = fresh::known_versions(state);
     sheets.extend(weights);
     let rollouts = version_rollouts::told(state);
-    sheets.push(message::told());
+    sheets.push(message::own_protocol_version());
     sheets.push(told_holders(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
-        life: state.life,
-        config: news.config,
-        closed: news
+        incarnation: state.life,
+        config_revision: news.config,
+        evacuation_versions: news
             .closed
             .iter()
             .map(|(zone, (version, _))| (zone.clone(), *version))
             .chain(rules)
             .chain(rollouts)
             .collect(),
-        sheets,
-        busy,
-        door: state.settings.bind_addresses.frontend.clone().filter(|_| !state.is_leaving()).unwrap_or_default(),
+        list_versions: sheets,
+        in_flight: busy,
+        frontend_address: state
+            .settings
+            .bind_addresses
+            .frontend
+            .clone()
+            .filter(|_| !state.is_leaving())
+            .unwrap_or_default(),
     }
 }
 
@@ -91,24 +97,24 @@
     let mut left = Vec::new();
     {
         let mut engine_table = state.engine_table.lock().expect("engine_table");
-        for sheet in &news.sheets {
+        for sheet in &news.endpoint_lists {
             left.extend(engine_table.take(sheet, now));
         }
-        engine_table.rest(&news.resting, now + REST_MS);
+        engine_table.rest(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
         let mut record = state.record.lock().expect("record");
         left.iter().for_each(|engine| record.forget(engine));
     }
-    evacuation::absorb(state, &news.closed);
+    evacuation::absorb(state, &news.evacuations);
     {
         let mut held = state.news.lock().expect("news");
         if !news.peers.is_empty() {
             held.controllers = news.peers;
         }
-        if news.seats > 0 {
+        if news.router_count > 0 {
             held.seats.retain(|(time, _)| now < time + SEATS_MS);
-            held.seats.push((now, news.seats));
+            held.seats.push((now, news.router_count));
         }
     }
     let seats = state.router_count();
--- a/router/src/follow_links_tests.rs
+++ b/router/src/follow_links_tests.rs
@@ -15,12 +15,12 @@
     let follow = SubscriptionRenewal {
         node: "edge-1".into(),
         zone: "a".into(),
-        life: 1,
-        config: 0,
-        closed: Vec::new(),
-        sheets: Vec::new(),
-        busy: Vec::new(),
-        door: empty(),
+        incarnation: 1,
+        config_revision: 0,
+        evacuation_versions: Vec::new(),
+        list_versions: Vec::new(),
+        in_flight: Vec::new(),
+        frontend_address: empty(),
     };
     Message::SubscriptionRenewal(Box::new(follow))
 }
--- a/router/src/following_answer.rs
+++ b/router/src/following_answer.rs
@@ -45,14 +45,14 @@
     pub fn renewed(renewed: &SubscriptionRenewed, held: u64) -> Answer {
         let proof = renewed.confirmation.as_ref().map_or(Proof::Nothing, |confirmation| Proof::Confirmed {
             age_ms: confirmation.age_ms,
-            config: confirmation.config,
+            config: confirmation.config_revision,
         });
-        Answer { proof, held, controllers: renewed.news.peers.clone(), members: renewed.members.clone() }
+        Answer { proof, held, controllers: renewed.update.peers.clone(), members: renewed.core_members.clone() }
     }
 
     /// Of a controller of an older version.
     pub fn news(news: &StateUpdate, held: u64) -> Answer {
-        let proof = if news.sure { Proof::Sure } else { Proof::Nothing };
+        let proof = if news.confirmed { Proof::Sure } else { Proof::Nothing };
         Answer { proof, held, controllers: news.peers.clone(), members: Vec::new() }
     }
 
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -75,10 +75,10 @@
     {
         let mut held = state.weights.lock().expect("weights");
         let version = held.entry(list.zone.clone()).or_default();
-        if version.0 == list.turn && version.1 >= list.count {
+        if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
-        *version = (list.turn, list.count);
+        *version = (list.term, list.sequence);
     }
     state.engine_table.lock().expect("engine_table").weigh(&list.list);
 }
@@ -90,6 +90,6 @@
 pub fn known_versions(state: &State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
     let rules = state.floors.lock().expect("floors").versions();
     let weights = state.weights.lock().expect("weights");
-    let weights = weights.iter().map(|(zone, (turn, count))| (message::hide(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (message::hide(&key), version)).collect(), weights.collect())
+    let weights = weights.iter().map(|(zone, (turn, count))| (message::hidden_key(zone), *turn, *count));
+    (rules.into_iter().map(|(key, version)| (message::hidden_key(&key), version)).collect(), weights.collect())
 }
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -2,7 +2,7 @@
 //! send to the engine that makes the tokens.
 
 use kernel::clock;
-use protocol::headers::SEAL;
+use protocol::headers::RESPONSE_SEAL;
 use protocol::message::Record;
 use serde_json::Value;
 
@@ -52,7 +52,7 @@
 }
 
 async fn taken(exchange: &mut Exchange, at: usize, answer: Answer) -> Result<Reading, ()> {
-    if answer.head.headers.contains_key(SEAL) {
+    if answer.head.headers.contains_key(RESPONSE_SEAL) {
         // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
         (exchange.sends, exchange.arrived, exchange.may_have_run) = (exchange.sends + 1, true, true);
         return Ok(Reading::Answer(at, answer));
--- a/router/src/lookup.rs
+++ b/router/src/lookup.rs
@@ -96,10 +96,10 @@
         let plain = self.inner.lock().expect("lookup").plain;
         let msg = |epoch| match plain {
             true => Message::RegisterOwners(Box::new((epoch, list))),
-            false => Message::PrefixRegistration(Box::new(PrefixRegistration { epoch, list, told })),
+            false => Message::PrefixRegistration(Box::new(PrefixRegistration { epoch, owners: list, loads: told })),
         };
         let sent = match self.peer(clock::now()) {
-            Some((epoch, peer)) => peer.cast(msg(epoch)),
+            Some((epoch, peer)) => peer.notify(msg(epoch)),
             None => false,
         };
         if !sent {
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response};
 use kernel::clock;
 use load_balancing::place::Half;
-use protocol::headers::SEAL;
+use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
 
 use crate::doubt::{self, SIGN_MS};
@@ -93,7 +93,7 @@
 
 /// A success as an engine gives it.
 fn sealed(answer: &Answer) -> bool {
-    answer.head.status.is_success() && answer.head.headers.contains_key(SEAL)
+    answer.head.status.is_success() && answer.head.headers.contains_key(RESPONSE_SEAL)
 }
 
 /// Services without halves: one engine, and another where that is allowed.
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -9,7 +9,10 @@
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use hyper::body::Incoming;
 use kernel::clock;
-use protocol::headers::{self, ATTEMPT, BUDGET, LAST, MODEL, PREFIX, SOURCE, STAGE, TARGET, URGENCY};
+use protocol::headers::{
+    self, ATTEMPT_ID, KV_SOURCE, LAST_EVENT_ID, MODEL, PROMPT_PREFIX, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET,
+    URGENCY_CLASS,
+};
 use tokio::time;
 
 use crate::authorization::Authorization;
@@ -47,7 +50,7 @@
 
 /// What the system alone tells engines. From a client these would lead to another request's memory, or have its
 /// own request only read.
-const SYSTEM: [&str; 5] = [TARGET, STAGE, SOURCE, URGENCY, headers::EXPECT];
+const SYSTEM: [&str; 5] = [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
 
 /// Removes what concerns one connection, and what `Connection` names.
 pub fn strip(head: &mut HeaderMap) {
@@ -73,7 +76,7 @@
     let count = |name: HeaderName| head.get_all(name).iter().count();
     let framed = count(TRANSFER_ENCODING);
     let sized = count(CONTENT_LENGTH);
-    let ids = head.get_all(ATTEMPT).iter().count();
+    let ids = head.get_all(ATTEMPT_ID).iter().count();
     framed <= 1 && sized <= 1 && framed + sized <= 1 && count(HOST) == 1 && ids <= 1
 }
 
@@ -138,8 +141,8 @@
         authorization.rewrite(&mut head);
         let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
         let most = authorization.route().timeout_ms;
-        let wait = number(&head, BUDGET).unwrap_or(most).min(most);
-        let text = head.get(PREFIX).and_then(|value| value.to_str().ok());
+        let wait = number(&head, TIME_BUDGET).unwrap_or(most).min(most);
+        let text = head.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
         let list = text.and_then(catalog::parts).unwrap_or_default();
         let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
         let model_key = clock::hash(model);
@@ -148,10 +151,10 @@
         Request {
             method: parts.method,
             path,
-            attempt: head.get(ATTEMPT).cloned(),
+            attempt: head.get(ATTEMPT_ID).cloned(),
             model_key,
             model: String::from_utf8_lossy(model).into_owned(),
-            last: head.get(LAST).cloned(),
+            last: head.get(LAST_EVENT_ID).cloned(),
             head,
             body,
             deadline: born + wait,
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -10,7 +10,9 @@
 use hyper::body::Incoming;
 use kernel::clock;
 use load_balancing::floor::Limit;
-use protocol::headers::{BUDGET, EXPECT, LAST, SOURCE, STAGE, TARGET, URGENCY};
+use protocol::headers::{
+    EXPECTED_VERSION, KV_SOURCE, LAST_EVENT_ID, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET, URGENCY_CLASS,
+};
 use tokio::time::{self, Instant};
 
 use crate::event::MISFIT;
@@ -86,22 +88,22 @@
             head.insert(name, value);
         }
     };
-    set(TARGET, engine);
-    set(BUDGET, &extra.budget_ms.to_string());
+    set(TARGET_INSTANCE, engine);
+    set(TIME_BUDGET, &extra.budget_ms.to_string());
     if extra.stage {
-        set(STAGE, "prefill");
+        set(SERVING_PHASE, "prefill");
     }
     if let Some(source) = &extra.source {
-        set(SOURCE, source);
+        set(KV_SOURCE, source);
     }
     if let Some(urgency) = extra.urgency {
-        set(URGENCY, &urgency.to_string());
+        set(URGENCY_CLASS, &urgency.to_string());
     }
     if let Some(version) = extra.expect {
-        set(EXPECT, &version.to_string());
+        set(EXPECTED_VERSION, &version.to_string());
     }
     if let Some(last) = &extra.last {
-        head.insert(LAST, last.clone());
+        head.insert(LAST_EVENT_ID, last.clone());
     }
     outgoing
 }
--- a/router/src/stand_in_controller.rs
+++ b/router/src/stand_in_controller.rs
@@ -90,7 +90,7 @@
     /// Pushes a message to every router that called.
     pub fn push(&self, msg: &Message) {
         for router in &self.inner.lock().expect("inner").routers {
-            router.cast(msg);
+            router.notify(msg);
         }
     }
 
@@ -115,19 +115,27 @@
             return;
         }
         let change = Change::whole(&self.config);
-        if follow.config < change.to && self.manner != Manner::LosingFrames {
-            mouth.cast(&Message::ConfigUpdate(Box::new(change.write())));
+        if follow.config_revision < change.to && self.manner != Manner::LosingFrames {
+            mouth.notify(&Message::ConfigUpdate(Box::new(change.write())));
         }
-        let sheet = EndpointList { zone: "a".into(), turn: 1, ..Default::default() };
+        let sheet = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
         let sure = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
-        let news = StateUpdate { sure, peers: all.to_vec(), sheets: vec![sheet], ..Default::default() };
+        let news =
+            StateUpdate { confirmed: sure, peers: all.to_vec(), endpoint_lists: vec![sheet], ..Default::default() };
         if self.manner == Manner::Older {
             mouth.reply(id, &Message::StateUpdate(Box::new(news)));
             return;
         }
-        let confirmation = Confirmation { age_ms: 0, config: self.config.revision };
+        let confirmation = Confirmation { age_ms: 0, config_revision: self.config.revision };
         let confirmation = sure.then_some(confirmation);
         let members = all.iter().skip(1).cloned().collect();
-        mouth.reply(id, &Message::SubscriptionRenewed(Box::new(SubscriptionRenewed { news, confirmation, members })));
+        mouth.reply(
+            id,
+            &Message::SubscriptionRenewed(Box::new(SubscriptionRenewed {
+                update: news,
+                confirmation,
+                core_members: members,
+            })),
+        );
     }
 }
--- a/router/src/stand_in_router.rs
+++ b/router/src/stand_in_router.rs
@@ -77,7 +77,7 @@
 /// Tells the router which engines there are.
 pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let sheet = EndpointList { zone: "a".into(), turn: 1, count, list };
+    let sheet = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
     state.engine_table.lock().expect("engine_table").take(&sheet, clock::now());
 }
 
--- a/router/src/verdict.rs
+++ b/router/src/verdict.rs
@@ -2,7 +2,7 @@
 
 use http::response::Parts;
 use http::{HeaderMap, HeaderValue};
-use protocol::headers::{ATTEMPT, INSTANCE, UNRUN, WEIGHTS};
+use protocol::headers::{ATTEMPT_ID, INSTANCE_ID, NOT_EXECUTED, WEIGHT_VERSIONS};
 
 /// What became of a request, as far as the head of an answer tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,13 +35,13 @@
 
 /// The version of the weights that an answer names.
 pub fn version(head: &HeaderMap) -> Option<u64> {
-    let text = head.get(WEIGHTS)?.to_str().ok()?;
+    let text = head.get(WEIGHT_VERSIONS)?.to_str().ok()?;
     text.split(|sign: char| !sign.is_ascii_digit()).find(|part| !part.is_empty())?.parse().ok()
 }
 
 /// Does an answer bear the id of the request, once, or none where that has none?
 pub fn answers(head: &HeaderMap, attempt: Option<&HeaderValue>) -> bool {
-    let mut ids = head.get_all(ATTEMPT).iter();
+    let mut ids = head.get_all(ATTEMPT_ID).iter();
     ids.next() == attempt && ids.next().is_none()
 }
 
@@ -53,7 +53,7 @@
     if status == MISDIRECTED {
         return misdirected(&head.headers, asked);
     }
-    if head.headers.contains_key(UNRUN) {
+    if head.headers.contains_key(NOT_EXECUTED) {
         // A success contradicts that word, and nothing is repeated on it.
         return if head.status.is_success() { Verdict::Unproven } else { Verdict::NotExecuted };
     }
@@ -65,7 +65,7 @@
 
 /// Why an engine turned away a request that it did not run.
 fn misdirected(head: &HeaderMap, asked: &Asked) -> Verdict {
-    let name = head.get(INSTANCE).and_then(|value| value.to_str().ok());
+    let name = head.get(INSTANCE_ID).and_then(|value| value.to_str().ok());
     if name.is_some_and(|name| name != asked.target) {
         return Verdict::OtherEngine;
     }
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -108,7 +108,7 @@
 /// The records held, as told to controllers.
 pub fn told(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock().expect("rollouts");
-    let told = |rollout: &VersionRollout| (message::hide(&VersionRollout::key(&rollout.service)), rollout.number);
+    let told = |rollout: &VersionRollout| (message::hidden_key(&VersionRollout::key(&rollout.service)), rollout.number);
     rollouts.list.values().map(told).collect()
 }
 
@@ -121,7 +121,7 @@
         let home = state.home.lock().expect("home").clone();
         let Some(home) = home else { continue };
         for samples in list {
-            home.cast(Message::Samples(Box::new(samples)));
+            home.notify(Message::Samples(Box::new(samples)));
         }
     }
 }
--- a/router/src/version_rollouts_tests.rs
+++ b/router/src/version_rollouts_tests.rs
@@ -73,7 +73,7 @@
     let state = router(&old);
     let list = new.iter().enumerate();
     let list = list.map(|(at, engine)| Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
-    let sheet = EndpointList { zone: candidates_of("a"), turn: 1, count: 1, list };
+    let sheet = EndpointList { zone: candidates_of("a"), term: 1, sequence: 1, engines: list };
     state.engine_table.lock().expect("engine_table").take(&sheet, clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
     take(&state, rollout(1, RolloutState::Active, 1000));
--- a/tidepoint/tests/scale.rs
+++ b/tidepoint/tests/scale.rs
@@ -115,16 +115,16 @@
     let gossip = Gossip {
         ip: "10.0.0.1".into(),
         zone: "a".into(),
-        life: 1,
-        fit: true,
-        core: Default::default(),
+        incarnation: 1,
+        eligible: true,
+        membership: Default::default(),
         peers: Vec::new(),
-        seats: 67,
-        busy: (0..engines).map(|at| (format!("i-{at:010}"), 3)).collect(),
-        resting: Vec::new(),
-        doors: (0..67).map(|at| format!("10.0.1.{at}:8000")).collect(),
-        sheets: Vec::new(),
-        floors: Vec::new(),
+        router_count: 67,
+        in_flight: (0..engines).map(|at| (format!("i-{at:010}"), 3)).collect(),
+        reassigning: Vec::new(),
+        frontend_addresses: (0..67).map(|at| format!("10.0.1.{at}:8000")).collect(),
+        list_versions: Vec::new(),
+        observed_list_versions: Vec::new(),
     };
     hollow::size(&message::Message::Gossip(Box::new(gossip)))
 }
@@ -132,9 +132,10 @@
 #[test]
 fn what_messages_weigh() {
     use protocol::message::{EngineLoad, Message, PrefixLookup, PrefixLookupResponse, PrefixRegistration, Record};
-    let told = |count: u64| (0..count).map(|name| EngineLoad { name, load: 3, age_ms: 90 }).collect::<Vec<_>>();
+    let told =
+        |count: u64| (0..count).map(|name| EngineLoad { engine_hash: name, load: 3, age_ms: 90 }).collect::<Vec<_>>();
     let record = |key| Record { key, engine: "i-0123456789".into() };
-    let note = PrefixRegistration { epoch: 1, list: (0..3).map(record).collect(), told: told(1) };
+    let note = PrefixRegistration { epoch: 1, owners: (0..3).map(record).collect(), loads: told(1) };
     let owners = vec![vec!["i-0123456789".to_string(); 2]; 2];
     let parts = [
         Message::PrefixLookup(Box::new(PrefixLookup { epoch: 1, keys: vec![1, 2], sample: (0..10).collect() })),
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -76,12 +76,13 @@
             }
             Message::StateUpdate(news) => {
                 let mut sheets = self.sheets.lock().expect("sheets");
-                sheets.extend(news.sheets.iter().map(|sheet| (sheet.zone.clone(), (sheet.turn, sheet.count))));
+                sheets
+                    .extend(news.endpoint_lists.iter().map(|sheet| (sheet.zone.clone(), (sheet.term, sheet.sequence))));
                 let mut catalog = self.catalog.lock().expect("catalog");
                 if news.catalog.0 > catalog.0 {
                     *catalog = news.catalog;
                 }
-                self.sure.store(news.sure, Ordering::Relaxed);
+                self.sure.store(news.confirmed, Ordering::Relaxed);
             }
             _ => {}
         }
@@ -91,18 +92,18 @@
         let held = self.sheets.lock().expect("sheets").clone();
         let mut sheets: Vec<(String, u64, u64)> =
             held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
-        sheets.push(message::told());
+        sheets.push(message::own_protocol_version());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
         Message::SubscriptionRenewal(Box::new(SubscriptionRenewal {
             node: format!("hollow-{at}"),
             zone: zone.into(),
-            life: 1,
-            config: self.config.load(Ordering::Relaxed),
-            closed: Vec::new(),
-            sheets,
-            busy,
-            door: String::new(),
+            incarnation: 1,
+            config_revision: self.config.load(Ordering::Relaxed),
+            evacuation_versions: Vec::new(),
+            list_versions: sheets,
+            in_flight: busy,
+            frontend_address: String::new(),
         }))
     }
 }
@@ -248,14 +249,14 @@
                 caller.call(Message::PrefixLookup(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
                     let id = format!("i-{engine}");
-                    let told = EngineLoad { name: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
+                    let told = EngineLoad { engine_hash: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
                     let record = |key| Record { key, engine: id.clone() };
                     let note = PrefixRegistration {
                         epoch,
-                        list: (0..3).map(|at| record(key + at)).collect(),
-                        told: vec![told],
+                        owners: (0..3).map(|at| record(key + at)).collect(),
+                        loads: vec![told],
                     };
-                    caller.cast(Message::PrefixRegistration(Box::new(note)));
+                    caller.notify(Message::PrefixRegistration(Box::new(note)));
                 }
                 caller.call(Message::Flush(Box::new((epoch, 3))), 500).await;
             });
