--- a/consensus/src/voter.rs
+++ b/consensus/src/acceptor.rs
@@ -8,100 +8,100 @@
     RegisterState,
 };
 
-use crate::{core_body, quorum, CORE};
+use crate::{core_body, quorum, MEMBERSHIP_KEY};
 
 /// What goes to disk, in order.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum LogRecord {
-    Slot(RegisterState),
-    Core(CoreMembership),
+    Register(RegisterState),
+    Membership(CoreMembership),
     /// From here on this disk may vote.
-    Vote,
+    VotingEnabled,
 }
 
 /// Invariants: `slots[..].promised` and the place of each entry never go back; an entry's ballot is
 /// never above what is promised; `core.version` never goes back; a voter that may not vote (`may_vote`) neither
 /// promises nor accepts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Voter {
+pub struct Acceptor {
     pub ip: String,
-    pub core: CoreMembership,
-    pub slots: BTreeMap<String, RegisterState>,
+    pub membership: CoreMembership,
+    pub registers: BTreeMap<String, RegisterState>,
     pub may_vote: bool,
 }
 
-impl Voter {
+impl Acceptor {
     pub fn new(ip: &str) -> Self {
-        Voter { ip: ip.into(), ..Voter::default() }
+        Acceptor { ip: ip.into(), ..Acceptor::default() }
     }
 
     /// Folds what was found on disk.
-    pub fn fold(&mut self, record: LogRecord) {
+    pub fn replay(&mut self, record: LogRecord) {
         match record {
-            LogRecord::Slot(slot) => {
-                self.slots.insert(slot.key.clone(), slot);
+            LogRecord::Register(slot) => {
+                self.registers.insert(slot.key.clone(), slot);
             }
-            LogRecord::Core(core) => self.core = core,
-            LogRecord::Vote => self.may_vote = true,
+            LogRecord::Membership(membership) => self.membership = membership,
+            LogRecord::VotingEnabled => self.may_vote = true,
         }
     }
 
     /// All that a snapshot must hold.
-    pub fn whole(&self) -> Vec<LogRecord> {
-        let mut list = vec![LogRecord::Core(self.core.clone())];
-        list.extend(self.slots.values().cloned().map(LogRecord::Slot));
+    pub fn snapshot(&self) -> Vec<LogRecord> {
+        let mut list = vec![LogRecord::Membership(self.membership.clone())];
+        list.extend(self.registers.values().cloned().map(LogRecord::Register));
         if self.may_vote {
-            list.push(LogRecord::Vote);
+            list.push(LogRecord::VotingEnabled);
         }
         list
     }
 
-    pub fn votes(&self) -> bool {
-        self.may_vote && quorum::is_member(&self.core, &self.ip)
+    pub fn is_voting(&self) -> bool {
+        self.may_vote && quorum::is_member(&self.membership, &self.ip)
     }
 
     /// Takes over a committed core. None when it is no newer.
-    pub fn adopt(&mut self, core: &CoreMembership) -> Option<LogRecord> {
-        let newer = core.version > self.core.version;
-        let calmer = core.version == self.core.version && core.stable && !self.core.stable;
+    pub fn adopt_membership(&mut self, membership: &CoreMembership) -> Option<LogRecord> {
+        let newer = membership.version > self.membership.version;
+        let calmer = membership.version == self.membership.version && membership.stable && !self.membership.stable;
         if !newer && !calmer {
             return None;
         }
-        self.core = core.clone();
-        Some(LogRecord::Core(core.clone()))
+        self.membership = membership.clone();
+        Some(LogRecord::Membership(membership.clone()))
     }
 
-    pub fn poll(&mut self, poll: ConsensusRequest) -> (ConsensusResponse, Vec<LogRecord>) {
-        if poll.membership.version < self.core.version {
-            return (ConsensusResponse::NewerMembership { core: self.core.clone() }, Vec::new());
+    pub fn handle(&mut self, handle: ConsensusRequest) -> (ConsensusResponse, Vec<LogRecord>) {
+        if handle.membership.version < self.membership.version {
+            return (ConsensusResponse::NewerMembership { membership: self.membership.clone() }, Vec::new());
         }
-        let mut records: Vec<LogRecord> = self.adopt(&poll.membership).into_iter().collect();
-        let vote = match poll.operation {
+        let mut records: Vec<LogRecord> = self.adopt_membership(&handle.membership).into_iter().collect();
+        let vote = match handle.operation {
             // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
             ConsensusOperation::Snapshot if self.may_vote => {
-                ConsensusResponse::Snapshot { slots: self.slots.values().cloned().collect() }
+                ConsensusResponse::Snapshot { registers: self.registers.values().cloned().collect() }
             }
             // The places, too, by one that is no member any more: its keys are part of a change's settlement.
-            ConsensusOperation::Positions if self.may_vote => ConsensusResponse::Positions { list: self.places() },
-            _ if !self.votes() => ConsensusResponse::NonVoting,
+            ConsensusOperation::Positions if self.may_vote => ConsensusResponse::Positions { list: self.positions() },
+            _ if !self.is_voting() => ConsensusResponse::NonVoting,
             ConsensusOperation::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
             ConsensusOperation::Accept { key, entry } => self.accept(key, entry, &mut records),
             ConsensusOperation::Fetch { key } => {
-                ConsensusResponse::Fetched { entry: self.slots.get(&key).and_then(|slot| slot.entry.clone()) }
+                ConsensusResponse::Fetched { entry: self.registers.get(&key).and_then(|slot| slot.entry.clone()) }
             }
             ConsensusOperation::Snapshot | ConsensusOperation::Positions => ConsensusResponse::NonVoting,
         };
         (vote, records)
     }
 
-    pub fn places(&self) -> Vec<(String, ProposalNumber, u64)> {
-        let held = self.slots.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
+    pub fn positions(&self) -> Vec<(String, ProposalNumber, u64)> {
+        let held = self.registers.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
         held.map(|(slot, entry)| (slot.key.clone(), entry.proposal_number, entry.index)).collect()
     }
 
     fn slot(&mut self, key: &str) -> &mut RegisterState {
         let empty = || RegisterState { key: key.into(), prepared: Default::default(), entry: None };
-        self.slots.entry(key.to_string()).or_insert_with(empty)
+        self.registers.entry(key.to_string()).or_insert_with(empty)
     }
 
     fn prepare(&mut self, key: String, ballot: ProposalNumber, records: &mut Vec<LogRecord>) -> ConsensusResponse {
@@ -110,7 +110,7 @@
             return ConsensusResponse::Rejected { prepared: slot.prepared };
         }
         slot.prepared = ballot;
-        records.push(LogRecord::Slot(slot.clone()));
+        records.push(LogRecord::Register(slot.clone()));
         ConsensusResponse::Prepared { entry: slot.entry.clone() }
     }
 
@@ -122,7 +122,7 @@
         }
         slot.prepared = entry.proposal_number;
         slot.entry = Some(entry);
-        records.push(LogRecord::Slot(slot.clone()));
+        records.push(LogRecord::Register(slot.clone()));
         ConsensusResponse::Accepted
     }
 
@@ -131,8 +131,8 @@
     ///
     /// None: a core newer than the one that is known here may be committed. Votes that were lost may have been
     /// given under it, and its quorums need no voter that was read.
-    pub fn recall(&mut self, reads: Vec<Vec<RegisterState>>) -> Option<Vec<LogRecord>> {
-        if written_core(&reads).is_some_and(|written| written.version > self.core.version) {
+    pub fn recover(&mut self, reads: Vec<Vec<RegisterState>>) -> Option<Vec<LogRecord>> {
+        if written_core(&reads).is_some_and(|written| written.version > self.membership.version) {
             return None;
         }
         for read in reads.into_iter().flatten() {
@@ -145,23 +145,25 @@
             }
         }
         self.may_vote = true;
-        Some(self.whole())
+        Some(self.snapshot())
     }
 
     /// Have enough voters been read to end a loss of memory? Every majority of the core (and of the one
     /// before, while that is unsettled) must hold one of them, so that no lost vote goes unseen. Voters
     /// that are themselves without memory do not count, and need not be waited for.
-    pub fn enough(&self, read: &[String]) -> bool {
+    pub fn has_enough_reads(&self, read: &[String]) -> bool {
         let meets = |list: &[Member]| {
             let seen = list.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
             seen + quorum::majority(list.len()) > list.len()
         };
-        !read.is_empty() && meets(&self.core.members) && (self.core.stable || meets(&self.core.previous_members))
+        !read.is_empty()
+            && meets(&self.membership.members)
+            && (self.membership.stable || meets(&self.membership.previous_members))
     }
 
     /// Those whom a voter without memory asks: all others of the core and of the one before.
     pub fn witnesses(&self) -> Vec<String> {
-        let mut list = quorum::old_and_new_members(&self.core);
+        let mut list = quorum::old_and_new_members(&self.membership);
         list.retain(|address| *address != self.ip);
         list
     }
@@ -169,10 +171,11 @@
 
 /// The newest core that any of these voters accepted, committed or not.
 fn written_core(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
-    let entries = reads.iter().flatten().filter(|slot| slot.key == CORE).filter_map(|slot| slot.entry.as_ref());
+    let entries =
+        reads.iter().flatten().filter(|slot| slot.key == MEMBERSHIP_KEY).filter_map(|slot| slot.entry.as_ref());
     core_body::read(&entries.max_by_key(|entry| entry.position())?.body)
 }
 
 #[cfg(test)]
-#[path = "voter_tests.rs"]
+#[path = "acceptor_tests.rs"]
 mod tests;
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -8,55 +8,57 @@
 use crate::quorum;
 
 /// The position of an entry in the history of its key.
-pub type Place = (ProposalNumber, u64);
+pub type Position = (ProposalNumber, u64);
 
 /// How one key stands after a read at a quorum.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Behind {
+pub struct StaleKey {
     pub key: String,
     /// The newest place that a voter told.
-    pub place: Place,
+    pub place: Position,
     /// A quorum holds this place, so it is committed; otherwise it may still be on its way.
-    pub committed: bool,
+    pub is_committed: bool,
 }
 
 /// A read of the places of all keys. Invariant: each voter counts once.
 pub struct Confirmation {
     core: CoreMembership,
-    heard: Vec<String>,
-    told: Vec<(String, String, Place)>,
+    responders: Vec<String>,
+    reported: Vec<(String, String, Position)>,
 }
 
 impl Confirmation {
     pub fn new(core: &CoreMembership) -> Confirmation {
-        Confirmation { core: core.clone(), heard: Vec::new(), told: Vec::new() }
+        Confirmation { core: core.clone(), responders: Vec::new(), reported: Vec::new() }
     }
 
-    pub fn hear(&mut self, from: &str, places: Vec<(String, ProposalNumber, u64)>) {
-        if self.heard.iter().any(|known| known == from) {
+    pub fn record(&mut self, from: &str, places: Vec<(String, ProposalNumber, u64)>) {
+        if self.responders.iter().any(|known| known == from) {
             return;
         }
-        self.heard.push(from.into());
-        self.told.extend(places.into_iter().map(|(key, ballot, step)| (from.to_string(), key, (ballot, step))));
+        self.responders.push(from.into());
+        self.reported.extend(places.into_iter().map(|(key, ballot, step)| (from.to_string(), key, (ballot, step))));
     }
 
     pub fn is_quorum(&self) -> bool {
-        quorum::is_quorum(&self.core, &self.heard)
+        quorum::is_quorum(&self.core, &self.responders)
     }
 
     /// The keys of which a voter holds something newer than what `known` says is committed.
-    pub fn behind(&self, known: impl Fn(&str) -> Option<Place>) -> Vec<Behind> {
-        let mut top: BTreeMap<&str, Place> = Default::default();
-        for (_, key, place) in &self.told {
+    pub fn stale_keys(&self, known: impl Fn(&str) -> Option<Position>) -> Vec<StaleKey> {
+        let mut top: BTreeMap<&str, Position> = Default::default();
+        for (_, key, place) in &self.reported {
             let held = top.entry(key).or_default();
             *held = (*held).max(*place);
         }
         let newer = top.into_iter().filter(|(key, place)| known(key) < Some(*place));
-        newer.map(|(key, place)| Behind { key: key.into(), place, committed: self.is_committed(key, place) }).collect()
+        newer
+            .map(|(key, place)| StaleKey { key: key.into(), place, is_committed: self.is_committed(key, place) })
+            .collect()
     }
 
-    fn is_committed(&self, key: &str, place: Place) -> bool {
-        let holds = self.told.iter().filter(|(_, name, held)| name == key && *held == place);
+    fn is_committed(&self, key: &str, place: Position) -> bool {
+        let holds = self.reported.iter().filter(|(_, name, held)| name == key && *held == place);
         let holders: Vec<String> = holds.map(|(from, _, _)| from.clone()).collect();
         quorum::is_quorum(&self.core, &holders)
     }
@@ -64,7 +66,7 @@
 
 /// The newest entry that a quorum of voters was seen to hold alike, and which therefore is committed.
 /// Voters may move on between two reads: an entry that came after the one looked for serves as well.
-pub fn committed(core: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
+pub fn newest_committed(core: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
     let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
     entries.sort_by_key(|entry| Reverse(entry.position()));
     let alike = |entry: &Entry| {
--- a/consensus/src/confirmation_tests.rs
+++ b/consensus/src/confirmation_tests.rs
@@ -1,5 +1,5 @@
 //! What a read at a quorum says about the state known here.
-use super::{committed, Behind, Confirmation};
+use super::{newest_committed, Confirmation, StaleKey};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber};
 
 fn core(size: usize) -> CoreMembership {
@@ -22,23 +22,23 @@
 #[test]
 fn one_voter_is_no_quorum_however_often_it_answers() {
     let mut confirmation = Confirmation::new(&core(3));
-    confirmation.hear("m0", places(&[]));
-    confirmation.hear("m0", places(&[]));
+    confirmation.record("m0", places(&[]));
+    confirmation.record("m0", places(&[]));
     assert!(!confirmation.is_quorum());
-    confirmation.hear("m2", places(&[]));
+    confirmation.record("m2", places(&[]));
     assert!(confirmation.is_quorum());
 }
 
 #[test]
 fn what_a_quorum_holds_alike_is_committed_and_what_one_holds_is_not() {
     let mut confirmation = Confirmation::new(&core(3));
-    confirmation.hear("m0", places(&[("config", 2, 7), ("evacuation/z", 1, 1)]));
-    confirmation.hear("m1", places(&[("config", 2, 7), ("evacuation/z", 1, 2)]));
+    confirmation.record("m0", places(&[("config", 2, 7), ("evacuation/z", 1, 1)]));
+    confirmation.record("m1", places(&[("config", 2, 7), ("evacuation/z", 1, 2)]));
     let known = |key: &str| (key == "config").then_some((ballot(2), 6));
-    let behind = confirmation.behind(known);
+    let behind = confirmation.stale_keys(known);
     let expected = [
-        Behind { key: "config".into(), place: (ballot(2), 7), committed: true },
-        Behind { key: "evacuation/z".into(), place: (ballot(1), 2), committed: false },
+        StaleKey { key: "config".into(), place: (ballot(2), 7), is_committed: true },
+        StaleKey { key: "evacuation/z".into(), place: (ballot(1), 2), is_committed: false },
     ];
     assert_eq!(behind, expected);
 }
@@ -46,15 +46,15 @@
 #[test]
 fn nothing_is_behind_where_all_is_known() {
     let mut confirmation = Confirmation::new(&core(3));
-    confirmation.hear("m0", places(&[("config", 2, 7)]));
-    confirmation.hear("m1", places(&[("config", 2, 6)]));
-    assert!(confirmation.behind(|_| Some((ballot(2), 7))).is_empty());
+    confirmation.record("m0", places(&[("config", 2, 7)]));
+    confirmation.record("m1", places(&[("config", 2, 6)]));
+    assert!(confirmation.stale_keys(|_| Some((ballot(2), 7))).is_empty());
 }
 
 #[test]
 fn voters_that_moved_on_between_two_reads_still_show_a_committed_entry() {
     let from = |name: &str, entry: Entry| (name.to_string(), entry);
     let moved = [from("m0", entry(2, 9)), from("m1", entry(2, 8)), from("m2", entry(2, 8))];
-    assert_eq!(committed(&core(3), &moved), Some(entry(2, 8)));
-    assert_eq!(committed(&core(3), &moved[..2]), None, "each on one voter only");
+    assert_eq!(newest_committed(&core(3), &moved), Some(entry(2, 8)));
+    assert_eq!(newest_committed(&core(3), &moved[..2]), None, "each on one voter only");
 }
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -3,31 +3,31 @@
 
 use kernel::clock;
 
+pub mod acceptor;
 pub mod confirmation;
 pub mod core_body;
 mod folder;
 mod listing;
-pub mod membership;
 pub mod proposal;
 pub mod quorum;
+pub mod reconfiguration;
 pub mod record;
 mod recovery;
 pub mod round;
 mod segment;
 pub mod store;
 mod store_error;
-pub mod voter;
 
-pub const CORE: &str = "core";
+pub const MEMBERSHIP_KEY: &str = "core";
 /// A round not over by then is abandoned; its outcome is unknown.
-pub const ROUND_MS: u64 = 900;
+pub const ROUND_TIMEOUT_MS: u64 = 900;
 /// A voter without memory waits this long before it reads the others, so that every round which
 /// counted its lost votes is over. Invariant: above `ROUND_MS`.
-pub const RECALL_DELAY_MS: u64 = 1300;
+pub const RECOVERY_DELAY_MS: u64 = 1300;
 
 /// The seat of a controller in ballots: its address, so that it differs between live controllers, mixed
 /// with its life, so that two lives never act under one ballot.
-pub fn seat(ip: &str, life: u64) -> u64 {
+pub fn replica_id(ip: &str, life: u64) -> u64 {
     clock::combine_hashes(clock::hash(ip.as_bytes()), life)
 }
 
--- a/consensus/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -16,9 +16,9 @@
 use super::violation::Violation;
 use super::voting::Answer;
 use super::Model;
-use crate::membership::{next, settled, Health, Settlement, View};
-use crate::voter::{LogRecord, Voter};
-use crate::{core_body, quorum, CORE};
+use crate::acceptor::{Acceptor, LogRecord};
+use crate::reconfiguration::{next_membership, stabilized, ClusterView, Health, MembershipTransition};
+use crate::{core_body, quorum, MEMBERSHIP_KEY};
 
 impl Model {
     pub fn change_core(&self, state: &State, list: &mut Vec<Successor>) {
@@ -45,18 +45,18 @@
     }
 
     /// The settlement that this proposer is at, if its core is changing.
-    pub fn settlement(&self, state: &State, at: usize) -> Option<Settlement> {
+    pub fn settlement(&self, state: &State, at: usize) -> Option<MembershipTransition> {
         let proposer = &state.proposers[at];
         let core = &state.cores[proposer.core];
         if core.stable {
             return None;
         }
-        let mut settlement = Settlement::new(core);
+        let mut settlement = MembershipTransition::new(core);
         for (machine, vote) in &proposer.settlement.heard {
-            settlement.hear_vote(&self.addresses[*machine], vote);
+            settlement.record_response(&self.addresses[*machine], vote);
         }
-        settlement.renewed(CORE);
-        proposer.settlement.renewed.iter().for_each(|key| settlement.renewed(key));
+        settlement.mark_recommitted(MEMBERSHIP_KEY);
+        proposer.settlement.renewed.iter().for_each(|key| settlement.mark_recommitted(key));
         Some(settlement)
     }
 
@@ -64,13 +64,14 @@
     fn next_core(&self, core: &CoreMembership) -> Option<CoreMembership> {
         let change = self.scenario.core_change.as_ref()?;
         let leaving = change.leaving.map(|machine| self.addresses[machine].clone());
-        let health = |address: &str| Health { silent_ms: 0, live: true, leaving: leaving.as_deref() == Some(address) };
+        let health =
+            |address: &str| Health { silent_ms: 0, live: true, shutting_down: leaving.as_deref() == Some(address) };
         let waits = |machine: &usize| !quorum::is_member(core, &self.addresses[*machine]);
         let waiting = change.candidates.iter().copied().filter(waits);
         let candidates = waiting.map(machines::member).collect();
-        let next = next(core, &View { health: &health, candidates, joint: true })?;
+        let next = next_membership(core, &ClusterView { health: &health, candidates, joint: true })?;
         match self.has(Defect::NoJointQuorums) {
-            true => Some(settled(&next)),
+            true => Some(stabilized(&next)),
             false => Some(next),
         }
     }
@@ -80,12 +81,12 @@
         self.commit_core(state, at, &next, list);
     }
 
-    fn settle(&self, state: &State, at: usize, settlement: Settlement, list: &mut Vec<Successor>) {
+    fn settle(&self, state: &State, at: usize, settlement: MembershipTransition, list: &mut Vec<Successor>) {
         if !settlement.is_known() {
             return self.spread(state, at, list);
         }
         if settlement.is_done() || self.has(Defect::SettledWithoutRenewal) {
-            self.commit_core(state, at, &settled(settlement.core()), list);
+            self.commit_core(state, at, &stabilized(settlement.core()), list);
         }
     }
 
@@ -147,10 +148,10 @@
     fn write_core(&mut self, quorum: MachineSet, core: &CoreMembership) {
         let ballot = ProposalNumber { term: self.cores.len() as u64, replica_id: 0 };
         let entry = Entry { proposal_number: ballot, index: 0, body: core_body::write(core) };
-        let slot = RegisterState { key: CORE.into(), prepared: ballot, entry: Some(entry) };
+        let slot = RegisterState { key: MEMBERSHIP_KEY.into(), prepared: ballot, entry: Some(entry) };
         for machine in quorum.iter() {
-            let mut voter = Voter::clone(&self.replicas[machine].voter);
-            voter.fold(LogRecord::Slot(slot.clone()));
+            let mut voter = Acceptor::clone(&self.replicas[machine].voter);
+            voter.replay(LogRecord::Register(slot.clone()));
             self.put_voter(machine, Shared::new(voter));
         }
         self.cores.edit(|cores| cores.push(core.clone()));
@@ -160,6 +161,6 @@
 /// A settlement cares for the keys and not for their places, and always for the key of the core: states that
 /// differ only in these are one.
 fn keys_only(list: &[(String, ProposalNumber, u64)]) -> ConsensusResponse {
-    let keys = list.iter().map(|(key, _, _)| key).filter(|key| *key != CORE);
+    let keys = list.iter().map(|(key, _, _)| key).filter(|key| *key != MEMBERSHIP_KEY);
     ConsensusResponse::Positions { list: keys.map(|key| (key.clone(), ProposalNumber::default(), 0)).collect() }
 }
--- a/consensus/src/model/check.rs
+++ b/consensus/src/model/check.rs
@@ -95,12 +95,12 @@
     /// Would this voter take part in a round of this core?
     pub fn answers(&self, state: &State, machine: usize, core: &CoreMembership) -> bool {
         let voter = &state.replicas[machine].voter;
-        voter.may_vote && voter.core.version <= core.version
+        voter.may_vote && voter.membership.version <= core.version
     }
 }
 
 fn check_read(state: &State, quorum: MachineSet) -> Result<(), Violation> {
-    let slots = quorum.iter().filter_map(|machine| state.replicas[machine].voter.slots.get(KEY));
+    let slots = quorum.iter().filter_map(|machine| state.replicas[machine].voter.registers.get(KEY));
     let newest = slots.filter_map(|slot| slot.entry.as_ref()).max_by_key(|entry| entry.position());
     let found = newest.map(|entry| entry.body.as_slice()).unwrap_or_default();
     match found.starts_with(&state.acknowledged) {
@@ -111,7 +111,7 @@
 
 /// All entries of the key that exist: on disks, in polls under way and late, in votes, with owners.
 fn entries(state: &State) -> impl Iterator<Item = &Entry> {
-    let stored = state.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY)?.entry.as_ref());
+    let stored = state.replicas.iter().filter_map(|replica| replica.voter.registers.get(KEY)?.entry.as_ref());
     let tasks = || state.proposers.iter().filter_map(|proposer| proposer.task.as_ref());
     let polls = tasks().map(|task| &task.poll).chain(state.late.iter());
     let proposed = polls.filter_map(|poll| match &poll.operation {
--- a/consensus/src/model/ending.rs
+++ b/consensus/src/model/ending.rs
@@ -46,7 +46,7 @@
 
     /// Was this ballot seen by any voter before?
     pub fn is_used(&self, ballot: ProposalNumber) -> bool {
-        let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY));
+        let slots = self.replicas.iter().filter_map(|replica| replica.voter.registers.get(KEY));
         slots.into_iter().any(|slot| slot.prepared == ballot)
     }
 }
--- a/consensus/src/model/progress.rs
+++ b/consensus/src/model/progress.rs
@@ -11,10 +11,10 @@
 use super::violation::Violation;
 use super::voting::Answer;
 use super::{Model, KEY};
-use crate::membership::{settled, Settlement};
 use crate::proposal::{Progress, Proposal};
-use crate::round::next_turn;
-use crate::{quorum, CORE, RECALL_DELAY_MS, ROUND_MS};
+use crate::reconfiguration::{stabilized, MembershipTransition};
+use crate::round::next_term;
+use crate::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS, ROUND_TIMEOUT_MS};
 
 impl Model {
     /// Runs a proposal to its end with these machines answering each poll at once.
@@ -25,15 +25,20 @@
         machines: MachineSet,
         operation: Operation,
     ) -> Result<Progress<Vec<u8>>, Violation> {
-        let ballot = ProposalNumber { term: next_turn(state.highest_turn(), core), replica_id: u64::MAX };
+        let ballot = ProposalNumber { term: next_term(state.highest_turn(), core), replica_id: u64::MAX };
         let mut judge = |body: &[u8]| operation.judge(body);
-        let (mut proposal, mut ask) = Proposal::begin(KEY, core, None, ballot, &mut judge, state.now);
+        let (mut proposal, mut ask) = Proposal::start(KEY, core, None, ballot, &mut judge, state.now);
         'poll: loop {
             let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask.clone() });
             for machine in machines.iter() {
                 let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
                 state.put_voter(machine, voter);
-                match proposal.hear(&self.addresses[machine], ConsensusResponse::clone(&vote), &mut judge, state.now) {
+                match proposal.handle_response(
+                    &self.addresses[machine],
+                    ConsensusResponse::clone(&vote),
+                    &mut judge,
+                    state.now,
+                ) {
                     Progress::Wait => {}
                     Progress::Send(next) => {
                         ask = next;
@@ -99,7 +104,7 @@
 
     /// All voters without memory read the others and vote again.
     fn end_losses(&self, state: &mut State, core: &CoreMembership) -> Result<(), Violation> {
-        state.now += ROUND_MS + RECALL_DELAY_MS;
+        state.now += ROUND_TIMEOUT_MS + RECOVERY_DELAY_MS;
         let mute: Vec<usize> = (0..state.replicas.len()).filter(|at| !state.replicas[*at].voter.may_vote).collect();
         for machine in mute {
             state.tell(machine, core);
@@ -120,27 +125,27 @@
 
     /// A changed core is settled while these machines are in touch, and reads finish after it.
     fn check_settlement(&self, mut state: State, core: &CoreMembership, in_touch: MachineSet) -> Result<(), Violation> {
-        let mut settlement = Settlement::new(core);
+        let mut settlement = MembershipTransition::new(core);
         let told = quorum::old_and_new_members(core);
         let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ConsensusOperation::Positions });
         for machine in in_touch.iter().filter(|machine| told.contains(&self.addresses[*machine])) {
             let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
             state.put_voter(machine, voter);
-            settlement.hear_vote(&self.addresses[machine], &vote);
+            settlement.record_response(&self.addresses[machine], &vote);
         }
         let members: MachineSet =
             self.core_facts(core).members.iter().filter(|machine| in_touch.contains(*machine)).collect();
-        for key in settlement.left() {
+        for key in settlement.remaining_keys() {
             let read = self.run(&mut state, core, members, Operation::Read)?;
-            let is_renewed = key == CORE || matches!(read, Progress::Finished { .. });
+            let is_renewed = key == MEMBERSHIP_KEY || matches!(read, Progress::Finished { .. });
             if is_renewed {
-                settlement.renewed(&key);
+                settlement.mark_recommitted(&key);
             }
         }
         if !settlement.is_done() {
             return Err(Violation::Stuck("a change of the core is not settled"));
         }
-        let settled = settled(core);
+        let settled = stabilized(core);
         state.cores = Shared::new(vec![settled.clone()]);
         self.check_reads(&state, &settled)
     }
--- a/consensus/src/model/proposing.rs
+++ b/consensus/src/model/proposing.rs
@@ -7,7 +7,7 @@
 use super::violation::Violation;
 use super::{Model, KEY};
 use crate::proposal::{Progress, Proposal};
-use crate::round::{next_turn, Ownership};
+use crate::round::{next_term, Ownership};
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, ProposalNumber};
 
 /// More lives than any proposer has.
@@ -39,8 +39,9 @@
     fn purpose(&self, state: &State, at: usize) -> Option<Purpose> {
         let proposer = &state.proposers[at];
         if proposer.coordinates {
-            let left =
-                self.settlement(state, at).is_some_and(|settlement| settlement.left().iter().any(|key| key == KEY));
+            let left = self
+                .settlement(state, at)
+                .is_some_and(|settlement| settlement.remaining_keys().iter().any(|key| key == KEY));
             return left.then_some(Purpose::Renewal);
         }
         self.scenario.proposers[at].operations.get(proposer.done).copied().map(Purpose::Operation)
@@ -86,7 +87,7 @@
         let ballot = ProposalNumber { term: turn, replica_id: seat(at, proposer.life) };
         let mut judge = |body: &[u8]| operation.judge(body);
         let core = &state.cores[core];
-        let (proposal, ask) = Proposal::begin(KEY, core, held, ballot, &mut judge, state.now);
+        let (proposal, ask) = Proposal::start(KEY, core, held, ballot, &mut judge, state.now);
         if matches!(ask, ConsensusOperation::Prepare { .. }) && state.is_used(ballot) {
             return Err(Violation::TwoOwners { ballot });
         }
@@ -139,7 +140,12 @@
         let mut judge = |body: &[u8]| operation.judge(body);
         let mut progress = Progress::Wait;
         for (machine, vote) in votes {
-            progress = proposal.hear(&self.addresses[*machine], ConsensusResponse::clone(vote), &mut judge, state.now);
+            progress = proposal.handle_response(
+                &self.addresses[*machine],
+                ConsensusResponse::clone(vote),
+                &mut judge,
+                state.now,
+            );
         }
         self.advance(state, at, Task { proposal: Shared::new(proposal), ..task }, progress)
     }
@@ -162,10 +168,10 @@
             Progress::Finished { answer, owner, .. } => {
                 return self.finish(state, at, task.purpose, &task.acknowledged_before, answer, owner);
             }
-            Progress::Outbid(ballot) => {
+            Progress::Superseded(ballot) => {
                 state.proposers[at].edit(|proposer| proposer.turn = proposer.turn.max(ballot.term));
             }
-            Progress::NewerCore(core) => {
+            Progress::NewerMembership(core) => {
                 let known = state.cores.iter().position(|known| *known == core).unwrap_or_default();
                 state.proposers[at].edit(|proposer| proposer.know_core(known));
             }
@@ -208,8 +214,8 @@
 
 /// The turns that a proposer may begin under: it heard of the highest one by now, or not.
 fn turns(state: &State, proposer: &Proposer, core: &CoreMembership) -> Vec<u64> {
-    let next = next_turn(proposer.turn, core);
-    let above_all = next_turn(proposer.turn.max(state.highest_turn()), core);
+    let next = next_term(proposer.turn, core);
+    let above_all = next_term(proposer.turn.max(state.highest_turn()), core);
     match above_all > next && proposer.held.is_none() {
         true => vec![next, above_all],
         false => vec![next],
--- a/consensus/src/model/recovering.rs
+++ b/consensus/src/model/recovering.rs
@@ -8,13 +8,13 @@
 use super::state::{Replica, State};
 use super::violation::Violation;
 use super::Model;
-use crate::voter::{LogRecord, Voter};
-use crate::{quorum, RECALL_DELAY_MS, ROUND_MS};
+use crate::acceptor::{Acceptor, LogRecord};
+use crate::{quorum, RECOVERY_DELAY_MS, ROUND_TIMEOUT_MS};
 
 /// Time passes in steps so long that a round begun when a disk was lost is over when its voter reads the
 /// others, and one begun a step later is not.
-const STEP_MS: u64 = RECALL_DELAY_MS / 2;
-const _: () = assert!(STEP_MS < ROUND_MS && ROUND_MS <= 2 * STEP_MS);
+const STEP_MS: u64 = RECOVERY_DELAY_MS / 2;
+const _: () = assert!(STEP_MS < ROUND_TIMEOUT_MS && ROUND_TIMEOUT_MS <= 2 * STEP_MS);
 
 impl Model {
     pub fn recover(&self, state: &State, list: &mut Vec<Successor>) {
@@ -32,14 +32,14 @@
     fn wipe(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
         let tolerated = Scenario::tolerated_losses(state.newest_core().members.len());
         let held = &state.replicas[machine].voter;
-        let forgets = !held.slots.is_empty() || held.core != state.cores[0];
+        let forgets = !held.registers.is_empty() || held.membership != state.cores[0];
         if state.wipes_left == 0 || !held.may_vote || !forgets || state.mute() >= tolerated {
             return;
         }
         for core in 0..state.cores.len() {
-            let mut voter = Voter { core: state.cores[core].clone(), ..Voter::default() };
+            let mut voter = Acceptor { membership: state.cores[core].clone(), ..Acceptor::default() };
             if self.has(Defect::WipedVotesAtOnce) {
-                (voter.core, voter.may_vote) = (held.core.clone(), true);
+                (voter.membership, voter.may_vote) = (held.membership.clone(), true);
             }
             let wiped_at = (!voter.may_vote).then_some(state.now);
             let wiped = Replica { voter: Shared::new(voter), wiped_at, reads: Default::default() };
@@ -51,7 +51,7 @@
     }
 
     fn is_ready_to_read(&self, replica: &Replica, now: u64) -> bool {
-        let delay = if self.has(Defect::RecallWithoutDelay) { 0 } else { RECALL_DELAY_MS };
+        let delay = if self.has(Defect::RecallWithoutDelay) { 0 } else { RECOVERY_DELAY_MS };
         replica.wiped_at.is_some_and(|wiped_at| now >= wiped_at + delay)
     }
 
@@ -64,7 +64,7 @@
         let mut next = state.clone();
         next.now += STEP_MS;
         for at in 0..next.proposers.len() {
-            if next.proposers[at].task.as_ref().is_some_and(|task| task.proposal.expired(next.now)) {
+            if next.proposers[at].task.as_ref().is_some_and(|task| task.proposal.is_expired(next.now)) {
                 next.end_task(at);
             }
         }
@@ -97,15 +97,15 @@
     }
 
     /// Those whom a voter without memory asks, as machines.
-    pub fn witnesses(&self, machine: usize, voter: &Voter) -> Vec<usize> {
-        let asking = Voter { ip: self.addresses[machine].clone(), ..Voter::clone(voter) };
+    pub fn witnesses(&self, machine: usize, voter: &Acceptor) -> Vec<usize> {
+        let asking = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(voter) };
         let witnesses = asking.witnesses();
         (0..self.addresses.len()).filter(|other| witnesses.contains(&self.addresses[*other])).collect()
     }
 
     /// None: the other does not answer what was asked.
     pub fn read_from(&self, state: &State, machine: usize, from: usize) -> Result<Option<State>, Violation> {
-        let core = state.replicas[machine].voter.core.clone();
+        let core = state.replicas[machine].voter.membership.clone();
         let is_member = quorum::is_old_or_new_member(&core, &self.addresses[machine]);
         let ask = if is_member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
         let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask });
@@ -113,12 +113,12 @@
         let mut next = state.clone();
         next.put_voter(from, answer.voter);
         match &*answer.vote {
-            ConsensusResponse::NewerMembership { core } => {
-                next.tell(machine, core);
+            ConsensusResponse::NewerMembership { membership } => {
+                next.tell(machine, membership);
                 return Ok(Some(next));
             }
-            ConsensusResponse::Snapshot { slots } if is_member => {
-                next.replicas[machine].edit(|replica| drop(replica.reads.insert(from, slots.clone())));
+            ConsensusResponse::Snapshot { registers } if is_member => {
+                next.replicas[machine].edit(|replica| drop(replica.reads.insert(from, registers.clone())));
             }
             ConsensusResponse::Positions { .. } if !is_member => {
                 next.replicas[machine].edit(|replica| drop(replica.reads.insert(from, Vec::new())));
@@ -132,13 +132,13 @@
     /// Ends the loss of memory if enough others were read.
     fn vote_again(&self, state: &mut State, machine: usize, core: &CoreMembership) {
         let replica = &state.replicas[machine];
-        let mut voter = Voter { ip: self.addresses[machine].clone(), ..Voter::clone(&replica.voter) };
+        let mut voter = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(&replica.voter) };
         let read: Vec<String> = replica.reads.keys().map(|from| self.addresses[*from].clone()).collect();
         if quorum::is_old_or_new_member(core, &voter.ip) {
-            if !voter.enough(&read) {
+            if !voter.has_enough_reads(&read) {
                 return;
             }
-            if voter.recall(replica.reads.values().cloned().collect()).is_none() {
+            if voter.recover(replica.reads.values().cloned().collect()).is_none() {
                 state.replicas[machine].edit(|replica| replica.reads.clear());
                 return;
             }
@@ -146,7 +146,7 @@
             if !quorum::is_quorum(core, &read) {
                 return;
             }
-            voter.fold(LogRecord::Vote);
+            voter.replay(LogRecord::VotingEnabled);
         }
         voter.ip.clear();
         let replica = Replica { voter: Shared::new(voter), wiped_at: None, reads: Default::default() };
@@ -157,7 +157,7 @@
 impl State {
     /// A voter hears of a committed core. False: it is no newer than the one that it knows.
     pub fn tell(&mut self, machine: usize, core: &CoreMembership) -> bool {
-        let mut voter = Voter::clone(&self.replicas[machine].voter);
-        voter.adopt(core).is_some() && self.put_voter(machine, Shared::new(voter))
+        let mut voter = Acceptor::clone(&self.replicas[machine].voter);
+        voter.adopt_membership(core).is_some() && self.put_voter(machine, Shared::new(voter))
     }
 }
--- a/consensus/src/model/scenario.rs
+++ b/consensus/src/model/scenario.rs
@@ -1,7 +1,7 @@
 //! What bounds one exploration: the machines, what is asked of the proposers, and how much trouble there is.
 
 use super::machines::MachineSet;
-use crate::proposal::Verdict;
+use crate::proposal::Decision;
 use crate::quorum;
 
 /// What a client asks of a proposer. A body is the list of the changes that were made, oldest first.
@@ -14,13 +14,13 @@
 
 impl Operation {
     /// Decides on the body that is committed, as the controller does for a configuration.
-    pub fn judge(self, committed: &[u8]) -> Verdict<Vec<u8>> {
+    pub fn judge(self, committed: &[u8]) -> Decision<Vec<u8>> {
         match self {
             Operation::Write(change) if !committed.contains(&change) => {
                 let body = [committed, &[change]].concat();
-                Verdict::Write(body.clone(), body)
+                Decision::Write(body.clone(), body)
             }
-            _ => Verdict::Answer(committed.to_vec()),
+            _ => Decision::Answer(committed.to_vec()),
         }
     }
 }
@@ -32,7 +32,7 @@
     pub attempts: u8,
 }
 
-/// A change of the core, as `membership::next` is to see it.
+/// A change of the core, as `reconfiguration::next` is to see it.
 #[derive(Clone, Debug)]
 pub struct CoreChange {
     /// A member that is about to end. It is exchanged, or removed when there is one too many.
--- a/consensus/src/model/state.rs
+++ b/consensus/src/model/state.rs
@@ -10,9 +10,9 @@
 use super::scenario::{Operation, Workload};
 use super::shared::Shared;
 use super::{machines, Model, KEY};
+use crate::acceptor::Acceptor;
 use crate::proposal::{Progress, Proposal};
-use crate::round::{next_turn, Ownership};
-use crate::voter::Voter;
+use crate::round::{next_term, Ownership};
 
 /// How often a key may be begun to be committed again under a changed core.
 const COORDINATOR_ATTEMPTS: u8 = 1;
@@ -24,7 +24,7 @@
 /// interchangeable replicas are equal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Replica {
-    pub voter: Shared<Voter>,
+    pub voter: Shared<Acceptor>,
     /// When it lost its disk, as long as it may not vote again.
     pub wiped_at: Option<u64>,
     /// What it read of others since, in order to vote again.
@@ -108,7 +108,7 @@
 
     /// The highest turn that a voter promised.
     pub fn highest_turn(&self) -> u64 {
-        let slots = self.replicas.iter().filter_map(|replica| replica.voter.slots.get(KEY));
+        let slots = self.replicas.iter().filter_map(|replica| replica.voter.registers.get(KEY));
         slots.map(|slot| slot.prepared.term).max().unwrap_or_default()
     }
 
@@ -123,7 +123,7 @@
     pub fn initial_state(&self) -> State {
         let list = (0..self.scenario.core_size).map(machines::member).collect();
         let core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
-        let voter = Voter { core: core.clone(), may_vote: true, ..Default::default() };
+        let voter = Acceptor { membership: core.clone(), may_vote: true, ..Default::default() };
         let replica = Shared::new(Replica { voter: Shared::new(voter), ..Replica::default() });
         let idle =
             |workload: &Workload| Shared::new(Proposer { attempts_left: workload.attempts, ..Proposer::default() });
@@ -150,7 +150,7 @@
     fn leave_half_done(&self, state: &mut State) {
         let Some(half_done) = self.scenario.left_half_done else { return };
         let core = state.newest_core().clone();
-        let ballot = ProposalNumber { term: next_turn(state.highest_turn(), &core), replica_id: u64::MAX };
+        let ballot = ProposalNumber { term: next_term(state.highest_turn(), &core), replica_id: u64::MAX };
         let entry = Entry { proposal_number: ballot, index: 1, body: vec![HALF_DONE_CHANGE] };
         let prepare = ConsensusOperation::Prepare { key: KEY.into(), ballot };
         let accept = ConsensusOperation::Accept { key: KEY.into(), entry };
--- a/consensus/src/model/symmetry.rs
+++ b/consensus/src/model/symmetry.rs
@@ -45,11 +45,11 @@
 fn is_refused(replica: &Replica, poll: &ConsensusRequest) -> bool {
     let ConsensusOperation::Accept { key, entry } = &poll.operation else { return false };
     let voter = &replica.voter;
-    let overtaken = voter.slots.get(key).is_some_and(|slot| {
+    let overtaken = voter.registers.get(key).is_some_and(|slot| {
         slot.prepared > entry.proposal_number
             || slot.entry.as_ref().is_some_and(|held| held.position() >= entry.position())
     });
-    voter.core.version > poll.membership.version || overtaken
+    voter.membership.version > poll.membership.version || overtaken
 }
 
 /// What a state says of one machine, without its number.
--- a/consensus/src/model/voting.rs
+++ b/consensus/src/model/voting.rs
@@ -12,12 +12,12 @@
 use super::state::State;
 use super::violation::Violation;
 use super::Model;
-use crate::voter::Voter;
+use crate::acceptor::Acceptor;
 
 /// A voter after a poll, and its vote.
 #[derive(Clone)]
 pub struct Answer {
-    pub voter: Shared<Voter>,
+    pub voter: Shared<Acceptor>,
     pub vote: Shared<ConsensusResponse>,
 }
 
@@ -29,7 +29,7 @@
     pub fn poll(
         &self,
         machine: usize,
-        voter: &Shared<Voter>,
+        voter: &Shared<Acceptor>,
         poll: &Shared<ConsensusRequest>,
     ) -> Result<Answer, Violation> {
         let key = (machine, voter.fingerprint(), poll.fingerprint());
@@ -46,22 +46,22 @@
     fn answer(
         &self,
         machine: usize,
-        voter: &Voter,
+        voter: &Acceptor,
         poll: &ConsensusRequest,
-    ) -> Result<(Voter, ConsensusResponse), Violation> {
-        let mut after = Voter { ip: self.addresses[machine].clone(), ..voter.clone() };
+    ) -> Result<(Acceptor, ConsensusResponse), Violation> {
+        let mut after = Acceptor { ip: self.addresses[machine].clone(), ..voter.clone() };
         let accepts_old = self.has(Defect::OldBallotAccepted);
         if accepts_old {
             forget_promise(&mut after, &poll.operation);
         }
-        let (vote, records) = after.poll(poll.clone());
+        let (vote, records) = after.handle(poll.clone());
         if accepts_old && matches!(vote, ConsensusResponse::Rejected { .. }) {
             return Ok((voter.clone(), vote));
         }
         after.ip.clear();
         let mut restarted = voter.clone();
         if !self.has(Defect::VoteBeforeDisk) {
-            records.into_iter().for_each(|record| restarted.fold(record));
+            records.into_iter().for_each(|record| restarted.replay(record));
         }
         if restarted != after {
             return Err(Violation::NotOnDisk);
@@ -134,14 +134,14 @@
 
 impl State {
     /// Gives a replica its voter after a poll. False: nothing changed.
-    pub fn put_voter(&mut self, machine: usize, voter: Shared<Voter>) -> bool {
+    pub fn put_voter(&mut self, machine: usize, voter: Shared<Acceptor>) -> bool {
         let replica = &mut self.replicas[machine];
         if replica.voter == voter {
             return false;
         }
         replica.edit(|replica| {
             // What was read answers for the quorums of another core.
-            if replica.voter.core.version != voter.core.version {
+            if replica.voter.membership.version != voter.membership.version {
                 replica.reads.clear();
             }
             replica.voter = voter;
@@ -150,20 +150,20 @@
     }
 }
 
-fn forget_promise(voter: &mut Voter, ask: &ConsensusOperation) {
+fn forget_promise(voter: &mut Acceptor, ask: &ConsensusOperation) {
     let ConsensusOperation::Accept { key, .. } = ask else { return };
-    if let Some(slot) = voter.slots.get_mut(key) {
+    if let Some(slot) = voter.registers.get_mut(key) {
         slot.prepared = ProposalNumber::default();
     }
 }
 
 /// Promises and places of entries never go back, and no entry is above what is promised.
-fn check_only_rises(before: &Voter, after: &Voter) -> Result<(), Violation> {
-    for (key, slot) in &after.slots {
+fn check_only_rises(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
+    for (key, slot) in &after.registers {
         let place = slot.entry.as_ref().map(Entry::position);
         let above = slot.entry.as_ref().is_some_and(|entry| entry.proposal_number > slot.prepared);
         let back = before
-            .slots
+            .registers
             .get(key)
             .is_some_and(|held| held.prepared > slot.prepared || held.entry.as_ref().map(Entry::position) > place);
         if above || back {
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -5,11 +5,11 @@
 
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, ProposalNumber};
 
-use crate::round::{Ownership, Round, Step};
+use crate::round::{Ownership, Round, RoundProgress};
 
 /// What a caller decides once it sees what is committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict<T> {
+pub enum Decision<T> {
     /// Nothing to change: answer with this.
     Answer(T),
     /// Commit this body, then answer.
@@ -29,9 +29,9 @@
         wrote: bool,
     },
     /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
-    Outbid(ProposalNumber),
+    Superseded(ProposalNumber),
     /// A voter knows a newer core. The outcome of an own write is unknown.
-    NewerCore(CoreMembership),
+    NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -54,57 +54,57 @@
 impl<T> Proposal<T> {
     /// Begins with what is held of the key from an earlier proposal, else with a claim. `ballot` must be
     /// new to this owner.
-    pub fn begin(
+    pub fn start(
         key: &str,
         core: &CoreMembership,
         held: Option<Ownership>,
         ballot: ProposalNumber,
-        judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
+        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> (Proposal<T>, ConsensusOperation) {
-        let held = held.filter(|owner| owner.core == core.version);
+        let held = held.filter(|owner| owner.membership_version == core.version);
         if let Some(owner) = held {
             // An answer without a write would rest on a read of some time ago: another may own the key by now.
-            if let Verdict::Write(body, answer) = judge(&owner.entry.body) {
+            if let Decision::Write(body, answer) = judge(&owner.entry.body) {
                 let (round, ask) = Round::change(key, core.clone(), &owner, body, now);
                 return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, ask);
             }
         }
-        let (round, ask) = Round::take(key, core.clone(), ballot, now);
+        let (round, ask) = Round::claim(key, core.clone(), ballot, now);
         (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
     }
 
     pub fn core(&self) -> &CoreMembership {
-        self.round.core()
+        self.round.membership()
     }
 
     /// Is the present round over without an outcome?
-    pub fn expired(&self, now: u64) -> bool {
-        self.round.over(now)
+    pub fn is_expired(&self, now: u64) -> bool {
+        self.round.is_expired(now)
     }
 
     /// Takes one vote on the present poll.
-    pub fn hear(
+    pub fn handle_response(
         &mut self,
         from: &str,
         vote: ConsensusResponse,
-        judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
+        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> Progress<T> {
-        let owner = match self.round.hear(from, vote, now) {
-            Step::Wait => return Progress::Wait,
-            Step::Send(ask) => return Progress::Send(ask),
-            Step::Lost(ballot) => return Progress::Outbid(ballot),
-            Step::Core(core) => return Progress::NewerCore(core),
-            Step::Done(owner) => owner,
+        let owner = match self.round.handle_response(from, vote, now) {
+            RoundProgress::Wait => return Progress::Wait,
+            RoundProgress::Send(ask) => return Progress::Send(ask),
+            RoundProgress::Superseded(ballot) => return Progress::Superseded(ballot),
+            RoundProgress::NewerMembership(core) => return Progress::NewerMembership(core),
+            RoundProgress::Chosen(owner) => owner,
         };
         if let Stage::Writing(answer) = mem::replace(&mut self.stage, Stage::Claiming) {
             return Progress::Finished { answer, owner, wrote: true };
         }
         match judge(&owner.entry.body) {
-            Verdict::Answer(answer) => Progress::Finished { answer, owner, wrote: false },
-            Verdict::Write(body, answer) => {
-                let (round, ask) = Round::change(&self.key, self.round.core().clone(), &owner, body, now);
+            Decision::Answer(answer) => Progress::Finished { answer, owner, wrote: false },
+            Decision::Write(body, answer) => {
+                let (round, ask) = Round::change(&self.key, self.round.membership().clone(), &owner, body, now);
                 self.round = round;
                 self.stage = Stage::Writing(answer);
                 Progress::Send(ask)
--- a/consensus/src/proposal_tests.rs
+++ b/consensus/src/proposal_tests.rs
@@ -4,10 +4,10 @@
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Member, ProposalNumber,
 };
 
-use super::{Progress, Proposal, Verdict};
+use super::{Decision, Progress, Proposal};
+use crate::acceptor::Acceptor;
 use crate::round::Ownership;
-use crate::voter::Voter;
-use crate::ROUND_MS;
+use crate::ROUND_TIMEOUT_MS;
 
 const KEY: &str = "config";
 
@@ -20,14 +20,14 @@
     format!("10.0.0.{at}")
 }
 
-fn voters(size: usize) -> Vec<Voter> {
-    let voter = |at: usize| Voter { core: core(size), may_vote: true, ..Voter::new(&address(at)) };
+fn voters(size: usize) -> Vec<Acceptor> {
+    let voter = |at: usize| Acceptor { membership: core(size), may_vote: true, ..Acceptor::new(&address(at)) };
     (0..size).map(voter).collect()
 }
 
-fn ask(voter: &mut Voter, ask: &ConsensusOperation) -> ConsensusResponse {
-    let core = voter.core.clone();
-    voter.poll(ConsensusRequest { membership: core, operation: ask.clone() }).0
+fn ask(voter: &mut Acceptor, ask: &ConsensusOperation) -> ConsensusResponse {
+    let core = voter.membership.clone();
+    voter.handle(ConsensusRequest { membership: core, operation: ask.clone() }).0
 }
 
 fn ballot(turn: u64) -> ProposalNumber {
@@ -35,28 +35,28 @@
 }
 
 /// Writes this body whatever is committed.
-fn write(body: &'static str) -> impl FnMut(&[u8]) -> Verdict<&'static str> {
-    move |_| Verdict::Write(body.into(), body)
+fn write(body: &'static str) -> impl FnMut(&[u8]) -> Decision<&'static str> {
+    move |_| Decision::Write(body.into(), body)
 }
 
 /// Answers with what is committed.
-fn read() -> impl FnMut(&[u8]) -> Verdict<String> {
-    |body| Verdict::Answer(String::from_utf8_lossy(body).into_owned())
+fn read() -> impl FnMut(&[u8]) -> Decision<String> {
+    |body| Decision::Answer(String::from_utf8_lossy(body).into_owned())
 }
 
 /// Runs a proposal against these voters, who all answer each poll in turn.
 fn run<T>(
-    voters: &mut [Voter],
+    voters: &mut [Acceptor],
     held: Option<Ownership>,
     turn: u64,
-    judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
+    judge: &mut impl FnMut(&[u8]) -> Decision<T>,
 ) -> Progress<T> {
-    let (mut proposal, mut poll) = Proposal::begin(KEY, &core(3), held, ballot(turn), judge, 0);
+    let (mut proposal, mut poll) = Proposal::start(KEY, &core(3), held, ballot(turn), judge, 0);
     loop {
         let mut next = None;
         for voter in voters.iter_mut() {
             let vote = ask(voter, &poll);
-            match proposal.hear(&voter.ip.clone(), vote, judge, 1) {
+            match proposal.handle_response(&voter.ip.clone(), vote, judge, 1) {
                 Progress::Wait => {}
                 Progress::Send(ask) => {
                     next = Some(ask);
@@ -100,33 +100,33 @@
     let seen = run(&mut all, Some(old.clone()), 3, &mut read());
     assert!(matches!(seen, Progress::Finished { answer, .. } if answer == "b"));
     // Its own next change is refused by the first voter that promised a higher ballot.
-    assert_eq!(run(&mut all, Some(old), 4, &mut write("c")), Progress::Outbid(ballot(3)));
+    assert_eq!(run(&mut all, Some(old), 4, &mut write("c")), Progress::Superseded(ballot(3)));
 }
 
 #[test]
 fn an_owner_under_an_older_core_claims_the_key_anew() {
     let mut all = voters(3);
     let mut old = owner(run(&mut all, None, 1, &mut write("a")));
-    old.core = 0;
-    let (_, poll) = Proposal::begin(KEY, &core(3), Some(old), ballot(5), &mut write("b"), 0);
+    old.membership_version = 0;
+    let (_, poll) = Proposal::start(KEY, &core(3), Some(old), ballot(5), &mut write("b"), 0);
     assert_eq!(poll, ConsensusOperation::Prepare { key: KEY.into(), ballot: ballot(5) });
 }
 
 #[test]
 fn votes_that_come_after_the_deadline_do_not_count() {
     let mut all = voters(3);
-    let (mut proposal, poll) = Proposal::begin(KEY, &core(3), None, ballot(1), &mut write("a"), 0);
+    let (mut proposal, poll) = Proposal::start(KEY, &core(3), None, ballot(1), &mut write("a"), 0);
     for voter in &mut all {
         let vote = ask(voter, &poll);
-        assert_eq!(proposal.hear(&voter.ip, vote, &mut write("a"), ROUND_MS), Progress::Wait);
+        assert_eq!(proposal.handle_response(&voter.ip, vote, &mut write("a"), ROUND_TIMEOUT_MS), Progress::Wait);
     }
-    assert!(proposal.expired(ROUND_MS));
+    assert!(proposal.is_expired(ROUND_TIMEOUT_MS));
 }
 
 #[test]
 fn a_voter_that_answers_twice_counts_once() {
     let mut all = voters(3);
-    let (mut proposal, poll) = Proposal::begin(KEY, &core(3), None, ballot(1), &mut write("a"), 0);
+    let (mut proposal, poll) = Proposal::start(KEY, &core(3), None, ballot(1), &mut write("a"), 0);
     for _ in 0..2 {
         let vote = ask(&mut all[0], &poll);
         let vote = if let ConsensusResponse::Rejected { .. } = vote {
@@ -134,6 +134,6 @@
         } else {
             vote
         };
-        assert_eq!(proposal.hear(&address(0), vote, &mut write("a"), 1), Progress::Wait);
+        assert_eq!(proposal.handle_response(&address(0), vote, &mut write("a"), 1), Progress::Wait);
     }
 }
--- a/consensus/src/membership.rs
+++ b/consensus/src/reconfiguration.rs
@@ -4,10 +4,10 @@
 
 use protocol::message::{ConsensusResponse, CoreMembership, Member};
 
-use crate::{quorum, CORE};
+use crate::{quorum, MEMBERSHIP_KEY};
 
 /// How long a member must be silent before it may be taken for gone.
-pub const GONE_MS: u64 = 2500;
+pub const MEMBER_TIMEOUT_MS: u64 = 2500;
 
 /// How a member of the core is heard here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -16,21 +16,21 @@
     /// Heard a moment ago.
     pub live: bool,
     /// It said that its process is about to end.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 impl Health {
-    fn gone(self) -> bool {
-        self.leaving || self.silent_ms > GONE_MS
+    fn is_gone(self) -> bool {
+        self.shutting_down || self.silent_ms > MEMBER_TIMEOUT_MS
     }
 
-    fn stays(self) -> bool {
-        self.live && !self.leaving
+    fn is_staying(self) -> bool {
+        self.live && !self.shutting_down
     }
 }
 
 /// What the next change of the core is decided on.
-pub struct View<'a> {
+pub struct ClusterView<'a> {
     pub health: &'a dyn Fn(&str) -> Health,
     /// Live controllers that may be made members and aren't yet.
     pub candidates: Vec<Member>,
@@ -40,72 +40,72 @@
 
 /// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
 /// candidate added. Invariant: the members that stay are a quorum of the next core.
-pub fn next(core: &CoreMembership, view: &View) -> Option<CoreMembership> {
-    let gone = core.members.iter().find(|member| (view.health)(&member.ip).gone());
-    let candidate = match gone {
-        Some(gone) => view.candidates.iter().find(|one| one.zone == gone.zone).or(view.candidates.first()),
+pub fn next_membership(core: &CoreMembership, view: &ClusterView) -> Option<CoreMembership> {
+    let is_gone = core.members.iter().find(|member| (view.health)(&member.ip).is_gone());
+    let candidate = match is_gone {
+        Some(is_gone) => view.candidates.iter().find(|one| one.zone == is_gone.zone).or(view.candidates.first()),
         None => view.candidates.first(),
     };
-    let list = match (gone, candidate) {
-        (Some(gone), Some(candidate)) if view.joint => exchanged(core, gone, candidate),
-        (Some(gone), _) if core.members.len().is_multiple_of(2) => without(core, gone),
+    let list = match (is_gone, candidate) {
+        (Some(is_gone), Some(candidate)) if view.joint => exchanged(core, is_gone, candidate),
+        (Some(is_gone), _) if core.members.len().is_multiple_of(2) => without(core, is_gone),
         (_, Some(candidate)) => with(core, candidate),
         _ => return None,
     };
-    let next = CoreMembership {
+    let next_membership = CoreMembership {
         version: core.version + 1,
         members: list,
         previous_members: core.members.clone(),
         stable: false,
     };
-    can_settle(&next, view).then_some(next)
+    can_settle(&next_membership, view).then_some(next_membership)
 }
 
 /// Those that stay must be a quorum of the next core. Those before it must be able to commit it, and to hear
 /// of it: one that is leaving still can.
-fn can_settle(next: &CoreMembership, view: &View) -> bool {
+fn can_settle(next_membership: &CoreMembership, view: &ClusterView) -> bool {
     let is_candidate = |address: &str| view.candidates.iter().any(|one| one.ip == address);
-    let members = quorum::old_and_new_members(next);
+    let members = quorum::old_and_new_members(next_membership);
     let (mut staying, mut live) = (Vec::new(), Vec::new());
     for address in members {
         let health = (view.health)(&address);
-        if health.stays() || is_candidate(&address) {
+        if health.is_staying() || is_candidate(&address) {
             staying.push(address.clone());
         }
         if health.live {
             live.push(address);
         }
     }
-    quorum::is_quorum(next, &staying) && quorum::has_majority(&next.previous_members, &live)
+    quorum::is_quorum(next_membership, &staying) && quorum::has_majority(&next_membership.previous_members, &live)
 }
 
-fn without(core: &CoreMembership, gone: &Member) -> Vec<Member> {
-    core.members.iter().filter(|member| *member != gone).cloned().collect()
+fn without(core: &CoreMembership, is_gone: &Member) -> Vec<Member> {
+    core.members.iter().filter(|member| *member != is_gone).cloned().collect()
 }
 
 fn with(core: &CoreMembership, candidate: &Member) -> Vec<Member> {
     core.members.iter().chain([candidate]).cloned().collect()
 }
 
-fn exchanged(core: &CoreMembership, gone: &Member, candidate: &Member) -> Vec<Member> {
-    let mut list = without(core, gone);
+fn exchanged(core: &CoreMembership, is_gone: &Member, candidate: &Member) -> Vec<Member> {
+    let mut list = without(core, is_gone);
     list.push(candidate.clone());
     list
 }
 
 /// The settling of a changed core. Invariant: before it is done, quorums of the old and the new members
 /// know the new core, and every key that any of them held was committed again under it.
-pub struct Settlement {
+pub struct MembershipTransition {
     core: CoreMembership,
     knows: Vec<String>,
     keys: BTreeSet<String>,
-    renewed: BTreeSet<String>,
+    mark_recommitted: BTreeSet<String>,
 }
 
-impl Settlement {
-    pub fn new(core: &CoreMembership) -> Settlement {
-        let keys = [CORE.to_string()].into();
-        Settlement { core: core.clone(), knows: Vec::new(), keys, renewed: Default::default() }
+impl MembershipTransition {
+    pub fn new(core: &CoreMembership) -> MembershipTransition {
+        let keys = [MEMBERSHIP_KEY.to_string()].into();
+        MembershipTransition { core: core.clone(), knows: Vec::new(), keys, mark_recommitted: Default::default() }
     }
 
     pub fn core(&self) -> &CoreMembership {
@@ -114,7 +114,7 @@
 
     /// A voter answered a poll that carried the new core. One that did not say which keys it holds does not
     /// count: what only it and others out of touch hold would not be committed again.
-    pub fn hear_vote(&mut self, from: &str, vote: &ConsensusResponse) {
+    pub fn record_response(&mut self, from: &str, vote: &ConsensusResponse) {
         if let ConsensusResponse::Positions { list } = vote {
             self.hear(from, list.iter().map(|(key, _, _)| key.clone()));
         }
@@ -135,27 +135,27 @@
     }
 
     /// What must still be committed under the new core. Empty until the core is known.
-    pub fn left(&self) -> Vec<String> {
+    pub fn remaining_keys(&self) -> Vec<String> {
         if !self.is_known() {
             return Vec::new();
         }
-        self.keys.difference(&self.renewed).cloned().collect()
+        self.keys.difference(&self.mark_recommitted).cloned().collect()
     }
 
-    pub fn renewed(&mut self, key: &str) {
-        self.renewed.insert(key.into());
+    pub fn mark_recommitted(&mut self, key: &str) {
+        self.mark_recommitted.insert(key.into());
     }
 
     pub fn is_done(&self) -> bool {
-        self.is_known() && self.left().is_empty()
+        self.is_known() && self.remaining_keys().is_empty()
     }
 }
 
 /// The core as it is committed once a settlement is done.
-pub fn settled(core: &CoreMembership) -> CoreMembership {
+pub fn stabilized(core: &CoreMembership) -> CoreMembership {
     CoreMembership { stable: true, previous_members: Vec::new(), ..core.clone() }
 }
 
 #[cfg(test)]
-#[path = "membership_tests.rs"]
+#[path = "reconfiguration_tests.rs"]
 mod tests;
--- a/consensus/src/membership_tests.rs
+++ b/consensus/src/reconfiguration_tests.rs
@@ -1,10 +1,10 @@
 //! Which members a core gets next, and when a change of it is settled.
-use super::{next, Health, Settlement, View, GONE_MS};
+use super::{next_membership, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
 use protocol::message::{ConsensusResponse, CoreMembership, Member, ProposalNumber};
 
-const LIVE: Health = Health { silent_ms: 100, live: true, leaving: false };
-const SILENT: Health = Health { silent_ms: GONE_MS + 1, live: false, leaving: false };
-const LEAVING: Health = Health { silent_ms: 100, live: true, leaving: true };
+const LIVE: Health = Health { silent_ms: 100, live: true, shutting_down: false };
+const SILENT: Health = Health { silent_ms: MEMBER_TIMEOUT_MS + 1, live: false, shutting_down: false };
+const LEAVING: Health = Health { silent_ms: 100, live: true, shutting_down: true };
 
 fn member(name: &str, zone: &str) -> Member {
     Member { ip: name.into(), zone: zone.into() }
@@ -25,7 +25,7 @@
     candidates: &[Member],
     joint: bool,
 ) -> Option<CoreMembership> {
-    next(core, &View { health: &health, candidates: candidates.to_vec(), joint })
+    next_membership(core, &ClusterView { health: &health, candidates: candidates.to_vec(), joint })
 }
 
 fn all_live_but(name: &'static str, health: Health) -> impl Fn(&str) -> Health {
@@ -91,19 +91,19 @@
     let prev = core(&["a", "b", "c"]).members;
     let changing =
         CoreMembership { members: core(&["a", "b", "d"]).members, previous_members: prev, stable: false, version: 5 };
-    let mut settlement = Settlement::new(&changing);
+    let mut settlement = MembershipTransition::new(&changing);
     settlement.hear("a", ["config".to_string()]);
     settlement.hear("d", []);
     assert!(!settlement.is_known(), "a majority of the new ones only");
-    assert!(settlement.left().is_empty());
+    assert!(settlement.remaining_keys().is_empty());
     settlement.hear("b", ["evacuation/z".to_string()]);
     assert!(settlement.is_known());
-    assert_eq!(settlement.left(), ["config", "core", "evacuation/z"]);
+    assert_eq!(settlement.remaining_keys(), ["config", "core", "evacuation/z"]);
     for key in ["config", "core"] {
-        settlement.renewed(key);
+        settlement.mark_recommitted(key);
         assert!(!settlement.is_done());
     }
-    settlement.renewed("evacuation/z");
+    settlement.mark_recommitted("evacuation/z");
     assert!(settlement.is_done());
 }
 
@@ -126,11 +126,11 @@
 
 #[test]
 fn a_voter_that_does_not_say_what_it_holds_does_not_count_for_a_settlement() {
-    let mut settlement = Settlement::new(&exchange());
+    let mut settlement = MembershipTransition::new(&exchange());
     for (from, vote) in [("a", places(&[])), ("d", places(&[])), ("c", ConsensusResponse::NonVoting)] {
-        settlement.hear_vote(from, &vote);
+        settlement.record_response(from, &vote);
     }
     assert!(!settlement.is_known(), "what b and c hold would not be committed again");
-    settlement.hear_vote("c", &places(&["config"]));
-    assert_eq!(settlement.left(), ["config", "core"]);
+    settlement.record_response("c", &places(&["config"]));
+    assert_eq!(settlement.remaining_keys(), ["config", "core"]);
 }
--- a/consensus/src/record.rs
+++ b/consensus/src/record.rs
@@ -7,7 +7,7 @@
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
-pub use crate::voter::LogRecord;
+pub use crate::acceptor::LogRecord;
 
 pub const MAGIC: [u8; 4] = *b"tdp1";
 pub const HEADER_BYTES: usize = 24;
--- a/consensus/src/recovery.rs
+++ b/consensus/src/recovery.rs
@@ -9,7 +9,7 @@
 /// How the records of one file ended.
 pub struct FileEnd {
     /// The length that holds whole records.
-    pub whole: u64,
+    pub valid_bytes: u64,
     /// Up to here a record tells that the file was synced.
     pub synced: u64,
 }
@@ -28,11 +28,11 @@
         synced = stored.synced_before;
         apply(stored.record);
     }
-    let end = FileEnd { whole: reader.offset(), synced };
+    let end = FileEnd { valid_bytes: reader.offset(), synced };
     if reader.at_end() {
         return Ok(end);
     }
-    let damaged = |what| Err(StoreError::Damaged { file: folder.path(name), offset: end.whole, what });
+    let damaged = |what| Err(StoreError::Damaged { file: folder.path(name), offset: end.valid_bytes, what });
     if !may_be_torn {
         return damaged("not a whole record, in a file that was synced whole");
     }
@@ -61,9 +61,9 @@
 /// Cuts off a torn end, and writes again what may stand in memory only: after a sync that failed in an
 /// earlier life of the process, the kernel gives pages back as if they were on disk.
 pub fn settle_tail(segment: &dyn DataFile, end: &FileEnd) -> std::io::Result<()> {
-    segment.truncate(end.whole)?;
-    let from = end.synced.min(end.whole);
-    let mut tail = vec![0; (end.whole - from) as usize];
+    segment.truncate(end.valid_bytes)?;
+    let from = end.synced.min(end.valid_bytes);
+    let mut tail = vec![0; (end.valid_bytes - from) as usize];
     segment.read_at(from, &mut tail)?;
     segment.write_at(from, &tail)?;
     segment.sync()
--- a/consensus/src/round_tests.rs
+++ b/consensus/src/round_tests.rs
@@ -1,5 +1,5 @@
 //! The turns of ballots.
-use super::{next_turn, TURNS_OF_A_CORE};
+use super::{next_term, TERMS_PER_MEMBERSHIP};
 use protocol::message::CoreMembership;
 
 fn core(version: u64) -> CoreMembership {
@@ -8,19 +8,19 @@
 
 #[test]
 fn a_turn_is_above_the_last_one_of_its_owner() {
-    let first = next_turn(0, &core(1));
-    assert!(next_turn(first, &core(1)) == first + 1);
+    let first = next_term(0, &core(1));
+    assert!(next_term(first, &core(1)) == first + 1);
 }
 
 #[test]
 fn a_turn_is_above_every_one_under_an_earlier_core() {
-    let last = next_turn(0, &core(1)) + TURNS_OF_A_CORE - 1;
-    assert!(next_turn(0, &core(2)) > last - 1);
-    assert!(next_turn(7, &core(2)) == next_turn(0, &core(2)), "whatever its owner did before");
+    let last = next_term(0, &core(1)) + TERMS_PER_MEMBERSHIP - 1;
+    assert!(next_term(0, &core(2)) > last - 1);
+    assert!(next_term(7, &core(2)) == next_term(0, &core(2)), "whatever its owner did before");
 }
 
 #[test]
 fn a_turn_above_the_own_core_is_kept() {
-    let newer = next_turn(0, &core(3));
-    assert!(next_turn(newer, &core(2)) > newer);
+    let newer = next_term(0, &core(3));
+    assert!(next_term(newer, &core(2)) > newer);
 }
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -10,9 +10,9 @@
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Member, ProposalNumber, RegisterState,
 };
 
-use crate::round::{self, Ownership, Round, Step};
-use crate::voter::{LogRecord, Voter};
-use crate::{quorum, RECALL_DELAY_MS};
+use crate::acceptor::{Acceptor, LogRecord};
+use crate::round::{self, Ownership, Round, RoundProgress};
+use crate::{quorum, RECOVERY_DELAY_MS};
 
 const KEY: &str = "k";
 
@@ -38,8 +38,8 @@
 
 /// Invariant: `disk` is what was synced; `voter` may be ahead of it by what waits in `wet`.
 struct Seat {
-    voter: Voter,
-    disk: Voter,
+    voter: Acceptor,
+    disk: Acceptor,
     wet: Vec<(u64, Vec<LogRecord>, Option<Letter>)>,
     ownership: Option<Ownership>,
     work: Option<Work>,
@@ -74,8 +74,8 @@
 impl Seat {
     /// An empty machine that may vote where the core names it.
     fn fresh(at: usize, core: CoreMembership, born: u64) -> Seat {
-        let mut voter = Voter::new(&ip(at));
-        (voter.core, voter.may_vote) = (core, true);
+        let mut voter = Acceptor::new(&ip(at));
+        (voter.membership, voter.may_vote) = (core, true);
         Seat {
             disk: voter.clone(),
             voter,
@@ -131,10 +131,10 @@
     /// A controller begins what its state calls for: a change by a ownership, or a take-over.
     pub fn propose(&mut self, at: usize) {
         let seat = &mut self.seats[at];
-        if !seat.up || seat.work.as_ref().is_some_and(|work| !work.round.over(self.now)) {
+        if !seat.up || seat.work.as_ref().is_some_and(|work| !work.round.is_expired(self.now)) {
             return;
         }
-        let core = seat.voter.core.clone();
+        let core = seat.voter.membership.clone();
         let (id, now) = (self.next, self.now);
         self.next += 1;
         let (round, ask, body) = match &seat.ownership {
@@ -144,9 +144,9 @@
                 (round, ask, Some(body))
             }
             None => {
-                seat.turn = round::next_turn(seat.turn, &core);
-                let ballot = ProposalNumber { term: seat.turn, replica_id: crate::seat(&ip(at), seat.life) };
-                let (round, ask) = Round::take(KEY, core.clone(), ballot, now);
+                seat.turn = round::next_term(seat.turn, &core);
+                let ballot = ProposalNumber { term: seat.turn, replica_id: crate::replica_id(&ip(at), seat.life) };
+                let (round, ask) = Round::claim(KEY, core.clone(), ballot, now);
                 (round, ask, None)
             }
         };
@@ -158,37 +158,37 @@
     fn vote(&mut self, at: usize, from: usize, id: u64, vote: ConsensusResponse) {
         let now = self.now;
         let seat = &mut self.seats[at];
-        if let ConsensusResponse::Snapshot { slots } = &vote {
+        if let ConsensusResponse::Snapshot { registers } = &vote {
             if !seat.voter.may_vote {
-                seat.reads.insert(from, slots.clone());
+                seat.reads.insert(from, registers.clone());
                 let read: Vec<String> = seat.reads.keys().map(|at| ip(*at)).collect();
-                if seat.voter.enough(&read) {
-                    let records = seat.voter.recall(seat.reads.values().cloned().collect());
+                if seat.voter.has_enough_reads(&read) {
+                    let records = seat.voter.recover(seat.reads.values().cloned().collect());
                     seat.wet.push((now + 2, records.unwrap_or_default(), None));
                 }
             }
             return;
         }
         let Some(work) = seat.work.as_mut().filter(|work| work.id == id) else { return };
-        match work.round.hear(&ip(from), vote, now) {
-            Step::Wait => {}
-            Step::Core(core) => {
+        match work.round.handle_response(&ip(from), vote, now) {
+            RoundProgress::Wait => {}
+            RoundProgress::NewerMembership(core) => {
                 seat.work = None;
-                let record = seat.voter.adopt(&core);
+                let record = seat.voter.adopt_membership(&core);
                 seat.wet.push((now + 2, record.into_iter().collect(), None));
             }
-            Step::Send(ask) => {
+            RoundProgress::Send(ask) => {
                 // The second half counts under a new number: votes of the first are not for it.
                 work.id = self.next;
                 self.next += 1;
-                let (id, core) = (work.id, work.round.core().clone());
+                let (id, core) = (work.id, work.round.membership().clone());
                 self.ask(at, id, &core, &ask);
             }
-            Step::Lost(ballot) => {
+            RoundProgress::Superseded(ballot) => {
                 seat.turn = seat.turn.max(ballot.term);
                 seat.work = None;
             }
-            Step::Done(ownership) => {
+            RoundProgress::Chosen(ownership) => {
                 let body = work.body.take();
                 seat.work = None;
                 if let Some(body) = body {
@@ -207,7 +207,7 @@
         match mail {
             Mail::Vote { round, vote } => self.vote(to, from, round, vote),
             Mail::Poll { round, poll } => {
-                let (vote, records) = self.seats[to].voter.poll(poll);
+                let (vote, records) = self.seats[to].voter.handle(poll);
                 let slow = if self.dice.below(30) == 0 { 700 } else { 6 };
                 let late = 1 + self.dice.below(slow);
                 let reply = Letter { at: 0, from: to, to: from, life: 0, mail: Mail::Vote { round, vote } };
@@ -225,14 +225,14 @@
         for at in 0..self.seats.len() {
             while self.seats[at].up && self.seats[at].wet.first().is_some_and(|wet| wet.0 <= now) {
                 let (_, records, reply) = self.seats[at].wet.remove(0);
-                records.into_iter().for_each(|record| self.seats[at].disk.fold(record));
+                records.into_iter().for_each(|record| self.seats[at].disk.replay(record));
                 if let Some(reply) = reply {
                     self.post(reply.from, reply.to, reply.mail);
                 }
             }
             let seat = &self.seats[at];
-            if seat.up && !seat.voter.may_vote && now >= seat.born + RECALL_DELAY_MS && now.is_multiple_of(50) {
-                let (core, others) = (seat.voter.core.clone(), seat.voter.witnesses());
+            if seat.up && !seat.voter.may_vote && now >= seat.born + RECOVERY_DELAY_MS && now.is_multiple_of(50) {
+                let (core, others) = (seat.voter.membership.clone(), seat.voter.witnesses());
                 self.seats[at].reads.clear();
                 for to in 0..self.seats.len() {
                     if others.contains(&ip(to)) {
--- a/consensus/src/sim_tests.rs
+++ b/consensus/src/sim_tests.rs
@@ -5,8 +5,8 @@
 use protocol::message::{CoreMembership, Member};
 
 use super::{count, ip, World};
+use crate::acceptor::Acceptor;
 use crate::quorum;
-use crate::voter::Voter;
 
 /// Ten seconds of trouble, then quiet. Gives the world and what it holds at the end.
 fn run(seed: u64, size: usize, wipes: bool, hasty: bool) -> (World, Vec<u8>) {
@@ -150,13 +150,17 @@
 fn enough_means_that_no_majority_goes_unseen() {
     for size in 2..=9usize {
         let list: Vec<Member> = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let mut voter = Voter::new(&ip(0));
-        voter.core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
+        let mut voter = Acceptor::new(&ip(0));
+        voter.membership = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         for mask in 0..(1u32 << size) {
             let read: Vec<String> = (1..size).filter(|at| mask & (1 << at) != 0).map(ip).collect();
             // The largest set without any that was read: could it have been a majority?
             let unseen = size - read.len();
-            assert_eq!(voter.enough(&read), !read.is_empty() && unseen < quorum::majority(size), "{size} {read:?}");
+            assert_eq!(
+                voter.has_enough_reads(&read),
+                !read.is_empty() && unseen < quorum::majority(size),
+                "{size} {read:?}"
+            );
         }
     }
 }
--- a/consensus/src/sim_trouble.rs
+++ b/consensus/src/sim_trouble.rs
@@ -1,8 +1,8 @@
 //! Trouble in the simulated world: falls, wipes, returns, and the reading at the end.
 
 use super::{ip, ConsensusOperation, ConsensusRequest, CoreMembership, Mail, Member, Seat, World};
+use crate::acceptor::Acceptor;
 use crate::quorum;
-use crate::voter::Voter;
 
 impl World {
     /// Power loss: what is not synced is gone. `wipe`: the disk too.
@@ -14,9 +14,9 @@
         (seat.ownership, seat.work) = (None, None);
         seat.reads.clear();
         if wipe {
-            let core = seat.disk.core.clone();
-            seat.disk = Voter::new(&ip(at));
-            seat.disk.core = core;
+            let core = seat.disk.membership.clone();
+            seat.disk = Acceptor::new(&ip(at));
+            seat.disk.membership = core;
             seat.disk.may_vote = self.hasty;
         }
         seat.born = now;
@@ -61,7 +61,7 @@
     /// An empty machine at a new address: never a voter, so it may be added.
     pub fn join(&mut self) -> usize {
         let at = self.seats.len();
-        let core = self.seats[0].voter.core.clone();
+        let core = self.seats[0].voter.membership.clone();
         self.seats.push(Seat::fresh(at, core, self.now));
         at
     }
@@ -69,11 +69,11 @@
     /// The next core, known at first to one seat only. `joint`: until it is settled, quorums of the members
     /// before it are needed too.
     pub fn change(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
-        let old = self.seats[0].voter.core.clone();
+        let old = self.seats[0].voter.membership.clone();
         let list = list.into_iter().map(|at| Member { ip: ip(at), zone: String::new() }).collect();
         let core =
             CoreMembership { version: old.version + 1, members: list, previous_members: old.members, stable: !joint };
-        let record = self.seats[0].voter.adopt(&core);
+        let record = self.seats[0].voter.adopt_membership(&core);
         (self.seats[0].ownership, self.seats[0].work) = (None, None);
         self.seats[0].wet.push((self.now + 2, record.into_iter().collect(), None));
         core
@@ -87,7 +87,7 @@
             self.post(0, to, Mail::Poll { round: 0, poll });
         }
         let knows = |ip: &str| {
-            self.seats.iter().any(|seat| seat.up && seat.voter.ip == ip && seat.disk.core.version >= core.version)
+            self.seats.iter().any(|seat| seat.up && seat.voter.ip == ip && seat.disk.membership.version >= core.version)
         };
         let most =
             |list: &[Member]| list.iter().filter(|member| knows(&member.ip)).count() >= quorum::majority(list.len());
@@ -96,7 +96,7 @@
 
     /// Commits the key again under the core of now; true once done.
     pub fn renewed(&mut self, version: u64) -> bool {
-        if self.seats[0].ownership.as_ref().is_some_and(|ownership| ownership.core >= version) {
+        if self.seats[0].ownership.as_ref().is_some_and(|ownership| ownership.membership_version >= version) {
             return true;
         }
         self.propose(0);
--- a/consensus/src/store.rs
+++ b/consensus/src/store.rs
@@ -66,10 +66,10 @@
             read_file(&*folder, &snapshot_name(*number), false, apply)?;
         }
         let number = active_segment(&*folder, &live)?;
-        let mut end = FileEnd { whole: 0, synced: 0 };
+        let mut end = FileEnd { valid_bytes: 0, synced: 0 };
         let mut earlier_bytes = 0;
         for segment in live.iter().copied().filter(|segment| *segment <= number) {
-            earlier_bytes += end.whole;
+            earlier_bytes += end.valid_bytes;
             end = read_file(&*folder, &segment_name(segment), segment == number, apply)?;
         }
         let name = segment_name(number);
@@ -81,7 +81,7 @@
             folder,
             segment,
             number,
-            synced: end.whole,
+            synced: end.valid_bytes,
             earlier_bytes,
             snapshot_number: listing.first(),
             tail_unknown: false,
@@ -108,7 +108,7 @@
     }
 
     /// Is a snapshot due?
-    pub fn full(&self) -> bool {
+    pub fn is_snapshot_due(&self) -> bool {
         self.synced > self.snapshot_from || self.overdue()
     }
 
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -5,11 +5,11 @@
 use kernel::clock::{self, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
+use crate::acceptor::Acceptor;
 use crate::record::LogRecord;
 use crate::simulated_disk::{Disk, Faults, SharedDisk};
 use crate::simulated_folder::SimulatedFolder;
 use crate::store::{Store, StoreError};
-use crate::voter::Voter;
 
 const SEGMENT_BYTES: u64 = 2000;
 const KEYS: u64 = 5;
@@ -24,15 +24,15 @@
     pub disk: SharedDisk,
     pub dice: Rng,
     /// All that was reported as synced.
-    acknowledged: Voter,
+    acknowledged: Acceptor,
     /// Batches whose writing failed and that nothing has overwritten for certain.
     under_way: Vec<Vec<LogRecord>>,
     turn: u64,
 }
 
-fn after(voter: &Voter, records: &[LogRecord]) -> Voter {
+fn after(voter: &Acceptor, records: &[LogRecord]) -> Acceptor {
     let mut next = voter.clone();
-    records.iter().for_each(|record| next.fold(record.clone()));
+    records.iter().for_each(|record| next.replay(record.clone()));
     next
 }
 
@@ -40,7 +40,7 @@
     pub fn new(seed: u64, faults: Faults) -> Run {
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
-        let acknowledged = Voter::new("10.0.0.1");
+        let acknowledged = Acceptor::new("10.0.0.1");
         Run { disk, dice: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
     }
 
@@ -55,14 +55,14 @@
     fn record(&mut self) -> LogRecord {
         self.turn += 1;
         match self.dice.below(12) {
-            0 => return LogRecord::Vote,
-            1 => return LogRecord::Core(CoreMembership { version: self.turn, ..Default::default() }),
+            0 => return LogRecord::VotingEnabled,
+            1 => return LogRecord::Membership(CoreMembership { version: self.turn, ..Default::default() }),
             _ => {}
         }
         let ballot = ProposalNumber { term: self.turn, replica_id: 1 };
         let body = vec![self.turn as u8; self.dice.below(MOST_BODY) as usize];
         let entry = Some(Entry { proposal_number: ballot, index: 0, body });
-        LogRecord::Slot(RegisterState { key: format!("k{}", self.dice.below(KEYS)), prepared: ballot, entry })
+        LogRecord::Register(RegisterState { key: format!("k{}", self.dice.below(KEYS)), prepared: ballot, entry })
     }
 
     fn batch(&mut self) -> Vec<LogRecord> {
@@ -84,9 +84,9 @@
             if attempt == 20 {
                 self.faults(|faults| (faults.errors, faults.capacity) = (0, CAPACITY));
             }
-            let mut found = Voter::new("10.0.0.1");
+            let mut found = Acceptor::new("10.0.0.1");
             let folder = Box::new(SimulatedFolder(self.disk.clone()));
-            match Store::open_folder(folder, SEGMENT_BYTES, &mut |record| found.fold(record)) {
+            match Store::open_folder(folder, SEGMENT_BYTES, &mut |record| found.replay(record)) {
                 Ok(store) => {
                     self.check(&found)?;
                     self.acknowledged = found;
@@ -102,13 +102,13 @@
         unreachable!("the loop has no end")
     }
 
-    fn check(&self, found: &Voter) -> Result<(), String> {
-        let may_be = |records: &[LogRecord]| after(&self.acknowledged, records).whole() == found.whole();
+    fn check(&self, found: &Acceptor) -> Result<(), String> {
+        let may_be = |records: &[LogRecord]| after(&self.acknowledged, records).snapshot() == found.snapshot();
         let fits =
             may_be(&[]) || self.under_way.iter().any(|batch| (1..=batch.len()).any(|length| may_be(&batch[..length])));
         match fits {
             true => Ok(()),
-            false => Err(format!("found {:?}\nwanted {:?}", found.whole(), self.acknowledged.whole())),
+            false => Err(format!("found {:?}\nwanted {:?}", found.snapshot(), self.acknowledged.snapshot())),
         }
     }
 
@@ -124,7 +124,7 @@
             if self.crashed() {
                 return;
             }
-            if store.full() {
+            if store.is_snapshot_due() {
                 self.snapshot(store);
             }
             if self.dice.below(2) == 0 {
@@ -134,7 +134,7 @@
     }
 
     pub fn snapshot(&mut self, store: &mut Store) {
-        if store.snapshot(&self.acknowledged.whole()).is_ok() {
+        if store.snapshot(&self.acknowledged.snapshot()).is_ok() {
             self.under_way.clear();
         }
     }
@@ -163,7 +163,7 @@
                 2 => self.snapshot(&mut store),
                 _ => self.append(&mut store),
             }
-            if store.full() {
+            if store.is_snapshot_due() {
                 self.snapshot(&mut store);
             }
             if self.crashed() {
@@ -180,13 +180,13 @@
     /// Once the disk is well again, everything works and what is not needed is gone.
     pub fn finish(&mut self) -> Result<(), String> {
         let mut store = self.open()?;
-        if store.full() {
-            store.snapshot(&self.acknowledged.whole()).map_err(|error| format!("no snapshot: {error}"))?;
+        if store.is_snapshot_due() {
+            store.snapshot(&self.acknowledged.snapshot()).map_err(|error| format!("no snapshot: {error}"))?;
         }
         let batch = self.batch();
         store.append(&batch).map_err(|error| format!("stays full: {error}"))?;
         self.acknowledged = after(&self.acknowledged, &batch);
-        store.snapshot(&self.acknowledged.whole()).map_err(|error| format!("no snapshot: {error}"))?;
+        store.snapshot(&self.acknowledged.snapshot()).map_err(|error| format!("no snapshot: {error}"))?;
         let used = self.disk.lock().expect("disk").used();
         if used > SETTLED_BYTES {
             return Err(format!("{used} bytes stay on the disk"));
--- a/consensus/src/store_tests.rs
+++ b/consensus/src/store_tests.rs
@@ -15,7 +15,7 @@
 fn record(turn: u64, body: &[u8]) -> LogRecord {
     let ballot = ProposalNumber { term: turn, replica_id: 1 };
     let entry = Some(Entry { proposal_number: ballot, index: 0, body: body.to_vec() });
-    LogRecord::Slot(RegisterState { key: "k".into(), prepared: ballot, entry })
+    LogRecord::Register(RegisterState { key: "k".into(), prepared: ballot, entry })
 }
 
 fn open(dir: &Path) -> Result<(Store, Vec<LogRecord>), StoreError> {
@@ -98,7 +98,7 @@
     let body = vec![7; 300_000];
     for turn in 1..60 {
         store.append(&[record(turn, &body)]).expect("written");
-        if store.full() {
+        if store.is_snapshot_due() {
             store.snapshot(&[record(turn, &body)]).expect("written");
         }
     }
@@ -121,7 +121,7 @@
     let _ = fs::remove_dir_all(&dir);
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
-    store.snapshot(&[record(1, b"a"), LogRecord::Vote]).expect("written");
+    store.snapshot(&[record(1, b"a"), LogRecord::VotingEnabled]).expect("written");
     store.append(&[record(2, b"b")]).expect("written");
 }
 
@@ -133,7 +133,7 @@
         let item = item.expect("an item");
         fs::copy(item.path(), dir.join(item.file_name())).expect("copied");
     }
-    assert_eq!(reopen(&dir), [record(1, b"a"), LogRecord::Vote, record(2, b"b")]);
+    assert_eq!(reopen(&dir), [record(1, b"a"), LogRecord::VotingEnabled, record(2, b"b")]);
     let _ = fs::remove_dir_all(dir);
 }
 
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -13,7 +13,7 @@
 use crate::control::{self, Receipt};
 use crate::controller::{CommittedState, Controller};
 use crate::event::BATCH;
-use crate::register::Verdict;
+use crate::register::Decision;
 
 pub const KEY: &str = "batch/";
 
@@ -91,14 +91,14 @@
         let judge = |held: &[u8]| match Batch::read_bytes(held) {
             Some(held) if held.expired => {
                 let words = "Idempotency-Key: its batch has expired; use another";
-                Verdict::Answer(Receipt::Bad(409, words.into()))
+                Decision::Answer(Receipt::Bad(409, words.into()))
             }
-            Some(held) if held.digest == batch.digest => Verdict::Answer(Receipt::Good),
+            Some(held) if held.digest == batch.digest => Decision::Answer(Receipt::Good),
             Some(_) => {
                 let words = "Idempotency-Key: used for a batch with other content";
-                Verdict::Answer(Receipt::Bad(409, words.into()))
+                Decision::Answer(Receipt::Bad(409, words.into()))
             }
-            None => Verdict::Write(body.clone(), Receipt::Good),
+            None => Decision::Write(body.clone(), Receipt::Good),
         };
         match controller.change(&batch_key(&id), control::wait_ms(controller), judge).await {
             Some(Receipt::Good) => {
@@ -144,11 +144,11 @@
 
     async fn cancel(&self, id: &str) -> Receipt {
         let judge = |body: &[u8]| match Batch::read_bytes(body) {
-            None => Verdict::Answer(Receipt::Bad(404, format!("batch `{id}`: not known"))),
-            Some(held) if held.cancelled || held.expired => Verdict::Answer(Receipt::Good),
+            None => Decision::Answer(Receipt::Bad(404, format!("batch `{id}`: not known"))),
+            Some(held) if held.cancelled || held.expired => Decision::Answer(Receipt::Good),
             Some(held) => {
                 let next = Batch { cancelled: true, ..held };
-                Verdict::Write(next.write_bytes(), Receipt::Good)
+                Decision::Write(next.write_bytes(), Receipt::Good)
             }
         };
         let done = self.0.change(&batch_key(id), control::wait_ms(&self.0), judge).await;
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use catalog::prefix_index::PrefixIndex;
-use consensus::voter::Voter;
+use consensus::acceptor::Acceptor;
 use kernel::clock;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
@@ -79,7 +79,7 @@
 /// Runs a controller until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
     let life = clock::incarnation();
-    let mut voter = Voter::new(&settings.ip);
+    let mut voter = Acceptor::new(&settings.ip);
     let mut store = None;
     let mut empty = true;
     if let Some(dir) = &settings.data_dir {
@@ -94,12 +94,12 @@
     }
     let mut first = Vec::new();
     if empty && settings.bootstrap {
-        voter.core = found(&settings);
+        voter.membership = found(&settings);
         voter.may_vote = true;
-        first = voter.whole();
+        first = voter.snapshot();
     }
     kernel::log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone(), "empty" => empty,
-        "bootstrap" => settings.bootstrap, "may_vote" => voter.may_vote, "core" => voter.core.version);
+        "bootstrap" => settings.bootstrap, "may_vote" => voter.may_vote, "core" => voter.membership.version);
     let mirror = voter.clone();
     let metrics = Metrics::default();
     let disk = Disk::start(store, mirror, metrics.disk_write.clone());
@@ -107,7 +107,7 @@
     let prefix_index = PrefixIndex::new(200_000, 30_000);
     let controller = Arc::new(Controller {
         life,
-        seat: consensus::seat(&settings.ip, life),
+        seat: consensus::replica_id(&settings.ip, life),
         voter: Mutex::new(voter),
         disk,
         committed_state: Default::default(),
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use consensus::proposal::Verdict;
+use consensus::proposal::Decision;
 use protocol::config::Checked;
 use protocol::message::{Entry, Message, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
@@ -61,24 +61,24 @@
     kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
-fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Verdict<Judgement> {
+fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Decision<Judgement> {
     let Some(held) = Held::open(body) else {
-        return Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
+        return Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
     };
     let form_before = BodyForm::of(body);
     // Never an older form than before: a member that is away since this controller started is unknown here, and long bodies
     // without need fill the links until it is never heard again.
     let form = read_by_all.max(form_before);
     match proposed.on(&held, known, form) {
-        Ok(Outcome::TakenBefore) => Verdict::Answer(Judgement::Answer(OperatorResponse::Done)),
-        Ok(Outcome::Unknown) => Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown)),
+        Ok(Outcome::TakenBefore) => Decision::Answer(Judgement::Answer(OperatorResponse::Done)),
+        Ok(Outcome::Unknown) => Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown)),
         Ok(Outcome::Next(next)) => {
             let step = Step { before: body_digest(body), form_before, form, checked: next.checked };
-            Verdict::Write(next.held.seal(form), Judgement::Step(step))
+            Decision::Write(next.held.seal(form), Judgement::Step(step))
         }
         Err(refusal) => {
             let (status, reason) = (refusal.status(), refusal.to_string());
-            Verdict::Answer(Judgement::Answer(OperatorResponse::Rejected { status, reason }))
+            Decision::Answer(Judgement::Answer(OperatorResponse::Rejected { status, reason }))
         }
     }
 }
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -1,6 +1,6 @@
 //! A change told to other controllers gives them the very body that was committed, or nothing.
 
-use consensus::proposal::Verdict;
+use consensus::proposal::Decision;
 use protocol::config::{self, Checked};
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
@@ -89,7 +89,7 @@
 /// Judges a change on a body, as the controller does that is home to the configuration.
 fn step_on(body: &[u8], change: &ConfigChange, form: BodyForm) -> (Vec<u8>, Step) {
     match judge(&Proposed::read(change), body, None, form) {
-        Verdict::Write(next, Judgement::Step(step)) => (next, step),
+        Decision::Write(next, Judgement::Step(step)) => (next, step),
         _ => panic!("a change to be written"),
     }
 }
@@ -151,7 +151,7 @@
     let change = ConfigChange { base: 0, text: text(6, 2), partial: false };
     for body in [&b"of another form"[..], b"\0tdcfg2\0torn", b"\0tdplz4\0torn"] {
         let verdict = judge(&Proposed::read(&change), body, None, BodyForm::Digested);
-        assert!(matches!(verdict, Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
+        assert!(matches!(verdict, Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
     }
 }
 
@@ -169,6 +169,6 @@
     // One that reads as nothing is left alone by changes of items, and can be replaced.
     let torn = Held { text: "{\"revision\":5".into(), ..held };
     let judged = |change| judge(&Proposed::read(change), &torn.seal(BodyForm::Plain), None, BodyForm::Digested);
-    assert!(matches!(judged(&items), Verdict::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
-    assert!(matches!(judged(&whole), Verdict::Write(..)));
+    assert!(matches!(judged(&items), Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
+    assert!(matches!(judged(&whole), Decision::Write(..)));
 }
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use consensus::proposal::Verdict;
+use consensus::proposal::Decision;
 use protocol::change::Change;
 use protocol::config;
 use protocol::message::{Entry, ProposalNumber};
@@ -74,7 +74,7 @@
         let part = ConfigChange { base: 5, text: items, partial: true };
         for (label, change) in [("PUT", &whole), ("PATCH", &part)] {
             let judged = || match judge(&Proposed::read(change), &body, known.as_deref(), BodyForm::Digested) {
-                Verdict::Write(next, Judgement::Step(step)) => (next, step),
+                Decision::Write(next, Judgement::Step(step)) => (next, step),
                 _ => panic!("a change"),
             };
             print_median(&format!("{label}, judged and sealed by its committer"), || drop(judged()));
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::confirmation::{self, Behind, Confirmation, Place};
+use consensus::confirmation::{self, Confirmation, Position, StaleKey};
 use consensus::quorum;
 use kernel::clock;
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry};
@@ -31,7 +31,7 @@
     }
     let Some(confirmation) = read(controller, &core).await else { return };
     let mut complete = true;
-    for behind in confirmation.behind(|key| known(controller, key)) {
+    for behind in confirmation.stale_keys(|key| known(controller, key)) {
         // What was fetched and could not be read is not known.
         complete &= catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.place);
     }
@@ -40,7 +40,7 @@
     }
 }
 
-fn known(controller: &Controller, key: &str) -> Option<Place> {
+fn known(controller: &Controller, key: &str) -> Option<Position> {
     controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::position)
 }
 
@@ -50,8 +50,8 @@
     let end = Instant::now() + Duration::from_millis(READ_MS);
     while !confirmation.is_quorum() {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
-            (from, ConsensusResponse::Positions { list }) => confirmation.hear(&from, list),
-            (_, ConsensusResponse::NewerMembership { core }) => {
+            (from, ConsensusResponse::Positions { list }) => confirmation.record(&from, list),
+            (_, ConsensusResponse::NewerMembership { membership: core }) => {
                 controller.adopt(&core);
                 return None;
             }
@@ -65,9 +65,9 @@
 ///
 /// A place that is on no quorum may be on its way, overtaken, or left half done by its owner. Whatever became
 /// of it, everything that was committed before it is known once it or a newer committed entry is.
-async fn catch_up(controller: &Arc<Controller>, core: &CoreMembership, behind: &Behind) -> bool {
+async fn catch_up(controller: &Arc<Controller>, core: &CoreMembership, behind: &StaleKey) -> bool {
     let begun = clock::now();
-    if behind.committed && fetch(controller, core, behind).await {
+    if behind.is_committed && fetch(controller, core, behind).await {
         return true;
     }
     while clock::now() < begun + CATCH_UP_MS {
@@ -85,19 +85,19 @@
 }
 
 /// Takes the entry from the members: the one looked for, or a newer one that a quorum holds by now.
-async fn fetch(controller: &Arc<Controller>, core: &CoreMembership, behind: &Behind) -> bool {
+async fn fetch(controller: &Arc<Controller>, core: &CoreMembership, behind: &StaleKey) -> bool {
     let mut votes =
         controller.ask(core, ConsensusOperation::Fetch { key: behind.key.clone() }, &quorum::addresses(core));
     let end = Instant::now() + Duration::from_millis(FETCH_MS);
     let mut fetched = Vec::new();
     while let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await {
         let ConsensusResponse::Fetched { entry: Some(entry) } = vote else { continue };
-        if behind.committed && entry.position() == behind.place {
+        if behind.is_committed && entry.position() == behind.place {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
         fetched.push((from, entry));
-        let newer = confirmation::committed(core, &fetched);
+        let newer = confirmation::newest_committed(core, &fetched);
         if let Some(entry) = newer.filter(|entry| entry.position() >= behind.place) {
             controller.learn(&behind.key, &entry, false);
             return true;
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -9,7 +9,7 @@
 
 use catalog::gauge::Gauge;
 use catalog::prefix_index::PrefixIndex;
-use consensus::voter::Voter;
+use consensus::acceptor::Acceptor;
 use kernel::clock;
 use kernel::settings::Settings;
 use load_balancing::sheet::Sheets;
@@ -38,7 +38,7 @@
     pub settings: Settings,
     pub life: u64,
     pub seat: u64,
-    pub voter: Mutex<Voter>,
+    pub voter: Mutex<Acceptor>,
     pub disk: Disk,
     pub committed_state: Mutex<CommittedState>,
     pub roster: Mutex<Roster>,
@@ -119,7 +119,7 @@
     }
 
     pub fn core(&self) -> CoreMembership {
-        self.voter.lock().expect("voter").core.clone()
+        self.voter.lock().expect("voter").membership.clone()
     }
 
     /// Controllers that are known: the core, the seeds, whoever was heard.
@@ -165,7 +165,7 @@
 
     /// Takes over a committed core.
     pub fn adopt(&self, core: &CoreMembership) {
-        let record = self.voter.lock().expect("voter").adopt(core);
+        let record = self.voter.lock().expect("voter").adopt_membership(core);
         let Some(record) = record else { return };
         kernel::log_event!(CORE, "version" => core.version, "settled" => core.stable,
             "members" => core.members.iter().map(|member| member.ip.as_str()).collect::<Vec<_>>().join(","));
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 use std::{iter, mem, thread};
 
+use consensus::acceptor::Acceptor;
 use consensus::record::LogRecord;
 use consensus::store::{Store, StoreError};
-use consensus::voter::Voter;
 use prometheus_client::metrics::histogram::Histogram;
 
 use crate::event::DISK_WAIT;
@@ -33,7 +33,7 @@
 impl Disk {
     /// Without a store everything is kept in memory only. `voter` is what the store holds. The time of each write is
     /// noted in `write_seconds`.
-    pub fn start(store: Option<Store>, voter: Voter, write_seconds: Histogram) -> Disk {
+    pub fn start(store: Option<Store>, voter: Acceptor, write_seconds: Histogram) -> Disk {
         let (queue, requests) = mpsc::channel();
         thread::spawn(move || run(store, voter, &requests, &write_seconds));
         Disk { queue }
@@ -51,15 +51,15 @@
 
 /// Opens the store of a voter. A disk that refuses is tried again for a while: one in trouble is no
 /// reason to end, a damaged one is. The second value tells whether the disk was empty.
-pub fn open(path: &Path, voter: &mut Voter) -> Result<(Store, bool), StoreError> {
+pub fn open(path: &Path, voter: &mut Acceptor) -> Result<(Store, bool), StoreError> {
     let ip = voter.ip.clone();
     let mut tries = 0;
     loop {
-        *voter = Voter::new(&ip);
+        *voter = Acceptor::new(&ip);
         let mut empty = true;
         let opened = Store::open(path, &mut |record| {
             empty = false;
-            voter.fold(record);
+            voter.replay(record);
         });
         tries += 1;
         match opened {
@@ -73,7 +73,7 @@
 /// `synced_voter` follows what is on disk, for snapshots.
 fn run(
     mut store: Option<Store>,
-    mut synced_voter: Voter,
+    mut synced_voter: Acceptor,
     requests: &Receiver<WriteRequest>,
     write_seconds: &Histogram,
 ) {
@@ -103,9 +103,9 @@
     let mut kept = Vec::with_capacity(records.len());
     for record in records.into_iter().rev() {
         let first = match &record {
-            LogRecord::Slot(slot) => keys.insert(slot.key.clone()),
-            LogRecord::Core(_) => !mem::replace(&mut core, true),
-            LogRecord::Vote => {
+            LogRecord::Register(slot) => keys.insert(slot.key.clone()),
+            LogRecord::Membership(_) => !mem::replace(&mut core, true),
+            LogRecord::VotingEnabled => {
                 vote = true;
                 false
             }
@@ -115,31 +115,31 @@
         }
     }
     kept.reverse();
-    kept.extend(vote.then_some(LogRecord::Vote));
+    kept.extend(vote.then_some(LogRecord::VotingEnabled));
     kept
 }
 
 /// A failed write is tried again for as long as it fails: nothing behind it is answered before.
-fn persist(store: &mut Store, records: Vec<LogRecord>, synced_voter: &mut Voter) {
+fn persist(store: &mut Store, records: Vec<LogRecord>, synced_voter: &mut Acceptor) {
     let mut first = true;
     while let Err(error) = store.append(&records) {
         report(&error, first);
         first = false;
-        if store.full() {
+        if store.is_snapshot_due() {
             snapshot(store, synced_voter);
         }
         thread::sleep(RETRY);
     }
     for record in records {
-        synced_voter.fold(record);
+        synced_voter.replay(record);
     }
-    if store.full() {
+    if store.is_snapshot_due() {
         snapshot(store, synced_voter);
     }
 }
 
-fn snapshot(store: &mut Store, synced_voter: &Voter) {
-    if let Err(error) = store.snapshot(&synced_voter.whole()) {
+fn snapshot(store: &mut Store, synced_voter: &Acceptor) {
+    if let Err(error) = store.snapshot(&synced_voter.snapshot()) {
         report(&error, true);
     }
 }
--- a/controller/src/disk_tests.rs
+++ b/controller/src/disk_tests.rs
@@ -1,32 +1,32 @@
 use std::sync::mpsc;
 use std::{env, fs, process};
 
+use consensus::acceptor::Acceptor;
 use consensus::record::LogRecord;
-use consensus::voter::Voter;
 use protocol::message::{CoreMembership, ProposalNumber, RegisterState};
 
 use super::{newest, open, Disk};
 
 fn slot(key: &str, turn: u64) -> LogRecord {
     let ballot = ProposalNumber { term: turn, replica_id: 1 };
-    LogRecord::Slot(RegisterState { key: key.into(), prepared: ballot, entry: None })
+    LogRecord::Register(RegisterState { key: key.into(), prepared: ballot, entry: None })
 }
 
 fn core(version: u64) -> LogRecord {
-    LogRecord::Core(CoreMembership { version, ..Default::default() })
+    LogRecord::Membership(CoreMembership { version, ..Default::default() })
 }
 
 fn folded(records: &[LogRecord]) -> Vec<LogRecord> {
-    let mut voter = Voter::new("10.0.0.1");
-    records.iter().for_each(|record| voter.fold(record.clone()));
-    voter.whole()
+    let mut voter = Acceptor::new("10.0.0.1");
+    records.iter().for_each(|record| voter.replay(record.clone()));
+    voter.snapshot()
 }
 
 #[test]
 fn of_one_write_the_last_of_each_key_counts_and_the_leave_to_vote_goes_last() {
-    let records = vec![slot("a", 1), core(1), LogRecord::Vote, slot("b", 2), slot("a", 3), core(2)];
+    let records = vec![slot("a", 1), core(1), LogRecord::VotingEnabled, slot("b", 2), slot("a", 3), core(2)];
     let kept = newest(records.clone());
-    assert_eq!(kept, [slot("b", 2), slot("a", 3), core(2), LogRecord::Vote]);
+    assert_eq!(kept, [slot("b", 2), slot("a", 3), core(2), LogRecord::VotingEnabled]);
     assert_eq!(folded(&kept), folded(&records));
 }
 
@@ -40,21 +40,21 @@
 fn what_was_completed_is_found_when_the_store_is_opened_again() {
     let path = env::temp_dir().join(format!("tidepoint-disk-{}", process::id()));
     let _ = fs::remove_dir_all(&path);
-    let mut voter = Voter::new("10.0.0.1");
+    let mut voter = Acceptor::new("10.0.0.1");
     let (store, empty) = open(&path, &mut voter).expect("opens");
-    assert!(empty && voter.whole().len() == 1);
+    assert!(empty && voter.snapshot().len() == 1);
     let disk = Disk::start(Some(store), voter, telemetry::latency_histogram());
     let (done, wait) = mpsc::channel();
-    disk.write(vec![core(1), LogRecord::Vote]);
+    disk.write(vec![core(1), LogRecord::VotingEnabled]);
     for turn in 1..=300 {
         let done = done.clone();
         disk.then(vec![slot("config", turn)], move || done.send(turn).expect("awaited"));
     }
     let order: Vec<u64> = wait.iter().take(300).collect();
     assert_eq!(order, (1..=300).collect::<Vec<u64>>(), "in the order in which they were handed over");
-    let mut found = Voter::new("10.0.0.1");
+    let mut found = Acceptor::new("10.0.0.1");
     let (_, empty) = open(&path, &mut found).expect("opens");
     assert!(!empty);
-    assert_eq!(found.whole(), folded(&[core(1), LogRecord::Vote, slot("config", 300)]));
+    assert_eq!(found.snapshot(), folded(&[core(1), LogRecord::VotingEnabled, slot("config", 300)]));
     let _ = fs::remove_dir_all(path);
 }
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -13,7 +13,7 @@
 use crate::batches;
 use crate::controller::{Controller, SURE_MS};
 use crate::event::DUTY;
-use crate::register::Verdict;
+use crate::register::Decision;
 use crate::state::Duty;
 
 pub const CATALOG: &str = "duty/catalog";
@@ -98,10 +98,10 @@
     let judge = |body: &[u8]| {
         let held = Duty::read_bytes(body).unwrap_or_default();
         if held.epoch != epoch || held.holder != controller.me() {
-            return Verdict::Answer(false);
+            return Decision::Answer(false);
         }
         let next = Duty { clear: true, ..held };
-        Verdict::Write(next.write_bytes(), true)
+        Decision::Write(next.write_bytes(), true)
     };
     controller.change(key, CHANGE_MS, judge).await.unwrap_or(false)
 }
@@ -182,10 +182,10 @@
     let judge = |body: &[u8]| {
         let held = Duty::read_bytes(body).unwrap_or_default();
         if held.epoch != epoch {
-            return Verdict::Answer(None);
+            return Decision::Answer(None);
         }
         let next = Duty { epoch: epoch + 1, holder: controller.me().to_string(), clear: own };
-        Verdict::Write(next.write_bytes(), Some(epoch + 1))
+        Decision::Write(next.write_bytes(), Some(epoch + 1))
     };
     controller.change(key, CHANGE_MS, judge).await.flatten()
 }
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use consensus::proposal::Verdict;
+use consensus::proposal::Decision;
 use consensus::quorum;
 use kernel::clock;
 use protocol::message::{Message, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
@@ -118,7 +118,7 @@
             evacuate(controller, zone, *on, Some(*version), EVACUATE_MS).await
         }
         OperatorRequest::ReadConfig => {
-            let judge = |body: &[u8]| Verdict::Answer(OperatorResponse::Found { body: body.to_vec() });
+            let judge = |body: &[u8]| Decision::Answer(OperatorResponse::Found { body: body.to_vec() });
             controller.change(CONFIG, wait_ms(controller), judge).await.unwrap_or(OperatorResponse::OutcomeUnknown)
         }
     }
@@ -126,15 +126,15 @@
 
 /// Begins or withdraws an evacuation on top of what is committed, or only on top of a version of it. Answers with `done` once
 /// it is so, and with `unclear` where another version is in place or what is committed cannot be read.
-pub fn judge_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unclear: T) -> Verdict<T> {
-    let Some(held) = Closed::open(body) else { return Verdict::Answer(unclear) };
+pub fn judge_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unclear: T) -> Decision<T> {
+    let Some(held) = Closed::open(body) else { return Decision::Answer(unclear) };
     if held.on == on {
-        return Verdict::Answer(done);
+        return Decision::Answer(done);
     }
     if from.is_some_and(|version| version != held.version) {
-        return Verdict::Answer(unclear);
+        return Decision::Answer(unclear);
     }
-    Verdict::Write(Closed { version: held.version + 1, on }.write_bytes(), done)
+    Decision::Write(Closed { version: held.version + 1, on }.write_bytes(), done)
 }
 
 async fn evacuate(
--- a/controller/src/orders_tests.rs
+++ b/controller/src/orders_tests.rs
@@ -1,6 +1,6 @@
 //! Where orders are sent, and evacuations on top of what is committed.
 
-use consensus::proposal::Verdict;
+use consensus::proposal::Decision;
 
 use super::{control_address, judge_evacuation};
 use crate::state::Closed;
@@ -15,10 +15,10 @@
 #[test]
 fn an_evacuation_that_cannot_be_read_is_never_taken_for_none() {
     let judge = |on, body: &[u8]| judge_evacuation(on, None, body, "done", "unclear");
-    assert_eq!(judge(true, b"of another form"), Verdict::Answer("unclear"));
-    let Verdict::Write(body, "done") = judge(true, &[]) else { panic!("a change") };
-    assert_eq!(judge(true, &body), Verdict::Answer("done"));
-    let Verdict::Write(body, "done") = judge(false, &body) else { panic!("a change") };
+    assert_eq!(judge(true, b"of another form"), Decision::Answer("unclear"));
+    let Decision::Write(body, "done") = judge(true, &[]) else { panic!("a change") };
+    assert_eq!(judge(true, &body), Decision::Answer("done"));
+    let Decision::Write(body, "done") = judge(false, &body) else { panic!("a change") };
     let closed = Closed::open(&body).expect("read");
     assert_eq!((closed.version, closed.on), (2, false));
 }
@@ -28,9 +28,9 @@
 #[test]
 fn a_relayed_evacuation_that_comes_late_undoes_nothing() {
     let judge = |on, from, body: &[u8]| judge_evacuation(on, from, body, "done", "unclear");
-    let Verdict::Write(begun, _) = judge(true, None, &[]) else { panic!("a change") };
-    assert_eq!(judge(true, Some(0), &begun), Verdict::Answer("done"), "the same came to pass already");
-    let Verdict::Write(withdrawn, _) = judge(false, None, &begun) else { panic!("a change") };
-    assert_eq!(judge(true, Some(0), &withdrawn), Verdict::Answer("unclear"));
-    let Verdict::Write(..) = judge(true, Some(2), &withdrawn) else { panic!("a new one") };
+    let Decision::Write(begun, _) = judge(true, None, &[]) else { panic!("a change") };
+    assert_eq!(judge(true, Some(0), &begun), Decision::Answer("done"), "the same came to pass already");
+    let Decision::Write(withdrawn, _) = judge(false, None, &begun) else { panic!("a change") };
+    assert_eq!(judge(true, Some(0), &withdrawn), Decision::Answer("unclear"));
+    let Decision::Write(..) = judge(true, Some(2), &withdrawn) else { panic!("a new one") };
 }
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -1,13 +1,13 @@
 //! Members of the core added, exchanged and removed, one change at a time, by the controller that is first in
-//! order. What the next core is and when it is settled is decided in `consensus::membership`.
+//! order. What the next core is and when it is settled is decided in `consensus::reconfiguration`.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::membership::{settled, Health, Settlement, View};
-use consensus::proposal::Verdict;
-use consensus::{quorum, CORE};
+use consensus::proposal::Decision;
+use consensus::reconfiguration::{stabilized, ClusterView, Health, MembershipTransition};
+use consensus::{quorum, MEMBERSHIP_KEY};
 use kernel::{clock, startup};
 use membership::{Peer, Roster};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Member, JOINT_QUORUMS};
@@ -62,11 +62,11 @@
 fn coordinates(controller: &Controller, core: &CoreMembership, now: u64) -> bool {
     let leaving = controller.leaving.load(Ordering::Relaxed);
     let roster = controller.roster.lock().expect("roster");
-    first_member(core, &roster, leaving, CORE, now).as_deref() == Some(controller.me())
+    first_member(core, &roster, leaving, MEMBERSHIP_KEY, now).as_deref() == Some(controller.me())
 }
 
 /// Settles a core that is changing, else begins the next change.
-async fn tend(controller: &Arc<Controller>, settlement: &mut Option<Settlement>) {
+async fn tend(controller: &Arc<Controller>, settlement: &mut Option<MembershipTransition>) {
     let now = clock::now();
     let core = controller.core();
     if core.members.is_empty() || !controller.sure(now) || !coordinates(controller, &core, now) {
@@ -78,10 +78,10 @@
     let next = next(&core, &controller.roster.lock().expect("roster"), now);
     let Some(next) = next else { return };
     let judge = |body: &[u8]| match state::read_core(body) {
-        Some(held) if held.version != core.version || !held.stable => Verdict::Answer(()),
-        _ => Verdict::Write(state::write_core(&next), ()),
+        Some(held) if held.version != core.version || !held.stable => Decision::Answer(()),
+        _ => Decision::Write(state::write_core(&next), ()),
     };
-    if controller.change(CORE, COMMIT_MS, judge).await.is_some() {
+    if controller.change(MEMBERSHIP_KEY, COMMIT_MS, judge).await.is_some() {
         settle(controller, &controller.core(), settlement).await;
     }
 }
@@ -98,19 +98,19 @@
     let health = |ip: &str| Health {
         silent_ms: roster.silent(ip, now),
         live: roster.live(ip, now),
-        leaving: roster.controllers.get(ip).is_some_and(|peer| peer.leaving),
+        shutting_down: roster.controllers.get(ip).is_some_and(|peer| peer.leaving),
     };
     let candidates = candidates(core, roster, now);
     let counts_joint = |peer: &Peer| peer.reads >= JOINT_QUORUMS;
     let joint = roster.controllers.iter().all(|(ip, peer)| !roster.live(ip, now) || counts_joint(peer));
-    consensus::membership::next(core, &View { health: &health, candidates, joint })
+    consensus::reconfiguration::next_membership(core, &ClusterView { health: &health, candidates, joint })
 }
 
 /// Goes on with the settlement of a changed core; what was done of it before is not done again.
-async fn settle(controller: &Arc<Controller>, core: &CoreMembership, kept: &mut Option<Settlement>) {
-    let current = |held: &Settlement| held.core() == core;
+async fn settle(controller: &Arc<Controller>, core: &CoreMembership, kept: &mut Option<MembershipTransition>) {
+    let current = |held: &MembershipTransition| held.core() == core;
     if !kept.as_ref().is_some_and(current) {
-        *kept = Some(Settlement::new(core));
+        *kept = Some(MembershipTransition::new(core));
     }
     let Some(settlement) = kept.as_mut() else { return };
     if !settlement.is_known() && !spread(controller, core, settlement).await {
@@ -122,39 +122,39 @@
     }
     let judge = |body: &[u8]| match state::read_core(body) {
         Some(held) if held.version == core.version && !held.stable => {
-            let settled = settled(&held);
-            Verdict::Write(state::write_core(&settled), ())
+            let settled = stabilized(&held);
+            Decision::Write(state::write_core(&settled), ())
         }
-        _ => Verdict::Answer(()),
+        _ => Decision::Answer(()),
     };
-    if controller.change(CORE, COMMIT_MS, judge).await.is_some() {
+    if controller.change(MEMBERSHIP_KEY, COMMIT_MS, judge).await.is_some() {
         *kept = None;
     }
 }
 
 /// Tells old and new members of the core and collects the keys they hold. False: not enough answered.
-async fn spread(controller: &Arc<Controller>, core: &CoreMembership, settlement: &mut Settlement) -> bool {
+async fn spread(controller: &Arc<Controller>, core: &CoreMembership, settlement: &mut MembershipTransition) -> bool {
     let members = quorum::old_and_new_members(core);
     let mut votes = controller.ask(core, ConsensusOperation::Positions, &members);
     let end = Instant::now() + Duration::from_millis(SPREAD_MS);
     while !settlement.is_known() {
         let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await else { return false };
         match vote {
-            ConsensusResponse::NewerMembership { core } => {
+            ConsensusResponse::NewerMembership { membership: core } => {
                 controller.adopt(&core);
                 return false;
             }
-            vote => settlement.hear_vote(&from, &vote),
+            vote => settlement.record_response(&from, &vote),
         }
     }
     true
 }
 
 /// Commits every key again under the new core, several at once.
-async fn renew(controller: &Arc<Controller>, settlement: &mut Settlement) {
+async fn renew(controller: &Arc<Controller>, settlement: &mut MembershipTransition) {
     let slots = Arc::new(Semaphore::new(RENEWALS));
     let mut tasks = JoinSet::new();
-    for key in settlement.left() {
+    for key in settlement.remaining_keys() {
         let (controller, slots) = (controller.clone(), slots.clone());
         tasks.spawn(async move {
             let _slot = slots.acquire().await.ok()?;
@@ -163,7 +163,7 @@
     }
     while let Some(done) = tasks.join_next().await {
         if let Ok(Some(key)) = done {
-            settlement.renewed(&key);
+            settlement.mark_recommitted(&key);
         }
     }
 }
--- a/controller/src/reconfiguration_tests.rs
+++ b/controller/src/reconfiguration_tests.rs
@@ -1,4 +1,4 @@
-//! The next core as a controller sees its peers. The decision itself is tested in `consensus::membership`.
+//! The next core as a controller sees its peers. The decision itself is tested in `consensus::reconfiguration`.
 
 use membership::{Peer, Roster};
 use protocol::message::{CoreMembership, Member, JOINT_QUORUMS, PROTOCOL_VERSION};
--- a/controller/src/recovery.rs
+++ b/controller/src/recovery.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::voter::LogRecord;
-use consensus::{quorum, RECALL_DELAY_MS};
+use consensus::acceptor::LogRecord;
+use consensus::{quorum, RECOVERY_DELAY_MS};
 use kernel::clock;
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership};
 use tokio::time::{self, Instant};
@@ -18,7 +18,7 @@
 /// One attempt. It may be repeated until the voter may vote.
 pub async fn attempt(controller: &Arc<Controller>) {
     let core = controller.core();
-    if clock::now() < RECALL_DELAY_MS || core.members.is_empty() {
+    if clock::now() < RECOVERY_DELAY_MS || core.members.is_empty() {
         return;
     }
     // One that is being removed votes no more, but the change is settled on what it says that it holds.
@@ -32,23 +32,23 @@
 /// Reads what the other voters hold until every quorum of the core has a voter that was read.
 async fn recall(controller: &Arc<Controller>, core: &CoreMembership) {
     let others = controller.voter.lock().expect("voter").witnesses();
-    let enough = |from: &[String]| controller.voter.lock().expect("voter").enough(from);
+    let enough = |from: &[String]| controller.voter.lock().expect("voter").has_enough_reads(from);
     let Some(answers) = gather(controller, core, ConsensusOperation::Snapshot, &others, enough).await else { return };
     let (mut reads, mut from) = (Vec::new(), Vec::new());
     for (address, vote) in answers {
-        if let ConsensusResponse::Snapshot { slots } = vote {
-            reads.push(slots);
+        if let ConsensusResponse::Snapshot { registers } = vote {
+            reads.push(registers);
             from.push(address);
         }
     }
     {
         let mut voter = controller.voter.lock().expect("voter");
-        if voter.core.version != core.version {
+        if voter.membership.version != core.version {
             // What was read answers for the quorums of another core.
             return;
         }
         // Otherwise a newer core is on its way here.
-        let Some(records) = voter.recall(reads) else { return };
+        let Some(records) = voter.recover(reads) else { return };
         controller.disk.write(records);
     }
     kernel::log_event!(RECALLED, "from" => from.join(","));
@@ -63,11 +63,11 @@
         return;
     }
     let mut voter = controller.voter.lock().expect("voter");
-    if voter.core.version != core.version {
+    if voter.membership.version != core.version {
         return;
     }
     voter.may_vote = true;
-    controller.disk.write(vec![LogRecord::Vote]);
+    controller.disk.write(vec![LogRecord::VotingEnabled]);
     kernel::log_event!(FRESH, "core" => core.version);
 }
 
@@ -84,7 +84,7 @@
     let (mut answers, mut from) = (Vec::new(), Vec::new());
     while !enough(&from) {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
-            (_, ConsensusResponse::NewerMembership { core }) => {
+            (_, ConsensusResponse::NewerMembership { membership: core }) => {
                 controller.adopt(&core);
                 return None;
             }
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -4,7 +4,7 @@
 
 use consensus::proposal::{Progress, Proposal};
 use consensus::round::{self, Ownership};
-use consensus::{quorum, ROUND_MS};
+use consensus::{quorum, ROUND_TIMEOUT_MS};
 use kernel::clock::{self, Rng};
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message, ProposalNumber,
@@ -20,7 +20,7 @@
 /// two changes of one owner never share a place.
 pub type OwnershipLock = Mutex<Option<Ownership>>;
 
-pub use consensus::proposal::Verdict;
+pub use consensus::proposal::Decision;
 
 /// None: no clear outcome.
 pub type Outcome<T> = Option<T>;
@@ -37,7 +37,7 @@
     /// The own vote, given once it is on disk.
     pub fn vote(&self, poll: ConsensusRequest, give: impl FnOnce(ConsensusResponse) + Send + 'static) {
         let mut voter = self.voter.lock().expect("voter");
-        let (vote, records) = voter.poll(poll);
+        let (vote, records) = voter.handle(poll);
         // Still under the lock: the order on disk is the order of the votes.
         self.disk.then(records, move || give(vote));
     }
@@ -57,7 +57,7 @@
             let peer = self.peer(ip);
             tokio::spawn(async move {
                 let msg = Message::ConsensusRequest(Box::new(poll));
-                let Some(Message::ConsensusResponse(vote)) = peer.call(msg, ROUND_MS).await else { return };
+                let Some(Message::ConsensusResponse(vote)) = peer.call(msg, ROUND_TIMEOUT_MS).await else { return };
                 let _ = send.try_send((from, *vote));
             });
         }
@@ -72,7 +72,7 @@
     /// A ballot that no one used before.
     fn next_ballot(&self, core: &CoreMembership) -> ProposalNumber {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
-        committed_state.turn = round::next_turn(committed_state.turn, core);
+        committed_state.turn = round::next_term(committed_state.turn, core);
         ProposalNumber { term: committed_state.turn, replica_id: self.seat }
     }
 
@@ -81,7 +81,7 @@
         &self,
         key: &str,
         held: Option<Ownership>,
-        judge: &mut impl FnMut(&[u8]) -> Verdict<T>,
+        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
     ) -> Option<(T, Ownership, bool)> {
         let core = self.core();
         if core.members.is_empty() {
@@ -89,20 +89,20 @@
         }
         let members = quorum::addresses(&core);
         let ballot = self.next_ballot(&core);
-        let (mut proposal, ask) = Proposal::begin(key, &core, held, ballot, judge, clock::now());
+        let (mut proposal, ask) = Proposal::start(key, &core, held, ballot, judge, clock::now());
         let mut votes = self.ask(&core, ask, &members);
         loop {
-            let span = Duration::from_millis(ROUND_MS);
+            let span = Duration::from_millis(ROUND_TIMEOUT_MS);
             let Ok(Some((from, vote))) = time::timeout(span, votes.recv()).await else { return None };
-            match proposal.hear(&from, vote, judge, clock::now()) {
+            match proposal.handle_response(&from, vote, judge, clock::now()) {
                 Progress::Wait => {}
                 Progress::Send(ask) => votes = self.ask(&core, ask, &members),
                 Progress::Finished { answer, owner, wrote } => return Some((answer, owner, wrote)),
-                Progress::Outbid(ballot) => {
+                Progress::Superseded(ballot) => {
                     self.seen(ballot.term);
                     return None;
                 }
-                Progress::NewerCore(core) => {
+                Progress::NewerMembership(core) => {
                     self.adopt(&core);
                     return None;
                 }
@@ -112,7 +112,7 @@
 
     /// Changes a key. `judge` sees what is committed and says what to do; it may be asked again, and
     /// an answer without a write is only given on what a quorum was just seen to hold.
-    pub async fn change<T>(&self, key: &str, wait_ms: u64, judge: impl FnMut(&[u8]) -> Verdict<T>) -> Outcome<T> {
+    pub async fn change<T>(&self, key: &str, wait_ms: u64, judge: impl FnMut(&[u8]) -> Decision<T>) -> Outcome<T> {
         let (answer, owner, wrote) = self.change_untold(key, wait_ms, judge).await?;
         if !wrote && owner.entry.body.len() > LONG_BODY {
             config_orders::tell_again(self, key, &owner.entry);
@@ -128,7 +128,7 @@
         &self,
         key: &str,
         wait_ms: u64,
-        mut judge: impl FnMut(&[u8]) -> Verdict<T>,
+        mut judge: impl FnMut(&[u8]) -> Decision<T>,
     ) -> Outcome<(T, Ownership, bool)> {
         let own = self.ownerships.lock().expect("ownerships").entry(key.into()).or_default().clone();
         let end = Instant::now() + Duration::from_millis(wait_ms);
@@ -151,6 +151,6 @@
     pub async fn renew(&self, key: &str, wait_ms: u64) -> Outcome<()> {
         let own = self.ownerships.lock().expect("ownerships").entry(key.into()).or_default().clone();
         *own.lock().await = None;
-        self.change(key, wait_ms, |_| Verdict::Answer(())).await
+        self.change(key, wait_ms, |_| Decision::Answer(())).await
     }
 }
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -7,7 +7,7 @@
 use crate::control::{self, Receipt};
 use crate::controller::Controller;
 use crate::event::{RULE, UNSETTLED};
-use crate::register::Verdict;
+use crate::register::Decision;
 
 /// What a call asks of a rule.
 pub enum LimitChange {
@@ -137,15 +137,15 @@
     let judge = |body: &[u8]| {
         let held = StalenessLimit::read_bytes(body);
         if held.is_none() && !body.is_empty() {
-            return Verdict::Answer(Err(Receipt::Unclear));
+            return Decision::Answer(Err(Receipt::Unclear));
         }
         match verdict(held.as_ref(), &ask) {
-            Ok(None) => Verdict::Answer(Ok(held.map_or(0, |held| held.version))),
+            Ok(None) => Decision::Answer(Ok(held.map_or(0, |held| held.version))),
             Ok(Some(next)) => {
                 let next = StalenessLimit { service: service.into(), model: model.into(), ..next };
-                Verdict::Write(next.write_bytes(), Ok(next.version))
+                Decision::Write(next.write_bytes(), Ok(next.version))
             }
-            Err((status, words)) => Verdict::Answer(Err(Receipt::Bad(status, words))),
+            Err((status, words)) => Decision::Answer(Err(Receipt::Bad(status, words))),
         }
     };
     let version = match controller.change(key, control::wait_ms(controller), judge).await {
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -17,7 +17,7 @@
 
 use crate::controller::Controller;
 use crate::duty::{self, BATCH};
-use crate::register::Verdict;
+use crate::register::Decision;
 use crate::{batches, job_run, outbound};
 
 pub const LOOK_MS: u64 = 250;
@@ -169,9 +169,9 @@
     let judge = |body: &[u8]| {
         let mut page = Page::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
         match act(&mut page) {
-            Ok(()) if page.write_bytes() == body => Verdict::Answer(true),
-            Ok(()) => Verdict::Write(page.write_bytes(), true),
-            Err(_) => Verdict::Answer(false),
+            Ok(()) if page.write_bytes() == body => Decision::Answer(true),
+            Ok(()) => Decision::Write(page.write_bytes(), true),
+            Err(_) => Decision::Answer(false),
         }
     };
     controller.change(&batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
@@ -222,10 +222,10 @@
     }
     let gone = controller.tallies.lock().expect("tallies").take(id);
     let judge = |body: &[u8]| {
-        let Some(mut next) = Batch::read_bytes(body) else { return Verdict::Answer(()) };
+        let Some(mut next) = Batch::read_bytes(body) else { return Decision::Answer(()) };
         match next.tick(held.spent_ms, gone, done) {
-            true => Verdict::Write(next.write_bytes(), ()),
-            false => Verdict::Answer(()),
+            true => Decision::Write(next.write_bytes(), ()),
+            false => Decision::Answer(()),
         }
     };
     controller.change(&batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use consensus::proposal::{Progress, Proposal, Verdict};
+use consensus::proposal::{Decision, Progress, Proposal};
 use consensus::{quorum, round};
 use protocol::message::{ConsensusResponse, ProposalNumber};
 
@@ -14,7 +14,7 @@
 const LAST_PAUSE_MS: u64 = 200;
 
 /// Decides what is to be done on top of what is committed.
-pub type Judge = Box<dyn FnMut(&[u8]) -> Verdict<Option<Answer>>>;
+pub type Judge = Box<dyn FnMut(&[u8]) -> Decision<Option<Answer>>>;
 
 /// What a change is for.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,19 +73,19 @@
     fn try_first_change(&mut self, at: usize, key: &str) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        let core = node.voter.core.clone();
+        let core = node.voter.membership.clone();
         let Some(change) = node.changes.get_mut(key).and_then(|list| list.first_mut()) else { return };
-        if change.running.as_ref().is_some_and(|(_, proposal)| proposal.expired(now)) {
+        if change.running.as_ref().is_some_and(|(_, proposal)| proposal.is_expired(now)) {
             change.running = None;
             change.resume = now + change.pause;
         }
         if change.running.is_some() || now < change.resume || core.members.is_empty() {
             return;
         }
-        node.turn = round::next_turn(node.turn, &core);
-        let ballot = ProposalNumber { term: node.turn, replica_id: consensus::seat(&node.voter.ip, node.life) };
+        node.turn = round::next_term(node.turn, &core);
+        let ballot = ProposalNumber { term: node.turn, replica_id: consensus::replica_id(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
-        let (proposal, ask) = Proposal::begin(key, &core, held, ballot, &mut change.judge, now);
+        let (proposal, ask) = Proposal::start(key, &core, held, ballot, &mut change.judge, now);
         let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &ask, &members);
         let change = self.nodes[at].changes.get_mut(key).and_then(|list| list.first_mut());
@@ -102,7 +102,7 @@
         let (key, change) = (key.clone(), &mut list[0]);
         let Some((_, proposal)) = change.running.as_mut() else { return false };
         let core = proposal.core().clone();
-        match proposal.hear(from, vote.clone(), &mut change.judge, now) {
+        match proposal.handle_response(from, vote.clone(), &mut change.judge, now) {
             Progress::Wait => {}
             Progress::Send(ask) => {
                 let members = quorum::addresses(&core);
@@ -118,11 +118,11 @@
                 self.nodes[at].owned.insert(key, owner);
                 self.end_change(at, change.purpose, answer);
             }
-            Progress::Outbid(ballot) => {
+            Progress::Superseded(ballot) => {
                 self.nodes[at].turn = self.nodes[at].turn.max(ballot.term);
                 self.pause_change(at, &key);
             }
-            Progress::NewerCore(core) => {
+            Progress::NewerMembership(core) => {
                 self.adopt(at, &core);
                 self.pause_change(at, &key);
             }
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -1,7 +1,7 @@
 //! Heartbeats, and the confirmation at a quorum that a simulated controller knows what is committed.
 
-use consensus::confirmation::{self, Behind, Confirmation};
-use consensus::proposal::Verdict;
+use consensus::confirmation::{self, Confirmation, StaleKey};
+use consensus::proposal::Decision;
 use consensus::quorum;
 use membership::Peer;
 use protocol::message::{ConsensusOperation, ConsensusResponse, Entry, PROTOCOL_VERSION};
@@ -20,7 +20,7 @@
 
 /// One key that is behind, and the reads of it at the members.
 struct CatchUp {
-    behind: Behind,
+    behind: StaleKey,
     since: u64,
     next_try: u64,
     id: u64,
@@ -73,7 +73,7 @@
             address: node.voter.ip.clone(),
             fit: node.voter.may_vote,
             leaving: node.leaving.is_some(),
-            core: node.voter.core.clone(),
+            core: node.voter.membership.clone(),
             peers: node.roster.controllers.keys().filter(live).cloned().collect(),
         };
         for to in node.known().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
@@ -100,7 +100,7 @@
     }
 
     fn begin_confirmation(&mut self, at: usize) {
-        let core = self.nodes[at].voter.core.clone();
+        let core = self.nodes[at].voter.membership.clone();
         if core.members.is_empty() {
             return;
         }
@@ -113,8 +113,8 @@
 
     /// A vote on the confirmation. False: it was for something else.
     pub fn vote_on_confirmation(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
-        if let ConsensusResponse::NewerMembership { core } = vote {
-            self.adopt(at, core);
+        if let ConsensusResponse::NewerMembership { membership } = vote {
+            self.adopt(at, membership);
             let confirming = &mut self.nodes[at].confirming;
             let stale = confirming.read.as_ref().is_some_and(|(read, _)| *read == id);
             if stale || confirming.behind.iter().any(|one| one.id == id) {
@@ -133,7 +133,7 @@
             return false;
         }
         let ConsensusResponse::Positions { list } = vote else { return true };
-        confirmation.hear(from, list.clone());
+        confirmation.record(from, list.clone());
         if confirmation.is_quorum() {
             let (_, confirmation) = confirming.read.take().expect("a read");
             self.catch_up(at, &confirmation);
@@ -142,10 +142,10 @@
     }
 
     fn catch_up(&mut self, at: usize, confirmation: &Confirmation) {
-        let (now, behind) = (self.now, confirmation.behind(|key| self.nodes[at].place(key)));
+        let (now, behind) = (self.now, confirmation.stale_keys(|key| self.nodes[at].place(key)));
         let wait = |committed: bool| if committed { 0 } else { ON_ITS_WAY_MS };
-        let one = |behind: Behind| {
-            let next_try = now + wait(behind.committed);
+        let one = |behind: StaleKey| {
+            let next_try = now + wait(behind.is_committed);
             CatchUp { behind, since: now, next_try, id: 0, fetched: Vec::new() }
         };
         self.nodes[at].confirming.behind = behind.into_iter().map(one).collect();
@@ -156,7 +156,7 @@
     fn try_to_catch_up(&mut self, at: usize, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        let core = node.voter.core.clone();
+        let core = node.voter.membership.clone();
         let Some(one) = node.confirming.behind.get_mut(number).filter(|one| now >= one.next_try) else { return };
         one.next_try = now + FETCH_MS;
         one.fetched.clear();
@@ -170,7 +170,7 @@
         self.nodes[at].confirming.behind[number].id = id;
         if half_done && first && !self.is_changing(at, &Purpose::Repair) {
             self.nodes[at].owned.remove(&key);
-            self.begin_change(at, &key, Purpose::Repair, RENEW_MS, Box::new(|_: &[u8]| Verdict::Answer(None)));
+            self.begin_change(at, &key, Purpose::Repair, RENEW_MS, Box::new(|_: &[u8]| Decision::Answer(None)));
         }
     }
 
@@ -181,9 +181,9 @@
         let Some(entry) = entry else { return };
         let (key, place) = (one.behind.key.clone(), one.behind.place);
         one.fetched.push((from.into(), entry.clone()));
-        let newer = confirmation::committed(&node.voter.core, &one.fetched);
+        let newer = confirmation::newest_committed(&node.voter.membership, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
-        let looked_for = Some(entry).filter(|entry| one.behind.committed && entry.position() == place);
+        let looked_for = Some(entry).filter(|entry| one.behind.is_committed && entry.position() == place);
         let Some(entry) = looked_for.or(newer) else { return };
         self.learn(at, &key, &entry, false);
         self.caught_up(at, &key);
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -1,7 +1,7 @@
 //! Trouble in the simulation, and the quiet end at which everything is read back.
 
+use consensus::acceptor::Acceptor;
 use consensus::quorum;
-use consensus::voter::Voter;
 
 use super::{address, Cluster, Node};
 use crate::config_body::Held;
@@ -34,10 +34,10 @@
         node.up = false;
         node.writes.clear();
         if wipe {
-            let core = node.disk.core.clone();
-            node.disk = Voter::new(&address(at));
+            let core = node.disk.membership.clone();
+            node.disk = Acceptor::new(&address(at));
             if hasty {
-                node.disk.core = core;
+                node.disk.membership = core;
                 node.disk.may_vote = true;
             }
         }
@@ -82,7 +82,7 @@
     /// A leaving process ends once the core does without it, or after a while.
     pub fn end_if_released(&mut self, at: usize) {
         let Some(since) = self.nodes[at].leaving else { return };
-        let core = &self.nodes[at].voter.core;
+        let core = &self.nodes[at].voter.membership;
         let released = core.stable && !quorum::is_member(core, &address(at));
         let waited = self.now - since;
         if (released && waited >= LAST_CALLS_MS) || waited >= HAND_OVER_MS + LAST_CALLS_MS {
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -2,10 +2,10 @@
 
 use std::mem;
 
-use consensus::membership::{settled, Settlement};
-use consensus::proposal::Verdict;
-use consensus::voter::LogRecord;
-use consensus::{quorum, CORE, RECALL_DELAY_MS};
+use consensus::acceptor::LogRecord;
+use consensus::proposal::Decision;
+use consensus::reconfiguration::{stabilized, MembershipTransition};
+use consensus::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, RegisterState};
 
 use super::changes::Purpose;
@@ -30,7 +30,7 @@
 #[derive(Default)]
 pub struct Members {
     next_beat: u64,
-    settlement: Option<Settlement>,
+    settlement: Option<MembershipTransition>,
     spread: Option<(u64, u64)>,
     recovery: Option<Recovery>,
 }
@@ -48,7 +48,7 @@
             self.attempt_recovery(at);
             return;
         }
-        let core = self.nodes[at].voter.core.clone();
+        let core = self.nodes[at].voter.membership.clone();
         if core.members.is_empty() || !self.nodes[at].is_confirmed(now) || !self.coordinates(at, &core) {
             return;
         }
@@ -62,7 +62,7 @@
     fn coordinates(&self, at: usize, core: &CoreMembership) -> bool {
         let node = &self.nodes[at];
         let leaving = node.leaving.is_some();
-        let first = reconfiguration::first_member(core, &node.roster, leaving, CORE, self.now);
+        let first = reconfiguration::first_member(core, &node.roster, leaving, MEMBERSHIP_KEY, self.now);
         first.as_deref() == Some(&node.voter.ip)
     }
 
@@ -74,17 +74,17 @@
         let Some(next) = reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
         let version = core.version;
         let judge = move |body: &[u8]| match state::read_core(body) {
-            Some(held) if held.version != version || !held.stable => Verdict::Answer(None),
-            _ => Verdict::Write(state::write_core(&next), None),
+            Some(held) if held.version != version || !held.stable => Decision::Answer(None),
+            _ => Decision::Write(state::write_core(&next), None),
         };
-        self.begin_change(at, CORE, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
 
     fn settle(&mut self, at: usize, core: &CoreMembership) {
         let now = self.now;
         let members = &mut self.nodes[at].members;
         if !members.settlement.as_ref().is_some_and(|held| held.core() == core) {
-            members.settlement = Some(Settlement::new(core));
+            members.settlement = Some(MembershipTransition::new(core));
             members.spread = None;
         }
         let settlement = members.settlement.as_ref().expect("a settlement");
@@ -100,18 +100,18 @@
             self.nodes[at].members.spread = Some((id, now + SPREAD_MS));
             return;
         }
-        for key in settlement.left() {
+        for key in settlement.remaining_keys() {
             let purpose = Purpose::Renewal(key.clone());
             if !self.is_changing(at, &purpose) {
                 self.nodes[at].owned.remove(&key);
-                self.begin_change(at, &key, purpose, COMMIT_MS, Box::new(|_: &[u8]| Verdict::Answer(None)));
+                self.begin_change(at, &key, purpose, COMMIT_MS, Box::new(|_: &[u8]| Decision::Answer(None)));
             }
         }
     }
 
     pub fn renewed(&mut self, at: usize, key: &str) {
         if let Some(settlement) = &mut self.nodes[at].members.settlement {
-            settlement.renewed(key);
+            settlement.mark_recommitted(key);
         }
     }
 
@@ -122,19 +122,19 @@
         let version = core.version;
         let judge = move |body: &[u8]| match state::read_core(body) {
             Some(held) if held.version == version && !held.stable => {
-                let settled = settled(&held);
-                Verdict::Write(state::write_core(&settled), None)
+                let settled = stabilized(&held);
+                Decision::Write(state::write_core(&settled), None)
             }
-            _ => Verdict::Answer(None),
+            _ => Decision::Answer(None),
         };
-        self.begin_change(at, CORE, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
     }
 
     fn attempt_recovery(&mut self, at: usize) {
         let node = &self.nodes[at];
-        let core = node.voter.core.clone();
+        let core = node.voter.membership.clone();
         let at_work = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.end);
-        if self.now < node.born + RECALL_DELAY_MS || core.members.is_empty() || at_work {
+        if self.now < node.born + RECOVERY_DELAY_MS || core.members.is_empty() || at_work {
             return;
         }
         let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
@@ -165,8 +165,8 @@
         }
         let Some(settlement) = &mut members.settlement else { return false };
         match vote {
-            ConsensusResponse::NewerMembership { core } => self.adopt(at, &core.clone()),
-            vote => settlement.hear_vote(from, vote),
+            ConsensusResponse::NewerMembership { membership } => self.adopt(at, &membership.clone()),
+            vote => settlement.record_response(from, vote),
         }
         true
     }
@@ -174,25 +174,25 @@
     fn vote_on_recovery(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
         let node = &mut self.nodes[at];
         let Some(recovery) = node.members.recovery.as_mut().filter(|recovery| recovery.id == id) else { return false };
-        let current = recovery.core.version == node.voter.core.version && !node.voter.may_vote;
+        let current = recovery.core.version == node.voter.membership.version && !node.voter.may_vote;
         match vote {
-            ConsensusResponse::NewerMembership { core } => {
+            ConsensusResponse::NewerMembership { membership } => {
                 node.members.recovery = None;
-                self.adopt(at, &core.clone());
+                self.adopt(at, &membership.clone());
                 return true;
             }
-            ConsensusResponse::Snapshot { slots } => recovery.reads.push(slots.clone()),
+            ConsensusResponse::Snapshot { registers } => recovery.reads.push(registers.clone()),
             ConsensusResponse::Positions { .. } => {}
             _ => return true,
         }
         recovery.from.push(from.into());
         let member = quorum::is_old_or_new_member(&recovery.core, &node.voter.ip);
-        let records = if member && current && node.voter.enough(&recovery.from) {
+        let records = if member && current && node.voter.has_enough_reads(&recovery.from) {
             let reads = mem::take(&mut recovery.reads);
-            node.voter.recall(reads).unwrap_or_default()
+            node.voter.recover(reads).unwrap_or_default()
         } else if !member && current && quorum::is_quorum(&recovery.core, &recovery.from) {
             node.voter.may_vote = true;
-            vec![LogRecord::Vote]
+            vec![LogRecord::VotingEnabled]
         } else {
             return true;
         };
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use consensus::confirmation::Place;
+use consensus::acceptor::{Acceptor, LogRecord};
+use consensus::confirmation::Position;
 use consensus::round::Ownership;
-use consensus::voter::{LogRecord, Voter};
-use consensus::CORE;
+use consensus::MEMBERSHIP_KEY;
 use membership::Roster;
 use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member};
 
@@ -31,8 +31,8 @@
 /// with the process.
 pub struct Node {
     pub at: usize,
-    pub voter: Voter,
-    pub disk: Voter,
+    pub voter: Acceptor,
+    pub disk: Acceptor,
     pub writes: Vec<Write>,
     pub up: bool,
     pub frozen: bool,
@@ -63,8 +63,8 @@
         let address = address(at);
         Node {
             at,
-            voter: Voter::new(&address),
-            disk: Voter::new(&address),
+            voter: Acceptor::new(&address),
+            disk: Acceptor::new(&address),
             writes: Vec::new(),
             up: true,
             frozen: false,
@@ -90,7 +90,8 @@
     /// The first start of the whole system: the seeds are the core.
     pub fn found(&mut self, seeds: &[String]) {
         let list = seeds.iter().map(|ip| Member { ip: ip.clone(), zone: String::new() }).collect();
-        self.voter.core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
+        self.voter.membership =
+            CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         self.voter.may_vote = true;
         self.disk = self.voter.clone();
     }
@@ -108,7 +109,7 @@
         self.confirmed.is_some_and(|time| now < time + SURE_MS)
     }
 
-    pub fn place(&self, key: &str) -> Option<Place> {
+    pub fn place(&self, key: &str) -> Option<Position> {
         self.committed.get(key).map(Entry::position)
     }
 
@@ -130,7 +131,7 @@
     /// All that is known of other controllers.
     pub fn known(&self) -> Vec<String> {
         let mut list = self.seeds.clone();
-        list.extend(self.voter.core.members.iter().map(|member| member.ip.clone()));
+        list.extend(self.voter.membership.members.iter().map(|member| member.ip.clone()));
         list.extend(self.roster.controllers.keys().cloned());
         list.sort();
         list.dedup();
@@ -143,7 +144,7 @@
     /// The vote of a node leaves once what it promises is on its disk.
     pub fn vote(&mut self, at: usize, from: Address, id: u64, poll: ConsensusRequest) {
         self.adopt(at, &poll.membership);
-        let (vote, records) = self.nodes[at].voter.poll(poll);
+        let (vote, records) = self.nodes[at].voter.handle(poll);
         self.write(at, records, Some((from, id, vote)));
     }
 
@@ -160,7 +161,7 @@
     pub fn sync_disk(&mut self, at: usize) {
         while self.nodes[at].writes.first().is_some_and(|write| write.due <= self.now) {
             let write = self.nodes[at].writes.remove(0);
-            write.records.into_iter().for_each(|record| self.nodes[at].disk.fold(record));
+            write.records.into_iter().for_each(|record| self.nodes[at].disk.replay(record));
             if let Some((to, id, vote)) = write.vote {
                 self.send(Address::Node(at), to, Packet::Vote { id, vote });
             }
@@ -168,7 +169,7 @@
     }
 
     pub fn adopt(&mut self, at: usize, core: &CoreMembership) {
-        if let Some(record) = self.nodes[at].voter.adopt(core) {
+        if let Some(record) = self.nodes[at].voter.adopt_membership(core) {
             self.write(at, vec![record], None);
         }
     }
@@ -181,7 +182,7 @@
             return;
         }
         node.committed.insert(key.into(), entry.clone());
-        if key == CORE {
+        if key == MEMBERSHIP_KEY {
             if let Some(core) = state::read_core(&entry.body) {
                 self.adopt(at, &core);
             }
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -1,7 +1,7 @@
 //! Operators that change the configuration, evacuate zones and read back, and send again what got no
 //! clear answer.
 
-use consensus::proposal::Verdict;
+use consensus::proposal::Decision;
 use protocol::operator_request::ConfigChange;
 
 use super::changes::Purpose;
@@ -172,7 +172,7 @@
                 self.begin_change(at, EVACUATION, purpose, EVACUATE_MS, judge);
             }
             OperatorAction::Read if self.guards.quorum_reads => {
-                let judge = Box::new(|body: &[u8]| Verdict::Answer(Some(found(&Held::open(body).expect("reads")))));
+                let judge = Box::new(|body: &[u8]| Decision::Answer(Some(found(&Held::open(body).expect("reads")))));
                 self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
             }
             OperatorAction::Read => {
@@ -228,11 +228,11 @@
     Answer::Found { revision: held.revision, taken: held.taken.clone() }
 }
 
-fn judge_evacuation(on: bool, from: Option<u64>, body: &[u8]) -> Verdict<Option<Answer>> {
+fn judge_evacuation(on: bool, from: Option<u64>, body: &[u8]) -> Decision<Option<Answer>> {
     orders::judge_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
 }
 
-fn judge_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Verdict<Option<Answer>> {
+fn judge_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Decision<Option<Answer>> {
     let mut held = Held::open(body).expect("a configuration that reads");
     if !guards.digests {
         held.taken.clear();
@@ -243,9 +243,9 @@
         outcome = next.map(Outcome::Next).ok_or(Refusal::Conflict { base: change.base, current: held.revision });
     }
     match outcome {
-        Ok(Outcome::TakenBefore) => Verdict::Answer(Some(Answer::Good)),
-        Ok(Outcome::Unknown) => Verdict::Answer(Some(Answer::Unclear)),
-        Ok(Outcome::Next(next)) => Verdict::Write(next.held.seal(BodyForm::Digested), Some(Answer::Good)),
-        Err(_) => Verdict::Answer(Some(Answer::Refused)),
+        Ok(Outcome::TakenBefore) => Decision::Answer(Some(Answer::Good)),
+        Ok(Outcome::Unknown) => Decision::Answer(Some(Answer::Unclear)),
+        Ok(Outcome::Next(next)) => Decision::Write(next.held.seal(BodyForm::Digested), Some(Answer::Good)),
+        Err(_) => Decision::Answer(Some(Answer::Refused)),
     }
 }
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -3,7 +3,7 @@
 use std::mem;
 use std::sync::Arc;
 
-use consensus::CORE;
+use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Checked, ConfigError};
 use protocol::message::{Entry, Message, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
@@ -116,7 +116,7 @@
                     "step" => entry.index);
             }
         }
-        if key == CORE {
+        if key == MEMBERSHIP_KEY {
             if let Some(core) = read_core(&entry.body) {
                 self.adopt(&core);
             }
@@ -186,7 +186,7 @@
             let duty = Duty::open(body).ok_or(Unreadable::Body)?;
             self.duties.insert(key.into(), (duty.epoch, duty.holder, duty.clear));
         }
-        if key == CORE && !body.is_empty() {
+        if key == MEMBERSHIP_KEY && !body.is_empty() {
             read_core(body).ok_or(Unreadable::Body)?;
         }
         Ok(())
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use consensus::confirmation::Confirmation;
-use consensus::CORE;
+use consensus::MEMBERSHIP_KEY;
 use kernel::clock::{self, Rng};
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
@@ -122,9 +122,9 @@
     state.learn(CONFIG, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
         let mut confirmation = Confirmation::new(&core);
-        confirmation.hear("a", vec![(CONFIG.into(), entry.proposal_number, entry.index)]);
+        confirmation.record("a", vec![(CONFIG.into(), entry.proposal_number, entry.index)]);
         assert!(confirmation.is_quorum());
-        confirmation.behind(|key| state.entries.get(key).map(Entry::position)).len()
+        confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
     let bad = entry(2, 1, b"of another form".to_vec());
     assert_eq!(behind(&state, &bad), 1);
@@ -141,7 +141,7 @@
     let zone = format!("{CLOSED}z");
     let closed = Closed { version: 4, on: true }.write_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), CORE] {
+    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
--- a/controller/src/version_calls.rs
+++ b/controller/src/version_calls.rs
@@ -8,7 +8,7 @@
 
 use crate::control::{self, Receipt};
 use crate::controller::Controller;
-use crate::register::Verdict;
+use crate::register::Decision;
 
 /// The longest that a rollout may take.
 const LONGEST_S: f64 = 7.0 * 86_400.0;
@@ -93,12 +93,12 @@
     let judge = |body: &[u8]| {
         let held = VersionRollout::read_bytes(body);
         if held.is_none() && !body.is_empty() {
-            return Verdict::Answer(Receipt::Unclear);
+            return Decision::Answer(Receipt::Unclear);
         }
         match order.on(held.as_ref()) {
-            Ok(None) => Verdict::Answer(Receipt::Good),
-            Ok(Some(next)) => Verdict::Write(next.write_bytes(), Receipt::Good),
-            Err((status, words)) => Verdict::Answer(Receipt::Bad(status, words)),
+            Ok(None) => Decision::Answer(Receipt::Good),
+            Ok(Some(next)) => Decision::Write(next.write_bytes(), Receipt::Good),
+            Err((status, words)) => Decision::Answer(Receipt::Bad(status, words)),
         }
     };
     let key = VersionRollout::key(&order.service);
@@ -110,7 +110,7 @@
 
 impl Rollout {
     async fn read(&self, service: &str) -> Receipt {
-        let judge = |body: &[u8]| Verdict::Answer((VersionRollout::read_bytes(body), body.is_empty()));
+        let judge = |body: &[u8]| Decision::Answer((VersionRollout::read_bytes(body), body.is_empty()));
         let key = VersionRollout::key(service);
         match self.0.change(&key, control::wait_ms(&self.0), judge).await {
             Some((Some(rollout), _)) => Receipt::Text(shown(&rollout).to_string().into_bytes()),
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -14,7 +14,7 @@
 use crate::controller::{CommittedState, Controller};
 use crate::event::VERSION_STEP;
 use crate::followers::Follower;
-use crate::register::Verdict;
+use crate::register::Decision;
 
 /// How often samples are passed on and judged.
 const BEAT_MS: u64 = 200;
@@ -199,8 +199,8 @@
 
 async fn commit(controller: &Arc<Controller>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
     let judge = |body: &[u8]| match VersionRollout::read_bytes(body) {
-        Some(held) if held.number == rollout.number => Verdict::Write(next.write_bytes(), true),
-        _ => Verdict::Answer(false),
+        Some(held) if held.number == rollout.number => Decision::Write(next.write_bytes(), true),
+        _ => Decision::Answer(false),
     };
     controller.change(&VersionRollout::key(&rollout.service), CHANGE_MS, judge).await.unwrap_or(false)
 }
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -94,14 +94,14 @@
         list: Vec<(String, ProposalNumber, u64)>,
     },
     Snapshot {
-        slots: Vec<RegisterState>,
+        registers: Vec<RegisterState>,
     },
     Fetched {
         entry: Option<Entry>,
     },
     /// The asker's core is older than this one.
     NewerMembership {
-        core: CoreMembership,
+        membership: CoreMembership,
     },
     /// Not a voter, or one that must first read the others.
     NonVoting,
