--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -77,7 +77,7 @@
 
 async fn look(controller: &Arc<Controller>, client: &Client, balance: &mut Balance) {
     let now = clock::now();
-    controller.roster.lock().expect("roster").resting.retain(|(_, until)| *until > now);
+    controller.roster.lock().expect("roster").reassigning.retain(|(_, until)| *until > now);
     let Some(epoch) = duty::acting_epoch(controller, BALANCE, now) else {
         *balance = Balance::default();
         return;
@@ -99,7 +99,7 @@
 
 /// All engines with a part, by service.
 fn candidates(controller: &Controller, balance: &mut Balance, now: u64) -> BTreeMap<String, Vec<Candidate>> {
-    let busy = controller.roster.lock().expect("roster").pressure(now);
+    let busy = controller.roster.lock().expect("roster").total_in_flight(now);
     let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
     for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
@@ -155,7 +155,7 @@
     let engine = &order.engine;
     let begun = clock::now();
     let until = begun + SPREAD_MS + order.switch_ms + 1200;
-    controller.roster.lock().expect("roster").resting.push((engine.id.clone(), until));
+    controller.roster.lock().expect("roster").reassigning.push((engine.id.clone(), until));
     time::sleep(Duration::from_millis(SPREAD_MS)).await;
     let now = clock::now();
     // Asleep for longer than meant: what was judged is out of date.
--- a/controller/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -1,5 +1,5 @@
 use load_balancing::balance::{Change, Seen};
-use membership::duty::{self, Held};
+use membership::singleton_role::{self, RoleTenure};
 use protocol::message::Engine;
 
 use super::{Balance, Candidate, CONNECT_MS, LASTS, STANDS, UNACKNOWLEDGED_MS};
@@ -13,9 +13,9 @@
     let committed = 50_000;
     let sure_ms = SURE_MS;
     let last_arrival = committed + sure_ms + CONNECT_MS + UNACKNOWLEDGED_MS;
-    let held = Held { since: committed, own: false, sure_at: 100_000 };
+    let held = RoleTenure { since: committed, own: false, confirmed_at: 100_000 };
     let first_act = (committed..100_000)
-        .find(|now| duty::may_act(held, *now, false, lease_ms, sure_ms))
+        .find(|now| singleton_role::may_act(held, *now, false, lease_ms, sure_ms))
         .expect("it may act one day");
     assert!(first_act >= last_arrival + lease_ms, "{first_act} is less than a lease after {last_arrival}");
 }
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -11,7 +11,7 @@
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
-use membership::Roster;
+use membership::MembershipView;
 use protocol::link::{self, Handler};
 use protocol::message::{CoreMembership, Member};
 use protocol::socket;
@@ -111,7 +111,7 @@
         voter: Mutex::new(voter),
         disk,
         committed_state: Default::default(),
-        roster: Mutex::new(Roster::new(&settings.ip, &settings.zone, LIVE_MS)),
+        roster: Mutex::new(MembershipView::new(&settings.ip, &settings.zone, LIVE_MS)),
         sheets: Default::default(),
         weights: Default::default(),
         followers: Default::default(),
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -116,7 +116,8 @@
     let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
     let short = Message::CommittedDelta(Box::new(advance));
     for peer in controller.known() {
-        let reads = controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.reads);
+        let reads =
+            controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.protocol_version);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
         controller.peer(&peer).notify(if is_short { short.clone() } else { whole.clone() });
     }
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -76,7 +76,7 @@
             return true;
         }
         let now = clock::now();
-        let first = controller.roster.lock().expect("roster").holder("", &behind.key, now);
+        let first = controller.roster.lock().expect("roster").first_live("", &behind.key, now);
         if now > begun + HALF_DONE_MS && first == controller.me() {
             return controller.renew(&behind.key, RENEW_MS).await.is_some();
         }
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -13,7 +13,7 @@
 use kernel::clock;
 use kernel::settings::Settings;
 use load_balancing::sheet::Sheets;
-use membership::Roster;
+use membership::MembershipView;
 use protocol::link::PeerClient;
 use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit, WeightVersions};
 use protocol::version_rollout::VersionRollout;
@@ -41,7 +41,7 @@
     pub voter: Mutex<Acceptor>,
     pub disk: Disk,
     pub committed_state: Mutex<CommittedState>,
-    pub roster: Mutex<Roster>,
+    pub roster: Mutex<MembershipView>,
     pub sheets: Mutex<Sheets>,
     /// Weight versions by zone, kept only while there are rules.
     pub weights: Mutex<BTreeMap<String, WeightVersions>>,
@@ -138,9 +138,9 @@
         let now = clock::now();
         let core = self.core();
         let roster = self.roster.lock().expect("roster");
-        let reads = |ip: &str| roster.controllers.get(ip).map_or(0, |peer| peer.reads);
+        let reads = |ip: &str| roster.controllers.get(ip).map_or(0, |peer| peer.protocol_version);
         let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
-        let live = roster.controllers.keys().map(String::as_str).filter(|ip| roster.live(ip, now));
+        let live = roster.controllers.keys().map(String::as_str).filter(|ip| roster.is_live(ip, now));
         BodyForm::for_readers(members.chain(live).map(reads))
     }
 
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use kernel::{clock, startup};
-use membership::duty::{self, Held, Look, SureStreak};
+use membership::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
 use protocol::message;
 
 use crate::batches;
@@ -51,11 +51,11 @@
         let controller = controller.clone();
         tokio::spawn(async move {
             let mut beat = startup::interval(LOOK_MS);
-            let mut streak = SureStreak::default();
+            let mut streak = ConfirmedStreak::default();
             loop {
                 beat.tick().await;
                 let now = clock::now();
-                let sure_ms = streak.sure_ms(controller.sure(now), now);
+                let sure_ms = streak.confirmed_ms(controller.sure(now), now);
                 tend(&controller, key, sure_ms).await;
                 if key == CATALOG {
                     open_catalog(&controller);
@@ -78,9 +78,9 @@
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = held(controller, key, now)?;
     let sure_at = controller.committed_state.lock().expect("committed_state").sure?;
-    let held = Held { since: tenure.since, own: tenure.own, sure_at };
+    let held = RoleTenure { since: tenure.since, own: tenure.own, confirmed_at: sure_at };
     let bounds = &controller.settings.bounds;
-    duty::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
+    singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
 }
 
 /// Says in the register that the wait is over, once, before the first act.
@@ -145,11 +145,11 @@
 fn may_take(controller: &Controller, key: &str, holder: &str, sure_ms: u64) -> bool {
     let now = clock::now();
     let roster = controller.roster.lock().expect("roster");
-    duty::may_take(Look {
+    singleton_role::may_acquire(RoleView {
         me: controller.me(),
         holder,
-        absent_ms: roster.absent_ms(holder, now).min(sure_ms),
-        first: roster.first_sure(key, now).as_deref() == Some(controller.me()),
+        unavailable_ms: roster.unavailable_ms(holder, now).min(sure_ms),
+        first: roster.first_confirmed(key, now).as_deref() == Some(controller.me()),
         lease_ms: controller.settings.bounds.lease_ms,
     })
 }
@@ -162,7 +162,7 @@
     };
     let sure = controller.sure(now);
     let roster = controller.roster.lock().expect("roster");
-    let vouched = holders.into_iter().filter(|ip| *ip != roster.me && roster.vouches_for(ip, now));
+    let vouched = holders.into_iter().filter(|ip| *ip != roster.own_ip && roster.confirms(ip, now));
     let vouched = vouched.map(|ip| (message::hidden_key(&format!("{VOUCH}{ip}")), 1, 0));
     iter::once((message::hidden_key(SURE), u64::from(sure), 0)).chain(vouched).collect()
 }
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -21,21 +21,22 @@
     let mut roster = controller.roster.lock().expect("roster");
     let peer = Peer {
         zone: gossip.zone.clone(),
-        life: gossip.incarnation,
-        heard: now,
-        fit: gossip.eligible,
-        seats: gossip.router_count,
-        reads: message::protocol_version_of(&gossip.list_versions),
-        leaving: message::is_shutting_down(&gossip.list_versions),
-        busy: gossip.in_flight.clone(),
-        doors: gossip.frontend_addresses.clone(),
-        resting: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
+        incarnation: gossip.incarnation,
+        last_seen: now,
+        eligible: gossip.eligible,
+        router_count: gossip.router_count,
+        protocol_version: message::protocol_version_of(&gossip.list_versions),
+        shutting_down: message::is_shutting_down(&gossip.list_versions),
+        in_flight: gossip.in_flight.clone(),
+        frontend_addresses: gossip.frontend_addresses.clone(),
+        reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
     };
-    roster.hear(&gossip.ip, peer);
+    roster.observe(&gossip.ip, peer);
     roster.report(&gossip.ip, platform::report(gossip), now);
     for ip in &gossip.peers {
-        if ip.parse::<Ipv4Addr>().is_ok() && *ip != roster.me && !roster.controllers.contains_key(ip) {
-            let unseen = Peer { zone: String::new(), life: 0, heard: 0, fit: false, ..Default::default() };
+        if ip.parse::<Ipv4Addr>().is_ok() && *ip != roster.own_ip && !roster.controllers.contains_key(ip) {
+            let unseen =
+                Peer { zone: String::new(), incarnation: 0, last_seen: 0, eligible: false, ..Default::default() };
             roster.controllers.insert(ip.clone(), unseen);
         }
     }
@@ -69,9 +70,15 @@
     let core = controller.core();
     let (peers, seats, busy, resting, doors) = {
         let mut roster = controller.roster.lock().expect("roster");
-        roster.sweep(now);
-        let live: Vec<String> = roster.controllers.keys().filter(|ip| roster.live(ip, now)).cloned().collect();
-        (live, roster.routers.len() as u32, roster.own_pressure(), roster.own_resting(now), roster.own_doors())
+        roster.remove_expired(now);
+        let live: Vec<String> = roster.controllers.keys().filter(|ip| roster.is_live(ip, now)).cloned().collect();
+        (
+            live,
+            roster.routers.len() as u32,
+            roster.own_in_flight(),
+            roster.own_reassigning(now),
+            roster.own_frontend_addresses(),
+        )
     };
     let (mut sheets, floors) = {
         let held = controller.sheets.lock().expect("sheets");
--- a/controller/src/job_run.rs
+++ b/controller/src/job_run.rs
@@ -34,7 +34,7 @@
     let batch = batches::batch(&controller.committed_state.lock().expect("committed_state"), id)?;
     let job = batch.jobs.get(at)?;
     let (number, slot) = (at / PAGE, at % PAGE);
-    let router = controller.roster.lock().expect("roster").door(clock::now(), at)?;
+    let router = controller.roster.lock().expect("roster").next_frontend(clock::now(), at)?;
     let begun = runner::change(controller, id, &batch, number, |page| page.begin(slot, epoch)).await;
     if begun == Some(false) {
         return None;
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -182,7 +182,7 @@
 
 fn live_controllers(controller: &Controller, now: u64) -> i64 {
     let roster = controller.roster.lock().expect("roster");
-    roster.controllers.keys().filter(|ip| **ip != roster.me && roster.live(ip, now)).count() as i64
+    roster.controllers.keys().filter(|ip| **ip != roster.own_ip && roster.is_live(ip, now)).count() as i64
 }
 
 /// One call of an operator, counted while it is under way.
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -18,7 +18,7 @@
     /// A router renews its lease, tells what it has and gets what it lacks.
     pub fn follow(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
         let now = clock::now();
-        self.roster.lock().expect("roster").lease(
+        self.roster.lock().expect("roster").renew_lease(
             &follow.node,
             now + ROUTER_LEASE_MS,
             follow.in_flight,
@@ -125,10 +125,10 @@
 
     fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Follower, now: u64) {
         let mut roster = self.roster.lock().expect("roster");
-        news.router_count = roster.seats(now, news.confirmed);
-        news.reassigning = roster.resting(now);
+        news.router_count = roster.router_count(now, news.confirmed);
+        news.reassigning = roster.reassigning(now);
         // An order of its own for each router, so that the controllers of a zone share them.
-        news.peers = roster.order(&follower.zone, node);
+        news.peers = roster.preference_order(&follower.zone, node);
     }
 
     fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
@@ -153,7 +153,7 @@
         let revision = self.revision();
         let duties = self.committed_state.lock().expect("committed_state").duties.clone();
         let roster = self.roster.lock().expect("roster");
-        let controllers: Vec<&String> = roster.controllers.keys().filter(|ip| roster.live(ip, now)).collect();
+        let controllers: Vec<&String> = roster.controllers.keys().filter(|ip| roster.is_live(ip, now)).collect();
         let followers = self.followers.lock().expect("followers");
         let routers: BTreeMap<&String, u64> =
             followers.list.iter().map(|(node, follower)| (node, follower.config)).collect();
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -64,7 +64,7 @@
     let leaving = controller.leaving.load(Ordering::Relaxed);
     let roster = controller.roster.lock().expect("roster");
     let first = reconfiguration::first_member(&core, &roster, leaving, key, now)?;
-    let takes_orders = roster.controllers.get(&first).is_some_and(|peer| peer.reads >= RELAYED_ORDERS);
+    let takes_orders = roster.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
     takes_orders.then_some(first)
 }
 
@@ -87,7 +87,8 @@
 /// None: it is to be carried out here.
 async fn relay(controller: &Arc<Controller>, order: &OperatorRequest) -> Option<OperatorResponse> {
     let home = home(controller, &key(order))?;
-    let reads = controller.roster.lock().expect("roster").controllers.get(&home).map_or(0, |peer| peer.reads);
+    let reads =
+        controller.roster.lock().expect("roster").controllers.get(&home).map_or(0, |peer| peer.protocol_version);
     let message = Message::OperatorRequest(Box::new(as_relayed(controller, order, reads)));
     match controller.peer(&home).call(message, RELAY_MS).await {
         Some(Message::OperatorResponse(result)) if *result != OperatorResponse::OutcomeUnknown => Some(*result),
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -65,7 +65,7 @@
     let name = message::hidden_key(UNREACHABLE);
     let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
     let (sure, vouches) = duty::heard(&gossip.list_versions);
-    PeerReport { sure, vouches, platform_unreachable }
+    PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
 }
 
 /// The time between two polls of a zone: often enough for `drain_ms`, within the shared rate.
--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -36,7 +36,7 @@
     let now = clock::now();
     let leaving = controller.leaving.load(Ordering::Relaxed);
     let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
-    let able = controller.roster.lock().expect("roster").able(QUOTAS, TAKE_OVER_MS, leaving, now);
+    let able = controller.roster.lock().expect("roster").eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now);
     let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
     let mark = holders_mark(&holders);
     let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -9,7 +9,7 @@
 use consensus::reconfiguration::{stabilized, ClusterView, Health, MembershipTransition};
 use consensus::{quorum, MEMBERSHIP_KEY};
 use kernel::{clock, startup};
-use membership::{Peer, Roster};
+use membership::{MembershipView, Peer};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Member, JOINT_QUORUMS};
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
@@ -45,17 +45,17 @@
 /// The first live member that is not about to end, in the order in which controllers agree for a key or duty.
 pub fn first_member(
     core: &CoreMembership,
-    roster: &Roster,
+    roster: &MembershipView,
     self_leaving: bool,
     name: &str,
     now: u64,
 ) -> Option<String> {
-    let leaving = |ip: &str| match ip == roster.me {
+    let leaving = |ip: &str| match ip == roster.own_ip {
         true => self_leaving,
-        false => roster.controllers.get(ip).is_some_and(|peer| peer.leaving),
+        false => roster.controllers.get(ip).is_some_and(|peer| peer.shutting_down),
     };
-    let stays = |ip: &str| quorum::is_member(core, ip) && roster.live(ip, now) && !leaving(ip);
-    roster.order("", name).into_iter().find(|ip| stays(ip))
+    let stays = |ip: &str| quorum::is_member(core, ip) && roster.is_live(ip, now) && !leaving(ip);
+    roster.preference_order("", name).into_iter().find(|ip| stays(ip))
 }
 
 /// Is this controller the one that changes the core?
@@ -87,22 +87,22 @@
 }
 
 /// Live controllers that may be made members and aren't yet.
-fn candidates(core: &CoreMembership, roster: &Roster, now: u64) -> Vec<Member> {
-    let waits = |ip: &str| !quorum::is_member(core, ip) && roster.live(ip, now);
-    let fit = roster.controllers.iter().filter(|(ip, peer)| peer.fit && !peer.leaving && waits(ip));
+fn candidates(core: &CoreMembership, roster: &MembershipView, now: u64) -> Vec<Member> {
+    let waits = |ip: &str| !quorum::is_member(core, ip) && roster.is_live(ip, now);
+    let fit = roster.controllers.iter().filter(|(ip, peer)| peer.eligible && !peer.shutting_down && waits(ip));
     fit.map(|(ip, peer)| Member { ip: ip.clone(), zone: peer.zone.clone() }).collect()
 }
 
 /// The next core as this controller sees the others.
-pub fn next(core: &CoreMembership, roster: &Roster, now: u64) -> Option<CoreMembership> {
+pub fn next(core: &CoreMembership, roster: &MembershipView, now: u64) -> Option<CoreMembership> {
     let health = |ip: &str| Health {
-        silent_ms: roster.silent(ip, now),
-        live: roster.live(ip, now),
-        shutting_down: roster.controllers.get(ip).is_some_and(|peer| peer.leaving),
+        silent_ms: roster.silent_ms(ip, now),
+        live: roster.is_live(ip, now),
+        shutting_down: roster.controllers.get(ip).is_some_and(|peer| peer.shutting_down),
     };
     let candidates = candidates(core, roster, now);
-    let counts_joint = |peer: &Peer| peer.reads >= JOINT_QUORUMS;
-    let joint = roster.controllers.iter().all(|(ip, peer)| !roster.live(ip, now) || counts_joint(peer));
+    let counts_joint = |peer: &Peer| peer.protocol_version >= JOINT_QUORUMS;
+    let joint = roster.controllers.iter().all(|(ip, peer)| !roster.is_live(ip, now) || counts_joint(peer));
     consensus::reconfiguration::next_membership(core, &ClusterView { health: &health, candidates, joint })
 }
 
--- a/controller/src/reconfiguration_tests.rs
+++ b/controller/src/reconfiguration_tests.rs
@@ -1,6 +1,6 @@
 //! The next core as a controller sees its peers. The decision itself is tested in `consensus::reconfiguration`.
 
-use membership::{Peer, Roster};
+use membership::{MembershipView, Peer};
 use protocol::message::{CoreMembership, Member, JOINT_QUORUMS, PROTOCOL_VERSION};
 
 use super::next;
@@ -11,11 +11,11 @@
     CoreMembership { version: 4, members: list, previous_members: Vec::new(), stable: true }
 }
 
-fn roster(heard: &[(&str, u64)]) -> Roster {
-    let mut list = Roster::new("10.0.0.1", "a", LIVE_MS);
+fn roster(heard: &[(&str, u64)]) -> MembershipView {
+    let mut list = MembershipView::new("10.0.0.1", "a", LIVE_MS);
     for (ip, heard) in heard {
-        let peer = Peer { heard: *heard, fit: true, ..Default::default() };
-        list.hear(ip, peer);
+        let peer = Peer { last_seen: *heard, eligible: true, ..Default::default() };
+        list.observe(ip, peer);
     }
     list
 }
@@ -43,11 +43,11 @@
 }
 
 /// All peers read the newest messages, and the second member said that it is about to end.
-fn with_one_leaving(heard: &[(&str, u64)]) -> Roster {
+fn with_one_leaving(heard: &[(&str, u64)]) -> MembershipView {
     let mut list = roster(heard);
     for (ip, peer) in &mut list.controllers {
-        peer.reads = PROTOCOL_VERSION;
-        peer.leaving = ip == "10.0.0.2";
+        peer.protocol_version = PROTOCOL_VERSION;
+        peer.shutting_down = ip == "10.0.0.2";
     }
     list
 }
@@ -62,7 +62,7 @@
 #[test]
 fn members_are_not_exchanged_while_a_peer_does_not_count_joint_quorums() {
     let mut list = with_one_leaving(&[("10.0.0.2", 9900), ("10.0.0.3", 9900), ("10.0.0.4", 9900)]);
-    list.controllers.get_mut("10.0.0.3").expect("a peer").reads = JOINT_QUORUMS - 1;
+    list.controllers.get_mut("10.0.0.3").expect("a peer").protocol_version = JOINT_QUORUMS - 1;
     let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]);
 }
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -68,7 +68,7 @@
 
     pub fn tell(&mut self, at: usize) {
         let node = &self.nodes[at];
-        let live = |ip: &&String| node.roster.live(ip, self.now);
+        let live = |ip: &&String| node.roster.is_live(ip, self.now);
         let heartbeat = Heartbeat {
             address: node.voter.ip.clone(),
             fit: node.voter.may_vote,
@@ -84,16 +84,16 @@
     pub fn take_heartbeat(&mut self, at: usize, heartbeat: Heartbeat) {
         self.adopt(at, &heartbeat.core);
         let peer = Peer {
-            heard: self.now,
-            fit: heartbeat.fit,
-            leaving: heartbeat.leaving,
-            reads: PROTOCOL_VERSION,
+            last_seen: self.now,
+            eligible: heartbeat.fit,
+            shutting_down: heartbeat.leaving,
+            protocol_version: PROTOCOL_VERSION,
             ..Default::default()
         };
         let roster = &mut self.nodes[at].roster;
-        roster.hear(&heartbeat.address, peer);
+        roster.observe(&heartbeat.address, peer);
         for ip in heartbeat.peers {
-            if ip != roster.me {
+            if ip != roster.own_ip {
                 roster.controllers.entry(ip).or_default();
             }
         }
@@ -164,7 +164,7 @@
         if node.place(&key) >= Some(place) {
             return self.caught_up(at, &key);
         }
-        let first = node.roster.holder("", &key, now) == node.voter.ip;
+        let first = node.roster.first_live("", &key, now) == node.voter.ip;
         let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &ConsensusOperation::Fetch { key: key.clone() }, &members);
         self.nodes[at].confirming.behind[number].id = id;
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -6,7 +6,7 @@
 use consensus::confirmation::Position;
 use consensus::round::Ownership;
 use consensus::MEMBERSHIP_KEY;
-use membership::Roster;
+use membership::MembershipView;
 use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member};
 
 use super::changes::Change;
@@ -51,7 +51,7 @@
     pub changes: BTreeMap<String, Vec<Change>>,
     pub confirming: Confirming,
     pub members: Members,
-    pub roster: Roster,
+    pub roster: MembershipView,
     pub seeds: Vec<String>,
     pub leaving: Option<u64>,
     pub pauses: PauseMonitor,
@@ -79,7 +79,7 @@
             changes: BTreeMap::new(),
             confirming: Confirming::default(),
             members: Members::default(),
-            roster: Roster::new(&address, "", LIVE_MS),
+            roster: MembershipView::new(&address, "", LIVE_MS),
             seeds: seeds.to_vec(),
             leaving: None,
             pauses: Default::default(),
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -174,7 +174,7 @@
         return false;
     }
     let roster = controller.roster.lock().expect("roster");
-    roster.first_sure(&VersionRollout::key(service), now).as_deref() == Some(controller.me())
+    roster.first_confirmed(&VersionRollout::key(service), now).as_deref() == Some(controller.me())
 }
 
 /// The record after a step. None: nothing changes.
--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -1,7 +1,7 @@
 //! Three controllers that poll one zone's list, some of them cut off from the platform, in virtual time.
 
 use super::PlatformAccess;
-use crate::{Peer, PeerReport, Roster};
+use crate::{MembershipView, Peer, PeerReport};
 
 const SPAN: u64 = 1100;
 const BEAT: u64 = 350;
@@ -10,7 +10,7 @@
 
 struct World {
     now: u64,
-    rosters: Vec<Roster>,
+    rosters: Vec<MembershipView>,
     /// Until when each controller is cut off from the platform.
     cut_until: [u64; CONTROLLERS],
     /// When a poll last succeeded, and by whom.
@@ -23,7 +23,7 @@
 
 impl World {
     fn new() -> World {
-        let rosters = (0..CONTROLLERS).map(|at| Roster::new(&name(at), "zone", SPAN)).collect();
+        let rosters = (0..CONTROLLERS).map(|at| MembershipView::new(&name(at), "zone", SPAN)).collect();
         World { now: 0, rosters, cut_until: [0; CONTROLLERS], polled: (0, CONTROLLERS) }
     }
 
@@ -43,8 +43,8 @@
         for from in 0..CONTROLLERS {
             let platform_unreachable = self.rosters[from].access.unreachable(self.now);
             for to in (0..CONTROLLERS).filter(|to| *to != from) {
-                let peer = Peer { zone: "zone".into(), heard: self.now, ..Default::default() };
-                self.rosters[to].hear(&name(from), peer);
+                let peer = Peer { zone: "zone".into(), last_seen: self.now, ..Default::default() };
+                self.rosters[to].observe(&name(from), peer);
                 let report = PeerReport { platform_unreachable, ..Default::default() };
                 self.rosters[to].report(&name(from), report, self.now);
             }
--- a/membership/src/duty.rs
+++ b/membership/src/singleton_role.rs
@@ -2,33 +2,33 @@
 
 /// What a controller knows when it looks at a duty.
 #[derive(Clone, Copy, Debug)]
-pub struct Look<'a> {
+pub struct RoleView<'a> {
     pub me: &'a str,
     /// The holder that a majority was last seen to name; empty: nobody yet.
     pub holder: &'a str,
     /// How long the holder has been unable to act, as seen by a controller that was sure all the while.
-    pub absent_ms: u64,
+    pub unavailable_ms: u64,
     /// Is this controller the first in the agreed order that is able?
     pub first: bool,
     pub lease_ms: u64,
 }
 
 /// The last holder is left its lease; one that started again takes a new epoch at once.
-pub fn may_take(look: Look) -> bool {
-    let gone = look.holder.is_empty() || look.absent_ms > look.lease_ms;
-    look.holder == look.me || (gone && look.first)
+pub fn may_acquire(look: RoleView) -> bool {
+    let stopped = look.holder.is_empty() || look.unavailable_ms > look.lease_ms;
+    look.holder == look.me || (stopped && look.first)
 }
 
 /// Since when a controller has been sure without a break. While nobody reaches a majority the holder can't
 /// act either; that time must not count against it, or each controller that is back before it would take its
 /// duties.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SureStreak(Option<u64>);
+pub struct ConfirmedStreak(Option<u64>);
 
-impl SureStreak {
+impl ConfirmedStreak {
     /// How long it has been sure by now.
-    pub fn sure_ms(&mut self, sure: bool, now: u64) -> u64 {
-        if !sure {
+    pub fn confirmed_ms(&mut self, confirmed: bool, now: u64) -> u64 {
+        if !confirmed {
             self.0 = None;
             return 0;
         }
@@ -38,25 +38,25 @@
 
 /// How a duty is held here. Invariant: `since` is after the commit of the epoch.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct RoleTenure {
     pub since: u64,
     /// Nobody else can have acted lately: there was no holder before, or the last one was an earlier
     /// life of this controller that had said in the register that it had waited.
     pub own: bool,
     /// When the read began that last confirmed this epoch at a majority.
-    pub sure_at: u64,
+    pub confirmed_at: u64,
 }
 
 /// May the holder act, where no two holders may act within a lease of each other? The last one may
 /// have acted until its confirmation ran out, which is at most `sure_ms` after this epoch was committed.
-pub fn may_act(held: Held, now: u64, fencing: bool, lease_ms: u64, sure_ms: u64) -> bool {
-    if now >= held.sure_at + sure_ms {
+pub fn may_act(held: RoleTenure, now: u64, fencing: bool, lease_ms: u64, confirmed_ms: u64) -> bool {
+    if now >= held.confirmed_at + confirmed_ms {
         return false;
     }
-    let wait = if fencing || held.own { 0 } else { lease_ms + 2 * sure_ms };
+    let wait = if fencing || held.own { 0 } else { lease_ms + 2 * confirmed_ms };
     now >= held.since + wait
 }
 
 #[cfg(test)]
-#[path = "duty_tests.rs"]
+#[path = "singleton_role_tests.rs"]
 mod tests;
--- a/membership/src/duty_tests.rs
+++ b/membership/src/singleton_role_tests.rs
@@ -1,7 +1,7 @@
 //! Controllers that are cut off, freeze, fall and wake, in virtual time: no two holders of a duty act within
 //! a lease of each other, and epochs only rise.
 
-#[path = "duty_world.rs"]
+#[path = "singleton_role_world.rs"]
 mod world;
 use world::{Act, World, DUTY, LEASE};
 
@@ -52,7 +52,7 @@
     while world.now < 15_000 {
         world.step();
     }
-    let order = world.controllers[0].roster.order("", DUTY);
+    let order = world.controllers[0].roster.preference_order("", DUTY);
     let place =
         |name: &String| world.controllers.iter().position(|controller| controller.name == *name).expect("known");
     let (first, second) = (place(&order[0]), place(&order[1]));
--- a/membership/src/duty_world.rs
+++ b/membership/src/singleton_role_world.rs
@@ -2,8 +2,8 @@
 
 use kernel::clock::Rng;
 
-use crate::duty::{self, Held, Look, SureStreak};
-use crate::{Peer, PeerReport, Roster};
+use crate::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
+use crate::{MembershipView, Peer, PeerReport};
 
 pub const LEASE: u64 = 3000;
 pub const SURE: u64 = 1100;
@@ -31,13 +31,13 @@
     /// Heard by all, but its rounds reach no majority.
     pub deaf_until: u64,
     pub started: u64,
-    pub roster: Roster,
-    pub streak: SureStreak,
+    pub roster: MembershipView,
+    pub streak: ConfirmedStreak,
     pub board: (u64, String, bool),
     /// It knows that the register says that it has waited.
     pub declared: bool,
     pub sure_at: Option<u64>,
-    pub held: Option<(u64, Held)>,
+    pub held: Option<(u64, RoleTenure)>,
     pub lives: u64,
 }
 
@@ -59,8 +59,8 @@
     pub calm: bool,
 }
 
-fn roster(at: usize) -> Roster {
-    Roster::new(&format!("k{at}"), "", SURE)
+fn roster(at: usize) -> MembershipView {
+    MembershipView::new(&format!("k{at}"), "", SURE)
 }
 
 impl World {
@@ -168,13 +168,13 @@
     fn gossip(&mut self, at: usize) {
         let (name, now) = (self.controllers[at].name.clone(), self.now);
         let own = &self.controllers[at].roster;
-        let vouches = own.controllers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
+        let vouches = own.controllers.keys().filter(|peer| own.confirms(peer, now)).cloned().collect();
         let sure = self.controllers[at].sure_at.is_some_and(|time| now < time + SURE);
-        let report = PeerReport { sure, vouches, ..Default::default() };
+        let report = PeerReport { confirmed: sure, confirmations: vouches, ..Default::default() };
         for other in (0..3).filter(|other| *other != at) {
             if self.linked(at, other) {
                 let roster = &mut self.controllers[other].roster;
-                roster.hear(&name, Peer { heard: now, ..Default::default() });
+                roster.observe(&name, Peer { last_seen: now, ..Default::default() });
                 roster.report(&name, report.clone(), now);
             }
         }
@@ -189,24 +189,24 @@
         let held = controller
             .held
             .is_some_and(|(epoch, _)| epoch == controller.board.0 && controller.board.1 == controller.name);
-        let sure_ms = self.controllers[at].streak.sure_ms(sure, self.now);
+        let sure_ms = self.controllers[at].streak.confirmed_ms(sure, self.now);
         let controller = &self.controllers[at];
         if !sure || held {
             return;
         }
         let holder = controller.board.1.clone();
         let absent_ms = match self.own_ears_only {
-            true => controller.roster.silent(&holder, self.now),
-            false => controller.roster.absent_ms(&holder, self.now).min(sure_ms),
+            true => controller.roster.silent_ms(&holder, self.now),
+            false => controller.roster.unavailable_ms(&holder, self.now).min(sure_ms),
         };
-        let look = Look {
+        let look = RoleView {
             me: &controller.name,
             holder: &holder,
-            absent_ms,
-            first: controller.roster.first_sure(DUTY, self.now).as_ref() == Some(&controller.name),
+            unavailable_ms: absent_ms,
+            first: controller.roster.first_confirmed(DUTY, self.now).as_ref() == Some(&controller.name),
             lease_ms: LEASE,
         };
-        if !duty::may_take(look) || !self.majority(at) || self.register.0 != controller.board.0 {
+        if !singleton_role::may_acquire(look) || !self.majority(at) || self.register.0 != controller.board.0 {
             return;
         }
         let own = holder.is_empty() || (holder == controller.name && controller.held.is_none() && controller.board.2);
@@ -215,7 +215,7 @@
         if !self.change((epoch, name, own)) {
             return;
         }
-        let held = Held { since: self.now, own: own || self.hasty, sure_at: self.now };
+        let held = RoleTenure { since: self.now, own: own || self.hasty, confirmed_at: self.now };
         let register = self.register.clone();
         let controller = &mut self.controllers[at];
         controller.held = Some((epoch, held));
@@ -238,7 +238,7 @@
         if (controller.board.0, &controller.board.1) != (epoch, &controller.name) {
             return;
         }
-        if duty::may_act(Held { sure_at, ..held }, self.now, false, LEASE, SURE) {
+        if singleton_role::may_act(RoleTenure { confirmed_at: sure_at, ..held }, self.now, false, LEASE, SURE) {
             // Said in the register before the first act, so that the next life need not wait again.
             if !controller.declared {
                 let holder = controller.name.clone();
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::{iter, mem};
 
 use kernel::clock::{self, Rng};
-use membership::{Peer, PeerReport, Roster};
+use membership::{MembershipView, Peer, PeerReport};
 
 use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
 
@@ -40,7 +40,7 @@
 
 struct Controller {
     at: Holder,
-    roster: Roster,
+    roster: MembershipView,
     shards: Shards,
     confirmed_at: Option<u64>,
     frozen_until: u64,
@@ -239,14 +239,14 @@
     fn gossip(&mut self, at: usize) {
         let (ip, now) = (self.controllers[at].at.ip.clone(), self.now);
         let own = &self.controllers[at].roster;
-        let vouches = own.controllers.keys().filter(|peer| own.vouches_for(peer, now)).cloned().collect();
+        let vouches = own.controllers.keys().filter(|peer| own.confirms(peer, now)).cloned().collect();
         let sure = self.controllers[at].confirmed_at.is_some_and(|time| now < time + SURE_MS);
-        let report = PeerReport { sure, vouches, ..Default::default() };
+        let report = PeerReport { confirmed: sure, confirmations: vouches, ..Default::default() };
         let zone = self.controllers[at].at.zone.clone();
         for other in (0..self.controllers.len()).filter(|other| *other != at) {
             if self.linked(at, other) {
-                let peer = Peer { zone: zone.clone(), heard: now, ..Default::default() };
-                self.controllers[other].roster.hear(&ip, peer);
+                let peer = Peer { zone: zone.clone(), last_seen: now, ..Default::default() };
+                self.controllers[other].roster.observe(&ip, peer);
                 self.controllers[other].roster.report(&ip, report.clone(), now);
             }
         }
@@ -256,8 +256,8 @@
     fn live(&self, at: usize) -> Vec<Holder> {
         let own = &self.controllers[at];
         let gone = |ip: &str| match self.variant {
-            Variant::TakesOverAtOnce => own.roster.silent(ip, self.now) > BEAT_MS + STEP_MS,
-            _ => own.roster.absent_ms(ip, self.now) >= TAKE_OVER_MS,
+            Variant::TakesOverAtOnce => own.roster.silent_ms(ip, self.now) > BEAT_MS + STEP_MS,
+            _ => own.roster.unavailable_ms(ip, self.now) >= TAKE_OVER_MS,
         };
         let others = self.controllers.iter().filter(|other| other.at.ip != own.at.ip && !gone(&other.at.ip));
         iter::once(own.at.clone()).chain(others.map(|other| other.at.clone())).collect()
@@ -392,6 +392,6 @@
 fn new_controller(at: Holder, variant: Variant) -> Controller {
     let mut shards = Shards::new(&at.ip);
     shards.begins_full = variant == Variant::BeginsFull;
-    let roster = Roster::new(&at.ip, &at.zone, SURE_MS);
+    let roster = MembershipView::new(&at.ip, &at.zone, SURE_MS);
     Controller { at, roster, shards, confirmed_at: None, frozen_until: 0, cut_until: 0 }
 }
