--- a/controller/src/orders.rs
+++ b/controller/src/api/operator_requests.rs
@@ -10,10 +10,11 @@
 use protocol::message::{Message, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
 use protocol::operator_request::{OperatorRequest, OperatorResponse};
 
+use crate::config::execution;
 use crate::controller::Controller;
 use crate::event::EVACUATION;
-use crate::state::{Closed, CLOSED, CONFIG};
-use crate::{config_orders, reconfiguration};
+use crate::replication::committed_state::{Closed, CLOSED, CONFIG};
+use crate::replication::reconfiguration;
 
 /// How long the home of a key may take before an order is carried out here.
 const RELAY_MS: u64 = 500;
@@ -111,7 +112,7 @@
 
 async fn execute(controller: &Arc<Controller>, order: &OperatorRequest, spent: u64) -> OperatorResponse {
     match order {
-        OperatorRequest::Change(change) => config_orders::change(controller, change).await,
+        OperatorRequest::Change(change) => execution::change(controller, change).await,
         OperatorRequest::Evacuate { zone, on } => {
             evacuate(controller, zone, *on, None, EVACUATE_MS.saturating_sub(spent)).await
         }
@@ -156,5 +157,5 @@
 }
 
 #[cfg(test)]
-#[path = "orders_tests.rs"]
+#[path = "operator_requests_tests.rs"]
 mod tests;
--- a/controller/src/orders_tests.rs
+++ b/controller/src/api/operator_requests_tests.rs
@@ -3,7 +3,7 @@
 use consensus::proposal::Decision;
 
 use super::{control_address, judge_evacuation};
-use crate::state::Closed;
+use crate::replication::committed_state::Closed;
 
 #[test]
 fn a_caller_is_sent_to_the_home_at_the_port_that_all_serve() {
--- a/controller/src/control.rs
+++ b/controller/src/api/routes.rs
@@ -15,18 +15,18 @@
 use socket2::SockRef;
 use tokio::time;
 
-use crate::batches::{Batches, One, Results};
-use crate::config_body::Held;
+use crate::api::operator_requests;
+use crate::api::staleness_limits::{Latest, LimitResource, Rollouts};
+use crate::api::version_rollouts::Rollout;
+use crate::batches::records::{Batches, One, Results};
+use crate::config::body::Held;
 use crate::controller::Controller;
 use crate::event::{REFUSED, UNCLEAR};
 use crate::metrics::{OrderOutcome, OrderTimer};
-use crate::orders;
-use crate::quota::fleet_usage;
-use crate::rollout_calls::{Latest, LimitResource, Rollouts};
+use crate::quota_shards::fleet_usage;
 use crate::shutdown::Shutdown;
-use crate::version_calls::Rollout;
 
-pub use crate::orders::wait_ms;
+pub use crate::api::operator_requests::wait_ms;
 
 pub enum Receipt {
     Good,
@@ -95,11 +95,11 @@
 
 async fn submit(controller: &Arc<Controller>, path: String, order: OperatorRequest) -> Receipt {
     let timer = OrderTimer::start(&controller.metrics, &order);
-    if let Some(address) = orders::better_place(controller, &order) {
+    if let Some(address) = operator_requests::better_place(controller, &order) {
         timer.finish(OrderOutcome::Redirected);
         return Receipt::Elsewhere(address, path);
     }
-    let result = orders::submit(controller, order).await;
+    let result = operator_requests::submit(controller, order).await;
     timer.finish((&result).into());
     match result {
         OperatorResponse::Found { body } => found(&body),
@@ -251,5 +251,5 @@
 }
 
 #[cfg(test)]
-#[path = "control_tests.rs"]
+#[path = "routes_tests.rs"]
 mod tests;
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -8,10 +8,10 @@
 use protocol::message::{self, ROLLOUT};
 use serde_json::{Map, Value};
 
-use crate::control::{self, Receipt};
+use crate::api::routes::{self, Receipt};
+use crate::api::version_rollouts;
 use crate::controller::Controller;
-use crate::rollouts::{self, LimitChange};
-use crate::version_calls;
+use crate::rollout::staleness_limits::{self, LimitChange};
 
 /// Largest body taken.
 const BODY: usize = 256 * 1024;
@@ -45,17 +45,17 @@
         let text = text(req).await?;
         let config = self.0.committed_state.lock().expect("committed_state").history.current().cloned();
         let config = config.ok_or_else(|| Receipt::Bad(409, "no configuration yet: no routes".into()))?;
-        let ask = rollouts::read(&text, base, (&service, &model), config.config());
+        let ask = staleness_limits::read(&text, base, (&service, &model), config.config());
         let ask = ask.map_err(|(status, words)| Receipt::Bad(status, words))?;
         let names = (service.as_str(), model.as_str());
-        Ok(rollouts::carry(&self.0, &key(&service, &model), names, ask).await)
+        Ok(staleness_limits::carry(&self.0, &key(&service, &model), names, ask).await)
     }
 
     async fn remove(&self, req: &Request) -> Receipt {
         let (service, model) = named(req);
         let Some(base) = base(req) else { return Receipt::Bad(400, "If-Match: missing or not a number".into()) };
         let ask = LimitChange::Remove { base };
-        rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
+        staleness_limits::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
     }
 
     /// The rule and how far it holds: replicas by zone and half, routers that confirmed.
@@ -113,10 +113,10 @@
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
         if req.method() == Method::POST {
             let receipt = match text(&mut req).await {
-                Ok(text) => version_calls::start(&self.0, &text).await,
+                Ok(text) => version_rollouts::start(&self.0, &text).await,
                 Err(receipt) => receipt,
             };
-            return Ok(control::write(receipt));
+            return Ok(routes::write(receipt));
         }
         let committed_state = self.0.committed_state.lock().expect("committed_state");
         let live = committed_state.rules.values().filter(|rule| !rule.removed);
@@ -127,7 +127,7 @@
             })
             .collect();
         let body = serde_json::json!({ "rollouts": list }).to_string().into_bytes();
-        Ok(control::write(Receipt::Text(body)))
+        Ok(routes::write(Receipt::Text(body)))
     }
 }
 
@@ -142,7 +142,7 @@
             "DELETE" => self.remove(&req).await,
             _ => Receipt::Bad(405, "method: GET, PUT or DELETE".into()),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
 
@@ -151,17 +151,17 @@
 
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
         if req.method() != Method::POST {
-            return Ok(control::write(Receipt::Bad(405, "method: POST".into())));
+            return Ok(routes::write(Receipt::Bad(405, "method: POST".into())));
         }
         let (service, model) = named(&req);
         let ask = match text(&mut req).await {
-            Ok(text) => rollouts::read_latest(&text, self.1),
-            Err(receipt) => return Ok(control::write(receipt)),
+            Ok(text) => staleness_limits::read_latest(&text, self.1),
+            Err(receipt) => return Ok(routes::write(receipt)),
         };
         let receipt = match ask {
-            Ok(ask) => rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
+            Ok(ask) => staleness_limits::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
             Err((status, words)) => Receipt::Bad(status, words),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
--- a/controller/src/version_calls.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -6,9 +6,9 @@
 use protocol::version_rollout::{RolloutState, VersionRollout};
 use serde_json::Value;
 
-use crate::control::{self, Receipt};
+use crate::api::routes::{self, Receipt};
 use crate::controller::Controller;
-use crate::register::Decision;
+use crate::replication::registers::Decision;
 
 /// The longest that a rollout may take.
 const LONGEST_S: f64 = 7.0 * 86_400.0;
@@ -102,7 +102,7 @@
         }
     };
     let key = VersionRollout::key(&order.service);
-    controller.change(&key, control::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
+    controller.change(&key, routes::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
 }
 
 /// Where the newest rollout of a service stands.
@@ -112,7 +112,7 @@
     async fn read(&self, service: &str) -> Receipt {
         let judge = |body: &[u8]| Decision::Answer((VersionRollout::read_bytes(body), body.is_empty()));
         let key = VersionRollout::key(service);
-        match self.0.change(&key, control::wait_ms(&self.0), judge).await {
+        match self.0.change(&key, routes::wait_ms(&self.0), judge).await {
             Some((Some(rollout), _)) => Receipt::Text(shown(&rollout).to_string().into_bytes()),
             Some((None, true)) => Receipt::Bad(404, format!("service `{service}`: no rollout")),
             _ => Receipt::Unclear,
@@ -135,10 +135,10 @@
             "GET" => self.read(&service).await,
             _ => Receipt::Bad(405, "method: GET".into()),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
 
 #[cfg(test)]
-#[path = "version_calls_tests.rs"]
+#[path = "version_rollouts_tests.rs"]
 mod tests;
--- a/controller/src/balance.rs
+++ b/controller/src/balancing.rs
@@ -12,9 +12,9 @@
 use tokio::time;
 
 use crate::controller::Controller;
-use crate::duty::{self, BALANCE};
 use crate::event::ORDER;
-use crate::outbound;
+use crate::http_client;
+use crate::roles::{self, BALANCE};
 
 /// How often load is looked at, and how often in a row a judgement must stand.
 const LOOK_MS: u64 = 400;
@@ -62,7 +62,7 @@
 
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = outbound::at_most_once(wait(CONNECT_MS), wait(UNACKNOWLEDGED_MS)).timeout(wait(CALL_MS));
+    let client = http_client::at_most_once(wait(CONNECT_MS), wait(UNACKNOWLEDGED_MS)).timeout(wait(CALL_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -78,11 +78,11 @@
 async fn look(controller: &Arc<Controller>, client: &Client, balance: &mut Balance) {
     let now = clock::now();
     controller.roster.lock().expect("roster").reassigning.retain(|(_, until)| *until > now);
-    let Some(epoch) = duty::acting_epoch(controller, BALANCE, now) else {
+    let Some(epoch) = roles::acting_epoch(controller, BALANCE, now) else {
         *balance = Balance::default();
         return;
     };
-    if !duty::declare_clear(controller, BALANCE, epoch).await {
+    if !roles::declare_clear(controller, BALANCE, epoch).await {
         return;
     }
     for (service, list) in candidates(controller, balance, now) {
@@ -163,7 +163,7 @@
         return;
     }
     // No longer the holder: no order.
-    let Some(epoch) = duty::acting_epoch(&controller, BALANCE, now) else { return };
+    let Some(epoch) = roles::acting_epoch(&controller, BALANCE, now) else { return };
     let phase = if order.prefill { "prefill" } else { "decode" };
     let body = serde_json::json!({
         "opcode": "phase", "phase": phase, "owner": controller.settings.node_name, "fence_token": epoch
@@ -178,5 +178,5 @@
 }
 
 #[cfg(test)]
-#[path = "balance_tests.rs"]
+#[path = "balancing_tests.rs"]
 mod tests;
--- a/controller/src/job_run.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -10,10 +10,10 @@
 use reqwest::Client;
 use tokio::time;
 
+use crate::batches::runner::{self, InFlight, Shared, LOOK_MS};
+use crate::batches::{job_request, records};
 use crate::controller::Controller;
 use crate::event::JOB;
-use crate::runner::{self, InFlight, Shared, LOOK_MS};
-use crate::{batches, job_request};
 
 /// A job never gets longer than this for one attempt, whatever its route says.
 const ATTEMPT_MS: u64 = 120_000;
@@ -31,7 +31,7 @@
     epoch: u64,
 ) -> Option<()> {
     let (id, at) = (send.id.as_str(), send.job);
-    let batch = batches::batch(&controller.committed_state.lock().expect("committed_state"), id)?;
+    let batch = records::batch(&controller.committed_state.lock().expect("committed_state"), id)?;
     let job = batch.jobs.get(at)?;
     let (number, slot) = (at / PAGE, at % PAGE);
     let router = controller.roster.lock().expect("roster").next_frontend(clock::now(), at)?;
--- a/controller/src/batches.rs
+++ b/controller/src/batches/records.rs
@@ -10,10 +10,10 @@
 use poem::{Endpoint, Request, Response};
 use protocol::config::{self, Route};
 
-use crate::control::{self, Receipt};
+use crate::api::routes::{self, Receipt};
 use crate::controller::{CommittedState, Controller};
 use crate::event::BATCH;
-use crate::register::Decision;
+use crate::replication::registers::Decision;
 
 pub const KEY: &str = "batch/";
 
@@ -100,7 +100,7 @@
             }
             None => Decision::Write(body.clone(), Receipt::Good),
         };
-        match controller.change(&batch_key(&id), control::wait_ms(controller), judge).await {
+        match controller.change(&batch_key(&id), routes::wait_ms(controller), judge).await {
             Some(Receipt::Good) => {
                 kernel::log_event!(BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
                 Receipt::Text(serde_json::json!({ "batch": id, "jobs": batch.jobs.len() }).to_string().into_bytes())
@@ -151,7 +151,7 @@
                 Decision::Write(next.write_bytes(), Receipt::Good)
             }
         };
-        let done = self.0.change(&batch_key(id), control::wait_ms(&self.0), judge).await;
+        let done = self.0.change(&batch_key(id), routes::wait_ms(&self.0), judge).await;
         done.unwrap_or(Receipt::Unclear)
     }
 }
@@ -184,19 +184,19 @@
 
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
         match req.method().as_str() {
-            "GET" => return Ok(control::write(self.list())),
+            "GET" => return Ok(routes::write(self.list())),
             "POST" => {}
-            _ => return Ok(control::write(Receipt::Bad(405, "method: GET or POST".into()))),
+            _ => return Ok(routes::write(Receipt::Bad(405, "method: GET or POST".into()))),
         }
         let key = req.header("idempotency-key").unwrap_or("").to_string();
         let most = 2 * BYTES;
         let Ok(body) = req.take_body().into_bytes_limit(most).await else {
-            return Ok(control::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
+            return Ok(routes::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
         };
         let Ok(text) = String::from_utf8(body.to_vec()) else {
-            return Ok(control::write(Receipt::Bad(400, "body: not UTF-8".into())));
+            return Ok(routes::write(Receipt::Bad(400, "body: not UTF-8".into())));
         };
-        Ok(control::write(self.submit(&key, &text).await))
+        Ok(routes::write(self.submit(&key, &text).await))
     }
 }
 
@@ -210,7 +210,7 @@
             "DELETE" => self.cancel(&id).await,
             _ => Receipt::Bad(405, "method: GET or DELETE".into()),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
 
@@ -219,6 +219,6 @@
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let id = req.path_params::<String>().unwrap_or_default();
-        Ok(control::write(self.read(&id)))
+        Ok(routes::write(self.read(&id)))
     }
 }
--- a/controller/src/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -15,10 +15,11 @@
 use protocol::socket::SILENCE_MS;
 use reqwest::Client;
 
+use crate::batches::{job_attempt, records};
 use crate::controller::Controller;
-use crate::duty::{self, BATCH};
-use crate::register::Decision;
-use crate::{batches, job_run, outbound};
+use crate::http_client;
+use crate::replication::registers::Decision;
+use crate::roles::{self, BATCH};
 
 pub const LOOK_MS: u64 = 250;
 const CONNECT_MS: u64 = 700;
@@ -73,7 +74,7 @@
 
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = outbound::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
+    let client = http_client::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -90,7 +91,7 @@
 
 /// The epoch under which batches may be run now: the last owner has stopped by then.
 pub fn acting_epoch(controller: &Controller, now: u64) -> Option<u64> {
-    duty::acting_epoch(controller, BATCH, now)
+    roles::acting_epoch(controller, BATCH, now)
 }
 
 async fn look(controller: &Arc<Controller>, client: &Client, runner: &mut Runner, in_flight: &Shared) {
@@ -99,13 +100,13 @@
         return;
     }
     let now = clock::now();
-    let ids = batches::ids(&controller.committed_state.lock().expect("committed_state"));
+    let ids = records::ids(&controller.committed_state.lock().expect("committed_state"));
     let epoch = if ids.is_empty() { None } else { acting_epoch(controller, now) };
     let Some(epoch) = epoch else {
         runner.looked = now;
         return;
     };
-    if !duty::declare_clear(controller, BATCH, epoch).await {
+    if !roles::declare_clear(controller, BATCH, epoch).await {
         return;
     }
     if epoch != runner.epoch {
@@ -126,7 +127,7 @@
     }
     for send in next(&open, in_flight, now) {
         in_flight.lock().expect("in flight").jobs.insert((send.id.clone(), send.job));
-        controller.shutdown.spawn(job_run::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
+        controller.shutdown.spawn(job_attempt::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
     }
 }
 
@@ -136,7 +137,7 @@
     let in_flight = in_flight.lock().expect("in flight");
     let mut list = Vec::new();
     for number in 0..batch.pages() {
-        let page = batches::page(&committed_state, id, batch, number);
+        let page = records::page(&committed_state, id, batch, number);
         let waits = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
         list.extend(waits.map(|(slot, _)| number * PAGE + slot));
     }
@@ -167,18 +168,18 @@
     mut act: impl FnMut(&mut Page) -> Result<(), Bar>,
 ) -> Option<bool> {
     let judge = |body: &[u8]| {
-        let mut page = Page::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
+        let mut page = Page::read_bytes(body).unwrap_or_else(|| records::blank(batch, number));
         match act(&mut page) {
             Ok(()) if page.write_bytes() == body => Decision::Answer(true),
             Ok(()) => Decision::Write(page.write_bytes(), true),
             Err(_) => Decision::Answer(false),
         }
     };
-    controller.change(&batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
+    controller.change(&records::page_key(id, number), PAGE_CHANGE_MS, judge).await
 }
 
 async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
-    let Some(batch) = batches::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
+    let Some(batch) = records::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
         return false;
     };
     for number in 0..batch.pages() {
@@ -199,8 +200,8 @@
 async fn tend(controller: &Controller, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
     let (held, done) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
-        let held = batches::batch(&committed_state, id)?;
-        let done = (0..held.pages()).all(|number| batches::page(&committed_state, id, &held, number).closed());
+        let held = records::batch(&committed_state, id)?;
+        let done = (0..held.pages()).all(|number| records::page(&committed_state, id, &held, number).closed());
         (held, done)
     };
     let held = count_down(controller, id, held, spent, done).await?;
@@ -228,8 +229,8 @@
             false => Decision::Answer(()),
         }
     };
-    controller.change(&batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
-    batches::batch(&controller.committed_state.lock().expect("committed_state"), id)
+    controller.change(&records::batch_key(id), BATCH_CHANGE_MS, judge).await?;
+    records::batch(&controller.committed_state.lock().expect("committed_state"), id)
 }
 
 /// Closes the jobs that still wait.
--- a/controller/src/config_body.rs
+++ b/controller/src/config/body.rs
@@ -199,5 +199,5 @@
 }
 
 #[cfg(test)]
-#[path = "config_body_tests.rs"]
+#[path = "body_tests.rs"]
 mod tests;
--- a/controller/src/config_change.rs
+++ b/controller/src/config/change.rs
@@ -1,5 +1,5 @@
 //! What an operator's change of the configuration comes to on top of what is committed: pure.
-use crate::config_body::{BodyForm, Held, Memory};
+use crate::config::body::{BodyForm, Held, Memory};
 use protocol::config::{Checked, ConfigError, Patch};
 use protocol::operator_request::ConfigChange;
 use std::sync::Arc;
@@ -145,5 +145,5 @@
 }
 
 #[cfg(test)]
-#[path = "config_change_tests.rs"]
+#[path = "change_tests.rs"]
 mod tests;
--- a/controller/src/config_change_tests.rs
+++ b/controller/src/config/change_tests.rs
@@ -1,6 +1,6 @@
 //! Operators' changes of the configuration: races, orders sent again, invalid ones.
 use super::{apply, Outcome, Refusal};
-use crate::config_body::{Held, TAKEN};
+use crate::config::body::{Held, TAKEN};
 use protocol::operator_request::ConfigChange;
 
 fn text(revision: u64) -> String {
--- a/controller/src/config_orders.rs
+++ b/controller/src/config/execution.rs
@@ -8,11 +8,12 @@
 use protocol::message::{Entry, Message, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
-use crate::config_body::{body_digest, BodyForm, Held};
-use crate::config_change::{self, Outcome, Proposed};
+use crate::api::operator_requests;
+use crate::config::body::{body_digest, BodyForm, Held};
+use crate::config::change::{self, Outcome, Proposed};
 use crate::controller::Controller;
-use crate::state::CONFIG;
-use crate::{event, orders};
+use crate::event;
+use crate::replication::committed_state::CONFIG;
 
 /// What a change was judged to be on top of one committed body.
 enum Judgement {
@@ -37,7 +38,7 @@
     let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
-    let outcome = controller.change_untold(CONFIG, orders::wait_ms(controller), judge).await;
+    let outcome = controller.change_untold(CONFIG, operator_requests::wait_ms(controller), judge).await;
     let Some((judgement, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
     match judgement {
         Judgement::Step(step) => {
@@ -174,15 +175,15 @@
         _ if advance.pack => BodyForm::Packed,
         _ => BodyForm::Plain,
     };
-    let next = config_change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
+    let next = change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
     let body = next.held.seal(form);
     (body_digest(&body) == advance.after).then_some((body, Some(next.checked)))
 }
 
 #[cfg(test)]
-#[path = "config_orders_tests.rs"]
+#[path = "execution_tests.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "config_timing_tests.rs"]
+#[path = "timing_tests.rs"]
 mod timing_tests;
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -6,10 +6,10 @@
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
-use crate::config_body::{body_digest, BodyForm, Held};
-use crate::config_change::Proposed;
+use crate::config::body::{body_digest, BodyForm, Held};
+use crate::config::change::Proposed;
 use crate::controller::CommittedState;
-use crate::state::CONFIG;
+use crate::replication::committed_state::CONFIG;
 
 fn text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
--- a/controller/src/config_history.rs
+++ b/controller/src/config/history.rs
@@ -231,5 +231,5 @@
 }
 
 #[cfg(test)]
-#[path = "config_history_tests.rs"]
+#[path = "history_tests.rs"]
 mod tests;
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -1,5 +1,5 @@
 //! What a change of the configuration costs. Run by hand, in release:
-//! `cargo test --release -p controller --lib config_timing -- --ignored --nocapture`.
+//! `cargo test --release -p controller --lib timing -- --ignored --nocapture`.
 
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 use protocol::operator_request::ConfigChange;
 
 use super::{advance_of, judge, next_body, Judgement};
-use crate::config_body::{BodyForm, Held};
-use crate::config_change::Proposed;
+use crate::config::body::{BodyForm, Held};
+use crate::config::change::Proposed;
 use crate::controller::CommittedState;
-use crate::state::CONFIG;
+use crate::replication::committed_state::CONFIG;
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -19,20 +19,20 @@
 use protocol::version_rollout::VersionRollout;
 use tokio::sync::Semaphore;
 
-use crate::config_body::BodyForm;
-use crate::config_history::ConfigHistory;
-use crate::disk::Disk;
-use crate::duty::Taken;
+use crate::batches::runner::Tallies;
+use crate::config::body::BodyForm;
+use crate::config::history::ConfigHistory;
+use crate::delivery::subscribers::Followers;
+use crate::discovery::version_lists::FirstVersions;
 use crate::event::CORE;
-use crate::followers::Followers;
 use crate::metrics::Metrics;
-use crate::pause::PauseMonitor;
-use crate::quota::HeldShards;
-use crate::register::OwnershipLock;
-use crate::runner::Tallies;
+use crate::peers::pause::PauseMonitor;
+use crate::quota_shards::HeldShards;
+use crate::replication::disk::Disk;
+use crate::replication::registers::OwnershipLock;
+use crate::roles::Taken;
+use crate::rollout::version_rollouts::Trials;
 use crate::shutdown::Shutdown;
-use crate::version_lists::FirstVersions;
-use crate::versions::Trials;
 
 pub struct Controller {
     pub settings: Settings,
--- a/controller/src/rules.rs
+++ b/controller/src/delivery/limit_confirmations.rs
@@ -11,7 +11,7 @@
 use tokio::time;
 
 use crate::controller::{CommittedState, Controller, SURE_MS};
-use crate::followers::Follower;
+use crate::delivery::subscribers::Follower;
 
 /// The versions of rules among what a router told.
 pub fn told(closed: &[(String, u64)]) -> BTreeMap<String, u64> {
--- a/controller/src/followers.rs
+++ b/controller/src/delivery/subscribers.rs
@@ -54,5 +54,5 @@
 }
 
 #[cfg(test)]
-#[path = "followers_tests.rs"]
+#[path = "subscribers_tests.rs"]
 mod tests;
--- a/controller/src/news.rs
+++ b/controller/src/delivery/updates.rs
@@ -9,10 +9,10 @@
 use serde_json::Value;
 
 use crate::controller::{Controller, ROUTER_LEASE_MS};
-use crate::duty::CATALOG;
-use crate::followers::Follower;
-use crate::quota::send_holders;
-use crate::rules;
+use crate::delivery::limit_confirmations;
+use crate::delivery::subscribers::Follower;
+use crate::quota_shards::send_holders;
+use crate::roles::CATALOG;
 
 impl Controller {
     /// A router renews its lease, tells what it has and gets what it lacks.
@@ -26,7 +26,7 @@
         );
         self.sheets.lock().expect("sheets").raise(&follow.list_versions);
         let mut follower = Follower {
-            rules: rules::told(&follow.evacuation_versions),
+            rules: limit_confirmations::told(&follow.evacuation_versions),
             until: now + ROUTER_LEASE_MS,
             mouth,
             zone: follow.zone,
@@ -97,7 +97,7 @@
         let mut committed_state = self.committed_state.lock().expect("committed_state");
         if follower.reads >= 2 {
             // Before the configuration: no route is served whose rule is known here and not there.
-            rules::send(&committed_state, follower);
+            limit_confirmations::send(&committed_state, follower);
             // Before the news: whoever is told that it is current has it by then.
             let mouth = &follower.mouth;
             let reads = follower.reads;
@@ -109,7 +109,7 @@
             follower.config = revision;
         }
         if follower.reads >= VERSION_ROLLOUTS {
-            crate::versions::send(&committed_state, follower);
+            crate::rollout::version_rollouts::send(&committed_state, follower);
         }
         follower.behind |= !committed_state.history.can_be_told(follower.reads);
         for (zone, (version, on)) in &committed_state.closed {
--- a/controller/src/listing.rs
+++ b/controller/src/discovery/listing.rs
@@ -3,7 +3,7 @@
 use load_balancing::sheet::Known;
 use protocol::message::Engine;
 
-use crate::version_lists::ListedEngine;
+use crate::discovery::version_lists::ListedEngine;
 
 #[derive(serde::Deserialize)]
 struct Model {
--- /dev/null
+++ b/controller/src/discovery/mod.rs
@@ -0,0 +1,5 @@
+//! Discovery of engines: the poller of the platform's list and what is made of it.
+
+pub mod listing;
+pub mod poller;
+pub mod version_lists;
--- a/controller/src/platform.rs
+++ b/controller/src/discovery/poller.rs
@@ -13,10 +13,12 @@
 use tokio::time;
 
 use crate::controller::Controller;
+use crate::delivery::limit_confirmations;
+use crate::discovery::listing::{Listing, Page};
+use crate::discovery::version_lists;
 use crate::event::LIST;
-use crate::listing::{Listing, Page};
 use crate::metrics::{PollLabels, PollOutcome};
-use crate::{duty, outbound, rules, version_lists};
+use crate::{http_client, roles};
 
 /// Why a poll gave no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +66,7 @@
 pub fn report(gossip: &Gossip) -> PeerReport {
     let name = message::hidden_key(UNREACHABLE);
     let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
-    let (sure, vouches) = duty::heard(&gossip.list_versions);
+    let (sure, vouches) = roles::heard(&gossip.list_versions);
     PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
 }
 
@@ -83,7 +85,7 @@
 }
 
 pub fn start(controller: &Arc<Controller>) {
-    let client = outbound::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
+    let client = http_client::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
     let Ok(client) = client else { return };
     for zone in controller.settings.zones.keys() {
         tokio::spawn(run(controller.clone(), client.clone(), zone.clone()));
@@ -144,7 +146,7 @@
         (sheet, candidate_sheet(controller, &mut sheets, zone, parted.candidates))
     };
     if let Some(again) = versions {
-        rules::seen(controller, zone, listing.weights, again);
+        limit_confirmations::seen(controller, zone, listing.weights, again);
     }
     // First those of the version in place: an engine that is both for a moment is no more left out.
     for sheet in sheet.into_iter().chain(candidates) {
@@ -251,5 +253,5 @@
 }
 
 #[cfg(test)]
-#[path = "platform_tests.rs"]
+#[path = "poller_tests.rs"]
 mod tests;
--- a/controller/src/outbound.rs
+++ b/controller/src/http_client.rs
@@ -33,5 +33,5 @@
 }
 
 #[cfg(test)]
-#[path = "outbound_tests.rs"]
+#[path = "http_client_tests.rs"]
 mod tests;
--- a/controller/src/outbound_tests.rs
+++ b/controller/src/http_client_tests.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 use super::{at_most_once, reads};
-use crate::job_request;
+use crate::batches::job_request;
 
 /// What a server does once it has read a request.
 #[derive(Clone, Copy)]
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -12,7 +12,7 @@
 use protocol::operator_request::{OperatorRequest, OperatorResponse};
 use protocol::quota::TokenResponse;
 
-use crate::batches;
+use crate::batches::records;
 use crate::controller::Controller;
 
 /// What an operator's call asked for.
@@ -173,7 +173,7 @@
         let followers =
             controller.followers.lock().expect("followers").list.values().filter(|one| one.until > now).count();
         self.following_routers.set(followers as i64);
-        let batches = batches::ids(&controller.committed_state.lock().expect("committed_state")).len();
+        let batches = records::ids(&controller.committed_state.lock().expect("committed_state")).len();
         self.batches.set(batches as i64);
         self.leaving.set(i64::from(controller.leaving.load(Ordering::Relaxed)));
         telemetry::encode(&self.registry)
--- a/controller/src/message.rs
+++ b/controller/src/peers/dispatch.rs
@@ -7,10 +7,14 @@
 use protocol::link::Responder;
 use protocol::message::{Message, PrefixLookup, PrefixLookupResponse, Record};
 
+use crate::api::operator_requests;
+use crate::config::execution;
 use crate::controller::Controller;
-use crate::quota;
-use crate::versions::take_samples;
-use crate::{config_orders, gossip, orders, platform, rules};
+use crate::delivery::limit_confirmations;
+use crate::discovery::poller;
+use crate::peers::gossip;
+use crate::quota_shards;
+use crate::rollout::version_rollouts::take_samples;
 
 pub fn take(controller: &Arc<Controller>, mouth: Responder, id: u64, msg: Message) {
     let now = clock::now();
@@ -24,18 +28,18 @@
         Message::Gossip(gossip) => gossip::hear(controller, &gossip),
         Message::EndpointList(sheet) => {
             if controller.sheets.lock().expect("sheets").take(&sheet) {
-                platform::prune(controller, &sheet);
+                poller::prune(controller, &sheet);
                 controller.push();
             }
         }
         Message::OperatorRequest(order) => {
             let controller = controller.clone();
             tokio::spawn(async move {
-                let result = orders::relayed(&controller, *order).await;
+                let result = operator_requests::relayed(&controller, *order).await;
                 mouth.reply(id, &Message::OperatorResponse(Box::new(result)));
             });
         }
-        Message::CommittedDelta(advance) => config_orders::advance(controller, &advance),
+        Message::CommittedDelta(advance) => execution::advance(controller, &advance),
         Message::Committed(pair) => controller.learn(&pair.0, &pair.1, false),
         Message::SuspectEngine(doubt) => controller.doubt(&doubt.0, doubt.1),
         Message::SubscriptionRenewal(follow) => controller.follow(mouth, id, *follow),
@@ -53,15 +57,15 @@
             note.loads.iter().take(KEYS).for_each(|told| catalog.gauge.note(told, now));
         }
         Message::TokenRequest(spend) => {
-            let spent = quota::spend(controller, &spend);
+            let spent = quota_shards::spend(controller, &spend);
             mouth.reply(id, &Message::TokenResponse(Box::new(spent)));
         }
         Message::Samples(samples) => take_samples(controller, *samples),
         Message::UsageRequest(_) => {
-            let usage = quota::usage(controller);
+            let usage = quota_shards::usage(controller);
             mouth.reply(id, &Message::UsageResponse(Box::new(usage)));
         }
-        Message::WeightVersions(list) => rules::hear(controller, *list),
+        Message::WeightVersions(list) => limit_confirmations::hear(controller, *list),
         Message::CountConfirmations(ask) => {
             let reply = controller.settled(&ask.0, ask.1, now);
             mouth.reply(id, &Message::ConfirmationCount(Box::new(reply)));
--- a/controller/src/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -9,8 +9,9 @@
 use protocol::message::{self, Gossip, Message};
 
 use crate::controller::{Controller, BEAT_MS, LIVE_MS};
-use crate::duty::{self, BALANCE, BATCH};
-use crate::{confirm, platform};
+use crate::discovery::poller;
+use crate::replication::confirmer;
+use crate::roles::{self, BALANCE, BATCH};
 
 pub fn hear(controller: &Controller, gossip: &Gossip) {
     if gossip.ip == controller.me() {
@@ -32,7 +33,7 @@
         reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
     };
     roster.observe(&gossip.ip, peer);
-    roster.report(&gossip.ip, platform::report(gossip), now);
+    roster.report(&gossip.ip, poller::report(gossip), now);
     for ip in &gossip.peers {
         if ip.parse::<Ipv4Addr>().is_ok() && *ip != roster.own_ip && !roster.controllers.contains_key(ip) {
             let unseen =
@@ -56,8 +57,8 @@
         loop {
             beat.tick().await;
             tell(&controller);
-            confirm::run(&controller).await;
-            if crate::quota::beat(&controller) {
+            confirmer::run(&controller).await;
+            if crate::quota_shards::beat(&controller) {
                 controller.push();
             }
         }
@@ -89,8 +90,8 @@
         }
         (versions, held.floors())
     };
-    sheets.extend(platform::told(controller, now));
-    sheets.extend(duty::told(controller, now));
+    sheets.extend(poller::told(controller, now));
+    sheets.extend(roles::told(controller, now));
     let gossip = Gossip {
         ip: controller.me().into(),
         zone: controller.settings.zone.clone(),
--- /dev/null
+++ b/controller/src/peers/mod.rs
@@ -0,0 +1,5 @@
+//! The other controllers: heartbeats, pauses of the own process, and dispatch of their messages.
+
+pub mod dispatch;
+pub mod gossip;
+pub mod pause;
--- a/controller/src/quota.rs
+++ b/controller/src/quota_shards.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 use crate::controller::Controller;
-use crate::followers::Follower;
+use crate::delivery::subscribers::Follower;
 
 /// The shards held here, and who may hold others.
 pub struct HeldShards {
--- a/controller/src/state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -8,8 +8,8 @@
 use protocol::message::{Entry, Message, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 
-use crate::config_body::Held;
-use crate::config_history::NotNewer;
+use crate::config::body::Held;
+use crate::config::history::NotNewer;
 use crate::controller::{CommittedState, Controller};
 use crate::event::{LEARNED, UNREADABLE};
 
@@ -215,5 +215,5 @@
 }
 
 #[cfg(test)]
-#[path = "state_tests.rs"]
+#[path = "committed_state_tests.rs"]
 mod tests;
--- a/controller/src/state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -11,8 +11,8 @@
 use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
 
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
-use crate::config_body::{BodyForm, Held};
-use crate::config_history::NotNewer;
+use crate::config::body::{BodyForm, Held};
+use crate::config::history::NotNewer;
 use crate::controller::CommittedState;
 
 fn text(revision: u64, timeout: u64) -> String {
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -16,7 +16,8 @@
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
-use crate::{gossip, recovery, state};
+use crate::peers::gossip;
+use crate::replication::{committed_state, recovery};
 
 /// How often members are looked at. Short: a core that lost one for good bears no second loss until this
 /// has run its course.
@@ -77,9 +78,9 @@
     }
     let next = next(&core, &controller.roster.lock().expect("roster"), now);
     let Some(next) = next else { return };
-    let judge = |body: &[u8]| match state::read_core(body) {
+    let judge = |body: &[u8]| match committed_state::read_core(body) {
         Some(held) if held.version != core.version || !held.stable => Decision::Answer(()),
-        _ => Decision::Write(state::write_core(&next), ()),
+        _ => Decision::Write(committed_state::write_core(&next), ()),
     };
     if controller.change(MEMBERSHIP_KEY, COMMIT_MS, judge).await.is_some() {
         settle(controller, &controller.core(), settlement).await;
@@ -120,10 +121,10 @@
     if !settlement.is_done() {
         return;
     }
-    let judge = |body: &[u8]| match state::read_core(body) {
+    let judge = |body: &[u8]| match committed_state::read_core(body) {
         Some(held) if held.version == core.version && !held.stable => {
             let settled = stabilized(&held);
-            Decision::Write(state::write_core(&settled), ())
+            Decision::Write(committed_state::write_core(&settled), ())
         }
         _ => Decision::Answer(()),
     };
--- a/controller/src/register.rs
+++ b/controller/src/replication/registers.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Mutex;
 use tokio::time::{self, Instant};
 
-use crate::config_orders;
+use crate::config::execution;
 use crate::controller::Controller;
 
 /// One key's owner state in this controller. Invariant: a change is made only while it is locked, so
@@ -115,7 +115,7 @@
     pub async fn change<T>(&self, key: &str, wait_ms: u64, judge: impl FnMut(&[u8]) -> Decision<T>) -> Outcome<T> {
         let (answer, owner, wrote) = self.change_untold(key, wait_ms, judge).await?;
         if !wrote && owner.entry.body.len() > LONG_BODY {
-            config_orders::tell_again(self, key, &owner.entry);
+            execution::tell_again(self, key, &owner.entry);
         } else if !owner.is_blank() {
             self.learn(key, &owner.entry, true);
         }
--- a/controller/src/duty.rs
+++ b/controller/src/roles.rs
@@ -10,11 +10,11 @@
 use membership::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
 use protocol::message;
 
-use crate::batches;
+use crate::batches::records;
 use crate::controller::{Controller, SURE_MS};
 use crate::event::DUTY;
-use crate::register::Decision;
-use crate::state::Duty;
+use crate::replication::committed_state::Duty;
+use crate::replication::registers::Decision;
 
 pub const CATALOG: &str = "duty/catalog";
 pub const BALANCE: &str = "duty/balance";
@@ -124,7 +124,7 @@
         return;
     }
     // Taken only once there is something to do.
-    if key == BATCH && batches::ids(&controller.committed_state.lock().expect("committed_state")).is_empty() {
+    if key == BATCH && records::ids(&controller.committed_state.lock().expect("committed_state")).is_empty() {
         return;
     }
     let (epoch, holder, clear) =
@@ -191,5 +191,5 @@
 }
 
 #[cfg(test)]
-#[path = "duty_tests.rs"]
+#[path = "roles_tests.rs"]
 mod tests;
--- /dev/null
+++ b/controller/src/rollout/mod.rs
@@ -0,0 +1,4 @@
+//! Rollouts: limits on stale weights and staged versions of services.
+
+pub mod staleness_limits;
+pub mod version_rollouts;
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -4,10 +4,10 @@
 use protocol::message::StalenessLimit;
 use serde_json::Value;
 
-use crate::control::{self, Receipt};
+use crate::api::routes::{self, Receipt};
 use crate::controller::Controller;
 use crate::event::{RULE, UNSETTLED};
-use crate::register::Decision;
+use crate::replication::registers::Decision;
 
 /// What a call asks of a rule.
 pub enum LimitChange {
@@ -148,7 +148,7 @@
             Err((status, words)) => Decision::Answer(Err(Receipt::Bad(status, words))),
         }
     };
-    let version = match controller.change(key, control::wait_ms(controller), judge).await {
+    let version = match controller.change(key, routes::wait_ms(controller), judge).await {
         Some(Ok(version)) => version,
         Some(Err(receipt)) => return receipt,
         None => return Receipt::Unclear,
@@ -162,5 +162,5 @@
 }
 
 #[cfg(test)]
-#[path = "rollouts_tests.rs"]
+#[path = "staleness_limits_tests.rs"]
 mod tests;
--- a/controller/src/versions.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -12,9 +12,9 @@
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
 use crate::controller::{CommittedState, Controller};
+use crate::delivery::subscribers::Follower;
 use crate::event::VERSION_STEP;
-use crate::followers::Follower;
-use crate::register::Decision;
+use crate::replication::registers::Decision;
 
 /// How often samples are passed on and judged.
 const BEAT_MS: u64 = 200;
@@ -206,5 +206,5 @@
 }
 
 #[cfg(test)]
-#[path = "versions_tests.rs"]
+#[path = "version_rollouts_tests.rs"]
 mod tests;
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -4,7 +4,7 @@
 use consensus::quorum;
 
 use super::{address, Cluster, Node};
-use crate::config_body::Held;
+use crate::config::body::Held;
 
 /// How long a leaving process stays at most, as the controller has it.
 const HAND_OVER_MS: u64 = 3500;
--- a/controller/src/simulation/history.rs
+++ b/controller/src/simulation/history.rs
@@ -6,7 +6,7 @@
 
 use super::bodies;
 use super::operator::{Answer, Attempt, OperatorAction};
-use crate::config_body::{self, Held};
+use crate::config::body::{self, Held};
 
 /// A change that an operator knows to be taken.
 #[derive(Clone, Copy, Debug)]
@@ -79,7 +79,7 @@
         let Some(order) = self.orders.get(&attempt) else { return };
         match (order, answer) {
             (OperatorAction::Change(change), Answer::Good) => {
-                let (base, digest) = (change.base, config_body::digest(change));
+                let (base, digest) = (change.base, body::digest(change));
                 let same_base = self.acknowledged.iter().find(|one| one.base == base && one.digest != digest);
                 if same_base.is_some() {
                     self.violations.push(format!("{now}: two changes of version {base} were acknowledged"));
@@ -123,7 +123,7 @@
         }
         for attempt in &self.invalid {
             let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &config_body::digest(change)) {
+            if is_taken(last, &body::digest(change)) {
                 self.violations.push(format!("{attempt:?}: an invalid change is in force"));
             }
         }
@@ -135,7 +135,7 @@
         }
         for attempt in &self.refused {
             let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &config_body::digest(change)) {
+            if is_taken(last, &body::digest(change)) {
                 self.violations.push(format!("a change of version {} was taken and refused", change.base));
             }
         }
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -11,7 +11,7 @@
 use super::changes::Purpose;
 use super::network::Address;
 use super::{address, Cluster};
-use crate::{reconfiguration, state};
+use crate::replication::{committed_state, reconfiguration};
 
 const BEAT_MS: u64 = 150;
 const SPREAD_MS: u64 = 800;
@@ -73,9 +73,9 @@
         let now = self.now;
         let Some(next) = reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
         let version = core.version;
-        let judge = move |body: &[u8]| match state::read_core(body) {
+        let judge = move |body: &[u8]| match committed_state::read_core(body) {
             Some(held) if held.version != version || !held.stable => Decision::Answer(None),
-            _ => Decision::Write(state::write_core(&next), None),
+            _ => Decision::Write(committed_state::write_core(&next), None),
         };
         self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
@@ -120,10 +120,10 @@
             return;
         }
         let version = core.version;
-        let judge = move |body: &[u8]| match state::read_core(body) {
+        let judge = move |body: &[u8]| match committed_state::read_core(body) {
             Some(held) if held.version == version && !held.stable => {
                 let settled = stabilized(&held);
-                Decision::Write(state::write_core(&settled), None)
+                Decision::Write(committed_state::write_core(&settled), None)
             }
             _ => Decision::Answer(None),
         };
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -15,10 +15,10 @@
 use super::network::{Address, Envelope, Packet};
 use super::operator::EVACUATION;
 use super::{address, Cluster};
-use crate::config_body::Held;
+use crate::config::body::Held;
 use crate::controller::{LIVE_MS, SURE_MS};
-use crate::pause::PauseMonitor;
-use crate::state::{self, Closed, CONFIG};
+use crate::peers::pause::PauseMonitor;
+use crate::replication::committed_state::{self, Closed, CONFIG};
 
 /// Records on their way to the disk, and the vote that may leave once they are there.
 pub struct Write {
@@ -183,7 +183,7 @@
         }
         node.committed.insert(key.into(), entry.clone());
         if key == MEMBERSHIP_KEY {
-            if let Some(core) = state::read_core(&entry.body) {
+            if let Some(core) = committed_state::read_core(&entry.body) {
                 self.adopt(at, &core);
             }
         }
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -7,15 +7,15 @@
 use super::changes::Purpose;
 use super::network::{Address, Packet};
 use super::{bodies, Cluster, Guards};
-use crate::config_body::{BodyForm, Held, TakenChange};
-use crate::config_change::{self, Outcome, Refusal};
-use crate::orders;
-use crate::state::CONFIG;
+use crate::api::operator_requests;
+use crate::config::body::{BodyForm, Held, TakenChange};
+use crate::config::change::{self, Outcome, Refusal};
+use crate::replication::committed_state::CONFIG;
 
 /// How long an operator waits for an answer, and a controller for an outcome.
 const SILENCE_MS: u64 = 1000;
 const CHANGE_MS: u64 = 2000;
-const EVACUATE_MS: u64 = orders::EVACUATE_MS;
+const EVACUATE_MS: u64 = operator_requests::EVACUATE_MS;
 const UNHEARD_CLOSE_ONE_OF: u64 = 4;
 const CARRIED_OUT_TWICE_ONE_OF: u64 = 3;
 pub const EVACUATION: &str = "evacuation/z";
@@ -229,7 +229,7 @@
 }
 
 fn judge_evacuation(on: bool, from: Option<u64>, body: &[u8]) -> Decision<Option<Answer>> {
-    orders::judge_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
+    operator_requests::judge_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
 }
 
 fn judge_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Decision<Option<Answer>> {
@@ -237,9 +237,9 @@
     if !guards.digests {
         held.taken.clear();
     }
-    let mut outcome = config_change::apply(change, &held);
+    let mut outcome = change::apply(change, &held);
     if !guards.validity && matches!(outcome, Err(Refusal::Invalid(_))) {
-        let next = config_change::repeat(change, bodies::revision(change), &held, None, BodyForm::Digested);
+        let next = change::repeat(change, bodies::revision(change), &held, None, BodyForm::Digested);
         outcome = next.map(Outcome::Next).ok_or(Refusal::Conflict { base: change.base, current: held.revision });
     }
     match outcome {
--- a/controller/src/boot.rs
+++ b/controller/src/startup.rs
@@ -18,12 +18,17 @@
 use tokio::sync::Semaphore;
 use tokio::time;
 
+use crate::api::routes;
+use crate::batches::runner;
 use crate::controller::{Catalog, Controller, LIVE_MS};
-use crate::disk::{self, Disk};
+use crate::discovery::poller;
 use crate::event::{BAD_DISK, GONE, LEAVE, START};
 use crate::metrics::Metrics;
-use crate::quota::HeldShards;
-use crate::{balance, control, duty, gossip, message, pause, platform, reconfiguration, runner, shutdown};
+use crate::peers::{dispatch, gossip, pause};
+use crate::quota_shards::HeldShards;
+use crate::replication::disk::{self, Disk};
+use crate::replication::reconfiguration;
+use crate::{balancing, roles, shutdown};
 
 /// The parts of the controller that announce themselves.
 #[kernel::plugin::linkme::distributed_slice]
@@ -42,18 +47,18 @@
 part!(GOSSIP, "gossip", 2, gossip::start);
 part!(PAUSES, "pauses", 1, pause::start);
 part!(MEMBERSHIP, "membership", 3, reconfiguration::start);
-part!(PLATFORM, "platform", 4, platform::start);
-part!(DUTY, "duty", 5, duty::start);
+part!(PLATFORM, "platform", 4, poller::start);
+part!(DUTY, "duty", 5, roles::start);
 part!(BATCHES, "batches", 8, runner::start);
-part!(BALANCE, "balance", 7, balance::start);
-part!(VERSIONS, "versions", 9, crate::versions::start);
-part!(CONTROL, "control", 6, control::start);
+part!(BALANCE, "balance", 7, balancing::start);
+part!(VERSIONS, "versions", 9, crate::rollout::version_rollouts::start);
+part!(CONTROL, "control", 6, routes::start);
 part!(FELLOWS, "peers", 1, peers);
 
 fn peers(controller: &Arc<Controller>) {
     let addr = format!("{}:{}", controller.settings.ip, controller.settings.peer_port());
     let controller = controller.clone();
-    let handler: Handler = Arc::new(move |mouth, id, msg| message::take(&controller, mouth, id, msg));
+    let handler: Handler = Arc::new(move |mouth, id, msg| dispatch::take(&controller, mouth, id, msg));
     tokio::spawn(async move {
         loop {
             match socket::listen(&addr) {
