--- a/router/src/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -3,9 +3,9 @@
 use kernel::clock;
 
 use super::{absorb, presumed_cold_ms};
-use crate::stand_in::Engine;
-use crate::stand_in_router;
 use crate::state::State;
+use crate::testing::engine::Engine;
+use crate::testing::router;
 
 async fn engine(id: &str) -> Engine {
     Engine::start(id, "decode", |_| unreachable!("nothing is sent")).await
@@ -17,7 +17,7 @@
 
 #[tokio::test]
 async fn engines_of_a_zone_that_is_taken_back_are_taken_for_cold_until_the_list_would_say_so() {
-    let state = stand_in_router::router(&[engine("i-1").await]);
+    let state = router::router(&[engine("i-1").await]);
     absorb(&state, &[("a".into(), 1, true)]);
     assert_eq!(cold_until(&state, 0), 0);
     let before = clock::now();
@@ -27,7 +27,7 @@
 
 #[tokio::test]
 async fn other_zones_and_older_news_change_nothing() {
-    let state = stand_in_router::router(&[engine("i-1").await]);
+    let state = router::router(&[engine("i-1").await]);
     absorb(&state, &[("b".into(), 1, true), ("b".into(), 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
     absorb(&state, &[("a".into(), 3, true)]);
--- a/router/src/currency.rs
+++ b/router/src/config/freshness.rs
@@ -13,8 +13,8 @@
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
 
+use crate::config::routing_table::Table;
 use crate::state::State;
-use crate::table::Table;
 
 /// No proof yet.
 const NEVER: i64 = i64::MIN;
@@ -127,5 +127,5 @@
 }
 
 #[cfg(test)]
-#[path = "currency_tests.rs"]
+#[path = "freshness_tests.rs"]
 mod tests;
--- a/router/src/currency_tests.rs
+++ b/router/src/config/freshness_tests.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 use super::{table_with, Miss, MOST_WAITING};
-use crate::config;
-use crate::stand_in_router::SETTINGS;
+use crate::config::activation;
+use crate::config::routing_table::Table;
 use crate::state::State;
-use crate::table::Table;
+use crate::testing::router::SETTINGS;
 
 /// A client that has long.
 const LEFT_MS: u64 = 60_000;
@@ -20,7 +20,7 @@
 
 fn put_in_force(state: &State, revision: u64) {
     let config = serde_json::json!({"revision": revision, "route_table": [], "service_table": []});
-    config::config(state, revision, config.to_string().as_bytes());
+    activation::config(state, revision, config.to_string().as_bytes());
 }
 
 /// What a request looks for: something that is there from a revision on.
--- a/router/src/table.rs
+++ b/router/src/config/routing_table.rs
@@ -9,8 +9,8 @@
 use protocol::change::Change;
 use protocol::config;
 
-use crate::duration_estimate::DurationEstimate;
-use crate::tenants::Tenants;
+use crate::config::tenants::Tenants;
+use crate::proxy::duration_estimate::DurationEstimate;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -174,5 +174,5 @@
 }
 
 #[cfg(test)]
-#[path = "table_tests.rs"]
+#[path = "routing_table_tests.rs"]
 mod tests;
--- a/router/src/fresh.rs
+++ b/router/src/config/version_bounds.rs
@@ -7,7 +7,7 @@
 use protocol::message::{self, StalenessLimit, WeightVersions};
 
 use crate::event::{FEW, RULE};
-use crate::exchange::Exchange;
+use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
 /// How often the want of fresh replicas is told, however many requests meet it.
--- a/router/src/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -13,19 +13,20 @@
 use protocol::headers::TIME_BUDGET;
 use tokio::time;
 
-use crate::authorization::{self, Authorization, UnknownKey};
-use crate::currency::{self, Miss};
-use crate::drain::Phase;
+use crate::config::freshness::{self, Miss};
+use crate::config::routing_table::{self, Table};
+use crate::config::tenants::KeyDigest;
 use crate::event::FIRST;
-use crate::exchange::Exchange;
-use crate::failure::{self, Body, Failure};
-use crate::frames::Look;
+use crate::frontend::authorization::{self, Authorization, UnknownKey};
+use crate::frontend::drain::Phase;
+use crate::frontend::error_response::{self, Body, Failure};
+use crate::frontend::framing_check::Look;
+use crate::frontend::request;
+use crate::frontend::request_guard::RequestGuard;
 use crate::metrics::{Connection, Outcome, Stage};
-use crate::request_guard::RequestGuard;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::{forward, plan};
 use crate::state::State;
-use crate::table::{self, Table};
-use crate::tenants::KeyDigest;
-use crate::{plan, relay, request};
 
 /// Reads, checks and carries one request; always gives an answer.
 pub async fn serve(
@@ -36,7 +37,7 @@
 ) -> Response<Body> {
     let mut guard = RequestGuard::begin(&state, connection);
     let leaving = state.is_leaving();
-    let fail = |failure: Failure, last| (failure::write(failure, last), failure.into());
+    let fail = |failure: Failure, last| (error_response::write(failure, last), failure.into());
     if look.both() {
         let (response, outcome) = fail(Failure::Malformed, leaving);
         return guard.follow(response, outcome);
@@ -50,7 +51,7 @@
     let (response, outcome) = match entered {
         Ok(exchange) => {
             guard.enter(Stage::Forwarding);
-            match relay::answer(exchange).await {
+            match forward::answer(exchange).await {
                 Ok(response) => {
                     let outcome = passed_on(&response);
                     (response, outcome)
@@ -136,7 +137,7 @@
     let left_ms = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
     let key = authorization::key(&parts.headers);
     let accepts = |table: &Table| judge(table, parts, key).is_ok();
-    let table = match currency::table_with(state, left_ms, accepts).await {
+    let table = match freshness::table_with(state, left_ms, accepts).await {
         Ok(table) => table,
         Err(Miss::Unproved) => return Err(Failure::Refused(RETRY_MS)),
         // The proof holds for this table as well: it is the same or a newer one.
@@ -196,7 +197,7 @@
     let route = authorization.route().clone();
     let service = {
         let mut dice = state.dice.lock().expect("dice");
-        table::split(&route.targets, dice.next_u64())
+        routing_table::split(&route.targets, dice.next_u64())
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
     state.held.fetch_add(request.body.len(), Ordering::Relaxed);
--- a/router/src/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -4,9 +4,9 @@
 
 use tokio::time;
 
-use crate::stand_in::{answer, engines, seen, Act, Engine};
-use crate::stand_in_router::{ask, configure, post, status, unproved_router, Client};
 use crate::state::State;
+use crate::testing::engine::{answer, engines, seen, Act, Engine};
+use crate::testing::router::{ask, configure, post, status, unproved_router, Client};
 
 const KEYED: &str = "Authorization: Bearer k1\r\n";
 
--- a/router/src/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -6,9 +6,9 @@
 use http::HeaderMap;
 use protocol::headers::TENANT;
 
-use crate::exchange::Exchange;
-use crate::table::{Route, Table};
-use crate::tenants::{KeyDigest, Tenant};
+use crate::config::routing_table::{Route, Table};
+use crate::config::tenants::{KeyDigest, Tenant};
+use crate::proxy::exchange::Exchange;
 
 /// The one scheme by which a key is carried: `Authorization: Bearer KEY`.
 const SCHEME: &[u8] = b"bearer";
--- a/router/src/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -5,8 +5,8 @@
 use serde_json::Value;
 
 use super::{key, Authorization, UnknownKey};
-use crate::table::Table;
-use crate::tenants::KeyDigest;
+use crate::config::routing_table::Table;
+use crate::config::tenants::KeyDigest;
 
 fn head(values: &[&[u8]]) -> HeaderMap {
     let mut map = HeaderMap::new();
--- a/router/src/frames.rs
+++ b/router/src/frontend/framing_check.rs
@@ -114,5 +114,5 @@
 }
 
 #[cfg(test)]
-#[path = "frames_tests.rs"]
+#[path = "framing_check_tests.rs"]
 mod tests;
--- a/router/src/server.rs
+++ b/router/src/frontend/listener.rs
@@ -18,12 +18,12 @@
 use protocol::socket;
 use tokio::net::TcpStream;
 
-use crate::admission;
-use crate::drain::Phase;
-use crate::frames::{Look, Stream};
+use crate::config::routing_table::Table;
+use crate::frontend::admission;
+use crate::frontend::drain::Phase;
+use crate::frontend::framing_check::{Look, Stream};
 use crate::metrics::{Connection, InPhase};
 use crate::state::State;
-use crate::table::Table;
 
 /// Connections that ask for readiness at once.
 const READINESS_CONNECTIONS: usize = 64;
--- /dev/null
+++ b/router/src/frontend/mod.rs
@@ -0,0 +1,10 @@
+//! The clients' side: connections, request heads and bodies, authorization, admission, draining, and error responses of the router's own.
+
+pub mod admission;
+pub mod authorization;
+pub mod drain;
+pub mod error_response;
+pub mod framing_check;
+pub mod listener;
+pub mod request;
+pub mod request_guard;
--- a/router/src/request.rs
+++ b/router/src/frontend/request.rs
@@ -15,8 +15,8 @@
 };
 use tokio::time;
 
-use crate::authorization::Authorization;
-use crate::failure::Failure;
+use crate::frontend::authorization::Authorization;
+use crate::frontend::error_response::Failure;
 
 /// Invariants: `head` carries no header that concerns one connection only; `body` is whole.
 pub struct Request {
--- a/router/src/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -10,8 +10,8 @@
 use http_body::{Frame, SizeHint};
 use kernel::clock;
 
-use crate::drain::Phase;
-use crate::failure;
+use crate::frontend::drain::Phase;
+use crate::frontend::error_response;
 use crate::metrics::{Arrival, Connection, Ended, Outcome, Stage, UnderWay};
 use crate::state::State;
 
@@ -55,7 +55,11 @@
     }
 
     /// Follows the answer to its end: `outcome` counts once all of the body was taken.
-    pub fn follow(mut self, response: Response<failure::Body>, outcome: Outcome) -> Response<failure::Body> {
+    pub fn follow(
+        mut self,
+        response: Response<error_response::Body>,
+        outcome: Outcome,
+    ) -> Response<error_response::Body> {
         use http_body::Body;
         self.enter(Stage::Answering);
         self.state.metrics.first_byte.observe(self.age_s());
@@ -63,7 +67,7 @@
             let left = body.size_hint().exact();
             let mut followed = FollowedBody { body, left, outcome, guard: self };
             followed.note_end(left == Some(0));
-            failure::Body::new(followed)
+            error_response::Body::new(followed)
         })
     }
 }
@@ -79,7 +83,7 @@
 
 /// The body of an answer, and the request that it ends.
 struct FollowedBody {
-    body: failure::Body,
+    body: error_response::Body,
     /// Bytes still to come, where that is known.
     left: Option<u64>,
     /// What the request came to once the body is taken whole.
@@ -119,9 +123,9 @@
     }
 }
 
-impl From<failure::Failure> for Outcome {
-    fn from(failure: failure::Failure) -> Outcome {
-        use crate::failure::Failure;
+impl From<error_response::Failure> for Outcome {
+    fn from(failure: error_response::Failure) -> Outcome {
+        use crate::frontend::error_response::Failure;
         match failure {
             Failure::Refused(_) => Outcome::Refused,
             Failure::OverQuota(_) => Outcome::OverQuota,
--- a/router/src/kv_handle.rs
+++ b/router/src/kv/handle.rs
@@ -2,9 +2,9 @@
 
 use kernel::clock;
 
-use crate::exchange::Exchange;
-use crate::pool::Endpoint;
-use crate::send;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::send;
+use crate::upstream::connection_pool::Endpoint;
 
 /// The memory of a read prompt. Invariants: it serves this request only, is taken once, and is
 /// never named after `until`.
--- a/router/src/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -13,9 +13,9 @@
 use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
 use quota::{Allowances, Bounds, Holder, Quota};
 
-use crate::exchange::Exchange;
-use crate::failure::Failure;
+use crate::frontend::error_response::Failure;
 use crate::metrics::Quotas;
+use crate::proxy::exchange::Exchange;
 
 /// How long a holder may take to answer.
 const ANSWER_MS: u64 = 60;
--- a/router/src/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -11,8 +11,8 @@
 use quota::Quota;
 
 use super::{Decision, QuotaGate};
-use crate::stand_in::{answer, engines, seen, Act};
-use crate::stand_in_router::{ask, configure, router, status, SETTINGS};
+use crate::testing::engine::{answer, engines, seen, Act};
+use crate::testing::router::{ask, configure, router, status, SETTINGS};
 
 /// A controller that answers every request for a token so.
 async fn controller(ip: &str, port: u16, spent: Option<TokenResponse>) -> Arc<AtomicUsize> {
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,8 +2,7 @@
 
 use std::process;
 
-use kernel::startup::{self, EntryFlags};
-use router::boot;
+use kernel::startup::{run_daemon, EntryFlags};
 
 mod flags {
     use kernel::settings::MetricsEndpoint;
@@ -27,5 +26,5 @@
         Err(error) => error.exit(),
     };
     let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    startup::run_daemon("router", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
+    run_daemon("router", env!("CARGO_PKG_VERSION"), entry_flags, router::startup::run)
 }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -9,9 +9,9 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-use crate::drain::Phase;
-use crate::quota_gate::Decision;
-use crate::send;
+use crate::frontend::drain::Phase;
+use crate::limits::quota_gate::Decision;
+use crate::proxy::send;
 use crate::state::State;
 
 /// How far a request is.
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -4,12 +4,12 @@
 
 use tokio::{task, time};
 
-use crate::drain::Phase;
+use crate::frontend::drain::Phase;
+use crate::limits::quota_gate::Decision;
 use crate::metrics::{Ended, Outcome, Quotas, Stage};
-use crate::quota_gate::Decision;
-use crate::stand_in::{answer, engines, events, waiting_engine, Act};
-use crate::stand_in_router::{ask, post, router, Client};
 use crate::state::State;
+use crate::testing::engine::{answer, engines, events, waiting_engine, Act};
+use crate::testing::router::{ask, post, router, Client};
 
 fn ended(state: &State, outcome: Outcome) -> u64 {
     state.metrics.requests_ended.get_or_create(&Ended { phase: Phase::Serving, outcome }).get()
--- a/router/src/stream.rs
+++ b/router/src/proxy/event_stream.rs
@@ -104,5 +104,5 @@
 }
 
 #[cfg(test)]
-#[path = "stream_tests.rs"]
+#[path = "event_stream_tests.rs"]
 mod tests;
--- a/router/src/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -10,16 +10,16 @@
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
-use crate::doubt::{self, SIGN_MS};
-use crate::kv_handle::Handle;
+use crate::config::routing_table::{Kind, Service};
+use crate::frontend::request::Request;
+use crate::kv::handle::Handle;
 use crate::metrics::{Half, Sent};
-use crate::plan::PrefixOwners;
-use crate::pool::{Endpoint, SendError};
-use crate::request::Request;
-use crate::send::{Extra, Outcome};
+use crate::proxy::plan::PrefixOwners;
+use crate::proxy::response_head;
+use crate::proxy::send::{Extra, Outcome};
 use crate::state::State;
-use crate::table::{Kind, Service};
-use crate::verdict;
+use crate::upstream::connection_pool::{Endpoint, SendError};
+use crate::upstream::suspicion::{self, SIGN_MS};
 
 /// One request on its way. Invariants: `may_have_run` never goes back to false;
 /// what is still in flight is ended on drop, and memory that is held is given free.
@@ -210,7 +210,8 @@
     async fn await_outcome(&self, at: usize, to: &Endpoint, extra: &Extra, again: bool) -> Outcome {
         let now = clock::now();
         let wait = self.request.left(now);
-        let call = crate::send::send(&self.state, &self.request, self.service, to, self.max_connections(), extra, wait);
+        let call =
+            crate::proxy::send::send(&self.state, &self.request, self.service, to, self.max_connections(), extra, wait);
         tokio::pin!(call);
         let span = Duration::from_millis(SIGN_MS.min(wait.max(1)));
         loop {
@@ -234,7 +235,7 @@
             return true;
         }
         if now >= seen + SIGN_MS {
-            doubt::raise(&self.state, at);
+            suspicion::raise(&self.state, at);
         }
         false
     }
@@ -247,7 +248,7 @@
         match outcome {
             Outcome::Answer(answer) => {
                 engine.good(now);
-                if let Some(version) = verdict::version(&answer.head.headers) {
+                if let Some(version) = response_head::version(&answer.head.headers) {
                     engine.weigh(self.request.model_key, Some(version));
                 }
                 if let Some(load) = answer.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
@@ -267,7 +268,7 @@
             Outcome::Unsent(SendError::Full) => engine.full_until = now + 20,
             _ => {
                 drop(engine_table);
-                doubt::raise(&self.state, at);
+                suspicion::raise(&self.state, at);
             }
         }
     }
--- a/router/src/relay.rs
+++ b/router/src/proxy/forward.rs
@@ -10,14 +10,15 @@
 use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
 
-use crate::doubt::{self, SIGN_MS};
-use crate::exchange::Exchange;
-use crate::failure::{Body, Failure};
-use crate::feed::{self, Pipe};
-use crate::send::{self, Answer, Extra, Outcome};
-use crate::stream::Splitter;
-use crate::version_rollouts::Seen;
-use crate::{halves, plan, request, verdict};
+use crate::frontend::error_response::{Body, Failure};
+use crate::frontend::request;
+use crate::proxy::event_stream::Splitter;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::response_body::{self, Pipe};
+use crate::proxy::send::{self, Answer, Extra, Outcome};
+use crate::proxy::{phases, plan, response_head};
+use crate::rollout::Seen;
+use crate::upstream::suspicion::{self, SIGN_MS};
 
 /// When a refused client may come back: soon, and later the more is waiting.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
@@ -64,7 +65,7 @@
     let split = exchange.is_streaming()
         && !exchange.request.keys.is_empty()
         && exchange.view(|view| view.has(Half::Prefill) && view.has(Half::Decode));
-    let carried = if split { halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
+    let carried = if split { phases::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
         Err(failure) => {
@@ -81,7 +82,7 @@
         return Ok(pass(exchange, at, answer));
     }
     if exchange.version_bounds().is_some() {
-        exchange.pinned_version = verdict::version(&answer.head.headers).or(exchange.pinned_version);
+        exchange.pinned_version = response_head::version(&answer.head.headers).or(exchange.pinned_version);
     }
     if !sealed(&answer) {
         // Not an engine's answer, whatever it is.
@@ -135,7 +136,7 @@
     /// Goes on at another engine after a break, behind the last event that was passed on.
     async fn resume(&mut self, at: usize, split: &Splitter) -> Option<(usize, Answer)> {
         self.may_have_run = true;
-        doubt::raise(&self.state, at);
+        suspicion::raise(&self.state, at);
         self.tried.push(at);
         if !self.is_resumable() || !split.resumable() {
             return None;
@@ -186,7 +187,7 @@
     if exchange.state.is_leaving() {
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    let (pipe, feed) = feed::pipe(length);
+    let (pipe, feed) = response_body::pipe(length);
     tokio::spawn(async move {
         run(&mut exchange, at, answer, &pipe).await;
     });
--- a/router/src/halves.rs
+++ b/router/src/proxy/phases.rs
@@ -6,12 +6,12 @@
 use protocol::message::Record;
 use serde_json::Value;
 
-use crate::exchange::Exchange;
-use crate::failure::Failure;
-use crate::kv_handle::Handle;
-use crate::plan::{self, Plan};
-use crate::relay;
-use crate::send::{self, Answer, Extra, Outcome};
+use crate::frontend::error_response::Failure;
+use crate::kv::handle::Handle;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::forward;
+use crate::proxy::plan::{self, Plan};
+use crate::proxy::send::{self, Answer, Extra, Outcome};
 
 /// Time kept between the end of a handle's life and its last use.
 const MARGIN_MS: u64 = 400;
@@ -160,11 +160,11 @@
 async fn make(exchange: &mut Exchange, reader: Option<usize>) -> Result<(usize, Answer), Failure> {
     loop {
         let Some((at, handle)) = choose_maker(exchange, reader) else {
-            return Err(relay::failure_of(exchange));
+            return Err(forward::failure_of(exchange));
         };
         if !exchange.grant_send() {
             handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
-            return Err(relay::failure_of(exchange));
+            return Err(forward::failure_of(exchange));
         }
         let reads = if handle.is_some() { 0 } else { exchange.request.tokens() };
         let source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
@@ -189,7 +189,7 @@
                 // Where it was not taken nobody else may name it: this maker may yet come for it.
                 exchange.release_handle();
                 if !exchange.repeatable {
-                    return Err(relay::failure_of(exchange));
+                    return Err(forward::failure_of(exchange));
                 }
             }
             _ if held && !is_full(exchange, at) => give_up_handle(exchange),
--- a/router/src/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -3,7 +3,7 @@
 use kernel::clock;
 use load_balancing::place::{Half, View};
 
-use crate::request::Request;
+use crate::frontend::request::Request;
 use crate::state::State;
 
 /// Who reads the prompt. Invariant: a reader is an engine of the route's service outside `shut`
--- a/router/src/send.rs
+++ b/router/src/proxy/send.rs
@@ -16,11 +16,11 @@
 use tokio::time::{self, Instant};
 
 use crate::event::MISFIT;
-use crate::kv_handle::Handle;
-use crate::pool::{self, Connection, Endpoint, SendError};
-use crate::request;
+use crate::frontend::request;
+use crate::kv::handle::Handle;
+use crate::proxy::response_head::{self, Asked, Verdict};
 use crate::state::State;
-use crate::verdict::{self, Asked, Verdict};
+use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
 
 pub struct Answer {
     pub head: Parts,
@@ -158,7 +158,7 @@
 /// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
 async fn judged(state: &State, request: &request::Request, to: &Endpoint, extra: &Extra, answer: Answer) -> Outcome {
     let asked = Asked { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
-    let outcome = match verdict::judge(&answer.head, &asked) {
+    let outcome = match response_head::judge(&answer.head, &asked) {
         Verdict::Executed => return Outcome::Answer(Box::new(answer)),
         Verdict::Foreign => {
             let status = answer.head.status.as_u16();
@@ -200,12 +200,12 @@
 
 /// A connection whose answer was read to its end.
 pub async fn give_back(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if pool::closes(head) {
+    if connection_pool::closes(head) {
         return;
     }
     let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.pools.put(to, connection, pool::keep(head));
+        state.pools.put(to, connection, connection_pool::keep(head));
     }
 }
 
@@ -228,7 +228,7 @@
     let wait = Duration::from_millis(500);
     let Ok(Ok(reply)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
     let (head, body) = reply.into_parts();
-    if !verdict::answers(&head.headers, None) {
+    if !response_head::answers(&head.headers, None) {
         // Another outgoing's: the answer to this one would be the next that comes.
         return;
     }
--- a/router/src/version_rollouts.rs
+++ b/router/src/rollout.rs
@@ -16,7 +16,7 @@
 use versions::WHOLE_SHARE;
 
 use crate::event::VERSION;
-use crate::exchange::Exchange;
+use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
 /// How long samples are gathered before they are sent.
@@ -148,5 +148,5 @@
 }
 
 #[cfg(test)]
-#[path = "version_rollouts_tests.rs"]
+#[path = "rollout_tests.rs"]
 mod tests;
--- a/router/src/version_rollouts_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -6,8 +6,8 @@
 use protocol::version_rollout::{candidates_of, RolloutState, VersionRollout};
 
 use super::{take, Rollouts, Seen};
-use crate::stand_in::{answer, engines, events, Act};
-use crate::stand_in_router::{ask, router};
+use crate::testing::engine::{answer, engines, events, Act};
+use crate::testing::router::{ask, router};
 
 fn rollout(number: u64, state: RolloutState, share: u32) -> VersionRollout {
     VersionRollout {
--- a/router/src/boot.rs
+++ b/router/src/startup.rs
@@ -7,11 +7,13 @@
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
 
-use crate::drain::{Phase, Schedule};
 use crate::event::{COUNTS, GONE, LEAVE, START};
+use crate::frontend::drain::{Phase, Schedule};
+use crate::frontend::listener;
 use crate::metrics::Stage;
+use crate::rollout;
 use crate::state::State;
-use crate::{follow, server, version_rollouts};
+use crate::subscription::driver;
 
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
@@ -26,10 +28,10 @@
     };
 }
 
-part!(READY, "readiness", 1, |state| drop(tokio::spawn(server::readiness(state.clone()))));
-part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(follow::run(state.clone()))));
-part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(version_rollouts::send_samples(state.clone()))));
-part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(server::frontend(state.clone()))));
+part!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::readiness(state.clone()))));
+part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
+part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
+part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(listener::frontend(state.clone()))));
 
 /// Runs a router until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -16,14 +16,14 @@
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
-use crate::currency::Currency;
-use crate::drain::{Drain, Phase};
-use crate::lookup::Lookup;
+use crate::config::freshness::Currency;
+use crate::config::routing_table::Table;
+use crate::frontend::drain::{Drain, Phase};
+use crate::kv::prefix_lookup::Lookup;
+use crate::limits::quota_gate::QuotaGate;
 use crate::metrics::Metrics;
-use crate::pool::Pools;
-use crate::quota_gate::QuotaGate;
-use crate::table::Table;
-use crate::version_rollouts::Rollouts;
+use crate::rollout::Rollouts;
+use crate::upstream::connection_pool::Pools;
 
 pub struct State {
     pub settings: Settings,
--- a/router/src/follow_absorb.rs
+++ b/router/src/subscription/apply_update.rs
@@ -8,9 +8,11 @@
 use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal};
 use protocol::quota::told_holders;
 
+use crate::config::{activation, evacuation, version_bounds};
 use crate::event::{CATALOG, READY};
+use crate::rollout;
 use crate::state::State;
-use crate::{config, doubt, evacuation, fresh, version_rollouts};
+use crate::upstream::suspicion;
 
 /// How long news of engines that are about to change their part holds.
 const REST_MS: u64 = 1500;
@@ -21,12 +23,12 @@
 pub fn take(state: &Arc<State>, msg: Message) {
     match msg {
         Message::StateUpdate(news) => absorb(state, *news),
-        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => config::change(state, &body),
+        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => activation::change(state, &body),
         Message::ShardOwners(list) => state.quota_gate.set_holders(&list),
-        Message::VersionRollout(rollout) => version_rollouts::take(state, *rollout),
-        Message::StalenessLimit(rule) => fresh::rule(state, &rule),
-        Message::WeightVersions(list) => fresh::versions(state, &list),
-        Message::SuspectEngine(doubt) => doubt::hear(state, &doubt.0),
+        Message::VersionRollout(rollout) => rollout::take(state, *rollout),
+        Message::StalenessLimit(rule) => version_bounds::rule(state, &rule),
+        Message::WeightVersions(list) => version_bounds::versions(state, &list),
+        Message::SuspectEngine(doubt) => suspicion::hear(state, &doubt.0),
         _ => {}
     }
 }
@@ -42,9 +44,9 @@
             .map(|engine| (engine.id.clone(), engine.busy));
         (engine_table.versions(), busy.collect())
     };
-    let (rules, weights) = fresh::known_versions(state);
+    let (rules, weights) = version_bounds::known_versions(state);
     sheets.extend(weights);
-    let rollouts = version_rollouts::told(state);
+    let rollouts = rollout::told(state);
     sheets.push(message::own_protocol_version());
     sheets.push(told_holders(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
@@ -92,7 +94,7 @@
 pub fn absorb(state: &Arc<State>, news: StateUpdate) {
     let now = clock::now();
     if let Some((version, text)) = &news.config {
-        config::config(state, *version, text);
+        activation::config(state, *version, text);
     }
     let mut left = Vec::new();
     {
@@ -121,6 +123,6 @@
     state.engine_table.lock().expect("engine_table").sit(state.mark(), state.zone, seats);
     if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
-        tokio::spawn(config::again(state.clone()));
+        tokio::spawn(activation::again(state.clone()));
     }
 }
--- a/router/src/following_candidates.rs
+++ b/router/src/subscription/candidates.rs
@@ -158,5 +158,5 @@
 }
 
 #[cfg(test)]
-#[path = "following_candidates_tests.rs"]
+#[path = "candidates_tests.rs"]
 mod tests;
--- a/router/src/follow.rs
+++ b/router/src/subscription/driver.rs
@@ -8,11 +8,11 @@
 use tokio::time;
 
 use crate::event::HOME;
-use crate::follow_absorb;
-use crate::follow_links::{End, Event, Links};
-use crate::following::{Call, Following};
-use crate::following_answer::Answer;
 use crate::state::State;
+use crate::subscription::apply_update;
+use crate::subscription::links::{End, Event, Links};
+use crate::subscription::response::Answer;
+use crate::subscription::scheduler::{Call, Following};
 
 /// Follows until the process ends.
 pub async fn run(state: Arc<State>) {
@@ -53,7 +53,7 @@
 
     fn begin(&mut self, call: &Call, now: u64) {
         let at_home = self.following.home() == Some(&call.controller);
-        let standing = follow_absorb::standing(&self.state, at_home);
+        let standing = apply_update::standing(&self.state, at_home);
         let msg = Message::SubscriptionRenewal(Box::new(standing));
         self.links.call(&call.controller, msg, now, call.deadline_ms);
         if at_home {
@@ -77,7 +77,7 @@
             // Confirmed at once: somebody waits for it.
             self.following.renew_now();
         }
-        follow_absorb::take(&self.state, msg);
+        apply_update::take(&self.state, msg);
     }
 
     fn take_end(&mut self, end: End) {
@@ -113,7 +113,7 @@
         if news.confirmed {
             self.state.floors.lock().expect("floors").renew(sent);
         }
-        follow_absorb::absorb(&self.state, news);
+        apply_update::absorb(&self.state, news);
     }
 
     fn answered(&mut self, controller: &str, answer: &Answer) {
@@ -121,7 +121,7 @@
         if let Some(as_of) = self.following.current_as_of() {
             self.state.currency.prove(as_of);
         }
-        if follow_absorb::ready(&self.state) {
+        if apply_update::ready(&self.state) {
             self.following.set_ready();
         }
     }
@@ -151,5 +151,5 @@
 }
 
 #[cfg(test)]
-#[path = "follow_tests.rs"]
+#[path = "driver_tests.rs"]
 mod tests;
--- a/router/src/follow_tests.rs
+++ b/router/src/subscription/driver_tests.rs
@@ -12,9 +12,9 @@
 use tokio::task;
 
 use super::run;
-use crate::stand_in_controller::{controllers, Controller, Manner};
-use crate::stand_in_router::{ask, status, SETTINGS};
 use crate::state::State;
+use crate::testing::controller::{controllers, Controller, Manner};
+use crate::testing::router::{ask, status, SETTINGS};
 
 /// Large enough that a busy machine doesn't make a proof too old by itself.
 const CONVERGE_MS: u64 = 2000;
--- a/router/src/follow_links.rs
+++ b/router/src/subscription/links.rs
@@ -119,5 +119,5 @@
 }
 
 #[cfg(test)]
-#[path = "follow_links_tests.rs"]
+#[path = "links_tests.rs"]
 mod tests;
--- a/router/src/follow_links_tests.rs
+++ b/router/src/subscription/links_tests.rs
@@ -3,7 +3,7 @@
 use tokio::task;
 
 use super::{Event, Links, PUSHED_MOST};
-use crate::stand_in_controller::{controllers, Manner};
+use crate::testing::controller::{controllers, Manner};
 
 fn config() -> Config {
     let text = serde_json::json!({"revision": 7, "route_table": [], "service_table": []});
--- a/router/src/following_pace.rs
+++ b/router/src/subscription/pacing.rs
@@ -87,5 +87,5 @@
 }
 
 #[cfg(test)]
-#[path = "following_pace_tests.rs"]
+#[path = "pacing_tests.rs"]
 mod tests;
--- a/router/src/following.rs
+++ b/router/src/subscription/scheduler.rs
@@ -10,11 +10,11 @@
 
 use kernel::convergence::Budget;
 
-use crate::following_answer::{Answer, Worth};
-use crate::following_candidates::{Candidates, Fault};
-use crate::following_pace::{patience, Outcome, Pace, PATIENCE_MS};
+use crate::subscription::candidates::{Candidates, Fault};
+use crate::subscription::pacing::{patience, Outcome, Pace, PATIENCE_MS};
+use crate::subscription::response::{Answer, Worth};
 
-#[path = "following_calls.rs"]
+#[path = "scheduler_calls.rs"]
 mod calls;
 
 /// A call to be begun now. Who makes it reports its end: `answered`, or `failed` after `deadline_ms` at the latest.
@@ -203,5 +203,5 @@
 }
 
 #[cfg(test)]
-#[path = "following_tests.rs"]
+#[path = "scheduler_tests.rs"]
 mod tests;
--- a/router/src/following_calls.rs
+++ b/router/src/subscription/scheduler_calls.rs
@@ -3,9 +3,9 @@
 use std::mem;
 
 use super::{Call, Following, OpenCall};
-use crate::following_answer::OLDER_CONTROLLER_SURE_MS;
-use crate::following_candidates::{Fault, List};
-use crate::following_pace::{patience, Outcome, PATIENCE_MOST_MS};
+use crate::subscription::candidates::{Fault, List};
+use crate::subscription::pacing::{patience, Outcome, PATIENCE_MOST_MS};
+use crate::subscription::response::OLDER_CONTROLLER_SURE_MS;
 
 /// Until it is ready a router renews more often: what it lacks may come any moment.
 const UNREADY_DIVISOR: u64 = 4;
@@ -178,5 +178,5 @@
 }
 
 #[cfg(test)]
-#[path = "following_calls_tests.rs"]
+#[path = "scheduler_calls_tests.rs"]
 mod tests;
--- a/router/src/following_calls_tests.rs
+++ b/router/src/subscription/scheduler_calls_tests.rs
@@ -4,8 +4,8 @@
 
 use kernel::clock::Rng;
 
-use crate::following::Following;
-use crate::following_world::{budget, names, Behaviour, World};
+use crate::subscription::scheduler::Following;
+use crate::testing::subscription_world::{budget, names, Behaviour, World};
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
 const CONTROLLERS: usize = 18;
--- a/router/src/following_tests.rs
+++ b/router/src/subscription/scheduler_tests.rs
@@ -3,9 +3,9 @@
 use kernel::clock::{self, Rng};
 use kernel::settings::Bounds;
 
-use crate::following_answer::{Answer, Proof};
-use crate::following_single_home::SingleHome;
-use crate::following_world::{budget, names, Behaviour, Policy, World};
+use crate::subscription::response::{Answer, Proof};
+use crate::testing::single_home::SingleHome;
+use crate::testing::subscription_world::{budget, names, Behaviour, Policy, World};
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
 const CONTROLLERS: usize = 18;
--- a/router/src/stand_in.rs
+++ b/router/src/testing/engine.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch::{self, Receiver};
 use tokio::sync::Notify;
 
-pub use crate::stand_in_answers::*;
+pub use crate::testing::engine_responses::*;
 
 /// A request as an engine saw it.
 #[derive(Clone, Debug)]
--- a/router/src/stand_in_answers.rs
+++ b/router/src/testing/engine_responses.rs
@@ -1,5 +1,5 @@
 //! What stand-in engines answer.
-use crate::stand_in::Seen;
+use crate::testing::engine::Seen;
 
 /// An engine's answer to a request, with the seal and the id that belong there.
 pub fn answer(seen: &Seen, status: &str, body: &str) -> String {
--- /dev/null
+++ b/router/src/testing/mod.rs
@@ -0,0 +1,8 @@
+//! Stand-ins for engines, controllers and clients, and virtual worlds, for tests only.
+
+pub mod controller;
+pub mod engine;
+pub mod engine_responses;
+pub mod router;
+pub mod single_home;
+pub mod subscription_world;
--- a/router/src/stand_in_router.rs
+++ b/router/src/testing/router.rs
@@ -11,9 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::task;
 
-use crate::stand_in::Engine;
+use crate::config::activation;
+use crate::frontend::listener;
 use crate::state::State;
-use crate::{config, server};
+use crate::testing::engine::Engine;
 
 pub const SETTINGS: &str = r#"
 node_name = "edge-1"
@@ -64,7 +65,7 @@
             route("stream", "streaming", false), route("resume", "streaming", true)]});
     let (tables, more) = (config.as_object_mut().expect("tables"), more.as_object().expect("tables").clone());
     tables.extend(more);
-    config::config(state, revision, config.to_string().as_bytes());
+    activation::config(state, revision, config.to_string().as_bytes());
     assert_eq!(state.table().revision, revision, "in force");
 }
 
@@ -91,7 +92,7 @@
         let state = state.clone();
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.expect("a client");
-            server::client(state, stream).await;
+            listener::client(state, stream).await;
         });
         Client(TcpStream::connect(addr).await.expect("connected"))
     }
--- a/router/src/following_single_home.rs
+++ b/router/src/testing/single_home.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::following::Call;
-use crate::following_answer::{Answer, Proof, Worth};
-use crate::following_world::Policy;
+use crate::subscription::response::{Answer, Proof, Worth};
+use crate::subscription::scheduler::Call;
+use crate::testing::subscription_world::Policy;
 
 const BEAT_MS: u64 = 400;
 const CALL_MS: u64 = 700;
--- a/router/src/following_world.rs
+++ b/router/src/testing/subscription_world.rs
@@ -3,8 +3,8 @@
 use kernel::convergence::Budget;
 use kernel::settings::Bounds;
 
-use crate::following::{Call, Following};
-use crate::following_answer::{Answer, Proof};
+use crate::subscription::response::{Answer, Proof};
+use crate::subscription::scheduler::{Call, Following};
 
 /// A dial that meets silence is given up after this.
 const DIAL_MS: u64 = 500;
--- a/router/src/reuse_tests.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -6,8 +6,8 @@
 use tokio::sync::Notify;
 use tokio::time;
 
-use crate::stand_in::{answer, engines, events, sealed, seen, Act, Engine, Seen};
-use crate::stand_in_router::{self, ask, kept, post, router, status, Client};
+use crate::testing::engine::{answer, engines, events, sealed, seen, Act, Engine, Seen};
+use crate::testing::router::{self, ask, kept, post, router, status, Client};
 
 /// An answer with a body that names its request.
 fn own(seen: &Seen) -> String {
@@ -77,7 +77,7 @@
         let state = router(&list[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
         kept(&state, 1).await;
-        stand_in_router::list(&state, 2, &list);
+        router::list(&state, 2, &list);
         state.engine_table.lock().expect("engine_table").list[1].full_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
@@ -132,7 +132,7 @@
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
     kept(&state, 1).await;
     list[0].id = "successor".into();
-    stand_in_router::list(&state, 2, &list);
+    router::list(&state, 2, &list);
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
     assert_eq!(connections(&list), [0, 1]);
 }
--- a/router/src/exchange_tests.rs
+++ b/router/src/tests/exchange.rs
@@ -5,9 +5,9 @@
 
 use kernel::clock;
 
-use crate::stand_in::{answer, engines, not_executed, sealed, seen, Act, Engine, Seen};
-use crate::stand_in_router::{ask, router, status, Client};
 use crate::state::State;
+use crate::testing::engine::{answer, engines, not_executed, sealed, seen, Act, Engine, Seen};
+use crate::testing::router::{ask, router, status, Client};
 
 const UNREPEATABLE: [&str; 2] = ["once", "stream"];
 
--- a/router/src/leaving_tests.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -13,12 +13,13 @@
 use tokio::task::{self, JoinSet};
 use tokio::time;
 
-use crate::drain::Phase;
+use crate::frontend::drain::Phase;
+use crate::frontend::listener;
 use crate::metrics::Stage;
-use crate::stand_in::{self, answer, engines, events, head_and_rest, Act, Engine};
-use crate::stand_in_router::{post, status, unproved_router_of, SETTINGS};
+use crate::startup;
 use crate::state::State;
-use crate::{boot, server};
+use crate::testing::engine::{self, answer, engines, events, head_and_rest, Act, Engine};
+use crate::testing::router::{post, status, unproved_router_of, SETTINGS};
 
 /// The grace of these routers, in seconds.
 const GRACE_S: f64 = 1.6;
@@ -53,9 +54,9 @@
         thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
-                tokio::spawn(server::frontend(inner.clone()));
+                tokio::spawn(listener::frontend(inner.clone()));
                 signal.notified().await;
-                boot::leave(&inner).await;
+                startup::leave(&inner).await;
             });
             drop(runtime);
             let _ = end.send(());
@@ -109,7 +110,7 @@
     if status(&received.text) == "200" {
         return !received.text.ends_with(WHOLE_STREAM);
     }
-    stand_in::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
+    engine::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
 }
 
 /// Engines whose streams end at the next beat after their head, so that some are always under way.
@@ -191,6 +192,6 @@
     (0..1000).for_each(|_| durations.note(50));
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
-    let seen = stand_in::seen(&list);
+    let seen = engine::seen(&list);
     assert_eq!(seen.iter().map(|one| one.attempt()).collect::<Vec<_>>(), ["short"]);
 }
--- a/router/src/kept_tests.rs
+++ b/router/src/tests/kept_connections.rs
@@ -4,8 +4,8 @@
 
 use tokio::time;
 
-use crate::stand_in::{answer, engines, seen, waiting_engine, Act};
-use crate::stand_in_router::{configure, post, router, status, Client};
+use crate::testing::engine::{answer, engines, seen, waiting_engine, Act};
+use crate::testing::router::{configure, post, router, status, Client};
 
 #[tokio::test]
 async fn a_request_that_an_engine_has_is_answered_on_its_kept_connection() {
--- /dev/null
+++ b/router/src/tests/mod.rs
@@ -0,0 +1,11 @@
+//! Tests of a whole router between stand-in engines, controllers and clients.
+
+mod connection_reuse;
+mod exchange;
+mod graceful_shutdown;
+mod kept_connections;
+mod phases;
+mod revocation;
+mod stream_end;
+mod subscription_storm;
+mod tenant_requests;
--- a/router/src/halves_tests.rs
+++ b/router/src/tests/phases.rs
@@ -4,8 +4,8 @@
 
 use tokio::sync::Notify;
 
-use crate::stand_in::{answer, engines, events, handle, held, not_executed, seen, Act, Engine, Seen, PROMPT};
-use crate::stand_in_router::{self, ask, router, status};
+use crate::testing::engine::{answer, engines, events, handle, held, not_executed, seen, Act, Engine, Seen, PROMPT};
+use crate::testing::router::{self, ask, router, status};
 
 /// Readers that give a handle and take it back, and makers that follow a script.
 async fn fleet(
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn a_handle_near_its_end_is_not_named() {
     let list = fleet(|seen, _| Act::Send(held(seen)), |seen, _| stream(seen)).await;
-    let text = ask(&stand_in_router::router_holding(&list, 0.4), "stream", "1", PROMPT).await;
+    let text = ask(&router::router_holding(&list, 0.4), "stream", "1", PROMPT).await;
     assert_eq!((status(&text), sources(&list)), ("200", vec![None]), "{text}");
 }
 
--- a/router/src/revocation_tests.rs
+++ b/router/src/tests/revocation.rs
@@ -7,13 +7,13 @@
 use kernel::clock;
 use tokio::task;
 
-use crate::authorization::{self, Authorization};
-use crate::pool::{Endpoint, SendError};
-use crate::request;
-use crate::send::{self, Outcome};
-use crate::stand_in::{answer, engines, events, held, not_executed, sealed, seen, Act, Engine, Seen, PROMPT};
-use crate::stand_in_router::{configure, post, router, status, Client};
+use crate::frontend::authorization::{self, Authorization};
+use crate::frontend::request;
+use crate::proxy::send::{self, Outcome};
 use crate::state::State;
+use crate::testing::engine::{answer, engines, events, held, not_executed, sealed, seen, Act, Engine, Seen, PROMPT};
+use crate::testing::router::{configure, post, router, status, Client};
+use crate::upstream::connection_pool::{Endpoint, SendError};
 
 const KEYED: &str = "Authorization: Bearer k1\r\n";
 
--- a/router/src/stream_end_tests.rs
+++ b/router/src/tests/stream_end.rs
@@ -1,7 +1,7 @@
 //! Answers that break off, and streams that go on at another engine.
 
-use crate::stand_in::{answer, engines, events, seen, Act, Seen};
-use crate::stand_in_router::{ask, router};
+use crate::testing::engine::{answer, engines, events, seen, Act, Seen};
+use crate::testing::router::{ask, router};
 
 const UNREPEATABLE: [&str; 2] = ["once", "stream"];
 
--- a/router/src/following_storm_tests.rs
+++ b/router/src/tests/subscription_storm.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::mem;
 
-use crate::following::{Call, Following};
-use crate::following_answer::Answer;
-use crate::following_world::{budget, names, Behaviour, Policy, World};
+use crate::subscription::response::Answer;
+use crate::subscription::scheduler::{Call, Following};
+use crate::testing::subscription_world::{budget, names, Behaviour, Policy, World};
 
 const ROUTERS: u64 = 300;
 const CONTROLLERS: usize = 18;
--- a/router/src/doubt_pace.rs
+++ b/router/src/upstream/probe_rate.rs
@@ -38,5 +38,5 @@
 }
 
 #[cfg(test)]
-#[path = "doubt_pace_tests.rs"]
+#[path = "probe_rate_tests.rs"]
 mod tests;
--- a/router/src/doubt_pace_tests.rs
+++ b/router/src/upstream/probe_rate_tests.rs
@@ -3,7 +3,7 @@
 use kernel::clock::Rng;
 
 use super::{is_drawn, pause, told_pause, PAUSE_MOST_MS, PAUSE_MS};
-use crate::doubt_probe::WAIT_MS;
+use crate::upstream::probe::WAIT_MS;
 
 /// Probes that all routers send to one engine that stays dark for ten seconds, once one of them has doubted it.
 fn probes(routers: u32) -> u64 {
--- a/router/src/doubt.rs
+++ b/router/src/upstream/suspicion.rs
@@ -13,12 +13,12 @@
 use protocol::message::Message;
 use tokio::time::{self, Instant};
 
-use crate::doubt_pace::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
-use crate::doubt_probe::probe;
-use crate::doubt_word::Word;
-use crate::evacuation;
+use crate::config::evacuation;
 use crate::event::STRIKE;
 use crate::state::State;
+use crate::upstream::probe::probe;
+use crate::upstream::probe_rate::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
+use crate::upstream::suspicion_report::Word;
 
 /// How long a request may go without a sign of life from its engine before that is asked.
 pub const SIGN_MS: u64 = 150;
@@ -219,5 +219,5 @@
 }
 
 #[cfg(test)]
-#[path = "doubt_tests.rs"]
+#[path = "suspicion_tests.rs"]
 mod tests;
--- a/router/src/doubt_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -6,10 +6,10 @@
 use tokio::{task, time};
 
 use super::{hear, raise};
-use crate::doubt_word::Word;
-use crate::stand_in::{answer, engines, Act, Engine};
-use crate::stand_in_router::router;
 use crate::state::State;
+use crate::testing::engine::{answer, engines, Act, Engine};
+use crate::testing::router::router;
+use crate::upstream::suspicion_report::Word;
 
 async fn fleet() -> Vec<Engine> {
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "{}"))).await
--- a/tidepoint/tests/quota.rs
+++ b/tidepoint/tests/quota.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 use std::{fs, process, thread};
 
-use controller::boot;
+use controller::startup;
 use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
@@ -80,10 +80,10 @@
     let _ = fs::remove_dir_all(&dir);
     let controller = settings("k", Some(&dir));
     start(move |runtime| {
-        runtime.block_on(async { boot::run(controller, signal::watch()).await });
+        runtime.block_on(async { startup::run(controller, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(settings("e", None), signal::watch()).await });
+        runtime.block_on(async { router::startup::run(settings("e", None), signal::watch()).await });
     });
     let first = stand::request("PUT", "/config", "Host: c\r\nIf-Match: 0\r\n", &config());
     stand::until(CONTROL, &first, "the configuration", |head| status(head) == "200");
--- a/tidepoint/tests/rollout.rs
+++ b/tidepoint/tests/rollout.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, process, thread};
 
-use controller::boot;
+use controller::startup;
 use daemon::Daemon;
 use kernel::settings::{parse, Settings};
 use kernel::signal;
@@ -99,13 +99,13 @@
             let data = dir.join(HALLS[hall]);
             fs::create_dir_all(&data).expect("a folder");
             let settings = settings(net, "k", hall, Some(data.to_string_lossy().into_owned()));
-            Daemon::start(move || boot::run(settings, signal::watch()))
+            Daemon::start(move || startup::run(settings, signal::watch()))
         })
         .collect();
     let mut routers: Vec<Daemon> = (0..3)
         .map(|hall| {
             let settings = settings(net, "e", hall, None);
-            Daemon::start(move || router::boot::run(settings, signal::watch()))
+            Daemon::start(move || router::startup::run(settings, signal::watch()))
         })
         .collect();
     let control = |at: usize| format!("127.0.{net}.{}:7803", at + 1);
--- a/tidepoint/tests/tenants.rs
+++ b/tidepoint/tests/tenants.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, io, process, thread};
 
-use controller::boot;
+use controller::startup;
 use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
@@ -80,10 +80,10 @@
     let _ = fs::remove_dir_all(&dir);
     let controller = settings("k", Some(&dir));
     start(move |runtime| {
-        runtime.block_on(async { boot::run(controller, signal::watch()).await });
+        runtime.block_on(async { startup::run(controller, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(settings("e", None), signal::watch()).await });
+        runtime.block_on(async { router::startup::run(settings("e", None), signal::watch()).await });
     });
     change("PUT", 0, &config());
     let ready = stand::request("GET", "/ready", "Host: r\r\n", "");
--- a/tidepoint/tests/whole.rs
+++ b/tidepoint/tests/whole.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, io, process, thread};
 
-use controller::boot;
+use controller::startup;
 use kernel::settings::{parse, Settings};
 use kernel::signal;
 use serde_json::Value;
@@ -78,10 +78,10 @@
     let _ = fs::remove_dir_all(&dir);
     let controller_env = settings("k", Some(dir.to_string_lossy().into_owned()));
     start(move |runtime| {
-        runtime.block_on(async { boot::run(controller_env, signal::watch()).await });
+        runtime.block_on(async { startup::run(controller_env, signal::watch()).await });
     });
     start(|runtime| {
-        runtime.block_on(async { router::boot::run(settings("e", None), signal::watch()).await });
+        runtime.block_on(async { router::startup::run(settings("e", None), signal::watch()).await });
     });
 
     configurations();
