--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -15,8 +15,8 @@
 
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
 pub fn absorb(state: &State, list: &[(String, u64, bool)]) {
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
-    let mut held = state.news.lock().expect("news");
+    let mut engine_table = state.engine_table.lock();
+    let mut held = state.news.lock();
     for (zone, version, on) in list {
         if held.closed.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn cold_until(state: &State, at: usize) -> u64 {
-    state.engine_table.lock().expect("engine_table").list[at].cold_until
+    state.engine_table.lock().list[at].cold_until
 }
 
 #[tokio::test]
@@ -33,5 +33,5 @@
     absorb(&state, &[("a".into(), 3, true)]);
     absorb(&state, &[("a".into(), 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    assert!(state.news.lock().expect("news").closed[&"a".to_string()].1, "still evacuated");
+    assert!(state.news.lock().closed[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -18,7 +18,7 @@
     /// has lapsed.
     pub fn version_bounds(&self) -> Option<(u64, u64, u64)> {
         let now = clock::now();
-        let floors = self.state.floors.lock().expect("floors");
+        let floors = self.state.floors.lock();
         let model = self.request.model_key;
         match floors.limit(self.service, &self.request.model, &self.route, now) {
             Limit::Free => None,
@@ -46,7 +46,7 @@
     /// What an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().expect("engine_table").list[at].weigh(self.request.model_key, Some(version));
+            self.state.engine_table.lock().list[at].weigh(self.request.model_key, Some(version));
         }
     }
 
@@ -62,9 +62,9 @@
 
 /// A rule from a controller; binds at once where it is tighter.
 pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
+    let service = state.engine_table.lock().service(&rule.service);
     let now = clock::now();
-    if state.floors.lock().expect("floors").take(rule, service, now) {
+    if state.floors.lock().take(rule, service, now) {
         kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
@@ -73,14 +73,14 @@
 /// Weight versions of a zone. Older ones of the same poller change nothing.
 pub fn versions(state: &State, list: &WeightVersions) {
     {
-        let mut held = state.weights.lock().expect("weights");
+        let mut held = state.weights.lock();
         let version = held.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().expect("engine_table").weigh(&list.list);
+    state.engine_table.lock().weigh(&list.list);
 }
 
 /// A name and its version.
@@ -88,8 +88,8 @@
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
 pub fn known_versions(state: &State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
-    let rules = state.floors.lock().expect("floors").versions();
-    let weights = state.weights.lock().expect("weights");
+    let rules = state.floors.lock().versions();
+    let weights = state.weights.lock();
     let weights = weights.iter().map(|(zone, (turn, count))| (message::hidden_key(zone), *turn, *count));
     (rules.into_iter().map(|(key, version)| (message::hidden_key(&key), version)).collect(), weights.collect())
 }
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -196,12 +196,12 @@
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
-        let mut dice = state.dice.lock().expect("dice");
+        let mut dice = state.dice.lock();
         routing_table::split(&route.targets, dice.next_u64())
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
     state.held.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.budget.lock().expect("budget").errand(service, born);
+    state.budget.lock().errand(service, born);
     Exchange {
         closed_zones: plan::closed_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
--- a/router/src/kv/prefix_lookup.rs
+++ b/router/src/kv/prefix_lookup.rs
@@ -1,9 +1,10 @@
 //! The catalog as a router uses it: short waits, and nothing depends on its answer.
 
 use std::mem;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 
 use kernel::clock;
+use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use protocol::message::{EngineLoad, Message, PrefixLookup, PrefixRegistration, Record};
 
@@ -38,7 +39,7 @@
 impl Lookup {
     /// True when the duty has changed hands: what is known here must be registered anew.
     pub fn hold(&self, epoch: u64, holder: &str, port: u16) -> bool {
-        let mut inner = self.inner.lock().expect("lookup");
+        let mut inner = self.inner.lock();
         if epoch <= inner.epoch || holder.is_empty() {
             return false;
         }
@@ -55,7 +56,7 @@
     }
 
     fn peer(&self, now: u64) -> Option<(u64, Arc<PeerClient>)> {
-        let inner = self.inner.lock().expect("lookup");
+        let inner = self.inner.lock();
         if now < inner.rest_until {
             return None;
         }
@@ -63,7 +64,7 @@
     }
 
     fn heard(&self, good: bool) {
-        let mut inner = self.inner.lock().expect("lookup");
+        let mut inner = self.inner.lock();
         inner.misses = if good { 0 } else { inner.misses + 1 };
         if inner.misses >= 2 {
             inner.plain = !inner.plain;
@@ -74,7 +75,7 @@
     /// The owners of each key asked, and how pressed they and the sample are; None: no answer in time.
     pub async fn query(&self, keys: &[u64], sample: Vec<u64>) -> Option<Found> {
         let (epoch, peer) = self.peer(clock::now())?;
-        let plain = self.inner.lock().expect("lookup").plain;
+        let plain = self.inner.lock().plain;
         let msg = match plain {
             true => Message::OwnerQuery(Box::new((epoch, keys.to_vec()))),
             false => Message::PrefixLookup(Box::new(PrefixLookup { epoch, keys: keys.to_vec(), sample })),
@@ -93,7 +94,7 @@
     /// Fire and forget; what can't even be sent is counted and told by the next flush.
     pub fn register(&self, list: Vec<Record>, told: Vec<EngineLoad>) {
         let count = list.len() as u32;
-        let plain = self.inner.lock().expect("lookup").plain;
+        let plain = self.inner.lock().plain;
         let msg = |epoch| match plain {
             true => Message::RegisterOwners(Box::new((epoch, list))),
             false => Message::PrefixRegistration(Box::new(PrefixRegistration { epoch, owners: list, loads: told })),
@@ -103,13 +104,13 @@
             None => false,
         };
         if !sent {
-            self.inner.lock().expect("lookup").drops += count;
+            self.inner.lock().drops += count;
         }
     }
 
     /// The barrier before a hand-over: all registrations before it are delivered, or counted here.
     pub async fn flush(&self, sent: u32) -> u32 {
-        let early = mem::take(&mut self.inner.lock().expect("lookup").drops);
+        let early = mem::take(&mut self.inner.lock().drops);
         let Some((epoch, peer)) = self.peer(clock::now()) else { return early };
         let reply = peer.call(Message::Flush(Box::new((epoch, sent))), WAIT_MS).await;
         self.heard(reply.is_some());
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -4,10 +4,11 @@
 //! their shards empty evenly. While none of them answers, the router has a small allowance of its own.
 
 use std::collections::HashMap;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 
 use kernel::clock;
 use kernel::settings::Settings;
+use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use protocol::message::Message;
 use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
@@ -99,7 +100,7 @@
 
     /// Takes a list of controllers that may hold shards.
     pub fn set_holders(&self, list: &[ShardOwner]) {
-        let mut inner = self.inner.lock().expect("quota gate");
+        let mut inner = self.inner.lock();
         inner.mark = holders_mark(list);
         inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
@@ -109,7 +110,7 @@
 
     /// What tells the list of holders from others.
     pub fn mark(&self) -> u64 {
-        self.inner.lock().expect("quota gate").mark
+        self.inner.lock().mark
     }
 
     /// Decides about one request of a tenant.
@@ -122,12 +123,12 @@
             Asked::Granted => Decision::Granted,
             Asked::Empty { retry_after_ms } => {
                 let until = clock::now() + retry_after_ms.min(MEMORY_MS);
-                self.inner.lock().expect("quota gate").empty_until.insert(tenant.into(), until);
+                self.inner.lock().empty_until.insert(tenant.into(), until);
                 Decision::Denied
             }
             Asked::Nobody => {
                 let now = clock::now();
-                let mut inner = self.inner.lock().expect("quota gate");
+                let mut inner = self.inner.lock();
                 match inner.allowances.take(tenant, quota, routers, now) {
                     true => Decision::GrantedAlone,
                     false => Decision::RefusedAlone,
@@ -137,7 +138,7 @@
     }
 
     fn is_known_empty(&self, tenant: &str, now: u64) -> bool {
-        let mut inner = self.inner.lock().expect("quota gate");
+        let mut inner = self.inner.lock();
         inner.empty_until.retain(|_, until| now < *until);
         inner.empty_until.contains_key(tenant)
     }
@@ -145,7 +146,7 @@
     /// The holders of a tenant's shards in the order in which they are asked: those that answered lately.
     fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<PeerClient>)> {
         let now = clock::now();
-        let mut inner = self.inner.lock().expect("quota gate");
+        let mut inner = self.inner.lock();
         inner.resting_until.retain(|_, until| now < *until);
         let chosen = quota::holders(tenant, &inner.holders);
         let mut order: Vec<String> = chosen.into_iter().map(|holder| holder.ip.clone()).collect();
@@ -184,7 +185,7 @@
 
     fn rest(&self, ip: String) {
         let until = clock::now() + REST_MS;
-        self.inner.lock().expect("quota gate").resting_until.insert(ip, until);
+        self.inner.lock().resting_until.insert(ip, until);
     }
 }
 
@@ -193,7 +194,7 @@
     pub async fn spend_quota(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
-        let roll = self.state.dice.lock().expect("dice").next_u64();
+        let roll = self.state.dice.lock().next_u64();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
         self.state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -32,7 +32,7 @@
     for _ in 0..3 {
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engine_table.lock().expect("engine_table").note_read(exchange.service, reads);
+        exchange.state.engine_table.lock().note_read(exchange.service, reads);
         let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
             Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
@@ -100,12 +100,12 @@
 fn register(exchange: &Exchange, at: usize) -> u32 {
     let now = clock::now();
     let (id, told) = {
-        let engine_table = exchange.state.engine_table.lock().expect("engine_table");
+        let engine_table = exchange.state.engine_table.lock();
         (engine_table.list[at].id.clone(), engine_table.list[at].told(now))
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
     {
-        let mut record = exchange.state.record.lock().expect("record");
+        let mut record = exchange.state.record.lock();
         for key in &exchange.request.keys {
             record.note(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
@@ -130,7 +130,7 @@
             let sent = register(exchange, at);
             let drops = exchange.state.lookup.flush(sent).await;
             // A drop only means that others will not find this memory: the hand-over goes on.
-            exchange.state.record.lock().expect("record").counts.dropped += u64::from(drops);
+            exchange.state.record.lock().counts.dropped += u64::from(drops);
         }
     }
     make(exchange, reader).await
@@ -199,7 +199,7 @@
 }
 
 fn is_full(exchange: &Exchange, at: usize) -> bool {
-    let engine_table = exchange.state.engine_table.lock().expect("engine_table");
+    let engine_table = exchange.state.engine_table.lock();
     engine_table.pressure(at, clock::now()) >= f64::from(engine_table.list[at].slots)
 }
 
@@ -208,7 +208,7 @@
     if let Some(reader) = exchange.handle_engine() {
         let now = clock::now();
         let id = exchange.endpoint(reader).engine;
-        let mut record = exchange.state.record.lock().expect("record");
+        let mut record = exchange.state.record.lock();
         record.counts.transfer_error += 1;
         for key in &exchange.request.keys {
             record.hush(&id, *key, now + HUSH_MS);
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -34,7 +34,7 @@
 pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
     let now = clock::now();
     let known = {
-        let mut record = state.record.lock().expect("record");
+        let mut record = state.record.lock();
         record.counts.queries += 1;
         record.known(&request.keys, now)
     };
@@ -43,11 +43,11 @@
         let sample = sample(state, request, service);
         let found = state.lookup.query(missing, sample).await;
         if let Some(found) = &found {
-            let (now, mut engine_table) = (clock::now(), state.engine_table.lock().expect("engine_table"));
+            let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
             found.list.iter().for_each(|told| engine_table.hear(told, now));
         }
         let found = found.map(|found| found.owners);
-        let mut record = state.record.lock().expect("record");
+        let mut record = state.record.lock();
         match &found {
             None => record.counts.unanswered += 1,
             Some(list) if list.iter().all(Vec::is_empty) => record.counts.no_owner += u64::from(known == 0),
@@ -67,8 +67,8 @@
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
 fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
-    let roll = state.dice.lock().expect("dice").next_u64();
-    let engine_table = state.engine_table.lock().expect("engine_table");
+    let roll = state.dice.lock().next_u64();
+    let engine_table = state.engine_table.lock();
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
     for half in [Half::Prefill, Half::Decode] {
         let Some(subset) = engine_table.subset(service, half, false) else { continue };
@@ -87,8 +87,8 @@
 fn held(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
     let depths = catalog::depths(&request.parts);
-    let engine_table = state.engine_table.lock().expect("engine_table");
-    let mut record = state.record.lock().expect("record");
+    let engine_table = state.engine_table.lock();
+    let mut record = state.record.lock();
     let mut list: PrefixOwners = Vec::new();
     let mut stale = 0;
     for (key, depth) in request.keys.iter().zip(depths).rev() {
@@ -114,12 +114,12 @@
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
 pub fn closed_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
-    let mut list = state.news.lock().expect("news").shut.clone();
+    let mut list = state.news.lock().shut.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
     if homes.iter().all(|homes| homes.is_empty()) {
         return list;
     }
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
+    let mut engine_table = state.engine_table.lock();
     for (zone, region) in &state.settings.zones {
         if outside(region) {
             list.push(engine_table.zone(zone));
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 
 use catalog::record::Record;
 use kernel::clock::{self, Rng};
@@ -13,6 +13,7 @@
 use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
 use load_balancing::floor::Floors;
+use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
@@ -117,7 +118,7 @@
 
     /// How many routers share the bounds: the most that was told in the last ten seconds.
     pub fn router_count(&self) -> u32 {
-        let news = self.news.lock().expect("news");
+        let news = self.news.lock();
         news.seats.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1)
     }
 
@@ -127,7 +128,7 @@
     }
 
     pub fn table(&self) -> Arc<Table> {
-        self.table.lock().expect("table").clone()
+        self.table.lock().clone()
     }
 
     /// Is the process about to end?
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -36,7 +36,7 @@
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
 pub fn standing(state: &State, at_home: bool) -> SubscriptionRenewal {
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
-        let engine_table = state.engine_table.lock().expect("engine_table");
+        let engine_table = state.engine_table.lock();
         let busy = engine_table
             .list
             .iter()
@@ -49,7 +49,7 @@
     let rollouts = rollout::told(state);
     sheets.push(message::own_protocol_version());
     sheets.push(told_holders(state.quota_gate.mark()));
-    let news = state.news.lock().expect("news");
+    let news = state.news.lock();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
@@ -80,8 +80,8 @@
     if state.ready.load(order) {
         return true;
     }
-    let known = state.engine_table.lock().expect("engine_table").zones_listed();
-    let held = state.news.lock().expect("news").config > 0 && known >= state.settings.zones.len();
+    let known = state.engine_table.lock().zones_listed();
+    let held = state.news.lock().config > 0 && known >= state.settings.zones.len();
     if !held || !state.currency.is_proved(clock::now()) {
         return false;
     }
@@ -98,19 +98,19 @@
     }
     let mut left = Vec::new();
     {
-        let mut engine_table = state.engine_table.lock().expect("engine_table");
+        let mut engine_table = state.engine_table.lock();
         for sheet in &news.endpoint_lists {
             left.extend(engine_table.take(sheet, now));
         }
         engine_table.rest(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
-        let mut record = state.record.lock().expect("record");
+        let mut record = state.record.lock();
         left.iter().for_each(|engine| record.forget(engine));
     }
     evacuation::absorb(state, &news.evacuations);
     {
-        let mut held = state.news.lock().expect("news");
+        let mut held = state.news.lock();
         if !news.peers.is_empty() {
             held.controllers = news.peers;
         }
@@ -120,7 +120,7 @@
         }
     }
     let seats = state.router_count();
-    state.engine_table.lock().expect("engine_table").sit(state.mark(), state.zone, seats);
+    state.engine_table.lock().sit(state.mark(), state.zone, seats);
     if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(activation::again(state.clone()));
--- a/router/src/testing/controller.rs
+++ b/router/src/testing/controller.rs
@@ -1,9 +1,10 @@
 //! Controllers in the test's own process, each at an address of its own on the loopback.
 
 use std::iter;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
+use parking_lot::Mutex;
 use protocol::change::Change;
 use protocol::config::Config;
 use protocol::link::{self, Handler, Responder};
@@ -66,7 +67,7 @@
         let (held, told, all) = (inner.clone(), called.clone(), all.to_vec());
         let handler: Handler = Arc::new(move |mouth, id, msg| {
             if let Message::SubscriptionRenewal(follow) = msg {
-                held.lock().expect("inner").answer(&mouth, id, &follow, &all);
+                held.lock().answer(&mouth, id, &follow, &all);
                 told.notify_waiters();
             }
         });
@@ -75,21 +76,21 @@
     }
 
     pub fn set(&self, manner: Manner) {
-        self.inner.lock().expect("inner").manner = manner;
+        self.inner.lock().manner = manner;
     }
 
     pub fn calls(&self) -> usize {
-        self.inner.lock().expect("inner").calls
+        self.inner.lock().calls
     }
 
     /// A newer configuration is committed; nothing is pushed.
     pub fn commit(&self, config: &Config) {
-        self.inner.lock().expect("inner").config = config.clone();
+        self.inner.lock().config = config.clone();
     }
 
     /// Pushes a message to every router that called.
     pub fn push(&self, msg: &Message) {
-        for router in &self.inner.lock().expect("inner").routers {
+        for router in &self.inner.lock().routers {
             router.notify(msg);
         }
     }
--- a/router/src/testing/engine.rs
+++ b/router/src/testing/engine.rs
@@ -1,9 +1,10 @@
 //! Engines in the test's own process, on real connections over the loopback.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
+use parking_lot::Mutex;
 use protocol::{message, socket};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -137,7 +138,7 @@
     }
 
     pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("seen").clone()
+        self.seen.lock().clone()
     }
 
     /// How often it was asked for a report.
@@ -183,7 +184,7 @@
             return false;
         }
         let request = Seen { connection, head, body };
-        seen.lock().expect("seen").push(request.clone());
+        seen.lock().push(request.clone());
         match script(&request) {
             Act::Send(text) => {
                 let _ = stream.write_all(text.as_bytes()).await;
--- a/router/src/upstream/connection_pool.rs
+++ b/router/src/upstream/connection_pool.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 
 use bytes::Bytes;
 use http::header::CONNECTION;
@@ -11,6 +11,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use kernel::clock;
+use parking_lot::Mutex;
 use protocol::socket::{self, SILENCE_MS};
 
 pub type Connection = SendRequest<Full<Bytes>>;
@@ -64,7 +65,7 @@
     /// A kept connection to this very engine. Those that are of no use any more are dropped on the way.
     pub fn idle(&self, to: &Endpoint) -> Option<Connection> {
         let now = clock::now();
-        let mut pools = self.0.lock().expect("pools");
+        let mut pools = self.0.lock();
         let pool = pools.get_mut(&to.addr)?;
         while let Some(idle) = pool.idle.pop() {
             if now < idle.until && idle.engine == to.engine && idle.connection.is_ready() {
@@ -75,7 +76,7 @@
     }
 
     pub async fn dial(&self, to: &Endpoint, most: usize) -> Result<Connection, SendError> {
-        let count = self.0.lock().expect("pools").entry(to.addr.clone()).or_default().count.clone();
+        let count = self.0.lock().entry(to.addr.clone()).or_default().count.clone();
         if count.load(Ordering::Relaxed) >= most.max(1) {
             return Err(SendError::Full);
         }
@@ -96,7 +97,7 @@
     pub fn put(&self, to: &Endpoint, connection: Connection, keep: Option<u64>) {
         let now = clock::now();
         let span = keep.map_or(SHORT_MS, |keep| (keep * 1000).saturating_sub(EARLY_MS));
-        let mut pools = self.0.lock().expect("pools");
+        let mut pools = self.0.lock();
         let pool = pools.entry(to.addr.clone()).or_default();
         pool.idle.retain(|idle| now < idle.until && !idle.connection.is_closed());
         if span > 0 {
@@ -107,12 +108,12 @@
     /// Kept connections that may still be used.
     #[cfg(test)]
     pub fn ready_count(&self) -> usize {
-        let pools = self.0.lock().expect("pools");
+        let pools = self.0.lock();
         pools.values().flat_map(|pool| &pool.idle).filter(|idle| idle.connection.is_ready()).count()
     }
 
     pub fn forget(&self, addr: &str) {
-        if let Some(pool) = self.0.lock().expect("pools").get_mut(addr) {
+        if let Some(pool) = self.0.lock().get_mut(addr) {
             pool.idle.clear();
         }
     }
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -39,22 +39,22 @@
 }
 
 fn roll(state: &State) -> u64 {
-    state.dice.lock().expect("dice").next_u64()
+    state.dice.lock().next_u64()
 }
 
 /// Word of an engine from a controller.
 pub fn hear(state: &Arc<State>, name: &str) {
     let word = Word::read(name);
-    let Some(at) = state.engine_table.lock().expect("engine_table").find(word.engine()) else { return };
+    let Some(at) = state.engine_table.lock().find(word.engine()) else { return };
     match word {
         Word::Answered(_) => {
-            state.engine_table.lock().expect("engine_table").list[at].calm = true;
+            state.engine_table.lock().list[at].calm = true;
             state.calm.notify_waiters();
         }
         Word::Dark(_) => {
             let now = clock::now();
             {
-                let mut engine_table = state.engine_table.lock().expect("engine_table");
+                let mut engine_table = state.engine_table.lock();
                 let engine = &mut engine_table.list[at];
                 // Nothing new is sent there; answers under way are no worse for what others saw.
                 engine.shy_until = engine.shy_until.max(now + SHY_MS);
@@ -74,7 +74,7 @@
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let woken = state.calm.notified();
-        if mem::take(&mut state.engine_table.lock().expect("engine_table").list[at].calm) {
+        if mem::take(&mut state.engine_table.lock().list[at].calm) {
             return true;
         }
         if time::timeout_at(end, woken).await.is_err() {
@@ -89,7 +89,7 @@
     loop {
         let woken = state.calm.notified();
         {
-            let mut engine_table = state.engine_table.lock().expect("engine_table");
+            let mut engine_table = state.engine_table.lock();
             let engine = &mut engine_table.list[at];
             if mem::take(&mut engine.calm) {
                 return true;
@@ -105,7 +105,7 @@
 }
 
 fn tell(state: &State, word: Word) {
-    let home = state.home.lock().expect("home").clone();
+    let home = state.home.lock().clone();
     if let Some(home) = home {
         home.notify(Message::SuspectEngine(Box::new((word.write(), false))));
     }
@@ -113,7 +113,7 @@
 
 /// A request got no sign of life from an engine: it is asked until it answers or is gone.
 pub fn raise(state: &Arc<State>, at: usize) {
-    if let Some(engine) = state.engine_table.lock().expect("engine_table").list.get_mut(at) {
+    if let Some(engine) = state.engine_table.lock().list.get_mut(at) {
         engine.silent = true;
     }
     state.calm.notify_waiters();
@@ -123,7 +123,7 @@
 /// One asker an engine at a time.
 fn start(state: &Arc<State>, at: usize, cause: Cause) {
     {
-        let mut engine_table = state.engine_table.lock().expect("engine_table");
+        let mut engine_table = state.engine_table.lock();
         let Some(engine) = engine_table.list.get_mut(at).filter(|engine| engine.here && !engine.asked) else { return };
         engine.asked = true;
         engine.calm = false;
@@ -152,14 +152,14 @@
     let (mut unanswered, mut woken) = (0u32, false);
     loop {
         let (addr, id) = {
-            let engine_table = state.engine_table.lock().expect("engine_table");
+            let engine_table = state.engine_table.lock();
             (engine_table.list[at].addr.clone(), engine_table.list[at].id.clone())
         };
         let answer = probe(&addr).await;
         let known = match judge(&state, at, &id, answer, begun) {
             Found::Ended => {
                 // Whoever was told need not tell.
-                let is_here = state.engine_table.lock().expect("engine_table").list[at].here;
+                let is_here = state.engine_table.lock().list[at].here;
                 if is_here && !woken && (unanswered > 0 || cause == Cause::Told) {
                     tell(&state, Word::Answered(&id));
                 }
@@ -181,7 +181,7 @@
 /// Takes the answer of an engine, or its silence, for what it says.
 fn judge(state: &State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
     let now = clock::now();
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
+    let mut engine_table = state.engine_table.lock();
     let engine = &mut engine_table.list[at];
     let known = engine.shy_until > now;
     match answer {
@@ -208,7 +208,7 @@
 
 /// Another router got an answer, and this one has no reason of its own to doubt it.
 fn trust(state: &State, at: usize, begun: u64) {
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
+    let mut engine_table = state.engine_table.lock();
     let engine = &mut engine_table.list[at];
     engine.asked = false;
     answered(state, engine, clock::now(), begun);
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -21,11 +21,11 @@
 
 /// Is the engine left alone?
 fn is_left_alone(state: &State) -> bool {
-    state.engine_table.lock().expect("engine_table").list[0].shy_until > clock::now()
+    state.engine_table.lock().list[0].shy_until > clock::now()
 }
 
 fn is_asked(state: &State) -> bool {
-    state.engine_table.lock().expect("engine_table").list[0].asked
+    state.engine_table.lock().list[0].asked
 }
 
 /// Until the asker has ended.
@@ -75,7 +75,7 @@
     let list = fleet().await;
     let state = router(&list);
     // Of a thousand routers each would else ask after many seconds.
-    state.news.lock().expect("news").seats.push((clock::now(), 1000));
+    state.news.lock().seats.push((clock::now(), 1000));
     hear(&state, &Word::Dark(&id(&list)).write());
     raise(&state, 0);
     settled(&state).await;
@@ -88,9 +88,5 @@
     let list = fleet().await;
     let state = router(&list);
     hear(&state, &Word::Dark(&id(&list)).write());
-    assert_eq!(
-        state.engine_table.lock().expect("engine_table").list[0].struck_at,
-        0,
-        "only own questions end an answer"
-    );
+    assert_eq!(state.engine_table.lock().list[0].struck_at, 0, "only own questions end an answer");
 }
