--- a/catalog/src/prefix_index.rs
+++ b/catalog/src/prefix_index.rs
@@ -5,75 +5,75 @@
 
 struct Owner {
     engine: u32,
-    heard: u64,
+    registered_at: u64,
 }
 
-/// Invariants: names are mapped to dense indices in `names`; a key has each engine once; at most
-/// `room` keys are held, those unheard for longest give way; nothing older than `stale_ms` is told.
+/// Invariants: engine_ids are mapped to dense indices in `engine_ids`; a key has each engine once; at most
+/// `capacity` keys are held, those unheard for longest give way; nothing older than `stale_ms` is told.
 pub struct PrefixIndex {
-    names: Vec<String>,
-    index: HashMap<String, u32>,
+    engine_ids: Vec<String>,
+    engine_indices: HashMap<String, u32>,
     keys: HashMap<u64, Vec<Owner>>,
-    order: VecDeque<u64>,
-    room: usize,
+    insertion_order: VecDeque<u64>,
+    capacity: usize,
     stale_ms: u64,
 }
 
 /// How many owners of one key are kept: more than can be of use to a choice.
-const OWNERS: usize = 8;
+const MAX_OWNERS_PER_KEY: usize = 8;
 
 impl PrefixIndex {
-    pub fn new(room: usize, stale_ms: u64) -> Self {
+    pub fn new(capacity: usize, stale_ms: u64) -> Self {
         PrefixIndex {
-            names: Vec::new(),
-            index: Default::default(),
+            engine_ids: Vec::new(),
+            engine_indices: Default::default(),
             keys: Default::default(),
-            order: Default::default(),
-            room,
+            insertion_order: Default::default(),
+            capacity,
             stale_ms,
         }
     }
 
     pub fn register(&mut self, key: u64, engine: &str, now: u64) {
-        let engine = self.dense(engine);
+        let engine = self.engine_index(engine);
         if !self.keys.contains_key(&key) {
-            self.order.push_back(key);
-            if self.order.len() > self.room {
-                if let Some(old) = self.order.pop_front() {
+            self.insertion_order.push_back(key);
+            if self.insertion_order.len() > self.capacity {
+                if let Some(old) = self.insertion_order.pop_front() {
                     self.keys.remove(&old);
                 }
             }
         }
         let owners = self.keys.entry(key).or_default();
         match owners.iter_mut().find(|owner| owner.engine == engine) {
-            Some(owner) => owner.heard = now,
-            None => owners.push(Owner { engine, heard: now }),
+            Some(owner) => owner.registered_at = now,
+            None => owners.push(Owner { engine, registered_at: now }),
         }
-        if owners.len() > OWNERS {
-            let oldest = (0..owners.len()).min_by_key(|at| owners[*at].heard).unwrap_or(0);
+        if owners.len() > MAX_OWNERS_PER_KEY {
+            let oldest = (0..owners.len()).min_by_key(|at| owners[*at].registered_at).unwrap_or(0);
             owners.swap_remove(oldest);
         }
     }
 
-    fn dense(&mut self, engine: &str) -> u32 {
-        if let Some(at) = self.index.get(engine) {
+    fn engine_index(&mut self, engine: &str) -> u32 {
+        if let Some(at) = self.engine_indices.get(engine) {
             return *at;
         }
-        let at = self.names.len() as u32;
-        self.names.push(engine.into());
-        self.index.insert(engine.into(), at);
+        let at = self.engine_ids.len() as u32;
+        self.engine_ids.push(engine.into());
+        self.engine_indices.insert(engine.into(), at);
         at
     }
 
-    pub fn find(&self, key: u64, now: u64) -> Vec<String> {
+    pub fn owners(&self, key: u64, now: u64) -> Vec<String> {
         let Some(owners) = self.keys.get(&key) else { return Vec::new() };
-        let fresh = owners.iter().filter(|owner| now < owner.heard + self.stale_ms);
-        fresh.map(|owner| self.names[owner.engine as usize].clone()).collect()
+        let fresh = owners.iter().filter(|owner| now < owner.registered_at + self.stale_ms);
+        fresh.map(|owner| self.engine_ids[owner.engine as usize].clone()).collect()
     }
 
     /// Engines that are draining or gone are dropped from every key.
-    pub fn drop_engine(&mut self, engine: &str) {
-        let Some(at) = self.index.get(engine).copied() else { return };
+    pub fn remove_engine(&mut self, engine: &str) {
+        let Some(at) = self.engine_indices.get(engine).copied() else { return };
         for owners in self.keys.values_mut() {
             owners.retain(|owner| owner.engine != at);
         }
@@ -81,7 +81,7 @@
 
     pub fn clear(&mut self) {
         self.keys.clear();
-        self.order.clear();
+        self.insertion_order.clear();
     }
 
     pub fn len(&self) -> usize {
@@ -96,23 +96,23 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn owners_go_stale_and_dropped_engines_are_not_told() {
+    fn owners_go_stale_and_removed_engines_are_not_returned() {
         let mut prefix_index = super::PrefixIndex::new(10, 30_000);
         prefix_index.register(1, "i-1", 0);
         prefix_index.register(1, "i-2", 10_000);
-        assert_eq!(prefix_index.find(1, 20_000), ["i-1", "i-2"]);
-        assert_eq!(prefix_index.find(1, 30_000), ["i-2"]);
-        prefix_index.drop_engine("i-2");
-        assert!(prefix_index.find(1, 20_000).iter().all(|name| name == "i-1"));
+        assert_eq!(prefix_index.owners(1, 20_000), ["i-1", "i-2"]);
+        assert_eq!(prefix_index.owners(1, 30_000), ["i-2"]);
+        prefix_index.remove_engine("i-2");
+        assert!(prefix_index.owners(1, 20_000).iter().all(|engine| engine == "i-1"));
     }
 
     #[test]
-    fn room_is_bounded() {
+    fn capacity_is_bounded() {
         let mut prefix_index = super::PrefixIndex::new(2, 1000);
         for key in 0..5 {
             prefix_index.register(key, "i-1", 0);
         }
         assert_eq!(prefix_index.len(), 2);
-        assert!(prefix_index.find(4, 0).len() == 1 && prefix_index.find(0, 0).is_empty());
+        assert!(prefix_index.owners(4, 0).len() == 1 && prefix_index.owners(0, 0).is_empty());
     }
 }
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -115,7 +115,7 @@
         sheets: Default::default(),
         weights: Default::default(),
         followers: Default::default(),
-        catalog: Mutex::new(Catalog { prefix_index, gauge: Default::default(), epoch: 0, last: 0, drops: 0 }),
+        catalog: Mutex::new(Catalog { prefix_index, load_table: Default::default(), epoch: 0, last: 0, drops: 0 }),
         ownerships: Default::default(),
         calls: Default::default(),
         taken: Default::default(),
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 
-use catalog::gauge::Gauge;
+use catalog::load_table::LoadTable;
 use catalog::prefix_index::PrefixIndex;
 use consensus::acceptor::Acceptor;
 use kernel::clock;
@@ -92,7 +92,7 @@
 /// holds the duty.
 pub struct Catalog {
     pub prefix_index: PrefixIndex,
-    pub gauge: Gauge,
+    pub load_table: LoadTable,
     pub epoch: u64,
     /// The last epoch under which it answered.
     pub last: u64,
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -112,7 +112,7 @@
     let mut catalog = controller.catalog.lock().expect("catalog");
     if catalog.epoch != epoch && epoch > catalog.last {
         catalog.prefix_index.clear();
-        catalog.gauge.clear();
+        catalog.load_table.clear();
         catalog.last = epoch;
     }
     catalog.epoch = epoch;
--- a/controller/src/message.rs
+++ b/controller/src/message.rs
@@ -50,7 +50,7 @@
         Message::PrefixRegistration(note) => {
             register(controller, note.epoch, &note.owners, now);
             let mut catalog = controller.catalog.lock().expect("catalog");
-            note.loads.iter().take(KEYS).for_each(|told| catalog.gauge.note(told, now));
+            note.loads.iter().take(KEYS).for_each(|told| catalog.load_table.record(told, now));
         }
         Message::TokenRequest(spend) => {
             let spent = quota::spend(controller, &spend);
@@ -85,12 +85,12 @@
     let catalog = controller.catalog.lock().expect("catalog");
     let (mut owners, mut list) = (Vec::new(), Vec::new());
     if catalog.epoch == seek.epoch && seek.epoch != 0 {
-        owners = seek.keys.iter().take(KEYS).map(|key| catalog.prefix_index.find(*key, now)).collect::<Vec<_>>();
+        owners = seek.keys.iter().take(KEYS).map(|key| catalog.prefix_index.owners(*key, now)).collect::<Vec<_>>();
         let mut names: Vec<u64> = owners.iter().flatten().map(|id| clock::hash(id.as_bytes())).collect();
         names.extend(seek.sample.iter().take(KEYS));
         names.sort_unstable();
         names.dedup();
-        list = catalog.gauge.tell(names.into_iter(), now);
+        list = catalog.load_table.loads(names.into_iter(), now);
     }
     Message::PrefixLookupResponse(Box::new(PrefixLookupResponse { epoch: catalog.epoch, owners, list }))
 }
@@ -100,7 +100,7 @@
     if catalog.epoch != epoch || epoch == 0 {
         return Message::Owners(Box::new((catalog.epoch, Vec::new())));
     }
-    let list = keys.iter().take(KEYS).map(|key| catalog.prefix_index.find(*key, now)).collect();
+    let list = keys.iter().take(KEYS).map(|key| catalog.prefix_index.owners(*key, now)).collect();
     Message::Owners(Box::new((epoch, list)))
 }
 
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -246,7 +246,7 @@
 pub fn prune(controller: &Controller, sheet: &EndpointList) {
     let mut catalog = controller.catalog.lock().expect("catalog");
     for engine in sheet.engines.iter().filter(|engine| !engine.up) {
-        catalog.prefix_index.drop_engine(&engine.id);
+        catalog.prefix_index.remove_engine(&engine.id);
     }
 }
 
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -104,7 +104,7 @@
     }
     if !left.is_empty() {
         let mut record = state.record.lock().expect("record");
-        left.iter().for_each(|engine| record.forget(engine));
+        left.iter().for_each(|engine| record.remove_engine(engine));
     }
     evacuation::absorb(state, &news.evacuations);
     {
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -107,7 +107,7 @@
     {
         let mut record = exchange.state.record.lock().expect("record");
         for key in &exchange.request.keys {
-            record.note(*key, &id, now);
+            record.record(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
         }
     }
@@ -211,7 +211,7 @@
         let mut record = exchange.state.record.lock().expect("record");
         record.counts.transfer_error += 1;
         for key in &exchange.request.keys {
-            record.hush(&id, *key, now + HUSH_MS);
+            record.suppress(&id, *key, now + HUSH_MS);
         }
     }
     exchange.release_handle();
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -36,7 +36,7 @@
     let known = {
         let mut record = state.record.lock().expect("record");
         record.counts.queries += 1;
-        record.known(&request.keys, now)
+        record.known_prefix_count(&request.keys, now)
     };
     let missing = &request.keys[known..];
     if !missing.is_empty() {
@@ -55,8 +55,8 @@
         }
         for (key, names) in missing.iter().zip(found.iter().flatten()) {
             for name in names {
-                if !record.hushed(name, *key, now) {
-                    record.note(*key, name, now);
+                if !record.is_suppressed(name, *key, now) {
+                    record.record(*key, name, now);
                 }
             }
         }
@@ -86,7 +86,7 @@
 /// The longest prefix each usable engine owns.
 fn held(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
-    let depths = catalog::depths(&request.parts);
+    let depths = catalog::prefix_token_counts(&request.parts);
     let engine_table = state.engine_table.lock().expect("engine_table");
     let mut record = state.record.lock().expect("record");
     let mut list: PrefixOwners = Vec::new();
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use catalog::Part;
+use catalog::PromptSegment;
 use http::header::{self, HeaderName, CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Uri};
@@ -31,7 +31,7 @@
     /// Steady time at which the client or the operator no longer wants it.
     pub deadline: u64,
     pub born: u64,
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     pub keys: Vec<u64>,
     pub last: Option<HeaderValue>,
     pub authorization: Authorization,
@@ -143,10 +143,10 @@
         let most = authorization.route().timeout_ms;
         let wait = number(&head, TIME_BUDGET).unwrap_or(most).min(most);
         let text = head.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
-        let list = text.and_then(catalog::parts).unwrap_or_default();
+        let list = text.and_then(catalog::parse_prompt_prefix).unwrap_or_default();
         let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
         let model_key = clock::hash(model);
-        let keys = catalog::keys(clock::combine_hashes(seed, model_key), &list);
+        let keys = catalog::prefix_keys(clock::combine_hashes(seed, model_key), &list);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::{Arc, Mutex};
 
-use catalog::record::Record;
+use catalog::owner_cache::OwnerCache;
 use kernel::clock::{self, Rng};
 use kernel::convergence;
 use kernel::settings::Settings;
@@ -32,7 +32,7 @@
     pub zone: u32,
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
-    pub record: Mutex<Record>,
+    pub record: Mutex<OwnerCache>,
     pub budget: Mutex<budget::Budget>,
     pub pools: Pools,
     pub lookup: Lookup,
@@ -92,7 +92,7 @@
             zone: own_zone,
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
-            record: Mutex::new(Record::new(RECORD, STALE_MS)),
+            record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
             budget: Mutex::new(budget::Budget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
