--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::{clock, startup};
-use load_balancing::balance::{self, Change, Seen};
+use load_balancing::phase_balance::{self, EngineObservation, PhaseChange};
 use protocol::headers::TARGET_INSTANCE;
 use protocol::message::{self, Engine};
 use reqwest::Client;
@@ -50,7 +50,7 @@
 /// An engine and its load.
 struct Candidate {
     engine: Engine,
-    seen: Seen,
+    seen: EngineObservation,
 }
 
 /// An order to one engine to change its part.
@@ -102,18 +102,18 @@
     let busy = controller.roster.lock().expect("roster").total_in_flight(now);
     let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
+    for sheet in controller.sheets.lock().expect("sheets").iter().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
         let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
         for engine in sheet.engines.iter().filter(|engine| !engine.phase.is_empty()) {
             let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
             let mean = balance.busy.entry(engine.id.clone()).or_insert(told);
             *mean += (told - *mean) * 0.5;
-            let seen = Seen {
+            let seen = EngineObservation {
                 id: engine.id.clone(),
                 prefill: engine.phase == "prefill",
                 slots: engine.slots,
-                busy: mean.round() as u32,
-                fit: engine.up && open,
+                in_flight: mean.round() as u32,
+                eligible: engine.up && open,
             };
             let candidate = Candidate { engine: engine.clone(), seen };
             services.entry(engine.service.clone()).or_default().push(candidate);
@@ -124,9 +124,9 @@
 
 impl Balance {
     /// The engines to order and their new part, once the judgement has stood for long enough.
-    fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<Change> {
-        let seen: Vec<Seen> = list.iter().map(|candidate| candidate.seen.clone()).collect();
-        let Some(change) = balance::judge(&seen) else {
+    fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<PhaseChange> {
+        let seen: Vec<EngineObservation> = list.iter().map(|candidate| candidate.seen.clone()).collect();
+        let Some(change) = phase_balance::plan_phase_change(&seen) else {
             self.judgements.remove(service);
             return None;
         };
--- a/controller/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -1,4 +1,4 @@
-use load_balancing::balance::{Change, Seen};
+use load_balancing::phase_balance::{EngineObservation, PhaseChange};
 use membership::singleton_role::{self, RoleTenure};
 use protocol::message::Engine;
 
@@ -21,7 +21,7 @@
 }
 
 fn candidate(id: &str, prefill: bool, busy: u32) -> Candidate {
-    let seen = Seen { id: id.into(), prefill, slots: 10, busy, fit: true };
+    let seen = EngineObservation { id: id.into(), prefill, slots: 10, in_flight: busy, eligible: true };
     let engine = Engine {
         id: id.into(),
         service: "s".into(),
@@ -41,7 +41,7 @@
     let loaded = [candidate("p", true, 9), candidate("d", false, 0), candidate("e", false, 0)];
     let idle = [candidate("p", true, 0), candidate("q", true, 0), candidate("d", false, 9)];
     let mut balance = Balance::default();
-    let one = |at: usize, prefill: bool| Some(Change { engines: vec![at], prefill });
+    let one = |at: usize, prefill: bool| Some(PhaseChange { engines: vec![at], prefill });
     for _ in 1..LASTS {
         assert_eq!(balance.decide("s", &loaded, 0), None);
     }
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -12,7 +12,7 @@
 use consensus::acceptor::Acceptor;
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::sheet::Sheets;
+use load_balancing::endpoint_lists::EndpointLists;
 use membership::MembershipView;
 use protocol::link::PeerClient;
 use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit, WeightVersions};
@@ -42,7 +42,7 @@
     pub disk: Disk,
     pub committed_state: Mutex<CommittedState>,
     pub roster: Mutex<MembershipView>,
-    pub sheets: Mutex<Sheets>,
+    pub sheets: Mutex<EndpointLists>,
     /// Weight versions by zone, kept only while there are rules.
     pub weights: Mutex<BTreeMap<String, WeightVersions>>,
     pub followers: Mutex<Followers>,
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -43,8 +43,8 @@
     drop(roster);
     // Repair: who is behind gets what it lacks.
     let mut sheets = controller.sheets.lock().expect("sheets");
-    sheets.raise(&gossip.observed_list_versions);
-    for sheet in sheets.newer(&gossip.list_versions) {
+    sheets.observe_terms(&gossip.observed_list_versions);
+    for sheet in sheets.newer_than(&gossip.list_versions) {
         controller.peer(&gossip.ip).notify(Message::EndpointList(Box::new(sheet)));
     }
 }
@@ -87,7 +87,7 @@
         if controller.leaving.load(Ordering::Relaxed) {
             versions.push(message::shutting_down_marker());
         }
-        (versions, held.floors())
+        (versions, held.observed_terms())
     };
     sheets.extend(platform::told(controller, now));
     sheets.extend(duty::told(controller, now));
--- a/controller/src/listing.rs
+++ b/controller/src/listing.rs
@@ -1,6 +1,6 @@
 //! The platform's list of engines as it comes: pages, put together to one reading of a zone.
 
-use load_balancing::sheet::Known;
+use load_balancing::endpoint_lists::ObservedVersion;
 use protocol::message::Engine;
 
 use crate::version_lists::ListedEngine;
@@ -51,12 +51,12 @@
     pub weights: Weights,
     pub pages: usize,
     /// What was known of this list before the first page was asked for.
-    pub known: Known,
+    pub known: ObservedVersion,
 }
 
 impl Listing {
     /// Nothing read yet.
-    pub fn new(known: Known) -> Listing {
+    pub fn new(known: ObservedVersion) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
--- a/controller/src/message.rs
+++ b/controller/src/message.rs
@@ -23,7 +23,7 @@
         }
         Message::Gossip(gossip) => gossip::hear(controller, &gossip),
         Message::EndpointList(sheet) => {
-            if controller.sheets.lock().expect("sheets").take(&sheet) {
+            if controller.sheets.lock().expect("sheets").update(&sheet) {
                 platform::prune(controller, &sheet);
                 controller.push();
             }
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -24,7 +24,7 @@
             follow.in_flight,
             follow.frontend_address,
         );
-        self.sheets.lock().expect("sheets").raise(&follow.list_versions);
+        self.sheets.lock().expect("sheets").observe_terms(&follow.list_versions);
         let mut follower = Follower {
             rules: rules::told(&follow.evacuation_versions),
             until: now + ROUTER_LEASE_MS,
@@ -132,7 +132,7 @@
     }
 
     fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
-        for sheet in self.sheets.lock().expect("sheets").all() {
+        for sheet in self.sheets.lock().expect("sheets").iter() {
             if message::is_hidden_key(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
                 continue;
             }
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -5,7 +5,7 @@
 
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::sheet::{self, Sheets};
+use load_balancing::endpoint_lists::{self, EndpointLists};
 use membership::PeerReport;
 use protocol::message::{self, EndpointList, Engine, Gossip, Message};
 use protocol::version_rollout;
@@ -137,10 +137,10 @@
     let parted = version_lists::part(controller, listing.engines);
     let (sheet, candidates) = {
         let mut sheets = controller.sheets.lock().expect("sheets");
-        if sheets.known(zone) != listing.known {
+        if sheets.observed_version(zone) != listing.known {
             return;
         }
-        let sheet = sheets.poll(zone, turn, controller.seat, parted.stable, listing.known);
+        let sheet = sheets.publish(zone, turn, controller.seat, parted.stable, listing.known);
         (sheet, candidate_sheet(controller, &mut sheets, zone, parted.candidates))
     };
     if let Some(again) = versions {
@@ -155,26 +155,26 @@
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
 fn candidate_sheet(
     controller: &Controller,
-    sheets: &mut Sheets,
+    sheets: &mut EndpointLists,
     zone: &str,
     list: Vec<Engine>,
 ) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
-    let held = sheets.all().find(|sheet| sheet.zone == name);
+    let held = sheets.iter().find(|sheet| sheet.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.engines.is_empty()) {
         return None;
     }
     let mut turn = held.map_or(0, |held| held.term);
-    let known = sheets.known(&name);
-    if turn != 0 && !sheet::is_turn_of(turn, controller.seat) {
+    let known = sheets.observed_version(&name);
+    if turn != 0 && !endpoint_lists::is_term_of(turn, controller.seat) {
         turn = 0;
     }
-    sheets.poll(&name, &mut turn, controller.seat, list, known)
+    sheets.publish(&name, &mut turn, controller.seat, list, known)
 }
 
 async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
     let _permit = controller.polls.acquire().await.map_err(|_| PollError::Refused)?;
-    let known = controller.sheets.lock().expect("sheets").known(zone);
+    let known = controller.sheets.lock().expect("sheets").observed_version(zone);
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
     let mut refused = 0;
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -86,7 +86,7 @@
             .map(|(id, _, version)| (id.as_str(), *version))
             .collect();
         let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
-        let engines = sheets.all().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
+        let engines = sheets.iter().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
         for engine in engines.filter(|engine| engine.up) {
             let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
             let place = match versions.get(engine.id.as_str()) {
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -3,7 +3,7 @@
 use kernel::clock;
 use protocol::message::{Engine, EngineLoad};
 
-use crate::budget::Ramp;
+use crate::retry_budget::SlowStart;
 
 /// Invariants: an index is never given to another `id`; `busy` counts sends whose outcome is open;
 /// nothing is sent to one that is not `up` and `here`.
@@ -11,121 +11,121 @@
 pub struct EngineState {
     pub id: String,
     /// The hash of its id.
-    pub name: u64,
+    pub id_hash: u64,
     pub service: u32,
-    pub addr: String,
+    pub address: String,
     pub zone: u32,
     pub prefill: bool,
     pub decode: bool,
     pub slots: u32,
     pub up: bool,
-    pub here: bool,
+    pub listed: bool,
     /// Of a version that is brought in: it gets only what its rollout gives it.
     pub candidate: bool,
     /// Its address belongs to another now, whatever the list says.
-    pub dead: bool,
+    pub retired: bool,
     pub cold_until: u64,
-    pub ramp: Ramp,
+    pub slow_start: SlowStart,
     /// Own sends under way, and the prompt tokens that they have it read.
-    pub busy: u32,
-    pub tokens: u64,
+    pub in_flight: u32,
+    pub prefill_tokens_in_flight: u64,
     /// When it last answered anything.
-    pub good_at: u64,
+    pub last_response_at: u64,
     /// Requests running and waiting, as last reported, when, and the own share of it then.
-    pub load: (u32, u32),
-    pub load_at: u64,
-    pub load_busy: u32,
+    pub reported_load: (u32, u32),
+    pub reported_at: u64,
+    pub in_flight_at_report: u32,
     /// Failures without an answer, in a row; it is left alone until `shy_until`.
-    pub strikes: u32,
-    pub shy_until: u64,
+    pub consecutive_failures: u32,
+    pub suspected_until: u64,
     /// When it was last found silent, and whether it is being asked just now.
-    pub struck_at: u64,
-    pub asked: bool,
+    pub last_failure_at: u64,
+    pub is_probing: bool,
     /// It answered another router since it was last asked here.
-    pub calm: bool,
+    pub answered_elsewhere: bool,
     /// A request of this router got no sign of life since it was last asked.
-    pub silent: bool,
-    pub full_until: u64,
+    pub is_unresponsive: bool,
+    pub saturated_until: u64,
     /// About to change its part: nothing new until then.
-    pub rest_until: u64,
+    pub reassigning_until: u64,
     /// Weight versions by the hash of the model's name, as last listed or answered.
-    pub weights: Vec<(u64, u64)>,
+    pub weight_versions: Vec<(u64, u64)>,
 }
 
 impl EngineState {
     pub fn new(engine: &Engine, service: u32, zone: u32) -> EngineState {
         EngineState {
             id: engine.id.clone(),
-            name: clock::hash(engine.id.as_bytes()),
+            id_hash: clock::hash(engine.id.as_bytes()),
             service,
-            addr: engine.addr.clone(),
+            address: engine.addr.clone(),
             zone,
             prefill: false,
             decode: false,
             slots: 1,
             up: false,
-            here: true,
+            listed: true,
             candidate: false,
-            dead: false,
+            retired: false,
             cold_until: 0,
-            ramp: Default::default(),
-            busy: 0,
-            tokens: 0,
-            good_at: 0,
-            load: (0, 0),
-            load_at: 0,
-            load_busy: 0,
-            strikes: 0,
-            struck_at: 0,
-            asked: false,
-            calm: false,
-            silent: false,
-            shy_until: 0,
-            full_until: 0,
-            rest_until: 0,
-            weights: Vec::new(),
+            slow_start: Default::default(),
+            in_flight: 0,
+            prefill_tokens_in_flight: 0,
+            last_response_at: 0,
+            reported_load: (0, 0),
+            reported_at: 0,
+            in_flight_at_report: 0,
+            consecutive_failures: 0,
+            last_failure_at: 0,
+            is_probing: false,
+            answered_elsewhere: false,
+            is_unresponsive: false,
+            suspected_until: 0,
+            saturated_until: 0,
+            reassigning_until: 0,
+            weight_versions: Vec::new(),
         }
     }
 
-    pub fn weight(&self, model: u64) -> Option<u64> {
-        self.weights.iter().find(|(name, _)| *name == model).map(|(_, version)| *version)
+    pub fn weight_version(&self, model: u64) -> Option<u64> {
+        self.weight_versions.iter().find(|(name, _)| *name == model).map(|(_, version)| *version)
     }
 
     /// None: what it has is not known any more.
-    pub fn weigh(&mut self, model: u64, version: Option<u64>) {
-        self.weights.retain(|(name, _)| *name != model);
-        self.weights.extend(version.map(|version| (model, version)));
+    pub fn set_weight_version(&mut self, model: u64, version: Option<u64>) {
+        self.weight_versions.retain(|(name, _)| *name != model);
+        self.weight_versions.extend(version.map(|version| (model, version)));
     }
 
     /// What it told here, to be passed on while it is fresh.
-    pub fn told(&self, now: u64) -> Option<EngineLoad> {
-        let age_ms = now.saturating_sub(self.load_at);
-        let fresh = self.load_at > 0 && age_ms < 1000;
-        let load = self.load.0 + self.load.1;
-        fresh.then_some(EngineLoad { engine_hash: self.name, load, age_ms: age_ms as u32 })
+    pub fn fresh_load(&self, now: u64) -> Option<EngineLoad> {
+        let age_ms = now.saturating_sub(self.reported_at);
+        let fresh = self.reported_at > 0 && age_ms < 1000;
+        let load = self.reported_load.0 + self.reported_load.1;
+        fresh.then_some(EngineLoad { engine_hash: self.id_hash, load, age_ms: age_ms as u32 })
     }
 
     /// What it told another router at `time`. Own sends since then are not known apart: they count as told.
-    pub fn hear(&mut self, load: u32, time: u64) {
-        self.load = (load, 0);
-        self.load_at = time;
-        self.load_busy = self.busy;
+    pub fn set_relayed_load(&mut self, load: u32, time: u64) {
+        self.reported_load = (load, 0);
+        self.reported_at = time;
+        self.in_flight_at_report = self.in_flight;
     }
 
     /// `Server-Load`: running, waiting, slots.
-    pub fn report(&mut self, text: &str, now: u64) -> bool {
+    pub fn set_reported_load(&mut self, text: &str, now: u64) -> bool {
         let mut numbers = text.split(',').map(|piece| piece.trim().parse::<u32>());
         let (Some(Ok(run)), Some(Ok(wait))) = (numbers.next(), numbers.next()) else { return false };
-        self.load = (run, wait);
-        self.load_at = now;
-        self.load_busy = self.busy;
+        self.reported_load = (run, wait);
+        self.reported_at = now;
+        self.in_flight_at_report = self.in_flight;
         true
     }
 
-    pub fn good(&mut self, now: u64) {
-        self.good_at = now;
-        self.strikes = 0;
-        self.shy_until = 0;
+    pub fn record_response(&mut self, now: u64) {
+        self.last_response_at = now;
+        self.consecutive_failures = 0;
+        self.suspected_until = 0;
     }
 
     /// It may be cold without the list saying so yet: taken for cold until then.
@@ -134,15 +134,15 @@
     }
 
     /// It says that it is not the engine meant: this life of it is over, and no id comes back.
-    pub fn over(&mut self) {
-        self.here = false;
-        self.dead = true;
+    pub fn retire(&mut self) {
+        self.listed = false;
+        self.retired = true;
     }
 
     /// No answer: left alone for so long, unless it answers before.
-    pub fn strike(&mut self, now: u64, shy_ms: u64) {
-        self.strikes += 1;
-        self.struck_at = now;
-        self.shy_until = now + shy_ms;
+    pub fn record_failure(&mut self, now: u64, suspicion_ms: u64) {
+        self.consecutive_failures += 1;
+        self.last_failure_at = now;
+        self.suspected_until = now + suspicion_ms;
     }
 }
--- a/load_balancing/src/budget.rs
+++ b/load_balancing/src/retry_budget.rs
@@ -7,46 +7,46 @@
 /// ratio of all, and an even part of half the slack: the other half is left for routers that start
 /// anew or are not yet counted. Invariant: within any window that ends at a grant, grants are at most
 /// `ratio` x requests of that window + the part.
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     window_ms: u64,
-    errands: HashMap<u32, Flow>,
+    windows: HashMap<u32, ServiceWindow>,
 }
 
 #[derive(Default)]
-struct Flow {
-    errands: VecDeque<u64>,
-    extras: VecDeque<u64>,
+struct ServiceWindow {
+    requests: VecDeque<u64>,
+    retries: VecDeque<u64>,
 }
 
-fn trim(list: &mut VecDeque<u64>, edge: u64) {
-    while list.front().is_some_and(|time| *time < edge) {
+fn drop_before(list: &mut VecDeque<u64>, window_start: u64) {
+    while list.front().is_some_and(|time| *time < window_start) {
         list.pop_front();
     }
 }
 
-impl Budget {
+impl RetryBudget {
     pub fn new(ratio: f64, window_ms: u64) -> Self {
-        Budget { ratio, window_ms, errands: Default::default() }
+        RetryBudget { ratio, window_ms, windows: Default::default() }
     }
 
-    pub fn errand(&mut self, service: u32, now: u64) {
-        let edge = now.saturating_sub(self.window_ms);
-        let flow = self.errands.entry(service).or_default();
-        trim(&mut flow.errands, edge);
-        flow.errands.push_back(now);
+    pub fn record_request(&mut self, service: u32, now: u64) {
+        let window_start = now.saturating_sub(self.window_ms);
+        let window = self.windows.entry(service).or_default();
+        drop_before(&mut window.requests, window_start);
+        window.requests.push_back(now);
     }
 
     /// Grants one further send, or not.
-    pub fn allow(&mut self, service: u32, now: u64, part: f64) -> bool {
-        let edge = now.saturating_sub(self.window_ms);
-        let flow = self.errands.entry(service).or_default();
-        trim(&mut flow.errands, edge);
-        trim(&mut flow.extras, edge);
-        if (flow.extras.len() + 1) as f64 > self.ratio * flow.errands.len() as f64 + part {
+    pub fn try_acquire(&mut self, service: u32, now: u64, allowance: f64) -> bool {
+        let window_start = now.saturating_sub(self.window_ms);
+        let window = self.windows.entry(service).or_default();
+        drop_before(&mut window.requests, window_start);
+        drop_before(&mut window.retries, window_start);
+        if (window.retries.len() + 1) as f64 > self.ratio * window.requests.len() as f64 + allowance {
             return false;
         }
-        flow.extras.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
@@ -56,43 +56,43 @@
 /// each would be too many: then a few routers are drawn for this engine, by a hash that needs no agreement,
 /// and only these send, one a second each. Invariant: at most the slice in any 1000 ms.
 #[derive(Clone, Debug, Default)]
-pub struct Ramp {
+pub struct SlowStart {
     sends: VecDeque<u64>,
 }
 
 /// A drawn router's pause: a little over a second, as sends do not arrive evenly.
-const DRAWN_MS: u64 = 1100;
+const SAMPLED_ROUTER_INTERVAL_MS: u64 = 1100;
 
 /// How many routers are drawn for a cold engine, on average: so few that their number, which is left to
 /// chance, stays under the bound.
-pub fn drawn(bound: f64) -> f64 {
+pub fn expected_senders(bound: f64) -> f64 {
     (bound - 3.0 * bound.sqrt()).max(bound / 5.0)
 }
 
 /// The part of the bound of a cold engine that a router without confirmed control state may use by itself.
-const UNCONFIRMED_PART: f64 = 0.25;
+const UNCONFIRMED_SHARE: f64 = 0.25;
 
-impl Ramp {
+impl SlowStart {
     /// May a router send to an engine that is not known to be cold, while it can't know of evacuations? In a
     /// zone that all others have left it may be the only sender, and engines there turn cold unheard.
-    pub fn allows_unconfirmed(&self, bound: f64, seats: u32, now: u64) -> bool {
-        let most = (bound / f64::from(seats.max(1))).max(bound * UNCONFIRMED_PART);
+    pub fn allows_unconfirmed(&self, bound: f64, router_count: u32, now: u64) -> bool {
+        let most = (bound / f64::from(router_count.max(1))).max(bound * UNCONFIRMED_SHARE);
         let recent = self.sends.iter().rev().take_while(|sent| **sent + 1000 > now).count();
         ((recent + 1) as f64) <= most.max(1.0)
     }
 
-    /// `ticket`: this router's draw for this engine, even over all numbers.
-    pub fn allows(&mut self, bound: f64, seats: u32, ticket: u64, now: u64) -> bool {
-        let slice = bound / f64::from(seats.max(1));
-        let (span, most) = if slice >= 1.0 { (1000, slice.floor()) } else { (DRAWN_MS, 1.0) };
-        if slice < 1.0 && ticket as f64 / u64::MAX as f64 >= drawn(bound) / f64::from(seats) {
+    /// `router_hash`: this router's draw for this engine, even over all numbers.
+    pub fn allows(&mut self, bound: f64, router_count: u32, router_hash: u64, now: u64) -> bool {
+        let slice = bound / f64::from(router_count.max(1));
+        let (span, most) = if slice >= 1.0 { (1000, slice.floor()) } else { (SAMPLED_ROUTER_INTERVAL_MS, 1.0) };
+        if slice < 1.0 && router_hash as f64 / u64::MAX as f64 >= expected_senders(bound) / f64::from(router_count) {
             return false;
         }
-        trim(&mut self.sends, (now + 1).saturating_sub(span));
+        drop_before(&mut self.sends, (now + 1).saturating_sub(span));
         (self.sends.len() as f64) < most
     }
 
-    pub fn note(&mut self, now: u64) {
+    pub fn record_send(&mut self, now: u64) {
         self.sends.push_back(now);
         if self.sends.len() > 4096 {
             self.sends.pop_front();
@@ -101,5 +101,5 @@
 }
 
 #[cfg(test)]
-#[path = "budget_tests.rs"]
+#[path = "retry_budget_tests.rs"]
 mod tests;
--- /dev/null
+++ b/load_balancing/src/selection_tests.rs
@@ -0,0 +1,190 @@
+use protocol::message::{EndpointList, Engine};
+
+use super::{Arm, Phase, SelectionContext};
+use crate::engine_table::EngineTable;
+
+fn engine_table() -> EngineTable {
+    let engine = |id: &str, zone: &str, phase: &str, up: bool| Engine {
+        id: id.into(),
+        service: "s".into(),
+        addr: "10.0.0.1:80".into(),
+        zone: zone.into(),
+        phase: phase.into(),
+        model: String::new(),
+        slots: 8,
+        up,
+        cold_ms: 0,
+    };
+    let mut engine_table = EngineTable::default();
+    for zone in ["a", "b"] {
+        engine_table.set_region(zone, "r");
+        let list = vec![
+            engine(&format!("p-{zone}"), zone, "prefill", true),
+            engine(&format!("d-{zone}"), zone, "decode", true),
+            engine(&format!("x-{zone}"), zone, "decode", false),
+        ];
+        engine_table.update(&EndpointList { zone: zone.into(), term: 1, sequence: 1, engines: list }, 0);
+    }
+    engine_table
+}
+
+fn context<'a>(engine_table: &'a EngineTable, shut: &'a [u32], tried: &'a [usize]) -> SelectionContext<'a> {
+    SelectionContext {
+        engine_table,
+        now: 1000,
+        service: 0,
+        zone: 0,
+        excluded_zones: shut,
+        tried_engines: tried,
+        router_count: 3,
+        cold_engine_rate: 3.0,
+        weight_versions: None,
+        is_confirmed: true,
+        arm: Arm::Stable,
+    }
+}
+
+fn id(engine_table: &EngineTable, at: Option<usize>) -> &str {
+    at.map_or("", |at| engine_table.engines[at].id.as_str())
+}
+
+#[test]
+fn the_longest_prefix_owner_reads_unless_it_is_pressed() {
+    let mut engine_table = engine_table();
+    let far = engine_table.find("p-b").expect("known");
+    assert_eq!(
+        id(
+            &engine_table,
+            context(&engine_table, &[], &[]).select_prefill(9000, &[(far, 6000)], 6000, 5).map(|best| best.0)
+        ),
+        "p-b"
+    );
+    engine_table.engines[far].in_flight = 4;
+    engine_table.record_prefill(0, 3000);
+    assert_eq!(
+        id(
+            &engine_table,
+            context(&engine_table, &[], &[]).select_prefill(9000, &[(far, 6000)], 6000, 5).map(|best| best.0)
+        ),
+        "p-a"
+    );
+}
+
+#[test]
+fn all_routers_choose_the_same_reader_while_nobody_owns() {
+    let engine_table = engine_table();
+    let mut away = context(&engine_table, &[], &[]);
+    let near = away.select_prefill(9000, &[], 6000, 77).map(|best| best.0);
+    away.zone = 1;
+    assert_eq!(near, away.select_prefill(9000, &[], 6000, 77).map(|best| best.0));
+}
+
+#[test]
+fn draining_shut_and_tried_engines_are_never_chosen() {
+    let engine_table = engine_table();
+    let tried = [engine_table.find("d-a").expect("known")];
+    assert_eq!(id(&engine_table, context(&engine_table, &[], &tried).select_decode(10, &[], None, 1)), "d-b");
+    assert_eq!(id(&engine_table, context(&engine_table, &[0], &[]).select_decode(10, &[], None, 1)), "d-b");
+    assert_eq!(context(&engine_table, &[0, 1], &[]).select_decode(10, &[], None, 1), None);
+}
+
+#[test]
+fn a_maker_reads_alone_only_when_readers_are_pressed() {
+    let mut engine_table = engine_table();
+    engine_table.record_prefill(0, 3000);
+    let costs = |engine_table: &EngineTable| {
+        let context = context(engine_table, &[], &[]);
+        (
+            context.select_prefill(3000, &[], 0, 1).expect("reader").1,
+            context.select_combined(3000, &[], 1).expect("maker").1,
+        )
+    };
+    let (reader, alone) = costs(&engine_table);
+    assert!(reader < alone);
+    for at in [engine_table.find("p-a"), engine_table.find("p-b")].into_iter().flatten() {
+        engine_table.record_reported_load(at, "8,1,8", 900);
+    }
+    let (reader, alone) = costs(&engine_table);
+    assert!(reader > alone);
+}
+
+#[test]
+fn the_memory_stays_in_its_area() {
+    let engine_table = engine_table();
+    let from = engine_table.find("p-b");
+    assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(60_000, &[], from, 1)), "d-b");
+}
+
+#[test]
+fn a_cold_engine_gets_no_more_than_its_slice() {
+    let mut engine_table = engine_table();
+    let at = engine_table.find("d-a").expect("known");
+    engine_table.engines[at].cold_until = 5000;
+    engine_table.engines[at].slow_start.record_send(900);
+    assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(10, &[], None, 1)), "d-b");
+    engine_table.engines[at].cold_until = 0;
+    assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(10, &[], None, 1)), "d-a");
+}
+
+#[test]
+fn deferrable_work_is_let_in_only_beside_calm_halves() {
+    let mut engine_table = engine_table();
+    assert!(context(&engine_table, &[], &[]).has_spare_capacity(0.3));
+    for id in ["d-a", "d-b"] {
+        let at = engine_table.find(id).expect("known");
+        engine_table.record_reported_load(at, "4,0,8", 900);
+    }
+    assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.3));
+    assert!(context(&engine_table, &[], &[]).has_spare_capacity(0.6), "nearer to its end it may press harder");
+    for id in ["p-a", "p-b"] {
+        let at = engine_table.find(id).expect("known");
+        engine_table.record_reported_load(at, "3,0,8", 900);
+    }
+    assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.6), "never where readers are pressed");
+}
+
+#[test]
+fn another_region_is_reached_only_for_want_of_a_nearer_engine() {
+    let mut engine_table = engine_table();
+    engine_table.set_region("b", "other");
+    let far = engine_table.find("p-b").expect("known");
+    assert_eq!(
+        id(
+            &engine_table,
+            context(&engine_table, &[], &[]).select_prefill(9000, &[(far, 6000)], 6000, 5).map(|best| best.0)
+        ),
+        "p-a"
+    );
+    let tried = [engine_table.find("p-a").expect("known")];
+    assert_eq!(
+        id(&engine_table, context(&engine_table, &[], &tried).select_prefill(9000, &[], 6000, 5).map(|best| best.0)),
+        "p-b"
+    );
+}
+
+#[test]
+fn it_is_full_only_when_every_maker_is() {
+    let mut engine_table = engine_table();
+    for (id, load) in [("d-a", "9,3,8"), ("d-b", "4,0,8")] {
+        let at = engine_table.find(id).expect("known");
+        engine_table.record_reported_load(at, load, 900);
+    }
+    assert!(!context(&engine_table, &[], &[]).is_saturated(1.25));
+    let at = engine_table.find("d-b").expect("known");
+    engine_table.record_reported_load(at, "8,2,8", 900);
+    assert!(context(&engine_table, &[], &[]).is_saturated(1.25));
+    assert!(!context(&engine_table, &[], &[]).is_saturated(1.5), "what ranks higher is let in for longer");
+}
+
+#[test]
+fn owners_of_a_shorter_prefix_do_not_draw_what_has_a_home_of_its_own() {
+    let engine_table = engine_table();
+    let (near, far) = (engine_table.find("p-a").expect("known"), engine_table.find("p-b").expect("known"));
+    let chosen = |key, held: &[(usize, u32)]| {
+        context(&engine_table, &[], &[]).select_prefill(9000, held, 6000, key).map(|best| best.0)
+    };
+    let home = |key| engine_table.subset(0, Phase::Prefill, false).expect("one").home_engines(key, 1, |_| true)[0];
+    let key = (0..).find(|key| home(*key) == near).expect("a key at home near");
+    assert_eq!(chosen(key, &[(far, 2500)]), Some(near), "the part that all share is not enough");
+    assert_eq!(chosen(key, &[(far, 6000)]), Some(far), "the whole shared prefix is");
+}
--- a/load_balancing/src/subset_tests.rs
+++ b/load_balancing/src/subset_tests.rs
@@ -1,24 +1,24 @@
 use kernel::clock;
 
-use super::{Seat, Subset};
+use super::{Subset, SubsetParams};
 
 fn engines(zones: u32, each: usize) -> Vec<(usize, u32, u64)> {
     let name = |at: usize| clock::hash(format!("i-{at}").as_bytes());
     (0..zones as usize * each).map(|at| (at, (at / each) as u32, name(at))).collect()
 }
 
-fn seat(at: u32, routers: u32, zones: u32) -> Seat {
-    let mark = clock::hash(format!("edge-{at}").as_bytes());
-    Seat { mark, zone: at % zones, routers, zones }
+fn params(at: u32, routers: u32, zones: u32) -> SubsetParams {
+    let router_hash = clock::hash(format!("edge-{at}").as_bytes());
+    SubsetParams { router_hash, zone: at % zones, router_count: routers, zone_count: zones }
 }
 
 #[test]
 fn a_sample_of_a_small_fleet_is_all_of_it() {
     let list = engines(3, 4);
     for at in 0..10 {
-        let mut picks = Subset::make(seat(at, 10, 3), &list).picks;
-        picks.sort_unstable();
-        assert_eq!(picks, (0..12).collect::<Vec<_>>());
+        let mut sampled = Subset::build(params(at, 10, 3), &list).sampled;
+        sampled.sort_unstable();
+        assert_eq!(sampled, (0..12).collect::<Vec<_>>());
     }
 }
 
@@ -26,15 +26,15 @@
 const FLEETS: [(u32, u32, usize); 5] = [(9, 3, 4), (88, 3, 12), (72, 4, 24), (200, 5, 50), (1600, 10, 486)];
 
 #[test]
-fn every_engine_is_in_enough_subsets_of_its_area_and_none_in_far_too_many() {
+fn every_engine_is_in_enough_subsets_of_its_zone_and_none_in_far_too_many() {
     for (routers, zones, each) in FLEETS {
-        // Areas are alike: one is looked at, by the routers in it.
+        // Zones are alike: one is looked at, by the routers in it.
         let list: Vec<_> = engines(zones, each).into_iter().filter(|item| item.1 == 0).collect();
         let mut near = vec![0u32; list.len()];
         for at in (0..routers).step_by(zones as usize) {
-            let seat = seat(at, routers, zones);
-            for pick in Subset::picks(seat, &list) {
-                near[pick] += u32::from(list[pick].1 == seat.zone);
+            let params = params(at, routers, zones);
+            for pick in Subset::sample(params, &list) {
+                near[pick] += u32::from(list[pick].1 == params.zone);
             }
         }
         let mean = f64::from(near.iter().sum::<u32>()) / near.len() as f64;
@@ -47,23 +47,23 @@
 #[test]
 fn a_subset_does_not_grow_with_routers_times_engines() {
     for (routers, zones, each) in FLEETS {
-        let picks = Subset::picks(seat(1, routers, zones), &engines(zones, each)).len();
-        assert!(picks <= 80, "{routers} routers, {each} engines a zone: {picks}");
+        let sampled = Subset::sample(params(1, routers, zones), &engines(zones, each)).len();
+        assert!(sampled <= 80, "{routers} routers, {each} engines a zone: {sampled}");
     }
 }
 
 #[test]
-fn one_engine_more_or_less_moves_only_its_own_place() {
+fn one_engine_more_or_less_moves_only_its_own_prefixes() {
     let list = engines(3, 20);
-    let before = Subset::make(seat(5, 88, 3), &list);
+    let before = Subset::build(params(5, 88, 3), &list);
     for gone in [0, 7, 31, 59] {
         let rest: Vec<_> = list.iter().copied().filter(|(at, _, _)| *at != gone).collect();
-        let after = Subset::make(seat(5, 88, 3), &rest);
-        let lost = before.picks.iter().filter(|at| !after.picks.contains(at)).count();
+        let after = Subset::build(params(5, 88, 3), &rest);
+        let lost = before.sampled.iter().filter(|at| !after.sampled.contains(at)).count();
         assert!(lost <= 1, "{lost} moved");
         let (mut moved, mut of) = (0, 0);
         for key in (0..500u64).map(|key| clock::combine_hashes(key, 9)) {
-            let (old, new) = (before.homes(key, 1, |_| true), after.homes(key, 1, |_| true));
+            let (old, new) = (before.home_engines(key, 1, |_| true), after.home_engines(key, 1, |_| true));
             of += 1;
             moved += u32::from(old != new);
             assert!(old == new || old == [gone], "a prefix moved that was not at home there");
@@ -75,14 +75,14 @@
 #[test]
 fn all_routers_find_the_same_homes_and_they_are_spread() {
     let list = engines(3, 8);
-    let (one, two) = (Subset::make(seat(1, 88, 3), &list), Subset::make(seat(2, 88, 3), &list));
+    let (one, two) = (Subset::build(params(1, 88, 3), &list), Subset::build(params(2, 88, 3), &list));
     let mut count = [0u32; 24];
     for key in (0..4800u64).map(|key| clock::combine_hashes(key, 3)) {
-        let homes = one.homes(key, 2, |_| true);
-        assert_eq!(homes, two.homes(key, 2, |_| true));
+        let homes = one.home_engines(key, 2, |_| true);
+        assert_eq!(homes, two.home_engines(key, 2, |_| true));
         assert!(homes.len() == 2 && homes[0] != homes[1]);
         count[homes[0]] += 1;
-        let second = one.homes(key, 1, |at| at != homes[0]);
+        let second = one.home_engines(key, 1, |at| at != homes[0]);
         assert_eq!(second, [homes[1]], "the next one, when the first can't be used");
     }
     assert!(count.iter().all(|count| (100..340).contains(count)), "{count:?}");
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -48,16 +48,16 @@
     let Some(at) = state.engine_table.lock().expect("engine_table").find(word.engine()) else { return };
     match word {
         Word::Answered(_) => {
-            state.engine_table.lock().expect("engine_table").list[at].calm = true;
+            state.engine_table.lock().expect("engine_table").engines[at].answered_elsewhere = true;
             state.calm.notify_waiters();
         }
         Word::Dark(_) => {
             let now = clock::now();
             {
                 let mut engine_table = state.engine_table.lock().expect("engine_table");
-                let engine = &mut engine_table.list[at];
+                let engine = &mut engine_table.engines[at];
                 // Nothing new is sent there; answers under way are no worse for what others saw.
-                engine.shy_until = engine.shy_until.max(now + SHY_MS);
+                engine.suspected_until = engine.suspected_until.max(now + SHY_MS);
             }
             start(state, at, Cause::Told);
         }
@@ -74,7 +74,7 @@
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let woken = state.calm.notified();
-        if mem::take(&mut state.engine_table.lock().expect("engine_table").list[at].calm) {
+        if mem::take(&mut state.engine_table.lock().expect("engine_table").engines[at].answered_elsewhere) {
             return true;
         }
         if time::timeout_at(end, woken).await.is_err() {
@@ -90,11 +90,11 @@
         let woken = state.calm.notified();
         {
             let mut engine_table = state.engine_table.lock().expect("engine_table");
-            let engine = &mut engine_table.list[at];
-            if mem::take(&mut engine.calm) {
+            let engine = &mut engine_table.engines[at];
+            if mem::take(&mut engine.answered_elsewhere) {
                 return true;
             }
-            if mem::take(&mut engine.silent) {
+            if mem::take(&mut engine.is_unresponsive) {
                 return false;
             }
         }
@@ -113,8 +113,8 @@
 
 /// A request got no sign of life from an engine: it is asked until it answers or is gone.
 pub fn raise(state: &Arc<State>, at: usize) {
-    if let Some(engine) = state.engine_table.lock().expect("engine_table").list.get_mut(at) {
-        engine.silent = true;
+    if let Some(engine) = state.engine_table.lock().expect("engine_table").engines.get_mut(at) {
+        engine.is_unresponsive = true;
     }
     state.calm.notify_waiters();
     start(state, at, Cause::Seen);
@@ -124,10 +124,12 @@
 fn start(state: &Arc<State>, at: usize, cause: Cause) {
     {
         let mut engine_table = state.engine_table.lock().expect("engine_table");
-        let Some(engine) = engine_table.list.get_mut(at).filter(|engine| engine.here && !engine.asked) else { return };
-        engine.asked = true;
-        engine.calm = false;
-        engine.silent = false;
+        let Some(engine) = engine_table.engines.get_mut(at).filter(|engine| engine.listed && !engine.is_probing) else {
+            return;
+        };
+        engine.is_probing = true;
+        engine.answered_elsewhere = false;
+        engine.is_unresponsive = false;
     }
     tokio::spawn(ask(state.clone(), at, cause));
 }
@@ -153,13 +155,13 @@
     loop {
         let (addr, id) = {
             let engine_table = state.engine_table.lock().expect("engine_table");
-            (engine_table.list[at].addr.clone(), engine_table.list[at].id.clone())
+            (engine_table.engines[at].address.clone(), engine_table.engines[at].id.clone())
         };
         let answer = probe(&addr).await;
         let known = match judge(&state, at, &id, answer, begun) {
             Found::Ended => {
                 // Whoever was told need not tell.
-                let is_here = state.engine_table.lock().expect("engine_table").list[at].here;
+                let is_here = state.engine_table.lock().expect("engine_table").engines[at].listed;
                 if is_here && !woken && (unanswered > 0 || cause == Cause::Told) {
                     tell(&state, Word::Answered(&id));
                 }
@@ -182,24 +184,24 @@
 fn judge(state: &State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
     let now = clock::now();
     let mut engine_table = state.engine_table.lock().expect("engine_table");
-    let engine = &mut engine_table.list[at];
-    let known = engine.shy_until > now;
+    let engine = &mut engine_table.engines[at];
+    let known = engine.suspected_until > now;
     match answer {
         Some(name) if name.as_ref().is_none_or(|name| name == id) => answered(state, engine, now, begun),
-        Some(_) => engine.over(),
-        None => engine.strike(now, SHY_MS),
+        Some(_) => engine.retire(),
+        None => engine.record_failure(now, SHY_MS),
     }
     if answer_ends(engine, now) {
-        engine.asked = false;
+        engine.is_probing = false;
         return Found::Ended;
     }
-    engine.calm = false;
-    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.strikes);
+    engine.answered_elsewhere = false;
+    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.consecutive_failures);
     Found::Silent { known }
 }
 
 fn answered(state: &State, engine: &mut EngineState, now: u64, begun: u64) {
-    engine.good(now);
+    engine.record_response(now);
     if now > begun + DARK_MS {
         // It may have been started anew meanwhile.
         engine.presume_cold(now + evacuation::presumed_cold_ms(state));
@@ -209,13 +211,13 @@
 /// Another router got an answer, and this one has no reason of its own to doubt it.
 fn trust(state: &State, at: usize, begun: u64) {
     let mut engine_table = state.engine_table.lock().expect("engine_table");
-    let engine = &mut engine_table.list[at];
-    engine.asked = false;
+    let engine = &mut engine_table.engines[at];
+    engine.is_probing = false;
     answered(state, engine, clock::now(), begun);
 }
 
 fn answer_ends(engine: &EngineState, now: u64) -> bool {
-    !engine.here || engine.shy_until <= now
+    !engine.listed || engine.suspected_until <= now
 }
 
 #[cfg(test)]
--- a/router/src/evacuation.rs
+++ b/router/src/evacuation.rs
@@ -21,7 +21,7 @@
         if held.closed.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
         }
-        let dense = engine_table.zone(zone);
+        let dense = engine_table.zone_index(zone);
         held.closed.insert(zone.clone(), (*version, *on));
         held.shut.retain(|shut| *shut != dense);
         if *on {
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::place::{Arm, View};
+use load_balancing::selection::{Arm, SelectionContext};
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
@@ -105,7 +105,7 @@
 
     pub fn endpoint(&self, at: usize) -> Endpoint {
         let engine_table = self.state.engine_table.lock().expect("engine_table");
-        Endpoint { addr: engine_table.list[at].addr.clone(), engine: engine_table.list[at].id.clone() }
+        Endpoint { addr: engine_table.engines[at].address.clone(), engine: engine_table.engines[at].id.clone() }
     }
 
     /// May one more send be made that the operator counts? The first arrival draws on no budget.
@@ -117,31 +117,31 @@
             return true;
         }
         let part = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
-        let is_allowed = self.state.budget.lock().expect("budget").allow(self.service, clock::now(), part);
+        let is_allowed = self.state.budget.lock().expect("budget").try_acquire(self.service, clock::now(), part);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
         }
         is_allowed
     }
 
-    pub fn view<T>(&self, look: impl FnOnce(&View) -> T) -> T {
+    pub fn view<T>(&self, look: impl FnOnce(&SelectionContext) -> T) -> T {
         let table = self.state.table();
         let ramp = table.services.get(&self.service).map_or(0.0, |spec| spec.ramp_per_s);
         let routers = self.state.router_count();
         let weights = self.version_bounds();
         let confirmed = self.state.floors.lock().expect("floors").is_confirmed(clock::now());
         let engine_table = self.state.engine_table.lock().expect("engine_table");
-        look(&View {
+        look(&SelectionContext {
             engine_table: &engine_table,
             now: clock::now(),
             service: self.service,
             zone: self.state.zone,
-            shut: &self.closed_zones,
-            tried: &self.tried,
-            seats: routers,
-            ramp: ramp * self.state.settings.bounds.ramp_overage,
-            weights,
-            confirmed,
+            excluded_zones: &self.closed_zones,
+            tried_engines: &self.tried,
+            router_count: routers,
+            cold_engine_rate: ramp * self.state.settings.bounds.ramp_overage,
+            weight_versions: weights,
+            is_confirmed: confirmed,
             arm: self.arm,
         })
     }
@@ -157,16 +157,17 @@
         let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == at) else { return };
         let tokens = mem::take(tokens);
         let mut engine_table = self.state.engine_table.lock().expect("engine_table");
-        engine_table.list[at].tokens = engine_table.list[at].tokens.saturating_sub(tokens);
+        engine_table.engines[at].prefill_tokens_in_flight =
+            engine_table.engines[at].prefill_tokens_in_flight.saturating_sub(tokens);
     }
 
     pub fn end_send(&mut self, at: usize) {
         let Some(place) = self.in_flight.iter().position(|(engine, _)| *engine == at) else { return };
         let (at, tokens) = self.in_flight.swap_remove(place);
         let mut engine_table = self.state.engine_table.lock().expect("engine_table");
-        let engine = &mut engine_table.list[at];
-        engine.busy = engine.busy.saturating_sub(1);
-        engine.tokens = engine.tokens.saturating_sub(tokens);
+        let engine = &mut engine_table.engines[at];
+        engine.in_flight = engine.in_flight.saturating_sub(1);
+        engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(tokens);
     }
 
     /// One send to one engine, with what it shows about that engine noted.
@@ -180,11 +181,11 @@
         let to = self.endpoint(at);
         {
             let mut engine_table = self.state.engine_table.lock().expect("engine_table");
-            let engine = &mut engine_table.list[at];
-            extra.expect = weights.and_then(|(model, _, _)| engine.weight(model));
-            engine.busy += 1;
-            engine.tokens += tokens;
-            engine.ramp.note(now);
+            let engine = &mut engine_table.engines[at];
+            extra.expect = weights.and_then(|(model, _, _)| engine.weight_version(model));
+            engine.in_flight += 1;
+            engine.prefill_tokens_in_flight += tokens;
+            engine.slow_start.record_send(now);
         }
         self.in_flight.push((at, tokens));
         let stage = extra.stage;
@@ -228,7 +229,7 @@
         let now = clock::now();
         let (seen, struck) = {
             let engine_table = self.state.engine_table.lock().expect("engine_table");
-            (engine_table.list[at].good_at.max(since), engine_table.list[at].struck_at)
+            (engine_table.engines[at].last_response_at.max(since), engine_table.engines[at].last_failure_at)
         };
         if struck > seen {
             return true;
@@ -243,28 +244,28 @@
     fn record_outcome(&self, at: usize, outcome: &Outcome) {
         let now = clock::now();
         let mut engine_table = self.state.engine_table.lock().expect("engine_table");
-        let engine = &mut engine_table.list[at];
+        let engine = &mut engine_table.engines[at];
         match outcome {
             Outcome::Answer(answer) => {
-                engine.good(now);
+                engine.record_response(now);
                 if let Some(version) = verdict::version(&answer.head.headers) {
-                    engine.weigh(self.request.model_key, Some(version));
+                    engine.set_weight_version(self.request.model_key, Some(version));
                 }
                 if let Some(load) = answer.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
-                    engine_table.report(at, load, now);
+                    engine_table.record_reported_load(at, load, now);
                 }
             }
-            Outcome::OtherEngine => engine.over(),
+            Outcome::OtherEngine => engine.retire(),
             Outcome::NotExecuted => {
-                engine.good(now);
-                engine.full_until = now + 60;
+                engine.record_response(now);
+                engine.saturated_until = now + 60;
             }
             Outcome::OtherVersion(version) => {
-                engine.good(now);
-                engine.weigh(self.request.model_key, *version);
+                engine.record_response(now);
+                engine.set_weight_version(self.request.model_key, *version);
             }
             Outcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
-            Outcome::Unsent(SendError::Full) => engine.full_until = now + 20,
+            Outcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
             _ => {
                 drop(engine_table);
                 doubt::raise(&self.state, at);
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -111,7 +111,7 @@
 
     fn absorb(&self, news: StateUpdate, sent: u64) {
         if news.confirmed {
-            self.state.floors.lock().expect("floors").renew(sent);
+            self.state.floors.lock().expect("floors").renew_lease(sent);
         }
         follow_absorb::absorb(&self.state, news);
     }
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -36,11 +36,11 @@
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
         let engine_table = state.engine_table.lock().expect("engine_table");
         let busy = engine_table
-            .list
+            .engines
             .iter()
-            .filter(|engine| at_home && engine.busy > 0)
-            .map(|engine| (engine.id.clone(), engine.busy));
-        (engine_table.versions(), busy.collect())
+            .filter(|engine| at_home && engine.in_flight > 0)
+            .map(|engine| (engine.id.clone(), engine.in_flight));
+        (engine_table.list_versions(), busy.collect())
     };
     let (rules, weights) = fresh::known_versions(state);
     sheets.extend(weights);
@@ -78,7 +78,7 @@
     if state.ready.load(order) {
         return true;
     }
-    let known = state.engine_table.lock().expect("engine_table").zones_listed();
+    let known = state.engine_table.lock().expect("engine_table").listed_zone_count();
     let held = state.news.lock().expect("news").config > 0 && known >= state.settings.zones.len();
     if !held || !state.currency.is_proved(clock::now()) {
         return false;
@@ -98,9 +98,9 @@
     {
         let mut engine_table = state.engine_table.lock().expect("engine_table");
         for sheet in &news.endpoint_lists {
-            left.extend(engine_table.take(sheet, now));
+            left.extend(engine_table.update(sheet, now));
         }
-        engine_table.rest(&news.reassigning, now + REST_MS);
+        engine_table.mark_reassigning(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
         let mut record = state.record.lock().expect("record");
@@ -118,7 +118,7 @@
         }
     }
     let seats = state.router_count();
-    state.engine_table.lock().expect("engine_table").sit(state.mark(), state.zone, seats);
+    state.engine_table.lock().expect("engine_table").set_router(state.mark(), state.zone, seats);
     if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(config::again(state.clone()));
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use kernel::clock;
-use load_balancing::floor::Limit;
+use load_balancing::staleness_bound::StalenessBound;
 use protocol::message::{self, StalenessLimit, WeightVersions};
 
 use crate::event::{FEW, RULE};
@@ -20,10 +20,10 @@
         let now = clock::now();
         let floors = self.state.floors.lock().expect("floors");
         let model = self.request.model_key;
-        match floors.limit(self.service, &self.request.model, &self.route, now) {
-            Limit::Free => None,
-            Limit::Lapsed => Some((model, u64::MAX, 0)),
-            Limit::From(floor) => match self.pinned_version {
+        match floors.bound_for(self.service, &self.request.model, &self.route, now) {
+            StalenessBound::Unbounded => None,
+            StalenessBound::LeaseExpired => Some((model, u64::MAX, 0)),
+            StalenessBound::AtLeast(floor) => match self.pinned_version {
                 Some(exact) if exact >= floor => Some((model, exact, exact)),
                 _ => Some((model, floor, u64::MAX)),
             },
@@ -46,7 +46,8 @@
     /// What an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().expect("engine_table").list[at].weigh(self.request.model_key, Some(version));
+            self.state.engine_table.lock().expect("engine_table").engines[at]
+                .set_weight_version(self.request.model_key, Some(version));
         }
     }
 
@@ -62,9 +63,9 @@
 
 /// A rule from a controller; binds at once where it is tighter.
 pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
+    let service = state.engine_table.lock().expect("engine_table").service_index(&rule.service);
     let now = clock::now();
-    if state.floors.lock().expect("floors").take(rule, service, now) {
+    if state.floors.lock().expect("floors").update(rule, service, now) {
         kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
@@ -80,7 +81,7 @@
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().expect("engine_table").weigh(&list.list);
+    state.engine_table.lock().expect("engine_table").set_weight_versions(&list.list);
 }
 
 /// A name and its version.
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -32,7 +32,7 @@
     for _ in 0..3 {
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engine_table.lock().expect("engine_table").note_read(exchange.service, reads);
+        exchange.state.engine_table.lock().expect("engine_table").record_prefill(exchange.service, reads);
         let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
             Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
@@ -101,7 +101,7 @@
     let now = clock::now();
     let (id, told) = {
         let engine_table = exchange.state.engine_table.lock().expect("engine_table");
-        (engine_table.list[at].id.clone(), engine_table.list[at].told(now))
+        (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
     {
@@ -143,10 +143,10 @@
     loop {
         exchange.drop_stale_handle();
         let Some(handle) = exchange.take_handle() else {
-            let (at, _) = exchange.view(|view| view.alone(tokens, &owners, rank))?;
+            let (at, _) = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
             return Some((at, None));
         };
-        if let Some(at) = exchange.view(|view| view.decode(tokens, &owners, reader, rank)) {
+        if let Some(at) = exchange.view(|view| view.select_decode(tokens, &owners, reader, rank)) {
             return Some((at, Some(handle)));
         }
         exchange.hold_handle(handle);
@@ -200,7 +200,7 @@
 
 fn is_full(exchange: &Exchange, at: usize) -> bool {
     let engine_table = exchange.state.engine_table.lock().expect("engine_table");
-    engine_table.pressure(at, clock::now()) >= f64::from(engine_table.list[at].slots)
+    engine_table.estimated_load(at, clock::now()) >= f64::from(engine_table.engines[at].slots)
 }
 
 /// The memory can't be had: its engine is suppressed for these keys, not for the request.
--- a/router/src/kv_handle.rs
+++ b/router/src/kv_handle.rs
@@ -32,8 +32,8 @@
         let now = clock::now();
         let good = self.kv_handle.as_ref().is_some_and(|handle| {
             let engine_table = self.state.engine_table.lock().expect("engine_table");
-            let engine = &engine_table.list[handle.at];
-            now < handle.until && engine.here && !self.closed_zones.contains(&engine.zone)
+            let engine = &engine_table.engines[handle.at];
+            now < handle.until && engine.listed && !self.closed_zones.contains(&engine.zone)
         });
         if !good {
             self.release_handle();
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -1,7 +1,7 @@
 //! Planning a request's way, as data, before anything is sent.
 
 use kernel::clock;
-use load_balancing::place::{Half, View};
+use load_balancing::selection::{Phase, SelectionContext};
 
 use crate::request::Request;
 use crate::state::State;
@@ -17,10 +17,10 @@
     Alone,
 }
 
-pub fn read(view: &View, request: &Request, held: &PrefixOwners) -> Plan {
+pub fn read(view: &SelectionContext, request: &Request, held: &PrefixOwners) -> Plan {
     let (tokens, rank) = (request.tokens(), rank(request));
-    let Some((at, cost)) = view.prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
-    if view.alone(tokens, held, rank).is_some_and(|(_, alone)| alone < cost) {
+    let Some((at, cost)) = view.select_prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
+    if view.select_combined(tokens, held, rank).is_some_and(|(_, alone)| alone < cost) {
         return Plan::Alone;
     }
     let have = held.iter().find(|(owner, _)| *owner == at).map_or(0, |(_, have)| *have);
@@ -44,7 +44,7 @@
         let found = state.lookup.query(missing, sample).await;
         if let Some(found) = &found {
             let (now, mut engine_table) = (clock::now(), state.engine_table.lock().expect("engine_table"));
-            found.list.iter().for_each(|told| engine_table.hear(told, now));
+            found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
         }
         let found = found.map(|found| found.owners);
         let mut record = state.record.lock().expect("record");
@@ -70,14 +70,18 @@
     let roll = state.dice.lock().expect("dice").next_u64();
     let engine_table = state.engine_table.lock().expect("engine_table");
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
-    for half in [Half::Prefill, Half::Decode] {
+    for half in [Phase::Prefill, Phase::Decode] {
         let Some(subset) = engine_table.subset(service, half, false) else { continue };
-        if half == Half::Prefill {
-            names.extend(subset.homes(rank(request), 2, |at| engine_table.list[at].up && engine_table.list[at].here));
+        if half == Phase::Prefill {
+            names.extend(
+                subset.home_engines(rank(request), 2, |at| {
+                    engine_table.engines[at].up && engine_table.engines[at].listed
+                }),
+            );
         }
-        names.extend(subset.draw(roll, DRAWN));
+        names.extend(subset.sampled_run(roll, DRAWN));
     }
-    names.into_iter().map(|at| engine_table.list[at].name).collect()
+    names.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
 }
 
 /// How many of a half are drawn for each request.
@@ -93,7 +97,8 @@
     let mut stale = 0;
     for (key, depth) in request.keys.iter().zip(depths).rev() {
         for name in record.owners(*key, now) {
-            let usable = engine_table.find(name).filter(|at| engine_table.list[*at].up && engine_table.list[*at].here);
+            let usable =
+                engine_table.find(name).filter(|at| engine_table.engines[*at].up && engine_table.engines[*at].listed);
             match usable {
                 Some(at) if list.iter().any(|(owner, _)| *owner == at) => {}
                 Some(at) => list.push((at, depth)),
@@ -122,7 +127,7 @@
     let mut engine_table = state.engine_table.lock().expect("engine_table");
     for (zone, region) in &state.settings.zones {
         if outside(region) {
-            list.push(engine_table.zone(zone));
+            list.push(engine_table.zone_index(zone));
         }
     }
     list
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -6,7 +6,7 @@
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
 use kernel::clock;
-use load_balancing::place::Half;
+use load_balancing::selection::Phase;
 use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
 
@@ -44,7 +44,7 @@
 
 /// Chooses the path and follows it to an answer.
 pub async fn answer(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
-    if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.idle(share))) {
+    if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.has_spare_capacity(share))) {
         return Err(Failure::Refused(STAND_BACK_MS));
     }
     exchange.choose_version();
@@ -52,18 +52,18 @@
         // Refused early rather than given up late.
         return Err(failure_of(&exchange));
     }
-    if exchange.version_bounds().is_some() && exchange.view(|view| view.open(Half::Decode).is_empty()) {
+    if exchange.version_bounds().is_some() && exchange.view(|view| view.candidates(Phase::Decode).is_empty()) {
         exchange.report_no_replica();
         return Err(failure_of(&exchange));
     }
     let share = LIMITS[(exchange.priority as usize).min(LIMITS.len() - 1)];
-    if exchange.view(|view| view.full(share)) {
+    if exchange.view(|view| view.is_saturated(share)) {
         return Err(failure_of(&exchange));
     }
     exchange.spend_quota().await?;
     let split = exchange.is_streaming()
         && !exchange.request.keys.is_empty()
-        && exchange.view(|view| view.has(Half::Prefill) && view.has(Half::Decode));
+        && exchange.view(|view| view.has_phase(Phase::Prefill) && view.has_phase(Phase::Decode));
     let carried = if split { halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
@@ -102,7 +102,7 @@
     let mut granted = false;
     loop {
         let rank = clock::combine_hashes(exchange.request.born, exchange.request.body.len() as u64);
-        let place = exchange.view(|view| view.decode(0, &[], None, rank));
+        let place = exchange.view(|view| view.select_decode(0, &[], None, rank));
         let Some(at) = place else { return Err(failure_of(exchange)) };
         if !mem::take(&mut granted) && !exchange.grant_send() {
             return Err(failure_of(exchange));
@@ -143,7 +143,7 @@
         let (tokens, rank) = (self.request.tokens(), plan::rank(&self.request));
         for _ in 0..3 {
             let held = self.prefix_owners.clone();
-            let next = self.view(|view| view.alone(tokens, &held, rank))?.0;
+            let next = self.view(|view| view.select_combined(tokens, &held, rank))?.0;
             if self.remaining_ms() == 0 || !self.grant_send() {
                 return None;
             }
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use kernel::clock;
-use load_balancing::floor::Limit;
+use load_balancing::staleness_bound::StalenessBound;
 use protocol::headers::{
     EXPECTED_VERSION, KV_SOURCE, LAST_EVENT_ID, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET, URGENCY_CLASS,
 };
@@ -69,11 +69,11 @@
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
 fn holds(state: &State, service: u32, model: &str, extra: &Extra) -> bool {
     let Some(route) = &extra.guard else { return true };
-    let limit = state.floors.lock().expect("floors").limit(service, model, route, clock::now());
+    let limit = state.floors.lock().expect("floors").bound_for(service, model, route, clock::now());
     match limit {
-        Limit::Free => true,
-        Limit::From(floor) => extra.expect.is_some_and(|version| version >= floor),
-        Limit::Lapsed => false,
+        StalenessBound::Unbounded => true,
+        StalenessBound::AtLeast(floor) => extra.expect.is_some_and(|version| version >= floor),
+        StalenessBound::LeaseExpired => false,
     }
 }
 
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -10,9 +10,9 @@
 use kernel::clock::{self, Rng};
 use kernel::convergence;
 use kernel::settings::Settings;
-use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
-use load_balancing::floor::Floors;
+use load_balancing::retry_budget;
+use load_balancing::staleness_bound::StalenessBounds;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
@@ -33,11 +33,11 @@
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
     pub record: Mutex<OwnerCache>,
-    pub budget: Mutex<budget::Budget>,
+    pub budget: Mutex<retry_budget::RetryBudget>,
     pub pools: Pools,
     pub lookup: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
-    pub floors: Mutex<Floors>,
+    pub floors: Mutex<StalenessBounds>,
     /// By zone: the version of the weight versions held.
     pub weights: Mutex<BTreeMap<String, (u64, u64)>>,
     pub news: Mutex<SubscribedState>,
@@ -82,9 +82,9 @@
     pub fn new(settings: Settings) -> Arc<State> {
         let life = clock::incarnation();
         let mut engine_table = EngineTable::default();
-        let own_zone = engine_table.zone(&settings.zone);
+        let own_zone = engine_table.zone_index(&settings.zone);
         for (zone, region) in &settings.zones {
-            engine_table.region(zone, region);
+            engine_table.set_region(zone, region);
         }
         let window_ms = (settings.bounds.budget_window_s * 1000.0) as u64;
         Arc::new(State {
@@ -93,7 +93,7 @@
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
             record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
-            budget: Mutex::new(budget::Budget::new(settings.bounds.retry_budget, window_ms)),
+            budget: Mutex::new(retry_budget::RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
--- a/router/src/table.rs
+++ b/router/src/table.rs
@@ -73,7 +73,7 @@
         "streaming" => Kind::Streaming,
         _ => Kind::NonIdempotent,
     };
-    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
+    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service_index(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
@@ -131,10 +131,10 @@
             list.sort_by_key(|route| Reverse(route.prefix.len()));
         }
         for name in &change.lost {
-            next.services.remove(&engine_table.service(name));
+            next.services.remove(&engine_table.service_index(name));
         }
         for item in &change.services {
-            next.services.insert(engine_table.service(&item.name), service(item));
+            next.services.insert(engine_table.service_index(&item.name), service(item));
         }
         Some(next)
     }
--- a/router/src/table_tests.rs
+++ b/router/src/table_tests.rs
@@ -27,9 +27,9 @@
     let mut engine_table = EngineTable::default();
     let table = made(&mut engine_table);
     let service = |host: &str, path: &str| table.find(host, path).map(|route| route.targets[0].0);
-    assert_eq!(service("a.example", "/x/y/z"), Some(engine_table.service("t")));
-    assert_eq!(service("a.example:80", "/x/z"), Some(engine_table.service("u")));
-    assert_eq!(service("a.example", "/x"), Some(engine_table.service("s")));
+    assert_eq!(service("a.example", "/x/y/z"), Some(engine_table.service_index("t")));
+    assert_eq!(service("a.example:80", "/x/z"), Some(engine_table.service_index("u")));
+    assert_eq!(service("a.example", "/x"), Some(engine_table.service_index("s")));
     assert_eq!(service("b.example", "/x/"), None);
 }
 
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::place::Arm;
+use load_balancing::selection::Arm;
 use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use tokio::time;
@@ -97,7 +97,7 @@
 
 /// A record from a controller.
 pub fn take(state: &State, rollout: VersionRollout) {
-    let service = state.engine_table.lock().expect("engine_table").service(&rollout.service);
+    let service = state.engine_table.lock().expect("engine_table").service_index(&rollout.service);
     let (name, target, share, word) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.word());
     if state.rollouts.lock().expect("rollouts").take(service, rollout) {
