--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -32,7 +32,7 @@
     for _ in 0..3 {
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engine_table.lock().note_read(exchange.service, reads);
+        exchange.state.engine_table.lock().expect("engine_table").record_prefill(exchange.service, reads);
         let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
             Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
@@ -100,14 +100,14 @@
 fn register(exchange: &Exchange, at: usize) -> u32 {
     let now = clock::now();
     let (id, told) = {
-        let engine_table = exchange.state.engine_table.lock();
-        (engine_table.list[at].id.clone(), engine_table.list[at].told(now))
+        let engine_table = exchange.state.engine_table.lock().expect("engine_table");
+        (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
     {
         let mut record = exchange.state.record.lock();
         for key in &exchange.request.keys {
-            record.note(*key, &id, now);
+            record.record(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
         }
     }
@@ -143,10 +143,10 @@
     loop {
         exchange.drop_stale_handle();
         let Some(handle) = exchange.take_handle() else {
-            let (at, _) = exchange.view(|view| view.alone(tokens, &owners, rank))?;
+            let (at, _) = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
             return Some((at, None));
         };
-        if let Some(at) = exchange.view(|view| view.decode(tokens, &owners, reader, rank)) {
+        if let Some(at) = exchange.view(|view| view.select_decode(tokens, &owners, reader, rank)) {
             return Some((at, Some(handle)));
         }
         exchange.hold_handle(handle);
@@ -199,8 +199,8 @@
 }
 
 fn is_full(exchange: &Exchange, at: usize) -> bool {
-    let engine_table = exchange.state.engine_table.lock();
-    engine_table.pressure(at, clock::now()) >= f64::from(engine_table.list[at].slots)
+    let engine_table = exchange.state.engine_table.lock().expect("engine_table");
+    engine_table.estimated_load(at, clock::now()) >= f64::from(engine_table.engines[at].slots)
 }
 
 /// The memory can't be had: its engine is suppressed for these keys, not for the request.
@@ -211,7 +211,7 @@
         let mut record = exchange.state.record.lock();
         record.counts.transfer_error += 1;
         for key in &exchange.request.keys {
-            record.hush(&id, *key, now + HUSH_MS);
+            record.suppress(&id, *key, now + HUSH_MS);
         }
     }
     exchange.release_handle();
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -6,14 +6,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::Arc;
 
-use catalog::record::Record;
+use catalog::owner_cache::OwnerCache;
 use kernel::clock::{self, Rng};
 use kernel::convergence;
 use kernel::settings::Settings;
-use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
-use load_balancing::floor::Floors;
-use parking_lot::Mutex;
+use load_balancing::retry_budget;
+use load_balancing::staleness_bound::StalenessBounds;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
@@ -33,12 +32,12 @@
     pub zone: u32,
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
-    pub record: Mutex<Record>,
-    pub budget: Mutex<budget::Budget>,
+    pub record: Mutex<OwnerCache>,
+    pub budget: Mutex<retry_budget::RetryBudget>,
     pub pools: Pools,
     pub lookup: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
-    pub floors: Mutex<Floors>,
+    pub floors: Mutex<StalenessBounds>,
     /// By zone: the version of the weight versions held.
     pub weights: Mutex<BTreeMap<String, (u64, u64)>>,
     pub news: Mutex<SubscribedState>,
@@ -83,9 +82,9 @@
     pub fn new(settings: Settings) -> Arc<State> {
         let life = clock::incarnation();
         let mut engine_table = EngineTable::default();
-        let own_zone = engine_table.zone(&settings.zone);
+        let own_zone = engine_table.zone_index(&settings.zone);
         for (zone, region) in &settings.zones {
-            engine_table.region(zone, region);
+            engine_table.set_region(zone, region);
         }
         let window_ms = (settings.bounds.budget_window_s * 1000.0) as u64;
         Arc::new(State {
@@ -93,8 +92,8 @@
             zone: own_zone,
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
-            record: Mutex::new(Record::new(RECORD, STALE_MS)),
-            budget: Mutex::new(budget::Budget::new(settings.bounds.retry_budget, window_ms)),
+            record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
+            budget: Mutex::new(retry_budget::RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
