--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -45,7 +45,7 @@
 
 /// A new holder of the catalog starts empty: what is known here is registered again, in steps.
 pub async fn again(state: Arc<State>) {
-    let all = state.record.lock().expect("record").entries(clock::now());
+    let all = state.record.lock().entries(clock::now());
     for part in all.chunks(100) {
         let list = part.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
         state.lookup.register(list, Vec::new());
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn cold_until(state: &State, at: usize) -> u64 {
-    state.engine_table.lock().expect("engine_table").engines[at].cold_until
+    state.engine_table.lock().engines[at].cold_until
 }
 
 #[tokio::test]
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -46,8 +46,7 @@
     /// What an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().expect("engine_table").engines[at]
-                .set_weight_version(self.request.model_key, Some(version));
+            self.state.engine_table.lock().engines[at].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
@@ -63,9 +62,9 @@
 
 /// A rule from a controller; binds at once where it is tighter.
 pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().expect("engine_table").service_index(&rule.service);
+    let service = state.engine_table.lock().service_index(&rule.service);
     let now = clock::now();
-    if state.floors.lock().expect("floors").update(rule, service, now) {
+    if state.floors.lock().update(rule, service, now) {
         kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
@@ -81,7 +80,7 @@
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().expect("engine_table").set_weight_versions(&list.list);
+    state.engine_table.lock().set_weight_versions(&list.list);
 }
 
 /// A name and its version.
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -201,7 +201,7 @@
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
     state.held.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.budget.lock().expect("budget").record_request(service, born);
+    state.budget.lock().record_request(service, born);
     Exchange {
         closed_zones: plan::closed_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -219,7 +219,7 @@
         self.ready.set(i64::from(state.is_ready()));
         self.config_revision.set(state.table().revision as i64);
         self.body_bytes.set(state.held.load(order) as i64);
-        self.engines_known.set(state.engine_table.lock().expect("engine_table").engines.len() as i64);
+        self.engines_known.set(state.engine_table.lock().engines.len() as i64);
         self.prefix_lookups.set(counts.queries as i64);
         self.prefix_hits.set(counts.hits as i64);
         telemetry::encode(&self.registry)
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -32,7 +32,7 @@
     for _ in 0..3 {
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engine_table.lock().expect("engine_table").record_prefill(exchange.service, reads);
+        exchange.state.engine_table.lock().record_prefill(exchange.service, reads);
         let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
             Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
@@ -100,7 +100,7 @@
 fn register(exchange: &Exchange, at: usize) -> u32 {
     let now = clock::now();
     let (id, told) = {
-        let engine_table = exchange.state.engine_table.lock().expect("engine_table");
+        let engine_table = exchange.state.engine_table.lock();
         (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
@@ -199,7 +199,7 @@
 }
 
 fn is_full(exchange: &Exchange, at: usize) -> bool {
-    let engine_table = exchange.state.engine_table.lock().expect("engine_table");
+    let engine_table = exchange.state.engine_table.lock();
     engine_table.estimated_load(at, clock::now()) >= f64::from(engine_table.engines[at].slots)
 }
 
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -43,7 +43,7 @@
         let sample = sample(state, request, service);
         let found = state.lookup.query(missing, sample).await;
         if let Some(found) = &found {
-            let (now, mut engine_table) = (clock::now(), state.engine_table.lock().expect("engine_table"));
+            let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
             found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
         }
         let found = found.map(|found| found.owners);
@@ -91,8 +91,8 @@
 fn held(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
     let depths = catalog::prefix_token_counts(&request.parts);
-    let engine_table = state.engine_table.lock().expect("engine_table");
-    let mut record = state.record.lock().expect("record");
+    let engine_table = state.engine_table.lock();
+    let mut record = state.record.lock();
     let mut list: PrefixOwners = Vec::new();
     let mut stale = 0;
     for (key, depth) in request.keys.iter().zip(depths).rev() {
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -97,7 +97,7 @@
 
 /// A record from a controller.
 pub fn take(state: &State, rollout: VersionRollout) {
-    let service = state.engine_table.lock().expect("engine_table").service_index(&rollout.service);
+    let service = state.engine_table.lock().service_index(&rollout.service);
     let (name, target, share, word) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.word());
     if state.rollouts.lock().take(service, rollout) {
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -74,11 +74,11 @@
     let list = new.iter().enumerate();
     let list = list.map(|(at, engine)| Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
     let sheet = EndpointList { zone: candidates_of("a"), term: 1, sequence: 1, engines: list };
-    state.engine_table.lock().expect("engine_table").update(&sheet, clock::now());
+    state.engine_table.lock().update(&sheet, clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
     take(&state, rollout(1, RolloutState::Active, 1000));
     assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
-    state.floors.lock().expect("floors").renew_lease(clock::now());
+    state.floors.lock().renew_lease(clock::now());
     assert!(ask(&state, "stream", "c", "").await.contains("token-3"));
     ask(&state, "once", "f", "").await;
     let told = state.rollouts.lock().take_samples();
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -13,6 +13,7 @@
 use load_balancing::engine_table::EngineTable;
 use load_balancing::retry_budget;
 use load_balancing::staleness_bound::StalenessBounds;
+use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -80,8 +80,8 @@
     if state.ready.load(order) {
         return true;
     }
-    let known = state.engine_table.lock().expect("engine_table").listed_zone_count();
-    let held = state.news.lock().expect("news").config > 0 && known >= state.settings.zones.len();
+    let known = state.engine_table.lock().listed_zone_count();
+    let held = state.news.lock().config > 0 && known >= state.settings.zones.len();
     if !held || !state.currency.is_proved(clock::now()) {
         return false;
     }
@@ -105,7 +105,7 @@
         engine_table.mark_reassigning(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
-        let mut record = state.record.lock().expect("record");
+        let mut record = state.record.lock();
         left.iter().for_each(|engine| record.remove_engine(engine));
     }
     evacuation::absorb(state, &news.evacuations);
@@ -120,7 +120,7 @@
         }
     }
     let seats = state.router_count();
-    state.engine_table.lock().expect("engine_table").set_router(state.mark(), state.zone, seats);
+    state.engine_table.lock().set_router(state.mark(), state.zone, seats);
     if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(activation::again(state.clone()));
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -111,7 +111,7 @@
 
     fn absorb(&self, news: StateUpdate, sent: u64) {
         if news.confirmed {
-            self.state.floors.lock().expect("floors").renew_lease(sent);
+            self.state.floors.lock().renew_lease(sent);
         }
         apply_update::absorb(&self.state, news);
     }
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -21,11 +21,11 @@
 
 /// Is the engine left alone?
 fn is_left_alone(state: &State) -> bool {
-    state.engine_table.lock().expect("engine_table").engines[0].suspected_until > clock::now()
+    state.engine_table.lock().engines[0].suspected_until > clock::now()
 }
 
 fn is_asked(state: &State) -> bool {
-    state.engine_table.lock().expect("engine_table").engines[0].is_probing
+    state.engine_table.lock().engines[0].is_probing
 }
 
 /// Until the asker has ended.
@@ -88,9 +88,5 @@
     let list = fleet().await;
     let state = router(&list);
     hear(&state, &Word::Dark(&id(&list)).write());
-    assert_eq!(
-        state.engine_table.lock().expect("engine_table").engines[0].last_failure_at,
-        0,
-        "only own questions end an answer"
-    );
+    assert_eq!(state.engine_table.lock().engines[0].last_failure_at, 0, "only own questions end an answer");
 }
