--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -28,7 +28,7 @@
         Message::Gossip(gossip) => gossip::hear(controller, &gossip),
         Message::EndpointList(sheet) => {
             if controller.sheets.lock().expect("sheets").update(&sheet) {
-                platform::prune(controller, &sheet);
+                poller::prune(controller, &sheet);
                 controller.push();
             }
         }
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -249,7 +249,7 @@
         match outcome {
             Outcome::Answer(answer) => {
                 engine.record_response(now);
-                if let Some(version) = verdict::version(&answer.head.headers) {
+                if let Some(version) = response_head::version(&answer.head.headers) {
                     engine.set_weight_version(self.request.model_key, Some(version));
                 }
                 if let Some(load) = answer.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -65,7 +65,7 @@
     let split = exchange.is_streaming()
         && !exchange.request.keys.is_empty()
         && exchange.view(|view| view.has_phase(Phase::Prefill) && view.has_phase(Phase::Decode));
-    let carried = if split { halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
+    let carried = if split { phases::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
         Err(failure) => {
--- a/router/src/tests/connection_reuse.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -77,7 +77,7 @@
         let state = router(&list[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
         kept(&state, 1).await;
-        stand_in_router::list(&state, 2, &list);
+        crate::testing::router::list(&state, 2, &list);
         state.engine_table.lock().engines[1].saturated_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
