--- a/controller/src/api/routes.rs
+++ b/controller/src/api/routes.rs
@@ -19,7 +19,7 @@
 use crate::api::staleness_limits::{Latest, LimitResource, Rollouts};
 use crate::api::version_rollouts::Rollout;
 use crate::batches::records::{Batches, One, Results};
-use crate::config::body::Held;
+use crate::config::body::StoredConfig;
 use crate::controller::Controller;
 use crate::event::{REFUSED, UNCLEAR};
 use crate::metrics::{OrderOutcome, OrderTimer};
@@ -108,7 +108,7 @@
 }
 
 fn found(body: &[u8]) -> Receipt {
-    match Held::open(body) {
+    match StoredConfig::decode(body) {
         Some(held) if held.revision > 0 => Receipt::Text(held.text.into_bytes()),
         Some(_) => Receipt::Bad(404, "no configuration yet".into()),
         None => Receipt::Unclear,
--- a/controller/src/config/body.rs
+++ b/controller/src/config/body.rs
@@ -1,176 +1,212 @@
-//! What the ledger's key `config` holds: the configuration, and which changes led to it. As bytes it has three forms;
-//! all are read, and a body is never written in an older form than the one before it.
+//! The value of the register `config`: the configuration with the changes that led to it.
+//!
+//! The value has three byte formats. All of them can be read, and a value is never written in an older format than the
+//! one that it replaces, so that a controller never meets a format again that was given up.
 
 use kernel::clock;
 use protocol::message::{DIGESTED_BODIES, PROTOCOL_VERSION};
 use protocol::operator_request::ConfigChange;
-use sha2::Sha256;
-
-/// How many taken changes are remembered: more than are made while an operator may still resend one.
-pub const TAKEN: usize = 1024;
-
-/// A body of the first version that is packed. Invariant: no plain one begins so, since its first byte is the first of a
-/// JSON text or of a number's low end.
-const PACKED: [u8; 8] = *b"\0tdplz4\0";
-/// A body of the second version, which is always packed.
-const SECOND: [u8; 8] = *b"\0tdcfg2\0";
-/// Shorter ones of the first version stay plain.
-const PACK_FROM: usize = 16 * 1024;
-const UNPACKED_MOST: usize = 64 * 1024 * 1024;
-
-/// A change that is committed. Invariant: no other taken change has the same `base`, since each change builds on the one
-/// before it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct TakenChange {
+use rkyv::{Archive, Deserialize, Serialize};
+use sha2::{Digest, Sha256};
+
+/// How many committed changes are remembered: more than are made while an operator may still send one again.
+pub const MAX_REMEMBERED_CHANGES: usize = 1024;
+
+/// First bytes of a compressed value of the legacy layout. Invariant: no plain value begins so, since the first byte of
+/// that one belongs to a JSON text or is the low end of a number.
+const LEGACY_COMPRESSED_MAGIC: [u8; 8] = *b"\0tdplz4\0";
+/// First bytes of a value of the current layout, which is always compressed.
+const CURRENT_MAGIC: [u8; 8] = *b"\0tdcfg2\0";
+/// Shorter values of the legacy layout stay uncompressed.
+const MIN_COMPRESSED_BYTES: usize = 16 * 1024;
+/// A value that claims to be longer than this is rejected before any memory is reserved for it.
+const MAX_DECOMPRESSED_BYTES: usize = 64 * 1024 * 1024;
+/// The length of the prefix that states the decompressed size.
+const SIZE_PREFIX_BYTES: usize = 4;
+/// Controllers from this protocol version on read compressed values.
+const COMPRESSED_BODIES: u64 = 2;
+
+/// A change that is committed. Invariant: no other committed change has the same `base`, since each change builds on
+/// the one before it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct CommittedChange {
+    /// The revision that the change was made on top of.
     pub base: u64,
+    /// What [`change_digest`] gives for the change.
     pub digest: [u8; 16],
 }
 
-/// Invariants: `revision` rises with each change and is that of `text`; `taken` and `earlier` name changes that were
-/// acknowledged or may have been, oldest first, all of `earlier` before all of `taken`, `TAKEN` at most together.
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Held {
+/// The configuration in the form in which it is committed.
+///
+/// Invariants: `revision` rises with each change and is that of `text`; `changes` and `legacy_changes` name changes that
+/// were acknowledged or may have been, oldest first, all of `legacy_changes` before all of `changes`,
+/// [`MAX_REMEMBERED_CHANGES`] at most together.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct StoredConfig {
+    /// The revision of the configuration; 0 before the first one.
     pub revision: u64,
+    /// The configuration as JSON.
     pub text: String,
-    pub taken: Vec<TakenChange>,
-    /// Digests of the first version.
-    pub earlier: Vec<u64>,
+    /// Changes that are remembered.
+    pub changes: Vec<CommittedChange>,
+    /// Digests of changes that were committed in the legacy layout.
+    pub legacy_changes: Vec<u64>,
 }
 
-/// The layout of the first version, frozen.
-#[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-struct FirstLayout {
+/// The legacy layout, frozen.
+#[derive(Archive, Serialize, Deserialize)]
+struct LegacyLayout {
     revision: u64,
     text: String,
-    taken: Vec<u64>,
+    changes: Vec<u64>,
 }
 
-kernel::bytes!(Held);
-kernel::bytes!(FirstLayout);
+kernel::bytes!(StoredConfig);
+kernel::bytes!(LegacyLayout);
 
-/// The forms of a body, oldest first.
+/// The byte formats of a stored configuration, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum BodyForm {
+pub enum BodyFormat {
+    /// The legacy layout, uncompressed.
     Plain,
-    /// Long ones are packed. Controllers of version 2 and later read it.
-    Packed,
-    /// Packed, and with digests that are safe to rest on. Controllers of version 4 and later read it.
+    /// The legacy layout, long values compressed. Controllers of protocol version 2 and later read it.
+    Compressed,
+    /// The current layout: compressed, with digests that are safe to rely on. Controllers of protocol version 4 and
+    /// later read it.
     Digested,
 }
 
-/// What is remembered of a change that is not the newest.
+/// What is known of a change that is not the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Memory {
-    Taken,
-    NotTaken,
-    /// It builds on a version from before all that are remembered.
+pub enum ChangeStatus {
+    /// The change was committed.
+    Committed,
+    /// The change was never committed.
+    NotCommitted,
+    /// The change builds on a revision from before all that are remembered: it may have been committed.
     Forgotten,
 }
 
-/// Controllers from this version of messages on read packed bodies.
-const PACKED_SINCE: u64 = 2;
-
-impl BodyForm {
-    /// The form for these readers, told by the versions of messages that they read; 0 for one that was not heard. Such
-    /// a one is taken to read packed bodies: right after the first start nobody was heard, and the long form of the
-    /// first configuration would fill the links of all who fetch it.
-    pub fn for_readers(versions: impl Iterator<Item = u64>) -> BodyForm {
-        let known = versions.map(|version| if version == 0 { PACKED_SINCE } else { version });
-        BodyForm::read_by_all(known.min().unwrap_or(PROTOCOL_VERSION))
+impl BodyFormat {
+    /// Returns the format for readers of these protocol versions, 0 standing for a reader that was never heard.
+    ///
+    /// Such a reader is assumed to read compressed values: right after the first start nobody was heard, and the long
+    /// form of the first configuration would fill the links of all controllers that fetch it.
+    pub fn for_readers(versions: impl Iterator<Item = u64>) -> BodyFormat {
+        let known = versions.map(|version| if version == 0 { COMPRESSED_BODIES } else { version });
+        BodyFormat::read_by_all(known.min().unwrap_or(PROTOCOL_VERSION))
     }
 
-    /// The newest form that everyone reads, where `oldest` is the oldest version of messages that anyone reads.
-    pub fn read_by_all(oldest: u64) -> BodyForm {
+    /// Returns the newest format that every reader reads, given the oldest protocol version among them.
+    pub fn read_by_all(oldest: u64) -> BodyFormat {
         match oldest {
-            reads if reads < PACKED_SINCE => BodyForm::Plain,
-            reads if reads < DIGESTED_BODIES => BodyForm::Packed,
-            _ => BodyForm::Digested,
+            version if version < COMPRESSED_BODIES => BodyFormat::Plain,
+            version if version < DIGESTED_BODIES => BodyFormat::Compressed,
+            _ => BodyFormat::Digested,
         }
     }
 
-    /// The form that a body has at least: whoever holds it reads that form.
-    pub fn of(body: &[u8]) -> BodyForm {
-        if body.starts_with(&SECOND) {
-            BodyForm::Digested
-        } else if body.starts_with(&PACKED) {
-            BodyForm::Packed
+    /// Returns the oldest format that a stored value may have been written in: whoever stores it reads that format.
+    pub fn of(body: &[u8]) -> BodyFormat {
+        if body.starts_with(&CURRENT_MAGIC) {
+            BodyFormat::Digested
+        } else if body.starts_with(&LEGACY_COMPRESSED_MAGIC) {
+            BodyFormat::Compressed
         } else {
-            BodyForm::Plain
+            BodyFormat::Plain
         }
     }
 
-    /// Two bodies of the same layout differ by their digests of the same kind.
-    pub fn same_layout(self, other: BodyForm) -> bool {
-        (self == BodyForm::Digested) == (other == BodyForm::Digested)
+    /// Returns whether both formats remember changes by the same kind of digest.
+    pub fn has_same_layout(self, other: BodyFormat) -> bool {
+        (self == BodyFormat::Digested) == (other == BodyFormat::Digested)
     }
 }
 
-impl Held {
-    /// A long configuration is packed: the body goes to every voter in each round, and to its disk.
-    pub fn seal(&self, form: BodyForm) -> Vec<u8> {
-        if form == BodyForm::Digested || !self.taken.is_empty() {
-            return [&SECOND[..], &lz4_flex::compress_prepend_size(&self.write_bytes())].concat();
+impl StoredConfig {
+    /// Returns the bytes of this value. Long ones are compressed, since they go to every voting member in each round and
+    /// to its disk.
+    pub fn encode(&self, format: BodyFormat) -> Vec<u8> {
+        if format == BodyFormat::Digested || !self.changes.is_empty() {
+            return compress(CURRENT_MAGIC, &self.write_bytes());
         }
-        let first = FirstLayout { revision: self.revision, text: self.text.clone(), taken: self.earlier.clone() };
-        let plain = first.write_bytes();
-        if form == BodyForm::Plain || plain.len() < PACK_FROM {
+        let legacy =
+            LegacyLayout { revision: self.revision, text: self.text.clone(), changes: self.legacy_changes.clone() };
+        let plain = legacy.write_bytes();
+        if format == BodyFormat::Plain || plain.len() < MIN_COMPRESSED_BYTES {
             return plain;
         }
-        [&PACKED[..], &lz4_flex::compress_prepend_size(&plain)].concat()
+        compress(LEGACY_COMPRESSED_MAGIC, &plain)
     }
 
-    /// Reads any form. None: none of them, which is never taken for an empty one.
-    pub fn open(body: &[u8]) -> Option<Held> {
+    /// Reads a value of any format. Returns `None` for bytes of no known format, which are never taken for an empty
+    /// value.
+    pub fn decode(body: &[u8]) -> Option<StoredConfig> {
         if body.is_empty() {
-            return Some(Held::default());
+            return Some(StoredConfig::default());
         }
-        if let Some(rest) = body.strip_prefix(&SECOND[..]) {
-            return Held::read_bytes(&unpack(rest)?);
+        if let Some(rest) = body.strip_prefix(&CURRENT_MAGIC[..]) {
+            return StoredConfig::read_bytes(&decompress(rest)?);
         }
-        let first = match body.strip_prefix(&PACKED[..]) {
-            Some(rest) => FirstLayout::read_bytes(&unpack(rest)?),
-            None => FirstLayout::read_bytes(body),
+        let legacy = match body.strip_prefix(&LEGACY_COMPRESSED_MAGIC[..]) {
+            Some(rest) => LegacyLayout::read_bytes(&decompress(rest)?),
+            None => LegacyLayout::read_bytes(body),
         }?;
-        Some(Held { revision: first.revision, text: first.text, taken: Vec::new(), earlier: first.taken })
+        Some(StoredConfig {
+            revision: legacy.revision,
+            text: legacy.text,
+            changes: Vec::new(),
+            legacy_changes: legacy.changes,
+        })
     }
 
-    /// Remembers a change under the kind of digest that a form holds.
-    pub fn remember(&mut self, change: &ConfigChange, form: BodyForm) {
-        match form {
-            BodyForm::Digested => self.taken.push(TakenChange { base: change.base, digest: digest(change) }),
-            BodyForm::Plain | BodyForm::Packed => self.earlier.push(first_digest(change)),
+    /// Remembers a change by the kind of digest that a format stores, and forgets the oldest ones beyond the bound.
+    pub fn remember(&mut self, change: &ConfigChange, format: BodyFormat) {
+        match format {
+            BodyFormat::Digested => {
+                self.changes.push(CommittedChange { base: change.base, digest: change_digest(change) });
+            }
+            BodyFormat::Plain | BodyFormat::Compressed => self.legacy_changes.push(legacy_change_digest(change)),
         }
-        let extra = (self.earlier.len() + self.taken.len()).saturating_sub(TAKEN);
-        let of_earlier = extra.min(self.earlier.len());
-        self.earlier.drain(..of_earlier);
-        self.taken.drain(..extra - of_earlier);
+        let excess = self.remembered().saturating_sub(MAX_REMEMBERED_CHANGES);
+        let legacy_excess = excess.min(self.legacy_changes.len());
+        self.legacy_changes.drain(..legacy_excess);
+        self.changes.drain(..excess - legacy_excess);
     }
 
-    /// Was this change taken, as far as that is remembered?
-    pub fn recall(&self, change: &ConfigChange) -> Memory {
-        let taken = TakenChange { base: change.base, digest: digest(change) };
-        if self.taken.contains(&taken) || self.earlier.contains(&first_digest(change)) {
-            return Memory::Taken;
+    /// Returns whether a change was committed, as far as that is remembered.
+    pub fn status_of(&self, change: &ConfigChange) -> ChangeStatus {
+        let committed = CommittedChange { base: change.base, digest: change_digest(change) };
+        if self.changes.contains(&committed) || self.legacy_changes.contains(&legacy_change_digest(change)) {
+            return ChangeStatus::Committed;
         }
-        let is_full = self.earlier.len() + self.taken.len() >= TAKEN;
-        match self.taken.first() {
-            Some(oldest) if is_full && change.base < oldest.base => Memory::Forgotten,
-            _ => Memory::NotTaken,
+        let is_full = self.remembered() >= MAX_REMEMBERED_CHANGES;
+        match self.changes.first() {
+            Some(oldest) if is_full && change.base < oldest.base => ChangeStatus::Forgotten,
+            _ => ChangeStatus::NotCommitted,
         }
     }
+
+    fn remembered(&self) -> usize {
+        self.legacy_changes.len() + self.changes.len()
+    }
+}
+
+fn compress(magic: [u8; 8], plain: &[u8]) -> Vec<u8> {
+    [&magic[..], &lz4_flex::compress_prepend_size(plain)].concat()
 }
 
-fn unpack(packed: &[u8]) -> Option<Vec<u8>> {
-    let size = u32::from_le_bytes(*packed.first_chunk::<4>()?) as usize;
-    if size > UNPACKED_MOST {
+fn decompress(compressed: &[u8]) -> Option<Vec<u8>> {
+    let size = u32::from_le_bytes(*compressed.first_chunk::<SIZE_PREFIX_BYTES>()?) as usize;
+    if size > MAX_DECOMPRESSED_BYTES {
         return None;
     }
-    lz4_flex::decompress_size_prepended(packed).ok()
+    lz4_flex::decompress_size_prepended(compressed).ok()
 }
 
-/// The same for the same change sent again, and for no other: half of a SHA-256 over the change and what it is.
-pub fn digest(change: &ConfigChange) -> [u8; 16] {
-    use sha2::Digest;
+/// Returns the digest of a change: the same for the same change sent again, and for no other. It is the first half of a
+/// SHA-256 of the change.
+pub fn change_digest(change: &ConfigChange) -> [u8; 16] {
     let mut hash = Sha256::new();
     hash.update(b"tidepoint configuration change 2");
     hash.update(change.base.to_le_bytes());
@@ -181,17 +217,18 @@
     half
 }
 
-/// The digest of the first version.
-pub fn first_digest(change: &ConfigChange) -> u64 {
+/// Returns the digest by which the legacy layout remembers a change.
+pub fn legacy_change_digest(change: &ConfigChange) -> u64 {
     let text = clock::hash(change.text.as_bytes());
     clock::combine_hashes(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
-/// Tells a body from others where a change of it is told. Invariant: a body of the second version has a part of its
-/// SHA-256; all others have the digest that controllers of version 3 know.
+/// Returns the digest by which a committed delta names the value before and after it.
+///
+/// Invariant: a value of the current layout has the first bytes of its SHA-256; all others have the digest that
+/// controllers of protocol version 3 compute.
 pub fn body_digest(body: &[u8]) -> u64 {
-    use sha2::Digest;
-    if BodyForm::of(body) != BodyForm::Digested {
+    if BodyFormat::of(body) != BodyFormat::Digested {
         return clock::hash(body);
     }
     let hash = Sha256::digest(body);
--- a/controller/src/config/body_tests.rs
+++ b/controller/src/config/body_tests.rs
@@ -5,49 +5,49 @@
 
 use protocol::operator_request::ConfigChange;
 
-use super::{digest, first_digest, BodyForm, Held, Memory, TAKEN};
+use super::{change_digest, legacy_change_digest, BodyFormat, ChangeStatus, StoredConfig, MAX_REMEMBERED_CHANGES};
 
-fn held(count: usize) -> Held {
+fn stored(count: usize) -> StoredConfig {
     let text: String = (0..count).map(|at| format!("{{\"name\":\"r-{at}\",\"path_prefix\":\"/p{at}/\"}}")).collect();
-    Held { revision: 9, text, earlier: vec![1, 2, 3], ..Held::default() }
+    StoredConfig { revision: 9, text, legacy_changes: vec![1, 2, 3], ..StoredConfig::default() }
 }
 
 #[test]
 fn all_forms_are_read_and_the_long_one_is_short_when_packed() {
     for count in [0, 1, 40, 4000] {
-        let held = held(count);
-        let (plain, packed) = (held.seal(BodyForm::Plain), held.seal(BodyForm::Packed));
-        assert_eq!(Held::open(&plain).as_ref(), Some(&held));
-        assert_eq!(Held::open(&packed).as_ref(), Some(&held));
-        assert_eq!(Held::open(&held.seal(BodyForm::Digested)).as_ref(), Some(&held));
+        let stored = stored(count);
+        let (plain, packed) = (stored.encode(BodyFormat::Plain), stored.encode(BodyFormat::Compressed));
+        assert_eq!(StoredConfig::decode(&plain).as_ref(), Some(&stored));
+        assert_eq!(StoredConfig::decode(&packed).as_ref(), Some(&stored));
+        assert_eq!(StoredConfig::decode(&stored.encode(BodyFormat::Digested)).as_ref(), Some(&stored));
         assert!(count < 4000 || packed.len() * 3 < plain.len(), "{} of {}", packed.len(), plain.len());
     }
 }
 
 #[test]
 fn a_torn_or_lying_one_is_told_and_never_read_as_empty() {
-    for form in [BodyForm::Packed, BodyForm::Digested] {
-        let packed = held(4000).seal(form);
+    for format in [BodyFormat::Compressed, BodyFormat::Digested] {
+        let packed = stored(4000).encode(format);
         for cut in (1..packed.len()).step_by(97) {
-            assert!(Held::open(&packed[..cut]).is_none(), "cut at {cut}");
+            assert!(StoredConfig::decode(&packed[..cut]).is_none(), "cut at {cut}");
         }
         let mut lying = packed.clone();
         lying[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
-        assert!(Held::open(&lying).is_none(), "a size over the bound makes no room");
+        assert!(StoredConfig::decode(&lying).is_none(), "a size over the bound makes no room");
     }
-    assert_eq!(Held::open(&[]), Some(Held::default()));
-    assert!(Held::open(b"neither form").is_none(), "never taken for an empty one");
+    assert_eq!(StoredConfig::decode(&[]), Some(StoredConfig::default()));
+    assert!(StoredConfig::decode(b"neither form").is_none(), "never taken for an empty one");
 }
 
 #[test]
 fn the_form_of_a_body_is_told_by_its_begin() {
     let text = format!("{{\"revision\":9,\"x\":\"{}\"}}", "abc".repeat(10_000));
-    let held = Held { revision: 9, text, ..Held::default() };
-    for form in [BodyForm::Plain, BodyForm::Packed, BodyForm::Digested] {
-        assert_eq!(BodyForm::of(&held.seal(form)), form);
+    let stored = StoredConfig { revision: 9, text, ..StoredConfig::default() };
+    for format in [BodyFormat::Plain, BodyFormat::Compressed, BodyFormat::Digested] {
+        assert_eq!(BodyFormat::of(&stored.encode(format)), format);
     }
-    assert_eq!(BodyForm::of(&[]), BodyForm::Plain);
-    assert!(BodyForm::Plain < BodyForm::Packed && BodyForm::Packed < BodyForm::Digested);
+    assert_eq!(BodyFormat::of(&[]), BodyFormat::Plain);
+    assert!(BodyFormat::Plain < BodyFormat::Compressed && BodyFormat::Compressed < BodyFormat::Digested);
 }
 
 fn fixture(name: &str) -> Vec<u8> {
@@ -67,28 +67,31 @@
 /// Bodies as the version before wrote them after a whole configuration and a change of it.
 #[test]
 fn bodies_of_the_first_version_are_read_and_the_changes_in_them_known() {
-    for (name, routes, form) in
-        [("config-body-1-plain.bin", 1, BodyForm::Plain), ("config-body-1-packed.bin", 200, BodyForm::Packed)]
+    for (name, routes, format) in
+        [("config-body-1-plain.bin", 1, BodyFormat::Plain), ("config-body-1-packed.bin", 200, BodyFormat::Compressed)]
     {
         let body = fixture(name);
-        assert_eq!(BodyForm::of(&body), form);
-        let held = Held::open(&body).expect("read");
-        assert_eq!((held.revision, held.taken.len(), held.earlier.len()), (8, 0, 2));
-        assert_eq!(held.seal(form), body, "and written as they were");
+        assert_eq!(BodyFormat::of(&body), format);
+        let stored = StoredConfig::decode(&body).expect("read");
+        assert_eq!((stored.revision, stored.changes.len(), stored.legacy_changes.len()), (8, 0, 2));
+        assert_eq!(stored.encode(format), body, "and written as they were");
         let first = ConfigChange { base: 0, text: text(5, routes), partial: false };
         let route = serde_json::json!({"name": "new", "hostname": "n", "path_prefix": "/", "route_type": "idempotent",
             "timeout_ms": 9, "service": "s"});
         let items = serde_json::json!({"revision": 8, "upsert": {"route_table": [route]}}).to_string();
         let second = ConfigChange { base: 5, text: items, partial: true };
         for change in [&first, &second] {
-            assert_eq!(held.recall(change), Memory::Taken);
+            assert_eq!(stored.status_of(change), ChangeStatus::Committed);
         }
-        assert_eq!(held.recall(&ConfigChange { base: 5, ..first.clone() }), Memory::NotTaken);
-        // The next change is written in the second form, in which the earlier ones are known still.
-        let mut next = held.clone();
-        next.remember(&ConfigChange { base: 8, text: text(9, 1), partial: false }, BodyForm::Digested);
-        let next = Held::open(&next.seal(BodyForm::Digested)).expect("read");
-        assert_eq!((next.recall(&first), next.recall(&second)), (Memory::Taken, Memory::Taken));
+        assert_eq!(stored.status_of(&ConfigChange { base: 5, ..first.clone() }), ChangeStatus::NotCommitted);
+        // The next change is written in the second format, in which the earlier ones are known still.
+        let mut next = stored.clone();
+        next.remember(&ConfigChange { base: 8, text: text(9, 1), partial: false }, BodyFormat::Digested);
+        let next = StoredConfig::decode(&next.encode(BodyFormat::Digested)).expect("read");
+        assert_eq!(
+            (next.status_of(&first), next.status_of(&second)),
+            (ChangeStatus::Committed, ChangeStatus::Committed)
+        );
     }
 }
 
@@ -98,20 +101,24 @@
 
 #[test]
 fn what_is_remembered_is_bounded_and_what_was_forgotten_is_told_from_what_never_was() {
-    let mut held = Held { earlier: vec![1, 2, 3], ..Held::default() };
-    let changes = 3 * TAKEN as u64;
+    let mut stored = StoredConfig { legacy_changes: vec![1, 2, 3], ..StoredConfig::default() };
+    let changes = 3 * MAX_REMEMBERED_CHANGES as u64;
     for number in 0..changes {
-        held.remember(&change(10 * number), BodyForm::Digested);
-        assert!(held.taken.len() + held.earlier.len() <= TAKEN);
+        stored.remember(&change(10 * number), BodyFormat::Digested);
+        assert!(stored.changes.len() + stored.legacy_changes.len() <= MAX_REMEMBERED_CHANGES);
     }
-    let oldest = changes - TAKEN as u64;
-    assert!((oldest..changes).all(|number| held.recall(&change(10 * number)) == Memory::Taken));
-    assert_eq!(held.recall(&change(10 * oldest - 10)), Memory::Forgotten, "it may have been taken");
-    assert_eq!(held.recall(&change(10 * changes - 5)), Memory::NotTaken, "nothing was ever built on this version");
+    let oldest = changes - MAX_REMEMBERED_CHANGES as u64;
+    assert!((oldest..changes).all(|number| stored.status_of(&change(10 * number)) == ChangeStatus::Committed));
+    assert_eq!(stored.status_of(&change(10 * oldest - 10)), ChangeStatus::Forgotten, "it may have been taken");
+    assert_eq!(
+        stored.status_of(&change(10 * changes - 5)),
+        ChangeStatus::NotCommitted,
+        "nothing was ever built on this version"
+    );
     let other = ConfigChange { text: "another".into(), ..change(10 * changes - 10) };
-    assert_eq!(held.recall(&other), Memory::NotTaken, "another change won");
-    let size = held.seal(BodyForm::Digested).len();
-    assert!(size <= 25 * 1024, "{size} bytes for {TAKEN} changes");
+    assert_eq!(stored.status_of(&other), ChangeStatus::NotCommitted, "another change won");
+    let size = stored.encode(BodyFormat::Digested).len();
+    assert!(size <= 25 * 1024, "{size} bytes for {MAX_REMEMBERED_CHANGES} changes");
 }
 
 #[test]
@@ -125,10 +132,10 @@
         ConfigChange { base: u64::MAX, ..one.clone() },
         ConfigChange { base: u64::MAX / 2 + 1 + 5, ..one.clone() },
     ];
-    assert_eq!(digest(&one), digest(&one.clone()));
+    assert_eq!(change_digest(&one), change_digest(&one.clone()));
     for other in &others {
-        assert_ne!(digest(&one), digest(other));
-        first_digest(other);
+        assert_ne!(change_digest(&one), change_digest(other));
+        legacy_change_digest(other);
     }
 }
 
@@ -136,7 +143,7 @@
 /// taken before unknown.
 #[test]
 fn the_digest_stays_what_it_is() {
-    let hex: String = digest(&ConfigChange { base: 5, text: "{}".into(), partial: true })
+    let hex: String = change_digest(&ConfigChange { base: 5, text: "{}".into(), partial: true })
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
@@ -145,16 +152,16 @@
 
 #[test]
 fn every_controller_must_read_a_form_before_it_is_written() {
-    let forms = [0, 1, 2, 3, 4, 9].map(BodyForm::read_by_all);
-    use BodyForm::{Digested, Packed, Plain};
-    assert_eq!(forms, [Plain, Plain, Packed, Packed, Digested, Digested]);
+    let forms = [0, 1, 2, 3, 4, 9].map(BodyFormat::read_by_all);
+    use BodyFormat::{Compressed, Digested, Plain};
+    assert_eq!(forms, [Plain, Plain, Compressed, Compressed, Digested, Digested]);
 }
 
 #[test]
 fn a_reader_that_was_never_heard_does_not_make_a_long_body_longer() {
-    let form = |versions: &[u64]| BodyForm::for_readers(versions.iter().copied());
-    assert_eq!(form(&[4, 0, 4]), BodyForm::Packed, "not heard yet: it may not read the newest form");
-    assert_eq!(form(&[0, 0]), BodyForm::Packed);
-    assert_eq!(form(&[4, 0, 1]), BodyForm::Plain, "one of version 1 said so");
-    assert_eq!((form(&[4, 4]), form(&[])), (BodyForm::Digested, BodyForm::Digested));
+    let format = |versions: &[u64]| BodyFormat::for_readers(versions.iter().copied());
+    assert_eq!(format(&[4, 0, 4]), BodyFormat::Compressed, "not heard yet: it may not read the newest format");
+    assert_eq!(format(&[0, 0]), BodyFormat::Compressed);
+    assert_eq!(format(&[4, 0, 1]), BodyFormat::Plain, "one of version 1 said so");
+    assert_eq!((format(&[4, 4]), format(&[])), (BodyFormat::Digested, BodyFormat::Digested));
 }
--- a/controller/src/config/change.rs
+++ b/controller/src/config/change.rs
@@ -1,147 +1,182 @@
-//! What an operator's change of the configuration comes to on top of what is committed: pure.
-use crate::config::body::{BodyForm, Held, Memory};
+//! Decides what an operator's change of the configuration leads to on top of the committed one. Nothing here waits or
+//! sends.
+
+use std::fmt;
+use std::sync::Arc;
+
 use protocol::config::{Checked, ConfigError, Patch};
 use protocol::operator_request::ConfigChange;
-use std::sync::Arc;
 
-/// Why a change is refused for good.
+use crate::config::body::{BodyFormat, ChangeStatus, StoredConfig};
+
+/// Why a change is rejected for good.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// Another version is current.
-    Conflict { base: u64, current: u64 },
-    /// Its revision is not above the current one.
-    OldRevision { found: u64, current: u64 },
-    /// What is wrong with it.
+pub enum ConfigChangeError {
+    /// The change builds on the revision `base`, but `current` is committed.
+    Conflict {
+        /// The revision that the change was made on top of.
+        base: u64,
+        /// The committed revision.
+        current: u64,
+    },
+    /// The revision of the change is not above the committed one.
+    RevisionNotNewer {
+        /// The revision of the change.
+        found: u64,
+        /// The committed revision.
+        current: u64,
+    },
+    /// The change, or the configuration that it leads to, is invalid.
     Invalid(ConfigError),
 }
 
-impl Refusal {
+impl ConfigChangeError {
+    /// Returns the HTTP status with which the change is rejected.
     pub fn status(&self) -> u16 {
         match self {
-            Refusal::Conflict { .. } => 412,
-            Refusal::OldRevision { .. } => 400,
-            Refusal::Invalid(error) => error.status(),
+            ConfigChangeError::Conflict { .. } => 412,
+            ConfigChangeError::RevisionNotNewer { .. } => 400,
+            ConfigChangeError::Invalid(error) => error.status(),
         }
     }
 }
 
-impl std::fmt::Display for Refusal {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for ConfigChangeError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refusal::Conflict { base, current } => {
+            ConfigChangeError::Conflict { base, current } => {
                 write!(out, "If-Match: found {base}, version {current} is current")
             }
-            Refusal::OldRevision { found, current } => write!(out, "revision: found {found}, must be above {current}"),
-            Refusal::Invalid(error) => error.fmt(out),
+            ConfigChangeError::RevisionNotNewer { found, current } => {
+                write!(out, "revision: found {found}, must be above {current}")
+            }
+            ConfigChangeError::Invalid(error) => error.fmt(out),
         }
     }
 }
 
-/// What is to be committed, and the configuration in it. Invariant: the text of `held` is that of `checked`.
+/// The value to be committed and the configuration in it. Invariant: the text of `stored` is that of `config`.
 #[derive(Clone, Debug)]
-pub struct Next {
-    pub held: Held,
-    pub checked: Arc<Checked>,
+pub struct PreparedChange {
+    /// What is written to the register.
+    pub stored: StoredConfig,
+    /// The configuration in `stored`, already checked.
+    pub config: Arc<Checked>,
 }
 
-/// What is to be done about a change that is not refused.
+/// What is to be done about a change that is not rejected.
 #[derive(Clone, Debug)]
-pub enum Outcome {
-    /// It is in force, or was until a later one: it came again after a lost answer.
-    TakenBefore,
-    /// Whether it was taken, or could be, is not known here.
-    Unknown,
-    /// To be committed.
-    Next(Next),
+pub enum ChangeDecision {
+    /// The change is in force, or was until a later one: its sender repeats it after a lost response.
+    AlreadyCommitted,
+    /// It is not known here whether the change was committed, or could be.
+    OutcomeUnknown,
+    /// The change is to be committed.
+    Commit(PreparedChange),
 }
 
-/// What a change holds, read once.
-enum Content {
-    Whole(Arc<Checked>),
-    Items(Patch),
+/// The parsed text of a change.
+enum ChangeContent {
+    FullConfig(Arc<Checked>),
+    Patch(Patch),
 }
 
-/// A change that was read, whether or not it is valid.
-pub struct Proposed<'a> {
+/// A change whose text was parsed once, whether or not it is valid.
+pub struct ParsedChange<'a> {
     change: &'a ConfigChange,
-    content: Result<Content, ConfigError>,
+    content: Result<ChangeContent, ConfigError>,
 }
 
-impl Proposed<'_> {
-    pub fn read(change: &ConfigChange) -> Proposed<'_> {
+impl ParsedChange<'_> {
+    /// Parses the text of a change. An error in it is kept until [`ParsedChange::decide`], which first recognizes
+    /// changes that are committed already.
+    pub fn parse(change: &ConfigChange) -> ParsedChange<'_> {
         let content = match change.partial {
-            true => Patch::read(&change.text).map(Content::Items),
-            false => Checked::read(&change.text).map(|checked| Content::Whole(Arc::new(checked))),
+            true => Patch::read(&change.text).map(ChangeContent::Patch),
+            false => Checked::read(&change.text).map(|config| ChangeContent::FullConfig(Arc::new(config))),
         };
-        Proposed { change, content }
+        ParsedChange { change, content }
     }
 
-    /// Judges the change on top of what is committed. `known` may be the configuration in `held`, already read.
-    pub fn on(&self, held: &Held, known: Option<&Checked>, form: BodyForm) -> Result<Outcome, Refusal> {
-        match held.recall(self.change) {
-            Memory::Taken => return Ok(Outcome::TakenBefore),
-            Memory::Forgotten => return Ok(Outcome::Unknown),
-            Memory::NotTaken => {}
+    /// Decides about the change on top of the committed value. `known` may be the configuration in `stored`, already
+    /// checked.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the change is rejected; the same change is rejected again whenever it comes.
+    pub fn decide(
+        &self,
+        stored: &StoredConfig,
+        known: Option<&Checked>,
+        format: BodyFormat,
+    ) -> Result<ChangeDecision, ConfigChangeError> {
+        match stored.status_of(self.change) {
+            ChangeStatus::Committed => return Ok(ChangeDecision::AlreadyCommitted),
+            ChangeStatus::Forgotten => return Ok(ChangeDecision::OutcomeUnknown),
+            ChangeStatus::NotCommitted => {}
+        }
+        if self.change.base != stored.revision {
+            return Err(ConfigChangeError::Conflict { base: self.change.base, current: stored.revision });
         }
-        if self.change.base != held.revision {
-            return Err(Refusal::Conflict { base: self.change.base, current: held.revision });
+        let Some(config) = self.config_on(stored, known)? else { return Ok(ChangeDecision::OutcomeUnknown) };
+        if config.revision() <= stored.revision {
+            return Err(ConfigChangeError::RevisionNotNewer { found: config.revision(), current: stored.revision });
         }
-        let checked = match &self.content {
-            Err(error) => return Err(Refusal::Invalid(error.clone())),
-            Ok(Content::Whole(checked)) => checked.clone(),
-            Ok(Content::Items(_)) if held.revision == 0 => {
-                return Err(Refusal::Invalid(ConfigError::nothing_to_change()));
+        Ok(ChangeDecision::Commit(prepare(self.change, stored, config, format)))
+    }
+
+    /// Returns the configuration after the change. `None`: the committed one cannot be read.
+    fn config_on(
+        &self,
+        stored: &StoredConfig,
+        known: Option<&Checked>,
+    ) -> Result<Option<Arc<Checked>>, ConfigChangeError> {
+        match &self.content {
+            Err(error) => Err(ConfigChangeError::Invalid(error.clone())),
+            Ok(ChangeContent::FullConfig(config)) => Ok(Some(config.clone())),
+            Ok(ChangeContent::Patch(_)) if stored.revision == 0 => {
+                Err(ConfigChangeError::Invalid(ConfigError::nothing_to_change()))
+            }
+            Ok(ChangeContent::Patch(patch)) => {
+                let patched = with_committed(stored, known, |base| base.patched(patch)).transpose();
+                Ok(patched.map_err(ConfigChangeError::Invalid)?.map(Arc::new))
             }
-            Ok(Content::Items(patch)) => match with_base(held, known, |base| base.patched(patch)) {
-                None => return Ok(Outcome::Unknown),
-                Some(patched) => Arc::new(patched.map_err(Refusal::Invalid)?),
-            },
-        };
-        if checked.revision() <= held.revision {
-            return Err(Refusal::OldRevision { found: checked.revision(), current: held.revision });
         }
-        Ok(Outcome::Next(next(self.change, held, checked, form)))
     }
 }
 
-/// Gives the configuration that is held. None: it cannot be read.
-fn with_base<T>(held: &Held, known: Option<&Checked>, act: impl FnOnce(&Checked) -> T) -> Option<T> {
-    match known.filter(|known| known.text() == held.text) {
+/// Passes the committed configuration to `act`. `None`: it cannot be read.
+fn with_committed<T>(stored: &StoredConfig, known: Option<&Checked>, act: impl FnOnce(&Checked) -> T) -> Option<T> {
+    match known.filter(|known| known.text() == stored.text) {
         Some(known) => Some(act(known)),
-        None => Checked::read_committed(&held.text).ok().map(|base| act(&base)),
+        None => Checked::read_committed(&stored.text).ok().map(|base| act(&base)),
     }
 }
 
-fn next(change: &ConfigChange, held: &Held, checked: Arc<Checked>, form: BodyForm) -> Next {
-    let mut next = Held { revision: checked.revision(), text: checked.text().into(), ..held.clone() };
-    next.remember(change, form);
-    Next { held: next, checked }
-}
-
-/// Judges a change on top of what is committed.
-#[cfg(test)]
-pub fn apply(change: &ConfigChange, held: &Held) -> Result<Outcome, Refusal> {
-    Proposed::read(change).on(held, None, BodyForm::Digested)
+fn prepare(change: &ConfigChange, stored: &StoredConfig, config: Arc<Checked>, format: BodyFormat) -> PreparedChange {
+    let mut next = StoredConfig { revision: config.revision(), text: config.text().into(), ..stored.clone() };
+    next.remember(change, format);
+    PreparedChange { stored: next, config }
 }
 
-/// Makes a change that is known to be committed on top of what is held: nothing is checked again. None: it does not
-/// lead to that revision here.
-pub fn repeat(
+/// Makes a change that is known to be committed on top of `stored`, without checking it again. Returns `None` if it does
+/// not lead to `revision` here.
+pub fn reapply(
     change: &ConfigChange,
     revision: u64,
-    held: &Held,
+    stored: &StoredConfig,
     known: Option<&Checked>,
-    form: BodyForm,
-) -> Option<Next> {
-    let checked = match change.partial {
+    format: BodyFormat,
+) -> Option<PreparedChange> {
+    let config = match change.partial {
         true => {
             let patch = Patch::read(&change.text).ok()?;
-            with_base(held, known, |base| base.patched_again(&patch))?
+            with_committed(stored, known, |base| base.patched_again(&patch))?
         }
         false => Checked::read_committed(&change.text),
     };
-    let checked = checked.ok().filter(|checked| checked.revision() == revision)?;
-    Some(next(change, held, Arc::new(checked), form))
+    let config = config.ok().filter(|config| config.revision() == revision)?;
+    Some(prepare(change, stored, Arc::new(config), format))
 }
 
 #[cfg(test)]
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -9,8 +9,8 @@
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use crate::api::operator_requests;
-use crate::config::body::{body_digest, BodyForm, Held};
-use crate::config::change::{self, Outcome, Proposed};
+use crate::config::body::{body_digest, BodyFormat, StoredConfig};
+use crate::config::change::{self, ChangeDecision, ParsedChange};
 use crate::controller::Controller;
 use crate::event;
 use crate::replication::committed_state::CONFIG;
@@ -27,8 +27,8 @@
 struct Step {
     /// The digest of the body before, and its form.
     before: u64,
-    form_before: BodyForm,
-    form: BodyForm,
+    form_before: BodyFormat,
+    form: BodyFormat,
     checked: Arc<Checked>,
 }
 
@@ -36,8 +36,8 @@
 pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_form();
     let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
-    let proposed = Proposed::read(change);
-    let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
+    let parsed = ParsedChange::parse(change);
+    let judge = |body: &[u8]| judge(&parsed, body, known.as_deref(), read_by_all);
     let outcome = controller.change_untold(CONFIG, operator_requests::wait_ms(controller), judge).await;
     let Some((judgement, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
     match judgement {
@@ -51,7 +51,7 @@
                 tell_again(controller, CONFIG, &owner.entry);
             }
             if result == OperatorResponse::Done {
-                committed(change, Held::open(&owner.entry.body).map_or(0, |held| held.revision));
+                committed(change, StoredConfig::decode(&owner.entry.body).map_or(0, |held| held.revision));
             }
             result
         }
@@ -62,20 +62,20 @@
     kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
-fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Decision<Judgement> {
-    let Some(held) = Held::open(body) else {
+fn judge(parsed: &ParsedChange, body: &[u8], known: Option<&Checked>, read_by_all: BodyFormat) -> Decision<Judgement> {
+    let Some(held) = StoredConfig::decode(body) else {
         return Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
     };
-    let form_before = BodyForm::of(body);
+    let form_before = BodyFormat::of(body);
     // Never an older form than before: a member that is away since this controller started is unknown here, and long bodies
     // without need fill the links until it is never heard again.
     let form = read_by_all.max(form_before);
-    match proposed.on(&held, known, form) {
-        Ok(Outcome::TakenBefore) => Decision::Answer(Judgement::Answer(OperatorResponse::Done)),
-        Ok(Outcome::Unknown) => Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown)),
-        Ok(Outcome::Next(next)) => {
-            let step = Step { before: body_digest(body), form_before, form, checked: next.checked };
-            Decision::Write(next.held.seal(form), Judgement::Step(step))
+    match parsed.decide(&held, known, form) {
+        Ok(ChangeDecision::AlreadyCommitted) => Decision::Answer(Judgement::Answer(OperatorResponse::Done)),
+        Ok(ChangeDecision::OutcomeUnknown) => Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown)),
+        Ok(ChangeDecision::Commit(next)) => {
+            let step = Step { before: body_digest(body), form_before, form, checked: next.config };
+            Decision::Write(next.stored.encode(form), Judgement::Step(step))
         }
         Err(refusal) => {
             let (status, reason) = (refusal.status(), refusal.to_string());
@@ -101,7 +101,7 @@
         after: body_digest(&entry.body),
         change: Some(change.clone()),
         revision: step.checked.revision(),
-        pack: step.form >= BodyForm::Packed,
+        pack: step.form >= BodyFormat::Compressed,
     }
 }
 
@@ -109,7 +109,7 @@
 /// version 3 writes the text of a changed configuration otherwise, and a new layout is not told by a change.
 fn can_make(reads: u64, change: &ConfigChange, step: &Step) -> bool {
     let same_text = !change.partial || reads >= DIGESTED_BODIES;
-    same_text && step.form.same_layout(step.form_before)
+    same_text && step.form.has_same_layout(step.form_before)
 }
 
 /// The short form to those that can use it, the whole to the others.
@@ -170,14 +170,14 @@
         return None;
     }
     let Some(change) = &advance.change else { return Some((body.to_vec(), None)) };
-    let form = match BodyForm::of(body) {
-        BodyForm::Digested => BodyForm::Digested,
-        _ if advance.pack => BodyForm::Packed,
-        _ => BodyForm::Plain,
+    let form = match BodyFormat::of(body) {
+        BodyFormat::Digested => BodyFormat::Digested,
+        _ if advance.pack => BodyFormat::Compressed,
+        _ => BodyFormat::Plain,
     };
-    let next = change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
-    let body = next.held.seal(form);
-    (body_digest(&body) == advance.after).then_some((body, Some(next.checked)))
+    let next = change::reapply(change, advance.revision, &StoredConfig::decode(body)?, known, form)?;
+    let body = next.stored.encode(form);
+    (body_digest(&body) == advance.after).then_some((body, Some(next.config)))
 }
 
 #[cfg(test)]
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -6,8 +6,8 @@
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
-use crate::config::body::{body_digest, BodyForm, Held};
-use crate::config::change::Proposed;
+use crate::config::body::{body_digest, BodyFormat, StoredConfig};
+use crate::config::change::ParsedChange;
 use crate::controller::CommittedState;
 use crate::replication::committed_state::CONFIG;
 
@@ -20,22 +20,23 @@
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": routes}).to_string()
 }
 
-/// What is held, the change, and the body that its committer made of both.
-fn committed(routes: usize, form: BodyForm) -> (Vec<u8>, CommittedDelta, Vec<u8>) {
-    let held = Held { revision: 5, text: text(5, routes), earlier: vec![7], ..Held::default() };
-    let body = held.seal(form);
+/// What is stored, the change, and the body that its committer made of both.
+fn committed(routes: usize, format: BodyFormat) -> (Vec<u8>, CommittedDelta, Vec<u8>) {
+    let stored =
+        StoredConfig { revision: 5, text: text(5, routes), legacy_changes: vec![7], ..StoredConfig::default() };
+    let body = stored.encode(format);
     let route = serde_json::json!({"name": "new", "hostname": "n", "path_prefix": "/", "route_type": "idempotent",
         "timeout_ms": 9, "service": "s"});
     let text = serde_json::json!({"revision": 8, "upsert": {"route_table": [route]}}).to_string();
     let change = ConfigChange { base: 5, text, partial: true };
-    let (after, step) = step_on(&body, &change, form);
+    let (after, step) = step_on(&body, &change, format);
     let entry = Entry { proposal_number: ProposalNumber { term: 2, replica_id: 1 }, index: 1, body: after.clone() };
     let advance = advance_of(&entry, &change, &step);
     assert_eq!((advance.before, advance.after, advance.revision), (body_digest(&body), body_digest(&after), 8));
     (body, advance, after)
 }
 
-const FORMS: [BodyForm; 3] = [BodyForm::Plain, BodyForm::Packed, BodyForm::Digested];
+const FORMS: [BodyFormat; 3] = [BodyFormat::Plain, BodyFormat::Compressed, BodyFormat::Digested];
 
 /// The body that a controller makes.
 fn made(body: &[u8], advance: &CommittedDelta) -> Option<Vec<u8>> {
@@ -44,34 +45,34 @@
 
 #[test]
 fn a_controller_that_holds_the_body_before_gets_the_committed_one() {
-    for (routes, form) in [1, 200].iter().flat_map(|routes| FORMS.map(|form| (*routes, form))) {
-        let (body, advance, after) = committed(routes, form);
+    for (routes, format) in [1, 200].iter().flat_map(|routes| FORMS.map(|format| (*routes, format))) {
+        let (body, advance, after) = committed(routes, format);
         assert_eq!(made(&body, &advance), Some(after));
         // Also with the configuration before read already, or with another one at hand.
         let known = Checked::read(&text(5, routes)).expect("good");
         let other = Checked::read(&text(5, routes + 1)).expect("good");
         for known in [known, other] {
             let (body, checked) = next_body(&body, Some(&known), &advance).expect("made");
-            let held = Held::open(&body).expect("read");
-            assert_eq!(checked.expect("changed").text(), held.text);
+            let stored = StoredConfig::decode(&body).expect("read");
+            assert_eq!(checked.expect("changed").text(), stored.text);
         }
     }
 }
 
 #[test]
 fn one_that_holds_another_body_gets_nothing() {
-    for form in FORMS {
-        let (_, advance, _) = committed(1, form);
-        let other = Held { revision: 5, text: text(5, 2), earlier: vec![7], ..Held::default() };
-        assert_eq!(made(&other.seal(form), &advance), None);
+    for format in FORMS {
+        let (_, advance, _) = committed(1, format);
+        let other = StoredConfig { revision: 5, text: text(5, 2), legacy_changes: vec![7], ..StoredConfig::default() };
+        assert_eq!(made(&other.encode(format), &advance), None);
         assert_eq!(made(&[], &advance), None);
     }
 }
 
 #[test]
 fn a_change_that_comes_out_otherwise_than_committed_is_not_taken() {
-    for form in FORMS {
-        let (body, advance, _) = committed(1, form);
+    for format in FORMS {
+        let (body, advance, _) = committed(1, format);
         assert_eq!(made(&body, &CommittedDelta { after: advance.after ^ 1, ..advance.clone() }), None);
         assert_eq!(made(&body, &CommittedDelta { revision: advance.revision + 1, ..advance }), None);
     }
@@ -79,16 +80,16 @@
 
 #[test]
 fn the_same_body_committed_again_stays() {
-    for form in FORMS {
-        let (body, advance, _) = committed(1, form);
+    for format in FORMS {
+        let (body, advance, _) = committed(1, format);
         let again = CommittedDelta { change: None, after: advance.before, ..advance };
         assert_eq!(made(&body, &again), Some(body));
     }
 }
 
 /// Judges a change on a body, as the controller does that is home to the configuration.
-fn step_on(body: &[u8], change: &ConfigChange, form: BodyForm) -> (Vec<u8>, Step) {
-    match judge(&Proposed::read(change), body, None, form) {
+fn step_on(body: &[u8], change: &ConfigChange, format: BodyFormat) -> (Vec<u8>, Step) {
+    match judge(&ParsedChange::parse(change), body, None, format) {
         Decision::Write(next, Judgement::Step(step)) => (next, step),
         _ => panic!("a change to be written"),
     }
@@ -96,12 +97,12 @@
 
 #[test]
 fn a_body_never_goes_back_to_an_older_form_though_a_member_was_never_heard() {
-    let held = Held { revision: 5, text: text(5, 200), ..Held::default() };
+    let stored = StoredConfig { revision: 5, text: text(5, 200), ..StoredConfig::default() };
     let change = ConfigChange { base: 5, text: text(6, 200), partial: false };
-    for before in [BodyForm::Plain, BodyForm::Packed, BodyForm::Digested] {
-        for read_by_all in [BodyForm::Plain, BodyForm::Packed, BodyForm::Digested] {
-            let (next, _) = step_on(&held.seal(before), &change, read_by_all);
-            assert_eq!(BodyForm::of(&next), before.max(read_by_all));
+    for before in [BodyFormat::Plain, BodyFormat::Compressed, BodyFormat::Digested] {
+        for read_by_all in [BodyFormat::Plain, BodyFormat::Compressed, BodyFormat::Digested] {
+            let (next, _) = step_on(&stored.encode(before), &change, read_by_all);
+            assert_eq!(BodyFormat::of(&next), before.max(read_by_all));
         }
     }
 }
@@ -110,12 +111,12 @@
 /// revision was taken for it once.
 #[test]
 fn what_is_told_of_a_change_is_its_own_though_a_later_one_is_known_by_then() {
-    let held = Held { revision: 5, text: text(5, 2), ..Held::default() };
-    let body = held.seal(BodyForm::Digested);
+    let stored = StoredConfig { revision: 5, text: text(5, 2), ..StoredConfig::default() };
+    let body = stored.encode(BodyFormat::Digested);
     let first = ConfigChange { base: 5, text: text(7, 2), partial: false };
     let second = ConfigChange { base: 7, text: text(9, 2), partial: false };
-    let (after_first, step) = step_on(&body, &first, BodyForm::Digested);
-    let (after_second, later) = step_on(&after_first, &second, BodyForm::Digested);
+    let (after_first, step) = step_on(&body, &first, BodyFormat::Digested);
+    let (after_second, later) = step_on(&after_first, &second, BodyFormat::Digested);
     let mut committed = CommittedState::default();
     let entry = |place, body: &[u8]| Entry {
         proposal_number: ProposalNumber { term: place, replica_id: 1 },
@@ -133,16 +134,16 @@
 
 #[test]
 fn a_controller_that_would_make_another_body_gets_the_whole() {
-    let held = Held { revision: 5, text: text(5, 2), ..Held::default() };
+    let stored = StoredConfig { revision: 5, text: text(5, 2), ..StoredConfig::default() };
     let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
     let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
-    let step = |before, change, form| step_on(&held.seal(before), change, form).1;
-    let same = step(BodyForm::Plain, &whole, BodyForm::Plain);
+    let step = |before, change, format| step_on(&stored.encode(before), change, format).1;
+    let same = step(BodyFormat::Plain, &whole, BodyFormat::Plain);
     assert!(can_make(3, &whole, &same) && can_make(4, &whole, &same));
-    let same = step(BodyForm::Plain, &items, BodyForm::Packed);
+    let same = step(BodyFormat::Plain, &items, BodyFormat::Compressed);
     assert!(!can_make(3, &items, &same), "it writes the text otherwise");
     assert!(can_make(4, &items, &same));
-    let other = step(BodyForm::Packed, &whole, BodyForm::Digested);
+    let other = step(BodyFormat::Compressed, &whole, BodyFormat::Digested);
     assert!(!can_make(4, &whole, &other), "a new layout is told whole, once");
 }
 
@@ -150,7 +151,7 @@
 fn a_body_that_cannot_be_read_is_neither_changed_nor_refused() {
     let change = ConfigChange { base: 0, text: text(6, 2), partial: false };
     for body in [&b"of another form"[..], b"\0tdcfg2\0torn", b"\0tdplz4\0torn"] {
-        let verdict = judge(&Proposed::read(&change), body, None, BodyForm::Digested);
+        let verdict = judge(&ParsedChange::parse(&change), body, None, BodyFormat::Digested);
         assert!(matches!(verdict, Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
     }
 }
@@ -158,17 +159,18 @@
 /// A version before kept a text with bytes behind its end; changes of it were refused for ever.
 #[test]
 fn a_text_that_an_earlier_version_took_can_be_changed_and_replaced() {
-    let held = Held { revision: 5, text: format!("{} x", text(5, 2)), ..Held::default() };
+    let stored = StoredConfig { revision: 5, text: format!("{} x", text(5, 2)), ..StoredConfig::default() };
     let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
     let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
     for change in [&items, &whole] {
-        let (_, step) = step_on(&held.seal(BodyForm::Plain), change, BodyForm::Digested);
+        let (_, step) = step_on(&stored.encode(BodyFormat::Plain), change, BodyFormat::Digested);
         assert_eq!((step.checked.revision(), step.checked.config().route_table.len()), (6, 2));
         assert!(config::read(step.checked.text()).is_ok());
     }
     // One that reads as nothing is left alone by changes of items, and can be replaced.
-    let torn = Held { text: "{\"revision\":5".into(), ..held };
-    let judged = |change| judge(&Proposed::read(change), &torn.seal(BodyForm::Plain), None, BodyForm::Digested);
+    let torn = StoredConfig { text: "{\"revision\":5".into(), ..stored };
+    let judged =
+        |change| judge(&ParsedChange::parse(change), &torn.encode(BodyFormat::Plain), None, BodyFormat::Digested);
     assert!(matches!(judged(&items), Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
     assert!(matches!(judged(&whole), Decision::Write(..)));
 }
--- a/controller/src/config/history.rs
+++ b/controller/src/config/history.rs
@@ -1,5 +1,5 @@
-//! The configuration in force: as it is stored, as a value, and in the form in which routers take it: frames encoded once
-//! and sent to many.
+//! The configuration in force: as it is stored, as a value, and in the form in which routers take it. A change is encoded
+//! into a frame once and sent to many routers.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,24 +11,28 @@
 use protocol::message::{Message, TENANTS};
 use quota::Quota;
 
-/// How many changes are kept, and how many bytes of them.
-const MOST_CHANGES: usize = 64;
-const MOST_BYTES: usize = 1 << 20;
+/// How many changes are kept for routers that are behind.
+const MAX_CHANGES: usize = 64;
+/// How many bytes of such changes are kept.
+const MAX_CHANGES_BYTES: usize = 1 << 20;
+/// The protocol version of routers that take the configuration as text.
+const TEXT_PROTOCOL_VERSION: u64 = 1;
 
-/// The layouts of packed changes.
+/// The layouts of encoded changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Layout {
+pub enum ChangeLayout {
     /// For routers that know no tenants.
     BeforeTenants,
+    /// The layout of this protocol version.
     Current,
 }
 
-impl Layout {
-    /// The layout for a router that reads messages of this version.
-    pub fn of(reads: u64) -> Layout {
-        match reads >= TENANTS {
-            true => Layout::Current,
-            false => Layout::BeforeTenants,
+impl ChangeLayout {
+    /// Returns the layout for a router of this protocol version.
+    pub fn of(protocol_version: u64) -> ChangeLayout {
+        match protocol_version >= TENANTS {
+            true => ChangeLayout::Current,
+            false => ChangeLayout::BeforeTenants,
         }
     }
 }
@@ -36,28 +40,32 @@
 /// A change from the revision `from` to the next one that was in force here.
 struct EncodedChange {
     from: u64,
-    /// What it leads to can be told to routers that know no tenants.
-    for_all: bool,
+    /// Whether routers that know no tenants may have the configuration after it.
+    is_valid_before_tenants: bool,
     frame: Bytes,
-    /// In the layout before tenants, made when it is first needed.
+    /// The frame in the layout before tenants, made when it is first needed.
     before_tenants: Option<Bytes>,
 }
 
-/// Why a configuration is not taken for the one in force.
+/// A configuration that was to replace the one in force is not newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotNewer {
-    pub held: u64,
+pub struct RevisionNotNewer {
+    /// The revision in force.
+    pub current: u64,
+    /// The revision that was to replace it.
     pub found: u64,
 }
 
+/// The configuration in force and the latest changes that led to it.
+///
 /// Invariants: `current` never goes back to a lower revision, nor to another text under the same one; `changes` is a
-/// chain, each from the revision before it to the next, the last one ending at `current`; `whole` and
-/// `whole_before_tenants` are of `current`. What is kept is bounded by count and by bytes.
+/// chain, each from the revision before it to the next, the last one ending at `current`; `full_frame` and
+/// `full_frame_before_tenants` are of `current`. What is kept is bounded by count and by bytes.
 #[derive(Default)]
 pub struct ConfigHistory {
     current: Option<Arc<Checked>>,
-    whole: Option<Bytes>,
-    whole_before_tenants: Option<Bytes>,
+    full_frame: Option<Bytes>,
+    full_frame_before_tenants: Option<Bytes>,
     changes: VecDeque<EncodedChange>,
     changes_bytes: usize,
     /// Limits by tenant.
@@ -65,68 +73,71 @@
 }
 
 fn quotas(config: &Checked) -> HashMap<String, Quota> {
-    let limit = |tenant: &Tenant| Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
-    config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), limit(tenant))).collect()
+    let quota = |tenant: &Tenant| Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
+    config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), quota(tenant))).collect()
 }
 
-fn seal(msg: &Message) -> Option<Bytes> {
-    frame::seal(Kind::Cast, 0, msg).ok().map(Bytes::from)
+fn encode_frame(message: &Message) -> Option<Bytes> {
+    frame::seal(Kind::Cast, 0, message).ok().map(Bytes::from)
 }
 
-fn encode(change: &Change, layout: Layout) -> Option<Bytes> {
-    seal(&match layout {
-        Layout::Current => Message::TenantConfigUpdate(Box::new(change.write())),
-        Layout::BeforeTenants => Message::ConfigUpdate(Box::new(before_tenants::write(change))),
+fn encode_change(change: &Change, layout: ChangeLayout) -> Option<Bytes> {
+    encode_frame(&match layout {
+        ChangeLayout::Current => Message::TenantConfigUpdate(Box::new(change.write())),
+        ChangeLayout::BeforeTenants => Message::ConfigUpdate(Box::new(before_tenants::write(change))),
     })
 }
 
 impl EncodedChange {
     fn new(old: &Checked, new: &Checked) -> Option<EncodedChange> {
-        let frame = encode(&Change::between(old.config(), new.config()), Layout::Current)?;
-        let for_all = before_tenants::can_tell(new.config());
-        Some(EncodedChange { from: old.revision(), for_all, frame, before_tenants: None })
+        let frame = encode_change(&Change::between(old.config(), new.config()), ChangeLayout::Current)?;
+        let is_valid_before_tenants = before_tenants::can_tell(new.config());
+        Some(EncodedChange { from: old.revision(), is_valid_before_tenants, frame, before_tenants: None })
     }
 
     fn bytes(&self) -> usize {
         self.frame.len() + self.before_tenants.as_ref().map_or(0, Bytes::len)
     }
 
-    /// The frame in the layout before tenants, which routers of earlier versions read.
-    fn older_frame(&mut self) -> Option<Bytes> {
+    /// Returns the frame in the layout before tenants, for routers of earlier versions.
+    fn frame_before_tenants(&mut self) -> Option<Bytes> {
         if self.before_tenants.is_none() {
             let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&self.frame[HEAD..]) else {
                 return None;
             };
-            self.before_tenants = encode(&Change::read(&packed)?, Layout::BeforeTenants);
+            self.before_tenants = encode_change(&Change::read(&packed)?, ChangeLayout::BeforeTenants);
         }
         self.before_tenants.clone()
     }
 }
 
 impl ConfigHistory {
-    /// The revision in force; 0 before the first.
+    /// Returns the revision in force; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.current.as_ref().map_or(0, |current| current.revision())
     }
 
-    /// Does the configuration in force have tenants?
+    /// Returns whether the configuration in force has tenants.
     pub fn has_tenants(&self) -> bool {
         self.current.as_ref().is_some_and(|current| !current.config().tenant_table.is_empty())
     }
 
-    /// A tenant's limit in the configuration in force; its rate is 0 where it has none.
+    /// Returns the limit of a tenant of the configuration in force; the rate is 0 where the tenant has no limit.
     pub fn tenant_quota(&self, name: &str) -> Option<Quota> {
         self.quotas.get(name).copied()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn current(&self) -> Option<&Arc<Checked>> {
         self.current.as_ref()
     }
 
-    /// A newer configuration is in force. The one in force already may come again, maybe with other bytes around it; one
-    /// that is not newer changes nothing, and is told.
-    pub fn advance(&mut self, config: Arc<Checked>) -> Result<(), NotNewer> {
+    /// Puts a newer configuration in force. The one in force may come again, maybe with other bytes around it.
+    ///
+    /// # Errors
+    ///
+    /// Returns both revisions if the configuration is not newer; nothing has changed then.
+    pub fn advance(&mut self, config: Arc<Checked>) -> Result<(), RevisionNotNewer> {
         let Some(old) = self.current.clone() else {
             self.quotas = quotas(&config);
             self.current = Some(config);
@@ -136,96 +147,114 @@
             return Ok(());
         }
         if config.revision() <= old.revision() {
-            return Err(NotNewer { held: old.revision(), found: config.revision() });
+            return Err(RevisionNotNewer { current: old.revision(), found: config.revision() });
         }
         match EncodedChange::new(&old, &config) {
-            Some(change) => self.keep(change),
-            None => {
-                self.changes.clear();
-                self.changes_bytes = 0;
-            }
+            Some(change) => self.push_change(change),
+            None => self.clear_changes(),
         }
         self.quotas = quotas(&config);
-        (self.current, self.whole, self.whole_before_tenants) = (Some(config), None, None);
+        self.current = Some(config);
+        self.full_frame = None;
+        self.full_frame_before_tenants = None;
         Ok(())
     }
 
-    fn keep(&mut self, change: EncodedChange) {
+    fn push_change(&mut self, change: EncodedChange) {
         self.changes_bytes += change.bytes();
         self.changes.push_back(change);
-        while self.changes.len() > MOST_CHANGES || self.changes_bytes > MOST_BYTES {
+        while self.changes.len() > MAX_CHANGES || self.changes_bytes > MAX_CHANGES_BYTES {
             let Some(oldest) = self.changes.pop_front() else { return };
             self.changes_bytes -= oldest.bytes();
         }
     }
 
-    /// May the configuration in force be told to a router that reads messages of this version? One that knows no tenants
-    /// would serve without keys.
-    pub fn can_be_told(&self, reads: u64) -> bool {
+    fn clear_changes(&mut self) {
+        self.changes.clear();
+        self.changes_bytes = 0;
+    }
+
+    /// Returns whether the configuration in force may be sent to a router of this protocol version. A router that knows
+    /// no tenants would serve requests without keys.
+    pub fn can_send_to(&self, protocol_version: u64) -> bool {
         let current = self.current.as_ref();
-        Layout::of(reads) == Layout::Current || current.is_none_or(|current| before_tenants::can_tell(current.config()))
+        ChangeLayout::of(protocol_version) == ChangeLayout::Current
+            || current.is_none_or(|current| before_tenants::can_tell(current.config()))
     }
 
-    /// Revision and text for a router of the first version that has the revision `has`, if that is older.
-    pub fn text_after(&self, has: u64) -> Option<(u64, Vec<u8>)> {
-        let newer = self.current.as_ref().filter(|current| current.revision() > has && self.can_be_told(1));
+    /// Returns revision and text for a router of the first protocol version that has the revision `known`, if that is
+    /// older.
+    pub fn text_newer_than(&self, known: u64) -> Option<(u64, Vec<u8>)> {
+        let is_newer = |current: &&Arc<Checked>| current.revision() > known && self.can_send_to(TEXT_PROTOCOL_VERSION);
+        let newer = self.current.as_ref().filter(is_newer);
         newer.map(|current| (current.revision(), current.text().as_bytes().to_vec()))
     }
 
-    /// What brings one that has the revision `has` up to date: the changes from there, or the whole where
-    /// there are none or they come to more.
-    pub fn frames(&mut self, has: u64, layout: Layout) -> Vec<Bytes> {
-        if has >= self.revision() {
+    /// Returns what brings a router that has the revision `known` up to date: the changes since, or the full
+    /// configuration where there are none or they are not smaller.
+    pub fn frames_since(&mut self, known: u64, layout: ChangeLayout) -> Vec<Bytes> {
+        if known >= self.revision() {
             return Vec::new();
         }
-        let changes = self.changes_from(has, layout);
-        // One change is as good as always the least: the whole need not be made to see it.
+        let changes = self.changes_since(known, layout);
+        // One change is almost always smaller: the full frame need not be made to see it.
         if changes.len() == 1 {
             return changes;
         }
-        let whole = self.whole(layout);
+        let full = self.full_frame(layout);
         let size: usize = changes.iter().map(Bytes::len).sum();
-        match whole {
-            Some(whole) if changes.is_empty() || size >= whole.len() => vec![whole],
+        match full {
+            Some(full) if changes.is_empty() || size >= full.len() => vec![full],
             _ => changes,
         }
     }
 
-    fn whole(&mut self, layout: Layout) -> Option<Bytes> {
-        let kept = match layout {
-            Layout::Current => &mut self.whole,
-            Layout::BeforeTenants => &mut self.whole_before_tenants,
+    fn full_frame(&mut self, layout: ChangeLayout) -> Option<Bytes> {
+        let cached = match layout {
+            ChangeLayout::Current => &mut self.full_frame,
+            ChangeLayout::BeforeTenants => &mut self.full_frame_before_tenants,
         };
-        if kept.is_none() {
-            *kept = self.current.as_ref().and_then(|current| encode(&Change::whole(current.config()), layout));
+        if cached.is_none() {
+            *cached = self.current.as_ref().and_then(|current| encode_change(&Change::whole(current.config()), layout));
         }
-        kept.clone()
+        cached.clone()
     }
 
-    /// The chain from a revision on; empty where that revision is not known, or a part can't be told in this layout.
-    fn changes_from(&mut self, has: u64, layout: Layout) -> Vec<Bytes> {
-        let Some(first) = self.changes.iter().position(|change| change.from == has) else { return Vec::new() };
-        let known = self.changes.iter_mut().skip(first);
-        if layout == Layout::Current {
-            return known.map(|change| change.frame.clone()).collect();
+    /// Returns the chain from a revision on; empty where that revision is not known, or one of the changes can't be
+    /// written in this layout.
+    fn changes_since(&mut self, known: u64, layout: ChangeLayout) -> Vec<Bytes> {
+        let Some(first) = self.changes.iter().position(|change| change.from == known) else { return Vec::new() };
+        let changes = self.changes.iter_mut().skip(first);
+        if layout == ChangeLayout::Current {
+            return changes.map(|change| change.frame.clone()).collect();
         }
-        let frames = known.map(|change| change.for_all.then(|| change.older_frame()).flatten()).collect();
+        let older_frame = |change: &mut EncodedChange| {
+            change.is_valid_before_tenants.then(|| change.frame_before_tenants()).flatten()
+        };
+        let frames = changes.map(older_frame).collect();
         self.changes_bytes = self.changes.iter().map(EncodedChange::bytes).sum();
         Option::unwrap_or_default(frames)
     }
 
-    /// Sends what a follower lacks, in the layout for the version of messages that it reads. `has` rises only once all of
-    /// it was taken by `send`; false: some was not, or it may not be told to this follower.
-    pub fn send_missing(&mut self, reads: u64, has: &mut u64, mut send: impl FnMut(Bytes) -> bool) -> bool {
-        if !self.can_be_told(reads) {
+    /// Sends what a router lacks, in the layout for its protocol version. Returns whether all of it was sent: `false`
+    /// means that `send` failed for some of it, or that it may not be sent to this router.
+    ///
+    /// `known`, the revision that the router has, rises only once `send` succeeded for all of it.
+    pub fn send_missing(
+        &mut self,
+        protocol_version: u64,
+        known: &mut u64,
+        mut send: impl FnMut(Bytes) -> bool,
+    ) -> bool {
+        if !self.can_send_to(protocol_version) {
             return false;
         }
-        for frame in self.frames(*has, Layout::of(reads)) {
+        for frame in self.frames_since(*known, ChangeLayout::of(protocol_version)) {
             if !send(frame) {
                 return false;
             }
         }
-        *has = self.revision().max(*has);
+        *known = self.revision().max(*known);
         true
     }
 }
--- a/controller/src/config/history_tests.rs
+++ b/controller/src/config/history_tests.rs
@@ -10,7 +10,7 @@
 use protocol::frame::{self, HEAD};
 use protocol::message::{Message, PROTOCOL_VERSION, TENANTS};
 
-use super::{ConfigHistory, EncodedChange, Layout, NotNewer, MOST_CHANGES};
+use super::{ChangeLayout, ConfigHistory, EncodedChange, RevisionNotNewer, MAX_CHANGES};
 
 fn config(revision: u64, count: usize, timeout: u64) -> Arc<Checked> {
     with_tenants(revision, count, timeout, 0)
@@ -42,11 +42,11 @@
     }
 }
 
-fn line(history: &mut ConfigHistory, has: u64, layout: Layout) -> Vec<(u64, u64)> {
-    history.frames(has, layout).iter().map(open).map(|change| (change.from, change.to)).collect()
+fn line(history: &mut ConfigHistory, has: u64, layout: ChangeLayout) -> Vec<(u64, u64)> {
+    history.frames_since(has, layout).iter().map(open).map(|change| (change.from, change.to)).collect()
 }
 
-const LAYOUTS: [Layout; 2] = [Layout::Current, Layout::BeforeTenants];
+const LAYOUTS: [ChangeLayout; 2] = [ChangeLayout::Current, ChangeLayout::BeforeTenants];
 
 #[test]
 fn one_that_is_behind_gets_the_steps_and_a_stranger_the_whole() {
@@ -70,9 +70,9 @@
     let mut history = ConfigHistory::default();
     assert_eq!(history.advance(config(10, 3, 5)), Ok(()));
     let older = history.advance(config(7, 3, 7));
-    assert_eq!(older, Err(NotNewer { held: 10, found: 7 }));
+    assert_eq!(older, Err(RevisionNotNewer { current: 10, found: 7 }));
     let other = history.advance(config(10, 3, 6));
-    assert_eq!(other, Err(NotNewer { held: 10, found: 10 }), "another text under the same number");
+    assert_eq!(other, Err(RevisionNotNewer { current: 10, found: 10 }), "another text under the same number");
     assert_eq!(history.advance(config(10, 3, 5)), Ok(()), "the same again");
     assert_eq!(history.current(), Some(&config(10, 3, 5)));
 }
@@ -84,11 +84,11 @@
         for revision in 1..=300 {
             assert_eq!(history.advance(config(revision, 20, revision)), Ok(()));
         }
-        assert!(history.changes.len() <= MOST_CHANGES);
+        assert!(history.changes.len() <= MAX_CHANGES);
         assert_eq!(line(&mut history, 1, layout), [(0, 300)], "too far behind: the whole");
-        let whole = history.frames(0, layout)[0].len();
+        let whole = history.frames_since(0, layout)[0].len();
         for has in 1..300 {
-            let sent: usize = history.frames(has, layout).iter().map(Bytes::len).sum();
+            let sent: usize = history.frames_since(has, layout).iter().map(Bytes::len).sum();
             assert!(sent <= whole, "never more than the whole");
         }
         let kept: usize = history.changes.iter().map(EncodedChange::bytes).sum();
@@ -105,7 +105,7 @@
         assert!(history.send_missing(PROTOCOL_VERSION, &mut has, |_| true));
     }
     assert!(history.changes.iter().all(|change| change.before_tenants.is_none()));
-    assert!(history.whole_before_tenants.is_none());
+    assert!(history.full_frame_before_tenants.is_none());
 }
 
 /// An old router with a configuration that has tenants would serve everybody without a key.
@@ -118,17 +118,17 @@
         assert!(history.send_missing(reads, &mut has, |frame| open(&frame).to == 1) && has == 1);
         assert_eq!(history.advance(with_tenants(2, 20, 2, 1)), Ok(()));
         assert_eq!(history.advance(with_tenants(3, 20, 3, 2)), Ok(()));
-        assert!(!history.can_be_told(reads));
+        assert!(!history.can_send_to(reads));
         assert!(!history.send_missing(reads, &mut has, |_| panic!("nothing may be sent")));
-        assert_eq!((has, history.text_after(0)), (1, None), "it stays behind");
+        assert_eq!((has, history.text_newer_than(0)), (1, None), "it stays behind");
         let mut current = 1;
         assert!(history.send_missing(TENANTS, &mut current, |frame| !open(&frame).tenants.is_empty()));
         assert_eq!(current, 3);
         // Once there are none any more it gets the whole, and no step through those that had some.
         assert_eq!(history.advance(with_tenants(4, 20, 4, 0)), Ok(()));
-        assert_eq!(line(&mut history, 1, Layout::BeforeTenants), [(0, 4)]);
-        assert_eq!(line(&mut history, 1, Layout::Current), [(1, 2), (2, 3), (3, 4)]);
-        assert!(history.can_be_told(reads) && history.text_after(1).is_some());
+        assert_eq!(line(&mut history, 1, ChangeLayout::BeforeTenants), [(0, 4)]);
+        assert_eq!(line(&mut history, 1, ChangeLayout::Current), [(1, 2), (2, 3), (3, 4)]);
+        assert!(history.can_send_to(reads) && history.text_newer_than(1).is_some());
     }
 }
 
@@ -164,16 +164,16 @@
 #[test]
 fn a_router_away_for_any_time_gets_the_newest_and_never_a_wrong_table() {
     for (seed, reads) in (0..15).flat_map(|seed| [(seed, PROTOCOL_VERSION), (seed, 3)]) {
-        let mut dice = Rng::new(clock::combine_hashes(seed, 5));
+        let mut rng = Rng::new(clock::combine_hashes(seed, 5));
         let mut history = ConfigHistory::default();
         let mut router = Router::default();
         let (mut claimed, mut away) = (0, false);
         let mut configs = BTreeMap::new();
         for revision in 1..=400 {
-            let next = config(revision, 1 + dice.below(12) as usize, revision);
+            let next = config(revision, 1 + rng.below(12) as usize, revision);
             configs.insert(revision, next.clone());
             assert_eq!(history.advance(next), Ok(()));
-            if dice.below(20) == 0 {
+            if rng.below(20) == 0 {
                 away = !away;
                 // It calls again, and tells what it has.
                 claimed = router.revision;
@@ -181,23 +181,23 @@
             if away {
                 continue;
             }
-            let mut room = if dice.below(4) == 0 { dice.below(3) } else { u64::MAX };
-            let lossy = dice.below(8) == 0;
+            let mut free = if rng.below(4) == 0 { rng.below(3) } else { u64::MAX };
+            let lossy = rng.below(8) == 0;
             let before = claimed;
             let sent = history.send_missing(reads, &mut claimed, |frame| {
-                let taken = room > 0;
-                room = room.saturating_sub(1);
-                if taken && !(lossy && dice.below(3) == 0) {
+                let is_sent = free > 0;
+                free = free.saturating_sub(1);
+                if is_sent && !(lossy && rng.below(3) == 0) {
                     router.take(open(&frame));
                 }
-                taken
+                is_sent
             });
             assert_eq!(claimed, if sent { revision } else { before }, "seed {seed}");
             let is_right = router.revision == 0 || router.holds(configs[&router.revision].config());
             assert!(is_right, "seed {seed} at {revision}");
         }
-        let mut told = router.revision;
-        assert!(history.send_missing(reads, &mut told, |frame| {
+        let mut known = router.revision;
+        assert!(history.send_missing(reads, &mut known, |frame| {
             router.take(open(&frame));
             true
         }));
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -10,8 +10,8 @@
 use protocol::operator_request::ConfigChange;
 
 use super::{advance_of, judge, next_body, Judgement};
-use crate::config::body::{BodyForm, Held};
-use crate::config::change::Proposed;
+use crate::config::body::{BodyFormat, StoredConfig};
+use crate::config::change::ParsedChange;
 use crate::controller::CommittedState;
 use crate::replication::committed_state::CONFIG;
 
@@ -58,12 +58,12 @@
 #[ignore = "prints times, checks nothing"]
 fn what_a_change_costs() {
     for routes in [40, 1500] {
-        let mut held = Held { revision: 5, text: text(5, routes), ..Held::default() };
+        let mut stored = StoredConfig { revision: 5, text: text(5, routes), ..StoredConfig::default() };
         let earlier = |base| ConfigChange { base, text: String::new(), partial: false };
-        (0..REMEMBERED).for_each(|base| held.remember(&earlier(base), BodyForm::Digested));
-        let body = held.seal(BodyForm::Digested);
-        println!("{routes} routes: text of {} bytes, body of {}", held.text.len(), body.len());
-        print_median("read and check", || drop(config::read(&held.text).expect("good")));
+        (0..REMEMBERED).for_each(|base| stored.remember(&earlier(base), BodyFormat::Digested));
+        let body = stored.encode(BodyFormat::Digested);
+        println!("{routes} routes: text of {} bytes, body of {}", stored.text.len(), body.len());
+        print_median("read and check", || drop(config::read(&stored.text).expect("good")));
         let mut state = CommittedState::default();
         state.learn(CONFIG, &entry(1, body.clone()), None);
         let known = state.history.current().cloned();
@@ -73,7 +73,7 @@
         let whole = ConfigChange { base: 5, text: text(8, routes), partial: false };
         let part = ConfigChange { base: 5, text: items, partial: true };
         for (label, change) in [("PUT", &whole), ("PATCH", &part)] {
-            let judged = || match judge(&Proposed::read(change), &body, known.as_deref(), BodyForm::Digested) {
+            let judged = || match judge(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
                 Decision::Write(next, Judgement::Step(step)) => (next, step),
                 _ => panic!("a change"),
             };
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Semaphore;
 
 use crate::batches::runner::Tallies;
-use crate::config::body::BodyForm;
+use crate::config::body::BodyFormat;
 use crate::config::history::ConfigHistory;
 use crate::delivery::subscribers::Followers;
 use crate::discovery::version_lists::FirstVersions;
@@ -134,14 +134,14 @@
     }
 
     /// The form of the configuration's body for the members of the core and all controllers that live.
-    pub fn body_form(&self) -> BodyForm {
+    pub fn body_form(&self) -> BodyFormat {
         let now = clock::now();
         let core = self.core();
         let roster = self.roster.lock().expect("roster");
         let reads = |ip: &str| roster.controllers.get(ip).map_or(0, |peer| peer.protocol_version);
         let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
         let live = roster.controllers.keys().map(String::as_str).filter(|ip| roster.is_live(ip, now));
-        BodyForm::for_readers(members.chain(live).map(reads))
+        BodyFormat::for_readers(members.chain(live).map(reads))
     }
 
     /// The version of the configuration known to be committed; 0: none yet.
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -104,14 +104,14 @@
             let sent =
                 committed_state.history.send_missing(reads, &mut follower.config, |frame| mouth.notify_frame(frame));
             follower.behind |= !sent;
-        } else if let Some((revision, text)) = committed_state.history.text_after(follower.config) {
+        } else if let Some((revision, text)) = committed_state.history.text_newer_than(follower.config) {
             news.config = Some((revision, text));
             follower.config = revision;
         }
         if follower.reads >= VERSION_ROLLOUTS {
             crate::rollout::version_rollouts::send(&committed_state, follower);
         }
-        follower.behind |= !committed_state.history.can_be_told(follower.reads);
+        follower.behind |= !committed_state.history.can_send_to(follower.reads);
         for (zone, (version, on)) in &committed_state.closed {
             let has = follower.closed.entry(zone.clone()).or_default();
             if *version > *has {
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -8,8 +8,8 @@
 use protocol::message::{Entry, Message, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 
-use crate::config::body::Held;
-use crate::config::history::NotNewer;
+use crate::config::body::StoredConfig;
+use crate::config::history::RevisionNotNewer;
 use crate::controller::{CommittedState, Controller};
 use crate::event::{LEARNED, UNREADABLE};
 
@@ -66,7 +66,7 @@
         found: u64,
     },
     /// It would lead back from what is known.
-    NotNewer(NotNewer),
+    NotNewer(RevisionNotNewer),
 }
 
 impl std::fmt::Display for Unreadable {
@@ -75,7 +75,7 @@
             Unreadable::Body => out.write_str("a body of an unknown form"),
             Unreadable::Text(error) => error.fmt(out),
             Unreadable::Revision { told, found } => write!(out, "revision: told {told}, found {found}"),
-            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.held),
+            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.current),
         }
     }
 }
@@ -206,7 +206,7 @@
 
 /// Reads a committed configuration.
 fn read_config(body: &[u8]) -> Result<Checked, Unreadable> {
-    let held = Held::open(body).ok_or(Unreadable::Body)?;
+    let held = StoredConfig::decode(body).ok_or(Unreadable::Body)?;
     let checked = Checked::read_committed(&held.text).map_err(Unreadable::Text)?;
     match checked.revision() == held.revision {
         true => Ok(checked),
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -11,8 +11,8 @@
 use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
 
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
-use crate::config::body::{BodyForm, Held};
-use crate::config::history::NotNewer;
+use crate::config::body::{BodyFormat, StoredConfig};
+use crate::config::history::RevisionNotNewer;
 use crate::controller::CommittedState;
 
 fn text(revision: u64, timeout: u64) -> String {
@@ -21,12 +21,12 @@
     .to_string()
 }
 
-fn held(revision: u64, text: String) -> Held {
-    Held { revision, text, ..Held::default() }
+fn held(revision: u64, text: String) -> StoredConfig {
+    StoredConfig { revision, text, ..StoredConfig::default() }
 }
 
 fn body(revision: u64) -> Vec<u8> {
-    held(revision, text(revision, 5)).seal(BodyForm::Digested)
+    held(revision, text(revision, 5)).encode(BodyFormat::Digested)
 }
 
 fn entry(turn: u64, step: u64, body: Vec<u8>) -> Entry {
@@ -41,7 +41,7 @@
 fn in_force(state: &mut CommittedState) -> u64 {
     let revision = state.history.revision();
     let body = state.entries.get(CONFIG).map_or(Vec::new(), |entry| entry.body.clone());
-    let held = Held::open(&body).expect("only what is read is known");
+    let held = StoredConfig::decode(&body).expect("only what is read is known");
     assert_eq!(held.revision, revision);
     if let Some(current) = state.history.current() {
         assert_eq!((current.text(), current.revision()), (held.text.as_str(), revision));
@@ -75,8 +75,8 @@
 #[test]
 fn a_body_in_another_form_leads_nowhere_else() {
     let mut state = CommittedState::default();
-    for (turn, form) in [(1, BodyForm::Plain), (2, BodyForm::Packed), (3, BodyForm::Digested)] {
-        let body = held(3, text(3, 5)).seal(form);
+    for (turn, form) in [(1, BodyFormat::Plain), (2, BodyFormat::Compressed), (3, BodyFormat::Digested)] {
+        let body = held(3, text(3, 5)).encode(form);
         state.learn(CONFIG, &entry(turn, 0, body), None);
         assert_eq!((in_force(&mut state), place(&state, CONFIG)), (3, Some((turn, 0))));
     }
@@ -87,9 +87,15 @@
 fn what_cannot_be_read_is_not_known_and_changes_nothing() {
     let broken = [
         (b"of another form".to_vec(), Unreadable::Body),
-        (held(8, text(9, 5)).seal(BodyForm::Digested), Unreadable::Revision { told: 8, found: 9 }),
-        (held(2, text(2, 5)).seal(BodyForm::Digested), Unreadable::NotNewer(NotNewer { held: 3, found: 2 })),
-        (held(3, text(3, 6)).seal(BodyForm::Digested), Unreadable::NotNewer(NotNewer { held: 3, found: 3 })),
+        (held(8, text(9, 5)).encode(BodyFormat::Digested), Unreadable::Revision { told: 8, found: 9 }),
+        (
+            held(2, text(2, 5)).encode(BodyFormat::Digested),
+            Unreadable::NotNewer(RevisionNotNewer { current: 3, found: 2 }),
+        ),
+        (
+            held(3, text(3, 6)).encode(BodyFormat::Digested),
+            Unreadable::NotNewer(RevisionNotNewer { current: 3, found: 3 }),
+        ),
     ];
     for (bytes, error) in broken {
         let mut state = CommittedState::default();
@@ -103,7 +109,7 @@
         assert_eq!(in_force(&mut state), 9);
     }
     for text in ["", "{", "[]", "{\"revision\":true}", "{\"revision\":8,\"route_table\":3}"] {
-        let bad = held(8, text.into()).seal(BodyForm::Plain);
+        let bad = held(8, text.into()).encode(BodyFormat::Plain);
         assert!(matches!(read_config(&bad), Err(Unreadable::Text(_))), "{text}");
     }
 }
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -4,7 +4,7 @@
 use consensus::quorum;
 
 use super::{address, Cluster, Node};
-use crate::config::body::Held;
+use crate::config::body::StoredConfig;
 
 /// How long a leaving process stays at most, as the controller has it.
 const HAND_OVER_MS: u64 = 3500;
@@ -109,7 +109,7 @@
     }
 
     /// Heals and starts everything, lets the last orders end, and reads back what is committed.
-    pub fn finish(&mut self) -> Held {
+    pub fn finish(&mut self) -> StoredConfig {
         self.network.heal();
         for at in 0..self.nodes.len() {
             self.thaw(at);
@@ -120,7 +120,7 @@
         self.lost_answers = 0;
         self.run(8000);
         assert!(self.all_confirmed(), "a controller did not catch up in twelve seconds of calm");
-        let held: Vec<Held> = self.live().iter().map(|at| self.nodes[*at].config()).collect();
+        let held: Vec<StoredConfig> = self.live().iter().map(|at| self.nodes[*at].config()).collect();
         let last = held.into_iter().max_by_key(|held| held.revision).expect("a controller");
         self.history.check_end(&last);
         last
--- a/controller/src/simulation/history.rs
+++ b/controller/src/simulation/history.rs
@@ -6,7 +6,7 @@
 
 use super::bodies;
 use super::operator::{Answer, Attempt, OperatorAction};
-use crate::config::body::{self, Held};
+use crate::config::body::{self, StoredConfig};
 
 /// A change that an operator knows to be taken.
 #[derive(Clone, Copy, Debug)]
@@ -33,8 +33,8 @@
     pub violations: Vec<String>,
 }
 
-fn is_taken(held: &Held, digest: &[u8; 16]) -> bool {
-    held.taken.iter().any(|taken| taken.digest == *digest)
+fn is_taken(held: &StoredConfig, digest: &[u8; 16]) -> bool {
+    held.changes.iter().any(|taken| taken.digest == *digest)
 }
 
 fn revision(order: &OperatorAction) -> u64 {
@@ -79,7 +79,7 @@
         let Some(order) = self.orders.get(&attempt) else { return };
         match (order, answer) {
             (OperatorAction::Change(change), Answer::Good) => {
-                let (base, digest) = (change.base, body::digest(change));
+                let (base, digest) = (change.base, body::change_digest(change));
                 let same_base = self.acknowledged.iter().find(|one| one.base == base && one.digest != digest);
                 if same_base.is_some() {
                     self.violations.push(format!("{now}: two changes of version {base} were acknowledged"));
@@ -100,7 +100,7 @@
     }
 
     /// A controller says that what it knows was confirmed at `confirmed`: nothing acknowledged by then is missing.
-    pub fn check_confirmed(&mut self, at: usize, confirmed: u64, config: &Held, evacuated: bool) {
+    pub fn check_confirmed(&mut self, at: usize, confirmed: u64, config: &StoredConfig, evacuated: bool) {
         let before = self.acknowledged.iter().filter(|one| one.at <= confirmed);
         let newest = before.map(|one| one.revision).max().unwrap_or(0);
         if config.revision < newest {
@@ -114,7 +114,7 @@
     }
 
     /// What was acknowledged is there at the end, and what is there was never refused.
-    pub fn check_end(&mut self, last: &Held) {
+    pub fn check_end(&mut self, last: &StoredConfig) {
         if last.revision > 0 {
             match config::read(&last.text) {
                 Ok(config) if config.revision == last.revision => {}
@@ -123,7 +123,7 @@
         }
         for attempt in &self.invalid {
             let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &body::digest(change)) {
+            if is_taken(last, &body::change_digest(change)) {
                 self.violations.push(format!("{attempt:?}: an invalid change is in force"));
             }
         }
@@ -135,7 +135,7 @@
         }
         for attempt in &self.refused {
             let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &body::digest(change)) {
+            if is_taken(last, &body::change_digest(change)) {
                 self.violations.push(format!("a change of version {} was taken and refused", change.base));
             }
         }
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -15,7 +15,7 @@
 use super::network::{Address, Envelope, Packet};
 use super::operator::EVACUATION;
 use super::{address, Cluster};
-use crate::config::body::Held;
+use crate::config::body::StoredConfig;
 use crate::controller::{LIVE_MS, SURE_MS};
 use crate::peers::pause::PauseMonitor;
 use crate::replication::committed_state::{self, Closed, CONFIG};
@@ -114,9 +114,9 @@
     }
 
     /// The configuration that it would tell a follower.
-    pub fn config(&self) -> Held {
+    pub fn config(&self) -> StoredConfig {
         let body = self.committed.get(CONFIG).map_or(&[][..], |entry| &entry.body);
-        Held::open(body).expect("a configuration that reads")
+        StoredConfig::decode(body).expect("a configuration that reads")
     }
 
     pub fn evacuation(&self) -> Closed {
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -8,8 +8,8 @@
 use super::network::{Address, Packet};
 use super::{bodies, Cluster, Guards};
 use crate::api::operator_requests;
-use crate::config::body::{BodyForm, Held, TakenChange};
-use crate::config::change::{self, Outcome, Refusal};
+use crate::config::body::{BodyFormat, CommittedChange, StoredConfig};
+use crate::config::change::{self, ChangeDecision, ConfigChangeError, ParsedChange};
 use crate::replication::committed_state::CONFIG;
 
 /// How long an operator waits for an answer, and a controller for an outcome.
@@ -42,7 +42,7 @@
     /// The configuration, as a read found it.
     Found {
         revision: u64,
-        taken: Vec<TakenChange>,
+        taken: Vec<CommittedChange>,
     },
     Refused,
     /// No clear outcome: to be sent again.
@@ -172,7 +172,8 @@
                 self.begin_change(at, EVACUATION, purpose, EVACUATE_MS, judge);
             }
             OperatorAction::Read if self.guards.quorum_reads => {
-                let judge = Box::new(|body: &[u8]| Decision::Answer(Some(found(&Held::open(body).expect("reads")))));
+                let judge =
+                    Box::new(|body: &[u8]| Decision::Answer(Some(found(&StoredConfig::decode(body).expect("reads")))));
                 self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
             }
             OperatorAction::Read => {
@@ -224,8 +225,8 @@
     }
 }
 
-fn found(held: &Held) -> Answer {
-    Answer::Found { revision: held.revision, taken: held.taken.clone() }
+fn found(held: &StoredConfig) -> Answer {
+    Answer::Found { revision: held.revision, taken: held.changes.clone() }
 }
 
 fn judge_evacuation(on: bool, from: Option<u64>, body: &[u8]) -> Decision<Option<Answer>> {
@@ -233,19 +234,23 @@
 }
 
 fn judge_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Decision<Option<Answer>> {
-    let mut held = Held::open(body).expect("a configuration that reads");
+    let mut held = StoredConfig::decode(body).expect("a configuration that reads");
     if !guards.digests {
-        held.taken.clear();
+        held.changes.clear();
     }
-    let mut outcome = change::apply(change, &held);
-    if !guards.validity && matches!(outcome, Err(Refusal::Invalid(_))) {
-        let next = change::repeat(change, bodies::revision(change), &held, None, BodyForm::Digested);
-        outcome = next.map(Outcome::Next).ok_or(Refusal::Conflict { base: change.base, current: held.revision });
+    let mut outcome = ParsedChange::parse(change).decide(&held, None, BodyFormat::Digested);
+    if !guards.validity && matches!(outcome, Err(ConfigChangeError::Invalid(_))) {
+        let next = change::reapply(change, bodies::revision(change), &held, None, BodyFormat::Digested);
+        outcome = next
+            .map(ChangeDecision::Commit)
+            .ok_or(ConfigChangeError::Conflict { base: change.base, current: held.revision });
     }
     match outcome {
-        Ok(Outcome::TakenBefore) => Decision::Answer(Some(Answer::Good)),
-        Ok(Outcome::Unknown) => Decision::Answer(Some(Answer::Unclear)),
-        Ok(Outcome::Next(next)) => Decision::Write(next.held.seal(BodyForm::Digested), Some(Answer::Good)),
+        Ok(ChangeDecision::AlreadyCommitted) => Decision::Answer(Some(Answer::Good)),
+        Ok(ChangeDecision::OutcomeUnknown) => Decision::Answer(Some(Answer::Unclear)),
+        Ok(ChangeDecision::Commit(next)) => {
+            Decision::Write(next.stored.encode(BodyFormat::Digested), Some(Answer::Good))
+        }
         Err(_) => Decision::Answer(Some(Answer::Refused)),
     }
 }
