--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -73,3 +73,6 @@
         assert!(super::parse_prompt_prefix("").is_none());
     }
 }
+
+#[cfg(test)]
+mod sent_by_5_tests;
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -41,3 +41,6 @@
 mod simulated_folder;
 #[cfg(test)]
 mod store_model;
+
+#[cfg(test)]
+mod stored_by_5_tests;
--- /dev/null
+++ b/consensus/src/stored_by_5_tests.rs
@@ -0,0 +1,322 @@
+//! The data folder of a voter of version 5.
+//!
+//! `fixtures/disk-5` was written by commit 0f675d7. To write it again, check out that commit, put this file beside
+//! `store.rs`, attach it as it is attached here, and run `cargo test -p ledger --lib -- --ignored stored_by_5`. Later
+//! versions never write it again: they read it.
+//!
+//! The folder stands as it does after a first snapshot that was made and a second one that failed once its new segment was
+//! begun: `snap-00000002` with the two segments behind it.
+use crate::acceptor::Acceptor;
+use crate::core_body;
+use crate::record::LogRecord;
+use crate::replica_id;
+use crate::store::Store;
+use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, RegisterState};
+use std::collections::BTreeMap;
+use std::env::temp_dir;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::process;
+use std::slice::from_ref;
+
+/// The files of the fixture.
+const FILES: [&str; 3] = ["log-00000002", "log-00000003", "snap-00000002"];
+const IP: &str = "10.0.0.1";
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/disk-5")
+}
+
+fn scratch_folder(name: &str) -> PathBuf {
+    let folder = temp_dir().join(format!("tidepoint-stored-by-5-{name}-{}", process::id()));
+    let _ = fs::remove_dir_all(&folder);
+    folder
+}
+
+/// A copy of the fixture: a store that is opened writes.
+fn copied_fixture(name: &str) -> PathBuf {
+    let folder = scratch_folder(name);
+    fs::create_dir_all(&folder).expect("made");
+    for file in FILES {
+        fs::copy(fixture().join(file), folder.join(file)).expect("copied");
+    }
+    folder
+}
+
+fn open(folder: &Path) -> (Store, Vec<LogRecord>) {
+    let mut records = Vec::new();
+    let store = Store::open(folder, &mut |record| records.push(record)).expect("opens");
+    (store, records)
+}
+
+fn folded(records: &[LogRecord]) -> Acceptor {
+    let mut voter = Acceptor::new(IP);
+    records.iter().cloned().for_each(|record| voter.replay(record));
+    voter
+}
+
+fn member(ip: &str, zone: &str) -> Member {
+    Member { ip: ip.into(), zone: zone.into() }
+}
+
+fn first_core() -> CoreMembership {
+    CoreMembership {
+        version: 1,
+        members: vec![member("10.0.0.1", "zone-a")],
+        previous_members: Vec::new(),
+        stable: true,
+    }
+}
+
+fn settled_core() -> CoreMembership {
+    CoreMembership {
+        version: 3,
+        members: vec![member("10.0.0.1", "zone-a"), member("10.0.0.2", "zone-b")],
+        previous_members: vec![member("10.0.0.1", "zone-a")],
+        stable: true,
+    }
+}
+
+fn unsettled_core() -> CoreMembership {
+    CoreMembership {
+        version: 4,
+        members: vec![member("10.0.0.1", "zone-a"), member("10.0.0.2", "zone-b"), member("10.0.0.3", "zone-c")],
+        previous_members: vec![member("10.0.0.1", "zone-a"), member("10.0.0.2", "zone-b")],
+        stable: false,
+    }
+}
+
+fn promised(key: &str, prepared: ProposalNumber) -> LogRecord {
+    LogRecord::Register(RegisterState { key: key.into(), prepared, entry: None })
+}
+
+fn accepted(key: &str, proposal_number: ProposalNumber, index: u64, body: &[u8]) -> LogRecord {
+    LogRecord::Register(RegisterState {
+        key: key.into(),
+        prepared: proposal_number,
+        entry: Some(Entry { proposal_number, index, body: body.into() }),
+    })
+}
+
+/// An entry, and a promise above it.
+fn promised_above(key: &str, prepared: ProposalNumber, entry: Entry) -> LogRecord {
+    LogRecord::Register(RegisterState { key: key.into(), prepared, entry: Some(entry) })
+}
+
+fn ballot(term: u64, replica_id: u64) -> ProposalNumber {
+    ProposalNumber { term, replica_id }
+}
+
+/// Longer than a block of a disk.
+fn long_body() -> Vec<u8> {
+    (0..5000u32).map(|at| (at % 251) as u8).collect()
+}
+
+/// Gone with the segment that the snapshot replaced.
+fn records_before_the_snapshot() -> [LogRecord; 4] {
+    [
+        LogRecord::Membership(first_core()),
+        LogRecord::VotingEnabled,
+        promised("config", ballot(1, 11)),
+        accepted("config", ballot(1, 11), 1, b"an earlier configuration"),
+    ]
+}
+
+/// As `Voter::whole` gives them: the core, the slots by key, the leave to vote.
+fn records_of_the_snapshot() -> [LogRecord; 5] {
+    [
+        LogRecord::Membership(settled_core()),
+        accepted("config", ballot(3, 11), 2, b"a configuration"),
+        promised("duty/batch", ballot(2, 12)),
+        promised_above(
+            "evacuation/zone-a",
+            ballot(9, 13),
+            Entry { proposal_number: ballot(4, 12), index: 7, body: b"an evacuation".to_vec() },
+        ),
+        LogRecord::VotingEnabled,
+    ]
+}
+
+fn records_of_the_first_segment() -> [LogRecord; 3] {
+    [
+        promised("duty/catalog", ballot(5, 14)),
+        accepted("config", ballot(6, 11), 0, &long_body()),
+        accepted("core", ballot(6, 11), 1, &core_body::write(&unsettled_core())),
+    ]
+}
+
+fn records_of_the_second_segment() -> [LogRecord; 3] {
+    [
+        LogRecord::Membership(unsettled_core()),
+        promised("rollout/chat/m-1", ballot(0x0102_0304_0506_0708, 0x1112_1314_1516_1718)),
+        accepted("versions/chat", ballot(8, 11), 3, b""),
+    ]
+}
+
+/// The work of a voter of version 5 on its disk.
+fn write_folder(folder: &Path) {
+    let (mut store, found) = open(folder);
+    assert_eq!(found, []);
+    let [core, vote, promise, acceptance] = records_before_the_snapshot();
+    store.append(&[core, vote]).expect("written");
+    store.append(&[promise, acceptance]).expect("written");
+    store.snapshot(&records_of_the_snapshot()).expect("written");
+    let [first, second, third] = records_of_the_first_segment();
+    store.append(&[first]).expect("written");
+    store.append(&[second, third]).expect("written");
+    // A folder stands where the snapshot would be drafted: it fails behind the begin of a new segment.
+    fs::create_dir(folder.join("draft")).expect("made");
+    store.snapshot(&[]).expect_err("no snapshot");
+    fs::remove_dir(folder.join("draft")).expect("removed");
+    let [first, second, third] = records_of_the_second_segment();
+    store.append(&[first, second]).expect("written");
+    store.append(&[third]).expect("written");
+}
+
+/// What the folder comes to, written out.
+fn expected_voter() -> Acceptor {
+    let slots = [
+        RegisterState {
+            key: "config".into(),
+            prepared: ProposalNumber { term: 6, replica_id: 11 },
+            entry: Some(Entry {
+                proposal_number: ProposalNumber { term: 6, replica_id: 11 },
+                index: 0,
+                body: long_body(),
+            }),
+        },
+        RegisterState {
+            key: "core".into(),
+            prepared: ProposalNumber { term: 6, replica_id: 11 },
+            entry: Some(Entry {
+                proposal_number: ProposalNumber { term: 6, replica_id: 11 },
+                index: 1,
+                body: core_body::write(&unsettled_core()),
+            }),
+        },
+        RegisterState { key: "duty/batch".into(), prepared: ProposalNumber { term: 2, replica_id: 12 }, entry: None },
+        RegisterState { key: "duty/catalog".into(), prepared: ProposalNumber { term: 5, replica_id: 14 }, entry: None },
+        RegisterState {
+            key: "evacuation/zone-a".into(),
+            prepared: ProposalNumber { term: 9, replica_id: 13 },
+            entry: Some(Entry {
+                proposal_number: ProposalNumber { term: 4, replica_id: 12 },
+                index: 7,
+                body: b"an evacuation".to_vec(),
+            }),
+        },
+        RegisterState {
+            key: "rollout/chat/m-1".into(),
+            prepared: ProposalNumber { term: 0x0102_0304_0506_0708, replica_id: 0x1112_1314_1516_1718 },
+            entry: None,
+        },
+        RegisterState {
+            key: "versions/chat".into(),
+            prepared: ProposalNumber { term: 8, replica_id: 11 },
+            entry: Some(Entry {
+                proposal_number: ProposalNumber { term: 8, replica_id: 11 },
+                index: 3,
+                body: Vec::new(),
+            }),
+        },
+    ];
+    Acceptor {
+        ip: "10.0.0.1".into(),
+        membership: CoreMembership {
+            version: 4,
+            members: vec![
+                Member { ip: "10.0.0.1".into(), zone: "zone-a".into() },
+                Member { ip: "10.0.0.2".into(), zone: "zone-b".into() },
+                Member { ip: "10.0.0.3".into(), zone: "zone-c".into() },
+            ],
+            previous_members: vec![
+                Member { ip: "10.0.0.1".into(), zone: "zone-a".into() },
+                Member { ip: "10.0.0.2".into(), zone: "zone-b".into() },
+            ],
+            stable: false,
+        },
+        registers: slots.into_iter().map(|slot| (slot.key.clone(), slot)).collect::<BTreeMap<_, _>>(),
+        may_vote: true,
+    }
+}
+
+/// The records that are read from the folder, oldest first.
+fn expected_records() -> Vec<LogRecord> {
+    [&records_of_the_snapshot()[..], &records_of_the_first_segment(), &records_of_the_second_segment()].concat()
+}
+
+#[test]
+#[ignore = "writes the fixture of version 5"]
+fn write_fixture() {
+    let _ = fs::remove_dir_all(fixture());
+    write_folder(&fixture());
+}
+
+#[test]
+fn the_disk_of_version_5_is_read_as_it_was_left() {
+    let folder = copied_fixture("read");
+    let (_, records) = open(&folder);
+    assert_eq!(records, expected_records());
+    assert_eq!(folded(&records), expected_voter());
+    let _ = fs::remove_dir_all(folder);
+}
+
+#[test]
+fn the_members_in_an_entry_of_version_5_are_read() {
+    let folder = copied_fixture("core");
+    let voter = folded(&open(&folder).1);
+    let entry = voter.registers["core"].entry.as_ref().expect("an entry");
+    assert_eq!(core_body::read(&entry.body), Some(unsettled_core()));
+    let _ = fs::remove_dir_all(folder);
+}
+
+#[test]
+fn the_log_of_version_5_goes_on() {
+    let folder = copied_fixture("append");
+    let (mut store, _) = open(&folder);
+    let appended = accepted("duty/catalog", ballot(7, 14), 1, b"a duty");
+    store.append(from_ref(&appended)).expect("written");
+    drop(store);
+    let (mut store, records) = open(&folder);
+    assert_eq!(records, [expected_records(), vec![appended.clone()]].concat());
+    let mut expected = expected_voter();
+    let entry =
+        Entry { proposal_number: ProposalNumber { term: 7, replica_id: 14 }, index: 1, body: b"a duty".to_vec() };
+    let slot = RegisterState {
+        key: "duty/catalog".into(),
+        prepared: ProposalNumber { term: 7, replica_id: 14 },
+        entry: Some(entry),
+    };
+    expected.registers.insert("duty/catalog".into(), slot);
+    assert_eq!(folded(&records), expected);
+    // A snapshot of it replaces the files of version 5.
+    store.snapshot(&expected.snapshot()).expect("written");
+    drop(store);
+    assert!(FILES.iter().all(|file| !folder.join(file).exists()));
+    assert_eq!(folded(&open(&folder).1), expected);
+    let _ = fs::remove_dir_all(folder);
+}
+
+#[test]
+fn the_same_work_leaves_the_same_files() {
+    let folder = scratch_folder("write");
+    write_folder(&folder);
+    let mut names: Vec<_> = fs::read_dir(&folder)
+        .expect("listed")
+        .map(|item| item.expect("an item").file_name().into_string().expect("a name"))
+        .collect();
+    names.sort();
+    assert_eq!(names, FILES);
+    for file in FILES {
+        let (written, kept) =
+            (fs::read(folder.join(file)).expect("read"), fs::read(fixture().join(file)).expect("read"));
+        assert!(written == kept, "{file} differs from that of version 5");
+    }
+    let _ = fs::remove_dir_all(folder);
+}
+
+/// Worked out by another program: a keeper of another version must not act under the ballots of this one.
+#[test]
+fn the_seat_of_a_keeper_stays_what_it_is() {
+    assert_eq!(replica_id("10.0.0.1", 7), 0x1fbc_b423_33d4_7a13);
+}
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -217,3 +217,7 @@
 #[cfg(test)]
 #[path = "committed_state_tests.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "stored_by_5_tests.rs"]
+mod stored_by_5_tests;
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -13,3 +13,6 @@
 pub mod socket;
 pub mod staleness_limit;
 pub mod version_rollout;
+
+#[cfg(test)]
+mod stored_by_5_tests;
--- /dev/null
+++ b/protocol/src/stored_by_5_tests.rs
@@ -0,0 +1,591 @@
+//! Every message as daemons of version 5 send it, and what else they must agree on beside the frames.
+//!
+//! `fixtures/messages-5.bin` was written by commit 0f675d7: one sealed frame after the other, in the order of `messages`.
+//! To write it again, check out that commit, put this file beside `msg.rs`, attach it as it is attached here, and run
+//! `cargo test -p wire --lib -- --ignored stored_by_5`. Later versions never write it again: they read it.
+use crate::capability::{hidden_key, own_protocol_version, shutting_down_marker, PROTOCOL_VERSION};
+use crate::change::{before_tenants, Change};
+use crate::config::{self, Limits, Model, Route, Service, Split, Tenant};
+use crate::frame::{self, Kind, HEAD};
+use crate::message::{
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, EngineLoad, Entry,
+    Gossip, Member, Message, PrefixLookup, PrefixLookupResponse, PrefixRegistration, ProposalNumber, Record,
+    RegisterState, StalenessLimit, StateUpdate, SubscriptionRenewal, WeightVersions, ROLLOUT,
+};
+use crate::operator_request::{CommittedDelta, ConfigChange, OperatorRequest, OperatorResponse};
+use crate::quota::{holders_key, holders_mark, told_holders, ShardOwner, ShardUsage, TokenRequest, TokenResponse};
+use crate::renewal::{Confirmation, SubscriptionRenewed};
+use crate::version_rollout::{candidates_of, RolloutState, RouteSamples, Samples, VersionRollout, KEY};
+use kernel::clock::{combine_hashes, hash};
+use std::collections::HashSet;
+use std::fs;
+use std::mem::discriminant;
+use std::path::{Path, PathBuf};
+
+/// How many kinds of messages version 5 knows.
+const KINDS_OF_MESSAGES: usize = 34;
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/messages-5.bin")
+}
+
+fn member(ip: &str, zone: &str) -> Member {
+    Member { ip: ip.into(), zone: zone.into() }
+}
+
+fn unsettled_core() -> CoreMembership {
+    CoreMembership {
+        version: 6,
+        members: vec![member("10.0.0.1", "a"), member("10.0.0.2", "b"), member("10.0.0.3", "c")],
+        previous_members: vec![member("10.0.0.1", "a"), member("10.0.0.2", "b")],
+        stable: false,
+    }
+}
+
+fn settled_core() -> CoreMembership {
+    CoreMembership {
+        version: 7,
+        members: vec![member("10.0.0.4", "d")],
+        previous_members: vec![member("10.0.0.5", "e")],
+        stable: true,
+    }
+}
+
+fn ballot() -> ProposalNumber {
+    ProposalNumber { term: 0x0102_0304_0506_0708, replica_id: 0x1112_1314_1516_1718 }
+}
+
+fn entry() -> Entry {
+    Entry { proposal_number: ballot(), index: 41, body: b"the body of a key".to_vec() }
+}
+
+fn slots() -> Vec<RegisterState> {
+    vec![
+        RegisterState {
+            key: "config".into(),
+            prepared: ProposalNumber { term: 9, replica_id: 8 },
+            entry: Some(entry()),
+        },
+        RegisterState { key: "duty/catalog".into(), prepared: ProposalNumber { term: 7, replica_id: 6 }, entry: None },
+    ]
+}
+
+fn places() -> Vec<(String, u64, u64)> {
+    vec![("zone-a".into(), 12, 13), ("\0leaving".into(), 1, 0), (String::new(), 5, 0)]
+}
+
+fn busy() -> Vec<(String, u32)> {
+    vec![("engine-1".into(), 3), ("engine-with-a-long-name-2".into(), 70_000)]
+}
+
+fn engines() -> Vec<Engine> {
+    let first = Engine {
+        id: "i-1".into(),
+        service: "chat".into(),
+        addr: "10.1.1.1:8000".into(),
+        zone: "zone-a".into(),
+        phase: "decode".into(),
+        model: "a-model-with-a-long-name".into(),
+        slots: 64,
+        up: true,
+        cold_ms: 4500,
+    };
+    let second = Engine { id: "i-2".into(), phase: "prefill".into(), slots: 2, up: false, cold_ms: 1, ..first.clone() };
+    vec![first, second]
+}
+
+fn sheet() -> EndpointList {
+    EndpointList { zone: "zone-a".into(), term: 21, sequence: 22, engines: engines() }
+}
+
+fn news() -> StateUpdate {
+    StateUpdate {
+        confirmed: true,
+        config: Some((31, b"{\"revision\":31}".to_vec())),
+        evacuations: vec![("zone-a".into(), 4, true), ("zone-b".into(), 5, false)],
+        endpoint_lists: vec![sheet()],
+        router_count: 17,
+        peers: vec!["10.0.0.1".into(), "10.0.0.2".into()],
+        reassigning: vec!["i-2".into()],
+        catalog: (19, "10.0.0.2".into()),
+    }
+}
+
+fn pressures() -> Vec<EngineLoad> {
+    vec![
+        EngineLoad { engine_hash: 0xfedc_ba98_7654_3210, load: 14, age_ms: 250 },
+        EngineLoad { engine_hash: 77, load: 70_001, age_ms: 70_002 },
+    ]
+}
+
+fn records() -> Vec<Record> {
+    vec![Record { key: 501, engine: "i-1".into() }, Record { key: 502, engine: "engine-with-a-long-name-2".into() }]
+}
+
+fn rule() -> StalenessLimit {
+    StalenessLimit {
+        service: "chat".into(),
+        model: "m-1".into(),
+        version: 3,
+        latest: 120,
+        lag: 2,
+        routes: vec!["r-1".into(), "r-2-with-a-long-name".into()],
+        removed: true,
+        rollbacks: 1,
+        reason: "the newest weights were wrong".into(),
+    }
+}
+
+fn config_change() -> ConfigChange {
+    ConfigChange { base: 8, text: "{\"revision\":9,\"upsert\":{}}".into(), partial: true }
+}
+
+fn version_rollout(state: RolloutState, stable: Option<&str>) -> VersionRollout {
+    VersionRollout {
+        service: "chat".into(),
+        number: 15,
+        order: 4,
+        target: "2026-11-a-long-name".into(),
+        duration_ms: 600_000,
+        state,
+        share: 250,
+        elapsed_ms: 61_000,
+        stable: stable.map(String::from),
+        reverted: vec!["2026-09".into(), "2026-10-a-long-name".into()],
+        reason: "more failed than before".into(),
+    }
+}
+
+fn limits() -> Limits {
+    Limits { max_header_bytes: 8192, max_body_bytes: 1_000_000, header_timeout_ms: 3000, idle_timeout_ms: 9000 }
+}
+
+fn split_route() -> Route {
+    Route {
+        name: "r-1".into(),
+        hostname: "a.example".into(),
+        path_prefix: "/x/".into(),
+        route_type: "streaming".into(),
+        timeout_ms: 3000,
+        target_ms: 400,
+        priority: 1,
+        service: None,
+        traffic_split: vec![
+            Split { service: "service-one".into(), weight: 90 },
+            Split { service: "s2".into(), weight: 10 },
+        ],
+        retry_count: 2,
+        persistent: true,
+        resumable: true,
+        gap_target_ms: 250,
+        allowed_regions: vec!["tasman-south".into(), "tasman-north".into()],
+        anonymous: false,
+    }
+}
+
+fn plain_route() -> Route {
+    Route {
+        name: "r-2-with-a-long-name".into(),
+        hostname: "b.example".into(),
+        path_prefix: "/y/".into(),
+        route_type: "idempotent".into(),
+        timeout_ms: 8000,
+        target_ms: 0,
+        priority: 0,
+        service: Some("service-one".into()),
+        traffic_split: Vec::new(),
+        retry_count: 1,
+        persistent: false,
+        resumable: false,
+        gap_target_ms: 0,
+        allowed_regions: Vec::new(),
+        anonymous: false,
+    }
+}
+
+fn services() -> Vec<Service> {
+    let engine = config::Engine {
+        slot_count: 64,
+        kv_capacity: 319_972,
+        kv_token_bytes: 18432.5,
+        link_mbps: 370_000.0,
+        kv_hold_s: 5.25,
+        role_switch_s: 1.75,
+        model_list: vec![Model { name: "m-1".into() }, Model { name: "a-model-with-a-long-name".into() }],
+    };
+    vec![
+        Service {
+            name: "service-one".into(),
+            health_path: "/alive".into(),
+            max_connections: 360,
+            warmup_s: 3.5,
+            ramp_per_s: 12.0,
+            engine: Some(engine),
+        },
+        Service {
+            name: "s2".into(),
+            health_path: "/health".into(),
+            max_connections: 1,
+            warmup_s: 0.0,
+            ramp_per_s: 0.5,
+            engine: None,
+        },
+    ]
+}
+
+/// A whole configuration with tenants, in the layout of version 5.
+fn whole_with_tenants() -> Change {
+    Change {
+        from: 0,
+        to: 31,
+        routes: vec![split_route(), Route { anonymous: true, ..plain_route() }],
+        gone: Vec::new(),
+        services: services(),
+        lost: Vec::new(),
+        limits: limits(),
+        tenants: vec![
+            Tenant {
+                name: "acme".into(),
+                api_keys: vec!["key-1".into(), "a-second-key-that-is-longer".into()],
+                priority: Some(3),
+                rate_per_s: 12.5,
+                burst_size: 40.0,
+                allowed_regions: vec!["tasman-south".into()],
+            },
+            Tenant {
+                name: "a-tenant-with-a-long-name".into(),
+                api_keys: Vec::new(),
+                priority: None,
+                rate_per_s: 0.0,
+                burst_size: 0.0,
+                allowed_regions: Vec::new(),
+            },
+        ],
+        gone_tenants: Vec::new(),
+        requires_keys: true,
+    }
+}
+
+/// The step to a later configuration, in the layout of version 5.
+fn step_with_tenants() -> Change {
+    Change {
+        from: 31,
+        to: 33,
+        routes: vec![plain_route()],
+        gone: vec!["r-1".into()],
+        services: services(),
+        lost: vec!["s3".into(), "a-service-with-a-long-name".into()],
+        limits: limits(),
+        tenants: vec![Tenant {
+            name: "acme".into(),
+            api_keys: vec!["key-3".into()],
+            priority: Some(1),
+            rate_per_s: 0.125,
+            burst_size: 1.0,
+            allowed_regions: vec!["tasman-north".into()],
+        }],
+        gone_tenants: vec!["a-tenant-with-a-long-name".into(), "b".into()],
+        requires_keys: true,
+    }
+}
+
+/// The step in the layout before tenants.
+fn step_without_tenants() -> Change {
+    Change {
+        from: 41,
+        to: 42,
+        routes: vec![split_route(), plain_route()],
+        gone: vec!["r-3".into()],
+        services: services(),
+        lost: vec!["s3".into()],
+        limits: limits(),
+        tenants: Vec::new(),
+        gone_tenants: Vec::new(),
+        requires_keys: false,
+    }
+}
+
+fn poll(core: CoreMembership, operation: ConsensusOperation) -> Message {
+    Message::ConsensusRequest(Box::new(ConsensusRequest { membership: core, operation }))
+}
+
+fn vote(vote: ConsensusResponse) -> Message {
+    Message::ConsensusResponse(Box::new(vote))
+}
+
+fn order(order: OperatorRequest) -> Message {
+    Message::OperatorRequest(Box::new(order))
+}
+
+fn order_done(result: OperatorResponse) -> Message {
+    Message::OperatorResponse(Box::new(result))
+}
+
+/// What voters say to one another: all variants of `Ask` and `Vote`.
+fn votes() -> Vec<Message> {
+    vec![
+        poll(unsettled_core(), ConsensusOperation::Prepare { key: "config".into(), ballot: ballot() }),
+        poll(settled_core(), ConsensusOperation::Accept { key: "evacuation/zone-a".into(), entry: entry() }),
+        poll(unsettled_core(), ConsensusOperation::Positions),
+        poll(settled_core(), ConsensusOperation::Snapshot),
+        poll(unsettled_core(), ConsensusOperation::Fetch { key: "rollout/chat/m-1".into() }),
+        vote(ConsensusResponse::Prepared { entry: Some(entry()) }),
+        vote(ConsensusResponse::Prepared { entry: None }),
+        vote(ConsensusResponse::Accepted),
+        vote(ConsensusResponse::Rejected { prepared: ballot() }),
+        vote(ConsensusResponse::Positions {
+            list: vec![("config".into(), ballot(), 41), ("core".into(), ProposalNumber { term: 2, replica_id: 3 }, 1)],
+        }),
+        vote(ConsensusResponse::Snapshot { registers: slots() }),
+        vote(ConsensusResponse::Fetched { entry: Some(entry()) }),
+        vote(ConsensusResponse::Fetched { entry: None }),
+        vote(ConsensusResponse::NewerMembership { membership: unsettled_core() }),
+        vote(ConsensusResponse::NonVoting),
+    ]
+}
+
+/// What keepers and routers tell of themselves, of engines and of what is committed.
+fn told_messages() -> Vec<Message> {
+    vec![
+        Message::Gossip(Box::new(Gossip {
+            ip: "10.0.0.1".into(),
+            zone: "zone-a".into(),
+            incarnation: 0x2122_2324_2526_2728,
+            eligible: true,
+            membership: unsettled_core(),
+            peers: vec!["10.0.0.2".into(), "10.0.0.3".into()],
+            router_count: 18,
+            in_flight: busy(),
+            reassigning: vec!["i-2".into()],
+            frontend_addresses: vec!["10.2.0.1:443".into(), "10.2.0.2:443".into()],
+            list_versions: places(),
+            observed_list_versions: vec![("zone-b".into(), 14, 15)],
+        })),
+        Message::EndpointList(Box::new(sheet())),
+        Message::SubscriptionRenewal(Box::new(SubscriptionRenewal {
+            node: "router-1".into(),
+            zone: "zone-b".into(),
+            incarnation: 0x3132_3334_3536_3738,
+            config_revision: 31,
+            evacuation_versions: vec![("zone-a".into(), 4)],
+            list_versions: places(),
+            in_flight: busy(),
+            frontend_address: "10.2.0.1:443".into(),
+        })),
+        Message::StateUpdate(Box::new(news())),
+        Message::Committed(Box::new(("evacuation/zone-a".into(), entry()))),
+        Message::SuspectEngine(Box::new(("i-1".into(), true))),
+        Message::Rejected(Box::new(503)),
+        Message::SubscriptionRenewed(Box::new(SubscriptionRenewed {
+            update: news(),
+            confirmation: Some(Confirmation { age_ms: 120, config_revision: 31 }),
+            core_members: vec!["10.0.0.1".into(), "10.0.0.2".into()],
+        })),
+    ]
+}
+
+/// What is said to the catalog.
+fn catalog_messages() -> Vec<Message> {
+    vec![
+        Message::OwnerQuery(Box::new((19, vec![501, 502, u64::MAX]))),
+        Message::Owners(Box::new((19, vec![vec!["i-1".into(), "engine-with-a-long-name-2".into()], Vec::new()]))),
+        Message::RegisterOwners(Box::new((19, records()))),
+        Message::Flush(Box::new((19, 600))),
+        Message::Flushed(Box::new((20, 601))),
+        Message::PrefixLookup(Box::new(PrefixLookup { epoch: 19, keys: vec![501, 502], sample: vec![77, 78] })),
+        Message::PrefixLookupResponse(Box::new(PrefixLookupResponse {
+            epoch: 19,
+            owners: vec![vec!["i-1".into()], Vec::new(), vec!["engine-with-a-long-name-2".into()]],
+            list: pressures(),
+        })),
+        Message::PrefixRegistration(Box::new(PrefixRegistration { epoch: 19, owners: records(), loads: pressures() })),
+    ]
+}
+
+/// Operators' orders, and what they lead to: all variants of `Order` and `OrderResult`, both layouts of changes.
+fn order_messages() -> Vec<Message> {
+    let advance = CommittedDelta {
+        key: "config".into(),
+        proposal_number: ballot(),
+        index: 42,
+        before: 0x4142_4344_4546_4748,
+        after: 0x5152_5354_5556_5758,
+        change: Some(config_change()),
+        revision: 9,
+        pack: true,
+    };
+    vec![
+        order(OperatorRequest::Change(config_change())),
+        order(OperatorRequest::Evacuate { zone: "zone-a".into(), on: true }),
+        order(OperatorRequest::ReadConfig),
+        order(OperatorRequest::EvacuateFrom { zone: "a-zone-with-a-long-name".into(), on: true, version: 3 }),
+        order_done(OperatorResponse::Done),
+        order_done(OperatorResponse::Found { body: b"the body of the configuration".to_vec() }),
+        order_done(OperatorResponse::Rejected { status: 412, reason: "version 9 is current".into() }),
+        order_done(OperatorResponse::OutcomeUnknown),
+        Message::CommittedDelta(Box::new(CommittedDelta { change: None, ..advance.clone() })),
+        Message::CommittedDelta(Box::new(advance)),
+        Message::ConfigUpdate(Box::new(before_tenants::write(&step_without_tenants()))),
+        Message::TenantConfigUpdate(Box::new(whole_with_tenants().write())),
+        Message::TenantConfigUpdate(Box::new(step_with_tenants().write())),
+    ]
+}
+
+/// Stale weights, rollouts of versions, and tenants' limits.
+fn rollout_and_limit_messages() -> Vec<Message> {
+    let samples = |is_relayed| Samples {
+        service: "chat".into(),
+        order: 4,
+        list: vec![
+            RouteSamples {
+                route: "r-1".into(),
+                is_candidate: true,
+                good: 900,
+                failed: 3,
+                paces: vec![(20_000, 5), (21_500, 6)],
+            },
+            RouteSamples { route: "r-2".into(), is_candidate: false, good: 9000, failed: 1, paces: Vec::new() },
+        ],
+        is_relayed,
+    };
+    let holder = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
+    vec![
+        Message::StalenessLimit(Box::new(rule())),
+        Message::WeightVersions(Box::new(WeightVersions {
+            zone: "zone-a".into(),
+            term: 23,
+            sequence: 24,
+            list: vec![("i-1".into(), "m-1".into(), 120), ("i-2".into(), "a-model-with-a-long-name".into(), 119)],
+        })),
+        Message::CountConfirmations(Box::new(("rollout/chat/m-1".into(), 3))),
+        Message::ConfirmationCount(Box::new((18, 17))),
+        Message::TokenRequest(Box::new(TokenRequest {
+            tenant: "acme".into(),
+            rate_milli: 12_500,
+            burst_milli: 40_000,
+        })),
+        Message::TokenResponse(Box::new(TokenResponse::Granted)),
+        Message::TokenResponse(Box::new(TokenResponse::Denied { retry_after_ms: 80 })),
+        Message::TokenResponse(Box::new(TokenResponse::NotHeld)),
+        Message::ShardOwners(Box::new(vec![holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")])),
+        Message::UsageRequest(Box::new(5)),
+        Message::UsageResponse(Box::new(vec![
+            ShardUsage { tenant: "acme".into(), granted: 1000, denied: 7, tokens_milli: 12_345 },
+            ShardUsage { tenant: "a-tenant-with-a-long-name".into(), granted: 1, denied: 2, tokens_milli: 3 },
+        ])),
+        Message::VersionRollout(Box::new(version_rollout(RolloutState::Active, Some("2026-10")))),
+        Message::VersionRollout(Box::new(version_rollout(RolloutState::Complete, Some("2026-11-a-long-name")))),
+        Message::VersionRollout(Box::new(version_rollout(RolloutState::Reverted, None))),
+        Message::Samples(Box::new(samples(false))),
+        Message::Samples(Box::new(samples(true))),
+    ]
+}
+
+/// Every message of version 5.
+fn messages() -> Vec<Message> {
+    [votes(), told_messages(), catalog_messages(), order_messages(), rollout_and_limit_messages()].concat()
+}
+
+/// The kind of the frame of a message at a place, and its number.
+fn kind_and_id(at: usize) -> (Kind, u64) {
+    ([Kind::Ask, Kind::Reply, Kind::Cast][at % 3], 0xA1A2_A3A4_0000_0000 + at as u64)
+}
+
+fn sealed(messages: &[Message]) -> Vec<u8> {
+    let frames = messages.iter().enumerate().map(|(at, message)| {
+        let (kind, id) = kind_and_id(at);
+        frame::seal(kind, id, message).expect("sealed")
+    });
+    frames.flatten().collect()
+}
+
+/// The frames of the fixture: kind, number and message.
+fn read_frames(bytes: &[u8]) -> Vec<((Kind, u64), Message)> {
+    let mut rest = bytes;
+    let mut frames = Vec::new();
+    while let Some((head, body)) = rest.split_first_chunk::<HEAD>() {
+        let head = frame::head(head).expect("a head");
+        assert_eq!(head.version, 1);
+        let (body, behind) = body.split_at(head.len);
+        frames.push(((head.kind, head.id), frame::open(body).expect("a body")));
+        rest = behind;
+    }
+    assert!(rest.is_empty(), "{} bytes behind the last frame", rest.len());
+    frames
+}
+
+#[test]
+#[ignore = "writes the fixture of version 5"]
+fn write_fixture() {
+    fs::write(fixture(), sealed(&messages())).expect("written");
+}
+
+#[test]
+fn messages_of_version_5_are_read_as_they_were_meant() {
+    let frames = read_frames(&fs::read(fixture()).expect("the fixture"));
+    let expected = messages();
+    assert_eq!(frames.len(), expected.len());
+    for (at, ((found_head, found), expected)) in frames.into_iter().zip(expected).enumerate() {
+        assert_eq!(found_head, kind_and_id(at), "frame {at}");
+        assert_eq!(found, expected, "frame {at}");
+    }
+}
+
+#[test]
+fn messages_of_version_5_are_written_to_the_byte() {
+    let bytes = fs::read(fixture()).expect("the fixture");
+    let mut rest = bytes.as_slice();
+    for (at, message) in messages().iter().enumerate() {
+        let (kind, id) = kind_and_id(at);
+        let frame = frame::seal(kind, id, message).expect("sealed");
+        assert_eq!(rest.get(..frame.len()), Some(&frame[..]), "frame {at}: {message:?}");
+        rest = &rest[frame.len()..];
+    }
+    assert!(rest.is_empty(), "{} bytes behind the last frame", rest.len());
+}
+
+#[test]
+fn the_fixture_holds_every_kind_of_message() {
+    let frames = read_frames(&fs::read(fixture()).expect("the fixture"));
+    let kinds: HashSet<_> = frames.iter().map(|(_, message)| discriminant(message)).collect();
+    assert_eq!(kinds.len(), KINDS_OF_MESSAGES);
+}
+
+/// The bytes in `Change` and `Update` are told apart from what they mean: another packing of the same change is read too.
+#[test]
+fn packed_changes_of_version_5_are_read_in_both_layouts() {
+    let (mut before, mut with_tenants) = (Vec::new(), Vec::new());
+    for (_, message) in read_frames(&fs::read(fixture()).expect("the fixture")) {
+        match message {
+            Message::ConfigUpdate(packed) => before.push(Change::read(&packed).expect("a change")),
+            Message::TenantConfigUpdate(packed) => with_tenants.push(Change::read(&packed).expect("a change")),
+            _ => {}
+        }
+    }
+    assert_eq!(before, [step_without_tenants()]);
+    assert_eq!(with_tenants, [whole_with_tenants(), step_with_tenants()]);
+}
+
+/// Daemons tell these beside the versions of engine lists, and find committed state under these keys.
+#[test]
+fn the_names_that_version_5_tells_stay_what_they_are() {
+    assert_eq!(own_protocol_version(), (String::new(), PROTOCOL_VERSION, 0));
+    assert_eq!(shutting_down_marker(), ("\0leaving".into(), 1, 0));
+    assert_eq!(hidden_key("zone-a"), "\0zone-a");
+    assert_eq!(holders_key(), "\0shard holders");
+    assert_eq!(told_holders(12), ("\0shard holders".into(), 12, 0));
+    assert_eq!(candidates_of("zone-a"), "\0candidates zone-a");
+    assert_eq!((ROLLOUT, KEY), ("rollout/", "versions/"));
+    assert_eq!(rule().key(), "rollout/chat/m-1");
+    assert_eq!(VersionRollout::key("chat"), "versions/chat");
+}
+
+/// Hashes are sent in place of names, and a list of holders is told by its mark.
+#[test]
+fn the_hashes_that_version_5_sends_stay_what_they_are() {
+    let holder = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
+    assert_eq!(hash(b""), 0xefd0_1f60_ba99_2926);
+    assert_eq!(hash(b"engine-with-a-long-name-2"), 0x96bf_6eee_64c0_2b9c);
+    assert_eq!(combine_hashes(3, 9), 0xfecc_95cb_a7dc_91dc);
+    assert_eq!(holders_mark(&[holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")]), 0xfdc6_4a92_8230_bc58);
+}
