--- a/tidepoint/tests/scale.rs
+++ b/tidepoint/tests/scale.rs
@@ -6,6 +6,7 @@
 //!     cargo test --release -p tidepoint --test scale -- --ignored --nocapture
 #[path = "stand/hollow.rs"]
 mod hollow;
+#[allow(dead_code)] // Each test uses a part of what a process can do.
 #[path = "stand/proc.rs"]
 mod proc;
 use hollow::{Fleet, Size};
--- a/tidepoint/tests/stand/mod.rs
+++ b/tidepoint/tests/stand/mod.rs
@@ -1,6 +1,8 @@
 //! Stand-ins written for these tests: a platform, engines and a client, on loopback addresses.
 use std::io::{Read, Write};
+use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 
 /// What an engine saw: its id, the stage, the attempt, the source it was to take.
 #[derive(Clone, Debug)]
@@ -35,6 +37,8 @@
     pub count: std::sync::atomic::AtomicU64,
     /// Weight versions by engine; 1 where none is set.
     pub versions: Mutex<std::collections::HashMap<String, u64>>,
+    /// How long engines wait before each event of a stream.
+    pub event_pause_ms: std::sync::atomic::AtomicU64,
 }
 
 impl World {
@@ -185,6 +189,11 @@
             handles.remove(at);
         }
         note("make");
+        if head.get("x-unary") == "1" {
+            let back = format!("{back}Response-Seal: seal-{attempt}\r\n");
+            return answer(stream, "200 OK", &back, &String::from_utf8_lossy(&head.body));
+        }
+        let pause = Duration::from_millis(world.event_pause_ms.load(Ordering::Relaxed));
         let first = head.get("last-event-id").parse::<u32>().unwrap_or(0) + 1;
         let cut = {
             let mut breaks = world.breaks.lock().expect("breaks");
@@ -196,6 +205,7 @@
         );
         let _ = stream.write_all(top.as_bytes());
         for event in first..=4 {
+            std::thread::sleep(pause);
             if cut && event == 3 {
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 return;
--- a/tidepoint/tests/stand/proc.rs
+++ b/tidepoint/tests/stand/proc.rs
@@ -1,8 +1,13 @@
 //! A real daemon as a process, and what it costs by its own account of the system.
+use std::fs::File;
+use std::path::Path;
+use std::process::{Command, ExitStatus, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
 
 pub struct Child {
     child: std::process::Child,
-    from: std::sync::Mutex<(std::time::Instant, Cost)>,
+    from: std::sync::Mutex<(Instant, Cost)>,
 }
 
 /// Processor ms, bytes written to disk and log, memory held in MB.
@@ -29,17 +34,57 @@
 }
 
 impl Child {
-    pub fn start(program: &std::path::Path, settings: &std::path::Path) -> Child {
-        let child = std::process::Command::new(program)
+    pub fn start(program: &Path, settings: &Path) -> Child {
+        Child::spawn(program, settings, Stdio::null(), Stdio::null())
+    }
+
+    /// Starts a daemon that appends its log and its errors to a file.
+    pub fn start_logged(program: &Path, settings: &Path, log: &Path) -> Child {
+        let file = File::options().create(true).append(true).open(log).expect("a log file");
+        let errors = file.try_clone().expect("a second handle");
+        Child::spawn(program, settings, file.into(), errors.into())
+    }
+
+    fn spawn(program: &Path, settings: &Path, output: Stdio, errors: Stdio) -> Child {
+        let child = Command::new(program)
             .env("TIDEPOINT_CONFIG", settings)
-            .stdout(std::process::Stdio::null())
-            .stderr(std::process::Stdio::null())
+            .stdout(output)
+            .stderr(errors)
             .spawn()
             .unwrap_or_else(|error| panic!("{}: {error}; build the programs first", program.display()));
-        let from = std::sync::Mutex::new((std::time::Instant::now(), Cost::default()));
+        let from = std::sync::Mutex::new((Instant::now(), Cost::default()));
         Child { child, from }
     }
 
+    /// Sends SIGTERM.
+    pub fn terminate(&self) {
+        let id = self.child.id().to_string();
+        let sent = Command::new("kill").args(["-TERM", &id]).status().expect("the program `kill`");
+        assert!(sent.success(), "SIGTERM could not be sent to process {id}");
+    }
+
+    /// Waits for the end of the process. None: it still runs after `limit`.
+    pub fn ended_within(&mut self, limit: Duration) -> Option<ExitStatus> {
+        let begun = Instant::now();
+        while begun.elapsed() < limit {
+            if let Some(status) = self.child.try_wait().expect("a process of ours") {
+                return Some(status);
+            }
+            thread::sleep(Duration::from_millis(10));
+        }
+        None
+    }
+
+    /// Sends SIGKILL and does not wait.
+    pub fn kill(&mut self) {
+        self.child.kill().expect("a process of ours");
+    }
+
+    /// Has the process ended by itself?
+    pub fn has_ended(&mut self) -> bool {
+        self.child.try_wait().expect("a process of ours").is_some()
+    }
+
     fn field(&self, file: &str, name: &str) -> f64 {
         let text = std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix(name)).unwrap_or("");
@@ -58,7 +103,7 @@
 
     /// Counting begins here.
     pub fn mark(&self) {
-        *self.from.lock().expect("from") = (std::time::Instant::now(), self.now());
+        *self.from.lock().expect("from") = (Instant::now(), self.now());
     }
 
     pub fn cost(&self) -> Cost {
