--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -29,7 +29,7 @@
 
 /// Carries an order out, at its home where that answers in time.
 pub async fn submit(controller: &Arc<Controller>, order: OperatorRequest) -> OperatorResponse {
-    if controller.orders_may_be_stale() {
+    if controller.peers.requests_may_be_stale() {
         return OperatorResponse::OutcomeUnknown;
     }
     let begun = clock::now();
@@ -42,7 +42,7 @@
 
 /// An order that another controller relayed. It is not relayed again.
 pub async fn relayed(controller: &Arc<Controller>, order: OperatorRequest) -> OperatorResponse {
-    if controller.orders_may_be_stale() {
+    if controller.peers.requests_may_be_stale() {
         return OperatorResponse::OutcomeUnknown;
     }
     execute(controller, &order, 0).await
@@ -61,18 +61,19 @@
 /// has a disk and votes itself.
 fn home(controller: &Controller, key: &str) -> Option<String> {
     let now = clock::now();
-    let core = controller.core();
+    let core = controller.replica.membership();
     let leaving = controller.leaving.load(Ordering::Relaxed);
-    let roster = controller.roster.lock().expect("roster");
-    let first = reconfiguration::first_member(&core, &roster, leaving, key, now)?;
-    let takes_orders = roster.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
-    takes_orders.then_some(first)
+    controller.peers.read(|view| {
+        let first = reconfiguration::first_member(&core, view, leaving, key, now)?;
+        let takes_orders = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
+        takes_orders.then_some(first)
+    })
 }
 
 /// Where a caller had better send an order: to the key's home, from a controller that is no member of the core. Such
 /// a one may have a slow link, and would only pass both ways on.
 pub fn better_place(controller: &Controller, order: &OperatorRequest) -> Option<String> {
-    if quorum::is_member(&controller.core(), controller.me()) {
+    if quorum::is_member(&controller.replica.membership(), controller.me()) {
         return None;
     }
     let own = controller.settings.bind_addresses.control_plane.as_deref()?;
@@ -88,10 +89,9 @@
 /// None: it is to be carried out here.
 async fn relay(controller: &Arc<Controller>, order: &OperatorRequest) -> Option<OperatorResponse> {
     let home = home(controller, &key(order))?;
-    let reads =
-        controller.roster.lock().expect("roster").controllers.get(&home).map_or(0, |peer| peer.protocol_version);
+    let reads = controller.peers.protocol_version(&home);
     let message = Message::OperatorRequest(Box::new(as_relayed(controller, order, reads)));
-    match controller.peer(&home).call(message, RELAY_MS).await {
+    match controller.peers.client(&home).call(message, RELAY_MS).await {
         Some(Message::OperatorResponse(result)) if *result != OperatorResponse::OutcomeUnknown => Some(*result),
         _ => None,
     }
@@ -102,8 +102,7 @@
 fn as_relayed(controller: &Controller, order: &OperatorRequest, reads: u64) -> OperatorRequest {
     match order {
         OperatorRequest::Evacuate { zone, on } if reads >= VERSIONED_EVACUATIONS => {
-            let committed_state = controller.committed_state.lock().expect("committed_state");
-            let version = committed_state.closed.get(zone).map_or(0, |(version, _)| *version);
+            let version = controller.committed.evacuation_version(zone);
             OperatorRequest::EvacuateFrom { zone: zone.clone(), on: *on, version }
         }
         _ => order.clone(),
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -3,9 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+use load_balancing::sheet::Sheets;
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
-use protocol::message::{self, ROLLOUT};
+use protocol::message::{StalenessLimit, WeightVersions, ROLLOUT};
 use serde_json::{Map, Value};
 
 use crate::api::routes::{self, Receipt};
@@ -43,7 +44,7 @@
     async fn put(&self, req: &mut Request) -> Result<Receipt, Receipt> {
         let ((service, model), base) = (named(req), base(req));
         let text = text(req).await?;
-        let config = self.0.committed_state.lock().expect("committed_state").history.current().cloned();
+        let config = self.0.committed.current_config();
         let config = config.ok_or_else(|| Receipt::Bad(409, "no configuration yet: no routes".into()))?;
         let ask = staleness_limits::read(&text, base, (&service, &model), config.config());
         let ask = ask.map_err(|(status, words)| Receipt::Bad(status, words))?;
@@ -61,7 +62,7 @@
     /// The rule and how far it holds: replicas by zone and half, routers that confirmed.
     async fn state(&self, service: &str, model: &str) -> Receipt {
         let key = key(service, model);
-        let rule = self.0.committed_state.lock().expect("committed_state").rules.get(&key).cloned();
+        let rule = self.0.committed.staleness_limit(&key);
         let Some(rule) = rule.filter(|rule| !rule.removed) else {
             return Receipt::Bad(404, "no rule for this service and model".into());
         };
@@ -76,35 +77,35 @@
         Receipt::Text(value.to_string().into_bytes())
     }
 
-    fn replicas(&self, rule: &message::StalenessLimit) -> Value {
-        let sheets = self.0.sheets.lock().expect("sheets");
-        let weights = self.0.weights.lock().expect("weights");
-        let versions: HashMap<&str, u64> = weights
-            .values()
-            .flat_map(|list| &list.list)
-            .filter(|(_, model, _)| *model == rule.model)
-            .map(|(id, _, version)| (id.as_str(), *version))
-            .collect();
-        let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
-        let engines = sheets.all().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
-        for engine in engines.filter(|engine| engine.up) {
-            let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
-            let place = match versions.get(engine.id.as_str()) {
-                Some(version) if *version >= rule.floor() => 0,
-                Some(_) => 1,
-                None => 2,
-            };
-            zones.entry(&engine.zone).or_default().entry(half).or_default()[place] += 1;
-        }
-        let halves =
-            |counts: &[u32; 3]| serde_json::json!({"inside": counts[0], "past": counts[1], "unknown": counts[2]});
-        let zone = |(zone, list): (&&str, &BTreeMap<&str, [u32; 3]>)| {
-            let list: Map<String, Value> =
-                list.iter().map(|(half, counts)| (half.to_string(), halves(counts))).collect();
-            (zone.to_string(), Value::Object(list))
+    fn replicas(&self, rule: &StalenessLimit) -> Value {
+        self.0.engines.read_with_weights(|sheets, weights| replicas(sheets, weights, rule))
+    }
+}
+
+fn replicas(sheets: &Sheets, weights: &BTreeMap<String, WeightVersions>, rule: &StalenessLimit) -> Value {
+    let versions: HashMap<&str, u64> = weights
+        .values()
+        .flat_map(|list| &list.list)
+        .filter(|(_, model, _)| *model == rule.model)
+        .map(|(id, _, version)| (id.as_str(), *version))
+        .collect();
+    let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
+    let engines = sheets.all().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
+    for engine in engines.filter(|engine| engine.up) {
+        let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
+        let place = match versions.get(engine.id.as_str()) {
+            Some(version) if *version >= rule.floor() => 0,
+            Some(_) => 1,
+            None => 2,
         };
-        Value::Object(zones.iter().map(zone).collect())
+        zones.entry(&engine.zone).or_default().entry(half).or_default()[place] += 1;
     }
+    let halves = |counts: &[u32; 3]| serde_json::json!({"inside": counts[0], "past": counts[1], "unknown": counts[2]});
+    let zone = |(zone, list): (&&str, &BTreeMap<&str, [u32; 3]>)| {
+        let list: Map<String, Value> = list.iter().map(|(half, counts)| (half.to_string(), halves(counts))).collect();
+        (zone.to_string(), Value::Object(list))
+    };
+    Value::Object(zones.iter().map(zone).collect())
 }
 
 impl Endpoint for Rollouts {
@@ -118,14 +119,12 @@
             };
             return Ok(routes::write(receipt));
         }
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        let live = committed_state.rules.values().filter(|rule| !rule.removed);
-        let list: Vec<Value> = live
-            .map(|rule| {
-                serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
+        let shown = |rule: &StalenessLimit| {
+            serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
                     "floor": rule.floor(), "latest": rule.latest, "lag": rule.lag, "routes": rule.routes})
-            })
-            .collect();
+        };
+        let list: Vec<Value> =
+            self.0.committed.read(|state| state.rules.values().filter(|rule| !rule.removed).map(shown).collect());
         let body = serde_json::json!({ "rollouts": list }).to_string().into_bytes();
         Ok(routes::write(Receipt::Text(body)))
     }
--- a/controller/src/api/version_rollouts.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -80,10 +80,10 @@
 
 /// Starts a rollout.
 pub async fn start(controller: &Arc<Controller>, text: &str) -> Receipt {
-    if controller.orders_may_be_stale() {
+    if controller.peers.requests_may_be_stale() {
         return Receipt::Unclear;
     }
-    let config = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+    let config = controller.committed.current_config();
     let Some(config) = config else { return Receipt::Unclear };
     let knows = |name: &str| config.config().service_table.iter().any(|service| service.name == name);
     let order = match RolloutRequest::read(text, knows) {
--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -77,7 +77,7 @@
 
 async fn look(controller: &Arc<Controller>, client: &Client, balance: &mut Balance) {
     let now = clock::now();
-    controller.roster.lock().expect("roster").reassigning.retain(|(_, until)| *until > now);
+    controller.peers.update(|view| view.reassigning.retain(|(_, until)| *until > now));
     let Some(epoch) = roles::acting_epoch(controller, BALANCE, now) else {
         *balance = Balance::default();
         return;
@@ -99,30 +99,36 @@
 
 /// All engines with a part, by service.
 fn candidates(controller: &Controller, balance: &mut Balance, now: u64) -> BTreeMap<String, Vec<Candidate>> {
-    let busy = controller.roster.lock().expect("roster").total_in_flight(now);
-    let closed = controller.committed_state.lock().expect("committed_state").closed.clone();
+    let busy = controller.peers.read(|view| view.total_in_flight(now));
+    let closed = controller.committed.evacuations();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    for sheet in controller.sheets.lock().expect("sheets").all().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
-        let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
-        for engine in sheet.engines.iter().filter(|engine| !engine.phase.is_empty()) {
-            let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
-            let mean = balance.busy.entry(engine.id.clone()).or_insert(told);
-            *mean += (told - *mean) * 0.5;
-            let seen = Seen {
-                id: engine.id.clone(),
-                prefill: engine.phase == "prefill",
-                slots: engine.slots,
-                busy: mean.round() as u32,
-                fit: engine.up && open,
-            };
-            let candidate = Candidate { engine: engine.clone(), seen };
-            services.entry(engine.service.clone()).or_default().push(candidate);
+    controller.engines.read(|sheets| {
+        for sheet in sheets.all().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
+            let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
+            for engine in sheet.engines.iter().filter(|engine| !engine.phase.is_empty()) {
+                let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
+                let candidate = Candidate { engine: engine.clone(), seen: balance.see(engine, told, open) };
+                services.entry(engine.service.clone()).or_default().push(candidate);
+            }
         }
-    }
+    });
     services
 }
 
 impl Balance {
+    /// Smooths the load of an engine and says how it stands.
+    fn see(&mut self, engine: &Engine, told: f64, open: bool) -> Seen {
+        let mean = self.busy.entry(engine.id.clone()).or_insert(told);
+        *mean += (told - *mean) * 0.5;
+        Seen {
+            id: engine.id.clone(),
+            prefill: engine.phase == "prefill",
+            slots: engine.slots,
+            busy: mean.round() as u32,
+            fit: engine.up && open,
+        }
+    }
+
     /// The engines to order and their new part, once the judgement has stood for long enough.
     fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<Change> {
         let seen: Vec<Seen> = list.iter().map(|candidate| candidate.seen.clone()).collect();
@@ -141,8 +147,8 @@
 }
 
 fn switch_ms(controller: &Controller, service: &str) -> u64 {
-    let committed_state = controller.committed_state.lock().expect("committed_state");
-    let services = committed_state.history.current().map(|current| current.config().service_table.as_slice());
+    let config = controller.committed.current_config();
+    let services = config.as_ref().map(|config| config.config().service_table.as_slice());
     let spec = services.unwrap_or_default().iter().find(|item| item.name == service);
     let wait = spec.and_then(|spec| spec.engine.as_ref()).map(|engine| engine.role_switch_s);
     // 0: not told.
@@ -155,7 +161,7 @@
     let engine = &order.engine;
     let begun = clock::now();
     let until = begun + SPREAD_MS + order.switch_ms + 1200;
-    controller.roster.lock().expect("roster").reassigning.push((engine.id.clone(), until));
+    controller.peers.update(|view| view.reassigning.push((engine.id.clone(), until)));
     time::sleep(Duration::from_millis(SPREAD_MS)).await;
     let now = clock::now();
     // Asleep for longer than meant: what was judged is out of date.
--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -20,7 +20,7 @@
 
 pub async fn run(controller: Arc<Controller>, client: Client, in_flight: Shared, send: turn::Send, epoch: u64) {
     attempt(&controller, &client, &in_flight, &send, epoch).await;
-    in_flight.lock().expect("in flight").jobs.remove(&(send.id.clone(), send.job));
+    in_flight.lock().jobs.remove(&(send.id.clone(), send.job));
 }
 
 async fn attempt(
@@ -31,10 +31,10 @@
     epoch: u64,
 ) -> Option<()> {
     let (id, at) = (send.id.as_str(), send.job);
-    let batch = records::batch(&controller.committed_state.lock().expect("committed_state"), id)?;
+    let batch = controller.committed.read(|state| records::batch(state, id))?;
     let job = batch.jobs.get(at)?;
     let (number, slot) = (at / PAGE, at % PAGE);
-    let router = controller.roster.lock().expect("roster").next_frontend(clock::now(), at)?;
+    let router = controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
     let begun = runner::change(controller, id, &batch, number, |page| page.begin(slot, epoch)).await;
     if begun == Some(false) {
         return None;
@@ -45,7 +45,7 @@
         true => job_request::send(client, &router, job, send.press, batch.left_ms().min(ATTEMPT_MS)).await,
         false => Outcome::NotRun { retry_after_ms: None },
     };
-    let state = in_flight.lock().expect("in flight").note(send, outcome, job.repeatable);
+    let state = in_flight.lock().note(send, outcome, job.repeatable);
     if state.closed() {
         kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
     }
--- a/controller/src/batches/records.rs
+++ b/controller/src/batches/records.rs
@@ -11,8 +11,9 @@
 use protocol::config::{self, Route};
 
 use crate::api::routes::{self, Receipt};
-use crate::controller::{CommittedState, Controller};
+use crate::controller::Controller;
 use crate::event::BATCH;
+use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
 
 pub const KEY: &str = "batch/";
@@ -61,7 +62,7 @@
 impl Batches {
     async fn submit(&self, key: &str, text: &str) -> Receipt {
         let controller = &self.0;
-        let held = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+        let held = controller.committed.current_config();
         let Some(held) = held else { return Receipt::Bad(409, "no configuration yet: no routes".into()) };
         let route = |host: &str, path: &str| {
             let host = config::without_port(host);
@@ -75,17 +76,16 @@
             Err(words) => return Receipt::Bad(400, words),
         };
         let id = sheet::id(key);
-        {
-            let committed_state = controller.committed_state.lock().expect("committed_state");
-            let ids = ids(&committed_state);
-            let bytes: usize =
-                ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.bytes()).sum();
-            let answers = batch.jobs.len() * ANSWER;
+        let answers = batch.jobs.len() * ANSWER;
+        let has_no_room = controller.committed.read(|state| {
+            let ids = ids(state);
+            let bytes: usize = ids.iter().filter_map(|id| self::batch(state, id)).map(|held| held.bytes()).sum();
             let new = !ids.contains(&id);
             let full = ids.len() >= BATCHES || bytes + batch.bytes() + answers > room(&controller.settings);
-            if new && full {
-                return Receipt::Full(60_000);
-            }
+            new && full
+        });
+        if has_no_room {
+            return Receipt::Full(60_000);
         }
         let body = batch.write_bytes();
         let judge = |held: &[u8]| match Batch::read_bytes(held) {
@@ -111,20 +111,23 @@
     }
 
     fn list(&self) -> Receipt {
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        Receipt::Text(serde_json::json!({ "batches": ids(&committed_state) }).to_string().into_bytes())
+        let ids = self.0.committed.read(ids);
+        Receipt::Text(serde_json::json!({ "batches": ids }).to_string().into_bytes())
     }
 }
 
 impl One {
     fn state(&self, id: &str) -> Receipt {
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        let Some(held) = batch(&committed_state, id) else {
+        self.0.committed.read(|state| One::state_in(state, id))
+    }
+
+    fn state_in(committed_state: &CommittedState, id: &str) -> Receipt {
+        let Some(held) = batch(committed_state, id) else {
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut counts: BTreeMap<&str, usize> = Default::default();
         for number in 0..held.pages() {
-            for state in page(&committed_state, id, &held, number).states {
+            for state in page(committed_state, id, &held, number).states {
                 *counts.entry(state.word()).or_default() += 1;
             }
         }
@@ -159,13 +162,16 @@
 impl Results {
     /// Only receipts: what is still open has none.
     fn read(&self, id: &str) -> Receipt {
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        let Some(held) = batch(&committed_state, id) else {
+        self.0.committed.read(|state| Results::read_in(state, id))
+    }
+
+    fn read_in(committed_state: &CommittedState, id: &str) -> Receipt {
+        let Some(held) = batch(committed_state, id) else {
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut list = Vec::new();
         for (number, jobs) in held.jobs.chunks(PAGE).enumerate() {
-            let page = page(&committed_state, id, &held, number);
+            let page = page(committed_state, id, &held, number);
             for (job, state) in jobs.iter().zip(&page.states).filter(|(_, state)| state.closed()) {
                 let mut value = serde_json::json!({ "name": job.name, "outcome": state.word() });
                 if let State::Done { status, body } = state {
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 use std::mem;
 use std::sync::atomic::Ordering;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
 use batch::page::{Bar, Page, State};
@@ -12,6 +12,7 @@
 use batch::turn::{self, Pace, View};
 use batch::{KEEP_MS, PAGE};
 use kernel::{clock, startup};
+use parking_lot::Mutex;
 use protocol::socket::SILENCE_MS;
 use reqwest::Client;
 
@@ -40,9 +41,12 @@
 
 /// Steady time spent on each batch that is not yet written.
 #[derive(Default)]
-pub struct Tallies(HashMap<String, u64>);
+pub struct Tallies(Mutex<TallyTable>);
 
-impl Tallies {
+#[derive(Default)]
+struct TallyTable(HashMap<String, u64>);
+
+impl TallyTable {
     fn add(&mut self, id: &str, spent: u64) -> u64 {
         let held = self.0.entry(id.into()).or_default();
         *held += spent;
@@ -100,7 +104,7 @@
         return;
     }
     let now = clock::now();
-    let ids = records::ids(&controller.committed_state.lock().expect("committed_state"));
+    let ids = controller.committed.read(records::ids);
     let epoch = if ids.is_empty() { None } else { acting_epoch(controller, now) };
     let Some(epoch) = epoch else {
         runner.looked = now;
@@ -126,28 +130,29 @@
         open.push(Open { id: id.clone(), batch, waiting });
     }
     for send in next(&open, in_flight, now) {
-        in_flight.lock().expect("in flight").jobs.insert((send.id.clone(), send.job));
+        in_flight.lock().jobs.insert((send.id.clone(), send.job));
         controller.shutdown.spawn(job_attempt::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
     }
 }
 
 /// The jobs of a batch that wait and are not under way.
 fn waiting(controller: &Controller, id: &str, batch: &Batch, in_flight: &Shared) -> Vec<usize> {
-    let committed_state = controller.committed_state.lock().expect("committed_state");
-    let in_flight = in_flight.lock().expect("in flight");
-    let mut list = Vec::new();
-    for number in 0..batch.pages() {
-        let page = records::page(&committed_state, id, batch, number);
-        let waits = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
-        list.extend(waits.map(|(slot, _)| number * PAGE + slot));
-    }
-    list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
-    list
+    controller.committed.read(|state| {
+        let in_flight = in_flight.lock();
+        let mut list = Vec::new();
+        for number in 0..batch.pages() {
+            let page = records::page(state, id, batch, number);
+            let waits = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
+            list.extend(waits.map(|(slot, _)| number * PAGE + slot));
+        }
+        list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
+        list
+    })
 }
 
 /// What to send now, into the places that are free.
 fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<turn::Send> {
-    let in_flight = in_flight.lock().expect("in flight");
+    let in_flight = in_flight.lock();
     let free = in_flight.pace.free(in_flight.jobs.len(), now);
     let views = open.iter().map(|open| View {
         id: &open.id,
@@ -179,7 +184,7 @@
 }
 
 async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
-    let Some(batch) = records::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
+    let Some(batch) = controller.committed.read(|state| records::batch(state, id)) else {
         return false;
     };
     for number in 0..batch.pages() {
@@ -198,12 +203,11 @@
 /// Counts the window down, ends what can't make it, forgets what is long finished. Gives the batch if
 /// it has jobs to send.
 async fn tend(controller: &Controller, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
-    let (held, done) = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        let held = records::batch(&committed_state, id)?;
-        let done = (0..held.pages()).all(|number| records::page(&committed_state, id, &held, number).closed());
-        (held, done)
-    };
+    let (held, done) = controller.committed.read(|state| {
+        let held = records::batch(state, id)?;
+        let done = (0..held.pages()).all(|number| records::page(state, id, &held, number).closed());
+        Some((held, done))
+    })?;
     let held = count_down(controller, id, held, spent, done).await?;
     let ends = held.cancelled || held.left_ms() == 0;
     if ends && !done {
@@ -216,12 +220,12 @@
 /// Written in steps, so that the count outlives this owner without a write for each look.
 async fn count_down(controller: &Controller, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
     let step = if done { KEEP_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
-    let tally = controller.tallies.lock().expect("tallies").add(id, spent);
+    let tally = controller.tallies.0.lock().add(id, spent);
     let over = held.spent_ms + tally >= held.window_ms;
     if tally < step && !(over && held.spent_ms < held.window_ms) {
         return Some(held);
     }
-    let gone = controller.tallies.lock().expect("tallies").take(id);
+    let gone = controller.tallies.0.lock().take(id);
     let judge = |body: &[u8]| {
         let Some(mut next) = Batch::read_bytes(body) else { return Decision::Answer(()) };
         match next.tick(held.spent_ms, gone, done) {
@@ -230,7 +234,7 @@
         }
     };
     controller.change(&records::batch_key(id), BATCH_CHANGE_MS, judge).await?;
-    records::batch(&controller.committed_state.lock().expect("committed_state"), id)
+    controller.committed.read(|state| records::batch(state, id))
 }
 
 /// Closes the jobs that still wait.
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -35,7 +35,7 @@
 /// Carries out an operator's change.
 pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_form();
-    let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+    let known = controller.committed.current_config();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
     let outcome = controller.change_untold(CONFIG, operator_requests::wait_ms(controller), judge).await;
@@ -117,10 +117,9 @@
     let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
     let short = Message::CommittedDelta(Box::new(advance));
     for peer in controller.known() {
-        let reads =
-            controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.protocol_version);
+        let reads = controller.peers.protocol_version(&peer);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
-        controller.peer(&peer).notify(if is_short { short.clone() } else { whole.clone() });
+        controller.peers.client(&peer).notify(if is_short { short.clone() } else { whole.clone() });
     }
 }
 
@@ -146,10 +145,7 @@
 /// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
 /// fetches the whole.
 pub fn advance(controller: &Controller, advance: &CommittedDelta) {
-    let (held, known) = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
-    };
+    let (held, known) = controller.committed.entry_and_config(&advance.key);
     let Some(held) = held.filter(|held| held.position() < (advance.proposal_number, advance.index)) else { return };
     let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
     match next_body(&held.body, known.as_deref(), advance) {
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -8,8 +8,7 @@
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
 use crate::config::body::{body_digest, BodyForm, Held};
 use crate::config::change::Proposed;
-use crate::controller::CommittedState;
-use crate::replication::committed_state::CONFIG;
+use crate::replication::committed_state::{CommittedState, CONFIG};
 
 fn text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -12,8 +12,7 @@
 use super::{advance_of, judge, next_body, Judgement};
 use crate::config::body::{BodyForm, Held};
 use crate::config::change::Proposed;
-use crate::controller::CommittedState;
-use crate::replication::committed_state::CONFIG;
+use crate::replication::committed_state::{CommittedState, CONFIG};
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
--- a/controller/src/delivery/limit_confirmations.rs
+++ b/controller/src/delivery/limit_confirmations.rs
@@ -10,8 +10,9 @@
 use protocol::message::{self, Message, WeightVersions};
 use tokio::time;
 
-use crate::controller::{CommittedState, Controller, SURE_MS};
+use crate::controller::{Controller, SURE_MS};
 use crate::delivery::subscribers::Follower;
+use crate::replication::committed_state::CommittedState;
 
 /// The versions of rules among what a router told.
 pub fn told(closed: &[(String, u64)]) -> BTreeMap<String, u64> {
@@ -43,25 +44,15 @@
 impl Controller {
     /// Has this follower confirmed every rule known here?
     pub fn confirmed(&self, follower: &Follower) -> bool {
-        let committed_state = self.committed_state.lock().expect("committed_state");
-        committed_state
-            .rules
-            .iter()
-            .all(|(key, rule)| follower.rules.get(key).is_some_and(|version| *version >= rule.version))
+        let has = |key: &str, version: u64| follower.rules.get(key).is_some_and(|confirmed| *confirmed >= version);
+        self.committed.read(|state| state.rules.iter().all(|(key, rule)| has(key, rule.version)))
     }
 
     /// Routers that hold a lease here, and how many of them have confirmed a rule. None counts as
     /// confirmed while it is not known here.
     pub fn settled(&self, key: &str, version: u64, now: u64) -> (u32, u32) {
-        let known = self
-            .committed_state
-            .lock()
-            .expect("committed_state")
-            .rules
-            .get(key)
-            .is_some_and(|rule| rule.version >= version);
-        let followers = self.followers.lock().expect("followers");
-        let (all, good) = followers.confirmations(key, version, now);
+        let known = self.committed.staleness_limit(key).is_some_and(|rule| rule.version >= version);
+        let (all, good) = self.subscribers.confirmations(key, version, now);
         // Not yet learned, or started so lately that routers may hold a lease from a life before: whoever asks
         // must ask again.
         match known && now >= WAIT_MS {
@@ -73,7 +64,7 @@
     /// Asks all other controllers. None for one that did not answer.
     pub async fn ask_settled(&self, key: &str, version: u64) -> Vec<Option<(u32, u32)>> {
         let asks = self.known().into_iter().map(|ip| {
-            let peer = self.peer(&ip);
+            let peer = self.peers.client(&ip);
             async move {
                 let msg = Message::CountConfirmations(Box::new((key.to_string(), version)));
                 match peer.call(msg, ANSWER_MS).await {
@@ -105,44 +96,36 @@
 
     /// Sends the weight versions that a follower lacks.
     pub fn send_weights(&self, follower: &mut Follower) {
-        for (zone, list) in self.weights.lock().expect("weights").iter() {
+        self.engines.for_each_weight_versions(|(zone, list)| {
             let has = follower.sheets.entry(message::hidden_key(zone)).or_default();
             let version = (list.term, list.sequence);
             if *has == version {
-                continue;
+                return;
             }
             match follower.mouth.notify(&Message::WeightVersions(Box::new(list.clone()))) {
                 true => *has = version,
                 false => follower.behind = true,
             }
-        }
+        });
     }
 }
 
 /// Versions from the poller of a zone, or from the own poll.
 pub fn hear(controller: &Controller, list: WeightVersions) {
-    {
-        let mut held = controller.weights.lock().expect("weights");
-        let old = held.get(&list.zone).map(|held| (held.term, held.sequence));
-        if old.is_some_and(|(turn, count)| turn == list.term && count >= list.sequence) {
-            return;
-        }
-        held.insert(list.zone.clone(), list);
+    if controller.engines.accept_weight_versions(list) {
+        controller.push();
     }
-    controller.push();
 }
 
 /// What the poller of a zone saw, asked for only while there are rules.
 pub fn seen(controller: &Controller, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
-    let held = controller.weights.lock().expect("weights").get(zone).cloned().unwrap_or_default();
+    let held = controller.engines.weight_versions(zone);
     let same = held.term == controller.seat && held.list == list;
     if same && !again {
         return;
     }
     let count = held.sequence + u64::from(!same);
     let next = WeightVersions { zone: zone.into(), term: controller.seat, sequence: count, list };
-    for ip in controller.known() {
-        controller.peer(&ip).notify(Message::WeightVersions(Box::new(next.clone())));
-    }
+    controller.notify_peers(&Message::WeightVersions(Box::new(next.clone())));
     hear(controller, next);
 }
--- a/controller/src/delivery/subscribers.rs
+++ b/controller/src/delivery/subscribers.rs
@@ -1,7 +1,9 @@
 //! The routers that follow this controller.
 
 use std::collections::BTreeMap;
+use std::mem;
 
+use parking_lot::Mutex;
 use protocol::link::Responder;
 use protocol::message::Message;
 
@@ -53,6 +55,53 @@
     }
 }
 
+/// The routers that follow this controller, shared by all parts of the process.
+#[derive(Default)]
+pub struct Subscribers(Mutex<Followers>);
+
+impl Subscribers {
+    /// Keeps what was just sent to a router and until when it holds its lease.
+    pub fn insert(&self, node: String, follower: Follower) {
+        self.0.lock().list.insert(node, follower);
+    }
+
+    /// Takes all followers out, to send to each without holding the lock. Whoever calls again meanwhile is inserted anew.
+    pub fn take_all(&self) -> BTreeMap<String, Follower> {
+        mem::take(&mut self.0.lock().list)
+    }
+
+    /// Puts followers back that were taken out, except those that called again meanwhile.
+    pub fn restore(&self, list: BTreeMap<String, Follower>, now: u64) {
+        let mut followers = self.0.lock();
+        for (node, follower) in list {
+            followers.list.entry(node).or_insert(follower);
+        }
+        followers.forget_lapsed(now);
+    }
+
+    /// Sends a message to all followers.
+    pub fn notify_all(&self, message: &Message) {
+        for follower in self.0.lock().list.values() {
+            follower.mouth.notify(message);
+        }
+    }
+
+    /// Returns how many followers hold a lease, and how many of them have confirmed a rule.
+    pub fn confirmations(&self, key: &str, version: u64, now: u64) -> (u32, u32) {
+        self.0.lock().confirmations(key, version, now)
+    }
+
+    /// Returns how many followers hold a lease.
+    pub fn lease_count(&self, now: u64) -> usize {
+        self.0.lock().list.values().filter(|follower| follower.until > now).count()
+    }
+
+    /// Returns the revision of the configuration that each follower has.
+    pub fn config_revisions(&self) -> BTreeMap<String, u64> {
+        self.0.lock().list.iter().map(|(node, follower)| (node.clone(), follower.config)).collect()
+    }
+}
+
 #[cfg(test)]
 #[path = "subscribers_tests.rs"]
 mod tests;
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -1,8 +1,5 @@
 //! What a follower lacks, and sending it: on each of its calls, and at once when something changes.
 
-use std::collections::BTreeMap;
-use std::mem;
-
 use kernel::clock;
 use protocol::link::Responder;
 use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
@@ -12,22 +9,19 @@
 use crate::delivery::limit_confirmations;
 use crate::delivery::subscribers::Follower;
 use crate::quota_shards::send_holders;
+use crate::replication::committed_state::CommittedState;
 use crate::roles::CATALOG;
 
 impl Controller {
     /// A router renews its lease, tells what it has and gets what it lacks.
     pub fn follow(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
         let now = clock::now();
-        self.roster.lock().expect("roster").renew_lease(
-            &follow.node,
-            now + ROUTER_LEASE_MS,
-            follow.in_flight,
-            follow.frontend_address,
-        );
-        self.sheets.lock().expect("sheets").raise(&follow.list_versions);
+        let until = now + ROUTER_LEASE_MS;
+        self.peers.update(|view| view.renew_lease(&follow.node, until, follow.in_flight, follow.frontend_address));
+        self.engines.update(|lists| lists.raise(&follow.list_versions));
         let mut follower = Follower {
             rules: limit_confirmations::told(&follow.evacuation_versions),
-            until: now + ROUTER_LEASE_MS,
+            until,
             mouth,
             zone: follow.zone,
             config: follow.config_revision,
@@ -43,27 +37,22 @@
         // Whoever is told that it is current must have been sent all.
         news.confirmed &= !follower.behind;
         follower.mouth.reply(id, &Message::StateUpdate(Box::new(news)));
-        self.followers.lock().expect("followers").list.insert(follow.node, follower);
+        self.subscribers.insert(follow.node, follower);
     }
 
     /// Doubt about an engine reaches all routers at once: each asks it for itself.
     pub fn doubt(&self, engine: &str, passed: bool) {
-        let note = |passed| Message::SuspectEngine(Box::new((engine.to_string(), passed)));
-        for follower in self.followers.lock().expect("followers").list.values() {
-            follower.mouth.notify(&note(true));
-        }
-        if passed {
-            return;
-        }
-        for ip in self.known() {
-            self.peer(&ip).notify(note(true));
+        let note = Message::SuspectEngine(Box::new((engine.to_string(), true)));
+        self.subscribers.notify_all(&note);
+        if !passed {
+            self.notify_peers(&note);
         }
     }
 
     /// Sends to each follower what it lacks.
     pub fn push(&self) {
         let now = clock::now();
-        let mut list = mem::take(&mut self.followers.lock().expect("followers").list);
+        let mut list = self.subscribers.take_all();
         let reachable = list.iter_mut().filter(|(_, follower)| !follower.behind && !follower.mouth.is_closed());
         for (node, follower) in reachable {
             let news = self.missing(node, follower, now);
@@ -71,92 +60,58 @@
                 follower.send(&Message::StateUpdate(Box::new(news)));
             }
         }
-        let mut followers = self.followers.lock().expect("followers");
-        for (node, follower) in list {
-            followers.list.entry(node).or_insert(follower);
-        }
-        followers.forget_lapsed(now);
+        self.subscribers.restore(list, now);
     }
 
     /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
     fn missing(&self, node: &str, follower: &mut Follower, now: u64) -> StateUpdate {
-        let mut news = StateUpdate { confirmed: self.sure(now), ..Default::default() };
-        self.add_control_state(&mut news, follower);
+        let mut news = StateUpdate { confirmed: self.committed.is_confirmed(now), ..Default::default() };
+        self.committed.update(|state| add_control_state(state, &mut news, follower));
         self.add_roster(&mut news, node, follower, now);
         self.add_engine_lists(&mut news, follower);
         if follower.reads >= 2 {
             self.send_weights(follower);
         }
-        if follower.reads >= QUOTAS && self.has_tenants() {
+        if follower.reads >= QUOTAS && self.committed.has_tenants() {
             send_holders(self, follower);
         }
         news
     }
 
-    fn add_control_state(&self, news: &mut StateUpdate, follower: &mut Follower) {
-        let mut committed_state = self.committed_state.lock().expect("committed_state");
-        if follower.reads >= 2 {
-            // Before the configuration: no route is served whose rule is known here and not there.
-            limit_confirmations::send(&committed_state, follower);
-            // Before the news: whoever is told that it is current has it by then.
-            let mouth = &follower.mouth;
-            let reads = follower.reads;
-            let sent =
-                committed_state.history.send_missing(reads, &mut follower.config, |frame| mouth.notify_frame(frame));
-            follower.behind |= !sent;
-        } else if let Some((revision, text)) = committed_state.history.text_after(follower.config) {
-            news.config = Some((revision, text));
-            follower.config = revision;
-        }
-        if follower.reads >= VERSION_ROLLOUTS {
-            crate::rollout::version_rollouts::send(&committed_state, follower);
-        }
-        follower.behind |= !committed_state.history.can_be_told(follower.reads);
-        for (zone, (version, on)) in &committed_state.closed {
-            let has = follower.closed.entry(zone.clone()).or_default();
-            if *version > *has {
-                news.evacuations.push((zone.clone(), *version, *on));
-                *has = *version;
-            }
-        }
-        let catalog = committed_state.duties.get(CATALOG).cloned().unwrap_or_default();
-        news.catalog = (catalog.0, catalog.1);
-    }
-
     fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Follower, now: u64) {
-        let mut roster = self.roster.lock().expect("roster");
-        news.router_count = roster.router_count(now, news.confirmed);
-        news.reassigning = roster.reassigning(now);
-        // An order of its own for each router, so that the controllers of a zone share them.
-        news.peers = roster.preference_order(&follower.zone, node);
+        self.peers.update(|view| {
+            news.router_count = view.router_count(now, news.confirmed);
+            news.reassigning = view.reassigning(now);
+            // An order of its own for each router, so that the controllers of a zone share them.
+            news.peers = view.preference_order(&follower.zone, node);
+        });
     }
 
     fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
-        for sheet in self.sheets.lock().expect("sheets").all() {
-            if message::is_hidden_key(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
-                continue;
-            }
-            let has = follower.sheets.entry(sheet.zone.clone()).or_default();
-            if (sheet.term, sheet.sequence) > *has {
-                *has = (sheet.term, sheet.sequence);
-                news.endpoint_lists.push(sheet.clone());
+        self.engines.read(|lists| {
+            for sheet in lists.all() {
+                if message::is_hidden_key(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
+                    continue;
+                }
+                let has = follower.sheets.entry(sheet.zone.clone()).or_default();
+                if (sheet.term, sheet.sequence) > *has {
+                    *has = (sheet.term, sheet.sequence);
+                    news.endpoint_lists.push(sheet.clone());
+                }
             }
-        }
+        });
     }
 
     /// The view of the fleet for those who operate it.
     pub fn fleet(&self) -> Value {
         let now = clock::now();
-        let core = self.core();
+        let core = self.replica.membership();
         let members: Vec<&str> = core.members.iter().map(|member| member.ip.as_str()).collect();
-        let sure = self.sure(now);
-        let revision = self.revision();
-        let duties = self.committed_state.lock().expect("committed_state").duties.clone();
-        let roster = self.roster.lock().expect("roster");
-        let controllers: Vec<&String> = roster.controllers.keys().filter(|ip| roster.is_live(ip, now)).collect();
-        let followers = self.followers.lock().expect("followers");
-        let routers: BTreeMap<&String, u64> =
-            followers.list.iter().map(|(node, follower)| (node, follower.config)).collect();
+        let sure = self.committed.is_confirmed(now);
+        let revision = self.committed.revision();
+        let duties = self.committed.roles();
+        let controllers = self.peers.live_ips(now);
+        let routers = self.subscribers.config_revisions();
         serde_json::json!({
             "node_name": self.settings.node_name, "sure": sure, "revision": revision, "core": members,
             "core_stamp": core.version, "core_settled": core.stable, "live_keepers": controllers,
@@ -164,3 +119,31 @@
         })
     }
 }
+
+fn add_control_state(state: &mut CommittedState, news: &mut StateUpdate, follower: &mut Follower) {
+    if follower.reads >= 2 {
+        // Before the configuration: no route is served whose rule is known here and not there.
+        limit_confirmations::send(state, follower);
+        // Before the news: whoever is told that it is current has it by then.
+        let mouth = &follower.mouth;
+        let reads = follower.reads;
+        let sent = state.history.send_missing(reads, &mut follower.config, |frame| mouth.notify_frame(frame));
+        follower.behind |= !sent;
+    } else if let Some((revision, text)) = state.history.text_after(follower.config) {
+        news.config = Some((revision, text));
+        follower.config = revision;
+    }
+    if follower.reads >= VERSION_ROLLOUTS {
+        crate::rollout::version_rollouts::send(state, follower);
+    }
+    follower.behind |= !state.history.can_be_told(follower.reads);
+    for (zone, (version, on)) in &state.closed {
+        let has = follower.closed.entry(zone.clone()).or_default();
+        if *version > *has {
+            news.evacuations.push((zone.clone(), *version, *on));
+            *has = *version;
+        }
+    }
+    let catalog = state.duties.get(CATALOG).cloned().unwrap_or_default();
+    news.catalog = (catalog.0, catalog.1);
+}
--- /dev/null
+++ b/controller/src/discovery/engine_directory.rs
@@ -0,0 +1,101 @@
+//! What is known of engines: endpoint lists, versions of their weights, and versions of their software.
+
+use std::collections::BTreeMap;
+
+use load_balancing::sheet::{Known, Sheets};
+use parking_lot::Mutex;
+use protocol::message::{EndpointList, WeightVersions};
+use protocol::version_rollout::VersionRollout;
+use tokio::sync::{Semaphore, SemaphorePermit};
+
+use crate::discovery::version_lists::{FirstVersions, ListedEngine, Parted};
+
+/// All engines of the fleet as this controller knows them.
+///
+/// Lock order: endpoint lists, weight versions. The first versions are locked without another.
+pub struct EngineDirectory {
+    endpoint_lists: Mutex<Sheets>,
+    /// By zone, kept only while there are limits on stale weights.
+    weight_versions: Mutex<BTreeMap<String, WeightVersions>>,
+    /// The version of each service that was there before any rollout.
+    first_versions: Mutex<FirstVersions>,
+    /// One poll of the platform at a time.
+    poll_permit: Semaphore,
+}
+
+impl Default for EngineDirectory {
+    fn default() -> EngineDirectory {
+        EngineDirectory {
+            endpoint_lists: Mutex::default(),
+            weight_versions: Mutex::default(),
+            first_versions: Mutex::default(),
+            poll_permit: Semaphore::new(1),
+        }
+    }
+}
+
+impl EngineDirectory {
+    /// Returns what `read` makes of the endpoint lists of one moment.
+    pub fn read<T>(&self, read: impl FnOnce(&Sheets) -> T) -> T {
+        read(&self.endpoint_lists.lock())
+    }
+
+    /// Changes the endpoint lists under their lock.
+    pub fn update<T>(&self, update: impl FnOnce(&mut Sheets) -> T) -> T {
+        update(&mut self.endpoint_lists.lock())
+    }
+
+    /// Takes over a peer's endpoint list. Returns false where it is not newer than the one known.
+    pub fn accept(&self, list: &EndpointList) -> bool {
+        self.endpoint_lists.lock().take(list)
+    }
+
+    /// Returns which list of a zone is known, to be compared after a poll.
+    pub fn known_list(&self, zone: &str) -> Known {
+        self.endpoint_lists.lock().known(zone)
+    }
+
+    /// Returns what `read` makes of the endpoint lists and the weight versions by zone of one moment.
+    pub fn read_with_weights<T>(&self, read: impl FnOnce(&Sheets, &BTreeMap<String, WeightVersions>) -> T) -> T {
+        let endpoint_lists = self.endpoint_lists.lock();
+        let weight_versions = self.weight_versions.lock();
+        read(&endpoint_lists, &weight_versions)
+    }
+
+    /// Calls `visit` for the weight versions of each zone.
+    pub fn for_each_weight_versions(&self, visit: impl FnMut((&String, &WeightVersions))) {
+        self.weight_versions.lock().iter().for_each(visit);
+    }
+
+    /// Returns the weight versions of a zone, none where there are none.
+    pub fn weight_versions(&self, zone: &str) -> WeightVersions {
+        self.weight_versions.lock().get(zone).cloned().unwrap_or_default()
+    }
+
+    /// Takes over the weight versions of a zone. Returns false where they are not newer than those known.
+    pub fn accept_weight_versions(&self, list: WeightVersions) -> bool {
+        let mut known = self.weight_versions.lock();
+        let old = known.get(&list.zone).map(|known| (known.term, known.sequence));
+        if old.is_some_and(|(term, sequence)| term == list.term && sequence >= list.sequence) {
+            return false;
+        }
+        known.insert(list.zone.clone(), list);
+        true
+    }
+
+    /// Divides a zone's engines by the rollouts that are known. With `by_request` a version that nobody has requested gets
+    /// nothing.
+    pub fn part(
+        &self,
+        rollouts: &BTreeMap<String, VersionRollout>,
+        list: Vec<ListedEngine>,
+        by_request: bool,
+    ) -> Parted {
+        self.first_versions.lock().part(rollouts, list, by_request)
+    }
+
+    /// Waits until no other poll of the platform is under way. None: the process ends.
+    pub async fn poll_permit(&self) -> Option<SemaphorePermit<'_>> {
+        self.poll_permit.acquire().await.ok()
+    }
+}
--- a/controller/src/discovery/mod.rs
+++ b/controller/src/discovery/mod.rs
@@ -1,5 +1,6 @@
 //! Discovery of engines: the poller of the platform's list and what is made of it.
 
+pub mod engine_directory;
 pub mod listing;
 pub mod poller;
 pub mod version_lists;
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -58,7 +58,7 @@
 
 /// What is told to peers about the own access to the platform.
 pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
-    let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
+    let unreachable = controller.peers.read(|view| view.access.unreachable(now));
     unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
 }
 
@@ -100,13 +100,13 @@
         time::sleep(Duration::from_millis(wait)).await;
         wait = pause(&controller.settings, pages);
         let now = clock::now();
-        let poller = controller.roster.lock().expect("roster").poller(&zone, now);
+        let poller = controller.peers.read(|view| view.poller(&zone, now));
         if poller != controller.me() || now < FIRST_MS {
             wait = wait.min(FIRST_MS);
             continue;
         }
         // Without rules versions are neither read nor sent.
-        let ruled = !controller.committed_state.lock().expect("committed_state").rules.is_empty();
+        let ruled = controller.committed.has_staleness_limits();
         let outcome = poll(&controller, &client, &zone, ruled).await;
         note_access(&controller, outcome.as_ref().err().copied());
         let result = outcome.as_ref().map_or_else(|error| (*error).into(), |_| PollOutcome::Read);
@@ -125,26 +125,25 @@
 /// Keeps count of polls without an answer: a poller that is cut off from the platform lets another
 /// controller take its place.
 fn note_access(controller: &Controller, error: Option<PollError>) {
-    let mut roster = controller.roster.lock().expect("roster");
-    match error {
-        None | Some(PollError::Refused) => roster.access.succeeded(),
-        Some(PollError::Unreachable) => roster.access.failed(clock::now()),
+    controller.peers.update(|view| match error {
+        None | Some(PollError::Refused) => view.access.succeeded(),
+        Some(PollError::Unreachable) => view.access.failed(clock::now()),
         Some(PollError::Stalled) => {}
-    }
+    });
 }
 
 /// Sends out what a poll read, unless a list that another poller made became known meanwhile.
 /// `versions`: whether weight versions are wanted, and whether to send them even if unchanged.
 fn take(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
     let parted = version_lists::part(controller, listing.engines);
-    let (sheet, candidates) = {
-        let mut sheets = controller.sheets.lock().expect("sheets");
+    let made = controller.engines.update(|sheets| {
         if sheets.known(zone) != listing.known {
-            return;
+            return None;
         }
         let sheet = sheets.poll(zone, turn, controller.seat, parted.stable, listing.known);
-        (sheet, candidate_sheet(controller, &mut sheets, zone, parted.candidates))
-    };
+        Some((sheet, candidate_sheet(controller, sheets, zone, parted.candidates)))
+    });
+    let Some((sheet, candidates)) = made else { return };
     if let Some(again) = versions {
         limit_confirmations::seen(controller, zone, listing.weights, again);
     }
@@ -175,8 +174,8 @@
 }
 
 async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
-    let _permit = controller.polls.acquire().await.map_err(|_| PollError::Refused)?;
-    let known = controller.sheets.lock().expect("sheets").known(zone);
+    let _permit = controller.engines.poll_permit().await.ok_or(PollError::Refused)?;
+    let known = controller.engines.known_list(zone);
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
     let mut refused = 0;
@@ -237,21 +236,11 @@
     kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.term, "count" => sheet.sequence,
         "up" => sheet.engines.iter().filter(|engine| engine.up).count(), "all" => sheet.engines.len(),
         "prefill" => sheet.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
-    prune(controller, &sheet);
-    for ip in controller.known() {
-        controller.peer(&ip).notify(Message::EndpointList(Box::new(sheet.clone())));
-    }
+    controller.catalog.remove_draining(&sheet);
+    controller.notify_peers(&Message::EndpointList(Box::new(sheet)));
     controller.push();
 }
 
-/// Draining engines leave the catalog's answers at once.
-pub fn prune(controller: &Controller, sheet: &EndpointList) {
-    let mut catalog = controller.catalog.lock().expect("catalog");
-    for engine in sheet.engines.iter().filter(|engine| !engine.up) {
-        catalog.prefix_index.drop_engine(&engine.id);
-    }
-}
-
 #[cfg(test)]
 #[path = "poller_tests.rs"]
 mod tests;
--- a/controller/src/discovery/version_lists.rs
+++ b/controller/src/discovery/version_lists.rs
@@ -32,16 +32,20 @@
 
 /// Parts a zone's list by the rollouts that are known.
 pub fn part(controller: &Controller, list: Vec<ListedEngine>) -> Parted {
-    let rollouts = controller.committed_state.lock().expect("committed_state").rollouts.clone();
+    let rollouts = controller.committed.version_rollouts();
     // Where versions are not brought in by order, engines may be replaced by others of any version.
     let by_order = controller.settings.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
-    let mut first = controller.first_versions.lock().expect("first versions");
-    first.part(&rollouts, list, by_order)
+    controller.engines.part(&rollouts, list, by_order)
 }
 
 impl FirstVersions {
     /// `by_order`: a version that nobody has ordered gets nothing.
-    fn part(&mut self, rollouts: &BTreeMap<String, VersionRollout>, list: Vec<ListedEngine>, by_order: bool) -> Parted {
+    pub fn part(
+        &mut self,
+        rollouts: &BTreeMap<String, VersionRollout>,
+        list: Vec<ListedEngine>,
+        by_order: bool,
+    ) -> Parted {
         self.learn(&list);
         let mut parted = Parted::default();
         for listed in list {
--- a/controller/src/lib.rs
+++ b/controller/src/lib.rs
@@ -11,6 +11,7 @@
 mod http_client;
 mod metrics;
 mod peers;
+mod prefix_catalog;
 mod quota_shards;
 mod replication;
 mod roles;
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -163,26 +163,22 @@
     /// All metrics as text, with the figures that are only read when asked for.
     pub fn render(&self, controller: &Controller) -> String {
         let now = clock::now();
-        let core = controller.core();
-        self.config_revision.set(controller.revision() as i64);
-        self.confirmed.set(i64::from(controller.sure(now)));
+        let core = controller.replica.membership();
+        self.config_revision.set(controller.committed.revision() as i64);
+        self.confirmed.set(i64::from(controller.committed.is_confirmed(now)));
         self.core_version.set(core.version as i64);
         self.core_members.set(core.members.len() as i64);
         self.core_settled.set(i64::from(core.stable));
         self.live_controllers.set(live_controllers(controller, now));
-        let followers =
-            controller.followers.lock().expect("followers").list.values().filter(|one| one.until > now).count();
-        self.following_routers.set(followers as i64);
-        let batches = records::ids(&controller.committed_state.lock().expect("committed_state")).len();
-        self.batches.set(batches as i64);
+        self.following_routers.set(controller.subscribers.lease_count(now) as i64);
+        self.batches.set(controller.committed.read(records::ids).len() as i64);
         self.leaving.set(i64::from(controller.leaving.load(Ordering::Relaxed)));
         telemetry::encode(&self.registry)
     }
 }
 
 fn live_controllers(controller: &Controller, now: u64) -> i64 {
-    let roster = controller.roster.lock().expect("roster");
-    roster.controllers.keys().filter(|ip| **ip != roster.own_ip && roster.is_live(ip, now)).count() as i64
+    controller.peers.live_ips(now).iter().filter(|ip| *ip != controller.me()).count() as i64
 }
 
 /// One call of an operator, counted while it is under way.
--- /dev/null
+++ b/controller/src/peers/directory.rs
@@ -0,0 +1,75 @@
+//! The other controllers as this one knows them: the membership view, connections, and pauses of the own process.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use kernel::clock;
+use membership::MembershipView;
+use parking_lot::Mutex;
+use protocol::link::PeerClient;
+
+use crate::peers::pause::PauseMonitor;
+
+/// What this controller knows of its peers. Every method is one moment under one lock.
+pub struct Peers {
+    port: u16,
+    view: Mutex<MembershipView>,
+    clients: Mutex<HashMap<String, Arc<PeerClient>>>,
+    pause_monitor: Mutex<PauseMonitor>,
+}
+
+impl Peers {
+    /// Returns the peers of a controller that has not heard of anyone. `port` is where all of them listen for peers.
+    pub fn new(port: u16, view: MembershipView) -> Peers {
+        Peers { port, view: Mutex::new(view), clients: Mutex::default(), pause_monitor: Mutex::default() }
+    }
+
+    /// Returns what `read` makes of the membership view of one moment.
+    pub fn read<T>(&self, read: impl FnOnce(&MembershipView) -> T) -> T {
+        read(&self.view.lock())
+    }
+
+    /// Changes the membership view under its lock.
+    pub fn update<T>(&self, update: impl FnOnce(&mut MembershipView) -> T) -> T {
+        update(&mut self.view.lock())
+    }
+
+    /// Returns the connection to a controller, dialled at the first use.
+    pub fn client(&self, ip: &str) -> Arc<PeerClient> {
+        let mut clients = self.clients.lock();
+        let address = format!("{ip}:{}", self.port);
+        clients.entry(ip.into()).or_insert_with(|| Arc::new(PeerClient::start(address, None))).clone()
+    }
+
+    /// Returns the addresses of all controllers in the view, whether they live or not.
+    pub fn known_ips(&self) -> Vec<String> {
+        self.view.lock().controllers.keys().cloned().collect()
+    }
+
+    /// Returns the addresses of the controllers that live, this one included where the view has it.
+    pub fn live_ips(&self, now: u64) -> Vec<String> {
+        let view = self.view.lock();
+        view.controllers.keys().filter(|ip| view.is_live(ip, now)).cloned().collect()
+    }
+
+    /// Returns the newest version of messages that a controller reads, 0 where it is not known.
+    pub fn protocol_version(&self, ip: &str) -> u64 {
+        self.view.lock().controllers.get(ip).map_or(0, |peer| peer.protocol_version)
+    }
+
+    /// Returns whether this controller is the first confirmed one in the agreed order for a name.
+    pub fn is_first_confirmed(&self, name: &str, now: u64) -> bool {
+        let view = self.view.lock();
+        view.first_confirmed(name, now).as_deref() == Some(view.own_ip.as_str())
+    }
+
+    /// Marks the first tick after a pause of the process. To be called several times a second.
+    pub fn record_tick(&self) {
+        self.pause_monitor.lock().beat(clock::now());
+    }
+
+    /// Returns whether an operator's request that was just read may be one from before a pause of this process.
+    pub fn requests_may_be_stale(&self) -> bool {
+        self.pause_monitor.lock().orders_may_be_stale(clock::now())
+    }
+}
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -1,17 +1,15 @@
 //! What peers send: one place that takes each message to its part.
 
-use std::mem;
 use std::sync::Arc;
 
 use kernel::clock;
 use protocol::link::Responder;
-use protocol::message::{Message, PrefixLookup, PrefixLookupResponse, Record};
+use protocol::message::Message;
 
 use crate::api::operator_requests;
 use crate::config::execution;
 use crate::controller::Controller;
 use crate::delivery::limit_confirmations;
-use crate::discovery::poller;
 use crate::peers::gossip;
 use crate::quota_shards;
 use crate::rollout::version_rollouts::take_samples;
@@ -20,15 +18,15 @@
     let now = clock::now();
     match msg {
         Message::ConsensusRequest(poll) => {
-            controller.adopt(&poll.membership);
-            controller.vote(*poll, move |vote| {
+            controller.replica.adopt_membership(&poll.membership);
+            controller.replica.handle(*poll, move |vote| {
                 mouth.reply(id, &Message::ConsensusResponse(Box::new(vote)));
             });
         }
         Message::Gossip(gossip) => gossip::hear(controller, &gossip),
         Message::EndpointList(sheet) => {
-            if controller.sheets.lock().expect("sheets").take(&sheet) {
-                poller::prune(controller, &sheet);
+            if controller.engines.accept(&sheet) {
+                controller.catalog.remove_draining(&sheet);
                 controller.push();
             }
         }
@@ -44,17 +42,16 @@
         Message::SuspectEngine(doubt) => controller.doubt(&doubt.0, doubt.1),
         Message::SubscriptionRenewal(follow) => controller.follow(mouth, id, *follow),
         Message::OwnerQuery(query) => {
-            let reply = find(controller, query.0, &query.1, now);
-            mouth.reply(id, &reply);
+            let owners = controller.catalog.find_owners(query.0, &query.1, now);
+            mouth.reply(id, &Message::Owners(Box::new(owners)));
         }
         Message::PrefixLookup(seek) => {
-            let reply = seek_out(controller, &seek, now);
-            mouth.reply(id, &reply);
+            let response = controller.catalog.look_up(&seek, now);
+            mouth.reply(id, &Message::PrefixLookupResponse(Box::new(response)));
         }
         Message::PrefixRegistration(note) => {
-            register(controller, note.epoch, &note.owners, now);
-            let mut catalog = controller.catalog.lock().expect("catalog");
-            note.loads.iter().take(KEYS).for_each(|told| catalog.gauge.note(told, now));
+            controller.catalog.register(note.epoch, &note.owners, now);
+            controller.catalog.record_loads(&note.loads, now);
         }
         Message::TokenRequest(spend) => {
             let spent = quota_shards::spend(controller, &spend);
@@ -70,51 +67,13 @@
             let reply = controller.settled(&ask.0, ask.1, now);
             mouth.reply(id, &Message::ConfirmationCount(Box::new(reply)));
         }
-        Message::RegisterOwners(list) => register(controller, list.0, &list.1, now),
+        Message::RegisterOwners(list) => controller.catalog.register(list.0, &list.1, now),
         Message::Flush(flush) => {
-            let mut catalog = controller.catalog.lock().expect("catalog");
-            let drops = if catalog.epoch == flush.0 { mem::take(&mut catalog.drops) } else { flush.1 };
-            mouth.reply(id, &Message::Flushed(Box::new((catalog.epoch, drops))));
+            let flushed = controller.catalog.flush(flush.0, flush.1);
+            mouth.reply(id, &Message::Flushed(Box::new(flushed)));
         }
         _ => {
             mouth.reply(id, &Message::Rejected(Box::new(1)));
         }
     }
 }
-
-/// What one message may ask for.
-const KEYS: usize = 256;
-
-fn seek_out(controller: &Controller, seek: &PrefixLookup, now: u64) -> Message {
-    let catalog = controller.catalog.lock().expect("catalog");
-    let (mut owners, mut list) = (Vec::new(), Vec::new());
-    if catalog.epoch == seek.epoch && seek.epoch != 0 {
-        owners = seek.keys.iter().take(KEYS).map(|key| catalog.prefix_index.find(*key, now)).collect::<Vec<_>>();
-        let mut names: Vec<u64> = owners.iter().flatten().map(|id| clock::hash(id.as_bytes())).collect();
-        names.extend(seek.sample.iter().take(KEYS));
-        names.sort_unstable();
-        names.dedup();
-        list = catalog.gauge.tell(names.into_iter(), now);
-    }
-    Message::PrefixLookupResponse(Box::new(PrefixLookupResponse { epoch: catalog.epoch, owners, list }))
-}
-
-fn find(controller: &Controller, epoch: u64, keys: &[u64], now: u64) -> Message {
-    let catalog = controller.catalog.lock().expect("catalog");
-    if catalog.epoch != epoch || epoch == 0 {
-        return Message::Owners(Box::new((catalog.epoch, Vec::new())));
-    }
-    let list = keys.iter().take(KEYS).map(|key| catalog.prefix_index.find(*key, now)).collect();
-    Message::Owners(Box::new((epoch, list)))
-}
-
-fn register(controller: &Controller, epoch: u64, list: &[Record], now: u64) {
-    let mut catalog = controller.catalog.lock().expect("catalog");
-    if catalog.epoch != epoch || epoch == 0 {
-        catalog.drops += list.len() as u32;
-        return;
-    }
-    for record in list {
-        catalog.prefix_index.register(record.key, &record.engine, now);
-    }
-}
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -17,9 +17,8 @@
     if gossip.ip == controller.me() {
         return;
     }
-    controller.adopt(&gossip.membership);
+    controller.replica.adopt_membership(&gossip.membership);
     let now = clock::now();
-    let mut roster = controller.roster.lock().expect("roster");
     let peer = Peer {
         zone: gossip.zone.clone(),
         incarnation: gossip.incarnation,
@@ -32,21 +31,22 @@
         frontend_addresses: gossip.frontend_addresses.clone(),
         reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
     };
-    roster.observe(&gossip.ip, peer);
-    roster.report(&gossip.ip, poller::report(gossip), now);
-    for ip in &gossip.peers {
-        if ip.parse::<Ipv4Addr>().is_ok() && *ip != roster.own_ip && !roster.controllers.contains_key(ip) {
-            let unseen =
-                Peer { zone: String::new(), incarnation: 0, last_seen: 0, eligible: false, ..Default::default() };
-            roster.controllers.insert(ip.clone(), unseen);
+    controller.peers.update(|view| {
+        view.observe(&gossip.ip, peer);
+        view.report(&gossip.ip, poller::report(gossip), now);
+        for ip in &gossip.peers {
+            if ip.parse::<Ipv4Addr>().is_ok() && *ip != view.own_ip && !view.controllers.contains_key(ip) {
+                view.controllers.insert(ip.clone(), Peer::default());
+            }
         }
-    }
-    drop(roster);
+    });
     // Repair: who is behind gets what it lacks.
-    let mut sheets = controller.sheets.lock().expect("sheets");
-    sheets.raise(&gossip.observed_list_versions);
-    for sheet in sheets.newer(&gossip.list_versions) {
-        controller.peer(&gossip.ip).notify(Message::EndpointList(Box::new(sheet)));
+    let newer = controller.engines.update(|lists| {
+        lists.raise(&gossip.observed_list_versions);
+        lists.newer(&gossip.list_versions)
+    });
+    for list in newer {
+        controller.peers.client(&gossip.ip).notify(Message::EndpointList(Box::new(list)));
     }
 }
 
@@ -68,28 +68,18 @@
 /// Tells all controllers that are known how this one stands.
 pub fn tell(controller: &Controller) {
     let now = clock::now();
-    let core = controller.core();
-    let (peers, seats, busy, resting, doors) = {
-        let mut roster = controller.roster.lock().expect("roster");
-        roster.remove_expired(now);
-        let live: Vec<String> = roster.controllers.keys().filter(|ip| roster.is_live(ip, now)).cloned().collect();
-        (
-            live,
-            roster.routers.len() as u32,
-            roster.own_in_flight(),
-            roster.own_reassigning(now),
-            roster.own_frontend_addresses(),
-        )
-    };
-    let (mut sheets, floors) = {
-        let held = controller.sheets.lock().expect("sheets");
-        let mut versions = held.versions();
-        versions.push(message::own_protocol_version());
-        if controller.leaving.load(Ordering::Relaxed) {
-            versions.push(message::shutting_down_marker());
-        }
-        (versions, held.floors())
-    };
+    let core = controller.replica.membership();
+    let (peers, seats, busy, resting, doors) = controller.peers.update(|view| {
+        view.remove_expired(now);
+        let live: Vec<String> = view.controllers.keys().filter(|ip| view.is_live(ip, now)).cloned().collect();
+        let router_count = view.routers.len() as u32;
+        (live, router_count, view.own_in_flight(), view.own_reassigning(now), view.own_frontend_addresses())
+    });
+    let (mut sheets, floors) = controller.engines.read(|lists| (lists.versions(), lists.floors()));
+    sheets.push(message::own_protocol_version());
+    if controller.leaving.load(Ordering::Relaxed) {
+        sheets.push(message::shutting_down_marker());
+    }
     sheets.extend(poller::told(controller, now));
     sheets.extend(roles::told(controller, now));
     let gossip = Gossip {
@@ -106,10 +96,7 @@
         list_versions: sheets,
         observed_list_versions: floors,
     };
-    let holder = |duty: &str| {
-        controller.committed_state.lock().expect("committed_state").duties.get(duty).map(|duty| duty.1.clone())
-    };
-    let (balancer, batch_owner) = (holder(BALANCE), holder(BATCH));
+    let (balancer, batch_owner) = (controller.committed.role_owner(BALANCE), controller.committed.role_owner(BATCH));
     for ip in controller.known() {
         let mut gossip = gossip.clone();
         // What grows with engines or routers goes to the one controller that reads it.
@@ -119,11 +106,11 @@
         if batch_owner.as_ref() == Some(&ip) {
             gossip.frontend_addresses.clone_from(&doors);
         }
-        controller.peer(&ip).notify(Message::Gossip(Box::new(gossip)));
+        controller.peers.client(&ip).notify(Message::Gossip(Box::new(gossip)));
     }
 }
 
 /// May this controller be made a member: a counted machine, or any where none has a disk.
 pub fn fit(controller: &Controller) -> bool {
-    controller.settings.quorum_member && controller.voter.lock().expect("voter").may_vote
+    controller.settings.quorum_member && controller.replica.may_vote()
 }
--- a/controller/src/peers/pause.rs
+++ b/controller/src/peers/pause.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use kernel::{clock, startup};
+use kernel::startup;
 
 use crate::controller::Controller;
 
@@ -21,7 +21,7 @@
         let mut beat = startup::interval(BEAT_MS);
         loop {
             beat.tick().await;
-            controller.pauses.lock().expect("pauses").beat(clock::now());
+            controller.peers.record_tick();
         }
     });
 }
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -6,6 +6,7 @@
 use std::sync::Arc;
 
 use kernel::clock;
+use parking_lot::Mutex;
 use protocol::message::{Message, QUOTAS};
 use protocol::quota::{
     from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
@@ -15,19 +16,22 @@
 
 use crate::controller::Controller;
 use crate::delivery::subscribers::Follower;
+use crate::replication::committed_state::CommittedState;
 
 /// The shards held here, and who may hold others.
-pub struct HeldShards {
+pub struct QuotaShards(Mutex<HeldShards>);
+
+struct HeldShards {
     shards: Shards,
     holders: Vec<ShardOwner>,
     /// What tells this list of holders from others.
     mark: u64,
 }
 
-impl HeldShards {
+impl QuotaShards {
     /// Those of a controller that has just started: none.
-    pub fn new(ip: &str) -> HeldShards {
-        HeldShards { shards: Shards::new(ip), holders: Vec::new(), mark: 0 }
+    pub fn new(ip: &str) -> QuotaShards {
+        QuotaShards(Mutex::new(HeldShards { shards: Shards::new(ip), holders: Vec::new(), mark: 0 }))
     }
 }
 
@@ -35,12 +39,12 @@
 pub fn beat(controller: &Controller) -> bool {
     let now = clock::now();
     let leaving = controller.leaving.load(Ordering::Relaxed);
-    let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
-    let able = controller.roster.lock().expect("roster").eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now);
+    let confirmed_at = controller.committed.confirmed_at();
+    let able = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now));
     let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
     let mark = holders_mark(&holders);
     let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
-    let mut held = controller.quotas.lock().expect("quotas");
+    let mut held = controller.quotas.0.lock();
     held.shards.beat(now, confirmed_at, live);
     let is_new = held.mark != mark;
     (held.holders, held.mark) = (holders, mark);
@@ -50,15 +54,13 @@
 /// Takes a token for a router's request.
 pub fn spend(controller: &Controller, spend: &TokenRequest) -> TokenResponse {
     let now = clock::now();
-    let (confirmed_at, limit) = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        (committed_state.sure, committed_state.history.tenant_quota(&spend.tenant))
-    };
+    let (confirmed_at, limit) =
+        controller.committed.read(|state| (state.sure, state.history.tenant_quota(&spend.tenant)));
     // The router may know of a newer configuration than this controller, or of an older one.
     let (rate_per_s, burst) = (from_milli(spend.rate_milli), from_milli(spend.burst_milli));
     let limit = limit.unwrap_or(Quota { rate_per_s, burst });
     let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return TokenResponse::Granted };
-    let spent = controller.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
+    let spent = controller.quotas.0.lock().shards.spend(&spend.tenant, quota, now, confirmed_at);
     let spent = match spent {
         quota::TokenDecision::Granted => TokenResponse::Granted,
         quota::TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
@@ -70,7 +72,7 @@
 
 /// Tells a router who may hold shards, where it has another list.
 pub fn send_holders(controller: &Controller, follower: &mut Follower) {
-    let held = controller.quotas.lock().expect("quotas");
+    let held = controller.quotas.0.lock();
     let has = follower.sheets.entry(holders_key()).or_default();
     if has.0 == held.mark {
         return;
@@ -83,7 +85,7 @@
 
 /// What the shards held here have given.
 pub fn usage(controller: &Controller) -> Vec<ShardUsage> {
-    let told = controller.quotas.lock().expect("quotas").shards.usage().into_iter();
+    let told = controller.quotas.0.lock().shards.usage().into_iter();
     let shown = told.map(|one| ShardUsage {
         tenant: one.tenant,
         granted: one.granted,
@@ -98,7 +100,7 @@
 
 /// What all shards have given, by tenant, and the controllers that did not answer.
 pub async fn fleet_usage(controller: &Arc<Controller>) -> Value {
-    let holders = controller.quotas.lock().expect("quotas").holders.clone();
+    let holders = controller.quotas.0.lock().holders.clone();
     let mut sums = BTreeMap::<String, TenantUsage>::new();
     let mut silent = Vec::new();
     for holder in &holders {
@@ -111,20 +113,21 @@
             None => silent.push(holder.ip.clone()),
         }
     }
-    let committed_state = controller.committed_state.lock().expect("committed_state");
-    let shown = |(name, sum): (&String, &TenantUsage)| {
-        let limit = committed_state.history.tenant_quota(name);
+    let shown = |state: &CommittedState, (name, sum): (&String, &TenantUsage)| {
+        let limit = state.history.tenant_quota(name);
         serde_json::json!({"name": name, "granted": sum.granted, "denied": sum.denied, "tokens": sum.tokens.floor(),
             "shards": sum.shards, "rate_per_s": limit.map(|limit| limit.rate_per_s),
             "burst_size": limit.map(|limit| limit.burst)})
     };
     let mut tenants: Vec<_> = sums.iter().collect();
     tenants.sort_by_key(|(_, sum)| Reverse(sum.granted + sum.denied));
-    serde_json::json!({"tenants": tenants.into_iter().map(shown).collect::<Vec<_>>(), "silent_keepers": silent})
+    let tenants: Vec<Value> =
+        controller.committed.read(|state| tenants.into_iter().map(|tenant| shown(state, tenant)).collect());
+    serde_json::json!({"tenants": tenants, "silent_keepers": silent})
 }
 
 async fn ask_usage(controller: &Controller, ip: &str) -> Option<Vec<ShardUsage>> {
-    match controller.peer(ip).call(Message::UsageRequest(Box::new(0)), USAGE_MS).await {
+    match controller.peers.client(ip).call(Message::UsageRequest(Box::new(0)), USAGE_MS).await {
         Some(Message::UsageResponse(list)) => Some(*list),
         _ => None,
     }
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -1,16 +1,17 @@
 //! What the keys of the control state hold, and how it is read from what was committed.
 
+use std::collections::BTreeMap;
 use std::mem;
 use std::sync::Arc;
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Checked, ConfigError};
-use protocol::message::{Entry, Message, StalenessLimit, ROLLOUT};
+use protocol::message::{Entry, Message, ProposalNumber, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 
 use crate::config::body::Held;
-use crate::config::history::NotNewer;
-use crate::controller::{CommittedState, Controller};
+use crate::config::history::{ConfigHistory, NotNewer};
+use crate::controller::{Controller, SURE_MS};
 use crate::event::{LEARNED, UNREADABLE};
 
 #[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -86,10 +87,7 @@
     pub fn learn(&self, key: &str, entry: &Entry, tell: bool) {
         let is_news = self.learn_read(key, entry, None);
         if is_news && tell {
-            let note = Message::Committed(Box::new((key.into(), entry.clone())));
-            for ip in self.known() {
-                self.peer(&ip).notify(note.clone());
-            }
+            self.notify_peers(&Message::Committed(Box::new((key.into(), entry.clone()))));
         }
     }
 
@@ -100,7 +98,7 @@
 
     /// False: it, or a newer one, was known.
     fn learn_read(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> bool {
-        let learned = self.committed_state.lock().expect("committed_state").learn(key, entry, read);
+        let learned = self.committed.learn(key, entry, read);
         match learned {
             Learned::Known => return false,
             Learned::Unreadable { error, first } => {
@@ -118,7 +116,7 @@
         }
         if key == MEMBERSHIP_KEY {
             if let Some(core) = read_core(&entry.body) {
-                self.adopt(&core);
+                self.replica.adopt_membership(&core);
             }
         }
         self.push();
@@ -143,7 +141,35 @@
     },
 }
 
+/// What is known to be committed. Invariant: the place of an entry never goes back.
+#[derive(Default)]
+pub struct CommittedState {
+    pub entries: BTreeMap<String, Entry>,
+    /// When the read began that last confirmed these at a majority; None before the first.
+    pub sure: Option<u64>,
+    /// The highest turn seen in any ballot.
+    pub turn: u64,
+    /// The configuration in the entry of its key, as a value and as routers take it.
+    pub history: ConfigHistory,
+    /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
+    /// committed on top of counts as confirmed.
+    pub unreadable: Option<(ProposalNumber, u64)>,
+    /// The evacuations with their versions.
+    pub closed: BTreeMap<String, (u64, bool)>,
+    /// Limits on stale weights, removed ones too: their versions must not start anew.
+    pub rules: BTreeMap<String, StalenessLimit>,
+    /// The newest rollout of each service.
+    pub rollouts: BTreeMap<String, VersionRollout>,
+    /// By key: epoch, holder, and whether it has waited.
+    pub duties: BTreeMap<String, (u64, String, bool)>,
+}
+
 impl CommittedState {
+    /// Returns whether the last confirmation still counts.
+    pub fn is_confirmed(&self, now: u64) -> bool {
+        self.sure.is_some_and(|time| now < time + SURE_MS)
+    }
+
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
     pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
         self.turn = self.turn.max(entry.proposal_number.term);
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -10,10 +10,9 @@
 use protocol::frame::{self, HEAD};
 use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
 
-use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
+use super::{read_config, Closed, CommittedState, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config::body::{BodyForm, Held};
 use crate::config::history::NotNewer;
-use crate::controller::CommittedState;
 
 fn text(revision: u64, timeout: u64) -> String {
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": [{"name": "r",
--- a/controller/src/replication/confirmer.rs
+++ b/controller/src/replication/confirmer.rs
@@ -6,7 +6,7 @@
 use consensus::confirmation::{self, Confirmation, Position, StaleKey};
 use consensus::quorum;
 use kernel::clock;
-use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership};
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
@@ -25,7 +25,7 @@
 /// state known here is confirmed as of the time when the read began.
 pub async fn run(controller: &Arc<Controller>) {
     let begun = clock::now();
-    let core = controller.core();
+    let core = controller.replica.membership();
     if core.members.is_empty() {
         return;
     }
@@ -36,12 +36,12 @@
         complete &= catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.place);
     }
     if complete {
-        controller.committed_state.lock().expect("committed_state").sure = Some(begun);
+        controller.committed.confirm(begun);
     }
 }
 
 fn known(controller: &Controller, key: &str) -> Option<Position> {
-    controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::position)
+    controller.committed.position(key)
 }
 
 async fn read(controller: &Arc<Controller>, core: &CoreMembership) -> Option<Confirmation> {
@@ -52,7 +52,7 @@
         match time::timeout_at(end, votes.recv()).await.ok()?? {
             (from, ConsensusResponse::Positions { list }) => confirmation.record(&from, list),
             (_, ConsensusResponse::NewerMembership { membership: core }) => {
-                controller.adopt(&core);
+                controller.replica.adopt_membership(&core);
                 return None;
             }
             _ => {}
@@ -76,7 +76,7 @@
             return true;
         }
         let now = clock::now();
-        let first = controller.roster.lock().expect("roster").first_live("", &behind.key, now);
+        let first = controller.peers.read(|view| view.first_live("", &behind.key, now));
         if now > begun + HALF_DONE_MS && first == controller.me() {
             return controller.renew(&behind.key, RENEW_MS).await.is_some();
         }
--- a/controller/src/replication/mod.rs
+++ b/controller/src/replication/mod.rs
@@ -6,3 +6,5 @@
 pub mod reconfiguration;
 pub mod recovery;
 pub mod registers;
+pub mod replica;
+pub mod shared_state;
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -34,7 +34,7 @@
         let mut settlement = None;
         loop {
             beat.tick().await;
-            if !controller.voter.lock().expect("voter").may_vote {
+            if !controller.replica.may_vote() {
                 recovery::attempt(&controller).await;
                 continue;
             }
@@ -62,28 +62,28 @@
 /// Is this controller the one that changes the core?
 fn coordinates(controller: &Controller, core: &CoreMembership, now: u64) -> bool {
     let leaving = controller.leaving.load(Ordering::Relaxed);
-    let roster = controller.roster.lock().expect("roster");
-    first_member(core, &roster, leaving, MEMBERSHIP_KEY, now).as_deref() == Some(controller.me())
+    let first = controller.peers.read(|view| first_member(core, view, leaving, MEMBERSHIP_KEY, now));
+    first.as_deref() == Some(controller.me())
 }
 
 /// Settles a core that is changing, else begins the next change.
 async fn tend(controller: &Arc<Controller>, settlement: &mut Option<MembershipTransition>) {
     let now = clock::now();
-    let core = controller.core();
-    if core.members.is_empty() || !controller.sure(now) || !coordinates(controller, &core, now) {
+    let core = controller.replica.membership();
+    if core.members.is_empty() || !controller.committed.is_confirmed(now) || !coordinates(controller, &core, now) {
         return;
     }
     if !core.stable {
         return settle(controller, &core, settlement).await;
     }
-    let next = next(&core, &controller.roster.lock().expect("roster"), now);
+    let next = controller.peers.read(|view| next(&core, view, now));
     let Some(next) = next else { return };
     let judge = |body: &[u8]| match committed_state::read_core(body) {
         Some(held) if held.version != core.version || !held.stable => Decision::Answer(()),
         _ => Decision::Write(committed_state::write_core(&next), ()),
     };
     if controller.change(MEMBERSHIP_KEY, COMMIT_MS, judge).await.is_some() {
-        settle(controller, &controller.core(), settlement).await;
+        settle(controller, &controller.replica.membership(), settlement).await;
     }
 }
 
@@ -142,7 +142,7 @@
         let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await else { return false };
         match vote {
             ConsensusResponse::NewerMembership { membership: core } => {
-                controller.adopt(&core);
+                controller.replica.adopt_membership(&core);
                 return false;
             }
             vote => settlement.record_response(&from, &vote),
@@ -186,12 +186,11 @@
 
 fn may_be_released(controller: &Controller) -> bool {
     let now = clock::now();
-    let core = controller.core();
+    let core = controller.replica.membership();
     if !quorum::is_member(&core, controller.me()) {
         return !core.stable;
     }
-    let roster = controller.roster.lock().expect("roster");
-    !candidates(&core, &roster, now).is_empty() || core.members.len().is_multiple_of(2)
+    !controller.peers.read(|view| candidates(&core, view, now)).is_empty() || core.members.len().is_multiple_of(2)
 }
 
 #[cfg(test)]
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -4,7 +4,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::acceptor::LogRecord;
 use consensus::{quorum, RECOVERY_DELAY_MS};
 use kernel::clock;
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership};
@@ -17,7 +16,7 @@
 
 /// One attempt. It may be repeated until the voter may vote.
 pub async fn attempt(controller: &Arc<Controller>) {
-    let core = controller.core();
+    let core = controller.replica.membership();
     if clock::now() < RECOVERY_DELAY_MS || core.members.is_empty() {
         return;
     }
@@ -31,8 +30,8 @@
 
 /// Reads what the other voters hold until every quorum of the core has a voter that was read.
 async fn recall(controller: &Arc<Controller>, core: &CoreMembership) {
-    let others = controller.voter.lock().expect("voter").witnesses();
-    let enough = |from: &[String]| controller.voter.lock().expect("voter").has_enough_reads(from);
+    let others = controller.replica.witnesses();
+    let enough = |from: &[String]| controller.replica.has_enough_reads(from);
     let Some(answers) = gather(controller, core, ConsensusOperation::Snapshot, &others, enough).await else { return };
     let (mut reads, mut from) = (Vec::new(), Vec::new());
     for (address, vote) in answers {
@@ -41,17 +40,9 @@
             from.push(address);
         }
     }
-    {
-        let mut voter = controller.voter.lock().expect("voter");
-        if voter.membership.version != core.version {
-            // What was read answers for the quorums of another core.
-            return;
-        }
-        // Otherwise a newer core is on its way here.
-        let Some(records) = voter.recover(reads) else { return };
-        controller.disk.write(records);
+    if controller.replica.recover(core.version, reads) {
+        kernel::log_event!(RECALLED, "from" => from.join(","));
     }
-    kernel::log_event!(RECALLED, "from" => from.join(","));
 }
 
 /// A quorum says that this core is the current one, and this controller is neither in it nor, as long as it matters,
@@ -62,13 +53,9 @@
     if gather(controller, core, ConsensusOperation::Positions, &members, enough).await.is_none() {
         return;
     }
-    let mut voter = controller.voter.lock().expect("voter");
-    if voter.membership.version != core.version {
-        return;
+    if controller.replica.enable_voting(core.version) {
+        kernel::log_event!(FRESH, "core" => core.version);
     }
-    voter.may_vote = true;
-    controller.disk.write(vec![LogRecord::VotingEnabled]);
-    kernel::log_event!(FRESH, "core" => core.version);
 }
 
 /// Asks voters until enough of them answered what was asked. None: not in time, or the core is not current.
@@ -85,7 +72,7 @@
     while !enough(&from) {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
             (_, ConsensusResponse::NewerMembership { membership: core }) => {
-                controller.adopt(&core);
+                controller.replica.adopt_membership(&core);
                 return None;
             }
             (address, vote @ (ConsensusResponse::Snapshot { .. } | ConsensusResponse::Positions { .. })) => {
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -1,14 +1,14 @@
 //! Carrying rounds of the ledger out: to all members at once, each vote fed to the round.
 
+use std::collections::HashMap;
+use std::sync::Arc;
 use std::time::Duration;
 
 use consensus::proposal::{Progress, Proposal};
-use consensus::round::{self, Ownership};
+use consensus::round::Ownership;
 use consensus::{quorum, ROUND_TIMEOUT_MS};
 use kernel::clock::{self, Rng};
-use protocol::message::{
-    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message, ProposalNumber,
-};
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message};
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::sync::Mutex;
 use tokio::time::{self, Instant};
@@ -20,6 +20,17 @@
 /// two changes of one owner never share a place.
 pub type OwnershipLock = Mutex<Option<Ownership>>;
 
+/// What this controller owns of each key. Two keys are changed independently.
+#[derive(Default)]
+pub struct Ownerships(parking_lot::Mutex<HashMap<String, Arc<OwnershipLock>>>);
+
+impl Ownerships {
+    /// Returns the lock of one key's ownership. It may be held over an await.
+    fn lock_of(&self, key: &str) -> Arc<OwnershipLock> {
+        self.0.lock().entry(key.into()).or_default().clone()
+    }
+}
+
 pub use consensus::proposal::Decision;
 
 /// None: no clear outcome.
@@ -34,14 +45,6 @@
 type Votes = Receiver<(String, ConsensusResponse)>;
 
 impl Controller {
-    /// The own vote, given once it is on disk.
-    pub fn vote(&self, poll: ConsensusRequest, give: impl FnOnce(ConsensusResponse) + Send + 'static) {
-        let mut voter = self.voter.lock().expect("voter");
-        let (vote, records) = voter.handle(poll);
-        // Still under the lock: the order on disk is the order of the votes.
-        self.disk.then(records, move || give(vote));
-    }
-
     /// Asks some members; the votes come in as they are given.
     pub fn ask(&self, core: &CoreMembership, ask: ConsensusOperation, ips: &[String]) -> Votes {
         let (send, votes) = mpsc::channel(ips.len().max(1));
@@ -49,12 +52,12 @@
             let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
             let (send, from) = (send.clone(), ip.clone());
             if ip == self.me() {
-                self.vote(poll, move |vote| {
+                self.replica.handle(poll, move |vote| {
                     let _ = send.try_send((from, vote));
                 });
                 continue;
             }
-            let peer = self.peer(ip);
+            let peer = self.peers.client(ip);
             tokio::spawn(async move {
                 let msg = Message::ConsensusRequest(Box::new(poll));
                 let Some(Message::ConsensusResponse(vote)) = peer.call(msg, ROUND_TIMEOUT_MS).await else { return };
@@ -64,18 +67,6 @@
         votes
     }
 
-    fn seen(&self, turn: u64) {
-        let mut committed_state = self.committed_state.lock().expect("committed_state");
-        committed_state.turn = committed_state.turn.max(turn);
-    }
-
-    /// A ballot that no one used before.
-    fn next_ballot(&self, core: &CoreMembership) -> ProposalNumber {
-        let mut committed_state = self.committed_state.lock().expect("committed_state");
-        committed_state.turn = round::next_term(committed_state.turn, core);
-        ProposalNumber { term: committed_state.turn, replica_id: self.seat }
-    }
-
     /// One try: from what is held of the key to an outcome. None: no outcome in time, or overtaken.
     async fn propose<T>(
         &self,
@@ -83,12 +74,12 @@
         held: Option<Ownership>,
         judge: &mut impl FnMut(&[u8]) -> Decision<T>,
     ) -> Option<(T, Ownership, bool)> {
-        let core = self.core();
+        let core = self.replica.membership();
         if core.members.is_empty() {
             return None;
         }
         let members = quorum::addresses(&core);
-        let ballot = self.next_ballot(&core);
+        let ballot = self.committed.next_proposal_number(&core, self.seat);
         let (mut proposal, ask) = Proposal::start(key, &core, held, ballot, judge, clock::now());
         let mut votes = self.ask(&core, ask, &members);
         loop {
@@ -99,11 +90,11 @@
                 Progress::Send(ask) => votes = self.ask(&core, ask, &members),
                 Progress::Finished { answer, owner, wrote } => return Some((answer, owner, wrote)),
                 Progress::Superseded(ballot) => {
-                    self.seen(ballot.term);
+                    self.committed.observe_term(ballot.term);
                     return None;
                 }
                 Progress::NewerMembership(core) => {
-                    self.adopt(&core);
+                    self.replica.adopt_membership(&core);
                     return None;
                 }
             }
@@ -130,7 +121,7 @@
         wait_ms: u64,
         mut judge: impl FnMut(&[u8]) -> Decision<T>,
     ) -> Outcome<(T, Ownership, bool)> {
-        let own = self.ownerships.lock().expect("ownerships").entry(key.into()).or_default().clone();
+        let own = self.ownerships.lock_of(key);
         let end = Instant::now() + Duration::from_millis(wait_ms);
         let mut held = time::timeout_at(end, own.lock()).await.ok()?;
         let mut dice = Rng::new(self.life ^ clock::now());
@@ -149,7 +140,7 @@
 
     /// Commits again what a key holds, under the core of now.
     pub async fn renew(&self, key: &str, wait_ms: u64) -> Outcome<()> {
-        let own = self.ownerships.lock().expect("ownerships").entry(key.into()).or_default().clone();
+        let own = self.ownerships.lock_of(key);
         *own.lock().await = None;
         self.change(key, wait_ms, |_| Decision::Answer(())).await
     }
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -8,6 +8,7 @@
 
 use kernel::{clock, startup};
 use membership::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
+use parking_lot::Mutex;
 use protocol::message;
 
 use crate::batches::records;
@@ -40,7 +41,17 @@
 /// What this life of this controller took, by duty. Invariant: a duty is done only while the committed state names
 /// this controller under the same epoch and is confirmed.
 #[derive(Default)]
-pub struct Taken(BTreeMap<String, Tenure>);
+pub struct AcquiredRoles(Mutex<BTreeMap<String, Tenure>>);
+
+impl AcquiredRoles {
+    fn get(&self, key: &str) -> Option<Tenure> {
+        self.0.lock().get(key).copied()
+    }
+
+    fn insert(&self, key: &str, tenure: Tenure) {
+        self.0.lock().insert(key.into(), tenure);
+    }
+}
 
 /// Told beside the versions of lists: whether the teller is sure, and holders of duties that it vouches for.
 const SURE: &str = "sure";
@@ -55,7 +66,7 @@
             loop {
                 beat.tick().await;
                 let now = clock::now();
-                let sure_ms = streak.confirmed_ms(controller.sure(now), now);
+                let sure_ms = streak.confirmed_ms(controller.committed.is_confirmed(now), now);
                 tend(&controller, key, sure_ms).await;
                 if key == CATALOG {
                     open_catalog(&controller);
@@ -67,17 +78,17 @@
 
 /// The tenure under which a duty is held here, while that is confirmed.
 fn held(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
-    let committed_state = controller.committed_state.lock().expect("committed_state");
-    let (epoch, holder, _) = committed_state.duties.get(key)?;
-    let sure = committed_state.sure.is_some_and(|time| now < time + SURE_MS);
-    let tenure = controller.taken.lock().expect("taken").0.get(key).copied()?;
-    (sure && holder == controller.me() && tenure.epoch == *epoch).then_some(tenure)
+    controller.committed.read(|state| {
+        let (epoch, holder, _) = state.duties.get(key)?;
+        let tenure = controller.acquired_roles.get(key)?;
+        (state.is_confirmed(now) && holder == controller.me() && tenure.epoch == *epoch).then_some(tenure)
+    })
 }
 
 /// The epoch under which this controller may act now, where two holders may not act within a lease.
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = held(controller, key, now)?;
-    let sure_at = controller.committed_state.lock().expect("committed_state").sure?;
+    let sure_at = controller.committed.confirmed_at()?;
     let held = RoleTenure { since: tenure.since, own: tenure.own, confirmed_at: sure_at };
     let bounds = &controller.settings.bounds;
     singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
@@ -85,13 +96,7 @@
 
 /// Says in the register that the wait is over, once, before the first act.
 pub async fn declare_clear(controller: &Controller, key: &str, epoch: u64) -> bool {
-    let said = controller
-        .committed_state
-        .lock()
-        .expect("committed_state")
-        .duties
-        .get(key)
-        .is_some_and(|duty| duty.0 == epoch && duty.2);
+    let said = controller.committed.role(key).is_some_and(|duty| duty.0 == epoch && duty.2);
     if said {
         return true;
     }
@@ -109,61 +114,53 @@
 /// The catalog answers only under the epoch held; a new epoch starts with an empty one.
 fn open_catalog(controller: &Controller) {
     let epoch = held(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
-    let mut catalog = controller.catalog.lock().expect("catalog");
-    if catalog.epoch != epoch && epoch > catalog.last {
-        catalog.prefix_index.clear();
-        catalog.gauge.clear();
-        catalog.last = epoch;
-    }
-    catalog.epoch = epoch;
+    controller.catalog.open(epoch);
 }
 
 async fn tend(controller: &Arc<Controller>, key: &str, sure_ms: u64) {
     let now = clock::now();
-    if !controller.sure(now) || now < LISTEN_MS || held(controller, key, now).is_some() {
+    if !controller.committed.is_confirmed(now) || now < LISTEN_MS || held(controller, key, now).is_some() {
         return;
     }
     // Taken only once there is something to do.
-    if key == BATCH && records::ids(&controller.committed_state.lock().expect("committed_state")).is_empty() {
+    if key == BATCH && controller.committed.read(records::ids).is_empty() {
         return;
     }
-    let (epoch, holder, clear) =
-        controller.committed_state.lock().expect("committed_state").duties.get(key).cloned().unwrap_or_default();
+    let (epoch, holder, clear) = controller.committed.role(key).unwrap_or_default();
     if !may_take(controller, key, &holder, sure_ms) {
         return;
     }
     // Only an earlier life that had waited: one that had not may stand between two that acted.
-    let first = !controller.taken.lock().expect("taken").0.contains_key(key);
+    let first = controller.acquired_roles.get(key).is_none();
     let own = holder.is_empty() || (first && holder == controller.me() && clear);
     let Some(epoch) = take(controller, key, epoch, own).await else { return };
     let tenure = Tenure { epoch, since: clock::now(), own };
-    controller.taken.lock().expect("taken").0.insert(key.into(), tenure);
+    controller.acquired_roles.insert(key, tenure);
     controller.metrics.duties_taken.inc();
     kernel::log_event!(DUTY, "duty" => key, "epoch" => epoch);
 }
 
 fn may_take(controller: &Controller, key: &str, holder: &str, sure_ms: u64) -> bool {
     let now = clock::now();
-    let roster = controller.roster.lock().expect("roster");
-    singleton_role::may_acquire(RoleView {
-        me: controller.me(),
-        holder,
-        unavailable_ms: roster.unavailable_ms(holder, now).min(sure_ms),
-        first: roster.first_confirmed(key, now).as_deref() == Some(controller.me()),
-        lease_ms: controller.settings.bounds.lease_ms,
+    controller.peers.read(|view| {
+        singleton_role::may_acquire(RoleView {
+            me: controller.me(),
+            holder,
+            unavailable_ms: view.unavailable_ms(holder, now).min(sure_ms),
+            first: view.first_confirmed(key, now).as_deref() == Some(controller.me()),
+            lease_ms: controller.settings.bounds.lease_ms,
+        })
     })
 }
 
 /// What peers are told about who can do a duty.
 pub fn told(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
-    let holders: BTreeSet<String> = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        committed_state.duties.values().map(|(_, holder, _)| holder.clone()).collect()
-    };
-    let sure = controller.sure(now);
-    let roster = controller.roster.lock().expect("roster");
-    let vouched = holders.into_iter().filter(|ip| *ip != roster.own_ip && roster.confirms(ip, now));
-    let vouched = vouched.map(|ip| (message::hidden_key(&format!("{VOUCH}{ip}")), 1, 0));
+    let holders: BTreeSet<String> = controller.committed.roles().into_values().map(|(_, holder, _)| holder).collect();
+    let sure = controller.committed.is_confirmed(now);
+    let vouched: Vec<String> = controller
+        .peers
+        .read(|view| holders.into_iter().filter(|ip| *ip != view.own_ip && view.confirms(ip, now)).collect());
+    let vouched = vouched.into_iter().map(|ip| (message::hidden_key(&format!("{VOUCH}{ip}")), 1, 0));
     iter::once((message::hidden_key(SURE), u64::from(sure), 0)).chain(vouched).collect()
 }
 
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -7,13 +7,15 @@
 use std::sync::Arc;
 
 use kernel::{clock, startup};
+use parking_lot::Mutex;
 use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
-use crate::controller::{CommittedState, Controller};
+use crate::controller::Controller;
 use crate::delivery::subscribers::Follower;
 use crate::event::VERSION_STEP;
+use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
 
 /// How often samples are passed on and judged.
@@ -32,12 +34,15 @@
 
 /// All trials, and samples that other controllers have not heard yet.
 #[derive(Default)]
-pub struct Trials {
+pub struct Trials(Mutex<TrialTable>);
+
+#[derive(Default)]
+struct TrialTable {
     trials: BTreeMap<String, Trial>,
     untold: Vec<Samples>,
 }
 
-impl Trials {
+impl TrialTable {
     fn trial(&mut self, rollout: &VersionRollout, now: u64) -> &mut Trial {
         let fresh = || Trial { order: rollout.order, judge: Judge::new(now), number: rollout.number, since: now };
         let trial = self.trials.entry(rollout.service.clone()).or_insert_with(fresh);
@@ -68,10 +73,10 @@
 
 /// Takes samples from a router or from another controller.
 pub fn take_samples(controller: &Controller, samples: Samples) {
-    let rollout = controller.committed_state.lock().expect("committed_state").rollouts.get(&samples.service).cloned();
+    let rollout = controller.committed.version_rollout(&samples.service);
     let Some(rollout) = rollout.filter(|rollout| rollout.order == samples.order) else { return };
     let now = clock::now();
-    let mut trials = controller.trials.lock().expect("trials");
+    let mut trials = controller.trials.0.lock();
     let trial = trials.trial(&rollout, now);
     for one in &samples.list {
         let arm = if one.is_candidate { Arm::Candidate } else { Arm::Stable };
@@ -102,22 +107,19 @@
 }
 
 fn active(controller: &Controller) -> Vec<VersionRollout> {
-    let committed_state = controller.committed_state.lock().expect("committed_state");
-    let active = committed_state.rollouts.values().filter(|rollout| rollout.state == RolloutState::Active);
-    active.cloned().collect()
+    let rollouts = controller.committed.version_rollouts().into_values();
+    rollouts.filter(|rollout| rollout.state == RolloutState::Active).collect()
 }
 
 /// Tells the other controllers what this one's routers saw.
 fn tell(controller: &Controller) {
-    let untold = mem::take(&mut controller.trials.lock().expect("trials").untold);
+    let untold = mem::take(&mut controller.trials.0.lock().untold);
     if untold.is_empty() {
         return;
     }
     let merged = merge(untold);
-    for ip in controller.known() {
-        for samples in &merged {
-            controller.peer(&ip).notify(Message::Samples(Box::new(samples.clone())));
-        }
+    for samples in merged {
+        controller.notify_peers(&Message::Samples(Box::new(samples)));
     }
 }
 
@@ -150,7 +152,7 @@
 async fn look(controller: &Arc<Controller>, rollout: &VersionRollout) {
     let now = clock::now();
     let (finding, since) = {
-        let mut trials = controller.trials.lock().expect("trials");
+        let mut trials = controller.trials.0.lock();
         let trial = trials.trial(rollout, now);
         (trial.judge.finding(), trial.since)
     };
@@ -170,11 +172,10 @@
 
 /// Is this controller the one that judges a service's rollout?
 fn judges(controller: &Controller, service: &str, now: u64) -> bool {
-    if !controller.sure(now) || controller.leaving.load(Ordering::Relaxed) {
+    if !controller.committed.is_confirmed(now) || controller.leaving.load(Ordering::Relaxed) {
         return false;
     }
-    let roster = controller.roster.lock().expect("roster");
-    roster.first_confirmed(&VersionRollout::key(service), now).as_deref() == Some(controller.me())
+    controller.peers.is_first_confirmed(&VersionRollout::key(service), now)
 }
 
 /// The record after a step. None: nothing changes.
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -2,10 +2,9 @@
 
 use std::path::Path;
 use std::process;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
-use catalog::prefix_index::PrefixIndex;
 use consensus::acceptor::Acceptor;
 use kernel::clock;
 use kernel::plugin::{self, Plugin};
@@ -15,19 +14,20 @@
 use protocol::link::{self, Handler};
 use protocol::message::{CoreMembership, Member};
 use protocol::socket;
-use tokio::sync::Semaphore;
 use tokio::time;
 
 use crate::api::routes;
 use crate::batches::runner;
-use crate::controller::{Catalog, Controller, LIVE_MS};
+use crate::controller::{Controller, LIVE_MS};
 use crate::discovery::poller;
 use crate::event::{BAD_DISK, GONE, LEAVE, START};
 use crate::metrics::Metrics;
+use crate::peers::directory::Peers;
 use crate::peers::{dispatch, gossip, pause};
-use crate::quota_shards::HeldShards;
+use crate::quota_shards::QuotaShards;
 use crate::replication::disk::{self, Disk};
 use crate::replication::reconfiguration;
+use crate::replication::replica::Replica;
 use crate::{balancing, roles, shutdown};
 
 /// The parts of the controller that announce themselves.
@@ -109,27 +109,20 @@
     let metrics = Metrics::default();
     let disk = Disk::start(store, mirror, metrics.disk_write.clone());
     disk.write(first);
-    let prefix_index = PrefixIndex::new(200_000, 30_000);
     let controller = Arc::new(Controller {
         life,
         seat: consensus::replica_id(&settings.ip, life),
-        voter: Mutex::new(voter),
-        disk,
-        committed_state: Default::default(),
-        roster: Mutex::new(MembershipView::new(&settings.ip, &settings.zone, LIVE_MS)),
-        sheets: Default::default(),
-        weights: Default::default(),
-        followers: Default::default(),
-        catalog: Mutex::new(Catalog { prefix_index, gauge: Default::default(), epoch: 0, last: 0, drops: 0 }),
+        replica: Replica::new(voter, disk),
+        committed: Default::default(),
         ownerships: Default::default(),
-        calls: Default::default(),
-        taken: Default::default(),
+        peers: Peers::new(settings.peer_port(), MembershipView::new(&settings.ip, &settings.zone, LIVE_MS)),
+        engines: Default::default(),
+        subscribers: Default::default(),
+        catalog: Default::default(),
+        acquired_roles: Default::default(),
         tallies: Default::default(),
-        polls: Semaphore::new(1),
         trials: Default::default(),
-        first_versions: Default::default(),
-        quotas: Mutex::new(HeldShards::new(&settings.ip)),
-        pauses: Default::default(),
+        quotas: QuotaShards::new(&settings.ip),
         leaving: Default::default(),
         shutdown: Default::default(),
         metrics,
