--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use load_balancing::sheet::Sheets;
+use load_balancing::endpoint_lists::EndpointLists;
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
 use protocol::message::{StalenessLimit, WeightVersions, ROLLOUT};
@@ -82,7 +82,7 @@
     }
 }
 
-fn replicas(sheets: &Sheets, weights: &BTreeMap<String, WeightVersions>, rule: &StalenessLimit) -> Value {
+fn replicas(sheets: &EndpointLists, weights: &BTreeMap<String, WeightVersions>, rule: &StalenessLimit) -> Value {
     let versions: HashMap<&str, u64> = weights
         .values()
         .flat_map(|list| &list.list)
@@ -90,7 +90,7 @@
         .map(|(id, _, version)| (id.as_str(), *version))
         .collect();
     let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
-    let engines = sheets.all().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
+    let engines = sheets.iter().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
     for engine in engines.filter(|engine| engine.up) {
         let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
         let place = match versions.get(engine.id.as_str()) {
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -18,7 +18,7 @@
         let now = clock::now();
         let until = now + ROUTER_LEASE_MS;
         self.peers.update(|view| view.renew_lease(&follow.node, until, follow.in_flight, follow.frontend_address));
-        self.engines.update(|lists| lists.raise(&follow.list_versions));
+        self.engines.update(|lists| lists.observe_terms(&follow.list_versions));
         let mut follower = Follower {
             rules: limit_confirmations::told(&follow.evacuation_versions),
             until,
@@ -89,7 +89,7 @@
 
     fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
         self.engines.read(|lists| {
-            for sheet in lists.all() {
+            for sheet in lists.iter() {
                 if message::is_hidden_key(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
                     continue;
                 }
--- a/controller/src/discovery/engine_directory.rs
+++ b/controller/src/discovery/engine_directory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use load_balancing::sheet::{Known, Sheets};
+use load_balancing::endpoint_lists::{EndpointLists, ObservedVersion};
 use parking_lot::Mutex;
 use protocol::message::{EndpointList, WeightVersions};
 use protocol::version_rollout::VersionRollout;
@@ -14,7 +14,7 @@
 ///
 /// Lock order: endpoint lists, weight versions. The first versions are locked without another.
 pub struct EngineDirectory {
-    endpoint_lists: Mutex<Sheets>,
+    endpoint_lists: Mutex<EndpointLists>,
     /// By zone, kept only while there are limits on stale weights.
     weight_versions: Mutex<BTreeMap<String, WeightVersions>>,
     /// The version of each service that was there before any rollout.
@@ -36,27 +36,27 @@
 
 impl EngineDirectory {
     /// Returns what `read` makes of the endpoint lists of one moment.
-    pub fn read<T>(&self, read: impl FnOnce(&Sheets) -> T) -> T {
+    pub fn read<T>(&self, read: impl FnOnce(&EndpointLists) -> T) -> T {
         read(&self.endpoint_lists.lock())
     }
 
     /// Changes the endpoint lists under their lock.
-    pub fn update<T>(&self, update: impl FnOnce(&mut Sheets) -> T) -> T {
+    pub fn update<T>(&self, update: impl FnOnce(&mut EndpointLists) -> T) -> T {
         update(&mut self.endpoint_lists.lock())
     }
 
     /// Takes over a peer's endpoint list. Returns false where it is not newer than the one known.
     pub fn accept(&self, list: &EndpointList) -> bool {
-        self.endpoint_lists.lock().take(list)
+        self.endpoint_lists.lock().update(list)
     }
 
     /// Returns which list of a zone is known, to be compared after a poll.
-    pub fn known_list(&self, zone: &str) -> Known {
-        self.endpoint_lists.lock().known(zone)
+    pub fn known_list(&self, zone: &str) -> ObservedVersion {
+        self.endpoint_lists.lock().observed_version(zone)
     }
 
     /// Returns what `read` makes of the endpoint lists and the weight versions by zone of one moment.
-    pub fn read_with_weights<T>(&self, read: impl FnOnce(&Sheets, &BTreeMap<String, WeightVersions>) -> T) -> T {
+    pub fn read_with_weights<T>(&self, read: impl FnOnce(&EndpointLists, &BTreeMap<String, WeightVersions>) -> T) -> T {
         let endpoint_lists = self.endpoint_lists.lock();
         let weight_versions = self.weight_versions.lock();
         read(&endpoint_lists, &weight_versions)
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -5,7 +5,7 @@
 
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::sheet::{self, Sheets};
+use load_balancing::endpoint_lists::{self, EndpointLists};
 use membership::PeerReport;
 use protocol::message::{self, EndpointList, Engine, Gossip, Message};
 use protocol::version_rollout;
@@ -137,10 +137,10 @@
 fn take(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
     let parted = version_lists::part(controller, listing.engines);
     let made = controller.engines.update(|sheets| {
-        if sheets.known(zone) != listing.known {
+        if sheets.observed_version(zone) != listing.known {
             return None;
         }
-        let sheet = sheets.poll(zone, turn, controller.seat, parted.stable, listing.known);
+        let sheet = sheets.publish(zone, turn, controller.seat, parted.stable, listing.known);
         Some((sheet, candidate_sheet(controller, sheets, zone, parted.candidates)))
     });
     let Some((sheet, candidates)) = made else { return };
@@ -156,21 +156,21 @@
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
 fn candidate_sheet(
     controller: &Controller,
-    sheets: &mut Sheets,
+    sheets: &mut EndpointLists,
     zone: &str,
     list: Vec<Engine>,
 ) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
-    let held = sheets.all().find(|sheet| sheet.zone == name);
+    let held = sheets.iter().find(|sheet| sheet.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.engines.is_empty()) {
         return None;
     }
     let mut turn = held.map_or(0, |held| held.term);
-    let known = sheets.known(&name);
-    if turn != 0 && !sheet::is_turn_of(turn, controller.seat) {
+    let known = sheets.observed_version(&name);
+    if turn != 0 && !endpoint_lists::is_term_of(turn, controller.seat) {
         turn = 0;
     }
-    sheets.poll(&name, &mut turn, controller.seat, list, known)
+    sheets.publish(&name, &mut turn, controller.seat, list, known)
 }
 
 async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -42,8 +42,8 @@
     });
     // Repair: who is behind gets what it lacks.
     let newer = controller.engines.update(|lists| {
-        lists.raise(&gossip.observed_list_versions);
-        lists.newer(&gossip.list_versions)
+        lists.observe_terms(&gossip.observed_list_versions);
+        lists.newer_than(&gossip.list_versions)
     });
     for list in newer {
         controller.peers.client(&gossip.ip).notify(Message::EndpointList(Box::new(list)));
@@ -75,7 +75,7 @@
         let router_count = view.routers.len() as u32;
         (live, router_count, view.own_in_flight(), view.own_reassigning(now), view.own_frontend_addresses())
     });
-    let (mut sheets, floors) = controller.engines.read(|lists| (lists.versions(), lists.floors()));
+    let (mut sheets, floors) = controller.engines.read(|lists| (lists.versions(), lists.observed_terms()));
     sheets.push(message::own_protocol_version());
     if controller.leaving.load(Ordering::Relaxed) {
         sheets.push(message::shutting_down_marker());
--- a/controller/src/prefix_catalog.rs
+++ b/controller/src/prefix_catalog.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use catalog::gauge::Gauge;
+use catalog::load_table::LoadTable;
 use catalog::prefix_index::PrefixIndex;
 use kernel::clock;
 use parking_lot::Mutex;
@@ -20,7 +20,7 @@
 
 struct CatalogState {
     prefix_index: PrefixIndex,
-    gauge: Gauge,
+    load_table: LoadTable,
     /// The epoch under which it answers now; 0: under none.
     epoch: u64,
     /// The last epoch under which it answered.
@@ -33,7 +33,7 @@
     fn default() -> PrefixCatalog {
         PrefixCatalog(Mutex::new(CatalogState {
             prefix_index: PrefixIndex::new(CAPACITY, STALE_MS),
-            gauge: Gauge::default(),
+            load_table: LoadTable::default(),
             epoch: 0,
             last_epoch: 0,
             dropped_registrations: 0,
@@ -47,7 +47,7 @@
         let mut catalog = self.0.lock();
         if catalog.epoch != epoch && epoch > catalog.last_epoch {
             catalog.prefix_index.clear();
-            catalog.gauge.clear();
+            catalog.load_table.clear();
             catalog.last_epoch = epoch;
         }
         catalog.epoch = epoch;
@@ -63,7 +63,7 @@
             engine_hashes.extend(lookup.sample.iter().take(MAX_ITEMS));
             engine_hashes.sort_unstable();
             engine_hashes.dedup();
-            list = catalog.gauge.tell(engine_hashes.into_iter(), now);
+            list = catalog.load_table.loads(engine_hashes.into_iter(), now);
         }
         PrefixLookupResponse { epoch: catalog.epoch, owners, list }
     }
@@ -92,7 +92,7 @@
     /// Notes the loads that engines reported.
     pub fn record_loads(&self, loads: &[EngineLoad], now: u64) {
         let mut catalog = self.0.lock();
-        loads.iter().take(MAX_ITEMS).for_each(|load| catalog.gauge.note(load, now));
+        loads.iter().take(MAX_ITEMS).for_each(|load| catalog.load_table.record(load, now));
     }
 
     /// Returns the epoch and how many registrations were dropped since the last flush; under another epoch `dropped`.
@@ -109,7 +109,7 @@
     pub fn remove_draining(&self, list: &EndpointList) {
         let mut catalog = self.0.lock();
         for engine in list.engines.iter().filter(|engine| !engine.up) {
-            catalog.prefix_index.drop_engine(&engine.id);
+            catalog.prefix_index.remove_engine(&engine.id);
         }
     }
 }
@@ -120,6 +120,6 @@
     }
 
     fn find_all(&self, keys: &[u64], now: u64) -> Vec<Vec<String>> {
-        keys.iter().take(MAX_ITEMS).map(|key| self.prefix_index.find(*key, now)).collect()
+        keys.iter().take(MAX_ITEMS).map(|key| self.prefix_index.owners(*key, now)).collect()
     }
 }
--- a/router/src/send.rs
+++ b/router/src/proxy/send.rs
@@ -9,18 +9,18 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use kernel::clock;
-use load_balancing::floor::Limit;
+use load_balancing::staleness_bound::StalenessBound;
 use protocol::headers::{
     EXPECTED_VERSION, KV_SOURCE, LAST_EVENT_ID, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET, URGENCY_CLASS,
 };
 use tokio::time::{self, Instant};
 
 use crate::event::MISFIT;
-use crate::kv_handle::Handle;
-use crate::pool::{self, Connection, Endpoint, SendError};
-use crate::request;
+use crate::frontend::request;
+use crate::kv::handle::Handle;
+use crate::proxy::response_head::{self, Asked, Verdict};
 use crate::state::State;
-use crate::verdict::{self, Asked, Verdict};
+use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
 
 pub struct Answer {
     pub head: Parts,
@@ -69,11 +69,11 @@
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
 fn holds(state: &State, service: u32, model: &str, extra: &Extra) -> bool {
     let Some(route) = &extra.guard else { return true };
-    let limit = state.floors.lock().expect("floors").limit(service, model, route, clock::now());
+    let limit = state.floors.lock().bound_for(service, model, route, clock::now());
     match limit {
-        Limit::Free => true,
-        Limit::From(floor) => extra.expect.is_some_and(|version| version >= floor),
-        Limit::Lapsed => false,
+        StalenessBound::Unbounded => true,
+        StalenessBound::AtLeast(floor) => extra.expect.is_some_and(|version| version >= floor),
+        StalenessBound::LeaseExpired => false,
     }
 }
 
@@ -158,7 +158,7 @@
 /// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
 async fn judged(state: &State, request: &request::Request, to: &Endpoint, extra: &Extra, answer: Answer) -> Outcome {
     let asked = Asked { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
-    let outcome = match verdict::judge(&answer.head, &asked) {
+    let outcome = match response_head::judge(&answer.head, &asked) {
         Verdict::Executed => return Outcome::Answer(Box::new(answer)),
         Verdict::Foreign => {
             let status = answer.head.status.as_u16();
@@ -200,12 +200,12 @@
 
 /// A connection whose answer was read to its end.
 pub async fn give_back(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if pool::closes(head) {
+    if connection_pool::closes(head) {
         return;
     }
     let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.pools.put(to, connection, pool::keep(head));
+        state.pools.put(to, connection, connection_pool::keep(head));
     }
 }
 
@@ -228,7 +228,7 @@
     let wait = Duration::from_millis(500);
     let Ok(Ok(reply)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
     let (head, body) = reply.into_parts();
-    if !verdict::answers(&head.headers, None) {
+    if !response_head::answers(&head.headers, None) {
         // Another outgoing's: the answer to this one would be the next that comes.
         return;
     }
