--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use protocol::message::{
-    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, ProposalNumber,
-    RegisterState,
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Member,
+    ProposalNumber, RegisterState,
 };
 
 use crate::{core_body, quorum, MEMBERSHIP_KEY};
@@ -94,9 +94,9 @@
         (vote, records)
     }
 
-    pub fn positions(&self) -> Vec<(String, ProposalNumber, u64)> {
+    pub fn positions(&self) -> Vec<KeyPosition> {
         let held = self.registers.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
-        held.map(|(slot, entry)| (slot.key.clone(), entry.proposal_number, entry.index)).collect()
+        held.map(|(slot, entry)| KeyPosition { key: slot.key.clone(), position: entry.position() }).collect()
     }
 
     fn slot(&mut self, key: &str) -> &mut RegisterState {
--- a/consensus/src/acceptor_tests.rs
+++ b/consensus/src/acceptor_tests.rs
@@ -1,8 +1,8 @@
 //! Voters that changes of the members concern.
 
 use protocol::message::{
-    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, ProposalNumber,
-    RegisterState,
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Member, Position,
+    ProposalNumber, RegisterState,
 };
 
 use super::{Acceptor, LogRecord};
@@ -61,7 +61,8 @@
     let mut leaving = voter(3);
     accept(&mut leaving, four(), KEY, b"x".to_vec());
     let (vote, _) = leaving.handle(ConsensusRequest { membership: three(), operation: ConsensusOperation::Positions });
-    assert_eq!(vote, ConsensusResponse::Positions { list: vec![(KEY.into(), entry(Vec::new()).proposal_number, 1)] });
+    let position = Position { proposal_number: entry(Vec::new()).proposal_number, index: 1 };
+    assert_eq!(vote, ConsensusResponse::Positions { list: vec![KeyPosition { key: KEY.into(), position }] });
     let (vote, _) = leaving.handle(ConsensusRequest {
         membership: three(),
         operation: ConsensusOperation::Prepare { key: KEY.into(), ballot: ProposalNumber::default() },
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -3,13 +3,10 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use protocol::message::{CoreMembership, Entry, ProposalNumber};
+use protocol::message::{CoreMembership, Entry, KeyPosition, Position};
 
 use crate::quorum;
 
-/// The position of an entry in the history of its key.
-pub type Position = (ProposalNumber, u64);
-
 /// How one key stands after a read at a quorum.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleKey {
@@ -24,20 +21,28 @@
 pub struct Confirmation {
     core: CoreMembership,
     responders: Vec<String>,
-    reported: Vec<(String, String, Position)>,
+    reports: Vec<Report>,
+}
+
+/// What one acceptor holds of one key.
+struct Report {
+    from: String,
+    key: String,
+    position: Position,
 }
 
 impl Confirmation {
     pub fn new(core: &CoreMembership) -> Confirmation {
-        Confirmation { core: core.clone(), responders: Vec::new(), reported: Vec::new() }
+        Confirmation { core: core.clone(), responders: Vec::new(), reports: Vec::new() }
     }
 
-    pub fn record(&mut self, from: &str, places: Vec<(String, ProposalNumber, u64)>) {
+    pub fn record(&mut self, from: &str, positions: Vec<KeyPosition>) {
         if self.responders.iter().any(|known| known == from) {
             return;
         }
         self.responders.push(from.into());
-        self.reported.extend(places.into_iter().map(|(key, ballot, step)| (from.to_string(), key, (ballot, step))));
+        let report = |KeyPosition { key, position }| Report { from: from.into(), key, position };
+        self.reports.extend(positions.into_iter().map(report));
     }
 
     pub fn is_quorum(&self) -> bool {
@@ -46,20 +51,20 @@
 
     /// The keys of which a voter holds something newer than what `known` says is committed.
     pub fn stale_keys(&self, known: impl Fn(&str) -> Option<Position>) -> Vec<StaleKey> {
-        let mut top: BTreeMap<&str, Position> = Default::default();
-        for (_, key, place) in &self.reported {
-            let held = top.entry(key).or_default();
-            *held = (*held).max(*place);
+        let mut newest: BTreeMap<&str, Position> = BTreeMap::new();
+        for report in &self.reports {
+            let position = newest.entry(&report.key).or_default();
+            *position = (*position).max(report.position);
         }
-        let newer = top.into_iter().filter(|(key, place)| known(key) < Some(*place));
+        let newer = newest.into_iter().filter(|(key, place)| known(key) < Some(*place));
         newer
             .map(|(key, place)| StaleKey { key: key.into(), place, is_committed: self.is_committed(key, place) })
             .collect()
     }
 
     fn is_committed(&self, key: &str, place: Position) -> bool {
-        let holds = self.reported.iter().filter(|(_, name, held)| name == key && *held == place);
-        let holders: Vec<String> = holds.map(|(from, _, _)| from.clone()).collect();
+        let same = self.reports.iter().filter(|report| report.key == key && report.position == place);
+        let holders: Vec<String> = same.map(|report| report.from.clone()).collect();
         quorum::is_quorum(&self.core, &holders)
     }
 }
--- a/consensus/src/confirmation_tests.rs
+++ b/consensus/src/confirmation_tests.rs
@@ -1,6 +1,6 @@
 //! What a read at a quorum says about the state known here.
 use super::{newest_committed, Confirmation, StaleKey};
-use protocol::message::{CoreMembership, Entry, Member, ProposalNumber};
+use protocol::message::{CoreMembership, Entry, KeyPosition, Member, Position, ProposalNumber};
 
 fn core(size: usize) -> CoreMembership {
     let list = (0..size).map(|at| Member { ip: format!("m{at}"), zone: String::new() }).collect();
@@ -15,8 +15,14 @@
     Entry { proposal_number: ballot(turn), index: step, body: vec![step as u8] }
 }
 
-fn places(list: &[(&str, u64, u64)]) -> Vec<(String, ProposalNumber, u64)> {
-    list.iter().map(|(key, turn, step)| (key.to_string(), ballot(*turn), *step)).collect()
+fn position(term: u64, index: u64) -> Position {
+    Position { proposal_number: ballot(term), index }
+}
+
+fn places(list: &[(&str, u64, u64)]) -> Vec<KeyPosition> {
+    let named =
+        |(key, term, index): &(&str, u64, u64)| KeyPosition { key: key.to_string(), position: position(*term, *index) };
+    list.iter().map(named).collect()
 }
 
 #[test]
@@ -34,11 +40,11 @@
     let mut confirmation = Confirmation::new(&core(3));
     confirmation.record("m0", places(&[("config", 2, 7), ("evacuation/z", 1, 1)]));
     confirmation.record("m1", places(&[("config", 2, 7), ("evacuation/z", 1, 2)]));
-    let known = |key: &str| (key == "config").then_some((ballot(2), 6));
+    let known = |key: &str| (key == "config").then_some(position(2, 6));
     let behind = confirmation.stale_keys(known);
     let expected = [
-        StaleKey { key: "config".into(), place: (ballot(2), 7), is_committed: true },
-        StaleKey { key: "evacuation/z".into(), place: (ballot(1), 2), is_committed: false },
+        StaleKey { key: "config".into(), place: position(2, 7), is_committed: true },
+        StaleKey { key: "evacuation/z".into(), place: position(1, 2), is_committed: false },
     ];
     assert_eq!(behind, expected);
 }
@@ -48,7 +54,7 @@
     let mut confirmation = Confirmation::new(&core(3));
     confirmation.record("m0", places(&[("config", 2, 7)]));
     confirmation.record("m1", places(&[("config", 2, 6)]));
-    assert!(confirmation.stale_keys(|_| Some((ballot(2), 7))).is_empty());
+    assert!(confirmation.stale_keys(|_| Some(position(2, 7))).is_empty());
 }
 
 #[test]
--- a/consensus/src/model/action.rs
+++ b/consensus/src/model/action.rs
@@ -1,6 +1,6 @@
 //! What may happen next.
 
-use protocol::message::ProposalNumber;
+use protocol::message::Position;
 
 use super::explore::Step;
 use super::machines::MachineSet;
@@ -19,7 +19,7 @@
     /// A proposer counts the votes of these machines, which are a quorum.
     Count { proposer: usize, machines: MachineSet },
     /// A poll of a round long over reaches a voter.
-    DeliverLate { place: (ProposalNumber, u64), machine: usize },
+    DeliverLate { place: Position, machine: usize },
     /// A proposer loses its memory and begins a new life.
     Restart { proposer: usize },
     /// A coordinator hears of the newest core.
--- a/consensus/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -5,7 +5,8 @@
 //! any quorum that answers. What comes of it is explored in full: who knows of the change, and the keys.
 
 use protocol::message::{
-    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, ProposalNumber, RegisterState,
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Position,
+    ProposalNumber, RegisterState,
 };
 
 use super::action::{Action, Successor};
@@ -160,7 +161,8 @@
 
 /// A settlement cares for the keys and not for their places, and always for the key of the core: states that
 /// differ only in these are one.
-fn keys_only(list: &[(String, ProposalNumber, u64)]) -> ConsensusResponse {
-    let keys = list.iter().map(|(key, _, _)| key).filter(|key| *key != MEMBERSHIP_KEY);
-    ConsensusResponse::Positions { list: keys.map(|key| (key.clone(), ProposalNumber::default(), 0)).collect() }
+fn keys_only(list: &[KeyPosition]) -> ConsensusResponse {
+    let keys = list.iter().map(|held| &held.key).filter(|key| *key != MEMBERSHIP_KEY);
+    let named = |key: &String| KeyPosition { key: key.clone(), position: Position::default() };
+    ConsensusResponse::Positions { list: keys.map(named).collect() }
 }
--- a/consensus/src/model/ending.rs
+++ b/consensus/src/model/ending.rs
@@ -3,7 +3,7 @@
 use super::scenario::Defect;
 use super::state::{Proposer, State, Task};
 use super::{Model, KEY};
-use protocol::message::{ConsensusOperation, ConsensusRequest, Entry, ProposalNumber};
+use protocol::message::{ConsensusOperation, ConsensusRequest, Position, ProposalNumber};
 
 impl Model {
     /// A proposer loses what it has in memory. What it knows of the core may be old, too.
@@ -51,9 +51,9 @@
     }
 }
 
-fn accepted_place(poll: &ConsensusRequest) -> Option<(ProposalNumber, u64)> {
+fn accepted_place(poll: &ConsensusRequest) -> Option<Position> {
     match &poll.operation {
-        ConsensusOperation::Accept { entry, .. } => Some(Entry::position(entry)),
+        ConsensusOperation::Accept { entry, .. } => Some(entry.position()),
         _ => None,
     }
 }
--- a/consensus/src/model/violation.rs
+++ b/consensus/src/model/violation.rs
@@ -1,11 +1,11 @@
 //! What an exploration may find.
-use protocol::message::ProposalNumber;
+use protocol::message::{Position, ProposalNumber};
 
 /// A state or an action that must not be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Two bodies at one place of the history.
-    TwoValues { place: (ProposalNumber, u64), bodies: [Vec<u8>; 2] },
+    TwoValues { place: Position, bodies: [Vec<u8>; 2] },
     /// Two owners act under one ballot.
     TwoOwners { ballot: ProposalNumber },
     /// What was acknowledged is not part of what a later quorum read returns.
--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -116,7 +116,7 @@
     /// count: what only it and others out of touch hold would not be committed again.
     pub fn record_response(&mut self, from: &str, vote: &ConsensusResponse) {
         if let ConsensusResponse::Positions { list } = vote {
-            self.hear(from, list.iter().map(|(key, _, _)| key.clone()));
+            self.hear(from, list.iter().map(|held| held.key.clone()));
         }
     }
 
--- a/consensus/src/reconfiguration_tests.rs
+++ b/consensus/src/reconfiguration_tests.rs
@@ -1,6 +1,6 @@
 //! Which members a core gets next, and when a change of it is settled.
 use super::{next_membership, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
-use protocol::message::{ConsensusResponse, CoreMembership, Member, ProposalNumber};
+use protocol::message::{ConsensusResponse, CoreMembership, KeyPosition, Member, Position};
 
 const LIVE: Health = Health { silent_ms: 100, live: true, shutting_down: false };
 const SILENT: Health = Health { silent_ms: MEMBER_TIMEOUT_MS + 1, live: false, shutting_down: false };
@@ -110,7 +110,7 @@
 /// A voter's answer to a spread: the keys that it holds.
 fn places(keys: &[&str]) -> ConsensusResponse {
     ConsensusResponse::Positions {
-        list: keys.iter().map(|key| (key.to_string(), ProposalNumber::default(), 0)).collect(),
+        list: keys.iter().map(|key| KeyPosition { key: key.to_string(), position: Position::default() }).collect(),
     }
 }
 
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -5,7 +5,7 @@
 
 use consensus::proposal::Decision;
 use protocol::config::Checked;
-use protocol::message::{Entry, Message, DIGESTED_BODIES, RELAYED_ORDERS};
+use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use crate::config_body::{body_digest, BodyForm, Held};
@@ -91,11 +91,11 @@
 }
 
 fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> CommittedDelta {
-    let (ballot, place) = entry.position();
+    let Position { proposal_number, index } = entry.position();
     CommittedDelta {
         key: CONFIG.into(),
-        proposal_number: ballot,
-        index: place,
+        proposal_number,
+        index,
         before: step.before,
         after: body_digest(&entry.body),
         change: Some(change.clone()),
@@ -126,13 +126,13 @@
 /// The same body was committed again, by a read or under a changed core: those that hold it need only its place.
 pub fn tell_again(controller: &Controller, key: &str, entry: &Entry) {
     controller.learn(key, entry, false);
-    let (ballot, step) = entry.position();
+    let Position { proposal_number, index } = entry.position();
     let digest = body_digest(&entry.body);
     let (before, after) = (digest, digest);
     let advance = CommittedDelta {
         key: key.into(),
-        proposal_number: ballot,
-        index: step,
+        proposal_number,
+        index,
         before,
         after,
         change: None,
@@ -149,7 +149,8 @@
         let committed_state = controller.committed_state.lock().expect("committed_state");
         (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
     };
-    let Some(held) = held.filter(|held| held.position() < (advance.proposal_number, advance.index)) else { return };
+    let position = Position { proposal_number: advance.proposal_number, index: advance.index };
+    let Some(held) = held.filter(|held| held.position() < position) else { return };
     let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
     match next_body(&held.body, known.as_deref(), advance) {
         Some((body, Some(checked))) => controller.learn_config(&entry(body), checked),
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::confirmation::{self, Confirmation, Position, StaleKey};
+use consensus::confirmation::{self, Confirmation, StaleKey};
 use consensus::quorum;
 use kernel::clock;
-use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, Position};
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -15,7 +15,7 @@
 use load_balancing::sheet::Sheets;
 use membership::MembershipView;
 use protocol::link::PeerClient;
-use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit, WeightVersions};
+use protocol::message::{CoreMembership, Entry, Position, StalenessLimit, WeightVersions};
 use protocol::version_rollout::VersionRollout;
 use tokio::sync::Semaphore;
 
@@ -77,7 +77,7 @@
     pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
-    pub unreadable: Option<(ProposalNumber, u64)>,
+    pub unreadable: Option<Position>,
     /// The evacuations with their versions.
     pub closed: BTreeMap<String, (u64, bool)>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -3,11 +3,10 @@
 use std::collections::BTreeMap;
 
 use consensus::acceptor::{Acceptor, LogRecord};
-use consensus::confirmation::Position;
 use consensus::round::Ownership;
 use consensus::MEMBERSHIP_KEY;
 use membership::MembershipView;
-use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member};
+use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, Position};
 
 use super::changes::Change;
 use super::confirming::Confirming;
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -8,7 +8,9 @@
 use kernel::clock::{self, Rng};
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
-use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
+use protocol::message::{
+    CoreMembership, Entry, KeyPosition, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT,
+};
 
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config_body::{BodyForm, Held};
@@ -122,7 +124,7 @@
     state.learn(CONFIG, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
         let mut confirmation = Confirmation::new(&core);
-        confirmation.record("a", vec![(CONFIG.into(), entry.proposal_number, entry.index)]);
+        confirmation.record("a", vec![KeyPosition { key: CONFIG.into(), position: entry.position() }]);
         assert!(confirmation.is_quorum());
         confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -26,9 +26,30 @@
     pub body: Vec<u8>,
 }
 
+/// Where an entry stands in the history of its key. Positions order by proposal number, then by index.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
+)]
+pub struct Position {
+    /// The proposal number under which the owner of the key wrote the entry.
+    pub proposal_number: ProposalNumber,
+    /// Counts the changes that the owner made under that number.
+    pub index: u64,
+}
+
+/// A key and the position of the entry that an acceptor holds for it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+pub struct KeyPosition {
+    /// The key of the register.
+    pub key: String,
+    /// The position of its accepted entry.
+    pub position: Position,
+}
+
 impl Entry {
-    pub fn position(&self) -> (ProposalNumber, u64) {
-        (self.proposal_number, self.index)
+    /// Returns where this entry stands in the history of its key.
+    pub fn position(&self) -> Position {
+        Position { proposal_number: self.proposal_number, index: self.index }
     }
 }
 
@@ -91,7 +112,7 @@
         prepared: ProposalNumber,
     },
     Positions {
-        list: Vec<(String, ProposalNumber, u64)>,
+        list: Vec<KeyPosition>,
     },
     Snapshot {
         registers: Vec<RegisterState>,
@@ -247,3 +268,7 @@
     /// What routers saw of a rollout. Since version 5.
     Samples(Box<Samples>),
 }
+
+#[cfg(test)]
+#[path = "message_tests.rs"]
+mod tests;
