--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -8,7 +8,7 @@
     ProposalNumber, RegisterState,
 };
 
-use crate::{core_body, quorum, MEMBERSHIP_KEY};
+use crate::{decode_membership, quorum, MEMBERSHIP_KEY};
 
 /// What goes to disk, in order.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -82,9 +82,11 @@
                 ConsensusResponse::Snapshot { registers: self.registers.values().cloned().collect() }
             }
             // The places, too, by one that is no member any more: its keys are part of a change's settlement.
-            ConsensusOperation::Positions if self.may_vote => ConsensusResponse::Positions { list: self.positions() },
+            ConsensusOperation::Positions if self.may_vote => {
+                ConsensusResponse::Positions { positions: self.positions() }
+            }
             _ if !self.is_voting() => ConsensusResponse::NonVoting,
-            ConsensusOperation::Prepare { key, ballot } => self.prepare(key, ballot, &mut records),
+            ConsensusOperation::Prepare { key, proposal_number } => self.prepare(key, proposal_number, &mut records),
             ConsensusOperation::Accept { key, entry } => self.accept(key, entry, &mut records),
             ConsensusOperation::Fetch { key } => {
                 ConsensusResponse::Fetched { entry: self.registers.get(&key).and_then(|slot| slot.entry.clone()) }
@@ -162,7 +164,7 @@
     }
 
     /// Those whom a voter without memory asks: all others of the core and of the one before.
-    pub fn witnesses(&self) -> Vec<String> {
+    pub fn recovery_peers(&self) -> Vec<String> {
         let mut list = quorum::old_and_new_members(&self.membership);
         list.retain(|address| *address != self.ip);
         list
@@ -173,7 +175,7 @@
 fn written_core(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
     let entries =
         reads.iter().flatten().filter(|slot| slot.key == MEMBERSHIP_KEY).filter_map(|slot| slot.entry.as_ref());
-    core_body::read(&entries.max_by_key(|entry| entry.position())?.body)
+    decode_membership(&entries.max_by_key(|entry| entry.position())?.body)
 }
 
 #[cfg(test)]
--- a/consensus/src/acceptor_tests.rs
+++ b/consensus/src/acceptor_tests.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{Acceptor, LogRecord};
-use crate::{core_body, MEMBERSHIP_KEY};
+use crate::{encode_membership, MEMBERSHIP_KEY};
 
 const KEY: &str = "config";
 
@@ -51,7 +51,7 @@
 fn voters_as_one_is_removed() -> Vec<Acceptor> {
     let mut voters: Vec<Acceptor> = (0..4).map(voter).collect();
     for voter in &mut voters[..3] {
-        accept(voter, four(), MEMBERSHIP_KEY, core_body::write(&three()));
+        accept(voter, four(), MEMBERSHIP_KEY, encode_membership(&three()));
     }
     voters
 }
@@ -62,10 +62,10 @@
     accept(&mut leaving, four(), KEY, b"x".to_vec());
     let (vote, _) = leaving.handle(ConsensusRequest { membership: three(), operation: ConsensusOperation::Positions });
     let position = Position { proposal_number: entry(Vec::new()).proposal_number, index: 1 };
-    assert_eq!(vote, ConsensusResponse::Positions { list: vec![KeyPosition { key: KEY.into(), position }] });
+    assert_eq!(vote, ConsensusResponse::Positions { positions: vec![KeyPosition { key: KEY.into(), position }] });
     let (vote, _) = leaving.handle(ConsensusRequest {
         membership: three(),
-        operation: ConsensusOperation::Prepare { key: KEY.into(), ballot: ProposalNumber::default() },
+        operation: ConsensusOperation::Prepare { key: KEY.into(), proposal_number: ProposalNumber::default() },
     });
     assert_eq!(vote, ConsensusResponse::NonVoting, "it votes no more");
 }
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleKey {
     pub key: String,
-    /// The newest place that a voter told.
-    pub place: Position,
-    /// A quorum holds this place, so it is committed; otherwise it may still be on its way.
+    /// The newest position that a voter told.
+    pub position: Position,
+    /// A quorum holds this position, so it is committed; otherwise it may still be on its way.
     pub is_committed: bool,
 }
 
@@ -56,14 +56,18 @@
             let position = newest.entry(&report.key).or_default();
             *position = (*position).max(report.position);
         }
-        let newer = newest.into_iter().filter(|(key, place)| known(key) < Some(*place));
+        let newer = newest.into_iter().filter(|(key, position)| known(key) < Some(*position));
         newer
-            .map(|(key, place)| StaleKey { key: key.into(), place, is_committed: self.is_committed(key, place) })
+            .map(|(key, position)| StaleKey {
+                key: key.into(),
+                position,
+                is_committed: self.is_committed(key, position),
+            })
             .collect()
     }
 
-    fn is_committed(&self, key: &str, place: Position) -> bool {
-        let same = self.reports.iter().filter(|report| report.key == key && report.position == place);
+    fn is_committed(&self, key: &str, position: Position) -> bool {
+        let same = self.reports.iter().filter(|report| report.key == key && report.position == position);
         let holders: Vec<String> = same.map(|report| report.from.clone()).collect();
         quorum::is_quorum(&self.core, &holders)
     }
--- a/consensus/src/confirmation_tests.rs
+++ b/consensus/src/confirmation_tests.rs
@@ -43,8 +43,8 @@
     let known = |key: &str| (key == "config").then_some(position(2, 6));
     let behind = confirmation.stale_keys(known);
     let expected = [
-        StaleKey { key: "config".into(), place: position(2, 7), is_committed: true },
-        StaleKey { key: "evacuation/z".into(), place: position(1, 2), is_committed: false },
+        StaleKey { key: "config".into(), position: position(2, 7), is_committed: true },
+        StaleKey { key: "evacuation/z".into(), position: position(1, 2), is_committed: false },
     ];
     assert_eq!(behind, expected);
 }
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -5,9 +5,9 @@
 
 pub mod acceptor;
 pub mod confirmation;
-pub mod core_body;
 mod folder;
 mod listing;
+mod membership_codec;
 pub mod proposal;
 pub mod quorum;
 pub mod reconfiguration;
@@ -18,6 +18,8 @@
 pub mod store;
 mod store_error;
 
+pub use membership_codec::{decode_membership, encode_membership};
+
 pub const MEMBERSHIP_KEY: &str = "core";
 /// A round not over by then is abandoned; its outcome is unknown.
 pub const ROUND_TIMEOUT_MS: u64 = 900;
--- a/consensus/src/listing.rs
+++ b/consensus/src/listing.rs
@@ -1,7 +1,7 @@
 //! The files of a store by name: segments `log-N`, snapshots `snap-N`, and a snapshot being written.
 
 use crate::folder::Folder;
-use crate::store_error::{io, StoreError};
+use crate::store_error::{io_error, StoreError};
 
 /// A snapshot that is being written.
 pub const DRAFT: &str = "draft";
@@ -24,7 +24,7 @@
 impl Listing {
     pub fn read(folder: &dyn Folder) -> Result<Listing, StoreError> {
         let mut listing = Listing::default();
-        for name in folder.names().map_err(io(folder, ""))? {
+        for name in folder.names().map_err(io_error(folder, ""))? {
             let number = |prefix: &str| name.strip_prefix(prefix).and_then(|rest| rest.parse::<u64>().ok());
             listing.snapshots.extend(number("snap-").filter(|number| snapshot_name(*number) == name));
             listing.segments.extend(number("log-").filter(|number| segment_name(*number) == name));
--- a/consensus/src/model/changing_core.rs
+++ b/consensus/src/model/changing_core.rs
@@ -19,7 +19,7 @@
 use super::Model;
 use crate::acceptor::{Acceptor, LogRecord};
 use crate::reconfiguration::{next_membership, stabilized, ClusterView, Health, MembershipTransition};
-use crate::{core_body, quorum, MEMBERSHIP_KEY};
+use crate::{encode_membership, quorum, MEMBERSHIP_KEY};
 
 impl Model {
     pub fn change_core(&self, state: &State, list: &mut Vec<Successor>) {
@@ -65,12 +65,15 @@
     fn next_core(&self, core: &CoreMembership) -> Option<CoreMembership> {
         let change = self.scenario.core_change.as_ref()?;
         let leaving = change.leaving.map(|machine| self.addresses[machine].clone());
-        let health =
-            |address: &str| Health { silent_ms: 0, live: true, shutting_down: leaving.as_deref() == Some(address) };
+        let health = |address: &str| Health {
+            since_last_seen_ms: 0,
+            live: true,
+            shutting_down: leaving.as_deref() == Some(address),
+        };
         let waits = |machine: &usize| !quorum::is_member(core, &self.addresses[*machine]);
         let waiting = change.candidates.iter().copied().filter(waits);
         let candidates = waiting.map(machines::member).collect();
-        let next = next_membership(core, &ClusterView { health: &health, candidates, joint: true })?;
+        let next = next_membership(core, &ClusterView { health: &health, candidates, joint_quorums: true })?;
         match self.has(Defect::NoJointQuorums) {
             true => Some(stabilized(&next)),
             false => Some(next),
@@ -87,7 +90,7 @@
             return self.spread(state, at, list);
         }
         if settlement.is_done() || self.has(Defect::SettledWithoutRenewal) {
-            self.commit_core(state, at, &stabilized(settlement.core()), list);
+            self.commit_core(state, at, &stabilized(settlement.membership()), list);
         }
     }
 
@@ -137,7 +140,7 @@
         let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, poll)?;
         let mut next = state.clone();
         next.put_voter(machine, voter);
-        if let ConsensusResponse::Positions { list } = &*vote {
+        if let ConsensusResponse::Positions { positions: list } = &*vote {
             let vote = Shared::new(keys_only(list));
             next.proposers[at].edit(|proposer| drop(proposer.settlement.heard.insert(machine, vote)));
         }
@@ -148,7 +151,7 @@
 impl State {
     fn write_core(&mut self, quorum: MachineSet, core: &CoreMembership) {
         let ballot = ProposalNumber { term: self.cores.len() as u64, replica_id: 0 };
-        let entry = Entry { proposal_number: ballot, index: 0, body: core_body::write(core) };
+        let entry = Entry { proposal_number: ballot, index: 0, body: encode_membership(core) };
         let slot = RegisterState { key: MEMBERSHIP_KEY.into(), prepared: ballot, entry: Some(entry) };
         for machine in quorum.iter() {
             let mut voter = Acceptor::clone(&self.replicas[machine].voter);
@@ -164,5 +167,5 @@
 fn keys_only(list: &[KeyPosition]) -> ConsensusResponse {
     let keys = list.iter().map(|held| &held.key).filter(|key| *key != MEMBERSHIP_KEY);
     let named = |key: &String| KeyPosition { key: key.clone(), position: Position::default() };
-    ConsensusResponse::Positions { list: keys.map(named).collect() }
+    ConsensusResponse::Positions { positions: keys.map(named).collect() }
 }
--- a/consensus/src/model/progress.rs
+++ b/consensus/src/model/progress.rs
@@ -108,7 +108,7 @@
         let mute: Vec<usize> = (0..state.replicas.len()).filter(|at| !state.replicas[*at].voter.may_vote).collect();
         for machine in mute {
             state.tell(machine, core);
-            for from in self.witnesses(machine, &state.replicas[machine].voter) {
+            for from in self.recovery_peers(machine, &state.replicas[machine].voter) {
                 if state.replicas[machine].voter.may_vote {
                     break;
                 }
--- a/consensus/src/model/proposing.rs
+++ b/consensus/src/model/proposing.rs
@@ -20,7 +20,7 @@
 /// The ballot that a poll is sent under.
 pub fn ballot(ask: &ConsensusOperation) -> Option<ProposalNumber> {
     match ask {
-        ConsensusOperation::Prepare { ballot, .. } => Some(*ballot),
+        ConsensusOperation::Prepare { proposal_number: ballot, .. } => Some(*ballot),
         ConsensusOperation::Accept { entry, .. } => Some(entry.proposal_number),
         _ => None,
     }
@@ -165,7 +165,7 @@
                 let task = Task { poll, votes: Default::default(), ..task };
                 state.proposers[at].edit(|proposer| proposer.task = Some(task));
             }
-            Progress::Finished { answer, owner, .. } => {
+            Progress::Finished { answer, ownership: owner, .. } => {
                 return self.finish(state, at, task.purpose, &task.acknowledged_before, answer, owner);
             }
             Progress::Superseded(ballot) => {
--- a/consensus/src/model/recovering.rs
+++ b/consensus/src/model/recovering.rs
@@ -86,7 +86,7 @@
         if !self.is_ready_to_read(replica, state.now) {
             return;
         }
-        for from in self.witnesses(machine, &replica.voter) {
+        for from in self.recovery_peers(machine, &replica.voter) {
             if !replica.reads.contains_key(&from) {
                 let action = Action::Read { machine, from };
                 if let Some(outcome) = self.read_from(state, machine, from).transpose() {
@@ -97,10 +97,10 @@
     }
 
     /// Those whom a voter without memory asks, as machines.
-    pub fn witnesses(&self, machine: usize, voter: &Acceptor) -> Vec<usize> {
+    pub fn recovery_peers(&self, machine: usize, voter: &Acceptor) -> Vec<usize> {
         let asking = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(voter) };
-        let witnesses = asking.witnesses();
-        (0..self.addresses.len()).filter(|other| witnesses.contains(&self.addresses[*other])).collect()
+        let recovery_peers = asking.recovery_peers();
+        (0..self.addresses.len()).filter(|other| recovery_peers.contains(&self.addresses[*other])).collect()
     }
 
     /// None: the other does not answer what was asked.
--- a/consensus/src/model/state.rs
+++ b/consensus/src/model/state.rs
@@ -152,7 +152,7 @@
         let core = state.newest_core().clone();
         let ballot = ProposalNumber { term: next_term(state.highest_turn(), &core), replica_id: u64::MAX };
         let entry = Entry { proposal_number: ballot, index: 1, body: vec![HALF_DONE_CHANGE] };
-        let prepare = ConsensusOperation::Prepare { key: KEY.into(), ballot };
+        let prepare = ConsensusOperation::Prepare { key: KEY.into(), proposal_number: ballot };
         let accept = ConsensusOperation::Accept { key: KEY.into(), entry };
         for (ask, machines) in [(prepare, half_done.promised_by), (accept, half_done.accepted_by)] {
             let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask });
@@ -167,7 +167,7 @@
         let Some((operation, machines)) = self.scenario.done_before else { return };
         let core = state.newest_core().clone();
         let progress = self.run(state, &core, machines, operation).expect("no violation");
-        let Progress::Finished { answer, owner, .. } = progress else { panic!("no quorum") };
+        let Progress::Finished { answer, ownership: owner, .. } = progress else { panic!("no quorum") };
         state.acknowledged = Shared::new(answer);
         if let Some(first) = state.proposers.first_mut().filter(|proposer| !proposer.coordinates) {
             first.edit(|proposer| proposer.held = Some(owner));
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -25,8 +25,8 @@
     /// Committed, or read at a quorum. The ownership serves the next change of the same key.
     Finished {
         answer: T,
-        owner: Ownership,
-        wrote: bool,
+        ownership: Ownership,
+        written: bool,
     },
     /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
     Superseded(ProposalNumber),
@@ -63,10 +63,10 @@
         now: u64,
     ) -> (Proposal<T>, ConsensusOperation) {
         let held = held.filter(|owner| owner.membership_version == core.version);
-        if let Some(owner) = held {
+        if let Some(ownership) = held {
             // An answer without a write would rest on a read of some time ago: another may own the key by now.
-            if let Decision::Write(body, answer) = judge(&owner.entry.body) {
-                let (round, ask) = Round::change(key, core.clone(), &owner, body, now);
+            if let Decision::Write(body, answer) = judge(&ownership.entry.body) {
+                let (round, ask) = Round::change(key, core.clone(), &ownership, body, now);
                 return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, ask);
             }
         }
@@ -74,7 +74,7 @@
         (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
     }
 
-    pub fn core(&self) -> &CoreMembership {
+    pub fn membership(&self) -> &CoreMembership {
         self.round.membership()
     }
 
@@ -91,20 +91,20 @@
         judge: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> Progress<T> {
-        let owner = match self.round.handle_response(from, vote, now) {
+        let ownership = match self.round.handle_response(from, vote, now) {
             RoundProgress::Wait => return Progress::Wait,
             RoundProgress::Send(ask) => return Progress::Send(ask),
             RoundProgress::Superseded(ballot) => return Progress::Superseded(ballot),
             RoundProgress::NewerMembership(core) => return Progress::NewerMembership(core),
-            RoundProgress::Chosen(owner) => owner,
+            RoundProgress::Chosen(ownership) => ownership,
         };
         if let Stage::Writing(answer) = mem::replace(&mut self.stage, Stage::Claiming) {
-            return Progress::Finished { answer, owner, wrote: true };
+            return Progress::Finished { answer, ownership, written: true };
         }
-        match judge(&owner.entry.body) {
-            Decision::Answer(answer) => Progress::Finished { answer, owner, wrote: false },
+        match judge(&ownership.entry.body) {
+            Decision::Answer(answer) => Progress::Finished { answer, ownership, written: false },
             Decision::Write(body, answer) => {
-                let (round, ask) = Round::change(&self.key, self.round.membership().clone(), &owner, body, now);
+                let (round, ask) = Round::change(&self.key, self.round.membership().clone(), &ownership, body, now);
                 self.round = round;
                 self.stage = Stage::Writing(answer);
                 Progress::Send(ask)
--- a/consensus/src/proposal_tests.rs
+++ b/consensus/src/proposal_tests.rs
@@ -71,7 +71,7 @@
 }
 
 fn owner<T>(progress: Progress<T>) -> Ownership {
-    let Progress::Finished { owner, .. } = progress else { panic!("finished") };
+    let Progress::Finished { ownership: owner, .. } = progress else { panic!("finished") };
     owner
 }
 
@@ -79,9 +79,9 @@
 fn a_change_is_committed_on_a_quorum_and_read_by_the_next() {
     let mut all = voters(3);
     let done = run(&mut all[..2], None, 1, &mut write("a"));
-    assert!(matches!(done, Progress::Finished { answer: "a", wrote: true, .. }));
+    assert!(matches!(done, Progress::Finished { answer: "a", written: true, .. }));
     let seen = run(&mut all[1..], None, 2, &mut read());
-    assert!(matches!(seen, Progress::Finished { answer, wrote: false, .. } if answer == "a"));
+    assert!(matches!(seen, Progress::Finished { answer, written: false, .. } if answer == "a"));
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let mut old = owner(run(&mut all, None, 1, &mut write("a")));
     old.membership_version = 0;
     let (_, poll) = Proposal::start(KEY, &core(3), Some(old), ballot(5), &mut write("b"), 0);
-    assert_eq!(poll, ConsensusOperation::Prepare { key: KEY.into(), ballot: ballot(5) });
+    assert_eq!(poll, ConsensusOperation::Prepare { key: KEY.into(), proposal_number: ballot(5) });
 }
 
 #[test]
--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -12,7 +12,7 @@
 /// How a member of the core is heard here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    pub silent_ms: u64,
+    pub since_last_seen_ms: u64,
     /// Heard a moment ago.
     pub live: bool,
     /// It said that its process is about to end.
@@ -21,7 +21,7 @@
 
 impl Health {
     fn is_gone(self) -> bool {
-        self.shutting_down || self.silent_ms > MEMBER_TIMEOUT_MS
+        self.shutting_down || self.since_last_seen_ms > MEMBER_TIMEOUT_MS
     }
 
     fn is_staying(self) -> bool {
@@ -35,7 +35,7 @@
     /// Live controllers that may be made members and aren't yet.
     pub candidates: Vec<Member>,
     /// Every live controller counts joint quorums, so that members may be exchanged in one change.
-    pub joint: bool,
+    pub joint_quorums: bool,
 }
 
 /// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
@@ -47,7 +47,7 @@
         None => view.candidates.first(),
     };
     let list = match (is_gone, candidate) {
-        (Some(is_gone), Some(candidate)) if view.joint => exchanged(core, is_gone, candidate),
+        (Some(is_gone), Some(candidate)) if view.joint_quorums => exchanged(core, is_gone, candidate),
         (Some(is_gone), _) if core.members.len().is_multiple_of(2) => without(core, is_gone),
         (_, Some(candidate)) => with(core, candidate),
         _ => return None,
@@ -108,14 +108,14 @@
         MembershipTransition { core: core.clone(), knows: Vec::new(), keys, mark_recommitted: Default::default() }
     }
 
-    pub fn core(&self) -> &CoreMembership {
+    pub fn membership(&self) -> &CoreMembership {
         &self.core
     }
 
     /// A voter answered a poll that carried the new core. One that did not say which keys it holds does not
     /// count: what only it and others out of touch hold would not be committed again.
     pub fn record_response(&mut self, from: &str, vote: &ConsensusResponse) {
-        if let ConsensusResponse::Positions { list } = vote {
+        if let ConsensusResponse::Positions { positions: list } = vote {
             self.hear(from, list.iter().map(|held| held.key.clone()));
         }
     }
--- a/consensus/src/reconfiguration_tests.rs
+++ b/consensus/src/reconfiguration_tests.rs
@@ -2,9 +2,9 @@
 use super::{next_membership, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
 use protocol::message::{ConsensusResponse, CoreMembership, KeyPosition, Member, Position};
 
-const LIVE: Health = Health { silent_ms: 100, live: true, shutting_down: false };
-const SILENT: Health = Health { silent_ms: MEMBER_TIMEOUT_MS + 1, live: false, shutting_down: false };
-const LEAVING: Health = Health { silent_ms: 100, live: true, shutting_down: true };
+const LIVE: Health = Health { since_last_seen_ms: 100, live: true, shutting_down: false };
+const SILENT: Health = Health { since_last_seen_ms: MEMBER_TIMEOUT_MS + 1, live: false, shutting_down: false };
+const LEAVING: Health = Health { since_last_seen_ms: 100, live: true, shutting_down: true };
 
 fn member(name: &str, zone: &str) -> Member {
     Member { ip: name.into(), zone: zone.into() }
@@ -25,7 +25,7 @@
     candidates: &[Member],
     joint: bool,
 ) -> Option<CoreMembership> {
-    next_membership(core, &ClusterView { health: &health, candidates: candidates.to_vec(), joint })
+    next_membership(core, &ClusterView { health: &health, candidates: candidates.to_vec(), joint_quorums: joint })
 }
 
 fn all_live_but(name: &'static str, health: Health) -> impl Fn(&str) -> Health {
@@ -110,7 +110,7 @@
 /// A voter's answer to a spread: the keys that it holds.
 fn places(keys: &[&str]) -> ConsensusResponse {
     ConsensusResponse::Positions {
-        list: keys.iter().map(|key| KeyPosition { key: key.to_string(), position: Position::default() }).collect(),
+        positions: keys.iter().map(|key| KeyPosition { key: key.to_string(), position: Position::default() }).collect(),
     }
 }
 
--- a/consensus/src/recovery.rs
+++ b/consensus/src/recovery.rs
@@ -4,7 +4,7 @@
 use crate::listing::segment_name;
 use crate::record::LogRecord;
 use crate::segment::SegmentReader;
-use crate::store_error::{io, StoreError};
+use crate::store_error::{io_error, StoreError};
 
 /// How the records of one file ended.
 pub struct FileEnd {
@@ -21,10 +21,10 @@
     may_be_torn: bool,
     apply: &mut dyn FnMut(LogRecord),
 ) -> Result<FileEnd, StoreError> {
-    let file = folder.open(name).map_err(io(folder, name))?;
-    let mut reader = SegmentReader::new(&*file).map_err(io(folder, name))?;
+    let file = folder.open(name).map_err(io_error(folder, name))?;
+    let mut reader = SegmentReader::new(&*file).map_err(io_error(folder, name))?;
     let mut synced = 0;
-    while let Some(stored) = reader.next().map_err(io(folder, name))? {
+    while let Some(stored) = reader.next().map_err(io_error(folder, name))? {
         synced = stored.synced_before;
         apply(stored.record);
     }
@@ -32,14 +32,14 @@
     if reader.at_end() {
         return Ok(end);
     }
-    let damaged = |what| Err(StoreError::Damaged { file: folder.path(name), offset: end.valid_bytes, what });
+    let damaged = |reason| Err(StoreError::Corrupted { path: folder.path(name), offset: end.valid_bytes, reason });
     if !may_be_torn {
         return damaged("not a whole record, in a file that was synced whole");
     }
-    if reader.synced_later().map_err(io(folder, name))? {
+    if reader.synced_later().map_err(io_error(folder, name))? {
         return damaged("not a whole record, yet a later one says it was synced");
     }
-    if reader.is_foreign().map_err(io(folder, name))? {
+    if reader.is_foreign().map_err(io_error(folder, name))? {
         return damaged("not a file of a store");
     }
     Ok(end)
@@ -50,7 +50,7 @@
 pub fn active_segment(folder: &dyn Folder, live: &[u64]) -> Result<u64, StoreError> {
     for number in live.iter().rev() {
         let name = segment_name(*number);
-        let size = folder.open(&name).and_then(|file| file.size()).map_err(io(folder, &name))?;
+        let size = folder.open(&name).and_then(|file| file.size()).map_err(io_error(folder, &name))?;
         if size > 0 {
             return Ok(*number);
         }
@@ -75,7 +75,7 @@
     for number in live.iter().filter(|number| **number > active) {
         let name = segment_name(*number);
         let emptied = folder.open(&name).and_then(|file| file.truncate(0).and_then(|()| file.sync()));
-        emptied.map_err(io(folder, &name))?;
+        emptied.map_err(io_error(folder, &name))?;
     }
     Ok(())
 }
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -67,7 +67,7 @@
         ballot: ProposalNumber,
         now: u64,
     ) -> (Round, ConsensusOperation) {
-        let ask = ConsensusOperation::Prepare { key: key.into(), ballot };
+        let ask = ConsensusOperation::Prepare { key: key.into(), proposal_number: ballot };
         (Round::new(key, membership, ballot, Phase::Reading { found: None }, now), ask)
     }
 
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -232,7 +232,7 @@
             }
             let seat = &self.seats[at];
             if seat.up && !seat.voter.may_vote && now >= seat.born + RECOVERY_DELAY_MS && now.is_multiple_of(50) {
-                let (core, others) = (seat.voter.membership.clone(), seat.voter.witnesses());
+                let (core, others) = (seat.voter.membership.clone(), seat.voter.recovery_peers());
                 self.seats[at].reads.clear();
                 for to in 0..self.seats.len() {
                     if others.contains(&ip(to)) {
--- a/consensus/src/store.rs
+++ b/consensus/src/store.rs
@@ -9,7 +9,7 @@
 use crate::listing::{segment_name, snapshot_name, Listing, DRAFT};
 use crate::record::{encode, LogRecord};
 use crate::recovery::{active_segment, read_file, settle_empty, settle_tail, FileEnd};
-use crate::store_error::io;
+use crate::store_error::io_error;
 
 pub use crate::store_error::StoreError;
 
@@ -43,7 +43,7 @@
     /// Opens a folder; hands all records found there to `apply`, oldest first. When it returns, all of
     /// them are on disk.
     pub fn open(path: &Path, apply: &mut dyn FnMut(LogRecord)) -> Result<Store, StoreError> {
-        let folder = DiskFolder::open(path).map_err(|error| StoreError::Io(path.to_path_buf(), error))?;
+        let folder = DiskFolder::open(path).map_err(|source| StoreError::Io { path: path.into(), source })?;
         Store::open_folder(Box::new(folder), SEGMENT_BYTES, apply)
     }
 
@@ -54,12 +54,12 @@
     ) -> Result<Store, StoreError> {
         let listing = Listing::read(&*folder)?;
         let Some(mut live) = listing.live() else {
-            let file = folder.path(&segment_name(listing.first()));
-            return Err(StoreError::Damaged { file, offset: 0, what: "a segment of the log is missing" });
+            let path = folder.path(&segment_name(listing.first()));
+            return Err(StoreError::Corrupted { path, offset: 0, reason: "a segment of the log is missing" });
         };
         if live.is_empty() {
             let name = segment_name(1);
-            folder.create(&name).and_then(|file| file.sync()).map_err(io(&*folder, &name))?;
+            folder.create(&name).and_then(|file| file.sync()).map_err(io_error(&*folder, &name))?;
             live.push(1);
         }
         if let Some(number) = listing.snapshots.last() {
@@ -73,10 +73,10 @@
             end = read_file(&*folder, &segment_name(segment), segment == number, apply)?;
         }
         let name = segment_name(number);
-        let segment = folder.open(&name).map_err(io(&*folder, &name))?;
-        settle_tail(&*segment, &end).map_err(io(&*folder, &name))?;
+        let segment = folder.open(&name).map_err(io_error(&*folder, &name))?;
+        settle_tail(&*segment, &end).map_err(io_error(&*folder, &name))?;
         settle_empty(&*folder, &live, number)?;
-        folder.sync().map_err(io(&*folder, ""))?;
+        folder.sync().map_err(io_error(&*folder, ""))?;
         let store = Store {
             folder,
             segment,
@@ -101,7 +101,7 @@
         self.tail_unknown = true;
         let end = write_records(&*self.segment, self.synced, self.synced, records)
             .and_then(|end| self.segment.sync().map(|()| end))
-            .map_err(io(&*self.folder, &segment_name(self.number)))?;
+            .map_err(io_error(&*self.folder, &segment_name(self.number)))?;
         self.tail_unknown = false;
         self.synced = end;
         Ok(())
@@ -140,9 +140,9 @@
         }
         let next = self.number + 1;
         let name = segment_name(next);
-        let segment = self.folder.create(&name).map_err(io(&*self.folder, &name))?;
-        segment.sync().map_err(io(&*self.folder, &name))?;
-        self.folder.sync().map_err(io(&*self.folder, ""))?;
+        let segment = self.folder.create(&name).map_err(io_error(&*self.folder, &name))?;
+        segment.sync().map_err(io_error(&*self.folder, &name))?;
+        self.folder.sync().map_err(io_error(&*self.folder, ""))?;
         self.earlier_bytes += self.synced;
         (self.segment, self.number, self.synced) = (segment, next, 0);
         Ok(())
@@ -150,12 +150,12 @@
 
     /// The snapshot appears under its name only once its content is on disk.
     fn write_snapshot(&self, whole: &[LogRecord]) -> Result<(), StoreError> {
-        let draft = self.folder.create(DRAFT).map_err(io(&*self.folder, DRAFT))?;
-        write_records(&*draft, 0, 0, whole).map_err(io(&*self.folder, DRAFT))?;
-        draft.sync().map_err(io(&*self.folder, DRAFT))?;
+        let draft = self.folder.create(DRAFT).map_err(io_error(&*self.folder, DRAFT))?;
+        write_records(&*draft, 0, 0, whole).map_err(io_error(&*self.folder, DRAFT))?;
+        draft.sync().map_err(io_error(&*self.folder, DRAFT))?;
         let name = snapshot_name(self.number);
-        self.folder.rename(DRAFT, &name).map_err(io(&*self.folder, &name))?;
-        self.folder.sync().map_err(io(&*self.folder, ""))
+        self.folder.rename(DRAFT, &name).map_err(io_error(&*self.folder, &name))?;
+        self.folder.sync().map_err(io_error(&*self.folder, ""))
     }
 
     /// After a failed write or sync: what stands behind the synced part must never be read again.
@@ -164,7 +164,7 @@
             return Ok(());
         }
         let cut = self.segment.truncate(self.synced).and_then(|()| self.segment.sync());
-        cut.map_err(io(&*self.folder, &segment_name(self.number)))?;
+        cut.map_err(io_error(&*self.folder, &segment_name(self.number)))?;
         self.tail_unknown = false;
         Ok(())
     }
--- a/consensus/src/store_error.rs
+++ b/consensus/src/store_error.rs
@@ -1,34 +1,43 @@
 //! Why a store could not be opened or written.
 
-use std::error;
 use std::path::PathBuf;
+use std::{error, fmt, io};
 
 use crate::folder::Folder;
 
 #[derive(Debug)]
 pub enum StoreError {
     /// The disk refused; the same may work later.
-    Io(PathBuf, std::io::Error),
+    Io { path: PathBuf, source: io::Error },
     /// The log must not grow further before a snapshot was made.
     SnapshotOverdue,
     /// What was synced is not there any more, or the file is not one of a store.
-    Damaged { file: PathBuf, offset: u64, what: &'static str },
+    Corrupted { path: PathBuf, offset: u64, reason: &'static str },
 }
 
-impl std::fmt::Display for StoreError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for StoreError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StoreError::Io(file, error) => write!(out, "{}: {error}", file.display()),
+            StoreError::Io { path, source } => write!(out, "{}: {source}", path.display()),
             StoreError::SnapshotOverdue => write!(out, "the log is too long: a snapshot must come first"),
-            StoreError::Damaged { file, offset, what } => write!(out, "{} at offset {offset}: {what}", file.display()),
+            StoreError::Corrupted { path, offset, reason } => {
+                write!(out, "{} at offset {offset}: {reason}", path.display())
+            }
         }
     }
 }
 
-impl error::Error for StoreError {}
+impl error::Error for StoreError {
+    fn source(&self) -> Option<&(dyn error::Error + 'static)> {
+        match self {
+            StoreError::Io { source, .. } => Some(source),
+            StoreError::SnapshotOverdue | StoreError::Corrupted { .. } => None,
+        }
+    }
+}
 
 /// Turns a file error into one that names the file.
-pub fn io(folder: &dyn Folder, name: &str) -> impl FnOnce(std::io::Error) -> StoreError {
+pub fn io_error(folder: &dyn Folder, name: &str) -> impl FnOnce(io::Error) -> StoreError {
     let path = folder.path(name);
-    |error| StoreError::Io(path, error)
+    |source| StoreError::Io { path, source }
 }
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -93,8 +93,8 @@
                     self.under_way.clear();
                     return Ok(store);
                 }
-                Err(error @ StoreError::Damaged { .. }) => return Err(format!("taken for damaged: {error}")),
-                Err(StoreError::Io(..)) if self.crashed() => self.end_process(),
+                Err(error @ StoreError::Corrupted { .. }) => return Err(format!("taken for damaged: {error}")),
+                Err(StoreError::Io { .. }) if self.crashed() => self.end_process(),
                 Err(error) if attempt > 40 => return Err(format!("never opens: {error}")),
                 Err(_) => {}
             }
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -33,7 +33,8 @@
     let mut complete = true;
     for behind in confirmation.stale_keys(|key| known(controller, key)) {
         // What was fetched and could not be read is not known.
-        complete &= catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.place);
+        complete &=
+            catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.position);
     }
     if complete {
         controller.committed_state.lock().expect("committed_state").sure = Some(begun);
@@ -50,7 +51,7 @@
     let end = Instant::now() + Duration::from_millis(READ_MS);
     while !confirmation.is_quorum() {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
-            (from, ConsensusResponse::Positions { list }) => confirmation.record(&from, list),
+            (from, ConsensusResponse::Positions { positions }) => confirmation.record(&from, positions),
             (_, ConsensusResponse::NewerMembership { membership: core }) => {
                 controller.adopt(&core);
                 return None;
@@ -72,7 +73,7 @@
     }
     while clock::now() < begun + CATCH_UP_MS {
         time::sleep(Duration::from_millis(ON_ITS_WAY_MS)).await;
-        if known(controller, &behind.key) >= Some(behind.place) || fetch(controller, core, behind).await {
+        if known(controller, &behind.key) >= Some(behind.position) || fetch(controller, core, behind).await {
             return true;
         }
         let now = clock::now();
@@ -92,17 +93,17 @@
     let mut fetched = Vec::new();
     while let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await {
         let ConsensusResponse::Fetched { entry: Some(entry) } = vote else { continue };
-        if behind.is_committed && entry.position() == behind.place {
+        if behind.is_committed && entry.position() == behind.position {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
         fetched.push((from, entry));
         let newer = confirmation::newest_committed(core, &fetched);
-        if let Some(entry) = newer.filter(|entry| entry.position() >= behind.place) {
+        if let Some(entry) = newer.filter(|entry| entry.position() >= behind.position) {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
     }
     // A note of its owner may have come meanwhile.
-    known(controller, &behind.key) >= Some(behind.place)
+    known(controller, &behind.key) >= Some(behind.position)
 }
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -63,7 +63,7 @@
         });
         tries += 1;
         match opened {
-            Err(error @ StoreError::Io(..)) if tries < OPEN_TRIES => report(&error, tries == 1),
+            Err(error @ StoreError::Io { .. }) if tries < OPEN_TRIES => report(&error, tries == 1),
             outcome => return outcome.map(|store| (store, empty)),
         }
         thread::sleep(RETRY);
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -96,19 +96,19 @@
 /// The next core as this controller sees the others.
 pub fn next(core: &CoreMembership, roster: &MembershipView, now: u64) -> Option<CoreMembership> {
     let health = |ip: &str| Health {
-        silent_ms: roster.silent_ms(ip, now),
+        since_last_seen_ms: roster.silent_ms(ip, now),
         live: roster.is_live(ip, now),
         shutting_down: roster.controllers.get(ip).is_some_and(|peer| peer.shutting_down),
     };
     let candidates = candidates(core, roster, now);
     let counts_joint = |peer: &Peer| peer.protocol_version >= JOINT_QUORUMS;
-    let joint = roster.controllers.iter().all(|(ip, peer)| !roster.is_live(ip, now) || counts_joint(peer));
-    consensus::reconfiguration::next_membership(core, &ClusterView { health: &health, candidates, joint })
+    let joint_quorums = roster.controllers.iter().all(|(ip, peer)| !roster.is_live(ip, now) || counts_joint(peer));
+    consensus::reconfiguration::next_membership(core, &ClusterView { health: &health, candidates, joint_quorums })
 }
 
 /// Goes on with the settlement of a changed core; what was done of it before is not done again.
 async fn settle(controller: &Arc<Controller>, core: &CoreMembership, kept: &mut Option<MembershipTransition>) {
-    let current = |held: &MembershipTransition| held.core() == core;
+    let current = |held: &MembershipTransition| held.membership() == core;
     if !kept.as_ref().is_some_and(current) {
         *kept = Some(MembershipTransition::new(core));
     }
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -97,7 +97,7 @@
             match proposal.handle_response(&from, vote, judge, clock::now()) {
                 Progress::Wait => {}
                 Progress::Send(ask) => votes = self.ask(&core, ask, &members),
-                Progress::Finished { answer, owner, wrote } => return Some((answer, owner, wrote)),
+                Progress::Finished { answer, ownership, written } => return Some((answer, ownership, written)),
                 Progress::Superseded(ballot) => {
                     self.seen(ballot.term);
                     return None;
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -101,7 +101,7 @@
         let Some((key, list)) = found else { return false };
         let (key, change) = (key.clone(), &mut list[0]);
         let Some((_, proposal)) = change.running.as_mut() else { return false };
-        let core = proposal.core().clone();
+        let core = proposal.membership().clone();
         match proposal.handle_response(from, vote.clone(), &mut change.judge, now) {
             Progress::Wait => {}
             Progress::Send(ask) => {
@@ -110,7 +110,7 @@
                 let change = &mut self.nodes[at].changes.get_mut(&key).expect("a change")[0];
                 change.running.as_mut().expect("under way").0 = next;
             }
-            Progress::Finished { answer, owner, .. } => {
+            Progress::Finished { answer, ownership: owner, .. } => {
                 let change = list.remove(0);
                 if !owner.is_blank() {
                     self.learn(at, &key, &owner.entry, true);
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -132,8 +132,8 @@
         if *read != id {
             return false;
         }
-        let ConsensusResponse::Positions { list } = vote else { return true };
-        confirmation.record(from, list.clone());
+        let ConsensusResponse::Positions { positions } = vote else { return true };
+        confirmation.record(from, positions.clone());
         if confirmation.is_quorum() {
             let (_, confirmation) = confirming.read.take().expect("a read");
             self.catch_up(at, &confirmation);
@@ -160,7 +160,7 @@
         let Some(one) = node.confirming.behind.get_mut(number).filter(|one| now >= one.next_try) else { return };
         one.next_try = now + FETCH_MS;
         one.fetched.clear();
-        let (key, place, half_done) = (one.behind.key.clone(), one.behind.place, now > one.since + HALF_DONE_MS);
+        let (key, place, half_done) = (one.behind.key.clone(), one.behind.position, now > one.since + HALF_DONE_MS);
         if node.place(&key) >= Some(place) {
             return self.caught_up(at, &key);
         }
@@ -179,7 +179,7 @@
         let node = &mut self.nodes[at];
         let Some(one) = node.confirming.behind.iter_mut().find(|one| one.id == id) else { return };
         let Some(entry) = entry else { return };
-        let (key, place) = (one.behind.key.clone(), one.behind.place);
+        let (key, place) = (one.behind.key.clone(), one.behind.position);
         one.fetched.push((from.into(), entry.clone()));
         let newer = confirmation::newest_committed(&node.voter.membership, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -83,7 +83,7 @@
     fn settle(&mut self, at: usize, core: &CoreMembership) {
         let now = self.now;
         let members = &mut self.nodes[at].members;
-        if !members.settlement.as_ref().is_some_and(|held| held.core() == core) {
+        if !members.settlement.as_ref().is_some_and(|held| held.membership() == core) {
             members.settlement = Some(MembershipTransition::new(core));
             members.spread = None;
         }
@@ -138,7 +138,7 @@
             return;
         }
         let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
-        let others = node.voter.witnesses();
+        let others = node.voter.recovery_peers();
         let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
         let id = self.poll(at, &core, &ask, &others);
         let end = self.now + READ_MS;
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -34,7 +34,7 @@
 kernel::bytes!(Closed);
 kernel::bytes!(Duty);
 
-pub use consensus::core_body::{read as read_core, write as write_core};
+pub use consensus::{decode_membership as read_core, encode_membership as write_core};
 
 /// The value in a body; the first one where there is none yet. None: the body is of another form, and is never taken for
 /// an empty one.
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -73,7 +73,7 @@
 pub enum ConsensusOperation {
     Prepare {
         key: String,
-        ballot: ProposalNumber,
+        proposal_number: ProposalNumber,
     },
     Accept {
         key: String,
@@ -112,7 +112,7 @@
         prepared: ProposalNumber,
     },
     Positions {
-        list: Vec<KeyPosition>,
+        positions: Vec<KeyPosition>,
     },
     Snapshot {
         registers: Vec<RegisterState>,
--- a/protocol/src/message_tests.rs
+++ b/protocol/src/message_tests.rs
@@ -51,7 +51,7 @@
 fn positions_have_the_bytes_of_the_tuples_that_they_replace() {
     for count in 0..=KEYS.len() {
         let tuple_form = TupleResponse::Positions { list: tuples()[..count].to_vec() };
-        let struct_form = ConsensusResponse::Positions { list: structs()[..count].to_vec() };
+        let struct_form = ConsensusResponse::Positions { positions: structs()[..count].to_vec() };
         let tuple_bytes = rkyv::to_bytes::<rancor::Error>(&tuple_form).expect("bytes of the tuples");
         let struct_bytes = rkyv::to_bytes::<rancor::Error>(&struct_form).expect("bytes of the structs");
         assert_eq!(tuple_bytes.as_slice(), struct_bytes.as_slice(), "{count} keys");
