--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -3,22 +3,28 @@
 
 use kernel::clock;
 
-pub mod acceptor;
-pub mod confirmation;
+mod acceptor;
+mod confirmation;
 mod folder;
 mod listing;
 mod membership_codec;
-pub mod proposal;
+mod proposal;
 pub mod quorum;
-pub mod reconfiguration;
-pub mod record;
+mod reconfiguration;
+mod record;
 mod recovery;
-pub mod round;
+mod round;
 mod segment;
-pub mod store;
+mod store;
 mod store_error;
 
+pub use acceptor::{Acceptor, LogRecord};
+pub use confirmation::{newest_committed, Confirmation, StaleKey};
 pub use membership_codec::{decode_membership, encode_membership};
+pub use proposal::{Decision, Progress, Proposal};
+pub use reconfiguration::{next_membership, stabilized, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
+pub use round::{next_term, Ownership, Round, RoundProgress};
+pub use store::{Store, StoreError};
 
 pub const MEMBERSHIP_KEY: &str = "core";
 /// A round not over by then is abandoned; its outcome is unknown.
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use catalog::prefix_index::PrefixIndex;
-use consensus::acceptor::Acceptor;
+use consensus::Acceptor;
 use kernel::clock;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::config::Checked;
 use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -1,6 +1,6 @@
 //! A change told to other controllers gives them the very body that was committed, or nothing.
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::config::{self, Checked};
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::change::Change;
 use protocol::config;
 use protocol::message::{Entry, ProposalNumber};
--- a/controller/src/confirm.rs
+++ b/controller/src/confirm.rs
@@ -3,8 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::confirmation::{self, Confirmation, StaleKey};
-use consensus::quorum;
+use consensus::{quorum, Confirmation, StaleKey};
 use kernel::clock;
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, Position};
 use tokio::time::{self, Instant};
@@ -98,7 +97,7 @@
             return true;
         }
         fetched.push((from, entry));
-        let newer = confirmation::newest_committed(core, &fetched);
+        let newer = consensus::newest_committed(core, &fetched);
         if let Some(entry) = newer.filter(|entry| entry.position() >= behind.position) {
             controller.learn(&behind.key, &entry, false);
             return true;
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -9,7 +9,7 @@
 
 use catalog::gauge::Gauge;
 use catalog::prefix_index::PrefixIndex;
-use consensus::acceptor::Acceptor;
+use consensus::Acceptor;
 use kernel::clock;
 use kernel::settings::Settings;
 use load_balancing::sheet::Sheets;
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -7,9 +7,7 @@
 use std::time::{Duration, Instant};
 use std::{iter, mem, thread};
 
-use consensus::acceptor::Acceptor;
-use consensus::record::LogRecord;
-use consensus::store::{Store, StoreError};
+use consensus::{Acceptor, LogRecord, Store, StoreError};
 use prometheus_client::metrics::histogram::Histogram;
 
 use crate::event::DISK_WAIT;
--- a/controller/src/disk_tests.rs
+++ b/controller/src/disk_tests.rs
@@ -1,8 +1,7 @@
 use std::sync::mpsc;
 use std::{env, fs, process};
 
-use consensus::acceptor::Acceptor;
-use consensus::record::LogRecord;
+use consensus::{Acceptor, LogRecord};
 use protocol::message::{CoreMembership, ProposalNumber, RegisterState};
 
 use super::{newest, open, Disk};
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -4,8 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use consensus::proposal::Decision;
-use consensus::quorum;
+use consensus::{quorum, Decision};
 use kernel::clock;
 use protocol::message::{Message, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
 use protocol::operator_request::{OperatorRequest, OperatorResponse};
--- a/controller/src/orders_tests.rs
+++ b/controller/src/orders_tests.rs
@@ -1,6 +1,6 @@
 //! Where orders are sent, and evacuations on top of what is committed.
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 
 use super::{control_address, judge_evacuation};
 use crate::state::Closed;
--- a/controller/src/reconfiguration.rs
+++ b/controller/src/reconfiguration.rs
@@ -5,9 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::proposal::Decision;
-use consensus::reconfiguration::{stabilized, ClusterView, Health, MembershipTransition};
-use consensus::{quorum, MEMBERSHIP_KEY};
+use consensus::{quorum, stabilized, ClusterView, Decision, Health, MembershipTransition, MEMBERSHIP_KEY};
 use kernel::{clock, startup};
 use membership::{MembershipView, Peer};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Member, JOINT_QUORUMS};
@@ -103,7 +101,7 @@
     let candidates = candidates(core, roster, now);
     let counts_joint = |peer: &Peer| peer.protocol_version >= JOINT_QUORUMS;
     let joint_quorums = roster.controllers.iter().all(|(ip, peer)| !roster.is_live(ip, now) || counts_joint(peer));
-    consensus::reconfiguration::next_membership(core, &ClusterView { health: &health, candidates, joint_quorums })
+    consensus::next_membership(core, &ClusterView { health: &health, candidates, joint_quorums })
 }
 
 /// Goes on with the settlement of a changed core; what was done of it before is not done again.
--- a/controller/src/recovery.rs
+++ b/controller/src/recovery.rs
@@ -4,8 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::acceptor::LogRecord;
-use consensus::{quorum, RECOVERY_DELAY_MS};
+use consensus::{quorum, LogRecord, RECOVERY_DELAY_MS};
 use kernel::clock;
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership};
 use tokio::time::{self, Instant};
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -2,9 +2,7 @@
 
 use std::time::Duration;
 
-use consensus::proposal::{Progress, Proposal};
-use consensus::round::{self, Ownership};
-use consensus::{quorum, ROUND_TIMEOUT_MS};
+use consensus::{quorum, Ownership, Progress, Proposal, ROUND_TIMEOUT_MS};
 use kernel::clock::{self, Rng};
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message, ProposalNumber,
@@ -20,7 +18,7 @@
 /// two changes of one owner never share a place.
 pub type OwnershipLock = Mutex<Option<Ownership>>;
 
-pub use consensus::proposal::Decision;
+pub use consensus::Decision;
 
 /// None: no clear outcome.
 pub type Outcome<T> = Option<T>;
@@ -72,7 +70,7 @@
     /// A ballot that no one used before.
     fn next_ballot(&self, core: &CoreMembership) -> ProposalNumber {
         let mut committed_state = self.committed_state.lock().expect("committed_state");
-        committed_state.turn = round::next_term(committed_state.turn, core);
+        committed_state.turn = consensus::next_term(committed_state.turn, core);
         ProposalNumber { term: committed_state.turn, replica_id: self.seat }
     }
 
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -2,8 +2,7 @@
 
 use std::mem;
 
-use consensus::proposal::{Decision, Progress, Proposal};
-use consensus::{quorum, round};
+use consensus::{quorum, Decision, Progress, Proposal};
 use protocol::message::{ConsensusResponse, ProposalNumber};
 
 use super::network::Address;
@@ -82,7 +81,7 @@
         if change.running.is_some() || now < change.resume || core.members.is_empty() {
             return;
         }
-        node.turn = round::next_term(node.turn, &core);
+        node.turn = consensus::next_term(node.turn, &core);
         let ballot = ProposalNumber { term: node.turn, replica_id: consensus::replica_id(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
         let (proposal, ask) = Proposal::start(key, &core, held, ballot, &mut change.judge, now);
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -1,8 +1,6 @@
 //! Heartbeats, and the confirmation at a quorum that a simulated controller knows what is committed.
 
-use consensus::confirmation::{self, Confirmation, StaleKey};
-use consensus::proposal::Decision;
-use consensus::quorum;
+use consensus::{quorum, Confirmation, Decision, StaleKey};
 use membership::Peer;
 use protocol::message::{ConsensusOperation, ConsensusResponse, Entry, PROTOCOL_VERSION};
 
@@ -181,7 +179,7 @@
         let Some(entry) = entry else { return };
         let (key, place) = (one.behind.key.clone(), one.behind.position);
         one.fetched.push((from.into(), entry.clone()));
-        let newer = confirmation::newest_committed(&node.voter.membership, &one.fetched);
+        let newer = consensus::newest_committed(&node.voter.membership, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
         let looked_for = Some(entry).filter(|entry| one.behind.is_committed && entry.position() == place);
         let Some(entry) = looked_for.or(newer) else { return };
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -1,7 +1,6 @@
 //! Trouble in the simulation, and the quiet end at which everything is read back.
 
-use consensus::acceptor::Acceptor;
-use consensus::quorum;
+use consensus::{quorum, Acceptor};
 
 use super::{address, Cluster, Node};
 use crate::config_body::Held;
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -2,10 +2,7 @@
 
 use std::mem;
 
-use consensus::acceptor::LogRecord;
-use consensus::proposal::Decision;
-use consensus::reconfiguration::{stabilized, MembershipTransition};
-use consensus::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
+use consensus::{quorum, stabilized, Decision, LogRecord, MembershipTransition, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, RegisterState};
 
 use super::changes::Purpose;
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -2,9 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use consensus::acceptor::{Acceptor, LogRecord};
-use consensus::round::Ownership;
-use consensus::MEMBERSHIP_KEY;
+use consensus::{Acceptor, LogRecord, Ownership, MEMBERSHIP_KEY};
 use membership::MembershipView;
 use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, Position};
 
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -1,7 +1,7 @@
 //! Operators that change the configuration, evacuate zones and read back, and send again what got no
 //! clear answer.
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::operator_request::ConfigChange;
 
 use super::changes::Purpose;
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -3,8 +3,7 @@
 
 use std::sync::Arc;
 
-use consensus::confirmation::Confirmation;
-use consensus::MEMBERSHIP_KEY;
+use consensus::{Confirmation, MEMBERSHIP_KEY};
 use kernel::clock::{self, Rng};
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
