--- a/consensus/src/stored_by_5_tests.rs
+++ b/consensus/src/stored_by_5_tests.rs
@@ -7,7 +7,7 @@
 //! The folder stands as it does after a first snapshot that was made and a second one that failed once its new segment was
 //! begun: `snap-00000002` with the two segments behind it.
 use crate::acceptor::Acceptor;
-use crate::core_body;
+use crate::membership_codec::{decode_membership, encode_membership};
 use crate::record::LogRecord;
 use crate::replica_id;
 use crate::store::Store;
@@ -141,7 +141,7 @@
     [
         promised("duty/catalog", ballot(5, 14)),
         accepted("config", ballot(6, 11), 0, &long_body()),
-        accepted("core", ballot(6, 11), 1, &core_body::write(&unsettled_core())),
+        accepted("core", ballot(6, 11), 1, &encode_membership(&unsettled_core())),
     ]
 }
 
@@ -191,7 +191,7 @@
             entry: Some(Entry {
                 proposal_number: ProposalNumber { term: 6, replica_id: 11 },
                 index: 1,
-                body: core_body::write(&unsettled_core()),
+                body: encode_membership(&unsettled_core()),
             }),
         },
         RegisterState { key: "duty/batch".into(), prepared: ProposalNumber { term: 2, replica_id: 12 }, entry: None },
@@ -266,7 +266,7 @@
     let folder = copied_fixture("core");
     let voter = folded(&open(&folder).1);
     let entry = voter.registers["core"].entry.as_ref().expect("an entry");
-    assert_eq!(core_body::read(&entry.body), Some(unsettled_core()));
+    assert_eq!(decode_membership(&entry.body), Some(unsettled_core()));
     let _ = fs::remove_dir_all(folder);
 }
 
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -146,7 +146,8 @@
 /// fetches the whole.
 pub fn advance(controller: &Controller, advance: &CommittedDelta) {
     let (held, known) = controller.committed.entry_and_config(&advance.key);
-    let Some(held) = held.filter(|held| held.position() < (advance.proposal_number, advance.index)) else { return };
+    let position = Position { proposal_number: advance.proposal_number, index: advance.index };
+    let Some(held) = held.filter(|held| held.position() < position) else { return };
     let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
     match next_body(&held.body, known.as_deref(), advance) {
         Some((body, Some(checked))) => controller.learn_config(&entry(body), checked),
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -6,7 +6,7 @@
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Checked, ConfigError};
-use protocol::message::{Entry, Message, ProposalNumber, StalenessLimit, ROLLOUT};
+use protocol::message::{Entry, Message, Position, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 
 use crate::config::body::Held;
@@ -153,7 +153,7 @@
     pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
-    pub unreadable: Option<(ProposalNumber, u64)>,
+    pub unreadable: Option<Position>,
     /// The evacuations with their versions.
     pub closed: BTreeMap<String, (u64, bool)>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
--- a/controller/src/replication/confirmer.rs
+++ b/controller/src/replication/confirmer.rs
@@ -5,7 +5,7 @@
 
 use consensus::{quorum, Confirmation, StaleKey};
 use kernel::clock;
-use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Position};
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -30,7 +30,7 @@
 
 /// Reads what the other voters hold until every quorum of the core has a voter that was read.
 async fn recall(controller: &Arc<Controller>, core: &CoreMembership) {
-    let others = controller.replica.witnesses();
+    let others = controller.replica.recovery_peers();
     let enough = |from: &[String]| controller.replica.has_enough_reads(from);
     let Some(answers) = gather(controller, core, ConsensusOperation::Snapshot, &others, enough).await else { return };
     let (mut reads, mut from) = (Vec::new(), Vec::new());
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::proposal::{Progress, Proposal};
-use consensus::round::Ownership;
+use consensus::Ownership;
 use consensus::{quorum, ROUND_TIMEOUT_MS};
+use consensus::{Progress, Proposal};
 use kernel::clock::{self, Rng};
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message};
 use tokio::sync::mpsc::{self, Receiver};
@@ -31,7 +31,7 @@
     }
 }
 
-pub use consensus::proposal::Decision;
+pub use consensus::Decision;
 
 /// None: no clear outcome.
 pub type Outcome<T> = Option<T>;
--- a/controller/src/replication/replica.rs
+++ b/controller/src/replication/replica.rs
@@ -1,7 +1,7 @@
 //! This controller's acceptor and its disk: every request is handled and handed to the disk under one lock.
 
-use consensus::acceptor::Acceptor;
-use consensus::record::LogRecord;
+use consensus::Acceptor;
+use consensus::LogRecord;
 use kernel::log_event;
 use parking_lot::Mutex;
 use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, RegisterState};
@@ -52,8 +52,8 @@
     }
 
     /// Returns the acceptors that one without memory has to read.
-    pub fn witnesses(&self) -> Vec<String> {
-        self.acceptor.lock().witnesses()
+    pub fn recovery_peers(&self) -> Vec<String> {
+        self.acceptor.lock().recovery_peers()
     }
 
     /// Returns whether reading these acceptors is enough to end a loss of memory.
--- a/controller/src/replication/shared_state.rs
+++ b/controller/src/replication/shared_state.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use consensus::confirmation::Position;
-use consensus::round;
+use consensus::next_term;
 use parking_lot::Mutex;
 use protocol::config::Checked;
+use protocol::message::Position;
 use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit};
 use protocol::version_rollout::VersionRollout;
 
@@ -42,7 +42,7 @@
     /// Returns a proposal number that no one used before.
     pub fn next_proposal_number(&self, membership: &CoreMembership, replica_id: u64) -> ProposalNumber {
         let mut state = self.0.lock();
-        state.turn = round::next_term(state.turn, membership);
+        state.turn = next_term(state.turn, membership);
         ProposalNumber { term: state.turn, replica_id }
     }
 
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -3,11 +3,11 @@
 //! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To write them again, check
 //! out that commit, put this file beside `state.rs`, attach it as it is attached here, and run
 //! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
+use super::CommittedState;
 use super::{read_config, read_core, write_core, Closed, Duty, Learned, CLOSED, CONFIG, DUTY};
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
 use crate::config::body::BodyForm::{self, Digested, Packed, Plain};
 use crate::config::body::{body_digest, Held, Memory, TakenChange};
-use crate::controller::CommittedState;
 use crate::roles::{BALANCE, BATCH, CATALOG};
 use batch::page::{Page, State};
 use batch::sheet::{id, Batch, Job};
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::acceptor::Acceptor;
+use consensus::Acceptor;
 use kernel::clock;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
--- a/protocol/src/stored_by_5_tests.rs
+++ b/protocol/src/stored_by_5_tests.rs
@@ -9,8 +9,8 @@
 use crate::frame::{self, Kind, HEAD};
 use crate::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, EngineLoad, Entry,
-    Gossip, Member, Message, PrefixLookup, PrefixLookupResponse, PrefixRegistration, ProposalNumber, Record,
-    RegisterState, StalenessLimit, StateUpdate, SubscriptionRenewal, WeightVersions, ROLLOUT,
+    Gossip, KeyPosition, Member, Message, Position, PrefixLookup, PrefixLookupResponse, PrefixRegistration,
+    ProposalNumber, Record, RegisterState, StalenessLimit, StateUpdate, SubscriptionRenewal, WeightVersions, ROLLOUT,
 };
 use crate::operator_request::{CommittedDelta, ConfigChange, OperatorRequest, OperatorResponse};
 use crate::quota::{holders_key, holders_mark, told_holders, ShardOwner, ShardUsage, TokenRequest, TokenResponse};
@@ -22,6 +22,10 @@
 use std::mem::discriminant;
 use std::path::{Path, PathBuf};
 
+fn position(key: &str, proposal_number: ProposalNumber, index: u64) -> KeyPosition {
+    KeyPosition { key: key.into(), position: Position { proposal_number, index } }
+}
+
 /// How many kinds of messages version 5 knows.
 const KINDS_OF_MESSAGES: usize = 34;
 
@@ -324,7 +328,7 @@
 /// What voters say to one another: all variants of `Ask` and `Vote`.
 fn votes() -> Vec<Message> {
     vec![
-        poll(unsettled_core(), ConsensusOperation::Prepare { key: "config".into(), ballot: ballot() }),
+        poll(unsettled_core(), ConsensusOperation::Prepare { key: "config".into(), proposal_number: ballot() }),
         poll(settled_core(), ConsensusOperation::Accept { key: "evacuation/zone-a".into(), entry: entry() }),
         poll(unsettled_core(), ConsensusOperation::Positions),
         poll(settled_core(), ConsensusOperation::Snapshot),
@@ -334,7 +338,10 @@
         vote(ConsensusResponse::Accepted),
         vote(ConsensusResponse::Rejected { prepared: ballot() }),
         vote(ConsensusResponse::Positions {
-            list: vec![("config".into(), ballot(), 41), ("core".into(), ProposalNumber { term: 2, replica_id: 3 }, 1)],
+            positions: vec![
+                position("config", ballot(), 41),
+                position("core", ProposalNumber { term: 2, replica_id: 3 }, 1),
+            ],
         }),
         vote(ConsensusResponse::Snapshot { registers: slots() }),
         vote(ConsensusResponse::Fetched { entry: Some(entry()) }),
