--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -3,9 +3,9 @@
 
 use std::sync::Arc;
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::config::Checked;
-use protocol::message::{Entry, Message, DIGESTED_BODIES, RELAYED_ORDERS};
+use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use crate::api::operator_requests;
@@ -35,7 +35,7 @@
 /// Carries out an operator's change.
 pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_form();
-    let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+    let known = controller.committed.current_config();
     let parsed = ParsedChange::parse(change);
     let judge = |body: &[u8]| judge(&parsed, body, known.as_deref(), read_by_all);
     let outcome = controller.change_untold(CONFIG, operator_requests::wait_ms(controller), judge).await;
@@ -92,11 +92,11 @@
 }
 
 fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> CommittedDelta {
-    let (ballot, place) = entry.position();
+    let Position { proposal_number, index } = entry.position();
     CommittedDelta {
         key: CONFIG.into(),
-        proposal_number: ballot,
-        index: place,
+        proposal_number,
+        index,
         before: step.before,
         after: body_digest(&entry.body),
         change: Some(change.clone()),
@@ -117,23 +117,22 @@
     let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
     let short = Message::CommittedDelta(Box::new(advance));
     for peer in controller.known() {
-        let reads =
-            controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.protocol_version);
+        let reads = controller.peers.protocol_version(&peer);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
-        controller.peer(&peer).notify(if is_short { short.clone() } else { whole.clone() });
+        controller.peers.client(&peer).notify(if is_short { short.clone() } else { whole.clone() });
     }
 }
 
 /// The same body was committed again, by a read or under a changed core: those that hold it need only its place.
 pub fn tell_again(controller: &Controller, key: &str, entry: &Entry) {
     controller.learn(key, entry, false);
-    let (ballot, step) = entry.position();
+    let Position { proposal_number, index } = entry.position();
     let digest = body_digest(&entry.body);
     let (before, after) = (digest, digest);
     let advance = CommittedDelta {
         key: key.into(),
-        proposal_number: ballot,
-        index: step,
+        proposal_number,
+        index,
         before,
         after,
         change: None,
@@ -146,11 +145,9 @@
 /// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
 /// fetches the whole.
 pub fn advance(controller: &Controller, advance: &CommittedDelta) {
-    let (held, known) = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
-    };
-    let Some(held) = held.filter(|held| held.position() < (advance.proposal_number, advance.index)) else { return };
+    let (held, known) = controller.committed.entry_and_config(&advance.key);
+    let position = Position { proposal_number: advance.proposal_number, index: advance.index };
+    let Some(held) = held.filter(|held| held.position() < position) else { return };
     let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
     match next_body(&held.body, known.as_deref(), advance) {
         Some((body, Some(checked))) => controller.learn_config(&entry(body), checked),
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -1,6 +1,6 @@
 //! A change told to other controllers gives them the very body that was committed, or nothing.
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::config::{self, Checked};
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
@@ -8,8 +8,7 @@
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
 use crate::config::body::{body_digest, BodyFormat, StoredConfig};
 use crate::config::change::ParsedChange;
-use crate::controller::CommittedState;
-use crate::replication::committed_state::CONFIG;
+use crate::replication::committed_state::{CommittedState, CONFIG};
 
 fn text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use consensus::proposal::Decision;
+use consensus::Decision;
 use protocol::change::Change;
 use protocol::config;
 use protocol::message::{Entry, ProposalNumber};
@@ -12,8 +12,7 @@
 use super::{advance_of, judge, next_body, Judgement};
 use crate::config::body::{BodyFormat, StoredConfig};
 use crate::config::change::ParsedChange;
-use crate::controller::CommittedState;
-use crate::replication::committed_state::CONFIG;
+use crate::replication::committed_state::{CommittedState, CONFIG};
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
--- a/controller/src/replication/disk.rs
+++ b/controller/src/replication/disk.rs
@@ -7,9 +7,7 @@
 use std::time::{Duration, Instant};
 use std::{iter, mem, thread};
 
-use consensus::acceptor::Acceptor;
-use consensus::record::LogRecord;
-use consensus::store::{Store, StoreError};
+use consensus::{Acceptor, LogRecord, Store, StoreError};
 use prometheus_client::metrics::histogram::Histogram;
 
 use crate::event::DISK_WAIT;
@@ -63,7 +61,7 @@
         });
         tries += 1;
         match opened {
-            Err(error @ StoreError::Io(..)) if tries < OPEN_TRIES => report(&error, tries == 1),
+            Err(error @ StoreError::Io { .. }) if tries < OPEN_TRIES => report(&error, tries == 1),
             outcome => return outcome.map(|store| (store, empty)),
         }
         thread::sleep(RETRY);
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -2,10 +2,7 @@
 
 use std::mem;
 
-use consensus::acceptor::LogRecord;
-use consensus::proposal::Decision;
-use consensus::reconfiguration::{stabilized, MembershipTransition};
-use consensus::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
+use consensus::{quorum, stabilized, Decision, LogRecord, MembershipTransition, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, RegisterState};
 
 use super::changes::Purpose;
@@ -83,7 +80,7 @@
     fn settle(&mut self, at: usize, core: &CoreMembership) {
         let now = self.now;
         let members = &mut self.nodes[at].members;
-        if !members.settlement.as_ref().is_some_and(|held| held.core() == core) {
+        if !members.settlement.as_ref().is_some_and(|held| held.membership() == core) {
             members.settlement = Some(MembershipTransition::new(core));
             members.spread = None;
         }
@@ -138,7 +135,7 @@
             return;
         }
         let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
-        let others = node.voter.witnesses();
+        let others = node.voter.recovery_peers();
         let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
         let id = self.poll(at, &core, &ask, &others);
         let end = self.now + READ_MS;
--- a/tidepoint/tests/scale.rs
+++ b/tidepoint/tests/scale.rs
@@ -14,6 +14,7 @@
 
 #[path = "stand/hollow.rs"]
 mod hollow;
+#[allow(dead_code)] // Each test uses a part of what a process can do.
 #[path = "stand/proc.rs"]
 mod proc;
 
