--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -13,7 +13,7 @@
 use crate::config::execution;
 use crate::controller::Controller;
 use crate::event::EVACUATION;
-use crate::replication::committed_state::{Closed, CLOSED, CONFIG};
+use crate::replication::committed_state::{EvacuationState, CONFIG_KEY, EVACUATION_PREFIX};
 use crate::replication::reconfiguration;
 
 /// How long the home of a key may take before an order is carried out here.
@@ -50,9 +50,9 @@
 
 fn key(order: &OperatorRequest) -> String {
     match order {
-        OperatorRequest::Change(_) | OperatorRequest::ReadConfig => CONFIG.into(),
+        OperatorRequest::Change(_) | OperatorRequest::ReadConfig => CONFIG_KEY.into(),
         OperatorRequest::Evacuate { zone, .. } | OperatorRequest::EvacuateFrom { zone, .. } => {
-            format!("{}{zone}", CLOSED)
+            format!("{}{zone}", EVACUATION_PREFIX)
         }
     }
 }
@@ -62,7 +62,7 @@
 fn home(controller: &Controller, key: &str) -> Option<String> {
     let now = clock::now();
     let core = controller.replica.membership();
-    let leaving = controller.leaving.load(Ordering::Relaxed);
+    let leaving = controller.shutting_down.load(Ordering::Relaxed);
     controller.peers.read(|view| {
         let first = reconfiguration::first_member(&core, view, leaving, key, now)?;
         let takes_orders = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
@@ -73,7 +73,7 @@
 /// Where a caller had better send an order: to the key's home, from a controller that is no member of the core. Such
 /// a one may have a slow link, and would only pass both ways on.
 pub fn better_place(controller: &Controller, order: &OperatorRequest) -> Option<String> {
-    if quorum::is_member(&controller.replica.membership(), controller.me()) {
+    if quorum::is_member(&controller.replica.membership(), controller.own_ip()) {
         return None;
     }
     let own = controller.settings.bind_addresses.control_plane.as_deref()?;
@@ -120,7 +120,7 @@
         }
         OperatorRequest::ReadConfig => {
             let judge = |body: &[u8]| Decision::Answer(OperatorResponse::Found { body: body.to_vec() });
-            controller.change(CONFIG, wait_ms(controller), judge).await.unwrap_or(OperatorResponse::OutcomeUnknown)
+            controller.change(CONFIG_KEY, wait_ms(controller), judge).await.unwrap_or(OperatorResponse::OutcomeUnknown)
         }
     }
 }
@@ -128,14 +128,14 @@
 /// Begins or withdraws an evacuation on top of what is committed, or only on top of a version of it. Answers with `done` once
 /// it is so, and with `unclear` where another version is in place or what is committed cannot be read.
 pub fn judge_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unclear: T) -> Decision<T> {
-    let Some(held) = Closed::open(body) else { return Decision::Answer(unclear) };
-    if held.on == on {
+    let Some(held) = EvacuationState::open(body) else { return Decision::Answer(unclear) };
+    if held.evacuated == on {
         return Decision::Answer(done);
     }
     if from.is_some_and(|version| version != held.version) {
         return Decision::Answer(unclear);
     }
-    Decision::Write(Closed { version: held.version + 1, on }.write_bytes(), done)
+    Decision::Write(EvacuationState { version: held.version + 1, evacuated: on }.write_bytes(), done)
 }
 
 async fn evacuate(
@@ -145,7 +145,7 @@
     from: Option<u64>,
     wait_ms: u64,
 ) -> OperatorResponse {
-    let key = format!("{}{zone}", CLOSED);
+    let key = format!("{}{zone}", EVACUATION_PREFIX);
     let judge =
         |body: &[u8]| judge_evacuation(on, from, body, OperatorResponse::Done, OperatorResponse::OutcomeUnknown);
     let result = controller.change(&key, wait_ms, judge).await.unwrap_or(OperatorResponse::OutcomeUnknown);
--- a/controller/src/api/operator_requests_tests.rs
+++ b/controller/src/api/operator_requests_tests.rs
@@ -3,7 +3,7 @@
 use consensus::proposal::Decision;
 
 use super::{control_address, judge_evacuation};
-use crate::replication::committed_state::Closed;
+use crate::replication::committed_state::EvacuationState;
 
 #[test]
 fn a_caller_is_sent_to_the_home_at_the_port_that_all_serve() {
@@ -19,8 +19,8 @@
     let Decision::Write(body, "done") = judge(true, &[]) else { panic!("a change") };
     assert_eq!(judge(true, &body), Decision::Answer("done"));
     let Decision::Write(body, "done") = judge(false, &body) else { panic!("a change") };
-    let closed = Closed::open(&body).expect("read");
-    assert_eq!((closed.version, closed.on), (2, false));
+    let closed = EvacuationState::open(&body).expect("read");
+    assert_eq!((closed.version, closed.evacuated), (2, false));
 }
 
 /// A controller relays an order, hears nothing, and carries it out itself; what it relayed comes late, after the evacuation was
--- a/controller/src/api/routes.rs
+++ b/controller/src/api/routes.rs
@@ -22,7 +22,7 @@
 use crate::config::body::Held;
 use crate::controller::Controller;
 use crate::event::{REFUSED, UNCLEAR};
-use crate::metrics::{OrderOutcome, OrderTimer};
+use crate::metrics::{RequestOutcome, RequestTimer};
 use crate::quota_shards::fleet_usage;
 use crate::shutdown::Shutdown;
 
@@ -94,9 +94,9 @@
 const CONFIG_PATH: &str = "/config";
 
 async fn submit(controller: &Arc<Controller>, path: String, order: OperatorRequest) -> Receipt {
-    let timer = OrderTimer::start(&controller.metrics, &order);
+    let timer = RequestTimer::start(&controller.metrics, &order);
     if let Some(address) = operator_requests::better_place(controller, &order) {
-        timer.finish(OrderOutcome::Redirected);
+        timer.finish(RequestOutcome::Redirected);
         return Receipt::Elsewhere(address, path);
     }
     let result = operator_requests::submit(controller, order).await;
@@ -151,7 +151,7 @@
     type Output = Response;
 
     async fn call(&self, _: Request) -> poem::Result<Response> {
-        Ok(write(Receipt::Text(self.0.fleet().to_string().into_bytes())))
+        Ok(write(Receipt::Text(self.0.fleet_view().to_string().into_bytes())))
     }
 }
 
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -66,7 +66,7 @@
         let Some(rule) = rule.filter(|rule| !rule.removed) else {
             return Receipt::Bad(404, "no rule for this service and model".into());
         };
-        let replies = self.0.ask_settled(&key, rule.version).await;
+        let replies = self.0.collect_confirmations(&key, rule.version).await;
         let (all, good) = replies.iter().flatten().fold((0, 0), |sum, (all, good)| (sum.0 + all, sum.1 + good));
         let silent = replies.iter().filter(|reply| reply.is_none()).count();
         let value = serde_json::json!({
@@ -123,8 +123,10 @@
             serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
                     "floor": rule.floor(), "latest": rule.latest, "lag": rule.lag, "routes": rule.routes})
         };
-        let list: Vec<Value> =
-            self.0.committed.read(|state| state.rules.values().filter(|rule| !rule.removed).map(shown).collect());
+        let list: Vec<Value> = self
+            .0
+            .committed
+            .read(|state| state.staleness_limits.values().filter(|rule| !rule.removed).map(shown).collect());
         let body = serde_json::json!({ "rollouts": list }).to_string().into_bytes();
         Ok(routes::write(Receipt::Text(body)))
     }
--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -82,7 +82,7 @@
         *balance = Balance::default();
         return;
     };
-    if !roles::declare_clear(controller, BALANCE, epoch).await {
+    if !roles::declare_predecessor_expired(controller, BALANCE, epoch).await {
         return;
     }
     for (service, list) in candidates(controller, balance, now) {
--- a/controller/src/balancing_tests.rs
+++ b/controller/src/balancing_tests.rs
@@ -3,15 +3,15 @@
 use protocol::message::Engine;
 
 use super::{Balance, Candidate, CONNECT_MS, LASTS, STANDS, UNACKNOWLEDGED_MS};
-use crate::controller::SURE_MS;
+use crate::controller::CONFIRMATION_TTL_MS;
 
-/// A holder may act for `SURE_MS` after its last confirmation began, and the next one waits that time
+/// A holder may act for `CONFIRMATION_TTL_MS` after its last confirmation began, and the next one waits that time
 /// out twice before a lease. What the last order of the first spends on its way must fit in between.
 #[test]
 fn the_last_order_of_a_holder_arrives_a_lease_before_the_first_of_the_next() {
     let lease_ms = 3000;
     let committed = 50_000;
-    let sure_ms = SURE_MS;
+    let sure_ms = CONFIRMATION_TTL_MS;
     let last_arrival = committed + sure_ms + CONNECT_MS + UNACKNOWLEDGED_MS;
     let held = RoleTenure { since: committed, own: false, confirmed_at: 100_000 };
     let first_act = (committed..100_000)
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -99,7 +99,7 @@
 }
 
 async fn look(controller: &Arc<Controller>, client: &Client, runner: &mut Runner, in_flight: &Shared) {
-    if controller.leaving.load(Ordering::Relaxed) {
+    if controller.shutting_down.load(Ordering::Relaxed) {
         // The next holder sends the rest; what is under way here is finished.
         return;
     }
@@ -110,7 +110,7 @@
         runner.looked = now;
         return;
     };
-    if !roles::declare_clear(controller, BATCH, epoch).await {
+    if !roles::declare_predecessor_expired(controller, BATCH, epoch).await {
         return;
     }
     if epoch != runner.epoch {
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -13,7 +13,7 @@
 use crate::config::change::{self, Outcome, Proposed};
 use crate::controller::Controller;
 use crate::event;
-use crate::replication::committed_state::CONFIG;
+use crate::replication::committed_state::CONFIG_KEY;
 
 /// What a change was judged to be on top of one committed body.
 enum Judgement {
@@ -38,7 +38,7 @@
     let known = controller.committed.current_config();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
-    let outcome = controller.change_untold(CONFIG, operator_requests::wait_ms(controller), judge).await;
+    let outcome = controller.change_unannounced(CONFIG_KEY, operator_requests::wait_ms(controller), judge).await;
     let Some((judgement, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
     match judgement {
         Judgement::Step(step) => {
@@ -48,7 +48,7 @@
         }
         Judgement::Answer(result) => {
             if !owner.is_blank() {
-                tell_again(controller, CONFIG, &owner.entry);
+                tell_again(controller, CONFIG_KEY, &owner.entry);
             }
             if result == OperatorResponse::Done {
                 committed(change, Held::open(&owner.entry.body).map_or(0, |held| held.revision));
@@ -94,7 +94,7 @@
 fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> CommittedDelta {
     let (ballot, place) = entry.position();
     CommittedDelta {
-        key: CONFIG.into(),
+        key: CONFIG_KEY.into(),
         proposal_number: ballot,
         index: place,
         before: step.before,
@@ -116,7 +116,7 @@
 fn send(controller: &Controller, entry: &Entry, advance: CommittedDelta, can_make: impl Fn(u64) -> bool) {
     let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
     let short = Message::CommittedDelta(Box::new(advance));
-    for peer in controller.known() {
+    for peer in controller.known_peers() {
         let reads = controller.peers.protocol_version(&peer);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
         controller.peers.client(&peer).notify(if is_short { short.clone() } else { whole.clone() });
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -8,7 +8,7 @@
 use super::{advance_of, can_make, judge, next_body, Judgement, Step};
 use crate::config::body::{body_digest, BodyForm, Held};
 use crate::config::change::Proposed;
-use crate::replication::committed_state::{CommittedState, CONFIG};
+use crate::replication::committed_state::{CommittedState, CONFIG_KEY};
 
 fn text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
@@ -121,8 +121,8 @@
         index: 1,
         body: body.to_vec(),
     };
-    committed.learn(CONFIG, &entry(2, &after_second), Some(later.checked.clone()));
-    committed.learn(CONFIG, &entry(1, &after_first), Some(step.checked.clone()));
+    committed.learn(CONFIG_KEY, &entry(2, &after_second), Some(later.checked.clone()));
+    committed.learn(CONFIG_KEY, &entry(1, &after_first), Some(step.checked.clone()));
     assert_eq!(committed.history.revision(), 9, "the later one stays");
     let advance = advance_of(&entry(1, &after_first), &first, &step);
     assert_eq!(advance.revision, 7);
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -12,7 +12,7 @@
 use super::{advance_of, judge, next_body, Judgement};
 use crate::config::body::{BodyForm, Held};
 use crate::config::change::Proposed;
-use crate::replication::committed_state::{CommittedState, CONFIG};
+use crate::replication::committed_state::{CommittedState, CONFIG_KEY};
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
@@ -64,7 +64,7 @@
         println!("{routes} routes: text of {} bytes, body of {}", held.text.len(), body.len());
         print_median("read and check", || drop(config::read(&held.text).expect("good")));
         let mut state = CommittedState::default();
-        state.learn(CONFIG, &entry(1, body.clone()), None);
+        state.learn(CONFIG_KEY, &entry(1, body.clone()), None);
         let known = state.history.current().cloned();
         let route = "{\"name\":\"new\",\"hostname\":\"n\",\"path_prefix\":\"/\",\"route_type\":\"idempotent\",\
             \"timeout_ms\":9,\"service\":\"service-1\"}";
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -29,8 +29,8 @@
 /// The parts of this process. Each keeps its own state behind its own lock.
 pub struct Controller {
     pub settings: Settings,
-    pub life: u64,
-    pub seat: u64,
+    pub incarnation: u64,
+    pub replica_id: u64,
     /// The acceptor and its disk.
     pub replica: Replica,
     /// What is known to be committed.
@@ -54,39 +54,39 @@
     /// Shards of tenants' quotas.
     pub quotas: QuotaShards,
     /// The process is about to end.
-    pub leaving: AtomicBool,
+    pub shutting_down: AtomicBool,
     pub shutdown: Shutdown,
     pub metrics: Metrics,
 }
 
 /// A controller counts as live while heard within this.
-pub const LIVE_MS: u64 = 1100;
-pub const BEAT_MS: u64 = 350;
+pub const LIVENESS_TIMEOUT_MS: u64 = 1100;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 350;
 /// A confirmation older than this no longer makes the news sure.
-pub const SURE_MS: u64 = 1100;
+pub const CONFIRMATION_TTL_MS: u64 = 1100;
 /// How long a router's lease lasts after each renewal.
 pub const ROUTER_LEASE_MS: u64 = 1600;
 
 impl Controller {
     /// Returns the address of this controller.
-    pub fn me(&self) -> &str {
+    pub fn own_ip(&self) -> &str {
         &self.settings.ip
     }
 
     /// Controllers that are known: the core, the seeds, whoever was heard.
-    pub fn known(&self) -> Vec<String> {
+    pub fn known_peers(&self) -> Vec<String> {
         let mut list = self.settings.seed_ips();
         list.extend(self.replica.membership().members.into_iter().map(|member| member.ip));
         list.extend(self.peers.known_ips());
         list.sort();
         list.dedup();
-        list.retain(|ip| ip != self.me());
+        list.retain(|ip| ip != self.own_ip());
         list
     }
 
     /// Sends a message without a response to all controllers that are known.
     pub fn notify_peers(&self, message: &Message) {
-        for ip in self.known() {
+        for ip in self.known_peers() {
             self.peers.client(&ip).notify(message.clone());
         }
     }
@@ -97,7 +97,7 @@
         let core = self.replica.membership();
         self.peers.read(|view| {
             let reads = |ip: &str| view.controllers.get(ip).map_or(0, |peer| peer.protocol_version);
-            let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.me());
+            let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.own_ip());
             let live = view.controllers.keys().map(String::as_str).filter(|ip| view.is_live(ip, now));
             BodyForm::for_readers(members.chain(live).map(reads))
         })
--- a/controller/src/delivery/subscribers_tests.rs
+++ b/controller/src/delivery/subscribers_tests.rs
@@ -2,19 +2,19 @@
 use protocol::message::Message;
 use tokio::sync::mpsc;
 
-use super::{Follower, Followers};
+use super::{Subscriber, SubscriberTable};
 
-fn follower(mouth: Responder, until: u64) -> Follower {
-    Follower {
-        mouth,
+fn follower(mouth: Responder, until: u64) -> Subscriber {
+    Subscriber {
+        responder: mouth,
         zone: "a".into(),
-        config: 0,
-        behind: false,
-        rules: Default::default(),
-        until,
-        reads: 2,
-        closed: Default::default(),
-        sheets: Default::default(),
+        config_revision: 0,
+        is_behind: false,
+        confirmed_limits: Default::default(),
+        lease_expires_at: until,
+        protocol_version: 2,
+        evacuation_versions: Default::default(),
+        list_versions: Default::default(),
     }
 }
 
@@ -25,7 +25,7 @@
 #[test]
 fn a_lease_counts_until_it_lapses_also_when_the_connection_is_gone() {
     let (out, queue) = mpsc::channel(4);
-    let mut followers = Followers::default();
+    let mut followers = SubscriberTable::default();
     followers.list.insert("router-1".into(), follower(Responder::new(out), 1600));
     drop(queue);
     followers.forget_lapsed(1599);
@@ -37,13 +37,13 @@
 #[test]
 fn a_follower_that_does_not_read_is_behind_and_keeps_its_lease() {
     let (out, mut queue) = mpsc::channel(1);
-    let mut followers = Followers::default();
+    let mut followers = SubscriberTable::default();
     followers.list.insert("router-1".into(), follower(Responder::new(out), 1600));
     let held = followers.list.get_mut("router-1").expect("held");
-    assert!(held.send(&message()) && !held.behind);
-    assert!(!held.send(&message()) && held.behind);
+    assert!(held.send(&message()) && !held.is_behind);
+    assert!(!held.send(&message()) && held.is_behind);
     assert!(queue.try_recv().is_ok());
-    assert!(held.send(&message()) && held.behind, "only its next call ends it");
+    assert!(held.send(&message()) && held.is_behind, "only its next call ends it");
     followers.forget_lapsed(5000);
     assert_eq!(followers.list.len(), 1, "it is still connected");
     assert_eq!(followers.confirmations("rule", 1, 5000), (0, 0));
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -7,41 +7,41 @@
 
 use crate::controller::{Controller, ROUTER_LEASE_MS};
 use crate::delivery::limit_confirmations;
-use crate::delivery::subscribers::Follower;
+use crate::delivery::subscribers::Subscriber;
 use crate::quota_shards::send_holders;
 use crate::replication::committed_state::CommittedState;
 use crate::roles::CATALOG;
 
 impl Controller {
     /// A router renews its lease, tells what it has and gets what it lacks.
-    pub fn follow(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
+    pub fn renew_subscription(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
         let now = clock::now();
         let until = now + ROUTER_LEASE_MS;
         self.peers.update(|view| view.renew_lease(&follow.node, until, follow.in_flight, follow.frontend_address));
         self.engines.update(|lists| lists.observe_terms(&follow.list_versions));
-        let mut follower = Follower {
-            rules: limit_confirmations::told(&follow.evacuation_versions),
-            until,
-            mouth,
+        let mut follower = Subscriber {
+            confirmed_limits: limit_confirmations::confirmed_limits(&follow.evacuation_versions),
+            lease_expires_at: until,
+            responder: mouth,
             zone: follow.zone,
-            config: follow.config_revision,
-            behind: false,
-            reads: message::protocol_version_of(&follow.list_versions),
-            closed: follow.evacuation_versions.into_iter().collect(),
-            sheets: follow.list_versions.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
+            config_revision: follow.config_revision,
+            is_behind: false,
+            protocol_version: message::protocol_version_of(&follow.list_versions),
+            evacuation_versions: follow.evacuation_versions.into_iter().collect(),
+            list_versions: follow.list_versions.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
         };
         let mut news = self.missing(&follow.node, &mut follower, now);
         // A lease on bound work is renewed only for one that has confirmed every rule known here.
         // One of the first version holds none: it serves on, and no rule settles while it is there.
-        news.confirmed &= follower.reads < 2 || self.confirmed(&follower);
+        news.confirmed &= follower.protocol_version < 2 || self.has_confirmed_limits(&follower);
         // Whoever is told that it is current must have been sent all.
-        news.confirmed &= !follower.behind;
-        follower.mouth.reply(id, &Message::StateUpdate(Box::new(news)));
+        news.confirmed &= !follower.is_behind;
+        follower.responder.reply(id, &Message::StateUpdate(Box::new(news)));
         self.subscribers.insert(follow.node, follower);
     }
 
     /// Doubt about an engine reaches all routers at once: each asks it for itself.
-    pub fn doubt(&self, engine: &str, passed: bool) {
+    pub fn suspect_engine(&self, engine: &str, passed: bool) {
         let note = Message::SuspectEngine(Box::new((engine.to_string(), true)));
         self.subscribers.notify_all(&note);
         if !passed {
@@ -50,10 +50,10 @@
     }
 
     /// Sends to each follower what it lacks.
-    pub fn push(&self) {
+    pub fn push_updates(&self) {
         let now = clock::now();
         let mut list = self.subscribers.take_all();
-        let reachable = list.iter_mut().filter(|(_, follower)| !follower.behind && !follower.mouth.is_closed());
+        let reachable = list.iter_mut().filter(|(_, follower)| !follower.is_behind && !follower.responder.is_closed());
         for (node, follower) in reachable {
             let news = self.missing(node, follower, now);
             if news.config.is_some() || !news.evacuations.is_empty() || !news.endpoint_lists.is_empty() {
@@ -64,21 +64,21 @@
     }
 
     /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
-    fn missing(&self, node: &str, follower: &mut Follower, now: u64) -> StateUpdate {
+    fn missing(&self, node: &str, follower: &mut Subscriber, now: u64) -> StateUpdate {
         let mut news = StateUpdate { confirmed: self.committed.is_confirmed(now), ..Default::default() };
         self.committed.update(|state| add_control_state(state, &mut news, follower));
         self.add_roster(&mut news, node, follower, now);
         self.add_engine_lists(&mut news, follower);
-        if follower.reads >= 2 {
+        if follower.protocol_version >= 2 {
             self.send_weights(follower);
         }
-        if follower.reads >= QUOTAS && self.committed.has_tenants() {
+        if follower.protocol_version >= QUOTAS && self.committed.has_tenants() {
             send_holders(self, follower);
         }
         news
     }
 
-    fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Follower, now: u64) {
+    fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Subscriber, now: u64) {
         self.peers.update(|view| {
             news.router_count = view.router_count(now, news.confirmed);
             news.reassigning = view.reassigning(now);
@@ -87,13 +87,13 @@
         });
     }
 
-    fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Follower) {
+    fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Subscriber) {
         self.engines.read(|lists| {
             for sheet in lists.iter() {
-                if message::is_hidden_key(&sheet.zone) && follower.reads < VERSION_ROLLOUTS {
+                if message::is_hidden_key(&sheet.zone) && follower.protocol_version < VERSION_ROLLOUTS {
                     continue;
                 }
-                let has = follower.sheets.entry(sheet.zone.clone()).or_default();
+                let has = follower.list_versions.entry(sheet.zone.clone()).or_default();
                 if (sheet.term, sheet.sequence) > *has {
                     *has = (sheet.term, sheet.sequence);
                     news.endpoint_lists.push(sheet.clone());
@@ -103,7 +103,7 @@
     }
 
     /// The view of the fleet for those who operate it.
-    pub fn fleet(&self) -> Value {
+    pub fn fleet_view(&self) -> Value {
         let now = clock::now();
         let core = self.replica.membership();
         let members: Vec<&str> = core.members.iter().map(|member| member.ip.as_str()).collect();
@@ -120,30 +120,30 @@
     }
 }
 
-fn add_control_state(state: &mut CommittedState, news: &mut StateUpdate, follower: &mut Follower) {
-    if follower.reads >= 2 {
+fn add_control_state(state: &mut CommittedState, news: &mut StateUpdate, follower: &mut Subscriber) {
+    if follower.protocol_version >= 2 {
         // Before the configuration: no route is served whose rule is known here and not there.
-        limit_confirmations::send(state, follower);
+        limit_confirmations::send_missing_limits(state, follower);
         // Before the news: whoever is told that it is current has it by then.
-        let mouth = &follower.mouth;
-        let reads = follower.reads;
-        let sent = state.history.send_missing(reads, &mut follower.config, |frame| mouth.notify_frame(frame));
-        follower.behind |= !sent;
-    } else if let Some((revision, text)) = state.history.text_after(follower.config) {
+        let mouth = &follower.responder;
+        let reads = follower.protocol_version;
+        let sent = state.history.send_missing(reads, &mut follower.config_revision, |frame| mouth.notify_frame(frame));
+        follower.is_behind |= !sent;
+    } else if let Some((revision, text)) = state.history.text_after(follower.config_revision) {
         news.config = Some((revision, text));
-        follower.config = revision;
+        follower.config_revision = revision;
     }
-    if follower.reads >= VERSION_ROLLOUTS {
-        crate::rollout::version_rollouts::send(state, follower);
+    if follower.protocol_version >= VERSION_ROLLOUTS {
+        crate::rollout::version_rollouts::send_missing_rollouts(state, follower);
     }
-    follower.behind |= !state.history.can_be_told(follower.reads);
-    for (zone, (version, on)) in &state.closed {
-        let has = follower.closed.entry(zone.clone()).or_default();
+    follower.is_behind |= !state.history.can_be_told(follower.protocol_version);
+    for (zone, (version, on)) in &state.evacuations {
+        let has = follower.evacuation_versions.entry(zone.clone()).or_default();
         if *version > *has {
             news.evacuations.push((zone.clone(), *version, *on));
             *has = *version;
         }
     }
-    let catalog = state.duties.get(CATALOG).cloned().unwrap_or_default();
+    let catalog = state.roles.get(CATALOG).cloned().unwrap_or_default();
     news.catalog = (catalog.0, catalog.1);
 }
--- a/controller/src/discovery/engine_directory.rs
+++ b/controller/src/discovery/engine_directory.rs
@@ -8,7 +8,7 @@
 use protocol::version_rollout::VersionRollout;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-use crate::discovery::version_lists::{FirstVersions, ListedEngine, Parted};
+use crate::discovery::version_lists::{FirstVersions, ListedEngine, PartitionedEngines};
 
 /// All engines of the fleet as this controller knows them.
 ///
@@ -85,13 +85,13 @@
 
     /// Divides a zone's engines by the rollouts that are known. With `by_request` a version that nobody has requested gets
     /// nothing.
-    pub fn part(
+    pub fn partition(
         &self,
         rollouts: &BTreeMap<String, VersionRollout>,
         list: Vec<ListedEngine>,
         by_request: bool,
-    ) -> Parted {
-        self.first_versions.lock().part(rollouts, list, by_request)
+    ) -> PartitionedEngines {
+        self.first_versions.lock().partition(rollouts, list, by_request)
     }
 
     /// Waits until no other poll of the platform is under way. None: the process ends.
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -42,36 +42,36 @@
 }
 
 /// The longest that one call may take.
-const CALL_MS: u64 = 1500;
+const CALL_TIMEOUT_MS: u64 = 1500;
 /// A step that takes this much longer than it may shows that the process stood still.
-const STALL_MS: u64 = 500;
+const STALL_TOLERANCE_MS: u64 = 500;
 /// Time after a start to hear who else is there.
-const FIRST_MS: u64 = 160;
+const STARTUP_DELAY_MS: u64 = 160;
 /// Versions go out again with every so many polls, for controllers that missed them.
-const AGAIN: u32 = 8;
+const RESEND_EVERY_POLLS: u32 = 8;
 /// How many refusals one poll bears before it is left to the next.
-const REFUSED: u32 = 4;
-const PAGES: usize = 1000;
+const MAX_REFUSALS: u32 = 4;
+const MAX_PAGES: usize = 1000;
 
 /// Told beside the versions of lists by a controller that does not reach the platform.
-const UNREACHABLE: &str = "platform unreachable";
+const UNREACHABLE_MARKER: &str = "platform unreachable";
 
 /// What is told to peers about the own access to the platform.
-pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
+pub fn access_marker(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
     let unreachable = controller.peers.read(|view| view.access.unreachable(now));
-    unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
+    unreachable.then(|| (message::hidden_key(UNREACHABLE_MARKER), 1, 0))
 }
 
 /// What a peer told of others.
-pub fn report(gossip: &Gossip) -> PeerReport {
-    let name = message::hidden_key(UNREACHABLE);
+pub fn peer_report(gossip: &Gossip) -> PeerReport {
+    let name = message::hidden_key(UNREACHABLE_MARKER);
     let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
-    let (sure, vouches) = roles::heard(&gossip.list_versions);
+    let (sure, vouches) = roles::parse_gossip_markers(&gossip.list_versions);
     PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
 }
 
 /// The time between two polls of a zone: often enough for `drain_ms`, within the shared rate.
-fn pause(settings: &Settings, pages: usize) -> u64 {
+fn poll_interval_ms(settings: &Settings, pages: usize) -> u64 {
     let zones = settings.zones.len().max(1);
     let calls = (zones * pages.max(1)) as f64;
     // Two pollers may overlap while a home changes hands, and the wishes stay under half the rate.
@@ -81,11 +81,11 @@
 
 /// Did a step that may take `allowed_ms` take so long that the process must have stood still?
 fn stalled(begun: u64, allowed_ms: u64, now: u64) -> bool {
-    now > begun + allowed_ms + STALL_MS
+    now > begun + allowed_ms + STALL_TOLERANCE_MS
 }
 
 pub fn start(controller: &Arc<Controller>) {
-    let client = http_client::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
+    let client = http_client::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_TIMEOUT_MS)).build();
     let Ok(client) = client else { return };
     for zone in controller.settings.zones.keys() {
         tokio::spawn(run(controller.clone(), client.clone(), zone.clone()));
@@ -98,17 +98,17 @@
     let mut wait = 0;
     loop {
         time::sleep(Duration::from_millis(wait)).await;
-        wait = pause(&controller.settings, pages);
+        wait = poll_interval_ms(&controller.settings, pages);
         let now = clock::now();
         let poller = controller.peers.read(|view| view.poller(&zone, now));
-        if poller != controller.me() || now < FIRST_MS {
-            wait = wait.min(FIRST_MS);
+        if poller != controller.own_ip() || now < STARTUP_DELAY_MS {
+            wait = wait.min(STARTUP_DELAY_MS);
             continue;
         }
         // Without rules versions are neither read nor sent.
         let ruled = controller.committed.has_staleness_limits();
         let outcome = poll(&controller, &client, &zone, ruled).await;
-        note_access(&controller, outcome.as_ref().err().copied());
+        record_access(&controller, outcome.as_ref().err().copied());
         let result = outcome.as_ref().map_or_else(|error| (*error).into(), |_| PollOutcome::Read);
         controller.metrics.platform_polls.get_or_create(&PollLabels { result }).inc();
         let Ok(listing) = outcome else {
@@ -118,13 +118,13 @@
         };
         pages = listing.pages;
         polls += 1;
-        take(&controller, &zone, &mut turn, listing, ruled.then_some(polls % AGAIN == 0));
+        apply_listing(&controller, &zone, &mut turn, listing, ruled.then_some(polls % RESEND_EVERY_POLLS == 0));
     }
 }
 
 /// Keeps count of polls without an answer: a poller that is cut off from the platform lets another
 /// controller take its place.
-fn note_access(controller: &Controller, error: Option<PollError>) {
+fn record_access(controller: &Controller, error: Option<PollError>) {
     controller.peers.update(|view| match error {
         None | Some(PollError::Refused) => view.access.succeeded(),
         Some(PollError::Unreachable) => view.access.failed(clock::now()),
@@ -134,18 +134,18 @@
 
 /// Sends out what a poll read, unless a list that another poller made became known meanwhile.
 /// `versions`: whether weight versions are wanted, and whether to send them even if unchanged.
-fn take(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
-    let parted = version_lists::part(controller, listing.engines);
+fn apply_listing(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
+    let parted = version_lists::partition(controller, listing.engines);
     let made = controller.engines.update(|sheets| {
         if sheets.observed_version(zone) != listing.known {
             return None;
         }
-        let sheet = sheets.publish(zone, turn, controller.seat, parted.stable, listing.known);
-        Some((sheet, candidate_sheet(controller, sheets, zone, parted.candidates)))
+        let sheet = sheets.publish(zone, turn, controller.replica_id, parted.stable, listing.known);
+        Some((sheet, candidate_list(controller, sheets, zone, parted.candidates)))
     });
     let Some((sheet, candidates)) = made else { return };
     if let Some(again) = versions {
-        limit_confirmations::seen(controller, zone, listing.weights, again);
+        limit_confirmations::publish_weight_versions(controller, zone, listing.weights, again);
     }
     // First those of the version in place: an engine that is both for a moment is no more left out.
     for sheet in sheet.into_iter().chain(candidates) {
@@ -154,7 +154,7 @@
 }
 
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
-fn candidate_sheet(
+fn candidate_list(
     controller: &Controller,
     sheets: &mut EndpointLists,
     zone: &str,
@@ -167,10 +167,10 @@
     }
     let mut turn = held.map_or(0, |held| held.term);
     let known = sheets.observed_version(&name);
-    if turn != 0 && !endpoint_lists::is_term_of(turn, controller.seat) {
+    if turn != 0 && !endpoint_lists::is_term_of(turn, controller.replica_id) {
         turn = 0;
     }
-    sheets.publish(&name, &mut turn, controller.seat, list, known)
+    sheets.publish(&name, &mut turn, controller.replica_id, list, known)
 }
 
 async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
@@ -184,18 +184,18 @@
         let Some(page) = call(client, &url(controller, zone, token.as_deref())).await? else {
             // Over the shared rate: the same page again, what was read of the list stays.
             refused += 1;
-            if refused > REFUSED {
+            if refused > MAX_REFUSALS {
                 return Err(PollError::Refused);
             }
-            rest(gap_ms * u64::from(refused) * 2).await?;
+            pause_between_calls(gap_ms * u64::from(refused) * 2).await?;
             continue;
         };
         token = page.next_token.clone().filter(|token| !token.is_empty());
         listing.add(page, ruled);
-        if token.is_none() || listing.pages >= PAGES {
+        if token.is_none() || listing.pages >= MAX_PAGES {
             return Ok(listing);
         }
-        rest(gap_ms).await?;
+        pause_between_calls(gap_ms).await?;
     }
 }
 
@@ -217,13 +217,13 @@
     }
     let body = reply.bytes().await.map_err(|_| PollError::Unreachable)?;
     let page = serde_json::from_slice(&body).map_err(|_| PollError::Refused)?;
-    match stalled(begun, CALL_MS, clock::now()) {
+    match stalled(begun, CALL_TIMEOUT_MS, clock::now()) {
         true => Err(PollError::Stalled),
         false => Ok(Some(page)),
     }
 }
 
-async fn rest(wait_ms: u64) -> Result<(), PollError> {
+async fn pause_between_calls(wait_ms: u64) -> Result<(), PollError> {
     let begun = clock::now();
     time::sleep(Duration::from_millis(wait_ms)).await;
     match stalled(begun, wait_ms, clock::now()) {
@@ -238,7 +238,7 @@
         "prefill" => sheet.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     controller.catalog.remove_draining(&sheet);
     controller.notify_peers(&Message::EndpointList(Box::new(sheet)));
-    controller.push();
+    controller.push_updates();
 }
 
 #[cfg(test)]
--- a/controller/src/discovery/version_lists.rs
+++ b/controller/src/discovery/version_lists.rs
@@ -25,29 +25,29 @@
 
 /// A zone's engines, apart by what they may get.
 #[derive(Debug, Default, PartialEq)]
-pub struct Parted {
+pub struct PartitionedEngines {
     pub stable: Vec<Engine>,
     pub candidates: Vec<Engine>,
 }
 
 /// Parts a zone's list by the rollouts that are known.
-pub fn part(controller: &Controller, list: Vec<ListedEngine>) -> Parted {
+pub fn partition(controller: &Controller, list: Vec<ListedEngine>) -> PartitionedEngines {
     let rollouts = controller.committed.version_rollouts();
     // Where versions are not brought in by order, engines may be replaced by others of any version.
     let by_order = controller.settings.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
-    controller.engines.part(&rollouts, list, by_order)
+    controller.engines.partition(&rollouts, list, by_order)
 }
 
 impl FirstVersions {
     /// `by_order`: a version that nobody has ordered gets nothing.
-    pub fn part(
+    pub fn partition(
         &mut self,
         rollouts: &BTreeMap<String, VersionRollout>,
         list: Vec<ListedEngine>,
         by_order: bool,
-    ) -> Parted {
+    ) -> PartitionedEngines {
         self.learn(&list);
-        let mut parted = Parted::default();
+        let mut parted = PartitionedEngines::default();
         for listed in list {
             let service = &listed.engine.service;
             let (is_stable, is_candidate) = match rollouts.get(service) {
--- a/controller/src/discovery/version_lists_tests.rs
+++ b/controller/src/discovery/version_lists_tests.rs
@@ -5,7 +5,7 @@
 use protocol::message::Engine;
 use protocol::version_rollout::{RolloutState, VersionRollout};
 
-use super::{FirstVersions, ListedEngine, Parted};
+use super::{FirstVersions, ListedEngine, PartitionedEngines};
 
 fn listed(id: &str, version: &str, cold_ms: u32) -> ListedEngine {
     let engine = Engine {
@@ -22,7 +22,7 @@
     ListedEngine { engine, version: version.into() }
 }
 
-fn ids(parted: &Parted) -> [Vec<&str>; 2] {
+fn ids(parted: &PartitionedEngines) -> [Vec<&str>; 2] {
     [&parted.stable, &parted.candidates].map(|list| list.iter().map(|engine| engine.id.as_str()).collect())
 }
 
@@ -55,15 +55,15 @@
 #[test]
 fn a_version_that_nobody_ordered_gets_nothing() {
     let mut first = FirstVersions::default();
-    assert_eq!(ids(&first.part(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true)), [vec!["old-1"], vec![]]);
-    assert_eq!(ids(&first.part(&BTreeMap::new(), both(), true)), [vec!["old-1"], vec![]]);
-    let started_late = FirstVersions::default().part(&BTreeMap::new(), both(), true);
+    assert_eq!(ids(&first.partition(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true)), [vec!["old-1"], vec![]]);
+    assert_eq!(ids(&first.partition(&BTreeMap::new(), both(), true)), [vec!["old-1"], vec![]]);
+    let started_late = FirstVersions::default().partition(&BTreeMap::new(), both(), true);
     assert_eq!(ids(&started_late), [vec!["old-1"], vec![]], "the warm ones were there before");
 }
 
 #[test]
 fn a_rollout_says_what_is_in_place_and_what_is_brought_in() {
-    let part = |state| FirstVersions::default().part(&rollouts(state), both(), true);
+    let part = |state| FirstVersions::default().partition(&rollouts(state), both(), true);
     let new = vec!["new-1", "new-2", "new-3"];
     assert_eq!(ids(&part(RolloutState::Active)), [vec!["old-1"], new.clone()]);
     assert_eq!(ids(&part(RolloutState::Complete)), [new, vec![]]);
@@ -73,12 +73,12 @@
 #[test]
 fn a_service_whose_engines_were_all_replaced_without_an_order_is_served() {
     let mut first = FirstVersions::default();
-    first.part(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true);
-    assert_eq!(ids(&first.part(&BTreeMap::new(), vec![listed("new-1", "v2", 0)], true)), [vec!["new-1"], vec![]]);
+    first.partition(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true);
+    assert_eq!(ids(&first.partition(&BTreeMap::new(), vec![listed("new-1", "v2", 0)], true)), [vec!["new-1"], vec![]]);
 }
 
 #[test]
 fn where_versions_need_no_order_all_are_served() {
-    let parted = FirstVersions::default().part(&BTreeMap::new(), both(), false);
+    let parted = FirstVersions::default().partition(&BTreeMap::new(), both(), false);
     assert_eq!(ids(&parted), [vec!["new-1", "old-1", "new-2", "new-3"], vec![]]);
 }
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -17,7 +17,7 @@
 
 /// What an operator's call asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum OrderKind {
+pub enum RequestKind {
     ReadConfig,
     ChangeConfig,
     Evacuate,
@@ -25,7 +25,7 @@
 
 /// What an operator's call came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum OrderOutcome {
+pub enum RequestOutcome {
     Done,
     Refused,
     Unclear,
@@ -42,9 +42,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct OrderLabels {
-    pub kind: OrderKind,
-    pub result: OrderOutcome,
+pub struct RequestLabels {
+    pub kind: RequestKind,
+    pub result: RequestOutcome,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -54,7 +54,7 @@
 
 /// What a request for a token of a tenant's limit came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum QuotaAnswer {
+pub enum TokenOutcome {
     Granted,
     Denied,
     NotHeld,
@@ -62,13 +62,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct QuotaLabels {
-    pub answer: QuotaAnswer,
+    pub answer: TokenOutcome,
 }
 
 /// All metrics of a controller. Labels have fixed values only, so that their number never grows.
 pub struct Metrics {
     registry: Registry,
-    pub orders: Family<OrderLabels, Counter>,
+    pub orders: Family<RequestLabels, Counter>,
     pub orders_under_way: Gauge,
     pub order_duration: Histogram,
     pub disk_write: Histogram,
@@ -151,11 +151,11 @@
     }
 
     /// Counts the answer to a request for a token.
-    pub fn note_spent(&self, spent: TokenResponse) {
+    pub fn record_token_response(&self, spent: TokenResponse) {
         let answer = match spent {
-            TokenResponse::Granted => QuotaAnswer::Granted,
-            TokenResponse::Denied { .. } => QuotaAnswer::Denied,
-            TokenResponse::NotHeld => QuotaAnswer::NotHeld,
+            TokenResponse::Granted => TokenOutcome::Granted,
+            TokenResponse::Denied { .. } => TokenOutcome::Denied,
+            TokenResponse::NotHeld => TokenOutcome::NotHeld,
         };
         self.quota_answers.get_or_create(&QuotaLabels { answer }).inc();
     }
@@ -172,40 +172,40 @@
         self.live_controllers.set(live_controllers(controller, now));
         self.following_routers.set(controller.subscribers.lease_count(now) as i64);
         self.batches.set(controller.committed.read(records::ids).len() as i64);
-        self.leaving.set(i64::from(controller.leaving.load(Ordering::Relaxed)));
+        self.leaving.set(i64::from(controller.shutting_down.load(Ordering::Relaxed)));
         telemetry::encode(&self.registry)
     }
 }
 
 fn live_controllers(controller: &Controller, now: u64) -> i64 {
-    controller.peers.live_ips(now).iter().filter(|ip| *ip != controller.me()).count() as i64
+    controller.peers.live_ips(now).iter().filter(|ip| *ip != controller.own_ip()).count() as i64
 }
 
 /// One call of an operator, counted while it is under way.
-pub struct OrderTimer<'a> {
+pub struct RequestTimer<'a> {
     metrics: &'a Metrics,
-    kind: OrderKind,
+    kind: RequestKind,
     begun: u64,
 }
 
-impl<'a> OrderTimer<'a> {
-    pub fn start(metrics: &'a Metrics, order: &OperatorRequest) -> OrderTimer<'a> {
+impl<'a> RequestTimer<'a> {
+    pub fn start(metrics: &'a Metrics, order: &OperatorRequest) -> RequestTimer<'a> {
         use protocol::operator_request::OperatorRequest;
         let kind = match order {
-            OperatorRequest::ReadConfig => OrderKind::ReadConfig,
-            OperatorRequest::Change(_) => OrderKind::ChangeConfig,
-            OperatorRequest::Evacuate { .. } | OperatorRequest::EvacuateFrom { .. } => OrderKind::Evacuate,
+            OperatorRequest::ReadConfig => RequestKind::ReadConfig,
+            OperatorRequest::Change(_) => RequestKind::ChangeConfig,
+            OperatorRequest::Evacuate { .. } | OperatorRequest::EvacuateFrom { .. } => RequestKind::Evacuate,
         };
         metrics.orders_under_way.inc();
-        OrderTimer { metrics, kind, begun: clock::now() }
+        RequestTimer { metrics, kind, begun: clock::now() }
     }
 
-    pub fn finish(self, result: OrderOutcome) {
-        self.metrics.orders.get_or_create(&OrderLabels { kind: self.kind, result }).inc();
+    pub fn finish(self, result: RequestOutcome) {
+        self.metrics.orders.get_or_create(&RequestLabels { kind: self.kind, result }).inc();
     }
 }
 
-impl Drop for OrderTimer<'_> {
+impl Drop for RequestTimer<'_> {
     fn drop(&mut self) {
         self.metrics.orders_under_way.dec();
         let spent_ms = clock::now() - self.begun;
@@ -213,13 +213,13 @@
     }
 }
 
-impl From<&OperatorResponse> for OrderOutcome {
-    fn from(result: &OperatorResponse) -> OrderOutcome {
+impl From<&OperatorResponse> for RequestOutcome {
+    fn from(result: &OperatorResponse) -> RequestOutcome {
         use protocol::operator_request::OperatorResponse;
         match result {
-            OperatorResponse::Done | OperatorResponse::Found { .. } => OrderOutcome::Done,
-            OperatorResponse::Rejected { .. } => OrderOutcome::Refused,
-            OperatorResponse::OutcomeUnknown => OrderOutcome::Unclear,
+            OperatorResponse::Done | OperatorResponse::Found { .. } => RequestOutcome::Done,
+            OperatorResponse::Rejected { .. } => RequestOutcome::Refused,
+            OperatorResponse::OutcomeUnknown => RequestOutcome::Unclear,
         }
     }
 }
--- a/controller/src/metrics_tests.rs
+++ b/controller/src/metrics_tests.rs
@@ -3,16 +3,16 @@
 use protocol::operator_request::{OperatorRequest, OperatorResponse};
 use protocol::quota::TokenResponse;
 
-use super::{Metrics, OrderKind, OrderLabels, OrderOutcome, OrderTimer, PollLabels, PollOutcome};
+use super::{Metrics, PollLabels, PollOutcome, RequestKind, RequestLabels, RequestOutcome, RequestTimer};
 
 #[test]
 fn every_metric_stands_on_the_page_and_none_besides() {
     let page = include_str!("../../docs/metrics.md");
     let metrics = Metrics::default();
     // A family without a series is not told.
-    OrderTimer::start(&metrics, &OperatorRequest::ReadConfig).finish(OrderOutcome::Done);
+    RequestTimer::start(&metrics, &OperatorRequest::ReadConfig).finish(RequestOutcome::Done);
     metrics.platform_polls.get_or_create(&PollLabels { result: PollOutcome::Read }).inc();
-    metrics.note_spent(TokenResponse::Granted);
+    metrics.record_token_response(TokenResponse::Granted);
     let text = telemetry::encode(&metrics.registry);
     assert_eq!(telemetry::names(&text), telemetry::listed(page, "tidepoint_keeper_"));
 }
@@ -21,13 +21,13 @@
 fn a_call_is_under_way_until_it_is_answered_or_given_up() {
     let metrics = Metrics::default();
     let evacuation = OperatorRequest::Evacuate { zone: "a".into(), on: true };
-    let answered = OrderTimer::start(&metrics, &evacuation);
-    let given_up = OrderTimer::start(&metrics, &OperatorRequest::ReadConfig);
+    let answered = RequestTimer::start(&metrics, &evacuation);
+    let given_up = RequestTimer::start(&metrics, &OperatorRequest::ReadConfig);
     assert_eq!(metrics.orders_under_way.get(), 2);
     answered.finish((&OperatorResponse::OutcomeUnknown).into());
     drop(given_up);
     assert_eq!(metrics.orders_under_way.get(), 0);
-    let count = |kind, result| metrics.orders.get_or_create(&OrderLabels { kind, result }).get();
-    assert_eq!(count(OrderKind::Evacuate, OrderOutcome::Unclear), 1);
-    assert_eq!(count(OrderKind::ReadConfig, OrderOutcome::Done), 0);
+    let count = |kind, result| metrics.orders.get_or_create(&RequestLabels { kind, result }).get();
+    assert_eq!(count(RequestKind::Evacuate, RequestOutcome::Unclear), 1);
+    assert_eq!(count(RequestKind::ReadConfig, RequestOutcome::Done), 0);
 }
--- a/controller/src/peers/directory.rs
+++ b/controller/src/peers/directory.rs
@@ -65,11 +65,11 @@
 
     /// Marks the first tick after a pause of the process. To be called several times a second.
     pub fn record_tick(&self) {
-        self.pause_monitor.lock().beat(clock::now());
+        self.pause_monitor.lock().record_tick(clock::now());
     }
 
     /// Returns whether an operator's request that was just read may be one from before a pause of this process.
     pub fn requests_may_be_stale(&self) -> bool {
-        self.pause_monitor.lock().orders_may_be_stale(clock::now())
+        self.pause_monitor.lock().requests_may_be_stale(clock::now())
     }
 }
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::quota_shards;
 use crate::rollout::version_rollouts::take_samples;
 
-pub fn take(controller: &Arc<Controller>, mouth: Responder, id: u64, msg: Message) {
+pub fn dispatch(controller: &Arc<Controller>, mouth: Responder, id: u64, msg: Message) {
     let now = clock::now();
     match msg {
         Message::ConsensusRequest(poll) => {
@@ -23,11 +23,11 @@
                 mouth.reply(id, &Message::ConsensusResponse(Box::new(vote)));
             });
         }
-        Message::Gossip(gossip) => gossip::hear(controller, &gossip),
+        Message::Gossip(gossip) => gossip::receive(controller, &gossip),
         Message::EndpointList(sheet) => {
             if controller.engines.accept(&sheet) {
                 controller.catalog.remove_draining(&sheet);
-                controller.push();
+                controller.push_updates();
             }
         }
         Message::OperatorRequest(order) => {
@@ -39,8 +39,8 @@
         }
         Message::CommittedDelta(advance) => execution::advance(controller, &advance),
         Message::Committed(pair) => controller.learn(&pair.0, &pair.1, false),
-        Message::SuspectEngine(doubt) => controller.doubt(&doubt.0, doubt.1),
-        Message::SubscriptionRenewal(follow) => controller.follow(mouth, id, *follow),
+        Message::SuspectEngine(doubt) => controller.suspect_engine(&doubt.0, doubt.1),
+        Message::SubscriptionRenewal(follow) => controller.renew_subscription(mouth, id, *follow),
         Message::OwnerQuery(query) => {
             let owners = controller.catalog.find_owners(query.0, &query.1, now);
             mouth.reply(id, &Message::Owners(Box::new(owners)));
@@ -62,9 +62,9 @@
             let usage = quota_shards::usage(controller);
             mouth.reply(id, &Message::UsageResponse(Box::new(usage)));
         }
-        Message::WeightVersions(list) => limit_confirmations::hear(controller, *list),
+        Message::WeightVersions(list) => limit_confirmations::accept_weight_versions(controller, *list),
         Message::CountConfirmations(ask) => {
-            let reply = controller.settled(&ask.0, ask.1, now);
+            let reply = controller.count_confirmations(&ask.0, ask.1, now);
             mouth.reply(id, &Message::ConfirmationCount(Box::new(reply)));
         }
         Message::RegisterOwners(list) => controller.catalog.register(list.0, &list.1, now),
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -8,13 +8,13 @@
 use membership::Peer;
 use protocol::message::{self, Gossip, Message};
 
-use crate::controller::{Controller, BEAT_MS, LIVE_MS};
+use crate::controller::{Controller, HEARTBEAT_INTERVAL_MS, LIVENESS_TIMEOUT_MS};
 use crate::discovery::poller;
 use crate::replication::confirmer;
 use crate::roles::{self, BALANCE, BATCH};
 
-pub fn hear(controller: &Controller, gossip: &Gossip) {
-    if gossip.ip == controller.me() {
+pub fn receive(controller: &Controller, gossip: &Gossip) {
+    if gossip.ip == controller.own_ip() {
         return;
     }
     controller.replica.adopt_membership(&gossip.membership);
@@ -29,11 +29,11 @@
         shutting_down: message::is_shutting_down(&gossip.list_versions),
         in_flight: gossip.in_flight.clone(),
         frontend_addresses: gossip.frontend_addresses.clone(),
-        reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
+        reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVENESS_TIMEOUT_MS)).collect(),
     };
     controller.peers.update(|view| {
         view.observe(&gossip.ip, peer);
-        view.report(&gossip.ip, poller::report(gossip), now);
+        view.report(&gossip.ip, poller::peer_report(gossip), now);
         for ip in &gossip.peers {
             if ip.parse::<Ipv4Addr>().is_ok() && *ip != view.own_ip && !view.controllers.contains_key(ip) {
                 view.controllers.insert(ip.clone(), Peer::default());
@@ -53,20 +53,20 @@
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = startup::interval(BEAT_MS);
+        let mut heartbeat = startup::interval(HEARTBEAT_INTERVAL_MS);
         loop {
-            beat.tick().await;
-            tell(&controller);
+            heartbeat.tick().await;
+            broadcast(&controller);
             confirmer::run(&controller).await;
             if crate::quota_shards::beat(&controller) {
-                controller.push();
+                controller.push_updates();
             }
         }
     });
 }
 
 /// Tells all controllers that are known how this one stands.
-pub fn tell(controller: &Controller) {
+pub fn broadcast(controller: &Controller) {
     let now = clock::now();
     let core = controller.replica.membership();
     let (peers, seats, busy, resting, doors) = controller.peers.update(|view| {
@@ -77,16 +77,16 @@
     });
     let (mut sheets, floors) = controller.engines.read(|lists| (lists.versions(), lists.observed_terms()));
     sheets.push(message::own_protocol_version());
-    if controller.leaving.load(Ordering::Relaxed) {
+    if controller.shutting_down.load(Ordering::Relaxed) {
         sheets.push(message::shutting_down_marker());
     }
-    sheets.extend(poller::told(controller, now));
-    sheets.extend(roles::told(controller, now));
+    sheets.extend(poller::access_marker(controller, now));
+    sheets.extend(roles::gossip_markers(controller, now));
     let gossip = Gossip {
-        ip: controller.me().into(),
+        ip: controller.own_ip().into(),
         zone: controller.settings.zone.clone(),
-        incarnation: controller.life,
-        eligible: fit(controller),
+        incarnation: controller.incarnation,
+        eligible: is_eligible(controller),
         membership: core,
         peers,
         router_count: seats,
@@ -97,7 +97,7 @@
         observed_list_versions: floors,
     };
     let (balancer, batch_owner) = (controller.committed.role_owner(BALANCE), controller.committed.role_owner(BATCH));
-    for ip in controller.known() {
+    for ip in controller.known_peers() {
         let mut gossip = gossip.clone();
         // What grows with engines or routers goes to the one controller that reads it.
         if balancer.as_ref() == Some(&ip) {
@@ -111,6 +111,6 @@
 }
 
 /// May this controller be made a member: a counted machine, or any where none has a disk.
-pub fn fit(controller: &Controller) -> bool {
+pub fn is_eligible(controller: &Controller) -> bool {
     controller.settings.quorum_member && controller.replica.may_vote()
 }
--- a/controller/src/peers/pause.rs
+++ b/controller/src/peers/pause.rs
@@ -10,17 +10,17 @@
 /// A pause from this length on is one after which an order in a socket may long have been given up.
 const PAUSE_MS: u64 = 1000;
 /// For so long after the process goes on, orders are taken for old ones.
-const STALE_MS: u64 = 500;
+const STALE_AFTER_PAUSE_MS: u64 = 500;
 
-const BEAT_MS: u64 = 250;
+const TICK_MS: u64 = 250;
 
 /// Beats in a task of its own: one that also does other work would stand still with it.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = startup::interval(BEAT_MS);
+        let mut ticks = startup::interval(TICK_MS);
         loop {
-            beat.tick().await;
+            ticks.tick().await;
             controller.peers.record_tick();
         }
     });
@@ -29,26 +29,26 @@
 /// Times of the steady clock. Invariant: `resumed` is the time of the first beat after the last pause.
 #[derive(Debug, Default)]
 pub struct PauseMonitor {
-    last_beat: u64,
+    last_tick: u64,
     resumed: Option<u64>,
 }
 
 impl PauseMonitor {
     /// To be called more often than `PAUSE_MS` while the process runs.
-    pub fn beat(&mut self, now: u64) {
-        if self.stands_still(now) {
+    pub fn record_tick(&mut self, now: u64) {
+        if self.is_paused(now) {
             self.resumed = Some(now);
         }
-        self.last_beat = now;
+        self.last_tick = now;
     }
 
     /// May an order that is read now have been sent before a pause?
-    pub fn orders_may_be_stale(&self, now: u64) -> bool {
-        self.stands_still(now) || self.resumed.is_some_and(|resumed| now < resumed + STALE_MS)
+    pub fn requests_may_be_stale(&self, now: u64) -> bool {
+        self.is_paused(now) || self.resumed.is_some_and(|resumed| now < resumed + STALE_AFTER_PAUSE_MS)
     }
 
-    fn stands_still(&self, now: u64) -> bool {
-        now > self.last_beat + PAUSE_MS
+    fn is_paused(&self, now: u64) -> bool {
+        now > self.last_tick + PAUSE_MS
     }
 }
 
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 
 use crate::controller::Controller;
-use crate::delivery::subscribers::Follower;
+use crate::delivery::subscribers::Subscriber;
 use crate::replication::committed_state::CommittedState;
 
 /// The shards held here, and who may hold others.
@@ -38,7 +38,7 @@
 /// Notes who may hold shards. True: that has changed, and routers are to hear of it.
 pub fn beat(controller: &Controller) -> bool {
     let now = clock::now();
-    let leaving = controller.leaving.load(Ordering::Relaxed);
+    let leaving = controller.shutting_down.load(Ordering::Relaxed);
     let confirmed_at = controller.committed.confirmed_at();
     let able = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now));
     let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
@@ -55,7 +55,7 @@
 pub fn spend(controller: &Controller, spend: &TokenRequest) -> TokenResponse {
     let now = clock::now();
     let (confirmed_at, limit) =
-        controller.committed.read(|state| (state.sure, state.history.tenant_quota(&spend.tenant)));
+        controller.committed.read(|state| (state.confirmed_at, state.history.tenant_quota(&spend.tenant)));
     // The router may know of a newer configuration than this controller, or of an older one.
     let (rate_per_s, burst) = (from_milli(spend.rate_milli), from_milli(spend.burst_milli));
     let limit = limit.unwrap_or(Quota { rate_per_s, burst });
@@ -66,20 +66,20 @@
         quota::TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
         quota::TokenDecision::NotHeld => TokenResponse::NotHeld,
     };
-    controller.metrics.note_spent(spent);
+    controller.metrics.record_token_response(spent);
     spent
 }
 
 /// Tells a router who may hold shards, where it has another list.
-pub fn send_holders(controller: &Controller, follower: &mut Follower) {
+pub fn send_holders(controller: &Controller, follower: &mut Subscriber) {
     let held = controller.quotas.0.lock();
-    let has = follower.sheets.entry(holders_key()).or_default();
+    let has = follower.list_versions.entry(holders_key()).or_default();
     if has.0 == held.mark {
         return;
     }
-    match follower.mouth.notify(&Message::ShardOwners(Box::new(held.holders.clone()))) {
+    match follower.responder.notify(&Message::ShardOwners(Box::new(held.holders.clone()))) {
         true => has.0 = held.mark,
-        false => follower.behind = true,
+        false => follower.is_behind = true,
     }
 }
 
@@ -104,7 +104,7 @@
     let mut sums = BTreeMap::<String, TenantUsage>::new();
     let mut silent = Vec::new();
     for holder in &holders {
-        let told = match holder.ip == controller.me() {
+        let told = match holder.ip == controller.own_ip() {
             true => Some(usage(controller)),
             false => ask_usage(controller, &holder.ip).await,
         };
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -11,29 +11,29 @@
 
 use crate::config::body::Held;
 use crate::config::history::{ConfigHistory, NotNewer};
-use crate::controller::{Controller, SURE_MS};
+use crate::controller::{Controller, CONFIRMATION_TTL_MS};
 use crate::event::{LEARNED, UNREADABLE};
 
 #[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Closed {
+pub struct EvacuationState {
     pub version: u64,
-    pub on: bool,
+    pub evacuated: bool,
 }
 
 #[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Duty {
+pub struct RoleState {
     pub epoch: u64,
-    pub holder: String,
+    pub owner: String,
     /// The holder has waited out whoever held it before, and said so before its first act.
-    pub clear: bool,
+    pub predecessor_expired: bool,
 }
 
-pub const CONFIG: &str = "config";
-pub const CLOSED: &str = "evacuation/";
-pub const DUTY: &str = "duty/";
+pub const CONFIG_KEY: &str = "config";
+pub const EVACUATION_PREFIX: &str = "evacuation/";
+pub const ROLE_PREFIX: &str = "duty/";
 
-kernel::bytes!(Closed);
-kernel::bytes!(Duty);
+kernel::bytes!(EvacuationState);
+kernel::bytes!(RoleState);
 
 pub use consensus::core_body::{read as read_core, write as write_core};
 
@@ -52,8 +52,8 @@
     };
 }
 
-open!(Closed);
-open!(Duty);
+open!(EvacuationState);
+open!(RoleState);
 
 /// Why a committed entry cannot be taken for what a key holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     Text(ConfigError),
     /// The body tells another revision than its text.
     Revision {
-        told: u64,
+        declared: u64,
         found: u64,
     },
     /// It would lead back from what is known.
@@ -75,17 +75,19 @@
         match self {
             Unreadable::Body => out.write_str("a body of an unknown form"),
             Unreadable::Text(error) => error.fmt(out),
-            Unreadable::Revision { told, found } => write!(out, "revision: told {told}, found {found}"),
+            Unreadable::Revision { declared, found } => {
+                write!(out, "revision: {declared} in the record, {found} in the text")
+            }
             Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.held),
         }
     }
 }
 
 impl Controller {
-    /// A committed entry becomes known here; with `tell` also to the other controllers. Followers get
+    /// A committed entry becomes known here; with `tell` also to the other controllers. Subscribers get
     /// what is new to them at once.
     pub fn learn(&self, key: &str, entry: &Entry, tell: bool) {
-        let is_news = self.learn_read(key, entry, None);
+        let is_news = self.learn_entry(key, entry, None);
         if is_news && tell {
             self.notify_peers(&Message::Committed(Box::new((key.into(), entry.clone()))));
         }
@@ -93,14 +95,14 @@
 
     /// The same for a configuration that was read already.
     pub fn learn_config(&self, entry: &Entry, read: Arc<Checked>) {
-        self.learn_read(CONFIG, entry, Some(read));
+        self.learn_entry(CONFIG_KEY, entry, Some(read));
     }
 
     /// False: it, or a newer one, was known.
-    fn learn_read(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> bool {
+    fn learn_entry(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> bool {
         let learned = self.committed.learn(key, entry, read);
         match learned {
-            Learned::Known => return false,
+            Learned::AlreadyKnown => return false,
             Learned::Unreadable { error, first } => {
                 if first {
                     kernel::log_event!(UNREADABLE, "key" => key, "turn" => entry.proposal_number.term,
@@ -108,7 +110,7 @@
                 }
                 return true;
             }
-            Learned::Again => {}
+            Learned::Recommitted => {}
             Learned::New { revision } => {
                 kernel::log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
                     "step" => entry.index);
@@ -119,7 +121,7 @@
                 self.replica.adopt_membership(&core);
             }
         }
-        self.push();
+        self.push_updates();
         true
     }
 }
@@ -128,9 +130,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Learned {
     /// It, or a newer one, was known.
-    Known,
+    AlreadyKnown,
     /// The same body, committed again.
-    Again,
+    Recommitted,
     New {
         revision: u64,
     },
@@ -146,40 +148,40 @@
 pub struct CommittedState {
     pub entries: BTreeMap<String, Entry>,
     /// When the read began that last confirmed these at a majority; None before the first.
-    pub sure: Option<u64>,
+    pub confirmed_at: Option<u64>,
     /// The highest turn seen in any ballot.
-    pub turn: u64,
+    pub highest_term: u64,
     /// The configuration in the entry of its key, as a value and as routers take it.
     pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
     pub unreadable: Option<(ProposalNumber, u64)>,
     /// The evacuations with their versions.
-    pub closed: BTreeMap<String, (u64, bool)>,
+    pub evacuations: BTreeMap<String, (u64, bool)>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
-    pub rules: BTreeMap<String, StalenessLimit>,
+    pub staleness_limits: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
-    pub rollouts: BTreeMap<String, VersionRollout>,
+    pub version_rollouts: BTreeMap<String, VersionRollout>,
     /// By key: epoch, holder, and whether it has waited.
-    pub duties: BTreeMap<String, (u64, String, bool)>,
+    pub roles: BTreeMap<String, (u64, String, bool)>,
 }
 
 impl CommittedState {
     /// Returns whether the last confirmation still counts.
     pub fn is_confirmed(&self, now: u64) -> bool {
-        self.sure.is_some_and(|time| now < time + SURE_MS)
+        self.confirmed_at.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
     pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
-        self.turn = self.turn.max(entry.proposal_number.term);
+        self.highest_term = self.highest_term.max(entry.proposal_number.term);
         let held = self.entries.get(key);
         if held.is_some_and(|held| held.position() >= entry.position()) {
-            return Learned::Known;
+            return Learned::AlreadyKnown;
         }
         let same = held.is_some_and(|held| held.body == entry.body);
         if !same {
-            if let Err(error) = self.fold(key, &entry.body, read) {
+            if let Err(error) = self.apply(key, &entry.body, read) {
                 let place = Some(entry.position());
                 let first = mem::replace(&mut self.unreadable, place) != place;
                 return Learned::Unreadable { error, first };
@@ -187,30 +189,30 @@
         }
         self.entries.insert(key.into(), entry.clone());
         match same {
-            true => Learned::Again,
+            true => Learned::Recommitted,
             false => Learned::New { revision: self.history.revision() },
         }
     }
 
-    fn fold(&mut self, key: &str, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
-        if key == CONFIG {
-            return self.fold_config(body, read);
+    fn apply(&mut self, key: &str, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
+        if key == CONFIG_KEY {
+            return self.apply_config(body, read);
         }
-        if let Some(zone) = key.strip_prefix(CLOSED) {
-            let closed = Closed::open(body).ok_or(Unreadable::Body)?;
-            self.closed.insert(zone.into(), (closed.version, closed.on));
+        if let Some(zone) = key.strip_prefix(EVACUATION_PREFIX) {
+            let evacuation = EvacuationState::open(body).ok_or(Unreadable::Body)?;
+            self.evacuations.insert(zone.into(), (evacuation.version, evacuation.evacuated));
         }
         if key.starts_with(ROLLOUT) && !body.is_empty() {
             let rule = StalenessLimit::read_bytes(body).ok_or(Unreadable::Body)?;
-            self.rules.insert(key.into(), rule);
+            self.staleness_limits.insert(key.into(), rule);
         }
         if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
             let rollout = VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
-            self.rollouts.insert(service.into(), rollout);
+            self.version_rollouts.insert(service.into(), rollout);
         }
-        if key.starts_with(DUTY) {
-            let duty = Duty::open(body).ok_or(Unreadable::Body)?;
-            self.duties.insert(key.into(), (duty.epoch, duty.holder, duty.clear));
+        if key.starts_with(ROLE_PREFIX) {
+            let duty = RoleState::open(body).ok_or(Unreadable::Body)?;
+            self.roles.insert(key.into(), (duty.epoch, duty.owner, duty.predecessor_expired));
         }
         if key == MEMBERSHIP_KEY && !body.is_empty() {
             read_core(body).ok_or(Unreadable::Body)?;
@@ -218,7 +220,7 @@
         Ok(())
     }
 
-    fn fold_config(&mut self, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
+    fn apply_config(&mut self, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
         if body.is_empty() && self.history.revision() == 0 {
             return Ok(());
         }
@@ -236,7 +238,7 @@
     let checked = Checked::read_committed(&held.text).map_err(Unreadable::Text)?;
     match checked.revision() == held.revision {
         true => Ok(checked),
-        false => Err(Unreadable::Revision { told: held.revision, found: checked.revision() }),
+        false => Err(Unreadable::Revision { declared: held.revision, found: checked.revision() }),
     }
 }
 
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -10,7 +10,9 @@
 use protocol::frame::{self, HEAD};
 use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
 
-use super::{read_config, Closed, CommittedState, Learned, Unreadable, CLOSED, CONFIG, DUTY};
+use super::{
+    read_config, CommittedState, EvacuationState, Learned, Unreadable, CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX,
+};
 use crate::config::body::{BodyForm, Held};
 use crate::config::history::NotNewer;
 
@@ -39,7 +41,7 @@
 /// What the state says of the configuration, which must be one thing: entry, text, value and frames.
 fn in_force(state: &mut CommittedState) -> u64 {
     let revision = state.history.revision();
-    let body = state.entries.get(CONFIG).map_or(Vec::new(), |entry| entry.body.clone());
+    let body = state.entries.get(CONFIG_KEY).map_or(Vec::new(), |entry| entry.body.clone());
     let held = Held::open(&body).expect("only what is read is known");
     assert_eq!(held.revision, revision);
     if let Some(current) = state.history.current() {
@@ -61,13 +63,21 @@
 #[test]
 fn what_is_committed_is_known_by_its_place() {
     let mut state = CommittedState::default();
-    assert_eq!(state.learn(CONFIG, &entry(1, 0, body(3)), None), Learned::New { revision: 3 });
-    assert_eq!(state.learn(CONFIG, &entry(1, 0, body(3)), None), Learned::Known);
-    assert_eq!(state.learn(CONFIG, &entry(2, 0, body(3)), None), Learned::Again, "committed again by a new owner");
-    assert_eq!(state.learn(CONFIG, &entry(1, 9, body(4)), None), Learned::Known, "late, from an owner before");
+    assert_eq!(state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None), Learned::New { revision: 3 });
+    assert_eq!(state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None), Learned::AlreadyKnown);
+    assert_eq!(
+        state.learn(CONFIG_KEY, &entry(2, 0, body(3)), None),
+        Learned::Recommitted,
+        "committed again by a new owner"
+    );
+    assert_eq!(
+        state.learn(CONFIG_KEY, &entry(1, 9, body(4)), None),
+        Learned::AlreadyKnown,
+        "late, from an owner before"
+    );
     assert_eq!(in_force(&mut state), 3);
-    assert_eq!(state.learn(CONFIG, &entry(2, 1, body(8)), None), Learned::New { revision: 8 });
-    assert_eq!((in_force(&mut state), place(&state, CONFIG), state.turn), (8, Some((2, 1)), 2));
+    assert_eq!(state.learn(CONFIG_KEY, &entry(2, 1, body(8)), None), Learned::New { revision: 8 });
+    assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY), state.highest_term), (8, Some((2, 1)), 2));
 }
 
 /// The same configuration in another form: the entry moves on, the configuration in force is the same.
@@ -76,8 +86,8 @@
     let mut state = CommittedState::default();
     for (turn, form) in [(1, BodyForm::Plain), (2, BodyForm::Packed), (3, BodyForm::Digested)] {
         let body = held(3, text(3, 5)).seal(form);
-        state.learn(CONFIG, &entry(turn, 0, body), None);
-        assert_eq!((in_force(&mut state), place(&state, CONFIG)), (3, Some((turn, 0))));
+        state.learn(CONFIG_KEY, &entry(turn, 0, body), None);
+        assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((turn, 0))));
     }
 }
 
@@ -86,19 +96,19 @@
 fn what_cannot_be_read_is_not_known_and_changes_nothing() {
     let broken = [
         (b"of another form".to_vec(), Unreadable::Body),
-        (held(8, text(9, 5)).seal(BodyForm::Digested), Unreadable::Revision { told: 8, found: 9 }),
+        (held(8, text(9, 5)).seal(BodyForm::Digested), Unreadable::Revision { declared: 8, found: 9 }),
         (held(2, text(2, 5)).seal(BodyForm::Digested), Unreadable::NotNewer(NotNewer { held: 3, found: 2 })),
         (held(3, text(3, 6)).seal(BodyForm::Digested), Unreadable::NotNewer(NotNewer { held: 3, found: 3 })),
     ];
     for (bytes, error) in broken {
         let mut state = CommittedState::default();
-        state.learn(CONFIG, &entry(1, 0, body(3)), None);
+        state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None);
         let bad = entry(5, 0, bytes);
         let unreadable = |first| Learned::Unreadable { error: error.clone(), first };
-        assert_eq!(state.learn(CONFIG, &bad, None), unreadable(true));
-        assert_eq!(state.learn(CONFIG, &bad, None), unreadable(false), "told once");
-        assert_eq!((in_force(&mut state), place(&state, CONFIG)), (3, Some((1, 0))), "its place stays behind");
-        assert_eq!(state.learn(CONFIG, &entry(6, 0, body(9)), None), Learned::New { revision: 9 }, "and is mended");
+        assert_eq!(state.learn(CONFIG_KEY, &bad, None), unreadable(true));
+        assert_eq!(state.learn(CONFIG_KEY, &bad, None), unreadable(false), "told once");
+        assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((1, 0))), "its place stays behind");
+        assert_eq!(state.learn(CONFIG_KEY, &entry(6, 0, body(9)), None), Learned::New { revision: 9 }, "and is mended");
         assert_eq!(in_force(&mut state), 9);
     }
     for text in ["", "{", "[]", "{\"revision\":true}", "{\"revision\":8,\"route_table\":3}"] {
@@ -118,34 +128,34 @@
         stable: true,
     };
     let mut state = CommittedState::default();
-    state.learn(CONFIG, &entry(1, 0, body(3)), None);
+    state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
         let mut confirmation = Confirmation::new(&core);
-        confirmation.record("a", vec![(CONFIG.into(), entry.proposal_number, entry.index)]);
+        confirmation.record("a", vec![(CONFIG_KEY.into(), entry.proposal_number, entry.index)]);
         assert!(confirmation.is_quorum());
         confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
     let bad = entry(2, 1, b"of another form".to_vec());
     assert_eq!(behind(&state, &bad), 1);
-    state.learn(CONFIG, &bad, None);
+    state.learn(CONFIG_KEY, &bad, None);
     assert_eq!(behind(&state, &bad), 1, "still");
     let good = entry(2, 2, body(4));
-    state.learn(CONFIG, &good, None);
+    state.learn(CONFIG_KEY, &good, None);
     assert_eq!((behind(&state, &bad), behind(&state, &good)), (0, 0));
 }
 
 #[test]
 fn other_keys_are_not_taken_for_empty_either() {
     let mut state = CommittedState::default();
-    let zone = format!("{CLOSED}z");
-    let closed = Closed { version: 4, on: true }.write_bytes();
+    let zone = format!("{EVACUATION_PREFIX}z");
+    let closed = EvacuationState { version: 4, evacuated: true }.write_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
+    for key in [zone.as_str(), &format!("{ROLE_PREFIX}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
     }
-    assert_eq!(state.closed.get("z"), Some(&(4, true)), "the evacuation goes on");
+    assert_eq!(state.evacuations.get("z"), Some(&(4, true)), "the evacuation goes on");
 }
 
 /// Whatever comes in whatever order, late, twice, broken: the configuration never goes back, and entry, text, value and
@@ -161,13 +171,13 @@
         for _ in 0..120 {
             let pick = &chain[dice.below(chain.len() as u64) as usize];
             match dice.below(8) {
-                0 => drop(state.learn(CONFIG, &entry(pick.proposal_number.term, pick.index, vec![1, 2, 3]), None)),
+                0 => drop(state.learn(CONFIG_KEY, &entry(pick.proposal_number.term, pick.index, vec![1, 2, 3]), None)),
                 // An owner's own change, read already.
                 1 => {
                     let read = Arc::new(read_config(&pick.body).expect("good"));
-                    state.learn(CONFIG, pick, Some(read));
+                    state.learn(CONFIG_KEY, pick, Some(read));
                 }
-                _ => drop(state.learn(CONFIG, pick, None)),
+                _ => drop(state.learn(CONFIG_KEY, pick, None)),
             }
             let revision = in_force(&mut state);
             assert!(revision >= newest, "seed {seed}: from {newest} back to {revision}");
--- a/controller/src/replication/confirmer.rs
+++ b/controller/src/replication/confirmer.rs
@@ -77,8 +77,8 @@
         }
         let now = clock::now();
         let first = controller.peers.read(|view| view.first_live("", &behind.key, now));
-        if now > begun + HALF_DONE_MS && first == controller.me() {
-            return controller.renew(&behind.key, RENEW_MS).await.is_some();
+        if now > begun + HALF_DONE_MS && first == controller.own_ip() {
+            return controller.recommit(&behind.key, RENEW_MS).await.is_some();
         }
     }
     false
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -61,9 +61,9 @@
 
 /// Is this controller the one that changes the core?
 fn coordinates(controller: &Controller, core: &CoreMembership, now: u64) -> bool {
-    let leaving = controller.leaving.load(Ordering::Relaxed);
+    let leaving = controller.shutting_down.load(Ordering::Relaxed);
     let first = controller.peers.read(|view| first_member(core, view, leaving, MEMBERSHIP_KEY, now));
-    first.as_deref() == Some(controller.me())
+    first.as_deref() == Some(controller.own_ip())
 }
 
 /// Settles a core that is changing, else begins the next change.
@@ -159,7 +159,7 @@
         let (controller, slots) = (controller.clone(), slots.clone());
         tasks.spawn(async move {
             let _slot = slots.acquire().await.ok()?;
-            controller.renew(&key, COMMIT_MS).await.map(|()| key)
+            controller.recommit(&key, COMMIT_MS).await.map(|()| key)
         });
     }
     while let Some(done) = tasks.join_next().await {
@@ -176,8 +176,8 @@
 /// A member that is about to end tells so, and stays until the core does without it where that is possible:
 /// where another stands ready or there is one member too many. Otherwise it does not wait.
 pub async fn leave(controller: &Arc<Controller>) {
-    controller.leaving.store(true, Ordering::Relaxed);
-    gossip::tell(controller);
+    controller.shutting_down.store(true, Ordering::Relaxed);
+    gossip::broadcast(controller);
     let end = clock::now() + HAND_OVER_MS;
     while clock::now() < end && may_be_released(controller) {
         time::sleep(Duration::from_millis(LOOK_MS)).await;
@@ -187,7 +187,7 @@
 fn may_be_released(controller: &Controller) -> bool {
     let now = clock::now();
     let core = controller.replica.membership();
-    if !quorum::is_member(&core, controller.me()) {
+    if !quorum::is_member(&core, controller.own_ip()) {
         return !core.stable;
     }
     !controller.peers.read(|view| candidates(&core, view, now)).is_empty() || core.members.len().is_multiple_of(2)
--- a/controller/src/replication/reconfiguration_tests.rs
+++ b/controller/src/replication/reconfiguration_tests.rs
@@ -4,7 +4,7 @@
 use protocol::message::{CoreMembership, Member, JOINT_QUORUMS, PROTOCOL_VERSION};
 
 use super::next;
-use crate::controller::LIVE_MS;
+use crate::controller::LIVENESS_TIMEOUT_MS;
 
 fn core(ips: &[&str]) -> CoreMembership {
     let list = ips.iter().map(|ip| Member { ip: ip.to_string(), zone: String::new() }).collect();
@@ -12,7 +12,7 @@
 }
 
 fn roster(heard: &[(&str, u64)]) -> MembershipView {
-    let mut list = MembershipView::new("10.0.0.1", "a", LIVE_MS);
+    let mut list = MembershipView::new("10.0.0.1", "a", LIVENESS_TIMEOUT_MS);
     for (ip, heard) in heard {
         let peer = Peer { last_seen: *heard, eligible: true, ..Default::default() };
         list.observe(ip, peer);
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -21,7 +21,7 @@
         return;
     }
     // One that is being removed votes no more, but the change is settled on what it says that it holds.
-    if quorum::is_old_or_new_member(&core, controller.me()) {
+    if quorum::is_old_or_new_member(&core, controller.own_ip()) {
         recall(controller, &core).await;
     } else {
         become_candidate(controller, &core).await;
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -34,7 +34,7 @@
 pub use consensus::proposal::Decision;
 
 /// None: no clear outcome.
-pub type Outcome<T> = Option<T>;
+pub type ChangeOutcome<T> = Option<T>;
 
 /// The longest pause after the first try that was overtaken, and after the last ones.
 const FIRST_PAUSE_MS: u64 = 20;
@@ -42,16 +42,16 @@
 /// Bodies from this length on are not told again to those that hold them.
 const LONG_BODY: usize = 1024;
 
-type Votes = Receiver<(String, ConsensusResponse)>;
+type Responses = Receiver<(String, ConsensusResponse)>;
 
 impl Controller {
     /// Asks some members; the votes come in as they are given.
-    pub fn ask(&self, core: &CoreMembership, ask: ConsensusOperation, ips: &[String]) -> Votes {
+    pub fn ask(&self, core: &CoreMembership, ask: ConsensusOperation, ips: &[String]) -> Responses {
         let (send, votes) = mpsc::channel(ips.len().max(1));
         for ip in ips {
             let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
             let (send, from) = (send.clone(), ip.clone());
-            if ip == self.me() {
+            if ip == self.own_ip() {
                 self.replica.handle(poll, move |vote| {
                     let _ = send.try_send((from, vote));
                 });
@@ -79,7 +79,7 @@
             return None;
         }
         let members = quorum::addresses(&core);
-        let ballot = self.committed.next_proposal_number(&core, self.seat);
+        let ballot = self.committed.next_proposal_number(&core, self.replica_id);
         let (mut proposal, ask) = Proposal::start(key, &core, held, ballot, judge, clock::now());
         let mut votes = self.ask(&core, ask, &members);
         loop {
@@ -103,8 +103,13 @@
 
     /// Changes a key. `judge` sees what is committed and says what to do; it may be asked again, and
     /// an answer without a write is only given on what a quorum was just seen to hold.
-    pub async fn change<T>(&self, key: &str, wait_ms: u64, judge: impl FnMut(&[u8]) -> Decision<T>) -> Outcome<T> {
-        let (answer, owner, wrote) = self.change_untold(key, wait_ms, judge).await?;
+    pub async fn change<T>(
+        &self,
+        key: &str,
+        wait_ms: u64,
+        judge: impl FnMut(&[u8]) -> Decision<T>,
+    ) -> ChangeOutcome<T> {
+        let (answer, owner, wrote) = self.change_unannounced(key, wait_ms, judge).await?;
         if !wrote && owner.entry.body.len() > LONG_BODY {
             execution::tell_again(self, key, &owner.entry);
         } else if !owner.is_blank() {
@@ -115,16 +120,16 @@
 
     /// The same, and nobody is told of the committed entry: that is left to the caller, who gets it, and
     /// whether a change was written.
-    pub async fn change_untold<T>(
+    pub async fn change_unannounced<T>(
         &self,
         key: &str,
         wait_ms: u64,
         mut judge: impl FnMut(&[u8]) -> Decision<T>,
-    ) -> Outcome<(T, Ownership, bool)> {
+    ) -> ChangeOutcome<(T, Ownership, bool)> {
         let own = self.ownerships.lock_of(key);
         let end = Instant::now() + Duration::from_millis(wait_ms);
         let mut held = time::timeout_at(end, own.lock()).await.ok()?;
-        let mut dice = Rng::new(self.life ^ clock::now());
+        let mut dice = Rng::new(self.incarnation ^ clock::now());
         let mut pause = FIRST_PAUSE_MS;
         while Instant::now() < end {
             if let Some(done) = self.propose(key, held.take(), &mut judge).await {
@@ -139,7 +144,7 @@
     }
 
     /// Commits again what a key holds, under the core of now.
-    pub async fn renew(&self, key: &str, wait_ms: u64) -> Outcome<()> {
+    pub async fn recommit(&self, key: &str, wait_ms: u64) -> ChangeOutcome<()> {
         let own = self.ownerships.lock_of(key);
         *own.lock().await = None;
         self.change(key, wait_ms, |_| Decision::Answer(())).await
--- a/controller/src/replication/shared_state.rs
+++ b/controller/src/replication/shared_state.rs
@@ -36,24 +36,24 @@
     /// Notes a term that was seen in a proposal number.
     pub fn observe_term(&self, term: u64) {
         let mut state = self.0.lock();
-        state.turn = state.turn.max(term);
+        state.highest_term = state.highest_term.max(term);
     }
 
     /// Returns a proposal number that no one used before.
     pub fn next_proposal_number(&self, membership: &CoreMembership, replica_id: u64) -> ProposalNumber {
         let mut state = self.0.lock();
-        state.turn = round::next_term(state.turn, membership);
-        ProposalNumber { term: state.turn, replica_id }
+        state.highest_term = round::next_term(state.highest_term, membership);
+        ProposalNumber { term: state.highest_term, replica_id }
     }
 
     /// Notes that a read which began at `begun` found nothing newer at a quorum.
     pub fn confirm(&self, begun: u64) {
-        self.0.lock().sure = Some(begun);
+        self.0.lock().confirmed_at = Some(begun);
     }
 
     /// Returns when the read began that last confirmed this state at a quorum.
     pub fn confirmed_at(&self) -> Option<u64> {
-        self.0.lock().sure
+        self.0.lock().confirmed_at
     }
 
     /// Returns whether the last confirmation still counts.
@@ -89,46 +89,46 @@
 
     /// Returns the version of a zone's evacuation, 0 where it never was one.
     pub fn evacuation_version(&self, zone: &str) -> u64 {
-        self.0.lock().closed.get(zone).map_or(0, |(version, _)| *version)
+        self.0.lock().evacuations.get(zone).map_or(0, |(version, _)| *version)
     }
 
     /// Returns all evacuations by zone: their versions, and whether they are on.
     pub fn evacuations(&self) -> BTreeMap<String, (u64, bool)> {
-        self.0.lock().closed.clone()
+        self.0.lock().evacuations.clone()
     }
 
     /// Returns the limit on stale weights of a key, also a removed one.
     pub fn staleness_limit(&self, key: &str) -> Option<StalenessLimit> {
-        self.0.lock().rules.get(key).cloned()
+        self.0.lock().staleness_limits.get(key).cloned()
     }
 
     /// Returns whether there is any limit on stale weights, a removed one included.
     pub fn has_staleness_limits(&self) -> bool {
-        !self.0.lock().rules.is_empty()
+        !self.0.lock().staleness_limits.is_empty()
     }
 
     /// Returns the newest rollout of a service.
     pub fn version_rollout(&self, service: &str) -> Option<VersionRollout> {
-        self.0.lock().rollouts.get(service).cloned()
+        self.0.lock().version_rollouts.get(service).cloned()
     }
 
     /// Returns the newest rollout of each service.
     pub fn version_rollouts(&self) -> BTreeMap<String, VersionRollout> {
-        self.0.lock().rollouts.clone()
+        self.0.lock().version_rollouts.clone()
     }
 
     /// Returns the state of a singleton role by its key: epoch, owner, and whether the owner has waited.
     pub fn role(&self, key: &str) -> Option<(u64, String, bool)> {
-        self.0.lock().duties.get(key).cloned()
+        self.0.lock().roles.get(key).cloned()
     }
 
     /// Returns the owner of a singleton role by its key.
     pub fn role_owner(&self, key: &str) -> Option<String> {
-        self.0.lock().duties.get(key).map(|role| role.1.clone())
+        self.0.lock().roles.get(key).map(|role| role.1.clone())
     }
 
     /// Returns the states of all singleton roles by key.
     pub fn roles(&self) -> BTreeMap<String, (u64, String, bool)> {
-        self.0.lock().duties.clone()
+        self.0.lock().roles.clone()
     }
 }
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -12,9 +12,9 @@
 use protocol::message;
 
 use crate::batches::records;
-use crate::controller::{Controller, SURE_MS};
+use crate::controller::{Controller, CONFIRMATION_TTL_MS};
 use crate::event::DUTY;
-use crate::replication::committed_state::Duty;
+use crate::replication::committed_state::RoleState;
 use crate::replication::registers::Decision;
 
 pub const CATALOG: &str = "duty/catalog";
@@ -22,11 +22,11 @@
 pub const BATCH: &str = "duty/batch";
 
 /// How often a duty is looked after.
-const LOOK_MS: u64 = 400;
+const TICK_MS: u64 = 400;
 /// A controller that has just started first hears who else is there.
-const LISTEN_MS: u64 = 1200;
+const STARTUP_DELAY_MS: u64 = 1200;
 /// How long one change of a duty's register may take.
-const CHANGE_MS: u64 = 1000;
+const COMMIT_TIMEOUT_MS: u64 = 1000;
 
 /// A duty as this life of this controller took it.
 #[derive(Clone, Copy)]
@@ -54,20 +54,20 @@
 }
 
 /// Told beside the versions of lists: whether the teller is sure, and holders of duties that it vouches for.
-const SURE: &str = "sure";
-const VOUCH: &str = "vouch ";
+const CONFIRMED_MARKER: &str = "sure";
+const CONFIRMS_MARKER: &str = "vouch ";
 
 pub fn start(controller: &Arc<Controller>) {
     for key in [CATALOG, BALANCE, BATCH] {
         let controller = controller.clone();
         tokio::spawn(async move {
-            let mut beat = startup::interval(LOOK_MS);
+            let mut ticks = startup::interval(TICK_MS);
             let mut streak = ConfirmedStreak::default();
             loop {
-                beat.tick().await;
+                ticks.tick().await;
                 let now = clock::now();
-                let sure_ms = streak.confirmed_ms(controller.committed.is_confirmed(now), now);
-                tend(&controller, key, sure_ms).await;
+                let confirmed_ms = streak.confirmed_ms(controller.committed.is_confirmed(now), now);
+                try_acquire(&controller, key, confirmed_ms).await;
                 if key == CATALOG {
                     open_catalog(&controller);
                 }
@@ -77,49 +77,52 @@
 }
 
 /// The tenure under which a duty is held here, while that is confirmed.
-fn held(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
+fn confirmed_tenure(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
     controller.committed.read(|state| {
-        let (epoch, holder, _) = state.duties.get(key)?;
+        let (epoch, holder, _) = state.roles.get(key)?;
         let tenure = controller.acquired_roles.get(key)?;
-        (state.is_confirmed(now) && holder == controller.me() && tenure.epoch == *epoch).then_some(tenure)
+        (state.is_confirmed(now) && holder == controller.own_ip() && tenure.epoch == *epoch).then_some(tenure)
     })
 }
 
 /// The epoch under which this controller may act now, where two holders may not act within a lease.
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
-    let tenure = held(controller, key, now)?;
+    let tenure = confirmed_tenure(controller, key, now)?;
     let sure_at = controller.committed.confirmed_at()?;
     let held = RoleTenure { since: tenure.since, own: tenure.own, confirmed_at: sure_at };
     let bounds = &controller.settings.bounds;
-    singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
+    singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, CONFIRMATION_TTL_MS).then_some(tenure.epoch)
 }
 
 /// Says in the register that the wait is over, once, before the first act.
-pub async fn declare_clear(controller: &Controller, key: &str, epoch: u64) -> bool {
+pub async fn declare_predecessor_expired(controller: &Controller, key: &str, epoch: u64) -> bool {
     let said = controller.committed.role(key).is_some_and(|duty| duty.0 == epoch && duty.2);
     if said {
         return true;
     }
     let judge = |body: &[u8]| {
-        let held = Duty::read_bytes(body).unwrap_or_default();
-        if held.epoch != epoch || held.holder != controller.me() {
+        let held = RoleState::read_bytes(body).unwrap_or_default();
+        if held.epoch != epoch || held.owner != controller.own_ip() {
             return Decision::Answer(false);
         }
-        let next = Duty { clear: true, ..held };
+        let next = RoleState { predecessor_expired: true, ..held };
         Decision::Write(next.write_bytes(), true)
     };
-    controller.change(key, CHANGE_MS, judge).await.unwrap_or(false)
+    controller.change(key, COMMIT_TIMEOUT_MS, judge).await.unwrap_or(false)
 }
 
 /// The catalog answers only under the epoch held; a new epoch starts with an empty one.
 fn open_catalog(controller: &Controller) {
-    let epoch = held(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
+    let epoch = confirmed_tenure(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
     controller.catalog.open(epoch);
 }
 
-async fn tend(controller: &Arc<Controller>, key: &str, sure_ms: u64) {
+async fn try_acquire(controller: &Arc<Controller>, key: &str, confirmed_ms: u64) {
     let now = clock::now();
-    if !controller.committed.is_confirmed(now) || now < LISTEN_MS || held(controller, key, now).is_some() {
+    if !controller.committed.is_confirmed(now)
+        || now < STARTUP_DELAY_MS
+        || confirmed_tenure(controller, key, now).is_some()
+    {
         return;
     }
     // Taken only once there is something to do.
@@ -127,47 +130,47 @@
         return;
     }
     let (epoch, holder, clear) = controller.committed.role(key).unwrap_or_default();
-    if !may_take(controller, key, &holder, sure_ms) {
+    if !may_acquire(controller, key, &holder, confirmed_ms) {
         return;
     }
     // Only an earlier life that had waited: one that had not may stand between two that acted.
     let first = controller.acquired_roles.get(key).is_none();
-    let own = holder.is_empty() || (first && holder == controller.me() && clear);
-    let Some(epoch) = take(controller, key, epoch, own).await else { return };
+    let own = holder.is_empty() || (first && holder == controller.own_ip() && clear);
+    let Some(epoch) = commit_next_epoch(controller, key, epoch, own).await else { return };
     let tenure = Tenure { epoch, since: clock::now(), own };
     controller.acquired_roles.insert(key, tenure);
     controller.metrics.duties_taken.inc();
     kernel::log_event!(DUTY, "duty" => key, "epoch" => epoch);
 }
 
-fn may_take(controller: &Controller, key: &str, holder: &str, sure_ms: u64) -> bool {
+fn may_acquire(controller: &Controller, key: &str, holder: &str, confirmed_ms: u64) -> bool {
     let now = clock::now();
     controller.peers.read(|view| {
         singleton_role::may_acquire(RoleView {
-            me: controller.me(),
+            me: controller.own_ip(),
             holder,
-            unavailable_ms: view.unavailable_ms(holder, now).min(sure_ms),
-            first: view.first_confirmed(key, now).as_deref() == Some(controller.me()),
+            unavailable_ms: view.unavailable_ms(holder, now).min(confirmed_ms),
+            first: view.first_confirmed(key, now).as_deref() == Some(controller.own_ip()),
             lease_ms: controller.settings.bounds.lease_ms,
         })
     })
 }
 
 /// What peers are told about who can do a duty.
-pub fn told(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
+pub fn gossip_markers(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
     let holders: BTreeSet<String> = controller.committed.roles().into_values().map(|(_, holder, _)| holder).collect();
     let sure = controller.committed.is_confirmed(now);
     let vouched: Vec<String> = controller
         .peers
         .read(|view| holders.into_iter().filter(|ip| *ip != view.own_ip && view.confirms(ip, now)).collect());
-    let vouched = vouched.into_iter().map(|ip| (message::hidden_key(&format!("{VOUCH}{ip}")), 1, 0));
-    iter::once((message::hidden_key(SURE), u64::from(sure), 0)).chain(vouched).collect()
+    let vouched = vouched.into_iter().map(|ip| (message::hidden_key(&format!("{CONFIRMS_MARKER}{ip}")), 1, 0));
+    iter::once((message::hidden_key(CONFIRMED_MARKER), u64::from(sure), 0)).chain(vouched).collect()
 }
 
 /// What a peer told: whether it is sure, and whom it vouches for. One of an earlier version, which tells
 /// nothing of it, counts as sure while it is heard.
-pub fn heard(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
-    let (sure, vouch) = (message::hidden_key(SURE), message::hidden_key(VOUCH));
+pub fn parse_gossip_markers(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
+    let (sure, vouch) = (message::hidden_key(CONFIRMED_MARKER), message::hidden_key(CONFIRMS_MARKER));
     let sure = told.iter().find(|item| item.0 == sure).is_none_or(|item| item.1 == 1);
     let vouches = told.iter().filter_map(|item| Some(item.0.strip_prefix(&vouch)?.to_string()));
     (sure, vouches.collect())
@@ -175,16 +178,16 @@
 
 /// Commits the next epoch on top of `epoch`. None: another controller was first, or the outcome is unknown.
 /// One that was committed all the same is never acted under: it is not among what was taken.
-async fn take(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
+async fn commit_next_epoch(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
     let judge = |body: &[u8]| {
-        let held = Duty::read_bytes(body).unwrap_or_default();
+        let held = RoleState::read_bytes(body).unwrap_or_default();
         if held.epoch != epoch {
             return Decision::Answer(None);
         }
-        let next = Duty { epoch: epoch + 1, holder: controller.me().to_string(), clear: own };
+        let next = RoleState { epoch: epoch + 1, owner: controller.own_ip().to_string(), predecessor_expired: own };
         Decision::Write(next.write_bytes(), Some(epoch + 1))
     };
-    controller.change(key, CHANGE_MS, judge).await.flatten()
+    controller.change(key, COMMIT_TIMEOUT_MS, judge).await.flatten()
 }
 
 #[cfg(test)]
--- a/controller/src/rollout/staleness_limits.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -153,7 +153,7 @@
         Some(Err(receipt)) => return receipt,
         None => return Receipt::Unclear,
     };
-    if !controller.settle_rule(key, version).await {
+    if !controller.wait_for_confirmations(key, version).await {
         kernel::log_event!(UNSETTLED, "rule" => key, "version" => version);
         return Receipt::Unclear;
     }
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -13,7 +13,7 @@
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
 use crate::controller::Controller;
-use crate::delivery::subscribers::Follower;
+use crate::delivery::subscribers::Subscriber;
 use crate::event::VERSION_STEP;
 use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
@@ -57,16 +57,16 @@
 }
 
 /// Sends a follower the rollouts that it lacks.
-pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
-    for rollout in committed_state.rollouts.values() {
+pub fn send_missing_rollouts(committed_state: &CommittedState, follower: &mut Subscriber) {
+    for rollout in committed_state.version_rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.closed.entry(message::hidden_key(&key)).or_default();
+        let has = follower.evacuation_versions.entry(message::hidden_key(&key)).or_default();
         if rollout.number <= *has {
             continue;
         }
-        match follower.mouth.notify(&Message::VersionRollout(Box::new(rollout.clone()))) {
+        match follower.responder.notify(&Message::VersionRollout(Box::new(rollout.clone()))) {
             true => *has = rollout.number,
-            false => follower.behind = true,
+            false => follower.is_behind = true,
         }
     }
 }
@@ -172,7 +172,7 @@
 
 /// Is this controller the one that judges a service's rollout?
 fn judges(controller: &Controller, service: &str, now: u64) -> bool {
-    if !controller.committed.is_confirmed(now) || controller.leaving.load(Ordering::Relaxed) {
+    if !controller.committed.is_confirmed(now) || controller.shutting_down.load(Ordering::Relaxed) {
         return false;
     }
     controller.peers.is_first_confirmed(&VersionRollout::key(service), now)
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -9,7 +9,7 @@
 use super::changes::Purpose;
 use super::network::{Address, Heartbeat, Packet};
 use super::Cluster;
-use crate::controller::BEAT_MS;
+use crate::controller::HEARTBEAT_INTERVAL_MS;
 
 const READ_MS: u64 = 600;
 const FETCH_MS: u64 = 60;
@@ -52,7 +52,7 @@
         let now = self.now;
         let confirming = &mut self.nodes[at].confirming;
         if now >= confirming.next_beat && !confirming.is_at_work() {
-            confirming.next_beat = now + BEAT_MS;
+            confirming.next_beat = now + HEARTBEAT_INTERVAL_MS;
             self.tell(at);
             self.begin_confirmation(at);
             return;
@@ -76,7 +76,7 @@
             core: node.voter.membership.clone(),
             peers: node.roster.controllers.keys().filter(live).cloned().collect(),
         };
-        for to in node.known().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
+        for to in node.known_peers().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
             self.send(Address::Node(at), Address::Node(to), Packet::Heartbeat(heartbeat.clone()));
         }
     }
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -39,7 +39,7 @@
     pub fn run_membership(&mut self, at: usize) {
         self.end_if_released(at);
         let now = self.now;
-        self.nodes[at].pauses.beat(now);
+        self.nodes[at].pauses.record_tick(now);
         if now < self.nodes[at].members.next_beat {
             return;
         }
--- a/controller/src/simulation/node.rs
+++ b/controller/src/simulation/node.rs
@@ -16,9 +16,9 @@
 use super::operator::EVACUATION;
 use super::{address, Cluster};
 use crate::config::body::Held;
-use crate::controller::{LIVE_MS, SURE_MS};
+use crate::controller::{CONFIRMATION_TTL_MS, LIVENESS_TIMEOUT_MS};
 use crate::peers::pause::PauseMonitor;
-use crate::replication::committed_state::{self, Closed, CONFIG};
+use crate::replication::committed_state::{self, EvacuationState, CONFIG_KEY};
 
 /// Records on their way to the disk, and the vote that may leave once they are there.
 pub struct Write {
@@ -79,7 +79,7 @@
             changes: BTreeMap::new(),
             confirming: Confirming::default(),
             members: Members::default(),
-            roster: MembershipView::new(&address, "", LIVE_MS),
+            roster: MembershipView::new(&address, "", LIVENESS_TIMEOUT_MS),
             seeds: seeds.to_vec(),
             leaving: None,
             pauses: Default::default(),
@@ -106,7 +106,7 @@
     }
 
     pub fn is_confirmed(&self, now: u64) -> bool {
-        self.confirmed.is_some_and(|time| now < time + SURE_MS)
+        self.confirmed.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
     pub fn place(&self, key: &str) -> Option<Position> {
@@ -115,21 +115,21 @@
 
     /// The configuration that it would tell a follower.
     pub fn config(&self) -> Held {
-        let body = self.committed.get(CONFIG).map_or(&[][..], |entry| &entry.body);
+        let body = self.committed.get(CONFIG_KEY).map_or(&[][..], |entry| &entry.body);
         Held::open(body).expect("a configuration that reads")
     }
 
-    pub fn evacuation(&self) -> Closed {
+    pub fn evacuation(&self) -> EvacuationState {
         let body = self.committed.get(EVACUATION).map_or(&[][..], |entry| &entry.body);
-        Closed::open(body).expect("an evacuation that reads")
+        EvacuationState::open(body).expect("an evacuation that reads")
     }
 
     pub fn is_evacuated(&self) -> bool {
-        self.evacuation().on
+        self.evacuation().evacuated
     }
 
     /// All that is known of other controllers.
-    pub fn known(&self) -> Vec<String> {
+    pub fn known_peers(&self) -> Vec<String> {
         let mut list = self.seeds.clone();
         list.extend(self.voter.membership.members.iter().map(|member| member.ip.clone()));
         list.extend(self.roster.controllers.keys().cloned());
@@ -190,7 +190,7 @@
         if !tell {
             return;
         }
-        for to in self.nodes[at].known().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
+        for to in self.nodes[at].known_peers().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
             self.send(Address::Node(at), Address::Node(to), Packet::Learn(key.into(), entry.clone()));
         }
     }
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -10,7 +10,7 @@
 use crate::api::operator_requests;
 use crate::config::body::{BodyForm, Held, TakenChange};
 use crate::config::change::{self, Outcome, Refusal};
-use crate::replication::committed_state::CONFIG;
+use crate::replication::committed_state::CONFIG_KEY;
 
 /// How long an operator waits for an answer, and a controller for an outcome.
 const SILENCE_MS: u64 = 1000;
@@ -152,7 +152,7 @@
     }
 
     pub fn take_order(&mut self, at: usize, from: Address, attempt: Attempt, order: OperatorAction) {
-        let stale = self.nodes[at].pauses.orders_may_be_stale(self.now) && self.guards.stale_orders;
+        let stale = self.nodes[at].pauses.requests_may_be_stale(self.now) && self.guards.stale_orders;
         if stale && !matches!(order, OperatorAction::Read) {
             return self.answer(at, from, attempt, Answer::Unclear);
         }
@@ -161,7 +161,7 @@
             OperatorAction::Change(change) => {
                 let guards = self.guards;
                 let judge = Box::new(move |body: &[u8]| judge_change(&change, body, guards));
-                self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
+                self.begin_change(at, CONFIG_KEY, purpose, CHANGE_MS, judge);
             }
             OperatorAction::Evacuate(on) => {
                 let judge = Box::new(move |body: &[u8]| judge_evacuation(on, None, body));
@@ -173,7 +173,7 @@
             }
             OperatorAction::Read if self.guards.quorum_reads => {
                 let judge = Box::new(|body: &[u8]| Decision::Answer(Some(found(&Held::open(body).expect("reads")))));
-                self.begin_change(at, CONFIG, purpose, CHANGE_MS, judge);
+                self.begin_change(at, CONFIG_KEY, purpose, CHANGE_MS, judge);
             }
             OperatorAction::Read => {
                 let answer = found(&self.nodes[at].config());
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -18,7 +18,7 @@
 
 use crate::api::routes;
 use crate::batches::runner;
-use crate::controller::{Controller, LIVE_MS};
+use crate::controller::{Controller, LIVENESS_TIMEOUT_MS};
 use crate::discovery::poller;
 use crate::event::{BAD_DISK, GONE, LEAVE, START};
 use crate::metrics::Metrics;
@@ -58,7 +58,7 @@
 fn peers(controller: &Arc<Controller>) {
     let addr = format!("{}:{}", controller.settings.ip, controller.settings.peer_port());
     let controller = controller.clone();
-    let handler: Handler = Arc::new(move |mouth, id, msg| dispatch::take(&controller, mouth, id, msg));
+    let handler: Handler = Arc::new(move |mouth, id, msg| dispatch::dispatch(&controller, mouth, id, msg));
     tokio::spawn(async move {
         loop {
             match socket::listen(&addr) {
@@ -110,12 +110,12 @@
     let disk = Disk::start(store, mirror, metrics.disk_write.clone());
     disk.write(first);
     let controller = Arc::new(Controller {
-        life,
-        seat: consensus::replica_id(&settings.ip, life),
+        incarnation: life,
+        replica_id: consensus::replica_id(&settings.ip, life),
         replica: Replica::new(voter, disk),
         committed: Default::default(),
         ownerships: Default::default(),
-        peers: Peers::new(settings.peer_port(), MembershipView::new(&settings.ip, &settings.zone, LIVE_MS)),
+        peers: Peers::new(settings.peer_port(), MembershipView::new(&settings.ip, &settings.zone, LIVENESS_TIMEOUT_MS)),
         engines: Default::default(),
         subscribers: Default::default(),
         catalog: Default::default(),
@@ -123,7 +123,7 @@
         tallies: Default::default(),
         trials: Default::default(),
         quotas: QuotaShards::new(&settings.ip),
-        leaving: Default::default(),
+        shutting_down: Default::default(),
         shutdown: Default::default(),
         metrics,
         settings,
