--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -104,7 +104,7 @@
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
     controller.engines.read(|sheets| {
         for sheet in sheets.iter().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
-            let open = !closed.get(&sheet.zone).is_some_and(|(_, on)| *on);
+            let open = !closed.get(&sheet.zone).is_some_and(|evacuation| evacuation.evacuated);
             for engine in sheet.engines.iter().filter(|engine| !engine.phase.is_empty()) {
                 let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
                 let candidate = Candidate { engine: engine.clone(), seen: balance.see(engine, told, open) };
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -1,5 +1,7 @@
 //! What a follower lacks, and sending it: on each of its calls, and at once when something changes.
 
+use std::collections::BTreeMap;
+
 use kernel::clock;
 use protocol::link::Responder;
 use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
@@ -9,7 +11,7 @@
 use crate::delivery::limit_confirmations;
 use crate::delivery::subscribers::Subscriber;
 use crate::quota_shards::send_holders;
-use crate::replication::committed_state::CommittedState;
+use crate::replication::committed_state::{CommittedState, RoleState};
 use crate::roles::CATALOG;
 
 impl Controller {
@@ -109,13 +111,15 @@
         let members: Vec<&str> = core.members.iter().map(|member| member.ip.as_str()).collect();
         let sure = self.committed.is_confirmed(now);
         let revision = self.committed.revision();
-        let duties = self.committed.roles();
+        let as_list = |role: RoleState| (role.epoch, role.owner, role.predecessor_expired);
+        let roles = self.committed.roles().into_iter();
+        let roles: BTreeMap<String, _> = roles.map(|(key, role)| (key, as_list(role))).collect();
         let controllers = self.peers.live_ips(now);
         let routers = self.subscribers.config_revisions();
         serde_json::json!({
             "node_name": self.settings.node_name, "sure": sure, "revision": revision, "core": members,
             "core_stamp": core.version, "core_settled": core.stable, "live_keepers": controllers,
-            "duties": duties, "routers": routers,
+            "duties": roles, "routers": routers,
         })
     }
 }
@@ -137,13 +141,13 @@
         crate::rollout::version_rollouts::send_missing_rollouts(state, follower);
     }
     follower.is_behind |= !state.history.can_be_told(follower.protocol_version);
-    for (zone, (version, on)) in &state.evacuations {
+    for (zone, evacuation) in &state.evacuations {
         let has = follower.evacuation_versions.entry(zone.clone()).or_default();
-        if *version > *has {
-            news.evacuations.push((zone.clone(), *version, *on));
-            *has = *version;
+        if evacuation.version > *has {
+            news.evacuations.push((zone.clone(), evacuation.version, evacuation.evacuated));
+            *has = evacuation.version;
         }
     }
     let catalog = state.roles.get(CATALOG).cloned().unwrap_or_default();
-    news.catalog = (catalog.0, catalog.1);
+    news.catalog = (catalog.epoch, catalog.owner);
 }
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -1,26 +1,27 @@
 //! What the keys of the control state hold, and how it is read from what was committed.
 
 use std::collections::BTreeMap;
-use std::mem;
 use std::sync::Arc;
+use std::{fmt, mem};
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Checked, ConfigError};
 use protocol::message::{Entry, Message, ProposalNumber, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::config::body::Held;
 use crate::config::history::{ConfigHistory, NotNewer};
 use crate::controller::{Controller, CONFIRMATION_TTL_MS};
 use crate::event::{LEARNED, UNREADABLE};
 
-#[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EvacuationState {
     pub version: u64,
     pub evacuated: bool,
 }
 
-#[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RoleState {
     pub epoch: u64,
     pub owner: String,
@@ -70,8 +71,8 @@
     NotNewer(NotNewer),
 }
 
-impl std::fmt::Display for Unreadable {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for Unreadable {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Unreadable::Body => out.write_str("a body of an unknown form"),
             Unreadable::Text(error) => error.fmt(out),
@@ -157,13 +158,13 @@
     /// committed on top of counts as confirmed.
     pub unreadable: Option<(ProposalNumber, u64)>,
     /// The evacuations with their versions.
-    pub evacuations: BTreeMap<String, (u64, bool)>,
+    pub evacuations: BTreeMap<String, EvacuationState>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
     pub staleness_limits: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
     pub version_rollouts: BTreeMap<String, VersionRollout>,
     /// By key: epoch, holder, and whether it has waited.
-    pub roles: BTreeMap<String, (u64, String, bool)>,
+    pub roles: BTreeMap<String, RoleState>,
 }
 
 impl CommittedState {
@@ -200,7 +201,7 @@
         }
         if let Some(zone) = key.strip_prefix(EVACUATION_PREFIX) {
             let evacuation = EvacuationState::open(body).ok_or(Unreadable::Body)?;
-            self.evacuations.insert(zone.into(), (evacuation.version, evacuation.evacuated));
+            self.evacuations.insert(zone.into(), evacuation);
         }
         if key.starts_with(ROLLOUT) && !body.is_empty() {
             let rule = StalenessLimit::read_bytes(body).ok_or(Unreadable::Body)?;
@@ -211,8 +212,8 @@
             self.version_rollouts.insert(service.into(), rollout);
         }
         if key.starts_with(ROLE_PREFIX) {
-            let duty = RoleState::open(body).ok_or(Unreadable::Body)?;
-            self.roles.insert(key.into(), (duty.epoch, duty.owner, duty.predecessor_expired));
+            let role = RoleState::open(body).ok_or(Unreadable::Body)?;
+            self.roles.insert(key.into(), role);
         }
         if key == MEMBERSHIP_KEY && !body.is_empty() {
             read_core(body).ok_or(Unreadable::Body)?;
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -155,7 +155,11 @@
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
     }
-    assert_eq!(state.evacuations.get("z"), Some(&(4, true)), "the evacuation goes on");
+    assert_eq!(
+        state.evacuations.get("z"),
+        Some(&EvacuationState { version: 4, evacuated: true }),
+        "the evacuation goes on"
+    );
 }
 
 /// Whatever comes in whatever order, late, twice, broken: the configuration never goes back, and entry, text, value and
--- a/controller/src/replication/shared_state.rs
+++ b/controller/src/replication/shared_state.rs
@@ -10,7 +10,7 @@
 use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit};
 use protocol::version_rollout::VersionRollout;
 
-use crate::replication::committed_state::{CommittedState, Learned};
+use crate::replication::committed_state::{CommittedState, EvacuationState, Learned, RoleState};
 
 /// What is known to be committed, shared by all parts of the process. Every method is one moment under the lock; what
 /// must be of one moment is read by one of them, or by `read`.
@@ -89,11 +89,11 @@
 
     /// Returns the version of a zone's evacuation, 0 where it never was one.
     pub fn evacuation_version(&self, zone: &str) -> u64 {
-        self.0.lock().evacuations.get(zone).map_or(0, |(version, _)| *version)
+        self.0.lock().evacuations.get(zone).map_or(0, |evacuation| evacuation.version)
     }
 
-    /// Returns all evacuations by zone: their versions, and whether they are on.
-    pub fn evacuations(&self) -> BTreeMap<String, (u64, bool)> {
+    /// Returns all evacuations by zone.
+    pub fn evacuations(&self) -> BTreeMap<String, EvacuationState> {
         self.0.lock().evacuations.clone()
     }
 
@@ -117,18 +117,18 @@
         self.0.lock().version_rollouts.clone()
     }
 
-    /// Returns the state of a singleton role by its key: epoch, owner, and whether the owner has waited.
-    pub fn role(&self, key: &str) -> Option<(u64, String, bool)> {
+    /// Returns the state of a singleton role by its key.
+    pub fn role(&self, key: &str) -> Option<RoleState> {
         self.0.lock().roles.get(key).cloned()
     }
 
     /// Returns the owner of a singleton role by its key.
     pub fn role_owner(&self, key: &str) -> Option<String> {
-        self.0.lock().roles.get(key).map(|role| role.1.clone())
+        self.0.lock().roles.get(key).map(|role| role.owner.clone())
     }
 
     /// Returns the states of all singleton roles by key.
-    pub fn roles(&self) -> BTreeMap<String, (u64, String, bool)> {
+    pub fn roles(&self) -> BTreeMap<String, RoleState> {
         self.0.lock().roles.clone()
     }
 }
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -79,9 +79,9 @@
 /// The tenure under which a duty is held here, while that is confirmed.
 fn confirmed_tenure(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
     controller.committed.read(|state| {
-        let (epoch, holder, _) = state.roles.get(key)?;
+        let role = state.roles.get(key)?;
         let tenure = controller.acquired_roles.get(key)?;
-        (state.is_confirmed(now) && holder == controller.own_ip() && tenure.epoch == *epoch).then_some(tenure)
+        (state.is_confirmed(now) && role.owner == controller.own_ip() && tenure.epoch == role.epoch).then_some(tenure)
     })
 }
 
@@ -96,7 +96,7 @@
 
 /// Says in the register that the wait is over, once, before the first act.
 pub async fn declare_predecessor_expired(controller: &Controller, key: &str, epoch: u64) -> bool {
-    let said = controller.committed.role(key).is_some_and(|duty| duty.0 == epoch && duty.2);
+    let said = controller.committed.role(key).is_some_and(|role| role.epoch == epoch && role.predecessor_expired);
     if said {
         return true;
     }
@@ -129,14 +129,14 @@
     if key == BATCH && controller.committed.read(records::ids).is_empty() {
         return;
     }
-    let (epoch, holder, clear) = controller.committed.role(key).unwrap_or_default();
-    if !may_acquire(controller, key, &holder, confirmed_ms) {
+    let role = controller.committed.role(key).unwrap_or_default();
+    if !may_acquire(controller, key, &role.owner, confirmed_ms) {
         return;
     }
     // Only an earlier life that had waited: one that had not may stand between two that acted.
     let first = controller.acquired_roles.get(key).is_none();
-    let own = holder.is_empty() || (first && holder == controller.own_ip() && clear);
-    let Some(epoch) = commit_next_epoch(controller, key, epoch, own).await else { return };
+    let own = role.owner.is_empty() || (first && role.owner == controller.own_ip() && role.predecessor_expired);
+    let Some(epoch) = commit_next_epoch(controller, key, role.epoch, own).await else { return };
     let tenure = Tenure { epoch, since: clock::now(), own };
     controller.acquired_roles.insert(key, tenure);
     controller.metrics.duties_taken.inc();
@@ -158,7 +158,7 @@
 
 /// What peers are told about who can do a duty.
 pub fn gossip_markers(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
-    let holders: BTreeSet<String> = controller.committed.roles().into_values().map(|(_, holder, _)| holder).collect();
+    let holders: BTreeSet<String> = controller.committed.roles().into_values().map(|role| role.owner).collect();
     let sure = controller.committed.is_confirmed(now);
     let vouched: Vec<String> = controller
         .peers
