--- a/consensus/src/acceptor_tests.rs
+++ b/consensus/src/acceptor_tests.rs
@@ -1,12 +1,12 @@
 //! Voters that changes of the members concern.
 
 use protocol::message::{
-    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, ProposalNumber,
-    RegisterState,
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Member, Position,
+    ProposalNumber, RegisterState,
 };
 
 use super::{Acceptor, LogRecord};
-use crate::{core_body, MEMBERSHIP_KEY};
+use crate::{encode_membership, MEMBERSHIP_KEY};
 
 const KEY: &str = "config";
 
@@ -51,7 +51,7 @@
 fn voters_as_one_is_removed() -> Vec<Acceptor> {
     let mut voters: Vec<Acceptor> = (0..4).map(voter).collect();
     for voter in &mut voters[..3] {
-        accept(voter, four(), MEMBERSHIP_KEY, core_body::write(&three()));
+        accept(voter, four(), MEMBERSHIP_KEY, encode_membership(&three()));
     }
     voters
 }
@@ -61,10 +61,11 @@
     let mut leaving = voter(3);
     accept(&mut leaving, four(), KEY, b"x".to_vec());
     let (vote, _) = leaving.handle(ConsensusRequest { membership: three(), operation: ConsensusOperation::Positions });
-    assert_eq!(vote, ConsensusResponse::Positions { list: vec![(KEY.into(), entry(Vec::new()).proposal_number, 1)] });
+    let position = Position { proposal_number: entry(Vec::new()).proposal_number, index: 1 };
+    assert_eq!(vote, ConsensusResponse::Positions { positions: vec![KeyPosition { key: KEY.into(), position }] });
     let (vote, _) = leaving.handle(ConsensusRequest {
         membership: three(),
-        operation: ConsensusOperation::Prepare { key: KEY.into(), ballot: ProposalNumber::default() },
+        operation: ConsensusOperation::Prepare { key: KEY.into(), proposal_number: ProposalNumber::default() },
     });
     assert_eq!(vote, ConsensusResponse::NonVoting, "it votes no more");
 }
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::proposal::{Progress, Proposal};
-use consensus::round::Ownership;
+use consensus::Ownership;
 use consensus::{quorum, ROUND_TIMEOUT_MS};
+use consensus::{Progress, Proposal};
 use kernel::clock::{self, Rng};
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message};
 use tokio::sync::mpsc::{self, Receiver};
@@ -31,7 +31,7 @@
     }
 }
 
-pub use consensus::proposal::Decision;
+pub use consensus::Decision;
 
 /// None: no clear outcome.
 pub type ChangeOutcome<T> = Option<T>;
@@ -88,7 +88,7 @@
             match proposal.handle_response(&from, vote, judge, clock::now()) {
                 Progress::Wait => {}
                 Progress::Send(ask) => votes = self.ask(&core, ask, &members),
-                Progress::Finished { answer, owner, wrote } => return Some((answer, owner, wrote)),
+                Progress::Finished { answer, ownership, written } => return Some((answer, ownership, written)),
                 Progress::Superseded(ballot) => {
                     self.committed.observe_term(ballot.term);
                     return None;
--- a/controller/src/simulation/confirming.rs
+++ b/controller/src/simulation/confirming.rs
@@ -1,8 +1,6 @@
 //! Heartbeats, and the confirmation at a quorum that a simulated controller knows what is committed.
 
-use consensus::confirmation::{self, Confirmation, StaleKey};
-use consensus::proposal::Decision;
-use consensus::quorum;
+use consensus::{quorum, Confirmation, Decision, StaleKey};
 use membership::Peer;
 use protocol::message::{ConsensusOperation, ConsensusResponse, Entry, PROTOCOL_VERSION};
 
@@ -132,8 +130,8 @@
         if *read != id {
             return false;
         }
-        let ConsensusResponse::Positions { list } = vote else { return true };
-        confirmation.record(from, list.clone());
+        let ConsensusResponse::Positions { positions } = vote else { return true };
+        confirmation.record(from, positions.clone());
         if confirmation.is_quorum() {
             let (_, confirmation) = confirming.read.take().expect("a read");
             self.catch_up(at, &confirmation);
@@ -160,7 +158,7 @@
         let Some(one) = node.confirming.behind.get_mut(number).filter(|one| now >= one.next_try) else { return };
         one.next_try = now + FETCH_MS;
         one.fetched.clear();
-        let (key, place, half_done) = (one.behind.key.clone(), one.behind.place, now > one.since + HALF_DONE_MS);
+        let (key, place, half_done) = (one.behind.key.clone(), one.behind.position, now > one.since + HALF_DONE_MS);
         if node.place(&key) >= Some(place) {
             return self.caught_up(at, &key);
         }
@@ -179,9 +177,9 @@
         let node = &mut self.nodes[at];
         let Some(one) = node.confirming.behind.iter_mut().find(|one| one.id == id) else { return };
         let Some(entry) = entry else { return };
-        let (key, place) = (one.behind.key.clone(), one.behind.place);
+        let (key, place) = (one.behind.key.clone(), one.behind.position);
         one.fetched.push((from.into(), entry.clone()));
-        let newer = confirmation::newest_committed(&node.voter.membership, &one.fetched);
+        let newer = consensus::newest_committed(&node.voter.membership, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
         let looked_for = Some(entry).filter(|entry| one.behind.is_committed && entry.position() == place);
         let Some(entry) = looked_for.or(newer) else { return };
