--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -4,7 +4,9 @@
 //! out that commit, put this file beside `state.rs`, attach it as it is attached here, and run
 //! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
 use super::CommittedState;
-use super::{read_config, read_core, write_core, Closed, Duty, Learned, CLOSED, CONFIG, DUTY};
+use super::{
+    read_config, read_core, write_core, EvacuationState, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX,
+};
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
 use crate::config::body::BodyFormat::{self, Compressed, Digested, Plain};
 use crate::config::body::{body_digest, ChangeStatus, CommittedChange, StoredConfig};
@@ -215,12 +217,12 @@
     ]
 }
 
-fn closed() -> Closed {
-    Closed { version: 4, on: true }
+fn closed() -> EvacuationState {
+    EvacuationState { version: 4, evacuated: true }
 }
 
-fn duty() -> Duty {
-    Duty { epoch: 19, holder: "10.0.0.2-with-a-long-name".into(), clear: true }
+fn duty() -> RoleState {
+    RoleState { epoch: 19, owner: "10.0.0.2-with-a-long-name".into(), predecessor_expired: true }
 }
 
 fn rule() -> StalenessLimit {
@@ -403,7 +405,7 @@
 fn configurations_of_version_5_are_in_force() {
     for ConfigBody { file, held, .. } in config_bodies() {
         let mut state = CommittedState::default();
-        let learned = state.learn(CONFIG, &entry(fixture(file)), None);
+        let learned = state.learn(CONFIG_KEY, &entry(fixture(file)), None);
         assert_eq!(learned, Learned::New { revision: held.revision }, "{file}");
         let current = state.history.current().expect("a configuration");
         assert_eq!((current.text(), current.revision()), (held.text.as_str(), held.revision), "{file}");
@@ -466,20 +468,24 @@
 
 #[test]
 fn evacuations_and_duties_of_version_5_are_read() {
-    let Closed { version, on } = Closed::open(&fixture("control-5-closed.bin")).expect("read");
-    assert_eq!((version, on), (4, true));
-    let Duty { epoch, holder, clear } = Duty::open(&fixture("control-5-duty.bin")).expect("read");
-    assert_eq!((epoch, holder.as_str(), clear), (19, "10.0.0.2-with-a-long-name", true));
+    let EvacuationState { version, evacuated } = EvacuationState::open(&fixture("control-5-closed.bin")).expect("read");
+    assert_eq!((version, evacuated), (4, true));
+    let RoleState { epoch, owner, predecessor_expired } =
+        RoleState::open(&fixture("control-5-duty.bin")).expect("read");
+    assert_eq!((epoch, owner.as_str(), predecessor_expired), (19, "10.0.0.2-with-a-long-name", true));
     let state = learned(&[("evacuation/zone-a", "control-5-closed.bin"), ("duty/catalog", "control-5-duty.bin")]);
-    assert_eq!(state.closed.get("zone-a"), Some(&(4, true)));
-    assert_eq!(state.duties.get("duty/catalog"), Some(&(19, "10.0.0.2-with-a-long-name".into(), true)));
+    assert_eq!(state.evacuations.get("zone-a"), Some(&EvacuationState { version: 4, evacuated: true }));
+    assert_eq!(
+        state.roles.get("duty/catalog"),
+        Some(&RoleState { epoch: 19, owner: "10.0.0.2-with-a-long-name".into(), predecessor_expired: true })
+    );
 }
 
 #[test]
 fn limits_on_stale_weights_of_version_5_are_read() {
     assert_eq!(StalenessLimit::read_bytes(&fixture("control-5-rule.bin")), Some(rule()));
     let state = learned(&[("rollout/chat/m-1", "control-5-rule.bin")]);
-    assert_eq!(state.rules.get("rollout/chat/m-1"), Some(&rule()));
+    assert_eq!(state.staleness_limits.get("rollout/chat/m-1"), Some(&rule()));
 }
 
 #[test]
@@ -491,7 +497,7 @@
     ];
     for (file, rollout) in rollouts {
         assert_eq!(VersionRollout::read_bytes(&fixture(file)).as_ref(), Some(&rollout), "{file}");
-        assert_eq!(learned(&[("versions/chat", file)]).rollouts.get("chat"), Some(&rollout), "{file}");
+        assert_eq!(learned(&[("versions/chat", file)]).version_rollouts.get("chat"), Some(&rollout), "{file}");
     }
 }
 
@@ -519,7 +525,7 @@
 /// What version 5 committed is found under these.
 #[test]
 fn the_keys_of_the_control_state_stay_what_they_are() {
-    assert_eq!((CONFIG, CLOSED, DUTY), ("config", "evacuation/", "duty/"));
+    assert_eq!((CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX), ("config", "evacuation/", "duty/"));
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
     assert_eq!((MEMBERSHIP_KEY, ROLLOUT, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
     // Of the batch with the idempotency key `key-1`, worked out by another program.
