--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -2,7 +2,7 @@
 //! their duty unawares, and whose requests are lost, answered or turned away: a job that may not be
 //! repeated never runs twice, and no receipt is changed or invented.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{state_after, Outcome, ATTEMPTS};
 use crate::page::{Bar, Page, State};
--- a/batch/src/offpeak.rs
+++ b/batch/src/offpeak.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::mem;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use crate::page::{Page, State};
 use crate::turn::{self, Pace, Press, View};
--- a/batch/src/sheet.rs
+++ b/batch/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use kernel::clock;
+use kernel::hashing;
 
 use crate::{BYTES, JOBS, KEEP_MS, NAME, PAGE, WINDOW_MAX_S};
 
@@ -125,13 +125,13 @@
             repeatable,
         });
     }
-    let digest = clock::hash(text.as_bytes());
+    let digest = hashing::hash(text.as_bytes());
     Ok(Batch { key: key.into(), digest, window_ms: (window * 1000.0) as u64, jobs, ..Batch::default() })
 }
 
 /// The id of a batch: from its key alone, so that one key is one batch.
 pub fn id(key: &str) -> String {
-    format!("{:016x}", clock::hash(key.as_bytes()))
+    format!("{:016x}", hashing::hash(key.as_bytes()))
 }
 
 impl Batch {
--- a/batch/src/sim.rs
+++ b/batch/src/sim.rs
@@ -1,6 +1,6 @@
 //! Seeded runs under trouble that count runs and receipts for each job. None sleeps.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use crate::offpeak::{self, Report};
 
--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which engines hold which prompt memory. Keys are hashes chained over the parts of a prompt in
 //! their order, so that a key stands for a whole prefix.
 
-use kernel::clock;
+use kernel::hashing;
 
 pub mod gauge;
 pub mod prefix_index;
@@ -19,7 +19,7 @@
     let mut list = Vec::new();
     for piece in text.split(',') {
         let (id, tokens) = piece.trim().split_once(':')?;
-        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| clock::hash(id.as_bytes()));
+        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| hashing::hash(id.as_bytes()));
         list.push(Part { id, tokens: tokens.parse().ok()? });
     }
     Some(list)
@@ -30,7 +30,7 @@
     let mut key = seed;
     let mut list = Vec::with_capacity(parts.len());
     for part in parts {
-        key = clock::combine_hashes(key, clock::combine_hashes(part.id, u64::from(part.tokens)));
+        key = hashing::combine(key, hashing::combine(part.id, u64::from(part.tokens)));
         list.push(key);
     }
     list
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! Control state. Each key is a register of its own: one owner at a time under a rising ballot, a
 //! change on a majority of the disks before any answer. No common log, no leader for all.
 
-use kernel::clock;
+use kernel::hashing;
 
 pub mod acceptor;
 pub mod confirmation;
@@ -28,7 +28,7 @@
 /// The seat of a controller in ballots: its address, so that it differs between live controllers, mixed
 /// with its life, so that two lives never act under one ballot.
 pub fn replica_id(ip: &str, life: u64) -> u64 {
-    clock::combine_hashes(clock::hash(ip.as_bytes()), life)
+    hashing::combine(hashing::hash(ip.as_bytes()), life)
 }
 
 #[cfg(test)]
--- a/consensus/src/sim.rs
+++ b/consensus/src/sim.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::{mem, str};
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Member, ProposalNumber, RegisterState,
 };
--- a/consensus/src/sim_membership_tests.rs
+++ b/consensus/src/sim_membership_tests.rs
@@ -1,6 +1,6 @@
 //! Members replaced while the register is at work: the simulated world must not lose what was acknowledged.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::tests::sound;
 use super::World;
--- a/consensus/src/sim_tests.rs
+++ b/consensus/src/sim_tests.rs
@@ -1,7 +1,7 @@
 //! Runs of the simulated world. Every body is "N/owner.round", N counting the changes before it, so
 //! a lost acknowledgement shows as a count that does not rise.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::message::{CoreMembership, Member};
 
 use super::{count, ip, World};
--- a/consensus/src/simulated_disk.rs
+++ b/consensus/src/simulated_disk.rs
@@ -7,7 +7,7 @@
 use std::mem;
 use std::sync::{Arc, Mutex};
 
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 
 const BLOCK_BYTES: usize = 64;
 const LOST_PROCESS: &str = "the process is gone";
@@ -110,7 +110,7 @@
 
 impl Disk {
     pub fn new(seed: u64) -> SharedDisk {
-        let dice = Rng::new(clock::combine_hashes(seed, 77));
+        let dice = Rng::new(hashing::combine(seed, 77));
         Arc::new(Mutex::new(Disk {
             inodes: Vec::new(),
             names: BTreeMap::new(),
--- a/consensus/src/store_model.rs
+++ b/consensus/src/store_model.rs
@@ -2,7 +2,7 @@
 //! After each opening all that was reported as synced must be there, and nothing but part of what was
 //! under way may be new.
 
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
 use crate::acceptor::Acceptor;
@@ -41,7 +41,7 @@
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
         let acknowledged = Acceptor::new("10.0.0.1");
-        Run { disk, dice: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
+        Run { disk, dice: Rng::new(hashing::combine(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
     }
 
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
--- a/consensus/src/store_model_tests.rs
+++ b/consensus/src/store_model_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 
 use crate::simulated_disk::Faults;
 use crate::store_model::Run;
@@ -25,7 +25,7 @@
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
         for ahead in 0.. {
-            let mut run = Run::new(clock::combine_hashes(seed, ahead), Faults::default());
+            let mut run = Run::new(hashing::combine(seed, ahead), Faults::default());
             run.dice = Rng::new(seed + 1);
             run.faults(|faults| faults.crash_in = Some(ahead));
             let whole = work(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -7,7 +7,7 @@
 
 use catalog::prefix_index::PrefixIndex;
 use consensus::acceptor::Acceptor;
-use kernel::clock;
+use kernel::new_incarnation;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
@@ -78,7 +78,7 @@
 
 /// Runs a controller until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    let life = clock::incarnation();
+    let life = new_incarnation();
     let mut voter = Acceptor::new(&settings.ip);
     let mut store = None;
     let mut empty = true;
--- a/controller/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -1,7 +1,7 @@
 //! What the ledger's key `config` holds: the configuration, and which changes led to it. As bytes it has three forms;
 //! all are read, and a body is never written in an older form than the one before it.
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{DIGESTED_BODIES, PROTOCOL_VERSION};
 use protocol::operator_request::ConfigChange;
 use sha2::Sha256;
@@ -183,8 +183,8 @@
 
 /// The digest of the first version.
 pub fn first_digest(change: &ConfigChange) -> u64 {
-    let text = clock::hash(change.text.as_bytes());
-    clock::combine_hashes(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
+    let text = hashing::hash(change.text.as_bytes());
+    hashing::combine(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
 /// Tells a body from others where a change of it is told. Invariant: a body of the second version has a part of its
@@ -192,7 +192,7 @@
 pub fn body_digest(body: &[u8]) -> u64 {
     use sha2::Digest;
     if BodyForm::of(body) != BodyForm::Digested {
-        return clock::hash(body);
+        return hashing::hash(body);
     }
     let hash = Sha256::digest(body);
     hash.iter().take(8).fold(0, |digest, byte| digest << 8 | u64::from(*byte))
--- a/controller/src/config_history_tests.rs
+++ b/controller/src/config_history_tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 use protocol::change::{before_tenants, Change};
 use protocol::config::{Checked, Config, Route};
 use protocol::frame::{self, HEAD};
@@ -164,7 +164,7 @@
 #[test]
 fn a_router_away_for_any_time_gets_the_newest_and_never_a_wrong_table() {
     for (seed, reads) in (0..15).flat_map(|seed| [(seed, PROTOCOL_VERSION), (seed, 3)]) {
-        let mut dice = Rng::new(clock::combine_hashes(seed, 5));
+        let mut dice = Rng::new(hashing::combine(seed, 5));
         let mut history = ConfigHistory::default();
         let mut router = Router::default();
         let (mut claimed, mut away) = (0, false);
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -6,7 +6,7 @@
 use batch::sheet::Job;
 use batch::turn::Press;
 use batch::ANSWER;
-use kernel::clock;
+use kernel::new_incarnation;
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, Response};
 
@@ -27,7 +27,7 @@
         .request(method, format!("http://{router}{}", job.path))
         .timeout(Duration::from_millis(left_ms))
         .header("host", &job.host)
-        .header(ATTEMPT_ID, format!("{:016x}", clock::incarnation()))
+        .header(ATTEMPT_ID, format!("{:016x}", new_incarnation()))
         .header(TIME_BUDGET, left_ms.to_string())
         .header(DEFERRABLE, if press == Press::Near { "near" } else { "idle" });
     for (name, value) in &job.head {
--- a/controller/src/message.rs
+++ b/controller/src/message.rs
@@ -3,7 +3,7 @@
 use std::mem;
 use std::sync::Arc;
 
-use kernel::clock;
+use kernel::{clock, hashing};
 use protocol::link::Responder;
 use protocol::message::{Message, PrefixLookup, PrefixLookupResponse, Record};
 
@@ -86,7 +86,7 @@
     let (mut owners, mut list) = (Vec::new(), Vec::new());
     if catalog.epoch == seek.epoch && seek.epoch != 0 {
         owners = seek.keys.iter().take(KEYS).map(|key| catalog.prefix_index.find(*key, now)).collect::<Vec<_>>();
-        let mut names: Vec<u64> = owners.iter().flatten().map(|id| clock::hash(id.as_bytes())).collect();
+        let mut names: Vec<u64> = owners.iter().flatten().map(|id| hashing::hash(id.as_bytes())).collect();
         names.extend(seek.sample.iter().take(KEYS));
         names.sort_unstable();
         names.dedup();
--- a/controller/src/register.rs
+++ b/controller/src/register.rs
@@ -5,7 +5,7 @@
 use consensus::proposal::{Progress, Proposal};
 use consensus::round::{self, Ownership};
 use consensus::{quorum, ROUND_TIMEOUT_MS};
-use kernel::clock::{self, Rng};
+use kernel::{clock, Rng};
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Message, ProposalNumber,
 };
--- a/controller/src/simulation/bodies.rs
+++ b/controller/src/simulation/bodies.rs
@@ -1,5 +1,5 @@
 //! What operators send: whole configurations and changes of named items, valid and invalid ones of every kind.
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::operator_request::ConfigChange;
 use serde_json::{json, Value};
 
--- a/controller/src/simulation/catch_up_tests.rs
+++ b/controller/src/simulation/catch_up_tests.rs
@@ -1,6 +1,6 @@
 //! Members that come back after hundreds of changes, or with an empty disk.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
--- a/controller/src/simulation/isolation_tests.rs
+++ b/controller/src/simulation/isolation_tests.rs
@@ -1,6 +1,6 @@
 //! A controller that is cut off, or stands still, for some twenty seconds and comes back.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
--- a/controller/src/simulation/mod.rs
+++ b/controller/src/simulation/mod.rs
@@ -6,7 +6,7 @@
 use std::mem;
 
 use history::History;
-use kernel::clock::Rng;
+use kernel::Rng;
 use network::{Network, Packet};
 use node::Node;
 use operator::Operator;
--- a/controller/src/simulation/orders_tests.rs
+++ b/controller/src/simulation/orders_tests.rs
@@ -1,6 +1,6 @@
 //! Operators that race and send again what got no answer.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
--- a/controller/src/simulation/replacement_tests.rs
+++ b/controller/src/simulation/replacement_tests.rs
@@ -1,7 +1,7 @@
 //! Machines of the core replaced, and a second loss as soon as the new one has had its time.
 
 use consensus::quorum;
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{address, Cluster, Guards, ALL_GUARDS};
 
--- a/controller/src/simulation/restart_tests.rs
+++ b/controller/src/simulation/restart_tests.rs
@@ -1,6 +1,6 @@
 //! A storm of changes while one member is cut off and all others are restarted one after the other.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{Cluster, ALL_GUARDS};
 
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -5,7 +5,7 @@
 
 use consensus::confirmation::Confirmation;
 use consensus::MEMBERSHIP_KEY;
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
 use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
@@ -154,7 +154,7 @@
 #[test]
 fn entries_in_any_order_never_lead_back() {
     for seed in 0..200 {
-        let mut dice = Rng::new(clock::combine_hashes(seed, 9));
+        let mut dice = Rng::new(hashing::combine(seed, 9));
         // Two histories never exist under one key; late and repeated entries of one do.
         let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
         let mut state = CommittedState::default();
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -2,8 +2,14 @@
 pub mod clock;
 pub mod convergence;
 pub mod event_buffer;
+pub mod hashing;
+mod incarnation;
 pub mod log;
 pub mod plugin;
+mod rng;
 pub mod settings;
 pub mod signal;
 pub mod startup;
+
+pub use incarnation::new_incarnation;
+pub use rng::Rng;
--- a/load_balancing/src/budget_tests.rs
+++ b/load_balancing/src/budget_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 
 use super::{Budget, Ramp};
 
@@ -33,13 +33,13 @@
 fn pressed(bound: f64, seats: u32, engine: u64, crash: bool) -> Vec<u64> {
     let mut times = Vec::new();
     for seat in 0..seats {
-        let mark = clock::hash(format!("edge-{seat}").as_bytes());
+        let mark = hashing::hash(format!("edge-{seat}").as_bytes());
         let mut ramp = Ramp::default();
         for now in (u64::from(seat) * 7 % 50..3000).step_by(25) {
             if crash && seat.is_multiple_of(29) && now / 25 == 60 {
                 ramp = Ramp::default();
             }
-            if ramp.allows(bound, seats, clock::combine_hashes(mark, engine), now) {
+            if ramp.allows(bound, seats, hashing::combine(mark, engine), now) {
                 ramp.note(now);
                 times.push(now);
             }
@@ -54,7 +54,7 @@
         for seats in [1, 3, 9, 18, 19, 40, 88, 400] {
             let (mut used, mut engines) = (0, 0);
             for engine in 0..16 {
-                let mut times = pressed(bound, seats, clock::hash(&[engine as u8]), false);
+                let mut times = pressed(bound, seats, hashing::hash(&[engine as u8]), false);
                 let most = worst(&mut times, 1000);
                 // Under half of the slack of 5 that the rule has beside the bound.
                 assert!(most as f64 <= bound + 2.0, "{most} of {bound} at {seats} routers, engine {engine}");
@@ -70,7 +70,7 @@
 fn routers_that_start_anew_stay_within_the_slack() {
     for seats in [9, 88, 400] {
         for engine in 0..16u8 {
-            let mut times = pressed(18.0, seats, clock::hash(&[engine]), true);
+            let mut times = pressed(18.0, seats, hashing::hash(&[engine]), true);
             assert!(worst(&mut times, 1000) <= 23, "{seats} routers");
         }
     }
@@ -82,10 +82,10 @@
     for engine in 0..20u8 {
         let mut times = Vec::new();
         for seat in 0..88 {
-            let mark = clock::hash(format!("edge-{seat}").as_bytes());
+            let mark = hashing::hash(format!("edge-{seat}").as_bytes());
             let mut ramp = Ramp::default();
             for now in (0..3000).step_by(10) {
-                if ramp.allows(18.0, 66, clock::combine_hashes(mark, clock::hash(&[engine])), now) {
+                if ramp.allows(18.0, 66, hashing::combine(mark, hashing::hash(&[engine])), now) {
                     ramp.note(now);
                     times.push(now);
                 }
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -1,6 +1,6 @@
 //! One engine as a router knows it, with what sending to it has shown.
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{Engine, EngineLoad};
 
 use crate::budget::Ramp;
@@ -56,7 +56,7 @@
     pub fn new(engine: &Engine, service: u32, zone: u32) -> EngineState {
         EngineState {
             id: engine.id.clone(),
-            name: clock::hash(engine.id.as_bytes()),
+            name: hashing::hash(engine.id.as_bytes()),
             service,
             addr: engine.addr.clone(),
             zone,
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{self, EndpointList, Engine, EngineLoad};
 use protocol::version_rollout;
 
@@ -132,7 +132,7 @@
 
     /// This router's draw for an engine.
     pub fn ticket(&self, name: u64) -> u64 {
-        clock::combine_hashes(self.seat.mark, name)
+        hashing::combine(self.seat.mark, name)
     }
 
     /// An engine told what runs and waits there.
@@ -149,7 +149,7 @@
     pub fn weigh(&mut self, list: &[(String, String, u64)]) {
         for (id, model, version) in list {
             if let Some(at) = self.find(id) {
-                self.list[at].weigh(clock::hash(model.as_bytes()), Some(*version));
+                self.list[at].weigh(hashing::hash(model.as_bytes()), Some(*version));
             }
         }
     }
--- a/load_balancing/src/floor_tests.rs
+++ b/load_balancing/src/floor_tests.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::message::StalenessLimit;
 
 use super::{Floors, Limit, EASE_MS, LEASE_MS};
--- a/load_balancing/src/place.rs
+++ b/load_balancing/src/place.rs
@@ -1,6 +1,6 @@
 //! Choosing engines: pure functions over the engine_table. Lower cost wins; ties go by rendezvous.
 
-use kernel::clock;
+use kernel::hashing;
 
 use crate::engine_table::{EngineState, EngineTable};
 use crate::subset::Subset;
@@ -252,7 +252,7 @@
 }
 
 fn rank(key: u64, name: u64) -> u64 {
-    clock::combine_hashes(key, name)
+    hashing::combine(key, name)
 }
 
 fn cheapest(open: &[usize], cost: impl Fn(usize) -> f64, rank: impl Fn(usize) -> u64) -> Option<(usize, f64)> {
--- a/load_balancing/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::message::{EndpointList, Engine};
 
 use super::{Known, Sheets};
--- a/load_balancing/src/subset.rs
+++ b/load_balancing/src/subset.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use kernel::clock;
+use kernel::hashing;
 
 /// Invariants: `all` are the engines listed up for this half; `picks` is a part of them, the same as
 /// long as the list and the fleet stay the same; `ring` is sorted.
@@ -54,7 +54,7 @@
     pub fn make(seat: Seat, list: &[Named]) -> Subset {
         let mut ring: Vec<(u64, usize)> = list
             .iter()
-            .flat_map(|(at, _, name)| (0..PLACES).map(|place| (clock::combine_hashes(*name, place), *at)))
+            .flat_map(|(at, _, name)| (0..PLACES).map(|place| (hashing::combine(*name, place), *at)))
             .collect();
         ring.sort_unstable();
         let mut names: Vec<(u64, usize)> = list.iter().map(|(at, _, name)| (*name, *at)).collect();
@@ -66,7 +66,7 @@
     fn picks(seat: Seat, list: &[Named]) -> Vec<usize> {
         let mut zones: BTreeMap<u32, Vec<(u64, usize)>> = Default::default();
         for (at, zone, name) in list {
-            zones.entry(*zone).or_default().push((clock::combine_hashes(seat.mark, *name), *at));
+            zones.entry(*zone).or_default().push((hashing::combine(seat.mark, *name), *at));
         }
         let part = |(zone, mut part): (u32, Vec<(u64, usize)>)| {
             part.sort_unstable();
--- a/load_balancing/src/subset_tests.rs
+++ b/load_balancing/src/subset_tests.rs
@@ -1,14 +1,14 @@
-use kernel::clock;
+use kernel::hashing;
 
 use super::{Seat, Subset};
 
 fn engines(zones: u32, each: usize) -> Vec<(usize, u32, u64)> {
-    let name = |at: usize| clock::hash(format!("i-{at}").as_bytes());
+    let name = |at: usize| hashing::hash(format!("i-{at}").as_bytes());
     (0..zones as usize * each).map(|at| (at, (at / each) as u32, name(at))).collect()
 }
 
 fn seat(at: u32, routers: u32, zones: u32) -> Seat {
-    let mark = clock::hash(format!("edge-{at}").as_bytes());
+    let mark = hashing::hash(format!("edge-{at}").as_bytes());
     Seat { mark, zone: at % zones, routers, zones }
 }
 
@@ -62,7 +62,7 @@
         let lost = before.picks.iter().filter(|at| !after.picks.contains(at)).count();
         assert!(lost <= 1, "{lost} moved");
         let (mut moved, mut of) = (0, 0);
-        for key in (0..500u64).map(|key| clock::combine_hashes(key, 9)) {
+        for key in (0..500u64).map(|key| hashing::combine(key, 9)) {
             let (old, new) = (before.homes(key, 1, |_| true), after.homes(key, 1, |_| true));
             of += 1;
             moved += u32::from(old != new);
@@ -77,7 +77,7 @@
     let list = engines(3, 8);
     let (one, two) = (Subset::make(seat(1, 88, 3), &list), Subset::make(seat(2, 88, 3), &list));
     let mut count = [0u32; 24];
-    for key in (0..4800u64).map(|key| clock::combine_hashes(key, 3)) {
+    for key in (0..4800u64).map(|key| hashing::combine(key, 3)) {
         let homes = one.homes(key, 2, |_| true);
         assert_eq!(homes, two.homes(key, 2, |_| true));
         assert!(homes.len() == 2 && homes[0] != homes[1]);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use kernel::clock;
+use kernel::hashing;
 
 pub mod eligible_owner;
 pub mod platform_access;
@@ -230,7 +230,7 @@
         }
         list.sort_by_key(|ip| {
             let far = self.zone_of(ip) != zone;
-            (far, clock::combine_hashes(clock::hash(duty.as_bytes()), clock::hash(ip.as_bytes())))
+            (far, hashing::combine(hashing::hash(duty.as_bytes()), hashing::hash(ip.as_bytes())))
         });
         list
     }
--- a/membership/src/singleton_role_world.rs
+++ b/membership/src/singleton_role_world.rs
@@ -1,6 +1,6 @@
 //! The world of the duty tests: three controllers and the register, in virtual time.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use crate::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
 use crate::{MembershipView, Peer, PeerReport};
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -1,7 +1,7 @@
 //! Properties of all bodies: valid ones are taken and kept as they are; each way to spoil one is refused, names its item,
 //! shows no key and never panics; text and value of whatever is taken agree.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
--- a/protocol/src/config/samples.rs
+++ b/protocol/src/config/samples.rs
@@ -1,6 +1,6 @@
 //! Bodies for tests, of the shape that operators send, drawn from a seed.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use serde_json::{json, Value};
 
 use super::{read, Checked, Config, ConfigError};
--- a/protocol/src/config/spoils.rs
+++ b/protocol/src/config/spoils.rs
@@ -1,6 +1,6 @@
 //! Ways to spoil a valid body, for tests.
 use super::samples::KEY;
-use kernel::clock::Rng;
+use kernel::Rng;
 use serde_json::{json, Value};
 
 /// Ways to spoil a valid configuration with at least one route; each gives what the error must name.
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -1,6 +1,6 @@
 //! What routers and controllers say about tenants' limits. Since version 5.
 
-use kernel::clock;
+use kernel::hashing;
 
 use crate::message;
 
@@ -79,8 +79,8 @@
 /// What tells one list of holders from others.
 pub fn holders_mark(list: &[ShardOwner]) -> u64 {
     list.iter().fold(1, |mark, holder| {
-        let one = clock::combine_hashes(clock::hash(holder.ip.as_bytes()), clock::hash(holder.zone.as_bytes()));
-        clock::combine_hashes(mark, one)
+        let one = hashing::combine(hashing::hash(holder.ip.as_bytes()), hashing::hash(holder.zone.as_bytes()));
+        hashing::combine(mark, one)
     })
 }
 
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use kernel::clock;
+use kernel::hashing;
 
 use crate::Quota;
 
@@ -66,8 +66,8 @@
         let part = all / f64::from(routers.max(1));
         let whole = part.floor();
         let window = now / self.bounds.window_ms.max(1);
-        let seed = clock::combine_hashes(self.mark, clock::hash(tenant.as_bytes()));
-        let draw = clock::combine_hashes(seed, window) as f64 / u64::MAX as f64;
+        let seed = hashing::combine(self.mark, hashing::hash(tenant.as_bytes()));
+        let draw = hashing::combine(seed, window) as f64 / u64::MAX as f64;
         whole as usize + usize::from(draw < part - whole)
     }
 
--- a/quota/src/allowance_tests.rs
+++ b/quota/src/allowance_tests.rs
@@ -1,6 +1,6 @@
 //! What routers may send by themselves, all together.
 
-use kernel::clock;
+use kernel::hashing;
 
 use super::{Allowances, Bounds};
 use crate::Quota;
@@ -10,7 +10,7 @@
 /// The most that so many routers send in any window, when each sends all it may.
 fn sent(quota: &Quota, routers: u32, of: u32) -> usize {
     let mut list: Vec<Allowances> =
-        (0..of).map(|at| Allowances::new(BOUNDS, clock::hash(format!("edge-{at}").as_bytes()))).collect();
+        (0..of).map(|at| Allowances::new(BOUNDS, hashing::hash(format!("edge-{at}").as_bytes()))).collect();
     let mut times = Vec::new();
     for now in (0..20_000).step_by(500) {
         for own in &mut list {
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::{iter, mem};
 
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 use membership::{MembershipView, Peer, PeerReport};
 
 use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
@@ -99,7 +99,7 @@
         let router = |at: usize| Router {
             zone: at % size.zones,
             known: Vec::new(),
-            allowances: Allowances::new(BOUNDS, clock::hash(format!("edge-{at}").as_bytes())),
+            allowances: Allowances::new(BOUNDS, hashing::hash(format!("edge-{at}").as_bytes())),
             denied_until: vec![0; tenants.len()],
             frozen_until: 0,
             cut_until: 0,
--- a/router/src/doubt_pace_tests.rs
+++ b/router/src/doubt_pace_tests.rs
@@ -1,6 +1,6 @@
 use std::iter;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{is_drawn, pause, told_pause, PAUSE_MOST_MS, PAUSE_MS};
 use crate::doubt_probe::WAIT_MS;
--- a/router/src/duration_estimate_tests.rs
+++ b/router/src/duration_estimate_tests.rs
@@ -1,6 +1,6 @@
 //! What is expected after runs of short and long requests.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::DurationEstimate;
 
--- a/router/src/following_calls_tests.rs
+++ b/router/src/following_calls_tests.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use crate::following::Following;
 use crate::following_world::{budget, names, Behaviour, World};
--- a/router/src/following_candidates.rs
+++ b/router/src/following_candidates.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use kernel::clock;
+use kernel::hashing;
 
 /// How long a controller that fell silent, or proved nothing, is passed over while there is another. Each time it
 /// happens again soon the time doubles, so that one that is gone for good costs little.
@@ -54,7 +54,7 @@
     /// Before a controller has answered only the seeds are known; one on the own machine comes first.
     pub fn new(node_name: &str, own_ip: &str, seeds: &[String]) -> Candidates {
         let mut candidates = Candidates {
-            node: clock::hash(node_name.as_bytes()),
+            node: hashing::hash(node_name.as_bytes()),
             own_ip: own_ip.into(),
             order: Vec::new(),
             told: Vec::new(),
@@ -87,7 +87,7 @@
     /// An order of this router's own, so that all routers together spread over a list.
     fn rotated(&self, list: &[String]) -> Vec<String> {
         let mut list = list.to_vec();
-        list.sort_by_key(|ip| clock::combine_hashes(self.node, clock::hash(ip.as_bytes())));
+        list.sort_by_key(|ip| hashing::combine(self.node, hashing::hash(ip.as_bytes())));
         list.dedup();
         list
     }
--- a/router/src/following_tests.rs
+++ b/router/src/following_tests.rs
@@ -1,7 +1,7 @@
 //! How long what is held may go without a proof, whatever happens to the controllers that are asked.
 
-use kernel::clock::{self, Rng};
 use kernel::settings::Bounds;
+use kernel::{hashing, Rng};
 
 use crate::following_answer::{Answer, Proof};
 use crate::following_single_home::SingleHome;
@@ -155,7 +155,7 @@
     let members = world.members.clone();
     world.run(SETTLED + 60_000, |controller, now| {
         let change = now / CHANGE_MS;
-        let luck = clock::combine_hashes(clock::hash(controller.as_bytes()), change + (seed << 32));
+        let luck = hashing::combine(hashing::hash(controller.as_bytes()), change + (seed << 32));
         let is_member = members.iter().any(|member| member == controller);
         let sick_member = change as usize % members.len();
         let sick = if is_member { members[sick_member] == controller } else { !luck.is_multiple_of(3) };
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-use kernel::clock;
 use kernel::settings::Settings;
+use kernel::{clock, hashing};
 use protocol::link::PeerClient;
 use protocol::message::Message;
 use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
@@ -85,7 +85,7 @@
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
         };
-        let mark = clock::hash(settings.node_name.as_bytes());
+        let mark = hashing::hash(settings.node_name.as_bytes());
         let inner = Inner {
             holders: Vec::new(),
             mark: 0,
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -5,7 +5,7 @@
 
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
-use kernel::clock;
+use kernel::{clock, hashing};
 use load_balancing::place::Half;
 use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
@@ -101,7 +101,7 @@
     // A failed answer is given up only once the next send is granted.
     let mut granted = false;
     loop {
-        let rank = clock::combine_hashes(exchange.request.born, exchange.request.body.len() as u64);
+        let rank = hashing::combine(exchange.request.born, exchange.request.body.len() as u64);
         let place = exchange.view(|view| view.decode(0, &[], None, rank));
         let Some(at) = place else { return Err(failure_of(exchange)) };
         if !mem::take(&mut granted) && !exchange.grant_send() {
--- a/router/src/request.rs
+++ b/router/src/request.rs
@@ -8,7 +8,7 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use hyper::body::Incoming;
-use kernel::clock;
+use kernel::hashing;
 use protocol::headers::{
     self, ATTEMPT_ID, KV_SOURCE, LAST_EVENT_ID, MODEL, PROMPT_PREFIX, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET,
     URGENCY_CLASS,
@@ -145,8 +145,8 @@
         let text = head.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
         let list = text.and_then(catalog::parts).unwrap_or_default();
         let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
-        let model_key = clock::hash(model);
-        let keys = catalog::keys(clock::combine_hashes(seed, model_key), &list);
+        let model_key = hashing::hash(model);
+        let keys = catalog::keys(hashing::combine(seed, model_key), &list);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 
 use catalog::record::Record;
-use kernel::clock::{self, Rng};
 use kernel::convergence;
 use kernel::settings::Settings;
+use kernel::{hashing, new_incarnation, Rng};
 use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
 use load_balancing::floor::Floors;
@@ -80,7 +80,7 @@
 impl State {
     /// The state of a process that has just started: it knows its settings and nothing else.
     pub fn new(settings: Settings) -> Arc<State> {
-        let life = clock::incarnation();
+        let life = new_incarnation();
         let mut engine_table = EngineTable::default();
         let own_zone = engine_table.zone(&settings.zone);
         for (zone, region) in &settings.zones {
@@ -123,7 +123,7 @@
 
     /// What tells this router's samples from those of others.
     pub fn mark(&self) -> u64 {
-        clock::hash(self.settings.node_name.as_bytes())
+        hashing::hash(self.settings.node_name.as_bytes())
     }
 
     pub fn table(&self) -> Arc<Table> {
--- a/router/src/table_tests.rs
+++ b/router/src/table_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock::Rng;
+use kernel::Rng;
 use load_balancing::engine_table::EngineTable;
 use protocol::change::Change;
 use protocol::config::{read, Config};
--- a/router/src/tenants_tests.rs
+++ b/router/src/tenants_tests.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::change::Change;
 use protocol::config::{read, Config};
 
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kernel::clock;
+use kernel::hashing;
 use poem::listener::TcpAcceptor;
 use poem::{endpoint, Request, Route, Server};
 use protocol::change::Change;
@@ -242,14 +242,14 @@
         owed += rate as f64 / 100.0;
         while owed >= 1.0 {
             (owed, number) = (owed - 1.0, number + 1);
-            let (caller, key) = (callers[number as usize % 16].clone(), clock::combine_hashes(number, 1));
+            let (caller, key) = (callers[number as usize % 16].clone(), hashing::combine(number, 1));
             tokio::spawn(async move {
-                let sample = (0..10).map(|at| clock::combine_hashes(key, at)).collect();
+                let sample = (0..10).map(|at| hashing::combine(key, at)).collect();
                 let ask = PrefixLookup { epoch, keys: vec![key, key + 1], sample };
                 caller.call(Message::PrefixLookup(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
                     let id = format!("i-{engine}");
-                    let told = EngineLoad { engine_hash: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
+                    let told = EngineLoad { engine_hash: hashing::hash(id.as_bytes()), load: 3, age_ms: 0 };
                     let record = |key| Record { key, engine: id.clone() };
                     let note = PrefixRegistration {
                         epoch,
