--- a/batch/src/page.rs
+++ b/batch/src/page.rs
@@ -101,8 +101,8 @@
     }
 }
 
-kernel::bytes!(Page);
-kernel::bytes!(Batch);
+kernel::impl_archive_bytes!(Page);
+kernel::impl_archive_bytes!(Batch);
 
 #[cfg(test)]
 #[path = "page_tests.rs"]
--- a/batch/src/page_tests.rs
+++ b/batch/src/page_tests.rs
@@ -28,6 +28,6 @@
 fn pages_and_batches_come_back_from_their_bytes() {
     let mut page = Page::new(2);
     page.claim(7, |_| false).expect("first");
-    assert_eq!(Page::read_bytes(&page.write_bytes()), Some(page));
-    assert_eq!(Page::read_bytes(&[1, 2, 3]), None);
+    assert_eq!(Page::from_bytes(&page.to_bytes()), Some(page));
+    assert_eq!(Page::from_bytes(&[1, 2, 3]), None);
 }
--- a/controller/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -13,7 +13,7 @@
     let committed = 50_000;
     let sure_ms = SURE_MS;
     let last_arrival = committed + sure_ms + CONNECT_MS + UNACKNOWLEDGED_MS;
-    let held = RoleTenure { since: committed, own: false, confirmed_at: 100_000 };
+    let held = RoleTenure { acquired_at: committed, predecessor_expired: false, confirmed_at: 100_000 };
     let first_act = (committed..100_000)
         .find(|now| singleton_role::may_act(held, *now, false, lease_ms, sure_ms))
         .expect("it may act one day");
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -28,12 +28,12 @@
 
 /// A batch as the committed_state has it.
 pub fn batch(committed_state: &CommittedState, id: &str) -> Option<Batch> {
-    Batch::read_bytes(&committed_state.entries.get(&batch_key(id))?.body)
+    Batch::from_bytes(&committed_state.entries.get(&batch_key(id))?.body)
 }
 
 /// A page as the committed_state has it; one that was never written has all jobs waiting.
 pub fn page(committed_state: &CommittedState, id: &str, batch: &Batch, number: usize) -> Page {
-    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| Page::read_bytes(&entry.body));
+    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| Page::from_bytes(&entry.body));
     held.unwrap_or_else(|| blank(batch, number))
 }
 
@@ -87,8 +87,8 @@
                 return Receipt::Full(60_000);
             }
         }
-        let body = batch.write_bytes();
-        let judge = |held: &[u8]| match Batch::read_bytes(held) {
+        let body = batch.to_bytes();
+        let judge = |held: &[u8]| match Batch::from_bytes(held) {
             Some(held) if held.expired => {
                 let words = "Idempotency-Key: its batch has expired; use another";
                 Decision::Answer(Receipt::Bad(409, words.into()))
@@ -143,12 +143,12 @@
     }
 
     async fn cancel(&self, id: &str) -> Receipt {
-        let judge = |body: &[u8]| match Batch::read_bytes(body) {
+        let judge = |body: &[u8]| match Batch::from_bytes(body) {
             None => Decision::Answer(Receipt::Bad(404, format!("batch `{id}`: not known"))),
             Some(held) if held.cancelled || held.expired => Decision::Answer(Receipt::Good),
             Some(held) => {
                 let next = Batch { cancelled: true, ..held };
-                Decision::Write(next.write_bytes(), Receipt::Good)
+                Decision::Write(next.to_bytes(), Receipt::Good)
             }
         };
         let done = self.0.change(&batch_key(id), control::wait_ms(&self.0), judge).await;
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -135,7 +135,7 @@
         observed.metrics.render(&observed)
     });
     plugin::start(&CONTROLLER_PARTS, &controller);
-    signal::until_leave(&mut signals).await;
+    signal::wait_for_termination(&mut signals).await;
     kernel::log_event!(LEAVE);
     let end = shutdown::last_moment(controller.settings.bounds.grace_s);
     reconfiguration::leave(&controller).await;
--- a/controller/src/config_body.rs
+++ b/controller/src/config_body.rs
@@ -45,8 +45,8 @@
     taken: Vec<u64>,
 }
 
-kernel::bytes!(Held);
-kernel::bytes!(FirstLayout);
+kernel::impl_archive_bytes!(Held);
+kernel::impl_archive_bytes!(FirstLayout);
 
 /// The forms of a body, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -109,10 +109,10 @@
     /// A long configuration is packed: the body goes to every voter in each round, and to its disk.
     pub fn seal(&self, form: BodyForm) -> Vec<u8> {
         if form == BodyForm::Digested || !self.taken.is_empty() {
-            return [&SECOND[..], &lz4_flex::compress_prepend_size(&self.write_bytes())].concat();
+            return [&SECOND[..], &lz4_flex::compress_prepend_size(&self.to_bytes())].concat();
         }
         let first = FirstLayout { revision: self.revision, text: self.text.clone(), taken: self.earlier.clone() };
-        let plain = first.write_bytes();
+        let plain = first.to_bytes();
         if form == BodyForm::Plain || plain.len() < PACK_FROM {
             return plain;
         }
@@ -125,11 +125,11 @@
             return Some(Held::default());
         }
         if let Some(rest) = body.strip_prefix(&SECOND[..]) {
-            return Held::read_bytes(&unpack(rest)?);
+            return Held::from_bytes(&unpack(rest)?);
         }
         let first = match body.strip_prefix(&PACKED[..]) {
-            Some(rest) => FirstLayout::read_bytes(&unpack(rest)?),
-            None => FirstLayout::read_bytes(body),
+            Some(rest) => FirstLayout::from_bytes(&unpack(rest)?),
+            None => FirstLayout::from_bytes(body),
         }?;
         Some(Held { revision: first.revision, text: first.text, taken: Vec::new(), earlier: first.taken })
     }
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -78,7 +78,7 @@
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = held(controller, key, now)?;
     let sure_at = controller.committed_state.lock().expect("committed_state").sure?;
-    let held = RoleTenure { since: tenure.since, own: tenure.own, confirmed_at: sure_at };
+    let held = RoleTenure { acquired_at: tenure.since, predecessor_expired: tenure.own, confirmed_at: sure_at };
     let bounds = &controller.settings.bounds;
     singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, SURE_MS).then_some(tenure.epoch)
 }
@@ -96,12 +96,12 @@
         return true;
     }
     let judge = |body: &[u8]| {
-        let held = Duty::read_bytes(body).unwrap_or_default();
+        let held = Duty::from_bytes(body).unwrap_or_default();
         if held.epoch != epoch || held.holder != controller.me() {
             return Decision::Answer(false);
         }
         let next = Duty { clear: true, ..held };
-        Decision::Write(next.write_bytes(), true)
+        Decision::Write(next.to_bytes(), true)
     };
     controller.change(key, CHANGE_MS, judge).await.unwrap_or(false)
 }
@@ -146,10 +146,10 @@
     let now = clock::now();
     let roster = controller.roster.lock().expect("roster");
     singleton_role::may_acquire(RoleView {
-        me: controller.me(),
-        holder,
+        own_ip: controller.me(),
+        owner: holder,
         unavailable_ms: roster.unavailable_ms(holder, now).min(sure_ms),
-        first: roster.first_confirmed(key, now).as_deref() == Some(controller.me()),
+        is_first_confirmed: roster.first_confirmed(key, now).as_deref() == Some(controller.me()),
         lease_ms: controller.settings.bounds.lease_ms,
     })
 }
@@ -180,12 +180,12 @@
 /// One that was committed all the same is never acted under: it is not among what was taken.
 async fn take(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
     let judge = |body: &[u8]| {
-        let held = Duty::read_bytes(body).unwrap_or_default();
+        let held = Duty::from_bytes(body).unwrap_or_default();
         if held.epoch != epoch {
             return Decision::Answer(None);
         }
         let next = Duty { epoch: epoch + 1, holder: controller.me().to_string(), clear: own };
-        Decision::Write(next.write_bytes(), Some(epoch + 1))
+        Decision::Write(next.to_bytes(), Some(epoch + 1))
     };
     controller.change(key, CHANGE_MS, judge).await.flatten()
 }
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -32,7 +32,7 @@
         reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVE_MS)).collect(),
     };
     roster.observe(&gossip.ip, peer);
-    roster.report(&gossip.ip, platform::report(gossip), now);
+    roster.record_report(&gossip.ip, platform::report(gossip), now);
     for ip in &gossip.peers {
         if ip.parse::<Ipv4Addr>().is_ok() && *ip != roster.own_ip && !roster.controllers.contains_key(ip) {
             let unseen =
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -3,7 +3,7 @@
 use std::process;
 
 use controller::boot;
-use kernel::startup::{self, EntryFlags};
+use kernel::startup::{self, DaemonFlags};
 
 mod flags {
     use kernel::settings::MetricsEndpoint;
@@ -26,6 +26,7 @@
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
-    let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    startup::run_daemon("controller", env!("CARGO_PKG_VERSION"), entry_flags, boot::run)
+    let daemon_flags =
+        DaemonFlags { check_settings: flags.check, print_version: flags.version, metrics: flags.metrics };
+    startup::run_daemon("controller", env!("CARGO_PKG_VERSION"), daemon_flags, boot::run)
 }
--- a/controller/src/metrics_tests.rs
+++ b/controller/src/metrics_tests.rs
@@ -14,7 +14,10 @@
     metrics.platform_polls.get_or_create(&PollLabels { result: PollOutcome::Read }).inc();
     metrics.note_spent(TokenResponse::Granted);
     let text = telemetry::encode(&metrics.registry);
-    assert_eq!(telemetry::names(&text), telemetry::listed(page, "tidepoint_keeper_"));
+    assert_eq!(
+        telemetry::testing::metric_names(&text),
+        telemetry::testing::documented_names(page, "tidepoint_keeper_")
+    );
 }
 
 #[test]
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -135,7 +135,7 @@
     if from.is_some_and(|version| version != held.version) {
         return Decision::Answer(unclear);
     }
-    Decision::Write(Closed { version: held.version + 1, on }.write_bytes(), done)
+    Decision::Write(Closed { version: held.version + 1, on }.to_bytes(), done)
 }
 
 async fn evacuate(
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -56,7 +56,7 @@
 
 /// What is told to peers about the own access to the platform.
 pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
-    let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
+    let unreachable = controller.roster.lock().expect("roster").platform_access.is_unreachable(now);
     unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
 }
 
@@ -125,8 +125,8 @@
 fn note_access(controller: &Controller, error: Option<PollError>) {
     let mut roster = controller.roster.lock().expect("roster");
     match error {
-        None | Some(PollError::Refused) => roster.access.succeeded(),
-        Some(PollError::Unreachable) => roster.access.failed(clock::now()),
+        None | Some(PollError::Refused) => roster.platform_access.record_success(),
+        Some(PollError::Unreachable) => roster.platform_access.record_failure(clock::now()),
         Some(PollError::Stalled) => {}
     }
 }
--- a/controller/src/rollouts.rs
+++ b/controller/src/rollouts.rs
@@ -135,7 +135,7 @@
 /// Carries an ask out: committed, then waited for until it binds everywhere.
 pub async fn carry(controller: &Controller, key: &str, (service, model): (&str, &str), ask: LimitChange) -> Receipt {
     let judge = |body: &[u8]| {
-        let held = StalenessLimit::read_bytes(body);
+        let held = StalenessLimit::from_bytes(body);
         if held.is_none() && !body.is_empty() {
             return Decision::Answer(Err(Receipt::Unclear));
         }
@@ -143,7 +143,7 @@
             Ok(None) => Decision::Answer(Ok(held.map_or(0, |held| held.version))),
             Ok(Some(next)) => {
                 let next = StalenessLimit { service: service.into(), model: model.into(), ..next };
-                Decision::Write(next.write_bytes(), Ok(next.version))
+                Decision::Write(next.to_bytes(), Ok(next.version))
             }
             Err((status, words)) => Decision::Answer(Err(Receipt::Bad(status, words))),
         }
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -167,10 +167,10 @@
     mut act: impl FnMut(&mut Page) -> Result<(), Bar>,
 ) -> Option<bool> {
     let judge = |body: &[u8]| {
-        let mut page = Page::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
+        let mut page = Page::from_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
         match act(&mut page) {
-            Ok(()) if page.write_bytes() == body => Decision::Answer(true),
-            Ok(()) => Decision::Write(page.write_bytes(), true),
+            Ok(()) if page.to_bytes() == body => Decision::Answer(true),
+            Ok(()) => Decision::Write(page.to_bytes(), true),
             Err(_) => Decision::Answer(false),
         }
     };
@@ -222,9 +222,9 @@
     }
     let gone = controller.tallies.lock().expect("tallies").take(id);
     let judge = |body: &[u8]| {
-        let Some(mut next) = Batch::read_bytes(body) else { return Decision::Answer(()) };
+        let Some(mut next) = Batch::from_bytes(body) else { return Decision::Answer(()) };
         match next.tick(held.spent_ms, gone, done) {
-            true => Decision::Write(next.write_bytes(), ()),
+            true => Decision::Write(next.to_bytes(), ()),
             false => Decision::Answer(()),
         }
     };
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -31,8 +31,8 @@
 pub const CLOSED: &str = "evacuation/";
 pub const DUTY: &str = "duty/";
 
-kernel::bytes!(Closed);
-kernel::bytes!(Duty);
+kernel::impl_archive_bytes!(Closed);
+kernel::impl_archive_bytes!(Duty);
 
 pub use consensus::core_body::{read as read_core, write as write_core};
 
@@ -44,7 +44,7 @@
             pub fn open(body: &[u8]) -> Option<Self> {
                 match body.is_empty() {
                     true => Some(Self::default()),
-                    false => Self::read_bytes(body),
+                    false => Self::from_bytes(body),
                 }
             }
         }
@@ -175,11 +175,11 @@
             self.closed.insert(zone.into(), (closed.version, closed.on));
         }
         if key.starts_with(ROLLOUT) && !body.is_empty() {
-            let rule = StalenessLimit::read_bytes(body).ok_or(Unreadable::Body)?;
+            let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
             self.rules.insert(key.into(), rule);
         }
         if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
-            let rollout = VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
+            let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
             self.rollouts.insert(service.into(), rollout);
         }
         if key.starts_with(DUTY) {
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -139,7 +139,7 @@
 fn other_keys_are_not_taken_for_empty_either() {
     let mut state = CommittedState::default();
     let zone = format!("{CLOSED}z");
-    let closed = Closed { version: 4, on: true }.write_bytes();
+    let closed = Closed { version: 4, on: true }.to_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
     for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
--- a/controller/src/version_calls.rs
+++ b/controller/src/version_calls.rs
@@ -91,13 +91,13 @@
         Err((status, words)) => return Receipt::Bad(status, words),
     };
     let judge = |body: &[u8]| {
-        let held = VersionRollout::read_bytes(body);
+        let held = VersionRollout::from_bytes(body);
         if held.is_none() && !body.is_empty() {
             return Decision::Answer(Receipt::Unclear);
         }
         match order.on(held.as_ref()) {
             Ok(None) => Decision::Answer(Receipt::Good),
-            Ok(Some(next)) => Decision::Write(next.write_bytes(), Receipt::Good),
+            Ok(Some(next)) => Decision::Write(next.to_bytes(), Receipt::Good),
             Err((status, words)) => Decision::Answer(Receipt::Bad(status, words)),
         }
     };
@@ -110,7 +110,7 @@
 
 impl Rollout {
     async fn read(&self, service: &str) -> Receipt {
-        let judge = |body: &[u8]| Decision::Answer((VersionRollout::read_bytes(body), body.is_empty()));
+        let judge = |body: &[u8]| Decision::Answer((VersionRollout::from_bytes(body), body.is_empty()));
         let key = VersionRollout::key(service);
         match self.0.change(&key, control::wait_ms(&self.0), judge).await {
             Some((Some(rollout), _)) => Receipt::Text(shown(&rollout).to_string().into_bytes()),
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -198,8 +198,8 @@
 }
 
 async fn commit(controller: &Arc<Controller>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
-    let judge = |body: &[u8]| match VersionRollout::read_bytes(body) {
-        Some(held) if held.number == rollout.number => Decision::Write(next.write_bytes(), true),
+    let judge = |body: &[u8]| match VersionRollout::from_bytes(body) {
+        Some(held) if held.number == rollout.number => Decision::Write(next.to_bytes(), true),
         _ => Decision::Answer(false),
     };
     controller.change(&VersionRollout::key(&rollout.service), CHANGE_MS, judge).await.unwrap_or(false)
--- a/kernel/src/convergence.rs
+++ b/kernel/src/convergence.rs
@@ -12,7 +12,7 @@
 
 /// The shares of `converge_ms`, with the two other bounds that limit waits. Invariant: `converge_ms` is above 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct ConvergenceBudget {
     converge_ms: u64,
     contact_ms: u64,
     revert_slack_ms: u64,
@@ -27,10 +27,10 @@
 /// Clients wait for a refusal that is not certain no longer than this.
 const MAX_REFUSAL_WAIT_MS: u64 = 300;
 
-impl Budget {
+impl ConvergenceBudget {
     /// The budget under the bounds of a deployment.
-    pub fn new(bounds: &Bounds) -> Budget {
-        Budget {
+    pub fn new(bounds: &Bounds) -> ConvergenceBudget {
+        ConvergenceBudget {
             converge_ms: bounds.converge_ms.max(1),
             contact_ms: bounds.contact_ms,
             revert_slack_ms: bounds.revert_slack_ms,
@@ -73,7 +73,7 @@
 
     /// What a call to a healthy controller takes, with a new connection and a change in the answer: not a wait, but
     /// the time that the other shares leave for it.
-    pub fn answer_ms(&self) -> u64 {
+    pub fn response_ms(&self) -> u64 {
         self.share(100)
     }
 
@@ -94,7 +94,7 @@
 
     /// Routers: what `hedge_gap_ms` grows to while no controller can prove anything. A router whose contact is back
     /// asks several controllers before it counts as in touch again.
-    pub fn hedge_gap_most_ms(&self) -> u64 {
+    pub fn max_hedge_gap_ms(&self) -> u64 {
         (self.contact_ms / 4).max(self.hedge_gap_ms())
     }
 
--- a/kernel/src/convergence_tests.rs
+++ b/kernel/src/convergence_tests.rs
@@ -1,12 +1,12 @@
 //! The worst paths of a change, added up from the shares.
 
-use super::Budget;
+use super::ConvergenceBudget;
 use crate::settings::Bounds;
 
 /// The bounds to try; deployments have 2000 to 3000.
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
 
-/// The waits on the way of a change. Those of `Budget`, or others to be judged by the same sums.
+/// The waits on the way of a change. Those of `ConvergenceBudget`, or others to be judged by the same sums.
 struct Waits {
     /// A controller's confirmation is at most so old.
     confirmation_age: u64,
@@ -23,12 +23,12 @@
 }
 
 impl Waits {
-    fn of(budget: &Budget) -> Waits {
+    fn of(budget: &ConvergenceBudget) -> Waits {
         Waits {
             confirmation_age: budget.confirmation_age_ms(),
             fetch: budget.confirmation_fetch_ms(),
             renewal: budget.renewal_interval_ms(),
-            answer: budget.answer_ms(),
+            answer: budget.response_ms(),
             first_ask: budget.hedge_age_ms(),
             at_once: 2,
             next_ask: budget.hedge_gap_ms(),
@@ -83,8 +83,8 @@
     }
 }
 
-fn budget(converge_ms: u64) -> Budget {
-    Budget::new(&Bounds { converge_ms, ..Default::default() })
+fn budget(converge_ms: u64) -> ConvergenceBudget {
+    ConvergenceBudget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
 #[test]
@@ -118,7 +118,7 @@
     for converge_ms in CONVERGE_MS {
         let budget = budget(converge_ms);
         // A read takes a small part of what it may take.
-        let usual = budget.confirmation_interval_ms() + budget.renewal_interval_ms() + budget.answer_ms() / 2;
+        let usual = budget.confirmation_interval_ms() + budget.renewal_interval_ms() + budget.response_ms() / 2;
         assert!(usual < budget.hedge_age_ms(), "{converge_ms}: {usual}");
     }
 }
@@ -137,8 +137,8 @@
 fn contact_that_is_back_is_used_before_it_counts() {
     for contact_ms in [2000, 3000, 5000] {
         let bounds = Bounds { contact_ms, ..Default::default() };
-        let budget = Budget::new(&bounds);
-        let two_asked = 2 * budget.hedge_gap_most_ms() + budget.answer_ms();
+        let budget = ConvergenceBudget::new(&bounds);
+        let two_asked = 2 * budget.max_hedge_gap_ms() + budget.response_ms();
         assert!(two_asked * 10 <= contact_ms * 9, "{contact_ms}: {two_asked}");
     }
 }
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,6 +1,6 @@
 //! What every daemon stands on: settings, clock, log, journal, signals and the plug-in registry.
 pub mod clock;
-pub mod convergence;
+mod convergence;
 pub mod event_buffer;
 pub mod hashing;
 mod incarnation;
@@ -11,5 +11,6 @@
 pub mod signal;
 pub mod startup;
 
+pub use convergence::ConvergenceBudget;
 pub use incarnation::new_incarnation;
 pub use rng::Rng;
--- a/kernel/src/log.rs
+++ b/kernel/src/log.rs
@@ -21,7 +21,7 @@
 const ROOM: usize = 512;
 
 /// Numbered lines after `mark`.
-pub fn since(mark: u64) -> Vec<(u64, String)> {
+pub fn events_since(mark: u64) -> Vec<(u64, String)> {
     let book = BOOK.lock().expect("book");
     let Some(book) = book.as_ref() else { return Vec::new() };
     let mut number = book.last().saturating_sub(book.len() as u64).max(mark);
--- a/kernel/src/signal.rs
+++ b/kernel/src/signal.rs
@@ -11,7 +11,7 @@
     /// SIGHUP; the number counts how many came.
     Reload(u32),
     /// SIGTERM; final.
-    Leave,
+    Terminate,
 }
 
 /// Where a daemon reads its signals.
@@ -30,7 +30,7 @@
         loop {
             tokio::select! {
                 _ = terminate.recv() => {
-                    let _ = sender.send(Signal::Leave);
+                    let _ = sender.send(Signal::Terminate);
                     sender.closed().await;
                     return;
                 }
@@ -45,6 +45,6 @@
 }
 
 /// Until SIGTERM comes, or nothing can come any more.
-pub async fn until_leave(signals: &mut Signals) {
-    let _ = signals.wait_for(|signal| *signal == Signal::Leave).await;
+pub async fn wait_for_termination(signals: &mut Signals) {
+    let _ = signals.wait_for(|signal| *signal == Signal::Terminate).await;
 }
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -12,11 +12,11 @@
 
 /// What the command line of a daemon may say.
 #[derive(Default)]
-pub struct EntryFlags {
+pub struct DaemonFlags {
     /// Only check the settings.
-    pub check: bool,
+    pub check_settings: bool,
     /// Only tell the version.
-    pub version: bool,
+    pub print_version: bool,
     /// Where metrics are told, in place of what the settings say.
     pub metrics: Option<MetricsEndpoint>,
 }
@@ -25,10 +25,10 @@
 pub fn run_daemon<F: Future<Output = process::ExitCode>>(
     name: &str,
     release: &str,
-    flags: EntryFlags,
+    flags: DaemonFlags,
     run: impl FnOnce(Settings, Signals) -> F,
 ) -> process::ExitCode {
-    if flags.version {
+    if flags.print_version {
         println!("{name} {release}");
         return process::ExitCode::SUCCESS;
     }
@@ -47,7 +47,7 @@
             }
         };
         settings.metrics = flags.metrics.or(settings.metrics);
-        if flags.check {
+        if flags.check_settings {
             println!("settings are good");
             return process::ExitCode::SUCCESS;
         }
@@ -64,16 +64,16 @@
 
 /// Gives a type its form as bytes: validated when read.
 #[macro_export]
-macro_rules! bytes {
+macro_rules! impl_archive_bytes {
     ($kind:ty) => {
         impl $kind {
-            pub fn read_bytes(body: &[u8]) -> Option<Self> {
+            pub fn from_bytes(body: &[u8]) -> Option<Self> {
                 let mut room = rkyv::util::AlignedVec::<16>::with_capacity(body.len());
                 room.extend_from_slice(body);
                 rkyv::from_bytes::<$kind, rkyv::rancor::Error>(&room).ok()
             }
 
-            pub fn write_bytes(&self) -> Vec<u8> {
+            pub fn to_bytes(&self) -> Vec<u8> {
                 rkyv::to_bytes::<rkyv::rancor::Error>(self).map(|body| body.to_vec()).unwrap_or_default()
             }
         }
--- a/membership/src/eligible_owner.rs
+++ b/membership/src/eligible_owner.rs
@@ -18,7 +18,7 @@
         &self,
         protocol_version: u64,
         unavailable_ms: u64,
-        self_leaving: bool,
+        self_shutting_down: bool,
         now: u64,
     ) -> Vec<EligibleOwner> {
         let is_eligible = |peer: &Peer| peer.protocol_version >= protocol_version && !peer.shutting_down;
@@ -26,7 +26,7 @@
         let present = peers.filter(|(ip, _)| self.unavailable_ms(ip, now) < unavailable_ms);
         let mut list: Vec<EligibleOwner> =
             present.map(|(ip, peer)| EligibleOwner { ip: ip.clone(), zone: peer.zone.clone() }).collect();
-        if !self_leaving {
+        if !self_shutting_down {
             list.push(EligibleOwner { ip: self.own_ip.clone(), zone: self.zone.clone() });
         }
         list.sort();
--- a/membership/src/eligible_owner_tests.rs
+++ b/membership/src/eligible_owner_tests.rs
@@ -16,13 +16,13 @@
                 ..Default::default()
             },
         );
-        roster.report(ip, PeerReport { confirmed: true, ..Default::default() }, 1000);
+        roster.record_report(ip, PeerReport { confirmed: true, ..Default::default() }, 1000);
     }
     roster
 }
 
-fn able(roster: &MembershipView, self_leaving: bool, now: u64) -> Vec<String> {
-    roster.eligible_owners(5, ABSENT_MS, self_leaving, now).into_iter().map(|one| one.ip).collect()
+fn able(roster: &MembershipView, self_shutting_down: bool, now: u64) -> Vec<String> {
+    roster.eligible_owners(5, ABSENT_MS, self_shutting_down, now).into_iter().map(|one| one.ip).collect()
 }
 
 #[test]
@@ -34,7 +34,7 @@
 #[test]
 fn one_that_was_not_heard_to_be_confirmed_for_long_is_left_out() {
     let mut roster = roster();
-    roster.report("e", PeerReport { confirmed: true, ..Default::default() }, 3000);
+    roster.record_report("e", PeerReport { confirmed: true, ..Default::default() }, 3000);
     assert_eq!(able(&roster, false, 1000 + ABSENT_MS - 1), ["a", "b", "e"]);
     assert_eq!(able(&roster, false, 1000 + ABSENT_MS), ["a", "e"]);
 }
@@ -44,6 +44,10 @@
     let mut roster = roster();
     let now = 1000 + ABSENT_MS;
     roster.observe("e", Peer { zone: "z2".into(), last_seen: now, protocol_version: 5, ..Default::default() });
-    roster.report("e", PeerReport { confirmed: true, confirmations: vec!["b".into()], ..Default::default() }, now);
+    roster.record_report(
+        "e",
+        PeerReport { confirmed: true, confirmations: vec!["b".into()], ..Default::default() },
+        now,
+    );
     assert_eq!(able(&roster, false, now), ["a", "b", "e"]);
 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -64,7 +64,7 @@
     /// By peer: what it last told of others.
     pub reports: BTreeMap<String, PeerReport>,
     /// Own access to the platform.
-    pub access: platform_access::PlatformAccess,
+    pub platform_access: platform_access::PlatformAccess,
 }
 
 impl MembershipView {
@@ -152,7 +152,7 @@
     }
 
     /// A peer told of others.
-    pub fn report(&mut self, peer: &str, report: PeerReport, now: u64) {
+    pub fn record_report(&mut self, peer: &str, report: PeerReport, now: u64) {
         if report.confirmed {
             self.last_confirmed.insert(peer.into(), now);
         }
@@ -160,13 +160,13 @@
     }
 
     /// How long a peer has not been heard to be sure; never heard counts as for ever.
-    fn unsure_ms(&self, ip: &str, now: u64) -> u64 {
+    fn unconfirmed_ms(&self, ip: &str, now: u64) -> u64 {
         self.last_confirmed.get(ip).map_or(u64::MAX, |last_seen| now.saturating_sub(*last_seen))
     }
 
     /// Is a controller heard here, and sure? Others are told so.
     pub fn confirms(&self, ip: &str, now: u64) -> bool {
-        self.is_live(ip, now) && self.unsure_ms(ip, now) < self.liveness_timeout_ms
+        self.is_live(ip, now) && self.unconfirmed_ms(ip, now) < self.liveness_timeout_ms
     }
 
     /// How long a controller has been unable to do a duty, as far as is known: not heard to be sure, here or
@@ -180,7 +180,7 @@
         if live.any(|(_, report)| report.confirmations.iter().any(|vouched| vouched == ip)) {
             return 0;
         }
-        self.unsure_ms(ip, now)
+        self.unconfirmed_ms(ip, now)
     }
 
     /// Who takes a duty that is free: the first in the order that is heard and sure, asked by one that is
@@ -193,7 +193,7 @@
     /// or the first live one while none does.
     pub fn poller(&self, zone: &str, now: u64) -> String {
         let reaches = |ip: &String| match *ip == self.own_ip {
-            true => !self.access.unreachable(now),
+            true => !self.platform_access.is_unreachable(now),
             false => !self.reports.get(ip).is_some_and(|report| report.platform_unreachable),
         };
         let live: Vec<String> =
--- a/membership/src/lib_tests.rs
+++ b/membership/src/lib_tests.rs
@@ -51,14 +51,14 @@
     let mut list = MembershipView::new("10.0.0.1", "a", 1000);
     assert_eq!(list.unavailable_ms("10.0.0.2", 50), u64::MAX, "never heard");
     list.observe("10.0.0.2", peer("b", 100));
-    list.report("10.0.0.2", sure(), 100);
+    list.record_report("10.0.0.2", sure(), 100);
     assert!(list.confirms("10.0.0.2", 1099) && !list.confirms("10.0.0.2", 1100));
     list.observe("10.0.0.3", peer("c", 9000));
-    list.report("10.0.0.3", PeerReport { confirmations: vec!["10.0.0.2".into()], ..sure() }, 9000);
+    list.record_report("10.0.0.3", PeerReport { confirmations: vec!["10.0.0.2".into()], ..sure() }, 9000);
     assert_eq!((list.silent_ms("10.0.0.2", 9500), list.unavailable_ms("10.0.0.2", 9500)), (9400, 0));
     assert_eq!(list.unavailable_ms("10.0.0.2", 10_000), 9900, "the peer itself is no longer heard");
     list.observe("10.0.0.2", peer("b", 10_000));
-    list.report("10.0.0.2", PeerReport { confirmations: vec!["10.0.0.2".into()], ..sure() }, 10_000);
+    list.record_report("10.0.0.2", PeerReport { confirmations: vec!["10.0.0.2".into()], ..sure() }, 10_000);
     assert_eq!(list.unavailable_ms("10.0.0.2", 10_100), 100, "nobody vouches for itself");
 }
 
@@ -67,7 +67,7 @@
     let mut list = MembershipView::new("10.0.0.1", "a", 1000);
     for now in (0..=5000).step_by(500) {
         list.observe("10.0.0.2", peer("b", now));
-        list.report("10.0.0.2", PeerReport { confirmed: now < 1000, ..Default::default() }, now);
+        list.record_report("10.0.0.2", PeerReport { confirmed: now < 1000, ..Default::default() }, now);
     }
     assert_eq!((list.silent_ms("10.0.0.2", 5000), list.unavailable_ms("10.0.0.2", 5000)), (0, 4500));
     assert!(list.is_live("10.0.0.2", 5000) && !list.confirms("10.0.0.2", 5000));
--- a/membership/src/platform_access.rs
+++ b/membership/src/platform_access.rs
@@ -13,19 +13,19 @@
 }
 
 impl PlatformAccess {
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = PlatformAccess::default();
     }
 
     /// A poll had no answer. Once out of reach, one more failure is enough to yield again.
-    pub fn failed(&mut self, now: u64) {
+    pub fn record_failure(&mut self, now: u64) {
         self.failures = self.failures.saturating_add(1);
         if self.failures >= FAILURES {
             self.yield_until = now + YIELD_MS;
         }
     }
 
-    pub fn unreachable(&self, now: u64) -> bool {
+    pub fn is_unreachable(&self, now: u64) -> bool {
         now < self.yield_until
     }
 }
--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -41,12 +41,12 @@
 
     fn gossip(&mut self) {
         for from in 0..CONTROLLERS {
-            let platform_unreachable = self.rosters[from].access.unreachable(self.now);
+            let platform_unreachable = self.rosters[from].platform_access.is_unreachable(self.now);
             for to in (0..CONTROLLERS).filter(|to| *to != from) {
                 let peer = Peer { zone: "zone".into(), last_seen: self.now, ..Default::default() };
                 self.rosters[to].observe(&name(from), peer);
                 let report = PeerReport { platform_unreachable, ..Default::default() };
-                self.rosters[to].report(&name(from), report, self.now);
+                self.rosters[to].record_report(&name(from), report, self.now);
             }
         }
     }
@@ -57,9 +57,9 @@
             return;
         }
         if self.now < self.cut_until[at] {
-            return roster.access.failed(self.now);
+            return roster.platform_access.record_failure(self.now);
         }
-        roster.access.succeeded();
+        roster.platform_access.record_success();
         self.polled = (self.now, at);
     }
 
@@ -103,13 +103,13 @@
 #[test]
 fn one_lost_poll_changes_nothing_and_a_success_forgets_failures() {
     let mut access = PlatformAccess::default();
-    access.failed(1000);
-    access.failed(1100);
-    assert!(!access.unreachable(1100));
-    access.succeeded();
-    access.failed(1200);
-    access.failed(1300);
-    assert!(!access.unreachable(1300));
-    access.failed(1400);
-    assert!(access.unreachable(1400) && access.unreachable(6399) && !access.unreachable(6400));
+    access.record_failure(1000);
+    access.record_failure(1100);
+    assert!(!access.is_unreachable(1100));
+    access.record_success();
+    access.record_failure(1200);
+    access.record_failure(1300);
+    assert!(!access.is_unreachable(1300));
+    access.record_failure(1400);
+    assert!(access.is_unreachable(1400) && access.is_unreachable(6399) && !access.is_unreachable(6400));
 }
--- a/membership/src/singleton_role.rs
+++ b/membership/src/singleton_role.rs
@@ -3,20 +3,20 @@
 /// What a controller knows when it looks at a duty.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleView<'a> {
-    pub me: &'a str,
+    pub own_ip: &'a str,
     /// The holder that a majority was last seen to name; empty: nobody yet.
-    pub holder: &'a str,
+    pub owner: &'a str,
     /// How long the holder has been unable to act, as seen by a controller that was sure all the while.
     pub unavailable_ms: u64,
     /// Is this controller the first in the agreed order that is able?
-    pub first: bool,
+    pub is_first_confirmed: bool,
     pub lease_ms: u64,
 }
 
 /// The last holder is left its lease; one that started again takes a new epoch at once.
 pub fn may_acquire(look: RoleView) -> bool {
-    let stopped = look.holder.is_empty() || look.unavailable_ms > look.lease_ms;
-    look.holder == look.me || (stopped && look.first)
+    let stopped = look.owner.is_empty() || look.unavailable_ms > look.lease_ms;
+    look.owner == look.own_ip || (stopped && look.is_first_confirmed)
 }
 
 /// Since when a controller has been sure without a break. While nobody reaches a majority the holder can't
@@ -39,10 +39,10 @@
 /// How a duty is held here. Invariant: `since` is after the commit of the epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleTenure {
-    pub since: u64,
+    pub acquired_at: u64,
     /// Nobody else can have acted lately: there was no holder before, or the last one was an earlier
     /// life of this controller that had said in the register that it had waited.
-    pub own: bool,
+    pub predecessor_expired: bool,
     /// When the read began that last confirmed this epoch at a majority.
     pub confirmed_at: u64,
 }
@@ -53,8 +53,8 @@
     if now >= held.confirmed_at + confirmed_ms {
         return false;
     }
-    let wait = if fencing || held.own { 0 } else { lease_ms + 2 * confirmed_ms };
-    now >= held.since + wait
+    let wait = if fencing || held.predecessor_expired { 0 } else { lease_ms + 2 * confirmed_ms };
+    now >= held.acquired_at + wait
 }
 
 #[cfg(test)]
--- a/membership/src/singleton_role_world.rs
+++ b/membership/src/singleton_role_world.rs
@@ -175,7 +175,7 @@
             if self.linked(at, other) {
                 let roster = &mut self.controllers[other].roster;
                 roster.observe(&name, Peer { last_seen: now, ..Default::default() });
-                roster.report(&name, report.clone(), now);
+                roster.record_report(&name, report.clone(), now);
             }
         }
     }
@@ -200,10 +200,10 @@
             false => controller.roster.unavailable_ms(&holder, self.now).min(sure_ms),
         };
         let look = RoleView {
-            me: &controller.name,
-            holder: &holder,
+            own_ip: &controller.name,
+            owner: &holder,
             unavailable_ms: absent_ms,
-            first: controller.roster.first_confirmed(DUTY, self.now).as_ref() == Some(&controller.name),
+            is_first_confirmed: controller.roster.first_confirmed(DUTY, self.now).as_ref() == Some(&controller.name),
             lease_ms: LEASE,
         };
         if !singleton_role::may_acquire(look) || !self.majority(at) || self.register.0 != controller.board.0 {
@@ -215,7 +215,7 @@
         if !self.change((epoch, name, own)) {
             return;
         }
-        let held = RoleTenure { since: self.now, own: own || self.hasty, confirmed_at: self.now };
+        let held = RoleTenure { acquired_at: self.now, predecessor_expired: own || self.hasty, confirmed_at: self.now };
         let register = self.register.clone();
         let controller = &mut self.controllers[at];
         controller.held = Some((epoch, held));
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -32,7 +32,7 @@
     }
 }
 
-kernel::bytes!(StalenessLimit);
+kernel::impl_archive_bytes!(StalenessLimit);
 
 pub const ROLLOUT: &str = "rollout/";
 
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -77,7 +77,7 @@
     }
 }
 
-kernel::bytes!(VersionRollout);
+kernel::impl_archive_bytes!(VersionRollout);
 
 /// Samples of one route and version.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
--- a/protocol/src/version_rollout_tests.rs
+++ b/protocol/src/version_rollout_tests.rs
@@ -44,7 +44,7 @@
 #[test]
 fn records_come_back_as_they_were_and_candidates_have_names_of_their_own() {
     let one = rollout(RolloutState::Active);
-    assert_eq!(VersionRollout::read_bytes(&one.write_bytes()), Some(one));
+    assert_eq!(VersionRollout::from_bytes(&one.to_bytes()), Some(one));
     assert_eq!(candidate_zone(&candidates_of("hall-a")), Some("hall-a"));
     assert_eq!(candidate_zone("hall-a"), None);
     assert!(message::is_hidden_key(&candidates_of("hall-a")));
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -247,7 +247,7 @@
             if self.linked(at, other) {
                 let peer = Peer { zone: zone.clone(), last_seen: now, ..Default::default() };
                 self.controllers[other].roster.observe(&ip, peer);
-                self.controllers[other].roster.report(&ip, report.clone(), now);
+                self.controllers[other].roster.record_report(&ip, report.clone(), now);
             }
         }
     }
--- a/router/src/boot.rs
+++ b/router/src/boot.rs
@@ -38,7 +38,7 @@
     let observed = state.clone();
     telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
     plugin::start(&ROUTER_PARTS, &state);
-    signal::until_leave(&mut signals).await;
+    signal::wait_for_termination(&mut signals).await;
     leave(&state).await;
     process::ExitCode::SUCCESS
 }
--- a/router/src/currency.rs
+++ b/router/src/currency.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use kernel::convergence::Budget;
+use kernel::ConvergenceBudget;
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
 
@@ -32,7 +32,7 @@
 
 /// Invariant: `current_as_of` never goes back, and the table in force contains all that was acknowledged before.
 pub struct Currency {
-    budget: Budget,
+    budget: ConvergenceBudget,
     current_as_of: AtomicI64,
     waiting: AtomicUsize,
     /// A proof or a newer table has come.
@@ -51,7 +51,7 @@
 }
 
 impl Currency {
-    pub fn new(budget: Budget) -> Currency {
+    pub fn new(budget: ConvergenceBudget) -> Currency {
         Currency {
             budget,
             current_as_of: NEVER.into(),
@@ -61,7 +61,7 @@
         }
     }
 
-    pub fn budget(&self) -> &Budget {
+    pub fn budget(&self) -> &ConvergenceBudget {
         &self.budget
     }
 
--- a/router/src/following.rs
+++ b/router/src/following.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use kernel::convergence::Budget;
+use kernel::ConvergenceBudget;
 
 use crate::following_answer::{Answer, Worth};
 use crate::following_candidates::{Candidates, Fault};
@@ -49,7 +49,7 @@
 /// acknowledged before it is held here.
 #[derive(Clone, Debug)]
 pub struct Following {
-    budget: Budget,
+    budget: ConvergenceBudget,
     candidates: Candidates,
     home: Option<Home>,
     open: BTreeMap<String, OpenCall>,
@@ -66,7 +66,7 @@
 
 impl Following {
     /// A fresh process, which knows the seeds only.
-    pub fn new(budget: Budget, node_name: &str, own_ip: &str, seeds: &[String]) -> Following {
+    pub fn new(budget: ConvergenceBudget, node_name: &str, own_ip: &str, seeds: &[String]) -> Following {
         Following {
             budget,
             candidates: Candidates::new(node_name, own_ip, seeds),
--- a/router/src/following_calls.rs
+++ b/router/src/following_calls.rs
@@ -82,7 +82,7 @@
         if !older {
             return age;
         }
-        let usual = OLDER_CONTROLLER_SURE_MS + budget.renewal_interval_ms() + budget.answer_ms();
+        let usual = OLDER_CONTROLLER_SURE_MS + budget.renewal_interval_ms() + budget.response_ms();
         age.max(usual)
     }
 
--- a/router/src/following_calls_tests.rs
+++ b/router/src/following_calls_tests.rs
@@ -51,7 +51,7 @@
 fn most_calls_without_proof(converge_ms: u64) -> u64 {
     let budget = budget(converge_ms);
     let renewals = 1000 / budget.renewal_interval_ms() + 1;
-    let others = 1000 / budget.hedge_gap_most_ms() + 1;
+    let others = 1000 / budget.max_hedge_gap_ms() + 1;
     renewals + others
 }
 
--- a/router/src/following_pace.rs
+++ b/router/src/following_pace.rs
@@ -1,5 +1,5 @@
 //! How fast a router asks further controllers, and how long it waits for one that may be sending much.
-use kernel::convergence::Budget;
+use kernel::ConvergenceBudget;
 
 /// How long a controller that was reached has before another is asked beside it, where its answer may hold the
 /// whole configuration. After a loss of power everywhere all routers ask for it at once: whoever asks another
@@ -61,7 +61,7 @@
 
     /// All is well. What was asked within the last gap still counts: a proof that is soon too old again must not
     /// have two controllers asked each time. True: the next ask is the first.
-    pub fn note_proof(&mut self, budget: &Budget, now: u64) -> bool {
+    pub fn note_proof(&mut self, budget: &ConvergenceBudget, now: u64) -> bool {
         if self.last.is_some_and(|last| now < last + budget.hedge_gap_ms()) {
             return false;
         }
@@ -70,15 +70,15 @@
     }
 
     /// When the next may be asked. `wanted`: requests wait for a proof.
-    pub fn next_at(&self, budget: &Budget, wanted: bool) -> u64 {
+    pub fn next_at(&self, budget: &ConvergenceBudget, wanted: bool) -> u64 {
         let Some(last) = self.last else { return 0 };
         let gap = self.gap(budget);
         last + if wanted { gap.min(budget.refusal_wait_ms()) } else { gap }
     }
 
-    fn gap(&self, budget: &Budget) -> u64 {
+    fn gap(&self, budget: &ConvergenceBudget) -> u64 {
         let doublings = self.asks.saturating_sub(ASKS_BEFORE_SLOWING).min(16);
-        let gap = (budget.hedge_gap_ms() << doublings).min(budget.hedge_gap_most_ms());
+        let gap = (budget.hedge_gap_ms() << doublings).min(budget.max_hedge_gap_ms());
         if self.failed && doublings == 0 {
             return gap / FAILED_DIVISOR;
         }
--- a/router/src/following_world.rs
+++ b/router/src/following_world.rs
@@ -1,7 +1,7 @@
 //! Controllers in virtual time, for tests of the state machine that decides which of them are asked.
 
-use kernel::convergence::Budget;
 use kernel::settings::Bounds;
+use kernel::ConvergenceBudget;
 
 use crate::following::{Call, Following};
 use crate::following_answer::{Answer, Proof};
@@ -91,8 +91,8 @@
     (0..count).map(|at| format!("{prefix}{at}")).collect()
 }
 
-pub fn budget(converge_ms: u64) -> Budget {
-    Budget::new(&Bounds { converge_ms, ..Default::default() })
+pub fn budget(converge_ms: u64) -> ConvergenceBudget {
+    ConvergenceBudget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
 impl World<Following> {
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -77,5 +77,8 @@
     let decision = Decision::Granted;
     state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
     let page = include_str!("../../docs/metrics.md");
-    assert_eq!(telemetry::names(&state.metrics.render(&state)), telemetry::listed(page, "tidepoint_router_"));
+    assert_eq!(
+        telemetry::testing::metric_names(&state.metrics.render(&state)),
+        telemetry::testing::documented_names(page, "tidepoint_router_")
+    );
 }
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex};
 
 use catalog::record::Record;
-use kernel::convergence;
 use kernel::settings::Settings;
+use kernel::ConvergenceBudget;
 use kernel::{hashing, new_incarnation, Rng};
 use load_balancing::budget;
 use load_balancing::engine_table::EngineTable;
@@ -99,7 +99,7 @@
             floors: Default::default(),
             weights: Default::default(),
             news: Default::default(),
-            currency: Currency::new(convergence::Budget::new(&settings.bounds)),
+            currency: Currency::new(ConvergenceBudget::new(&settings.bounds)),
             home: Default::default(),
             dice: Mutex::new(Rng::new(life)),
             few_at: Default::default(),
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -6,6 +6,7 @@
 use prometheus_client::registry::Registry;
 
 mod endpoint;
+pub mod testing;
 
 pub use endpoint::start;
 
@@ -29,21 +30,5 @@
     text
 }
 
-/// The names of the metrics in a text, in order.
-pub fn names(text: &str) -> Vec<String> {
-    let mut names: Vec<String> =
-        text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split(' ').next()).map(str::to_string).collect();
-    names.sort();
-    names
-}
-
-/// The names that a page lists in the first column of its tables, of those that begin so, in order.
-pub fn listed(page: &str, prefix: &str) -> Vec<String> {
-    let cells = page.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next());
-    let mut names: Vec<String> = cells.filter(|name| name.starts_with(prefix)).map(str::to_string).collect();
-    names.sort();
-    names
-}
-
 #[cfg(test)]
 mod endpoint_tests;
