--- a/controller/src/control.rs
+++ b/controller/src/control.rs
@@ -142,7 +142,7 @@
     type Output = Response;
 
     async fn call(&self, _: Request) -> poem::Result<Response> {
-        let list: Vec<String> = log::events_since(0).into_iter().map(|(_, line)| line).collect();
+        let list: Vec<String> = log::events_since(0).into_iter().map(|line| line.event).collect();
         Ok(write(Receipt::Text(serde_json::json!({ "events": list }).to_string().into_bytes())))
     }
 }
--- a/kernel/src/event_buffer.rs
+++ b/kernel/src/event_buffer.rs
@@ -1,66 +1,65 @@
-//! The in-memory journal: events are appended, views are folded from it. Bounded: the oldest go.
+//! A bounded in-memory list of numbered events: when it is full, the oldest give way to new ones.
 
 use std::collections::VecDeque;
 
-/// Invariants: `list.len() <= room`; numbers rise by one and are never used again.
+/// An event as the buffer keeps it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NumberedEvent<E> {
+    /// Counts from 1 and is never used again in this process.
+    pub number: u64,
+    /// When the event was pushed, on the steady clock.
+    pub time_ms: u64,
+    /// What was pushed.
+    pub event: E,
+}
+
+/// The newest events.
+///
+/// Invariants: it never holds more than `capacity` events; numbers rise by one and are never used again.
 pub struct EventBuffer<E> {
-    list: VecDeque<(u64, u64, E)>,
-    next: u64,
-    room: usize,
+    events: VecDeque<NumberedEvent<E>>,
+    next_number: u64,
+    capacity: usize,
 }
 
 impl<E> EventBuffer<E> {
-    pub fn new(room: usize) -> Self {
-        EventBuffer { list: VecDeque::new(), next: 1, room: room.max(1) }
+    /// Creates an empty buffer for `capacity` events, at least one.
+    pub fn new(capacity: usize) -> Self {
+        EventBuffer { events: VecDeque::new(), next_number: 1, capacity: capacity.max(1) }
     }
 
-    pub fn push(&mut self, time: u64, event: E) -> u64 {
-        if self.list.len() == self.room {
-            self.list.pop_front();
+    /// Appends an event, drops the oldest one if the buffer is full, and returns the number of the new one.
+    pub fn push(&mut self, time_ms: u64, event: E) -> u64 {
+        if self.events.len() == self.capacity {
+            self.events.pop_front();
         }
-        let mark = self.next;
-        self.next += 1;
-        self.list.push_back((mark, time, event));
-        mark
+        let number = self.next_number;
+        self.next_number += 1;
+        self.events.push_back(NumberedEvent { number, time_ms, event });
+        number
     }
 
-    /// Folds a view from the events after `mark`.
-    pub fn fold<V>(&self, mark: u64, first: V, mut step: impl FnMut(V, u64, &E) -> V) -> V {
-        let mut view = first;
-        for (number, time, event) in &self.list {
-            if *number > mark {
-                view = step(view, *time, event);
-            }
-        }
-        view
+    /// Iterates over the events with a higher number than `number`, oldest first.
+    pub fn events_since(&self, number: u64) -> impl Iterator<Item = &NumberedEvent<E>> {
+        self.events.iter().filter(move |event| event.number > number)
     }
 
+    /// Returns how many events the buffer holds.
     pub fn len(&self) -> usize {
-        self.list.len()
+        self.events.len()
     }
 
+    /// Returns whether nothing was pushed yet.
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.events.is_empty()
     }
 
-    pub fn last(&self) -> u64 {
-        self.next - 1
+    /// Returns the number of the newest event; zero before the first.
+    pub fn last_number(&self) -> u64 {
+        self.next_number - 1
     }
 }
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn oldest_events_give_way_and_numbers_rise() {
-        let mut book = super::EventBuffer::new(2);
-        for word in ["a", "b", "c"] {
-            book.push(0, word);
-        }
-        let seen = book.fold(0, Vec::new(), |mut list, _, word| {
-            list.push(*word);
-            list
-        });
-        assert_eq!(seen, ["b", "c"]);
-        assert_eq!(book.last(), 3);
-    }
-}
+#[path = "event_buffer_tests.rs"]
+mod tests;
--- a/kernel/src/log.rs
+++ b/kernel/src/log.rs
@@ -1,78 +1,89 @@
-//! Numbered log events over `slog`. The catalogue is `docs/events.md`; a test holds the two together.
+//! Numbered log events over `slog`: one line per event on standard output, the last of them also in memory.
+//!
+//! The catalogue of events is `docs/events.md`; a test compares it with the events in the code.
 
+use std::fmt::{Arguments, Write as _};
+use std::io::{self, Write as _};
 use std::sync::{Mutex, OnceLock};
-use std::{fmt, io};
 
-use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer};
+#[doc(hidden)]
+pub use slog;
+use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, KV};
 
-use crate::clock;
-use crate::event_buffer::EventBuffer;
+use crate::{clock, EventBuffer, NumberedEvent};
 
+/// How many events stay in memory.
+const RECENT_EVENT_CAPACITY: usize = 512;
+
+/// The last events of this process, as printed.
+static RECENT_EVENTS: Mutex<Option<EventBuffer<String>>> = Mutex::new(None);
+
+static ROOT_LOGGER: OnceLock<Logger> = OnceLock::new();
+
+/// A kind of log event.
+///
 /// Invariant: `code` is unique over the project and never given to another meaning.
 pub struct Event {
+    /// The number in the catalogue, printed as `E` and four digits.
     pub code: u16,
+    /// What happened, in a few words.
     pub text: &'static str,
 }
 
-/// The last events of this process, for those who ask it.
-static BOOK: Mutex<Option<EventBuffer<String>>> = Mutex::new(None);
-
-/// How many events are kept.
-const ROOM: usize = 512;
-
-/// Numbered lines after `mark`.
-pub fn events_since(mark: u64) -> Vec<(u64, String)> {
-    let book = BOOK.lock().expect("book");
-    let Some(book) = book.as_ref() else { return Vec::new() };
-    let mut number = book.last().saturating_sub(book.len() as u64).max(mark);
-    book.fold(mark, Vec::new(), |mut list, _, line| {
-        number += 1;
-        list.push((number, line.clone()));
-        list
-    })
+/// Returns the events in memory with a higher number than `number`, oldest first.
+///
+/// # Panics
+///
+/// Panics if a thread panicked while it held the lock on these events.
+pub fn events_since(number: u64) -> Vec<NumberedEvent<String>> {
+    let recent = RECENT_EVENTS.lock().expect("recent events");
+    recent.as_ref().map_or_else(Vec::new, |buffer| buffer.events_since(number).cloned().collect())
 }
 
-static ROOT: OnceLock<Logger> = OnceLock::new();
-
-/// One line an event: steady milliseconds, code, text, then key=value pairs.
-struct Line;
-
-struct Pairs<'a>(&'a mut String);
-
-impl Serializer for Pairs<'_> {
-    fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments) -> slog::Result {
-        use std::fmt::Write;
-        let _ = write!(self.0, " {key}={value}");
-        Ok(())
-    }
+/// Returns the logger of this process. `log_event!` writes to it.
+pub fn root() -> &'static Logger {
+    ROOT_LOGGER.get_or_init(|| Logger::root(LineDrain, slog::o!()))
 }
 
-impl Drain for Line {
+/// Writes one line per event: milliseconds of the steady clock, level, code, text, then `key=value` pairs.
+struct LineDrain;
+
+impl Drain for LineDrain {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record, _: &OwnedKVList) -> Result<(), Never> {
-        use slog::KV;
-        use std::io::Write;
-        let mut text = format!("{} {} {}", clock::now(), record.level().as_short_str(), record.msg());
-        let _ = record.kv().serialize(record, &mut Pairs(&mut text));
-        let mut book = BOOK.lock().expect("book");
-        book.get_or_insert_with(|| EventBuffer::new(ROOM)).push(clock::now(), text.clone());
-        drop(book);
-        text.push('\n');
-        let _ = io::stdout().write_all(text.as_bytes());
+        let mut line = format!("{} {} {}", clock::now(), record.level().as_short_str(), record.msg());
+        let _ = record.kv().serialize(record, &mut PairSerializer(&mut line));
+        remember(&line);
+        line.push('\n');
+        let _ = io::stdout().write_all(line.as_bytes());
         Ok(())
     }
 }
 
-pub fn root() -> &'static Logger {
-    ROOT.get_or_init(|| Logger::root(Line, slog::o!()))
+fn remember(line: &str) {
+    let mut recent = RECENT_EVENTS.lock().expect("recent events");
+    let buffer = recent.get_or_insert_with(|| EventBuffer::new(RECENT_EVENT_CAPACITY));
+    buffer.push(clock::now(), line.to_string());
+}
+
+/// Appends ` key=value` to a line for each pair of an event.
+struct PairSerializer<'a>(&'a mut String);
+
+impl Serializer for PairSerializer<'_> {
+    fn emit_arguments(&mut self, key: Key, value: &Arguments) -> slog::Result {
+        let _ = write!(self.0, " {key}={value}");
+        Ok(())
+    }
 }
 
-/// `log_event!(EVENT, "key" => value, ...)`: one numbered event at the level info.
+/// Logs one numbered event at the level info: `log_event!(EVENT, "key" => value, ...)`.
+///
+/// `EVENT` is a [`log::Event`](crate::log::Event). Usable as `use kernel::log_event;`.
 #[macro_export]
 macro_rules! log_event {
     ($event:expr $(, $key:literal => $value:expr)* $(,)?) => {
-        slog::info!($crate::log::root(), "E{:04} {}", $event.code, $event.text; $($key => $value),*)
+        $crate::log::slog::info!($crate::log::root(), "E{:04} {}", $event.code, $event.text; $($key => $value),*)
     };
 }
