--- a/membership/src/singleton_role_tests.rs
+++ b/membership/src/singleton_role_tests.rs
@@ -1,9 +1,7 @@
 //! Controllers that are cut off, freeze, fall and wake, in virtual time: no two holders of a duty act within
 //! a lease of each other, and epochs only rise.
 
-#[path = "singleton_role_world.rs"]
-mod world;
-use world::{Act, World, DUTY, LEASE};
+use crate::testing::singleton_roles::{Act, World, DUTY, LEASE};
 
 impl World {
     /// No two holders with one fence or within a lease, and no fence below one seen, as orders arrive.
--- /dev/null
+++ b/membership/src/testing/mod.rs
@@ -0,0 +1,3 @@
+//! Simulations for the tests of this crate.
+
+pub mod singleton_roles;
--- a/membership/src/lib_tests.rs
+++ b/membership/src/view_tests.rs
@@ -1,4 +1,4 @@
-use super::{MembershipView, Peer, PeerReport};
+use crate::{MembershipView, Peer, PeerReport};
 
 fn peer(zone: &str, heard: u64) -> Peer {
     Peer {
