--- a/membership/src/engine_usage.rs
+++ b/membership/src/engine_usage.rs
@@ -1,39 +1,41 @@
-//! Requests under way at engines, and engines about to change their part.
+//! Requests in flight at each engine, and engines about to change between prefill and decode, over all controllers.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::MembershipView;
 
 impl MembershipView {
-    /// Requests under way at each engine, from the routers that hold a lease here.
+    /// Returns the requests in flight at each engine, by its id, from the routers with a lease at this controller.
     pub fn own_in_flight(&self) -> Vec<(String, u32)> {
-        let mut sum: BTreeMap<&str, u32> = Default::default();
+        let mut totals: BTreeMap<&str, u32> = BTreeMap::new();
         for (id, in_flight) in self.routers.values().flat_map(|lease| &lease.in_flight) {
-            *sum.entry(id).or_default() += in_flight;
+            *totals.entry(id).or_default() += in_flight;
         }
-        sum.into_iter().map(|(id, in_flight)| (id.to_string(), in_flight)).collect()
+        totals.into_iter().map(|(id, in_flight)| (id.to_string(), in_flight)).collect()
     }
 
-    /// The same from all routers.
+    /// Returns the requests in flight at each engine, by its id, from the routers of this and all live controllers.
     pub fn total_in_flight(&self, now: u64) -> HashMap<String, u32> {
-        let mut sum: HashMap<String, u32> = self.own_in_flight().into_iter().collect();
-        let live = self.controllers.values().filter(|peer| now < peer.last_seen + self.liveness_timeout_ms);
-        for (id, in_flight) in live.flat_map(|peer| &peer.in_flight) {
-            *sum.entry(id.clone()).or_default() += in_flight;
+        let mut totals: HashMap<String, u32> = self.own_in_flight().into_iter().collect();
+        for (id, in_flight) in self.live_peers(now).flat_map(|peer| &peer.in_flight) {
+            *totals.entry(id.clone()).or_default() += in_flight;
         }
-        sum
+        totals
     }
 
-    /// Engines that this controller is about to order to change their part.
+    /// Returns the ids of engines that this controller is about to change between prefill and decode.
     pub fn own_reassigning(&self, now: u64) -> Vec<String> {
-        self.reassigning.iter().filter(|(_, expires_at)| *expires_at > now).map(|(id, _)| id.clone()).collect()
+        current_ids(&self.reassigning, now).collect()
     }
 
-    /// The same from all controllers.
+    /// Returns the ids of engines that any controller is about to change between prefill and decode, own ones first.
     pub fn reassigning(&self, now: u64) -> Vec<String> {
-        let mut list = self.own_reassigning(now);
-        let far = self.controllers.values().flat_map(|peer| &peer.reassigning);
-        list.extend(far.filter(|(_, expires_at)| *expires_at > now).map(|(id, _)| id.clone()));
-        list
+        let mut ids = self.own_reassigning(now);
+        ids.extend(self.controllers.values().flat_map(|peer| current_ids(&peer.reassigning, now)));
+        ids
     }
 }
+
+fn current_ids(reassigning: &[(String, u64)], now: u64) -> impl Iterator<Item = String> + '_ {
+    reassigning.iter().filter(move |(_, until)| *until > now).map(|(id, _)| id.clone())
+}
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,5 +1,9 @@
-//! Who is there: leases of controllers and routers, and the order in which duties fall to them. Pure:
-//! time comes in with every call.
+//! Which controllers and routers are alive, and the order in which singleton roles fall to controllers.
+//!
+//! Every controller keeps its own [`MembershipView`] from heartbeats and leases. The crate is pure: it holds no clock and no
+//! connection. Times come in with every call, in milliseconds of the caller's steady clock (`kernel::clock::now`), so that the
+//! simulations run in virtual time.
+#![deny(missing_docs)]
 
 mod eligible_owner;
 mod engine_usage;
--- a/membership/src/platform_access.rs
+++ b/membership/src/platform_access.rs
@@ -1,11 +1,14 @@
-//! Whether this controller reaches the platform. One that is cut off from it must not stay the poller of a
-//! zone: its list would go stale while it looks alive to all others.
+//! Whether this controller reaches the platform, whose list of engines it polls.
+//!
+//! A controller that is cut off from the platform must not stay the poller of a zone: the list would go stale while the
+//! controller looks alive to all others.
 
-/// So many polls in a row without an answer show that the platform is out of reach.
-const FAILURES: u32 = 3;
+/// How many polls in a row without a response show that the platform is unreachable.
+const UNREACHABLE_AFTER_FAILURES: u32 = 3;
 /// How long another controller is left to poll before this one tries again.
 const YIELD_MS: u64 = 5000;
 
+/// The outcome of this controller's last polls.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformAccess {
     failures: u32,
@@ -13,18 +16,20 @@
 }
 
 impl PlatformAccess {
+    /// Takes in a poll with a response: earlier failures no longer count.
     pub fn record_success(&mut self) {
         *self = PlatformAccess::default();
     }
 
-    /// A poll had no answer. Once out of reach, one more failure is enough to yield again.
+    /// Takes in a poll without a response. Once the platform is unreachable, one more failure is enough to yield again.
     pub fn record_failure(&mut self, now: u64) {
         self.failures = self.failures.saturating_add(1);
-        if self.failures >= FAILURES {
+        if self.failures >= UNREACHABLE_AFTER_FAILURES {
             self.yield_until = now + YIELD_MS;
         }
     }
 
+    /// Returns whether another controller should poll in place of this one.
     pub fn is_unreachable(&self, now: u64) -> bool {
         now < self.yield_until
     }
--- a/membership/src/role_order.rs
+++ b/membership/src/role_order.rs
@@ -1,46 +1,56 @@
-//! The order in which duties fall to controllers.
+//! The order in which singleton roles fall to controllers.
+//!
+//! Every controller computes the same order from the same peers, so that they agree on a role's next owner without a vote. The
+//! register of the role decides where their views differ.
 
 use kernel::hashing;
 
 use crate::MembershipView;
 
+/// The role of polling the platform's list of engines for a zone. Its hash is part of the agreed order.
+const POLLER_ROLE: &str = "list";
+
 impl MembershipView {
-    /// The agreed order of controllers for a duty bound to a zone: that zone's own first, the rest by
-    /// a hash of duty and address, so that duties spread.
-    pub fn preference_order(&self, zone: &str, duty: &str) -> Vec<String> {
-        let mut list: Vec<String> = self.controllers.keys().cloned().collect();
-        if !list.contains(&self.own_ip) {
-            list.push(self.own_ip.clone());
+    /// Returns all known controllers in the order in which a role of a zone falls to them: those of that zone first, and within
+    /// each part by a hash of role and address, so that roles spread.
+    pub fn preference_order(&self, zone: &str, role: &str) -> Vec<String> {
+        let mut order: Vec<String> = self.controllers.keys().cloned().collect();
+        if !order.contains(&self.own_ip) {
+            order.push(self.own_ip.clone());
         }
-        list.sort_by_key(|ip| {
-            let far = self.zone_of(ip) != zone;
-            (far, hashing::combine(hashing::hash(duty.as_bytes()), hashing::hash(ip.as_bytes())))
+        let role_hash = hashing::hash(role.as_bytes());
+        order.sort_by_key(|ip| {
+            let is_remote = self.zone_of(ip) != zone;
+            (is_remote, hashing::combine(role_hash, hashing::hash(ip.as_bytes())))
         });
-        list
+        order
     }
 
-    /// The first live one in the order.
-    pub fn first_live(&self, zone: &str, duty: &str, now: u64) -> String {
-        let order = self.preference_order(zone, duty);
+    /// Returns the first live controller in the order; the own one if there is no other.
+    pub fn first_live(&self, zone: &str, role: &str, now: u64) -> String {
+        let order = self.preference_order(zone, role);
         order.into_iter().find(|ip| self.is_live(ip, now)).unwrap_or_else(|| self.own_ip.clone())
     }
 
-    /// Who takes a duty that is free: the first in the order that is heard and sure, asked by one that is
-    /// sure itself.
-    pub fn first_confirmed(&self, duty: &str, now: u64) -> Option<String> {
-        self.preference_order("", duty).into_iter().find(|ip| *ip == self.own_ip || self.confirms(ip, now))
+    /// Returns who acquires a role that is bound to no zone and has no owner: the first controller in the order that is
+    /// confirmed. Only a controller that is itself confirmed may ask.
+    pub fn first_confirmed(&self, role: &str, now: u64) -> Option<String> {
+        self.preference_order("", role).into_iter().find(|ip| *ip == self.own_ip || self.confirms(ip, now))
     }
 
-    /// Who polls the platform for a zone: the first live controller in the order that reaches the platform,
-    /// or the first live one while none does.
+    /// Returns who polls the platform for a zone: the first live controller in the order that reaches the platform, or the first
+    /// live one while none does.
     pub fn poller(&self, zone: &str, now: u64) -> String {
-        let reaches = |ip: &String| match *ip == self.own_ip {
-            true => !self.platform_access.is_unreachable(now),
-            false => !self.reports.get(ip).is_some_and(|report| report.platform_unreachable),
-        };
-        let live: Vec<String> =
-            self.preference_order(zone, "list").into_iter().filter(|ip| self.is_live(ip, now)).collect();
-        let first = live.iter().find(|ip| reaches(ip)).or(live.first());
+        let order = self.preference_order(zone, POLLER_ROLE);
+        let live: Vec<String> = order.into_iter().filter(|ip| self.is_live(ip, now)).collect();
+        let first = live.iter().find(|ip| self.reaches_platform(ip, now)).or(live.first());
         first.cloned().unwrap_or_else(|| self.own_ip.clone())
     }
+
+    fn reaches_platform(&self, ip: &str, now: u64) -> bool {
+        if ip == self.own_ip {
+            return !self.platform_access.is_unreachable(now);
+        }
+        !self.reports.get(ip).is_some_and(|report| report.platform_unreachable)
+    }
 }
