--- a/membership/src/testing/singleton_roles.rs
+++ b/membership/src/testing/singleton_roles.rs
@@ -1,255 +1,336 @@
-//! The world of the duty tests: three controllers and the register, in virtual time.
+//! Three controllers that own a singleton role in turn, and its register, in virtual time.
+//!
+//! Controllers freeze, restart, lose their quorum and are cut off from each other. The world records every act of an owner, for
+//! tests to judge.
+
+use std::array;
 
 use kernel::Rng;
 
 use crate::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
 use crate::{MembershipView, Peer, PeerReport};
 
-pub const LEASE: u64 = 3000;
-pub const SURE: u64 = 1100;
-pub const BEAT: u64 = 350;
-/// A controller that has just started first listens for this long.
-pub const LISTEN: u64 = 1200;
+const CONTROLLER_COUNT: usize = 3;
+const QUORUM: usize = 2;
+
+/// The lease of the role.
+pub const LEASE_MS: u64 = 3000;
+/// How long a controller stays confirmed after its last confirmation.
+const CONFIRMED_MS: u64 = 1100;
+const HEARTBEAT_INTERVAL_MS: u64 = 350;
+/// Each controller's heartbeats are shifted by so much against those of the one before.
+const HEARTBEAT_SHIFT_MS: u64 = 97;
+const ACT_INTERVAL_MS: u64 = 50;
+/// A controller that has just started acquires nothing for so long.
+const LISTEN_MS: u64 = 1200;
 /// The longest that an order is on its way.
-const ON_ITS_WAY: u64 = 800;
-pub const DUTY: &str = "duty/balance";
+const MAX_ORDER_DELAY_MS: u64 = 800;
+/// A disturbance comes once in so many milliseconds on average.
+const DISTURBANCE_INTERVAL_MS: u64 = 2500;
+/// The key of the role.
+pub const ROLE: &str = "duty/balance";
 
 /// An order as an engine sees it.
 #[derive(Clone, Debug)]
 pub struct Act {
+    /// When it arrives.
     pub at: u64,
+    /// The epoch under which it was sent.
+    pub epoch: u64,
+    /// Who sent it.
+    pub owner: String,
+}
+
+/// The register of the role.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Register {
+    /// Rises with every change of the owner.
     pub epoch: u64,
-    pub holder: String,
+    /// Empty until somebody acquires the role.
+    pub owner: String,
+    /// Whether the owner recorded that its predecessor can no longer act.
+    pub predecessor_expired: bool,
+}
+
+/// How a controller owns the role, with the epoch it acquired.
+#[derive(Clone, Copy)]
+struct Ownership {
+    epoch: u64,
+    tenure: RoleTenure,
 }
 
 #[derive(Clone)]
 pub struct Controller {
     pub name: String,
-    /// No beat, no look and no act before then.
-    pub asleep_until: u64,
-    pub cut_until: u64,
-    /// Heard by all, but its rounds reach no majority.
-    pub deaf_until: u64,
-    pub started: u64,
-    pub roster: MembershipView,
-    pub streak: ConfirmedStreak,
-    pub board: (u64, String, bool),
-    /// It knows that the register says that it has waited.
-    pub declared: bool,
-    pub sure_at: Option<u64>,
-    pub held: Option<(u64, RoleTenure)>,
-    pub lives: u64,
+    /// It does nothing at all before then.
+    frozen_until: u64,
+    /// It is cut off from all others until then.
+    cut_until: u64,
+    /// Its heartbeats reach all, but its rounds reach no quorum until then.
+    pub without_quorum_until: u64,
+    started_at: u64,
+    pub view: MembershipView,
+    streak: ConfirmedStreak,
+    /// The register as a quorum last confirmed it.
+    known_register: Register,
+    /// It knows that the register records that its predecessor has expired.
+    has_recorded_expiry: bool,
+    confirmed_at: Option<u64>,
+    ownership: Option<Ownership>,
+}
+
+impl Controller {
+    /// A controller that knows nothing but what the register holds.
+    fn started(index: usize, started_at: u64, frozen_until: u64) -> Controller {
+        let name = format!("k{index}");
+        Controller {
+            view: MembershipView::new(&name, "", CONFIRMED_MS),
+            name,
+            frozen_until,
+            cut_until: 0,
+            without_quorum_until: 0,
+            started_at,
+            streak: ConfirmedStreak::default(),
+            known_register: Register::default(),
+            has_recorded_expiry: false,
+            confirmed_at: None,
+            ownership: None,
+        }
+    }
+
+    fn is_confirmed(&self, now: u64) -> bool {
+        self.confirmed_at.is_some_and(|confirmed_at| now < confirmed_at + CONFIRMED_MS)
+    }
+
+    fn is_owner(&self) -> bool {
+        let register = &self.known_register;
+        self.ownership.is_some_and(|ownership| ownership.epoch == register.epoch && register.owner == self.name)
+    }
 }
 
 pub struct World {
     pub now: u64,
-    pub dice: Rng,
-    pub controllers: Vec<Controller>,
-    /// Until when two controllers are cut off from each other alone.
-    pub pair_cut_until: [[u64; 3]; 3],
-    /// The register that a majority holds: epoch, holder, and whether it has waited.
-    pub register: (u64, String, bool),
-    /// Orders by their arrival.
+    rng: Rng,
+    pub controllers: [Controller; CONTROLLER_COUNT],
+    /// Until when two controllers are cut off from each other alone, by their indices in rising order.
+    pub pair_cut_until: [[u64; CONTROLLER_COUNT]; CONTROLLER_COUNT],
+    /// The register as a quorum holds it.
+    pub register: Register,
+    /// Orders in the sequence in which they were sent.
     pub acts: Vec<Act>,
-    /// Without the wait after a take-over: the fault that it prevents.
-    pub hasty: bool,
-    /// Believing only what is heard directly: the fault that the peers' reports prevent.
-    pub own_ears_only: bool,
-    /// No trouble comes by chance.
-    pub calm: bool,
-}
-
-fn roster(at: usize) -> MembershipView {
-    MembershipView::new(&format!("k{at}"), "", SURE)
+    /// Owners act without waiting for their predecessors: the fault that the wait prevents.
+    skips_wait: bool,
+    /// Controllers believe only the heartbeats that reach them: the fault that the peers' reports prevent.
+    pub ignores_reports: bool,
+    /// No disturbance comes by chance.
+    pub is_undisturbed: bool,
 }
 
 impl World {
-    pub fn new(seed: u64, hasty: bool) -> World {
-        let controller = |at: usize| Controller {
-            name: format!("k{at}"),
-            asleep_until: 0,
-            cut_until: 0,
-            deaf_until: 0,
-            started: 0,
-            roster: roster(at),
-            streak: Default::default(),
-            board: (0, String::new(), false),
-            declared: false,
-            sure_at: None,
-            held: None,
-            lives: 1,
-        };
+    pub fn new(seed: u64, skips_wait: bool) -> World {
         World {
             now: 0,
-            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
-            controllers: (0..3).map(controller).collect(),
-            pair_cut_until: [[0; 3]; 3],
-            register: (0, String::new(), false),
+            rng: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
+            controllers: array::from_fn(|index| Controller::started(index, 0, 0)),
+            pair_cut_until: Default::default(),
+            register: Register::default(),
             acts: Vec::new(),
-            hasty,
-            own_ears_only: false,
-            calm: false,
+            skips_wait,
+            ignores_reports: false,
+            is_undisturbed: false,
+        }
+    }
+
+    /// Moves on by a millisecond.
+    pub fn step(&mut self) {
+        self.now += 1;
+        self.disturb();
+        for index in 0..CONTROLLER_COUNT {
+            let is_due = (self.now + index as u64 * HEARTBEAT_SHIFT_MS).is_multiple_of(HEARTBEAT_INTERVAL_MS);
+            if is_due && self.is_up(index) {
+                self.beat(index);
+            }
+        }
+        for index in 0..CONTROLLER_COUNT {
+            if self.is_up(index) && self.now.is_multiple_of(ACT_INTERVAL_MS) {
+                self.act(index);
+            }
+        }
+    }
+
+    pub fn run_until(&mut self, end: u64) {
+        while self.now < end {
+            self.step();
         }
     }
 
-    fn up(&self, at: usize) -> bool {
-        self.now >= self.controllers[at].asleep_until
+    fn is_up(&self, index: usize) -> bool {
+        self.now >= self.controllers[index].frozen_until
     }
 
-    fn linked(&self, one: usize, two: usize) -> bool {
-        self.up(one)
-            && self.up(two)
+    fn are_connected(&self, one: usize, two: usize) -> bool {
+        self.is_up(one)
+            && self.is_up(two)
             && self.controllers[one].cut_until <= self.now
             && self.controllers[two].cut_until <= self.now
             && self.pair_cut_until[one.min(two)][one.max(two)] <= self.now
     }
 
-    fn majority(&self, at: usize) -> bool {
-        let reached = (0..3).filter(|other| *other == at || self.linked(at, *other)).count();
-        reached >= 2 && self.now >= self.controllers[at].deaf_until
+    fn reaches_quorum(&self, index: usize) -> bool {
+        let reached =
+            (0..CONTROLLER_COUNT).filter(|other| *other == index || self.are_connected(index, *other)).count();
+        reached >= QUORUM && self.now >= self.controllers[index].without_quorum_until
     }
 
-    fn trouble(&mut self) {
-        if self.calm || self.dice.below(2500) != 0 {
+    fn disturb(&mut self) {
+        if self.is_undisturbed || self.rng.below(DISTURBANCE_INTERVAL_MS) != 0 {
             return;
         }
-        let at = self.dice.below(3) as usize;
-        let span = 200 + self.dice.below(7000);
-        match self.dice.below(5) {
-            0 => self.controllers[at].asleep_until = self.now + span,
-            1 => self.controllers[at].cut_until = self.now + span,
-            2 => self.controllers[at].deaf_until = self.now + span,
+        let index = self.rng.below(CONTROLLER_COUNT as u64) as usize;
+        let until = self.now + 200 + self.rng.below(7000);
+        match self.rng.below(5) {
+            0 => self.controllers[index].frozen_until = until,
+            1 => self.controllers[index].cut_until = until,
+            2 => self.controllers[index].without_quorum_until = until,
             3 => {
-                let other = (at + 1) % 3;
-                self.pair_cut_until[at.min(other)][at.max(other)] = self.now + span;
-            }
-            _ => {
-                // A new life: nothing is remembered but what the register holds.
-                let old = &self.controllers[at];
-                let lives = old.lives + 1;
-                let asleep_until = self.now + self.dice.below(1000);
-                self.controllers[at] = Controller {
-                    asleep_until,
-                    lives,
-                    started: self.now,
-                    roster: roster(at),
-                    streak: Default::default(),
-                    sure_at: None,
-                    held: None,
-                    declared: false,
-                    ..old.clone()
-                };
+                let other = (index + 1) % CONTROLLER_COUNT;
+                self.pair_cut_until[index.min(other)][index.max(other)] = until;
             }
+            _ => self.restart(index),
         }
     }
 
-    pub fn step(&mut self) {
-        self.now += 1;
-        self.trouble();
-        for at in 0..3 {
-            let beat = (self.now + at as u64 * 97).is_multiple_of(BEAT);
-            if !beat || !self.up(at) {
-                continue;
-            }
-            self.gossip(at);
-            if self.majority(at) {
-                self.controllers[at].board = self.register.clone();
-                self.controllers[at].sure_at = Some(self.now);
-            }
-            self.take(at);
-        }
-        for at in 0..3 {
-            if self.up(at) && self.now.is_multiple_of(50) {
-                self.act(at);
-            }
+    /// The new run remembers nothing but what it reads from the register; cuts go on.
+    fn restart(&mut self, index: usize) {
+        let frozen_until = self.now + self.rng.below(1000);
+        let old = &self.controllers[index];
+        self.controllers[index] = Controller {
+            cut_until: old.cut_until,
+            without_quorum_until: old.without_quorum_until,
+            known_register: old.known_register.clone(),
+            ..Controller::started(index, self.now, frozen_until)
+        };
+    }
+
+    fn beat(&mut self, index: usize) {
+        self.gossip(index);
+        if self.reaches_quorum(index) {
+            self.controllers[index].known_register = self.register.clone();
+            self.controllers[index].confirmed_at = Some(self.now);
         }
+        self.consider_acquiring(index);
     }
 
-    fn gossip(&mut self, at: usize) {
-        let (name, now) = (self.controllers[at].name.clone(), self.now);
-        let own = &self.controllers[at].roster;
-        let vouches = own.controllers.keys().filter(|peer| own.confirms(peer, now)).cloned().collect();
-        let sure = self.controllers[at].sure_at.is_some_and(|time| now < time + SURE);
-        let report = PeerReport { confirmed: sure, confirmations: vouches, ..Default::default() };
-        for other in (0..3).filter(|other| *other != at) {
-            if self.linked(at, other) {
-                let roster = &mut self.controllers[other].roster;
-                roster.observe(&name, Peer { last_seen: now, ..Default::default() });
-                roster.record_report(&name, report.clone(), now);
+    fn gossip(&mut self, index: usize) {
+        let now = self.now;
+        let sender = &self.controllers[index];
+        let name = sender.name.clone();
+        let confirmations = sender.view.controllers.keys().filter(|peer| sender.view.confirms(peer, now));
+        let report = PeerReport {
+            confirmed: sender.is_confirmed(now),
+            confirmations: confirmations.cloned().collect(),
+            ..Default::default()
+        };
+        for other in (0..CONTROLLER_COUNT).filter(|other| *other != index) {
+            if self.are_connected(index, other) {
+                let view = &mut self.controllers[other].view;
+                view.observe(&name, Peer { last_seen: now, ..Default::default() });
+                view.record_report(&name, report.clone(), now);
             }
         }
     }
 
-    fn take(&mut self, at: usize) {
-        if self.now < self.controllers[at].started + LISTEN {
+    fn consider_acquiring(&mut self, index: usize) {
+        let now = self.now;
+        let controller = &mut self.controllers[index];
+        if now < controller.started_at + LISTEN_MS {
             return;
         }
-        let controller = &self.controllers[at];
-        let sure = controller.sure_at.is_some_and(|time| self.now < time + SURE);
-        let held = controller
-            .held
-            .is_some_and(|(epoch, _)| epoch == controller.board.0 && controller.board.1 == controller.name);
-        let sure_ms = self.controllers[at].streak.confirmed_ms(sure, self.now);
-        let controller = &self.controllers[at];
-        if !sure || held {
+        let is_confirmed = controller.is_confirmed(now);
+        let confirmed_ms = controller.streak.confirmed_ms(is_confirmed, now);
+        if !is_confirmed || controller.is_owner() {
             return;
         }
-        let holder = controller.board.1.clone();
-        let absent_ms = match self.own_ears_only {
-            true => controller.roster.silent_ms(&holder, self.now),
-            false => controller.roster.unavailable_ms(&holder, self.now).min(sure_ms),
+        let may_acquire = self.may_acquire(index, confirmed_ms);
+        if may_acquire && self.reaches_quorum(index) && self.register.epoch == self.known_epoch(index) {
+            self.acquire(index);
+        }
+    }
+
+    fn known_epoch(&self, index: usize) -> u64 {
+        self.controllers[index].known_register.epoch
+    }
+
+    fn may_acquire(&self, index: usize, confirmed_ms: u64) -> bool {
+        let controller = &self.controllers[index];
+        let owner = &controller.known_register.owner;
+        let unavailable_ms = match self.ignores_reports {
+            true => controller.view.silent_ms(owner, self.now),
+            false => controller.view.unavailable_ms(owner, self.now).min(confirmed_ms),
         };
-        let look = RoleView {
+        singleton_role::may_acquire(RoleView {
             own_ip: &controller.name,
-            owner: &holder,
-            unavailable_ms: absent_ms,
-            is_first_confirmed: controller.roster.first_confirmed(DUTY, self.now).as_ref() == Some(&controller.name),
-            lease_ms: LEASE,
-        };
-        if !singleton_role::may_acquire(look) || !self.majority(at) || self.register.0 != controller.board.0 {
-            return;
-        }
-        let own = holder.is_empty() || (holder == controller.name && controller.held.is_none() && controller.board.2);
-        let name = controller.name.clone();
-        let epoch = self.register.0 + 1;
-        if !self.change((epoch, name, own)) {
+            owner,
+            unavailable_ms,
+            is_first_confirmed: controller.view.first_confirmed(ROLE, self.now).as_ref() == Some(&controller.name),
+            lease_ms: LEASE_MS,
+        })
+    }
+
+    fn acquire(&mut self, index: usize) {
+        let controller = &self.controllers[index];
+        let last = &controller.known_register;
+        let is_own_successor = last.owner == controller.name && controller.ownership.is_none();
+        let predecessor_expired = last.owner.is_empty() || (is_own_successor && last.predecessor_expired);
+        let epoch = self.register.epoch + 1;
+        let owner = controller.name.clone();
+        if !self.write_register(Register { epoch, owner, predecessor_expired }) {
             return;
         }
-        let held = RoleTenure { acquired_at: self.now, predecessor_expired: own || self.hasty, confirmed_at: self.now };
-        let register = self.register.clone();
-        let controller = &mut self.controllers[at];
-        controller.held = Some((epoch, held));
-        controller.declared = own;
-        controller.board = register;
+        let tenure = RoleTenure {
+            acquired_at: self.now,
+            predecessor_expired: predecessor_expired || self.skips_wait,
+            confirmed_at: self.now,
+        };
+        let controller = &mut self.controllers[index];
+        controller.ownership = Some(Ownership { epoch, tenure });
+        controller.has_recorded_expiry = predecessor_expired;
+        controller.known_register = self.register.clone();
     }
 
-    /// A round of the register. False: its outcome is unknown, whether it was carried out or not.
-    fn change(&mut self, next: (u64, String, bool)) -> bool {
-        let fate = if self.calm { 2 } else { self.dice.below(8) };
-        if fate != 0 {
+    /// A round that writes the register. False: its outcome is unknown, whether it was carried out or not.
+    fn write_register(&mut self, next: Register) -> bool {
+        let outcome = if self.is_undisturbed { 2 } else { self.rng.below(8) };
+        if outcome != 0 {
             self.register = next;
         }
-        fate > 1
+        outcome > 1
     }
 
-    fn act(&mut self, at: usize) {
-        let controller = &self.controllers[at];
-        let (Some((epoch, held)), Some(sure_at)) = (controller.held, controller.sure_at) else { return };
-        if (controller.board.0, &controller.board.1) != (epoch, &controller.name) {
+    fn act(&mut self, index: usize) {
+        let controller = &self.controllers[index];
+        let (Some(ownership), Some(confirmed_at)) = (controller.ownership, controller.confirmed_at) else { return };
+        if !controller.is_owner() {
             return;
         }
-        if singleton_role::may_act(RoleTenure { confirmed_at: sure_at, ..held }, self.now, false, LEASE, SURE) {
-            // Said in the register before the first act, so that the next life need not wait again.
-            if !controller.declared {
-                let holder = controller.name.clone();
-                let known = self.majority(at) && self.register.0 == epoch && self.change((epoch, holder, true));
-                self.controllers[at].declared |= known;
-                return;
-            }
-            if controller.declared {
-                let act = Act { at: self.now + self.dice.below(ON_ITS_WAY), epoch, holder: controller.name.clone() };
-                self.acts.push(act);
-            }
+        let tenure = RoleTenure { confirmed_at, ..ownership.tenure };
+        if !singleton_role::may_act(tenure, self.now, false, LEASE_MS, CONFIRMED_MS) {
+            return;
         }
+        let (epoch, owner) = (ownership.epoch, controller.name.clone());
+        // Before the first act, so that the next incarnation need not wait again.
+        if !controller.has_recorded_expiry {
+            self.record_expiry(index, epoch, owner);
+            return;
+        }
+        let at = self.now + self.rng.below(MAX_ORDER_DELAY_MS);
+        self.acts.push(Act { at, epoch, owner });
+    }
+
+    fn record_expiry(&mut self, index: usize, epoch: u64, owner: String) {
+        let is_recorded = self.reaches_quorum(index)
+            && self.register.epoch == epoch
+            && self.write_register(Register { epoch, owner, predecessor_expired: true });
+        self.controllers[index].has_recorded_expiry |= is_recorded;
     }
 }
