--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -3,64 +3,68 @@
 use super::PlatformAccess;
 use crate::{MembershipView, Peer, PeerReport};
 
-const SPAN: u64 = 1100;
-const BEAT: u64 = 350;
-const POLL: u64 = 600;
-const CONTROLLERS: usize = 3;
+const LIVENESS_TIMEOUT_MS: u64 = 1100;
+const HEARTBEAT_INTERVAL_MS: u64 = 350;
+const POLL_INTERVAL_MS: u64 = 600;
+const CONTROLLER_COUNT: usize = 3;
 
 struct World {
     now: u64,
-    rosters: Vec<MembershipView>,
+    views: Vec<MembershipView>,
     /// Until when each controller is cut off from the platform.
-    cut_until: [u64; CONTROLLERS],
-    /// When a poll last succeeded, and by whom.
-    polled: (u64, usize),
+    cut_until: [u64; CONTROLLER_COUNT],
+    /// When a poll last succeeded.
+    polled_at: u64,
+    /// Whose poll it was.
+    poller: usize,
 }
 
-fn name(at: usize) -> String {
-    format!("10.0.0.{at}")
+fn ip(index: usize) -> String {
+    format!("10.0.0.{index}")
 }
 
 impl World {
     fn new() -> World {
-        let rosters = (0..CONTROLLERS).map(|at| MembershipView::new(&name(at), "zone", SPAN)).collect();
-        World { now: 0, rosters, cut_until: [0; CONTROLLERS], polled: (0, CONTROLLERS) }
+        let views =
+            (0..CONTROLLER_COUNT).map(|index| MembershipView::new(&ip(index), "zone", LIVENESS_TIMEOUT_MS)).collect();
+        World { now: 0, views, cut_until: [0; CONTROLLER_COUNT], polled_at: 0, poller: CONTROLLER_COUNT }
     }
 
     fn step(&mut self) {
         self.now += 1;
-        if self.now.is_multiple_of(BEAT) {
+        if self.now.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
             self.gossip();
         }
-        for at in 0..CONTROLLERS {
-            if (self.now + at as u64 * 31).is_multiple_of(POLL) {
-                self.poll(at);
+        for index in 0..CONTROLLER_COUNT {
+            if (self.now + index as u64 * 31).is_multiple_of(POLL_INTERVAL_MS) {
+                self.poll(index);
             }
         }
     }
 
     fn gossip(&mut self) {
-        for from in 0..CONTROLLERS {
-            let platform_unreachable = self.rosters[from].platform_access.is_unreachable(self.now);
-            for to in (0..CONTROLLERS).filter(|to| *to != from) {
+        for from in 0..CONTROLLER_COUNT {
+            let platform_unreachable = self.views[from].platform_access.is_unreachable(self.now);
+            for to in (0..CONTROLLER_COUNT).filter(|to| *to != from) {
                 let peer = Peer { zone: "zone".into(), last_seen: self.now, ..Default::default() };
-                self.rosters[to].observe(&name(from), peer);
+                self.views[to].observe(&ip(from), peer);
                 let report = PeerReport { platform_unreachable, ..Default::default() };
-                self.rosters[to].record_report(&name(from), report, self.now);
+                self.views[to].record_report(&ip(from), report, self.now);
             }
         }
     }
 
-    fn poll(&mut self, at: usize) {
-        let roster = &mut self.rosters[at];
-        if roster.poller("zone", self.now) != name(at) {
+    fn poll(&mut self, index: usize) {
+        let view = &mut self.views[index];
+        if view.poller("zone", self.now) != ip(index) {
             return;
         }
-        if self.now < self.cut_until[at] {
-            return roster.platform_access.record_failure(self.now);
+        if self.now < self.cut_until[index] {
+            return view.platform_access.record_failure(self.now);
         }
-        roster.platform_access.record_success();
-        self.polled = (self.now, at);
+        view.platform_access.record_success();
+        self.polled_at = self.now;
+        self.poller = index;
     }
 
     fn run_until(&mut self, end: u64) {
@@ -74,29 +78,29 @@
 fn another_controller_polls_while_the_first_is_cut_off_from_the_platform() {
     let mut world = World::new();
     world.run_until(3000);
-    let first = world.polled.1;
+    let first = world.poller;
     world.cut_until[first] = 23_000;
     let mut longest = 0;
     while world.now < 23_000 {
         world.step();
-        longest = longest.max(world.now - world.polled.0);
+        longest = longest.max(world.now - world.polled_at);
     }
-    assert!(longest <= FIRST_GAP_MS, "no poll succeeded for {longest} ms");
+    assert!(longest <= MAX_GAP_MS, "no poll succeeded for {longest} ms");
     world.run_until(30_000);
-    assert_eq!(world.polled.1, first, "it takes its place again once it reaches the platform");
+    assert_eq!(world.poller, first, "it polls again once it reaches the platform");
 }
 
-/// Three polls without an answer, a beat of gossip and a poll of the next.
-const FIRST_GAP_MS: u64 = 4 * POLL + BEAT + POLL;
+/// Three polls without an answer, a heartbeat and a poll of the next.
+const MAX_GAP_MS: u64 = 4 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS + POLL_INTERVAL_MS;
 
 #[test]
 fn somebody_polls_soon_after_a_platform_that_nobody_reached_is_back() {
     for end in (5000..20_000).step_by(271) {
         let mut world = World::new();
         world.run_until(2000);
-        world.cut_until = [end; CONTROLLERS];
-        world.run_until(end + 2 * POLL + BEAT);
-        assert!(world.polled.0 >= end, "end {end}: the last poll was at {}", world.polled.0);
+        world.cut_until = [end; CONTROLLER_COUNT];
+        world.run_until(end + 2 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS);
+        assert!(world.polled_at >= end, "end {end}: the last poll was at {}", world.polled_at);
     }
 }
 
