--- a/controller/src/config/body.rs
+++ b/controller/src/config/body.rs
@@ -1,7 +1,7 @@
 //! What the ledger's key `config` holds: the configuration, and which changes led to it. As bytes it has three forms;
 //! all are read, and a body is never written in an older form than the one before it.
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{DIGESTED_BODIES, PROTOCOL_VERSION};
 use protocol::operator_request::ConfigChange;
 use sha2::Sha256;
@@ -45,8 +45,8 @@
     taken: Vec<u64>,
 }
 
-kernel::bytes!(Held);
-kernel::bytes!(FirstLayout);
+kernel::impl_archive_bytes!(Held);
+kernel::impl_archive_bytes!(FirstLayout);
 
 /// The forms of a body, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -109,10 +109,10 @@
     /// A long configuration is packed: the body goes to every voter in each round, and to its disk.
     pub fn seal(&self, form: BodyForm) -> Vec<u8> {
         if form == BodyForm::Digested || !self.taken.is_empty() {
-            return [&SECOND[..], &lz4_flex::compress_prepend_size(&self.write_bytes())].concat();
+            return [&SECOND[..], &lz4_flex::compress_prepend_size(&self.to_bytes())].concat();
         }
         let first = FirstLayout { revision: self.revision, text: self.text.clone(), taken: self.earlier.clone() };
-        let plain = first.write_bytes();
+        let plain = first.to_bytes();
         if form == BodyForm::Plain || plain.len() < PACK_FROM {
             return plain;
         }
@@ -125,11 +125,11 @@
             return Some(Held::default());
         }
         if let Some(rest) = body.strip_prefix(&SECOND[..]) {
-            return Held::read_bytes(&unpack(rest)?);
+            return Held::from_bytes(&unpack(rest)?);
         }
         let first = match body.strip_prefix(&PACKED[..]) {
-            Some(rest) => FirstLayout::read_bytes(&unpack(rest)?),
-            None => FirstLayout::read_bytes(body),
+            Some(rest) => FirstLayout::from_bytes(&unpack(rest)?),
+            None => FirstLayout::from_bytes(body),
         }?;
         Some(Held { revision: first.revision, text: first.text, taken: Vec::new(), earlier: first.taken })
     }
@@ -183,8 +183,8 @@
 
 /// The digest of the first version.
 pub fn first_digest(change: &ConfigChange) -> u64 {
-    let text = clock::hash(change.text.as_bytes());
-    clock::combine_hashes(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
+    let text = hashing::hash(change.text.as_bytes());
+    hashing::combine(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
 /// Tells a body from others where a change of it is told. Invariant: a body of the second version has a part of its
@@ -192,7 +192,7 @@
 pub fn body_digest(body: &[u8]) -> u64 {
     use sha2::Digest;
     if BodyForm::of(body) != BodyForm::Digested {
-        return clock::hash(body);
+        return hashing::hash(body);
     }
     let hash = Sha256::digest(body);
     hash.iter().take(8).fold(0, |digest, byte| digest << 8 | u64::from(*byte))
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -58,7 +58,7 @@
 
 /// What is told to peers about the own access to the platform.
 pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
-    let unreachable = controller.peers.read(|view| view.access.unreachable(now));
+    let unreachable = controller.peers.read(|view| view.platform_access.is_unreachable(now));
     unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
 }
 
@@ -126,8 +126,8 @@
 /// controller take its place.
 fn note_access(controller: &Controller, error: Option<PollError>) {
     controller.peers.update(|view| match error {
-        None | Some(PollError::Refused) => view.access.succeeded(),
-        Some(PollError::Unreachable) => view.access.failed(clock::now()),
+        None | Some(PollError::Refused) => view.platform_access.record_success(),
+        Some(PollError::Unreachable) => view.platform_access.record_failure(clock::now()),
         Some(PollError::Stalled) => {}
     });
 }
--- a/controller/src/prefix_catalog.rs
+++ b/controller/src/prefix_catalog.rs
@@ -4,7 +4,7 @@
 
 use catalog::load_table::LoadTable;
 use catalog::prefix_index::PrefixIndex;
-use kernel::clock;
+use kernel::hashing;
 use parking_lot::Mutex;
 use protocol::message::{EndpointList, EngineLoad, PrefixLookup, PrefixLookupResponse, Record};
 
@@ -59,7 +59,7 @@
         let (mut owners, mut list) = (Vec::new(), Vec::new());
         if catalog.answers(lookup.epoch) {
             owners = catalog.find_all(&lookup.keys, now);
-            let mut engine_hashes: Vec<u64> = owners.iter().flatten().map(|id| clock::hash(id.as_bytes())).collect();
+            let mut engine_hashes: Vec<u64> = owners.iter().flatten().map(|id| hashing::hash(id.as_bytes())).collect();
             engine_hashes.extend(lookup.sample.iter().take(MAX_ITEMS));
             engine_hashes.sort_unstable();
             engine_hashes.dedup();
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{self, EndpointList, Engine, EngineLoad};
 use protocol::version_rollout;
 
@@ -136,7 +136,7 @@
 
     /// This router's draw for an engine.
     pub fn router_engine_hash(&self, name: u64) -> u64 {
-        clock::combine_hashes(self.subset_params.router_hash, name)
+        hashing::combine(self.subset_params.router_hash, name)
     }
 
     /// An engine told what runs and waits there.
@@ -153,7 +153,7 @@
     pub fn set_weight_versions(&mut self, list: &[(String, String, u64)]) {
         for (id, model, version) in list {
             if let Some(at) = self.find(id) {
-                self.engines[at].set_weight_version(clock::hash(model.as_bytes()), Some(*version));
+                self.engines[at].set_weight_version(hashing::hash(model.as_bytes()), Some(*version));
             }
         }
     }
--- a/load_balancing/src/staleness_bound_tests.rs
+++ b/load_balancing/src/staleness_bound_tests.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::message::StalenessLimit;
 
 use super::{StalenessBound, StalenessBounds, LEASE_MS, RELAXATION_DELAY_MS};
--- a/load_balancing/src/subset_tests.rs
+++ b/load_balancing/src/subset_tests.rs
@@ -1,14 +1,14 @@
-use kernel::clock;
+use kernel::hashing;
 
 use super::{Subset, SubsetParams};
 
 fn engines(zones: u32, each: usize) -> Vec<(usize, u32, u64)> {
-    let name = |at: usize| clock::hash(format!("i-{at}").as_bytes());
+    let name = |at: usize| hashing::hash(format!("i-{at}").as_bytes());
     (0..zones as usize * each).map(|at| (at, (at / each) as u32, name(at))).collect()
 }
 
 fn params(at: u32, routers: u32, zones: u32) -> SubsetParams {
-    let router_hash = clock::hash(format!("edge-{at}").as_bytes());
+    let router_hash = hashing::hash(format!("edge-{at}").as_bytes());
     SubsetParams { router_hash, zone: at % zones, router_count: routers, zone_count: zones }
 }
 
@@ -62,7 +62,7 @@
         let lost = before.sampled.iter().filter(|at| !after.sampled.contains(at)).count();
         assert!(lost <= 1, "{lost} moved");
         let (mut moved, mut of) = (0, 0);
-        for key in (0..500u64).map(|key| clock::combine_hashes(key, 9)) {
+        for key in (0..500u64).map(|key| hashing::combine(key, 9)) {
             let (old, new) = (before.home_engines(key, 1, |_| true), after.home_engines(key, 1, |_| true));
             of += 1;
             moved += u32::from(old != new);
@@ -77,7 +77,7 @@
     let list = engines(3, 8);
     let (one, two) = (Subset::build(params(1, 88, 3), &list), Subset::build(params(2, 88, 3), &list));
     let mut count = [0u32; 24];
-    for key in (0..4800u64).map(|key| clock::combine_hashes(key, 3)) {
+    for key in (0..4800u64).map(|key| hashing::combine(key, 3)) {
         let homes = one.home_engines(key, 2, |_| true);
         assert_eq!(homes, two.home_engines(key, 2, |_| true));
         assert!(homes.len() == 2 && homes[0] != homes[1]);
