--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which engines hold which prompt memory. Keys are hashes chained over the segments of a prompt in
 //! their order, so that a key stands for a whole prefix.
 
-use kernel::clock;
+use kernel::hashing;
 
 pub mod load_table;
 pub mod owner_cache;
@@ -19,7 +19,7 @@
     let mut list = Vec::new();
     for piece in text.split(',') {
         let (id, tokens) = piece.trim().split_once(':')?;
-        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| clock::hash(id.as_bytes()));
+        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| hashing::hash(id.as_bytes()));
         list.push(PromptSegment { id, tokens: tokens.parse().ok()? });
     }
     Some(list)
@@ -30,7 +30,7 @@
     let mut key = seed;
     let mut list = Vec::with_capacity(segments.len());
     for segment in segments {
-        key = clock::combine_hashes(key, clock::combine_hashes(segment.id, u64::from(segment.tokens)));
+        key = hashing::combine(key, hashing::combine(segment.id, u64::from(segment.tokens)));
         list.push(key);
     }
     list
--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -134,7 +134,7 @@
     if from.is_some_and(|version| version != held.version) {
         return Decision::Answer(unclear);
     }
-    Decision::Write(EvacuationState { version: held.version + 1, evacuated: on }.write_bytes(), done)
+    Decision::Write(EvacuationState { version: held.version + 1, evacuated: on }.to_bytes(), done)
 }
 
 async fn evacuate(
--- a/controller/src/config/body.rs
+++ b/controller/src/config/body.rs
@@ -3,7 +3,7 @@
 //! The value has three byte formats. All of them can be read, and a value is never written in an older format than the
 //! one that it replaces, so that a controller never meets a format again that was given up.
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{DIGESTED_BODIES, PROTOCOL_VERSION};
 use protocol::operator_request::ConfigChange;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -61,8 +61,8 @@
     changes: Vec<u64>,
 }
 
-kernel::bytes!(StoredConfig);
-kernel::bytes!(LegacyLayout);
+kernel::impl_archive_bytes!(StoredConfig);
+kernel::impl_archive_bytes!(LegacyLayout);
 
 /// The byte formats of a stored configuration, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -128,11 +128,11 @@
     /// to its disk.
     pub fn encode(&self, format: BodyFormat) -> Vec<u8> {
         if format == BodyFormat::Digested || !self.changes.is_empty() {
-            return compress(CURRENT_MAGIC, &self.write_bytes());
+            return compress(CURRENT_MAGIC, &self.to_bytes());
         }
         let legacy =
             LegacyLayout { revision: self.revision, text: self.text.clone(), changes: self.legacy_changes.clone() };
-        let plain = legacy.write_bytes();
+        let plain = legacy.to_bytes();
         if format == BodyFormat::Plain || plain.len() < MIN_COMPRESSED_BYTES {
             return plain;
         }
@@ -146,11 +146,11 @@
             return Some(StoredConfig::default());
         }
         if let Some(rest) = body.strip_prefix(&CURRENT_MAGIC[..]) {
-            return StoredConfig::read_bytes(&decompress(rest)?);
+            return StoredConfig::from_bytes(&decompress(rest)?);
         }
         let legacy = match body.strip_prefix(&LEGACY_COMPRESSED_MAGIC[..]) {
-            Some(rest) => LegacyLayout::read_bytes(&decompress(rest)?),
-            None => LegacyLayout::read_bytes(body),
+            Some(rest) => LegacyLayout::from_bytes(&decompress(rest)?),
+            None => LegacyLayout::from_bytes(body),
         }?;
         Some(StoredConfig {
             revision: legacy.revision,
@@ -219,8 +219,8 @@
 
 /// Returns the digest by which the legacy layout remembers a change.
 pub fn legacy_change_digest(change: &ConfigChange) -> u64 {
-    let text = clock::hash(change.text.as_bytes());
-    clock::combine_hashes(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
+    let text = hashing::hash(change.text.as_bytes());
+    hashing::combine(text, change.base.wrapping_mul(2).wrapping_add(u64::from(change.partial)))
 }
 
 /// Returns the digest by which a committed delta names the value before and after it.
@@ -229,7 +229,7 @@
 /// controllers of protocol version 3 compute.
 pub fn body_digest(body: &[u8]) -> u64 {
     if BodyFormat::of(body) != BodyFormat::Digested {
-        return clock::hash(body);
+        return hashing::hash(body);
     }
     let hash = Sha256::digest(body);
     hash.iter().take(8).fold(0, |digest, byte| digest << 8 | u64::from(*byte))
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -33,8 +33,8 @@
 pub const EVACUATION_PREFIX: &str = "evacuation/";
 pub const ROLE_PREFIX: &str = "duty/";
 
-kernel::bytes!(EvacuationState);
-kernel::bytes!(RoleState);
+kernel::impl_archive_bytes!(EvacuationState);
+kernel::impl_archive_bytes!(RoleState);
 
 pub use consensus::{decode_membership as read_core, encode_membership as write_core};
 
@@ -46,7 +46,7 @@
             pub fn open(body: &[u8]) -> Option<Self> {
                 match body.is_empty() {
                     true => Some(Self::default()),
-                    false => Self::read_bytes(body),
+                    false => Self::from_bytes(body),
                 }
             }
         }
@@ -204,11 +204,11 @@
             self.evacuations.insert(zone.into(), evacuation);
         }
         if key.starts_with(ROLLOUT) && !body.is_empty() {
-            let rule = StalenessLimit::read_bytes(body).ok_or(Unreadable::Body)?;
+            let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
             self.staleness_limits.insert(key.into(), rule);
         }
         if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
-            let rollout = VersionRollout::read_bytes(body).ok_or(Unreadable::Body)?;
+            let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
             self.version_rollouts.insert(service.into(), rollout);
         }
         if key.starts_with(ROLE_PREFIX) {
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -1,10 +1,11 @@
 //! What is learned of committed entries: a configuration and its history are one value, and what cannot be read is not
 //! known.
 
+use kernel::hashing;
 use std::sync::Arc;
 
 use consensus::{Confirmation, MEMBERSHIP_KEY};
-use kernel::clock::{self, Rng};
+use kernel::Rng;
 use protocol::change::Change;
 use protocol::frame::{self, HEAD};
 use protocol::message::{
@@ -155,7 +156,7 @@
 fn other_keys_are_not_taken_for_empty_either() {
     let mut state = CommittedState::default();
     let zone = format!("{EVACUATION_PREFIX}z");
-    let closed = EvacuationState { version: 4, evacuated: true }.write_bytes();
+    let closed = EvacuationState { version: 4, evacuated: true }.to_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
     for key in [zone.as_str(), &format!("{ROLE_PREFIX}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
@@ -174,7 +175,7 @@
 #[test]
 fn entries_in_any_order_never_lead_back() {
     for seed in 0..200 {
-        let mut dice = Rng::new(clock::combine_hashes(seed, 9));
+        let mut dice = Rng::new(hashing::combine(seed, 9));
         // Two histories never exist under one key; late and repeated entries of one do.
         let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
         let mut state = CommittedState::default();
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -339,15 +339,15 @@
 /// The bodies of all keys but `config`, as the present code writes them.
 fn control_bodies() -> [(&'static str, Vec<u8>); 10] {
     [
-        ("control-5-closed.bin", closed().write_bytes()),
-        ("control-5-duty.bin", duty().write_bytes()),
-        ("control-5-rule.bin", rule().write_bytes()),
-        ("control-5-rollout-active.bin", active_rollout().write_bytes()),
-        ("control-5-rollout-complete.bin", complete_rollout().write_bytes()),
-        ("control-5-rollout-reverted.bin", reverted_rollout().write_bytes()),
-        ("control-5-batch-live.bin", live_batch().write_bytes()),
-        ("control-5-batch-expired.bin", expired_batch().write_bytes()),
-        ("control-5-page.bin", page().write_bytes()),
+        ("control-5-closed.bin", closed().to_bytes()),
+        ("control-5-duty.bin", duty().to_bytes()),
+        ("control-5-rule.bin", rule().to_bytes()),
+        ("control-5-rollout-active.bin", active_rollout().to_bytes()),
+        ("control-5-rollout-complete.bin", complete_rollout().to_bytes()),
+        ("control-5-rollout-reverted.bin", reverted_rollout().to_bytes()),
+        ("control-5-batch-live.bin", live_batch().to_bytes()),
+        ("control-5-batch-expired.bin", expired_batch().to_bytes()),
+        ("control-5-page.bin", page().to_bytes()),
         ("control-5-core.bin", write_core(&core())),
     ]
 }
@@ -483,7 +483,7 @@
 
 #[test]
 fn limits_on_stale_weights_of_version_5_are_read() {
-    assert_eq!(StalenessLimit::read_bytes(&fixture("control-5-rule.bin")), Some(rule()));
+    assert_eq!(StalenessLimit::from_bytes(&fixture("control-5-rule.bin")), Some(rule()));
     let state = learned(&[("rollout/chat/m-1", "control-5-rule.bin")]);
     assert_eq!(state.staleness_limits.get("rollout/chat/m-1"), Some(&rule()));
 }
@@ -496,16 +496,16 @@
         ("control-5-rollout-reverted.bin", reverted_rollout()),
     ];
     for (file, rollout) in rollouts {
-        assert_eq!(VersionRollout::read_bytes(&fixture(file)).as_ref(), Some(&rollout), "{file}");
+        assert_eq!(VersionRollout::from_bytes(&fixture(file)).as_ref(), Some(&rollout), "{file}");
         assert_eq!(learned(&[("versions/chat", file)]).version_rollouts.get("chat"), Some(&rollout), "{file}");
     }
 }
 
 #[test]
 fn batches_of_version_5_are_read() {
-    assert_eq!(Batch::read_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
-    assert_eq!(Batch::read_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
-    assert_eq!(Page::read_bytes(&fixture("control-5-page.bin")), Some(page()));
+    assert_eq!(Batch::from_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
+    assert_eq!(Batch::from_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
+    assert_eq!(Page::from_bytes(&fixture("control-5-page.bin")), Some(page()));
     let state = learned(&[
         ("batch/a002e14b20bb64ec", "control-5-batch-live.bin"),
         ("batch/a002e14b20bb64ec/0", "control-5-page.bin"),
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -89,7 +89,7 @@
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = confirmed_tenure(controller, key, now)?;
     let sure_at = controller.committed.confirmed_at()?;
-    let held = RoleTenure { since: tenure.since, own: tenure.own, confirmed_at: sure_at };
+    let held = RoleTenure { acquired_at: tenure.since, predecessor_expired: tenure.own, confirmed_at: sure_at };
     let bounds = &controller.settings.bounds;
     singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, CONFIRMATION_TTL_MS).then_some(tenure.epoch)
 }
@@ -101,12 +101,12 @@
         return true;
     }
     let judge = |body: &[u8]| {
-        let held = RoleState::read_bytes(body).unwrap_or_default();
+        let held = RoleState::from_bytes(body).unwrap_or_default();
         if held.epoch != epoch || held.owner != controller.own_ip() {
             return Decision::Answer(false);
         }
         let next = RoleState { predecessor_expired: true, ..held };
-        Decision::Write(next.write_bytes(), true)
+        Decision::Write(next.to_bytes(), true)
     };
     controller.change(key, COMMIT_TIMEOUT_MS, judge).await.unwrap_or(false)
 }
@@ -147,10 +147,10 @@
     let now = clock::now();
     controller.peers.read(|view| {
         singleton_role::may_acquire(RoleView {
-            me: controller.own_ip(),
-            holder,
+            own_ip: controller.own_ip(),
+            owner: holder,
             unavailable_ms: view.unavailable_ms(holder, now).min(confirmed_ms),
-            first: view.first_confirmed(key, now).as_deref() == Some(controller.own_ip()),
+            is_first_confirmed: view.first_confirmed(key, now).as_deref() == Some(controller.own_ip()),
             lease_ms: controller.settings.bounds.lease_ms,
         })
     })
@@ -180,12 +180,12 @@
 /// One that was committed all the same is never acted under: it is not among what was taken.
 async fn commit_next_epoch(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
     let judge = |body: &[u8]| {
-        let held = RoleState::read_bytes(body).unwrap_or_default();
+        let held = RoleState::from_bytes(body).unwrap_or_default();
         if held.epoch != epoch {
             return Decision::Answer(None);
         }
         let next = RoleState { epoch: epoch + 1, owner: controller.own_ip().to_string(), predecessor_expired: own };
-        Decision::Write(next.write_bytes(), Some(epoch + 1))
+        Decision::Write(next.to_bytes(), Some(epoch + 1))
     };
     controller.change(key, COMMIT_TIMEOUT_MS, judge).await.flatten()
 }
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -1,12 +1,12 @@
 //! Start and end of the process.
 
+use kernel::new_incarnation;
 use std::path::Path;
 use std::process;
 use std::sync::Arc;
 use std::time::Duration;
 
 use consensus::Acceptor;
-use kernel::clock;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
@@ -83,7 +83,7 @@
 
 /// Runs a controller until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    let life = clock::incarnation();
+    let life = new_incarnation();
     let mut voter = Acceptor::new(&settings.ip);
     let mut store = None;
     let mut empty = true;
@@ -133,7 +133,7 @@
         observed.metrics.render(&observed)
     });
     plugin::start(&CONTROLLER_PARTS, &controller);
-    signal::until_leave(&mut signals).await;
+    signal::wait_for_termination(&mut signals).await;
     kernel::log_event!(LEAVE);
     let end = shutdown::last_moment(controller.settings.bounds.grace_s);
     reconfiguration::leave(&controller).await;
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -1,6 +1,6 @@
 //! One engine as a router knows it, with what sending to it has shown.
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{Engine, EngineLoad};
 
 use crate::retry_budget::SlowStart;
@@ -56,7 +56,7 @@
     pub fn new(engine: &Engine, service: u32, zone: u32) -> EngineState {
         EngineState {
             id: engine.id.clone(),
-            id_hash: clock::hash(engine.id.as_bytes()),
+            id_hash: hashing::hash(engine.id.as_bytes()),
             service,
             address: engine.addr.clone(),
             zone,
--- a/load_balancing/src/subset.rs
+++ b/load_balancing/src/subset.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use kernel::clock;
+use kernel::hashing;
 
 /// Invariants: `all` are the engines listed up for this half; `picks` is a part of them, the same as
 /// long as the list and the fleet stay the same; `ring` is sorted.
@@ -54,7 +54,7 @@
     pub fn build(params: SubsetParams, list: &[SubsetMember]) -> Subset {
         let mut ring: Vec<(u64, usize)> = list
             .iter()
-            .flat_map(|(at, _, id_hash)| (0..VIRTUAL_NODES).map(|point| (clock::combine_hashes(*id_hash, point), *at)))
+            .flat_map(|(at, _, id_hash)| (0..VIRTUAL_NODES).map(|point| (hashing::combine(*id_hash, point), *at)))
             .collect();
         ring.sort_unstable();
         let mut names: Vec<(u64, usize)> = list.iter().map(|(at, _, id_hash)| (*id_hash, *at)).collect();
@@ -71,7 +71,7 @@
     fn sample(params: SubsetParams, list: &[SubsetMember]) -> Vec<usize> {
         let mut zones: BTreeMap<u32, Vec<(u64, usize)>> = Default::default();
         for (at, zone, id_hash) in list {
-            zones.entry(*zone).or_default().push((clock::combine_hashes(params.router_hash, *id_hash), *at));
+            zones.entry(*zone).or_default().push((hashing::combine(params.router_hash, *id_hash), *at));
         }
         let part = |(zone, mut part): (u32, Vec<(u64, usize)>)| {
             part.sort_unstable();
--- a/protocol/src/stored_by_5_tests.rs
+++ b/protocol/src/stored_by_5_tests.rs
@@ -16,7 +16,7 @@
 use crate::quota::{holders_key, holders_mark, told_holders, ShardOwner, ShardUsage, TokenRequest, TokenResponse};
 use crate::renewal::{Confirmation, SubscriptionRenewed};
 use crate::version_rollout::{candidates_of, RolloutState, RouteSamples, Samples, VersionRollout, KEY};
-use kernel::clock::{combine_hashes, hash};
+use kernel::hashing::{combine, hash};
 use std::collections::HashSet;
 use std::fs;
 use std::mem::discriminant;
@@ -593,6 +593,6 @@
     let holder = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
     assert_eq!(hash(b""), 0xefd0_1f60_ba99_2926);
     assert_eq!(hash(b"engine-with-a-long-name-2"), 0x96bf_6eee_64c0_2b9c);
-    assert_eq!(combine_hashes(3, 9), 0xfecc_95cb_a7dc_91dc);
+    assert_eq!(combine(3, 9), 0xfecc_95cb_a7dc_91dc);
     assert_eq!(holders_mark(&[holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")]), 0xfdc6_4a92_8230_bc58);
 }
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -3,10 +3,11 @@
 //! The holders of the shards of the tenant's bucket are asked one after the other, the first of them by chance so that
 //! their shards empty evenly. While none of them answers, the router has a small allowance of its own.
 
+use kernel::clock;
+use kernel::hashing;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use kernel::clock;
 use kernel::settings::Settings;
 use parking_lot::Mutex;
 use protocol::link::PeerClient;
@@ -86,7 +87,7 @@
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
         };
-        let mark = clock::hash(settings.node_name.as_bytes());
+        let mark = hashing::hash(settings.node_name.as_bytes());
         let inner = Inner {
             holders: Vec::new(),
             mark: 0,
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -2,14 +2,17 @@
 //!
 //! Lock order: table, engine_table, record, budget, news, pools. No lock is held over an await.
 
+use kernel::hashing;
+use kernel::new_incarnation;
+use kernel::ConvergenceBudget;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::Arc;
 
 use catalog::owner_cache::OwnerCache;
-use kernel::clock::{self, Rng};
-use kernel::convergence;
+
 use kernel::settings::Settings;
+use kernel::Rng;
 use load_balancing::engine_table::EngineTable;
 use load_balancing::retry_budget;
 use load_balancing::staleness_bound::StalenessBounds;
@@ -81,7 +84,7 @@
 impl State {
     /// The state of a process that has just started: it knows its settings and nothing else.
     pub fn new(settings: Settings) -> Arc<State> {
-        let life = clock::incarnation();
+        let life = new_incarnation();
         let mut engine_table = EngineTable::default();
         let own_zone = engine_table.zone_index(&settings.zone);
         for (zone, region) in &settings.zones {
@@ -100,7 +103,7 @@
             floors: Default::default(),
             weights: Default::default(),
             news: Default::default(),
-            currency: Currency::new(convergence::Budget::new(&settings.bounds)),
+            currency: Currency::new(ConvergenceBudget::new(&settings.bounds)),
             home: Default::default(),
             dice: Mutex::new(Rng::new(life)),
             few_at: Default::default(),
@@ -124,7 +127,7 @@
 
     /// What tells this router's samples from those of others.
     pub fn mark(&self) -> u64 {
-        clock::hash(self.settings.node_name.as_bytes())
+        hashing::hash(self.settings.node_name.as_bytes())
     }
 
     pub fn table(&self) -> Arc<Table> {
