--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -110,7 +110,7 @@
 
 async fn execute(controller: &Arc<Controller>, order: &OperatorRequest, spent: u64) -> OperatorResponse {
     match order {
-        OperatorRequest::Change(change) => execution::change(controller, change).await,
+        OperatorRequest::Change(change) => execution::execute(controller, change).await,
         OperatorRequest::Evacuate { zone, on } => {
             evacuate(controller, zone, *on, None, EVACUATE_MS.saturating_sub(spent)).await
         }
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -1,5 +1,7 @@
-//! Changes of the configuration carried out: judged on what is committed, written, and told to the other controllers as
-//! the change where they can make it, else as the whole.
+//! Execution of changes of the configuration.
+//!
+//! A change is decided on top of the committed value, written, and published to the other controllers: as the change
+//! where they can make the same value from it, else as the full value.
 
 use std::sync::Arc;
 
@@ -15,166 +17,169 @@
 use crate::event;
 use crate::replication::committed_state::CONFIG_KEY;
 
-/// What a change was judged to be on top of one committed body.
-enum Judgement {
-    Answer(OperatorResponse),
-    /// It is to be written.
-    Step(Step),
+/// What a change comes to on top of one committed value.
+enum ChangeResult {
+    /// Nothing is written; this is the response.
+    Response(OperatorResponse),
+    /// The next value is written.
+    Transition(Transition),
 }
 
-/// From one committed body to the next. It goes with the write that it was made for, so that what is told of a change
-/// never mixes with what another one did meanwhile.
-struct Step {
-    /// The digest of the body before, and its form.
-    before: u64,
-    form_before: BodyFormat,
-    form: BodyFormat,
-    checked: Arc<Checked>,
+/// The way from one committed value to the next. It goes with the write that it was made for, so that what is published
+/// of a change never mixes with what another one did meanwhile.
+struct Transition {
+    /// The digest of the value before.
+    digest_before: u64,
+    format_before: BodyFormat,
+    format: BodyFormat,
+    /// The configuration after the change.
+    config: Arc<Checked>,
 }
 
 /// Carries out an operator's change.
-pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
+pub async fn execute(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_form();
     let known = controller.committed.current_config();
     let parsed = ParsedChange::parse(change);
-    let judge = |body: &[u8]| judge(&parsed, body, known.as_deref(), read_by_all);
-    let outcome = controller.change_unannounced(CONFIG_KEY, operator_requests::wait_ms(controller), judge).await;
-    let Some((judgement, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
-    match judgement {
-        Judgement::Step(step) => {
-            tell(controller, &owner.entry, change, &step);
-            committed(change, step.checked.revision());
+    let decide = |body: &[u8]| decide(&parsed, body, known.as_deref(), read_by_all);
+    let timeout_ms = operator_requests::wait_ms(controller);
+    let outcome = controller.change_unannounced(CONFIG_KEY, timeout_ms, decide).await;
+    let Some((result, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
+    match result {
+        ChangeResult::Transition(transition) => {
+            publish(controller, &owner.entry, change, &transition);
+            log_committed(change, transition.config.revision());
             OperatorResponse::Done
         }
-        Judgement::Answer(result) => {
+        ChangeResult::Response(response) => {
             if !owner.is_blank() {
-                tell_again(controller, CONFIG_KEY, &owner.entry);
+                publish_unchanged(controller, CONFIG_KEY, &owner.entry);
             }
-            if result == OperatorResponse::Done {
-                committed(change, StoredConfig::decode(&owner.entry.body).map_or(0, |held| held.revision));
+            if response == OperatorResponse::Done {
+                let stored = StoredConfig::decode(&owner.entry.body);
+                log_committed(change, stored.map_or(0, |stored| stored.revision));
             }
-            result
+            response
         }
     }
 }
 
-fn committed(change: &ConfigChange, revision: u64) {
+fn log_committed(change: &ConfigChange, revision: u64) {
     kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
-fn judge(parsed: &ParsedChange, body: &[u8], known: Option<&Checked>, read_by_all: BodyFormat) -> Decision<Judgement> {
-    let Some(held) = StoredConfig::decode(body) else {
-        return Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
-    };
-    let form_before = BodyFormat::of(body);
-    // Never an older form than before: a member that is away since this controller started is unknown here, and long bodies
-    // without need fill the links until it is never heard again.
-    let form = read_by_all.max(form_before);
-    match parsed.decide(&held, known, form) {
-        Ok(ChangeDecision::AlreadyCommitted) => Decision::Answer(Judgement::Answer(OperatorResponse::Done)),
-        Ok(ChangeDecision::OutcomeUnknown) => Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown)),
+fn decide(
+    parsed: &ParsedChange,
+    body: &[u8],
+    known: Option<&Checked>,
+    read_by_all: BodyFormat,
+) -> Decision<ChangeResult> {
+    let respond = |response| Decision::Answer(ChangeResult::Response(response));
+    let Some(stored) = StoredConfig::decode(body) else { return respond(OperatorResponse::OutcomeUnknown) };
+    let format_before = BodyFormat::of(body);
+    // Never an older format than before: a member that is away since this controller started is unknown here, and long
+    // values without need fill the links until it is never heard again.
+    let format = read_by_all.max(format_before);
+    match parsed.decide(&stored, known, format) {
+        Ok(ChangeDecision::AlreadyCommitted) => respond(OperatorResponse::Done),
+        Ok(ChangeDecision::OutcomeUnknown) => respond(OperatorResponse::OutcomeUnknown),
         Ok(ChangeDecision::Commit(next)) => {
-            let step = Step { before: body_digest(body), form_before, form, checked: next.config };
-            Decision::Write(next.stored.encode(form), Judgement::Step(step))
-        }
-        Err(refusal) => {
-            let (status, reason) = (refusal.status(), refusal.to_string());
-            Decision::Answer(Judgement::Answer(OperatorResponse::Rejected { status, reason }))
+            let digest_before = body_digest(body);
+            let transition = Transition { digest_before, format_before, format, config: next.config };
+            Decision::Write(next.stored.encode(format), ChangeResult::Transition(transition))
         }
+        Err(error) => respond(OperatorResponse::Rejected { status: error.status(), reason: error.to_string() }),
     }
 }
 
-/// A committed configuration becomes known here and at the other controllers.
-fn tell(controller: &Controller, entry: &Entry, change: &ConfigChange, step: &Step) {
-    controller.learn_config(entry, step.checked.clone());
-    let advance = advance_of(entry, change, step);
-    send(controller, entry, advance, |reads| can_make(reads, change, step));
+/// Makes a committed configuration known here and at the other controllers.
+fn publish(controller: &Controller, entry: &Entry, change: &ConfigChange, transition: &Transition) {
+    controller.learn_config(entry, transition.config.clone());
+    let delta = delta_of(entry, change, transition);
+    send(controller, entry, delta, |protocol_version| can_apply(protocol_version, change, transition));
 }
 
-fn advance_of(entry: &Entry, change: &ConfigChange, step: &Step) -> CommittedDelta {
+fn delta_of(entry: &Entry, change: &ConfigChange, transition: &Transition) -> CommittedDelta {
     let Position { proposal_number, index } = entry.position();
     CommittedDelta {
         key: CONFIG_KEY.into(),
         proposal_number,
         index,
-        before: step.before,
+        before: transition.digest_before,
         after: body_digest(&entry.body),
         change: Some(change.clone()),
-        revision: step.checked.revision(),
-        pack: step.form >= BodyFormat::Compressed,
+        revision: transition.config.revision(),
+        pack: transition.format >= BodyFormat::Compressed,
     }
 }
 
-/// Can a controller that reads messages of this version make the body after the change from the one before it? One of
-/// version 3 writes the text of a changed configuration otherwise, and a new layout is not told by a change.
-fn can_make(reads: u64, change: &ConfigChange, step: &Step) -> bool {
-    let same_text = !change.partial || reads >= DIGESTED_BODIES;
-    same_text && step.form.has_same_layout(step.form_before)
+/// Returns whether a controller of this protocol version can make the value after the change from the one before it. One
+/// of version 3 writes the text of a changed configuration in another way, and a new layout is not derived from a change.
+fn can_apply(protocol_version: u64, change: &ConfigChange, transition: &Transition) -> bool {
+    let writes_same_text = !change.partial || protocol_version >= DIGESTED_BODIES;
+    writes_same_text && transition.format.has_same_layout(transition.format_before)
 }
 
-/// The short form to those that can use it, the whole to the others.
-fn send(controller: &Controller, entry: &Entry, advance: CommittedDelta, can_make: impl Fn(u64) -> bool) {
-    let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
-    let short = Message::CommittedDelta(Box::new(advance));
+/// Sends the delta to the controllers that can use it, and the full value to the others.
+fn send(controller: &Controller, entry: &Entry, delta: CommittedDelta, can_apply: impl Fn(u64) -> bool) {
+    let full = Message::Committed(Box::new((delta.key.clone(), entry.clone())));
+    let delta = Message::CommittedDelta(Box::new(delta));
     for peer in controller.known_peers() {
-        let reads = controller.peers.protocol_version(&peer);
-        let is_short = reads >= RELAYED_ORDERS && can_make(reads);
-        controller.peers.client(&peer).notify(if is_short { short.clone() } else { whole.clone() });
+        let protocol_version = controller.peers.protocol_version(&peer);
+        let takes_delta = protocol_version >= RELAYED_ORDERS && can_apply(protocol_version);
+        controller.peers.client(&peer).notify(if takes_delta { delta.clone() } else { full.clone() });
     }
 }
 
-/// The same body was committed again, by a read or under a changed core: those that hold it need only its place.
-pub fn tell_again(controller: &Controller, key: &str, entry: &Entry) {
+/// Makes it known that the same value was committed again, by a read or under a changed membership: controllers that have
+/// the value need only its position.
+pub fn publish_unchanged(controller: &Controller, key: &str, entry: &Entry) {
     controller.learn(key, entry, false);
     let Position { proposal_number, index } = entry.position();
     let digest = body_digest(&entry.body);
-    let (before, after) = (digest, digest);
-    let advance = CommittedDelta {
+    let delta = CommittedDelta {
         key: key.into(),
         proposal_number,
         index,
-        before,
-        after,
+        before: digest,
+        after: digest,
         change: None,
         revision: 0,
         pack: false,
     };
-    send(controller, entry, advance, |_| true);
+    send(controller, entry, delta, |_| true);
 }
 
-/// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
-/// fetches the whole.
-pub fn advance(controller: &Controller, advance: &CommittedDelta) {
-    let (held, known) = controller.committed.entry_and_config(&advance.key);
-    let position = Position { proposal_number: advance.proposal_number, index: advance.index };
-    let Some(held) = held.filter(|held| held.position() < position) else { return };
-    let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
-    match next_body(&held.body, known.as_deref(), advance) {
-        Some((body, Some(checked))) => controller.learn_config(&entry(body), checked),
-        Some((body, None)) => controller.learn(&advance.key, &entry(body), false),
+/// Applies a change that another controller committed. What does not fit is left to the next confirmation, which fetches
+/// the full value.
+pub fn apply_delta(controller: &Controller, delta: &CommittedDelta) {
+    let (stored, known) = controller.committed.entry_and_config(&delta.key);
+    let position = Position { proposal_number: delta.proposal_number, index: delta.index };
+    let is_older = |entry: &Entry| entry.position() < position;
+    let Some(stored) = stored.filter(is_older) else { return };
+    let entry = |body| Entry { proposal_number: delta.proposal_number, index: delta.index, body };
+    match next_body(&stored.body, known.as_deref(), delta) {
+        Some((body, Some(config))) => controller.learn_config(&entry(body), config),
+        Some((body, None)) => controller.learn(&delta.key, &entry(body), false),
         None => {}
     }
 }
 
-/// The body after the change, if it is the one that was committed, and the configuration in it where it is another.
-/// `known`: the configuration in the body before, where that was read already.
-fn next_body(
-    body: &[u8],
-    known: Option<&Checked>,
-    advance: &CommittedDelta,
-) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
-    if body_digest(body) != advance.before {
+/// Returns the value after a delta, if it is the one that was committed, and the configuration in it where that is
+/// another one. `known` is the configuration in the value before, where that was read already.
+fn next_body(body: &[u8], known: Option<&Checked>, delta: &CommittedDelta) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
+    if body_digest(body) != delta.before {
         return None;
     }
-    let Some(change) = &advance.change else { return Some((body.to_vec(), None)) };
-    let form = match BodyFormat::of(body) {
+    let Some(change) = &delta.change else { return Some((body.to_vec(), None)) };
+    let format = match BodyFormat::of(body) {
         BodyFormat::Digested => BodyFormat::Digested,
-        _ if advance.pack => BodyFormat::Compressed,
+        _ if delta.pack => BodyFormat::Compressed,
         _ => BodyFormat::Plain,
     };
-    let next = change::reapply(change, advance.revision, &StoredConfig::decode(body)?, known, form)?;
-    let body = next.stored.encode(form);
-    (body_digest(&body) == advance.after).then_some((body, Some(next.config)))
+    let next = change::reapply(change, delta.revision, &StoredConfig::decode(body)?, known, format)?;
+    let body = next.stored.encode(format);
+    (body_digest(&body) == delta.after).then_some((body, Some(next.config)))
 }
 
 #[cfg(test)]
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -5,7 +5,7 @@
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
-use super::{advance_of, can_make, judge, next_body, Judgement, Step};
+use super::{can_apply, decide, delta_of, next_body, ChangeResult, Transition};
 use crate::config::body::{body_digest, BodyFormat, StoredConfig};
 use crate::config::change::ParsedChange;
 use crate::replication::committed_state::{CommittedState, CONFIG_KEY};
@@ -28,30 +28,30 @@
         "timeout_ms": 9, "service": "s"});
     let text = serde_json::json!({"revision": 8, "upsert": {"route_table": [route]}}).to_string();
     let change = ConfigChange { base: 5, text, partial: true };
-    let (after, step) = step_on(&body, &change, format);
+    let (after, transition) = step_on(&body, &change, format);
     let entry = Entry { proposal_number: ProposalNumber { term: 2, replica_id: 1 }, index: 1, body: after.clone() };
-    let advance = advance_of(&entry, &change, &step);
-    assert_eq!((advance.before, advance.after, advance.revision), (body_digest(&body), body_digest(&after), 8));
-    (body, advance, after)
+    let delta = delta_of(&entry, &change, &transition);
+    assert_eq!((delta.before, delta.after, delta.revision), (body_digest(&body), body_digest(&after), 8));
+    (body, delta, after)
 }
 
 const FORMS: [BodyFormat; 3] = [BodyFormat::Plain, BodyFormat::Compressed, BodyFormat::Digested];
 
 /// The body that a controller makes.
-fn made(body: &[u8], advance: &CommittedDelta) -> Option<Vec<u8>> {
-    next_body(body, None, advance).map(|(body, _)| body)
+fn made(body: &[u8], delta: &CommittedDelta) -> Option<Vec<u8>> {
+    next_body(body, None, delta).map(|(body, _)| body)
 }
 
 #[test]
 fn a_controller_that_holds_the_body_before_gets_the_committed_one() {
     for (routes, format) in [1, 200].iter().flat_map(|routes| FORMS.map(|format| (*routes, format))) {
-        let (body, advance, after) = committed(routes, format);
-        assert_eq!(made(&body, &advance), Some(after));
+        let (body, delta, after) = committed(routes, format);
+        assert_eq!(made(&body, &delta), Some(after));
         // Also with the configuration before read already, or with another one at hand.
         let known = Checked::read(&text(5, routes)).expect("good");
         let other = Checked::read(&text(5, routes + 1)).expect("good");
         for known in [known, other] {
-            let (body, checked) = next_body(&body, Some(&known), &advance).expect("made");
+            let (body, checked) = next_body(&body, Some(&known), &delta).expect("made");
             let stored = StoredConfig::decode(&body).expect("read");
             assert_eq!(checked.expect("changed").text(), stored.text);
         }
@@ -61,35 +61,35 @@
 #[test]
 fn one_that_holds_another_body_gets_nothing() {
     for format in FORMS {
-        let (_, advance, _) = committed(1, format);
+        let (_, delta, _) = committed(1, format);
         let other = StoredConfig { revision: 5, text: text(5, 2), legacy_changes: vec![7], ..StoredConfig::default() };
-        assert_eq!(made(&other.encode(format), &advance), None);
-        assert_eq!(made(&[], &advance), None);
+        assert_eq!(made(&other.encode(format), &delta), None);
+        assert_eq!(made(&[], &delta), None);
     }
 }
 
 #[test]
 fn a_change_that_comes_out_otherwise_than_committed_is_not_taken() {
     for format in FORMS {
-        let (body, advance, _) = committed(1, format);
-        assert_eq!(made(&body, &CommittedDelta { after: advance.after ^ 1, ..advance.clone() }), None);
-        assert_eq!(made(&body, &CommittedDelta { revision: advance.revision + 1, ..advance }), None);
+        let (body, delta, _) = committed(1, format);
+        assert_eq!(made(&body, &CommittedDelta { after: delta.after ^ 1, ..delta.clone() }), None);
+        assert_eq!(made(&body, &CommittedDelta { revision: delta.revision + 1, ..delta }), None);
     }
 }
 
 #[test]
 fn the_same_body_committed_again_stays() {
     for format in FORMS {
-        let (body, advance, _) = committed(1, format);
-        let again = CommittedDelta { change: None, after: advance.before, ..advance };
+        let (body, delta, _) = committed(1, format);
+        let again = CommittedDelta { change: None, after: delta.before, ..delta };
         assert_eq!(made(&body, &again), Some(body));
     }
 }
 
 /// Judges a change on a body, as the controller does that is home to the configuration.
-fn step_on(body: &[u8], change: &ConfigChange, format: BodyFormat) -> (Vec<u8>, Step) {
-    match judge(&ParsedChange::parse(change), body, None, format) {
-        Decision::Write(next, Judgement::Step(step)) => (next, step),
+fn step_on(body: &[u8], change: &ConfigChange, format: BodyFormat) -> (Vec<u8>, Transition) {
+    match decide(&ParsedChange::parse(change), body, None, format) {
+        Decision::Write(next, ChangeResult::Transition(transition)) => (next, transition),
         _ => panic!("a change to be written"),
     }
 }
@@ -114,7 +114,7 @@
     let body = stored.encode(BodyFormat::Digested);
     let first = ConfigChange { base: 5, text: text(7, 2), partial: false };
     let second = ConfigChange { base: 7, text: text(9, 2), partial: false };
-    let (after_first, step) = step_on(&body, &first, BodyFormat::Digested);
+    let (after_first, transition) = step_on(&body, &first, BodyFormat::Digested);
     let (after_second, later) = step_on(&after_first, &second, BodyFormat::Digested);
     let mut committed = CommittedState::default();
     let entry = |place, body: &[u8]| Entry {
@@ -122,12 +122,12 @@
         index: 1,
         body: body.to_vec(),
     };
-    committed.learn(CONFIG_KEY, &entry(2, &after_second), Some(later.checked.clone()));
-    committed.learn(CONFIG_KEY, &entry(1, &after_first), Some(step.checked.clone()));
+    committed.learn(CONFIG_KEY, &entry(2, &after_second), Some(later.config.clone()));
+    committed.learn(CONFIG_KEY, &entry(1, &after_first), Some(transition.config.clone()));
     assert_eq!(committed.history.revision(), 9, "the later one stays");
-    let advance = advance_of(&entry(1, &after_first), &first, &step);
-    assert_eq!(advance.revision, 7);
-    let (made, checked) = next_body(&body, None, &advance).expect("a peer that holds the body before can make it");
+    let delta = delta_of(&entry(1, &after_first), &first, &transition);
+    assert_eq!(delta.revision, 7);
+    let (made, checked) = next_body(&body, None, &delta).expect("a peer that holds the body before can make it");
     assert_eq!((made, checked.expect("another configuration").revision()), (after_first, 7));
 }
 
@@ -136,22 +136,22 @@
     let stored = StoredConfig { revision: 5, text: text(5, 2), ..StoredConfig::default() };
     let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
     let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
-    let step = |before, change, format| step_on(&stored.encode(before), change, format).1;
-    let same = step(BodyFormat::Plain, &whole, BodyFormat::Plain);
-    assert!(can_make(3, &whole, &same) && can_make(4, &whole, &same));
-    let same = step(BodyFormat::Plain, &items, BodyFormat::Compressed);
-    assert!(!can_make(3, &items, &same), "it writes the text otherwise");
-    assert!(can_make(4, &items, &same));
-    let other = step(BodyFormat::Compressed, &whole, BodyFormat::Digested);
-    assert!(!can_make(4, &whole, &other), "a new layout is told whole, once");
+    let transition = |before, change, format| step_on(&stored.encode(before), change, format).1;
+    let same = transition(BodyFormat::Plain, &whole, BodyFormat::Plain);
+    assert!(can_apply(3, &whole, &same) && can_apply(4, &whole, &same));
+    let same = transition(BodyFormat::Plain, &items, BodyFormat::Compressed);
+    assert!(!can_apply(3, &items, &same), "it writes the text otherwise");
+    assert!(can_apply(4, &items, &same));
+    let other = transition(BodyFormat::Compressed, &whole, BodyFormat::Digested);
+    assert!(!can_apply(4, &whole, &other), "a new layout is told whole, once");
 }
 
 #[test]
 fn a_body_that_cannot_be_read_is_neither_changed_nor_refused() {
     let change = ConfigChange { base: 0, text: text(6, 2), partial: false };
     for body in [&b"of another form"[..], b"\0tdcfg2\0torn", b"\0tdplz4\0torn"] {
-        let verdict = judge(&ParsedChange::parse(&change), body, None, BodyFormat::Digested);
-        assert!(matches!(verdict, Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
+        let decision = decide(&ParsedChange::parse(&change), body, None, BodyFormat::Digested);
+        assert!(matches!(decision, Decision::Answer(ChangeResult::Response(OperatorResponse::OutcomeUnknown))));
     }
 }
 
@@ -162,14 +162,14 @@
     let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
     let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
     for change in [&items, &whole] {
-        let (_, step) = step_on(&stored.encode(BodyFormat::Plain), change, BodyFormat::Digested);
-        assert_eq!((step.checked.revision(), step.checked.config().route_table.len()), (6, 2));
-        assert!(config::read(step.checked.text()).is_ok());
+        let (_, transition) = step_on(&stored.encode(BodyFormat::Plain), change, BodyFormat::Digested);
+        assert_eq!((transition.config.revision(), transition.config.config().route_table.len()), (6, 2));
+        assert!(config::read(transition.config.text()).is_ok());
     }
     // One that reads as nothing is left alone by changes of items, and can be replaced.
     let torn = StoredConfig { text: "{\"revision\":5".into(), ..stored };
     let judged =
-        |change| judge(&ParsedChange::parse(change), &torn.encode(BodyFormat::Plain), None, BodyFormat::Digested);
-    assert!(matches!(judged(&items), Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown))));
+        |change| decide(&ParsedChange::parse(change), &torn.encode(BodyFormat::Plain), None, BodyFormat::Digested);
+    assert!(matches!(judged(&items), Decision::Answer(ChangeResult::Response(OperatorResponse::OutcomeUnknown))));
     assert!(matches!(judged(&whole), Decision::Write(..)));
 }
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -9,7 +9,7 @@
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::ConfigChange;
 
-use super::{advance_of, judge, next_body, Judgement};
+use super::{decide, delta_of, next_body, ChangeResult};
 use crate::config::body::{BodyFormat, StoredConfig};
 use crate::config::change::ParsedChange;
 use crate::replication::committed_state::{CommittedState, CONFIG_KEY};
@@ -49,8 +49,8 @@
     println!("  {label}: {:.3} ms", times[ROUNDS / 2]);
 }
 
-fn entry(turn: u64, body: Vec<u8>) -> Entry {
-    Entry { proposal_number: ProposalNumber { term: turn, replica_id: 1 }, index: 0, body }
+fn entry(term: u64, body: Vec<u8>) -> Entry {
+    Entry { proposal_number: ProposalNumber { term, replica_id: 1 }, index: 0, body }
 }
 
 #[test]
@@ -72,16 +72,16 @@
         let whole = ConfigChange { base: 5, text: text(8, routes), partial: false };
         let part = ConfigChange { base: 5, text: items, partial: true };
         for (label, change) in [("PUT", &whole), ("PATCH", &part)] {
-            let judged = || match judge(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
-                Decision::Write(next, Judgement::Step(step)) => (next, step),
+            let judged = || match decide(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
+                Decision::Write(next, ChangeResult::Transition(transition)) => (next, transition),
                 _ => panic!("a change"),
             };
             print_median(&format!("{label}, judged and sealed by its committer"), || drop(judged()));
-            let (next, step) = judged();
-            let advance = advance_of(&entry(2, next), change, &step);
+            let (next, transition) = judged();
+            let delta = delta_of(&entry(2, next), change, &transition);
             let old = known.as_deref().expect("a configuration");
             print_median(&format!("{label}, at a controller that is told of it"), || {
-                let (_, checked) = next_body(&body, Some(old), &advance).expect("made");
+                let (_, checked) = next_body(&body, Some(old), &delta).expect("made");
                 let checked = checked.expect("changed");
                 drop(Change::between(old.config(), checked.config()).write());
             });
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -23,7 +23,7 @@
 use crate::replication::replica::Replica;
 use crate::replication::shared_state::SharedCommittedState;
 use crate::roles::AcquiredRoles;
-use crate::rollout::version_rollouts::Trials;
+use crate::rollout::version_rollouts::RolloutAnalyses;
 use crate::shutdown::Shutdown;
 
 /// The parts of this process. Each keeps its own state behind its own lock.
@@ -49,8 +49,8 @@
     pub acquired_roles: AcquiredRoles,
     /// Time spent on batches that is not yet written.
     pub tallies: Tallies,
-    /// Trials of new versions.
-    pub trials: Trials,
+    /// RolloutAnalyses of new versions.
+    pub rollout_analyses: RolloutAnalyses,
     /// Shards of tenants' quotas.
     pub quotas: QuotaShards,
     /// The process is about to end.
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -10,7 +10,7 @@
 use crate::controller::{Controller, ROUTER_LEASE_MS};
 use crate::delivery::limit_confirmations;
 use crate::delivery::subscribers::Subscriber;
-use crate::quota_shards::send_holders;
+use crate::quota_shards::send_owners;
 use crate::replication::committed_state::{CommittedState, RoleState};
 use crate::roles::CATALOG;
 
@@ -75,7 +75,7 @@
             self.send_weights(follower);
         }
         if follower.protocol_version >= QUOTAS && self.committed.has_tenants() {
-            send_holders(self, follower);
+            send_owners(self, follower);
         }
         news
     }
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::delivery::limit_confirmations;
 use crate::peers::gossip;
 use crate::quota_shards;
-use crate::rollout::version_rollouts::take_samples;
+use crate::rollout::version_rollouts::record_samples;
 
 pub fn dispatch(controller: &Arc<Controller>, mouth: Responder, id: u64, msg: Message) {
     let now = clock::now();
@@ -37,7 +37,7 @@
                 mouth.reply(id, &Message::OperatorResponse(Box::new(result)));
             });
         }
-        Message::CommittedDelta(advance) => execution::advance(controller, &advance),
+        Message::CommittedDelta(delta) => execution::apply_delta(controller, &delta),
         Message::Committed(pair) => controller.learn(&pair.0, &pair.1, false),
         Message::SuspectEngine(doubt) => controller.suspect_engine(&doubt.0, doubt.1),
         Message::SubscriptionRenewal(follow) => controller.renew_subscription(mouth, id, *follow),
@@ -53,11 +53,11 @@
             controller.catalog.register(note.epoch, &note.owners, now);
             controller.catalog.record_loads(&note.loads, now);
         }
-        Message::TokenRequest(spend) => {
-            let spent = quota_shards::spend(controller, &spend);
-            mouth.reply(id, &Message::TokenResponse(Box::new(spent)));
+        Message::TokenRequest(request) => {
+            let response = quota_shards::acquire_token(controller, &request);
+            mouth.reply(id, &Message::TokenResponse(Box::new(response)));
         }
-        Message::Samples(samples) => take_samples(controller, *samples),
+        Message::Samples(samples) => record_samples(controller, *samples),
         Message::UsageRequest(_) => {
             let usage = quota_shards::usage(controller);
             mouth.reply(id, &Message::UsageResponse(Box::new(usage)));
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -58,7 +58,7 @@
             heartbeat.tick().await;
             broadcast(&controller);
             confirmer::run(&controller).await;
-            if crate::quota_shards::beat(&controller) {
+            if crate::quota_shards::refresh_owners(&controller) {
                 controller.push_updates();
             }
         }
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -1,4 +1,5 @@
-//! The shards of tenants' limits that this controller holds. The rules are in the crate `quota`; here they meet the controller.
+//! The shards of tenants' limits that this controller owns. The rules are in the crate `quota`; here they meet the
+//! controller.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,129 +12,135 @@
 use protocol::quota::{
     from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
 };
-use quota::{Holder, Quota, Shards, TAKE_OVER_MS};
+use quota::{Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
 use serde_json::Value;
 
 use crate::controller::Controller;
 use crate::delivery::subscribers::Subscriber;
 use crate::replication::committed_state::CommittedState;
 
-/// The shards held here, and who may hold others.
-pub struct QuotaShards(Mutex<HeldShards>);
+/// How long a controller may take to answer what its shards have granted.
+const USAGE_TIMEOUT_MS: u64 = 400;
 
-struct HeldShards {
+/// The shards owned here, and who may own others.
+pub struct QuotaShards(Mutex<ShardTable>);
+
+struct ShardTable {
     shards: Shards,
-    holders: Vec<ShardOwner>,
-    /// What tells this list of holders from others.
-    mark: u64,
+    eligible_owners: Vec<ShardOwner>,
+    /// Tells this list of owners from others.
+    owners_digest: u64,
 }
 
 impl QuotaShards {
-    /// Those of a controller that has just started: none.
+    /// Returns the shards of a controller that has just started: none.
     pub fn new(ip: &str) -> QuotaShards {
-        QuotaShards(Mutex::new(HeldShards { shards: Shards::new(ip), holders: Vec::new(), mark: 0 }))
+        let table = ShardTable { shards: Shards::new(ip), eligible_owners: Vec::new(), owners_digest: 0 };
+        QuotaShards(Mutex::new(table))
     }
 }
 
-/// Notes who may hold shards. True: that has changed, and routers are to hear of it.
-pub fn beat(controller: &Controller) -> bool {
+/// Updates who may own shards. Returns whether that has changed, so that routers are to be notified.
+pub fn refresh_owners(controller: &Controller) -> bool {
     let now = clock::now();
-    let leaving = controller.shutting_down.load(Ordering::Relaxed);
+    let is_shutting_down = controller.shutting_down.load(Ordering::Relaxed);
     let confirmed_at = controller.committed.confirmed_at();
-    let able = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now));
-    let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
-    let mark = holders_mark(&holders);
-    let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
-    let mut held = controller.quotas.0.lock();
-    held.shards.beat(now, confirmed_at, live);
-    let is_new = held.mark != mark;
-    (held.holders, held.mark) = (holders, mark);
-    is_new
+    let eligible = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, is_shutting_down, now));
+    let owners: Vec<ShardOwner> =
+        eligible.into_iter().map(|owner| ShardOwner { ip: owner.ip, zone: owner.zone }).collect();
+    let digest = holders_mark(&owners);
+    let live = owners.iter().map(|owner| Holder { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
+    let mut table = controller.quotas.0.lock();
+    table.shards.beat(now, confirmed_at, live);
+    let has_changed = table.owners_digest != digest;
+    (table.eligible_owners, table.owners_digest) = (owners, digest);
+    has_changed
 }
 
 /// Takes a token for a router's request.
-pub fn spend(controller: &Controller, spend: &TokenRequest) -> TokenResponse {
+pub fn acquire_token(controller: &Controller, request: &TokenRequest) -> TokenResponse {
     let now = clock::now();
-    let (confirmed_at, limit) =
-        controller.committed.read(|state| (state.confirmed_at, state.history.tenant_quota(&spend.tenant)));
+    let (confirmed_at, committed) =
+        controller.committed.read(|state| (state.confirmed_at, state.history.tenant_quota(&request.tenant)));
     // The router may know of a newer configuration than this controller, or of an older one.
-    let (rate_per_s, burst) = (from_milli(spend.rate_milli), from_milli(spend.burst_milli));
-    let limit = limit.unwrap_or(Quota { rate_per_s, burst });
-    let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return TokenResponse::Granted };
-    let spent = controller.quotas.0.lock().shards.spend(&spend.tenant, quota, now, confirmed_at);
-    let spent = match spent {
-        quota::TokenDecision::Granted => TokenResponse::Granted,
-        quota::TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
-        quota::TokenDecision::NotHeld => TokenResponse::NotHeld,
+    let requested = Quota { rate_per_s: from_milli(request.rate_milli), burst: from_milli(request.burst_milli) };
+    let quota = committed.unwrap_or(requested);
+    let Some(quota) = Quota::new(quota.rate_per_s, quota.burst) else { return TokenResponse::Granted };
+    let decision = controller.quotas.0.lock().shards.spend(&request.tenant, quota, now, confirmed_at);
+    let response = match decision {
+        TokenDecision::Granted => TokenResponse::Granted,
+        TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
+        TokenDecision::NotHeld => TokenResponse::NotHeld,
     };
-    controller.metrics.record_token_response(spent);
-    spent
+    controller.metrics.record_token_response(response);
+    response
 }
 
-/// Tells a router who may hold shards, where it has another list.
-pub fn send_holders(controller: &Controller, follower: &mut Subscriber) {
-    let held = controller.quotas.0.lock();
-    let has = follower.list_versions.entry(holders_key()).or_default();
-    if has.0 == held.mark {
+/// Sends a router who may own shards, where it has another list.
+pub fn send_owners(controller: &Controller, subscriber: &mut Subscriber) {
+    let table = controller.quotas.0.lock();
+    let has = subscriber.list_versions.entry(holders_key()).or_default();
+    if has.0 == table.owners_digest {
         return;
     }
-    match follower.responder.notify(&Message::ShardOwners(Box::new(held.holders.clone()))) {
-        true => has.0 = held.mark,
-        false => follower.is_behind = true,
+    match subscriber.responder.notify(&Message::ShardOwners(Box::new(table.eligible_owners.clone()))) {
+        true => has.0 = table.owners_digest,
+        false => subscriber.is_behind = true,
     }
 }
 
-/// What the shards held here have given.
+/// Returns what the shards owned here have granted.
 pub fn usage(controller: &Controller) -> Vec<ShardUsage> {
-    let told = controller.quotas.0.lock().shards.usage().into_iter();
-    let shown = told.map(|one| ShardUsage {
-        tenant: one.tenant,
-        granted: one.granted,
-        denied: one.denied,
-        tokens_milli: to_milli(one.tokens),
+    let counters = controller.quotas.0.lock().shards.usage();
+    let usage = counters.into_iter().map(|shard| ShardUsage {
+        tenant: shard.tenant,
+        granted: shard.granted,
+        denied: shard.denied,
+        tokens_milli: to_milli(shard.tokens),
     });
-    shown.collect()
+    usage.collect()
 }
 
-/// How long a controller may take to tell what its shards have given.
-const USAGE_MS: u64 = 400;
-
-/// What all shards have given, by tenant, and the controllers that did not answer.
+/// Returns what all shards have granted, by tenant, and the controllers that did not answer.
 pub async fn fleet_usage(controller: &Arc<Controller>) -> Value {
-    let holders = controller.quotas.0.lock().holders.clone();
+    let owners = controller.quotas.0.lock().eligible_owners.clone();
     let mut sums = BTreeMap::<String, TenantUsage>::new();
     let mut silent = Vec::new();
-    for holder in &holders {
-        let told = match holder.ip == controller.own_ip() {
+    for owner in &owners {
+        let usage = match owner.ip == controller.own_ip() {
             true => Some(usage(controller)),
-            false => ask_usage(controller, &holder.ip).await,
+            false => request_usage(controller, &owner.ip).await,
         };
-        match told {
-            Some(list) => list.into_iter().for_each(|one| sums.entry(one.tenant.clone()).or_default().add(&one)),
-            None => silent.push(holder.ip.clone()),
+        match usage {
+            Some(shards) => shards.iter().for_each(|shard| sums.entry(shard.tenant.clone()).or_default().add(shard)),
+            None => silent.push(owner.ip.clone()),
         }
     }
-    let shown = |state: &CommittedState, (name, sum): (&String, &TenantUsage)| {
-        let limit = state.history.tenant_quota(name);
-        serde_json::json!({"name": name, "granted": sum.granted, "denied": sum.denied, "tokens": sum.tokens.floor(),
-            "shards": sum.shards, "rate_per_s": limit.map(|limit| limit.rate_per_s),
-            "burst_size": limit.map(|limit| limit.burst)})
-    };
     let mut tenants: Vec<_> = sums.iter().collect();
-    tenants.sort_by_key(|(_, sum)| Reverse(sum.granted + sum.denied));
-    let tenants: Vec<Value> =
-        controller.committed.read(|state| tenants.into_iter().map(|tenant| shown(state, tenant)).collect());
+    tenants.sort_by_key(|(_, usage)| Reverse(usage.granted + usage.denied));
+    let tenants: Vec<Value> = controller
+        .committed
+        .read(|state| tenants.into_iter().map(|(name, usage)| tenant_usage(state, name, usage)).collect());
     serde_json::json!({"tenants": tenants, "silent_keepers": silent})
 }
 
-async fn ask_usage(controller: &Controller, ip: &str) -> Option<Vec<ShardUsage>> {
-    match controller.peers.client(ip).call(Message::UsageRequest(Box::new(0)), USAGE_MS).await {
-        Some(Message::UsageResponse(list)) => Some(*list),
+fn tenant_usage(state: &CommittedState, name: &str, usage: &TenantUsage) -> Value {
+    let quota = state.history.tenant_quota(name);
+    serde_json::json!({
+        "name": name, "granted": usage.granted, "denied": usage.denied, "tokens": usage.tokens.floor(),
+        "shards": usage.shards, "rate_per_s": quota.map(|quota| quota.rate_per_s),
+        "burst_size": quota.map(|quota| quota.burst),
+    })
+}
+
+async fn request_usage(controller: &Controller, ip: &str) -> Option<Vec<ShardUsage>> {
+    match controller.peers.client(ip).call(Message::UsageRequest(Box::new(0)), USAGE_TIMEOUT_MS).await {
+        Some(Message::UsageResponse(usage)) => Some(*usage),
         _ => None,
     }
 }
 
-/// One tenant's use, over all its shards.
+/// What one tenant has used, over all its shards.
 #[derive(Default)]
 struct TenantUsage {
     granted: u64,
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -112,7 +112,7 @@
     ) -> ChangeOutcome<T> {
         let (answer, owner, wrote) = self.change_unannounced(key, wait_ms, judge).await?;
         if !wrote && owner.entry.body.len() > LONG_BODY {
-            execution::tell_again(self, key, &owner.entry);
+            execution::publish_unchanged(self, key, &owner.entry);
         } else if !owner.is_blank() {
             self.learn(key, &owner.entry, true);
         }
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -1,5 +1,7 @@
-//! Trials of new versions: routers' samples are pooled at every controller, and the first that is confirmed judges. It needs no
-//! epoch: each step is a change on top of the very record that it was judged on.
+//! Analysis of versions that are being rolled out.
+//!
+//! Samples of all routers are pooled at every controller, and the first controller that is confirmed takes the steps. That
+//! needs no epoch: each step is a change on top of the very record that the decision was made on.
 
 use std::collections::BTreeMap;
 use std::mem;
@@ -18,89 +20,96 @@
 use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
 
-/// How often samples are passed on and judged.
-const BEAT_MS: u64 = 200;
+/// How often samples are passed on and rollouts looked at.
+const POLL_INTERVAL_MS: u64 = 200;
 /// How long one step may take.
-const CHANGE_MS: u64 = 900;
+const STEP_TIMEOUT_MS: u64 = 900;
 
 /// What is known here of one rollout.
-struct Trial {
+struct RolloutAnalysis {
     order: u64,
-    judge: Judge,
-    /// The newest record, and when it became known.
-    number: u64,
-    since: u64,
+    canary: Judge,
+    /// The number of the newest record.
+    record_number: u64,
+    /// When the newest record became known.
+    record_since: u64,
 }
 
-/// All trials, and samples that other controllers have not heard yet.
+/// The analyses of all rollouts, and samples that were not yet passed on to the other controllers.
 #[derive(Default)]
-pub struct Trials(Mutex<TrialTable>);
+pub struct RolloutAnalyses(Mutex<AnalysisTable>);
 
 #[derive(Default)]
-struct TrialTable {
-    trials: BTreeMap<String, Trial>,
-    untold: Vec<Samples>,
+struct AnalysisTable {
+    by_service: BTreeMap<String, RolloutAnalysis>,
+    unsent: Vec<Samples>,
 }
 
-impl TrialTable {
-    fn trial(&mut self, rollout: &VersionRollout, now: u64) -> &mut Trial {
-        let fresh = || Trial { order: rollout.order, judge: Judge::new(now), number: rollout.number, since: now };
-        let trial = self.trials.entry(rollout.service.clone()).or_insert_with(fresh);
-        if trial.order != rollout.order {
-            *trial = fresh();
+impl AnalysisTable {
+    /// Returns the analysis of a rollout; a new one where there is none of this order.
+    fn of(&mut self, rollout: &VersionRollout, now: u64) -> &mut RolloutAnalysis {
+        let new = || RolloutAnalysis {
+            order: rollout.order,
+            canary: Judge::new(now),
+            record_number: rollout.number,
+            record_since: now,
+        };
+        let analysis = self.by_service.entry(rollout.service.clone()).or_insert_with(new);
+        if analysis.order != rollout.order {
+            *analysis = new();
         }
-        if trial.number != rollout.number {
-            (trial.number, trial.since) = (rollout.number, now);
+        if analysis.record_number != rollout.number {
+            (analysis.record_number, analysis.record_since) = (rollout.number, now);
         }
-        trial
+        analysis
     }
 }
 
-/// Sends a follower the rollouts that it lacks.
-pub fn send_missing_rollouts(committed_state: &CommittedState, follower: &mut Subscriber) {
-    for rollout in committed_state.version_rollouts.values() {
+/// Sends a subscriber the rollouts that it lacks.
+pub fn send_missing_rollouts(state: &CommittedState, subscriber: &mut Subscriber) {
+    for rollout in state.version_rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.evacuation_versions.entry(message::hidden_key(&key)).or_default();
+        let has = subscriber.evacuation_versions.entry(message::hidden_key(&key)).or_default();
         if rollout.number <= *has {
             continue;
         }
-        match follower.responder.notify(&Message::VersionRollout(Box::new(rollout.clone()))) {
+        match subscriber.responder.notify(&Message::VersionRollout(Box::new(rollout.clone()))) {
             true => *has = rollout.number,
-            false => follower.is_behind = true,
+            false => subscriber.is_behind = true,
         }
     }
 }
 
-/// Takes samples from a router or from another controller.
-pub fn take_samples(controller: &Controller, samples: Samples) {
+/// Records samples from a router or from another controller. Those from a router are passed on later.
+pub fn record_samples(controller: &Controller, samples: Samples) {
     let rollout = controller.committed.version_rollout(&samples.service);
     let Some(rollout) = rollout.filter(|rollout| rollout.order == samples.order) else { return };
     let now = clock::now();
-    let mut trials = controller.trials.0.lock();
-    let trial = trials.trial(&rollout, now);
-    for one in &samples.list {
-        let arm = if one.is_candidate { Arm::Candidate } else { Arm::Stable };
-        trial.judge.note(&one.route, arm, &batch(one), now);
+    let mut analyses = controller.rollout_analyses.0.lock();
+    let analysis = analyses.of(&rollout, now);
+    for route in &samples.list {
+        let variant = if route.is_candidate { Arm::Candidate } else { Arm::Stable };
+        analysis.canary.note(&route.route, variant, &sample_batch(route), now);
     }
     if !samples.is_relayed {
-        trials.untold.push(Samples { is_relayed: true, ..samples });
+        analyses.unsent.push(Samples { is_relayed: true, ..samples });
     }
 }
 
-fn batch(samples: &RouteSamples) -> Batch {
+fn sample_batch(samples: &RouteSamples) -> Batch {
     Batch { good: samples.good, failed: samples.failed, paces: samples.paces.clone() }
 }
 
-/// Passes samples on and judges, for as long as the process runs.
+/// Passes samples on and takes the steps of rollouts, for as long as the process runs.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = startup::interval(BEAT_MS);
+        let mut interval = startup::interval(POLL_INTERVAL_MS);
         loop {
-            beat.tick().await;
-            tell(&controller);
+            interval.tick().await;
+            send_samples(&controller);
             for rollout in active(&controller) {
-                look(&controller, &rollout).await;
+                advance(&controller, &rollout).await;
             }
         }
     });
@@ -111,75 +120,75 @@
     rollouts.filter(|rollout| rollout.state == RolloutState::Active).collect()
 }
 
-/// Tells the other controllers what this one's routers saw.
-fn tell(controller: &Controller) {
-    let untold = mem::take(&mut controller.trials.0.lock().untold);
-    if untold.is_empty() {
-        return;
-    }
-    let merged = merge(untold);
-    for samples in merged {
+/// Sends the other controllers what this one's routers reported.
+fn send_samples(controller: &Controller) {
+    let unsent = mem::take(&mut controller.rollout_analyses.0.lock().unsent);
+    for samples in merge(unsent) {
         controller.notify_peers(&Message::Samples(Box::new(samples)));
     }
 }
 
-/// One message for each rollout.
+/// Merges samples into one message for each rollout.
 fn merge(list: Vec<Samples>) -> Vec<Samples> {
     let mut merged: BTreeMap<(String, u64), BTreeMap<(String, bool), RouteSamples>> = BTreeMap::new();
     for samples in list {
         let routes = merged.entry((samples.service, samples.order)).or_default();
-        for one in samples.list {
-            match routes.get_mut(&(one.route.clone(), one.is_candidate)) {
-                Some(held) => {
-                    held.good += one.good;
-                    held.failed += one.failed;
-                    held.paces.extend(one.paces);
-                }
-                None => drop(routes.insert((one.route.clone(), one.is_candidate), one)),
-            }
+        for route in samples.list {
+            add_route(routes, route);
         }
     }
-    let whole = |((service, order), routes): ((String, u64), BTreeMap<_, RouteSamples>)| Samples {
+    let message = |((service, order), routes): ((String, u64), BTreeMap<_, RouteSamples>)| Samples {
         service,
         order,
         list: routes.into_values().collect(),
         is_relayed: true,
     };
-    merged.into_iter().map(whole).collect()
+    merged.into_iter().map(message).collect()
+}
+
+fn add_route(routes: &mut BTreeMap<(String, bool), RouteSamples>, samples: RouteSamples) {
+    match routes.get_mut(&(samples.route.clone(), samples.is_candidate)) {
+        Some(sum) => {
+            sum.good += samples.good;
+            sum.failed += samples.failed;
+            sum.paces.extend(samples.paces);
+        }
+        None => drop(routes.insert((samples.route.clone(), samples.is_candidate), samples)),
+    }
 }
 
 /// Looks at one rollout, and takes the step that is due if this controller is the one to do so.
-async fn look(controller: &Arc<Controller>, rollout: &VersionRollout) {
+async fn advance(controller: &Arc<Controller>, rollout: &VersionRollout) {
     let now = clock::now();
-    let (finding, since) = {
-        let mut trials = controller.trials.0.lock();
-        let trial = trials.trial(rollout, now);
-        (trial.judge.finding(), trial.since)
+    let (verdict, record_since) = {
+        let mut analyses = controller.rollout_analyses.0.lock();
+        let analysis = analyses.of(rollout, now);
+        (analysis.canary.finding(), analysis.record_since)
     };
-    if !judges(controller, &rollout.service, now) {
+    if !is_responsible(controller, &rollout.service, now) {
         return;
     }
-    let for_ms = now - since;
-    let elapsed_ms = rollout.elapsed_ms + for_ms;
+    let share_for_ms = now - record_since;
+    let elapsed_ms = rollout.elapsed_ms + share_for_ms;
     let schedule = Schedule { duration_ms: rollout.duration_ms };
-    let step = schedule.step(rollout.share, for_ms, elapsed_ms, finding);
-    let Some(next) = after(rollout, step, elapsed_ms, finding) else { return };
+    let step = schedule.step(rollout.share, share_for_ms, elapsed_ms, verdict);
+    let Some(next) = after_step(rollout, step, elapsed_ms, verdict) else { return };
     if commit(controller, rollout, &next).await {
         kernel::log_event!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
             "state" => next.state.word(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
     }
 }
 
-/// Is this controller the one that judges a service's rollout?
-fn judges(controller: &Controller, service: &str, now: u64) -> bool {
+/// Returns whether this controller takes the steps of a service's rollout.
+fn is_responsible(controller: &Controller, service: &str, now: u64) -> bool {
     if !controller.committed.is_confirmed(now) || controller.shutting_down.load(Ordering::Relaxed) {
         return false;
     }
     controller.peers.is_first_confirmed(&VersionRollout::key(service), now)
 }
 
-/// The record after a step. None: nothing changes.
-fn after(rollout: &VersionRollout, step: Step, elapsed_ms: u64, finding: Finding) -> Option<VersionRollout> {
+/// Returns the record after a step. `None`: nothing changes.
+fn after_step(rollout: &VersionRollout, step: Step, elapsed_ms: u64, verdict: Finding) -> Option<VersionRollout> {
     let next = VersionRollout { number: rollout.number + 1, elapsed_ms, ..rollout.clone() };
     match step {
         Step::Stay => None,
@@ -188,22 +197,27 @@
         Step::Revert => {
             let mut reverted = next.reverted.clone();
             reverted.push(next.target.clone());
-            let reason = match finding {
-                Finding::Fails => "it fails more often than the version in place",
-                Finding::Slow => "it is slower than the version in place",
-                Finding::Good | Finding::Unsure => "not enough was seen of it in time",
-            };
-            Some(VersionRollout { state: RolloutState::Reverted, share: 0, reverted, reason: reason.into(), ..next })
+            let reason = rollback_reason(verdict).into();
+            Some(VersionRollout { state: RolloutState::Reverted, share: 0, reverted, reason, ..next })
         }
     }
 }
 
+fn rollback_reason(verdict: Finding) -> &'static str {
+    match verdict {
+        Finding::Fails => "it fails more often than the version in place",
+        Finding::Slow => "it is slower than the version in place",
+        Finding::Good | Finding::Unsure => "not enough was seen of it in time",
+    }
+}
+
+/// Commits a record if the one that it follows is still the newest. Returns whether it was committed.
 async fn commit(controller: &Arc<Controller>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
-    let judge = |body: &[u8]| match VersionRollout::from_bytes(body) {
-        Some(held) if held.number == rollout.number => Decision::Write(next.to_bytes(), true),
+    let decide = |body: &[u8]| match VersionRollout::from_bytes(body) {
+        Some(stored) if stored.number == rollout.number => Decision::Write(next.to_bytes(), true),
         _ => Decision::Answer(false),
     };
-    controller.change(&VersionRollout::key(&rollout.service), CHANGE_MS, judge).await.unwrap_or(false)
+    controller.change(&VersionRollout::key(&rollout.service), STEP_TIMEOUT_MS, decide).await.unwrap_or(false)
 }
 
 #[cfg(test)]
--- a/controller/src/rollout/version_rollouts_tests.rs
+++ b/controller/src/rollout/version_rollouts_tests.rs
@@ -1,5 +1,5 @@
 //! Records after steps, and samples of several routers in one message.
-use super::{after, merge};
+use super::{after_step, merge};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Finding, Step};
 
@@ -21,12 +21,12 @@
 
 #[test]
 fn each_step_is_a_record_of_its_own() {
-    assert_eq!(after(&rollout(), Step::Stay, 500, Finding::Good), None);
-    let shared = after(&rollout(), Step::Share(400), 500, Finding::Good).expect("a change");
+    assert_eq!(after_step(&rollout(), Step::Stay, 500, Finding::Good), None);
+    let shared = after_step(&rollout(), Step::Share(400), 500, Finding::Good).expect("a change");
     assert_eq!((shared.number, shared.share, shared.elapsed_ms), (5, 400, 500));
-    let complete = after(&rollout(), Step::Complete, 500, Finding::Good).expect("a change");
+    let complete = after_step(&rollout(), Step::Complete, 500, Finding::Good).expect("a change");
     assert_eq!(complete.state, RolloutState::Complete);
-    let reverted = after(&rollout(), Step::Revert, 500, Finding::Slow).expect("a change");
+    let reverted = after_step(&rollout(), Step::Revert, 500, Finding::Slow).expect("a change");
     assert_eq!((reverted.state, reverted.share), (RolloutState::Reverted, 0));
     assert_eq!(reverted.reverted, ["v0", "v2"]);
     assert!(reverted.reason.contains("slower"));
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -121,7 +121,7 @@
         catalog: Default::default(),
         acquired_roles: Default::default(),
         tallies: Default::default(),
-        trials: Default::default(),
+        rollout_analyses: Default::default(),
         quotas: QuotaShards::new(&settings.ip),
         shutting_down: Default::default(),
         shutdown: Default::default(),
