--- a/controller/src/api/mod.rs
+++ b/controller/src/api/mod.rs
@@ -1,6 +1,14 @@
-//! The operators' interface over HTTP: routes, requests and their responses.
+//! The operators' interface over HTTP: resources, requests and their responses.
+//!
+//! A resource reads its request, has it carried out, and returns an [`response::ApiResponse`]; only `response` knows how
+//! that is written.
 
+pub mod batches;
+pub mod config;
 pub mod operator_requests;
+pub mod request;
+pub mod response;
 pub mod routes;
 pub mod staleness_limits;
+pub mod status;
 pub mod version_rollouts;
--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' orders. One controller is home to a key and carries out what concerns it, so that controllers do not
-//! outbid each other; the others relay to it, and carry an order out themselves when it does not answer.
+//! Execution of operators' requests. One controller is home to a key and carries out what concerns it, so that controllers
+//! do not supersede each other; the others relay to it, and carry a request out themselves when it does not answer.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -15,126 +15,137 @@
 use crate::replication::committed_state::{EvacuationState, CONFIG_KEY, EVACUATION_PREFIX};
 use crate::replication::reconfiguration;
 
-/// How long the home of a key may take before an order is carried out here.
-const RELAY_MS: u64 = 500;
-/// How long an evacuation may take: an order without a version must not be carried out after its sender gave
-/// up, sent it to another controller, and then took it back there. Below a second, after which callers give up.
-pub const EVACUATE_MS: u64 = 900;
-
-/// How long an order on the configuration may take before its outcome is told to be unclear.
-pub fn wait_ms(controller: &Controller) -> u64 {
-    (controller.settings.bounds.ack_ms / 2).clamp(800, 2500)
+/// How long the home of a key may take before a request is carried out here.
+const RELAY_TIMEOUT_MS: u64 = 500;
+/// How long an evacuation may take: a request without a version must not be carried out after its sender gave up, sent
+/// it to another controller, and then took it back there. Below a second, after which callers give up.
+pub const EVACUATION_TIMEOUT_MS: u64 = 900;
+/// The shortest and the longest time for other requests.
+const MIN_REQUEST_TIMEOUT_MS: u64 = 800;
+const MAX_REQUEST_TIMEOUT_MS: u64 = 2500;
+
+/// Returns how long a request may take before its outcome is reported as unknown, in ms.
+pub fn request_timeout_ms(controller: &Controller) -> u64 {
+    (controller.settings.bounds.ack_ms / 2).clamp(MIN_REQUEST_TIMEOUT_MS, MAX_REQUEST_TIMEOUT_MS)
 }
 
-/// Carries an order out, at its home where that answers in time.
-pub async fn submit(controller: &Arc<Controller>, order: OperatorRequest) -> OperatorResponse {
+/// Carries a request out, at its home where that answers in time.
+pub async fn submit(controller: &Arc<Controller>, request: OperatorRequest) -> OperatorResponse {
     if controller.peers.requests_may_be_stale() {
         return OperatorResponse::OutcomeUnknown;
     }
-    let begun = clock::now();
-    if let Some(result) = relay(controller, &order).await {
-        return result;
+    let started_at = clock::now();
+    if let Some(response) = relay(controller, &request).await {
+        return response;
     }
-    let spent = clock::now() - begun;
-    execute(controller, &order, spent).await
+    let elapsed_ms = clock::now() - started_at;
+    execute(controller, &request, elapsed_ms).await
 }
 
-/// An order that another controller relayed. It is not relayed again.
-pub async fn relayed(controller: &Arc<Controller>, order: OperatorRequest) -> OperatorResponse {
+/// Carries out a request that another controller relayed. It is not relayed again.
+pub async fn execute_relayed(controller: &Arc<Controller>, request: OperatorRequest) -> OperatorResponse {
     if controller.peers.requests_may_be_stale() {
         return OperatorResponse::OutcomeUnknown;
     }
-    execute(controller, &order, 0).await
+    execute(controller, &request, 0).await
+}
+
+fn evacuation_key(zone: &str) -> String {
+    format!("{EVACUATION_PREFIX}{zone}")
 }
 
-fn key(order: &OperatorRequest) -> String {
-    match order {
+/// Returns the key that a request concerns.
+fn key(request: &OperatorRequest) -> String {
+    match request {
         OperatorRequest::Change(_) | OperatorRequest::ReadConfig => CONFIG_KEY.into(),
-        OperatorRequest::Evacuate { zone, .. } | OperatorRequest::EvacuateFrom { zone, .. } => {
-            format!("{}{zone}", EVACUATION_PREFIX)
-        }
+        OperatorRequest::Evacuate { zone, .. } | OperatorRequest::EvacuateFrom { zone, .. } => evacuation_key(zone),
     }
 }
 
-/// The controller that is home to a key, if that is another one: the first live member in the agreed order. It
+/// Returns the controller that is home to a key, if that is another one: the first live member in the agreed order. It
 /// has a disk and votes itself.
 fn home(controller: &Controller, key: &str) -> Option<String> {
     let now = clock::now();
-    let core = controller.replica.membership();
-    let leaving = controller.shutting_down.load(Ordering::Relaxed);
+    let membership = controller.replica.membership();
+    let is_shutting_down = controller.shutting_down.load(Ordering::Relaxed);
     controller.peers.read(|view| {
-        let first = reconfiguration::first_member(&core, view, leaving, key, now)?;
-        let takes_orders = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
-        takes_orders.then_some(first)
+        let first = reconfiguration::first_member(&membership, view, is_shutting_down, key, now)?;
+        let takes_requests = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
+        takes_requests.then_some(first)
     })
 }
 
-/// Where a caller had better send an order: to the key's home, from a controller that is no member of the core. Such
-/// a one may have a slow link, and would only pass both ways on.
-pub fn better_place(controller: &Controller, order: &OperatorRequest) -> Option<String> {
+/// Returns where a caller had better send a request: to the home of its key, from a controller that is no member of the
+/// core. Such a controller may have a slow link, and would only pass request and response on.
+pub fn redirect_address(controller: &Controller, request: &OperatorRequest) -> Option<String> {
     if quorum::is_member(&controller.replica.membership(), controller.own_ip()) {
         return None;
     }
     let own = controller.settings.bind_addresses.control_plane.as_deref()?;
-    control_address(own, &home(controller, &key(order))?)
+    control_address(own, &home(controller, &key(request))?)
 }
 
-/// The address at which another controller serves control: ports are alike on all machines.
+/// Returns the address of the operators' interface of another controller: ports are the same on all machines.
 fn control_address(own: &str, peer: &str) -> Option<String> {
     let (_, port) = own.rsplit_once(':')?;
     Some(format!("{peer}:{port}"))
 }
 
-/// None: it is to be carried out here.
-async fn relay(controller: &Arc<Controller>, order: &OperatorRequest) -> Option<OperatorResponse> {
-    let home = home(controller, &key(order))?;
-    let reads = controller.peers.protocol_version(&home);
-    let message = Message::OperatorRequest(Box::new(as_relayed(controller, order, reads)));
-    match controller.peers.client(&home).call(message, RELAY_MS).await {
-        Some(Message::OperatorResponse(result)) if *result != OperatorResponse::OutcomeUnknown => Some(*result),
+/// Relays a request to the home of its key. Returns `None` if it is to be carried out here.
+async fn relay(controller: &Arc<Controller>, request: &OperatorRequest) -> Option<OperatorResponse> {
+    let home = home(controller, &key(request))?;
+    let protocol_version = controller.peers.protocol_version(&home);
+    let message = Message::OperatorRequest(Box::new(relayed_form(controller, request, protocol_version)));
+    match controller.peers.client(&home).call(message, RELAY_TIMEOUT_MS).await {
+        Some(Message::OperatorResponse(response)) if *response != OperatorResponse::OutcomeUnknown => Some(*response),
         _ => None,
     }
 }
 
-/// An order as it goes to a controller that reads messages of this version. It may arrive late, after it was carried out here
-/// and then taken back: an evacuation names the version of the zone's that it is made on top of.
-fn as_relayed(controller: &Controller, order: &OperatorRequest, reads: u64) -> OperatorRequest {
-    match order {
-        OperatorRequest::Evacuate { zone, on } if reads >= VERSIONED_EVACUATIONS => {
+/// Returns a request as it goes to a controller of this protocol version. It may arrive late, after it was carried out
+/// here and then taken back: so an evacuation names the version of the zone's evacuation that it builds on.
+fn relayed_form(controller: &Controller, request: &OperatorRequest, protocol_version: u64) -> OperatorRequest {
+    match request {
+        OperatorRequest::Evacuate { zone, on } if protocol_version >= VERSIONED_EVACUATIONS => {
             let version = controller.committed.evacuation_version(zone);
             OperatorRequest::EvacuateFrom { zone: zone.clone(), on: *on, version }
         }
-        _ => order.clone(),
+        _ => request.clone(),
     }
 }
 
-async fn execute(controller: &Arc<Controller>, order: &OperatorRequest, spent: u64) -> OperatorResponse {
-    match order {
+/// Carries a request out here. `elapsed_ms` is how long it took so far.
+async fn execute(controller: &Arc<Controller>, request: &OperatorRequest, elapsed_ms: u64) -> OperatorResponse {
+    match request {
         OperatorRequest::Change(change) => execution::execute(controller, change).await,
         OperatorRequest::Evacuate { zone, on } => {
-            evacuate(controller, zone, *on, None, EVACUATE_MS.saturating_sub(spent)).await
+            evacuate(controller, zone, *on, None, EVACUATION_TIMEOUT_MS.saturating_sub(elapsed_ms)).await
         }
         OperatorRequest::EvacuateFrom { zone, on, version } => {
-            evacuate(controller, zone, *on, Some(*version), EVACUATE_MS).await
-        }
-        OperatorRequest::ReadConfig => {
-            let judge = |body: &[u8]| Decision::Answer(OperatorResponse::Found { body: body.to_vec() });
-            controller.change(CONFIG_KEY, wait_ms(controller), judge).await.unwrap_or(OperatorResponse::OutcomeUnknown)
+            evacuate(controller, zone, *on, Some(*version), EVACUATION_TIMEOUT_MS).await
         }
+        OperatorRequest::ReadConfig => read_config(controller).await,
     }
 }
 
-/// Begins or withdraws an evacuation on top of what is committed, or only on top of a version of it. Answers with `done` once
-/// it is so, and with `unclear` where another version is in place or what is committed cannot be read.
-pub fn judge_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unclear: T) -> Decision<T> {
-    let Some(held) = EvacuationState::open(body) else { return Decision::Answer(unclear) };
-    if held.evacuated == on {
+async fn read_config(controller: &Controller) -> OperatorResponse {
+    let decide = |body: &[u8]| Decision::Answer(OperatorResponse::Found { body: body.to_vec() });
+    let result = controller.change(CONFIG_KEY, request_timeout_ms(controller), decide).await;
+    result.unwrap_or(OperatorResponse::OutcomeUnknown)
+}
+
+/// Decides about beginning or withdrawing an evacuation on top of the committed value, or only on top of one version of
+/// it. Answers with `done` once the zone is so, and with `unknown` where another version is committed or the value
+/// cannot be read.
+pub fn decide_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unknown: T) -> Decision<T> {
+    let Some(stored) = EvacuationState::open(body) else { return Decision::Answer(unknown) };
+    if stored.evacuated == on {
         return Decision::Answer(done);
     }
-    if from.is_some_and(|version| version != held.version) {
-        return Decision::Answer(unclear);
+    if from.is_some_and(|version| version != stored.version) {
+        return Decision::Answer(unknown);
     }
-    Decision::Write(EvacuationState { version: held.version + 1, evacuated: on }.to_bytes(), done)
+    Decision::Write(EvacuationState { version: stored.version + 1, evacuated: on }.to_bytes(), done)
 }
 
 async fn evacuate(
@@ -142,16 +153,16 @@
     zone: &str,
     on: bool,
     from: Option<u64>,
-    wait_ms: u64,
+    timeout_ms: u64,
 ) -> OperatorResponse {
-    let key = format!("{}{zone}", EVACUATION_PREFIX);
-    let judge =
-        |body: &[u8]| judge_evacuation(on, from, body, OperatorResponse::Done, OperatorResponse::OutcomeUnknown);
-    let result = controller.change(&key, wait_ms, judge).await.unwrap_or(OperatorResponse::OutcomeUnknown);
-    if result == OperatorResponse::Done {
+    let decide =
+        |body: &[u8]| decide_evacuation(on, from, body, OperatorResponse::Done, OperatorResponse::OutcomeUnknown);
+    let result = controller.change(&evacuation_key(zone), timeout_ms, decide).await;
+    let response = result.unwrap_or(OperatorResponse::OutcomeUnknown);
+    if response == OperatorResponse::Done {
         kernel::log_event!(EVACUATION, "zone" => zone, "on" => on);
     }
-    result
+    response
 }
 
 #[cfg(test)]
--- a/controller/src/api/operator_requests_tests.rs
+++ b/controller/src/api/operator_requests_tests.rs
@@ -2,7 +2,7 @@
 
 use consensus::Decision;
 
-use super::{control_address, judge_evacuation};
+use super::{control_address, decide_evacuation};
 use crate::replication::committed_state::EvacuationState;
 
 #[test]
@@ -14,11 +14,11 @@
 /// An evacuation that cannot be read was once taken for none, so that its version began anew.
 #[test]
 fn an_evacuation_that_cannot_be_read_is_never_taken_for_none() {
-    let judge = |on, body: &[u8]| judge_evacuation(on, None, body, "done", "unclear");
-    assert_eq!(judge(true, b"of another form"), Decision::Answer("unclear"));
-    let Decision::Write(body, "done") = judge(true, &[]) else { panic!("a change") };
-    assert_eq!(judge(true, &body), Decision::Answer("done"));
-    let Decision::Write(body, "done") = judge(false, &body) else { panic!("a change") };
+    let decide = |on, body: &[u8]| decide_evacuation(on, None, body, "done", "unclear");
+    assert_eq!(decide(true, b"of another form"), Decision::Answer("unclear"));
+    let Decision::Write(body, "done") = decide(true, &[]) else { panic!("a change") };
+    assert_eq!(decide(true, &body), Decision::Answer("done"));
+    let Decision::Write(body, "done") = decide(false, &body) else { panic!("a change") };
     let closed = EvacuationState::open(&body).expect("read");
     assert_eq!((closed.version, closed.evacuated), (2, false));
 }
@@ -27,10 +27,10 @@
 /// withdrawn again.
 #[test]
 fn a_relayed_evacuation_that_comes_late_undoes_nothing() {
-    let judge = |on, from, body: &[u8]| judge_evacuation(on, from, body, "done", "unclear");
-    let Decision::Write(begun, _) = judge(true, None, &[]) else { panic!("a change") };
-    assert_eq!(judge(true, Some(0), &begun), Decision::Answer("done"), "the same came to pass already");
-    let Decision::Write(withdrawn, _) = judge(false, None, &begun) else { panic!("a change") };
-    assert_eq!(judge(true, Some(0), &withdrawn), Decision::Answer("unclear"));
-    let Decision::Write(..) = judge(true, Some(2), &withdrawn) else { panic!("a new one") };
+    let decide = |on, from, body: &[u8]| decide_evacuation(on, from, body, "done", "unclear");
+    let Decision::Write(begun, _) = decide(true, None, &[]) else { panic!("a change") };
+    assert_eq!(decide(true, Some(0), &begun), Decision::Answer("done"), "the same came to pass already");
+    let Decision::Write(withdrawn, _) = decide(false, None, &begun) else { panic!("a change") };
+    assert_eq!(decide(true, Some(0), &withdrawn), Decision::Answer("unclear"));
+    let Decision::Write(..) = decide(true, Some(2), &withdrawn) else { panic!("a new one") };
 }
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -1,168 +1,195 @@
-//! The resources of rollouts: a rule, the trainer's latest, a rollback, and the state of it all.
+//! The resources of limits on stale weights: a limit, the trainer's latest version, a rollback to an older one, and how
+//! far a limit holds.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use load_balancing::endpoint_lists::EndpointLists;
 use poem::http::Method;
-use poem::{Endpoint, Request, Response};
-use protocol::message::{StalenessLimit, WeightVersions, ROLLOUT};
-use serde_json::{Map, Value};
+use poem::{Endpoint, Request};
+use protocol::message::{StalenessLimit, WeightVersions};
+use serde::Serialize;
+use serde_json::Value;
 
-use crate::api::routes::{self, Receipt};
+use crate::api::request::{if_match, missing_if_match, read_text};
+use crate::api::response::{ApiError, ApiResponse};
 use crate::api::version_rollouts;
 use crate::controller::Controller;
-use crate::rollout::staleness_limits::{self, LimitChange};
+use crate::rollout::staleness_limits::{self, LimitTarget, StalenessLimitChange};
 
-/// Largest body taken.
-const BODY: usize = 256 * 1024;
+/// The longest body of a request.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// The name under which replicas are shown that serve both phases.
+const UNSPLIT_PHASE: &str = "whole";
 
-pub struct Rollouts(pub Arc<Controller>);
-pub struct LimitResource(pub Arc<Controller>);
-/// The trainer's latest; true: a rollback.
-pub struct Latest(pub Arc<Controller>, pub bool);
+/// All limits, which are listed; a version rollout is started here too.
+pub struct RolloutCollection(pub Arc<Controller>);
 
-fn key(service: &str, model: &str) -> String {
-    format!("{}{service}/{model}", ROLLOUT)
+/// The limit of one service and model.
+pub struct StalenessLimitResource(pub Arc<Controller>);
+
+/// The version that the trainer made last, or the older one that is to be served again.
+pub struct LatestVersionResource {
+    /// The controller that answers.
+    pub controller: Arc<Controller>,
+    /// Which of the two this resource takes.
+    pub report: VersionReport,
 }
 
-fn named(req: &Request) -> (String, String) {
-    req.path_params::<(String, String)>().unwrap_or_default()
+/// What a report of a version means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum VersionReport {
+    /// The trainer has a newer version.
+    Latest,
+    /// An older version is to be served again.
+    Rollback,
 }
 
-async fn text(req: &mut Request) -> Result<String, Receipt> {
-    let body = req.take_body().into_bytes_limit(BODY).await;
-    let body = body.map_err(|_| Receipt::Bad(413, format!("body: cut short or over {BODY} bytes")))?;
-    String::from_utf8(body.to_vec()).map_err(|_| Receipt::Bad(400, "body: not UTF-8".into()))
+/// How many replicas of one zone and phase a limit lets serve.
+#[derive(Clone, Copy, Debug, Default, Serialize)]
+struct ReplicaCounts {
+    inside: u32,
+    past: u32,
+    unknown: u32,
 }
 
-fn base(req: &Request) -> Option<u64> {
-    req.header("if-match")?.trim().trim_matches('"').parse().ok()
+/// Replica counts by zone and phase.
+type ReplicasByZone = BTreeMap<String, BTreeMap<String, ReplicaCounts>>;
+
+fn target(request: &Request) -> LimitTarget {
+    let (service, model) = request.path_params::<(String, String)>().unwrap_or_default();
+    LimitTarget { service, model }
 }
 
-impl LimitResource {
-    async fn put(&self, req: &mut Request) -> Result<Receipt, Receipt> {
-        let ((service, model), base) = (named(req), base(req));
-        let text = text(req).await?;
+impl StalenessLimitResource {
+    async fn put(&self, request: &mut Request) -> Result<ApiResponse, ApiError> {
+        let (target, base) = (target(request), if_match(request));
+        let text = read_text(request, MAX_BODY_BYTES).await?;
         let config = self.0.committed.current_config();
-        let config = config.ok_or_else(|| Receipt::Bad(409, "no configuration yet: no routes".into()))?;
-        let ask = staleness_limits::read(&text, base, (&service, &model), config.config());
-        let ask = ask.map_err(|(status, words)| Receipt::Bad(status, words))?;
-        let names = (service.as_str(), model.as_str());
-        Ok(staleness_limits::carry(&self.0, &key(&service, &model), names, ask).await)
+        let config = config.ok_or_else(|| ApiError::conflict("no configuration yet: no routes"))?;
+        let change = staleness_limits::parse_limit(&text, base, &target, config.config())?;
+        Ok(staleness_limits::execute(&self.0, &target, &change).await)
     }
 
-    async fn remove(&self, req: &Request) -> Receipt {
-        let (service, model) = named(req);
-        let Some(base) = base(req) else { return Receipt::Bad(400, "If-Match: missing or not a number".into()) };
-        let ask = LimitChange::Remove { base };
-        staleness_limits::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
+    async fn remove(&self, request: &Request) -> Result<ApiResponse, ApiError> {
+        let base = if_match(request).ok_or_else(missing_if_match)?;
+        let change = StalenessLimitChange::Remove { base };
+        Ok(staleness_limits::execute(&self.0, &target(request), &change).await)
     }
 
-    /// The rule and how far it holds: replicas by zone and half, routers that confirmed.
-    async fn state(&self, service: &str, model: &str) -> Receipt {
-        let key = key(service, model);
-        let rule = self.0.committed.staleness_limit(&key);
-        let Some(rule) = rule.filter(|rule| !rule.removed) else {
-            return Receipt::Bad(404, "no rule for this service and model".into());
-        };
-        let replies = self.0.collect_confirmations(&key, rule.version).await;
-        let (all, good) = replies.iter().flatten().fold((0, 0), |sum, (all, good)| (sum.0 + all, sum.1 + good));
+    /// Returns the limit and how far it holds: replicas by zone and phase, routers that confirmed it.
+    async fn state(&self, target: &LimitTarget) -> Result<ApiResponse, ApiError> {
+        let key = target.key();
+        let limit = self.0.committed.staleness_limit(&key).filter(|limit| !limit.removed);
+        let limit = limit.ok_or_else(staleness_limits::no_limit)?;
+        let replies = self.0.collect_confirmations(&key, limit.version).await;
+        let (routers, confirmed) =
+            replies.iter().flatten().fold((0, 0), |sum, (all, confirmed)| (sum.0 + all, sum.1 + confirmed));
         let silent = replies.iter().filter(|reply| reply.is_none()).count();
-        let value = serde_json::json!({
-            "service": service, "model": model, "version": rule.version, "latest": rule.latest, "lag": rule.lag,
-            "floor": rule.floor(), "routes": rule.routes, "rollbacks": rule.rollbacks, "reason": rule.reason,
-            "replicas": self.replicas(&rule), "routers": all, "routers_confirmed": good, "keepers_silent": silent,
-        });
-        Receipt::Text(value.to_string().into_bytes())
+        Ok(ApiResponse::json(&serde_json::json!({
+            "service": target.service, "model": target.model, "version": limit.version, "latest": limit.latest,
+            "lag": limit.lag, "floor": limit.floor(), "routes": limit.routes, "rollbacks": limit.rollbacks,
+            "reason": limit.reason, "replicas": self.replicas(&limit), "routers": routers,
+            "routers_confirmed": confirmed, "keepers_silent": silent,
+        })))
     }
 
-    fn replicas(&self, rule: &StalenessLimit) -> Value {
-        self.0.engines.read_with_weights(|sheets, weights| replicas(sheets, weights, rule))
+    fn replicas(&self, limit: &StalenessLimit) -> ReplicasByZone {
+        self.0.engines.read_with_weights(|lists, weights| replicas(lists, weights, limit))
     }
 }
 
-fn replicas(sheets: &EndpointLists, weights: &BTreeMap<String, WeightVersions>, rule: &StalenessLimit) -> Value {
+fn replicas(
+    lists: &EndpointLists,
+    weights: &BTreeMap<String, WeightVersions>,
+    limit: &StalenessLimit,
+) -> ReplicasByZone {
     let versions: HashMap<&str, u64> = weights
         .values()
         .flat_map(|list| &list.list)
-        .filter(|(_, model, _)| *model == rule.model)
+        .filter(|(_, model, _)| *model == limit.model)
         .map(|(id, _, version)| (id.as_str(), *version))
         .collect();
-    let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
-    let engines = sheets.iter().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
-    for engine in engines.filter(|engine| engine.up) {
-        let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
-        let place = match versions.get(engine.id.as_str()) {
-            Some(version) if *version >= rule.floor() => 0,
-            Some(_) => 1,
-            None => 2,
-        };
-        zones.entry(&engine.zone).or_default().entry(half).or_default()[place] += 1;
+    let mut zones = ReplicasByZone::new();
+    let engines = lists.iter().flat_map(|list| &list.engines);
+    for engine in engines.filter(|engine| engine.service == limit.service && engine.up) {
+        let phase = if engine.phase.is_empty() { UNSPLIT_PHASE } else { engine.phase.as_str() };
+        let counts = zones.entry(engine.zone.clone()).or_default().entry(phase.into()).or_default();
+        match versions.get(engine.id.as_str()) {
+            Some(version) if *version >= limit.floor() => counts.inside += 1,
+            Some(_) => counts.past += 1,
+            None => counts.unknown += 1,
+        }
     }
-    let halves = |counts: &[u32; 3]| serde_json::json!({"inside": counts[0], "past": counts[1], "unknown": counts[2]});
-    let zone = |(zone, list): (&&str, &BTreeMap<&str, [u32; 3]>)| {
-        let list: Map<String, Value> = list.iter().map(|(half, counts)| (half.to_string(), halves(counts))).collect();
-        (zone.to_string(), Value::Object(list))
-    };
-    Value::Object(zones.iter().map(zone).collect())
+    zones
 }
 
-impl Endpoint for Rollouts {
-    type Output = Response;
+impl RolloutCollection {
+    async fn start(&self, request: &mut Request) -> Result<ApiResponse, ApiError> {
+        let text = read_text(request, MAX_BODY_BYTES).await?;
+        version_rollouts::start(&self.0, &text).await
+    }
 
-    async fn call(&self, mut req: Request) -> poem::Result<Response> {
-        if req.method() == Method::POST {
-            let receipt = match text(&mut req).await {
-                Ok(text) => version_rollouts::start(&self.0, &text).await,
-                Err(receipt) => receipt,
-            };
-            return Ok(routes::write(receipt));
-        }
-        let shown = |rule: &StalenessLimit| {
-            serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
-                    "floor": rule.floor(), "latest": rule.latest, "lag": rule.lag, "routes": rule.routes})
-        };
-        let list: Vec<Value> = self
-            .0
-            .committed
-            .read(|state| state.staleness_limits.values().filter(|rule| !rule.removed).map(shown).collect());
-        let body = serde_json::json!({ "rollouts": list }).to_string().into_bytes();
-        Ok(routes::write(Receipt::Text(body)))
+    fn list(&self) -> ApiResponse {
+        let limits: Vec<Value> = self.0.committed.read(|state| {
+            let active = state.staleness_limits.values().filter(|limit| !limit.removed);
+            active.map(limit_summary).collect()
+        });
+        ApiResponse::json(&serde_json::json!({ "rollouts": limits }))
     }
 }
 
-impl Endpoint for LimitResource {
-    type Output = Response;
+fn limit_summary(limit: &StalenessLimit) -> Value {
+    serde_json::json!({
+        "service": limit.service, "model": limit.model, "version": limit.version, "floor": limit.floor(),
+        "latest": limit.latest, "lag": limit.lag, "routes": limit.routes,
+    })
+}
 
-    async fn call(&self, mut req: Request) -> poem::Result<Response> {
-        let (service, model) = named(&req);
-        let receipt = match req.method().as_str() {
-            "GET" => self.state(&service, &model).await,
-            "PUT" => self.put(&mut req).await.unwrap_or_else(|receipt| receipt),
-            "DELETE" => self.remove(&req).await,
-            _ => Receipt::Bad(405, "method: GET, PUT or DELETE".into()),
+impl LatestVersionResource {
+    async fn report(&self, request: &mut Request) -> Result<ApiResponse, ApiError> {
+        if request.method() != Method::POST {
+            return Err(ApiError::method_not_allowed("method: POST"));
+        }
+        let target = target(request);
+        let text = read_text(request, MAX_BODY_BYTES).await?;
+        let change = match self.report {
+            VersionReport::Latest => staleness_limits::parse_latest(&text)?,
+            VersionReport::Rollback => staleness_limits::parse_rollback(&text)?,
         };
-        Ok(routes::write(receipt))
+        Ok(staleness_limits::execute(&self.controller, &target, &change).await)
     }
 }
 
-impl Endpoint for Latest {
-    type Output = Response;
+impl Endpoint for RolloutCollection {
+    type Output = ApiResponse;
 
-    async fn call(&self, mut req: Request) -> poem::Result<Response> {
-        if req.method() != Method::POST {
-            return Ok(routes::write(Receipt::Bad(405, "method: POST".into())));
+    async fn call(&self, mut request: Request) -> poem::Result<ApiResponse> {
+        if request.method() == Method::POST {
+            return Ok(self.start(&mut request).await.into());
         }
-        let (service, model) = named(&req);
-        let ask = match text(&mut req).await {
-            Ok(text) => staleness_limits::read_latest(&text, self.1),
-            Err(receipt) => return Ok(routes::write(receipt)),
-        };
-        let receipt = match ask {
-            Ok(ask) => staleness_limits::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
-            Err((status, words)) => Receipt::Bad(status, words),
+        Ok(self.list())
+    }
+}
+
+impl Endpoint for StalenessLimitResource {
+    type Output = ApiResponse;
+
+    async fn call(&self, mut request: Request) -> poem::Result<ApiResponse> {
+        let result = match request.method().as_str() {
+            "GET" => self.state(&target(&request)).await,
+            "PUT" => self.put(&mut request).await,
+            "DELETE" => self.remove(&request).await,
+            _ => Err(ApiError::method_not_allowed("method: GET, PUT or DELETE")),
         };
-        Ok(routes::write(receipt))
+        Ok(result.into())
+    }
+}
+
+impl Endpoint for LatestVersionResource {
+    type Output = ApiResponse;
+
+    async fn call(&self, mut request: Request) -> poem::Result<ApiResponse> {
+        Ok(self.report(&mut request).await.into())
     }
 }
--- /dev/null
+++ b/controller/src/api/status.rs
@@ -0,0 +1,44 @@
+//! Resources that show the state of the fleet. They are read only and answer to every method.
+
+use std::sync::Arc;
+
+use kernel::log;
+use poem::{Endpoint, Request};
+
+use crate::api::response::ApiResponse;
+use crate::controller::Controller;
+use crate::quota_shards::fleet_usage;
+
+/// The last log events of this controller.
+pub struct Journal;
+
+impl Endpoint for Journal {
+    type Output = ApiResponse;
+
+    async fn call(&self, _: Request) -> poem::Result<ApiResponse> {
+        let events: Vec<String> = log::events_since(0).into_iter().map(|line| line.event).collect();
+        Ok(ApiResponse::json(&serde_json::json!({ "events": events })))
+    }
+}
+
+/// Who is live as this controller sees it, and which configuration each router has in force.
+pub struct Fleet(pub Arc<Controller>);
+
+impl Endpoint for Fleet {
+    type Output = ApiResponse;
+
+    async fn call(&self, _: Request) -> poem::Result<ApiResponse> {
+        Ok(ApiResponse::json(&self.0.fleet_view()))
+    }
+}
+
+/// What tenants have used of their limits, over all routers.
+pub struct Tenants(pub Arc<Controller>);
+
+impl Endpoint for Tenants {
+    type Output = ApiResponse;
+
+    async fn call(&self, _: Request) -> poem::Result<ApiResponse> {
+        Ok(ApiResponse::json(&fleet_usage(&self.0).await))
+    }
+}
--- a/controller/src/api/version_rollouts.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -1,51 +1,82 @@
-//! The operator's calls on rollouts of versions: starting one, and where it stands.
+//! The resource of rollouts of versions: starting one, and its state.
 
 use std::sync::Arc;
 
-use poem::{Endpoint, Request, Response};
+use poem::{Endpoint, Request};
 use protocol::version_rollout::{RolloutState, VersionRollout};
 use serde_json::Value;
 
-use crate::api::routes::{self, Receipt};
+use crate::api::operator_requests::request_timeout_ms;
+use crate::api::response::{ApiError, ApiResponse};
 use crate::controller::Controller;
 use crate::replication::registers::Decision;
+use crate::rollout::staleness_limits::unknown_service;
 
 /// The longest that a rollout may take.
-const LONGEST_S: f64 = 7.0 * 86_400.0;
+const MAX_DURATION_S: f64 = 7.0 * 86_400.0;
 
-/// An order to bring a version in.
+/// A request to roll a version out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutRequest {
+    /// The name of the service.
     pub service: String,
+    /// The version to roll out.
     pub target: String,
+    /// How long the rollout is to take.
     pub duration_ms: u64,
 }
 
-/// What is wrong with an order: a status and words.
-pub type Refusal = (u16, String);
-
 impl RolloutRequest {
-    /// Reads an order; `knows`: is there a service of this name?
-    pub fn read(text: &str, knows: impl Fn(&str) -> bool) -> Result<RolloutRequest, Refusal> {
-        let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
-        let word = |name: &str| {
-            let text = value[name].as_str().filter(|text| !text.trim().is_empty());
-            text.map(str::to_string).ok_or_else(|| (400, format!("{name}: found {}, must be a name", value[name])))
-        };
-        let (service, target) = (word("service")?, word("target_version")?);
-        if !knows(&service) {
-            return Err((404, format!("service `{service}`: not known")));
+    /// Parses a request. `is_known_service` returns whether there is a service of a name.
+    ///
+    /// # Errors
+    ///
+    /// Returns which part of the request is missing, malformed or unknown.
+    pub fn parse(text: &str, is_known_service: impl Fn(&str) -> bool) -> Result<RolloutRequest, ApiError> {
+        let value: Value =
+            serde_json::from_str(text).map_err(|error| ApiError::bad_request(format!("body: {error}")))?;
+        let (service, target) = (name(&value, "service")?, name(&value, "target_version")?);
+        if !is_known_service(&service) {
+            return Err(unknown_service(&service));
         }
-        let duration_s = value["duration_s"].as_f64().filter(|time| *time > 0.0 && *time <= LONGEST_S);
+        let duration_s = value["duration_s"].as_f64().filter(|time| *time > 0.0 && *time <= MAX_DURATION_S);
         let duration_s = duration_s.ok_or_else(|| {
-            (400, format!("duration_s: found {}, must be a number above 0, {LONGEST_S} at most", value["duration_s"]))
+            let found = &value["duration_s"];
+            let message = format!("duration_s: found {found}, must be a number above 0, {MAX_DURATION_S} at most");
+            ApiError::bad_request(message)
         })?;
         Ok(RolloutRequest { service, target, duration_ms: (duration_s * 1000.0) as u64 })
     }
 
-    /// What the order comes to on top of the newest rollout. Ok(None): it was taken before.
-    pub fn on(&self, held: Option<&VersionRollout>) -> Result<Option<VersionRollout>, Refusal> {
-        let fresh = VersionRollout {
+    /// Returns the rollout that the request leads to on top of the newest one. `Ok(None)`: the same request was carried
+    /// out before.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the rollout can't be started now.
+    pub fn decide(&self, stored: Option<&VersionRollout>) -> Result<Option<VersionRollout>, ApiError> {
+        let Some(stored) = stored else { return Ok(Some(self.first_rollout())) };
+        if stored.target == self.target && stored.duration_ms == self.duration_ms {
+            return Ok(None);
+        }
+        if stored.state == RolloutState::Active {
+            return Err(ApiError::conflict(format!("rollout: version {} is being brought in", stored.target)));
+        }
+        let stable = match stored.state {
+            RolloutState::Complete => Some(stored.target.clone()),
+            _ => stored.stable.clone(),
+        };
+        if stable.as_ref() == Some(&self.target) {
+            return Err(ApiError::bad_request(format!("target_version: {} is in place", self.target)));
+        }
+        let mut reverted = stored.reverted.clone();
+        reverted.retain(|version| *version != self.target);
+        let (number, order) = (stored.number + 1, stored.order + 1);
+        Ok(Some(VersionRollout { number, order, stable, reverted, ..self.first_rollout() }))
+    }
+
+    fn first_rollout(&self) -> VersionRollout {
+        VersionRollout {
             service: self.service.clone(),
             number: 1,
             order: 1,
@@ -57,85 +88,95 @@
             stable: None,
             reverted: Vec::new(),
             reason: String::new(),
-        };
-        let Some(held) = held else { return Ok(Some(fresh)) };
-        if held.target == self.target && held.duration_ms == self.duration_ms {
-            return Ok(None);
-        }
-        if held.state == RolloutState::Active {
-            return Err((409, format!("rollout: version {} is being brought in", held.target)));
         }
-        let stable = match held.state {
-            RolloutState::Complete => Some(held.target.clone()),
-            _ => held.stable.clone(),
-        };
-        if stable.as_ref() == Some(&self.target) {
-            return Err((400, format!("target_version: {} is in place", self.target)));
-        }
-        let mut reverted = held.reverted.clone();
-        reverted.retain(|version| *version != self.target);
-        Ok(Some(VersionRollout { number: held.number + 1, order: held.order + 1, stable, reverted, ..fresh }))
     }
 }
 
+/// Returns a name that must be there and not blank.
+fn name(value: &Value, field: &str) -> Result<String, ApiError> {
+    let name = value[field].as_str().filter(|name| !name.trim().is_empty());
+    name.map(str::to_string)
+        .ok_or_else(|| ApiError::bad_request(format!("{field}: found {}, must be a name", value[field])))
+}
+
 /// Starts a rollout.
-pub async fn start(controller: &Arc<Controller>, text: &str) -> Receipt {
+///
+/// # Errors
+///
+/// Returns why the request is rejected.
+pub async fn start(controller: &Arc<Controller>, text: &str) -> Result<ApiResponse, ApiError> {
     if controller.peers.requests_may_be_stale() {
-        return Receipt::Unclear;
+        return Ok(ApiResponse::OutcomeUnknown);
     }
-    let config = controller.committed.current_config();
-    let Some(config) = config else { return Receipt::Unclear };
-    let knows = |name: &str| config.config().service_table.iter().any(|service| service.name == name);
-    let order = match RolloutRequest::read(text, knows) {
-        Ok(order) => order,
-        Err((status, words)) => return Receipt::Bad(status, words),
-    };
-    let judge = |body: &[u8]| {
-        let held = VersionRollout::from_bytes(body);
-        if held.is_none() && !body.is_empty() {
-            return Decision::Answer(Receipt::Unclear);
+    let Some(config) = controller.committed.current_config() else { return Ok(ApiResponse::OutcomeUnknown) };
+    let is_known_service = |name: &str| config.config().service_table.iter().any(|service| service.name == name);
+    let request = RolloutRequest::parse(text, is_known_service)?;
+    let decide = |body: &[u8]| {
+        let stored = VersionRollout::from_bytes(body);
+        if stored.is_none() && !body.is_empty() {
+            return Decision::Answer(ApiResponse::OutcomeUnknown);
         }
-        match order.on(held.as_ref()) {
-            Ok(None) => Decision::Answer(Receipt::Good),
-            Ok(Some(next)) => Decision::Write(next.to_bytes(), Receipt::Good),
-            Err((status, words)) => Decision::Answer(Receipt::Bad(status, words)),
+        match request.decide(stored.as_ref()) {
+            Ok(None) => Decision::Answer(ApiResponse::Done),
+            Ok(Some(next)) => Decision::Write(next.to_bytes(), ApiResponse::Done),
+            Err(error) => Decision::Answer(error.into()),
         }
     };
-    let key = VersionRollout::key(&order.service);
-    controller.change(&key, routes::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
+    let key = VersionRollout::key(&request.service);
+    let result = controller.change(&key, request_timeout_ms(controller), decide).await;
+    Ok(result.unwrap_or(ApiResponse::OutcomeUnknown))
 }
 
-/// Where the newest rollout of a service stands.
-pub struct Rollout(pub Arc<Controller>);
+/// The newest rollout of a service.
+pub struct VersionRolloutResource(pub Arc<Controller>);
+
+/// What a register with a rollout holds.
+enum StoredRollout {
+    Rollout(VersionRollout),
+    Empty,
+    Unreadable,
+}
+
+impl StoredRollout {
+    fn decode(body: &[u8]) -> StoredRollout {
+        match VersionRollout::from_bytes(body) {
+            Some(rollout) => StoredRollout::Rollout(rollout),
+            None if body.is_empty() => StoredRollout::Empty,
+            None => StoredRollout::Unreadable,
+        }
+    }
+}
 
-impl Rollout {
-    async fn read(&self, service: &str) -> Receipt {
-        let judge = |body: &[u8]| Decision::Answer((VersionRollout::from_bytes(body), body.is_empty()));
+impl VersionRolloutResource {
+    async fn read(&self, service: &str) -> ApiResponse {
+        let decide = |body: &[u8]| Decision::Answer(StoredRollout::decode(body));
         let key = VersionRollout::key(service);
-        match self.0.change(&key, routes::wait_ms(&self.0), judge).await {
-            Some((Some(rollout), _)) => Receipt::Text(shown(&rollout).to_string().into_bytes()),
-            Some((None, true)) => Receipt::Bad(404, format!("service `{service}`: no rollout")),
-            _ => Receipt::Unclear,
+        match self.0.change(&key, request_timeout_ms(&self.0), decide).await {
+            Some(StoredRollout::Rollout(rollout)) => ApiResponse::json(&rollout_state(&rollout)),
+            Some(StoredRollout::Empty) => ApiError::not_found(format!("service `{service}`: no rollout")).into(),
+            Some(StoredRollout::Unreadable) | None => ApiResponse::OutcomeUnknown,
         }
     }
 }
 
-/// A rollout as operators see it.
-fn shown(rollout: &VersionRollout) -> Value {
-    serde_json::json!({"oper_state": rollout.state.word(), "target_version": rollout.target,
-        "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted})
+/// Returns a rollout as operators see it.
+fn rollout_state(rollout: &VersionRollout) -> Value {
+    serde_json::json!({
+        "oper_state": rollout.state.word(), "target_version": rollout.target,
+        "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted,
+    })
 }
 
-impl Endpoint for Rollout {
-    type Output = Response;
+impl Endpoint for VersionRolloutResource {
+    type Output = ApiResponse;
 
-    async fn call(&self, req: Request) -> poem::Result<Response> {
-        let service = req.path_params::<String>().unwrap_or_default();
-        let receipt = match req.method().as_str() {
+    async fn call(&self, request: Request) -> poem::Result<ApiResponse> {
+        let service = request.path_params::<String>().unwrap_or_default();
+        let response = match request.method().as_str() {
             "GET" => self.read(&service).await,
-            _ => Receipt::Bad(405, "method: GET".into()),
+            _ => ApiError::method_not_allowed("method: GET").into(),
         };
-        Ok(routes::write(receipt))
+        Ok(response)
     }
 }
 
--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -1,75 +1,102 @@
-//! One job under way: begun on a majority, sent once, and its outcome written.
+//! One attempt of a job: started on a majority, sent once, and its outcome written.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use batch::attempt::{state_after, Outcome};
-use batch::page::State;
+use batch::page::{Bar, Page, State};
+use batch::sheet::{Batch, Job};
 use batch::{turn, PAGE};
 use kernel::clock;
 use reqwest::Client;
 use tokio::time;
 
-use crate::batches::runner::{self, InFlight, Shared, LOOK_MS};
+use crate::batches::runner::{self, InFlight, JobId, PageChange, SharedInFlight, POLL_INTERVAL_MS};
 use crate::batches::{job_request, records};
 use crate::controller::Controller;
 use crate::event::JOB;
 
-/// A job never gets longer than this for one attempt, whatever its route says.
-const ATTEMPT_MS: u64 = 120_000;
+/// The longest time for one attempt, whatever the route allows.
+const MAX_ATTEMPT_MS: u64 = 120_000;
 
-pub async fn run(controller: Arc<Controller>, client: Client, in_flight: Shared, send: turn::Send, epoch: u64) {
-    attempt(&controller, &client, &in_flight, &send, epoch).await;
-    in_flight.lock().jobs.remove(&(send.id.clone(), send.job));
+/// One attempt of one job, under the epoch in which this controller owns the batches.
+pub struct JobAttempt {
+    /// The controller that sends the job.
+    pub controller: Arc<Controller>,
+    /// The client that it is sent with.
+    pub client: Client,
+    /// The jobs in flight; this one is among them until the attempt has ended.
+    pub in_flight: SharedInFlight,
+    /// Which job it is.
+    pub dispatch: turn::Send,
+    /// The epoch of the owner of the batches.
+    pub epoch: u64,
 }
 
-async fn attempt(
-    controller: &Arc<Controller>,
-    client: &Client,
-    in_flight: &Shared,
-    send: &turn::Send,
-    epoch: u64,
-) -> Option<()> {
-    let (id, at) = (send.id.as_str(), send.job);
-    let batch = controller.committed.read(|state| records::batch(state, id))?;
-    let job = batch.jobs.get(at)?;
-    let (number, slot) = (at / PAGE, at % PAGE);
-    let router = controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
-    let begun = runner::change(controller, id, &batch, number, |page| page.begin(slot, epoch)).await;
-    if begun == Some(false) {
-        return None;
+impl JobAttempt {
+    /// Makes the attempt.
+    pub async fn run(self) {
+        self.attempt().await;
+        self.in_flight.lock().jobs.remove(&JobId::of(&self.dispatch));
     }
-    // Not durable, or no longer the owner at the moment of the send: it is not sent.
-    let owner = runner::acting_epoch(controller, clock::now()) == Some(epoch);
-    let outcome = match begun.is_some() && owner {
-        true => job_request::send(client, &router, job, send.press, batch.left_ms().min(ATTEMPT_MS)).await,
-        false => Outcome::NotRun { retry_after_ms: None },
-    };
-    let state = in_flight.lock().note(send, outcome, job.repeatable);
-    if state.closed() {
-        kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
+
+    async fn attempt(&self) -> Option<()> {
+        let (id, at) = (self.dispatch.id.as_str(), self.dispatch.job);
+        let batch = self.controller.committed.read(|state| records::batch(state, id))?;
+        let job = batch.jobs.get(at)?;
+        let router = self.controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
+        let started = self.change_page(&batch, |page, slot| page.begin(slot, self.epoch)).await;
+        if started == PageChange::Rejected {
+            return None;
+        }
+        let outcome = self.send(&batch, job, &router, started).await;
+        let state = self.in_flight.lock().record(&self.dispatch, outcome, job.repeatable);
+        if state.closed() {
+            kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
+        }
+        self.write_outcome(&batch, &state).await;
+        Some(())
+    }
+
+    /// Sends the job, unless its start is not durable or this controller has ceased to be the owner.
+    async fn send(&self, batch: &Batch, job: &Job, router: &str, started: PageChange) -> Outcome {
+        let is_owner = runner::acting_epoch(&self.controller, clock::now()) == Some(self.epoch);
+        if started != PageChange::Committed || !is_owner {
+            return Outcome::NotRun { retry_after_ms: None };
+        }
+        let remaining_ms = batch.left_ms().min(MAX_ATTEMPT_MS);
+        job_request::send(&self.client, router, job, self.dispatch.press, remaining_ms).await
     }
-    // Until it is written or another owner holds the page: an answer in hand is not thrown away.
-    while runner::change(controller, id, &batch, number, |page| page.close(slot, epoch, state.clone())).await.is_none()
-    {
-        time::sleep(Duration::from_millis(LOOK_MS)).await;
+
+    /// Tries until the outcome is written or another owner has claimed the page: a response that came is not thrown
+    /// away.
+    async fn write_outcome(&self, batch: &Batch, state: &State) {
+        let finish = |page: &mut Page, slot| page.close(slot, self.epoch, state.clone());
+        while self.change_page(batch, finish).await == PageChange::OutcomeUnknown {
+            time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
+        }
+    }
+
+    /// Changes the page with this job. `change` gets the page and where the job stands in it.
+    async fn change_page(&self, batch: &Batch, change: impl Fn(&mut Page, usize) -> Result<(), Bar>) -> PageChange {
+        let (number, slot) = (self.dispatch.job / PAGE, self.dispatch.job % PAGE);
+        runner::change_page(&self.controller, &self.dispatch.id, batch, number, |page| change(page, slot)).await
     }
-    Some(())
 }
 
 impl InFlight {
-    /// Counts what came of an attempt; gives the job's state after it.
-    fn note(&mut self, send: &turn::Send, outcome: Outcome, repeatable: bool) -> State {
-        let mut lost = 0;
+    /// Records the outcome of an attempt, and returns the state of the job after it.
+    fn record(&mut self, dispatch: &turn::Send, outcome: Outcome, repeatable: bool) -> State {
+        let mut unknown_count = 0;
         match &outcome {
-            Outcome::Answered { .. } => self.pace.good(),
-            Outcome::NotRun { retry_after_ms } => self.pace.refused(*retry_after_ms, clock::now()),
+            Outcome::Answered { .. } => self.limit.good(),
+            Outcome::NotRun { retry_after_ms } => self.limit.refused(*retry_after_ms, clock::now()),
             Outcome::Lost => {
-                let count = self.lost.entry((send.id.clone(), send.job)).or_default();
+                let count = self.unknown_outcomes.entry(JobId::of(dispatch)).or_default();
                 *count += 1;
-                lost = *count;
+                unknown_count = *count;
             }
         }
-        state_after(outcome, repeatable, lost)
+        state_after(outcome, repeatable, unknown_count)
     }
 }
--- a/controller/src/batches/job_request.rs
+++ b/controller/src/batches/job_request.rs
@@ -1,4 +1,4 @@
-//! One job as a request to a router, sent once: what came of it, as a value.
+//! One job as a request to a router, sent once, and what came of it as a value.
 
 use std::time::Duration;
 
@@ -8,63 +8,75 @@
 use batch::ANSWER;
 use kernel::new_incarnation;
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
-use reqwest::{Client, Method, Response};
+use reqwest::{Client, Method, RequestBuilder, Response};
 
-/// Header by which a router knows deferrable work; it never reaches an engine.
+/// The header by which a router recognizes deferrable work; it never reaches an engine.
 const DEFERRABLE: &str = "deferrable";
 
-/// What a router answers when a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Answers that leave open whether it has run.
-const UNCLEAR: [u16; 3] = [500, 502, 504];
+/// Statuses with which a router answers a request that has not run and never will.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that leave open whether the request has run.
+const UNKNOWN_OUTCOME_STATUSES: [u16; 3] = [500, 502, 504];
 
-pub async fn send(client: &Client, router: &str, job: &Job, press: Press, left_ms: u64) -> Outcome {
+/// Sends a job to a router and returns what came of it. `remaining_ms` is how long it may take.
+pub async fn send(client: &Client, router: &str, job: &Job, urgency: Press, remaining_ms: u64) -> Outcome {
     let Ok(method) = Method::from_bytes(job.method.as_bytes()) else {
         return Outcome::Answered { status: 400, body: String::new() };
     };
-    let left_ms = left_ms.max(1);
-    let mut call = client
-        .request(method, format!("http://{router}{}", job.path))
-        .timeout(Duration::from_millis(left_ms))
-        .header("host", &job.host)
-        .header(ATTEMPT_ID, format!("{:016x}", new_incarnation()))
-        .header(TIME_BUDGET, left_ms.to_string())
-        .header(DEFERRABLE, if press == Press::Near { "near" } else { "idle" });
-    for (name, value) in &job.head {
-        call = call.header(name, value);
-    }
-    let reply = match call.body(job.body.clone()).send().await {
-        Ok(reply) => reply,
+    let request = build_request(client, method, router, job, urgency, remaining_ms.max(1));
+    let response = match request.send().await {
+        Ok(response) => response,
         Err(error) if error.is_connect() => return Outcome::NotRun { retry_after_ms: None },
         Err(_) => return Outcome::Lost,
     };
-    let status = reply.status().as_u16();
-    if PROMISES.contains(&status) {
-        return Outcome::NotRun { retry_after_ms: retry_after_ms(&reply) };
+    let status = response.status().as_u16();
+    if NOT_EXECUTED_STATUSES.contains(&status) {
+        return Outcome::NotRun { retry_after_ms: retry_after_ms(&response) };
     }
-    if UNCLEAR.contains(&status) {
+    if UNKNOWN_OUTCOME_STATUSES.contains(&status) {
         return Outcome::Lost;
     }
-    read_body(reply).await
+    read_body(response).await
+}
+
+fn build_request(
+    client: &Client,
+    method: Method,
+    router: &str,
+    job: &Job,
+    urgency: Press,
+    remaining_ms: u64,
+) -> RequestBuilder {
+    let mut request = client
+        .request(method, format!("http://{router}{}", job.path))
+        .timeout(Duration::from_millis(remaining_ms))
+        .header("host", &job.host)
+        .header(ATTEMPT_ID, format!("{:016x}", new_incarnation()))
+        .header(TIME_BUDGET, remaining_ms.to_string())
+        .header(DEFERRABLE, if urgency == Press::Near { "near" } else { "idle" });
+    for (name, value) in &job.head {
+        request = request.header(name, value);
+    }
+    request.body(job.body.clone())
 }
 
-fn retry_after_ms(reply: &Response) -> Option<u64> {
-    let seconds: f64 = reply.headers().get("retry-after")?.to_str().ok()?.parse().ok()?;
+fn retry_after_ms(response: &Response) -> Option<u64> {
+    let seconds: f64 = response.headers().get("retry-after")?.to_str().ok()?.parse().ok()?;
     Some((seconds * 1000.0) as u64)
 }
 
-async fn read_body(mut reply: Response) -> Outcome {
-    let status = reply.status().as_u16();
+async fn read_body(mut response: Response) -> Outcome {
+    let status = response.status().as_u16();
     let mut body = Vec::new();
     loop {
-        match reply.chunk().await {
-            Ok(Some(piece)) => body.extend_from_slice(&piece),
+        match response.chunk().await {
+            Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => break,
             Err(_) => return Outcome::Lost,
         }
         if body.len() > ANSWER {
-            // Told plainly rather than cut: the answer is larger than a receipt may be.
-            return Outcome::Answered { status: 507, body: format!("answer over {} bytes", ANSWER) };
+            // A response that is too long to be stored is reported as such: a truncated one would look complete.
+            return Outcome::Answered { status: 507, body: format!("answer over {ANSWER} bytes") };
         }
     }
     Outcome::Answered { status, body: String::from_utf8_lossy(&body).into_owned() }
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -1,5 +1,8 @@
-//! The owner of the batches: claims their pages under its epoch, sends jobs to routers as a client
-//! does, and writes their receipts.
+//! The owner of the batches: it claims their pages under its epoch, sends jobs to routers as a client does, and writes
+//! the outcomes.
+//!
+//! A page is changed only under the epoch that claimed it, so that an owner that was superseded can't write an outcome
+//! over that of its successor.
 
 use std::collections::{HashMap, HashSet};
 use std::mem;
@@ -16,238 +19,320 @@
 use protocol::socket::SILENCE_MS;
 use reqwest::Client;
 
-use crate::batches::{job_attempt, records};
+use crate::batches::job_attempt::JobAttempt;
+use crate::batches::records;
 use crate::controller::Controller;
 use crate::http_client;
 use crate::replication::registers::Decision;
 use crate::roles::{self, BATCH};
 
-pub const LOOK_MS: u64 = 250;
-const CONNECT_MS: u64 = 700;
-/// How long one change of a batch, and of one of its pages, may take.
-const BATCH_CHANGE_MS: u64 = 2000;
-const PAGE_CHANGE_MS: u64 = 3000;
-/// The most jobs under way at once.
-const PLACES: usize = 64;
+/// How often the owner looks at the batches.
+pub const POLL_INTERVAL_MS: u64 = 250;
+const CONNECT_TIMEOUT_MS: u64 = 700;
+/// How long one change of a batch may take.
+const BATCH_CHANGE_TIMEOUT_MS: u64 = 2000;
+/// How long one change of a page may take.
+const PAGE_CHANGE_TIMEOUT_MS: u64 = 3000;
+/// The most jobs in flight at once.
+const MAX_IN_FLIGHT: usize = 64;
+/// Elapsed time is written so many times in the course of a window, or of the time that a finished batch is kept.
+const ELAPSED_WRITES: u64 = 20;
+/// Elapsed time of an open batch is written when it comes to at least this.
+const MIN_ELAPSED_WRITE_MS: u64 = 500;
+/// Elapsed time of an open batch is written at the latest when it comes to this.
+const MAX_ELAPSED_WRITE_MS: u64 = 30_000;
 
-/// What this life holds of the batches.
+/// What this controller knows as the owner of the batches.
 #[derive(Default)]
-struct Runner {
+struct OwnerState {
     epoch: u64,
+    /// Ids of batches whose pages are claimed under this epoch.
     claimed: HashSet<String>,
     /// When the batches were last looked at.
-    looked: u64,
+    polled_at: u64,
 }
 
-/// Steady time spent on each batch that is not yet written.
+/// Steady time that has elapsed for each batch and is not yet written.
 #[derive(Default)]
-pub struct Tallies(Mutex<TallyTable>);
+pub struct ElapsedTimes(Mutex<HashMap<String, u64>>);
 
-#[derive(Default)]
-struct TallyTable(HashMap<String, u64>);
+impl ElapsedTimes {
+    fn add(&self, id: &str, elapsed_ms: u64) -> u64 {
+        let mut times = self.0.lock();
+        let sum = times.entry(id.into()).or_default();
+        *sum += elapsed_ms;
+        *sum
+    }
 
-impl TallyTable {
-    fn add(&mut self, id: &str, spent: u64) -> u64 {
-        let held = self.0.entry(id.into()).or_default();
-        *held += spent;
-        *held
+    fn take(&self, id: &str) -> u64 {
+        self.0.lock().remove(id).unwrap_or(0)
     }
+}
+
+/// A job, by its batch and its number there.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct JobId {
+    /// The id of the batch.
+    pub batch_id: String,
+    /// The number of the job in the batch, from 0.
+    pub job: usize,
+}
 
-    fn take(&mut self, id: &str) -> u64 {
-        self.0.remove(id).unwrap_or(0)
+impl JobId {
+    /// Returns which job a dispatch is for.
+    pub fn of(dispatch: &turn::Send) -> JobId {
+        JobId { batch_id: dispatch.id.clone(), job: dispatch.job }
     }
 }
 
-pub type Shared = Arc<Mutex<InFlight>>;
+/// The jobs in flight, shared by the runner and all attempts.
+pub type SharedInFlight = Arc<Mutex<InFlight>>;
 
-/// Jobs under way, by batch and number. Invariant: a job is in `jobs` from before its send to after its
-/// receipt.
+/// The jobs in flight. Invariant: a job is in `jobs` from before it is sent until after its outcome is written.
 pub struct InFlight {
-    pub jobs: HashSet<(String, usize)>,
-    /// Attempts that were lost, by job.
-    pub lost: HashMap<(String, usize), u32>,
-    pub pace: Pace,
+    /// The jobs.
+    pub jobs: HashSet<JobId>,
+    /// How many attempts of a job had an unknown outcome.
+    pub unknown_outcomes: HashMap<JobId, u32>,
+    /// How many jobs may be in flight.
+    pub limit: Pace,
 }
 
 /// A batch that has jobs to send.
-struct Open {
+struct OpenBatch {
     id: String,
     batch: Batch,
     waiting: Vec<usize>,
 }
 
+/// What came of a change of a page.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PageChange {
+    /// The page is as it was to be.
+    Committed,
+    /// Another owner has claimed the page, or the job has its outcome.
+    Rejected,
+    /// It is not known whether the page was changed.
+    OutcomeUnknown,
+}
+
+/// Carries batches out whenever this controller owns them, for as long as the process runs.
 pub fn start(controller: &Arc<Controller>) {
-    let wait = Duration::from_millis;
-    let client = http_client::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
-    let Ok(client) = client.build() else { return };
-    let controller = controller.clone();
+    let (connect_timeout, unacknowledged) =
+        (Duration::from_millis(CONNECT_TIMEOUT_MS), Duration::from_millis(SILENCE_MS));
+    let Ok(client) = http_client::at_most_once(connect_timeout, unacknowledged).build() else { return };
+    let limit = Pace::new(MAX_IN_FLIGHT);
+    let in_flight = InFlight { jobs: HashSet::new(), unknown_outcomes: HashMap::new(), limit };
+    let mut runner = Runner {
+        controller: controller.clone(),
+        client,
+        in_flight: Arc::new(Mutex::new(in_flight)),
+        owner: OwnerState::default(),
+    };
     tokio::spawn(async move {
-        let mut beat = startup::interval(LOOK_MS);
-        let pace = Pace::new(PLACES);
-        let in_flight: Shared = Arc::new(Mutex::new(InFlight { jobs: HashSet::new(), lost: HashMap::new(), pace }));
-        let mut runner = Runner::default();
+        let mut interval = startup::interval(POLL_INTERVAL_MS);
         loop {
-            beat.tick().await;
-            look(&controller, &client, &mut runner, &in_flight).await;
+            interval.tick().await;
+            runner.poll().await;
         }
     });
 }
 
-/// The epoch under which batches may be run now: the last owner has stopped by then.
+/// Returns the epoch under which batches may be run now: the previous owner has stopped by then.
 pub fn acting_epoch(controller: &Controller, now: u64) -> Option<u64> {
     roles::acting_epoch(controller, BATCH, now)
 }
 
-async fn look(controller: &Arc<Controller>, client: &Client, runner: &mut Runner, in_flight: &Shared) {
-    if controller.shutting_down.load(Ordering::Relaxed) {
-        // The next holder sends the rest; what is under way here is finished.
-        return;
-    }
-    let now = clock::now();
-    let ids = controller.committed.read(records::ids);
-    let epoch = if ids.is_empty() { None } else { acting_epoch(controller, now) };
-    let Some(epoch) = epoch else {
-        runner.looked = now;
-        return;
-    };
-    if !roles::declare_predecessor_expired(controller, BATCH, epoch).await {
-        return;
-    }
-    if epoch != runner.epoch {
-        *runner = Runner { epoch, looked: now, ..Runner::default() };
+struct Runner {
+    controller: Arc<Controller>,
+    client: Client,
+    in_flight: SharedInFlight,
+    owner: OwnerState,
+}
+
+impl Runner {
+    async fn poll(&mut self) {
+        if self.controller.shutting_down.load(Ordering::Relaxed) {
+            // The next owner sends the rest; what is in flight here is finished.
+            return;
+        }
+        let now = clock::now();
+        let ids = self.controller.committed.read(records::ids);
+        let epoch = if ids.is_empty() { None } else { acting_epoch(&self.controller, now) };
+        let Some(epoch) = epoch else {
+            self.owner.polled_at = now;
+            return;
+        };
+        if !roles::declare_predecessor_expired(&self.controller, BATCH, epoch).await {
+            return;
+        }
+        if epoch != self.owner.epoch {
+            self.owner = OwnerState { epoch, polled_at: now, ..OwnerState::default() };
+        }
+        let elapsed_ms = now.saturating_sub(mem::replace(&mut self.owner.polled_at, now));
+        let open = self.open_batches(&ids, elapsed_ms).await;
+        for dispatch in self.next(&open, now) {
+            self.dispatch(dispatch);
+        }
     }
-    let spent = now.saturating_sub(mem::replace(&mut runner.looked, now));
-    let mut open = Vec::new();
-    for id in &ids {
-        if !runner.claimed.contains(id) {
-            if !claim(controller, id, epoch).await {
-                continue;
+
+    /// Claims batches that are new to this owner, and returns those that have jobs to send.
+    async fn open_batches(&mut self, ids: &[String], elapsed_ms: u64) -> Vec<OpenBatch> {
+        let (controller, epoch) = (&self.controller, self.owner.epoch);
+        let mut open = Vec::new();
+        for id in ids {
+            if !self.owner.claimed.contains(id) {
+                if !claim(controller, id, epoch).await {
+                    continue;
+                }
+                self.owner.claimed.insert(id.clone());
             }
-            runner.claimed.insert(id.clone());
+            let Some(batch) = maintain(controller, id, elapsed_ms, epoch).await else { continue };
+            let waiting = self.waiting(id, &batch);
+            open.push(OpenBatch { id: id.clone(), batch, waiting });
         }
-        let Some(batch) = tend(controller, id, spent, epoch).await else { continue };
-        let waiting = waiting(controller, id, &batch, in_flight);
-        open.push(Open { id: id.clone(), batch, waiting });
+        open
     }
-    for send in next(&open, in_flight, now) {
-        in_flight.lock().jobs.insert((send.id.clone(), send.job));
-        controller.shutdown.spawn(job_attempt::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
+
+    /// Returns the jobs of a batch that wait and are not in flight.
+    fn waiting(&self, id: &str, batch: &Batch) -> Vec<usize> {
+        self.controller.committed.read(|state| {
+            let in_flight = self.in_flight.lock();
+            let mut waiting = Vec::new();
+            for (number, page) in records::pages(state, id, batch).enumerate() {
+                let slots = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
+                waiting.extend(slots.map(|(slot, _)| number * PAGE + slot));
+            }
+            waiting.retain(|job| !in_flight.jobs.contains(&JobId { batch_id: id.into(), job: *job }));
+            waiting
+        })
     }
-}
 
-/// The jobs of a batch that wait and are not under way.
-fn waiting(controller: &Controller, id: &str, batch: &Batch, in_flight: &Shared) -> Vec<usize> {
-    controller.committed.read(|state| {
-        let in_flight = in_flight.lock();
-        let mut list = Vec::new();
-        for number in 0..batch.pages() {
-            let page = records::page(state, id, batch, number);
-            let waits = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
-            list.extend(waits.map(|(slot, _)| number * PAGE + slot));
-        }
-        list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
-        list
-    })
-}
-
-/// What to send now, into the places that are free.
-fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<turn::Send> {
-    let in_flight = in_flight.lock();
-    let free = in_flight.pace.free(in_flight.jobs.len(), now);
-    let views = open.iter().map(|open| View {
-        id: &open.id,
-        left_ms: open.batch.left_ms(),
-        window_ms: open.batch.window_ms,
-        waiting: open.waiting.clone(),
-    });
-    turn::next(&views.collect::<Vec<_>>(), free)
+    /// Returns what to send now, as far as the limit allows.
+    fn next(&self, open: &[OpenBatch], now: u64) -> Vec<turn::Send> {
+        let in_flight = self.in_flight.lock();
+        let free = in_flight.limit.free(in_flight.jobs.len(), now);
+        let views = open.iter().map(|open| View {
+            id: &open.id,
+            left_ms: open.batch.left_ms(),
+            window_ms: open.batch.window_ms,
+            waiting: open.waiting.clone(),
+        });
+        turn::next(&views.collect::<Vec<_>>(), free)
+    }
+
+    fn dispatch(&self, dispatch: turn::Send) {
+        self.in_flight.lock().jobs.insert(JobId::of(&dispatch));
+        let attempt = JobAttempt {
+            controller: self.controller.clone(),
+            client: self.client.clone(),
+            in_flight: self.in_flight.clone(),
+            dispatch,
+            epoch: self.owner.epoch,
+        };
+        self.controller.shutdown.spawn(attempt.run());
+    }
 }
 
-/// Changes one page under this owner's epoch. Some(false): another owner holds it, or the job has its
-/// receipt; None: no clear outcome.
-pub async fn change(
+/// Changes one page of a batch. `change` fails if another owner has claimed the page or the job has its outcome.
+pub async fn change_page(
     controller: &Controller,
     id: &str,
     batch: &Batch,
     number: usize,
-    mut act: impl FnMut(&mut Page) -> Result<(), Bar>,
-) -> Option<bool> {
-    let judge = |body: &[u8]| {
-        let mut page = Page::from_bytes(body).unwrap_or_else(|| records::blank(batch, number));
-        match act(&mut page) {
-            Ok(()) if page.to_bytes() == body => Decision::Answer(true),
-            Ok(()) => Decision::Write(page.to_bytes(), true),
-            Err(_) => Decision::Answer(false),
+    mut change: impl FnMut(&mut Page) -> Result<(), Bar>,
+) -> PageChange {
+    let decide = |body: &[u8]| {
+        let mut page = Page::from_bytes(body).unwrap_or_else(|| records::blank_page(batch, number));
+        match change(&mut page) {
+            Ok(()) if page.to_bytes() == body => Decision::Answer(PageChange::Committed),
+            Ok(()) => Decision::Write(page.to_bytes(), PageChange::Committed),
+            Err(_) => Decision::Answer(PageChange::Rejected),
         }
     };
-    controller.change(&records::page_key(id, number), PAGE_CHANGE_MS, judge).await
+    let result = controller.change(&records::page_key(id, number), PAGE_CHANGE_TIMEOUT_MS, decide).await;
+    result.unwrap_or(PageChange::OutcomeUnknown)
 }
 
+/// Claims all pages of a batch. Returns whether all of them are claimed.
 async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
     let Some(batch) = controller.committed.read(|state| records::batch(state, id)) else {
         return false;
     };
     for number in 0..batch.pages() {
-        let again = |at: usize| batch.jobs.get(number * PAGE + at).is_some_and(|job| job.repeatable);
-        let taken = change(controller, id, &batch, number, |page| match page.epoch == epoch {
+        let is_repeatable = |slot: usize| batch.jobs.get(number * PAGE + slot).is_some_and(|job| job.repeatable);
+        let claimed = change_page(controller, id, &batch, number, |page| match page.epoch == epoch {
             true => Ok(()),
-            false => page.claim(epoch, again),
+            false => page.claim(epoch, is_repeatable),
         });
-        if taken.await != Some(true) {
+        if claimed.await != PageChange::Committed {
             return false;
         }
     }
     true
 }
 
-/// Counts the window down, ends what can't make it, forgets what is long finished. Gives the batch if
-/// it has jobs to send.
-async fn tend(controller: &Controller, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
-    let (held, done) = controller.committed.read(|state| {
-        let held = records::batch(state, id)?;
-        let done = (0..held.pages()).all(|number| records::page(state, id, &held, number).closed());
-        Some((held, done))
+/// Counts the window down, ends jobs that can't make it, and expires what is long finished. Returns the batch if it has
+/// jobs to send.
+async fn maintain(controller: &Controller, id: &str, elapsed_ms: u64, epoch: u64) -> Option<Batch> {
+    let (batch, is_finished) = controller.committed.read(|state| {
+        let batch = records::batch(state, id)?;
+        let is_finished = records::pages(state, id, &batch).all(|page| page.closed());
+        Some((batch, is_finished))
     })?;
-    let held = count_down(controller, id, held, spent, done).await?;
-    let ends = held.cancelled || held.left_ms() == 0;
-    if ends && !done {
-        let state = if held.cancelled { State::Cancelled } else { State::Missed };
-        end(controller, id, &held, state, epoch).await;
+    let batch = count_down(controller, id, batch, elapsed_ms, is_finished).await?;
+    let is_over = batch.cancelled || batch.left_ms() == 0;
+    if is_over && !is_finished {
+        let state = if batch.cancelled { State::Cancelled } else { State::Missed };
+        end_waiting(controller, id, &batch, state, epoch).await;
     }
-    (!ends && !done).then_some(held)
+    (!is_over && !is_finished).then_some(batch)
 }
 
-/// Written in steps, so that the count outlives this owner without a write for each look.
-async fn count_down(controller: &Controller, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
-    let step = if done { KEEP_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
-    let tally = controller.tallies.0.lock().add(id, spent);
-    let over = held.spent_ms + tally >= held.window_ms;
-    if tally < step && !(over && held.spent_ms < held.window_ms) {
-        return Some(held);
+/// Adds elapsed time to a batch. It is written in steps, so that it outlives this owner without a write for each poll.
+async fn count_down(
+    controller: &Controller,
+    id: &str,
+    batch: Batch,
+    elapsed_ms: u64,
+    is_finished: bool,
+) -> Option<Batch> {
+    let unwritten_ms = controller.elapsed_times.add(id, elapsed_ms);
+    let ends_now = batch.spent_ms < batch.window_ms && batch.spent_ms + unwritten_ms >= batch.window_ms;
+    if unwritten_ms < write_step_ms(&batch, is_finished) && !ends_now {
+        return Some(batch);
     }
-    let gone = controller.tallies.0.lock().take(id);
-    let judge = |body: &[u8]| {
+    let additional_ms = controller.elapsed_times.take(id);
+    let decide = |body: &[u8]| {
         let Some(mut next) = Batch::from_bytes(body) else { return Decision::Answer(()) };
-        match next.tick(held.spent_ms, gone, done) {
+        match next.tick(batch.spent_ms, additional_ms, is_finished) {
             true => Decision::Write(next.to_bytes(), ()),
             false => Decision::Answer(()),
         }
     };
-    controller.change(&records::batch_key(id), BATCH_CHANGE_MS, judge).await?;
+    controller.change(&records::batch_key(id), BATCH_CHANGE_TIMEOUT_MS, decide).await?;
     controller.committed.read(|state| records::batch(state, id))
 }
 
-/// Closes the jobs that still wait.
-async fn end(controller: &Controller, id: &str, batch: &Batch, state: State, epoch: u64) {
+fn write_step_ms(batch: &Batch, is_finished: bool) -> u64 {
+    match is_finished {
+        true => KEEP_MS / ELAPSED_WRITES,
+        false => (batch.window_ms / ELAPSED_WRITES).clamp(MIN_ELAPSED_WRITE_MS, MAX_ELAPSED_WRITE_MS),
+    }
+}
+
+/// Gives the jobs that still wait their final state.
+async fn end_waiting(controller: &Controller, id: &str, batch: &Batch, final_state: State, epoch: u64) {
     for number in 0..batch.pages() {
-        let close = |page: &mut Page| {
+        let end = |page: &mut Page| {
             if page.epoch != epoch {
                 return Err(Bar::Epoch);
             }
-            let waits = page.states.iter_mut().filter(|state| **state == State::Waiting);
-            waits.for_each(|held| *held = state.clone());
+            let waiting = page.states.iter_mut().filter(|state| **state == State::Waiting);
+            waiting.for_each(|state| *state = final_state.clone());
             Ok(())
         };
-        let _ = change(controller, id, batch, number, close).await;
+        // What fails is tried again at the next poll.
+        let _ = change_page(controller, id, batch, number, end).await;
     }
 }
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -42,7 +42,7 @@
     let known = controller.committed.current_config();
     let parsed = ParsedChange::parse(change);
     let decide = |body: &[u8]| decide(&parsed, body, known.as_deref(), read_by_all);
-    let timeout_ms = operator_requests::wait_ms(controller);
+    let timeout_ms = operator_requests::request_timeout_ms(controller);
     let outcome = controller.change_unannounced(CONFIG_KEY, timeout_ms, decide).await;
     let Some((result, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
     match result {
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -11,7 +11,7 @@
 use kernel::settings::Settings;
 use protocol::message::Message;
 
-use crate::batches::runner::Tallies;
+use crate::batches::runner::ElapsedTimes;
 use crate::config::body::BodyFormat;
 use crate::delivery::subscribers::Subscribers;
 use crate::discovery::engine_directory::EngineDirectory;
@@ -48,7 +48,7 @@
     /// The singleton roles acquired here.
     pub acquired_roles: AcquiredRoles,
     /// Time spent on batches that is not yet written.
-    pub tallies: Tallies,
+    pub elapsed_times: ElapsedTimes,
     /// RolloutAnalyses of new versions.
     pub rollout_analyses: RolloutAnalyses,
     /// Shards of tenants' quotas.
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -33,7 +33,7 @@
         Message::OperatorRequest(order) => {
             let controller = controller.clone();
             tokio::spawn(async move {
-                let result = operator_requests::relayed(&controller, *order).await;
+                let result = operator_requests::execute_relayed(&controller, *order).await;
                 mouth.reply(id, &Message::OperatorResponse(Box::new(result)));
             });
         }
--- a/controller/src/rollout/staleness_limits.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -1,164 +1,288 @@
-//! Limits on stale weights at the operator's door. One key of the ledger a service and model.
+//! Limits on stale weights: what a request asks for, what it leads to on top of the committed limit, and its execution.
+//! Each service and model has a register of its own.
 
-use protocol::config::{self, Config};
-use protocol::message::StalenessLimit;
+use protocol::config::{self, Config, Service};
+use protocol::message::{StalenessLimit, ROLLOUT};
 use serde_json::Value;
 
-use crate::api::routes::{self, Receipt};
+use crate::api::operator_requests::request_timeout_ms;
+use crate::api::request::missing_if_match;
+use crate::api::response::{ApiError, ApiResponse};
 use crate::controller::Controller;
 use crate::event::{RULE, UNSETTLED};
 use crate::replication::registers::Decision;
 
-/// What a call asks of a rule.
-pub enum LimitChange {
-    /// The whole rule; the version it builds on, 0 for the first.
-    Put {
+/// What a limit is for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LimitTarget {
+    /// The name of the service.
+    pub service: String,
+    /// The name of the model.
+    pub model: String,
+}
+
+impl LimitTarget {
+    /// Returns the key of the register with the limit.
+    pub fn key(&self) -> String {
+        format!("{ROLLOUT}{}/{}", self.service, self.model)
+    }
+}
+
+/// A change of a limit.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum StalenessLimitChange {
+    /// The whole limit is replaced.
+    Replace {
+        /// The version that the change builds on; 0 for the first limit.
         base: u64,
+        /// The latest version of the weights.
         latest: u64,
+        /// How many versions an engine may be behind the latest one.
         lag: u64,
+        /// The names of the routes that the limit binds.
         routes: Vec<String>,
     },
     /// The trainer has a newer version.
-    Latest(u64),
-    /// An older one is to be served again, and why.
-    Rollback {
+    Raise {
+        /// The latest version of the weights.
+        latest: u64,
+    },
+    /// An older version is to be served again.
+    RollBack {
+        /// The version that counts as the latest from now on.
         latest: u64,
+        /// Why.
         reason: String,
     },
+    /// The limit is removed.
     Remove {
+        /// The version that the change builds on.
         base: u64,
     },
 }
 
-/// What an ask comes to on top of what is held. Ok(None): it holds already.
-pub fn verdict(held: Option<&StalenessLimit>, ask: &LimitChange) -> Result<Option<StalenessLimit>, (u16, String)> {
-    let live = held.filter(|held| !held.removed);
-    let version = held.map_or(0, |held| held.version);
-    let seen = live.map_or(0, |held| held.version);
-    let base_of = |base: u64| match base == seen {
+/// Returns what a change leads to on top of the committed limit. `Ok(None)`: the limit is so already.
+///
+/// # Errors
+///
+/// Returns why the change is rejected.
+pub fn decide(
+    stored: Option<&StalenessLimit>,
+    change: &StalenessLimitChange,
+) -> Result<Option<StalenessLimit>, ApiError> {
+    match change {
+        StalenessLimitChange::Replace { base, latest, lag, routes } => replace(stored, *base, *latest, *lag, routes),
+        StalenessLimitChange::Raise { latest } => raise(stored, *latest),
+        StalenessLimitChange::RollBack { latest, reason } => roll_back(stored, *latest, reason),
+        StalenessLimitChange::Remove { base } => remove(stored, *base),
+    }
+}
+
+/// Returns the committed limit unless it was removed.
+fn active(stored: Option<&StalenessLimit>) -> Option<&StalenessLimit> {
+    stored.filter(|limit| !limit.removed)
+}
+
+/// Returns the version of the next state. It goes on after a removal, so that it never names two states.
+fn next_version(stored: Option<&StalenessLimit>) -> u64 {
+    stored.map_or(0, |limit| limit.version) + 1
+}
+
+fn check_base(stored: Option<&StalenessLimit>, base: u64) -> Result<(), ApiError> {
+    let current = active(stored).map_or(0, |limit| limit.version);
+    match base == current {
         true => Ok(()),
-        false => Err((412, format!("If-Match: found {base}, version {seen} is current"))),
-    };
-    let none = || (404, "no rule for this service and model".to_string());
-    match ask {
-        LimitChange::Put { base, latest, lag, routes } => {
-            let same = |held: &StalenessLimit| held.latest == *latest && held.lag == *lag && held.routes == *routes;
-            if live.is_some_and(same) {
-                return Ok(None);
-            }
-            base_of(*base)?;
-            if live.is_some_and(|held| *latest < held.latest) {
-                return Err((400, format!("latest: found {latest}, goes back; a rollback says so and why")));
-            }
-            let next = held.cloned().unwrap_or_default();
-            let (latest, lag, routes) = (*latest, *lag, routes.clone());
-            Ok(Some(StalenessLimit { version: version + 1, latest, lag, routes, removed: false, ..next }))
-        }
-        LimitChange::Latest(latest) => {
-            let held = live.ok_or_else(none)?;
-            if *latest < held.latest {
-                return Err((400, format!("latest: found {latest}, {} was reported; a rollback says so", held.latest)));
-            }
-            let next = StalenessLimit { version: version + 1, latest: *latest, ..held.clone() };
-            Ok((*latest > held.latest).then_some(next))
-        }
-        LimitChange::Rollback { latest, reason } => {
-            let held = live.ok_or_else(none)?;
-            if held.latest == *latest && held.reason == *reason {
-                return Ok(None);
-            }
-            if *latest >= held.latest {
-                return Err((400, format!("latest: found {latest}, not older than {}", held.latest)));
-            }
-            let (rollbacks, reason) = (held.rollbacks + 1, reason.clone());
-            Ok(Some(StalenessLimit { version: version + 1, latest: *latest, rollbacks, reason, ..held.clone() }))
-        }
-        LimitChange::Remove { base } => {
-            let Some(held) = live else { return if held.is_some() { Ok(None) } else { Err(none()) } };
-            base_of(*base)?;
-            Ok(Some(StalenessLimit { version: version + 1, removed: true, ..held.clone() }))
-        }
+        false => Err(ApiError::precondition_failed(format!("If-Match: found {base}, version {current} is current"))),
+    }
+}
+
+fn replace(
+    stored: Option<&StalenessLimit>,
+    base: u64,
+    latest: u64,
+    lag: u64,
+    routes: &[String],
+) -> Result<Option<StalenessLimit>, ApiError> {
+    let is_same = |limit: &StalenessLimit| limit.latest == latest && limit.lag == lag && limit.routes == routes;
+    if active(stored).is_some_and(is_same) {
+        return Ok(None);
+    }
+    check_base(stored, base)?;
+    if active(stored).is_some_and(|limit| latest < limit.latest) {
+        return Err(ApiError::bad_request(format!("latest: found {latest}, goes back; a rollback says so and why")));
+    }
+    let next = stored.cloned().unwrap_or_default();
+    let (version, routes) = (next_version(stored), routes.to_vec());
+    Ok(Some(StalenessLimit { version, latest, lag, routes, removed: false, ..next }))
+}
+
+fn raise(stored: Option<&StalenessLimit>, latest: u64) -> Result<Option<StalenessLimit>, ApiError> {
+    let limit = active(stored).ok_or_else(no_limit)?;
+    if latest < limit.latest {
+        let reported = limit.latest;
+        let message = format!("latest: found {latest}, {reported} was reported; a rollback says so");
+        return Err(ApiError::bad_request(message));
+    }
+    let next = StalenessLimit { version: next_version(stored), latest, ..limit.clone() };
+    Ok((latest > limit.latest).then_some(next))
+}
+
+fn roll_back(stored: Option<&StalenessLimit>, latest: u64, reason: &str) -> Result<Option<StalenessLimit>, ApiError> {
+    let limit = active(stored).ok_or_else(no_limit)?;
+    if limit.latest == latest && limit.reason == reason {
+        return Ok(None);
     }
+    if latest >= limit.latest {
+        return Err(ApiError::bad_request(format!("latest: found {latest}, not older than {}", limit.latest)));
+    }
+    let (version, rollbacks) = (next_version(stored), limit.rollbacks + 1);
+    Ok(Some(StalenessLimit { version, latest, rollbacks, reason: reason.into(), ..limit.clone() }))
+}
+
+fn remove(stored: Option<&StalenessLimit>, base: u64) -> Result<Option<StalenessLimit>, ApiError> {
+    let Some(limit) = active(stored) else {
+        return if stored.is_some() { Ok(None) } else { Err(no_limit()) };
+    };
+    check_base(stored, base)?;
+    Ok(Some(StalenessLimit { version: next_version(stored), removed: true, ..limit.clone() }))
 }
 
-/// A number that is there and not negative.
-fn number(value: &Value, name: &str) -> Result<u64, (u16, String)> {
-    value[name].as_u64().ok_or_else(|| (400, format!("{name}: found {}, must be a whole number from 0", value[name])))
+/// Returns the error for a service and model without a limit.
+pub fn no_limit() -> ApiError {
+    ApiError::not_found("no rule for this service and model")
 }
 
-/// Reads a call's body. `config`: what routes and services there are.
-pub fn read(
+fn parse_json(text: &str) -> Result<Value, ApiError> {
+    serde_json::from_str(text).map_err(|error| ApiError::bad_request(format!("body: {error}")))
+}
+
+/// Returns a number that must be there and not negative.
+fn number(value: &Value, name: &str) -> Result<u64, ApiError> {
+    let number = value[name].as_u64();
+    number.ok_or_else(|| ApiError::bad_request(format!("{name}: found {}, must be a whole number from 0", value[name])))
+}
+
+/// Parses a limit. `base` is the version that it builds on; `config` tells which services, models and routes there are.
+///
+/// # Errors
+///
+/// Returns which part of the request is missing, malformed or unknown.
+pub fn parse_limit(
     text: &str,
     base: Option<u64>,
-    (service, model): (&str, &str),
+    target: &LimitTarget,
     config: &Config,
-) -> Result<LimitChange, (u16, String)> {
-    let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
-    let Some(spec) = config.service_table.iter().find(|item| item.name == service) else {
-        return Err((404, format!("service `{service}`: not known")));
+) -> Result<StalenessLimitChange, ApiError> {
+    let value = parse_json(text)?;
+    check_target(target, config)?;
+    let base = base.ok_or_else(missing_if_match)?;
+    let routes = routes(&value, &target.service, config)?;
+    let (latest, lag) = (number(&value, "latest")?, number(&value, "lag")?);
+    Ok(StalenessLimitChange::Replace { base, latest, lag, routes })
+}
+
+fn check_target(target: &LimitTarget, config: &Config) -> Result<(), ApiError> {
+    let LimitTarget { service, model } = target;
+    let Some(item) = config.service_table.iter().find(|item| item.name == *service) else {
+        return Err(unknown_service(service));
     };
-    let models = spec.engine.as_ref().map(|engine| engine.model_list.as_slice()).unwrap_or_default();
-    if !models.iter().any(|item| item.name == model) {
-        return Err((404, format!("model `{model}`: service `{service}` has none of that name")));
+    match models(item).any(|name| name == model) {
+        true => Ok(()),
+        false => Err(ApiError::not_found(format!("model `{model}`: service `{service}` has none of that name"))),
     }
-    let base = base.ok_or((400, "If-Match: missing or not a number".to_string()))?;
+}
+
+/// Returns the error for a service that the configuration does not have.
+pub fn unknown_service(service: &str) -> ApiError {
+    ApiError::not_found(format!("service `{service}`: not known"))
+}
+
+fn models(service: &Service) -> impl Iterator<Item = &String> {
+    service.engine.iter().flat_map(|engine| &engine.model_list).map(|model| &model.name)
+}
+
+/// Returns the names of the routes in a request, sorted and each once.
+fn routes(value: &Value, service: &str, config: &Config) -> Result<Vec<String>, ApiError> {
+    let items = value["routes"].as_array().ok_or_else(|| ApiError::bad_request("routes: not a list of names"))?;
     let mut routes = Vec::new();
-    for item in value["routes"].as_array().ok_or((400, "routes: not a list of names".to_string()))? {
+    for item in items {
         let name = item.as_str().unwrap_or("");
         let Some(route) = config.route_table.iter().find(|route| route.name == name) else {
-            return Err((400, format!("route `{name}`: not known")));
+            return Err(ApiError::bad_request(format!("route `{name}`: not known")));
         };
         if !config::targets(route).iter().any(|(target, _)| *target == service) {
-            return Err((400, format!("route `{name}`: does not go to service `{service}`")));
+            return Err(ApiError::bad_request(format!("route `{name}`: does not go to service `{service}`")));
         }
         routes.push(name.to_string());
     }
     routes.sort();
     routes.dedup();
-    Ok(LimitChange::Put { base, latest: number(&value, "latest")?, lag: number(&value, "lag")?, routes })
+    Ok(routes)
+}
+
+/// Parses the trainer's report of its latest version.
+///
+/// # Errors
+///
+/// Returns which part of the request is missing or malformed.
+pub fn parse_latest(text: &str) -> Result<StalenessLimitChange, ApiError> {
+    let latest = number(&parse_json(text)?, "latest")?;
+    Ok(StalenessLimitChange::Raise { latest })
 }
 
-/// Reads what the trainer or a rollback says.
-pub fn read_latest(text: &str, rollback: bool) -> Result<LimitChange, (u16, String)> {
-    let value: Value = serde_json::from_str(text).map_err(|error| (400, format!("body: {error}")))?;
+/// Parses a request to serve an older version again.
+///
+/// # Errors
+///
+/// Returns which part of the request is missing or malformed.
+pub fn parse_rollback(text: &str) -> Result<StalenessLimitChange, ApiError> {
+    let value = parse_json(text)?;
     let latest = number(&value, "latest")?;
-    if !rollback {
-        return Ok(LimitChange::Latest(latest));
-    }
     let reason = value["reason"].as_str().unwrap_or("").trim().to_string();
     if reason.is_empty() {
-        return Err((400, "reason: a rollback says why".into()));
+        return Err(ApiError::bad_request("reason: a rollback says why"));
     }
-    Ok(LimitChange::Rollback { latest, reason })
+    Ok(StalenessLimitChange::RollBack { latest, reason })
 }
 
-/// Carries an ask out: committed, then waited for until it binds everywhere.
-pub async fn carry(controller: &Controller, key: &str, (service, model): (&str, &str), ask: LimitChange) -> Receipt {
-    let judge = |body: &[u8]| {
-        let held = StalenessLimit::from_bytes(body);
-        if held.is_none() && !body.is_empty() {
-            return Decision::Answer(Err(Receipt::Unclear));
+/// Carries a change out: commits it and waits until it binds everywhere.
+pub async fn execute(controller: &Controller, target: &LimitTarget, change: &StalenessLimitChange) -> ApiResponse {
+    let key = target.key();
+    let version = match commit(controller, &key, target, change).await {
+        Ok(version) => version,
+        Err(response) => return response,
+    };
+    if !controller.wait_for_confirmations(&key, version).await {
+        kernel::log_event!(UNSETTLED, "rule" => key.as_str(), "version" => version);
+        return ApiResponse::OutcomeUnknown;
+    }
+    kernel::log_event!(RULE, "rule" => key.as_str(), "version" => version);
+    ApiResponse::json(&serde_json::json!({ "rule": key, "version": version }))
+}
+
+/// Commits a change, and returns the version of the limit after it. The error is what to answer instead.
+async fn commit(
+    controller: &Controller,
+    key: &str,
+    target: &LimitTarget,
+    change: &StalenessLimitChange,
+) -> Result<u64, ApiResponse> {
+    let decide = |body: &[u8]| {
+        let stored = StalenessLimit::from_bytes(body);
+        if stored.is_none() && !body.is_empty() {
+            return Decision::Answer(Err(ApiResponse::OutcomeUnknown));
         }
-        match verdict(held.as_ref(), &ask) {
-            Ok(None) => Decision::Answer(Ok(held.map_or(0, |held| held.version))),
+        match decide(stored.as_ref(), change) {
+            Ok(None) => Decision::Answer(Ok(stored.map_or(0, |stored| stored.version))),
             Ok(Some(next)) => {
-                let next = StalenessLimit { service: service.into(), model: model.into(), ..next };
+                let next = StalenessLimit { service: target.service.clone(), model: target.model.clone(), ..next };
                 Decision::Write(next.to_bytes(), Ok(next.version))
             }
-            Err((status, words)) => Decision::Answer(Err(Receipt::Bad(status, words))),
+            Err(error) => Decision::Answer(Err(error.into())),
         }
     };
-    let version = match controller.change(key, routes::wait_ms(controller), judge).await {
-        Some(Ok(version)) => version,
-        Some(Err(receipt)) => return receipt,
-        None => return Receipt::Unclear,
-    };
-    if !controller.wait_for_confirmations(key, version).await {
-        kernel::log_event!(UNSETTLED, "rule" => key, "version" => version);
-        return Receipt::Unclear;
-    }
-    kernel::log_event!(RULE, "rule" => key, "version" => version);
-    Receipt::Text(serde_json::json!({ "rule": key, "version": version }).to_string().into_bytes())
+    let result = controller.change(key, request_timeout_ms(controller), decide).await;
+    result.unwrap_or(Err(ApiResponse::OutcomeUnknown))
 }
 
 #[cfg(test)]
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -15,7 +15,7 @@
 /// How long an operator waits for an answer, and a controller for an outcome.
 const SILENCE_MS: u64 = 1000;
 const CHANGE_MS: u64 = 2000;
-const EVACUATE_MS: u64 = operator_requests::EVACUATE_MS;
+const EVACUATE_MS: u64 = operator_requests::EVACUATION_TIMEOUT_MS;
 const UNHEARD_CLOSE_ONE_OF: u64 = 4;
 const CARRIED_OUT_TWICE_ONE_OF: u64 = 3;
 pub const EVACUATION: &str = "evacuation/z";
@@ -230,7 +230,7 @@
 }
 
 fn judge_evacuation(on: bool, from: Option<u64>, body: &[u8]) -> Decision<Option<Answer>> {
-    operator_requests::judge_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
+    operator_requests::decide_evacuation(on, from, body, Some(Answer::Good), Some(Answer::Unclear))
 }
 
 fn judge_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Decision<Option<Answer>> {
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -120,7 +120,7 @@
         subscribers: Default::default(),
         catalog: Default::default(),
         acquired_roles: Default::default(),
-        tallies: Default::default(),
+        elapsed_times: Default::default(),
         rollout_analyses: Default::default(),
         quotas: QuotaShards::new(&settings.ip),
         shutting_down: Default::default(),
