--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -3,21 +3,29 @@
 
 use kernel::clock;
 
-pub mod acceptor;
-pub mod confirmation;
-pub mod core_body;
+mod acceptor;
+mod confirmation;
 mod folder;
 mod listing;
-pub mod proposal;
+mod membership_codec;
+mod proposal;
 pub mod quorum;
-pub mod reconfiguration;
-pub mod record;
+mod reconfiguration;
+mod record;
 mod recovery;
-pub mod round;
+mod round;
 mod segment;
-pub mod store;
+mod store;
 mod store_error;
 
+pub use acceptor::{Acceptor, LogRecord};
+pub use confirmation::{newest_committed, Confirmation, StaleKey};
+pub use membership_codec::{decode_membership, encode_membership};
+pub use proposal::{Decision, Progress, Proposal};
+pub use reconfiguration::{next_membership, stabilized, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
+pub use round::{next_term, Ownership, Round, RoundProgress};
+pub use store::{Store, StoreError};
+
 pub const MEMBERSHIP_KEY: &str = "core";
 /// A round not over by then is abandoned; its outcome is unknown.
 pub const ROUND_TIMEOUT_MS: u64 = 900;
@@ -41,3 +49,6 @@
 mod simulated_folder;
 #[cfg(test)]
 mod store_model;
+
+#[cfg(test)]
+mod stored_by_5_tests;
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -6,7 +6,7 @@
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Checked, ConfigError};
-use protocol::message::{Entry, Message, ProposalNumber, StalenessLimit, ROLLOUT};
+use protocol::message::{Entry, Message, Position, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
 kernel::bytes!(EvacuationState);
 kernel::bytes!(RoleState);
 
-pub use consensus::core_body::{read as read_core, write as write_core};
+pub use consensus::{decode_membership as read_core, encode_membership as write_core};
 
 /// The value in a body; the first one where there is none yet. None: the body is of another form, and is never taken for
 /// an empty one.
@@ -156,7 +156,7 @@
     pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
-    pub unreadable: Option<(ProposalNumber, u64)>,
+    pub unreadable: Option<Position>,
     /// The evacuations with their versions.
     pub evacuations: BTreeMap<String, EvacuationState>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
@@ -246,3 +246,7 @@
 #[cfg(test)]
 #[path = "committed_state_tests.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "stored_by_5_tests.rs"]
+mod stored_by_5_tests;
