--- a/controller/src/lib.rs
+++ b/controller/src/lib.rs
@@ -17,6 +17,6 @@
 mod roles;
 mod rollout;
 mod shutdown;
-#[cfg(test)]
-mod simulation;
 pub mod startup;
+#[cfg(test)]
+mod testing;
--- /dev/null
+++ b/controller/src/testing/mod.rs
@@ -0,0 +1,3 @@
+//! Test support: nothing of it is part of the daemon.
+
+mod simulation;
