--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -1,10 +1,11 @@
-//! What peers send: one place that takes each message to its part.
+//! Messages from peers and routers: each is handed to the part that it concerns.
 
 use std::sync::Arc;
 
 use kernel::clock;
 use protocol::link::Responder;
 use protocol::message::Message;
+use protocol::operator_request::OperatorRequest;
 
 use crate::api::operator_requests;
 use crate::config::execution;
@@ -14,66 +15,86 @@
 use crate::quota_shards;
 use crate::rollout::version_rollouts::take_samples;
 
-pub fn dispatch(controller: &Arc<Controller>, mouth: Responder, id: u64, msg: Message) {
+/// Handles one message that came over a connection, and responds where the message wants a response.
+pub fn dispatch(controller: &Arc<Controller>, responder: Responder, id: u64, message: Message) {
     let now = clock::now();
-    match msg {
-        Message::ConsensusRequest(poll) => {
-            controller.replica.adopt_membership(&poll.membership);
-            controller.replica.handle(*poll, move |vote| {
-                mouth.reply(id, &Message::ConsensusResponse(Box::new(vote)));
+    let respond = |response: Message| {
+        responder.reply(id, &response);
+    };
+    match message {
+        Message::ConsensusRequest(request) => {
+            controller.replica.adopt_membership(&request.membership);
+            controller.replica.handle(*request, move |response| {
+                responder.reply(id, &Message::ConsensusResponse(Box::new(response)));
             });
         }
-        Message::Gossip(gossip) => gossip::receive(controller, &gossip),
-        Message::EndpointList(sheet) => {
-            if controller.engines.accept(&sheet) {
-                controller.catalog.remove_draining(&sheet);
-                controller.push_updates();
-            }
-        }
-        Message::OperatorRequest(order) => {
-            let controller = controller.clone();
-            tokio::spawn(async move {
-                let result = operator_requests::relayed(&controller, *order).await;
-                mouth.reply(id, &Message::OperatorResponse(Box::new(result)));
-            });
-        }
-        Message::CommittedDelta(advance) => execution::advance(controller, &advance),
-        Message::Committed(pair) => controller.learn(&pair.0, &pair.1, false),
-        Message::SuspectEngine(doubt) => controller.suspect_engine(&doubt.0, doubt.1),
-        Message::SubscriptionRenewal(follow) => controller.renew_subscription(mouth, id, *follow),
+        Message::OperatorRequest(request) => execute_relayed(controller, responder, id, *request),
+        Message::SubscriptionRenewal(renewal) => controller.renew_subscription(responder, id, *renewal),
         Message::OwnerQuery(query) => {
             let owners = controller.catalog.find_owners(query.0, &query.1, now);
-            mouth.reply(id, &Message::Owners(Box::new(owners)));
-        }
-        Message::PrefixLookup(seek) => {
-            let response = controller.catalog.look_up(&seek, now);
-            mouth.reply(id, &Message::PrefixLookupResponse(Box::new(response)));
+            respond(Message::Owners(Box::new(owners)));
         }
-        Message::PrefixRegistration(note) => {
-            controller.catalog.register(note.epoch, &note.owners, now);
-            controller.catalog.record_loads(&note.loads, now);
+        Message::PrefixLookup(lookup) => {
+            let response = controller.catalog.look_up(&lookup, now);
+            respond(Message::PrefixLookupResponse(Box::new(response)));
         }
-        Message::TokenRequest(spend) => {
-            let spent = quota_shards::spend(controller, &spend);
-            mouth.reply(id, &Message::TokenResponse(Box::new(spent)));
+        Message::TokenRequest(request) => {
+            let response = quota_shards::spend(controller, &request);
+            respond(Message::TokenResponse(Box::new(response)));
         }
-        Message::Samples(samples) => take_samples(controller, *samples),
         Message::UsageRequest(_) => {
             let usage = quota_shards::usage(controller);
-            mouth.reply(id, &Message::UsageResponse(Box::new(usage)));
+            respond(Message::UsageResponse(Box::new(usage)));
         }
-        Message::WeightVersions(list) => limit_confirmations::accept_weight_versions(controller, *list),
-        Message::CountConfirmations(ask) => {
-            let reply = controller.count_confirmations(&ask.0, ask.1, now);
-            mouth.reply(id, &Message::ConfirmationCount(Box::new(reply)));
+        Message::CountConfirmations(query) => {
+            let count = controller.count_confirmations(&query.0, query.1, now);
+            respond(Message::ConfirmationCount(Box::new(count)));
         }
-        Message::RegisterOwners(list) => controller.catalog.register(list.0, &list.1, now),
         Message::Flush(flush) => {
             let flushed = controller.catalog.flush(flush.0, flush.1);
-            mouth.reply(id, &Message::Flushed(Box::new(flushed)));
+            respond(Message::Flushed(Box::new(flushed)));
         }
-        _ => {
-            mouth.reply(id, &Message::Rejected(Box::new(1)));
+        notification => {
+            if !handle_notification(controller, notification, now) {
+                respond(Message::Rejected(Box::new(UNKNOWN_MESSAGE)));
+            }
         }
     }
 }
+
+/// The reason that is given for a message that no controller handles.
+const UNKNOWN_MESSAGE: u16 = 1;
+
+/// Handles a message without a response. Returns false where it is of no kind that controllers handle.
+fn handle_notification(controller: &Arc<Controller>, message: Message, now: u64) -> bool {
+    match message {
+        Message::Gossip(gossip) => gossip::receive(controller, &gossip),
+        Message::EndpointList(list) => {
+            if controller.engines.accept(&list) {
+                controller.catalog.remove_draining(&list);
+                controller.push_updates();
+            }
+        }
+        Message::CommittedDelta(delta) => execution::advance(controller, &delta),
+        Message::Committed(committed) => controller.learn(&committed.0, &committed.1, false),
+        Message::SuspectEngine(suspicion) => controller.suspect_engine(&suspicion.0, suspicion.1),
+        Message::PrefixRegistration(registration) => {
+            controller.catalog.register(registration.epoch, &registration.owners, now);
+            controller.catalog.record_loads(&registration.loads, now);
+        }
+        Message::RegisterOwners(list) => controller.catalog.register(list.0, &list.1, now),
+        Message::Samples(samples) => take_samples(controller, *samples),
+        Message::WeightVersions(list) => limit_confirmations::accept_weight_versions(controller, *list),
+        _ => return false,
+    }
+    true
+}
+
+/// Carries out an operator's request that another controller relayed, in a task of its own.
+fn execute_relayed(controller: &Arc<Controller>, responder: Responder, id: u64, request: OperatorRequest) {
+    let controller = controller.clone();
+    tokio::spawn(async move {
+        let response = operator_requests::relayed(&controller, request).await;
+        responder.reply(id, &Message::OperatorResponse(Box::new(response)));
+    });
+}
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -1,36 +1,27 @@
-//! Heartbeats between controllers.
+//! Heartbeats between controllers: who is alive, and which endpoint lists each has.
 
 use std::net::Ipv4Addr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
 use kernel::{clock, startup};
-use membership::Peer;
+use membership::{MembershipView, Peer};
 use protocol::message::{self, Gossip, Message};
 
 use crate::controller::{Controller, HEARTBEAT_INTERVAL_MS, LIVENESS_TIMEOUT_MS};
 use crate::discovery::poller;
+use crate::quota_shards;
 use crate::replication::confirmer;
 use crate::roles::{self, BALANCE, BATCH};
 
+/// Takes over a heartbeat of another controller, and sends it the endpoint lists that it lacks.
 pub fn receive(controller: &Controller, gossip: &Gossip) {
     if gossip.ip == controller.own_ip() {
         return;
     }
     controller.replica.adopt_membership(&gossip.membership);
     let now = clock::now();
-    let peer = Peer {
-        zone: gossip.zone.clone(),
-        incarnation: gossip.incarnation,
-        last_seen: now,
-        eligible: gossip.eligible,
-        router_count: gossip.router_count,
-        protocol_version: message::protocol_version_of(&gossip.list_versions),
-        shutting_down: message::is_shutting_down(&gossip.list_versions),
-        in_flight: gossip.in_flight.clone(),
-        frontend_addresses: gossip.frontend_addresses.clone(),
-        reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVENESS_TIMEOUT_MS)).collect(),
-    };
+    let peer = peer_of(gossip, now);
     controller.peers.update(|view| {
         view.observe(&gossip.ip, peer);
         view.report(&gossip.ip, poller::peer_report(gossip), now);
@@ -40,7 +31,6 @@
             }
         }
     });
-    // Repair: who is behind gets what it lacks.
     let newer = controller.engines.update(|lists| {
         lists.observe_terms(&gossip.observed_list_versions);
         lists.newer_than(&gossip.list_versions)
@@ -50,6 +40,23 @@
     }
 }
 
+/// Returns the sender of a heartbeat as the membership view keeps it.
+fn peer_of(gossip: &Gossip, now: u64) -> Peer {
+    Peer {
+        zone: gossip.zone.clone(),
+        incarnation: gossip.incarnation,
+        last_seen: now,
+        eligible: gossip.eligible,
+        router_count: gossip.router_count,
+        protocol_version: message::protocol_version_of(&gossip.list_versions),
+        shutting_down: message::is_shutting_down(&gossip.list_versions),
+        in_flight: gossip.in_flight.clone(),
+        frontend_addresses: gossip.frontend_addresses.clone(),
+        reassigning: gossip.reassigning.iter().map(|id| (id.clone(), now + 2 * LIVENESS_TIMEOUT_MS)).collect(),
+    }
+}
+
+/// Sends heartbeats and confirms the committed state, for as long as the process runs.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -58,59 +65,83 @@
             heartbeat.tick().await;
             broadcast(&controller);
             confirmer::run(&controller).await;
-            if crate::quota_shards::beat(&controller) {
+            if quota_shards::beat(&controller) {
                 controller.push_updates();
             }
         }
     });
 }
 
-/// Tells all controllers that are known how this one stands.
+/// Sends a heartbeat to all controllers that are known.
 pub fn broadcast(controller: &Controller) {
     let now = clock::now();
-    let core = controller.replica.membership();
-    let (peers, seats, busy, resting, doors) = controller.peers.update(|view| {
+    let own = controller.peers.update(|view| OwnReport::take(view, now));
+    let gossip = heartbeat(controller, &own, now);
+    let balancer = controller.committed.role_owner(BALANCE);
+    let batch_owner = controller.committed.role_owner(BATCH);
+    for ip in controller.known_peers() {
+        let mut gossip = gossip.clone();
+        // What grows with engines or routers goes to the one controller that reads it.
+        if balancer.as_ref() == Some(&ip) {
+            gossip.in_flight.clone_from(&own.in_flight);
+        }
+        if batch_owner.as_ref() == Some(&ip) {
+            gossip.frontend_addresses.clone_from(&own.frontend_addresses);
+        }
+        controller.peers.client(&ip).notify(Message::Gossip(Box::new(gossip)));
+    }
+}
+
+/// What this controller reports of its peers, routers and engines, as of one moment.
+struct OwnReport {
+    live_peers: Vec<String>,
+    router_count: u32,
+    in_flight: Vec<(String, u32)>,
+    reassigning: Vec<String>,
+    frontend_addresses: Vec<String>,
+}
+
+impl OwnReport {
+    /// Forgets what has expired and reports the rest.
+    fn take(view: &mut MembershipView, now: u64) -> OwnReport {
         view.remove_expired(now);
-        let live: Vec<String> = view.controllers.keys().filter(|ip| view.is_live(ip, now)).cloned().collect();
-        let router_count = view.routers.len() as u32;
-        (live, router_count, view.own_in_flight(), view.own_reassigning(now), view.own_frontend_addresses())
-    });
-    let (mut sheets, floors) = controller.engines.read(|lists| (lists.versions(), lists.observed_terms()));
-    sheets.push(message::own_protocol_version());
+        OwnReport {
+            live_peers: view.controllers.keys().filter(|ip| view.is_live(ip, now)).cloned().collect(),
+            router_count: view.routers.len() as u32,
+            in_flight: view.own_in_flight(),
+            reassigning: view.own_reassigning(now),
+            frontend_addresses: view.own_frontend_addresses(),
+        }
+    }
+}
+
+/// Returns the part of a heartbeat that all controllers get.
+fn heartbeat(controller: &Controller, own: &OwnReport, now: u64) -> Gossip {
+    let (mut list_versions, observed_list_versions) =
+        controller.engines.read(|lists| (lists.versions(), lists.observed_terms()));
+    list_versions.push(message::own_protocol_version());
     if controller.shutting_down.load(Ordering::Relaxed) {
-        sheets.push(message::shutting_down_marker());
+        list_versions.push(message::shutting_down_marker());
     }
-    sheets.extend(poller::access_marker(controller, now));
-    sheets.extend(roles::gossip_markers(controller, now));
-    let gossip = Gossip {
+    list_versions.extend(poller::access_marker(controller, now));
+    list_versions.extend(roles::gossip_markers(controller, now));
+    Gossip {
         ip: controller.own_ip().into(),
         zone: controller.settings.zone.clone(),
         incarnation: controller.incarnation,
         eligible: is_eligible(controller),
-        membership: core,
-        peers,
-        router_count: seats,
+        membership: controller.replica.membership(),
+        peers: own.live_peers.clone(),
+        router_count: own.router_count,
         in_flight: Vec::new(),
-        reassigning: resting,
+        reassigning: own.reassigning.clone(),
         frontend_addresses: Vec::new(),
-        list_versions: sheets,
-        observed_list_versions: floors,
-    };
-    let (balancer, batch_owner) = (controller.committed.role_owner(BALANCE), controller.committed.role_owner(BATCH));
-    for ip in controller.known_peers() {
-        let mut gossip = gossip.clone();
-        // What grows with engines or routers goes to the one controller that reads it.
-        if balancer.as_ref() == Some(&ip) {
-            gossip.in_flight.clone_from(&busy);
-        }
-        if batch_owner.as_ref() == Some(&ip) {
-            gossip.frontend_addresses.clone_from(&doors);
-        }
-        controller.peers.client(&ip).notify(Message::Gossip(Box::new(gossip)));
+        list_versions,
+        observed_list_versions,
     }
 }
 
-/// May this controller be made a member: a counted machine, or any where none has a disk.
-pub fn is_eligible(controller: &Controller) -> bool {
+/// Returns whether this controller may be made a member: a counted machine, or any where none has a disk.
+fn is_eligible(controller: &Controller) -> bool {
     controller.settings.quorum_member && controller.replica.may_vote()
 }
