--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use crate::controller::Controller;
-use crate::event::ORDER;
+use crate::event::PHASE_ORDER;
 use crate::http_client;
 use crate::roles::{self, BALANCE};
 
@@ -180,7 +180,7 @@
         .header("content-type", "application/json")
         .body(body.to_string());
     let status = call.send().await.map_or(0, |reply| reply.status().as_u16());
-    kernel::log_event!(ORDER, "engine" => engine.id.clone(), "phase" => phase, "epoch" => epoch, "status" => status);
+    kernel::log_event!(PHASE_ORDER, "engine" => engine.id.clone(), "phase" => phase, "epoch" => epoch, "status" => status);
 }
 
 #[cfg(test)]
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -68,22 +68,22 @@
 /// All metrics of a controller. Labels have fixed values only, so that their number never grows.
 pub struct Metrics {
     registry: Registry,
-    pub orders: Family<RequestLabels, Counter>,
-    pub orders_under_way: Gauge,
+    pub operator_requests: Family<RequestLabels, Counter>,
+    pub requests_in_flight: Gauge,
     pub order_duration: Histogram,
     pub disk_write: Histogram,
     pub platform_polls: Family<PollLabels, Counter>,
-    pub duties_taken: Counter,
-    quota_answers: Family<QuotaLabels, Counter>,
+    pub roles_acquired: Counter,
+    token_responses: Family<QuotaLabels, Counter>,
     config_revision: Gauge,
     confirmed: Gauge,
     core_version: Gauge,
     core_members: Gauge,
-    core_settled: Gauge,
+    core_stable: Gauge,
     live_controllers: Gauge,
-    following_routers: Gauge,
+    subscribed_routers: Gauge,
     batches: Gauge,
-    leaving: Gauge,
+    shutting_down: Gauge,
 }
 
 const PREFIX: &str = "tidepoint_keeper";
@@ -93,22 +93,22 @@
     fn default() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix(PREFIX),
-            orders: Default::default(),
-            orders_under_way: Default::default(),
+            operator_requests: Default::default(),
+            requests_in_flight: Default::default(),
             order_duration: telemetry::latency_histogram(),
             disk_write: telemetry::latency_histogram(),
             platform_polls: Default::default(),
-            duties_taken: Default::default(),
-            quota_answers: Default::default(),
+            roles_acquired: Default::default(),
+            token_responses: Default::default(),
             config_revision: Default::default(),
             confirmed: Default::default(),
             core_version: Default::default(),
             core_members: Default::default(),
-            core_settled: Default::default(),
+            core_stable: Default::default(),
             live_controllers: Default::default(),
-            following_routers: Default::default(),
+            subscribed_routers: Default::default(),
             batches: Default::default(),
-            leaving: Default::default(),
+            shutting_down: Default::default(),
         };
         metrics.register_work();
         metrics.register_state();
@@ -119,8 +119,8 @@
 impl Metrics {
     fn register_work(&mut self) {
         let registry = &mut self.registry;
-        registry.register("orders", "Operators' calls by what they came to", self.orders.clone());
-        let under_way = self.orders_under_way.clone();
+        registry.register("orders", "Operators' calls by what they came to", self.operator_requests.clone());
+        let under_way = self.requests_in_flight.clone();
         registry.register("orders_under_way", "Operators' calls not answered yet", under_way);
         let duration = self.order_duration.clone();
         let help = "Time from the reading of an operator's call to its answer";
@@ -129,8 +129,8 @@
         registry.register_with_unit("disk_write", help, Unit::Seconds, self.disk_write.clone());
         registry.register("platform_polls", "Polls of the platform's list", self.platform_polls.clone());
         let help = "Requests for a token of a tenant's limit";
-        registry.register("quota_answers", help, self.quota_answers.clone());
-        registry.register("duties_taken", "Duties taken under a new epoch", self.duties_taken.clone());
+        registry.register("quota_answers", help, self.token_responses.clone());
+        registry.register("duties_taken", "Duties taken under a new epoch", self.roles_acquired.clone());
     }
 
     fn register_state(&mut self) {
@@ -142,12 +142,12 @@
         let help = "Version of the list of the core's members";
         registry.register("core_version", help, self.core_version.clone());
         registry.register("core_members", "Members of the core", self.core_members.clone());
-        registry.register("core_settled", "1 while the core is not being changed", self.core_settled.clone());
+        registry.register("core_settled", "1 while the core is not being changed", self.core_stable.clone());
         registry.register("live_keepers", "Other controllers heard lately", self.live_controllers.clone());
         let help = "Routers that hold a lease at this controller";
-        registry.register("following_routers", help, self.following_routers.clone());
+        registry.register("following_routers", help, self.subscribed_routers.clone());
         registry.register("batches", "Batches that are kept", self.batches.clone());
-        registry.register("leaving", "1 once SIGTERM came", self.leaving.clone());
+        registry.register("leaving", "1 once SIGTERM came", self.shutting_down.clone());
     }
 
     /// Counts the answer to a request for a token.
@@ -157,7 +157,7 @@
             TokenResponse::Denied { .. } => TokenOutcome::Denied,
             TokenResponse::NotHeld => TokenOutcome::NotHeld,
         };
-        self.quota_answers.get_or_create(&QuotaLabels { answer }).inc();
+        self.token_responses.get_or_create(&QuotaLabels { answer }).inc();
     }
 
     /// All metrics as text, with the figures that are only read when asked for.
@@ -168,11 +168,11 @@
         self.confirmed.set(i64::from(controller.committed.is_confirmed(now)));
         self.core_version.set(core.version as i64);
         self.core_members.set(core.members.len() as i64);
-        self.core_settled.set(i64::from(core.stable));
+        self.core_stable.set(i64::from(core.stable));
         self.live_controllers.set(live_controllers(controller, now));
-        self.following_routers.set(controller.subscribers.lease_count(now) as i64);
+        self.subscribed_routers.set(controller.subscribers.lease_count(now) as i64);
         self.batches.set(controller.committed.read(records::ids).len() as i64);
-        self.leaving.set(i64::from(controller.shutting_down.load(Ordering::Relaxed)));
+        self.shutting_down.set(i64::from(controller.shutting_down.load(Ordering::Relaxed)));
         telemetry::encode(&self.registry)
     }
 }
@@ -196,18 +196,18 @@
             OperatorRequest::Change(_) => RequestKind::ChangeConfig,
             OperatorRequest::Evacuate { .. } | OperatorRequest::EvacuateFrom { .. } => RequestKind::Evacuate,
         };
-        metrics.orders_under_way.inc();
+        metrics.requests_in_flight.inc();
         RequestTimer { metrics, kind, begun: clock::now() }
     }
 
     pub fn finish(self, result: RequestOutcome) {
-        self.metrics.orders.get_or_create(&RequestLabels { kind: self.kind, result }).inc();
+        self.metrics.operator_requests.get_or_create(&RequestLabels { kind: self.kind, result }).inc();
     }
 }
 
 impl Drop for RequestTimer<'_> {
     fn drop(&mut self) {
-        self.metrics.orders_under_way.dec();
+        self.metrics.requests_in_flight.dec();
         let spent_ms = clock::now() - self.begun;
         self.metrics.order_duration.observe(spent_ms as f64 / MS_PER_S);
     }
--- a/controller/src/metrics_tests.rs
+++ b/controller/src/metrics_tests.rs
@@ -23,11 +23,11 @@
     let evacuation = OperatorRequest::Evacuate { zone: "a".into(), on: true };
     let answered = RequestTimer::start(&metrics, &evacuation);
     let given_up = RequestTimer::start(&metrics, &OperatorRequest::ReadConfig);
-    assert_eq!(metrics.orders_under_way.get(), 2);
+    assert_eq!(metrics.requests_in_flight.get(), 2);
     answered.finish((&OperatorResponse::OutcomeUnknown).into());
     drop(given_up);
-    assert_eq!(metrics.orders_under_way.get(), 0);
-    let count = |kind, result| metrics.orders.get_or_create(&RequestLabels { kind, result }).get();
+    assert_eq!(metrics.requests_in_flight.get(), 0);
+    let count = |kind, result| metrics.operator_requests.get_or_create(&RequestLabels { kind, result }).get();
     assert_eq!(count(RequestKind::Evacuate, RequestOutcome::Unclear), 1);
     assert_eq!(count(RequestKind::ReadConfig, RequestOutcome::Done), 0);
 }
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -10,7 +10,7 @@
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
-use crate::event::{FRESH, RECALLED};
+use crate::event::{RECOVERED, VOTING_ENABLED};
 
 const READ_MS: u64 = 800;
 
@@ -41,7 +41,7 @@
         }
     }
     if controller.replica.recover(core.version, reads) {
-        kernel::log_event!(RECALLED, "from" => from.join(","));
+        kernel::log_event!(RECOVERED, "from" => from.join(","));
     }
 }
 
@@ -54,7 +54,7 @@
         return;
     }
     if controller.replica.enable_voting(core.version) {
-        kernel::log_event!(FRESH, "core" => core.version);
+        kernel::log_event!(VOTING_ENABLED, "core" => core.version);
     }
 }
 
--- a/controller/src/replication/replica.rs
+++ b/controller/src/replication/replica.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, RegisterState};
 
-use crate::event::CORE;
+use crate::event::CORE_CHANGED;
 use crate::replication::disk::Disk;
 
 /// The acceptor of this process and the disk behind it.
@@ -46,7 +46,7 @@
     pub fn adopt_membership(&self, membership: &CoreMembership) {
         let record = self.acceptor.lock().adopt_membership(membership);
         let Some(record) = record else { return };
-        log_event!(CORE, "version" => membership.version, "settled" => membership.stable,
+        log_event!(CORE_CHANGED, "version" => membership.version, "settled" => membership.stable,
             "members" => membership.members.iter().map(|member| member.ip.as_str()).collect::<Vec<_>>().join(","));
         self.disk.write(vec![record]);
     }
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -13,7 +13,7 @@
 
 use crate::batches::records;
 use crate::controller::{Controller, CONFIRMATION_TTL_MS};
-use crate::event::DUTY;
+use crate::event::ROLE_ACQUIRED;
 use crate::replication::committed_state::RoleState;
 use crate::replication::registers::Decision;
 
@@ -139,8 +139,8 @@
     let Some(epoch) = commit_next_epoch(controller, key, role.epoch, own).await else { return };
     let tenure = Tenure { epoch, since: clock::now(), own };
     controller.acquired_roles.insert(key, tenure);
-    controller.metrics.duties_taken.inc();
-    kernel::log_event!(DUTY, "duty" => key, "epoch" => epoch);
+    controller.metrics.roles_acquired.inc();
+    kernel::log_event!(ROLE_ACQUIRED, "duty" => key, "epoch" => epoch);
 }
 
 fn may_acquire(controller: &Controller, key: &str, holder: &str, confirmed_ms: u64) -> bool {
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -1,15 +1,16 @@
-//! Start and end of the process.
+//! Start and end of the process: the acceptor is read from disk, the parts are started in their order, and on SIGTERM what
+//! is under way is finished.
 
 use std::path::Path;
 use std::process;
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::Acceptor;
-use kernel::clock;
+use consensus::{Acceptor, Store, StoreError};
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
+use kernel::{clock, log_event};
 use membership::MembershipView;
 use protocol::link::{self, Handler};
 use protocol::message::{CoreMembership, Member};
@@ -20,7 +21,7 @@
 use crate::batches::runner;
 use crate::controller::{Controller, LIVENESS_TIMEOUT_MS};
 use crate::discovery::poller;
-use crate::event::{BAD_DISK, GONE, LEAVE, START};
+use crate::event::{DISK_UNUSABLE, SHUTDOWN_BEGUN, SHUTDOWN_FINISHED, START};
 use crate::metrics::Metrics;
 use crate::peers::directory::Peers;
 use crate::peers::{dispatch, gossip, pause};
@@ -28,9 +29,10 @@
 use crate::replication::disk::{self, Disk};
 use crate::replication::reconfiguration;
 use crate::replication::replica::Replica;
+use crate::rollout::version_rollouts;
 use crate::{balancing, roles, shutdown};
 
-/// The parts of the controller that announce themselves.
+/// The parts of the controller, which register themselves here and are started in their stated order.
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
 pub static CONTROLLER_PARTS: [Plugin<Arc<Controller>>];
@@ -39,83 +41,97 @@
     ($label:ident, $name:literal, $order:literal, $start:path) => {
         #[kernel::plugin::linkme::distributed_slice(CONTROLLER_PARTS)]
         #[linkme(crate = kernel::plugin::linkme)]
-        static $label: kernel::plugin::Plugin<std::sync::Arc<crate::controller::Controller>> =
-            kernel::plugin::Plugin { name: $name, order: $order, start: $start };
+        static $label: Plugin<Arc<Controller>> = Plugin { name: $name, order: $order, start: $start };
     };
 }
 
 part!(GOSSIP, "gossip", 2, gossip::start);
-part!(PAUSES, "pauses", 1, pause::start);
-part!(MEMBERSHIP, "membership", 3, reconfiguration::start);
-part!(PLATFORM, "platform", 4, poller::start);
-part!(DUTY, "duty", 5, roles::start);
+part!(PAUSE_MONITOR, "pauses", 1, pause::start);
+part!(RECONFIGURATION, "membership", 3, reconfiguration::start);
+part!(DISCOVERY, "platform", 4, poller::start);
+part!(ROLES, "duty", 5, roles::start);
 part!(BATCHES, "batches", 8, runner::start);
-part!(BALANCE, "balance", 7, balancing::start);
-part!(VERSIONS, "versions", 9, crate::rollout::version_rollouts::start);
-part!(CONTROL, "control", 6, routes::start);
-part!(FELLOWS, "peers", 1, peers);
+part!(BALANCING, "balance", 7, balancing::start);
+part!(VERSION_ROLLOUTS, "versions", 9, version_rollouts::start);
+part!(OPERATOR_API, "control", 6, routes::start);
+part!(PEERS, "peers", 1, start_peer_listener);
 
-fn peers(controller: &Arc<Controller>) {
-    let addr = format!("{}:{}", controller.settings.ip, controller.settings.peer_port());
+/// How long to wait before the socket for peers is tried again.
+const LISTEN_RETRY: Duration = Duration::from_millis(200);
+/// Messages to peers that were handed over get so long to leave.
+const FAREWELL: Duration = Duration::from_millis(300);
+/// The exit code of a process whose disk cannot be used.
+const EXIT_DISK_UNUSABLE: u8 = 4;
+
+/// Listens for peers and routers for as long as the process runs.
+fn start_peer_listener(controller: &Arc<Controller>) {
+    let address = format!("{}:{}", controller.settings.ip, controller.settings.peer_port());
     let controller = controller.clone();
-    let handler: Handler = Arc::new(move |mouth, id, msg| dispatch::dispatch(&controller, mouth, id, msg));
+    let handler: Handler =
+        Arc::new(move |responder, id, message| dispatch::dispatch(&controller, responder, id, message));
     tokio::spawn(async move {
         loop {
-            match socket::listen(&addr) {
+            match socket::listen(&address) {
                 Ok(listener) => link::serve(listener, handler.clone()).await,
-                Err(_) => time::sleep(Duration::from_millis(200)).await,
+                Err(_) => time::sleep(LISTEN_RETRY).await,
             }
         }
     });
 }
 
-/// The first core is the seeds: at the first start all daemons are told the same.
-fn found(settings: &Settings) -> CoreMembership {
+/// Returns the first core membership: the seeds, which at the first start are the same in all settings.
+fn founding_membership(settings: &Settings) -> CoreMembership {
     let mut ips = settings.seed_ips();
     ips.sort();
     ips.dedup();
-    let list = ips.into_iter().map(|ip| Member { ip, zone: String::new() }).collect();
-    CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
+    let members = ips.into_iter().map(|ip| Member { ip, zone: String::new() }).collect();
+    CoreMembership { version: 1, members, previous_members: Vec::new(), stable: true }
 }
 
-/// Messages to peers that were handed over get so long to leave.
-const FAREWELL: Duration = Duration::from_millis(300);
+/// The acceptor as it was found on disk.
+struct OpenedAcceptor {
+    acceptor: Acceptor,
+    /// None: everything is kept in memory only.
+    store: Option<Store>,
+    is_disk_empty: bool,
+}
 
-/// Runs a controller until it is told to end and has finished what it took.
-pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    let life = clock::incarnation();
-    let mut voter = Acceptor::new(&settings.ip);
-    let mut store = None;
-    let mut empty = true;
-    if let Some(dir) = &settings.data_dir {
-        match disk::open(Path::new(dir), &mut voter) {
-            Ok((open, found_empty)) => (store, empty) = (Some(open), found_empty),
-            Err(error) => {
-                kernel::log_event!(BAD_DISK, "cause" => error.to_string());
-                eprintln!("controller: {error}");
-                return process::ExitCode::from(4);
-            }
-        }
-    }
-    let mut first = Vec::new();
-    if empty && settings.bootstrap {
-        voter.membership = found(&settings);
-        voter.may_vote = true;
-        first = voter.snapshot();
+fn open_acceptor(settings: &Settings) -> Result<OpenedAcceptor, StoreError> {
+    let mut acceptor = Acceptor::new(&settings.ip);
+    let Some(dir) = &settings.data_dir else {
+        return Ok(OpenedAcceptor { acceptor, store: None, is_disk_empty: true });
+    };
+    let (store, is_disk_empty) = disk::open(Path::new(dir), &mut acceptor)?;
+    Ok(OpenedAcceptor { acceptor, store: Some(store), is_disk_empty })
+}
+
+/// Starts the acceptor on its disk. One that bootstraps on an empty disk founds the core.
+fn start_replica(settings: &Settings, opened: OpenedAcceptor, metrics: &Metrics) -> Replica {
+    let OpenedAcceptor { mut acceptor, store, is_disk_empty } = opened;
+    let mut first_records = Vec::new();
+    if is_disk_empty && settings.bootstrap {
+        acceptor.membership = founding_membership(settings);
+        acceptor.may_vote = true;
+        first_records = acceptor.snapshot();
     }
-    kernel::log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone(), "empty" => empty,
-        "bootstrap" => settings.bootstrap, "may_vote" => voter.may_vote, "core" => voter.membership.version);
-    let mirror = voter.clone();
+    log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone(), "empty" => is_disk_empty,
+        "bootstrap" => settings.bootstrap, "may_vote" => acceptor.may_vote, "core" => acceptor.membership.version);
+    let disk = Disk::start(store, acceptor.clone(), metrics.disk_write.clone());
+    disk.write(first_records);
+    Replica::new(acceptor, disk)
+}
+
+/// Puts the parts of the process together.
+fn assemble(settings: Settings, opened: OpenedAcceptor, incarnation: u64) -> Arc<Controller> {
     let metrics = Metrics::default();
-    let disk = Disk::start(store, mirror, metrics.disk_write.clone());
-    disk.write(first);
-    let controller = Arc::new(Controller {
-        incarnation: life,
-        replica_id: consensus::replica_id(&settings.ip, life),
-        replica: Replica::new(voter, disk),
+    let view = MembershipView::new(&settings.ip, &settings.zone, LIVENESS_TIMEOUT_MS);
+    Arc::new(Controller {
+        incarnation,
+        replica_id: consensus::replica_id(&settings.ip, incarnation),
+        replica: start_replica(&settings, opened, &metrics),
         committed: Default::default(),
         ownerships: Default::default(),
-        peers: Peers::new(settings.peer_port(), MembershipView::new(&settings.ip, &settings.zone, LIVENESS_TIMEOUT_MS)),
+        peers: Peers::new(settings.peer_port(), view),
         engines: Default::default(),
         subscribers: Default::default(),
         catalog: Default::default(),
@@ -127,18 +143,36 @@
         shutdown: Default::default(),
         metrics,
         settings,
-    });
+    })
+}
+
+/// Runs a controller until it is told to end and has finished what it took, and returns the code to exit with.
+pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
+    let incarnation = clock::incarnation();
+    let opened = match open_acceptor(&settings) {
+        Ok(opened) => opened,
+        Err(error) => {
+            log_event!(DISK_UNUSABLE, "cause" => error.to_string());
+            eprintln!("controller: {error}");
+            return process::ExitCode::from(EXIT_DISK_UNUSABLE);
+        }
+    };
+    let controller = assemble(settings, opened, incarnation);
     let observed = controller.clone();
     telemetry::start(&controller.settings.ip, controller.settings.metrics.as_ref(), move || {
         observed.metrics.render(&observed)
     });
     plugin::start(&CONTROLLER_PARTS, &controller);
     signal::until_leave(&mut signals).await;
-    kernel::log_event!(LEAVE);
+    shut_down(&controller).await;
+    process::ExitCode::SUCCESS
+}
+
+/// Leaves the core where that is possible, then finishes what is under way. Meanwhile peers hear that this controller ends.
+async fn shut_down(controller: &Arc<Controller>) {
+    log_event!(SHUTDOWN_BEGUN);
     let end = shutdown::last_moment(controller.settings.bounds.grace_s);
-    reconfiguration::leave(&controller).await;
-    // What was answered is on disk; what is under way is finished. Meanwhile peers hear that this controller ends.
+    reconfiguration::leave(controller).await;
     let (finished, ()) = tokio::join!(controller.shutdown.run(end), time::sleep(FAREWELL));
-    kernel::log_event!(GONE, "finished" => finished, "orders" => controller.metrics.orders_under_way.get());
-    process::ExitCode::SUCCESS
+    log_event!(SHUTDOWN_FINISHED, "finished" => finished, "orders" => controller.metrics.requests_in_flight.get());
 }
