--- a/controller/src/delivery/subscribers.rs
+++ b/controller/src/delivery/subscribers.rs
@@ -1,4 +1,4 @@
-//! The routers that follow this controller.
+//! The routers that subscribed to this controller, and what is known to have reached each of them.
 
 use std::collections::BTreeMap;
 use std::mem;
@@ -7,98 +7,108 @@
 use protocol::link::Responder;
 use protocol::message::Message;
 
-/// Invariant: what it says to have is what was handed to its connection or what it told in its last call;
-/// a follower never gets an older version.
+/// A router that renews its lease at this controller.
+///
+/// Invariant: the versions are those that were handed to its connection or that it reported in its last renewal, so it never
+/// gets an older version.
 pub struct Subscriber {
+    /// The way back on the connection over which it last renewed.
     pub responder: Responder,
+    /// The router's zone.
     pub zone: String,
+    /// The revision of the configuration that it has.
     pub config_revision: u64,
-    /// Something for it was dropped: nothing more is pushed before it calls again and tells what it has.
+    /// A message for it was dropped: nothing more is pushed before it renews and reports what it has.
     pub is_behind: bool,
-    /// The versions of rules that it told in its last call: what it has confirmed.
+    /// The versions of staleness limits, by key, that it confirmed in its last renewal.
     pub confirmed_limits: BTreeMap<String, u64>,
-    /// Until when it holds its lease.
+    /// When its lease ends, in ms of the steady clock.
     pub lease_expires_at: u64,
     /// The newest version of messages that it reads.
     pub protocol_version: u64,
+    /// The versions of evacuations by zone that it has, and under hidden keys those of limits and rollouts.
     pub evacuation_versions: BTreeMap<String, u64>,
+    /// The versions (term, sequence) of endpoint lists by zone that it has, and under hidden keys those of other lists.
     pub list_versions: BTreeMap<String, (u64, u64)>,
 }
 
 impl Subscriber {
-    /// Sends a message; one that is dropped is noted. True: it was handed to the connection.
-    pub fn send(&mut self, msg: &Message) -> bool {
-        let sent = self.responder.notify(msg);
+    /// Sends a message and returns whether it was handed to the connection. One that is dropped leaves the subscriber behind.
+    pub fn send(&mut self, message: &Message) -> bool {
+        let sent = self.responder.notify(message);
         self.is_behind |= !sent;
         sent
     }
 }
 
-/// The followers by node name.
+/// The subscribers by node name.
 #[derive(Default)]
 pub struct SubscriberTable {
+    /// By node name.
     pub list: BTreeMap<String, Subscriber>,
 }
 
 impl SubscriberTable {
-    /// Forgets followers whose connection is gone, once their leases have lapsed: a lease holds without
-    /// the connection over which it was given.
+    /// Forgets subscribers whose connection is gone, once their leases have expired: a lease holds without the connection
+    /// over which it was given.
     pub fn forget_lapsed(&mut self, now: u64) {
-        self.list.retain(|_, follower| follower.lease_expires_at > now || !follower.responder.is_closed());
+        self.list.retain(|_, subscriber| subscriber.lease_expires_at > now || !subscriber.responder.is_closed());
     }
 
-    /// How many followers hold a lease, and how many of them have confirmed a rule.
+    /// Returns how many subscribers hold a lease, and how many of them have confirmed a version of a limit.
     pub fn confirmations(&self, key: &str, version: u64, now: u64) -> (u32, u32) {
-        let live = self.list.values().filter(|follower| follower.lease_expires_at > now);
-        let confirmed = |follower: &Subscriber| follower.confirmed_limits.get(key).is_some_and(|held| *held >= version);
-        live.fold((0, 0), |(all, good), follower| (all + 1, good + u32::from(confirmed(follower))))
+        let live = self.list.values().filter(|subscriber| subscriber.lease_expires_at > now);
+        let has_confirmed = |subscriber: &Subscriber| {
+            subscriber.confirmed_limits.get(key).is_some_and(|confirmed| *confirmed >= version)
+        };
+        live.fold((0, 0), |(all, confirmed), subscriber| (all + 1, confirmed + u32::from(has_confirmed(subscriber))))
     }
 }
 
-/// The routers that follow this controller, shared by all parts of the process.
+/// The subscribers, shared by all parts of the process.
 #[derive(Default)]
 pub struct Subscribers(Mutex<SubscriberTable>);
 
 impl Subscribers {
     /// Keeps what was just sent to a router and until when it holds its lease.
-    pub fn insert(&self, node: String, follower: Subscriber) {
-        self.0.lock().list.insert(node, follower);
+    pub fn insert(&self, node: String, subscriber: Subscriber) {
+        self.0.lock().list.insert(node, subscriber);
     }
 
-    /// Takes all followers out, to send to each without holding the lock. Whoever calls again meanwhile is inserted anew.
+    /// Takes all subscribers out, to send to each without holding the lock. Whoever renews meanwhile is inserted anew.
     pub fn take_all(&self) -> BTreeMap<String, Subscriber> {
         mem::take(&mut self.0.lock().list)
     }
 
-    /// Puts followers back that were taken out, except those that called again meanwhile.
+    /// Puts subscribers back that were taken out, except those that renewed meanwhile.
     pub fn restore(&self, list: BTreeMap<String, Subscriber>, now: u64) {
-        let mut followers = self.0.lock();
-        for (node, follower) in list {
-            followers.list.entry(node).or_insert(follower);
+        let mut table = self.0.lock();
+        for (node, subscriber) in list {
+            table.list.entry(node).or_insert(subscriber);
         }
-        followers.forget_lapsed(now);
+        table.forget_lapsed(now);
     }
 
-    /// Sends a message to all followers.
+    /// Sends a message to all subscribers.
     pub fn notify_all(&self, message: &Message) {
-        for follower in self.0.lock().list.values() {
-            follower.responder.notify(message);
+        for subscriber in self.0.lock().list.values() {
+            subscriber.responder.notify(message);
         }
     }
 
-    /// Returns how many followers hold a lease, and how many of them have confirmed a rule.
+    /// Returns how many subscribers hold a lease, and how many of them have confirmed a version of a limit.
     pub fn confirmations(&self, key: &str, version: u64, now: u64) -> (u32, u32) {
         self.0.lock().confirmations(key, version, now)
     }
 
-    /// Returns how many followers hold a lease.
+    /// Returns how many subscribers hold a lease.
     pub fn lease_count(&self, now: u64) -> usize {
-        self.0.lock().list.values().filter(|follower| follower.lease_expires_at > now).count()
+        self.0.lock().list.values().filter(|subscriber| subscriber.lease_expires_at > now).count()
     }
 
-    /// Returns the revision of the configuration that each follower has.
+    /// Returns the revision of the configuration that each subscriber has, by node name.
     pub fn config_revisions(&self) -> BTreeMap<String, u64> {
-        self.0.lock().list.iter().map(|(node, follower)| (node.clone(), follower.config_revision)).collect()
+        self.0.lock().list.iter().map(|(node, subscriber)| (node.clone(), subscriber.config_revision)).collect()
     }
 }
 
--- a/controller/src/delivery/subscribers_tests.rs
+++ b/controller/src/delivery/subscribers_tests.rs
@@ -1,17 +1,19 @@
+//! Leases of subscribers, and subscribers that do not read.
+
 use protocol::link::Responder;
 use protocol::message::Message;
 use tokio::sync::mpsc;
 
 use super::{Subscriber, SubscriberTable};
 
-fn follower(mouth: Responder, until: u64) -> Subscriber {
+fn subscriber(responder: Responder, lease_expires_at: u64) -> Subscriber {
     Subscriber {
-        responder: mouth,
+        responder,
         zone: "a".into(),
         config_revision: 0,
         is_behind: false,
         confirmed_limits: Default::default(),
-        lease_expires_at: until,
+        lease_expires_at,
         protocol_version: 2,
         evacuation_versions: Default::default(),
         list_versions: Default::default(),
@@ -25,26 +27,26 @@
 #[test]
 fn a_lease_counts_until_it_lapses_also_when_the_connection_is_gone() {
     let (out, queue) = mpsc::channel(4);
-    let mut followers = SubscriberTable::default();
-    followers.list.insert("router-1".into(), follower(Responder::new(out), 1600));
+    let mut table = SubscriberTable::default();
+    table.list.insert("router-1".into(), subscriber(Responder::new(out), 1600));
     drop(queue);
-    followers.forget_lapsed(1599);
-    assert_eq!(followers.confirmations("rule", 1, 1599), (1, 0), "it may still act under an older rule");
-    followers.forget_lapsed(1600);
-    assert!(followers.list.is_empty());
+    table.forget_lapsed(1599);
+    assert_eq!(table.confirmations("rule", 1, 1599), (1, 0), "it may still act under an older rule");
+    table.forget_lapsed(1600);
+    assert!(table.list.is_empty());
 }
 
 #[test]
-fn a_follower_that_does_not_read_is_behind_and_keeps_its_lease() {
+fn a_subscriber_that_does_not_read_is_behind_and_keeps_its_lease() {
     let (out, mut queue) = mpsc::channel(1);
-    let mut followers = SubscriberTable::default();
-    followers.list.insert("router-1".into(), follower(Responder::new(out), 1600));
-    let held = followers.list.get_mut("router-1").expect("held");
-    assert!(held.send(&message()) && !held.is_behind);
-    assert!(!held.send(&message()) && held.is_behind);
+    let mut table = SubscriberTable::default();
+    table.list.insert("router-1".into(), subscriber(Responder::new(out), 1600));
+    let subscriber = table.list.get_mut("router-1").expect("inserted");
+    assert!(subscriber.send(&message()) && !subscriber.is_behind);
+    assert!(!subscriber.send(&message()) && subscriber.is_behind);
     assert!(queue.try_recv().is_ok());
-    assert!(held.send(&message()) && held.is_behind, "only its next call ends it");
-    followers.forget_lapsed(5000);
-    assert_eq!(followers.list.len(), 1, "it is still connected");
-    assert_eq!(followers.confirmations("rule", 1, 5000), (0, 0));
+    assert!(subscriber.send(&message()) && subscriber.is_behind, "only its next call ends it");
+    table.forget_lapsed(5000);
+    assert_eq!(table.list.len(), 1, "it is still connected");
+    assert_eq!(table.confirmations("rule", 1, 5000), (0, 0));
 }
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -1,4 +1,4 @@
-//! What a follower lacks, and sending it: on each of its calls, and at once when something changes.
+//! What a subscriber lacks, and sending it: with each of its renewals, and at once when something changes.
 
 use std::collections::BTreeMap;
 
@@ -13,103 +13,115 @@
 use crate::quota_shards::send_holders;
 use crate::replication::committed_state::{CommittedState, RoleState};
 use crate::roles::CATALOG;
+use crate::rollout::version_rollouts;
+
+/// From this version of messages on routers know staleness limits.
+const STALENESS_LIMITS: u64 = 2;
 
 impl Controller {
-    /// A router renews its lease, tells what it has and gets what it lacks.
-    pub fn renew_subscription(&self, mouth: Responder, id: u64, follow: SubscriptionRenewal) {
+    /// Renews a router's lease and responds with what it lacks of what it reported.
+    pub fn renew_subscription(&self, responder: Responder, id: u64, renewal: SubscriptionRenewal) {
         let now = clock::now();
-        let until = now + ROUTER_LEASE_MS;
-        self.peers.update(|view| view.renew_lease(&follow.node, until, follow.in_flight, follow.frontend_address));
-        self.engines.update(|lists| lists.observe_terms(&follow.list_versions));
-        let mut follower = Subscriber {
-            confirmed_limits: limit_confirmations::confirmed_limits(&follow.evacuation_versions),
-            lease_expires_at: until,
-            responder: mouth,
-            zone: follow.zone,
-            config_revision: follow.config_revision,
+        let lease_expires_at = now + ROUTER_LEASE_MS;
+        self.peers.update(|view| {
+            view.renew_lease(&renewal.node, lease_expires_at, renewal.in_flight, renewal.frontend_address)
+        });
+        self.engines.update(|lists| lists.observe_terms(&renewal.list_versions));
+        let mut subscriber = Subscriber {
+            confirmed_limits: limit_confirmations::confirmed_limits(&renewal.evacuation_versions),
+            lease_expires_at,
+            responder,
+            zone: renewal.zone,
+            config_revision: renewal.config_revision,
             is_behind: false,
-            protocol_version: message::protocol_version_of(&follow.list_versions),
-            evacuation_versions: follow.evacuation_versions.into_iter().collect(),
-            list_versions: follow.list_versions.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
+            protocol_version: message::protocol_version_of(&renewal.list_versions),
+            evacuation_versions: renewal.evacuation_versions.into_iter().collect(),
+            list_versions: renewal
+                .list_versions
+                .into_iter()
+                .map(|(zone, term, sequence)| (zone, (term, sequence)))
+                .collect(),
         };
-        let mut news = self.missing(&follow.node, &mut follower, now);
-        // A lease on bound work is renewed only for one that has confirmed every rule known here.
-        // One of the first version holds none: it serves on, and no rule settles while it is there.
-        news.confirmed &= follower.protocol_version < 2 || self.has_confirmed_limits(&follower);
+        let mut update = self.missing_state(&renewal.node, &mut subscriber, now);
+        // A lease on bound work is renewed only for one that has confirmed every limit known here.
+        // One of the first version holds none: it serves on, and no limit binds while it is there.
+        update.confirmed &= subscriber.protocol_version < STALENESS_LIMITS || self.has_confirmed_limits(&subscriber);
         // Whoever is told that it is current must have been sent all.
-        news.confirmed &= !follower.is_behind;
-        follower.responder.reply(id, &Message::StateUpdate(Box::new(news)));
-        self.subscribers.insert(follow.node, follower);
+        update.confirmed &= !subscriber.is_behind;
+        subscriber.responder.reply(id, &Message::StateUpdate(Box::new(update)));
+        self.subscribers.insert(renewal.node, subscriber);
     }
 
-    /// Doubt about an engine reaches all routers at once: each asks it for itself.
-    pub fn suspect_engine(&self, engine: &str, passed: bool) {
-        let note = Message::SuspectEngine(Box::new((engine.to_string(), true)));
-        self.subscribers.notify_all(&note);
-        if !passed {
-            self.notify_peers(&note);
+    /// Passes the suspicion of an engine on to all routers: each probes the engine for itself. `relayed`: it came from a
+    /// controller, so the others have it.
+    pub fn suspect_engine(&self, engine: &str, relayed: bool) {
+        let suspicion = Message::SuspectEngine(Box::new((engine.to_string(), true)));
+        self.subscribers.notify_all(&suspicion);
+        if !relayed {
+            self.notify_peers(&suspicion);
         }
     }
 
-    /// Sends to each follower what it lacks.
+    /// Sends to each subscriber what it lacks. One that is behind gets it with its next renewal.
     pub fn push_updates(&self) {
         let now = clock::now();
         let mut list = self.subscribers.take_all();
-        let reachable = list.iter_mut().filter(|(_, follower)| !follower.is_behind && !follower.responder.is_closed());
-        for (node, follower) in reachable {
-            let news = self.missing(node, follower, now);
-            if news.config.is_some() || !news.evacuations.is_empty() || !news.endpoint_lists.is_empty() {
-                follower.send(&Message::StateUpdate(Box::new(news)));
+        let reachable =
+            list.iter_mut().filter(|(_, subscriber)| !subscriber.is_behind && !subscriber.responder.is_closed());
+        for (node, subscriber) in reachable {
+            let update = self.missing_state(node, subscriber, now);
+            if update.config.is_some() || !update.evacuations.is_empty() || !update.endpoint_lists.is_empty() {
+                subscriber.send(&Message::StateUpdate(Box::new(update)));
             }
         }
         self.subscribers.restore(list, now);
     }
 
-    /// What a follower lacks. What has a message of its own is sent at once, the rest goes into the news.
-    fn missing(&self, node: &str, follower: &mut Subscriber, now: u64) -> StateUpdate {
-        let mut news = StateUpdate { confirmed: self.committed.is_confirmed(now), ..Default::default() };
-        self.committed.update(|state| add_control_state(state, &mut news, follower));
-        self.add_roster(&mut news, node, follower, now);
-        self.add_engine_lists(&mut news, follower);
-        if follower.protocol_version >= 2 {
-            self.send_weights(follower);
+    /// Returns what a subscriber lacks. What has a message of its own is sent at once, the rest goes into the update.
+    fn missing_state(&self, node: &str, subscriber: &mut Subscriber, now: u64) -> StateUpdate {
+        let mut update = StateUpdate { confirmed: self.committed.is_confirmed(now), ..Default::default() };
+        self.committed.update(|state| add_control_state(state, &mut update, subscriber));
+        self.add_membership(&mut update, node, subscriber, now);
+        self.add_engine_lists(&mut update, subscriber);
+        if subscriber.protocol_version >= STALENESS_LIMITS {
+            self.send_weights(subscriber);
         }
-        if follower.protocol_version >= QUOTAS && self.committed.has_tenants() {
-            send_holders(self, follower);
+        if subscriber.protocol_version >= QUOTAS && self.committed.has_tenants() {
+            send_holders(self, subscriber);
         }
-        news
+        update
     }
 
-    fn add_roster(&self, news: &mut StateUpdate, node: &str, follower: &Subscriber, now: u64) {
+    fn add_membership(&self, update: &mut StateUpdate, node: &str, subscriber: &Subscriber, now: u64) {
         self.peers.update(|view| {
-            news.router_count = view.router_count(now, news.confirmed);
-            news.reassigning = view.reassigning(now);
-            // An order of its own for each router, so that the controllers of a zone share them.
-            news.peers = view.preference_order(&follower.zone, node);
+            update.router_count = view.router_count(now, update.confirmed);
+            update.reassigning = view.reassigning(now);
+            // An order of its own for each router, so that the controllers of a zone share the routers.
+            update.peers = view.preference_order(&subscriber.zone, node);
         });
     }
 
-    fn add_engine_lists(&self, news: &mut StateUpdate, follower: &mut Subscriber) {
+    fn add_engine_lists(&self, update: &mut StateUpdate, subscriber: &mut Subscriber) {
         self.engines.read(|lists| {
-            for sheet in lists.iter() {
-                if message::is_hidden_key(&sheet.zone) && follower.protocol_version < VERSION_ROLLOUTS {
+            for list in lists.iter() {
+                if message::is_hidden_key(&list.zone) && subscriber.protocol_version < VERSION_ROLLOUTS {
                     continue;
                 }
-                let has = follower.list_versions.entry(sheet.zone.clone()).or_default();
-                if (sheet.term, sheet.sequence) > *has {
-                    *has = (sheet.term, sheet.sequence);
-                    news.endpoint_lists.push(sheet.clone());
+                let has = subscriber.list_versions.entry(list.zone.clone()).or_default();
+                if (list.term, list.sequence) > *has {
+                    *has = (list.term, list.sequence);
+                    update.endpoint_lists.push(list.clone());
                 }
             }
         });
     }
 
-    /// The view of the fleet for those who operate it.
+    /// Returns the fleet as this controller sees it, for operators.
     pub fn fleet_view(&self) -> Value {
         let now = clock::now();
         let core = self.replica.membership();
         let members: Vec<&str> = core.members.iter().map(|member| member.ip.as_str()).collect();
-        let sure = self.committed.is_confirmed(now);
+        let is_confirmed = self.committed.is_confirmed(now);
         let revision = self.committed.revision();
         let as_list = |role: RoleState| (role.epoch, role.owner, role.predecessor_expired);
         let roles = self.committed.roles().into_iter();
@@ -117,37 +129,39 @@
         let controllers = self.peers.live_ips(now);
         let routers = self.subscribers.config_revisions();
         serde_json::json!({
-            "node_name": self.settings.node_name, "sure": sure, "revision": revision, "core": members,
+            "node_name": self.settings.node_name, "sure": is_confirmed, "revision": revision, "core": members,
             "core_stamp": core.version, "core_settled": core.stable, "live_keepers": controllers,
             "duties": roles, "routers": routers,
         })
     }
 }
 
-fn add_control_state(state: &mut CommittedState, news: &mut StateUpdate, follower: &mut Subscriber) {
-    if follower.protocol_version >= 2 {
-        // Before the configuration: no route is served whose rule is known here and not there.
-        limit_confirmations::send_missing_limits(state, follower);
-        // Before the news: whoever is told that it is current has it by then.
-        let mouth = &follower.responder;
-        let reads = follower.protocol_version;
-        let sent = state.history.send_missing(reads, &mut follower.config_revision, |frame| mouth.notify_frame(frame));
-        follower.is_behind |= !sent;
-    } else if let Some((revision, text)) = state.history.text_after(follower.config_revision) {
-        news.config = Some((revision, text));
-        follower.config_revision = revision;
+/// Adds what is committed: staleness limits, the configuration, version rollouts, evacuations and the catalog's owner.
+fn add_control_state(state: &mut CommittedState, update: &mut StateUpdate, subscriber: &mut Subscriber) {
+    if subscriber.protocol_version >= STALENESS_LIMITS {
+        // Before the configuration: no route is served whose limit is known here and not there.
+        limit_confirmations::send_missing_limits(state, subscriber);
+        // Before the update: whoever reads there that it is current has it by then.
+        let responder = &subscriber.responder;
+        let reads = subscriber.protocol_version;
+        let sent =
+            state.history.send_missing(reads, &mut subscriber.config_revision, |frame| responder.notify_frame(frame));
+        subscriber.is_behind |= !sent;
+    } else if let Some((revision, text)) = state.history.text_after(subscriber.config_revision) {
+        update.config = Some((revision, text));
+        subscriber.config_revision = revision;
     }
-    if follower.protocol_version >= VERSION_ROLLOUTS {
-        crate::rollout::version_rollouts::send_missing_rollouts(state, follower);
+    if subscriber.protocol_version >= VERSION_ROLLOUTS {
+        version_rollouts::send_missing_rollouts(state, subscriber);
     }
-    follower.is_behind |= !state.history.can_be_told(follower.protocol_version);
+    subscriber.is_behind |= !state.history.can_be_told(subscriber.protocol_version);
     for (zone, evacuation) in &state.evacuations {
-        let has = follower.evacuation_versions.entry(zone.clone()).or_default();
+        let has = subscriber.evacuation_versions.entry(zone.clone()).or_default();
         if evacuation.version > *has {
-            news.evacuations.push((zone.clone(), evacuation.version, evacuation.evacuated));
+            update.evacuations.push((zone.clone(), evacuation.version, evacuation.evacuated));
             *has = evacuation.version;
         }
     }
     let catalog = state.roles.get(CATALOG).cloned().unwrap_or_default();
-    news.catalog = (catalog.epoch, catalog.owner);
+    update.catalog = (catalog.epoch, catalog.owner);
 }
