--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -6,20 +6,26 @@
 //! ownership is held over an await.
 
 use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
 
-use kernel::clock;
+use consensus::{Decision, MEMBERSHIP_KEY};
 use kernel::settings::Settings;
-use protocol::message::Message;
+use kernel::{clock, log_event};
+use protocol::config::Checked;
+use protocol::message::{Entry, Message};
 
 use crate::batches::runner::Tallies;
 use crate::config::body::BodyForm;
+use crate::config::execution;
 use crate::delivery::subscribers::Subscribers;
 use crate::discovery::engine_directory::EngineDirectory;
+use crate::event::{LEARNED, UNREADABLE};
 use crate::metrics::Metrics;
 use crate::peers::directory::Peers;
 use crate::prefix_catalog::PrefixCatalog;
 use crate::quota_shards::QuotaShards;
-use crate::replication::registers::Ownerships;
+use crate::replication::committed_state::{read_core, Learned, CONFIG_KEY};
+use crate::replication::registers::{ChangeOutcome, Ownerships};
 use crate::replication::replica::Replica;
 use crate::replication::shared_state::SharedCommittedState;
 use crate::roles::AcquiredRoles;
@@ -28,8 +34,11 @@
 
 /// The parts of this process. Each keeps its own state behind its own lock.
 pub struct Controller {
+    /// What the settings file says.
     pub settings: Settings,
+    /// Differs between two runs of this daemon.
     pub incarnation: u64,
+    /// Identifies this incarnation in proposal numbers.
     pub replica_id: u64,
     /// The acceptor and its disk.
     pub replica: Replica,
@@ -55,17 +64,22 @@
     pub quotas: QuotaShards,
     /// The process is about to end.
     pub shutting_down: AtomicBool,
+    /// The work that is finished before the process ends.
     pub shutdown: Shutdown,
+    /// What is counted.
     pub metrics: Metrics,
 }
 
-/// A controller counts as live while heard within this.
+/// A controller counts as live for so long after its last heartbeat.
 pub const LIVENESS_TIMEOUT_MS: u64 = 1100;
+/// The pause between two heartbeats.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 350;
-/// A confirmation older than this no longer makes the news sure.
+/// How long the committed state counts as confirmed after the beginning of the read that confirmed it.
 pub const CONFIRMATION_TTL_MS: u64 = 1100;
 /// How long a router's lease lasts after each renewal.
 pub const ROUTER_LEASE_MS: u64 = 1600;
+/// Longer bodies are not sent again to controllers that have them.
+const LONG_BODY_BYTES: usize = 1024;
 
 impl Controller {
     /// Returns the address of this controller.
@@ -73,7 +87,7 @@
         &self.settings.ip
     }
 
-    /// Controllers that are known: the core, the seeds, whoever was heard.
+    /// Returns the other controllers that are known: members of the core, seeds, and whoever sent a heartbeat.
     pub fn known_peers(&self) -> Vec<String> {
         let mut list = self.settings.seed_ips();
         list.extend(self.replica.membership().members.into_iter().map(|member| member.ip));
@@ -91,7 +105,64 @@
         }
     }
 
-    /// The form of the configuration's body for the members of the core and all controllers that live.
+    /// Takes over a committed entry, and sends subscribers what is new to them. With `announce` it also goes to the other
+    /// controllers.
+    pub fn learn(&self, key: &str, entry: &Entry, announce: bool) {
+        let is_new = self.learn_entry(key, entry, None);
+        if is_new && announce {
+            self.notify_peers(&Message::Committed(Box::new((key.into(), entry.clone()))));
+        }
+    }
+
+    /// Takes over a committed configuration that was read already.
+    pub fn learn_config(&self, entry: &Entry, config: Arc<Checked>) {
+        self.learn_entry(CONFIG_KEY, entry, Some(config));
+    }
+
+    /// Returns false where this entry, or a newer one, was known.
+    fn learn_entry(&self, key: &str, entry: &Entry, config: Option<Arc<Checked>>) -> bool {
+        match self.committed.learn(key, entry, config) {
+            Learned::AlreadyKnown => return false,
+            Learned::Unreadable { error, first } => {
+                if first {
+                    log_event!(UNREADABLE, "key" => key, "turn" => entry.proposal_number.term, "step" => entry.index,
+                        "error" => error.to_string());
+                }
+                return true;
+            }
+            Learned::Recommitted => {}
+            Learned::New { revision } => {
+                log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
+                    "step" => entry.index);
+            }
+        }
+        if key == MEMBERSHIP_KEY {
+            if let Some(membership) = read_core(&entry.body) {
+                self.replica.adopt_membership(&membership);
+            }
+        }
+        self.push_updates();
+        true
+    }
+
+    /// Changes a key and announces the committed entry. `judge` sees what is committed and says what to do; it may be asked
+    /// again, and an answer without a write is only given on what a quorum was just seen to hold.
+    pub async fn change<T>(
+        &self,
+        key: &str,
+        wait_ms: u64,
+        judge: impl FnMut(&[u8]) -> Decision<T>,
+    ) -> ChangeOutcome<T> {
+        let (answer, owner, wrote) = self.change_unannounced(key, wait_ms, judge).await?;
+        if !wrote && owner.entry.body.len() > LONG_BODY_BYTES {
+            execution::tell_again(self, key, &owner.entry);
+        } else if !owner.is_blank() {
+            self.learn(key, &owner.entry, true);
+        }
+        Some(answer)
+    }
+
+    /// Returns the form of the configuration's body that the members of the core and all live controllers read.
     pub fn body_form(&self) -> BodyForm {
         let now = clock::now();
         let core = self.replica.membership();
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -6,14 +6,13 @@
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Checked, ConfigError};
-use protocol::message::{Entry, Message, Position, StalenessLimit, ROLLOUT};
+use protocol::message::{Entry, Position, StalenessLimit, ROLLOUT};
 use protocol::version_rollout::{VersionRollout, KEY};
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::config::body::Held;
 use crate::config::history::{ConfigHistory, NotNewer};
-use crate::controller::{Controller, CONFIRMATION_TTL_MS};
-use crate::event::{LEARNED, UNREADABLE};
+use crate::controller::CONFIRMATION_TTL_MS;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EvacuationState {
@@ -84,49 +83,6 @@
     }
 }
 
-impl Controller {
-    /// A committed entry becomes known here; with `tell` also to the other controllers. Subscribers get
-    /// what is new to them at once.
-    pub fn learn(&self, key: &str, entry: &Entry, tell: bool) {
-        let is_news = self.learn_entry(key, entry, None);
-        if is_news && tell {
-            self.notify_peers(&Message::Committed(Box::new((key.into(), entry.clone()))));
-        }
-    }
-
-    /// The same for a configuration that was read already.
-    pub fn learn_config(&self, entry: &Entry, read: Arc<Checked>) {
-        self.learn_entry(CONFIG_KEY, entry, Some(read));
-    }
-
-    /// False: it, or a newer one, was known.
-    fn learn_entry(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> bool {
-        let learned = self.committed.learn(key, entry, read);
-        match learned {
-            Learned::AlreadyKnown => return false,
-            Learned::Unreadable { error, first } => {
-                if first {
-                    kernel::log_event!(UNREADABLE, "key" => key, "turn" => entry.proposal_number.term,
-                        "step" => entry.index, "error" => error.to_string());
-                }
-                return true;
-            }
-            Learned::Recommitted => {}
-            Learned::New { revision } => {
-                kernel::log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
-                    "step" => entry.index);
-            }
-        }
-        if key == MEMBERSHIP_KEY {
-            if let Some(core) = read_core(&entry.body) {
-                self.replica.adopt_membership(&core);
-            }
-        }
-        self.push_updates();
-        true
-    }
-}
-
 /// What became of a committed entry.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Learned {
@@ -137,7 +93,7 @@
     New {
         revision: u64,
     },
-    /// It is not known here: what the key held before is, and its place stays behind. `first`: not told before.
+    /// It is not known here: what the key held before is, and its position stays behind. `first`: not reported before.
     Unreadable {
         error: Unreadable,
         first: bool,
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -14,7 +14,6 @@
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
-use crate::peers::gossip;
 use crate::replication::{committed_state, recovery};
 
 /// How often members are looked at. Short: a core that lost one for good bears no second loss until this
@@ -174,8 +173,6 @@
 /// A member that is about to end tells so, and stays until the core does without it where that is possible:
 /// where another stands ready or there is one member too many. Otherwise it does not wait.
 pub async fn leave(controller: &Arc<Controller>) {
-    controller.shutting_down.store(true, Ordering::Relaxed);
-    gossip::broadcast(controller);
     let end = clock::now() + HAND_OVER_MS;
     while clock::now() < end && may_be_released(controller) {
         time::sleep(Duration::from_millis(LOOK_MS)).await;
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -13,7 +13,6 @@
 use tokio::sync::Mutex;
 use tokio::time::{self, Instant};
 
-use crate::config::execution;
 use crate::controller::Controller;
 
 /// One key's owner state in this controller. Invariant: a change is made only while it is locked, so
@@ -39,8 +38,6 @@
 /// The longest pause after the first try that was overtaken, and after the last ones.
 const FIRST_PAUSE_MS: u64 = 20;
 const LAST_PAUSE_MS: u64 = 200;
-/// Bodies from this length on are not told again to those that hold them.
-const LONG_BODY: usize = 1024;
 
 type Responses = Receiver<(String, ConsensusResponse)>;
 
@@ -101,23 +98,6 @@
         }
     }
 
-    /// Changes a key. `judge` sees what is committed and says what to do; it may be asked again, and
-    /// an answer without a write is only given on what a quorum was just seen to hold.
-    pub async fn change<T>(
-        &self,
-        key: &str,
-        wait_ms: u64,
-        judge: impl FnMut(&[u8]) -> Decision<T>,
-    ) -> ChangeOutcome<T> {
-        let (answer, owner, wrote) = self.change_unannounced(key, wait_ms, judge).await?;
-        if !wrote && owner.entry.body.len() > LONG_BODY {
-            execution::tell_again(self, key, &owner.entry);
-        } else if !owner.is_blank() {
-            self.learn(key, &owner.entry, true);
-        }
-        Some(answer)
-    }
-
     /// The same, and nobody is told of the committed entry: that is left to the caller, who gets it, and
     /// whether a change was written.
     pub async fn change_unannounced<T>(
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -3,6 +3,7 @@
 
 use std::path::Path;
 use std::process;
+use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -172,6 +173,8 @@
 async fn shut_down(controller: &Arc<Controller>) {
     log_event!(SHUTDOWN_BEGUN);
     let end = shutdown::last_moment(controller.settings.bounds.grace_s);
+    controller.shutting_down.store(true, Ordering::Relaxed);
+    gossip::broadcast(controller);
     reconfiguration::leave(controller).await;
     let (finished, ()) = tokio::join!(controller.shutdown.run(end), time::sleep(FAREWELL));
     log_event!(SHUTDOWN_FINISHED, "finished" => finished, "orders" => controller.metrics.requests_in_flight.get());
