--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -217,11 +217,11 @@
     ]
 }
 
-fn closed() -> EvacuationState {
+fn evacuation() -> EvacuationState {
     EvacuationState { version: 4, evacuated: true }
 }
 
-fn duty() -> RoleState {
+fn role() -> RoleState {
     RoleState { epoch: 19, owner: "10.0.0.2-with-a-long-name".into(), predecessor_expired: true }
 }
 
@@ -339,8 +339,8 @@
 /// The bodies of all keys but `config`, as the present code writes them.
 fn control_bodies() -> [(&'static str, Vec<u8>); 10] {
     [
-        ("control-5-closed.bin", closed().to_bytes()),
-        ("control-5-duty.bin", duty().to_bytes()),
+        ("control-5-closed.bin", evacuation().to_bytes()),
+        ("control-5-duty.bin", role().to_bytes()),
         ("control-5-rule.bin", rule().to_bytes()),
         ("control-5-rollout-active.bin", active_rollout().to_bytes()),
         ("control-5-rollout-complete.bin", complete_rollout().to_bytes()),
@@ -474,11 +474,8 @@
         RoleState::open(&fixture("control-5-duty.bin")).expect("read");
     assert_eq!((epoch, owner.as_str(), predecessor_expired), (19, "10.0.0.2-with-a-long-name", true));
     let state = learned(&[("evacuation/zone-a", "control-5-closed.bin"), ("duty/catalog", "control-5-duty.bin")]);
-    assert_eq!(state.evacuations.get("zone-a"), Some(&EvacuationState { version: 4, evacuated: true }));
-    assert_eq!(
-        state.roles.get("duty/catalog"),
-        Some(&RoleState { epoch: 19, owner: "10.0.0.2-with-a-long-name".into(), predecessor_expired: true })
-    );
+    assert_eq!(state.evacuations.get("zone-a"), Some(&evacuation()));
+    assert_eq!(state.roles.get("duty/catalog"), Some(&role()));
 }
 
 #[test]
