--- a/controller/src/api/operator_requests_tests.rs
+++ b/controller/src/api/operator_requests_tests.rs
@@ -1,4 +1,4 @@
-//! Where orders are sent, and evacuations on top of what is committed.
+//! Where requests are sent, and evacuations on top of what is committed.
 
 use consensus::Decision;
 
@@ -11,9 +11,9 @@
     assert_eq!(control_address("10.0.0.9", "10.0.0.4"), None);
 }
 
-/// An evacuation that cannot be read was once taken for none, so that its version began anew.
+/// An evacuation that cannot be read was once treated as none, so that its version began anew.
 #[test]
-fn an_evacuation_that_cannot_be_read_is_never_taken_for_none() {
+fn an_unreadable_evacuation_is_never_treated_as_none() {
     let decide = |on, body: &[u8]| decide_evacuation(on, None, body, "done", "unclear");
     assert_eq!(decide(true, b"of another form"), Decision::Answer("unclear"));
     let Decision::Write(body, "done") = decide(true, &[]) else { panic!("a change") };
@@ -23,7 +23,7 @@
     assert_eq!((closed.version, closed.evacuated), (2, false));
 }
 
-/// A controller relays an order, hears nothing, and carries it out itself; what it relayed comes late, after the evacuation was
+/// A controller relays a request, gets no response, and carries it out itself; what it relayed comes late, after the evacuation was
 /// withdrawn again.
 #[test]
 fn a_relayed_evacuation_that_comes_late_undoes_nothing() {
--- a/controller/src/config/body_tests.rs
+++ b/controller/src/config/body_tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_torn_or_lying_one_is_told_and_never_read_as_empty() {
+fn truncated_and_oversized_bodies_are_rejected_and_never_read_as_empty() {
     for format in [BodyFormat::Compressed, BodyFormat::Digested] {
         let packed = stored(4000).encode(format);
         for cut in (1..packed.len()).step_by(97) {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_form_of_a_body_is_told_by_its_begin() {
+fn the_format_of_a_body_is_recognized_by_its_first_bytes() {
     let text = format!("{{\"revision\":9,\"x\":\"{}\"}}", "abc".repeat(10_000));
     let stored = StoredConfig { revision: 9, text, ..StoredConfig::default() };
     for format in [BodyFormat::Plain, BodyFormat::Compressed, BodyFormat::Digested] {
@@ -64,7 +64,7 @@
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": routes}).to_string()
 }
 
-/// Bodies as the version before wrote them after a whole configuration and a change of it.
+/// Bodies as the version before wrote them after a full configuration and a patch of it.
 #[test]
 fn bodies_of_the_first_version_are_read_and_the_changes_in_them_known() {
     for (name, routes, format) in
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_what_was_forgotten_is_told_from_what_never_was() {
+fn remembered_changes_are_bounded_and_forgotten_differs_from_never_committed() {
     let mut stored = StoredConfig { legacy_changes: vec![1, 2, 3], ..StoredConfig::default() };
     let changes = 3 * MAX_REMEMBERED_CHANGES as u64;
     for number in 0..changes {
@@ -140,7 +140,7 @@
 }
 
 /// The first bytes of SHA-256 of the same input, worked out by another program: a digest that changes makes every change
-/// taken before unknown.
+/// committed before unknown.
 #[test]
 fn the_digest_stays_what_it_is() {
     let hex: String = change_digest(&ConfigChange { base: 5, text: "{}".into(), partial: true })
--- a/controller/src/config/change_tests.rs
+++ b/controller/src/config/change_tests.rs
@@ -1,4 +1,4 @@
-//! Operators' changes of the configuration: races, orders sent again, invalid ones.
+//! Operators' changes of the configuration: races, repeated requests, invalid ones.
 use super::{ChangeDecision, ConfigChangeError, ParsedChange};
 use crate::config::body::{BodyFormat, StoredConfig, MAX_REMEMBERED_CHANGES};
 use protocol::operator_request::ConfigChange;
@@ -13,7 +13,7 @@
     StoredConfig { revision, text: text(revision), legacy_changes: vec![77], ..StoredConfig::default() }
 }
 
-fn whole(base: u64, text: String) -> ConfigChange {
+fn full_config(base: u64, text: String) -> ConfigChange {
     ConfigChange { base, text, partial: false }
 }
 
@@ -34,9 +34,9 @@
 
 #[test]
 fn of_two_on_the_same_version_one_wins() {
-    let first = next(&whole(5, text(7)), &stored(5));
+    let first = next(&full_config(5, text(7)), &stored(5));
     assert_eq!(first.revision, 7);
-    let refusal = refused(&whole(5, text(8)), &first);
+    let refusal = refused(&full_config(5, text(8)), &first);
     assert_eq!(refusal, ConfigChangeError::Conflict { base: 5, current: 7 });
     assert_eq!(refusal.status(), 412);
     assert_eq!(refusal.to_string(), "If-Match: found 5, version 7 is current");
@@ -44,27 +44,27 @@
 
 #[test]
 fn of_two_under_the_same_number_one_wins() {
-    let first = next(&whole(5, text(7)), &stored(5));
+    let first = next(&full_config(5, text(7)), &stored(5));
     let other = text(7).replace("\"timeout_ms\":5", "\"timeout_ms\":6");
     assert_ne!(other, text(7));
-    assert_eq!(refused(&whole(5, other), &first), ConfigChangeError::Conflict { base: 5, current: 7 });
+    assert_eq!(refused(&full_config(5, other), &first), ConfigChangeError::Conflict { base: 5, current: 7 });
 }
 
 #[test]
-fn what_was_taken_is_taken_however_often_it_comes() {
-    let change = whole(5, text(7));
+fn a_committed_change_is_acknowledged_however_often_it_comes() {
+    let change = full_config(5, text(7));
     let first = next(&change, &stored(5));
     assert!(matches!(apply(&change, &first), Ok(ChangeDecision::AlreadyCommitted)));
-    let later = next(&whole(7, text(9)), &first);
+    let later = next(&full_config(7, text(9)), &first);
     assert!(matches!(apply(&change, &later), Ok(ChangeDecision::AlreadyCommitted)), "also behind a newer one");
 }
 
 #[test]
 fn a_change_is_recognised_after_hundreds_of_others() {
-    let change = whole(5, text(6));
+    let change = full_config(5, text(6));
     let mut current = next(&change, &stored(5));
     for revision in 7..7 + MAX_REMEMBERED_CHANGES as u64 - 1 {
-        current = next(&whole(revision - 1, text(revision)), &current);
+        current = next(&full_config(revision - 1, text(revision)), &current);
     }
     assert_eq!(current.changes.len() + current.legacy_changes.len(), MAX_REMEMBERED_CHANGES, "what is kept is bounded");
     assert!(matches!(apply(&change, &current), Ok(ChangeDecision::AlreadyCommitted)));
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -1,4 +1,4 @@
-//! A change told to other controllers gives them the very body that was committed, or nothing.
+//! A delta sent to other controllers gives them the very body that was committed, or nothing.
 
 use consensus::Decision;
 use protocol::config::{self, Checked};
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_change_that_comes_out_otherwise_than_committed_is_not_taken() {
+fn a_delta_that_does_not_lead_to_the_committed_body_is_not_applied() {
     for format in FORMS {
         let (body, delta, _) = committed(1, format);
         assert_eq!(made(&body, &CommittedDelta { after: delta.after ^ 1, ..delta.clone() }), None);
@@ -106,10 +106,10 @@
     }
 }
 
-/// A change is told with its own revision and bodies, whatever was learned between its commit and the telling: the controller's
-/// revision was taken for it once.
+/// A delta has its own revision and bodies, whatever was learned between its commit and its publication: the controller's
+/// current revision was sent in its place once.
 #[test]
-fn what_is_told_of_a_change_is_its_own_though_a_later_one_is_known_by_then() {
+fn a_delta_describes_its_own_change_though_a_later_one_is_known_by_then() {
     let stored = StoredConfig { revision: 5, text: text(5, 2), ..StoredConfig::default() };
     let body = stored.encode(BodyFormat::Digested);
     let first = ConfigChange { base: 5, text: text(7, 2), partial: false };
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_controller_that_would_make_another_body_gets_the_whole() {
+fn a_controller_that_would_make_another_body_gets_the_full_entry() {
     let stored = StoredConfig { revision: 5, text: text(5, 2), ..StoredConfig::default() };
     let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
     let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
--- a/controller/src/config/history_tests.rs
+++ b/controller/src/config/history_tests.rs
@@ -49,7 +49,7 @@
 const LAYOUTS: [ChangeLayout; 2] = [ChangeLayout::Current, ChangeLayout::BeforeTenants];
 
 #[test]
-fn one_that_is_behind_gets_the_steps_and_a_stranger_the_whole() {
+fn a_router_that_is_behind_gets_the_changes_and_an_unknown_one_the_full_configuration() {
     for layout in LAYOUTS {
         let mut history = ConfigHistory::default();
         assert_eq!(history.advance(config(3, 400, 5)), Ok(()));
@@ -132,7 +132,7 @@
     }
 }
 
-/// A router as its table takes changes: a whole one, or one on top of the revision that it holds.
+/// A router as its table applies changes: a full one, or one on top of the revision that it has.
 #[derive(Default)]
 struct Router {
     revision: u64,
@@ -159,7 +159,7 @@
 }
 
 /// Four hundred changes; a router is away for any time, its buffer is full at any frame, and frames that
-/// were taken may still be lost on their way. It never has a wrong table, the controller never takes for sent
+/// were accepted may still be lost on their way. It never has a wrong table, the controller never counts as sent
 /// what was not, and one call brings it up to date.
 #[test]
 fn a_router_away_for_any_time_gets_the_newest_and_never_a_wrong_table() {
--- a/controller/src/http_client.rs
+++ b/controller/src/http_client.rs
@@ -2,7 +2,7 @@
 //!
 //! `reqwest` sends a request again by itself in two cases: when it follows a redirect, and when a
 //! pooled connection turns out to be closed. Neither is wanted here. A redirect would run a job twice
-//! or carry an order to another engine, and what became of a request must be known to the caller, who
+//! or carry a request to another engine, and what became of a request must be known to the caller, who
 //! alone decides whether to send it again.
 
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use reqwest::redirect::Policy;
 use reqwest::{retry, Client, ClientBuilder};
 
-/// A client that sends each request at most once, on a connection of its own. `unacknowledged`: how long
-/// sent bytes may stay unacknowledged before the connection is reset. Bytes held up by a cut link are
+/// Returns a builder of clients that send each request at most once, on a connection of its own. `unacknowledged` is
+/// how long sent bytes may stay unacknowledged before the connection is reset. Bytes that wait at a broken link are
 /// discarded then, so that they can't arrive long after their sender has lost its lease.
 pub fn at_most_once(connect_timeout: Duration, unacknowledged: Duration) -> ClientBuilder {
-    no_resend(connect_timeout, unacknowledged).pool_max_idle_per_host(0)
+    without_resending(connect_timeout, unacknowledged).pool_max_idle_per_host(0)
 }
 
-/// A client for reads: connections are kept, and one that closes while idle is replaced.
+/// Returns a builder of clients for reads: connections are kept, and one that closes while idle is replaced.
 pub fn reads(connect_timeout: Duration) -> ClientBuilder {
-    no_resend(connect_timeout, Duration::from_millis(SILENCE_MS)).tcp_nodelay(true)
+    without_resending(connect_timeout, Duration::from_millis(SILENCE_MS)).tcp_nodelay(true)
 }
 
-fn no_resend(connect_timeout: Duration, unacknowledged: Duration) -> ClientBuilder {
+fn without_resending(connect_timeout: Duration, unacknowledged: Duration) -> ClientBuilder {
     Client::builder()
         .connect_timeout(connect_timeout)
         .tcp_user_timeout(unacknowledged)
--- a/controller/src/rollout/mod.rs
+++ b/controller/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Rollouts: limits on stale weights and staged versions of services.
+//! Rollouts: limits on stale weights, and analysis of versions that are brought in step by step.
 
 pub mod staleness_limits;
 pub mod version_rollouts;
