--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -8,7 +8,7 @@
 
 use kernel::{clock, startup};
 use membership::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
-use protocol::message;
+use protocol::message::{HiddenKey, VersionEntry};
 
 use crate::batches;
 use crate::controller::{Controller, SURE_MS};
@@ -43,8 +43,6 @@
 pub struct Taken(BTreeMap<String, Tenure>);
 
 /// Told beside the versions of lists: whether the teller is sure, and holders of duties that it vouches for.
-const SURE: &str = "sure";
-const VOUCH: &str = "vouch ";
 
 pub fn start(controller: &Arc<Controller>) {
     for key in [CATALOG, BALANCE, BATCH] {
@@ -155,7 +153,7 @@
 }
 
 /// What peers are told about who can do a duty.
-pub fn told(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
+pub fn told(controller: &Controller, now: u64) -> Vec<VersionEntry> {
     let holders: BTreeSet<String> = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
         committed_state.duties.values().map(|(_, holder, _)| holder.clone()).collect()
@@ -163,16 +161,19 @@
     let sure = controller.sure(now);
     let roster = controller.roster.lock().expect("roster");
     let vouched = holders.into_iter().filter(|ip| *ip != roster.own_ip && roster.confirms(ip, now));
-    let vouched = vouched.map(|ip| (message::hidden_key(&format!("{VOUCH}{ip}")), 1, 0));
-    iter::once((message::hidden_key(SURE), u64::from(sure), 0)).chain(vouched).collect()
+    let vouched = vouched.map(|ip| VersionEntry::new(HiddenKey::Confirms(&ip), 1, 0));
+    iter::once(VersionEntry::new(HiddenKey::Confirmed, u64::from(sure), 0)).chain(vouched).collect()
 }
 
 /// What a peer told: whether it is sure, and whom it vouches for. One of an earlier version, which tells
 /// nothing of it, counts as sure while it is heard.
-pub fn heard(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
-    let (sure, vouch) = (message::hidden_key(SURE), message::hidden_key(VOUCH));
-    let sure = told.iter().find(|item| item.0 == sure).is_none_or(|item| item.1 == 1);
-    let vouches = told.iter().filter_map(|item| Some(item.0.strip_prefix(&vouch)?.to_string()));
+pub fn heard(told: &[VersionEntry]) -> (bool, Vec<String>) {
+    let sure = told.iter().find(|entry| HiddenKey::parse(&entry.name) == Some(HiddenKey::Confirmed));
+    let sure = sure.is_none_or(|entry| entry.term == 1);
+    let vouches = told.iter().filter_map(|entry| match HiddenKey::parse(&entry.name) {
+        Some(HiddenKey::Confirms(ip)) => Some(ip.to_string()),
+        _ => None,
+    });
     (sure, vouches.collect())
 }
 
--- a/controller/src/duty_tests.rs
+++ b/controller/src/duty_tests.rs
@@ -1,19 +1,19 @@
-use protocol::message;
+use protocol::message::{self, VersionEntry};
 
-use super::{heard, SURE};
+use super::heard;
 
 #[test]
 fn peers_hear_who_is_sure_and_who_is_vouched_for() {
     let told = |sure: u64| {
         vec![
-            ("zone-a".to_string(), 7, 1),
+            VersionEntry::new("zone-a", 7, 1),
             message::own_protocol_version(),
-            (message::hidden_key(SURE), sure, 0),
-            (message::hidden_key("vouch 10.0.0.2"), 1, 0),
+            VersionEntry::new("\0sure", sure, 0),
+            VersionEntry::new("\0vouch 10.0.0.2", 1, 0),
         ]
     };
     assert_eq!(heard(&told(1)), (true, vec!["10.0.0.2".to_string()]));
     assert_eq!(heard(&told(0)), (false, vec!["10.0.0.2".to_string()]));
     assert_eq!(heard(&told(1)[..2]), (true, Vec::new()), "an earlier version tells nothing of it");
-    assert!(told(1)[2..].iter().all(|item| message::is_hidden_key(&item.0)), "never taken for a zone");
+    assert!(told(1)[2..].iter().all(|item| message::is_hidden_key(&item.name)), "never taken for a zone");
 }
--- a/controller/src/listing.rs
+++ b/controller/src/listing.rs
@@ -1,7 +1,7 @@
 //! The platform's list of engines as it comes: pages, put together to one reading of a zone.
 
 use load_balancing::sheet::Known;
-use protocol::message::Engine;
+use protocol::message::{Engine, EngineWeights};
 
 use crate::version_lists::ListedEngine;
 
@@ -42,8 +42,8 @@
     pub next_token: Option<String>,
 }
 
-/// Engine, model, version.
-pub type Weights = Vec<(String, String, u64)>;
+/// The version of each model on each engine.
+pub type Weights = Vec<EngineWeights>;
 
 /// One whole reading of a zone's list.
 pub struct Listing {
@@ -64,7 +64,11 @@
     pub fn add(&mut self, page: Page, versions: bool) {
         for item in page.instance_list.iter().filter(|_| versions) {
             let models = item.model_list.iter();
-            self.weights.extend(models.map(|model| (item.instance_id.clone(), model.name.clone(), model.revision)));
+            self.weights.extend(models.map(|model| EngineWeights {
+                engine: item.instance_id.clone(),
+                model: model.name.clone(),
+                version: model.revision,
+            }));
         }
         self.engines.extend(page.instance_list.into_iter().map(engine));
         self.pages += 1;
--- a/controller/src/news.rs
+++ b/controller/src/news.rs
@@ -5,7 +5,7 @@
 
 use kernel::clock;
 use protocol::link::Responder;
-use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
+use protocol::message::{self, EvacuationState, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
 use serde_json::Value;
 
 use crate::controller::{Controller, ROUTER_LEASE_MS};
@@ -34,7 +34,7 @@
             behind: false,
             reads: message::protocol_version_of(&follow.list_versions),
             closed: follow.evacuation_versions.into_iter().collect(),
-            sheets: follow.list_versions.into_iter().map(|(zone, turn, count)| (zone, (turn, count))).collect(),
+            sheets: follow.list_versions.into_iter().map(|entry| (entry.name, (entry.term, entry.sequence))).collect(),
         };
         let mut news = self.missing(&follow.node, &mut follower, now);
         // A lease on bound work is renewed only for one that has confirmed every rule known here.
@@ -115,7 +115,7 @@
         for (zone, (version, on)) in &committed_state.closed {
             let has = follower.closed.entry(zone.clone()).or_default();
             if *version > *has {
-                news.evacuations.push((zone.clone(), *version, *on));
+                news.evacuations.push(EvacuationState { zone: zone.clone(), version: *version, evacuated: *on });
                 *has = *version;
             }
         }
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -7,7 +7,7 @@
 use kernel::settings::Settings;
 use load_balancing::sheet::{self, Sheets};
 use membership::PeerReport;
-use protocol::message::{self, EndpointList, Engine, Gossip, Message};
+use protocol::message::{EndpointList, Engine, Gossip, HiddenKey, Message, VersionEntry};
 use protocol::version_rollout;
 use reqwest::{Client, StatusCode};
 use tokio::time;
@@ -51,19 +51,16 @@
 const REFUSED: u32 = 4;
 const PAGES: usize = 1000;
 
-/// Told beside the versions of lists by a controller that does not reach the platform.
-const UNREACHABLE: &str = "platform unreachable";
-
 /// What is told to peers about the own access to the platform.
-pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
+pub fn told(controller: &Controller, now: u64) -> Option<VersionEntry> {
     let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
-    unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
+    unreachable.then(|| VersionEntry::new(HiddenKey::PlatformUnreachable, 1, 0))
 }
 
 /// What a peer told of others.
 pub fn report(gossip: &Gossip) -> PeerReport {
-    let name = message::hidden_key(UNREACHABLE);
-    let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
+    let key = Some(HiddenKey::PlatformUnreachable);
+    let platform_unreachable = gossip.list_versions.iter().any(|entry| HiddenKey::parse(&entry.name) == key);
     let (sure, vouches) = duty::heard(&gossip.list_versions);
     PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
 }
--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use kernel::clock;
-use protocol::message::{Message, QUOTAS};
+use protocol::message::{HiddenKey, Message, QUOTAS};
 use protocol::quota::{
-    from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
+    from_milli, shard_owners_fingerprint, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
 };
 use quota::{Holder, Quota, Shards, TAKE_OVER_MS};
 use serde_json::Value;
@@ -38,7 +38,7 @@
     let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
     let able = controller.roster.lock().expect("roster").eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now);
     let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
-    let mark = holders_mark(&holders);
+    let mark = shard_owners_fingerprint(&holders);
     let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
     let mut held = controller.quotas.lock().expect("quotas");
     held.shards.beat(now, confirmed_at, live);
@@ -71,7 +71,7 @@
 /// Tells a router who may hold shards, where it has another list.
 pub fn send_holders(controller: &Controller, follower: &mut Follower) {
     let held = controller.quotas.lock().expect("quotas");
-    let has = follower.sheets.entry(holders_key()).or_default();
+    let has = follower.sheets.entry(HiddenKey::ShardOwners.into()).or_default();
     if has.0 == held.mark {
         return;
     }
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -82,8 +82,8 @@
         let versions: HashMap<&str, u64> = weights
             .values()
             .flat_map(|list| &list.list)
-            .filter(|(_, model, _)| *model == rule.model)
-            .map(|(id, _, version)| (id.as_str(), *version))
+            .filter(|weights| weights.model == rule.model)
+            .map(|weights| (weights.engine.as_str(), weights.version))
             .collect();
         let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
         let engines = sheets.all().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
--- a/controller/src/rules.rs
+++ b/controller/src/rules.rs
@@ -7,7 +7,7 @@
 use futures_util::future;
 use kernel::clock;
 use load_balancing::floor::LEASE_MS;
-use protocol::message::{self, Message, WeightVersions};
+use protocol::message::{EngineWeights, HiddenKey, Message, WeightVersions};
 use tokio::time;
 
 use crate::controller::{CommittedState, Controller, SURE_MS};
@@ -22,7 +22,7 @@
 /// Sends the rules that a follower lacks.
 pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for (key, rule) in &committed_state.rules {
-        let has = follower.closed.entry(message::hidden_key(key)).or_default();
+        let has = follower.closed.entry(HiddenKey::Register(key).into()).or_default();
         if rule.version <= *has {
             continue;
         }
@@ -106,7 +106,7 @@
     /// Sends the weight versions that a follower lacks.
     pub fn send_weights(&self, follower: &mut Follower) {
         for (zone, list) in self.weights.lock().expect("weights").iter() {
-            let has = follower.sheets.entry(message::hidden_key(zone)).or_default();
+            let has = follower.sheets.entry(HiddenKey::WeightVersions(zone).into()).or_default();
             let version = (list.term, list.sequence);
             if *has == version {
                 continue;
@@ -133,7 +133,7 @@
 }
 
 /// What the poller of a zone saw, asked for only while there are rules.
-pub fn seen(controller: &Controller, zone: &str, list: Vec<(String, String, u64)>, again: bool) {
+pub fn seen(controller: &Controller, zone: &str, list: Vec<EngineWeights>, again: bool) {
     let held = controller.weights.lock().expect("weights").get(zone).cloned().unwrap_or_default();
     let same = held.term == controller.seat && held.list == list;
     if same && !again {
--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use kernel::{clock, startup};
-use protocol::message::{self, Message};
+use protocol::message::{HiddenKey, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
@@ -55,7 +55,7 @@
 pub fn send(committed_state: &CommittedState, follower: &mut Follower) {
     for rollout in committed_state.rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.closed.entry(message::hidden_key(&key)).or_default();
+        let has = follower.closed.entry(HiddenKey::Register(&key).into()).or_default();
         if rollout.number <= *has {
             continue;
         }
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use kernel::clock;
-use protocol::message::{self, EndpointList, Engine, EngineLoad};
+use protocol::message::{self, EndpointList, Engine, EngineLoad, EngineWeights, VersionEntry};
 use protocol::version_rollout;
 
 use crate::place::Half;
@@ -87,7 +87,7 @@
         self.reads.get(&service).copied().unwrap_or(0.0)
     }
 
-    pub fn versions(&self) -> Vec<(String, u64, u64)> {
+    pub fn versions(&self) -> Vec<VersionEntry> {
         self.sheets.versions()
     }
 
@@ -146,10 +146,10 @@
     }
 
     /// Versions as a poller saw them.
-    pub fn weigh(&mut self, list: &[(String, String, u64)]) {
-        for (id, model, version) in list {
-            if let Some(at) = self.find(id) {
-                self.list[at].weigh(clock::hash(model.as_bytes()), Some(*version));
+    pub fn weigh(&mut self, list: &[EngineWeights]) {
+        for weights in list {
+            if let Some(at) = self.find(&weights.engine) {
+                self.list[at].weigh(clock::hash(weights.model.as_bytes()), Some(weights.version));
             }
         }
     }
--- a/load_balancing/src/sheet.rs
+++ b/load_balancing/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use protocol::message::{self, EndpointList, Engine};
+use protocol::message::{self, EndpointList, Engine, VersionEntry};
 use protocol::version_rollout;
 
 /// The low bits of a turn that tell pollers apart: enough that no two of a large fleet share them.
@@ -84,26 +84,27 @@
     }
 
     /// Those that are newer than the versions told.
-    pub fn newer(&self, told: &[(String, u64, u64)]) -> Vec<EndpointList> {
-        let version = |zone: &str| told.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
+    pub fn newer(&self, told: &[VersionEntry]) -> Vec<EndpointList> {
+        let version =
+            |zone: &str| told.iter().find(|entry| entry.name == zone).map(|entry| (entry.term, entry.sequence));
         self.list.values().filter(|held| Some((held.term, held.sequence)) > version(&held.zone)).cloned().collect()
     }
 
-    pub fn versions(&self) -> Vec<(String, u64, u64)> {
-        self.list.values().map(|sheet| (sheet.zone.clone(), sheet.term, sheet.sequence)).collect()
+    pub fn versions(&self) -> Vec<VersionEntry> {
+        self.list.values().map(|sheet| VersionEntry::new(&sheet.zone, sheet.term, sheet.sequence)).collect()
     }
 
     /// Someone holds lists of these turns: routers outlive the controllers that made them.
-    pub fn raise(&mut self, told: &[(String, u64, u64)]) {
+    pub fn raise(&mut self, told: &[VersionEntry]) {
         let is_list = |name: &str| !message::is_hidden_key(name) || version_rollout::candidate_zone(name).is_some();
-        for (zone, turn, _) in told.iter().filter(|item| is_list(&item.0)) {
-            let floor = self.floor.entry(zone.clone()).or_default();
-            *floor = (*floor).max(*turn);
+        for entry in told.iter().filter(|entry| is_list(&entry.name)) {
+            let floor = self.floor.entry(entry.name.clone()).or_default();
+            *floor = (*floor).max(entry.term);
         }
     }
 
-    pub fn floors(&self) -> Vec<(String, u64, u64)> {
-        self.floor.iter().map(|(zone, turn)| (zone.clone(), *turn, 0)).collect()
+    pub fn floors(&self) -> Vec<VersionEntry> {
+        self.floor.iter().map(|(zone, turn)| VersionEntry::new(zone, *turn, 0)).collect()
     }
 }
 
--- a/load_balancing/src/sheet_tests.rs
+++ b/load_balancing/src/sheet_tests.rs
@@ -1,5 +1,5 @@
 use kernel::clock::Rng;
-use protocol::message::{EndpointList, Engine};
+use protocol::message::{EndpointList, Engine, VersionEntry};
 
 use super::{Known, Sheets};
 
@@ -101,11 +101,11 @@
     let mut turn = 0;
     let first = poll(&mut list, &mut turn, 1, vec![engine("i-1", 0)]).expect("new");
     let known = list.known("a");
-    list.raise(&[("a".into(), first.term, 0)]);
+    list.raise(&[VersionEntry::new("a", first.term, 0)]);
     let second = list.poll("a", &mut turn, 1, vec![], known).expect("its own turn is no news");
     assert!((second.term, second.sequence) > (first.term, first.sequence));
     let known = list.known("a");
-    list.raise(&[("a".into(), first.term << 1, 0)]);
+    list.raise(&[VersionEntry::new("a", first.term << 1, 0)]);
     assert_eq!(list.poll("a", &mut turn, 1, vec![engine("i-1", 0)], known), None);
 }
 
--- a/protocol/src/capability.rs
+++ b/protocol/src/capability.rs
@@ -1,10 +1,16 @@
 //! What a daemon tells of itself beside the versions of its engine lists: which messages it reads, and that it
 //! is about to end. Daemons that know nothing of an entry pass it over.
 
+use crate::hidden_key::HiddenKey;
+use crate::version_entry::VersionEntry;
+
 /// The newest version of these messages. Daemons tell it beside the versions of their sheets, as the turn
 /// of the zone without a name, which no sheet has: those that know nothing of it pass it over.
 pub const PROTOCOL_VERSION: u64 = 5;
 
+/// The version of daemons that name none.
+const FIRST_PROTOCOL_VERSION: u64 = 1;
+
 /// Controllers from this version on count joint quorums while the core changes.
 pub const JOINT_QUORUMS: u64 = 3;
 /// Controllers from this version on take orders that others relay, and changes in place of whole entries.
@@ -25,33 +31,28 @@
 /// Daemons from this version on know rollouts of versions of services.
 pub const VERSION_ROLLOUTS: u64 = 5;
 
-/// Not a zone: told beside the versions of zones.
+/// Returns whether a name in a list of versions is no zone's.
 pub fn is_hidden_key(name: &str) -> bool {
-    name.is_empty() || name.starts_with('\0')
+    HiddenKey::parse(name).is_some()
 }
 
-/// The name under which the version of a zone's weight versions, or of a rule, is told.
-pub fn hidden_key(name: &str) -> String {
-    format!("\0{name}")
+/// Returns the entry of a controller whose process is about to end.
+pub fn shutting_down_marker() -> VersionEntry {
+    VersionEntry::new(HiddenKey::ShuttingDown, 1, 0)
 }
 
-/// Told by a controller whose process is about to end.
-pub fn shutting_down_marker() -> (String, u64, u64) {
-    (hidden_key(LEAVING), 1, 0)
+/// Returns whether the sender of these versions said that its process is about to end.
+pub fn is_shutting_down(versions: &[VersionEntry]) -> bool {
+    versions.iter().any(|entry| HiddenKey::parse(&entry.name) == Some(HiddenKey::ShuttingDown))
 }
 
-/// Did the teller of these versions say that its process is about to end?
-pub fn is_shutting_down(versions: &[(String, u64, u64)]) -> bool {
-    versions.iter().any(|item| item.0 == hidden_key(LEAVING))
-}
-
-const LEAVING: &str = "leaving";
-
-pub fn own_protocol_version() -> (String, u64, u64) {
-    (String::new(), PROTOCOL_VERSION, 0)
+/// Returns the entry with the newest protocol version that this program reads.
+pub fn own_protocol_version() -> VersionEntry {
+    VersionEntry::new(HiddenKey::ProtocolVersion, PROTOCOL_VERSION, 0)
 }
 
-/// The newest version that the teller of these versions reads.
-pub fn protocol_version_of(versions: &[(String, u64, u64)]) -> u64 {
-    versions.iter().find(|item| item.0.is_empty()).map_or(1, |item| item.1)
+/// Returns the newest protocol version that the sender of these versions reads.
+pub fn protocol_version_of(versions: &[VersionEntry]) -> u64 {
+    let entry = versions.iter().find(|entry| HiddenKey::parse(&entry.name) == Some(HiddenKey::ProtocolVersion));
+    entry.map_or(FIRST_PROTOCOL_VERSION, |entry| entry.term)
 }
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -6,8 +6,10 @@
 use crate::version_rollout::{Samples, VersionRollout};
 
 pub use crate::capability::*;
+pub use crate::hidden_key::HiddenKey;
 pub use crate::prefix_lookup::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration};
 pub use crate::staleness_limit::{StalenessLimit, WeightVersions, ROLLOUT};
+pub use crate::version_entry::{EngineWeights, EvacuationState, VersionEntry};
 
 /// A ledger position: rises with each take-over (`turn`, ties by `seat`) and each change (`step`).
 /// Invariant: one owner acts under one (`turn`, `seat`); `step` restarts at 0 with each of them.
@@ -125,9 +127,9 @@
     /// Where clients reach the routers that hold a lease here.
     pub frontend_addresses: Vec<String>,
     /// The versions of the engine lists held: who has newer ones sends them.
-    pub list_versions: Vec<(String, u64, u64)>,
+    pub list_versions: Vec<VersionEntry>,
     /// Turns of lists that routers told of.
-    pub observed_list_versions: Vec<(String, u64, u64)>,
+    pub observed_list_versions: Vec<VersionEntry>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -159,7 +161,7 @@
     pub incarnation: u64,
     pub config_revision: u64,
     pub evacuation_versions: Vec<(String, u64)>,
-    pub list_versions: Vec<(String, u64, u64)>,
+    pub list_versions: Vec<VersionEntry>,
     /// Own requests under way, by engine.
     pub in_flight: Vec<(String, u32)>,
     /// Where clients reach it.
@@ -171,8 +173,8 @@
     /// The controller confirmed its versions at a majority a moment ago.
     pub confirmed: bool,
     pub config: Option<(u64, Vec<u8>)>,
-    /// Area, version, whether it is being evacuated.
-    pub evacuations: Vec<(String, u64, bool)>,
+    /// Zones whose evacuation began or was withdrawn.
+    pub evacuations: Vec<EvacuationState>,
     pub endpoint_lists: Vec<EndpointList>,
     /// How many routers hold a lease: shared bounds are cut into as many slices.
     pub router_count: u32,
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -2,7 +2,8 @@
 
 use kernel::clock;
 
-use crate::message;
+use crate::hidden_key::HiddenKey;
+use crate::version_entry::VersionEntry;
 
 /// A request for one token of a tenant, to a controller that holds a shard of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -63,24 +64,16 @@
     thousandths as f64 / MILLI
 }
 
-/// The name under which a router tells which list of holders it has, among the versions of engine lists.
-const HOLDERS: &str = "shard holders";
-
-/// The entry by which a router tells which list of holders it has.
-pub fn told_holders(mark: u64) -> (String, u64, u64) {
-    (message::hidden_key(HOLDERS), mark, 0)
-}
-
-/// The key of that entry.
-pub fn holders_key() -> String {
-    message::hidden_key(HOLDERS)
+/// Returns the entry by which a router names the list of shard owners that it holds.
+pub fn shard_owners_entry(fingerprint: u64) -> VersionEntry {
+    VersionEntry::new(HiddenKey::ShardOwners, fingerprint, 0)
 }
 
-/// What tells one list of holders from others.
-pub fn holders_mark(list: &[ShardOwner]) -> u64 {
-    list.iter().fold(1, |mark, holder| {
-        let one = clock::combine_hashes(clock::hash(holder.ip.as_bytes()), clock::hash(holder.zone.as_bytes()));
-        clock::combine_hashes(mark, one)
+/// Returns a number that differs between lists of shard owners that differ.
+pub fn shard_owners_fingerprint(list: &[ShardOwner]) -> u64 {
+    list.iter().fold(1, |fingerprint, owner| {
+        let one = clock::combine_hashes(clock::hash(owner.ip.as_bytes()), clock::hash(owner.zone.as_bytes()));
+        clock::combine_hashes(fingerprint, one)
     })
 }
 
--- a/protocol/src/quota_tests.rs
+++ b/protocol/src/quota_tests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::{from_milli, holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
+use super::{from_milli, shard_owners_fingerprint, to_milli, ShardOwner, TokenRequest, TokenResponse};
 use crate::frame::{self, Kind, HEAD};
 use crate::message::Message;
 
@@ -15,10 +15,15 @@
     let one = vec![holder("10.0.0.1", "a"), holder("10.0.0.2", "b")];
     let less = vec![holder("10.0.0.1", "a")];
     let moved = vec![holder("10.0.0.1", "b"), holder("10.0.0.2", "b")];
-    let marks = [holders_mark(&one), holders_mark(&less), holders_mark(&moved), holders_mark(&[])];
-    let unique: HashSet<u64> = marks.into_iter().collect();
-    assert_eq!(unique.len(), marks.len());
-    assert_eq!(holders_mark(&one), holders_mark(&one.clone()));
+    let fingerprints = [
+        shard_owners_fingerprint(&one),
+        shard_owners_fingerprint(&less),
+        shard_owners_fingerprint(&moved),
+        shard_owners_fingerprint(&[]),
+    ];
+    let unique: HashSet<u64> = fingerprints.into_iter().collect();
+    assert_eq!(unique.len(), fingerprints.len());
+    assert_eq!(shard_owners_fingerprint(&one), shard_owners_fingerprint(&one.clone()));
 }
 
 #[test]
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -1,5 +1,7 @@
 //! The limit on stale weights, and the versions that engines have.
 
+use crate::version_entry::EngineWeights;
+
 /// How far behind the trainer's latest weights a replica may fall. Invariants: `version` rises with each
 /// change; the floor goes back only by a rollback, which is counted, or by a wider lag.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -42,6 +44,6 @@
     pub zone: String,
     pub term: u64,
     pub sequence: u64,
-    /// Engine, model, version.
-    pub list: Vec<(String, String, u64)>,
+    /// The version of each model on each engine.
+    pub list: Vec<EngineWeights>,
 }
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -1,6 +1,6 @@
 //! Bringing in a new version of a service: what is committed of it, and what routers see of it. Since version 5.
 
-use crate::message;
+use crate::hidden_key::HiddenKey;
 
 /// The keys of rollouts in the ledger.
 pub const KEY: &str = "versions/";
@@ -107,17 +107,17 @@
     pub is_relayed: bool,
 }
 
-/// Under the zone of this name the engines of versions that are brought in are listed, apart from the others.
-const CANDIDATES: &str = "candidates ";
-
-/// The name under which a zone's engines of versions that are brought in are listed.
+/// Returns the name under which a zone's engines of versions that are being rolled out are listed.
 pub fn candidates_of(zone: &str) -> String {
-    message::hidden_key(&format!("{CANDIDATES}{zone}"))
+    HiddenKey::Candidates(zone).into()
 }
 
-/// The zone whose candidates are listed under a name. None: it is a zone's own name.
+/// Returns the zone whose candidates are listed under a name, or `None` for any other name.
 pub fn candidate_zone(name: &str) -> Option<&str> {
-    name.strip_prefix('\0')?.strip_prefix(CANDIDATES)
+    match HiddenKey::parse(name) {
+        Some(HiddenKey::Candidates(zone)) => Some(zone),
+        _ => None,
+    }
 }
 
 #[cfg(test)]
--- a/router/src/evacuation.rs
+++ b/router/src/evacuation.rs
@@ -1,6 +1,7 @@
 //! Evacuated zones, as controllers tell of them.
 
 use kernel::clock;
+use protocol::message::EvacuationState;
 
 use crate::event::CLOSED;
 use crate::state::State;
@@ -14,22 +15,22 @@
 }
 
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
-pub fn absorb(state: &State, list: &[(String, u64, bool)]) {
+pub fn absorb(state: &State, list: &[EvacuationState]) {
     let mut engine_table = state.engine_table.lock().expect("engine_table");
     let mut held = state.news.lock().expect("news");
-    for (zone, version, on) in list {
+    for EvacuationState { zone, version, evacuated } in list {
         if held.closed.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
         }
         let dense = engine_table.zone(zone);
-        held.closed.insert(zone.clone(), (*version, *on));
+        held.closed.insert(zone.clone(), (*version, *evacuated));
         held.shut.retain(|shut| *shut != dense);
-        if *on {
+        if *evacuated {
             held.shut.push(dense);
         } else {
             engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
         }
-        kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *on);
+        kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
     }
 }
 
--- a/router/src/evacuation_tests.rs
+++ b/router/src/evacuation_tests.rs
@@ -1,6 +1,7 @@
 //! What withdrawing an evacuation means for the zone's engines.
 
 use kernel::clock;
+use protocol::message::EvacuationState;
 
 use super::{absorb, presumed_cold_ms};
 use crate::stand_in::Engine;
@@ -11,6 +12,10 @@
     Engine::start(id, "decode", |_| unreachable!("nothing is sent")).await
 }
 
+fn evacuation(zone: &str, version: u64, evacuated: bool) -> EvacuationState {
+    EvacuationState { zone: zone.into(), version, evacuated }
+}
+
 fn cold_until(state: &State, at: usize) -> u64 {
     state.engine_table.lock().expect("engine_table").list[at].cold_until
 }
@@ -18,20 +23,20 @@
 #[tokio::test]
 async fn engines_of_a_zone_that_is_taken_back_are_taken_for_cold_until_the_list_would_say_so() {
     let state = stand_in_router::router(&[engine("i-1").await]);
-    absorb(&state, &[("a".into(), 1, true)]);
+    absorb(&state, &[evacuation("a", 1, true)]);
     assert_eq!(cold_until(&state, 0), 0);
     let before = clock::now();
-    absorb(&state, &[("a".into(), 2, false)]);
+    absorb(&state, &[evacuation("a", 2, false)]);
     assert!(cold_until(&state, 0) >= before + presumed_cold_ms(&state));
 }
 
 #[tokio::test]
 async fn other_zones_and_older_news_change_nothing() {
     let state = stand_in_router::router(&[engine("i-1").await]);
-    absorb(&state, &[("b".into(), 1, true), ("b".into(), 2, false)]);
+    absorb(&state, &[evacuation("b", 1, true), evacuation("b", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    absorb(&state, &[("a".into(), 3, true)]);
-    absorb(&state, &[("a".into(), 2, false)]);
+    absorb(&state, &[evacuation("a", 3, true)]);
+    absorb(&state, &[evacuation("a", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
     assert!(state.news.lock().expect("news").closed[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/follow_absorb.rs
+++ b/router/src/follow_absorb.rs
@@ -6,7 +6,7 @@
 
 use kernel::clock;
 use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal};
-use protocol::quota::told_holders;
+use protocol::quota::shard_owners_entry;
 
 use crate::event::{CATALOG, READY};
 use crate::state::State;
@@ -46,7 +46,7 @@
     sheets.extend(weights);
     let rollouts = version_rollouts::told(state);
     sheets.push(message::own_protocol_version());
-    sheets.push(told_holders(state.quota_gate.mark()));
+    sheets.push(shard_owners_entry(state.quota_gate.mark()));
     let news = state.news.lock().expect("news");
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -4,7 +4,7 @@
 
 use kernel::clock;
 use load_balancing::floor::Limit;
-use protocol::message::{self, StalenessLimit, WeightVersions};
+use protocol::message::{HiddenKey, StalenessLimit, VersionEntry, WeightVersions};
 
 use crate::event::{FEW, RULE};
 use crate::exchange::Exchange;
@@ -87,9 +87,10 @@
 type Told = (String, u64);
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
-pub fn known_versions(state: &State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
+pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
     let rules = state.floors.lock().expect("floors").versions();
     let weights = state.weights.lock().expect("weights");
-    let weights = weights.iter().map(|(zone, (turn, count))| (message::hidden_key(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (message::hidden_key(&key), version)).collect(), weights.collect())
+    let weights =
+        weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
+    (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
 }
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -10,7 +10,7 @@
 use kernel::settings::Settings;
 use protocol::link::PeerClient;
 use protocol::message::Message;
-use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
+use protocol::quota::{shard_owners_fingerprint, to_milli, ShardOwner, TokenRequest, TokenResponse};
 use quota::{Allowances, Bounds, Holder, Quota};
 
 use crate::exchange::Exchange;
@@ -100,7 +100,7 @@
     /// Takes a list of controllers that may hold shards.
     pub fn set_holders(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock().expect("quota gate");
-        inner.mark = holders_mark(list);
+        inner.mark = shard_owners_fingerprint(list);
         inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
         inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -10,7 +10,7 @@
 
 use kernel::clock;
 use load_balancing::place::Arm;
-use protocol::message::{self, Message};
+use protocol::message::{HiddenKey, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use tokio::time;
 use versions::WHOLE_SHARE;
@@ -108,7 +108,8 @@
 /// The records held, as told to controllers.
 pub fn told(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock().expect("rollouts");
-    let told = |rollout: &VersionRollout| (message::hidden_key(&VersionRollout::key(&rollout.service)), rollout.number);
+    let told =
+        |rollout: &VersionRollout| (HiddenKey::Register(&VersionRollout::key(&rollout.service)).into(), rollout.number);
     rollouts.list.values().map(told).collect()
 }
 
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -12,7 +12,9 @@
 use protocol::change::Change;
 use protocol::frame::{self, Kind};
 use protocol::link::PeerClient;
-use protocol::message::{self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal};
+use protocol::message::{
+    self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal, VersionEntry,
+};
 use protocol::socket;
 use reqwest::Client;
 use serde_json::Value;
@@ -90,8 +92,8 @@
 
     fn standing(&self, at: usize, zone: &str) -> Message {
         let held = self.sheets.lock().expect("sheets").clone();
-        let mut sheets: Vec<(String, u64, u64)> =
-            held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
+        let mut sheets: Vec<VersionEntry> =
+            held.into_iter().map(|(zone, (turn, count))| VersionEntry::new(zone, turn, count)).collect();
         sheets.push(message::own_protocol_version());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
