--- a/controller/src/config_change.rs
+++ b/controller/src/config_change.rs
@@ -1,6 +1,6 @@
 //! What an operator's change of the configuration comes to on top of what is committed: pure.
 use crate::config_body::{BodyForm, Held, Memory};
-use protocol::config::{Checked, ConfigError, Patch};
+use protocol::config::{ConfigDocument, ConfigError, ConfigPatch};
 use protocol::operator_request::ConfigChange;
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Next {
     pub held: Held,
-    pub checked: Arc<Checked>,
+    pub checked: Arc<ConfigDocument>,
 }
 
 /// What is to be done about a change that is not refused.
@@ -57,8 +57,8 @@
 
 /// What a change holds, read once.
 enum Content {
-    Whole(Arc<Checked>),
-    Items(Patch),
+    Whole(Arc<ConfigDocument>),
+    Items(ConfigPatch),
 }
 
 /// A change that was read, whether or not it is valid.
@@ -70,14 +70,14 @@
 impl Proposed<'_> {
     pub fn read(change: &ConfigChange) -> Proposed<'_> {
         let content = match change.partial {
-            true => Patch::read(&change.text).map(Content::Items),
-            false => Checked::read(&change.text).map(|checked| Content::Whole(Arc::new(checked))),
+            true => ConfigPatch::parse(&change.text).map(Content::Items),
+            false => ConfigDocument::parse(&change.text).map(|checked| Content::Whole(Arc::new(checked))),
         };
         Proposed { change, content }
     }
 
     /// Judges the change on top of what is committed. `known` may be the configuration in `held`, already read.
-    pub fn on(&self, held: &Held, known: Option<&Checked>, form: BodyForm) -> Result<Outcome, Refusal> {
+    pub fn on(&self, held: &Held, known: Option<&ConfigDocument>, form: BodyForm) -> Result<Outcome, Refusal> {
         match held.recall(self.change) {
             Memory::Taken => return Ok(Outcome::TakenBefore),
             Memory::Forgotten => return Ok(Outcome::Unknown),
@@ -90,9 +90,9 @@
             Err(error) => return Err(Refusal::Invalid(error.clone())),
             Ok(Content::Whole(checked)) => checked.clone(),
             Ok(Content::Items(_)) if held.revision == 0 => {
-                return Err(Refusal::Invalid(ConfigError::nothing_to_change()));
+                return Err(Refusal::Invalid(ConfigError::no_base_config()));
             }
-            Ok(Content::Items(patch)) => match with_base(held, known, |base| base.patched(patch)) {
+            Ok(Content::Items(patch)) => match with_base(held, known, |base| base.apply(patch)) {
                 None => return Ok(Outcome::Unknown),
                 Some(patched) => Arc::new(patched.map_err(Refusal::Invalid)?),
             },
@@ -105,14 +105,14 @@
 }
 
 /// Gives the configuration that is held. None: it cannot be read.
-fn with_base<T>(held: &Held, known: Option<&Checked>, act: impl FnOnce(&Checked) -> T) -> Option<T> {
+fn with_base<T>(held: &Held, known: Option<&ConfigDocument>, act: impl FnOnce(&ConfigDocument) -> T) -> Option<T> {
     match known.filter(|known| known.text() == held.text) {
         Some(known) => Some(act(known)),
-        None => Checked::read_committed(&held.text).ok().map(|base| act(&base)),
+        None => ConfigDocument::parse_committed(&held.text).ok().map(|base| act(&base)),
     }
 }
 
-fn next(change: &ConfigChange, held: &Held, checked: Arc<Checked>, form: BodyForm) -> Next {
+fn next(change: &ConfigChange, held: &Held, checked: Arc<ConfigDocument>, form: BodyForm) -> Next {
     let mut next = Held { revision: checked.revision(), text: checked.text().into(), ..held.clone() };
     next.remember(change, form);
     Next { held: next, checked }
@@ -130,15 +130,15 @@
     change: &ConfigChange,
     revision: u64,
     held: &Held,
-    known: Option<&Checked>,
+    known: Option<&ConfigDocument>,
     form: BodyForm,
 ) -> Option<Next> {
     let checked = match change.partial {
         true => {
-            let patch = Patch::read(&change.text).ok()?;
-            with_base(held, known, |base| base.patched_again(&patch))?
+            let patch = ConfigPatch::parse(&change.text).ok()?;
+            with_base(held, known, |base| base.apply_committed(&patch))?
         }
-        false => Checked::read_committed(&change.text),
+        false => ConfigDocument::parse_committed(&change.text),
     };
     let checked = checked.ok().filter(|checked| checked.revision() == revision)?;
     Some(next(change, held, Arc::new(checked), form))
--- a/controller/src/config_history.rs
+++ b/controller/src/config_history.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use protocol::change::{before_tenants, Change};
-use protocol::config::{Checked, Tenant};
-use protocol::frame::{self, Kind, HEAD};
+use protocol::config::{ConfigDocument, Tenant};
+use protocol::config_update::{legacy_format, ConfigUpdate};
+use protocol::frame::{self, Kind, HEADER_BYTES};
 use protocol::message::{Message, TENANTS};
 use quota::Quota;
 
@@ -55,7 +55,7 @@
 /// `whole_before_tenants` are of `current`. What is kept is bounded by count and by bytes.
 #[derive(Default)]
 pub struct ConfigHistory {
-    current: Option<Arc<Checked>>,
+    current: Option<Arc<ConfigDocument>>,
     whole: Option<Bytes>,
     whole_before_tenants: Option<Bytes>,
     changes: VecDeque<EncodedChange>,
@@ -64,26 +64,26 @@
     quotas: HashMap<String, Quota>,
 }
 
-fn quotas(config: &Checked) -> HashMap<String, Quota> {
+fn quotas(config: &ConfigDocument) -> HashMap<String, Quota> {
     let limit = |tenant: &Tenant| Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
     config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), limit(tenant))).collect()
 }
 
 fn seal(msg: &Message) -> Option<Bytes> {
-    frame::seal(Kind::Cast, 0, msg).ok().map(Bytes::from)
+    frame::encode(Kind::Notification, 0, msg).ok().map(Bytes::from)
 }
 
-fn encode(change: &Change, layout: Layout) -> Option<Bytes> {
+fn encode(change: &ConfigUpdate, layout: Layout) -> Option<Bytes> {
     seal(&match layout {
-        Layout::Current => Message::TenantConfigUpdate(Box::new(change.write())),
-        Layout::BeforeTenants => Message::ConfigUpdate(Box::new(before_tenants::write(change))),
+        Layout::Current => Message::TenantConfigUpdate(Box::new(change.encode())),
+        Layout::BeforeTenants => Message::ConfigUpdate(Box::new(legacy_format::encode(change))),
     })
 }
 
 impl EncodedChange {
-    fn new(old: &Checked, new: &Checked) -> Option<EncodedChange> {
-        let frame = encode(&Change::between(old.config(), new.config()), Layout::Current)?;
-        let for_all = before_tenants::can_tell(new.config());
+    fn new(old: &ConfigDocument, new: &ConfigDocument) -> Option<EncodedChange> {
+        let frame = encode(&ConfigUpdate::between(old.config(), new.config()), Layout::Current)?;
+        let for_all = legacy_format::can_encode(new.config());
         Some(EncodedChange { from: old.revision(), for_all, frame, before_tenants: None })
     }
 
@@ -94,10 +94,10 @@
     /// The frame in the layout before tenants, which routers of earlier versions read.
     fn older_frame(&mut self) -> Option<Bytes> {
         if self.before_tenants.is_none() {
-            let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&self.frame[HEAD..]) else {
+            let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&self.frame[HEADER_BYTES..]) else {
                 return None;
             };
-            self.before_tenants = encode(&Change::read(&packed)?, Layout::BeforeTenants);
+            self.before_tenants = encode(&ConfigUpdate::decode(&packed)?, Layout::BeforeTenants);
         }
         self.before_tenants.clone()
     }
@@ -120,13 +120,13 @@
     }
 
     /// The configuration in force.
-    pub fn current(&self) -> Option<&Arc<Checked>> {
+    pub fn current(&self) -> Option<&Arc<ConfigDocument>> {
         self.current.as_ref()
     }
 
     /// A newer configuration is in force. The one in force already may come again, maybe with other bytes around it; one
     /// that is not newer changes nothing, and is told.
-    pub fn advance(&mut self, config: Arc<Checked>) -> Result<(), NotNewer> {
+    pub fn advance(&mut self, config: Arc<ConfigDocument>) -> Result<(), NotNewer> {
         let Some(old) = self.current.clone() else {
             self.quotas = quotas(&config);
             self.current = Some(config);
@@ -163,7 +163,8 @@
     /// would serve without keys.
     pub fn can_be_told(&self, reads: u64) -> bool {
         let current = self.current.as_ref();
-        Layout::of(reads) == Layout::Current || current.is_none_or(|current| before_tenants::can_tell(current.config()))
+        Layout::of(reads) == Layout::Current
+            || current.is_none_or(|current| legacy_format::can_encode(current.config()))
     }
 
     /// Revision and text for a router of the first version that has the revision `has`, if that is older.
@@ -197,7 +198,7 @@
             Layout::BeforeTenants => &mut self.whole_before_tenants,
         };
         if kept.is_none() {
-            *kept = self.current.as_ref().and_then(|current| encode(&Change::whole(current.config()), layout));
+            *kept = self.current.as_ref().and_then(|current| encode(&ConfigUpdate::full(current.config()), layout));
         }
         kept.clone()
     }
--- a/controller/src/config_history_tests.rs
+++ b/controller/src/config_history_tests.rs
@@ -5,18 +5,18 @@
 
 use bytes::Bytes;
 use kernel::clock::{self, Rng};
-use protocol::change::{before_tenants, Change};
-use protocol::config::{Checked, Config, Route};
-use protocol::frame::{self, HEAD};
+use protocol::config::{Config, ConfigDocument, Route};
+use protocol::config_update::{legacy_format, ConfigUpdate};
+use protocol::frame::{self, HEADER_BYTES};
 use protocol::message::{Message, PROTOCOL_VERSION, TENANTS};
 
 use super::{ConfigHistory, EncodedChange, Layout, NotNewer, MOST_CHANGES};
 
-fn config(revision: u64, count: usize, timeout: u64) -> Arc<Checked> {
+fn config(revision: u64, count: usize, timeout: u64) -> Arc<ConfigDocument> {
     with_tenants(revision, count, timeout, 0)
 }
 
-fn with_tenants(revision: u64, count: usize, timeout: u64, tenants: usize) -> Arc<Checked> {
+fn with_tenants(revision: u64, count: usize, timeout: u64, tenants: usize) -> Arc<ConfigDocument> {
     let route = |at: usize| {
         let timeout = if at == 0 { timeout } else { 5 };
         serde_json::json!({"name": format!("r{at}"), "hostname": format!("h{at}"), "path_prefix": "/", "service": "s",
@@ -28,15 +28,15 @@
     if tenants > 0 {
         text["tenant_table"] = (0..tenants).map(tenant).collect();
     }
-    Arc::new(Checked::read(&text.to_string()).expect("good"))
+    Arc::new(ConfigDocument::parse(&text.to_string()).expect("good"))
 }
 
-fn open(frame: &Bytes) -> Change {
-    match frame::open(&frame[HEAD..]).expect("a message") {
-        Message::ConfigUpdate(body) => before_tenants::read(&body).expect("a change in the layout before tenants"),
+fn open(frame: &Bytes) -> ConfigUpdate {
+    match frame::decode_body(&frame[HEADER_BYTES..]).expect("a message") {
+        Message::ConfigUpdate(body) => legacy_format::decode(&body).expect("a change in the layout before tenants"),
         Message::TenantConfigUpdate(body) => {
-            assert!(before_tenants::read(&body).is_none(), "no older router takes it for its own layout");
-            Change::read(&body).expect("a change")
+            assert!(legacy_format::decode(&body).is_none(), "no older router takes it for its own layout");
+            ConfigUpdate::decode(&body).expect("a change")
         }
         other => panic!("{other:?}"),
     }
@@ -140,14 +140,14 @@
 }
 
 impl Router {
-    fn take(&mut self, change: Change) {
+    fn take(&mut self, change: ConfigUpdate) {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return;
         }
         if change.from == 0 {
             self.routes.clear();
         }
-        change.gone.iter().for_each(|name| drop(self.routes.remove(name)));
+        change.removed_routes.iter().for_each(|name| drop(self.routes.remove(name)));
         self.routes.extend(change.routes.into_iter().map(|route| (route.name.clone(), route)));
         self.revision = change.to;
     }
--- a/controller/src/config_orders.rs
+++ b/controller/src/config_orders.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use consensus::proposal::Decision;
-use protocol::config::Checked;
+use protocol::config::ConfigDocument;
 use protocol::message::{Entry, Message, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
@@ -28,7 +28,7 @@
     before: u64,
     form_before: BodyForm,
     form: BodyForm,
-    checked: Arc<Checked>,
+    checked: Arc<ConfigDocument>,
 }
 
 /// Carries out an operator's change.
@@ -61,7 +61,12 @@
     kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
-fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Decision<Judgement> {
+fn judge(
+    proposed: &Proposed,
+    body: &[u8],
+    known: Option<&ConfigDocument>,
+    read_by_all: BodyForm,
+) -> Decision<Judgement> {
     let Some(held) = Held::open(body) else {
         return Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
     };
@@ -162,9 +167,9 @@
 /// `known`: the configuration in the body before, where that was read already.
 fn next_body(
     body: &[u8],
-    known: Option<&Checked>,
+    known: Option<&ConfigDocument>,
     advance: &CommittedDelta,
-) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
+) -> Option<(Vec<u8>, Option<Arc<ConfigDocument>>)> {
     if body_digest(body) != advance.before {
         return None;
     }
--- a/controller/src/config_orders_tests.rs
+++ b/controller/src/config_orders_tests.rs
@@ -1,7 +1,7 @@
 //! A change told to other controllers gives them the very body that was committed, or nothing.
 
 use consensus::proposal::Decision;
-use protocol::config::{self, Checked};
+use protocol::config::{self, ConfigDocument};
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
@@ -48,8 +48,8 @@
         let (body, advance, after) = committed(routes, form);
         assert_eq!(made(&body, &advance), Some(after));
         // Also with the configuration before read already, or with another one at hand.
-        let known = Checked::read(&text(5, routes)).expect("good");
-        let other = Checked::read(&text(5, routes + 1)).expect("good");
+        let known = ConfigDocument::parse(&text(5, routes)).expect("good");
+        let other = ConfigDocument::parse(&text(5, routes + 1)).expect("good");
         for known in [known, other] {
             let (body, checked) = next_body(&body, Some(&known), &advance).expect("made");
             let held = Held::open(&body).expect("read");
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config_timing_tests.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use consensus::proposal::Decision;
-use protocol::change::Change;
 use protocol::config;
+use protocol::config_update::ConfigUpdate;
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::ConfigChange;
 
@@ -84,7 +84,7 @@
             print_median(&format!("{label}, at a controller that is told of it"), || {
                 let (_, checked) = next_body(&body, Some(old), &advance).expect("made");
                 let checked = checked.expect("changed");
-                drop(Change::between(old.config(), checked.config()).write());
+                drop(ConfigUpdate::between(old.config(), checked.config()).encode());
             });
         }
     }
--- a/controller/src/control.rs
+++ b/controller/src/control.rs
@@ -9,9 +9,9 @@
 use poem::http::{HeaderValue, StatusCode};
 use poem::listener::TcpAcceptor;
 use poem::{Endpoint, Request, Response, Route, Server};
-use protocol::config::LONGEST_TEXT;
+use protocol::config::MAX_TEXT_BYTES;
 use protocol::operator_request::{ConfigChange, OperatorRequest, OperatorResponse};
-use protocol::socket::{self, SILENCE_MS};
+use protocol::socket::{self, IO_TIMEOUT_MS};
 use socket2::SockRef;
 use tokio::time;
 
@@ -178,7 +178,7 @@
             _ => return Ok(write(Receipt::Bad(405, "method: GET, PUT or PATCH".into()))),
         };
         let base = req.header("if-match").and_then(|value| value.trim().trim_matches('"').parse().ok());
-        let body = match req.take_body().into_bytes_limit(LONGEST_TEXT).await {
+        let body = match req.take_body().into_bytes_limit(MAX_TEXT_BYTES).await {
             Ok(body) => body,
             Err(ReadBodyError::PayloadTooLarge) => {
                 return Ok(write(Receipt::Bad(413, "body: too large".into())));
@@ -244,7 +244,7 @@
         return;
     };
     let sock = SockRef::from(&listener);
-    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(SILENCE_MS)));
+    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(IO_TIMEOUT_MS)));
     let Ok(acceptor) = TcpAcceptor::from_tokio(listener) else { return };
     let server = Server::new_with_acceptor(acceptor).idle_timeout(IDLE_TIMEOUT);
     let _ = server.run_with_graceful_shutdown(app, shutdown.closing(), None).await;
--- a/controller/src/outbound.rs
+++ b/controller/src/outbound.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use protocol::socket::SILENCE_MS;
+use protocol::socket::IO_TIMEOUT_MS;
 use reqwest::redirect::Policy;
 use reqwest::{retry, Client, ClientBuilder};
 
@@ -20,7 +20,7 @@
 
 /// A client for reads: connections are kept, and one that closes while idle is replaced.
 pub fn reads(connect_timeout: Duration) -> ClientBuilder {
-    no_resend(connect_timeout, Duration::from_millis(SILENCE_MS)).tcp_nodelay(true)
+    no_resend(connect_timeout, Duration::from_millis(IO_TIMEOUT_MS)).tcp_nodelay(true)
 }
 
 fn no_resend(connect_timeout: Duration, unacknowledged: Duration) -> ClientBuilder {
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/rollout_calls.rs
@@ -5,7 +5,7 @@
 
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
-use protocol::message::{self, ROLLOUT};
+use protocol::message::{self, STALENESS_LIMIT_PREFIX};
 use serde_json::{Map, Value};
 
 use crate::control::{self, Receipt};
@@ -22,7 +22,7 @@
 pub struct Latest(pub Arc<Controller>, pub bool);
 
 fn key(service: &str, model: &str) -> String {
-    format!("{}{service}/{model}", ROLLOUT)
+    format!("{}{service}/{model}", STALENESS_LIMIT_PREFIX)
 }
 
 fn named(req: &Request) -> (String, String) {
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -12,7 +12,7 @@
 use batch::turn::{self, Pace, View};
 use batch::{KEEP_MS, PAGE};
 use kernel::{clock, startup};
-use protocol::socket::SILENCE_MS;
+use protocol::socket::IO_TIMEOUT_MS;
 use reqwest::Client;
 
 use crate::controller::Controller;
@@ -73,7 +73,7 @@
 
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = outbound::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
+    let client = outbound::at_most_once(wait(CONNECT_MS), wait(IO_TIMEOUT_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
--- a/controller/src/simulation/operator.rs
+++ b/controller/src/simulation/operator.rs
@@ -13,7 +13,7 @@
 use crate::state::CONFIG;
 
 /// How long an operator waits for an answer, and a controller for an outcome.
-const SILENCE_MS: u64 = 1000;
+const IO_TIMEOUT_MS: u64 = 1000;
 const CHANGE_MS: u64 = 2000;
 const EVACUATE_MS: u64 = orders::EVACUATE_MS;
 const UNHEARD_CLOSE_ONE_OF: u64 = 4;
@@ -86,7 +86,7 @@
         }
         let operator = &mut self.operators[number];
         if operator.current.is_some() && now >= operator.resend {
-            operator.resend = now + SILENCE_MS;
+            operator.resend = now + IO_TIMEOUT_MS;
             self.send_order(number);
         }
     }
--- a/controller/src/state.rs
+++ b/controller/src/state.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use consensus::MEMBERSHIP_KEY;
-use protocol::config::{Checked, ConfigError};
-use protocol::message::{Entry, Message, StalenessLimit, ROLLOUT};
+use protocol::config::{ConfigDocument, ConfigError};
+use protocol::message::{Entry, Message, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::version_rollout::{VersionRollout, KEY};
 
 use crate::config_body::Held;
@@ -94,12 +94,12 @@
     }
 
     /// The same for a configuration that was read already.
-    pub fn learn_config(&self, entry: &Entry, read: Arc<Checked>) {
+    pub fn learn_config(&self, entry: &Entry, read: Arc<ConfigDocument>) {
         self.learn_read(CONFIG, entry, Some(read));
     }
 
     /// False: it, or a newer one, was known.
-    fn learn_read(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> bool {
+    fn learn_read(&self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> bool {
         let learned = self.committed_state.lock().expect("committed_state").learn(key, entry, read);
         match learned {
             Learned::Known => return false,
@@ -145,7 +145,7 @@
 
 impl CommittedState {
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
-    pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
+    pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
         self.turn = self.turn.max(entry.proposal_number.term);
         let held = self.entries.get(key);
         if held.is_some_and(|held| held.position() >= entry.position()) {
@@ -166,7 +166,7 @@
         }
     }
 
-    fn fold(&mut self, key: &str, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
+    fn fold(&mut self, key: &str, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if key == CONFIG {
             return self.fold_config(body, read);
         }
@@ -174,7 +174,7 @@
             let closed = Closed::open(body).ok_or(Unreadable::Body)?;
             self.closed.insert(zone.into(), (closed.version, closed.on));
         }
-        if key.starts_with(ROLLOUT) && !body.is_empty() {
+        if key.starts_with(STALENESS_LIMIT_PREFIX) && !body.is_empty() {
             let rule = StalenessLimit::read_bytes(body).ok_or(Unreadable::Body)?;
             self.rules.insert(key.into(), rule);
         }
@@ -192,7 +192,7 @@
         Ok(())
     }
 
-    fn fold_config(&mut self, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
+    fn fold_config(&mut self, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if body.is_empty() && self.history.revision() == 0 {
             return Ok(());
         }
@@ -205,9 +205,9 @@
 }
 
 /// Reads a committed configuration.
-fn read_config(body: &[u8]) -> Result<Checked, Unreadable> {
+fn read_config(body: &[u8]) -> Result<ConfigDocument, Unreadable> {
     let held = Held::open(body).ok_or(Unreadable::Body)?;
-    let checked = Checked::read_committed(&held.text).map_err(Unreadable::Text)?;
+    let checked = ConfigDocument::parse_committed(&held.text).map_err(Unreadable::Text)?;
     match checked.revision() == held.revision {
         true => Ok(checked),
         false => Err(Unreadable::Revision { told: held.revision, found: checked.revision() }),
--- a/controller/src/state_tests.rs
+++ b/controller/src/state_tests.rs
@@ -6,9 +6,11 @@
 use consensus::confirmation::Confirmation;
 use consensus::MEMBERSHIP_KEY;
 use kernel::clock::{self, Rng};
-use protocol::change::Change;
-use protocol::frame::{self, HEAD};
-use protocol::message::{CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT};
+use protocol::config_update::ConfigUpdate;
+use protocol::frame::{self, HEADER_BYTES};
+use protocol::message::{
+    CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, STALENESS_LIMIT_PREFIX,
+};
 
 use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
 use crate::config_body::{BodyForm, Held};
@@ -49,10 +51,10 @@
     let mut has = 0;
     let mut last = 0;
     assert!(state.history.send_missing(PROTOCOL_VERSION, &mut has, |frame| {
-        let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else {
+        let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
             return false;
         };
-        last = Change::read(&packed).expect("a change").to;
+        last = ConfigUpdate::decode(&packed).expect("a change").to;
         true
     }));
     assert_eq!((has, last), (revision, revision), "routers get what the entry holds");
@@ -141,7 +143,7 @@
     let zone = format!("{CLOSED}z");
     let closed = Closed { version: 4, on: true }.write_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
+    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", STALENESS_LIMIT_PREFIX), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration: read once into a typed and checked value, which is what is stored and delivered.
 //!
 //! `json` parses strictly, `decode` and `values` bring JSON into the types of `model`, `check` holds the value against
-//! the rules for configurations, `patch` reads a change of named items and `apply` makes it. `Checked` keeps the text and
+//! the rules for configurations, `patch` reads a change of named items and `apply` makes it. `ConfigDocument` keeps the text and
 //! the value together.
 mod apply;
 mod check;
@@ -15,18 +15,18 @@
 mod patch;
 mod values;
 
-pub use checked::Checked;
+pub use checked::ConfigDocument;
 pub use error::{ConfigError, ConfigErrorKind, Item, Syntax};
 pub use host::without_port;
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
-pub use patch::Patch;
+pub use patch::ConfigPatch;
 
 /// The longest text of a whole configuration: what is longer could not be stored and delivered.
-pub const LONGEST_TEXT: usize = 8 * 1024 * 1024;
+pub const MAX_TEXT_BYTES: usize = 8 * 1024 * 1024;
 
 /// Reads a whole configuration as an operator sends it.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
-    Checked::read(text).map(Checked::into_config)
+    ConfigDocument::parse(text).map(ConfigDocument::into_config)
 }
 
 #[cfg(test)]
--- a/protocol/src/config/apply.rs
+++ b/protocol/src/config/apply.rs
@@ -3,20 +3,20 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use super::checked::Checked;
+use super::checked::ConfigDocument;
 use super::decode::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
 use super::error::ConfigError;
 use super::json;
 use super::merge::{merge, raw_items, RawObject};
 use super::model::Config;
-use super::patch::{part, ObjectChange, Patch, TableChange, UPSERT};
+use super::patch::{part, ConfigPatch, ObjectChange, TableChange, UPSERT};
 
 /// Fields with their text.
 type RawFields = Vec<(String, String)>;
 
 /// The configuration that a change leads to; not yet checked.
-pub fn apply(base: &Checked, patch: &Patch) -> Result<Checked, ConfigError> {
-    let Some(fields) = RawObject::read(base.text()) else { return Err(ConfigError::nothing_to_change()) };
+pub fn apply(base: &ConfigDocument, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
+    let Some(fields) = RawObject::read(base.text()) else { return Err(ConfigError::no_base_config()) };
     let mut fields: RawFields = fields.0.iter().map(|(name, raw)| (name.to_string(), raw.get().to_string())).collect();
     set(&mut fields, REVISION, patch.revision.to_string());
     for table in [ROUTES, SERVICES] {
@@ -44,7 +44,7 @@
         let limits = fields.iter().rev().find(|(name, _)| name == LIMITS).map_or("{}", |(_, raw)| raw);
         config.limits = decode::limits(&json::parse_loosely(limits)?)?;
     }
-    Ok(Checked::together(text, config))
+    Ok(ConfigDocument::together(text, config))
 }
 
 fn merge_typed<T: Clone>(held: &[T], withdrawn: &[String], upserts: &[T], name: fn(&T) -> &String) -> Vec<T> {
--- a/protocol/src/config/check.rs
+++ b/protocol/src/config/check.rs
@@ -10,7 +10,7 @@
 pub fn config(config: &Config) -> Result<(), ConfigError> {
     // A configuration carries its revision, which must be above the current one, and that is 0 before the first.
     if config.revision == 0 {
-        return Err(ConfigError { item: Item::Field("revision".into()), flaw: ConfigErrorKind::RevisionZero });
+        return Err(ConfigError { item: Item::Field("revision".into()), kind: ConfigErrorKind::ZeroRevision });
     }
     let services = services(&config.service_table)?;
     routes(&config.route_table, &services)?;
@@ -23,7 +23,7 @@
         let fail = fail(Item::Service, &service.name);
         name("service_table", index, &service.name)?;
         if !names.insert(service.name.as_str()) {
-            return Err(fail(ConfigErrorKind::NameUsedTwice));
+            return Err(fail(ConfigErrorKind::DuplicateName));
         }
         let engine = service.engine.iter();
         let of_engine = engine.flat_map(|engine| {
@@ -38,7 +38,10 @@
         not_negative(numbers.into_iter().chain(of_engine)).map_err(&fail)?;
         // A request names the model that it wants.
         if service.engine.iter().flat_map(|engine| &engine.model_list).any(|model| model.name.is_empty()) {
-            return Err(fail(ConfigErrorKind::Not { field: "model_list", expected: "made of items with names" }));
+            return Err(fail(ConfigErrorKind::InvalidField {
+                field: "model_list",
+                expected: "made of items with names",
+            }));
         }
     }
     Ok(names)
@@ -51,13 +54,13 @@
         let fail = fail(Item::Route, &route.name);
         name("route_table", index, &route.name)?;
         if !names.insert(route.name.as_str()) {
-            return Err(fail(ConfigErrorKind::NameUsedTwice));
+            return Err(fail(ConfigErrorKind::DuplicateName));
         }
         one_route(route, services).map_err(&fail)?;
         // Two routes that share host and prefix make it invalid.
         let place = (route.hostname.as_str(), route.path_prefix.as_str());
         if let Some(other) = places.insert(place, &route.name) {
-            return Err(fail(ConfigErrorKind::SamePlace { other: other.into() }));
+            return Err(fail(ConfigErrorKind::DuplicateMatch { other: other.into() }));
         }
     }
     Ok(())
@@ -66,19 +69,19 @@
 fn one_route(route: &Route, services: &HashSet<&str>) -> Result<(), ConfigErrorKind> {
     // A host and a path pick the route.
     if route.hostname.is_empty() {
-        return Err(ConfigErrorKind::Missing { field: "hostname" });
+        return Err(ConfigErrorKind::MissingField { field: "hostname" });
     }
     // Prefixes begin and end with a slash.
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        return Err(ConfigErrorKind::NoSlashes);
+        return Err(ConfigErrorKind::InvalidPathPrefix);
     }
     // The type says whether a request may run more than once; what another type would say is not known.
     if !ROUTE_TYPES.contains(&route.route_type.as_str()) {
-        return Err(ConfigErrorKind::UnknownType);
+        return Err(ConfigErrorKind::UnknownRouteType);
     }
     // A timeout of 0 makes it invalid.
     if route.timeout_ms == 0 {
-        return Err(ConfigErrorKind::TimeoutZero);
+        return Err(ConfigErrorKind::ZeroTimeout);
     }
     // A route that names an unknown service makes it invalid, also beside a good split.
     let single = route.service.as_deref().filter(|service| !service.is_empty());
@@ -88,11 +91,11 @@
     }
     // Requests go to an engine of the route's service, so it has one.
     if single.is_none() && route.traffic_split.is_empty() {
-        return Err(ConfigErrorKind::NoService);
+        return Err(ConfigErrorKind::MissingService);
     }
     // Weights that sum to 0 make it invalid.
     if !route.traffic_split.is_empty() && route.traffic_split.iter().all(|part| part.weight == 0) {
-        return Err(ConfigErrorKind::WeightsZero);
+        return Err(ConfigErrorKind::ZeroWeights);
     }
     Ok(())
 }
@@ -104,7 +107,7 @@
         let fail = fail(Item::Tenant, &tenant.name);
         name("tenant_table", index, &tenant.name)?;
         if !names.insert(tenant.name.as_str()) {
-            return Err(fail(ConfigErrorKind::NameUsedTwice));
+            return Err(fail(ConfigErrorKind::DuplicateName));
         }
         not_negative([("rate_per_s", tenant.rate_per_s), ("burst_size", tenant.burst_size)].into_iter())
             .map_err(&fail)?;
@@ -116,7 +119,7 @@
             // Two tenants that share a key make it invalid; one may list a key twice.
             let other = owners.insert(key, &tenant.name);
             if let Some(other) = other.filter(|other| *other != tenant.name) {
-                return Err(fail(ConfigErrorKind::SharedKey { other: other.into() }));
+                return Err(fail(ConfigErrorKind::DuplicateKey { other: other.into() }));
             }
         }
     }
@@ -127,7 +130,7 @@
 fn name(table: &str, index: usize, name: &str) -> Result<(), ConfigError> {
     if name.is_empty() {
         let item = Item::Entry { table: table.into(), index };
-        return Err(ConfigError { item, flaw: ConfigErrorKind::Missing { field: "name" } });
+        return Err(ConfigError { item, kind: ConfigErrorKind::MissingField { field: "name" } });
     }
     Ok(())
 }
@@ -135,11 +138,11 @@
 /// Rates, times and sizes: less than none of them cannot be served.
 fn not_negative(mut numbers: impl Iterator<Item = (&'static str, f64)>) -> Result<(), ConfigErrorKind> {
     match numbers.find(|(_, number)| *number < 0.0) {
-        Some((field, _)) => Err(ConfigErrorKind::Not { field, expected: "a number from 0" }),
+        Some((field, _)) => Err(ConfigErrorKind::InvalidField { field, expected: "a number from 0" }),
         None => Ok(()),
     }
 }
 
 fn fail<'a>(item: fn(String) -> Item, name: &'a str) -> impl Fn(ConfigErrorKind) -> ConfigError + 'a {
-    move |flaw| ConfigError { item: item(name.into()), flaw }
+    move |kind| ConfigError { item: item(name.into()), kind }
 }
--- a/protocol/src/config/checked.rs
+++ b/protocol/src/config/checked.rs
@@ -3,35 +3,35 @@
 use super::decode::{self, Strictness};
 use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::model::Config;
-use super::patch::Patch;
-use super::{apply, check, json, LONGEST_TEXT};
+use super::patch::ConfigPatch;
+use super::{apply, check, json, MAX_TEXT_BYTES};
 
 /// Invariants: `config` is what `text` says, both come from one reading; a value made by `read` or `patched` passed
 /// every check.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Checked {
+pub struct ConfigDocument {
     text: String,
     config: Config,
 }
 
-impl Checked {
+impl ConfigDocument {
     /// Reads a whole configuration as an operator sends it.
-    pub fn read(text: &str) -> Result<Checked, ConfigError> {
+    pub fn parse(text: &str) -> Result<ConfigDocument, ConfigError> {
         bounded(text)?;
         let config = decode::config(&json::parse(text)?, Strictness::Operator)?;
         check::config(&config)?;
-        Ok(Checked { text: text.into(), config })
+        Ok(ConfigDocument { text: text.into(), config })
     }
 
     /// Reads one that was committed, maybe by an earlier version that checked less: it is in force, so it is held to its
     /// form only. What stands behind its end was never served, and is passed over.
-    pub fn read_committed(text: &str) -> Result<Checked, ConfigError> {
+    pub fn parse_committed(text: &str) -> Result<ConfigDocument, ConfigError> {
         let config = decode::config(&json::parse_loosely(text)?, Strictness::Committed)?;
-        Ok(Checked { text: text.into(), config })
+        Ok(ConfigDocument { text: text.into(), config })
     }
 
     /// With a change of named items made, and checked.
-    pub fn patched(&self, patch: &Patch) -> Result<Checked, ConfigError> {
+    pub fn apply(&self, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
         let next = apply::apply(self, patch)?;
         bounded(&next.text)?;
         check::config(&next.config)?;
@@ -39,13 +39,13 @@
     }
 
     /// With a change made that was checked before it was committed.
-    pub fn patched_again(&self, patch: &Patch) -> Result<Checked, ConfigError> {
+    pub fn apply_committed(&self, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
         apply::apply(self, patch)
     }
 
     /// The caller made both of the same parts.
-    pub(super) fn together(text: String, config: Config) -> Checked {
-        Checked { text, config }
+    pub(super) fn together(text: String, config: Config) -> ConfigDocument {
+        ConfigDocument { text, config }
     }
 
     pub fn text(&self) -> &str {
@@ -66,8 +66,8 @@
 }
 
 fn bounded(text: &str) -> Result<(), ConfigError> {
-    if text.len() > LONGEST_TEXT {
-        return Err(ConfigError { item: Item::Body, flaw: ConfigErrorKind::TooLong { bytes: text.len() } });
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooLong { bytes: text.len() } });
     }
     Ok(())
 }
--- a/protocol/src/config/config_tests.rs
+++ b/protocol/src/config/config_tests.rs
@@ -1,6 +1,6 @@
 //! Whole configurations: how their items fit together, and what is refused with the item named.
 use super::samples::{good, refused, refused_text, taken, KEY};
-use super::{read, targets, Checked};
+use super::{read, targets, ConfigDocument};
 use serde_json::{json, Value};
 
 #[test]
@@ -175,14 +175,14 @@
     ];
     for text in old {
         read(&text).expect_err("refused from an operator now");
-        let checked = Checked::read_committed(&text).unwrap_or_else(|error| panic!("{error}"));
+        let checked = ConfigDocument::parse_committed(&text).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!((checked.revision(), checked.config().route_table.len()), (7, 2));
         assert_eq!(checked.text(), text);
     }
-    let bare = Checked::read_committed("{\"revision\":5}").expect("it withdrew every route");
+    let bare = ConfigDocument::parse_committed("{\"revision\":5}").expect("it withdrew every route");
     assert!(bare.revision() == 5 && bare.config().route_table.is_empty());
-    assert!(Checked::read_committed("{\"revision\":5").is_err());
-    assert!(Checked::read_committed("5").is_err());
+    assert!(ConfigDocument::parse_committed("{\"revision\":5").is_err());
+    assert!(ConfigDocument::parse_committed("5").is_err());
 }
 
 /// Names come from the body: an error stays short, and on one line.
--- a/protocol/src/config/decode.rs
+++ b/protocol/src/config/decode.rs
@@ -41,7 +41,7 @@
             _ => {}
         }
     }
-    let missing = |field| ConfigError { item: Item::Body, flaw: ConfigErrorKind::Missing { field } };
+    let missing = |field| ConfigError { item: Item::Body, kind: ConfigErrorKind::MissingField { field } };
     if strictness == Strictness::Operator && routes.is_none() {
         return Err(missing(ROUTES));
     }
@@ -215,12 +215,12 @@
         read(name, value).map_err(|Mismatch(expected)| {
             // Only fields that are read can fail.
             let field = FIELDS.iter().find(|known| **known == name).copied().unwrap_or("a field");
-            ConfigError { item: item.clone(), flaw: ConfigErrorKind::Not { field, expected } }
+            ConfigError { item: item.clone(), kind: ConfigErrorKind::InvalidField { field, expected } }
         })?;
     }
     Ok(())
 }
 
 pub fn not_a(item: Item, expected: &'static str) -> ConfigError {
-    ConfigError { item, flaw: ConfigErrorKind::NotA { expected } }
+    ConfigError { item, kind: ConfigErrorKind::InvalidItem { expected } }
 }
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -3,7 +3,7 @@
 
 use std::error;
 
-use super::LONGEST_TEXT;
+use super::MAX_TEXT_BYTES;
 
 /// How many characters of a name are shown.
 const SHOWN: usize = 80;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     pub item: Item,
-    pub flaw: ConfigErrorKind,
+    pub kind: ConfigErrorKind,
 }
 
 /// What an error is about.
@@ -36,10 +36,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syntax {
     /// It ends too soon.
-    CutShort,
+    UnexpectedEnd,
     Malformed,
     /// Something stands behind the value.
-    Trailing,
+    TrailingCharacters,
 }
 
 /// What is wrong with an item.
@@ -56,51 +56,51 @@
         bytes: usize,
     },
     /// A field is there twice.
-    Doubled,
+    DuplicateField,
     /// A field is not there, or null.
-    Missing {
+    MissingField {
         field: &'static str,
     },
     /// A field holds something else than it must.
-    Not {
+    InvalidField {
         field: &'static str,
         expected: &'static str,
     },
     /// The item itself is something else than it must be.
-    NotA {
+    InvalidItem {
         expected: &'static str,
     },
     /// Another item of its table has its name.
-    NameUsedTwice,
-    NoSlashes,
-    UnknownType,
-    TimeoutZero,
-    SamePlace {
+    DuplicateName,
+    InvalidPathPrefix,
+    UnknownRouteType,
+    ZeroTimeout,
+    DuplicateMatch {
         other: String,
     },
-    NoService,
+    MissingService,
     UnknownService {
         service: String,
     },
-    WeightsZero,
-    SharedKey {
+    ZeroWeights,
+    DuplicateKey {
         other: String,
     },
     EmptyKey,
-    RevisionZero,
+    ZeroRevision,
     /// A change builds on a configuration, and there is none.
-    NothingToChange,
+    NoBaseConfig,
 }
 
 impl ConfigError {
     /// A change of named items came before the first configuration.
-    pub fn nothing_to_change() -> ConfigError {
-        ConfigError { item: Item::Body, flaw: ConfigErrorKind::NothingToChange }
+    pub fn no_base_config() -> ConfigError {
+        ConfigError { item: Item::Body, kind: ConfigErrorKind::NoBaseConfig }
     }
 
     /// The status of the answer to whoever sent it.
     pub fn status(&self) -> u16 {
-        match self.flaw {
+        match self.kind {
             ConfigErrorKind::TooLong { .. } | ConfigErrorKind::TooManyValues => 413,
             _ => 400,
         }
@@ -129,9 +129,9 @@
 impl std::fmt::Display for Syntax {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         out.write_str(match self {
-            Syntax::CutShort => "ends too soon",
+            Syntax::UnexpectedEnd => "ends too soon",
             Syntax::Malformed => "not JSON",
-            Syntax::Trailing => "something stands behind the end",
+            Syntax::TrailingCharacters => "something stands behind the end",
         })
     }
 }
@@ -142,32 +142,32 @@
             ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
             ConfigErrorKind::TooDeep => out.write_str("nested too deep"),
             ConfigErrorKind::TooManyValues => out.write_str("too many values"),
-            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", LONGEST_TEXT),
-            ConfigErrorKind::Doubled => out.write_str("is there twice"),
-            ConfigErrorKind::Missing { field } => write!(out, "{field} missing"),
-            ConfigErrorKind::Not { field, expected } => write!(out, "{field} is not {expected}"),
-            ConfigErrorKind::NotA { expected } => write!(out, "not {expected}"),
-            ConfigErrorKind::NameUsedTwice => out.write_str("name used twice"),
-            ConfigErrorKind::NoSlashes => out.write_str("path_prefix does not begin and end with a slash"),
-            ConfigErrorKind::UnknownType => out.write_str("route_type unknown"),
-            ConfigErrorKind::TimeoutZero => out.write_str("timeout_ms is 0"),
-            ConfigErrorKind::SamePlace { other } => {
+            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", MAX_TEXT_BYTES),
+            ConfigErrorKind::DuplicateField => out.write_str("is there twice"),
+            ConfigErrorKind::MissingField { field } => write!(out, "{field} missing"),
+            ConfigErrorKind::InvalidField { field, expected } => write!(out, "{field} is not {expected}"),
+            ConfigErrorKind::InvalidItem { expected } => write!(out, "not {expected}"),
+            ConfigErrorKind::DuplicateName => out.write_str("name used twice"),
+            ConfigErrorKind::InvalidPathPrefix => out.write_str("path_prefix does not begin and end with a slash"),
+            ConfigErrorKind::UnknownRouteType => out.write_str("route_type unknown"),
+            ConfigErrorKind::ZeroTimeout => out.write_str("timeout_ms is 0"),
+            ConfigErrorKind::DuplicateMatch { other } => {
                 write!(out, "hostname and path_prefix are those of `{}`", shown(other))
             }
-            ConfigErrorKind::NoService => out.write_str("no service"),
+            ConfigErrorKind::MissingService => out.write_str("no service"),
             ConfigErrorKind::UnknownService { service } => write!(out, "unknown service `{}`", shown(service)),
-            ConfigErrorKind::WeightsZero => out.write_str("weights sum to 0"),
-            ConfigErrorKind::SharedKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
+            ConfigErrorKind::ZeroWeights => out.write_str("weights sum to 0"),
+            ConfigErrorKind::DuplicateKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
             ConfigErrorKind::EmptyKey => out.write_str("an empty key"),
-            ConfigErrorKind::RevisionZero => out.write_str("missing or 0"),
-            ConfigErrorKind::NothingToChange => out.write_str("no configuration to change"),
+            ConfigErrorKind::ZeroRevision => out.write_str("missing or 0"),
+            ConfigErrorKind::NoBaseConfig => out.write_str("no configuration to change"),
         }
     }
 }
 
 impl std::fmt::Display for ConfigError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "{}: {}", self.item, self.flaw)
+        write!(out, "{}: {}", self.item, self.kind)
     }
 }
 
--- a/protocol/src/config/json.rs
+++ b/protocol/src/config/json.rs
@@ -43,9 +43,9 @@
 /// Parses a text that must hold one value and nothing else.
 pub fn parse(text: &str) -> Result<Json<'_>, ConfigError> {
     let (value, mut rest) = parse_first(text)?;
-    rest.end().map_err(|error| syntax(Syntax::Trailing, &error))?;
+    rest.end().map_err(|error| syntax(Syntax::TrailingCharacters, &error))?;
     match doubled(&value) {
-        Some(path) => Err(ConfigError { item: Item::Field(path), flaw: ConfigErrorKind::Doubled }),
+        Some(path) => Err(ConfigError { item: Item::Field(path), kind: ConfigErrorKind::DuplicateField }),
         None => Ok(value),
     }
 }
@@ -63,19 +63,19 @@
     let seed = Seed { bounds: &bounds, depth: 0 };
     match DeserializeSeed::deserialize(seed, &mut deserializer) {
         Ok(value) => Ok((value, deserializer)),
-        Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, flaw: ConfigErrorKind::TooDeep }),
+        Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooDeep }),
         Err(_) if bounds.values.get() == 0 => {
-            Err(ConfigError { item: Item::Body, flaw: ConfigErrorKind::TooManyValues })
+            Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooManyValues })
         }
-        Err(error) if error.is_eof() => Err(syntax(Syntax::CutShort, &error)),
+        Err(error) if error.is_eof() => Err(syntax(Syntax::UnexpectedEnd, &error)),
         Err(error) => Err(syntax(Syntax::Malformed, &error)),
     }
 }
 
 /// The words of the parser may hold a piece of the text, so only the place is kept of them.
 fn syntax(syntax: Syntax, error: &serde_json::Error) -> ConfigError {
-    let flaw = ConfigErrorKind::Syntax { syntax, line: error.line(), column: error.column() };
-    ConfigError { item: Item::Body, flaw }
+    let kind = ConfigErrorKind::Syntax { syntax, line: error.line(), column: error.column() };
+    ConfigError { item: Item::Body, kind }
 }
 
 /// What is left of the bounds while a text is parsed.
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -4,20 +4,20 @@
 
 use super::samples::{good, refused, refused_text, taken};
 use super::values::LONGEST_MS;
-use super::{read, ConfigError, ConfigErrorKind, Item, Limits, Syntax, LONGEST_TEXT};
+use super::{read, ConfigError, ConfigErrorKind, Item, Limits, Syntax, MAX_TEXT_BYTES};
 
 #[test]
 fn a_text_is_one_json_value_and_nothing_else() {
     let text = good().to_string();
-    let syntax = |text: &str| match refused_text(text).flaw {
+    let syntax = |text: &str| match refused_text(text).kind {
         ConfigErrorKind::Syntax { syntax, .. } => syntax,
         other => panic!("{other:?}"),
     };
     for cut in 0..text.len() {
-        assert_eq!(syntax(&text[..cut]), Syntax::CutShort, "cut at {cut}");
+        assert_eq!(syntax(&text[..cut]), Syntax::UnexpectedEnd, "cut at {cut}");
     }
     for behind in [" x", "{}", "]", "}", ",", "\0", "\u{feff}", " null"] {
-        assert_eq!(syntax(&format!("{text}{behind}")), Syntax::Trailing, "{behind:?}");
+        assert_eq!(syntax(&format!("{text}{behind}")), Syntax::TrailingCharacters, "{behind:?}");
     }
     for bad in [format!("\u{feff}{text}"), text.replace("3000", "1e400"), text.replace("3000", "03000")] {
         assert_eq!(syntax(&bad), Syntax::Malformed);
@@ -36,11 +36,11 @@
     ];
     for (from, to, path) in cases {
         let error = refused_text(&text.replacen(from, to, 1));
-        assert_eq!(error, ConfigError { item: Item::Field(path.into()), flaw: ConfigErrorKind::Doubled });
+        assert_eq!(error, ConfigError { item: Item::Field(path.into()), kind: ConfigErrorKind::DuplicateField });
     }
     let many: Vec<String> = (0..60).map(|at| format!("\"f{}\":1", at % 59)).collect();
     let error = refused_text(&text.replacen("\"new\":1", &format!("\"new\":{{{}}}", many.join(",")), 1));
-    assert_eq!(error.flaw, ConfigErrorKind::Doubled);
+    assert_eq!(error.kind, ConfigErrorKind::DuplicateField);
 }
 
 #[test]
@@ -111,12 +111,12 @@
     let with = |piece: &str| good().to_string().replacen("\"new\":1", &format!("\"new\":{piece}"), 1);
     for (open, close) in [("[", "]"), ("{\"a\":", "}")] {
         let deep = with(&format!("{}1{}", open.repeat(200_000), close.repeat(200_000)));
-        assert_eq!(refused_text(&deep).flaw, ConfigErrorKind::TooDeep);
-        assert_eq!(refused_text(&with(&open.repeat(200_000))).flaw, ConfigErrorKind::TooDeep);
+        assert_eq!(refused_text(&deep).kind, ConfigErrorKind::TooDeep);
+        assert_eq!(refused_text(&with(&open.repeat(200_000))).kind, ConfigErrorKind::TooDeep);
         assert!(read(&with(&format!("{}1{}", open.repeat(50), close.repeat(50)))).is_ok());
     }
     let error = refused_text(&with(&format!("[{}0]", "0,".repeat(1_100_000))));
-    assert_eq!((error.status(), error.flaw), (413, ConfigErrorKind::TooManyValues));
-    let long = with(&format!("\"{}\"", "x".repeat(LONGEST_TEXT)));
+    assert_eq!((error.status(), error.kind), (413, ConfigErrorKind::TooManyValues));
+    let long = with(&format!("\"{}\"", "x".repeat(MAX_TEXT_BYTES)));
     assert_eq!(refused_text(&long).status(), 413);
 }
--- a/protocol/src/config/patch.rs
+++ b/protocol/src/config/patch.rs
@@ -31,7 +31,7 @@
 /// A change that was read. Invariants: no table is named twice, nor an item twice among the upserts of a table; the typed
 /// items are those of `tables`, in their order.
 #[derive(Clone, Debug, Default)]
-pub struct Patch {
+pub struct ConfigPatch {
     pub(super) revision: u64,
     pub(super) tables: Vec<TableChange>,
     pub(super) objects: Vec<ObjectChange>,
@@ -40,13 +40,13 @@
     pub(super) tenants: Vec<Tenant>,
 }
 
-impl Patch {
+impl ConfigPatch {
     /// Reads a change as an operator sends it. Whether its result is valid shows only on top of a configuration.
-    pub fn read(text: &str) -> Result<Patch, ConfigError> {
+    pub fn parse(text: &str) -> Result<ConfigPatch, ConfigError> {
         let value = json::parse(text)?;
         let Json::Object(fields) = &value else { return Err(decode::not_a(Item::Body, "an object")) };
         let Some(raw) = RawObject::read(text) else { return Err(decode::not_a(Item::Body, "an object")) };
-        let mut patch = Patch::default();
+        let mut patch = ConfigPatch::default();
         for (name, value) in fields {
             let raw = raw.get(name).unwrap_or_default();
             match name.as_ref() {
@@ -104,10 +104,10 @@
             let entry = || Item::Entry { table: path(UPSERT, table), index };
             let Json::Object(fields) = item else { return Err(decode::not_a(entry(), "an object")) };
             let Some(name) = decode::name(fields) else {
-                return Err(ConfigError { item: entry(), flaw: ConfigErrorKind::Missing { field: "name" } });
+                return Err(ConfigError { item: entry(), kind: ConfigErrorKind::MissingField { field: "name" } });
             };
             if !names.insert(name) {
-                return Err(ConfigError { item: entry(), flaw: ConfigErrorKind::NameUsedTwice });
+                return Err(ConfigError { item: entry(), kind: ConfigErrorKind::DuplicateName });
             }
             self.table(table).upserts.push((name.into(), raw.get().into()));
         }
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -3,16 +3,16 @@
 use serde_json::{json, Value};
 
 use super::samples::{good, KEY};
-use super::{Checked, ConfigError, ConfigErrorKind, Limits, Patch, LONGEST_TEXT};
+use super::{ConfigDocument, ConfigError, ConfigErrorKind, ConfigPatch, Limits, MAX_TEXT_BYTES};
 
-fn base() -> Checked {
-    Checked::read(&good().to_string()).expect("good")
+fn base() -> ConfigDocument {
+    ConfigDocument::parse(&good().to_string()).expect("good")
 }
 
-fn result(change: &Value) -> Result<Checked, ConfigError> {
-    let patched = Patch::read(&change.to_string()).and_then(|patch| base().patched(&patch));
+fn result(change: &Value) -> Result<ConfigDocument, ConfigError> {
+    let patched = ConfigPatch::parse(&change.to_string()).and_then(|patch| base().apply(&patch));
     if let Ok(patched) = &patched {
-        let again = Checked::read(patched.text()).expect("what is taken can be read");
+        let again = ConfigDocument::parse(patched.text()).expect("what is taken can be read");
         assert_eq!(&again, patched, "text and value agree");
     }
     patched
@@ -24,11 +24,11 @@
     error.to_string()
 }
 
-fn taken(change: &Value) -> Checked {
+fn taken(change: &Value) -> ConfigDocument {
     result(change).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn names(checked: &Checked) -> Vec<(&str, u64)> {
+fn names(checked: &ConfigDocument) -> Vec<(&str, u64)> {
     checked.config().route_table.iter().map(|route| (route.name.as_str(), route.timeout_ms)).collect()
 }
 
@@ -53,9 +53,9 @@
 #[test]
 fn what_is_not_named_stays_as_it_was_written() {
     let text = good().to_string().replace("\"new\":1", "\"new\":{ \"exact\" : 12345678901234567890123.50 }");
-    let base = Checked::read(&text).expect("good");
-    let patch = Patch::read("{\"revision\":8,\"upsert\":{\"route_table\":[]}}").expect("read");
-    let next = base.patched(&patch).expect("valid");
+    let base = ConfigDocument::parse(&text).expect("good");
+    let patch = ConfigPatch::parse("{\"revision\":8,\"upsert\":{\"route_table\":[]}}").expect("read");
+    let next = base.apply(&patch).expect("valid");
     assert!(next.text().contains("{ \"exact\" : 12345678901234567890123.50 }"));
     assert_eq!(next.config().route_table, base.config().route_table);
 }
@@ -96,7 +96,7 @@
     let change =
         json!({"revision": 9, "upsert": {"route_table": [route("r-3", "/")]}, "withdraw": {"route_table": ["r-1"]}});
     let text = change.to_string();
-    let read = |text: &str| Patch::read(text).expect_err("must be refused").to_string();
+    let read = |text: &str| ConfigPatch::parse(text).expect_err("must be refused").to_string();
     for cut in 0..text.len() {
         read(&text[..cut]);
     }
@@ -161,27 +161,27 @@
     let value: Value = serde_json::from_str(later.text()).expect("JSON");
     assert_eq!((&value["later"], &value["more"]), (&json!([{"name": "x", "y": 1}]), &json!({"a": 1})));
     assert!(value.get("never").is_none());
-    let patch = Patch::read(&json!({"revision": 10, "upsert": {"later": {"a": 1}}}).to_string()).expect("read");
-    assert!(later.patched(&patch).is_err(), "a list does not become an object");
+    let patch = ConfigPatch::parse(&json!({"revision": 10, "upsert": {"later": {"a": 1}}}).to_string()).expect("read");
+    assert!(later.apply(&patch).is_err(), "a list does not become an object");
 }
 
 #[test]
 fn a_result_that_is_too_long_is_refused() {
     let mut item = route("r-3", "/");
-    item["later"] = "x".repeat(LONGEST_TEXT - 200).into();
+    item["later"] = "x".repeat(MAX_TEXT_BYTES - 200).into();
     let error = result(&json!({"revision": 9, "upsert": {"route_table": [item]}})).expect_err("too long");
-    assert!(matches!(error.flaw, ConfigErrorKind::TooLong { .. }) && error.status() == 413);
+    assert!(matches!(error.kind, ConfigErrorKind::TooLong { .. }) && error.status() == 413);
 }
 
 /// Tables that an earlier version let be missing are there afterwards.
 #[test]
 fn a_change_on_top_of_what_an_earlier_version_took_makes_it_whole() {
     for old in ["{\"revision\":5} x", "{\"revision\":5,\"route_table\":null,\"service_table\":[]}"] {
-        let base = Checked::read_committed(old).expect("committed");
+        let base = ConfigDocument::parse_committed(old).expect("committed");
         let change =
             json!({"revision": 9, "upsert": {"service_table": [{"name": "s"}], "route_table": [route("a", "/")]}});
-        let next = base.patched(&Patch::read(&change.to_string()).expect("read")).expect("valid");
-        assert_eq!(Checked::read(next.text()), Ok(next));
+        let next = base.apply(&ConfigPatch::parse(&change.to_string()).expect("read")).expect("valid");
+        assert_eq!(ConfigDocument::parse(next.text()), Ok(next));
     }
 }
 
@@ -193,5 +193,5 @@
     assert_eq!((emptied.config().tenant_table.len(), emptied.config().requires_keys), (0, true));
     let mut whole = good();
     whole.as_object_mut().expect("an object").remove("tenant_table");
-    assert!(!Checked::read(&whole.to_string()).expect("good").config().requires_keys);
+    assert!(!ConfigDocument::parse(&whole.to_string()).expect("good").config().requires_keys);
 }
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -7,8 +7,8 @@
 
 use super::samples::{self, KEY};
 use super::spoils::SPOILS;
-use super::{read, Checked, ConfigError, Patch};
-use crate::change::Change;
+use super::{read, ConfigDocument, ConfigError, ConfigPatch};
+use crate::config_update::ConfigUpdate;
 
 /// A change of named items on JSON values, as plain as it can be written: what the real one is held against.
 fn plain_patch(base: &Value, change: &Value) -> Value {
@@ -94,12 +94,12 @@
         let mut dice = Rng::new(seed);
         let value = samples::whole(&mut dice, 1 + seed % 1000);
         let text = samples::spaced(&mut dice, &value);
-        let checked = Checked::read(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
+        let checked = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
         prop_assert_eq!(checked.text(), &text);
         prop_assert_eq!(Some(checked.revision()), value["revision"].as_u64());
-        prop_assert_eq!(Checked::read_committed(&text), Ok(checked.clone()), "a controller reads what was judged");
-        let packed = Change::whole(checked.config()).write();
-        prop_assert_eq!(Change::read(&packed), Some(Change::whole(checked.config())));
+        prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(checked.clone()), "a controller reads what was judged");
+        let packed = ConfigUpdate::full(checked.config()).encode();
+        prop_assert_eq!(ConfigUpdate::decode(&packed), Some(ConfigUpdate::full(checked.config())));
     }
 
     #[test]
@@ -141,17 +141,17 @@
     fn a_change_comes_to_what_the_whole_would(seed: u64, steps in 1..4usize) {
         let mut dice = Rng::new(seed);
         let mut plain = samples::whole(&mut dice, 1);
-        let mut held = Checked::read(&samples::spaced(&mut dice, &plain)).expect("valid");
+        let mut held = ConfigDocument::parse(&samples::spaced(&mut dice, &plain)).expect("valid");
         for step in 0..steps {
             let change = change(&mut dice, 2 + step as u64);
-            let patch = Patch::read(&samples::spaced(&mut dice, &change)).unwrap_or_else(|error| panic!("{error}"));
+            let patch = ConfigPatch::parse(&samples::spaced(&mut dice, &change)).unwrap_or_else(|error| panic!("{error}"));
             let next = plain_patch(&plain, &change);
-            match (held.patched(&patch), Checked::read(&next.to_string())) {
+            match (held.apply(&patch), ConfigDocument::parse(&next.to_string())) {
                 (Ok(patched), Ok(whole)) => {
                     prop_assert_eq!(patched.config(), whole.config());
                     prop_assert_eq!(serde_json::from_str::<Value>(patched.text()).expect("JSON"), next.clone());
-                    prop_assert_eq!(Checked::read(patched.text()), Ok(patched.clone()), "text and value agree");
-                    prop_assert_eq!(held.patched_again(&patch), Ok(patched.clone()), "others make the same of it");
+                    prop_assert_eq!(ConfigDocument::parse(patched.text()), Ok(patched.clone()), "text and value agree");
+                    prop_assert_eq!(held.apply_committed(&patch), Ok(patched.clone()), "others make the same of it");
                     (plain, held) = (next, patched);
                 }
                 (Err(one), Err(two)) => {
@@ -187,12 +187,12 @@
                 text.push(' ');
             }
         }
-        if let Ok(checked) = Checked::read(&text) {
-            prop_assert_eq!(Checked::read_committed(&text), Ok(checked));
+        if let Ok(checked) = ConfigDocument::parse(&text) {
+            prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(checked));
         }
-        let base = Checked::read(&samples::good().to_string()).expect("good");
-        if let Ok(patched) = Patch::read(&text).and_then(|patch| base.patched(&patch)) {
-            prop_assert_eq!(Checked::read(patched.text()), Ok(patched));
+        let base = ConfigDocument::parse(&samples::good().to_string()).expect("good");
+        if let Ok(patched) = ConfigPatch::parse(&text).and_then(|patch| base.apply(&patch)) {
+            prop_assert_eq!(ConfigDocument::parse(patched.text()), Ok(patched));
         }
     }
 }
--- a/protocol/src/config/samples.rs
+++ b/protocol/src/config/samples.rs
@@ -3,7 +3,7 @@
 use kernel::clock::Rng;
 use serde_json::{json, Value};
 
-use super::{read, Checked, Config, ConfigError};
+use super::{read, Config, ConfigDocument, ConfigError};
 
 /// A key that must appear in no error.
 pub const KEY: &str = "kept-secret-";
@@ -139,7 +139,7 @@
     let mut value = good();
     change(&mut value);
     let text = value.to_string();
-    let checked = Checked::read(&text).unwrap_or_else(|error| panic!("{error}"));
+    let checked = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(checked.text(), text, "kept as it was sent");
     checked.into_config()
 }
--- a/protocol/src/change.rs
+++ b/protocol/src/config_update.rs
@@ -11,7 +11,7 @@
 
 use crate::config::{Config, Limits, Route, Service, Tenant};
 
-pub mod before_tenants;
+pub mod legacy_format;
 
 /// Before the packed form of this layout. Without it the bytes begin with their unpacked length, which is never so long.
 const LAYOUT: [u8; 4] = [b't', b'd', 2, 0xff];
@@ -21,66 +21,68 @@
 /// The way from one revision to another. Invariants: `from` is 0 for a whole one; otherwise it applies only
 /// to the revision `from`. What it names was checked by the controller that made it.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Change {
+pub struct ConfigUpdate {
     pub from: u64,
     pub to: u64,
     /// Added or replaced, by name.
     pub routes: Vec<Route>,
-    pub gone: Vec<String>,
+    pub removed_routes: Vec<String>,
     pub services: Vec<Service>,
-    pub lost: Vec<String>,
+    pub removed_services: Vec<String>,
     pub limits: Limits,
     /// Added or replaced, by name.
     pub tenants: Vec<Tenant>,
-    pub gone_tenants: Vec<String>,
+    pub removed_tenants: Vec<String>,
     /// As in the configuration that it leads to.
     pub requires_keys: bool,
 }
 
-impl Change {
+impl ConfigUpdate {
     /// Everything that a configuration holds.
-    pub fn whole(config: &Config) -> Change {
-        Change {
+    pub fn full(config: &Config) -> ConfigUpdate {
+        ConfigUpdate {
             from: 0,
             to: config.revision,
             routes: config.route_table.clone(),
-            gone: Vec::new(),
+            removed_routes: Vec::new(),
             services: config.service_table.clone(),
-            lost: Vec::new(),
+            removed_services: Vec::new(),
             limits: config.limits.clone(),
             tenants: config.tenant_table.clone(),
-            gone_tenants: Vec::new(),
+            removed_tenants: Vec::new(),
             requires_keys: config.requires_keys,
         }
     }
 
     /// What brings one that holds `old` to `new`.
-    pub fn between(old: &Config, new: &Config) -> Change {
-        let (routes, gone) = difference(&old.route_table, &new.route_table, |route| route.name.as_str());
-        let (services, lost) = difference(&old.service_table, &new.service_table, |service| service.name.as_str());
-        let (tenants, gone_tenants) = difference(&old.tenant_table, &new.tenant_table, |tenant| tenant.name.as_str());
-        Change {
+    pub fn between(old: &Config, new: &Config) -> ConfigUpdate {
+        let (routes, removed_routes) = difference(&old.route_table, &new.route_table, |route| route.name.as_str());
+        let (services, removed_services) =
+            difference(&old.service_table, &new.service_table, |service| service.name.as_str());
+        let (tenants, removed_tenants) =
+            difference(&old.tenant_table, &new.tenant_table, |tenant| tenant.name.as_str());
+        ConfigUpdate {
             from: old.revision,
             to: new.revision,
             routes,
-            gone,
+            removed_routes,
             services,
-            lost,
+            removed_services,
             limits: new.limits.clone(),
             tenants,
-            gone_tenants,
+            removed_tenants,
             requires_keys: new.requires_keys,
         }
     }
 
     /// Decodes the packed form of either layout. None: it is cut short, or no change.
-    pub fn read(packed: &[u8]) -> Option<Change> {
-        let Some(packed) = packed.strip_prefix(&LAYOUT[..]) else { return before_tenants::read(packed) };
-        rkyv::from_bytes::<Change, rancor::Error>(&unpack(packed)?).ok()
+    pub fn decode(packed: &[u8]) -> Option<ConfigUpdate> {
+        let Some(packed) = packed.strip_prefix(&LAYOUT[..]) else { return legacy_format::decode(packed) };
+        rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&unpack(packed)?).ok()
     }
 
     /// The packed form: after a loss of power everywhere all routers of a controller ask for the whole at once.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let body = rkyv::to_bytes::<rancor::Error>(self).expect("a change can always be written");
         [&LAYOUT[..], &lz4_flex::compress_prepend_size(&body)].concat()
     }
@@ -108,5 +110,5 @@
 }
 
 #[cfg(test)]
-#[path = "change_tests.rs"]
+#[path = "config_update_tests.rs"]
 mod tests;
--- a/protocol/src/change/before_tenants.rs
+++ b/protocol/src/config_update/legacy_format.rs
@@ -66,60 +66,60 @@
     idle_timeout_ms: u64,
 }
 
-/// As `super::Change`, without tenants.
+/// As `super::ConfigUpdate`, without tenants.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-struct Change {
+struct ConfigUpdate {
     from: u64,
     to: u64,
     routes: Vec<Route>,
-    gone: Vec<String>,
+    removed_routes: Vec<String>,
     services: Vec<Service>,
-    lost: Vec<String>,
+    removed_services: Vec<String>,
     limits: Limits,
 }
 
 /// May a configuration be told in this layout?
-pub fn can_tell(config: &config::Config) -> bool {
+pub fn can_encode(config: &config::Config) -> bool {
     !config.requires_keys
 }
 
 /// Decodes the packed form. None: it is cut short, or no change.
-pub fn read(packed: &[u8]) -> Option<super::Change> {
-    rkyv::from_bytes::<Change, rancor::Error>(&unpack(packed)?).ok().map(super::Change::from)
+pub fn decode(packed: &[u8]) -> Option<super::ConfigUpdate> {
+    rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&unpack(packed)?).ok().map(super::ConfigUpdate::from)
 }
 
 /// The packed form of a change between configurations that can be told so.
-pub fn write(change: &super::Change) -> Vec<u8> {
-    let body = rkyv::to_bytes::<rancor::Error>(&Change::from(change)).expect("a change can always be written");
+pub fn encode(change: &super::ConfigUpdate) -> Vec<u8> {
+    let body = rkyv::to_bytes::<rancor::Error>(&ConfigUpdate::from(change)).expect("a change can always be written");
     lz4_flex::compress_prepend_size(&body)
 }
 
-impl From<&super::Change> for Change {
-    fn from(change: &super::Change) -> Change {
-        Change {
+impl From<&super::ConfigUpdate> for ConfigUpdate {
+    fn from(change: &super::ConfigUpdate) -> ConfigUpdate {
+        ConfigUpdate {
             from: change.from,
             to: change.to,
             routes: change.routes.iter().map(Route::from).collect(),
-            gone: change.gone.clone(),
+            removed_routes: change.removed_routes.clone(),
             services: change.services.iter().map(Service::from).collect(),
-            lost: change.lost.clone(),
+            removed_services: change.removed_services.clone(),
             limits: Limits::from(&change.limits),
         }
     }
 }
 
-impl From<Change> for super::Change {
-    fn from(change: Change) -> super::Change {
-        super::Change {
+impl From<ConfigUpdate> for super::ConfigUpdate {
+    fn from(change: ConfigUpdate) -> super::ConfigUpdate {
+        super::ConfigUpdate {
             from: change.from,
             to: change.to,
             routes: change.routes.into_iter().map(config::Route::from).collect(),
-            gone: change.gone,
+            removed_routes: change.removed_routes,
             services: change.services.into_iter().map(config::Service::from).collect(),
-            lost: change.lost,
+            removed_services: change.removed_services,
             limits: config::Limits::from(change.limits),
             tenants: Vec::new(),
-            gone_tenants: Vec::new(),
+            removed_tenants: Vec::new(),
             requires_keys: false,
         }
     }
--- a/protocol/src/change_tests.rs
+++ b/protocol/src/config_update_tests.rs
@@ -5,9 +5,9 @@
 
 use serde_json::Value;
 
-use super::{before_tenants, Change};
-use crate::config::{Config, LONGEST_TEXT};
-use crate::frame::{self, Kind, HEAD, MOST};
+use super::{legacy_format, ConfigUpdate};
+use crate::config::{Config, MAX_TEXT_BYTES};
+use crate::frame::{self, Kind, HEADER_BYTES, MAX_BODY_BYTES};
 use crate::message::Message;
 
 fn text(revision: u64, routes: &[(&str, u64)]) -> String {
@@ -28,10 +28,13 @@
 fn a_change_names_only_what_is_other() {
     let old = config(3, &[("a", 5), ("b", 5), ("c", 5)]);
     let new = config(8, &[("a", 5), ("b", 6), ("d", 5)]);
-    let change = Change::between(&old, &new);
+    let change = ConfigUpdate::between(&old, &new);
     let names: Vec<&str> = change.routes.iter().map(|route| route.name.as_str()).collect();
     assert_eq!((change.from, change.to, names), (3, 8, vec!["b", "d"]));
-    assert_eq!((change.gone, change.services, change.lost), (vec!["c".to_string()], vec![], vec![]));
+    assert_eq!(
+        (change.removed_routes, change.services, change.removed_services),
+        (vec!["c".to_string()], vec![], vec![])
+    );
 }
 
 #[test]
@@ -41,18 +44,18 @@
     let old = config(1, &routes);
     routes[700].1 = 9;
     let new = config(2, &routes);
-    let (step, whole) = (Change::between(&old, &new).write(), Change::whole(&new).write());
+    let (step, whole) = (ConfigUpdate::between(&old, &new).encode(), ConfigUpdate::full(&new).encode());
     assert!(step.len() < 600 && whole.len() > 30 * step.len(), "{} {}", step.len(), whole.len());
     assert!(whole.len() < 3000 * 40, "packed: {} for 3000 routes", whole.len());
 }
 
 #[test]
 fn it_comes_back_as_it_was_and_a_torn_one_never_passes_for_another_length() {
-    let change = Change::whole(&config(3, &[("a", 5), ("b", 5)]));
-    let body = change.write();
-    assert_eq!(Change::read(&body), Some(change));
+    let change = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
+    let body = change.encode();
+    assert_eq!(ConfigUpdate::decode(&body), Some(change));
     for cut in 0..body.len() {
-        assert_eq!(Change::read(&body[..cut]), None, "cut at {cut}");
+        assert_eq!(ConfigUpdate::decode(&body[..cut]), None, "cut at {cut}");
     }
 }
 
@@ -109,46 +112,46 @@
         ..Service::default()
     };
     let limits = Limits { header_timeout_ms: 3000, ..Limits::default() };
-    let whole = Change {
+    let whole = ConfigUpdate {
         from: 0,
         to: 7,
         routes: vec![one.clone(), two],
-        gone: Vec::new(),
+        removed_routes: Vec::new(),
         services: vec![service, Service { name: "s2".into(), ..Service::default() }],
-        lost: Vec::new(),
+        removed_services: Vec::new(),
         limits: limits.clone(),
         tenants: Vec::new(),
-        gone_tenants: Vec::new(),
+        removed_tenants: Vec::new(),
         requires_keys: false,
     };
-    let step = Change {
+    let step = ConfigUpdate {
         from: 7,
         to: 9,
         routes: vec![Route { timeout_ms: 4000, ..one }],
-        gone: vec!["r-2-with-a-long-name".into()],
+        removed_routes: vec!["r-2-with-a-long-name".into()],
         services: Vec::new(),
         ..whole.clone()
     };
     for (name, change) in [("change-3-whole.bin", whole), ("change-3-step.bin", step)] {
         let bytes = older(name);
-        assert_eq!(Change::read(&bytes).as_ref(), Some(&change), "a router of this version reads both layouts");
-        assert_eq!(before_tenants::write(&change), bytes, "one of the version before gets what it knows");
+        assert_eq!(ConfigUpdate::decode(&bytes).as_ref(), Some(&change), "a router of this version reads both layouts");
+        assert_eq!(legacy_format::encode(&change), bytes, "one of the version before gets what it knows");
     }
 }
 
 /// What a router of version 2 or 3 does with a packed change: nothing in it may be taken for its own layout.
 #[test]
 fn the_layouts_are_never_taken_for_each_other() {
-    let change = Change::whole(&config(3, &[("a", 5), ("b", 5)]));
-    let (new, old) = (change.write(), before_tenants::write(&change));
-    assert_eq!(before_tenants::read(&new), None);
+    let change = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
+    let (new, old) = (change.encode(), legacy_format::encode(&change));
+    assert_eq!(legacy_format::decode(&new), None);
     let unpacked = u32::from_le_bytes(*new.first_chunk().expect("four bytes")) as usize;
-    assert!(unpacked > MOST, "the reader of the version before stops at the length: {unpacked}");
-    assert_eq!(Change::read(&old), Some(change));
+    assert!(unpacked > MAX_BODY_BYTES, "the reader of the version before stops at the length: {unpacked}");
+    assert_eq!(ConfigUpdate::decode(&old), Some(change));
     let anonymous = |text: &str| text.replace("\"timeout_ms\":5", "\"timeout_ms\":5,\"anonymous\":true");
     let text = anonymous(&text(3, &[("a", 5)]));
-    let open = Change::whole(&crate::config::read(&text).expect("good"));
-    assert!(open.routes[0].anonymous && Change::read(&open.write()) == Some(open));
+    let open = ConfigUpdate::full(&crate::config::read(&text).expect("good"));
+    assert!(open.routes[0].anonymous && ConfigUpdate::decode(&open.encode()) == Some(open));
 }
 
 #[test]
@@ -160,17 +163,17 @@
     };
     let old = with(3, serde_json::json!([{"name": "a", "api_keys": ["x"]}, {"name": "b", "api_keys": ["y"]}]));
     let new = with(4, serde_json::json!([{"name": "b", "api_keys": ["y", "z"]}, {"name": "c", "priority": 2}]));
-    let change = Change::between(&old, &new);
+    let change = ConfigUpdate::between(&old, &new);
     let names: Vec<&str> = change.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
-    assert_eq!((names, &change.gone_tenants), (vec!["b", "c"], &vec!["a".to_string()]));
-    assert_eq!(Change::read(&change.write()), Some(change));
-    assert!(!before_tenants::can_tell(&old) && before_tenants::can_tell(&with(5, Value::Null)));
+    assert_eq!((names, &change.removed_tenants), (vec!["b", "c"], &vec!["a".to_string()]));
+    assert_eq!(ConfigUpdate::decode(&change.encode()), Some(change));
+    assert!(!legacy_format::can_encode(&old) && legacy_format::can_encode(&with(5, Value::Null)));
 }
 
 /// The largest configurations that are taken still fit into a message, and are read back.
 #[test]
 fn the_longest_configurations_can_be_delivered() {
-    let most = LONGEST_TEXT - 300;
+    let most = MAX_TEXT_BYTES - 300;
     let list = |item: &str, count: usize| vec![item; count].join(",");
     let wide = |routes: String, tenants: String| {
         format!("{{\"revision\":3,\"service_table\":[{{\"name\":\"s\"}}],\"route_table\":[{routes}],\"tenant_table\":[{tenants}]}}")
@@ -182,11 +185,13 @@
     let regions = format!("{{\"name\":\"t\",\"allowed_regions\":[{}]}}", list("\"\"", 990_000));
     for text in [many_routes, wide(String::new(), regions)] {
         assert!(text.len() < most, "{}", text.len());
-        let change = Change::whole(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
-        let msg = Message::TenantConfigUpdate(Box::new(change.write()));
-        let frame = frame::seal(Kind::Cast, 0, &msg).expect("it fits into a frame");
-        assert!(frame.len() < MOST);
-        let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else { panic!("read") };
-        assert_eq!(Change::read(&packed), Some(change));
+        let change = ConfigUpdate::full(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
+        let msg = Message::TenantConfigUpdate(Box::new(change.encode()));
+        let frame = frame::encode(Kind::Notification, 0, &msg).expect("it fits into a frame");
+        assert!(frame.len() < MAX_BODY_BYTES);
+        let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
+            panic!("read")
+        };
+        assert_eq!(ConfigUpdate::decode(&packed), Some(change));
     }
 }
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -6,15 +6,15 @@
 
 use crate::message::Message;
 
-pub const OLDEST: u16 = 1;
-pub const NEWEST: u16 = 1;
+pub const OLDEST_VERSION: u16 = 1;
+pub const NEWEST_VERSION: u16 = 1;
 /// Invariant: no frame's body is longer; the reader checks before it makes room.
-pub const MOST: usize = 12 * 1024 * 1024;
-pub const HEAD: usize = 20;
-const MARK: u32 = 0x7464_7031;
+pub const MAX_BODY_BYTES: usize = 12 * 1024 * 1024;
+pub const HEADER_BYTES: usize = 20;
+const MAGIC: u32 = 0x7464_7031;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct Header {
     pub version: u16,
     pub kind: Kind,
     pub id: u64,
@@ -23,18 +23,18 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    Ask,
-    Reply,
-    Cast,
+    Request,
+    Response,
+    Notification,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    Mark,
-    Stamp(u16),
-    Kind(u16),
-    Long(usize),
-    Body,
+    BadMagic,
+    UnsupportedVersion(u16),
+    UnknownKind(u16),
+    TooLong(usize),
+    InvalidBody,
 }
 
 impl std::fmt::Display for FrameError {
@@ -43,19 +43,19 @@
     }
 }
 
-pub fn seal(kind: Kind, id: u64, msg: &Message) -> Result<Vec<u8>, FrameError> {
-    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| FrameError::Body)?;
-    if body.len() > MOST {
-        return Err(FrameError::Long(body.len()));
+pub fn encode(kind: Kind, id: u64, msg: &Message) -> Result<Vec<u8>, FrameError> {
+    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| FrameError::InvalidBody)?;
+    if body.len() > MAX_BODY_BYTES {
+        return Err(FrameError::TooLong(body.len()));
     }
-    let mut out = Vec::with_capacity(HEAD + body.len());
+    let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
     let word: u16 = match kind {
-        Kind::Ask => 1,
-        Kind::Reply => 2,
-        Kind::Cast => 3,
+        Kind::Request => 1,
+        Kind::Response => 2,
+        Kind::Notification => 3,
     };
-    out.extend_from_slice(&MARK.to_le_bytes());
-    out.extend_from_slice(&NEWEST.to_le_bytes());
+    out.extend_from_slice(&MAGIC.to_le_bytes());
+    out.extend_from_slice(&NEWEST_VERSION.to_le_bytes());
     out.extend_from_slice(&word.to_le_bytes());
     out.extend_from_slice(&id.to_le_bytes());
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -63,34 +63,34 @@
     Ok(out)
 }
 
-pub fn head(bytes: &[u8; HEAD]) -> Result<Head, FrameError> {
-    if bytes[..4] != MARK.to_le_bytes() {
-        return Err(FrameError::Mark);
+pub fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
+    if bytes[..4] != MAGIC.to_le_bytes() {
+        return Err(FrameError::BadMagic);
     }
     let version = u16::from_le_bytes([bytes[4], bytes[5]]);
-    if !(OLDEST..=NEWEST).contains(&version) {
-        return Err(FrameError::Stamp(version));
+    if !(OLDEST_VERSION..=NEWEST_VERSION).contains(&version) {
+        return Err(FrameError::UnsupportedVersion(version));
     }
     let kind = match u16::from_le_bytes([bytes[6], bytes[7]]) {
-        1 => Kind::Ask,
-        2 => Kind::Reply,
-        3 => Kind::Cast,
-        other => return Err(FrameError::Kind(other)),
+        1 => Kind::Request,
+        2 => Kind::Response,
+        3 => Kind::Notification,
+        other => return Err(FrameError::UnknownKind(other)),
     };
     let mut id = [0; 8];
     id.copy_from_slice(&bytes[8..16]);
     let len = u32::from_le_bytes([bytes[16], bytes[17], bytes[18], bytes[19]]) as usize;
-    if len > MOST {
-        return Err(FrameError::Long(len));
+    if len > MAX_BODY_BYTES {
+        return Err(FrameError::TooLong(len));
     }
-    Ok(Head { version, kind, id: u64::from_le_bytes(id), len })
+    Ok(Header { version, kind, id: u64::from_le_bytes(id), len })
 }
 
 /// Validates and reads a body.
-pub fn open(body: &[u8]) -> Result<Message, FrameError> {
+pub fn decode_body(body: &[u8]) -> Result<Message, FrameError> {
     let mut room = AlignedVec::<16>::with_capacity(body.len());
     room.extend_from_slice(body);
-    rkyv::from_bytes::<Message, rancor::Error>(&room).map_err(|_| FrameError::Body)
+    rkyv::from_bytes::<Message, rancor::Error>(&room).map_err(|_| FrameError::InvalidBody)
 }
 
 #[cfg(test)]
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -1,47 +1,47 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use super::{head, open, seal, FrameError, Kind, HEAD, NEWEST};
+use super::{decode_body, decode_header, encode, FrameError, Kind, HEADER_BYTES, NEWEST_VERSION};
 use crate::message;
 
 fn sample() -> message::Message {
     message::Message::OwnerQuery(Box::new((3, vec![1, 2, 3])))
 }
 
-fn split(frame: &[u8]) -> ([u8; HEAD], &[u8]) {
-    let mut head = [0; HEAD];
-    head.copy_from_slice(&frame[..super::HEAD]);
-    (head, &frame[HEAD..])
+fn split(frame: &[u8]) -> ([u8; HEADER_BYTES], &[u8]) {
+    let mut head = [0; HEADER_BYTES];
+    head.copy_from_slice(&frame[..super::HEADER_BYTES]);
+    (head, &frame[HEADER_BYTES..])
 }
 
 #[test]
 fn a_frame_comes_back_as_it_was() {
-    let frame = seal(Kind::Ask, 9, &sample()).expect("sealed");
+    let frame = encode(Kind::Request, 9, &sample()).expect("sealed");
     let (head, body) = split(&frame);
-    let read = super::head(&head).expect("head");
-    assert_eq!((read.kind, read.id, read.len), (Kind::Ask, 9, body.len()));
-    assert_eq!(open(body).expect("body"), sample());
+    let read = super::decode_header(&head).expect("head");
+    assert_eq!((read.kind, read.id, read.len), (Kind::Request, 9, body.len()));
+    assert_eq!(decode_body(body).expect("body"), sample());
 }
 
 #[test]
 fn flaws_are_told_apart() {
-    let frame = seal(Kind::Cast, 0, &sample()).expect("sealed");
+    let frame = encode(Kind::Notification, 0, &sample()).expect("sealed");
     let (good, body) = split(&frame);
     let mut bad = good;
     bad[0] ^= 1;
-    assert_eq!(head(&bad), Err(FrameError::Mark));
+    assert_eq!(decode_header(&bad), Err(FrameError::BadMagic));
     let mut new = good;
-    new[4..6].copy_from_slice(&(NEWEST + 1).to_le_bytes());
-    assert_eq!(head(&new), Err(FrameError::Stamp(NEWEST + 1)));
+    new[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
+    assert_eq!(decode_header(&new), Err(FrameError::UnsupportedVersion(NEWEST_VERSION + 1)));
     let mut long = good;
     long[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(head(&long), Err(FrameError::Long(u32::MAX as usize)));
-    assert_eq!(open(&body[..body.len() - 1]), Err(FrameError::Body));
+    assert_eq!(decode_header(&long), Err(FrameError::TooLong(u32::MAX as usize)));
+    assert_eq!(decode_body(&body[..body.len() - 1]), Err(FrameError::InvalidBody));
     for at in 0..body.len() {
         let mut torn = body.to_vec();
         torn[at] ^= 0xff;
         // Either another valid message or an error; never a panic.
-        let _ = open(&torn);
+        let _ = decode_body(&torn);
     }
 }
 
@@ -98,7 +98,8 @@
 #[test]
 #[ignore = "writes the fixture of this version"]
 fn write_fixture() {
-    let all: Vec<u8> = first_version().iter().flat_map(|msg| seal(Kind::Cast, 1, msg).expect("sealed")).collect();
+    let all: Vec<u8> =
+        first_version().iter().flat_map(|msg| encode(Kind::Notification, 1, msg).expect("sealed")).collect();
     fs::write(fixture(), all).expect("written");
 }
 
@@ -109,9 +110,9 @@
     let mut seen = Vec::new();
     while !rest.is_empty() {
         let (head, body) = split(rest);
-        let head = super::head(&head).expect("head");
+        let head = super::decode_header(&head).expect("head");
         assert_eq!(head.version, 1);
-        seen.push(open(&body[..head.len]).expect("body"));
+        seen.push(decode_body(&body[..head.len]).expect("body"));
         rest = &body[head.len..];
     }
     assert_eq!(seen, first_version());
--- a/protocol/src/hidden_key.rs
+++ b/protocol/src/hidden_key.rs
@@ -16,7 +16,7 @@
 const PLATFORM_UNREACHABLE: &str = "platform unreachable";
 const CANDIDATES: &str = "candidates ";
 /// How the keys of registers begin that daemons name by hidden keys.
-const REGISTERS: [&str; 2] = [crate::staleness_limit::ROLLOUT, crate::version_rollout::KEY];
+const REGISTERS: [&str; 2] = [crate::staleness_limit::STALENESS_LIMIT_PREFIX, crate::version_rollout::KEY];
 
 /// The name of an item that is not a zone's endpoint list. [`fmt::Display`] prints the name as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,7 +1,7 @@
 //! What daemons say to one another, and the operator's configuration as a checked value.
 pub mod capability;
-pub mod change;
 pub mod config;
+pub mod config_update;
 pub mod frame;
 pub mod headers;
 pub mod hidden_key;
--- a/protocol/src/link.rs
+++ b/protocol/src/link.rs
@@ -12,9 +12,9 @@
 use tokio::sync::oneshot;
 use tokio::time;
 
-use crate::frame::{self, Head, Kind, HEAD};
+use crate::frame::{self, Header, Kind, HEADER_BYTES};
 use crate::message::Message;
-use crate::socket::{self, SILENCE_MS};
+use crate::socket::{self, IO_TIMEOUT_MS};
 
 type Waits = HashMap<u64, oneshot::Sender<Message>>;
 
@@ -49,7 +49,7 @@
     /// if it was not yet.
     pub async fn call(&self, msg: Message, wait_ms: u64) -> Option<Message> {
         let (back, reply) = oneshot::channel();
-        let job = Job { kind: Kind::Ask, msg, back: Some(back) };
+        let job = Job { kind: Kind::Request, msg, back: Some(back) };
         self.send.try_send(job).ok()?;
         let wait = Duration::from_millis(wait_ms);
         time::timeout(wait, reply).await.ok()?.ok()
@@ -57,7 +57,7 @@
 
     /// False: dropped here, before it was sent.
     pub fn notify(&self, msg: Message) -> bool {
-        self.send.try_send(Job { kind: Kind::Cast, msg, back: None }).is_ok()
+        self.send.try_send(Job { kind: Kind::Notification, msg, back: None }).is_ok()
     }
 }
 
@@ -69,7 +69,7 @@
             let Some(job) = jobs.recv().await else { return };
             first = Some(job);
         }
-        let Ok(stream) = socket::dial(&addr, 500, SILENCE_MS).await else {
+        let Ok(stream) = socket::connect(&addr, 500, IO_TIMEOUT_MS).await else {
             first = None;
             while jobs.try_recv().is_ok() {}
             time::sleep(Duration::from_millis(pause)).await;
@@ -96,7 +96,7 @@
     let (hold, feed) = (waits.clone(), news.clone());
     let reader = tokio::spawn(async move {
         while let Some((head, msg)) = take(&mut read).await {
-            if head.kind == Kind::Reply {
+            if head.kind == Kind::Response {
                 let back = hold.lock().expect("waits").remove(&head.id);
                 if let Some(back) = back {
                     let _ = back.send(msg);
@@ -129,7 +129,7 @@
             // Its caller has given up, and may have turned to another.
             continue;
         }
-        let Ok(frame) = frame::seal(job.kind, next, &job.msg) else { continue };
+        let Ok(frame) = frame::encode(job.kind, next, &job.msg) else { continue };
         if let Some(back) = job.back {
             let mut list = waits.lock().expect("waits");
             list.retain(|_, wait| !wait.is_closed());
@@ -147,19 +147,19 @@
 
 async fn put(write: &mut OwnedWriteHalf, frame: &[u8]) -> Option<()> {
     use tokio::io::AsyncWriteExt;
-    let wait = Duration::from_millis(SILENCE_MS);
+    let wait = Duration::from_millis(IO_TIMEOUT_MS);
     time::timeout(wait, write.write_all(frame)).await.ok()?.ok()
 }
 
-async fn take(read: &mut OwnedReadHalf) -> Option<(Head, Message)> {
+async fn take(read: &mut OwnedReadHalf) -> Option<(Header, Message)> {
     use tokio::io::AsyncReadExt;
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     read.read_exact(&mut head).await.ok()?;
-    let head = frame::head(&head).ok()?;
+    let head = frame::decode_header(&head).ok()?;
     let mut body = vec![0; head.len];
-    let wait = Duration::from_millis(2 * SILENCE_MS);
+    let wait = Duration::from_millis(2 * IO_TIMEOUT_MS);
     time::timeout(wait, read.read_exact(&mut body)).await.ok()?.ok()?;
-    let msg = frame::open(&body).ok()?;
+    let msg = frame::decode_body(&body).ok()?;
     Some((head, msg))
 }
 
@@ -177,15 +177,15 @@
 
     /// False: the other side does not read, or is gone.
     pub fn notify(&self, msg: &Message) -> bool {
-        self.put(Kind::Cast, 0, msg)
+        self.put(Kind::Notification, 0, msg)
     }
 
     pub fn reply(&self, id: u64, msg: &Message) -> bool {
-        self.put(Kind::Reply, id, msg)
+        self.put(Kind::Response, id, msg)
     }
 
     fn put(&self, kind: Kind, id: u64, msg: &Message) -> bool {
-        let Ok(frame) = frame::seal(kind, id, msg) else { return false };
+        let Ok(frame) = frame::encode(kind, id, msg) else { return false };
         self.notify_frame(frame.into())
     }
 
@@ -207,7 +207,7 @@
             time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        socket::tune(&stream, SILENCE_MS);
+        socket::configure(&stream, IO_TIMEOUT_MS);
         let handler = handler.clone();
         tokio::spawn(async move {
             let (mut read, mut write) = stream.into_split();
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -5,7 +5,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::{serve, take, Handler, PeerClient};
-use crate::frame::{self, Kind, HEAD, NEWEST};
+use crate::frame::{self, Kind, HEADER_BYTES, NEWEST_VERSION};
 use crate::message::Message;
 use crate::socket;
 
@@ -33,13 +33,13 @@
     let good = PeerClient::start(addr.clone(), None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
     assert!(good.call(msg.clone(), 5000).await.is_some());
-    let frame = frame::seal(Kind::Ask, 1, &msg).expect("sealed");
+    let frame = frame::encode(Kind::Request, 1, &msg).expect("sealed");
     let mut newer = frame.clone();
-    newer[4..6].copy_from_slice(&(NEWEST + 1).to_le_bytes());
+    newer[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
     let mut torn = frame.clone();
     let last = torn.len() - 1;
     torn[last] ^= 0xff;
-    torn[HEAD] ^= 0xff;
+    torn[HEADER_BYTES] ^= 0xff;
     for bad in [newer, torn, b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()] {
         let mut stream = TcpStream::connect(&addr).await.expect("connected");
         stream.write_all(&bad).await.expect("sent");
@@ -66,7 +66,7 @@
 }
 
 async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Message) {
-    let frame = frame::seal(Kind::Reply, id, msg).expect("sealed");
+    let frame = frame::encode(Kind::Response, id, msg).expect("sealed");
     write.write_all(&frame).await.expect("written");
 }
 
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -8,7 +8,7 @@
 pub use crate::capability::*;
 pub use crate::hidden_key::HiddenKey;
 pub use crate::prefix_lookup::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration};
-pub use crate::staleness_limit::{StalenessLimit, WeightVersions, ROLLOUT};
+pub use crate::staleness_limit::{StalenessLimit, WeightVersions, STALENESS_LIMIT_PREFIX};
 pub use crate::version_entry::{EngineWeights, EvacuationState, VersionEntry};
 
 /// A ledger position: rises with each take-over (`turn`, ties by `seat`) and each change (`step`).
@@ -212,7 +212,7 @@
     /// An engine gave a router no sign of life; true: already passed on by a controller.
     SuspectEngine(Box<(String, bool)>),
     Rejected(Box<u16>),
-    /// A configuration, whole or as a change: the bytes of `crate::change::Change`. Since version 2.
+    /// A configuration, whole or as a change: the bytes of `crate::config_update::ConfigUpdate`. Since version 2.
     ConfigUpdate(Box<Vec<u8>>),
     /// As `Query`, and how pressed some engines are. Since version 2.
     PrefixLookup(Box<PrefixLookup>),
@@ -234,7 +234,7 @@
     CommittedDelta(Box<CommittedDelta>),
     /// The answer to `Follow` for routers that read it. Since version 4.
     SubscriptionRenewed(Box<SubscriptionRenewed>),
-    /// A configuration with tenants, whole or as a change: the bytes of `crate::change::Change`. Since version 4.
+    /// A configuration with tenants, whole or as a change: the bytes of `crate::config_update::ConfigUpdate`. Since version 4.
     TenantConfigUpdate(Box<Vec<u8>>),
     /// One token of a tenant's limit. Since version 5.
     TokenRequest(Box<TokenRequest>),
--- a/protocol/src/operator_request_tests.rs
+++ b/protocol/src/operator_request_tests.rs
@@ -3,7 +3,7 @@
 use std::mem;
 
 use super::{ArchivedOperatorRequest, OperatorRequest};
-use crate::frame::{self, Kind, HEAD};
+use crate::frame::{self, Kind, HEADER_BYTES};
 use crate::message::Message;
 
 #[test]
@@ -12,6 +12,6 @@
     assert_eq!(mem::size_of::<ArchivedOperatorRequest>(), 32);
     let order = OperatorRequest::EvacuateFrom { zone: "a".into(), on: true, version: 3 };
     let msg = Message::OperatorRequest(Box::new(order));
-    let frame = frame::seal(Kind::Ask, 1, &msg).expect("sealed");
-    assert_eq!(frame::open(&frame[HEAD..]).expect("read"), msg);
+    let frame = frame::encode(Kind::Request, 1, &msg).expect("sealed");
+    assert_eq!(frame::decode_body(&frame[HEADER_BYTES..]).expect("read"), msg);
 }
--- a/protocol/src/quota_tests.rs
+++ b/protocol/src/quota_tests.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use super::{from_milli, shard_owners_fingerprint, to_milli, ShardOwner, TokenRequest, TokenResponse};
-use crate::frame::{self, Kind, HEAD};
+use crate::frame::{self, Kind, HEADER_BYTES};
 use crate::message::Message;
 
 fn holder(ip: &str, zone: &str) -> ShardOwner {
@@ -41,7 +41,7 @@
         Message::ShardOwners(Box::new(vec![holder("10.0.0.1", "a")])),
     ];
     for message in messages {
-        let frame = frame::seal(Kind::Cast, 0, &message).expect("sealed");
-        assert_eq!(frame::open(&frame[HEAD..]).expect("whole"), message);
+        let frame = frame::encode(Kind::Notification, 0, &message).expect("sealed");
+        assert_eq!(frame::decode_body(&frame[HEADER_BYTES..]).expect("whole"), message);
     }
 }
--- a/protocol/src/socket.rs
+++ b/protocol/src/socket.rs
@@ -11,21 +11,21 @@
 use tokio::sync::Semaphore;
 use tokio::time;
 
-pub const SILENCE_MS: u64 = 2500;
+pub const IO_TIMEOUT_MS: u64 = 2500;
 
-pub fn tune(stream: &TcpStream, silence_ms: u64) {
+pub fn configure(stream: &TcpStream, silence_ms: u64) {
     let _ = stream.set_nodelay(true);
     let sock = SockRef::from(stream);
     let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(silence_ms)));
 }
 
-pub async fn dial(addr: &str, wait_ms: u64, silence_ms: u64) -> io::Result<TcpStream> {
+pub async fn connect(addr: &str, wait_ms: u64, silence_ms: u64) -> io::Result<TcpStream> {
     let wait = Duration::from_millis(wait_ms);
     let stream = match time::timeout(wait, TcpStream::connect(addr)).await {
         Ok(stream) => stream?,
         Err(_) => return Err(io::ErrorKind::TimedOut.into()),
     };
-    tune(&stream, silence_ms);
+    configure(&stream, silence_ms);
     Ok(stream)
 }
 
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -30,13 +30,13 @@
 
     /// Its key in the ledger.
     pub fn key(&self) -> String {
-        format!("{ROLLOUT}{}/{}", self.service, self.model)
+        format!("{STALENESS_LIMIT_PREFIX}{}/{}", self.service, self.model)
     }
 }
 
 kernel::bytes!(StalenessLimit);
 
-pub const ROLLOUT: &str = "rollout/";
+pub const STALENESS_LIMIT_PREFIX: &str = "rollout/";
 
 /// Invariant: `count` rises with each change that one poller sees; another poller has another `turn`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
--- a/router/src/authorization_tests.rs
+++ b/router/src/authorization_tests.rs
@@ -1,7 +1,7 @@
 use http::{HeaderMap, HeaderValue};
 use load_balancing::engine_table::EngineTable;
-use protocol::change::Change;
 use protocol::config;
+use protocol::config_update::ConfigUpdate;
 use serde_json::Value;
 
 use super::{key, Authorization, UnknownKey};
@@ -72,7 +72,7 @@
     let text = serde_json::json!({"revision": 1, "service_table": [{"name": "s"}],
         "route_table": routes.iter().map(route).collect::<Vec<_>>(), "tenant_table": tenants});
     let config = config::read(&text.to_string()).expect("good");
-    let change = Change::whole(&config);
+    let change = ConfigUpdate::full(&config);
     Table::default().turn(&change, &mut EngineTable::default()).expect("newer")
 }
 
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use kernel::clock;
-use protocol::change::Change;
-use protocol::config::Checked;
+use protocol::config::ConfigDocument;
+use protocol::config_update::ConfigUpdate;
 use protocol::message::Record;
 use tokio::time;
 
@@ -19,22 +19,22 @@
         return;
     }
     let read = str::from_utf8(text).map_err(|error| error.to_string());
-    let read = read.and_then(|text| Checked::read_committed(text).map_err(|error| error.to_string()));
+    let read = read.and_then(|text| ConfigDocument::parse_committed(text).map_err(|error| error.to_string()));
     match read {
-        Ok(config) => turn(state, &Change::whole(config.config())),
+        Ok(config) => turn(state, &ConfigUpdate::full(config.config())),
         Err(error) => kernel::log_event!(BAD_CONFIG, "version" => version, "error" => error),
     }
 }
 
 /// One that can't be read counts for nothing: the next call tells what is held and the whole comes.
 pub fn change(state: &State, body: &[u8]) {
-    match Change::read(body) {
+    match ConfigUpdate::decode(body) {
         Some(change) => turn(state, &change),
         None => kernel::log_event!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
     }
 }
 
-fn turn(state: &State, change: &Change) {
+fn turn(state: &State, change: &ConfigUpdate) {
     let old = state.table();
     let Some(table) = old.turn(change, &mut state.engine_table.lock().expect("engine_table")) else { return };
     *state.table.lock().expect("table") = Arc::new(table);
--- a/router/src/doubt_probe.rs
+++ b/router/src/doubt_probe.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use protocol::headers::INSTANCE_ID;
-use protocol::socket::{self, SILENCE_MS};
+use protocol::socket::{self, IO_TIMEOUT_MS};
 use tokio::time;
 
 /// How long the answer may take.
@@ -22,7 +22,7 @@
 }
 
 async fn report(addr: &str) -> Option<Option<String>> {
-    let stream = socket::dial(addr, WAIT_MS, SILENCE_MS).await.ok()?;
+    let stream = socket::connect(addr, WAIT_MS, IO_TIMEOUT_MS).await.ok()?;
     let io = TokioIo::new(stream);
     let (mut link, conn) = http1::handshake(io).await.ok()?;
     tokio::spawn(async move {
--- a/router/src/pool.rs
+++ b/router/src/pool.rs
@@ -11,7 +11,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use kernel::clock;
-use protocol::socket::{self, SILENCE_MS};
+use protocol::socket::{self, IO_TIMEOUT_MS};
 
 pub type Connection = SendRequest<Full<Bytes>>;
 
@@ -81,7 +81,7 @@
         }
         count.fetch_add(1, Ordering::Relaxed);
         let hold = Hold(count);
-        let stream = socket::dial(&to.addr, DIAL_MS, SILENCE_MS).await.map_err(|_| SendError::Down)?;
+        let stream = socket::connect(&to.addr, DIAL_MS, IO_TIMEOUT_MS).await.map_err(|_| SendError::Down)?;
         let io = TokioIo::new(stream);
         let (connection, conn) = http1::handshake(io).await.map_err(|_| SendError::Down)?;
         tokio::spawn(async move {
--- a/router/src/server.rs
+++ b/router/src/server.rs
@@ -111,7 +111,7 @@
 }
 
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
-    socket::tune(&stream, CLIENT_SILENCE_MS);
+    socket::configure(&stream, CLIENT_SILENCE_MS);
     let _open = OpenConnection::count(&state);
     let look = Look::new();
     let io = TokioIo::new(Stream::new(stream, look.clone()));
--- a/router/src/stand_in_controller.rs
+++ b/router/src/stand_in_controller.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use protocol::change::Change;
 use protocol::config::Config;
+use protocol::config_update::ConfigUpdate;
 use protocol::link::{self, Handler, Responder};
 use protocol::message::{EndpointList, Message, StateUpdate, SubscriptionRenewal};
 use protocol::renewal::{Confirmation, SubscriptionRenewed};
@@ -114,9 +114,9 @@
         if self.manner == Manner::Frozen {
             return;
         }
-        let change = Change::whole(&self.config);
+        let change = ConfigUpdate::full(&self.config);
         if follow.config_revision < change.to && self.manner != Manner::LosingFrames {
-            mouth.notify(&Message::ConfigUpdate(Box::new(change.write())));
+            mouth.notify(&Message::ConfigUpdate(Box::new(change.encode())));
         }
         let sheet = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
         let sure = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
--- a/router/src/table.rs
+++ b/router/src/table.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use load_balancing::engine_table::EngineTable;
-use protocol::change::Change;
 use protocol::config;
+use protocol::config_update::ConfigUpdate;
 
 use crate::duration_estimate::DurationEstimate;
 use crate::tenants::Tenants;
@@ -101,7 +101,7 @@
 
 impl Table {
     /// The table after a change. None: it is no newer, or counts on top of another revision than this.
-    pub fn turn(&self, change: &Change, engine_table: &mut EngineTable) -> Option<Table> {
+    pub fn turn(&self, change: &ConfigUpdate, engine_table: &mut EngineTable) -> Option<Table> {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return None;
         }
@@ -119,7 +119,7 @@
             next.names.clone_from(&self.names);
             next.services.clone_from(&self.services);
         }
-        for name in change.gone.iter().chain(change.routes.iter().map(|route| &route.name)) {
+        for name in change.removed_routes.iter().chain(change.routes.iter().map(|route| &route.name)) {
             next.remove(name);
         }
         for item in &change.routes {
@@ -130,7 +130,7 @@
             list.push(Arc::new(Route { durations, ..route(item, engine_table) }));
             list.sort_by_key(|route| Reverse(route.prefix.len()));
         }
-        for name in &change.lost {
+        for name in &change.removed_services {
             next.services.remove(&engine_table.service(name));
         }
         for item in &change.services {
--- a/router/src/table_tests.rs
+++ b/router/src/table_tests.rs
@@ -1,7 +1,7 @@
 use kernel::clock::Rng;
 use load_balancing::engine_table::EngineTable;
-use protocol::change::Change;
 use protocol::config::{read, Config};
+use protocol::config_update::ConfigUpdate;
 
 use super::{split, Table};
 
@@ -18,7 +18,7 @@
 const FIRST: [(&str, &str, &str); 3] = [("1", "/", "s"), ("2", "/x/y/", "t"), ("3", "/x/", "u")];
 
 fn made(engine_table: &mut EngineTable) -> Table {
-    let whole = Change::whole(&config(1, &FIRST));
+    let whole = ConfigUpdate::full(&config(1, &FIRST));
     Table::default().turn(&whole, engine_table).expect("newer")
 }
 
@@ -51,8 +51,8 @@
             routes.push((name.as_str(), prefixes[(at + turn) % 12], service));
         }
         let next = config(revision, &routes);
-        table = table.turn(&Change::between(&held, &next), &mut engine_table).expect("in order");
-        let whole = Table::default().turn(&Change::whole(&next), &mut engine_table).expect("whole");
+        table = table.turn(&ConfigUpdate::between(&held, &next), &mut engine_table).expect("in order");
+        let whole = Table::default().turn(&ConfigUpdate::full(&next), &mut engine_table).expect("whole");
         for prefix in prefixes {
             let path = format!("{prefix}x");
             let seen =
@@ -68,10 +68,10 @@
     let mut engine_table = EngineTable::default();
     let table = made(&mut engine_table);
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
-    let gap = Change::between(&three, &four);
+    let gap = ConfigUpdate::between(&three, &four);
     assert!(table.turn(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
-    let later = table.turn(&Change::whole(&four), &mut engine_table).expect("whole");
-    let back = Change::whole(&three);
+    let later = table.turn(&ConfigUpdate::full(&four), &mut engine_table).expect("whole");
+    let back = ConfigUpdate::full(&three);
     assert!(later.turn(&back, &mut engine_table).is_none(), "it never goes back");
     assert!(later.turn(&gap, &mut engine_table).is_none(), "the same again");
 }
--- a/router/src/tenants.rs
+++ b/router/src/tenants.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use http::HeaderValue;
-use protocol::change::Change;
 use protocol::config;
+use protocol::config_update::ConfigUpdate;
 use quota::Quota;
 use sha2::Sha256;
 
@@ -86,14 +86,14 @@
     }
 
     /// The tenants after a change: those that it removes are gone, those that it names stand as it has them.
-    pub fn after(held: &Arc<Tenants>, change: &Change) -> Arc<Tenants> {
+    pub fn after(held: &Arc<Tenants>, change: &ConfigUpdate) -> Arc<Tenants> {
         let whole = change.from == 0;
-        let same_tenants = change.tenants.is_empty() && change.gone_tenants.is_empty();
+        let same_tenants = change.tenants.is_empty() && change.removed_tenants.is_empty();
         if !whole && same_tenants && change.requires_keys == held.requires_keys {
             return held.clone();
         }
         let mut by_name = if whole { Default::default() } else { held.by_name.clone() };
-        for name in &change.gone_tenants {
+        for name in &change.removed_tenants {
             by_name.remove(name);
         }
         for item in &change.tenants {
--- a/router/src/tenants_tests.rs
+++ b/router/src/tenants_tests.rs
@@ -1,8 +1,8 @@
 use std::sync::Arc;
 
 use kernel::clock::Rng;
-use protocol::change::Change;
 use protocol::config::{read, Config};
+use protocol::config_update::ConfigUpdate;
 
 use super::{KeyDigest, Tenants};
 
@@ -22,7 +22,7 @@
 }
 
 fn whole(config: &Config) -> Arc<Tenants> {
-    Tenants::after(&Arc::default(), &Change::whole(config))
+    Tenants::after(&Arc::default(), &ConfigUpdate::full(config))
 }
 
 fn holder(tenants: &Tenants, key: &str) -> Option<String> {
@@ -32,7 +32,7 @@
 /// The tenants after the change from one list to another, as routers get it.
 fn after(old: &[Item], new: &[Item]) -> Arc<Tenants> {
     let (old, new) = (config(1, old), config(2, new));
-    Tenants::after(&whole(&old), &Change::between(&old, &new))
+    Tenants::after(&whole(&old), &ConfigUpdate::between(&old, &new))
 }
 
 #[test]
@@ -69,9 +69,9 @@
 fn a_tenant_that_was_removed_and_added_again_has_its_new_keys_only() {
     let first = config(1, &[("a", vec!["old"]), ("b", vec!["other"])]);
     let (second, third) = (config(2, &[("b", vec!["other"])]), config(3, &[("a", vec!["new"]), ("b", vec!["other"])]));
-    let removed = Tenants::after(&whole(&first), &Change::between(&first, &second));
+    let removed = Tenants::after(&whole(&first), &ConfigUpdate::between(&first, &second));
     assert_eq!(holder(&removed, "old"), None);
-    let added = Tenants::after(&removed, &Change::between(&second, &third));
+    let added = Tenants::after(&removed, &ConfigUpdate::between(&second, &third));
     let found = ["old", "new", "other"].map(|key| holder(&added, key));
     assert_eq!(found, [None, Some("a".to_string()), Some("b".to_string())]);
 }
@@ -85,16 +85,16 @@
 #[test]
 fn a_table_that_comes_or_goes_without_any_tenant_is_noticed() {
     let (none, empty) = (without_tenants(1), config(2, &[]));
-    let came = Tenants::after(&whole(&none), &Change::between(&none, &empty));
+    let came = Tenants::after(&whole(&none), &ConfigUpdate::between(&none, &empty));
     assert!(came.requires_keys());
-    let gone = Tenants::after(&came, &Change::between(&empty, &without_tenants(3)));
+    let gone = Tenants::after(&came, &ConfigUpdate::between(&empty, &without_tenants(3)));
     assert!(!gone.requires_keys());
 }
 
 #[test]
 fn a_whole_configuration_leaves_nothing_of_the_one_before() {
     let held = whole(&config(1, &[("a", vec!["old"])]));
-    let change = Change::whole(&config(2, &[("b", vec!["new"])]));
+    let change = ConfigUpdate::full(&config(2, &[("b", vec!["new"])]));
     let tenants = Tenants::after(&held, &change);
     assert_eq!((holder(&tenants, "old"), holder(&tenants, "new").as_deref()), (None, Some("b")));
 }
@@ -103,7 +103,7 @@
 fn a_change_without_tenants_shares_those_that_are_held() {
     let (old, new) = (config(1, &[("a", vec!["k"])]), config(2, &[("a", vec!["k"])]));
     let held = whole(&old);
-    assert!(Arc::ptr_eq(&held, &Tenants::after(&held, &Change::between(&old, &new))));
+    assert!(Arc::ptr_eq(&held, &Tenants::after(&held, &ConfigUpdate::between(&old, &new))));
 }
 
 #[test]
@@ -123,7 +123,7 @@
             }
         }
         let next = config(revision, &list);
-        tenants = Tenants::after(&tenants, &Change::between(&held, &next));
+        tenants = Tenants::after(&tenants, &ConfigUpdate::between(&held, &next));
         let expected = whole(&next);
         for key in &keys {
             assert_eq!(holder(&tenants, key), holder(&expected, key), "revision {revision}, {key}");
@@ -136,7 +136,7 @@
 #[test]
 fn a_key_that_several_tenants_hold_is_nobodys() {
     // No valid configuration has one: the change is made by hand.
-    let mut change = Change::whole(&config(1, &[("a", vec!["own", "shared"]), ("b", vec![])]));
+    let mut change = ConfigUpdate::full(&config(1, &[("a", vec!["own", "shared"]), ("b", vec![])]));
     change.tenants[1].api_keys = vec!["shared".into()];
     let tenants = Tenants::after(&Arc::default(), &change);
     assert_eq!((holder(&tenants, "own").as_deref(), holder(&tenants, "shared")), (Some("a"), None));
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_tenant_whose_name_no_header_can_carry_is_not_served() {
-    let mut change = Change::whole(&config(1, &[("a", vec!["k"]), ("b", vec!["other"])]));
+    let mut change = ConfigUpdate::full(&config(1, &[("a", vec!["k"]), ("b", vec!["other"])]));
     change.tenants[0].name = "a\r\nTenant: b".into();
     let tenants = Tenants::after(&Arc::default(), &change);
     assert_eq!((holder(&tenants, "k"), holder(&tenants, "other").as_deref()), (None, Some("b")));
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -9,7 +9,7 @@
 use kernel::clock;
 use poem::listener::TcpAcceptor;
 use poem::{endpoint, Request, Route, Server};
-use protocol::change::Change;
+use protocol::config_update::ConfigUpdate;
 use protocol::frame::{self, Kind};
 use protocol::link::PeerClient;
 use protocol::message::{
@@ -58,7 +58,7 @@
 
 /// The size of a message on the wire.
 pub fn size(msg: &Message) -> u64 {
-    frame::seal(Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
+    frame::encode(Kind::Notification, 0, msg).map_or(0, |frame| frame.len() as u64)
 }
 
 fn controller(net: u8, at: usize) -> String {
@@ -70,7 +70,7 @@
         self.got.fetch_add(size(&msg), Ordering::Relaxed);
         match msg {
             Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => {
-                let Some(change) = Change::read(&body) else { return };
+                let Some(change) = ConfigUpdate::decode(&body) else { return };
                 let has = self.config.load(Ordering::Relaxed);
                 if change.from == 0 || change.from == has {
                     self.config.fetch_max(change.to, Ordering::Relaxed);
