--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,17 +1,16 @@
 //! What daemons say to one another, and the operator's configuration as a checked value.
-pub mod capability;
+mod capability;
 pub mod config;
 pub mod config_update;
 pub mod frame;
 pub mod headers;
-pub mod hidden_key;
+mod hidden_key;
 pub mod link;
 pub mod message;
 pub mod operator_request;
-pub mod prefix_lookup;
 pub mod quota;
 pub mod renewal;
 pub mod socket;
-pub mod staleness_limit;
-pub mod version_entry;
+mod staleness_limit;
+mod version_entry;
 pub mod version_rollout;
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -1,5 +1,10 @@
 //! Messages between our own daemons. Every variant holds a box, so a new one never moves the others.
 
+mod catalog;
+mod endpoint_list;
+mod gossip;
+mod subscription;
+
 use crate::operator_request::{CommittedDelta, OperatorRequest, OperatorResponse};
 use crate::quota::{ShardOwner, ShardUsage, TokenRequest, TokenResponse};
 use crate::renewal::SubscriptionRenewed;
@@ -7,9 +12,12 @@
 
 pub use crate::capability::*;
 pub use crate::hidden_key::HiddenKey;
-pub use crate::prefix_lookup::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration};
 pub use crate::staleness_limit::{StalenessLimit, WeightVersions, STALENESS_LIMIT_PREFIX};
 pub use crate::version_entry::{EngineWeights, EvacuationState, VersionEntry};
+pub use catalog::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration, Record};
+pub use endpoint_list::{EndpointList, Engine};
+pub use gossip::Gossip;
+pub use subscription::{StateUpdate, SubscriptionRenewal};
 
 /// A ledger position: rises with each take-over (`turn`, ties by `seat`) and each change (`step`).
 /// Invariant: one owner acts under one (`turn`, `seat`); `step` restarts at 0 with each of them.
@@ -109,88 +117,6 @@
     NonVoting,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Gossip {
-    pub ip: String,
-    pub zone: String,
-    pub incarnation: u64,
-    /// It may be made a member of the core.
-    pub eligible: bool,
-    pub membership: CoreMembership,
-    pub peers: Vec<String>,
-    /// Routers that hold a lease here.
-    pub router_count: u32,
-    /// Requests of those routers under way, by engine.
-    pub in_flight: Vec<(String, u32)>,
-    /// Engines about to change their part.
-    pub reassigning: Vec<String>,
-    /// Where clients reach the routers that hold a lease here.
-    pub frontend_addresses: Vec<String>,
-    /// The versions of the engine lists held: who has newer ones sends them.
-    pub list_versions: Vec<VersionEntry>,
-    /// Turns of lists that routers told of.
-    pub observed_list_versions: Vec<VersionEntry>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Engine {
-    pub id: String,
-    pub service: String,
-    pub addr: String,
-    pub zone: String,
-    pub phase: String,
-    pub model: String,
-    pub slots: u32,
-    pub up: bool,
-    pub cold_ms: u32,
-}
-
-/// The engines of one zone as one poller saw them. Invariant: (`turn`, `count`) never goes back.
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct EndpointList {
-    pub zone: String,
-    pub term: u64,
-    pub sequence: u64,
-    pub engines: Vec<Engine>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct SubscriptionRenewal {
-    pub node: String,
-    pub zone: String,
-    pub incarnation: u64,
-    pub config_revision: u64,
-    pub evacuation_versions: Vec<(String, u64)>,
-    pub list_versions: Vec<VersionEntry>,
-    /// Own requests under way, by engine.
-    pub in_flight: Vec<(String, u32)>,
-    /// Where clients reach it.
-    pub frontend_address: String,
-}
-
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct StateUpdate {
-    /// The controller confirmed its versions at a majority a moment ago.
-    pub confirmed: bool,
-    pub config: Option<(u64, Vec<u8>)>,
-    /// Zones whose evacuation began or was withdrawn.
-    pub evacuations: Vec<EvacuationState>,
-    pub endpoint_lists: Vec<EndpointList>,
-    /// How many routers hold a lease: shared bounds are cut into as many slices.
-    pub router_count: u32,
-    pub peers: Vec<String>,
-    /// Engines about to change their part: nothing new is sent to them.
-    pub reassigning: Vec<String>,
-    /// The holder of the catalog and its epoch.
-    pub catalog: (u64, String),
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Record {
-    pub key: u64,
-    pub engine: String,
-}
-
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Message {
     ConsensusRequest(Box<ConsensusRequest>),
--- a/protocol/src/prefix_lookup.rs
+++ b/protocol/src/message/catalog.rs
@@ -1,8 +1,14 @@
-//! What a router asks the catalog for a prompt, and what it tells it.
+//! The catalog of prefixes: which engines hold the KV cache of which prompt prefixes, and how loaded engines are.
 
-use crate::message::Record;
+use rkyv::{Archive, Deserialize, Serialize};
 
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct Record {
+    pub key: u64,
+    pub engine: String,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixLookup {
     pub epoch: u64,
     pub keys: Vec<u64>,
@@ -11,14 +17,14 @@
 }
 
 /// What an engine last told anyone: the hash of its id, requests there, and how many ms ago.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineLoad {
     pub engine_hash: u64,
     pub load: u32,
     pub age_ms: u32,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixLookupResponse {
     pub epoch: u64,
     pub owners: Vec<Vec<String>>,
@@ -26,7 +32,7 @@
     pub list: Vec<EngineLoad>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixRegistration {
     pub epoch: u64,
     pub owners: Vec<Record>,
