--- /dev/null
+++ b/protocol/src/link/peer_client.rs
@@ -0,0 +1,171 @@
+//! The side of a connection that asks.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::{self, Receiver};
+use tokio::sync::oneshot;
+use tokio::time;
+
+use super::frame_io::{read_frame, write_frame};
+use super::pending_responses::{PendingResponses, ResponseSender};
+use super::QUEUE_CAPACITY;
+use crate::frame::{self, Kind};
+use crate::message::Message;
+use crate::socket::{self, IO_TIMEOUT_MS};
+
+/// How long a connection may take to be established.
+const CONNECT_TIMEOUT_MS: u64 = 500;
+/// The pause after a first failure to connect; it doubles with each further one up to the longest.
+const FIRST_RETRY_MS: u64 = 50;
+const LONGEST_RETRY_MS: u64 = 150;
+/// The id of the first frame on a connection.
+const FIRST_FRAME_ID: u64 = 1;
+
+/// A client of one peer: one connection, dialled when there is something to send and again when it broke.
+pub struct PeerClient {
+    addr: String,
+    outbound: mpsc::Sender<Outbound>,
+}
+
+/// A message on its way out.
+struct Outbound {
+    kind: Kind,
+    message: Message,
+    /// Where the response to a request goes.
+    response: Option<ResponseSender>,
+}
+
+impl PeerClient {
+    /// Starts the client's task. Notifications that the peer sends on the connection go to `notifications`.
+    pub fn start(addr: String, notifications: Option<mpsc::Sender<Message>>) -> Self {
+        let (outbound, queue) = mpsc::channel(QUEUE_CAPACITY);
+        tokio::spawn(run(addr.clone(), queue, notifications));
+        PeerClient { addr, outbound }
+    }
+
+    /// Returns the peer's address.
+    pub fn addr(&self) -> &str {
+        &self.addr
+    }
+
+    /// Sends a request and waits for its response. Returns `None` if none came within `wait_ms` milliseconds, for
+    /// whatever cause: the peer may have acted on the request, and one that was not yet sent will not be sent any more.
+    pub async fn call(&self, message: Message, wait_ms: u64) -> Option<Message> {
+        let (sender, response) = oneshot::channel();
+        let request = Outbound { kind: Kind::Request, message, response: Some(sender) };
+        self.outbound.try_send(request).ok()?;
+        time::timeout(Duration::from_millis(wait_ms), response).await.ok()?.ok()
+    }
+
+    /// Sends a message without a response. Returns false if it was dropped before it was sent.
+    pub fn notify(&self, message: Message) -> bool {
+        self.outbound.try_send(Outbound { kind: Kind::Notification, message, response: None }).is_ok()
+    }
+}
+
+/// Keeps the connection up while there is something to send. Ends when the client is dropped.
+async fn run(addr: String, mut queue: Receiver<Outbound>, notifications: Option<mpsc::Sender<Message>>) {
+    let mut first: Option<Outbound> = None;
+    let mut retry_ms = FIRST_RETRY_MS;
+    loop {
+        if first.is_none() {
+            let Some(outbound) = queue.recv().await else { return };
+            first = Some(outbound);
+        }
+        let Ok(stream) = socket::connect(&addr, CONNECT_TIMEOUT_MS, IO_TIMEOUT_MS).await else {
+            // Callers learn at once that the peer can't be reached, and may turn to another.
+            first = None;
+            while queue.try_recv().is_ok() {}
+            time::sleep(Duration::from_millis(retry_ms)).await;
+            retry_ms = (retry_ms * 2).min(LONGEST_RETRY_MS);
+            continue;
+        };
+        retry_ms = FIRST_RETRY_MS;
+        match serve_queue(stream, first.take(), &mut queue, &notifications).await {
+            Ended::ConnectionBroke => {}
+            Ended::ClientDropped => return,
+        }
+    }
+}
+
+/// Why a connection is no longer used.
+enum Ended {
+    ConnectionBroke,
+    ClientDropped,
+}
+
+/// Sends what is queued until the connection breaks or the client is dropped; then all requests on it fail.
+async fn serve_queue(
+    stream: TcpStream,
+    first: Option<Outbound>,
+    queue: &mut Receiver<Outbound>,
+    notifications: &Option<mpsc::Sender<Message>>,
+) -> Ended {
+    let (read, write) = stream.into_split();
+    let pending = Arc::new(PendingResponses::default());
+    let (alive, closed) = oneshot::channel::<()>();
+    let reader = tokio::spawn(receive(read, pending.clone(), notifications.clone(), alive));
+    let ended = send(write, first, queue, &pending, closed).await;
+    reader.abort();
+    pending.fail_all();
+    ended
+}
+
+/// Hands out what the peer sends until the connection ends; dropping `alive` tells the sending side.
+async fn receive(
+    mut read: OwnedReadHalf,
+    pending: Arc<PendingResponses>,
+    notifications: Option<mpsc::Sender<Message>>,
+    alive: oneshot::Sender<()>,
+) {
+    while let Some((header, message)) = read_frame(&mut read).await {
+        if header.kind == Kind::Response {
+            pending.complete(header.id, message);
+            continue;
+        }
+        if let Some(notifications) = &notifications {
+            let _ = notifications.try_send(message);
+        }
+    }
+    pending.fail_all();
+    drop(alive);
+}
+
+async fn send(
+    mut write: OwnedWriteHalf,
+    mut first: Option<Outbound>,
+    queue: &mut Receiver<Outbound>,
+    pending: &PendingResponses,
+    mut closed: oneshot::Receiver<()>,
+) -> Ended {
+    let mut next_id = FIRST_FRAME_ID;
+    loop {
+        let outbound = match first.take() {
+            Some(outbound) => outbound,
+            // What comes too late for this connection stays queued for the next.
+            None => tokio::select! {
+                biased;
+                _ = &mut closed => return Ended::ConnectionBroke,
+                outbound = queue.recv() => match outbound {
+                    Some(outbound) => outbound,
+                    None => return Ended::ClientDropped,
+                },
+            },
+        };
+        if outbound.response.as_ref().is_some_and(oneshot::Sender::is_closed) {
+            // Its caller has given up, and may have turned to another peer.
+            continue;
+        }
+        let Ok(frame) = frame::encode(outbound.kind, next_id, &outbound.message) else { continue };
+        if let Some(response) = outbound.response {
+            pending.insert(next_id, response);
+        }
+        next_id += 1;
+        if write_frame(&mut write, &frame).await.is_none() {
+            return Ended::ConnectionBroke;
+        }
+    }
+}
--- /dev/null
+++ b/protocol/src/link/server.rs
@@ -0,0 +1,92 @@
+//! The side of a connection that serves.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::{self, Receiver};
+use tokio::time;
+
+use super::frame_io::{read_frame, write_frame};
+use super::QUEUE_CAPACITY;
+use crate::frame::{self, Kind};
+use crate::message::Message;
+use crate::socket::{self, IO_TIMEOUT_MS};
+
+/// The pause after a connection could not be accepted: most often the process is short of file descriptors.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+
+/// How a handler responds or sends notifications on the connection that a message came by.
+#[derive(Clone)]
+pub struct Responder {
+    frames: mpsc::Sender<Bytes>,
+}
+
+impl Responder {
+    /// Returns a responder whose frames come out at the other end of `frames`.
+    pub fn new(frames: mpsc::Sender<Bytes>) -> Responder {
+        Responder { frames }
+    }
+
+    /// Sends a notification. Returns false if it was dropped: the other side does not read, or is gone.
+    pub fn notify(&self, message: &Message) -> bool {
+        self.send(Kind::Notification, 0, message)
+    }
+
+    /// Sends the response to the request with this id. Returns false if it was dropped.
+    pub fn reply(&self, id: u64, message: &Message) -> bool {
+        self.send(Kind::Response, id, message)
+    }
+
+    fn send(&self, kind: Kind, id: u64, message: &Message) -> bool {
+        let Ok(frame) = frame::encode(kind, id, message) else { return false };
+        self.notify_frame(frame.into())
+    }
+
+    /// Sends a frame that is the same for many peers: encoded once and never copied. Returns false if it was dropped.
+    pub fn notify_frame(&self, frame: Bytes) -> bool {
+        self.frames.try_send(frame).is_ok()
+    }
+
+    /// Returns whether the connection has ended.
+    pub fn is_closed(&self) -> bool {
+        self.frames.is_closed()
+    }
+}
+
+/// What a daemon does with a message: given the way back, the id to reply to, and the message itself.
+pub type Handler = Arc<dyn Fn(Responder, u64, Message) + Send + Sync>;
+
+/// Accepts connections for ever and hands each message that comes to the handler. A malformed message costs its sender
+/// the connection and nothing else.
+pub async fn serve(listener: TcpListener, handler: Handler) {
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            time::sleep(ACCEPT_RETRY).await;
+            continue;
+        };
+        socket::configure(&stream, IO_TIMEOUT_MS);
+        tokio::spawn(serve_connection(stream, handler.clone()));
+    }
+}
+
+async fn serve_connection(stream: TcpStream, handler: Handler) {
+    let (mut read, write) = stream.into_split();
+    let (frames, queue) = mpsc::channel::<Bytes>(QUEUE_CAPACITY);
+    let responder = Responder::new(frames);
+    let writer = tokio::spawn(write_frames(write, queue));
+    while let Some((header, message)) = read_frame(&mut read).await {
+        handler(responder.clone(), header.id, message);
+    }
+    writer.abort();
+}
+
+async fn write_frames(mut write: OwnedWriteHalf, mut queue: Receiver<Bytes>) {
+    while let Some(frame) = queue.recv().await {
+        if write_frame(&mut write, &frame).await.is_none() {
+            return;
+        }
+    }
+}
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -4,7 +4,8 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{serve, take, Handler, PeerClient};
+use super::frame_io::read_frame;
+use super::{serve, Handler, PeerClient};
 use crate::frame::{self, Kind, HEADER_BYTES, NEWEST_VERSION};
 use crate::message::Message;
 use crate::socket;
@@ -12,8 +13,8 @@
 async fn echo() -> String {
     let listener = socket::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
-    let handler: Handler = Arc::new(|mouth, id, msg| {
-        mouth.reply(id, &msg);
+    let handler: Handler = Arc::new(|responder, id, msg| {
+        responder.reply(id, &msg);
     });
     tokio::spawn(serve(listener, handler));
     addr
@@ -75,12 +76,12 @@
     let (caller, listener) = pair().await;
     let serve = async {
         let (mut read, mut write) = accept(&listener).await;
-        let one = take(&mut read).await.expect("the first");
-        let two = take(&mut read).await.expect("the second");
+        let one = read_frame(&mut read).await.expect("the first");
+        let two = read_frame(&mut read).await.expect("the second");
         for (head, msg) in [&two, &one, &two, &one] {
             answer(&mut write, head.id, msg).await;
         }
-        let three = take(&mut read).await.expect("the third");
+        let three = read_frame(&mut read).await.expect("the third");
         answer(&mut write, one.0.id, &one.1).await;
         answer(&mut write, three.0.id, &three.1).await;
     };
@@ -97,10 +98,10 @@
     let (caller, listener) = pair().await;
     let serve = async {
         let (mut read, write) = accept(&listener).await;
-        assert_eq!(take(&mut read).await.expect("the first").1, query(1));
+        assert_eq!(read_frame(&mut read).await.expect("the first").1, query(1));
         drop((read, write));
         let (mut read, mut write) = accept(&listener).await;
-        let (head, msg) = take(&mut read).await.expect("the next call");
+        let (head, msg) = read_frame(&mut read).await.expect("the next call");
         assert_eq!(msg, query(2));
         answer(&mut write, head.id, &msg).await;
     };
@@ -120,6 +121,6 @@
     assert_eq!(caller.call(query(1), 1).await, None);
     assert!(caller.notify(query(2)));
     let (mut read, _write) = accept(&listener).await;
-    assert_eq!(take(&mut read).await.expect("the large one").1, large);
-    assert_eq!(take(&mut read).await.expect("the next").1, query(2));
+    assert_eq!(read_frame(&mut read).await.expect("the large one").1, large);
+    assert_eq!(read_frame(&mut read).await.expect("the next").1, query(2));
 }
