--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -5,8 +5,8 @@
 //! the value together.
 mod apply;
 mod check;
-mod checked;
 mod decode;
+mod document;
 mod error;
 mod host;
 mod json;
@@ -15,7 +15,7 @@
 mod patch;
 mod values;
 
-pub use checked::ConfigDocument;
+pub use document::ConfigDocument;
 pub use error::{ConfigError, ConfigErrorKind, Item, Syntax};
 pub use host::without_port;
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
@@ -30,14 +30,10 @@
 }
 
 #[cfg(test)]
-mod config_tests;
+mod document_tests;
 #[cfg(test)]
 mod json_tests;
 #[cfg(test)]
 mod patch_tests;
 #[cfg(test)]
 mod property_tests;
-#[cfg(test)]
-mod samples;
-#[cfg(test)]
-mod spoils;
--- a/protocol/src/config/apply.rs
+++ b/protocol/src/config/apply.rs
@@ -3,8 +3,8 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use super::checked::ConfigDocument;
 use super::decode::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
+use super::document::ConfigDocument;
 use super::error::ConfigError;
 use super::json;
 use super::merge::{merge, raw_items, RawObject};
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -2,14 +2,14 @@
 
 use serde_json::{json, Value};
 
-use super::samples::{good, refused, refused_text, taken};
 use super::values::LONGEST_MS;
 use super::{read, ConfigError, ConfigErrorKind, Item, Limits, Syntax, MAX_TEXT_BYTES};
+use crate::testing::samples::{accepted, rejected, rejection, valid};
 
 #[test]
 fn a_text_is_one_json_value_and_nothing_else() {
-    let text = good().to_string();
-    let syntax = |text: &str| match refused_text(text).kind {
+    let text = valid().to_string();
+    let syntax = |text: &str| match rejection(text).kind {
         ConfigErrorKind::Syntax { syntax, .. } => syntax,
         other => panic!("{other:?}"),
     };
@@ -27,7 +27,7 @@
 
 #[test]
 fn no_field_is_there_twice_at_any_depth() {
-    let text = good().to_string();
+    let text = valid().to_string();
     let cases = [
         ("\"revision\":7", "\"revision\":7,\"revision\":7", "revision"),
         ("\"weight\":10", "\"weight\":10,\"weight\":10", "route_table[0].traffic_split[1].weight"),
@@ -35,39 +35,39 @@
         ("\"new\":1", "\"new\":{\"x\":[{\"y\":1,\"y\":1}]}", "route_table[0].?.?[0].?"),
     ];
     for (from, to, path) in cases {
-        let error = refused_text(&text.replacen(from, to, 1));
+        let error = rejection(&text.replacen(from, to, 1));
         assert_eq!(error, ConfigError { item: Item::Field(path.into()), kind: ConfigErrorKind::DuplicateField });
     }
     let many: Vec<String> = (0..60).map(|at| format!("\"f{}\":1", at % 59)).collect();
-    let error = refused_text(&text.replacen("\"new\":1", &format!("\"new\":{{{}}}", many.join(",")), 1));
+    let error = rejection(&text.replacen("\"new\":1", &format!("\"new\":{{{}}}", many.join(",")), 1));
     assert_eq!(error.kind, ConfigErrorKind::DuplicateField);
 }
 
 #[test]
 fn a_revision_is_a_whole_number_from_1() {
     for bad in ["0", "null", "-1", "7.0", "1e3", "\"7\"", "true", "18446744073709551616", "[7]"] {
-        let error = refused_text(&good().to_string().replacen("\"revision\":7", &format!("\"revision\":{bad}"), 1));
+        let error = rejection(&valid().to_string().replacen("\"revision\":7", &format!("\"revision\":{bad}"), 1));
         assert_eq!(error.item, Item::Field("revision".into()), "{bad}");
     }
-    assert!(refused(|value| drop(value.as_object_mut().expect("an object").remove("revision"))).contains("revision"));
-    assert_eq!(taken(|value| value["revision"] = u64::MAX.into()).revision, u64::MAX);
+    assert!(rejected(|value| drop(value.as_object_mut().expect("an object").remove("revision"))).contains("revision"));
+    assert_eq!(accepted(|value| value["revision"] = u64::MAX.into()).revision, u64::MAX);
 }
 
 #[test]
 fn numbers_are_taken_as_far_as_they_can_be_served() {
     for bad in [json!(-1), json!(0.5), json!("3000"), json!(true), json!([1])] {
         for field in ["timeout_ms", "target_ms", "priority", "retry_count", "gap_target_ms"] {
-            let error = refused(|value| value["route_table"][0][field] = bad.clone());
+            let error = rejected(|value| value["route_table"][0][field] = bad.clone());
             assert!(error.starts_with(&format!("route `r-1`: {field}")), "{error}");
         }
     }
     for none in [json!(0), json!(0.0), json!(-0.0), Value::Null] {
-        assert!(refused(|value| value["route_table"][0]["timeout_ms"] = none).contains("`r-1`: timeout_ms is 0"));
+        assert!(rejected(|value| value["route_table"][0]["timeout_ms"] = none).contains("`r-1`: timeout_ms is 0"));
     }
     for (given, held) in [(json!(3000.0), 3000), (json!(3e3), 3000), (json!(u64::MAX), LONGEST_MS)] {
-        assert_eq!(taken(|value| value["route_table"][0]["timeout_ms"] = given).route_table[0].timeout_ms, held);
+        assert_eq!(accepted(|value| value["route_table"][0]["timeout_ms"] = given).route_table[0].timeout_ms, held);
     }
-    let large = taken(|value| {
+    let large = accepted(|value| {
         value["route_table"][0]["priority"] = json!(1u64 << 40);
         value["route_table"][0]["timeout_ms"] = json!(1e30);
         value["service_table"][0]["max_connections"] = json!(1u64 << 40);
@@ -78,17 +78,17 @@
     for (table, field) in
         [("service_table", "ramp_per_s"), ("tenant_table", "rate_per_s"), ("tenant_table", "burst_size")]
     {
-        assert!(refused(|value| value[table][0][field] = json!(-0.5)).contains(field));
+        assert!(rejected(|value| value[table][0][field] = json!(-0.5)).contains(field));
     }
-    assert!(refused(|value| value["service_table"][0]["engine"]["kv_hold_s"] = json!(-1)).contains("`s`: kv_hold_s"));
+    assert!(rejected(|value| value["service_table"][0]["engine"]["kv_hold_s"] = json!(-1)).contains("`s`: kv_hold_s"));
     assert!(
-        refused(|value| value["service_table"][0]["engine"]["model_list"] = json!([{}])).contains("`s`: model_list")
+        rejected(|value| value["service_table"][0]["engine"]["model_list"] = json!([{}])).contains("`s`: model_list")
     );
 }
 
 #[test]
 fn fields_that_are_null_or_unknown_count_as_not_there() {
-    let config = taken(|value| {
+    let config = accepted(|value| {
         for (table, fields) in [
             ("route_table", &["target_ms", "priority", "retry_count", "persistent", "allowed_regions", "service"][..]),
             ("service_table", &["health_path", "max_connections", "warmup_s", "engine"][..]),
@@ -101,22 +101,22 @@
     });
     assert_eq!((config.route_table[0].retry_count, config.service_table[0].health_path.as_str()), (1, "/health"));
     assert_eq!(config.limits.idle_timeout_ms, Limits::default().idle_timeout_ms);
-    assert_eq!(taken(|value| value["limits"] = Value::Null).limits, Limits::default());
-    assert!(refused(|value| value["limits"] = json!([])).starts_with("limits"));
-    assert!(refused(|value| value["limits"]["idle_timeout_ms"] = json!("x")).starts_with("limits: idle_timeout_ms"));
+    assert_eq!(accepted(|value| value["limits"] = Value::Null).limits, Limits::default());
+    assert!(rejected(|value| value["limits"] = json!([])).starts_with("limits"));
+    assert!(rejected(|value| value["limits"]["idle_timeout_ms"] = json!("x")).starts_with("limits: idle_timeout_ms"));
 }
 
 #[test]
 fn neither_depth_nor_number_of_values_takes_the_process_down() {
-    let with = |piece: &str| good().to_string().replacen("\"new\":1", &format!("\"new\":{piece}"), 1);
+    let with = |piece: &str| valid().to_string().replacen("\"new\":1", &format!("\"new\":{piece}"), 1);
     for (open, close) in [("[", "]"), ("{\"a\":", "}")] {
         let deep = with(&format!("{}1{}", open.repeat(200_000), close.repeat(200_000)));
-        assert_eq!(refused_text(&deep).kind, ConfigErrorKind::TooDeep);
-        assert_eq!(refused_text(&with(&open.repeat(200_000))).kind, ConfigErrorKind::TooDeep);
+        assert_eq!(rejection(&deep).kind, ConfigErrorKind::TooDeep);
+        assert_eq!(rejection(&with(&open.repeat(200_000))).kind, ConfigErrorKind::TooDeep);
         assert!(read(&with(&format!("{}1{}", open.repeat(50), close.repeat(50)))).is_ok());
     }
-    let error = refused_text(&with(&format!("[{}0]", "0,".repeat(1_100_000))));
+    let error = rejection(&with(&format!("[{}0]", "0,".repeat(1_100_000))));
     assert_eq!((error.status(), error.kind), (413, ConfigErrorKind::TooManyValues));
     let long = with(&format!("\"{}\"", "x".repeat(MAX_TEXT_BYTES)));
-    assert_eq!(refused_text(&long).status(), 413);
+    assert_eq!(rejection(&long).status(), 413);
 }
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -2,11 +2,11 @@
 
 use serde_json::{json, Value};
 
-use super::samples::{good, KEY};
 use super::{ConfigDocument, ConfigError, ConfigErrorKind, ConfigPatch, Limits, MAX_TEXT_BYTES};
+use crate::testing::samples::{valid, KEY};
 
 fn base() -> ConfigDocument {
-    ConfigDocument::parse(&good().to_string()).expect("good")
+    ConfigDocument::parse(&valid().to_string()).expect("good")
 }
 
 fn result(change: &Value) -> Result<ConfigDocument, ConfigError> {
@@ -18,13 +18,13 @@
     patched
 }
 
-fn refused(change: &Value) -> String {
+fn rejected(change: &Value) -> String {
     let error = result(change).expect_err("must be refused");
     assert!((400..500).contains(&error.status()) && !error.to_string().contains(KEY), "{error}");
     error.to_string()
 }
 
-fn taken(change: &Value) -> ConfigDocument {
+fn accepted(change: &Value) -> ConfigDocument {
     result(change).unwrap_or_else(|error| panic!("{error}"))
 }
 
@@ -38,21 +38,21 @@
 
 #[test]
 fn a_change_replaces_adds_and_removes_by_name() {
-    let mut two = good()["route_table"][1].clone();
+    let mut two = valid()["route_table"][1].clone();
     two["timeout_ms"] = 9.into();
     let change = json!({"revision": 9, "upsert": {"route_table": [route("r-3", "/"), two]},
         "withdraw": {"route_table": ["r-1", "r-never"]}});
-    let next = taken(&change);
+    let next = accepted(&change);
     assert_eq!(names(&next), [("r-2", 9), ("r-3", 5)]);
     assert_eq!(next.revision(), 9);
-    assert!(refused(&json!({"revision": 9, "upsert": {"route_table": 3}})).contains("upsert.route_table"));
+    assert!(rejected(&json!({"revision": 9, "upsert": {"route_table": 3}})).contains("upsert.route_table"));
     let value: Value = serde_json::from_str(next.text()).expect("JSON");
-    assert_eq!(value["service_table"], good()["service_table"], "also what this version does not know");
+    assert_eq!(value["service_table"], valid()["service_table"], "also what this version does not know");
 }
 
 #[test]
 fn what_is_not_named_stays_as_it_was_written() {
-    let text = good().to_string().replace("\"new\":1", "\"new\":{ \"exact\" : 12345678901234567890123.50 }");
+    let text = valid().to_string().replace("\"new\":1", "\"new\":{ \"exact\" : 12345678901234567890123.50 }");
     let base = ConfigDocument::parse(&text).expect("good");
     let patch = ConfigPatch::parse("{\"revision\":8,\"upsert\":{\"route_table\":[]}}").expect("read");
     let next = base.apply(&patch).expect("valid");
@@ -64,31 +64,31 @@
 fn the_result_is_what_must_be_valid() {
     let upsert = |table: &str, item: Value| json!({"revision": 9, "upsert": {table: [item]}});
     // Good items, invalid result.
-    assert!(refused(&upsert(
+    assert!(rejected(&upsert(
         "route_table",
         json!({"name": "r-3", "hostname": "A.example:80", "path_prefix": "/x/",
         "route_type": "idempotent", "timeout_ms": 5, "service": "s"})
     ))
     .contains("route `r-3`: hostname and path_prefix are those of `r-1`"));
-    assert!(refused(&json!({"revision": 9, "withdraw": {"service_table": ["s"]}})).contains("unknown service `s`"));
+    assert!(rejected(&json!({"revision": 9, "withdraw": {"service_table": ["s"]}})).contains("unknown service `s`"));
     let shared = upsert("tenant_table", json!({"name": "t-3", "api_keys": [format!("{KEY}3")]}));
-    assert!(refused(&shared).contains("tenant `t-3`: a key is also a key of tenant `t-2`"));
+    assert!(rejected(&shared).contains("tenant `t-3`: a key is also a key of tenant `t-2`"));
     // Items that are good only together with what is held, or with each other.
-    taken(&json!({"revision": 9, "withdraw": {"tenant_table": ["t-2"]},
+    accepted(&json!({"revision": 9, "withdraw": {"tenant_table": ["t-2"]},
         "upsert": {"tenant_table": [{"name": "t-3", "api_keys": [format!("{KEY}3")]}]}}));
     let mut moved = route("r-9", "/");
     moved["service"] = "s-9".into();
-    taken(&json!({"revision": 9, "upsert": {"service_table": [{"name": "s-9"}], "route_table": [moved]}}));
+    accepted(&json!({"revision": 9, "upsert": {"service_table": [{"name": "s-9"}], "route_table": [moved]}}));
     // Two routes change places at once.
     let swapped = |name: &str, from: usize| {
-        let mut item = good()["route_table"][from].clone();
+        let mut item = valid()["route_table"][from].clone();
         item["name"] = name.into();
         item
     };
-    taken(&json!({"revision": 9, "upsert": {"route_table": [swapped("r-1", 1), swapped("r-2", 0)]}}));
+    accepted(&json!({"revision": 9, "upsert": {"route_table": [swapped("r-1", 1), swapped("r-2", 0)]}}));
     let mut late = route("r-3", "/");
     late["timeout_ms"] = 0.into();
-    assert!(refused(&upsert("route_table", late)).contains("route `r-3`: timeout_ms is 0"));
+    assert!(rejected(&upsert("route_table", late)).contains("route `r-3`: timeout_ms is 0"));
 }
 
 #[test]
@@ -133,7 +133,7 @@
         assert!(error.starts_with(item), "{error} for {item}");
     }
     for bad in [json!({}), json!({"revision": 0}), json!({"revision": null}), json!({"revision": 9.0})] {
-        assert!(refused(&bad).starts_with("revision"));
+        assert!(rejected(&bad).starts_with("revision"));
     }
 }
 
@@ -144,19 +144,20 @@
     {
         let mut change = nothing;
         change["revision"] = 9.into();
-        assert_eq!(names(&taken(&change)), names(&base()));
+        assert_eq!(names(&accepted(&change)), names(&base()));
     }
     let both = json!({"revision": 9, "upsert": {"route_table": [route("r-1", "/z/")]}, "withdraw": {"route_table": ["r-1", "r-1"]}});
-    assert_eq!(names(&taken(&both)), [("r-2", 8000), ("r-1", 5)]);
+    assert_eq!(names(&accepted(&both)), [("r-2", 8000), ("r-1", 5)]);
 }
 
 #[test]
 fn limits_and_what_this_version_does_not_know_can_be_changed() {
-    let limits = taken(&json!({"revision": 9, "upsert": {"limits": {"max_body_bytes": 5, "idle_timeout_ms": null}}}));
+    let limits =
+        accepted(&json!({"revision": 9, "upsert": {"limits": {"max_body_bytes": 5, "idle_timeout_ms": null}}}));
     let held = &limits.config().limits;
     assert_eq!((held.max_body_bytes, held.max_header_bytes), (5, 16384));
     assert_eq!(held.idle_timeout_ms, Limits::default().idle_timeout_ms);
-    let later = taken(&json!({"revision": 9, "upsert": {"later": [{"name": "x", "y": 1}], "more": {"a": 1}},
+    let later = accepted(&json!({"revision": 9, "upsert": {"later": [{"name": "x", "y": 1}], "more": {"a": 1}},
         "withdraw": {"never": ["x"]}}));
     let value: Value = serde_json::from_str(later.text()).expect("JSON");
     assert_eq!((&value["later"], &value["more"]), (&json!([{"name": "x", "y": 1}]), &json!({"a": 1})));
@@ -189,9 +190,9 @@
 fn keys_are_needed_as_long_as_there_is_a_table_of_tenants() {
     let names: Vec<String> = base().config().tenant_table.iter().map(|tenant| tenant.name.clone()).collect();
     assert!(!names.is_empty() && base().config().requires_keys);
-    let emptied = taken(&json!({"revision": 900_001, "withdraw": {"tenant_table": names}}));
+    let emptied = accepted(&json!({"revision": 900_001, "withdraw": {"tenant_table": names}}));
     assert_eq!((emptied.config().tenant_table.len(), emptied.config().requires_keys), (0, true));
-    let mut whole = good();
+    let mut whole = valid();
     whole.as_object_mut().expect("an object").remove("tenant_table");
     assert!(!ConfigDocument::parse(&whole.to_string()).expect("good").config().requires_keys);
 }
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -1,14 +1,14 @@
-//! Properties of all bodies: valid ones are taken and kept as they are; each way to spoil one is refused, names its item,
+//! Properties of all bodies: valid ones are taken and kept as they are; each corruption is rejected, names its item,
 //! shows no key and never panics; text and value of whatever is taken agree.
 
 use kernel::clock::Rng;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-use super::samples::{self, KEY};
-use super::spoils::SPOILS;
 use super::{read, ConfigDocument, ConfigError, ConfigPatch};
 use crate::config_update::ConfigUpdate;
+use crate::testing::corruptions::CORRUPTIONS;
+use crate::testing::samples::{self, KEY};
 
 /// A change of named items on JSON values, as plain as it can be written: what the real one is held against.
 fn plain_patch(base: &Value, change: &Value) -> Value {
@@ -41,33 +41,33 @@
 }
 
 /// A change that is well-formed; its result may be invalid.
-fn change(dice: &mut Rng, revision: u64) -> Value {
+fn change(rng: &mut Rng, revision: u64) -> Value {
     let mut change = json!({"revision": revision});
-    let mut numbers = |most: u64| -> Vec<u64> { (0..most).filter(|_| dice.below(4) == 0).collect() };
+    let mut numbers = |most: u64| -> Vec<u64> { (0..most).filter(|_| rng.below(4) == 0).collect() };
     let (routes, services, tenants) = (numbers(9), numbers(5), numbers(5));
     let (gone_routes, gone_services, gone_tenants) = (numbers(9), numbers(6), numbers(5));
-    let known = 1 + dice.below(6);
+    let known = 1 + rng.below(6);
     change["upsert"] = json!({
-        "route_table": routes.iter().map(|number| samples::route(dice, *number, known)).collect::<Vec<_>>(),
-        "service_table": services.iter().map(|number| samples::service(dice, *number)).collect::<Vec<_>>(),
+        "route_table": routes.iter().map(|number| samples::route(rng, *number, known)).collect::<Vec<_>>(),
+        "service_table": services.iter().map(|number| samples::service(rng, *number)).collect::<Vec<_>>(),
     });
-    if dice.below(2) == 0 {
-        change["upsert"]["tenant_table"] = tenants.iter().map(|number| samples::tenant(dice, *number)).collect();
+    if rng.below(2) == 0 {
+        change["upsert"]["tenant_table"] = tenants.iter().map(|number| samples::tenant(rng, *number)).collect();
     }
-    if dice.below(3) == 0 {
+    if rng.below(3) == 0 {
         change["upsert"]["limits"] =
-            json!({"max_body_bytes": dice.below(9), "idle_timeout_ms": null, "later": {"x": 1}});
+            json!({"max_body_bytes": rng.below(9), "idle_timeout_ms": null, "later": {"x": 1}});
     }
-    if dice.below(3) == 0 {
+    if rng.below(3) == 0 {
         change["upsert"]["later_table"] = json!([{"name": "x", "z": [1.50]}]);
     }
     let names = |letter: &str, numbers: &[u64]| -> Value { numbers.iter().map(|at| format!("{letter}{at}")).collect() };
     let routes = names("r", &gone_routes);
     change["withdraw"] = json!({"route_table": routes});
-    if dice.below(4) == 0 {
+    if rng.below(4) == 0 {
         change["withdraw"]["service_table"] = names("s", &gone_services);
     }
-    if dice.below(2) == 0 {
+    if rng.below(2) == 0 {
         change["withdraw"]["tenant_table"] = names("t", &gone_tenants);
     }
     change
@@ -78,10 +78,10 @@
     assert!((400..500).contains(&error.status()));
 }
 
-fn valid_with_a_route(dice: &mut Rng) -> Value {
-    let mut value = samples::whole(dice, 7);
+fn valid_with_a_route(rng: &mut Rng) -> Value {
+    let mut value = samples::full_config(rng, 7);
     if value["route_table"].as_array().is_some_and(Vec::is_empty) {
-        value["route_table"] = json!([samples::route(dice, 0, 1)]);
+        value["route_table"] = json!([samples::route(rng, 0, 1)]);
     }
     value
 }
@@ -91,9 +91,9 @@
 
     #[test]
     fn valid_bodies_are_taken_and_kept_as_they_were_sent(seed: u64) {
-        let mut dice = Rng::new(seed);
-        let value = samples::whole(&mut dice, 1 + seed % 1000);
-        let text = samples::spaced(&mut dice, &value);
+        let mut rng = Rng::new(seed);
+        let value = samples::full_config(&mut rng, 1 + seed % 1000);
+        let text = samples::with_whitespace(&mut rng, &value);
         let checked = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
         prop_assert_eq!(checked.text(), &text);
         prop_assert_eq!(Some(checked.revision()), value["revision"].as_u64());
@@ -103,19 +103,19 @@
     }
 
     #[test]
-    fn each_way_to_spoil_a_body_is_refused_and_names_the_item(seed: u64, way in 0..SPOILS.len()) {
-        let mut dice = Rng::new(seed);
-        let mut value = valid_with_a_route(&mut dice);
-        let item = SPOILS[way](&mut dice, &mut value);
-        let error = read(&samples::spaced(&mut dice, &value)).expect_err("must be refused");
+    fn each_corruption_is_rejected_and_names_the_item(seed: u64, way in 0..CORRUPTIONS.len()) {
+        let mut rng = Rng::new(seed);
+        let mut value = valid_with_a_route(&mut rng);
+        let item = CORRUPTIONS[way](&mut rng, &mut value);
+        let error = read(&samples::with_whitespace(&mut rng, &value)).expect_err("must be refused");
         shows_no_key(&error);
         prop_assert!(error.to_string().starts_with(&item), "{} names not {}", error, item);
     }
 
     #[test]
     fn a_body_that_is_cut_or_followed_by_more_is_refused(seed: u64, cut in 0.0..1.0f64, behind in "[^ \\t\\r\\n]{1,3}") {
-        let mut dice = Rng::new(seed);
-        let text = samples::spaced(&mut dice, &samples::whole(&mut Rng::new(seed), 7));
+        let mut rng = Rng::new(seed);
+        let text = samples::with_whitespace(&mut rng, &samples::full_config(&mut Rng::new(seed), 7));
         let text = text.trim();
         let at = (0..text.len()).rev().find(|at| *at as f64 <= cut * text.len() as f64 && text.is_char_boundary(*at));
         shows_no_key(&read(&text[..at.unwrap_or(0)]).expect_err("cut"));
@@ -124,8 +124,8 @@
 
     #[test]
     fn a_field_that_is_there_twice_is_refused_wherever_it_is(seed: u64, place: usize) {
-        let mut dice = Rng::new(seed);
-        let text = valid_with_a_route(&mut dice).to_string();
+        let mut rng = Rng::new(seed);
+        let text = valid_with_a_route(&mut rng).to_string();
         // Before some field of some object stands the same field once more.
         let starts: Vec<usize> = text.match_indices("\":").map(|(at, _)| at).collect();
         let end = starts[place % starts.len()];
@@ -139,12 +139,12 @@
     /// A change is taken just where the whole configuration that it leads to would be, and comes to the same.
     #[test]
     fn a_change_comes_to_what_the_whole_would(seed: u64, steps in 1..4usize) {
-        let mut dice = Rng::new(seed);
-        let mut plain = samples::whole(&mut dice, 1);
-        let mut held = ConfigDocument::parse(&samples::spaced(&mut dice, &plain)).expect("valid");
+        let mut rng = Rng::new(seed);
+        let mut plain = samples::full_config(&mut rng, 1);
+        let mut held = ConfigDocument::parse(&samples::with_whitespace(&mut rng, &plain)).expect("valid");
         for step in 0..steps {
-            let change = change(&mut dice, 2 + step as u64);
-            let patch = ConfigPatch::parse(&samples::spaced(&mut dice, &change)).unwrap_or_else(|error| panic!("{error}"));
+            let change = change(&mut rng, 2 + step as u64);
+            let patch = ConfigPatch::parse(&samples::with_whitespace(&mut rng, &change)).unwrap_or_else(|error| panic!("{error}"));
             let next = plain_patch(&plain, &change);
             match (held.apply(&patch), ConfigDocument::parse(&next.to_string())) {
                 (Ok(patched), Ok(whole)) => {
@@ -166,16 +166,16 @@
     /// Anything at all: an answer, never a panic, and what is taken reads the same again.
     #[test]
     fn no_text_takes_the_reader_down(seed: u64, edits in 1..6usize, noise in "\\PC{0,12}") {
-        let mut dice = Rng::new(seed);
-        let mut text = samples::whole(&mut dice, 7).to_string();
+        let mut rng = Rng::new(seed);
+        let mut text = samples::full_config(&mut rng, 7).to_string();
         let pieces = ["{", "}", "[", "]", ",", ":", "\"", "null", "0", "-1", "1e999", "\\u0000", "\\ud800", "true", &noise];
         for _ in 0..edits {
-            let mut at = dice.below(text.len() as u64) as usize;
+            let mut at = rng.below(text.len() as u64) as usize;
             while !text.is_char_boundary(at) {
                 at -= 1;
             }
-            let piece = pieces[dice.below(pieces.len() as u64) as usize];
-            match dice.below(3) {
+            let piece = pieces[rng.below(pieces.len() as u64) as usize];
+            match rng.below(3) {
                 0 => text.insert_str(at, piece),
                 1 => drop(text.remove(at)),
                 _ => {
@@ -190,7 +190,7 @@
         if let Ok(checked) = ConfigDocument::parse(&text) {
             prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(checked));
         }
-        let base = ConfigDocument::parse(&samples::good().to_string()).expect("good");
+        let base = ConfigDocument::parse(&samples::valid().to_string()).expect("good");
         if let Ok(patched) = ConfigPatch::parse(&text).and_then(|patch| base.apply(&patch)) {
             prop_assert_eq!(ConfigDocument::parse(patched.text()), Ok(patched));
         }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -14,3 +14,6 @@
 mod staleness_limit;
 mod version_entry;
 pub mod version_rollout;
+
+#[cfg(test)]
+mod testing;
--- /dev/null
+++ b/protocol/src/testing.rs
@@ -0,0 +1,4 @@
+//! Support for tests of this crate: configurations drawn from a seed, and ways to corrupt them.
+
+pub mod corruptions;
+pub mod samples;
--- a/protocol/src/config/spoils.rs
+++ b/protocol/src/testing/corruptions.rs
@@ -1,10 +1,10 @@
-//! Ways to spoil a valid body, for tests.
+//! Ways to corrupt a valid configuration.
 use super::samples::KEY;
 use kernel::clock::Rng;
 use serde_json::{json, Value};
 
-/// Ways to spoil a valid configuration with at least one route; each gives what the error must name.
-pub const SPOILS: [fn(&mut Rng, &mut Value) -> String; 17] = [
+/// Ways to corrupt a valid configuration with at least one route; each gives what the error must name.
+pub const CORRUPTIONS: [fn(&mut Rng, &mut Value) -> String; 17] = [
     |_, value| {
         value["route_table"] = Value::Null;
         "body: route_table".into()
@@ -13,30 +13,25 @@
         value.as_object_mut().expect("an object").remove("service_table");
         "body: service_table".into()
     },
-    |dice, value| on_route(dice, value, "service", json!("never")),
-    |dice, value| {
+    |rng, value| on_route(rng, value, "service", json!("never")),
+    |rng, value| {
         on_route(
-            dice,
+            rng,
             value,
             "traffic_split",
             json!([{"service": "s0", "weight": 3}, {"service": "never", "weight": 0}]),
         )
     },
-    |dice, value| {
-        on_route(
-            dice,
-            value,
-            "traffic_split",
-            json!([{"service": "s0", "weight": 0}, {"service": "s0", "weight": 0.0}]),
-        )
+    |rng, value| {
+        on_route(rng, value, "traffic_split", json!([{"service": "s0", "weight": 0}, {"service": "s0", "weight": 0.0}]))
     },
-    |dice, value| on_route(dice, value, "traffic_split", json!([{"service": "s0", "weight": -1}])),
-    |dice, value| on_route(dice, value, "timeout_ms", json!(0)),
-    |dice, value| on_route(dice, value, "timeout_ms", Value::Null),
-    |dice, value| on_route(dice, value, "timeout_ms", json!(2.5)),
-    |dice, value| on_route(dice, value, "route_type", json!("sometimes")),
-    |dice, value| on_route(dice, value, "path_prefix", json!("/no-end")),
-    |dice, value| on_route(dice, value, "hostname", json!(["a.example"])),
+    |rng, value| on_route(rng, value, "traffic_split", json!([{"service": "s0", "weight": -1}])),
+    |rng, value| on_route(rng, value, "timeout_ms", json!(0)),
+    |rng, value| on_route(rng, value, "timeout_ms", Value::Null),
+    |rng, value| on_route(rng, value, "timeout_ms", json!(2.5)),
+    |rng, value| on_route(rng, value, "route_type", json!("sometimes")),
+    |rng, value| on_route(rng, value, "path_prefix", json!("/no-end")),
+    |rng, value| on_route(rng, value, "hostname", json!(["a.example"])),
     |_, value| {
         let mut copy = value["route_table"][0].clone();
         copy["name"] = "copy".into();
@@ -66,9 +61,9 @@
     },
 ];
 
-fn on_route(dice: &mut Rng, value: &mut Value, field: &str, spoiled: Value) -> String {
+fn on_route(rng: &mut Rng, value: &mut Value, field: &str, corrupted: Value) -> String {
     let routes = value["route_table"].as_array_mut().expect("a table");
-    let at = dice.below(routes.len() as u64) as usize;
-    routes[at][field] = spoiled;
+    let at = rng.below(routes.len() as u64) as usize;
+    routes[at][field] = corrupted;
     format!("route `r{at}`")
 }
--- a/protocol/src/config/samples.rs
+++ b/protocol/src/testing/samples.rs
@@ -3,13 +3,13 @@
 use kernel::clock::Rng;
 use serde_json::{json, Value};
 
-use super::{read, Config, ConfigDocument, ConfigError};
+use crate::config::{read, Config, ConfigDocument, ConfigError};
 
 /// A key that must appear in no error.
 pub const KEY: &str = "kept-secret-";
 
 /// A valid whole configuration of every kind of item.
-pub fn good() -> Value {
+pub fn valid() -> Value {
     json!({
         "revision": 7,
         "route_table": [
@@ -28,13 +28,13 @@
     })
 }
 
-fn pick<'a, T>(dice: &mut Rng, list: &'a [T]) -> &'a T {
-    &list[dice.below(list.len() as u64) as usize]
+fn pick<'a, T>(rng: &mut Rng, list: &'a [T]) -> &'a T {
+    &list[rng.below(list.len() as u64) as usize]
 }
 
 /// Sometimes with a field that this version does not know, or null in place of nothing.
-fn varied(dice: &mut Rng, mut item: Value) -> Value {
-    match dice.below(6) {
+fn varied(rng: &mut Rng, mut item: Value) -> Value {
+    match rng.below(6) {
         0 => item["later_field"] = json!({"a": [1, {"b": null}], "c": 1.5e-3}),
         1 => item["allowed_regions"] = Value::Null,
         2 => item["priority"] = Value::Null,
@@ -43,17 +43,17 @@
     item
 }
 
-pub fn route(dice: &mut Rng, number: u64, services: u64) -> Value {
-    let mut service = || format!("s{}", dice.below(services));
+pub fn route(rng: &mut Rng, number: u64, services: u64) -> Value {
+    let mut service = || format!("s{}", rng.below(services));
     let (one, two) = (service(), service());
     let mut item = json!({
         "name": format!("r{number}"),
-        "hostname": pick(dice, &["a.example", "B.Example", "c.example:8080", "[::1]", "10.0.0.1"]),
+        "hostname": pick(rng, &["a.example", "B.Example", "c.example:8080", "[::1]", "10.0.0.1"]),
         "path_prefix": format!("/p{number}/"),
-        "route_type": pick(dice, &["idempotent", "non_idempotent", "streaming"]),
-        "timeout_ms": pick(dice, &[json!(1), json!(3000), json!(8000.0), json!(9e15), json!(u64::MAX)]),
+        "route_type": pick(rng, &["idempotent", "non_idempotent", "streaming"]),
+        "timeout_ms": pick(rng, &[json!(1), json!(3000), json!(8000.0), json!(9e15), json!(u64::MAX)]),
     });
-    match dice.below(4) {
+    match rng.below(4) {
         0 => item["service"] = json!(one),
         1 => {
             item["traffic_split"] = json!([{"service": one, "weight": u64::MAX}, {"service": two, "weight": u64::MAX}])
@@ -64,63 +64,62 @@
             item["traffic_split"] = json!([{"service": two, "weight": 90}, {"service": two, "weight": 10.0}]);
         }
     }
-    if dice.below(2) == 0 {
-        item["retry_count"] = json!(dice.below(4));
+    if rng.below(2) == 0 {
+        item["retry_count"] = json!(rng.below(4));
         item["gap_target_ms"] = json!(250);
         item["resumable"] = json!(true);
         item["allowed_regions"] = json!(["south"]);
     }
-    varied(dice, item)
+    varied(rng, item)
 }
 
-pub fn service(dice: &mut Rng, number: u64) -> Value {
+pub fn service(rng: &mut Rng, number: u64) -> Value {
     let mut item = json!({"name": format!("s{number}")});
-    if dice.below(2) == 0 {
-        item["max_connections"] = json!(dice.below(1000));
+    if rng.below(2) == 0 {
+        item["max_connections"] = json!(rng.below(1000));
         item["ramp_per_s"] = json!(8.5);
         item["engine"] = json!({"slot_count": 16, "kv_hold_s": 5, "model_list": [{"name": "m", "adapter_list": []}]});
     }
-    varied(dice, item)
+    varied(rng, item)
 }
 
-pub fn tenant(dice: &mut Rng, number: u64) -> Value {
-    let keys: Vec<String> = (0..dice.below(4)).map(|key| format!("{KEY}{number}-{key}")).collect();
-    let item =
-        json!({"name": format!("t{number}"), "api_keys": keys, "rate_per_s": dice.below(100), "burst_size": 1.5});
-    varied(dice, item)
+pub fn tenant(rng: &mut Rng, number: u64) -> Value {
+    let keys: Vec<String> = (0..rng.below(4)).map(|key| format!("{KEY}{number}-{key}")).collect();
+    let item = json!({"name": format!("t{number}"), "api_keys": keys, "rate_per_s": rng.below(100), "burst_size": 1.5});
+    varied(rng, item)
 }
 
 /// A valid whole configuration.
-pub fn whole(dice: &mut Rng, revision: u64) -> Value {
-    let services = 1 + dice.below(4);
-    let routes = dice.below(8);
+pub fn full_config(rng: &mut Rng, revision: u64) -> Value {
+    let services = 1 + rng.below(4);
+    let routes = rng.below(8);
     let mut value = json!({
         "revision": revision,
-        "route_table": (0..routes).map(|number| route(dice, number, services)).collect::<Vec<_>>(),
-        "service_table": (0..services).map(|number| service(dice, number)).collect::<Vec<_>>(),
+        "route_table": (0..routes).map(|number| route(rng, number, services)).collect::<Vec<_>>(),
+        "service_table": (0..services).map(|number| service(rng, number)).collect::<Vec<_>>(),
     });
-    if dice.below(4) > 0 {
-        value["limits"] = json!({"max_header_bytes": 1 + dice.below(9), "idle_timeout_ms": 15000, "later": [1]});
+    if rng.below(4) > 0 {
+        value["limits"] = json!({"max_header_bytes": 1 + rng.below(9), "idle_timeout_ms": 15000, "later": [1]});
     }
-    if dice.below(2) == 0 {
-        let tenants = dice.below(4);
-        value["tenant_table"] = (0..tenants).map(|number| tenant(dice, number)).collect();
+    if rng.below(2) == 0 {
+        let tenants = rng.below(4);
+        value["tenant_table"] = (0..tenants).map(|number| tenant(rng, number)).collect();
     }
-    if dice.below(4) == 0 {
+    if rng.below(4) == 0 {
         value["later_table"] = json!([{"name": "x", "y": 1}, {"no_name": true}]);
     }
     value
 }
 
 /// The same value with spaces, line ends and escapes where JSON allows them.
-pub fn spaced(dice: &mut Rng, value: &Value) -> String {
-    let text = if dice.below(2) == 0 { serde_json::to_string_pretty(value) } else { serde_json::to_string(value) };
+pub fn with_whitespace(rng: &mut Rng, value: &Value) -> String {
+    let text = if rng.below(2) == 0 { serde_json::to_string_pretty(value) } else { serde_json::to_string(value) };
     let text = text.expect("a text").replace("\"name\"", "\"n\\u0061me\"");
-    format!("{}{text}{}", pick(dice, &["", " ", "\r\n\t"]), pick(dice, &["", "\n", "   "]))
+    format!("{}{text}{}", pick(rng, &["", " ", "\r\n\t"]), pick(rng, &["", "\n", "   "]))
 }
 
 /// Why a text is refused.
-pub fn refused_text(text: &str) -> ConfigError {
+pub fn rejection(text: &str) -> ConfigError {
     let error = read(text).expect_err("must be refused");
     assert!((400..500).contains(&error.status()));
     assert!(!error.to_string().contains(KEY), "a key in an error: {error}");
@@ -128,15 +127,15 @@
 }
 
 /// Why the valid one is refused once it is changed.
-pub fn refused(change: impl FnOnce(&mut Value)) -> String {
-    let mut value = good();
+pub fn rejected(change: impl FnOnce(&mut Value)) -> String {
+    let mut value = valid();
     change(&mut value);
-    refused_text(&value.to_string()).to_string()
+    rejection(&value.to_string()).to_string()
 }
 
 /// The valid one, changed, which is valid still.
-pub fn taken(change: impl FnOnce(&mut Value)) -> Config {
-    let mut value = good();
+pub fn accepted(change: impl FnOnce(&mut Value)) -> Config {
+    let mut value = valid();
     change(&mut value);
     let text = value.to_string();
     let checked = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error}"));
