--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -4,10 +4,12 @@
 //! the rules for configurations, `patch` reads a change of named items and `apply` makes it. `ConfigDocument` keeps the text and
 //! the value together.
 mod apply;
+mod bounds;
 mod check;
 mod decode;
 mod document;
 mod error;
+mod field_names;
 mod host;
 mod json;
 mod merge;
@@ -15,15 +17,13 @@
 mod patch;
 mod values;
 
+pub use bounds::MAX_TEXT_BYTES;
 pub use document::ConfigDocument;
 pub use error::{ConfigError, ConfigErrorKind, Item, Syntax};
 pub use host::without_port;
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 pub use patch::ConfigPatch;
 
-/// The longest text of a whole configuration: what is longer could not be stored and delivered.
-pub const MAX_TEXT_BYTES: usize = 8 * 1024 * 1024;
-
 /// Reads a whole configuration as an operator sends it.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
     ConfigDocument::parse(text).map(ConfigDocument::into_config)
--- a/protocol/src/config/decode.rs
+++ b/protocol/src/config/decode.rs
@@ -4,16 +4,11 @@
 //! the protocol may have more. Numbers beyond what a type holds are held as its largest where no request can tell.
 
 use super::error::{ConfigError, ConfigErrorKind, Item};
+use super::field_names::{FIELDS, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
 use super::host;
 use super::json::{Json, Number};
 use super::model::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
-use super::values::{duration, flag, list, number, object, present, small, text, whole, Fields, Mismatch, FIELDS};
-
-pub const ROUTES: &str = "route_table";
-pub const SERVICES: &str = "service_table";
-pub const TENANTS: &str = "tenant_table";
-pub const LIMITS: &str = "limits";
-pub const REVISION: &str = "revision";
+use super::values::{duration, flag, list, number, object, present, small, text, whole, Fields, Mismatch};
 
 /// Must everything be there that the protocol names, or is it a configuration that was committed before?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +20,7 @@
 }
 
 pub fn config(value: &Json, strictness: Strictness) -> Result<Config, ConfigError> {
-    let Json::Object(fields) = value else { return Err(not_a(Item::Body, "an object")) };
+    let Json::Object(fields) = value else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
     let mut config = Config::default();
     let (mut routes, mut services) = (None, None);
     for (name, value) in present(fields) {
@@ -57,7 +52,7 @@
 pub fn revision(value: &Json) -> Result<u64, ConfigError> {
     match value {
         Json::Number(Number::Whole(number)) => Ok(*number),
-        _ => Err(not_a(Item::Field(REVISION.into()), "a whole number from 1")),
+        _ => Err(ConfigError::invalid_item(Item::Field(REVISION.into()), "a whole number from 1")),
     }
 }
 
@@ -67,12 +62,14 @@
     value: &Json,
     read: fn(&Fields, Item) -> Result<T, ConfigError>,
 ) -> Result<Vec<T>, ConfigError> {
-    let Json::List(items) = value else { return Err(not_a(Item::Field(name.into()), "a list of items")) };
+    let Json::List(items) = value else {
+        return Err(ConfigError::invalid_item(Item::Field(name.into()), "a list of items"));
+    };
     let entry = |(index, item): (usize, &Json)| {
         let place = Item::Entry { table: name.into(), index };
         match item {
             Json::Object(fields) => read(fields, place),
-            _ => Err(not_a(place, "an object")),
+            _ => Err(ConfigError::invalid_item(place, "an object")),
         }
     };
     items.iter().enumerate().map(entry).collect()
@@ -190,7 +187,9 @@
 }
 
 pub fn limits(value: &Json) -> Result<Limits, ConfigError> {
-    let Json::Object(fields) = value else { return Err(not_a(Item::Field(LIMITS.into()), "an object")) };
+    let Json::Object(fields) = value else {
+        return Err(ConfigError::invalid_item(Item::Field(LIMITS.into()), "an object"));
+    };
     let mut limits = Limits::default();
     each(fields, &Item::Field(LIMITS.into()), |field, value| {
         match field {
@@ -220,7 +219,3 @@
     }
     Ok(())
 }
-
-pub fn not_a(item: Item, expected: &'static str) -> ConfigError {
-    ConfigError { item, kind: ConfigErrorKind::InvalidItem { expected } }
-}
--- a/protocol/src/config/document.rs
+++ b/protocol/src/config/document.rs
@@ -1,10 +1,12 @@
 //! A configuration as text and as a value, which always agree: the one form in which it is judged, stored and delivered.
 
+use super::apply::{self, Patched};
+use super::bounds::MAX_TEXT_BYTES;
 use super::decode::{self, Strictness};
 use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::model::Config;
 use super::patch::ConfigPatch;
-use super::{apply, check, json, MAX_TEXT_BYTES};
+use super::{check, json};
 
 /// Invariants: `config` is what `text` says, both come from one reading; a value made by `read` or `patched` passed
 /// every check.
@@ -17,7 +19,7 @@
 impl ConfigDocument {
     /// Reads a whole configuration as an operator sends it.
     pub fn parse(text: &str) -> Result<ConfigDocument, ConfigError> {
-        bounded(text)?;
+        check_length(text)?;
         let config = decode::config(&json::parse(text)?, Strictness::Operator)?;
         check::config(&config)?;
         Ok(ConfigDocument { text: text.into(), config })
@@ -30,22 +32,26 @@
         Ok(ConfigDocument { text: text.into(), config })
     }
 
-    /// With a change of named items made, and checked.
+    /// Returns this configuration with a patch applied.
+    ///
+    /// # Errors
+    ///
+    /// When the patch does not fit this configuration, or when its result is too long or invalid.
     pub fn apply(&self, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
-        let next = apply::apply(self, patch)?;
-        bounded(&next.text)?;
+        let next = self.apply_committed(patch)?;
+        check_length(&next.text)?;
         check::config(&next.config)?;
         Ok(next)
     }
 
-    /// With a change made that was checked before it was committed.
+    /// Returns this configuration with a patch applied that was checked before it was committed.
+    ///
+    /// # Errors
+    ///
+    /// When the patch does not fit this configuration.
     pub fn apply_committed(&self, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
-        apply::apply(self, patch)
-    }
-
-    /// The caller made both of the same parts.
-    pub(super) fn together(text: String, config: Config) -> ConfigDocument {
-        ConfigDocument { text, config }
+        let Patched { text, config } = apply::apply(&self.text, &self.config, patch)?;
+        Ok(ConfigDocument { text, config })
     }
 
     pub fn text(&self) -> &str {
@@ -65,7 +71,7 @@
     }
 }
 
-fn bounded(text: &str) -> Result<(), ConfigError> {
+fn check_length(text: &str) -> Result<(), ConfigError> {
     if text.len() > MAX_TEXT_BYTES {
         return Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooLong { bytes: text.len() } });
     }
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -3,7 +3,7 @@
 
 use std::error;
 
-use super::MAX_TEXT_BYTES;
+use super::bounds::MAX_TEXT_BYTES;
 
 /// How many characters of a name are shown.
 const SHOWN: usize = 80;
@@ -98,6 +98,11 @@
         ConfigError { item: Item::Body, kind: ConfigErrorKind::NoBaseConfig }
     }
 
+    /// An item is something else than it must be.
+    pub(super) fn invalid_item(item: Item, expected: &'static str) -> ConfigError {
+        ConfigError { item, kind: ConfigErrorKind::InvalidItem { expected } }
+    }
+
     /// The status of the answer to whoever sent it.
     pub fn status(&self) -> u16 {
         match self.kind {
--- a/protocol/src/config/json.rs
+++ b/protocol/src/config/json.rs
@@ -9,14 +9,10 @@
 use serde::de::{self, DeserializeSeed, MapAccess, SeqAccess, Visitor};
 use serde_json::de::StrRead;
 
+use super::bounds::{MAX_DEPTH, MAX_VALUES};
 use super::error::{ConfigError, ConfigErrorKind, Item, Syntax};
-use super::values::FIELDS;
+use super::field_names::shown;
 
-/// How deep objects and lists may be nested: far more than any configuration, and far less than a stack holds.
-const DEEPEST: usize = 64;
-/// How many values one text may hold: a configuration of the longest text has fewer, and more would not fit into the
-/// memory of a small machine.
-const MOST_VALUES: usize = 1_000_000;
 /// Objects with more fields than this are searched for doubled ones by a set.
 const FEW_FIELDS: usize = 24;
 
@@ -59,7 +55,7 @@
 
 fn parse_first(text: &str) -> Result<(Json<'_>, Rest<'_>), ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let bounds = Bounds { values: Cell::new(MOST_VALUES), too_deep: Cell::new(false) };
+    let bounds = Bounds { values: Cell::new(MAX_VALUES), too_deep: Cell::new(false) };
     let seed = Seed { bounds: &bounds, depth: 0 };
     match DeserializeSeed::deserialize(seed, &mut deserializer) {
         Ok(value) => Ok((value, deserializer)),
@@ -92,7 +88,7 @@
 
 impl Seed<'_> {
     fn nested<E: de::Error>(self) -> Result<Self, E> {
-        if self.depth >= DEEPEST {
+        if self.depth >= MAX_DEPTH {
             self.bounds.too_deep.set(true);
             return Err(E::custom("too deep"));
         }
@@ -222,15 +218,6 @@
     format!("{first}{dot}{path}")
 }
 
-/// Only fields of configurations are named in errors: what else stands there may be a key.
-pub fn shown(name: &str) -> &str {
-    if FIELDS.contains(&name) {
-        name
-    } else {
-        "?"
-    }
-}
-
 fn doubled_name<'a>(fields: &'a [(Cow<str>, Json)]) -> Option<&'a str> {
     if fields.len() > FEW_FIELDS {
         let mut seen = HashSet::with_capacity(fields.len());
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 
-use super::values::LONGEST_MS;
+use super::bounds::LONGEST_MS;
 use super::{read, ConfigError, ConfigErrorKind, Item, Limits, Syntax, MAX_TEXT_BYTES};
 use crate::testing::samples::{accepted, rejected, rejection, valid};
 
--- a/protocol/src/config/patch.rs
+++ b/protocol/src/config/patch.rs
@@ -1,34 +1,32 @@
-//! A change of named items, as an operator sends it.
+//! A patch: a change of named items of a configuration, as an operator sends it.
 
 use std::collections::HashSet;
 
-use super::decode::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
+use super::decode;
 use super::error::{ConfigError, ConfigErrorKind, Item};
+use super::field_names::{self, LIMITS, REVISION, ROUTES, SERVICES, TENANTS, UPSERT, WITHDRAW};
 use super::json::{self, Json};
-use super::merge::{raw_items, RawObject};
+use super::merge::{raw_items, RawFields, RawObject};
 use super::model::{Route, Service, Tenant};
 use super::values::Fields;
 
-pub(super) const UPSERT: &str = "upsert";
-const WITHDRAW: &str = "withdraw";
-
-/// What is to become of a table. Items stay as the operator wrote them.
+/// What a patch does to one table. Items stay as the operator wrote them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TableChange {
     pub(super) name: String,
     pub(super) withdrawn: Vec<String>,
-    /// Name and text.
-    pub(super) upserts: Vec<(String, String)>,
+    /// The items that are added or replaced: their names and texts.
+    pub(super) upserts: RawFields,
 }
 
-/// Fields of an object that are replaced: names and texts.
+/// What a patch does to one object: fields that are added or replaced.
 #[derive(Clone, Debug)]
 pub(super) struct ObjectChange {
     pub(super) name: String,
-    pub(super) fields: Vec<(String, String)>,
+    pub(super) fields: RawFields,
 }
 
-/// A change that was read. Invariants: no table is named twice, nor an item twice among the upserts of a table; the typed
+/// A parsed patch. Invariants: no table is named twice, nor an item twice among the upserts of a table; the typed
 /// items are those of `tables`, in their order.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigPatch {
@@ -41,11 +39,15 @@
 }
 
 impl ConfigPatch {
-    /// Reads a change as an operator sends it. Whether its result is valid shows only on top of a configuration.
+    /// Parses a patch as an operator sends it. Whether its result is valid shows only when it is applied.
+    ///
+    /// # Errors
+    ///
+    /// When the text is not strict JSON, or holds something else than a patch; the error names the item.
     pub fn parse(text: &str) -> Result<ConfigPatch, ConfigError> {
         let value = json::parse(text)?;
-        let Json::Object(fields) = &value else { return Err(decode::not_a(Item::Body, "an object")) };
-        let Some(raw) = RawObject::read(text) else { return Err(decode::not_a(Item::Body, "an object")) };
+        let Json::Object(fields) = &value else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
+        let Some(raw) = RawObject::read(text) else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
         let mut patch = ConfigPatch::default();
         for (name, value) in fields {
             let raw = raw.get(name).unwrap_or_default();
@@ -53,9 +55,12 @@
                 REVISION => patch.revision = decode::revision(value)?,
                 UPSERT => patch.read_upserts(value, raw)?,
                 WITHDRAW => patch.read_withdrawals(value)?,
-                // A whole configuration, whose items would change nothing.
+                // Fields of a whole configuration: as parts of a patch they would change nothing.
                 ROUTES | SERVICES | TENANTS | LIMITS => {
-                    return Err(decode::not_a(Item::Field(name.to_string()), "part of a change of named items"));
+                    return Err(ConfigError::invalid_item(
+                        Item::Field(name.to_string()),
+                        "part of a change of named items",
+                    ));
                 }
                 _ => {}
             }
@@ -65,7 +70,9 @@
 
     fn read_upserts(&mut self, value: &Json, raw: &str) -> Result<(), ConfigError> {
         let Some(tables) = object(UPSERT, value)? else { return Ok(()) };
-        let Some(raw) = RawObject::read(raw) else { return Err(decode::not_a(part(UPSERT, ""), "an object")) };
+        let Some(raw) = RawObject::read(raw) else {
+            return Err(ConfigError::invalid_item(part(UPSERT, ""), "an object"));
+        };
         for (table, value) in tables {
             let raw = raw.get(table).unwrap_or_default();
             match (table.as_ref(), value) {
@@ -79,11 +86,11 @@
                     self.read_fields(table, raw)?;
                 }
                 (ROUTES | SERVICES | TENANTS | LIMITS | REVISION, _) => {
-                    return Err(decode::not_a(part(UPSERT, table), "what the configuration holds there"));
+                    return Err(ConfigError::invalid_item(part(UPSERT, table), "what the configuration holds there"));
                 }
                 (_, Json::List(items)) => self.read_items(table, items, raw)?,
                 (_, Json::Object(_)) => self.read_fields(table, raw)?,
-                _ => return Err(decode::not_a(part(UPSERT, table), "a list of items")),
+                _ => return Err(ConfigError::invalid_item(part(UPSERT, table), "a list of items")),
             }
         }
         Ok(())
@@ -102,7 +109,7 @@
         let mut names = HashSet::new();
         for (index, (item, raw)) in items.iter().zip(raw_items(raw).unwrap_or_default()).enumerate() {
             let entry = || Item::Entry { table: path(UPSERT, table), index };
-            let Json::Object(fields) = item else { return Err(decode::not_a(entry(), "an object")) };
+            let Json::Object(fields) = item else { return Err(ConfigError::invalid_item(entry(), "an object")) };
             let Some(name) = decode::name(fields) else {
                 return Err(ConfigError { item: entry(), kind: ConfigErrorKind::MissingField { field: "name" } });
             };
@@ -115,16 +122,17 @@
     }
 
     fn read_fields(&mut self, table: &str, raw: &str) -> Result<(), ConfigError> {
-        let Some(raw) = RawObject::read(raw) else { return Err(decode::not_a(part(UPSERT, table), "an object")) };
-        let fields = raw.0.iter().map(|(name, raw)| (name.to_string(), raw.get().to_string())).collect();
-        self.objects.push(ObjectChange { name: table.into(), fields });
+        let Some(raw) = RawObject::read(raw) else {
+            return Err(ConfigError::invalid_item(part(UPSERT, table), "an object"));
+        };
+        self.objects.push(ObjectChange { name: table.into(), fields: raw.to_raw_fields() });
         Ok(())
     }
 
     fn read_withdrawals(&mut self, value: &Json) -> Result<(), ConfigError> {
         let Some(tables) = object(WITHDRAW, value)? else { return Ok(()) };
         for (table, names) in tables {
-            let fail = || decode::not_a(part(WITHDRAW, table), "a list of names of items");
+            let fail = || ConfigError::invalid_item(part(WITHDRAW, table), "a list of names of items");
             let names = match (table.as_ref(), names) {
                 (LIMITS | REVISION, _) => return Err(fail()),
                 (_, Json::Null) => continue,
@@ -140,11 +148,11 @@
     }
 
     fn table(&mut self, name: &str) -> &mut TableChange {
-        let place = self.tables.iter().position(|table| table.name == name).unwrap_or_else(|| {
+        let position = self.tables.iter().position(|table| table.name == name).unwrap_or_else(|| {
             self.tables.push(TableChange { name: name.into(), ..TableChange::default() });
             self.tables.len() - 1
         });
-        &mut self.tables[place]
+        &mut self.tables[position]
     }
 
     pub(super) fn withdrawn(&self, name: &str) -> &[String] {
@@ -153,17 +161,17 @@
     }
 }
 
-/// The fields of a part of the change; None where it is null.
+/// Returns the fields of a part of the patch, or `None` where it is null.
 fn object<'a>(name: &str, value: &'a Json<'a>) -> Result<Option<&'a Fields<'a>>, ConfigError> {
     match value {
         Json::Object(fields) => Ok(Some(fields)),
         Json::Null => Ok(None),
-        _ => Err(decode::not_a(Item::Field(name.into()), "an object")),
+        _ => Err(ConfigError::invalid_item(Item::Field(name.into()), "an object")),
     }
 }
 
 fn path(part: &str, table: &str) -> String {
-    format!("{part}.{}", json::shown(table))
+    format!("{part}.{}", field_names::shown(table))
 }
 
 pub(super) fn part(part: &str, table: &str) -> Item {
--- a/protocol/src/config/values.rs
+++ b/protocol/src/config/values.rs
@@ -3,59 +3,9 @@
 
 use std::borrow::Cow;
 
+use super::bounds::LONGEST_MS;
 use super::json::{Json, Number};
 
-/// Names of fields, which may be shown in errors.
-pub const FIELDS: &[&str] = &[
-    "adapter_list",
-    "allowed_regions",
-    "anonymous",
-    "api_keys",
-    "burst_size",
-    "engine",
-    "gap_target_ms",
-    "header_timeout_ms",
-    "health_path",
-    "hostname",
-    "idle_timeout_ms",
-    "kv_capacity",
-    "kv_hold_s",
-    "kv_token_bytes",
-    "limits",
-    "link_mbps",
-    "max_body_bytes",
-    "max_connections",
-    "max_header_bytes",
-    "model_list",
-    "name",
-    "path_prefix",
-    "persistent",
-    "priority",
-    "protocol",
-    "ramp_per_s",
-    "rate_per_s",
-    "resumable",
-    "retry_count",
-    "revision",
-    "role_switch_s",
-    "route_table",
-    "route_type",
-    "service",
-    "service_table",
-    "slot_count",
-    "stride",
-    "target_ms",
-    "tenant_table",
-    "timeout_ms",
-    "traffic_split",
-    "upsert",
-    "weight",
-    "withdraw",
-];
-
-/// The longest time, ten years: what is longer can't be told from it, and sums of times never overflow.
-pub const LONGEST_MS: u64 = 10 * 365 * 24 * 3600 * 1000;
-
 /// The fields of an object.
 pub type Fields<'a> = [(Cow<'a, str>, Json<'a>)];
 
