--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -1,8 +1,9 @@
-//! The operator's configuration: read once into a typed and checked value, which is what is stored and delivered.
+//! The operator's configuration: parsed once into a typed and checked value, which is what is stored and delivered.
 //!
-//! `json` parses strictly, `decode` and `values` bring JSON into the types of `model`, `check` holds the value against
-//! the rules for configurations, `patch` reads a change of named items and `apply` makes it. `ConfigDocument` keeps the text and
-//! the value together.
+//! `json` parses strictly, `decode` and `values` turn JSON into the types of `model`, and `check` applies the rules for
+//! configurations. `patch` parses a change of named items and `apply` applies it to text and value. `ConfigDocument`
+//! keeps the two together.
+
 mod apply;
 mod bounds;
 mod check;
@@ -24,7 +25,11 @@
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 pub use patch::ConfigPatch;
 
-/// Reads a whole configuration as an operator sends it.
+/// Parses and checks a whole configuration as an operator sends it.
+///
+/// # Errors
+///
+/// As [`ConfigDocument::parse`].
 pub fn read(text: &str) -> Result<Config, ConfigError> {
     ConfigDocument::parse(text).map(ConfigDocument::into_config)
 }
--- a/protocol/src/config/check.rs
+++ b/protocol/src/config/check.rs
@@ -1,12 +1,19 @@
-//! Whether the items of a configuration fit together. Each check rests on a sentence of the protocol, told in our words
-//! beside it; what these leave open stands in `docs/questions.md`.
+//! Checks that the items of a configuration fit together. Each check rests on a sentence of the published protocol, which
+//! the comment beside it repeats in our words; what these leave open is listed in `docs/questions.md`.
+
+use std::collections::{HashMap, HashSet};
+
 use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::model::{Config, Route, Service, Tenant};
-use std::collections::{HashMap, HashSet};
 
-/// The kinds of routes that the protocol tells how to serve.
+/// The types of routes that the protocol defines.
 const ROUTE_TYPES: [&str; 3] = ["idempotent", "non_idempotent", "streaming"];
 
+/// Checks a whole configuration.
+///
+/// # Errors
+///
+/// Returns the first item that does not fit.
 pub fn config(config: &Config) -> Result<(), ConfigError> {
     // A configuration carries its revision, which must be above the current one, and that is 0 before the first.
     if config.revision == 0 {
@@ -20,13 +27,13 @@
 fn services(table: &[Service]) -> Result<HashSet<&str>, ConfigError> {
     let mut names = HashSet::with_capacity(table.len());
     for (index, service) in table.iter().enumerate() {
-        let fail = fail(Item::Service, &service.name);
-        name("service_table", index, &service.name)?;
+        let fail = error_of(Item::Service, &service.name);
+        require_name("service_table", index, &service.name)?;
         if !names.insert(service.name.as_str()) {
             return Err(fail(ConfigErrorKind::DuplicateName));
         }
         let engine = service.engine.iter();
-        let of_engine = engine.flat_map(|engine| {
+        let engine_numbers = engine.flat_map(|engine| {
             [
                 ("kv_token_bytes", engine.kv_token_bytes),
                 ("link_mbps", engine.link_mbps),
@@ -35,7 +42,7 @@
             ]
         });
         let numbers = [("warmup_s", service.warmup_s), ("ramp_per_s", service.ramp_per_s)];
-        not_negative(numbers.into_iter().chain(of_engine)).map_err(&fail)?;
+        not_negative(numbers.into_iter().chain(engine_numbers)).map_err(&fail)?;
         // A request names the model that it wants.
         if service.engine.iter().flat_map(|engine| &engine.model_list).any(|model| model.name.is_empty()) {
             return Err(fail(ConfigErrorKind::InvalidField {
@@ -48,18 +55,18 @@
 }
 
 fn routes(table: &[Route], services: &HashSet<&str>) -> Result<(), ConfigError> {
-    let mut places: HashMap<(&str, &str), &str> = HashMap::with_capacity(table.len());
+    let mut matches: HashMap<(&str, &str), &str> = HashMap::with_capacity(table.len());
     let mut names = HashSet::with_capacity(table.len());
     for (index, route) in table.iter().enumerate() {
-        let fail = fail(Item::Route, &route.name);
-        name("route_table", index, &route.name)?;
+        let fail = error_of(Item::Route, &route.name);
+        require_name("route_table", index, &route.name)?;
         if !names.insert(route.name.as_str()) {
             return Err(fail(ConfigErrorKind::DuplicateName));
         }
         one_route(route, services).map_err(&fail)?;
         // Two routes that share host and prefix make it invalid.
-        let place = (route.hostname.as_str(), route.path_prefix.as_str());
-        if let Some(other) = places.insert(place, &route.name) {
+        let matched = (route.hostname.as_str(), route.path_prefix.as_str());
+        if let Some(other) = matches.insert(matched, &route.name) {
             return Err(fail(ConfigErrorKind::DuplicateMatch { other: other.into() }));
         }
     }
@@ -104,8 +111,8 @@
     let mut owners: HashMap<&str, &str> = HashMap::with_capacity(table.len());
     let mut names = HashSet::with_capacity(table.len());
     for (index, tenant) in table.iter().enumerate() {
-        let fail = fail(Item::Tenant, &tenant.name);
-        name("tenant_table", index, &tenant.name)?;
+        let fail = error_of(Item::Tenant, &tenant.name);
+        require_name("tenant_table", index, &tenant.name)?;
         if !names.insert(tenant.name.as_str()) {
             return Err(fail(ConfigErrorKind::DuplicateName));
         }
@@ -126,8 +133,8 @@
     Ok(())
 }
 
-/// Items are named: a change of named items could not reach one without a name.
-fn name(table: &str, index: usize, name: &str) -> Result<(), ConfigError> {
+/// Requires a name: a patch could not reach an item without one.
+fn require_name(table: &str, index: usize, name: &str) -> Result<(), ConfigError> {
     if name.is_empty() {
         let item = Item::Entry { table: table.into(), index };
         return Err(ConfigError { item, kind: ConfigErrorKind::MissingField { field: "name" } });
@@ -135,7 +142,7 @@
     Ok(())
 }
 
-/// Rates, times and sizes: less than none of them cannot be served.
+/// Requires numbers from 0: rates, times and sizes below that cannot be served.
 fn not_negative(mut numbers: impl Iterator<Item = (&'static str, f64)>) -> Result<(), ConfigErrorKind> {
     match numbers.find(|(_, number)| *number < 0.0) {
         Some((field, _)) => Err(ConfigErrorKind::InvalidField { field, expected: "a number from 0" }),
@@ -143,6 +150,7 @@
     }
 }
 
-fn fail<'a>(item: fn(String) -> Item, name: &'a str) -> impl Fn(ConfigErrorKind) -> ConfigError + 'a {
+/// Returns what makes an error about the item of this name.
+fn error_of<'a>(item: fn(String) -> Item, name: &'a str) -> impl Fn(ConfigErrorKind) -> ConfigError + 'a {
     move |kind| ConfigError { item: item(name.into()), kind }
 }
--- a/protocol/src/config/decode.rs
+++ b/protocol/src/config/decode.rs
@@ -1,24 +1,25 @@
-//! From JSON to the types of `model`: shapes and ranges. What the values mean to each other is checked in `check`.
+//! Decodes JSON into the types of `model`: shapes and ranges. How the values fit together is checked in `check`.
 //!
-//! A field that is null counts as one that is not there; fields that are not known are passed over, as later versions of
-//! the protocol may have more. Numbers beyond what a type holds are held as its largest where no request can tell.
+//! A field that is null counts as missing; unknown fields are ignored, as later versions of the protocol may have more.
+//! A number beyond what a type holds becomes its largest where no request can tell the difference.
 
 use super::error::{ConfigError, ConfigErrorKind, Item};
 use super::field_names::{FIELDS, LIMITS, REVISION, ROUTES, SERVICES, TENANTS};
 use super::host;
 use super::json::{Json, Number};
 use super::model::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
-use super::values::{duration, flag, list, number, object, present, small, text, whole, Fields, Mismatch};
+use super::values::{boolean, duration, list, number, object, present, text, unsigned, unsigned_32, Fields, Mismatch};
 
-/// Must everything be there that the protocol names, or is it a configuration that was committed before?
+/// Whether everything that the protocol names must be there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strictness {
-    /// As an operator sends it: the tables must be there.
+    /// For a configuration as an operator sends it: the tables must be there.
     Operator,
-    /// Versions before took a missing table for an empty one.
+    /// For a committed configuration: earlier versions accepted a missing table as an empty one.
     Committed,
 }
 
+/// Decodes a whole configuration.
 pub fn config(value: &Json, strictness: Strictness) -> Result<Config, ConfigError> {
     let Json::Object(fields) = value else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
     let mut config = Config::default();
@@ -48,15 +49,15 @@
     Ok(config)
 }
 
-/// A revision is a whole number, written as one.
+/// Decodes a revision: a whole number that is written as one.
 pub fn revision(value: &Json) -> Result<u64, ConfigError> {
     match value {
-        Json::Number(Number::Whole(number)) => Ok(*number),
+        Json::Number(Number::Unsigned(number)) => Ok(*number),
         _ => Err(ConfigError::invalid_item(Item::Field(REVISION.into()), "a whole number from 1")),
     }
 }
 
-/// Reads the items of a table.
+/// Decodes the items of a table.
 pub fn table<T>(
     name: &str,
     value: &Json,
@@ -65,17 +66,17 @@
     let Json::List(items) = value else {
         return Err(ConfigError::invalid_item(Item::Field(name.into()), "a list of items"));
     };
-    let entry = |(index, item): (usize, &Json)| {
-        let place = Item::Entry { table: name.into(), index };
+    let read_entry = |(index, item): (usize, &Json)| {
+        let entry = Item::Entry { table: name.into(), index };
         match item {
-            Json::Object(fields) => read(fields, place),
-            _ => Err(ConfigError::invalid_item(place, "an object")),
+            Json::Object(fields) => read(fields, entry),
+            _ => Err(ConfigError::invalid_item(entry, "an object")),
         }
     };
-    items.iter().enumerate().map(entry).collect()
+    items.iter().enumerate().map(read_entry).collect()
 }
 
-/// The name of an item, if it has one.
+/// Returns the name of an item, if it has one.
 pub fn name<'a>(fields: &'a Fields) -> Option<&'a str> {
     let field = fields.iter().rev().find(|(name, _)| name == "name");
     match field {
@@ -84,10 +85,11 @@
     }
 }
 
-pub fn route(fields: &Fields, place: Item) -> Result<Route, ConfigError> {
-    let item = name(fields).map_or(place, |name| Item::Route(name.into()));
+/// Decodes a route; `entry` names it in errors where it has no name.
+pub fn route(fields: &Fields, entry: Item) -> Result<Route, ConfigError> {
+    let item = name(fields).map_or(entry, |name| Item::Route(name.into()));
     let mut route = Route::default();
-    each(fields, &item, |field, value| {
+    each_field(fields, &item, |field, value| {
         match field {
             "name" => route.name = text(value)?,
             "hostname" => route.hostname = host::normal(&text(value)?),
@@ -95,15 +97,15 @@
             "route_type" => route.route_type = text(value)?,
             "timeout_ms" => route.timeout_ms = duration(value)?,
             "target_ms" => route.target_ms = duration(value)?,
-            "priority" => route.priority = small(value)?,
+            "priority" => route.priority = unsigned_32(value)?,
             "service" => route.service = Some(text(value)?),
             "traffic_split" => route.traffic_split = list(value, split)?,
-            "retry_count" => route.retry_count = small(value)?,
-            "persistent" => route.persistent = flag(value)?,
-            "resumable" => route.resumable = flag(value)?,
+            "retry_count" => route.retry_count = unsigned_32(value)?,
+            "persistent" => route.persistent = boolean(value)?,
+            "resumable" => route.resumable = boolean(value)?,
             "gap_target_ms" => route.gap_target_ms = duration(value)?,
             "allowed_regions" => route.allowed_regions = list(value, text)?,
-            "anonymous" => route.anonymous = flag(value)?,
+            "anonymous" => route.anonymous = boolean(value)?,
             _ => {}
         }
         Ok(())
@@ -116,21 +118,22 @@
     for (name, value) in present(object(value)?) {
         match name {
             "service" => split.service = text(value)?,
-            "weight" => split.weight = whole(value)?,
+            "weight" => split.weight = unsigned(value)?,
             _ => {}
         }
     }
     Ok(split)
 }
 
-pub fn service(fields: &Fields, place: Item) -> Result<Service, ConfigError> {
-    let item = name(fields).map_or(place, |name| Item::Service(name.into()));
+/// Decodes a service; `entry` names it in errors where it has no name.
+pub fn service(fields: &Fields, entry: Item) -> Result<Service, ConfigError> {
+    let item = name(fields).map_or(entry, |name| Item::Service(name.into()));
     let mut service = Service::default();
-    each(fields, &item, |field, value| {
+    each_field(fields, &item, |field, value| {
         match field {
             "name" => service.name = text(value)?,
             "health_path" => service.health_path = text(value)?,
-            "max_connections" => service.max_connections = small(value)?,
+            "max_connections" => service.max_connections = unsigned_32(value)?,
             "warmup_s" => service.warmup_s = number(value)?,
             "ramp_per_s" => service.ramp_per_s = number(value)?,
             "engine" => service.engine = Some(engine(value)?),
@@ -145,8 +148,8 @@
     let mut engine = Engine::default();
     for (name, value) in present(object(value)?) {
         match name {
-            "slot_count" => engine.slot_count = small(value)?,
-            "kv_capacity" => engine.kv_capacity = whole(value)?,
+            "slot_count" => engine.slot_count = unsigned_32(value)?,
+            "kv_capacity" => engine.kv_capacity = unsigned(value)?,
             "kv_token_bytes" => engine.kv_token_bytes = number(value)?,
             "link_mbps" => engine.link_mbps = number(value)?,
             "kv_hold_s" => engine.kv_hold_s = number(value)?,
@@ -168,14 +171,15 @@
     Ok(model)
 }
 
-pub fn tenant(fields: &Fields, place: Item) -> Result<Tenant, ConfigError> {
-    let item = name(fields).map_or(place, |name| Item::Tenant(name.into()));
+/// Decodes a tenant; `entry` names it in errors where it has no name.
+pub fn tenant(fields: &Fields, entry: Item) -> Result<Tenant, ConfigError> {
+    let item = name(fields).map_or(entry, |name| Item::Tenant(name.into()));
     let mut tenant = Tenant::default();
-    each(fields, &item, |field, value| {
+    each_field(fields, &item, |field, value| {
         match field {
             "name" => tenant.name = text(value)?,
             "api_keys" => tenant.api_keys = list(value, text)?,
-            "priority" => tenant.priority = Some(small(value)?),
+            "priority" => tenant.priority = Some(unsigned_32(value)?),
             "rate_per_s" => tenant.rate_per_s = number(value)?,
             "burst_size" => tenant.burst_size = number(value)?,
             "allowed_regions" => tenant.allowed_regions = list(value, text)?,
@@ -186,15 +190,16 @@
     Ok(tenant)
 }
 
+/// Decodes the limits on what clients may send.
 pub fn limits(value: &Json) -> Result<Limits, ConfigError> {
     let Json::Object(fields) = value else {
         return Err(ConfigError::invalid_item(Item::Field(LIMITS.into()), "an object"));
     };
     let mut limits = Limits::default();
-    each(fields, &Item::Field(LIMITS.into()), |field, value| {
+    each_field(fields, &Item::Field(LIMITS.into()), |field, value| {
         match field {
-            "max_header_bytes" => limits.max_header_bytes = whole(value)?,
-            "max_body_bytes" => limits.max_body_bytes = whole(value)?,
+            "max_header_bytes" => limits.max_header_bytes = unsigned(value)?,
+            "max_body_bytes" => limits.max_body_bytes = unsigned(value)?,
             "header_timeout_ms" => limits.header_timeout_ms = duration(value)?,
             "idle_timeout_ms" => limits.idle_timeout_ms = duration(value)?,
             _ => {}
@@ -204,15 +209,15 @@
     Ok(limits)
 }
 
-/// Reads each field that is there; an error names the item and the field.
-fn each(
+/// Passes each field that is there to `read`; an error names the item and the field.
+fn each_field(
     fields: &Fields,
     item: &Item,
     mut read: impl FnMut(&str, &Json) -> Result<(), Mismatch>,
 ) -> Result<(), ConfigError> {
     for (name, value) in present(fields) {
         read(name, value).map_err(|Mismatch(expected)| {
-            // Only fields that are read can fail.
+            // Only known fields are decoded, so only they can fail.
             let field = FIELDS.iter().find(|known| **known == name).copied().unwrap_or("a field");
             ConfigError { item: item.clone(), kind: ConfigErrorKind::InvalidField { field, expected } }
         })?;
--- a/protocol/src/config/document.rs
+++ b/protocol/src/config/document.rs
@@ -1,4 +1,4 @@
-//! A configuration as text and as a value, which always agree: the one form in which it is judged, stored and delivered.
+//! A configuration as text and as a value, which always agree: the one form in which it is checked, stored and delivered.
 
 use super::apply::{self, Patched};
 use super::bounds::MAX_TEXT_BYTES;
@@ -8,8 +8,8 @@
 use super::patch::ConfigPatch;
 use super::{check, json};
 
-/// Invariants: `config` is what `text` says, both come from one reading; a value made by `read` or `patched` passed
-/// every check.
+/// A configuration as text and as a value. Invariants: `config` is what `text` says; a document made by
+/// [`parse`](ConfigDocument::parse) or [`apply`](ConfigDocument::apply) passed every check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigDocument {
     text: String,
@@ -17,7 +17,11 @@
 }
 
 impl ConfigDocument {
-    /// Reads a whole configuration as an operator sends it.
+    /// Parses and checks a whole configuration as an operator sends it.
+    ///
+    /// # Errors
+    ///
+    /// When the text is too long, no strict JSON, or no valid configuration; the error names the item.
     pub fn parse(text: &str) -> Result<ConfigDocument, ConfigError> {
         check_length(text)?;
         let config = decode::config(&json::parse(text)?, Strictness::Operator)?;
@@ -25,8 +29,12 @@
         Ok(ConfigDocument { text: text.into(), config })
     }
 
-    /// Reads one that was committed, maybe by an earlier version that checked less: it is in force, so it is held to its
-    /// form only. What stands behind its end was never served, and is passed over.
+    /// Parses a committed configuration, maybe of an earlier version that checked less. It is in force, so only its form
+    /// is checked; what stands behind its end was never served, and is ignored.
+    ///
+    /// # Errors
+    ///
+    /// When the text does not begin with a JSON object of the form of a configuration.
     pub fn parse_committed(text: &str) -> Result<ConfigDocument, ConfigError> {
         let config = decode::config(&json::parse_loosely(text)?, Strictness::Committed)?;
         Ok(ConfigDocument { text: text.into(), config })
@@ -54,18 +62,22 @@
         Ok(ConfigDocument { text, config })
     }
 
+    /// Returns the text as it was sent, or as a patch left it.
     pub fn text(&self) -> &str {
         &self.text
     }
 
+    /// Returns the value.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
+    /// Returns the value without the text.
     pub fn into_config(self) -> Config {
         self.config
     }
 
+    /// Returns the revision.
     pub fn revision(&self) -> u64 {
         self.config.revision
     }
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -1,17 +1,19 @@
-//! Why a configuration, or a change of one, is invalid. An error names the item and never holds a value of the body
-//! other than a name: any value may be a tenant's key.
+//! Why a configuration, or a patch of one, is invalid. An error names the item and never holds a value of the body other
+//! than a name: any value may be a tenant's key. Operators read the texts.
 
-use std::error;
+use std::{error, fmt};
 
 use super::bounds::MAX_TEXT_BYTES;
 
 /// How many characters of a name are shown.
-const SHOWN: usize = 80;
+const MAX_NAME_CHARS: usize = 80;
 
-/// What is wrong, and where.
+/// What is wrong with a configuration, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
+    /// The item that is invalid.
     pub item: Item,
+    /// What is wrong with it.
     pub kind: ConfigErrorKind,
 }
 
@@ -22,88 +24,119 @@
     Body,
     /// A field, by its path from the top.
     Field(String),
+    /// A route, by its name.
     Route(String),
+    /// A service, by its name.
     Service(String),
+    /// A tenant, by its name.
     Tenant(String),
     /// An item of a table that has no name to be called by.
     Entry {
+        /// The table, by its path from the top.
         table: String,
+        /// The position in the table, from 0.
         index: usize,
     },
 }
 
-/// How a text fails to be one JSON value.
+/// Why a text is not one JSON value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syntax {
     /// It ends too soon.
     UnexpectedEnd,
+    /// It is no JSON.
     Malformed,
-    /// Something stands behind the value.
+    /// More than white space follows the value.
     TrailingCharacters,
 }
 
 /// What is wrong with an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigErrorKind {
+    /// The text is not one JSON value.
     Syntax {
+        /// Why not.
         syntax: Syntax,
+        /// The line where the parser stopped, from 1.
         line: usize,
+        /// The column where the parser stopped.
         column: usize,
     },
+    /// Objects and lists are nested too deep.
     TooDeep,
+    /// The text holds too many values.
     TooManyValues,
+    /// The text is too long.
     TooLong {
+        /// Its length in bytes.
         bytes: usize,
     },
     /// A field is there twice.
     DuplicateField,
     /// A field is not there, or null.
     MissingField {
+        /// The field.
         field: &'static str,
     },
     /// A field holds something else than it must.
     InvalidField {
+        /// The field.
         field: &'static str,
+        /// What it must be.
         expected: &'static str,
     },
     /// The item itself is something else than it must be.
     InvalidItem {
+        /// What it must be.
         expected: &'static str,
     },
     /// Another item of its table has its name.
     DuplicateName,
+    /// A path prefix does not begin and end with a slash.
     InvalidPathPrefix,
+    /// The protocol does not define a route's type.
     UnknownRouteType,
+    /// A route's timeout is 0.
     ZeroTimeout,
+    /// Another route matches the same host and path prefix.
     DuplicateMatch {
+        /// That route's name.
         other: String,
     },
+    /// A route leads to no service.
     MissingService,
+    /// A route leads to a service that the configuration does not have.
     UnknownService {
+        /// That service's name.
         service: String,
     },
+    /// The weights of a traffic split sum to 0.
     ZeroWeights,
+    /// Another tenant has one of the keys.
     DuplicateKey {
+        /// That tenant's name.
         other: String,
     },
+    /// A tenant has an empty key.
     EmptyKey,
+    /// The revision is missing or 0.
     ZeroRevision,
-    /// A change builds on a configuration, and there is none.
+    /// A patch builds on a configuration, and there is none.
     NoBaseConfig,
 }
 
 impl ConfigError {
-    /// A change of named items came before the first configuration.
+    /// Returns the error of a patch that came before the first configuration.
     pub fn no_base_config() -> ConfigError {
         ConfigError { item: Item::Body, kind: ConfigErrorKind::NoBaseConfig }
     }
 
-    /// An item is something else than it must be.
+    /// Returns the error of an item that is something else than it must be.
     pub(super) fn invalid_item(item: Item, expected: &'static str) -> ConfigError {
         ConfigError { item, kind: ConfigErrorKind::InvalidItem { expected } }
     }
 
-    /// The status of the answer to whoever sent it.
+    /// Returns the HTTP status of the response to whoever sent the configuration.
     pub fn status(&self) -> u16 {
         match self.kind {
             ConfigErrorKind::TooLong { .. } | ConfigErrorKind::TooManyValues => 413,
@@ -112,14 +145,14 @@
     }
 }
 
-/// A name as it may be shown: bounded, and on one line.
+/// Returns a name as it may be shown: of bounded length, and on one line.
 fn shown(name: &str) -> String {
-    let cut: String = name.chars().take(SHOWN).collect();
+    let cut: String = name.chars().take(MAX_NAME_CHARS).collect();
     cut.escape_debug().collect()
 }
 
-impl std::fmt::Display for Item {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for Item {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Item::Body => out.write_str("body"),
             Item::Field(path) => out.write_str(&shown(path)),
@@ -131,8 +164,8 @@
     }
 }
 
-impl std::fmt::Display for Syntax {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for Syntax {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
             Syntax::UnexpectedEnd => "ends too soon",
             Syntax::Malformed => "not JSON",
@@ -141,8 +174,8 @@
     }
 }
 
-impl std::fmt::Display for ConfigErrorKind {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for ConfigErrorKind {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
             ConfigErrorKind::TooDeep => out.write_str("nested too deep"),
@@ -170,8 +203,8 @@
     }
 }
 
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for ConfigError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         write!(out, "{}: {}", self.item, self.kind)
     }
 }
--- a/protocol/src/config/json.rs
+++ b/protocol/src/config/json.rs
@@ -13,26 +13,34 @@
 use super::error::{ConfigError, ConfigErrorKind, Item, Syntax};
 use super::field_names::shown;
 
-/// Objects with more fields than this are searched for doubled ones by a set.
+/// Objects with more fields than this are searched for duplicates by a set.
 const FEW_FIELDS: usize = 24;
 
 /// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Json<'a> {
+    /// `null`.
     Null,
+    /// `true` or `false`.
     Bool(bool),
+    /// A number.
     Number(Number),
+    /// A string.
     Text(Cow<'a, str>),
+    /// An array.
     List(Vec<Json<'a>>),
-    /// Fields in the order of the text.
+    /// An object: its fields in the order of the text.
     Object(Vec<(Cow<'a, str>, Json<'a>)>),
 }
 
 /// A number as it was written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Number {
-    Whole(u64),
+    /// A whole number from 0.
+    Unsigned(u64),
+    /// A whole number below 0.
     Negative(i64),
+    /// A number with a fraction or an exponent, or one of more than 64 bits.
     Float(f64),
 }
 
@@ -40,13 +48,13 @@
 pub fn parse(text: &str) -> Result<Json<'_>, ConfigError> {
     let (value, mut rest) = parse_first(text)?;
     rest.end().map_err(|error| syntax(Syntax::TrailingCharacters, &error))?;
-    match doubled(&value) {
+    match duplicate_field(&value) {
         Some(path) => Err(ConfigError { item: Item::Field(path), kind: ConfigErrorKind::DuplicateField }),
         None => Ok(value),
     }
 }
 
-/// Parses the first value of a text, whatever stands behind it; of a doubled field the last one counts.
+/// Parses the first value of a text, whatever stands behind it; of a duplicate field the last one counts.
 pub fn parse_loosely(text: &str) -> Result<Json<'_>, ConfigError> {
     parse_first(text).map(|(value, _)| value)
 }
@@ -56,7 +64,7 @@
 fn parse_first(text: &str) -> Result<(Json<'_>, Rest<'_>), ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let bounds = Bounds { values: Cell::new(MAX_VALUES), too_deep: Cell::new(false) };
-    let seed = Seed { bounds: &bounds, depth: 0 };
+    let seed = ValueSeed { bounds: &bounds, depth: 0 };
     match DeserializeSeed::deserialize(seed, &mut deserializer) {
         Ok(value) => Ok((value, deserializer)),
         Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooDeep }),
@@ -68,7 +76,7 @@
     }
 }
 
-/// The words of the parser may hold a piece of the text, so only the place is kept of them.
+/// The parser's message may hold a piece of the text, which may be a key: only line and column are kept.
 fn syntax(syntax: Syntax, error: &serde_json::Error) -> ConfigError {
     let kind = ConfigErrorKind::Syntax { syntax, line: error.line(), column: error.column() };
     ConfigError { item: Item::Body, kind }
@@ -81,18 +89,18 @@
 }
 
 #[derive(Clone, Copy)]
-struct Seed<'b> {
+struct ValueSeed<'b> {
     bounds: &'b Bounds,
     depth: usize,
 }
 
-impl Seed<'_> {
+impl ValueSeed<'_> {
     fn nested<E: de::Error>(self) -> Result<Self, E> {
         if self.depth >= MAX_DEPTH {
             self.bounds.too_deep.set(true);
             return Err(E::custom("too deep"));
         }
-        Ok(Seed { depth: self.depth + 1, ..self })
+        Ok(ValueSeed { depth: self.depth + 1, ..self })
     }
 
     fn count<E: de::Error>(self) -> Result<(), E> {
@@ -105,7 +113,7 @@
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Seed<'_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
     type Value = Json<'de>;
 
     fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<Json<'de>, D::Error> {
@@ -114,7 +122,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Seed<'_> {
+impl<'de> Visitor<'de> for ValueSeed<'_> {
     type Value = Json<'de>;
 
     fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
@@ -130,11 +138,11 @@
     }
 
     fn visit_u64<E>(self, value: u64) -> Result<Json<'de>, E> {
-        Ok(Json::Number(Number::Whole(value)))
+        Ok(Json::Number(Number::Unsigned(value)))
     }
 
     fn visit_i64<E>(self, value: i64) -> Result<Json<'de>, E> {
-        Ok(Json::Number(u64::try_from(value).map_or(Number::Negative(value), Number::Whole)))
+        Ok(Json::Number(u64::try_from(value).map_or(Number::Negative(value), Number::Unsigned)))
     }
 
     fn visit_f64<E>(self, value: f64) -> Result<Json<'de>, E> {
@@ -195,18 +203,18 @@
     }
 }
 
-/// The path of the first field that an object holds twice, at any depth.
-fn doubled(value: &Json) -> Option<String> {
+/// Returns the path of the first field that an object holds twice, at any depth.
+fn duplicate_field(value: &Json) -> Option<String> {
     match value {
         Json::List(items) => {
-            let found = items.iter().enumerate().find_map(|(index, item)| Some((index, doubled(item)?)));
+            let found = items.iter().enumerate().find_map(|(index, item)| Some((index, duplicate_field(item)?)));
             found.map(|(index, path)| joined(&format!("[{index}]"), &path))
         }
         Json::Object(fields) => {
-            if let Some(name) = doubled_name(fields) {
+            if let Some(name) = duplicate_name(fields) {
                 return Some(shown(name).into());
             }
-            let found = fields.iter().find_map(|(name, field)| Some((name, doubled(field)?)));
+            let found = fields.iter().find_map(|(name, field)| Some((name, duplicate_field(field)?)));
             found.map(|(name, path)| joined(shown(name), &path))
         }
         _ => None,
@@ -218,7 +226,7 @@
     format!("{first}{dot}{path}")
 }
 
-fn doubled_name<'a>(fields: &'a [(Cow<str>, Json)]) -> Option<&'a str> {
+fn duplicate_name<'a>(fields: &'a [(Cow<str>, Json)]) -> Option<&'a str> {
     if fields.len() > FEW_FIELDS {
         let mut seen = HashSet::with_capacity(fields.len());
         return fields.iter().map(|(name, _)| name.as_ref()).find(|name| !seen.insert(*name));
--- a/protocol/src/config_update.rs
+++ b/protocol/src/config_update.rs
@@ -1,44 +1,53 @@
-//! A configuration as routers take it: whole, or what changed since another revision. The size of a
-//! change goes by what changed, not by the length of the configuration.
+//! A configuration as routers get it: whole, or what changed since another revision. The size of an update depends on
+//! what changed, not on the length of the configuration.
 //!
-//! The packed form tells its layout: `LAYOUT` stands before that of this version; without it the bytes are of the layout
-//! that routers without tenants read (`before_tenants`).
+//! The encoding is the archived update, compressed. `FORMAT` stands before that of this version; without it the bytes are
+//! in the format that routers without tenants read ([`legacy_format`]).
 
 use std::collections::{HashMap, HashSet};
 
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::config::{Config, Limits, Route, Service, Tenant};
 
 pub mod legacy_format;
 
-/// Before the packed form of this layout. Without it the bytes begin with their unpacked length, which is never so long.
-const LAYOUT: [u8; 4] = [b't', b'd', 2, 0xff];
-/// The longest unpacked form that is read: the longest configuration comes to a third of it.
-const UNPACKED_MOST: usize = 64 * 1024 * 1024;
+/// How an encoding in this format begins. One in the legacy format begins with its uncompressed length, which is never
+/// so large.
+const FORMAT: [u8; 4] = [b't', b'd', 2, 0xff];
+/// The longest uncompressed form that is read, in bytes: the longest configuration comes to a third of it.
+const MAX_UNCOMPRESSED_BYTES: usize = 64 * 1024 * 1024;
 
-/// The way from one revision to another. Invariants: `from` is 0 for a whole one; otherwise it applies only
-/// to the revision `from`. What it names was checked by the controller that made it.
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// What leads from one revision to another. Invariants: `from` is 0 for a whole configuration; otherwise the update
+/// applies only to the revision `from`. The controller that made it checked the result.
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ConfigUpdate {
+    /// The revision that it applies to; 0 for any.
     pub from: u64,
+    /// The revision that it leads to.
     pub to: u64,
-    /// Added or replaced, by name.
+    /// Routes that are added, or that replace the one of their name.
     pub routes: Vec<Route>,
+    /// The names of routes that are removed.
     pub removed_routes: Vec<String>,
+    /// Services that are added, or that replace the one of their name.
     pub services: Vec<Service>,
+    /// The names of services that are removed.
     pub removed_services: Vec<String>,
+    /// All limits.
     pub limits: Limits,
-    /// Added or replaced, by name.
+    /// Tenants that are added, or that replace the one of their name.
     pub tenants: Vec<Tenant>,
+    /// The names of tenants that are removed.
     pub removed_tenants: Vec<String>,
-    /// As in the configuration that it leads to.
+    /// Whether requests need a key, as in the configuration that it leads to.
     pub requires_keys: bool,
 }
 
 impl ConfigUpdate {
-    /// Everything that a configuration holds.
+    /// Returns the update that leads from anything to a configuration.
     pub fn full(config: &Config) -> ConfigUpdate {
         ConfigUpdate {
             from: 0,
@@ -54,7 +63,7 @@
         }
     }
 
-    /// What brings one that holds `old` to `new`.
+    /// Returns the update that leads from `old` to `new`.
     pub fn between(old: &Config, new: &Config) -> ConfigUpdate {
         let (routes, removed_routes) = difference(&old.route_table, &new.route_table, |route| route.name.as_str());
         let (services, removed_services) =
@@ -75,36 +84,42 @@
         }
     }
 
-    /// Decodes the packed form of either layout. None: it is cut short, or no change.
-    pub fn decode(packed: &[u8]) -> Option<ConfigUpdate> {
-        let Some(packed) = packed.strip_prefix(&LAYOUT[..]) else { return legacy_format::decode(packed) };
-        rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&unpack(packed)?).ok()
+    /// Decodes an update in either format. Returns `None` if the bytes are cut short, or no update.
+    pub fn decode(encoded: &[u8]) -> Option<ConfigUpdate> {
+        let Some(compressed) = encoded.strip_prefix(&FORMAT[..]) else { return legacy_format::decode(encoded) };
+        rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&decompress(compressed)?).ok()
     }
 
-    /// The packed form: after a loss of power everywhere all routers of a controller ask for the whole at once.
+    /// Encodes the update, compressed: after a loss of power everywhere all routers of a controller ask for the whole
+    /// configuration at once.
+    ///
+    /// # Panics
+    ///
+    /// Never for an update that fits into memory.
     pub fn encode(&self) -> Vec<u8> {
-        let body = rkyv::to_bytes::<rancor::Error>(self).expect("a change can always be written");
-        [&LAYOUT[..], &lz4_flex::compress_prepend_size(&body)].concat()
+        let body = rkyv::to_bytes::<rancor::Error>(self).expect("an update can always be encoded");
+        [&FORMAT[..], &lz4_flex::compress_prepend_size(&body)].concat()
     }
 }
 
-/// Unpacks into a place where archived values may be read. None: no packed form, or longer than any.
-fn unpack(packed: &[u8]) -> Option<AlignedVec<16>> {
-    let size = u32::from_le_bytes(*packed.first_chunk::<4>()?) as usize;
-    if size > UNPACKED_MOST {
+/// Decompresses into memory that is aligned for archived values. Returns `None` if the bytes are not compressed, or too
+/// long.
+fn decompress(compressed: &[u8]) -> Option<AlignedVec<16>> {
+    let size = u32::from_le_bytes(*compressed.first_chunk::<4>()?) as usize;
+    if size > MAX_UNCOMPRESSED_BYTES {
         return None;
     }
-    let body = lz4_flex::decompress_size_prepended(packed).ok()?;
-    let mut room = AlignedVec::<16>::with_capacity(body.len());
-    room.extend_from_slice(&body);
-    Some(room)
+    let body = lz4_flex::decompress_size_prepended(compressed).ok()?;
+    let mut aligned = AlignedVec::<16>::with_capacity(body.len());
+    aligned.extend_from_slice(&body);
+    Some(aligned)
 }
 
-/// The items that were added or replaced, and the names of those that were removed.
+/// Returns the items that were added or replaced, and the names of those that were removed.
 fn difference<T: Clone + PartialEq>(old: &[T], new: &[T], name: impl Fn(&T) -> &str) -> (Vec<T>, Vec<String>) {
-    let held: HashMap<&str, &T> = old.iter().map(|item| (name(item), item)).collect();
+    let before: HashMap<&str, &T> = old.iter().map(|item| (name(item), item)).collect();
     let kept: HashSet<&str> = new.iter().map(&name).collect();
-    let changed = new.iter().filter(|item| held.get(name(item)) != Some(item)).cloned().collect();
+    let changed = new.iter().filter(|item| before.get(name(item)) != Some(item)).cloned().collect();
     let removed = old.iter().map(&name).filter(|name| !kept.contains(name)).map(str::to_string).collect();
     (changed, removed)
 }
--- a/protocol/src/config_update/legacy_format.rs
+++ b/protocol/src/config_update/legacy_format.rs
@@ -1,14 +1,15 @@
-//! The layout of packed changes that routers of versions 2 and 3 read, frozen: it has neither tenants nor routes that
-//! are served without a key. A configuration with tenants must never be told in it (`can_tell`): whoever read it would
-//! serve requests without keys.
+//! The format of updates that routers of protocol versions 2 and 3 read, frozen: it has neither tenants nor routes that
+//! are served without a key. A configuration with tenants must never be sent in it ([`can_encode`]): whoever read it
+//! would serve requests without keys.
 
 use rkyv::rancor;
+use rkyv::{Archive, Deserialize, Serialize};
 
-use super::unpack;
+use super::decompress;
 use crate::config;
 
 /// As `config::Route`, without `anonymous`.
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Route {
     name: String,
     hostname: String,
@@ -26,13 +27,13 @@
     allowed_regions: Vec<String>,
 }
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Split {
     service: String,
     weight: u64,
 }
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Service {
     name: String,
     health_path: String,
@@ -42,7 +43,7 @@
     engine: Option<Engine>,
 }
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Engine {
     slot_count: u32,
     kv_capacity: u64,
@@ -53,12 +54,12 @@
     model_list: Vec<Model>,
 }
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Model {
     name: String,
 }
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Limits {
     max_header_bytes: u64,
     max_body_bytes: u64,
@@ -67,7 +68,7 @@
 }
 
 /// As `super::ConfigUpdate`, without tenants.
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct ConfigUpdate {
     from: u64,
     to: u64,
@@ -78,46 +79,50 @@
     limits: Limits,
 }
 
-/// May a configuration be told in this layout?
+/// Returns whether a configuration may be sent in this format.
 pub fn can_encode(config: &config::Config) -> bool {
     !config.requires_keys
 }
 
-/// Decodes the packed form. None: it is cut short, or no change.
-pub fn decode(packed: &[u8]) -> Option<super::ConfigUpdate> {
-    rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&unpack(packed)?).ok().map(super::ConfigUpdate::from)
+/// Decodes an update. Returns `None` if the bytes are cut short, or no update.
+pub fn decode(compressed: &[u8]) -> Option<super::ConfigUpdate> {
+    rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&decompress(compressed)?).ok().map(super::ConfigUpdate::from)
 }
 
-/// The packed form of a change between configurations that can be told so.
-pub fn encode(change: &super::ConfigUpdate) -> Vec<u8> {
-    let body = rkyv::to_bytes::<rancor::Error>(&ConfigUpdate::from(change)).expect("a change can always be written");
+/// Encodes an update between configurations that [`can_encode`] admits.
+///
+/// # Panics
+///
+/// Never for an update that fits into memory.
+pub fn encode(update: &super::ConfigUpdate) -> Vec<u8> {
+    let body = rkyv::to_bytes::<rancor::Error>(&ConfigUpdate::from(update)).expect("an update can always be encoded");
     lz4_flex::compress_prepend_size(&body)
 }
 
 impl From<&super::ConfigUpdate> for ConfigUpdate {
-    fn from(change: &super::ConfigUpdate) -> ConfigUpdate {
+    fn from(update: &super::ConfigUpdate) -> ConfigUpdate {
         ConfigUpdate {
-            from: change.from,
-            to: change.to,
-            routes: change.routes.iter().map(Route::from).collect(),
-            removed_routes: change.removed_routes.clone(),
-            services: change.services.iter().map(Service::from).collect(),
-            removed_services: change.removed_services.clone(),
-            limits: Limits::from(&change.limits),
+            from: update.from,
+            to: update.to,
+            routes: update.routes.iter().map(Route::from).collect(),
+            removed_routes: update.removed_routes.clone(),
+            services: update.services.iter().map(Service::from).collect(),
+            removed_services: update.removed_services.clone(),
+            limits: Limits::from(&update.limits),
         }
     }
 }
 
 impl From<ConfigUpdate> for super::ConfigUpdate {
-    fn from(change: ConfigUpdate) -> super::ConfigUpdate {
+    fn from(update: ConfigUpdate) -> super::ConfigUpdate {
         super::ConfigUpdate {
-            from: change.from,
-            to: change.to,
-            routes: change.routes.into_iter().map(config::Route::from).collect(),
-            removed_routes: change.removed_routes,
-            services: change.services.into_iter().map(config::Service::from).collect(),
-            removed_services: change.removed_services,
-            limits: config::Limits::from(change.limits),
+            from: update.from,
+            to: update.to,
+            routes: update.routes.into_iter().map(config::Route::from).collect(),
+            removed_routes: update.removed_routes,
+            services: update.services.into_iter().map(config::Service::from).collect(),
+            removed_services: update.removed_services,
+            limits: config::Limits::from(update.limits),
             tenants: Vec::new(),
             removed_tenants: Vec::new(),
             requires_keys: false,
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -1,68 +1,114 @@
-//! Frames: a fixed head, then one validated message. What is malformed or too new is an error that
-//! costs its sender the connection and nothing else.
+//! Frames: a header of fixed length, then one validated message. What is malformed or too new is an error that costs its
+//! sender the connection and nothing else.
+//!
+//! A header holds, in little-endian order: the magic number (4 bytes), the version of the framing (2), the kind (2), the
+//! id (8) and the length of the body (4).
+
+use std::{error, fmt};
 
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
 use crate::message::Message;
 
+/// The oldest version of the framing that is read.
 pub const OLDEST_VERSION: u16 = 1;
+/// The version of the framing that is written, and the newest that is read.
 pub const NEWEST_VERSION: u16 = 1;
-/// Invariant: no frame's body is longer; the reader checks before it makes room.
+/// The longest body in bytes. A reader checks it before it allocates memory.
 pub const MAX_BODY_BYTES: usize = 12 * 1024 * 1024;
+/// The length of a header in bytes.
 pub const HEADER_BYTES: usize = 20;
+/// How every frame begins.
 const MAGIC: u32 = 0x7464_7031;
 
+/// What stands before the body of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
+    /// The version of the framing.
     pub version: u16,
+    /// What the message is sent as.
     pub kind: Kind,
+    /// Tells requests on one connection apart; a response has the id of its request.
     pub id: u64,
+    /// The length of the body in bytes.
     pub len: usize,
 }
 
+/// What a message is sent as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Expects a response.
     Request,
+    /// Answers the request with the same id.
     Response,
+    /// Expects no response.
     Notification,
 }
 
+/// Why bytes are no frame, or why a message can't be sent as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
+    /// The header does not begin as a frame's does.
     BadMagic,
+    /// The framing has this version, which is not read here.
     UnsupportedVersion(u16),
+    /// The header has this number for a kind.
     UnknownKind(u16),
+    /// The body has this many bytes, more than [`MAX_BODY_BYTES`].
     TooLong(usize),
+    /// The body is no message.
     InvalidBody,
 }
 
-impl std::fmt::Display for FrameError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "{self:?}")
+impl fmt::Display for FrameError {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            FrameError::BadMagic => write!(formatter, "a frame does not begin with {MAGIC:#x}"),
+            FrameError::UnsupportedVersion(version) => {
+                write!(formatter, "a frame has version {version}, expected {OLDEST_VERSION} to {NEWEST_VERSION}")
+            }
+            FrameError::UnknownKind(kind) => write!(formatter, "a frame has the unknown kind {kind}"),
+            FrameError::TooLong(bytes) => {
+                write!(formatter, "a frame has {bytes} bytes, at most {MAX_BODY_BYTES} are allowed")
+            }
+            FrameError::InvalidBody => formatter.write_str("the body of a frame is no message"),
+        }
     }
 }
 
-pub fn encode(kind: Kind, id: u64, msg: &Message) -> Result<Vec<u8>, FrameError> {
-    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| FrameError::InvalidBody)?;
+impl error::Error for FrameError {}
+
+/// Encodes a message as a frame.
+///
+/// # Errors
+///
+/// When the message is longer than [`MAX_BODY_BYTES`].
+pub fn encode(kind: Kind, id: u64, message: &Message) -> Result<Vec<u8>, FrameError> {
+    let body = rkyv::to_bytes::<rancor::Error>(message).map_err(|_| FrameError::InvalidBody)?;
     if body.len() > MAX_BODY_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
-    let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
-    let word: u16 = match kind {
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
+    let kind: u16 = match kind {
         Kind::Request => 1,
         Kind::Response => 2,
         Kind::Notification => 3,
     };
-    out.extend_from_slice(&MAGIC.to_le_bytes());
-    out.extend_from_slice(&NEWEST_VERSION.to_le_bytes());
-    out.extend_from_slice(&word.to_le_bytes());
-    out.extend_from_slice(&id.to_le_bytes());
-    out.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    out.extend_from_slice(&body);
-    Ok(out)
+    frame.extend_from_slice(&MAGIC.to_le_bytes());
+    frame.extend_from_slice(&NEWEST_VERSION.to_le_bytes());
+    frame.extend_from_slice(&kind.to_le_bytes());
+    frame.extend_from_slice(&id.to_le_bytes());
+    frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
+    frame.extend_from_slice(&body);
+    Ok(frame)
 }
 
+/// Decodes a header.
+///
+/// # Errors
+///
+/// When the bytes are no header, or one of a version, a kind or a length that is not read here.
 pub fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
     if bytes[..4] != MAGIC.to_le_bytes() {
         return Err(FrameError::BadMagic);
@@ -86,11 +132,15 @@
     Ok(Header { version, kind, id: u64::from_le_bytes(id), len })
 }
 
-/// Validates and reads a body.
+/// Validates and decodes a body.
+///
+/// # Errors
+///
+/// When the bytes are no message.
 pub fn decode_body(body: &[u8]) -> Result<Message, FrameError> {
-    let mut room = AlignedVec::<16>::with_capacity(body.len());
-    room.extend_from_slice(body);
-    rkyv::from_bytes::<Message, rancor::Error>(&room).map_err(|_| FrameError::InvalidBody)
+    let mut aligned = AlignedVec::<16>::with_capacity(body.len());
+    aligned.extend_from_slice(body);
+    rkyv::from_bytes::<Message, rancor::Error>(&aligned).map_err(|_| FrameError::InvalidBody)
 }
 
 #[cfg(test)]
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,4 +1,14 @@
-//! What daemons say to one another, and the operator's configuration as a checked value.
+//! Messages between daemons, their framing and connections, and the checked form of an operator's configuration.
+//!
+//! [`message`] holds what daemons send, [`frame`] how it stands on a connection, [`link`] and [`socket`] the connections.
+//! [`config`] parses and checks configurations, and [`config_update`] encodes them for routers.
+//!
+//! Archived bytes depend on the order of fields and variants: types that derive `rkyv` traits keep theirs for good. A later
+//! version of the protocol adds variants at the end of [`message::Message`], and sends them only to daemons that say that
+//! they read that version.
+
+#![warn(missing_docs)]
+
 mod capability;
 pub mod config;
 pub mod config_update;
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -1,37 +1,41 @@
-//! What routers and controllers say about tenants' limits. Since version 5.
+//! What routers and controllers say about tenants' rate limits. Since version 5.
+//!
+//! A tenant's limit is a token bucket that is divided into shards; each shard has an owner among the controllers, which
+//! issues its tokens.
 
 use kernel::clock;
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::hidden_key::HiddenKey;
 use crate::version_entry::VersionEntry;
 
-/// A request for one token of a tenant, to a controller that holds a shard of its bucket.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// Asks the owner of a shard of a tenant's bucket for one token.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The tenant's name.
     pub tenant: String,
-    /// Its limit in the configuration that the router holds, in thousandths of a request a second.
+    /// Its limit in the configuration that the router has, in thousandths of a request a second.
     pub rate_milli: u64,
     /// Requests that may come at once above the rate, in thousandths.
     pub burst_milli: u64,
 }
 
-/// The answer to `TokenRequest`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// The response to a [`TokenRequest`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum TokenResponse {
     /// The request may be sent.
     Granted,
-    /// The shard is empty for so long at least.
+    /// The shard is empty for this long at least.
     Denied {
         /// Milliseconds until its next token.
         retry_after_ms: u64,
     },
-    /// The controller holds no shard of the tenant, or can't know that it still does.
+    /// The controller owns no shard of the tenant, or can't know that it still does.
     NotHeld,
 }
 
-/// A controller that may hold shards.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// A controller that may own shards.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ShardOwner {
     /// Its address.
     pub ip: String,
@@ -39,27 +43,28 @@
     pub zone: String,
 }
 
-/// What one shard has given and refused.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// What one shard has granted and denied.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ShardUsage {
     /// The tenant's name.
     pub tenant: String,
-    /// Tokens given since the shard is held there.
+    /// Tokens granted since the shard is owned there.
     pub granted: u64,
-    /// Requests for a token that were refused.
+    /// Requests for a token that were denied.
     pub denied: u64,
     /// Tokens left in the shard, in thousandths.
     pub tokens_milli: u64,
 }
 
+/// Thousandths in one.
 const MILLI: f64 = 1000.0;
 
-/// A number of requests in thousandths.
+/// Returns a number of requests in thousandths.
 pub fn to_milli(number: f64) -> u64 {
     (number * MILLI).round() as u64
 }
 
-/// The number of requests of so many thousandths.
+/// Returns the number of requests of so many thousandths.
 pub fn from_milli(thousandths: u64) -> f64 {
     thousandths as f64 / MILLI
 }
--- a/protocol/src/renewal.rs
+++ b/protocol/src/renewal.rs
@@ -1,23 +1,26 @@
-//! The answer to a router that renews its lease: what is new, and how far it is known to be current.
+//! The response to a router that renews its lease: what is new, and how far it is known to be current.
+
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::message::StateUpdate;
 
-/// What a controller knows to be current. Invariant: everything that was acknowledged `age_ms` before this was
+/// How current a controller knows its state to be. Invariant: everything that was acknowledged `age_ms` before this was
 /// written is contained in the configuration `config`, in the evacuations sent so far, or in newer ones.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// Milliseconds since the begin of the read that confirmed the controller's state at a quorum.
+    /// Milliseconds since the start of the read that confirmed the controller's state at a quorum.
     pub age_ms: u64,
     /// The revision of the configuration confirmed so; 0 for none yet.
     pub config_revision: u64,
 }
 
-/// The answer to `SubscriptionRenewal`. Since version 4.
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// The response to [`SubscriptionRenewal`](crate::message::SubscriptionRenewal). Since version 4.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SubscriptionRenewed {
+    /// What the subscriber lacks.
     pub update: StateUpdate,
-    /// None: the controller has not confirmed its state since it started.
+    /// How current that is; `None` if the controller has not confirmed its state since it started.
     pub confirmation: Option<Confirmation>,
-    /// The addresses of the members of the core, which confirm without a relay between.
+    /// The addresses of the voting controllers, which confirm their state without another one in between.
     pub core_members: Vec<String>,
 }
--- a/protocol/src/socket.rs
+++ b/protocol/src/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets with the options that every connection of ours carries.
+//! Sockets with the options that every connection between daemons and to engines has.
 
 use std::future::Future;
 use std::io;
@@ -11,57 +11,74 @@
 use tokio::sync::Semaphore;
 use tokio::time;
 
+/// How long a peer may leave what was sent to it unacknowledged, in milliseconds: then the connection counts as broken.
 pub const IO_TIMEOUT_MS: u64 = 2500;
 
-pub fn configure(stream: &TcpStream, silence_ms: u64) {
+/// Sets the options of a connection: no delay of small packets, and `timeout_ms` milliseconds for the peer to acknowledge
+/// what was sent.
+pub fn configure(stream: &TcpStream, timeout_ms: u64) {
     let _ = stream.set_nodelay(true);
     let sock = SockRef::from(stream);
-    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(silence_ms)));
+    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(timeout_ms)));
 }
 
-pub async fn connect(addr: &str, wait_ms: u64, silence_ms: u64) -> io::Result<TcpStream> {
+/// Connects within `wait_ms` milliseconds and configures the connection with `timeout_ms`.
+///
+/// # Errors
+///
+/// When the peer can't be reached, or not in time.
+pub async fn connect(addr: &str, wait_ms: u64, timeout_ms: u64) -> io::Result<TcpStream> {
     let wait = Duration::from_millis(wait_ms);
     let stream = match time::timeout(wait, TcpStream::connect(addr)).await {
         Ok(stream) => stream?,
         Err(_) => return Err(io::ErrorKind::TimedOut.into()),
     };
-    configure(&stream, silence_ms);
+    configure(&stream, timeout_ms);
     Ok(stream)
 }
 
+/// Listens at an address of IP version 4, also where connections of an earlier listener still end.
+///
+/// # Errors
+///
+/// When the text is no address, or another socket listens there.
 pub fn listen(addr: &str) -> io::Result<TcpListener> {
     let addr: SocketAddr = addr.parse().map_err(|_| io::Error::from(io::ErrorKind::InvalidInput))?;
     let sock = TcpSocket::new_v4()?;
     sock.set_reuseaddr(true)?;
     sock.bind(addr)?;
-    sock.listen(1024)
+    sock.listen(BACKLOG)
 }
 
-/// The pause before a socket that can't be had is tried again.
+/// How many connections may wait to be accepted.
+const BACKLOG: u32 = 1024;
+
+/// The pause before listening or accepting is tried again after a failure.
 const RETRY: Duration = Duration::from_millis(100);
 
-/// Accepts for ever; over `room` connections at once the next waits in the kernel's queue.
+/// Listens at an address and runs `each` for every connection, for ever. While `max_connections` are open, further ones
+/// wait in the kernel's queue.
 pub async fn accept_each<F: Future<Output = ()> + Send + 'static>(
     addr: &str,
-    room: usize,
+    max_connections: usize,
     each: impl Fn(TcpStream) -> F,
 ) {
-    let places = Arc::new(Semaphore::new(room));
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let Ok(listener) = listen(addr) else {
             time::sleep(RETRY).await;
             continue;
         };
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
                 time::sleep(RETRY).await;
                 continue;
             };
-            let work = each(stream);
+            let task = each(stream);
             tokio::spawn(async move {
-                work.await;
-                drop(place);
+                task.await;
+                drop(permit);
             });
         }
     }
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -1,23 +1,25 @@
-//! Bringing in a new version of a service: what is committed of it, and what routers see of it. Since version 5.
+//! Rollouts of versions of services: their committed state, and the samples that routers report. Since version 5.
+
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::hidden_key::HiddenKey;
 
-/// The keys of rollouts in the ledger.
+/// How the keys of rollouts begin.
 pub const KEY: &str = "versions/";
 
-/// Where a rollout stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// The state of a rollout.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// The new version is tried, or all moves to it.
+    /// The new version gets a share of the requests, or all of them move to it.
     Active,
-    /// All has moved; the old version is no more.
+    /// All requests have moved to the new version.
     Complete,
     /// The old version stays.
     Reverted,
 }
 
 impl RolloutState {
-    /// Its word in the protocol.
+    /// Returns its name in the published protocol.
     pub fn word(self) -> &'static str {
         match self {
             RolloutState::Active => "active",
@@ -27,25 +29,25 @@
     }
 }
 
-/// The newest rollout of a service. Invariants: `number` rises with each change; a rollout that has ended stays so; `order`
-/// rises with each new one.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// The newest rollout of a service. Invariants: `number` rises with each change; a rollout that has ended stays so; `order` rises
+/// with each new one.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct VersionRollout {
     /// The service.
     pub service: String,
     /// Rises with each change of this record.
     pub number: u64,
-    /// Rises with each order of an operator.
+    /// Rises with each rollout that an operator starts.
     pub order: u64,
-    /// The version that is brought in.
+    /// The version that is rolled out.
     pub target: String,
-    /// By then it is to be complete or reverted.
+    /// Milliseconds within which it is to be complete or reverted.
     pub duration_ms: u64,
-    /// Where it stands.
+    /// Its state.
     pub state: RolloutState,
     /// Thousandths of the service's requests that the new version gets.
     pub share: u32,
-    /// Time since the order, when this record was written.
+    /// Milliseconds from its start to when this record was written.
     pub elapsed_ms: u64,
     /// The version that the last complete rollout brought in.
     pub stable: Option<String>,
@@ -56,12 +58,12 @@
 }
 
 impl VersionRollout {
-    /// The key of a service's rollout.
+    /// Returns the key of the register of a service's rollout.
     pub fn key(service: &str) -> String {
         format!("{KEY}{service}")
     }
 
-    /// May engines of a version get all of the service's requests?
+    /// Returns whether engines of a version may get any of the service's requests.
     pub fn is_stable(&self, version: &str) -> bool {
         let is_target = version == self.target;
         match (self.state, &self.stable) {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// May engines of a version get the part of the requests that the rollout gives them?
+    /// Returns whether engines of a version may get the share of the requests that the rollout gives them.
     pub fn is_candidate(&self, version: &str) -> bool {
         self.state == RolloutState::Active && version == self.target
     }
@@ -80,30 +82,30 @@
 kernel::bytes!(VersionRollout);
 
 /// Samples of one route and version.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RouteSamples {
     /// The route's name.
     pub route: String,
     /// Of the new version, or else of the old one.
     pub is_candidate: bool,
-    /// Requests that ended as they should.
+    /// Requests that succeeded.
     pub good: u64,
     /// Requests whose engine failed them.
     pub failed: u64,
-    /// Mean times between events of an answer in microseconds, and how many answers had them.
+    /// Mean times between events of a response in microseconds, and how many responses had them.
     pub paces: Vec<(u64, u64)>,
 }
 
-/// What routers saw of a rollout since they last told.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// What routers saw of a rollout since their last report.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Samples {
     /// The service.
     pub service: String,
-    /// The order that they belong to.
+    /// The `order` of the rollout that they belong to.
     pub order: u64,
     /// By route and version.
     pub list: Vec<RouteSamples>,
-    /// Passed on by a controller already.
+    /// Whether a controller has passed them on already.
     pub is_relayed: bool,
 }
 
