--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -3,9 +3,13 @@
 
 use kernel::clock;
 
-pub mod load_table;
-pub mod owner_cache;
-pub mod prefix_index;
+mod load_table;
+mod owner_cache;
+mod prefix_index;
+
+pub use load_table::LoadTable;
+pub use owner_cache::OwnerCache;
+pub use prefix_index::PrefixIndex;
 
 /// A segment of a prompt: its id and its tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/controller/src/balance.rs
+++ b/controller/src/balance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::{clock, startup};
-use load_balancing::phase_balance::{self, EngineObservation, PhaseChange};
+use load_balancing::{plan_phase_change, EngineObservation, PhaseChange};
 use protocol::headers::TARGET_INSTANCE;
 use protocol::message::{self, Engine};
 use reqwest::Client;
@@ -126,7 +126,7 @@
     /// The engines to order and their new part, once the judgement has stood for long enough.
     fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<PhaseChange> {
         let seen: Vec<EngineObservation> = list.iter().map(|candidate| candidate.seen.clone()).collect();
-        let Some(change) = phase_balance::plan_phase_change(&seen) else {
+        let Some(change) = plan_phase_change(&seen) else {
             self.judgements.remove(service);
             return None;
         };
--- a/controller/src/balance_tests.rs
+++ b/controller/src/balance_tests.rs
@@ -1,4 +1,4 @@
-use load_balancing::phase_balance::{EngineObservation, PhaseChange};
+use load_balancing::{EngineObservation, PhaseChange};
 use membership::singleton_role::{self, RoleTenure};
 use protocol::message::Engine;
 
--- a/controller/src/boot.rs
+++ b/controller/src/boot.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use catalog::prefix_index::PrefixIndex;
+use catalog::PrefixIndex;
 use consensus::acceptor::Acceptor;
 use kernel::clock;
 use kernel::plugin::{self, Plugin};
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -7,12 +7,11 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 
-use catalog::load_table::LoadTable;
-use catalog::prefix_index::PrefixIndex;
+use catalog::{LoadTable, PrefixIndex};
 use consensus::acceptor::Acceptor;
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::endpoint_lists::EndpointLists;
+use load_balancing::EndpointLists;
 use membership::MembershipView;
 use protocol::link::PeerClient;
 use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit, WeightVersions};
--- a/controller/src/listing.rs
+++ b/controller/src/listing.rs
@@ -1,6 +1,6 @@
 //! The platform's list of engines as it comes: pages, put together to one reading of a zone.
 
-use load_balancing::endpoint_lists::ObservedVersion;
+use load_balancing::ObservedVersion;
 use protocol::message::Engine;
 
 use crate::version_lists::ListedEngine;
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -5,7 +5,7 @@
 
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::endpoint_lists::{self, EndpointLists};
+use load_balancing::{is_term_of, EndpointLists};
 use membership::PeerReport;
 use protocol::message::{self, EndpointList, Engine, Gossip, Message};
 use protocol::version_rollout;
@@ -166,7 +166,7 @@
     }
     let mut turn = held.map_or(0, |held| held.term);
     let known = sheets.observed_version(&name);
-    if turn != 0 && !endpoint_lists::is_term_of(turn, controller.seat) {
+    if turn != 0 && !is_term_of(turn, controller.seat) {
         turn = 0;
     }
     sheets.publish(&name, &mut turn, controller.seat, list, known)
--- a/controller/src/rules.rs
+++ b/controller/src/rules.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future;
 use kernel::clock;
-use load_balancing::staleness_bound::LEASE_MS;
+use load_balancing::LEASE_MS;
 use protocol::message::{self, Message, WeightVersions};
 use tokio::time;
 
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -10,7 +10,7 @@
 use crate::selection::Phase;
 use crate::subset::{Subset, SubsetMember, SubsetParams};
 
-pub use crate::engine_state::EngineState;
+use crate::engine_state::EngineState;
 
 #[derive(Default)]
 pub struct EngineTable {
--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -1,10 +1,20 @@
 //! Engines: the list by zones, health as seen by sends, pressure, choosing among them, and this
 //! daemon's slices of the shared bounds.
-pub mod endpoint_lists;
-pub mod engine_state;
-pub mod engine_table;
-pub mod phase_balance;
-pub mod retry_budget;
-pub mod selection;
-pub mod staleness_bound;
-pub mod subset;
+
+mod endpoint_lists;
+mod engine_state;
+mod engine_table;
+mod phase_balance;
+mod retry_budget;
+mod selection;
+mod staleness_bound;
+mod subset;
+
+pub use endpoint_lists::{is_term_of, EndpointLists, ObservedVersion};
+pub use engine_state::EngineState;
+pub use engine_table::EngineTable;
+pub use phase_balance::{plan_phase_change, EngineObservation, PhaseChange};
+pub use retry_budget::{expected_senders, RetryBudget, SlowStart};
+pub use selection::{Arm, Phase, SelectionContext};
+pub use staleness_bound::{StalenessBound, StalenessBounds, LEASE_MS, RELAXATION_DELAY_MS};
+pub use subset::{Subset, SubsetMember, SubsetParams};
--- a/load_balancing/src/selection.rs
+++ b/load_balancing/src/selection.rs
@@ -2,7 +2,8 @@
 
 use kernel::clock;
 
-use crate::engine_table::{EngineState, EngineTable};
+use crate::engine_state::EngineState;
+use crate::engine_table::EngineTable;
 use crate::subset::Subset;
 
 /// What a choice looks at.
--- a/router/src/authorization_tests.rs
+++ b/router/src/authorization_tests.rs
@@ -1,5 +1,5 @@
 use http::{HeaderMap, HeaderValue};
-use load_balancing::engine_table::EngineTable;
+use load_balancing::EngineTable;
 use protocol::change::Change;
 use protocol::config;
 use serde_json::Value;
--- a/router/src/doubt.rs
+++ b/router/src/doubt.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::engine_table::EngineState;
+use load_balancing::EngineState;
 use protocol::message::Message;
 use tokio::time::{self, Instant};
 
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::selection::{Arm, SelectionContext};
+use load_balancing::{Arm, SelectionContext};
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use kernel::clock;
-use load_balancing::staleness_bound::StalenessBound;
+use load_balancing::StalenessBound;
 use protocol::message::{self, StalenessLimit, WeightVersions};
 
 use crate::event::{FEW, RULE};
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -1,7 +1,7 @@
 //! Planning a request's way, as data, before anything is sent.
 
 use kernel::clock;
-use load_balancing::selection::{Phase, SelectionContext};
+use load_balancing::{Phase, SelectionContext};
 
 use crate::request::Request;
 use crate::state::State;
--- a/router/src/send.rs
+++ b/router/src/send.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use kernel::clock;
-use load_balancing::staleness_bound::StalenessBound;
+use load_balancing::StalenessBound;
 use protocol::headers::{
     EXPECTED_VERSION, KV_SOURCE, LAST_EVENT_ID, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET, URGENCY_CLASS,
 };
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -6,13 +6,11 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::{Arc, Mutex};
 
-use catalog::owner_cache::OwnerCache;
+use catalog::OwnerCache;
 use kernel::clock::{self, Rng};
 use kernel::convergence;
 use kernel::settings::Settings;
-use load_balancing::engine_table::EngineTable;
-use load_balancing::retry_budget;
-use load_balancing::staleness_bound::StalenessBounds;
+use load_balancing::{EngineTable, RetryBudget, StalenessBounds};
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
@@ -33,7 +31,7 @@
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
     pub record: Mutex<OwnerCache>,
-    pub budget: Mutex<retry_budget::RetryBudget>,
+    pub budget: Mutex<RetryBudget>,
     pub pools: Pools,
     pub lookup: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
@@ -93,7 +91,7 @@
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
             record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
-            budget: Mutex::new(retry_budget::RetryBudget::new(settings.bounds.retry_budget, window_ms)),
+            budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
--- a/router/src/table.rs
+++ b/router/src/table.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-use load_balancing::engine_table::EngineTable;
+use load_balancing::EngineTable;
 use protocol::change::Change;
 use protocol::config;
 
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::selection::Arm;
+use load_balancing::Arm;
 use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use tokio::time;
--- a/router/src/version_rollouts_tests.rs
+++ b/router/src/version_rollouts_tests.rs
@@ -1,7 +1,7 @@
 //! Which version requests go to, and what is told of them.
 
 use kernel::clock;
-use load_balancing::selection::Arm;
+use load_balancing::Arm;
 use protocol::message::{EndpointList, Engine};
 use protocol::version_rollout::{candidates_of, RolloutState, VersionRollout};
 
