--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -15,6 +15,6 @@
 pub use engine_table::EngineTable;
 pub use phase_balance::{plan_phase_change, EngineObservation, PhaseChange};
 pub use retry_budget::{expected_senders, RetryBudget, SlowStart};
-pub use selection::{Arm, Phase, SelectionContext};
+pub use selection::{Arm, CachedPrefix, Phase, SelectedEngine, SelectionContext, WeightVersionRange};
 pub use staleness_bound::{StalenessBound, StalenessBounds, LEASE_MS, RELAXATION_DELAY_MS};
 pub use subset::{Subset, SubsetMember, SubsetParams};
--- a/load_balancing/src/selection.rs
+++ b/load_balancing/src/selection.rs
@@ -20,14 +20,50 @@
     pub router_count: u32,
     /// What one cold engine bears in a second, all routers together; 0: unbounded.
     pub cold_engine_rate: f64,
-    /// For work bound by a limit on stale weights: the model, the oldest and the newest version. An engine
-    /// whose version is not known counts as past the limit.
-    pub weight_versions: Option<(u64, u64, u64)>,
+    /// For work bound by a limit on stale weights: the versions it may run on. An engine whose version is not
+    /// known counts as past the limit.
+    pub weight_versions: Option<WeightVersionRange>,
     /// The control state known here was confirmed at a majority a moment ago.
     pub is_confirmed: bool,
     pub arm: Arm,
 }
 
+/// The weight versions of a model that a request may run on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WeightVersionRange {
+    /// The hash of the model's name.
+    pub model: u64,
+    /// The oldest version allowed.
+    pub oldest: u64,
+    /// The newest version allowed. Below `oldest`: none is allowed.
+    pub newest: u64,
+}
+
+impl WeightVersionRange {
+    /// Returns whether a version lies in the range.
+    pub fn contains(&self, version: u64) -> bool {
+        (self.oldest..=self.newest).contains(&version)
+    }
+}
+
+/// The longest prefix of a prompt whose KV cache an engine holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CachedPrefix {
+    /// The index of the engine in the table.
+    pub engine: usize,
+    /// The length of the prefix.
+    pub tokens: u32,
+}
+
+/// The engine that a choice fell on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SelectedEngine {
+    /// The index of the engine in the table.
+    pub engine: usize,
+    /// What it costs, in prompt tokens to be read before the answer can begin.
+    pub cost: f64,
+}
+
 /// Which engines of a service are looked at.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Arm {
@@ -96,9 +132,9 @@
             && engine.reassigning_until <= self.now
             && !self.excluded_zones.contains(&engine.zone)
             && !self.tried_engines.contains(&at)
-            && self.weight_versions.is_none_or(|(model, from, to)| {
-                engine.weight_version(model).is_some_and(|version| (from..=to).contains(&version))
-            })
+            && self
+                .weight_versions
+                .is_none_or(|range| engine.weight_version(range.model).is_some_and(|version| range.contains(version)))
     }
 
     fn slow_start_allows(&self, engine: &EngineState) -> bool {
@@ -192,20 +228,26 @@
     /// The reader of a prompt and its cost, in tokens to be read before the answer can begin. `cached`
     /// gives, by engine, the tokens of the longest prefix it owns. Looked at are the owners, wherever they
     /// are, the homes of the prefix and the router's own subset.
-    pub fn select_prefill(&self, tokens: u32, cached: &[(usize, u32)], shared: u32, key: u64) -> Option<(usize, f64)> {
+    pub fn select_prefill(
+        &self,
+        tokens: u32,
+        cached: &[CachedPrefix],
+        shared: u32,
+        key: u64,
+    ) -> Option<SelectedEngine> {
         let phase = Phase::Prefill;
         let mut candidates = self.candidates(phase);
         let least = candidates.iter().filter_map(|at| self.rating(*at, phase)).min().unwrap_or(0);
         let good = |at: usize| self.rating(at, phase).is_some_and(|rating| rating >= least);
         let homes = self.subset(phase).map_or(Vec::new(), |subset| subset.home_engines(key, HOMES_PER_PREFIX, good));
-        let owners = cached.iter().map(|(at, _)| *at).filter(|at| good(*at));
+        let owners = cached.iter().map(|prefix| prefix.engine).filter(|at| good(*at));
         for at in owners.chain(homes.iter().copied()) {
             if !candidates.contains(&at) {
                 candidates.push(at);
             }
         }
         // Owners of a shorter prefix don't count: it is at many engines, and all would turn to these.
-        let nobody = !cached.iter().any(|(at, have)| *have >= shared && candidates.contains(at));
+        let nobody = !cached.iter().any(|prefix| prefix.tokens >= shared && candidates.contains(&prefix.engine));
         let first = homes.first().copied();
         let mean = self.engine_table.mean_prefill_tokens(self.service);
         let cost = |at: usize| {
@@ -223,7 +265,7 @@
     }
 
     /// The maker of tokens: near the memory, not crowded. `from` is the engine that read the prompt.
-    pub fn select_decode(&self, tokens: u32, cached: &[(usize, u32)], from: Option<usize>, key: u64) -> Option<usize> {
+    pub fn select_decode(&self, tokens: u32, cached: &[CachedPrefix], from: Option<usize>, key: u64) -> Option<usize> {
         let candidates = self.candidates(Phase::Decode);
         let home = from.map_or(self.zone, |at| self.engine_table.engines[at].zone);
         let cost = |at: usize| {
@@ -233,7 +275,8 @@
             let body = self.reach(engine, tokens) / 65536.0;
             crowd + lack * KV_TRANSFER_COST[self.engine_table.distance(engine.zone, home)] + body
         };
-        cheapest(&candidates, cost, |at| rendezvous_hash(key, self.engine_table.engines[at].id_hash)).map(|(at, _)| at)
+        cheapest(&candidates, cost, |at| rendezvous_hash(key, self.engine_table.engines[at].id_hash))
+            .map(|selected| selected.engine)
     }
 
     /// What it costs to send a prompt there from here, in tokens.
@@ -243,7 +286,7 @@
     }
 
     /// A maker that reads the prompt itself, and its cost in the same measure as a reader's.
-    pub fn select_combined(&self, tokens: u32, cached: &[(usize, u32)], key: u64) -> Option<(usize, f64)> {
+    pub fn select_combined(&self, tokens: u32, cached: &[CachedPrefix], key: u64) -> Option<SelectedEngine> {
         let candidates = self.candidates(Phase::Decode);
         let cost = |at: usize| {
             let engine = &self.engine_table.engines[at];
@@ -259,15 +302,15 @@
 /// How much longer a maker takes for a prompt than a reader: half the pace, in smaller pieces.
 const COMBINED_PREFILL_COST: f64 = 5.0;
 
-fn cached_tokens(cached: &[(usize, u32)], at: usize) -> u32 {
-    cached.iter().filter(|(owner, _)| *owner == at).map(|(_, have)| *have).max().unwrap_or(0)
+fn cached_tokens(cached: &[CachedPrefix], at: usize) -> u32 {
+    cached.iter().filter(|prefix| prefix.engine == at).map(|prefix| prefix.tokens).max().unwrap_or(0)
 }
 
 fn rendezvous_hash(key: u64, name: u64) -> u64 {
     clock::combine_hashes(key, name)
 }
 
-fn cheapest(candidates: &[usize], cost: impl Fn(usize) -> f64, rank: impl Fn(usize) -> u64) -> Option<(usize, f64)> {
+fn cheapest(candidates: &[usize], cost: impl Fn(usize) -> f64, rank: impl Fn(usize) -> u64) -> Option<SelectedEngine> {
     let mut best: Option<(f64, u64, usize)> = None;
     for at in candidates {
         let (price, order) = (cost(*at), rank(*at));
@@ -279,7 +322,7 @@
             best = Some((price, order, *at));
         }
     }
-    best.map(|(price, _, at)| (at, price))
+    best.map(|(cost, _, engine)| SelectedEngine { engine, cost })
 }
 
 #[cfg(test)]
--- a/load_balancing/src/selection_tests.rs
+++ b/load_balancing/src/selection_tests.rs
@@ -1,6 +1,6 @@
 use protocol::message::{EndpointList, Engine};
 
-use super::{Arm, Phase, SelectionContext};
+use super::{Arm, CachedPrefix, Phase, SelectionContext};
 use crate::engine_table::EngineTable;
 
 fn engine_table() -> EngineTable {
@@ -44,6 +44,10 @@
     }
 }
 
+fn cached(engine: usize, tokens: u32) -> CachedPrefix {
+    CachedPrefix { engine, tokens }
+}
+
 fn id(engine_table: &EngineTable, at: Option<usize>) -> &str {
     at.map_or("", |at| engine_table.engines[at].id.as_str())
 }
@@ -55,7 +59,9 @@
     assert_eq!(
         id(
             &engine_table,
-            context(&engine_table, &[], &[]).select_prefill(9000, &[(far, 6000)], 6000, 5).map(|best| best.0)
+            context(&engine_table, &[], &[])
+                .select_prefill(9000, &[cached(far, 6000)], 6000, 5)
+                .map(|best| best.engine)
         ),
         "p-b"
     );
@@ -64,7 +70,9 @@
     assert_eq!(
         id(
             &engine_table,
-            context(&engine_table, &[], &[]).select_prefill(9000, &[(far, 6000)], 6000, 5).map(|best| best.0)
+            context(&engine_table, &[], &[])
+                .select_prefill(9000, &[cached(far, 6000)], 6000, 5)
+                .map(|best| best.engine)
         ),
         "p-a"
     );
@@ -74,9 +82,9 @@
 fn all_routers_choose_the_same_reader_while_nobody_owns() {
     let engine_table = engine_table();
     let mut away = context(&engine_table, &[], &[]);
-    let near = away.select_prefill(9000, &[], 6000, 77).map(|best| best.0);
+    let near = away.select_prefill(9000, &[], 6000, 77).map(|best| best.engine);
     away.zone = 1;
-    assert_eq!(near, away.select_prefill(9000, &[], 6000, 77).map(|best| best.0));
+    assert_eq!(near, away.select_prefill(9000, &[], 6000, 77).map(|best| best.engine));
 }
 
 #[test]
@@ -95,8 +103,8 @@
     let costs = |engine_table: &EngineTable| {
         let context = context(engine_table, &[], &[]);
         (
-            context.select_prefill(3000, &[], 0, 1).expect("reader").1,
-            context.select_combined(3000, &[], 1).expect("maker").1,
+            context.select_prefill(3000, &[], 0, 1).expect("reader").cost,
+            context.select_combined(3000, &[], 1).expect("maker").cost,
         )
     };
     let (reader, alone) = costs(&engine_table);
@@ -151,13 +159,18 @@
     assert_eq!(
         id(
             &engine_table,
-            context(&engine_table, &[], &[]).select_prefill(9000, &[(far, 6000)], 6000, 5).map(|best| best.0)
+            context(&engine_table, &[], &[])
+                .select_prefill(9000, &[cached(far, 6000)], 6000, 5)
+                .map(|best| best.engine)
         ),
         "p-a"
     );
     let tried = [engine_table.find("p-a").expect("known")];
     assert_eq!(
-        id(&engine_table, context(&engine_table, &[], &tried).select_prefill(9000, &[], 6000, 5).map(|best| best.0)),
+        id(
+            &engine_table,
+            context(&engine_table, &[], &tried).select_prefill(9000, &[], 6000, 5).map(|best| best.engine)
+        ),
         "p-b"
     );
 }
@@ -180,11 +193,11 @@
 fn owners_of_a_shorter_prefix_do_not_draw_what_has_a_home_of_its_own() {
     let engine_table = engine_table();
     let (near, far) = (engine_table.find("p-a").expect("known"), engine_table.find("p-b").expect("known"));
-    let chosen = |key, held: &[(usize, u32)]| {
-        context(&engine_table, &[], &[]).select_prefill(9000, held, 6000, key).map(|best| best.0)
+    let chosen = |key, held: &[CachedPrefix]| {
+        context(&engine_table, &[], &[]).select_prefill(9000, held, 6000, key).map(|best| best.engine)
     };
     let home = |key| engine_table.subset(0, Phase::Prefill, false).expect("one").home_engines(key, 1, |_| true)[0];
     let key = (0..).find(|key| home(*key) == near).expect("a key at home near");
-    assert_eq!(chosen(key, &[(far, 2500)]), Some(near), "the part that all share is not enough");
-    assert_eq!(chosen(key, &[(far, 6000)]), Some(far), "the whole shared prefix is");
+    assert_eq!(chosen(key, &[cached(far, 2500)]), Some(near), "the part that all share is not enough");
+    assert_eq!(chosen(key, &[cached(far, 6000)]), Some(far), "the whole shared prefix is");
 }
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -182,7 +182,7 @@
         {
             let mut engine_table = self.state.engine_table.lock().expect("engine_table");
             let engine = &mut engine_table.engines[at];
-            extra.expect = weights.and_then(|(model, _, _)| engine.weight_version(model));
+            extra.expect = weights.and_then(|range| engine.weight_version(range.model));
             engine.in_flight += 1;
             engine.prefill_tokens_in_flight += tokens;
             engine.slow_start.record_send(now);
--- a/router/src/fresh.rs
+++ b/router/src/fresh.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use kernel::clock;
-use load_balancing::StalenessBound;
+use load_balancing::{StalenessBound, WeightVersionRange};
 use protocol::message::{self, StalenessLimit, WeightVersions};
 
 use crate::event::{FEW, RULE};
@@ -16,16 +16,16 @@
 impl Exchange {
     /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
     /// has lapsed.
-    pub fn version_bounds(&self) -> Option<(u64, u64, u64)> {
+    pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
         let floors = self.state.floors.lock().expect("floors");
         let model = self.request.model_key;
         match floors.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
-            StalenessBound::LeaseExpired => Some((model, u64::MAX, 0)),
+            StalenessBound::LeaseExpired => Some(WeightVersionRange { model, oldest: u64::MAX, newest: 0 }),
             StalenessBound::AtLeast(floor) => match self.pinned_version {
-                Some(exact) if exact >= floor => Some((model, exact, exact)),
-                _ => Some((model, floor, u64::MAX)),
+                Some(exact) if exact >= floor => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
+                _ => Some(WeightVersionRange { model, oldest: floor, newest: u64::MAX }),
             },
         }
     }
@@ -33,8 +33,7 @@
     /// Before a maker is chosen: memory of a version that is past the limit by now is given free, and without
     /// memory the version is not settled yet.
     pub fn drop_stale_handle(&mut self) {
-        let fits =
-            |(_, from, to): (u64, u64, u64)| self.pinned_version.is_none_or(|exact| (from..=to).contains(&exact));
+        let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
             self.release_handle();
         }
--- a/router/src/halves.rs
+++ b/router/src/halves.rs
@@ -143,8 +143,8 @@
     loop {
         exchange.drop_stale_handle();
         let Some(handle) = exchange.take_handle() else {
-            let (at, _) = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
-            return Some((at, None));
+            let selected = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
+            return Some((selected.engine, None));
         };
         if let Some(at) = exchange.view(|view| view.select_decode(tokens, &owners, reader, rank)) {
             return Some((at, Some(handle)));
--- a/router/src/plan.rs
+++ b/router/src/plan.rs
@@ -1,7 +1,7 @@
 //! Planning a request's way, as data, before anything is sent.
 
 use kernel::clock;
-use load_balancing::{Phase, SelectionContext};
+use load_balancing::{CachedPrefix, Phase, SelectionContext};
 
 use crate::request::Request;
 use crate::state::State;
@@ -19,16 +19,16 @@
 
 pub fn read(view: &SelectionContext, request: &Request, held: &PrefixOwners) -> Plan {
     let (tokens, rank) = (request.tokens(), rank(request));
-    let Some((at, cost)) = view.select_prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
-    if view.select_combined(tokens, held, rank).is_some_and(|(_, alone)| alone < cost) {
+    let Some(reader) = view.select_prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
+    if view.select_combined(tokens, held, rank).is_some_and(|alone| alone.cost < reader.cost) {
         return Plan::Alone;
     }
-    let have = held.iter().find(|(owner, _)| *owner == at).map_or(0, |(_, have)| *have);
-    Plan::Read { at, reads: tokens.saturating_sub(have) }
+    let have = held.iter().find(|prefix| prefix.engine == reader.engine).map_or(0, |prefix| prefix.tokens);
+    Plan::Read { at: reader.engine, reads: tokens.saturating_sub(have) }
 }
 
 /// What was learned about the owners of a request's prefixes: engine and tokens held.
-pub type PrefixOwners = Vec<(usize, u32)>;
+pub type PrefixOwners = Vec<CachedPrefix>;
 
 /// Scans the local record, asks the catalog for the missing suffix only, and notes what it finds.
 pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
@@ -100,8 +100,8 @@
             let usable =
                 engine_table.find(name).filter(|at| engine_table.engines[*at].up && engine_table.engines[*at].listed);
             match usable {
-                Some(at) if list.iter().any(|(owner, _)| *owner == at) => {}
-                Some(at) => list.push((at, depth)),
+                Some(at) if list.iter().any(|prefix| prefix.engine == at) => {}
+                Some(at) => list.push(CachedPrefix { engine: at, tokens: depth }),
                 None => stale += 1,
             }
         }
--- a/router/src/relay.rs
+++ b/router/src/relay.rs
@@ -143,7 +143,7 @@
         let (tokens, rank) = (self.request.tokens(), plan::rank(&self.request));
         for _ in 0..3 {
             let held = self.prefix_owners.clone();
-            let next = self.view(|view| view.select_combined(tokens, &held, rank))?.0;
+            let next = self.view(|view| view.select_combined(tokens, &held, rank))?.engine;
             if self.remaining_ms() == 0 || !self.grant_send() {
                 return None;
             }
