--- a/catalog/src/prefix_index.rs
+++ b/catalog/src/prefix_index.rs
@@ -94,25 +94,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn owners_go_stale_and_removed_engines_are_not_returned() {
-        let mut prefix_index = super::PrefixIndex::new(10, 30_000);
-        prefix_index.register(1, "i-1", 0);
-        prefix_index.register(1, "i-2", 10_000);
-        assert_eq!(prefix_index.owners(1, 20_000), ["i-1", "i-2"]);
-        assert_eq!(prefix_index.owners(1, 30_000), ["i-2"]);
-        prefix_index.remove_engine("i-2");
-        assert!(prefix_index.owners(1, 20_000).iter().all(|engine| engine == "i-1"));
-    }
-
-    #[test]
-    fn capacity_is_bounded() {
-        let mut prefix_index = super::PrefixIndex::new(2, 1000);
-        for key in 0..5 {
-            prefix_index.register(key, "i-1", 0);
-        }
-        assert_eq!(prefix_index.len(), 2);
-        assert!(prefix_index.owners(4, 0).len() == 1 && prefix_index.owners(0, 0).is_empty());
-    }
-}
+#[path = "prefix_index_tests.rs"]
+mod tests;
