--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -7,15 +7,15 @@
 //!
 //! Nothing here is replicated or stored: after a loss the index fills again from what routers register. All functions are
 //! pure; times are milliseconds of the caller's clock.
+#![deny(missing_docs)]
 
 mod load_table;
-mod lookup_counts;
 mod owner_cache;
+mod owner_map;
 mod prefix_index;
 mod prompt_prefix;
 
 pub use load_table::LoadTable;
-pub use lookup_counts::LookupCounts;
-pub use owner_cache::OwnerCache;
+pub use owner_cache::{LookupCounts, OwnerCache};
 pub use prefix_index::PrefixIndex;
 pub use prompt_prefix::{parse_prompt_prefix, prefix_keys, prefix_token_counts, PromptSegment};
--- a/catalog/src/load_table.rs
+++ b/catalog/src/load_table.rs
@@ -1,44 +1,72 @@
-//! How pressed engines were when they last reported any router: kept beside the catalog, since every read
-//! passes there anyway, and reported to whoever asks for a few of them.
+//! The load that engines last reported to any router.
+//!
+//! It stands beside the prefix index since every prefill passes there anyway: registrations bring reports in, and look-ups
+//! take those of a few engines out (`docs/design.md`, "Decisions from samples").
 
 use std::collections::HashMap;
 
 use protocol::message::EngineLoad;
 
-/// Invariants: one entry an engine; an older one never replaces a newer one; nothing older than
-/// `STALE_MS` is reported; at most `CAPACITY` are held.
+/// How long a report is returned, in milliseconds. A router lets a report fade by half each 0.4 s, so an older one says
+/// next to nothing.
+const STALE_MS: u64 = 3000;
+/// How many engines are held at most: about three times the largest fleet weighed in `docs/design.md`.
+const CAPACITY: usize = 20_000;
+
+#[derive(Clone, Copy)]
+struct LoadEntry {
+    /// Requests that run or wait at the engine.
+    load: u32,
+    /// In milliseconds.
+    reported_at: u64,
+}
+
+/// Maps engines, by the hash of their id, to their last reported load.
+///
+/// Invariants: an older report never replaces a newer one; nothing of an age of `STALE_MS` or more is returned; at most
+/// `CAPACITY` engines are held.
 #[derive(Default)]
 pub struct LoadTable {
-    entries: HashMap<u64, (u32, u64)>,
+    entries: HashMap<u64, LoadEntry>,
 }
 
-const STALE_MS: u64 = 3000;
-const CAPACITY: usize = 20_000;
-
 impl LoadTable {
-    pub fn record(&mut self, reported: &EngineLoad, now: u64) {
-        let time = now.saturating_sub(u64::from(reported.age_ms));
-        if self.entries.len() >= CAPACITY && !self.entries.contains_key(&reported.engine_hash) {
-            self.entries.retain(|_, (_, time)| now < *time + STALE_MS);
-            if self.entries.len() >= CAPACITY {
-                return;
-            }
+    /// Records a report, whose age counts back from `now` in milliseconds. A new engine is ignored while the table is full
+    /// of fresh reports.
+    pub fn record(&mut self, report: &EngineLoad, now: u64) {
+        if !self.has_room_for(report.engine_hash, now) {
+            return;
+        }
+        let reported_at = now.saturating_sub(u64::from(report.age_ms));
+        let new = LoadEntry { load: report.load, reported_at };
+        let entry = self.entries.entry(report.engine_hash).or_insert(new);
+        if entry.reported_at <= reported_at {
+            *entry = new;
         }
-        let held = self.entries.entry(reported.engine_hash).or_insert((reported.load, time));
-        if held.1 <= time {
-            *held = (reported.load, time);
+    }
+
+    /// Returns whether an engine has an entry or may get one. Drops stale entries when the table is full.
+    fn has_room_for(&mut self, engine_hash: u64, now: u64) -> bool {
+        if self.entries.len() < CAPACITY || self.entries.contains_key(&engine_hash) {
+            return true;
         }
+        self.entries.retain(|_, entry| now < entry.reported_at + STALE_MS);
+        self.entries.len() < CAPACITY
     }
 
+    /// Returns the fresh reports of some engines.
     pub fn loads(&self, engine_hashes: impl Iterator<Item = u64>, now: u64) -> Vec<EngineLoad> {
-        let one = |engine_hash: u64| {
-            let (load, time) = self.entries.get(&engine_hash).copied()?;
-            let age_ms = now.saturating_sub(time);
-            (age_ms < STALE_MS).then_some(EngineLoad { engine_hash, load, age_ms: age_ms as u32 })
-        };
-        engine_hashes.filter_map(one).collect()
+        engine_hashes.filter_map(|engine_hash| self.load(engine_hash, now)).collect()
+    }
+
+    fn load(&self, engine_hash: u64, now: u64) -> Option<EngineLoad> {
+        let entry = self.entries.get(&engine_hash)?;
+        let age_ms = now.saturating_sub(entry.reported_at);
+        let is_fresh = age_ms < STALE_MS;
+        is_fresh.then_some(EngineLoad { engine_hash, load: entry.load, age_ms: age_ms as u32 })
     }
 
+    /// Removes all reports.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
--- a/catalog/src/owner_cache.rs
+++ b/catalog/src/owner_cache.rs
@@ -1,95 +1,113 @@
-//! What one router recorded: the local prefix that it scans before it asks the catalog.
+//! What one router learned about the owners of prefixes: it scans this before it asks the prefix index.
 
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 
-use crate::lookup_counts::LookupCounts;
+use crate::owner_map::OwnerMap;
 
-/// Invariants: an entry is told only while it is younger than `stale_ms` and not suppressed; at
-/// most `capacity` keys; suppression is keyed by (engine, key), never by request.
+/// How many owners of one key are kept.
+const MAX_OWNERS_PER_KEY: usize = 4;
+
+/// Counts what came of look-ups, for the operator's log and metrics.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LookupCounts {
+    /// Requests whose owners were looked up.
+    pub queries: u64,
+    /// Look-ups that found a usable owner.
+    pub hits: u64,
+    /// Look-ups for which neither the router nor the index knew an owner.
+    pub no_owner: u64,
+    /// Owners that were found but have left the list of engines or are draining.
+    pub stale_owner: u64,
+    /// Hand-overs given up because the KV cache could not be fetched from its owner.
+    pub transfer_error: u64,
+    /// Queries to the index that got no answer.
+    pub unanswered: u64,
+    /// Registrations that were lost or still unconfirmed at the flush before a hand-over.
+    pub dropped: u64,
+}
+
+/// An engine that is not to be named as an owner of one key.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Suppression {
+    engine: String,
+    key: u64,
+}
+
+/// Maps prefix keys to the engines that this router knows as their owners.
+///
+/// Invariants: an owner is returned only while it is younger than `stale_ms` and not suppressed; at most `capacity` keys
+/// are held; a suppression holds for one engine and one key, whatever request caused it.
 pub struct OwnerCache {
-    keys: HashMap<u64, Vec<(String, u64)>>,
-    insertion_order: VecDeque<u64>,
-    suppressed: HashMap<(String, u64), u64>,
+    owners: OwnerMap<String>,
+    /// Until when each suppression lasts, in milliseconds.
+    suppressed: HashMap<Suppression, u64>,
     capacity: usize,
     stale_ms: u64,
+    /// What came of look-ups so far.
     pub counts: LookupCounts,
 }
 
-const MAX_OWNERS_PER_KEY: usize = 4;
-
 impl OwnerCache {
-    pub fn new(capacity: usize, stale_ms: u64) -> Self {
+    /// Creates an empty cache for `capacity` keys, whose entries count for `stale_ms` milliseconds.
+    pub fn new(capacity: usize, stale_ms: u64) -> OwnerCache {
         OwnerCache {
-            keys: Default::default(),
-            insertion_order: Default::default(),
-            suppressed: Default::default(),
+            owners: OwnerMap::new(capacity, MAX_OWNERS_PER_KEY),
+            suppressed: HashMap::new(),
             capacity,
             stale_ms,
-            counts: Default::default(),
+            counts: LookupCounts::default(),
         }
     }
 
+    /// Records an engine as an owner of a key, at `now` in milliseconds.
     pub fn record(&mut self, key: u64, engine: &str, now: u64) {
-        if !self.keys.contains_key(&key) {
-            self.insertion_order.push_back(key);
-            if self.insertion_order.len() > self.capacity {
-                if let Some(old) = self.insertion_order.pop_front() {
-                    self.keys.remove(&old);
-                }
-            }
-        }
-        let owners = self.keys.entry(key).or_default();
-        match owners.iter_mut().find(|owner| owner.0 == engine) {
-            Some(owner) => owner.1 = now,
-            None => owners.push((engine.into(), now)),
-        }
-        if owners.len() > MAX_OWNERS_PER_KEY {
-            let oldest = (0..owners.len()).min_by_key(|at| owners[*at].1).unwrap_or(0);
-            owners.swap_remove(oldest);
-        }
+        self.owners.record(key, engine, now);
     }
 
-    /// How many of the keys, from the first on, are known here.
+    /// Returns how many of the keys, from the first one on, have an owner.
     pub fn known_prefix_count(&self, keys: &[u64], now: u64) -> usize {
         keys.iter().take_while(|key| !self.owners(**key, now).is_empty()).count()
     }
 
+    /// Returns the ids of the fresh owners of a key that are not suppressed.
     pub fn owners(&self, key: u64, now: u64) -> Vec<&str> {
-        let Some(owners) = self.keys.get(&key) else { return Vec::new() };
-        let fresh =
-            owners.iter().filter(|owner| now < owner.1 + self.stale_ms && !self.is_suppressed(&owner.0, key, now));
-        fresh.map(|owner| owner.0.as_str()).collect()
+        let owners = self.owners.owners(key).iter();
+        let fresh = owners.filter(|owner| now < owner.registered_at + self.stale_ms);
+        let usable = fresh.filter(|owner| !self.is_suppressed(&owner.engine, key, now));
+        usable.map(|owner| owner.engine.as_str()).collect()
     }
 
+    /// Suppresses an engine as an owner of one key until `until`, in milliseconds. When too many suppressions are held,
+    /// all older ones are dropped.
     pub fn suppress(&mut self, engine: &str, key: u64, until: u64) {
         if self.suppressed.len() > self.capacity {
             self.suppressed.clear();
         }
-        self.suppressed.insert((engine.into(), key), until);
+        self.suppressed.insert(Suppression { engine: engine.into(), key }, until);
     }
 
+    /// Returns whether an engine is suppressed as an owner of a key.
     pub fn is_suppressed(&self, engine: &str, key: u64, now: u64) -> bool {
         if self.suppressed.is_empty() {
             return false;
         }
-        self.suppressed.get(&(engine.to_string(), key)).is_some_and(|until| now < *until)
+        let suppression = Suppression { engine: engine.into(), key };
+        self.suppressed.get(&suppression).is_some_and(|until| now < *until)
     }
 
+    /// Removes an engine that is draining or gone from every key.
     pub fn remove_engine(&mut self, engine: &str) {
-        for owners in self.keys.values_mut() {
-            owners.retain(|owner| owner.0 != engine);
-        }
+        self.owners.remove_engine(engine);
     }
 
-    /// All that is fresh, for a catalog that lost its state.
+    /// Returns all keys with their usable owners, for a prefix index that lost its state.
     pub fn entries(&self, now: u64) -> Vec<(u64, String)> {
-        let mut list = Vec::new();
-        for key in &self.insertion_order {
-            for engine in self.owners(*key, now) {
-                list.push((*key, engine.to_string()));
-            }
+        let mut entries = Vec::new();
+        for key in self.owners.keys() {
+            let engines = self.owners(key, now).into_iter();
+            entries.extend(engines.map(|engine| (key, engine.to_string())));
         }
-        list
+        entries
     }
 }
 
--- a/catalog/src/prefix_index.rs
+++ b/catalog/src/prefix_index.rs
@@ -1,95 +1,77 @@
-//! The catalog itself, in the controller that holds the duty. Never replicated: after a loss it fills
-//! again from what routers register.
+//! The index of all routers' registrations, in the controller that owns the catalog role.
 
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 
-struct Owner {
-    engine: u32,
-    registered_at: u64,
-}
+use crate::owner_map::OwnerMap;
+
+/// How many owners of one key are kept: more than a selection has use for.
+const MAX_OWNERS_PER_KEY: usize = 8;
 
-/// Invariants: engine_ids are mapped to dense indices in `engine_ids`; a key has each engine once; at most
-/// `capacity` keys are held, those unheard for longest give way; nothing older than `stale_ms` is told.
+/// Maps prefix keys to the engines that hold their KV cache.
+///
+/// Invariants: `engine_indices` maps each id in `engine_ids` to its position there; at most `capacity` keys are held;
+/// nothing registered `stale_ms` ago or earlier is returned.
 pub struct PrefixIndex {
     engine_ids: Vec<String>,
     engine_indices: HashMap<String, u32>,
-    keys: HashMap<u64, Vec<Owner>>,
-    insertion_order: VecDeque<u64>,
-    capacity: usize,
+    /// Engines by their position in `engine_ids`, since ids would take most of the memory.
+    owners: OwnerMap<u32>,
     stale_ms: u64,
 }
 
-/// How many owners of one key are kept: more than can be of use to a choice.
-const MAX_OWNERS_PER_KEY: usize = 8;
-
 impl PrefixIndex {
-    pub fn new(capacity: usize, stale_ms: u64) -> Self {
+    /// Creates an empty index for `capacity` keys, whose registrations count for `stale_ms` milliseconds.
+    pub fn new(capacity: usize, stale_ms: u64) -> PrefixIndex {
         PrefixIndex {
             engine_ids: Vec::new(),
-            engine_indices: Default::default(),
-            keys: Default::default(),
-            insertion_order: Default::default(),
-            capacity,
+            engine_indices: HashMap::new(),
+            owners: OwnerMap::new(capacity, MAX_OWNERS_PER_KEY),
             stale_ms,
         }
     }
 
+    /// Registers an engine as an owner of a key, at `now` in milliseconds.
     pub fn register(&mut self, key: u64, engine: &str, now: u64) {
         let engine = self.engine_index(engine);
-        if !self.keys.contains_key(&key) {
-            self.insertion_order.push_back(key);
-            if self.insertion_order.len() > self.capacity {
-                if let Some(old) = self.insertion_order.pop_front() {
-                    self.keys.remove(&old);
-                }
-            }
-        }
-        let owners = self.keys.entry(key).or_default();
-        match owners.iter_mut().find(|owner| owner.engine == engine) {
-            Some(owner) => owner.registered_at = now,
-            None => owners.push(Owner { engine, registered_at: now }),
-        }
-        if owners.len() > MAX_OWNERS_PER_KEY {
-            let oldest = (0..owners.len()).min_by_key(|at| owners[*at].registered_at).unwrap_or(0);
-            owners.swap_remove(oldest);
-        }
+        self.owners.record(key, engine, now);
     }
 
     fn engine_index(&mut self, engine: &str) -> u32 {
-        if let Some(at) = self.engine_indices.get(engine) {
-            return *at;
+        if let Some(index) = self.engine_indices.get(engine) {
+            return *index;
         }
-        let at = self.engine_ids.len() as u32;
+        let index = self.engine_ids.len() as u32;
         self.engine_ids.push(engine.into());
-        self.engine_indices.insert(engine.into(), at);
-        at
+        self.engine_indices.insert(engine.into(), index);
+        index
     }
 
+    /// Returns the ids of the engines that were registered for a key less than `stale_ms` before `now`.
     pub fn owners(&self, key: u64, now: u64) -> Vec<String> {
-        let Some(owners) = self.keys.get(&key) else { return Vec::new() };
-        let fresh = owners.iter().filter(|owner| now < owner.registered_at + self.stale_ms);
+        let owners = self.owners.owners(key).iter();
+        let fresh = owners.filter(|owner| now < owner.registered_at + self.stale_ms);
         fresh.map(|owner| self.engine_ids[owner.engine as usize].clone()).collect()
     }
 
-    /// Engines that are draining or gone are dropped from every key.
+    /// Removes an engine that is draining or gone from every key.
     pub fn remove_engine(&mut self, engine: &str) {
-        let Some(at) = self.engine_indices.get(engine).copied() else { return };
-        for owners in self.keys.values_mut() {
-            owners.retain(|owner| owner.engine != at);
-        }
+        let Some(index) = self.engine_indices.get(engine).copied() else { return };
+        self.owners.remove_engine(index);
     }
 
+    /// Removes all keys.
     pub fn clear(&mut self) {
-        self.keys.clear();
-        self.insertion_order.clear();
+        self.owners.clear();
     }
 
+    /// Returns the number of keys, those without an owner included.
     pub fn len(&self) -> usize {
-        self.keys.len()
+        self.owners.len()
     }
 
+    /// Returns whether no key is held.
     pub fn is_empty(&self) -> bool {
-        self.keys.is_empty()
+        self.owners.len() == 0
     }
 }
 
