--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -3,7 +3,7 @@
 use kernel::clock;
 use protocol::message::{Engine, EngineLoad};
 
-use crate::retry_budget::SlowStart;
+use crate::slow_start::SlowStart;
 
 /// Invariants: an index is never given to another `id`; `busy` counts sends whose outcome is open;
 /// nothing is sent to one that is not `up` and `here`.
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -7,7 +7,7 @@
 use protocol::version_rollout;
 
 use crate::endpoint_lists::EndpointLists;
-use crate::selection::Phase;
+use crate::phase::Phase;
 use crate::subset::{Subset, SubsetMember, SubsetParams};
 
 use crate::engine_state::EngineState;
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -1,7 +1,8 @@
 use protocol::message::{EndpointList, Engine};
 
 use super::EngineTable;
-use crate::selection::{Phase, SelectionContext};
+use crate::phase::Phase;
+use crate::selection::SelectionContext;
 
 fn list(count: u64, list: &[(&str, bool, u32)]) -> EndpointList {
     let engine = |(id, up, cold_ms): &(&str, bool, u32)| Engine {
--- a/load_balancing/src/selection_tests.rs
+++ b/load_balancing/src/selection_tests.rs
@@ -1,7 +1,8 @@
 use protocol::message::{EndpointList, Engine};
 
-use super::{Arm, CachedPrefix, Phase, SelectionContext};
+use super::{Arm, CachedPrefix, SelectionContext};
 use crate::engine_table::EngineTable;
+use crate::phase::Phase;
 
 fn engine_table() -> EngineTable {
     let engine = |id: &str, zone: &str, phase: &str, up: bool| Engine {
