--- a/load_balancing/src/endpoint_lists.rs
+++ b/load_balancing/src/endpoint_lists.rs
@@ -1,36 +1,46 @@
-//! The list of engines as the pollers saw it, a list a zone.
+//! The lists of engines as pollers of the platform saw them, one list a zone.
+//!
+//! A list is versioned by (term, sequence): a poller raises the sequence with each change that it sees, and a poller that
+//! takes over goes to a higher term. Lists are compared by version alone, so no fence is needed: nobody takes an older
+//! list, however late it arrives (`docs/fencing.md`, "Engine lists").
 
 use std::collections::BTreeMap;
 
 use protocol::message::{self, EndpointList, Engine};
 use protocol::version_rollout;
 
-/// The low bits of a term that tell pollers apart: enough that no two of a large fleet share them.
+/// The low bits of a term that hold its poller's replica id: enough that no two pollers of a large fleet share them.
 const REPLICA_ID_BITS: u32 = 28;
+const REPLICA_ID_MASK: u64 = (1 << REPLICA_ID_BITS) - 1;
 
-/// Did the poller with this replica_id make a list of this term?
+/// Returns whether the poller with this replica id made the lists of this term.
 pub fn is_term_of(term: u64, replica_id: u64) -> bool {
-    let mask = (1 << REPLICA_ID_BITS) - 1;
-    term & mask == replica_id & mask
+    term & REPLICA_ID_MASK == replica_id & REPLICA_ID_MASK
+}
+
+/// Returns the lowest term of a poller that is above another term.
+fn term_above(term: u64, replica_id: u64) -> u64 {
+    ((term >> REPLICA_ID_BITS) + 1) << REPLICA_ID_BITS | (replica_id & REPLICA_ID_MASK)
 }
 
 /// What was known of a zone's list at one moment: taken when a poll begins and compared when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedVersion {
+    /// The term and sequence of the list that was held.
     version: Option<(u64, u64)>,
     newest_term: u64,
 }
 
-/// Invariant: the version (term, count) of a zone's list never goes back.
+/// The newest list of each zone. Invariant: the version (term, sequence) of a zone's list never goes back.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: BTreeMap<String, EndpointList>,
-    /// Turns that others were told of: the next own poll goes above them.
+    /// By zone: the highest term that others are known to hold. The next own poll goes above it.
     observed_terms: BTreeMap<String, u64>,
 }
 
 impl EndpointLists {
-    /// True when the list is newer than what was held.
+    /// Takes over a list. Returns whether it is newer than what was held.
     pub fn update(&mut self, list: &EndpointList) -> bool {
         let held = self.lists.get(&list.zone).map(|held| (held.term, held.sequence));
         if held >= Some((list.term, list.sequence)) {
@@ -40,19 +50,20 @@
         true
     }
 
-    /// To be asked before the first call of a poll.
+    /// Returns what is known of a zone's list, to be asked before the first call of a poll.
     pub fn observed_version(&self, zone: &str) -> ObservedVersion {
         let version = self.lists.get(zone).map(|held| (held.term, held.sequence));
         let observed = self.observed_terms.get(zone).copied().unwrap_or(0);
         ObservedVersion { version, newest_term: version.map_or(0, |held| held.0).max(observed) }
     }
 
-    /// What a poller saw that began when `known` was asked for. `term` is its own while nobody else
-    /// polled this zone since; else it goes above what is held. The low bits are the poller's replica_id, so
-    /// that no two share a term. Gives the new list when something changed.
+    /// Publishes what a poller saw that began when `known` was observed. Returns the new list when something changed.
+    ///
+    /// `term` stays the poller's own while nobody else polled this zone since; else it goes above what is held. Its low
+    /// bits are the replica id, so that no two pollers share a term.
     ///
-    /// Another poller's list that became known meanwhile may be newer than what was seen, so what was
-    /// seen is dropped: it would else be put above that list (a poller that froze in mid-poll).
+    /// Another poller's list that became known meanwhile may be newer than what was seen, so what was seen is dropped: it
+    /// would else be put above that list (a poller that froze in mid-poll).
     pub fn publish(
         &mut self,
         zone: &str,
@@ -64,53 +75,54 @@
         if self.observed_version(zone) != known {
             return None;
         }
-        let held = self.lists.get(zone);
-        let top = known.newest_term;
-        if *term == 0 || *term != top {
-            *term = ((top >> REPLICA_ID_BITS) + 1) << REPLICA_ID_BITS | (replica_id & ((1 << REPLICA_ID_BITS) - 1));
+        if *term == 0 || *term != known.newest_term {
+            *term = term_above(known.newest_term, replica_id);
         }
-        let same = held.is_some_and(|held| held.term == *term && same_engines(&held.engines, &engines));
-        if same {
+        let own = self.lists.get(zone).filter(|held| held.term == *term);
+        if own.is_some_and(|held| is_same_list(&held.engines, &engines)) {
             return None;
         }
-        let sequence = held.filter(|held| held.term == *term).map_or(1, |held| held.sequence + 1);
+        let sequence = own.map_or(1, |held| held.sequence + 1);
         let list = EndpointList { zone: zone.into(), term: *term, sequence, engines };
         self.lists.insert(zone.into(), list.clone());
         Some(list)
     }
 
+    /// Returns all lists, by the names of their zones.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointList> {
         self.lists.values()
     }
 
-    /// Those that are newer than the versions told.
-    pub fn newer_than(&self, told: &[(String, u64, u64)]) -> Vec<EndpointList> {
-        let version = |zone: &str| told.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
+    /// Returns the lists that are newer than the versions a peer reported: zone, term, sequence.
+    pub fn newer_than(&self, reported: &[(String, u64, u64)]) -> Vec<EndpointList> {
+        let version = |zone: &str| reported.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
         self.lists.values().filter(|held| Some((held.term, held.sequence)) > version(&held.zone)).cloned().collect()
     }
 
+    /// Returns the versions held: zone, term, sequence.
     pub fn versions(&self) -> Vec<(String, u64, u64)> {
         self.lists.values().map(|list| (list.zone.clone(), list.term, list.sequence)).collect()
     }
 
-    /// Someone holds lists of these terms: routers outlive the controllers that made them.
-    pub fn observe_terms(&mut self, told: &[(String, u64, u64)]) {
+    /// Records the terms of lists that someone holds: routers outlive the controllers that made their lists.
+    pub fn observe_terms(&mut self, reported: &[(String, u64, u64)]) {
         let is_list = |name: &str| !message::is_hidden_key(name) || version_rollout::candidate_zone(name).is_some();
-        for (zone, term, _) in told.iter().filter(|item| is_list(&item.0)) {
+        for (zone, term, _) in reported.iter().filter(|item| is_list(&item.0)) {
             let observed = self.observed_terms.entry(zone.clone()).or_default();
             *observed = (*observed).max(*term);
         }
     }
 
+    /// Returns the recorded terms in the form of versions: zone, term, 0.
     pub fn observed_terms(&self) -> Vec<(String, u64, u64)> {
         self.observed_terms.iter().map(|(zone, term)| (zone.clone(), *term, 0)).collect()
     }
 }
 
-/// The same but for the running down of what is left of a cold time.
-fn same_engines(left: &[Engine], right: &[Engine]) -> bool {
-    let plain = |engine: &Engine| Engine { cold_ms: u32::from(engine.cold_ms > 0), ..engine.clone() };
-    left.len() == right.len() && left.iter().zip(right).all(|(one, two)| plain(one) == plain(two))
+/// Returns whether two lists are the same but for what is left of slow starts, which runs down by itself.
+fn is_same_list(left: &[Engine], right: &[Engine]) -> bool {
+    let without_time = |engine: &Engine| Engine { cold_ms: u32::from(engine.cold_ms > 0), ..engine.clone() };
+    left.len() == right.len() && left.iter().zip(right).all(|(one, two)| without_time(one) == without_time(two))
 }
 
 #[cfg(test)]
--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -20,6 +20,6 @@
 pub use phase_balance::{plan_phase_change, EngineObservation, PhaseChange};
 pub use retry_budget::RetryBudget;
 pub use selection::{Arm, CachedPrefix, SelectedEngine, SelectionContext, WeightVersionRange};
-pub use slow_start::{expected_senders, SlowStart};
-pub use staleness_bound::{StalenessBound, StalenessBounds, LEASE_MS, RELAXATION_DELAY_MS};
+pub use slow_start::SlowStart;
+pub use staleness_bound::{StalenessBound, StalenessBounds, LEASE_MS};
 pub use subset::{Subset, SubsetMember, SubsetParams};
--- a/load_balancing/src/phase_balance.rs
+++ b/load_balancing/src/phase_balance.rs
@@ -1,41 +1,46 @@
-//! How many engines should read prompts (prefill) and how many make tokens (decode): a pure judgement on
-//! their load.
+//! How many engines of a service do prefill and how many decode: a pure decision on their load.
+//!
+//! When one phase is overloaded and the other can spare engines, some change. The thresholds leave a gap, so that a change
+//! never calls for its own undoing.
 
-/// An engine as the judgement sees it.
+/// An engine as it was last observed.
 #[derive(Clone, Debug)]
 pub struct EngineObservation {
+    /// The engine's id.
     pub id: String,
+    /// It does prefill, else decode.
     pub prefill: bool,
+    /// How many requests it decodes at once.
     pub slots: u32,
-    /// Requests under way there, from all routers.
+    /// Requests in flight there, from all routers.
     pub in_flight: u32,
-    /// Up, in a zone that is not being evacuated.
+    /// It is up, in a zone that is not being evacuated.
     pub eligible: bool,
 }
 
-/// Requests per prefill engine from which these are overloaded: prompts are read one after another, and with one
-/// request under way on average every second one waits.
+/// Requests in flight per prefill engine above which these are overloaded: prompts are read one after another, and with
+/// one request in flight on average every second one waits.
 const PREFILL_OVERLOADED: f64 = 1.1;
-/// What the remaining prefill engines may come to when one is taken away.
+/// Requests in flight per prefill engine that the remaining ones stay below when one is taken away.
 const PREFILL_SPARABLE: f64 = 0.4;
-/// The share of slots from which decode engines are overloaded.
+/// The share of slots in use above which decode engines are overloaded.
 const DECODE_OVERLOADED: f64 = 0.35;
-/// What the remaining decode engines may come to when one is taken away.
+/// The share of slots in use that the remaining decode engines stay below when one is taken away.
 const DECODE_SPARABLE: f64 = 0.55;
 
-/// One of so many engines may change its part at once: a large fleet follows its load as fast as a small one.
+/// One of so many engines may change its phase at once: a large fleet follows its load as fast as a small one.
 const ENGINES_PER_CHANGE: usize = 24;
 
-/// Engines that are to change their part.
+/// Engines that are to change their phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PhaseChange {
-    /// Their places in the list that was judged, the least busy first. Never empty.
+    /// Their indices in the list of observations, the least loaded first. Never empty.
     pub engines: Vec<usize>,
-    /// They are to be prefill engines from then on, else decode engines.
+    /// They are to do prefill from then on, else decode.
     pub prefill: bool,
 }
 
-/// The engines of one part, and their load.
+/// The eligible engines of one phase, and their load.
 #[derive(Clone, Copy)]
 struct PhaseLoad {
     count: f64,
@@ -44,9 +49,9 @@
 }
 
 impl PhaseLoad {
-    fn of(list: &[EngineObservation], prefill: bool) -> PhaseLoad {
+    fn of(observations: &[EngineObservation], prefill: bool) -> PhaseLoad {
         let mut load = PhaseLoad { count: 0.0, in_flight: 0.0, slots: 0.0 };
-        for engine in list.iter().filter(|engine| engine.eligible && engine.prefill == prefill) {
+        for engine in observations.iter().filter(|engine| engine.eligible && engine.prefill == prefill) {
             load.count += 1.0;
             load.in_flight += f64::from(engine.in_flight);
             load.slots += f64::from(engine.slots);
@@ -54,18 +59,18 @@
         load
     }
 
-    /// Can one of these prefill engines be spared?
+    /// Returns whether one of these prefill engines can be spared.
     fn can_spare_prefill(&self) -> bool {
         self.count > 1.0 && self.in_flight / (self.count - 1.0) < PREFILL_SPARABLE
     }
 
-    /// Can one of these decode engines be spared?
+    /// Returns whether one of these decode engines can be spared.
     fn can_spare_decode(&self) -> bool {
         self.count > 1.0 && self.in_flight < DECODE_SPARABLE * self.slots * (self.count - 1.0) / self.count
     }
 }
 
-/// Both parts of a service.
+/// Both phases of a service.
 #[derive(Clone, Copy)]
 struct ServiceLoad {
     prefill: PhaseLoad,
@@ -73,7 +78,7 @@
 }
 
 impl ServiceLoad {
-    /// The part that one more engine should change to: prefill (true) or decode. None: leave all as they are.
+    /// Returns the phase that one more engine should change to: prefill (true) or decode. `None`: leave all as they are.
     fn wanted_phase(&self) -> Option<bool> {
         let (prefill, decode) = (&self.prefill, &self.decode);
         if prefill.count + decode.count < 2.0 {
@@ -92,7 +97,7 @@
         (decode.in_flight > DECODE_OVERLOADED * decode.slots && prefill.can_spare_prefill()).then_some(false)
     }
 
-    /// The service_load once an idle engine has changed its part.
+    /// Returns the load once an idle engine has changed its phase.
     fn after_change(mut self, engine: &EngineObservation, to_prefill: bool) -> ServiceLoad {
         let (from, to) = match to_prefill {
             true => (&mut self.decode, &mut self.prefill),
@@ -106,25 +111,27 @@
     }
 }
 
-/// The engines of a part, the least busy first.
-fn least_loaded_first(list: &[EngineObservation], prefill: bool) -> Vec<usize> {
-    let mut eligible: Vec<usize> =
-        (0..list.len()).filter(|at| list[*at].eligible && list[*at].prefill == prefill).collect();
-    eligible.sort_by_key(|at| (list[*at].in_flight, list[*at].id.as_str()));
+/// Returns the indices of the eligible engines of a phase, the least loaded first.
+fn least_loaded_first(observations: &[EngineObservation], prefill: bool) -> Vec<usize> {
+    let is_eligible = |engine: &EngineObservation| engine.eligible && engine.prefill == prefill;
+    let mut eligible: Vec<usize> = (0..observations.len()).filter(|at| is_eligible(&observations[*at])).collect();
+    eligible.sort_by_key(|at| (observations[*at].in_flight, observations[*at].id.as_str()));
     eligible
 }
 
-/// The engines to change, as many as are wanted one after the other. None: leave all as they are.
-pub fn plan_phase_change(list: &[EngineObservation]) -> Option<PhaseChange> {
-    let mut service_load = ServiceLoad { prefill: PhaseLoad::of(list, true), decode: PhaseLoad::of(list, false) };
-    let prefill = service_load.wanted_phase()?;
-    let limit = (list.len() / ENGINES_PER_CHANGE).max(1);
+/// Returns the engines of a service that are to change their phase, as many as are wanted one after the other. `None`:
+/// leave all as they are.
+pub fn plan_phase_change(observations: &[EngineObservation]) -> Option<PhaseChange> {
+    let mut load =
+        ServiceLoad { prefill: PhaseLoad::of(observations, true), decode: PhaseLoad::of(observations, false) };
+    let prefill = load.wanted_phase()?;
+    let limit = (observations.len() / ENGINES_PER_CHANGE).max(1);
     let mut engines = Vec::new();
-    for at in least_loaded_first(list, !prefill).into_iter().take(limit) {
-        if service_load.wanted_phase() != Some(prefill) {
+    for at in least_loaded_first(observations, !prefill).into_iter().take(limit) {
+        if load.wanted_phase() != Some(prefill) {
             break;
         }
-        service_load = service_load.after_change(&list[at], prefill);
+        load = load.after_change(&observations[at], prefill);
         engines.push(at);
     }
     (!engines.is_empty()).then_some(PhaseChange { engines, prefill })
--- a/load_balancing/src/retry_budget.rs
+++ b/load_balancing/src/retry_budget.rs
@@ -1,20 +1,22 @@
-//! Slices of bounds that all routers share. No router asks for leave: each keeps to a slice, and the
-//! slices never add up to more than the bound, whatever fails.
+//! The retry budget: how many further sends one router may make.
+//!
+//! All routers share the bound, and none asks another for leave: each keeps to a slice, and the slices never add up to
+//! more than the bound, whatever fails. A router's slice is the ratio of its own requests, so the slices add up to the
+//! ratio of all requests, and an even part of half of the allowed slack. The other half of the slack is left for routers
+//! that restart or are not counted yet.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::sliding_window::drop_before;
 
-/// Further sends. A router's slice is the ratio of its own requests, so the slices add up to the
-/// ratio of all, and an even part of half the slack: the other half is left for routers that start
-/// anew or are not yet counted. Invariant: within any window that ends at a grant, grants are at most
-/// `ratio` x requests of that window + the part.
+/// Invariant: within any window that ends at a grant, grants are at most `ratio` x requests of that window + allowance.
 pub struct RetryBudget {
     ratio: f64,
     window_ms: u64,
     windows: HashMap<u32, ServiceWindow>,
 }
 
+/// The times of a service's requests and granted retries, in milliseconds.
 #[derive(Default)]
 struct ServiceWindow {
     requests: VecDeque<u64>,
@@ -22,10 +24,12 @@
 }
 
 impl RetryBudget {
-    pub fn new(ratio: f64, window_ms: u64) -> Self {
-        RetryBudget { ratio, window_ms, windows: Default::default() }
+    /// Creates a budget of `ratio` retries for each request within `window_ms` milliseconds.
+    pub fn new(ratio: f64, window_ms: u64) -> RetryBudget {
+        RetryBudget { ratio, window_ms, windows: HashMap::new() }
     }
 
+    /// Records a client's request to a service.
     pub fn record_request(&mut self, service: u32, now: u64) {
         let window_start = now.saturating_sub(self.window_ms);
         let window = self.windows.entry(service).or_default();
@@ -33,7 +37,8 @@
         window.requests.push_back(now);
     }
 
-    /// Grants one further send, or not.
+    /// Grants one retry and returns true, or returns false when the budget is spent. `allowance` is this router's part of
+    /// the slack, in retries a window.
     pub fn try_acquire(&mut self, service: u32, now: u64, allowance: f64) -> bool {
         let window_start = now.saturating_sub(self.window_ms);
         let window = self.windows.entry(service).or_default();
--- a/load_balancing/src/staleness_bound.rs
+++ b/load_balancing/src/staleness_bound.rs
@@ -1,54 +1,56 @@
-//! The limit on stale weights as one router holds it: pure, time comes in with every call.
+//! The limits on stale weights as one router enforces them (`docs/rollouts.md`).
 //!
-//! A raised floor or an added route binds at once; a lowered floor or a freed route only once every router
-//! can know of it. What is bound is sent only under a lease: one that lapsed refuses it.
+//! A raised minimum version or an added route binds at once; a lowered minimum or a freed route only once every router can
+//! know of it. Bound requests are sent only under a lease: one that lapsed refuses them, since then a raise may have been
+//! acknowledged that this router has not heard of.
 
 use protocol::message::StalenessLimit;
 
-/// How long a lease lasts from the sending of the call that renewed it. Invariant: shorter than the lease
-/// that a controller counts for its router.
+/// How long a lease lasts from the sending of the call that renewed it, in milliseconds. Invariant: shorter than the lease
+/// that a controller counts for its router (1600 ms), so that a controller never takes a lease for lapsed that is not.
 pub const LEASE_MS: u64 = 1200;
-/// How long after it is heard of a loosening takes effect: by then no router is bound by more that could
-/// not know of it.
-pub const RELAXATION_DELAY_MS: u64 = 2700;
+/// How long after it is heard of a relaxation takes effect, in milliseconds. A controller may be sure of the state before
+/// for 1100 ms and then renew a lease for `LEASE_MS`; with 200 ms for clocks that is 2500 ms, after which no router is
+/// bound by more that could not know of the relaxation. 200 ms more stand beside it.
+const RELAXATION_DELAY_MS: u64 = 2700;
 
-/// What holds for one request.
+/// The versions that one request may run on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessBound {
+    /// Any version: no limit binds the route.
     Unbounded,
-    /// Weights of this version or newer.
+    /// This version or a newer one.
     AtLeast(u64),
-    /// The lease has lapsed: what holds now is not known.
+    /// The lease has lapsed: what holds now is not known, so the request must not be sent.
     LeaseExpired,
 }
 
-/// Invariants: `limit.version` never goes back; `floor` and `routes` are in force, and hold at least what the
-/// newest limit asks for.
+/// A limit and what of it is in force.
+///
+/// Invariants: `limit.version` never goes back; until `relaxes_at`, `min_version` and `routes` are in force and bind at
+/// least what the newest limit asks for; from then on the newest limit is in force.
 #[derive(Clone, Debug)]
 struct EnforcedLimit {
     limit: StalenessLimit,
     service: u32,
     min_version: u64,
     routes: Vec<String>,
+    /// In milliseconds.
     relaxes_at: u64,
 }
 
+/// All limits that a router holds, and its lease.
 #[derive(Clone, Debug, Default)]
 pub struct StalenessBounds {
     limits: Vec<EnforcedLimit>,
+    /// In milliseconds.
     lease_until: u64,
 }
 
 impl StalenessBounds {
-    /// True when the limit is newer than what was held.
+    /// Takes over a limit on a service, at `now` in milliseconds. Returns whether it is newer than what was held.
     pub fn update(&mut self, limit: &StalenessLimit, service: u32, now: u64) -> bool {
-        let new = EnforcedLimit {
-            limit: limit.clone(),
-            service,
-            min_version: limit.floor(),
-            routes: if limit.removed { Vec::new() } else { limit.routes.clone() },
-            relaxes_at: now,
-        };
+        let new = EnforcedLimit::new(limit, service, now);
         let Some(held) = self.limits.iter_mut().find(|held| held.limit.key() == limit.key()) else {
             self.limits.push(new);
             return true;
@@ -56,34 +58,22 @@
         if limit.version <= held.limit.version {
             return false;
         }
-        held.apply_relaxation(now);
-        let looser = new.min_version < held.min_version || held.routes.iter().any(|route| !new.routes.contains(route));
-        held.limit = new.limit;
-        if !looser {
-            (held.min_version, held.routes, held.relaxes_at) = (new.min_version, new.routes, now);
-            return true;
-        }
-        held.min_version = held.min_version.max(new.min_version);
-        for route in new.routes {
-            if !held.routes.contains(&route) {
-                held.routes.push(route);
-            }
-        }
-        held.relaxes_at = now + RELAXATION_DELAY_MS;
+        held.replace(new, now);
         true
     }
 
-    /// A controller that is sure answered a call sent at `sent`, which told the versions held here as current.
+    /// Renews the lease: a controller that is sure answered a call sent at `sent`, which listed the versions held here as
+    /// current.
     pub fn renew_lease(&mut self, sent: u64) {
         self.lease_until = self.lease_until.max(sent + LEASE_MS);
     }
 
-    /// Was the control state confirmed lately?
+    /// Returns whether the control state was confirmed within the lease.
     pub fn is_confirmed(&self, now: u64) -> bool {
         now < self.lease_until
     }
 
-    /// Looked at immediately before each send.
+    /// Returns the bound on a request, to be asked immediately before each send.
     pub fn bound_for(&self, service: u32, model: &str, route: &str, now: u64) -> StalenessBound {
         let mut bound = StalenessBound::Unbounded;
         for held in self.limits.iter().filter(|held| held.service == service && held.limit.model == model) {
@@ -91,22 +81,51 @@
             if !routes.iter().any(|name| name == route) {
                 continue;
             }
-            bound = if now < self.lease_until {
-                StalenessBound::AtLeast(min_version)
-            } else {
-                StalenessBound::LeaseExpired
+            bound = match self.is_confirmed(now) {
+                true => StalenessBound::AtLeast(min_version),
+                false => StalenessBound::LeaseExpired,
             };
         }
         bound
     }
 
-    /// The versions held, as told to controllers.
+    /// Returns the keys and versions of the limits held, as reported to controllers.
     pub fn versions(&self) -> Vec<(String, u64)> {
         self.limits.iter().map(|held| (held.limit.key(), held.limit.version)).collect()
     }
 }
 
 impl EnforcedLimit {
+    fn new(limit: &StalenessLimit, service: u32, now: u64) -> EnforcedLimit {
+        EnforcedLimit {
+            limit: limit.clone(),
+            service,
+            min_version: limit.floor(),
+            routes: if limit.removed { Vec::new() } else { limit.routes.clone() },
+            relaxes_at: now,
+        }
+    }
+
+    /// Replaces the limit by a newer one: what it relaxes stays in force for `RELAXATION_DELAY_MS`.
+    fn replace(&mut self, new: EnforcedLimit, now: u64) {
+        self.apply_relaxation(now);
+        let frees_route = self.routes.iter().any(|route| !new.routes.contains(route));
+        let relaxes = new.min_version < self.min_version || frees_route;
+        self.limit = new.limit;
+        if !relaxes {
+            (self.min_version, self.routes, self.relaxes_at) = (new.min_version, new.routes, now);
+            return;
+        }
+        self.min_version = self.min_version.max(new.min_version);
+        for route in new.routes {
+            if !self.routes.contains(&route) {
+                self.routes.push(route);
+            }
+        }
+        self.relaxes_at = now + RELAXATION_DELAY_MS;
+    }
+
+    /// Returns the minimum version in force and the routes that it binds.
     fn in_force(&self, now: u64) -> (u64, &[String]) {
         if now < self.relaxes_at {
             return (self.min_version, &self.routes);
