--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines a router knows, by dense index, with what sending to them has shown.
+//! The engines that a router knows, by index, with their estimated load and the subsets that it samples.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,101 +7,181 @@
 use protocol::version_rollout;
 
 use crate::endpoint_lists::EndpointLists;
+use crate::engine_state::EngineState;
 use crate::phase::Phase;
 use crate::subset::{Subset, SubsetMember, SubsetParams};
+use crate::topology::{Distance, NameIndex, Topology};
 
-use crate::engine_state::EngineState;
+/// How fast a report loses its worth, in milliseconds: by then half of it is left, the rest is the average engine.
+const REPORT_HALF_LIFE_MS: f64 = 400.0;
+/// The weight of one report in the moving average of load.
+const REPORT_WEIGHT: f64 = 0.1;
+/// The weight of one prefill in the moving average of prompt tokens.
+const PREFILL_WEIGHT: f64 = 0.05;
+
+/// The engines among which one selection chooses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct SubsetKey {
+    service: u32,
+    phase: Phase,
+    /// Of a version that is being rolled out.
+    is_candidate: bool,
+}
+
+/// The engines whose load is averaged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct MeanLoadKey {
+    service: u32,
+    prefill: bool,
+    is_candidate: bool,
+}
+
+impl MeanLoadKey {
+    fn of(engine: &EngineState) -> MeanLoadKey {
+        MeanLoadKey { service: engine.service, prefill: engine.prefill, is_candidate: engine.candidate }
+    }
+}
 
+/// The engines of all zones. Times are in milliseconds.
+///
+/// Invariants: an engine keeps its index for good; `subsets` are built anew with each list and each change of
+/// `subset_params`.
 #[derive(Default)]
 pub struct EngineTable {
+    /// All engines that were ever listed, by index.
     pub engines: Vec<EngineState>,
     index_by_id: HashMap<String, usize>,
-    /// By the hash of the id.
     index_by_id_hash: HashMap<u64, usize>,
-    services: HashMap<String, u32>,
-    zones: HashMap<String, u32>,
-    /// By zone: its region. A zone that is not named is a region of its own.
-    regions: HashMap<u32, String>,
+    services: NameIndex,
+    topology: Topology,
     lists: EndpointLists,
-    /// By service: the prompt tokens that a read takes on average, as sent from here.
+    /// By service: the prompt tokens that a prefill reads on average, as sent from here.
     mean_prefill_tokens: HashMap<u32, f64>,
-    /// By service, half and whether of a version that is brought in: what choices sample from. Invariant: made anew with
-    /// each list.
-    subsets: HashMap<(u32, Phase, bool), Subset>,
-    /// The same, by whether a reader: requests at an engine on average, from the reports that came lately.
-    mean_loads: HashMap<(u32, bool, bool), f64>,
+    subsets: HashMap<SubsetKey, Subset>,
+    /// Requests at an engine on average, from the reports that came lately.
+    mean_loads: HashMap<MeanLoadKey, f64>,
     subset_params: SubsetParams,
 }
 
-/// How fast a report loses its worth: by then half of it is left, the rest is the average engine.
-const REPORT_HALF_LIFE_MS: f64 = 400.0;
-/// What one report weighs in the average.
-const REPORT_WEIGHT: f64 = 0.1;
-
-fn index_of(map: &mut HashMap<String, u32>, name: &str) -> u32 {
-    let next = map.len() as u32;
-    *map.entry(name.to_string()).or_insert(next)
-}
-
+/// Names, zones and lists.
 impl EngineTable {
+    /// Returns the index of a service, a new one for a new name.
     pub fn service_index(&mut self, name: &str) -> u32 {
-        index_of(&mut self.services, name)
+        self.services.index_of(name)
     }
 
+    /// Returns the index of a zone, a new one for a new name.
     pub fn zone_index(&mut self, name: &str) -> u32 {
-        index_of(&mut self.zones, name)
+        self.topology.zone_index(name)
     }
 
+    /// Sets the region of a zone.
     pub fn set_region(&mut self, zone: &str, region: &str) {
-        let zone = self.zone_index(zone);
-        self.regions.insert(zone, region.into());
+        self.topology.set_region(zone, region);
     }
 
-    /// 0: the same zone; 1: the same region; 2: another region.
-    pub fn distance(&self, one: u32, two: u32) -> usize {
-        if one == two {
-            return 0;
-        }
-        let near = self.regions.get(&one).is_some_and(|region| self.regions.get(&two) == Some(region));
-        2 - usize::from(near)
+    /// Returns how far one zone is from another, by their indices.
+    pub(crate) fn distance(&self, one: u32, two: u32) -> Distance {
+        self.topology.distance(one, two)
     }
 
+    /// Returns the index of an engine.
     pub fn find(&self, id: &str) -> Option<usize> {
         self.index_by_id.get(id).copied()
     }
 
-    pub fn mark_reassigning(&mut self, ids: &[String], until: u64) {
-        for id in ids {
-            if let Some(at) = self.find(id) {
-                self.engines[at].reassigning_until = until;
+    /// Returns the versions of the lists held: zone, term, sequence.
+    pub fn list_versions(&self) -> Vec<(String, u64, u64)> {
+        self.lists.versions()
+    }
+
+    /// Returns how many zones' lists are known.
+    pub fn listed_zone_count(&self) -> usize {
+        self.lists.iter().filter(|list| !message::is_hidden_key(&list.zone)).count()
+    }
+
+    /// Takes over a list if it is newer than the one held. Returns the ids of engines that just left or began to drain.
+    pub fn update(&mut self, list: &EndpointList, now: u64) -> Vec<String> {
+        if !self.lists.update(list) {
+            return Vec::new();
+        }
+        let candidate_zone = version_rollout::candidate_zone(&list.zone);
+        let is_candidate = candidate_zone.is_some();
+        let zone = self.zone_index(candidate_zone.unwrap_or(&list.zone));
+        let mut left = self.unlist_missing(list, zone, is_candidate);
+        for listed in &list.engines {
+            let at = self.find_or_insert(listed, zone);
+            if self.engines[at].apply_listing(listed, is_candidate, now) {
+                left.push(self.engines[at].id.clone());
             }
         }
+        self.rebuild_subsets();
+        left
     }
 
-    pub fn record_prefill(&mut self, service: u32, tokens: u32) {
-        let mean = self.mean_prefill_tokens.entry(service).or_insert(f64::from(tokens));
-        *mean += (f64::from(tokens) - *mean) * 0.05;
+    /// Marks the engines of a zone that its list does not name any more. Returns their ids.
+    fn unlist_missing(&mut self, list: &EndpointList, zone: u32, is_candidate: bool) -> Vec<String> {
+        let named: HashSet<&str> = list.engines.iter().map(|engine| engine.id.as_str()).collect();
+        let is_missing = |engine: &&mut EngineState| {
+            engine.zone == zone
+                && engine.candidate == is_candidate
+                && engine.listed
+                && !named.contains(engine.id.as_str())
+        };
+        let unlist = |engine: &mut EngineState| {
+            engine.listed = false;
+            engine.id.clone()
+        };
+        self.engines.iter_mut().filter(is_missing).map(unlist).collect()
     }
 
-    pub fn mean_prefill_tokens(&self, service: u32) -> f64 {
-        self.mean_prefill_tokens.get(&service).copied().unwrap_or(0.0)
+    fn find_or_insert(&mut self, listed: &Engine, zone: u32) -> usize {
+        let service = self.service_index(&listed.service);
+        if let Some(at) = self.find(&listed.id) {
+            return at;
+        }
+        let at = self.engines.len();
+        self.engines.push(EngineState::new(listed, service, zone));
+        self.index_by_id_hash.insert(self.engines[at].id_hash, at);
+        self.index_by_id.insert(listed.id.clone(), at);
+        at
     }
 
-    pub fn list_versions(&self) -> Vec<(String, u64, u64)> {
-        self.lists.versions()
+    /// Marks engines that are about to change their phase: they get nothing new until then.
+    pub fn mark_reassigning(&mut self, ids: &[String], until: u64) {
+        for id in ids {
+            if let Some(at) = self.find(id) {
+                self.engines[at].reassigning_until = until;
+            }
+        }
     }
 
-    /// How many zones' lists are known.
-    pub fn listed_zone_count(&self) -> usize {
-        self.lists.iter().filter(|list| !message::is_hidden_key(&list.zone)).count()
+    /// Presumes that the engines of a zone are cold until a time, since they may be without the list saying so yet.
+    pub fn presume_zone_cold(&mut self, zone: u32, until: u64) {
+        for engine in self.engines.iter_mut().filter(|engine| engine.zone == zone) {
+            engine.presume_cold(until);
+        }
+    }
+
+    /// Records weight versions as a poller saw them: engine, model, version.
+    pub fn set_weight_versions(&mut self, versions: &[(String, String, u64)]) {
+        for (id, model, version) in versions {
+            if let Some(at) = self.find(id) {
+                self.engines[at].set_weight_version(clock::hash(model.as_bytes()), Some(*version));
+            }
+        }
     }
+}
 
-    /// Who samples here. The number of routers counts by steps of a quarter: a subset should last.
+/// Subsets.
+impl EngineTable {
+    /// Sets the router that samples here: the hash of its name, its zone, and how many routers there are. A count that
+    /// changed by a quarter or less is left as it is, so that a subset lasts.
     pub fn set_router(&mut self, router_hash: u64, zone: u32, router_count: u32) {
-        let zone_count = self.regions.len().max(1) as u32;
+        let zone_count = self.topology.configured_zone_count().max(1) as u32;
         let held = self.subset_params;
-        let near = router_count.abs_diff(held.router_count) * 4 <= held.router_count;
-        if held.router_hash == router_hash && held.zone_count == zone_count && near {
+        let is_near = router_count.abs_diff(held.router_count) * 4 <= held.router_count;
+        if held.router_hash == router_hash && held.zone_count == zone_count && is_near {
             return;
         }
         self.subset_params = SubsetParams { router_hash, zone, router_count, zone_count };
@@ -109,141 +189,82 @@
     }
 
     fn rebuild_subsets(&mut self) {
-        let mut members: HashMap<(u32, Phase, bool), Vec<SubsetMember>> = Default::default();
+        let mut members: HashMap<SubsetKey, Vec<SubsetMember>> = HashMap::new();
         for (at, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.listed) {
-            let mut put = |phase| {
-                members.entry((engine.service, phase, engine.candidate)).or_default().push((
-                    at,
-                    engine.zone,
-                    engine.id_hash,
-                ))
-            };
-            if engine.prefill {
-                put(Phase::Prefill);
-            }
-            if engine.decode {
-                put(Phase::Decode);
+            let member = SubsetMember { engine: at, zone: engine.zone, id_hash: engine.id_hash };
+            let phases = [(Phase::Prefill, engine.prefill), (Phase::Decode, engine.decode)];
+            for (phase, _) in phases.into_iter().filter(|(_, serves)| *serves) {
+                let key = SubsetKey { service: engine.service, phase, is_candidate: engine.candidate };
+                members.entry(key).or_default().push(member);
             }
         }
         let params = self.subset_params;
-        self.subsets = members.into_iter().map(|(key, list)| (key, Subset::build(params, &list))).collect();
+        self.subsets = members.into_iter().map(|(key, members)| (key, Subset::build(params, &members))).collect();
+    }
+
+    /// Returns the subset of one phase of a service. `is_candidate`: of the version that is being rolled out.
+    pub fn subset(&self, service: u32, phase: Phase, is_candidate: bool) -> Option<&Subset> {
+        self.subsets.get(&SubsetKey { service, phase, is_candidate })
     }
 
-    /// The engines of one half of a service; `candidate`: those of a version that is brought in.
-    pub fn subset(&self, service: u32, phase: Phase, candidate: bool) -> Option<&Subset> {
-        self.subsets.get(&(service, phase, candidate))
+    /// Returns the hash of this router and an engine, by which few routers are drawn for a cold engine.
+    pub(crate) fn router_engine_hash(&self, id_hash: u64) -> u64 {
+        clock::combine_hashes(self.subset_params.router_hash, id_hash)
     }
+}
 
-    /// This router's draw for an engine.
-    pub fn router_engine_hash(&self, name: u64) -> u64 {
-        clock::combine_hashes(self.subset_params.router_hash, name)
+/// Load.
+impl EngineTable {
+    /// Records the length of a prefill that is about to be sent, in tokens to be read.
+    pub fn record_prefill(&mut self, service: u32, tokens: u32) {
+        let mean = self.mean_prefill_tokens.entry(service).or_insert(f64::from(tokens));
+        *mean += (f64::from(tokens) - *mean) * PREFILL_WEIGHT;
+    }
+
+    /// Returns the average length of a service's prefills, in tokens.
+    pub(crate) fn mean_prefill_tokens(&self, service: u32) -> f64 {
+        self.mean_prefill_tokens.get(&service).copied().unwrap_or(0.0)
     }
 
-    /// An engine told what runs and waits there.
+    /// Records the value of a `Server-Load` header that an engine sent to this router.
     pub fn record_reported_load(&mut self, at: usize, text: &str, now: u64) {
         let engine = &mut self.engines[at];
         if !engine.set_reported_load(text, now) {
             return;
         }
-        let load = engine.reported_load.0 + engine.reported_load.1;
+        let load = engine.reported_load.total();
         self.update_mean_load(at, load);
     }
 
-    /// Versions as a poller saw them.
-    pub fn set_weight_versions(&mut self, list: &[(String, String, u64)]) {
-        for (id, model, version) in list {
-            if let Some(at) = self.find(id) {
-                self.engines[at].set_weight_version(clock::hash(model.as_bytes()), Some(*version));
-            }
-        }
-    }
-
-    /// What an engine told another router lately.
-    pub fn record_relayed_load(&mut self, told: &EngineLoad, now: u64) {
-        let Some(at) = self.index_by_id_hash.get(&told.engine_hash).copied() else { return };
-        let time = now.saturating_sub(u64::from(told.age_ms));
+    /// Records what an engine reported to another router, if that is newer than what is known.
+    pub fn record_relayed_load(&mut self, report: &EngineLoad, now: u64) {
+        let Some(at) = self.index_by_id_hash.get(&report.engine_hash).copied() else { return };
+        let time = now.saturating_sub(u64::from(report.age_ms));
         let engine = &mut self.engines[at];
         if time > engine.reported_at {
-            engine.set_relayed_load(told.load, time);
-            self.update_mean_load(at, told.load);
+            engine.set_relayed_load(report.load, time);
+            self.update_mean_load(at, report.load);
         }
     }
 
     fn update_mean_load(&mut self, at: usize, load: u32) {
-        let engine = &self.engines[at];
-        let mean = self.mean_loads.entry((engine.service, engine.prefill, engine.candidate)).or_insert(f64::from(load));
+        let key = MeanLoadKey::of(&self.engines[at]);
+        let mean = self.mean_loads.entry(key).or_insert(f64::from(load));
         *mean += (f64::from(load) - *mean) * REPORT_WEIGHT;
     }
 
-    /// Requests at an engine, as far as can be known here: what it last told, fading into what engines of
-    /// its phase tell on average, and the own sends since.
+    /// Returns the requests at an engine as far as can be known here: what it last reported, fading into the average of
+    /// the engines of its phase, and this router's own sends since. Never below the own requests in flight.
     pub fn estimated_load(&self, at: usize, now: u64) -> f64 {
         let engine = &self.engines[at];
         let own = f64::from(engine.in_flight);
-        let mean = self.mean_loads.get(&(engine.service, engine.prefill, engine.candidate)).copied().unwrap_or(0.0);
+        let mean = self.mean_loads.get(&MeanLoadKey::of(engine)).copied().unwrap_or(0.0);
         if engine.reported_at == 0 {
             return mean + own;
         }
         let worth = (-(now.saturating_sub(engine.reported_at) as f64) / REPORT_HALF_LIFE_MS).exp2();
-        let told = f64::from(engine.reported_load.0 + engine.reported_load.1);
-        (told * worth + mean * (1.0 - worth) + own - f64::from(engine.in_flight_at_report) * worth).max(own)
-    }
-
-    /// Takes a list; gives the ids of engines that just left or began to drain.
-    pub fn update(&mut self, list: &EndpointList, now: u64) -> Vec<String> {
-        if !self.lists.update(list) {
-            return Vec::new();
-        }
-        let candidate_zone = version_rollout::candidate_zone(&list.zone);
-        let candidate = candidate_zone.is_some();
-        let zone = self.zone_index(candidate_zone.unwrap_or(&list.zone));
-        let mut left = Vec::new();
-        let named: HashSet<&str> = list.engines.iter().map(|engine| engine.id.as_str()).collect();
-        let listed = |engine: &&mut EngineState| engine.zone == zone && engine.candidate == candidate && engine.listed;
-        for engine in self.engines.iter_mut().filter(listed) {
-            if !named.contains(engine.id.as_str()) {
-                engine.listed = false;
-                left.push(engine.id.clone());
-            }
-        }
-        for reported in &list.engines {
-            let service = self.service_index(&reported.service);
-            let at = match self.index_by_id.get(&reported.id) {
-                Some(at) => *at,
-                None => self.insert(reported, service, zone),
-            };
-            let engine = &mut self.engines[at];
-            if engine.up && !reported.up {
-                left.push(engine.id.clone());
-            }
-            engine.listed = !engine.retired;
-            engine.candidate = candidate;
-            engine.up = reported.up;
-            engine.address.clone_from(&reported.addr);
-            engine.prefill = reported.phase != "decode";
-            engine.decode = reported.phase != "prefill";
-            engine.slots = reported.slots.max(1);
-            if reported.cold_ms > 0 {
-                engine.cold_until = engine.cold_until.max(now + u64::from(reported.cold_ms));
-            }
-        }
-        self.rebuild_subsets();
-        left
-    }
-
-    /// The engines of a zone may be cold without the list saying so yet: taken for cold until then.
-    pub fn presume_zone_cold(&mut self, zone: u32, until: u64) {
-        for engine in self.engines.iter_mut().filter(|engine| engine.zone == zone) {
-            engine.presume_cold(until);
-        }
-    }
-
-    fn insert(&mut self, engine: &Engine, service: u32, zone: u32) -> usize {
-        let at = self.engines.len();
-        self.engines.push(EngineState::new(engine, service, zone));
-        self.index_by_id_hash.insert(self.engines[at].id_hash, at);
-        self.index_by_id.insert(engine.id.clone(), at);
-        at
+        let reported = f64::from(engine.reported_load.total());
+        (reported * worth + mean * (1.0 - worth) + own - f64::from(engine.in_flight_at_report) * worth).max(own)
     }
 }
 
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -1,6 +1,7 @@
 use protocol::message::{EndpointList, Engine};
 
 use super::EngineTable;
+use crate::engine_state::ReportedLoad;
 use crate::phase::Phase;
 use crate::selection::SelectionContext;
 
@@ -51,7 +52,7 @@
     engine_table.engines[0].in_flight = 40;
     assert!(engine_table.estimated_load(0, 9000) >= 40.0, "never below what was sent from here");
     engine_table.record_reported_load(0, "nonsense", 30);
-    assert_eq!(engine_table.engines[0].reported_load, (5, 1));
+    assert_eq!(engine_table.engines[0].reported_load, ReportedLoad { running: 5, waiting: 1 });
 }
 
 #[test]
--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -1,5 +1,15 @@
-//! Engines: the list by zones, health as seen by sends, pressure, choosing among them, and this
-//! daemon's slices of the shared bounds.
+//! Load balancing of a router: which engines there are, what is known of them, and which one gets a request.
+//!
+//! - [`EndpointLists`] holds the lists of engines as pollers saw them, one list a zone.
+//! - [`EngineTable`] holds the engines by index, with their load and health as seen by this router's own sends.
+//! - `subset` chooses the few engines that one router samples, so that a selection costs the same however large a fleet is.
+//! - [`SelectionContext`] selects the engine for prefill, for decode, or for both.
+//! - [`RetryBudget`] and [`SlowStart`] are this router's slices of bounds that all routers share.
+//! - [`StalenessBounds`] says which weight versions a request may run on.
+//! - [`plan_phase_change`] decides, for a controller, which engines change between prefill and decode.
+//!
+//! Everything is synchronous and pure: times come in with each call, in milliseconds of the caller's clock.
+#![deny(missing_docs)]
 
 mod endpoint_lists;
 mod engine_state;
@@ -12,9 +22,10 @@
 mod slow_start;
 mod staleness_bound;
 mod subset;
+mod topology;
 
 pub use endpoint_lists::{is_term_of, EndpointLists, ObservedVersion};
-pub use engine_state::EngineState;
+pub use engine_state::{EngineState, ReportedLoad};
 pub use engine_table::EngineTable;
 pub use phase::Phase;
 pub use phase_balance::{plan_phase_change, EngineObservation, PhaseChange};
@@ -22,4 +33,4 @@
 pub use selection::{Arm, CachedPrefix, SelectedEngine, SelectionContext, WeightVersionRange};
 pub use slow_start::SlowStart;
 pub use staleness_bound::{StalenessBound, StalenessBounds, LEASE_MS};
-pub use subset::{Subset, SubsetMember, SubsetParams};
+pub use subset::Subset;
--- a/load_balancing/src/selection.rs
+++ b/load_balancing/src/selection.rs
@@ -1,4 +1,7 @@
-//! Choosing engines: pure functions over the engine_table. Lower cost wins; ties go by rendezvous.
+//! The selection of an engine: pure functions over the engine table.
+//!
+//! `candidates` finds the engines that may be sent to, `cost` says what each would cost, and `choice` takes the cheapest.
+//! Among equal costs the highest rendezvous hash of key and engine wins, so that all routers agree.
 
 mod candidates;
 mod choice;
@@ -6,25 +9,30 @@
 
 use crate::engine_table::EngineTable;
 
-/// What a choice looks at.
+/// What a selection for one request rests on.
 pub struct SelectionContext<'a> {
+    /// The engines.
     pub engine_table: &'a EngineTable,
+    /// The time, in milliseconds.
     pub now: u64,
+    /// The index of the service.
     pub service: u32,
-    /// The router's own zone.
+    /// The index of the router's own zone.
     pub zone: u32,
-    /// Areas not to be used: evacuated, or outside the homes. By dense index.
+    /// The indices of zones not to be used: evacuated, or outside the regions that the route or tenant allows.
     pub excluded_zones: &'a [u32],
-    /// Engines already tried for this errand.
+    /// The indices of engines that this request was already sent to.
     pub tried_engines: &'a [usize],
+    /// How many routers hold a lease.
     pub router_count: u32,
-    /// What one cold engine bears in a second, all routers together; 0: unbounded.
+    /// What one cold engine bears in requests a second, all routers together; 0: no limit.
     pub cold_engine_rate: f64,
-    /// For work bound by a limit on stale weights: the versions it may run on. An engine whose version is not
-    /// known counts as past the limit.
+    /// For work bound by a limit on stale weights: the versions it may run on. An engine whose version is not known
+    /// counts as past the limit.
     pub weight_versions: Option<WeightVersionRange>,
-    /// The control state known here was confirmed at a majority a moment ago.
+    /// The control state known here was confirmed at a quorum a moment ago.
     pub is_confirmed: bool,
+    /// The version of the service that the request goes to.
     pub arm: Arm,
 }
 
@@ -49,33 +57,34 @@
 /// The longest prefix of a prompt whose KV cache an engine holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedPrefix {
-    /// The index of the engine in the table.
+    /// The index of the engine.
     pub engine: usize,
-    /// The length of the prefix.
+    /// The length of the prefix in tokens.
     pub tokens: u32,
 }
 
-/// The engine that a choice fell on.
+/// The engine that a selection fell on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SelectedEngine {
-    /// The index of the engine in the table.
+    /// The index of the engine.
     pub engine: usize,
     /// What it costs, in prompt tokens to be read before the answer can begin.
     pub cost: f64,
 }
 
-/// Which engines of a service are looked at.
+/// The version of a service whose engines are selected from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Arm {
-    /// Those of the version in place.
+    /// The version in place.
     #[default]
     Stable,
-    /// Those of the version that is brought in, and of them only as large a share as it has of the requests, in
+    /// The version that is being rolled out, and of its engines only as large a share as it has of the requests, in
     /// thousandths: so each bears the load that it will bear.
     Candidate(u32),
 }
 
 impl Arm {
+    /// Returns whether this is the version that is being rolled out.
     pub fn is_candidate(self) -> bool {
         self != Arm::Stable
     }
--- a/load_balancing/src/selection/choice.rs
+++ b/load_balancing/src/selection/choice.rs
@@ -2,17 +2,22 @@
 
 use kernel::clock;
 
-use super::cost::{cached_tokens, COMBINED_PREFILL_COST, KV_TRANSFER_COST, QUEUED_REQUEST_COST};
+use super::candidates::Rating;
+use super::cost::cached_tokens;
 use super::{CachedPrefix, SelectedEngine, SelectionContext};
 use crate::phase::Phase;
 
-/// How many homes of a prefix are looked at: the second takes what the first can't.
+/// How many home engines of a prefix are looked at: the second takes what the first can't.
 const HOMES_PER_PREFIX: usize = 2;
 
 impl SelectionContext<'_> {
-    /// The reader of a prompt and its cost, in tokens to be read before the answer can begin. `cached`
-    /// gives, by engine, the tokens of the longest prefix it owns. Looked at are the owners, wherever they
-    /// are, the homes of the prefix and the router's own subset.
+    /// Selects the engine that reads a prompt of `tokens` tokens.
+    ///
+    /// `cached` gives the longest prefix that each owner holds, and `shared` the length of the prefix that the prompt
+    /// shares with others, whose key is `key`. Looked at are the owners, wherever they are, the home engines of the prefix
+    /// and the router's own subset. While nobody owns the whole shared prefix, its first home engine is taken for an owner,
+    /// so that all routers choose the same one. Owners of less don't count for that: a shorter prefix is at many engines,
+    /// and all requests would turn to these.
     pub fn select_prefill(
         &self,
         tokens: u32,
@@ -20,79 +25,72 @@
         shared: u32,
         key: u64,
     ) -> Option<SelectedEngine> {
+        let PrefillCandidates { engines, first_home } = self.prefill_candidates(cached, key);
+        let has_owner = cached.iter().any(|prefix| prefix.tokens >= shared && engines.contains(&prefix.engine));
+        let cost = |at: usize| {
+            let owned = cached_tokens(cached, at);
+            let presumed = if !has_owner && Some(at) == first_home { shared.max(owned) } else { owned };
+            self.prefill_cost(at, tokens, presumed)
+        };
+        self.cheapest(&engines, key, cost)
+    }
+
+    /// Adds the owners and the home engines of a prefix to the candidates, where they are rated no worse.
+    fn prefill_candidates(&self, cached: &[CachedPrefix], key: u64) -> PrefillCandidates {
         let phase = Phase::Prefill;
-        let mut candidates = self.candidates(phase);
-        let least = candidates.iter().filter_map(|at| self.rating(*at, phase)).min().unwrap_or(0);
-        let good = |at: usize| self.rating(at, phase).is_some_and(|rating| rating >= least);
-        let homes = self.subset(phase).map_or(Vec::new(), |subset| subset.home_engines(key, HOMES_PER_PREFIX, good));
-        let owners = cached.iter().map(|prefix| prefix.engine).filter(|at| good(*at));
+        let mut engines = self.candidates(phase);
+        let least = engines.iter().filter_map(|at| self.rating(*at, phase)).min().unwrap_or(Rating::Suspected);
+        let is_good = |at: usize| self.rating(at, phase).is_some_and(|rating| rating >= least);
+        let homes = self.subset(phase).map_or(Vec::new(), |subset| subset.home_engines(key, HOMES_PER_PREFIX, is_good));
+        let owners = cached.iter().map(|prefix| prefix.engine).filter(|at| is_good(*at));
         for at in owners.chain(homes.iter().copied()) {
-            if !candidates.contains(&at) {
-                candidates.push(at);
+            if !engines.contains(&at) {
+                engines.push(at);
             }
         }
-        // Owners of a shorter prefix don't count: it is at many engines, and all would turn to these.
-        let nobody = !cached.iter().any(|prefix| prefix.tokens >= shared && candidates.contains(&prefix.engine));
-        let first = homes.first().copied();
-        let mean = self.engine_table.mean_prefill_tokens(self.service);
-        let cost = |at: usize| {
-            let engine = &self.engine_table.engines[at];
-            let have = if nobody && Some(at) == first {
-                shared.max(cached_tokens(cached, at))
-            } else {
-                cached_tokens(cached, at)
-            };
-            let read = f64::from(tokens.saturating_sub(have));
-            let queue = self.engine_table.estimated_load(at, self.now) * mean * QUEUED_REQUEST_COST;
-            read + queue + self.reach(engine, tokens)
-        };
-        cheapest(&candidates, cost, |at| rendezvous_hash(key, self.engine_table.engines[at].id_hash))
+        PrefillCandidates { engines, first_home: homes.first().copied() }
     }
 
-    /// The maker of tokens: near the memory, not crowded. `from` is the engine that read the prompt.
-    pub fn select_decode(&self, tokens: u32, cached: &[CachedPrefix], from: Option<usize>, key: u64) -> Option<usize> {
-        let candidates = self.candidates(Phase::Decode);
-        let home = from.map_or(self.zone, |at| self.engine_table.engines[at].zone);
-        let cost = |at: usize| {
-            let engine = &self.engine_table.engines[at];
-            let lack = f64::from(tokens.saturating_sub(cached_tokens(cached, at))) / 65536.0;
-            let crowd = self.engine_table.estimated_load(at, self.now) / f64::from(engine.slots);
-            let body = self.reach(engine, tokens) / 65536.0;
-            crowd + lack * KV_TRANSFER_COST[self.engine_table.distance(engine.zone, home)] + body
-        };
-        cheapest(&candidates, cost, |at| rendezvous_hash(key, self.engine_table.engines[at].id_hash))
-            .map(|selected| selected.engine)
+    /// Selects the engine that decodes: near the KV cache and not crowded. `prefill_engine` is the one that read the
+    /// prompt.
+    pub fn select_decode(
+        &self,
+        tokens: u32,
+        cached: &[CachedPrefix],
+        prefill_engine: Option<usize>,
+        key: u64,
+    ) -> Option<usize> {
+        let kv_zone = prefill_engine.map_or(self.zone, |at| self.engine_table.engines[at].zone);
+        let cost = |at: usize| self.decode_cost(at, tokens, cached_tokens(cached, at), kv_zone);
+        self.cheapest(&self.candidates(Phase::Decode), key, cost).map(|selected| selected.engine)
     }
 
-    /// A maker that reads the prompt itself, and its cost in the same measure as a reader's.
+    /// Selects a decode engine that reads the prompt itself. Its cost compares with that of `select_prefill`.
     pub fn select_combined(&self, tokens: u32, cached: &[CachedPrefix], key: u64) -> Option<SelectedEngine> {
-        let candidates = self.candidates(Phase::Decode);
-        let cost = |at: usize| {
-            let engine = &self.engine_table.engines[at];
-            let read = f64::from(tokens.saturating_sub(cached_tokens(cached, at)));
-            let others = engine.prefill_tokens_in_flight as f64;
-            let crowd = 1.0 + self.engine_table.estimated_load(at, self.now) / f64::from(engine.slots);
-            (read + others) * COMBINED_PREFILL_COST * crowd + self.reach(engine, tokens)
-        };
-        cheapest(&candidates, cost, |at| rendezvous_hash(key, self.engine_table.engines[at].id_hash))
+        let cost = |at: usize| self.combined_cost(at, tokens, cached_tokens(cached, at));
+        self.cheapest(&self.candidates(Phase::Decode), key, cost)
     }
-}
-
-fn rendezvous_hash(key: u64, name: u64) -> u64 {
-    clock::combine_hashes(key, name)
-}
 
-fn cheapest(candidates: &[usize], cost: impl Fn(usize) -> f64, rank: impl Fn(usize) -> u64) -> Option<SelectedEngine> {
-    let mut best: Option<(f64, u64, usize)> = None;
-    for at in candidates {
-        let (price, order) = (cost(*at), rank(*at));
-        let better = match &best {
-            None => true,
-            Some((low, top, _)) => price < *low || (price == *low && order > *top),
-        };
-        if better {
-            best = Some((price, order, *at));
+    /// Returns the cheapest engine; among equal ones that with the highest rendezvous hash, the first one of these.
+    fn cheapest(&self, engines: &[usize], key: u64, cost: impl Fn(usize) -> f64) -> Option<SelectedEngine> {
+        let mut best: Option<(SelectedEngine, u64)> = None;
+        for engine in engines.iter().copied() {
+            let cost = cost(engine);
+            let hash = clock::combine_hashes(key, self.engine_table.engines[engine].id_hash);
+            let is_better = best
+                .as_ref()
+                .is_none_or(|(held, held_hash)| cost < held.cost || (cost == held.cost && hash > *held_hash));
+            if is_better {
+                best = Some((SelectedEngine { engine, cost }, hash));
+            }
         }
+        best.map(|(selected, _)| selected)
     }
-    best.map(|(cost, _, engine)| SelectedEngine { engine, cost })
+}
+
+/// The engines that a selection for prefill looks at.
+struct PrefillCandidates {
+    engines: Vec<usize>,
+    /// The first usable home engine of the prefix.
+    first_home: Option<usize>,
 }
--- a/load_balancing/src/subset_tests.rs
+++ b/load_balancing/src/subset_tests.rs
@@ -1,10 +1,11 @@
 use kernel::clock;
 
-use super::{Subset, SubsetParams};
+use super::{Subset, SubsetMember, SubsetParams};
 
-fn engines(zones: u32, each: usize) -> Vec<(usize, u32, u64)> {
-    let name = |at: usize| clock::hash(format!("i-{at}").as_bytes());
-    (0..zones as usize * each).map(|at| (at, (at / each) as u32, name(at))).collect()
+fn engines(zones: u32, each: usize) -> Vec<SubsetMember> {
+    let id_hash = |at: usize| clock::hash(format!("i-{at}").as_bytes());
+    let member = |at: usize| SubsetMember { engine: at, zone: (at / each) as u32, id_hash: id_hash(at) };
+    (0..zones as usize * each).map(member).collect()
 }
 
 fn params(at: u32, routers: u32, zones: u32) -> SubsetParams {
@@ -29,12 +30,12 @@
 fn every_engine_is_in_enough_subsets_of_its_zone_and_none_in_far_too_many() {
     for (routers, zones, each) in FLEETS {
         // Zones are alike: one is looked at, by the routers in it.
-        let list: Vec<_> = engines(zones, each).into_iter().filter(|item| item.1 == 0).collect();
+        let list: Vec<_> = engines(zones, each).into_iter().filter(|member| member.zone == 0).collect();
         let mut near = vec![0u32; list.len()];
         for at in (0..routers).step_by(zones as usize) {
             let params = params(at, routers, zones);
             for pick in Subset::sample(params, &list) {
-                near[pick] += u32::from(list[pick].1 == params.zone);
+                near[pick] += u32::from(list[pick].zone == params.zone);
             }
         }
         let mean = f64::from(near.iter().sum::<u32>()) / near.len() as f64;
@@ -57,7 +58,7 @@
     let list = engines(3, 20);
     let before = Subset::build(params(5, 88, 3), &list);
     for gone in [0, 7, 31, 59] {
-        let rest: Vec<_> = list.iter().copied().filter(|(at, _, _)| *at != gone).collect();
+        let rest: Vec<_> = list.iter().copied().filter(|member| member.engine != gone).collect();
         let after = Subset::build(params(5, 88, 3), &rest);
         let lost = before.sampled.iter().filter(|at| !after.sampled.contains(at)).count();
         assert!(lost <= 1, "{lost} moved");
--- /dev/null
+++ b/load_balancing/src/topology.rs
@@ -0,0 +1,58 @@
+//! Zones by index, their regions, and how far apart they are.
+
+use std::collections::HashMap;
+
+/// How far one zone is from another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Distance {
+    SameZone,
+    SameRegion,
+    OtherRegion,
+}
+
+/// Names by index, in the order in which they were first seen.
+#[derive(Default)]
+pub(crate) struct NameIndex(HashMap<String, u32>);
+
+impl NameIndex {
+    /// Returns the index of a name, a new one for a new name.
+    pub(crate) fn index_of(&mut self, name: &str) -> u32 {
+        let next = self.0.len() as u32;
+        *self.0.entry(name.to_string()).or_insert(next)
+    }
+}
+
+/// The zones that are known, and their regions.
+#[derive(Default)]
+pub(crate) struct Topology {
+    zones: NameIndex,
+    /// By zone: its region. A zone that is not named is a region of its own.
+    regions: HashMap<u32, String>,
+}
+
+impl Topology {
+    pub(crate) fn zone_index(&mut self, name: &str) -> u32 {
+        self.zones.index_of(name)
+    }
+
+    pub(crate) fn set_region(&mut self, zone: &str, region: &str) {
+        let zone = self.zone_index(zone);
+        self.regions.insert(zone, region.into());
+    }
+
+    /// Returns the number of zones whose region is configured.
+    pub(crate) fn configured_zone_count(&self) -> usize {
+        self.regions.len()
+    }
+
+    pub(crate) fn distance(&self, one: u32, two: u32) -> Distance {
+        if one == two {
+            return Distance::SameZone;
+        }
+        let region = self.regions.get(&one);
+        match region.is_some_and(|region| self.regions.get(&two) == Some(region)) {
+            true => Distance::SameRegion,
+            false => Distance::OtherRegion,
+        }
+    }
+}
