--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -1,5 +1,13 @@
-//! Which engines hold which prompt memory. Keys are hashes chained over the segments of a prompt in
-//! their order, so that a key stands for a whole prefix.
+//! The prefix catalog: which engines hold the KV cache of which prompt prefixes.
+//!
+//! A prompt arrives as a list of segments. Each prefix of that list has a key, a hash chained over the segments in their
+//! order, so that one key stands for a whole prefix (`prompt_prefix`). One controller keeps the [`PrefixIndex`] of all
+//! routers and the [`LoadTable`] beside it; each router keeps an [`OwnerCache`] of what it learned itself, scans that
+//! first and asks the index for the missing suffix only.
+//!
+//! Nothing here is replicated or stored: after a loss the index fills again from what routers register. All functions are
+//! pure; times are milliseconds of the caller's clock.
+#![deny(missing_docs)]
 
 use kernel::hashing;
 
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -37,7 +37,7 @@
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
     pub record: Mutex<OwnerCache>,
-    pub budget: Mutex<retry_budget::RetryBudget>,
+    pub budget: Mutex<RetryBudget>,
     pub pools: Pools,
     pub lookup: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
@@ -97,7 +97,7 @@
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
             record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
-            budget: Mutex::new(retry_budget::RetryBudget::new(settings.bounds.retry_budget, window_ms)),
+            budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
