--- a/catalog/src/prompt_prefix.rs
+++ b/catalog/src/prompt_prefix.rs
@@ -1,6 +1,6 @@
 //! The segments of a prompt and the keys of its prefixes.
 
-use kernel::clock;
+use kernel::hashing;
 
 /// A segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     let mut segments = Vec::new();
     for piece in text.split(',') {
         let (id, tokens) = piece.trim().split_once(':')?;
-        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| clock::hash(id.as_bytes()));
+        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| hashing::hash(id.as_bytes()));
         segments.push(PromptSegment { id, tokens: tokens.parse().ok()? });
     }
     Some(segments)
@@ -28,7 +28,7 @@
     let mut key = seed;
     let mut keys = Vec::with_capacity(segments.len());
     for segment in segments {
-        key = clock::combine_hashes(key, clock::combine_hashes(segment.id, u64::from(segment.tokens)));
+        key = hashing::combine(key, hashing::combine(segment.id, u64::from(segment.tokens)));
         keys.push(key);
     }
     keys
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use load_balancing::endpoint_lists::EndpointLists;
+use load_balancing::EndpointLists;
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
 use protocol::message::{StalenessLimit, WeightVersions, ROLLOUT};
--- a/controller/src/discovery/engine_directory.rs
+++ b/controller/src/discovery/engine_directory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use load_balancing::endpoint_lists::{EndpointLists, ObservedVersion};
+use load_balancing::{EndpointLists, ObservedVersion};
 use parking_lot::Mutex;
 use protocol::message::{EndpointList, WeightVersions};
 use protocol::version_rollout::VersionRollout;
--- a/controller/src/prefix_catalog.rs
+++ b/controller/src/prefix_catalog.rs
@@ -2,8 +2,8 @@
 
 use std::mem;
 
-use catalog::load_table::LoadTable;
-use catalog::prefix_index::PrefixIndex;
+use catalog::LoadTable;
+use catalog::PrefixIndex;
 use kernel::hashing;
 use parking_lot::Mutex;
 use protocol::message::{EndpointList, EngineLoad, PrefixLookup, PrefixLookupResponse, Record};
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -167,7 +167,7 @@
     pub fn set_weight_versions(&mut self, versions: &[(String, String, u64)]) {
         for (id, model, version) in versions {
             if let Some(at) = self.find(id) {
-                self.engines[at].set_weight_version(clock::hash(model.as_bytes()), Some(*version));
+                self.engines[at].set_weight_version(hashing::hash(model.as_bytes()), Some(*version));
             }
         }
     }
@@ -207,9 +207,18 @@
         self.subsets.get(&SubsetKey { service, phase, is_candidate })
     }
 
-    /// This router's draw for an engine.
-    pub fn router_engine_hash(&self, name: u64) -> u64 {
-        hashing::combine(self.subset_params.router_hash, name)
+    /// Returns the hash of this router and an engine, by which few routers are drawn for a cold engine.
+    pub(crate) fn router_engine_hash(&self, id_hash: u64) -> u64 {
+        hashing::combine(self.subset_params.router_hash, id_hash)
+    }
+}
+
+/// Load.
+impl EngineTable {
+    /// Records the length of a prefill that is about to be sent, in tokens to be read.
+    pub fn record_prefill(&mut self, service: u32, tokens: u32) {
+        let mean = self.mean_prefill_tokens.entry(service).or_insert(f64::from(tokens));
+        *mean += (f64::from(tokens) - *mean) * PREFILL_WEIGHT;
     }
 
     /// Returns the average length of a service's prefills, in tokens.
@@ -227,19 +236,10 @@
         self.update_mean_load(at, load);
     }
 
-    /// Versions as a poller saw them.
-    pub fn set_weight_versions(&mut self, list: &[(String, String, u64)]) {
-        for (id, model, version) in list {
-            if let Some(at) = self.find(id) {
-                self.engines[at].set_weight_version(hashing::hash(model.as_bytes()), Some(*version));
-            }
-        }
-    }
-
-    /// What an engine told another router lately.
-    pub fn record_relayed_load(&mut self, told: &EngineLoad, now: u64) {
-        let Some(at) = self.index_by_id_hash.get(&told.engine_hash).copied() else { return };
-        let time = now.saturating_sub(u64::from(told.age_ms));
+    /// Records what an engine reported to another router, if that is newer than what is known.
+    pub fn record_relayed_load(&mut self, report: &EngineLoad, now: u64) {
+        let Some(at) = self.index_by_id_hash.get(&report.engine_hash).copied() else { return };
+        let time = now.saturating_sub(u64::from(report.age_ms));
         let engine = &mut self.engines[at];
         if time > engine.reported_at {
             engine.set_relayed_load(report.load, time);
--- a/load_balancing/src/selection/choice.rs
+++ b/load_balancing/src/selection/choice.rs
@@ -1,6 +1,6 @@
 //! The choice of the cheapest candidate.
 
-use kernel::clock;
+use kernel::hashing;
 
 use super::candidates::Rating;
 use super::cost::cached_tokens;
@@ -76,7 +76,7 @@
         let mut best: Option<(SelectedEngine, u64)> = None;
         for engine in engines.iter().copied() {
             let cost = cost(engine);
-            let hash = clock::combine_hashes(key, self.engine_table.engines[engine].id_hash);
+            let hash = hashing::combine(key, self.engine_table.engines[engine].id_hash);
             let is_better = best.as_ref().is_none_or(|(cheapest, highest_hash)| {
                 cost < cheapest.cost || (cost == cheapest.cost && hash > *highest_hash)
             });
--- a/load_balancing/src/slow_start_tests.rs
+++ b/load_balancing/src/slow_start_tests.rs
@@ -1,4 +1,4 @@
-use kernel::clock;
+use kernel::hashing;
 
 use super::SlowStart;
 
@@ -20,13 +20,13 @@
 fn saturating_sends(bound: f64, router_count: u32, engine: u64, crash: bool) -> Vec<u64> {
     let mut times = Vec::new();
     for router in 0..router_count {
-        let router_hash = clock::hash(format!("edge-{router}").as_bytes());
+        let router_hash = hashing::hash(format!("edge-{router}").as_bytes());
         let mut slow_start = SlowStart::default();
         for now in (u64::from(router) * 7 % 50..3000).step_by(25) {
             if crash && router.is_multiple_of(29) && now / 25 == 60 {
                 slow_start = SlowStart::default();
             }
-            if slow_start.allows(bound, router_count, clock::combine_hashes(router_hash, engine), now) {
+            if slow_start.allows(bound, router_count, hashing::combine(router_hash, engine), now) {
                 slow_start.record_send(now);
                 times.push(now);
             }
@@ -41,7 +41,7 @@
         for router_count in [1, 3, 9, 18, 19, 40, 88, 400] {
             let (mut used, mut engines) = (0, 0);
             for engine in 0..16 {
-                let mut times = saturating_sends(bound, router_count, clock::hash(&[engine as u8]), false);
+                let mut times = saturating_sends(bound, router_count, hashing::hash(&[engine as u8]), false);
                 let most = max_in_window(&mut times, 1000);
                 // Under half of the slack of 5 that the published rule has beside the bound.
                 assert!(most as f64 <= bound + 2.0, "{most} of {bound} at {router_count} routers, engine {engine}");
@@ -60,7 +60,7 @@
 fn routers_that_restart_stay_within_the_slack() {
     for router_count in [9, 88, 400] {
         for engine in 0..16u8 {
-            let mut times = saturating_sends(18.0, router_count, clock::hash(&[engine]), true);
+            let mut times = saturating_sends(18.0, router_count, hashing::hash(&[engine]), true);
             assert!(max_in_window(&mut times, 1000) <= 23, "{router_count} routers");
         }
     }
@@ -72,10 +72,10 @@
     for engine in 0..20u8 {
         let mut times = Vec::new();
         for router in 0..88 {
-            let router_hash = clock::hash(format!("edge-{router}").as_bytes());
+            let router_hash = hashing::hash(format!("edge-{router}").as_bytes());
             let mut slow_start = SlowStart::default();
             for now in (0..3000).step_by(10) {
-                if slow_start.allows(18.0, 66, clock::combine_hashes(router_hash, clock::hash(&[engine])), now) {
+                if slow_start.allows(18.0, 66, hashing::combine(router_hash, hashing::hash(&[engine])), now) {
                     slow_start.record_send(now);
                     times.push(now);
                 }
--- a/load_balancing/src/staleness_bound.rs
+++ b/load_balancing/src/staleness_bound.rs
@@ -48,7 +48,7 @@
 }
 
 impl StalenessBounds {
-    /// Takes over a limit on a service, at `now` in milliseconds. Returns whether it is newer than what was current.
+    /// Takes over a limit on a service, at `now` in milliseconds. Returns whether it is newer than the current one.
     pub fn update(&mut self, limit: &StalenessLimit, service: u32, now: u64) -> bool {
         let new = EnforcedLimit::new(limit, service, now);
         let Some(current) = self.limits.iter_mut().find(|current| current.limit.key() == limit.key()) else {
--- a/load_balancing/src/subset.rs
+++ b/load_balancing/src/subset.rs
@@ -71,15 +71,9 @@
 }
 
 impl Subset {
-    pub fn build(params: SubsetParams, list: &[SubsetMember]) -> Subset {
-        let mut ring: Vec<(u64, usize)> = list
-            .iter()
-            .flat_map(|(at, _, id_hash)| (0..VIRTUAL_NODES).map(|point| (hashing::combine(*id_hash, point), *at)))
-            .collect();
-        ring.sort_unstable();
-        let mut names: Vec<(u64, usize)> = list.iter().map(|(at, _, id_hash)| (*id_hash, *at)).collect();
-        names.sort_unstable();
-        let by_id_hash = names.into_iter().map(|(_, at)| at).collect();
+    pub(crate) fn build(params: SubsetParams, members: &[SubsetMember]) -> Subset {
+        let mut by_id_hash: Vec<HashedEngine> = members.iter().map(|member| (member.id_hash, member.engine)).collect();
+        by_id_hash.sort_unstable();
         Subset {
             engines: members.iter().map(|member| member.engine).collect(),
             sampled: Subset::sample(params, members),
@@ -88,15 +82,10 @@
         }
     }
 
-    fn sample(params: SubsetParams, list: &[SubsetMember]) -> Vec<usize> {
-        let mut zones: BTreeMap<u32, Vec<(u64, usize)>> = Default::default();
-        for (at, zone, id_hash) in list {
-            zones.entry(*zone).or_default().push((hashing::combine(params.router_hash, *id_hash), *at));
-        }
-        let part = |(zone, mut part): (u32, Vec<(u64, usize)>)| {
-            part.sort_unstable();
-            part.truncate(params.sample_size(zone, part.len()));
-            part.into_iter().map(|(_, at)| at)
+    fn build_ring(members: &[SubsetMember]) -> Vec<HashedEngine> {
+        let points = |member: &SubsetMember| {
+            let (engine, id_hash) = (member.engine, member.id_hash);
+            (0..VIRTUAL_NODES).map(move |node| (hashing::combine(id_hash, node), engine))
         };
         let mut ring: Vec<HashedEngine> = members.iter().flat_map(points).collect();
         ring.sort_unstable();
@@ -106,7 +95,7 @@
     fn sample(params: SubsetParams, members: &[SubsetMember]) -> Vec<usize> {
         let mut zones: BTreeMap<u32, Vec<HashedEngine>> = BTreeMap::new();
         for member in members {
-            let hash = clock::combine_hashes(params.router_hash, member.id_hash);
+            let hash = hashing::combine(params.router_hash, member.id_hash);
             zones.entry(member.zone).or_default().push((hash, member.engine));
         }
         let sample_zone = |(zone, mut engines): (u32, Vec<HashedEngine>)| {
--- a/load_balancing/src/subset_tests.rs
+++ b/load_balancing/src/subset_tests.rs
@@ -2,9 +2,10 @@
 
 use super::{Subset, SubsetMember, SubsetParams};
 
-fn engines(zones: u32, each: usize) -> Vec<(usize, u32, u64)> {
-    let name = |at: usize| hashing::hash(format!("i-{at}").as_bytes());
-    (0..zones as usize * each).map(|at| (at, (at / each) as u32, name(at))).collect()
+fn engines(zones: u32, each: usize) -> Vec<SubsetMember> {
+    let id_hash = |at: usize| hashing::hash(format!("i-{at}").as_bytes());
+    let member = |at: usize| SubsetMember { engine: at, zone: (at / each) as u32, id_hash: id_hash(at) };
+    (0..zones as usize * each).map(member).collect()
 }
 
 fn params(at: u32, routers: u32, zones: u32) -> SubsetParams {
--- a/router/src/config/routing_table_tests.rs
+++ b/router/src/config/routing_table_tests.rs
@@ -1,5 +1,5 @@
 use kernel::Rng;
-use load_balancing::engine_table::EngineTable;
+use load_balancing::EngineTable;
 use protocol::change::Change;
 use protocol::config::{read, Config};
 
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -6,7 +6,7 @@
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
 use kernel::{clock, hashing};
-use load_balancing::selection::Phase;
+use load_balancing::Phase;
 use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
 
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -9,13 +9,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::Arc;
 
-use catalog::owner_cache::OwnerCache;
+use catalog::OwnerCache;
 
 use kernel::settings::Settings;
 use kernel::Rng;
-use load_balancing::engine_table::EngineTable;
-use load_balancing::retry_budget;
-use load_balancing::staleness_bound::StalenessBounds;
+use load_balancing::EngineTable;
+use load_balancing::RetryBudget;
+use load_balancing::StalenessBounds;
 use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
