--- a/controller/src/state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -1,21 +1,20 @@
 //! What is learned of committed entries: a configuration and its history are one value, and what cannot be read is not
 //! known.
 
+use kernel::hashing;
 use std::sync::Arc;
 
-use consensus::confirmation::Confirmation;
-use consensus::MEMBERSHIP_KEY;
-use kernel::clock::{self, Rng};
+use consensus::{Confirmation, MEMBERSHIP_KEY};
+use kernel::Rng;
 use protocol::config_update::ConfigUpdate;
 use protocol::frame::{self, HEADER_BYTES};
 use protocol::message::{
-    CoreMembership, Entry, Member, Message, ProposalNumber, PROTOCOL_VERSION, STALENESS_LIMIT_PREFIX,
+    CoreMembership, Entry, KeyPosition, Member, Message, ProposalNumber, PROTOCOL_VERSION, STALENESS_LIMIT_PREFIX,
 };
 
-use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
-use crate::config_body::{BodyForm, Held};
-use crate::config_history::NotNewer;
-use crate::controller::CommittedState;
+use super::{read_config, Closed, CommittedState, Learned, Unreadable, CLOSED, CONFIG, DUTY};
+use crate::config::body::{BodyForm, Held};
+use crate::config::history::NotNewer;
 
 fn text(revision: u64, timeout: u64) -> String {
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": [{"name": "r",
@@ -124,7 +123,7 @@
     state.learn(CONFIG, &entry(1, 0, body(3)), None);
     let behind = |state: &CommittedState, entry: &Entry| {
         let mut confirmation = Confirmation::new(&core);
-        confirmation.record("a", vec![(CONFIG.into(), entry.proposal_number, entry.index)]);
+        confirmation.record("a", vec![KeyPosition { key: CONFIG.into(), position: entry.position() }]);
         assert!(confirmation.is_quorum());
         confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
@@ -141,7 +140,7 @@
 fn other_keys_are_not_taken_for_empty_either() {
     let mut state = CommittedState::default();
     let zone = format!("{CLOSED}z");
-    let closed = Closed { version: 4, on: true }.write_bytes();
+    let closed = Closed { version: 4, on: true }.to_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
     for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", STALENESS_LIMIT_PREFIX), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
@@ -156,7 +155,7 @@
 #[test]
 fn entries_in_any_order_never_lead_back() {
     for seed in 0..200 {
-        let mut dice = Rng::new(clock::combine_hashes(seed, 9));
+        let mut dice = Rng::new(hashing::combine(seed, 9));
         // Two histories never exist under one key; late and repeated entries of one do.
         let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
         let mut state = CommittedState::default();
--- a/controller/src/simulation/changes.rs
+++ b/controller/src/simulation/changes.rs
@@ -2,8 +2,7 @@
 
 use std::mem;
 
-use consensus::proposal::{Decision, Progress, Proposal};
-use consensus::{quorum, round};
+use consensus::{quorum, Decision, Progress, Proposal};
 use protocol::message::{ConsensusResponse, ProposalNumber};
 
 use super::network::Address;
@@ -82,7 +81,7 @@
         if change.running.is_some() || now < change.resume || core.members.is_empty() {
             return;
         }
-        node.turn = round::next_term(node.turn, &core);
+        node.turn = consensus::next_term(node.turn, &core);
         let ballot = ProposalNumber { term: node.turn, replica_id: consensus::replica_id(&node.voter.ip, node.life) };
         let held = node.owned.remove(key);
         let (proposal, ask) = Proposal::start(key, &core, held, ballot, &mut change.judge, now);
@@ -101,7 +100,7 @@
         let Some((key, list)) = found else { return false };
         let (key, change) = (key.clone(), &mut list[0]);
         let Some((_, proposal)) = change.running.as_mut() else { return false };
-        let core = proposal.core().clone();
+        let core = proposal.membership().clone();
         match proposal.handle_response(from, vote.clone(), &mut change.judge, now) {
             Progress::Wait => {}
             Progress::Send(ask) => {
@@ -110,7 +109,7 @@
                 let change = &mut self.nodes[at].changes.get_mut(&key).expect("a change")[0];
                 change.running.as_mut().expect("under way").0 = next;
             }
-            Progress::Finished { answer, owner, .. } => {
+            Progress::Finished { answer, ownership: owner, .. } => {
                 let change = list.remove(0);
                 if !owner.is_blank() {
                     self.learn(at, &key, &owner.entry, true);
--- a/controller/src/boot.rs
+++ b/controller/src/startup.rs
@@ -1,13 +1,12 @@
 //! Start and end of the process.
 
+use kernel::new_incarnation;
 use std::path::Path;
 use std::process;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
-use catalog::prefix_index::PrefixIndex;
-use consensus::acceptor::Acceptor;
-use kernel::clock;
+use consensus::Acceptor;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
@@ -15,15 +14,21 @@
 use protocol::link::{self, Handler};
 use protocol::message::{CoreMembership, Member};
 use protocol::socket;
-use tokio::sync::Semaphore;
 use tokio::time;
 
-use crate::controller::{Catalog, Controller, LIVE_MS};
-use crate::disk::{self, Disk};
+use crate::api::routes;
+use crate::batches::runner;
+use crate::controller::{Controller, LIVE_MS};
+use crate::discovery::poller;
 use crate::event::{BAD_DISK, GONE, LEAVE, START};
 use crate::metrics::Metrics;
-use crate::quota::HeldShards;
-use crate::{balance, control, duty, gossip, message, pause, platform, reconfiguration, runner, shutdown};
+use crate::peers::directory::Peers;
+use crate::peers::{dispatch, gossip, pause};
+use crate::quota_shards::QuotaShards;
+use crate::replication::disk::{self, Disk};
+use crate::replication::reconfiguration;
+use crate::replication::replica::Replica;
+use crate::{balancing, roles, shutdown};
 
 /// The parts of the controller that announce themselves.
 #[kernel::plugin::linkme::distributed_slice]
@@ -42,18 +47,18 @@
 part!(GOSSIP, "gossip", 2, gossip::start);
 part!(PAUSES, "pauses", 1, pause::start);
 part!(MEMBERSHIP, "membership", 3, reconfiguration::start);
-part!(PLATFORM, "platform", 4, platform::start);
-part!(DUTY, "duty", 5, duty::start);
+part!(PLATFORM, "platform", 4, poller::start);
+part!(DUTY, "duty", 5, roles::start);
 part!(BATCHES, "batches", 8, runner::start);
-part!(BALANCE, "balance", 7, balance::start);
-part!(VERSIONS, "versions", 9, crate::versions::start);
-part!(CONTROL, "control", 6, control::start);
+part!(BALANCE, "balance", 7, balancing::start);
+part!(VERSIONS, "versions", 9, crate::rollout::version_rollouts::start);
+part!(CONTROL, "control", 6, routes::start);
 part!(FELLOWS, "peers", 1, peers);
 
 fn peers(controller: &Arc<Controller>) {
     let addr = format!("{}:{}", controller.settings.ip, controller.settings.peer_port());
     let controller = controller.clone();
-    let handler: Handler = Arc::new(move |mouth, id, msg| message::take(&controller, mouth, id, msg));
+    let handler: Handler = Arc::new(move |mouth, id, msg| dispatch::take(&controller, mouth, id, msg));
     tokio::spawn(async move {
         loop {
             match socket::listen(&addr) {
@@ -78,7 +83,7 @@
 
 /// Runs a controller until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    let life = clock::incarnation();
+    let life = new_incarnation();
     let mut voter = Acceptor::new(&settings.ip);
     let mut store = None;
     let mut empty = true;
@@ -104,27 +109,20 @@
     let metrics = Metrics::default();
     let disk = Disk::start(store, mirror, metrics.disk_write.clone());
     disk.write(first);
-    let prefix_index = PrefixIndex::new(200_000, 30_000);
     let controller = Arc::new(Controller {
         life,
         seat: consensus::replica_id(&settings.ip, life),
-        voter: Mutex::new(voter),
-        disk,
-        committed_state: Default::default(),
-        roster: Mutex::new(MembershipView::new(&settings.ip, &settings.zone, LIVE_MS)),
-        sheets: Default::default(),
-        weights: Default::default(),
-        followers: Default::default(),
-        catalog: Mutex::new(Catalog { prefix_index, gauge: Default::default(), epoch: 0, last: 0, drops: 0 }),
+        replica: Replica::new(voter, disk),
+        committed: Default::default(),
         ownerships: Default::default(),
-        calls: Default::default(),
-        taken: Default::default(),
+        peers: Peers::new(settings.peer_port(), MembershipView::new(&settings.ip, &settings.zone, LIVE_MS)),
+        engines: Default::default(),
+        subscribers: Default::default(),
+        catalog: Default::default(),
+        acquired_roles: Default::default(),
         tallies: Default::default(),
-        polls: Semaphore::new(1),
         trials: Default::default(),
-        first_versions: Default::default(),
-        quotas: Mutex::new(HeldShards::new(&settings.ip)),
-        pauses: Default::default(),
+        quotas: QuotaShards::new(&settings.ip),
         leaving: Default::default(),
         shutdown: Default::default(),
         metrics,
@@ -135,7 +133,7 @@
         observed.metrics.render(&observed)
     });
     plugin::start(&CONTROLLER_PARTS, &controller);
-    signal::until_leave(&mut signals).await;
+    signal::wait_for_termination(&mut signals).await;
     kernel::log_event!(LEAVE);
     let end = shutdown::last_moment(controller.settings.bounds.grace_s);
     reconfiguration::leave(&controller).await;
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -25,5 +25,7 @@
 mod version_entry;
 pub mod version_rollout;
 
+#[cfg(test)]
+mod stored_by_5_tests;
 #[cfg(test)]
 mod testing;
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages between our own daemons. Every variant holds a box, so a new one never moves the others.
+//! Messages between daemons. Every variant of [`Message`] holds a box, so that a new variant never changes the size of
+//! the others.
 
 mod catalog;
 mod endpoint_list;
@@ -36,9 +37,30 @@
     pub body: Vec<u8>,
 }
 
+/// Where an entry stands in the history of its key. Positions order by proposal number, then by index.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
+)]
+pub struct Position {
+    /// The proposal number under which the owner of the key wrote the entry.
+    pub proposal_number: ProposalNumber,
+    /// Counts the changes that the owner made under that number.
+    pub index: u64,
+}
+
+/// A key and the position of the entry that an acceptor holds for it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+pub struct KeyPosition {
+    /// The key of the register.
+    pub key: String,
+    /// The position of its accepted entry.
+    pub position: Position,
+}
+
 impl Entry {
-    pub fn position(&self) -> (ProposalNumber, u64) {
-        (self.proposal_number, self.index)
+    /// Returns where this entry stands in the history of its key.
+    pub fn position(&self) -> Position {
+        Position { proposal_number: self.proposal_number, index: self.index }
     }
 }
 
@@ -62,7 +84,7 @@
 pub enum ConsensusOperation {
     Prepare {
         key: String,
-        ballot: ProposalNumber,
+        proposal_number: ProposalNumber,
     },
     Accept {
         key: String,
@@ -101,7 +123,7 @@
         prepared: ProposalNumber,
     },
     Positions {
-        list: Vec<(String, ProposalNumber, u64)>,
+        positions: Vec<KeyPosition>,
     },
     Snapshot {
         registers: Vec<RegisterState>,
@@ -117,61 +139,81 @@
     NonVoting,
 }
 
+/// A message between daemons. Invariant: variants keep their order; later versions add theirs at the end.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Message {
+    /// A proposer asks an acceptor.
     ConsensusRequest(Box<ConsensusRequest>),
+    /// The acceptor's response.
     ConsensusResponse(Box<ConsensusResponse>),
+    /// A heartbeat between controllers.
     Gossip(Box<Gossip>),
+    /// The engines of a zone, from the controller that polled them.
     EndpointList(Box<EndpointList>),
+    /// A router renews its lease.
     SubscriptionRenewal(Box<SubscriptionRenewal>),
+    /// What a router lacks.
     StateUpdate(Box<StateUpdate>),
-    /// The keys of the missing suffix, shortest prefix first.
+    /// Asks the catalog who owns prefixes: its epoch, and the keys, shortest prefix first.
     OwnerQuery(Box<(u64, Vec<u64>)>),
-    /// The catalog's epoch and, for each key asked, the engines that hold it.
+    /// The catalog's epoch and, for each key that was asked, the engines that hold it.
     Owners(Box<(u64, Vec<Vec<String>>)>),
+    /// Registers owners of prefixes under the catalog's epoch.
     RegisterOwners(Box<(u64, Vec<Record>)>),
-    /// The barrier: answered once all before it was taken, with the number dropped.
+    /// A barrier for the catalog: its epoch, and how many registrations were sent before it.
     Flush(Box<(u64, u32)>),
+    /// All registrations before the barrier were processed: the epoch, and how many were lost.
     Flushed(Box<(u64, u32)>),
-    /// Committed: a key and what it now holds.
+    /// A committed entry, and its key.
     Committed(Box<(String, Entry)>),
-    /// An engine gave a router no sign of life; true: already passed on by a controller.
+    /// An engine gave a router no sign of life; true if a controller has passed this on already.
     SuspectEngine(Box<(String, bool)>),
+    /// A request was rejected with this HTTP status.
     Rejected(Box<u16>),
-    /// A configuration, whole or as a change: the bytes of `crate::config_update::ConfigUpdate`. Since version 2.
+    /// An update of the configuration in the format of [`legacy_format`](crate::config_update::legacy_format). Since
+    /// version 2.
     ConfigUpdate(Box<Vec<u8>>),
-    /// As `Query`, and how pressed some engines are. Since version 2.
+    /// As `OwnerQuery`, and asks for the loads of some engines. Since version 2.
     PrefixLookup(Box<PrefixLookup>),
+    /// The response to `PrefixLookup`. Since version 2.
     PrefixLookupResponse(Box<PrefixLookupResponse>),
-    /// As `Register`, and what these engines told of their pressure. Since version 2.
+    /// As `RegisterOwners`, with the loads that these engines reported. Since version 2.
     PrefixRegistration(Box<PrefixRegistration>),
-    /// A rule on stale weights, newer than what the router told. Since version 2.
+    /// A staleness limit, newer than the router's. Since version 2.
     StalenessLimit(Box<StalenessLimit>),
     /// The weight versions of a zone's engines as its poller saw them. Since version 2.
     WeightVersions(Box<WeightVersions>),
-    /// Have all routers that hold a lease at this controller confirmed a rule? Its key and version. Since version 2.
+    /// Asks how many routers that hold a lease at a controller confirmed a staleness limit: its key and version. Since
+    /// version 2.
     CountConfirmations(Box<(String, u64)>),
-    /// Routers that hold a lease, and those of them that confirmed. Since version 2.
+    /// How many routers hold a lease, and how many of them confirmed. Since version 2.
     ConfirmationCount(Box<(u32, u32)>),
-    /// An operator's order, to the controller that is home to its key. Since version 3.
+    /// An operator's request, relayed to the owner of its key. Since version 3.
     OperatorRequest(Box<OperatorRequest>),
+    /// The response to `OperatorRequest`. Since version 3.
     OperatorResponse(Box<OperatorResponse>),
-    /// As `Learn`, for those that hold the entry before. Since version 3.
+    /// As `Committed`, for controllers that hold the entry before. Since version 3.
     CommittedDelta(Box<CommittedDelta>),
-    /// The answer to `Follow` for routers that read it. Since version 4.
+    /// The response to `SubscriptionRenewal` for routers that read it. Since version 4.
     SubscriptionRenewed(Box<SubscriptionRenewed>),
-    /// A configuration with tenants, whole or as a change: the bytes of `crate::config_update::ConfigUpdate`. Since version 4.
+    /// An encoded [`ConfigUpdate`](crate::config_update::ConfigUpdate), with tenants. Since version 4.
     TenantConfigUpdate(Box<Vec<u8>>),
-    /// One token of a tenant's limit. Since version 5.
+    /// Asks for one token of a tenant's limit. Since version 5.
     TokenRequest(Box<TokenRequest>),
+    /// The response to `TokenRequest`. Since version 5.
     TokenResponse(Box<TokenResponse>),
-    /// The controllers that may hold shards of tenants' limits, as a controller sees them. Since version 5.
+    /// The controllers that may own shards of tenants' limits, as one controller sees them. Since version 5.
     ShardOwners(Box<Vec<ShardOwner>>),
-    /// What have the shards held there given? Since version 5.
+    /// Asks for the usage of the shards that a controller owns. Since version 5.
     UsageRequest(Box<u16>),
+    /// The response to `UsageRequest`. Since version 5.
     UsageResponse(Box<Vec<ShardUsage>>),
-    /// A rollout of a service, newer than what the router told. Since version 5.
+    /// A rollout of a service, newer than the router's. Since version 5.
     VersionRollout(Box<VersionRollout>),
     /// What routers saw of a rollout. Since version 5.
     Samples(Box<Samples>),
 }
+
+#[cfg(test)]
+#[path = "message_tests.rs"]
+mod tests;
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -3,7 +3,7 @@
 //! A tenant's limit is a token bucket that is divided into shards; each shard has an owner among the controllers, which
 //! issues its tokens.
 
-use kernel::clock;
+use kernel::hashing;
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::hidden_key::HiddenKey;
@@ -77,8 +77,8 @@
 /// Returns a number that differs between lists of shard owners that differ.
 pub fn shard_owners_fingerprint(list: &[ShardOwner]) -> u64 {
     list.iter().fold(1, |fingerprint, owner| {
-        let one = clock::combine_hashes(clock::hash(owner.ip.as_bytes()), clock::hash(owner.zone.as_bytes()));
-        clock::combine_hashes(fingerprint, one)
+        let one = hashing::combine(hashing::hash(owner.ip.as_bytes()), hashing::hash(owner.zone.as_bytes()));
+        hashing::combine(fingerprint, one)
     })
 }
 
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -43,7 +43,7 @@
     }
 }
 
-kernel::bytes!(StalenessLimit);
+kernel::impl_archive_bytes!(StalenessLimit);
 
 /// How the keys of staleness limits begin.
 pub const STALENESS_LIMIT_PREFIX: &str = "rollout/";
--- a/protocol/src/testing/corruptions.rs
+++ b/protocol/src/testing/corruptions.rs
@@ -1,6 +1,6 @@
 //! Ways to corrupt a valid configuration.
 use super::samples::KEY;
-use kernel::clock::Rng;
+use kernel::Rng;
 use serde_json::{json, Value};
 
 /// Ways to corrupt a valid configuration with at least one route; each gives what the error must name.
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -79,7 +79,7 @@
     }
 }
 
-kernel::bytes!(VersionRollout);
+kernel::impl_archive_bytes!(VersionRollout);
 
 /// Samples of one route and version.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
--- a/router/src/table.rs
+++ b/router/src/config/routing_table.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-use load_balancing::engine_table::EngineTable;
+use load_balancing::EngineTable;
 use protocol::config;
 use protocol::config_update::ConfigUpdate;
 
-use crate::duration_estimate::DurationEstimate;
-use crate::tenants::Tenants;
+use crate::config::tenants::Tenants;
+use crate::proxy::duration_estimate::DurationEstimate;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -73,7 +73,7 @@
         "streaming" => Kind::Streaming,
         _ => Kind::NonIdempotent,
     };
-    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
+    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service_index(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
@@ -131,10 +131,10 @@
             list.sort_by_key(|route| Reverse(route.prefix.len()));
         }
         for name in &change.removed_services {
-            next.services.remove(&engine_table.service(name));
+            next.services.remove(&engine_table.service_index(name));
         }
         for item in &change.services {
-            next.services.insert(engine_table.service(&item.name), service(item));
+            next.services.insert(engine_table.service_index(&item.name), service(item));
         }
         Some(next)
     }
@@ -174,5 +174,5 @@
 }
 
 #[cfg(test)]
-#[path = "table_tests.rs"]
+#[path = "routing_table_tests.rs"]
 mod tests;
--- a/router/src/tenants_tests.rs
+++ b/router/src/config/tenants_tests.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::config::{read, Config};
 use protocol::config_update::ConfigUpdate;
 
--- a/router/src/fresh.rs
+++ b/router/src/config/version_bounds.rs
@@ -3,11 +3,11 @@
 use std::sync::atomic::Ordering;
 
 use kernel::clock;
-use load_balancing::floor::Limit;
+use load_balancing::{StalenessBound, WeightVersionRange};
 use protocol::message::{HiddenKey, StalenessLimit, VersionEntry, WeightVersions};
 
 use crate::event::{FEW, RULE};
-use crate::exchange::Exchange;
+use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
 /// How often the want of fresh replicas is told, however many requests meet it.
@@ -16,16 +16,16 @@
 impl Exchange {
     /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
     /// has lapsed.
-    pub fn version_bounds(&self) -> Option<(u64, u64, u64)> {
+    pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
-        let floors = self.state.floors.lock().expect("floors");
+        let floors = self.state.floors.lock();
         let model = self.request.model_key;
-        match floors.limit(self.service, &self.request.model, &self.route, now) {
-            Limit::Free => None,
-            Limit::Lapsed => Some((model, u64::MAX, 0)),
-            Limit::From(floor) => match self.pinned_version {
-                Some(exact) if exact >= floor => Some((model, exact, exact)),
-                _ => Some((model, floor, u64::MAX)),
+        match floors.bound_for(self.service, &self.request.model, &self.route, now) {
+            StalenessBound::Unbounded => None,
+            StalenessBound::LeaseExpired => Some(WeightVersionRange { model, oldest: u64::MAX, newest: 0 }),
+            StalenessBound::AtLeast(floor) => match self.pinned_version {
+                Some(exact) if exact >= floor => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
+                _ => Some(WeightVersionRange { model, oldest: floor, newest: u64::MAX }),
             },
         }
     }
@@ -33,8 +33,7 @@
     /// Before a maker is chosen: memory of a version that is past the limit by now is given free, and without
     /// memory the version is not settled yet.
     pub fn drop_stale_handle(&mut self) {
-        let fits =
-            |(_, from, to): (u64, u64, u64)| self.pinned_version.is_none_or(|exact| (from..=to).contains(&exact));
+        let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
             self.release_handle();
         }
@@ -46,7 +45,7 @@
     /// What an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().expect("engine_table").list[at].weigh(self.request.model_key, Some(version));
+            self.state.engine_table.lock().engines[at].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
@@ -62,9 +61,9 @@
 
 /// A rule from a controller; binds at once where it is tighter.
 pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().expect("engine_table").service(&rule.service);
+    let service = state.engine_table.lock().service_index(&rule.service);
     let now = clock::now();
-    if state.floors.lock().expect("floors").take(rule, service, now) {
+    if state.floors.lock().update(rule, service, now) {
         kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
@@ -73,14 +72,14 @@
 /// Weight versions of a zone. Older ones of the same poller change nothing.
 pub fn versions(state: &State, list: &WeightVersions) {
     {
-        let mut held = state.weights.lock().expect("weights");
+        let mut held = state.weights.lock();
         let version = held.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().expect("engine_table").weigh(&list.list);
+    state.engine_table.lock().set_weight_versions(&list.list);
 }
 
 /// A name and its version.
@@ -88,8 +87,8 @@
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
 pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
-    let rules = state.floors.lock().expect("floors").versions();
-    let weights = state.weights.lock().expect("weights");
+    let rules = state.floors.lock().versions();
+    let weights = state.weights.lock();
     let weights =
         weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
     (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
--- a/router/src/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -1,12 +1,12 @@
 use http::{HeaderMap, HeaderValue};
-use load_balancing::engine_table::EngineTable;
+use load_balancing::EngineTable;
 use protocol::config;
 use protocol::config_update::ConfigUpdate;
 use serde_json::Value;
 
 use super::{key, Authorization, UnknownKey};
-use crate::table::Table;
-use crate::tenants::KeyDigest;
+use crate::config::routing_table::Table;
+use crate::config::tenants::KeyDigest;
 
 fn head(values: &[&[u8]]) -> HeaderMap {
     let mut map = HeaderMap::new();
--- a/router/src/doubt_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -6,10 +6,10 @@
 use tokio::{task, time};
 
 use super::{hear, raise};
-use crate::doubt_word::Word;
-use crate::stand_in::{answer, engines, Act, Engine};
-use crate::stand_in_router::router;
 use crate::state::State;
+use crate::testing::engine::{answer, engines, Act, Engine};
+use crate::testing::router::router;
+use crate::upstream::suspicion_report::Word;
 
 async fn fleet() -> Vec<Engine> {
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "{}"))).await
@@ -21,11 +21,11 @@
 
 /// Is the engine left alone?
 fn is_left_alone(state: &State) -> bool {
-    state.engine_table.lock().expect("engine_table").list[0].shy_until > clock::now()
+    state.engine_table.lock().engines[0].suspected_until > clock::now()
 }
 
 fn is_asked(state: &State) -> bool {
-    state.engine_table.lock().expect("engine_table").list[0].asked
+    state.engine_table.lock().engines[0].is_probing
 }
 
 /// Until the asker has ended.
@@ -75,7 +75,7 @@
     let list = fleet().await;
     let state = router(&list);
     // Of a thousand routers each would else ask after many seconds.
-    state.news.lock().expect("news").seats.push((clock::now(), 1000));
+    state.news.lock().seats.push((clock::now(), 1000));
     hear(&state, &Word::Dark(&id(&list)).write());
     raise(&state, 0);
     settled(&state).await;
@@ -88,9 +88,5 @@
     let list = fleet().await;
     let state = router(&list);
     hear(&state, &Word::Dark(&id(&list)).write());
-    assert_eq!(
-        state.engine_table.lock().expect("engine_table").list[0].struck_at,
-        0,
-        "only own questions end an answer"
-    );
+    assert_eq!(state.engine_table.lock().engines[0].last_failure_at, 0, "only own questions end an answer");
 }
