--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -12,7 +12,7 @@
 use crate::config::execution;
 use crate::controller::Controller;
 use crate::event::EVACUATION;
-use crate::replication::committed_state::{EvacuationState, CONFIG_KEY, EVACUATION_PREFIX};
+use crate::replication::committed_state::{EvacuationRecord, CONFIG_KEY, EVACUATION_PREFIX};
 use crate::replication::reconfiguration;
 
 /// How long the home of a key may take before an order is carried out here.
@@ -127,14 +127,14 @@
 /// Begins or withdraws an evacuation on top of what is committed, or only on top of a version of it. Answers with `done` once
 /// it is so, and with `unclear` where another version is in place or what is committed cannot be read.
 pub fn judge_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unclear: T) -> Decision<T> {
-    let Some(held) = EvacuationState::open(body) else { return Decision::Answer(unclear) };
+    let Some(held) = EvacuationRecord::open(body) else { return Decision::Answer(unclear) };
     if held.evacuated == on {
         return Decision::Answer(done);
     }
     if from.is_some_and(|version| version != held.version) {
         return Decision::Answer(unclear);
     }
-    Decision::Write(EvacuationState { version: held.version + 1, evacuated: on }.write_bytes(), done)
+    Decision::Write(EvacuationRecord { version: held.version + 1, evacuated: on }.to_bytes(), done)
 }
 
 async fn evacuate(
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use load_balancing::endpoint_lists::EndpointLists;
+use load_balancing::EndpointLists;
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
-use protocol::message::{StalenessLimit, WeightVersions, ROLLOUT};
+use protocol::message::{StalenessLimit, WeightVersions, STALENESS_LIMIT_PREFIX};
 use serde_json::{Map, Value};
 
 use crate::api::routes::{self, Receipt};
@@ -23,7 +23,7 @@
 pub struct Latest(pub Arc<Controller>, pub bool);
 
 fn key(service: &str, model: &str) -> String {
-    format!("{}{service}/{model}", ROLLOUT)
+    format!("{}{service}/{model}", STALENESS_LIMIT_PREFIX)
 }
 
 fn named(req: &Request) -> (String, String) {
@@ -86,8 +86,8 @@
     let versions: HashMap<&str, u64> = weights
         .values()
         .flat_map(|list| &list.list)
-        .filter(|(_, model, _)| *model == rule.model)
-        .map(|(id, _, version)| (id.as_str(), *version))
+        .filter(|weights| weights.model == rule.model)
+        .map(|weights| (weights.engine.as_str(), weights.version))
         .collect();
     let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
     let engines = sheets.iter().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -11,7 +11,7 @@
 use consensus::{Decision, MEMBERSHIP_KEY};
 use kernel::settings::Settings;
 use kernel::{clock, log_event};
-use protocol::config::Checked;
+use protocol::config::ConfigDocument;
 use protocol::message::{Entry, Message};
 
 use crate::batches::runner::Tallies;
@@ -115,12 +115,12 @@
     }
 
     /// Takes over a committed configuration that was read already.
-    pub fn learn_config(&self, entry: &Entry, config: Arc<Checked>) {
+    pub fn learn_config(&self, entry: &Entry, config: Arc<ConfigDocument>) {
         self.learn_entry(CONFIG_KEY, entry, Some(config));
     }
 
     /// Returns false where this entry, or a newer one, was known.
-    fn learn_entry(&self, key: &str, entry: &Entry, config: Option<Arc<Checked>>) -> bool {
+    fn learn_entry(&self, key: &str, entry: &Entry, config: Option<Arc<ConfigDocument>>) -> bool {
         match self.committed.learn(key, entry, config) {
             Learned::AlreadyKnown => return false,
             Learned::Unreadable { error, first } => {
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -4,7 +4,7 @@
 
 use kernel::clock;
 use protocol::link::Responder;
-use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
+use protocol::message::{self, EvacuationState, Message, StateUpdate, SubscriptionRenewal, QUOTAS, VERSION_ROLLOUTS};
 use serde_json::Value;
 
 use crate::controller::{Controller, ROUTER_LEASE_MS};
@@ -39,7 +39,7 @@
             list_versions: renewal
                 .list_versions
                 .into_iter()
-                .map(|(zone, term, sequence)| (zone, (term, sequence)))
+                .map(|entry| (entry.name, (entry.term, entry.sequence)))
                 .collect(),
         };
         let mut update = self.missing_state(&renewal.node, &mut subscriber, now);
@@ -158,7 +158,11 @@
     for (zone, evacuation) in &state.evacuations {
         let has = subscriber.evacuation_versions.entry(zone.clone()).or_default();
         if evacuation.version > *has {
-            update.evacuations.push((zone.clone(), evacuation.version, evacuation.evacuated));
+            update.evacuations.push(EvacuationState {
+                zone: zone.clone(),
+                version: evacuation.version,
+                evacuated: evacuation.evacuated,
+            });
             *has = evacuation.version;
         }
     }
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -5,9 +5,9 @@
 
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::endpoint_lists::{self, EndpointLists};
+use load_balancing::{is_term_of, EndpointLists};
 use membership::PeerReport;
-use protocol::message::{self, EndpointList, Engine, Gossip, Message};
+use protocol::message::{EndpointList, Engine, Gossip, HiddenKey, Message, VersionEntry};
 use protocol::version_rollout;
 use reqwest::{Client, StatusCode};
 use tokio::time;
@@ -53,19 +53,16 @@
 const MAX_REFUSALS: u32 = 4;
 const MAX_PAGES: usize = 1000;
 
-/// Told beside the versions of lists by a controller that does not reach the platform.
-const UNREACHABLE_MARKER: &str = "platform unreachable";
-
 /// What is told to peers about the own access to the platform.
-pub fn access_marker(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
-    let unreachable = controller.peers.read(|view| view.access.unreachable(now));
-    unreachable.then(|| (message::hidden_key(UNREACHABLE_MARKER), 1, 0))
+pub fn access_marker(controller: &Controller, now: u64) -> Option<VersionEntry> {
+    let unreachable = controller.peers.read(|view| view.platform_access.is_unreachable(now));
+    unreachable.then(|| VersionEntry::new(HiddenKey::PlatformUnreachable, 1, 0))
 }
 
 /// What a peer told of others.
 pub fn peer_report(gossip: &Gossip) -> PeerReport {
-    let name = message::hidden_key(UNREACHABLE_MARKER);
-    let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
+    let key = Some(HiddenKey::PlatformUnreachable);
+    let platform_unreachable = gossip.list_versions.iter().any(|entry| HiddenKey::parse(&entry.name) == key);
     let (sure, vouches) = roles::parse_gossip_markers(&gossip.list_versions);
     PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
 }
@@ -126,8 +123,8 @@
 /// controller take its place.
 fn record_access(controller: &Controller, error: Option<PollError>) {
     controller.peers.update(|view| match error {
-        None | Some(PollError::Refused) => view.access.succeeded(),
-        Some(PollError::Unreachable) => view.access.failed(clock::now()),
+        None | Some(PollError::Refused) => view.platform_access.record_success(),
+        Some(PollError::Unreachable) => view.platform_access.record_failure(clock::now()),
         Some(PollError::Stalled) => {}
     });
 }
@@ -167,7 +164,7 @@
     }
     let mut turn = held.map_or(0, |held| held.term);
     let known = sheets.observed_version(&name);
-    if turn != 0 && !endpoint_lists::is_term_of(turn, controller.replica_id) {
+    if turn != 0 && !is_term_of(turn, controller.replica_id) {
         turn = 0;
     }
     sheets.publish(&name, &mut turn, controller.replica_id, list, known)
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::process;
 
-use kernel::startup::{run_daemon, EntryFlags};
+use kernel::startup::{run_daemon, DaemonFlags};
 
 mod flags {
     use kernel::settings::MetricsEndpoint;
@@ -25,6 +25,7 @@
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
-    let entry_flags = EntryFlags { check: flags.check, version: flags.version, metrics: flags.metrics };
-    run_daemon("controller", env!("CARGO_PKG_VERSION"), entry_flags, controller::startup::run)
+    let daemon_flags =
+        DaemonFlags { check_settings: flags.check, print_version: flags.version, metrics: flags.metrics };
+    run_daemon("controller", env!("CARGO_PKG_VERSION"), daemon_flags, controller::startup::run)
 }
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -24,7 +24,7 @@
     let peer = peer_of(gossip, now);
     controller.peers.update(|view| {
         view.observe(&gossip.ip, peer);
-        view.report(&gossip.ip, poller::peer_report(gossip), now);
+        view.record_report(&gossip.ip, poller::peer_report(gossip), now);
         for ip in &gossip.peers {
             if ip.parse::<Ipv4Addr>().is_ok() && *ip != view.own_ip && !view.controllers.contains_key(ip) {
                 view.controllers.insert(ip.clone(), Peer::default());
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -7,9 +7,9 @@
 
 use kernel::clock;
 use parking_lot::Mutex;
-use protocol::message::{Message, QUOTAS};
+use protocol::message::{HiddenKey, Message, QUOTAS};
 use protocol::quota::{
-    from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
+    from_milli, shard_owners_fingerprint, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
 };
 use quota::{Holder, Quota, Shards, TAKE_OVER_MS};
 use serde_json::Value;
@@ -42,7 +42,7 @@
     let confirmed_at = controller.committed.confirmed_at();
     let able = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now));
     let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
-    let mark = holders_mark(&holders);
+    let mark = shard_owners_fingerprint(&holders);
     let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
     let mut held = controller.quotas.0.lock();
     held.shards.beat(now, confirmed_at, live);
@@ -73,7 +73,7 @@
 /// Tells a router who may hold shards, where it has another list.
 pub fn send_holders(controller: &Controller, follower: &mut Subscriber) {
     let held = controller.quotas.0.lock();
-    let has = follower.list_versions.entry(holders_key()).or_default();
+    let has = follower.list_versions.entry(HiddenKey::ShardOwners.into()).or_default();
     if has.0 == held.mark {
         return;
     }
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -5,7 +5,8 @@
 //! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
 use super::CommittedState;
 use super::{
-    read_config, read_core, write_core, EvacuationState, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX,
+    read_config, read_core, write_core, EvacuationRecord, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX,
+    ROLE_PREFIX,
 };
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
 use crate::config::body::BodyForm::{self, Digested, Packed, Plain};
@@ -15,7 +16,7 @@
 use batch::sheet::{id, Batch, Job};
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
-use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, ROLLOUT};
+use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::operator_request::ConfigChange;
 use protocol::version_rollout::{RolloutState, VersionRollout, KEY as ROLLOUT_OF_VERSIONS};
 use std::fs;
@@ -206,8 +207,8 @@
     ]
 }
 
-fn evacuation() -> EvacuationState {
-    EvacuationState { version: 4, evacuated: true }
+fn evacuation() -> EvacuationRecord {
+    EvacuationRecord { version: 4, evacuated: true }
 }
 
 fn role() -> RoleState {
@@ -328,15 +329,15 @@
 /// The bodies of all keys but `config`, as the present code writes them.
 fn control_bodies() -> [(&'static str, Vec<u8>); 10] {
     [
-        ("control-5-closed.bin", evacuation().write_bytes()),
-        ("control-5-duty.bin", role().write_bytes()),
-        ("control-5-rule.bin", rule().write_bytes()),
-        ("control-5-rollout-active.bin", active_rollout().write_bytes()),
-        ("control-5-rollout-complete.bin", complete_rollout().write_bytes()),
-        ("control-5-rollout-reverted.bin", reverted_rollout().write_bytes()),
-        ("control-5-batch-live.bin", live_batch().write_bytes()),
-        ("control-5-batch-expired.bin", expired_batch().write_bytes()),
-        ("control-5-page.bin", page().write_bytes()),
+        ("control-5-closed.bin", evacuation().to_bytes()),
+        ("control-5-duty.bin", role().to_bytes()),
+        ("control-5-rule.bin", rule().to_bytes()),
+        ("control-5-rollout-active.bin", active_rollout().to_bytes()),
+        ("control-5-rollout-complete.bin", complete_rollout().to_bytes()),
+        ("control-5-rollout-reverted.bin", reverted_rollout().to_bytes()),
+        ("control-5-batch-live.bin", live_batch().to_bytes()),
+        ("control-5-batch-expired.bin", expired_batch().to_bytes()),
+        ("control-5-page.bin", page().to_bytes()),
         ("control-5-core.bin", write_core(&core())),
     ]
 }
@@ -457,7 +458,8 @@
 
 #[test]
 fn evacuations_and_duties_of_version_5_are_read() {
-    let EvacuationState { version, evacuated } = EvacuationState::open(&fixture("control-5-closed.bin")).expect("read");
+    let EvacuationRecord { version, evacuated } =
+        EvacuationRecord::open(&fixture("control-5-closed.bin")).expect("read");
     assert_eq!((version, evacuated), (4, true));
     let RoleState { epoch, owner, predecessor_expired } =
         RoleState::open(&fixture("control-5-duty.bin")).expect("read");
@@ -469,7 +471,7 @@
 
 #[test]
 fn limits_on_stale_weights_of_version_5_are_read() {
-    assert_eq!(StalenessLimit::read_bytes(&fixture("control-5-rule.bin")), Some(rule()));
+    assert_eq!(StalenessLimit::from_bytes(&fixture("control-5-rule.bin")), Some(rule()));
     let state = learned(&[("rollout/chat/m-1", "control-5-rule.bin")]);
     assert_eq!(state.staleness_limits.get("rollout/chat/m-1"), Some(&rule()));
 }
@@ -482,16 +484,16 @@
         ("control-5-rollout-reverted.bin", reverted_rollout()),
     ];
     for (file, rollout) in rollouts {
-        assert_eq!(VersionRollout::read_bytes(&fixture(file)).as_ref(), Some(&rollout), "{file}");
+        assert_eq!(VersionRollout::from_bytes(&fixture(file)).as_ref(), Some(&rollout), "{file}");
         assert_eq!(learned(&[("versions/chat", file)]).version_rollouts.get("chat"), Some(&rollout), "{file}");
     }
 }
 
 #[test]
 fn batches_of_version_5_are_read() {
-    assert_eq!(Batch::read_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
-    assert_eq!(Batch::read_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
-    assert_eq!(Page::read_bytes(&fixture("control-5-page.bin")), Some(page()));
+    assert_eq!(Batch::from_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
+    assert_eq!(Batch::from_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
+    assert_eq!(Page::from_bytes(&fixture("control-5-page.bin")), Some(page()));
     let state = learned(&[
         ("batch/a002e14b20bb64ec", "control-5-batch-live.bin"),
         ("batch/a002e14b20bb64ec/0", "control-5-page.bin"),
@@ -513,7 +515,7 @@
 fn the_keys_of_the_control_state_stay_what_they_are() {
     assert_eq!((CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX), ("config", "evacuation/", "duty/"));
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
-    assert_eq!((MEMBERSHIP_KEY, ROLLOUT, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
+    assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
     // Of the batch with the idempotency key `key-1`, worked out by another program.
     assert_eq!(id("key-1"), "a002e14b20bb64ec");
     assert_eq!(batch_key("a002e14b20bb64ec"), "batch/a002e14b20bb64ec");
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -9,7 +9,7 @@
 use kernel::{clock, startup};
 use membership::singleton_role::{self, ConfirmedStreak, RoleTenure, RoleView};
 use parking_lot::Mutex;
-use protocol::message;
+use protocol::message::{HiddenKey, VersionEntry};
 
 use crate::batches::records;
 use crate::controller::{Controller, CONFIRMATION_TTL_MS};
@@ -54,8 +54,6 @@
 }
 
 /// Told beside the versions of lists: whether the teller is sure, and holders of duties that it vouches for.
-const CONFIRMED_MARKER: &str = "sure";
-const CONFIRMS_MARKER: &str = "vouch ";
 
 pub fn start(controller: &Arc<Controller>) {
     for key in [CATALOG, BALANCE, BATCH] {
@@ -89,7 +87,7 @@
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = confirmed_tenure(controller, key, now)?;
     let sure_at = controller.committed.confirmed_at()?;
-    let held = RoleTenure { since: tenure.since, own: tenure.own, confirmed_at: sure_at };
+    let held = RoleTenure { acquired_at: tenure.since, predecessor_expired: tenure.own, confirmed_at: sure_at };
     let bounds = &controller.settings.bounds;
     singleton_role::may_act(held, now, bounds.fencing, bounds.lease_ms, CONFIRMATION_TTL_MS).then_some(tenure.epoch)
 }
@@ -101,12 +99,12 @@
         return true;
     }
     let judge = |body: &[u8]| {
-        let held = RoleState::read_bytes(body).unwrap_or_default();
+        let held = RoleState::from_bytes(body).unwrap_or_default();
         if held.epoch != epoch || held.owner != controller.own_ip() {
             return Decision::Answer(false);
         }
         let next = RoleState { predecessor_expired: true, ..held };
-        Decision::Write(next.write_bytes(), true)
+        Decision::Write(next.to_bytes(), true)
     };
     controller.change(key, COMMIT_TIMEOUT_MS, judge).await.unwrap_or(false)
 }
@@ -147,32 +145,35 @@
     let now = clock::now();
     controller.peers.read(|view| {
         singleton_role::may_acquire(RoleView {
-            me: controller.own_ip(),
-            holder,
+            own_ip: controller.own_ip(),
+            owner: holder,
             unavailable_ms: view.unavailable_ms(holder, now).min(confirmed_ms),
-            first: view.first_confirmed(key, now).as_deref() == Some(controller.own_ip()),
+            is_first_confirmed: view.first_confirmed(key, now).as_deref() == Some(controller.own_ip()),
             lease_ms: controller.settings.bounds.lease_ms,
         })
     })
 }
 
 /// What peers are told about who can do a duty.
-pub fn gossip_markers(controller: &Controller, now: u64) -> Vec<(String, u64, u64)> {
+pub fn gossip_markers(controller: &Controller, now: u64) -> Vec<VersionEntry> {
     let holders: BTreeSet<String> = controller.committed.roles().into_values().map(|role| role.owner).collect();
     let sure = controller.committed.is_confirmed(now);
     let vouched: Vec<String> = controller
         .peers
         .read(|view| holders.into_iter().filter(|ip| *ip != view.own_ip && view.confirms(ip, now)).collect());
-    let vouched = vouched.into_iter().map(|ip| (message::hidden_key(&format!("{CONFIRMS_MARKER}{ip}")), 1, 0));
-    iter::once((message::hidden_key(CONFIRMED_MARKER), u64::from(sure), 0)).chain(vouched).collect()
+    let vouched = vouched.into_iter().map(|ip| VersionEntry::new(HiddenKey::Confirms(&ip), 1, 0));
+    iter::once(VersionEntry::new(HiddenKey::Confirmed, u64::from(sure), 0)).chain(vouched).collect()
 }
 
 /// What a peer told: whether it is sure, and whom it vouches for. One of an earlier version, which tells
 /// nothing of it, counts as sure while it is heard.
-pub fn parse_gossip_markers(told: &[(String, u64, u64)]) -> (bool, Vec<String>) {
-    let (sure, vouch) = (message::hidden_key(CONFIRMED_MARKER), message::hidden_key(CONFIRMS_MARKER));
-    let sure = told.iter().find(|item| item.0 == sure).is_none_or(|item| item.1 == 1);
-    let vouches = told.iter().filter_map(|item| Some(item.0.strip_prefix(&vouch)?.to_string()));
+pub fn parse_gossip_markers(markers: &[VersionEntry]) -> (bool, Vec<String>) {
+    let sure = markers.iter().find(|entry| HiddenKey::parse(&entry.name) == Some(HiddenKey::Confirmed));
+    let sure = sure.is_none_or(|entry| entry.term == 1);
+    let vouches = markers.iter().filter_map(|entry| match HiddenKey::parse(&entry.name) {
+        Some(HiddenKey::Confirms(ip)) => Some(ip.to_string()),
+        _ => None,
+    });
     (sure, vouches.collect())
 }
 
@@ -180,12 +181,12 @@
 /// One that was committed all the same is never acted under: it is not among what was taken.
 async fn commit_next_epoch(controller: &Controller, key: &str, epoch: u64, own: bool) -> Option<u64> {
     let judge = |body: &[u8]| {
-        let held = RoleState::read_bytes(body).unwrap_or_default();
+        let held = RoleState::from_bytes(body).unwrap_or_default();
         if held.epoch != epoch {
             return Decision::Answer(None);
         }
         let next = RoleState { epoch: epoch + 1, owner: controller.own_ip().to_string(), predecessor_expired: own };
-        Decision::Write(next.write_bytes(), Some(epoch + 1))
+        Decision::Write(next.to_bytes(), Some(epoch + 1))
     };
     controller.change(key, COMMIT_TIMEOUT_MS, judge).await.flatten()
 }
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -8,7 +8,7 @@
 
 use kernel::{clock, startup};
 use parking_lot::Mutex;
-use protocol::message::{self, Message};
+use protocol::message::{HiddenKey, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
@@ -60,7 +60,7 @@
 pub fn send_missing_rollouts(committed_state: &CommittedState, follower: &mut Subscriber) {
     for rollout in committed_state.version_rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = follower.evacuation_versions.entry(message::hidden_key(&key)).or_default();
+        let has = follower.evacuation_versions.entry(HiddenKey::Register(&key).into()).or_default();
         if rollout.number <= *has {
             continue;
         }
@@ -199,8 +199,8 @@
 }
 
 async fn commit(controller: &Arc<Controller>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
-    let judge = |body: &[u8]| match VersionRollout::read_bytes(body) {
-        Some(held) if held.number == rollout.number => Decision::Write(next.write_bytes(), true),
+    let judge = |body: &[u8]| match VersionRollout::from_bytes(body) {
+        Some(held) if held.number == rollout.number => Decision::Write(next.to_bytes(), true),
         _ => Decision::Answer(false),
     };
     controller.change(&VersionRollout::key(&rollout.service), CHANGE_MS, judge).await.unwrap_or(false)
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -11,7 +11,7 @@
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
-use kernel::{clock, log_event};
+use kernel::{log_event, new_incarnation};
 use membership::MembershipView;
 use protocol::link::{self, Handler};
 use protocol::message::{CoreMembership, Member};
@@ -149,7 +149,7 @@
 
 /// Runs a controller until it is told to end and has finished what it took, and returns the code to exit with.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    let incarnation = clock::incarnation();
+    let incarnation = new_incarnation();
     let opened = match open_acceptor(&settings) {
         Ok(opened) => opened,
         Err(error) => {
@@ -164,7 +164,7 @@
         observed.metrics.render(&observed)
     });
     plugin::start(&CONTROLLER_PARTS, &controller);
-    signal::until_leave(&mut signals).await;
+    signal::wait_for_termination(&mut signals).await;
     shut_down(&controller).await;
     process::ExitCode::SUCCESS
 }
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -1,18 +1,20 @@
-//! Why a configuration, or a change of one, is invalid. An error names the item and never holds a value of the body
-//! other than a name: any value may be a tenant's key.
+//! Why a configuration, or a patch of one, is invalid. An error names the item and never holds a value of the body other
+//! than a name: any value may be a tenant's key. Operators read the texts.
 
-use std::error;
+use std::{error, fmt};
 
-use super::LONGEST_TEXT;
+use super::bounds::MAX_TEXT_BYTES;
 
 /// How many characters of a name are shown.
-const SHOWN: usize = 80;
+const MAX_NAME_CHARS: usize = 80;
 
-/// What is wrong, and where.
+/// What is wrong with a configuration, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
+    /// The item that is invalid.
     pub item: Item,
-    pub flaw: ConfigErrorKind,
+    /// What is wrong with it.
+    pub kind: ConfigErrorKind,
 }
 
 /// What an error is about.
@@ -22,99 +24,135 @@
     Body,
     /// A field, by its path from the top.
     Field(String),
+    /// A route, by its name.
     Route(String),
+    /// A service, by its name.
     Service(String),
+    /// A tenant, by its name.
     Tenant(String),
     /// An item of a table that has no name to be called by.
     Entry {
+        /// The table, by its path from the top.
         table: String,
+        /// The position in the table, from 0.
         index: usize,
     },
 }
 
-/// How a text fails to be one JSON value.
+/// Why a text is not one JSON value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syntax {
     /// It ends too soon.
-    CutShort,
+    UnexpectedEnd,
+    /// It is no JSON.
     Malformed,
-    /// Something stands behind the value.
-    Trailing,
+    /// More than white space follows the value.
+    TrailingCharacters,
 }
 
 /// What is wrong with an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigErrorKind {
+    /// The text is not one JSON value.
     Syntax {
+        /// Why not.
         syntax: Syntax,
+        /// The line where the parser stopped, from 1.
         line: usize,
+        /// The column where the parser stopped.
         column: usize,
     },
+    /// Objects and lists are nested too deep.
     TooDeep,
+    /// The text holds too many values.
     TooManyValues,
+    /// The text is too long.
     TooLong {
+        /// Its length in bytes.
         bytes: usize,
     },
     /// A field is there twice.
-    Doubled,
+    DuplicateField,
     /// A field is not there, or null.
-    Missing {
+    MissingField {
+        /// The field.
         field: &'static str,
     },
     /// A field holds something else than it must.
-    Not {
+    InvalidField {
+        /// The field.
         field: &'static str,
+        /// What it must be.
         expected: &'static str,
     },
     /// The item itself is something else than it must be.
-    NotA {
+    InvalidItem {
+        /// What it must be.
         expected: &'static str,
     },
     /// Another item of its table has its name.
-    NameUsedTwice,
-    NoSlashes,
-    UnknownType,
-    TimeoutZero,
-    SamePlace {
+    DuplicateName,
+    /// A path prefix does not begin and end with a slash.
+    InvalidPathPrefix,
+    /// The protocol does not define a route's type.
+    UnknownRouteType,
+    /// A route's timeout is 0.
+    ZeroTimeout,
+    /// Another route matches the same host and path prefix.
+    DuplicateMatch {
+        /// That route's name.
         other: String,
     },
-    NoService,
+    /// A route leads to no service.
+    MissingService,
+    /// A route leads to a service that the configuration does not have.
     UnknownService {
+        /// That service's name.
         service: String,
     },
-    WeightsZero,
-    SharedKey {
+    /// The weights of a traffic split sum to 0.
+    ZeroWeights,
+    /// Another tenant has one of the keys.
+    DuplicateKey {
+        /// That tenant's name.
         other: String,
     },
+    /// A tenant has an empty key.
     EmptyKey,
-    RevisionZero,
-    /// A change builds on a configuration, and there is none.
-    NothingToChange,
+    /// The revision is missing or 0.
+    ZeroRevision,
+    /// A patch builds on a configuration, and there is none.
+    NoBaseConfig,
 }
 
 impl ConfigError {
-    /// A change of named items came before the first configuration.
-    pub fn nothing_to_change() -> ConfigError {
-        ConfigError { item: Item::Body, flaw: ConfigErrorKind::NothingToChange }
+    /// Returns the error of a patch that came before the first configuration.
+    pub fn no_base_config() -> ConfigError {
+        ConfigError { item: Item::Body, kind: ConfigErrorKind::NoBaseConfig }
     }
 
-    /// The status of the answer to whoever sent it.
+    /// Returns the error of an item that is something else than it must be.
+    pub(super) fn invalid_item(item: Item, expected: &'static str) -> ConfigError {
+        ConfigError { item, kind: ConfigErrorKind::InvalidItem { expected } }
+    }
+
+    /// Returns the HTTP status of the response to whoever sent the configuration.
     pub fn status(&self) -> u16 {
-        match self.flaw {
+        match self.kind {
             ConfigErrorKind::TooLong { .. } | ConfigErrorKind::TooManyValues => 413,
             _ => 400,
         }
     }
 }
 
-/// A name as it may be shown: bounded, and on one line.
+/// Returns a name as it may be shown: of bounded length, and on one line.
 fn shown(name: &str) -> String {
-    let cut: String = name.chars().take(SHOWN).collect();
+    let cut: String = name.chars().take(MAX_NAME_CHARS).collect();
     cut.escape_debug().collect()
 }
 
-impl std::fmt::Display for Item {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for Item {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Item::Body => out.write_str("body"),
             Item::Field(path) => out.write_str(&shown(path)),
@@ -126,48 +164,48 @@
     }
 }
 
-impl std::fmt::Display for Syntax {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for Syntax {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            Syntax::CutShort => "ends too soon",
+            Syntax::UnexpectedEnd => "ends too soon",
             Syntax::Malformed => "not JSON",
-            Syntax::Trailing => "something stands behind the end",
+            Syntax::TrailingCharacters => "something stands behind the end",
         })
     }
 }
 
-impl std::fmt::Display for ConfigErrorKind {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for ConfigErrorKind {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
             ConfigErrorKind::TooDeep => out.write_str("nested too deep"),
             ConfigErrorKind::TooManyValues => out.write_str("too many values"),
-            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", LONGEST_TEXT),
-            ConfigErrorKind::Doubled => out.write_str("is there twice"),
-            ConfigErrorKind::Missing { field } => write!(out, "{field} missing"),
-            ConfigErrorKind::Not { field, expected } => write!(out, "{field} is not {expected}"),
-            ConfigErrorKind::NotA { expected } => write!(out, "not {expected}"),
-            ConfigErrorKind::NameUsedTwice => out.write_str("name used twice"),
-            ConfigErrorKind::NoSlashes => out.write_str("path_prefix does not begin and end with a slash"),
-            ConfigErrorKind::UnknownType => out.write_str("route_type unknown"),
-            ConfigErrorKind::TimeoutZero => out.write_str("timeout_ms is 0"),
-            ConfigErrorKind::SamePlace { other } => {
+            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", MAX_TEXT_BYTES),
+            ConfigErrorKind::DuplicateField => out.write_str("is there twice"),
+            ConfigErrorKind::MissingField { field } => write!(out, "{field} missing"),
+            ConfigErrorKind::InvalidField { field, expected } => write!(out, "{field} is not {expected}"),
+            ConfigErrorKind::InvalidItem { expected } => write!(out, "not {expected}"),
+            ConfigErrorKind::DuplicateName => out.write_str("name used twice"),
+            ConfigErrorKind::InvalidPathPrefix => out.write_str("path_prefix does not begin and end with a slash"),
+            ConfigErrorKind::UnknownRouteType => out.write_str("route_type unknown"),
+            ConfigErrorKind::ZeroTimeout => out.write_str("timeout_ms is 0"),
+            ConfigErrorKind::DuplicateMatch { other } => {
                 write!(out, "hostname and path_prefix are those of `{}`", shown(other))
             }
-            ConfigErrorKind::NoService => out.write_str("no service"),
+            ConfigErrorKind::MissingService => out.write_str("no service"),
             ConfigErrorKind::UnknownService { service } => write!(out, "unknown service `{}`", shown(service)),
-            ConfigErrorKind::WeightsZero => out.write_str("weights sum to 0"),
-            ConfigErrorKind::SharedKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
+            ConfigErrorKind::ZeroWeights => out.write_str("weights sum to 0"),
+            ConfigErrorKind::DuplicateKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
             ConfigErrorKind::EmptyKey => out.write_str("an empty key"),
-            ConfigErrorKind::RevisionZero => out.write_str("missing or 0"),
-            ConfigErrorKind::NothingToChange => out.write_str("no configuration to change"),
+            ConfigErrorKind::ZeroRevision => out.write_str("missing or 0"),
+            ConfigErrorKind::NoBaseConfig => out.write_str("no configuration to change"),
         }
     }
 }
 
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "{}: {}", self.item, self.flaw)
+impl fmt::Display for ConfigError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        write!(out, "{}: {}", self.item, self.kind)
     }
 }
 
--- a/protocol/src/stored_by_5_tests.rs
+++ b/protocol/src/stored_by_5_tests.rs
@@ -3,20 +3,21 @@
 //! `fixtures/messages-5.bin` was written by commit 0f675d7: one sealed frame after the other, in the order of `messages`.
 //! To write it again, check out that commit, put this file beside `msg.rs`, attach it as it is attached here, and run
 //! `cargo test -p wire --lib -- --ignored stored_by_5`. Later versions never write it again: they read it.
-use crate::capability::{hidden_key, own_protocol_version, shutting_down_marker, PROTOCOL_VERSION};
-use crate::change::{before_tenants, Change};
+use crate::capability::{own_protocol_version, shutting_down_marker, PROTOCOL_VERSION};
 use crate::config::{self, Limits, Model, Route, Service, Split, Tenant};
-use crate::frame::{self, Kind, HEAD};
+use crate::config_update::{legacy_format, ConfigUpdate};
+use crate::frame::{self, Kind, HEADER_BYTES};
 use crate::message::{
-    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, EngineLoad, Entry,
-    Gossip, KeyPosition, Member, Message, Position, PrefixLookup, PrefixLookupResponse, PrefixRegistration,
-    ProposalNumber, Record, RegisterState, StalenessLimit, StateUpdate, SubscriptionRenewal, WeightVersions, ROLLOUT,
+    ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, EngineLoad,
+    EngineWeights, Entry, EvacuationState, Gossip, HiddenKey, KeyPosition, Member, Message, Position, PrefixLookup,
+    PrefixLookupResponse, PrefixRegistration, ProposalNumber, Record, RegisterState, StalenessLimit, StateUpdate,
+    SubscriptionRenewal, VersionEntry, WeightVersions, STALENESS_LIMIT_PREFIX,
 };
 use crate::operator_request::{CommittedDelta, ConfigChange, OperatorRequest, OperatorResponse};
-use crate::quota::{holders_key, holders_mark, told_holders, ShardOwner, ShardUsage, TokenRequest, TokenResponse};
+use crate::quota::{shard_owners_entry, shard_owners_fingerprint, ShardOwner, ShardUsage, TokenRequest, TokenResponse};
 use crate::renewal::{Confirmation, SubscriptionRenewed};
 use crate::version_rollout::{candidates_of, RolloutState, RouteSamples, Samples, VersionRollout, KEY};
-use kernel::clock::{combine_hashes, hash};
+use kernel::hashing::{combine, hash};
 use std::collections::HashSet;
 use std::fs;
 use std::mem::discriminant;
@@ -74,8 +75,12 @@
     ]
 }
 
-fn places() -> Vec<(String, u64, u64)> {
-    vec![("zone-a".into(), 12, 13), ("\0leaving".into(), 1, 0), (String::new(), 5, 0)]
+fn weights(engine: &str, model: &str, version: u64) -> EngineWeights {
+    EngineWeights { engine: engine.into(), model: model.into(), version }
+}
+
+fn list_versions() -> Vec<VersionEntry> {
+    vec![VersionEntry::new("zone-a", 12, 13), VersionEntry::new("\0leaving", 1, 0), VersionEntry::new("", 5, 0)]
 }
 
 fn busy() -> Vec<(String, u32)> {
@@ -106,7 +111,10 @@
     StateUpdate {
         confirmed: true,
         config: Some((31, b"{\"revision\":31}".to_vec())),
-        evacuations: vec![("zone-a".into(), 4, true), ("zone-b".into(), 5, false)],
+        evacuations: vec![
+            EvacuationState { zone: "zone-a".into(), version: 4, evacuated: true },
+            EvacuationState { zone: "zone-b".into(), version: 5, evacuated: false },
+        ],
         endpoint_lists: vec![sheet()],
         router_count: 17,
         peers: vec!["10.0.0.1".into(), "10.0.0.2".into()],
@@ -238,14 +246,14 @@
 }
 
 /// A whole configuration with tenants, in the layout of version 5.
-fn whole_with_tenants() -> Change {
-    Change {
+fn whole_with_tenants() -> ConfigUpdate {
+    ConfigUpdate {
         from: 0,
         to: 31,
         routes: vec![split_route(), Route { anonymous: true, ..plain_route() }],
-        gone: Vec::new(),
+        removed_routes: Vec::new(),
         services: services(),
-        lost: Vec::new(),
+        removed_services: Vec::new(),
         limits: limits(),
         tenants: vec![
             Tenant {
@@ -265,20 +273,20 @@
                 allowed_regions: Vec::new(),
             },
         ],
-        gone_tenants: Vec::new(),
+        removed_tenants: Vec::new(),
         requires_keys: true,
     }
 }
 
 /// The step to a later configuration, in the layout of version 5.
-fn step_with_tenants() -> Change {
-    Change {
+fn step_with_tenants() -> ConfigUpdate {
+    ConfigUpdate {
         from: 31,
         to: 33,
         routes: vec![plain_route()],
-        gone: vec!["r-1".into()],
+        removed_routes: vec!["r-1".into()],
         services: services(),
-        lost: vec!["s3".into(), "a-service-with-a-long-name".into()],
+        removed_services: vec!["s3".into(), "a-service-with-a-long-name".into()],
         limits: limits(),
         tenants: vec![Tenant {
             name: "acme".into(),
@@ -288,23 +296,23 @@
             burst_size: 1.0,
             allowed_regions: vec!["tasman-north".into()],
         }],
-        gone_tenants: vec!["a-tenant-with-a-long-name".into(), "b".into()],
+        removed_tenants: vec!["a-tenant-with-a-long-name".into(), "b".into()],
         requires_keys: true,
     }
 }
 
 /// The step in the layout before tenants.
-fn step_without_tenants() -> Change {
-    Change {
+fn step_without_tenants() -> ConfigUpdate {
+    ConfigUpdate {
         from: 41,
         to: 42,
         routes: vec![split_route(), plain_route()],
-        gone: vec!["r-3".into()],
+        removed_routes: vec!["r-3".into()],
         services: services(),
-        lost: vec!["s3".into()],
+        removed_services: vec!["s3".into()],
         limits: limits(),
         tenants: Vec::new(),
-        gone_tenants: Vec::new(),
+        removed_tenants: Vec::new(),
         requires_keys: false,
     }
 }
@@ -365,8 +373,8 @@
             in_flight: busy(),
             reassigning: vec!["i-2".into()],
             frontend_addresses: vec!["10.2.0.1:443".into(), "10.2.0.2:443".into()],
-            list_versions: places(),
-            observed_list_versions: vec![("zone-b".into(), 14, 15)],
+            list_versions: list_versions(),
+            observed_list_versions: vec![VersionEntry::new("zone-b", 14, 15)],
         })),
         Message::EndpointList(Box::new(sheet())),
         Message::SubscriptionRenewal(Box::new(SubscriptionRenewal {
@@ -375,7 +383,7 @@
             incarnation: 0x3132_3334_3536_3738,
             config_revision: 31,
             evacuation_versions: vec![("zone-a".into(), 4)],
-            list_versions: places(),
+            list_versions: list_versions(),
             in_flight: busy(),
             frontend_address: "10.2.0.1:443".into(),
         })),
@@ -432,9 +440,9 @@
         order_done(OperatorResponse::OutcomeUnknown),
         Message::CommittedDelta(Box::new(CommittedDelta { change: None, ..advance.clone() })),
         Message::CommittedDelta(Box::new(advance)),
-        Message::ConfigUpdate(Box::new(before_tenants::write(&step_without_tenants()))),
-        Message::TenantConfigUpdate(Box::new(whole_with_tenants().write())),
-        Message::TenantConfigUpdate(Box::new(step_with_tenants().write())),
+        Message::ConfigUpdate(Box::new(legacy_format::encode(&step_without_tenants()))),
+        Message::TenantConfigUpdate(Box::new(whole_with_tenants().encode())),
+        Message::TenantConfigUpdate(Box::new(step_with_tenants().encode())),
     ]
 }
 
@@ -462,7 +470,7 @@
             zone: "zone-a".into(),
             term: 23,
             sequence: 24,
-            list: vec![("i-1".into(), "m-1".into(), 120), ("i-2".into(), "a-model-with-a-long-name".into(), 119)],
+            list: vec![weights("i-1", "m-1", 120), weights("i-2", "a-model-with-a-long-name", 119)],
         })),
         Message::CountConfirmations(Box::new(("rollout/chat/m-1".into(), 3))),
         Message::ConfirmationCount(Box::new((18, 17))),
@@ -495,13 +503,13 @@
 
 /// The kind of the frame of a message at a place, and its number.
 fn kind_and_id(at: usize) -> (Kind, u64) {
-    ([Kind::Ask, Kind::Reply, Kind::Cast][at % 3], 0xA1A2_A3A4_0000_0000 + at as u64)
+    ([Kind::Request, Kind::Response, Kind::Notification][at % 3], 0xA1A2_A3A4_0000_0000 + at as u64)
 }
 
 fn sealed(messages: &[Message]) -> Vec<u8> {
     let frames = messages.iter().enumerate().map(|(at, message)| {
         let (kind, id) = kind_and_id(at);
-        frame::seal(kind, id, message).expect("sealed")
+        frame::encode(kind, id, message).expect("sealed")
     });
     frames.flatten().collect()
 }
@@ -510,11 +518,11 @@
 fn read_frames(bytes: &[u8]) -> Vec<((Kind, u64), Message)> {
     let mut rest = bytes;
     let mut frames = Vec::new();
-    while let Some((head, body)) = rest.split_first_chunk::<HEAD>() {
-        let head = frame::head(head).expect("a head");
+    while let Some((head, body)) = rest.split_first_chunk::<HEADER_BYTES>() {
+        let head = frame::decode_header(head).expect("a head");
         assert_eq!(head.version, 1);
         let (body, behind) = body.split_at(head.len);
-        frames.push(((head.kind, head.id), frame::open(body).expect("a body")));
+        frames.push(((head.kind, head.id), frame::decode_body(body).expect("a body")));
         rest = behind;
     }
     assert!(rest.is_empty(), "{} bytes behind the last frame", rest.len());
@@ -544,7 +552,7 @@
     let mut rest = bytes.as_slice();
     for (at, message) in messages().iter().enumerate() {
         let (kind, id) = kind_and_id(at);
-        let frame = frame::seal(kind, id, message).expect("sealed");
+        let frame = frame::encode(kind, id, message).expect("sealed");
         assert_eq!(rest.get(..frame.len()), Some(&frame[..]), "frame {at}: {message:?}");
         rest = &rest[frame.len()..];
     }
@@ -558,14 +566,14 @@
     assert_eq!(kinds.len(), KINDS_OF_MESSAGES);
 }
 
-/// The bytes in `Change` and `Update` are told apart from what they mean: another packing of the same change is read too.
+/// The bytes in `ConfigUpdate` and `TenantConfigUpdate` are told apart from what they mean: another packing of the same change is read too.
 #[test]
 fn packed_changes_of_version_5_are_read_in_both_layouts() {
     let (mut before, mut with_tenants) = (Vec::new(), Vec::new());
     for (_, message) in read_frames(&fs::read(fixture()).expect("the fixture")) {
         match message {
-            Message::ConfigUpdate(packed) => before.push(Change::read(&packed).expect("a change")),
-            Message::TenantConfigUpdate(packed) => with_tenants.push(Change::read(&packed).expect("a change")),
+            Message::ConfigUpdate(packed) => before.push(ConfigUpdate::decode(&packed).expect("a change")),
+            Message::TenantConfigUpdate(packed) => with_tenants.push(ConfigUpdate::decode(&packed).expect("a change")),
             _ => {}
         }
     }
@@ -576,13 +584,13 @@
 /// Daemons tell these beside the versions of engine lists, and find committed state under these keys.
 #[test]
 fn the_names_that_version_5_tells_stay_what_they_are() {
-    assert_eq!(own_protocol_version(), (String::new(), PROTOCOL_VERSION, 0));
-    assert_eq!(shutting_down_marker(), ("\0leaving".into(), 1, 0));
-    assert_eq!(hidden_key("zone-a"), "\0zone-a");
-    assert_eq!(holders_key(), "\0shard holders");
-    assert_eq!(told_holders(12), ("\0shard holders".into(), 12, 0));
+    assert_eq!(own_protocol_version(), VersionEntry::new("", PROTOCOL_VERSION, 0));
+    assert_eq!(shutting_down_marker(), VersionEntry::new("\0leaving", 1, 0));
+    assert_eq!(HiddenKey::WeightVersions("zone-a").to_string(), "\0zone-a");
+    assert_eq!(HiddenKey::ShardOwners.to_string(), "\0shard holders");
+    assert_eq!(shard_owners_entry(12), VersionEntry::new("\0shard holders", 12, 0));
     assert_eq!(candidates_of("zone-a"), "\0candidates zone-a");
-    assert_eq!((ROLLOUT, KEY), ("rollout/", "versions/"));
+    assert_eq!((STALENESS_LIMIT_PREFIX, KEY), ("rollout/", "versions/"));
     assert_eq!(rule().key(), "rollout/chat/m-1");
     assert_eq!(VersionRollout::key("chat"), "versions/chat");
 }
@@ -593,6 +601,9 @@
     let holder = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
     assert_eq!(hash(b""), 0xefd0_1f60_ba99_2926);
     assert_eq!(hash(b"engine-with-a-long-name-2"), 0x96bf_6eee_64c0_2b9c);
-    assert_eq!(combine_hashes(3, 9), 0xfecc_95cb_a7dc_91dc);
-    assert_eq!(holders_mark(&[holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")]), 0xfdc6_4a92_8230_bc58);
+    assert_eq!(combine(3, 9), 0xfecc_95cb_a7dc_91dc);
+    assert_eq!(
+        shard_owners_fingerprint(&[holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")]),
+        0xfdc6_4a92_8230_bc58
+    );
 }
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::Ordering;
 
 use kernel::clock;
-use load_balancing::staleness_bound::StalenessBound;
-use protocol::message::{self, StalenessLimit, WeightVersions};
+use load_balancing::{StalenessBound, WeightVersionRange};
+use protocol::message::{HiddenKey, StalenessLimit, VersionEntry, WeightVersions};
 
 use crate::event::{FEW, RULE};
 use crate::proxy::exchange::Exchange;
@@ -16,16 +16,16 @@
 impl Exchange {
     /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
     /// has lapsed.
-    pub fn version_bounds(&self) -> Option<(u64, u64, u64)> {
+    pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
         let floors = self.state.floors.lock();
         let model = self.request.model_key;
         match floors.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
-            StalenessBound::LeaseExpired => Some((model, u64::MAX, 0)),
+            StalenessBound::LeaseExpired => Some(WeightVersionRange { model, oldest: u64::MAX, newest: 0 }),
             StalenessBound::AtLeast(floor) => match self.pinned_version {
-                Some(exact) if exact >= floor => Some((model, exact, exact)),
-                _ => Some((model, floor, u64::MAX)),
+                Some(exact) if exact >= floor => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
+                _ => Some(WeightVersionRange { model, oldest: floor, newest: u64::MAX }),
             },
         }
     }
@@ -33,8 +33,7 @@
     /// Before a maker is chosen: memory of a version that is past the limit by now is given free, and without
     /// memory the version is not settled yet.
     pub fn drop_stale_handle(&mut self) {
-        let fits =
-            |(_, from, to): (u64, u64, u64)| self.pinned_version.is_none_or(|exact| (from..=to).contains(&exact));
+        let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
             self.release_handle();
         }
@@ -87,9 +86,10 @@
 type Told = (String, u64);
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
-pub fn known_versions(state: &State) -> (Vec<Told>, Vec<(String, u64, u64)>) {
+pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
     let rules = state.floors.lock().versions();
     let weights = state.weights.lock();
-    let weights = weights.iter().map(|(zone, (turn, count))| (message::hidden_key(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (message::hidden_key(&key), version)).collect(), weights.collect())
+    let weights =
+        weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
+    (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
 }
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -3,15 +3,16 @@
 //! The holders of the shards of the tenant's bucket are asked one after the other, the first of them by chance so that
 //! their shards empty evenly. While none of them answers, the router has a small allowance of its own.
 
+use kernel::clock;
+use kernel::hashing;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use kernel::clock;
 use kernel::settings::Settings;
 use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use protocol::message::Message;
-use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
+use protocol::quota::{shard_owners_fingerprint, to_milli, ShardOwner, TokenRequest, TokenResponse};
 use quota::{Allowances, Bounds, Holder, Quota};
 
 use crate::frontend::error_response::Failure;
@@ -86,7 +87,7 @@
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
         };
-        let mark = clock::hash(settings.node_name.as_bytes());
+        let mark = hashing::hash(settings.node_name.as_bytes());
         let inner = Inner {
             holders: Vec::new(),
             mark: 0,
@@ -101,7 +102,7 @@
     /// Takes a list of controllers that may hold shards.
     pub fn set_holders(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock();
-        inner.mark = holders_mark(list);
+        inner.mark = shard_owners_fingerprint(list);
         inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
         inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -5,8 +5,8 @@
 
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
-use kernel::clock;
-use load_balancing::selection::Phase;
+use kernel::{clock, hashing};
+use load_balancing::Phase;
 use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
 
@@ -102,7 +102,7 @@
     // A failed answer is given up only once the next send is granted.
     let mut granted = false;
     loop {
-        let rank = clock::combine_hashes(exchange.request.born, exchange.request.body.len() as u64);
+        let rank = hashing::combine(exchange.request.born, exchange.request.body.len() as u64);
         let place = exchange.view(|view| view.select_decode(0, &[], None, rank));
         let Some(at) = place else { return Err(failure_of(exchange)) };
         if !mem::take(&mut granted) && !exchange.grant_send() {
@@ -144,7 +144,7 @@
         let (tokens, rank) = (self.request.tokens(), plan::rank(&self.request));
         for _ in 0..3 {
             let held = self.prefix_owners.clone();
-            let next = self.view(|view| view.select_combined(tokens, &held, rank))?.0;
+            let next = self.view(|view| view.select_combined(tokens, &held, rank))?.engine;
             if self.remaining_ms() == 0 || !self.grant_send() {
                 return None;
             }
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -2,17 +2,20 @@
 //!
 //! Lock order: table, engine_table, record, budget, news, pools. No lock is held over an await.
 
+use kernel::hashing;
+use kernel::new_incarnation;
+use kernel::ConvergenceBudget;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::Arc;
 
-use catalog::owner_cache::OwnerCache;
-use kernel::clock::{self, Rng};
-use kernel::convergence;
+use catalog::OwnerCache;
+
 use kernel::settings::Settings;
-use load_balancing::engine_table::EngineTable;
-use load_balancing::retry_budget;
-use load_balancing::staleness_bound::StalenessBounds;
+use kernel::Rng;
+use load_balancing::EngineTable;
+use load_balancing::RetryBudget;
+use load_balancing::StalenessBounds;
 use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
@@ -34,7 +37,7 @@
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
     pub record: Mutex<OwnerCache>,
-    pub budget: Mutex<retry_budget::RetryBudget>,
+    pub budget: Mutex<RetryBudget>,
     pub pools: Pools,
     pub lookup: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
@@ -81,7 +84,7 @@
 impl State {
     /// The state of a process that has just started: it knows its settings and nothing else.
     pub fn new(settings: Settings) -> Arc<State> {
-        let life = clock::incarnation();
+        let life = new_incarnation();
         let mut engine_table = EngineTable::default();
         let own_zone = engine_table.zone_index(&settings.zone);
         for (zone, region) in &settings.zones {
@@ -94,13 +97,13 @@
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
             record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
-            budget: Mutex::new(retry_budget::RetryBudget::new(settings.bounds.retry_budget, window_ms)),
+            budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
             weights: Default::default(),
             news: Default::default(),
-            currency: Currency::new(convergence::Budget::new(&settings.bounds)),
+            currency: Currency::new(ConvergenceBudget::new(&settings.bounds)),
             home: Default::default(),
             dice: Mutex::new(Rng::new(life)),
             few_at: Default::default(),
@@ -124,7 +127,7 @@
 
     /// What tells this router's samples from those of others.
     pub fn mark(&self) -> u64 {
-        clock::hash(self.settings.node_name.as_bytes())
+        hashing::hash(self.settings.node_name.as_bytes())
     }
 
     pub fn table(&self) -> Arc<Table> {
