--- a/controller/src/api/config.rs
+++ b/controller/src/api/config.rs
@@ -4,7 +4,7 @@
 
 use poem::error::ReadBodyError;
 use poem::{Endpoint, Request};
-use protocol::config::LONGEST_TEXT;
+use protocol::config::MAX_TEXT_BYTES;
 use protocol::operator_request::{ConfigChange, OperatorRequest, OperatorResponse};
 
 use crate::api::operator_requests;
@@ -35,7 +35,7 @@
 }
 
 async fn read_text(request: &mut Request) -> Result<String, ApiError> {
-    match request.take_body().into_bytes_limit(LONGEST_TEXT).await {
+    match request.take_body().into_bytes_limit(MAX_TEXT_BYTES).await {
         Ok(body) => into_text(body.to_vec()),
         Err(ReadBodyError::PayloadTooLarge) => Err(ApiError::payload_too_large("body: too large")),
         Err(_) => Err(ApiError::bad_request("body: cut short")),
--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -12,7 +12,7 @@
 use crate::config::execution;
 use crate::controller::Controller;
 use crate::event::EVACUATION;
-use crate::replication::committed_state::{EvacuationState, CONFIG_KEY, EVACUATION_PREFIX};
+use crate::replication::committed_state::{EvacuationRecord, CONFIG_KEY, EVACUATION_PREFIX};
 use crate::replication::reconfiguration;
 
 /// How long the home of a key may take before a request is carried out here.
@@ -138,14 +138,14 @@
 /// it. Answers with `done` once the zone is so, and with `unknown` where another version is committed or the value
 /// cannot be read.
 pub fn decide_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unknown: T) -> Decision<T> {
-    let Some(stored) = EvacuationState::open(body) else { return Decision::Answer(unknown) };
+    let Some(stored) = EvacuationRecord::open(body) else { return Decision::Answer(unknown) };
     if stored.evacuated == on {
         return Decision::Answer(done);
     }
     if from.is_some_and(|version| version != stored.version) {
         return Decision::Answer(unknown);
     }
-    Decision::Write(EvacuationState { version: stored.version + 1, evacuated: on }.to_bytes(), done)
+    Decision::Write(EvacuationRecord { version: stored.version + 1, evacuated: on }.to_bytes(), done)
 }
 
 async fn evacuate(
--- a/controller/src/api/operator_requests_tests.rs
+++ b/controller/src/api/operator_requests_tests.rs
@@ -3,7 +3,7 @@
 use consensus::Decision;
 
 use super::{control_address, decide_evacuation};
-use crate::replication::committed_state::EvacuationState;
+use crate::replication::committed_state::EvacuationRecord;
 
 #[test]
 fn a_caller_is_sent_to_the_home_at_the_port_that_all_serve() {
@@ -19,7 +19,7 @@
     let Decision::Write(body, "done") = decide(true, &[]) else { panic!("a change") };
     assert_eq!(decide(true, &body), Decision::Answer("done"));
     let Decision::Write(body, "done") = decide(false, &body) else { panic!("a change") };
-    let closed = EvacuationState::open(&body).expect("read");
+    let closed = EvacuationRecord::open(&body).expect("read");
     assert_eq!((closed.version, closed.evacuated), (2, false));
 }
 
--- a/controller/src/api/routes.rs
+++ b/controller/src/api/routes.rs
@@ -5,7 +5,7 @@
 
 use poem::listener::TcpAcceptor;
 use poem::{Route, Server};
-use protocol::socket::{self, SILENCE_MS};
+use protocol::socket::{self, IO_TIMEOUT_MS};
 use socket2::SockRef;
 use tokio::time;
 
@@ -59,7 +59,7 @@
         return;
     };
     let socket = SockRef::from(&listener);
-    let _ = socket.set_tcp_user_timeout(Some(Duration::from_millis(SILENCE_MS)));
+    let _ = socket.set_tcp_user_timeout(Some(Duration::from_millis(IO_TIMEOUT_MS)));
     let Ok(acceptor) = TcpAcceptor::from_tokio(listener) else { return };
     let server = Server::new_with_acceptor(acceptor).idle_timeout(IDLE_TIMEOUT);
     let _ = server.run_with_graceful_shutdown(routes, shutdown.closing(), None).await;
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use load_balancing::endpoint_lists::EndpointLists;
+use load_balancing::EndpointLists;
 use poem::http::Method;
 use poem::{Endpoint, Request};
 use protocol::message::{StalenessLimit, WeightVersions};
@@ -107,8 +107,8 @@
     let versions: HashMap<&str, u64> = weights
         .values()
         .flat_map(|list| &list.list)
-        .filter(|(_, model, _)| *model == limit.model)
-        .map(|(id, _, version)| (id.as_str(), *version))
+        .filter(|weights| weights.model == limit.model)
+        .map(|weights| (weights.engine.as_str(), weights.version))
         .collect();
     let mut zones = ReplicasByZone::new();
     let engines = lists.iter().flat_map(|list| &list.engines);
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -16,7 +16,7 @@
 use batch::{KEEP_MS, PAGE};
 use kernel::{clock, startup};
 use parking_lot::Mutex;
-use protocol::socket::SILENCE_MS;
+use protocol::socket::IO_TIMEOUT_MS;
 use reqwest::Client;
 
 use crate::batches::job_attempt::JobAttempt;
@@ -119,7 +119,7 @@
 /// Carries batches out whenever this controller owns them, for as long as the process runs.
 pub fn start(controller: &Arc<Controller>) {
     let (connect_timeout, unacknowledged) =
-        (Duration::from_millis(CONNECT_TIMEOUT_MS), Duration::from_millis(SILENCE_MS));
+        (Duration::from_millis(CONNECT_TIMEOUT_MS), Duration::from_millis(IO_TIMEOUT_MS));
     let Ok(client) = http_client::at_most_once(connect_timeout, unacknowledged).build() else { return };
     let limit = Pace::new(MAX_IN_FLIGHT);
     let in_flight = InFlight { jobs: HashSet::new(), unknown_outcomes: HashMap::new(), limit };
--- a/controller/src/config/change.rs
+++ b/controller/src/config/change.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use protocol::config::{Checked, ConfigError, Patch};
+use protocol::config::{ConfigDocument, ConfigError, ConfigPatch};
 use protocol::operator_request::ConfigChange;
 
 use crate::config::body::{BodyFormat, ChangeStatus, StoredConfig};
@@ -61,7 +61,7 @@
     /// What is written to the register.
     pub stored: StoredConfig,
     /// The configuration in `stored`, already checked.
-    pub config: Arc<Checked>,
+    pub config: Arc<ConfigDocument>,
 }
 
 /// What is to be done about a change that is not rejected.
@@ -77,8 +77,8 @@
 
 /// The parsed text of a change.
 enum ChangeContent {
-    FullConfig(Arc<Checked>),
-    Patch(Patch),
+    FullConfig(Arc<ConfigDocument>),
+    Patch(ConfigPatch),
 }
 
 /// A change whose text was parsed once, whether or not it is valid.
@@ -92,8 +92,8 @@
     /// changes that are committed already.
     pub fn parse(change: &ConfigChange) -> ParsedChange<'_> {
         let content = match change.partial {
-            true => Patch::read(&change.text).map(ChangeContent::Patch),
-            false => Checked::read(&change.text).map(|config| ChangeContent::FullConfig(Arc::new(config))),
+            true => ConfigPatch::parse(&change.text).map(ChangeContent::Patch),
+            false => ConfigDocument::parse(&change.text).map(|config| ChangeContent::FullConfig(Arc::new(config))),
         };
         ParsedChange { change, content }
     }
@@ -107,7 +107,7 @@
     pub fn decide(
         &self,
         stored: &StoredConfig,
-        known: Option<&Checked>,
+        known: Option<&ConfigDocument>,
         format: BodyFormat,
     ) -> Result<ChangeDecision, ConfigChangeError> {
         match stored.status_of(self.change) {
@@ -129,16 +129,16 @@
     fn config_on(
         &self,
         stored: &StoredConfig,
-        known: Option<&Checked>,
-    ) -> Result<Option<Arc<Checked>>, ConfigChangeError> {
+        known: Option<&ConfigDocument>,
+    ) -> Result<Option<Arc<ConfigDocument>>, ConfigChangeError> {
         match &self.content {
             Err(error) => Err(ConfigChangeError::Invalid(error.clone())),
             Ok(ChangeContent::FullConfig(config)) => Ok(Some(config.clone())),
             Ok(ChangeContent::Patch(_)) if stored.revision == 0 => {
-                Err(ConfigChangeError::Invalid(ConfigError::nothing_to_change()))
+                Err(ConfigChangeError::Invalid(ConfigError::no_base_config()))
             }
             Ok(ChangeContent::Patch(patch)) => {
-                let patched = with_committed(stored, known, |base| base.patched(patch)).transpose();
+                let patched = with_committed(stored, known, |base| base.apply(patch)).transpose();
                 Ok(patched.map_err(ConfigChangeError::Invalid)?.map(Arc::new))
             }
         }
@@ -146,14 +146,23 @@
 }
 
 /// Passes the committed configuration to `act`. `None`: it cannot be read.
-fn with_committed<T>(stored: &StoredConfig, known: Option<&Checked>, act: impl FnOnce(&Checked) -> T) -> Option<T> {
+fn with_committed<T>(
+    stored: &StoredConfig,
+    known: Option<&ConfigDocument>,
+    act: impl FnOnce(&ConfigDocument) -> T,
+) -> Option<T> {
     match known.filter(|known| known.text() == stored.text) {
         Some(known) => Some(act(known)),
-        None => Checked::read_committed(&stored.text).ok().map(|base| act(&base)),
+        None => ConfigDocument::parse_committed(&stored.text).ok().map(|base| act(&base)),
     }
 }
 
-fn prepare(change: &ConfigChange, stored: &StoredConfig, config: Arc<Checked>, format: BodyFormat) -> PreparedChange {
+fn prepare(
+    change: &ConfigChange,
+    stored: &StoredConfig,
+    config: Arc<ConfigDocument>,
+    format: BodyFormat,
+) -> PreparedChange {
     let mut next = StoredConfig { revision: config.revision(), text: config.text().into(), ..stored.clone() };
     next.remember(change, format);
     PreparedChange { stored: next, config }
@@ -165,15 +174,15 @@
     change: &ConfigChange,
     revision: u64,
     stored: &StoredConfig,
-    known: Option<&Checked>,
+    known: Option<&ConfigDocument>,
     format: BodyFormat,
 ) -> Option<PreparedChange> {
     let config = match change.partial {
         true => {
-            let patch = Patch::read(&change.text).ok()?;
-            with_committed(stored, known, |base| base.patched_again(&patch))?
+            let patch = ConfigPatch::parse(&change.text).ok()?;
+            with_committed(stored, known, |base| base.apply_committed(&patch))?
         }
-        false => Checked::read_committed(&change.text),
+        false => ConfigDocument::parse_committed(&change.text),
     };
     let config = config.ok().filter(|config| config.revision() == revision)?;
     Some(prepare(change, stored, Arc::new(config), format))
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use consensus::Decision;
-use protocol::config::Checked;
+use protocol::config::ConfigDocument;
 use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
@@ -33,7 +33,7 @@
     format_before: BodyFormat,
     format: BodyFormat,
     /// The configuration after the change.
-    config: Arc<Checked>,
+    config: Arc<ConfigDocument>,
 }
 
 /// Carries out an operator's change.
@@ -71,7 +71,7 @@
 fn decide(
     parsed: &ParsedChange,
     body: &[u8],
-    known: Option<&Checked>,
+    known: Option<&ConfigDocument>,
     read_by_all: BodyFormat,
 ) -> Decision<ChangeResult> {
     let respond = |response| Decision::Answer(ChangeResult::Response(response));
@@ -167,7 +167,11 @@
 
 /// Returns the value after a delta, if it is the one that was committed, and the configuration in it where that is
 /// another one. `known` is the configuration in the value before, where that was read already.
-fn next_body(body: &[u8], known: Option<&Checked>, delta: &CommittedDelta) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
+fn next_body(
+    body: &[u8],
+    known: Option<&ConfigDocument>,
+    delta: &CommittedDelta,
+) -> Option<(Vec<u8>, Option<Arc<ConfigDocument>>)> {
     if body_digest(body) != delta.before {
         return None;
     }
--- a/controller/src/config/history.rs
+++ b/controller/src/config/history.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use protocol::change::{before_tenants, Change};
-use protocol::config::{Checked, Tenant};
-use protocol::frame::{self, Kind, HEAD};
+use protocol::config::{ConfigDocument, Tenant};
+use protocol::config_update::{legacy_format, ConfigUpdate};
+use protocol::frame::{self, Kind, HEADER_BYTES};
 use protocol::message::{Message, TENANTS};
 use quota::Quota;
 
@@ -63,7 +63,7 @@
 /// `full_frame_before_tenants` are of `current`. What is kept is bounded by count and by bytes.
 #[derive(Default)]
 pub struct ConfigHistory {
-    current: Option<Arc<Checked>>,
+    current: Option<Arc<ConfigDocument>>,
     full_frame: Option<Bytes>,
     full_frame_before_tenants: Option<Bytes>,
     changes: VecDeque<EncodedChange>,
@@ -72,26 +72,26 @@
     quotas: HashMap<String, Quota>,
 }
 
-fn quotas(config: &Checked) -> HashMap<String, Quota> {
+fn quotas(config: &ConfigDocument) -> HashMap<String, Quota> {
     let quota = |tenant: &Tenant| Quota { rate_per_s: tenant.rate_per_s, burst: tenant.burst_size };
     config.config().tenant_table.iter().map(|tenant| (tenant.name.clone(), quota(tenant))).collect()
 }
 
 fn encode_frame(message: &Message) -> Option<Bytes> {
-    frame::seal(Kind::Cast, 0, message).ok().map(Bytes::from)
+    frame::encode(Kind::Notification, 0, message).ok().map(Bytes::from)
 }
 
-fn encode_change(change: &Change, layout: ChangeLayout) -> Option<Bytes> {
+fn encode_change(change: &ConfigUpdate, layout: ChangeLayout) -> Option<Bytes> {
     encode_frame(&match layout {
-        ChangeLayout::Current => Message::TenantConfigUpdate(Box::new(change.write())),
-        ChangeLayout::BeforeTenants => Message::ConfigUpdate(Box::new(before_tenants::write(change))),
+        ChangeLayout::Current => Message::TenantConfigUpdate(Box::new(change.encode())),
+        ChangeLayout::BeforeTenants => Message::ConfigUpdate(Box::new(legacy_format::encode(change))),
     })
 }
 
 impl EncodedChange {
-    fn new(old: &Checked, new: &Checked) -> Option<EncodedChange> {
-        let frame = encode_change(&Change::between(old.config(), new.config()), ChangeLayout::Current)?;
-        let is_valid_before_tenants = before_tenants::can_tell(new.config());
+    fn new(old: &ConfigDocument, new: &ConfigDocument) -> Option<EncodedChange> {
+        let frame = encode_change(&ConfigUpdate::between(old.config(), new.config()), ChangeLayout::Current)?;
+        let is_valid_before_tenants = legacy_format::can_encode(new.config());
         Some(EncodedChange { from: old.revision(), is_valid_before_tenants, frame, before_tenants: None })
     }
 
@@ -102,10 +102,10 @@
     /// Returns the frame in the layout before tenants, for routers of earlier versions.
     fn frame_before_tenants(&mut self) -> Option<Bytes> {
         if self.before_tenants.is_none() {
-            let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&self.frame[HEAD..]) else {
+            let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&self.frame[HEADER_BYTES..]) else {
                 return None;
             };
-            self.before_tenants = encode_change(&Change::read(&packed)?, ChangeLayout::BeforeTenants);
+            self.before_tenants = encode_change(&ConfigUpdate::decode(&packed)?, ChangeLayout::BeforeTenants);
         }
         self.before_tenants.clone()
     }
@@ -128,7 +128,7 @@
     }
 
     /// Returns the configuration in force.
-    pub fn current(&self) -> Option<&Arc<Checked>> {
+    pub fn current(&self) -> Option<&Arc<ConfigDocument>> {
         self.current.as_ref()
     }
 
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// Returns both revisions if the configuration is not newer; nothing has changed then.
-    pub fn advance(&mut self, config: Arc<Checked>) -> Result<(), RevisionNotNewer> {
+    pub fn advance(&mut self, config: Arc<ConfigDocument>) -> Result<(), RevisionNotNewer> {
         let Some(old) = self.current.clone() else {
             self.quotas = quotas(&config);
             self.current = Some(config);
@@ -179,13 +179,14 @@
     pub fn can_send_to(&self, protocol_version: u64) -> bool {
         let current = self.current.as_ref();
         ChangeLayout::of(protocol_version) == ChangeLayout::Current
-            || current.is_none_or(|current| before_tenants::can_tell(current.config()))
+            || current.is_none_or(|current| legacy_format::can_encode(current.config()))
     }
 
     /// Returns revision and text for a router of the first protocol version that has the revision `known`, if that is
     /// older.
     pub fn text_newer_than(&self, known: u64) -> Option<(u64, Vec<u8>)> {
-        let is_newer = |current: &&Arc<Checked>| current.revision() > known && self.can_send_to(TEXT_PROTOCOL_VERSION);
+        let is_newer =
+            |current: &&Arc<ConfigDocument>| current.revision() > known && self.can_send_to(TEXT_PROTOCOL_VERSION);
         let newer = self.current.as_ref().filter(is_newer);
         newer.map(|current| (current.revision(), current.text().as_bytes().to_vec()))
     }
@@ -215,7 +216,8 @@
             ChangeLayout::BeforeTenants => &mut self.full_frame_before_tenants,
         };
         if cached.is_none() {
-            *cached = self.current.as_ref().and_then(|current| encode_change(&Change::whole(current.config()), layout));
+            *cached =
+                self.current.as_ref().and_then(|current| encode_change(&ConfigUpdate::full(current.config()), layout));
         }
         cached.clone()
     }
--- a/controller/src/delivery/limit_confirmations.rs
+++ b/controller/src/delivery/limit_confirmations.rs
@@ -6,8 +6,8 @@
 
 use futures_util::future;
 use kernel::clock;
-use load_balancing::staleness_bound::LEASE_MS;
-use protocol::message::{self, Message, WeightVersions};
+use load_balancing::LEASE_MS;
+use protocol::message::{HiddenKey, Message, WeightVersions};
 use tokio::time;
 
 use crate::controller::{Controller, CONFIRMATION_TTL_MS};
@@ -24,7 +24,7 @@
 /// Sends the limits that a subscriber lacks.
 pub fn send_missing_limits(committed_state: &CommittedState, subscriber: &mut Subscriber) {
     for (key, limit) in &committed_state.staleness_limits {
-        let has = subscriber.evacuation_versions.entry(message::hidden_key(key)).or_default();
+        let has = subscriber.evacuation_versions.entry(HiddenKey::Register(key).into()).or_default();
         if limit.version <= *has {
             continue;
         }
@@ -101,7 +101,7 @@
     /// Sends the weight versions that a subscriber lacks.
     pub fn send_weights(&self, subscriber: &mut Subscriber) {
         self.engines.for_each_weight_versions(|(zone, list)| {
-            let has = subscriber.list_versions.entry(message::hidden_key(zone)).or_default();
+            let has = subscriber.list_versions.entry(HiddenKey::WeightVersions(zone).into()).or_default();
             let version = (list.term, list.sequence);
             if *has == version {
                 return;
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -8,9 +8,9 @@
 
 use kernel::clock;
 use parking_lot::Mutex;
-use protocol::message::{Message, QUOTAS};
+use protocol::message::{HiddenKey, Message, QUOTAS};
 use protocol::quota::{
-    from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
+    from_milli, shard_owners_fingerprint, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
 };
 use quota::{Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
 use serde_json::Value;
@@ -48,7 +48,7 @@
     let eligible = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, is_shutting_down, now));
     let owners: Vec<ShardOwner> =
         eligible.into_iter().map(|owner| ShardOwner { ip: owner.ip, zone: owner.zone }).collect();
-    let digest = holders_mark(&owners);
+    let digest = shard_owners_fingerprint(&owners);
     let live = owners.iter().map(|owner| Holder { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
     let mut table = controller.quotas.0.lock();
     table.shards.beat(now, confirmed_at, live);
@@ -79,7 +79,7 @@
 /// Sends a router who may own shards, where it has another list.
 pub fn send_owners(controller: &Controller, subscriber: &mut Subscriber) {
     let table = controller.quotas.0.lock();
-    let has = subscriber.list_versions.entry(holders_key()).or_default();
+    let has = subscriber.list_versions.entry(HiddenKey::ShardOwners.into()).or_default();
     if has.0 == table.owners_digest {
         return;
     }
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -5,8 +5,8 @@
 use std::{fmt, mem};
 
 use consensus::MEMBERSHIP_KEY;
-use protocol::config::{Checked, ConfigError};
-use protocol::message::{Entry, Position, StalenessLimit, ROLLOUT};
+use protocol::config::{ConfigDocument, ConfigError};
+use protocol::message::{Entry, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::version_rollout::{VersionRollout, KEY};
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
 use crate::controller::CONFIRMATION_TTL_MS;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct EvacuationState {
+pub struct EvacuationRecord {
     pub version: u64,
     pub evacuated: bool,
 }
@@ -32,7 +32,7 @@
 pub const EVACUATION_PREFIX: &str = "evacuation/";
 pub const ROLE_PREFIX: &str = "duty/";
 
-kernel::impl_archive_bytes!(EvacuationState);
+kernel::impl_archive_bytes!(EvacuationRecord);
 kernel::impl_archive_bytes!(RoleState);
 
 pub use consensus::{decode_membership as read_core, encode_membership as write_core};
@@ -52,7 +52,7 @@
     };
 }
 
-open!(EvacuationState);
+open!(EvacuationRecord);
 open!(RoleState);
 
 /// Why a committed entry cannot be taken for what a key holds.
@@ -114,7 +114,7 @@
     /// committed on top of counts as confirmed.
     pub unreadable: Option<Position>,
     /// The evacuations with their versions.
-    pub evacuations: BTreeMap<String, EvacuationState>,
+    pub evacuations: BTreeMap<String, EvacuationRecord>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
     pub staleness_limits: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
@@ -130,7 +130,7 @@
     }
 
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
-    pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
+    pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
         self.highest_term = self.highest_term.max(entry.proposal_number.term);
         let held = self.entries.get(key);
         if held.is_some_and(|held| held.position() >= entry.position()) {
@@ -151,15 +151,15 @@
         }
     }
 
-    fn apply(&mut self, key: &str, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
+    fn apply(&mut self, key: &str, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if key == CONFIG_KEY {
             return self.apply_config(body, read);
         }
         if let Some(zone) = key.strip_prefix(EVACUATION_PREFIX) {
-            let evacuation = EvacuationState::open(body).ok_or(Unreadable::Body)?;
+            let evacuation = EvacuationRecord::open(body).ok_or(Unreadable::Body)?;
             self.evacuations.insert(zone.into(), evacuation);
         }
-        if key.starts_with(ROLLOUT) && !body.is_empty() {
+        if key.starts_with(STALENESS_LIMIT_PREFIX) && !body.is_empty() {
             let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
             self.staleness_limits.insert(key.into(), rule);
         }
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn apply_config(&mut self, body: &[u8], read: Option<Arc<Checked>>) -> Result<(), Unreadable> {
+    fn apply_config(&mut self, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if body.is_empty() && self.history.revision() == 0 {
             return Ok(());
         }
@@ -190,9 +190,9 @@
 }
 
 /// Reads a committed configuration.
-fn read_config(body: &[u8]) -> Result<Checked, Unreadable> {
+fn read_config(body: &[u8]) -> Result<ConfigDocument, Unreadable> {
     let held = StoredConfig::decode(body).ok_or(Unreadable::Body)?;
-    let checked = Checked::read_committed(&held.text).map_err(Unreadable::Text)?;
+    let checked = ConfigDocument::parse_committed(&held.text).map_err(Unreadable::Text)?;
     match checked.revision() == held.revision {
         true => Ok(checked),
         false => Err(Unreadable::Revision { declared: held.revision, found: checked.revision() }),
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -6,14 +6,14 @@
 
 use consensus::{Confirmation, MEMBERSHIP_KEY};
 use kernel::Rng;
-use protocol::change::Change;
-use protocol::frame::{self, HEAD};
+use protocol::config_update::ConfigUpdate;
+use protocol::frame::{self, HEADER_BYTES};
 use protocol::message::{
-    CoreMembership, Entry, KeyPosition, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT,
+    CoreMembership, Entry, KeyPosition, Member, Message, ProposalNumber, PROTOCOL_VERSION, STALENESS_LIMIT_PREFIX,
 };
 
 use super::{
-    read_config, CommittedState, EvacuationState, Learned, Unreadable, CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX,
+    read_config, CommittedState, EvacuationRecord, Learned, Unreadable, CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX,
 };
 use crate::config::body::{BodyFormat, StoredConfig};
 use crate::config::history::RevisionNotNewer;
@@ -52,10 +52,10 @@
     let mut has = 0;
     let mut last = 0;
     assert!(state.history.send_missing(PROTOCOL_VERSION, &mut has, |frame| {
-        let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else {
+        let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
             return false;
         };
-        last = Change::read(&packed).expect("a change").to;
+        last = ConfigUpdate::decode(&packed).expect("a change").to;
         true
     }));
     assert_eq!((has, last), (revision, revision), "routers get what the entry holds");
@@ -156,16 +156,16 @@
 fn other_keys_are_not_taken_for_empty_either() {
     let mut state = CommittedState::default();
     let zone = format!("{EVACUATION_PREFIX}z");
-    let closed = EvacuationState { version: 4, evacuated: true }.to_bytes();
+    let closed = EvacuationRecord { version: 4, evacuated: true }.to_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{ROLE_PREFIX}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
+    for key in [zone.as_str(), &format!("{ROLE_PREFIX}x"), &format!("{}s/m", STALENESS_LIMIT_PREFIX), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
     }
     assert_eq!(
         state.evacuations.get("z"),
-        Some(&EvacuationState { version: 4, evacuated: true }),
+        Some(&EvacuationRecord { version: 4, evacuated: true }),
         "the evacuation goes on"
     );
 }
--- a/controller/src/replication/shared_state.rs
+++ b/controller/src/replication/shared_state.rs
@@ -5,12 +5,12 @@
 
 use consensus::next_term;
 use parking_lot::Mutex;
-use protocol::config::Checked;
+use protocol::config::ConfigDocument;
 use protocol::message::Position;
 use protocol::message::{CoreMembership, Entry, ProposalNumber, StalenessLimit};
 use protocol::version_rollout::VersionRollout;
 
-use crate::replication::committed_state::{CommittedState, EvacuationState, Learned, RoleState};
+use crate::replication::committed_state::{CommittedState, EvacuationRecord, Learned, RoleState};
 
 /// What is known to be committed, shared by all parts of the process. Every method is one moment under the lock; what
 /// must be of one moment is read by one of them, or by `read`.
@@ -29,7 +29,7 @@
     }
 
     /// Takes an entry that is committed. `read` is the configuration in it where that was read already.
-    pub fn learn(&self, key: &str, entry: &Entry, read: Option<Arc<Checked>>) -> Learned {
+    pub fn learn(&self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
         self.0.lock().learn(key, entry, read)
     }
 
@@ -67,13 +67,13 @@
     }
 
     /// Returns the entry that is known of a key, and the configuration in force at the same moment.
-    pub fn entry_and_config(&self, key: &str) -> (Option<Entry>, Option<Arc<Checked>>) {
+    pub fn entry_and_config(&self, key: &str) -> (Option<Entry>, Option<Arc<ConfigDocument>>) {
         let state = self.0.lock();
         (state.entries.get(key).cloned(), state.history.current().cloned())
     }
 
     /// Returns the configuration in force.
-    pub fn current_config(&self) -> Option<Arc<Checked>> {
+    pub fn current_config(&self) -> Option<Arc<ConfigDocument>> {
         self.0.lock().history.current().cloned()
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Returns all evacuations by zone.
-    pub fn evacuations(&self) -> BTreeMap<String, EvacuationState> {
+    pub fn evacuations(&self) -> BTreeMap<String, EvacuationRecord> {
         self.0.lock().evacuations.clone()
     }
 
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -5,7 +5,8 @@
 //! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
 use super::CommittedState;
 use super::{
-    read_config, read_core, write_core, EvacuationState, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX,
+    read_config, read_core, write_core, EvacuationRecord, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX,
+    ROLE_PREFIX,
 };
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
 use crate::config::body::BodyFormat::{self, Compressed, Digested, Plain};
@@ -15,7 +16,7 @@
 use batch::sheet::{id, Batch, Job};
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
-use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, ROLLOUT};
+use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::operator_request::ConfigChange;
 use protocol::version_rollout::{RolloutState, VersionRollout, KEY as ROLLOUT_OF_VERSIONS};
 use std::fs;
@@ -217,8 +218,8 @@
     ]
 }
 
-fn evacuation() -> EvacuationState {
-    EvacuationState { version: 4, evacuated: true }
+fn evacuation() -> EvacuationRecord {
+    EvacuationRecord { version: 4, evacuated: true }
 }
 
 fn role() -> RoleState {
@@ -468,7 +469,8 @@
 
 #[test]
 fn evacuations_and_duties_of_version_5_are_read() {
-    let EvacuationState { version, evacuated } = EvacuationState::open(&fixture("control-5-closed.bin")).expect("read");
+    let EvacuationRecord { version, evacuated } =
+        EvacuationRecord::open(&fixture("control-5-closed.bin")).expect("read");
     assert_eq!((version, evacuated), (4, true));
     let RoleState { epoch, owner, predecessor_expired } =
         RoleState::open(&fixture("control-5-duty.bin")).expect("read");
@@ -524,7 +526,7 @@
 fn the_keys_of_the_control_state_stay_what_they_are() {
     assert_eq!((CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX), ("config", "evacuation/", "duty/"));
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
-    assert_eq!((MEMBERSHIP_KEY, ROLLOUT, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
+    assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
     // Of the batch with the idempotency key `key-1`, worked out by another program.
     assert_eq!(id("key-1"), "a002e14b20bb64ec");
     assert_eq!(batch_key("a002e14b20bb64ec"), "batch/a002e14b20bb64ec");
--- a/controller/src/rollout/staleness_limits.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -2,7 +2,7 @@
 //! Each service and model has a register of its own.
 
 use protocol::config::{self, Config, Service};
-use protocol::message::{StalenessLimit, ROLLOUT};
+use protocol::message::{StalenessLimit, STALENESS_LIMIT_PREFIX};
 use serde_json::Value;
 
 use crate::api::operator_requests::request_timeout_ms;
@@ -24,7 +24,7 @@
 impl LimitTarget {
     /// Returns the key of the register with the limit.
     pub fn key(&self) -> String {
-        format!("{ROLLOUT}{}/{}", self.service, self.model)
+        format!("{STALENESS_LIMIT_PREFIX}{}/{}", self.service, self.model)
     }
 }
 
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -10,7 +10,7 @@
 
 use kernel::{clock, startup};
 use parking_lot::Mutex;
-use protocol::message::{self, Message};
+use protocol::message::{HiddenKey, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
 
@@ -69,7 +69,7 @@
 pub fn send_missing_rollouts(state: &CommittedState, subscriber: &mut Subscriber) {
     for rollout in state.version_rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = subscriber.evacuation_versions.entry(message::hidden_key(&key)).or_default();
+        let has = subscriber.evacuation_versions.entry(HiddenKey::Register(&key).into()).or_default();
         if rollout.number <= *has {
             continue;
         }
--- a/controller/src/testing/simulation/node.rs
+++ b/controller/src/testing/simulation/node.rs
@@ -15,7 +15,7 @@
 use crate::config::body::StoredConfig;
 use crate::controller::{CONFIRMATION_TTL_MS, LIVENESS_TIMEOUT_MS};
 use crate::peers::pause::PauseMonitor;
-use crate::replication::committed_state::{self, EvacuationState, CONFIG_KEY};
+use crate::replication::committed_state::{self, EvacuationRecord, CONFIG_KEY};
 
 /// Records on their way to the disk, and the vote that may leave once they are there.
 pub struct Write {
@@ -116,9 +116,9 @@
         StoredConfig::decode(body).expect("a configuration that reads")
     }
 
-    pub fn evacuation(&self) -> EvacuationState {
+    pub fn evacuation(&self) -> EvacuationRecord {
         let body = self.committed.get(EVACUATION).map_or(&[][..], |entry| &entry.body);
-        EvacuationState::open(body).expect("an evacuation that reads")
+        EvacuationRecord::open(body).expect("an evacuation that reads")
     }
 
     pub fn is_evacuated(&self) -> bool {
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::selection::{Arm, SelectionContext};
+use load_balancing::{Arm, SelectionContext};
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
@@ -182,7 +182,7 @@
         {
             let mut engine_table = self.state.engine_table.lock();
             let engine = &mut engine_table.engines[at];
-            extra.expect = weights.and_then(|(model, _, _)| engine.weight_version(model));
+            extra.expect = weights.and_then(|range| engine.weight_version(range.model));
             engine.in_flight += 1;
             engine.prefill_tokens_in_flight += tokens;
             engine.slow_start.record_send(now);
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -9,10 +9,12 @@
 use kernel::hashing;
 use poem::listener::TcpAcceptor;
 use poem::{endpoint, Request, Route, Server};
-use protocol::change::Change;
+use protocol::config_update::ConfigUpdate;
 use protocol::frame::{self, Kind};
 use protocol::link::PeerClient;
-use protocol::message::{self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal};
+use protocol::message::{
+    self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal, VersionEntry,
+};
 use protocol::socket;
 use reqwest::Client;
 use serde_json::Value;
@@ -56,7 +58,7 @@
 
 /// The size of a message on the wire.
 pub fn size(msg: &Message) -> u64 {
-    frame::seal(Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
+    frame::encode(Kind::Notification, 0, msg).map_or(0, |frame| frame.len() as u64)
 }
 
 fn controller(net: u8, at: usize) -> String {
@@ -68,7 +70,7 @@
         self.got.fetch_add(size(&msg), Ordering::Relaxed);
         match msg {
             Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => {
-                let Some(change) = Change::read(&body) else { return };
+                let Some(change) = ConfigUpdate::decode(&body) else { return };
                 let has = self.config.load(Ordering::Relaxed);
                 if change.from == 0 || change.from == has {
                     self.config.fetch_max(change.to, Ordering::Relaxed);
@@ -90,8 +92,8 @@
 
     fn standing(&self, at: usize, zone: &str) -> Message {
         let held = self.sheets.lock().expect("sheets").clone();
-        let mut sheets: Vec<(String, u64, u64)> =
-            held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
+        let mut sheets: Vec<VersionEntry> =
+            held.into_iter().map(|(zone, (turn, count))| VersionEntry::new(zone, turn, count)).collect();
         sheets.push(message::own_protocol_version());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
