--- a/controller/src/quota.rs
+++ b/controller/src/quota.rs
@@ -10,7 +10,7 @@
 use protocol::quota::{
     from_milli, holders_key, holders_mark, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
 };
-use quota::{Holder, Quota, Shards, TAKE_OVER_MS};
+use quota::{EligibleOwner, Quota, Shards, OWNER_EXPIRY_MS};
 use serde_json::Value;
 
 use crate::controller::Controller;
@@ -36,12 +36,12 @@
     let now = clock::now();
     let leaving = controller.leaving.load(Ordering::Relaxed);
     let confirmed_at = controller.committed_state.lock().expect("committed_state").sure;
-    let able = controller.roster.lock().expect("roster").eligible_owners(QUOTAS, TAKE_OVER_MS, leaving, now);
+    let able = controller.roster.lock().expect("roster").eligible_owners(QUOTAS, OWNER_EXPIRY_MS, leaving, now);
     let holders: Vec<ShardOwner> = able.into_iter().map(|one| ShardOwner { ip: one.ip, zone: one.zone }).collect();
     let mark = holders_mark(&holders);
-    let live = holders.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+    let live = holders.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
     let mut held = controller.quotas.lock().expect("quotas");
-    held.shards.beat(now, confirmed_at, live);
+    held.shards.refresh(now, confirmed_at, live);
     let is_new = held.mark != mark;
     (held.holders, held.mark) = (holders, mark);
     is_new
@@ -58,11 +58,11 @@
     let (rate_per_s, burst) = (from_milli(spend.rate_milli), from_milli(spend.burst_milli));
     let limit = limit.unwrap_or(Quota { rate_per_s, burst });
     let Some(quota) = Quota::new(limit.rate_per_s, limit.burst) else { return TokenResponse::Granted };
-    let spent = controller.quotas.lock().expect("quotas").shards.spend(&spend.tenant, quota, now, confirmed_at);
+    let spent = controller.quotas.lock().expect("quotas").shards.try_acquire(&spend.tenant, quota, now, confirmed_at);
     let spent = match spent {
         quota::TokenDecision::Granted => TokenResponse::Granted,
         quota::TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
-        quota::TokenDecision::NotHeld => TokenResponse::NotHeld,
+        quota::TokenDecision::NotOwner => TokenResponse::NotHeld,
     };
     controller.metrics.note_spent(spent);
     spent
@@ -83,7 +83,7 @@
 
 /// What the shards held here have given.
 pub fn usage(controller: &Controller) -> Vec<ShardUsage> {
-    let told = controller.quotas.lock().expect("quotas").shards.usage().into_iter();
+    let told = controller.quotas.lock().expect("quotas").shards.counters().into_iter();
     let shown = told.map(|one| ShardUsage {
         tenant: one.tenant,
         granted: one.granted,
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -1,7 +1,7 @@
 //! What a router may send by itself while no holder of a tenant's shards answers it.
 //!
 //! The allowances of all routers add up to a multiple of what the bound leaves above the limit, so that they may be used by
-//! all at once while nobody mints, or by some of them beside holders that mint for the others. A small limit gives less than one request a router and window:
+//! all at once while nobody mints, or by some of them beside shard_owners that mint for the others. A small limit gives less than one request a router and window:
 //! then a hash draws the routers that have one, which needs no agreement.
 
 use std::collections::{HashMap, VecDeque};
@@ -72,7 +72,7 @@
     }
 
     /// Takes one request of this router's own part, if there is one.
-    pub fn take(&mut self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> bool {
+    pub fn try_acquire(&mut self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> bool {
         let most = self.most(tenant, quota, routers, now);
         let window_ms = self.bounds.window_ms;
         self.sent.retain(|_, times| {
--- a/quota/src/allowance_tests.rs
+++ b/quota/src/allowance_tests.rs
@@ -14,7 +14,7 @@
     let mut times = Vec::new();
     for now in (0..20_000).step_by(500) {
         for own in &mut list {
-            while own.take("tenant", quota, routers, now) {
+            while own.try_acquire("tenant", quota, routers, now) {
                 times.push(now);
             }
         }
@@ -50,6 +50,6 @@
 fn a_large_limit_gives_every_router_its_part() {
     let quota = Quota { rate_per_s: 900.0, burst: 900.0 };
     let mut own = Allowances::new(BOUNDS, 7);
-    let taken = (0..1000).filter(|_| own.take("tenant", &quota, 9, 100)).count();
+    let taken = (0..1000).filter(|_| own.try_acquire("tenant", &quota, 9, 100)).count();
     assert!((99..=101).contains(&taken), "{taken}");
 }
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -6,7 +6,7 @@
 use kernel::clock::{self, Rng};
 use membership::{MembershipView, Peer, PeerReport};
 
-use crate::{holders, Allowances, Bounds, Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
+use crate::{shard_owners, Allowances, Bounds, EligibleOwner, Quota, Shards, TokenDecision, OWNER_EXPIRY_MS};
 
 const STEP_MS: u64 = 10;
 const BEAT_MS: u64 = 350;
@@ -39,7 +39,7 @@
 }
 
 struct Controller {
-    at: Holder,
+    at: EligibleOwner,
     roster: MembershipView,
     shards: Shards,
     confirmed_at: Option<u64>,
@@ -49,7 +49,7 @@
 
 struct Router {
     zone: usize,
-    known: Vec<Holder>,
+    known: Vec<EligibleOwner>,
     allowances: Allowances,
     denied_until: Vec<u64>,
     frozen_until: u64,
@@ -93,7 +93,7 @@
 impl Fleet {
     pub fn new(size: &Size, tenants: Vec<Tenant>, variant: Variant, seed: u64) -> Fleet {
         let controller = |at: usize| {
-            let place = Holder { ip: format!("10.0.{}.1", at), zone: format!("z{}", at % size.zones) };
+            let place = EligibleOwner { ip: format!("10.0.{}.1", at), zone: format!("z{}", at % size.zones) };
             new_controller(place, variant)
         };
         let router = |at: usize| Router {
@@ -170,8 +170,8 @@
 
     /// Ends a controller that holds a shard of a tenant for so long.
     pub fn kill_holder(&mut self, tenant: usize, time_ms: u64) {
-        let live: Vec<Holder> = self.controllers.iter().map(|controller| controller.at.clone()).collect();
-        let ip = holders(&self.tenants[tenant].name, &live)[0].ip.clone();
+        let live: Vec<EligibleOwner> = self.controllers.iter().map(|controller| controller.at.clone()).collect();
+        let ip = shard_owners(&self.tenants[tenant].name, &live)[0].ip.clone();
         let at = self.controllers.iter().position(|controller| controller.at.ip == ip).expect("a controller");
         self.kill(at, self.now + time_ms);
     }
@@ -225,7 +225,7 @@
             }
             let (now, live) = (self.now, self.live(at));
             let confirmed_at = self.confirmed_at(at);
-            self.controllers[at].shards.beat(now, confirmed_at, live);
+            self.controllers[at].shards.refresh(now, confirmed_at, live);
         }
     }
 
@@ -253,11 +253,11 @@
     }
 
     /// Who lives, as a controller sees it.
-    fn live(&self, at: usize) -> Vec<Holder> {
+    fn live(&self, at: usize) -> Vec<EligibleOwner> {
         let own = &self.controllers[at];
         let gone = |ip: &str| match self.variant {
             Variant::TakesOverAtOnce => own.roster.silent_ms(ip, self.now) > BEAT_MS + STEP_MS,
-            _ => own.roster.unavailable_ms(ip, self.now) >= TAKE_OVER_MS,
+            _ => own.roster.unavailable_ms(ip, self.now) >= OWNER_EXPIRY_MS,
         };
         let others = self.controllers.iter().filter(|other| other.at.ip != own.at.ip && !gone(&other.at.ip));
         iter::once(own.at.clone()).chain(others.map(|other| other.at.clone())).collect()
@@ -324,10 +324,10 @@
                 self.counts[tenant].over_quota += 1;
                 self.routers[router].denied_until[tenant] = self.now + retry_after_ms.min(MEMORY_MS);
             }
-            TokenDecision::NotHeld => {
+            TokenDecision::NotOwner => {
                 let (name, quota) = (self.tenants[tenant].name.clone(), self.tenants[tenant].quota);
                 let routers = self.routers.len() as u32;
-                match self.routers[router].allowances.take(&name, &quota, routers, self.now) {
+                match self.routers[router].allowances.try_acquire(&name, &quota, routers, self.now) {
                     true => self.send(router, tenant),
                     false => self.counts[tenant].refused_alone += 1,
                 }
@@ -339,9 +339,9 @@
     fn ask(&mut self, router: usize, tenant: usize) -> TokenDecision {
         let (name, quota) = (self.tenants[tenant].name.clone(), self.tenants[tenant].quota);
         let chosen: Vec<String> =
-            holders(&name, &self.routers[router].known).iter().map(|holder| holder.ip.clone()).collect();
+            shard_owners(&name, &self.routers[router].known).iter().map(|holder| holder.ip.clone()).collect();
         let first = self.dice.below(chosen.len().max(1) as u64) as usize;
-        let mut result = TokenDecision::NotHeld;
+        let mut result = TokenDecision::NotOwner;
         for step in 0..chosen.len() {
             let ip = &chosen[(first + step) % chosen.len()];
             let Some(at) = self.controllers.iter().position(|controller| controller.at.ip == *ip) else { continue };
@@ -349,10 +349,10 @@
                 continue;
             }
             let confirmed_at = self.confirmed_at(at);
-            match self.controllers[at].shards.spend(&name, quota, self.now, confirmed_at) {
+            match self.controllers[at].shards.try_acquire(&name, quota, self.now, confirmed_at) {
                 TokenDecision::Granted => return TokenDecision::Granted,
                 TokenDecision::Denied { retry_after_ms } => result = TokenDecision::Denied { retry_after_ms },
-                TokenDecision::NotHeld => {}
+                TokenDecision::NotOwner => {}
             }
         }
         result
@@ -389,7 +389,7 @@
     }
 }
 
-fn new_controller(at: Holder, variant: Variant) -> Controller {
+fn new_controller(at: EligibleOwner, variant: Variant) -> Controller {
     let mut shards = Shards::new(&at.ip);
     shards.begins_full = variant == Variant::BeginsFull;
     let roster = MembershipView::new(&at.ip, &at.zone, SURE_MS);
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -14,8 +14,8 @@
 
 pub use allowance::{Allowances, Bounds};
 pub use bucket::{Quota, TokenBucket};
-pub use mint_clock::{MintClock, LEASE_MS, SETTLE_MS, TAKE_OVER_MS};
-pub use placement::{holders, Holder, SHARDS};
+pub use mint_clock::{MintClock, LEASE_MS, OWNER_EXPIRY_MS, SETTLE_MS};
+pub use placement::{shard_owners, EligibleOwner, SHARDS};
 pub use shards::{ShardCounters, Shards, TokenDecision};
 
 #[cfg(test)]
--- a/quota/src/mint_clock.rs
+++ b/quota/src/mint_clock.rs
@@ -6,7 +6,7 @@
 pub const LEASE_MS: u64 = 1700;
 /// A controller that is not known to be confirmed for so long is taken for gone, and its shards are taken over. Longer than a
 /// lease, by what hearing of a confirmation may take.
-pub const TAKE_OVER_MS: u64 = 2400;
+pub const OWNER_EXPIRY_MS: u64 = 2400;
 /// A controller that was not confirmed for longer than a lease mints again only so long after it is: by then those that took its
 /// shards over have heard of it.
 pub const SETTLE_MS: u64 = 1000;
--- a/quota/src/mint_clock_tests.rs
+++ b/quota/src/mint_clock_tests.rs
@@ -1,5 +1,5 @@
 //! When the clock of a controller runs.
-use super::{MintClock, LEASE_MS, MINT_MS, SETTLE_MS, TAKE_OVER_MS};
+use super::{MintClock, LEASE_MS, MINT_MS, OWNER_EXPIRY_MS, SETTLE_MS};
 
 fn confirmed_for_three_seconds(clock: &mut MintClock) {
     for now in (0..3000).step_by(100) {
@@ -57,4 +57,4 @@
 }
 
 // A taker must not begin before the last holder's lease has ended: its own, and what hearing of it takes.
-const _: () = assert!(TAKE_OVER_MS > LEASE_MS && LEASE_MS > MINT_MS);
+const _: () = assert!(OWNER_EXPIRY_MS > LEASE_MS && LEASE_MS > MINT_MS);
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -7,7 +7,7 @@
 
 /// A controller that may hold shards.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder {
+pub struct EligibleOwner {
     /// Its address.
     pub ip: String,
     /// Its zone.
@@ -16,11 +16,11 @@
 
 /// The controllers that hold the shards of a tenant, of those that live: by rendezvous, in different zones where there are so
 /// many. Whoever has the same list finds the same ones, and one more or less moves only its own shards.
-pub fn holders<'a>(tenant: &str, live: &'a [Holder]) -> Vec<&'a Holder> {
+pub fn shard_owners<'a>(tenant: &str, live: &'a [EligibleOwner]) -> Vec<&'a EligibleOwner> {
     let seed = clock::hash(tenant.as_bytes());
-    let mut order: Vec<&Holder> = live.iter().collect();
+    let mut order: Vec<&EligibleOwner> = live.iter().collect();
     order.sort_by_cached_key(|holder| clock::combine_hashes(seed, clock::hash(holder.ip.as_bytes())));
-    let mut chosen: Vec<&Holder> = Vec::with_capacity(SHARDS);
+    let mut chosen: Vec<&EligibleOwner> = Vec::with_capacity(SHARDS);
     for holder in &order {
         if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == holder.zone) {
             chosen.push(holder);
--- a/quota/src/placement_tests.rs
+++ b/quota/src/placement_tests.rs
@@ -2,24 +2,24 @@
 
 use std::collections::HashMap;
 
-use super::{holders, Holder, SHARDS};
+use super::{shard_owners, EligibleOwner, SHARDS};
 
-fn controllers(count: usize, zones: usize) -> Vec<Holder> {
-    (0..count).map(|at| Holder { ip: format!("10.0.0.{at}"), zone: format!("z{}", at % zones) }).collect()
+fn controllers(count: usize, zones: usize) -> Vec<EligibleOwner> {
+    (0..count).map(|at| EligibleOwner { ip: format!("10.0.0.{at}"), zone: format!("z{}", at % zones) }).collect()
 }
 
 #[test]
 fn shards_are_in_different_zones_where_there_are_enough() {
     let live = controllers(9, 3);
     for tenant in 0..200 {
-        let mut zones: Vec<_> = holders(&format!("t{tenant}"), &live).iter().map(|holder| &holder.zone).collect();
+        let mut zones: Vec<_> = shard_owners(&format!("t{tenant}"), &live).iter().map(|holder| &holder.zone).collect();
         zones.sort();
         zones.dedup();
         assert_eq!(zones.len(), SHARDS);
     }
-    assert_eq!(holders("t", &controllers(5, 1)).len(), SHARDS);
-    assert_eq!(holders("t", &controllers(2, 2)).len(), 2);
-    assert_eq!(holders("t", &[]).len(), 0);
+    assert_eq!(shard_owners("t", &controllers(5, 1)).len(), SHARDS);
+    assert_eq!(shard_owners("t", &controllers(2, 2)).len(), 2);
+    assert_eq!(shard_owners("t", &[]).len(), 0);
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let live = controllers(6, 3);
     let mut count = HashMap::new();
     for tenant in 0..3000 {
-        for holder in holders(&format!("tenant-{tenant}"), &live) {
+        for holder in shard_owners(&format!("tenant-{tenant}"), &live) {
             *count.entry(holder.ip.clone()).or_insert(0) += 1;
         }
     }
@@ -37,14 +37,14 @@
 #[test]
 fn the_order_of_the_list_does_not_matter_and_one_less_moves_only_its_own() {
     let live = controllers(12, 4);
-    let reversed: Vec<Holder> = live.iter().rev().cloned().collect();
+    let reversed: Vec<EligibleOwner> = live.iter().rev().cloned().collect();
     let mut moved = 0;
     for tenant in 0..300 {
         let name = format!("t{tenant}");
-        let before = holders(&name, &live);
-        assert_eq!(before, holders(&name, &reversed));
-        let less: Vec<Holder> = live.iter().filter(|holder| holder.ip != "10.0.0.5").cloned().collect();
-        let after = holders(&name, &less);
+        let before = shard_owners(&name, &live);
+        assert_eq!(before, shard_owners(&name, &reversed));
+        let less: Vec<EligibleOwner> = live.iter().filter(|holder| holder.ip != "10.0.0.5").cloned().collect();
+        let after = shard_owners(&name, &less);
         let kept = before.iter().filter(|holder| after.contains(holder)).count();
         let had = before.iter().any(|holder| holder.ip == "10.0.0.5");
         moved += usize::from(!had && kept < SHARDS);
--- a/quota/src/shards.rs
+++ b/quota/src/shards.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::{holders, Holder, MintClock, Quota, TokenBucket, SHARDS};
+use crate::{shard_owners, EligibleOwner, MintClock, Quota, TokenBucket, SHARDS};
 
 /// What a request for a token comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
         retry_after_ms: u64,
     },
     /// This controller holds no shard of the tenant, or can't know that it still does.
-    NotHeld,
+    NotOwner,
 }
 
 /// What a shard has given and refused.
@@ -44,7 +44,7 @@
 /// A list of live controllers, and the minting time from which it counts.
 struct Placement {
     from: u64,
-    live: Vec<Holder>,
+    live: Vec<EligibleOwner>,
 }
 
 /// How many lists of live controllers are remembered: by them it is told since when a shard is held that nobody asked for yet.
@@ -77,7 +77,7 @@
     }
 
     /// Notes who lives, as this controller sees it, and when it was last confirmed. To be called often.
-    pub fn beat(&mut self, now: u64, confirmed_at: Option<u64>, mut live: Vec<Holder>) {
+    pub fn refresh(&mut self, now: u64, confirmed_at: Option<u64>, mut live: Vec<EligibleOwner>) {
         self.advance(now, confirmed_at);
         live.sort();
         if self.placements.back().is_none_or(|newest| newest.live != live) {
@@ -98,7 +98,7 @@
         }
     }
 
-    fn place(&mut self, live: Vec<Holder>) {
+    fn place(&mut self, live: Vec<EligibleOwner>) {
         let me = self.me.clone();
         let (before, after) = (self.share_count(), share_count(&live));
         self.shards.retain(|tenant, _| holds(&me, tenant, &live));
@@ -124,21 +124,21 @@
     }
 
     /// Takes a token of a tenant, if there is one.
-    pub fn spend(&mut self, tenant: &str, quota: Quota, now: u64, confirmed_at: Option<u64>) -> TokenDecision {
+    pub fn try_acquire(&mut self, tenant: &str, quota: Quota, now: u64, confirmed_at: Option<u64>) -> TokenDecision {
         self.advance(now, confirmed_at);
         if !self.clock.holds_lease(now) {
-            return TokenDecision::NotHeld;
+            return TokenDecision::NotOwner;
         }
         let minting_now = self.clock.reading();
         let share = quota.shard(self.share_count());
         if !self.shards.contains_key(tenant) {
-            let Some(since) = self.held_since(tenant) else { return TokenDecision::NotHeld };
+            let Some(since) = self.held_since(tenant) else { return TokenDecision::NotOwner };
             #[cfg(test)]
             let since = if self.begins_full { 0 } else { since };
             let shard = Shard { bucket: TokenBucket::empty(since), quota, granted: 0, denied: 0, used_at: now };
             self.shards.insert(tenant.into(), shard);
         }
-        let Some(shard) = self.shards.get_mut(tenant) else { return TokenDecision::NotHeld };
+        let Some(shard) = self.shards.get_mut(tenant) else { return TokenDecision::NotOwner };
         (shard.quota, shard.used_at) = (quota, now);
         shard.bucket.refill(&share, minting_now);
         if shard.bucket.take() {
@@ -150,7 +150,7 @@
     }
 
     /// What the shards held here have given.
-    pub fn usage(&self) -> Vec<ShardCounters> {
+    pub fn counters(&self) -> Vec<ShardCounters> {
         let told = self.shards.iter().map(|(tenant, shard)| ShardCounters {
             tenant: tenant.clone(),
             quota: shard.quota,
@@ -162,12 +162,12 @@
     }
 }
 
-fn share_count(live: &[Holder]) -> usize {
+fn share_count(live: &[EligibleOwner]) -> usize {
     live.len().clamp(1, SHARDS)
 }
 
-fn holds(me: &str, tenant: &str, live: &[Holder]) -> bool {
-    holders(tenant, live).iter().any(|holder| holder.ip == me)
+fn holds(me: &str, tenant: &str, live: &[EligibleOwner]) -> bool {
+    shard_owners(tenant, live).iter().any(|holder| holder.ip == me)
 }
 
 #[cfg(test)]
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -1,17 +1,17 @@
 //! One controller's shards through leases, lapses and changes of who lives.
 use super::{Shards, TokenDecision};
-use crate::{Holder, Quota, SETTLE_MS};
+use crate::{EligibleOwner, Quota, SETTLE_MS};
 
 const QUOTA: Quota = Quota { rate_per_s: 30.0, burst: 30.0 };
 
-fn live(names: &[&str]) -> Vec<Holder> {
-    names.iter().map(|name| Holder { ip: (*name).into(), zone: (*name).into() }).collect()
+fn live(names: &[&str]) -> Vec<EligibleOwner> {
+    names.iter().map(|name| EligibleOwner { ip: (*name).into(), zone: (*name).into() }).collect()
 }
 
 struct Controller {
     shards: Shards,
     now: u64,
-    live: Vec<Holder>,
+    live: Vec<EligibleOwner>,
 }
 
 impl Controller {
@@ -23,12 +23,12 @@
         let end = self.now + time_ms;
         while self.now < end {
             self.now += 100;
-            self.shards.beat(self.now, is_confirmed.then_some(self.now), self.live.clone());
+            self.shards.refresh(self.now, is_confirmed.then_some(self.now), self.live.clone());
         }
     }
 
     fn spend_all(&mut self) -> usize {
-        let granted = |_: &usize| self.shards.spend("t", QUOTA, self.now, None) == TokenDecision::Granted;
+        let granted = |_: &usize| self.shards.try_acquire("t", QUOTA, self.now, None) == TokenDecision::Granted;
         (0..1000).take_while(granted).count()
     }
 }
@@ -37,7 +37,7 @@
 fn a_shard_mints_its_share_from_the_end_of_the_settling_on() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(100, true);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::NotHeld);
+    assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
     controller.run(SETTLE_MS + 500, true);
     assert_eq!(controller.spend_all(), 5, "half a second of a third");
     controller.run(10_000, true);
@@ -50,7 +50,7 @@
     controller.run(SETTLE_MS + 100, true);
     assert_eq!(controller.spend_all(), 0);
     assert_eq!(
-        controller.shards.spend("t", QUOTA, controller.now, None),
+        controller.shards.try_acquire("t", QUOTA, controller.now, None),
         TokenDecision::Denied { retry_after_ms: 100 }
     );
 }
@@ -60,16 +60,16 @@
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut controller = Controller::start(&names);
     controller.run(3000, true);
-    let held = |tenant: &str| crate::holders(tenant, &controller.live).iter().any(|holder| holder.ip == "a");
+    let held = |tenant: &str| crate::shard_owners(tenant, &controller.live).iter().any(|holder| holder.ip == "a");
     let (own, other): (Vec<String>, Vec<String>) =
         (0..50).map(|number| format!("t{number}")).partition(|tenant| held(tenant));
     assert!(!own.is_empty() && !other.is_empty());
     assert!(own
         .iter()
-        .all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::Granted));
+        .all(|tenant| controller.shards.try_acquire(tenant, QUOTA, controller.now, None) == TokenDecision::Granted));
     assert!(other
         .iter()
-        .all(|tenant| controller.shards.spend(tenant, QUOTA, controller.now, None) == TokenDecision::NotHeld));
+        .all(|tenant| controller.shards.try_acquire(tenant, QUOTA, controller.now, None) == TokenDecision::NotOwner));
 }
 
 #[test]
@@ -79,17 +79,17 @@
     controller.run(1500, false);
     assert_eq!(controller.spend_all(), 10);
     controller.run(300, false);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::NotHeld);
+    assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
 }
 
 #[test]
 fn what_it_had_before_a_lapse_is_void() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::Granted);
+    assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::Granted);
     // Frozen: it wakes with all it had.
     controller.now += 20_000;
-    assert_eq!(controller.shards.spend("t", QUOTA, controller.now, None), TokenDecision::NotHeld);
+    assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
     controller.run(SETTLE_MS + 200, true);
     assert!(controller.spend_all() <= 2);
 }
@@ -99,14 +99,18 @@
     let names = ["a", "b", "c", "d"];
     let mut controller = Controller::start(&names);
     controller.run(20_000, true);
-    let held = |tenant: &str, live: &[Holder]| crate::holders(tenant, live).iter().any(|holder| holder.ip == "a");
+    let held =
+        |tenant: &str, live: &[EligibleOwner]| crate::shard_owners(tenant, live).iter().any(|holder| holder.ip == "a");
     let less = live(&["a", "c", "d"]);
     let tenant = (0..200).map(|number| format!("t{number}")).find(|tenant| !held(tenant, &controller.live));
     let tenant = tenant.expect("one that others hold");
     assert!(held(&tenant, &less));
     controller.live = less;
     controller.run(100, true);
-    assert!(matches!(controller.shards.spend(&tenant, QUOTA, controller.now, None), TokenDecision::Denied { .. }));
+    assert!(matches!(
+        controller.shards.try_acquire(&tenant, QUOTA, controller.now, None),
+        TokenDecision::Denied { .. }
+    ));
 }
 
 #[test]
@@ -125,6 +129,6 @@
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     assert_eq!(controller.spend_all(), 10);
-    let usage = controller.shards.usage();
+    let usage = controller.shards.counters();
     assert_eq!((usage[0].tenant.as_str(), usage[0].granted, usage[0].denied), ("t", 10, 1));
 }
--- a/router/src/quota_gate.rs
+++ b/router/src/quota_gate.rs
@@ -11,7 +11,7 @@
 use protocol::link::PeerClient;
 use protocol::message::Message;
 use protocol::quota::{holders_mark, to_milli, ShardOwner, TokenRequest, TokenResponse};
-use quota::{Allowances, Bounds, Holder, Quota};
+use quota::{Allowances, Bounds, EligibleOwner, Quota};
 
 use crate::exchange::Exchange;
 use crate::failure::Failure;
@@ -63,7 +63,7 @@
 }
 
 struct Inner {
-    holders: Vec<Holder>,
+    holders: Vec<EligibleOwner>,
     mark: u64,
     links: HashMap<String, Arc<PeerClient>>,
     resting_until: HashMap<String, u64>,
@@ -101,7 +101,7 @@
     pub fn set_holders(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock().expect("quota gate");
         inner.mark = holders_mark(list);
-        inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+        inner.holders = list.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
         inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
         inner.resting_until.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
@@ -128,7 +128,7 @@
             Asked::Nobody => {
                 let now = clock::now();
                 let mut inner = self.inner.lock().expect("quota gate");
-                match inner.allowances.take(tenant, quota, routers, now) {
+                match inner.allowances.try_acquire(tenant, quota, routers, now) {
                     true => Decision::GrantedAlone,
                     false => Decision::RefusedAlone,
                 }
@@ -147,7 +147,7 @@
         let now = clock::now();
         let mut inner = self.inner.lock().expect("quota gate");
         inner.resting_until.retain(|_, until| now < *until);
-        let chosen = quota::holders(tenant, &inner.holders);
+        let chosen = quota::shard_owners(tenant, &inner.holders);
         let mut order: Vec<String> = chosen.into_iter().map(|holder| holder.ip.clone()).collect();
         let first = roll.checked_rem(order.len() as u64).unwrap_or(0) as usize;
         order.rotate_left(first);
