--- a/controller/src/versions.rs
+++ b/controller/src/versions.rs
@@ -9,7 +9,7 @@
 use kernel::{clock, startup};
 use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
-use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
+use versions::{CanaryAnalysis, RolloutSchedule, RolloutStep, SampleBatch, Variant, Verdict};
 
 use crate::controller::{CommittedState, Controller};
 use crate::event::VERSION_STEP;
@@ -24,7 +24,7 @@
 /// What is known here of one rollout.
 struct Trial {
     order: u64,
-    judge: Judge,
+    judge: CanaryAnalysis,
     /// The newest record, and when it became known.
     number: u64,
     since: u64,
@@ -39,7 +39,8 @@
 
 impl Trials {
     fn trial(&mut self, rollout: &VersionRollout, now: u64) -> &mut Trial {
-        let fresh = || Trial { order: rollout.order, judge: Judge::new(now), number: rollout.number, since: now };
+        let fresh =
+            || Trial { order: rollout.order, judge: CanaryAnalysis::new(now), number: rollout.number, since: now };
         let trial = self.trials.entry(rollout.service.clone()).or_insert_with(fresh);
         if trial.order != rollout.order {
             *trial = fresh();
@@ -74,16 +75,16 @@
     let mut trials = controller.trials.lock().expect("trials");
     let trial = trials.trial(&rollout, now);
     for one in &samples.list {
-        let arm = if one.is_candidate { Arm::Candidate } else { Arm::Stable };
-        trial.judge.note(&one.route, arm, &batch(one), now);
+        let variant = if one.is_candidate { Variant::Candidate } else { Variant::Stable };
+        trial.judge.record(&one.route, variant, &batch(one), now);
     }
     if !samples.is_relayed {
         trials.untold.push(Samples { is_relayed: true, ..samples });
     }
 }
 
-fn batch(samples: &RouteSamples) -> Batch {
-    Batch { good: samples.good, failed: samples.failed, paces: samples.paces.clone() }
+fn batch(samples: &RouteSamples) -> SampleBatch {
+    SampleBatch { succeeded: samples.good, failed: samples.failed, event_intervals: samples.paces.clone() }
 }
 
 /// Passes samples on and judges, for as long as the process runs.
@@ -149,19 +150,19 @@
 /// Looks at one rollout, and takes the step that is due if this controller is the one to do so.
 async fn look(controller: &Arc<Controller>, rollout: &VersionRollout) {
     let now = clock::now();
-    let (finding, since) = {
+    let (verdict, since) = {
         let mut trials = controller.trials.lock().expect("trials");
         let trial = trials.trial(rollout, now);
-        (trial.judge.finding(), trial.since)
+        (trial.judge.verdict(), trial.since)
     };
     if !judges(controller, &rollout.service, now) {
         return;
     }
     let for_ms = now - since;
     let elapsed_ms = rollout.elapsed_ms + for_ms;
-    let schedule = Schedule { duration_ms: rollout.duration_ms };
-    let step = schedule.step(rollout.share, for_ms, elapsed_ms, finding);
-    let Some(next) = after(rollout, step, elapsed_ms, finding) else { return };
+    let schedule = RolloutSchedule { duration_ms: rollout.duration_ms };
+    let step = schedule.next_step(rollout.share, for_ms, elapsed_ms, verdict);
+    let Some(next) = after(rollout, step, elapsed_ms, verdict) else { return };
     if commit(controller, rollout, &next).await {
         kernel::log_event!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
             "state" => next.state.word(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
@@ -178,19 +179,19 @@
 }
 
 /// The record after a step. None: nothing changes.
-fn after(rollout: &VersionRollout, step: Step, elapsed_ms: u64, finding: Finding) -> Option<VersionRollout> {
+fn after(rollout: &VersionRollout, step: RolloutStep, elapsed_ms: u64, verdict: Verdict) -> Option<VersionRollout> {
     let next = VersionRollout { number: rollout.number + 1, elapsed_ms, ..rollout.clone() };
     match step {
-        Step::Stay => None,
-        Step::Share(share) => Some(VersionRollout { share, ..next }),
-        Step::Complete => Some(VersionRollout { state: RolloutState::Complete, ..next }),
-        Step::Revert => {
+        RolloutStep::Hold => None,
+        RolloutStep::SetShare(share) => Some(VersionRollout { share, ..next }),
+        RolloutStep::Complete => Some(VersionRollout { state: RolloutState::Complete, ..next }),
+        RolloutStep::RollBack => {
             let mut reverted = next.reverted.clone();
             reverted.push(next.target.clone());
-            let reason = match finding {
-                Finding::Fails => "it fails more often than the version in place",
-                Finding::Slow => "it is slower than the version in place",
-                Finding::Good | Finding::Unsure => "not enough was seen of it in time",
+            let reason = match verdict {
+                Verdict::Failing => "it fails more often than the version in place",
+                Verdict::Slow => "it is slower than the version in place",
+                Verdict::Healthy | Verdict::Inconclusive => "not enough was seen of it in time",
             };
             Some(VersionRollout { state: RolloutState::Reverted, share: 0, reverted, reason: reason.into(), ..next })
         }
--- a/controller/src/versions_tests.rs
+++ b/controller/src/versions_tests.rs
@@ -1,7 +1,7 @@
 //! Records after steps, and samples of several routers in one message.
 use super::{after, merge};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
-use versions::{Finding, Step};
+use versions::{RolloutStep, Verdict};
 
 fn rollout() -> VersionRollout {
     VersionRollout {
@@ -21,12 +21,12 @@
 
 #[test]
 fn each_step_is_a_record_of_its_own() {
-    assert_eq!(after(&rollout(), Step::Stay, 500, Finding::Good), None);
-    let shared = after(&rollout(), Step::Share(400), 500, Finding::Good).expect("a change");
+    assert_eq!(after(&rollout(), RolloutStep::Hold, 500, Verdict::Healthy), None);
+    let shared = after(&rollout(), RolloutStep::SetShare(400), 500, Verdict::Healthy).expect("a change");
     assert_eq!((shared.number, shared.share, shared.elapsed_ms), (5, 400, 500));
-    let complete = after(&rollout(), Step::Complete, 500, Finding::Good).expect("a change");
+    let complete = after(&rollout(), RolloutStep::Complete, 500, Verdict::Healthy).expect("a change");
     assert_eq!(complete.state, RolloutState::Complete);
-    let reverted = after(&rollout(), Step::Revert, 500, Finding::Slow).expect("a change");
+    let reverted = after(&rollout(), RolloutStep::RollBack, 500, Verdict::Slow).expect("a change");
     assert_eq!((reverted.state, reverted.share), (RolloutState::Reverted, 0));
     assert_eq!(reverted.reverted, ["v0", "v2"]);
     assert!(reverted.reason.contains("slower"));
--- a/router/src/version_rollouts.rs
+++ b/router/src/version_rollouts.rs
@@ -13,7 +13,7 @@
 use protocol::message::{self, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
 use tokio::time;
-use versions::WHOLE_SHARE;
+use versions::FULL_SHARE;
 
 use crate::event::VERSION;
 use crate::exchange::Exchange;
@@ -58,7 +58,7 @@
                 Arm::Candidate(rollout.share)
             }
             // Until the lists follow, its engines still stand among those that are brought in.
-            RolloutState::Complete => Arm::Candidate(WHOLE_SHARE),
+            RolloutState::Complete => Arm::Candidate(FULL_SHARE),
             RolloutState::Active | RolloutState::Reverted => Arm::Stable,
         }
     }
--- a/versions/src/judge.rs
+++ b/versions/src/judge.rs
@@ -12,7 +12,7 @@
 
 /// Which version served a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Arm {
+pub enum Variant {
     /// The one that is in place.
     Stable,
     /// The one that is brought in.
@@ -20,28 +20,28 @@
 }
 
 /// The times between events, in microseconds.
-pub type PaceHistogram = Histogram<u64>;
+pub type IntervalHistogram = Histogram<u64>;
 
 /// Samples of one route and version that came together.
 #[derive(Clone, Debug, Default)]
-pub struct Batch {
+pub struct SampleBatch {
     /// Requests that ended as they should.
-    pub good: u64,
+    pub succeeded: u64,
     /// Requests whose engine failed them.
     pub failed: u64,
     /// Mean times between the events of an answer, in microseconds, and how many answers had them.
-    pub paces: Vec<(u64, u64)>,
+    pub event_intervals: Vec<(u64, u64)>,
 }
 
 /// What was found.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Finding {
+pub enum Verdict {
     /// Nothing speaks against it, and enough was seen to say so.
-    Good,
+    Healthy,
     /// Not enough was seen, or something begins to speak against it.
-    Unsure,
+    Inconclusive,
     /// It fails more often than the old one.
-    Fails,
+    Failing,
     /// It is slower than the old one.
     Slow,
 }
@@ -96,12 +96,12 @@
 
 /// The pace of one version, over the last one to two spans.
 struct Pace {
-    current: PaceHistogram,
-    previous: PaceHistogram,
+    current: IntervalHistogram,
+    previous: IntervalHistogram,
 }
 
-fn empty() -> PaceHistogram {
-    PaceHistogram::new_with_max(LONGEST_PACE_US, 2).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
+fn empty() -> IntervalHistogram {
+    IntervalHistogram::new_with_max(LONGEST_PACE_US, 2).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
 }
 
 impl Pace {
@@ -125,7 +125,7 @@
 }
 
 /// All evidence of one rollout.
-pub struct Judge {
+pub struct CanaryAnalysis {
     routes: BTreeMap<String, Route>,
     stable_pace: Pace,
     candidate_pace: Pace,
@@ -134,10 +134,10 @@
     candidate_failed: u64,
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// One that has seen nothing.
-    pub fn new(now: u64) -> Judge {
-        Judge {
+    pub fn new(now: u64) -> CanaryAnalysis {
+        CanaryAnalysis {
             routes: BTreeMap::new(),
             stable_pace: Pace::new(),
             candidate_pace: Pace::new(),
@@ -148,28 +148,28 @@
     }
 
     /// Takes samples in.
-    pub fn note(&mut self, route: &str, arm: Arm, batch: &Batch, now: u64) {
+    pub fn record(&mut self, route: &str, arm: Variant, batch: &SampleBatch, now: u64) {
         if now >= self.turned_at + PACE_SPAN_MS {
             self.stable_pace.turn();
             self.candidate_pace.turn();
             self.turned_at = now;
         }
         let pace = match arm {
-            Arm::Stable => &mut self.stable_pace,
-            Arm::Candidate => &mut self.candidate_pace,
+            Variant::Stable => &mut self.stable_pace,
+            Variant::Candidate => &mut self.candidate_pace,
         };
-        for (pace_us, count) in &batch.paces {
+        for (pace_us, count) in &batch.event_intervals {
             let _ = pace.current.record_n((*pace_us).clamp(1, LONGEST_PACE_US), *count);
         }
         let evidence = self.routes.entry(route.into()).or_default();
         match arm {
-            Arm::Stable => {
-                evidence.stable_good += batch.good as f64;
+            Variant::Stable => {
+                evidence.stable_good += batch.succeeded as f64;
                 evidence.stable_failed += batch.failed as f64;
             }
-            Arm::Candidate => {
-                evidence.note_candidate(batch.good, batch.failed);
-                self.candidate_good += batch.good;
+            Variant::Candidate => {
+                evidence.note_candidate(batch.succeeded, batch.failed);
+                self.candidate_good += batch.succeeded;
                 self.candidate_failed += batch.failed;
             }
         }
@@ -181,17 +181,17 @@
     }
 
     /// What the samples say by now.
-    pub fn finding(&self) -> Finding {
+    pub fn verdict(&self) -> Verdict {
         let worst = self.routes.values().map(|route| route.cusum).fold(0.0, f64::max);
         if worst >= ALARM {
-            return Finding::Fails;
+            return Verdict::Failing;
         }
         if self.is_slow() {
-            return Finding::Slow;
+            return Verdict::Slow;
         }
         match worst < CALM && self.candidate_good >= ENOUGH {
-            true => Finding::Good,
-            false => Finding::Unsure,
+            true => Verdict::Healthy,
+            false => Verdict::Inconclusive,
         }
     }
 
--- a/versions/src/judge_tests.rs
+++ b/versions/src/judge_tests.rs
@@ -1,5 +1,5 @@
 //! Seeded experiments: good and bad versions, judged from batches as routers send them.
-use super::{Arm, Batch, Finding, Judge};
+use super::{CanaryAnalysis, SampleBatch, Variant, Verdict};
 
 const BATCH_MS: u64 = 250;
 
@@ -27,38 +27,40 @@
 const GOOD: World =
     World { stable_fails: 0.005, candidate_fails: [0.005; 2], bad_from_ms: 0, slower: 1.0, candidate_per_s: 25.0 };
 
-/// The finding after a time, when the first alarm came, and how many requests the new version had by then.
-fn play(world: &World, seed: u64, length_ms: u64) -> (Finding, Option<u64>, u64) {
+/// The verdict after a time, when the first alarm came, and how many requests the new version had by then.
+fn play(world: &World, seed: u64, length_ms: u64) -> (Verdict, Option<u64>, u64) {
     let mut chance = Chance(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) + 1);
-    let mut judge = Judge::new(0);
+    let mut analysis = CanaryAnalysis::new(0);
     let mut now = 0;
     while now < length_ms {
         now += BATCH_MS;
         for (number, route) in ["long", "short"].into_iter().enumerate() {
-            for (arm, per_s) in [(Arm::Stable, world.candidate_per_s * 10.0), (Arm::Candidate, world.candidate_per_s)] {
-                let is_bad = arm == Arm::Candidate && now > world.bad_from_ms;
+            for (arm, per_s) in
+                [(Variant::Stable, world.candidate_per_s * 10.0), (Variant::Candidate, world.candidate_per_s)]
+            {
+                let is_bad = arm == Variant::Candidate && now > world.bad_from_ms;
                 let fails = if is_bad { world.candidate_fails[number] } else { world.stable_fails };
-                let mut batch = Batch::default();
+                let mut batch = SampleBatch::default();
                 let expected = per_s / 2.0 * BATCH_MS as f64 / 1000.0;
                 let count = expected.floor() as u64 + u64::from(chance.next() < expected.fract());
                 for _ in 0..count {
                     match chance.next() < fails {
                         true => batch.failed += 1,
-                        false => batch.good += 1,
+                        false => batch.succeeded += 1,
                     }
                     let slower = if is_bad { world.slower } else { 1.0 };
-                    batch.paces.push(((8000.0 * slower * (0.5 + chance.next())) as u64, 1));
+                    batch.event_intervals.push(((8000.0 * slower * (0.5 + chance.next())) as u64, 1));
                 }
-                judge.note(route, arm, &batch, now);
+                analysis.record(route, arm, &batch, now);
             }
         }
-        if matches!(judge.finding(), Finding::Fails | Finding::Slow) {
-            let seen = judge.candidate_seen();
-            return (judge.finding(), Some(now), seen.0 + seen.1);
+        if matches!(analysis.verdict(), Verdict::Failing | Verdict::Slow) {
+            let seen = analysis.candidate_seen();
+            return (analysis.verdict(), Some(now), seen.0 + seen.1);
         }
     }
-    let seen = judge.candidate_seen();
-    (judge.finding(), None, seen.0 + seen.1)
+    let seen = analysis.candidate_seen();
+    (analysis.verdict(), None, seen.0 + seen.1)
 }
 
 fn alarms(world: &World, length_ms: u64, seeds: u64) -> Vec<u64> {
@@ -72,7 +74,7 @@
         let alarms = alarms(&world, 15_000, 400).len();
         assert!(alarms <= 8, "{alarms} of 400 at {stable_fails}");
     }
-    let good = (0..200).filter(|seed| play(&GOOD, *seed, 8000).0 == Finding::Good).count();
+    let good = (0..200).filter(|seed| play(&GOOD, *seed, 8000).0 == Verdict::Healthy).count();
     assert!(good >= 190, "{good} of 200");
 }
 
@@ -120,5 +122,5 @@
 
 #[test]
 fn without_samples_nothing_is_known() {
-    assert_eq!(Judge::new(0).finding(), Finding::Unsure);
+    assert_eq!(CanaryAnalysis::new(0).verdict(), Verdict::Inconclusive);
 }
--- a/versions/src/lib.rs
+++ b/versions/src/lib.rs
@@ -5,5 +5,5 @@
 mod judge;
 mod schedule;
 
-pub use judge::{Arm, Batch, Finding, Judge, PaceHistogram};
-pub use schedule::{Schedule, Step, CANARY_SHARE, WHOLE_SHARE};
+pub use judge::{CanaryAnalysis, IntervalHistogram, SampleBatch, Variant, Verdict};
+pub use schedule::{RolloutSchedule, RolloutStep, CANARY_SHARE, FULL_SHARE};
--- a/versions/src/schedule.rs
+++ b/versions/src/schedule.rs
@@ -1,13 +1,13 @@
 //! When a new version gets how much of a service's requests.
 
-use crate::Finding;
+use crate::Verdict;
 
 /// Thousandths of the requests that an unproved version gets. Below a tenth, by what chance and late news add.
 pub const CANARY_SHARE: u32 = 70;
 /// On the way to all: the readers of the new version must first read the prompts that all share.
 const HALFWAY_SHARE: u32 = 400;
 /// All requests.
-pub const WHOLE_SHARE: u32 = 1000;
+pub const FULL_SHARE: u32 = 1000;
 
 /// A version that turns bad late must have done so while it is a canary: this part of the time is given to it.
 const CANARY_PART: f64 = 0.52;
@@ -19,25 +19,25 @@
 
 /// What is to be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RolloutStep {
     /// Nothing.
-    Stay,
+    Hold,
     /// The new version gets this share, in thousandths.
-    Share(u32),
+    SetShare(u32),
     /// All has moved: the old version ends.
     Complete,
     /// Back to the old version, for good.
-    Revert,
+    RollBack,
 }
 
 /// The schedule of one rollout.
 #[derive(Clone, Copy, Debug)]
-pub struct Schedule {
+pub struct RolloutSchedule {
     /// By then it must be complete or reverted.
     pub duration_ms: u64,
 }
 
-impl Schedule {
+impl RolloutSchedule {
     /// When the canary ends.
     pub fn canary_ms(&self) -> u64 {
         let usual = (self.duration_ms as f64 * CANARY_PART) as u64;
@@ -50,24 +50,24 @@
     }
 
     /// `share`: what it has now, and for how long; `elapsed_ms`: since the order.
-    pub fn step(&self, share: u32, share_for_ms: u64, elapsed_ms: u64, finding: Finding) -> Step {
-        if matches!(finding, Finding::Fails | Finding::Slow) {
-            return Step::Revert;
+    pub fn next_step(&self, share: u32, share_for_ms: u64, elapsed_ms: u64, verdict: Verdict) -> RolloutStep {
+        if matches!(verdict, Verdict::Failing | Verdict::Slow) {
+            return RolloutStep::RollBack;
         }
-        if share >= WHOLE_SHARE {
+        if share >= FULL_SHARE {
             let is_time = elapsed_ms + MARGIN_MS >= self.duration_ms && share_for_ms >= FEWEST_WHOLE_MS;
-            return if is_time { Step::Complete } else { Step::Stay };
+            return if is_time { RolloutStep::Complete } else { RolloutStep::Hold };
         }
         if share > CANARY_SHARE {
-            return if share_for_ms >= HALFWAY_MS { Step::Share(WHOLE_SHARE) } else { Step::Stay };
+            return if share_for_ms >= HALFWAY_MS { RolloutStep::SetShare(FULL_SHARE) } else { RolloutStep::Hold };
         }
         if elapsed_ms < self.canary_ms() {
-            return if share == 0 { Step::Share(CANARY_SHARE) } else { Step::Stay };
+            return if share == 0 { RolloutStep::SetShare(CANARY_SHARE) } else { RolloutStep::Hold };
         }
-        match finding {
-            Finding::Good => Step::Share(HALFWAY_SHARE),
-            _ if elapsed_ms >= self.last_start_ms() => Step::Revert,
-            _ => Step::Stay,
+        match verdict {
+            Verdict::Healthy => RolloutStep::SetShare(HALFWAY_SHARE),
+            _ if elapsed_ms >= self.last_start_ms() => RolloutStep::RollBack,
+            _ => RolloutStep::Hold,
         }
     }
 }
--- a/versions/src/schedule_tests.rs
+++ b/versions/src/schedule_tests.rs
@@ -1,27 +1,27 @@
 //! The steps of a rollout.
-use super::{Schedule, Step, CANARY_SHARE, WHOLE_SHARE};
-use crate::Finding;
+use super::{RolloutSchedule, RolloutStep, CANARY_SHARE, FULL_SHARE};
+use crate::Verdict;
 
-/// Plays a rollout to its end with one finding; gives the last step, when it came, and the mean share up to the term.
-fn play(duration_ms: u64, finding: impl Fn(u64) -> Finding) -> (Step, u64, f64) {
-    let schedule = Schedule { duration_ms };
+/// Plays a rollout to its end with one verdict; gives the last step, when it came, and the mean share up to the term.
+fn play(duration_ms: u64, verdict: impl Fn(u64) -> Verdict) -> (RolloutStep, u64, f64) {
+    let schedule = RolloutSchedule { duration_ms };
     let (mut share, mut since, mut sum) = (0, 0, 0.0);
     for now in (0..=duration_ms).step_by(100) {
-        match schedule.step(share, now - since, now, finding(now)) {
-            Step::Stay => {}
-            Step::Share(next) => (share, since) = (next, now),
+        match schedule.next_step(share, now - since, now, verdict(now)) {
+            RolloutStep::Hold => {}
+            RolloutStep::SetShare(next) => (share, since) = (next, now),
             end => return (end, now, sum / duration_ms as f64),
         }
         sum += f64::from(share) / 1000.0 * 100.0;
     }
-    (Step::Stay, duration_ms, sum / duration_ms as f64)
+    (RolloutStep::Hold, duration_ms, sum / duration_ms as f64)
 }
 
 #[test]
 fn a_good_version_is_complete_before_its_term() {
     for duration_ms in [8000, 12_000, 14_000, 17_000, 60_000] {
-        let (step, at, _) = play(duration_ms, |_| Finding::Good);
-        assert_eq!(step, Step::Complete);
+        let (step, at, _) = play(duration_ms, |_| Verdict::Healthy);
+        assert_eq!(step, RolloutStep::Complete);
         assert!(at + 1000 <= duration_ms, "{duration_ms}: {at}");
     }
 }
@@ -29,27 +29,31 @@
 #[test]
 fn a_bad_version_is_reverted_whenever_it_is_found() {
     for found_at in [0, 3000, 5000, 9000, 10_000] {
-        let finding = |now: u64| if now >= found_at { Finding::Fails } else { Finding::Good };
-        let (step, at, _) = play(12_000, finding);
-        assert_eq!((step, at), (Step::Revert, found_at));
+        let verdict = |now: u64| if now >= found_at { Verdict::Failing } else { Verdict::Healthy };
+        let (step, at, _) = play(12_000, verdict);
+        assert_eq!((step, at), (RolloutStep::RollBack, found_at));
     }
-    assert_eq!(play(12_000, |_| Finding::Slow).0, Step::Revert);
+    assert_eq!(play(12_000, |_| Verdict::Slow).0, RolloutStep::RollBack);
 }
 
 #[test]
 fn an_unproved_version_gets_less_than_a_tenth_and_is_given_up_in_time() {
-    let (step, at, mean) = play(12_000, |_| Finding::Unsure);
-    assert_eq!(step, Step::Revert);
+    let (step, at, mean) = play(12_000, |_| Verdict::Inconclusive);
+    assert_eq!(step, RolloutStep::RollBack);
     assert!(at < 12_000 && mean < 0.1, "{at} {mean}");
 }
 
 #[test]
 fn one_that_turns_bad_as_the_canary_ends_had_less_than_a_tenth_until_then() {
-    let schedule = Schedule { duration_ms: 12_000 };
+    let schedule = RolloutSchedule { duration_ms: 12_000 };
     let canary_ms = schedule.canary_ms();
-    let (step, _, mean) = play(12_000, |now| if now >= canary_ms { Finding::Fails } else { Finding::Good });
-    assert_eq!(step, Step::Revert);
+    let (step, _, mean) = play(12_000, |now| if now >= canary_ms { Verdict::Failing } else { Verdict::Healthy });
+    assert_eq!(step, RolloutStep::RollBack);
     assert!(mean < 0.1, "{mean}");
-    assert_eq!(schedule.step(CANARY_SHARE, canary_ms, canary_ms, Finding::Unsure), Step::Stay);
-    assert_eq!(schedule.step(WHOLE_SHARE, 100, 11_900, Finding::Good), Step::Stay, "all must have moved for a while");
+    assert_eq!(schedule.next_step(CANARY_SHARE, canary_ms, canary_ms, Verdict::Inconclusive), RolloutStep::Hold);
+    assert_eq!(
+        schedule.next_step(FULL_SHARE, 100, 11_900, Verdict::Healthy),
+        RolloutStep::Hold,
+        "all must have moved for a while"
+    );
 }
