--- a/batch/src/attempt.rs
+++ b/batch/src/attempt.rs
@@ -1,33 +1,33 @@
 //! One attempt at a job: what came of it, and the job's state after it.
 
-use crate::page::State;
+use crate::page::JobState;
 
 /// A repeatable job whose attempts end so many times without an answer is given up.
-pub const ATTEMPTS: u32 = 6;
+pub const MAX_ATTEMPTS: u32 = 6;
 
 /// What came of a request that was sent once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Answered {
+pub enum AttemptOutcome {
+    Completed {
         status: u16,
         body: String,
     },
     /// It has not run and never will; when to come back, where that was said.
-    NotRun {
+    NotExecuted {
         retry_after_ms: Option<u64>,
     },
     /// It may have run.
-    Lost,
+    Unknown,
 }
 
-/// The job's state after an attempt. `lost`: how many of its attempts were lost, this one included.
-pub fn state_after(outcome: Outcome, repeatable: bool, lost: u32) -> State {
+/// The job's state after an attempt. `unknown_count`: how many of its attempts had unknown outcomes, this one included.
+pub fn state_after(outcome: AttemptOutcome, repeatable: bool, unknown_count: u32) -> JobState {
     match outcome {
-        Outcome::Answered { status, body } => State::Done { status, body },
-        Outcome::NotRun { .. } => State::Waiting,
-        Outcome::Lost if !repeatable => State::Unknown,
-        Outcome::Lost if lost >= ATTEMPTS => State::Missed,
-        Outcome::Lost => State::Waiting,
+        AttemptOutcome::Completed { status, body } => JobState::Completed { status, body },
+        AttemptOutcome::NotExecuted { .. } => JobState::Waiting,
+        AttemptOutcome::Unknown if !repeatable => JobState::OutcomeUnknown,
+        AttemptOutcome::Unknown if unknown_count >= MAX_ATTEMPTS => JobState::DeadlineMissed,
+        AttemptOutcome::Unknown => JobState::Waiting,
     }
 }
 
--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -4,8 +4,8 @@
 
 use kernel::clock::Rng;
 
-use super::{state_after, Outcome, ATTEMPTS};
-use crate::page::{Bar, Page, State};
+use super::{state_after, AttemptOutcome, MAX_ATTEMPTS};
+use crate::page::{JobPage, JobState, PageError};
 
 const JOBS: usize = 6;
 const OWNERS: usize = 3;
@@ -15,7 +15,7 @@
     /// Durable; checked as the owner under its epoch. The owner may freeze here for any time.
     Sending,
     /// Its outcome must be written.
-    Closing(State),
+    Closing(JobState),
 }
 
 struct Attempt {
@@ -33,7 +33,7 @@
 
 struct World {
     dice: Rng,
-    page: Page,
+    page: JobPage,
     owners: Vec<Owner>,
     epoch: u64,
     runs: [u32; JOBS],
@@ -53,7 +53,7 @@
     fn new(seed: u64, trusting: bool) -> World {
         World {
             dice: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
-            page: Page::new(JOBS),
+            page: JobPage::new(JOBS),
             owners: (0..OWNERS).map(|_| Owner::default()).collect(),
             epoch: 0,
             runs: [0; JOBS],
@@ -65,7 +65,7 @@
     }
 
     /// A round of the register. None: its outcome is unknown, whether it was carried out or not.
-    fn change(&mut self, act: impl FnOnce(&mut Page) -> Result<(), Bar>) -> Option<bool> {
+    fn change(&mut self, act: impl FnOnce(&mut JobPage) -> Result<(), PageError>) -> Option<bool> {
         let before = self.page.clone();
         let fate = self.dice.below(5);
         if fate == 0 {
@@ -73,7 +73,7 @@
         }
         let done = act(&mut self.page).is_ok();
         for (old, new) in before.states.iter().zip(&self.page.states) {
-            assert!(!old.closed() || old == new, "a receipt was changed");
+            assert!(!old.is_final() || old == new, "a receipt was changed");
         }
         assert!(self.page.epoch >= before.epoch);
         (fate != 1).then_some(done)
@@ -100,7 +100,7 @@
         if epoch == 0 || self.owners[at].claimed {
             return;
         }
-        let claim = |page: &mut Page| match page.epoch == epoch {
+        let claim = |page: &mut JobPage| match page.epoch == epoch {
             true => Ok(()),
             false => page.claim(epoch, repeatable),
         };
@@ -110,14 +110,14 @@
     fn begin(&mut self, at: usize) {
         let (epoch, job) = (self.owners[at].epoch, self.dice.below(JOBS as u64) as usize);
         let busy = self.owners[at].attempts.iter().any(|attempt| attempt.job == job);
-        if !self.owners[at].claimed || busy || self.page.states[job] != State::Waiting {
+        if !self.owners[at].claimed || busy || self.page.states[job] != JobState::Waiting {
             return;
         }
-        let stage = match self.change(|page| page.begin(job, epoch)) {
+        let stage = match self.change(|page| page.start(job, epoch)) {
             Some(false) => return,
             Some(true) => Stage::Sending,
             None if self.trusting => Stage::Sending,
-            None => Stage::Closing(State::Waiting),
+            None => Stage::Closing(JobState::Waiting),
         };
         self.owners[at].attempts.push(Attempt { job, epoch, stage });
     }
@@ -134,31 +134,31 @@
                 self.owners[at].attempts.push(Attempt { job, epoch, stage: Stage::Closing(state) });
             }
             Stage::Closing(state) => {
-                if self.change(|page| page.close(job, epoch, state.clone())).is_none() {
+                if self.change(|page| page.finish(job, epoch, state.clone())).is_none() {
                     self.owners[at].attempts.push(Attempt { job, epoch, stage: Stage::Closing(state) });
                 }
             }
         }
     }
 
-    fn send(&mut self, job: usize) -> State {
+    fn send(&mut self, job: usize) -> JobState {
         let (runs, outcome) = match self.dice.below(6) {
-            0 => (false, Outcome::NotRun { retry_after_ms: None }),
-            1 => (false, Outcome::Lost),
-            2 => (true, Outcome::Lost),
-            _ => (true, Outcome::Answered { status: 200, body: String::new() }),
+            0 => (false, AttemptOutcome::NotExecuted { retry_after_ms: None }),
+            1 => (false, AttemptOutcome::Unknown),
+            2 => (true, AttemptOutcome::Unknown),
+            _ => (true, AttemptOutcome::Completed { status: 200, body: String::new() }),
         };
         self.runs[job] += u32::from(runs);
         self.twice += u32::from(runs && !repeatable(job) && self.runs[job] == 2);
-        self.lost[job] += u32::from(outcome == Outcome::Lost);
-        self.answered += u32::from(matches!(outcome, Outcome::Answered { .. }));
+        self.lost[job] += u32::from(outcome == AttemptOutcome::Unknown);
+        self.answered += u32::from(matches!(outcome, AttemptOutcome::Completed { .. }));
         state_after(outcome, repeatable(job), self.lost[job])
     }
 
     /// Receipts that say `done` though nothing ran.
     fn invented(&self) -> usize {
         let states = self.page.states.iter().zip(self.runs);
-        states.filter(|(state, runs)| matches!(state, State::Done { .. }) && *runs == 0).count()
+        states.filter(|(state, runs)| matches!(state, JobState::Completed { .. }) && *runs == 0).count()
     }
 }
 
@@ -178,7 +178,7 @@
         let world = run(seed, false);
         assert_eq!((world.twice, world.invented()), (0, 0), "seed {seed}");
         answered += world.answered;
-        closed += world.page.states.iter().filter(|state| state.closed()).count();
+        closed += world.page.states.iter().filter(|state| state.is_final()).count();
     }
     assert!(answered > 1000 && closed > 2800, "the world must get work done: {answered} answers, {closed} receipts");
 }
@@ -190,8 +190,8 @@
 
 #[test]
 fn only_a_repeatable_job_waits_again_after_a_lost_attempt() {
-    assert_eq!(state_after(Outcome::Lost, false, 1), State::Unknown);
-    assert_eq!(state_after(Outcome::Lost, true, ATTEMPTS - 1), State::Waiting);
-    assert_eq!(state_after(Outcome::Lost, true, ATTEMPTS), State::Missed);
-    assert_eq!(state_after(Outcome::NotRun { retry_after_ms: Some(5) }, false, 0), State::Waiting);
+    assert_eq!(state_after(AttemptOutcome::Unknown, false, 1), JobState::OutcomeUnknown);
+    assert_eq!(state_after(AttemptOutcome::Unknown, true, MAX_ATTEMPTS - 1), JobState::Waiting);
+    assert_eq!(state_after(AttemptOutcome::Unknown, true, MAX_ATTEMPTS), JobState::DeadlineMissed);
+    assert_eq!(state_after(AttemptOutcome::NotExecuted { retry_after_ms: Some(5) }, false, 0), JobState::Waiting);
 }
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -12,14 +12,14 @@
 pub mod offpeak;
 
 /// Bounds, stated in docs/batches.md and checked when a batch is submitted.
-pub const JOBS: usize = 256;
-pub const BYTES: usize = 512 * 1024;
-pub const NAME: usize = 64;
-pub const ANSWER: usize = 16 * 1024;
+pub const MAX_JOBS: usize = 256;
+pub const MAX_BATCH_BYTES: usize = 512 * 1024;
+pub const MAX_JOB_NAME_BYTES: usize = 64;
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 /// Jobs on one page: one write to the ledger carries one page.
-pub const PAGE: usize = 32;
+pub const JOBS_PER_PAGE: usize = 32;
 /// Batches kept at once, finished ones included.
-pub const BATCHES: usize = 16;
+pub const MAX_BATCHES: usize = 16;
 /// A finished batch is kept for so long.
-pub const KEEP_MS: u64 = 3_600_000;
-pub const WINDOW_MAX_S: u64 = 7 * 24 * 3600;
+pub const RETENTION_MS: u64 = 3_600_000;
+pub const MAX_WINDOW_S: u64 = 7 * 24 * 3600;
--- a/batch/src/offpeak.rs
+++ b/batch/src/offpeak.rs
@@ -7,11 +7,11 @@
 
 use kernel::clock::Rng;
 
-use crate::page::{Page, State};
-use crate::turn::{self, Pace, Press, View};
-use crate::PAGE;
+use crate::page::{JobPage, JobState};
+use crate::turn::{self, BatchView, ConcurrencyLimit, Urgency};
+use crate::JOBS_PER_PAGE;
 
-pub use crate::rehearsal::{plan, Plan, Report};
+pub use crate::rehearsal::{reference_plan, SimulationPlan, SimulationReport};
 
 enum Work {
     Errand { born: u64 },
@@ -36,28 +36,31 @@
     dead: bool,
     under_way: BTreeSet<usize>,
     mail: Vec<(usize, bool)>,
-    pace: Pace,
+    pace: ConcurrencyLimit,
 }
 
 struct World<'a> {
-    plan: &'a Plan,
+    plan: &'a SimulationPlan,
     now: u64,
     dice: Rng,
     engines: Vec<Engine>,
-    pages: Vec<Page>,
+    pages: Vec<JobPage>,
     owners: Vec<Owner>,
     runs: Vec<usize>,
     receipts: Vec<usize>,
     next_owner: Option<u64>,
     waits: Vec<u64>,
-    report: Report,
+    report: SimulationReport,
 }
 
-/// Runs the plan; `with` says whether the batch is there at all.
-pub fn run(plan: &Plan, with: bool) -> Report {
-    let engines =
-        (0..plan.halls * plan.engines).map(|at| Engine { hall: at % plan.halls, up: true, running: Vec::new() });
-    let pages = (0..plan.jobs).step_by(PAGE).map(|first| Page::new((plan.jobs - first).min(PAGE)));
+/// Runs the plan; `has_batch` says whether the batch is there at all.
+pub fn simulate(plan: &SimulationPlan, has_batch: bool) -> SimulationReport {
+    let engines = (0..plan.zones * plan.engines_per_zone).map(|at| Engine {
+        hall: at % plan.zones,
+        up: true,
+        running: Vec::new(),
+    });
+    let pages = (0..plan.jobs).step_by(JOBS_PER_PAGE).map(|first| JobPage::new((plan.jobs - first).min(JOBS_PER_PAGE)));
     let mut world = World {
         plan,
         now: 0,
@@ -67,9 +70,9 @@
         owners: Vec::new(),
         runs: vec![0; plan.jobs],
         receipts: vec![0; plan.jobs],
-        next_owner: with.then_some(0),
+        next_owner: has_batch.then_some(0),
         waits: Vec::new(),
-        report: Report::default(),
+        report: SimulationReport::default(),
     };
     let end = plan.window_ms + 20 * plan.lease_ms;
     while world.now < end {
@@ -80,30 +83,30 @@
 
 impl World<'_> {
     fn repeatable(&self, job: usize) -> bool {
-        self.plan.once_every == 0 || !job.is_multiple_of(self.plan.once_every)
+        self.plan.non_repeatable_every == 0 || !job.is_multiple_of(self.plan.non_repeatable_every)
     }
 
     fn step(&mut self) {
         self.now += 1;
         let now = self.now;
-        for (time, hall) in self.plan.leave.clone() {
+        for (time, hall) in self.plan.zone_evacuations.clone() {
             if time == now {
                 self.leave(hall);
             }
         }
-        if self.plan.lose_router.contains(&now) {
+        if self.plan.router_losses.contains(&now) {
             self.cut(2);
         }
-        if self.plan.kill_all.contains(&now) {
+        if self.plan.system_kills.contains(&now) {
             self.cut(1);
         }
-        if self.plan.crash.contains(&now) || self.plan.kill_all.contains(&now) {
+        if self.plan.owner_crashes.contains(&now) || self.plan.system_kills.contains(&now) {
             if let Some(owner) = self.owners.last_mut() {
                 owner.dead = true;
                 self.next_owner = Some(now + self.plan.lease_ms);
             }
         }
-        for (time, span) in self.plan.freeze.clone() {
+        for (time, span) in self.plan.owner_freezes.clone() {
             if let (true, Some(owner)) = (time == now, self.owners.last_mut()) {
                 owner.asleep_until = now + span;
                 self.next_owner = Some(now + self.plan.lease_ms);
@@ -113,7 +116,7 @@
             self.next_owner = None;
             self.claim();
         }
-        let chance = (self.plan.rate * 1000.0) as u64;
+        let chance = (self.plan.interactive_per_s * 1000.0) as u64;
         if self.dice.below(1_000_000) < chance {
             self.errand(now);
         }
@@ -147,25 +150,25 @@
         // Interactive work takes a place whatever runs there; jobs are the ones that are slowed.
         let ahead = self.engines[at].running.iter().filter(|run| matches!(run.work, Work::Errand { .. })).count();
         let jobs = self.engines[at].running.len() - ahead;
-        let crowd = (ahead as f64 + 0.1 * jobs as f64) / self.plan.slots as f64;
-        let ends = self.now + (self.plan.work_ms as f64 * (1.0 + crowd)) as u64;
+        let crowd = (ahead as f64 + 0.1 * jobs as f64) / self.plan.slots_per_engine as f64;
+        let ends = self.now + (self.plan.interactive_ms as f64 * (1.0 + crowd)) as u64;
         self.engines[at].running.push(Run { ends, work: Work::Errand { born } });
     }
 
     fn claim(&mut self) {
         let epoch = self.owners.len() as u64 + 1;
         for first in 0..self.pages.len() {
-            let once = self.plan.once_every;
+            let once = self.plan.non_repeatable_every;
             let before = self.pages[first].clone();
-            let again = |at: usize| once == 0 || !(first * PAGE + at).is_multiple_of(once);
+            let again = |at: usize| once == 0 || !(first * JOBS_PER_PAGE + at).is_multiple_of(once);
             let _ = self.pages[first].claim(epoch, again);
             for (at, state) in self.pages[first].states.iter().enumerate() {
-                if state.closed() && !before.states[at].closed() {
-                    self.receipts[first * PAGE + at] += 1;
+                if state.is_final() && !before.states[at].is_final() {
+                    self.receipts[first * JOBS_PER_PAGE + at] += 1;
                 }
             }
         }
-        let pace = Pace::new(self.plan.slots * self.plan.halls);
+        let pace = ConcurrencyLimit::new(self.plan.slots_per_engine * self.plan.zones);
         self.owners.push(Owner {
             epoch,
             asleep_until: 0,
@@ -177,14 +180,14 @@
     }
 
     /// A receipt is written only if the page lets it.
-    fn receipt(&mut self, owner: usize, job: usize, state: State) {
+    fn receipt(&mut self, owner: usize, job: usize, state: JobState) {
         let epoch = self.owners[owner].epoch;
-        if state == (State::Done { status: 200, body: String::new() }) && self.runs[job] == 0 {
-            self.report.invented += 1;
+        if state == (JobState::Completed { status: 200, body: String::new() }) && self.runs[job] == 0 {
+            self.report.receipts_without_run += 1;
         }
-        if self.pages[job / PAGE].close(job % PAGE, epoch, state).is_ok() {
+        if self.pages[job / JOBS_PER_PAGE].finish(job % JOBS_PER_PAGE, epoch, state).is_ok() {
             self.receipts[job] += 1;
-            self.report.last_ms = self.now;
+            self.report.last_receipt_ms = self.now;
         }
     }
 
@@ -195,50 +198,50 @@
         for (job, whole) in mem::take(&mut self.owners[at].mail) {
             self.owners[at].under_way.remove(&job);
             if whole {
-                self.receipt(at, job, State::Done { status: 200, body: String::new() });
-                self.owners[at].pace.good();
+                self.receipt(at, job, JobState::Completed { status: 200, body: String::new() });
+                self.owners[at].pace.on_success();
             } else if self.repeatable(job) {
                 let epoch = self.owners[at].epoch;
-                let _ = self.pages[job / PAGE].unrun(job % PAGE, epoch);
+                let _ = self.pages[job / JOBS_PER_PAGE].requeue(job % JOBS_PER_PAGE, epoch);
             } else {
-                self.receipt(at, job, State::Unknown);
+                self.receipt(at, job, JobState::OutcomeUnknown);
             }
         }
-        let left_ms = self.plan.window_ms.saturating_sub(self.now);
+        let remaining_ms = self.plan.window_ms.saturating_sub(self.now);
         let epoch = self.owners[at].epoch;
         let waiting = |job: &usize| {
-            let page = &self.pages[job / PAGE];
-            page.epoch == epoch && page.states[job % PAGE] == State::Waiting
+            let page = &self.pages[job / JOBS_PER_PAGE];
+            page.epoch == epoch && page.states[job % JOBS_PER_PAGE] == JobState::Waiting
         };
         let waiting: Vec<usize> = (0..self.plan.jobs).filter(waiting).collect();
-        if left_ms == 0 {
-            waiting.into_iter().for_each(|job| self.receipt(at, job, State::Missed));
+        if remaining_ms == 0 {
+            waiting.into_iter().for_each(|job| self.receipt(at, job, JobState::DeadlineMissed));
             return;
         }
-        let free = self.owners[at].pace.free(self.owners[at].under_way.len(), self.now);
-        let view = View { id: "b", left_ms, window_ms: self.plan.window_ms, waiting };
-        for send in turn::next(&[view], free) {
+        let free = self.owners[at].pace.available(self.owners[at].under_way.len(), self.now);
+        let view = BatchView { batch_id: "b", remaining_ms, window_ms: self.plan.window_ms, waiting };
+        for send in turn::next_dispatches(&[view], free) {
             self.send(at, send);
         }
     }
 
-    fn send(&mut self, at: usize, send: turn::Send) {
-        let share = if send.press == Press::Near { 0.75 } else { 0.5 };
-        let room = (self.plan.slots as f64 * share) as usize;
+    fn send(&mut self, at: usize, send: turn::Dispatch) {
+        let share = if send.urgency == Urgency::DeadlineNear { 0.75 } else { 0.5 };
+        let room = (self.plan.slots_per_engine as f64 * share) as usize;
         let fit = self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.running.len() < room);
         let Some((place, _)) = fit.min_by_key(|(_, engine)| engine.running.len()) else {
-            self.report.refused += 1;
+            self.report.rejected_dispatches += 1;
             let now = self.now;
-            return self.owners[at].pace.refused(None, now);
+            return self.owners[at].pace.on_rejection(None, now);
         };
-        let (page, slot, epoch) = (send.job / PAGE, send.job % PAGE, self.owners[at].epoch);
+        let (page, slot, epoch) = (send.job / JOBS_PER_PAGE, send.job % JOBS_PER_PAGE, self.owners[at].epoch);
         // Durable before it is sent.
-        if self.pages[page].begin(slot, epoch).is_err() {
+        if self.pages[page].start(slot, epoch).is_err() {
             return;
         }
         self.runs[send.job] += 1;
         self.owners[at].under_way.insert(send.job);
-        let crowd = self.engines[place].running.len() as f64 / self.plan.slots as f64;
+        let crowd = self.engines[place].running.len() as f64 / self.plan.slots_per_engine as f64;
         let ends = self.now + (self.plan.job_ms as f64 * (1.0 + crowd)) as u64;
         self.engines[place].running.push(Run { ends, work: Work::Job { at: send.job, owner: at } });
     }
--- a/batch/src/offpeak_end.rs
+++ b/batch/src/offpeak_end.rs
@@ -2,8 +2,8 @@
 
 use std::mem;
 
-use super::{Report, World};
-use crate::page::State;
+use super::{SimulationReport, World};
+use crate::page::JobState;
 
 impl World<'_> {
     /// Every so many of the streams under way breaks off without an answer; engines stay.
@@ -32,21 +32,22 @@
         cut.into_iter().for_each(|run| self.end(run.work, false));
     }
 
-    pub fn close(mut self) -> Report {
+    pub fn close(mut self) -> SimulationReport {
         for state in self.pages.iter().flat_map(|page| &page.states) {
             match state {
-                State::Done { .. } => self.report.done += 1,
-                State::Unknown => self.report.unknown += 1,
-                State::Missed | State::Cancelled => self.report.missed += 1,
-                _ => self.report.open += 1,
+                JobState::Completed { .. } => self.report.completed += 1,
+                JobState::OutcomeUnknown => self.report.unknown += 1,
+                JobState::DeadlineMissed | JobState::Cancelled => self.report.deadline_missed += 1,
+                _ => self.report.unfinished += 1,
             }
         }
-        self.report.twice_answered = self.receipts.iter().filter(|count| **count > 1).count();
+        self.report.answered_twice = self.receipts.iter().filter(|count| **count > 1).count();
         let once = |job: &usize| !self.repeatable(*job) && self.runs[*job] > 1;
-        self.report.twice_run = (0..self.plan.jobs).filter(once).count();
+        self.report.run_twice = (0..self.plan.jobs).filter(once).count();
         self.waits.sort_unstable();
         let at = |share: f64| self.waits.get((self.waits.len() as f64 * share) as usize).copied().unwrap_or(0);
-        (self.report.p50_ms, self.report.p99_ms, self.report.served) = (at(0.5), at(0.99), self.waits.len());
+        (self.report.interactive_p50_ms, self.report.interactive_p99_ms, self.report.interactive_served) =
+            (at(0.5), at(0.99), self.waits.len());
         self.report
     }
 }
--- a/batch/src/page.rs
+++ b/batch/src/page.rs
@@ -1,39 +1,39 @@
-//! The durable state of up to `PAGE` jobs: what one key of the ledger holds.
+//! The durable state of up to `JOBS_PER_PAGE` jobs: what one key of the ledger holds.
 
 use crate::sheet::Batch;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum State {
+pub enum JobState {
     #[default]
     Waiting,
     /// Sent, by the owner of the page's epoch: it may run.
-    Begun,
+    Started,
     /// Answered: the one receipt.
-    Done {
+    Completed {
         status: u16,
         body: String,
     },
     /// It may have run and may not be repeated; its answer is lost.
-    Unknown,
+    OutcomeUnknown,
     /// It could not make its window. It has not run, or its runs gave no answer.
-    Missed,
+    DeadlineMissed,
     Cancelled,
 }
 
-impl State {
+impl JobState {
     /// A receipt: final, never changed again.
-    pub fn closed(&self) -> bool {
-        !matches!(self, State::Waiting | State::Begun)
+    pub fn is_final(&self) -> bool {
+        !matches!(self, JobState::Waiting | JobState::Started)
     }
 
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
-            State::Waiting => "waiting",
-            State::Begun => "running",
-            State::Done { .. } => "done",
-            State::Unknown => "unknown",
-            State::Missed => "missed",
-            State::Cancelled => "cancelled",
+            JobState::Waiting => "waiting",
+            JobState::Started => "running",
+            JobState::Completed { .. } => "done",
+            JobState::OutcomeUnknown => "unknown",
+            JobState::DeadlineMissed => "missed",
+            JobState::Cancelled => "cancelled",
         }
     }
 }
@@ -41,67 +41,69 @@
 /// Invariants: `epoch` never falls, and only the owner under it changes the page; a closed state is
 /// never changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Page {
+pub struct JobPage {
     pub epoch: u64,
-    pub states: Vec<State>,
+    pub states: Vec<JobState>,
 }
 
 /// Why a change is not made: another owner holds the page, or the job has its receipt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bar {
-    Epoch,
-    Closed,
+pub enum PageError {
+    StaleEpoch,
+    JobFinished,
 }
 
-impl Page {
-    pub fn new(count: usize) -> Page {
-        Page { epoch: 0, states: vec![State::Waiting; count] }
+impl JobPage {
+    pub fn new(count: usize) -> JobPage {
+        JobPage { epoch: 0, states: vec![JobState::Waiting; count] }
     }
 
     /// A new owner takes the page over. What the last one sent may have run: it is run again only
     /// where that is allowed, else its outcome is unknown.
-    pub fn claim(&mut self, epoch: u64, repeatable: impl Fn(usize) -> bool) -> Result<(), Bar> {
+    pub fn claim(&mut self, epoch: u64, repeatable: impl Fn(usize) -> bool) -> Result<(), PageError> {
         if epoch <= self.epoch {
-            return Err(Bar::Epoch);
+            return Err(PageError::StaleEpoch);
         }
         self.epoch = epoch;
         for (at, state) in self.states.iter_mut().enumerate() {
-            if *state == State::Begun {
-                *state = if repeatable(at) { State::Waiting } else { State::Unknown };
+            if *state == JobState::Started {
+                *state = if repeatable(at) { JobState::Waiting } else { JobState::OutcomeUnknown };
             }
         }
         Ok(())
     }
 
     /// Must be durable before the job is sent.
-    pub fn begin(&mut self, at: usize, epoch: u64) -> Result<(), Bar> {
-        self.set(at, epoch, State::Begun)
+    pub fn start(&mut self, at: usize, epoch: u64) -> Result<(), PageError> {
+        self.set_state(at, epoch, JobState::Started)
     }
 
     /// It has not run: it waits again.
-    pub fn unrun(&mut self, at: usize, epoch: u64) -> Result<(), Bar> {
-        self.set(at, epoch, State::Waiting)
+    pub fn requeue(&mut self, at: usize, epoch: u64) -> Result<(), PageError> {
+        self.set_state(at, epoch, JobState::Waiting)
     }
 
-    pub fn close(&mut self, at: usize, epoch: u64, state: State) -> Result<(), Bar> {
-        self.set(at, epoch, state)
+    pub fn finish(&mut self, at: usize, epoch: u64, state: JobState) -> Result<(), PageError> {
+        self.set_state(at, epoch, state)
     }
 
-    fn set(&mut self, at: usize, epoch: u64, state: State) -> Result<(), Bar> {
+    fn set_state(&mut self, at: usize, epoch: u64, state: JobState) -> Result<(), PageError> {
         if epoch != self.epoch {
-            return Err(Bar::Epoch);
+            return Err(PageError::StaleEpoch);
         }
-        let Some(held) = self.states.get_mut(at).filter(|held| !held.closed()) else { return Err(Bar::Closed) };
-        *held = state;
+        let Some(stored) = self.states.get_mut(at).filter(|stored| !stored.is_final()) else {
+            return Err(PageError::JobFinished);
+        };
+        *stored = state;
         Ok(())
     }
 
-    pub fn closed(&self) -> bool {
-        self.states.iter().all(State::closed)
+    pub fn is_final(&self) -> bool {
+        self.states.iter().all(JobState::is_final)
     }
 }
 
-kernel::bytes!(Page);
+kernel::bytes!(JobPage);
 kernel::bytes!(Batch);
 
 #[cfg(test)]
--- a/batch/src/page_tests.rs
+++ b/batch/src/page_tests.rs
@@ -1,33 +1,33 @@
-use super::{Bar, Page, State};
+use super::{JobPage, JobState, PageError};
 
 #[test]
 fn a_receipt_is_never_changed_and_an_old_owner_changes_nothing() {
-    let mut page = Page::new(3);
+    let mut page = JobPage::new(3);
     page.claim(1, |_| true).expect("first");
-    page.begin(0, 1).expect("own");
+    page.start(0, 1).expect("own");
     page.claim(2, |_| true).expect("rises");
-    assert_eq!(page.claim(2, |_| true), Err(Bar::Epoch));
-    let done = State::Done { status: 200, body: "a".into() };
-    assert_eq!(page.close(0, 1, done.clone()), Err(Bar::Epoch));
-    page.close(0, 2, done.clone()).expect("own");
-    assert_eq!(page.close(0, 2, State::Missed), Err(Bar::Closed));
+    assert_eq!(page.claim(2, |_| true), Err(PageError::StaleEpoch));
+    let done = JobState::Completed { status: 200, body: "a".into() };
+    assert_eq!(page.finish(0, 1, done.clone()), Err(PageError::StaleEpoch));
+    page.finish(0, 2, done.clone()).expect("own");
+    assert_eq!(page.finish(0, 2, JobState::DeadlineMissed), Err(PageError::JobFinished));
     assert_eq!(page.states[0], done);
 }
 
 #[test]
 fn what_was_sent_is_run_again_only_where_allowed() {
-    let mut page = Page::new(2);
+    let mut page = JobPage::new(2);
     page.claim(1, |_| false).expect("first");
-    page.begin(0, 1).expect("own");
-    page.begin(1, 1).expect("own");
+    page.start(0, 1).expect("own");
+    page.start(1, 1).expect("own");
     page.claim(2, |at| at == 0).expect("rises");
-    assert_eq!(page.states, [State::Waiting, State::Unknown]);
+    assert_eq!(page.states, [JobState::Waiting, JobState::OutcomeUnknown]);
 }
 
 #[test]
 fn pages_and_batches_come_back_from_their_bytes() {
-    let mut page = Page::new(2);
+    let mut page = JobPage::new(2);
     page.claim(7, |_| false).expect("first");
-    assert_eq!(Page::read_bytes(&page.write_bytes()), Some(page));
-    assert_eq!(Page::read_bytes(&[1, 2, 3]), None);
+    assert_eq!(JobPage::read_bytes(&page.write_bytes()), Some(page));
+    assert_eq!(JobPage::read_bytes(&[1, 2, 3]), None);
 }
--- a/batch/src/turn.rs
+++ b/batch/src/turn.rs
@@ -1,87 +1,87 @@
 //! What an owner does next: which jobs to send, how many at once, and how urgent they are.
 
-/// How hard a batch may press. Interactive work always goes first at the engines; `Near` only means
+/// How urgent the jobs of a batch are. Interactive work always goes first at the engines; `DeadlineNear` only means
 /// that less spare room is asked for before a job is let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Press {
-    Idle,
-    Near,
+pub enum Urgency {
+    Background,
+    DeadlineNear,
 }
 
-/// The last part of a window, in which a batch presses.
-const NEAR: f64 = 0.25;
+/// The last part of a window, in which its jobs are urgent.
+const DEADLINE_NEAR_SHARE: f64 = 0.25;
 
 /// One batch as its owner sees it.
-pub struct View<'a> {
-    pub id: &'a str,
-    pub left_ms: u64,
+pub struct BatchView<'a> {
+    pub batch_id: &'a str,
+    pub remaining_ms: u64,
     pub window_ms: u64,
     /// Jobs that wait, by number; those under way are not among them.
     pub waiting: Vec<usize>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
-    pub id: String,
+pub struct Dispatch {
+    pub batch_id: String,
     pub job: usize,
-    pub press: Press,
+    pub urgency: Urgency,
 }
 
-pub fn press(left_ms: u64, window_ms: u64) -> Press {
-    if (left_ms as f64) < NEAR * window_ms as f64 {
-        return Press::Near;
+pub fn urgency(remaining_ms: u64, window_ms: u64) -> Urgency {
+    if (remaining_ms as f64) < DEADLINE_NEAR_SHARE * window_ms as f64 {
+        return Urgency::DeadlineNear;
     }
-    Press::Idle
+    Urgency::Background
 }
 
-/// Fills the free places: earliest end of window first, then by id.
-pub fn next(views: &[View], free: usize) -> Vec<Send> {
-    let mut order: Vec<&View> = views.iter().filter(|view| view.left_ms > 0).collect();
-    order.sort_by_key(|view| (view.left_ms, view.id.to_string()));
+/// Fills the free slots: earliest end of window first, then by id.
+pub fn next_dispatches(views: &[BatchView], free: usize) -> Vec<Dispatch> {
+    let mut order: Vec<&BatchView> = views.iter().filter(|view| view.remaining_ms > 0).collect();
+    order.sort_by_key(|view| (view.remaining_ms, view.batch_id.to_string()));
     let all = order.iter().flat_map(|view| {
-        let press = press(view.left_ms, view.window_ms);
-        view.waiting.iter().map(move |job| Send { id: view.id.to_string(), job: *job, press })
+        let urgency = urgency(view.remaining_ms, view.window_ms);
+        view.waiting.iter().map(move |job| Dispatch { batch_id: view.batch_id.to_string(), job: *job, urgency })
     });
     all.take(free).collect()
 }
 
 /// How many jobs may be under way: one more for each that found room, fewer by a quarter after one that
 /// was turned away; above what was left then, one more for each round only.
-/// Invariant: 1 <= `places` <= `most`.
+/// Invariant: 1 <= `limit` <= `max`.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    places: f64,
-    knee: f64,
-    most: f64,
-    pub rest_until: u64,
+pub struct ConcurrencyLimit {
+    limit: f64,
+    slow_growth_above: f64,
+    max: f64,
+    pub paused_until: u64,
 }
 
 /// How long nothing is sent after a refusal, unless the refusal says longer.
-const REST_MS: u64 = 300;
-/// What is left of the places after a refusal: enough to stand back, not to start anew.
-const BACK: f64 = 0.75;
+const MIN_PAUSE_MS: u64 = 300;
+/// What is left of the limit after a refusal: enough to stand back, not to start anew.
+const DECREASE_FACTOR: f64 = 0.75;
 
-impl Pace {
-    pub fn new(most: usize) -> Pace {
-        Pace { places: 2.0, knee: most as f64, most: most.max(1) as f64, rest_until: 0 }
+impl ConcurrencyLimit {
+    pub fn new(max: usize) -> ConcurrencyLimit {
+        ConcurrencyLimit { limit: 2.0, slow_growth_above: max as f64, max: max.max(1) as f64, paused_until: 0 }
     }
 
-    pub fn free(&self, under_way: usize, now: u64) -> usize {
-        if now < self.rest_until {
+    pub fn available(&self, in_flight: usize, now: u64) -> usize {
+        if now < self.paused_until {
             return 0;
         }
-        (self.places as usize).saturating_sub(under_way)
+        (self.limit as usize).saturating_sub(in_flight)
     }
 
-    pub fn good(&mut self) {
-        let step = if self.places < self.knee { 1.0 } else { 1.0 / self.places };
-        self.places = (self.places + step).min(self.most);
+    pub fn on_success(&mut self) {
+        let step = if self.limit < self.slow_growth_above { 1.0 } else { 1.0 / self.limit };
+        self.limit = (self.limit + step).min(self.max);
     }
 
-    pub fn refused(&mut self, wait_ms: Option<u64>, now: u64) {
-        self.places = (self.places * BACK).max(1.0);
-        self.knee = self.places;
-        self.rest_until = self.rest_until.max(now + wait_ms.unwrap_or(REST_MS).max(REST_MS));
+    pub fn on_rejection(&mut self, retry_after_ms: Option<u64>, now: u64) {
+        self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
+        self.slow_growth_above = self.limit;
+        self.paused_until = self.paused_until.max(now + retry_after_ms.unwrap_or(MIN_PAUSE_MS).max(MIN_PAUSE_MS));
     }
 }
 
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use batch::page::{Page, State};
+use batch::page::{JobPage, JobState};
 use batch::sheet::{self, Batch};
-use batch::{ANSWER, BATCHES, BYTES, PAGE};
+use batch::{JOBS_PER_PAGE, MAX_BATCHES, MAX_BATCH_BYTES, MAX_RESPONSE_BYTES};
 use kernel::settings::Settings;
 use poem::{Endpoint, Request, Response};
 use protocol::config::{self, Route};
@@ -32,13 +32,13 @@
 }
 
 /// A page as the committed_state has it; one that was never written has all jobs waiting.
-pub fn page(committed_state: &CommittedState, id: &str, batch: &Batch, number: usize) -> Page {
-    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| Page::read_bytes(&entry.body));
+pub fn page(committed_state: &CommittedState, id: &str, batch: &Batch, number: usize) -> JobPage {
+    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| JobPage::read_bytes(&entry.body));
     held.unwrap_or_else(|| blank(batch, number))
 }
 
-pub fn blank(batch: &Batch, number: usize) -> Page {
-    Page::new(batch.jobs.len().saturating_sub(number * PAGE).min(PAGE))
+pub fn blank(batch: &Batch, number: usize) -> JobPage {
+    JobPage::new(batch.jobs.len().saturating_sub(number * JOBS_PER_PAGE).min(JOBS_PER_PAGE))
 }
 
 /// Ids of all batches that are not expired.
@@ -70,19 +70,19 @@
             let best = held.config().route_table.iter().filter(fits).max_by_key(|route| route.path_prefix.len())?;
             Some(best.route_type == "idempotent" || (best.route_type == "streaming" && best.resumable))
         };
-        let batch = match sheet::read(key, text, &route) {
+        let batch = match sheet::parse(key, text, &route) {
             Ok(batch) => batch,
             Err(words) => return Receipt::Bad(400, words),
         };
-        let id = sheet::id(key);
+        let id = sheet::batch_id(key);
         {
             let committed_state = controller.committed_state.lock().expect("committed_state");
             let ids = ids(&committed_state);
             let bytes: usize =
-                ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.bytes()).sum();
-            let answers = batch.jobs.len() * ANSWER;
+                ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.size_bytes()).sum();
+            let answers = batch.jobs.len() * MAX_RESPONSE_BYTES;
             let new = !ids.contains(&id);
-            let full = ids.len() >= BATCHES || bytes + batch.bytes() + answers > room(&controller.settings);
+            let full = ids.len() >= MAX_BATCHES || bytes + batch.size_bytes() + answers > room(&controller.settings);
             if new && full {
                 return Receipt::Full(60_000);
             }
@@ -123,9 +123,9 @@
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut counts: BTreeMap<&str, usize> = Default::default();
-        for number in 0..held.pages() {
+        for number in 0..held.page_count() {
             for state in page(&committed_state, id, &held, number).states {
-                *counts.entry(state.word()).or_default() += 1;
+                *counts.entry(state.as_str()).or_default() += 1;
             }
         }
         let open = counts.get("waiting").unwrap_or(&0) + counts.get("running").unwrap_or(&0);
@@ -137,7 +137,7 @@
         };
         let value = serde_json::json!({
             "batch": id, "state": word, "jobs": held.jobs.len(), "counts": counts,
-            "window_ms": held.window_ms, "left_ms": held.left_ms(),
+            "window_ms": held.window_ms, "left_ms": held.remaining_ms(),
         });
         Receipt::Text(value.to_string().into_bytes())
     }
@@ -164,11 +164,11 @@
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut list = Vec::new();
-        for (number, jobs) in held.jobs.chunks(PAGE).enumerate() {
+        for (number, jobs) in held.jobs.chunks(JOBS_PER_PAGE).enumerate() {
             let page = page(&committed_state, id, &held, number);
-            for (job, state) in jobs.iter().zip(&page.states).filter(|(_, state)| state.closed()) {
-                let mut value = serde_json::json!({ "name": job.name, "outcome": state.word() });
-                if let State::Done { status, body } = state {
+            for (job, state) in jobs.iter().zip(&page.states).filter(|(_, state)| state.is_final()) {
+                let mut value = serde_json::json!({ "name": job.name, "outcome": state.as_str() });
+                if let JobState::Completed { status, body } = state {
                     value["status"] = (*status).into();
                     value["body"] = body.as_str().into();
                 }
@@ -189,7 +189,7 @@
             _ => return Ok(control::write(Receipt::Bad(405, "method: GET or POST".into()))),
         }
         let key = req.header("idempotency-key").unwrap_or("").to_string();
-        let most = 2 * BYTES;
+        let most = 2 * MAX_BATCH_BYTES;
         let Ok(body) = req.take_body().into_bytes_limit(most).await else {
             return Ok(control::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
         };
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use batch::attempt::Outcome;
+use batch::attempt::AttemptOutcome;
 use batch::sheet::Job;
-use batch::turn::Press;
-use batch::ANSWER;
+use batch::turn::Urgency;
+use batch::MAX_RESPONSE_BYTES;
 use kernel::clock;
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, Response};
@@ -18,9 +18,9 @@
 /// Answers that leave open whether it has run.
 const UNCLEAR: [u16; 3] = [500, 502, 504];
 
-pub async fn send(client: &Client, router: &str, job: &Job, press: Press, left_ms: u64) -> Outcome {
+pub async fn send(client: &Client, router: &str, job: &Job, press: Urgency, left_ms: u64) -> AttemptOutcome {
     let Ok(method) = Method::from_bytes(job.method.as_bytes()) else {
-        return Outcome::Answered { status: 400, body: String::new() };
+        return AttemptOutcome::Completed { status: 400, body: String::new() };
     };
     let left_ms = left_ms.max(1);
     let mut call = client
@@ -29,21 +29,21 @@
         .header("host", &job.host)
         .header(ATTEMPT_ID, format!("{:016x}", clock::incarnation()))
         .header(TIME_BUDGET, left_ms.to_string())
-        .header(DEFERRABLE, if press == Press::Near { "near" } else { "idle" });
-    for (name, value) in &job.head {
+        .header(DEFERRABLE, if press == Urgency::DeadlineNear { "near" } else { "idle" });
+    for (name, value) in &job.headers {
         call = call.header(name, value);
     }
     let reply = match call.body(job.body.clone()).send().await {
         Ok(reply) => reply,
-        Err(error) if error.is_connect() => return Outcome::NotRun { retry_after_ms: None },
-        Err(_) => return Outcome::Lost,
+        Err(error) if error.is_connect() => return AttemptOutcome::NotExecuted { retry_after_ms: None },
+        Err(_) => return AttemptOutcome::Unknown,
     };
     let status = reply.status().as_u16();
     if PROMISES.contains(&status) {
-        return Outcome::NotRun { retry_after_ms: retry_after_ms(&reply) };
+        return AttemptOutcome::NotExecuted { retry_after_ms: retry_after_ms(&reply) };
     }
     if UNCLEAR.contains(&status) {
-        return Outcome::Lost;
+        return AttemptOutcome::Unknown;
     }
     read_body(reply).await
 }
@@ -53,19 +53,22 @@
     Some((seconds * 1000.0) as u64)
 }
 
-async fn read_body(mut reply: Response) -> Outcome {
+async fn read_body(mut reply: Response) -> AttemptOutcome {
     let status = reply.status().as_u16();
     let mut body = Vec::new();
     loop {
         match reply.chunk().await {
             Ok(Some(piece)) => body.extend_from_slice(&piece),
             Ok(None) => break,
-            Err(_) => return Outcome::Lost,
+            Err(_) => return AttemptOutcome::Unknown,
         }
-        if body.len() > ANSWER {
+        if body.len() > MAX_RESPONSE_BYTES {
             // Told plainly rather than cut: the answer is larger than a receipt may be.
-            return Outcome::Answered { status: 507, body: format!("answer over {} bytes", ANSWER) };
+            return AttemptOutcome::Completed {
+                status: 507,
+                body: format!("answer over {} bytes", MAX_RESPONSE_BYTES),
+            };
         }
     }
-    Outcome::Answered { status, body: String::from_utf8_lossy(&body).into_owned() }
+    AttemptOutcome::Completed { status, body: String::from_utf8_lossy(&body).into_owned() }
 }
--- a/controller/src/outbound_tests.rs
+++ b/controller/src/outbound_tests.rs
@@ -2,9 +2,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::attempt::Outcome;
+use batch::attempt::AttemptOutcome;
 use batch::sheet::Job;
-use batch::turn::Press;
+use batch::turn::Urgency;
 use protocol::socket;
 use reqwest::Client;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -77,14 +77,14 @@
         method: "POST".into(),
         host: "h.example".into(),
         path: "/x".into(),
-        head: Vec::new(),
+        headers: Vec::new(),
         body: "b".into(),
         repeatable,
     }
 }
 
-async fn send(server: &Server, client: &Client) -> Outcome {
-    job_request::send(client, &server.address, &job(false), Press::Idle, 10_000).await
+async fn send(server: &Server, client: &Client) -> AttemptOutcome {
+    job_request::send(client, &server.address, &job(false), Urgency::Background, 10_000).await
 }
 
 fn client() -> Client {
@@ -95,14 +95,14 @@
 async fn a_redirect_is_an_answer_and_never_sends_a_job_again() {
     let server = server(&[REDIRECT, OK]).await;
     let outcome = send(&server, &client()).await;
-    assert!(matches!(outcome, Outcome::Answered { status: 307, .. }));
+    assert!(matches!(outcome, AttemptOutcome::Completed { status: 307, .. }));
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
 async fn a_job_whose_connection_ends_without_an_answer_is_lost_and_sent_once() {
     let server = server(&[Reply::Close, OK]).await;
-    assert!(matches!(send(&server, &client()).await, Outcome::Lost));
+    assert!(matches!(send(&server, &client()).await, AttemptOutcome::Unknown));
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
 }
 
@@ -111,9 +111,9 @@
     let server = server(&[OK, OK, Reply::Close, OK]).await;
     let client = client();
     for _ in 0..2 {
-        assert!(matches!(send(&server, &client).await, Outcome::Answered { status: 200, .. }));
+        assert!(matches!(send(&server, &client).await, AttemptOutcome::Completed { status: 200, .. }));
     }
-    assert!(matches!(send(&server, &client).await, Outcome::Lost));
+    assert!(matches!(send(&server, &client).await, AttemptOutcome::Unknown));
     assert_eq!(server.requests.load(Ordering::SeqCst), 3);
     assert_eq!(server.connections.load(Ordering::SeqCst), 3);
 }
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use batch::page::{Bar, Page, State};
+use batch::page::{JobPage, JobState, PageError};
 use batch::sheet::Batch;
-use batch::turn::{self, Pace, View};
-use batch::{KEEP_MS, PAGE};
+use batch::turn::{self, BatchView, ConcurrencyLimit};
+use batch::{JOBS_PER_PAGE, RETENTION_MS};
 use kernel::{clock, startup};
 use protocol::socket::SILENCE_MS;
 use reqwest::Client;
@@ -61,7 +61,7 @@
     pub jobs: HashSet<(String, usize)>,
     /// Attempts that were lost, by job.
     pub lost: HashMap<(String, usize), u32>,
-    pub pace: Pace,
+    pub pace: ConcurrencyLimit,
 }
 
 /// A batch that has jobs to send.
@@ -78,7 +78,7 @@
     let controller = controller.clone();
     tokio::spawn(async move {
         let mut beat = startup::interval(LOOK_MS);
-        let pace = Pace::new(PLACES);
+        let pace = ConcurrencyLimit::new(PLACES);
         let in_flight: Shared = Arc::new(Mutex::new(InFlight { jobs: HashSet::new(), lost: HashMap::new(), pace }));
         let mut runner = Runner::default();
         loop {
@@ -125,7 +125,7 @@
         open.push(Open { id: id.clone(), batch, waiting });
     }
     for send in next(&open, in_flight, now) {
-        in_flight.lock().expect("in flight").jobs.insert((send.id.clone(), send.job));
+        in_flight.lock().expect("in flight").jobs.insert((send.batch_id.clone(), send.job));
         controller.shutdown.spawn(job_run::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
     }
 }
@@ -135,26 +135,26 @@
     let committed_state = controller.committed_state.lock().expect("committed_state");
     let in_flight = in_flight.lock().expect("in flight");
     let mut list = Vec::new();
-    for number in 0..batch.pages() {
+    for number in 0..batch.page_count() {
         let page = batches::page(&committed_state, id, batch, number);
-        let waits = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
-        list.extend(waits.map(|(slot, _)| number * PAGE + slot));
+        let waits = page.states.iter().enumerate().filter(|(_, state)| **state == JobState::Waiting);
+        list.extend(waits.map(|(slot, _)| number * JOBS_PER_PAGE + slot));
     }
     list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
     list
 }
 
 /// What to send now, into the places that are free.
-fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<turn::Send> {
+fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<turn::Dispatch> {
     let in_flight = in_flight.lock().expect("in flight");
-    let free = in_flight.pace.free(in_flight.jobs.len(), now);
-    let views = open.iter().map(|open| View {
-        id: &open.id,
-        left_ms: open.batch.left_ms(),
+    let free = in_flight.pace.available(in_flight.jobs.len(), now);
+    let views = open.iter().map(|open| BatchView {
+        batch_id: &open.id,
+        remaining_ms: open.batch.remaining_ms(),
         window_ms: open.batch.window_ms,
         waiting: open.waiting.clone(),
     });
-    turn::next(&views.collect::<Vec<_>>(), free)
+    turn::next_dispatches(&views.collect::<Vec<_>>(), free)
 }
 
 /// Changes one page under this owner's epoch. Some(false): another owner holds it, or the job has its
@@ -164,10 +164,10 @@
     id: &str,
     batch: &Batch,
     number: usize,
-    mut act: impl FnMut(&mut Page) -> Result<(), Bar>,
+    mut act: impl FnMut(&mut JobPage) -> Result<(), PageError>,
 ) -> Option<bool> {
     let judge = |body: &[u8]| {
-        let mut page = Page::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
+        let mut page = JobPage::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
         match act(&mut page) {
             Ok(()) if page.write_bytes() == body => Decision::Answer(true),
             Ok(()) => Decision::Write(page.write_bytes(), true),
@@ -181,8 +181,8 @@
     let Some(batch) = batches::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
         return false;
     };
-    for number in 0..batch.pages() {
-        let again = |at: usize| batch.jobs.get(number * PAGE + at).is_some_and(|job| job.repeatable);
+    for number in 0..batch.page_count() {
+        let again = |at: usize| batch.jobs.get(number * JOBS_PER_PAGE + at).is_some_and(|job| job.repeatable);
         let taken = change(controller, id, &batch, number, |page| match page.epoch == epoch {
             true => Ok(()),
             false => page.claim(epoch, again),
@@ -200,13 +200,13 @@
     let (held, done) = {
         let committed_state = controller.committed_state.lock().expect("committed_state");
         let held = batches::batch(&committed_state, id)?;
-        let done = (0..held.pages()).all(|number| batches::page(&committed_state, id, &held, number).closed());
+        let done = (0..held.page_count()).all(|number| batches::page(&committed_state, id, &held, number).is_final());
         (held, done)
     };
     let held = count_down(controller, id, held, spent, done).await?;
-    let ends = held.cancelled || held.left_ms() == 0;
+    let ends = held.cancelled || held.remaining_ms() == 0;
     if ends && !done {
-        let state = if held.cancelled { State::Cancelled } else { State::Missed };
+        let state = if held.cancelled { JobState::Cancelled } else { JobState::DeadlineMissed };
         end(controller, id, &held, state, epoch).await;
     }
     (!ends && !done).then_some(held)
@@ -214,16 +214,16 @@
 
 /// Written in steps, so that the count outlives this owner without a write for each look.
 async fn count_down(controller: &Controller, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
-    let step = if done { KEEP_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
+    let step = if done { RETENTION_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
     let tally = controller.tallies.lock().expect("tallies").add(id, spent);
-    let over = held.spent_ms + tally >= held.window_ms;
-    if tally < step && !(over && held.spent_ms < held.window_ms) {
+    let over = held.elapsed_ms + tally >= held.window_ms;
+    if tally < step && !(over && held.elapsed_ms < held.window_ms) {
         return Some(held);
     }
     let gone = controller.tallies.lock().expect("tallies").take(id);
     let judge = |body: &[u8]| {
         let Some(mut next) = Batch::read_bytes(body) else { return Decision::Answer(()) };
-        match next.tick(held.spent_ms, gone, done) {
+        match next.add_elapsed(held.elapsed_ms, gone, done) {
             true => Decision::Write(next.write_bytes(), ()),
             false => Decision::Answer(()),
         }
@@ -233,13 +233,13 @@
 }
 
 /// Closes the jobs that still wait.
-async fn end(controller: &Controller, id: &str, batch: &Batch, state: State, epoch: u64) {
-    for number in 0..batch.pages() {
-        let close = |page: &mut Page| {
+async fn end(controller: &Controller, id: &str, batch: &Batch, state: JobState, epoch: u64) {
+    for number in 0..batch.page_count() {
+        let close = |page: &mut JobPage| {
             if page.epoch != epoch {
-                return Err(Bar::Epoch);
+                return Err(PageError::StaleEpoch);
             }
-            let waits = page.states.iter_mut().filter(|state| **state == State::Waiting);
+            let waits = page.states.iter_mut().filter(|state| **state == JobState::Waiting);
             waits.for_each(|held| *held = state.clone());
             Ok(())
         };
--- a/tidepoint/src/rehearse.rs
+++ b/tidepoint/src/rehearse.rs
@@ -5,18 +5,33 @@
 use crate::flags::Rehearse;
 
 pub fn run(flags: &Rehearse) -> Result<(), String> {
-    let plan = offpeak::plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
-    let (with, without) = (offpeak::run(&plan, true), offpeak::run(&plan, false));
-    println!("{} jobs, window {} ms, {} halls of {} engines", plan.jobs, plan.window_ms, plan.halls, plan.engines);
-    println!("halls leave at {:?}, owner crashes at {:?}, freezes at {:?}", plan.leave, plan.crash, plan.freeze);
-    println!("answered {}, unknown {}, missed {}, open {}", with.done, with.unknown, with.missed, with.open);
-    println!("answered twice {}, run twice {}, invented {}", with.twice_answered, with.twice_run, with.invented);
-    println!("last receipt at {} ms; sends refused for want of room: {}", with.last_ms, with.refused);
+    let plan = offpeak::reference_plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
+    let (with, without) = (offpeak::simulate(&plan, true), offpeak::simulate(&plan, false));
+    println!(
+        "{} jobs, window {} ms, {} halls of {} engines",
+        plan.jobs, plan.window_ms, plan.zones, plan.engines_per_zone
+    );
+    println!(
+        "halls leave at {:?}, owner crashes at {:?}, freezes at {:?}",
+        plan.zone_evacuations, plan.owner_crashes, plan.owner_freezes
+    );
+    println!(
+        "answered {}, unknown {}, missed {}, open {}",
+        with.completed, with.unknown, with.deadline_missed, with.unfinished
+    );
+    println!(
+        "answered twice {}, run twice {}, invented {}",
+        with.answered_twice, with.run_twice, with.receipts_without_run
+    );
+    println!(
+        "last receipt at {} ms; sends refused for want of room: {}",
+        with.last_receipt_ms, with.rejected_dispatches
+    );
     println!(
         "interactive p50 {} ms with, {} ms without; p99 {} ms with, {} ms without",
-        with.p50_ms, without.p50_ms, with.p99_ms, without.p99_ms
+        with.interactive_p50_ms, without.interactive_p50_ms, with.interactive_p99_ms, without.interactive_p99_ms
     );
-    if with.twice_answered + with.twice_run + with.invented + with.open > 0 {
+    if with.answered_twice + with.run_twice + with.receipts_without_run + with.unfinished > 0 {
         return Err("a job was not answered exactly once".into());
     }
     Ok(())
--- a/tidepoint/tests/whole.rs
+++ b/tidepoint/tests/whole.rs
@@ -206,7 +206,7 @@
     assert_eq!(runs, 5, "each job run once");
     // Room is bounded, and full storage says when to come back.
     let one = serde_json::json!({"window_s": 5, "jobs": [jobs[0].clone()]}).to_string();
-    let full = (0..batch::BATCHES).map(|at| submit(&format!("more-{at}"), &one)).find(|head| status(head) != "200");
+    let full = (0..batch::MAX_BATCHES).map(|at| submit(&format!("more-{at}"), &one)).find(|head| status(head) != "200");
     let full = full.expect("full at last");
     assert_eq!(status(&full), "503");
     assert!(full.get("retry-after").parse::<f64>().is_ok_and(|wait| wait > 0.0));
