--- a/batch/src/attempt.rs
+++ b/batch/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at a job: what came of it, and the job's state after it.
 
-use crate::page::JobState;
+use crate::JobState;
 
 /// A repeatable job whose attempts end so many times without an answer is given up.
 pub const MAX_ATTEMPTS: u32 = 6;
--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -5,7 +5,7 @@
 use kernel::clock::Rng;
 
 use super::{state_after, AttemptOutcome, MAX_ATTEMPTS};
-use crate::page::{JobPage, JobState, PageError};
+use crate::{JobPage, JobState, PageError};
 
 const JOBS: usize = 6;
 const OWNERS: usize = 3;
--- a/batch/src/turn.rs
+++ b/batch/src/dispatch.rs
@@ -86,5 +86,5 @@
 }
 
 #[cfg(test)]
-#[path = "turn_tests.rs"]
+#[path = "dispatch_tests.rs"]
 mod tests;
--- a/batch/src/page.rs
+++ b/batch/src/job_page.rs
@@ -1,6 +1,6 @@
 //! The durable state of up to `JOBS_PER_PAGE` jobs: what one key of the ledger holds.
 
-use crate::sheet::Batch;
+use crate::Batch;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum JobState {
@@ -107,5 +107,5 @@
 kernel::bytes!(Batch);
 
 #[cfg(test)]
-#[path = "page_tests.rs"]
+#[path = "job_page_tests.rs"]
 mod tests;
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -1,15 +1,15 @@
 //! Deferrable work: batches of jobs that wait for idle engines, each job answered exactly once.
 //! Pure: what is durable comes in and goes out as values; time comes in with every call.
-pub mod attempt;
-pub mod page;
-pub mod rehearsal;
-pub mod sheet;
-pub mod turn;
+mod attempt;
+mod dispatch;
+mod job_page;
+mod specification;
+pub mod testing;
 
-#[cfg(test)]
-mod sim;
-
-pub mod offpeak;
+pub use attempt::{state_after, AttemptOutcome, MAX_ATTEMPTS};
+pub use dispatch::{next_dispatches, urgency, BatchView, ConcurrencyLimit, Dispatch, Urgency};
+pub use job_page::{JobPage, JobState, PageError};
+pub use specification::{batch_id, parse, Batch, Job, RouteLookup};
 
 /// Bounds, stated in docs/batches.md and checked when a batch is submitted.
 pub const MAX_JOBS: usize = 256;
--- a/batch/src/sheet.rs
+++ b/batch/src/specification.rs
@@ -168,5 +168,5 @@
 }
 
 #[cfg(test)]
-#[path = "sheet_tests.rs"]
+#[path = "specification_tests.rs"]
 mod tests;
--- /dev/null
+++ b/batch/src/testing/mod.rs
@@ -0,0 +1,10 @@
+//! A simulation of a fleet that runs a batch beside interactive work, for tests and for `tidepoint rehearse`.
+
+mod plan;
+mod simulation;
+
+pub use plan::{reference_plan, SimulationPlan, SimulationReport};
+pub use simulation::simulate;
+
+#[cfg(test)]
+mod simulation_tests;
--- a/batch/src/offpeak.rs
+++ b/batch/src/testing/simulation.rs
@@ -2,16 +2,15 @@
 //! goes, a batch that fills what is idle, halls that leave, owners that crash or freeze. Seeded and in
 //! virtual time: the same input gives the same report.
 
+mod interruptions;
+
 use std::collections::BTreeSet;
 use std::mem;
 
 use kernel::clock::Rng;
 
-use crate::page::{JobPage, JobState};
-use crate::turn::{self, BatchView, ConcurrencyLimit, Urgency};
-use crate::JOBS_PER_PAGE;
-
-pub use crate::rehearsal::{reference_plan, SimulationPlan, SimulationReport};
+use super::plan::{SimulationPlan, SimulationReport};
+use crate::{next_dispatches, BatchView, ConcurrencyLimit, Dispatch, JobPage, JobState, Urgency, JOBS_PER_PAGE};
 
 enum Work {
     Errand { born: u64 },
@@ -220,12 +219,12 @@
         }
         let free = self.owners[at].pace.available(self.owners[at].under_way.len(), self.now);
         let view = BatchView { batch_id: "b", remaining_ms, window_ms: self.plan.window_ms, waiting };
-        for send in turn::next_dispatches(&[view], free) {
+        for send in next_dispatches(&[view], free) {
             self.send(at, send);
         }
     }
 
-    fn send(&mut self, at: usize, send: turn::Dispatch) {
+    fn send(&mut self, at: usize, send: Dispatch) {
         let share = if send.urgency == Urgency::DeadlineNear { 0.75 } else { 0.5 };
         let room = (self.plan.slots_per_engine as f64 * share) as usize;
         let fit = self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.running.len() < room);
@@ -246,6 +245,3 @@
         self.engines[place].running.push(Run { ends, work: Work::Job { at: send.job, owner: at } });
     }
 }
-
-#[path = "offpeak_end.rs"]
-mod end;
--- a/batch/src/offpeak_end.rs
+++ b/batch/src/testing/simulation/interruptions.rs
@@ -2,8 +2,9 @@
 
 use std::mem;
 
-use super::{SimulationReport, World};
-use crate::page::JobState;
+use super::World;
+use crate::testing::SimulationReport;
+use crate::JobState;
 
 impl World<'_> {
     /// Every so many of the streams under way breaks off without an answer; engines stay.
--- a/batch/src/sim.rs
+++ b/batch/src/testing/simulation_tests.rs
@@ -2,7 +2,7 @@
 
 use kernel::clock::Rng;
 
-use crate::offpeak::{self, SimulationReport};
+use super::{reference_plan, simulate, SimulationReport};
 
 fn honest(report: &SimulationReport, jobs: usize) {
     assert_eq!((report.answered_twice, report.run_twice, report.receipts_without_run), (0, 0, 0), "{report:?}");
@@ -17,8 +17,8 @@
 #[test]
 fn an_off_peak_run_survives_halls_that_leave_and_ends_inside_its_window() {
     for seed in 1..=8 {
-        let plan = offpeak::reference_plan(seed, 240);
-        let report = offpeak::simulate(&plan, true);
+        let plan = reference_plan(seed, 240);
+        let report = simulate(&plan, true);
         honest(&report, plan.jobs);
         assert_eq!(report.deadline_missed, 0, "{report:?}");
         assert!(report.last_receipt_ms <= plan.window_ms, "{report:?}");
@@ -28,15 +28,15 @@
 
 #[test]
 fn the_same_seed_gives_the_same_report() {
-    let plan = offpeak::reference_plan(5, 100);
-    assert_eq!(offpeak::simulate(&plan, true), offpeak::simulate(&plan, true));
+    let plan = reference_plan(5, 100);
+    assert_eq!(simulate(&plan, true), simulate(&plan, true));
 }
 
 #[test]
 fn interactive_work_hardly_feels_the_batch() {
     for seed in 1..=5 {
-        let plan = offpeak::reference_plan(seed, 240);
-        let (with, without) = (offpeak::simulate(&plan, true), offpeak::simulate(&plan, false));
+        let plan = reference_plan(seed, 240);
+        let (with, without) = (simulate(&plan, true), simulate(&plan, false));
         assert!(
             with.interactive_served > 1000
                 && with.interactive_served.abs_diff(without.interactive_served) < with.interactive_served / 5
@@ -50,12 +50,12 @@
 fn owners_that_crash_and_wake_late_never_answer_twice() {
     for seed in 1..=30 {
         let mut dice = Rng::new(seed);
-        let mut plan = offpeak::reference_plan(seed, 96);
+        let mut plan = reference_plan(seed, 96);
         plan.non_repeatable_every = 1 + dice.below(3) as usize;
         plan.owner_crashes = (0..3).map(|_| 500 + dice.below(plan.window_ms)).collect();
         plan.owner_freezes = (0..3).map(|_| (500 + dice.below(plan.window_ms), 2000 + dice.below(9000))).collect();
         plan.zone_evacuations = vec![(500 + dice.below(plan.window_ms), dice.below(3) as usize)];
-        honest(&offpeak::simulate(&plan, true), plan.jobs);
+        honest(&simulate(&plan, true), plan.jobs);
     }
 }
 
@@ -63,30 +63,30 @@
 fn killing_everything_and_losing_routers_never_answers_twice() {
     for seed in 1..=20 {
         let mut dice = Rng::new(seed);
-        let mut plan = offpeak::reference_plan(seed, 96);
+        let mut plan = reference_plan(seed, 96);
         plan.non_repeatable_every = 1 + dice.below(3) as usize;
         plan.system_kills = (0..3).map(|_| 500 + dice.below(plan.window_ms)).collect();
         plan.router_losses = (0..4).map(|_| 500 + dice.below(plan.window_ms)).collect();
-        honest(&offpeak::simulate(&plan, true), plan.jobs);
+        honest(&simulate(&plan, true), plan.jobs);
     }
 }
 
 #[test]
 fn a_window_that_cannot_be_made_is_told_plainly() {
-    let mut plan = offpeak::reference_plan(3, 200);
+    let mut plan = reference_plan(3, 200);
     plan.window_ms = 2500;
     (plan.zone_evacuations, plan.owner_crashes, plan.owner_freezes) = (Vec::new(), Vec::new(), Vec::new());
     (plan.system_kills, plan.router_losses) = (Vec::new(), Vec::new());
-    let report = offpeak::simulate(&plan, true);
+    let report = simulate(&plan, true);
     honest(&report, plan.jobs);
     assert!(report.deadline_missed > 0 && report.completed > 0, "{report:?}");
 }
 
 #[test]
 fn with_no_hall_left_every_job_still_ends() {
-    let mut plan = offpeak::reference_plan(4, 64);
+    let mut plan = reference_plan(4, 64);
     plan.zone_evacuations = vec![(900, 0), (1000, 1), (1100, 2)];
-    let report = offpeak::simulate(&plan, true);
+    let report = simulate(&plan, true);
     honest(&report, plan.jobs);
     assert!(report.deadline_missed > 0, "{report:?}");
 }
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -3,9 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use batch::page::{JobPage, JobState};
-use batch::sheet::{self, Batch};
-use batch::{JOBS_PER_PAGE, MAX_BATCHES, MAX_BATCH_BYTES, MAX_RESPONSE_BYTES};
+use batch::{Batch, JobPage, JobState, JOBS_PER_PAGE, MAX_BATCHES, MAX_BATCH_BYTES, MAX_RESPONSE_BYTES};
 use kernel::settings::Settings;
 use poem::{Endpoint, Request, Response};
 use protocol::config::{self, Route};
@@ -70,11 +68,11 @@
             let best = held.config().route_table.iter().filter(fits).max_by_key(|route| route.path_prefix.len())?;
             Some(best.route_type == "idempotent" || (best.route_type == "streaming" && best.resumable))
         };
-        let batch = match sheet::parse(key, text, &route) {
+        let batch = match batch::parse(key, text, &route) {
             Ok(batch) => batch,
             Err(words) => return Receipt::Bad(400, words),
         };
-        let id = sheet::batch_id(key);
+        let id = batch::batch_id(key);
         {
             let committed_state = controller.committed_state.lock().expect("committed_state");
             let ids = ids(&committed_state);
--- a/controller/src/job_request.rs
+++ b/controller/src/job_request.rs
@@ -2,10 +2,7 @@
 
 use std::time::Duration;
 
-use batch::attempt::AttemptOutcome;
-use batch::sheet::Job;
-use batch::turn::Urgency;
-use batch::MAX_RESPONSE_BYTES;
+use batch::{AttemptOutcome, Job, Urgency, MAX_RESPONSE_BYTES};
 use kernel::clock;
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, Response};
--- a/controller/src/job_run.rs
+++ b/controller/src/job_run.rs
@@ -3,9 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::attempt::{state_after, AttemptOutcome};
-use batch::page::JobState;
-use batch::{turn, JOBS_PER_PAGE};
+use batch::{state_after, AttemptOutcome, Dispatch, JobState, JOBS_PER_PAGE};
 use kernel::clock;
 use reqwest::Client;
 use tokio::time;
@@ -18,7 +16,7 @@
 /// A job never gets longer than this for one attempt, whatever its route says.
 const ATTEMPT_MS: u64 = 120_000;
 
-pub async fn run(controller: Arc<Controller>, client: Client, in_flight: Shared, send: turn::Dispatch, epoch: u64) {
+pub async fn run(controller: Arc<Controller>, client: Client, in_flight: Shared, send: Dispatch, epoch: u64) {
     attempt(&controller, &client, &in_flight, &send, epoch).await;
     in_flight.lock().expect("in flight").jobs.remove(&(send.batch_id.clone(), send.job));
 }
@@ -27,7 +25,7 @@
     controller: &Arc<Controller>,
     client: &Client,
     in_flight: &Shared,
-    send: &turn::Dispatch,
+    send: &Dispatch,
     epoch: u64,
 ) -> Option<()> {
     let (id, at) = (send.batch_id.as_str(), send.job);
@@ -59,7 +57,7 @@
 
 impl InFlight {
     /// Counts what came of an attempt; gives the job's state after it.
-    fn note(&mut self, send: &turn::Dispatch, outcome: AttemptOutcome, repeatable: bool) -> JobState {
+    fn note(&mut self, send: &Dispatch, outcome: AttemptOutcome, repeatable: bool) -> JobState {
         let mut lost = 0;
         match &outcome {
             AttemptOutcome::Completed { .. } => self.pace.on_success(),
--- a/controller/src/outbound_tests.rs
+++ b/controller/src/outbound_tests.rs
@@ -2,9 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::attempt::AttemptOutcome;
-use batch::sheet::Job;
-use batch::turn::Urgency;
+use batch::{AttemptOutcome, Job, Urgency};
 use protocol::socket;
 use reqwest::Client;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use batch::page::{JobPage, JobState, PageError};
-use batch::sheet::Batch;
-use batch::turn::{self, BatchView, ConcurrencyLimit};
-use batch::{JOBS_PER_PAGE, RETENTION_MS};
+use batch::{
+    next_dispatches, Batch, BatchView, ConcurrencyLimit, Dispatch, JobPage, JobState, PageError, JOBS_PER_PAGE,
+    RETENTION_MS,
+};
 use kernel::{clock, startup};
 use protocol::socket::SILENCE_MS;
 use reqwest::Client;
@@ -145,7 +145,7 @@
 }
 
 /// What to send now, into the places that are free.
-fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<turn::Dispatch> {
+fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<Dispatch> {
     let in_flight = in_flight.lock().expect("in flight");
     let free = in_flight.pace.available(in_flight.jobs.len(), now);
     let views = open.iter().map(|open| BatchView {
@@ -154,7 +154,7 @@
         window_ms: open.batch.window_ms,
         waiting: open.waiting.clone(),
     });
-    turn::next_dispatches(&views.collect::<Vec<_>>(), free)
+    next_dispatches(&views.collect::<Vec<_>>(), free)
 }
 
 /// Changes one page under this owner's epoch. Some(false): another owner holds it, or the job has its
--- a/tidepoint/src/rehearse.rs
+++ b/tidepoint/src/rehearse.rs
@@ -1,12 +1,12 @@
 //! An off-peak run in the simulation, at a size of one's own.
 
-use batch::offpeak;
+use batch::testing::{reference_plan, simulate};
 
 use crate::flags::Rehearse;
 
 pub fn run(flags: &Rehearse) -> Result<(), String> {
-    let plan = offpeak::reference_plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
-    let (with, without) = (offpeak::simulate(&plan, true), offpeak::simulate(&plan, false));
+    let plan = reference_plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
+    let (with, without) = (simulate(&plan, true), simulate(&plan, false));
     println!(
         "{} jobs, window {} ms, {} halls of {} engines",
         plan.jobs, plan.window_ms, plan.zones, plan.engines_per_zone
