--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -29,58 +29,59 @@
     }
 
     /// What the bound leaves above the limit.
-    fn spare(&self, quota: &Quota) -> f64 {
+    fn headroom(&self, quota: &Quota) -> f64 {
         self.limit(quota) * self.overage + self.slack
     }
 
     /// The most requests in a window.
-    pub fn most(&self, quota: &Quota) -> f64 {
-        self.limit(quota) + self.spare(quota)
+    pub fn max_requests(&self, quota: &Quota) -> f64 {
+        self.limit(quota) + self.headroom(quota)
     }
 }
 
 /// All routers together may send this many times what the bound leaves above the limit. So three of five of them may be cut
-/// off while the others are given the whole limit, and all of them while nobody mints for a second.
-const PART_OF_SPARE: f64 = 1.6;
-/// And never more than this part of the whole bound, which draws by chance may exceed a little.
-const PART_OF_ALL: f64 = 0.6;
+/// off while the others are given the guaranteed limit, and all of them while nobody mints for a second.
+const MAX_MULTIPLE_OF_HEADROOM: f64 = 1.6;
+/// And never more than this part of the guaranteed bound, which draws by chance may exceed a little.
+const MAX_SHARE_OF_BOUND: f64 = 0.6;
 
 /// The allowances of one router, by tenant.
 pub struct Allowances {
     bounds: Bounds,
     /// What tells this router's draws from those of others.
-    mark: u64,
+    router_hash: u64,
     /// When requests were sent, by tenant. Invariant: none is older than a window.
     sent: HashMap<String, VecDeque<u64>>,
 }
 
 impl Allowances {
-    /// Those of a router by its mark.
-    pub fn new(bounds: Bounds, mark: u64) -> Allowances {
-        Allowances { bounds, mark, sent: HashMap::new() }
+    /// Those of a router by its router_hash.
+    pub fn new(bounds: Bounds, router_hash: u64) -> Allowances {
+        Allowances { bounds, router_hash, sent: HashMap::new() }
     }
 
     /// How many requests this router may send by itself in any window that ends now.
-    fn most(&self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> usize {
-        let all = (PART_OF_SPARE * self.bounds.spare(quota)).min(PART_OF_ALL * self.bounds.most(quota));
-        let part = all / f64::from(routers.max(1));
-        let whole = part.floor();
+    fn max_in_window(&self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> usize {
+        let total = (MAX_MULTIPLE_OF_HEADROOM * self.bounds.headroom(quota))
+            .min(MAX_SHARE_OF_BOUND * self.bounds.max_requests(quota));
+        let share = total / f64::from(routers.max(1));
+        let guaranteed = share.floor();
         let window = now / self.bounds.window_ms.max(1);
-        let seed = clock::combine_hashes(self.mark, clock::hash(tenant.as_bytes()));
+        let seed = clock::combine_hashes(self.router_hash, clock::hash(tenant.as_bytes()));
         let draw = clock::combine_hashes(seed, window) as f64 / u64::MAX as f64;
-        whole as usize + usize::from(draw < part - whole)
+        guaranteed as usize + usize::from(draw < share - guaranteed)
     }
 
     /// Takes one request of this router's own part, if there is one.
     pub fn try_acquire(&mut self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> bool {
-        let most = self.most(tenant, quota, routers, now);
+        let max = self.max_in_window(tenant, quota, routers, now);
         let window_ms = self.bounds.window_ms;
         self.sent.retain(|_, times| {
             times.retain(|time| now < time + window_ms);
             !times.is_empty()
         });
         let times = self.sent.entry(tenant.into()).or_default();
-        if times.len() >= most {
+        if times.len() >= max {
             return false;
         }
         times.push_back(now);
--- a/quota/src/bucket.rs
+++ b/quota/src/bucket.rs
@@ -34,31 +34,31 @@
 
 impl TokenBucket {
     /// An empty bucket that mints from a time on.
-    pub fn empty(minting_from: u64) -> TokenBucket {
-        TokenBucket { tokens: 0.0, refilled_at: minting_from }
+    pub fn empty(issue_from_ms: u64) -> TokenBucket {
+        TokenBucket { tokens: 0.0, refilled_at: issue_from_ms }
     }
 
-    /// Adds what was minted since the last time.
-    pub fn refill(&mut self, quota: &Quota, minting_now: u64) {
-        let elapsed_ms = minting_now.saturating_sub(self.refilled_at);
-        self.refilled_at = self.refilled_at.max(minting_now);
-        let minted = elapsed_ms as f64 * quota.rate_per_s / MS_PER_S;
-        self.tokens = (self.tokens + minted).min(quota.burst);
+    /// Adds what was issued since the last time.
+    pub fn refill(&mut self, quota: &Quota, issue_now_ms: u64) {
+        let elapsed_ms = issue_now_ms.saturating_sub(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(issue_now_ms);
+        let issued = elapsed_ms as f64 * quota.rate_per_s / MS_PER_S;
+        self.tokens = (self.tokens + issued).min(quota.burst);
     }
 
     /// Takes one token if there is one.
-    pub fn take(&mut self) -> bool {
-        let is_there = self.tokens >= 1.0;
-        if is_there {
+    pub fn try_acquire(&mut self) -> bool {
+        let is_available = self.tokens >= 1.0;
+        if is_available {
             self.tokens -= 1.0;
         }
-        is_there
+        is_available
     }
 
     /// How long until there is a token again, if nobody else takes it.
     pub fn next_token_ms(&self, quota: &Quota) -> u64 {
-        let lacking = (1.0 - self.tokens).max(0.0);
-        (lacking / quota.rate_per_s * MS_PER_S).ceil() as u64
+        let missing = (1.0 - self.tokens).max(0.0);
+        (missing / quota.rate_per_s * MS_PER_S).ceil() as u64
     }
 
     /// Tokens that can be taken now.
@@ -67,8 +67,8 @@
     }
 
     /// Forgets its tokens.
-    pub fn void(&mut self, minting_now: u64) {
-        *self = TokenBucket::empty(minting_now);
+    pub fn clear(&mut self, issue_now_ms: u64) {
+        *self = TokenBucket::empty(issue_now_ms);
     }
 }
 
--- a/quota/src/bucket_tests.rs
+++ b/quota/src/bucket_tests.rs
@@ -3,19 +3,19 @@
 
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 5.0 };
 
-fn taken(bucket: &mut TokenBucket, tries: usize) -> usize {
-    (0..tries).filter(|_| bucket.take()).count()
+fn acquire(bucket: &mut TokenBucket, attempts: usize) -> usize {
+    (0..attempts).filter(|_| bucket.try_acquire()).count()
 }
 
 #[test]
 fn it_fills_at_its_rate_up_to_its_burst() {
     let mut bucket = TokenBucket::empty(1000);
     bucket.refill(&QUOTA, 1000);
-    assert_eq!(taken(&mut bucket, 10), 0);
+    assert_eq!(acquire(&mut bucket, 10), 0);
     bucket.refill(&QUOTA, 1250);
-    assert_eq!(taken(&mut bucket, 10), 2);
+    assert_eq!(acquire(&mut bucket, 10), 2);
     bucket.refill(&QUOTA, 60_000);
-    assert_eq!(taken(&mut bucket, 10), 5);
+    assert_eq!(acquire(&mut bucket, 10), 5);
 }
 
 #[test]
@@ -23,7 +23,7 @@
     let mut bucket = TokenBucket::empty(0);
     bucket.refill(&QUOTA, 1000);
     bucket.refill(&Quota { rate_per_s: 1.0, burst: 2.0 }, 1000);
-    assert_eq!(taken(&mut bucket, 10), 2);
+    assert_eq!(acquire(&mut bucket, 10), 2);
 }
 
 #[test]
@@ -32,7 +32,7 @@
     bucket.refill(&QUOTA, 300);
     bucket.refill(&QUOTA, 100);
     bucket.refill(&QUOTA, 300);
-    assert_eq!(taken(&mut bucket, 10), 3);
+    assert_eq!(acquire(&mut bucket, 10), 3);
 }
 
 #[test]
--- a/quota/src/fleet.rs
+++ b/quota/src/fleet.rs
@@ -1,5 +1,5 @@
 //! A fleet of controllers and routers in virtual time, for tests: controllers confirm themselves at a majority and hear of one
-//! another as the real ones do (`roster`), and everything may be cut off, frozen, killed or lose its memory.
+//! another as the real ones do (`membership`), and everything may be cut off, frozen, killed or lose its memory.
 
 use std::{iter, mem};
 
@@ -9,27 +9,27 @@
 use crate::{shard_owners, Allowances, Bounds, EligibleOwner, Quota, Shards, TokenDecision, OWNER_EXPIRY_MS};
 
 const STEP_MS: u64 = 10;
-const BEAT_MS: u64 = 350;
+const HEARTBEAT_MS: u64 = 350;
 /// How often a router hears who lives.
-const FOLLOW_MS: u64 = 400;
-const SURE_MS: u64 = 1100;
+const SUBSCRIPTION_MS: u64 = 400;
+const CONFIRMATION_MS: u64 = 1100;
 /// The longest from a grant to the send.
-const LATEST_SEND_MS: u64 = 40;
+const MAX_SEND_DELAY_MS: u64 = 40;
 /// How long a router takes a tenant for refused after all its shards were empty.
-const MEMORY_MS: u64 = 30;
+const DENIAL_CACHE_MS: u64 = 30;
 
 pub const BOUNDS: Bounds = Bounds { window_ms: 5000, overage: 0.1, slack: 20.0 };
 
 /// Which guard is missing; each must break the bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    Sound,
+    Correct,
     /// What a controller held is taken over as soon as it is not heard.
-    TakesOverAtOnce,
+    ImmediateTakeover,
     /// A controller gives whether it is confirmed or not.
-    GivesWithoutLease,
+    NoLease,
     /// Who takes a shard over begins with a full one.
-    BeginsFull,
+    StartsFull,
 }
 
 pub struct Size {
@@ -39,21 +39,21 @@
 }
 
 struct Controller {
-    at: EligibleOwner,
-    roster: MembershipView,
+    identity: EligibleOwner,
+    membership: MembershipView,
     shards: Shards,
     confirmed_at: Option<u64>,
     frozen_until: u64,
-    cut_until: u64,
+    partitioned_until: u64,
 }
 
 struct Router {
     zone: usize,
-    known: Vec<EligibleOwner>,
+    eligible_owners: Vec<EligibleOwner>,
     allowances: Allowances,
     denied_until: Vec<u64>,
     frozen_until: u64,
-    cut_until: u64,
+    partitioned_until: u64,
     /// Requests that came while it was frozen.
     waiting: Vec<usize>,
 }
@@ -63,123 +63,124 @@
     pub quota: Quota,
     /// Requests a second that its clients make.
     pub demand: f64,
-    /// The zone from which most of them come.
+    /// The zone from which max of them come.
     pub zone: usize,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
-    pub asked: usize,
+pub struct RequestCounts {
+    pub received: usize,
     pub sent: usize,
     pub over_quota: usize,
-    pub refused_alone: usize,
+    pub rejected_without_owner: usize,
 }
 
 pub struct Fleet {
     pub now: u64,
-    pub dice: Rng,
+    pub rng: Rng,
     pub variant: Variant,
     pub tenants: Vec<Tenant>,
-    pub counts: Vec<Count>,
+    pub counts: Vec<RequestCounts>,
     /// Times of sends, by tenant.
     pub sends: Vec<Vec<u64>>,
     zones: usize,
     controllers: Vec<Controller>,
     routers: Vec<Router>,
-    zone_cut_until: Vec<u64>,
-    pair_cut_until: Vec<u64>,
+    zone_partitioned_until: Vec<u64>,
+    pair_partitioned_until: Vec<u64>,
 }
 
 impl Fleet {
     pub fn new(size: &Size, tenants: Vec<Tenant>, variant: Variant, seed: u64) -> Fleet {
         let controller = |at: usize| {
-            let place = EligibleOwner { ip: format!("10.0.{}.1", at), zone: format!("z{}", at % size.zones) };
-            new_controller(place, variant)
+            let identity = EligibleOwner { ip: format!("10.0.{}.1", at), zone: format!("z{}", at % size.zones) };
+            new_controller(identity, variant)
         };
         let router = |at: usize| Router {
             zone: at % size.zones,
-            known: Vec::new(),
+            eligible_owners: Vec::new(),
             allowances: Allowances::new(BOUNDS, clock::hash(format!("edge-{at}").as_bytes())),
             denied_until: vec![0; tenants.len()],
             frozen_until: 0,
-            cut_until: 0,
+            partitioned_until: 0,
             waiting: Vec::new(),
         };
         Fleet {
             now: 0,
-            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9) + 1),
+            rng: Rng::new(seed.wrapping_mul(0x9E37_79B9) + 1),
             variant,
-            counts: vec![Count::default(); tenants.len()],
+            counts: vec![RequestCounts::default(); tenants.len()],
             sends: vec![Vec::new(); tenants.len()],
             zones: size.zones,
             controllers: (0..size.controllers).map(controller).collect(),
             routers: (0..size.routers).map(router).collect(),
-            zone_cut_until: vec![0; size.zones],
-            pair_cut_until: vec![0; size.controllers * size.controllers],
+            zone_partitioned_until: vec![0; size.zones],
+            pair_partitioned_until: vec![0; size.controllers * size.controllers],
             tenants,
         }
     }
 
-    pub fn run(&mut self, time_ms: u64, trouble: bool) {
+    pub fn run(&mut self, time_ms: u64, has_faults: bool) {
         let end = self.now + time_ms;
         while self.now < end {
             self.now += STEP_MS;
-            if trouble {
-                self.trouble();
+            if has_faults {
+                self.inject_fault();
             }
-            self.beat_controllers();
-            self.follow();
-            self.demand();
+            self.run_heartbeats();
+            self.refresh_routers();
+            self.generate_requests();
         }
     }
 
     /// About one trouble in a second and a half.
-    fn trouble(&mut self) {
-        if self.dice.below(150) != 0 {
+    fn inject_fault(&mut self) {
+        if self.rng.below(150) != 0 {
             return;
         }
-        let until = self.now + 200 + self.dice.below(8000);
-        let controller = self.dice.below(self.controllers.len() as u64) as usize;
-        match self.dice.below(8) {
+        let until = self.now + 200 + self.rng.below(8000);
+        let controller = self.rng.below(self.controllers.len() as u64) as usize;
+        match self.rng.below(8) {
             0 => self.controllers[controller].frozen_until = until,
-            1 => self.controllers[controller].cut_until = until,
+            1 => self.controllers[controller].partitioned_until = until,
             2 => {
-                let other = self.dice.below(self.controllers.len() as u64) as usize;
+                let other = self.rng.below(self.controllers.len() as u64) as usize;
                 let pair = self.pair(controller, other);
-                self.pair_cut_until[pair] = until;
+                self.pair_partitioned_until[pair] = until;
             }
             3 => self.kill(controller, until.min(self.now + 3000)),
             4 => {
-                let zone = self.dice.below(self.zones as u64) as usize;
-                self.zone_cut_until[zone] = until;
+                let zone = self.rng.below(self.zones as u64) as usize;
+                self.zone_partitioned_until[zone] = until;
             }
-            5 => self.harm_routers(|router| router.cut_until = until),
-            6 => self.harm_routers(|router| router.frozen_until = until),
+            5 => self.fault_routers(|router| router.partitioned_until = until),
+            6 => self.fault_routers(|router| router.frozen_until = until),
             _ => (0..self.controllers.len()).for_each(|at| self.kill(at, self.now + 500)),
         }
     }
 
-    fn harm_routers(&mut self, harm: impl Fn(&mut Router)) {
-        let first = self.dice.below(self.routers.len() as u64) as usize;
+    fn fault_routers(&mut self, fault: impl Fn(&mut Router)) {
+        let first = self.rng.below(self.routers.len() as u64) as usize;
         let count = (self.routers.len() / 6).max(1);
         for step in 0..count {
             let at = (first + step) % self.routers.len();
-            harm(&mut self.routers[at]);
+            fault(&mut self.routers[at]);
         }
     }
 
     /// Ends a controller that holds a shard of a tenant for so long.
-    pub fn kill_holder(&mut self, tenant: usize, time_ms: u64) {
-        let live: Vec<EligibleOwner> = self.controllers.iter().map(|controller| controller.at.clone()).collect();
-        let ip = shard_owners(&self.tenants[tenant].name, &live)[0].ip.clone();
-        let at = self.controllers.iter().position(|controller| controller.at.ip == ip).expect("a controller");
+    pub fn kill_owner(&mut self, tenant: usize, time_ms: u64) {
+        let eligible: Vec<EligibleOwner> =
+            self.controllers.iter().map(|controller| controller.identity.clone()).collect();
+        let ip = shard_owners(&self.tenants[tenant].name, &eligible)[0].ip.clone();
+        let at = self.controllers.iter().position(|controller| controller.identity.ip == ip).expect("a controller");
         self.kill(at, self.now + time_ms);
     }
 
     /// A new life that remembers nothing.
     fn kill(&mut self, at: usize, until: u64) {
-        let place = self.controllers[at].at.clone();
-        self.controllers[at] = Controller { frozen_until: until, ..new_controller(place, self.variant) };
+        let identity = self.controllers[at].identity.clone();
+        self.controllers[at] = Controller { frozen_until: until, ..new_controller(identity, self.variant) };
     }
 
     fn pair(&self, one: usize, two: usize) -> usize {
@@ -190,95 +191,101 @@
         at % self.zones
     }
 
-    fn zones_linked(&self, one: usize, two: usize) -> bool {
-        one == two || (self.zone_cut_until[one] <= self.now && self.zone_cut_until[two] <= self.now)
+    fn are_zones_linked(&self, one: usize, two: usize) -> bool {
+        one == two || (self.zone_partitioned_until[one] <= self.now && self.zone_partitioned_until[two] <= self.now)
     }
 
     fn is_up(&self, at: usize) -> bool {
         self.controllers[at].frozen_until <= self.now
     }
 
-    fn linked(&self, one: usize, two: usize) -> bool {
-        let reachable = |at: usize| self.is_up(at) && self.controllers[at].cut_until <= self.now;
+    fn are_linked(&self, one: usize, two: usize) -> bool {
+        let reachable = |at: usize| self.is_up(at) && self.controllers[at].partitioned_until <= self.now;
         reachable(one)
             && reachable(two)
-            && self.pair_cut_until[self.pair(one, two)] <= self.now
-            && self.zones_linked(self.zone_of(one), self.zone_of(two))
+            && self.pair_partitioned_until[self.pair(one, two)] <= self.now
+            && self.are_zones_linked(self.zone_of(one), self.zone_of(two))
     }
 
     /// A cut takes a controller off from other controllers; routers reach it as long as they and their zones are not cut off.
     fn reaches(&self, router: usize, controller: usize) -> bool {
         let from = &self.routers[router];
-        self.is_up(controller) && from.cut_until <= self.now && self.zones_linked(from.zone, self.zone_of(controller))
+        self.is_up(controller)
+            && from.partitioned_until <= self.now
+            && self.are_zones_linked(from.zone, self.zone_of(controller))
     }
 
-    fn beat_controllers(&mut self) {
+    fn run_heartbeats(&mut self) {
         for at in 0..self.controllers.len() {
-            let beat = (self.now + at as u64 * 70).is_multiple_of(BEAT_MS);
-            if !beat || !self.is_up(at) {
+            let is_due = (self.now + at as u64 * 70).is_multiple_of(HEARTBEAT_MS);
+            if !is_due || !self.is_up(at) {
                 continue;
             }
-            self.gossip(at);
-            let heard = (0..self.controllers.len()).filter(|other| *other == at || self.linked(at, *other)).count();
-            if heard * 2 > self.controllers.len() {
+            self.send_heartbeats(at);
+            let reachable =
+                (0..self.controllers.len()).filter(|other| *other == at || self.are_linked(at, *other)).count();
+            if reachable * 2 > self.controllers.len() {
                 self.controllers[at].confirmed_at = Some(self.now);
             }
-            let (now, live) = (self.now, self.live(at));
+            let (now, eligible) = (self.now, self.eligible(at));
             let confirmed_at = self.confirmed_at(at);
-            self.controllers[at].shards.refresh(now, confirmed_at, live);
+            self.controllers[at].shards.refresh(now, confirmed_at, eligible);
         }
     }
 
     fn confirmed_at(&self, at: usize) -> Option<u64> {
         match self.variant {
-            Variant::GivesWithoutLease => Some(self.now),
+            Variant::NoLease => Some(self.now),
             _ => self.controllers[at].confirmed_at,
         }
     }
 
-    fn gossip(&mut self, at: usize) {
-        let (ip, now) = (self.controllers[at].at.ip.clone(), self.now);
-        let own = &self.controllers[at].roster;
-        let vouches = own.controllers.keys().filter(|peer| own.confirms(peer, now)).cloned().collect();
-        let sure = self.controllers[at].confirmed_at.is_some_and(|time| now < time + SURE_MS);
-        let report = PeerReport { confirmed: sure, confirmations: vouches, ..Default::default() };
-        let zone = self.controllers[at].at.zone.clone();
+    fn send_heartbeats(&mut self, at: usize) {
+        let (ip, now) = (self.controllers[at].identity.ip.clone(), self.now);
+        let own = &self.controllers[at].membership;
+        let confirmations = own.controllers.keys().filter(|peer| own.confirms(peer, now)).cloned().collect();
+        let confirmed = self.controllers[at].confirmed_at.is_some_and(|time| now < time + CONFIRMATION_MS);
+        let report = PeerReport { confirmed, confirmations, ..Default::default() };
+        let zone = self.controllers[at].identity.zone.clone();
         for other in (0..self.controllers.len()).filter(|other| *other != at) {
-            if self.linked(at, other) {
+            if self.are_linked(at, other) {
                 let peer = Peer { zone: zone.clone(), last_seen: now, ..Default::default() };
-                self.controllers[other].roster.observe(&ip, peer);
-                self.controllers[other].roster.report(&ip, report.clone(), now);
+                self.controllers[other].membership.observe(&ip, peer);
+                self.controllers[other].membership.report(&ip, report.clone(), now);
             }
         }
     }
 
     /// Who lives, as a controller sees it.
-    fn live(&self, at: usize) -> Vec<EligibleOwner> {
+    fn eligible(&self, at: usize) -> Vec<EligibleOwner> {
         let own = &self.controllers[at];
-        let gone = |ip: &str| match self.variant {
-            Variant::TakesOverAtOnce => own.roster.silent_ms(ip, self.now) > BEAT_MS + STEP_MS,
-            _ => own.roster.unavailable_ms(ip, self.now) >= OWNER_EXPIRY_MS,
+        let is_expired = |ip: &str| match self.variant {
+            Variant::ImmediateTakeover => own.membership.silent_ms(ip, self.now) > HEARTBEAT_MS + STEP_MS,
+            _ => own.membership.unavailable_ms(ip, self.now) >= OWNER_EXPIRY_MS,
         };
-        let others = self.controllers.iter().filter(|other| other.at.ip != own.at.ip && !gone(&other.at.ip));
-        iter::once(own.at.clone()).chain(others.map(|other| other.at.clone())).collect()
+        let others = self
+            .controllers
+            .iter()
+            .filter(|other| other.identity.ip != own.identity.ip && !is_expired(&other.identity.ip));
+        iter::once(own.identity.clone()).chain(others.map(|other| other.identity.clone())).collect()
     }
 
-    fn follow(&mut self) {
+    fn refresh_routers(&mut self) {
         for router in 0..self.routers.len() {
-            let beat = (self.now + router as u64 * 30).is_multiple_of(FOLLOW_MS);
-            if !beat || self.routers[router].frozen_until > self.now {
+            let is_due = (self.now + router as u64 * 30).is_multiple_of(SUBSCRIPTION_MS);
+            if !is_due || self.routers[router].frozen_until > self.now {
                 continue;
             }
             let zone = self.routers[router].zone;
-            let near = (0..self.controllers.len()).filter(|at| self.zone_of(*at) == zone);
-            let home = near.chain(0..self.controllers.len()).find(|at| self.reaches(router, *at));
-            if let Some(home) = home {
-                self.routers[router].known = self.live(home);
+            let same_zone = (0..self.controllers.len()).filter(|at| self.zone_of(*at) == zone);
+            let source = same_zone.chain(0..self.controllers.len()).find(|at| self.reaches(router, *at));
+            if let Some(source) = source {
+                self.routers[router].eligible_owners = self.eligible(source);
             }
         }
     }
 
-    fn demand(&mut self) {
+    fn generate_requests(&mut self) {
         for router in 0..self.routers.len() {
             if self.routers[router].frozen_until <= self.now {
                 for tenant in mem::take(&mut self.routers[router].waiting) {
@@ -289,8 +296,8 @@
         for tenant in 0..self.tenants.len() {
             let mut expected = self.tenants[tenant].demand * STEP_MS as f64 / 1000.0;
             while expected > 0.0 {
-                if (self.dice.below(1_000_000) as f64) < expected.min(1.0) * 1_000_000.0 {
-                    let router = self.client(tenant);
+                if (self.rng.below(1_000_000) as f64) < expected.min(1.0) * 1_000_000.0 {
+                    let router = self.pick_router(tenant);
                     self.request(router, tenant);
                 }
                 expected -= 1.0;
@@ -299,9 +306,9 @@
     }
 
     /// The router that a client of a tenant reaches: four of five in its zone.
-    fn client(&mut self, tenant: usize) -> usize {
-        let any = self.dice.below(self.routers.len() as u64) as usize;
-        if self.dice.below(5) == 0 {
+    fn pick_router(&mut self, tenant: usize) -> usize {
+        let any = self.rng.below(self.routers.len() as u64) as usize;
+        if self.rng.below(5) == 0 {
             return any;
         }
         let zone = self.tenants[tenant].zone;
@@ -313,38 +320,40 @@
             self.routers[router].waiting.push(tenant);
             return;
         }
-        self.counts[tenant].asked += 1;
+        self.counts[tenant].received += 1;
         if self.now < self.routers[router].denied_until[tenant] {
             self.counts[tenant].over_quota += 1;
             return;
         }
-        match self.ask(router, tenant) {
+        match self.acquire_token(router, tenant) {
             TokenDecision::Granted => self.send(router, tenant),
             TokenDecision::Denied { retry_after_ms } => {
                 self.counts[tenant].over_quota += 1;
-                self.routers[router].denied_until[tenant] = self.now + retry_after_ms.min(MEMORY_MS);
+                self.routers[router].denied_until[tenant] = self.now + retry_after_ms.min(DENIAL_CACHE_MS);
             }
             TokenDecision::NotOwner => {
                 let (name, quota) = (self.tenants[tenant].name.clone(), self.tenants[tenant].quota);
                 let routers = self.routers.len() as u32;
                 match self.routers[router].allowances.try_acquire(&name, &quota, routers, self.now) {
                     true => self.send(router, tenant),
-                    false => self.counts[tenant].refused_alone += 1,
+                    false => self.counts[tenant].rejected_without_owner += 1,
                 }
             }
         }
     }
 
-    /// Asks one holder after the other until one grants.
-    fn ask(&mut self, router: usize, tenant: usize) -> TokenDecision {
+    /// Asks one owner after the other until one grants.
+    fn acquire_token(&mut self, router: usize, tenant: usize) -> TokenDecision {
         let (name, quota) = (self.tenants[tenant].name.clone(), self.tenants[tenant].quota);
         let chosen: Vec<String> =
-            shard_owners(&name, &self.routers[router].known).iter().map(|holder| holder.ip.clone()).collect();
-        let first = self.dice.below(chosen.len().max(1) as u64) as usize;
+            shard_owners(&name, &self.routers[router].eligible_owners).iter().map(|owner| owner.ip.clone()).collect();
+        let first = self.rng.below(chosen.len().max(1) as u64) as usize;
         let mut result = TokenDecision::NotOwner;
         for step in 0..chosen.len() {
             let ip = &chosen[(first + step) % chosen.len()];
-            let Some(at) = self.controllers.iter().position(|controller| controller.at.ip == *ip) else { continue };
+            let Some(at) = self.controllers.iter().position(|controller| controller.identity.ip == *ip) else {
+                continue;
+            };
             if !self.reaches(router, at) {
                 continue;
             }
@@ -360,38 +369,38 @@
 
     fn send(&mut self, _router: usize, tenant: usize) {
         self.counts[tenant].sent += 1;
-        let at = self.now + self.dice.below(LATEST_SEND_MS);
+        let at = self.now + self.rng.below(MAX_SEND_DELAY_MS);
         self.sends[tenant].push(at);
     }
 
-    /// The most sends of a tenant in any window.
-    pub fn busiest_window(&self, tenant: usize) -> usize {
+    /// The max sends of a tenant in any window.
+    pub fn max_sent_in_window(&self, tenant: usize) -> usize {
         let mut times = self.sends[tenant].clone();
         times.sort_unstable();
         let mut end = 0;
-        let mut most = 0;
+        let mut max = 0;
         for start in 0..times.len() {
             while end < times.len() && times[end] < times[start] + BOUNDS.window_ms {
                 end += 1;
             }
-            most = most.max(end - start);
+            max = max.max(end - start);
         }
-        most
+        max
     }
 
     /// The first tenant that sent more than its limit in a window: its name, what it sent, what it might.
-    pub fn first_over(&self) -> Option<(String, usize, f64)> {
+    pub fn first_violation(&self) -> Option<(String, usize, f64)> {
         let over = self.tenants.iter().enumerate().map(|(at, tenant)| {
-            let allowed = BOUNDS.most(&tenant.quota);
-            (tenant.name.clone(), self.busiest_window(at), allowed)
+            let allowed = BOUNDS.max_requests(&tenant.quota);
+            (tenant.name.clone(), self.max_sent_in_window(at), allowed)
         });
         over.into_iter().find(|(_, sent, allowed)| *sent as f64 > *allowed)
     }
 }
 
-fn new_controller(at: EligibleOwner, variant: Variant) -> Controller {
-    let mut shards = Shards::new(&at.ip);
-    shards.begins_full = variant == Variant::BeginsFull;
-    let roster = MembershipView::new(&at.ip, &at.zone, SURE_MS);
-    Controller { at, roster, shards, confirmed_at: None, frozen_until: 0, cut_until: 0 }
+fn new_controller(identity: EligibleOwner, variant: Variant) -> Controller {
+    let mut shards = Shards::new(&identity.ip);
+    shards.starts_full = variant == Variant::StartsFull;
+    let membership = MembershipView::new(&identity.ip, &identity.zone, CONFIRMATION_MS);
+    Controller { identity, membership, shards, confirmed_at: None, frozen_until: 0, partitioned_until: 0 }
 }
--- a/quota/src/fleet_tests.rs
+++ b/quota/src/fleet_tests.rs
@@ -22,7 +22,7 @@
 }
 
 /// Tenants that are silent or far over their limits by turns while everything fails; they move between zones meanwhile.
-fn worst(size: &Size, variant: Variant, seed: u64) -> Fleet {
+fn run_worst_case(size: &Size, variant: Variant, seed: u64) -> Fleet {
     let burst_s = if seed.is_multiple_of(2) { 1.0 } else { 5.0 };
     let mut fleet = Fleet::new(size, tenants(burst_s, 0.0, size.zones), variant, seed);
     fleet.run(12_000, false);
@@ -30,7 +30,7 @@
         let is_silent = round % 3 == 2;
         for tenant in &mut fleet.tenants {
             tenant.zone = (tenant.zone + 1) % size.zones;
-            tenant.demand = if is_silent { 0.0 } else { tenant.quota.rate_per_s * HOT };
+            tenant.demand = if is_silent { 0.0 } else { tenant.quota.rate_per_s * OVERLOAD_FACTOR };
         }
         fleet.run(6000, round < 5);
     }
@@ -38,79 +38,79 @@
 }
 
 /// How many times its limit a hot tenant sends.
-const HOT: f64 = 7.5;
+const OVERLOAD_FACTOR: f64 = 7.5;
 
-fn holds(size: &Size, seeds: Range<u64>) {
+fn assert_bound_holds(size: &Size, seeds: Range<u64>) {
     for seed in seeds {
-        let fleet = worst(size, Variant::Sound, seed);
-        let over = fleet.first_over();
-        assert!(over.is_none(), "seed {seed}: {over:?}");
+        let fleet = run_worst_case(size, Variant::Correct, seed);
+        let violation = fleet.first_violation();
+        assert!(violation.is_none(), "seed {seed}: {violation:?}");
         assert!(fleet.counts.iter().all(|count| count.sent > 0), "seed {seed}: {:?}", fleet.counts);
     }
 }
 
-fn breaks(size: &Size, variant: Variant) {
-    let broken = (0..20).any(|seed| worst(size, variant, seed).first_over().is_some());
+fn assert_bound_breaks(size: &Size, variant: Variant) {
+    let broken = (0..20).any(|seed| run_worst_case(size, variant, seed).first_violation().is_some());
     assert!(broken, "the fault is not seen: {variant:?}");
 }
 
 #[test]
 fn no_window_exceeds_a_limit_at_9_routers_whatever_fails() {
-    holds(&SMALL, 0..12);
+    assert_bound_holds(&SMALL, 0..12);
 }
 
 #[test]
 fn no_window_exceeds_a_limit_at_88_routers_whatever_fails() {
-    holds(&GROWN, 0..8);
+    assert_bound_holds(&GROWN, 0..8);
 }
 
 #[test]
 fn no_window_exceeds_a_limit_at_300_routers_whatever_fails() {
-    holds(&LARGE, 0..3);
+    assert_bound_holds(&LARGE, 0..3);
 }
 
 #[test]
 fn no_window_exceeds_a_limit_at_1600_routers_whatever_fails() {
-    holds(&TARGET, 0..2);
+    assert_bound_holds(&TARGET, 0..2);
 }
 
 #[test]
 fn a_shard_that_is_taken_over_at_once_is_given_twice() {
-    breaks(&GROWN, Variant::TakesOverAtOnce);
+    assert_bound_breaks(&GROWN, Variant::ImmediateTakeover);
 }
 
 #[test]
 fn a_controller_that_gives_without_a_lease_gives_what_another_holds() {
-    breaks(&GROWN, Variant::GivesWithoutLease);
+    assert_bound_breaks(&GROWN, Variant::NoLease);
 }
 
 /// A holder is lost after a burst of ten seconds' requests was spent, and its shard is taken over inside the same window.
 fn taken_over_after_a_burst(variant: Variant) -> Option<(String, usize, f64)> {
     let mut fleet = Fleet::new(&GROWN, vec![tenant(0, 200.0, 10.0, 0.0, GROWN.zones)], variant, 1);
     fleet.run(30_000, false);
-    fleet.tenants[0].demand = 200.0 * 4.0 * HOT;
+    fleet.tenants[0].demand = 200.0 * 4.0 * OVERLOAD_FACTOR;
     fleet.run(600, false);
-    fleet.kill_holder(0, 8000);
+    fleet.kill_owner(0, 8000);
     fleet.run(6000, false);
-    fleet.first_over()
+    fleet.first_violation()
 }
 
 #[test]
 fn a_shard_that_begins_full_after_a_take_over_gives_the_burst_again() {
-    assert_eq!(taken_over_after_a_burst(Variant::Sound), None);
-    assert!(taken_over_after_a_burst(Variant::BeginsFull).is_some(), "the fault is not seen");
+    assert_eq!(taken_over_after_a_burst(Variant::Correct), None);
+    assert!(taken_over_after_a_burst(Variant::StartsFull).is_some(), "the fault is not seen");
 }
 
 /// The part of the requests inside the limit that were not sent.
 fn refused_share(fleet: &Fleet) -> f64 {
-    let (asked, sent) = fleet.counts.iter().fold((0, 0), |sum, count| (sum.0 + count.asked, sum.1 + count.sent));
-    1.0 - sent as f64 / asked as f64
+    let (received, sent) = fleet.counts.iter().fold((0, 0), |sum, count| (sum.0 + count.received, sum.1 + count.sent));
+    1.0 - sent as f64 / received as f64
 }
 
 #[test]
 fn who_stays_inside_its_limit_is_not_refused_in_calm() {
     for (size, seed) in [(&SMALL, 1), (&GROWN, 2), (&LARGE, 3)] {
-        let mut fleet = Fleet::new(size, tenants(1.0, 0.6, size.zones), Variant::Sound, seed);
+        let mut fleet = Fleet::new(size, tenants(1.0, 0.6, size.zones), Variant::Correct, seed);
         fleet.run(6000, false);
         fleet.counts.iter_mut().for_each(|count| *count = Default::default());
         fleet.run(30_000, false);
@@ -120,7 +120,7 @@
 
 #[test]
 fn who_is_over_its_limit_gets_nearly_all_of_it_in_calm() {
-    let mut fleet = Fleet::new(&GROWN, tenants(1.0, HOT, GROWN.zones), Variant::Sound, 4);
+    let mut fleet = Fleet::new(&GROWN, tenants(1.0, OVERLOAD_FACTOR, GROWN.zones), Variant::Correct, 4);
     fleet.run(6000, false);
     fleet.counts.iter_mut().for_each(|count| *count = Default::default());
     fleet.run(30_000, false);
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_limit_that_is_lowered_binds_a_window_later() {
-    let mut fleet = Fleet::new(&GROWN, tenants(1.0, HOT, GROWN.zones), Variant::Sound, 5);
+    let mut fleet = Fleet::new(&GROWN, tenants(1.0, OVERLOAD_FACTOR, GROWN.zones), Variant::Correct, 5);
     fleet.run(20_000, false);
     for tenant in &mut fleet.tenants {
         tenant.quota = Quota { rate_per_s: tenant.quota.rate_per_s / 4.0, burst: tenant.quota.burst / 4.0 };
@@ -141,5 +141,5 @@
     fleet.run(BOUNDS.window_ms, false);
     fleet.sends.iter_mut().for_each(Vec::clear);
     fleet.run(20_000, true);
-    assert_eq!(fleet.first_over(), None);
+    assert_eq!(fleet.first_violation(), None);
 }
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use allowance::{Allowances, Bounds};
 pub use bucket::{Quota, TokenBucket};
-pub use mint_clock::{MintClock, LEASE_MS, OWNER_EXPIRY_MS, SETTLE_MS};
+pub use mint_clock::{IssueClock, LEASE_MS, OWNER_EXPIRY_MS, REACQUIRE_DELAY_MS};
 pub use placement::{shard_owners, EligibleOwner, SHARDS};
 pub use shards::{ShardCounters, Shards, TokenDecision};
 
--- a/quota/src/mint_clock_tests.rs
+++ b/quota/src/mint_clock_tests.rs
@@ -1,7 +1,7 @@
 //! When the clock of a controller runs.
-use super::{MintClock, LEASE_MS, MINT_MS, OWNER_EXPIRY_MS, SETTLE_MS};
+use super::{IssueClock, ISSUE_MS, LEASE_MS, OWNER_EXPIRY_MS, REACQUIRE_DELAY_MS};
 
-fn confirmed_for_three_seconds(clock: &mut MintClock) {
+fn confirm_for_three_seconds(clock: &mut IssueClock) {
     for now in (0..3000).step_by(100) {
         clock.advance(now, Some(now));
     }
@@ -9,52 +9,52 @@
 
 #[test]
 fn it_runs_with_time_while_confirmations_come() {
-    let mut clock = MintClock::default();
+    let mut clock = IssueClock::default();
     assert!(clock.advance(100, Some(100)), "the first confirmation begins a lease");
     for now in (200..=10_000).step_by(100) {
         assert!(!clock.advance(now, Some(now)));
     }
-    assert_eq!(clock.reading(), 10_000 - 100 - SETTLE_MS);
+    assert_eq!(clock.issue_time_ms(), 10_000 - 100 - REACQUIRE_DELAY_MS);
 }
 
 #[test]
 fn it_stops_when_no_confirmation_comes_and_its_lease_ends_later() {
-    let mut clock = MintClock::default();
-    confirmed_for_three_seconds(&mut clock);
+    let mut clock = IssueClock::default();
+    confirm_for_three_seconds(&mut clock);
     let confirmed_at = 2900;
     clock.advance(60_000, Some(confirmed_at));
-    assert_eq!(clock.reading(), confirmed_at + MINT_MS - SETTLE_MS);
-    assert!(clock.holds_lease(confirmed_at + LEASE_MS - 1) && !clock.holds_lease(confirmed_at + LEASE_MS));
+    assert_eq!(clock.issue_time_ms(), confirmed_at + ISSUE_MS - REACQUIRE_DELAY_MS);
+    assert!(clock.has_lease(confirmed_at + LEASE_MS - 1) && !clock.has_lease(confirmed_at + LEASE_MS));
 }
 
 #[test]
 fn after_a_lapse_it_waits_and_says_that_all_is_void() {
-    let mut clock = MintClock::default();
-    confirmed_for_three_seconds(&mut clock);
-    let before = clock.reading() + MINT_MS;
+    let mut clock = IssueClock::default();
+    confirm_for_three_seconds(&mut clock);
+    let before = clock.issue_time_ms() + ISSUE_MS;
     assert!(clock.advance(9000, Some(9000)), "its lease had lapsed");
-    assert!(!clock.holds_lease(9000));
-    assert!(!clock.advance(9000 + SETTLE_MS, Some(9000 + SETTLE_MS)));
-    assert_eq!(clock.reading(), before);
-    assert!(clock.holds_lease(9000 + SETTLE_MS));
+    assert!(!clock.has_lease(9000));
+    assert!(!clock.advance(9000 + REACQUIRE_DELAY_MS, Some(9000 + REACQUIRE_DELAY_MS)));
+    assert_eq!(clock.issue_time_ms(), before);
+    assert!(clock.has_lease(9000 + REACQUIRE_DELAY_MS));
 }
 
 #[test]
 fn a_shorter_gap_is_bridged_but_not_minted_for() {
-    let mut clock = MintClock::default();
-    confirmed_for_three_seconds(&mut clock);
-    let before = clock.reading();
+    let mut clock = IssueClock::default();
+    confirm_for_three_seconds(&mut clock);
+    let before = clock.issue_time_ms();
     assert!(!clock.advance(2900 + LEASE_MS, Some(2900 + LEASE_MS)));
-    assert_eq!(clock.reading(), before + MINT_MS);
+    assert_eq!(clock.issue_time_ms(), before + ISSUE_MS);
 }
 
 #[test]
 fn an_older_confirmation_changes_nothing() {
-    let mut clock = MintClock::default();
+    let mut clock = IssueClock::default();
     clock.advance(5000, Some(5000));
     assert!(!clock.advance(5100, Some(100)));
     assert!(!clock.advance(6500, Some(6500)));
 }
 
 // A taker must not begin before the last holder's lease has ended: its own, and what hearing of it takes.
-const _: () = assert!(OWNER_EXPIRY_MS > LEASE_MS && LEASE_MS > MINT_MS);
+const _: () = assert!(OWNER_EXPIRY_MS > LEASE_MS && LEASE_MS > ISSUE_MS);
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -16,19 +16,19 @@
 
 /// The controllers that hold the shards of a tenant, of those that live: by rendezvous, in different zones where there are so
 /// many. Whoever has the same list finds the same ones, and one more or less moves only its own shards.
-pub fn shard_owners<'a>(tenant: &str, live: &'a [EligibleOwner]) -> Vec<&'a EligibleOwner> {
+pub fn shard_owners<'a>(tenant: &str, eligible: &'a [EligibleOwner]) -> Vec<&'a EligibleOwner> {
     let seed = clock::hash(tenant.as_bytes());
-    let mut order: Vec<&EligibleOwner> = live.iter().collect();
-    order.sort_by_cached_key(|holder| clock::combine_hashes(seed, clock::hash(holder.ip.as_bytes())));
+    let mut order: Vec<&EligibleOwner> = eligible.iter().collect();
+    order.sort_by_cached_key(|owner| clock::combine_hashes(seed, clock::hash(owner.ip.as_bytes())));
     let mut chosen: Vec<&EligibleOwner> = Vec::with_capacity(SHARDS);
-    for holder in &order {
-        if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == holder.zone) {
-            chosen.push(holder);
+    for owner in &order {
+        if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == owner.zone) {
+            chosen.push(owner);
         }
     }
-    for holder in &order {
-        if chosen.len() < SHARDS && !chosen.contains(holder) {
-            chosen.push(holder);
+    for owner in &order {
+        if chosen.len() < SHARDS && !chosen.contains(owner) {
+            chosen.push(owner);
         }
     }
     chosen
--- a/quota/src/placement_tests.rs
+++ b/quota/src/placement_tests.rs
@@ -10,9 +10,10 @@
 
 #[test]
 fn shards_are_in_different_zones_where_there_are_enough() {
-    let live = controllers(9, 3);
+    let eligible = controllers(9, 3);
     for tenant in 0..200 {
-        let mut zones: Vec<_> = shard_owners(&format!("t{tenant}"), &live).iter().map(|holder| &holder.zone).collect();
+        let mut zones: Vec<_> =
+            shard_owners(&format!("t{tenant}"), &eligible).iter().map(|owner| &owner.zone).collect();
         zones.sort();
         zones.dedup();
         assert_eq!(zones.len(), SHARDS);
@@ -24,29 +25,29 @@
 
 #[test]
 fn tenants_spread_evenly() {
-    let live = controllers(6, 3);
+    let eligible = controllers(6, 3);
     let mut count = HashMap::new();
     for tenant in 0..3000 {
-        for holder in shard_owners(&format!("tenant-{tenant}"), &live) {
-            *count.entry(holder.ip.clone()).or_insert(0) += 1;
+        for owner in shard_owners(&format!("tenant-{tenant}"), &eligible) {
+            *count.entry(owner.ip.clone()).or_insert(0) += 1;
         }
     }
-    assert!(count.values().all(|held| (1350..1650).contains(held)), "{count:?}");
+    assert!(count.values().all(|owned| (1350..1650).contains(owned)), "{count:?}");
 }
 
 #[test]
 fn the_order_of_the_list_does_not_matter_and_one_less_moves_only_its_own() {
-    let live = controllers(12, 4);
-    let reversed: Vec<EligibleOwner> = live.iter().rev().cloned().collect();
+    let eligible = controllers(12, 4);
+    let reversed: Vec<EligibleOwner> = eligible.iter().rev().cloned().collect();
     let mut moved = 0;
     for tenant in 0..300 {
         let name = format!("t{tenant}");
-        let before = shard_owners(&name, &live);
+        let before = shard_owners(&name, &eligible);
         assert_eq!(before, shard_owners(&name, &reversed));
-        let less: Vec<EligibleOwner> = live.iter().filter(|holder| holder.ip != "10.0.0.5").cloned().collect();
+        let less: Vec<EligibleOwner> = eligible.iter().filter(|owner| owner.ip != "10.0.0.5").cloned().collect();
         let after = shard_owners(&name, &less);
-        let kept = before.iter().filter(|holder| after.contains(holder)).count();
-        let had = before.iter().any(|holder| holder.ip == "10.0.0.5");
+        let kept = before.iter().filter(|owner| after.contains(owner)).count();
+        let had = before.iter().any(|owner| owner.ip == "10.0.0.5");
         moved += usize::from(!had && kept < SHARDS);
     }
     assert_eq!(moved, 0);
--- a/quota/src/shards.rs
+++ b/quota/src/shards.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::{shard_owners, EligibleOwner, MintClock, Quota, TokenBucket, SHARDS};
+use crate::{shard_owners, EligibleOwner, IssueClock, Quota, TokenBucket, SHARDS};
 
 /// What a request for a token comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,107 +41,108 @@
     used_at: u64,
 }
 
-/// A list of live controllers, and the minting time from which it counts.
+/// A list of eligible controllers, and the minting time from which it counts.
 struct Placement {
-    from: u64,
-    live: Vec<EligibleOwner>,
+    since: u64,
+    eligible: Vec<EligibleOwner>,
 }
 
-/// How many lists of live controllers are remembered: by them it is told since when a shard is held that nobody asked for yet.
-const MOST_PLACEMENTS: usize = 8;
+/// How many lists of eligible controllers are remembered: by them it is told since when a shard is held that nobody asked for yet.
+const MAX_PLACEMENTS: usize = 8;
 /// A shard that nobody asks for is forgotten after this; it would be full.
-const FORGET_MS: u64 = 600_000;
+const IDLE_EXPIRY_MS: u64 = 600_000;
 
 /// Invariant: `shards` holds buckets only of tenants whose shard this controller holds by the newest placement.
 pub struct Shards {
-    me: String,
-    clock: MintClock,
+    own_ip: String,
+    clock: IssueClock,
     placements: VecDeque<Placement>,
     shards: HashMap<String, Shard>,
     /// The fault that a bucket which begins empty prevents.
     #[cfg(test)]
-    pub(crate) begins_full: bool,
+    pub(crate) starts_full: bool,
 }
 
 impl Shards {
     /// The shards of a controller that has just started: it holds none before its first lease.
-    pub fn new(me: &str) -> Shards {
+    pub fn new(own_ip: &str) -> Shards {
         Shards {
-            me: me.into(),
-            clock: MintClock::default(),
+            own_ip: own_ip.into(),
+            clock: IssueClock::default(),
             placements: VecDeque::new(),
             shards: HashMap::new(),
             #[cfg(test)]
-            begins_full: false,
+            starts_full: false,
         }
     }
 
     /// Notes who lives, as this controller sees it, and when it was last confirmed. To be called often.
-    pub fn refresh(&mut self, now: u64, confirmed_at: Option<u64>, mut live: Vec<EligibleOwner>) {
+    pub fn refresh(&mut self, now: u64, confirmed_at: Option<u64>, mut eligible: Vec<EligibleOwner>) {
         self.advance(now, confirmed_at);
-        live.sort();
-        if self.placements.back().is_none_or(|newest| newest.live != live) {
-            self.place(live);
+        eligible.sort();
+        if self.placements.back().is_none_or(|newest| newest.eligible != eligible) {
+            self.update_placement(eligible);
         }
-        self.shards.retain(|_, shard| now < shard.used_at + FORGET_MS);
+        self.shards.retain(|_, shard| now < shard.used_at + IDLE_EXPIRY_MS);
     }
 
     fn advance(&mut self, now: u64, confirmed_at: Option<u64>) {
         if self.clock.advance(now, confirmed_at) {
-            let minting_now = self.clock.reading();
-            self.shards.values_mut().for_each(|shard| shard.bucket.void(minting_now));
+            let issue_now_ms = self.clock.issue_time_ms();
+            self.shards.values_mut().for_each(|shard| shard.bucket.clear(issue_now_ms));
             // Who lived before says nothing about now.
             if let Some(newest) = self.placements.pop_back() {
                 self.placements.clear();
-                self.placements.push_back(Placement { from: minting_now, ..newest });
+                self.placements.push_back(Placement { since: issue_now_ms, ..newest });
             }
         }
     }
 
-    fn place(&mut self, live: Vec<EligibleOwner>) {
-        let me = self.me.clone();
-        let (before, after) = (self.share_count(), share_count(&live));
-        self.shards.retain(|tenant, _| holds(&me, tenant, &live));
+    fn update_placement(&mut self, eligible: Vec<EligibleOwner>) {
+        let own_ip = self.own_ip.clone();
+        let (before, after) = (self.share_count(), share_count(&eligible));
+        self.shards.retain(|tenant, _| owns(&own_ip, tenant, &eligible));
         if after < before {
             // A share that grows mints no more for the time before.
-            let minting_now = self.clock.reading();
-            self.shards.values_mut().for_each(|shard| shard.bucket.refill(&shard.quota.shard(before), minting_now));
+            let issue_now_ms = self.clock.issue_time_ms();
+            self.shards.values_mut().for_each(|shard| shard.bucket.refill(&shard.quota.shard(before), issue_now_ms));
         }
-        self.placements.push_back(Placement { from: self.clock.reading(), live });
-        while self.placements.len() > MOST_PLACEMENTS {
+        self.placements.push_back(Placement { since: self.clock.issue_time_ms(), eligible });
+        while self.placements.len() > MAX_PLACEMENTS {
             self.placements.pop_front();
         }
     }
 
     fn share_count(&self) -> usize {
-        self.placements.back().map_or(1, |newest| share_count(&newest.live))
+        self.placements.back().map_or(1, |newest| share_count(&newest.eligible))
     }
 
     /// The minting time since which this controller holds a shard of a tenant. None: it holds none.
-    fn held_since(&self, tenant: &str) -> Option<u64> {
-        let held = self.placements.iter().rev().take_while(|placement| holds(&self.me, tenant, &placement.live));
-        held.last().map(|oldest| oldest.from)
+    fn owned_since(&self, tenant: &str) -> Option<u64> {
+        let owned =
+            self.placements.iter().rev().take_while(|placement| owns(&self.own_ip, tenant, &placement.eligible));
+        owned.last().map(|oldest| oldest.since)
     }
 
     /// Takes a token of a tenant, if there is one.
     pub fn try_acquire(&mut self, tenant: &str, quota: Quota, now: u64, confirmed_at: Option<u64>) -> TokenDecision {
         self.advance(now, confirmed_at);
-        if !self.clock.holds_lease(now) {
+        if !self.clock.has_lease(now) {
             return TokenDecision::NotOwner;
         }
-        let minting_now = self.clock.reading();
+        let issue_now_ms = self.clock.issue_time_ms();
         let share = quota.shard(self.share_count());
         if !self.shards.contains_key(tenant) {
-            let Some(since) = self.held_since(tenant) else { return TokenDecision::NotOwner };
+            let Some(since) = self.owned_since(tenant) else { return TokenDecision::NotOwner };
             #[cfg(test)]
-            let since = if self.begins_full { 0 } else { since };
+            let since = if self.starts_full { 0 } else { since };
             let shard = Shard { bucket: TokenBucket::empty(since), quota, granted: 0, denied: 0, used_at: now };
             self.shards.insert(tenant.into(), shard);
         }
         let Some(shard) = self.shards.get_mut(tenant) else { return TokenDecision::NotOwner };
         (shard.quota, shard.used_at) = (quota, now);
-        shard.bucket.refill(&share, minting_now);
-        if shard.bucket.take() {
+        shard.bucket.refill(&share, issue_now_ms);
+        if shard.bucket.try_acquire() {
             shard.granted += 1;
             return TokenDecision::Granted;
         }
@@ -151,23 +152,23 @@
 
     /// What the shards held here have given.
     pub fn counters(&self) -> Vec<ShardCounters> {
-        let told = self.shards.iter().map(|(tenant, shard)| ShardCounters {
+        let counters = self.shards.iter().map(|(tenant, shard)| ShardCounters {
             tenant: tenant.clone(),
             quota: shard.quota,
             granted: shard.granted,
             denied: shard.denied,
             tokens: shard.bucket.tokens(),
         });
-        told.collect()
+        counters.collect()
     }
 }
 
-fn share_count(live: &[EligibleOwner]) -> usize {
-    live.len().clamp(1, SHARDS)
+fn share_count(eligible: &[EligibleOwner]) -> usize {
+    eligible.len().clamp(1, SHARDS)
 }
 
-fn holds(me: &str, tenant: &str, live: &[EligibleOwner]) -> bool {
-    shard_owners(tenant, live).iter().any(|holder| holder.ip == me)
+fn owns(own_ip: &str, tenant: &str, eligible: &[EligibleOwner]) -> bool {
+    shard_owners(tenant, eligible).iter().any(|owner| owner.ip == own_ip)
 }
 
 #[cfg(test)]
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -1,33 +1,33 @@
 //! One controller's shards through leases, lapses and changes of who lives.
 use super::{Shards, TokenDecision};
-use crate::{EligibleOwner, Quota, SETTLE_MS};
+use crate::{EligibleOwner, Quota, REACQUIRE_DELAY_MS};
 
 const QUOTA: Quota = Quota { rate_per_s: 30.0, burst: 30.0 };
 
-fn live(names: &[&str]) -> Vec<EligibleOwner> {
+fn eligible(names: &[&str]) -> Vec<EligibleOwner> {
     names.iter().map(|name| EligibleOwner { ip: (*name).into(), zone: (*name).into() }).collect()
 }
 
 struct Controller {
     shards: Shards,
     now: u64,
-    live: Vec<EligibleOwner>,
+    eligible: Vec<EligibleOwner>,
 }
 
 impl Controller {
     fn start(names: &[&str]) -> Controller {
-        Controller { shards: Shards::new("a"), now: 0, live: live(names) }
+        Controller { shards: Shards::new("a"), now: 0, eligible: eligible(names) }
     }
 
     fn run(&mut self, time_ms: u64, is_confirmed: bool) {
         let end = self.now + time_ms;
         while self.now < end {
             self.now += 100;
-            self.shards.refresh(self.now, is_confirmed.then_some(self.now), self.live.clone());
+            self.shards.refresh(self.now, is_confirmed.then_some(self.now), self.eligible.clone());
         }
     }
 
-    fn spend_all(&mut self) -> usize {
+    fn acquire_all(&mut self) -> usize {
         let granted = |_: &usize| self.shards.try_acquire("t", QUOTA, self.now, None) == TokenDecision::Granted;
         (0..1000).take_while(granted).count()
     }
@@ -38,17 +38,17 @@
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(100, true);
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
-    controller.run(SETTLE_MS + 500, true);
-    assert_eq!(controller.spend_all(), 5, "half a second of a third");
+    controller.run(REACQUIRE_DELAY_MS + 500, true);
+    assert_eq!(controller.acquire_all(), 5, "half a second of a third");
     controller.run(10_000, true);
-    assert_eq!(controller.spend_all(), 10, "a third of the burst");
+    assert_eq!(controller.acquire_all(), 10, "a third of the burst");
 }
 
 #[test]
 fn an_empty_shard_says_when_its_next_token_comes() {
     let mut controller = Controller::start(&["a", "b", "c"]);
-    controller.run(SETTLE_MS + 100, true);
-    assert_eq!(controller.spend_all(), 0);
+    controller.run(REACQUIRE_DELAY_MS + 100, true);
+    assert_eq!(controller.acquire_all(), 0);
     assert_eq!(
         controller.shards.try_acquire("t", QUOTA, controller.now, None),
         TokenDecision::Denied { retry_after_ms: 100 }
@@ -60,9 +60,9 @@
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut controller = Controller::start(&names);
     controller.run(3000, true);
-    let held = |tenant: &str| crate::shard_owners(tenant, &controller.live).iter().any(|holder| holder.ip == "a");
+    let is_owner = |tenant: &str| crate::shard_owners(tenant, &controller.eligible).iter().any(|owner| owner.ip == "a");
     let (own, other): (Vec<String>, Vec<String>) =
-        (0..50).map(|number| format!("t{number}")).partition(|tenant| held(tenant));
+        (0..50).map(|number| format!("t{number}")).partition(|tenant| is_owner(tenant));
     assert!(!own.is_empty() && !other.is_empty());
     assert!(own
         .iter()
@@ -77,7 +77,7 @@
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     controller.run(1500, false);
-    assert_eq!(controller.spend_all(), 10);
+    assert_eq!(controller.acquire_all(), 10);
     controller.run(300, false);
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
 }
@@ -90,8 +90,8 @@
     // Frozen: it wakes with all it had.
     controller.now += 20_000;
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
-    controller.run(SETTLE_MS + 200, true);
-    assert!(controller.spend_all() <= 2);
+    controller.run(REACQUIRE_DELAY_MS + 200, true);
+    assert!(controller.acquire_all() <= 2);
 }
 
 #[test]
@@ -99,13 +99,14 @@
     let names = ["a", "b", "c", "d"];
     let mut controller = Controller::start(&names);
     controller.run(20_000, true);
-    let held =
-        |tenant: &str, live: &[EligibleOwner]| crate::shard_owners(tenant, live).iter().any(|holder| holder.ip == "a");
-    let less = live(&["a", "c", "d"]);
-    let tenant = (0..200).map(|number| format!("t{number}")).find(|tenant| !held(tenant, &controller.live));
+    let is_owner = |tenant: &str, eligible: &[EligibleOwner]| {
+        crate::shard_owners(tenant, eligible).iter().any(|owner| owner.ip == "a")
+    };
+    let less = eligible(&["a", "c", "d"]);
+    let tenant = (0..200).map(|number| format!("t{number}")).find(|tenant| !is_owner(tenant, &controller.eligible));
     let tenant = tenant.expect("one that others hold");
-    assert!(held(&tenant, &less));
-    controller.live = less;
+    assert!(is_owner(&tenant, &less));
+    controller.eligible = less;
     controller.run(100, true);
     assert!(matches!(
         controller.shards.try_acquire(&tenant, QUOTA, controller.now, None),
@@ -116,19 +117,19 @@
 #[test]
 fn a_share_that_grows_when_others_are_lost_mints_no_more_for_the_time_before() {
     let mut controller = Controller::start(&["a", "b", "c"]);
-    controller.run(SETTLE_MS + 100, true);
-    assert_eq!(controller.spend_all(), 0);
+    controller.run(REACQUIRE_DELAY_MS + 100, true);
+    assert_eq!(controller.acquire_all(), 0);
     controller.run(300, true);
-    controller.live = live(&["a"]);
+    controller.eligible = eligible(&["a"]);
     controller.run(100, true);
-    assert_eq!(controller.spend_all(), 4, "0.4 s at a third, and nothing at the whole rate yet");
+    assert_eq!(controller.acquire_all(), 4, "0.4 s at a third, and nothing at the whole rate yet");
 }
 
 #[test]
 fn usage_tells_what_was_given_and_refused() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
-    assert_eq!(controller.spend_all(), 10);
+    assert_eq!(controller.acquire_all(), 10);
     let usage = controller.shards.counters();
     assert_eq!((usage[0].tenant.as_str(), usage[0].granted, usage[0].denied), ("t", 10, 1));
 }
