--- a/quota/src/mint_clock.rs
+++ b/quota/src/issue_clock.rs
@@ -57,5 +57,5 @@
 }
 
 #[cfg(test)]
-#[path = "mint_clock_tests.rs"]
+#[path = "issue_clock_tests.rs"]
 mod tests;
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -8,17 +8,15 @@
 
 mod allowance;
 mod bucket;
-mod mint_clock;
+mod issue_clock;
 mod placement;
 mod shards;
 
 pub use allowance::{Allowances, Bounds};
 pub use bucket::{Quota, TokenBucket};
-pub use mint_clock::{IssueClock, LEASE_MS, OWNER_EXPIRY_MS, REACQUIRE_DELAY_MS};
+pub use issue_clock::{IssueClock, LEASE_MS, OWNER_EXPIRY_MS, REACQUIRE_DELAY_MS};
 pub use placement::{shard_owners, EligibleOwner, SHARDS};
 pub use shards::{ShardCounters, Shards, TokenDecision};
 
 #[cfg(test)]
-mod fleet;
-#[cfg(test)]
-mod fleet_tests;
+mod testing;
--- a/quota/src/fleet_tests.rs
+++ b/quota/src/testing/fleet_tests.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::fleet::{Fleet, Size, Tenant, Variant, BOUNDS};
+use super::{Fleet, Size, Tenant, Variant, BOUNDS};
 use crate::Quota;
 
 const SMALL: Size = Size { controllers: 3, zones: 3, routers: 9 };
--- a/quota/src/fleet.rs
+++ b/quota/src/testing/mod.rs
@@ -1,6 +1,8 @@
 //! A fleet of controllers and routers in virtual time, for tests: controllers confirm themselves at a majority and hear of one
 //! another as the real ones do (`membership`), and everything may be cut off, frozen, killed or lose its memory.
 
+mod fleet_tests;
+
 use std::{iter, mem};
 
 use kernel::clock::{self, Rng};
