--- /dev/null
+++ b/quota/src/testing/faults.rs
@@ -0,0 +1,56 @@
+//! Faults: controllers and routers that freeze, lose their connections or restart without their memory.
+
+use super::{new_controller, Controller, Fleet, Router};
+use crate::{shard_owners, EligibleOwner};
+
+impl Fleet {
+    /// About one trouble in a second and a half.
+    pub(super) fn inject_fault(&mut self) {
+        if self.rng.below(150) != 0 {
+            return;
+        }
+        let until = self.now + 200 + self.rng.below(8000);
+        let controller = self.rng.below(self.controllers.len() as u64) as usize;
+        match self.rng.below(8) {
+            0 => self.controllers[controller].frozen_until = until,
+            1 => self.controllers[controller].partitioned_until = until,
+            2 => {
+                let other = self.rng.below(self.controllers.len() as u64) as usize;
+                let pair = self.pair(controller, other);
+                self.pair_partitioned_until[pair] = until;
+            }
+            3 => self.kill(controller, until.min(self.now + 3000)),
+            4 => {
+                let zone = self.rng.below(self.zones as u64) as usize;
+                self.zone_partitioned_until[zone] = until;
+            }
+            5 => self.fault_routers(|router| router.partitioned_until = until),
+            6 => self.fault_routers(|router| router.frozen_until = until),
+            _ => (0..self.controllers.len()).for_each(|at| self.kill(at, self.now + 500)),
+        }
+    }
+
+    fn fault_routers(&mut self, fault: impl Fn(&mut Router)) {
+        let first = self.rng.below(self.routers.len() as u64) as usize;
+        let count = (self.routers.len() / 6).max(1);
+        for step in 0..count {
+            let at = (first + step) % self.routers.len();
+            fault(&mut self.routers[at]);
+        }
+    }
+
+    /// Ends a controller that holds a shard of a tenant for so long.
+    pub fn kill_owner(&mut self, tenant: usize, time_ms: u64) {
+        let eligible: Vec<EligibleOwner> =
+            self.controllers.iter().map(|controller| controller.identity.clone()).collect();
+        let ip = shard_owners(&self.tenants[tenant].name, &eligible)[0].ip.clone();
+        let at = self.controllers.iter().position(|controller| controller.identity.ip == ip).expect("a controller");
+        self.kill(at, self.now + time_ms);
+    }
+
+    /// A new life that remembers nothing.
+    fn kill(&mut self, at: usize, until: u64) {
+        let identity = self.controllers[at].identity.clone();
+        self.controllers[at] = Controller { frozen_until: until, ..new_controller(identity, self.variant) };
+    }
+}
--- a/quota/src/testing/fleet_tests.rs
+++ b/quota/src/testing/fleet_tests.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use super::{Fleet, Size, Tenant, Variant, BOUNDS};
+use super::{Fleet, LimitViolation, Size, Tenant, Variant, BOUNDS};
 use crate::Quota;
 
 const SMALL: Size = Size { controllers: 3, zones: 3, routers: 9 };
@@ -85,7 +85,7 @@
 }
 
 /// A holder is lost after a burst of ten seconds' requests was spent, and its shard is taken over inside the same window.
-fn taken_over_after_a_burst(variant: Variant) -> Option<(String, usize, f64)> {
+fn taken_over_after_a_burst(variant: Variant) -> Option<LimitViolation> {
     let mut fleet = Fleet::new(&GROWN, vec![tenant(0, 200.0, 10.0, 0.0, GROWN.zones)], variant, 1);
     fleet.run(30_000, false);
     fleet.tenants[0].demand = 200.0 * 4.0 * OVERLOAD_FACTOR;
