--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -1,66 +1,68 @@
-//! What a router may send by itself while no holder of a tenant's shards answers it.
+//! What a router may send on its own while no owner of a tenant's shards answers it.
 //!
-//! The allowances of all routers add up to a multiple of what the bound leaves above the limit, so that they may be used by
-//! all at once while nobody mints, or by some of them beside shard_owners that mint for the others. A small limit gives less than one request a router and window:
-//! then a hash draws the routers that have one, which needs no agreement.
+//! The allowances of all routers add up to a fixed multiple of the headroom that the bound leaves above the limit. So all
+//! routers may use them at once while no owner issues tokens, or some of them while owners issue tokens to the others. A small
+//! limit gives less than one request to a router and window: then a hash draws the routers that have one, which needs no
+//! communication.
 
 use std::collections::{HashMap, VecDeque};
 
 use kernel::clock;
 
+use crate::bucket::MS_PER_S;
 use crate::Quota;
 
-/// The figures by which the sum over all routers is bound.
+/// The bound on the sum of requests over all routers.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The length of the windows over which requests are summed.
+    /// Length of the windows over which requests are summed, in milliseconds.
     pub window_ms: u64,
-    /// The part of the limit that the sum may exceed it by.
+    /// Share of the limit by which the sum may exceed it.
     pub overage: f64,
-    /// And so many requests besides.
+    /// Requests by which the sum may exceed the limit besides.
     pub slack: f64,
 }
 
 impl Bounds {
-    /// What the limit itself comes to in a window.
+    /// Returns the requests that the limit itself allows in a window.
     fn limit(&self, quota: &Quota) -> f64 {
-        let window_s = self.window_ms as f64 / 1000.0;
+        let window_s = self.window_ms as f64 / MS_PER_S;
         quota.rate_per_s * window_s + quota.burst
     }
 
-    /// What the bound leaves above the limit.
+    /// Returns the requests in a window that the bound leaves above the limit.
     fn headroom(&self, quota: &Quota) -> f64 {
         self.limit(quota) * self.overage + self.slack
     }
 
-    /// The most requests in a window.
+    /// Returns the most requests in a window that the bound allows.
     pub fn max_requests(&self, quota: &Quota) -> f64 {
         self.limit(quota) + self.headroom(quota)
     }
 }
 
-/// All routers together may send this many times what the bound leaves above the limit. So three of five of them may be cut
-/// off while the others are given the guaranteed limit, and all of them while nobody mints for a second.
+/// All routers together may send this many times the headroom. So three of five of them may be partitioned from the owners
+/// while the others get all of the limit, and all of them while no owner issues tokens for a second.
 const MAX_MULTIPLE_OF_HEADROOM: f64 = 1.6;
-/// And never more than this part of the guaranteed bound, which draws by chance may exceed a little.
+/// All routers together never send more than this share of the bound on their own; draws may exceed it a little.
 const MAX_SHARE_OF_BOUND: f64 = 0.6;
 
-/// The allowances of one router, by tenant.
+/// The allowances of one router, for each tenant.
 pub struct Allowances {
     bounds: Bounds,
-    /// What tells this router's draws from those of others.
+    /// Makes the draws of this router differ from those of others.
     router_hash: u64,
     /// When requests were sent, by tenant. Invariant: none is older than a window.
     sent: HashMap<String, VecDeque<u64>>,
 }
 
 impl Allowances {
-    /// Those of a router by its router_hash.
+    /// Returns unused allowances of the router with this hash.
     pub fn new(bounds: Bounds, router_hash: u64) -> Allowances {
         Allowances { bounds, router_hash, sent: HashMap::new() }
     }
 
-    /// How many requests this router may send by itself in any window that ends now.
+    /// Returns how many requests this router may send on its own in any window that ends now.
     fn max_in_window(&self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> usize {
         let total = (MAX_MULTIPLE_OF_HEADROOM * self.bounds.headroom(quota))
             .min(MAX_SHARE_OF_BOUND * self.bounds.max_requests(quota));
@@ -72,7 +74,9 @@
         guaranteed as usize + usize::from(draw < share - guaranteed)
     }
 
-    /// Takes one request of this router's own part, if there is one.
+    /// Returns whether one more request may be sent within the allowance, and counts it if so.
+    ///
+    /// `routers` is the number of routers that share the allowance, `now` a steady time in milliseconds.
     pub fn try_acquire(&mut self, tenant: &str, quota: &Quota, routers: u32, now: u64) -> bool {
         let max = self.max_in_window(tenant, quota, routers, now);
         let window_ms = self.bounds.window_ms;
--- a/quota/src/allowance_tests.rs
+++ b/quota/src/allowance_tests.rs
@@ -1,4 +1,4 @@
-//! What routers may send by themselves, all together.
+//! What routers may send on their own, all together.
 
 use kernel::clock;
 
@@ -7,7 +7,7 @@
 
 const BOUNDS: Bounds = Bounds { window_ms: 5000, overage: 0.1, slack: 20.0 };
 
-/// The most that so many routers send in any window, when each sends all it may.
+/// Returns the most requests in any window when `of` routers send all they may.
 fn max_sent(quota: &Quota, routers: u32, of: u32) -> usize {
     let mut list: Vec<Allowances> =
         (0..of).map(|at| Allowances::new(BOUNDS, clock::hash(format!("edge-{at}").as_bytes()))).collect();
--- a/quota/src/bucket.rs
+++ b/quota/src/bucket.rs
@@ -1,44 +1,45 @@
-//! A token bucket whose time is handed in.
+//! A token bucket driven by the issue time that its caller passes in.
 
-/// What a tenant may send.
+/// The rate limit of a tenant, or of one shard of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Requests that may come at once above the rate.
+    /// Capacity of the bucket: requests that may come at once.
     pub burst: f64,
 }
 
 impl Quota {
-    /// A limit, or none where the rate is 0.
+    /// Returns a limit, or `None` where the rate is 0, which means no limit.
     pub fn new(rate_per_s: f64, burst: f64) -> Option<Quota> {
         (rate_per_s > 0.0).then_some(Quota { rate_per_s, burst: burst.max(0.0) })
     }
 
-    /// The part of one of several shards. A shard holds at least one token, or it could never give one.
+    /// Returns the limit of one of `shards` equal shards. Its burst is at least one token, or it could never issue one.
     pub fn shard(&self, shards: usize) -> Quota {
         let shards = shards.max(1) as f64;
         Quota { rate_per_s: self.rate_per_s / shards, burst: (self.burst / shards).max(1.0) }
     }
 }
 
-const MS_PER_S: f64 = 1000.0;
+/// Milliseconds in a second.
+pub(crate) const MS_PER_S: f64 = 1000.0;
 
-/// Invariant: never more than `burst` tokens of the quota it was last refilled by, and never less than none.
+/// A token bucket. Invariant: it has between 0 and `burst` tokens, by the quota of its last refill.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
-    /// Minting time up to which tokens were added.
+    /// Issue time up to which tokens were added, in milliseconds.
     refilled_at: u64,
 }
 
 impl TokenBucket {
-    /// An empty bucket that mints from a time on.
+    /// Returns an empty bucket that gains tokens from an issue time on, in milliseconds.
     pub fn empty(issue_from_ms: u64) -> TokenBucket {
         TokenBucket { tokens: 0.0, refilled_at: issue_from_ms }
     }
 
-    /// Adds what was issued since the last time.
+    /// Adds the tokens issued since the last refill. A time before the last refill adds none.
     pub fn refill(&mut self, quota: &Quota, issue_now_ms: u64) {
         let elapsed_ms = issue_now_ms.saturating_sub(self.refilled_at);
         self.refilled_at = self.refilled_at.max(issue_now_ms);
@@ -46,7 +47,7 @@
         self.tokens = (self.tokens + issued).min(quota.burst);
     }
 
-    /// Takes one token if there is one.
+    /// Removes one token and returns `true`, or returns `false` if there is none.
     pub fn try_acquire(&mut self) -> bool {
         let is_available = self.tokens >= 1.0;
         if is_available {
@@ -55,18 +56,18 @@
         is_available
     }
 
-    /// How long until there is a token again, if nobody else takes it.
+    /// Returns the milliseconds of issue time until there is a token, if no other request takes it.
     pub fn next_token_ms(&self, quota: &Quota) -> u64 {
         let missing = (1.0 - self.tokens).max(0.0);
         (missing / quota.rate_per_s * MS_PER_S).ceil() as u64
     }
 
-    /// Tokens that can be taken now.
+    /// Returns the tokens in the bucket, with fractions.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Forgets its tokens.
+    /// Discards all tokens; new ones are issued from an issue time on, in milliseconds.
     pub fn clear(&mut self, issue_now_ms: u64) {
         *self = TokenBucket::empty(issue_now_ms);
     }
--- a/quota/src/bucket_tests.rs
+++ b/quota/src/bucket_tests.rs
@@ -1,4 +1,5 @@
-//! One bucket.
+//! One token bucket.
+
 use super::{Quota, TokenBucket};
 
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 5.0 };
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn a_lower_limit_takes_what_is_above_it_away() {
+fn a_lower_limit_removes_the_tokens_above_its_burst() {
     let mut bucket = TokenBucket::empty(0);
     bucket.refill(&QUOTA, 1000);
     bucket.refill(&Quota { rate_per_s: 1.0, burst: 2.0 }, 1000);
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn time_that_goes_back_mints_nothing_twice() {
+fn time_that_goes_back_issues_no_token_twice() {
     let mut bucket = TokenBucket::empty(0);
     bucket.refill(&QUOTA, 300);
     bucket.refill(&QUOTA, 100);
@@ -36,14 +37,14 @@
 }
 
 #[test]
-fn the_next_token_is_told() {
+fn the_time_to_the_next_token_is_returned() {
     let mut bucket = TokenBucket::empty(0);
     bucket.refill(&QUOTA, 50);
     assert_eq!(bucket.next_token_ms(&QUOTA), 50);
 }
 
 #[test]
-fn no_rate_is_no_limit_and_a_shard_holds_a_token_at_least() {
+fn a_rate_of_zero_is_no_limit_and_a_shard_has_at_least_one_token() {
     assert_eq!(Quota::new(0.0, 9.0), None);
     let shard = Quota::new(6.0, 0.0).expect("a limit").shard(3);
     assert_eq!((shard.rate_per_s, shard.burst), (2.0, 1.0));
--- a/quota/src/issue_clock.rs
+++ b/quota/src/issue_clock.rs
@@ -1,30 +1,37 @@
-//! The time during which a controller may mint tokens.
+//! The time during which a controller may issue tokens, as a clock that runs only while its lease allows it.
+//!
+//! A controller's lease begins when it starts a read that a quorum then confirms. Three times follow from that moment, and
+//! their order is what keeps two owners of one shard from issuing for the same time: the old owner stops adding tokens after
+//! [`ISSUE_MS`], stops giving out tokens after [`LEASE_MS`], and only after [`OWNER_EXPIRY_MS`] does another take over.
 
-/// From the begin of a read that confirmed a controller at a quorum on, it may mint for so long.
+/// How long a controller issues new tokens after the start of a read that a quorum confirmed.
 pub const ISSUE_MS: u64 = 1100;
-/// And it may give tokens that it has for so long. Later nothing is left of them: another may hold the shard.
+/// How long it may give out tokens that it has, from the same start. Later another controller may own the shard.
 pub const LEASE_MS: u64 = 1700;
-/// A controller that is not known to be confirmed for so long is taken for gone, and its shards are taken over. Longer than a
-/// lease, by what hearing of a confirmation may take.
+/// A controller without a known confirmation for so long is regarded as stopped, and other controllers own its shards. Longer
+/// than a lease by the time in which a confirmation becomes known to others.
 pub const OWNER_EXPIRY_MS: u64 = 2400;
-/// A controller that was not confirmed for longer than a lease mints again only so long after it is: by then those that took its
-/// shards over have heard of it.
+/// How long a controller whose lease had ended waits after its next confirmation before it issues tokens again: by then those
+/// that took over its shards know of it.
 pub const REACQUIRE_DELAY_MS: u64 = 1000;
 
-/// A clock that runs only while its controller may mint. Invariant: it never goes back, and never runs faster than time.
+/// A clock that runs only while its controller may issue tokens. Invariant: it never goes back, and never runs faster than
+/// steady time.
 #[derive(Clone, Debug, Default)]
 pub struct IssueClock {
+    /// How long it has run.
     elapsed_ms: u64,
     /// The steady time up to which it was advanced.
     advanced_at: u64,
-    /// The begin of the newest read that confirmed the controller.
+    /// The start of the newest read that confirmed the controller.
     confirmed_at: Option<u64>,
     /// Before this steady time it does not run.
     issues_from: u64,
 }
 
 impl IssueClock {
-    /// Notes the newest confirmation and runs up to now. True: the lease had lapsed, and all tokens are void.
+    /// Records the newest confirmation and runs up to `now`, both in steady milliseconds. Returns `true` if the lease had ended
+    /// before this confirmation, so that all tokens are void.
     pub fn advance(&mut self, now: u64, confirmed_at: Option<u64>) -> bool {
         self.advance_to(now);
         let Some(confirmed_at) = confirmed_at else { return false };
@@ -41,16 +48,16 @@
         let until = self.confirmed_at.map_or(0, |confirmed_at| confirmed_at + ISSUE_MS).min(now);
         let from = self.advanced_at.max(self.issues_from);
         self.elapsed_ms += until.saturating_sub(from);
-        // What was not confirmed by now is not minted for later.
+        // A confirmation that comes later does not allow tokens for the time before now.
         self.advanced_at = self.advanced_at.max(now);
     }
 
-    /// How long it has run.
+    /// Returns how long the clock has run, in milliseconds.
     pub fn issue_time_ms(&self) -> u64 {
         self.elapsed_ms
     }
 
-    /// May tokens be given?
+    /// Returns whether tokens may be given out now.
     pub fn has_lease(&self, now: u64) -> bool {
         self.confirmed_at.is_some_and(|confirmed_at| now < confirmed_at + LEASE_MS) && now >= self.issues_from
     }
--- a/quota/src/issue_clock_tests.rs
+++ b/quota/src/issue_clock_tests.rs
@@ -1,4 +1,5 @@
-//! When the clock of a controller runs.
+//! When the issue clock of a controller runs.
+
 use super::{IssueClock, ISSUE_MS, LEASE_MS, OWNER_EXPIRY_MS, REACQUIRE_DELAY_MS};
 
 fn confirm_for_three_seconds(clock: &mut IssueClock) {
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn after_a_lapse_it_waits_and_says_that_all_is_void() {
+fn after_a_lease_ended_it_waits_and_reports_that_tokens_are_void() {
     let mut clock = IssueClock::default();
     confirm_for_three_seconds(&mut clock);
     let before = clock.issue_time_ms() + ISSUE_MS;
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_shorter_gap_is_bridged_but_not_minted_for() {
+fn a_gap_shorter_than_a_lease_keeps_the_lease_but_issues_nothing_for_it() {
     let mut clock = IssueClock::default();
     confirm_for_three_seconds(&mut clock);
     let before = clock.issue_time_ms();
@@ -56,5 +57,5 @@
     assert!(!clock.advance(6500, Some(6500)));
 }
 
-// A taker must not begin before the last holder's lease has ended: its own, and what hearing of it takes.
+// A new owner must not start before the previous owner's lease has ended.
 const _: () = assert!(OWNER_EXPIRY_MS > LEASE_MS && LEASE_MS > ISSUE_MS);
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -1,10 +1,12 @@
-//! Limits on the requests of a tenant, kept as a sum over all routers. Pure: time comes in with every call.
+//! Rate limits of tenants, enforced on the sum over all routers. The crate does no I/O and reads no clock: time comes in with
+//! every call.
 //!
-//! A tenant's token bucket is split into shards that different controllers hold. A router asks a holder for a token before it
-//! sends a request to an engine. Nothing is agreed on for a token: that the shards never mint more than the limit follows
-//! from leases alone. A holder mints only while a quorum confirmed it a moment ago, and another takes its shard over only
-//! once it must have stopped. `docs/quotas.md` weighs this against other ways and states the bounds.
-#![warn(missing_docs)]
+//! A tenant's token bucket is split into shards that different controllers own. A router asks an owner for a token before it
+//! sends a request to an engine. No consensus round is needed for a token: that the shards never issue more than the limit
+//! follows from time leases alone. An owner issues tokens only while a quorum confirmed it a moment ago, and another
+//! controller takes its shard over only once the lease must have ended. While no owner answers, routers fall back on
+//! [`Allowances`]. `docs/quotas.md` compares this with other designs and states the bounds.
+#![deny(missing_docs)]
 
 mod allowance;
 mod bucket;
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -1,21 +1,23 @@
-//! Which controllers hold the shards of a tenant's bucket.
+//! Which controllers own the shards of a tenant's bucket: rendezvous hashing, spread over zones.
 
 use kernel::clock;
 
-/// How many shards a bucket has where there are as many controllers: when one is lost, two thirds of the rate remain at once.
+/// Shards of a bucket where there are as many controllers. When one is lost, two thirds of the rate remain at once.
 pub const SHARDS: usize = 3;
 
-/// A controller that may hold shards.
+/// A controller that may own shards.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EligibleOwner {
-    /// Its address.
+    /// Its IP address.
     pub ip: String,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: String,
 }
 
-/// The controllers that hold the shards of a tenant, of those that live: by rendezvous, in different zones where there are so
-/// many. Whoever has the same list finds the same ones, and one more or less moves only its own shards.
+/// Returns the owners of a tenant's shards among the eligible controllers, in different zones where there are enough zones.
+///
+/// The choice is by rendezvous hashing: every caller with the same set finds the same owners, and a controller that is added
+/// or removed moves only its own shards.
 pub fn shard_owners<'a>(tenant: &str, eligible: &'a [EligibleOwner]) -> Vec<&'a EligibleOwner> {
     let seed = clock::hash(tenant.as_bytes());
     let mut order: Vec<&EligibleOwner> = eligible.iter().collect();
--- a/quota/src/placement_tests.rs
+++ b/quota/src/placement_tests.rs
@@ -1,4 +1,4 @@
-//! Where shards are.
+//! Which controllers own shards.
 
 use std::collections::HashMap;
 
--- a/quota/src/shards.rs
+++ b/quota/src/shards.rs
@@ -1,70 +1,73 @@
-//! The shards that one controller holds.
+//! The shards that one controller owns, through leases and changes of the eligible controllers.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::{shard_owners, EligibleOwner, IssueClock, Quota, TokenBucket, SHARDS};
 
-/// What a request for a token comes to.
+/// The answer to a request for a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenDecision {
     /// The request may be sent.
     Granted,
-    /// This shard is empty for so long at least.
+    /// The shard is empty.
     Denied {
-        /// Milliseconds until its next token.
+        /// Milliseconds until its next token at the earliest.
         retry_after_ms: u64,
     },
-    /// This controller holds no shard of the tenant, or can't know that it still does.
+    /// This controller owns no shard of the tenant, or can't know that it still does.
     NotOwner,
 }
 
-/// What a shard has given and refused.
+/// What one shard has granted and denied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardCounters {
     /// The tenant's name.
     pub tenant: String,
-    /// The whole limit, as it was last told here.
+    /// The limit of all shards together, as of the last request here.
     pub quota: Quota,
-    /// Tokens given since the shard is held here.
+    /// Tokens granted since this controller has owned the shard.
     pub granted: u64,
-    /// Requests for a token that were refused.
+    /// Requests for a token that were denied.
     pub denied: u64,
-    /// Tokens left in the shard.
+    /// Tokens in the shard.
     pub tokens: f64,
 }
 
+/// One tenant's shard at this controller.
 struct Shard {
     bucket: TokenBucket,
     quota: Quota,
     granted: u64,
     denied: u64,
+    /// Steady time of the last request, in milliseconds.
     used_at: u64,
 }
 
-/// A list of eligible controllers, and the minting time from which it counts.
+/// A list of eligible controllers, and the issue time from which it is in force.
 struct Placement {
     since: u64,
     eligible: Vec<EligibleOwner>,
 }
 
-/// How many lists of eligible controllers are remembered: by them it is told since when a shard is held that nobody asked for yet.
+/// How many lists of eligible controllers are kept. They show since when a shard is owned here that nobody asked for yet.
 const MAX_PLACEMENTS: usize = 8;
-/// A shard that nobody asks for is forgotten after this; it would be full.
+/// A shard without requests for so long is dropped; it would be full.
 const IDLE_EXPIRY_MS: u64 = 600_000;
 
-/// Invariant: `shards` holds buckets only of tenants whose shard this controller holds by the newest placement.
+/// The shards of one controller. Invariant: `shards` has buckets only of tenants whose shard this controller owns by the newest
+/// placement.
 pub struct Shards {
     own_ip: String,
     clock: IssueClock,
     placements: VecDeque<Placement>,
     shards: HashMap<String, Shard>,
-    /// The fault that a bucket which begins empty prevents.
+    /// Injects the fault that a bucket which starts empty prevents.
     #[cfg(test)]
     pub(crate) starts_full: bool,
 }
 
 impl Shards {
-    /// The shards of a controller that has just started: it holds none before its first lease.
+    /// Returns the shards of a controller that has just started: it owns none before its first lease.
     pub fn new(own_ip: &str) -> Shards {
         Shards {
             own_ip: own_ip.into(),
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Notes who lives, as this controller sees it, and when it was last confirmed. To be called often.
+    /// Records the eligible controllers as this one sees them, and the start of the last read that confirmed this one, in steady
+    /// milliseconds. To be called at each heartbeat, much more often than a lease ends.
     pub fn refresh(&mut self, now: u64, confirmed_at: Option<u64>, mut eligible: Vec<EligibleOwner>) {
         self.advance(now, confirmed_at);
         eligible.sort();
@@ -90,7 +94,7 @@
         if self.clock.advance(now, confirmed_at) {
             let issue_now_ms = self.clock.issue_time_ms();
             self.shards.values_mut().for_each(|shard| shard.bucket.clear(issue_now_ms));
-            // Who lived before says nothing about now.
+            // Without a lease this controller may have missed changes: earlier placements prove nothing.
             if let Some(newest) = self.placements.pop_back() {
                 self.placements.clear();
                 self.placements.push_back(Placement { since: issue_now_ms, ..newest });
@@ -103,7 +107,7 @@
         let (before, after) = (self.share_count(), share_count(&eligible));
         self.shards.retain(|tenant, _| owns(&own_ip, tenant, &eligible));
         if after < before {
-            // A share that grows mints no more for the time before.
+            // A share that grows must not issue more for the time before.
             let issue_now_ms = self.clock.issue_time_ms();
             self.shards.values_mut().for_each(|shard| shard.bucket.refill(&shard.quota.shard(before), issue_now_ms));
         }
@@ -117,14 +121,15 @@
         self.placements.back().map_or(1, |newest| share_count(&newest.eligible))
     }
 
-    /// The minting time since which this controller holds a shard of a tenant. None: it holds none.
+    /// Returns the issue time since which this controller owns a shard of a tenant, if it owns one.
     fn owned_since(&self, tenant: &str) -> Option<u64> {
         let owned =
             self.placements.iter().rev().take_while(|placement| owns(&self.own_ip, tenant, &placement.eligible));
         owned.last().map(|oldest| oldest.since)
     }
 
-    /// Takes a token of a tenant, if there is one.
+    /// Takes a token of a tenant's shard, if there is one. Times are in steady milliseconds; `confirmed_at` is the start of the
+    /// last read that confirmed this controller.
     pub fn try_acquire(&mut self, tenant: &str, quota: Quota, now: u64, confirmed_at: Option<u64>) -> TokenDecision {
         self.advance(now, confirmed_at);
         if !self.clock.has_lease(now) {
@@ -150,7 +155,7 @@
         TokenDecision::Denied { retry_after_ms: shard.bucket.next_token_ms(&share) }
     }
 
-    /// What the shards held here have given.
+    /// Returns what the shards owned here have granted and denied.
     pub fn counters(&self) -> Vec<ShardCounters> {
         let counters = self.shards.iter().map(|(tenant, shard)| ShardCounters {
             tenant: tenant.clone(),
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -1,4 +1,5 @@
-//! One controller's shards through leases, lapses and changes of who lives.
+//! One controller's shards through leases, their ends and changes of the eligible controllers.
+
 use super::{Shards, TokenDecision};
 use crate::{EligibleOwner, Quota, REACQUIRE_DELAY_MS};
 
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_shard_mints_its_share_from_the_end_of_the_settling_on() {
+fn a_shard_issues_its_share_once_the_reacquire_delay_is_over() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(100, true);
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn an_empty_shard_says_when_its_next_token_comes() {
+fn an_empty_shard_returns_when_its_next_token_comes() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(REACQUIRE_DELAY_MS + 100, true);
     assert_eq!(controller.acquire_all(), 0);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_shard_of_others_is_not_given_from() {
+fn tokens_of_shards_owned_by_others_are_not_granted() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut controller = Controller::start(&names);
     controller.run(3000, true);
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn without_a_quorum_it_gives_what_it_has_until_its_lease_ends_and_mints_nothing() {
+fn without_a_quorum_it_grants_its_tokens_until_its_lease_ends_and_issues_none() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     controller.run(1500, false);
@@ -83,11 +84,11 @@
 }
 
 #[test]
-fn what_it_had_before_a_lapse_is_void() {
+fn tokens_from_before_the_lease_ended_are_void() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::Granted);
-    // Frozen: it wakes with all it had.
+    // The process was frozen and wakes with all its tokens.
     controller.now += 20_000;
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
     controller.run(REACQUIRE_DELAY_MS + 200, true);
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn a_shard_that_is_taken_over_begins_empty_even_if_nobody_asked_before() {
+fn a_shard_that_is_taken_over_starts_empty_even_if_nobody_asked_before() {
     let names = ["a", "b", "c", "d"];
     let mut controller = Controller::start(&names);
     controller.run(20_000, true);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_share_that_grows_when_others_are_lost_mints_no_more_for_the_time_before() {
+fn a_share_that_grows_when_owners_are_lost_issues_no_more_for_the_time_before() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(REACQUIRE_DELAY_MS + 100, true);
     assert_eq!(controller.acquire_all(), 0);
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn usage_tells_what_was_given_and_refused() {
+fn counters_show_what_was_granted_and_denied() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     assert_eq!(controller.acquire_all(), 10);
--- a/quota/src/testing/faults.rs
+++ b/quota/src/testing/faults.rs
@@ -4,7 +4,7 @@
 use crate::{shard_owners, EligibleOwner};
 
 impl Fleet {
-    /// About one trouble in a second and a half.
+    /// Injects a fault on average every second and a half.
     pub(super) fn inject_fault(&mut self) {
         if self.rng.below(150) != 0 {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Ends a controller that holds a shard of a tenant for so long.
+    /// Kills a controller that owns a shard of a tenant; it restarts after a time.
     pub fn kill_owner(&mut self, tenant: usize, time_ms: u64) {
         let eligible: Vec<EligibleOwner> =
             self.controllers.iter().map(|controller| controller.identity.clone()).collect();
@@ -48,7 +48,7 @@
         self.kill(at, self.now + time_ms);
     }
 
-    /// A new life that remembers nothing.
+    /// Restarts a controller without its memory.
     fn kill(&mut self, at: usize, until: u64) {
         let identity = self.controllers[at].identity.clone();
         self.controllers[at] = Controller { frozen_until: until, ..new_controller(identity, self.variant) };
--- a/quota/src/testing/fleet_tests.rs
+++ b/quota/src/testing/fleet_tests.rs
@@ -1,4 +1,4 @@
-//! The sum over a whole fleet, in every window, whatever fails; and who is refused while nothing does.
+//! The sum over all routers in every window under faults, and the share of denied requests without faults.
 
 use std::ops::Range;
 
@@ -21,7 +21,7 @@
     rates.map(|(at, rate)| tenant(at, *rate, burst_s, multiple, zones)).collect()
 }
 
-/// Tenants that are silent or far over their limits by turns while everything fails; they move between zones meanwhile.
+/// Tenants that are alternately silent or far over their limits under faults, and move between zones meanwhile.
 fn run_worst_case(size: &Size, variant: Variant, seed: u64) -> Fleet {
     let burst_s = if seed.is_multiple_of(2) { 1.0 } else { 5.0 };
     let mut fleet = Fleet::new(size, tenants(burst_s, 0.0, size.zones), variant, seed);
@@ -37,7 +37,7 @@
     fleet
 }
 
-/// How many times its limit a hot tenant sends.
+/// How many times its limit an overloading tenant sends.
 const OVERLOAD_FACTOR: f64 = 7.5;
 
 fn assert_bound_holds(size: &Size, seeds: Range<u64>) {
@@ -75,16 +75,16 @@
 }
 
 #[test]
-fn a_shard_that_is_taken_over_at_once_is_given_twice() {
+fn taking_over_a_shard_immediately_breaks_the_bound() {
     assert_bound_breaks(&GROWN, Variant::ImmediateTakeover);
 }
 
 #[test]
-fn a_controller_that_gives_without_a_lease_gives_what_another_holds() {
+fn issuing_without_a_lease_breaks_the_bound() {
     assert_bound_breaks(&GROWN, Variant::NoLease);
 }
 
-/// A holder is lost after a burst of ten seconds' requests was spent, and its shard is taken over inside the same window.
+/// An owner is lost after a burst of ten seconds' requests was spent, and its shard is taken over inside the same window.
 fn taken_over_after_a_burst(variant: Variant) -> Option<LimitViolation> {
     let mut fleet = Fleet::new(&GROWN, vec![tenant(0, 200.0, 10.0, 0.0, GROWN.zones)], variant, 1);
     fleet.run(30_000, false);
@@ -96,19 +96,19 @@
 }
 
 #[test]
-fn a_shard_that_begins_full_after_a_take_over_gives_the_burst_again() {
+fn a_shard_that_starts_full_after_a_takeover_issues_the_burst_again() {
     assert_eq!(taken_over_after_a_burst(Variant::Correct), None);
     assert!(taken_over_after_a_burst(Variant::StartsFull).is_some(), "the fault is not seen");
 }
 
-/// The part of the requests inside the limit that were not sent.
+/// Returns the share of requests that were not sent.
 fn refused_share(fleet: &Fleet) -> f64 {
     let (received, sent) = fleet.counts.iter().fold((0, 0), |sum, count| (sum.0 + count.received, sum.1 + count.sent));
     1.0 - sent as f64 / received as f64
 }
 
 #[test]
-fn who_stays_inside_its_limit_is_not_refused_in_calm() {
+fn a_tenant_within_its_limit_is_not_denied_without_faults() {
     for (size, seed) in [(&SMALL, 1), (&GROWN, 2), (&LARGE, 3)] {
         let mut fleet = Fleet::new(size, tenants(1.0, 0.6, size.zones), Variant::Correct, seed);
         fleet.run(6000, false);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn who_is_over_its_limit_gets_nearly_all_of_it_in_calm() {
+fn a_tenant_over_its_limit_gets_nearly_all_of_it_without_faults() {
     let mut fleet = Fleet::new(&GROWN, tenants(1.0, OVERLOAD_FACTOR, GROWN.zones), Variant::Correct, 4);
     fleet.run(6000, false);
     fleet.counts.iter_mut().for_each(|count| *count = Default::default());
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_binds_a_window_later() {
+fn a_lowered_limit_is_enforced_one_window_later() {
     let mut fleet = Fleet::new(&GROWN, tenants(1.0, OVERLOAD_FACTOR, GROWN.zones), Variant::Correct, 5);
     fleet.run(20_000, false);
     for tenant in &mut fleet.tenants {
--- a/quota/src/testing/heartbeats.rs
+++ b/quota/src/testing/heartbeats.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Who lives, as a controller sees it.
+    /// Returns the eligible owners as a controller sees them.
     fn eligible(&self, at: usize) -> Vec<EligibleOwner> {
         let own = &self.controllers[at];
         let is_expired = |ip: &str| match self.variant {
--- a/quota/src/testing/mod.rs
+++ b/quota/src/testing/mod.rs
@@ -18,30 +18,36 @@
 
 pub use measurements::LimitViolation;
 
+/// Length of one step.
 const STEP_MS: u64 = 10;
+/// Between two heartbeats of a controller.
 const HEARTBEAT_MS: u64 = 350;
-/// How often a router hears who lives.
+/// Between two updates of a router's list of eligible owners.
 const SUBSCRIPTION_MS: u64 = 400;
+/// How long a controller counts as confirmed.
 const CONFIRMATION_MS: u64 = 1100;
-/// The longest from a grant to the send.
+/// The longest time from a grant to the send.
 const MAX_SEND_DELAY_MS: u64 = 40;
-/// How long a router takes a tenant for refused after all its shards were empty.
+/// How long a router denies a tenant without asking after all its shards were empty.
 const DENIAL_CACHE_MS: u64 = 30;
 
+/// The bound that all runs are checked against.
 pub const BOUNDS: Bounds = Bounds { window_ms: 5000, overage: 0.1, slack: 20.0 };
 
-/// Which guard is missing; each must break the bound.
+/// Which safeguard is missing. Without any one of them the bound must break, or the simulation shows nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
+    /// None: the product as it is.
     Correct,
-    /// What a controller held is taken over as soon as it is not heard.
+    /// Shards are taken over as soon as a heartbeat of their owner is missing.
     ImmediateTakeover,
-    /// A controller gives whether it is confirmed or not.
+    /// A controller issues tokens whether it is confirmed or not.
     NoLease,
-    /// Who takes a shard over begins with a full one.
+    /// A shard that is taken over starts full.
     StartsFull,
 }
 
+/// How large a fleet is.
 pub struct Size {
     pub controllers: usize,
     pub zones: usize,
@@ -68,23 +74,28 @@
     waiting: Vec<usize>,
 }
 
+/// A tenant and its clients.
 pub struct Tenant {
     pub name: String,
     pub quota: Quota,
-    /// Requests a second that its clients make.
+    /// Requests per second that its clients make.
     pub demand: f64,
-    /// The zone from which max of them come.
+    /// The zone from which most of them come.
     pub zone: usize,
 }
 
+/// What came of a tenant's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
     pub received: usize,
     pub sent: usize,
+    /// Denied because the shards were empty.
     pub over_quota: usize,
+    /// Denied because no owner answered and the router's own allowance was used up.
     pub rejected_without_owner: usize,
 }
 
+/// A fleet and what its tenants sent so far.
 pub struct Fleet {
     pub now: u64,
     pub rng: Rng,
--- a/quota/src/testing/network.rs
+++ b/quota/src/testing/network.rs
@@ -27,7 +27,7 @@
             && self.are_zones_linked(self.zone_of(one), self.zone_of(two))
     }
 
-    /// A cut takes a controller off from other controllers; routers reach it as long as they and their zones are not cut off.
+    /// A partitioned controller loses the other controllers only; routers reach it while they and the zones are connected.
     pub(super) fn reaches(&self, router: usize, controller: usize) -> bool {
         let from = &self.routers[router];
         self.is_up(controller)
