--- a/versions/src/judge.rs
+++ b/versions/src/judge.rs
@@ -48,69 +48,69 @@
 
 /// Where the likelihood ratio decides: a false alarm in about so many requests that one would be expected only in many
 /// rollouts.
-const ALARM: f64 = 9.2;
+const ALARM_THRESHOLD: f64 = 9.2;
 /// Under this nothing begins to speak against it.
-const CALM: f64 = 3.0;
+const SUSPICION_THRESHOLD: f64 = 3.0;
 /// What a version may fail more often than the old one without being called bad, and what is clearly worse.
 const ALLOWED_EXCESS: f64 = 0.02;
-const CLEAR_EXCESS: f64 = 0.2;
+const ALARM_EXCESS: f64 = 0.2;
 /// The old version's failures are taken for at least and at most this share.
-const LEAST_RATE: f64 = 0.005;
-const MOST_RATE: f64 = 0.5;
+const MIN_FAILURE_RATE: f64 = 0.005;
+const MAX_FAILURE_RATE: f64 = 0.5;
 /// Samples of the old version before its own rate is believed: until then it is mixed with the least one.
 const PRIOR_SAMPLES: f64 = 20.0;
 /// Good samples of all routes that are enough to go on.
-const ENOUGH: u64 = 30;
+const MIN_SUCCESSES: u64 = 30;
 /// Times slower than the old one that is called slow, and answers of each that are enough to say so.
-const SLOWER: f64 = 2.5;
-const ENOUGH_PACES: u64 = 8;
+const SLOW_FACTOR: f64 = 2.5;
+const MIN_INTERVAL_SAMPLES: u64 = 8;
 /// Old samples of the pace are forgotten in two steps of this.
-const PACE_SPAN_MS: u64 = 1500;
-const LONGEST_PACE_US: u64 = 60_000_000;
+const INTERVAL_SPAN_MS: u64 = 1500;
+const MAX_INTERVAL_US: u64 = 60_000_000;
 
 /// One route's evidence.
 #[derive(Default)]
-struct Route {
-    stable_good: f64,
+struct RouteEvidence {
+    stable_succeeded: f64,
     stable_failed: f64,
     cusum: f64,
 }
 
-impl Route {
+impl RouteEvidence {
     /// The share of requests that the old version fails.
-    fn stable_rate(&self) -> f64 {
-        let seen = self.stable_good + self.stable_failed + PRIOR_SAMPLES;
-        ((self.stable_failed + PRIOR_SAMPLES * LEAST_RATE) / seen).clamp(LEAST_RATE, MOST_RATE)
+    fn stable_failure_rate(&self) -> f64 {
+        let samples = self.stable_succeeded + self.stable_failed + PRIOR_SAMPLES;
+        ((self.stable_failed + PRIOR_SAMPLES * MIN_FAILURE_RATE) / samples).clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE)
     }
 
-    fn note_candidate(&mut self, good: u64, failed: u64) {
-        let allowed = self.stable_rate() + ALLOWED_EXCESS;
-        let clear = allowed + CLEAR_EXCESS;
-        let for_failure = (clear / allowed).ln();
-        let for_good = ((1.0 - clear) / (1.0 - allowed)).ln();
+    fn record_candidate(&mut self, succeeded: u64, failed: u64) {
+        let allowed_rate = self.stable_failure_rate() + ALLOWED_EXCESS;
+        let excessive_rate = allowed_rate + ALARM_EXCESS;
+        let failure_weight = (excessive_rate / allowed_rate).ln();
+        let success_weight = ((1.0 - excessive_rate) / (1.0 - allowed_rate)).ln();
         // The order inside a batch is not known: what speaks for it comes first, so that it cannot hide what comes last.
-        self.cusum = (self.cusum + good as f64 * for_good).max(0.0);
-        self.cusum += failed as f64 * for_failure;
+        self.cusum = (self.cusum + succeeded as f64 * success_weight).max(0.0);
+        self.cusum += failed as f64 * failure_weight;
     }
 }
 
 /// The pace of one version, over the last one to two spans.
-struct Pace {
+struct RecentIntervals {
     current: IntervalHistogram,
     previous: IntervalHistogram,
 }
 
-fn empty() -> IntervalHistogram {
-    IntervalHistogram::new_with_max(LONGEST_PACE_US, 2).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
+fn empty_histogram() -> IntervalHistogram {
+    IntervalHistogram::new_with_max(MAX_INTERVAL_US, 2).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
 }
 
-impl Pace {
-    fn new() -> Pace {
-        Pace { current: empty(), previous: empty() }
+impl RecentIntervals {
+    fn new() -> RecentIntervals {
+        RecentIntervals { current: empty_histogram(), previous: empty_histogram() }
     }
 
-    fn turn(&mut self) {
-        self.previous = mem::replace(&mut self.current, empty());
+    fn rotate(&mut self) {
+        self.previous = mem::replace(&mut self.current, empty_histogram());
     }
 
     fn count(&self) -> u64 {
@@ -126,11 +126,11 @@
 
 /// All evidence of one rollout.
 pub struct CanaryAnalysis {
-    routes: BTreeMap<String, Route>,
-    stable_pace: Pace,
-    candidate_pace: Pace,
-    turned_at: u64,
-    candidate_good: u64,
+    routes: BTreeMap<String, RouteEvidence>,
+    stable_intervals: RecentIntervals,
+    candidate_intervals: RecentIntervals,
+    rotated_at: u64,
+    candidate_succeeded: u64,
     candidate_failed: u64,
 }
 
@@ -139,37 +139,37 @@
     pub fn new(now: u64) -> CanaryAnalysis {
         CanaryAnalysis {
             routes: BTreeMap::new(),
-            stable_pace: Pace::new(),
-            candidate_pace: Pace::new(),
-            turned_at: now,
-            candidate_good: 0,
+            stable_intervals: RecentIntervals::new(),
+            candidate_intervals: RecentIntervals::new(),
+            rotated_at: now,
+            candidate_succeeded: 0,
             candidate_failed: 0,
         }
     }
 
     /// Takes samples in.
-    pub fn record(&mut self, route: &str, arm: Variant, batch: &SampleBatch, now: u64) {
-        if now >= self.turned_at + PACE_SPAN_MS {
-            self.stable_pace.turn();
-            self.candidate_pace.turn();
-            self.turned_at = now;
+    pub fn record(&mut self, route: &str, variant: Variant, batch: &SampleBatch, now: u64) {
+        if now >= self.rotated_at + INTERVAL_SPAN_MS {
+            self.stable_intervals.rotate();
+            self.candidate_intervals.rotate();
+            self.rotated_at = now;
         }
-        let pace = match arm {
-            Variant::Stable => &mut self.stable_pace,
-            Variant::Candidate => &mut self.candidate_pace,
+        let intervals = match variant {
+            Variant::Stable => &mut self.stable_intervals,
+            Variant::Candidate => &mut self.candidate_intervals,
         };
-        for (pace_us, count) in &batch.event_intervals {
-            let _ = pace.current.record_n((*pace_us).clamp(1, LONGEST_PACE_US), *count);
+        for (interval_us, count) in &batch.event_intervals {
+            let _ = intervals.current.record_n((*interval_us).clamp(1, MAX_INTERVAL_US), *count);
         }
         let evidence = self.routes.entry(route.into()).or_default();
-        match arm {
+        match variant {
             Variant::Stable => {
-                evidence.stable_good += batch.succeeded as f64;
+                evidence.stable_succeeded += batch.succeeded as f64;
                 evidence.stable_failed += batch.failed as f64;
             }
             Variant::Candidate => {
-                evidence.note_candidate(batch.succeeded, batch.failed);
-                self.candidate_good += batch.succeeded;
+                evidence.record_candidate(batch.succeeded, batch.failed);
+                self.candidate_succeeded += batch.succeeded;
                 self.candidate_failed += batch.failed;
             }
         }
@@ -177,29 +177,29 @@
 
     /// Requests that the new version served, good and failed.
     pub fn candidate_seen(&self) -> (u64, u64) {
-        (self.candidate_good, self.candidate_failed)
+        (self.candidate_succeeded, self.candidate_failed)
     }
 
     /// What the samples say by now.
     pub fn verdict(&self) -> Verdict {
-        let worst = self.routes.values().map(|route| route.cusum).fold(0.0, f64::max);
-        if worst >= ALARM {
+        let max_cusum = self.routes.values().map(|route| route.cusum).fold(0.0, f64::max);
+        if max_cusum >= ALARM_THRESHOLD {
             return Verdict::Failing;
         }
         if self.is_slow() {
             return Verdict::Slow;
         }
-        match worst < CALM && self.candidate_good >= ENOUGH {
+        match max_cusum < SUSPICION_THRESHOLD && self.candidate_succeeded >= MIN_SUCCESSES {
             true => Verdict::Healthy,
             false => Verdict::Inconclusive,
         }
     }
 
     fn is_slow(&self) -> bool {
-        let (stable, candidate) = (&self.stable_pace, &self.candidate_pace);
-        stable.count() >= ENOUGH_PACES
-            && candidate.count() >= ENOUGH_PACES
-            && candidate.median() > SLOWER * stable.median()
+        let (stable, candidate) = (&self.stable_intervals, &self.candidate_intervals);
+        stable.count() >= MIN_INTERVAL_SAMPLES
+            && candidate.count() >= MIN_INTERVAL_SAMPLES
+            && candidate.median() > SLOW_FACTOR * stable.median()
     }
 }
 
--- a/versions/src/judge_tests.rs
+++ b/versions/src/judge_tests.rs
@@ -4,9 +4,9 @@
 const BATCH_MS: u64 = 250;
 
 /// A small generator of even numbers in 0..1.
-struct Chance(u64);
+struct UniformRng(u64);
 
-impl Chance {
+impl UniformRng {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
@@ -15,43 +15,49 @@
 
 /// What each version does to requests of two routes.
 #[derive(Clone, Copy)]
-struct World {
-    stable_fails: f64,
+struct Scenario {
+    stable_failure_rate: f64,
     /// By route.
-    candidate_fails: [f64; 2],
-    bad_from_ms: u64,
-    slower: f64,
+    candidate_failure_rates: [f64; 2],
+    faulty_from_ms: u64,
+    slowdown: f64,
     candidate_per_s: f64,
 }
 
-const GOOD: World =
-    World { stable_fails: 0.005, candidate_fails: [0.005; 2], bad_from_ms: 0, slower: 1.0, candidate_per_s: 25.0 };
+const HEALTHY: Scenario = Scenario {
+    stable_failure_rate: 0.005,
+    candidate_failure_rates: [0.005; 2],
+    faulty_from_ms: 0,
+    slowdown: 1.0,
+    candidate_per_s: 25.0,
+};
 
 /// The verdict after a time, when the first alarm came, and how many requests the new version had by then.
-fn play(world: &World, seed: u64, length_ms: u64) -> (Verdict, Option<u64>, u64) {
-    let mut chance = Chance(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) + 1);
+fn simulate(scenario: &Scenario, seed: u64, length_ms: u64) -> (Verdict, Option<u64>, u64) {
+    let mut rng = UniformRng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) + 1);
     let mut analysis = CanaryAnalysis::new(0);
     let mut now = 0;
     while now < length_ms {
         now += BATCH_MS;
         for (number, route) in ["long", "short"].into_iter().enumerate() {
-            for (arm, per_s) in
-                [(Variant::Stable, world.candidate_per_s * 10.0), (Variant::Candidate, world.candidate_per_s)]
+            for (variant, per_s) in
+                [(Variant::Stable, scenario.candidate_per_s * 10.0), (Variant::Candidate, scenario.candidate_per_s)]
             {
-                let is_bad = arm == Variant::Candidate && now > world.bad_from_ms;
-                let fails = if is_bad { world.candidate_fails[number] } else { world.stable_fails };
+                let is_faulty = variant == Variant::Candidate && now > scenario.faulty_from_ms;
+                let failure_rate =
+                    if is_faulty { scenario.candidate_failure_rates[number] } else { scenario.stable_failure_rate };
                 let mut batch = SampleBatch::default();
                 let expected = per_s / 2.0 * BATCH_MS as f64 / 1000.0;
-                let count = expected.floor() as u64 + u64::from(chance.next() < expected.fract());
+                let count = expected.floor() as u64 + u64::from(rng.next() < expected.fract());
                 for _ in 0..count {
-                    match chance.next() < fails {
+                    match rng.next() < failure_rate {
                         true => batch.failed += 1,
                         false => batch.succeeded += 1,
                     }
-                    let slower = if is_bad { world.slower } else { 1.0 };
-                    batch.event_intervals.push(((8000.0 * slower * (0.5 + chance.next())) as u64, 1));
+                    let slowdown = if is_faulty { scenario.slowdown } else { 1.0 };
+                    batch.event_intervals.push(((8000.0 * slowdown * (0.5 + rng.next())) as u64, 1));
                 }
-                analysis.record(route, arm, &batch, now);
+                analysis.record(route, variant, &batch, now);
             }
         }
         if matches!(analysis.verdict(), Verdict::Failing | Verdict::Slow) {
@@ -63,60 +69,60 @@
     (analysis.verdict(), None, seen.0 + seen.1)
 }
 
-fn alarms(world: &World, length_ms: u64, seeds: u64) -> Vec<u64> {
-    (0..seeds).filter_map(|seed| play(world, seed, length_ms).1).collect()
+fn alarms(scenario: &Scenario, length_ms: u64, seeds: u64) -> Vec<u64> {
+    (0..seeds).filter_map(|seed| simulate(scenario, seed, length_ms).1).collect()
 }
 
 #[test]
 fn a_good_version_is_seldom_called_bad_and_is_found_good() {
-    for stable_fails in [0.0, 0.01, 0.05, 0.2] {
-        let world = World { stable_fails, candidate_fails: [stable_fails; 2], ..GOOD };
-        let alarms = alarms(&world, 15_000, 400).len();
-        assert!(alarms <= 8, "{alarms} of 400 at {stable_fails}");
+    for stable_failure_rate in [0.0, 0.01, 0.05, 0.2] {
+        let scenario = Scenario { stable_failure_rate, candidate_failure_rates: [stable_failure_rate; 2], ..HEALTHY };
+        let alarms = alarms(&scenario, 15_000, 400).len();
+        assert!(alarms <= 8, "{alarms} of 400 at {stable_failure_rate}");
     }
-    let good = (0..200).filter(|seed| play(&GOOD, *seed, 8000).0 == Verdict::Healthy).count();
-    assert!(good >= 190, "{good} of 200");
+    let healthy = (0..200).filter(|seed| simulate(&HEALTHY, *seed, 8000).0 == Verdict::Healthy).count();
+    assert!(healthy >= 190, "{healthy} of 200");
 }
 
 #[test]
 fn a_version_that_fails_is_found_within_two_seconds() {
     for share in [0.3, 0.5] {
-        let world = World { candidate_fails: [share; 2], ..GOOD };
-        let found = alarms(&world, 15_000, 300);
-        assert_eq!(found.len(), 300);
-        assert!(found.iter().filter(|at| **at > 3000).count() <= 6, "{share}: {:?}", found.iter().max());
+        let scenario = Scenario { candidate_failure_rates: [share; 2], ..HEALTHY };
+        let alarm_times = alarms(&scenario, 15_000, 300);
+        assert_eq!(alarm_times.len(), 300);
+        assert!(alarm_times.iter().filter(|at| **at > 3000).count() <= 6, "{share}: {:?}", alarm_times.iter().max());
     }
 }
 
 #[test]
 fn a_version_that_turns_bad_late_is_found_as_soon() {
-    let world = World { candidate_fails: [0.4; 2], bad_from_ms: 4000, ..GOOD };
-    let found = alarms(&world, 15_000, 300);
-    assert_eq!(found.len(), 300);
-    assert!(found.iter().filter(|at| **at > 7000).count() <= 3, "{:?}", found.iter().max());
-    assert!(found.iter().filter(|at| **at < 4000).count() <= 3);
+    let scenario = Scenario { candidate_failure_rates: [0.4; 2], faulty_from_ms: 4000, ..HEALTHY };
+    let alarm_times = alarms(&scenario, 15_000, 300);
+    assert_eq!(alarm_times.len(), 300);
+    assert!(alarm_times.iter().filter(|at| **at > 7000).count() <= 3, "{:?}", alarm_times.iter().max());
+    assert!(alarm_times.iter().filter(|at| **at < 4000).count() <= 3);
 }
 
 #[test]
 fn a_version_that_is_bad_on_one_route_is_found() {
-    let world = World { candidate_fails: [0.4, 0.005], ..GOOD };
-    let found = alarms(&world, 15_000, 300);
-    assert_eq!(found.len(), 300);
-    assert!(found.iter().filter(|at| **at > 4000).count() <= 6, "{:?}", found.iter().max());
+    let scenario = Scenario { candidate_failure_rates: [0.4, 0.005], ..HEALTHY };
+    let alarm_times = alarms(&scenario, 15_000, 300);
+    assert_eq!(alarm_times.len(), 300);
+    assert!(alarm_times.iter().filter(|at| **at > 4000).count() <= 6, "{:?}", alarm_times.iter().max());
 }
 
 #[test]
 fn a_version_that_is_several_times_slower_is_found() {
-    let world = World { slower: 4.0, ..GOOD };
-    let found = alarms(&world, 15_000, 100);
-    assert_eq!(found.len(), 100);
-    assert!(found.iter().all(|at| *at <= 3000));
+    let scenario = Scenario { slowdown: 4.0, ..HEALTHY };
+    let alarm_times = alarms(&scenario, 15_000, 100);
+    assert_eq!(alarm_times.len(), 100);
+    assert!(alarm_times.iter().all(|at| *at <= 3000));
 }
 
 #[test]
 fn a_time_in_which_all_versions_fail_more_often_is_not_blamed_on_the_new_one() {
-    let world = World { stable_fails: 0.3, candidate_fails: [0.3; 2], ..GOOD };
-    let alarms = alarms(&world, 8000, 200).len();
+    let scenario = Scenario { stable_failure_rate: 0.3, candidate_failure_rates: [0.3; 2], ..HEALTHY };
+    let alarms = alarms(&scenario, 8000, 200).len();
     assert!(alarms <= 10, "{alarms} of 200");
 }
 
--- a/versions/src/schedule.rs
+++ b/versions/src/schedule.rs
@@ -10,12 +10,12 @@
 pub const FULL_SHARE: u32 = 1000;
 
 /// A version that turns bad late must have done so while it is a canary: this part of the time is given to it.
-const CANARY_PART: f64 = 0.52;
+const CANARY_DURATION_SHARE: f64 = 0.52;
 /// How long the halfway share lasts.
 const HALFWAY_MS: u64 = 1000;
 /// All requests have moved for so long, and so long before the term it is declared complete.
-const FEWEST_WHOLE_MS: u64 = 2500;
-const MARGIN_MS: u64 = 1200;
+const MIN_FULL_SHARE_MS: u64 = 2500;
+const COMPLETION_MARGIN_MS: u64 = 1200;
 
 /// What is to be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,13 +40,13 @@
 impl RolloutSchedule {
     /// When the canary ends.
     pub fn canary_ms(&self) -> u64 {
-        let usual = (self.duration_ms as f64 * CANARY_PART) as u64;
-        usual.min(self.last_start_ms().saturating_sub(HALFWAY_MS / 2))
+        let usual_ms = (self.duration_ms as f64 * CANARY_DURATION_SHARE) as u64;
+        usual_ms.min(self.promotion_deadline_ms().saturating_sub(HALFWAY_MS / 2))
     }
 
     /// When a version that is not known to be good is given up.
-    fn last_start_ms(&self) -> u64 {
-        self.duration_ms.saturating_sub(MARGIN_MS + FEWEST_WHOLE_MS + HALFWAY_MS)
+    fn promotion_deadline_ms(&self) -> u64 {
+        self.duration_ms.saturating_sub(COMPLETION_MARGIN_MS + MIN_FULL_SHARE_MS + HALFWAY_MS)
     }
 
     /// `share`: what it has now, and for how long; `elapsed_ms`: since the order.
@@ -55,8 +55,8 @@
             return RolloutStep::RollBack;
         }
         if share >= FULL_SHARE {
-            let is_time = elapsed_ms + MARGIN_MS >= self.duration_ms && share_for_ms >= FEWEST_WHOLE_MS;
-            return if is_time { RolloutStep::Complete } else { RolloutStep::Hold };
+            let is_due = elapsed_ms + COMPLETION_MARGIN_MS >= self.duration_ms && share_for_ms >= MIN_FULL_SHARE_MS;
+            return if is_due { RolloutStep::Complete } else { RolloutStep::Hold };
         }
         if share > CANARY_SHARE {
             return if share_for_ms >= HALFWAY_MS { RolloutStep::SetShare(FULL_SHARE) } else { RolloutStep::Hold };
@@ -66,7 +66,7 @@
         }
         match verdict {
             Verdict::Healthy => RolloutStep::SetShare(HALFWAY_SHARE),
-            _ if elapsed_ms >= self.last_start_ms() => RolloutStep::RollBack,
+            _ if elapsed_ms >= self.promotion_deadline_ms() => RolloutStep::RollBack,
             _ => RolloutStep::Hold,
         }
     }
--- a/versions/src/schedule_tests.rs
+++ b/versions/src/schedule_tests.rs
@@ -3,7 +3,7 @@
 use crate::Verdict;
 
 /// Plays a rollout to its end with one verdict; gives the last step, when it came, and the mean share up to the term.
-fn play(duration_ms: u64, verdict: impl Fn(u64) -> Verdict) -> (RolloutStep, u64, f64) {
+fn simulate(duration_ms: u64, verdict: impl Fn(u64) -> Verdict) -> (RolloutStep, u64, f64) {
     let schedule = RolloutSchedule { duration_ms };
     let (mut share, mut since, mut sum) = (0, 0, 0.0);
     for now in (0..=duration_ms).step_by(100) {
@@ -20,7 +20,7 @@
 #[test]
 fn a_good_version_is_complete_before_its_term() {
     for duration_ms in [8000, 12_000, 14_000, 17_000, 60_000] {
-        let (step, at, _) = play(duration_ms, |_| Verdict::Healthy);
+        let (step, at, _) = simulate(duration_ms, |_| Verdict::Healthy);
         assert_eq!(step, RolloutStep::Complete);
         assert!(at + 1000 <= duration_ms, "{duration_ms}: {at}");
     }
@@ -30,15 +30,15 @@
 fn a_bad_version_is_reverted_whenever_it_is_found() {
     for found_at in [0, 3000, 5000, 9000, 10_000] {
         let verdict = |now: u64| if now >= found_at { Verdict::Failing } else { Verdict::Healthy };
-        let (step, at, _) = play(12_000, verdict);
+        let (step, at, _) = simulate(12_000, verdict);
         assert_eq!((step, at), (RolloutStep::RollBack, found_at));
     }
-    assert_eq!(play(12_000, |_| Verdict::Slow).0, RolloutStep::RollBack);
+    assert_eq!(simulate(12_000, |_| Verdict::Slow).0, RolloutStep::RollBack);
 }
 
 #[test]
 fn an_unproved_version_gets_less_than_a_tenth_and_is_given_up_in_time() {
-    let (step, at, mean) = play(12_000, |_| Verdict::Inconclusive);
+    let (step, at, mean) = simulate(12_000, |_| Verdict::Inconclusive);
     assert_eq!(step, RolloutStep::RollBack);
     assert!(at < 12_000 && mean < 0.1, "{at} {mean}");
 }
@@ -47,7 +47,7 @@
 fn one_that_turns_bad_as_the_canary_ends_had_less_than_a_tenth_until_then() {
     let schedule = RolloutSchedule { duration_ms: 12_000 };
     let canary_ms = schedule.canary_ms();
-    let (step, _, mean) = play(12_000, |now| if now >= canary_ms { Verdict::Failing } else { Verdict::Healthy });
+    let (step, _, mean) = simulate(12_000, |now| if now >= canary_ms { Verdict::Failing } else { Verdict::Healthy });
     assert_eq!(step, RolloutStep::RollBack);
     assert!(mean < 0.1, "{mean}");
     assert_eq!(schedule.next_step(CANARY_SHARE, canary_ms, canary_ms, Verdict::Inconclusive), RolloutStep::Hold);
