--- a/versions/src/judge.rs
+++ b/versions/src/canary_analysis.rs
@@ -204,5 +204,5 @@
 }
 
 #[cfg(test)]
-#[path = "judge_tests.rs"]
+#[path = "canary_analysis_tests.rs"]
 mod tests;
--- a/versions/src/lib.rs
+++ b/versions/src/lib.rs
@@ -2,8 +2,8 @@
 //! comes in with every call. `docs/version-rollouts.md` weighs this against other ways.
 #![warn(missing_docs)]
 
-mod judge;
-mod schedule;
+mod canary_analysis;
+mod rollout_schedule;
 
-pub use judge::{CanaryAnalysis, IntervalHistogram, SampleBatch, Variant, Verdict};
-pub use schedule::{RolloutSchedule, RolloutStep, CANARY_SHARE, FULL_SHARE};
+pub use canary_analysis::{CanaryAnalysis, IntervalHistogram, SampleBatch, Variant, Verdict};
+pub use rollout_schedule::{RolloutSchedule, RolloutStep, CANARY_SHARE, FULL_SHARE};
--- a/versions/src/schedule.rs
+++ b/versions/src/rollout_schedule.rs
@@ -73,5 +73,5 @@
 }
 
 #[cfg(test)]
-#[path = "schedule_tests.rs"]
+#[path = "rollout_schedule_tests.rs"]
 mod tests;
