--- a/versions/src/canary_analysis_tests.rs
+++ b/versions/src/canary_analysis_tests.rs
@@ -1,9 +1,11 @@
-//! Seeded experiments: good and bad versions, judged from batches as routers send them.
-use super::{CanaryAnalysis, SampleBatch, Variant, Verdict};
+//! Seeded experiments: healthy and faulty versions, analysed from batches as routers report them.
+
+use super::{CanaryAnalysis, Verdict};
+use crate::{SampleBatch, Variant};
 
 const BATCH_MS: u64 = 250;
 
-/// A small generator of even numbers in 0..1.
+/// A small generator of uniform numbers in 0..1.
 struct UniformRng(u64);
 
 impl UniformRng {
@@ -32,8 +34,8 @@
     candidate_per_s: 25.0,
 };
 
-/// The verdict after a time, when the first alarm came, and how many requests the new version had by then.
-fn simulate(scenario: &Scenario, seed: u64, length_ms: u64) -> (Verdict, Option<u64>, u64) {
+/// Returns the verdict after a time, and when the first alarm came.
+fn simulate(scenario: &Scenario, seed: u64, length_ms: u64) -> (Verdict, Option<u64>) {
     let mut rng = UniformRng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) + 1);
     let mut analysis = CanaryAnalysis::new(0);
     let mut now = 0;
@@ -61,12 +63,10 @@
             }
         }
         if matches!(analysis.verdict(), Verdict::Failing | Verdict::Slow) {
-            let seen = analysis.candidate_seen();
-            return (analysis.verdict(), Some(now), seen.0 + seen.1);
+            return (analysis.verdict(), Some(now));
         }
     }
-    let seen = analysis.candidate_seen();
-    (analysis.verdict(), None, seen.0 + seen.1)
+    (analysis.verdict(), None)
 }
 
 fn alarms(scenario: &Scenario, length_ms: u64, seeds: u64) -> Vec<u64> {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_good_version_is_seldom_called_bad_and_is_found_good() {
+fn a_healthy_version_seldom_raises_an_alarm_and_is_found_healthy() {
     for stable_failure_rate in [0.0, 0.01, 0.05, 0.2] {
         let scenario = Scenario { stable_failure_rate, candidate_failure_rates: [stable_failure_rate; 2], ..HEALTHY };
         let alarms = alarms(&scenario, 15_000, 400).len();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_late_is_found_as_soon() {
+fn a_version_that_becomes_faulty_late_is_found_as_fast() {
     let scenario = Scenario { candidate_failure_rates: [0.4; 2], faulty_from_ms: 4000, ..HEALTHY };
     let alarm_times = alarms(&scenario, 15_000, 300);
     assert_eq!(alarm_times.len(), 300);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_version_that_is_bad_on_one_route_is_found() {
+fn a_version_that_is_faulty_on_one_route_is_found() {
     let scenario = Scenario { candidate_failure_rates: [0.4, 0.005], ..HEALTHY };
     let alarm_times = alarms(&scenario, 15_000, 300);
     assert_eq!(alarm_times.len(), 300);
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn a_time_in_which_all_versions_fail_more_often_is_not_blamed_on_the_new_one() {
+fn failures_that_all_versions_share_are_not_attributed_to_the_candidate() {
     let scenario = Scenario { stable_failure_rate: 0.3, candidate_failure_rates: [0.3; 2], ..HEALTHY };
     let alarms = alarms(&scenario, 8000, 200).len();
     assert!(alarms <= 10, "{alarms} of 200");
 }
 
 #[test]
-fn without_samples_nothing_is_known() {
+fn without_samples_the_verdict_is_inconclusive() {
     assert_eq!(CanaryAnalysis::new(0).verdict(), Verdict::Inconclusive);
 }
--- a/versions/src/rollout_schedule_tests.rs
+++ b/versions/src/rollout_schedule_tests.rs
@@ -1,8 +1,9 @@
 //! The steps of a rollout.
+
 use super::{RolloutSchedule, RolloutStep, CANARY_SHARE, FULL_SHARE};
 use crate::Verdict;
 
-/// Plays a rollout to its end with one verdict; gives the last step, when it came, and the mean share up to the term.
+/// Runs a rollout to its end; returns the last step, when it came, and the mean share over the duration.
 fn simulate(duration_ms: u64, verdict: impl Fn(u64) -> Verdict) -> (RolloutStep, u64, f64) {
     let schedule = RolloutSchedule { duration_ms };
     let (mut share, mut since, mut sum) = (0, 0, 0.0);
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn a_good_version_is_complete_before_its_term() {
+fn a_healthy_version_is_complete_before_its_duration_ends() {
     for duration_ms in [8000, 12_000, 14_000, 17_000, 60_000] {
         let (step, at, _) = simulate(duration_ms, |_| Verdict::Healthy);
         assert_eq!(step, RolloutStep::Complete);
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_bad_version_is_reverted_whenever_it_is_found() {
+fn a_failing_version_is_rolled_back_whenever_it_is_found() {
     for found_at in [0, 3000, 5000, 9000, 10_000] {
         let verdict = |now: u64| if now >= found_at { Verdict::Failing } else { Verdict::Healthy };
         let (step, at, _) = simulate(12_000, verdict);
@@ -37,14 +38,14 @@
 }
 
 #[test]
-fn an_unproved_version_gets_less_than_a_tenth_and_is_given_up_in_time() {
+fn an_inconclusive_version_gets_less_than_a_tenth_and_is_rolled_back_in_time() {
     let (step, at, mean) = simulate(12_000, |_| Verdict::Inconclusive);
     assert_eq!(step, RolloutStep::RollBack);
     assert!(at < 12_000 && mean < 0.1, "{at} {mean}");
 }
 
 #[test]
-fn one_that_turns_bad_as_the_canary_ends_had_less_than_a_tenth_until_then() {
+fn a_version_that_fails_as_the_canary_ends_had_less_than_a_tenth_until_then() {
     let schedule = RolloutSchedule { duration_ms: 12_000 };
     let canary_ms = schedule.canary_ms();
     let (step, _, mean) = simulate(12_000, |now| if now >= canary_ms { Verdict::Failing } else { Verdict::Healthy });
