--- a/batch/src/job_page.rs
+++ b/batch/src/job_page.rs
@@ -1,5 +1,7 @@
 //! The durable state of up to `JOBS_PER_PAGE` jobs: what one key of the ledger holds.
 
+use thiserror::Error;
+
 use crate::Batch;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -47,10 +49,22 @@
 }
 
 /// Why a change is not made: another owner holds the page, or the job has its receipt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PageError {
-    StaleEpoch,
-    JobFinished,
+    /// Another owner claimed the page under a later epoch, or none under this one.
+    #[error("epoch {given} may not change a page claimed under epoch {current}")]
+    StaleEpoch {
+        /// The epoch of the owner that wants to change the page.
+        given: u64,
+        /// The epoch under which the page was last claimed.
+        current: u64,
+    },
+    /// The job has its final state, or is not on this page.
+    #[error("job {index} of the page has its final state or does not exist")]
+    JobNotOpen {
+        /// The job's index on the page.
+        index: usize,
+    },
 }
 
 impl JobPage {
@@ -62,7 +76,7 @@
     /// where that is allowed, else its outcome is unknown.
     pub fn claim(&mut self, epoch: u64, repeatable: impl Fn(usize) -> bool) -> Result<(), PageError> {
         if epoch <= self.epoch {
-            return Err(PageError::StaleEpoch);
+            return Err(PageError::StaleEpoch { given: epoch, current: self.epoch });
         }
         self.epoch = epoch;
         for (at, state) in self.states.iter_mut().enumerate() {
@@ -89,10 +103,10 @@
 
     fn set_state(&mut self, at: usize, epoch: u64, state: JobState) -> Result<(), PageError> {
         if epoch != self.epoch {
-            return Err(PageError::StaleEpoch);
+            return Err(PageError::StaleEpoch { given: epoch, current: self.epoch });
         }
         let Some(stored) = self.states.get_mut(at).filter(|stored| !stored.is_final()) else {
-            return Err(PageError::JobFinished);
+            return Err(PageError::JobNotOpen { index: at });
         };
         *stored = state;
         Ok(())
--- a/batch/src/job_page_tests.rs
+++ b/batch/src/job_page_tests.rs
@@ -6,11 +6,11 @@
     page.claim(1, |_| true).expect("first");
     page.start(0, 1).expect("own");
     page.claim(2, |_| true).expect("rises");
-    assert_eq!(page.claim(2, |_| true), Err(PageError::StaleEpoch));
+    assert_eq!(page.claim(2, |_| true), Err(PageError::StaleEpoch { given: 2, current: 2 }));
     let done = JobState::Completed { status: 200, body: "a".into() };
-    assert_eq!(page.finish(0, 1, done.clone()), Err(PageError::StaleEpoch));
+    assert_eq!(page.finish(0, 1, done.clone()), Err(PageError::StaleEpoch { given: 1, current: 2 }));
     page.finish(0, 2, done.clone()).expect("own");
-    assert_eq!(page.finish(0, 2, JobState::DeadlineMissed), Err(PageError::JobFinished));
+    assert_eq!(page.finish(0, 2, JobState::DeadlineMissed), Err(PageError::JobNotOpen { index: 0 }));
     assert_eq!(page.states[0], done);
 }
 
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -9,7 +9,7 @@
 pub use attempt::{state_after, AttemptOutcome, MAX_ATTEMPTS};
 pub use dispatch::{next_dispatches, urgency, BatchView, ConcurrencyLimit, Dispatch, Urgency};
 pub use job_page::{JobPage, JobState, PageError};
-pub use specification::{batch_id, parse, Batch, Job, RouteLookup};
+pub use specification::{batch_id, parse, Batch, Job, JobError, RouteLookup, SpecificationError};
 
 /// Bounds, stated in docs/batches.md and checked when a batch is submitted.
 pub const MAX_JOBS: usize = 256;
--- a/batch/src/specification.rs
+++ b/batch/src/specification.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use kernel::clock;
+use thiserror::Error;
 
 use crate::{JOBS_PER_PAGE, MAX_BATCH_BYTES, MAX_JOBS, MAX_JOB_NAME_BYTES, MAX_WINDOW_S, RETENTION_MS};
 
@@ -32,17 +33,17 @@
     pub jobs: Vec<Job>,
 }
 
+/// A submission as JSON. serde names the type in error texts that operators see, so its name is part of the interface.
 #[derive(serde::Deserialize)]
-#[serde(expecting = "struct Sent")]
-struct BatchSpecification {
+struct Sent {
     window_s: Option<f64>,
     #[serde(default)]
-    jobs: Vec<JobSpecification>,
+    jobs: Vec<SentJob>,
 }
 
+/// A job of a submission. Its name is part of the interface like that of [`Sent`].
 #[derive(serde::Deserialize)]
-#[serde(expecting = "struct SentJob")]
-struct JobSpecification {
+struct SentJob {
     #[serde(default)]
     name: String,
     #[serde(default = "default_method")]
@@ -75,61 +76,169 @@
     "urgency-class",
 ];
 
+/// Methods that a job may use.
+const METHODS: [&str; 3] = ["GET", "POST", "PUT"];
+/// Longest idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1000.0;
+
+/// Why a submission is rejected. Operators read the text.
+#[derive(Debug, Error)]
+pub enum SpecificationError {
+    /// The idempotency key is missing, too long or not printable ASCII.
+    #[error("Idempotency-Key: missing, over {MAX_KEY_BYTES} bytes or not plain text")]
+    InvalidIdempotencyKey,
+    /// The body is not JSON of the right types.
+    #[error("batch: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The window is not positive or too long.
+    #[error("window_s: found {found_s}, allowed: above 0, up to {MAX_WINDOW_S}")]
+    WindowOutOfRange {
+        /// The window submitted, in seconds; 0 if there was none.
+        found_s: f64,
+    },
+    /// There are no jobs or too many.
+    #[error("jobs: found {found}, allowed: 1 to {MAX_JOBS}")]
+    JobCountOutOfRange {
+        /// How many jobs were submitted.
+        found: usize,
+    },
+    /// One job violates a rule.
+    #[error("job `{name}` (number {index}): {error}")]
+    InvalidJob {
+        /// The job's name, as submitted.
+        name: String,
+        /// The job's place among the jobs, from 0.
+        index: usize,
+        /// The rule.
+        error: JobError,
+    },
+}
+
+/// Which rule a job violates.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum JobError {
+    /// The name is empty or too long.
+    #[error("name missing or over {MAX_JOB_NAME_BYTES} bytes")]
+    NameLength,
+    /// An earlier job has the same name.
+    #[error("name used twice")]
+    DuplicateName,
+    /// The path is not absolute, or the method is not allowed.
+    #[error("path not from a slash on, or method not GET, POST or PUT")]
+    PathOrMethod,
+    /// The job sets a header that belongs to the system.
+    #[error("header `{name}` is set by the system")]
+    ReservedHeader {
+        /// The header's name, as submitted.
+        name: String,
+    },
+    /// No route has this hostname and path.
+    #[error("no route for {hostname}{path}")]
+    NoRoute {
+        /// The job's hostname.
+        hostname: String,
+        /// The job's path.
+        path: String,
+    },
+    /// With this job the batch is too large.
+    #[error("the batch is over {MAX_BATCH_BYTES} bytes here")]
+    BatchTooLarge,
+}
+
 /// What a route says about a job: None without a route, else whether it may be repeated.
 pub type RouteLookup<'a> = &'a dyn Fn(&str, &str) -> Option<bool>;
 
-/// Reads a submission. Nothing of it is taken on an error, which names the job.
-pub fn parse(key: &str, text: &str, route: RouteLookup) -> Result<Batch, String> {
-    if key.is_empty() || key.len() > 128 || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err("Idempotency-Key: missing, over 128 bytes or not plain text".into());
+/// Returns the batch that an operator submitted under an idempotency key, with its jobs' routes looked up.
+///
+/// # Errors
+///
+/// The first rule that the submission violates. Nothing of it is stored then.
+pub fn parse(key: &str, text: &str, route: RouteLookup) -> Result<Batch, SpecificationError> {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return Err(SpecificationError::InvalidIdempotencyKey);
     }
-    let specification: BatchSpecification = serde_json::from_str(text).map_err(|error| format!("batch: {error}"))?;
+    let specification: Sent = serde_json::from_str(text)?;
     let window_s = specification.window_s.unwrap_or(0.0);
     if !(window_s > 0.0 && window_s <= MAX_WINDOW_S as f64) {
-        return Err(format!("window_s: found {window_s}, allowed: above 0, up to {}", MAX_WINDOW_S));
+        return Err(SpecificationError::WindowOutOfRange { found_s: window_s });
+    }
+    let jobs = check_jobs(specification.jobs, route)?;
+    let digest = clock::hash(text.as_bytes());
+    Ok(Batch { idempotency_key: key.into(), digest, window_ms: (window_s * MS_PER_S) as u64, jobs, ..Batch::default() })
+}
+
+fn check_jobs(specifications: Vec<SentJob>, route: RouteLookup) -> Result<Vec<Job>, SpecificationError> {
+    if specifications.is_empty() || specifications.len() > MAX_JOBS {
+        return Err(SpecificationError::JobCountOutOfRange { found: specifications.len() });
     }
-    if specification.jobs.is_empty() || specification.jobs.len() > MAX_JOBS {
-        return Err(format!("jobs: found {}, allowed: 1 to {}", specification.jobs.len(), MAX_JOBS));
+    let mut checker = JobChecker { route, seen_names: HashSet::new(), size_bytes: 0 };
+    let mut jobs = Vec::with_capacity(specifications.len());
+    for (index, job) in specifications.into_iter().enumerate() {
+        match checker.check(&job) {
+            Ok(repeatable) => jobs.push(job.into_job(repeatable)),
+            Err(error) => return Err(SpecificationError::InvalidJob { name: job.name, index, error }),
+        }
     }
-    let mut seen_names = HashSet::new();
-    let mut jobs = Vec::with_capacity(specification.jobs.len());
-    let mut size_bytes = 0;
-    for (at, job) in specification.jobs.into_iter().enumerate() {
-        let invalid = |message: String| Err(format!("job `{}` (number {at}): {message}", job.name));
+    Ok(jobs)
+}
+
+/// What the jobs checked so far imply for the next one.
+struct JobChecker<'a> {
+    route: RouteLookup<'a>,
+    seen_names: HashSet<String>,
+    size_bytes: usize,
+}
+
+impl JobChecker<'_> {
+    /// Returns whether the job may be repeated, or the first rule that it violates.
+    fn check(&mut self, job: &SentJob) -> Result<bool, JobError> {
         if job.name.is_empty() || job.name.len() > MAX_JOB_NAME_BYTES {
-            return invalid(format!("name missing or over {} bytes", MAX_JOB_NAME_BYTES));
+            return Err(JobError::NameLength);
         }
-        if !seen_names.insert(job.name.clone()) {
-            return invalid("name used twice".into());
+        if !self.seen_names.insert(job.name.clone()) {
+            return Err(JobError::DuplicateName);
         }
-        if !job.path.starts_with('/') || !["GET", "POST", "PUT"].contains(&job.method.as_str()) {
-            return invalid("path not from a slash on, or method not GET, POST or PUT".into());
+        if !job.path.starts_with('/') || !METHODS.contains(&job.method.as_str()) {
+            return Err(JobError::PathOrMethod);
         }
-        if let Some((name, _)) =
-            job.headers.iter().find(|(name, _)| RESERVED_HEADERS.contains(&name.to_ascii_lowercase().as_str()))
-        {
-            return invalid(format!("header `{name}` is set by the system"));
+        if let Some(name) = job.reserved_header() {
+            return Err(JobError::ReservedHeader { name: name.into() });
         }
-        let Some(repeatable) = route(&job.hostname, &job.path) else {
-            return invalid(format!("no route for {}{}", job.hostname, job.path));
+        let Some(repeatable) = (self.route)(&job.hostname, &job.path) else {
+            return Err(JobError::NoRoute { hostname: job.hostname.clone(), path: job.path.clone() });
         };
-        size_bytes += job.body.len() + job.path.len();
-        size_bytes += job.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>();
-        if size_bytes > MAX_BATCH_BYTES {
-            return invalid(format!("the batch is over {} bytes here", MAX_BATCH_BYTES));
+        self.size_bytes += job.size_bytes();
+        if self.size_bytes > MAX_BATCH_BYTES {
+            return Err(JobError::BatchTooLarge);
         }
-        jobs.push(Job {
-            name: job.name,
-            method: job.method,
-            host: job.hostname,
-            path: job.path,
-            headers: job.headers.into_iter().collect(),
-            body: job.body,
+        Ok(repeatable)
+    }
+}
+
+impl SentJob {
+    fn reserved_header(&self) -> Option<&str> {
+        let mut names = self.headers.keys();
+        names.find(|name| RESERVED_HEADERS.contains(&name.to_ascii_lowercase().as_str())).map(String::as_str)
+    }
+
+    fn size_bytes(&self) -> usize {
+        let headers = self.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>();
+        self.body.len() + self.path.len() + headers
+    }
+
+    fn into_job(self, repeatable: bool) -> Job {
+        Job {
+            name: self.name,
+            method: self.method,
+            host: self.hostname,
+            path: self.path,
+            headers: self.headers.into_iter().collect(),
+            body: self.body,
             repeatable,
-        });
+        }
     }
-    let digest = clock::hash(text.as_bytes());
-    Ok(Batch { idempotency_key: key.into(), digest, window_ms: (window_s * 1000.0) as u64, jobs, ..Batch::default() })
 }
 
 /// The id of a batch: from its key alone, so that one key is one batch.
--- a/batch/src/specification_tests.rs
+++ b/batch/src/specification_tests.rs
@@ -1,9 +1,9 @@
 use serde_json::Value;
 
-use super::Batch;
+use super::{Batch, SpecificationError};
 use crate::{MAX_BATCH_BYTES, RETENTION_MS};
 
-fn read(change: impl FnOnce(&mut Value)) -> Result<Batch, String> {
+fn read(change: impl FnOnce(&mut Value)) -> Result<Batch, SpecificationError> {
     let mut value = serde_json::json!({"window_s": 60, "jobs": [
         {"name": "a", "hostname": "h", "path": "/x/1", "headers": {"model": "m"}, "body": "1"},
         {"name": "b", "hostname": "h", "path": "/x/2", "body": "2"}]});
@@ -33,14 +33,21 @@
 fn each_flaw_names_the_job() {
     assert!(read(|value| value["jobs"][1]["name"] = "a".into())
         .unwrap_err()
+        .to_string()
         .contains("`a` (number 1): name used twice"));
-    assert!(read(|value| value["jobs"][1]["hostname"] = "q".into()).unwrap_err().contains("`b` (number 1): no route"));
-    assert!(read(|value| value["jobs"][0]["headers"]["Attempt-Id"] = "1".into()).unwrap_err().contains("`a`"));
-    assert!(read(|value| value["window_s"] = 0.into()).unwrap_err().contains("window_s"));
-    assert!(read(|value| value["window_s"] = (-5).into()).unwrap_err().contains("window_s"));
-    assert!(read(|value| value["jobs"] = serde_json::json!([])).unwrap_err().contains("jobs"));
+    assert!(read(|value| value["jobs"][1]["hostname"] = "q".into())
+        .unwrap_err()
+        .to_string()
+        .contains("`b` (number 1): no route"));
+    assert!(read(|value| value["jobs"][0]["headers"]["Attempt-Id"] = "1".into())
+        .unwrap_err()
+        .to_string()
+        .contains("`a`"));
+    assert!(read(|value| value["window_s"] = 0.into()).unwrap_err().to_string().contains("window_s"));
+    assert!(read(|value| value["window_s"] = (-5).into()).unwrap_err().to_string().contains("window_s"));
+    assert!(read(|value| value["jobs"] = serde_json::json!([])).unwrap_err().to_string().contains("jobs"));
     let big = "x".repeat(MAX_BATCH_BYTES);
-    assert!(read(|value| value["jobs"][1]["body"] = big.into()).unwrap_err().contains("`b`"));
+    assert!(read(|value| value["jobs"][1]["body"] = big.into()).unwrap_err().to_string().contains("`b`"));
 }
 
 #[test]
@@ -52,3 +59,32 @@
     assert!(batch.add_elapsed(5000, 1000, false));
     assert_eq!(batch.remaining_ms(), 54_000);
 }
+
+/// Operators and their tools read these texts.
+#[test]
+fn error_texts_are_stable() {
+    let route = |host: &str, _: &str| (host == "h").then_some(true);
+    let error_text = |key: &str, text: &str| super::parse(key, text, &route).expect_err("invalid").to_string();
+    let job = |fields: &str| format!(r#"{{"window_s":5,"jobs":[{{{fields}}}]}}"#);
+    let cases = [
+        ("5".to_string(), "batch: invalid type: integer `5`, expected struct Sent at line 1 column 1"),
+        ("[]".into(), "batch: invalid length 0, expected struct Sent with 2 elements at line 1 column 2"),
+        (r#"{"jobs":[5]}"#.into(), "batch: invalid type: integer `5`, expected struct SentJob at line 1 column 10"),
+        ("{}".into(), "window_s: found 0, allowed: above 0, up to 604800"),
+        (r#"{"window_s":1e9}"#.into(), "window_s: found 1000000000, allowed: above 0, up to 604800"),
+        (r#"{"window_s":5}"#.into(), "jobs: found 0, allowed: 1 to 256"),
+        (job(""), "job `` (number 0): name missing or over 64 bytes"),
+        (job(r#""name":"a""#), "job `a` (number 0): path not from a slash on, or method not GET, POST or PUT"),
+        (job(r#""name":"a","path":"/x","hostname":"q""#), "job `a` (number 0): no route for q/x"),
+        (
+            job(r#""name":"a","path":"/x","hostname":"h","headers":{"Host":"x"}"#),
+            "job `a` (number 0): header `Host` is set by the system",
+        ),
+    ];
+    for (text, expected) in cases {
+        assert_eq!(error_text("key-1", &text), expected);
+    }
+    assert_eq!(error_text("", "{}"), "Idempotency-Key: missing, over 128 bytes or not plain text");
+    let large = job(&format!(r#""name":"a","path":"/x","hostname":"h","body":"{}""#, "x".repeat(MAX_BATCH_BYTES)));
+    assert_eq!(error_text("key-1", &large), "job `a` (number 0): the batch is over 524288 bytes here");
+}
--- a/controller/src/batches.rs
+++ b/controller/src/batches.rs
@@ -70,7 +70,7 @@
         };
         let batch = match batch::parse(key, text, &route) {
             Ok(batch) => batch,
-            Err(words) => return Receipt::Bad(400, words),
+            Err(error) => return Receipt::Bad(400, error.to_string()),
         };
         let id = batch::batch_id(key);
         {
--- a/controller/src/runner.rs
+++ b/controller/src/runner.rs
@@ -237,7 +237,7 @@
     for number in 0..batch.page_count() {
         let close = |page: &mut JobPage| {
             if page.epoch != epoch {
-                return Err(PageError::StaleEpoch);
+                return Err(PageError::StaleEpoch { given: epoch, current: page.epoch });
             }
             let waits = page.states.iter_mut().filter(|state| **state == JobState::Waiting);
             waits.for_each(|held| *held = state.clone());
