--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -1,6 +1,6 @@
 //! Owners of one page whose rounds have unknown outcomes, who freeze between a check and a send, lose
 //! their duty unawares, and whose requests are lost, answered or turned away: a job that may not be
-//! repeated never runs twice, and no receipt is changed or invented.
+//! repeated never runs twice, and no final state is changed or invented.
 
 use kernel::clock::Rng;
 
@@ -15,7 +15,7 @@
     /// Durable; checked as the owner under its epoch. The owner may freeze here for any time.
     Sending,
     /// Its outcome must be written.
-    Closing(JobState),
+    Finishing(JobState),
 }
 
 struct Attempt {
@@ -31,16 +31,16 @@
     attempts: Vec<Attempt>,
 }
 
-struct World {
-    dice: Rng,
+struct Simulation {
+    rng: Rng,
     page: JobPage,
     owners: Vec<Owner>,
     epoch: u64,
     runs: [u32; JOBS],
     lost: [u32; JOBS],
     /// A begin whose outcome is unknown counts as durable: the fault that the rule prevents.
-    trusting: bool,
-    twice: u32,
+    trusts_unknown_starts: bool,
+    run_twice: u32,
     answered: u32,
 }
 
@@ -49,17 +49,17 @@
     job.is_multiple_of(2)
 }
 
-impl World {
-    fn new(seed: u64, trusting: bool) -> World {
-        World {
-            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
+impl Simulation {
+    fn new(seed: u64, trusts_unknown_starts: bool) -> Simulation {
+        Simulation {
+            rng: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
             page: JobPage::new(JOBS),
             owners: (0..OWNERS).map(|_| Owner::default()).collect(),
             epoch: 0,
             runs: [0; JOBS],
             lost: [0; JOBS],
-            trusting,
-            twice: 0,
+            trusts_unknown_starts,
+            run_twice: 0,
             answered: 0,
         }
     }
@@ -67,8 +67,8 @@
     /// A round of the register. None: its outcome is unknown, whether it was carried out or not.
     fn change(&mut self, act: impl FnOnce(&mut JobPage) -> Result<(), PageError>) -> Option<bool> {
         let before = self.page.clone();
-        let fate = self.dice.below(5);
-        if fate == 0 {
+        let round_outcome = self.rng.below(5);
+        if round_outcome == 0 {
             return None;
         }
         let done = act(&mut self.page).is_ok();
@@ -76,20 +76,20 @@
             assert!(!old.is_final() || old == new, "a receipt was changed");
         }
         assert!(self.page.epoch >= before.epoch);
-        (fate != 1).then_some(done)
+        (round_outcome != 1).then_some(done)
     }
 
     fn step(&mut self) {
-        let at = self.dice.below(OWNERS as u64) as usize;
-        match self.dice.below(8) {
-            0 if self.dice.below(6) == 0 => self.take_over(at),
+        let at = self.rng.below(OWNERS as u64) as usize;
+        match self.rng.below(8) {
+            0 if self.rng.below(6) == 0 => self.acquire_role(at),
             0 | 1 => self.claim(at),
-            2 | 3 => self.begin(at),
-            _ => self.go_on(at),
+            2 | 3 => self.start_attempt(at),
+            _ => self.advance_attempt(at),
         }
     }
 
-    fn take_over(&mut self, at: usize) {
+    fn acquire_role(&mut self, at: usize) {
         self.epoch += 1;
         self.owners[at].epoch = self.epoch;
         self.owners[at].claimed = false;
@@ -107,89 +107,92 @@
         self.owners[at].claimed = self.change(claim) == Some(true);
     }
 
-    fn begin(&mut self, at: usize) {
-        let (epoch, job) = (self.owners[at].epoch, self.dice.below(JOBS as u64) as usize);
-        let busy = self.owners[at].attempts.iter().any(|attempt| attempt.job == job);
-        if !self.owners[at].claimed || busy || self.page.states[job] != JobState::Waiting {
+    fn start_attempt(&mut self, at: usize) {
+        let (epoch, job) = (self.owners[at].epoch, self.rng.below(JOBS as u64) as usize);
+        let is_in_flight = self.owners[at].attempts.iter().any(|attempt| attempt.job == job);
+        if !self.owners[at].claimed || is_in_flight || self.page.states[job] != JobState::Waiting {
             return;
         }
         let stage = match self.change(|page| page.start(job, epoch)) {
             Some(false) => return,
             Some(true) => Stage::Sending,
-            None if self.trusting => Stage::Sending,
-            None => Stage::Closing(JobState::Waiting),
+            None if self.trusts_unknown_starts => Stage::Sending,
+            None => Stage::Finishing(JobState::Waiting),
         };
         self.owners[at].attempts.push(Attempt { job, epoch, stage });
     }
 
-    fn go_on(&mut self, at: usize) {
+    fn advance_attempt(&mut self, at: usize) {
         if self.owners[at].attempts.is_empty() {
             return;
         }
-        let place = self.dice.below(self.owners[at].attempts.len() as u64) as usize;
-        let Attempt { job, epoch, stage } = self.owners[at].attempts.swap_remove(place);
+        let index = self.rng.below(self.owners[at].attempts.len() as u64) as usize;
+        let Attempt { job, epoch, stage } = self.owners[at].attempts.swap_remove(index);
         match stage {
             Stage::Sending => {
                 let state = self.send(job);
-                self.owners[at].attempts.push(Attempt { job, epoch, stage: Stage::Closing(state) });
+                self.owners[at].attempts.push(Attempt { job, epoch, stage: Stage::Finishing(state) });
             }
-            Stage::Closing(state) => {
+            Stage::Finishing(state) => {
                 if self.change(|page| page.finish(job, epoch, state.clone())).is_none() {
-                    self.owners[at].attempts.push(Attempt { job, epoch, stage: Stage::Closing(state) });
+                    self.owners[at].attempts.push(Attempt { job, epoch, stage: Stage::Finishing(state) });
                 }
             }
         }
     }
 
     fn send(&mut self, job: usize) -> JobState {
-        let (runs, outcome) = match self.dice.below(6) {
+        let (runs, outcome) = match self.rng.below(6) {
             0 => (false, AttemptOutcome::NotExecuted { retry_after_ms: None }),
             1 => (false, AttemptOutcome::Unknown),
             2 => (true, AttemptOutcome::Unknown),
             _ => (true, AttemptOutcome::Completed { status: 200, body: String::new() }),
         };
         self.runs[job] += u32::from(runs);
-        self.twice += u32::from(runs && !repeatable(job) && self.runs[job] == 2);
+        self.run_twice += u32::from(runs && !repeatable(job) && self.runs[job] == 2);
         self.lost[job] += u32::from(outcome == AttemptOutcome::Unknown);
         self.answered += u32::from(matches!(outcome, AttemptOutcome::Completed { .. }));
         state_after(outcome, repeatable(job), self.lost[job])
     }
 
     /// Receipts that say `done` though nothing ran.
-    fn invented(&self) -> usize {
+    fn receipts_without_run(&self) -> usize {
         let states = self.page.states.iter().zip(self.runs);
         states.filter(|(state, runs)| matches!(state, JobState::Completed { .. }) && *runs == 0).count()
     }
 }
 
-fn run(seed: u64, trusting: bool) -> World {
-    let mut world = World::new(seed, trusting);
-    world.take_over(0);
+fn run(seed: u64, trusts_unknown_starts: bool) -> Simulation {
+    let mut simulation = Simulation::new(seed, trusts_unknown_starts);
+    simulation.acquire_role(0);
     for _ in 0..3000 {
-        world.step();
+        simulation.step();
     }
-    world
+    simulation
 }
 
 #[test]
 fn a_job_that_may_not_be_repeated_never_runs_twice() {
-    let (mut answered, mut closed) = (0, 0);
+    let (mut answered, mut finished) = (0, 0);
     for seed in 1..=500 {
-        let world = run(seed, false);
-        assert_eq!((world.twice, world.invented()), (0, 0), "seed {seed}");
-        answered += world.answered;
-        closed += world.page.states.iter().filter(|state| state.is_final()).count();
+        let simulation = run(seed, false);
+        assert_eq!((simulation.run_twice, simulation.receipts_without_run()), (0, 0), "seed {seed}");
+        answered += simulation.answered;
+        finished += simulation.page.states.iter().filter(|state| state.is_final()).count();
     }
-    assert!(answered > 1000 && closed > 2800, "the world must get work done: {answered} answers, {closed} receipts");
+    assert!(
+        answered > 1000 && finished > 2800,
+        "the simulation must get work done: {answered} answers, {finished} receipts"
+    );
 }
 
 #[test]
-fn the_world_shows_the_fault_when_an_unknown_begin_counts_as_durable() {
-    assert!((1..=500).any(|seed| run(seed, true).twice > 0), "a test that can't fail shows nothing");
+fn the_simulation_shows_the_fault_when_an_unknown_start_counts_as_durable() {
+    assert!((1..=500).any(|seed| run(seed, true).run_twice > 0), "a test that can't fail shows nothing");
 }
 
 #[test]
-fn only_a_repeatable_job_waits_again_after_a_lost_attempt() {
+fn only_a_repeatable_job_waits_again_after_an_unknown_outcome() {
     assert_eq!(state_after(AttemptOutcome::Unknown, false, 1), JobState::OutcomeUnknown);
     assert_eq!(state_after(AttemptOutcome::Unknown, true, MAX_ATTEMPTS - 1), JobState::Waiting);
     assert_eq!(state_after(AttemptOutcome::Unknown, true, MAX_ATTEMPTS), JobState::DeadlineMissed);
--- a/batch/src/dispatch_tests.rs
+++ b/batch/src/dispatch_tests.rs
@@ -1,7 +1,7 @@
 use super::{next_dispatches, BatchView, ConcurrencyLimit, Urgency};
 
 #[test]
-fn earliest_window_first_and_only_into_free_places() {
+fn the_earliest_window_comes_first_and_only_free_slots_are_filled() {
     let view = |batch_id, remaining_ms, waiting: &[usize]| BatchView {
         batch_id,
         remaining_ms,
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_refusal_makes_it_stand_back_at_once() {
+fn a_rejection_lowers_the_limit_immediately() {
     let mut limit = ConcurrencyLimit::new(16);
     (0..100).for_each(|_| limit.on_success());
     let free = limit.available(0, 0);
--- a/batch/src/job_page_tests.rs
+++ b/batch/src/job_page_tests.rs
@@ -1,7 +1,7 @@
 use super::{JobPage, JobState, PageError};
 
 #[test]
-fn a_receipt_is_never_changed_and_an_old_owner_changes_nothing() {
+fn a_final_state_is_never_changed_and_an_old_owner_changes_nothing() {
     let mut page = JobPage::new(3);
     page.claim(1, |_| true).expect("first");
     page.start(0, 1).expect("own");
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_was_sent_is_run_again_only_where_allowed() {
+fn a_started_job_is_run_again_only_if_repeatable() {
     let mut page = JobPage::new(2);
     page.claim(1, |_| false).expect("first");
     page.start(0, 1).expect("own");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn pages_and_batches_come_back_from_their_bytes() {
+fn a_page_survives_serialization() {
     let mut page = JobPage::new(2);
     page.claim(7, |_| false).expect("first");
     assert_eq!(JobPage::read_bytes(&page.write_bytes()), Some(page));
--- a/batch/src/specification_tests.rs
+++ b/batch/src/specification_tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_good_one_is_taken_whole() {
+fn a_valid_submission_becomes_a_batch() {
     let batch = read(|_| ()).expect("good");
     assert_eq!((batch.jobs.len(), batch.window_ms, batch.page_count()), (2, 60_000, 1));
 }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_flaw_names_the_job() {
+fn each_error_names_the_job() {
     assert!(read(|value| value["jobs"][1]["name"] = "a".into())
         .unwrap_err()
         .to_string()
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn time_counts_once_though_a_change_without_clear_outcome_is_made_again() {
+fn time_counts_once_even_if_a_change_with_unknown_outcome_is_repeated() {
     let mut batch = read(|_| ()).expect("good");
     assert!(batch.add_elapsed(0, 5000, false));
     assert!(!batch.add_elapsed(0, 5000, false), "carried out before, though nobody heard of it");
--- a/batch/src/testing/simulation_tests.rs
+++ b/batch/src/testing/simulation_tests.rs
@@ -4,7 +4,7 @@
 
 use super::{reference_plan, simulate, SimulationReport};
 
-fn honest(report: &SimulationReport, jobs: usize) {
+fn assert_exactly_once(report: &SimulationReport, jobs: usize) {
     assert_eq!((report.answered_twice, report.run_twice, report.receipts_without_run), (0, 0, 0), "{report:?}");
     assert_eq!(
         report.completed + report.unknown + report.deadline_missed,
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn an_off_peak_run_survives_halls_that_leave_and_ends_inside_its_window() {
+fn an_off_peak_run_survives_evacuated_zones_and_ends_inside_its_window() {
     for seed in 1..=8 {
         let plan = reference_plan(seed, 240);
         let report = simulate(&plan, true);
-        honest(&report, plan.jobs);
+        assert_exactly_once(&report, plan.jobs);
         assert_eq!(report.deadline_missed, 0, "{report:?}");
         assert!(report.last_receipt_ms <= plan.window_ms, "{report:?}");
         assert!(report.unknown < 60 && report.completed > 170, "{report:?}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn interactive_work_hardly_feels_the_batch() {
+fn a_batch_hardly_slows_interactive_requests() {
     for seed in 1..=5 {
         let plan = reference_plan(seed, 240);
         let (with, without) = (simulate(&plan, true), simulate(&plan, false));
@@ -47,46 +47,46 @@
 }
 
 #[test]
-fn owners_that_crash_and_wake_late_never_answer_twice() {
+fn owners_that_crash_and_wake_late_never_answer_a_job_twice() {
     for seed in 1..=30 {
-        let mut dice = Rng::new(seed);
+        let mut rng = Rng::new(seed);
         let mut plan = reference_plan(seed, 96);
-        plan.non_repeatable_every = 1 + dice.below(3) as usize;
-        plan.owner_crashes = (0..3).map(|_| 500 + dice.below(plan.window_ms)).collect();
-        plan.owner_freezes = (0..3).map(|_| (500 + dice.below(plan.window_ms), 2000 + dice.below(9000))).collect();
-        plan.zone_evacuations = vec![(500 + dice.below(plan.window_ms), dice.below(3) as usize)];
-        honest(&simulate(&plan, true), plan.jobs);
+        plan.non_repeatable_every = 1 + rng.below(3) as usize;
+        plan.owner_crashes = (0..3).map(|_| 500 + rng.below(plan.window_ms)).collect();
+        plan.owner_freezes = (0..3).map(|_| (500 + rng.below(plan.window_ms), 2000 + rng.below(9000))).collect();
+        plan.zone_evacuations = vec![(500 + rng.below(plan.window_ms), rng.below(3) as usize)];
+        assert_exactly_once(&simulate(&plan, true), plan.jobs);
     }
 }
 
 #[test]
-fn killing_everything_and_losing_routers_never_answers_twice() {
+fn killing_everything_and_losing_routers_never_answers_a_job_twice() {
     for seed in 1..=20 {
-        let mut dice = Rng::new(seed);
+        let mut rng = Rng::new(seed);
         let mut plan = reference_plan(seed, 96);
-        plan.non_repeatable_every = 1 + dice.below(3) as usize;
-        plan.system_kills = (0..3).map(|_| 500 + dice.below(plan.window_ms)).collect();
-        plan.router_losses = (0..4).map(|_| 500 + dice.below(plan.window_ms)).collect();
-        honest(&simulate(&plan, true), plan.jobs);
+        plan.non_repeatable_every = 1 + rng.below(3) as usize;
+        plan.system_kills = (0..3).map(|_| 500 + rng.below(plan.window_ms)).collect();
+        plan.router_losses = (0..4).map(|_| 500 + rng.below(plan.window_ms)).collect();
+        assert_exactly_once(&simulate(&plan, true), plan.jobs);
     }
 }
 
 #[test]
-fn a_window_that_cannot_be_made_is_told_plainly() {
+fn jobs_that_miss_their_window_are_reported_as_missed() {
     let mut plan = reference_plan(3, 200);
     plan.window_ms = 2500;
     (plan.zone_evacuations, plan.owner_crashes, plan.owner_freezes) = (Vec::new(), Vec::new(), Vec::new());
     (plan.system_kills, plan.router_losses) = (Vec::new(), Vec::new());
     let report = simulate(&plan, true);
-    honest(&report, plan.jobs);
+    assert_exactly_once(&report, plan.jobs);
     assert!(report.deadline_missed > 0 && report.completed > 0, "{report:?}");
 }
 
 #[test]
-fn with_no_hall_left_every_job_still_ends() {
+fn with_all_zones_evacuated_every_job_still_ends() {
     let mut plan = reference_plan(4, 64);
     plan.zone_evacuations = vec![(900, 0), (1000, 1), (1100, 2)];
     let report = simulate(&plan, true);
-    honest(&report, plan.jobs);
+    assert_exactly_once(&report, plan.jobs);
     assert!(report.deadline_missed > 0, "{report:?}");
 }
