--- a/batch/src/job_page.rs
+++ b/batch/src/job_page.rs
@@ -1,10 +1,9 @@
 //! The durable state of up to `JOBS_PER_PAGE` jobs: what one key of the ledger holds.
 
+use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::Batch;
-
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Deserialize, Serialize)]
 pub enum JobState {
     #[default]
     Waiting,
@@ -42,7 +41,7 @@
 
 /// Invariants: `epoch` never falls, and only the owner under it changes the page; a closed state is
 /// never changed.
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Deserialize, Serialize)]
 pub struct JobPage {
     pub epoch: u64,
     pub states: Vec<JobState>,
@@ -118,7 +117,6 @@
 }
 
 kernel::bytes!(JobPage);
-kernel::bytes!(Batch);
 
 #[cfg(test)]
 #[path = "job_page_tests.rs"]
--- a/batch/src/job_page_tests.rs
+++ b/batch/src/job_page_tests.rs
@@ -1,3 +1,5 @@
+//! Changes of a page by its owners, and its stored form.
+
 use super::{JobPage, JobState, PageError};
 
 #[test]
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -1,15 +1,19 @@
 //! Deferrable work: batches of jobs that wait for idle engines, each job answered exactly once.
 //! Pure: what is durable comes in and goes out as values; time comes in with every call.
 mod attempt;
+mod concurrency_limit;
 mod dispatch;
 mod job_page;
+mod record;
 mod specification;
 pub mod testing;
 
 pub use attempt::{state_after, AttemptOutcome, MAX_ATTEMPTS};
-pub use dispatch::{next_dispatches, urgency, BatchView, ConcurrencyLimit, Dispatch, Urgency};
+pub use concurrency_limit::ConcurrencyLimit;
+pub use dispatch::{next_dispatches, urgency, BatchView, Dispatch, Urgency};
 pub use job_page::{JobPage, JobState, PageError};
-pub use specification::{batch_id, parse, Batch, Job, JobError, RouteLookup, SpecificationError};
+pub use record::{batch_id, Batch, Job};
+pub use specification::{parse, JobError, RouteLookup, SpecificationError};
 
 /// Bounds, stated in docs/batches.md and checked when a batch is submitted.
 pub const MAX_JOBS: usize = 256;
