--- a/batch/src/concurrency_limit.rs
+++ b/batch/src/concurrency_limit.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    slow_growth_above: f64,
+    slow_start_threshold: f64,
     max: f64,
     pub paused_until: u64,
 }
@@ -18,7 +18,7 @@
 
 impl ConcurrencyLimit {
     pub fn new(max: usize) -> ConcurrencyLimit {
-        ConcurrencyLimit { limit: 2.0, slow_growth_above: max as f64, max: max.max(1) as f64, paused_until: 0 }
+        ConcurrencyLimit { limit: 2.0, slow_start_threshold: max as f64, max: max.max(1) as f64, paused_until: 0 }
     }
 
     pub fn available(&self, in_flight: usize, now: u64) -> usize {
@@ -29,13 +29,13 @@
     }
 
     pub fn on_success(&mut self) {
-        let step = if self.limit < self.slow_growth_above { 1.0 } else { 1.0 / self.limit };
+        let step = if self.limit < self.slow_start_threshold { 1.0 } else { 1.0 / self.limit };
         self.limit = (self.limit + step).min(self.max);
     }
 
     pub fn on_rejection(&mut self, retry_after_ms: Option<u64>, now: u64) {
         self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
-        self.slow_growth_above = self.limit;
+        self.slow_start_threshold = self.limit;
         self.paused_until = self.paused_until.max(now + retry_after_ms.unwrap_or(MIN_PAUSE_MS).max(MIN_PAUSE_MS));
     }
 }
--- a/batch/src/testing/simulation/owner.rs
+++ b/batch/src/testing/simulation/owner.rs
@@ -24,7 +24,7 @@
             let _ = self.pages[first].claim(epoch, repeatable);
             for (at, state) in self.pages[first].states.iter().enumerate() {
                 if state.is_final() && !before.states[at].is_final() {
-                    self.final_results[first * JOBS_PER_PAGE + at] += 1;
+                    self.finish_counts[first * JOBS_PER_PAGE + at] += 1;
                 }
             }
         }
@@ -46,7 +46,7 @@
             self.report.receipts_without_run += 1;
         }
         if self.pages[job / JOBS_PER_PAGE].finish(job % JOBS_PER_PAGE, epoch, state).is_ok() {
-            self.final_results[job] += 1;
+            self.finish_counts[job] += 1;
             self.report.last_receipt_ms = self.now;
         }
     }
--- a/batch/src/testing/simulation/report.rs
+++ b/batch/src/testing/simulation/report.rs
@@ -14,7 +14,7 @@
                 _ => self.report.unfinished += 1,
             }
         }
-        self.report.answered_twice = self.final_results.iter().filter(|count| **count > 1).count();
+        self.report.answered_twice = self.finish_counts.iter().filter(|count| **count > 1).count();
         let ran_twice = |job: &usize| !self.repeatable(*job) && self.runs[*job] > 1;
         self.report.run_twice = (0..self.plan.jobs).filter(ran_twice).count();
         self.latencies_ms.sort_unstable();
