--- a/batch/src/attempt.rs
+++ b/batch/src/attempt.rs
@@ -1,26 +1,31 @@
-//! One attempt at a job: what came of it, and the job's state after it.
+//! The outcome of one attempt at a job, and the job's state after it.
 
 use crate::JobState;
 
-/// A repeatable job whose attempts end so many times without an answer is given up.
+/// Attempts with an unknown outcome after which a repeatable job is given up.
 pub const MAX_ATTEMPTS: u32 = 6;
 
-/// What came of a request that was sent once.
+/// The outcome of a request that was sent once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
+    /// A router gave the engine's response.
     Completed {
+        /// The HTTP status.
         status: u16,
+        /// The body of the response.
         body: String,
     },
-    /// It has not run and never will; when to come back, where that was said.
+    /// The request was not executed and never will be.
     NotExecuted {
+        /// Milliseconds after which to try again, where the response said so.
         retry_after_ms: Option<u64>,
     },
-    /// It may have run.
+    /// The request may have been executed.
     Unknown,
 }
 
-/// The job's state after an attempt. `unknown_count`: how many of its attempts had unknown outcomes, this one included.
+/// Returns a job's state after an attempt. `unknown_count` is the number of its attempts with an unknown outcome, this one
+/// included.
 pub fn state_after(outcome: AttemptOutcome, repeatable: bool, unknown_count: u32) -> JobState {
     match outcome {
         AttemptOutcome::Completed { status, body } => JobState::Completed { status, body },
--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -1,6 +1,6 @@
-//! Owners of one page whose rounds have unknown outcomes, who freeze between a check and a send, lose
-//! their duty unawares, and whose requests are lost, answered or turned away: a job that may not be
-//! repeated never runs twice, and no final state is changed or invented.
+//! A simulation of owners of one page. Their rounds have unknown outcomes, they freeze between a check and a send, lose their
+//! role without noticing, and their requests are lost, answered or rejected. A job that may not be repeated never runs twice,
+//! and no final state is changed or invented.
 
 use kernel::clock::Rng;
 
--- a/batch/src/concurrency_limit.rs
+++ b/batch/src/concurrency_limit.rs
@@ -1,26 +1,30 @@
-//! How many jobs an owner may have in flight: additive increase, multiplicative decrease.
+//! How many jobs an owner may have in flight: slow start, then additive increase and multiplicative decrease, as TCP does.
 
-/// How many jobs may be under way: one more for each that found room, fewer by a quarter after one that
-/// was turned away; above what was left then, one more for each round only.
-/// Invariant: 1 <= `limit` <= `max`.
+/// The limit on jobs in flight.
+///
+/// It grows by one with each success up to the slow start threshold, above it by one with each round of successes. A rejection
+/// lowers it by a quarter and sets the threshold there. Invariant: 1 <= `limit` <= `max`.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
     slow_start_threshold: f64,
     max: f64,
-    pub paused_until: u64,
+    /// Steady time before which nothing is sent, in milliseconds.
+    paused_until: u64,
 }
 
-/// How long nothing is sent after a refusal, unless the refusal says longer.
+/// Shortest pause after a rejection; the rejection may ask for a longer one.
 const MIN_PAUSE_MS: u64 = 300;
-/// What is left of the limit after a refusal: enough to stand back, not to start anew.
+/// Share of the limit that remains after a rejection.
 const DECREASE_FACTOR: f64 = 0.75;
 
 impl ConcurrencyLimit {
+    /// Returns a limit that starts at two jobs and never exceeds `max`.
     pub fn new(max: usize) -> ConcurrencyLimit {
         ConcurrencyLimit { limit: 2.0, slow_start_threshold: max as f64, max: max.max(1) as f64, paused_until: 0 }
     }
 
+    /// Returns how many more jobs may be sent at the steady time `now`, in milliseconds.
     pub fn available(&self, in_flight: usize, now: u64) -> usize {
         if now < self.paused_until {
             return 0;
@@ -28,11 +32,13 @@
         (self.limit as usize).saturating_sub(in_flight)
     }
 
+    /// Raises the limit after a job was executed.
     pub fn on_success(&mut self) {
         let step = if self.limit < self.slow_start_threshold { 1.0 } else { 1.0 / self.limit };
         self.limit = (self.limit + step).min(self.max);
     }
 
+    /// Lowers the limit after a job was rejected for want of capacity, and pauses.
     pub fn on_rejection(&mut self, retry_after_ms: Option<u64>, now: u64) {
         self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
         self.slow_start_threshold = self.limit;
--- a/batch/src/job_page.rs
+++ b/batch/src/job_page.rs
@@ -1,32 +1,41 @@
-//! The durable state of up to `JOBS_PER_PAGE` jobs: what one key of the ledger holds.
+//! The states of up to [`JOBS_PER_PAGE`](crate::JOBS_PER_PAGE) jobs, stored under one key.
+//!
+//! Other versions of the software read these bytes: the order of fields and variants is part of the format. The epoch of a page
+//! is a fencing token: an owner that lost its role can't change a page that its successor claimed.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
 
+/// The state of one job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Deserialize, Serialize)]
 pub enum JobState {
+    /// Not in flight, to be sent.
     #[default]
     Waiting,
-    /// Sent, by the owner of the page's epoch: it may run.
+    /// Sent, or about to be, by the owner of the page's epoch: it may be executed.
     Started,
-    /// Answered: the one receipt.
+    /// Final: it was executed, and this is its response.
     Completed {
+        /// The HTTP status.
         status: u16,
+        /// The body.
         body: String,
     },
-    /// It may have run and may not be repeated; its answer is lost.
+    /// Final: it may have been executed, may not be repeated, and its response is lost.
     OutcomeUnknown,
-    /// It could not make its window. It has not run, or its runs gave no answer.
+    /// Final: no response within its window, or within [`MAX_ATTEMPTS`](crate::MAX_ATTEMPTS) attempts.
     DeadlineMissed,
+    /// Final: the batch was cancelled before it was sent.
     Cancelled,
 }
 
 impl JobState {
-    /// A receipt: final, never changed again.
+    /// Returns whether the state is final: never changed again.
     pub fn is_final(&self) -> bool {
         !matches!(self, JobState::Waiting | JobState::Started)
     }
 
+    /// Returns the word for the state that operators see.
     pub fn as_str(&self) -> &'static str {
         match self {
             JobState::Waiting => "waiting",
@@ -39,15 +48,18 @@
     }
 }
 
-/// Invariants: `epoch` never falls, and only the owner under it changes the page; a closed state is
-/// never changed.
+/// The states of consecutive jobs of one batch.
+///
+/// Invariants: `epoch` never falls, only the owner under it changes the page, and a final state is never changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Deserialize, Serialize)]
 pub struct JobPage {
+    /// The epoch of the owner that claimed the page last; 0 before the first.
     pub epoch: u64,
+    /// One state for each job.
     pub states: Vec<JobState>,
 }
 
-/// Why a change is not made: another owner holds the page, or the job has its receipt.
+/// Why a change of a page is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PageError {
     /// Another owner claimed the page under a later epoch, or none under this one.
@@ -67,12 +79,17 @@
 }
 
 impl JobPage {
+    /// Returns an unclaimed page of jobs that all wait.
     pub fn new(count: usize) -> JobPage {
         JobPage { epoch: 0, states: vec![JobState::Waiting; count] }
     }
 
-    /// A new owner takes the page over. What the last one sent may have run: it is run again only
-    /// where that is allowed, else its outcome is unknown.
+    /// Makes the owner under `epoch` the owner of the page. Jobs that the previous owner started may have been executed: they wait
+    /// again only if `repeatable`, else their outcome is unknown.
+    ///
+    /// # Errors
+    ///
+    /// [`PageError::StaleEpoch`] if the page was claimed under this epoch or a later one.
     pub fn claim(&mut self, epoch: u64, repeatable: impl Fn(usize) -> bool) -> Result<(), PageError> {
         if epoch <= self.epoch {
             return Err(PageError::StaleEpoch { given: epoch, current: self.epoch });
@@ -86,16 +103,29 @@
         Ok(())
     }
 
-    /// Must be durable before the job is sent.
+    /// Marks a job as started. This must be durable before the job is sent.
+    ///
+    /// # Errors
+    ///
+    /// [`PageError`] if the page is another owner's or the job is not open.
     pub fn start(&mut self, at: usize, epoch: u64) -> Result<(), PageError> {
         self.set_state(at, epoch, JobState::Started)
     }
 
-    /// It has not run: it waits again.
+    /// Marks a job that was not executed as waiting again.
+    ///
+    /// # Errors
+    ///
+    /// [`PageError`] if the page is another owner's or the job is not open.
     pub fn requeue(&mut self, at: usize, epoch: u64) -> Result<(), PageError> {
         self.set_state(at, epoch, JobState::Waiting)
     }
 
+    /// Writes a job's state after an attempt, which is final or waits for another attempt.
+    ///
+    /// # Errors
+    ///
+    /// [`PageError`] if the page is another owner's or the job is not open.
     pub fn finish(&mut self, at: usize, epoch: u64, state: JobState) -> Result<(), PageError> {
         self.set_state(at, epoch, state)
     }
@@ -111,6 +141,7 @@
         Ok(())
     }
 
+    /// Returns whether all states are final.
     pub fn is_final(&self) -> bool {
         self.states.iter().all(JobState::is_final)
     }
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -1,5 +1,12 @@
-//! Deferrable work: batches of jobs that wait for idle engines, each job answered exactly once.
-//! Pure: what is durable comes in and goes out as values; time comes in with every call.
+//! Deferrable work: batches of jobs that wait for idle engines, each job finished exactly once.
+//!
+//! An operator submits a batch of jobs with a window. One controller at a time owns the batches, under an epoch. It claims the
+//! pages of job states under its epoch, dispatches jobs while engines are idle, and writes each job's final state once. A job
+//! that may not be repeated is never sent twice: its start is durable before it is sent, and a new owner doesn't send it again.
+//!
+//! The crate does no I/O and reads no clock: durable records come in and go out as values, and time comes in with every call.
+//! `docs/batches.md` states the design and the limits.
+
 mod attempt;
 mod concurrency_limit;
 mod dispatch;
@@ -15,15 +22,19 @@
 pub use record::{batch_id, Batch, Job};
 pub use specification::{parse, JobError, RouteLookup, SpecificationError};
 
-/// Bounds, stated in docs/batches.md and checked when a batch is submitted.
+/// Most jobs in a batch.
 pub const MAX_JOBS: usize = 256;
+/// Most bytes of bodies, paths and headers in a submission.
 pub const MAX_BATCH_BYTES: usize = 512 * 1024;
+/// Longest name of a job, in bytes.
 pub const MAX_JOB_NAME_BYTES: usize = 64;
+/// Longest response body that is stored, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
-/// Jobs on one page: one write to the ledger carries one page.
+/// Jobs whose states are stored under one key, and so written together.
 pub const JOBS_PER_PAGE: usize = 32;
-/// Batches kept at once, finished ones included.
+/// Most batches stored at once, finished ones included.
 pub const MAX_BATCHES: usize = 16;
-/// A finished batch is kept for so long.
+/// How long a finished batch is stored after its window, in milliseconds.
 pub const RETENTION_MS: u64 = 3_600_000;
+/// Longest window of a batch, in seconds.
 pub const MAX_WINDOW_S: u64 = 7 * 24 * 3600;
--- a/batch/src/specification.rs
+++ b/batch/src/specification.rs
@@ -1,4 +1,4 @@
-//! A batch as submitted: read, checked, and named by its idempotency key.
+//! Submissions of batches: parsing, checks, and the errors that operators see.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -84,7 +84,7 @@
     InvalidJob {
         /// The job's name, as submitted.
         name: String,
-        /// The job's place among the jobs, from 0.
+        /// The job's index, from 0.
         index: usize,
         /// The rule.
         error: JobError,
@@ -122,7 +122,7 @@
     BatchTooLarge,
 }
 
-/// What a route says about a job: None without a route, else whether it may be repeated.
+/// Looks up the route of a hostname and path: `None` without a route, else whether requests there may be repeated.
 pub type RouteLookup<'a> = &'a dyn Fn(&str, &str) -> Option<bool>;
 
 /// Returns the batch that an operator submitted under an idempotency key, with its jobs' routes looked up.
--- a/batch/src/testing/plan.rs
+++ b/batch/src/testing/plan.rs
@@ -1,50 +1,72 @@
-//! What an off-peak run is given and what it reports.
+//! What a simulated run is given and what it reports.
 
+/// The size of the fleet and the batch, and the faults by time. All times are in milliseconds of virtual time.
 #[derive(Clone, Debug)]
 pub struct SimulationPlan {
+    /// The seed of all random draws.
     pub seed: u64,
+    /// Jobs in the batch.
     pub jobs: usize,
-    /// Every so many jobs, one may not be repeated. 0: all may.
+    /// Every how many jobs one may not be repeated; 0 if all may.
     pub non_repeatable_every: usize,
+    /// The window of the batch.
     pub window_ms: u64,
+    /// Zones with engines.
     pub zones: usize,
+    /// Engines in each zone.
     pub engines_per_zone: usize,
+    /// Requests that an engine serves at once without slowing down much.
     pub slots_per_engine: usize,
-    /// Interactive requests a second, all halls together, and how long one takes on an idle engine.
+    /// Interactive requests per second in all zones together.
     pub interactive_per_s: f64,
+    /// How long an interactive request takes on an idle engine.
     pub interactive_ms: u64,
+    /// How long a job takes on an idle engine.
     pub job_ms: u64,
-    /// When halls leave service, and which; none comes back.
+    /// When zones are evacuated, and which; none comes back.
     pub zone_evacuations: Vec<(u64, usize)>,
-    /// When the owner of the batch falls and another takes over after the lease.
+    /// When the owner of the batch crashes; another takes over after the lease.
     pub owner_crashes: Vec<u64>,
-    /// When the owner freezes, and for how long.
+    /// When the owner freezes, and for how long; another takes over after the lease.
     pub owner_freezes: Vec<(u64, u64)>,
+    /// The owner's lease.
     pub lease_ms: u64,
-    /// When all processes of the system are killed at once: owner, routers, their streams.
+    /// When the owner and all routers are killed at once, with all streams.
     pub system_kills: Vec<u64>,
-    /// When a router is lost: every other stream breaks off, the owner lives.
+    /// When a router is lost: every other stream breaks off; the owner keeps running.
     pub router_losses: Vec<u64>,
 }
 
+/// What came of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationReport {
+    /// Jobs with a response.
     pub completed: usize,
+    /// Jobs whose outcome is unknown.
     pub unknown: usize,
+    /// Jobs that missed their window.
     pub deadline_missed: usize,
+    /// Jobs without a final state. Must be 0.
     pub unfinished: usize,
-    /// Jobs that got a second receipt, jobs run twice that may not be, receipts without a run: all 0.
+    /// Jobs whose final state was written more than once. Must be 0.
     pub answered_twice: usize,
+    /// Jobs that may not be repeated and ran more than once. Must be 0.
     pub run_twice: usize,
+    /// Responses of jobs that never ran. Must be 0.
     pub receipts_without_run: usize,
+    /// When the last final state was written, in milliseconds.
     pub last_receipt_ms: u64,
+    /// Dispatches that found no engine with capacity.
     pub rejected_dispatches: usize,
+    /// Interactive requests served.
     pub interactive_served: usize,
+    /// Median latency of interactive requests, in milliseconds.
     pub interactive_p50_ms: u64,
+    /// 99th percentile of the latency of interactive requests, in milliseconds.
     pub interactive_p99_ms: u64,
 }
 
-/// The off-peak run of the documentation, at a size of one's own.
+/// Returns the plan that `docs/batches.md` describes, with a chosen seed and number of jobs.
 pub fn reference_plan(seed: u64, jobs: usize) -> SimulationPlan {
     let window_ms = 30_000 + 120 * jobs as u64;
     SimulationPlan {
--- a/batch/src/testing/simulation.rs
+++ b/batch/src/testing/simulation.rs
@@ -1,6 +1,7 @@
-//! An off-peak run in a small simulated fleet: halls with engines, interactive work that comes and
-//! goes, a batch that fills what is idle, halls that leave, owners that crash or freeze. Seeded and in
-//! virtual time: the same input gives the same report.
+//! A small simulated fleet in virtual time: interactive requests, and a batch that uses idle engines, under the plan's faults.
+//!
+//! Each step is one millisecond: faults, a new owner if one is due, an interactive arrival, runs that end, then the owners. The
+//! order is fixed and all draws come from one seeded generator, so that the same plan gives the same report.
 
 mod engines;
 mod faults;
@@ -14,11 +15,13 @@
 use super::plan::{SimulationPlan, SimulationReport};
 use crate::{ConcurrencyLimit, JobPage, JOBS_PER_PAGE};
 
+/// What an engine works on.
 enum Work {
     Interactive { received_at: u64 },
     Job { job: usize, owner: usize },
 }
 
+/// One request in an engine.
 struct Run {
     ends: u64,
     work: Work,
@@ -30,12 +33,13 @@
     running: Vec<Run>,
 }
 
-/// Invariant: an owner acts only under the epoch with which it claimed the pages.
+/// A controller that owns the batch, or believes that it does. Invariant: an owner acts only under the epoch with which it claimed the pages.
 struct Owner {
     epoch: u64,
     frozen_until: u64,
     is_crashed: bool,
     in_flight: BTreeSet<usize>,
+    /// Jobs whose streams ended, and whether with a response, that the owner has not yet seen.
     results: Vec<(usize, bool)>,
     limit: ConcurrencyLimit,
 }
@@ -47,14 +51,17 @@
     engines: Vec<Engine>,
     pages: Vec<JobPage>,
     owners: Vec<Owner>,
+    /// How often each job was sent.
     runs: Vec<usize>,
+    /// How often each job's final state was written.
     finish_counts: Vec<usize>,
+    /// When the next owner takes over.
     next_owner: Option<u64>,
     latencies_ms: Vec<u64>,
     report: SimulationReport,
 }
 
-/// Runs the plan; `has_batch` says whether the batch is there at all.
+/// Returns what comes of a plan. Without `has_batch` there are interactive requests only, for comparison.
 pub fn simulate(plan: &SimulationPlan, has_batch: bool) -> SimulationReport {
     let engines = (0..plan.zones * plan.engines_per_zone).map(|at| Engine {
         zone: at % plan.zones,
--- a/batch/src/testing/simulation/engines.rs
+++ b/batch/src/testing/simulation/engines.rs
@@ -24,7 +24,7 @@
     fn start_interactive(&mut self, received_at: u64) {
         let available = self.engines.iter().enumerate().filter(|(_, engine)| engine.is_up);
         let Some((at, _)) = available.min_by_key(|(_, engine)| engine.running.len()) else { return };
-        // Interactive work takes a place whatever runs there; jobs are the ones that are slowed.
+        // Interactive requests are admitted whatever runs there; they slow jobs much more than jobs slow them.
         let interactive =
             self.engines[at].running.iter().filter(|run| matches!(run.work, Work::Interactive { .. })).count();
         let jobs = self.engines[at].running.len() - interactive;
--- a/batch/src/testing/simulation/faults.rs
+++ b/batch/src/testing/simulation/faults.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Every so many of the streams under way breaks off without an answer; engines stay.
+    /// Breaks off every n-th stream without a response; engines stay.
     fn break_streams(&mut self, every: usize) {
         let mut broken = Vec::new();
         for engine in &mut self.engines {
@@ -58,7 +58,7 @@
         broken.into_iter().for_each(|run| self.end_run(run.work, false));
     }
 
-    /// A zone leaves service at once: what runs there breaks off without an answer.
+    /// Takes a zone out of service: its streams break off without a response.
     fn evacuate_zone(&mut self, zone: usize) {
         let mut broken = Vec::new();
         for engine in self.engines.iter_mut().filter(|engine| engine.zone == zone) {
--- a/batch/src/testing/simulation/owner.rs
+++ b/batch/src/testing/simulation/owner.rs
@@ -39,7 +39,7 @@
         });
     }
 
-    /// A receipt is written only if the page lets it.
+    /// Writes a job's final state if the page accepts it from this owner.
     fn finish_job(&mut self, owner: usize, job: usize, state: JobState) {
         let epoch = self.owners[owner].epoch;
         if state == (JobState::Completed { status: 200, body: String::new() }) && self.runs[job] == 0 {
@@ -100,7 +100,7 @@
             return self.owners[at].limit.on_rejection(None, now);
         };
         let (page, slot, epoch) = (dispatch.job / JOBS_PER_PAGE, dispatch.job % JOBS_PER_PAGE, self.owners[at].epoch);
-        // Durable before it is sent.
+        // The start must be durable before the job is sent.
         if self.pages[page].start(slot, epoch).is_err() {
             return;
         }
--- a/batch/src/testing/simulation_tests.rs
+++ b/batch/src/testing/simulation_tests.rs
@@ -1,4 +1,4 @@
-//! Seeded runs under trouble that count runs and receipts for each job. None sleeps.
+//! Seeded runs under faults, in which each job must be finished exactly once.
 
 use kernel::clock::Rng;
 
