--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -2,7 +2,7 @@
 //! role without noticing, and their requests are lost, answered or rejected. A job that may not be repeated never runs twice,
 //! and no final state is changed or invented.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{state_after, AttemptOutcome, MAX_ATTEMPTS};
 use crate::{JobPage, JobState, PageError};
--- a/batch/src/job_page.rs
+++ b/batch/src/job_page.rs
@@ -147,7 +147,7 @@
     }
 }
 
-kernel::bytes!(JobPage);
+kernel::impl_archive_bytes!(JobPage);
 
 #[cfg(test)]
 #[path = "job_page_tests.rs"]
--- a/batch/src/job_page_tests.rs
+++ b/batch/src/job_page_tests.rs
@@ -30,6 +30,6 @@
 fn a_page_survives_serialization() {
     let mut page = JobPage::new(2);
     page.claim(7, |_| false).expect("first");
-    assert_eq!(JobPage::read_bytes(&page.write_bytes()), Some(page));
-    assert_eq!(JobPage::read_bytes(&[1, 2, 3]), None);
+    assert_eq!(JobPage::from_bytes(&page.to_bytes()), Some(page));
+    assert_eq!(JobPage::from_bytes(&[1, 2, 3]), None);
 }
--- a/batch/src/record.rs
+++ b/batch/src/record.rs
@@ -1,7 +1,7 @@
 //! The record of a batch, as control state stores it. Other versions of the software read these bytes: the order of fields is
 //! part of the format.
 
-use kernel::clock;
+use kernel::hashing;
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::{JOBS_PER_PAGE, RETENTION_MS};
@@ -49,7 +49,7 @@
 
 /// Returns the id of a batch. It depends on the idempotency key alone, so that one key is one batch.
 pub fn batch_id(key: &str) -> String {
-    format!("{:016x}", clock::hash(key.as_bytes()))
+    format!("{:016x}", hashing::hash(key.as_bytes()))
 }
 
 impl Batch {
@@ -86,7 +86,7 @@
     }
 }
 
-kernel::bytes!(Batch);
+kernel::impl_archive_bytes!(Batch);
 
 #[cfg(test)]
 #[path = "record_tests.rs"]
--- a/batch/src/record_tests.rs
+++ b/batch/src/record_tests.rs
@@ -35,6 +35,6 @@
 #[test]
 fn a_batch_survives_serialization() {
     let batch = batch();
-    assert_eq!(Batch::read_bytes(&batch.write_bytes()), Some(batch));
-    assert_eq!(Batch::read_bytes(&[1, 2, 3]), None);
+    assert_eq!(Batch::from_bytes(&batch.to_bytes()), Some(batch));
+    assert_eq!(Batch::from_bytes(&[1, 2, 3]), None);
 }
--- a/batch/src/specification.rs
+++ b/batch/src/specification.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use kernel::clock;
+use kernel::hashing;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -140,7 +140,7 @@
         return Err(SpecificationError::WindowOutOfRange { found_s: window_s });
     }
     let jobs = check_jobs(specification.jobs, route)?;
-    let digest = clock::hash(text.as_bytes());
+    let digest = hashing::hash(text.as_bytes());
     Ok(Batch { idempotency_key: key.into(), digest, window_ms: (window_s * MS_PER_S) as u64, jobs, ..Batch::default() })
 }
 
--- a/batch/src/testing/simulation.rs
+++ b/batch/src/testing/simulation.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeSet;
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::plan::{SimulationPlan, SimulationReport};
 use crate::{ConcurrencyLimit, JobPage, JOBS_PER_PAGE};
--- a/batch/src/testing/simulation_tests.rs
+++ b/batch/src/testing/simulation_tests.rs
@@ -1,6 +1,6 @@
 //! Seeded runs under faults, in which each job must be finished exactly once.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 
 use super::{reference_plan, simulate, SimulationReport};
 
--- a/controller/src/rollout_calls.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -3,15 +3,16 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+use load_balancing::EndpointLists;
 use poem::http::Method;
 use poem::{Endpoint, Request, Response};
-use protocol::message::{self, ROLLOUT};
+use protocol::message::{StalenessLimit, WeightVersions, ROLLOUT};
 use serde_json::{Map, Value};
 
-use crate::control::{self, Receipt};
+use crate::api::routes::{self, Receipt};
+use crate::api::version_rollouts;
 use crate::controller::Controller;
-use crate::rollouts::{self, LimitChange};
-use crate::version_calls;
+use crate::rollout::staleness_limits::{self, LimitChange};
 
 /// Largest body taken.
 const BODY: usize = 256 * 1024;
@@ -43,25 +44,25 @@
     async fn put(&self, req: &mut Request) -> Result<Receipt, Receipt> {
         let ((service, model), base) = (named(req), base(req));
         let text = text(req).await?;
-        let config = self.0.committed_state.lock().expect("committed_state").history.current().cloned();
+        let config = self.0.committed.current_config();
         let config = config.ok_or_else(|| Receipt::Bad(409, "no configuration yet: no routes".into()))?;
-        let ask = rollouts::read(&text, base, (&service, &model), config.config());
+        let ask = staleness_limits::read(&text, base, (&service, &model), config.config());
         let ask = ask.map_err(|(status, words)| Receipt::Bad(status, words))?;
         let names = (service.as_str(), model.as_str());
-        Ok(rollouts::carry(&self.0, &key(&service, &model), names, ask).await)
+        Ok(staleness_limits::carry(&self.0, &key(&service, &model), names, ask).await)
     }
 
     async fn remove(&self, req: &Request) -> Receipt {
         let (service, model) = named(req);
         let Some(base) = base(req) else { return Receipt::Bad(400, "If-Match: missing or not a number".into()) };
         let ask = LimitChange::Remove { base };
-        rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
+        staleness_limits::carry(&self.0, &key(&service, &model), (&service, &model), ask).await
     }
 
     /// The rule and how far it holds: replicas by zone and half, routers that confirmed.
     async fn state(&self, service: &str, model: &str) -> Receipt {
         let key = key(service, model);
-        let rule = self.0.committed_state.lock().expect("committed_state").rules.get(&key).cloned();
+        let rule = self.0.committed.staleness_limit(&key);
         let Some(rule) = rule.filter(|rule| !rule.removed) else {
             return Receipt::Bad(404, "no rule for this service and model".into());
         };
@@ -76,35 +77,35 @@
         Receipt::Text(value.to_string().into_bytes())
     }
 
-    fn replicas(&self, rule: &message::StalenessLimit) -> Value {
-        let sheets = self.0.sheets.lock().expect("sheets");
-        let weights = self.0.weights.lock().expect("weights");
-        let versions: HashMap<&str, u64> = weights
-            .values()
-            .flat_map(|list| &list.list)
-            .filter(|(_, model, _)| *model == rule.model)
-            .map(|(id, _, version)| (id.as_str(), *version))
-            .collect();
-        let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
-        let engines = sheets.all().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
-        for engine in engines.filter(|engine| engine.up) {
-            let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
-            let place = match versions.get(engine.id.as_str()) {
-                Some(version) if *version >= rule.floor() => 0,
-                Some(_) => 1,
-                None => 2,
-            };
-            zones.entry(&engine.zone).or_default().entry(half).or_default()[place] += 1;
-        }
-        let halves =
-            |counts: &[u32; 3]| serde_json::json!({"inside": counts[0], "past": counts[1], "unknown": counts[2]});
-        let zone = |(zone, list): (&&str, &BTreeMap<&str, [u32; 3]>)| {
-            let list: Map<String, Value> =
-                list.iter().map(|(half, counts)| (half.to_string(), halves(counts))).collect();
-            (zone.to_string(), Value::Object(list))
+    fn replicas(&self, rule: &StalenessLimit) -> Value {
+        self.0.engines.read_with_weights(|sheets, weights| replicas(sheets, weights, rule))
+    }
+}
+
+fn replicas(sheets: &EndpointLists, weights: &BTreeMap<String, WeightVersions>, rule: &StalenessLimit) -> Value {
+    let versions: HashMap<&str, u64> = weights
+        .values()
+        .flat_map(|list| &list.list)
+        .filter(|(_, model, _)| *model == rule.model)
+        .map(|(id, _, version)| (id.as_str(), *version))
+        .collect();
+    let mut zones: BTreeMap<&str, BTreeMap<&str, [u32; 3]>> = Default::default();
+    let engines = sheets.iter().flat_map(|sheet| &sheet.engines).filter(|engine| engine.service == rule.service);
+    for engine in engines.filter(|engine| engine.up) {
+        let half = if engine.phase.is_empty() { "whole" } else { engine.phase.as_str() };
+        let place = match versions.get(engine.id.as_str()) {
+            Some(version) if *version >= rule.floor() => 0,
+            Some(_) => 1,
+            None => 2,
         };
-        Value::Object(zones.iter().map(zone).collect())
+        zones.entry(&engine.zone).or_default().entry(half).or_default()[place] += 1;
     }
+    let halves = |counts: &[u32; 3]| serde_json::json!({"inside": counts[0], "past": counts[1], "unknown": counts[2]});
+    let zone = |(zone, list): (&&str, &BTreeMap<&str, [u32; 3]>)| {
+        let list: Map<String, Value> = list.iter().map(|(half, counts)| (half.to_string(), halves(counts))).collect();
+        (zone.to_string(), Value::Object(list))
+    };
+    Value::Object(zones.iter().map(zone).collect())
 }
 
 impl Endpoint for Rollouts {
@@ -113,21 +114,19 @@
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
         if req.method() == Method::POST {
             let receipt = match text(&mut req).await {
-                Ok(text) => version_calls::start(&self.0, &text).await,
+                Ok(text) => version_rollouts::start(&self.0, &text).await,
                 Err(receipt) => receipt,
             };
-            return Ok(control::write(receipt));
+            return Ok(routes::write(receipt));
         }
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        let live = committed_state.rules.values().filter(|rule| !rule.removed);
-        let list: Vec<Value> = live
-            .map(|rule| {
-                serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
+        let shown = |rule: &StalenessLimit| {
+            serde_json::json!({"service": rule.service, "model": rule.model, "version": rule.version,
                     "floor": rule.floor(), "latest": rule.latest, "lag": rule.lag, "routes": rule.routes})
-            })
-            .collect();
+        };
+        let list: Vec<Value> =
+            self.0.committed.read(|state| state.rules.values().filter(|rule| !rule.removed).map(shown).collect());
         let body = serde_json::json!({ "rollouts": list }).to_string().into_bytes();
-        Ok(control::write(Receipt::Text(body)))
+        Ok(routes::write(Receipt::Text(body)))
     }
 }
 
@@ -142,7 +141,7 @@
             "DELETE" => self.remove(&req).await,
             _ => Receipt::Bad(405, "method: GET, PUT or DELETE".into()),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
 
@@ -151,17 +150,17 @@
 
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
         if req.method() != Method::POST {
-            return Ok(control::write(Receipt::Bad(405, "method: POST".into())));
+            return Ok(routes::write(Receipt::Bad(405, "method: POST".into())));
         }
         let (service, model) = named(&req);
         let ask = match text(&mut req).await {
-            Ok(text) => rollouts::read_latest(&text, self.1),
-            Err(receipt) => return Ok(control::write(receipt)),
+            Ok(text) => staleness_limits::read_latest(&text, self.1),
+            Err(receipt) => return Ok(routes::write(receipt)),
         };
         let receipt = match ask {
-            Ok(ask) => rollouts::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
+            Ok(ask) => staleness_limits::carry(&self.0, &key(&service, &model), (&service, &model), ask).await,
             Err((status, words)) => Receipt::Bad(status, words),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
--- a/controller/src/job_request.rs
+++ b/controller/src/batches/job_request.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use batch::{AttemptOutcome, Job, Urgency, MAX_RESPONSE_BYTES};
-use kernel::clock;
+use kernel::new_incarnation;
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, Response};
 
@@ -24,7 +24,7 @@
         .request(method, format!("http://{router}{}", job.path))
         .timeout(Duration::from_millis(left_ms))
         .header("host", &job.host)
-        .header(ATTEMPT_ID, format!("{:016x}", clock::incarnation()))
+        .header(ATTEMPT_ID, format!("{:016x}", new_incarnation()))
         .header(TIME_BUDGET, left_ms.to_string())
         .header(DEFERRABLE, if press == Urgency::DeadlineNear { "near" } else { "idle" });
     for (name, value) in &job.headers {
--- a/controller/src/batches.rs
+++ b/controller/src/batches/records.rs
@@ -8,10 +8,11 @@
 use poem::{Endpoint, Request, Response};
 use protocol::config::{self, Route};
 
-use crate::control::{self, Receipt};
-use crate::controller::{CommittedState, Controller};
+use crate::api::routes::{self, Receipt};
+use crate::controller::Controller;
 use crate::event::BATCH;
-use crate::register::Decision;
+use crate::replication::committed_state::CommittedState;
+use crate::replication::registers::Decision;
 
 pub const KEY: &str = "batch/";
 
@@ -26,12 +27,12 @@
 
 /// A batch as the committed_state has it.
 pub fn batch(committed_state: &CommittedState, id: &str) -> Option<Batch> {
-    Batch::read_bytes(&committed_state.entries.get(&batch_key(id))?.body)
+    Batch::from_bytes(&committed_state.entries.get(&batch_key(id))?.body)
 }
 
 /// A page as the committed_state has it; one that was never written has all jobs waiting.
 pub fn page(committed_state: &CommittedState, id: &str, batch: &Batch, number: usize) -> JobPage {
-    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| JobPage::read_bytes(&entry.body));
+    let held = committed_state.entries.get(&page_key(id, number)).and_then(|entry| JobPage::from_bytes(&entry.body));
     held.unwrap_or_else(|| blank(batch, number))
 }
 
@@ -59,7 +60,7 @@
 impl Batches {
     async fn submit(&self, key: &str, text: &str) -> Receipt {
         let controller = &self.0;
-        let held = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+        let held = controller.committed.current_config();
         let Some(held) = held else { return Receipt::Bad(409, "no configuration yet: no routes".into()) };
         let route = |host: &str, path: &str| {
             let host = config::without_port(host);
@@ -73,20 +74,19 @@
             Err(error) => return Receipt::Bad(400, error.to_string()),
         };
         let id = batch::batch_id(key);
-        {
-            let committed_state = controller.committed_state.lock().expect("committed_state");
-            let ids = ids(&committed_state);
-            let bytes: usize =
-                ids.iter().filter_map(|id| self::batch(&committed_state, id)).map(|held| held.size_bytes()).sum();
-            let answers = batch.jobs.len() * MAX_RESPONSE_BYTES;
+        let answers = batch.jobs.len() * MAX_RESPONSE_BYTES;
+        let has_no_room = controller.committed.read(|state| {
+            let ids = ids(state);
+            let bytes: usize = ids.iter().filter_map(|id| self::batch(state, id)).map(|held| held.size_bytes()).sum();
             let new = !ids.contains(&id);
             let full = ids.len() >= MAX_BATCHES || bytes + batch.size_bytes() + answers > room(&controller.settings);
-            if new && full {
-                return Receipt::Full(60_000);
-            }
+            new && full
+        });
+        if has_no_room {
+            return Receipt::Full(60_000);
         }
-        let body = batch.write_bytes();
-        let judge = |held: &[u8]| match Batch::read_bytes(held) {
+        let body = batch.to_bytes();
+        let judge = |held: &[u8]| match Batch::from_bytes(held) {
             Some(held) if held.expired => {
                 let words = "Idempotency-Key: its batch has expired; use another";
                 Decision::Answer(Receipt::Bad(409, words.into()))
@@ -98,7 +98,7 @@
             }
             None => Decision::Write(body.clone(), Receipt::Good),
         };
-        match controller.change(&batch_key(&id), control::wait_ms(controller), judge).await {
+        match controller.change(&batch_key(&id), routes::wait_ms(controller), judge).await {
             Some(Receipt::Good) => {
                 kernel::log_event!(BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
                 Receipt::Text(serde_json::json!({ "batch": id, "jobs": batch.jobs.len() }).to_string().into_bytes())
@@ -109,20 +109,23 @@
     }
 
     fn list(&self) -> Receipt {
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        Receipt::Text(serde_json::json!({ "batches": ids(&committed_state) }).to_string().into_bytes())
+        let ids = self.0.committed.read(ids);
+        Receipt::Text(serde_json::json!({ "batches": ids }).to_string().into_bytes())
     }
 }
 
 impl One {
     fn state(&self, id: &str) -> Receipt {
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        let Some(held) = batch(&committed_state, id) else {
+        self.0.committed.read(|state| One::state_in(state, id))
+    }
+
+    fn state_in(committed_state: &CommittedState, id: &str) -> Receipt {
+        let Some(held) = batch(committed_state, id) else {
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut counts: BTreeMap<&str, usize> = Default::default();
         for number in 0..held.page_count() {
-            for state in page(&committed_state, id, &held, number).states {
+            for state in page(committed_state, id, &held, number).states {
                 *counts.entry(state.as_str()).or_default() += 1;
             }
         }
@@ -141,15 +144,15 @@
     }
 
     async fn cancel(&self, id: &str) -> Receipt {
-        let judge = |body: &[u8]| match Batch::read_bytes(body) {
+        let judge = |body: &[u8]| match Batch::from_bytes(body) {
             None => Decision::Answer(Receipt::Bad(404, format!("batch `{id}`: not known"))),
             Some(held) if held.cancelled || held.expired => Decision::Answer(Receipt::Good),
             Some(held) => {
                 let next = Batch { cancelled: true, ..held };
-                Decision::Write(next.write_bytes(), Receipt::Good)
+                Decision::Write(next.to_bytes(), Receipt::Good)
             }
         };
-        let done = self.0.change(&batch_key(id), control::wait_ms(&self.0), judge).await;
+        let done = self.0.change(&batch_key(id), routes::wait_ms(&self.0), judge).await;
         done.unwrap_or(Receipt::Unclear)
     }
 }
@@ -157,13 +160,16 @@
 impl Results {
     /// Only receipts: what is still open has none.
     fn read(&self, id: &str) -> Receipt {
-        let committed_state = self.0.committed_state.lock().expect("committed_state");
-        let Some(held) = batch(&committed_state, id) else {
+        self.0.committed.read(|state| Results::read_in(state, id))
+    }
+
+    fn read_in(committed_state: &CommittedState, id: &str) -> Receipt {
+        let Some(held) = batch(committed_state, id) else {
             return Receipt::Bad(404, format!("batch `{id}`: not known"));
         };
         let mut list = Vec::new();
         for (number, jobs) in held.jobs.chunks(JOBS_PER_PAGE).enumerate() {
-            let page = page(&committed_state, id, &held, number);
+            let page = page(committed_state, id, &held, number);
             for (job, state) in jobs.iter().zip(&page.states).filter(|(_, state)| state.is_final()) {
                 let mut value = serde_json::json!({ "name": job.name, "outcome": state.as_str() });
                 if let JobState::Completed { status, body } = state {
@@ -182,19 +188,19 @@
 
     async fn call(&self, mut req: Request) -> poem::Result<Response> {
         match req.method().as_str() {
-            "GET" => return Ok(control::write(self.list())),
+            "GET" => return Ok(routes::write(self.list())),
             "POST" => {}
-            _ => return Ok(control::write(Receipt::Bad(405, "method: GET or POST".into()))),
+            _ => return Ok(routes::write(Receipt::Bad(405, "method: GET or POST".into()))),
         }
         let key = req.header("idempotency-key").unwrap_or("").to_string();
         let most = 2 * MAX_BATCH_BYTES;
         let Ok(body) = req.take_body().into_bytes_limit(most).await else {
-            return Ok(control::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
+            return Ok(routes::write(Receipt::Bad(413, format!("body: cut short or over {most} bytes"))));
         };
         let Ok(text) = String::from_utf8(body.to_vec()) else {
-            return Ok(control::write(Receipt::Bad(400, "body: not UTF-8".into())));
+            return Ok(routes::write(Receipt::Bad(400, "body: not UTF-8".into())));
         };
-        Ok(control::write(self.submit(&key, &text).await))
+        Ok(routes::write(self.submit(&key, &text).await))
     }
 }
 
@@ -208,7 +214,7 @@
             "DELETE" => self.cancel(&id).await,
             _ => Receipt::Bad(405, "method: GET or DELETE".into()),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
 
@@ -217,6 +223,6 @@
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let id = req.path_params::<String>().unwrap_or_default();
-        Ok(control::write(self.read(&id)))
+        Ok(routes::write(self.read(&id)))
     }
 }
--- a/controller/src/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 use std::mem;
 use std::sync::atomic::Ordering;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
 use batch::{
@@ -12,13 +12,15 @@
     RETENTION_MS,
 };
 use kernel::{clock, startup};
+use parking_lot::Mutex;
 use protocol::socket::SILENCE_MS;
 use reqwest::Client;
 
+use crate::batches::{job_attempt, records};
 use crate::controller::Controller;
-use crate::duty::{self, BATCH};
-use crate::register::Decision;
-use crate::{batches, job_run, outbound};
+use crate::http_client;
+use crate::replication::registers::Decision;
+use crate::roles::{self, BATCH};
 
 pub const LOOK_MS: u64 = 250;
 const CONNECT_MS: u64 = 700;
@@ -39,9 +41,12 @@
 
 /// Steady time spent on each batch that is not yet written.
 #[derive(Default)]
-pub struct Tallies(HashMap<String, u64>);
+pub struct Tallies(Mutex<TallyTable>);
 
-impl Tallies {
+#[derive(Default)]
+struct TallyTable(HashMap<String, u64>);
+
+impl TallyTable {
     fn add(&mut self, id: &str, spent: u64) -> u64 {
         let held = self.0.entry(id.into()).or_default();
         *held += spent;
@@ -73,7 +78,7 @@
 
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = outbound::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
+    let client = http_client::at_most_once(wait(CONNECT_MS), wait(SILENCE_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -90,7 +95,7 @@
 
 /// The epoch under which batches may be run now: the last owner has stopped by then.
 pub fn acting_epoch(controller: &Controller, now: u64) -> Option<u64> {
-    duty::acting_epoch(controller, BATCH, now)
+    roles::acting_epoch(controller, BATCH, now)
 }
 
 async fn look(controller: &Arc<Controller>, client: &Client, runner: &mut Runner, in_flight: &Shared) {
@@ -99,13 +104,13 @@
         return;
     }
     let now = clock::now();
-    let ids = batches::ids(&controller.committed_state.lock().expect("committed_state"));
+    let ids = controller.committed.read(records::ids);
     let epoch = if ids.is_empty() { None } else { acting_epoch(controller, now) };
     let Some(epoch) = epoch else {
         runner.looked = now;
         return;
     };
-    if !duty::declare_clear(controller, BATCH, epoch).await {
+    if !roles::declare_clear(controller, BATCH, epoch).await {
         return;
     }
     if epoch != runner.epoch {
@@ -125,28 +130,29 @@
         open.push(Open { id: id.clone(), batch, waiting });
     }
     for send in next(&open, in_flight, now) {
-        in_flight.lock().expect("in flight").jobs.insert((send.batch_id.clone(), send.job));
-        controller.shutdown.spawn(job_run::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
+        in_flight.lock().jobs.insert((send.batch_id.clone(), send.job));
+        controller.shutdown.spawn(job_attempt::run(controller.clone(), client.clone(), in_flight.clone(), send, epoch));
     }
 }
 
 /// The jobs of a batch that wait and are not under way.
 fn waiting(controller: &Controller, id: &str, batch: &Batch, in_flight: &Shared) -> Vec<usize> {
-    let committed_state = controller.committed_state.lock().expect("committed_state");
-    let in_flight = in_flight.lock().expect("in flight");
-    let mut list = Vec::new();
-    for number in 0..batch.page_count() {
-        let page = batches::page(&committed_state, id, batch, number);
-        let waits = page.states.iter().enumerate().filter(|(_, state)| **state == JobState::Waiting);
-        list.extend(waits.map(|(slot, _)| number * JOBS_PER_PAGE + slot));
-    }
-    list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
-    list
+    controller.committed.read(|state| {
+        let in_flight = in_flight.lock();
+        let mut list = Vec::new();
+        for number in 0..batch.page_count() {
+            let page = records::page(state, id, batch, number);
+            let waits = page.states.iter().enumerate().filter(|(_, state)| **state == JobState::Waiting);
+            list.extend(waits.map(|(slot, _)| number * JOBS_PER_PAGE + slot));
+        }
+        list.retain(|at| !in_flight.jobs.contains(&(id.to_string(), *at)));
+        list
+    })
 }
 
 /// What to send now, into the places that are free.
 fn next(open: &[Open], in_flight: &Shared, now: u64) -> Vec<Dispatch> {
-    let in_flight = in_flight.lock().expect("in flight");
+    let in_flight = in_flight.lock();
     let free = in_flight.pace.available(in_flight.jobs.len(), now);
     let views = open.iter().map(|open| BatchView {
         batch_id: &open.id,
@@ -167,18 +173,18 @@
     mut act: impl FnMut(&mut JobPage) -> Result<(), PageError>,
 ) -> Option<bool> {
     let judge = |body: &[u8]| {
-        let mut page = JobPage::read_bytes(body).unwrap_or_else(|| batches::blank(batch, number));
+        let mut page = JobPage::from_bytes(body).unwrap_or_else(|| records::blank(batch, number));
         match act(&mut page) {
-            Ok(()) if page.write_bytes() == body => Decision::Answer(true),
-            Ok(()) => Decision::Write(page.write_bytes(), true),
+            Ok(()) if page.to_bytes() == body => Decision::Answer(true),
+            Ok(()) => Decision::Write(page.to_bytes(), true),
             Err(_) => Decision::Answer(false),
         }
     };
-    controller.change(&batches::page_key(id, number), PAGE_CHANGE_MS, judge).await
+    controller.change(&records::page_key(id, number), PAGE_CHANGE_MS, judge).await
 }
 
 async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
-    let Some(batch) = batches::batch(&controller.committed_state.lock().expect("committed_state"), id) else {
+    let Some(batch) = controller.committed.read(|state| records::batch(state, id)) else {
         return false;
     };
     for number in 0..batch.page_count() {
@@ -197,12 +203,11 @@
 /// Counts the window down, ends what can't make it, forgets what is long finished. Gives the batch if
 /// it has jobs to send.
 async fn tend(controller: &Controller, id: &str, spent: u64, epoch: u64) -> Option<Batch> {
-    let (held, done) = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        let held = batches::batch(&committed_state, id)?;
-        let done = (0..held.page_count()).all(|number| batches::page(&committed_state, id, &held, number).is_final());
-        (held, done)
-    };
+    let (held, done) = controller.committed.read(|state| {
+        let held = records::batch(state, id)?;
+        let done = (0..held.page_count()).all(|number| records::page(state, id, &held, number).is_final());
+        Some((held, done))
+    })?;
     let held = count_down(controller, id, held, spent, done).await?;
     let ends = held.cancelled || held.remaining_ms() == 0;
     if ends && !done {
@@ -215,21 +220,21 @@
 /// Written in steps, so that the count outlives this owner without a write for each look.
 async fn count_down(controller: &Controller, id: &str, held: Batch, spent: u64, done: bool) -> Option<Batch> {
     let step = if done { RETENTION_MS / 20 } else { (held.window_ms / 20).clamp(500, 30_000) };
-    let tally = controller.tallies.lock().expect("tallies").add(id, spent);
+    let tally = controller.tallies.0.lock().add(id, spent);
     let over = held.elapsed_ms + tally >= held.window_ms;
     if tally < step && !(over && held.elapsed_ms < held.window_ms) {
         return Some(held);
     }
-    let gone = controller.tallies.lock().expect("tallies").take(id);
+    let gone = controller.tallies.0.lock().take(id);
     let judge = |body: &[u8]| {
-        let Some(mut next) = Batch::read_bytes(body) else { return Decision::Answer(()) };
+        let Some(mut next) = Batch::from_bytes(body) else { return Decision::Answer(()) };
         match next.add_elapsed(held.elapsed_ms, gone, done) {
-            true => Decision::Write(next.write_bytes(), ()),
+            true => Decision::Write(next.to_bytes(), ()),
             false => Decision::Answer(()),
         }
     };
-    controller.change(&batches::batch_key(id), BATCH_CHANGE_MS, judge).await?;
-    batches::batch(&controller.committed_state.lock().expect("committed_state"), id)
+    controller.change(&records::batch_key(id), BATCH_CHANGE_MS, judge).await?;
+    controller.committed.read(|state| records::batch(state, id))
 }
 
 /// Closes the jobs that still wait.
--- a/controller/src/confirm.rs
+++ b/controller/src/replication/confirmer.rs
@@ -3,10 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::confirmation::{self, Confirmation, Position, StaleKey};
-use consensus::quorum;
+use consensus::{quorum, Confirmation, StaleKey};
 use kernel::clock;
-use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry};
+use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Position};
 use tokio::time::{self, Instant};
 
 use crate::controller::Controller;
@@ -25,7 +24,7 @@
 /// state known here is confirmed as of the time when the read began.
 pub async fn run(controller: &Arc<Controller>) {
     let begun = clock::now();
-    let core = controller.core();
+    let core = controller.replica.membership();
     if core.members.is_empty() {
         return;
     }
@@ -33,15 +32,16 @@
     let mut complete = true;
     for behind in confirmation.stale_keys(|key| known(controller, key)) {
         // What was fetched and could not be read is not known.
-        complete &= catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.place);
+        complete &=
+            catch_up(controller, &core, &behind).await && known(controller, &behind.key) >= Some(behind.position);
     }
     if complete {
-        controller.committed_state.lock().expect("committed_state").sure = Some(begun);
+        controller.committed.confirm(begun);
     }
 }
 
 fn known(controller: &Controller, key: &str) -> Option<Position> {
-    controller.committed_state.lock().expect("committed_state").entries.get(key).map(Entry::position)
+    controller.committed.position(key)
 }
 
 async fn read(controller: &Arc<Controller>, core: &CoreMembership) -> Option<Confirmation> {
@@ -50,9 +50,9 @@
     let end = Instant::now() + Duration::from_millis(READ_MS);
     while !confirmation.is_quorum() {
         match time::timeout_at(end, votes.recv()).await.ok()?? {
-            (from, ConsensusResponse::Positions { list }) => confirmation.record(&from, list),
+            (from, ConsensusResponse::Positions { positions }) => confirmation.record(&from, positions),
             (_, ConsensusResponse::NewerMembership { membership: core }) => {
-                controller.adopt(&core);
+                controller.replica.adopt_membership(&core);
                 return None;
             }
             _ => {}
@@ -72,11 +72,11 @@
     }
     while clock::now() < begun + CATCH_UP_MS {
         time::sleep(Duration::from_millis(ON_ITS_WAY_MS)).await;
-        if known(controller, &behind.key) >= Some(behind.place) || fetch(controller, core, behind).await {
+        if known(controller, &behind.key) >= Some(behind.position) || fetch(controller, core, behind).await {
             return true;
         }
         let now = clock::now();
-        let first = controller.roster.lock().expect("roster").first_live("", &behind.key, now);
+        let first = controller.peers.read(|view| view.first_live("", &behind.key, now));
         if now > begun + HALF_DONE_MS && first == controller.me() {
             return controller.renew(&behind.key, RENEW_MS).await.is_some();
         }
@@ -92,17 +92,17 @@
     let mut fetched = Vec::new();
     while let Ok(Some((from, vote))) = time::timeout_at(end, votes.recv()).await {
         let ConsensusResponse::Fetched { entry: Some(entry) } = vote else { continue };
-        if behind.is_committed && entry.position() == behind.place {
+        if behind.is_committed && entry.position() == behind.position {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
         fetched.push((from, entry));
-        let newer = confirmation::newest_committed(core, &fetched);
-        if let Some(entry) = newer.filter(|entry| entry.position() >= behind.place) {
+        let newer = consensus::newest_committed(core, &fetched);
+        if let Some(entry) = newer.filter(|entry| entry.position() >= behind.position) {
             controller.learn(&behind.key, &entry, false);
             return true;
         }
     }
     // A note of its owner may have come meanwhile.
-    known(controller, &behind.key) >= Some(behind.place)
+    known(controller, &behind.key) >= Some(behind.position)
 }
--- a/controller/src/simulation/faults.rs
+++ b/controller/src/simulation/faults.rs
@@ -1,10 +1,9 @@
 //! Trouble in the simulation, and the quiet end at which everything is read back.
 
-use consensus::acceptor::Acceptor;
-use consensus::quorum;
+use consensus::{quorum, Acceptor};
 
 use super::{address, Cluster, Node};
-use crate::config_body::Held;
+use crate::config::body::Held;
 
 /// How long a leaving process stays at most, as the controller has it.
 const HAND_OVER_MS: u64 = 3500;
--- a/controller/src/simulation/members.rs
+++ b/controller/src/simulation/members.rs
@@ -2,16 +2,13 @@
 
 use std::mem;
 
-use consensus::acceptor::LogRecord;
-use consensus::proposal::Decision;
-use consensus::reconfiguration::{stabilized, MembershipTransition};
-use consensus::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
+use consensus::{quorum, stabilized, Decision, LogRecord, MembershipTransition, MEMBERSHIP_KEY, RECOVERY_DELAY_MS};
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, RegisterState};
 
 use super::changes::Purpose;
 use super::network::Address;
 use super::{address, Cluster};
-use crate::{reconfiguration, state};
+use crate::replication::{committed_state, reconfiguration};
 
 const BEAT_MS: u64 = 150;
 const SPREAD_MS: u64 = 800;
@@ -73,9 +70,9 @@
         let now = self.now;
         let Some(next) = reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
         let version = core.version;
-        let judge = move |body: &[u8]| match state::read_core(body) {
+        let judge = move |body: &[u8]| match committed_state::read_core(body) {
             Some(held) if held.version != version || !held.stable => Decision::Answer(None),
-            _ => Decision::Write(state::write_core(&next), None),
+            _ => Decision::Write(committed_state::write_core(&next), None),
         };
         self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
@@ -83,7 +80,7 @@
     fn settle(&mut self, at: usize, core: &CoreMembership) {
         let now = self.now;
         let members = &mut self.nodes[at].members;
-        if !members.settlement.as_ref().is_some_and(|held| held.core() == core) {
+        if !members.settlement.as_ref().is_some_and(|held| held.membership() == core) {
             members.settlement = Some(MembershipTransition::new(core));
             members.spread = None;
         }
@@ -120,10 +117,10 @@
             return;
         }
         let version = core.version;
-        let judge = move |body: &[u8]| match state::read_core(body) {
+        let judge = move |body: &[u8]| match committed_state::read_core(body) {
             Some(held) if held.version == version && !held.stable => {
                 let settled = stabilized(&held);
-                Decision::Write(state::write_core(&settled), None)
+                Decision::Write(committed_state::write_core(&settled), None)
             }
             _ => Decision::Answer(None),
         };
@@ -138,7 +135,7 @@
             return;
         }
         let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
-        let others = node.voter.witnesses();
+        let others = node.voter.recovery_peers();
         let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
         let id = self.poll(at, &core, &ask, &others);
         let end = self.now + READ_MS;
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -1,245 +1,270 @@
-//! The engines a router knows, by dense index, with what sending to them has shown.
+//! The engines that a router knows, by index, with their estimated load and the subsets that it samples.
 
 use std::collections::{HashMap, HashSet};
 
-use kernel::clock;
+use kernel::hashing;
 use protocol::message::{self, EndpointList, Engine, EngineLoad};
 use protocol::version_rollout;
 
-use crate::place::Half;
-use crate::sheet::Sheets;
-use crate::subset::{Named, Seat, Subset};
+use crate::endpoint_lists::EndpointLists;
+use crate::engine_state::EngineState;
+use crate::phase::Phase;
+use crate::subset::{Subset, SubsetMember, SubsetParams};
+use crate::topology::{Distance, NameIndex, Topology};
 
-pub use crate::engine_state::EngineState;
+/// How fast a report loses its worth, in milliseconds: by then half of it is left, the rest is the average engine.
+const REPORT_HALF_LIFE_MS: f64 = 400.0;
+/// The weight of one report in the moving average of load.
+const REPORT_WEIGHT: f64 = 0.1;
+/// The weight of one prefill in the moving average of prompt tokens.
+const PREFILL_WEIGHT: f64 = 0.05;
 
-#[derive(Default)]
-pub struct EngineTable {
-    pub list: Vec<EngineState>,
-    index: HashMap<String, usize>,
-    /// By the hash of the id.
-    names: HashMap<u64, usize>,
-    services: HashMap<String, u32>,
-    zones: HashMap<String, u32>,
-    /// By zone: its region. A zone that is not named is a region of its own.
-    regions: HashMap<u32, String>,
-    sheets: Sheets,
-    /// By service: the prompt tokens that a read takes on average, as sent from here.
-    reads: HashMap<u32, f64>,
-    /// By service, half and whether of a version that is brought in: what choices sample from. Invariant: made anew with
-    /// each sheet.
-    subsets: HashMap<(u32, Half, bool), Subset>,
-    /// The same, by whether a reader: requests at an engine on average, from the reports that came lately.
-    means: HashMap<(u32, bool, bool), f64>,
-    seat: Seat,
+/// The engines among which one selection chooses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct SubsetKey {
+    service: u32,
+    phase: Phase,
+    /// Of a version that is being rolled out.
+    is_candidate: bool,
 }
 
-/// How fast a report loses its worth: by then half of it is left, the rest is the average engine.
-const HALF_LIFE_MS: f64 = 400.0;
-/// What one report weighs in the average.
-const REPORT: f64 = 0.1;
+/// The engines whose load is averaged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct MeanLoadKey {
+    service: u32,
+    prefill: bool,
+    is_candidate: bool,
+}
 
-fn dense(map: &mut HashMap<String, u32>, name: &str) -> u32 {
-    let next = map.len() as u32;
-    *map.entry(name.to_string()).or_insert(next)
+impl MeanLoadKey {
+    fn of(engine: &EngineState) -> MeanLoadKey {
+        MeanLoadKey { service: engine.service, prefill: engine.prefill, is_candidate: engine.candidate }
+    }
+}
+
+/// The engines of all zones. Times are in milliseconds.
+///
+/// Invariants: an engine keeps its index for good; `subsets` are built anew with each list and each change of
+/// `subset_params`.
+#[derive(Default)]
+pub struct EngineTable {
+    /// All engines that were ever listed, by index.
+    pub engines: Vec<EngineState>,
+    index_by_id: HashMap<String, usize>,
+    index_by_id_hash: HashMap<u64, usize>,
+    services: NameIndex,
+    topology: Topology,
+    lists: EndpointLists,
+    /// By service: the prompt tokens that a prefill reads on average, as sent from here.
+    mean_prefill_tokens: HashMap<u32, f64>,
+    subsets: HashMap<SubsetKey, Subset>,
+    /// Requests at an engine on average, from the reports that came lately.
+    mean_loads: HashMap<MeanLoadKey, f64>,
+    subset_params: SubsetParams,
 }
 
+/// Names, zones and lists.
 impl EngineTable {
-    pub fn service(&mut self, name: &str) -> u32 {
-        dense(&mut self.services, name)
+    /// Returns the index of a service, a new one for a new name.
+    pub fn service_index(&mut self, name: &str) -> u32 {
+        self.services.index_of(name)
     }
 
-    pub fn zone(&mut self, name: &str) -> u32 {
-        dense(&mut self.zones, name)
+    /// Returns the index of a zone, a new one for a new name.
+    pub fn zone_index(&mut self, name: &str) -> u32 {
+        self.topology.zone_index(name)
     }
 
-    pub fn region(&mut self, zone: &str, region: &str) {
-        let zone = self.zone(zone);
-        self.regions.insert(zone, region.into());
+    /// Sets the region of a zone.
+    pub fn set_region(&mut self, zone: &str, region: &str) {
+        self.topology.set_region(zone, region);
     }
 
-    /// 0: the same zone; 1: the same region; 2: another region.
-    pub fn distance(&self, one: u32, two: u32) -> usize {
-        if one == two {
-            return 0;
-        }
-        let near = self.regions.get(&one).is_some_and(|region| self.regions.get(&two) == Some(region));
-        2 - usize::from(near)
+    /// Returns how far one zone is from another, by their indices.
+    pub(crate) fn distance(&self, one: u32, two: u32) -> Distance {
+        self.topology.distance(one, two)
     }
 
+    /// Returns the index of an engine.
     pub fn find(&self, id: &str) -> Option<usize> {
-        self.index.get(id).copied()
+        self.index_by_id.get(id).copied()
     }
 
-    pub fn rest(&mut self, ids: &[String], until: u64) {
-        for id in ids {
-            if let Some(at) = self.find(id) {
-                self.list[at].rest_until = until;
-            }
-        }
+    /// Returns the versions of the lists held: zone, term, sequence.
+    pub fn list_versions(&self) -> Vec<(String, u64, u64)> {
+        self.lists.versions()
     }
 
-    pub fn note_read(&mut self, service: u32, tokens: u32) {
-        let mean = self.reads.entry(service).or_insert(f64::from(tokens));
-        *mean += (f64::from(tokens) - *mean) * 0.05;
+    /// Returns how many zones' lists are known.
+    pub fn listed_zone_count(&self) -> usize {
+        self.lists.iter().filter(|list| !message::is_hidden_key(&list.zone)).count()
     }
 
-    pub fn mean_read(&self, service: u32) -> f64 {
-        self.reads.get(&service).copied().unwrap_or(0.0)
+    /// Takes over a list if it is newer than the current one. Returns the ids of engines that just left or began to drain.
+    pub fn update(&mut self, list: &EndpointList, now: u64) -> Vec<String> {
+        if !self.lists.update(list) {
+            return Vec::new();
+        }
+        let candidate_zone = version_rollout::candidate_zone(&list.zone);
+        let is_candidate = candidate_zone.is_some();
+        let zone = self.zone_index(candidate_zone.unwrap_or(&list.zone));
+        let mut left = self.unlist_missing(list, zone, is_candidate);
+        for listed in &list.engines {
+            let at = self.find_or_insert(listed, zone);
+            if self.engines[at].apply_listing(listed, is_candidate, now) {
+                left.push(self.engines[at].id.clone());
+            }
+        }
+        self.rebuild_subsets();
+        left
     }
 
-    pub fn versions(&self) -> Vec<(String, u64, u64)> {
-        self.sheets.versions()
+    /// Marks the engines of a zone that its list does not name any more. Returns their ids.
+    fn unlist_missing(&mut self, list: &EndpointList, zone: u32, is_candidate: bool) -> Vec<String> {
+        let named: HashSet<&str> = list.engines.iter().map(|engine| engine.id.as_str()).collect();
+        let is_missing = |engine: &&mut EngineState| {
+            engine.zone == zone
+                && engine.candidate == is_candidate
+                && engine.listed
+                && !named.contains(engine.id.as_str())
+        };
+        let unlist = |engine: &mut EngineState| {
+            engine.listed = false;
+            engine.id.clone()
+        };
+        self.engines.iter_mut().filter(is_missing).map(unlist).collect()
     }
 
-    /// How many zones' lists are known.
-    pub fn zones_listed(&self) -> usize {
-        self.sheets.all().filter(|sheet| !message::is_hidden_key(&sheet.zone)).count()
+    fn find_or_insert(&mut self, listed: &Engine, zone: u32) -> usize {
+        let service = self.service_index(&listed.service);
+        if let Some(at) = self.find(&listed.id) {
+            return at;
+        }
+        let at = self.engines.len();
+        self.engines.push(EngineState::new(listed, service, zone));
+        self.index_by_id_hash.insert(self.engines[at].id_hash, at);
+        self.index_by_id.insert(listed.id.clone(), at);
+        at
     }
 
-    /// Who samples here. The number of routers counts by steps of a quarter: a subset should last.
-    pub fn sit(&mut self, mark: u64, zone: u32, routers: u32) {
-        let zones = self.regions.len().max(1) as u32;
-        let held = self.seat;
-        let near = routers.abs_diff(held.routers) * 4 <= held.routers;
-        if held.mark == mark && held.zones == zones && near {
-            return;
-        }
-        self.seat = Seat { mark, zone, routers, zones };
-        self.sort();
-    }
-
-    fn sort(&mut self) {
-        let mut lists: HashMap<(u32, Half, bool), Vec<Named>> = Default::default();
-        for (at, engine) in self.list.iter().enumerate().filter(|(_, engine)| engine.up && engine.here) {
-            let mut put = |half| {
-                lists.entry((engine.service, half, engine.candidate)).or_default().push((at, engine.zone, engine.name))
-            };
-            if engine.prefill {
-                put(Half::Prefill);
-            }
-            if engine.decode {
-                put(Half::Decode);
+    /// Marks engines that are about to change their phase: they get nothing new until then.
+    pub fn mark_reassigning(&mut self, ids: &[String], until: u64) {
+        for id in ids {
+            if let Some(at) = self.find(id) {
+                self.engines[at].reassigning_until = until;
             }
         }
-        let seat = self.seat;
-        self.subsets = lists.into_iter().map(|(key, list)| (key, Subset::make(seat, &list))).collect();
     }
 
-    /// The engines of one half of a service; `candidate`: those of a version that is brought in.
-    pub fn subset(&self, service: u32, half: Half, candidate: bool) -> Option<&Subset> {
-        self.subsets.get(&(service, half, candidate))
+    /// Presumes that the engines of a zone are cold until a time, since they may be without the list saying so yet.
+    pub fn presume_zone_cold(&mut self, zone: u32, until: u64) {
+        for engine in self.engines.iter_mut().filter(|engine| engine.zone == zone) {
+            engine.presume_cold(until);
+        }
     }
 
-    /// This router's draw for an engine.
-    pub fn ticket(&self, name: u64) -> u64 {
-        clock::combine_hashes(self.seat.mark, name)
+    /// Records weight versions as a poller saw them: engine, model, version.
+    pub fn set_weight_versions(&mut self, versions: &[(String, String, u64)]) {
+        for (id, model, version) in versions {
+            if let Some(at) = self.find(id) {
+                self.engines[at].set_weight_version(hashing::hash(model.as_bytes()), Some(*version));
+            }
+        }
     }
+}
 
-    /// An engine told what runs and waits there.
-    pub fn report(&mut self, at: usize, text: &str, now: u64) {
-        let engine = &mut self.list[at];
-        if !engine.report(text, now) {
+/// Subsets.
+impl EngineTable {
+    /// Sets the router that samples here: the hash of its name, its zone, and how many routers there are. A count that
+    /// changed by a quarter or less is left as it is, so that a subset lasts.
+    pub fn set_router(&mut self, router_hash: u64, zone: u32, router_count: u32) {
+        let zone_count = self.topology.configured_zone_count().max(1) as u32;
+        let current = self.subset_params;
+        let is_near = router_count.abs_diff(current.router_count) * 4 <= current.router_count;
+        if current.router_hash == router_hash && current.zone_count == zone_count && is_near {
             return;
         }
-        let load = engine.load.0 + engine.load.1;
-        self.average(at, load);
+        self.subset_params = SubsetParams { router_hash, zone, router_count, zone_count };
+        self.rebuild_subsets();
     }
 
-    /// Versions as a poller saw them.
-    pub fn weigh(&mut self, list: &[(String, String, u64)]) {
-        for (id, model, version) in list {
-            if let Some(at) = self.find(id) {
-                self.list[at].weigh(clock::hash(model.as_bytes()), Some(*version));
+    fn rebuild_subsets(&mut self) {
+        let mut members: HashMap<SubsetKey, Vec<SubsetMember>> = HashMap::new();
+        for (at, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.listed) {
+            let member = SubsetMember { engine: at, zone: engine.zone, id_hash: engine.id_hash };
+            let phases = [(Phase::Prefill, engine.prefill), (Phase::Decode, engine.decode)];
+            for (phase, _) in phases.into_iter().filter(|(_, serves)| *serves) {
+                let key = SubsetKey { service: engine.service, phase, is_candidate: engine.candidate };
+                members.entry(key).or_default().push(member);
             }
         }
+        let params = self.subset_params;
+        self.subsets = members.into_iter().map(|(key, members)| (key, Subset::build(params, &members))).collect();
     }
 
-    /// What an engine told another router lately.
-    pub fn hear(&mut self, told: &EngineLoad, now: u64) {
-        let Some(at) = self.names.get(&told.engine_hash).copied() else { return };
-        let time = now.saturating_sub(u64::from(told.age_ms));
-        let engine = &mut self.list[at];
-        if time > engine.load_at {
-            engine.hear(told.load, time);
-            self.average(at, told.load);
-        }
+    /// Returns the subset of one phase of a service. `is_candidate`: of the version that is being rolled out.
+    pub fn subset(&self, service: u32, phase: Phase, is_candidate: bool) -> Option<&Subset> {
+        self.subsets.get(&SubsetKey { service, phase, is_candidate })
     }
 
-    fn average(&mut self, at: usize, load: u32) {
-        let engine = &self.list[at];
-        let mean = self.means.entry((engine.service, engine.prefill, engine.candidate)).or_insert(f64::from(load));
-        *mean += (f64::from(load) - *mean) * REPORT;
+    /// Returns the hash of this router and an engine, by which few routers are drawn for a cold engine.
+    pub(crate) fn router_engine_hash(&self, id_hash: u64) -> u64 {
+        hashing::combine(self.subset_params.router_hash, id_hash)
     }
+}
 
-    /// Requests at an engine, as far as can be known here: what it last told, fading into what engines of
-    /// its half tell on average, and the own sends since.
-    pub fn pressure(&self, at: usize, now: u64) -> f64 {
-        let engine = &self.list[at];
-        let own = f64::from(engine.busy);
-        let mean = self.means.get(&(engine.service, engine.prefill, engine.candidate)).copied().unwrap_or(0.0);
-        if engine.load_at == 0 {
-            return mean + own;
-        }
-        let worth = (-(now.saturating_sub(engine.load_at) as f64) / HALF_LIFE_MS).exp2();
-        let told = f64::from(engine.load.0 + engine.load.1);
-        (told * worth + mean * (1.0 - worth) + own - f64::from(engine.load_busy) * worth).max(own)
+/// Load.
+impl EngineTable {
+    /// Records the length of a prefill that is about to be sent, in tokens to be read.
+    pub fn record_prefill(&mut self, service: u32, tokens: u32) {
+        let mean = self.mean_prefill_tokens.entry(service).or_insert(f64::from(tokens));
+        *mean += (f64::from(tokens) - *mean) * PREFILL_WEIGHT;
     }
 
-    /// Takes a sheet; gives the ids of engines that just left or began to drain.
-    pub fn take(&mut self, sheet: &EndpointList, now: u64) -> Vec<String> {
-        if !self.sheets.take(sheet) {
-            return Vec::new();
-        }
-        let candidate_zone = version_rollout::candidate_zone(&sheet.zone);
-        let candidate = candidate_zone.is_some();
-        let zone = self.zone(candidate_zone.unwrap_or(&sheet.zone));
-        let mut left = Vec::new();
-        let named: HashSet<&str> = sheet.engines.iter().map(|engine| engine.id.as_str()).collect();
-        let listed = |engine: &&mut EngineState| engine.zone == zone && engine.candidate == candidate && engine.here;
-        for engine in self.list.iter_mut().filter(listed) {
-            if !named.contains(engine.id.as_str()) {
-                engine.here = false;
-                left.push(engine.id.clone());
-            }
-        }
-        for told in &sheet.engines {
-            let service = self.service(&told.service);
-            let at = match self.index.get(&told.id) {
-                Some(at) => *at,
-                None => self.add(told, service, zone),
-            };
-            let engine = &mut self.list[at];
-            if engine.up && !told.up {
-                left.push(engine.id.clone());
-            }
-            engine.here = !engine.dead;
-            engine.candidate = candidate;
-            engine.up = told.up;
-            engine.addr.clone_from(&told.addr);
-            engine.prefill = told.phase != "decode";
-            engine.decode = told.phase != "prefill";
-            engine.slots = told.slots.max(1);
-            if told.cold_ms > 0 {
-                engine.cold_until = engine.cold_until.max(now + u64::from(told.cold_ms));
-            }
+    /// Returns the average length of a service's prefills, in tokens.
+    pub(crate) fn mean_prefill_tokens(&self, service: u32) -> f64 {
+        self.mean_prefill_tokens.get(&service).copied().unwrap_or(0.0)
+    }
+
+    /// Records the value of a `Server-Load` header that an engine sent to this router.
+    pub fn record_reported_load(&mut self, at: usize, text: &str, now: u64) {
+        let engine = &mut self.engines[at];
+        if !engine.set_reported_load(text, now) {
+            return;
         }
-        self.sort();
-        left
+        let load = engine.reported_load.total();
+        self.update_mean_load(at, load);
     }
 
-    /// The engines of a zone may be cold without the list saying so yet: taken for cold until then.
-    pub fn presume_zone_cold(&mut self, zone: u32, until: u64) {
-        for engine in self.list.iter_mut().filter(|engine| engine.zone == zone) {
-            engine.presume_cold(until);
+    /// Records what an engine reported to another router, if that is newer than what is known.
+    pub fn record_relayed_load(&mut self, report: &EngineLoad, now: u64) {
+        let Some(at) = self.index_by_id_hash.get(&report.engine_hash).copied() else { return };
+        let time = now.saturating_sub(u64::from(report.age_ms));
+        let engine = &mut self.engines[at];
+        if time > engine.reported_at {
+            engine.set_relayed_load(report.load, time);
+            self.update_mean_load(at, report.load);
         }
     }
 
-    fn add(&mut self, engine: &Engine, service: u32, zone: u32) -> usize {
-        let at = self.list.len();
-        self.list.push(EngineState::new(engine, service, zone));
-        self.names.insert(self.list[at].name, at);
-        self.index.insert(engine.id.clone(), at);
-        at
+    fn update_mean_load(&mut self, at: usize, load: u32) {
+        let key = MeanLoadKey::of(&self.engines[at]);
+        let mean = self.mean_loads.entry(key).or_insert(f64::from(load));
+        *mean += (f64::from(load) - *mean) * REPORT_WEIGHT;
+    }
+
+    /// Returns the requests at an engine as far as can be known here: what it last reported, fading into the average of
+    /// the engines of its phase, and this router's own sends since. Never below the own requests in flight.
+    pub fn estimated_load(&self, at: usize, now: u64) -> f64 {
+        let engine = &self.engines[at];
+        let own = f64::from(engine.in_flight);
+        let mean = self.mean_loads.get(&MeanLoadKey::of(engine)).copied().unwrap_or(0.0);
+        if engine.reported_at == 0 {
+            return mean + own;
+        }
+        let worth = (-(now.saturating_sub(engine.reported_at) as f64) / REPORT_HALF_LIFE_MS).exp2();
+        let reported = f64::from(engine.reported_load.total());
+        (reported * worth + mean * (1.0 - worth) + own - f64::from(engine.in_flight_at_report) * worth).max(own)
     }
 }
 
--- a/quota/src/allowance.rs
+++ b/quota/src/allowance.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use kernel::clock;
+use kernel::hashing;
 
 use crate::bucket::MS_PER_S;
 use crate::Quota;
@@ -69,8 +69,8 @@
         let share = total / f64::from(routers.max(1));
         let guaranteed = share.floor();
         let window = now / self.bounds.window_ms.max(1);
-        let seed = clock::combine_hashes(self.router_hash, clock::hash(tenant.as_bytes()));
-        let draw = clock::combine_hashes(seed, window) as f64 / u64::MAX as f64;
+        let seed = hashing::combine(self.router_hash, hashing::hash(tenant.as_bytes()));
+        let draw = hashing::combine(seed, window) as f64 / u64::MAX as f64;
         guaranteed as usize + usize::from(draw < share - guaranteed)
     }
 
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -1,6 +1,6 @@
 //! Which controllers own the shards of a tenant's bucket: rendezvous hashing, spread over zones.
 
-use kernel::clock;
+use kernel::hashing;
 
 /// Shards of a bucket where there are as many controllers. When one is lost, two thirds of the rate remain at once.
 pub const SHARDS: usize = 3;
@@ -19,9 +19,9 @@
 /// The choice is by rendezvous hashing: every caller with the same set finds the same owners, and a controller that is added
 /// or removed moves only its own shards.
 pub fn shard_owners<'a>(tenant: &str, eligible: &'a [EligibleOwner]) -> Vec<&'a EligibleOwner> {
-    let seed = clock::hash(tenant.as_bytes());
+    let seed = hashing::hash(tenant.as_bytes());
     let mut order: Vec<&EligibleOwner> = eligible.iter().collect();
-    order.sort_by_cached_key(|owner| clock::combine_hashes(seed, clock::hash(owner.ip.as_bytes())));
+    order.sort_by_cached_key(|owner| hashing::combine(seed, hashing::hash(owner.ip.as_bytes())));
     let mut chosen: Vec<&EligibleOwner> = Vec::with_capacity(SHARDS);
     for owner in &order {
         if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == owner.zone) {
--- a/quota/src/testing/heartbeats.rs
+++ b/quota/src/testing/heartbeats.rs
@@ -44,7 +44,7 @@
             if self.are_linked(at, other) {
                 let peer = Peer { zone: zone.clone(), last_seen: now, ..Default::default() };
                 self.controllers[other].membership.observe(&ip, peer);
-                self.controllers[other].membership.report(&ip, report.clone(), now);
+                self.controllers[other].membership.record_report(&ip, report.clone(), now);
             }
         }
     }
--- a/quota/src/testing/mod.rs
+++ b/quota/src/testing/mod.rs
@@ -11,7 +11,7 @@
 mod network;
 mod traffic;
 
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 use membership::MembershipView;
 
 use crate::{Allowances, Bounds, EligibleOwner, Quota, Shards};
@@ -120,7 +120,7 @@
         let router = |at: usize| Router {
             zone: at % size.zones,
             eligible_owners: Vec::new(),
-            allowances: Allowances::new(BOUNDS, clock::hash(format!("edge-{at}").as_bytes())),
+            allowances: Allowances::new(BOUNDS, hashing::hash(format!("edge-{at}").as_bytes())),
             denied_until: vec![0; tenants.len()],
             frozen_until: 0,
             partitioned_until: 0,
--- a/router/src/relay.rs
+++ b/router/src/proxy/forward.rs
@@ -5,19 +5,20 @@
 
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
-use kernel::clock;
-use load_balancing::place::Half;
+use kernel::{clock, hashing};
+use load_balancing::Phase;
 use protocol::headers::RESPONSE_SEAL;
 use tokio::time;
 
-use crate::doubt::{self, SIGN_MS};
-use crate::exchange::Exchange;
-use crate::failure::{Body, Failure};
-use crate::feed::{self, Pipe};
-use crate::send::{self, Answer, Extra, Outcome};
-use crate::stream::Splitter;
-use crate::version_rollouts::Seen;
-use crate::{halves, plan, request, verdict};
+use crate::frontend::error_response::{Body, Failure};
+use crate::frontend::request;
+use crate::proxy::event_stream::Splitter;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::response_body::{self, Pipe};
+use crate::proxy::send::{self, Answer, Extra, Outcome};
+use crate::proxy::{phases, plan, response_head};
+use crate::rollout::Seen;
+use crate::upstream::suspicion::{self, SIGN_MS};
 
 /// When a refused client may come back: soon, and later the more is waiting.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
@@ -44,7 +45,7 @@
 
 /// Chooses the path and follows it to an answer.
 pub async fn answer(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
-    if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.idle(share))) {
+    if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.has_spare_capacity(share))) {
         return Err(Failure::Refused(STAND_BACK_MS));
     }
     exchange.choose_version();
@@ -52,19 +53,19 @@
         // Refused early rather than given up late.
         return Err(failure_of(&exchange));
     }
-    if exchange.version_bounds().is_some() && exchange.view(|view| view.open(Half::Decode).is_empty()) {
+    if exchange.version_bounds().is_some() && exchange.view(|view| view.candidates(Phase::Decode).is_empty()) {
         exchange.report_no_replica();
         return Err(failure_of(&exchange));
     }
     let share = LIMITS[(exchange.priority as usize).min(LIMITS.len() - 1)];
-    if exchange.view(|view| view.full(share)) {
+    if exchange.view(|view| view.is_saturated(share)) {
         return Err(failure_of(&exchange));
     }
     exchange.spend_quota().await?;
     let split = exchange.is_streaming()
         && !exchange.request.keys.is_empty()
-        && exchange.view(|view| view.has(Half::Prefill) && view.has(Half::Decode));
-    let carried = if split { halves::carry(&mut exchange).await } else { plain(&mut exchange).await };
+        && exchange.view(|view| view.has_phase(Phase::Prefill) && view.has_phase(Phase::Decode));
+    let carried = if split { phases::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
         Err(failure) => {
@@ -81,7 +82,7 @@
         return Ok(pass(exchange, at, answer));
     }
     if exchange.version_bounds().is_some() {
-        exchange.pinned_version = verdict::version(&answer.head.headers).or(exchange.pinned_version);
+        exchange.pinned_version = response_head::version(&answer.head.headers).or(exchange.pinned_version);
     }
     if !sealed(&answer) {
         // Not an engine's answer, whatever it is.
@@ -101,8 +102,8 @@
     // A failed answer is given up only once the next send is granted.
     let mut granted = false;
     loop {
-        let rank = clock::combine_hashes(exchange.request.born, exchange.request.body.len() as u64);
-        let place = exchange.view(|view| view.decode(0, &[], None, rank));
+        let rank = hashing::combine(exchange.request.born, exchange.request.body.len() as u64);
+        let place = exchange.view(|view| view.select_decode(0, &[], None, rank));
         let Some(at) = place else { return Err(failure_of(exchange)) };
         if !mem::take(&mut granted) && !exchange.grant_send() {
             return Err(failure_of(exchange));
@@ -135,7 +136,7 @@
     /// Goes on at another engine after a break, behind the last event that was passed on.
     async fn resume(&mut self, at: usize, split: &Splitter) -> Option<(usize, Answer)> {
         self.may_have_run = true;
-        doubt::raise(&self.state, at);
+        suspicion::raise(&self.state, at);
         self.tried.push(at);
         if !self.is_resumable() || !split.resumable() {
             return None;
@@ -143,7 +144,7 @@
         let (tokens, rank) = (self.request.tokens(), plan::rank(&self.request));
         for _ in 0..3 {
             let held = self.prefix_owners.clone();
-            let next = self.view(|view| view.alone(tokens, &held, rank))?.0;
+            let next = self.view(|view| view.select_combined(tokens, &held, rank))?.engine;
             if self.remaining_ms() == 0 || !self.grant_send() {
                 return None;
             }
@@ -186,7 +187,7 @@
     if exchange.state.is_leaving() {
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    let (pipe, feed) = feed::pipe(length);
+    let (pipe, feed) = response_body::pipe(length);
     tokio::spawn(async move {
         run(&mut exchange, at, answer, &pipe).await;
     });
--- a/router/src/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -1,9 +1,9 @@
 //! Planning a request's way, as data, before anything is sent.
 
 use kernel::clock;
-use load_balancing::place::{Half, View};
+use load_balancing::{CachedPrefix, Phase, SelectionContext};
 
-use crate::request::Request;
+use crate::frontend::request::Request;
 use crate::state::State;
 
 /// Who reads the prompt. Invariant: a reader is an engine of the route's service outside `shut`
@@ -17,37 +17,37 @@
     Alone,
 }
 
-pub fn read(view: &View, request: &Request, held: &PrefixOwners) -> Plan {
+pub fn read(view: &SelectionContext, request: &Request, held: &PrefixOwners) -> Plan {
     let (tokens, rank) = (request.tokens(), rank(request));
-    let Some((at, cost)) = view.prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
-    if view.alone(tokens, held, rank).is_some_and(|(_, alone)| alone < cost) {
+    let Some(reader) = view.select_prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
+    if view.select_combined(tokens, held, rank).is_some_and(|alone| alone.cost < reader.cost) {
         return Plan::Alone;
     }
-    let have = held.iter().find(|(owner, _)| *owner == at).map_or(0, |(_, have)| *have);
-    Plan::Read { at, reads: tokens.saturating_sub(have) }
+    let have = held.iter().find(|prefix| prefix.engine == reader.engine).map_or(0, |prefix| prefix.tokens);
+    Plan::Read { at: reader.engine, reads: tokens.saturating_sub(have) }
 }
 
 /// What was learned about the owners of a request's prefixes: engine and tokens held.
-pub type PrefixOwners = Vec<(usize, u32)>;
+pub type PrefixOwners = Vec<CachedPrefix>;
 
 /// Scans the local record, asks the catalog for the missing suffix only, and notes what it finds.
 pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
     let now = clock::now();
     let known = {
-        let mut record = state.record.lock().expect("record");
+        let mut record = state.record.lock();
         record.counts.queries += 1;
-        record.known(&request.keys, now)
+        record.known_prefix_count(&request.keys, now)
     };
     let missing = &request.keys[known..];
     if !missing.is_empty() {
         let sample = sample(state, request, service);
         let found = state.lookup.query(missing, sample).await;
         if let Some(found) = &found {
-            let (now, mut engine_table) = (clock::now(), state.engine_table.lock().expect("engine_table"));
-            found.list.iter().for_each(|told| engine_table.hear(told, now));
+            let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
+            found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
         }
         let found = found.map(|found| found.owners);
-        let mut record = state.record.lock().expect("record");
+        let mut record = state.record.lock();
         match &found {
             None => record.counts.unanswered += 1,
             Some(list) if list.iter().all(Vec::is_empty) => record.counts.no_owner += u64::from(known == 0),
@@ -55,8 +55,8 @@
         }
         for (key, names) in missing.iter().zip(found.iter().flatten()) {
             for name in names {
-                if !record.hushed(name, *key, now) {
-                    record.note(*key, name, now);
+                if !record.is_suppressed(name, *key, now) {
+                    record.record(*key, name, now);
                 }
             }
         }
@@ -67,17 +67,21 @@
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
 fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
-    let roll = state.dice.lock().expect("dice").next_u64();
-    let engine_table = state.engine_table.lock().expect("engine_table");
+    let roll = state.dice.lock().next_u64();
+    let engine_table = state.engine_table.lock();
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
-    for half in [Half::Prefill, Half::Decode] {
+    for half in [Phase::Prefill, Phase::Decode] {
         let Some(subset) = engine_table.subset(service, half, false) else { continue };
-        if half == Half::Prefill {
-            names.extend(subset.homes(rank(request), 2, |at| engine_table.list[at].up && engine_table.list[at].here));
+        if half == Phase::Prefill {
+            names.extend(
+                subset.home_engines(rank(request), 2, |at| {
+                    engine_table.engines[at].up && engine_table.engines[at].listed
+                }),
+            );
         }
-        names.extend(subset.draw(roll, DRAWN));
+        names.extend(subset.sampled_run(roll, DRAWN));
     }
-    names.into_iter().map(|at| engine_table.list[at].name).collect()
+    names.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
 }
 
 /// How many of a half are drawn for each request.
@@ -86,17 +90,18 @@
 /// The longest prefix each usable engine owns.
 fn held(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
-    let depths = catalog::depths(&request.parts);
-    let engine_table = state.engine_table.lock().expect("engine_table");
-    let mut record = state.record.lock().expect("record");
+    let depths = catalog::prefix_token_counts(&request.parts);
+    let engine_table = state.engine_table.lock();
+    let mut record = state.record.lock();
     let mut list: PrefixOwners = Vec::new();
     let mut stale = 0;
     for (key, depth) in request.keys.iter().zip(depths).rev() {
         for name in record.owners(*key, now) {
-            let usable = engine_table.find(name).filter(|at| engine_table.list[*at].up && engine_table.list[*at].here);
+            let usable =
+                engine_table.find(name).filter(|at| engine_table.engines[*at].up && engine_table.engines[*at].listed);
             match usable {
-                Some(at) if list.iter().any(|(owner, _)| *owner == at) => {}
-                Some(at) => list.push((at, depth)),
+                Some(at) if list.iter().any(|prefix| prefix.engine == at) => {}
+                Some(at) => list.push(CachedPrefix { engine: at, tokens: depth }),
                 None => stale += 1,
             }
         }
@@ -114,15 +119,15 @@
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
 pub fn closed_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
-    let mut list = state.news.lock().expect("news").shut.clone();
+    let mut list = state.news.lock().shut.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
     if homes.iter().all(|homes| homes.is_empty()) {
         return list;
     }
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
+    let mut engine_table = state.engine_table.lock();
     for (zone, region) in &state.settings.zones {
         if outside(region) {
-            list.push(engine_table.zone(zone));
+            list.push(engine_table.zone_index(zone));
         }
     }
     list
--- a/router/src/boot.rs
+++ b/router/src/startup.rs
@@ -7,11 +7,13 @@
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
 
-use crate::drain::{Phase, Schedule};
 use crate::event::{COUNTS, GONE, LEAVE, START};
+use crate::frontend::drain::{Phase, Schedule};
+use crate::frontend::listener;
 use crate::metrics::Stage;
+use crate::rollout;
 use crate::state::State;
-use crate::{follow, server, version_rollouts};
+use crate::subscription::driver;
 
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
@@ -26,10 +28,10 @@
     };
 }
 
-part!(READY, "readiness", 1, |state| drop(tokio::spawn(server::readiness(state.clone()))));
-part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(follow::run(state.clone()))));
-part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(version_rollouts::send_samples(state.clone()))));
-part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(server::frontend(state.clone()))));
+part!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::readiness(state.clone()))));
+part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
+part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
+part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(listener::frontend(state.clone()))));
 
 /// Runs a router until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
@@ -38,14 +40,14 @@
     let observed = state.clone();
     telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
     plugin::start(&ROUTER_PARTS, &state);
-    signal::until_leave(&mut signals).await;
+    signal::wait_for_termination(&mut signals).await;
     leave(&state).await;
     process::ExitCode::SUCCESS
 }
 
 /// Ends what the router does, well inside the grace.
 pub(crate) async fn leave(state: &State) {
-    let counts = state.record.lock().expect("record").counts;
+    let counts = state.record.lock().counts;
     kernel::log_event!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
     kernel::log_event!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -2,28 +2,32 @@
 //!
 //! Lock order: table, engine_table, record, budget, news, pools. No lock is held over an await.
 
+use kernel::hashing;
+use kernel::new_incarnation;
+use kernel::ConvergenceBudget;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
+
+use catalog::OwnerCache;
 
-use catalog::record::Record;
-use kernel::clock::{self, Rng};
-use kernel::convergence;
 use kernel::settings::Settings;
-use load_balancing::budget;
-use load_balancing::engine_table::EngineTable;
-use load_balancing::floor::Floors;
+use kernel::Rng;
+use load_balancing::EngineTable;
+use load_balancing::RetryBudget;
+use load_balancing::StalenessBounds;
+use parking_lot::Mutex;
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
-use crate::currency::Currency;
-use crate::drain::{Drain, Phase};
-use crate::lookup::Lookup;
+use crate::config::freshness::Currency;
+use crate::config::routing_table::Table;
+use crate::frontend::drain::{Drain, Phase};
+use crate::kv::prefix_lookup::Lookup;
+use crate::limits::quota_gate::QuotaGate;
 use crate::metrics::Metrics;
-use crate::pool::Pools;
-use crate::quota_gate::QuotaGate;
-use crate::table::Table;
-use crate::version_rollouts::Rollouts;
+use crate::rollout::Rollouts;
+use crate::upstream::connection_pool::Pools;
 
 pub struct State {
     pub settings: Settings,
@@ -32,12 +36,12 @@
     pub zone: u32,
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
-    pub record: Mutex<Record>,
-    pub budget: Mutex<budget::Budget>,
+    pub record: Mutex<OwnerCache>,
+    pub budget: Mutex<RetryBudget>,
     pub pools: Pools,
     pub lookup: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
-    pub floors: Mutex<Floors>,
+    pub floors: Mutex<StalenessBounds>,
     /// By zone: the version of the weight versions held.
     pub weights: Mutex<BTreeMap<String, (u64, u64)>>,
     pub news: Mutex<SubscribedState>,
@@ -80,11 +84,11 @@
 impl State {
     /// The state of a process that has just started: it knows its settings and nothing else.
     pub fn new(settings: Settings) -> Arc<State> {
-        let life = clock::incarnation();
+        let life = new_incarnation();
         let mut engine_table = EngineTable::default();
-        let own_zone = engine_table.zone(&settings.zone);
+        let own_zone = engine_table.zone_index(&settings.zone);
         for (zone, region) in &settings.zones {
-            engine_table.region(zone, region);
+            engine_table.set_region(zone, region);
         }
         let window_ms = (settings.bounds.budget_window_s * 1000.0) as u64;
         Arc::new(State {
@@ -92,14 +96,14 @@
             zone: own_zone,
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
-            record: Mutex::new(Record::new(RECORD, STALE_MS)),
-            budget: Mutex::new(budget::Budget::new(settings.bounds.retry_budget, window_ms)),
+            record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
+            budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             pools: Default::default(),
             lookup: Default::default(),
             floors: Default::default(),
             weights: Default::default(),
             news: Default::default(),
-            currency: Currency::new(convergence::Budget::new(&settings.bounds)),
+            currency: Currency::new(ConvergenceBudget::new(&settings.bounds)),
             home: Default::default(),
             dice: Mutex::new(Rng::new(life)),
             few_at: Default::default(),
@@ -117,17 +121,17 @@
 
     /// How many routers share the bounds: the most that was told in the last ten seconds.
     pub fn router_count(&self) -> u32 {
-        let news = self.news.lock().expect("news");
+        let news = self.news.lock();
         news.seats.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1)
     }
 
     /// What tells this router's samples from those of others.
     pub fn mark(&self) -> u64 {
-        clock::hash(self.settings.node_name.as_bytes())
+        hashing::hash(self.settings.node_name.as_bytes())
     }
 
     pub fn table(&self) -> Arc<Table> {
-        self.table.lock().expect("table").clone()
+        self.table.lock().clone()
     }
 
     /// Is the process about to end?
--- a/router/src/doubt.rs
+++ b/router/src/upstream/suspicion.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 use kernel::clock;
-use load_balancing::engine_table::EngineState;
+use load_balancing::EngineState;
 use protocol::message::Message;
 use tokio::time::{self, Instant};
 
-use crate::doubt_pace::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
-use crate::doubt_probe::probe;
-use crate::doubt_word::Word;
-use crate::evacuation;
+use crate::config::evacuation;
 use crate::event::STRIKE;
 use crate::state::State;
+use crate::upstream::probe::probe;
+use crate::upstream::probe_rate::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
+use crate::upstream::suspicion_report::Word;
 
 /// How long a request may go without a sign of life from its engine before that is asked.
 pub const SIGN_MS: u64 = 150;
@@ -39,25 +39,25 @@
 }
 
 fn roll(state: &State) -> u64 {
-    state.dice.lock().expect("dice").next_u64()
+    state.dice.lock().next_u64()
 }
 
 /// Word of an engine from a controller.
 pub fn hear(state: &Arc<State>, name: &str) {
     let word = Word::read(name);
-    let Some(at) = state.engine_table.lock().expect("engine_table").find(word.engine()) else { return };
+    let Some(at) = state.engine_table.lock().find(word.engine()) else { return };
     match word {
         Word::Answered(_) => {
-            state.engine_table.lock().expect("engine_table").list[at].calm = true;
+            state.engine_table.lock().engines[at].answered_elsewhere = true;
             state.calm.notify_waiters();
         }
         Word::Dark(_) => {
             let now = clock::now();
             {
-                let mut engine_table = state.engine_table.lock().expect("engine_table");
-                let engine = &mut engine_table.list[at];
+                let mut engine_table = state.engine_table.lock();
+                let engine = &mut engine_table.engines[at];
                 // Nothing new is sent there; answers under way are no worse for what others saw.
-                engine.shy_until = engine.shy_until.max(now + SHY_MS);
+                engine.suspected_until = engine.suspected_until.max(now + SHY_MS);
             }
             start(state, at, Cause::Told);
         }
@@ -74,7 +74,7 @@
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let woken = state.calm.notified();
-        if mem::take(&mut state.engine_table.lock().expect("engine_table").list[at].calm) {
+        if mem::take(&mut state.engine_table.lock().engines[at].answered_elsewhere) {
             return true;
         }
         if time::timeout_at(end, woken).await.is_err() {
@@ -89,12 +89,12 @@
     loop {
         let woken = state.calm.notified();
         {
-            let mut engine_table = state.engine_table.lock().expect("engine_table");
-            let engine = &mut engine_table.list[at];
-            if mem::take(&mut engine.calm) {
+            let mut engine_table = state.engine_table.lock();
+            let engine = &mut engine_table.engines[at];
+            if mem::take(&mut engine.answered_elsewhere) {
                 return true;
             }
-            if mem::take(&mut engine.silent) {
+            if mem::take(&mut engine.is_unresponsive) {
                 return false;
             }
         }
@@ -105,7 +105,7 @@
 }
 
 fn tell(state: &State, word: Word) {
-    let home = state.home.lock().expect("home").clone();
+    let home = state.home.lock().clone();
     if let Some(home) = home {
         home.notify(Message::SuspectEngine(Box::new((word.write(), false))));
     }
@@ -113,8 +113,8 @@
 
 /// A request got no sign of life from an engine: it is asked until it answers or is gone.
 pub fn raise(state: &Arc<State>, at: usize) {
-    if let Some(engine) = state.engine_table.lock().expect("engine_table").list.get_mut(at) {
-        engine.silent = true;
+    if let Some(engine) = state.engine_table.lock().engines.get_mut(at) {
+        engine.is_unresponsive = true;
     }
     state.calm.notify_waiters();
     start(state, at, Cause::Seen);
@@ -123,11 +123,13 @@
 /// One asker an engine at a time.
 fn start(state: &Arc<State>, at: usize, cause: Cause) {
     {
-        let mut engine_table = state.engine_table.lock().expect("engine_table");
-        let Some(engine) = engine_table.list.get_mut(at).filter(|engine| engine.here && !engine.asked) else { return };
-        engine.asked = true;
-        engine.calm = false;
-        engine.silent = false;
+        let mut engine_table = state.engine_table.lock();
+        let Some(engine) = engine_table.engines.get_mut(at).filter(|engine| engine.listed && !engine.is_probing) else {
+            return;
+        };
+        engine.is_probing = true;
+        engine.answered_elsewhere = false;
+        engine.is_unresponsive = false;
     }
     tokio::spawn(ask(state.clone(), at, cause));
 }
@@ -152,14 +154,14 @@
     let (mut unanswered, mut woken) = (0u32, false);
     loop {
         let (addr, id) = {
-            let engine_table = state.engine_table.lock().expect("engine_table");
-            (engine_table.list[at].addr.clone(), engine_table.list[at].id.clone())
+            let engine_table = state.engine_table.lock();
+            (engine_table.engines[at].address.clone(), engine_table.engines[at].id.clone())
         };
         let answer = probe(&addr).await;
         let known = match judge(&state, at, &id, answer, begun) {
             Found::Ended => {
                 // Whoever was told need not tell.
-                let is_here = state.engine_table.lock().expect("engine_table").list[at].here;
+                let is_here = state.engine_table.lock().engines[at].listed;
                 if is_here && !woken && (unanswered > 0 || cause == Cause::Told) {
                     tell(&state, Word::Answered(&id));
                 }
@@ -181,25 +183,25 @@
 /// Takes the answer of an engine, or its silence, for what it says.
 fn judge(state: &State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
     let now = clock::now();
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
-    let engine = &mut engine_table.list[at];
-    let known = engine.shy_until > now;
+    let mut engine_table = state.engine_table.lock();
+    let engine = &mut engine_table.engines[at];
+    let known = engine.suspected_until > now;
     match answer {
         Some(name) if name.as_ref().is_none_or(|name| name == id) => answered(state, engine, now, begun),
-        Some(_) => engine.over(),
-        None => engine.strike(now, SHY_MS),
+        Some(_) => engine.retire(),
+        None => engine.record_failure(now, SHY_MS),
     }
     if answer_ends(engine, now) {
-        engine.asked = false;
+        engine.is_probing = false;
         return Found::Ended;
     }
-    engine.calm = false;
-    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.strikes);
+    engine.answered_elsewhere = false;
+    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.consecutive_failures);
     Found::Silent { known }
 }
 
 fn answered(state: &State, engine: &mut EngineState, now: u64, begun: u64) {
-    engine.good(now);
+    engine.record_response(now);
     if now > begun + DARK_MS {
         // It may have been started anew meanwhile.
         engine.presume_cold(now + evacuation::presumed_cold_ms(state));
@@ -208,16 +210,16 @@
 
 /// Another router got an answer, and this one has no reason of its own to doubt it.
 fn trust(state: &State, at: usize, begun: u64) {
-    let mut engine_table = state.engine_table.lock().expect("engine_table");
-    let engine = &mut engine_table.list[at];
-    engine.asked = false;
+    let mut engine_table = state.engine_table.lock();
+    let engine = &mut engine_table.engines[at];
+    engine.is_probing = false;
     answered(state, engine, clock::now(), begun);
 }
 
 fn answer_ends(engine: &EngineState, now: u64) -> bool {
-    !engine.here || engine.shy_until <= now
+    !engine.listed || engine.suspected_until <= now
 }
 
 #[cfg(test)]
-#[path = "doubt_tests.rs"]
+#[path = "suspicion_tests.rs"]
 mod tests;
