--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -6,6 +6,7 @@
 //!
 //! The crate does no I/O and reads no clock: durable records come in and go out as values, and time comes in with every call.
 //! `docs/batches.md` states the design and the limits.
+#![deny(missing_docs)]
 
 mod attempt;
 mod concurrency_limit;
