--- a/batch/src/attempt_tests.rs
+++ b/batch/src/attempt_tests.rs
@@ -38,7 +38,7 @@
     epoch: u64,
     runs: [u32; JOBS],
     lost: [u32; JOBS],
-    /// A begin whose outcome is unknown counts as durable: the fault that the rule prevents.
+    /// A start whose outcome is unknown counts as durable: the fault that the rule prevents.
     trusts_unknown_starts: bool,
     run_twice: u32,
     answered: u32,
@@ -73,7 +73,7 @@
         }
         let done = act(&mut self.page).is_ok();
         for (old, new) in before.states.iter().zip(&self.page.states) {
-            assert!(!old.is_final() || old == new, "a receipt was changed");
+            assert!(!old.is_final() || old == new, "a final state was changed");
         }
         assert!(self.page.epoch >= before.epoch);
         (round_outcome != 1).then_some(done)
@@ -155,8 +155,8 @@
         state_after(outcome, repeatable(job), self.lost[job])
     }
 
-    /// Receipts that say `done` though nothing ran.
-    fn receipts_without_run(&self) -> usize {
+    /// Returns the number of responses of jobs that never ran.
+    fn responses_without_run(&self) -> usize {
         let states = self.page.states.iter().zip(self.runs);
         states.filter(|(state, runs)| matches!(state, JobState::Completed { .. }) && *runs == 0).count()
     }
@@ -176,13 +176,13 @@
     let (mut answered, mut finished) = (0, 0);
     for seed in 1..=500 {
         let simulation = run(seed, false);
-        assert_eq!((simulation.run_twice, simulation.receipts_without_run()), (0, 0), "seed {seed}");
+        assert_eq!((simulation.run_twice, simulation.responses_without_run()), (0, 0), "seed {seed}");
         answered += simulation.answered;
         finished += simulation.page.states.iter().filter(|state| state.is_final()).count();
     }
     assert!(
         answered > 1000 && finished > 2800,
-        "the simulation must get work done: {answered} answers, {finished} receipts"
+        "the simulation must get work done: {answered} answers, {finished} final states"
     );
 }
 
--- a/batch/src/testing/plan.rs
+++ b/batch/src/testing/plan.rs
@@ -53,9 +53,9 @@
     /// Jobs that may not be repeated and ran more than once. Must be 0.
     pub run_twice: usize,
     /// Responses of jobs that never ran. Must be 0.
-    pub receipts_without_run: usize,
+    pub responses_without_run: usize,
     /// When the last final state was written, in milliseconds.
-    pub last_receipt_ms: u64,
+    pub last_finish_ms: u64,
     /// Dispatches that found no engine with capacity.
     pub rejected_dispatches: usize,
     /// Interactive requests served.
--- a/batch/src/testing/simulation/owner.rs
+++ b/batch/src/testing/simulation/owner.rs
@@ -43,11 +43,11 @@
     fn finish_job(&mut self, owner: usize, job: usize, state: JobState) {
         let epoch = self.owners[owner].epoch;
         if state == (JobState::Completed { status: 200, body: String::new() }) && self.runs[job] == 0 {
-            self.report.receipts_without_run += 1;
+            self.report.responses_without_run += 1;
         }
         if self.pages[job / JOBS_PER_PAGE].finish(job % JOBS_PER_PAGE, epoch, state).is_ok() {
             self.finish_counts[job] += 1;
-            self.report.last_receipt_ms = self.now;
+            self.report.last_finish_ms = self.now;
         }
     }
 
--- a/batch/src/testing/simulation_tests.rs
+++ b/batch/src/testing/simulation_tests.rs
@@ -5,7 +5,7 @@
 use super::{reference_plan, simulate, SimulationReport};
 
 fn assert_exactly_once(report: &SimulationReport, jobs: usize) {
-    assert_eq!((report.answered_twice, report.run_twice, report.receipts_without_run), (0, 0, 0), "{report:?}");
+    assert_eq!((report.answered_twice, report.run_twice, report.responses_without_run), (0, 0, 0), "{report:?}");
     assert_eq!(
         report.completed + report.unknown + report.deadline_missed,
         jobs,
@@ -21,7 +21,7 @@
         let report = simulate(&plan, true);
         assert_exactly_once(&report, plan.jobs);
         assert_eq!(report.deadline_missed, 0, "{report:?}");
-        assert!(report.last_receipt_ms <= plan.window_ms, "{report:?}");
+        assert!(report.last_finish_ms <= plan.window_ms, "{report:?}");
         assert!(report.unknown < 60 && report.completed > 170, "{report:?}");
     }
 }
--- a/tidepoint/src/rehearse.rs
+++ b/tidepoint/src/rehearse.rs
@@ -21,17 +21,17 @@
     );
     println!(
         "answered twice {}, run twice {}, invented {}",
-        with.answered_twice, with.run_twice, with.receipts_without_run
+        with.answered_twice, with.run_twice, with.responses_without_run
     );
     println!(
         "last receipt at {} ms; sends refused for want of room: {}",
-        with.last_receipt_ms, with.rejected_dispatches
+        with.last_finish_ms, with.rejected_dispatches
     );
     println!(
         "interactive p50 {} ms with, {} ms without; p99 {} ms with, {} ms without",
         with.interactive_p50_ms, without.interactive_p50_ms, with.interactive_p99_ms, without.interactive_p99_ms
     );
-    if with.answered_twice + with.run_twice + with.receipts_without_run + with.unfinished > 0 {
+    if with.answered_twice + with.run_twice + with.responses_without_run + with.unfinished > 0 {
         return Err("a job was not answered exactly once".into());
     }
     Ok(())
