--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -1,25 +1,41 @@
-//! Deferrable work: batches of jobs that wait for idle engines, each job answered exactly once.
-//! Pure: what is durable comes in and goes out as values; time comes in with every call.
-pub mod attempt;
-pub mod page;
-pub mod rehearsal;
-pub mod sheet;
-pub mod turn;
+//! Deferrable work: batches of jobs that wait for idle engines, each job finished exactly once.
+//!
+//! An operator submits a batch of jobs with a window. One controller at a time owns the batches, under an epoch. It claims the
+//! pages of job states under its epoch, dispatches jobs while engines are idle, and writes each job's final state once. A job
+//! that may not be repeated is never sent twice: its start is durable before it is sent, and a new owner doesn't send it again.
+//!
+//! The crate does no I/O and reads no clock: durable records come in and go out as values, and time comes in with every call.
+//! `docs/batches.md` states the design and the limits.
+#![deny(missing_docs)]
 
-#[cfg(test)]
-mod sim;
+mod attempt;
+mod concurrency_limit;
+mod dispatch;
+mod job_page;
+mod record;
+mod specification;
+pub mod testing;
 
-pub mod offpeak;
+pub use attempt::{state_after, AttemptOutcome, MAX_ATTEMPTS};
+pub use concurrency_limit::ConcurrencyLimit;
+pub use dispatch::{next_dispatches, urgency, BatchView, Dispatch, Urgency};
+pub use job_page::{JobPage, JobState, PageError};
+pub use record::{batch_id, Batch, Job};
+pub use specification::{parse, JobError, RouteLookup, SpecificationError};
 
-/// Bounds, stated in docs/batches.md and checked when a batch is submitted.
-pub const JOBS: usize = 256;
-pub const BYTES: usize = 512 * 1024;
-pub const NAME: usize = 64;
-pub const ANSWER: usize = 16 * 1024;
-/// Jobs on one page: one write to the ledger carries one page.
-pub const PAGE: usize = 32;
-/// Batches kept at once, finished ones included.
-pub const BATCHES: usize = 16;
-/// A finished batch is kept for so long.
-pub const KEEP_MS: u64 = 3_600_000;
-pub const WINDOW_MAX_S: u64 = 7 * 24 * 3600;
+/// Most jobs in a batch.
+pub const MAX_JOBS: usize = 256;
+/// Most bytes of bodies, paths and headers in a submission.
+pub const MAX_BATCH_BYTES: usize = 512 * 1024;
+/// Longest name of a job, in bytes.
+pub const MAX_JOB_NAME_BYTES: usize = 64;
+/// Longest response body that is stored, in bytes.
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
+/// Jobs whose states are stored under one key, and so written together.
+pub const JOBS_PER_PAGE: usize = 32;
+/// Most batches stored at once, finished ones included.
+pub const MAX_BATCHES: usize = 16;
+/// How long a finished batch is stored after its window, in milliseconds.
+pub const RETENTION_MS: u64 = 3_600_000;
+/// Longest window of a batch, in seconds.
+pub const MAX_WINDOW_S: u64 = 7 * 24 * 3600;
--- a/controller/src/api/batches.rs
+++ b/controller/src/api/batches.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use batch::page::{Page, State};
-use batch::sheet::{self, Batch, Job};
-use batch::{ANSWER, BATCHES, BYTES, PAGE};
+use batch::{
+    batch_id, parse, Batch, Job, JobPage, JobState, JOBS_PER_PAGE, MAX_BATCHES, MAX_BATCH_BYTES, MAX_RESPONSE_BYTES,
+};
 use poem::{Endpoint, Request};
 use protocol::config::{self, Config, Route};
 use serde_json::Value;
@@ -20,7 +20,7 @@
 use crate::replication::registers::Decision;
 
 /// The longest body of a submission: a batch takes up less once it is parsed.
-const MAX_BODY_BYTES: usize = 2 * BYTES;
+const MAX_BODY_BYTES: usize = 2 * MAX_BATCH_BYTES;
 /// When a batch for which there is no capacity may be submitted again.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 60_000;
 
@@ -39,8 +39,8 @@
         let config = controller.committed.current_config();
         let config = config.ok_or_else(|| ApiError::conflict("no configuration yet: no routes"))?;
         let route = |host: &str, path: &str| is_repeatable_route(config.config(), host, path);
-        let batch = sheet::read(&key, &text, &route).map_err(|error| ApiError::bad_request(error.to_string()))?;
-        let id = sheet::id(&key);
+        let batch = parse(&key, &text, &route).map_err(|error| ApiError::bad_request(error.to_string()))?;
+        let id = batch_id(&key);
         if !has_capacity(controller, &id, &batch) {
             return Ok(ApiResponse::Overloaded { retry_after_ms: OVERLOAD_RETRY_AFTER_MS });
         }
@@ -70,16 +70,16 @@
 
 /// Returns whether there is capacity for a batch. One that is submitted again needs no more than it has.
 fn has_capacity(controller: &Controller, id: &str, batch: &Batch) -> bool {
-    let response_bytes = batch.jobs.len() * ANSWER;
+    let response_bytes = batch.jobs.len() * MAX_RESPONSE_BYTES;
     controller.committed.read(|state| {
         let ids = records::ids(state);
         if ids.iter().any(|known| known == id) {
             return true;
         }
         let stored = ids.iter().filter_map(|id| records::batch(state, id));
-        let stored_bytes: usize = stored.map(|batch| batch.bytes()).sum();
-        let needed_bytes = stored_bytes + batch.bytes() + response_bytes;
-        ids.len() < BATCHES && needed_bytes <= records::capacity_bytes(&controller.settings)
+        let stored_bytes: usize = stored.map(|batch| batch.size_bytes()).sum();
+        let needed_bytes = stored_bytes + batch.size_bytes() + response_bytes;
+        ids.len() < MAX_BATCHES && needed_bytes <= records::capacity_bytes(&controller.settings)
     })
 }
 
@@ -126,7 +126,7 @@
 fn batch_state(state: &CommittedState, id: &str, batch: &Batch) -> Value {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for job in records::pages(state, id, batch).flat_map(|page| page.states) {
-        *counts.entry(job.word()).or_default() += 1;
+        *counts.entry(job.as_str()).or_default() += 1;
     }
     let open = counts.get("waiting").unwrap_or(&0) + counts.get("running").unwrap_or(&0);
     let name = match (batch.expired, batch.cancelled, open) {
@@ -137,7 +137,7 @@
     };
     serde_json::json!({
         "batch": id, "state": name, "jobs": batch.jobs.len(), "counts": counts,
-        "window_ms": batch.window_ms, "left_ms": batch.left_ms(),
+        "window_ms": batch.window_ms, "left_ms": batch.remaining_ms(),
     })
 }
 
@@ -146,21 +146,21 @@
     fn read(&self, id: &str) -> Result<ApiResponse, ApiError> {
         self.0.committed.read(|state| {
             let batch = records::batch(state, id).ok_or_else(|| unknown_batch(id))?;
-            let pages = batch.jobs.chunks(PAGE).zip(records::pages(state, id, &batch));
+            let pages = batch.jobs.chunks(JOBS_PER_PAGE).zip(records::pages(state, id, &batch));
             let outcomes: Vec<Value> = pages.flat_map(|(jobs, page)| page_outcomes(jobs, &page)).collect();
             Ok(ApiResponse::json(&serde_json::json!({ "batch": id, "receipts": outcomes })))
         })
     }
 }
 
-fn page_outcomes(jobs: &[Job], page: &Page) -> Vec<Value> {
-    let finished = jobs.iter().zip(&page.states).filter(|(_, state)| state.closed());
+fn page_outcomes(jobs: &[Job], page: &JobPage) -> Vec<Value> {
+    let finished = jobs.iter().zip(&page.states).filter(|(_, state)| state.is_final());
     finished.map(|(job, state)| job_outcome(&job.name, state)).collect()
 }
 
-fn job_outcome(name: &str, state: &State) -> Value {
-    let mut outcome = serde_json::json!({ "name": name, "outcome": state.word() });
-    if let State::Done { status, body } = state {
+fn job_outcome(name: &str, state: &JobState) -> Value {
+    let mut outcome = serde_json::json!({ "name": name, "outcome": state.as_str() });
+    if let JobState::Completed { status, body } = state {
         outcome["status"] = (*status).into();
         outcome["body"] = body.as_str().into();
     }
--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -3,10 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::attempt::{state_after, Outcome};
-use batch::page::{Bar, Page, State};
-use batch::sheet::{Batch, Job};
-use batch::{turn, PAGE};
+use batch::{state_after, AttemptOutcome, Batch, Dispatch, Job, JobPage, JobState, PageError, JOBS_PER_PAGE};
 use kernel::clock;
 use reqwest::Client;
 use tokio::time;
@@ -28,7 +25,7 @@
     /// The jobs in flight; this one is among them until the attempt has ended.
     pub in_flight: SharedInFlight,
     /// Which job it is.
-    pub dispatch: turn::Send,
+    pub dispatch: Dispatch,
     /// The epoch of the owner of the batches.
     pub epoch: u64,
 }
@@ -41,57 +38,61 @@
     }
 
     async fn attempt(&self) -> Option<()> {
-        let (id, at) = (self.dispatch.id.as_str(), self.dispatch.job);
+        let (id, at) = (self.dispatch.batch_id.as_str(), self.dispatch.job);
         let batch = self.controller.committed.read(|state| records::batch(state, id))?;
         let job = batch.jobs.get(at)?;
         let router = self.controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
-        let started = self.change_page(&batch, |page, slot| page.begin(slot, self.epoch)).await;
+        let started = self.change_page(&batch, |page, slot| page.start(slot, self.epoch)).await;
         if started == PageChange::Rejected {
             return None;
         }
         let outcome = self.send(&batch, job, &router, started).await;
         let state = self.in_flight.lock().record(&self.dispatch, outcome, job.repeatable);
-        if state.closed() {
-            kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.word());
+        if state.is_final() {
+            kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.as_str());
         }
         self.write_outcome(&batch, &state).await;
         Some(())
     }
 
     /// Sends the job, unless its start is not durable or this controller has ceased to be the owner.
-    async fn send(&self, batch: &Batch, job: &Job, router: &str, started: PageChange) -> Outcome {
+    async fn send(&self, batch: &Batch, job: &Job, router: &str, started: PageChange) -> AttemptOutcome {
         let is_owner = runner::acting_epoch(&self.controller, clock::now()) == Some(self.epoch);
         if started != PageChange::Committed || !is_owner {
-            return Outcome::NotRun { retry_after_ms: None };
+            return AttemptOutcome::NotExecuted { retry_after_ms: None };
         }
-        let remaining_ms = batch.left_ms().min(MAX_ATTEMPT_MS);
-        job_request::send(&self.client, router, job, self.dispatch.press, remaining_ms).await
+        let remaining_ms = batch.remaining_ms().min(MAX_ATTEMPT_MS);
+        job_request::send(&self.client, router, job, self.dispatch.urgency, remaining_ms).await
     }
 
     /// Tries until the outcome is written or another owner has claimed the page: a response that came is not thrown
     /// away.
-    async fn write_outcome(&self, batch: &Batch, state: &State) {
-        let finish = |page: &mut Page, slot| page.close(slot, self.epoch, state.clone());
+    async fn write_outcome(&self, batch: &Batch, state: &JobState) {
+        let finish = |page: &mut JobPage, slot| page.finish(slot, self.epoch, state.clone());
         while self.change_page(batch, finish).await == PageChange::OutcomeUnknown {
             time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
     }
 
     /// Changes the page with this job. `change` gets the page and where the job stands in it.
-    async fn change_page(&self, batch: &Batch, change: impl Fn(&mut Page, usize) -> Result<(), Bar>) -> PageChange {
-        let (number, slot) = (self.dispatch.job / PAGE, self.dispatch.job % PAGE);
-        runner::change_page(&self.controller, &self.dispatch.id, batch, number, |page| change(page, slot)).await
+    async fn change_page(
+        &self,
+        batch: &Batch,
+        change: impl Fn(&mut JobPage, usize) -> Result<(), PageError>,
+    ) -> PageChange {
+        let (number, slot) = (self.dispatch.job / JOBS_PER_PAGE, self.dispatch.job % JOBS_PER_PAGE);
+        runner::change_page(&self.controller, &self.dispatch.batch_id, batch, number, |page| change(page, slot)).await
     }
 }
 
 impl InFlight {
     /// Records the outcome of an attempt, and returns the state of the job after it.
-    fn record(&mut self, dispatch: &turn::Send, outcome: Outcome, repeatable: bool) -> State {
+    fn record(&mut self, dispatch: &Dispatch, outcome: AttemptOutcome, repeatable: bool) -> JobState {
         let mut unknown_count = 0;
         match &outcome {
-            Outcome::Answered { .. } => self.limit.good(),
-            Outcome::NotRun { retry_after_ms } => self.limit.refused(*retry_after_ms, clock::now()),
-            Outcome::Lost => {
+            AttemptOutcome::Completed { .. } => self.limit.on_success(),
+            AttemptOutcome::NotExecuted { retry_after_ms } => self.limit.on_rejection(*retry_after_ms, clock::now()),
+            AttemptOutcome::Unknown => {
                 let count = self.unknown_outcomes.entry(JobId::of(dispatch)).or_default();
                 *count += 1;
                 unknown_count = *count;
--- a/controller/src/batches/job_request.rs
+++ b/controller/src/batches/job_request.rs
@@ -2,10 +2,7 @@
 
 use std::time::Duration;
 
-use batch::attempt::Outcome;
-use batch::sheet::Job;
-use batch::turn::Press;
-use batch::ANSWER;
+use batch::{AttemptOutcome, Job, Urgency, MAX_RESPONSE_BYTES};
 use kernel::new_incarnation;
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, RequestBuilder, Response};
@@ -19,22 +16,22 @@
 const UNKNOWN_OUTCOME_STATUSES: [u16; 3] = [500, 502, 504];
 
 /// Sends a job to a router and returns what came of it. `remaining_ms` is how long it may take.
-pub async fn send(client: &Client, router: &str, job: &Job, urgency: Press, remaining_ms: u64) -> Outcome {
+pub async fn send(client: &Client, router: &str, job: &Job, urgency: Urgency, remaining_ms: u64) -> AttemptOutcome {
     let Ok(method) = Method::from_bytes(job.method.as_bytes()) else {
-        return Outcome::Answered { status: 400, body: String::new() };
+        return AttemptOutcome::Completed { status: 400, body: String::new() };
     };
     let request = build_request(client, method, router, job, urgency, remaining_ms.max(1));
     let response = match request.send().await {
         Ok(response) => response,
-        Err(error) if error.is_connect() => return Outcome::NotRun { retry_after_ms: None },
-        Err(_) => return Outcome::Lost,
+        Err(error) if error.is_connect() => return AttemptOutcome::NotExecuted { retry_after_ms: None },
+        Err(_) => return AttemptOutcome::Unknown,
     };
     let status = response.status().as_u16();
     if NOT_EXECUTED_STATUSES.contains(&status) {
-        return Outcome::NotRun { retry_after_ms: retry_after_ms(&response) };
+        return AttemptOutcome::NotExecuted { retry_after_ms: retry_after_ms(&response) };
     }
     if UNKNOWN_OUTCOME_STATUSES.contains(&status) {
-        return Outcome::Lost;
+        return AttemptOutcome::Unknown;
     }
     read_body(response).await
 }
@@ -44,7 +41,7 @@
     method: Method,
     router: &str,
     job: &Job,
-    urgency: Press,
+    urgency: Urgency,
     remaining_ms: u64,
 ) -> RequestBuilder {
     let mut request = client
@@ -53,8 +50,8 @@
         .header("host", &job.host)
         .header(ATTEMPT_ID, format!("{:016x}", new_incarnation()))
         .header(TIME_BUDGET, remaining_ms.to_string())
-        .header(DEFERRABLE, if urgency == Press::Near { "near" } else { "idle" });
-    for (name, value) in &job.head {
+        .header(DEFERRABLE, if urgency == Urgency::DeadlineNear { "near" } else { "idle" });
+    for (name, value) in &job.headers {
         request = request.header(name, value);
     }
     request.body(job.body.clone())
@@ -65,19 +62,19 @@
     Some((seconds * 1000.0) as u64)
 }
 
-async fn read_body(mut response: Response) -> Outcome {
+async fn read_body(mut response: Response) -> AttemptOutcome {
     let status = response.status().as_u16();
     let mut body = Vec::new();
     loop {
         match response.chunk().await {
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => break,
-            Err(_) => return Outcome::Lost,
+            Err(_) => return AttemptOutcome::Unknown,
         }
-        if body.len() > ANSWER {
+        if body.len() > MAX_RESPONSE_BYTES {
             // A response that is too long to be stored is reported as such: a truncated one would look complete.
-            return Outcome::Answered { status: 507, body: format!("answer over {ANSWER} bytes") };
+            return AttemptOutcome::Completed { status: 507, body: format!("answer over {MAX_RESPONSE_BYTES} bytes") };
         }
     }
-    Outcome::Answered { status, body: String::from_utf8_lossy(&body).into_owned() }
+    AttemptOutcome::Completed { status, body: String::from_utf8_lossy(&body).into_owned() }
 }
--- a/controller/src/batches/records.rs
+++ b/controller/src/batches/records.rs
@@ -1,8 +1,6 @@
 //! Keys and look-ups of committed batches and of the pages with the states of their jobs.
 
-use batch::page::Page;
-use batch::sheet::Batch;
-use batch::PAGE;
+use batch::{Batch, JobPage, JOBS_PER_PAGE};
 use kernel::settings::Settings;
 
 use crate::replication::committed_state::CommittedState;
@@ -29,19 +27,19 @@
 }
 
 /// Returns a page as it is known to be committed. All jobs wait in a page that was never written.
-pub fn page(state: &CommittedState, id: &str, batch: &Batch, number: usize) -> Page {
-    let stored = state.entries.get(&page_key(id, number)).and_then(|entry| Page::from_bytes(&entry.body));
+pub fn page(state: &CommittedState, id: &str, batch: &Batch, number: usize) -> JobPage {
+    let stored = state.entries.get(&page_key(id, number)).and_then(|entry| JobPage::from_bytes(&entry.body));
     stored.unwrap_or_else(|| blank_page(batch, number))
 }
 
 /// Returns all pages of a batch as they are known to be committed.
-pub fn pages<'a>(state: &'a CommittedState, id: &'a str, batch: &'a Batch) -> impl Iterator<Item = Page> + 'a {
-    (0..batch.pages()).map(move |number| page(state, id, batch, number))
+pub fn pages<'a>(state: &'a CommittedState, id: &'a str, batch: &'a Batch) -> impl Iterator<Item = JobPage> + 'a {
+    (0..batch.page_count()).map(move |number| page(state, id, batch, number))
 }
 
 /// Returns a page in which all jobs wait.
-pub fn blank_page(batch: &Batch, number: usize) -> Page {
-    Page::new(batch.jobs.len().saturating_sub(number * PAGE).min(PAGE))
+pub fn blank_page(batch: &Batch, number: usize) -> JobPage {
+    JobPage::new(batch.jobs.len().saturating_sub(number * JOBS_PER_PAGE).min(JOBS_PER_PAGE))
 }
 
 /// Returns the ids of all batches that have not expired.
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::page::{Bar, Page, State};
-use batch::sheet::Batch;
-use batch::turn::{self, Pace, View};
-use batch::{KEEP_MS, PAGE};
+use batch::{
+    next_dispatches, Batch, BatchView, ConcurrencyLimit, Dispatch, JobPage, JobState, PageError, JOBS_PER_PAGE,
+    RETENTION_MS,
+};
 use kernel::{clock, startup};
 use parking_lot::Mutex;
 use protocol::socket::IO_TIMEOUT_MS;
@@ -80,8 +80,8 @@
 
 impl JobId {
     /// Returns which job a dispatch is for.
-    pub fn of(dispatch: &turn::Send) -> JobId {
-        JobId { batch_id: dispatch.id.clone(), job: dispatch.job }
+    pub fn of(dispatch: &Dispatch) -> JobId {
+        JobId { batch_id: dispatch.batch_id.clone(), job: dispatch.job }
     }
 }
 
@@ -95,7 +95,7 @@
     /// How many attempts of a job had an unknown outcome.
     pub unknown_outcomes: HashMap<JobId, u32>,
     /// How many jobs may be in flight.
-    pub limit: Pace,
+    pub limit: ConcurrencyLimit,
 }
 
 /// A batch that has jobs to send.
@@ -121,7 +121,7 @@
     let (connect_timeout, unacknowledged) =
         (Duration::from_millis(CONNECT_TIMEOUT_MS), Duration::from_millis(IO_TIMEOUT_MS));
     let Ok(client) = http_client::at_most_once(connect_timeout, unacknowledged).build() else { return };
-    let limit = Pace::new(MAX_IN_FLIGHT);
+    let limit = ConcurrencyLimit::new(MAX_IN_FLIGHT);
     let in_flight = InFlight { jobs: HashSet::new(), unknown_outcomes: HashMap::new(), limit };
     let mut runner = Runner {
         controller: controller.clone(),
@@ -200,8 +200,8 @@
             let in_flight = self.in_flight.lock();
             let mut waiting = Vec::new();
             for (number, page) in records::pages(state, id, batch).enumerate() {
-                let slots = page.states.iter().enumerate().filter(|(_, state)| **state == State::Waiting);
-                waiting.extend(slots.map(|(slot, _)| number * PAGE + slot));
+                let slots = page.states.iter().enumerate().filter(|(_, state)| **state == JobState::Waiting);
+                waiting.extend(slots.map(|(slot, _)| number * JOBS_PER_PAGE + slot));
             }
             waiting.retain(|job| !in_flight.jobs.contains(&JobId { batch_id: id.into(), job: *job }));
             waiting
@@ -209,19 +209,19 @@
     }
 
     /// Returns what to send now, as far as the limit allows.
-    fn next(&self, open: &[OpenBatch], now: u64) -> Vec<turn::Send> {
+    fn next(&self, open: &[OpenBatch], now: u64) -> Vec<Dispatch> {
         let in_flight = self.in_flight.lock();
-        let free = in_flight.limit.free(in_flight.jobs.len(), now);
-        let views = open.iter().map(|open| View {
-            id: &open.id,
-            left_ms: open.batch.left_ms(),
+        let free = in_flight.limit.available(in_flight.jobs.len(), now);
+        let views = open.iter().map(|open| BatchView {
+            batch_id: &open.id,
+            remaining_ms: open.batch.remaining_ms(),
             window_ms: open.batch.window_ms,
             waiting: open.waiting.clone(),
         });
-        turn::next(&views.collect::<Vec<_>>(), free)
+        next_dispatches(&views.collect::<Vec<_>>(), free)
     }
 
-    fn dispatch(&self, dispatch: turn::Send) {
+    fn dispatch(&self, dispatch: Dispatch) {
         self.in_flight.lock().jobs.insert(JobId::of(&dispatch));
         let attempt = JobAttempt {
             controller: self.controller.clone(),
@@ -240,10 +240,10 @@
     id: &str,
     batch: &Batch,
     number: usize,
-    mut change: impl FnMut(&mut Page) -> Result<(), Bar>,
+    mut change: impl FnMut(&mut JobPage) -> Result<(), PageError>,
 ) -> PageChange {
     let decide = |body: &[u8]| {
-        let mut page = Page::from_bytes(body).unwrap_or_else(|| records::blank_page(batch, number));
+        let mut page = JobPage::from_bytes(body).unwrap_or_else(|| records::blank_page(batch, number));
         match change(&mut page) {
             Ok(()) if page.to_bytes() == body => Decision::Answer(PageChange::Committed),
             Ok(()) => Decision::Write(page.to_bytes(), PageChange::Committed),
@@ -259,8 +259,9 @@
     let Some(batch) = controller.committed.read(|state| records::batch(state, id)) else {
         return false;
     };
-    for number in 0..batch.pages() {
-        let is_repeatable = |slot: usize| batch.jobs.get(number * PAGE + slot).is_some_and(|job| job.repeatable);
+    for number in 0..batch.page_count() {
+        let is_repeatable =
+            |slot: usize| batch.jobs.get(number * JOBS_PER_PAGE + slot).is_some_and(|job| job.repeatable);
         let claimed = change_page(controller, id, &batch, number, |page| match page.epoch == epoch {
             true => Ok(()),
             false => page.claim(epoch, is_repeatable),
@@ -277,13 +278,13 @@
 async fn maintain(controller: &Controller, id: &str, elapsed_ms: u64, epoch: u64) -> Option<Batch> {
     let (batch, is_finished) = controller.committed.read(|state| {
         let batch = records::batch(state, id)?;
-        let is_finished = records::pages(state, id, &batch).all(|page| page.closed());
+        let is_finished = records::pages(state, id, &batch).all(|page| page.is_final());
         Some((batch, is_finished))
     })?;
     let batch = count_down(controller, id, batch, elapsed_ms, is_finished).await?;
-    let is_over = batch.cancelled || batch.left_ms() == 0;
+    let is_over = batch.cancelled || batch.remaining_ms() == 0;
     if is_over && !is_finished {
-        let state = if batch.cancelled { State::Cancelled } else { State::Missed };
+        let state = if batch.cancelled { JobState::Cancelled } else { JobState::DeadlineMissed };
         end_waiting(controller, id, &batch, state, epoch).await;
     }
     (!is_over && !is_finished).then_some(batch)
@@ -298,14 +299,14 @@
     is_finished: bool,
 ) -> Option<Batch> {
     let unwritten_ms = controller.elapsed_times.add(id, elapsed_ms);
-    let ends_now = batch.spent_ms < batch.window_ms && batch.spent_ms + unwritten_ms >= batch.window_ms;
+    let ends_now = batch.elapsed_ms < batch.window_ms && batch.elapsed_ms + unwritten_ms >= batch.window_ms;
     if unwritten_ms < write_step_ms(&batch, is_finished) && !ends_now {
         return Some(batch);
     }
     let additional_ms = controller.elapsed_times.take(id);
     let decide = |body: &[u8]| {
         let Some(mut next) = Batch::from_bytes(body) else { return Decision::Answer(()) };
-        match next.tick(batch.spent_ms, additional_ms, is_finished) {
+        match next.add_elapsed(batch.elapsed_ms, additional_ms, is_finished) {
             true => Decision::Write(next.to_bytes(), ()),
             false => Decision::Answer(()),
         }
@@ -316,19 +317,19 @@
 
 fn write_step_ms(batch: &Batch, is_finished: bool) -> u64 {
     match is_finished {
-        true => KEEP_MS / ELAPSED_WRITES,
+        true => RETENTION_MS / ELAPSED_WRITES,
         false => (batch.window_ms / ELAPSED_WRITES).clamp(MIN_ELAPSED_WRITE_MS, MAX_ELAPSED_WRITE_MS),
     }
 }
 
 /// Gives the jobs that still wait their final state.
-async fn end_waiting(controller: &Controller, id: &str, batch: &Batch, final_state: State, epoch: u64) {
-    for number in 0..batch.pages() {
-        let end = |page: &mut Page| {
+async fn end_waiting(controller: &Controller, id: &str, batch: &Batch, final_state: JobState, epoch: u64) {
+    for number in 0..batch.page_count() {
+        let end = |page: &mut JobPage| {
             if page.epoch != epoch {
-                return Err(Bar::Epoch);
+                return Err(PageError::StaleEpoch { given: epoch, current: page.epoch });
             }
-            let waiting = page.states.iter_mut().filter(|state| **state == State::Waiting);
+            let waiting = page.states.iter_mut().filter(|state| **state == JobState::Waiting);
             waiting.for_each(|state| *state = final_state.clone());
             Ok(())
         };
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -12,7 +12,7 @@
 use protocol::quota::{
     from_milli, shard_owners_fingerprint, to_milli, ShardOwner, ShardUsage, TokenRequest, TokenResponse,
 };
-use quota::{Holder, Quota, Shards, TokenDecision, TAKE_OVER_MS};
+use quota::{EligibleOwner, Quota, Shards, TokenDecision, OWNER_EXPIRY_MS};
 use serde_json::Value;
 
 use crate::controller::Controller;
@@ -45,13 +45,13 @@
     let now = clock::now();
     let is_shutting_down = controller.shutting_down.load(Ordering::Relaxed);
     let confirmed_at = controller.committed.confirmed_at();
-    let eligible = controller.peers.read(|view| view.eligible_owners(QUOTAS, TAKE_OVER_MS, is_shutting_down, now));
+    let eligible = controller.peers.read(|view| view.eligible_owners(QUOTAS, OWNER_EXPIRY_MS, is_shutting_down, now));
     let owners: Vec<ShardOwner> =
         eligible.into_iter().map(|owner| ShardOwner { ip: owner.ip, zone: owner.zone }).collect();
     let digest = shard_owners_fingerprint(&owners);
-    let live = owners.iter().map(|owner| Holder { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
+    let live = owners.iter().map(|owner| EligibleOwner { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
     let mut table = controller.quotas.0.lock();
-    table.shards.beat(now, confirmed_at, live);
+    table.shards.refresh(now, confirmed_at, live);
     let has_changed = table.owners_digest != digest;
     (table.eligible_owners, table.owners_digest) = (owners, digest);
     has_changed
@@ -66,11 +66,11 @@
     let requested = Quota { rate_per_s: from_milli(request.rate_milli), burst: from_milli(request.burst_milli) };
     let quota = committed.unwrap_or(requested);
     let Some(quota) = Quota::new(quota.rate_per_s, quota.burst) else { return TokenResponse::Granted };
-    let decision = controller.quotas.0.lock().shards.spend(&request.tenant, quota, now, confirmed_at);
+    let decision = controller.quotas.0.lock().shards.try_acquire(&request.tenant, quota, now, confirmed_at);
     let response = match decision {
         TokenDecision::Granted => TokenResponse::Granted,
         TokenDecision::Denied { retry_after_ms } => TokenResponse::Denied { retry_after_ms },
-        TokenDecision::NotHeld => TokenResponse::NotHeld,
+        TokenDecision::NotOwner => TokenResponse::NotHeld,
     };
     controller.metrics.record_token_response(response);
     response
@@ -91,7 +91,7 @@
 
 /// Returns what the shards owned here have granted.
 pub fn usage(controller: &Controller) -> Vec<ShardUsage> {
-    let counters = controller.quotas.0.lock().shards.usage();
+    let counters = controller.quotas.0.lock().shards.counters();
     let usage = counters.into_iter().map(|shard| ShardUsage {
         tenant: shard.tenant,
         granted: shard.granted,
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use protocol::message::{HiddenKey, Message};
 use protocol::version_rollout::{RolloutState, RouteSamples, Samples, VersionRollout};
-use versions::{Arm, Batch, Finding, Judge, Schedule, Step};
+use versions::{CanaryAnalysis, RolloutSchedule, RolloutStep, SampleBatch, Variant, Verdict};
 
 use crate::controller::Controller;
 use crate::delivery::subscribers::Subscriber;
@@ -28,7 +28,7 @@
 /// What is known here of one rollout.
 struct RolloutAnalysis {
     order: u64,
-    canary: Judge,
+    canary: CanaryAnalysis,
     /// The number of the newest record.
     record_number: u64,
     /// When the newest record became known.
@@ -50,7 +50,7 @@
     fn of(&mut self, rollout: &VersionRollout, now: u64) -> &mut RolloutAnalysis {
         let new = || RolloutAnalysis {
             order: rollout.order,
-            canary: Judge::new(now),
+            canary: CanaryAnalysis::new(now),
             record_number: rollout.number,
             record_since: now,
         };
@@ -88,16 +88,16 @@
     let mut analyses = controller.rollout_analyses.0.lock();
     let analysis = analyses.of(&rollout, now);
     for route in &samples.list {
-        let variant = if route.is_candidate { Arm::Candidate } else { Arm::Stable };
-        analysis.canary.note(&route.route, variant, &sample_batch(route), now);
+        let variant = if route.is_candidate { Variant::Candidate } else { Variant::Stable };
+        analysis.canary.record(&route.route, variant, &sample_batch(route), now);
     }
     if !samples.is_relayed {
         analyses.unsent.push(Samples { is_relayed: true, ..samples });
     }
 }
 
-fn sample_batch(samples: &RouteSamples) -> Batch {
-    Batch { good: samples.good, failed: samples.failed, paces: samples.paces.clone() }
+fn sample_batch(samples: &RouteSamples) -> SampleBatch {
+    SampleBatch { succeeded: samples.good, failed: samples.failed, event_intervals: samples.paces.clone() }
 }
 
 /// Passes samples on and takes the steps of rollouts, for as long as the process runs.
@@ -163,15 +163,15 @@
     let (verdict, record_since) = {
         let mut analyses = controller.rollout_analyses.0.lock();
         let analysis = analyses.of(rollout, now);
-        (analysis.canary.finding(), analysis.record_since)
+        (analysis.canary.verdict(), analysis.record_since)
     };
     if !is_responsible(controller, &rollout.service, now) {
         return;
     }
     let share_for_ms = now - record_since;
     let elapsed_ms = rollout.elapsed_ms + share_for_ms;
-    let schedule = Schedule { duration_ms: rollout.duration_ms };
-    let step = schedule.step(rollout.share, share_for_ms, elapsed_ms, verdict);
+    let schedule = RolloutSchedule { duration_ms: rollout.duration_ms };
+    let step = schedule.next_step(rollout.share, share_for_ms, elapsed_ms, verdict);
     let Some(next) = after_step(rollout, step, elapsed_ms, verdict) else { return };
     if commit(controller, rollout, &next).await {
         kernel::log_event!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
@@ -188,13 +188,18 @@
 }
 
 /// Returns the record after a step. `None`: nothing changes.
-fn after_step(rollout: &VersionRollout, step: Step, elapsed_ms: u64, verdict: Finding) -> Option<VersionRollout> {
+fn after_step(
+    rollout: &VersionRollout,
+    step: RolloutStep,
+    elapsed_ms: u64,
+    verdict: Verdict,
+) -> Option<VersionRollout> {
     let next = VersionRollout { number: rollout.number + 1, elapsed_ms, ..rollout.clone() };
     match step {
-        Step::Stay => None,
-        Step::Share(share) => Some(VersionRollout { share, ..next }),
-        Step::Complete => Some(VersionRollout { state: RolloutState::Complete, ..next }),
-        Step::Revert => {
+        RolloutStep::Hold => None,
+        RolloutStep::SetShare(share) => Some(VersionRollout { share, ..next }),
+        RolloutStep::Complete => Some(VersionRollout { state: RolloutState::Complete, ..next }),
+        RolloutStep::RollBack => {
             let mut reverted = next.reverted.clone();
             reverted.push(next.target.clone());
             let reason = rollback_reason(verdict).into();
@@ -203,11 +208,11 @@
     }
 }
 
-fn rollback_reason(verdict: Finding) -> &'static str {
+fn rollback_reason(verdict: Verdict) -> &'static str {
     match verdict {
-        Finding::Fails => "it fails more often than the version in place",
-        Finding::Slow => "it is slower than the version in place",
-        Finding::Good | Finding::Unsure => "not enough was seen of it in time",
+        Verdict::Failing => "it fails more often than the version in place",
+        Verdict::Slow => "it is slower than the version in place",
+        Verdict::Healthy | Verdict::Inconclusive => "not enough was seen of it in time",
     }
 }
 
