--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -134,16 +134,16 @@
 #[test]
 fn a_controller_that_would_make_another_body_gets_the_full_entry() {
     let stored = StoredConfig { revision: 5, text: text(5, 2), ..StoredConfig::default() };
-    let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
-    let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
+    let full = ConfigChange { base: 5, text: text(6, 2), partial: false };
+    let patch = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
     let transition = |before, change, format| step_on(&stored.encode(before), change, format).1;
-    let same = transition(BodyFormat::Plain, &whole, BodyFormat::Plain);
-    assert!(can_apply(3, &whole, &same) && can_apply(4, &whole, &same));
-    let same = transition(BodyFormat::Plain, &items, BodyFormat::Compressed);
-    assert!(!can_apply(3, &items, &same), "it writes the text otherwise");
-    assert!(can_apply(4, &items, &same));
-    let other = transition(BodyFormat::Compressed, &whole, BodyFormat::Digested);
-    assert!(!can_apply(4, &whole, &other), "a new layout is told whole, once");
+    let same = transition(BodyFormat::Plain, &full, BodyFormat::Plain);
+    assert!(can_apply(3, &full, &same) && can_apply(4, &full, &same));
+    let same = transition(BodyFormat::Plain, &patch, BodyFormat::Compressed);
+    assert!(!can_apply(3, &patch, &same), "it writes the text otherwise");
+    assert!(can_apply(4, &patch, &same));
+    let other = transition(BodyFormat::Compressed, &full, BodyFormat::Digested);
+    assert!(!can_apply(4, &full, &other), "a new layout is sent in full, once");
 }
 
 #[test]
@@ -159,17 +159,17 @@
 #[test]
 fn a_text_that_an_earlier_version_took_can_be_changed_and_replaced() {
     let stored = StoredConfig { revision: 5, text: format!("{} x", text(5, 2)), ..StoredConfig::default() };
-    let items = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
-    let whole = ConfigChange { base: 5, text: text(6, 2), partial: false };
-    for change in [&items, &whole] {
+    let patch = ConfigChange { base: 5, text: "{\"revision\":6}".into(), partial: true };
+    let full = ConfigChange { base: 5, text: text(6, 2), partial: false };
+    for change in [&patch, &full] {
         let (_, transition) = step_on(&stored.encode(BodyFormat::Plain), change, BodyFormat::Digested);
         assert_eq!((transition.config.revision(), transition.config.config().route_table.len()), (6, 2));
         assert!(config::read(transition.config.text()).is_ok());
     }
-    // One that reads as nothing is left alone by changes of items, and can be replaced.
+    // One that reads as nothing is left alone by patches, and can be replaced.
     let torn = StoredConfig { text: "{\"revision\":5".into(), ..stored };
     let judged =
         |change| decide(&ParsedChange::parse(change), &torn.encode(BodyFormat::Plain), None, BodyFormat::Digested);
-    assert!(matches!(judged(&items), Decision::Answer(ChangeResult::Response(OperatorResponse::OutcomeUnknown))));
-    assert!(matches!(judged(&whole), Decision::Write(..)));
+    assert!(matches!(judged(&patch), Decision::Answer(ChangeResult::Response(OperatorResponse::OutcomeUnknown))));
+    assert!(matches!(judged(&full), Decision::Write(..)));
 }
--- a/controller/src/config/history_tests.rs
+++ b/controller/src/config/history_tests.rs
@@ -85,11 +85,11 @@
             assert_eq!(history.advance(config(revision, 20, revision)), Ok(()));
         }
         assert!(history.changes.len() <= MAX_CHANGES);
-        assert_eq!(line(&mut history, 1, layout), [(0, 300)], "too far behind: the whole");
-        let whole = history.frames_since(0, layout)[0].len();
+        assert_eq!(line(&mut history, 1, layout), [(0, 300)], "too far behind: the full configuration");
+        let full = history.frames_since(0, layout)[0].len();
         for has in 1..300 {
             let sent: usize = history.frames_since(has, layout).iter().map(Bytes::len).sum();
-            assert!(sent <= whole, "never more than the whole");
+            assert!(sent <= full, "never more than the full configuration");
         }
         let kept: usize = history.changes.iter().map(EncodedChange::bytes).sum();
         assert_eq!(history.changes_bytes, kept, "what is made later is counted too");
@@ -124,7 +124,7 @@
         let mut current = 1;
         assert!(history.send_missing(TENANTS, &mut current, |frame| !open(&frame).tenants.is_empty()));
         assert_eq!(current, 3);
-        // Once there are none any more it gets the whole, and no step through those that had some.
+        // Once there are none any more it gets the full configuration, and no change through those that had some.
         assert_eq!(history.advance(with_tenants(4, 20, 4, 0)), Ok(()));
         assert_eq!(line(&mut history, 1, ChangeLayout::BeforeTenants), [(0, 4)]);
         assert_eq!(line(&mut history, 1, ChangeLayout::Current), [(1, 2), (2, 3), (3, 4)]);
@@ -140,7 +140,7 @@
 }
 
 impl Router {
-    fn take(&mut self, change: ConfigUpdate) {
+    fn apply(&mut self, change: ConfigUpdate) {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return;
         }
@@ -188,7 +188,7 @@
                 let is_sent = free > 0;
                 free = free.saturating_sub(1);
                 if is_sent && !(lossy && rng.below(3) == 0) {
-                    router.take(open(&frame));
+                    router.apply(open(&frame));
                 }
                 is_sent
             });
@@ -198,7 +198,7 @@
         }
         let mut known = router.revision;
         assert!(history.send_missing(reads, &mut known, |frame| {
-            router.take(open(&frame));
+            router.apply(open(&frame));
             true
         }));
         assert!(router.revision == 400 && router.holds(configs[&400].config()), "seed {seed}");
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -68,10 +68,10 @@
         let known = state.history.current().cloned();
         let route = "{\"name\":\"new\",\"hostname\":\"n\",\"path_prefix\":\"/\",\"route_type\":\"idempotent\",\
             \"timeout_ms\":9,\"service\":\"service-1\"}";
-        let items = format!("{{\"revision\":8,\"upsert\":{{\"route_table\":[{route}]}}}}");
-        let whole = ConfigChange { base: 5, text: text(8, routes), partial: false };
-        let part = ConfigChange { base: 5, text: items, partial: true };
-        for (label, change) in [("PUT", &whole), ("PATCH", &part)] {
+        let patch = format!("{{\"revision\":8,\"upsert\":{{\"route_table\":[{route}]}}}}");
+        let full = ConfigChange { base: 5, text: text(8, routes), partial: false };
+        let part = ConfigChange { base: 5, text: patch, partial: true };
+        for (label, change) in [("PUT", &full), ("PATCH", &part)] {
             let judged = || match decide(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
                 Decision::Write(next, ChangeResult::Transition(transition)) => (next, transition),
                 _ => panic!("a change"),
