--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -9,8 +9,7 @@
 use crate::config::body::BodyForm::{self, Digested, Packed, Plain};
 use crate::config::body::{body_digest, Held, Memory, TakenChange};
 use crate::roles::{BALANCE, BATCH, CATALOG};
-use batch::page::{Page, State};
-use batch::sheet::{id, Batch, Job};
+use batch::{batch_id, Batch, Job, JobPage, JobState};
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, STALENESS_LIMIT_PREFIX};
@@ -256,10 +255,10 @@
 
 fn live_batch() -> Batch {
     Batch {
-        key: "key-1".into(),
+        idempotency_key: "key-1".into(),
         digest: 0x6162_6364_6566_6768,
         window_ms: 3_600_000,
-        spent_ms: 61_000,
+        elapsed_ms: 61_000,
         cancelled: true,
         expired: false,
         jobs: vec![
@@ -268,7 +267,7 @@
                 method: "POST".into(),
                 host: "a.example".into(),
                 path: "/x/1".into(),
-                head: vec![("content-type".into(), "application/json".into()), ("x-a".into(), "b".into())],
+                headers: vec![("content-type".into(), "application/json".into()), ("x-a".into(), "b".into())],
                 body: "{\"prompt\":\"a prompt that is longer\"}".into(),
                 repeatable: true,
             },
@@ -277,7 +276,7 @@
                 method: "GET".into(),
                 host: "b.example".into(),
                 path: "/y/2".into(),
-                head: Vec::new(),
+                headers: Vec::new(),
                 body: String::new(),
                 repeatable: false,
             },
@@ -287,10 +286,10 @@
 
 fn expired_batch() -> Batch {
     Batch {
-        key: "key-2".into(),
+        idempotency_key: "key-2".into(),
         digest: 7,
         window_ms: 1000,
-        spent_ms: 3_601_000,
+        elapsed_ms: 3_601_000,
         cancelled: false,
         expired: true,
         jobs: Vec::new(),
@@ -298,17 +297,17 @@
 }
 
 /// A page with every state of a job.
-fn page() -> Page {
-    Page {
+fn page() -> JobPage {
+    JobPage {
         epoch: 6,
         states: vec![
-            State::Waiting,
-            State::Begun,
-            State::Done { status: 200, body: "an answer that is longer".into() },
-            State::Done { status: 404, body: String::new() },
-            State::Unknown,
-            State::Missed,
-            State::Cancelled,
+            JobState::Waiting,
+            JobState::Started,
+            JobState::Completed { status: 200, body: "an answer that is longer".into() },
+            JobState::Completed { status: 404, body: String::new() },
+            JobState::OutcomeUnknown,
+            JobState::DeadlineMissed,
+            JobState::Cancelled,
         ],
     }
 }
@@ -488,7 +487,7 @@
 fn batches_of_version_5_are_read() {
     assert_eq!(Batch::from_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
     assert_eq!(Batch::from_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
-    assert_eq!(Page::from_bytes(&fixture("control-5-page.bin")), Some(page()));
+    assert_eq!(JobPage::from_bytes(&fixture("control-5-page.bin")), Some(page()));
     let state = learned(&[
         ("batch/a002e14b20bb64ec", "control-5-batch-live.bin"),
         ("batch/a002e14b20bb64ec/0", "control-5-page.bin"),
@@ -512,7 +511,7 @@
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
     assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
     // Of the batch with the idempotency key `key-1`, worked out by another program.
-    assert_eq!(id("key-1"), "a002e14b20bb64ec");
+    assert_eq!(batch_id("key-1"), "a002e14b20bb64ec");
     assert_eq!(batch_key("a002e14b20bb64ec"), "batch/a002e14b20bb64ec");
     assert_eq!(page_key("a002e14b20bb64ec", 3), "batch/a002e14b20bb64ec/3");
 }
--- a/quota/src/placement.rs
+++ b/quota/src/placement.rs
@@ -1,34 +1,36 @@
-//! Which controllers hold the shards of a tenant's bucket.
+//! Which controllers own the shards of a tenant's bucket: rendezvous hashing, spread over zones.
 
 use kernel::hashing;
 
-/// How many shards a bucket has where there are as many controllers: when one is lost, two thirds of the rate remain at once.
+/// Shards of a bucket where there are as many controllers. When one is lost, two thirds of the rate remain at once.
 pub const SHARDS: usize = 3;
 
-/// A controller that may hold shards.
+/// A controller that may own shards.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder {
-    /// Its address.
+pub struct EligibleOwner {
+    /// Its IP address.
     pub ip: String,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: String,
 }
 
-/// The controllers that hold the shards of a tenant, of those that live: by rendezvous, in different zones where there are so
-/// many. Whoever has the same list finds the same ones, and one more or less moves only its own shards.
-pub fn holders<'a>(tenant: &str, live: &'a [Holder]) -> Vec<&'a Holder> {
+/// Returns the owners of a tenant's shards among the eligible controllers, in different zones where there are enough zones.
+///
+/// The choice is by rendezvous hashing: every caller with the same set finds the same owners, and a controller that is added
+/// or removed moves only its own shards.
+pub fn shard_owners<'a>(tenant: &str, eligible: &'a [EligibleOwner]) -> Vec<&'a EligibleOwner> {
     let seed = hashing::hash(tenant.as_bytes());
-    let mut order: Vec<&Holder> = live.iter().collect();
-    order.sort_by_cached_key(|holder| hashing::combine(seed, hashing::hash(holder.ip.as_bytes())));
-    let mut chosen: Vec<&Holder> = Vec::with_capacity(SHARDS);
-    for holder in &order {
-        if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == holder.zone) {
-            chosen.push(holder);
+    let mut order: Vec<&EligibleOwner> = eligible.iter().collect();
+    order.sort_by_cached_key(|owner| hashing::combine(seed, hashing::hash(owner.ip.as_bytes())));
+    let mut chosen: Vec<&EligibleOwner> = Vec::with_capacity(SHARDS);
+    for owner in &order {
+        if chosen.len() < SHARDS && !chosen.iter().any(|other| other.zone == owner.zone) {
+            chosen.push(owner);
         }
     }
-    for holder in &order {
-        if chosen.len() < SHARDS && !chosen.contains(holder) {
-            chosen.push(holder);
+    for owner in &order {
+        if chosen.len() < SHARDS && !chosen.contains(owner) {
+            chosen.push(owner);
         }
     }
     chosen
