--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,4 +1,5 @@
 //! What every daemon stands on: settings, clock, log, journal, signals and the plug-in registry.
+mod archive;
 pub mod clock;
 mod convergence;
 mod event_buffer;
