--- a/kernel/src/archive.rs
+++ b/kernel/src/archive.rs
@@ -1,18 +1,23 @@
-//! Types in their form as bytes.
+//! Types that daemons store or send as `rkyv` archives.
 
-/// Gives a type its form as bytes: validated when read.
+/// Implements `from_bytes` and `to_bytes` for a type that derives the `rkyv` traits.
+///
+/// The bytes are validated when read. They depend on the order of fields and variants, so that order must never change.
 #[macro_export]
 macro_rules! impl_archive_bytes {
-    ($kind:ty) => {
-        impl $kind {
-            pub fn from_bytes(body: &[u8]) -> Option<Self> {
-                let mut room = rkyv::util::AlignedVec::<16>::with_capacity(body.len());
-                room.extend_from_slice(body);
-                rkyv::from_bytes::<$kind, rkyv::rancor::Error>(&room).ok()
+    ($type:ty) => {
+        impl $type {
+            /// Reads the archived form; none if the bytes are not valid.
+            pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
+                // An archive must be aligned; bytes from a connection or a file need not be.
+                let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
+                aligned.extend_from_slice(bytes);
+                rkyv::from_bytes::<$type, rkyv::rancor::Error>(&aligned).ok()
             }
 
+            /// Writes the archived form; empty if the value can't be archived.
             pub fn to_bytes(&self) -> Vec<u8> {
-                rkyv::to_bytes::<rkyv::rancor::Error>(self).map(|body| body.to_vec()).unwrap_or_default()
+                rkyv::to_bytes::<rkyv::rancor::Error>(self).map(|bytes| bytes.to_vec()).unwrap_or_default()
             }
         }
     };
--- a/kernel/src/hashing.rs
+++ b/kernel/src/hashing.rs
@@ -1,23 +1,31 @@
 //! Hashes that are the same on every machine and in every version.
+//!
+//! Daemons compare these hashes with each other's and store them, so they must never change.
 
-/// FNV-1a with a final mix: the same on every machine and in every version.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// 2^64 divided by the golden ratio.
+const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// Returns the FNV-1a hash of `bytes`, finalized so that every input bit reaches every bit of the result.
 pub fn hash(bytes: &[u8]) -> u64 {
-    let mut mix = 0xcbf2_9ce4_8422_2325u64;
+    let mut hash = FNV_OFFSET_BASIS;
     for byte in bytes {
-        mix = (mix ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
     }
-    stir(mix)
+    finalize(hash)
 }
 
-/// Mixes two numbers into one.
+/// Returns one hash of two; their order matters.
 pub fn combine(left: u64, right: u64) -> u64 {
-    stir(left.rotate_left(23) ^ right.wrapping_mul(0x9E37_79B9_7F4A_7C15))
+    finalize(left.rotate_left(23) ^ right.wrapping_mul(GOLDEN_RATIO))
 }
 
-fn stir(mut mix: u64) -> u64 {
-    mix ^= mix >> 33;
-    mix = mix.wrapping_mul(0xff51_afd7_ed55_8ccd);
-    mix ^= mix >> 33;
-    mix = mix.wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    mix ^ (mix >> 33)
+/// The 64-bit finalizer of MurmurHash3.
+fn finalize(mut hash: u64) -> u64 {
+    hash ^= hash >> 33;
+    hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
+    hash ^= hash >> 33;
+    hash = hash.wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    hash ^ (hash >> 33)
 }
--- a/kernel/src/incarnation.rs
+++ b/kernel/src/incarnation.rs
@@ -4,10 +4,11 @@
 use std::hash::{BuildHasher, Hasher};
 use std::process;
 
-/// A number that differs between lives of a process: the random state of the standard library.
+/// Returns a number that differs between two runs of a process, and between two calls; never zero.
+///
+/// The randomness is that of the standard library's hash maps.
 pub fn new_incarnation() -> u64 {
-    let seed = RandomState::new();
-    let mut mix = seed.build_hasher();
-    mix.write_u32(process::id());
-    mix.finish() | 1
+    let mut hasher = RandomState::new().build_hasher();
+    hasher.write_u32(process::id());
+    hasher.finish() | 1
 }
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,4 +1,6 @@
-//! What every daemon stands on: settings, clock, log, journal, signals and the plug-in registry.
+//! What both daemons are built on: settings, clock, log, signals, start-up and the plug-in registry.
+#![deny(missing_docs)]
+
 mod archive;
 pub mod clock;
 mod convergence;
@@ -15,4 +17,6 @@
 pub use convergence::ConvergenceBudget;
 pub use event_buffer::{EventBuffer, NumberedEvent};
 pub use incarnation::new_incarnation;
+pub use plugin::Plugin;
 pub use rng::Rng;
+pub use settings::{Settings, SettingsError};
--- a/kernel/src/plugin.rs
+++ b/kernel/src/plugin.rs
@@ -1,20 +1,28 @@
-//! The registry: parts of a program announce themselves here and the program starts them in order.
+//! The plug-in registry: parts of a daemon register themselves and are started in a stated order.
+//!
+//! A daemon declares a `linkme` slice of [`Plugin`]s; each part adds itself to it where it is defined.
 
-/// Invariant: `name` is unique within a program; plugs start by rising `order`, then by name.
+#[doc(hidden)]
+pub use linkme;
+
+/// A part of a daemon with the state `S`.
+///
+/// Invariant: `name` is unique within a daemon.
 pub struct Plugin<S: 'static> {
+    /// Decides between plug-ins of the same order.
     pub name: &'static str,
+    /// Plug-ins start by rising order.
     pub order: u8,
+    /// Starts the part; must not block.
     pub start: fn(&S),
 }
 
-/// Starts every plug of a slice in its stated order and tells their names.
-pub fn start<S>(plugs: &'static [Plugin<S>], state: &S) -> Vec<&'static str> {
-    let mut list: Vec<&Plugin<S>> = plugs.iter().collect();
-    list.sort_by_key(|plug| (plug.order, plug.name));
-    for plug in &list {
-        (plug.start)(state);
+/// Starts all plug-ins by rising order, then by name, and returns their names in that sequence.
+pub fn start<S>(plugins: &'static [Plugin<S>], state: &S) -> Vec<&'static str> {
+    let mut ordered: Vec<&Plugin<S>> = plugins.iter().collect();
+    ordered.sort_by_key(|plugin| (plugin.order, plugin.name));
+    for plugin in &ordered {
+        (plugin.start)(state);
     }
-    list.iter().map(|plug| plug.name).collect()
+    ordered.iter().map(|plugin| plugin.name).collect()
 }
-
-pub use linkme;
--- a/kernel/src/rng.rs
+++ b/kernel/src/rng.rs
@@ -1,26 +1,35 @@
 //! A small seeded random number generator.
 
-/// A small generator for jitter and weighted picks; not for secrets.
+/// The multiplier of xorshift64*.
+const OUTPUT_MULTIPLIER: u64 = 0x2545_F491_4F6C_DD1D;
+/// The lowest bits of a product are the least random ones and are dropped.
+const DROPPED_BITS: u32 = 11;
+
+/// A xorshift generator with a multiplied output, for jitter, weighted picks and simulations; not for secrets.
+///
+/// Seeded simulations record its numbers, so they must never change.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
+    /// Creates a generator that yields the same numbers for the same seed.
     pub fn new(seed: u64) -> Self {
         Rng(seed | 1)
     }
 
+    /// Returns the next number, below 2^53.
     pub fn next_u64(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 11
+        self.0.wrapping_mul(OUTPUT_MULTIPLIER) >> DROPPED_BITS
     }
 
-    /// A number below `top`; zero when `top` is zero.
-    pub fn below(&mut self, top: u64) -> u64 {
-        if top == 0 {
+    /// Returns a number below `end`; zero if `end` is zero.
+    pub fn below(&mut self, end: u64) -> u64 {
+        if end == 0 {
             return 0;
         }
-        self.next_u64() % top
+        self.next_u64() % end
     }
 }
--- a/kernel/src/settings/error.rs
+++ b/kernel/src/settings/error.rs
@@ -1,25 +1,30 @@
 //! What is wrong with a settings file.
 
-use std::error;
+use std::{error, fmt};
 
 use error_stack::Report;
 
-/// What stops a start: the field, what stood there, what is allowed.
+/// A field of the settings that stops the start of a daemon.
 #[derive(Debug, PartialEq)]
 pub struct SettingsError {
+    /// The path of the field.
     pub field: String,
+    /// What stands there.
     pub found: String,
+    /// What may stand there.
     pub allowed: String,
 }
 
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "settings: field `{}`: found {}, allowed: {}", self.field, self.found, self.allowed)
+impl SettingsError {
+    pub(super) fn report(field: &str, found: impl fmt::Display, allowed: &str) -> Report<SettingsError> {
+        Report::new(SettingsError { field: field.into(), found: found.to_string(), allowed: allowed.into() })
     }
 }
 
-impl error::Error for SettingsError {}
-
-pub(super) fn bad(field: &str, found: impl std::fmt::Display, allowed: &str) -> Report<SettingsError> {
-    Report::new(SettingsError { field: field.into(), found: found.to_string(), allowed: allowed.into() })
+impl fmt::Display for SettingsError {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "settings: field `{}`: found {}, allowed: {}", self.field, self.found, self.allowed)
+    }
 }
+
+impl error::Error for SettingsError {}
--- a/kernel/src/settings/metrics_endpoint.rs
+++ b/kernel/src/settings/metrics_endpoint.rs
@@ -1,14 +1,17 @@
 //! Where a process serves its metrics.
 
-use std::error;
 use std::str::FromStr;
+use std::{error, fmt};
+
+use serde::Deserialize;
 
 /// A port of the own machine and a path on it, written `PORT/PATH`.
-#[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct MetricsEndpoint {
+    /// The port; never zero.
     pub port: u16,
-    /// With a slash at its beginning.
+    /// The path, with a slash at its beginning.
     pub path: String,
 }
 
@@ -16,9 +19,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidMetricsEndpoint(String);
 
-impl std::fmt::Display for InvalidMetricsEndpoint {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "`{}` is not PORT/PATH", self.0)
+impl fmt::Display for InvalidMetricsEndpoint {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "`{}` is not PORT/PATH", self.0)
     }
 }
 
@@ -36,11 +39,11 @@
     type Err = InvalidMetricsEndpoint;
 
     fn from_str(text: &str) -> Result<MetricsEndpoint, InvalidMetricsEndpoint> {
-        let bad = || InvalidMetricsEndpoint(text.to_string());
-        let (port, path) = text.split_once('/').ok_or_else(bad)?;
-        let port = port.parse().ok().filter(|port| *port > 0).ok_or_else(bad)?;
-        if path.contains(|sign: char| sign.is_whitespace() || sign == '?') {
-            return Err(bad());
+        let invalid = || InvalidMetricsEndpoint(text.to_string());
+        let (port, path) = text.split_once('/').ok_or_else(invalid)?;
+        let port = port.parse().ok().filter(|port| *port > 0).ok_or_else(invalid)?;
+        if path.contains(|character: char| character.is_whitespace() || character == '?') {
+            return Err(invalid());
         }
         Ok(MetricsEndpoint { port, path: format!("/{path}") })
     }
--- a/kernel/src/settings/mod.rs
+++ b/kernel/src/settings/mod.rs
@@ -1,7 +1,12 @@
-//! The settings of a process. Unknown fields are passed over; a missing or unusable one is named.
+//! The settings of a daemon, read from one TOML file.
+//!
+//! Unknown fields are passed over, so that one file serves daemons of several versions; a missing or invalid one is named. The
+//! names of fields are published and never change.
 
 use std::collections::BTreeMap;
 
+use serde::Deserialize;
+
 mod error;
 mod load;
 mod metrics_endpoint;
@@ -11,80 +16,139 @@
 pub use load::{load, parse, path};
 pub use metrics_endpoint::{InvalidMetricsEndpoint, MetricsEndpoint};
 
-#[derive(Clone, Debug, serde::Deserialize)]
+/// The settings of one daemon.
+#[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
+    /// The name of the machine, unique in a deployment.
     pub node_name: String,
+    /// The role of the machine in the deployment; informative.
     #[serde(default)]
     pub role: String,
+    /// What the machine serves; informative.
     #[serde(default)]
     pub serves: Vec<String>,
+    /// The machine's IPv4 address.
     pub ip: String,
+    /// The zone of the machine; a key of `zones`.
     pub zone: String,
+    /// The region of the machine; informative, as `zones` names it too.
     #[serde(default)]
     pub region: String,
+    /// The first and the last port that daemons may use among themselves, the same on every machine of a deployment.
     pub internal_ports: [u16; 2],
+    /// Addresses, each `IP:PORT`, by which a daemon finds the others at its start.
     #[serde(default)]
     pub seed_peers: Vec<String>,
+    /// Whether a controller without stored state may found a new core.
     #[serde(default)]
     pub bootstrap: bool,
     /// The parts of the rules that are in force.
     #[serde(default)]
     pub contracts: Vec<String>,
+    /// Whether a controller may become a voting member of the core.
     #[serde(default)]
     pub quorum_member: bool,
+    /// The folder for state that outlives the process; without it nothing is stored.
     pub data_dir: Option<String>,
-    #[serde(default = "beat")]
+    /// The deployment's keep-alive interval, in milliseconds. The daemons derive nothing from it.
+    #[serde(default = "default_keepalive_ms")]
     pub keepalive_ms: u64,
+    /// All zones of the deployment, each with its region.
     pub zones: BTreeMap<String, String>,
+    /// Where the daemon listens for others than daemons.
     #[serde(default)]
     pub bind_addresses: BindAddresses,
+    /// What the process may use of the machine.
     pub limits: Limits,
+    /// The figures of the rules.
     #[serde(default)]
     pub bounds: Bounds,
+    /// The platform's interface.
     pub cloud_api: CloudApi,
-    /// Where the process tells its metrics; nowhere if left out.
+    /// Where the process serves its metrics; nowhere if left out.
     #[serde(default)]
     pub metrics: Option<MetricsEndpoint>,
 }
 
-#[derive(Clone, Debug, Default, serde::Deserialize)]
+impl Settings {
+    /// Returns the addresses of the controllers that the seeds name: their machines, without the ports.
+    pub fn seed_ips(&self) -> Vec<String> {
+        let ips = self.seed_peers.iter().filter_map(|seed| seed.split(':').next());
+        ips.map(str::to_string).collect()
+    }
+
+    /// Returns the port at which controllers listen for other daemons, the same on every machine of a deployment.
+    pub fn peer_port(&self) -> u16 {
+        self.internal_ports[0]
+    }
+}
+
+/// Where a daemon listens for others than daemons, each address `IP:PORT`.
+#[derive(Clone, Debug, Default, Deserialize)]
 pub struct BindAddresses {
+    /// Requests of clients.
     pub frontend: Option<String>,
+    /// Readiness probes of the platform.
     pub readiness: Option<String>,
+    /// The operators' interface.
     pub control_plane: Option<String>,
 }
 
-#[derive(Clone, Debug, serde::Deserialize)]
+/// What a process may use of its machine.
+#[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
+    /// Memory, in megabytes.
     pub memory_mb: u64,
+    /// Open file descriptors.
     pub fd_limit: u64,
+    /// Disk space, in megabytes; zero if it is not stated.
     #[serde(default)]
     pub disk_mb: u64,
 }
 
-/// The figures of the rules; each has the usual value where a site leaves it out.
-#[derive(Clone, Debug, serde::Deserialize)]
+/// The figures of the rules; each has its usual value where a deployment leaves it out.
+#[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
+    /// How long a router may be out of touch with the controllers, in milliseconds.
     pub contact_ms: u64,
+    /// Within this an operator's change is acknowledged, in milliseconds.
     pub ack_ms: u64,
+    /// Within this an engine that leaves the platform's list gets no more requests, in milliseconds.
     pub drain_ms: u64,
+    /// Within this a daemon ends after SIGTERM, in seconds.
     pub grace_s: f64,
+    /// Within this an acknowledged change is in force on every router that reaches the core, in milliseconds.
     pub converge_ms: u64,
+    /// How long a request may rest on a configuration that has been replaced, in milliseconds.
     pub revert_slack_ms: u64,
+    /// A published figure that the daemons derive nothing from, in milliseconds.
     pub stretch_max_ms: u64,
+    /// A published figure that the daemons derive nothing from, in milliseconds.
     pub revoke_ms: u64,
+    /// How many further sends there may be for each request, over `budget_window_s`.
     pub retry_budget: f64,
+    /// The window of `retry_budget`, in seconds.
     pub budget_window_s: f64,
+    /// How many further sends there may be beyond `retry_budget`, over all routers.
     pub budget_slack: f64,
+    /// The window over which a tenant's requests are counted, in seconds.
     pub quota_window_s: f64,
+    /// By which part a tenant's limit may be exceeded in a window.
     pub quota_overage: f64,
+    /// By how many requests a tenant's limit may be exceeded in a window.
     pub quota_slack: f64,
+    /// The factor on the ramp of an engine that starts cold.
     pub ramp_overage: f64,
+    /// A published figure that the daemons derive nothing from.
     pub ramp_slack: f64,
+    /// Within this an evacuated zone gets no more requests, in milliseconds. The daemons derive nothing from it.
     pub evacuate_ms: u64,
+    /// A published figure that the daemons derive nothing from, in seconds.
     pub reuse_hold_s: f64,
+    /// Whether engines compare epochs and reject orders of an earlier owner of a role.
     pub fencing: bool,
+    /// How long the owner of a singleton role keeps it while it is unavailable, in milliseconds.
     pub lease_ms: u64,
 }
 
@@ -115,31 +179,21 @@
     }
 }
 
-#[derive(Clone, Debug, serde::Deserialize)]
+/// The platform's interface, from which controllers read the list of engines.
+#[derive(Clone, Debug, Deserialize)]
 pub struct CloudApi {
+    /// Its address, `IP:PORT`.
     pub address: String,
+    /// How many calls a second it allows the deployment.
     pub rate_per_s: f64,
-    /// How far the list of engines lags behind.
+    /// How far its list of engines lags behind, in milliseconds.
     #[serde(default)]
     pub lag_ms: u64,
 }
 
-fn beat() -> u64 {
+fn default_keepalive_ms() -> u64 {
     1000
 }
 
-impl Settings {
-    /// The addresses of controllers that the seeds name: their machine, at the first internal port.
-    pub fn seed_ips(&self) -> Vec<String> {
-        let ips = self.seed_peers.iter().filter_map(|seed| seed.split(':').next());
-        ips.map(str::to_string).collect()
-    }
-
-    /// Where controllers listen for fellows, on every machine of a deployment.
-    pub fn peer_port(&self) -> u16 {
-        self.internal_ports[0]
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/kernel/src/settings/validation.rs
+++ b/kernel/src/settings/validation.rs
@@ -1,54 +1,80 @@
-//! Checks of a settings file that was read.
+//! Checks of settings whose types are right. The first field that fails is named.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use error_stack::Report;
 
-use super::error::bad;
-use super::{Settings, SettingsError};
+use super::{BindAddresses, CloudApi, Limits, Settings, SettingsError};
 
-pub(super) fn check(settings: &Settings) -> Result<(), Report<SettingsError>> {
+const MIN_MEMORY_MB: u64 = 16;
+const MIN_FD_LIMIT: u64 = 64;
+
+type Validation = Result<(), Report<SettingsError>>;
+
+pub(super) fn validate(settings: &Settings) -> Validation {
+    validate_node(settings)?;
+    validate_bind_addresses(&settings.bind_addresses)?;
+    validate_seed_peers(&settings.seed_peers)?;
+    validate_cloud_api(&settings.cloud_api)?;
+    validate_limits(&settings.limits)
+}
+
+fn validate_node(settings: &Settings) -> Validation {
     if settings.ip.parse::<Ipv4Addr>().is_err() {
-        return Err(bad("ip", &settings.ip, "an IPv4 address"));
+        return Err(SettingsError::report("ip", &settings.ip, "an IPv4 address"));
     }
-    if settings.internal_ports[0] == 0 || settings.internal_ports[0] > settings.internal_ports[1] {
-        return Err(bad(
-            "internal_ports",
-            format!("{:?}", settings.internal_ports),
-            "two ports, the first not above the second",
-        ));
+    let [first_port, last_port] = settings.internal_ports;
+    if first_port == 0 || first_port > last_port {
+        let found = format!("{:?}", settings.internal_ports);
+        return Err(SettingsError::report("internal_ports", found, "two ports, the first not above the second"));
     }
     if !settings.zones.contains_key(&settings.zone) {
-        return Err(bad("zone", &settings.zone, "a name listed under zones"));
+        return Err(SettingsError::report("zone", &settings.zone, "a name listed under zones"));
     }
-    let binds = &settings.bind_addresses;
-    let named = [
-        ("bind_addresses.frontend", &binds.frontend),
-        ("bind_addresses.readiness", &binds.readiness),
-        ("bind_addresses.control_plane", &binds.control_plane),
+    Ok(())
+}
+
+fn validate_bind_addresses(addresses: &BindAddresses) -> Validation {
+    let fields = [
+        ("bind_addresses.frontend", &addresses.frontend),
+        ("bind_addresses.readiness", &addresses.readiness),
+        ("bind_addresses.control_plane", &addresses.control_plane),
     ];
-    for (field, value) in named {
-        let Some(value) = value else { continue };
-        if value.parse::<SocketAddrV4>().is_err() {
-            return Err(bad(field, value, "IP:PORT"));
-        }
-    }
-    for seed in &settings.seed_peers {
-        if seed.parse::<SocketAddrV4>().is_err() {
-            return Err(bad("seed_peers", seed, "a list of IP:PORT"));
+    for (field, address) in fields {
+        if let Some(address) = address {
+            validate_address(field, address, "IP:PORT")?;
         }
     }
-    if settings.cloud_api.address.parse::<SocketAddrV4>().is_err() {
-        return Err(bad("cloud_api.address", &settings.cloud_api.address, "IP:PORT"));
-    }
-    if settings.cloud_api.rate_per_s <= 0.0 || settings.cloud_api.rate_per_s.is_nan() {
-        return Err(bad("cloud_api.rate_per_s", settings.cloud_api.rate_per_s, "a number above 0"));
+    Ok(())
+}
+
+fn validate_seed_peers(seed_peers: &[String]) -> Validation {
+    seed_peers.iter().try_for_each(|seed| validate_address("seed_peers", seed, "a list of IP:PORT"))
+}
+
+fn validate_cloud_api(cloud_api: &CloudApi) -> Validation {
+    validate_address("cloud_api.address", &cloud_api.address, "IP:PORT")?;
+    if cloud_api.rate_per_s <= 0.0 || cloud_api.rate_per_s.is_nan() {
+        return Err(SettingsError::report("cloud_api.rate_per_s", cloud_api.rate_per_s, "a number above 0"));
     }
-    if settings.limits.memory_mb < 16 {
-        return Err(bad("limits.memory_mb", settings.limits.memory_mb, "16 or more"));
+    Ok(())
+}
+
+fn validate_limits(limits: &Limits) -> Validation {
+    validate_minimum("limits.memory_mb", limits.memory_mb, MIN_MEMORY_MB)?;
+    validate_minimum("limits.fd_limit", limits.fd_limit, MIN_FD_LIMIT)
+}
+
+fn validate_address(field: &str, address: &str, allowed: &str) -> Validation {
+    match address.parse::<SocketAddrV4>() {
+        Ok(_) => Ok(()),
+        Err(_) => Err(SettingsError::report(field, address, allowed)),
     }
-    if settings.limits.fd_limit < 64 {
-        return Err(bad("limits.fd_limit", settings.limits.fd_limit, "64 or more"));
+}
+
+fn validate_minimum(field: &str, value: u64, minimum: u64) -> Validation {
+    if value < minimum {
+        return Err(SettingsError::report(field, value, &format!("{minimum} or more")));
     }
     Ok(())
 }
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -1,4 +1,4 @@
-//! The beginning of a daemon's process: settings read and checked, one thread, one runtime.
+//! The start of a daemon's process: settings read and checked, one thread, one runtime.
 
 use std::future::Future;
 use std::process;
@@ -10,31 +10,36 @@
 use crate::settings::{self, MetricsEndpoint, Settings};
 use crate::signal::{self, Signals};
 
+/// Exit status for settings that can't be read or are not valid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit status if the system gives no runtime.
+const EXIT_NO_RUNTIME: u8 = 3;
+
 /// What the command line of a daemon may say.
 #[derive(Default)]
 pub struct DaemonFlags {
     /// Only check the settings.
     pub check_settings: bool,
-    /// Only tell the version.
+    /// Only print the version.
     pub print_version: bool,
-    /// Where metrics are told, in place of what the settings say.
+    /// Where metrics are served, in place of what the settings say.
     pub metrics: Option<MetricsEndpoint>,
 }
 
-/// Reads the settings and runs the daemon on one thread.
+/// Reads the settings and runs the daemon on one thread. Returns its exit status.
 pub fn run_daemon<F: Future<Output = process::ExitCode>>(
     name: &str,
-    release: &str,
+    version: &str,
     flags: DaemonFlags,
     run: impl FnOnce(Settings, Signals) -> F,
 ) -> process::ExitCode {
     if flags.print_version {
-        println!("{name} {release}");
+        println!("{name} {version}");
         return process::ExitCode::SUCCESS;
     }
     let Ok(runtime) = Builder::new_current_thread().enable_all().build() else {
         eprintln!("{name}: no runtime");
-        return process::ExitCode::from(3);
+        return process::ExitCode::from(EXIT_NO_RUNTIME);
     };
     runtime.block_on(async {
         // First of all: a signal that comes while the daemon starts must not end it.
@@ -43,7 +48,7 @@
             Ok(settings) => settings,
             Err(error) => {
                 eprintln!("{name}: {}", error.current_context());
-                return process::ExitCode::from(2);
+                return process::ExitCode::from(EXIT_INVALID_SETTINGS);
             }
         };
         settings.metrics = flags.metrics.or(settings.metrics);
@@ -55,9 +60,13 @@
     })
 }
 
-/// A beat that does not hurry after a pause.
-pub fn interval(every_ms: u64) -> Interval {
-    let mut interval = time::interval(Duration::from_millis(every_ms));
+/// Returns an interval that does not catch up on ticks missed during a pause of the process.
+///
+/// # Panics
+///
+/// Panics if `interval_ms` is zero.
+pub fn interval(interval_ms: u64) -> Interval {
+    let mut interval = time::interval(Duration::from_millis(interval_ms));
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     interval
 }
