--- a/telemetry/src/endpoint.rs
+++ b/telemetry/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The HTTP endpoint at which a process tells its metrics.
+//! The HTTP endpoint at which a process serves its metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use protocol::socket;
 use tokio::net::TcpStream;
 
-/// Scrapers that may be connected at once.
+/// How many scrapers may be connected at once.
 const MAX_SCRAPERS: usize = 8;
 /// How long a scraper may take to send the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -23,7 +23,14 @@
 
 type Body = Full<Bytes>;
 
-/// Serves `render()` at the address, if there is one, for as long as the process runs.
+/// Serves the text that `render` returns at the port and path of `endpoint` for as long as the process runs; does nothing
+/// without an endpoint.
+///
+/// Other paths get 404, other methods than GET get 405.
+///
+/// # Panics
+///
+/// Panics outside a runtime.
 pub fn start(ip: &str, endpoint: Option<&MetricsEndpoint>, render: impl Fn() -> String + Send + Sync + 'static) {
     let Some(endpoint) = endpoint else { return };
     let address = format!("{ip}:{}", endpoint.port);
@@ -50,10 +57,10 @@
 
 fn respond<B>(request: &Request<B>, path: &str, render: &impl Fn() -> String) -> Response<Body> {
     if request.uri().path() != path {
-        return status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     if request.method() != Method::GET {
-        return status(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_response(StatusCode::METHOD_NOT_ALLOWED);
     }
     let mut response = Response::new(Body::from(render()));
     let content_type = HeaderValue::from_static(CONTENT_TYPE);
@@ -61,8 +68,12 @@
     response
 }
 
-fn status(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::default());
     *response.status_mut() = status;
     response
 }
+
+#[cfg(test)]
+#[path = "endpoint_tests.rs"]
+mod tests;
--- a/telemetry/src/endpoint_tests.rs
+++ b/telemetry/src/endpoint_tests.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpStream;
 use tokio::task;
 
-use super::{encode, latency_histogram, start};
+use crate::{encode, latency_histogram, start};
 
-async fn call(port: u16, line: &str) -> String {
+async fn request(port: u16, request_line: &str) -> String {
     let address = format!("127.0.0.1:{port}");
     let mut stream = loop {
         match TcpStream::connect(&address).await {
@@ -19,11 +19,11 @@
             Err(_) => task::yield_now().await,
         }
     };
-    let request = format!("{line} HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n");
-    stream.write_all(request.as_bytes()).await.expect("written");
-    let mut text = String::new();
-    stream.read_to_string(&mut text).await.expect("read");
-    text
+    let head = format!("{request_line} HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n");
+    stream.write_all(head.as_bytes()).await.expect("written");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.expect("read");
+    response
 }
 
 fn free_port() -> u16 {
@@ -32,19 +32,19 @@
 }
 
 #[tokio::test]
-async fn figures_stand_at_the_path_and_nowhere_else() {
+async fn metrics_are_served_at_the_path_and_nowhere_else() {
     let counter = Counter::<u64>::default();
     let mut registry = Registry::with_prefix("test");
     registry.register("requests", "Requests", counter.clone());
     let endpoint = MetricsEndpoint { port: free_port(), path: "/figures".into() };
     start("127.0.0.1", Some(&endpoint), move || encode(&registry));
     counter.inc_by(3);
-    let text = call(endpoint.port, "GET /figures").await;
+    let text = request(endpoint.port, "GET /figures").await;
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     assert!(text.contains("test_requests_total 3\n"), "{text}");
     assert!(text.trim_end().ends_with("# EOF"), "{text}");
-    assert!(call(endpoint.port, "GET /metrics").await.starts_with("HTTP/1.1 404"));
-    assert!(call(endpoint.port, "POST /figures").await.starts_with("HTTP/1.1 405"));
+    assert!(request(endpoint.port, "GET /metrics").await.starts_with("HTTP/1.1 404"));
+    assert!(request(endpoint.port, "POST /figures").await.starts_with("HTTP/1.1 405"));
 }
 
 #[test]
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -1,34 +1,20 @@
-//! Metrics of a process, told over HTTP in the Prometheus text format.
-#![warn(missing_docs)]
-
-use prometheus_client::encoding::text;
-use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
-use prometheus_client::registry::Registry;
+//! Metrics of a process, served over HTTP in the OpenMetrics text format.
+#![deny(missing_docs)]
 
 mod endpoint;
+mod latency_histogram;
 pub mod testing;
 
 pub use endpoint::start;
+pub use latency_histogram::latency_histogram;
+use prometheus_client::encoding::text;
+use prometheus_client::registry::Registry;
 
-/// The upper bound of the first bucket of a latency histogram, in seconds, the factor between buckets and their number:
-/// 1 ms to 16 s.
-const FIRST_BUCKET_S: f64 = 0.001;
-const BUCKET_FACTOR: f64 = 2.0;
-const BUCKET_COUNT: u16 = 15;
-
-/// A histogram of times in seconds.
-pub fn latency_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_S, BUCKET_FACTOR, BUCKET_COUNT))
-}
-
-/// The metrics of a registry as text. Empty where a metric can't be encoded.
+/// Returns the metrics of a registry as text; empty if a metric can't be encoded.
 pub fn encode(registry: &Registry) -> String {
-    let mut text = String::new();
-    if text::encode(&mut text, registry).is_err() {
-        text.clear();
+    let mut output = String::new();
+    if text::encode(&mut output, registry).is_err() {
+        output.clear();
     }
-    text
+    output
 }
-
-#[cfg(test)]
-mod endpoint_tests;
--- a/telemetry/src/testing.rs
+++ b/telemetry/src/testing.rs
@@ -1,17 +1,19 @@
-//! For tests that hold the documented metrics against the registered ones.
+//! For tests that compare the documented metrics with the registered ones.
 
-/// The names of the metrics in a text, in order.
+/// Returns the names of the metrics in an encoded text, sorted.
 pub fn metric_names(text: &str) -> Vec<String> {
-    let mut names: Vec<String> =
-        text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split(' ').next()).map(str::to_string).collect();
-    names.sort();
-    names
+    let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
+    sorted(types.filter_map(|rest| rest.split(' ').next()))
 }
 
-/// The names that a page lists in the first column of its tables, of those that begin so, in order.
+/// Returns the names with `prefix` that a page lists in the first column of its tables, sorted.
 pub fn documented_names(page: &str, prefix: &str) -> Vec<String> {
     let cells = page.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next());
-    let mut names: Vec<String> = cells.filter(|name| name.starts_with(prefix)).map(str::to_string).collect();
+    sorted(cells.filter(|name| name.starts_with(prefix)))
+}
+
+fn sorted<'a>(names: impl Iterator<Item = &'a str>) -> Vec<String> {
+    let mut names: Vec<String> = names.map(str::to_string).collect();
     names.sort();
     names
 }
