--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -12,7 +12,7 @@
     now: u64,
     views: Vec<MembershipView>,
     /// Until when each controller is cut off from the platform.
-    cut_until: [u64; CONTROLLER_COUNT],
+    partitioned_until: [u64; CONTROLLER_COUNT],
     /// When a poll last succeeded.
     polled_at: u64,
     /// Whose poll it was.
@@ -27,7 +27,7 @@
     fn new() -> World {
         let views =
             (0..CONTROLLER_COUNT).map(|index| MembershipView::new(&ip(index), "zone", LIVENESS_TIMEOUT_MS)).collect();
-        World { now: 0, views, cut_until: [0; CONTROLLER_COUNT], polled_at: 0, poller: CONTROLLER_COUNT }
+        World { now: 0, views, partitioned_until: [0; CONTROLLER_COUNT], polled_at: 0, poller: CONTROLLER_COUNT }
     }
 
     fn step(&mut self) {
@@ -59,7 +59,7 @@
         if view.poller("zone", self.now) != ip(index) {
             return;
         }
-        if self.now < self.cut_until[index] {
+        if self.now < self.partitioned_until[index] {
             return view.platform_access.record_failure(self.now);
         }
         view.platform_access.record_success();
@@ -79,7 +79,7 @@
     let mut world = World::new();
     world.run_until(3000);
     let first = world.poller;
-    world.cut_until[first] = 23_000;
+    world.partitioned_until[first] = 23_000;
     let mut longest = 0;
     while world.now < 23_000 {
         world.step();
@@ -98,7 +98,7 @@
     for end in (5000..20_000).step_by(271) {
         let mut world = World::new();
         world.run_until(2000);
-        world.cut_until = [end; CONTROLLER_COUNT];
+        world.partitioned_until = [end; CONTROLLER_COUNT];
         world.run_until(end + 2 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS);
         assert!(world.polled_at >= end, "end {end}: the last poll was at {}", world.polled_at);
     }
--- a/membership/src/singleton_role_tests.rs
+++ b/membership/src/singleton_role_tests.rs
@@ -6,7 +6,7 @@
 const RUN_MS: u64 = 60_000;
 /// By then the role of an undisturbed world has an owner that acts.
 const SETTLED_MS: u64 = 15_000;
-const CUT_MS: u64 = 20_000;
+const PARTITION_MS: u64 = 20_000;
 
 impl World {
     fn undisturbed() -> World {
@@ -56,25 +56,25 @@
 
 /// Cuts the owner of a role off from the controller next in order alone. Both reach the third, so a quorum confirms both, and
 /// each finds itself first in the order. Returns how many epochs and acts there were during the cut.
-fn cut_between_the_first_two(ignores_reports: bool) -> (u64, usize) {
+fn partition_between_the_first_two(ignores_reports: bool) -> (u64, usize) {
     let mut world = World::undisturbed();
     world.ignores_reports = ignores_reports;
     world.run_until(SETTLED_MS);
     let order = world.controllers[0].view.preference_order("", ROLE);
     let (first, second) = (world.index_of(&order[0]), world.index_of(&order[1]));
-    world.pair_cut_until[first.min(second)][first.max(second)] = world.now + CUT_MS;
+    world.pair_partitioned_until[first.min(second)][first.max(second)] = world.now + PARTITION_MS;
     let (epoch, acts) = (world.register.epoch, world.acts.len());
-    world.run_until(SETTLED_MS + CUT_MS);
+    world.run_until(SETTLED_MS + PARTITION_MS);
     assert!(world.is_sound());
     (world.register.epoch - epoch, world.acts.len() - acts)
 }
 
 #[test]
 fn a_cut_between_two_controllers_does_not_pass_a_role_to_and_fro() {
-    let (epochs, acts) = cut_between_the_first_two(false);
+    let (epochs, acts) = partition_between_the_first_two(false);
     assert_eq!(epochs, 0, "the owner is alive and confirmed");
     assert!(acts > 300, "it goes on with its work: {acts} acts");
-    let (epochs, acts) = cut_between_the_first_two(true);
+    let (epochs, acts) = partition_between_the_first_two(true);
     assert!(epochs > 10 && acts < 100, "a test that can't fail shows nothing: {epochs} epochs, {acts} acts");
 }
 
@@ -84,7 +84,7 @@
     world.run_until(SETTLED_MS);
     let owner = world.register.owner.clone();
     let index = world.index_of(&owner);
-    world.controllers[index].without_quorum_until = world.now + CUT_MS;
+    world.controllers[index].without_quorum_until = world.now + PARTITION_MS;
     world.run_until(30_000);
     let last = world.acts.last().expect("acts");
     assert!(last.owner != owner && last.at > 29_000, "another carries out the role meanwhile: {last:?}");
@@ -101,7 +101,7 @@
         let register = world.register.clone();
         for index in 0..3 {
             let delay_ms = if index == first_back { 0 } else { 2000 };
-            world.controllers[index].without_quorum_until = world.now + CUT_MS + delay_ms;
+            world.controllers[index].without_quorum_until = world.now + PARTITION_MS + delay_ms;
         }
         world.run_until(45_000);
         assert_eq!(world.register, register, "first back: {first_back}");
--- a/membership/src/testing/singleton_roles.rs
+++ b/membership/src/testing/singleton_roles.rs
@@ -65,7 +65,7 @@
     /// It does nothing at all before then.
     frozen_until: u64,
     /// It is cut off from all others until then.
-    cut_until: u64,
+    partitioned_until: u64,
     /// Its heartbeats reach all, but its rounds reach no quorum until then.
     pub without_quorum_until: u64,
     started_at: u64,
@@ -87,7 +87,7 @@
             view: MembershipView::new(&name, "", CONFIRMED_MS),
             name,
             frozen_until,
-            cut_until: 0,
+            partitioned_until: 0,
             without_quorum_until: 0,
             started_at,
             streak: ConfirmedStreak::default(),
@@ -113,7 +113,7 @@
     rng: Rng,
     pub controllers: [Controller; CONTROLLER_COUNT],
     /// Until when two controllers are cut off from each other alone, by their indices in rising order.
-    pub pair_cut_until: [[u64; CONTROLLER_COUNT]; CONTROLLER_COUNT],
+    pub pair_partitioned_until: [[u64; CONTROLLER_COUNT]; CONTROLLER_COUNT],
     /// The register as a quorum holds it.
     pub register: Register,
     /// Orders in the sequence in which they were sent.
@@ -132,7 +132,7 @@
             now: 0,
             rng: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
             controllers: array::from_fn(|index| Controller::started(index, 0, 0)),
-            pair_cut_until: Default::default(),
+            pair_partitioned_until: Default::default(),
             register: Register::default(),
             acts: Vec::new(),
             skips_wait,
@@ -148,7 +148,7 @@
         for index in 0..CONTROLLER_COUNT {
             let is_due = (self.now + index as u64 * HEARTBEAT_SHIFT_MS).is_multiple_of(HEARTBEAT_INTERVAL_MS);
             if is_due && self.is_up(index) {
-                self.beat(index);
+                self.heartbeat(index);
             }
         }
         for index in 0..CONTROLLER_COUNT {
@@ -171,9 +171,9 @@
     fn are_connected(&self, one: usize, two: usize) -> bool {
         self.is_up(one)
             && self.is_up(two)
-            && self.controllers[one].cut_until <= self.now
-            && self.controllers[two].cut_until <= self.now
-            && self.pair_cut_until[one.min(two)][one.max(two)] <= self.now
+            && self.controllers[one].partitioned_until <= self.now
+            && self.controllers[two].partitioned_until <= self.now
+            && self.pair_partitioned_until[one.min(two)][one.max(two)] <= self.now
     }
 
     fn reaches_quorum(&self, index: usize) -> bool {
@@ -190,11 +190,11 @@
         let until = self.now + 200 + self.rng.below(7000);
         match self.rng.below(5) {
             0 => self.controllers[index].frozen_until = until,
-            1 => self.controllers[index].cut_until = until,
+            1 => self.controllers[index].partitioned_until = until,
             2 => self.controllers[index].without_quorum_until = until,
             3 => {
                 let other = (index + 1) % CONTROLLER_COUNT;
-                self.pair_cut_until[index.min(other)][index.max(other)] = until;
+                self.pair_partitioned_until[index.min(other)][index.max(other)] = until;
             }
             _ => self.restart(index),
         }
@@ -205,14 +205,14 @@
         let frozen_until = self.now + self.rng.below(1000);
         let old = &self.controllers[index];
         self.controllers[index] = Controller {
-            cut_until: old.cut_until,
+            partitioned_until: old.partitioned_until,
             without_quorum_until: old.without_quorum_until,
             known_register: old.known_register.clone(),
             ..Controller::started(index, self.now, frozen_until)
         };
     }
 
-    fn beat(&mut self, index: usize) {
+    fn heartbeat(&mut self, index: usize) {
         self.gossip(index);
         if self.reaches_quorum(index) {
             self.controllers[index].known_register = self.register.clone();
