--- a/load_balancing/src/endpoint_lists.rs
+++ b/load_balancing/src/endpoint_lists.rs
@@ -26,7 +26,7 @@
 /// What was known of a zone's list at one moment: taken when a poll begins and compared when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedVersion {
-    /// The term and sequence of the list that was held.
+    /// The term and sequence of the list held then.
     version: Option<(u64, u64)>,
     newest_term: u64,
 }
@@ -40,10 +40,10 @@
 }
 
 impl EndpointLists {
-    /// Takes over a list. Returns whether it is newer than what was held.
+    /// Takes over a list. Returns whether it is newer than the current one.
     pub fn update(&mut self, list: &EndpointList) -> bool {
-        let held = self.lists.get(&list.zone).map(|held| (held.term, held.sequence));
-        if held >= Some((list.term, list.sequence)) {
+        let current = self.lists.get(&list.zone).map(|current| (current.term, current.sequence));
+        if current >= Some((list.term, list.sequence)) {
             return false;
         }
         self.lists.insert(list.zone.clone(), list.clone());
@@ -52,14 +52,14 @@
 
     /// Returns what is known of a zone's list, to be asked before the first call of a poll.
     pub fn observed_version(&self, zone: &str) -> ObservedVersion {
-        let version = self.lists.get(zone).map(|held| (held.term, held.sequence));
+        let version = self.lists.get(zone).map(|current| (current.term, current.sequence));
         let observed = self.observed_terms.get(zone).copied().unwrap_or(0);
-        ObservedVersion { version, newest_term: version.map_or(0, |held| held.0).max(observed) }
+        ObservedVersion { version, newest_term: version.map_or(0, |current| current.0).max(observed) }
     }
 
     /// Publishes what a poller saw that began when `known` was observed. Returns the new list when something changed.
     ///
-    /// `term` stays the poller's own while nobody else polled this zone since; else it goes above what is held. Its low
+    /// `term` stays the poller's own while nobody else polled this zone since; else it goes above the current one. Its low
     /// bits are the replica id, so that no two pollers share a term.
     ///
     /// Another poller's list that became known meanwhile may be newer than what was seen, so what was seen is dropped: it
@@ -78,11 +78,11 @@
         if *term == 0 || *term != known.newest_term {
             *term = term_above(known.newest_term, replica_id);
         }
-        let own = self.lists.get(zone).filter(|held| held.term == *term);
-        if own.is_some_and(|held| is_same_list(&held.engines, &engines)) {
+        let own = self.lists.get(zone).filter(|current| current.term == *term);
+        if own.is_some_and(|current| is_same_list(&current.engines, &engines)) {
             return None;
         }
-        let sequence = own.map_or(1, |held| held.sequence + 1);
+        let sequence = own.map_or(1, |current| current.sequence + 1);
         let list = EndpointList { zone: zone.into(), term: *term, sequence, engines };
         self.lists.insert(zone.into(), list.clone());
         Some(list)
@@ -96,7 +96,11 @@
     /// Returns the lists that are newer than the versions a peer reported: zone, term, sequence.
     pub fn newer_than(&self, reported: &[(String, u64, u64)]) -> Vec<EndpointList> {
         let version = |zone: &str| reported.iter().find(|item| item.0 == zone).map(|item| (item.1, item.2));
-        self.lists.values().filter(|held| Some((held.term, held.sequence)) > version(&held.zone)).cloned().collect()
+        self.lists
+            .values()
+            .filter(|current| Some((current.term, current.sequence)) > version(&current.zone))
+            .cloned()
+            .collect()
     }
 
     /// Returns the versions held: zone, term, sequence.
--- a/load_balancing/src/endpoint_lists_tests.rs
+++ b/load_balancing/src/endpoint_lists_tests.rs
@@ -38,25 +38,25 @@
 }
 
 #[test]
-fn one_that_starts_anew_goes_above_what_it_made_before() {
-    let (mut old, mut far) = (EndpointLists::default(), EndpointLists::default());
+fn a_restarted_poller_goes_above_what_it_made_before() {
+    let (mut old, mut remote) = (EndpointLists::default(), EndpointLists::default());
     let mut term = 0;
     for count in 0..4 {
-        far.update(&poll(&mut old, &mut term, 1, vec![engine(&format!("i-{count}"), 0)]).expect("new"));
+        remote.update(&poll(&mut old, &mut term, 1, vec![engine(&format!("i-{count}"), 0)]).expect("new"));
     }
-    // A restart: nothing held, no term. The fellow sends what is newer before the next poll counts.
+    // A restart: nothing held, no term. The other poller sends what is newer before the next poll counts.
     let (mut new, mut again) = (EndpointLists::default(), 0);
     let lost = poll(&mut new, &mut again, 1, vec![]).expect("new");
-    assert!(!far.update(&lost));
-    for list in far.newer_than(&new.versions()) {
+    assert!(!remote.update(&lost));
+    for list in remote.newer_than(&new.versions()) {
         assert!(new.update(&list));
     }
     let next = poll(&mut new, &mut again, 1, vec![]).expect("new");
-    assert!(far.update(&next) && far.newer_than(&new.versions()).is_empty());
+    assert!(remote.update(&next) && remote.newer_than(&new.versions()).is_empty());
 }
 
 #[test]
-fn a_poller_goes_above_what_a_router_kept_from_before_all_controllers_fell() {
+fn a_poller_goes_above_what_a_router_kept_while_all_controllers_were_down() {
     let (mut old, mut router) = (EndpointLists::default(), EndpointLists::default());
     let mut term = 0;
     router.update(&poll(&mut old, &mut term, 9, vec![engine("i-1", 0)]).expect("new"));
@@ -102,7 +102,7 @@
     let first = poll(&mut lists, &mut term, 1, vec![engine("i-1", 0)]).expect("new");
     let known = lists.observed_version("a");
     lists.observe_terms(&[("a".into(), first.term, 0)]);
-    let second = lists.publish("a", &mut term, 1, vec![], known).expect("its own term is no news");
+    let second = lists.publish("a", &mut term, 1, vec![], known).expect("its own term changes nothing");
     assert!((second.term, second.sequence) > (first.term, first.sequence));
     let known = lists.observed_version("a");
     lists.observe_terms(&[("a".into(), first.term << 1, 0)]);
@@ -120,7 +120,7 @@
         let mut terms = [0u64; 3];
         // What each poll under way has read: the platform's version at that time.
         let mut under_way: [Option<(ObservedVersion, u32)>; 3] = [None; 3];
-        let (mut platform, mut shown) = (0u32, 0u32);
+        let (mut platform, mut newest_seen) = (0u32, 0u32);
         for _ in 0..400 {
             platform += u32::from(rng.below(4) == 0);
             let at = rng.below(3) as usize;
@@ -130,8 +130,8 @@
                     let list = pollers[at].publish("a", &mut terms[at], at as u64 + 1, vec![engine("i", seen)], known);
                     let Some(list) = list else { continue };
                     if router.update(&list) {
-                        assert!(seen >= shown, "seed {seed}: version {seen} replaced {shown}");
-                        shown = seen;
+                        assert!(seen >= newest_seen, "seed {seed}: version {seen} replaced {newest_seen}");
+                        newest_seen = seen;
                     }
                     (0..3).filter(|other| *other != at).for_each(|other| {
                         pollers[other].update(&list);
@@ -140,6 +140,6 @@
                 frozen => under_way[at] = frozen,
             }
         }
-        assert!(shown > 20, "seed {seed}: lists go on");
+        assert!(newest_seen > 20, "seed {seed}: lists go on");
     }
 }
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -100,7 +100,7 @@
         self.lists.iter().filter(|list| !message::is_hidden_key(&list.zone)).count()
     }
 
-    /// Takes over a list if it is newer than the one held. Returns the ids of engines that just left or began to drain.
+    /// Takes over a list if it is newer than the current one. Returns the ids of engines that just left or began to drain.
     pub fn update(&mut self, list: &EndpointList, now: u64) -> Vec<String> {
         if !self.lists.update(list) {
             return Vec::new();
@@ -179,9 +179,9 @@
     /// changed by a quarter or less is left as it is, so that a subset lasts.
     pub fn set_router(&mut self, router_hash: u64, zone: u32, router_count: u32) {
         let zone_count = self.topology.configured_zone_count().max(1) as u32;
-        let held = self.subset_params;
-        let is_near = router_count.abs_diff(held.router_count) * 4 <= held.router_count;
-        if held.router_hash == router_hash && held.zone_count == zone_count && is_near {
+        let current = self.subset_params;
+        let is_near = router_count.abs_diff(current.router_count) * 4 <= current.router_count;
+        if current.router_hash == router_hash && current.zone_count == zone_count && is_near {
             return;
         }
         self.subset_params = SubsetParams { router_hash, zone, router_count, zone_count };
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -5,7 +5,7 @@
 use crate::phase::Phase;
 use crate::selection::SelectionContext;
 
-fn list(count: u64, list: &[(&str, bool, u32)]) -> EndpointList {
+fn list(sequence: u64, list: &[(&str, bool, u32)]) -> EndpointList {
     let engine = |(id, up, cold_ms): &(&str, bool, u32)| Engine {
         id: id.to_string(),
         service: "s".into(),
@@ -17,11 +17,11 @@
         up: *up,
         cold_ms: *cold_ms,
     };
-    EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list.iter().map(engine).collect() }
+    EndpointList { zone: "a".into(), term: 1, sequence, engines: list.iter().map(engine).collect() }
 }
 
 #[test]
-fn engines_that_drain_or_go_are_told_once_and_out_of_the_path() {
+fn engines_that_drain_or_leave_are_returned_once_and_not_selected() {
     let mut engine_table = EngineTable::default();
     assert!(engine_table.update(&list(1, &[("i-1", true, 0), ("i-22", true, 900)]), 100).is_empty());
     assert_eq!(engine_table.engines[1].cold_until, 1000);
@@ -29,12 +29,12 @@
     assert!(!engine_table.engines[0].up && engine_table.engines[0].listed);
     assert_eq!(engine_table.update(&list(3, &[("i-22", true, 0)]), 300), ["i-1"]);
     assert!(!engine_table.engines[0].listed);
-    assert!(engine_table.update(&list(2, &[("i-1", true, 0)]), 400).is_empty(), "an older sheet changes nothing");
+    assert!(engine_table.update(&list(2, &[("i-1", true, 0)]), 400).is_empty(), "an older list changes nothing");
     assert!(!engine_table.engines[0].listed);
 }
 
 #[test]
-fn pressure_moves_with_own_sends_since_the_report_and_fades_into_the_average() {
+fn estimated_load_follows_own_sends_since_the_report_and_fades_into_the_average() {
     let mut engine_table = EngineTable::default();
     engine_table.update(&list(1, &[("i-1", true, 0), ("i-22", true, 0)]), 0);
     assert_eq!(engine_table.estimated_load(0, 5), 0.0, "nothing is known and nothing sent");
@@ -42,7 +42,7 @@
     engine_table.record_reported_load(0, "5,1,8", 10);
     engine_table.engines[0].in_flight = 3;
     assert_eq!(engine_table.estimated_load(0, 10), 7.0);
-    assert_eq!(engine_table.estimated_load(1, 10), 6.0, "an engine not heard of is like the average");
+    assert_eq!(engine_table.estimated_load(1, 10), 6.0, "an engine without a report is like the average");
     for _ in 0..200 {
         engine_table.record_reported_load(1, "1,0,8", 10);
     }
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn a_dark_engine_is_left_alone_until_it_answers_and_its_address_until_never() {
+fn a_suspected_engine_is_avoided_until_it_answers_and_a_retired_one_for_good() {
     let mut engine_table = EngineTable::default();
     engine_table.update(&list(1, &[("i-1", true, 0), ("i-22", true, 0)]), 0);
     engine_table.engines[0].record_failure(100, 20_000);
-    let open = |engine_table: &EngineTable, now| {
+    let candidates = |engine_table: &EngineTable, now| {
         let context = SelectionContext {
             engine_table,
             now,
@@ -76,10 +76,10 @@
         };
         context.candidates(Phase::Prefill)
     };
-    assert_eq!(open(&engine_table, 5000), [1], "no request tests it");
+    assert_eq!(candidates(&engine_table, 5000), [1], "no request tests it");
     engine_table.engines[0].record_response(5000);
-    assert_eq!(open(&engine_table, 5000), [0, 1]);
+    assert_eq!(candidates(&engine_table, 5000), [0, 1]);
     engine_table.engines[1].retire();
     engine_table.update(&list(2, &[("i-1", true, 0), ("i-22", true, 0)]), 6000);
-    assert_eq!(open(&engine_table, 6000), [0], "an id whose address went to another never comes back");
+    assert_eq!(candidates(&engine_table, 6000), [0], "an id whose address went to another never comes back");
 }
--- a/load_balancing/src/retry_budget_tests.rs
+++ b/load_balancing/src/retry_budget_tests.rs
@@ -37,9 +37,12 @@
         let (mut least, step) = (usize::MAX, 500);
         for from in (0..15_000).step_by(step) {
             let within = |list: &[u64]| list.iter().filter(|time| (from..from + window).contains(*time)).count();
-            let (requested, more) = (within(&requests), within(&retries));
-            assert!(more as f64 <= ratio * requested as f64 + slack, "{more} of {requested} at {router_count} routers");
-            least = least.min(more);
+            let (requests_within, retries_within) = (within(&requests), within(&retries));
+            assert!(
+                retries_within as f64 <= ratio * requests_within as f64 + slack,
+                "{retries_within} of {requests_within} at {router_count} routers"
+            );
+            least = least.min(retries_within);
         }
         assert!(least as f64 >= 0.1 * requests.len() as f64 / 2.5, "{router_count} routers leave it unused: {least}");
     }
--- a/load_balancing/src/selection/choice.rs
+++ b/load_balancing/src/selection/choice.rs
@@ -77,9 +77,9 @@
         for engine in engines.iter().copied() {
             let cost = cost(engine);
             let hash = clock::combine_hashes(key, self.engine_table.engines[engine].id_hash);
-            let is_better = best
-                .as_ref()
-                .is_none_or(|(held, held_hash)| cost < held.cost || (cost == held.cost && hash > *held_hash));
+            let is_better = best.as_ref().is_none_or(|(cheapest, highest_hash)| {
+                cost < cheapest.cost || (cost == cheapest.cost && hash > *highest_hash)
+            });
             if is_better {
                 best = Some((SelectedEngine { engine, cost }, hash));
             }
--- a/load_balancing/src/selection_tests.rs
+++ b/load_balancing/src/selection_tests.rs
@@ -29,13 +29,13 @@
     engine_table
 }
 
-fn context<'a>(engine_table: &'a EngineTable, shut: &'a [u32], tried: &'a [usize]) -> SelectionContext<'a> {
+fn context<'a>(engine_table: &'a EngineTable, excluded: &'a [u32], tried: &'a [usize]) -> SelectionContext<'a> {
     SelectionContext {
         engine_table,
         now: 1000,
         service: 0,
         zone: 0,
-        excluded_zones: shut,
+        excluded_zones: excluded,
         tried_engines: tried,
         router_count: 3,
         cold_engine_rate: 3.0,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_longest_prefix_owner_reads_unless_it_is_pressed() {
+fn the_longest_prefix_owner_does_prefill_unless_it_is_loaded() {
     let mut engine_table = engine_table();
     let far = engine_table.find("p-b").expect("known");
     assert_eq!(
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn all_routers_choose_the_same_reader_while_nobody_owns() {
+fn all_routers_choose_the_same_prefill_engine_while_nobody_owns_the_prefix() {
     let engine_table = engine_table();
-    let mut away = context(&engine_table, &[], &[]);
-    let near = away.select_prefill(9000, &[], 6000, 77).map(|best| best.engine);
-    away.zone = 1;
-    assert_eq!(near, away.select_prefill(9000, &[], 6000, 77).map(|best| best.engine));
+    let mut remote = context(&engine_table, &[], &[]);
+    let near = remote.select_prefill(9000, &[], 6000, 77).map(|best| best.engine);
+    remote.zone = 1;
+    assert_eq!(near, remote.select_prefill(9000, &[], 6000, 77).map(|best| best.engine));
 }
 
 #[test]
-fn draining_shut_and_tried_engines_are_never_chosen() {
+fn draining_excluded_and_tried_engines_are_never_selected() {
     let engine_table = engine_table();
     let tried = [engine_table.find("d-a").expect("known")];
     assert_eq!(id(&engine_table, context(&engine_table, &[], &tried).select_decode(10, &[], None, 1)), "d-b");
@@ -98,34 +98,34 @@
 }
 
 #[test]
-fn a_maker_reads_alone_only_when_readers_are_pressed() {
+fn a_decode_engine_does_prefill_only_when_prefill_engines_are_loaded() {
     let mut engine_table = engine_table();
     engine_table.record_prefill(0, 3000);
     let costs = |engine_table: &EngineTable| {
         let context = context(engine_table, &[], &[]);
         (
-            context.select_prefill(3000, &[], 0, 1).expect("reader").cost,
-            context.select_combined(3000, &[], 1).expect("maker").cost,
+            context.select_prefill(3000, &[], 0, 1).expect("prefill engine").cost,
+            context.select_combined(3000, &[], 1).expect("decode engine").cost,
         )
     };
-    let (reader, alone) = costs(&engine_table);
-    assert!(reader < alone);
+    let (prefill, combined) = costs(&engine_table);
+    assert!(prefill < combined);
     for at in [engine_table.find("p-a"), engine_table.find("p-b")].into_iter().flatten() {
         engine_table.record_reported_load(at, "8,1,8", 900);
     }
-    let (reader, alone) = costs(&engine_table);
-    assert!(reader > alone);
+    let (prefill, combined) = costs(&engine_table);
+    assert!(prefill > combined);
 }
 
 #[test]
-fn the_memory_stays_in_its_area() {
+fn the_kv_cache_stays_in_its_zone() {
     let engine_table = engine_table();
     let from = engine_table.find("p-b");
     assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(60_000, &[], from, 1)), "d-b");
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_than_its_slice() {
+fn a_cold_engine_gets_no_more_than_slow_start_allows() {
     let mut engine_table = engine_table();
     let at = engine_table.find("d-a").expect("known");
     engine_table.engines[at].cold_until = 5000;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn deferrable_work_is_let_in_only_beside_calm_halves() {
+fn deferrable_work_is_admitted_only_beside_lightly_loaded_phases() {
     let mut engine_table = engine_table();
     assert!(context(&engine_table, &[], &[]).has_spare_capacity(0.3));
     for id in ["d-a", "d-b"] {
@@ -144,16 +144,19 @@
         engine_table.record_reported_load(at, "4,0,8", 900);
     }
     assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.3));
-    assert!(context(&engine_table, &[], &[]).has_spare_capacity(0.6), "nearer to its end it may press harder");
+    assert!(
+        context(&engine_table, &[], &[]).has_spare_capacity(0.6),
+        "nearer to its deadline it may load engines more"
+    );
     for id in ["p-a", "p-b"] {
         let at = engine_table.find(id).expect("known");
         engine_table.record_reported_load(at, "3,0,8", 900);
     }
-    assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.6), "never where readers are pressed");
+    assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.6), "never where prefill engines are loaded");
 }
 
 #[test]
-fn another_region_is_reached_only_for_want_of_a_nearer_engine() {
+fn another_region_is_selected_only_without_a_nearer_engine() {
     let mut engine_table = engine_table();
     engine_table.set_region("b", "other");
     let far = engine_table.find("p-b").expect("known");
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn it_is_full_only_when_every_maker_is() {
+fn a_service_is_saturated_only_when_every_decode_engine_is() {
     let mut engine_table = engine_table();
     for (id, load) in [("d-a", "9,3,8"), ("d-b", "4,0,8")] {
         let at = engine_table.find(id).expect("known");
@@ -191,11 +194,11 @@
 }
 
 #[test]
-fn owners_of_a_shorter_prefix_do_not_draw_what_has_a_home_of_its_own() {
+fn owners_of_a_shorter_prefix_do_not_attract_what_has_a_home_engine() {
     let engine_table = engine_table();
     let (near, far) = (engine_table.find("p-a").expect("known"), engine_table.find("p-b").expect("known"));
-    let chosen = |key, held: &[CachedPrefix]| {
-        context(&engine_table, &[], &[]).select_prefill(9000, held, 6000, key).map(|best| best.engine)
+    let chosen = |key, prefixes: &[CachedPrefix]| {
+        context(&engine_table, &[], &[]).select_prefill(9000, prefixes, 6000, key).map(|best| best.engine)
     };
     let home = |key| engine_table.subset(0, Phase::Prefill, false).expect("one").home_engines(key, 1, |_| true)[0];
     let key = (0..).find(|key| home(*key) == near).expect("a key at home near");
--- a/load_balancing/src/slow_start_tests.rs
+++ b/load_balancing/src/slow_start_tests.rs
@@ -16,7 +16,7 @@
     most
 }
 
-/// All routers press as hard as they are let; some start anew midway and forget what they sent.
+/// All routers send as much as they are allowed; some restart midway and forget what they sent.
 fn saturating_sends(bound: f64, router_count: u32, engine: u64, crash: bool) -> Vec<u64> {
     let mut times = Vec::new();
     for router in 0..router_count {
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn what_a_cold_engine_gets_in_any_second_stays_under_its_bound_at_any_size() {
+fn sends_to_a_cold_engine_in_any_second_stay_under_its_bound_at_any_size() {
     for bound in [5.0, 18.0] {
         for router_count in [1, 3, 9, 18, 19, 40, 88, 400] {
             let (mut used, mut engines) = (0, 0);
             for engine in 0..16 {
                 let mut times = saturating_sends(bound, router_count, clock::hash(&[engine as u8]), false);
                 let most = max_in_window(&mut times, 1000);
-                // Under half of the slack of 5 that the rule has beside the bound.
+                // Under half of the slack of 5 that the published rule has beside the bound.
                 assert!(most as f64 <= bound + 2.0, "{most} of {bound} at {router_count} routers, engine {engine}");
                 used += most;
                 engines += 1;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn routers_that_start_anew_stay_within_the_slack() {
+fn routers_that_restart_stay_within_the_slack() {
     for router_count in [9, 88, 400] {
         for engine in 0..16u8 {
             let mut times = saturating_sends(18.0, router_count, clock::hash(&[engine]), true);
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_count_of_routers_that_is_off_by_a_quarter_does_not_break_the_bound() {
-    // Told 66 though there are 88: each draws with a higher chance.
+    // They count 66 routers though there are 88: each is drawn with a higher chance.
     for engine in 0..20u8 {
         let mut times = Vec::new();
         for router in 0..88 {
--- a/load_balancing/src/staleness_bound.rs
+++ b/load_balancing/src/staleness_bound.rs
@@ -48,17 +48,17 @@
 }
 
 impl StalenessBounds {
-    /// Takes over a limit on a service, at `now` in milliseconds. Returns whether it is newer than what was held.
+    /// Takes over a limit on a service, at `now` in milliseconds. Returns whether it is newer than the current one.
     pub fn update(&mut self, limit: &StalenessLimit, service: u32, now: u64) -> bool {
         let new = EnforcedLimit::new(limit, service, now);
-        let Some(held) = self.limits.iter_mut().find(|held| held.limit.key() == limit.key()) else {
+        let Some(current) = self.limits.iter_mut().find(|current| current.limit.key() == limit.key()) else {
             self.limits.push(new);
             return true;
         };
-        if limit.version <= held.limit.version {
+        if limit.version <= current.limit.version {
             return false;
         }
-        held.replace(new, now);
+        current.replace(new, now);
         true
     }
 
@@ -76,8 +76,8 @@
     /// Returns the bound on a request, to be asked immediately before each send.
     pub fn bound_for(&self, service: u32, model: &str, route: &str, now: u64) -> StalenessBound {
         let mut bound = StalenessBound::Unbounded;
-        for held in self.limits.iter().filter(|held| held.service == service && held.limit.model == model) {
-            let (min_version, routes) = held.in_force(now);
+        for current in self.limits.iter().filter(|current| current.service == service && current.limit.model == model) {
+            let (min_version, routes) = current.in_force(now);
             if !routes.iter().any(|name| name == route) {
                 continue;
             }
@@ -91,7 +91,7 @@
 
     /// Returns the keys and versions of the limits held, as reported to controllers.
     pub fn versions(&self) -> Vec<(String, u64)> {
-        self.limits.iter().map(|held| (held.limit.key(), held.limit.version)).collect()
+        self.limits.iter().map(|current| (current.limit.key(), current.limit.version)).collect()
     }
 }
 
--- a/load_balancing/src/staleness_bound_tests.rs
+++ b/load_balancing/src/staleness_bound_tests.rs
@@ -73,7 +73,7 @@
 const ROUTER_LEASE_MS: u64 = 1600;
 const ACKNOWLEDGEMENT_WAIT_MS: u64 = CONFIRMATION_MS + LEASE_MS + 200;
 
-/// A controller: the version it known_version, until when it is confirmed, what its routers told and until when they count.
+/// A controller: the version it knows, until when it is confirmed, and what its routers reported with the end of their leases.
 #[derive(Clone, Default)]
 struct Controller {
     known_version: u64,
@@ -105,11 +105,11 @@
     None,
     /// A raise is acknowledged at once.
     AcknowledgedAtOnce,
-    /// A controller that has just started speaks for routers that it forgot.
+    /// A controller that has just started answers for routers whose leases it forgot.
     ForgottenLeases,
 }
 
-/// Gives the number of sends under a floor below one that was acknowledged, and of acknowledgements.
+/// Returns the number of sends below a minimum version that was acknowledged, and of acknowledgements.
 fn simulate(seed: u64, fault: Fault) -> (u32, u32) {
     let acknowledged_at_once = fault == Fault::AcknowledgedAtOnce;
     let mut rng = Rng::new(seed.wrapping_mul(0x9E37_79B9));
@@ -197,16 +197,16 @@
                 }
             }
         }
-        // One raise at a time: committed, then acknowledged once all have settled or could be waited out.
+        // One raise at a time: committed, then acknowledged once all routers have it or could be waited out.
         if acknowledged == version && rng.below(700) == 0 {
             (version, committed) = (version + 1, now);
             controllers[0].known_version = version;
             if rng.below(4) == 0 {
-                // A controller falls just then, and starts anew.
+                // A controller restarts just then.
                 controllers[1 + rng.below(3) as usize] = Controller { started_at: now, ..Default::default() };
             }
         }
-        // The owner is lost in the middle of a raise: another one is asked again and begins to wait anew.
+        // The owner is lost in the middle of a raise: the next one waits from the beginning.
         if acknowledged < version && rng.below(1500) == 0 {
             committed = now;
         }
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn nothing_bound_is_sent_below_an_acknowledged_bound_once_a_raise_is_acknowledged() {
+fn nothing_bound_is_sent_below_the_minimum_version_once_a_raise_is_acknowledged() {
     let mut acknowledgements = 0;
     for seed in 1..=40 {
         let (violations, count) = simulate(seed, Fault::None);
