--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -22,6 +22,8 @@
 mod slow_start;
 mod staleness_bound;
 mod subset;
+#[cfg(test)]
+mod testing;
 mod topology;
 
 pub use endpoint_lists::{is_term_of, EndpointLists, ObservedVersion};
--- /dev/null
+++ b/load_balancing/src/testing/mod.rs
@@ -0,0 +1,3 @@
+//! Support of tests.
+
+pub(crate) mod staleness_simulation;
