--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -179,5 +179,5 @@
 }
 
 #[cfg(test)]
-#[path = "acceptor_tests.rs"]
+#[path = "testing/unit/acceptor_tests.rs"]
 mod tests;
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -87,5 +87,5 @@
 }
 
 #[cfg(test)]
-#[path = "confirmation_tests.rs"]
+#[path = "testing/unit/confirmation_tests.rs"]
 mod tests;
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -5,18 +5,12 @@
 
 mod acceptor;
 mod confirmation;
-mod folder;
-mod listing;
 mod membership_codec;
 mod proposal;
 pub mod quorum;
 mod reconfiguration;
-mod record;
-mod recovery;
 mod round;
-mod segment;
-mod store;
-mod store_error;
+mod storage;
 
 pub use acceptor::{Acceptor, LogRecord};
 pub use confirmation::{newest_committed, Confirmation, StaleKey};
@@ -24,7 +18,7 @@
 pub use proposal::{Decision, Progress, Proposal};
 pub use reconfiguration::{next_membership, stabilized, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
 pub use round::{next_term, Ownership, Round, RoundProgress};
-pub use store::{Store, StoreError};
+pub use storage::{Store, StoreError};
 
 pub const MEMBERSHIP_KEY: &str = "core";
 /// A round not over by then is abandoned; its outcome is unknown.
@@ -40,12 +34,4 @@
 }
 
 #[cfg(test)]
-mod model;
-#[cfg(test)]
-mod sim;
-#[cfg(test)]
-mod simulated_disk;
-#[cfg(test)]
-mod simulated_folder;
-#[cfg(test)]
-mod store_model;
+mod testing;
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -114,5 +114,5 @@
 }
 
 #[cfg(test)]
-#[path = "proposal_tests.rs"]
+#[path = "testing/unit/proposal_tests.rs"]
 mod tests;
--- a/consensus/src/quorum.rs
+++ b/consensus/src/quorum.rs
@@ -60,5 +60,5 @@
 }
 
 #[cfg(test)]
-#[path = "quorum_tests.rs"]
+#[path = "testing/unit/quorum_tests.rs"]
 mod tests;
--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -157,5 +157,5 @@
 }
 
 #[cfg(test)]
-#[path = "reconfiguration_tests.rs"]
+#[path = "testing/unit/reconfiguration_tests.rs"]
 mod tests;
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -146,5 +146,5 @@
 }
 
 #[cfg(test)]
-#[path = "round_tests.rs"]
+#[path = "testing/unit/round_tests.rs"]
 mod tests;
--- a/consensus/src/store_error.rs
+++ b/consensus/src/storage/error.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::{error, fmt, io};
 
-use crate::folder::Folder;
+use super::directory::Folder;
 
 #[derive(Debug)]
 pub enum StoreError {
--- a/consensus/src/listing.rs
+++ b/consensus/src/storage/files.rs
@@ -1,7 +1,7 @@
 //! The files of a store by name: segments `log-N`, snapshots `snap-N`, and a snapshot being written.
 
-use crate::folder::Folder;
-use crate::store_error::{io_error, StoreError};
+use super::directory::Folder;
+use super::error::{io_error, StoreError};
 
 /// A snapshot that is being written.
 pub const DRAFT: &str = "draft";
--- a/consensus/src/recovery.rs
+++ b/consensus/src/storage/recovery.rs
@@ -1,10 +1,10 @@
 //! What is done when a store is opened: reading files, finding the torn end, making it last.
 
-use crate::folder::{DataFile, Folder};
-use crate::listing::segment_name;
-use crate::record::LogRecord;
-use crate::segment::SegmentReader;
-use crate::store_error::{io_error, StoreError};
+use super::directory::{DataFile, Folder};
+use super::error::{io_error, StoreError};
+use super::files::segment_name;
+use super::record::LogRecord;
+use super::segment::SegmentReader;
 
 /// How the records of one file ended.
 pub struct FileEnd {
--- a/consensus/src/segment.rs
+++ b/consensus/src/storage/segment.rs
@@ -2,8 +2,8 @@
 
 use std::io;
 
-use crate::folder::DataFile;
-use crate::record::{decode, Header, LogRecord, HEADER_BYTES, MAGIC};
+use super::directory::DataFile;
+use super::record::{decode, Header, LogRecord, HEADER_BYTES, MAGIC};
 
 const READ_BYTES: u64 = 256 * 1024;
 
--- a/consensus/src/store.rs
+++ b/consensus/src/storage/store.rs
@@ -5,13 +5,13 @@
 
 use std::path::Path;
 
-use crate::folder::{DataFile, DiskFolder, Folder};
-use crate::listing::{segment_name, snapshot_name, Listing, DRAFT};
-use crate::record::{encode, LogRecord};
-use crate::recovery::{active_segment, read_file, settle_empty, settle_tail, FileEnd};
-use crate::store_error::io_error;
+use super::directory::{DataFile, DiskFolder, Folder};
+use super::error::io_error;
+use super::files::{segment_name, snapshot_name, Listing, DRAFT};
+use super::record::{encode, LogRecord};
+use super::recovery::{active_segment, read_file, settle_empty, settle_tail, FileEnd};
 
-pub use crate::store_error::StoreError;
+use super::error::StoreError;
 
 /// A segment longer than this is followed by a snapshot and a new segment.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
@@ -203,9 +203,5 @@
 }
 
 #[cfg(test)]
-#[path = "store_tests.rs"]
+#[path = "../testing/unit/store_tests.rs"]
 mod tests;
-
-#[cfg(test)]
-#[path = "store_model_tests.rs"]
-mod model_tests;
--- a/consensus/src/sim.rs
+++ b/consensus/src/testing/simulation/mod.rs
@@ -252,13 +252,10 @@
     }
 }
 
-#[path = "sim_trouble.rs"]
-mod trouble;
+mod faults;
 
 #[cfg(test)]
-#[path = "sim_tests.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "sim_membership_tests.rs"]
 mod membership_tests;
--- a/consensus/src/simulated_folder.rs
+++ b/consensus/src/testing/storage/simulated_directory.rs
@@ -3,8 +3,8 @@
 use std::io::{Error, ErrorKind, Result};
 use std::path::PathBuf;
 
-use crate::folder::{DataFile, Folder};
-use crate::simulated_disk::{FileChange, Inode, NameChange, SharedDisk};
+use super::simulated_disk::{FileChange, Inode, NameChange, SharedDisk};
+use crate::storage::{DataFile, Folder};
 
 /// One file of a simulated disk, as one process holds it.
 struct SimulatedFile {
--- a/consensus/src/store_model.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -5,11 +5,11 @@
 use kernel::clock::{self, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
+use super::simulated_directory::SimulatedFolder;
+use super::simulated_disk::{Disk, Faults, SharedDisk};
 use crate::acceptor::Acceptor;
-use crate::record::LogRecord;
-use crate::simulated_disk::{Disk, Faults, SharedDisk};
-use crate::simulated_folder::SimulatedFolder;
-use crate::store::{Store, StoreError};
+use crate::storage::{Store, StoreError};
+use crate::LogRecord;
 
 const SEGMENT_BYTES: u64 = 2000;
 const KEYS: u64 = 5;
--- a/consensus/src/store_model_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -1,7 +1,7 @@
 use kernel::clock::{self, Rng};
 
-use crate::simulated_disk::Faults;
-use crate::store_model::Run;
+use super::simulated_disk::Faults;
+use super::workload::Run;
 
 fn run(seed: u64, faults: Faults) -> Result<(), String> {
     let strict_names = seed & 1 == 0;
--- a/consensus/src/store_tests.rs
+++ b/consensus/src/testing/unit/store_tests.rs
@@ -4,7 +4,7 @@
 use protocol::message::{Entry, ProposalNumber, RegisterState};
 
 use super::{Store, StoreError};
-use crate::record::LogRecord;
+use crate::LogRecord;
 
 fn folder(name: &str) -> PathBuf {
     let dir = env::temp_dir().join(format!("tidepoint-store-{name}-{}", process::id()));
