--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The voting side: a pure state machine. Each poll gives a vote, and what must be on disk before
+//! The voting side: a pure state machine. Each request gives A response, and what must be on disk before
 //! that vote may leave.
 
 use std::collections::BTreeMap;
@@ -19,8 +19,8 @@
     VotingEnabled,
 }
 
-/// Invariants: `slots[..].promised` and the place of each entry never go back; an entry's ballot is
-/// never above what is promised; `core.version` never goes back; a voter that may not vote (`may_vote`) neither
+/// Invariants: `register[..].prepared` and the position of each entry never go back; an entry's proposal number is
+/// never above what is prepared; `membership.version` never goes back; an acceptor that may not vote (`may_vote`) neither
 /// promises nor accepts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
@@ -38,8 +38,8 @@
     /// Folds what was found on disk.
     pub fn replay(&mut self, record: LogRecord) {
         match record {
-            LogRecord::Register(slot) => {
-                self.registers.insert(slot.key.clone(), slot);
+            LogRecord::Register(register) => {
+                self.registers.insert(register.key.clone(), register);
             }
             LogRecord::Membership(membership) => self.membership = membership,
             LogRecord::VotingEnabled => self.may_vote = true,
@@ -60,7 +60,7 @@
         self.may_vote && quorum::is_member(&self.membership, &self.ip)
     }
 
-    /// Takes over a committed core. None when it is no newer.
+    /// Takes over a committed membership. None when it is no newer.
     pub fn adopt_membership(&mut self, membership: &CoreMembership) -> Option<LogRecord> {
         let newer = membership.version > self.membership.version;
         let calmer = membership.version == self.membership.version && membership.stable && !self.membership.stable;
@@ -76,83 +76,89 @@
             return (ConsensusResponse::NewerMembership { membership: self.membership.clone() }, Vec::new());
         }
         let mut records: Vec<LogRecord> = self.adopt_membership(&handle.membership).into_iter().collect();
-        let vote = match handle.operation {
+        let response = match handle.operation {
             // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
             ConsensusOperation::Snapshot if self.may_vote => {
                 ConsensusResponse::Snapshot { registers: self.registers.values().cloned().collect() }
             }
-            // The places, too, by one that is no member any more: its keys are part of a change's settlement.
+            // The positions, too, by one that is no member any more: its keys are part of a change's transition.
             ConsensusOperation::Positions if self.may_vote => {
                 ConsensusResponse::Positions { positions: self.positions() }
             }
             _ if !self.is_voting() => ConsensusResponse::NonVoting,
             ConsensusOperation::Prepare { key, proposal_number } => self.prepare(key, proposal_number, &mut records),
             ConsensusOperation::Accept { key, entry } => self.accept(key, entry, &mut records),
-            ConsensusOperation::Fetch { key } => {
-                ConsensusResponse::Fetched { entry: self.registers.get(&key).and_then(|slot| slot.entry.clone()) }
-            }
+            ConsensusOperation::Fetch { key } => ConsensusResponse::Fetched {
+                entry: self.registers.get(&key).and_then(|register| register.entry.clone()),
+            },
             ConsensusOperation::Snapshot | ConsensusOperation::Positions => ConsensusResponse::NonVoting,
         };
-        (vote, records)
+        (response, records)
     }
 
     pub fn positions(&self) -> Vec<KeyPosition> {
-        let held = self.registers.values().filter_map(|slot| slot.entry.as_ref().map(|entry| (slot, entry)));
-        held.map(|(slot, entry)| KeyPosition { key: slot.key.clone(), position: entry.position() }).collect()
+        let held =
+            self.registers.values().filter_map(|register| register.entry.as_ref().map(|entry| (register, entry)));
+        held.map(|(register, entry)| KeyPosition { key: register.key.clone(), position: entry.position() }).collect()
     }
 
-    fn slot(&mut self, key: &str) -> &mut RegisterState {
+    fn register(&mut self, key: &str) -> &mut RegisterState {
         let empty = || RegisterState { key: key.into(), prepared: Default::default(), entry: None };
         self.registers.entry(key.to_string()).or_insert_with(empty)
     }
 
-    fn prepare(&mut self, key: String, ballot: ProposalNumber, records: &mut Vec<LogRecord>) -> ConsensusResponse {
-        let slot = self.slot(&key);
-        if ballot <= slot.prepared {
-            return ConsensusResponse::Rejected { prepared: slot.prepared };
+    fn prepare(
+        &mut self,
+        key: String,
+        proposal_number: ProposalNumber,
+        records: &mut Vec<LogRecord>,
+    ) -> ConsensusResponse {
+        let register = self.register(&key);
+        if proposal_number <= register.prepared {
+            return ConsensusResponse::Rejected { prepared: register.prepared };
         }
-        slot.prepared = ballot;
-        records.push(LogRecord::Register(slot.clone()));
-        ConsensusResponse::Prepared { entry: slot.entry.clone() }
+        register.prepared = proposal_number;
+        records.push(LogRecord::Register(register.clone()));
+        ConsensusResponse::Prepared { entry: register.entry.clone() }
     }
 
     fn accept(&mut self, key: String, entry: Entry, records: &mut Vec<LogRecord>) -> ConsensusResponse {
-        let slot = self.slot(&key);
-        let held = slot.entry.as_ref().map(Entry::position);
-        if entry.proposal_number < slot.prepared || held.is_some_and(|place| place > entry.position()) {
-            return ConsensusResponse::Rejected { prepared: slot.prepared };
+        let register = self.register(&key);
+        let held = register.entry.as_ref().map(Entry::position);
+        if entry.proposal_number < register.prepared || held.is_some_and(|position| position > entry.position()) {
+            return ConsensusResponse::Rejected { prepared: register.prepared };
         }
-        slot.prepared = entry.proposal_number;
-        slot.entry = Some(entry);
-        records.push(LogRecord::Register(slot.clone()));
+        register.prepared = entry.proposal_number;
+        register.entry = Some(entry);
+        records.push(LogRecord::Register(register.clone()));
         ConsensusResponse::Accepted
     }
 
-    /// Ends a loss of memory with what `enough` other voters hold. The highest promise of any of them
+    /// Ends a loss of memory with what `enough` other acceptors hold. The highest promise of any of them
     /// binds, since one of them was part of each lost majority.
     ///
-    /// None: a core newer than the one that is known here may be committed. Votes that were lost may have been
-    /// given under it, and its quorums need no voter that was read.
+    /// None: a membership newer than the one that is known here may be committed. Responses that were lost may have been
+    /// given under it, and its quorums need no acceptor that was read.
     pub fn recover(&mut self, reads: Vec<Vec<RegisterState>>) -> Option<Vec<LogRecord>> {
-        if written_core(&reads).is_some_and(|written| written.version > self.membership.version) {
+        if accepted_membership(&reads).is_some_and(|written| written.version > self.membership.version) {
             return None;
         }
         for read in reads.into_iter().flatten() {
-            let slot = self.slot(&read.key.clone());
-            slot.prepared = slot.prepared.max(read.prepared);
-            let mine = slot.entry.as_ref().map(Entry::position);
+            let register = self.register(&read.key.clone());
+            register.prepared = register.prepared.max(read.prepared);
+            let mine = register.entry.as_ref().map(Entry::position);
             let held = read.entry.as_ref().map(Entry::position);
             if held > mine {
-                slot.entry = read.entry;
+                register.entry = read.entry;
             }
         }
         self.may_vote = true;
         Some(self.snapshot())
     }
 
-    /// Have enough voters been read to end a loss of memory? Every majority of the core (and of the one
-    /// before, while that is unsettled) must hold one of them, so that no lost vote goes unseen. Voters
-    /// that are themselves without memory do not count, and need not be waited for.
+    /// Have enough acceptors been read to end a loss of memory? Every majority of the membership (and of the one
+    /// before, while that is unsettled) must hold one of them, so that no lost vote goes unseen. Acceptors
+    /// that are themselves that lost its disk do not count, and need not be waited for.
     pub fn has_enough_reads(&self, read: &[String]) -> bool {
         let meets = |list: &[Member]| {
             let seen = list.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
@@ -163,7 +169,7 @@
             && (self.membership.stable || meets(&self.membership.previous_members))
     }
 
-    /// Those whom a voter without memory asks: all others of the core and of the one before.
+    /// Those whom an acceptor that lost its disk asks: all others of the membership and of the one before.
     pub fn recovery_peers(&self) -> Vec<String> {
         let mut list = quorum::old_and_new_members(&self.membership);
         list.retain(|address| *address != self.ip);
@@ -171,10 +177,13 @@
     }
 }
 
-/// The newest core that any of these voters accepted, committed or not.
-fn written_core(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
-    let entries =
-        reads.iter().flatten().filter(|slot| slot.key == MEMBERSHIP_KEY).filter_map(|slot| slot.entry.as_ref());
+/// The newest membership that any of these acceptors accepted, committed or not.
+fn accepted_membership(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
+    let entries = reads
+        .iter()
+        .flatten()
+        .filter(|register| register.key == MEMBERSHIP_KEY)
+        .filter_map(|register| register.entry.as_ref());
     decode_membership(&entries.max_by_key(|entry| entry.position())?.body)
 }
 
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -11,15 +11,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleKey {
     pub key: String,
-    /// The newest position that a voter told.
+    /// The newest position that an acceptor told.
     pub position: Position,
     /// A quorum holds this position, so it is committed; otherwise it may still be on its way.
     pub is_committed: bool,
 }
 
-/// A read of the places of all keys. Invariant: each voter counts once.
+/// A read of the positions of all keys. Invariant: each acceptor counts once.
 pub struct Confirmation {
-    core: CoreMembership,
+    membership: CoreMembership,
     responders: Vec<String>,
     reports: Vec<Report>,
 }
@@ -32,8 +32,8 @@
 }
 
 impl Confirmation {
-    pub fn new(core: &CoreMembership) -> Confirmation {
-        Confirmation { core: core.clone(), responders: Vec::new(), reports: Vec::new() }
+    pub fn new(membership: &CoreMembership) -> Confirmation {
+        Confirmation { membership: membership.clone(), responders: Vec::new(), reports: Vec::new() }
     }
 
     pub fn record(&mut self, from: &str, positions: Vec<KeyPosition>) {
@@ -46,10 +46,10 @@
     }
 
     pub fn is_quorum(&self) -> bool {
-        quorum::is_quorum(&self.core, &self.responders)
+        quorum::is_quorum(&self.membership, &self.responders)
     }
 
-    /// The keys of which a voter holds something newer than what `known` says is committed.
+    /// The keys of which an acceptor holds something newer than what `known` says is committed.
     pub fn stale_keys(&self, known: impl Fn(&str) -> Option<Position>) -> Vec<StaleKey> {
         let mut newest: BTreeMap<&str, Position> = BTreeMap::new();
         for report in &self.reports {
@@ -69,19 +69,19 @@
     fn is_committed(&self, key: &str, position: Position) -> bool {
         let same = self.reports.iter().filter(|report| report.key == key && report.position == position);
         let holders: Vec<String> = same.map(|report| report.from.clone()).collect();
-        quorum::is_quorum(&self.core, &holders)
+        quorum::is_quorum(&self.membership, &holders)
     }
 }
 
-/// The newest entry that a quorum of voters was seen to hold alike, and which therefore is committed.
-/// Voters may move on between two reads: an entry that came after the one looked for serves as well.
-pub fn newest_committed(core: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
+/// The newest entry that a quorum of acceptors was seen to hold alike, and which therefore is committed.
+/// Acceptors may move on between two reads: an entry that came after the one looked for serves as well.
+pub fn newest_committed(membership: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
     let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
     entries.sort_by_key(|entry| Reverse(entry.position()));
     let alike = |entry: &Entry| {
         let holds = fetched.iter().filter(|(_, held)| held.position() == entry.position());
         let holders: Vec<String> = holds.map(|(from, _)| from.clone()).collect();
-        quorum::is_quorum(core, &holders)
+        quorum::is_quorum(membership, &holders)
     };
     entries.into_iter().find(|entry| alike(entry)).cloned()
 }
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,4 +1,4 @@
-//! Control state. Each key is a register of its own: one owner at a time under a rising ballot, a
+//! Control state. Each key is a register of its own: one owner at a time under a rising proposal number, a
 //! change on a majority of the disks before any answer. No common log, no leader for all.
 
 use kernel::clock;
@@ -23,14 +23,14 @@
 pub const MEMBERSHIP_KEY: &str = "core";
 /// A round not over by then is abandoned; its outcome is unknown.
 pub const ROUND_TIMEOUT_MS: u64 = 900;
-/// A voter without memory waits this long before it reads the others, so that every round which
+/// An acceptor that lost its disk waits this long before it reads the others, so that every round which
 /// counted its lost votes is over. Invariant: above `ROUND_MS`.
 pub const RECOVERY_DELAY_MS: u64 = 1300;
 
-/// The seat of a controller in ballots: its address, so that it differs between live controllers, mixed
-/// with its life, so that two lives never act under one ballot.
-pub fn replica_id(ip: &str, life: u64) -> u64 {
-    clock::combine_hashes(clock::hash(ip.as_bytes()), life)
+/// The seat of a controller in proposal numbers: its address, so that it differs between live controllers, mixed
+/// with its incarnation, so that two lives never act under one proposal number.
+pub fn replica_id(ip: &str, incarnation: u64) -> u64 {
+    clock::combine_hashes(clock::hash(ip.as_bytes()), incarnation)
 }
 
 #[cfg(test)]
--- a/consensus/src/membership_codec.rs
+++ b/consensus/src/membership_codec.rs
@@ -1,17 +1,17 @@
-//! The body of the register of the core membership, as it is committed.
+//! The body of the register of the membership membership, as it is committed.
 
 use protocol::message::CoreMembership;
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
-/// Reads a core membership from the body of its register, or returns `None` if the body is not one.
+/// Reads a membership membership from the body of its register, or returns `None` if the body is not one.
 pub fn decode_membership(body: &[u8]) -> Option<CoreMembership> {
     let mut aligned = AlignedVec::<16>::with_capacity(body.len());
     aligned.extend_from_slice(body);
     rkyv::from_bytes::<CoreMembership, rancor::Error>(&aligned).ok()
 }
 
-/// Returns the body under which a core membership is committed.
+/// Returns the body under which a membership membership is committed.
 pub fn encode_membership(membership: &CoreMembership) -> Vec<u8> {
     rkyv::to_bytes::<rancor::Error>(membership).map(|body| body.to_vec()).unwrap_or_default()
 }
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,4 +1,4 @@
-//! One change or linearizable read of a register, from the first poll to its outcome, as a pure state
+//! One change or linearizable read of a register, from the first request to its outcome, as a pure state
 //! machine. The controller drives it over the network, the simulation in virtual time.
 
 use std::mem;
@@ -20,7 +20,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress<T> {
     Wait,
-    /// To be sent to every voter of the proposal's core; answers to earlier polls no longer count.
+    /// To be sent to every acceptor of the proposal's membership; answers to earlier requests no longer count.
     Send(ConsensusOperation),
     /// Committed, or read at a quorum. The ownership serves the next change of the same key.
     Finished {
@@ -28,22 +28,22 @@
         ownership: Ownership,
         written: bool,
     },
-    /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
+    /// Another owner is at work under this higher proposal number. The outcome of an own write is unknown.
     Superseded(ProposalNumber),
-    /// A voter knows a newer core. The outcome of an own write is unknown.
+    /// An acceptor knows a newer membership. The outcome of an own write is unknown.
     NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage<T> {
-    /// Taking the key over: reading a quorum under a new ballot and committing again what is found.
+    /// Taking the key over: reading a quorum under a new proposal number and committing again what is found.
     Claiming,
     /// Committing an own change.
     Writing(T),
 }
 
 /// Invariants: an answer without a write is given only on what this proposal itself read at a quorum; a
-/// change is written only under a ballot that a quorum has promised to this owner.
+/// change is written only under a proposal number that a quorum has prepared to this owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal<T> {
     key: String,
@@ -52,26 +52,26 @@
 }
 
 impl<T> Proposal<T> {
-    /// Begins with what is held of the key from an earlier proposal, else with a claim. `ballot` must be
+    /// Begins with what is held of the key from an earlier proposal, else with a claim. `proposal number` must be
     /// new to this owner.
     pub fn start(
         key: &str,
-        core: &CoreMembership,
+        membership: &CoreMembership,
         held: Option<Ownership>,
-        ballot: ProposalNumber,
-        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
+        proposal_number: ProposalNumber,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> (Proposal<T>, ConsensusOperation) {
-        let held = held.filter(|owner| owner.membership_version == core.version);
+        let held = held.filter(|owner| owner.membership_version == membership.version);
         if let Some(ownership) = held {
             // An answer without a write would rest on a read of some time ago: another may own the key by now.
-            if let Decision::Write(body, answer) = judge(&ownership.entry.body) {
-                let (round, ask) = Round::change(key, core.clone(), &ownership, body, now);
-                return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, ask);
+            if let Decision::Write(body, answer) = decide(&ownership.entry.body) {
+                let (round, operation) = Round::change(key, membership.clone(), &ownership, body, now);
+                return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, operation);
             }
         }
-        let (round, ask) = Round::claim(key, core.clone(), ballot, now);
-        (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
+        let (round, operation) = Round::claim(key, membership.clone(), proposal_number, now);
+        (Proposal { key: key.into(), round, stage: Stage::Claiming }, operation)
     }
 
     pub fn membership(&self) -> &CoreMembership {
@@ -83,31 +83,32 @@
         self.round.is_expired(now)
     }
 
-    /// Takes one vote on the present poll.
+    /// Takes one vote on the present request.
     pub fn handle_response(
         &mut self,
         from: &str,
-        vote: ConsensusResponse,
-        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
+        response: ConsensusResponse,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> Progress<T> {
-        let ownership = match self.round.handle_response(from, vote, now) {
+        let ownership = match self.round.handle_response(from, response, now) {
             RoundProgress::Wait => return Progress::Wait,
-            RoundProgress::Send(ask) => return Progress::Send(ask),
-            RoundProgress::Superseded(ballot) => return Progress::Superseded(ballot),
-            RoundProgress::NewerMembership(core) => return Progress::NewerMembership(core),
+            RoundProgress::Send(operation) => return Progress::Send(operation),
+            RoundProgress::Superseded(proposal_number) => return Progress::Superseded(proposal_number),
+            RoundProgress::NewerMembership(membership) => return Progress::NewerMembership(membership),
             RoundProgress::Chosen(ownership) => ownership,
         };
         if let Stage::Writing(answer) = mem::replace(&mut self.stage, Stage::Claiming) {
             return Progress::Finished { answer, ownership, written: true };
         }
-        match judge(&ownership.entry.body) {
+        match decide(&ownership.entry.body) {
             Decision::Answer(answer) => Progress::Finished { answer, ownership, written: false },
             Decision::Write(body, answer) => {
-                let (round, ask) = Round::change(&self.key, self.round.membership().clone(), &ownership, body, now);
+                let (round, operation) =
+                    Round::change(&self.key, self.round.membership().clone(), &ownership, body, now);
                 self.round = round;
                 self.stage = Stage::Writing(answer);
-                Progress::Send(ask)
+                Progress::Send(operation)
             }
         }
     }
--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Which members the core is to have next, and the steps that settle a change: pure.
+//! Which members the membership is to have next, and the steps that settle a change: pure.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 /// How long a member must be silent before it may be taken for gone.
 pub const MEMBER_TIMEOUT_MS: u64 = 2500;
 
-/// How a member of the core is heard here.
+/// How a member of the membership is heard here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     pub since_last_seen_ms: u64,
@@ -29,7 +29,7 @@
     }
 }
 
-/// What the next change of the core is decided on.
+/// What the next change of the membership is decided on.
 pub struct ClusterView<'a> {
     pub health: &'a dyn Fn(&str) -> Health,
     /// Live controllers that may be made members and aren't yet.
@@ -38,30 +38,30 @@
     pub joint_quorums: bool,
 }
 
-/// The next core, if any: a member that is gone exchanged for a candidate, one too many removed, or a
-/// candidate added. Invariant: the members that stay are a quorum of the next core.
-pub fn next_membership(core: &CoreMembership, view: &ClusterView) -> Option<CoreMembership> {
-    let is_gone = core.members.iter().find(|member| (view.health)(&member.ip).is_gone());
+/// The next membership, if any: a member that is gone exchanged for a candidate, one too many removed, or a
+/// candidate added. Invariant: the members that stay are a quorum of the next membership.
+pub fn next_membership(membership: &CoreMembership, view: &ClusterView) -> Option<CoreMembership> {
+    let is_gone = membership.members.iter().find(|member| (view.health)(&member.ip).is_gone());
     let candidate = match is_gone {
         Some(is_gone) => view.candidates.iter().find(|one| one.zone == is_gone.zone).or(view.candidates.first()),
         None => view.candidates.first(),
     };
     let list = match (is_gone, candidate) {
-        (Some(is_gone), Some(candidate)) if view.joint_quorums => exchanged(core, is_gone, candidate),
-        (Some(is_gone), _) if core.members.len().is_multiple_of(2) => without(core, is_gone),
-        (_, Some(candidate)) => with(core, candidate),
+        (Some(is_gone), Some(candidate)) if view.joint_quorums => exchanged(membership, is_gone, candidate),
+        (Some(is_gone), _) if membership.members.len().is_multiple_of(2) => without(membership, is_gone),
+        (_, Some(candidate)) => with(membership, candidate),
         _ => return None,
     };
     let next_membership = CoreMembership {
-        version: core.version + 1,
+        version: membership.version + 1,
         members: list,
-        previous_members: core.members.clone(),
+        previous_members: membership.members.clone(),
         stable: false,
     };
     can_settle(&next_membership, view).then_some(next_membership)
 }
 
-/// Those that stay must be a quorum of the next core. Those before it must be able to commit it, and to hear
+/// Those that stay must be a quorum of the next membership. Those before it must be able to commit it, and to hear
 /// of it: one that is leaving still can.
 fn can_settle(next_membership: &CoreMembership, view: &ClusterView) -> bool {
     let is_candidate = |address: &str| view.candidates.iter().any(|one| one.ip == address);
@@ -79,62 +79,67 @@
     quorum::is_quorum(next_membership, &staying) && quorum::has_majority(&next_membership.previous_members, &live)
 }
 
-fn without(core: &CoreMembership, is_gone: &Member) -> Vec<Member> {
-    core.members.iter().filter(|member| *member != is_gone).cloned().collect()
+fn without(membership: &CoreMembership, is_gone: &Member) -> Vec<Member> {
+    membership.members.iter().filter(|member| *member != is_gone).cloned().collect()
 }
 
-fn with(core: &CoreMembership, candidate: &Member) -> Vec<Member> {
-    core.members.iter().chain([candidate]).cloned().collect()
+fn with(membership: &CoreMembership, candidate: &Member) -> Vec<Member> {
+    membership.members.iter().chain([candidate]).cloned().collect()
 }
 
-fn exchanged(core: &CoreMembership, is_gone: &Member, candidate: &Member) -> Vec<Member> {
-    let mut list = without(core, is_gone);
+fn exchanged(membership: &CoreMembership, is_gone: &Member, candidate: &Member) -> Vec<Member> {
+    let mut list = without(membership, is_gone);
     list.push(candidate.clone());
     list
 }
 
-/// The settling of a changed core. Invariant: before it is done, quorums of the old and the new members
-/// know the new core, and every key that any of them held was committed again under it.
+/// The settling of a changed membership. Invariant: before it is done, quorums of the old and the new members
+/// know the new membership, and every key that any of them held was committed again under it.
 pub struct MembershipTransition {
-    core: CoreMembership,
-    knows: Vec<String>,
+    membership: CoreMembership,
+    informed: Vec<String>,
     keys: BTreeSet<String>,
     mark_recommitted: BTreeSet<String>,
 }
 
 impl MembershipTransition {
-    pub fn new(core: &CoreMembership) -> MembershipTransition {
+    pub fn new(membership: &CoreMembership) -> MembershipTransition {
         let keys = [MEMBERSHIP_KEY.to_string()].into();
-        MembershipTransition { core: core.clone(), knows: Vec::new(), keys, mark_recommitted: Default::default() }
+        MembershipTransition {
+            membership: membership.clone(),
+            informed: Vec::new(),
+            keys,
+            mark_recommitted: Default::default(),
+        }
     }
 
     pub fn membership(&self) -> &CoreMembership {
-        &self.core
+        &self.membership
     }
 
-    /// A voter answered a poll that carried the new core. One that did not say which keys it holds does not
+    /// An acceptor answered a request that carried the new membership. One that did not say which keys it holds does not
     /// count: what only it and others out of touch hold would not be committed again.
-    pub fn record_response(&mut self, from: &str, vote: &ConsensusResponse) {
-        if let ConsensusResponse::Positions { positions: list } = vote {
-            self.hear(from, list.iter().map(|held| held.key.clone()));
+    pub fn record_response(&mut self, from: &str, response: &ConsensusResponse) {
+        if let ConsensusResponse::Positions { positions: list } = response {
+            self.record_keys(from, list.iter().map(|held| held.key.clone()));
         }
     }
 
-    /// A voter knows the new core, and told its keys.
-    fn hear(&mut self, from: &str, keys: impl IntoIterator<Item = String>) {
+    /// An acceptor knows the new membership, and told its keys.
+    fn record_keys(&mut self, from: &str, keys: impl IntoIterator<Item = String>) {
         self.keys.extend(keys);
-        if !self.knows.iter().any(|known| known == from) {
-            self.knows.push(from.into());
+        if !self.informed.iter().any(|known| known == from) {
+            self.informed.push(from.into());
         }
     }
 
-    /// Do quorums of the old and the new members know the core?
+    /// Do quorums of the old and the new members know the membership?
     pub fn is_known(&self) -> bool {
-        let known_to = |members: &[Member]| quorum::has_majority(members, &self.knows);
-        known_to(&self.core.members) && known_to(&self.core.previous_members)
+        let known_to = |members: &[Member]| quorum::has_majority(members, &self.informed);
+        known_to(&self.membership.members) && known_to(&self.membership.previous_members)
     }
 
-    /// What must still be committed under the new core. Empty until the core is known.
+    /// What must still be committed under the new membership. Empty until the membership is known.
     pub fn remaining_keys(&self) -> Vec<String> {
         if !self.is_known() {
             return Vec::new();
@@ -151,9 +156,9 @@
     }
 }
 
-/// The core as it is committed once a settlement is done.
-pub fn stabilized(core: &CoreMembership) -> CoreMembership {
-    CoreMembership { stable: true, previous_members: Vec::new(), ..core.clone() }
+/// The membership as it is committed once a transition is done.
+pub fn stabilized(membership: &CoreMembership) -> CoreMembership {
+    CoreMembership { stable: true, previous_members: Vec::new(), ..membership.clone() }
 }
 
 #[cfg(test)]
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -4,8 +4,8 @@
 
 use crate::{quorum, ROUND_TIMEOUT_MS};
 
-/// What an owner holds. Invariants: `entry` is committed; its ballot is the owner's own; a next
-/// change carries `entry.step + 1`, so two changes never share a place.
+/// What an owner holds. Invariants: `entry` is committed; its proposal number is the owner's own; a next
+/// change carries `entry.step + 1`, so two changes never share a position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ownership {
     pub entry: Entry,
@@ -19,15 +19,15 @@
     }
 }
 
-/// Turns of one version of the core.
+/// Turns of one version of the membership.
 const TERMS_PER_MEMBERSHIP: u64 = 1 << 32;
 
-/// The turn of an owner's next ballot: above its last one, and above every turn under an earlier core.
+/// The term of an owner's next proposal number: above its last one, and above every term under an earlier membership.
 ///
-/// What an owner left half done under the core before may be on one disk only, and its promise on members that
-/// are gone. It must not outrank what was committed since by a quorum that never heard of it.
-pub fn next_term(last: u64, core: &CoreMembership) -> u64 {
-    (last + 1).max(core.version * TERMS_PER_MEMBERSHIP)
+/// What an owner left incomplete under the membership before may be on one disk only, and its promise on members that
+/// are gone. It must not outrank what was committed since by a quorum that never learned of it.
+pub fn next_term(last: u64, membership: &CoreMembership) -> u64 {
+    (last + 1).max(membership.version * TERMS_PER_MEMBERSHIP)
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     Send(ConsensusOperation),
     /// Committed: a majority has it on disk.
     Chosen(Ownership),
-    /// Another owner is at work under a higher ballot; the outcome of an own change is unknown.
+    /// Another owner is at work under a higher proposal number; the outcome of an own change is unknown.
     Superseded(ProposalNumber),
     NewerMembership(CoreMembership),
 }
@@ -48,27 +48,27 @@
     Writing(Entry),
 }
 
-/// Invariant: `heard` counts each member once a phase, and only members of the round's core.
+/// Invariant: `heard` counts each member once a phase, and only members of the round's membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
     membership: CoreMembership,
-    ballot: ProposalNumber,
+    proposal_number: ProposalNumber,
     phase: Phase,
     responders: Vec<String>,
     deadline: u64,
 }
 
 impl Round {
-    /// A take-over: reads a majority under a new ballot and commits again what it finds.
+    /// A take-over: reads a majority under a new proposal number and commits again what it finds.
     pub fn claim(
         key: &str,
         membership: CoreMembership,
-        ballot: ProposalNumber,
+        proposal_number: ProposalNumber,
         now: u64,
     ) -> (Round, ConsensusOperation) {
-        let ask = ConsensusOperation::Prepare { key: key.into(), proposal_number: ballot };
-        (Round::new(key, membership, ballot, Phase::Reading { found: None }, now), ask)
+        let operation = ConsensusOperation::Prepare { key: key.into(), proposal_number };
+        (Round::new(key, membership, proposal_number, Phase::Reading { found: None }, now), operation)
     }
 
     /// A change by the holder of a ownership.
@@ -80,13 +80,13 @@
         now: u64,
     ) -> (Round, ConsensusOperation) {
         let entry = Entry { proposal_number: ownership.entry.proposal_number, index: ownership.entry.index + 1, body };
-        let ask = ConsensusOperation::Accept { key: key.into(), entry: entry.clone() };
-        (Round::new(key, membership, entry.proposal_number, Phase::Writing(entry), now), ask)
+        let operation = ConsensusOperation::Accept { key: key.into(), entry: entry.clone() };
+        (Round::new(key, membership, entry.proposal_number, Phase::Writing(entry), now), operation)
     }
 
-    fn new(key: &str, membership: CoreMembership, ballot: ProposalNumber, phase: Phase, now: u64) -> Round {
+    fn new(key: &str, membership: CoreMembership, proposal_number: ProposalNumber, phase: Phase, now: u64) -> Round {
         let deadline = now + ROUND_TIMEOUT_MS;
-        Round { key: key.into(), membership, ballot, phase, responders: Vec::new(), deadline }
+        Round { key: key.into(), membership, proposal_number, phase, responders: Vec::new(), deadline }
     }
 
     pub fn membership(&self) -> &CoreMembership {
@@ -97,16 +97,16 @@
         now >= self.deadline
     }
 
-    pub fn handle_response(&mut self, from: &str, vote: ConsensusResponse, now: u64) -> RoundProgress {
+    pub fn handle_response(&mut self, from: &str, response: ConsensusResponse, now: u64) -> RoundProgress {
         if self.is_expired(now)
             || !quorum::is_member(&self.membership, from)
             || self.responders.iter().any(|ip| ip == from)
         {
             return RoundProgress::Wait;
         }
-        match vote {
+        match response {
             ConsensusResponse::NewerMembership { membership } => return RoundProgress::NewerMembership(membership),
-            ConsensusResponse::Rejected { prepared } if prepared > self.ballot => {
+            ConsensusResponse::Rejected { prepared } if prepared > self.proposal_number => {
                 return RoundProgress::Superseded(prepared)
             }
             ConsensusResponse::Prepared { entry } => {
@@ -132,11 +132,11 @@
             }
             Phase::Reading { found } => {
                 let Some(found) = found.take() else {
-                    let entry = Entry { proposal_number: self.ballot, index: 0, body: Vec::new() };
+                    let entry = Entry { proposal_number: self.proposal_number, index: 0, body: Vec::new() };
                     return RoundProgress::Chosen(Ownership { entry, membership_version: self.membership.version });
                 };
                 // A new number: acceptance of the old phase must not count for the new one.
-                let entry = Entry { proposal_number: self.ballot, index: 0, body: found.body };
+                let entry = Entry { proposal_number: self.proposal_number, index: 0, body: found.body };
                 self.phase = Phase::Writing(entry.clone());
                 self.responders.clear();
                 RoundProgress::Send(ConsensusOperation::Accept { key: self.key.clone(), entry })
--- a/consensus/src/storage/directory.rs
+++ b/consensus/src/storage/directory.rs
@@ -1,13 +1,13 @@
 //! The few file operations that the store needs, behind traits, so that tests can put a simulated
-//! disk with power losses, full disks and failed syncs in place of the real one.
+//! disk with power losses, full disks and failed syncs in position of the real one.
 
 use std::fs;
 use std::io::Result;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// One folder with files in it. A name that was made, changed or removed lasts once `sync` returned.
-pub trait Folder: Send {
+/// One directory with files in it. A name that was made, changed or removed lasts once `sync` returned.
+pub trait Directory: Send {
     fn names(&self) -> Result<Vec<String>>;
     fn open(&self, name: &str) -> Result<Box<dyn DataFile>>;
     /// Creates an empty file; one of that name is emptied.
@@ -29,25 +29,25 @@
     fn sync(&self) -> Result<()>;
 }
 
-/// A folder of the machine's file system.
-pub struct DiskFolder {
+/// A directory of the machine's file system.
+pub struct FileSystemDirectory {
     path: PathBuf,
 }
 
-impl DiskFolder {
-    /// Opens the folder, and makes it where it is missing.
-    pub fn open(path: &Path) -> Result<DiskFolder> {
+impl FileSystemDirectory {
+    /// Opens the directory, and makes it where it is missing.
+    pub fn open(path: &Path) -> Result<FileSystemDirectory> {
         if !path.exists() {
             fs::create_dir_all(path)?;
             if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
                 fs::File::open(parent)?.sync_all()?;
             }
         }
-        Ok(DiskFolder { path: path.into() })
+        Ok(FileSystemDirectory { path: path.into() })
     }
 }
 
-impl Folder for DiskFolder {
+impl Directory for FileSystemDirectory {
     fn names(&self) -> Result<Vec<String>> {
         fs::read_dir(&self.path)?.map(|item| Ok(item?.file_name().to_string_lossy().into_owned())).collect()
     }
--- a/consensus/src/storage/error.rs
+++ b/consensus/src/storage/error.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::{error, fmt, io};
 
-use super::directory::Folder;
+use super::directory::Directory;
 
 #[derive(Debug)]
 pub enum StoreError {
@@ -37,7 +37,7 @@
 }
 
 /// Turns a file error into one that names the file.
-pub fn io_error(folder: &dyn Folder, name: &str) -> impl FnOnce(io::Error) -> StoreError {
-    let path = folder.path(name);
+pub fn io_error(directory: &dyn Directory, name: &str) -> impl FnOnce(io::Error) -> StoreError {
+    let path = directory.path(name);
     |source| StoreError::Io { path, source }
 }
--- a/consensus/src/storage/files.rs
+++ b/consensus/src/storage/files.rs
@@ -1,10 +1,10 @@
 //! The files of a store by name: segments `log-N`, snapshots `snap-N`, and a snapshot being written.
 
-use super::directory::Folder;
+use super::directory::Directory;
 use super::error::{io_error, StoreError};
 
 /// A snapshot that is being written.
-pub const DRAFT: &str = "draft";
+pub const TEMPORARY_SNAPSHOT: &str = "draft";
 
 pub fn segment_name(number: u64) -> String {
     format!("log-{number:08}")
@@ -16,22 +16,22 @@
 
 /// The numbered files of a store, ascending.
 #[derive(Default)]
-pub struct Listing {
+pub struct StoreFiles {
     pub snapshots: Vec<u64>,
     pub segments: Vec<u64>,
 }
 
-impl Listing {
-    pub fn read(folder: &dyn Folder) -> Result<Listing, StoreError> {
-        let mut listing = Listing::default();
-        for name in folder.names().map_err(io_error(folder, ""))? {
+impl StoreFiles {
+    pub fn read(directory: &dyn Directory) -> Result<StoreFiles, StoreError> {
+        let mut files = StoreFiles::default();
+        for name in directory.names().map_err(io_error(directory, ""))? {
             let number = |prefix: &str| name.strip_prefix(prefix).and_then(|rest| rest.parse::<u64>().ok());
-            listing.snapshots.extend(number("snap-").filter(|number| snapshot_name(*number) == name));
-            listing.segments.extend(number("log-").filter(|number| segment_name(*number) == name));
+            files.snapshots.extend(number("snap-").filter(|number| snapshot_name(*number) == name));
+            files.segments.extend(number("log-").filter(|number| segment_name(*number) == name));
         }
-        listing.snapshots.sort_unstable();
-        listing.segments.sort_unstable();
-        Ok(listing)
+        files.snapshots.sort_unstable();
+        files.segments.sort_unstable();
+        Ok(files)
     }
 
     /// The number of the newest snapshot: segments below it are of no more use.
--- a/consensus/src/storage/mod.rs
+++ b/consensus/src/storage/mod.rs
@@ -12,4 +12,4 @@
 pub use store::Store;
 
 #[cfg(test)]
-pub(crate) use directory::{DataFile, Folder};
+pub(crate) use directory::{DataFile, Directory};
--- a/consensus/src/storage/recovery.rs
+++ b/consensus/src/storage/recovery.rs
@@ -1,6 +1,6 @@
 //! What is done when a store is opened: reading files, finding the torn end, making it last.
 
-use super::directory::{DataFile, Folder};
+use super::directory::{DataFile, Directory};
 use super::error::{io_error, StoreError};
 use super::files::segment_name;
 use super::record::LogRecord;
@@ -16,15 +16,15 @@
 
 /// Reads the records of one file. `may_be_torn`: its end may have been written and not synced.
 pub fn read_file(
-    folder: &dyn Folder,
+    directory: &dyn Directory,
     name: &str,
     may_be_torn: bool,
     apply: &mut dyn FnMut(LogRecord),
 ) -> Result<FileEnd, StoreError> {
-    let file = folder.open(name).map_err(io_error(folder, name))?;
-    let mut reader = SegmentReader::new(&*file).map_err(io_error(folder, name))?;
+    let file = directory.open(name).map_err(io_error(directory, name))?;
+    let mut reader = SegmentReader::new(&*file).map_err(io_error(directory, name))?;
     let mut synced = 0;
-    while let Some(stored) = reader.next().map_err(io_error(folder, name))? {
+    while let Some(stored) = reader.next().map_err(io_error(directory, name))? {
         synced = stored.synced_before;
         apply(stored.record);
     }
@@ -32,25 +32,25 @@
     if reader.at_end() {
         return Ok(end);
     }
-    let damaged = |reason| Err(StoreError::Corrupted { path: folder.path(name), offset: end.valid_bytes, reason });
+    let corrupted = |reason| Err(StoreError::Corrupted { path: directory.path(name), offset: end.valid_bytes, reason });
     if !may_be_torn {
-        return damaged("not a whole record, in a file that was synced whole");
+        return corrupted("not a whole record, in a file that was synced whole");
     }
-    if reader.synced_later().map_err(io_error(folder, name))? {
-        return damaged("not a whole record, yet a later one says it was synced");
+    if reader.is_synced_later().map_err(io_error(directory, name))? {
+        return corrupted("not a whole record, yet a later one says it was synced");
     }
-    if reader.is_foreign().map_err(io_error(folder, name))? {
-        return damaged("not a file of a store");
+    if reader.is_foreign().map_err(io_error(directory, name))? {
+        return corrupted("not a file of a store");
     }
     Ok(end)
 }
 
 /// The last segment with bytes in it, or the first: only its end can be torn, since a segment is
 /// written only once the one before it is on disk.
-pub fn active_segment(folder: &dyn Folder, live: &[u64]) -> Result<u64, StoreError> {
+pub fn active_segment(directory: &dyn Directory, live: &[u64]) -> Result<u64, StoreError> {
     for number in live.iter().rev() {
         let name = segment_name(*number);
-        let size = folder.open(&name).and_then(|file| file.size()).map_err(io_error(folder, &name))?;
+        let size = directory.open(&name).and_then(|file| file.size()).map_err(io_error(directory, &name))?;
         if size > 0 {
             return Ok(*number);
         }
@@ -59,8 +59,8 @@
 }
 
 /// Cuts off a torn end, and writes again what may stand in memory only: after a sync that failed in an
-/// earlier life of the process, the kernel gives pages back as if they were on disk.
-pub fn settle_tail(segment: &dyn DataFile, end: &FileEnd) -> std::io::Result<()> {
+/// earlier incarnation of the process, the kernel gives pages back as if they were on disk.
+pub fn repair_tail(segment: &dyn DataFile, end: &FileEnd) -> std::io::Result<()> {
     segment.truncate(end.valid_bytes)?;
     let from = end.synced.min(end.valid_bytes);
     let mut tail = vec![0; (end.valid_bytes - from) as usize];
@@ -71,11 +71,11 @@
 
 /// The segments behind the active one read as empty, but cutting off what a failed write left there may
 /// never have been synced: they must stay empty after the next power loss.
-pub fn settle_empty(folder: &dyn Folder, live: &[u64], active: u64) -> Result<(), StoreError> {
+pub fn clear_later_segments(directory: &dyn Directory, live: &[u64], active: u64) -> Result<(), StoreError> {
     for number in live.iter().filter(|number| **number > active) {
         let name = segment_name(*number);
-        let emptied = folder.open(&name).and_then(|file| file.truncate(0).and_then(|()| file.sync()));
-        emptied.map_err(io_error(folder, &name))?;
+        let emptied = directory.open(&name).and_then(|file| file.truncate(0).and_then(|()| file.sync()));
+        emptied.map_err(io_error(directory, &name))?;
     }
     Ok(())
 }
--- a/consensus/src/storage/segment.rs
+++ b/consensus/src/storage/segment.rs
@@ -47,14 +47,14 @@
 
     /// Does a record behind `offset` say that the bytes at `offset` had been synced? Then they are
     /// not the torn end of a write but damage.
-    pub fn synced_later(&mut self) -> io::Result<bool> {
+    pub fn is_synced_later(&mut self) -> io::Result<bool> {
         let mut start = self.offset + 1;
         while start + HEADER_BYTES as u64 <= self.size {
             let length = READ_BYTES.min(self.size - start);
             let piece = self.bytes(start, length)?.to_vec();
-            let places = piece.windows(MAGIC.len()).enumerate().filter(|(_, bytes)| *bytes == MAGIC);
-            for (place, _) in places {
-                let found = self.record_at(start + place as u64)?;
+            let positions = piece.windows(MAGIC.len()).enumerate().filter(|(_, bytes)| *bytes == MAGIC);
+            for (position, _) in positions {
+                let found = self.record_at(start + position as u64)?;
                 if found.is_some_and(|found| found.synced_before > self.offset) {
                     return Ok(true);
                 }
--- a/consensus/src/testing/model/action.rs
+++ b/consensus/src/testing/model/action.rs
@@ -10,32 +10,32 @@
 /// a doubled one comes again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A proposer begins its next proposal under this turn and core, giving up the present one.
-    Begin { proposer: usize, turn: u64, core: usize },
-    /// The present poll of a proposer reaches a voter, whose vote is under way.
+    /// A proposer begins its next proposal under this term and membership, giving up the present one.
+    Begin { proposer: usize, term: u64, membership: usize },
+    /// The present request of a proposer reaches an acceptor, whose vote is under way.
     Deliver { proposer: usize, machine: usize },
-    /// A voter refuses the present poll, and the proposer hears of it.
+    /// An acceptor refuses the present request, and the proposer learns of it.
     Refuse { proposer: usize, machine: usize },
-    /// A proposer counts the votes of these machines, which are a quorum.
+    /// A proposer counts the responses of these machines, which are a quorum.
     Count { proposer: usize, machines: MachineSet },
-    /// A poll of a round long over reaches a voter.
-    DeliverLate { place: Position, machine: usize },
-    /// A proposer loses its memory and begins a new life.
+    /// A request of a round long over reaches an acceptor.
+    DeliverLate { position: Position, machine: usize },
+    /// A proposer loses its memory and begins a new incarnation.
     Restart { proposer: usize },
-    /// A coordinator hears of the newest core.
+    /// A coordinator learns of the newest membership.
     Inform { proposer: usize },
-    /// A machine loses its disk, and with it its memory; it is told of a committed core, perhaps an old one.
-    Wipe { machine: usize, core: usize },
+    /// A machine loses its disk, and with it its memory; it is notified of a committed membership, perhaps an old one.
+    Wipe { machine: usize, membership: usize },
     /// Time passes.
     Elapse,
-    /// A voter without memory hears of a newer core.
-    Learn { machine: usize, core: usize },
-    /// A voter without memory reads what another holds.
+    /// An acceptor that lost its disk learns of a newer membership.
+    LearnMembership { machine: usize, membership: usize },
+    /// An acceptor that lost its disk reads what another holds.
     Read { machine: usize, from: usize },
-    /// The next core, or the changed one as settled, is committed, on these disks if it matters.
-    CommitCore { proposer: usize, quorum: MachineSet },
-    /// A machine is told of the changed core and says which keys it holds.
-    Spread { proposer: usize, machine: usize },
+    /// The next membership, or the changed one as stable, is committed, on these disks if it matters.
+    CommitMembership { proposer: usize, quorum: MachineSet },
+    /// A machine is notified of the changed membership and says which keys it holds.
+    Announce { proposer: usize, machine: usize },
 }
 
 pub type Successor = Step<Model>;
--- a/consensus/src/testing/model/check.rs
+++ b/consensus/src/testing/model/check.rs
@@ -7,47 +7,47 @@
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, ProposalNumber};
 
 use super::machines::MachineSet;
-use super::proposing::ballot;
+use super::proposing::proposal_number;
 use super::state::State;
 use super::violation::Violation;
 use super::{Model, KEY};
 use crate::quorum;
 
-/// What is asked again and again of a core.
-pub struct CoreFacts {
+/// What is asked again and again of a membership.
+pub struct MembershipFacts {
     pub members: MachineSet,
     /// The quorums that are none without any one of their members.
     pub quorums: Vec<MachineSet>,
 }
 
-/// The facts of each core, which its version and whether it is settled tell apart.
-pub type CoreCache = RefCell<HashMap<(u64, bool), Rc<CoreFacts>>>;
+/// The facts of each membership, which its version and whether it is stable tell apart.
+pub type MembershipCache = RefCell<HashMap<(u64, bool), Rc<MembershipFacts>>>;
 
 impl Model {
-    pub fn core_facts(&self, core: &CoreMembership) -> Rc<CoreFacts> {
-        let key = (core.version, core.stable);
-        if let Some(known) = self.cores.borrow().get(&key) {
+    pub fn membership_facts(&self, membership: &CoreMembership) -> Rc<MembershipFacts> {
+        let key = (membership.version, membership.stable);
+        if let Some(known) = self.memberships.borrow().get(&key) {
             return known.clone();
         }
-        let is_member = |machine: &usize| quorum::is_member(core, &self.addresses[*machine]);
+        let is_member = |machine: &usize| quorum::is_member(membership, &self.addresses[*machine]);
         let members = (0..self.addresses.len()).filter(is_member).collect();
-        let facts = Rc::new(CoreFacts { members, quorums: self.smallest_quorums(core, members) });
-        self.cores.borrow_mut().insert(key, facts.clone());
+        let facts = Rc::new(MembershipFacts { members, quorums: self.smallest_quorums(membership, members) });
+        self.memberships.borrow_mut().insert(key, facts.clone());
         facts
     }
 
-    fn smallest_quorums(&self, core: &CoreMembership, members: MachineSet) -> Vec<MachineSet> {
+    fn smallest_quorums(&self, membership: &CoreMembership, members: MachineSet) -> Vec<MachineSet> {
         let is_quorum = |set: MachineSet| {
             let addresses: Vec<String> = set.iter().map(|machine| self.addresses[machine].clone()).collect();
-            quorum::is_quorum(core, &addresses)
+            quorum::is_quorum(membership, &addresses)
         };
         let smallest = |set: &MachineSet| is_quorum(*set) && !set.iter().any(|machine| is_quorum(set.without(machine)));
         let sets = MachineSet::subsets(self.addresses.len()).filter(|set| members.includes(*set));
         sets.filter(smallest).collect()
     }
 
-    /// One value per place: no two bodies were accepted, or are proposed, under one ballot and step.
-    pub fn check_places(&self, state: &State) -> Result<(), Violation> {
+    /// One value per position: no two bodies were accepted, or are proposed, under one proposal number and step.
+    pub fn check_positions(&self, state: &State) -> Result<(), Violation> {
         let mut seen: Vec<&Entry> = Vec::new();
         for entry in entries(state) {
             match seen.iter().find(|other| other.position() == entry.position()) {
@@ -55,36 +55,36 @@
                 Some(other) if other.body == entry.body => {}
                 Some(other) => {
                     let bodies = [other.body.clone(), entry.body.clone()];
-                    return Err(Violation::TwoValues { place: entry.position(), bodies });
+                    return Err(Violation::ConflictingValues { position: entry.position(), bodies });
                 }
             }
         }
         Ok(())
     }
 
-    /// No two proposers act under one ballot.
+    /// No two proposers act under one proposal number.
     pub fn check_owners(&self, state: &State) -> Result<(), Violation> {
         let mut seen: Vec<ProposalNumber> = Vec::new();
         for proposer in &state.proposers {
-            let own = match (&proposer.task, &proposer.held) {
-                (Some(task), _) => ballot(&task.poll.operation),
-                (None, held) => held.as_ref().map(|owner| owner.entry.proposal_number),
+            let own = match (&proposer.task, &proposer.ownership) {
+                (Some(task), _) => proposal_number(&task.request.operation),
+                (None, ownership) => ownership.as_ref().map(|owner| owner.entry.proposal_number),
             };
-            let Some(ballot) = own else { continue };
-            if seen.contains(&ballot) {
-                return Err(Violation::TwoOwners { ballot });
+            let Some(proposal_number) = own else { continue };
+            if seen.contains(&proposal_number) {
+                return Err(Violation::ConflictingOwners { proposal_number });
             }
-            seen.push(ballot);
+            seen.push(proposal_number);
         }
         Ok(())
     }
 
-    /// Nothing acknowledged is lost: whichever quorum of whichever core is read now, under a new ballot, the
+    /// Nothing acknowledged is lost: whichever quorum of whichever membership is read now, under a new proposal number, the
     /// read returns it or something built on it.
     pub fn check_quorum_reads(&self, state: &State) -> Result<(), Violation> {
-        for core in state.cores.iter() {
-            for quorum in self.core_facts(core).quorums.iter() {
-                if quorum.iter().all(|machine| self.answers(state, machine, core)) {
+        for membership in state.memberships.iter() {
+            for quorum in self.membership_facts(membership).quorums.iter() {
+                if quorum.iter().all(|machine| self.answers(state, machine, membership)) {
                     check_read(state, *quorum)?;
                 }
             }
@@ -92,16 +92,16 @@
         Ok(())
     }
 
-    /// Would this voter take part in a round of this core?
-    pub fn answers(&self, state: &State, machine: usize, core: &CoreMembership) -> bool {
-        let voter = &state.replicas[machine].voter;
-        voter.may_vote && voter.membership.version <= core.version
+    /// Would this acceptor take part in a round of this membership?
+    pub fn answers(&self, state: &State, machine: usize, membership: &CoreMembership) -> bool {
+        let acceptor = &state.replicas[machine].acceptor;
+        acceptor.may_vote && acceptor.membership.version <= membership.version
     }
 }
 
 fn check_read(state: &State, quorum: MachineSet) -> Result<(), Violation> {
-    let slots = quorum.iter().filter_map(|machine| state.replicas[machine].voter.registers.get(KEY));
-    let newest = slots.filter_map(|slot| slot.entry.as_ref()).max_by_key(|entry| entry.position());
+    let registers = quorum.iter().filter_map(|machine| state.replicas[machine].acceptor.registers.get(KEY));
+    let newest = registers.filter_map(|register| register.entry.as_ref()).max_by_key(|entry| entry.position());
     let found = newest.map(|entry| entry.body.as_slice()).unwrap_or_default();
     match found.starts_with(&state.acknowledged) {
         true => Ok(()),
@@ -109,18 +109,18 @@
     }
 }
 
-/// All entries of the key that exist: on disks, in polls under way and late, in votes, with owners.
+/// All entries of the key that exist: on disks, in requests under way and late, in votes, with owners.
 fn entries(state: &State) -> impl Iterator<Item = &Entry> {
-    let stored = state.replicas.iter().filter_map(|replica| replica.voter.registers.get(KEY)?.entry.as_ref());
+    let stored = state.replicas.iter().filter_map(|replica| replica.acceptor.registers.get(KEY)?.entry.as_ref());
     let tasks = || state.proposers.iter().filter_map(|proposer| proposer.task.as_ref());
-    let polls = tasks().map(|task| &task.poll).chain(state.late.iter());
-    let proposed = polls.filter_map(|poll| match &poll.operation {
+    let requests = tasks().map(|task| &task.request).chain(state.late.iter());
+    let proposed = requests.filter_map(|request| match &request.operation {
         ConsensusOperation::Accept { entry, .. } => Some(entry),
         _ => None,
     });
-    let voted = tasks().flat_map(|task| task.votes.values()).filter_map(|vote| match &**vote {
+    let responded = tasks().flat_map(|task| task.responses.values()).filter_map(|response| match &**response {
         ConsensusResponse::Prepared { entry } => entry.as_ref(),
         _ => None,
     });
-    stored.chain(proposed).chain(voted)
+    stored.chain(proposed).chain(responded)
 }
--- a/consensus/src/testing/model/defect_tests.rs
+++ b/consensus/src/testing/model/defect_tests.rs
@@ -1,7 +1,7 @@
 //! Faults put in on purpose: a check that can't fail shows nothing.
 use super::machines::MachineSet;
-use super::runs::{core_of, finds, proposer};
-use super::scenario::{CoreChange, Defect, Operation, Scenario};
+use super::runs::{finds, members_only, proposer};
+use super::scenario::{Defect, MembershipChange, Operation, Scenario};
 use super::violation::Violation;
 use Operation::{Read, Write};
 
@@ -11,13 +11,20 @@
 
 fn two_changes(defect: Defect) -> Scenario {
     let proposers = vec![proposer(&[Write(1)], 1), proposer(&[Write(2)], 1)];
-    Scenario { proposers, defect: Some(defect), ..core_of(3) }
+    Scenario { proposers, defect: Some(defect), ..members_only(3) }
 }
 
 fn exchange(defect: Defect) -> Scenario {
-    let core_change = Some(CoreChange { leaving: Some(2), candidates: vec![3], coordinators: 1 });
-    let done_before = Some((Write(9), MachineSet::from_iter([1, 2])));
-    Scenario { machines: 4, core_change, done_before, defect: Some(defect), interchangeable: Vec::new(), ..core_of(3) }
+    let membership_change = Some(MembershipChange { leaving: Some(2), candidates: vec![3], coordinators: 1 });
+    let earlier_operation = Some((Write(9), MachineSet::from_iter([1, 2])));
+    Scenario {
+        machines: 4,
+        membership_change,
+        earlier_operation,
+        defect: Some(defect),
+        interchangeable: Vec::new(),
+        ..members_only(3)
+    }
 }
 
 #[test]
@@ -28,22 +35,22 @@
 
 #[test]
 fn an_old_ballot_that_is_accepted_is_found() {
-    let found = finds("old ballot accepted", &two_changes(Defect::OldBallotAccepted));
+    let found = finds("old ballot accepted", &two_changes(Defect::OldProposalAccepted));
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
 
 #[test]
 fn a_vote_that_is_not_on_disk_is_found() {
-    let found = finds("vote before disk", &two_changes(Defect::VoteBeforeDisk));
-    assert_eq!(found.violation, Violation::NotOnDisk);
+    let found = finds("vote before disk", &two_changes(Defect::ResponseBeforeSync));
+    assert_eq!(found.violation, Violation::NotSynced);
 }
 
 #[test]
 fn a_ballot_used_in_two_lives_is_found() {
-    let scenario = Scenario { restarts: 1, ..two_changes(Defect::BallotsUsedAgain) };
+    let scenario = Scenario { restarts: 1, ..two_changes(Defect::ProposalNumbersReused) };
     let proposers = vec![proposer(&[Write(1)], 2)];
     let found = finds("ballots used again", &Scenario { proposers, ..scenario });
-    assert!(matches!(found.violation, Violation::TwoOwners { .. }), "{:?}", found.trace);
+    assert!(matches!(found.violation, Violation::ConflictingOwners { .. }), "{:?}", found.trace);
 }
 
 #[test]
@@ -62,7 +69,7 @@
 #[test]
 fn a_wiped_voter_that_reads_before_the_rounds_with_its_votes_are_over_is_found() {
     let proposers = vec![proposer(&[Write(1)], 1)];
-    let scenario = Scenario { wipes: 1, proposers, ..two_changes(Defect::RecallWithoutDelay) };
+    let scenario = Scenario { wipes: 1, proposers, ..two_changes(Defect::RecoveryWithoutDelay) };
     assert!(is_lost(&finds("wiped voter reads at once", &scenario).violation));
 }
 
@@ -73,5 +80,5 @@
 
 #[test]
 fn an_exchange_settled_without_committing_the_keys_again_is_found() {
-    assert!(is_lost(&finds("settled without renewal", &exchange(Defect::SettledWithoutRenewal)).violation));
+    assert!(is_lost(&finds("settled without renewal", &exchange(Defect::StabilizedWithoutRecommit)).violation));
 }
--- a/consensus/src/testing/model/machines.rs
+++ b/consensus/src/testing/model/machines.rs
@@ -7,7 +7,7 @@
     format!("10.0.0.{machine}")
 }
 
-/// A member of the core on this machine.
+/// A member of the membership on this machine.
 pub fn member(machine: usize) -> Member {
     Member { ip: address(machine), zone: String::new() }
 }
--- a/consensus/src/testing/model/membership_tests.rs
+++ b/consensus/src/testing/model/membership_tests.rs
@@ -1,30 +1,30 @@
 //! Explorations of every change of members that the controller makes.
 use super::machines::MachineSet;
-use super::runs::{core_of, holds_in_every_state, holds_in_first_states, proposer};
-use super::scenario::{CoreChange, HalfDone, Operation, Scenario};
+use super::runs::{holds_in_every_state, holds_in_first_states, members_only, proposer};
+use super::scenario::{IncompleteWrite, MembershipChange, Operation, Scenario};
 use Operation::{Read, Write};
 
-fn change(leaving: Option<usize>, candidates: &[usize]) -> Option<CoreChange> {
-    Some(CoreChange { leaving, candidates: candidates.to_vec(), coordinators: 1 })
+fn change(leaving: Option<usize>, candidates: &[usize]) -> Option<MembershipChange> {
+    Some(MembershipChange { leaving, candidates: candidates.to_vec(), coordinators: 1 })
 }
 
 /// A member that ends is exchanged for one that waits.
 fn exchanged(members: usize) -> Scenario {
-    let core_change = change(Some(members - 1), &[members]);
+    let membership_change = change(Some(members - 1), &[members]);
     let interchangeable = vec![(0..members - 1).collect()];
-    Scenario { machines: members + 1, core_change, interchangeable, ..core_of(members) }
+    Scenario { machines: members + 1, membership_change, interchangeable, ..members_only(members) }
 }
 
 /// One that waits is added.
 fn added(members: usize) -> Scenario {
-    let core_change = change(None, &[members]);
-    Scenario { machines: members + 1, core_change, ..core_of(members) }
+    let membership_change = change(None, &[members]);
+    Scenario { machines: members + 1, membership_change, ..members_only(members) }
 }
 
 /// A member that ends is removed.
 fn removed(members: usize) -> Scenario {
-    let core_change = change(Some(members - 1), &[]);
-    Scenario { core_change, interchangeable: vec![(0..members - 1).collect()], ..core_of(members) }
+    let membership_change = change(Some(members - 1), &[]);
+    Scenario { membership_change, interchangeable: vec![(0..members - 1).collect()], ..members_only(members) }
 }
 
 fn one_change(scenario: Scenario) -> Scenario {
@@ -37,7 +37,7 @@
 
 /// A change was acknowledged that is on these machines only.
 fn acknowledged_on(machines: &[usize], scenario: Scenario) -> Scenario {
-    Scenario { done_before: Some((Write(9), MachineSet::from_iter(machines.iter().copied()))), ..scenario }
+    Scenario { earlier_operation: Some((Write(9), MachineSet::from_iter(machines.iter().copied()))), ..scenario }
 }
 
 #[test]
@@ -98,28 +98,29 @@
 #[test]
 fn a_voter_that_was_told_of_the_change_and_forgot_it_does_not_count_for_the_settlement() {
     let read_before = Some((Read, MachineSet::from_iter([0, 1])));
-    let scenario = Scenario { done_before: read_before, ..one_lost_disk(one_change(exchanged(3))) };
+    let scenario = Scenario { earlier_operation: read_before, ..one_lost_disk(one_change(exchanged(3))) };
     let name = "exchange, first change by the owner, the disk of one that was told is lost";
     holds_in_first_states(name, &scenario, 8_000);
 }
 
 #[test]
 fn what_was_left_half_done_before_the_change_does_not_outrank_what_comes_after_it() {
-    let half_done = HalfDone { promised_by: [0, 2].into_iter().collect(), accepted_by: [0].into_iter().collect() };
-    let scenario = Scenario { left_half_done: Some(half_done), ..one_change(exchanged(3)) };
+    let incomplete =
+        IncompleteWrite { prepared_by: [0, 2].into_iter().collect(), accepted_by: [0].into_iter().collect() };
+    let scenario = Scenario { incomplete_write: Some(incomplete), ..one_change(exchanged(3)) };
     holds_in_first_states("exchange, a change half done before it, 1 change", &scenario, 15_000);
 }
 
 #[test]
 fn two_coordinators_make_one_change() {
-    let core_change = exchanged(3).core_change.map(|change| CoreChange { coordinators: 2, ..change });
-    let scenario = acknowledged_on(&[1, 2], Scenario { core_change, ..exchanged(3) });
+    let membership_change = exchanged(3).membership_change.map(|change| MembershipChange { coordinators: 2, ..change });
+    let scenario = acknowledged_on(&[1, 2], Scenario { membership_change, ..exchanged(3) });
     holds_in_first_states("exchange by 2 coordinators", &scenario, 6_000);
 }
 
 #[test]
 fn one_change_of_members_follows_another() {
-    let scenario = Scenario { machines: 5, core_change: change(Some(2), &[3, 4]), ..exchanged(3) };
+    let scenario = Scenario { machines: 5, membership_change: change(Some(2), &[3, 4]), ..exchanged(3) };
     let name = "1 exchanged, then 1 added, 1 change";
     holds_in_first_states(name, &acknowledged_on(&[1, 2], one_change(scenario)), 6_000);
 }
--- a/consensus/src/testing/model/mod.rs
+++ b/consensus/src/testing/model/mod.rs
@@ -1,7 +1,7 @@
 //! An exhaustive, bounded model check of agreement.
 //!
-//! The explorer visits every state that a small core can reach: each poll reaches each voter at any time, in
-//! any order, more than once or never; votes are counted late or never; proposers and voters restart, disks
+//! The explorer visits every state that a small membership can reach: each request reaches each acceptor at any time, in
+//! any order, more than once or never; responses are counted late or never; proposers and acceptors restart, disks
 //! are lost and members change. What votes, counts votes and decides is the production code: `Voter`,
 //! `Proposal` with `Round`, `quorum` and `membership`. Only what carries them (network, disk, clock, clients)
 //! is modelled here. `docs/ledger.md` says what is checked, what was left out and why that loses nothing.
@@ -15,7 +15,7 @@
 use violation::Violation;
 
 mod action;
-mod changing_core;
+mod changing_membership;
 mod check;
 mod ending;
 mod explore;
@@ -37,7 +37,7 @@
 pub struct Model {
     scenario: Scenario,
     addresses: Vec<String>,
-    cores: check::CoreCache,
+    memberships: check::MembershipCache,
     answers: voting::AnswerCache,
     /// Contents of disks from which progress was shown.
     progressed: RefCell<HashSet<u64>>,
@@ -49,7 +49,7 @@
         Model {
             scenario,
             addresses,
-            cores: Default::default(),
+            memberships: Default::default(),
             answers: Default::default(),
             progressed: Default::default(),
         }
@@ -74,9 +74,9 @@
     fn successors(&self, state: &State) -> Vec<Successor> {
         let mut list = Vec::new();
         self.propose(state, &mut list);
-        self.vote(state, &mut list);
+        self.deliver_requests(state, &mut list);
         self.recover(state, &mut list);
-        self.change_core(state, &mut list);
+        self.change_membership(state, &mut list);
         for successor in &mut list {
             if let Ok(next) = &mut successor.outcome {
                 self.normalize(next);
@@ -86,7 +86,7 @@
     }
 
     fn check(&self, state: &State) -> Result<(), Violation> {
-        self.check_places(state)?;
+        self.check_positions(state)?;
         self.check_owners(state)?;
         self.check_quorum_reads(state)?;
         self.check_progress(state)
--- a/consensus/src/testing/model/progress.rs
+++ b/consensus/src/testing/model/progress.rs
@@ -17,32 +17,36 @@
 use crate::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS, ROUND_TIMEOUT_MS};
 
 impl Model {
-    /// Runs a proposal to its end with these machines answering each poll at once.
+    /// Runs a proposal to its end with these machines answering each request at once.
     pub fn run(
         &self,
         state: &mut State,
-        core: &CoreMembership,
+        membership: &CoreMembership,
         machines: MachineSet,
         operation: Operation,
     ) -> Result<Progress<Vec<u8>>, Violation> {
-        let ballot = ProposalNumber { term: next_term(state.highest_turn(), core), replica_id: u64::MAX };
-        let mut judge = |body: &[u8]| operation.judge(body);
-        let (mut proposal, mut ask) = Proposal::start(KEY, core, None, ballot, &mut judge, state.now);
-        'poll: loop {
-            let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask.clone() });
+        let proposal_number =
+            ProposalNumber { term: next_term(state.highest_term(), membership), replica_id: u64::MAX };
+        let mut decide = |body: &[u8]| operation.decide(body);
+        let (mut proposal, mut requested) =
+            Proposal::start(KEY, membership, None, proposal_number, &mut decide, state.now);
+        'request: loop {
+            let request =
+                Shared::new(ConsensusRequest { membership: membership.clone(), operation: requested.clone() });
             for machine in machines.iter() {
-                let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
-                state.put_voter(machine, voter);
+                let Answer { acceptor, response } =
+                    self.respond(machine, &state.replicas[machine].acceptor, &request)?;
+                state.put_acceptor(machine, acceptor);
                 match proposal.handle_response(
                     &self.addresses[machine],
-                    ConsensusResponse::clone(&vote),
-                    &mut judge,
+                    ConsensusResponse::clone(&response),
+                    &mut decide,
                     state.now,
                 ) {
                     Progress::Wait => {}
                     Progress::Send(next) => {
-                        ask = next;
-                        continue 'poll;
+                        requested = next;
+                        continue 'request;
                     }
                     over => return Ok(over),
                 }
@@ -55,11 +59,11 @@
     /// with the same disks are looked at once.
     pub fn check_progress(&self, state: &State) -> Result<(), Violation> {
         let mut hasher = DefaultHasher::new();
-        (&state.replicas, &state.cores, &state.acknowledged).hash(&mut hasher);
+        (&state.replicas, &state.memberships, &state.acknowledged).hash(&mut hasher);
         if !self.progressed.borrow_mut().insert(hasher.finish()) {
             return Ok(());
         }
-        let newest = state.newest_core().clone();
+        let newest = state.newest_membership().clone();
         self.check_reads(state, &newest)?;
         let mut later = state.clone();
         self.end_losses(&mut later, &newest)?;
@@ -67,33 +71,38 @@
             return self.check_reads(&later, &newest);
         }
         let everyone = MachineSet::subsets(self.addresses.len()).last().expect("machines");
-        self.check_settlement(later.clone(), &newest, everyone)?;
+        self.check_transition(later.clone(), &newest, everyone)?;
         // One at a time may be out of touch, as long as quorums before and after the change are left.
-        let settles = |in_touch: &MachineSet| self.may_settle(&newest, *in_touch);
-        let mut all_but_one = (0..self.addresses.len()).map(|machine| everyone.without(machine)).filter(settles);
-        all_but_one.try_for_each(|in_touch| self.check_settlement(later.clone(), &newest, in_touch))
+        let stabilizes = |in_touch: &MachineSet| self.may_stabilize(&newest, *in_touch);
+        let mut all_but_one = (0..self.addresses.len()).map(|machine| everyone.without(machine)).filter(stabilizes);
+        all_but_one.try_for_each(|in_touch| self.check_transition(later.clone(), &newest, in_touch))
     }
 
-    /// Are these machines a quorum of the changed core, and a majority of the members before it?
-    fn may_settle(&self, core: &CoreMembership, in_touch: MachineSet) -> bool {
+    /// Are these machines a quorum of the changed membership, and a majority of the members before it?
+    fn may_stabilize(&self, membership: &CoreMembership, in_touch: MachineSet) -> bool {
         let addresses: Vec<String> = in_touch.iter().map(|machine| self.addresses[machine].clone()).collect();
-        let has_quorum = self.core_facts(core).quorums.iter().any(|quorum| in_touch.includes(*quorum));
-        has_quorum && quorum::has_majority(&core.previous_members, &addresses)
+        let has_quorum = self.membership_facts(membership).quorums.iter().any(|quorum| in_touch.includes(*quorum));
+        has_quorum && quorum::has_majority(&membership.previous_members, &addresses)
     }
 
     /// A read by any quorum that may vote finishes, and returns all that was acknowledged.
-    fn check_reads(&self, state: &State, core: &CoreMembership) -> Result<(), Violation> {
-        for quorum in self.core_facts(core).quorums.iter() {
-            if quorum.iter().all(|machine| self.answers(state, machine, core)) {
-                self.check_read_by(state.clone(), core, *quorum)?;
+    fn check_reads(&self, state: &State, membership: &CoreMembership) -> Result<(), Violation> {
+        for quorum in self.membership_facts(membership).quorums.iter() {
+            if quorum.iter().all(|machine| self.answers(state, machine, membership)) {
+                self.check_read_by(state.clone(), membership, *quorum)?;
             }
         }
         Ok(())
     }
 
-    fn check_read_by(&self, mut state: State, core: &CoreMembership, quorum: MachineSet) -> Result<(), Violation> {
+    fn check_read_by(
+        &self,
+        mut state: State,
+        membership: &CoreMembership,
+        quorum: MachineSet,
+    ) -> Result<(), Violation> {
         let acknowledged = state.acknowledged.clone();
-        match self.run(&mut state, core, quorum, Operation::Read)? {
+        match self.run(&mut state, membership, quorum, Operation::Read)? {
             Progress::Finished { answer, .. } if answer.starts_with(&acknowledged) => Ok(()),
             Progress::Finished { answer, .. } => {
                 Err(Violation::Lost { acknowledged: acknowledged.to_vec(), found: answer })
@@ -102,51 +111,58 @@
         }
     }
 
-    /// All voters without memory read the others and vote again.
-    fn end_losses(&self, state: &mut State, core: &CoreMembership) -> Result<(), Violation> {
+    /// All acceptors that lost its disk read the others and vote again.
+    fn end_losses(&self, state: &mut State, membership: &CoreMembership) -> Result<(), Violation> {
         state.now += ROUND_TIMEOUT_MS + RECOVERY_DELAY_MS;
-        let mute: Vec<usize> = (0..state.replicas.len()).filter(|at| !state.replicas[*at].voter.may_vote).collect();
-        for machine in mute {
-            state.tell(machine, core);
-            for from in self.recovery_peers(machine, &state.replicas[machine].voter) {
-                if state.replicas[machine].voter.may_vote {
+        let non_voting: Vec<usize> =
+            (0..state.replicas.len()).filter(|at| !state.replicas[*at].acceptor.may_vote).collect();
+        for machine in non_voting {
+            state.notify(machine, membership);
+            for from in self.recovery_peers(machine, &state.replicas[machine].acceptor) {
+                if state.replicas[machine].acceptor.may_vote {
                     break;
                 }
                 if let Some(next) = self.read_from(state, machine, from)? {
                     *state = next;
                 }
             }
-            if !state.replicas[machine].voter.may_vote {
+            if !state.replicas[machine].acceptor.may_vote {
                 return Err(Violation::Stuck("a voter that lost its disk does not vote again"));
             }
         }
         Ok(())
     }
 
-    /// A changed core is settled while these machines are in touch, and reads finish after it.
-    fn check_settlement(&self, mut state: State, core: &CoreMembership, in_touch: MachineSet) -> Result<(), Violation> {
-        let mut settlement = MembershipTransition::new(core);
-        let told = quorum::old_and_new_members(core);
-        let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ConsensusOperation::Positions });
-        for machine in in_touch.iter().filter(|machine| told.contains(&self.addresses[*machine])) {
-            let Answer { voter, vote } = self.poll(machine, &state.replicas[machine].voter, &poll)?;
-            state.put_voter(machine, voter);
-            settlement.record_response(&self.addresses[machine], &vote);
+    /// A changed membership is stable while these machines are in touch, and reads finish after it.
+    fn check_transition(
+        &self,
+        mut state: State,
+        membership: &CoreMembership,
+        in_touch: MachineSet,
+    ) -> Result<(), Violation> {
+        let mut transition = MembershipTransition::new(membership);
+        let recipients = quorum::old_and_new_members(membership);
+        let request =
+            Shared::new(ConsensusRequest { membership: membership.clone(), operation: ConsensusOperation::Positions });
+        for machine in in_touch.iter().filter(|machine| recipients.contains(&self.addresses[*machine])) {
+            let Answer { acceptor, response } = self.respond(machine, &state.replicas[machine].acceptor, &request)?;
+            state.put_acceptor(machine, acceptor);
+            transition.record_response(&self.addresses[machine], &response);
         }
         let members: MachineSet =
-            self.core_facts(core).members.iter().filter(|machine| in_touch.contains(*machine)).collect();
-        for key in settlement.remaining_keys() {
-            let read = self.run(&mut state, core, members, Operation::Read)?;
-            let is_renewed = key == MEMBERSHIP_KEY || matches!(read, Progress::Finished { .. });
-            if is_renewed {
-                settlement.mark_recommitted(&key);
+            self.membership_facts(membership).members.iter().filter(|machine| in_touch.contains(*machine)).collect();
+        for key in transition.remaining_keys() {
+            let read = self.run(&mut state, membership, members, Operation::Read)?;
+            let is_recommitted = key == MEMBERSHIP_KEY || matches!(read, Progress::Finished { .. });
+            if is_recommitted {
+                transition.mark_recommitted(&key);
             }
         }
-        if !settlement.is_done() {
+        if !transition.is_done() {
             return Err(Violation::Stuck("a change of the core is not settled"));
         }
-        let settled = stabilized(core);
-        state.cores = Shared::new(vec![settled.clone()]);
+        let settled = stabilized(membership);
+        state.memberships = Shared::new(vec![settled.clone()]);
         self.check_reads(&state, &settled)
     }
 }
--- a/consensus/src/testing/model/proposing.rs
+++ b/consensus/src/testing/model/proposing.rs
@@ -11,16 +11,16 @@
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, ProposalNumber};
 
 /// More lives than any proposer has.
-const LIVES: u64 = 16;
+const INCARNATIONS: u64 = 16;
 
-fn seat(proposer: usize, life: u64) -> u64 {
-    proposer as u64 * LIVES + life
+fn replica_id(proposer: usize, incarnation: u64) -> u64 {
+    proposer as u64 * INCARNATIONS + incarnation
 }
 
-/// The ballot that a poll is sent under.
-pub fn ballot(ask: &ConsensusOperation) -> Option<ProposalNumber> {
-    match ask {
-        ConsensusOperation::Prepare { proposal_number: ballot, .. } => Some(*ballot),
+/// The proposal number that a request is sent under.
+pub fn proposal_number(requested: &ConsensusOperation) -> Option<ProposalNumber> {
+    match requested {
+        ConsensusOperation::Prepare { proposal_number, .. } => Some(*proposal_number),
         ConsensusOperation::Accept { entry, .. } => Some(entry.proposal_number),
         _ => None,
     }
@@ -40,26 +40,26 @@
         let proposer = &state.proposers[at];
         if proposer.coordinates {
             let left = self
-                .settlement(state, at)
-                .is_some_and(|settlement| settlement.remaining_keys().iter().any(|key| key == KEY));
-            return left.then_some(Purpose::Renewal);
+                .transition(state, at)
+                .is_some_and(|transition| transition.remaining_keys().iter().any(|key| key == KEY));
+            return left.then_some(Purpose::Recommit);
         }
         self.scenario.proposers[at].operations.get(proposer.done).copied().map(Purpose::Operation)
     }
 
-    /// Begins the next proposal: under the next turn or, if it heard of one by now, above the highest; with the
-    /// core that it knows or, if it heard of one by now, a newer one.
+    /// Begins the next proposal: under the next term or, if it learned of one by now, above the highest; with the
+    /// membership that it knows or, if it learned of one by now, a newer one.
     fn begin(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let proposer = &state.proposers[at];
         let Some(purpose) = self.purpose(state, at) else { return };
         if proposer.attempts_left == 0 {
             return;
         }
-        let newest = if proposer.coordinates { proposer.core } else { state.cores.len() - 1 };
-        for core in proposer.core..=newest {
-            for turn in turns(state, proposer, &state.cores[core]) {
-                let action = Action::Begin { proposer: at, turn, core };
-                list.push(Successor { action, outcome: self.begin_under(state, at, purpose, turn, core) });
+        let newest = if proposer.coordinates { proposer.membership } else { state.memberships.len() - 1 };
+        for membership in proposer.membership..=newest {
+            for term in terms(state, proposer, &state.memberships[membership]) {
+                let action = Action::Begin { proposer: at, term, membership };
+                list.push(Successor { action, outcome: self.begin_under(state, at, purpose, term, membership) });
             }
         }
     }
@@ -69,33 +69,34 @@
         state: &State,
         at: usize,
         purpose: Purpose,
-        turn: u64,
-        core: usize,
+        term: u64,
+        membership: usize,
     ) -> Result<State, Violation> {
         let proposer = &state.proposers[at];
-        let held = proposer.held.clone().filter(|_| purpose != Purpose::Renewal);
+        let ownership = proposer.ownership.clone().filter(|_| purpose != Purpose::Recommit);
         let mut next = state.clone();
         next.end_task(at);
         next.proposers[at].edit(|proposer| {
-            (proposer.attempts_left, proposer.turn, proposer.held) = (proposer.attempts_left - 1, turn, None);
-            proposer.know_core(core);
+            (proposer.attempts_left, proposer.term, proposer.ownership) = (proposer.attempts_left - 1, term, None);
+            proposer.learn_membership(membership);
         });
-        if let Some(owner) = held.clone().filter(|_| self.answers_from_memory(purpose)) {
+        if let Some(owner) = ownership.clone().filter(|_| self.answers_from_memory(purpose)) {
             return self.finish(next, at, purpose, &state.acknowledged, owner.entry.body.clone(), owner);
         }
         let operation = purpose.operation();
-        let ballot = ProposalNumber { term: turn, replica_id: seat(at, proposer.life) };
-        let mut judge = |body: &[u8]| operation.judge(body);
-        let core = &state.cores[core];
-        let (proposal, ask) = Proposal::start(KEY, core, held, ballot, &mut judge, state.now);
-        if matches!(ask, ConsensusOperation::Prepare { .. }) && state.is_used(ballot) {
-            return Err(Violation::TwoOwners { ballot });
+        let proposal_number = ProposalNumber { term, replica_id: replica_id(at, proposer.incarnation) };
+        let mut decide = |body: &[u8]| operation.decide(body);
+        let membership = &state.memberships[membership];
+        let (proposal, requested) =
+            Proposal::start(KEY, membership, ownership, proposal_number, &mut decide, state.now);
+        if matches!(requested, ConsensusOperation::Prepare { .. }) && state.is_used(proposal_number) {
+            return Err(Violation::ConflictingOwners { proposal_number });
         }
         let task = Task {
             purpose,
             proposal: Shared::new(proposal),
-            poll: Shared::new(ConsensusRequest { membership: core.clone(), operation: ask }),
-            votes: Default::default(),
+            request: Shared::new(ConsensusRequest { membership: membership.clone(), operation: requested }),
+            responses: Default::default(),
             acknowledged_before: state.acknowledged.clone(),
         };
         next.proposers[at].edit(|proposer| proposer.task = Some(task));
@@ -106,44 +107,44 @@
         self.has(Defect::ReadFromMemory) && purpose == Purpose::Operation(Operation::Read)
     }
 
-    /// Counts the votes of a quorum, for each smallest one whose votes are there.
+    /// Counts the responses of a quorum, for each smallest one whose responses are there.
     fn count(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[at].task else { return };
-        let voted: MachineSet = task.votes.keys().copied().collect();
-        let facts = self.core_facts(&task.poll.membership);
+        let responded: MachineSet = task.responses.keys().copied().collect();
+        let facts = self.membership_facts(&task.request.membership);
         for quorum in &facts.quorums {
-            let absent: Vec<usize> = quorum.iter().filter(|machine| !voted.contains(*machine)).collect();
-            let mut votes: Vec<(usize, Shared<ConsensusResponse>)> =
-                quorum.iter().filter_map(|machine| Some((machine, task.votes.get(&machine)?.clone()))).collect();
+            let absent: Vec<usize> = quorum.iter().filter(|machine| !responded.contains(*machine)).collect();
+            let mut responses: Vec<(usize, Shared<ConsensusResponse>)> =
+                quorum.iter().filter_map(|machine| Some((machine, task.responses.get(&machine)?.clone()))).collect();
             match absent[..] {
                 [] => {}
                 [machine] if self.has(Defect::QuorumOneShort) => {
-                    votes.push((machine, invented_vote(&task.poll.operation)))
+                    responses.push((machine, forged_response(&task.request.operation)))
                 }
                 _ => continue,
             }
             let action = Action::Count { proposer: at, machines: *quorum };
-            list.push(Successor { action, outcome: self.hear(state.clone(), at, &votes) });
+            list.push(Successor { action, outcome: self.count_responses(state.clone(), at, &responses) });
         }
     }
 
     /// A proposer hears these votes, the last of which is to bring it on.
-    pub fn hear(
+    pub fn count_responses(
         &self,
         state: State,
         at: usize,
-        votes: &[(usize, Shared<ConsensusResponse>)],
+        responses: &[(usize, Shared<ConsensusResponse>)],
     ) -> Result<State, Violation> {
         let task = state.proposers[at].task.clone().expect("a task");
         let mut proposal = Proposal::clone(&task.proposal);
         let operation = task.purpose.operation();
-        let mut judge = |body: &[u8]| operation.judge(body);
+        let mut decide = |body: &[u8]| operation.decide(body);
         let mut progress = Progress::Wait;
-        for (machine, vote) in votes {
+        for (machine, response) in responses {
             progress = proposal.handle_response(
                 &self.addresses[*machine],
-                ConsensusResponse::clone(vote),
-                &mut judge,
+                ConsensusResponse::clone(response),
+                &mut decide,
                 state.now,
             );
         }
@@ -160,20 +161,21 @@
         state.end_task(at);
         match progress {
             Progress::Wait => return Err(Violation::Stuck("the votes of a quorum did not bring a round on")),
-            Progress::Send(ask) => {
-                let poll = Shared::new(ConsensusRequest { membership: task.poll.membership.clone(), operation: ask });
-                let task = Task { poll, votes: Default::default(), ..task };
+            Progress::Send(requested) => {
+                let request =
+                    Shared::new(ConsensusRequest { membership: task.request.membership.clone(), operation: requested });
+                let task = Task { request, responses: Default::default(), ..task };
                 state.proposers[at].edit(|proposer| proposer.task = Some(task));
             }
             Progress::Finished { answer, ownership: owner, .. } => {
                 return self.finish(state, at, task.purpose, &task.acknowledged_before, answer, owner);
             }
-            Progress::Superseded(ballot) => {
-                state.proposers[at].edit(|proposer| proposer.turn = proposer.turn.max(ballot.term));
+            Progress::Superseded(proposal_number) => {
+                state.proposers[at].edit(|proposer| proposer.term = proposer.term.max(proposal_number.term));
             }
-            Progress::NewerMembership(core) => {
-                let known = state.cores.iter().position(|known| *known == core).unwrap_or_default();
-                state.proposers[at].edit(|proposer| proposer.know_core(known));
+            Progress::NewerMembership(membership) => {
+                let known = state.memberships.iter().position(|known| *known == membership).unwrap_or_default();
+                state.proposers[at].edit(|proposer| proposer.learn_membership(known));
             }
         }
         Ok(state)
@@ -198,12 +200,12 @@
         }
         if let Purpose::Operation(Operation::Write(change)) = purpose {
             if !answer.contains(&change) {
-                return Err(Violation::NotTaken { change, body: answer });
+                return Err(Violation::MissingChange { change, body: answer });
             }
         }
         state.proposers[at].edit(|proposer| match purpose {
-            Purpose::Operation(_) => (proposer.done, proposer.held) = (proposer.done + 1, Some(owner)),
-            Purpose::Renewal => drop(proposer.settlement.renewed.insert(KEY.into())),
+            Purpose::Operation(_) => (proposer.done, proposer.ownership) = (proposer.done + 1, Some(owner)),
+            Purpose::Recommit => drop(proposer.transition.recommitted.insert(KEY.into())),
         });
         if answer.len() > state.acknowledged.len() {
             state.acknowledged.edit(|acknowledged| *acknowledged = answer);
@@ -212,28 +214,28 @@
     }
 }
 
-/// The turns that a proposer may begin under: it heard of the highest one by now, or not.
-fn turns(state: &State, proposer: &Proposer, core: &CoreMembership) -> Vec<u64> {
-    let next = next_term(proposer.turn, core);
-    let above_all = next_term(proposer.turn.max(state.highest_turn()), core);
-    match above_all > next && proposer.held.is_none() {
+/// The terms that a proposer may begin under: it learned of the highest one by now, or not.
+fn terms(state: &State, proposer: &Proposer, membership: &CoreMembership) -> Vec<u64> {
+    let next = next_term(proposer.term, membership);
+    let above_all = next_term(proposer.term.max(state.highest_term()), membership);
+    match above_all > next && proposer.ownership.is_none() {
         true => vec![next, above_all],
         false => vec![next],
     }
 }
 
-/// A vote that nobody gave.
-fn invented_vote(ask: &ConsensusOperation) -> Shared<ConsensusResponse> {
-    Shared::new(match ask {
+/// A response that nobody gave.
+fn forged_response(requested: &ConsensusOperation) -> Shared<ConsensusResponse> {
+    Shared::new(match requested {
         ConsensusOperation::Prepare { .. } => ConsensusResponse::Prepared { entry: None },
         _ => ConsensusResponse::Accepted,
     })
 }
 
 impl Proposer {
-    pub fn know_core(&mut self, core: usize) {
-        if core > self.core {
-            (self.core, self.settlement) = (core, Default::default());
+    pub fn learn_membership(&mut self, membership: usize) {
+        if membership > self.membership {
+            (self.membership, self.transition) = (membership, Default::default());
         }
     }
 }
--- a/consensus/src/testing/model/recovering.rs
+++ b/consensus/src/testing/model/recovering.rs
@@ -1,4 +1,4 @@
-//! Disks that are lost, and voters that read the others before they vote again.
+//! Disks that are lost, and acceptors that read the others before they vote again.
 
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership};
 
@@ -11,7 +11,7 @@
 use crate::acceptor::{Acceptor, LogRecord};
 use crate::{quorum, RECOVERY_DELAY_MS, ROUND_TIMEOUT_MS};
 
-/// Time passes in steps so long that a round begun when a disk was lost is over when its voter reads the
+/// Time passes in steps so long that a round begun when a disk was lost is over when its acceptor reads the
 /// others, and one begun a step later is not.
 const STEP_MS: u64 = RECOVERY_DELAY_MS / 2;
 const _: () = assert!(STEP_MS < ROUND_TIMEOUT_MS && ROUND_TIMEOUT_MS <= 2 * STEP_MS);
@@ -21,41 +21,41 @@
         self.elapse(state, list);
         for machine in 0..state.replicas.len() {
             self.wipe(state, machine, list);
-            if !state.replicas[machine].voter.may_vote {
+            if !state.replicas[machine].acceptor.may_vote {
                 self.learn(state, machine, list);
                 self.read(state, machine, list);
             }
         }
     }
 
-    /// A disk is lost, as long as the core tolerates it.
+    /// A disk is lost, as long as the membership tolerates it.
     fn wipe(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
-        let tolerated = Scenario::tolerated_losses(state.newest_core().members.len());
-        let held = &state.replicas[machine].voter;
-        let forgets = !held.registers.is_empty() || held.membership != state.cores[0];
-        if state.wipes_left == 0 || !held.may_vote || !forgets || state.mute() >= tolerated {
+        let tolerated = Scenario::tolerated_losses(state.newest_membership().members.len());
+        let held = &state.replicas[machine].acceptor;
+        let forgets = !held.registers.is_empty() || held.membership != state.memberships[0];
+        if state.wipes_left == 0 || !held.may_vote || !forgets || state.non_voting() >= tolerated {
             return;
         }
-        for core in 0..state.cores.len() {
-            let mut voter = Acceptor { membership: state.cores[core].clone(), ..Acceptor::default() };
+        for membership in 0..state.memberships.len() {
+            let mut acceptor = Acceptor { membership: state.memberships[membership].clone(), ..Acceptor::default() };
             if self.has(Defect::WipedVotesAtOnce) {
-                (voter.membership, voter.may_vote) = (held.membership.clone(), true);
+                (acceptor.membership, acceptor.may_vote) = (held.membership.clone(), true);
             }
-            let wiped_at = (!voter.may_vote).then_some(state.now);
-            let wiped = Replica { voter: Shared::new(voter), wiped_at, reads: Default::default() };
+            let wiped_at = (!acceptor.may_vote).then_some(state.now);
+            let wiped = Replica { acceptor: Shared::new(acceptor), wiped_at, reads: Default::default() };
             let mut next = state.clone();
             next.wipes_left -= 1;
             next.replicas[machine].edit(|replica| *replica = wiped);
-            list.push(Successor { action: Action::Wipe { machine, core }, outcome: Ok(next) });
+            list.push(Successor { action: Action::Wipe { machine, membership }, outcome: Ok(next) });
         }
     }
 
     fn is_ready_to_read(&self, replica: &Replica, now: u64) -> bool {
-        let delay = if self.has(Defect::RecallWithoutDelay) { 0 } else { RECOVERY_DELAY_MS };
+        let delay = if self.has(Defect::RecoveryWithoutDelay) { 0 } else { RECOVERY_DELAY_MS };
         replica.wiped_at.is_some_and(|wiped_at| now >= wiped_at + delay)
     }
 
-    /// Time matters only to voters that wait before they read the others.
+    /// Time matters only to acceptors that wait before they read the others.
     fn elapse(&self, state: &State, list: &mut Vec<Successor>) {
         let waits = |replica: &Replica| replica.wiped_at.is_some() && !self.is_ready_to_read(replica, state.now);
         if !state.replicas.iter().any(|replica| waits(replica)) {
@@ -72,10 +72,10 @@
     }
 
     fn learn(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
-        for (core, committed) in state.cores.iter().enumerate() {
+        for (membership, committed) in state.memberships.iter().enumerate() {
             let mut next = state.clone();
-            if next.tell(machine, committed) {
-                list.push(Successor { action: Action::Learn { machine, core }, outcome: Ok(next) });
+            if next.notify(machine, committed) {
+                list.push(Successor { action: Action::LearnMembership { machine, membership }, outcome: Ok(next) });
             }
         }
     }
@@ -86,7 +86,7 @@
         if !self.is_ready_to_read(replica, state.now) {
             return;
         }
-        for from in self.recovery_peers(machine, &replica.voter) {
+        for from in self.recovery_peers(machine, &replica.acceptor) {
             if !replica.reads.contains_key(&from) {
                 let action = Action::Read { machine, from };
                 if let Some(outcome) = self.read_from(state, machine, from).transpose() {
@@ -96,25 +96,25 @@
         }
     }
 
-    /// Those whom a voter without memory asks, as machines.
-    pub fn recovery_peers(&self, machine: usize, voter: &Acceptor) -> Vec<usize> {
-        let asking = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(voter) };
+    /// Those whom an acceptor that lost its disk asks, as machines.
+    pub fn recovery_peers(&self, machine: usize, acceptor: &Acceptor) -> Vec<usize> {
+        let asking = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(acceptor) };
         let recovery_peers = asking.recovery_peers();
         (0..self.addresses.len()).filter(|other| recovery_peers.contains(&self.addresses[*other])).collect()
     }
 
     /// None: the other does not answer what was asked.
     pub fn read_from(&self, state: &State, machine: usize, from: usize) -> Result<Option<State>, Violation> {
-        let core = state.replicas[machine].voter.membership.clone();
-        let is_member = quorum::is_old_or_new_member(&core, &self.addresses[machine]);
-        let ask = if is_member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
-        let poll = Shared::new(ConsensusRequest { membership: core.clone(), operation: ask });
-        let answer = self.poll(from, &state.replicas[from].voter, &poll)?;
+        let membership = state.replicas[machine].acceptor.membership.clone();
+        let is_member = quorum::is_old_or_new_member(&membership, &self.addresses[machine]);
+        let requested = if is_member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
+        let request = Shared::new(ConsensusRequest { membership: membership.clone(), operation: requested });
+        let answer = self.respond(from, &state.replicas[from].acceptor, &request)?;
         let mut next = state.clone();
-        next.put_voter(from, answer.voter);
-        match &*answer.vote {
+        next.put_acceptor(from, answer.acceptor);
+        match &*answer.response {
             ConsensusResponse::NewerMembership { membership } => {
-                next.tell(machine, membership);
+                next.notify(machine, membership);
                 return Ok(Some(next));
             }
             ConsensusResponse::Snapshot { registers } if is_member => {
@@ -125,39 +125,39 @@
             }
             _ => return Ok(None),
         }
-        self.vote_again(&mut next, machine, &core);
+        self.resume_voting(&mut next, machine, &membership);
         Ok(Some(next))
     }
 
     /// Ends the loss of memory if enough others were read.
-    fn vote_again(&self, state: &mut State, machine: usize, core: &CoreMembership) {
+    fn resume_voting(&self, state: &mut State, machine: usize, membership: &CoreMembership) {
         let replica = &state.replicas[machine];
-        let mut voter = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(&replica.voter) };
+        let mut acceptor = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(&replica.acceptor) };
         let read: Vec<String> = replica.reads.keys().map(|from| self.addresses[*from].clone()).collect();
-        if quorum::is_old_or_new_member(core, &voter.ip) {
-            if !voter.has_enough_reads(&read) {
+        if quorum::is_old_or_new_member(membership, &acceptor.ip) {
+            if !acceptor.has_enough_reads(&read) {
                 return;
             }
-            if voter.recover(replica.reads.values().cloned().collect()).is_none() {
+            if acceptor.recover(replica.reads.values().cloned().collect()).is_none() {
                 state.replicas[machine].edit(|replica| replica.reads.clear());
                 return;
             }
         } else {
-            if !quorum::is_quorum(core, &read) {
+            if !quorum::is_quorum(membership, &read) {
                 return;
             }
-            voter.replay(LogRecord::VotingEnabled);
+            acceptor.replay(LogRecord::VotingEnabled);
         }
-        voter.ip.clear();
-        let replica = Replica { voter: Shared::new(voter), wiped_at: None, reads: Default::default() };
+        acceptor.ip.clear();
+        let replica = Replica { acceptor: Shared::new(acceptor), wiped_at: None, reads: Default::default() };
         state.replicas[machine].edit(|held| *held = replica);
     }
 }
 
 impl State {
-    /// A voter hears of a committed core. False: it is no newer than the one that it knows.
-    pub fn tell(&mut self, machine: usize, core: &CoreMembership) -> bool {
-        let mut voter = Acceptor::clone(&self.replicas[machine].voter);
-        voter.adopt_membership(core).is_some() && self.put_voter(machine, Shared::new(voter))
+    /// An acceptor learns of a committed membership. False: it is no newer than the one that it knows.
+    pub fn notify(&mut self, machine: usize, membership: &CoreMembership) -> bool {
+        let mut acceptor = Acceptor::clone(&self.replicas[machine].acceptor);
+        acceptor.adopt_membership(membership).is_some() && self.put_acceptor(machine, Shared::new(acceptor))
     }
 }
--- a/consensus/src/testing/model/runs.rs
+++ b/consensus/src/testing/model/runs.rs
@@ -10,10 +10,10 @@
 
 const STATES_VARIABLE: &str = "LEDGER_MODEL_STATES";
 
-/// A core of this many members that are interchangeable, and nothing else.
-pub fn core_of(members: usize) -> Scenario {
+/// A membership of this many members that are interchangeable, and nothing else.
+pub fn members_only(members: usize) -> Scenario {
     let interchangeable = vec![(0..members).collect()];
-    Scenario { machines: members, core_size: members, interchangeable, ..Scenario::default() }
+    Scenario { machines: members, member_count: members, interchangeable, ..Scenario::default() }
 }
 
 /// A proposer that does these operations one after the other, with this many attempts in total.
--- a/consensus/src/testing/model/scenario.rs
+++ b/consensus/src/testing/model/scenario.rs
@@ -14,7 +14,7 @@
 
 impl Operation {
     /// Decides on the body that is committed, as the controller does for a configuration.
-    pub fn judge(self, committed: &[u8]) -> Decision<Vec<u8>> {
+    pub fn decide(self, committed: &[u8]) -> Decision<Vec<u8>> {
         match self {
             Operation::Write(change) if !committed.contains(&change) => {
                 let body = [committed, &[change]].concat();
@@ -32,9 +32,9 @@
     pub attempts: u8,
 }
 
-/// A change of the core, as `reconfiguration::next` is to see it.
+/// A change of the membership, as `reconfiguration::next` is to see it.
 #[derive(Clone, Debug)]
-pub struct CoreChange {
+pub struct MembershipChange {
     /// A member that is about to end. It is exchanged, or removed when there is one too many.
     pub leaving: Option<usize>,
     pub candidates: Vec<usize>,
@@ -42,10 +42,10 @@
     pub coordinators: usize,
 }
 
-/// A change of an owner that is gone: its ballot was promised by some, and the change accepted by others.
+/// A change of an owner that is gone: its proposal number was prepared by some, and the change accepted by others.
 #[derive(Clone, Copy, Debug)]
-pub struct HalfDone {
-    pub promised_by: MachineSet,
+pub struct IncompleteWrite {
+    pub prepared_by: MachineSet,
     pub accepted_by: MachineSet,
 }
 
@@ -54,36 +54,36 @@
 pub enum Defect {
     /// A round is over with one vote less than a quorum.
     QuorumOneShort,
-    /// A voter accepts a ballot below the one that it promised.
-    OldBallotAccepted,
-    /// A vote leaves before it is on disk.
-    VoteBeforeDisk,
-    /// A voter with an empty disk votes at once.
+    /// An acceptor accepts a proposal number below the one that it prepared.
+    OldProposalAccepted,
+    /// A response leaves before it is on disk.
+    ResponseBeforeSync,
+    /// An acceptor with an empty disk votes at once.
     WipedVotesAtOnce,
-    /// A voter with an empty disk reads the others before the rounds that counted its lost votes are over.
-    RecallWithoutDelay,
-    /// A proposer that was restarted takes up the ballots of its life before.
-    BallotsUsedAgain,
+    /// An acceptor with an empty disk reads the others before the rounds that counted its lost responses are over.
+    RecoveryWithoutDelay,
+    /// A proposer that was restarted takes up the proposal numbers of its incarnation before.
+    ProposalNumbersReused,
     /// A read is answered from what was held, without asking a quorum.
     ReadFromMemory,
     /// Members are exchanged without joint quorums.
     NoJointQuorums,
-    /// A change of members is settled without committing the keys again.
-    SettledWithoutRenewal,
+    /// A change of members is stable without committing the keys again.
+    StabilizedWithoutRecommit,
 }
 
-/// Invariant: machines that are interchangeable have the same part in every core.
+/// Invariant: machines that are interchangeable have the same part in every membership.
 #[derive(Clone, Debug, Default)]
 pub struct Scenario {
     pub machines: usize,
-    /// The first machines are the members of the first core.
-    pub core_size: usize,
+    /// The first machines are the members of the first membership.
+    pub member_count: usize,
     pub proposers: Vec<Workload>,
-    /// An operation that was done before the exploration begins, heard of by these machines only. The first
+    /// An operation that was done before the exploration begins, learned of by these machines only. The first
     /// proposer, if any, did it and owns the key.
-    pub done_before: Option<(Operation, MachineSet)>,
-    pub left_half_done: Option<HalfDone>,
-    pub core_change: Option<CoreChange>,
+    pub earlier_operation: Option<(Operation, MachineSet)>,
+    pub incomplete_write: Option<IncompleteWrite>,
+    pub membership_change: Option<MembershipChange>,
     pub restarts: u8,
     pub wipes: u8,
     /// Groups of machines that differ in nothing but their number.
@@ -92,7 +92,7 @@
 }
 
 impl Scenario {
-    /// How many members of a core may be without their memory at a time.
+    /// How many members of a membership may be without their memory at a time.
     pub fn tolerated_losses(members: usize) -> usize {
         members - quorum::majority(members)
     }
--- a/consensus/src/testing/model/symmetry.rs
+++ b/consensus/src/testing/model/symmetry.rs
@@ -1,7 +1,7 @@
 //! One form for states that need not be told apart.
 //!
 //! Machines that are interchangeable are numbered anew, in the order of what they hold: a state and the one
-//! with two of them swapped have the same futures but for the numbers. Late polls that no voter will take any
+//! with two of them swapped have the same futures but for the numbers. Late requests that no acceptor will take any
 //! more are dropped.
 
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 
 impl Model {
     pub fn normalize(&self, state: &mut State) {
-        self.drop_dead_polls(state);
+        self.drop_dead_requests(state);
         for group in &self.scenario.interchangeable {
             if let Some(renumbering) = renumbering(state, group) {
                 renumber(state, &renumbering);
@@ -27,36 +27,39 @@
         }
     }
 
-    /// Without a loss of memory promises and places only rise, so what a voter refuses now it refuses ever after.
-    fn drop_dead_polls(&self, state: &mut State) {
-        if state.late.is_empty() || state.wipes_left > 0 || state.mute() > 0 {
+    /// Without a loss of memory promises and positions only rise, so what an acceptor refuses now it refuses ever after.
+    fn drop_dead_requests(&self, state: &mut State) {
+        if state.late.is_empty() || state.wipes_left > 0 || state.non_voting() > 0 {
             return;
         }
-        let is_dead = |poll: &Shared<ConsensusRequest>| {
-            self.core_facts(&poll.membership).members.iter().all(|machine| is_refused(&state.replicas[machine], poll))
+        let is_dead = |request: &Shared<ConsensusRequest>| {
+            self.membership_facts(&request.membership)
+                .members
+                .iter()
+                .all(|machine| is_refused(&state.replicas[machine], request))
         };
         if state.late.iter().any(is_dead) {
-            let alive = state.late.iter().filter(|poll| !is_dead(poll)).cloned().collect();
+            let alive = state.late.iter().filter(|request| !is_dead(request)).cloned().collect();
             state.late = Shared::new(alive);
         }
     }
 }
 
-fn is_refused(replica: &Replica, poll: &ConsensusRequest) -> bool {
-    let ConsensusOperation::Accept { key, entry } = &poll.operation else { return false };
-    let voter = &replica.voter;
-    let overtaken = voter.registers.get(key).is_some_and(|slot| {
-        slot.prepared > entry.proposal_number
-            || slot.entry.as_ref().is_some_and(|held| held.position() >= entry.position())
+fn is_refused(replica: &Replica, request: &ConsensusRequest) -> bool {
+    let ConsensusOperation::Accept { key, entry } = &request.operation else { return false };
+    let acceptor = &replica.acceptor;
+    let overtaken = acceptor.registers.get(key).is_some_and(|register| {
+        register.prepared > entry.proposal_number
+            || register.entry.as_ref().is_some_and(|held| held.position() >= entry.position())
     });
-    voter.membership.version > poll.membership.version || overtaken
+    acceptor.membership.version > request.membership.version || overtaken
 }
 
 /// What a state says of one machine, without its number.
 fn description(state: &State, machine: usize) -> u64 {
     let of_proposer = |proposer: &Shared<Proposer>| {
-        let vote = proposer.task.as_ref().and_then(|task| task.votes.get(&machine));
-        fingerprint(&(vote, proposer.settlement.heard.get(&machine)))
+        let response = proposer.task.as_ref().and_then(|task| task.responses.get(&machine));
+        fingerprint(&(response, proposer.transition.responses.get(&machine)))
     };
     let proposers: Vec<u64> = state.proposers.iter().map(of_proposer).collect();
     let reads: Vec<bool> = state.replicas.iter().map(|replica| replica.reads.contains_key(&machine)).collect();
@@ -88,12 +91,12 @@
         }
     }
     for proposer in &mut state.proposers {
-        let voted = proposer.task.as_ref().is_some_and(|task| !task.votes.is_empty());
-        if voted || !proposer.settlement.heard.is_empty() {
+        let responded = proposer.task.as_ref().is_some_and(|task| !task.responses.is_empty());
+        if responded || !proposer.transition.responses.is_empty() {
             proposer.edit(|proposer| {
-                renumber_keys(&mut proposer.settlement.heard, numbers);
+                renumber_keys(&mut proposer.transition.responses, numbers);
                 if let Some(task) = &mut proposer.task {
-                    renumber_keys(&mut task.votes, numbers);
+                    renumber_keys(&mut task.responses, numbers);
                 }
             });
         }
--- a/consensus/src/testing/model/symmetry_tests.rs
+++ b/consensus/src/testing/model/symmetry_tests.rs
@@ -1,7 +1,7 @@
 //! Renumbering against an exploration without it.
 use super::super::explore::{fingerprint, System};
-use super::super::runs::{core_of, proposer};
-use super::super::scenario::{CoreChange, Operation, Scenario};
+use super::super::runs::{members_only, proposer};
+use super::super::scenario::{MembershipChange, Operation, Scenario};
 use super::{Model, State};
 use std::collections::HashSet;
 
@@ -35,13 +35,13 @@
 #[test]
 fn renumbering_hides_nothing_while_members_stay() {
     let proposers = vec![proposer(&[Operation::Write(1)], 1), proposer(&[Operation::Write(2)], 1)];
-    hides_nothing(Scenario { proposers, ..core_of(3) });
+    hides_nothing(Scenario { proposers, ..members_only(3) });
 }
 
 #[test]
 fn renumbering_hides_nothing_while_members_change() {
-    let core_change = Some(CoreChange { leaving: None, candidates: vec![3], coordinators: 1 });
-    let done_before = Some((Operation::Write(9), [0, 1].into_iter().collect()));
-    let scenario = Scenario { machines: 4, core_change, done_before, ..core_of(3) };
+    let membership_change = Some(MembershipChange { leaving: None, candidates: vec![3], coordinators: 1 });
+    let earlier_operation = Some((Operation::Write(9), [0, 1].into_iter().collect()));
+    let scenario = Scenario { machines: 4, membership_change, earlier_operation, ..members_only(3) };
     hides_nothing(scenario);
 }
--- a/consensus/src/testing/model/violation.rs
+++ b/consensus/src/testing/model/violation.rs
@@ -4,18 +4,18 @@
 /// A state or an action that must not be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two bodies at one place of the history.
-    TwoValues { place: Position, bodies: [Vec<u8>; 2] },
-    /// Two owners act under one ballot.
-    TwoOwners { ballot: ProposalNumber },
+    /// Two bodies at one position of the history.
+    ConflictingValues { position: Position, bodies: [Vec<u8>; 2] },
+    /// Two owners act under one proposal number.
+    ConflictingOwners { proposal_number: ProposalNumber },
     /// What was acknowledged is not part of what a later quorum read returns.
     Lost { acknowledged: Vec<u8>, found: Vec<u8> },
     /// A change was acknowledged and is not in the body that was committed for it.
-    NotTaken { change: u8, body: Vec<u8> },
-    /// A vote left a voter whose disk does not hold what the vote rests on.
-    NotOnDisk,
-    /// A promise or the place of an entry went back, or an entry is above the promise.
-    WentBack,
+    MissingChange { change: u8, body: Vec<u8> },
+    /// A response left an acceptor whose disk does not hold what the vote rests on.
+    NotSynced,
+    /// A promise or the position of an entry went back, or an entry is above the promise.
+    Regressed,
     /// With a majority in touch and no further trouble something does not come to an end.
     Stuck(&'static str),
 }
--- a/consensus/src/testing/model/voting.rs
+++ b/consensus/src/testing/model/voting.rs
@@ -1,4 +1,4 @@
-//! Polls that reach voters, in time or late.
+//! Polls that reach acceptors, in time or late.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, Entry, ProposalNumber};
 
 use super::action::{Action, Successor};
-use super::proposing::ballot;
+use super::proposing::proposal_number;
 use super::scenario::Defect;
 use super::shared::Shared;
 use super::state::State;
@@ -14,31 +14,31 @@
 use super::Model;
 use crate::acceptor::Acceptor;
 
-/// A voter after a poll, and its vote.
+/// An acceptor after a request, and its response.
 #[derive(Clone)]
 pub struct Answer {
-    pub voter: Shared<Acceptor>,
-    pub vote: Shared<ConsensusResponse>,
+    pub acceptor: Shared<Acceptor>,
+    pub response: Shared<ConsensusResponse>,
 }
 
-/// What each voter answered to each poll: told apart by machine, voter and poll.
+/// What each acceptor answered to each request: told apart by machine, acceptor and request.
 pub type AnswerCache = RefCell<HashMap<(usize, u64, u64), Answer>>;
 
 impl Model {
-    /// Lets a voter answer a poll. Both the voter and what a restart would find on its disk are as returned.
-    pub fn poll(
+    /// Lets an acceptor answer a request. Both the acceptor and what a restart would find on its disk are as returned.
+    pub fn respond(
         &self,
         machine: usize,
-        voter: &Shared<Acceptor>,
-        poll: &Shared<ConsensusRequest>,
+        acceptor: &Shared<Acceptor>,
+        request: &Shared<ConsensusRequest>,
     ) -> Result<Answer, Violation> {
-        let key = (machine, voter.fingerprint(), poll.fingerprint());
+        let key = (machine, acceptor.fingerprint(), request.fingerprint());
         if let Some(known) = self.answers.borrow().get(&key) {
             return Ok(known.clone());
         }
-        let (after, vote) = self.answer(machine, voter, poll)?;
-        let after = if after == **voter { voter.clone() } else { Shared::new(after) };
-        let answer = Answer { voter: after, vote: Shared::new(vote) };
+        let (after, response) = self.answer(machine, acceptor, request)?;
+        let after = if after == **acceptor { acceptor.clone() } else { Shared::new(after) };
+        let answer = Answer { acceptor: after, response: Shared::new(response) };
         self.answers.borrow_mut().insert(key, answer.clone());
         Ok(answer)
     }
@@ -46,67 +46,69 @@
     fn answer(
         &self,
         machine: usize,
-        voter: &Acceptor,
-        poll: &ConsensusRequest,
+        acceptor: &Acceptor,
+        request: &ConsensusRequest,
     ) -> Result<(Acceptor, ConsensusResponse), Violation> {
-        let mut after = Acceptor { ip: self.addresses[machine].clone(), ..voter.clone() };
-        let accepts_old = self.has(Defect::OldBallotAccepted);
+        let mut after = Acceptor { ip: self.addresses[machine].clone(), ..acceptor.clone() };
+        let accepts_old = self.has(Defect::OldProposalAccepted);
         if accepts_old {
-            forget_promise(&mut after, &poll.operation);
+            forget_prepared(&mut after, &request.operation);
         }
-        let (vote, records) = after.handle(poll.clone());
-        if accepts_old && matches!(vote, ConsensusResponse::Rejected { .. }) {
-            return Ok((voter.clone(), vote));
+        let (response, records) = after.handle(request.clone());
+        if accepts_old && matches!(response, ConsensusResponse::Rejected { .. }) {
+            return Ok((acceptor.clone(), response));
         }
         after.ip.clear();
-        let mut restarted = voter.clone();
-        if !self.has(Defect::VoteBeforeDisk) {
+        let mut restarted = acceptor.clone();
+        if !self.has(Defect::ResponseBeforeSync) {
             records.into_iter().for_each(|record| restarted.replay(record));
         }
         if restarted != after {
-            return Err(Violation::NotOnDisk);
+            return Err(Violation::NotSynced);
         }
         if !accepts_old {
-            check_only_rises(voter, &after)?;
+            check_only_rises(acceptor, &after)?;
         }
-        Ok((after, vote))
+        Ok((after, response))
     }
 
-    pub fn vote(&self, state: &State, list: &mut Vec<Successor>) {
+    pub fn deliver_requests(&self, state: &State, list: &mut Vec<Successor>) {
         for proposer in 0..state.proposers.len() {
             self.deliver(state, proposer, list);
         }
-        for poll in state.late.iter() {
-            self.deliver_late(state, poll, list);
+        for request in state.late.iter() {
+            self.deliver_late(state, request, list);
         }
     }
 
-    /// The present poll of a proposer reaches one of the members.
+    /// The present request of a proposer reaches one of the members.
     fn deliver(&self, state: &State, proposer: usize, list: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[proposer].task else { return };
-        for machine in self.core_facts(&task.poll.membership).members.iter() {
+        for machine in self.membership_facts(&task.request.membership).members.iter() {
             let action = Action::Deliver { proposer, machine };
-            let Answer { voter, vote } = match self.poll(machine, &state.replicas[machine].voter, &task.poll) {
-                Ok(answer) => answer,
-                Err(violation) => {
-                    list.push(Successor { action, outcome: Err(violation) });
-                    continue;
-                }
-            };
+            let Answer { acceptor, response } =
+                match self.respond(machine, &state.replicas[machine].acceptor, &task.request) {
+                    Ok(answer) => answer,
+                    Err(violation) => {
+                        list.push(Successor { action, outcome: Err(violation) });
+                        continue;
+                    }
+                };
             let mut next = state.clone();
-            let changed = next.put_voter(machine, voter);
-            match &*vote {
-                // The first vote counts; what is answered to a poll that comes again goes nowhere.
+            let changed = next.put_acceptor(machine, acceptor);
+            match &*response {
+                // The first vote counts; what is answered to a request that comes again goes nowhere.
                 ConsensusResponse::Prepared { .. } | ConsensusResponse::Accepted
-                    if !task.votes.contains_key(&machine) =>
+                    if !task.responses.contains_key(&machine) =>
                 {
-                    next.edit_task(proposer, |task| drop(task.votes.insert(machine, vote)));
+                    next.edit_task(proposer, |task| drop(task.responses.insert(machine, response)));
                     list.push(Successor { action, outcome: Ok(next) });
                 }
-                // A refusal under the own ballot answers a poll that came twice.
-                ConsensusResponse::Rejected { prepared } if Some(*prepared) <= ballot(&task.poll.operation) => {}
+                // A refusal under the own proposal number answers a request that came twice.
+                ConsensusResponse::Rejected { prepared }
+                    if Some(*prepared) <= proposal_number(&task.request.operation) => {}
                 ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
-                    let outcome = self.hear(next, proposer, &[(machine, vote)]);
+                    let outcome = self.count_responses(next, proposer, &[(machine, response)]);
                     list.push(Successor { action: Action::Refuse { proposer, machine }, outcome });
                 }
                 _ if changed => list.push(Successor { action, outcome: Ok(next) }),
@@ -115,16 +117,16 @@
         }
     }
 
-    fn deliver_late(&self, state: &State, poll: &Shared<ConsensusRequest>, list: &mut Vec<Successor>) {
-        let ConsensusOperation::Accept { entry, .. } = &poll.operation else { return };
-        for machine in self.core_facts(&poll.membership).members.iter() {
-            let action = Action::DeliverLate { place: entry.position(), machine };
-            match self.poll(machine, &state.replicas[machine].voter, poll) {
+    fn deliver_late(&self, state: &State, request: &Shared<ConsensusRequest>, list: &mut Vec<Successor>) {
+        let ConsensusOperation::Accept { entry, .. } = &request.operation else { return };
+        for machine in self.membership_facts(&request.membership).members.iter() {
+            let action = Action::DeliverLate { position: entry.position(), machine };
+            match self.respond(machine, &state.replicas[machine].acceptor, request) {
                 Err(violation) => list.push(Successor { action, outcome: Err(violation) }),
-                Ok(answer) if answer.voter == state.replicas[machine].voter => {}
+                Ok(answer) if answer.acceptor == state.replicas[machine].acceptor => {}
                 Ok(answer) => {
                     let mut next = state.clone();
-                    next.put_voter(machine, answer.voter);
+                    next.put_acceptor(machine, answer.acceptor);
                     list.push(Successor { action, outcome: Ok(next) });
                 }
             }
@@ -133,41 +135,40 @@
 }
 
 impl State {
-    /// Gives a replica its voter after a poll. False: nothing changed.
-    pub fn put_voter(&mut self, machine: usize, voter: Shared<Acceptor>) -> bool {
+    /// Gives a replica its acceptor after a request. False: nothing changed.
+    pub fn put_acceptor(&mut self, machine: usize, acceptor: Shared<Acceptor>) -> bool {
         let replica = &mut self.replicas[machine];
-        if replica.voter == voter {
+        if replica.acceptor == acceptor {
             return false;
         }
         replica.edit(|replica| {
-            // What was read answers for the quorums of another core.
-            if replica.voter.membership.version != voter.membership.version {
+            // What was read answers for the quorums of another membership.
+            if replica.acceptor.membership.version != acceptor.membership.version {
                 replica.reads.clear();
             }
-            replica.voter = voter;
+            replica.acceptor = acceptor;
         });
         true
     }
 }
 
-fn forget_promise(voter: &mut Acceptor, ask: &ConsensusOperation) {
-    let ConsensusOperation::Accept { key, .. } = ask else { return };
-    if let Some(slot) = voter.registers.get_mut(key) {
-        slot.prepared = ProposalNumber::default();
+fn forget_prepared(acceptor: &mut Acceptor, requested: &ConsensusOperation) {
+    let ConsensusOperation::Accept { key, .. } = requested else { return };
+    if let Some(register) = acceptor.registers.get_mut(key) {
+        register.prepared = ProposalNumber::default();
     }
 }
 
-/// Promises and places of entries never go back, and no entry is above what is promised.
+/// Promises and positions of entries never go back, and no entry is above what is prepared.
 fn check_only_rises(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
-    for (key, slot) in &after.registers {
-        let place = slot.entry.as_ref().map(Entry::position);
-        let above = slot.entry.as_ref().is_some_and(|entry| entry.proposal_number > slot.prepared);
-        let back = before
-            .registers
-            .get(key)
-            .is_some_and(|held| held.prepared > slot.prepared || held.entry.as_ref().map(Entry::position) > place);
+    for (key, register) in &after.registers {
+        let position = register.entry.as_ref().map(Entry::position);
+        let above = register.entry.as_ref().is_some_and(|entry| entry.proposal_number > register.prepared);
+        let back = before.registers.get(key).is_some_and(|held| {
+            held.prepared > register.prepared || held.entry.as_ref().map(Entry::position) > position
+        });
         if above || back {
-            return Err(Violation::WentBack);
+            return Err(Violation::Regressed);
         }
     }
     Ok(())
--- a/consensus/src/testing/simulation/faults.rs
+++ b/consensus/src/testing/simulation/faults.rs
@@ -1,54 +1,54 @@
 //! Trouble in the simulated world: falls, wipes, returns, and the reading at the end.
 
-use super::{ip, ConsensusOperation, ConsensusRequest, CoreMembership, Mail, Member, Seat, World};
+use super::{ip, ConsensusOperation, ConsensusRequest, CoreMembership, Member, Payload, Replica, World};
 use crate::acceptor::Acceptor;
 use crate::quorum;
 
 impl World {
     /// Power loss: what is not synced is gone. `wipe`: the disk too.
-    pub fn fall(&mut self, at: usize, wipe: bool) {
+    pub fn crash(&mut self, at: usize, wipe: bool) {
         let now = self.now;
-        let seat = &mut self.seats[at];
-        seat.up = false;
-        seat.wet.clear();
-        (seat.ownership, seat.work) = (None, None);
-        seat.reads.clear();
+        let replica = &mut self.replicas[at];
+        replica.is_up = false;
+        replica.unsynced.clear();
+        (replica.ownership, replica.task) = (None, None);
+        replica.reads.clear();
         if wipe {
-            let core = seat.disk.membership.clone();
-            seat.disk = Acceptor::new(&ip(at));
-            seat.disk.membership = core;
-            seat.disk.may_vote = self.hasty;
+            let membership = replica.disk.membership.clone();
+            replica.disk = Acceptor::new(&ip(at));
+            replica.disk.membership = membership;
+            replica.disk.may_vote = self.skips_recovery;
         }
-        seat.born = now;
+        replica.started_at = now;
     }
 
-    pub fn rise(&mut self, at: usize) {
+    pub fn restart(&mut self, at: usize) {
         let now = self.now;
-        let seat = &mut self.seats[at];
-        if seat.up {
+        let replica = &mut self.replicas[at];
+        if replica.is_up {
             return;
         }
-        seat.up = true;
-        seat.life += 1;
-        seat.born = now;
-        seat.turn = 0;
-        seat.voter = seat.disk.clone();
+        replica.is_up = true;
+        replica.incarnation += 1;
+        replica.started_at = now;
+        replica.term = 0;
+        replica.acceptor = replica.disk.clone();
     }
 
-    pub fn all_able(&self) -> bool {
-        self.seats.iter().all(|seat| seat.voter.may_vote)
+    pub fn all_voting(&self) -> bool {
+        self.replicas.iter().all(|replica| replica.acceptor.may_vote)
     }
 
     /// What a majority read says at the end, with all up and whole.
-    pub fn settle(&mut self) -> Vec<u8> {
-        self.cut.clear();
-        (0..self.seats.len()).for_each(|at| self.rise(at));
-        for seat in &mut self.seats {
-            (seat.ownership, seat.work) = (None, None);
+    pub fn read_after_recovery(&mut self) -> Vec<u8> {
+        self.partitioned.clear();
+        (0..self.replicas.len()).for_each(|at| self.restart(at));
+        for replica in &mut self.replicas {
+            (replica.ownership, replica.task) = (None, None);
         }
         for _ in 0..60_000 {
             self.step();
-            if let Some(ownership) = &self.seats[0].ownership {
+            if let Some(ownership) = &self.replicas[0].ownership {
                 return ownership.entry.body.clone();
             }
             if self.now.is_multiple_of(40) {
@@ -58,45 +58,47 @@
         panic!("no reader became owner within a minute of virtual time");
     }
 
-    /// An empty machine at a new address: never a voter, so it may be added.
-    pub fn join(&mut self) -> usize {
-        let at = self.seats.len();
-        let core = self.seats[0].voter.membership.clone();
-        self.seats.push(Seat::fresh(at, core, self.now));
+    /// An empty machine at a new address: never an acceptor, so it may be added.
+    pub fn add_replica(&mut self) -> usize {
+        let at = self.replicas.len();
+        let membership = self.replicas[0].acceptor.membership.clone();
+        self.replicas.push(Replica::empty(at, membership, self.now));
         at
     }
 
-    /// The next core, known at first to one seat only. `joint`: until it is settled, quorums of the members
+    /// The next membership, known at first to one seat only. `joint`: until it is stable, quorums of the members
     /// before it are needed too.
-    pub fn change(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
-        let old = self.seats[0].voter.membership.clone();
+    pub fn change_members(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
+        let old = self.replicas[0].acceptor.membership.clone();
         let list = list.into_iter().map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let core =
+        let membership =
             CoreMembership { version: old.version + 1, members: list, previous_members: old.members, stable: !joint };
-        let record = self.seats[0].voter.adopt_membership(&core);
-        (self.seats[0].ownership, self.seats[0].work) = (None, None);
-        self.seats[0].wet.push((self.now + 2, record.into_iter().collect(), None));
-        core
+        let record = self.replicas[0].acceptor.adopt_membership(&membership);
+        (self.replicas[0].ownership, self.replicas[0].task) = (None, None);
+        self.replicas[0].unsynced.push((self.now + 2, record.into_iter().collect(), None));
+        membership
     }
 
-    /// Tells the members old and new of a core; true once majorities of both have it on disk.
-    pub fn spread(&mut self, core: &CoreMembership) -> bool {
-        let ask = ConsensusOperation::Positions;
-        for to in 0..self.seats.len() {
-            let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
-            self.post(0, to, Mail::Poll { round: 0, poll });
+    /// Tells the members old and new of a membership; true once majorities of both have it on disk.
+    pub fn announce(&mut self, membership: &CoreMembership) -> bool {
+        let operation = ConsensusOperation::Positions;
+        for to in 0..self.replicas.len() {
+            let request = ConsensusRequest { membership: membership.clone(), operation: operation.clone() };
+            self.post(0, to, Payload::Request { round: 0, request });
         }
         let knows = |ip: &str| {
-            self.seats.iter().any(|seat| seat.up && seat.voter.ip == ip && seat.disk.membership.version >= core.version)
+            self.replicas.iter().any(|replica| {
+                replica.is_up && replica.acceptor.ip == ip && replica.disk.membership.version >= membership.version
+            })
         };
         let most =
             |list: &[Member]| list.iter().filter(|member| knows(&member.ip)).count() >= quorum::majority(list.len());
-        most(&core.members) && most(&core.previous_members)
+        most(&membership.members) && most(&membership.previous_members)
     }
 
-    /// Commits the key again under the core of now; true once done.
-    pub fn renewed(&mut self, version: u64) -> bool {
-        if self.seats[0].ownership.as_ref().is_some_and(|ownership| ownership.membership_version >= version) {
+    /// Commits the key again under the membership of now; true once done.
+    pub fn try_recommit(&mut self, version: u64) -> bool {
+        if self.replicas[0].ownership.as_ref().is_some_and(|ownership| ownership.membership_version >= version) {
             return true;
         }
         self.propose(0);
--- a/consensus/src/testing/simulation/mod.rs
+++ b/consensus/src/testing/simulation/mod.rs
@@ -16,51 +16,51 @@
 
 const KEY: &str = "k";
 
-enum Mail {
-    Poll { round: u64, poll: ConsensusRequest },
-    Vote { round: u64, vote: ConsensusResponse },
+enum Payload {
+    Request { round: u64, request: ConsensusRequest },
+    Response { round: u64, response: ConsensusResponse },
 }
 
-struct Letter {
+struct Packet {
     at: u64,
     from: usize,
     to: usize,
-    life: u64,
-    mail: Mail,
+    incarnation: u64,
+    payload: Payload,
 }
 
-struct Work {
+struct Task {
     id: u64,
     round: Round,
     /// The body this round carries, when it is a change.
     body: Option<Vec<u8>>,
 }
 
-/// Invariant: `disk` is what was synced; `voter` may be ahead of it by what waits in `wet`.
-struct Seat {
-    voter: Acceptor,
+/// Invariant: `disk` is what was synced; `acceptor` may be ahead of it by what waits in `wet`.
+struct Replica {
+    acceptor: Acceptor,
     disk: Acceptor,
-    wet: Vec<(u64, Vec<LogRecord>, Option<Letter>)>,
+    unsynced: Vec<(u64, Vec<LogRecord>, Option<Packet>)>,
     ownership: Option<Ownership>,
-    work: Option<Work>,
-    up: bool,
-    life: u64,
-    born: u64,
-    turn: u64,
+    task: Option<Task>,
+    is_up: bool,
+    incarnation: u64,
+    started_at: u64,
+    term: u64,
     reads: BTreeMap<usize, Vec<RegisterState>>,
 }
 
 pub struct World {
     now: u64,
-    dice: Rng,
-    seats: Vec<Seat>,
-    mail: Vec<Letter>,
-    cut: Vec<(usize, usize)>,
-    next: u64,
+    rng: Rng,
+    replicas: Vec<Replica>,
+    payload: Vec<Packet>,
+    partitioned: Vec<(usize, usize)>,
+    next_id: u64,
     /// Acknowledged bodies, in the order of their acknowledgement.
-    pub acked: Vec<Vec<u8>>,
-    /// With it, a wiped voter votes at once: the fault that the rule prevents.
-    pub hasty: bool,
+    pub acknowledged: Vec<Vec<u8>>,
+    /// With it, a wiped acceptor votes at once: the fault that the rule prevents.
+    pub skips_recovery: bool,
 }
 
 fn ip(at: usize) -> String {
@@ -71,21 +71,21 @@
     str::from_utf8(body).ok().and_then(|text| text.split('/').next()?.parse().ok()).unwrap_or(0)
 }
 
-impl Seat {
-    /// An empty machine that may vote where the core names it.
-    fn fresh(at: usize, core: CoreMembership, born: u64) -> Seat {
-        let mut voter = Acceptor::new(&ip(at));
-        (voter.membership, voter.may_vote) = (core, true);
-        Seat {
-            disk: voter.clone(),
-            voter,
-            wet: Vec::new(),
+impl Replica {
+    /// An empty machine that may vote where the membership names it.
+    fn empty(at: usize, membership: CoreMembership, started_at: u64) -> Replica {
+        let mut acceptor = Acceptor::new(&ip(at));
+        (acceptor.membership, acceptor.may_vote) = (membership, true);
+        Replica {
+            disk: acceptor.clone(),
+            acceptor,
+            unsynced: Vec::new(),
             ownership: None,
-            work: None,
-            up: true,
-            life: 1,
-            born,
-            turn: 0,
+            task: None,
+            is_up: true,
+            incarnation: 1,
+            started_at,
+            term: 0,
             reads: Default::default(),
         }
     }
@@ -94,35 +94,44 @@
 impl World {
     pub fn new(seed: u64, size: usize) -> World {
         let list = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
-        let core = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
+        let membership = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
         World {
             now: 0,
-            dice: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
-            seats: (0..size).map(|at| Seat::fresh(at, core.clone(), 0)).collect(),
-            mail: Vec::new(),
-            cut: Vec::new(),
-            next: 1,
-            acked: Vec::new(),
-            hasty: false,
+            rng: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            replicas: (0..size).map(|at| Replica::empty(at, membership.clone(), 0)).collect(),
+            payload: Vec::new(),
+            partitioned: Vec::new(),
+            next_id: 1,
+            acknowledged: Vec::new(),
+            skips_recovery: false,
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, mail: Mail) {
-        if self.cut.contains(&(from, to)) || (from != to && self.dice.below(100) < 4) {
+    fn post(&mut self, from: usize, to: usize, payload: Payload) {
+        if self.partitioned.contains(&(from, to)) || (from != to && self.rng.below(100) < 4) {
             return;
         }
-        let far = if self.dice.below(20) == 0 { 400 } else { 12 };
-        let late = if from == to { 0 } else { 1 + self.dice.below(far) };
-        self.mail.push(Letter { at: self.now + late, from, to, life: self.seats[to].life, mail });
+        let far = if self.rng.below(20) == 0 { 400 } else { 12 };
+        let delay = if from == to { 0 } else { 1 + self.rng.below(far) };
+        self.payload.push(Packet {
+            at: self.now + delay,
+            from,
+            to,
+            incarnation: self.replicas[to].incarnation,
+            payload,
+        });
     }
 
-    fn ask(&mut self, from: usize, round: u64, core: &CoreMembership, ask: &ConsensusOperation) {
-        for to in 0..self.seats.len() {
-            if quorum::is_member(core, &ip(to)) {
+    fn broadcast(&mut self, from: usize, round: u64, membership: &CoreMembership, operation: &ConsensusOperation) {
+        for to in 0..self.replicas.len() {
+            if quorum::is_member(membership, &ip(to)) {
                 self.post(
                     from,
                     to,
-                    Mail::Poll { round, poll: ConsensusRequest { membership: core.clone(), operation: ask.clone() } },
+                    Payload::Request {
+                        round,
+                        request: ConsensusRequest { membership: membership.clone(), operation: operation.clone() },
+                    },
                 );
             }
         }
@@ -130,91 +139,98 @@
 
     /// A controller begins what its state calls for: a change by a ownership, or a take-over.
     pub fn propose(&mut self, at: usize) {
-        let seat = &mut self.seats[at];
-        if !seat.up || seat.work.as_ref().is_some_and(|work| !work.round.is_expired(self.now)) {
+        let replica = &mut self.replicas[at];
+        if !replica.is_up || replica.task.as_ref().is_some_and(|task| !task.round.is_expired(self.now)) {
             return;
         }
-        let core = seat.voter.membership.clone();
-        let (id, now) = (self.next, self.now);
-        self.next += 1;
-        let (round, ask, body) = match &seat.ownership {
+        let membership = replica.acceptor.membership.clone();
+        let (id, now) = (self.next_id, self.now);
+        self.next_id += 1;
+        let (round, operation, body) = match &replica.ownership {
             Some(ownership) => {
                 let body = format!("{}/{at}.{id}", count(&ownership.entry.body) + 1).into_bytes();
-                let (round, ask) = Round::change(KEY, core.clone(), ownership, body.clone(), now);
-                (round, ask, Some(body))
+                let (round, operation) = Round::change(KEY, membership.clone(), ownership, body.clone(), now);
+                (round, operation, Some(body))
             }
             None => {
-                seat.turn = round::next_term(seat.turn, &core);
-                let ballot = ProposalNumber { term: seat.turn, replica_id: crate::replica_id(&ip(at), seat.life) };
-                let (round, ask) = Round::claim(KEY, core.clone(), ballot, now);
-                (round, ask, None)
+                replica.term = round::next_term(replica.term, &membership);
+                let proposal_number =
+                    ProposalNumber { term: replica.term, replica_id: crate::replica_id(&ip(at), replica.incarnation) };
+                let (round, operation) = Round::claim(KEY, membership.clone(), proposal_number, now);
+                (round, operation, None)
             }
         };
-        seat.ownership = None;
-        seat.work = Some(Work { id, round, body });
-        self.ask(at, id, &core, &ask);
+        replica.ownership = None;
+        replica.task = Some(Task { id, round, body });
+        self.broadcast(at, id, &membership, &operation);
     }
 
-    fn vote(&mut self, at: usize, from: usize, id: u64, vote: ConsensusResponse) {
+    fn handle_response(&mut self, at: usize, from: usize, id: u64, response: ConsensusResponse) {
         let now = self.now;
-        let seat = &mut self.seats[at];
-        if let ConsensusResponse::Snapshot { registers } = &vote {
-            if !seat.voter.may_vote {
-                seat.reads.insert(from, registers.clone());
-                let read: Vec<String> = seat.reads.keys().map(|at| ip(*at)).collect();
-                if seat.voter.has_enough_reads(&read) {
-                    let records = seat.voter.recover(seat.reads.values().cloned().collect());
-                    seat.wet.push((now + 2, records.unwrap_or_default(), None));
+        let replica = &mut self.replicas[at];
+        if let ConsensusResponse::Snapshot { registers } = &response {
+            if !replica.acceptor.may_vote {
+                replica.reads.insert(from, registers.clone());
+                let read: Vec<String> = replica.reads.keys().map(|at| ip(*at)).collect();
+                if replica.acceptor.has_enough_reads(&read) {
+                    let records = replica.acceptor.recover(replica.reads.values().cloned().collect());
+                    replica.unsynced.push((now + 2, records.unwrap_or_default(), None));
                 }
             }
             return;
         }
-        let Some(work) = seat.work.as_mut().filter(|work| work.id == id) else { return };
-        match work.round.handle_response(&ip(from), vote, now) {
+        let Some(task) = replica.task.as_mut().filter(|task| task.id == id) else { return };
+        match task.round.handle_response(&ip(from), response, now) {
             RoundProgress::Wait => {}
-            RoundProgress::NewerMembership(core) => {
-                seat.work = None;
-                let record = seat.voter.adopt_membership(&core);
-                seat.wet.push((now + 2, record.into_iter().collect(), None));
+            RoundProgress::NewerMembership(membership) => {
+                replica.task = None;
+                let record = replica.acceptor.adopt_membership(&membership);
+                replica.unsynced.push((now + 2, record.into_iter().collect(), None));
             }
-            RoundProgress::Send(ask) => {
-                // The second half counts under a new number: votes of the first are not for it.
-                work.id = self.next;
-                self.next += 1;
-                let (id, core) = (work.id, work.round.membership().clone());
-                self.ask(at, id, &core, &ask);
+            RoundProgress::Send(operation) => {
+                // The second half counts under a new number: responses of the first are not for it.
+                task.id = self.next_id;
+                self.next_id += 1;
+                let (id, membership) = (task.id, task.round.membership().clone());
+                self.broadcast(at, id, &membership, &operation);
             }
-            RoundProgress::Superseded(ballot) => {
-                seat.turn = seat.turn.max(ballot.term);
-                seat.work = None;
+            RoundProgress::Superseded(proposal_number) => {
+                replica.term = replica.term.max(proposal_number.term);
+                replica.task = None;
             }
             RoundProgress::Chosen(ownership) => {
-                let body = work.body.take();
-                seat.work = None;
+                let body = task.body.take();
+                replica.task = None;
                 if let Some(body) = body {
-                    self.acked.push(body);
+                    self.acknowledged.push(body);
                 }
-                seat.ownership = Some(ownership);
+                replica.ownership = Some(ownership);
             }
         }
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let Letter { from, to, life, mail, .. } = letter;
-        if !self.seats[to].up || self.seats[to].life != life {
+    fn deliver(&mut self, packet: Packet) {
+        let Packet { from, to, incarnation, payload, .. } = packet;
+        if !self.replicas[to].is_up || self.replicas[to].incarnation != incarnation {
             return;
         }
-        match mail {
-            Mail::Vote { round, vote } => self.vote(to, from, round, vote),
-            Mail::Poll { round, poll } => {
-                let (vote, records) = self.seats[to].voter.handle(poll);
-                let slow = if self.dice.below(30) == 0 { 700 } else { 6 };
-                let late = 1 + self.dice.below(slow);
-                let reply = Letter { at: 0, from: to, to: from, life: 0, mail: Mail::Vote { round, vote } };
-                let seat = &mut self.seats[to];
+        match payload {
+            Payload::Response { round, response } => self.handle_response(to, from, round, response),
+            Payload::Request { round, request } => {
+                let (response, records) = self.replicas[to].acceptor.handle(request);
+                let slow = if self.rng.below(30) == 0 { 700 } else { 6 };
+                let delay = 1 + self.rng.below(slow);
+                let reply = Packet {
+                    at: 0,
+                    from: to,
+                    to: from,
+                    incarnation: 0,
+                    payload: Payload::Response { round, response },
+                };
+                let replica = &mut self.replicas[to];
                 // The disk works in order: nothing is answered before what came before it is synced.
-                let due = seat.wet.last().map_or(0, |wet| wet.0).max(self.now + late);
-                seat.wet.push((due, records, Some(reply)));
+                let due = replica.unsynced.last().map_or(0, |unsynced| unsynced.0).max(self.now + delay);
+                replica.unsynced.push((due, records, Some(reply)));
             }
         }
     }
@@ -222,33 +238,41 @@
     pub fn step(&mut self) {
         self.now += 1;
         let now = self.now;
-        for at in 0..self.seats.len() {
-            while self.seats[at].up && self.seats[at].wet.first().is_some_and(|wet| wet.0 <= now) {
-                let (_, records, reply) = self.seats[at].wet.remove(0);
-                records.into_iter().for_each(|record| self.seats[at].disk.replay(record));
+        for at in 0..self.replicas.len() {
+            while self.replicas[at].is_up
+                && self.replicas[at].unsynced.first().is_some_and(|unsynced| unsynced.0 <= now)
+            {
+                let (_, records, reply) = self.replicas[at].unsynced.remove(0);
+                records.into_iter().for_each(|record| self.replicas[at].disk.replay(record));
                 if let Some(reply) = reply {
-                    self.post(reply.from, reply.to, reply.mail);
+                    self.post(reply.from, reply.to, reply.payload);
                 }
             }
-            let seat = &self.seats[at];
-            if seat.up && !seat.voter.may_vote && now >= seat.born + RECOVERY_DELAY_MS && now.is_multiple_of(50) {
-                let (core, others) = (seat.voter.membership.clone(), seat.voter.recovery_peers());
-                self.seats[at].reads.clear();
-                for to in 0..self.seats.len() {
+            let replica = &self.replicas[at];
+            if replica.is_up
+                && !replica.acceptor.may_vote
+                && now >= replica.started_at + RECOVERY_DELAY_MS
+                && now.is_multiple_of(50)
+            {
+                let (membership, others) = (replica.acceptor.membership.clone(), replica.acceptor.recovery_peers());
+                self.replicas[at].reads.clear();
+                for to in 0..self.replicas.len() {
                     if others.contains(&ip(to)) {
-                        let poll =
-                            ConsensusRequest { membership: core.clone(), operation: ConsensusOperation::Snapshot };
-                        self.post(at, to, Mail::Poll { round: 0, poll });
+                        let request = ConsensusRequest {
+                            membership: membership.clone(),
+                            operation: ConsensusOperation::Snapshot,
+                        };
+                        self.post(at, to, Payload::Request { round: 0, request });
                     }
                 }
             }
         }
-        let due: Vec<Letter> = {
-            let (due, rest) = mem::take(&mut self.mail).into_iter().partition(|letter| letter.at <= now);
-            self.mail = rest;
+        let due: Vec<Packet> = {
+            let (due, rest) = mem::take(&mut self.payload).into_iter().partition(|packet| packet.at <= now);
+            self.payload = rest;
             due
         };
-        due.into_iter().for_each(|letter| self.deliver(letter));
+        due.into_iter().for_each(|packet| self.deliver(packet));
     }
 }
 
--- a/consensus/src/testing/storage/simulated_directory.rs
+++ b/consensus/src/testing/storage/simulated_directory.rs
@@ -1,10 +1,10 @@
-//! A folder and its files on a simulated disk, as one process of the store holds them.
+//! A directory and its files on a simulated disk, as one process of the store holds them.
 
 use std::io::{Error, ErrorKind, Result};
 use std::path::PathBuf;
 
 use super::simulated_disk::{FileChange, Inode, NameChange, SharedDisk};
-use crate::storage::{DataFile, Folder};
+use crate::storage::{DataFile, Directory};
 
 /// One file of a simulated disk, as one process holds it.
 struct SimulatedFile {
@@ -12,15 +12,15 @@
     inode: usize,
 }
 
-pub struct SimulatedFolder(pub SharedDisk);
+pub struct SimulatedDirectory(pub SharedDisk);
 
-impl SimulatedFolder {
+impl SimulatedDirectory {
     fn file(&self, inode: usize) -> Box<dyn DataFile> {
         Box::new(SimulatedFile { disk: self.0.clone(), inode })
     }
 }
 
-impl Folder for SimulatedFolder {
+impl Directory for SimulatedDirectory {
     fn names(&self) -> Result<Vec<String>> {
         let mut disk = self.0.lock().expect("disk");
         disk.operate()?;
@@ -99,9 +99,9 @@
         if disk.faults.truncations_ignored {
             return Ok(());
         }
-        let held = &mut disk.inodes[self.inode];
-        held.cached.resize(size as usize, 0);
-        held.pending.push(FileChange::Truncate(size as usize));
+        let inode_state = &mut disk.inodes[self.inode];
+        inode_state.cached.resize(size as usize, 0);
+        inode_state.pending.push(FileChange::Truncate(size as usize));
         Ok(())
     }
 
--- a/consensus/src/testing/storage/simulated_disk.rs
+++ b/consensus/src/testing/storage/simulated_disk.rs
@@ -43,12 +43,12 @@
     pub capacity: usize,
     /// The process ends in the middle of the operation this many ahead.
     pub crash_in: Option<u64>,
-    pub folder_sync_ignored: bool,
+    pub directory_sync_ignored: bool,
     pub file_sync_ignored: Option<&'static str>,
     /// Bytes written over the same bytes do not reach the disk.
     pub rewrites_ignored: bool,
     pub truncations_ignored: bool,
-    /// Names last only by a sync of the folder, not by a sync of the new file.
+    /// Names last only by a sync of the directory, not by a sync of the new file.
     pub strict_names: bool,
 }
 
@@ -57,7 +57,7 @@
     pub names: BTreeMap<String, usize>,
     stored_names: BTreeMap<String, usize>,
     pending_names: Vec<NameChange>,
-    dice: Rng,
+    rng: Rng,
     pub faults: Faults,
     pub crashed: bool,
 }
@@ -97,12 +97,12 @@
     }
 
     /// Some blocks of each write reach the disk, others do not.
-    fn store_in_part(&mut self, change: &FileChange, dice: &mut Rng, kept_of_ten: u64) {
+    fn store_in_part(&mut self, change: &FileChange, rng: &mut Rng, kept_of_ten: u64) {
         let FileChange::Write(offset, bytes) = change else { return };
-        for (place, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
-            if dice.below(10) < kept_of_ten {
-                let size = if dice.below(8) == 0 { dice.below(block.len() as u64) as usize } else { block.len() };
-                apply_write(&mut self.stored, offset + place * BLOCK_BYTES, &block[..size]);
+        for (index, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
+            if rng.below(10) < kept_of_ten {
+                let size = if rng.below(8) == 0 { rng.below(block.len() as u64) as usize } else { block.len() };
+                apply_write(&mut self.stored, offset + index * BLOCK_BYTES, &block[..size]);
             }
         }
     }
@@ -110,13 +110,13 @@
 
 impl Disk {
     pub fn new(seed: u64) -> SharedDisk {
-        let dice = Rng::new(clock::combine_hashes(seed, 77));
+        let rng = Rng::new(clock::combine_hashes(seed, 77));
         Arc::new(Mutex::new(Disk {
             inodes: Vec::new(),
             names: BTreeMap::new(),
             stored_names: BTreeMap::new(),
             pending_names: Vec::new(),
-            dice,
+            rng,
             faults: Faults { capacity: usize::MAX, ..Faults::default() },
             crashed: false,
         }))
@@ -130,18 +130,18 @@
     /// Memory is lost with the power, and the next process finds what the disk holds.
     pub fn lose_power(&mut self) {
         // At some losses all that was not synced is gone, at some all is there.
-        let kept_of_ten = [0, 2, 5, 8, 10][self.dice.below(5) as usize];
+        let kept_of_ten = [0, 2, 5, 8, 10][self.rng.below(5) as usize];
         let changes = mem::take(&mut self.pending_names);
         for change in changes {
-            if self.dice.below(10) < kept_of_ten {
+            if self.rng.below(10) < kept_of_ten {
                 apply_name(&mut self.stored_names, &change);
             }
         }
         for inode in &mut self.inodes {
             for change in mem::take(&mut inode.pending) {
                 match change {
-                    FileChange::Truncate(_) if self.dice.below(10) < kept_of_ten => inode.store(&change),
-                    _ => inode.store_in_part(&change, &mut self.dice, kept_of_ten),
+                    FileChange::Truncate(_) if self.rng.below(10) < kept_of_ten => inode.store(&change),
+                    _ => inode.store_in_part(&change, &mut self.rng, kept_of_ten),
                 }
             }
             inode.cached = inode.stored.clone();
@@ -167,7 +167,7 @@
             }
             *left -= 1;
         }
-        if self.dice.below(1000) < self.faults.errors {
+        if self.rng.below(1000) < self.faults.errors {
             return Err(Error::other("the disk refuses"));
         }
         Ok(())
@@ -179,7 +179,11 @@
     }
 
     fn name_of(&self, inode: usize) -> String {
-        self.names.iter().find(|(_, held)| **held == inode).map(|(name, _)| name.clone()).unwrap_or_default()
+        self.names
+            .iter()
+            .find(|(_, inode_state)| **inode_state == inode)
+            .map(|(name, _)| name.clone())
+            .unwrap_or_default()
     }
 
     pub fn write(&mut self, inode: usize, offset: usize, bytes: &[u8]) -> Result<()> {
@@ -191,15 +195,15 @@
         // A write that fails may have been done in part.
         let size = match outcome.is_err() || full {
             true => {
-                self.dice.below((bytes.len() + 1).min(bytes.len().saturating_sub(growth) + room + 1) as u64) as usize
+                self.rng.below((bytes.len() + 1).min(bytes.len().saturating_sub(growth) + room + 1) as u64) as usize
             }
             false => bytes.len(),
         };
-        let held = &mut self.inodes[inode];
-        let same = held.cached.get(offset..offset + size) == Some(&bytes[..size]);
-        apply_write(&mut held.cached, offset, &bytes[..size]);
+        let inode_state = &mut self.inodes[inode];
+        let same = inode_state.cached.get(offset..offset + size) == Some(&bytes[..size]);
+        apply_write(&mut inode_state.cached, offset, &bytes[..size]);
         if !(same && self.faults.rewrites_ignored) {
-            held.pending.push(FileChange::Write(offset, bytes[..size].to_vec()));
+            inode_state.pending.push(FileChange::Write(offset, bytes[..size].to_vec()));
         }
         outcome?;
         match full {
@@ -217,19 +221,20 @@
         if outcome.is_err() && self.crashed {
             return outcome;
         }
-        let held = &mut self.inodes[inode];
-        for change in mem::take(&mut held.pending) {
+        let inode_state = &mut self.inodes[inode];
+        for change in mem::take(&mut inode_state.pending) {
             match (&outcome, &change) {
-                (Ok(()), _) => held.store(&change),
+                (Ok(()), _) => inode_state.store(&change),
                 // The length of a file stands in the journal of the file system, which is tried again.
-                (Err(_), FileChange::Truncate(_)) => held.pending.push(change),
-                (Err(_), FileChange::Write(..)) => held.store_in_part(&change, &mut self.dice, 5),
+                (Err(_), FileChange::Truncate(_)) => inode_state.pending.push(change),
+                (Err(_), FileChange::Write(..)) => inode_state.store_in_part(&change, &mut self.rng, 5),
             }
         }
         if outcome.is_ok() && !self.faults.strict_names {
-            let made = |change: &NameChange| matches!(change, NameChange::Create(_, held) if *held == inode);
-            if let Some(place) = self.pending_names.iter().position(made) {
-                let change = self.pending_names.remove(place);
+            let made =
+                |change: &NameChange| matches!(change, NameChange::Create(_, inode_state) if *inode_state == inode);
+            if let Some(index) = self.pending_names.iter().position(made) {
+                let change = self.pending_names.remove(index);
                 apply_name(&mut self.stored_names, &change);
             }
         }
@@ -239,7 +244,7 @@
     /// All names last from now on.
     pub fn sync_names(&mut self) -> Result<()> {
         self.operate()?;
-        if self.faults.folder_sync_ignored {
+        if self.faults.directory_sync_ignored {
             return Ok(());
         }
         for change in mem::take(&mut self.pending_names) {
--- a/consensus/src/testing/storage/workload.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -5,7 +5,7 @@
 use kernel::clock::{self, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
-use super::simulated_directory::SimulatedFolder;
+use super::simulated_directory::SimulatedDirectory;
 use super::simulated_disk::{Disk, Faults, SharedDisk};
 use crate::acceptor::Acceptor;
 use crate::storage::{Store, StoreError};
@@ -13,25 +13,25 @@
 
 const SEGMENT_BYTES: u64 = 2000;
 const KEYS: u64 = 5;
-const MOST_BODY: u64 = 300;
+const MAX_BODY_BYTES: u64 = 300;
 /// The disk of a whole run: the store must never need more.
 const CAPACITY: usize = 16_000;
 /// What remains after a snapshot: all keys, the members, and a new segment with little in it.
-const SETTLED_BYTES: usize = 4_000;
+const MAX_BYTES_AFTER_SNAPSHOT: usize = 4_000;
 
 /// The store under test, and what must be found on its disk.
 pub struct Run {
     pub disk: SharedDisk,
-    pub dice: Rng,
+    pub rng: Rng,
     /// All that was reported as synced.
     acknowledged: Acceptor,
     /// Batches whose writing failed and that nothing has overwritten for certain.
-    under_way: Vec<Vec<LogRecord>>,
-    turn: u64,
+    in_flight: Vec<Vec<LogRecord>>,
+    term: u64,
 }
 
-fn after(voter: &Acceptor, records: &[LogRecord]) -> Acceptor {
-    let mut next = voter.clone();
+fn after(acceptor: &Acceptor, records: &[LogRecord]) -> Acceptor {
+    let mut next = acceptor.clone();
     records.iter().for_each(|record| next.replay(record.clone()));
     next
 }
@@ -41,7 +41,7 @@
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
         let acknowledged = Acceptor::new("10.0.0.1");
-        Run { disk, dice: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, under_way: Vec::new(), turn: 0 }
+        Run { disk, rng: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, in_flight: Vec::new(), term: 0 }
     }
 
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
@@ -53,26 +53,30 @@
     }
 
     fn record(&mut self) -> LogRecord {
-        self.turn += 1;
-        match self.dice.below(12) {
+        self.term += 1;
+        match self.rng.below(12) {
             0 => return LogRecord::VotingEnabled,
-            1 => return LogRecord::Membership(CoreMembership { version: self.turn, ..Default::default() }),
+            1 => return LogRecord::Membership(CoreMembership { version: self.term, ..Default::default() }),
             _ => {}
         }
-        let ballot = ProposalNumber { term: self.turn, replica_id: 1 };
-        let body = vec![self.turn as u8; self.dice.below(MOST_BODY) as usize];
-        let entry = Some(Entry { proposal_number: ballot, index: 0, body });
-        LogRecord::Register(RegisterState { key: format!("k{}", self.dice.below(KEYS)), prepared: ballot, entry })
+        let proposal_number = ProposalNumber { term: self.term, replica_id: 1 };
+        let body = vec![self.term as u8; self.rng.below(MAX_BODY_BYTES) as usize];
+        let entry = Some(Entry { proposal_number, index: 0, body });
+        LogRecord::Register(RegisterState {
+            key: format!("k{}", self.rng.below(KEYS)),
+            prepared: proposal_number,
+            entry,
+        })
     }
 
     fn batch(&mut self) -> Vec<LogRecord> {
-        let count = 1 + self.dice.below(4);
+        let count = 1 + self.rng.below(4);
         (0..count).map(|_| self.record()).collect()
     }
 
     fn end_process(&mut self) {
         let mut disk = self.disk.lock().expect("disk");
-        match self.dice.below(3) {
+        match self.rng.below(3) {
             0 => disk.restart(),
             _ => disk.lose_power(),
         }
@@ -85,12 +89,12 @@
                 self.faults(|faults| (faults.errors, faults.capacity) = (0, CAPACITY));
             }
             let mut found = Acceptor::new("10.0.0.1");
-            let folder = Box::new(SimulatedFolder(self.disk.clone()));
-            match Store::open_folder(folder, SEGMENT_BYTES, &mut |record| found.replay(record)) {
+            let directory = Box::new(SimulatedDirectory(self.disk.clone()));
+            match Store::open_directory(directory, SEGMENT_BYTES, &mut |record| found.replay(record)) {
                 Ok(store) => {
                     self.check(&found)?;
                     self.acknowledged = found;
-                    self.under_way.clear();
+                    self.in_flight.clear();
                     return Ok(store);
                 }
                 Err(error @ StoreError::Corrupted { .. }) => return Err(format!("taken for damaged: {error}")),
@@ -105,7 +109,7 @@
     fn check(&self, found: &Acceptor) -> Result<(), String> {
         let may_be = |records: &[LogRecord]| after(&self.acknowledged, records).snapshot() == found.snapshot();
         let fits =
-            may_be(&[]) || self.under_way.iter().any(|batch| (1..=batch.len()).any(|length| may_be(&batch[..length])));
+            may_be(&[]) || self.in_flight.iter().any(|batch| (1..=batch.len()).any(|length| may_be(&batch[..length])));
         match fits {
             true => Ok(()),
             false => Err(format!("found {:?}\nwanted {:?}", found.snapshot(), self.acknowledged.snapshot())),
@@ -117,17 +121,17 @@
         for _ in 0..4 {
             if store.append(&batch).is_ok() {
                 self.acknowledged = after(&self.acknowledged, &batch);
-                self.under_way.clear();
+                self.in_flight.clear();
                 return;
             }
-            self.under_way.push(batch.clone());
+            self.in_flight.push(batch.clone());
             if self.crashed() {
                 return;
             }
             if store.is_snapshot_due() {
                 self.snapshot(store);
             }
-            if self.dice.below(2) == 0 {
+            if self.rng.below(2) == 0 {
                 batch = self.batch();
             }
         }
@@ -135,22 +139,22 @@
 
     pub fn snapshot(&mut self, store: &mut Store) {
         if store.snapshot(&self.acknowledged.snapshot()).is_ok() {
-            self.under_way.clear();
+            self.in_flight.clear();
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let used = self.disk.lock().expect("disk").used();
-        let room = self.dice.below(1500) as usize;
-        let ahead = self.dice.below(40);
-        match self.dice.below(5) {
+        let room = self.rng.below(1500) as usize;
+        let ahead = self.rng.below(40);
+        match self.rng.below(5) {
             0 => self.faults(|faults| faults.errors = 0),
             1 => self.faults(|faults| faults.errors = 40),
             2 => self.faults(|faults| faults.errors = 300),
             3 => self.faults(|faults| faults.capacity = (used + room).min(CAPACITY)),
             _ => self.faults(|faults| faults.capacity = CAPACITY),
         }
-        if self.dice.below(2) == 0 {
+        if self.rng.below(2) == 0 {
             self.faults(|faults| faults.crash_in = Some(ahead));
         }
     }
@@ -158,8 +162,8 @@
     pub fn steps(&mut self, count: u64) -> Result<(), String> {
         let mut store = self.open()?;
         for _ in 0..count {
-            match self.dice.below(10) {
-                0 | 1 => self.trouble(),
+            match self.rng.below(10) {
+                0 | 1 => self.inject_faults(),
                 2 => self.snapshot(&mut store),
                 _ => self.append(&mut store),
             }
@@ -188,7 +192,7 @@
         self.acknowledged = after(&self.acknowledged, &batch);
         store.snapshot(&self.acknowledged.snapshot()).map_err(|error| format!("no snapshot: {error}"))?;
         let used = self.disk.lock().expect("disk").used();
-        if used > SETTLED_BYTES {
+        if used > MAX_BYTES_AFTER_SNAPSHOT {
             return Err(format!("{used} bytes stay on the disk"));
         }
         self.disk.lock().expect("disk").lose_power();
--- a/consensus/src/testing/storage/workload_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -20,16 +20,17 @@
     }
 }
 
-/// The same work, with the process ended at each of its operations in turn.
+/// The same work, with the process ended at each of its operations in term.
 #[test]
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
         for ahead in 0.. {
             let mut run = Run::new(clock::combine_hashes(seed, ahead), Faults::default());
-            run.dice = Rng::new(seed + 1);
+            run.rng = Rng::new(seed + 1);
             run.faults(|faults| faults.crash_in = Some(ahead));
-            let whole = work(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
-            if whole {
+            let completed =
+                run_workload(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
+            if completed {
                 break;
             }
         }
@@ -37,7 +38,7 @@
 }
 
 /// True: it came to its end without a crash.
-fn work(run: &mut Run) -> Result<bool, String> {
+fn run_workload(run: &mut Run) -> Result<bool, String> {
     let mut store = run.open()?;
     for step in 0..12 {
         run.append(&mut store);
@@ -55,7 +56,7 @@
 
 #[test]
 fn the_model_finds_a_store_without_folder_sync() {
-    assert!(first_failure(&Faults { folder_sync_ignored: true, ..Faults::default() }).is_some());
+    assert!(first_failure(&Faults { directory_sync_ignored: true, ..Faults::default() }).is_some());
 }
 
 #[test]
--- a/consensus/src/testing/unit/confirmation_tests.rs
+++ b/consensus/src/testing/unit/confirmation_tests.rs
@@ -2,24 +2,24 @@
 use super::{newest_committed, Confirmation, StaleKey};
 use protocol::message::{CoreMembership, Entry, KeyPosition, Member, Position, ProposalNumber};
 
-fn core(size: usize) -> CoreMembership {
+fn membership(size: usize) -> CoreMembership {
     let list = (0..size).map(|at| Member { ip: format!("m{at}"), zone: String::new() }).collect();
     CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
 }
 
-fn ballot(turn: u64) -> ProposalNumber {
-    ProposalNumber { term: turn, replica_id: 1 }
+fn proposal_number(term: u64) -> ProposalNumber {
+    ProposalNumber { term, replica_id: 1 }
 }
 
-fn entry(turn: u64, step: u64) -> Entry {
-    Entry { proposal_number: ballot(turn), index: step, body: vec![step as u8] }
+fn entry(term: u64, step: u64) -> Entry {
+    Entry { proposal_number: proposal_number(term), index: step, body: vec![step as u8] }
 }
 
 fn position(term: u64, index: u64) -> Position {
-    Position { proposal_number: ballot(term), index }
+    Position { proposal_number: proposal_number(term), index }
 }
 
-fn places(list: &[(&str, u64, u64)]) -> Vec<KeyPosition> {
+fn positions(list: &[(&str, u64, u64)]) -> Vec<KeyPosition> {
     let named =
         |(key, term, index): &(&str, u64, u64)| KeyPosition { key: key.to_string(), position: position(*term, *index) };
     list.iter().map(named).collect()
@@ -27,19 +27,19 @@
 
 #[test]
 fn one_voter_is_no_quorum_however_often_it_answers() {
-    let mut confirmation = Confirmation::new(&core(3));
-    confirmation.record("m0", places(&[]));
-    confirmation.record("m0", places(&[]));
+    let mut confirmation = Confirmation::new(&membership(3));
+    confirmation.record("m0", positions(&[]));
+    confirmation.record("m0", positions(&[]));
     assert!(!confirmation.is_quorum());
-    confirmation.record("m2", places(&[]));
+    confirmation.record("m2", positions(&[]));
     assert!(confirmation.is_quorum());
 }
 
 #[test]
 fn what_a_quorum_holds_alike_is_committed_and_what_one_holds_is_not() {
-    let mut confirmation = Confirmation::new(&core(3));
-    confirmation.record("m0", places(&[("config", 2, 7), ("evacuation/z", 1, 1)]));
-    confirmation.record("m1", places(&[("config", 2, 7), ("evacuation/z", 1, 2)]));
+    let mut confirmation = Confirmation::new(&membership(3));
+    confirmation.record("m0", positions(&[("config", 2, 7), ("evacuation/z", 1, 1)]));
+    confirmation.record("m1", positions(&[("config", 2, 7), ("evacuation/z", 1, 2)]));
     let known = |key: &str| (key == "config").then_some(position(2, 6));
     let behind = confirmation.stale_keys(known);
     let expected = [
@@ -51,9 +51,9 @@
 
 #[test]
 fn nothing_is_behind_where_all_is_known() {
-    let mut confirmation = Confirmation::new(&core(3));
-    confirmation.record("m0", places(&[("config", 2, 7)]));
-    confirmation.record("m1", places(&[("config", 2, 6)]));
+    let mut confirmation = Confirmation::new(&membership(3));
+    confirmation.record("m0", positions(&[("config", 2, 7)]));
+    confirmation.record("m1", positions(&[("config", 2, 6)]));
     assert!(confirmation.stale_keys(|_| Some(position(2, 7))).is_empty());
 }
 
@@ -61,6 +61,6 @@
 fn voters_that_moved_on_between_two_reads_still_show_a_committed_entry() {
     let from = |name: &str, entry: Entry| (name.to_string(), entry);
     let moved = [from("m0", entry(2, 9)), from("m1", entry(2, 8)), from("m2", entry(2, 8))];
-    assert_eq!(newest_committed(&core(3), &moved), Some(entry(2, 8)));
-    assert_eq!(newest_committed(&core(3), &moved[..2]), None, "each on one voter only");
+    assert_eq!(newest_committed(&membership(3), &moved), Some(entry(2, 8)));
+    assert_eq!(newest_committed(&membership(3), &moved[..2]), None, "each on one voter only");
 }
--- a/consensus/src/testing/unit/quorum_tests.rs
+++ b/consensus/src/testing/unit/quorum_tests.rs
@@ -1,4 +1,4 @@
-//! Quorums of a core before, during and after a change always share a voter.
+//! Quorums of a membership before, during and after a change always share an acceptor.
 use super::{is_old_or_new_member, is_quorum, old_and_new_members};
 use protocol::message::{CoreMembership, Member};
 
@@ -11,7 +11,7 @@
     members(mask).into_iter().map(|member| member.ip).collect()
 }
 
-fn settled(mask: u32) -> CoreMembership {
+fn stable(mask: u32) -> CoreMembership {
     CoreMembership { version: 1, members: members(mask), previous_members: Vec::new(), stable: true }
 }
 
@@ -19,8 +19,8 @@
     CoreMembership { version: 2, members: members(new), previous_members: members(old), stable: false }
 }
 
-fn quorums(core: &CoreMembership) -> Vec<u32> {
-    (0..64u32).filter(|mask| is_quorum(core, &addresses(*mask))).collect()
+fn quorums(membership: &CoreMembership) -> Vec<u32> {
+    (0..64u32).filter(|mask| is_quorum(membership, &addresses(*mask))).collect()
 }
 
 /// Old members, and new ones after one was added, removed or exchanged.
@@ -42,7 +42,7 @@
 fn quorums_before_and_during_a_change_share_a_voter() {
     for (old, new) in changes() {
         let during = quorums(&changing(old, new));
-        for before in quorums(&settled(old)) {
+        for before in quorums(&stable(old)) {
             assert!(during.iter().all(|quorum| quorum & before != 0), "{old:b} -> {new:b}: {before:b}");
         }
     }
@@ -52,7 +52,7 @@
 fn quorums_during_and_after_a_change_share_a_voter() {
     for (old, new) in changes() {
         let during = quorums(&changing(old, new));
-        for after in quorums(&settled(new)) {
+        for after in quorums(&stable(new)) {
             assert!(during.iter().all(|quorum| quorum & after != 0), "{old:b} -> {new:b}: {after:b}");
         }
     }
@@ -60,27 +60,31 @@
 
 #[test]
 fn an_exchange_without_joint_quorums_would_not_hold() {
-    let (old, new) = (settled(0b0111), settled(0b1011));
+    let (old, new) = (stable(0b0111), stable(0b1011));
     let apart = |one: &u32| quorums(&new).iter().any(|other| one & other == 0);
     assert!(quorums(&old).iter().any(apart));
 }
 
 #[test]
 fn members_before_a_change_are_told_until_it_is_settled() {
-    let mut core = changing(0b0111, 0b1011);
-    assert_eq!(old_and_new_members(&core).len(), 4);
-    core.stable = true;
-    assert_eq!(old_and_new_members(&core).len(), 3);
+    let mut membership = changing(0b0111, 0b1011);
+    assert_eq!(old_and_new_members(&membership).len(), 4);
+    membership.stable = true;
+    assert_eq!(old_and_new_members(&membership).len(), 3);
 }
 
 #[test]
 fn old_and_new_members_are_those_that_are_told() {
-    for mut core in [changing(0b0111, 0b1011), changing(0b0011, 0b0111), changing(0b1111, 0b0111)] {
-        for settled in [false, true] {
-            core.stable = settled;
-            let told = old_and_new_members(&core);
+    for mut membership in [changing(0b0111, 0b1011), changing(0b0011, 0b0111), changing(0b1111, 0b0111)] {
+        for stable in [false, true] {
+            membership.stable = stable;
+            let recipients = old_and_new_members(&membership);
             for member in addresses(0b1_1111) {
-                assert_eq!(is_old_or_new_member(&core, &member), told.contains(&member), "{core:?} {member}");
+                assert_eq!(
+                    is_old_or_new_member(&membership, &member),
+                    recipients.contains(&member),
+                    "{membership:?} {member}"
+                );
             }
         }
     }
--- a/consensus/src/testing/unit/reconfiguration_tests.rs
+++ b/consensus/src/testing/unit/reconfiguration_tests.rs
@@ -1,4 +1,4 @@
-//! Which members a core gets next, and when a change of it is settled.
+//! Which members a membership gets next, and when a change of it is stable.
 use super::{next_membership, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
 use protocol::message::{ConsensusResponse, CoreMembership, KeyPosition, Member, Position};
 
@@ -10,22 +10,22 @@
     Member { ip: name.into(), zone: zone.into() }
 }
 
-fn core(names: &[&str]) -> CoreMembership {
+fn membership(names: &[&str]) -> CoreMembership {
     let list = names.iter().map(|name| member(name, name)).collect();
     CoreMembership { version: 4, members: list, previous_members: Vec::new(), stable: true }
 }
 
-fn names(core: &CoreMembership) -> Vec<&str> {
-    core.members.iter().map(|member| member.ip.as_str()).collect()
+fn names(membership: &CoreMembership) -> Vec<&str> {
+    membership.members.iter().map(|member| member.ip.as_str()).collect()
 }
 
 fn changed(
-    core: &CoreMembership,
+    membership: &CoreMembership,
     health: impl Fn(&str) -> Health,
     candidates: &[Member],
     joint: bool,
 ) -> Option<CoreMembership> {
-    next_membership(core, &ClusterView { health: &health, candidates: candidates.to_vec(), joint_quorums: joint })
+    next_membership(membership, &ClusterView { health: &health, candidates: candidates.to_vec(), joint_quorums: joint })
 }
 
 fn all_live_but(name: &'static str, health: Health) -> impl Fn(&str) -> Health {
@@ -34,7 +34,8 @@
 
 #[test]
 fn a_member_that_is_gone_is_exchanged_in_one_change() {
-    let next = changed(&core(&["a", "b", "c"]), all_live_but("c", SILENT), &[member("d", "c")], true).expect("next");
+    let next =
+        changed(&membership(&["a", "b", "c"]), all_live_but("c", SILENT), &[member("d", "c")], true).expect("next");
     assert_eq!(names(&next), ["a", "b", "d"]);
     assert_eq!((next.version, next.stable, next.previous_members.len()), (5, false, 3));
 }
@@ -42,36 +43,36 @@
 #[test]
 fn a_candidate_of_the_same_zone_comes_first() {
     let candidates = [member("d", "a"), member("e", "c")];
-    let next = changed(&core(&["a", "b", "c"]), all_live_but("c", SILENT), &candidates, true).expect("next");
+    let next = changed(&membership(&["a", "b", "c"]), all_live_but("c", SILENT), &candidates, true).expect("next");
     assert_eq!(names(&next), ["a", "b", "e"]);
 }
 
 #[test]
 fn without_joint_quorums_a_candidate_is_added_first_and_the_lost_one_removed_after() {
     let lost = || all_live_but("c", SILENT);
-    let next = changed(&core(&["a", "b", "c"]), lost(), &[member("d", "c")], false).expect("added");
+    let next = changed(&membership(&["a", "b", "c"]), lost(), &[member("d", "c")], false).expect("added");
     assert_eq!(names(&next), ["a", "b", "c", "d"]);
-    let last = changed(&core(&["a", "b", "c", "d"]), lost(), &[], false).expect("removed");
+    let last = changed(&membership(&["a", "b", "c", "d"]), lost(), &[], false).expect("removed");
     assert_eq!(names(&last), ["a", "b", "d"]);
 }
 
 #[test]
 fn one_too_many_that_is_leaving_is_removed_before_it_is_gone() {
-    let next = changed(&core(&["a", "b", "c", "d"]), all_live_but("b", LEAVING), &[], true).expect("next");
+    let next = changed(&membership(&["a", "b", "c", "d"]), all_live_but("b", LEAVING), &[], true).expect("next");
     assert_eq!(names(&next), ["a", "c", "d"]);
 }
 
 #[test]
 fn nobody_is_removed_without_one_too_many() {
-    assert_eq!(changed(&core(&["a", "b", "c"]), all_live_but("b", SILENT), &[], true), None);
-    assert_eq!(changed(&core(&["a", "b", "c"]), all_live_but("b", LEAVING), &[], true), None);
+    assert_eq!(changed(&membership(&["a", "b", "c"]), all_live_but("b", SILENT), &[], true), None);
+    assert_eq!(changed(&membership(&["a", "b", "c"]), all_live_but("b", LEAVING), &[], true), None);
 }
 
 #[test]
 fn nothing_changes_while_those_that_stay_are_no_quorum() {
     let two_lost = |name: &str| if name == "a" { LIVE } else { SILENT };
-    assert_eq!(changed(&core(&["a", "b", "c"]), two_lost, &[member("d", "b")], true), None);
-    assert_eq!(changed(&core(&["a", "b", "c"]), two_lost, &[member("d", "b")], false), None);
+    assert_eq!(changed(&membership(&["a", "b", "c"]), two_lost, &[member("d", "b")], true), None);
+    assert_eq!(changed(&membership(&["a", "b", "c"]), two_lost, &[member("d", "b")], false), None);
 }
 
 #[test]
@@ -82,33 +83,37 @@
         "c" => SILENT,
         _ => LIVE,
     };
-    let next = changed(&core(&["a", "b", "c", "d"]), health, &[], true).expect("next");
+    let next = changed(&membership(&["a", "b", "c", "d"]), health, &[], true).expect("next");
     assert_eq!(names(&next), ["a", "c", "d"]);
 }
 
 #[test]
 fn a_settlement_waits_for_quorums_of_old_and_new_and_for_every_key() {
-    let prev = core(&["a", "b", "c"]).members;
-    let changing =
-        CoreMembership { members: core(&["a", "b", "d"]).members, previous_members: prev, stable: false, version: 5 };
-    let mut settlement = MembershipTransition::new(&changing);
-    settlement.hear("a", ["config".to_string()]);
-    settlement.hear("d", []);
-    assert!(!settlement.is_known(), "a majority of the new ones only");
-    assert!(settlement.remaining_keys().is_empty());
-    settlement.hear("b", ["evacuation/z".to_string()]);
-    assert!(settlement.is_known());
-    assert_eq!(settlement.remaining_keys(), ["config", "core", "evacuation/z"]);
+    let prev = membership(&["a", "b", "c"]).members;
+    let changing = CoreMembership {
+        members: membership(&["a", "b", "d"]).members,
+        previous_members: prev,
+        stable: false,
+        version: 5,
+    };
+    let mut transition = MembershipTransition::new(&changing);
+    transition.record_keys("a", ["config".to_string()]);
+    transition.record_keys("d", []);
+    assert!(!transition.is_known(), "a majority of the new ones only");
+    assert!(transition.remaining_keys().is_empty());
+    transition.record_keys("b", ["evacuation/z".to_string()]);
+    assert!(transition.is_known());
+    assert_eq!(transition.remaining_keys(), ["config", "core", "evacuation/z"]);
     for key in ["config", "core"] {
-        settlement.mark_recommitted(key);
-        assert!(!settlement.is_done());
+        transition.mark_recommitted(key);
+        assert!(!transition.is_done());
     }
-    settlement.mark_recommitted("evacuation/z");
-    assert!(settlement.is_done());
+    transition.mark_recommitted("evacuation/z");
+    assert!(transition.is_done());
 }
 
-/// A voter's answer to a spread: the keys that it holds.
-fn places(keys: &[&str]) -> ConsensusResponse {
+/// An acceptor's answer to a spread: the keys that it holds.
+fn positions(keys: &[&str]) -> ConsensusResponse {
     ConsensusResponse::Positions {
         positions: keys.iter().map(|key| KeyPosition { key: key.to_string(), position: Position::default() }).collect(),
     }
@@ -118,19 +123,19 @@
 fn exchange() -> CoreMembership {
     CoreMembership {
         version: 5,
-        members: core(&["a", "b", "d"]).members,
-        previous_members: core(&["a", "b", "c"]).members,
+        members: membership(&["a", "b", "d"]).members,
+        previous_members: membership(&["a", "b", "c"]).members,
         stable: false,
     }
 }
 
 #[test]
 fn a_voter_that_does_not_say_what_it_holds_does_not_count_for_a_settlement() {
-    let mut settlement = MembershipTransition::new(&exchange());
-    for (from, vote) in [("a", places(&[])), ("d", places(&[])), ("c", ConsensusResponse::NonVoting)] {
-        settlement.record_response(from, &vote);
+    let mut transition = MembershipTransition::new(&exchange());
+    for (from, response) in [("a", positions(&[])), ("d", positions(&[])), ("c", ConsensusResponse::NonVoting)] {
+        transition.record_response(from, &response);
     }
-    assert!(!settlement.is_known(), "what b and c hold would not be committed again");
-    settlement.record_response("c", &places(&["config"]));
-    assert_eq!(settlement.remaining_keys(), ["config", "core"]);
+    assert!(!transition.is_known(), "what b and c hold would not be committed again");
+    transition.record_response("c", &positions(&["config"]));
+    assert_eq!(transition.remaining_keys(), ["config", "core"]);
 }
--- a/consensus/src/testing/unit/round_tests.rs
+++ b/consensus/src/testing/unit/round_tests.rs
@@ -1,26 +1,26 @@
-//! The turns of ballots.
+//! The terms of proposal numbers.
 use super::{next_term, TERMS_PER_MEMBERSHIP};
 use protocol::message::CoreMembership;
 
-fn core(version: u64) -> CoreMembership {
+fn membership(version: u64) -> CoreMembership {
     CoreMembership { version, ..CoreMembership::default() }
 }
 
 #[test]
 fn a_turn_is_above_the_last_one_of_its_owner() {
-    let first = next_term(0, &core(1));
-    assert!(next_term(first, &core(1)) == first + 1);
+    let first = next_term(0, &membership(1));
+    assert!(next_term(first, &membership(1)) == first + 1);
 }
 
 #[test]
 fn a_turn_is_above_every_one_under_an_earlier_core() {
-    let last = next_term(0, &core(1)) + TERMS_PER_MEMBERSHIP - 1;
-    assert!(next_term(0, &core(2)) > last - 1);
-    assert!(next_term(7, &core(2)) == next_term(0, &core(2)), "whatever its owner did before");
+    let last = next_term(0, &membership(1)) + TERMS_PER_MEMBERSHIP - 1;
+    assert!(next_term(0, &membership(2)) > last - 1);
+    assert!(next_term(7, &membership(2)) == next_term(0, &membership(2)), "whatever its owner did before");
 }
 
 #[test]
 fn a_turn_above_the_own_core_is_kept() {
-    let newer = next_term(0, &core(3));
-    assert!(next_term(newer, &core(2)) > newer);
+    let newer = next_term(0, &membership(3));
+    assert!(next_term(newer, &membership(2)) > newer);
 }
--- a/consensus/src/testing/unit/store_tests.rs
+++ b/consensus/src/testing/unit/store_tests.rs
@@ -6,16 +6,16 @@
 use super::{Store, StoreError};
 use crate::LogRecord;
 
-fn folder(name: &str) -> PathBuf {
+fn directory(name: &str) -> PathBuf {
     let dir = env::temp_dir().join(format!("tidepoint-store-{name}-{}", process::id()));
     let _ = fs::remove_dir_all(&dir);
     dir
 }
 
-fn record(turn: u64, body: &[u8]) -> LogRecord {
-    let ballot = ProposalNumber { term: turn, replica_id: 1 };
-    let entry = Some(Entry { proposal_number: ballot, index: 0, body: body.to_vec() });
-    LogRecord::Register(RegisterState { key: "k".into(), prepared: ballot, entry })
+fn record(term: u64, body: &[u8]) -> LogRecord {
+    let proposal_number = ProposalNumber { term, replica_id: 1 };
+    let entry = Some(Entry { proposal_number, index: 0, body: body.to_vec() });
+    LogRecord::Register(RegisterState { key: "k".into(), prepared: proposal_number, entry })
 }
 
 fn open(dir: &Path) -> Result<(Store, Vec<LogRecord>), StoreError> {
@@ -30,7 +30,7 @@
 
 #[test]
 fn what_was_appended_comes_back_and_snapshots_replace_it() {
-    let dir = folder("plain");
+    let dir = directory("plain");
     let (mut store, found) = open(&dir).expect("opens");
     assert!(found.is_empty());
     store.append(&[record(1, b"a"), record(2, b"b")]).expect("written");
@@ -43,20 +43,20 @@
 
 #[test]
 fn a_torn_end_is_cut_off_at_every_length() {
-    let dir = folder("torn");
+    let dir = directory("torn");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     let file = dir.join("log-00000001");
     let kept = fs::read(&file).expect("read").len();
     store.append(&[record(2, b"bbbb")]).expect("written");
-    let whole = fs::read(&file).expect("read");
-    for len in kept..whole.len() {
-        fs::write(&file, &whole[..len]).expect("written");
+    let complete = fs::read(&file).expect("read");
+    for len in kept..complete.len() {
+        fs::write(&file, &complete[..len]).expect("written");
         assert_eq!(reopen(&dir), [record(1, b"a")], "length {len}");
         // Missing rather than short: zeros where the write should be.
-        let mut hole = whole[..len].to_vec();
-        hole.resize(whole.len(), 0);
-        if hole == whole {
+        let mut hole = complete[..len].to_vec();
+        hole.resize(complete.len(), 0);
+        if hole == complete {
             continue; // what is missing was zero: nothing is
         }
         fs::write(&file, &hole).expect("written");
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_flaw_before_what_was_synced_is_refused_with_file_and_offset() {
-    let dir = folder("flaw");
+    let dir = directory("flaw");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     store.append(&[record(2, b"b")]).expect("written");
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_foreign_file_is_refused() {
-    let dir = folder("foreign");
+    let dir = directory("foreign");
     fs::create_dir_all(&dir).expect("made");
     fs::write(dir.join("log-00000001"), b"#!/bin/sh\necho of another program\n").expect("written");
     let error = open(&dir).err().expect("refused").to_string();
@@ -93,13 +93,13 @@
 
 #[test]
 fn a_storm_of_large_changes_stays_within_a_bounded_size() {
-    let dir = folder("storm");
+    let dir = directory("storm");
     let (mut store, _) = open(&dir).expect("opens");
     let body = vec![7; 300_000];
-    for turn in 1..60 {
-        store.append(&[record(turn, &body)]).expect("written");
+    for term in 1..60 {
+        store.append(&[record(term, &body)]).expect("written");
         if store.is_snapshot_due() {
-            store.snapshot(&[record(turn, &body)]).expect("written");
+            store.snapshot(&[record(term, &body)]).expect("written");
         }
     }
     let size: u64 =
@@ -127,7 +127,7 @@
 
 #[test]
 fn the_disk_of_the_first_version_is_still_read() {
-    let dir = folder("first");
+    let dir = directory("first");
     fs::create_dir_all(&dir).expect("made");
     for item in fs::read_dir(fixture()).expect("the fixture") {
         let item = item.expect("an item");
@@ -140,13 +140,13 @@
 /// A snapshot that failed leaves an empty segment behind; the log goes on in the one before it.
 #[test]
 fn a_torn_end_before_an_empty_segment_is_cut_off() {
-    let dir = folder("empty-segment");
+    let dir = directory("empty-segment");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     store.append(&[record(2, b"bbbb")]).expect("written");
     let file = dir.join("log-00000001");
-    let whole = fs::read(&file).expect("read");
-    fs::write(&file, &whole[..whole.len() - 5]).expect("written");
+    let complete = fs::read(&file).expect("read");
+    fs::write(&file, &complete[..complete.len() - 5]).expect("written");
     fs::write(dir.join("log-00000002"), b"").expect("made");
     assert_eq!(reopen(&dir), [record(1, b"a")]);
     let _ = fs::remove_dir_all(dir);
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_first_write_of_which_only_later_blocks_are_there_is_no_foreign_file() {
-    let dir = folder("first-block");
+    let dir = directory("first-block");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, &[7; 5000])]).expect("written");
     let file = dir.join("log-00000001");
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_missing_segment_is_refused() {
-    let dir = folder("missing");
+    let dir = directory("missing");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     store.snapshot(&[record(1, b"a")]).expect("written");
