--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -1,5 +1,7 @@
-//! The voting side: a pure state machine. Each request gives A response, and what must be on disk before
-//! that vote may leave.
+//! The acceptor: answers prepare and accept requests, as in "Paxos Made Simple", section 2.2.
+//!
+//! A pure state machine. Each request yields a response together with the log records that must be on disk before
+//! that response may leave: a promise that a power loss can undo is no promise.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +9,45 @@
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Member,
     ProposalNumber, RegisterState,
 };
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::{decode_membership, quorum, MEMBERSHIP_KEY};
 
-/// What goes to disk, in order.
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+/// One change of an acceptor's state, as it is logged. Later records replace earlier ones.
+#[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum LogRecord {
+    /// A register with its highest prepared proposal number and its accepted entry.
     Register(RegisterState),
+    /// The newest committed core membership that the acceptor knows.
     Membership(CoreMembership),
-    /// From here on this disk may vote.
+    /// From this record on the acceptor may vote: it was set up as a member, or has recovered from a lost disk.
     VotingEnabled,
 }
 
-/// Invariants: `register[..].prepared` and the position of each entry never go back; an entry's proposal number is
-/// never above what is prepared; `membership.version` never goes back; an acceptor that may not vote (`may_vote`) neither
-/// promises nor accepts.
+/// The state of one acceptor.
+///
+/// Invariants: the prepared number of a register and the position of its entry never decrease; the proposal number of
+/// an entry is never above the prepared one; the version of the membership never decreases; an acceptor that may not
+/// vote neither prepares nor accepts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
+    /// The address under which the acceptor is a member.
     pub ip: String,
+    /// The newest committed core membership that it knows.
     pub membership: CoreMembership,
+    /// The registers by key.
     pub registers: BTreeMap<String, RegisterState>,
+    /// False on an empty disk, until recovery has ended.
     pub may_vote: bool,
 }
 
 impl Acceptor {
+    /// Creates an acceptor that knows nothing and may not vote.
     pub fn new(ip: &str) -> Self {
         Acceptor { ip: ip.into(), ..Acceptor::default() }
     }
 
-    /// Folds what was found on disk.
+    /// Applies a record that was found on disk. Records have to come in the order in which they were written.
     pub fn replay(&mut self, record: LogRecord) {
         match record {
             LogRecord::Register(register) => {
@@ -46,74 +58,87 @@
         }
     }
 
-    /// All that a snapshot must hold.
+    /// Returns the records that restore this state in a new acceptor. The permission to vote comes last.
     pub fn snapshot(&self) -> Vec<LogRecord> {
-        let mut list = vec![LogRecord::Membership(self.membership.clone())];
-        list.extend(self.registers.values().cloned().map(LogRecord::Register));
+        let mut records = vec![LogRecord::Membership(self.membership.clone())];
+        records.extend(self.registers.values().cloned().map(LogRecord::Register));
         if self.may_vote {
-            list.push(LogRecord::VotingEnabled);
+            records.push(LogRecord::VotingEnabled);
         }
-        list
+        records
     }
 
+    /// Returns whether the acceptor may vote and is a member.
     pub fn is_voting(&self) -> bool {
         self.may_vote && quorum::is_member(&self.membership, &self.ip)
     }
 
-    /// Takes over a committed membership. None when it is no newer.
+    /// Adopts a committed membership. Returns the record to write, or `None` if the membership is not newer than the
+    /// known one. A stable membership is newer than the joint one of the same version.
     pub fn adopt_membership(&mut self, membership: &CoreMembership) -> Option<LogRecord> {
-        let newer = membership.version > self.membership.version;
-        let calmer = membership.version == self.membership.version && membership.stable && !self.membership.stable;
-        if !newer && !calmer {
+        let is_newer = membership.version > self.membership.version;
+        let is_stabilized =
+            membership.version == self.membership.version && membership.stable && !self.membership.stable;
+        if !is_newer && !is_stabilized {
             return None;
         }
         self.membership = membership.clone();
         Some(LogRecord::Membership(membership.clone()))
     }
 
-    pub fn handle(&mut self, handle: ConsensusRequest) -> (ConsensusResponse, Vec<LogRecord>) {
-        if handle.membership.version < self.membership.version {
+    /// Handles one request. Returns the response and the records that must be on disk before the response is sent.
+    pub fn handle(&mut self, request: ConsensusRequest) -> (ConsensusResponse, Vec<LogRecord>) {
+        if request.membership.version < self.membership.version {
             return (ConsensusResponse::NewerMembership { membership: self.membership.clone() }, Vec::new());
         }
-        let mut records: Vec<LogRecord> = self.adopt_membership(&handle.membership).into_iter().collect();
-        let response = match handle.operation {
-            // A disk's whole content is also given by one that may not vote: the reader asks `may_vote`.
+        let mut records: Vec<LogRecord> = self.adopt_membership(&request.membership).into_iter().collect();
+        let response = self.respond(request.operation, &mut records);
+        (response, records)
+    }
+
+    fn respond(&mut self, operation: ConsensusOperation, records: &mut Vec<LogRecord>) -> ConsensusResponse {
+        match operation {
+            // Snapshots and positions are also returned by an acceptor that is no longer a member: the keys that it
+            // holds have to be committed again before a change of members is complete.
             ConsensusOperation::Snapshot if self.may_vote => {
                 ConsensusResponse::Snapshot { registers: self.registers.values().cloned().collect() }
             }
-            // The positions, too, by one that is no member any more: its keys are part of a change's transition.
             ConsensusOperation::Positions if self.may_vote => {
                 ConsensusResponse::Positions { positions: self.positions() }
             }
             _ if !self.is_voting() => ConsensusResponse::NonVoting,
-            ConsensusOperation::Prepare { key, proposal_number } => self.prepare(key, proposal_number, &mut records),
-            ConsensusOperation::Accept { key, entry } => self.accept(key, entry, &mut records),
-            ConsensusOperation::Fetch { key } => ConsensusResponse::Fetched {
-                entry: self.registers.get(&key).and_then(|register| register.entry.clone()),
-            },
+            ConsensusOperation::Prepare { key, proposal_number } => self.prepare(&key, proposal_number, records),
+            ConsensusOperation::Accept { key, entry } => self.accept(&key, entry, records),
+            ConsensusOperation::Fetch { key } => {
+                let register = self.registers.get(&key);
+                ConsensusResponse::Fetched { entry: register.and_then(|register| register.entry.clone()) }
+            }
             ConsensusOperation::Snapshot | ConsensusOperation::Positions => ConsensusResponse::NonVoting,
-        };
-        (response, records)
+        }
     }
 
+    /// Returns the position of every accepted entry, by key in ascending order.
     pub fn positions(&self) -> Vec<KeyPosition> {
-        let held =
-            self.registers.values().filter_map(|register| register.entry.as_ref().map(|entry| (register, entry)));
-        held.map(|(register, entry)| KeyPosition { key: register.key.clone(), position: entry.position() }).collect()
+        let position = |register: &RegisterState| {
+            let entry = register.entry.as_ref()?;
+            Some(KeyPosition { key: register.key.clone(), position: entry.position() })
+        };
+        self.registers.values().filter_map(position).collect()
     }
 
-    fn register(&mut self, key: &str) -> &mut RegisterState {
-        let empty = || RegisterState { key: key.into(), prepared: Default::default(), entry: None };
+    fn register_mut(&mut self, key: &str) -> &mut RegisterState {
+        let empty = || RegisterState { key: key.into(), prepared: ProposalNumber::default(), entry: None };
         self.registers.entry(key.to_string()).or_insert_with(empty)
     }
 
+    /// Phase 1 of "Paxos Made Simple": promises to accept nothing below this number, and reports what was accepted.
     fn prepare(
         &mut self,
-        key: String,
+        key: &str,
         proposal_number: ProposalNumber,
         records: &mut Vec<LogRecord>,
     ) -> ConsensusResponse {
-        let register = self.register(&key);
+        let register = self.register_mut(key);
         if proposal_number <= register.prepared {
             return ConsensusResponse::Rejected { prepared: register.prepared };
         }
@@ -122,10 +147,13 @@
         ConsensusResponse::Prepared { entry: register.entry.clone() }
     }
 
-    fn accept(&mut self, key: String, entry: Entry, records: &mut Vec<LogRecord>) -> ConsensusResponse {
-        let register = self.register(&key);
-        let held = register.entry.as_ref().map(Entry::position);
-        if entry.proposal_number < register.prepared || held.is_some_and(|position| position > entry.position()) {
+    /// Phase 2 of "Paxos Made Simple": accepts the entry unless a higher number was prepared. Since an owner writes
+    /// several entries under one number, an entry must not replace one with a higher index either.
+    fn accept(&mut self, key: &str, entry: Entry, records: &mut Vec<LogRecord>) -> ConsensusResponse {
+        let register = self.register_mut(key);
+        let accepted = register.entry.as_ref().map(Entry::position);
+        let is_outdated = accepted.is_some_and(|accepted| accepted > entry.position());
+        if entry.proposal_number < register.prepared || is_outdated {
             return ConsensusResponse::Rejected { prepared: register.prepared };
         }
         register.prepared = entry.proposal_number;
@@ -134,57 +162,64 @@
         ConsensusResponse::Accepted
     }
 
-    /// Ends a loss of memory with what `enough` other acceptors hold. The highest promise of any of them
-    /// binds, since one of them was part of each lost majority.
+    /// Ends recovery with what other acceptors hold, once [`Acceptor::has_enough_reads`] says so. The highest
+    /// proposal number that any of them prepared binds, since one of them was part of each majority that counted a
+    /// lost response. Returns the records to write.
     ///
-    /// None: a membership newer than the one that is known here may be committed. Responses that were lost may have been
-    /// given under it, and its quorums need no acceptor that was read.
+    /// Returns `None` if a membership newer than the known one may be committed: lost responses may have been given
+    /// under it, and its quorums need none of the acceptors that were read.
     pub fn recover(&mut self, reads: Vec<Vec<RegisterState>>) -> Option<Vec<LogRecord>> {
-        if accepted_membership(&reads).is_some_and(|written| written.version > self.membership.version) {
+        if accepted_membership(&reads).is_some_and(|accepted| accepted.version > self.membership.version) {
             return None;
         }
         for read in reads.into_iter().flatten() {
-            let register = self.register(&read.key.clone());
-            register.prepared = register.prepared.max(read.prepared);
-            let mine = register.entry.as_ref().map(Entry::position);
-            let held = read.entry.as_ref().map(Entry::position);
-            if held > mine {
-                register.entry = read.entry;
-            }
+            self.merge(read);
         }
         self.may_vote = true;
         Some(self.snapshot())
     }
 
-    /// Have enough acceptors been read to end a loss of memory? Every majority of the membership (and of the one
-    /// before, while that is unsettled) must hold one of them, so that no lost vote goes unseen. Acceptors
-    /// that are themselves that lost its disk do not count, and need not be waited for.
+    /// Keeps the higher prepared number and the newer entry of a register's own state and one that was read.
+    fn merge(&mut self, read: RegisterState) {
+        let register = self.register_mut(&read.key);
+        register.prepared = register.prepared.max(read.prepared);
+        let own_position = register.entry.as_ref().map(Entry::position);
+        let read_position = read.entry.as_ref().map(Entry::position);
+        if read_position > own_position {
+            register.entry = read.entry;
+        }
+    }
+
+    /// Returns whether enough acceptors were read to end recovery.
+    ///
+    /// Every majority of the members (and of the previous ones while the membership is joint) must contain one of
+    /// them, so that no lost response goes unseen. Acceptors that are themselves in recovery do not count, and need
+    /// not be waited for.
     pub fn has_enough_reads(&self, read: &[String]) -> bool {
-        let meets = |list: &[Member]| {
-            let seen = list.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
-            seen + quorum::majority(list.len()) > list.len()
+        let meets_every_majority = |members: &[Member]| {
+            let seen = members.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
+            seen + quorum::majority(members.len()) > members.len()
         };
         !read.is_empty()
-            && meets(&self.membership.members)
-            && (self.membership.stable || meets(&self.membership.previous_members))
+            && meets_every_majority(&self.membership.members)
+            && (self.membership.stable || meets_every_majority(&self.membership.previous_members))
     }
 
-    /// Those whom an acceptor that lost its disk asks: all others of the membership and of the one before.
+    /// Returns the addresses that an acceptor in recovery reads: all other members, and the previous ones while the
+    /// membership is joint.
     pub fn recovery_peers(&self) -> Vec<String> {
-        let mut list = quorum::old_and_new_members(&self.membership);
-        list.retain(|address| *address != self.ip);
-        list
+        let mut addresses = quorum::old_and_new_members(&self.membership);
+        addresses.retain(|address| *address != self.ip);
+        addresses
     }
 }
 
-/// The newest membership that any of these acceptors accepted, committed or not.
+/// Returns the newest membership that any of these acceptors accepted, committed or not.
 fn accepted_membership(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
-    let entries = reads
-        .iter()
-        .flatten()
-        .filter(|register| register.key == MEMBERSHIP_KEY)
-        .filter_map(|register| register.entry.as_ref());
-    decode_membership(&entries.max_by_key(|entry| entry.position())?.body)
+    let registers = reads.iter().flatten().filter(|register| register.key == MEMBERSHIP_KEY);
+    let entries = registers.filter_map(|register| register.entry.as_ref());
+    let newest = entries.max_by_key(|entry| entry.position())?;
+    decode_membership(&newest.body)
 }
 
 #[cfg(test)]
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -1,4 +1,7 @@
-//! Confirming at a quorum that what is known is not older than what is committed: pure.
+//! Confirms at a quorum that the known state is not older than what is committed. Pure: no input or output.
+//!
+//! Any committed entry is on a quorum, and two quorums share an acceptor. So the positions that a quorum reports
+//! include, for each key, one at least as new as the newest committed entry.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,13 +10,14 @@
 
 use crate::quorum;
 
-/// How one key stands after a read at a quorum.
+/// A key of which an acceptor holds something newer than the known state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleKey {
+    /// The key of the register.
     pub key: String,
-    /// The newest position that an acceptor told.
+    /// The newest position that an acceptor reported.
     pub position: Position,
-    /// A quorum holds this position, so it is committed; otherwise it may still be on its way.
+    /// A quorum reported this position, so that it is committed; otherwise it may still be on its way.
     pub is_committed: bool,
 }
 
@@ -32,12 +36,14 @@
 }
 
 impl Confirmation {
+    /// Starts a read at the quorums of this membership.
     pub fn new(membership: &CoreMembership) -> Confirmation {
         Confirmation { membership: membership.clone(), responders: Vec::new(), reports: Vec::new() }
     }
 
+    /// Records the positions that the acceptor at this address reported, unless it has already responded.
     pub fn record(&mut self, from: &str, positions: Vec<KeyPosition>) {
-        if self.responders.iter().any(|known| known == from) {
+        if self.responders.iter().any(|responder| responder == from) {
             return;
         }
         self.responders.push(from.into());
@@ -45,25 +51,30 @@
         self.reports.extend(positions.into_iter().map(report));
     }
 
+    /// Returns whether a quorum has responded.
     pub fn is_quorum(&self) -> bool {
         quorum::is_quorum(&self.membership, &self.responders)
     }
 
-    /// The keys of which an acceptor holds something newer than what `known` says is committed.
+    /// Returns the keys of which an acceptor holds something newer than the position that `known` returns for them,
+    /// in ascending order.
     pub fn stale_keys(&self, known: impl Fn(&str) -> Option<Position>) -> Vec<StaleKey> {
+        let newest = self.newest_positions().into_iter();
+        let stale = newest.filter(|(key, position)| known(key) < Some(*position));
+        let stale_key = |(key, position): (&str, Position)| {
+            let is_committed = self.is_committed(key, position);
+            StaleKey { key: key.into(), position, is_committed }
+        };
+        stale.map(stale_key).collect()
+    }
+
+    fn newest_positions(&self) -> BTreeMap<&str, Position> {
         let mut newest: BTreeMap<&str, Position> = BTreeMap::new();
         for report in &self.reports {
             let position = newest.entry(&report.key).or_default();
             *position = (*position).max(report.position);
         }
-        let newer = newest.into_iter().filter(|(key, position)| known(key) < Some(*position));
-        newer
-            .map(|(key, position)| StaleKey {
-                key: key.into(),
-                position,
-                is_committed: self.is_committed(key, position),
-            })
-            .collect()
+        newest
     }
 
     fn is_committed(&self, key: &str, position: Position) -> bool {
@@ -73,17 +84,19 @@
     }
 }
 
-/// The newest entry that a quorum of acceptors was seen to hold alike, and which therefore is committed.
+/// Returns the newest entry that a quorum of acceptors holds at the same position and that is therefore committed.
+/// `fetched` holds entries with the addresses that they came from.
+///
 /// Acceptors may move on between two reads: an entry that came after the one looked for serves as well.
 pub fn newest_committed(membership: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
     let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
     entries.sort_by_key(|entry| Reverse(entry.position()));
-    let alike = |entry: &Entry| {
-        let holds = fetched.iter().filter(|(_, held)| held.position() == entry.position());
-        let holders: Vec<String> = holds.map(|(from, _)| from.clone()).collect();
+    let is_committed = |entry: &Entry| {
+        let same = fetched.iter().filter(|(_, other)| other.position() == entry.position());
+        let holders: Vec<String> = same.map(|(from, _)| from.clone()).collect();
         quorum::is_quorum(membership, &holders)
     };
-    entries.into_iter().find(|entry| alike(entry)).cloned()
+    entries.into_iter().find(|entry| is_committed(entry)).cloned()
 }
 
 #[cfg(test)]
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,7 +1,14 @@
-//! Control state. Each key is a register of its own: one owner at a time under a rising proposal number, a
-//! change on a majority of the disks before any answer. No common log, no leader for all.
+//! Replicated registers for the control state: one Paxos instance per key.
+//!
+//! Each key is a register of its own. One owner at a time writes it under a rising proposal number, and a change is
+//! on the disks of a quorum before anybody is answered. There is neither a common log nor a leader of all keys. The
+//! terms are those of Lamport's "Paxos Made Simple" (acceptor, proposal number, prepare, accept, chosen).
+//!
+//! The engine is pure: [`Acceptor`], [`Round`], [`Proposal`], [`Confirmation`], [`MembershipTransition`] and
+//! [`quorum`] take messages and the time as arguments and return what to send and what to write. The controller
+//! drives them over the network, the tests in virtual time. Only [`Store`] touches a disk.
 
-use kernel::clock;
+#![deny(missing_docs)]
 
 mod acceptor;
 mod confirmation;
@@ -11,6 +18,10 @@
 mod reconfiguration;
 mod round;
 mod storage;
+#[cfg(test)]
+mod testing;
+
+use kernel::clock;
 
 pub use acceptor::{Acceptor, LogRecord};
 pub use confirmation::{newest_committed, Confirmation, StaleKey};
@@ -20,18 +31,20 @@
 pub use round::{next_term, Ownership, Round, RoundProgress};
 pub use storage::{Store, StoreError};
 
+/// The key of the register that holds the core membership.
 pub const MEMBERSHIP_KEY: &str = "core";
-/// A round not over by then is abandoned; its outcome is unknown.
+/// How long a round may take, in milliseconds. After it the round is abandoned and its outcome is unknown.
 pub const ROUND_TIMEOUT_MS: u64 = 900;
-/// An acceptor that lost its disk waits this long before it reads the others, so that every round which
-/// counted its lost votes is over. Invariant: above `ROUND_MS`.
+/// How long an acceptor that lost its disk waits before it reads the others, in milliseconds.
+///
+/// Invariant: longer than [`ROUND_TIMEOUT_MS`], so that every round which counted a response that the acceptor no
+/// longer remembers is over by then.
 pub const RECOVERY_DELAY_MS: u64 = 1300;
 
-/// The seat of a controller in proposal numbers: its address, so that it differs between live controllers, mixed
-/// with its incarnation, so that two lives never act under one proposal number.
+/// Returns the replica id that a controller uses in its proposal numbers.
+///
+/// It mixes the address, which differs between live controllers, with the incarnation, so that two incarnations of
+/// one controller never act under the same proposal number.
 pub fn replica_id(ip: &str, incarnation: u64) -> u64 {
     clock::combine_hashes(clock::hash(ip.as_bytes()), incarnation)
 }
-
-#[cfg(test)]
-mod testing;
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,5 +1,7 @@
-//! One change or linearizable read of a register, from the first request to its outcome, as a pure state
-//! machine. The controller drives it over the network, the simulation in virtual time.
+//! One change or linearizable read of a register, from the first request to its outcome, as a pure state machine.
+//!
+//! A proposal consists of one or two rounds: a claim where the key is not owned, then a change where one is wanted.
+//! The controller drives it over the network, the simulation in virtual time.
 
 use std::mem;
 
@@ -7,43 +9,50 @@
 
 use crate::round::{Ownership, Round, RoundProgress};
 
-/// What a caller decides once it sees what is committed.
+/// What a caller decides once it sees the committed body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision<T> {
-    /// Nothing to change: answer with this.
+    /// Nothing is to be changed: finish with this answer.
     Answer(T),
-    /// Commit this body, then answer.
+    /// Commit this body, then finish with this answer.
     Write(Vec<u8>, T),
 }
 
-/// What is to be done next.
+/// What a proposal needs next, or how it ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress<T> {
+    /// More responses are needed.
     Wait,
-    /// To be sent to every acceptor of the proposal's membership; answers to earlier requests no longer count.
+    /// This operation has to be sent to every member of the proposal's membership; responses to earlier ones no
+    /// longer count.
     Send(ConsensusOperation),
-    /// Committed, or read at a quorum. The ownership serves the next change of the same key.
+    /// The change is committed, or the answer rests on what was read at a quorum.
     Finished {
+        /// The answer that the caller decided on.
         answer: T,
+        /// Serves the next change of the same key.
         ownership: Ownership,
+        /// Whether a change was committed.
         written: bool,
     },
     /// Another owner is at work under this higher proposal number. The outcome of an own write is unknown.
     Superseded(ProposalNumber),
-    /// An acceptor knows a newer membership. The outcome of an own write is unknown.
+    /// An acceptor knows this newer membership. The outcome of an own write is unknown.
     NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage<T> {
-    /// Taking the key over: reading a quorum under a new proposal number and committing again what is found.
+    /// Claiming the key: a quorum prepares a new number, and what it reports is committed again.
     Claiming,
-    /// Committing an own change.
+    /// Committing an own change, with the answer to give then.
     Writing(T),
 }
 
-/// Invariants: an answer without a write is given only on what this proposal itself read at a quorum; a
-/// change is written only under a proposal number that a quorum has prepared to this owner.
+/// One change or read of a register.
+///
+/// Invariants: an answer without a write is given only on what this proposal itself read at a quorum; a change is
+/// written only under a proposal number that a quorum prepared for this owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal<T> {
     key: String,
@@ -52,19 +61,20 @@
 }
 
 impl<T> Proposal<T> {
-    /// Begins with what is held of the key from an earlier proposal, else with a claim. `proposal number` must be
-    /// new to this owner.
+    /// Starts with the ownership of an earlier proposal where that serves, else with a claim under `proposal_number`,
+    /// which must be new to this owner. Returns the proposal and the operation to send to every member. `now` is in
+    /// milliseconds.
     pub fn start(
         key: &str,
         membership: &CoreMembership,
-        held: Option<Ownership>,
+        ownership: Option<Ownership>,
         proposal_number: ProposalNumber,
         decide: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> (Proposal<T>, ConsensusOperation) {
-        let held = held.filter(|owner| owner.membership_version == membership.version);
-        if let Some(ownership) = held {
-            // An answer without a write would rest on a read of some time ago: another may own the key by now.
+        let ownership = ownership.filter(|ownership| ownership.membership_version == membership.version);
+        if let Some(ownership) = ownership {
+            // An answer without a write would rest on an earlier read: another may own the key by now.
             if let Decision::Write(body, answer) = decide(&ownership.entry.body) {
                 let (round, operation) = Round::change(key, membership.clone(), &ownership, body, now);
                 return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, operation);
@@ -74,16 +84,17 @@
         (Proposal { key: key.into(), round, stage: Stage::Claiming }, operation)
     }
 
+    /// Returns the membership whose quorums the proposal counts.
     pub fn membership(&self) -> &CoreMembership {
         self.round.membership()
     }
 
-    /// Is the present round over without an outcome?
+    /// Returns whether the present round has run out of time without an outcome. `now` is in milliseconds.
     pub fn is_expired(&self, now: u64) -> bool {
         self.round.is_expired(now)
     }
 
-    /// Takes one vote on the present request.
+    /// Handles a response to the present operation from the member at this address. `now` is in milliseconds.
     pub fn handle_response(
         &mut self,
         from: &str,
@@ -91,21 +102,29 @@
         decide: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> Progress<T> {
-        let ownership = match self.round.handle_response(from, response, now) {
-            RoundProgress::Wait => return Progress::Wait,
-            RoundProgress::Send(operation) => return Progress::Send(operation),
-            RoundProgress::Superseded(proposal_number) => return Progress::Superseded(proposal_number),
-            RoundProgress::NewerMembership(membership) => return Progress::NewerMembership(membership),
-            RoundProgress::Chosen(ownership) => ownership,
-        };
+        match self.round.handle_response(from, response, now) {
+            RoundProgress::Wait => Progress::Wait,
+            RoundProgress::Send(operation) => Progress::Send(operation),
+            RoundProgress::Superseded(proposal_number) => Progress::Superseded(proposal_number),
+            RoundProgress::NewerMembership(membership) => Progress::NewerMembership(membership),
+            RoundProgress::Chosen(ownership) => self.finish_round(ownership, decide, now),
+        }
+    }
+
+    fn finish_round(
+        &mut self,
+        ownership: Ownership,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
+        now: u64,
+    ) -> Progress<T> {
         if let Stage::Writing(answer) = mem::replace(&mut self.stage, Stage::Claiming) {
             return Progress::Finished { answer, ownership, written: true };
         }
         match decide(&ownership.entry.body) {
             Decision::Answer(answer) => Progress::Finished { answer, ownership, written: false },
             Decision::Write(body, answer) => {
-                let (round, operation) =
-                    Round::change(&self.key, self.round.membership().clone(), &ownership, body, now);
+                let membership = self.round.membership().clone();
+                let (round, operation) = Round::change(&self.key, membership, &ownership, body, now);
                 self.round = round;
                 self.stage = Stage::Writing(answer);
                 Progress::Send(operation)
--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -1,4 +1,10 @@
-//! Which members the membership is to have next, and the steps that settle a change: pure.
+//! Decides which member to add, remove or exchange, and tracks the transition to the new membership. Pure: no input
+//! or output.
+//!
+//! Members change in two steps, each a committed entry of the register [`MEMBERSHIP_KEY`]. The first makes the
+//! membership joint: old and new members both count. Before the second makes it stable, majorities of both must know
+//! it and every key that any of them holds must be committed again under it; only then may the old members be
+//! forgotten.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +12,17 @@
 
 use crate::{quorum, MEMBERSHIP_KEY};
 
-/// How long a member must be silent before it may be taken for gone.
+/// How long a member must be silent before it counts as gone, in milliseconds.
 pub const MEMBER_TIMEOUT_MS: u64 = 2500;
 
-/// How a member of the membership is heard here.
+/// How this controller sees a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
+    /// Milliseconds since its last heartbeat.
     pub since_last_seen_ms: u64,
-    /// Heard a moment ago.
+    /// Its last heartbeat is recent.
     pub live: bool,
-    /// It said that its process is about to end.
+    /// It announced that its process is about to end.
     pub shutting_down: bool,
 }
 
@@ -29,45 +36,48 @@
     }
 }
 
-/// What the next change of the membership is decided on.
+/// What the next change of members is decided on.
 pub struct ClusterView<'a> {
+    /// Returns the health of the member at an address.
     pub health: &'a dyn Fn(&str) -> Health,
-    /// Live controllers that may be made members and aren't yet.
+    /// Live controllers that may become members and are none yet.
     pub candidates: Vec<Member>,
     /// Every live controller counts joint quorums, so that members may be exchanged in one change.
     pub joint_quorums: bool,
 }
 
-/// The next membership, if any: a member that is gone exchanged for a candidate, one too many removed, or a
-/// candidate added. Invariant: the members that stay are a quorum of the next membership.
+/// Returns the next membership, if one is due: a member that is gone is exchanged for a candidate, or removed where
+/// the number of members is even, or a candidate is added.
+///
+/// Invariant: the members that stay are a quorum of the next membership.
 pub fn next_membership(membership: &CoreMembership, view: &ClusterView) -> Option<CoreMembership> {
-    let is_gone = membership.members.iter().find(|member| (view.health)(&member.ip).is_gone());
-    let candidate = match is_gone {
-        Some(is_gone) => view.candidates.iter().find(|one| one.zone == is_gone.zone).or(view.candidates.first()),
+    let gone = membership.members.iter().find(|member| (view.health)(&member.ip).is_gone());
+    let candidate = match gone {
+        Some(gone) => view.candidates.iter().find(|candidate| candidate.zone == gone.zone).or(view.candidates.first()),
         None => view.candidates.first(),
     };
-    let list = match (is_gone, candidate) {
-        (Some(is_gone), Some(candidate)) if view.joint_quorums => exchanged(membership, is_gone, candidate),
-        (Some(is_gone), _) if membership.members.len().is_multiple_of(2) => without(membership, is_gone),
+    let members = match (gone, candidate) {
+        (Some(gone), Some(candidate)) if view.joint_quorums => exchanged(membership, gone, candidate),
+        (Some(gone), _) if membership.members.len().is_multiple_of(2) => without(membership, gone),
         (_, Some(candidate)) => with(membership, candidate),
         _ => return None,
     };
-    let next_membership = CoreMembership {
+    let next = CoreMembership {
         version: membership.version + 1,
-        members: list,
+        members,
         previous_members: membership.members.clone(),
         stable: false,
     };
-    can_settle(&next_membership, view).then_some(next_membership)
+    can_complete(&next, view).then_some(next)
 }
 
-/// Those that stay must be a quorum of the next membership. Those before it must be able to commit it, and to hear
-/// of it: one that is leaving still can.
-fn can_settle(next_membership: &CoreMembership, view: &ClusterView) -> bool {
-    let is_candidate = |address: &str| view.candidates.iter().any(|one| one.ip == address);
-    let members = quorum::old_and_new_members(next_membership);
-    let (mut staying, mut live) = (Vec::new(), Vec::new());
-    for address in members {
+/// Returns whether the transition to this membership can complete: those that stay must be a quorum of it, and the
+/// live previous members, including those that are shutting down, must be able to commit it.
+fn can_complete(next: &CoreMembership, view: &ClusterView) -> bool {
+    let is_candidate = |address: &str| view.candidates.iter().any(|candidate| candidate.ip == address);
+    let mut staying = Vec::new();
+    let mut live = Vec::new();
+    for address in quorum::old_and_new_members(next) {
         let health = (view.health)(&address);
         if health.is_staying() || is_candidate(&address) {
             staying.push(address.clone());
@@ -76,87 +86,94 @@
             live.push(address);
         }
     }
-    quorum::is_quorum(next_membership, &staying) && quorum::has_majority(&next_membership.previous_members, &live)
+    quorum::is_quorum(next, &staying) && quorum::has_majority(&next.previous_members, &live)
 }
 
-fn without(membership: &CoreMembership, is_gone: &Member) -> Vec<Member> {
-    membership.members.iter().filter(|member| *member != is_gone).cloned().collect()
+fn without(membership: &CoreMembership, gone: &Member) -> Vec<Member> {
+    membership.members.iter().filter(|member| *member != gone).cloned().collect()
 }
 
 fn with(membership: &CoreMembership, candidate: &Member) -> Vec<Member> {
     membership.members.iter().chain([candidate]).cloned().collect()
 }
 
-fn exchanged(membership: &CoreMembership, is_gone: &Member, candidate: &Member) -> Vec<Member> {
-    let mut list = without(membership, is_gone);
-    list.push(candidate.clone());
-    list
+fn exchanged(membership: &CoreMembership, gone: &Member, candidate: &Member) -> Vec<Member> {
+    let mut members = without(membership, gone);
+    members.push(candidate.clone());
+    members
 }
 
-/// The settling of a changed membership. Invariant: before it is done, quorums of the old and the new members
-/// know the new membership, and every key that any of them held was committed again under it.
+/// The transition from a joint membership to the stable one.
+///
+/// Invariant: before it is done, majorities of the old and the new members know the new membership, and every key
+/// that any of them holds was committed again under it.
 pub struct MembershipTransition {
     membership: CoreMembership,
     informed: Vec<String>,
     keys: BTreeSet<String>,
-    mark_recommitted: BTreeSet<String>,
+    recommitted: BTreeSet<String>,
 }
 
 impl MembershipTransition {
+    /// Starts the transition of a joint membership.
     pub fn new(membership: &CoreMembership) -> MembershipTransition {
-        let keys = [MEMBERSHIP_KEY.to_string()].into();
         MembershipTransition {
             membership: membership.clone(),
             informed: Vec::new(),
-            keys,
-            mark_recommitted: Default::default(),
+            keys: [MEMBERSHIP_KEY.to_string()].into(),
+            recommitted: BTreeSet::new(),
         }
     }
 
+    /// Returns the joint membership.
     pub fn membership(&self) -> &CoreMembership {
         &self.membership
     }
 
-    /// An acceptor answered a request that carried the new membership. One that did not say which keys it holds does not
-    /// count: what only it and others out of touch hold would not be committed again.
+    /// Records a response to a request that carried the joint membership.
+    ///
+    /// An acceptor that did not say which keys it holds does not count: what only it and unreachable ones hold would
+    /// not be committed again.
     pub fn record_response(&mut self, from: &str, response: &ConsensusResponse) {
-        if let ConsensusResponse::Positions { positions: list } = response {
-            self.record_keys(from, list.iter().map(|held| held.key.clone()));
+        if let ConsensusResponse::Positions { positions } = response {
+            self.record_keys(from, positions.iter().map(|held| held.key.clone()));
         }
     }
 
-    /// An acceptor knows the new membership, and told its keys.
+    /// Records that an acceptor knows the joint membership and holds these keys.
     fn record_keys(&mut self, from: &str, keys: impl IntoIterator<Item = String>) {
         self.keys.extend(keys);
-        if !self.informed.iter().any(|known| known == from) {
+        if !self.informed.iter().any(|informed| informed == from) {
             self.informed.push(from.into());
         }
     }
 
-    /// Do quorums of the old and the new members know the membership?
+    /// Returns whether majorities of the old and the new members know the joint membership.
     pub fn is_known(&self) -> bool {
-        let known_to = |members: &[Member]| quorum::has_majority(members, &self.informed);
-        known_to(&self.membership.members) && known_to(&self.membership.previous_members)
+        let is_known_to = |members: &[Member]| quorum::has_majority(members, &self.informed);
+        is_known_to(&self.membership.members) && is_known_to(&self.membership.previous_members)
     }
 
-    /// What must still be committed under the new membership. Empty until the membership is known.
+    /// Returns the keys that must still be committed again, in ascending order. Empty until the membership is known.
     pub fn remaining_keys(&self) -> Vec<String> {
         if !self.is_known() {
             return Vec::new();
         }
-        self.keys.difference(&self.mark_recommitted).cloned().collect()
+        self.keys.difference(&self.recommitted).cloned().collect()
     }
 
+    /// Records that a key was committed again under the joint membership.
     pub fn mark_recommitted(&mut self, key: &str) {
-        self.mark_recommitted.insert(key.into());
+        self.recommitted.insert(key.into());
     }
 
+    /// Returns whether the membership may become stable.
     pub fn is_done(&self) -> bool {
         self.is_known() && self.remaining_keys().is_empty()
     }
 }
 
-/// The membership as it is committed once a transition is done.
+/// Returns the stable membership that is committed once the transition is done.
 pub fn stabilized(membership: &CoreMembership) -> CoreMembership {
     CoreMembership { stable: true, previous_members: Vec::new(), ..membership.clone() }
 }
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -1,54 +1,71 @@
-//! The owning side: one round of a register, as a pure state machine.
+//! The proposer's side of one round on one register, as a pure state machine.
+//!
+//! A round follows "Paxos Made Simple", section 2.2: a claim prepares a new proposal number at a quorum and commits
+//! the newest entry found there again; a change sends accept requests at once, because the owner's number is already
+//! prepared at a quorum (the optimization that the paper makes for a distinguished proposer, in section 3).
 
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, ProposalNumber};
 
 use crate::{quorum, ROUND_TIMEOUT_MS};
 
-/// What an owner holds. Invariants: `entry` is committed; its proposal number is the owner's own; a next
-/// change carries `entry.step + 1`, so two changes never share a position.
+/// What an owner knows of its register.
+///
+/// Invariants: `entry` is committed; its proposal number is the owner's own; the next change carries the next index,
+/// so that two changes never share a position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ownership {
+    /// The entry that was committed last.
     pub entry: Entry,
+    /// The version of the membership under which a quorum prepared the owner's number.
     pub membership_version: u64,
 }
 
 impl Ownership {
-    /// Nothing was ever committed under this key.
+    /// Returns whether nothing was ever committed under this key.
     pub fn is_blank(&self) -> bool {
         self.entry.index == 0 && self.entry.body.is_empty()
     }
 }
 
-/// Turns of one version of the membership.
+/// How many terms belong to one version of the membership.
 const TERMS_PER_MEMBERSHIP: u64 = 1 << 32;
 
-/// The term of an owner's next proposal number: above its last one, and above every term under an earlier membership.
+/// Returns the term of an owner's next proposal number: above its last one, and above every term under an earlier
+/// membership.
 ///
-/// What an owner left incomplete under the membership before may be on one disk only, and its promise on members that
-/// are gone. It must not outrank what was committed since by a quorum that never learned of it.
+/// An entry that was left incomplete under an earlier membership may be on a single disk, and its number may have been
+/// prepared by members that were removed since. It must not outrank what was committed later by a quorum that never
+/// saw it.
 pub fn next_term(last: u64, membership: &CoreMembership) -> u64 {
     (last + 1).max(membership.version * TERMS_PER_MEMBERSHIP)
 }
 
+/// What a round needs next, or how it ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundProgress {
+    /// More responses are needed.
     Wait,
-    /// To be sent to every member.
+    /// This operation has to be sent to every member; responses to earlier ones no longer count.
     Send(ConsensusOperation),
-    /// Committed: a majority has it on disk.
+    /// The entry is chosen: a quorum has it on disk.
     Chosen(Ownership),
-    /// Another owner is at work under a higher proposal number; the outcome of an own change is unknown.
+    /// Another owner is at work under this higher proposal number; the outcome of an own change is unknown.
     Superseded(ProposalNumber),
+    /// An acceptor knows this newer membership; the outcome of an own change is unknown.
     NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Reading { found: Option<Entry> },
-    Writing(Entry),
+    /// Phase 1, with the newest entry that any acceptor reported.
+    Preparing { newest: Option<Entry> },
+    /// Phase 2.
+    Accepting(Entry),
 }
 
-/// Invariant: `heard` counts each member once a phase, and only members of the round's membership.
+/// One round of a register.
+///
+/// Invariant: `responders` holds each member of the round's membership at most once per phase, and nobody else.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
@@ -60,7 +77,8 @@
 }
 
 impl Round {
-    /// A take-over: reads a majority under a new proposal number and commits again what it finds.
+    /// Starts a claim, which prepares a new proposal number at a quorum and commits again what it finds. Returns the
+    /// round and the operation to send to every member. `now` is in milliseconds.
     pub fn claim(
         key: &str,
         membership: CoreMembership,
@@ -68,10 +86,11 @@
         now: u64,
     ) -> (Round, ConsensusOperation) {
         let operation = ConsensusOperation::Prepare { key: key.into(), proposal_number };
-        (Round::new(key, membership, proposal_number, Phase::Reading { found: None }, now), operation)
+        (Round::new(key, membership, proposal_number, Phase::Preparing { newest: None }, now), operation)
     }
 
-    /// A change by the holder of a ownership.
+    /// Starts a change by the owner of the key. Returns the round and the operation to send to every member. `now` is
+    /// in milliseconds.
     pub fn change(
         key: &str,
         membership: CoreMembership,
@@ -81,7 +100,7 @@
     ) -> (Round, ConsensusOperation) {
         let entry = Entry { proposal_number: ownership.entry.proposal_number, index: ownership.entry.index + 1, body };
         let operation = ConsensusOperation::Accept { key: key.into(), entry: entry.clone() };
-        (Round::new(key, membership, entry.proposal_number, Phase::Writing(entry), now), operation)
+        (Round::new(key, membership, entry.proposal_number, Phase::Accepting(entry), now), operation)
     }
 
     fn new(key: &str, membership: CoreMembership, proposal_number: ProposalNumber, phase: Phase, now: u64) -> Round {
@@ -89,60 +108,81 @@
         Round { key: key.into(), membership, proposal_number, phase, responders: Vec::new(), deadline }
     }
 
+    /// Returns the membership whose quorums the round counts.
     pub fn membership(&self) -> &CoreMembership {
         &self.membership
     }
 
+    /// Returns whether the round has run out of time without an outcome. `now` is in milliseconds.
     pub fn is_expired(&self, now: u64) -> bool {
         now >= self.deadline
     }
 
+    /// Handles a response from the member at this address. `now` is in milliseconds.
     pub fn handle_response(&mut self, from: &str, response: ConsensusResponse, now: u64) -> RoundProgress {
-        if self.is_expired(now)
-            || !quorum::is_member(&self.membership, from)
-            || self.responders.iter().any(|ip| ip == from)
-        {
+        if self.is_expired(now) || !quorum::is_member(&self.membership, from) || self.has_responded(from) {
             return RoundProgress::Wait;
         }
         match response {
-            ConsensusResponse::NewerMembership { membership } => return RoundProgress::NewerMembership(membership),
+            ConsensusResponse::NewerMembership { membership } => RoundProgress::NewerMembership(membership),
             ConsensusResponse::Rejected { prepared } if prepared > self.proposal_number => {
-                return RoundProgress::Superseded(prepared)
-            }
-            ConsensusResponse::Prepared { entry } => {
-                let Phase::Reading { found } = &mut self.phase else { return RoundProgress::Wait };
-                let best = found.as_ref().map(Entry::position);
-                if entry.as_ref().map(Entry::position) > best {
-                    *found = entry;
-                }
-                self.responders.push(from.into());
+                RoundProgress::Superseded(prepared)
             }
-            ConsensusResponse::Accepted => {
-                let Phase::Writing(_) = &self.phase else { return RoundProgress::Wait };
-                self.responders.push(from.into());
-            }
-            _ => return RoundProgress::Wait,
+            ConsensusResponse::Prepared { entry } => self.record_prepared(from, entry),
+            ConsensusResponse::Accepted => self.record_accepted(from),
+            _ => RoundProgress::Wait,
         }
-        if !quorum::is_quorum(&self.membership, &self.responders) {
-            return RoundProgress::Wait;
+    }
+
+    fn has_responded(&self, from: &str) -> bool {
+        self.responders.iter().any(|responder| responder == from)
+    }
+
+    fn has_quorum(&self) -> bool {
+        quorum::is_quorum(&self.membership, &self.responders)
+    }
+
+    fn record_prepared(&mut self, from: &str, entry: Option<Entry>) -> RoundProgress {
+        let Phase::Preparing { newest } = &mut self.phase else { return RoundProgress::Wait };
+        let newest_position = newest.as_ref().map(Entry::position);
+        if entry.as_ref().map(Entry::position) > newest_position {
+            *newest = entry;
         }
-        match &mut self.phase {
-            Phase::Writing(entry) => {
-                RoundProgress::Chosen(Ownership { entry: entry.clone(), membership_version: self.membership.version })
-            }
-            Phase::Reading { found } => {
-                let Some(found) = found.take() else {
-                    let entry = Entry { proposal_number: self.proposal_number, index: 0, body: Vec::new() };
-                    return RoundProgress::Chosen(Ownership { entry, membership_version: self.membership.version });
-                };
-                // A new number: acceptance of the old phase must not count for the new one.
-                let entry = Entry { proposal_number: self.proposal_number, index: 0, body: found.body };
-                self.phase = Phase::Writing(entry.clone());
-                self.responders.clear();
-                RoundProgress::Send(ConsensusOperation::Accept { key: self.key.clone(), entry })
-            }
+        self.responders.push(from.into());
+        match self.has_quorum() {
+            true => self.finish_preparing(),
+            false => RoundProgress::Wait,
+        }
+    }
+
+    /// A quorum prepared the number. What it reported may be chosen, so it is committed again under the new number;
+    /// where it reported nothing, nothing is chosen and the register belongs to this owner.
+    fn finish_preparing(&mut self) -> RoundProgress {
+        let Phase::Preparing { newest } = &mut self.phase else { return RoundProgress::Wait };
+        let Some(newest) = newest.take() else {
+            let entry = Entry { proposal_number: self.proposal_number, index: 0, body: Vec::new() };
+            return self.chosen(entry);
+        };
+        let entry = Entry { proposal_number: self.proposal_number, index: 0, body: newest.body };
+        self.phase = Phase::Accepting(entry.clone());
+        // Phase 2 needs a quorum of its own.
+        self.responders.clear();
+        RoundProgress::Send(ConsensusOperation::Accept { key: self.key.clone(), entry })
+    }
+
+    fn record_accepted(&mut self, from: &str) -> RoundProgress {
+        let Phase::Accepting(entry) = &self.phase else { return RoundProgress::Wait };
+        let entry = entry.clone();
+        self.responders.push(from.into());
+        match self.has_quorum() {
+            true => self.chosen(entry),
+            false => RoundProgress::Wait,
         }
     }
+
+    fn chosen(&self, entry: Entry) -> RoundProgress {
+        RoundProgress::Chosen(Ownership { entry, membership_version: self.membership.version })
+    }
 }
 
 #[cfg(test)]
--- a/consensus/src/storage/directory.rs
+++ b/consensus/src/storage/directory.rs
@@ -1,32 +1,42 @@
-//! The few file operations that the store needs, behind traits, so that tests can put a simulated
-//! disk with power losses, full disks and failed syncs in position of the real one.
+//! The few file operations that a store needs, behind traits, so that tests can replace the file system by a simulated
+//! one with power losses, full disks and failed syncs.
 
-use std::fs;
-use std::io::Result;
+use std::fs::{self, File, OpenOptions};
+use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// One directory with files in it. A name that was made, changed or removed lasts once `sync` returned.
+/// A directory of files. A name that was created, changed or removed is durable once `sync` has returned.
 pub trait Directory: Send {
-    fn names(&self) -> Result<Vec<String>>;
-    fn open(&self, name: &str) -> Result<Box<dyn DataFile>>;
-    /// Creates an empty file; one of that name is emptied.
-    fn create(&self, name: &str) -> Result<Box<dyn DataFile>>;
-    fn rename(&self, from: &str, to: &str) -> Result<()>;
-    fn remove(&self, name: &str) -> Result<()>;
-    fn sync(&self) -> Result<()>;
-    /// Where a file is, for messages.
+    /// Returns the names of the files.
+    fn names(&self) -> io::Result<Vec<String>>;
+    /// Opens an existing file for reading and writing.
+    fn open(&self, name: &str) -> io::Result<Box<dyn DataFile>>;
+    /// Creates an empty file; an existing one of that name is emptied.
+    fn create(&self, name: &str) -> io::Result<Box<dyn DataFile>>;
+    /// Renames a file, replacing an existing one.
+    fn rename(&self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
+    fn remove(&self, name: &str) -> io::Result<()>;
+    /// Makes the names durable.
+    fn sync(&self) -> io::Result<()>;
+    /// Returns the path of a file, for messages.
     fn path(&self, name: &str) -> PathBuf;
 }
 
-/// One file. Its content lasts once `sync` returned; after a failed `sync` what was written since the
-/// last good one must be written again.
+/// A file. Its content is durable once `sync` has returned; after a failed `sync` everything written since the last
+/// successful one must be written again.
 pub trait DataFile: Send {
-    fn size(&self) -> Result<u64>;
-    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()>;
-    fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()>;
-    fn truncate(&self, size: u64) -> Result<()>;
-    fn sync(&self) -> Result<()>;
+    /// Returns the size in bytes.
+    fn size(&self) -> io::Result<u64>;
+    /// Fills the buffer with the bytes at an offset.
+    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()>;
+    /// Writes all bytes at an offset.
+    fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Sets the size in bytes.
+    fn truncate(&self, size: u64) -> io::Result<()>;
+    /// Makes the content durable.
+    fn sync(&self) -> io::Result<()>;
 }
 
 /// A directory of the machine's file system.
@@ -35,12 +45,12 @@
 }
 
 impl FileSystemDirectory {
-    /// Opens the directory, and makes it where it is missing.
-    pub fn open(path: &Path) -> Result<FileSystemDirectory> {
+    /// Opens a directory, creating it where it is missing.
+    pub fn open(path: &Path) -> io::Result<FileSystemDirectory> {
         if !path.exists() {
             fs::create_dir_all(path)?;
             if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
-                fs::File::open(parent)?.sync_all()?;
+                File::open(parent)?.sync_all()?;
             }
         }
         Ok(FileSystemDirectory { path: path.into() })
@@ -48,31 +58,31 @@
 }
 
 impl Directory for FileSystemDirectory {
-    fn names(&self) -> Result<Vec<String>> {
+    fn names(&self) -> io::Result<Vec<String>> {
         fs::read_dir(&self.path)?.map(|item| Ok(item?.file_name().to_string_lossy().into_owned())).collect()
     }
 
-    fn open(&self, name: &str) -> Result<Box<dyn DataFile>> {
-        let file = fs::OpenOptions::new().read(true).write(true).open(self.path(name))?;
+    fn open(&self, name: &str) -> io::Result<Box<dyn DataFile>> {
+        let file = OpenOptions::new().read(true).write(true).open(self.path(name))?;
         Ok(Box::new(file))
     }
 
-    fn create(&self, name: &str) -> Result<Box<dyn DataFile>> {
-        let mut options = fs::OpenOptions::new();
+    fn create(&self, name: &str) -> io::Result<Box<dyn DataFile>> {
+        let mut options = OpenOptions::new();
         options.read(true).write(true).create(true).truncate(true);
         Ok(Box::new(options.open(self.path(name))?))
     }
 
-    fn rename(&self, from: &str, to: &str) -> Result<()> {
+    fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.path(from), self.path(to))
     }
 
-    fn remove(&self, name: &str) -> Result<()> {
+    fn remove(&self, name: &str) -> io::Result<()> {
         fs::remove_file(self.path(name))
     }
 
-    fn sync(&self) -> Result<()> {
-        fs::File::open(&self.path)?.sync_all()
+    fn sync(&self) -> io::Result<()> {
+        File::open(&self.path)?.sync_all()
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -80,24 +90,24 @@
     }
 }
 
-impl DataFile for fs::File {
-    fn size(&self) -> Result<u64> {
+impl DataFile for File {
+    fn size(&self) -> io::Result<u64> {
         Ok(self.metadata()?.len())
     }
 
-    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()> {
+    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
         FileExt::read_exact_at(self, buffer, offset)
     }
 
-    fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()> {
+    fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         FileExt::write_all_at(self, bytes, offset)
     }
 
-    fn truncate(&self, size: u64) -> Result<()> {
+    fn truncate(&self, size: u64) -> io::Result<()> {
         self.set_len(size)
     }
 
-    fn sync(&self) -> Result<()> {
+    fn sync(&self) -> io::Result<()> {
         self.sync_all()
     }
 }
--- a/consensus/src/storage/files.rs
+++ b/consensus/src/storage/files.rs
@@ -1,49 +1,59 @@
-//! The files of a store by name: segments `log-N`, snapshots `snap-N`, and a snapshot being written.
+//! The files of a store by name: segments `log-N`, snapshots `snap-N`, and a snapshot that is being written.
 
 use super::directory::Directory;
 use super::error::{io_error, StoreError};
 
-/// A snapshot that is being written.
+/// The name of a snapshot that is being written.
 pub const TEMPORARY_SNAPSHOT: &str = "draft";
+const SEGMENT_PREFIX: &str = "log-";
+const SNAPSHOT_PREFIX: &str = "snap-";
+/// The number of the first segment of a new store.
+pub const FIRST_SEGMENT: u64 = 1;
 
+/// Returns the file name of the segment with this number.
 pub fn segment_name(number: u64) -> String {
-    format!("log-{number:08}")
+    format!("{SEGMENT_PREFIX}{number:08}")
 }
 
+/// Returns the file name of the snapshot with this number.
 pub fn snapshot_name(number: u64) -> String {
-    format!("snap-{number:08}")
+    format!("{SNAPSHOT_PREFIX}{number:08}")
 }
 
-/// The numbered files of a store, ascending.
+/// The numbers of a store's files, ascending.
 #[derive(Default)]
 pub struct StoreFiles {
+    /// Snapshot N holds everything of the segments below N.
     pub snapshots: Vec<u64>,
+    /// The segments of the log.
     pub segments: Vec<u64>,
 }
 
 impl StoreFiles {
-    pub fn read(directory: &dyn Directory) -> Result<StoreFiles, StoreError> {
+    /// Lists the files of the store in this directory. Files of other names are left out.
+    pub fn list(directory: &dyn Directory) -> Result<StoreFiles, StoreError> {
         let mut files = StoreFiles::default();
         for name in directory.names().map_err(io_error(directory, ""))? {
             let number = |prefix: &str| name.strip_prefix(prefix).and_then(|rest| rest.parse::<u64>().ok());
-            files.snapshots.extend(number("snap-").filter(|number| snapshot_name(*number) == name));
-            files.segments.extend(number("log-").filter(|number| segment_name(*number) == name));
+            files.snapshots.extend(number(SNAPSHOT_PREFIX).filter(|number| snapshot_name(*number) == name));
+            files.segments.extend(number(SEGMENT_PREFIX).filter(|number| segment_name(*number) == name));
         }
         files.snapshots.sort_unstable();
         files.segments.sort_unstable();
         Ok(files)
     }
 
-    /// The number of the newest snapshot: segments below it are of no more use.
-    pub fn first(&self) -> u64 {
-        self.snapshots.last().copied().unwrap_or(1)
+    /// Returns the number of the first segment that no snapshot replaces.
+    pub fn first_live(&self) -> u64 {
+        self.snapshots.last().copied().unwrap_or(FIRST_SEGMENT)
     }
 
-    /// The segments that count. None: one of them is missing.
-    pub fn live(&self) -> Option<Vec<u64>> {
-        let live: Vec<u64> = self.segments.iter().copied().filter(|number| *number >= self.first()).collect();
-        let unbroken = live.iter().copied().eq(self.first()..self.first() + live.len() as u64);
-        let missing = live.is_empty() && !(self.snapshots.is_empty() && self.segments.is_empty());
-        (unbroken && !missing).then_some(live)
+    /// Returns the segments that no snapshot replaces, or `None` if one of them is missing.
+    pub fn live_segments(&self) -> Option<Vec<u64>> {
+        let first = self.first_live();
+        let live: Vec<u64> = self.segments.iter().copied().filter(|number| *number >= first).collect();
+        let is_unbroken = live.iter().copied().eq(first..first + live.len() as u64);
+        let is_missing = live.is_empty() && !(self.snapshots.is_empty() && self.segments.is_empty());
+        (is_unbroken && !is_missing).then_some(live)
     }
 }
--- a/consensus/src/storage/mod.rs
+++ b/consensus/src/storage/mod.rs
@@ -1,4 +1,7 @@
-//! The disk of an acceptor.
+//! The disk of an acceptor: a log in numbered segments with a snapshot beside it (docs/storage.md).
+//!
+//! `store` writes, `recovery` reads back what is found when a store is opened, `record` and `segment` define and read
+//! the bytes, `files` the names, and `directory` is the file system, which tests replace by a simulated one.
 
 mod directory;
 mod error;
--- a/consensus/src/storage/record.rs
+++ b/consensus/src/storage/record.rs
@@ -1,28 +1,32 @@
-//! The binary form of one log record: a header with a check sum, followed by the body.
+//! The binary form of one log record: a header with a checksum, followed by the body in rkyv's form.
 //!
-//! Header: magic (4 bytes), body length (4), the length of the segment known to be synced when the
-//! record was written (8), check sum of all the rest (4), zero (4). Numbers are little-endian.
+//! Header: magic (4 bytes), body length (4), the length of the segment known to be synced when the record was written
+//! (8), checksum of all the rest (4), zero (4). Numbers are little-endian.
 
 use crc32fast::Hasher;
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
-pub use crate::acceptor::LogRecord;
+use crate::acceptor::LogRecord;
 
+/// The first bytes of every record.
 pub const MAGIC: [u8; 4] = *b"tdp1";
+/// The length of a header.
 pub const HEADER_BYTES: usize = 24;
+/// The part of the header that the checksum covers.
 const CHECKED_HEADER_BYTES: usize = 16;
 
-/// The header of a record whose magic fits; the body is not checked yet.
+/// The header of a record whose magic fits; neither checksum nor body are checked yet.
 pub struct Header {
+    /// The length of the body.
     pub body_bytes: usize,
     /// Everything before this offset of the segment was synced before the record was written.
     pub synced_before: u64,
-    check_sum: u32,
+    checksum: u32,
 }
 
 impl Header {
-    /// None: these bytes do not begin with the header of a record.
+    /// Parses a header, or returns `None` if the bytes do not begin with the magic of a record.
     pub fn parse(bytes: &[u8; HEADER_BYTES]) -> Option<Header> {
         let rest = bytes.strip_prefix(&MAGIC)?;
         let (length, rest) = rest.split_first_chunk::<4>()?;
@@ -31,12 +35,12 @@
         Some(Header {
             body_bytes: u32::from_le_bytes(*length) as usize,
             synced_before: u64::from_le_bytes(*synced),
-            check_sum: u32::from_le_bytes(*sum),
+            checksum: u32::from_le_bytes(*sum),
         })
     }
 }
 
-fn check_sum(header: &[u8], body: &[u8]) -> u32 {
+fn checksum(header: &[u8], body: &[u8]) -> u32 {
     let mut sum = Hasher::new();
     sum.update(&header[..CHECKED_HEADER_BYTES]);
     sum.update(body);
@@ -44,21 +48,25 @@
 }
 
 /// Appends the binary form of a record to `out`.
+///
+/// # Panics
+///
+/// Never in practice: a record in memory can always be serialized.
 pub fn encode(record: &LogRecord, synced_before: u64, out: &mut Vec<u8>) {
     let body = rkyv::to_bytes::<rancor::Error>(record).expect("a log record can always be written");
     let start = out.len();
     out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&synced_before.to_le_bytes());
-    let sum = check_sum(&out[start..], &body);
+    let sum = checksum(&out[start..], &body);
     out.extend_from_slice(&sum.to_le_bytes());
     out.extend_from_slice(&[0; 4]);
     out.extend_from_slice(&body);
 }
 
-/// Decodes a record from its header and body. None: the check sum or the body does not fit.
+/// Decodes a record from its header and body, or returns `None` if the checksum or the body does not fit.
 pub fn decode(header_bytes: &[u8; HEADER_BYTES], header: &Header, body: &[u8]) -> Option<LogRecord> {
-    if check_sum(header_bytes, body) != header.check_sum {
+    if checksum(header_bytes, body) != header.checksum {
         return None;
     }
     let mut aligned = AlignedVec::<16>::with_capacity(body.len());
--- a/consensus/src/storage/recovery.rs
+++ b/consensus/src/storage/recovery.rs
@@ -1,21 +1,77 @@
-//! What is done when a store is opened: reading files, finding the torn end, making it last.
+//! What happens when a store is opened: reading the files, finding a torn end and repairing it.
+
+use std::io;
 
 use super::directory::{DataFile, Directory};
 use super::error::{io_error, StoreError};
-use super::files::segment_name;
-use super::record::LogRecord;
+use super::files::{segment_name, snapshot_name, StoreFiles, FIRST_SEGMENT};
 use super::segment::SegmentReader;
+use crate::acceptor::LogRecord;
 
 /// How the records of one file ended.
+#[derive(Default)]
 pub struct FileEnd {
-    /// The length that holds whole records.
+    /// The length of the part that holds complete records, in bytes.
     pub valid_bytes: u64,
-    /// Up to here a record tells that the file was synced.
-    pub synced: u64,
+    /// The part of the file that had been synced when its last record was written, in bytes.
+    pub synced_bytes: u64,
+}
+
+/// The log as it was found.
+pub struct RecoveredLog {
+    /// The segment that is written next.
+    pub active_segment: u64,
+    /// How the active segment ended.
+    pub end: FileEnd,
+    /// Bytes of the segments before the active one.
+    pub earlier_bytes: u64,
+}
+
+/// Returns the numbers of the live segments, after creating the first one of an empty store.
+pub fn prepare_segments(directory: &dyn Directory, files: &StoreFiles) -> Result<Vec<u64>, StoreError> {
+    let Some(mut live) = files.live_segments() else {
+        let path = directory.path(&segment_name(files.first_live()));
+        return Err(StoreError::Corrupted { path, offset: 0, reason: "a segment of the log is missing" });
+    };
+    if live.is_empty() {
+        let name = segment_name(FIRST_SEGMENT);
+        let created = directory.create(&name).and_then(|file| file.sync());
+        created.map_err(io_error(directory, &name))?;
+        live.push(FIRST_SEGMENT);
+    }
+    Ok(live)
+}
+
+/// Passes the records of the newest snapshot to `apply`.
+pub fn read_snapshot(
+    directory: &dyn Directory,
+    files: &StoreFiles,
+    apply: &mut dyn FnMut(LogRecord),
+) -> Result<(), StoreError> {
+    if let Some(number) = files.snapshots.last() {
+        read_file(directory, &snapshot_name(*number), false, apply)?;
+    }
+    Ok(())
+}
+
+/// Passes the records of the live segments to `apply`, up to the active one.
+pub fn read_log(
+    directory: &dyn Directory,
+    live: &[u64],
+    apply: &mut dyn FnMut(LogRecord),
+) -> Result<RecoveredLog, StoreError> {
+    let active_segment = active_segment(directory, live)?;
+    let mut end = FileEnd::default();
+    let mut earlier_bytes = 0;
+    for number in live.iter().copied().filter(|number| *number <= active_segment) {
+        earlier_bytes += end.valid_bytes;
+        end = read_file(directory, &segment_name(number), number == active_segment, apply)?;
+    }
+    Ok(RecoveredLog { active_segment, end, earlier_bytes })
 }
 
-/// Reads the records of one file. `may_be_torn`: its end may have been written and not synced.
-pub fn read_file(
+/// Reads the records of one file. `may_be_torn`: its end may have been written without being synced.
+fn read_file(
     directory: &dyn Directory,
     name: &str,
     may_be_torn: bool,
@@ -23,13 +79,13 @@
 ) -> Result<FileEnd, StoreError> {
     let file = directory.open(name).map_err(io_error(directory, name))?;
     let mut reader = SegmentReader::new(&*file).map_err(io_error(directory, name))?;
-    let mut synced = 0;
+    let mut synced_bytes = 0;
     while let Some(stored) = reader.next().map_err(io_error(directory, name))? {
-        synced = stored.synced_before;
+        synced_bytes = stored.synced_before;
         apply(stored.record);
     }
-    let end = FileEnd { valid_bytes: reader.offset(), synced };
-    if reader.at_end() {
+    let end = FileEnd { valid_bytes: reader.offset(), synced_bytes };
+    if reader.is_at_end() {
         return Ok(end);
     }
     let corrupted = |reason| Err(StoreError::Corrupted { path: directory.path(name), offset: end.valid_bytes, reason });
@@ -45,9 +101,9 @@
     Ok(end)
 }
 
-/// The last segment with bytes in it, or the first: only its end can be torn, since a segment is
-/// written only once the one before it is on disk.
-pub fn active_segment(directory: &dyn Directory, live: &[u64]) -> Result<u64, StoreError> {
+/// Returns the last segment with bytes in it, or the first: only its end can be torn, since a segment is written only
+/// once the one before it is on disk.
+fn active_segment(directory: &dyn Directory, live: &[u64]) -> Result<u64, StoreError> {
     for number in live.iter().rev() {
         let name = segment_name(*number);
         let size = directory.open(&name).and_then(|file| file.size()).map_err(io_error(directory, &name))?;
@@ -58,19 +114,19 @@
     Ok(live[0])
 }
 
-/// Cuts off a torn end, and writes again what may stand in memory only: after a sync that failed in an
-/// earlier incarnation of the process, the kernel gives pages back as if they were on disk.
-pub fn repair_tail(segment: &dyn DataFile, end: &FileEnd) -> std::io::Result<()> {
+/// Cuts off a torn end, and writes again what may be in the page cache only: after a sync that failed in an earlier
+/// process, the kernel returns pages as if they were on disk.
+pub fn repair_tail(segment: &dyn DataFile, end: &FileEnd) -> io::Result<()> {
     segment.truncate(end.valid_bytes)?;
-    let from = end.synced.min(end.valid_bytes);
+    let from = end.synced_bytes.min(end.valid_bytes);
     let mut tail = vec![0; (end.valid_bytes - from) as usize];
     segment.read_at(from, &mut tail)?;
     segment.write_at(from, &tail)?;
     segment.sync()
 }
 
-/// The segments behind the active one read as empty, but cutting off what a failed write left there may
-/// never have been synced: they must stay empty after the next power loss.
+/// Empties the segments behind the active one. They read as empty, but cutting off what a failed write left there may
+/// never have been synced, and they must stay empty after the next power loss.
 pub fn clear_later_segments(directory: &dyn Directory, live: &[u64], active: u64) -> Result<(), StoreError> {
     for number in live.iter().filter(|number| **number > active) {
         let name = segment_name(*number);
--- a/consensus/src/storage/segment.rs
+++ b/consensus/src/storage/segment.rs
@@ -1,13 +1,15 @@
-//! Reading the records of one file, a piece at a time: memory stays at one piece, or one record.
+//! Reads the records of one file in pieces, so that memory stays bounded by one piece or one record.
 
 use std::io;
 
 use super::directory::DataFile;
-use super::record::{decode, Header, LogRecord, HEADER_BYTES, MAGIC};
+use super::record::{decode, Header, HEADER_BYTES, MAGIC};
+use crate::acceptor::LogRecord;
 
+/// How many bytes are read ahead.
 const READ_BYTES: u64 = 256 * 1024;
 
-/// Reads records in order. Invariant: all records before `offset` were whole.
+/// Reads records in order. Invariant: all records before `offset` were complete.
 pub struct SegmentReader<'a> {
     file: &'a dyn DataFile,
     size: u64,
@@ -17,44 +19,49 @@
     window_start: u64,
 }
 
-/// A whole record as it stands in the file.
+/// A complete record as it stands in the file.
 pub struct StoredRecord {
     pub record: LogRecord,
+    /// Everything before this offset was synced before the record was written.
     pub synced_before: u64,
+    /// The length of header and body, in bytes.
     pub size: u64,
 }
 
 impl<'a> SegmentReader<'a> {
+    /// Starts at the beginning of a file.
     pub fn new(file: &'a dyn DataFile) -> io::Result<Self> {
         Ok(SegmentReader { file, size: file.size()?, offset: 0, window: Vec::new(), window_start: 0 })
     }
 
-    /// How far the file has been read.
+    /// Returns the offset behind the last record that was read.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    pub fn at_end(&self) -> bool {
+    /// Returns whether the whole file was read.
+    pub fn is_at_end(&self) -> bool {
         self.offset == self.size
     }
 
-    /// The next record. None: the end, or bytes that are no whole record; `at_end` tells which.
+    /// Returns the next record, or `None` at the end of the file and at bytes that are not a complete record;
+    /// [`SegmentReader::is_at_end`] tells which.
     pub fn next(&mut self) -> io::Result<Option<StoredRecord>> {
         let found = self.record_at(self.offset)?;
         self.offset += found.as_ref().map_or(0, |found| found.size);
         Ok(found)
     }
 
-    /// Does a record behind `offset` say that the bytes at `offset` had been synced? Then they are
-    /// not the torn end of a write but damage.
+    /// Returns whether a record behind `offset` says that the bytes at `offset` had been synced. Then they are not the
+    /// torn end of a write but corruption.
     pub fn is_synced_later(&mut self) -> io::Result<bool> {
         let mut start = self.offset + 1;
         while start + HEADER_BYTES as u64 <= self.size {
             let length = READ_BYTES.min(self.size - start);
             let piece = self.bytes(start, length)?.to_vec();
-            let positions = piece.windows(MAGIC.len()).enumerate().filter(|(_, bytes)| *bytes == MAGIC);
-            for (position, _) in positions {
-                let found = self.record_at(start + position as u64)?;
+            let headers = piece.windows(MAGIC.len()).enumerate().filter(|(_, bytes)| *bytes == MAGIC);
+            for (index, _) in headers {
+                let found = self.record_at(start + index as u64)?;
                 if found.is_some_and(|found| found.synced_before > self.offset) {
                     return Ok(true);
                 }
@@ -64,8 +71,8 @@
         Ok(false)
     }
 
-    /// Is this a file that no torn write of records can have left? Only asked when no record was read:
-    /// what is missing of a torn write reads as zeros.
+    /// Returns whether no torn write of records can have left this file. False once a record was read. What is missing
+    /// of a torn write reads as zeros.
     pub fn is_foreign(&mut self) -> io::Result<bool> {
         if self.offset > 0 || self.size < MAGIC.len() as u64 {
             return Ok(false);
@@ -91,7 +98,7 @@
         Ok(record.map(|record| StoredRecord { record, synced_before: header.synced_before, size }))
     }
 
-    /// The bytes from `offset` on, read ahead by a piece.
+    /// Returns bytes of the file, reading ahead by a piece.
     fn bytes(&mut self, offset: u64, length: u64) -> io::Result<&[u8]> {
         let window_end = self.window_start + self.window.len() as u64;
         if offset < self.window_start || offset + length > window_end {
--- a/consensus/src/storage/store.rs
+++ b/consensus/src/storage/store.rs
@@ -1,29 +1,32 @@
-//! The disk of an acceptor: a log in numbered segments with a snapshot beside it (docs/storage.md).
+//! Writes the log and its snapshots.
 //!
-//! A record counts once its check sum fits. A torn end is cut off when the store is opened; damage in
-//! front of something that was synced is told with file and offset.
+//! A record counts once its checksum fits. A torn end is cut off when the store is opened; corruption in front of
+//! something that was synced is an error with file and offset, because an acceptor must not forget what it promised.
 
+use std::io;
 use std::path::Path;
 
 use super::directory::{DataFile, Directory, FileSystemDirectory};
-use super::error::io_error;
+use super::error::{io_error, StoreError};
 use super::files::{segment_name, snapshot_name, StoreFiles, TEMPORARY_SNAPSHOT};
-use super::record::{encode, LogRecord};
-use super::recovery::{active_segment, clear_later_segments, read_file, repair_tail, FileEnd};
-
-use super::error::StoreError;
+use super::record::encode;
+use super::recovery::{clear_later_segments, prepare_segments, read_log, read_snapshot, repair_tail};
+use crate::acceptor::LogRecord;
 
 /// A segment longer than this is followed by a snapshot and a new segment.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
-/// After a snapshot failed, the next is tried when the log has grown by this part of a segment.
+/// After a snapshot failed, the next is tried when the log has grown by a segment's length divided by this.
 const SNAPSHOT_RETRY_FRACTION: u64 = 8;
-/// A log of this many segments takes no more records before a snapshot was made: the disk keeps room.
+/// A log as long as this many segments takes no more records before a snapshot was made, so that it cannot fill the
+/// disk.
 const MAX_SEGMENTS: u64 = 4;
 /// Records are gathered up to this size before they are written.
 const WRITE_BYTES: usize = 1024 * 1024;
 
-/// Invariants: the first `synced` bytes of the active segment are on disk; every segment before it is on
-/// disk as a whole; the snapshot numbered N holds everything of the segments below N.
+/// The log of an acceptor and its snapshots, in one directory.
+///
+/// Invariants: the first `synced` bytes of the active segment are on disk; every segment before it is on disk as a
+/// whole; the snapshot numbered N holds everything of the segments below N.
 pub struct Store {
     directory: Box<dyn Directory>,
     segment: Box<dyn DataFile>,
@@ -36,12 +39,18 @@
     /// A write or sync failed: what stands behind `synced` counts for nothing and must be cut off.
     is_tail_unknown: bool,
     segment_bytes: u64,
+    /// A snapshot is due once the active segment is longer than this.
     snapshot_from: u64,
 }
 
 impl Store {
-    /// Opens a directory; hands all records found there to `apply`, oldest first. When it returns, all of
-    /// them are on disk.
+    /// Opens a directory, creating it where it is missing, and passes all records found there to `apply`, oldest
+    /// first. All of them are on disk when this returns.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Io`] where the file system refuses; [`StoreError::Corrupted`] where something that was synced
+    /// cannot be read.
     pub fn open(path: &Path, apply: &mut dyn FnMut(LogRecord)) -> Result<Store, StoreError> {
         let directory =
             FileSystemDirectory::open(path).map_err(|source| StoreError::Io { path: path.into(), source })?;
@@ -53,47 +62,36 @@
         segment_bytes: u64,
         apply: &mut dyn FnMut(LogRecord),
     ) -> Result<Store, StoreError> {
-        let files = StoreFiles::read(&*directory)?;
-        let Some(mut live) = files.live() else {
-            let path = directory.path(&segment_name(files.first()));
-            return Err(StoreError::Corrupted { path, offset: 0, reason: "a segment of the log is missing" });
-        };
-        if live.is_empty() {
-            let name = segment_name(1);
-            directory.create(&name).and_then(|file| file.sync()).map_err(io_error(&*directory, &name))?;
-            live.push(1);
-        }
-        if let Some(number) = files.snapshots.last() {
-            read_file(&*directory, &snapshot_name(*number), false, apply)?;
-        }
-        let number = active_segment(&*directory, &live)?;
-        let mut end = FileEnd { valid_bytes: 0, synced: 0 };
-        let mut earlier_bytes = 0;
-        for segment in live.iter().copied().filter(|segment| *segment <= number) {
-            earlier_bytes += end.valid_bytes;
-            end = read_file(&*directory, &segment_name(segment), segment == number, apply)?;
-        }
-        let name = segment_name(number);
+        let files = StoreFiles::list(&*directory)?;
+        let live = prepare_segments(&*directory, &files)?;
+        read_snapshot(&*directory, &files, apply)?;
+        let log = read_log(&*directory, &live, apply)?;
+        let name = segment_name(log.active_segment);
         let segment = directory.open(&name).map_err(io_error(&*directory, &name))?;
-        repair_tail(&*segment, &end).map_err(io_error(&*directory, &name))?;
-        clear_later_segments(&*directory, &live, number)?;
+        repair_tail(&*segment, &log.end).map_err(io_error(&*directory, &name))?;
+        clear_later_segments(&*directory, &live, log.active_segment)?;
         directory.sync().map_err(io_error(&*directory, ""))?;
         let store = Store {
             directory,
             segment,
-            number,
-            synced: end.valid_bytes,
-            earlier_bytes,
-            snapshot_number: files.first(),
+            number: log.active_segment,
+            synced: log.end.valid_bytes,
+            earlier_bytes: log.earlier_bytes,
+            snapshot_number: files.first_live(),
             is_tail_unknown: false,
             segment_bytes,
             snapshot_from: segment_bytes,
         };
-        store.remove_older();
+        store.remove_replaced_files();
         Ok(store)
     }
 
-    /// Writes and syncs; on an error nothing of it may be answered for.
+    /// Appends records and syncs them.
+    ///
+    /// # Errors
+    ///
+    /// None of the records counts after an error, and no response that rests on them may be sent.
+    /// [`StoreError::SnapshotOverdue`] where the log has reached its maximum length, else [`StoreError::Io`].
     pub fn append(&mut self, records: &[LogRecord]) -> Result<(), StoreError> {
         if self.is_snapshot_overdue() {
             return Err(StoreError::SnapshotOverdue);
@@ -102,13 +100,13 @@
         self.is_tail_unknown = true;
         let end = write_records(&*self.segment, self.synced, self.synced, records)
             .and_then(|end| self.segment.sync().map(|()| end))
-            .map_err(io_error(&*self.directory, &segment_name(self.number)))?;
+            .map_err(self.io_error(&segment_name(self.number)))?;
         self.is_tail_unknown = false;
         self.synced = end;
         Ok(())
     }
 
-    /// Is a snapshot due?
+    /// Returns whether the log is long enough for a snapshot.
     pub fn is_snapshot_due(&self) -> bool {
         self.synced > self.snapshot_from || self.is_snapshot_overdue()
     }
@@ -117,23 +115,28 @@
         self.earlier_bytes + self.synced > MAX_SEGMENTS * self.segment_bytes
     }
 
-    /// A new segment, then a snapshot of everything before it; the old files go last. After an error
-    /// the log goes on, in the old segment or the new one, and nothing is lost.
-    pub fn snapshot(&mut self, whole: &[LogRecord]) -> Result<(), StoreError> {
-        self.remove_older();
-        let made = self.begin_segment().and_then(|()| self.write_snapshot(whole));
-        if made.is_err() {
+    /// Starts a new segment and writes these records, which must restore everything before it, as a snapshot. The
+    /// files that it replaces are removed last.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Io`]. The log goes on, in the old segment or the new one, and nothing is lost.
+    pub fn snapshot(&mut self, records: &[LogRecord]) -> Result<(), StoreError> {
+        self.remove_replaced_files();
+        let written = self.begin_segment().and_then(|()| self.write_snapshot(records));
+        if written.is_err() {
             self.snapshot_from = self.synced + self.segment_bytes / SNAPSHOT_RETRY_FRACTION;
             let _ = self.directory.remove(TEMPORARY_SNAPSHOT);
-            return made;
+            return written;
         }
         self.snapshot_from = self.segment_bytes;
-        (self.snapshot_number, self.earlier_bytes) = (self.number, 0);
-        self.remove_older();
+        self.snapshot_number = self.number;
+        self.earlier_bytes = 0;
+        self.remove_replaced_files();
         Ok(())
     }
 
-    /// Nothing to do while the active one is empty.
+    /// Starts a new segment, unless the active one is empty.
     fn begin_segment(&mut self) -> Result<(), StoreError> {
         self.truncate_unknown_tail()?;
         if self.synced == 0 {
@@ -141,40 +144,41 @@
         }
         let next = self.number + 1;
         let name = segment_name(next);
-        let segment = self.directory.create(&name).map_err(io_error(&*self.directory, &name))?;
-        segment.sync().map_err(io_error(&*self.directory, &name))?;
-        self.directory.sync().map_err(io_error(&*self.directory, ""))?;
+        let segment = self.directory.create(&name).map_err(self.io_error(&name))?;
+        segment.sync().map_err(self.io_error(&name))?;
+        self.directory.sync().map_err(self.io_error(""))?;
         self.earlier_bytes += self.synced;
-        (self.segment, self.number, self.synced) = (segment, next, 0);
+        self.segment = segment;
+        self.number = next;
+        self.synced = 0;
         Ok(())
     }
 
-    /// The snapshot appears under its name only once its content is on disk.
-    fn write_snapshot(&self, whole: &[LogRecord]) -> Result<(), StoreError> {
-        let temporary =
-            self.directory.create(TEMPORARY_SNAPSHOT).map_err(io_error(&*self.directory, TEMPORARY_SNAPSHOT))?;
-        write_records(&*temporary, 0, 0, whole).map_err(io_error(&*self.directory, TEMPORARY_SNAPSHOT))?;
-        temporary.sync().map_err(io_error(&*self.directory, TEMPORARY_SNAPSHOT))?;
+    /// Writes a snapshot, which appears under its name only once its content is on disk.
+    fn write_snapshot(&self, records: &[LogRecord]) -> Result<(), StoreError> {
+        let temporary = self.directory.create(TEMPORARY_SNAPSHOT).map_err(self.io_error(TEMPORARY_SNAPSHOT))?;
+        write_records(&*temporary, 0, 0, records).map_err(self.io_error(TEMPORARY_SNAPSHOT))?;
+        temporary.sync().map_err(self.io_error(TEMPORARY_SNAPSHOT))?;
         let name = snapshot_name(self.number);
-        self.directory.rename(TEMPORARY_SNAPSHOT, &name).map_err(io_error(&*self.directory, &name))?;
-        self.directory.sync().map_err(io_error(&*self.directory, ""))
+        self.directory.rename(TEMPORARY_SNAPSHOT, &name).map_err(self.io_error(&name))?;
+        self.directory.sync().map_err(self.io_error(""))
     }
 
-    /// After a failed write or sync: what stands behind the synced part must never be read again.
+    /// Cuts off what a failed write or sync left behind the synced part: it must never be read again.
     fn truncate_unknown_tail(&mut self) -> Result<(), StoreError> {
         if !self.is_tail_unknown {
             return Ok(());
         }
-        let cut = self.segment.truncate(self.synced).and_then(|()| self.segment.sync());
-        cut.map_err(io_error(&*self.directory, &segment_name(self.number)))?;
+        let truncated = self.segment.truncate(self.synced).and_then(|()| self.segment.sync());
+        truncated.map_err(self.io_error(&segment_name(self.number)))?;
         self.is_tail_unknown = false;
         Ok(())
     }
 
-    /// Removes what a snapshot that is on disk replaces. What stays is removed another time.
-    fn remove_older(&self) {
+    /// Removes the files that a snapshot on disk replaces. What cannot be removed now is removed another time.
+    fn remove_replaced_files(&self) {
         let first = self.snapshot_number;
-        let Ok(files) = StoreFiles::read(&*self.directory) else { return };
+        let Ok(files) = StoreFiles::list(&*self.directory) else { return };
         let _ = self.directory.remove(TEMPORARY_SNAPSHOT);
         let segments = files.segments.into_iter().filter(|number| *number < first).map(segment_name);
         let snapshots = files.snapshots.into_iter().filter(|number| *number < first).map(snapshot_name);
@@ -182,15 +186,14 @@
             let _ = self.directory.remove(&name);
         }
     }
+
+    fn io_error(&self, name: &str) -> impl FnOnce(io::Error) -> StoreError {
+        io_error(&*self.directory, name)
+    }
 }
 
-/// Writes records one after the other from `offset` on; gives where they end.
-fn write_records(
-    file: &dyn DataFile,
-    mut offset: u64,
-    synced_before: u64,
-    records: &[LogRecord],
-) -> std::io::Result<u64> {
+/// Writes records one after the other from `offset` on. Returns the offset where they end.
+fn write_records(file: &dyn DataFile, mut offset: u64, synced_before: u64, records: &[LogRecord]) -> io::Result<u64> {
     let mut block = Vec::new();
     for record in records {
         encode(record, synced_before, &mut block);
