--- a/consensus/src/testing/model/action.rs
+++ b/consensus/src/testing/model/action.rs
@@ -12,25 +12,25 @@
 pub enum Action {
     /// A proposer begins its next proposal under this term and membership, giving up the present one.
     Begin { proposer: usize, term: u64, membership: usize },
-    /// The present request of a proposer reaches an acceptor, whose vote is under way.
+    /// The present request of a proposer reaches an acceptor, whose response is on its way.
     Deliver { proposer: usize, machine: usize },
-    /// An acceptor refuses the present request, and the proposer learns of it.
+    /// An acceptor rejects the present request, and the proposer learns of it.
     Refuse { proposer: usize, machine: usize },
     /// A proposer counts the responses of these machines, which are a quorum.
     Count { proposer: usize, machines: MachineSet },
-    /// A request of a round long over reaches an acceptor.
+    /// A request of a round that ended long ago reaches an acceptor.
     DeliverLate { position: Position, machine: usize },
     /// A proposer loses its memory and begins a new incarnation.
     Restart { proposer: usize },
     /// A coordinator learns of the newest membership.
     Inform { proposer: usize },
-    /// A machine loses its disk, and with it its memory; it is notified of a committed membership, perhaps an old one.
+    /// A machine loses its disk; it is notified of a committed membership, perhaps an old one.
     Wipe { machine: usize, membership: usize },
     /// Time passes.
     Elapse,
     /// An acceptor that lost its disk learns of a newer membership.
     LearnMembership { machine: usize, membership: usize },
-    /// An acceptor that lost its disk reads what another holds.
+    /// An acceptor that lost its disk reads the registers of another.
     Read { machine: usize, from: usize },
     /// The next membership, or the changed one as stable, is committed, on these disks if it matters.
     CommitMembership { proposer: usize, quorum: MachineSet },
--- a/consensus/src/testing/model/defect_tests.rs
+++ b/consensus/src/testing/model/defect_tests.rs
@@ -1,4 +1,4 @@
-//! Faults put in on purpose: a check that can't fail shows nothing.
+//! Defects that are injected on purpose: a check that can't fail shows nothing.
 use super::machines::MachineSet;
 use super::runs::{finds, members_only, proposer};
 use super::scenario::{Defect, MembershipChange, Operation, Scenario};
@@ -34,19 +34,19 @@
 }
 
 #[test]
-fn an_old_ballot_that_is_accepted_is_found() {
+fn an_old_proposal_number_that_is_accepted_is_found() {
     let found = finds("old ballot accepted", &two_changes(Defect::OldProposalAccepted));
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
 
 #[test]
-fn a_vote_that_is_not_on_disk_is_found() {
+fn a_response_that_is_not_on_disk_is_found() {
     let found = finds("vote before disk", &two_changes(Defect::ResponseBeforeSync));
     assert_eq!(found.violation, Violation::NotSynced);
 }
 
 #[test]
-fn a_ballot_used_in_two_lives_is_found() {
+fn a_proposal_number_used_in_two_incarnations_is_found() {
     let scenario = Scenario { restarts: 1, ..two_changes(Defect::ProposalNumbersReused) };
     let proposers = vec![proposer(&[Write(1)], 2)];
     let found = finds("ballots used again", &Scenario { proposers, ..scenario });
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn a_wiped_voter_that_votes_at_once_is_found() {
+fn a_wiped_acceptor_that_votes_at_once_is_found() {
     let scenario = Scenario { wipes: 1, ..two_changes(Defect::WipedVotesAtOnce) };
     assert!(is_lost(&finds("wiped voter votes at once", &scenario).violation));
 }
 
 #[test]
-fn a_wiped_voter_that_reads_before_the_rounds_with_its_votes_are_over_is_found() {
+fn a_wiped_acceptor_that_reads_before_the_rounds_that_counted_its_responses_are_over_is_found() {
     let proposers = vec![proposer(&[Write(1)], 1)];
     let scenario = Scenario { wipes: 1, proposers, ..two_changes(Defect::RecoveryWithoutDelay) };
     assert!(is_lost(&finds("wiped voter reads at once", &scenario).violation));
@@ -79,6 +79,6 @@
 }
 
 #[test]
-fn an_exchange_settled_without_committing_the_keys_again_is_found() {
+fn an_exchange_stabilized_without_committing_the_keys_again_is_found() {
     assert!(is_lost(&finds("settled without renewal", &exchange(Defect::StabilizedWithoutRecommit)).violation));
 }
--- a/consensus/src/testing/model/ending.rs
+++ b/consensus/src/testing/model/ending.rs
@@ -28,8 +28,8 @@
         self.proposers[proposer].edit(|proposer| change(proposer.task.as_mut().expect("a task")));
     }
 
-    /// The proposer counts no more votes on its present request, which may still reach acceptors. Late preparations
-    /// are left out: with nobody to count the promise they only make acceptors refuse more.
+    /// The proposer counts no more responses to its present request, which may still reach acceptors. Late preparations
+    /// are left out: with nobody to count the responses they only make acceptors reject more.
     pub fn end_task(&mut self, at: usize) {
         let Some(task) = &self.proposers[at].task else { return };
         if matches!(task.request.operation, ConsensusOperation::Accept { .. }) {
--- a/consensus/src/testing/model/membership_tests.rs
+++ b/consensus/src/testing/model/membership_tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn larger_cores_change_during_a_change() {
+fn larger_memberships_change_during_a_change() {
     holds_in_first_states("4 members, 1 exchanged, 1 change", &one_change(exchanged(4)), 3_000);
     holds_in_first_states("4 members, 1 added, 1 change", &one_change(added(4)), 3_000);
     holds_in_first_states("5 members, 1 exchanged, 1 change", &one_change(exchanged(5)), 3_000);
@@ -84,19 +84,19 @@
 }
 
 #[test]
-fn a_voter_without_memory_does_not_count_for_the_settlement() {
+fn an_acceptor_in_recovery_does_not_count_for_the_transition() {
     let name = "addition, held by a lost disk and one out of touch";
     holds_in_first_states(name, &one_lost_disk(acknowledged_on(&[1, 2], added(3))), 20_000);
 }
 
 #[test]
-fn a_leaving_member_that_lost_its_disk_does_not_count_for_the_settlement() {
+fn a_leaving_member_that_lost_its_disk_does_not_count_for_the_transition() {
     let name = "exchange, held by the leaving one, whose disk is lost, and another";
     holds_in_first_states(name, &one_lost_disk(acknowledged_on(&[0, 2], exchanged(3))), 20_000);
 }
 
 #[test]
-fn a_voter_that_was_told_of_the_change_and_forgot_it_does_not_count_for_the_settlement() {
+fn an_acceptor_that_was_notified_of_the_change_and_forgot_it_does_not_count_for_the_transition() {
     let read_before = Some((Read, MachineSet::from_iter([0, 1])));
     let scenario = Scenario { earlier_operation: read_before, ..one_lost_disk(one_change(exchanged(3))) };
     let name = "exchange, first change by the owner, the disk of one that was told is lost";
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_was_left_half_done_before_the_change_does_not_outrank_what_comes_after_it() {
+fn what_was_left_incomplete_before_the_change_does_not_outrank_what_comes_after_it() {
     let incomplete =
         IncompleteWrite { prepared_by: [0, 2].into_iter().collect(), accepted_by: [0].into_iter().collect() };
     let scenario = Scenario { incomplete_write: Some(incomplete), ..one_change(exchanged(3)) };
--- a/consensus/src/testing/model/mod.rs
+++ b/consensus/src/testing/model/mod.rs
@@ -1,9 +1,9 @@
 //! An exhaustive, bounded model check of agreement.
 //!
-//! The explorer visits every state that a small membership can reach: each request reaches each acceptor at any time, in
+//! The explorer visits every state that a small cluster can reach: each request reaches each acceptor at any time, in
 //! any order, more than once or never; responses are counted late or never; proposers and acceptors restart, disks
-//! are lost and members change. What votes, counts votes and decides is the production code: `Voter`,
-//! `Proposal` with `Round`, `quorum` and `membership`. Only what carries them (network, disk, clock, clients)
+//! are lost and members change. What responds, counts responses and decides is the production code: `Acceptor`,
+//! `Proposal` with `Round`, `quorum` and `reconfiguration`. Only what carries them (network, disk, clock, clients)
 //! is modelled here. `docs/ledger.md` says what is checked, what was left out and why that loses nothing.
 
 use std::cell::RefCell;
--- a/consensus/src/testing/model/progress.rs
+++ b/consensus/src/testing/model/progress.rs
@@ -1,4 +1,4 @@
-//! Progress: from every state, with a majority in touch and no further trouble, everything comes to an end.
+//! Progress: from every state, with a majority in touch and no further faults, everything terminates.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Goes on from this state without further trouble. What is on the disks decides the outcome, so states
+    /// Goes on from this state without further faults. What is on the disks decides the outcome, so states
     /// with the same disks are looked at once.
     pub fn check_progress(&self, state: &State) -> Result<(), Violation> {
         let mut hasher = DefaultHasher::new();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// All acceptors that lost its disk read the others and vote again.
+    /// All acceptors that lost their disks read the others and vote again.
     fn end_losses(&self, state: &mut State, membership: &CoreMembership) -> Result<(), Violation> {
         state.now += ROUND_TIMEOUT_MS + RECOVERY_DELAY_MS;
         let non_voting: Vec<usize> =
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// A changed membership is stable while these machines are in touch, and reads finish after it.
+    /// A joint membership becomes stable while these machines are in touch, and reads finish after it.
     fn check_transition(
         &self,
         mut state: State,
@@ -161,8 +161,8 @@
         if !transition.is_done() {
             return Err(Violation::Stuck("a change of the core is not settled"));
         }
-        let settled = stabilized(membership);
-        state.memberships = Shared::new(vec![settled.clone()]);
-        self.check_reads(&state, &settled)
+        let stable = stabilized(membership);
+        state.memberships = Shared::new(vec![stable.clone()]);
+        self.check_reads(&state, &stable)
     }
 }
--- a/consensus/src/testing/model/proposing.rs
+++ b/consensus/src/testing/model/proposing.rs
@@ -1,4 +1,4 @@
-//! Proposers: beginning, counting votes, ending, restarting.
+//! Proposers: beginning, counting responses, ending, restarting.
 use super::action::{Action, Successor};
 use super::machines::MachineSet;
 use super::scenario::{Defect, Operation};
@@ -10,7 +10,7 @@
 use crate::round::{next_term, Ownership};
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, ProposalNumber};
 
-/// More lives than any proposer has.
+/// More incarnations than any proposer has.
 const INCARNATIONS: u64 = 16;
 
 fn replica_id(proposer: usize, incarnation: u64) -> u64 {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// A proposer hears these votes, the last of which is to bring it on.
+    /// A proposer handles these responses, the last of which must complete its phase.
     pub fn count_responses(
         &self,
         state: State,
@@ -181,7 +181,7 @@
         Ok(state)
     }
 
-    /// The client is answered: with all that was acknowledged before it asked, and on one line of history.
+    /// The client is answered: with all that was acknowledged before it asked, and on a single history.
     fn finish(
         &self,
         mut state: State,
--- a/consensus/src/testing/model/recovering.rs
+++ b/consensus/src/testing/model/recovering.rs
@@ -31,15 +31,15 @@
     /// A disk is lost, as long as the membership tolerates it.
     fn wipe(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
         let tolerated = Scenario::tolerated_losses(state.newest_membership().members.len());
-        let held = &state.replicas[machine].acceptor;
-        let forgets = !held.registers.is_empty() || held.membership != state.memberships[0];
-        if state.wipes_left == 0 || !held.may_vote || !forgets || state.non_voting() >= tolerated {
+        let before = &state.replicas[machine].acceptor;
+        let forgets = !before.registers.is_empty() || before.membership != state.memberships[0];
+        if state.wipes_left == 0 || !before.may_vote || !forgets || state.non_voting() >= tolerated {
             return;
         }
         for membership in 0..state.memberships.len() {
             let mut acceptor = Acceptor { membership: state.memberships[membership].clone(), ..Acceptor::default() };
             if self.has(Defect::WipedVotesAtOnce) {
-                (acceptor.membership, acceptor.may_vote) = (held.membership.clone(), true);
+                (acceptor.membership, acceptor.may_vote) = (before.membership.clone(), true);
             }
             let wiped_at = (!acceptor.may_vote).then_some(state.now);
             let wiped = Replica { acceptor: Shared::new(acceptor), wiped_at, reads: Default::default() };
@@ -129,7 +129,7 @@
         Ok(Some(next))
     }
 
-    /// Ends the loss of memory if enough others were read.
+    /// Ends recovery if enough others were read.
     fn resume_voting(&self, state: &mut State, machine: usize, membership: &CoreMembership) {
         let replica = &state.replicas[machine];
         let mut acceptor = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(&replica.acceptor) };
@@ -150,7 +150,7 @@
         }
         acceptor.ip.clear();
         let replica = Replica { acceptor: Shared::new(acceptor), wiped_at: None, reads: Default::default() };
-        state.replicas[machine].edit(|held| *held = replica);
+        state.replicas[machine].edit(|current| *current = replica);
     }
 }
 
--- a/consensus/src/testing/model/register_tests.rs
+++ b/consensus/src/testing/model/register_tests.rs
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn a_proposer_that_restarts_acts_under_new_ballots() {
+fn a_proposer_that_restarts_acts_under_new_proposal_numbers() {
     let proposers = vec![proposer(&[Write(1)], 2), proposer(&[Write(2)], 1)];
     let scenario = Scenario { proposers, restarts: 1, ..members_only(3) };
     holds_in_first_states("3 members, 1 + 1 changes, 1 restart", &scenario, 8_000);
 }
 
 #[test]
-fn a_voter_that_lost_its_disk_votes_on_nothing_that_it_forgot() {
+fn an_acceptor_that_lost_its_disk_votes_on_nothing_that_it_forgot() {
     let proposers = vec![proposer(&[Write(1)], 1), proposer(&[Write(2)], 1)];
     let scenario = Scenario { proposers, wipes: 1, ..members_only(3) };
     holds_in_first_states("3 members, 1 + 1 changes, 1 lost disk", &scenario, 8_000);
--- a/consensus/src/testing/model/scenario.rs
+++ b/consensus/src/testing/model/scenario.rs
@@ -1,4 +1,4 @@
-//! What bounds one exploration: the machines, what is asked of the proposers, and how much trouble there is.
+//! What bounds one exploration: the machines, the operations of the proposers, and how many faults there are.
 
 use super::machines::MachineSet;
 use crate::proposal::Decision;
@@ -32,7 +32,7 @@
     pub attempts: u8,
 }
 
-/// A change of the membership, as `reconfiguration::next` is to see it.
+/// A change of the membership, as `next_membership` is to see it.
 #[derive(Clone, Debug)]
 pub struct MembershipChange {
     /// A member that is about to end. It is exchanged, or removed when there is one too many.
@@ -52,7 +52,7 @@
 /// A fault that is put in on purpose: the exploration must find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// A round is over with one vote less than a quorum.
+    /// A round is over with one response less than a quorum.
     QuorumOneShort,
     /// An acceptor accepts a proposal number below the one that it prepared.
     OldProposalAccepted,
--- a/consensus/src/testing/model/state.rs
+++ b/consensus/src/testing/model/state.rs
@@ -14,12 +14,12 @@
 use crate::proposal::{Progress, Proposal};
 use crate::round::{next_term, Ownership};
 
-/// How often a key may be begun to be committed again under a changed membership.
+/// How many attempts there are to commit a key again under a changed membership.
 const COORDINATOR_ATTEMPTS: u8 = 1;
 /// The change that may have been left incomplete before the exploration begins.
 const INCOMPLETE_CHANGE: u8 = 8;
 
-/// One acceptor and its disk, which hold the same between two requests: A response leaves only once it is on disk, and
+/// One acceptor and its disk, which hold the same between two requests: a response leaves only once it is on disk, and
 /// requests that a crash loses are requests that did not come. Its address is put in for each call, so that
 /// interchangeable replicas are equal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
@@ -27,7 +27,7 @@
     pub acceptor: Shared<Acceptor>,
     /// When it lost its disk, as long as it may not vote again.
     pub wiped_at: Option<u64>,
-    /// What it read of others since, in order to vote again.
+    /// What it has read from others since, in order to recover.
     pub reads: BTreeMap<usize, Vec<RegisterState>>,
 }
 
--- a/consensus/src/testing/model/symmetry_tests.rs
+++ b/consensus/src/testing/model/symmetry_tests.rs
@@ -20,9 +20,9 @@
 
 /// Every state that is reached without renumbering is, renumbered, one that is reached with it, and the reverse.
 fn hides_nothing(scenario: Scenario) {
-    let whole = Model::new(Scenario { interchangeable: Vec::new(), ..scenario.clone() });
+    let complete = Model::new(Scenario { interchangeable: Vec::new(), ..scenario.clone() });
     let reduced = Model::new(scenario);
-    let normalized = reachable(&whole).into_iter().map(|mut state| {
+    let normalized = reachable(&complete).into_iter().map(|mut state| {
         reduced.normalize(&mut state);
         fingerprint(&state)
     });
--- a/consensus/src/testing/model/violation.rs
+++ b/consensus/src/testing/model/violation.rs
@@ -1,4 +1,4 @@
-//! What an exploration may find.
+//! What an exploration may find wrong.
 use protocol::message::{Position, ProposalNumber};
 
 /// A state or an action that must not be.
@@ -12,10 +12,10 @@
     Lost { acknowledged: Vec<u8>, found: Vec<u8> },
     /// A change was acknowledged and is not in the body that was committed for it.
     MissingChange { change: u8, body: Vec<u8> },
-    /// A response left an acceptor whose disk does not hold what the vote rests on.
+    /// A response left an acceptor whose disk does not hold what the response rests on.
     NotSynced,
-    /// A promise or the position of an entry went back, or an entry is above the promise.
+    /// A prepared number or the position of an entry decreased, or an entry is above the prepared number.
     Regressed,
-    /// With a majority in touch and no further trouble something does not come to an end.
+    /// With a majority in touch and no further faults something does not terminate.
     Stuck(&'static str),
 }
--- a/consensus/src/testing/model/voting.rs
+++ b/consensus/src/testing/model/voting.rs
@@ -1,4 +1,4 @@
-//! Polls that reach acceptors, in time or late.
+//! Requests that reach acceptors, in time or late.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -97,14 +97,14 @@
             let mut next = state.clone();
             let changed = next.put_acceptor(machine, acceptor);
             match &*response {
-                // The first vote counts; what is answered to a request that comes again goes nowhere.
+                // The first response counts; responses to a duplicated request are dropped.
                 ConsensusResponse::Prepared { .. } | ConsensusResponse::Accepted
                     if !task.responses.contains_key(&machine) =>
                 {
                     next.edit_task(proposer, |task| drop(task.responses.insert(machine, response)));
                     list.push(Successor { action, outcome: Ok(next) });
                 }
-                // A refusal under the own proposal number answers a request that came twice.
+                // A rejection under the own proposal number answers a request that came twice.
                 ConsensusResponse::Rejected { prepared }
                     if Some(*prepared) <= proposal_number(&task.request.operation) => {}
                 ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
@@ -159,7 +159,7 @@
     }
 }
 
-/// Promises and positions of entries never go back, and no entry is above what is prepared.
+/// Prepared numbers and positions of entries never decrease, and no entry is above what is prepared.
 fn check_only_rises(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
     for (key, register) in &after.registers {
         let position = register.entry.as_ref().map(Entry::position);
--- a/consensus/src/testing/simulation/faults.rs
+++ b/consensus/src/testing/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Trouble in the simulated world: falls, wipes, returns, and the reading at the end.
+//! Faults of the simulated world, changes of its members, and the read at the end.
 
 use super::{ip, ConsensusOperation, ConsensusRequest, CoreMembership, Member, Payload, Replica, World};
 use crate::acceptor::Acceptor;
@@ -39,7 +39,7 @@
         self.replicas.iter().all(|replica| replica.acceptor.may_vote)
     }
 
-    /// What a majority read says at the end, with all up and whole.
+    /// Returns what a read at a majority finds at the end, with all replicas up.
     pub fn read_after_recovery(&mut self) -> Vec<u8> {
         self.partitioned.clear();
         (0..self.replicas.len()).for_each(|at| self.restart(at));
@@ -66,7 +66,7 @@
         at
     }
 
-    /// The next membership, known at first to one seat only. `joint`: until it is stable, quorums of the members
+    /// The next membership, known at first to one replica only. `joint`: until it is stable, quorums of the members
     /// before it are needed too.
     pub fn change_members(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
         let old = self.replicas[0].acceptor.membership.clone();
@@ -79,7 +79,7 @@
         membership
     }
 
-    /// Tells the members old and new of a membership; true once majorities of both have it on disk.
+    /// Announces a membership to old and new members; true once majorities of both have it on disk.
     pub fn announce(&mut self, membership: &CoreMembership) -> bool {
         let operation = ConsensusOperation::Positions;
         for to in 0..self.replicas.len() {
@@ -96,7 +96,7 @@
         most(&membership.members) && most(&membership.previous_members)
     }
 
-    /// Commits the key again under the membership of now; true once done.
+    /// Commits the key again under the newest membership; true once done.
     pub fn try_recommit(&mut self, version: u64) -> bool {
         if self.replicas[0].ownership.as_ref().is_some_and(|ownership| ownership.membership_version >= version) {
             return true;
--- a/consensus/src/testing/simulation/membership_tests.rs
+++ b/consensus/src/testing/simulation/membership_tests.rs
@@ -5,18 +5,18 @@
 use super::tests::nothing_lost;
 use super::World;
 
-/// How a member that is gone is replaced.
+/// How a lost member is replaced.
 #[derive(Clone, Copy, PartialEq)]
 enum Strategy {
     /// The new one is added, then the old one removed.
     AddThenRemove,
     /// Both in one change, under joint quorums.
     Exchange,
-    /// Both at once, without joint quorums, without telling the old members or committing again.
+    /// Both at once, without joint quorums, without notifying the old members or committing again.
     Unsafe,
 }
 
-/// A member is gone for good, an empty one takes its position, and then another falls.
+/// A member is lost for good, an empty one replaces it, and then another crashes.
 fn run_replacement(seed: u64, strategy: Strategy) -> (World, Vec<u8>) {
     let skips_recovery = strategy == Strategy::Unsafe;
     let mut world = World::new(seed, 3);
@@ -47,7 +47,7 @@
                     Strategy::Unsafe => 5,
                 };
                 if skips_recovery {
-                    // The old members do not hear of it: they still make a majority of their own.
+                    // The old members do not learn of it: they still make a majority of their own.
                     let partitioned = [(0, stays), (0, lost), (3, stays), (3, lost)];
                     world.partitioned =
                         partitioned.iter().flat_map(|(one, two)| [(*one, *two), (*two, *one)]).collect();
@@ -67,7 +67,7 @@
             }
             _ => {}
         }
-        // The new membership bears the loss of one machine as the old one did.
+        // The new members tolerate the loss of one machine as the old ones did.
         if !skips_recovery && stage == 5 && world.now == 9000 {
             world.crash(stays, false);
         }
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_core_machine_is_replaced_and_nothing_acknowledged_is_lost() {
+fn a_core_member_is_replaced_and_nothing_acknowledged_is_lost() {
     let mut acknowledged = 0;
     for seed in 1..=40 {
         let (world, last) = run_replacement(seed, Strategy::AddThenRemove);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_core_machine_is_exchanged_under_joint_quorums_and_nothing_acknowledged_is_lost() {
+fn a_core_member_is_exchanged_under_joint_quorums_and_nothing_acknowledged_is_lost() {
     let mut acknowledged = 0;
     for seed in 1..=60 {
         let (world, last) = run_replacement(seed, Strategy::Exchange);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_world_shows_the_fault_when_members_are_swapped_at_once() {
+fn the_simulation_finds_the_fault_when_members_are_swapped_at_once() {
     let broken = (1..=60).any(|seed| {
         let (world, last) = run_replacement(seed, Strategy::Unsafe);
         !nothing_lost(&world, &last)
--- a/consensus/src/testing/simulation/tests.rs
+++ b/consensus/src/testing/simulation/tests.rs
@@ -8,7 +8,7 @@
 use crate::acceptor::Acceptor;
 use crate::quorum;
 
-/// Ten seconds of trouble, then quiet. Gives the world and what it holds at the end.
+/// Twenty seconds of faults, then none. Returns the world and the body that is committed at the end.
 fn run(seed: u64, size: usize, wipes: bool, skips_recovery: bool) -> (World, Vec<u8>) {
     let mut world = World::new(seed, size);
     world.skips_recovery = skips_recovery;
@@ -39,18 +39,18 @@
     (world, last)
 }
 
-/// Nothing acknowledged is lost, and no two acknowledged changes share a position in the line.
+/// Nothing acknowledged is lost, and no two acknowledged changes share a position in the history.
 pub fn nothing_lost(world: &World, last: &[u8]) -> bool {
     let mut counts: Vec<u64> = world.acknowledged.iter().map(|body| count(body)).collect();
-    let held = count(last);
+    let last_count = count(last);
     let top = counts.iter().copied().max().unwrap_or(0);
     counts.sort_unstable();
     let unique = counts.windows(2).all(|pair| pair[0] < pair[1]);
-    unique && held >= top
+    unique && last_count >= top
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_under_loss_crash_and_cuts() {
+fn nothing_acknowledged_is_lost_under_loss_crashes_and_partitions() {
     let mut acknowledged = 0;
     for seed in 1..=60 {
         let (world, last) = run(seed, 3, false, false);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_world_shows_the_fault_when_a_wiped_disk_votes_at_once() {
+fn the_simulation_finds_the_fault_when_a_wiped_disk_votes_at_once() {
     let broken = (1..=300).any(|seed| {
         let (world, last) = run(seed, 3, true, true);
         !nothing_lost(&world, &last)
@@ -100,7 +100,7 @@
         if rng.below(25) == 0 {
             world.propose(rng.below(size as u64) as usize);
         }
-        // All calm again, as the rules have it, before the next loss.
+        // No faults for a while before the next loss.
         if world.now.is_multiple_of(6000) && world.now < 20_000 {
             let one = rng.below(size as u64) as usize;
             let two = (one + 1 + rng.below(size as u64 - 1) as usize) % size;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_world_shows_the_fault_when_two_wiped_disks_vote_at_once() {
+fn the_simulation_finds_the_fault_when_two_wiped_disks_vote_at_once() {
     let broken = (1..=60).any(|seed| {
         let (world, last, _) = run_with_double_losses(seed, 5, true);
         !nothing_lost(&world, &last)
--- a/consensus/src/testing/storage/workload.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -1,6 +1,6 @@
 //! The store at random work on a simulated disk that loses power, ends the process, fills up and refuses.
 //! After each opening all that was reported as synced must be there, and nothing but part of what was
-//! under way may be new.
+//! in flight may be new.
 
 use kernel::clock::{self, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
@@ -145,13 +145,13 @@
 
     fn inject_faults(&mut self) {
         let used = self.disk.lock().expect("disk").used();
-        let room = self.rng.below(1500) as usize;
+        let free = self.rng.below(1500) as usize;
         let ahead = self.rng.below(40);
         match self.rng.below(5) {
             0 => self.faults(|faults| faults.errors = 0),
             1 => self.faults(|faults| faults.errors = 40),
             2 => self.faults(|faults| faults.errors = 300),
-            3 => self.faults(|faults| faults.capacity = (used + room).min(CAPACITY)),
+            3 => self.faults(|faults| faults.capacity = (used + free).min(CAPACITY)),
             _ => self.faults(|faults| faults.capacity = CAPACITY),
         }
         if self.rng.below(2) == 0 {
@@ -181,7 +181,7 @@
         self.finish()
     }
 
-    /// Once the disk is well again, everything works and what is not needed is gone.
+    /// Once the disk works again, everything succeeds and files that are not needed are gone.
     pub fn finish(&mut self) -> Result<(), String> {
         let mut store = self.open()?;
         if store.is_snapshot_due() {
--- a/consensus/src/testing/storage/workload_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -14,13 +14,13 @@
 }
 
 #[test]
-fn what_was_synced_is_there_after_any_trouble() {
+fn what_was_synced_is_there_after_any_fault() {
     for seed in 0..2000 {
         run(seed, Faults::default()).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     }
 }
 
-/// The same work, with the process ended at each of its operations in term.
+/// The same work, with the process ended at each of its operations in turn.
 #[test]
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
--- a/consensus/src/testing/unit/acceptor_tests.rs
+++ b/consensus/src/testing/unit/acceptor_tests.rs
@@ -1,4 +1,4 @@
-//! Acceptors that changes of the members concern.
+//! Acceptors during changes of the members.
 
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Member, Position,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn one_without_memory_says_nothing_of_places() {
+fn an_acceptor_in_recovery_reports_no_positions() {
     let mut wiped = Acceptor { membership: four(), ..Acceptor::new(&address(0)) };
     assert_eq!(
         wiped.handle(ConsensusRequest { membership: four(), operation: ConsensusOperation::Positions }).0,
@@ -82,7 +82,7 @@
 
 /// Two of three are a quorum of the new membership, and no majority of the four before.
 #[test]
-fn a_voter_without_memory_waits_while_a_newer_core_may_be_committed() {
+fn an_acceptor_in_recovery_waits_while_a_newer_membership_may_be_committed() {
     let mut acceptors = acceptors_as_one_is_removed();
     for acceptor in &mut acceptors[..2] {
         accept(acceptor, three(), KEY, b"acknowledged".to_vec());
@@ -93,7 +93,7 @@
     assert_eq!(wiped.recover(reads), None);
     assert!(!wiped.may_vote);
 
-    // Told of the new membership, it reads those who voted under it.
+    // Notified of the new membership, it reads those that responded under it.
     wiped.adopt_membership(&three());
     assert!(!wiped.has_enough_reads(&[address(2), address(3)]));
     let reads = (1..4).map(|machine| snapshot(&mut acceptors[machine], three())).collect();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_core_that_is_known_keeps_no_voter_without_memory_waiting() {
+fn a_membership_that_is_known_keeps_no_acceptor_in_recovery_waiting() {
     let mut acceptors = acceptors_as_one_is_removed();
     let mut wiped = Acceptor { membership: three(), ..Acceptor::new(&address(0)) };
     let reads = (1..4).map(|machine| snapshot(&mut acceptors[machine], three())).collect();
--- a/consensus/src/testing/unit/confirmation_tests.rs
+++ b/consensus/src/testing/unit/confirmation_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_voter_is_no_quorum_however_often_it_answers() {
+fn one_acceptor_is_no_quorum_however_often_it_answers() {
     let mut confirmation = Confirmation::new(&membership(3));
     confirmation.record("m0", positions(&[]));
     confirmation.record("m0", positions(&[]));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn voters_that_moved_on_between_two_reads_still_show_a_committed_entry() {
+fn acceptors_that_moved_on_between_two_reads_still_show_a_committed_entry() {
     let from = |name: &str, entry: Entry| (name.to_string(), entry);
     let moved = [from("m0", entry(2, 9)), from("m1", entry(2, 8)), from("m2", entry(2, 8))];
     assert_eq!(newest_committed(&membership(3), &moved), Some(entry(2, 8)));
--- a/consensus/src/testing/unit/proposal_tests.rs
+++ b/consensus/src/testing/unit/proposal_tests.rs
@@ -44,7 +44,7 @@
     |body| Decision::Answer(String::from_utf8_lossy(body).into_owned())
 }
 
-/// Runs a proposal against these acceptors, who all answer each request in term.
+/// Runs a proposal against these acceptors, which all answer each request in turn.
 fn run<T>(
     acceptors: &mut [Acceptor],
     ownership: Option<Ownership>,
@@ -92,19 +92,19 @@
 }
 
 #[test]
-fn an_owner_that_was_overtaken_neither_answers_from_its_memory_nor_commits() {
+fn an_owner_that_was_superseded_neither_answers_from_memory_nor_commits() {
     let mut all = acceptors(3);
     let old = owner(run(&mut all, None, 1, &mut write("a")));
     owner(run(&mut all, None, 2, &mut write("b")));
-    // It reads anew before it answers.
+    // It reads again before it answers.
     let seen = run(&mut all, Some(old.clone()), 3, &mut read());
     assert!(matches!(seen, Progress::Finished { answer, .. } if answer == "b"));
-    // Its own next change is refused by the first acceptor that prepared a higher proposal number.
+    // Its own next change is rejected by the first acceptor that prepared a higher proposal number.
     assert_eq!(run(&mut all, Some(old), 4, &mut write("c")), Progress::Superseded(proposal_number(3)));
 }
 
 #[test]
-fn an_owner_under_an_older_core_claims_the_key_anew() {
+fn an_owner_under_an_older_membership_claims_the_key_anew() {
     let mut all = acceptors(3);
     let mut old = owner(run(&mut all, None, 1, &mut write("a")));
     old.membership_version = 0;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn votes_that_come_after_the_deadline_do_not_count() {
+fn responses_that_come_after_the_deadline_do_not_count() {
     let mut all = acceptors(3);
     let (mut proposal, request) = Proposal::start(KEY, &membership(3), None, proposal_number(1), &mut write("a"), 0);
     for acceptor in &mut all {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_voter_that_answers_twice_counts_once() {
+fn an_acceptor_that_answers_twice_counts_once() {
     let mut all = acceptors(3);
     let (mut proposal, request) = Proposal::start(KEY, &membership(3), None, proposal_number(1), &mut write("a"), 0);
     for _ in 0..2 {
--- a/consensus/src/testing/unit/quorum_tests.rs
+++ b/consensus/src/testing/unit/quorum_tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn quorums_before_and_during_a_change_share_a_voter() {
+fn quorums_before_and_during_a_change_share_an_acceptor() {
     for (old, new) in changes() {
         let during = quorums(&changing(old, new));
         for before in quorums(&stable(old)) {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn quorums_during_and_after_a_change_share_a_voter() {
+fn quorums_during_and_after_a_change_share_an_acceptor() {
     for (old, new) in changes() {
         let during = quorums(&changing(old, new));
         for after in quorums(&stable(new)) {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn members_before_a_change_are_told_until_it_is_settled() {
+fn members_before_a_change_are_notified_until_it_is_stable() {
     let mut membership = changing(0b0111, 0b1011);
     assert_eq!(old_and_new_members(&membership).len(), 4);
     membership.stable = true;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn old_and_new_members_are_those_that_are_told() {
+fn old_and_new_members_are_those_that_are_notified() {
     for mut membership in [changing(0b0111, 0b1011), changing(0b0011, 0b0111), changing(0b1111, 0b0111)] {
         for stable in [false, true] {
             membership.stable = stable;
--- a/consensus/src/testing/unit/reconfiguration_tests.rs
+++ b/consensus/src/testing/unit/reconfiguration_tests.rs
@@ -1,4 +1,4 @@
-//! Which members a membership gets next, and when a change of it is stable.
+//! Which members come next, and when a transition is done.
 use super::{next_membership, ClusterView, Health, MembershipTransition, MEMBER_TIMEOUT_MS};
 use protocol::message::{ConsensusResponse, CoreMembership, KeyPosition, Member, Position};
 
@@ -77,7 +77,7 @@
 
 #[test]
 fn one_too_many_that_is_leaving_is_removed_though_another_is_lost() {
-    // The leaving one still votes for the change: three of four.
+    // The one that is shutting down still votes for the change: three of four.
     let health = |name: &str| match name {
         "b" => LEAVING,
         "c" => SILENT,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_settlement_waits_for_quorums_of_old_and_new_and_for_every_key() {
+fn a_transition_waits_for_quorums_of_old_and_new_and_for_every_key() {
     let prev = membership(&["a", "b", "c"]).members;
     let changing = CoreMembership {
         members: membership(&["a", "b", "d"]).members,
@@ -112,7 +112,7 @@
     assert!(transition.is_done());
 }
 
-/// An acceptor's answer to a spread: the keys that it holds.
+/// The response of an acceptor that holds these keys.
 fn positions(keys: &[&str]) -> ConsensusResponse {
     ConsensusResponse::Positions {
         positions: keys.iter().map(|key| KeyPosition { key: key.to_string(), position: Position::default() }).collect(),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_voter_that_does_not_say_what_it_holds_does_not_count_for_a_settlement() {
+fn an_acceptor_that_does_not_say_what_it_holds_does_not_count_for_a_transition() {
     let mut transition = MembershipTransition::new(&exchange());
     for (from, response) in [("a", positions(&[])), ("d", positions(&[])), ("c", ConsensusResponse::NonVoting)] {
         transition.record_response(from, &response);
--- a/consensus/src/testing/unit/round_tests.rs
+++ b/consensus/src/testing/unit/round_tests.rs
@@ -7,20 +7,20 @@
 }
 
 #[test]
-fn a_turn_is_above_the_last_one_of_its_owner() {
+fn a_term_is_above_the_last_one_of_its_owner() {
     let first = next_term(0, &membership(1));
     assert!(next_term(first, &membership(1)) == first + 1);
 }
 
 #[test]
-fn a_turn_is_above_every_one_under_an_earlier_core() {
+fn a_term_is_above_every_one_under_an_earlier_membership() {
     let last = next_term(0, &membership(1)) + TERMS_PER_MEMBERSHIP - 1;
     assert!(next_term(0, &membership(2)) > last - 1);
     assert!(next_term(7, &membership(2)) == next_term(0, &membership(2)), "whatever its owner did before");
 }
 
 #[test]
-fn a_turn_above_the_own_core_is_kept() {
+fn a_term_above_the_own_membership_is_kept() {
     let newer = next_term(0, &membership(3));
     assert!(next_term(newer, &membership(2)) > newer);
 }
--- a/consensus/src/testing/unit/store_tests.rs
+++ b/consensus/src/testing/unit/store_tests.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_flaw_before_what_was_synced_is_refused_with_file_and_offset() {
+fn corruption_before_what_was_synced_is_rejected_with_file_and_offset() {
     let dir = directory("flaw");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_foreign_file_is_refused() {
+fn a_foreign_file_is_rejected() {
     let dir = directory("foreign");
     fs::create_dir_all(&dir).expect("made");
     fs::write(dir.join("log-00000001"), b"#!/bin/sh\necho of another program\n").expect("written");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_storm_of_large_changes_stays_within_a_bounded_size() {
+fn a_burst_of_large_changes_stays_within_a_bounded_size() {
     let dir = directory("storm");
     let (mut store, _) = open(&dir).expect("opens");
     let body = vec![7; 300_000];
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_missing_segment_is_refused() {
+fn a_missing_segment_is_rejected() {
     let dir = directory("missing");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
