--- a/consensus/src/testing/simulation/membership_tests.rs
+++ b/consensus/src/testing/simulation/membership_tests.rs
@@ -1,6 +1,7 @@
 //! Members replaced while the register is at work: the simulated world must not lose what was acknowledged.
 
 use kernel::clock::Rng;
+use protocol::message::CoreMembership;
 
 use super::tests::nothing_lost;
 use super::World;
@@ -16,69 +17,122 @@
     Unsafe,
 }
 
-/// A member is lost for good, an empty one replaces it, and then another crashes.
-fn run_replacement(seed: u64, strategy: Strategy) -> (World, Vec<u8>) {
-    let skips_recovery = strategy == Strategy::Unsafe;
-    let mut world = World::new(seed, 3);
-    let mut rng = Rng::new(seed ^ 0x7e57);
-    let mut stage = 0;
-    let mut membership = None;
-    let lost = 1 + rng.below(2) as usize;
-    let stays = 3 - lost;
-    while world.now < 16_000 {
-        world.step();
-        if rng.below(12) == 0 && (stage == 0 || stage == 5 || rng.below(3) == 0) {
-            let at = [0, stays, lost, 3][rng.below(4) as usize];
-            if at < world.replicas.len() {
-                world.propose(at);
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Stage {
+    BeforeLoss,
+    AnnounceAddition,
+    RecommitAfterAddition,
+    AnnounceFinalMembers,
+    RecommitAfterFinalMembers,
+    Done,
+}
+
+/// One run in which a member is replaced.
+struct Replacement {
+    world: World,
+    rng: Rng,
+    strategy: Strategy,
+    stage: Stage,
+    membership: Option<CoreMembership>,
+    lost: usize,
+    stays: usize,
+}
+
+/// The number of the machine that replaces the lost one.
+const ADDED: usize = 3;
+
+impl Replacement {
+    fn new(seed: u64, strategy: Strategy) -> Replacement {
+        let mut rng = Rng::new(seed ^ 0x7e57);
+        let lost = 1 + rng.below(2) as usize;
+        let (world, stays) = (World::new(seed, 3), 3 - lost);
+        Replacement { world, rng, strategy, stage: Stage::BeforeLoss, membership: None, lost, stays }
+    }
+
+    fn is_unsafe(&self) -> bool {
+        self.strategy == Strategy::Unsafe
+    }
+
+    fn propose(&mut self) {
+        let is_quiet = matches!(self.stage, Stage::BeforeLoss | Stage::Done);
+        if self.rng.below(12) == 0 && (is_quiet || self.rng.below(3) == 0) {
+            let at = [0, self.stays, self.lost, ADDED][self.rng.below(4) as usize];
+            if at < self.world.replicas.len() {
+                self.world.propose(at);
             }
         }
+    }
+
+    fn advance(&mut self) {
+        let stage = self.stage;
         match stage {
-            0 if world.now >= 2000 => {
-                if !skips_recovery {
-                    world.crash(lost, false);
-                }
-                world.add_replica();
-                let list = if strategy == Strategy::AddThenRemove { vec![0, 1, 2, 3] } else { vec![0, stays, 3] };
-                membership = Some(world.change_members(list, !skips_recovery));
-                stage = match strategy {
-                    Strategy::AddThenRemove => 1,
-                    Strategy::Exchange => 3,
-                    Strategy::Unsafe => 5,
-                };
-                if skips_recovery {
-                    // The old members do not learn of it: they still make a majority of their own.
-                    let partitioned = [(0, stays), (0, lost), (3, stays), (3, lost)];
-                    world.partitioned =
-                        partitioned.iter().flat_map(|(one, two)| [(*one, *two), (*two, *one)]).collect();
-                }
-            }
-            1 | 3 if world.now.is_multiple_of(20) => {
-                let known = membership.clone().expect("a membership");
-                stage += u8::from(world.announce(&known));
-            }
-            2 | 4
-                if world.now.is_multiple_of(20)
-                    && world.try_recommit(membership.as_ref().expect("a membership").version) =>
-            {
-                stage += 1;
-                if stage == 3 {
-                    membership = Some(world.change_members(vec![0, stays, 3], true));
-                }
+            Stage::BeforeLoss if self.world.now >= 2000 => self.begin(),
+            Stage::AnnounceAddition if self.is_announced() => self.stage = Stage::RecommitAfterAddition,
+            Stage::RecommitAfterAddition if self.is_recommitted() => {
+                self.stage = Stage::AnnounceFinalMembers;
+                self.membership = Some(self.world.change_members(vec![0, self.stays, ADDED], true));
             }
+            Stage::AnnounceFinalMembers if self.is_announced() => self.stage = Stage::RecommitAfterFinalMembers,
+            Stage::RecommitAfterFinalMembers if self.is_recommitted() => self.stage = Stage::Done,
             _ => {}
         }
-        // The new members tolerate the loss of one machine as the old ones did.
-        if !skips_recovery && stage == 5 && world.now == 9000 {
-            world.crash(stays, false);
+    }
+
+    fn begin(&mut self) {
+        if !self.is_unsafe() {
+            self.world.crash(self.lost, false);
+        }
+        self.world.add_replica();
+        let members = match self.strategy {
+            Strategy::AddThenRemove => vec![0, 1, 2, ADDED],
+            Strategy::Exchange | Strategy::Unsafe => vec![0, self.stays, ADDED],
+        };
+        self.membership = Some(self.world.change_members(members, !self.is_unsafe()));
+        self.stage = match self.strategy {
+            Strategy::AddThenRemove => Stage::AnnounceAddition,
+            Strategy::Exchange => Stage::AnnounceFinalMembers,
+            Strategy::Unsafe => Stage::Done,
+        };
+        if self.is_unsafe() {
+            // The old members do not learn of it: they still make a majority of their own.
+            let cut = [(0, self.stays), (0, self.lost), (ADDED, self.stays), (ADDED, self.lost)];
+            self.world.partitioned = cut.iter().flat_map(|(one, two)| [(*one, *two), (*two, *one)]).collect();
+        }
+    }
+
+    fn is_announced(&mut self) -> bool {
+        self.world.now.is_multiple_of(20) && self.world.announce(self.membership.as_ref().expect("a membership"))
+    }
+
+    fn is_recommitted(&mut self) -> bool {
+        let version = self.membership.as_ref().expect("a membership").version;
+        self.world.now.is_multiple_of(20) && self.world.try_recommit(version)
+    }
+
+    /// The new members tolerate the loss of one machine as the old ones did.
+    fn lose_another(&mut self) {
+        if !self.is_unsafe() && self.stage == Stage::Done && self.world.now == 9000 {
+            self.world.crash(self.stays, false);
         }
-        if world.now == 12_000 {
-            world.restart(stays);
+        if self.world.now == 12_000 {
+            self.world.restart(self.stays);
         }
     }
-    assert!(skips_recovery || stage == 5, "seed {seed}: stuck at stage {stage}");
-    let last = world.read_after_recovery();
-    (world, last)
+}
+
+/// A member is lost for good, an empty one replaces it, and then another crashes. Returns the world and the body that
+/// is committed at the end.
+fn run_replacement(seed: u64, strategy: Strategy) -> (World, Vec<u8>) {
+    let mut run = Replacement::new(seed, strategy);
+    while run.world.now < 16_000 {
+        run.world.step();
+        run.propose();
+        run.advance();
+        run.lose_another();
+    }
+    assert!(run.is_unsafe() || run.stage == Stage::Done, "seed {seed}: stuck at stage {:?}", run.stage);
+    let last = run.world.read_after_recovery();
+    (run.world, last)
 }
 
 #[test]
--- a/consensus/src/testing/simulation/tests.rs
+++ b/consensus/src/testing/simulation/tests.rs
@@ -88,8 +88,17 @@
     }
 }
 
+/// A run in which two machines at a time lose their disks.
+struct DoubleLosses {
+    world: World,
+    /// The body that is committed at the end.
+    last: Vec<u8>,
+    /// After each loss every acceptor voted again in time.
+    recovered: bool,
+}
+
 /// Again and again two machines are lost at once, wiped; at times all others lose power with them.
-fn run_with_double_losses(seed: u64, size: usize, skips_recovery: bool) -> (World, Vec<u8>, bool) {
+fn run_with_double_losses(seed: u64, size: usize, skips_recovery: bool) -> DoubleLosses {
     let mut world = World::new(seed, size);
     world.skips_recovery = skips_recovery;
     let mut rng = Rng::new(seed ^ 0x2f2f);
@@ -122,14 +131,14 @@
         }
     }
     let last = world.read_after_recovery();
-    (world, last, recovered)
+    DoubleLosses { world, last, recovered }
 }
 
 #[test]
 fn two_wiped_at_once_come_back_without_waiting_for_each_other() {
     let mut acknowledged = 0;
     for (seed, size) in (1..=24).flat_map(|seed| [(seed, 5), (seed, 6), (seed, 8)]) {
-        let (world, last, recovered) = run_with_double_losses(seed, size, false);
+        let DoubleLosses { world, last, recovered } = run_with_double_losses(seed, size, false);
         assert!(nothing_lost(&world, &last), "seed {seed} of {size}");
         assert!(recovered, "seed {seed} of {size}: a wiped acceptor did not recover");
         acknowledged += world.acknowledged.len();
@@ -140,7 +149,7 @@
 #[test]
 fn the_simulation_finds_the_fault_when_two_wiped_disks_vote_at_once() {
     let broken = (1..=60).any(|seed| {
-        let (world, last, _) = run_with_double_losses(seed, 5, true);
+        let DoubleLosses { world, last, .. } = run_with_double_losses(seed, 5, true);
         !nothing_lost(&world, &last)
     });
     assert!(broken, "a test that can't fail shows nothing");
--- a/consensus/src/testing/storage/workload.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -2,6 +2,8 @@
 //! After each opening all that was reported as synced must be there, and nothing but part of what was
 //! in flight may be new.
 
+use std::fmt;
+
 use kernel::clock::{self, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
@@ -19,6 +21,40 @@
 /// What remains after a snapshot: all keys, the members, and a new segment with little in it.
 const MAX_BYTES_AFTER_SNAPSHOT: usize = 4_000;
 
+/// How a run failed.
+#[derive(Debug)]
+pub enum RunError {
+    /// The store reports corruption where none was injected.
+    TakenForCorrupted(StoreError),
+    /// The store does not open on a disk without faults.
+    NeverOpens(StoreError),
+    /// Records that were reported as synced are missing, or others are there.
+    WrongRecords { expected: Vec<LogRecord>, found: Vec<LogRecord> },
+    /// No snapshot can be made on a disk without faults.
+    NoSnapshot(StoreError),
+    /// Nothing can be appended on a disk without faults.
+    StaysFull(StoreError),
+    /// So many bytes are left after a snapshot.
+    BytesLeft(usize),
+}
+
+impl fmt::Display for RunError {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            RunError::TakenForCorrupted(error) => write!(formatter, "taken for corrupted: {error}"),
+            RunError::NeverOpens(error) => write!(formatter, "never opens: {error}"),
+            RunError::WrongRecords { expected, found } => {
+                write!(formatter, "expected {expected:?}\nfound {found:?}")
+            }
+            RunError::NoSnapshot(error) => write!(formatter, "no snapshot: {error}"),
+            RunError::StaysFull(error) => write!(formatter, "stays full: {error}"),
+            RunError::BytesLeft(bytes) => {
+                write!(formatter, "{bytes} bytes stay on the disk, at most {MAX_BYTES_AFTER_SNAPSHOT} expected")
+            }
+        }
+    }
+}
+
 /// The store under test, and what must be found on its disk.
 pub struct Run {
     pub disk: SharedDisk,
@@ -37,6 +73,7 @@
 }
 
 impl Run {
+    /// Starts with an empty disk that has these faults.
     pub fn new(seed: u64, faults: Faults) -> Run {
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
@@ -44,10 +81,12 @@
         Run { disk, rng: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, in_flight: Vec::new(), term: 0 }
     }
 
+    /// Changes the faults of the disk.
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.disk.lock().expect("disk").faults);
     }
 
+    /// Returns whether the process has ended.
     pub fn crashed(&self) -> bool {
         self.disk.lock().expect("disk").crashed
     }
@@ -83,7 +122,7 @@
     }
 
     /// Opens again and again until it works, as the controller does.
-    pub fn open(&mut self) -> Result<Store, String> {
+    pub fn open(&mut self) -> Result<Store, RunError> {
         for attempt in 0.. {
             if attempt == 20 {
                 self.faults(|faults| (faults.errors, faults.capacity) = (0, CAPACITY));
@@ -97,25 +136,26 @@
                     self.in_flight.clear();
                     return Ok(store);
                 }
-                Err(error @ StoreError::Corrupted { .. }) => return Err(format!("taken for damaged: {error}")),
+                Err(error @ StoreError::Corrupted { .. }) => return Err(RunError::TakenForCorrupted(error)),
                 Err(StoreError::Io { .. }) if self.crashed() => self.end_process(),
-                Err(error) if attempt > 40 => return Err(format!("never opens: {error}")),
+                Err(error) if attempt > 40 => return Err(RunError::NeverOpens(error)),
                 Err(_) => {}
             }
         }
         unreachable!("the loop has no end")
     }
 
-    fn check(&self, found: &Acceptor) -> Result<(), String> {
+    fn check(&self, found: &Acceptor) -> Result<(), RunError> {
         let may_be = |records: &[LogRecord]| after(&self.acknowledged, records).snapshot() == found.snapshot();
         let fits =
             may_be(&[]) || self.in_flight.iter().any(|batch| (1..=batch.len()).any(|length| may_be(&batch[..length])));
         match fits {
             true => Ok(()),
-            false => Err(format!("found {:?}\nwanted {:?}", found.snapshot(), self.acknowledged.snapshot())),
+            false => Err(RunError::WrongRecords { expected: self.acknowledged.snapshot(), found: found.snapshot() }),
         }
     }
 
+    /// Appends a batch, with retries as the controller makes them.
     pub fn append(&mut self, store: &mut Store) {
         let mut batch = self.batch();
         for _ in 0..4 {
@@ -137,6 +177,7 @@
         }
     }
 
+    /// Tries to make a snapshot.
     pub fn snapshot(&mut self, store: &mut Store) {
         if store.snapshot(&self.acknowledged.snapshot()).is_ok() {
             self.in_flight.clear();
@@ -159,7 +200,8 @@
         }
     }
 
-    pub fn steps(&mut self, count: u64) -> Result<(), String> {
+    /// Runs this many random operations, then checks that the store works on a disk without faults.
+    pub fn steps(&mut self, count: u64) -> Result<(), RunError> {
         let mut store = self.open()?;
         for _ in 0..count {
             match self.rng.below(10) {
@@ -182,18 +224,18 @@
     }
 
     /// Once the disk works again, everything succeeds and files that are not needed are gone.
-    pub fn finish(&mut self) -> Result<(), String> {
+    pub fn finish(&mut self) -> Result<(), RunError> {
         let mut store = self.open()?;
         if store.is_snapshot_due() {
-            store.snapshot(&self.acknowledged.snapshot()).map_err(|error| format!("no snapshot: {error}"))?;
+            store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::NoSnapshot)?;
         }
         let batch = self.batch();
-        store.append(&batch).map_err(|error| format!("stays full: {error}"))?;
+        store.append(&batch).map_err(RunError::StaysFull)?;
         self.acknowledged = after(&self.acknowledged, &batch);
-        store.snapshot(&self.acknowledged.snapshot()).map_err(|error| format!("no snapshot: {error}"))?;
+        store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::NoSnapshot)?;
         let used = self.disk.lock().expect("disk").used();
         if used > MAX_BYTES_AFTER_SNAPSHOT {
-            return Err(format!("{used} bytes stay on the disk"));
+            return Err(RunError::BytesLeft(used));
         }
         self.disk.lock().expect("disk").lose_power();
         self.open().map(drop)
--- a/consensus/src/testing/storage/workload_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -1,9 +1,11 @@
+//! Random runs of the store, and runs with defects that the workload must find.
+
 use kernel::clock::{self, Rng};
 
 use super::simulated_disk::Faults;
-use super::workload::Run;
+use super::workload::{Run, RunError};
 
-fn run(seed: u64, faults: Faults) -> Result<(), String> {
+fn run(seed: u64, faults: Faults) -> Result<(), RunError> {
     let strict_names = seed & 1 == 0;
     Run::new(seed, Faults { strict_names, ..faults }).steps(60)
 }
@@ -38,7 +40,7 @@
 }
 
 /// True: it came to its end without a crash.
-fn run_workload(run: &mut Run) -> Result<bool, String> {
+fn run_workload(run: &mut Run) -> Result<bool, RunError> {
     let mut store = run.open()?;
     for step in 0..12 {
         run.append(&mut store);
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn the_model_finds_a_store_without_folder_sync() {
+fn the_model_finds_a_store_without_directory_sync() {
     assert!(first_failure(&Faults { directory_sync_ignored: true, ..Faults::default() }).is_some());
 }
 
--- a/consensus/src/testing/unit/store_tests.rs
+++ b/consensus/src/testing/unit/store_tests.rs
@@ -1,3 +1,5 @@
+//! The store on the machine's file system.
+
 use std::path::{Path, PathBuf};
 use std::{env, fs, process};
 
