--- a/consensus/src/testing/model/action.rs
+++ b/consensus/src/testing/model/action.rs
@@ -15,7 +15,7 @@
     /// The present request of a proposer reaches an acceptor, whose response is on its way.
     Deliver { proposer: usize, machine: usize },
     /// An acceptor rejects the present request, and the proposer learns of it.
-    Refuse { proposer: usize, machine: usize },
+    Reject { proposer: usize, machine: usize },
     /// A proposer counts the responses of these machines, which are a quorum.
     Count { proposer: usize, machines: MachineSet },
     /// A request of a round that ended long ago reaches an acceptor.
@@ -38,4 +38,5 @@
     Announce { proposer: usize, machine: usize },
 }
 
+/// One way on from a state of the model.
 pub type Successor = Step<Model>;
--- a/consensus/src/testing/model/changing_membership.rs
+++ b/consensus/src/testing/model/changing_membership.rs
@@ -22,6 +22,7 @@
 use crate::{encode_membership, quorum, MEMBERSHIP_KEY};
 
 impl Model {
+    /// Adds what the coordinators may do next.
     pub fn change_membership(&self, state: &State, list: &mut Vec<Successor>) {
         for at in 0..state.proposers.len() {
             if !state.proposers[at].coordinates {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Tells machines of the changed membership.
+    /// Announces the changed membership to machines.
     fn announce(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
         let membership = &state.memberships[state.proposers[at].membership];
         let recipients = quorum::old_and_new_members(membership);
--- a/consensus/src/testing/model/check.rs
+++ b/consensus/src/testing/model/check.rs
@@ -13,7 +13,7 @@
 use super::{Model, KEY};
 use crate::quorum;
 
-/// What is asked again and again of a membership.
+/// What is needed again and again of a membership.
 pub struct MembershipFacts {
     pub members: MachineSet,
     /// The quorums that are none without any one of their members.
@@ -24,6 +24,7 @@
 pub type MembershipCache = RefCell<HashMap<(u64, bool), Rc<MembershipFacts>>>;
 
 impl Model {
+    /// Returns the facts of a membership, computed once.
     pub fn membership_facts(&self, membership: &CoreMembership) -> Rc<MembershipFacts> {
         let key = (membership.version, membership.stable);
         if let Some(known) = self.memberships.borrow().get(&key) {
@@ -46,7 +47,7 @@
         sets.filter(smallest).collect()
     }
 
-    /// One value per position: no two bodies were accepted, or are proposed, under one proposal number and step.
+    /// One value per position: no two bodies were accepted, or are proposed, under one proposal number and index.
     pub fn check_positions(&self, state: &State) -> Result<(), Violation> {
         let mut seen: Vec<&Entry> = Vec::new();
         for entry in entries(state) {
@@ -79,8 +80,8 @@
         Ok(())
     }
 
-    /// Nothing acknowledged is lost: whichever quorum of whichever membership is read now, under a new proposal number, the
-    /// read returns it or something built on it.
+    /// Nothing acknowledged is lost: whichever quorum of whichever membership is read now, under a new proposal
+    /// number, the read returns it or something built on it.
     pub fn check_quorum_reads(&self, state: &State) -> Result<(), Violation> {
         for membership in state.memberships.iter() {
             for quorum in self.membership_facts(membership).quorums.iter() {
--- a/consensus/src/testing/model/defect_tests.rs
+++ b/consensus/src/testing/model/defect_tests.rs
@@ -35,13 +35,13 @@
 
 #[test]
 fn an_old_proposal_number_that_is_accepted_is_found() {
-    let found = finds("old ballot accepted", &two_changes(Defect::OldProposalAccepted));
+    let found = finds("old proposal accepted", &two_changes(Defect::OldProposalAccepted));
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
 
 #[test]
 fn a_response_that_is_not_on_disk_is_found() {
-    let found = finds("vote before disk", &two_changes(Defect::ResponseBeforeSync));
+    let found = finds("response before sync", &two_changes(Defect::ResponseBeforeSync));
     assert_eq!(found.violation, Violation::NotSynced);
 }
 
@@ -49,7 +49,7 @@
 fn a_proposal_number_used_in_two_incarnations_is_found() {
     let scenario = Scenario { restarts: 1, ..two_changes(Defect::ProposalNumbersReused) };
     let proposers = vec![proposer(&[Write(1)], 2)];
-    let found = finds("ballots used again", &Scenario { proposers, ..scenario });
+    let found = finds("proposal numbers reused", &Scenario { proposers, ..scenario });
     assert!(matches!(found.violation, Violation::ConflictingOwners { .. }), "{:?}", found.trace);
 }
 
@@ -63,14 +63,14 @@
 #[test]
 fn a_wiped_acceptor_that_votes_at_once_is_found() {
     let scenario = Scenario { wipes: 1, ..two_changes(Defect::WipedVotesAtOnce) };
-    assert!(is_lost(&finds("wiped voter votes at once", &scenario).violation));
+    assert!(is_lost(&finds("wiped acceptor votes at once", &scenario).violation));
 }
 
 #[test]
 fn a_wiped_acceptor_that_reads_before_the_rounds_that_counted_its_responses_are_over_is_found() {
     let proposers = vec![proposer(&[Write(1)], 1)];
     let scenario = Scenario { wipes: 1, proposers, ..two_changes(Defect::RecoveryWithoutDelay) };
-    assert!(is_lost(&finds("wiped voter reads at once", &scenario).violation));
+    assert!(is_lost(&finds("wiped acceptor reads at once", &scenario).violation));
 }
 
 #[test]
@@ -80,5 +80,5 @@
 
 #[test]
 fn an_exchange_stabilized_without_committing_the_keys_again_is_found() {
-    assert!(is_lost(&finds("settled without renewal", &exchange(Defect::StabilizedWithoutRecommit)).violation));
+    assert!(is_lost(&finds("stabilized without recommit", &exchange(Defect::StabilizedWithoutRecommit)).violation));
 }
--- a/consensus/src/testing/model/ending.rs
+++ b/consensus/src/testing/model/ending.rs
@@ -24,6 +24,7 @@
 }
 
 impl State {
+    /// Changes the proposal under way.
     pub fn edit_task(&mut self, proposer: usize, change: impl FnOnce(&mut Task)) {
         self.proposers[proposer].edit(|proposer| change(proposer.task.as_mut().expect("a task")));
     }
--- a/consensus/src/testing/model/explore.rs
+++ b/consensus/src/testing/model/explore.rs
@@ -48,6 +48,7 @@
 /// one of them goes unseen, is one in 3,700.
 type Fingerprint = u64;
 
+/// Returns the fingerprint of a value.
 pub fn fingerprint(value: &impl Hash) -> Fingerprint {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/consensus/src/testing/model/machines.rs
+++ b/consensus/src/testing/model/machines.rs
@@ -2,12 +2,12 @@
 
 use protocol::message::Member;
 
-/// The address of a machine.
+/// Returns the address of a machine.
 pub fn address(machine: usize) -> String {
     format!("10.0.0.{machine}")
 }
 
-/// A member of the membership on this machine.
+/// Returns this machine as a member.
 pub fn member(machine: usize) -> Member {
     Member { ip: address(machine), zone: String::new() }
 }
@@ -17,6 +17,7 @@
 pub struct MachineSet(u8);
 
 impl MachineSet {
+    /// The largest number of machines.
     pub const COUNT: usize = 8;
 
     /// All sets of the first `count` machines, smaller numbers first.
@@ -24,18 +25,22 @@
         (0..1u16 << count).map(|bits| MachineSet(bits as u8))
     }
 
+    /// Returns whether the machine is in the set.
     pub fn contains(self, machine: usize) -> bool {
         self.0 & (1 << machine) != 0
     }
 
+    /// Returns whether all machines of the other set are in this one.
     pub fn includes(self, other: MachineSet) -> bool {
         self.0 & other.0 == other.0
     }
 
+    /// Returns the set without one machine.
     pub fn without(self, machine: usize) -> MachineSet {
         MachineSet(self.0 & !(1 << machine))
     }
 
+    /// Returns the machines in ascending order.
     pub fn iter(self) -> impl Iterator<Item = usize> {
         (0..MachineSet::COUNT).filter(move |machine| self.contains(*machine))
     }
--- a/consensus/src/testing/model/membership_tests.rs
+++ b/consensus/src/testing/model/membership_tests.rs
@@ -99,7 +99,7 @@
 fn an_acceptor_that_was_notified_of_the_change_and_forgot_it_does_not_count_for_the_transition() {
     let read_before = Some((Read, MachineSet::from_iter([0, 1])));
     let scenario = Scenario { earlier_operation: read_before, ..one_lost_disk(one_change(exchanged(3))) };
-    let name = "exchange, first change by the owner, the disk of one that was told is lost";
+    let name = "exchange, first change by the owner, the disk of one that was notified is lost";
     holds_in_first_states(name, &scenario, 8_000);
 }
 
--- a/consensus/src/testing/model/mod.rs
+++ b/consensus/src/testing/model/mod.rs
@@ -44,6 +44,7 @@
 }
 
 impl Model {
+    /// Prepares the exploration of a scenario.
     pub fn new(scenario: Scenario) -> Model {
         let addresses = (0..scenario.machines).map(machines::address).collect();
         Model {
--- a/consensus/src/testing/model/progress.rs
+++ b/consensus/src/testing/model/progress.rs
@@ -127,7 +127,7 @@
                 }
             }
             if !state.replicas[machine].acceptor.may_vote {
-                return Err(Violation::Stuck("a voter that lost its disk does not vote again"));
+                return Err(Violation::Stuck("an acceptor that lost its disk does not vote again"));
             }
         }
         Ok(())
@@ -159,7 +159,7 @@
             }
         }
         if !transition.is_done() {
-            return Err(Violation::Stuck("a change of the core is not settled"));
+            return Err(Violation::Stuck("a membership transition does not complete"));
         }
         let stable = stabilized(membership);
         state.memberships = Shared::new(vec![stable.clone()]);
--- a/consensus/src/testing/model/proposing.rs
+++ b/consensus/src/testing/model/proposing.rs
@@ -27,6 +27,7 @@
 }
 
 impl Model {
+    /// Adds what the proposers may do next.
     pub fn propose(&self, state: &State, list: &mut Vec<Successor>) {
         for proposer in 0..state.proposers.len() {
             self.begin(state, proposer, list);
@@ -160,7 +161,7 @@
     ) -> Result<State, Violation> {
         state.end_task(at);
         match progress {
-            Progress::Wait => return Err(Violation::Stuck("the votes of a quorum did not bring a round on")),
+            Progress::Wait => return Err(Violation::Stuck("the responses of a quorum did not complete a phase")),
             Progress::Send(requested) => {
                 let request =
                     Shared::new(ConsensusRequest { membership: task.request.membership.clone(), operation: requested });
@@ -233,6 +234,7 @@
 }
 
 impl Proposer {
+    /// Learns of a newer membership, whose transition starts from the beginning.
     pub fn learn_membership(&mut self, membership: usize) {
         if membership > self.membership {
             (self.membership, self.transition) = (membership, Default::default());
--- a/consensus/src/testing/model/recovering.rs
+++ b/consensus/src/testing/model/recovering.rs
@@ -17,6 +17,7 @@
 const _: () = assert!(STEP_MS < ROUND_TIMEOUT_MS && ROUND_TIMEOUT_MS <= 2 * STEP_MS);
 
 impl Model {
+    /// Adds losses of disks, and what acceptors in recovery may do next.
     pub fn recover(&self, state: &State, list: &mut Vec<Successor>) {
         self.elapse(state, list);
         for machine in 0..state.replicas.len() {
--- a/consensus/src/testing/model/shared.rs
+++ b/consensus/src/testing/model/shared.rs
@@ -14,11 +14,13 @@
 }
 
 impl<T: Hash> Shared<T> {
+    /// Hashes a value.
     pub fn new(value: T) -> Shared<T> {
         let hash = explore::fingerprint(&value);
         Shared { value: Rc::new(value), hash }
     }
 
+    /// Returns the hash of the value.
     pub fn fingerprint(&self) -> u64 {
         self.hash
     }
--- a/consensus/src/testing/model/state.rs
+++ b/consensus/src/testing/model/state.rs
@@ -40,6 +40,7 @@
 }
 
 impl Purpose {
+    /// Returns the operation that the proposal carries out.
     pub fn operation(self) -> Operation {
         match self {
             Purpose::Operation(operation) => operation,
@@ -102,11 +103,12 @@
 }
 
 impl State {
+    /// Returns the membership that was committed last.
     pub fn newest_membership(&self) -> &CoreMembership {
-        self.memberships.last().expect("a first core")
+        self.memberships.last().expect("a first membership")
     }
 
-    /// The highest term that an acceptor prepared.
+    /// Returns the highest term that an acceptor prepared.
     pub fn highest_term(&self) -> u64 {
         let registers = self.replicas.iter().filter_map(|replica| replica.acceptor.registers.get(KEY));
         registers.map(|register| register.prepared.term).max().unwrap_or_default()
--- a/consensus/src/testing/model/symmetry.rs
+++ b/consensus/src/testing/model/symmetry.rs
@@ -1,4 +1,4 @@
-//! One form for states that need not be told apart.
+//! One form for states that are equivalent.
 //!
 //! Machines that are interchangeable are numbered anew, in the order of what they hold: a state and the one
 //! with two of them swapped have the same futures but for the numbers. Late requests that no acceptor will take any
@@ -18,6 +18,7 @@
 type Renumbering = Vec<usize>;
 
 impl Model {
+    /// Brings a state into the form that stands for all equivalent ones.
     pub fn normalize(&self, state: &mut State) {
         self.drop_dead_requests(state);
         for group in &self.scenario.interchangeable {
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Without a loss of memory promises and positions only rise, so what an acceptor refuses now it refuses ever after.
+    /// Without lost disks prepared numbers and positions only increase, so what an acceptor rejects now it rejects ever
+    /// after.
     fn drop_dead_requests(&self, state: &mut State) {
         if state.late.is_empty() || state.wipes_left > 0 || state.non_voting() > 0 {
             return;
@@ -36,7 +38,7 @@
             self.membership_facts(&request.membership)
                 .members
                 .iter()
-                .all(|machine| is_refused(&state.replicas[machine], request))
+                .all(|machine| is_rejected(&state.replicas[machine], request))
         };
         if state.late.iter().any(is_dead) {
             let alive = state.late.iter().filter(|request| !is_dead(request)).cloned().collect();
@@ -45,7 +47,7 @@
     }
 }
 
-fn is_refused(replica: &Replica, request: &ConsensusRequest) -> bool {
+fn is_rejected(replica: &Replica, request: &ConsensusRequest) -> bool {
     let ConsensusOperation::Accept { key, entry } = &request.operation else { return false };
     let acceptor = &replica.acceptor;
     let overtaken = acceptor.registers.get(key).is_some_and(|register| {
--- a/consensus/src/testing/model/voting.rs
+++ b/consensus/src/testing/model/voting.rs
@@ -21,8 +21,16 @@
     pub response: Shared<ConsensusResponse>,
 }
 
-/// What each acceptor answered to each request: told apart by machine, acceptor and request.
-pub type AnswerCache = RefCell<HashMap<(usize, u64, u64), Answer>>;
+/// What identifies an answer: the machine, and the fingerprints of the acceptor and of the request.
+#[derive(PartialEq, Eq, Hash)]
+pub struct AnswerKey {
+    machine: usize,
+    acceptor: u64,
+    request: u64,
+}
+
+/// What each acceptor answered to each request.
+pub type AnswerCache = RefCell<HashMap<AnswerKey, Answer>>;
 
 impl Model {
     /// Lets an acceptor answer a request. Both the acceptor and what a restart would find on its disk are as returned.
@@ -32,7 +40,7 @@
         acceptor: &Shared<Acceptor>,
         request: &Shared<ConsensusRequest>,
     ) -> Result<Answer, Violation> {
-        let key = (machine, acceptor.fingerprint(), request.fingerprint());
+        let key = AnswerKey { machine, acceptor: acceptor.fingerprint(), request: request.fingerprint() };
         if let Some(known) = self.answers.borrow().get(&key) {
             return Ok(known.clone());
         }
@@ -67,11 +75,12 @@
             return Err(Violation::NotSynced);
         }
         if !accepts_old {
-            check_only_rises(acceptor, &after)?;
+            check_only_increases(acceptor, &after)?;
         }
         Ok((after, response))
     }
 
+    /// Adds the deliveries of requests, in time or late.
     pub fn deliver_requests(&self, state: &State, list: &mut Vec<Successor>) {
         for proposer in 0..state.proposers.len() {
             self.deliver(state, proposer, list);
@@ -109,7 +118,7 @@
                     if Some(*prepared) <= proposal_number(&task.request.operation) => {}
                 ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
                     let outcome = self.count_responses(next, proposer, &[(machine, response)]);
-                    list.push(Successor { action: Action::Refuse { proposer, machine }, outcome });
+                    list.push(Successor { action: Action::Reject { proposer, machine }, outcome });
                 }
                 _ if changed => list.push(Successor { action, outcome: Ok(next) }),
                 _ => {}
@@ -160,7 +169,7 @@
 }
 
 /// Prepared numbers and positions of entries never decrease, and no entry is above what is prepared.
-fn check_only_rises(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
+fn check_only_increases(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
     for (key, register) in &after.registers {
         let position = register.entry.as_ref().map(Entry::position);
         let above = register.entry.as_ref().is_some_and(|entry| entry.proposal_number > register.prepared);
--- a/consensus/src/testing/storage/simulated_directory.rs
+++ b/consensus/src/testing/storage/simulated_directory.rs
@@ -12,6 +12,7 @@
     inode: usize,
 }
 
+/// The only directory of a simulated disk.
 pub struct SimulatedDirectory(pub SharedDisk);
 
 impl SimulatedDirectory {
--- a/consensus/src/testing/storage/simulated_disk.rs
+++ b/consensus/src/testing/storage/simulated_disk.rs
@@ -18,7 +18,7 @@
     Truncate(usize),
 }
 
-/// Each tells the file that it is about: it does nothing to another file of that name.
+/// A change of the names, with the file that it concerns: it does nothing to another file of that name.
 #[derive(Clone)]
 pub enum NameChange {
     Create(String, usize),
@@ -48,10 +48,11 @@
     /// Bytes written over the same bytes do not reach the disk.
     pub rewrites_ignored: bool,
     pub truncations_ignored: bool,
-    /// Names last only by a sync of the directory, not by a sync of the new file.
+    /// Names become durable only by a sync of the directory, not by a sync of the new file.
     pub strict_names: bool,
 }
 
+/// A disk with the names and files on it, in memory and stored.
 pub struct Disk {
     pub inodes: Vec<Inode>,
     pub names: BTreeMap<String, usize>,
@@ -62,6 +63,7 @@
     pub crashed: bool,
 }
 
+/// A disk as the test and the store share it.
 pub type SharedDisk = Arc<Mutex<Disk>>;
 
 fn apply_write(content: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
@@ -109,6 +111,7 @@
 }
 
 impl Disk {
+    /// Creates an empty disk without faults.
     pub fn new(seed: u64) -> SharedDisk {
         let rng = Rng::new(clock::combine_hashes(seed, 77));
         Arc::new(Mutex::new(Disk {
@@ -127,7 +130,7 @@
         self.names.values().map(|inode| self.inodes[*inode].cached.len()).sum()
     }
 
-    /// Memory is lost with the power, and the next process finds what the disk holds.
+    /// Loses what is in memory only; the next process finds what the disk holds.
     pub fn lose_power(&mut self) {
         // At some losses all that was not synced is gone, at some all is there.
         let kept_of_ten = [0, 2, 5, 8, 10][self.rng.below(5) as usize];
@@ -155,7 +158,7 @@
         (self.crashed, self.faults.crash_in) = (false, None);
     }
 
-    /// An error where the process is gone, ends here, or the disk refuses.
+    /// Returns an error where the process has ended, ends here, or the disk fails.
     pub fn operate(&mut self) -> Result<()> {
         if self.crashed {
             return Err(Error::other(LOST_PROCESS));
@@ -173,6 +176,7 @@
         Ok(())
     }
 
+    /// Changes the names in memory.
     pub fn change_name(&mut self, change: NameChange) {
         apply_name(&mut self.names, &change);
         self.pending_names.push(change);
@@ -182,6 +186,7 @@
         self.names.iter().find(|(_, number)| **number == inode).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
+    /// Writes to a file in memory, in part where that fails.
     pub fn write(&mut self, inode: usize, offset: usize, bytes: &[u8]) -> Result<()> {
         let outcome = self.operate();
         let cached = &self.inodes[inode].cached;
@@ -208,6 +213,7 @@
         }
     }
 
+    /// Stores what was written to a file; a failed sync drops part of it.
     pub fn sync_file(&mut self, inode: usize) -> Result<()> {
         let outcome = self.operate();
         let name = self.name_of(inode);
@@ -221,7 +227,7 @@
         for change in mem::take(&mut inode_state.pending) {
             match (&outcome, &change) {
                 (Ok(()), _) => inode_state.store(&change),
-                // The length of a file stands in the journal of the file system, which is tried again.
+                // The length of a file is in the journal of the file system, which is written again.
                 (Err(_), FileChange::Truncate(_)) => inode_state.pending.push(change),
                 (Err(_), FileChange::Write(..)) => inode_state.store_in_part(&change, &mut self.rng, 5),
             }
@@ -237,7 +243,7 @@
         outcome
     }
 
-    /// All names last from now on.
+    /// Stores all names.
     pub fn sync_names(&mut self) -> Result<()> {
         self.operate()?;
         if self.faults.directory_sync_ignored {
--- a/consensus/src/testing/unit/confirmation_tests.rs
+++ b/consensus/src/testing/unit/confirmation_tests.rs
@@ -62,5 +62,5 @@
     let from = |name: &str, entry: Entry| (name.to_string(), entry);
     let moved = [from("m0", entry(2, 9)), from("m1", entry(2, 8)), from("m2", entry(2, 8))];
     assert_eq!(newest_committed(&membership(3), &moved), Some(entry(2, 8)));
-    assert_eq!(newest_committed(&membership(3), &moved[..2]), None, "each on one voter only");
+    assert_eq!(newest_committed(&membership(3), &moved[..2]), None, "each on one acceptor only");
 }
--- a/consensus/src/testing/unit/store_tests.rs
+++ b/consensus/src/testing/unit/store_tests.rs
@@ -69,7 +69,7 @@
 
 #[test]
 fn corruption_before_what_was_synced_is_rejected_with_file_and_offset() {
-    let dir = directory("flaw");
+    let dir = directory("corruption");
     let (mut store, _) = open(&dir).expect("opens");
     store.append(&[record(1, b"a")]).expect("written");
     store.append(&[record(2, b"b")]).expect("written");
