--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -1,75 +1,24 @@
-//! Which engines hold which prompt memory. Keys are hashes chained over the parts of a prompt in
-//! their order, so that a key stands for a whole prefix.
-
-use kernel::clock;
-
-pub mod gauge;
-pub mod prefix_index;
-pub mod record;
-
-/// A part of a prompt: its id and its tokens.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    pub id: u64,
-    pub tokens: u32,
-}
-
-/// Reads `Prompt-Prefix`; None when it is not as published.
-pub fn parts(text: &str) -> Option<Vec<Part>> {
-    let mut list = Vec::new();
-    for piece in text.split(',') {
-        let (id, tokens) = piece.trim().split_once(':')?;
-        let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| clock::hash(id.as_bytes()));
-        list.push(Part { id, tokens: tokens.parse().ok()? });
-    }
-    Some(list)
-}
-
-/// The keys of all prefixes, shortest first. `seed` tells models and services apart.
-pub fn keys(seed: u64, parts: &[Part]) -> Vec<u64> {
-    let mut key = seed;
-    let mut list = Vec::with_capacity(parts.len());
-    for part in parts {
-        key = clock::combine_hashes(key, clock::combine_hashes(part.id, u64::from(part.tokens)));
-        list.push(key);
-    }
-    list
-}
-
-/// Tokens covered by each prefix.
-pub fn depths(parts: &[Part]) -> Vec<u32> {
-    let mut sum = 0u32;
-    let step = |part: &Part| {
-        sum = sum.saturating_add(part.tokens);
-        sum
-    };
-    parts.iter().map(step).collect()
-}
-
-/// Why a query found nothing to use.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub queries: u64,
-    pub hits: u64,
-    pub no_owner: u64,
-    pub stale_owner: u64,
-    pub transfer_error: u64,
-    pub unanswered: u64,
-    pub dropped: u64,
-}
+//! The prefix catalog: which engines hold the KV cache of which prompt prefixes.
+//!
+//! A prompt arrives as a list of segments. Each prefix of that list has a key, a hash chained over the segments in their
+//! order, so that one key stands for a whole prefix (`prompt_prefix`). One controller keeps the [`PrefixIndex`] of all
+//! routers and the [`LoadTable`] beside it; each router keeps an [`OwnerCache`] of what it learned itself, scans that
+//! first and asks the index for the missing suffix only.
+//!
+//! Nothing here is replicated or stored: after a loss the index fills again from what routers register. All functions are
+//! pure; times are milliseconds of the caller's clock.
+#![deny(missing_docs)]
+
+mod load_table;
+mod owner_cache;
+mod owner_map;
+mod prefix_index;
+mod prompt_prefix;
+
+pub use load_table::LoadTable;
+pub use owner_cache::{LookupCounts, OwnerCache};
+pub use prefix_index::PrefixIndex;
+pub use prompt_prefix::{parse_prompt_prefix, prefix_keys, prefix_token_counts, PromptSegment};
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn a_key_stands_for_all_parts_before_it() {
-        let parts = super::parts("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("parts");
-        assert_eq!(super::depths(&parts), [800, 1210, 1460]);
-        let keys = super::keys(1, &parts);
-        assert_eq!(super::keys(1, &parts[..2]), keys[..2]);
-        let turned = [parts[1], parts[0], parts[2]];
-        assert_ne!(super::keys(1, &turned)[2], keys[2]);
-        assert_ne!(super::keys(2, &parts)[0], keys[0]);
-        assert!(super::parts("5c1e07a2").is_none());
-        assert!(super::parts("").is_none());
-    }
-}
+mod sent_by_5_tests;
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -21,7 +21,7 @@
 #[cfg(test)]
 mod testing;
 
-use kernel::clock;
+use kernel::hashing;
 
 pub use acceptor::{Acceptor, LogRecord};
 pub use confirmation::{newest_committed, Confirmation, StaleKey};
@@ -46,5 +46,5 @@
 /// It mixes the address, which differs between live controllers, with the incarnation, so that two incarnations of
 /// one controller never act under the same proposal number.
 pub fn replica_id(ip: &str, incarnation: u64) -> u64 {
-    clock::combine_hashes(clock::hash(ip.as_bytes()), incarnation)
+    hashing::combine(hashing::hash(ip.as_bytes()), incarnation)
 }
--- a/consensus/src/testing/mod.rs
+++ b/consensus/src/testing/mod.rs
@@ -3,3 +3,6 @@
 mod model;
 mod simulation;
 mod storage;
+
+#[path = "unit/stored_by_5_tests.rs"]
+mod stored_by_5_tests;
--- a/consensus/src/testing/simulation/membership_tests.rs
+++ b/consensus/src/testing/simulation/membership_tests.rs
@@ -1,6 +1,6 @@
 //! Members replaced while the register is at work: the simulated world must not lose what was acknowledged.
 
-use kernel::clock::Rng;
+use kernel::Rng;
 use protocol::message::CoreMembership;
 
 use super::tests::nothing_lost;
--- a/consensus/src/testing/storage/workload.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -4,7 +4,7 @@
 
 use std::fmt;
 
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 use protocol::message::{CoreMembership, Entry, ProposalNumber, RegisterState};
 
 use super::simulated_directory::SimulatedDirectory;
@@ -78,7 +78,7 @@
         let disk = Disk::new(seed);
         disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
         let acknowledged = Acceptor::new("10.0.0.1");
-        Run { disk, rng: Rng::new(clock::combine_hashes(seed, 3)), acknowledged, in_flight: Vec::new(), term: 0 }
+        Run { disk, rng: Rng::new(hashing::combine(seed, 3)), acknowledged, in_flight: Vec::new(), term: 0 }
     }
 
     /// Changes the faults of the disk.
--- a/consensus/src/testing/storage/workload_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -1,6 +1,6 @@
 //! Random runs of the store, and runs with defects that the workload must find.
 
-use kernel::clock::{self, Rng};
+use kernel::{hashing, Rng};
 
 use super::simulated_disk::Faults;
 use super::workload::{Run, RunError};
@@ -27,7 +27,7 @@
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
         for ahead in 0.. {
-            let mut run = Run::new(clock::combine_hashes(seed, ahead), Faults::default());
+            let mut run = Run::new(hashing::combine(seed, ahead), Faults::default());
             run.rng = Rng::new(seed + 1);
             run.faults(|faults| faults.crash_in = Some(ahead));
             let completed =
--- a/controller/src/control.rs
+++ b/controller/src/api/routes.rs
@@ -9,24 +9,24 @@
 use poem::http::{HeaderValue, StatusCode};
 use poem::listener::TcpAcceptor;
 use poem::{Endpoint, Request, Response, Route, Server};
-use protocol::config::LONGEST_TEXT;
+use protocol::config::MAX_TEXT_BYTES;
 use protocol::operator_request::{ConfigChange, OperatorRequest, OperatorResponse};
-use protocol::socket::{self, SILENCE_MS};
+use protocol::socket::{self, IO_TIMEOUT_MS};
 use socket2::SockRef;
 use tokio::time;
 
-use crate::batches::{Batches, One, Results};
-use crate::config_body::Held;
+use crate::api::operator_requests;
+use crate::api::staleness_limits::{Latest, LimitResource, Rollouts};
+use crate::api::version_rollouts::Rollout;
+use crate::batches::records::{Batches, One, Results};
+use crate::config::body::Held;
 use crate::controller::Controller;
 use crate::event::{REFUSED, UNCLEAR};
 use crate::metrics::{OrderOutcome, OrderTimer};
-use crate::orders;
-use crate::quota::fleet_usage;
-use crate::rollout_calls::{Latest, LimitResource, Rollouts};
+use crate::quota_shards::fleet_usage;
 use crate::shutdown::Shutdown;
-use crate::version_calls::Rollout;
 
-pub use crate::orders::wait_ms;
+pub use crate::api::operator_requests::wait_ms;
 
 pub enum Receipt {
     Good,
@@ -95,11 +95,11 @@
 
 async fn submit(controller: &Arc<Controller>, path: String, order: OperatorRequest) -> Receipt {
     let timer = OrderTimer::start(&controller.metrics, &order);
-    if let Some(address) = orders::better_place(controller, &order) {
+    if let Some(address) = operator_requests::better_place(controller, &order) {
         timer.finish(OrderOutcome::Redirected);
         return Receipt::Elsewhere(address, path);
     }
-    let result = orders::submit(controller, order).await;
+    let result = operator_requests::submit(controller, order).await;
     timer.finish((&result).into());
     match result {
         OperatorResponse::Found { body } => found(&body),
@@ -142,7 +142,7 @@
     type Output = Response;
 
     async fn call(&self, _: Request) -> poem::Result<Response> {
-        let list: Vec<String> = log::since(0).into_iter().map(|(_, line)| line).collect();
+        let list: Vec<String> = log::events_since(0).into_iter().map(|line| line.event).collect();
         Ok(write(Receipt::Text(serde_json::json!({ "events": list }).to_string().into_bytes())))
     }
 }
@@ -178,7 +178,7 @@
             _ => return Ok(write(Receipt::Bad(405, "method: GET, PUT or PATCH".into()))),
         };
         let base = req.header("if-match").and_then(|value| value.trim().trim_matches('"').parse().ok());
-        let body = match req.take_body().into_bytes_limit(LONGEST_TEXT).await {
+        let body = match req.take_body().into_bytes_limit(MAX_TEXT_BYTES).await {
             Ok(body) => body,
             Err(ReadBodyError::PayloadTooLarge) => {
                 return Ok(write(Receipt::Bad(413, "body: too large".into())));
@@ -244,12 +244,12 @@
         return;
     };
     let sock = SockRef::from(&listener);
-    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(SILENCE_MS)));
+    let _ = sock.set_tcp_user_timeout(Some(Duration::from_millis(IO_TIMEOUT_MS)));
     let Ok(acceptor) = TcpAcceptor::from_tokio(listener) else { return };
     let server = Server::new_with_acceptor(acceptor).idle_timeout(IDLE_TIMEOUT);
     let _ = server.run_with_graceful_shutdown(app, shutdown.closing(), None).await;
 }
 
 #[cfg(test)]
-#[path = "control_tests.rs"]
+#[path = "routes_tests.rs"]
 mod tests;
--- a/controller/src/version_calls.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -6,9 +6,9 @@
 use protocol::version_rollout::{RolloutState, VersionRollout};
 use serde_json::Value;
 
-use crate::control::{self, Receipt};
+use crate::api::routes::{self, Receipt};
 use crate::controller::Controller;
-use crate::register::Decision;
+use crate::replication::registers::Decision;
 
 /// The longest that a rollout may take.
 const LONGEST_S: f64 = 7.0 * 86_400.0;
@@ -80,10 +80,10 @@
 
 /// Starts a rollout.
 pub async fn start(controller: &Arc<Controller>, text: &str) -> Receipt {
-    if controller.orders_may_be_stale() {
+    if controller.peers.requests_may_be_stale() {
         return Receipt::Unclear;
     }
-    let config = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+    let config = controller.committed.current_config();
     let Some(config) = config else { return Receipt::Unclear };
     let knows = |name: &str| config.config().service_table.iter().any(|service| service.name == name);
     let order = match RolloutRequest::read(text, knows) {
@@ -91,18 +91,18 @@
         Err((status, words)) => return Receipt::Bad(status, words),
     };
     let judge = |body: &[u8]| {
-        let held = VersionRollout::read_bytes(body);
+        let held = VersionRollout::from_bytes(body);
         if held.is_none() && !body.is_empty() {
             return Decision::Answer(Receipt::Unclear);
         }
         match order.on(held.as_ref()) {
             Ok(None) => Decision::Answer(Receipt::Good),
-            Ok(Some(next)) => Decision::Write(next.write_bytes(), Receipt::Good),
+            Ok(Some(next)) => Decision::Write(next.to_bytes(), Receipt::Good),
             Err((status, words)) => Decision::Answer(Receipt::Bad(status, words)),
         }
     };
     let key = VersionRollout::key(&order.service);
-    controller.change(&key, control::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
+    controller.change(&key, routes::wait_ms(controller), judge).await.unwrap_or(Receipt::Unclear)
 }
 
 /// Where the newest rollout of a service stands.
@@ -110,9 +110,9 @@
 
 impl Rollout {
     async fn read(&self, service: &str) -> Receipt {
-        let judge = |body: &[u8]| Decision::Answer((VersionRollout::read_bytes(body), body.is_empty()));
+        let judge = |body: &[u8]| Decision::Answer((VersionRollout::from_bytes(body), body.is_empty()));
         let key = VersionRollout::key(service);
-        match self.0.change(&key, control::wait_ms(&self.0), judge).await {
+        match self.0.change(&key, routes::wait_ms(&self.0), judge).await {
             Some((Some(rollout), _)) => Receipt::Text(shown(&rollout).to_string().into_bytes()),
             Some((None, true)) => Receipt::Bad(404, format!("service `{service}`: no rollout")),
             _ => Receipt::Unclear,
@@ -135,10 +135,10 @@
             "GET" => self.read(&service).await,
             _ => Receipt::Bad(405, "method: GET".into()),
         };
-        Ok(control::write(receipt))
+        Ok(routes::write(receipt))
     }
 }
 
 #[cfg(test)]
-#[path = "version_calls_tests.rs"]
+#[path = "version_rollouts_tests.rs"]
 mod tests;
--- a/controller/src/config_orders.rs
+++ b/controller/src/config/execution.rs
@@ -4,15 +4,16 @@
 use std::sync::Arc;
 
 use consensus::Decision;
-use protocol::config::Checked;
+use protocol::config::ConfigDocument;
 use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_ORDERS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
-use crate::config_body::{body_digest, BodyForm, Held};
-use crate::config_change::{self, Outcome, Proposed};
+use crate::api::operator_requests;
+use crate::config::body::{body_digest, BodyForm, Held};
+use crate::config::change::{self, Outcome, Proposed};
 use crate::controller::Controller;
-use crate::state::CONFIG;
-use crate::{event, orders};
+use crate::event;
+use crate::replication::committed_state::CONFIG;
 
 /// What a change was judged to be on top of one committed body.
 enum Judgement {
@@ -28,16 +29,16 @@
     before: u64,
     form_before: BodyForm,
     form: BodyForm,
-    checked: Arc<Checked>,
+    checked: Arc<ConfigDocument>,
 }
 
 /// Carries out an operator's change.
 pub async fn change(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_form();
-    let known = controller.committed_state.lock().expect("committed_state").history.current().cloned();
+    let known = controller.committed.current_config();
     let proposed = Proposed::read(change);
     let judge = |body: &[u8]| judge(&proposed, body, known.as_deref(), read_by_all);
-    let outcome = controller.change_untold(CONFIG, orders::wait_ms(controller), judge).await;
+    let outcome = controller.change_untold(CONFIG, operator_requests::wait_ms(controller), judge).await;
     let Some((judgement, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
     match judgement {
         Judgement::Step(step) => {
@@ -61,7 +62,12 @@
     kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
 }
 
-fn judge(proposed: &Proposed, body: &[u8], known: Option<&Checked>, read_by_all: BodyForm) -> Decision<Judgement> {
+fn judge(
+    proposed: &Proposed,
+    body: &[u8],
+    known: Option<&ConfigDocument>,
+    read_by_all: BodyForm,
+) -> Decision<Judgement> {
     let Some(held) = Held::open(body) else {
         return Decision::Answer(Judgement::Answer(OperatorResponse::OutcomeUnknown));
     };
@@ -116,10 +122,9 @@
     let whole = Message::Committed(Box::new((advance.key.clone(), entry.clone())));
     let short = Message::CommittedDelta(Box::new(advance));
     for peer in controller.known() {
-        let reads =
-            controller.roster.lock().expect("roster").controllers.get(&peer).map_or(0, |peer| peer.protocol_version);
+        let reads = controller.peers.protocol_version(&peer);
         let is_short = reads >= RELAYED_ORDERS && can_make(reads);
-        controller.peer(&peer).notify(if is_short { short.clone() } else { whole.clone() });
+        controller.peers.client(&peer).notify(if is_short { short.clone() } else { whole.clone() });
     }
 }
 
@@ -145,10 +150,7 @@
 /// Makes a change that another controller committed. What does not fit is left to the next confirmation, which
 /// fetches the whole.
 pub fn advance(controller: &Controller, advance: &CommittedDelta) {
-    let (held, known) = {
-        let committed_state = controller.committed_state.lock().expect("committed_state");
-        (committed_state.entries.get(&advance.key).cloned(), committed_state.history.current().cloned())
-    };
+    let (held, known) = controller.committed.entry_and_config(&advance.key);
     let position = Position { proposal_number: advance.proposal_number, index: advance.index };
     let Some(held) = held.filter(|held| held.position() < position) else { return };
     let entry = |body| Entry { proposal_number: advance.proposal_number, index: advance.index, body };
@@ -163,9 +165,9 @@
 /// `known`: the configuration in the body before, where that was read already.
 fn next_body(
     body: &[u8],
-    known: Option<&Checked>,
+    known: Option<&ConfigDocument>,
     advance: &CommittedDelta,
-) -> Option<(Vec<u8>, Option<Arc<Checked>>)> {
+) -> Option<(Vec<u8>, Option<Arc<ConfigDocument>>)> {
     if body_digest(body) != advance.before {
         return None;
     }
@@ -175,15 +177,15 @@
         _ if advance.pack => BodyForm::Packed,
         _ => BodyForm::Plain,
     };
-    let next = config_change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
+    let next = change::repeat(change, advance.revision, &Held::open(body)?, known, form)?;
     let body = next.held.seal(form);
     (body_digest(&body) == advance.after).then_some((body, Some(next.checked)))
 }
 
 #[cfg(test)]
-#[path = "config_orders_tests.rs"]
+#[path = "execution_tests.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "config_timing_tests.rs"]
+#[path = "timing_tests.rs"]
 mod timing_tests;
--- a/controller/src/config_timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -1,19 +1,18 @@
 //! What a change of the configuration costs. Run by hand, in release:
-//! `cargo test --release -p controller --lib config_timing -- --ignored --nocapture`.
+//! `cargo test --release -p controller --lib timing -- --ignored --nocapture`.
 
 use std::time::Instant;
 
 use consensus::Decision;
-use protocol::change::Change;
 use protocol::config;
+use protocol::config_update::ConfigUpdate;
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::ConfigChange;
 
 use super::{advance_of, judge, next_body, Judgement};
-use crate::config_body::{BodyForm, Held};
-use crate::config_change::Proposed;
-use crate::controller::CommittedState;
-use crate::state::CONFIG;
+use crate::config::body::{BodyForm, Held};
+use crate::config::change::Proposed;
+use crate::replication::committed_state::{CommittedState, CONFIG};
 
 const ROUNDS: usize = 40;
 /// How many changes a body remembers here.
@@ -84,7 +83,7 @@
             print_median(&format!("{label}, at a controller that is told of it"), || {
                 let (_, checked) = next_body(&body, Some(old), &advance).expect("made");
                 let checked = checked.expect("changed");
-                drop(Change::between(old.config(), checked.config()).write());
+                drop(ConfigUpdate::between(old.config(), checked.config()).encode());
             });
         }
     }
--- a/controller/src/listing.rs
+++ b/controller/src/discovery/listing.rs
@@ -1,9 +1,9 @@
 //! The platform's list of engines as it comes: pages, put together to one reading of a zone.
 
-use load_balancing::sheet::Known;
-use protocol::message::Engine;
+use load_balancing::ObservedVersion;
+use protocol::message::{Engine, EngineWeights};
 
-use crate::version_lists::ListedEngine;
+use crate::discovery::version_lists::ListedEngine;
 
 #[derive(serde::Deserialize)]
 struct Model {
@@ -42,8 +42,8 @@
     pub next_token: Option<String>,
 }
 
-/// Engine, model, version.
-pub type Weights = Vec<(String, String, u64)>;
+/// The version of each model on each engine.
+pub type Weights = Vec<EngineWeights>;
 
 /// One whole reading of a zone's list.
 pub struct Listing {
@@ -51,12 +51,12 @@
     pub weights: Weights,
     pub pages: usize,
     /// What was known of this list before the first page was asked for.
-    pub known: Known,
+    pub known: ObservedVersion,
 }
 
 impl Listing {
     /// Nothing read yet.
-    pub fn new(known: Known) -> Listing {
+    pub fn new(known: ObservedVersion) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
@@ -64,7 +64,11 @@
     pub fn add(&mut self, page: Page, versions: bool) {
         for item in page.instance_list.iter().filter(|_| versions) {
             let models = item.model_list.iter();
-            self.weights.extend(models.map(|model| (item.instance_id.clone(), model.name.clone(), model.revision)));
+            self.weights.extend(models.map(|model| EngineWeights {
+                engine: item.instance_id.clone(),
+                model: model.name.clone(),
+                version: model.revision,
+            }));
         }
         self.engines.extend(page.instance_list.into_iter().map(engine));
         self.pages += 1;
--- a/controller/src/platform.rs
+++ b/controller/src/discovery/poller.rs
@@ -5,18 +5,20 @@
 
 use kernel::clock;
 use kernel::settings::Settings;
-use load_balancing::sheet::{self, Sheets};
+use load_balancing::{is_term_of, EndpointLists};
 use membership::PeerReport;
-use protocol::message::{self, EndpointList, Engine, Gossip, Message};
+use protocol::message::{EndpointList, Engine, Gossip, HiddenKey, Message, VersionEntry};
 use protocol::version_rollout;
 use reqwest::{Client, StatusCode};
 use tokio::time;
 
 use crate::controller::Controller;
+use crate::delivery::limit_confirmations;
+use crate::discovery::listing::{Listing, Page};
+use crate::discovery::version_lists;
 use crate::event::LIST;
-use crate::listing::{Listing, Page};
 use crate::metrics::{PollLabels, PollOutcome};
-use crate::{duty, outbound, rules, version_lists};
+use crate::{http_client, roles};
 
 /// Why a poll gave no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,20 +53,17 @@
 const REFUSED: u32 = 4;
 const PAGES: usize = 1000;
 
-/// Told beside the versions of lists by a controller that does not reach the platform.
-const UNREACHABLE: &str = "platform unreachable";
-
 /// What is told to peers about the own access to the platform.
-pub fn told(controller: &Controller, now: u64) -> Option<(String, u64, u64)> {
-    let unreachable = controller.roster.lock().expect("roster").access.unreachable(now);
-    unreachable.then(|| (message::hidden_key(UNREACHABLE), 1, 0))
+pub fn told(controller: &Controller, now: u64) -> Option<VersionEntry> {
+    let unreachable = controller.peers.read(|view| view.platform_access.is_unreachable(now));
+    unreachable.then(|| VersionEntry::new(HiddenKey::PlatformUnreachable, 1, 0))
 }
 
 /// What a peer told of others.
 pub fn report(gossip: &Gossip) -> PeerReport {
-    let name = message::hidden_key(UNREACHABLE);
-    let platform_unreachable = gossip.list_versions.iter().any(|told| told.0 == name);
-    let (sure, vouches) = duty::heard(&gossip.list_versions);
+    let key = Some(HiddenKey::PlatformUnreachable);
+    let platform_unreachable = gossip.list_versions.iter().any(|entry| HiddenKey::parse(&entry.name) == key);
+    let (sure, vouches) = roles::heard(&gossip.list_versions);
     PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
 }
 
@@ -83,7 +82,7 @@
 }
 
 pub fn start(controller: &Arc<Controller>) {
-    let client = outbound::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
+    let client = http_client::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_MS)).build();
     let Ok(client) = client else { return };
     for zone in controller.settings.zones.keys() {
         tokio::spawn(run(controller.clone(), client.clone(), zone.clone()));
@@ -98,13 +97,13 @@
         time::sleep(Duration::from_millis(wait)).await;
         wait = pause(&controller.settings, pages);
         let now = clock::now();
-        let poller = controller.roster.lock().expect("roster").poller(&zone, now);
+        let poller = controller.peers.read(|view| view.poller(&zone, now));
         if poller != controller.me() || now < FIRST_MS {
             wait = wait.min(FIRST_MS);
             continue;
         }
         // Without rules versions are neither read nor sent.
-        let ruled = !controller.committed_state.lock().expect("committed_state").rules.is_empty();
+        let ruled = controller.committed.has_staleness_limits();
         let outcome = poll(&controller, &client, &zone, ruled).await;
         note_access(&controller, outcome.as_ref().err().copied());
         let result = outcome.as_ref().map_or_else(|error| (*error).into(), |_| PollOutcome::Read);
@@ -123,28 +122,27 @@
 /// Keeps count of polls without an answer: a poller that is cut off from the platform lets another
 /// controller take its place.
 fn note_access(controller: &Controller, error: Option<PollError>) {
-    let mut roster = controller.roster.lock().expect("roster");
-    match error {
-        None | Some(PollError::Refused) => roster.access.succeeded(),
-        Some(PollError::Unreachable) => roster.access.failed(clock::now()),
+    controller.peers.update(|view| match error {
+        None | Some(PollError::Refused) => view.platform_access.record_success(),
+        Some(PollError::Unreachable) => view.platform_access.record_failure(clock::now()),
         Some(PollError::Stalled) => {}
-    }
+    });
 }
 
 /// Sends out what a poll read, unless a list that another poller made became known meanwhile.
 /// `versions`: whether weight versions are wanted, and whether to send them even if unchanged.
 fn take(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
     let parted = version_lists::part(controller, listing.engines);
-    let (sheet, candidates) = {
-        let mut sheets = controller.sheets.lock().expect("sheets");
-        if sheets.known(zone) != listing.known {
-            return;
+    let made = controller.engines.update(|sheets| {
+        if sheets.observed_version(zone) != listing.known {
+            return None;
         }
-        let sheet = sheets.poll(zone, turn, controller.seat, parted.stable, listing.known);
-        (sheet, candidate_sheet(controller, &mut sheets, zone, parted.candidates))
-    };
+        let sheet = sheets.publish(zone, turn, controller.seat, parted.stable, listing.known);
+        Some((sheet, candidate_sheet(controller, sheets, zone, parted.candidates)))
+    });
+    let Some((sheet, candidates)) = made else { return };
     if let Some(again) = versions {
-        rules::seen(controller, zone, listing.weights, again);
+        limit_confirmations::seen(controller, zone, listing.weights, again);
     }
     // First those of the version in place: an engine that is both for a moment is no more left out.
     for sheet in sheet.into_iter().chain(candidates) {
@@ -155,26 +153,26 @@
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
 fn candidate_sheet(
     controller: &Controller,
-    sheets: &mut Sheets,
+    sheets: &mut EndpointLists,
     zone: &str,
     list: Vec<Engine>,
 ) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
-    let held = sheets.all().find(|sheet| sheet.zone == name);
+    let held = sheets.iter().find(|sheet| sheet.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.engines.is_empty()) {
         return None;
     }
     let mut turn = held.map_or(0, |held| held.term);
-    let known = sheets.known(&name);
-    if turn != 0 && !sheet::is_turn_of(turn, controller.seat) {
+    let known = sheets.observed_version(&name);
+    if turn != 0 && !is_term_of(turn, controller.seat) {
         turn = 0;
     }
-    sheets.poll(&name, &mut turn, controller.seat, list, known)
+    sheets.publish(&name, &mut turn, controller.seat, list, known)
 }
 
 async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
-    let _permit = controller.polls.acquire().await.map_err(|_| PollError::Refused)?;
-    let known = controller.sheets.lock().expect("sheets").known(zone);
+    let _permit = controller.engines.poll_permit().await.ok_or(PollError::Refused)?;
+    let known = controller.engines.known_list(zone);
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
     let mut refused = 0;
@@ -235,21 +233,11 @@
     kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.term, "count" => sheet.sequence,
         "up" => sheet.engines.iter().filter(|engine| engine.up).count(), "all" => sheet.engines.len(),
         "prefill" => sheet.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
-    prune(controller, &sheet);
-    for ip in controller.known() {
-        controller.peer(&ip).notify(Message::EndpointList(Box::new(sheet.clone())));
-    }
+    controller.catalog.remove_draining(&sheet);
+    controller.notify_peers(&Message::EndpointList(Box::new(sheet)));
     controller.push();
 }
 
-/// Draining engines leave the catalog's answers at once.
-pub fn prune(controller: &Controller, sheet: &EndpointList) {
-    let mut catalog = controller.catalog.lock().expect("catalog");
-    for engine in sheet.engines.iter().filter(|engine| !engine.up) {
-        catalog.prefix_index.drop_engine(&engine.id);
-    }
-}
-
 #[cfg(test)]
-#[path = "platform_tests.rs"]
+#[path = "poller_tests.rs"]
 mod tests;
--- a/controller/src/state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -1,20 +1,20 @@
 //! What is learned of committed entries: a configuration and its history are one value, and what cannot be read is not
 //! known.
 
+use kernel::hashing;
 use std::sync::Arc;
 
 use consensus::{Confirmation, MEMBERSHIP_KEY};
-use kernel::clock::{self, Rng};
-use protocol::change::Change;
-use protocol::frame::{self, HEAD};
+use kernel::Rng;
+use protocol::config_update::ConfigUpdate;
+use protocol::frame::{self, HEADER_BYTES};
 use protocol::message::{
-    CoreMembership, Entry, KeyPosition, Member, Message, ProposalNumber, PROTOCOL_VERSION, ROLLOUT,
+    CoreMembership, Entry, KeyPosition, Member, Message, ProposalNumber, PROTOCOL_VERSION, STALENESS_LIMIT_PREFIX,
 };
 
-use super::{read_config, Closed, Learned, Unreadable, CLOSED, CONFIG, DUTY};
-use crate::config_body::{BodyForm, Held};
-use crate::config_history::NotNewer;
-use crate::controller::CommittedState;
+use super::{read_config, Closed, CommittedState, Learned, Unreadable, CLOSED, CONFIG, DUTY};
+use crate::config::body::{BodyForm, Held};
+use crate::config::history::NotNewer;
 
 fn text(revision: u64, timeout: u64) -> String {
     serde_json::json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": [{"name": "r",
@@ -50,10 +50,10 @@
     let mut has = 0;
     let mut last = 0;
     assert!(state.history.send_missing(PROTOCOL_VERSION, &mut has, |frame| {
-        let Ok(Message::TenantConfigUpdate(packed)) = frame::open(&frame[HEAD..]) else {
+        let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
             return false;
         };
-        last = Change::read(&packed).expect("a change").to;
+        last = ConfigUpdate::decode(&packed).expect("a change").to;
         true
     }));
     assert_eq!((has, last), (revision, revision), "routers get what the entry holds");
@@ -140,9 +140,9 @@
 fn other_keys_are_not_taken_for_empty_either() {
     let mut state = CommittedState::default();
     let zone = format!("{CLOSED}z");
-    let closed = Closed { version: 4, on: true }.write_bytes();
+    let closed = Closed { version: 4, on: true }.to_bytes();
     state.learn(&zone, &entry(1, 0, closed), None);
-    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", ROLLOUT), MEMBERSHIP_KEY] {
+    for key in [zone.as_str(), &format!("{DUTY}x"), &format!("{}s/m", STALENESS_LIMIT_PREFIX), MEMBERSHIP_KEY] {
         let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(place(&state, key), Some((2, 0)));
@@ -155,7 +155,7 @@
 #[test]
 fn entries_in_any_order_never_lead_back() {
     for seed in 0..200 {
-        let mut dice = Rng::new(clock::combine_hashes(seed, 9));
+        let mut dice = Rng::new(hashing::combine(seed, 9));
         // Two histories never exist under one key; late and repeated entries of one do.
         let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
         let mut state = CommittedState::default();
--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -1,13 +1,16 @@
-//! The operator's configuration: read once into a typed and checked value, which is what is stored and delivered.
+//! The operator's configuration: parsed once into a typed and checked value, which is what is stored and delivered.
 //!
-//! `json` parses strictly, `decode` and `values` bring JSON into the types of `model`, `check` holds the value against
-//! the rules for configurations, `patch` reads a change of named items and `apply` makes it. `Checked` keeps the text and
-//! the value together.
+//! `json` parses strictly, `decode` and `values` turn JSON into the types of `model`, and `check` applies the rules for
+//! configurations. `patch` parses a change of named items and `apply` applies it to text and value. `ConfigDocument`
+//! keeps the two together.
+
 mod apply;
+mod bounds;
 mod check;
-mod checked;
 mod decode;
+mod document;
 mod error;
+mod field_names;
 mod host;
 mod json;
 mod merge;
@@ -15,29 +18,27 @@
 mod patch;
 mod values;
 
-pub use checked::Checked;
+pub use bounds::MAX_TEXT_BYTES;
+pub use document::ConfigDocument;
 pub use error::{ConfigError, ConfigErrorKind, Item, Syntax};
 pub use host::without_port;
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
-pub use patch::Patch;
-
-/// The longest text of a whole configuration: what is longer could not be stored and delivered.
-pub const LONGEST_TEXT: usize = 8 * 1024 * 1024;
+pub use patch::ConfigPatch;
 
-/// Reads a whole configuration as an operator sends it.
+/// Parses and checks a whole configuration as an operator sends it.
+///
+/// # Errors
+///
+/// As [`ConfigDocument::parse`].
 pub fn read(text: &str) -> Result<Config, ConfigError> {
-    Checked::read(text).map(Checked::into_config)
+    ConfigDocument::parse(text).map(ConfigDocument::into_config)
 }
 
 #[cfg(test)]
-mod config_tests;
+mod document_tests;
 #[cfg(test)]
 mod json_tests;
 #[cfg(test)]
 mod patch_tests;
 #[cfg(test)]
 mod property_tests;
-#[cfg(test)]
-mod samples;
-#[cfg(test)]
-mod spoils;
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -1,96 +1,146 @@
-//! Frames: a fixed head, then one validated message. What is malformed or too new is an error that
-//! costs its sender the connection and nothing else.
+//! Frames: a header of fixed length, then one validated message. What is malformed or too new is an error that costs its
+//! sender the connection and nothing else.
+//!
+//! A header holds, in little-endian order: the magic number (4 bytes), the version of the framing (2), the kind (2), the
+//! id (8) and the length of the body (4).
+
+use std::{error, fmt};
 
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
 use crate::message::Message;
 
-pub const OLDEST: u16 = 1;
-pub const NEWEST: u16 = 1;
-/// Invariant: no frame's body is longer; the reader checks before it makes room.
-pub const MOST: usize = 12 * 1024 * 1024;
-pub const HEAD: usize = 20;
-const MARK: u32 = 0x7464_7031;
+/// The oldest version of the framing that is read.
+pub const OLDEST_VERSION: u16 = 1;
+/// The version of the framing that is written, and the newest that is read.
+pub const NEWEST_VERSION: u16 = 1;
+/// The longest body in bytes. A reader checks it before it allocates memory.
+pub const MAX_BODY_BYTES: usize = 12 * 1024 * 1024;
+/// The length of a header in bytes.
+pub const HEADER_BYTES: usize = 20;
+/// How every frame begins.
+const MAGIC: u32 = 0x7464_7031;
 
+/// What stands before the body of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct Header {
+    /// The version of the framing.
     pub version: u16,
+    /// What the message is sent as.
     pub kind: Kind,
+    /// Tells requests on one connection apart; a response has the id of its request.
     pub id: u64,
+    /// The length of the body in bytes.
     pub len: usize,
 }
 
+/// What a message is sent as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    Ask,
-    Reply,
-    Cast,
+    /// Expects a response.
+    Request,
+    /// Answers the request with the same id.
+    Response,
+    /// Expects no response.
+    Notification,
 }
 
+/// Why bytes are no frame, or why a message can't be sent as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    Mark,
-    Stamp(u16),
-    Kind(u16),
-    Long(usize),
-    Body,
+    /// The header does not begin as a frame's does.
+    BadMagic,
+    /// The framing has this version, which is not read here.
+    UnsupportedVersion(u16),
+    /// The header has this number for a kind.
+    UnknownKind(u16),
+    /// The body has this many bytes, more than [`MAX_BODY_BYTES`].
+    TooLong(usize),
+    /// The body is no message.
+    InvalidBody,
 }
 
-impl std::fmt::Display for FrameError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "{self:?}")
+impl fmt::Display for FrameError {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            FrameError::BadMagic => write!(formatter, "a frame does not begin with {MAGIC:#x}"),
+            FrameError::UnsupportedVersion(version) => {
+                write!(formatter, "a frame has version {version}, expected {OLDEST_VERSION} to {NEWEST_VERSION}")
+            }
+            FrameError::UnknownKind(kind) => write!(formatter, "a frame has the unknown kind {kind}"),
+            FrameError::TooLong(bytes) => {
+                write!(formatter, "a frame has {bytes} bytes, at most {MAX_BODY_BYTES} are allowed")
+            }
+            FrameError::InvalidBody => formatter.write_str("the body of a frame is no message"),
+        }
     }
 }
 
-pub fn seal(kind: Kind, id: u64, msg: &Message) -> Result<Vec<u8>, FrameError> {
-    let body = rkyv::to_bytes::<rancor::Error>(msg).map_err(|_| FrameError::Body)?;
-    if body.len() > MOST {
-        return Err(FrameError::Long(body.len()));
+impl error::Error for FrameError {}
+
+/// Encodes a message as a frame.
+///
+/// # Errors
+///
+/// When the message is longer than [`MAX_BODY_BYTES`].
+pub fn encode(kind: Kind, id: u64, message: &Message) -> Result<Vec<u8>, FrameError> {
+    let body = rkyv::to_bytes::<rancor::Error>(message).map_err(|_| FrameError::InvalidBody)?;
+    if body.len() > MAX_BODY_BYTES {
+        return Err(FrameError::TooLong(body.len()));
     }
-    let mut out = Vec::with_capacity(HEAD + body.len());
-    let word: u16 = match kind {
-        Kind::Ask => 1,
-        Kind::Reply => 2,
-        Kind::Cast => 3,
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
+    let kind: u16 = match kind {
+        Kind::Request => 1,
+        Kind::Response => 2,
+        Kind::Notification => 3,
     };
-    out.extend_from_slice(&MARK.to_le_bytes());
-    out.extend_from_slice(&NEWEST.to_le_bytes());
-    out.extend_from_slice(&word.to_le_bytes());
-    out.extend_from_slice(&id.to_le_bytes());
-    out.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    out.extend_from_slice(&body);
-    Ok(out)
+    frame.extend_from_slice(&MAGIC.to_le_bytes());
+    frame.extend_from_slice(&NEWEST_VERSION.to_le_bytes());
+    frame.extend_from_slice(&kind.to_le_bytes());
+    frame.extend_from_slice(&id.to_le_bytes());
+    frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
+    frame.extend_from_slice(&body);
+    Ok(frame)
 }
 
-pub fn head(bytes: &[u8; HEAD]) -> Result<Head, FrameError> {
-    if bytes[..4] != MARK.to_le_bytes() {
-        return Err(FrameError::Mark);
+/// Decodes a header.
+///
+/// # Errors
+///
+/// When the bytes are no header, or one of a version, a kind or a length that is not read here.
+pub fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
+    if bytes[..4] != MAGIC.to_le_bytes() {
+        return Err(FrameError::BadMagic);
     }
     let version = u16::from_le_bytes([bytes[4], bytes[5]]);
-    if !(OLDEST..=NEWEST).contains(&version) {
-        return Err(FrameError::Stamp(version));
+    if !(OLDEST_VERSION..=NEWEST_VERSION).contains(&version) {
+        return Err(FrameError::UnsupportedVersion(version));
     }
     let kind = match u16::from_le_bytes([bytes[6], bytes[7]]) {
-        1 => Kind::Ask,
-        2 => Kind::Reply,
-        3 => Kind::Cast,
-        other => return Err(FrameError::Kind(other)),
+        1 => Kind::Request,
+        2 => Kind::Response,
+        3 => Kind::Notification,
+        other => return Err(FrameError::UnknownKind(other)),
     };
     let mut id = [0; 8];
     id.copy_from_slice(&bytes[8..16]);
     let len = u32::from_le_bytes([bytes[16], bytes[17], bytes[18], bytes[19]]) as usize;
-    if len > MOST {
-        return Err(FrameError::Long(len));
+    if len > MAX_BODY_BYTES {
+        return Err(FrameError::TooLong(len));
     }
-    Ok(Head { version, kind, id: u64::from_le_bytes(id), len })
+    Ok(Header { version, kind, id: u64::from_le_bytes(id), len })
 }
 
-/// Validates and reads a body.
-pub fn open(body: &[u8]) -> Result<Message, FrameError> {
-    let mut room = AlignedVec::<16>::with_capacity(body.len());
-    room.extend_from_slice(body);
-    rkyv::from_bytes::<Message, rancor::Error>(&room).map_err(|_| FrameError::Body)
+/// Validates and decodes a body.
+///
+/// # Errors
+///
+/// When the bytes are no message.
+pub fn decode_body(body: &[u8]) -> Result<Message, FrameError> {
+    let mut aligned = AlignedVec::<16>::with_capacity(body.len());
+    aligned.extend_from_slice(body);
+    rkyv::from_bytes::<Message, rancor::Error>(&aligned).map_err(|_| FrameError::InvalidBody)
 }
 
 #[cfg(test)]
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -4,16 +4,17 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{serve, take, Handler, PeerClient};
-use crate::frame::{self, Kind, HEAD, NEWEST};
+use super::frame_io::read_frame;
+use super::{serve, Handler, PeerClient};
+use crate::frame::{self, Kind, HEADER_BYTES, NEWEST_VERSION};
 use crate::message::Message;
 use crate::socket;
 
 async fn echo() -> String {
     let listener = socket::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
-    let handler: Handler = Arc::new(|mouth, id, msg| {
-        mouth.reply(id, &msg);
+    let handler: Handler = Arc::new(|responder, id, msg| {
+        responder.reply(id, &msg);
     });
     tokio::spawn(serve(listener, handler));
     addr
@@ -33,13 +34,13 @@
     let good = PeerClient::start(addr.clone(), None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
     assert!(good.call(msg.clone(), 5000).await.is_some());
-    let frame = frame::seal(Kind::Ask, 1, &msg).expect("sealed");
+    let frame = frame::encode(Kind::Request, 1, &msg).expect("sealed");
     let mut newer = frame.clone();
-    newer[4..6].copy_from_slice(&(NEWEST + 1).to_le_bytes());
+    newer[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
     let mut torn = frame.clone();
     let last = torn.len() - 1;
     torn[last] ^= 0xff;
-    torn[HEAD] ^= 0xff;
+    torn[HEADER_BYTES] ^= 0xff;
     for bad in [newer, torn, b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()] {
         let mut stream = TcpStream::connect(&addr).await.expect("connected");
         stream.write_all(&bad).await.expect("sent");
@@ -66,7 +67,7 @@
 }
 
 async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Message) {
-    let frame = frame::seal(Kind::Reply, id, msg).expect("sealed");
+    let frame = frame::encode(Kind::Response, id, msg).expect("sealed");
     write.write_all(&frame).await.expect("written");
 }
 
@@ -75,12 +76,12 @@
     let (caller, listener) = pair().await;
     let serve = async {
         let (mut read, mut write) = accept(&listener).await;
-        let one = take(&mut read).await.expect("the first");
-        let two = take(&mut read).await.expect("the second");
+        let one = read_frame(&mut read).await.expect("the first");
+        let two = read_frame(&mut read).await.expect("the second");
         for (head, msg) in [&two, &one, &two, &one] {
             answer(&mut write, head.id, msg).await;
         }
-        let three = take(&mut read).await.expect("the third");
+        let three = read_frame(&mut read).await.expect("the third");
         answer(&mut write, one.0.id, &one.1).await;
         answer(&mut write, three.0.id, &three.1).await;
     };
@@ -97,10 +98,10 @@
     let (caller, listener) = pair().await;
     let serve = async {
         let (mut read, write) = accept(&listener).await;
-        assert_eq!(take(&mut read).await.expect("the first").1, query(1));
+        assert_eq!(read_frame(&mut read).await.expect("the first").1, query(1));
         drop((read, write));
         let (mut read, mut write) = accept(&listener).await;
-        let (head, msg) = take(&mut read).await.expect("the next call");
+        let (head, msg) = read_frame(&mut read).await.expect("the next call");
         assert_eq!(msg, query(2));
         answer(&mut write, head.id, &msg).await;
     };
@@ -120,6 +121,6 @@
     assert_eq!(caller.call(query(1), 1).await, None);
     assert!(caller.notify(query(2)));
     let (mut read, _write) = accept(&listener).await;
-    assert_eq!(take(&mut read).await.expect("the large one").1, large);
-    assert_eq!(take(&mut read).await.expect("the next").1, query(2));
+    assert_eq!(read_frame(&mut read).await.expect("the large one").1, large);
+    assert_eq!(read_frame(&mut read).await.expect("the next").1, query(2));
 }
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -1,4 +1,10 @@
-//! Messages between our own daemons. Every variant holds a box, so a new one never moves the others.
+//! Messages between daemons. Every variant of [`Message`] holds a box, so that a new variant never changes the size of
+//! the others.
+
+mod catalog;
+mod endpoint_list;
+mod gossip;
+mod subscription;
 
 use crate::operator_request::{CommittedDelta, OperatorRequest, OperatorResponse};
 use crate::quota::{ShardOwner, ShardUsage, TokenRequest, TokenResponse};
@@ -6,8 +12,13 @@
 use crate::version_rollout::{Samples, VersionRollout};
 
 pub use crate::capability::*;
-pub use crate::prefix_lookup::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration};
-pub use crate::staleness_limit::{StalenessLimit, WeightVersions, ROLLOUT};
+pub use crate::hidden_key::HiddenKey;
+pub use crate::staleness_limit::{StalenessLimit, WeightVersions, STALENESS_LIMIT_PREFIX};
+pub use crate::version_entry::{EngineWeights, EvacuationState, VersionEntry};
+pub use catalog::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration, Record};
+pub use endpoint_list::{EndpointList, Engine};
+pub use gossip::Gossip;
+pub use subscription::{StateUpdate, SubscriptionRenewal};
 
 /// A ledger position: rises with each take-over (`turn`, ties by `seat`) and each change (`step`).
 /// Invariant: one owner acts under one (`turn`, `seat`); `step` restarts at 0 with each of them.
@@ -128,142 +139,76 @@
     NonVoting,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Gossip {
-    pub ip: String,
-    pub zone: String,
-    pub incarnation: u64,
-    /// It may be made a member of the core.
-    pub eligible: bool,
-    pub membership: CoreMembership,
-    pub peers: Vec<String>,
-    /// Routers that hold a lease here.
-    pub router_count: u32,
-    /// Requests of those routers under way, by engine.
-    pub in_flight: Vec<(String, u32)>,
-    /// Engines about to change their part.
-    pub reassigning: Vec<String>,
-    /// Where clients reach the routers that hold a lease here.
-    pub frontend_addresses: Vec<String>,
-    /// The versions of the engine lists held: who has newer ones sends them.
-    pub list_versions: Vec<(String, u64, u64)>,
-    /// Turns of lists that routers told of.
-    pub observed_list_versions: Vec<(String, u64, u64)>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Engine {
-    pub id: String,
-    pub service: String,
-    pub addr: String,
-    pub zone: String,
-    pub phase: String,
-    pub model: String,
-    pub slots: u32,
-    pub up: bool,
-    pub cold_ms: u32,
-}
-
-/// The engines of one zone as one poller saw them. Invariant: (`turn`, `count`) never goes back.
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct EndpointList {
-    pub zone: String,
-    pub term: u64,
-    pub sequence: u64,
-    pub engines: Vec<Engine>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct SubscriptionRenewal {
-    pub node: String,
-    pub zone: String,
-    pub incarnation: u64,
-    pub config_revision: u64,
-    pub evacuation_versions: Vec<(String, u64)>,
-    pub list_versions: Vec<(String, u64, u64)>,
-    /// Own requests under way, by engine.
-    pub in_flight: Vec<(String, u32)>,
-    /// Where clients reach it.
-    pub frontend_address: String,
-}
-
-#[derive(Clone, Debug, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct StateUpdate {
-    /// The controller confirmed its versions at a majority a moment ago.
-    pub confirmed: bool,
-    pub config: Option<(u64, Vec<u8>)>,
-    /// Area, version, whether it is being evacuated.
-    pub evacuations: Vec<(String, u64, bool)>,
-    pub endpoint_lists: Vec<EndpointList>,
-    /// How many routers hold a lease: shared bounds are cut into as many slices.
-    pub router_count: u32,
-    pub peers: Vec<String>,
-    /// Engines about to change their part: nothing new is sent to them.
-    pub reassigning: Vec<String>,
-    /// The holder of the catalog and its epoch.
-    pub catalog: (u64, String),
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Record {
-    pub key: u64,
-    pub engine: String,
-}
-
+/// A message between daemons. Invariant: variants keep their order; later versions add theirs at the end.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Message {
+    /// A proposer asks an acceptor.
     ConsensusRequest(Box<ConsensusRequest>),
+    /// The acceptor's response.
     ConsensusResponse(Box<ConsensusResponse>),
+    /// A heartbeat between controllers.
     Gossip(Box<Gossip>),
+    /// The engines of a zone, from the controller that polled them.
     EndpointList(Box<EndpointList>),
+    /// A router renews its lease.
     SubscriptionRenewal(Box<SubscriptionRenewal>),
+    /// What a router lacks.
     StateUpdate(Box<StateUpdate>),
-    /// The keys of the missing suffix, shortest prefix first.
+    /// Asks the catalog who owns prefixes: its epoch, and the keys, shortest prefix first.
     OwnerQuery(Box<(u64, Vec<u64>)>),
-    /// The catalog's epoch and, for each key asked, the engines that hold it.
+    /// The catalog's epoch and, for each key that was asked, the engines that hold it.
     Owners(Box<(u64, Vec<Vec<String>>)>),
+    /// Registers owners of prefixes under the catalog's epoch.
     RegisterOwners(Box<(u64, Vec<Record>)>),
-    /// The barrier: answered once all before it was taken, with the number dropped.
+    /// A barrier for the catalog: its epoch, and how many registrations were sent before it.
     Flush(Box<(u64, u32)>),
+    /// All registrations before the barrier were processed: the epoch, and how many were lost.
     Flushed(Box<(u64, u32)>),
-    /// Committed: a key and what it now holds.
+    /// A committed entry, and its key.
     Committed(Box<(String, Entry)>),
-    /// An engine gave a router no sign of life; true: already passed on by a controller.
+    /// An engine gave a router no sign of life; true if a controller has passed this on already.
     SuspectEngine(Box<(String, bool)>),
+    /// A request was rejected with this HTTP status.
     Rejected(Box<u16>),
-    /// A configuration, whole or as a change: the bytes of `crate::change::Change`. Since version 2.
+    /// An update of the configuration in the format of [`legacy_format`](crate::config_update::legacy_format). Since
+    /// version 2.
     ConfigUpdate(Box<Vec<u8>>),
-    /// As `Query`, and how pressed some engines are. Since version 2.
+    /// As `OwnerQuery`, and asks for the loads of some engines. Since version 2.
     PrefixLookup(Box<PrefixLookup>),
+    /// The response to `PrefixLookup`. Since version 2.
     PrefixLookupResponse(Box<PrefixLookupResponse>),
-    /// As `Register`, and what these engines told of their pressure. Since version 2.
+    /// As `RegisterOwners`, with the loads that these engines reported. Since version 2.
     PrefixRegistration(Box<PrefixRegistration>),
-    /// A rule on stale weights, newer than what the router told. Since version 2.
+    /// A staleness limit, newer than the router's. Since version 2.
     StalenessLimit(Box<StalenessLimit>),
     /// The weight versions of a zone's engines as its poller saw them. Since version 2.
     WeightVersions(Box<WeightVersions>),
-    /// Have all routers that hold a lease at this controller confirmed a rule? Its key and version. Since version 2.
+    /// Asks how many routers that hold a lease at a controller confirmed a staleness limit: its key and version. Since
+    /// version 2.
     CountConfirmations(Box<(String, u64)>),
-    /// Routers that hold a lease, and those of them that confirmed. Since version 2.
+    /// How many routers hold a lease, and how many of them confirmed. Since version 2.
     ConfirmationCount(Box<(u32, u32)>),
-    /// An operator's order, to the controller that is home to its key. Since version 3.
+    /// An operator's request, relayed to the owner of its key. Since version 3.
     OperatorRequest(Box<OperatorRequest>),
+    /// The response to `OperatorRequest`. Since version 3.
     OperatorResponse(Box<OperatorResponse>),
-    /// As `Learn`, for those that hold the entry before. Since version 3.
+    /// As `Committed`, for controllers that hold the entry before. Since version 3.
     CommittedDelta(Box<CommittedDelta>),
-    /// The answer to `Follow` for routers that read it. Since version 4.
+    /// The response to `SubscriptionRenewal` for routers that read it. Since version 4.
     SubscriptionRenewed(Box<SubscriptionRenewed>),
-    /// A configuration with tenants, whole or as a change: the bytes of `crate::change::Change`. Since version 4.
+    /// An encoded [`ConfigUpdate`](crate::config_update::ConfigUpdate), with tenants. Since version 4.
     TenantConfigUpdate(Box<Vec<u8>>),
-    /// One token of a tenant's limit. Since version 5.
+    /// Asks for one token of a tenant's limit. Since version 5.
     TokenRequest(Box<TokenRequest>),
+    /// The response to `TokenRequest`. Since version 5.
     TokenResponse(Box<TokenResponse>),
-    /// The controllers that may hold shards of tenants' limits, as a controller sees them. Since version 5.
+    /// The controllers that may own shards of tenants' limits, as one controller sees them. Since version 5.
     ShardOwners(Box<Vec<ShardOwner>>),
-    /// What have the shards held there given? Since version 5.
+    /// Asks for the usage of the shards that a controller owns. Since version 5.
     UsageRequest(Box<u16>),
+    /// The response to `UsageRequest`. Since version 5.
     UsageResponse(Box<Vec<ShardUsage>>),
-    /// A rollout of a service, newer than what the router told. Since version 5.
+    /// A rollout of a service, newer than the router's. Since version 5.
     VersionRollout(Box<VersionRollout>),
     /// What routers saw of a rollout. Since version 5.
     Samples(Box<Samples>),
--- a/router/src/table.rs
+++ b/router/src/config/routing_table.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-use load_balancing::engine_table::EngineTable;
-use protocol::change::Change;
+use load_balancing::EngineTable;
 use protocol::config;
+use protocol::config_update::ConfigUpdate;
 
-use crate::duration_estimate::DurationEstimate;
-use crate::tenants::Tenants;
+use crate::config::tenants::Tenants;
+use crate::proxy::duration_estimate::DurationEstimate;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -73,7 +73,7 @@
         "streaming" => Kind::Streaming,
         _ => Kind::NonIdempotent,
     };
-    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service(name), weight));
+    let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service_index(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
@@ -101,7 +101,7 @@
 
 impl Table {
     /// The table after a change. None: it is no newer, or counts on top of another revision than this.
-    pub fn turn(&self, change: &Change, engine_table: &mut EngineTable) -> Option<Table> {
+    pub fn turn(&self, change: &ConfigUpdate, engine_table: &mut EngineTable) -> Option<Table> {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return None;
         }
@@ -119,7 +119,7 @@
             next.names.clone_from(&self.names);
             next.services.clone_from(&self.services);
         }
-        for name in change.gone.iter().chain(change.routes.iter().map(|route| &route.name)) {
+        for name in change.removed_routes.iter().chain(change.routes.iter().map(|route| &route.name)) {
             next.remove(name);
         }
         for item in &change.routes {
@@ -130,11 +130,11 @@
             list.push(Arc::new(Route { durations, ..route(item, engine_table) }));
             list.sort_by_key(|route| Reverse(route.prefix.len()));
         }
-        for name in &change.lost {
-            next.services.remove(&engine_table.service(name));
+        for name in &change.removed_services {
+            next.services.remove(&engine_table.service_index(name));
         }
         for item in &change.services {
-            next.services.insert(engine_table.service(&item.name), service(item));
+            next.services.insert(engine_table.service_index(&item.name), service(item));
         }
         Some(next)
     }
@@ -174,5 +174,5 @@
 }
 
 #[cfg(test)]
-#[path = "table_tests.rs"]
+#[path = "routing_table_tests.rs"]
 mod tests;
--- a/router/src/server.rs
+++ b/router/src/frontend/listener.rs
@@ -18,12 +18,12 @@
 use protocol::socket;
 use tokio::net::TcpStream;
 
-use crate::admission;
-use crate::drain::Phase;
-use crate::frames::{Look, Stream};
+use crate::config::routing_table::Table;
+use crate::frontend::admission;
+use crate::frontend::drain::Phase;
+use crate::frontend::framing_check::{Look, Stream};
 use crate::metrics::{Connection, InPhase};
 use crate::state::State;
-use crate::table::Table;
 
 /// Connections that ask for readiness at once.
 const READINESS_CONNECTIONS: usize = 64;
@@ -111,7 +111,7 @@
 }
 
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
-    socket::tune(&stream, CLIENT_SILENCE_MS);
+    socket::configure(&stream, CLIENT_SILENCE_MS);
     let _open = OpenConnection::count(&state);
     let look = Look::new();
     let io = TokioIo::new(Stream::new(stream, look.clone()));
--- a/router/src/kv_handle.rs
+++ b/router/src/kv/handle.rs
@@ -2,9 +2,9 @@
 
 use kernel::clock;
 
-use crate::exchange::Exchange;
-use crate::pool::Endpoint;
-use crate::send;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::send;
+use crate::upstream::connection_pool::Endpoint;
 
 /// The memory of a read prompt. Invariants: it serves this request only, is taken once, and is
 /// never named after `until`.
@@ -31,9 +31,9 @@
     pub fn take_handle(&mut self) -> Option<Handle> {
         let now = clock::now();
         let good = self.kv_handle.as_ref().is_some_and(|handle| {
-            let engine_table = self.state.engine_table.lock().expect("engine_table");
-            let engine = &engine_table.list[handle.at];
-            now < handle.until && engine.here && !self.closed_zones.contains(&engine.zone)
+            let engine_table = self.state.engine_table.lock();
+            let engine = &engine_table.engines[handle.at];
+            now < handle.until && engine.listed && !self.closed_zones.contains(&engine.zone)
         });
         if !good {
             self.release_handle();
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -4,12 +4,12 @@
 
 use tokio::{task, time};
 
-use crate::drain::Phase;
+use crate::frontend::drain::Phase;
+use crate::limits::quota_gate::Decision;
 use crate::metrics::{Ended, Outcome, Quotas, Stage};
-use crate::quota_gate::Decision;
-use crate::stand_in::{answer, engines, events, waiting_engine, Act};
-use crate::stand_in_router::{ask, post, router, Client};
 use crate::state::State;
+use crate::testing::engine::{answer, engines, events, waiting_engine, Act};
+use crate::testing::router::{ask, post, router, Client};
 
 fn ended(state: &State, outcome: Outcome) -> u64 {
     state.metrics.requests_ended.get_or_create(&Ended { phase: Phase::Serving, outcome }).get()
@@ -77,5 +77,8 @@
     let decision = Decision::Granted;
     state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
     let page = include_str!("../../docs/metrics.md");
-    assert_eq!(telemetry::names(&state.metrics.render(&state)), telemetry::listed(page, "tidepoint_router_"));
+    assert_eq!(
+        telemetry::testing::metric_names(&state.metrics.render(&state)),
+        telemetry::testing::documented_names(page, "tidepoint_router_")
+    );
 }
--- a/router/src/halves.rs
+++ b/router/src/proxy/phases.rs
@@ -6,12 +6,12 @@
 use protocol::message::Record;
 use serde_json::Value;
 
-use crate::exchange::Exchange;
-use crate::failure::Failure;
-use crate::kv_handle::Handle;
-use crate::plan::{self, Plan};
-use crate::relay;
-use crate::send::{self, Answer, Extra, Outcome};
+use crate::frontend::error_response::Failure;
+use crate::kv::handle::Handle;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::forward;
+use crate::proxy::plan::{self, Plan};
+use crate::proxy::send::{self, Answer, Extra, Outcome};
 
 /// Time kept between the end of a handle's life and its last use.
 const MARGIN_MS: u64 = 400;
@@ -32,7 +32,7 @@
     for _ in 0..3 {
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engine_table.lock().expect("engine_table").note_read(exchange.service, reads);
+        exchange.state.engine_table.lock().record_prefill(exchange.service, reads);
         let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
             Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
@@ -100,14 +100,14 @@
 fn register(exchange: &Exchange, at: usize) -> u32 {
     let now = clock::now();
     let (id, told) = {
-        let engine_table = exchange.state.engine_table.lock().expect("engine_table");
-        (engine_table.list[at].id.clone(), engine_table.list[at].told(now))
+        let engine_table = exchange.state.engine_table.lock();
+        (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
     {
-        let mut record = exchange.state.record.lock().expect("record");
+        let mut record = exchange.state.record.lock();
         for key in &exchange.request.keys {
-            record.note(*key, &id, now);
+            record.record(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
         }
     }
@@ -130,7 +130,7 @@
             let sent = register(exchange, at);
             let drops = exchange.state.lookup.flush(sent).await;
             // A drop only means that others will not find this memory: the hand-over goes on.
-            exchange.state.record.lock().expect("record").counts.dropped += u64::from(drops);
+            exchange.state.record.lock().counts.dropped += u64::from(drops);
         }
     }
     make(exchange, reader).await
@@ -143,10 +143,10 @@
     loop {
         exchange.drop_stale_handle();
         let Some(handle) = exchange.take_handle() else {
-            let (at, _) = exchange.view(|view| view.alone(tokens, &owners, rank))?;
-            return Some((at, None));
+            let selected = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
+            return Some((selected.engine, None));
         };
-        if let Some(at) = exchange.view(|view| view.decode(tokens, &owners, reader, rank)) {
+        if let Some(at) = exchange.view(|view| view.select_decode(tokens, &owners, reader, rank)) {
             return Some((at, Some(handle)));
         }
         exchange.hold_handle(handle);
@@ -160,11 +160,11 @@
 async fn make(exchange: &mut Exchange, reader: Option<usize>) -> Result<(usize, Answer), Failure> {
     loop {
         let Some((at, handle)) = choose_maker(exchange, reader) else {
-            return Err(relay::failure_of(exchange));
+            return Err(forward::failure_of(exchange));
         };
         if !exchange.grant_send() {
             handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
-            return Err(relay::failure_of(exchange));
+            return Err(forward::failure_of(exchange));
         }
         let reads = if handle.is_some() { 0 } else { exchange.request.tokens() };
         let source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
@@ -189,7 +189,7 @@
                 // Where it was not taken nobody else may name it: this maker may yet come for it.
                 exchange.release_handle();
                 if !exchange.repeatable {
-                    return Err(relay::failure_of(exchange));
+                    return Err(forward::failure_of(exchange));
                 }
             }
             _ if held && !is_full(exchange, at) => give_up_handle(exchange),
@@ -199,8 +199,8 @@
 }
 
 fn is_full(exchange: &Exchange, at: usize) -> bool {
-    let engine_table = exchange.state.engine_table.lock().expect("engine_table");
-    engine_table.pressure(at, clock::now()) >= f64::from(engine_table.list[at].slots)
+    let engine_table = exchange.state.engine_table.lock();
+    engine_table.estimated_load(at, clock::now()) >= f64::from(engine_table.engines[at].slots)
 }
 
 /// The memory can't be had: its engine is suppressed for these keys, not for the request.
@@ -208,10 +208,10 @@
     if let Some(reader) = exchange.handle_engine() {
         let now = clock::now();
         let id = exchange.endpoint(reader).engine;
-        let mut record = exchange.state.record.lock().expect("record");
+        let mut record = exchange.state.record.lock();
         record.counts.transfer_error += 1;
         for key in &exchange.request.keys {
-            record.hush(&id, *key, now + HUSH_MS);
+            record.suppress(&id, *key, now + HUSH_MS);
         }
     }
     exchange.release_handle();
--- a/router/src/follow_absorb.rs
+++ b/router/src/subscription/apply_update.rs
@@ -6,11 +6,13 @@
 
 use kernel::clock;
 use protocol::message::{self, Message, StateUpdate, SubscriptionRenewal};
-use protocol::quota::told_holders;
+use protocol::quota::shard_owners_entry;
 
+use crate::config::{activation, evacuation, version_bounds};
 use crate::event::{CATALOG, READY};
+use crate::rollout;
 use crate::state::State;
-use crate::{config, doubt, evacuation, fresh, version_rollouts};
+use crate::upstream::suspicion;
 
 /// How long news of engines that are about to change their part holds.
 const REST_MS: u64 = 1500;
@@ -21,12 +23,12 @@
 pub fn take(state: &Arc<State>, msg: Message) {
     match msg {
         Message::StateUpdate(news) => absorb(state, *news),
-        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => config::change(state, &body),
+        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => activation::change(state, &body),
         Message::ShardOwners(list) => state.quota_gate.set_holders(&list),
-        Message::VersionRollout(rollout) => version_rollouts::take(state, *rollout),
-        Message::StalenessLimit(rule) => fresh::rule(state, &rule),
-        Message::WeightVersions(list) => fresh::versions(state, &list),
-        Message::SuspectEngine(doubt) => doubt::hear(state, &doubt.0),
+        Message::VersionRollout(rollout) => rollout::take(state, *rollout),
+        Message::StalenessLimit(rule) => version_bounds::rule(state, &rule),
+        Message::WeightVersions(list) => version_bounds::versions(state, &list),
+        Message::SuspectEngine(doubt) => suspicion::hear(state, &doubt.0),
         _ => {}
     }
 }
@@ -34,20 +36,20 @@
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
 pub fn standing(state: &State, at_home: bool) -> SubscriptionRenewal {
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
-        let engine_table = state.engine_table.lock().expect("engine_table");
+        let engine_table = state.engine_table.lock();
         let busy = engine_table
-            .list
+            .engines
             .iter()
-            .filter(|engine| at_home && engine.busy > 0)
-            .map(|engine| (engine.id.clone(), engine.busy));
-        (engine_table.versions(), busy.collect())
+            .filter(|engine| at_home && engine.in_flight > 0)
+            .map(|engine| (engine.id.clone(), engine.in_flight));
+        (engine_table.list_versions(), busy.collect())
     };
-    let (rules, weights) = fresh::known_versions(state);
+    let (rules, weights) = version_bounds::known_versions(state);
     sheets.extend(weights);
-    let rollouts = version_rollouts::told(state);
+    let rollouts = rollout::told(state);
     sheets.push(message::own_protocol_version());
-    sheets.push(told_holders(state.quota_gate.mark()));
-    let news = state.news.lock().expect("news");
+    sheets.push(shard_owners_entry(state.quota_gate.mark()));
+    let news = state.news.lock();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
@@ -78,8 +80,8 @@
     if state.ready.load(order) {
         return true;
     }
-    let known = state.engine_table.lock().expect("engine_table").zones_listed();
-    let held = state.news.lock().expect("news").config > 0 && known >= state.settings.zones.len();
+    let known = state.engine_table.lock().listed_zone_count();
+    let held = state.news.lock().config > 0 && known >= state.settings.zones.len();
     if !held || !state.currency.is_proved(clock::now()) {
         return false;
     }
@@ -92,23 +94,23 @@
 pub fn absorb(state: &Arc<State>, news: StateUpdate) {
     let now = clock::now();
     if let Some((version, text)) = &news.config {
-        config::config(state, *version, text);
+        activation::config(state, *version, text);
     }
     let mut left = Vec::new();
     {
-        let mut engine_table = state.engine_table.lock().expect("engine_table");
+        let mut engine_table = state.engine_table.lock();
         for sheet in &news.endpoint_lists {
-            left.extend(engine_table.take(sheet, now));
+            left.extend(engine_table.update(sheet, now));
         }
-        engine_table.rest(&news.reassigning, now + REST_MS);
+        engine_table.mark_reassigning(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
-        let mut record = state.record.lock().expect("record");
-        left.iter().for_each(|engine| record.forget(engine));
+        let mut record = state.record.lock();
+        left.iter().for_each(|engine| record.remove_engine(engine));
     }
     evacuation::absorb(state, &news.evacuations);
     {
-        let mut held = state.news.lock().expect("news");
+        let mut held = state.news.lock();
         if !news.peers.is_empty() {
             held.controllers = news.peers;
         }
@@ -118,9 +120,9 @@
         }
     }
     let seats = state.router_count();
-    state.engine_table.lock().expect("engine_table").sit(state.mark(), state.zone, seats);
+    state.engine_table.lock().set_router(state.mark(), state.zone, seats);
     if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
-        tokio::spawn(config::again(state.clone()));
+        tokio::spawn(activation::again(state.clone()));
     }
 }
--- a/router/src/follow.rs
+++ b/router/src/subscription/driver.rs
@@ -8,11 +8,11 @@
 use tokio::time;
 
 use crate::event::HOME;
-use crate::follow_absorb;
-use crate::follow_links::{End, Event, Links};
-use crate::following::{Call, Following};
-use crate::following_answer::Answer;
 use crate::state::State;
+use crate::subscription::apply_update;
+use crate::subscription::links::{End, Event, Links};
+use crate::subscription::response::Answer;
+use crate::subscription::scheduler::{Call, Following};
 
 /// Follows until the process ends.
 pub async fn run(state: Arc<State>) {
@@ -53,12 +53,12 @@
 
     fn begin(&mut self, call: &Call, now: u64) {
         let at_home = self.following.home() == Some(&call.controller);
-        let standing = follow_absorb::standing(&self.state, at_home);
+        let standing = apply_update::standing(&self.state, at_home);
         let msg = Message::SubscriptionRenewal(Box::new(standing));
         self.links.call(&call.controller, msg, now, call.deadline_ms);
         if at_home {
             // The connection may be a new one.
-            *self.state.home.lock().expect("home") = Some(self.links.caller(&call.controller));
+            *self.state.home.lock() = Some(self.links.caller(&call.controller));
         }
     }
 
@@ -77,7 +77,7 @@
             // Confirmed at once: somebody waits for it.
             self.following.renew_now();
         }
-        follow_absorb::take(&self.state, msg);
+        apply_update::take(&self.state, msg);
     }
 
     fn take_end(&mut self, end: End) {
@@ -106,14 +106,14 @@
     }
 
     fn held(&self) -> u64 {
-        self.state.news.lock().expect("news").config
+        self.state.news.lock().config
     }
 
     fn absorb(&self, news: StateUpdate, sent: u64) {
         if news.confirmed {
-            self.state.floors.lock().expect("floors").renew(sent);
+            self.state.floors.lock().renew_lease(sent);
         }
-        follow_absorb::absorb(&self.state, news);
+        apply_update::absorb(&self.state, news);
     }
 
     fn answered(&mut self, controller: &str, answer: &Answer) {
@@ -121,14 +121,14 @@
         if let Some(as_of) = self.following.current_as_of() {
             self.state.currency.prove(as_of);
         }
-        if follow_absorb::ready(&self.state) {
+        if apply_update::ready(&self.state) {
             self.following.set_ready();
         }
     }
 
     fn home_moved(&mut self, left: Option<String>) {
         let home = self.following.home().unwrap_or_default().to_string();
-        *self.state.home.lock().expect("home") = Some(self.links.caller(&home));
+        *self.state.home.lock() = Some(self.links.caller(&home));
         kernel::log_event!(HOME, "left" => left.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
@@ -151,5 +151,5 @@
 }
 
 #[cfg(test)]
-#[path = "follow_tests.rs"]
+#[path = "driver_tests.rs"]
 mod tests;
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -6,13 +6,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kernel::clock;
+use kernel::hashing;
 use poem::listener::TcpAcceptor;
 use poem::{endpoint, Request, Route, Server};
-use protocol::change::Change;
+use protocol::config_update::ConfigUpdate;
 use protocol::frame::{self, Kind};
 use protocol::link::PeerClient;
-use protocol::message::{self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal};
+use protocol::message::{
+    self, EngineLoad, Message, PrefixLookup, PrefixRegistration, Record, SubscriptionRenewal, VersionEntry,
+};
 use protocol::socket;
 use reqwest::Client;
 use serde_json::Value;
@@ -56,7 +58,7 @@
 
 /// The size of a message on the wire.
 pub fn size(msg: &Message) -> u64 {
-    frame::seal(Kind::Cast, 0, msg).map_or(0, |frame| frame.len() as u64)
+    frame::encode(Kind::Notification, 0, msg).map_or(0, |frame| frame.len() as u64)
 }
 
 fn controller(net: u8, at: usize) -> String {
@@ -68,7 +70,7 @@
         self.got.fetch_add(size(&msg), Ordering::Relaxed);
         match msg {
             Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => {
-                let Some(change) = Change::read(&body) else { return };
+                let Some(change) = ConfigUpdate::decode(&body) else { return };
                 let has = self.config.load(Ordering::Relaxed);
                 if change.from == 0 || change.from == has {
                     self.config.fetch_max(change.to, Ordering::Relaxed);
@@ -90,8 +92,8 @@
 
     fn standing(&self, at: usize, zone: &str) -> Message {
         let held = self.sheets.lock().expect("sheets").clone();
-        let mut sheets: Vec<(String, u64, u64)> =
-            held.into_iter().map(|(zone, (turn, count))| (zone, turn, count)).collect();
+        let mut sheets: Vec<VersionEntry> =
+            held.into_iter().map(|(zone, (turn, count))| VersionEntry::new(zone, turn, count)).collect();
         sheets.push(message::own_protocol_version());
         // What a router of the expected fleet has in hand: some two dozen requests.
         let busy = (0..24).map(|step| (format!("i-{}", (at * 31 + step * 7) % 400), 1)).collect();
@@ -242,14 +244,14 @@
         owed += rate as f64 / 100.0;
         while owed >= 1.0 {
             (owed, number) = (owed - 1.0, number + 1);
-            let (caller, key) = (callers[number as usize % 16].clone(), clock::combine_hashes(number, 1));
+            let (caller, key) = (callers[number as usize % 16].clone(), hashing::combine(number, 1));
             tokio::spawn(async move {
-                let sample = (0..10).map(|at| clock::combine_hashes(key, at)).collect();
+                let sample = (0..10).map(|at| hashing::combine(key, at)).collect();
                 let ask = PrefixLookup { epoch, keys: vec![key, key + 1], sample };
                 caller.call(Message::PrefixLookup(Box::new(ask)), 500).await;
                 for engine in [key % 400, key % 399] {
                     let id = format!("i-{engine}");
-                    let told = EngineLoad { engine_hash: clock::hash(id.as_bytes()), load: 3, age_ms: 0 };
+                    let told = EngineLoad { engine_hash: hashing::hash(id.as_bytes()), load: 3, age_ms: 0 };
                     let record = |key| Record { key, engine: id.clone() };
                     let note = PrefixRegistration {
                         epoch,
--- a/tidepoint/tests/stand/mod.rs
+++ b/tidepoint/tests/stand/mod.rs
@@ -44,6 +44,8 @@
     pub count: AtomicU64,
     /// Weight versions by engine; 1 where none is set.
     pub versions: Mutex<HashMap<String, u64>>,
+    /// How long engines wait before each event of a stream.
+    pub event_pause_ms: AtomicU64,
 }
 
 impl World {
@@ -194,6 +196,11 @@
             handles.remove(at);
         }
         note("make");
+        if head.get("x-unary") == "1" {
+            let back = format!("{back}Response-Seal: seal-{attempt}\r\n");
+            return answer(stream, "200 OK", &back, &String::from_utf8_lossy(&head.body));
+        }
+        let pause = Duration::from_millis(world.event_pause_ms.load(Ordering::Relaxed));
         let first = head.get("last-event-id").parse::<u32>().unwrap_or(0) + 1;
         let cut = {
             let mut breaks = world.breaks.lock().expect("breaks");
@@ -205,6 +212,7 @@
         );
         let _ = stream.write_all(top.as_bytes());
         for event in first..=4 {
+            std::thread::sleep(pause);
             if cut && event == 3 {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
