--- a/consensus/src/testing/unit/stored_by_5_tests.rs
+++ b/consensus/src/testing/unit/stored_by_5_tests.rs
@@ -1,11 +1,12 @@
-//! The data folder of a voter of version 5.
+//! The data directory of an acceptor of version 5.
 //!
 //! `fixtures/disk-5` was written by commit 0f675d7. To write it again, check out that commit, put this file beside
 //! `store.rs`, attach it as it is attached here, and run `cargo test -p ledger --lib -- --ignored stored_by_5`. Later
 //! versions never write it again: they read it.
 //!
-//! The folder stands as it does after a first snapshot that was made and a second one that failed once its new segment was
-//! begun: `snap-00000002` with the two segments behind it.
+//! The directory stands as it does after a first snapshot that was made and a second one that failed once its new
+//! segment was begun: `snap-00000002` with the two segments behind it.
+
 use crate::{decode_membership, encode_membership, replica_id, Acceptor, LogRecord, Store};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, RegisterState};
 use std::collections::BTreeMap;
@@ -23,39 +24,39 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/disk-5")
 }
 
-fn scratch_folder(name: &str) -> PathBuf {
-    let folder = temp_dir().join(format!("tidepoint-stored-by-5-{name}-{}", process::id()));
-    let _ = fs::remove_dir_all(&folder);
-    folder
+fn scratch_directory(name: &str) -> PathBuf {
+    let directory = temp_dir().join(format!("tidepoint-stored-by-5-{name}-{}", process::id()));
+    let _ = fs::remove_dir_all(&directory);
+    directory
 }
 
 /// A copy of the fixture: a store that is opened writes.
 fn copied_fixture(name: &str) -> PathBuf {
-    let folder = scratch_folder(name);
-    fs::create_dir_all(&folder).expect("made");
+    let directory = scratch_directory(name);
+    fs::create_dir_all(&directory).expect("made");
     for file in FILES {
-        fs::copy(fixture().join(file), folder.join(file)).expect("copied");
+        fs::copy(fixture().join(file), directory.join(file)).expect("copied");
     }
-    folder
+    directory
 }
 
-fn open(folder: &Path) -> (Store, Vec<LogRecord>) {
+fn open(directory: &Path) -> (Store, Vec<LogRecord>) {
     let mut records = Vec::new();
-    let store = Store::open(folder, &mut |record| records.push(record)).expect("opens");
+    let store = Store::open(directory, &mut |record| records.push(record)).expect("opens");
     (store, records)
 }
 
-fn folded(records: &[LogRecord]) -> Acceptor {
-    let mut voter = Acceptor::new(IP);
-    records.iter().cloned().for_each(|record| voter.replay(record));
-    voter
+fn replayed(records: &[LogRecord]) -> Acceptor {
+    let mut acceptor = Acceptor::new(IP);
+    records.iter().cloned().for_each(|record| acceptor.replay(record));
+    acceptor
 }
 
 fn member(ip: &str, zone: &str) -> Member {
     Member { ip: ip.into(), zone: zone.into() }
 }
 
-fn first_core() -> CoreMembership {
+fn first_membership() -> CoreMembership {
     CoreMembership {
         version: 1,
         members: vec![member("10.0.0.1", "zone-a")],
@@ -64,7 +65,7 @@
     }
 }
 
-fn settled_core() -> CoreMembership {
+fn stable_membership() -> CoreMembership {
     CoreMembership {
         version: 3,
         members: vec![member("10.0.0.1", "zone-a"), member("10.0.0.2", "zone-b")],
@@ -73,7 +74,7 @@
     }
 }
 
-fn unsettled_core() -> CoreMembership {
+fn joint_membership() -> CoreMembership {
     CoreMembership {
         version: 4,
         members: vec![member("10.0.0.1", "zone-a"), member("10.0.0.2", "zone-b"), member("10.0.0.3", "zone-c")],
@@ -82,7 +83,7 @@
     }
 }
 
-fn promised(key: &str, prepared: ProposalNumber) -> LogRecord {
+fn prepared_register(key: &str, prepared: ProposalNumber) -> LogRecord {
     LogRecord::Register(RegisterState { key: key.into(), prepared, entry: None })
 }
 
@@ -94,12 +95,12 @@
     })
 }
 
-/// An entry, and a promise above it.
-fn promised_above(key: &str, prepared: ProposalNumber, entry: Entry) -> LogRecord {
+/// An entry, and a higher prepared number.
+fn prepared_above(key: &str, prepared: ProposalNumber, entry: Entry) -> LogRecord {
     LogRecord::Register(RegisterState { key: key.into(), prepared, entry: Some(entry) })
 }
 
-fn ballot(term: u64, replica_id: u64) -> ProposalNumber {
+fn proposal_number(term: u64, replica_id: u64) -> ProposalNumber {
     ProposalNumber { term, replica_id }
 }
 
@@ -111,23 +112,23 @@
 /// Gone with the segment that the snapshot replaced.
 fn records_before_the_snapshot() -> [LogRecord; 4] {
     [
-        LogRecord::Membership(first_core()),
+        LogRecord::Membership(first_membership()),
         LogRecord::VotingEnabled,
-        promised("config", ballot(1, 11)),
-        accepted("config", ballot(1, 11), 1, b"an earlier configuration"),
+        prepared_register("config", proposal_number(1, 11)),
+        accepted("config", proposal_number(1, 11), 1, b"an earlier configuration"),
     ]
 }
 
-/// As `Voter::whole` gives them: the core, the slots by key, the leave to vote.
+/// As `Acceptor::snapshot` returns them: the membership, the registers by key, the permission to vote.
 fn records_of_the_snapshot() -> [LogRecord; 5] {
     [
-        LogRecord::Membership(settled_core()),
-        accepted("config", ballot(3, 11), 2, b"a configuration"),
-        promised("duty/batch", ballot(2, 12)),
-        promised_above(
+        LogRecord::Membership(stable_membership()),
+        accepted("config", proposal_number(3, 11), 2, b"a configuration"),
+        prepared_register("duty/batch", proposal_number(2, 12)),
+        prepared_above(
             "evacuation/zone-a",
-            ballot(9, 13),
-            Entry { proposal_number: ballot(4, 12), index: 7, body: b"an evacuation".to_vec() },
+            proposal_number(9, 13),
+            Entry { proposal_number: proposal_number(4, 12), index: 7, body: b"an evacuation".to_vec() },
         ),
         LogRecord::VotingEnabled,
     ]
@@ -135,43 +136,43 @@
 
 fn records_of_the_first_segment() -> [LogRecord; 3] {
     [
-        promised("duty/catalog", ballot(5, 14)),
-        accepted("config", ballot(6, 11), 0, &long_body()),
-        accepted("core", ballot(6, 11), 1, &encode_membership(&unsettled_core())),
+        prepared_register("duty/catalog", proposal_number(5, 14)),
+        accepted("config", proposal_number(6, 11), 0, &long_body()),
+        accepted("core", proposal_number(6, 11), 1, &encode_membership(&joint_membership())),
     ]
 }
 
 fn records_of_the_second_segment() -> [LogRecord; 3] {
     [
-        LogRecord::Membership(unsettled_core()),
-        promised("rollout/chat/m-1", ballot(0x0102_0304_0506_0708, 0x1112_1314_1516_1718)),
-        accepted("versions/chat", ballot(8, 11), 3, b""),
+        LogRecord::Membership(joint_membership()),
+        prepared_register("rollout/chat/m-1", proposal_number(0x0102_0304_0506_0708, 0x1112_1314_1516_1718)),
+        accepted("versions/chat", proposal_number(8, 11), 3, b""),
     ]
 }
 
-/// The work of a voter of version 5 on its disk.
-fn write_folder(folder: &Path) {
-    let (mut store, found) = open(folder);
+/// The work of an acceptor of version 5 on its disk.
+fn write_directory(directory: &Path) {
+    let (mut store, found) = open(directory);
     assert_eq!(found, []);
-    let [core, vote, promise, acceptance] = records_before_the_snapshot();
-    store.append(&[core, vote]).expect("written");
-    store.append(&[promise, acceptance]).expect("written");
+    let [membership, voting_enabled, prepare, acceptance] = records_before_the_snapshot();
+    store.append(&[membership, voting_enabled]).expect("written");
+    store.append(&[prepare, acceptance]).expect("written");
     store.snapshot(&records_of_the_snapshot()).expect("written");
     let [first, second, third] = records_of_the_first_segment();
     store.append(&[first]).expect("written");
     store.append(&[second, third]).expect("written");
-    // A folder stands where the snapshot would be drafted: it fails behind the begin of a new segment.
-    fs::create_dir(folder.join("draft")).expect("made");
+    // A directory stands where the snapshot would be drafted: it fails behind the begin of a new segment.
+    fs::create_dir(directory.join("draft")).expect("made");
     store.snapshot(&[]).expect_err("no snapshot");
-    fs::remove_dir(folder.join("draft")).expect("removed");
+    fs::remove_dir(directory.join("draft")).expect("removed");
     let [first, second, third] = records_of_the_second_segment();
     store.append(&[first, second]).expect("written");
     store.append(&[third]).expect("written");
 }
 
-/// What the folder comes to, written out.
-fn expected_voter() -> Acceptor {
-    let slots = [
+/// What the directory holds, written out.
+fn expected_acceptor() -> Acceptor {
+    let registers = [
         RegisterState {
             key: "config".into(),
             prepared: ProposalNumber { term: 6, replica_id: 11 },
@@ -187,7 +188,7 @@
             entry: Some(Entry {
                 proposal_number: ProposalNumber { term: 6, replica_id: 11 },
                 index: 1,
-                body: encode_membership(&unsettled_core()),
+                body: encode_membership(&joint_membership()),
             }),
         },
         RegisterState { key: "duty/batch".into(), prepared: ProposalNumber { term: 2, replica_id: 12 }, entry: None },
@@ -231,12 +232,12 @@
             ],
             stable: false,
         },
-        registers: slots.into_iter().map(|slot| (slot.key.clone(), slot)).collect::<BTreeMap<_, _>>(),
+        registers: registers.into_iter().map(|register| (register.key.clone(), register)).collect::<BTreeMap<_, _>>(),
         may_vote: true,
     }
 }
 
-/// The records that are read from the folder, oldest first.
+/// The records that are read from the directory, oldest first.
 fn expected_records() -> Vec<LogRecord> {
     [&records_of_the_snapshot()[..], &records_of_the_first_segment(), &records_of_the_second_segment()].concat()
 }
@@ -245,59 +246,59 @@
 #[ignore = "writes the fixture of version 5"]
 fn write_fixture() {
     let _ = fs::remove_dir_all(fixture());
-    write_folder(&fixture());
+    write_directory(&fixture());
 }
 
 #[test]
 fn the_disk_of_version_5_is_read_as_it_was_left() {
-    let folder = copied_fixture("read");
-    let (_, records) = open(&folder);
+    let directory = copied_fixture("read");
+    let (_, records) = open(&directory);
     assert_eq!(records, expected_records());
-    assert_eq!(folded(&records), expected_voter());
-    let _ = fs::remove_dir_all(folder);
+    assert_eq!(replayed(&records), expected_acceptor());
+    let _ = fs::remove_dir_all(directory);
 }
 
 #[test]
 fn the_members_in_an_entry_of_version_5_are_read() {
-    let folder = copied_fixture("core");
-    let voter = folded(&open(&folder).1);
-    let entry = voter.registers["core"].entry.as_ref().expect("an entry");
-    assert_eq!(decode_membership(&entry.body), Some(unsettled_core()));
-    let _ = fs::remove_dir_all(folder);
+    let directory = copied_fixture("core");
+    let acceptor = replayed(&open(&directory).1);
+    let entry = acceptor.registers["core"].entry.as_ref().expect("an entry");
+    assert_eq!(decode_membership(&entry.body), Some(joint_membership()));
+    let _ = fs::remove_dir_all(directory);
 }
 
 #[test]
 fn the_log_of_version_5_goes_on() {
-    let folder = copied_fixture("append");
-    let (mut store, _) = open(&folder);
-    let appended = accepted("duty/catalog", ballot(7, 14), 1, b"a duty");
+    let directory = copied_fixture("append");
+    let (mut store, _) = open(&directory);
+    let appended = accepted("duty/catalog", proposal_number(7, 14), 1, b"a duty");
     store.append(from_ref(&appended)).expect("written");
     drop(store);
-    let (mut store, records) = open(&folder);
+    let (mut store, records) = open(&directory);
     assert_eq!(records, [expected_records(), vec![appended.clone()]].concat());
-    let mut expected = expected_voter();
+    let mut expected = expected_acceptor();
     let entry =
         Entry { proposal_number: ProposalNumber { term: 7, replica_id: 14 }, index: 1, body: b"a duty".to_vec() };
-    let slot = RegisterState {
+    let register = RegisterState {
         key: "duty/catalog".into(),
         prepared: ProposalNumber { term: 7, replica_id: 14 },
         entry: Some(entry),
     };
-    expected.registers.insert("duty/catalog".into(), slot);
-    assert_eq!(folded(&records), expected);
+    expected.registers.insert("duty/catalog".into(), register);
+    assert_eq!(replayed(&records), expected);
     // A snapshot of it replaces the files of version 5.
     store.snapshot(&expected.snapshot()).expect("written");
     drop(store);
-    assert!(FILES.iter().all(|file| !folder.join(file).exists()));
-    assert_eq!(folded(&open(&folder).1), expected);
-    let _ = fs::remove_dir_all(folder);
+    assert!(FILES.iter().all(|file| !directory.join(file).exists()));
+    assert_eq!(replayed(&open(&directory).1), expected);
+    let _ = fs::remove_dir_all(directory);
 }
 
 #[test]
 fn the_same_work_leaves_the_same_files() {
-    let folder = scratch_folder("write");
-    write_folder(&folder);
-    let mut names: Vec<_> = fs::read_dir(&folder)
+    let directory = scratch_directory("write");
+    write_directory(&directory);
+    let mut names: Vec<_> = fs::read_dir(&directory)
         .expect("listed")
         .map(|item| item.expect("an item").file_name().into_string().expect("a name"))
         .collect();
@@ -305,14 +306,14 @@
     assert_eq!(names, FILES);
     for file in FILES {
         let (written, kept) =
-            (fs::read(folder.join(file)).expect("read"), fs::read(fixture().join(file)).expect("read"));
+            (fs::read(directory.join(file)).expect("read"), fs::read(fixture().join(file)).expect("read"));
         assert!(written == kept, "{file} differs from that of version 5");
     }
-    let _ = fs::remove_dir_all(folder);
+    let _ = fs::remove_dir_all(directory);
 }
 
-/// Worked out by another program: a keeper of another version must not act under the ballots of this one.
+/// Worked out by another program: a controller of another version must not act under the proposal numbers of this one.
 #[test]
-fn the_seat_of_a_keeper_stays_what_it_is() {
+fn the_replica_id_of_a_controller_stays_what_it_is() {
     assert_eq!(replica_id("10.0.0.1", 7), 0x1fbc_b423_33d4_7a13);
 }
