--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,5 +1,7 @@
-//! One change or linearizable read of a register, from the first poll to its outcome, as a pure state
-//! machine. The controller drives it over the network, the simulation in virtual time.
+//! One change or linearizable read of a register, from the first request to its outcome, as a pure state machine.
+//!
+//! A proposal consists of one or two rounds: a claim where the key is not owned, then a change where one is wanted.
+//! The controller drives it over the network, the simulation in virtual time.
 
 use std::mem;
 
@@ -7,43 +9,50 @@
 
 use crate::round::{Ownership, Round, RoundProgress};
 
-/// What a caller decides once it sees what is committed.
+/// What a caller decides once it sees the committed body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision<T> {
-    /// Nothing to change: answer with this.
+    /// Nothing is to be changed: finish with this answer.
     Answer(T),
-    /// Commit this body, then answer.
+    /// Commit this body, then finish with this answer.
     Write(Vec<u8>, T),
 }
 
-/// What is to be done next.
+/// What a proposal needs next, or how it ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress<T> {
+    /// More responses are needed.
     Wait,
-    /// To be sent to every voter of the proposal's core; answers to earlier polls no longer count.
+    /// This operation has to be sent to every member of the proposal's membership; responses to earlier ones no
+    /// longer count.
     Send(ConsensusOperation),
-    /// Committed, or read at a quorum. The ownership serves the next change of the same key.
+    /// The change is committed, or the answer rests on what was read at a quorum.
     Finished {
+        /// The answer that the caller decided on.
         answer: T,
+        /// Serves the next change of the same key.
         ownership: Ownership,
+        /// Whether a change was committed.
         written: bool,
     },
-    /// Another owner is at work under this higher ballot. The outcome of an own write is unknown.
+    /// Another owner is at work under this higher proposal number. The outcome of an own write is unknown.
     Superseded(ProposalNumber),
-    /// A voter knows a newer core. The outcome of an own write is unknown.
+    /// An acceptor knows this newer membership. The outcome of an own write is unknown.
     NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage<T> {
-    /// Taking the key over: reading a quorum under a new ballot and committing again what is found.
+    /// Claiming the key: a quorum prepares a new number, and what it reports is committed again.
     Claiming,
-    /// Committing an own change.
+    /// Committing an own change, with the answer to give then.
     Writing(T),
 }
 
-/// Invariants: an answer without a write is given only on what this proposal itself read at a quorum; a
-/// change is written only under a ballot that a quorum has promised to this owner.
+/// One change or read of a register.
+///
+/// Invariants: an answer without a write is given only on what this proposal itself read at a quorum; a change is
+/// written only under a proposal number that a quorum prepared for this owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal<T> {
     key: String,
@@ -52,67 +61,78 @@
 }
 
 impl<T> Proposal<T> {
-    /// Begins with what is held of the key from an earlier proposal, else with a claim. `ballot` must be
-    /// new to this owner.
+    /// Starts with the ownership of an earlier proposal where that serves, else with a claim under `proposal_number`,
+    /// which must be new to this owner. Returns the proposal and the operation to send to every member. `now` is in
+    /// milliseconds.
     pub fn start(
         key: &str,
-        core: &CoreMembership,
-        held: Option<Ownership>,
-        ballot: ProposalNumber,
-        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
+        membership: &CoreMembership,
+        ownership: Option<Ownership>,
+        proposal_number: ProposalNumber,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> (Proposal<T>, ConsensusOperation) {
-        let held = held.filter(|owner| owner.membership_version == core.version);
-        if let Some(ownership) = held {
-            // An answer without a write would rest on a read of some time ago: another may own the key by now.
-            if let Decision::Write(body, answer) = judge(&ownership.entry.body) {
-                let (round, ask) = Round::change(key, core.clone(), &ownership, body, now);
-                return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, ask);
+        let ownership = ownership.filter(|ownership| ownership.membership_version == membership.version);
+        if let Some(ownership) = ownership {
+            // An answer without a write would rest on an earlier read: another may own the key by now.
+            if let Decision::Write(body, answer) = decide(&ownership.entry.body) {
+                let (round, operation) = Round::change(key, membership.clone(), &ownership, body, now);
+                return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, operation);
             }
         }
-        let (round, ask) = Round::claim(key, core.clone(), ballot, now);
-        (Proposal { key: key.into(), round, stage: Stage::Claiming }, ask)
+        let (round, operation) = Round::claim(key, membership.clone(), proposal_number, now);
+        (Proposal { key: key.into(), round, stage: Stage::Claiming }, operation)
     }
 
+    /// Returns the membership whose quorums the proposal counts.
     pub fn membership(&self) -> &CoreMembership {
         self.round.membership()
     }
 
-    /// Is the present round over without an outcome?
+    /// Returns whether the present round has run out of time without an outcome. `now` is in milliseconds.
     pub fn is_expired(&self, now: u64) -> bool {
         self.round.is_expired(now)
     }
 
-    /// Takes one vote on the present poll.
+    /// Handles a response to the present operation from the member at this address. `now` is in milliseconds.
     pub fn handle_response(
         &mut self,
         from: &str,
-        vote: ConsensusResponse,
-        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
+        response: ConsensusResponse,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
+        now: u64,
+    ) -> Progress<T> {
+        match self.round.handle_response(from, response, now) {
+            RoundProgress::Wait => Progress::Wait,
+            RoundProgress::Send(operation) => Progress::Send(operation),
+            RoundProgress::Superseded(proposal_number) => Progress::Superseded(proposal_number),
+            RoundProgress::NewerMembership(membership) => Progress::NewerMembership(membership),
+            RoundProgress::Chosen(ownership) => self.finish_round(ownership, decide, now),
+        }
+    }
+
+    fn finish_round(
+        &mut self,
+        ownership: Ownership,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
         now: u64,
     ) -> Progress<T> {
-        let ownership = match self.round.handle_response(from, vote, now) {
-            RoundProgress::Wait => return Progress::Wait,
-            RoundProgress::Send(ask) => return Progress::Send(ask),
-            RoundProgress::Superseded(ballot) => return Progress::Superseded(ballot),
-            RoundProgress::NewerMembership(core) => return Progress::NewerMembership(core),
-            RoundProgress::Chosen(ownership) => ownership,
-        };
         if let Stage::Writing(answer) = mem::replace(&mut self.stage, Stage::Claiming) {
             return Progress::Finished { answer, ownership, written: true };
         }
-        match judge(&ownership.entry.body) {
+        match decide(&ownership.entry.body) {
             Decision::Answer(answer) => Progress::Finished { answer, ownership, written: false },
             Decision::Write(body, answer) => {
-                let (round, ask) = Round::change(&self.key, self.round.membership().clone(), &ownership, body, now);
+                let membership = self.round.membership().clone();
+                let (round, operation) = Round::change(&self.key, membership, &ownership, body, now);
                 self.round = round;
                 self.stage = Stage::Writing(answer);
-                Progress::Send(ask)
+                Progress::Send(operation)
             }
         }
     }
 }
 
 #[cfg(test)]
-#[path = "proposal_tests.rs"]
+#[path = "testing/unit/proposal_tests.rs"]
 mod tests;
--- /dev/null
+++ b/consensus/src/testing/model/voting.rs
@@ -0,0 +1,184 @@
+//! Requests that reach acceptors, in time or late.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+
+use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, Entry, ProposalNumber};
+
+use super::action::{Action, Successor};
+use super::proposing::proposal_number;
+use super::scenario::Defect;
+use super::shared::Shared;
+use super::state::State;
+use super::violation::Violation;
+use super::Model;
+use crate::acceptor::Acceptor;
+
+/// An acceptor after a request, and its response.
+#[derive(Clone)]
+pub struct Answer {
+    pub acceptor: Shared<Acceptor>,
+    pub response: Shared<ConsensusResponse>,
+}
+
+/// What identifies an answer: the machine, and the fingerprints of the acceptor and of the request.
+#[derive(PartialEq, Eq, Hash)]
+pub struct AnswerKey {
+    machine: usize,
+    acceptor: u64,
+    request: u64,
+}
+
+/// What each acceptor answered to each request.
+pub type AnswerCache = RefCell<HashMap<AnswerKey, Answer>>;
+
+impl Model {
+    /// Lets an acceptor answer a request. Both the acceptor and what a restart would find on its disk are as returned.
+    pub fn respond(
+        &self,
+        machine: usize,
+        acceptor: &Shared<Acceptor>,
+        request: &Shared<ConsensusRequest>,
+    ) -> Result<Answer, Violation> {
+        let key = AnswerKey { machine, acceptor: acceptor.fingerprint(), request: request.fingerprint() };
+        if let Some(known) = self.answers.borrow().get(&key) {
+            return Ok(known.clone());
+        }
+        let (after, response) = self.answer(machine, acceptor, request)?;
+        let after = if after == **acceptor { acceptor.clone() } else { Shared::new(after) };
+        let answer = Answer { acceptor: after, response: Shared::new(response) };
+        self.answers.borrow_mut().insert(key, answer.clone());
+        Ok(answer)
+    }
+
+    fn answer(
+        &self,
+        machine: usize,
+        acceptor: &Acceptor,
+        request: &ConsensusRequest,
+    ) -> Result<(Acceptor, ConsensusResponse), Violation> {
+        let mut after = Acceptor { ip: self.addresses[machine].clone(), ..acceptor.clone() };
+        let accepts_old = self.has(Defect::OldProposalAccepted);
+        if accepts_old {
+            forget_prepared(&mut after, &request.operation);
+        }
+        let (response, records) = after.handle(request.clone());
+        if accepts_old && matches!(response, ConsensusResponse::Rejected { .. }) {
+            return Ok((acceptor.clone(), response));
+        }
+        after.ip.clear();
+        let mut restarted = acceptor.clone();
+        if !self.has(Defect::ResponseBeforeSync) {
+            records.into_iter().for_each(|record| restarted.replay(record));
+        }
+        if restarted != after {
+            return Err(Violation::NotSynced);
+        }
+        if !accepts_old {
+            check_only_increases(acceptor, &after)?;
+        }
+        Ok((after, response))
+    }
+
+    /// Adds the deliveries of requests, in time or late.
+    pub fn deliver_requests(&self, state: &State, list: &mut Vec<Successor>) {
+        for proposer in 0..state.proposers.len() {
+            self.deliver(state, proposer, list);
+        }
+        for request in state.late.iter() {
+            self.deliver_late(state, request, list);
+        }
+    }
+
+    /// The present request of a proposer reaches one of the members.
+    fn deliver(&self, state: &State, proposer: usize, list: &mut Vec<Successor>) {
+        let Some(task) = &state.proposers[proposer].task else { return };
+        for machine in self.membership_facts(&task.request.membership).members.iter() {
+            let action = Action::Deliver { proposer, machine };
+            let Answer { acceptor, response } =
+                match self.respond(machine, &state.replicas[machine].acceptor, &task.request) {
+                    Ok(answer) => answer,
+                    Err(violation) => {
+                        list.push(Successor { action, outcome: Err(violation) });
+                        continue;
+                    }
+                };
+            let mut next = state.clone();
+            let changed = next.put_acceptor(machine, acceptor);
+            match &*response {
+                // The first response counts; responses to a duplicated request are dropped.
+                ConsensusResponse::Prepared { .. } | ConsensusResponse::Accepted
+                    if !task.responses.contains_key(&machine) =>
+                {
+                    next.edit_task(proposer, |task| drop(task.responses.insert(machine, response)));
+                    list.push(Successor { action, outcome: Ok(next) });
+                }
+                // A rejection under the own proposal number answers a request that came twice.
+                ConsensusResponse::Rejected { prepared }
+                    if Some(*prepared) <= proposal_number(&task.request.operation) => {}
+                ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
+                    let outcome = self.count_responses(next, proposer, &[(machine, response)]);
+                    list.push(Successor { action: Action::Reject { proposer, machine }, outcome });
+                }
+                _ if changed => list.push(Successor { action, outcome: Ok(next) }),
+                _ => {}
+            }
+        }
+    }
+
+    fn deliver_late(&self, state: &State, request: &Shared<ConsensusRequest>, list: &mut Vec<Successor>) {
+        let ConsensusOperation::Accept { entry, .. } = &request.operation else { return };
+        for machine in self.membership_facts(&request.membership).members.iter() {
+            let action = Action::DeliverLate { position: entry.position(), machine };
+            match self.respond(machine, &state.replicas[machine].acceptor, request) {
+                Err(violation) => list.push(Successor { action, outcome: Err(violation) }),
+                Ok(answer) if answer.acceptor == state.replicas[machine].acceptor => {}
+                Ok(answer) => {
+                    let mut next = state.clone();
+                    next.put_acceptor(machine, answer.acceptor);
+                    list.push(Successor { action, outcome: Ok(next) });
+                }
+            }
+        }
+    }
+}
+
+impl State {
+    /// Gives a replica its acceptor after a request. False: nothing changed.
+    pub fn put_acceptor(&mut self, machine: usize, acceptor: Shared<Acceptor>) -> bool {
+        let replica = &mut self.replicas[machine];
+        if replica.acceptor == acceptor {
+            return false;
+        }
+        replica.edit(|replica| {
+            // What was read answers for the quorums of another membership.
+            if replica.acceptor.membership.version != acceptor.membership.version {
+                replica.reads.clear();
+            }
+            replica.acceptor = acceptor;
+        });
+        true
+    }
+}
+
+fn forget_prepared(acceptor: &mut Acceptor, requested: &ConsensusOperation) {
+    let ConsensusOperation::Accept { key, .. } = requested else { return };
+    if let Some(register) = acceptor.registers.get_mut(key) {
+        register.prepared = ProposalNumber::default();
+    }
+}
+
+/// Prepared numbers and positions of entries never decrease, and no entry is above what is prepared.
+fn check_only_increases(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
+    for (key, register) in &after.registers {
+        let position = register.entry.as_ref().map(Entry::position);
+        let above = register.entry.as_ref().is_some_and(|entry| entry.proposal_number > register.prepared);
+        let back = before.registers.get(key).is_some_and(|held| {
+            held.prepared > register.prepared || held.entry.as_ref().map(Entry::position) > position
+        });
+        if above || back {
+            return Err(Violation::Regressed);
+        }
+    }
+    Ok(())
+}
