--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -1,73 +1,103 @@
-//! One job under way: begun on a majority, sent once, and its outcome written.
+//! One attempt of a job: started on a majority, sent once, and its outcome written.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::{state_after, AttemptOutcome, Dispatch, JobState, JOBS_PER_PAGE};
+use batch::{state_after, AttemptOutcome, Batch, Dispatch, Job, JobPage, JobState, PageError, JOBS_PER_PAGE};
 use kernel::clock;
 use reqwest::Client;
 use tokio::time;
 
-use crate::batches::runner::{self, InFlight, Shared, LOOK_MS};
+use crate::batches::runner::{self, InFlight, JobId, PageChange, SharedInFlight, POLL_INTERVAL_MS};
 use crate::batches::{job_request, records};
 use crate::controller::Controller;
 use crate::event::JOB;
 
-/// A job never gets longer than this for one attempt, whatever its route says.
-const ATTEMPT_MS: u64 = 120_000;
+/// The longest time for one attempt, whatever the route allows.
+const MAX_ATTEMPT_MS: u64 = 120_000;
 
-pub async fn run(controller: Arc<Controller>, client: Client, in_flight: Shared, send: Dispatch, epoch: u64) {
-    attempt(&controller, &client, &in_flight, &send, epoch).await;
-    in_flight.lock().jobs.remove(&(send.batch_id.clone(), send.job));
+/// One attempt of one job, under the epoch in which this controller owns the batches.
+pub struct JobAttempt {
+    /// The controller that sends the job.
+    pub controller: Arc<Controller>,
+    /// The client that it is sent with.
+    pub client: Client,
+    /// The jobs in flight; this one is among them until the attempt has ended.
+    pub in_flight: SharedInFlight,
+    /// Which job it is.
+    pub dispatch: Dispatch,
+    /// The epoch of the owner of the batches.
+    pub epoch: u64,
 }
 
-async fn attempt(
-    controller: &Arc<Controller>,
-    client: &Client,
-    in_flight: &Shared,
-    send: &Dispatch,
-    epoch: u64,
-) -> Option<()> {
-    let (id, at) = (send.batch_id.as_str(), send.job);
-    let batch = controller.committed.read(|state| records::batch(state, id))?;
-    let job = batch.jobs.get(at)?;
-    let (number, slot) = (at / JOBS_PER_PAGE, at % JOBS_PER_PAGE);
-    let router = controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
-    let begun = runner::change(controller, id, &batch, number, |page| page.start(slot, epoch)).await;
-    if begun == Some(false) {
-        return None;
+impl JobAttempt {
+    /// Makes the attempt.
+    pub async fn run(self) {
+        self.attempt().await;
+        self.in_flight.lock().jobs.remove(&JobId::of(&self.dispatch));
     }
-    // Not durable, or no longer the owner at the moment of the send: it is not sent.
-    let owner = runner::acting_epoch(controller, clock::now()) == Some(epoch);
-    let outcome = match begun.is_some() && owner {
-        true => job_request::send(client, &router, job, send.urgency, batch.remaining_ms().min(ATTEMPT_MS)).await,
-        false => AttemptOutcome::NotExecuted { retry_after_ms: None },
-    };
-    let state = in_flight.lock().note(send, outcome, job.repeatable);
-    if state.is_final() {
-        kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.as_str());
+
+    async fn attempt(&self) -> Option<()> {
+        let (id, at) = (self.dispatch.batch_id.as_str(), self.dispatch.job);
+        let batch = self.controller.committed.read(|state| records::batch(state, id))?;
+        let job = batch.jobs.get(at)?;
+        let router = self.controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
+        let started = self.change_page(&batch, |page, slot| page.start(slot, self.epoch)).await;
+        if started == PageChange::Rejected {
+            return None;
+        }
+        let outcome = self.send(&batch, job, &router, started).await;
+        let state = self.in_flight.lock().record(&self.dispatch, outcome, job.repeatable);
+        if state.is_final() {
+            kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.as_str());
+        }
+        self.write_outcome(&batch, &state).await;
+        Some(())
+    }
+
+    /// Sends the job, unless its start is not durable or this controller has ceased to be the owner.
+    async fn send(&self, batch: &Batch, job: &Job, router: &str, started: PageChange) -> AttemptOutcome {
+        let is_owner = runner::acting_epoch(&self.controller, clock::now()) == Some(self.epoch);
+        if started != PageChange::Committed || !is_owner {
+            return AttemptOutcome::NotExecuted { retry_after_ms: None };
+        }
+        let remaining_ms = batch.remaining_ms().min(MAX_ATTEMPT_MS);
+        job_request::send(&self.client, router, job, self.dispatch.urgency, remaining_ms).await
     }
-    // Until it is written or another owner holds the page: an answer in hand is not thrown away.
-    while runner::change(controller, id, &batch, number, |page| page.finish(slot, epoch, state.clone())).await.is_none()
-    {
-        time::sleep(Duration::from_millis(LOOK_MS)).await;
+
+    /// Tries until the outcome is written or another owner has claimed the page: a response that came is not thrown
+    /// away.
+    async fn write_outcome(&self, batch: &Batch, state: &JobState) {
+        let finish = |page: &mut JobPage, slot| page.finish(slot, self.epoch, state.clone());
+        while self.change_page(batch, finish).await == PageChange::OutcomeUnknown {
+            time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
+        }
+    }
+
+    /// Changes the page with this job. `change` gets the page and where the job stands in it.
+    async fn change_page(
+        &self,
+        batch: &Batch,
+        change: impl Fn(&mut JobPage, usize) -> Result<(), PageError>,
+    ) -> PageChange {
+        let (number, slot) = (self.dispatch.job / JOBS_PER_PAGE, self.dispatch.job % JOBS_PER_PAGE);
+        runner::change_page(&self.controller, &self.dispatch.batch_id, batch, number, |page| change(page, slot)).await
     }
-    Some(())
 }
 
 impl InFlight {
-    /// Counts what came of an attempt; gives the job's state after it.
-    fn note(&mut self, send: &Dispatch, outcome: AttemptOutcome, repeatable: bool) -> JobState {
-        let mut lost = 0;
+    /// Records the outcome of an attempt, and returns the state of the job after it.
+    fn record(&mut self, dispatch: &Dispatch, outcome: AttemptOutcome, repeatable: bool) -> JobState {
+        let mut unknown_count = 0;
         match &outcome {
-            AttemptOutcome::Completed { .. } => self.pace.on_success(),
-            AttemptOutcome::NotExecuted { retry_after_ms } => self.pace.on_rejection(*retry_after_ms, clock::now()),
+            AttemptOutcome::Completed { .. } => self.limit.on_success(),
+            AttemptOutcome::NotExecuted { retry_after_ms } => self.limit.on_rejection(*retry_after_ms, clock::now()),
             AttemptOutcome::Unknown => {
-                let count = self.lost.entry((send.batch_id.clone(), send.job)).or_default();
+                let count = self.unknown_outcomes.entry(JobId::of(dispatch)).or_default();
                 *count += 1;
-                lost = *count;
+                unknown_count = *count;
             }
         }
-        state_after(outcome, repeatable, lost)
+        state_after(outcome, repeatable, unknown_count)
     }
 }
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -1,39 +1,39 @@
 //! What the keys of the control state hold, and how it is read from what was committed.
 
 use std::collections::BTreeMap;
-use std::mem;
 use std::sync::Arc;
+use std::{fmt, mem};
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{ConfigDocument, ConfigError};
-use protocol::message::{Entry, Message, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
+use protocol::message::{Entry, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::version_rollout::{VersionRollout, KEY};
+use rkyv::{Archive, Deserialize, Serialize};
 
-use crate::config::body::Held;
-use crate::config::history::{ConfigHistory, NotNewer};
-use crate::controller::{Controller, SURE_MS};
-use crate::event::{LEARNED, UNREADABLE};
+use crate::config::body::StoredConfig;
+use crate::config::history::{ConfigHistory, RevisionNotNewer};
+use crate::controller::CONFIRMATION_TTL_MS;
 
-#[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Closed {
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct EvacuationRecord {
     pub version: u64,
-    pub on: bool,
+    pub evacuated: bool,
 }
 
-#[derive(Clone, Debug, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Duty {
+#[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
+pub struct RoleState {
     pub epoch: u64,
-    pub holder: String,
+    pub owner: String,
     /// The holder has waited out whoever held it before, and said so before its first act.
-    pub clear: bool,
+    pub predecessor_expired: bool,
 }
 
-pub const CONFIG: &str = "config";
-pub const CLOSED: &str = "evacuation/";
-pub const DUTY: &str = "duty/";
+pub const CONFIG_KEY: &str = "config";
+pub const EVACUATION_PREFIX: &str = "evacuation/";
+pub const ROLE_PREFIX: &str = "duty/";
 
-kernel::impl_archive_bytes!(Closed);
-kernel::impl_archive_bytes!(Duty);
+kernel::impl_archive_bytes!(EvacuationRecord);
+kernel::impl_archive_bytes!(RoleState);
 
 pub use consensus::{decode_membership as read_core, encode_membership as write_core};
 
@@ -52,8 +52,8 @@
     };
 }
 
-open!(Closed);
-open!(Duty);
+open!(EvacuationRecord);
+open!(RoleState);
 
 /// Why a committed entry cannot be taken for what a key holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,64 +63,23 @@
     Text(ConfigError),
     /// The body tells another revision than its text.
     Revision {
-        told: u64,
+        declared: u64,
         found: u64,
     },
     /// It would lead back from what is known.
-    NotNewer(NotNewer),
+    NotNewer(RevisionNotNewer),
 }
 
-impl std::fmt::Display for Unreadable {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for Unreadable {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Unreadable::Body => out.write_str("a body of an unknown form"),
             Unreadable::Text(error) => error.fmt(out),
-            Unreadable::Revision { told, found } => write!(out, "revision: told {told}, found {found}"),
-            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.held),
-        }
-    }
-}
-
-impl Controller {
-    /// A committed entry becomes known here; with `tell` also to the other controllers. Followers get
-    /// what is new to them at once.
-    pub fn learn(&self, key: &str, entry: &Entry, tell: bool) {
-        let is_news = self.learn_read(key, entry, None);
-        if is_news && tell {
-            self.notify_peers(&Message::Committed(Box::new((key.into(), entry.clone()))));
-        }
-    }
-
-    /// The same for a configuration that was read already.
-    pub fn learn_config(&self, entry: &Entry, read: Arc<ConfigDocument>) {
-        self.learn_read(CONFIG, entry, Some(read));
-    }
-
-    /// False: it, or a newer one, was known.
-    fn learn_read(&self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> bool {
-        let learned = self.committed.learn(key, entry, read);
-        match learned {
-            Learned::Known => return false,
-            Learned::Unreadable { error, first } => {
-                if first {
-                    kernel::log_event!(UNREADABLE, "key" => key, "turn" => entry.proposal_number.term,
-                        "step" => entry.index, "error" => error.to_string());
-                }
-                return true;
-            }
-            Learned::Again => {}
-            Learned::New { revision } => {
-                kernel::log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
-                    "step" => entry.index);
-            }
-        }
-        if key == MEMBERSHIP_KEY {
-            if let Some(core) = read_core(&entry.body) {
-                self.replica.adopt_membership(&core);
+            Unreadable::Revision { declared, found } => {
+                write!(out, "revision: {declared} in the record, {found} in the text")
             }
+            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.current),
         }
-        self.push();
-        true
     }
 }
 
@@ -128,13 +87,13 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Learned {
     /// It, or a newer one, was known.
-    Known,
+    AlreadyKnown,
     /// The same body, committed again.
-    Again,
+    Recommitted,
     New {
         revision: u64,
     },
-    /// It is not known here: what the key held before is, and its place stays behind. `first`: not told before.
+    /// It is not known here: what the key held before is, and its position stays behind. `first`: not reported before.
     Unreadable {
         error: Unreadable,
         first: bool,
@@ -146,40 +105,40 @@
 pub struct CommittedState {
     pub entries: BTreeMap<String, Entry>,
     /// When the read began that last confirmed these at a majority; None before the first.
-    pub sure: Option<u64>,
+    pub confirmed_at: Option<u64>,
     /// The highest turn seen in any ballot.
-    pub turn: u64,
+    pub highest_term: u64,
     /// The configuration in the entry of its key, as a value and as routers take it.
     pub history: ConfigHistory,
     /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
     pub unreadable: Option<Position>,
     /// The evacuations with their versions.
-    pub closed: BTreeMap<String, (u64, bool)>,
+    pub evacuations: BTreeMap<String, EvacuationRecord>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
-    pub rules: BTreeMap<String, StalenessLimit>,
+    pub staleness_limits: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
-    pub rollouts: BTreeMap<String, VersionRollout>,
+    pub version_rollouts: BTreeMap<String, VersionRollout>,
     /// By key: epoch, holder, and whether it has waited.
-    pub duties: BTreeMap<String, (u64, String, bool)>,
+    pub roles: BTreeMap<String, RoleState>,
 }
 
 impl CommittedState {
     /// Returns whether the last confirmation still counts.
     pub fn is_confirmed(&self, now: u64) -> bool {
-        self.sure.is_some_and(|time| now < time + SURE_MS)
+        self.confirmed_at.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
     /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
     pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
-        self.turn = self.turn.max(entry.proposal_number.term);
+        self.highest_term = self.highest_term.max(entry.proposal_number.term);
         let held = self.entries.get(key);
         if held.is_some_and(|held| held.position() >= entry.position()) {
-            return Learned::Known;
+            return Learned::AlreadyKnown;
         }
         let same = held.is_some_and(|held| held.body == entry.body);
         if !same {
-            if let Err(error) = self.fold(key, &entry.body, read) {
+            if let Err(error) = self.apply(key, &entry.body, read) {
                 let place = Some(entry.position());
                 let first = mem::replace(&mut self.unreadable, place) != place;
                 return Learned::Unreadable { error, first };
@@ -187,30 +146,30 @@
         }
         self.entries.insert(key.into(), entry.clone());
         match same {
-            true => Learned::Again,
+            true => Learned::Recommitted,
             false => Learned::New { revision: self.history.revision() },
         }
     }
 
-    fn fold(&mut self, key: &str, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
-        if key == CONFIG {
-            return self.fold_config(body, read);
+    fn apply(&mut self, key: &str, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
+        if key == CONFIG_KEY {
+            return self.apply_config(body, read);
         }
-        if let Some(zone) = key.strip_prefix(CLOSED) {
-            let closed = Closed::open(body).ok_or(Unreadable::Body)?;
-            self.closed.insert(zone.into(), (closed.version, closed.on));
+        if let Some(zone) = key.strip_prefix(EVACUATION_PREFIX) {
+            let evacuation = EvacuationRecord::open(body).ok_or(Unreadable::Body)?;
+            self.evacuations.insert(zone.into(), evacuation);
         }
         if key.starts_with(STALENESS_LIMIT_PREFIX) && !body.is_empty() {
             let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
-            self.rules.insert(key.into(), rule);
+            self.staleness_limits.insert(key.into(), rule);
         }
         if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
             let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
-            self.rollouts.insert(service.into(), rollout);
+            self.version_rollouts.insert(service.into(), rollout);
         }
-        if key.starts_with(DUTY) {
-            let duty = Duty::open(body).ok_or(Unreadable::Body)?;
-            self.duties.insert(key.into(), (duty.epoch, duty.holder, duty.clear));
+        if key.starts_with(ROLE_PREFIX) {
+            let role = RoleState::open(body).ok_or(Unreadable::Body)?;
+            self.roles.insert(key.into(), role);
         }
         if key == MEMBERSHIP_KEY && !body.is_empty() {
             read_core(body).ok_or(Unreadable::Body)?;
@@ -218,7 +177,7 @@
         Ok(())
     }
 
-    fn fold_config(&mut self, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
+    fn apply_config(&mut self, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if body.is_empty() && self.history.revision() == 0 {
             return Ok(());
         }
@@ -232,11 +191,11 @@
 
 /// Reads a committed configuration.
 fn read_config(body: &[u8]) -> Result<ConfigDocument, Unreadable> {
-    let held = Held::open(body).ok_or(Unreadable::Body)?;
+    let held = StoredConfig::decode(body).ok_or(Unreadable::Body)?;
     let checked = ConfigDocument::parse_committed(&held.text).map_err(Unreadable::Text)?;
     match checked.revision() == held.revision {
         true => Ok(checked),
-        false => Err(Unreadable::Revision { told: held.revision, found: checked.revision() }),
+        false => Err(Unreadable::Revision { declared: held.revision, found: checked.revision() }),
     }
 }
 
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -4,10 +4,13 @@
 //! out that commit, put this file beside `state.rs`, attach it as it is attached here, and run
 //! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
 use super::CommittedState;
-use super::{read_config, read_core, write_core, Closed, Duty, Learned, CLOSED, CONFIG, DUTY};
+use super::{
+    read_config, read_core, write_core, EvacuationRecord, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX,
+    ROLE_PREFIX,
+};
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
-use crate::config::body::BodyForm::{self, Digested, Packed, Plain};
-use crate::config::body::{body_digest, Held, Memory, TakenChange};
+use crate::config::body::BodyFormat::{self, Compressed, Digested, Plain};
+use crate::config::body::{body_digest, ChangeStatus, CommittedChange, StoredConfig};
 use crate::roles::{BALANCE, BATCH, CATALOG};
 use batch::{batch_id, Batch, Job, JobPage, JobState};
 use consensus::MEMBERSHIP_KEY;
@@ -165,50 +168,61 @@
     vec![0x974b_9188_40f3_bd59, 0x6042_43a3_d2d3_12cf]
 }
 
-fn taken() -> Vec<TakenChange> {
+fn taken() -> Vec<CommittedChange> {
     vec![
-        TakenChange { base: 8, digest: 0x9bf8_2847_2e78_1c20_60e3_e1b1_e750_1211_u128.to_be_bytes() },
-        TakenChange { base: 9, digest: 0xcee6_9e3f_fe3f_3a78_4531_e136_86a9_ea9b_u128.to_be_bytes() },
+        CommittedChange { base: 8, digest: 0x9bf8_2847_2e78_1c20_60e3_e1b1_e750_1211_u128.to_be_bytes() },
+        CommittedChange { base: 9, digest: 0xcee6_9e3f_fe3f_3a78_4531_e136_86a9_ea9b_u128.to_be_bytes() },
     ]
 }
 
 /// A body of the key `config`: its file, the form in which it was asked for, the form that it has, and what it holds.
 struct ConfigBody {
     file: &'static str,
-    asked: BodyForm,
-    form: BodyForm,
-    held: Held,
+    asked: BodyFormat,
+    form: BodyFormat,
+    held: StoredConfig,
 }
 
 fn config_bodies() -> Vec<ConfigBody> {
     let body = |file, asked, form, held| ConfigBody { file, asked, form, held };
-    let short = Held { revision: 8, text: SHORT_TEXT.into(), taken: Vec::new(), earlier: earlier() };
-    let long = Held { revision: 8, text: long_text(8), taken: Vec::new(), earlier: earlier() };
-    let tenants = Held { revision: 12, text: TENANTS_TEXT.into(), taken: taken(), earlier: earlier() };
-    let long_digested = Held { revision: 12, text: long_text(12), taken: taken(), earlier: Vec::new() };
+    let short = StoredConfig { revision: 8, text: SHORT_TEXT.into(), changes: Vec::new(), legacy_changes: earlier() };
+    let long = StoredConfig { revision: 8, text: long_text(8), changes: Vec::new(), legacy_changes: earlier() };
+    let tenants = StoredConfig { revision: 12, text: TENANTS_TEXT.into(), changes: taken(), legacy_changes: earlier() };
+    let long_digested =
+        StoredConfig { revision: 12, text: long_text(12), changes: taken(), legacy_changes: Vec::new() };
     vec![
         body("config-body-5-plain-short.bin", Plain, Plain, short.clone()),
         body("config-body-5-plain-long.bin", Plain, Plain, long.clone()),
-        body("config-body-5-plain-tenants.bin", Plain, Plain, Held { taken: Vec::new(), ..tenants.clone() }),
-        body("config-body-5-plain-no-changes.bin", Plain, Plain, Held { earlier: Vec::new(), ..short.clone() }),
+        body("config-body-5-plain-tenants.bin", Plain, Plain, StoredConfig { changes: Vec::new(), ..tenants.clone() }),
+        body(
+            "config-body-5-plain-no-changes.bin",
+            Plain,
+            Plain,
+            StoredConfig { legacy_changes: Vec::new(), ..short.clone() },
+        ),
         // What is short stays plain.
-        body("config-body-5-packed-short.bin", Packed, Plain, short.clone()),
-        body("config-body-5-packed-long.bin", Packed, Packed, long),
+        body("config-body-5-packed-short.bin", Compressed, Plain, short.clone()),
+        body("config-body-5-packed-long.bin", Compressed, Compressed, long),
         body("config-body-5-digested-short.bin", Digested, Digested, short.clone()),
         body("config-body-5-digested-long.bin", Digested, Digested, long_digested),
         body("config-body-5-digested-tenants.bin", Digested, Digested, tenants.clone()),
-        body("config-body-5-digested-no-changes.bin", Digested, Digested, Held { earlier: Vec::new(), ..short }),
+        body(
+            "config-body-5-digested-no-changes.bin",
+            Digested,
+            Digested,
+            StoredConfig { legacy_changes: Vec::new(), ..short },
+        ),
         // Digests of the second version have no room in the earlier forms.
         body("config-body-5-plain-with-digests.bin", Plain, Digested, tenants),
     ]
 }
 
-fn closed() -> Closed {
-    Closed { version: 4, on: true }
+fn evacuation() -> EvacuationRecord {
+    EvacuationRecord { version: 4, evacuated: true }
 }
 
-fn duty() -> Duty {
-    Duty { epoch: 19, holder: "10.0.0.2-with-a-long-name".into(), clear: true }
+fn role() -> RoleState {
+    RoleState { epoch: 19, owner: "10.0.0.2-with-a-long-name".into(), predecessor_expired: true }
 }
 
 fn rule() -> StalenessLimit {
@@ -325,8 +339,8 @@
 /// The bodies of all keys but `config`, as the present code writes them.
 fn control_bodies() -> [(&'static str, Vec<u8>); 10] {
     [
-        ("control-5-closed.bin", closed().to_bytes()),
-        ("control-5-duty.bin", duty().to_bytes()),
+        ("control-5-closed.bin", evacuation().to_bytes()),
+        ("control-5-duty.bin", role().to_bytes()),
         ("control-5-rule.bin", rule().to_bytes()),
         ("control-5-rollout-active.bin", active_rollout().to_bytes()),
         ("control-5-rollout-complete.bin", complete_rollout().to_bytes()),
@@ -364,7 +378,7 @@
 #[ignore = "writes the fixtures of version 5"]
 fn write_fixtures() {
     for ConfigBody { file, asked, held, .. } in config_bodies() {
-        fs::write(path(file), held.seal(asked)).expect("written");
+        fs::write(path(file), held.encode(asked)).expect("written");
     }
     for (file, body) in control_bodies() {
         fs::write(path(file), body).expect("written");
@@ -375,15 +389,15 @@
 fn configurations_of_version_5_are_read_in_every_form() {
     for ConfigBody { file, form, held, .. } in config_bodies() {
         let body = fixture(file);
-        assert_eq!(BodyForm::of(&body), form, "{file}");
-        assert_eq!(Held::open(&body).as_ref(), Some(&held), "{file}");
+        assert_eq!(BodyFormat::of(&body), form, "{file}");
+        assert_eq!(StoredConfig::decode(&body).as_ref(), Some(&held), "{file}");
     }
 }
 
 #[test]
 fn configurations_of_version_5_are_written_to_the_byte() {
     for ConfigBody { file, asked, held, .. } in config_bodies() {
-        assert!(held.seal(asked) == fixture(file), "{file} differs from that of version 5");
+        assert!(held.encode(asked) == fixture(file), "{file} differs from that of version 5");
     }
 }
 
@@ -391,7 +405,7 @@
 fn configurations_of_version_5_are_in_force() {
     for ConfigBody { file, held, .. } in config_bodies() {
         let mut state = CommittedState::default();
-        let learned = state.learn(CONFIG, &entry(fixture(file)), None);
+        let learned = state.learn(CONFIG_KEY, &entry(fixture(file)), None);
         assert_eq!(learned, Learned::New { revision: held.revision }, "{file}");
         let current = state.history.current().expect("a configuration");
         assert_eq!((current.text(), current.revision()), (held.text.as_str(), held.revision), "{file}");
@@ -417,19 +431,19 @@
 #[test]
 fn changes_that_version_5_took_are_known() {
     for ConfigBody { file, held, .. } in config_bodies() {
-        let read = Held::open(&fixture(file)).expect("read");
-        let memory = |is_there: bool| if is_there { Memory::Taken } else { Memory::NotTaken };
+        let read = StoredConfig::decode(&fixture(file)).expect("read");
+        let memory = |is_there: bool| if is_there { ChangeStatus::Committed } else { ChangeStatus::NotCommitted };
         for change in earlier_changes() {
-            assert_eq!(read.recall(&change), memory(!held.earlier.is_empty()), "{file}: {change:?}");
+            assert_eq!(read.status_of(&change), memory(!held.legacy_changes.is_empty()), "{file}: {change:?}");
         }
         for change in taken_changes() {
-            assert_eq!(read.recall(&change), memory(!held.taken.is_empty()), "{file}: {change:?}");
+            assert_eq!(read.status_of(&change), memory(!held.changes.is_empty()), "{file}: {change:?}");
         }
     }
-    let mut remembered = Held::default();
-    earlier_changes().iter().for_each(|change| remembered.remember(change, Packed));
+    let mut remembered = StoredConfig::default();
+    earlier_changes().iter().for_each(|change| remembered.remember(change, Compressed));
     taken_changes().iter().for_each(|change| remembered.remember(change, Digested));
-    assert_eq!((remembered.earlier, remembered.taken), (earlier(), taken()));
+    assert_eq!((remembered.legacy_changes, remembered.changes), (earlier(), taken()));
 }
 
 /// Keepers tell bodies apart by these, worked out by another program: a keeper of another version finds the same.
@@ -454,20 +468,22 @@
 
 #[test]
 fn evacuations_and_duties_of_version_5_are_read() {
-    let Closed { version, on } = Closed::open(&fixture("control-5-closed.bin")).expect("read");
-    assert_eq!((version, on), (4, true));
-    let Duty { epoch, holder, clear } = Duty::open(&fixture("control-5-duty.bin")).expect("read");
-    assert_eq!((epoch, holder.as_str(), clear), (19, "10.0.0.2-with-a-long-name", true));
+    let EvacuationRecord { version, evacuated } =
+        EvacuationRecord::open(&fixture("control-5-closed.bin")).expect("read");
+    assert_eq!((version, evacuated), (4, true));
+    let RoleState { epoch, owner, predecessor_expired } =
+        RoleState::open(&fixture("control-5-duty.bin")).expect("read");
+    assert_eq!((epoch, owner.as_str(), predecessor_expired), (19, "10.0.0.2-with-a-long-name", true));
     let state = learned(&[("evacuation/zone-a", "control-5-closed.bin"), ("duty/catalog", "control-5-duty.bin")]);
-    assert_eq!(state.closed.get("zone-a"), Some(&(4, true)));
-    assert_eq!(state.duties.get("duty/catalog"), Some(&(19, "10.0.0.2-with-a-long-name".into(), true)));
+    assert_eq!(state.evacuations.get("zone-a"), Some(&evacuation()));
+    assert_eq!(state.roles.get("duty/catalog"), Some(&role()));
 }
 
 #[test]
 fn limits_on_stale_weights_of_version_5_are_read() {
     assert_eq!(StalenessLimit::from_bytes(&fixture("control-5-rule.bin")), Some(rule()));
     let state = learned(&[("rollout/chat/m-1", "control-5-rule.bin")]);
-    assert_eq!(state.rules.get("rollout/chat/m-1"), Some(&rule()));
+    assert_eq!(state.staleness_limits.get("rollout/chat/m-1"), Some(&rule()));
 }
 
 #[test]
@@ -479,7 +495,7 @@
     ];
     for (file, rollout) in rollouts {
         assert_eq!(VersionRollout::from_bytes(&fixture(file)).as_ref(), Some(&rollout), "{file}");
-        assert_eq!(learned(&[("versions/chat", file)]).rollouts.get("chat"), Some(&rollout), "{file}");
+        assert_eq!(learned(&[("versions/chat", file)]).version_rollouts.get("chat"), Some(&rollout), "{file}");
     }
 }
 
@@ -507,7 +523,7 @@
 /// What version 5 committed is found under these.
 #[test]
 fn the_keys_of_the_control_state_stay_what_they_are() {
-    assert_eq!((CONFIG, CLOSED, DUTY), ("config", "evacuation/", "duty/"));
+    assert_eq!((CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX), ("config", "evacuation/", "duty/"));
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
     assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
     // Of the batch with the idempotency key `key-1`, worked out by another program.
--- a/controller/src/roles_tests.rs
+++ b/controller/src/roles_tests.rs
@@ -1,10 +1,10 @@
 use protocol::message::{self, VersionEntry};
 
-use super::heard;
+use super::parse_gossip_markers;
 
 #[test]
 fn peers_hear_who_is_sure_and_who_is_vouched_for() {
-    let told = |sure: u64| {
+    let markers = |sure: u64| {
         vec![
             VersionEntry::new("zone-a", 7, 1),
             message::own_protocol_version(),
@@ -12,8 +12,8 @@
             VersionEntry::new("\0vouch 10.0.0.2", 1, 0),
         ]
     };
-    assert_eq!(heard(&told(1)), (true, vec!["10.0.0.2".to_string()]));
-    assert_eq!(heard(&told(0)), (false, vec!["10.0.0.2".to_string()]));
-    assert_eq!(heard(&told(1)[..2]), (true, Vec::new()), "an earlier version tells nothing of it");
-    assert!(told(1)[2..].iter().all(|item| message::is_hidden_key(&item.name)), "never taken for a zone");
+    assert_eq!(parse_gossip_markers(&markers(1)), (true, vec!["10.0.0.2".to_string()]));
+    assert_eq!(parse_gossip_markers(&markers(0)), (false, vec!["10.0.0.2".to_string()]));
+    assert_eq!(parse_gossip_markers(&markers(1)[..2]), (true, Vec::new()), "an earlier version tells nothing of it");
+    assert!(markers(1)[2..].iter().all(|item| message::is_hidden_key(&item.name)), "never taken for a zone");
 }
--- a/quota/src/testing/mod.rs
+++ b/quota/src/testing/mod.rs
@@ -16,6 +16,11 @@
 mod network;
 mod traffic;
 
+use kernel::{hashing, Rng};
+use membership::MembershipView;
+
+use crate::{Allowances, Bounds, EligibleOwner, Quota, Shards};
+
 pub use measurements::LimitViolation;
 
 /// Length of one step.
