--- a/quota/src/testing/mod.rs
+++ b/quota/src/testing/mod.rs
@@ -4,11 +4,6 @@
 //! `Fleet` advances in steps of fixed length. In each step come first faults, then heartbeats, then what routers learn, then
 //! requests. All draws come from one seeded generator in this order, so that a seed gives the same run again.
 
-use kernel::{hashing, Rng};
-use membership::MembershipView;
-
-use crate::{Allowances, Bounds, EligibleOwner, Quota, Shards};
-
 mod faults;
 mod fleet_tests;
 mod heartbeats;
