--- a/protocol/src/capability.rs
+++ b/protocol/src/capability.rs
@@ -1,31 +1,31 @@
-//! What a daemon tells of itself beside the versions of its engine lists: which messages it reads, and that it
-//! is about to end. Daemons that know nothing of an entry pass it over.
+//! What a daemon says about itself beside the versions of its endpoint lists: which protocol version it reads, and that
+//! it is about to shut down. Daemons that do not know an entry ignore it.
 
 use crate::hidden_key::HiddenKey;
 use crate::version_entry::VersionEntry;
 
-/// The newest version of these messages. Daemons tell it beside the versions of their sheets, as the turn
-/// of the zone without a name, which no sheet has: those that know nothing of it pass it over.
+/// The newest version of the protocol that this program reads. Daemons send it as the term of
+/// [`HiddenKey::ProtocolVersion`].
 pub const PROTOCOL_VERSION: u64 = 5;
 
 /// The version of daemons that name none.
 const FIRST_PROTOCOL_VERSION: u64 = 1;
 
-/// Controllers from this version on count joint quorums while the core changes.
+/// Controllers from this version on require joint quorums while the members change.
 pub const JOINT_QUORUMS: u64 = 3;
-/// Controllers from this version on take orders that others relay, and changes in place of whole entries.
+/// Controllers from this version on accept operators' requests that others relay, and deltas in place of whole entries.
 pub const RELAYED_ORDERS: u64 = 3;
-/// Controllers from this version on read bodies of the configuration with cryptographic digests, and make a told change of
-/// named items to the letter as its committer did.
+/// Controllers from this version on read bodies of the configuration with cryptographic digests, and apply a patch to the
+/// same text as the controller that committed it.
 pub const DIGESTED_BODIES: u64 = 4;
-/// Controllers from this version on take `EvacuateFrom`.
+/// Controllers from this version on accept `EvacuateFrom`.
 pub const VERSIONED_EVACUATIONS: u64 = 4;
-/// Routers from this version on take `SubscriptionRenewed` as the answer to `SubscriptionRenewal`.
+/// Routers from this version on accept `SubscriptionRenewed` as the response to `SubscriptionRenewal`.
 pub const CONFIRMED_UPDATES: u64 = 4;
 /// Routers from this version on know tenants and their keys.
 pub const TENANTS: u64 = 4;
 
-/// Daemons from this version on know tenants' limits, and hold or ask for tokens of them.
+/// Daemons from this version on know tenants' limits, and own shards or ask for tokens of them.
 pub const QUOTAS: u64 = 5;
 
 /// Daemons from this version on know rollouts of versions of services.
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -7,7 +7,7 @@
 //! version of the protocol adds variants at the end of [`message::Message`], and sends them only to daemons that say that
 //! they read that version.
 
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 mod capability;
 pub mod config;
--- a/protocol/src/message/catalog.rs
+++ b/protocol/src/message/catalog.rs
@@ -2,39 +2,55 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
+/// Registers one engine as an owner of one prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Record {
+    /// The hash of the prefix.
     pub key: u64,
+    /// The id of the engine that holds its KV cache.
     pub engine: String,
 }
 
+/// Asks which engines hold the KV cache of a prompt's prefixes, and how loaded engines are.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixLookup {
+    /// The epoch of the catalog's owner that is asked.
     pub epoch: u64,
+    /// The hashes of the prefixes, shortest first.
     pub keys: Vec<u64>,
-    /// Engines by the hash of their id: a sample, however many there are.
+    /// A sample of engines whose load is asked for, by the hash of their id.
     pub sample: Vec<u64>,
 }
 
-/// What an engine last told anyone: the hash of its id, requests there, and how many ms ago.
+/// What an engine last reported to any router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineLoad {
+    /// The hash of the engine's id.
     pub engine_hash: u64,
+    /// Requests that run or wait there.
     pub load: u32,
+    /// How many milliseconds ago it reported this.
     pub age_ms: u32,
 }
 
+/// The response to a [`PrefixLookup`].
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixLookupResponse {
+    /// The epoch of the catalog's owner.
     pub epoch: u64,
+    /// For each key that was asked, the ids of the engines that hold it.
     pub owners: Vec<Vec<String>>,
-    /// Of the owners and of the sample, as far as known.
+    /// The loads of the owners and of the sample, as far as known.
     pub list: Vec<EngineLoad>,
 }
 
+/// Registers owners of prefixes, and reports the loads of engines.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixRegistration {
+    /// The epoch of the catalog's owner that is notified.
     pub epoch: u64,
+    /// Engines that hold a prefix now.
     pub owners: Vec<Record>,
+    /// What engines reported.
     pub loads: Vec<EngineLoad>,
 }
--- a/protocol/src/message/gossip.rs
+++ b/protocol/src/message/gossip.rs
@@ -4,25 +4,31 @@
 
 use super::{CoreMembership, VersionEntry};
 
+/// A heartbeat of one controller to another: who it is, whom it knows and what it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Gossip {
+    /// The sender's address.
     pub ip: String,
+    /// The sender's zone.
     pub zone: String,
+    /// Differs between two runs of one daemon.
     pub incarnation: u64,
-    /// It may be made a member of the core.
+    /// Whether the sender may be made a voting member.
     pub eligible: bool,
+    /// The members that the sender knows.
     pub membership: CoreMembership,
+    /// The addresses of the controllers that the sender knows.
     pub peers: Vec<String>,
-    /// Routers that hold a lease here.
+    /// How many routers hold a lease at the sender.
     pub router_count: u32,
-    /// Requests of those routers under way, by engine.
+    /// Those routers' requests in flight, by engine.
     pub in_flight: Vec<(String, u32)>,
-    /// Engines about to change their part.
+    /// Engines about to change between prefill and decode.
     pub reassigning: Vec<String>,
-    /// Where clients reach the routers that hold a lease here.
+    /// Where clients reach the routers that hold a lease at the sender.
     pub frontend_addresses: Vec<String>,
-    /// The versions of the engine lists held: who has newer ones sends them.
+    /// The versions of the endpoint lists that the sender holds, and hidden keys: whoever has newer lists sends them.
     pub list_versions: Vec<VersionEntry>,
-    /// Turns of lists that routers told of.
+    /// The terms of lists that routers reported.
     pub observed_list_versions: Vec<VersionEntry>,
 }
--- a/protocol/src/message/subscription.rs
+++ b/protocol/src/message/subscription.rs
@@ -4,33 +4,44 @@
 
 use super::{EndpointList, EvacuationState, VersionEntry};
 
+/// A router renews its lease and says what it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SubscriptionRenewal {
+    /// The router's name.
     pub node: String,
+    /// The router's zone.
     pub zone: String,
+    /// Differs between two runs of one router.
     pub incarnation: u64,
+    /// The revision of the configuration that it holds; 0 for none.
     pub config_revision: u64,
+    /// The versions of the evacuations that it holds, by zone, and of committed registers, by hidden key.
     pub evacuation_versions: Vec<(String, u64)>,
+    /// The versions of the endpoint lists that it holds, and hidden keys.
     pub list_versions: Vec<VersionEntry>,
-    /// Own requests under way, by engine.
+    /// Its requests in flight, by engine.
     pub in_flight: Vec<(String, u32)>,
-    /// Where clients reach it.
+    /// Where clients reach it; empty while it shuts down.
     pub frontend_address: String,
 }
 
+/// What a subscriber lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StateUpdate {
-    /// The controller confirmed its versions at a majority a moment ago.
+    /// Whether the controller confirmed its state at a quorum a moment ago.
     pub confirmed: bool,
+    /// A newer configuration: its revision and its text. Only for routers of version 1.
     pub config: Option<(u64, Vec<u8>)>,
     /// Zones whose evacuation began or was withdrawn.
     pub evacuations: Vec<EvacuationState>,
+    /// Newer endpoint lists.
     pub endpoint_lists: Vec<EndpointList>,
-    /// How many routers hold a lease: shared bounds are cut into as many slices.
+    /// How many routers hold a lease: shared limits are divided by it.
     pub router_count: u32,
+    /// The addresses of the controllers, in the order in which this router is to prefer them.
     pub peers: Vec<String>,
-    /// Engines about to change their part: nothing new is sent to them.
+    /// Engines about to change between prefill and decode: they get no new requests.
     pub reassigning: Vec<String>,
-    /// The holder of the catalog and its epoch.
+    /// The epoch of the catalog's owner, and the owner's address.
     pub catalog: (u64, String),
 }
--- a/protocol/src/operator_request/messages.rs
+++ b/protocol/src/operator_request/messages.rs
@@ -1,4 +1,4 @@
-//! Operators' requests as controllers relay them to the owner of their key, and how the outcome reaches the others.
+//! The messages on operators' requests.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -86,5 +86,5 @@
 }
 
 #[cfg(test)]
-#[path = "operator_request_tests.rs"]
+#[path = "messages_tests.rs"]
 mod tests;
