--- a/protocol/src/config/document_tests.rs
+++ b/protocol/src/config/document_tests.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 
 #[test]
-fn a_good_one_is_read_whole() {
+fn a_valid_configuration_is_decoded_completely() {
     let config = accepted(|_| {});
     assert_eq!(config.revision, 7);
     assert_eq!(targets(&config.route_table[0]), [("s", 90), ("s", 10)]);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn each_flaw_names_its_item() {
+fn each_error_names_its_item() {
     assert!(
         rejected(|value| value["route_table"][1]["service"] = "gone".into()).contains("`r-2`: unknown service `gone`")
     );
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn numbers_are_taken_as_far_as_they_can_be_served() {
+fn numbers_are_accepted_as_far_as_they_can_be_served() {
     for bad in [json!(-1), json!(0.5), json!("3000"), json!(true), json!([1])] {
         for field in ["timeout_ms", "target_ms", "priority", "retry_count", "gap_target_ms"] {
             let error = rejected(|value| value["route_table"][0][field] = bad.clone());
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_change_is_read_as_strictly_as_a_whole_one() {
+fn a_patch_is_parsed_as_strictly_as_a_configuration() {
     let change =
         json!({"revision": 9, "upsert": {"route_table": [route("r-3", "/")]}, "withdraw": {"route_table": ["r-1"]}});
     let text = change.to_string();
@@ -154,9 +154,9 @@
 fn limits_and_what_this_version_does_not_know_can_be_changed() {
     let limits =
         accepted(&json!({"revision": 9, "upsert": {"limits": {"max_body_bytes": 5, "idle_timeout_ms": null}}}));
-    let held = &limits.config().limits;
-    assert_eq!((held.max_body_bytes, held.max_header_bytes), (5, 16384));
-    assert_eq!(held.idle_timeout_ms, Limits::default().idle_timeout_ms);
+    let patched = &limits.config().limits;
+    assert_eq!((patched.max_body_bytes, patched.max_header_bytes), (5, 16384));
+    assert_eq!(patched.idle_timeout_ms, Limits::default().idle_timeout_ms);
     let later = accepted(&json!({"revision": 9, "upsert": {"later": [{"name": "x", "y": 1}], "more": {"a": 1}},
         "withdraw": {"never": ["x"]}}));
     let value: Value = serde_json::from_str(later.text()).expect("JSON");
@@ -174,9 +174,9 @@
     assert!(matches!(error.kind, ConfigErrorKind::TooLong { .. }) && error.status() == 413);
 }
 
-/// Tables that an earlier version let be missing are there afterwards.
+/// Tables that an earlier version allowed to be missing are there afterwards.
 #[test]
-fn a_change_on_top_of_what_an_earlier_version_took_makes_it_whole() {
+fn a_patch_of_what_an_earlier_version_accepted_makes_it_complete() {
     for old in ["{\"revision\":5} x", "{\"revision\":5,\"route_table\":null,\"service_table\":[]}"] {
         let base = ConfigDocument::parse_committed(old).expect("committed");
         let change =
@@ -192,7 +192,7 @@
     assert!(!names.is_empty() && base().config().requires_keys);
     let emptied = accepted(&json!({"revision": 900_001, "withdraw": {"tenant_table": names}}));
     assert_eq!((emptied.config().tenant_table.len(), emptied.config().requires_keys), (0, true));
-    let mut whole = valid();
-    whole.as_object_mut().expect("an object").remove("tenant_table");
-    assert!(!ConfigDocument::parse(&whole.to_string()).expect("good").config().requires_keys);
+    let mut without_tenants = valid();
+    without_tenants.as_object_mut().expect("an object").remove("tenant_table");
+    assert!(!ConfigDocument::parse(&without_tenants.to_string()).expect("good").config().requires_keys);
 }
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -1,5 +1,5 @@
-//! Properties of all bodies: valid ones are taken and kept as they are; each corruption is rejected, names its item,
-//! shows no key and never panics; text and value of whatever is taken agree.
+//! Properties of all configurations: valid ones are accepted and kept as they are; each corruption is rejected, names its item,
+//! shows no key and never panics; text and value of whatever is accepted agree.
 
 use kernel::Rng;
 use proptest::prelude::*;
@@ -90,7 +90,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn valid_bodies_are_taken_and_kept_as_they_were_sent(seed: u64) {
+    fn valid_configurations_are_accepted_and_kept_as_they_were_sent(seed: u64) {
         let mut rng = Rng::new(seed);
         let value = samples::full_config(&mut rng, 1 + seed % 1000);
         let text = samples::with_whitespace(&mut rng, &value);
@@ -113,7 +113,7 @@
     }
 
     #[test]
-    fn a_body_that_is_cut_or_followed_by_more_is_refused(seed: u64, cut in 0.0..1.0f64, behind in "[^ \\t\\r\\n]{1,3}") {
+    fn a_text_that_is_cut_or_followed_by_more_is_rejected(seed: u64, cut in 0.0..1.0f64, behind in "[^ \\t\\r\\n]{1,3}") {
         let mut rng = Rng::new(seed);
         let text = samples::with_whitespace(&mut rng, &samples::full_config(&mut Rng::new(seed), 7));
         let text = text.trim();
@@ -123,12 +123,12 @@
     }
 
     #[test]
-    fn a_field_that_is_there_twice_is_refused_wherever_it_is(seed: u64, place: usize) {
+    fn a_duplicate_field_is_rejected_wherever_it_is(seed: u64, position: usize) {
         let mut rng = Rng::new(seed);
         let text = valid_with_a_route(&mut rng).to_string();
         // Before some field of some object stands the same field once more.
         let starts: Vec<usize> = text.match_indices("\":").map(|(at, _)| at).collect();
-        let end = starts[place % starts.len()];
+        let end = starts[position % starts.len()];
         let begin = text[..end].rfind('"').expect("the name of a field");
         let name = &text[begin + 1..end];
         let doubled = format!("{}\"{name}\":null,{}", &text[..begin], &text[begin..]);
@@ -136,9 +136,9 @@
         prop_assert!(error.to_string().ends_with("is there twice"), "{} for {}", error, name);
     }
 
-    /// A change is taken just where the whole configuration that it leads to would be, and comes to the same.
+    /// A patch is accepted just where the whole configuration that it leads to would be, and comes to the same.
     #[test]
-    fn a_change_comes_to_what_the_whole_would(seed: u64, steps in 1..4usize) {
+    fn a_patch_leads_to_what_the_full_configuration_would(seed: u64, steps in 1..4usize) {
         let mut rng = Rng::new(seed);
         let mut plain = samples::full_config(&mut rng, 1);
         let mut held = ConfigDocument::parse(&samples::with_whitespace(&mut rng, &plain)).expect("valid");
@@ -165,7 +165,7 @@
 
     /// Anything at all: an answer, never a panic, and what is taken reads the same again.
     #[test]
-    fn no_text_takes_the_reader_down(seed: u64, edits in 1..6usize, noise in "\\PC{0,12}") {
+    fn no_text_makes_the_parser_panic(seed: u64, edits in 1..6usize, noise in "\\PC{0,12}") {
         let mut rng = Rng::new(seed);
         let mut text = samples::full_config(&mut rng, 7).to_string();
         let pieces = ["{", "}", "[", "]", ",", ":", "\"", "null", "0", "-1", "1e999", "\\u0000", "\\ud800", "true", &noise];
--- a/protocol/src/config_update_tests.rs
+++ b/protocol/src/config_update_tests.rs
@@ -1,4 +1,4 @@
-//! The packed forms of configurations and of changes between them.
+//! The encodings of configurations and of updates between them.
 
 use std::fs;
 use std::path::Path;
@@ -25,48 +25,48 @@
 }
 
 #[test]
-fn a_change_names_only_what_is_other() {
+fn an_update_names_only_what_differs() {
     let old = config(3, &[("a", 5), ("b", 5), ("c", 5)]);
     let new = config(8, &[("a", 5), ("b", 6), ("d", 5)]);
-    let change = ConfigUpdate::between(&old, &new);
-    let names: Vec<&str> = change.routes.iter().map(|route| route.name.as_str()).collect();
-    assert_eq!((change.from, change.to, names), (3, 8, vec!["b", "d"]));
+    let update = ConfigUpdate::between(&old, &new);
+    let names: Vec<&str> = update.routes.iter().map(|route| route.name.as_str()).collect();
+    assert_eq!((update.from, update.to, names), (3, 8, vec!["b", "d"]));
     assert_eq!(
-        (change.removed_routes, change.services, change.removed_services),
+        (update.removed_routes, update.services, update.removed_services),
         (vec!["c".to_string()], vec![], vec![])
     );
 }
 
 #[test]
-fn its_size_goes_by_what_changed_and_not_by_the_length_of_the_whole() {
+fn its_size_depends_on_what_changed_and_not_on_the_length_of_the_configuration() {
     let names: Vec<String> = (0..3000).map(|at| format!("r{at}")).collect();
     let mut routes: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 5)).collect();
     let old = config(1, &routes);
     routes[700].1 = 9;
     let new = config(2, &routes);
-    let (step, whole) = (ConfigUpdate::between(&old, &new).encode(), ConfigUpdate::full(&new).encode());
-    assert!(step.len() < 600 && whole.len() > 30 * step.len(), "{} {}", step.len(), whole.len());
-    assert!(whole.len() < 3000 * 40, "packed: {} for 3000 routes", whole.len());
+    let (step, full) = (ConfigUpdate::between(&old, &new).encode(), ConfigUpdate::full(&new).encode());
+    assert!(step.len() < 600 && full.len() > 30 * step.len(), "{} {}", step.len(), full.len());
+    assert!(full.len() < 3000 * 40, "packed: {} for 3000 routes", full.len());
 }
 
 #[test]
-fn it_comes_back_as_it_was_and_a_torn_one_never_passes_for_another_length() {
-    let change = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
-    let body = change.encode();
-    assert_eq!(ConfigUpdate::decode(&body), Some(change));
+fn it_decodes_to_itself_and_a_truncated_one_does_not_decode() {
+    let update = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
+    let body = update.encode();
+    assert_eq!(ConfigUpdate::decode(&body), Some(update));
     for cut in 0..body.len() {
         assert_eq!(ConfigUpdate::decode(&body[..cut]), None, "cut at {cut}");
     }
 }
 
-/// Changes as the version before tenants wrote them: the whole of one configuration, and the step to the next.
-fn older(name: &str) -> Vec<u8> {
+/// Updates as the version before tenants encoded them: one full configuration, and the update to the next.
+fn legacy_fixture(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures").join(name);
     fs::read(path).expect("the fixture")
 }
 
 #[test]
-fn the_layout_before_tenants_is_read_and_written_to_the_byte() {
+fn the_legacy_format_is_decoded_and_encoded_to_the_byte() {
     use crate::config::{Engine, Limits, Model, Route, Service, Split};
     let split = |service: &str, weight| Split { service: service.into(), weight };
     let one = Route {
@@ -112,7 +112,7 @@
         ..Service::default()
     };
     let limits = Limits { header_timeout_ms: 3000, ..Limits::default() };
-    let whole = ConfigUpdate {
+    let full = ConfigUpdate {
         from: 0,
         to: 7,
         routes: vec![one.clone(), two],
@@ -130,24 +130,24 @@
         routes: vec![Route { timeout_ms: 4000, ..one }],
         removed_routes: vec!["r-2-with-a-long-name".into()],
         services: Vec::new(),
-        ..whole.clone()
+        ..full.clone()
     };
-    for (name, change) in [("change-3-whole.bin", whole), ("change-3-step.bin", step)] {
-        let bytes = older(name);
-        assert_eq!(ConfigUpdate::decode(&bytes).as_ref(), Some(&change), "a router of this version reads both layouts");
-        assert_eq!(legacy_format::encode(&change), bytes, "one of the version before gets what it knows");
+    for (name, update) in [("change-3-whole.bin", full), ("change-3-step.bin", step)] {
+        let bytes = legacy_fixture(name);
+        assert_eq!(ConfigUpdate::decode(&bytes).as_ref(), Some(&update), "a router of this version reads both layouts");
+        assert_eq!(legacy_format::encode(&update), bytes, "one of the version before gets what it knows");
     }
 }
 
-/// What a router of version 2 or 3 does with a packed change: nothing in it may be taken for its own layout.
+/// What a router of version 2 or 3 does with an encoded update: nothing in it may be taken for its own format.
 #[test]
-fn the_layouts_are_never_taken_for_each_other() {
-    let change = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
-    let (new, old) = (change.encode(), legacy_format::encode(&change));
+fn the_formats_are_never_confused() {
+    let update = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
+    let (new, old) = (update.encode(), legacy_format::encode(&update));
     assert_eq!(legacy_format::decode(&new), None);
     let unpacked = u32::from_le_bytes(*new.first_chunk().expect("four bytes")) as usize;
     assert!(unpacked > MAX_BODY_BYTES, "the reader of the version before stops at the length: {unpacked}");
-    assert_eq!(ConfigUpdate::decode(&old), Some(change));
+    assert_eq!(ConfigUpdate::decode(&old), Some(update));
     let anonymous = |text: &str| text.replace("\"timeout_ms\":5", "\"timeout_ms\":5,\"anonymous\":true");
     let text = anonymous(&text(3, &[("a", 5)]));
     let open = ConfigUpdate::full(&crate::config::read(&text).expect("good"));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn tenants_come_with_a_change_and_keep_it_from_older_routers() {
+fn tenants_come_with_an_update_and_keep_it_from_older_routers() {
     let with = |revision: u64, tenants: Value| {
         let text =
             serde_json::json!({"revision": revision, "service_table": [], "route_table": [], "tenant_table": tenants});
@@ -163,14 +163,14 @@
     };
     let old = with(3, serde_json::json!([{"name": "a", "api_keys": ["x"]}, {"name": "b", "api_keys": ["y"]}]));
     let new = with(4, serde_json::json!([{"name": "b", "api_keys": ["y", "z"]}, {"name": "c", "priority": 2}]));
-    let change = ConfigUpdate::between(&old, &new);
-    let names: Vec<&str> = change.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
-    assert_eq!((names, &change.removed_tenants), (vec!["b", "c"], &vec!["a".to_string()]));
-    assert_eq!(ConfigUpdate::decode(&change.encode()), Some(change));
+    let update = ConfigUpdate::between(&old, &new);
+    let names: Vec<&str> = update.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
+    assert_eq!((names, &update.removed_tenants), (vec!["b", "c"], &vec!["a".to_string()]));
+    assert_eq!(ConfigUpdate::decode(&update.encode()), Some(update));
     assert!(!legacy_format::can_encode(&old) && legacy_format::can_encode(&with(5, Value::Null)));
 }
 
-/// The largest configurations that are taken still fit into a message, and are read back.
+/// The largest configurations that are accepted still fit into a message, and are decoded again.
 #[test]
 fn the_longest_configurations_can_be_delivered() {
     let most = MAX_TEXT_BYTES - 300;
@@ -185,13 +185,13 @@
     let regions = format!("{{\"name\":\"t\",\"allowed_regions\":[{}]}}", list("\"\"", 990_000));
     for text in [many_routes, wide(String::new(), regions)] {
         assert!(text.len() < most, "{}", text.len());
-        let change = ConfigUpdate::full(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
-        let msg = Message::TenantConfigUpdate(Box::new(change.encode()));
+        let update = ConfigUpdate::full(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
+        let msg = Message::TenantConfigUpdate(Box::new(update.encode()));
         let frame = frame::encode(Kind::Notification, 0, &msg).expect("it fits into a frame");
         assert!(frame.len() < MAX_BODY_BYTES);
         let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
             panic!("read")
         };
-        assert_eq!(ConfigUpdate::decode(&packed), Some(change));
+        assert_eq!(ConfigUpdate::decode(&packed), Some(update));
     }
 }
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_frame_comes_back_as_it_was() {
+fn a_frame_decodes_to_what_was_encoded() {
     let frame = encode(Kind::Request, 9, &sample()).expect("sealed");
     let (head, body) = split(&frame);
     let read = super::decode_header(&head).expect("head");
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn flaws_are_told_apart() {
+fn invalid_frames_are_distinguished() {
     let frame = encode(Kind::Notification, 0, &sample()).expect("sealed");
     let (good, body) = split(&frame);
-    let mut bad = good;
-    bad[0] ^= 1;
-    assert_eq!(decode_header(&bad), Err(FrameError::BadMagic));
+    let mut corrupt = good;
+    corrupt[0] ^= 1;
+    assert_eq!(decode_header(&corrupt), Err(FrameError::BadMagic));
     let mut new = good;
     new[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
     assert_eq!(decode_header(&new), Err(FrameError::UnsupportedVersion(NEWEST_VERSION + 1)));
@@ -38,10 +38,10 @@
     assert_eq!(decode_header(&long), Err(FrameError::TooLong(u32::MAX as usize)));
     assert_eq!(decode_body(&body[..body.len() - 1]), Err(FrameError::InvalidBody));
     for at in 0..body.len() {
-        let mut torn = body.to_vec();
-        torn[at] ^= 0xff;
+        let mut corrupted = body.to_vec();
+        corrupted[at] ^= 0xff;
         // Either another valid message or an error; never a panic.
-        let _ = decode_body(&torn);
+        let _ = decode_body(&corrupted);
     }
 }
 
@@ -51,14 +51,14 @@
         ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, Entry, Member,
         Message, ProposalNumber, StateUpdate,
     };
-    let ballot = ProposalNumber { term: 3, replica_id: 9 };
-    let core = CoreMembership {
+    let proposal_number = ProposalNumber { term: 3, replica_id: 9 };
+    let membership = CoreMembership {
         version: 2,
         members: vec![Member { ip: "10.0.0.1".into(), zone: "a".into() }],
         previous_members: vec![],
         stable: true,
     };
-    let entry = Entry { proposal_number: ballot, index: 4, body: b"body".to_vec() };
+    let entry = Entry { proposal_number, index: 4, body: b"body".to_vec() };
     let engine = Engine {
         id: "i-1".into(),
         service: "s".into(),
@@ -70,18 +70,18 @@
         up: true,
         cold_ms: 5,
     };
-    let sheet = EndpointList { zone: "a".into(), term: 1, sequence: 2, engines: vec![engine] };
+    let list = EndpointList { zone: "a".into(), term: 1, sequence: 2, engines: vec![engine] };
     vec![
         Message::ConsensusRequest(Box::new(ConsensusRequest {
-            membership: core.clone(),
+            membership,
             operation: ConsensusOperation::Accept { key: "k".into(), entry: entry.clone() },
         })),
         Message::ConsensusResponse(Box::new(ConsensusResponse::Prepared { entry: Some(entry.clone()) })),
-        Message::EndpointList(Box::new(sheet.clone())),
+        Message::EndpointList(Box::new(list.clone())),
         Message::StateUpdate(Box::new(StateUpdate {
             confirmed: true,
             config: Some((7, b"{}".to_vec())),
-            endpoint_lists: vec![sheet],
+            endpoint_lists: vec![list],
             ..StateUpdate::default()
         })),
         Message::OwnerQuery(Box::new((1, vec![5, 6]))),
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -21,41 +21,41 @@
 }
 
 #[tokio::test]
-async fn calls_are_answered_and_casts_are_not() {
-    let caller = PeerClient::start(echo().await, None);
+async fn requests_get_responses_and_notifications_do_not() {
+    let client = PeerClient::start(echo().await, None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
-    assert!(caller.notify(msg.clone()));
-    assert_eq!(caller.call(msg.clone(), 5000).await, Some(msg));
+    assert!(client.notify(msg.clone()));
+    assert_eq!(client.call(msg.clone(), 5000).await, Some(msg));
 }
 
 #[tokio::test]
-async fn a_malformed_or_too_new_message_costs_its_sender_the_connection_only() {
+async fn a_malformed_or_too_new_frame_costs_its_sender_the_connection_only() {
     let addr = echo().await;
-    let good = PeerClient::start(addr.clone(), None);
+    let healthy = PeerClient::start(addr.clone(), None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
-    assert!(good.call(msg.clone(), 5000).await.is_some());
+    assert!(healthy.call(msg.clone(), 5000).await.is_some());
     let frame = frame::encode(Kind::Request, 1, &msg).expect("sealed");
     let mut newer = frame.clone();
     newer[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
-    let mut torn = frame.clone();
-    let last = torn.len() - 1;
-    torn[last] ^= 0xff;
-    torn[HEADER_BYTES] ^= 0xff;
-    for bad in [newer, torn, b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()] {
+    let mut corrupted = frame.clone();
+    let last = corrupted.len() - 1;
+    corrupted[last] ^= 0xff;
+    corrupted[HEADER_BYTES] ^= 0xff;
+    for bad in [newer, corrupted, b"GET / HTTP/1.1\r\nHost: somebody\r\n\r\n".to_vec()] {
         let mut stream = TcpStream::connect(&addr).await.expect("connected");
         stream.write_all(&bad).await.expect("sent");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
         assert!(rest.is_empty(), "no answer, only the end");
     }
-    assert!(good.call(msg, 5000).await.is_some(), "others feel nothing");
+    assert!(healthy.call(msg, 5000).await.is_some(), "others feel nothing");
 }
 
 fn query(number: u64) -> Message {
     Message::OwnerQuery(Box::new((number, Vec::new())))
 }
 
-/// A caller and the listener that it calls.
+/// A client and the listener that it connects to.
 async fn pair() -> (PeerClient, TcpListener) {
     let listener = socket::listen("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address").to_string();
@@ -63,7 +63,7 @@
 }
 
 async fn accept(listener: &TcpListener) -> (OwnedReadHalf, OwnedWriteHalf) {
-    listener.accept().await.expect("a caller").0.into_split()
+    listener.accept().await.expect("a client").0.into_split()
 }
 
 async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Message) {
@@ -72,8 +72,8 @@
 }
 
 #[tokio::test]
-async fn each_caller_gets_its_own_answer_in_whatever_order_and_however_often_they_come() {
-    let (caller, listener) = pair().await;
+async fn each_request_gets_its_own_response_in_whatever_order_and_however_often_they_come() {
+    let (client, listener) = pair().await;
     let serve = async {
         let (mut read, mut write) = accept(&listener).await;
         let one = read_frame(&mut read).await.expect("the first");
@@ -86,16 +86,16 @@
         answer(&mut write, three.0.id, &three.1).await;
     };
     let calls = async {
-        let (one, two) = tokio::join!(caller.call(query(1), 5000), caller.call(query(2), 5000));
+        let (one, two) = tokio::join!(client.call(query(1), 5000), client.call(query(2), 5000));
         assert_eq!((one, two), (Some(query(1)), Some(query(2))));
-        assert_eq!(caller.call(query(3), 5000).await, Some(query(3)));
+        assert_eq!(client.call(query(3), 5000).await, Some(query(3)));
     };
     tokio::join!(serve, calls);
 }
 
 #[tokio::test]
-async fn a_call_whose_connection_breaks_fails_and_is_not_sent_again() {
-    let (caller, listener) = pair().await;
+async fn a_request_whose_connection_breaks_fails_and_is_not_sent_again() {
+    let (client, listener) = pair().await;
     let serve = async {
         let (mut read, write) = accept(&listener).await;
         assert_eq!(read_frame(&mut read).await.expect("the first").1, query(1));
@@ -106,20 +106,20 @@
         answer(&mut write, head.id, &msg).await;
     };
     let calls = async {
-        assert_eq!(caller.call(query(1), 60_000).await, None, "at once, long before its time is up");
-        assert_eq!(caller.call(query(2), 5000).await, Some(query(2)));
+        assert_eq!(client.call(query(1), 60_000).await, None, "at once, long before its time is up");
+        assert_eq!(client.call(query(2), 5000).await, Some(query(2)));
     };
     tokio::join!(serve, calls);
 }
 
 #[tokio::test]
-async fn a_call_given_up_before_it_was_sent_is_never_sent() {
-    let (caller, listener) = pair().await;
+async fn a_request_given_up_before_it_was_sent_is_never_sent() {
+    let (client, listener) = pair().await;
     // More than sockets take in while nobody reads: what follows waits here.
     let large = Message::OwnerQuery(Box::new((0, vec![7; 1_400_000])));
-    assert!(caller.notify(large.clone()));
-    assert_eq!(caller.call(query(1), 1).await, None);
-    assert!(caller.notify(query(2)));
+    assert!(client.notify(large.clone()));
+    assert_eq!(client.call(query(1), 1).await, None);
+    assert!(client.notify(query(2)));
     let (mut read, _write) = accept(&listener).await;
     assert_eq!(read_frame(&mut read).await.expect("the large one").1, large);
     assert_eq!(read_frame(&mut read).await.expect("the next").1, query(2));
--- a/protocol/src/operator_request/messages_tests.rs
+++ b/protocol/src/operator_request/messages_tests.rs
@@ -1,4 +1,4 @@
-//! Orders keep the place that earlier versions gave them.
+//! The archived form of requests keeps the size that earlier versions expect.
 
 use std::mem;
 
@@ -7,11 +7,11 @@
 use crate::message::Message;
 
 #[test]
-fn a_later_variant_takes_no_more_room_than_the_first_ones() {
+fn a_later_variant_is_no_larger_than_the_first_ones() {
     // As it was when only `Change`, `Evacuate` and `ReadConfig` were there.
     assert_eq!(mem::size_of::<ArchivedOperatorRequest>(), 32);
-    let order = OperatorRequest::EvacuateFrom { zone: "a".into(), on: true, version: 3 };
-    let msg = Message::OperatorRequest(Box::new(order));
+    let request = OperatorRequest::EvacuateFrom { zone: "a".into(), on: true, version: 3 };
+    let msg = Message::OperatorRequest(Box::new(request));
     let frame = frame::encode(Kind::Request, 1, &msg).expect("sealed");
     assert_eq!(frame::decode_body(&frame[HEADER_BYTES..]).expect("read"), msg);
 }
--- a/protocol/src/quota_tests.rs
+++ b/protocol/src/quota_tests.rs
@@ -1,4 +1,4 @@
-//! Marks of lists, and that the messages come back as they were.
+//! Fingerprints of lists, and that messages decode to what was encoded.
 
 use std::collections::HashSet;
 
@@ -6,15 +6,15 @@
 use crate::frame::{self, Kind, HEADER_BYTES};
 use crate::message::Message;
 
-fn holder(ip: &str, zone: &str) -> ShardOwner {
+fn owner(ip: &str, zone: &str) -> ShardOwner {
     ShardOwner { ip: ip.into(), zone: zone.into() }
 }
 
 #[test]
-fn lists_that_differ_have_other_marks() {
-    let one = vec![holder("10.0.0.1", "a"), holder("10.0.0.2", "b")];
-    let less = vec![holder("10.0.0.1", "a")];
-    let moved = vec![holder("10.0.0.1", "b"), holder("10.0.0.2", "b")];
+fn lists_that_differ_have_other_fingerprints() {
+    let one = vec![owner("10.0.0.1", "a"), owner("10.0.0.2", "b")];
+    let less = vec![owner("10.0.0.1", "a")];
+    let moved = vec![owner("10.0.0.1", "b"), owner("10.0.0.2", "b")];
     let fingerprints = [
         shard_owners_fingerprint(&one),
         shard_owners_fingerprint(&less),
@@ -27,18 +27,18 @@
 }
 
 #[test]
-fn thousandths_come_back() {
+fn thousandths_convert_back() {
     assert_eq!(from_milli(to_milli(0.125)), 0.125);
     assert_eq!(to_milli(-1.0), 0);
 }
 
 #[test]
-fn messages_come_back_as_they_were() {
-    let spend = TokenRequest { tenant: "t".into(), rate_milli: 2500, burst_milli: 9000 };
+fn messages_decode_to_what_was_encoded() {
+    let request = TokenRequest { tenant: "t".into(), rate_milli: 2500, burst_milli: 9000 };
     let messages = [
-        Message::TokenRequest(Box::new(spend)),
+        Message::TokenRequest(Box::new(request)),
         Message::TokenResponse(Box::new(TokenResponse::Denied { retry_after_ms: 30 })),
-        Message::ShardOwners(Box::new(vec![holder("10.0.0.1", "a")])),
+        Message::ShardOwners(Box::new(vec![owner("10.0.0.1", "a")])),
     ];
     for message in messages {
         let frame = frame::encode(Kind::Notification, 0, &message).expect("sealed");
--- a/protocol/src/version_rollout_tests.rs
+++ b/protocol/src/version_rollout_tests.rs
@@ -1,4 +1,4 @@
-//! Which versions may be sent to, at each state.
+//! Which versions may get requests in each state.
 
 use super::{candidate_zone, candidates_of, RolloutState, VersionRollout};
 use crate::message;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn records_come_back_as_they_were_and_candidates_have_names_of_their_own() {
+fn records_decode_to_what_was_encoded_and_candidates_have_names_of_their_own() {
     let one = rollout(RolloutState::Active);
     assert_eq!(VersionRollout::from_bytes(&one.to_bytes()), Some(one));
     assert_eq!(candidate_zone(&candidates_of("hall-a")), Some("hall-a"));
