--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// The header does not begin as a frame's does.
-    BadMagic,
+    InvalidMagic,
     /// The framing has this version, which is not read here.
     UnsupportedVersion(u16),
     /// The header has this number for a kind.
@@ -64,7 +64,7 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FrameError::BadMagic => write!(formatter, "a frame does not begin with {MAGIC:#x}"),
+            FrameError::InvalidMagic => write!(formatter, "a frame does not begin with {MAGIC:#x}"),
             FrameError::UnsupportedVersion(version) => {
                 write!(formatter, "a frame has version {version}, expected {OLDEST_VERSION} to {NEWEST_VERSION}")
             }
@@ -111,7 +111,7 @@
 /// When the bytes are no header, or one of a version, a kind or a length that is not read here.
 pub fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
     if bytes[..4] != MAGIC.to_le_bytes() {
-        return Err(FrameError::BadMagic);
+        return Err(FrameError::InvalidMagic);
     }
     let version = u16::from_le_bytes([bytes[4], bytes[5]]);
     if !(OLDEST_VERSION..=NEWEST_VERSION).contains(&version) {
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -29,7 +29,7 @@
     let (good, body) = split(&frame);
     let mut corrupt = good;
     corrupt[0] ^= 1;
-    assert_eq!(decode_header(&corrupt), Err(FrameError::BadMagic));
+    assert_eq!(decode_header(&corrupt), Err(FrameError::InvalidMagic));
     let mut new = good;
     new[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
     assert_eq!(decode_header(&new), Err(FrameError::UnsupportedVersion(NEWEST_VERSION + 1)));
