--- a/controller/src/api/version_rollouts.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -122,7 +122,7 @@
 
 /// A rollout as operators see it.
 fn shown(rollout: &VersionRollout) -> Value {
-    serde_json::json!({"oper_state": rollout.state.word(), "target_version": rollout.target,
+    serde_json::json!({"oper_state": rollout.state.as_str(), "target_version": rollout.target,
         "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted})
 }
 
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -7,7 +7,7 @@
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{ConfigDocument, ConfigError};
 use protocol::message::{Entry, Message, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
-use protocol::version_rollout::{VersionRollout, KEY};
+use protocol::version_rollout::{VersionRollout, KEY_PREFIX};
 
 use crate::config::body::Held;
 use crate::config::history::{ConfigHistory, NotNewer};
@@ -204,7 +204,7 @@
             let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
             self.rules.insert(key.into(), rule);
         }
-        if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
+        if let Some(service) = key.strip_prefix(KEY_PREFIX).filter(|_| !body.is_empty()) {
             let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
             self.rollouts.insert(service.into(), rollout);
         }
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -15,7 +15,7 @@
 use protocol::config::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::operator_request::ConfigChange;
-use protocol::version_rollout::{RolloutState, VersionRollout, KEY as ROLLOUT_OF_VERSIONS};
+use protocol::version_rollout::{RolloutState, VersionRollout, KEY_PREFIX as ROLLOUT_OF_VERSIONS};
 use std::fs;
 use std::path::{Path, PathBuf};
 
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -166,7 +166,7 @@
     let Some(next) = after(rollout, step, elapsed_ms, finding) else { return };
     if commit(controller, rollout, &next).await {
         kernel::log_event!(VERSION_STEP, "service" => next.service.clone(), "version" => next.target.clone(),
-            "state" => next.state.word(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
+            "state" => next.state.as_str(), "share" => next.share, "elapsed_ms" => elapsed_ms, "reason" => next.reason.clone());
     }
 }
 
--- a/protocol/src/hidden_key.rs
+++ b/protocol/src/hidden_key.rs
@@ -6,6 +6,9 @@
 
 use std::fmt;
 
+use crate::staleness_limit::STALENESS_LIMIT_PREFIX;
+use crate::version_rollout;
+
 /// What comes before the text of every hidden key but the protocol version's, whose name is empty.
 const PREFIX: char = '\0';
 
@@ -16,7 +19,7 @@
 const PLATFORM_UNREACHABLE: &str = "platform unreachable";
 const CANDIDATES: &str = "candidates ";
 /// How the keys of registers begin that daemons name by hidden keys.
-const REGISTERS: [&str; 2] = [crate::staleness_limit::STALENESS_LIMIT_PREFIX, crate::version_rollout::KEY];
+const REGISTERS: [&str; 2] = [STALENESS_LIMIT_PREFIX, version_rollout::KEY_PREFIX];
 
 /// The name of an item that is not a zone's endpoint list. [`fmt::Display`] prints the name as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/protocol/src/stored_by_5_tests.rs
+++ b/protocol/src/stored_by_5_tests.rs
@@ -16,7 +16,7 @@
 use crate::operator_request::{CommittedDelta, ConfigChange, OperatorRequest, OperatorResponse};
 use crate::quota::{shard_owners_entry, shard_owners_fingerprint, ShardOwner, ShardUsage, TokenRequest, TokenResponse};
 use crate::renewal::{Confirmation, SubscriptionRenewed};
-use crate::version_rollout::{candidates_of, RolloutState, RouteSamples, Samples, VersionRollout, KEY};
+use crate::version_rollout::{candidates_of, RolloutState, RouteSamples, Samples, VersionRollout, KEY_PREFIX};
 use kernel::hashing::{combine, hash};
 use std::collections::HashSet;
 use std::fs;
@@ -590,7 +590,7 @@
     assert_eq!(HiddenKey::ShardOwners.to_string(), "\0shard holders");
     assert_eq!(shard_owners_entry(12), VersionEntry::new("\0shard holders", 12, 0));
     assert_eq!(candidates_of("zone-a"), "\0candidates zone-a");
-    assert_eq!((STALENESS_LIMIT_PREFIX, KEY), ("rollout/", "versions/"));
+    assert_eq!((STALENESS_LIMIT_PREFIX, KEY_PREFIX), ("rollout/", "versions/"));
     assert_eq!(rule().key(), "rollout/chat/m-1");
     assert_eq!(VersionRollout::key("chat"), "versions/chat");
 }
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -5,7 +5,7 @@
 use crate::hidden_key::HiddenKey;
 
 /// How the keys of rollouts begin.
-pub const KEY: &str = "versions/";
+pub const KEY_PREFIX: &str = "versions/";
 
 /// The state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 
 impl RolloutState {
     /// Returns its name in the published protocol.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RolloutState::Active => "active",
             RolloutState::Complete => "complete",
@@ -60,7 +60,7 @@
 impl VersionRollout {
     /// Returns the key of the register of a service's rollout.
     pub fn key(service: &str) -> String {
-        format!("{KEY}{service}")
+        format!("{KEY_PREFIX}{service}")
     }
 
     /// Returns whether engines of a version may get any of the service's requests.
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -99,7 +99,7 @@
 pub fn take(state: &State, rollout: VersionRollout) {
     let service = state.engine_table.lock().service_index(&rollout.service);
     let (name, target, share, word) =
-        (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.word());
+        (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.as_str());
     if state.rollouts.lock().take(service, rollout) {
         kernel::log_event!(VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
     }
