--- a/protocol/src/hidden_key.rs
+++ b/protocol/src/hidden_key.rs
@@ -6,8 +6,7 @@
 
 use std::fmt;
 
-use crate::staleness_limit::STALENESS_LIMIT_PREFIX;
-use crate::version_rollout;
+use crate::register_keys::{STALENESS_LIMIT_PREFIX, VERSION_ROLLOUT_PREFIX};
 
 /// What comes before the text of every hidden key but the protocol version's, whose name is empty.
 const PREFIX: char = '\0';
@@ -19,7 +18,7 @@
 const PLATFORM_UNREACHABLE: &str = "platform unreachable";
 const CANDIDATES: &str = "candidates ";
 /// How the keys of registers begin that daemons name by hidden keys.
-const REGISTERS: [&str; 2] = [STALENESS_LIMIT_PREFIX, version_rollout::KEY_PREFIX];
+const REGISTERS: [&str; 2] = [STALENESS_LIMIT_PREFIX, VERSION_ROLLOUT_PREFIX];
 
 /// The name of an item that is not a zone's endpoint list. [`fmt::Display`] prints the name as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod message;
 pub mod operator_request;
 pub mod quota;
+mod register_keys;
 pub mod renewal;
 pub mod socket;
 mod staleness_limit;
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -14,7 +14,8 @@
 
 pub use crate::capability::*;
 pub use crate::hidden_key::HiddenKey;
-pub use crate::staleness_limit::{StalenessLimit, WeightVersions, STALENESS_LIMIT_PREFIX};
+pub use crate::register_keys::STALENESS_LIMIT_PREFIX;
+pub use crate::staleness_limit::{StalenessLimit, WeightVersions};
 pub use crate::version_entry::{EngineWeights, EvacuationState, VersionEntry};
 pub use catalog::{EngineLoad, PrefixLookup, PrefixLookupResponse, PrefixRegistration, Record};
 pub use consensus::{
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -2,6 +2,7 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
+use crate::register_keys::STALENESS_LIMIT_PREFIX;
 use crate::version_entry::EngineWeights;
 
 /// How far behind the trainer's latest weights an engine may be. Committed under the key [`StalenessLimit::key`]. Invariants: `version` rises with each
@@ -45,9 +46,6 @@
 
 kernel::impl_archive_bytes!(StalenessLimit);
 
-/// How the keys of staleness limits begin.
-pub const STALENESS_LIMIT_PREFIX: &str = "rollout/";
-
 /// The weight versions of a zone's engines. Invariant: `sequence` rises with each change that one poller sees; another
 /// poller has another `term`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -4,8 +4,7 @@
 
 use crate::hidden_key::HiddenKey;
 
-/// How the keys of rollouts begin.
-pub const KEY_PREFIX: &str = "versions/";
+pub use crate::register_keys::VERSION_ROLLOUT_PREFIX as KEY_PREFIX;
 
 /// The state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
