--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -6,9 +6,8 @@
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{ConfigDocument, ConfigError};
-use protocol::message::{Entry, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
-use protocol::version_rollout::{VersionRollout, KEY};
-use rkyv::{Archive, Deserialize, Serialize};
+use protocol::message::{Entry, Message, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
+use protocol::version_rollout::{VersionRollout, KEY_PREFIX};
 
 use crate::config::body::StoredConfig;
 use crate::config::history::{ConfigHistory, RevisionNotNewer};
@@ -163,7 +162,7 @@
             let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
             self.staleness_limits.insert(key.into(), rule);
         }
-        if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
+        if let Some(service) = key.strip_prefix(KEY_PREFIX).filter(|_| !body.is_empty()) {
             let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
             self.version_rollouts.insert(service.into(), rollout);
         }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -7,7 +7,7 @@
 //! version of the protocol adds variants at the end of [`message::Message`], and sends them only to daemons that say that
 //! they read that version.
 
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 mod capability;
 pub mod config;
@@ -19,6 +19,7 @@
 pub mod message;
 pub mod operator_request;
 pub mod quota;
+mod register_keys;
 pub mod renewal;
 pub mod socket;
 mod staleness_limit;
