--- a/controller/src/api/version_rollouts.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -159,10 +159,12 @@
     }
 }
 
-/// A rollout as operators see it.
-fn shown(rollout: &VersionRollout) -> Value {
-    serde_json::json!({"oper_state": rollout.state.as_str(), "target_version": rollout.target,
-        "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted})
+/// Returns a rollout as operators see it.
+fn rollout_state(rollout: &VersionRollout) -> Value {
+    serde_json::json!({
+        "oper_state": rollout.state.as_str(), "target_version": rollout.target,
+        "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted,
+    })
 }
 
 impl Endpoint for VersionRolloutResource {
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -6,8 +6,9 @@
 
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{ConfigDocument, ConfigError};
-use protocol::message::{Entry, Message, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
+use protocol::message::{Entry, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::version_rollout::{VersionRollout, KEY_PREFIX};
+use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::config::body::StoredConfig;
 use crate::config::history::{ConfigHistory, RevisionNotNewer};
