--- a/controller/src/discovery/listing.rs
+++ b/controller/src/discovery/listing.rs
@@ -39,28 +39,32 @@
 #[derive(serde::Deserialize)]
 pub struct Page {
     instance_list: Vec<Item>,
+    /// To be sent for the next page; None or empty: this is the last.
     pub next_token: Option<String>,
 }
 
 /// The version of each model on each engine.
 pub type Weights = Vec<EngineWeights>;
 
-/// One whole reading of a zone's list.
+/// One complete reading of a zone's list.
 pub struct Listing {
+    /// All engines in the order of the platform.
     pub engines: Vec<ListedEngine>,
+    /// The versions of their weights, where wanted.
     pub weights: Weights,
+    /// How many pages were read.
     pub pages: usize,
     /// What was known of this list before the first page was asked for.
     pub known: ObservedVersion,
 }
 
 impl Listing {
-    /// Nothing read yet.
+    /// Returns a listing of which nothing is read yet.
     pub fn new(known: ObservedVersion) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
-    /// `versions`: whether weight versions are wanted.
+    /// Adds one page. `versions`: whether weight versions are wanted.
     pub fn add(&mut self, page: Page, versions: bool) {
         for item in page.instance_list.iter().filter(|_| versions) {
             let models = item.model_list.iter();
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -51,36 +51,38 @@
 const RESEND_EVERY_POLLS: u32 = 8;
 /// How many refusals one poll bears before it is left to the next.
 const MAX_REFUSALS: u32 = 4;
+/// The most pages that are read of one list.
 const MAX_PAGES: usize = 1000;
 
-/// What is told to peers about the own access to the platform.
+/// Returns what heartbeats say about the own access to the platform, None while it is reached.
 pub fn access_marker(controller: &Controller, now: u64) -> Option<VersionEntry> {
     let unreachable = controller.peers.read(|view| view.platform_access.is_unreachable(now));
     unreachable.then(|| VersionEntry::new(HiddenKey::PlatformUnreachable, 1, 0))
 }
 
-/// What a peer told of others.
+/// Returns what a peer's heartbeat says of others and of its access to the platform.
 pub fn peer_report(gossip: &Gossip) -> PeerReport {
     let key = Some(HiddenKey::PlatformUnreachable);
     let platform_unreachable = gossip.list_versions.iter().any(|entry| HiddenKey::parse(&entry.name) == key);
-    let (sure, vouches) = roles::parse_gossip_markers(&gossip.list_versions);
-    PeerReport { confirmed: sure, confirmations: vouches, platform_unreachable }
+    let (confirmed, confirmations) = roles::parse_gossip_markers(&gossip.list_versions);
+    PeerReport { confirmed, confirmations, platform_unreachable }
 }
 
-/// The time between two polls of a zone: often enough for `drain_ms`, within the shared rate.
+/// Returns the pause between two polls of a zone: often enough for `drain_ms`, within the shared rate.
 fn poll_interval_ms(settings: &Settings, pages: usize) -> u64 {
     let zones = settings.zones.len().max(1);
     let calls = (zones * pages.max(1)) as f64;
-    // Two pollers may overlap while a home changes hands, and the wishes stay under half the rate.
+    // Two pollers may overlap while a zone changes its poller, and the calls stay under half the rate.
     let floor = (calls * 2000.0 / settings.cloud_api.rate_per_s) as u64;
     (settings.bounds.drain_ms / 5).clamp(250, 1000).max(floor)
 }
 
-/// Did a step that may take `allowed_ms` take so long that the process must have stood still?
+/// Returns whether a step that may take `allowed_ms` took so long that the process must have stood still.
 fn stalled(begun: u64, allowed_ms: u64, now: u64) -> bool {
     now > begun + allowed_ms + STALL_TOLERANCE_MS
 }
 
+/// Polls the list of each zone while this controller is its poller, for as long as the process runs.
 pub fn start(controller: &Arc<Controller>) {
     let client = http_client::reads(Duration::from_millis(700)).timeout(Duration::from_millis(CALL_TIMEOUT_MS)).build();
     let Ok(client) = client else { return };
@@ -90,7 +92,7 @@
 }
 
 async fn run(controller: Arc<Controller>, client: Client, zone: String) {
-    let (mut turn, mut polls) = (0, 0u32);
+    let (mut term, mut polls) = (0, 0u32);
     let mut pages = 1;
     let mut wait = 0;
     loop {
@@ -102,20 +104,20 @@
             wait = wait.min(STARTUP_DELAY_MS);
             continue;
         }
-        // Without rules versions are neither read nor sent.
-        let ruled = controller.committed.has_staleness_limits();
-        let outcome = poll(&controller, &client, &zone, ruled).await;
+        // Without staleness limits weight versions are neither read nor sent.
+        let wants_weights = controller.committed.has_staleness_limits();
+        let outcome = poll(&controller, &client, &zone, wants_weights).await;
         record_access(&controller, outcome.as_ref().err().copied());
         let result = outcome.as_ref().map_or_else(|error| (*error).into(), |_| PollOutcome::Read);
         controller.metrics.platform_polls.get_or_create(&PollLabels { result }).inc();
         let Ok(listing) = outcome else {
-            // What is known stays in force, the next try comes a little later.
+            // What is known stays in force, the next poll comes a little later.
             wait = wait * 3 / 2;
             continue;
         };
         pages = listing.pages;
         polls += 1;
-        apply_listing(&controller, &zone, &mut turn, listing, ruled.then_some(polls % RESEND_EVERY_POLLS == 0));
+        apply_listing(&controller, &zone, &mut term, listing, wants_weights.then_some(polls % RESEND_EVERY_POLLS == 0));
     }
 }
 
@@ -129,48 +131,48 @@
     });
 }
 
-/// Sends out what a poll read, unless a list that another poller made became known meanwhile.
-/// `versions`: whether weight versions are wanted, and whether to send them even if unchanged.
-fn apply_listing(controller: &Controller, zone: &str, turn: &mut u64, listing: Listing, versions: Option<bool>) {
-    let parted = version_lists::partition(controller, listing.engines);
-    let made = controller.engines.update(|sheets| {
-        if sheets.observed_version(zone) != listing.known {
+/// Publishes what a poll read, unless a list that another poller made became known meanwhile. `versions`: None where weight
+/// versions are not wanted, else whether to send them even if unchanged.
+fn apply_listing(controller: &Controller, zone: &str, term: &mut u64, listing: Listing, versions: Option<bool>) {
+    let partitioned = version_lists::partition(controller, listing.engines);
+    let made = controller.engines.update(|lists| {
+        if lists.observed_version(zone) != listing.known {
             return None;
         }
-        let sheet = sheets.publish(zone, turn, controller.replica_id, parted.stable, listing.known);
-        Some((sheet, candidate_list(controller, sheets, zone, parted.candidates)))
+        let list = lists.publish(zone, term, controller.replica_id, partitioned.stable, listing.known);
+        Some((list, candidate_list(controller, lists, zone, partitioned.candidates)))
     });
-    let Some((sheet, candidates)) = made else { return };
+    let Some((list, candidates)) = made else { return };
     if let Some(again) = versions {
         limit_confirmations::publish_weight_versions(controller, zone, listing.weights, again);
     }
     // First those of the version in place: an engine that is both for a moment is no more left out.
-    for sheet in sheet.into_iter().chain(candidates) {
-        publish(controller, sheet);
+    for list in list.into_iter().chain(candidates) {
+        publish(controller, list);
     }
 }
 
 /// The list of a zone's engines of versions that are brought in, if there are any or were.
 fn candidate_list(
     controller: &Controller,
-    sheets: &mut EndpointLists,
+    lists: &mut EndpointLists,
     zone: &str,
     list: Vec<Engine>,
 ) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
-    let held = sheets.iter().find(|sheet| sheet.zone == name);
+    let held = lists.iter().find(|list| list.zone == name);
     if list.is_empty() && held.is_none_or(|held| held.engines.is_empty()) {
         return None;
     }
-    let mut turn = held.map_or(0, |held| held.term);
-    let known = sheets.observed_version(&name);
-    if turn != 0 && !is_term_of(turn, controller.replica_id) {
-        turn = 0;
+    let mut term = held.map_or(0, |held| held.term);
+    let known = lists.observed_version(&name);
+    if term != 0 && !is_term_of(term, controller.replica_id) {
+        term = 0;
     }
-    sheets.publish(&name, &mut turn, controller.replica_id, list, known)
+    lists.publish(&name, &mut term, controller.replica_id, list, known)
 }
 
-async fn poll(controller: &Controller, client: &Client, zone: &str, ruled: bool) -> Result<Listing, PollError> {
+async fn poll(controller: &Controller, client: &Client, zone: &str, wants_weights: bool) -> Result<Listing, PollError> {
     let _permit = controller.engines.poll_permit().await.ok_or(PollError::Refused)?;
     let known = controller.engines.known_list(zone);
     let mut listing = Listing::new(known);
@@ -188,7 +190,7 @@
             continue;
         };
         token = page.next_token.clone().filter(|token| !token.is_empty());
-        listing.add(page, ruled);
+        listing.add(page, wants_weights);
         if token.is_none() || listing.pages >= MAX_PAGES {
             return Ok(listing);
         }
@@ -202,7 +204,7 @@
     format!("http://{address}/instances?zone={zone}{page}")
 }
 
-/// Asks for one page. Ok(None): refused, over the shared rate.
+/// Fetches one page. Ok(None): refused, over the shared rate.
 async fn call(client: &Client, url: &str) -> Result<Option<Page>, PollError> {
     let begun = clock::now();
     let reply = client.get(url).send().await.map_err(|_| PollError::Unreachable)?;
@@ -229,12 +231,12 @@
     }
 }
 
-fn publish(controller: &Controller, sheet: EndpointList) {
-    kernel::log_event!(LIST, "zone" => sheet.zone.clone(), "turn" => sheet.term, "count" => sheet.sequence,
-        "up" => sheet.engines.iter().filter(|engine| engine.up).count(), "all" => sheet.engines.len(),
-        "prefill" => sheet.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
-    controller.catalog.remove_draining(&sheet);
-    controller.notify_peers(&Message::EndpointList(Box::new(sheet)));
+fn publish(controller: &Controller, list: EndpointList) {
+    kernel::log_event!(LIST, "zone" => list.zone.clone(), "turn" => list.term, "count" => list.sequence,
+        "up" => list.engines.iter().filter(|engine| engine.up).count(), "all" => list.engines.len(),
+        "prefill" => list.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
+    controller.catalog.remove_draining(&list);
+    controller.notify_peers(&Message::EndpointList(Box::new(list)));
     controller.push_updates();
 }
 
--- a/controller/src/lib.rs
+++ b/controller/src/lib.rs
@@ -1,4 +1,5 @@
-//! The control plane: knows which engines and daemons exist, holds and delivers the configuration.
+//! The control plane: stores control state by consensus, discovers engines, delivers updates to routers, and carries out
+//! singleton roles. `docs/architecture.md` shows how the modules hang together.
 
 mod api;
 mod balancing;
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The control plane: knows which engines and daemons exist, holds and delivers the configuration.
+//! The program of the control plane.
 
 use std::process;
 
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -1,4 +1,5 @@
-//! What a controller counts. The list with units stands in `docs/metrics.md`; a test holds the two together.
+//! The metrics of a controller. `docs/metrics.md` lists them with units; a test compares the two. Variants of label types are
+//! label values: renaming one changes what is exported.
 
 use std::sync::atomic::Ordering;
 
@@ -15,66 +16,93 @@
 use crate::batches::records;
 use crate::controller::Controller;
 
-/// What an operator's call asked for.
+/// What an operator's request is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestKind {
+    /// Reads the configuration.
     ReadConfig,
+    /// Changes the configuration.
     ChangeConfig,
+    /// Begins or ends an evacuation.
     Evacuate,
 }
 
-/// What an operator's call came to.
+/// The outcome of an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestOutcome {
+    /// It was carried out.
     Done,
+    /// It was rejected.
     Refused,
+    /// It may have been carried out, or may yet be.
     Unclear,
+    /// The caller was sent to another controller.
     Redirected,
 }
 
-/// What a poll of the platform's list came to.
+/// The outcome of a poll of the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum PollOutcome {
+    /// The list was read.
     Read,
+    /// Over the shared rate, or the response was no list.
     Refused,
+    /// No response.
     Unreachable,
+    /// This process stood still meanwhile.
     Stalled,
 }
 
+/// The labels of a metric by outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
+    /// What the request is about.
     pub kind: RequestKind,
+    /// Its outcome.
     pub result: RequestOutcome,
 }
 
+/// The labels of a metric by outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PollLabels {
+    /// The outcome of the poll.
     pub result: PollOutcome,
 }
 
-/// What a request for a token of a tenant's limit came to.
+/// The outcome of a request for a token of a tenant's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum TokenOutcome {
+    /// A token was issued.
     Granted,
+    /// None is left.
     Denied,
+    /// This controller does not own the shard.
     NotHeld,
 }
 
+/// The labels of a metric by outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct QuotaLabels {
+pub struct TokenLabels {
+    /// The outcome.
     pub answer: TokenOutcome,
 }
 
 /// All metrics of a controller. Labels have fixed values only, so that their number never grows.
 pub struct Metrics {
     registry: Registry,
+    /// Operators' requests that were answered.
     pub operator_requests: Family<RequestLabels, Counter>,
+    /// Operators' requests not yet answered.
     pub requests_in_flight: Gauge,
-    pub order_duration: Histogram,
+    /// Time from reading an operator's request to its response, in seconds.
+    pub request_duration: Histogram,
+    /// Time of a write of records, in seconds.
     pub disk_write: Histogram,
+    /// Polls of the platform's list.
     pub platform_polls: Family<PollLabels, Counter>,
+    /// Singleton roles acquired under a new epoch.
     pub roles_acquired: Counter,
-    token_responses: Family<QuotaLabels, Counter>,
+    token_responses: Family<TokenLabels, Counter>,
     config_revision: Gauge,
     confirmed: Gauge,
     core_version: Gauge,
@@ -95,7 +123,7 @@
             registry: Registry::with_prefix(PREFIX),
             operator_requests: Default::default(),
             requests_in_flight: Default::default(),
-            order_duration: telemetry::latency_histogram(),
+            request_duration: telemetry::latency_histogram(),
             disk_write: telemetry::latency_histogram(),
             platform_polls: Default::default(),
             roles_acquired: Default::default(),
@@ -122,7 +150,7 @@
         registry.register("orders", "Operators' calls by what they came to", self.operator_requests.clone());
         let under_way = self.requests_in_flight.clone();
         registry.register("orders_under_way", "Operators' calls not answered yet", under_way);
-        let duration = self.order_duration.clone();
+        let duration = self.request_duration.clone();
         let help = "Time from the reading of an operator's call to its answer";
         registry.register_with_unit("order_duration", help, Unit::Seconds, duration);
         let help = "Time of a write of records and its sync, with tries again";
@@ -150,17 +178,17 @@
         registry.register("leaving", "1 once SIGTERM came", self.shutting_down.clone());
     }
 
-    /// Counts the answer to a request for a token.
+    /// Counts a response to a request for a token.
     pub fn record_token_response(&self, spent: TokenResponse) {
         let answer = match spent {
             TokenResponse::Granted => TokenOutcome::Granted,
             TokenResponse::Denied { .. } => TokenOutcome::Denied,
             TokenResponse::NotHeld => TokenOutcome::NotHeld,
         };
-        self.token_responses.get_or_create(&QuotaLabels { answer }).inc();
+        self.token_responses.get_or_create(&TokenLabels { answer }).inc();
     }
 
-    /// All metrics as text, with the figures that are only read when asked for.
+    /// Returns all metrics as text, with the figures that are only read when asked for.
     pub fn render(&self, controller: &Controller) -> String {
         let now = clock::now();
         let core = controller.replica.membership();
@@ -181,7 +209,7 @@
     controller.peers.live_ips(now).iter().filter(|ip| *ip != controller.own_ip()).count() as i64
 }
 
-/// One call of an operator, counted while it is under way.
+/// One request of an operator, counted as in flight until dropped.
 pub struct RequestTimer<'a> {
     metrics: &'a Metrics,
     kind: RequestKind,
@@ -189,9 +217,10 @@
 }
 
 impl<'a> RequestTimer<'a> {
-    pub fn start(metrics: &'a Metrics, order: &OperatorRequest) -> RequestTimer<'a> {
+    /// Counts a request as in flight.
+    pub fn start(metrics: &'a Metrics, request: &OperatorRequest) -> RequestTimer<'a> {
         use protocol::operator_request::OperatorRequest;
-        let kind = match order {
+        let kind = match request {
             OperatorRequest::ReadConfig => RequestKind::ReadConfig,
             OperatorRequest::Change(_) => RequestKind::ChangeConfig,
             OperatorRequest::Evacuate { .. } | OperatorRequest::EvacuateFrom { .. } => RequestKind::Evacuate,
@@ -200,6 +229,7 @@
         RequestTimer { metrics, kind, begun: clock::now() }
     }
 
+    /// Counts the outcome.
     pub fn finish(self, result: RequestOutcome) {
         self.metrics.operator_requests.get_or_create(&RequestLabels { kind: self.kind, result }).inc();
     }
@@ -209,7 +239,7 @@
     fn drop(&mut self) {
         self.metrics.requests_in_flight.dec();
         let spent_ms = clock::now() - self.begun;
-        self.metrics.order_duration.observe(spent_ms as f64 / MS_PER_S);
+        self.metrics.request_duration.observe(spent_ms as f64 / MS_PER_S);
     }
 }
 
--- a/controller/src/peers/pause.rs
+++ b/controller/src/peers/pause.rs
@@ -7,14 +7,14 @@
 
 use crate::controller::Controller;
 
-/// A pause from this length on is one after which an order in a socket may long have been given up.
+/// After a pause from this length on, a request in a socket may long have been given up by its sender.
 const PAUSE_MS: u64 = 1000;
-/// For so long after the process goes on, orders are taken for old ones.
+/// For so long after the process goes on, requests count as stale.
 const STALE_AFTER_PAUSE_MS: u64 = 500;
 
 const TICK_MS: u64 = 250;
 
-/// Beats in a task of its own: one that also does other work would stand still with it.
+/// Records ticks in a task of its own: one that also does other work would stall with it.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -26,7 +26,7 @@
     });
 }
 
-/// Times of the steady clock. Invariant: `resumed` is the time of the first beat after the last pause.
+/// Times of the steady clock. Invariant: `resumed` is the time of the first tick after the last pause.
 #[derive(Debug, Default)]
 pub struct PauseMonitor {
     last_tick: u64,
@@ -34,7 +34,7 @@
 }
 
 impl PauseMonitor {
-    /// To be called more often than `PAUSE_MS` while the process runs.
+    /// Records that the process runs. To be called more often than `PAUSE_MS`.
     pub fn record_tick(&mut self, now: u64) {
         if self.is_paused(now) {
             self.resumed = Some(now);
@@ -42,7 +42,7 @@
         self.last_tick = now;
     }
 
-    /// May an order that is read now have been sent before a pause?
+    /// Returns whether a request that is read now may have been sent before a pause.
     pub fn requests_may_be_stale(&self, now: u64) -> bool {
         self.is_paused(now) || self.resumed.is_some_and(|resumed| now < resumed + STALE_AFTER_PAUSE_MS)
     }
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -14,22 +14,31 @@
 use crate::config::history::{ConfigHistory, NotNewer};
 use crate::controller::CONFIRMATION_TTL_MS;
 
+/// What the key of a zone's evacuation holds. The stored bytes depend on the order of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EvacuationRecord {
+    /// Rises with each change.
     pub version: u64,
+    /// Whether the zone is being evacuated.
     pub evacuated: bool,
 }
 
+/// What the key of a singleton role holds. The stored bytes depend on the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RoleState {
+    /// The fencing token: rises with each acquisition.
     pub epoch: u64,
+    /// The address of the controller that owns the role; empty: nobody yet.
     pub owner: String,
-    /// The holder has waited out whoever held it before, and said so before its first act.
+    /// The owner has waited until no earlier owner can still act, and declared so before its first act.
     pub predecessor_expired: bool,
 }
 
+/// The key of the configuration.
 pub const CONFIG_KEY: &str = "config";
+/// The keys of evacuations, with the zone behind it.
 pub const EVACUATION_PREFIX: &str = "evacuation/";
+/// The keys of singleton roles.
 pub const ROLE_PREFIX: &str = "duty/";
 
 kernel::impl_archive_bytes!(EvacuationRecord);
@@ -37,11 +46,12 @@
 
 pub use consensus::{decode_membership as read_core, encode_membership as write_core};
 
-/// The value in a body; the first one where there is none yet. None: the body is of another form, and is never taken for
-/// an empty one.
+/// Implements `open`, which reads the value in a body.
 macro_rules! open {
     ($kind:ty) => {
         impl $kind {
+            /// Returns the value in a body, the default one where the body is empty. None: the body is of another form, which
+            /// is never taken for an empty one.
             pub fn open(body: &[u8]) -> Option<Self> {
                 match body.is_empty() {
                     true => Some(Self::default()),
@@ -60,10 +70,13 @@
 pub enum Unreadable {
     /// The body is of no form that this version knows.
     Body,
+    /// The text of the configuration is not valid.
     Text(ConfigError),
-    /// The body tells another revision than its text.
+    /// The body declares another revision than its text.
     Revision {
+        /// The revision in the body.
         declared: u64,
+        /// The revision in the text.
         found: u64,
     },
     /// It would lead back from what is known.
@@ -90,36 +103,41 @@
     AlreadyKnown,
     /// The same body, committed again.
     Recommitted,
+    /// It is known from now on.
     New {
+        /// The revision of the configuration in force.
         revision: u64,
     },
-    /// It is not known here: what the key held before is, and its position stays behind. `first`: not reported before.
+    /// It is not known here: what the key known before is, and its position stays behind. `first`: not reported before.
     Unreadable {
+        /// Why.
         error: Unreadable,
+        /// Whether this was not reported before.
         first: bool,
     },
 }
 
-/// What is known to be committed. Invariant: the place of an entry never goes back.
+/// What is known to be committed. Invariant: the position of an entry never goes back.
 #[derive(Default)]
 pub struct CommittedState {
+    /// The newest committed entry that is known of each key.
     pub entries: BTreeMap<String, Entry>,
     /// When the read began that last confirmed these at a majority; None before the first.
     pub confirmed_at: Option<u64>,
-    /// The highest turn seen in any ballot.
+    /// The highest term seen in any proposal number.
     pub highest_term: u64,
     /// The configuration in the entry of its key, as a value and as routers take it.
     pub history: ConfigHistory,
-    /// The place of a committed entry that could not be read: it is not known here, so nothing newer than what it was
+    /// The position of a committed entry that could not be read: it is not known here, so nothing newer than what it was
     /// committed on top of counts as confirmed.
     pub unreadable: Option<Position>,
-    /// The evacuations with their versions.
+    /// The evacuations by zone, ended ones too.
     pub evacuations: BTreeMap<String, EvacuationRecord>,
     /// Limits on stale weights, removed ones too: their versions must not start anew.
     pub staleness_limits: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
     pub version_rollouts: BTreeMap<String, VersionRollout>,
-    /// By key: epoch, holder, and whether it has waited.
+    /// The singleton roles by key.
     pub roles: BTreeMap<String, RoleState>,
 }
 
@@ -129,18 +147,18 @@
         self.confirmed_at.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
-    /// Takes an entry that is committed. `read`: the configuration in it, where that was read already.
+    /// Takes over an entry that is committed. `read` is the configuration in it, where that was read already.
     pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
         self.highest_term = self.highest_term.max(entry.proposal_number.term);
-        let held = self.entries.get(key);
-        if held.is_some_and(|held| held.position() >= entry.position()) {
+        let known = self.entries.get(key);
+        if known.is_some_and(|known| known.position() >= entry.position()) {
             return Learned::AlreadyKnown;
         }
-        let same = held.is_some_and(|held| held.body == entry.body);
+        let same = known.is_some_and(|known| known.body == entry.body);
         if !same {
             if let Err(error) = self.apply(key, &entry.body, read) {
-                let place = Some(entry.position());
-                let first = mem::replace(&mut self.unreadable, place) != place;
+                let position = Some(entry.position());
+                let first = mem::replace(&mut self.unreadable, position) != position;
                 return Learned::Unreadable { error, first };
             }
         }
@@ -160,8 +178,8 @@
             self.evacuations.insert(zone.into(), evacuation);
         }
         if key.starts_with(STALENESS_LIMIT_PREFIX) && !body.is_empty() {
-            let rule = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
-            self.staleness_limits.insert(key.into(), rule);
+            let limit = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
+            self.staleness_limits.insert(key.into(), limit);
         }
         if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
             let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
@@ -191,11 +209,11 @@
 
 /// Reads a committed configuration.
 fn read_config(body: &[u8]) -> Result<ConfigDocument, Unreadable> {
-    let held = Held::open(body).ok_or(Unreadable::Body)?;
-    let checked = ConfigDocument::parse_committed(&held.text).map_err(Unreadable::Text)?;
-    match checked.revision() == held.revision {
+    let known = Held::open(body).ok_or(Unreadable::Body)?;
+    let checked = ConfigDocument::parse_committed(&known.text).map_err(Unreadable::Text)?;
+    match checked.revision() == known.revision {
         true => Ok(checked),
-        false => Err(Unreadable::Revision { declared: held.revision, found: checked.revision() }),
+        false => Err(Unreadable::Revision { declared: known.revision, found: checked.revision() }),
     }
 }
 
--- a/controller/src/replication/disk.rs
+++ b/controller/src/replication/disk.rs
@@ -1,5 +1,5 @@
-//! The disk has a thread of its own, so that one that stalls holds up votes and nothing else. What
-//! is handed over is written in that order; an answer leaves once all before it is on disk.
+//! The acceptor's disk on a thread of its own, so that a disk that stalls holds up consensus responses and nothing else. Records
+//! are written in the order in which they are handed over; a response leaves once all records before it are on disk.
 
 use std::collections::HashSet;
 use std::path::Path;
@@ -14,8 +14,8 @@
 
 /// The pause before a write that failed is tried again.
 const RETRY: Duration = Duration::from_millis(100);
-/// How often a disk that refuses is tried when the process starts, before it ends.
-const OPEN_TRIES: u32 = 50;
+/// How often a disk that fails is tried when the process starts, before it ends.
+const OPEN_ATTEMPTS: u32 = 50;
 
 type Completion = Box<dyn FnOnce() + Send>;
 
@@ -24,19 +24,21 @@
     completion: Option<Completion>,
 }
 
+/// The queue to the thread that writes.
 pub struct Disk {
     queue: Sender<WriteRequest>,
 }
 
 impl Disk {
-    /// Without a store everything is kept in memory only. `voter` is what the store holds. The time of each write is
-    /// noted in `write_seconds`.
-    pub fn start(store: Option<Store>, voter: Acceptor, write_seconds: Histogram) -> Disk {
+    /// Starts the thread. Without a store everything is kept in memory only. `acceptor` is what the store holds. The time of
+    /// each write is recorded in `write_seconds`.
+    pub fn start(store: Option<Store>, acceptor: Acceptor, write_seconds: Histogram) -> Disk {
         let (queue, requests) = mpsc::channel();
-        thread::spawn(move || run(store, voter, &requests, &write_seconds));
+        thread::spawn(move || run(store, acceptor, &requests, &write_seconds));
         Disk { queue }
     }
 
+    /// Writes records, after all before them.
     pub fn write(&self, records: Vec<LogRecord>) {
         let _ = self.queue.send(WriteRequest { records, completion: None });
     }
@@ -47,31 +49,34 @@
     }
 }
 
-/// Opens the store of a voter. A disk that refuses is tried again for a while: one in trouble is no
-/// reason to end, a damaged one is. The second value tells whether the disk was empty.
-pub fn open(path: &Path, voter: &mut Acceptor) -> Result<(Store, bool), StoreError> {
-    let ip = voter.ip.clone();
-    let mut tries = 0;
+/// Opens the store of an acceptor and replays it; the second value says whether the disk was empty. A disk that fails is tried
+/// again for a while: that is no reason to end, a damaged store is.
+///
+/// # Errors
+/// The store is damaged, or the disk failed for so long.
+pub fn open(path: &Path, acceptor: &mut Acceptor) -> Result<(Store, bool), StoreError> {
+    let ip = acceptor.ip.clone();
+    let mut attempts = 0;
     loop {
-        *voter = Acceptor::new(&ip);
+        *acceptor = Acceptor::new(&ip);
         let mut empty = true;
         let opened = Store::open(path, &mut |record| {
             empty = false;
-            voter.replay(record);
+            acceptor.replay(record);
         });
-        tries += 1;
+        attempts += 1;
         match opened {
-            Err(error @ StoreError::Io { .. }) if tries < OPEN_TRIES => report(&error, tries == 1),
+            Err(error @ StoreError::Io { .. }) if attempts < OPEN_ATTEMPTS => report(&error, attempts == 1),
             outcome => return outcome.map(|store| (store, empty)),
         }
         thread::sleep(RETRY);
     }
 }
 
-/// `synced_voter` follows what is on disk, for snapshots.
+/// `synced_acceptor` follows what is on disk, for snapshots.
 fn run(
     mut store: Option<Store>,
-    mut synced_voter: Acceptor,
+    mut synced_acceptor: Acceptor,
     requests: &Receiver<WriteRequest>,
     write_seconds: &Histogram,
 ) {
@@ -84,7 +89,7 @@
         }
         if let (Some(store), false) = (&mut store, records.is_empty()) {
             let begun = Instant::now();
-            persist(store, newest(records), &mut synced_voter);
+            persist(store, newest(records), &mut synced_acceptor);
             write_seconds.observe(begun.elapsed().as_secs_f64());
         }
         for completion in completions {
@@ -93,8 +98,8 @@
     }
 }
 
-/// Of the records of one write only the last of each kind and key: none of them counts before all are on
-/// disk. The leave to vote goes last, so that a torn write never holds it without what it rests on.
+/// Returns, of the records of one write, only the last of each kind and key: none of them counts before all are on disk. The
+/// permission to vote goes last, so that a torn write never holds it without what it rests on.
 fn newest(records: Vec<LogRecord>) -> Vec<LogRecord> {
     let mut keys = HashSet::new();
     let (mut core, mut vote) = (false, false);
@@ -118,26 +123,26 @@
 }
 
 /// A failed write is tried again for as long as it fails: nothing behind it is answered before.
-fn persist(store: &mut Store, records: Vec<LogRecord>, synced_voter: &mut Acceptor) {
+fn persist(store: &mut Store, records: Vec<LogRecord>, synced_acceptor: &mut Acceptor) {
     let mut first = true;
     while let Err(error) = store.append(&records) {
         report(&error, first);
         first = false;
         if store.is_snapshot_due() {
-            snapshot(store, synced_voter);
+            snapshot(store, synced_acceptor);
         }
         thread::sleep(RETRY);
     }
     for record in records {
-        synced_voter.replay(record);
+        synced_acceptor.replay(record);
     }
     if store.is_snapshot_due() {
-        snapshot(store, synced_voter);
+        snapshot(store, synced_acceptor);
     }
 }
 
-fn snapshot(store: &mut Store, synced_voter: &Acceptor) {
-    if let Err(error) = store.snapshot(&synced_voter.snapshot()) {
+fn snapshot(store: &mut Store, synced_acceptor: &Acceptor) {
+    if let Err(error) = store.snapshot(&synced_acceptor.snapshot()) {
         report(&error, true);
     }
 }
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -1,4 +1,5 @@
-//! Carrying rounds of the ledger out: to all members at once, each vote fed to the round.
+//! Proposing changes of registers: requests go to all members at once, each response is fed to the proposal ("Paxos Made
+//! Simple", one instance a key).
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,8 +17,8 @@
 
 use crate::controller::Controller;
 
-/// One key's owner state in this controller. Invariant: a change is made only while it is locked, so
-/// two changes of one owner never share a place.
+/// What this controller owns of one key. Invariant: a change is made only while it is locked, so two changes of one owner never
+/// share a position.
 pub type OwnershipLock = Mutex<Option<Ownership>>;
 
 /// What this controller owns of each key. Two keys are changed independently.
@@ -25,7 +26,7 @@
 pub struct Ownerships(parking_lot::Mutex<HashMap<String, Arc<OwnershipLock>>>);
 
 impl Ownerships {
-    /// Returns the lock of one key's ownership. It may be held over an await.
+    /// Returns the lock of one key's ownership. It may be owned over an await.
     fn lock_of(&self, key: &str) -> Arc<OwnershipLock> {
         self.0.lock().entry(key.into()).or_default().clone()
     }
@@ -33,43 +34,44 @@
 
 pub use consensus::Decision;
 
-/// None: no clear outcome.
+/// The result of a change. None: the outcome is unknown.
 pub type ChangeOutcome<T> = Option<T>;
 
-/// The longest pause after the first try that was overtaken, and after the last ones.
+/// The longest pause after the first attempt that was superseded.
 const FIRST_PAUSE_MS: u64 = 20;
+/// The longest pause after later attempts.
 const LAST_PAUSE_MS: u64 = 200;
 
 type Responses = Receiver<(String, ConsensusResponse)>;
 
 impl Controller {
-    /// Asks some members; the votes come in as they are given.
+    /// Sends an operation to some acceptors; their responses come in as they are given.
     pub fn ask(&self, core: &CoreMembership, ask: ConsensusOperation, ips: &[String]) -> Responses {
-        let (send, votes) = mpsc::channel(ips.len().max(1));
+        let (send, responses) = mpsc::channel(ips.len().max(1));
         for ip in ips {
-            let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
+            let request = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
             let (send, from) = (send.clone(), ip.clone());
             if ip == self.own_ip() {
-                self.replica.handle(poll, move |vote| {
-                    let _ = send.try_send((from, vote));
+                self.replica.handle(request, move |response| {
+                    let _ = send.try_send((from, response));
                 });
                 continue;
             }
             let peer = self.peers.client(ip);
             tokio::spawn(async move {
-                let msg = Message::ConsensusRequest(Box::new(poll));
-                let Some(Message::ConsensusResponse(vote)) = peer.call(msg, ROUND_TIMEOUT_MS).await else { return };
-                let _ = send.try_send((from, *vote));
+                let msg = Message::ConsensusRequest(Box::new(request));
+                let Some(Message::ConsensusResponse(response)) = peer.call(msg, ROUND_TIMEOUT_MS).await else { return };
+                let _ = send.try_send((from, *response));
             });
         }
-        votes
+        responses
     }
 
-    /// One try: from what is held of the key to an outcome. None: no outcome in time, or overtaken.
+    /// Makes one attempt, from what is owned of the key to an outcome. None: no outcome in time, or superseded.
     async fn propose<T>(
         &self,
         key: &str,
-        held: Option<Ownership>,
+        owned: Option<Ownership>,
         judge: &mut impl FnMut(&[u8]) -> Decision<T>,
     ) -> Option<(T, Ownership, bool)> {
         let core = self.replica.membership();
@@ -77,18 +79,18 @@
             return None;
         }
         let members = quorum::addresses(&core);
-        let ballot = self.committed.next_proposal_number(&core, self.replica_id);
-        let (mut proposal, ask) = Proposal::start(key, &core, held, ballot, judge, clock::now());
-        let mut votes = self.ask(&core, ask, &members);
+        let proposal_number = self.committed.next_proposal_number(&core, self.replica_id);
+        let (mut proposal, ask) = Proposal::start(key, &core, owned, proposal_number, judge, clock::now());
+        let mut responses = self.ask(&core, ask, &members);
         loop {
             let span = Duration::from_millis(ROUND_TIMEOUT_MS);
-            let Ok(Some((from, vote))) = time::timeout(span, votes.recv()).await else { return None };
-            match proposal.handle_response(&from, vote, judge, clock::now()) {
+            let Ok(Some((from, response))) = time::timeout(span, responses.recv()).await else { return None };
+            match proposal.handle_response(&from, response, judge, clock::now()) {
                 Progress::Wait => {}
-                Progress::Send(ask) => votes = self.ask(&core, ask, &members),
+                Progress::Send(ask) => responses = self.ask(&core, ask, &members),
                 Progress::Finished { answer, ownership, written } => return Some((answer, ownership, written)),
-                Progress::Superseded(ballot) => {
-                    self.committed.observe_term(ballot.term);
+                Progress::Superseded(proposal_number) => {
+                    self.committed.observe_term(proposal_number.term);
                     return None;
                 }
                 Progress::NewerMembership(core) => {
@@ -99,8 +101,8 @@
         }
     }
 
-    /// The same, and nobody is told of the committed entry: that is left to the caller, who gets it, and
-    /// whether a change was written.
+    /// Changes a key without announcing the committed entry: that is left to the caller, who gets it, and whether a change was
+    /// written. `judge` sees what is committed and says what to do; it may be asked again.
     pub async fn change_unannounced<T>(
         &self,
         key: &str,
@@ -109,22 +111,22 @@
     ) -> ChangeOutcome<(T, Ownership, bool)> {
         let own = self.ownerships.lock_of(key);
         let end = Instant::now() + Duration::from_millis(wait_ms);
-        let mut held = time::timeout_at(end, own.lock()).await.ok()?;
-        let mut dice = Rng::new(self.incarnation ^ clock::now());
+        let mut owned = time::timeout_at(end, own.lock()).await.ok()?;
+        let mut random = Rng::new(self.incarnation ^ clock::now());
         let mut pause = FIRST_PAUSE_MS;
         while Instant::now() < end {
-            if let Some(done) = self.propose(key, held.take(), &mut judge).await {
-                *held = Some(done.1.clone());
+            if let Some(done) = self.propose(key, owned.take(), &mut judge).await {
+                *owned = Some(done.1.clone());
                 return Some(done);
             }
-            let rest = dice.below(pause) + 2;
-            time::sleep(Duration::from_millis(rest)).await;
+            let pause_ms = random.below(pause) + 2;
+            time::sleep(Duration::from_millis(pause_ms)).await;
             pause = (pause * 2).min(LAST_PAUSE_MS);
         }
         None
     }
 
-    /// Commits again what a key holds, under the core of now.
+    /// Commits again what a key holds, under the current core membership.
     pub async fn recommit(&self, key: &str, wait_ms: u64) -> ChangeOutcome<()> {
         let own = self.ownerships.lock_of(key);
         *own.lock().await = None;
--- a/controller/src/roles_tests.rs
+++ b/controller/src/roles_tests.rs
@@ -3,12 +3,12 @@
 use super::parse_gossip_markers;
 
 #[test]
-fn peers_hear_who_is_sure_and_who_is_vouched_for() {
-    let markers = |sure: u64| {
+fn peers_hear_who_is_confirmed_and_whom_it_confirms() {
+    let markers = |confirmed: u64| {
         vec![
             VersionEntry::new("zone-a", 7, 1),
             message::own_protocol_version(),
-            VersionEntry::new("\0sure", sure, 0),
+            VersionEntry::new("\0sure", confirmed, 0),
             VersionEntry::new("\0vouch 10.0.0.2", 1, 0),
         ]
     };
--- a/controller/src/shutdown.rs
+++ b/controller/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a controller: what it took is finished, and nothing new is taken.
+//! The end of a controller: what it accepted is finished, and nothing new is accepted.
 
 use std::future::Future;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The work that a controller finishes before it ends: operators' calls and jobs of batches.
+/// The work that a controller finishes before it ends: operators' requests and jobs of batches.
 #[derive(Default)]
 pub struct Shutdown {
     closing: CancellationToken,
@@ -20,17 +20,17 @@
         self.work.spawn(work);
     }
 
-    /// Is nothing new taken any more?
+    /// Returns whether nothing new is accepted any more.
     pub fn is_closing(&self) -> bool {
         self.closing.is_cancelled()
     }
 
-    /// Until nothing new is taken any more.
+    /// Waits until nothing new is accepted any more.
     pub async fn closing(&self) {
         self.closing.cancelled().await;
     }
 
-    /// Takes nothing new and waits for what is under way; false if something is not finished at the end.
+    /// Accepts nothing new and waits for what is under way. Returns false if something is not finished at the end.
     pub async fn run(&self, end: Instant) -> bool {
         self.closing.cancel();
         self.work.close();
@@ -38,10 +38,10 @@
     }
 }
 
-/// What of the grace is kept for the end of the process itself.
+/// How much of the grace is reserved for the end of the process itself.
 const RESERVE_MS: u64 = 300;
 
-/// When a process that was told to end now must have finished.
+/// Returns when a process that gets SIGTERM now must have finished.
 pub fn last_moment(grace_s: f64) -> Instant {
     let grace = Duration::from_secs_f64(grace_s);
     Instant::now() + grace.saturating_sub(Duration::from_millis(RESERVE_MS))
