--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -17,16 +17,16 @@
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
 pub fn absorb(state: &State, list: &[EvacuationState]) {
     let mut engine_table = state.engine_table.lock();
-    let mut held = state.news.lock();
+    let mut held = state.subscribed.lock();
     for EvacuationState { zone, version, evacuated } in list {
-        if held.closed.get(zone).is_some_and(|(known, _)| known >= version) {
+        if held.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
         }
         let dense = engine_table.zone_index(zone);
-        held.closed.insert(zone.clone(), (*version, *evacuated));
-        held.shut.retain(|shut| *shut != dense);
+        held.evacuations.insert(zone.clone(), (*version, *evacuated));
+        held.evacuated_zones.retain(|shut| *shut != dense);
         if *evacuated {
-            held.shut.push(dense);
+            held.evacuated_zones.push(dense);
         } else {
             engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
         }
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -38,5 +38,5 @@
     absorb(&state, &[evacuation("a", 3, true)]);
     absorb(&state, &[evacuation("a", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    assert!(state.news.lock().closed[&"a".to_string()].1, "still evacuated");
+    assert!(state.subscribed.lock().evacuations[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -96,7 +96,7 @@
 
 /// Looks at the table of this moment. The proof is read first: the table that follows is no older.
 fn look(state: &State, accepts: &impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
-    let proved = state.currency.is_proved(clock::now());
+    let proved = state.freshness.is_proved(clock::now());
     let table = state.table();
     match accepts(&table) {
         true => Ok(table),
@@ -112,7 +112,7 @@
     if !matches!(first, Err(Miss::Unproved)) {
         return first;
     }
-    let currency = &state.currency;
+    let currency = &state.freshness;
     let Some(_waiting) = currency.enter() else { return first };
     currency.wanted.notify_one();
     let wait = Duration::from_millis(currency.budget.refusal_wait_ms().min(left_ms / 3));
--- a/router/src/config/freshness_tests.rs
+++ b/router/src/config/freshness_tests.rs
@@ -37,7 +37,7 @@
     let state = unproved();
     put_in_force(&state, 5);
     assert_eq!(look(&state, 5).await, Ok(5));
-    state.currency.prove(clock::now() as i64);
+    state.freshness.prove(clock::now() as i64);
     let begun = Instant::now();
     assert_eq!(look(&state, 6).await, Err(Miss::Certain));
     assert_eq!(begun.elapsed().as_millis(), 0);
@@ -46,10 +46,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_proof_that_is_too_old_proves_nothing() {
     let state = unproved();
-    let age = state.currency.budget().refusal_age_ms() as i64;
-    state.currency.prove(clock::now() as i64 - age - 1);
+    let age = state.freshness.budget().refusal_age_ms() as i64;
+    state.freshness.prove(clock::now() as i64 - age - 1);
     assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
-    state.currency.prove(clock::now() as i64 - age / 2);
+    state.freshness.prove(clock::now() as i64 - age / 2);
     assert_eq!(look(&state, 6).await, Err(Miss::Certain));
 }
 
@@ -59,7 +59,7 @@
     let begun = Instant::now();
     assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
     let waited = begun.elapsed().as_millis() as u64;
-    let most = state.currency.budget().refusal_wait_ms();
+    let most = state.freshness.budget().refusal_wait_ms();
     assert!((most..most + 10).contains(&waited), "{waited}");
     let begun = Instant::now();
     assert!(table_with(&state, 90, since(6)).await.is_err());
@@ -74,11 +74,11 @@
         tokio::spawn(async move { look(&state, revision).await })
     };
     let (added, never) = (waiting(6), waiting(7));
-    state.currency.wanted().await;
+    state.freshness.wanted().await;
     put_in_force(&state, 6);
     assert_eq!(added.await.expect("it ends"), Ok(6), "the route was only late");
     assert!(!never.is_finished());
-    state.currency.prove(clock::now() as i64);
+    state.freshness.prove(clock::now() as i64);
     assert_eq!(never.await.expect("it ends"), Err(Miss::Certain));
 }
 
@@ -89,7 +89,7 @@
     let (count, follower) = (asked.clone(), state.clone());
     tokio::spawn(async move {
         loop {
-            follower.currency.wanted().await;
+            follower.freshness.wanted().await;
             count.fetch_add(1, Ordering::Relaxed);
         }
     });
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -18,7 +18,7 @@
     /// has lapsed.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
-        let floors = self.state.floors.lock();
+        let floors = self.state.staleness_bounds.lock();
         let model = self.request.model_key;
         match floors.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
@@ -63,7 +63,7 @@
 pub fn rule(state: &State, rule: &StalenessLimit) {
     let service = state.engine_table.lock().service_index(&rule.service);
     let now = clock::now();
-    if state.floors.lock().update(rule, service, now) {
+    if state.staleness_bounds.lock().update(rule, service, now) {
         kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
@@ -72,7 +72,7 @@
 /// Weight versions of a zone. Older ones of the same poller change nothing.
 pub fn versions(state: &State, list: &WeightVersions) {
     {
-        let mut held = state.weights.lock();
+        let mut held = state.weight_versions.lock();
         let version = held.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
@@ -87,8 +87,8 @@
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
 pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
-    let rules = state.floors.lock().versions();
-    let weights = state.weights.lock();
+    let rules = state.staleness_bounds.lock().versions();
+    let weights = state.weight_versions.lock();
     let weights =
         weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
     (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -175,7 +175,7 @@
     };
     let looked_up = clock::now();
     let room = (state.settings.limits.memory_mb as usize) << 18;
-    if state.held.load(Ordering::Relaxed) > room {
+    if state.held_body_bytes.load(Ordering::Relaxed) > room {
         return Err(Failure::Refused(250).into());
     }
     let most = admitted.table.body_bytes;
@@ -184,7 +184,7 @@
         (None, Some(body)) => request::body(body, most, admitted.table.idle_ms).await?,
         _ => return Err(Failure::TooLarge.into()),
     };
-    if clock::now() > looked_up + state.currency.budget().lookup_age_ms() {
+    if clock::now() > looked_up + state.freshness.budget().lookup_age_ms() {
         // The body came slowly: a newer configuration may send it elsewhere.
         admitted = admit(state, &parts).await?;
     }
@@ -196,12 +196,12 @@
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
-        let mut dice = state.dice.lock();
+        let mut dice = state.rng.lock();
         routing_table::split(&route.targets, dice.next_u64())
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
-    state.held.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.budget.lock().record_request(service, born);
+    state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
+    state.retry_budget.lock().record_request(service, born);
     Exchange {
         closed_zones: plan::closed_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -30,7 +30,7 @@
         assert_eq!(status(&text), "503", "{route}: {text}");
         assert!(text.to_lowercase().contains("retry-after"), "{text}");
     }
-    state.currency.prove(i64::MAX);
+    state.freshness.prove(i64::MAX);
     for (route, expected) in [("once", "401"), ("gone", "404")] {
         assert_eq!(status(&ask(&state, route, "1", KEYED).await), expected);
     }
@@ -45,7 +45,7 @@
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", &format!("Connection: close\r\n{KEYED}"))).await;
     let asked = Duration::from_secs(10);
-    time::timeout(asked, state.currency.wanted()).await.expect("the proof is asked for");
+    time::timeout(asked, state.freshness.wanted()).await.expect("the proof is asked for");
     keys(&state, &["k1"]);
     let text = client.rest().await;
     assert_eq!((status(&text), seen(&list).len()), ("200", 1), "{text}");
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -66,7 +66,7 @@
             let spent_ms = clock::now().saturating_sub(self.request.born);
             self.request.authorization.route().durations.note(spent_ms);
         }
-        self.state.held.fetch_sub(self.request.body.len(), Ordering::Relaxed);
+        self.state.held_body_bytes.fetch_sub(self.request.body.len(), Ordering::Relaxed);
     }
 }
 
@@ -117,7 +117,7 @@
             return true;
         }
         let part = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
-        let is_allowed = self.state.budget.lock().try_acquire(self.service, clock::now(), part);
+        let is_allowed = self.state.retry_budget.lock().try_acquire(self.service, clock::now(), part);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
         }
@@ -129,7 +129,7 @@
         let ramp = table.services.get(&self.service).map_or(0.0, |spec| spec.ramp_per_s);
         let routers = self.state.router_count();
         let weights = self.version_bounds();
-        let confirmed = self.state.floors.lock().is_confirmed(clock::now());
+        let confirmed = self.state.staleness_bounds.lock().is_confirmed(clock::now());
         let engine_table = self.state.engine_table.lock();
         look(&SelectionContext {
             engine_table: &engine_table,
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -105,14 +105,14 @@
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
     {
-        let mut record = exchange.state.record.lock();
+        let mut record = exchange.state.owner_cache.lock();
         for key in &exchange.request.keys {
             record.record(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
         }
     }
     let count = list.len() as u32;
-    exchange.state.lookup.register(list, told.into_iter().collect());
+    exchange.state.prefix_catalog.register(list, told.into_iter().collect());
     count
 }
 
@@ -128,9 +128,9 @@
         reader = exchange.handle_engine();
         if let Some(at) = reader {
             let sent = register(exchange, at);
-            let drops = exchange.state.lookup.flush(sent).await;
+            let drops = exchange.state.prefix_catalog.flush(sent).await;
             // A drop only means that others will not find this memory: the hand-over goes on.
-            exchange.state.record.lock().counts.dropped += u64::from(drops);
+            exchange.state.owner_cache.lock().counts.dropped += u64::from(drops);
         }
     }
     make(exchange, reader).await
@@ -208,7 +208,7 @@
     if let Some(reader) = exchange.handle_engine() {
         let now = clock::now();
         let id = exchange.endpoint(reader).engine;
-        let mut record = exchange.state.record.lock();
+        let mut record = exchange.state.owner_cache.lock();
         record.counts.transfer_error += 1;
         for key in &exchange.request.keys {
             record.suppress(&id, *key, now + HUSH_MS);
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -34,20 +34,20 @@
 pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
     let now = clock::now();
     let known = {
-        let mut record = state.record.lock();
+        let mut record = state.owner_cache.lock();
         record.counts.queries += 1;
         record.known_prefix_count(&request.keys, now)
     };
     let missing = &request.keys[known..];
     if !missing.is_empty() {
         let sample = sample(state, request, service);
-        let found = state.lookup.query(missing, sample).await;
+        let found = state.prefix_catalog.query(missing, sample).await;
         if let Some(found) = &found {
             let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
             found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
         }
         let found = found.map(|found| found.owners);
-        let mut record = state.record.lock();
+        let mut record = state.owner_cache.lock();
         match &found {
             None => record.counts.unanswered += 1,
             Some(list) if list.iter().all(Vec::is_empty) => record.counts.no_owner += u64::from(known == 0),
@@ -67,7 +67,7 @@
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
 fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
-    let roll = state.dice.lock().next_u64();
+    let roll = state.rng.lock().next_u64();
     let engine_table = state.engine_table.lock();
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
     for half in [Phase::Prefill, Phase::Decode] {
@@ -92,7 +92,7 @@
     let now = clock::now();
     let depths = catalog::prefix_token_counts(&request.parts);
     let engine_table = state.engine_table.lock();
-    let mut record = state.record.lock();
+    let mut record = state.owner_cache.lock();
     let mut list: PrefixOwners = Vec::new();
     let mut stale = 0;
     for (key, depth) in request.keys.iter().zip(depths).rev() {
@@ -119,7 +119,7 @@
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
 pub fn closed_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
-    let mut list = state.news.lock().shut.clone();
+    let mut list = state.subscribed.lock().evacuated_zones.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
     if homes.iter().all(|homes| homes.is_empty()) {
         return list;
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -69,7 +69,7 @@
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
 fn holds(state: &State, service: u32, model: &str, extra: &Extra) -> bool {
     let Some(route) = &extra.guard else { return true };
-    let limit = state.floors.lock().bound_for(service, model, route, clock::now());
+    let limit = state.staleness_bounds.lock().bound_for(service, model, route, clock::now());
     match limit {
         StalenessBound::Unbounded => true,
         StalenessBound::AtLeast(floor) => extra.expect.is_some_and(|version| version >= floor),
@@ -121,9 +121,9 @@
     let mut outgoing = compose(request, &to.engine, extra);
     let end = Instant::now() + Duration::from_millis(silence_ms);
     loop {
-        let (mut connection, fresh) = match state.pools.idle(to) {
+        let (mut connection, fresh) = match state.connection_pools.idle(to) {
             Some(connection) => (connection, false),
-            None => match state.pools.dial(to, most).await {
+            None => match state.connection_pools.dial(to, most).await {
                 Ok(connection) => {
                     state.metrics.engine_connections.inc();
                     (connection, true)
@@ -205,7 +205,7 @@
     }
     let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.pools.put(to, connection, connection_pool::keep(head));
+        state.connection_pools.put(to, connection, connection_pool::keep(head));
     }
 }
 
@@ -218,9 +218,9 @@
     if let Ok(host) = HeaderValue::from_str(&handle.reader.addr) {
         outgoing.headers_mut().insert(HOST, host);
     }
-    let mut connection = match state.pools.idle(&handle.reader) {
+    let mut connection = match state.connection_pools.idle(&handle.reader) {
         Some(connection) => connection,
-        None => match state.pools.dial(&handle.reader, most).await {
+        None => match state.connection_pools.dial(&handle.reader, most).await {
             Ok(connection) => connection,
             Err(_) => return,
         },
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -119,7 +119,7 @@
         state.samples_wanted.notified().await;
         time::sleep(GATHER).await;
         let list = state.rollouts.lock().take_samples();
-        let home = state.home.lock().clone();
+        let home = state.home_controller.lock().clone();
         let Some(home) = home else { continue };
         for samples in list {
             home.notify(Message::Samples(Box::new(samples)));
@@ -130,9 +130,9 @@
 impl Exchange {
     /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
     pub fn choose_version(&mut self) {
-        let roll = self.state.dice.lock().next_u64();
+        let roll = self.state.rng.lock().next_u64();
         let now = clock::now();
-        let holds_lease = self.state.floors.lock().is_confirmed(now);
+        let holds_lease = self.state.staleness_bounds.lock().is_confirmed(now);
         self.arm = self.state.rollouts.lock().arm(self.service, roll, holds_lease);
         if self.arm.is_candidate() && !self.view(|view| view.is_usable()) {
             self.arm = Arm::Stable;
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -78,7 +78,7 @@
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
     take(&state, rollout(1, RolloutState::Active, 1000));
     assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
-    state.floors.lock().renew_lease(clock::now());
+    state.staleness_bounds.lock().renew_lease(clock::now());
     assert!(ask(&state, "stream", "c", "").await.contains("token-3"));
     ask(&state, "once", "f", "").await;
     let told = state.rollouts.lock().take_samples();
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -31,33 +31,33 @@
 
 pub struct State {
     pub settings: Settings,
-    pub life: u64,
+    pub incarnation: u64,
     /// The own zone, by its dense index.
     pub zone: u32,
     pub table: Mutex<Arc<Table>>,
     pub engine_table: Mutex<EngineTable>,
-    pub record: Mutex<OwnerCache>,
-    pub budget: Mutex<RetryBudget>,
-    pub pools: Pools,
-    pub lookup: Lookup,
+    pub owner_cache: Mutex<OwnerCache>,
+    pub retry_budget: Mutex<RetryBudget>,
+    pub connection_pools: Pools,
+    pub prefix_catalog: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
-    pub floors: Mutex<StalenessBounds>,
+    pub staleness_bounds: Mutex<StalenessBounds>,
     /// By zone: the version of the weight versions held.
-    pub weights: Mutex<BTreeMap<String, (u64, u64)>>,
-    pub news: Mutex<SubscribedState>,
+    pub weight_versions: Mutex<BTreeMap<String, (u64, u64)>>,
+    pub subscribed: Mutex<SubscribedState>,
     /// As of when the table is proved to be current.
-    pub currency: Currency,
+    pub freshness: Currency,
     /// The home controller of now.
-    pub home: Mutex<Option<Arc<PeerClient>>>,
-    pub dice: Mutex<Rng>,
+    pub home_controller: Mutex<Option<Arc<PeerClient>>>,
+    pub rng: Mutex<Rng>,
     /// When the want of fresh replicas was last told.
     pub few_at: AtomicU64,
     /// Woken when an engine in doubt answered another router.
-    pub calm: Notify,
+    pub suspicion_cleared: Notify,
     pub ready: AtomicBool,
     pub drain: Drain,
     /// Bytes of request bodies held.
-    pub held: AtomicUsize,
+    pub held_body_bytes: AtomicUsize,
     pub metrics: Metrics,
     pub quota_gate: QuotaGate,
     /// Rollouts of versions. Taken last, never together with another.
@@ -69,12 +69,12 @@
 /// What the controllers told. Invariant: versions never go back.
 #[derive(Default)]
 pub struct SubscribedState {
-    pub config: u64,
-    pub closed: BTreeMap<String, (u64, bool)>,
+    pub config_revision: u64,
+    pub evacuations: BTreeMap<String, (u64, bool)>,
     /// Evacuated zones, by dense index.
-    pub shut: Vec<u32>,
+    pub evacuated_zones: Vec<u32>,
     pub controllers: Vec<String>,
-    pub seats: Vec<(u64, u32)>,
+    pub router_counts: Vec<(u64, u32)>,
 }
 
 /// What a record may grow to, and for how long an owner counts that was not heard of again.
@@ -84,7 +84,7 @@
 impl State {
     /// The state of a process that has just started: it knows its settings and nothing else.
     pub fn new(settings: Settings) -> Arc<State> {
-        let life = new_incarnation();
+        let incarnation = new_incarnation();
         let mut engine_table = EngineTable::default();
         let own_zone = engine_table.zone_index(&settings.zone);
         for (zone, region) in &settings.zones {
@@ -92,25 +92,25 @@
         }
         let window_ms = (settings.bounds.budget_window_s * 1000.0) as u64;
         Arc::new(State {
-            life,
+            incarnation,
             zone: own_zone,
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
-            record: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
-            budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
-            pools: Default::default(),
-            lookup: Default::default(),
-            floors: Default::default(),
-            weights: Default::default(),
-            news: Default::default(),
-            currency: Currency::new(ConvergenceBudget::new(&settings.bounds)),
-            home: Default::default(),
-            dice: Mutex::new(Rng::new(life)),
+            owner_cache: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
+            retry_budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
+            connection_pools: Default::default(),
+            prefix_catalog: Default::default(),
+            staleness_bounds: Default::default(),
+            weight_versions: Default::default(),
+            subscribed: Default::default(),
+            freshness: Currency::new(ConvergenceBudget::new(&settings.bounds)),
+            home_controller: Default::default(),
+            rng: Mutex::new(Rng::new(incarnation)),
             few_at: Default::default(),
-            calm: Default::default(),
+            suspicion_cleared: Default::default(),
             ready: Default::default(),
             drain: Default::default(),
-            held: Default::default(),
+            held_body_bytes: Default::default(),
             metrics: Default::default(),
             quota_gate: QuotaGate::new(&settings),
             rollouts: Default::default(),
@@ -121,8 +121,8 @@
 
     /// How many routers share the bounds: the most that was told in the last ten seconds.
     pub fn router_count(&self) -> u32 {
-        let news = self.news.lock();
-        news.seats.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1)
+        let subscribed = self.subscribed.lock();
+        subscribed.router_counts.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1)
     }
 
     /// What tells this router's samples from those of others.
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -49,14 +49,14 @@
     let rollouts = rollout::told(state);
     sheets.push(message::own_protocol_version());
     sheets.push(shard_owners_entry(state.quota_gate.mark()));
-    let news = state.news.lock();
+    let news = state.subscribed.lock();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
-        incarnation: state.life,
-        config_revision: news.config,
+        incarnation: state.incarnation,
+        config_revision: news.config_revision,
         evacuation_versions: news
-            .closed
+            .evacuations
             .iter()
             .map(|(zone, (version, _))| (zone.clone(), *version))
             .chain(rules)
@@ -81,8 +81,8 @@
         return true;
     }
     let known = state.engine_table.lock().listed_zone_count();
-    let held = state.news.lock().config > 0 && known >= state.settings.zones.len();
-    if !held || !state.currency.is_proved(clock::now()) {
+    let held = state.subscribed.lock().config_revision > 0 && known >= state.settings.zones.len();
+    if !held || !state.freshness.is_proved(clock::now()) {
         return false;
     }
     state.ready.store(true, order);
@@ -105,23 +105,23 @@
         engine_table.mark_reassigning(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
-        let mut record = state.record.lock();
+        let mut record = state.owner_cache.lock();
         left.iter().for_each(|engine| record.remove_engine(engine));
     }
     evacuation::absorb(state, &news.evacuations);
     {
-        let mut held = state.news.lock();
+        let mut held = state.subscribed.lock();
         if !news.peers.is_empty() {
             held.controllers = news.peers;
         }
         if news.router_count > 0 {
-            held.seats.retain(|(time, _)| now < time + SEATS_MS);
-            held.seats.push((now, news.router_count));
+            held.router_counts.retain(|(time, _)| now < time + SEATS_MS);
+            held.router_counts.push((now, news.router_count));
         }
     }
     let seats = state.router_count();
     state.engine_table.lock().set_router(state.mark(), state.zone, seats);
-    if state.lookup.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
+    if state.prefix_catalog.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(activation::again(state.clone()));
     }
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -18,7 +18,7 @@
 pub async fn run(state: Arc<State>) {
     let links = Links::new(state.settings.peer_port());
     let following = Following::new(
-        *state.currency.budget(),
+        *state.freshness.budget(),
         &state.settings.node_name,
         &state.settings.ip,
         &state.settings.seed_ips(),
@@ -46,7 +46,7 @@
         let pause = self.following.wake_at(now).saturating_sub(now);
         tokio::select! {
             event = self.links.next() => self.take(event),
-            _ = self.state.currency.wanted() => self.following.want_proof(),
+            _ = self.state.freshness.wanted() => self.following.want_proof(),
             _ = time::sleep(Duration::from_millis(pause)) => self.read_seeds(),
         }
     }
@@ -58,7 +58,7 @@
         self.links.call(&call.controller, msg, now, call.deadline_ms);
         if at_home {
             // The connection may be a new one.
-            *self.state.home.lock() = Some(self.links.caller(&call.controller));
+            *self.state.home_controller.lock() = Some(self.links.caller(&call.controller));
         }
     }
 
@@ -106,12 +106,12 @@
     }
 
     fn held(&self) -> u64 {
-        self.state.news.lock().config
+        self.state.subscribed.lock().config_revision
     }
 
     fn absorb(&self, news: StateUpdate, sent: u64) {
         if news.confirmed {
-            self.state.floors.lock().renew_lease(sent);
+            self.state.staleness_bounds.lock().renew_lease(sent);
         }
         apply_update::absorb(&self.state, news);
     }
@@ -119,7 +119,7 @@
     fn answered(&mut self, controller: &str, answer: &Answer) {
         self.following.answered(clock::now(), controller, answer);
         if let Some(as_of) = self.following.current_as_of() {
-            self.state.currency.prove(as_of);
+            self.state.freshness.prove(as_of);
         }
         if apply_update::ready(&self.state) {
             self.following.set_ready();
@@ -128,7 +128,7 @@
 
     fn home_moved(&mut self, left: Option<String>) {
         let home = self.following.home().unwrap_or_default().to_string();
-        *self.state.home.lock() = Some(self.links.caller(&home));
+        *self.state.home_controller.lock() = Some(self.links.caller(&home));
         kernel::log_event!(HOME, "left" => left.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
@@ -136,8 +136,8 @@
     /// While nothing is proved the settings may name controllers that are better.
     fn read_seeds(&mut self) {
         let now = clock::now();
-        let every = self.state.currency.budget().bulk_age_ms();
-        if !self.state.currency.is_proved(now) && now > self.seeds_read_at + every {
+        let every = self.state.freshness.budget().bulk_age_ms();
+        if !self.state.freshness.is_proved(now) && now > self.seeds_read_at + every {
             self.reload_seeds();
         }
     }
--- a/router/src/subscription/driver_tests.rs
+++ b/router/src/subscription/driver_tests.rs
@@ -61,7 +61,7 @@
 
 /// Waits until what was proved is too old.
 async fn unproved(state: &State) {
-    until("no proof", || !state.currency.is_proved(clock::now())).await;
+    until("no proof", || !state.freshness.is_proved(clock::now())).await;
 }
 
 #[tokio::test]
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -36,7 +36,7 @@
 pub fn router_holding(engines: &[Engine], hold_s: f64) -> Arc<State> {
     let state = unproved_router(engines, hold_s);
     // Nothing is ever in force in these tests that this router does not hold.
-    state.currency.prove(i64::MAX);
+    state.freshness.prove(i64::MAX);
     state
 }
 
@@ -132,7 +132,7 @@
 
 /// Waits until the router holds so many kept connections to engines.
 pub async fn kept(state: &State, count: usize) {
-    while state.pools.ready_count() != count {
+    while state.connection_pools.ready_count() != count {
         task::yield_now().await;
     }
 }
--- a/router/src/tests/exchange.rs
+++ b/router/src/tests/exchange.rs
@@ -110,7 +110,7 @@
         let list = engines("decode", 3, |_, _| Act::SendAndReset(String::new())).await;
         let state = router(&list);
         // The budget would bear more.
-        *state.budget.lock() = ::load_balancing::RetryBudget::new(100.0, 10_000);
+        *state.retry_budget.lock() = ::load_balancing::RetryBudget::new(100.0, 10_000);
         let text = ask(&state, route, "1", "").await;
         assert_eq!((status(&text), seen(&list).len()), ("502", 2), "it may have run: {text}");
     }
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -46,7 +46,7 @@
         let settings = format!("{settings}\nbind_addresses = {{ frontend = {address:?} }}\n");
         let state = unproved_router_of(&settings, engines, 5.0);
         if is_proved {
-            state.currency.prove(i64::MAX);
+            state.freshness.prove(i64::MAX);
         }
         let terminate = Arc::new(Notify::new());
         let (end, ended) = oneshot::channel();
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -39,7 +39,7 @@
 }
 
 fn roll(state: &State) -> u64 {
-    state.dice.lock().next_u64()
+    state.rng.lock().next_u64()
 }
 
 /// Word of an engine from a controller.
@@ -49,7 +49,7 @@
     match word {
         Word::Answered(_) => {
             state.engine_table.lock().engines[at].answered_elsewhere = true;
-            state.calm.notify_waiters();
+            state.suspicion_cleared.notify_waiters();
         }
         Word::Dark(_) => {
             let now = clock::now();
@@ -73,7 +73,7 @@
 async fn rest(state: &State, at: usize, wait_ms: u64) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        let woken = state.calm.notified();
+        let woken = state.suspicion_cleared.notified();
         if mem::take(&mut state.engine_table.lock().engines[at].answered_elsewhere) {
             return true;
         }
@@ -87,7 +87,7 @@
 async fn rest_on_word(state: &State, at: usize, wait_ms: u64) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        let woken = state.calm.notified();
+        let woken = state.suspicion_cleared.notified();
         {
             let mut engine_table = state.engine_table.lock();
             let engine = &mut engine_table.engines[at];
@@ -105,7 +105,7 @@
 }
 
 fn tell(state: &State, word: Word) {
-    let home = state.home.lock().clone();
+    let home = state.home_controller.lock().clone();
     if let Some(home) = home {
         home.notify(Message::SuspectEngine(Box::new((word.write(), false))));
     }
@@ -116,7 +116,7 @@
     if let Some(engine) = state.engine_table.lock().engines.get_mut(at) {
         engine.is_unresponsive = true;
     }
-    state.calm.notify_waiters();
+    state.suspicion_cleared.notify_waiters();
     start(state, at, Cause::Seen);
 }
 
@@ -169,7 +169,7 @@
             }
             Found::Silent { known } => known,
         };
-        state.pools.forget(&addr);
+        state.connection_pools.forget(&addr);
         match cause {
             Cause::Seen if unanswered < TELLINGS => tell(&state, Word::Doubted(&id)),
             Cause::Drawn if unanswered == 0 && !known => tell(&state, Word::Dark(&id)),
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -75,7 +75,7 @@
     let list = fleet().await;
     let state = router(&list);
     // Of a thousand routers each would else ask after many seconds.
-    state.news.lock().seats.push((clock::now(), 1000));
+    state.subscribed.lock().router_counts.push((clock::now(), 1000));
     hear(&state, &Word::Dark(&id(&list)).write());
     raise(&state, 0);
     settled(&state).await;
