--- a/consensus/src/simulated_disk.rs
+++ b/consensus/src/testing/storage/simulated_disk.rs
@@ -18,7 +18,7 @@
     Truncate(usize),
 }
 
-/// Each tells the file that it is about: it does nothing to another file of that name.
+/// A change of the names, with the file that it concerns: it does nothing to another file of that name.
 #[derive(Clone)]
 pub enum NameChange {
     Create(String, usize),
@@ -43,25 +43,27 @@
     pub capacity: usize,
     /// The process ends in the middle of the operation this many ahead.
     pub crash_in: Option<u64>,
-    pub folder_sync_ignored: bool,
+    pub directory_sync_ignored: bool,
     pub file_sync_ignored: Option<&'static str>,
     /// Bytes written over the same bytes do not reach the disk.
     pub rewrites_ignored: bool,
     pub truncations_ignored: bool,
-    /// Names last only by a sync of the folder, not by a sync of the new file.
+    /// Names become durable only by a sync of the directory, not by a sync of the new file.
     pub strict_names: bool,
 }
 
+/// A disk with the names and files on it, in memory and stored.
 pub struct Disk {
     pub inodes: Vec<Inode>,
     pub names: BTreeMap<String, usize>,
     stored_names: BTreeMap<String, usize>,
     pending_names: Vec<NameChange>,
-    dice: Rng,
+    rng: Rng,
     pub faults: Faults,
     pub crashed: bool,
 }
 
+/// A disk as the test and the store share it.
 pub type SharedDisk = Arc<Mutex<Disk>>;
 
 fn apply_write(content: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
@@ -97,26 +99,27 @@
     }
 
     /// Some blocks of each write reach the disk, others do not.
-    fn store_in_part(&mut self, change: &FileChange, dice: &mut Rng, kept_of_ten: u64) {
+    fn store_in_part(&mut self, change: &FileChange, rng: &mut Rng, kept_of_ten: u64) {
         let FileChange::Write(offset, bytes) = change else { return };
-        for (place, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
-            if dice.below(10) < kept_of_ten {
-                let size = if dice.below(8) == 0 { dice.below(block.len() as u64) as usize } else { block.len() };
-                apply_write(&mut self.stored, offset + place * BLOCK_BYTES, &block[..size]);
+        for (index, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
+            if rng.below(10) < kept_of_ten {
+                let size = if rng.below(8) == 0 { rng.below(block.len() as u64) as usize } else { block.len() };
+                apply_write(&mut self.stored, offset + index * BLOCK_BYTES, &block[..size]);
             }
         }
     }
 }
 
 impl Disk {
+    /// Creates an empty disk without faults.
     pub fn new(seed: u64) -> SharedDisk {
-        let dice = Rng::new(hashing::combine(seed, 77));
+        let rng = Rng::new(hashing::combine(seed, 77));
         Arc::new(Mutex::new(Disk {
             inodes: Vec::new(),
             names: BTreeMap::new(),
             stored_names: BTreeMap::new(),
             pending_names: Vec::new(),
-            dice,
+            rng,
             faults: Faults { capacity: usize::MAX, ..Faults::default() },
             crashed: false,
         }))
@@ -127,21 +130,21 @@
         self.names.values().map(|inode| self.inodes[*inode].cached.len()).sum()
     }
 
-    /// Memory is lost with the power, and the next process finds what the disk holds.
+    /// Loses what is in memory only; the next process finds what the disk holds.
     pub fn lose_power(&mut self) {
         // At some losses all that was not synced is gone, at some all is there.
-        let kept_of_ten = [0, 2, 5, 8, 10][self.dice.below(5) as usize];
+        let kept_of_ten = [0, 2, 5, 8, 10][self.rng.below(5) as usize];
         let changes = mem::take(&mut self.pending_names);
         for change in changes {
-            if self.dice.below(10) < kept_of_ten {
+            if self.rng.below(10) < kept_of_ten {
                 apply_name(&mut self.stored_names, &change);
             }
         }
         for inode in &mut self.inodes {
             for change in mem::take(&mut inode.pending) {
                 match change {
-                    FileChange::Truncate(_) if self.dice.below(10) < kept_of_ten => inode.store(&change),
-                    _ => inode.store_in_part(&change, &mut self.dice, kept_of_ten),
+                    FileChange::Truncate(_) if self.rng.below(10) < kept_of_ten => inode.store(&change),
+                    _ => inode.store_in_part(&change, &mut self.rng, kept_of_ten),
                 }
             }
             inode.cached = inode.stored.clone();
@@ -155,7 +158,7 @@
         (self.crashed, self.faults.crash_in) = (false, None);
     }
 
-    /// An error where the process is gone, ends here, or the disk refuses.
+    /// Returns an error where the process has ended, ends here, or the disk fails.
     pub fn operate(&mut self) -> Result<()> {
         if self.crashed {
             return Err(Error::other(LOST_PROCESS));
@@ -167,39 +170,41 @@
             }
             *left -= 1;
         }
-        if self.dice.below(1000) < self.faults.errors {
+        if self.rng.below(1000) < self.faults.errors {
             return Err(Error::other("the disk refuses"));
         }
         Ok(())
     }
 
+    /// Changes the names in memory.
     pub fn change_name(&mut self, change: NameChange) {
         apply_name(&mut self.names, &change);
         self.pending_names.push(change);
     }
 
     fn name_of(&self, inode: usize) -> String {
-        self.names.iter().find(|(_, held)| **held == inode).map(|(name, _)| name.clone()).unwrap_or_default()
+        self.names.iter().find(|(_, number)| **number == inode).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
+    /// Writes to a file in memory, in part where that fails.
     pub fn write(&mut self, inode: usize, offset: usize, bytes: &[u8]) -> Result<()> {
         let outcome = self.operate();
         let cached = &self.inodes[inode].cached;
         let growth = (offset + bytes.len()).saturating_sub(cached.len());
-        let room = self.faults.capacity.saturating_sub(self.used());
-        let full = growth > room;
+        let free = self.faults.capacity.saturating_sub(self.used());
+        let full = growth > free;
         // A write that fails may have been done in part.
         let size = match outcome.is_err() || full {
             true => {
-                self.dice.below((bytes.len() + 1).min(bytes.len().saturating_sub(growth) + room + 1) as u64) as usize
+                self.rng.below((bytes.len() + 1).min(bytes.len().saturating_sub(growth) + free + 1) as u64) as usize
             }
             false => bytes.len(),
         };
-        let held = &mut self.inodes[inode];
-        let same = held.cached.get(offset..offset + size) == Some(&bytes[..size]);
-        apply_write(&mut held.cached, offset, &bytes[..size]);
+        let inode_state = &mut self.inodes[inode];
+        let same = inode_state.cached.get(offset..offset + size) == Some(&bytes[..size]);
+        apply_write(&mut inode_state.cached, offset, &bytes[..size]);
         if !(same && self.faults.rewrites_ignored) {
-            held.pending.push(FileChange::Write(offset, bytes[..size].to_vec()));
+            inode_state.pending.push(FileChange::Write(offset, bytes[..size].to_vec()));
         }
         outcome?;
         match full {
@@ -208,6 +213,7 @@
         }
     }
 
+    /// Stores what was written to a file; a failed sync drops part of it.
     pub fn sync_file(&mut self, inode: usize) -> Result<()> {
         let outcome = self.operate();
         let name = self.name_of(inode);
@@ -217,29 +223,30 @@
         if outcome.is_err() && self.crashed {
             return outcome;
         }
-        let held = &mut self.inodes[inode];
-        for change in mem::take(&mut held.pending) {
+        let inode_state = &mut self.inodes[inode];
+        for change in mem::take(&mut inode_state.pending) {
             match (&outcome, &change) {
-                (Ok(()), _) => held.store(&change),
-                // The length of a file stands in the journal of the file system, which is tried again.
-                (Err(_), FileChange::Truncate(_)) => held.pending.push(change),
-                (Err(_), FileChange::Write(..)) => held.store_in_part(&change, &mut self.dice, 5),
+                (Ok(()), _) => inode_state.store(&change),
+                // The length of a file is in the journal of the file system, which is written again.
+                (Err(_), FileChange::Truncate(_)) => inode_state.pending.push(change),
+                (Err(_), FileChange::Write(..)) => inode_state.store_in_part(&change, &mut self.rng, 5),
             }
         }
         if outcome.is_ok() && !self.faults.strict_names {
-            let made = |change: &NameChange| matches!(change, NameChange::Create(_, held) if *held == inode);
-            if let Some(place) = self.pending_names.iter().position(made) {
-                let change = self.pending_names.remove(place);
+            let is_creation =
+                |change: &NameChange| matches!(change, NameChange::Create(_, created) if *created == inode);
+            if let Some(index) = self.pending_names.iter().position(is_creation) {
+                let change = self.pending_names.remove(index);
                 apply_name(&mut self.stored_names, &change);
             }
         }
         outcome
     }
 
-    /// All names last from now on.
+    /// Stores all names.
     pub fn sync_names(&mut self) -> Result<()> {
         self.operate()?;
-        if self.faults.folder_sync_ignored {
+        if self.faults.directory_sync_ignored {
             return Ok(());
         }
         for change in mem::take(&mut self.pending_names) {
--- a/consensus/src/store_model_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -1,9 +1,11 @@
+//! Random runs of the store, and runs with defects that the workload must find.
+
 use kernel::{hashing, Rng};
 
-use crate::simulated_disk::Faults;
-use crate::store_model::Run;
+use super::simulated_disk::Faults;
+use super::workload::{Run, RunError};
 
-fn run(seed: u64, faults: Faults) -> Result<(), String> {
+fn run(seed: u64, faults: Faults) -> Result<(), RunError> {
     let strict_names = seed & 1 == 0;
     Run::new(seed, Faults { strict_names, ..faults }).steps(60)
 }
@@ -14,7 +16,7 @@
 }
 
 #[test]
-fn what_was_synced_is_there_after_any_trouble() {
+fn what_was_synced_is_there_after_any_fault() {
     for seed in 0..2000 {
         run(seed, Faults::default()).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     }
@@ -26,10 +28,11 @@
     for seed in 0..10 {
         for ahead in 0.. {
             let mut run = Run::new(hashing::combine(seed, ahead), Faults::default());
-            run.dice = Rng::new(seed + 1);
+            run.rng = Rng::new(seed + 1);
             run.faults(|faults| faults.crash_in = Some(ahead));
-            let whole = work(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
-            if whole {
+            let completed =
+                run_workload(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
+            if completed {
                 break;
             }
         }
@@ -37,7 +40,7 @@
 }
 
 /// True: it came to its end without a crash.
-fn work(run: &mut Run) -> Result<bool, String> {
+fn run_workload(run: &mut Run) -> Result<bool, RunError> {
     let mut store = run.open()?;
     for step in 0..12 {
         run.append(&mut store);
@@ -54,8 +57,8 @@
 }
 
 #[test]
-fn the_model_finds_a_store_without_folder_sync() {
-    assert!(first_failure(&Faults { folder_sync_ignored: true, ..Faults::default() }).is_some());
+fn the_model_finds_a_store_without_directory_sync() {
+    assert!(first_failure(&Faults { directory_sync_ignored: true, ..Faults::default() }).is_some());
 }
 
 #[test]
--- a/controller/src/api/version_rollouts.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -162,7 +162,7 @@
 /// Returns a rollout as operators see it.
 fn rollout_state(rollout: &VersionRollout) -> Value {
     serde_json::json!({
-        "oper_state": rollout.state.word(), "target_version": rollout.target,
+        "oper_state": rollout.state.as_str(), "target_version": rollout.target,
         "share": f64::from(rollout.share) / 1000.0, "reason": rollout.reason, "reverted": rollout.reverted,
     })
 }
--- /dev/null
+++ b/kernel/src/settings/tests.rs
@@ -0,0 +1,85 @@
+//! Which texts are settings, and which field is named where one is not.
+
+use super::{parse, SettingsError};
+
+const VALID: &str = r#"
+node_name = "edge-1"
+ip = "10.1.0.12"
+zone = "a"
+internal_ports = [7300,7315]
+seed_peers = ["10.1.0.12:8262"]
+new_field = "passed over"
+[zones]
+a = "r"
+[bind_addresses]
+frontend = "10.1.0.12:8263"
+[limits]
+memory_mb = 260
+fd_limit = 4100
+new_limit = 3
+[cloud_api]
+address = "10.200.0.4:8266"
+rate_per_s = 40.0
+"#;
+
+fn error_of(text: &str) -> SettingsError {
+    let report = parse(text).expect_err("must be rejected");
+    let error = report.current_context();
+    SettingsError { field: error.field.clone(), found: error.found.clone(), allowed: error.allowed.clone() }
+}
+
+#[test]
+fn unknown_fields_are_passed_over() {
+    let settings = parse(VALID).expect("valid settings");
+    assert_eq!(settings.seed_ips(), ["10.1.0.12"]);
+    assert_eq!(settings.peer_port(), 7300);
+}
+
+#[test]
+fn a_missing_field_is_named() {
+    let error = error_of(&VALID.replace("ip = \"10.1.0.12\"\n", ""));
+    assert_eq!(error.field, "ip");
+}
+
+#[test]
+fn invalid_fields_are_named_with_what_is_allowed() {
+    let cases = [
+        (VALID.replace("[7300,7315]", "[7315,7300]"), "internal_ports"),
+        (VALID.replace("zone = \"a\"", "zone = \"b\""), "zone"),
+        (VALID.replace("10.1.0.12:8263", "here"), "bind_addresses.frontend"),
+        (VALID.replace("rate_per_s = 40.0", "rate_per_s = 0.0"), "cloud_api.rate_per_s"),
+        (VALID.replace("memory_mb = 260", "memory_mb = 1"), "limits.memory_mb"),
+    ];
+    for (text, field) in cases {
+        let error = error_of(&text);
+        assert_eq!(error.field, field);
+        assert!(!error.allowed.is_empty());
+    }
+}
+
+#[test]
+fn a_field_of_the_wrong_type_is_named_by_its_path() {
+    let cases = [
+        (VALID.replace("node_name = \"edge-1\"", "node_name = 3"), "node_name"),
+        (VALID.replace("memory_mb = 260", "memory_mb = \"much\""), "limits.memory_mb"),
+        (VALID.replace("[7300,7315]", "[7300,\"7315\"]"), "internal_ports[1]"),
+        (VALID.replace("a = \"r\"", "a = 1"), "zones.a"),
+        (VALID.replace("fd_limit = 4100\n", ""), "limits.fd_limit"),
+        (VALID.replace("zone = \"a\"", "zone = "), "(text)"),
+    ];
+    for (text, field) in cases {
+        assert_eq!(error_of(&text).field, field, "{text}");
+    }
+}
+
+#[test]
+fn a_metrics_endpoint_is_a_port_and_a_path() {
+    let with_metrics = |endpoint: &str| VALID.replace("new_field", &format!("metrics = {endpoint:?}\nnew_field"));
+    let metrics = parse(&with_metrics("9464/metrics")).expect("valid settings").metrics.expect("given");
+    assert_eq!((metrics.port, metrics.path.as_str()), (9464, "/metrics"));
+    assert_eq!(parse(VALID).expect("valid settings").metrics, None);
+    for invalid in ["9464", "metrics", "0/metrics", "70000/metrics", "9464/two words"] {
+        let error = error_of(&with_metrics(invalid));
+        assert_eq!(error.field, "metrics");
+    }
+}
