--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -1,4 +1,4 @@
-//! The balance of prefill and decode engines: orders to engines, from the one holder of the duty.
+//! The history of prefill and decode engines: orders to engines, from the one owner of the role.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -16,98 +16,105 @@
 use crate::http_client;
 use crate::roles::{self, BALANCE};
 
-/// How often load is looked at, and how often in a row a judgement must stand.
-const LOOK_MS: u64 = 400;
-const STANDS: u32 = 2;
-/// Prefill engines are loaded for a moment whenever caches are cold: a decode engine is only taken for
-/// what lasts.
-const LASTS: u32 = 6;
-/// Routers get this long to turn away from an engine before it gets its order.
-const SPREAD_MS: u64 = 900;
-/// Beyond the time that an engine takes to change its part: until the list of engines shows it.
-const LIST_MS: u64 = 1500;
-const CONNECT_MS: u64 = 300;
-const CALL_MS: u64 = 900;
-/// How long an order's bytes may be on their way. With `CONNECT_MS` it must stay inside the time for
-/// which a holder may act on its last confirmation, which the next holder waits out twice.
-const UNACKNOWLEDGED_MS: u64 = 500;
-
-/// What was last judged for a service, and how often in a row.
-struct Judgement {
+/// The pause between two looks at the load.
+const TICK_MS: u64 = 400;
+/// How often in a row the same change towards decode must be planned before it is made.
+const DECODE_CONFIRMATIONS: u32 = 2;
+/// The same for a change towards prefill. Prefill engines are loaded for a moment whenever caches are cold: a decode engine
+/// is only reassigned for what lasts.
+const PREFILL_CONFIRMATIONS: u32 = 6;
+/// Routers get this long to stop using an engine before it gets its order.
+const DRAIN_MS: u64 = 900;
+/// Beyond the time that an engine takes to change its phase: until the list of engines shows it.
+const LIST_DELAY_MS: u64 = 1500;
+/// How long connecting to an engine may take.
+const CONNECT_TIMEOUT_MS: u64 = 300;
+/// How long an order and its response may take.
+const CALL_TIMEOUT_MS: u64 = 900;
+/// How long an order's bytes may be unacknowledged. With `CONNECT_TIMEOUT_MS` it must stay inside the time for which an owner
+/// may act on its last confirmation, which the next owner waits out twice.
+const UNACKNOWLEDGED_TIMEOUT_MS: u64 = 500;
+
+/// What was last planned for a service, and how often in a row.
+struct PlannedChange {
     prefill: bool,
     count: u32,
 }
 
 #[derive(Default)]
-struct Balance {
-    /// Smoothed requests under way, by engine.
-    busy: HashMap<String, f64>,
+struct LoadHistory {
+    /// Smoothed requests in flight, by engine.
+    in_flight: HashMap<String, f64>,
     /// By service.
-    judgements: HashMap<String, Judgement>,
-    calm_until: HashMap<String, u64>,
+    planned_changes: HashMap<String, PlannedChange>,
+    /// Until when no further change of a service is made.
+    cooldown_until: HashMap<String, u64>,
 }
 
 /// An engine and its load.
 struct Candidate {
     engine: Engine,
-    seen: EngineObservation,
+    observation: EngineObservation,
 }
 
-/// An order to one engine to change its part.
+/// An order to one engine to change its phase.
 struct PhaseOrder {
     engine: Engine,
     prefill: bool,
     switch_ms: u64,
 }
 
+/// Balances prefill and decode engines while this controller owns the role, for as long as the process runs.
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
-    let client = http_client::at_most_once(wait(CONNECT_MS), wait(UNACKNOWLEDGED_MS)).timeout(wait(CALL_MS));
+    let client = http_client::at_most_once(wait(CONNECT_TIMEOUT_MS), wait(UNACKNOWLEDGED_TIMEOUT_MS))
+        .timeout(wait(CALL_TIMEOUT_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
-        let mut beat = startup::interval(LOOK_MS);
-        let mut balance = Balance::default();
+        let mut ticks = startup::interval(TICK_MS);
+        let mut history = LoadHistory::default();
         loop {
-            beat.tick().await;
-            look(&controller, &client, &mut balance).await;
+            ticks.tick().await;
+            rebalance(&controller, &client, &mut history).await;
         }
     });
 }
 
-async fn look(controller: &Arc<Controller>, client: &Client, balance: &mut Balance) {
+async fn rebalance(controller: &Arc<Controller>, client: &Client, history: &mut LoadHistory) {
     let now = clock::now();
     controller.peers.update(|view| view.reassigning.retain(|(_, until)| *until > now));
     let Some(epoch) = roles::acting_epoch(controller, BALANCE, now) else {
-        *balance = Balance::default();
+        *history = LoadHistory::default();
         return;
     };
     if !roles::declare_predecessor_expired(controller, BALANCE, epoch).await {
         return;
     }
-    for (service, list) in candidates(controller, balance, now) {
-        let Some(change) = balance.decide(&service, &list, now) else { continue };
+    for (service, list) in candidates(controller, history, now) {
+        let Some(change) = history.decide(&service, &list, now) else { continue };
         let switch_ms = switch_ms(controller, &service);
-        balance.calm_until.insert(service, now + SPREAD_MS + switch_ms + LIST_MS);
+        history.cooldown_until.insert(service, now + DRAIN_MS + switch_ms + LIST_DELAY_MS);
         for at in change.engines {
             let order = PhaseOrder { engine: list[at].engine.clone(), prefill: change.prefill, switch_ms };
-            tokio::spawn(carry_out(controller.clone(), client.clone(), order));
+            tokio::spawn(execute(controller.clone(), client.clone(), order));
         }
         return;
     }
 }
 
-/// All engines with a part, by service.
-fn candidates(controller: &Controller, balance: &mut Balance, now: u64) -> BTreeMap<String, Vec<Candidate>> {
-    let busy = controller.peers.read(|view| view.total_in_flight(now));
-    let closed = controller.committed.evacuations();
+/// Returns all engines with a phase, by service.
+fn candidates(controller: &Controller, history: &mut LoadHistory, now: u64) -> BTreeMap<String, Vec<Candidate>> {
+    let in_flight = controller.peers.read(|view| view.total_in_flight(now));
+    let evacuations = controller.committed.evacuations();
     let mut services: BTreeMap<String, Vec<Candidate>> = BTreeMap::new();
-    controller.engines.read(|sheets| {
-        for sheet in sheets.iter().filter(|sheet| !message::is_hidden_key(&sheet.zone)) {
-            let open = !closed.get(&sheet.zone).is_some_and(|evacuation| evacuation.evacuated);
-            for engine in sheet.engines.iter().filter(|engine| !engine.phase.is_empty()) {
-                let told = f64::from(busy.get(&engine.id).copied().unwrap_or(0));
-                let candidate = Candidate { engine: engine.clone(), seen: balance.see(engine, told, open) };
+    controller.engines.read(|lists| {
+        for list in lists.iter().filter(|list| !message::is_hidden_key(&list.zone)) {
+            let is_open = !evacuations.get(&list.zone).is_some_and(|evacuation| evacuation.evacuated);
+            for engine in list.engines.iter().filter(|engine| !engine.phase.is_empty()) {
+                let reported = f64::from(in_flight.get(&engine.id).copied().unwrap_or(0));
+                let candidate =
+                    Candidate { engine: engine.clone(), observation: history.observe(engine, reported, is_open) };
                 services.entry(engine.service.clone()).or_default().push(candidate);
             }
         }
@@ -115,34 +122,34 @@
     services
 }
 
-impl Balance {
+impl LoadHistory {
     /// Smooths the load of an engine and says how it stands.
-    fn see(&mut self, engine: &Engine, told: f64, open: bool) -> EngineObservation {
-        let mean = self.busy.entry(engine.id.clone()).or_insert(told);
-        *mean += (told - *mean) * 0.5;
+    fn observe(&mut self, engine: &Engine, reported: f64, is_open: bool) -> EngineObservation {
+        let mean = self.in_flight.entry(engine.id.clone()).or_insert(reported);
+        *mean += (reported - *mean) * 0.5;
         EngineObservation {
             id: engine.id.clone(),
             prefill: engine.phase == "prefill",
             slots: engine.slots,
             in_flight: mean.round() as u32,
-            eligible: engine.up && open,
+            eligible: engine.up && is_open,
         }
     }
 
-    /// The engines to order and their new part, once the judgement has stood for long enough.
+    /// Returns the engines to order and their new part, once the same change was planned often enough in a row.
     fn decide(&mut self, service: &str, list: &[Candidate], now: u64) -> Option<PhaseChange> {
-        let seen: Vec<EngineObservation> = list.iter().map(|candidate| candidate.seen.clone()).collect();
-        let Some(change) = plan_phase_change(&seen) else {
-            self.judgements.remove(service);
+        let observations: Vec<EngineObservation> = list.iter().map(|candidate| candidate.observation.clone()).collect();
+        let Some(change) = plan_phase_change(&observations) else {
+            self.planned_changes.remove(service);
             return None;
         };
         let prefill = change.prefill;
-        let judgement = self.judgements.entry(service.into()).or_insert(Judgement { prefill, count: 0 });
-        judgement.count = if judgement.prefill == prefill { judgement.count + 1 } else { 1 };
-        judgement.prefill = prefill;
-        let need = if prefill { LASTS } else { STANDS };
-        let calm = self.calm_until.get(service).is_some_and(|until| now < *until);
-        (judgement.count >= need && !calm).then_some(change)
+        let planned = self.planned_changes.entry(service.into()).or_insert(PlannedChange { prefill, count: 0 });
+        planned.count = if planned.prefill == prefill { planned.count + 1 } else { 1 };
+        planned.prefill = prefill;
+        let needed = if prefill { PREFILL_CONFIRMATIONS } else { DECODE_CONFIRMATIONS };
+        let is_cooling_down = self.cooldown_until.get(service).is_some_and(|until| now < *until);
+        (planned.count >= needed && !is_cooling_down).then_some(change)
     }
 }
 
@@ -151,24 +158,24 @@
     let services = config.as_ref().map(|config| config.config().service_table.as_slice());
     let spec = services.unwrap_or_default().iter().find(|item| item.name == service);
     let wait = spec.and_then(|spec| spec.engine.as_ref()).map(|engine| engine.role_switch_s);
-    // 0: not told.
+    // 0: not configured.
     wait.filter(|wait| *wait > 0.0).map_or(2000, |wait| (wait * 1000.0) as u64)
 }
 
-/// First routers leave the engine alone, then it gets its order. One without an answer may have been
-/// taken, so it is not sent again: the list will show it.
-async fn carry_out(controller: Arc<Controller>, client: Client, order: PhaseOrder) {
+/// First routers stop using the engine, then it gets its order. One without a response may have been carried out, so it is not
+/// sent again: the list will show it.
+async fn execute(controller: Arc<Controller>, client: Client, order: PhaseOrder) {
     let engine = &order.engine;
     let begun = clock::now();
-    let until = begun + SPREAD_MS + order.switch_ms + 1200;
+    let until = begun + DRAIN_MS + order.switch_ms + 1200;
     controller.peers.update(|view| view.reassigning.push((engine.id.clone(), until)));
-    time::sleep(Duration::from_millis(SPREAD_MS)).await;
+    time::sleep(Duration::from_millis(DRAIN_MS)).await;
     let now = clock::now();
-    // Asleep for longer than meant: what was judged is out of date.
-    if now >= begun + 2 * SPREAD_MS {
+    // Asleep for longer than meant: what was planned is out of date.
+    if now >= begun + 2 * DRAIN_MS {
         return;
     }
-    // No longer the holder: no order.
+    // No longer the owner: no order.
     let Some(epoch) = roles::acting_epoch(&controller, BALANCE, now) else { return };
     let phase = if order.prefill { "prefill" } else { "decode" };
     let body = serde_json::json!({
--- a/controller/src/lib.rs
+++ b/controller/src/lib.rs
@@ -1,6 +1,8 @@
 //! The control plane: stores control state by consensus, discovers engines, delivers updates to routers, and carries out
 //! singleton roles. `docs/architecture.md` shows how the modules hang together.
 
+#![deny(missing_docs)]
+
 mod api;
 mod balancing;
 mod batches;
