--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -45,7 +45,8 @@
     Rollback,
 }
 
-/// How many replicas of one zone and phase a limit lets serve.
+/// Replicas of one zone and phase by what a limit says of their weights. The names of the fields are those of the JSON
+/// body, in this order.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct ReplicaCounts {
     inside: u32,
