--- a/controller/src/testing/simulation/catch_up_tests.rs
+++ b/controller/src/testing/simulation/catch_up_tests.rs
@@ -12,7 +12,7 @@
 fn run(seed: u64, wipe: bool, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, 3, 8);
     cluster.guards = guards;
-    cluster.rest_ms = 20;
+    cluster.max_pause_ms = 20;
     let mut chance = Rng::new(seed ^ 0xca7);
     let mut caught_up = true;
     cluster.run(1500);
@@ -23,7 +23,7 @@
         cluster.start(at);
         cluster.run(SYNC_MS);
         let node = &cluster.nodes[at];
-        caught_up &= node.voter.may_vote && node.is_confirmed(cluster.now);
+        caught_up &= node.acceptor.may_vote && node.is_confirmed(cluster.now);
     }
     cluster.finish();
     (cluster, caught_up)
@@ -52,7 +52,7 @@
 
 #[test]
 fn without_reading_the_others_a_wiped_member_votes_on_what_it_forgot() {
-    let guards = Guards { recall: false, ..ALL_GUARDS };
+    let guards = Guards { recovery_reads: false, ..ALL_GUARDS };
     let broken = (1..=60).any(|seed| !run(seed, true, guards).0.history.violations.is_empty());
     assert!(broken, "a simulation that can't fail shows nothing");
 }
--- a/controller/src/testing/simulation/changes.rs
+++ b/controller/src/testing/simulation/changes.rs
@@ -24,7 +24,7 @@
     /// Committing again what its owner left half done.
     Repair,
     CoreChange,
-    CoreSettled,
+    TransitionEnd,
 }
 
 pub struct Change {
@@ -72,7 +72,7 @@
     fn try_first_change(&mut self, at: usize, key: &str) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        let core = node.voter.membership.clone();
+        let core = node.acceptor.membership.clone();
         let Some(change) = node.changes.get_mut(key).and_then(|list| list.first_mut()) else { return };
         if change.running.as_ref().is_some_and(|(_, proposal)| proposal.is_expired(now)) {
             change.running = None;
@@ -81,10 +81,13 @@
         if change.running.is_some() || now < change.resume || core.members.is_empty() {
             return;
         }
-        node.turn = consensus::next_term(node.turn, &core);
-        let ballot = ProposalNumber { term: node.turn, replica_id: consensus::replica_id(&node.voter.ip, node.life) };
+        node.highest_term = consensus::next_term(node.highest_term, &core);
+        let proposal_number = ProposalNumber {
+            term: node.highest_term,
+            replica_id: consensus::replica_id(&node.acceptor.ip, node.incarnation),
+        };
         let held = node.owned.remove(key);
-        let (proposal, ask) = Proposal::start(key, &core, held, ballot, &mut change.judge, now);
+        let (proposal, ask) = Proposal::start(key, &core, held, proposal_number, &mut change.judge, now);
         let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &ask, &members);
         let change = self.nodes[at].changes.get_mut(key).and_then(|list| list.first_mut());
@@ -92,7 +95,7 @@
     }
 
     /// A vote on a proposal. False: it was for something else.
-    pub fn vote_on_change(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
+    pub fn response_to_change(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
         let now = self.now;
         let node = &mut self.nodes[at];
         let is_for = |change: &Change| change.running.as_ref().is_some_and(|(running, _)| *running == id);
@@ -101,7 +104,7 @@
         let (key, change) = (key.clone(), &mut list[0]);
         let Some((_, proposal)) = change.running.as_mut() else { return false };
         let core = proposal.membership().clone();
-        match proposal.handle_response(from, vote.clone(), &mut change.judge, now) {
+        match proposal.handle_response(from, response.clone(), &mut change.judge, now) {
             Progress::Wait => {}
             Progress::Send(ask) => {
                 let members = quorum::addresses(&core);
@@ -117,8 +120,8 @@
                 self.nodes[at].owned.insert(key, owner);
                 self.end_change(at, change.purpose, answer);
             }
-            Progress::Superseded(ballot) => {
-                self.nodes[at].turn = self.nodes[at].turn.max(ballot.term);
+            Progress::Superseded(proposal_number) => {
+                self.nodes[at].highest_term = self.nodes[at].highest_term.max(proposal_number.term);
                 self.pause_change(at, &key);
             }
             Progress::NewerMembership(core) => {
@@ -144,7 +147,7 @@
         match purpose {
             Purpose::OperatorAction(to, attempt) => self.answer(at, to, attempt, answer.unwrap_or(Answer::Unclear)),
             Purpose::Renewal(key) if done => self.renewed(at, &key),
-            Purpose::Renewal(_) | Purpose::Repair | Purpose::CoreChange | Purpose::CoreSettled => {}
+            Purpose::Renewal(_) | Purpose::Repair | Purpose::CoreChange | Purpose::TransitionEnd => {}
         }
     }
 }
--- a/controller/src/testing/simulation/confirming.rs
+++ b/controller/src/testing/simulation/confirming.rs
@@ -14,7 +14,7 @@
 const RENEW_MS: u64 = 600;
 const CATCH_UP_MS: u64 = 600;
 const ON_ITS_WAY_MS: u64 = 60;
-const HALF_DONE_MS: u64 = 100;
+const INCOMPLETE_AFTER_MS: u64 = 100;
 
 /// One key that is behind, and the reads of it at the members.
 struct CatchUp {
@@ -28,7 +28,7 @@
 /// The confirmation under way. Invariant: `confirmed` is set to `begun` only once nothing is behind.
 #[derive(Default)]
 pub struct Confirming {
-    next_beat: u64,
+    next_tick: u64,
     begun: u64,
     read: Option<(u64, Confirmation)>,
     behind: Vec<CatchUp>,
@@ -49,9 +49,9 @@
     pub fn run_confirmation(&mut self, at: usize) {
         let now = self.now;
         let confirming = &mut self.nodes[at].confirming;
-        if now >= confirming.next_beat && !confirming.is_at_work() {
-            confirming.next_beat = now + HEARTBEAT_INTERVAL_MS;
-            self.tell(at);
+        if now >= confirming.next_tick && !confirming.is_at_work() {
+            confirming.next_tick = now + HEARTBEAT_INTERVAL_MS;
+            self.broadcast(at);
             self.begin_confirmation(at);
             return;
         }
@@ -64,41 +64,41 @@
         }
     }
 
-    pub fn tell(&mut self, at: usize) {
+    pub fn broadcast(&mut self, at: usize) {
         let node = &self.nodes[at];
-        let live = |ip: &&String| node.roster.is_live(ip, self.now);
+        let live = |ip: &&String| node.view.is_live(ip, self.now);
         let heartbeat = Heartbeat {
-            address: node.voter.ip.clone(),
-            fit: node.voter.may_vote,
+            address: node.acceptor.ip.clone(),
+            eligible: node.acceptor.may_vote,
             leaving: node.leaving.is_some(),
-            core: node.voter.membership.clone(),
-            peers: node.roster.controllers.keys().filter(live).cloned().collect(),
+            core: node.acceptor.membership.clone(),
+            peers: node.view.controllers.keys().filter(live).cloned().collect(),
         };
         for to in node.known_peers().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
             self.send(Address::Node(at), Address::Node(to), Packet::Heartbeat(heartbeat.clone()));
         }
     }
 
-    pub fn take_heartbeat(&mut self, at: usize, heartbeat: Heartbeat) {
+    pub fn receive_heartbeat(&mut self, at: usize, heartbeat: Heartbeat) {
         self.adopt(at, &heartbeat.core);
         let peer = Peer {
             last_seen: self.now,
-            eligible: heartbeat.fit,
+            eligible: heartbeat.eligible,
             shutting_down: heartbeat.leaving,
             protocol_version: PROTOCOL_VERSION,
             ..Default::default()
         };
-        let roster = &mut self.nodes[at].roster;
-        roster.observe(&heartbeat.address, peer);
+        let view = &mut self.nodes[at].view;
+        view.observe(&heartbeat.address, peer);
         for ip in heartbeat.peers {
-            if ip != roster.own_ip {
-                roster.controllers.entry(ip).or_default();
+            if ip != view.own_ip {
+                view.controllers.entry(ip).or_default();
             }
         }
     }
 
     fn begin_confirmation(&mut self, at: usize) {
-        let core = self.nodes[at].voter.membership.clone();
+        let core = self.nodes[at].acceptor.membership.clone();
         if core.members.is_empty() {
             return;
         }
@@ -110,8 +110,8 @@
     }
 
     /// A vote on the confirmation. False: it was for something else.
-    pub fn vote_on_confirmation(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
-        if let ConsensusResponse::NewerMembership { membership } = vote {
+    pub fn response_to_confirmation(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
+        if let ConsensusResponse::NewerMembership { membership } = response {
             self.adopt(at, membership);
             let confirming = &mut self.nodes[at].confirming;
             let stale = confirming.read.as_ref().is_some_and(|(read, _)| *read == id);
@@ -121,8 +121,8 @@
             }
             return false;
         }
-        if let ConsensusResponse::Fetched { entry } = vote {
-            self.take_fetched(at, from, id, entry.clone());
+        if let ConsensusResponse::Fetched { entry } = response {
+            self.receive_fetched(at, from, id, entry.clone());
             return true;
         }
         let confirming = &mut self.nodes[at].confirming;
@@ -130,7 +130,7 @@
         if *read != id {
             return false;
         }
-        let ConsensusResponse::Positions { positions } = vote else { return true };
+        let ConsensusResponse::Positions { positions } = response else { return true };
         confirmation.record(from, positions.clone());
         if confirmation.is_quorum() {
             let (_, confirmation) = confirming.read.take().expect("a read");
@@ -154,15 +154,16 @@
     fn try_to_catch_up(&mut self, at: usize, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        let core = node.voter.membership.clone();
+        let core = node.acceptor.membership.clone();
         let Some(one) = node.confirming.behind.get_mut(number).filter(|one| now >= one.next_try) else { return };
         one.next_try = now + FETCH_MS;
         one.fetched.clear();
-        let (key, place, half_done) = (one.behind.key.clone(), one.behind.position, now > one.since + HALF_DONE_MS);
+        let (key, place, half_done) =
+            (one.behind.key.clone(), one.behind.position, now > one.since + INCOMPLETE_AFTER_MS);
         if node.place(&key) >= Some(place) {
             return self.caught_up(at, &key);
         }
-        let first = node.roster.first_live("", &key, now) == node.voter.ip;
+        let first = node.view.first_live("", &key, now) == node.acceptor.ip;
         let members = quorum::addresses(&core);
         let id = self.poll(at, &core, &ConsensusOperation::Fetch { key: key.clone() }, &members);
         self.nodes[at].confirming.behind[number].id = id;
@@ -172,14 +173,14 @@
         }
     }
 
-    fn take_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<Entry>) {
+    fn receive_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<Entry>) {
         let takes_newer = self.guards.newer_entries;
         let node = &mut self.nodes[at];
         let Some(one) = node.confirming.behind.iter_mut().find(|one| one.id == id) else { return };
         let Some(entry) = entry else { return };
         let (key, place) = (one.behind.key.clone(), one.behind.position);
         one.fetched.push((from.into(), entry.clone()));
-        let newer = consensus::newest_committed(&node.voter.membership, &one.fetched);
+        let newer = consensus::newest_committed(&node.acceptor.membership, &one.fetched);
         let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
         let looked_for = Some(entry).filter(|entry| one.behind.is_committed && entry.position() == place);
         let Some(entry) = looked_for.or(newer) else { return };
--- a/controller/src/testing/simulation/faults.rs
+++ b/controller/src/testing/simulation/faults.rs
@@ -28,7 +28,7 @@
 
     /// A loss of power: what was not synced is gone. With `wipe` the disk too.
     pub fn lose_power(&mut self, at: usize, wipe: bool) {
-        let hasty = !self.guards.recall;
+        let hasty = !self.guards.recovery_reads;
         let node = &mut self.nodes[at];
         node.up = false;
         node.writes.clear();
@@ -49,9 +49,9 @@
             return;
         }
         let mut node = Node::new(at, &self.seeds, self.now);
-        node.life = old.life + 1;
+        node.incarnation = old.incarnation + 1;
         node.disk = old.disk.clone();
-        node.voter = old.disk.clone();
+        node.acceptor = old.disk.clone();
         self.nodes[at] = node;
     }
 
@@ -72,7 +72,7 @@
     pub fn terminate(&mut self, at: usize) {
         if self.guards.hand_over {
             self.nodes[at].leaving = Some(self.now);
-            self.tell(at);
+            self.broadcast(at);
         } else {
             self.remove(at);
         }
@@ -81,7 +81,7 @@
     /// A leaving process ends once the core does without it, or after a while.
     pub fn end_if_released(&mut self, at: usize) {
         let Some(since) = self.nodes[at].leaving else { return };
-        let core = &self.nodes[at].voter.membership;
+        let core = &self.nodes[at].acceptor.membership;
         let released = core.stable && !quorum::is_member(core, &address(at));
         let waited = self.now - since;
         if (released && waited >= LAST_CALLS_MS) || waited >= HAND_OVER_MS + LAST_CALLS_MS {
@@ -104,7 +104,7 @@
     /// Is every controller that runs confirmed, and may it vote?
     pub fn all_confirmed(&self) -> bool {
         let mut running = self.nodes.iter().filter(|node| node.runs());
-        running.all(|node| node.is_confirmed(self.now) && node.voter.may_vote)
+        running.all(|node| node.is_confirmed(self.now) && node.acceptor.may_vote)
     }
 
     /// Heals and starts everything, lets the last orders end, and reads back what is committed.
--- a/controller/src/testing/simulation/members.rs
+++ b/controller/src/testing/simulation/members.rs
@@ -1,4 +1,4 @@
-//! Changes of the core at a simulated controller, and the recovery of a voter that lost its disk.
+//! Changes of the core at a simulated controller, and the recovery of a acceptor that lost its disk.
 
 use std::mem;
 
@@ -10,12 +10,12 @@
 use super::{address, Cluster};
 use crate::replication::{committed_state, reconfiguration};
 
-const BEAT_MS: u64 = 150;
+const TICK_MS: u64 = 150;
 const SPREAD_MS: u64 = 800;
 const COMMIT_MS: u64 = 1500;
 const READ_MS: u64 = 800;
 
-/// A read of other voters by one that may not vote.
+/// A read of other acceptors by one that may not vote.
 struct Recovery {
     id: u64,
     core: CoreMembership,
@@ -26,8 +26,8 @@
 
 #[derive(Default)]
 pub struct Members {
-    next_beat: u64,
-    settlement: Option<MembershipTransition>,
+    next_tick: u64,
+    transition: Option<MembershipTransition>,
     spread: Option<(u64, u64)>,
     recovery: Option<Recovery>,
 }
@@ -37,30 +37,30 @@
         self.end_if_released(at);
         let now = self.now;
         self.nodes[at].pauses.record_tick(now);
-        if now < self.nodes[at].members.next_beat {
+        if now < self.nodes[at].members.next_tick {
             return;
         }
-        self.nodes[at].members.next_beat = now + BEAT_MS;
-        if !self.nodes[at].voter.may_vote {
+        self.nodes[at].members.next_tick = now + TICK_MS;
+        if !self.nodes[at].acceptor.may_vote {
             self.attempt_recovery(at);
             return;
         }
-        let core = self.nodes[at].voter.membership.clone();
+        let core = self.nodes[at].acceptor.membership.clone();
         if core.members.is_empty() || !self.nodes[at].is_confirmed(now) || !self.coordinates(at, &core) {
             return;
         }
         if core.stable {
             self.begin_core_change(at, &core);
         } else {
-            self.settle(at, &core);
+            self.advance_transition(at, &core);
         }
     }
 
     fn coordinates(&self, at: usize, core: &CoreMembership) -> bool {
         let node = &self.nodes[at];
         let leaving = node.leaving.is_some();
-        let first = reconfiguration::first_member(core, &node.roster, leaving, MEMBERSHIP_KEY, self.now);
-        first.as_deref() == Some(&node.voter.ip)
+        let first = reconfiguration::first_member(core, &node.view, leaving, MEMBERSHIP_KEY, self.now);
+        first.as_deref() == Some(&node.acceptor.ip)
     }
 
     fn begin_core_change(&mut self, at: usize, core: &CoreMembership) {
@@ -68,7 +68,7 @@
             return;
         }
         let now = self.now;
-        let Some(next) = reconfiguration::next(core, &self.nodes[at].roster, now) else { return };
+        let Some(next) = reconfiguration::next(core, &self.nodes[at].view, now) else { return };
         let version = core.version;
         let judge = move |body: &[u8]| match committed_state::read_core(body) {
             Some(held) if held.version != version || !held.stable => Decision::Answer(None),
@@ -77,18 +77,18 @@
         self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
 
-    fn settle(&mut self, at: usize, core: &CoreMembership) {
+    fn advance_transition(&mut self, at: usize, core: &CoreMembership) {
         let now = self.now;
         let members = &mut self.nodes[at].members;
-        if !members.settlement.as_ref().is_some_and(|held| held.membership() == core) {
-            members.settlement = Some(MembershipTransition::new(core));
+        if !members.transition.as_ref().is_some_and(|held| held.membership() == core) {
+            members.transition = Some(MembershipTransition::new(core));
             members.spread = None;
         }
-        let settlement = members.settlement.as_ref().expect("a settlement");
-        if settlement.is_done() {
-            return self.finish_settlement(at, core);
+        let transition = members.transition.as_ref().expect("a settlement");
+        if transition.is_done() {
+            return self.finish_transition(at, core);
         }
-        if !settlement.is_known() {
+        if !transition.is_known() {
             if members.spread.is_some_and(|(_, end)| now < end) {
                 return;
             }
@@ -97,7 +97,7 @@
             self.nodes[at].members.spread = Some((id, now + SPREAD_MS));
             return;
         }
-        for key in settlement.remaining_keys() {
+        for key in transition.remaining_keys() {
             let purpose = Purpose::Renewal(key.clone());
             if !self.is_changing(at, &purpose) {
                 self.nodes[at].owned.remove(&key);
@@ -107,72 +107,72 @@
     }
 
     pub fn renewed(&mut self, at: usize, key: &str) {
-        if let Some(settlement) = &mut self.nodes[at].members.settlement {
-            settlement.mark_recommitted(key);
+        if let Some(transition) = &mut self.nodes[at].members.transition {
+            transition.mark_recommitted(key);
         }
     }
 
-    fn finish_settlement(&mut self, at: usize, core: &CoreMembership) {
-        if self.is_changing(at, &Purpose::CoreSettled) {
+    fn finish_transition(&mut self, at: usize, core: &CoreMembership) {
+        if self.is_changing(at, &Purpose::TransitionEnd) {
             return;
         }
         let version = core.version;
         let judge = move |body: &[u8]| match committed_state::read_core(body) {
             Some(held) if held.version == version && !held.stable => {
-                let settled = stabilized(&held);
-                Decision::Write(committed_state::write_core(&settled), None)
+                let stabilized_membership = stabilized(&held);
+                Decision::Write(committed_state::write_core(&stabilized_membership), None)
             }
             _ => Decision::Answer(None),
         };
-        self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreSettled, COMMIT_MS, Box::new(judge));
+        self.begin_change(at, MEMBERSHIP_KEY, Purpose::TransitionEnd, COMMIT_MS, Box::new(judge));
     }
 
     fn attempt_recovery(&mut self, at: usize) {
         let node = &self.nodes[at];
-        let core = node.voter.membership.clone();
+        let core = node.acceptor.membership.clone();
         let at_work = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.end);
-        if self.now < node.born + RECOVERY_DELAY_MS || core.members.is_empty() || at_work {
+        if self.now < node.started_at + RECOVERY_DELAY_MS || core.members.is_empty() || at_work {
             return;
         }
-        let member = quorum::is_old_or_new_member(&core, &node.voter.ip);
-        let others = node.voter.recovery_peers();
+        let member = quorum::is_old_or_new_member(&core, &node.acceptor.ip);
+        let others = node.acceptor.recovery_peers();
         let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
         let id = self.poll(at, &core, &ask, &others);
         let end = self.now + READ_MS;
         self.nodes[at].members.recovery = Some(Recovery { id, core, end, from: Vec::new(), reads: Vec::new() });
     }
 
-    /// Routes a vote to what asked for it.
-    pub fn take_vote(&mut self, at: usize, from: Address, id: u64, vote: ConsensusResponse) {
+    /// Routes a response to what asked for it.
+    pub fn receive_response(&mut self, at: usize, from: Address, id: u64, response: ConsensusResponse) {
         let Address::Node(from) = from else { return };
         let from = address(from);
-        if self.vote_on_change(at, &from, id, &vote) || self.vote_on_recovery(at, &from, id, &vote) {
+        if self.response_to_change(at, &from, id, &response) || self.response_to_recovery(at, &from, id, &response) {
             return;
         }
-        if self.vote_on_spread(at, &from, id, &vote) {
+        if self.response_to_announcement(at, &from, id, &response) {
             return;
         }
-        self.vote_on_confirmation(at, &from, id, &vote);
+        self.response_to_confirmation(at, &from, id, &response);
     }
 
-    fn vote_on_spread(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
+    fn response_to_announcement(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
         let members = &mut self.nodes[at].members;
         if members.spread.is_none_or(|(spread, _)| spread != id) {
             return false;
         }
-        let Some(settlement) = &mut members.settlement else { return false };
-        match vote {
+        let Some(transition) = &mut members.transition else { return false };
+        match response {
             ConsensusResponse::NewerMembership { membership } => self.adopt(at, &membership.clone()),
-            vote => settlement.record_response(from, vote),
+            response => transition.record_response(from, response),
         }
         true
     }
 
-    fn vote_on_recovery(&mut self, at: usize, from: &str, id: u64, vote: &ConsensusResponse) -> bool {
+    fn response_to_recovery(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
         let node = &mut self.nodes[at];
         let Some(recovery) = node.members.recovery.as_mut().filter(|recovery| recovery.id == id) else { return false };
-        let current = recovery.core.version == node.voter.membership.version && !node.voter.may_vote;
-        match vote {
+        let current = recovery.core.version == node.acceptor.membership.version && !node.acceptor.may_vote;
+        match response {
             ConsensusResponse::NewerMembership { membership } => {
                 node.members.recovery = None;
                 self.adopt(at, &membership.clone());
@@ -183,12 +183,12 @@
             _ => return true,
         }
         recovery.from.push(from.into());
-        let member = quorum::is_old_or_new_member(&recovery.core, &node.voter.ip);
-        let records = if member && current && node.voter.has_enough_reads(&recovery.from) {
+        let member = quorum::is_old_or_new_member(&recovery.core, &node.acceptor.ip);
+        let records = if member && current && node.acceptor.has_enough_reads(&recovery.from) {
             let reads = mem::take(&mut recovery.reads);
-            node.voter.recover(reads).unwrap_or_default()
+            node.acceptor.recover(reads).unwrap_or_default()
         } else if !member && current && quorum::is_quorum(&recovery.core, &recovery.from) {
-            node.voter.may_vote = true;
+            node.acceptor.may_vote = true;
             vec![LogRecord::VotingEnabled]
         } else {
             return true;
--- a/controller/src/testing/simulation/mod.rs
+++ b/controller/src/testing/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders, cuts,
 //! frozen processes, losses of power and of disks, replaced machines, operators that race and send again.
 //! The nodes run the state machines of `ledger` and the decisions of this crate; only what carries them
-//! (sockets, timers, the disk) is simulated. `history` checks what operators and followers were told.
+//! (sockets, timers, the disk) is simulated. `history` checks what operators and subscribers got.
 
 use std::mem;
 
@@ -41,8 +41,8 @@
     pub versioned_evacuations: bool,
     /// Orders that waited in a socket while the process stood still are not carried out.
     pub stale_orders: bool,
-    /// A wiped voter reads the others before it votes.
-    pub recall: bool,
+    /// A wiped acceptor reads the others before it responses.
+    pub recovery_reads: bool,
     /// A member tells that it is about to end, and waits to be released.
     pub hand_over: bool,
     /// A controller that is behind takes a newer committed entry than the one it asked for.
@@ -55,7 +55,7 @@
     validity: true,
     versioned_evacuations: true,
     stale_orders: true,
-    recall: true,
+    recovery_reads: true,
     hand_over: true,
     newer_entries: true,
 };
@@ -74,7 +74,7 @@
     /// Of a hundred answers to operators, so many are lost.
     pub lost_answers: u64,
     /// The longest time that an operator rests before its next order.
-    pub rest_ms: u64,
+    pub max_pause_ms: u64,
     /// Operators send changes of named items and invalid ones too, and some orders are carried out at two controllers at once.
     pub mixed_orders: bool,
 }
@@ -96,7 +96,7 @@
             guards: ALL_GUARDS,
             seeds,
             lost_answers: 0,
-            rest_ms: 300,
+            max_pause_ms: 300,
             mixed_orders: false,
         };
         for at in 0..size {
@@ -110,8 +110,8 @@
     /// One millisecond: what is due is delivered, then every process that runs does what is due.
     pub fn step(&mut self) {
         self.now += 1;
-        for letter in self.network.due(self.now) {
-            self.deliver(letter);
+        for envelope in self.network.due(self.now) {
+            self.deliver(envelope);
         }
         for at in 0..self.nodes.len() {
             if self.nodes[at].runs() {
@@ -130,28 +130,28 @@
         }
     }
 
-    fn deliver(&mut self, letter: network::Envelope) {
-        if let network::Address::Operator(number) = letter.to {
-            let Packet::Answer(attempt, answer) = letter.message else { return };
-            self.operator_hears(number, attempt, answer);
+    fn deliver(&mut self, envelope: network::Envelope) {
+        if let network::Address::Operator(number) = envelope.to {
+            let Packet::Answer(attempt, answer) = envelope.message else { return };
+            self.receive_answer(number, attempt, answer);
             return;
         }
-        let network::Address::Node(at) = letter.to else { return };
+        let network::Address::Node(at) = envelope.to else { return };
         let node = &mut self.nodes[at];
-        if !node.up || node.life != letter.life {
+        if !node.up || node.incarnation != envelope.incarnation {
             return;
         }
         if node.frozen {
-            node.inbox.push(letter);
+            node.inbox.push(envelope);
             return;
         }
-        self.handle(at, letter);
+        self.handle(at, envelope);
     }
 
     /// Everything that a node does by itself at this time.
     fn run_node(&mut self, at: usize) {
-        for letter in mem::take(&mut self.nodes[at].inbox) {
-            self.handle(at, letter);
+        for envelope in mem::take(&mut self.nodes[at].inbox) {
+            self.handle(at, envelope);
             // Each is begun before the next is read, as tasks of a process may be.
             self.run_changes(at);
         }
@@ -161,14 +161,14 @@
         self.run_membership(at);
     }
 
-    fn handle(&mut self, at: usize, letter: network::Envelope) {
-        match letter.message {
-            Packet::Poll { id, poll } => self.vote(at, letter.from, id, poll),
-            Packet::Vote { id, vote } => self.take_vote(at, letter.from, id, vote),
-            Packet::Heartbeat(heartbeat) => self.take_heartbeat(at, heartbeat),
+    fn handle(&mut self, at: usize, envelope: network::Envelope) {
+        match envelope.message {
+            Packet::Poll { id, poll } => self.handle_request(at, envelope.from, id, poll),
+            Packet::Response { id, response } => self.receive_response(at, envelope.from, id, response),
+            Packet::Heartbeat(heartbeat) => self.receive_heartbeat(at, heartbeat),
             Packet::Learn(key, entry) => self.learn(at, &key, &entry, false),
-            Packet::OperatorAction(attempt, order) => self.take_order(at, letter.from, attempt, order),
-            Packet::Close(attempt) => self.drop_order(at, letter.from, attempt),
+            Packet::OperatorAction(attempt, order) => self.receive_action(at, envelope.from, attempt, order),
+            Packet::Close(attempt) => self.drop_action(at, envelope.from, attempt),
             Packet::Answer(..) => {}
         }
     }
--- a/controller/src/testing/simulation/network.rs
+++ b/controller/src/testing/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: letters that arrive late, out of order or never.
+//! The simulated network: envelopes that arrive late, out of order or never.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -25,9 +25,9 @@
         id: u64,
         poll: ConsensusRequest,
     },
-    Vote {
+    Response {
         id: u64,
-        vote: ConsensusResponse,
+        response: ConsensusResponse,
     },
     Heartbeat(Heartbeat),
     Learn(String, Entry),
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     pub address: String,
-    pub fit: bool,
+    pub eligible: bool,
     pub leaving: bool,
     pub core: CoreMembership,
     pub peers: Vec<String>,
@@ -53,11 +53,11 @@
     pub from: Address,
     pub to: Address,
     /// The life of the process it is meant for: a connection ends with the process.
-    pub life: u64,
+    pub incarnation: u64,
     pub message: Packet,
 }
 
-/// Invariant: `letters` are sorted by the time of their arrival, in the order sent where it is the same.
+/// Invariant: `envelopes` are sorted by the time of their arrival, in the order sent where it is the same.
 #[derive(Default)]
 pub struct Network {
     letters: BTreeMap<(u64, u64), Envelope>,
@@ -66,14 +66,14 @@
 }
 
 impl Network {
-    pub fn send(&mut self, letter: Envelope) {
-        if let (Address::Node(from), Address::Node(to)) = (letter.from, letter.to) {
+    pub fn send(&mut self, envelope: Envelope) {
+        if let (Address::Node(from), Address::Node(to)) = (envelope.from, envelope.to) {
             if self.cuts.contains(&(from, to)) {
                 return;
             }
         }
         self.sent += 1;
-        self.letters.insert((letter.at, self.sent), letter);
+        self.letters.insert((envelope.at, self.sent), envelope);
     }
 
     pub fn due(&mut self, now: u64) -> Vec<Envelope> {
@@ -85,7 +85,7 @@
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
         let ends = (Address::Node(from), Address::Node(to));
-        self.letters.retain(|_, letter| (letter.from, letter.to) != ends);
+        self.letters.retain(|_, envelope| (envelope.from, envelope.to) != ends);
     }
 
     pub fn heal(&mut self) {
@@ -94,7 +94,7 @@
 }
 
 impl Cluster {
-    /// Sends with a delay drawn by lot. Some letters come late, as after a retransmission, and a few between
+    /// Sends with a delay drawn by lot. Some envelopes come late, as after a retransmission, and a few between
     /// nodes are lost, as when a connection is reset.
     pub fn send(&mut self, from: Address, to: Address, message: Packet) {
         let between_nodes = matches!((from, to), (Address::Node(_), Address::Node(_)));
@@ -105,19 +105,19 @@
         let late = between_nodes && self.random.below(LATE_ONE_OF) == 0;
         let most = if late { LATE_MS } else { DELAY_MS };
         let delay = if itself { 0 } else { 1 + self.random.below(most) };
-        let life = match to {
-            Address::Node(at) => self.nodes.get(at).map_or(0, |node| node.life),
+        let incarnation = match to {
+            Address::Node(at) => self.nodes.get(at).map_or(0, |node| node.incarnation),
             Address::Operator(_) => 0,
         };
-        self.network.send(Envelope { at: self.now + 1 + delay, from, to, life, message });
+        self.network.send(Envelope { at: self.now + 1 + delay, from, to, incarnation, message });
     }
 
     /// The node at an address, if there ever was one.
     pub fn node_at(&self, address: &str) -> Option<usize> {
-        self.nodes.iter().position(|node| node.voter.ip == address)
+        self.nodes.iter().position(|node| node.acceptor.ip == address)
     }
 
-    /// Polls these addresses under a number of its own, by which the votes are told apart.
+    /// Polls these addresses under a number of its own, by which the responses are told apart.
     pub fn poll(&mut self, at: usize, core: &CoreMembership, ask: &ConsensusOperation, addresses: &[String]) -> u64 {
         let id = self.nodes[at].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
--- a/controller/src/testing/simulation/operator.rs
+++ b/controller/src/testing/simulation/operator.rs
@@ -144,14 +144,14 @@
     }
 
     /// The caller is gone: its call is dropped, whatever became of it.
-    pub fn drop_order(&mut self, at: usize, from: Address, attempt: Attempt) {
+    pub fn drop_action(&mut self, at: usize, from: Address, attempt: Attempt) {
         let purpose = Purpose::OperatorAction(from, attempt);
         for list in self.nodes[at].changes.values_mut() {
             list.retain(|change| change.purpose != purpose);
         }
     }
 
-    pub fn take_order(&mut self, at: usize, from: Address, attempt: Attempt, order: OperatorAction) {
+    pub fn receive_action(&mut self, at: usize, from: Address, attempt: Attempt, order: OperatorAction) {
         let stale = self.nodes[at].pauses.requests_may_be_stale(self.now) && self.guards.stale_orders;
         if stale && !matches!(order, OperatorAction::Read) {
             return self.answer(at, from, attempt, Answer::Unclear);
@@ -189,9 +189,9 @@
         }
     }
 
-    pub fn operator_hears(&mut self, number: usize, attempt: Attempt, answer: Answer) {
+    pub fn receive_answer(&mut self, number: usize, attempt: Attempt, answer: Answer) {
         let now = self.now;
-        let pause = self.random.below(self.rest_ms);
+        let pause = self.random.below(self.max_pause_ms);
         let operator = &mut self.operators[number];
         debug_assert_eq!(operator.number, number);
         let Some((current, order)) = operator.current.clone().filter(|(current, _)| *current == attempt) else {
--- a/controller/src/testing/simulation/orders_tests.rs
+++ b/controller/src/testing/simulation/orders_tests.rs
@@ -89,7 +89,7 @@
 fn run_short_cuts(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 2);
     cluster.guards = guards;
-    cluster.rest_ms = 20;
+    cluster.max_pause_ms = 20;
     cluster.mixed_orders = true;
     let mut chance = Rng::new(seed ^ 0x55c1);
     for _ in 0..40 {
--- a/controller/src/testing/simulation/replacement_tests.rs
+++ b/controller/src/testing/simulation/replacement_tests.rs
@@ -45,7 +45,7 @@
 }
 
 fn pick(cluster: &Cluster, chance: &mut Rng, but: &[usize]) -> usize {
-    let core = &cluster.nodes[cluster.live()[0]].voter.membership;
+    let core = &cluster.nodes[cluster.live()[0]].acceptor.membership;
     let member = |at: &usize| quorum::is_member(core, &address(*at));
     let list: Vec<usize> = cluster.live().into_iter().filter(|at| !but.contains(at) && member(at)).collect();
     list[chance.below(list.len() as u64) as usize]
--- a/controller/src/testing/simulation/restart_tests.rs
+++ b/controller/src/testing/simulation/restart_tests.rs
@@ -8,7 +8,7 @@
 fn run(seed: u64, size: usize) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 8);
     cluster.guards = ALL_GUARDS;
-    cluster.rest_ms = 20;
+    cluster.max_pause_ms = 20;
     let mut chance = Rng::new(seed ^ 0x4e57);
     cluster.run(2000);
     let cut = chance.below(size as u64) as usize;
