--- a/batch/src/attempt.rs
+++ b/batch/src/attempt.rs
@@ -1,33 +1,38 @@
-//! One attempt at a job: what came of it, and the job's state after it.
+//! The outcome of one attempt at a job, and the job's state after it.
 
-use crate::page::State;
+use crate::JobState;
 
-/// A repeatable job whose attempts end so many times without an answer is given up.
-pub const ATTEMPTS: u32 = 6;
+/// Attempts with an unknown outcome after which a repeatable job is given up.
+pub const MAX_ATTEMPTS: u32 = 6;
 
-/// What came of a request that was sent once.
+/// The outcome of a request that was sent once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Answered {
+pub enum AttemptOutcome {
+    /// A router gave the engine's response.
+    Completed {
+        /// The HTTP status.
         status: u16,
+        /// The body of the response.
         body: String,
     },
-    /// It has not run and never will; when to come back, where that was said.
-    NotRun {
+    /// The request was not executed and never will be.
+    NotExecuted {
+        /// Milliseconds after which to try again, where the response said so.
         retry_after_ms: Option<u64>,
     },
-    /// It may have run.
-    Lost,
+    /// The request may have been executed.
+    Unknown,
 }
 
-/// The job's state after an attempt. `lost`: how many of its attempts were lost, this one included.
-pub fn state_after(outcome: Outcome, repeatable: bool, lost: u32) -> State {
+/// Returns a job's state after an attempt. `unknown_count` is the number of its attempts with an unknown outcome, this one
+/// included.
+pub fn state_after(outcome: AttemptOutcome, repeatable: bool, unknown_count: u32) -> JobState {
     match outcome {
-        Outcome::Answered { status, body } => State::Done { status, body },
-        Outcome::NotRun { .. } => State::Waiting,
-        Outcome::Lost if !repeatable => State::Unknown,
-        Outcome::Lost if lost >= ATTEMPTS => State::Missed,
-        Outcome::Lost => State::Waiting,
+        AttemptOutcome::Completed { status, body } => JobState::Completed { status, body },
+        AttemptOutcome::NotExecuted { .. } => JobState::Waiting,
+        AttemptOutcome::Unknown if !repeatable => JobState::OutcomeUnknown,
+        AttemptOutcome::Unknown if unknown_count >= MAX_ATTEMPTS => JobState::DeadlineMissed,
+        AttemptOutcome::Unknown => JobState::Waiting,
     }
 }
 
--- /dev/null
+++ b/consensus/src/storage/mod.rs
@@ -0,0 +1,18 @@
+//! The disk of an acceptor: a log in numbered segments with a snapshot beside it (docs/storage.md).
+//!
+//! `store` writes, `recovery` reads back what is found when a store is opened, `record` and `segment` define and read
+//! the bytes, `files` the names, and `directory` is the file system, which tests replace by a simulated one.
+
+mod directory;
+mod error;
+mod files;
+mod record;
+mod recovery;
+mod segment;
+mod store;
+
+pub use error::StoreError;
+pub use store::Store;
+
+#[cfg(test)]
+pub(crate) use directory::{DataFile, Directory};
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -9,9 +9,9 @@
 use protocol::message::{Entry, ProposalNumber};
 use protocol::operator_request::ConfigChange;
 
-use super::{advance_of, judge, next_body, Judgement};
-use crate::config::body::{BodyForm, Held};
-use crate::config::change::Proposed;
+use super::{decide, delta_of, next_body, ChangeResult};
+use crate::config::body::{BodyFormat, StoredConfig};
+use crate::config::change::ParsedChange;
 use crate::replication::committed_state::{CommittedState, CONFIG_KEY};
 
 const ROUNDS: usize = 40;
@@ -49,20 +49,20 @@
     println!("  {label}: {:.3} ms", times[ROUNDS / 2]);
 }
 
-fn entry(turn: u64, body: Vec<u8>) -> Entry {
-    Entry { proposal_number: ProposalNumber { term: turn, replica_id: 1 }, index: 0, body }
+fn entry(term: u64, body: Vec<u8>) -> Entry {
+    Entry { proposal_number: ProposalNumber { term, replica_id: 1 }, index: 0, body }
 }
 
 #[test]
 #[ignore = "prints times, checks nothing"]
 fn what_a_change_costs() {
     for routes in [40, 1500] {
-        let mut held = Held { revision: 5, text: text(5, routes), ..Held::default() };
+        let mut stored = StoredConfig { revision: 5, text: text(5, routes), ..StoredConfig::default() };
         let earlier = |base| ConfigChange { base, text: String::new(), partial: false };
-        (0..REMEMBERED).for_each(|base| held.remember(&earlier(base), BodyForm::Digested));
-        let body = held.seal(BodyForm::Digested);
-        println!("{routes} routes: text of {} bytes, body of {}", held.text.len(), body.len());
-        print_median("read and check", || drop(config::read(&held.text).expect("good")));
+        (0..REMEMBERED).for_each(|base| stored.remember(&earlier(base), BodyFormat::Digested));
+        let body = stored.encode(BodyFormat::Digested);
+        println!("{routes} routes: text of {} bytes, body of {}", stored.text.len(), body.len());
+        print_median("read and check", || drop(config::read(&stored.text).expect("good")));
         let mut state = CommittedState::default();
         state.learn(CONFIG_KEY, &entry(1, body.clone()), None);
         let known = state.history.current().cloned();
@@ -72,16 +72,16 @@
         let whole = ConfigChange { base: 5, text: text(8, routes), partial: false };
         let part = ConfigChange { base: 5, text: items, partial: true };
         for (label, change) in [("PUT", &whole), ("PATCH", &part)] {
-            let judged = || match judge(&Proposed::read(change), &body, known.as_deref(), BodyForm::Digested) {
-                Decision::Write(next, Judgement::Step(step)) => (next, step),
+            let judged = || match decide(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
+                Decision::Write(next, ChangeResult::Transition(transition)) => (next, transition),
                 _ => panic!("a change"),
             };
             print_median(&format!("{label}, judged and sealed by its committer"), || drop(judged()));
-            let (next, step) = judged();
-            let advance = advance_of(&entry(2, next), change, &step);
+            let (next, transition) = judged();
+            let delta = delta_of(&entry(2, next), change, &transition);
             let old = known.as_deref().expect("a configuration");
             print_median(&format!("{label}, at a controller that is told of it"), || {
-                let (_, checked) = next_body(&body, Some(old), &advance).expect("made");
+                let (_, checked) = next_body(&body, Some(old), &delta).expect("made");
                 let checked = checked.expect("changed");
                 drop(ConfigUpdate::between(old.config(), checked.config()).encode());
             });
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -14,8 +14,8 @@
 use protocol::config::ConfigDocument;
 use protocol::message::{Entry, Message};
 
-use crate::batches::runner::Tallies;
-use crate::config::body::BodyForm;
+use crate::batches::runner::ElapsedTimes;
+use crate::config::body::BodyFormat;
 use crate::config::execution;
 use crate::delivery::subscribers::Subscribers;
 use crate::discovery::engine_directory::EngineDirectory;
@@ -29,7 +29,7 @@
 use crate::replication::replica::Replica;
 use crate::replication::shared_state::SharedCommittedState;
 use crate::roles::AcquiredRoles;
-use crate::rollout::version_rollouts::Trials;
+use crate::rollout::version_rollouts::RolloutAnalyses;
 use crate::shutdown::Shutdown;
 
 /// The parts of this process. Each keeps its own state behind its own lock.
@@ -57,9 +57,9 @@
     /// The singleton roles acquired here.
     pub acquired_roles: AcquiredRoles,
     /// Time spent on batches that is not yet written.
-    pub tallies: Tallies,
-    /// Trials of new versions.
-    pub trials: Trials,
+    pub elapsed_times: ElapsedTimes,
+    /// RolloutAnalyses of new versions.
+    pub rollout_analyses: RolloutAnalyses,
     /// Shards of tenants' quotas.
     pub quotas: QuotaShards,
     /// The process is about to end.
@@ -155,7 +155,7 @@
     ) -> ChangeOutcome<T> {
         let (answer, owner, wrote) = self.change_unannounced(key, wait_ms, judge).await?;
         if !wrote && owner.entry.body.len() > LONG_BODY_BYTES {
-            execution::tell_again(self, key, &owner.entry);
+            execution::publish_unchanged(self, key, &owner.entry);
         } else if !owner.is_blank() {
             self.learn(key, &owner.entry, true);
         }
@@ -163,14 +163,14 @@
     }
 
     /// Returns the form of the configuration's body that the members of the core and all live controllers read.
-    pub fn body_form(&self) -> BodyForm {
+    pub fn body_form(&self) -> BodyFormat {
         let now = clock::now();
         let core = self.replica.membership();
         self.peers.read(|view| {
             let reads = |ip: &str| view.controllers.get(ip).map_or(0, |peer| peer.protocol_version);
             let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.own_ip());
             let live = view.controllers.keys().map(String::as_str).filter(|ip| view.is_live(ip, now));
-            BodyForm::for_readers(members.chain(live).map(reads))
+            BodyFormat::for_readers(members.chain(live).map(reads))
         })
     }
 }
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -10,7 +10,7 @@
 use crate::controller::{Controller, ROUTER_LEASE_MS};
 use crate::delivery::limit_confirmations;
 use crate::delivery::subscribers::Subscriber;
-use crate::quota_shards::send_holders;
+use crate::quota_shards::send_owners;
 use crate::replication::committed_state::{CommittedState, RoleState};
 use crate::roles::CATALOG;
 use crate::rollout::version_rollouts;
@@ -87,7 +87,7 @@
             self.send_weights(subscriber);
         }
         if subscriber.protocol_version >= QUOTAS && self.committed.has_tenants() {
-            send_holders(self, subscriber);
+            send_owners(self, subscriber);
         }
         update
     }
@@ -147,14 +147,14 @@
         let sent =
             state.history.send_missing(reads, &mut subscriber.config_revision, |frame| responder.notify_frame(frame));
         subscriber.is_behind |= !sent;
-    } else if let Some((revision, text)) = state.history.text_after(subscriber.config_revision) {
+    } else if let Some((revision, text)) = state.history.text_newer_than(subscriber.config_revision) {
         update.config = Some((revision, text));
         subscriber.config_revision = revision;
     }
     if subscriber.protocol_version >= VERSION_ROLLOUTS {
         version_rollouts::send_missing_rollouts(state, subscriber);
     }
-    subscriber.is_behind |= !state.history.can_be_told(subscriber.protocol_version);
+    subscriber.is_behind |= !state.history.can_send_to(subscriber.protocol_version);
     for (zone, evacuation) in &state.evacuations {
         let has = subscriber.evacuation_versions.entry(zone.clone()).or_default();
         if evacuation.version > *has {
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::delivery::limit_confirmations;
 use crate::peers::gossip;
 use crate::quota_shards;
-use crate::rollout::version_rollouts::take_samples;
+use crate::rollout::version_rollouts::record_samples;
 
 /// Handles one message that came over a connection, and responds where the message wants a response.
 pub fn dispatch(controller: &Arc<Controller>, responder: Responder, id: u64, message: Message) {
@@ -39,7 +39,7 @@
             respond(Message::PrefixLookupResponse(Box::new(response)));
         }
         Message::TokenRequest(request) => {
-            let response = quota_shards::spend(controller, &request);
+            let response = quota_shards::acquire_token(controller, &request);
             respond(Message::TokenResponse(Box::new(response)));
         }
         Message::UsageRequest(_) => {
@@ -75,7 +75,7 @@
                 controller.push_updates();
             }
         }
-        Message::CommittedDelta(delta) => execution::advance(controller, &delta),
+        Message::CommittedDelta(delta) => execution::apply_delta(controller, &delta),
         Message::Committed(committed) => controller.learn(&committed.0, &committed.1, false),
         Message::SuspectEngine(suspicion) => controller.suspect_engine(&suspicion.0, suspicion.1),
         Message::PrefixRegistration(registration) => {
@@ -83,7 +83,7 @@
             controller.catalog.record_loads(&registration.loads, now);
         }
         Message::RegisterOwners(list) => controller.catalog.register(list.0, &list.1, now),
-        Message::Samples(samples) => take_samples(controller, *samples),
+        Message::Samples(samples) => record_samples(controller, *samples),
         Message::WeightVersions(list) => limit_confirmations::accept_weight_versions(controller, *list),
         _ => return false,
     }
@@ -94,7 +94,7 @@
 fn execute_relayed(controller: &Arc<Controller>, responder: Responder, id: u64, request: OperatorRequest) {
     let controller = controller.clone();
     tokio::spawn(async move {
-        let response = operator_requests::relayed(&controller, request).await;
+        let response = operator_requests::execute_relayed(&controller, request).await;
         responder.reply(id, &Message::OperatorResponse(Box::new(response)));
     });
 }
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -65,7 +65,7 @@
             heartbeat.tick().await;
             broadcast(&controller);
             confirmer::run(&controller).await;
-            if quota_shards::beat(&controller) {
+            if quota_shards::refresh_owners(&controller) {
                 controller.push_updates();
             }
         }
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -7,11 +7,11 @@
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{ConfigDocument, ConfigError};
 use protocol::message::{Entry, Position, StalenessLimit, STALENESS_LIMIT_PREFIX};
-use protocol::version_rollout::{VersionRollout, KEY};
+use protocol::version_rollout::{VersionRollout, KEY_PREFIX};
 use rkyv::{Archive, Deserialize, Serialize};
 
-use crate::config::body::Held;
-use crate::config::history::{ConfigHistory, NotNewer};
+use crate::config::body::StoredConfig;
+use crate::config::history::{ConfigHistory, RevisionNotNewer};
 use crate::controller::CONFIRMATION_TTL_MS;
 
 /// What the key of a zone's evacuation holds. The stored bytes depend on the order of the fields.
@@ -80,7 +80,7 @@
         found: u64,
     },
     /// It would lead back from what is known.
-    NotNewer(NotNewer),
+    NotNewer(RevisionNotNewer),
 }
 
 impl fmt::Display for Unreadable {
@@ -91,7 +91,7 @@
             Unreadable::Revision { declared, found } => {
                 write!(out, "revision: {declared} in the record, {found} in the text")
             }
-            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.held),
+            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.current),
         }
     }
 }
@@ -181,7 +181,7 @@
             let limit = StalenessLimit::from_bytes(body).ok_or(Unreadable::Body)?;
             self.staleness_limits.insert(key.into(), limit);
         }
-        if let Some(service) = key.strip_prefix(KEY).filter(|_| !body.is_empty()) {
+        if let Some(service) = key.strip_prefix(KEY_PREFIX).filter(|_| !body.is_empty()) {
             let rollout = VersionRollout::from_bytes(body).ok_or(Unreadable::Body)?;
             self.version_rollouts.insert(service.into(), rollout);
         }
@@ -209,7 +209,7 @@
 
 /// Reads a committed configuration.
 fn read_config(body: &[u8]) -> Result<ConfigDocument, Unreadable> {
-    let known = Held::open(body).ok_or(Unreadable::Body)?;
+    let known = StoredConfig::decode(body).ok_or(Unreadable::Body)?;
     let checked = ConfigDocument::parse_committed(&known.text).map_err(Unreadable::Text)?;
     match checked.revision() == known.revision {
         true => Ok(checked),
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -9,16 +9,15 @@
     ROLE_PREFIX,
 };
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
-use crate::config::body::BodyForm::{self, Digested, Packed, Plain};
-use crate::config::body::{body_digest, Held, Memory, TakenChange};
+use crate::config::body::BodyFormat::{self, Compressed, Digested, Plain};
+use crate::config::body::{body_digest, ChangeStatus, CommittedChange, StoredConfig};
 use crate::roles::{BALANCE, BATCH, CATALOG};
-use batch::page::{Page, State};
-use batch::sheet::{id, Batch, Job};
+use batch::{batch_id, Batch, Job, JobPage, JobState};
 use consensus::MEMBERSHIP_KEY;
 use protocol::config::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::operator_request::ConfigChange;
-use protocol::version_rollout::{RolloutState, VersionRollout, KEY as ROLLOUT_OF_VERSIONS};
+use protocol::version_rollout::{RolloutState, VersionRollout, KEY_PREFIX as ROLLOUT_OF_VERSIONS};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -169,39 +168,50 @@
     vec![0x974b_9188_40f3_bd59, 0x6042_43a3_d2d3_12cf]
 }
 
-fn taken() -> Vec<TakenChange> {
+fn taken() -> Vec<CommittedChange> {
     vec![
-        TakenChange { base: 8, digest: 0x9bf8_2847_2e78_1c20_60e3_e1b1_e750_1211_u128.to_be_bytes() },
-        TakenChange { base: 9, digest: 0xcee6_9e3f_fe3f_3a78_4531_e136_86a9_ea9b_u128.to_be_bytes() },
+        CommittedChange { base: 8, digest: 0x9bf8_2847_2e78_1c20_60e3_e1b1_e750_1211_u128.to_be_bytes() },
+        CommittedChange { base: 9, digest: 0xcee6_9e3f_fe3f_3a78_4531_e136_86a9_ea9b_u128.to_be_bytes() },
     ]
 }
 
 /// A body of the key `config`: its file, the form in which it was asked for, the form that it has, and what it holds.
 struct ConfigBody {
     file: &'static str,
-    asked: BodyForm,
-    form: BodyForm,
-    held: Held,
+    asked: BodyFormat,
+    form: BodyFormat,
+    held: StoredConfig,
 }
 
 fn config_bodies() -> Vec<ConfigBody> {
     let body = |file, asked, form, held| ConfigBody { file, asked, form, held };
-    let short = Held { revision: 8, text: SHORT_TEXT.into(), taken: Vec::new(), earlier: earlier() };
-    let long = Held { revision: 8, text: long_text(8), taken: Vec::new(), earlier: earlier() };
-    let tenants = Held { revision: 12, text: TENANTS_TEXT.into(), taken: taken(), earlier: earlier() };
-    let long_digested = Held { revision: 12, text: long_text(12), taken: taken(), earlier: Vec::new() };
+    let short = StoredConfig { revision: 8, text: SHORT_TEXT.into(), changes: Vec::new(), legacy_changes: earlier() };
+    let long = StoredConfig { revision: 8, text: long_text(8), changes: Vec::new(), legacy_changes: earlier() };
+    let tenants = StoredConfig { revision: 12, text: TENANTS_TEXT.into(), changes: taken(), legacy_changes: earlier() };
+    let long_digested =
+        StoredConfig { revision: 12, text: long_text(12), changes: taken(), legacy_changes: Vec::new() };
     vec![
         body("config-body-5-plain-short.bin", Plain, Plain, short.clone()),
         body("config-body-5-plain-long.bin", Plain, Plain, long.clone()),
-        body("config-body-5-plain-tenants.bin", Plain, Plain, Held { taken: Vec::new(), ..tenants.clone() }),
-        body("config-body-5-plain-no-changes.bin", Plain, Plain, Held { earlier: Vec::new(), ..short.clone() }),
+        body("config-body-5-plain-tenants.bin", Plain, Plain, StoredConfig { changes: Vec::new(), ..tenants.clone() }),
+        body(
+            "config-body-5-plain-no-changes.bin",
+            Plain,
+            Plain,
+            StoredConfig { legacy_changes: Vec::new(), ..short.clone() },
+        ),
         // What is short stays plain.
-        body("config-body-5-packed-short.bin", Packed, Plain, short.clone()),
-        body("config-body-5-packed-long.bin", Packed, Packed, long),
+        body("config-body-5-packed-short.bin", Compressed, Plain, short.clone()),
+        body("config-body-5-packed-long.bin", Compressed, Compressed, long),
         body("config-body-5-digested-short.bin", Digested, Digested, short.clone()),
         body("config-body-5-digested-long.bin", Digested, Digested, long_digested),
         body("config-body-5-digested-tenants.bin", Digested, Digested, tenants.clone()),
-        body("config-body-5-digested-no-changes.bin", Digested, Digested, Held { earlier: Vec::new(), ..short }),
+        body(
+            "config-body-5-digested-no-changes.bin",
+            Digested,
+            Digested,
+            StoredConfig { legacy_changes: Vec::new(), ..short },
+        ),
         // Digests of the second version have no room in the earlier forms.
         body("config-body-5-plain-with-digests.bin", Plain, Digested, tenants),
     ]
@@ -259,10 +269,10 @@
 
 fn live_batch() -> Batch {
     Batch {
-        key: "key-1".into(),
+        idempotency_key: "key-1".into(),
         digest: 0x6162_6364_6566_6768,
         window_ms: 3_600_000,
-        spent_ms: 61_000,
+        elapsed_ms: 61_000,
         cancelled: true,
         expired: false,
         jobs: vec![
@@ -271,7 +281,7 @@
                 method: "POST".into(),
                 host: "a.example".into(),
                 path: "/x/1".into(),
-                head: vec![("content-type".into(), "application/json".into()), ("x-a".into(), "b".into())],
+                headers: vec![("content-type".into(), "application/json".into()), ("x-a".into(), "b".into())],
                 body: "{\"prompt\":\"a prompt that is longer\"}".into(),
                 repeatable: true,
             },
@@ -280,7 +290,7 @@
                 method: "GET".into(),
                 host: "b.example".into(),
                 path: "/y/2".into(),
-                head: Vec::new(),
+                headers: Vec::new(),
                 body: String::new(),
                 repeatable: false,
             },
@@ -290,10 +300,10 @@
 
 fn expired_batch() -> Batch {
     Batch {
-        key: "key-2".into(),
+        idempotency_key: "key-2".into(),
         digest: 7,
         window_ms: 1000,
-        spent_ms: 3_601_000,
+        elapsed_ms: 3_601_000,
         cancelled: false,
         expired: true,
         jobs: Vec::new(),
@@ -301,17 +311,17 @@
 }
 
 /// A page with every state of a job.
-fn page() -> Page {
-    Page {
+fn page() -> JobPage {
+    JobPage {
         epoch: 6,
         states: vec![
-            State::Waiting,
-            State::Begun,
-            State::Done { status: 200, body: "an answer that is longer".into() },
-            State::Done { status: 404, body: String::new() },
-            State::Unknown,
-            State::Missed,
-            State::Cancelled,
+            JobState::Waiting,
+            JobState::Started,
+            JobState::Completed { status: 200, body: "an answer that is longer".into() },
+            JobState::Completed { status: 404, body: String::new() },
+            JobState::OutcomeUnknown,
+            JobState::DeadlineMissed,
+            JobState::Cancelled,
         ],
     }
 }
@@ -368,7 +378,7 @@
 #[ignore = "writes the fixtures of version 5"]
 fn write_fixtures() {
     for ConfigBody { file, asked, held, .. } in config_bodies() {
-        fs::write(path(file), held.seal(asked)).expect("written");
+        fs::write(path(file), held.encode(asked)).expect("written");
     }
     for (file, body) in control_bodies() {
         fs::write(path(file), body).expect("written");
@@ -379,15 +389,15 @@
 fn configurations_of_version_5_are_read_in_every_form() {
     for ConfigBody { file, form, held, .. } in config_bodies() {
         let body = fixture(file);
-        assert_eq!(BodyForm::of(&body), form, "{file}");
-        assert_eq!(Held::open(&body).as_ref(), Some(&held), "{file}");
+        assert_eq!(BodyFormat::of(&body), form, "{file}");
+        assert_eq!(StoredConfig::decode(&body).as_ref(), Some(&held), "{file}");
     }
 }
 
 #[test]
 fn configurations_of_version_5_are_written_to_the_byte() {
     for ConfigBody { file, asked, held, .. } in config_bodies() {
-        assert!(held.seal(asked) == fixture(file), "{file} differs from that of version 5");
+        assert!(held.encode(asked) == fixture(file), "{file} differs from that of version 5");
     }
 }
 
@@ -421,19 +431,19 @@
 #[test]
 fn changes_that_version_5_took_are_known() {
     for ConfigBody { file, held, .. } in config_bodies() {
-        let read = Held::open(&fixture(file)).expect("read");
-        let memory = |is_there: bool| if is_there { Memory::Taken } else { Memory::NotTaken };
+        let read = StoredConfig::decode(&fixture(file)).expect("read");
+        let memory = |is_there: bool| if is_there { ChangeStatus::Committed } else { ChangeStatus::NotCommitted };
         for change in earlier_changes() {
-            assert_eq!(read.recall(&change), memory(!held.earlier.is_empty()), "{file}: {change:?}");
+            assert_eq!(read.status_of(&change), memory(!held.legacy_changes.is_empty()), "{file}: {change:?}");
         }
         for change in taken_changes() {
-            assert_eq!(read.recall(&change), memory(!held.taken.is_empty()), "{file}: {change:?}");
+            assert_eq!(read.status_of(&change), memory(!held.changes.is_empty()), "{file}: {change:?}");
         }
     }
-    let mut remembered = Held::default();
-    earlier_changes().iter().for_each(|change| remembered.remember(change, Packed));
+    let mut remembered = StoredConfig::default();
+    earlier_changes().iter().for_each(|change| remembered.remember(change, Compressed));
     taken_changes().iter().for_each(|change| remembered.remember(change, Digested));
-    assert_eq!((remembered.earlier, remembered.taken), (earlier(), taken()));
+    assert_eq!((remembered.legacy_changes, remembered.changes), (earlier(), taken()));
 }
 
 /// Keepers tell bodies apart by these, worked out by another program: a keeper of another version finds the same.
@@ -493,7 +503,7 @@
 fn batches_of_version_5_are_read() {
     assert_eq!(Batch::from_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
     assert_eq!(Batch::from_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
-    assert_eq!(Page::from_bytes(&fixture("control-5-page.bin")), Some(page()));
+    assert_eq!(JobPage::from_bytes(&fixture("control-5-page.bin")), Some(page()));
     let state = learned(&[
         ("batch/a002e14b20bb64ec", "control-5-batch-live.bin"),
         ("batch/a002e14b20bb64ec/0", "control-5-page.bin"),
@@ -517,7 +527,7 @@
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
     assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
     // Of the batch with the idempotency key `key-1`, worked out by another program.
-    assert_eq!(id("key-1"), "a002e14b20bb64ec");
+    assert_eq!(batch_id("key-1"), "a002e14b20bb64ec");
     assert_eq!(batch_key("a002e14b20bb64ec"), "batch/a002e14b20bb64ec");
     assert_eq!(page_key("a002e14b20bb64ec", 3), "batch/a002e14b20bb64ec/3");
 }
--- a/controller/src/testing/simulation/node.rs
+++ b/controller/src/testing/simulation/node.rs
@@ -12,7 +12,7 @@
 use super::network::{Address, Envelope, Packet};
 use super::operator::EVACUATION;
 use super::{address, Cluster};
-use crate::config::body::Held;
+use crate::config::body::StoredConfig;
 use crate::controller::{CONFIRMATION_TTL_MS, LIVENESS_TIMEOUT_MS};
 use crate::peers::pause::PauseMonitor;
 use crate::replication::committed_state::{self, EvacuationRecord, CONFIG_KEY};
@@ -111,9 +111,9 @@
     }
 
     /// The configuration that it would tell a follower.
-    pub fn config(&self) -> Held {
+    pub fn config(&self) -> StoredConfig {
         let body = self.committed.get(CONFIG_KEY).map_or(&[][..], |entry| &entry.body);
-        Held::open(body).expect("a configuration that reads")
+        StoredConfig::decode(body).expect("a configuration that reads")
     }
 
     pub fn evacuation(&self) -> EvacuationRecord {
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -13,7 +13,7 @@
 use protocol::link::PeerClient;
 use protocol::message::Message;
 use protocol::quota::{shard_owners_fingerprint, to_milli, ShardOwner, TokenRequest, TokenResponse};
-use quota::{Allowances, Bounds, Holder, Quota};
+use quota::{Allowances, Bounds, EligibleOwner, Quota};
 
 use crate::frontend::error_response::Failure;
 use crate::metrics::Quotas;
@@ -65,7 +65,7 @@
 }
 
 struct Inner {
-    holders: Vec<Holder>,
+    holders: Vec<EligibleOwner>,
     mark: u64,
     links: HashMap<String, Arc<PeerClient>>,
     resting_until: HashMap<String, u64>,
@@ -103,7 +103,7 @@
     pub fn set_holders(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock();
         inner.mark = shard_owners_fingerprint(list);
-        inner.holders = list.iter().map(|one| Holder { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+        inner.holders = list.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
         let known = inner.holders.clone();
         inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
         inner.resting_until.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
@@ -130,7 +130,7 @@
             Asked::Nobody => {
                 let now = clock::now();
                 let mut inner = self.inner.lock();
-                match inner.allowances.take(tenant, quota, routers, now) {
+                match inner.allowances.try_acquire(tenant, quota, routers, now) {
                     true => Decision::GrantedAlone,
                     false => Decision::RefusedAlone,
                 }
@@ -149,7 +149,7 @@
         let now = clock::now();
         let mut inner = self.inner.lock();
         inner.resting_until.retain(|_, until| now < *until);
-        let chosen = quota::holders(tenant, &inner.holders);
+        let chosen = quota::shard_owners(tenant, &inner.holders);
         let mut order: Vec<String> = chosen.into_iter().map(|holder| holder.ip.clone()).collect();
         let first = roll.checked_rem(order.len() as u64).unwrap_or(0) as usize;
         order.rotate_left(first);
@@ -195,7 +195,7 @@
     pub async fn spend_quota(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
-        let roll = self.state.dice.lock().next_u64();
+        let roll = self.state.rng.lock().next_u64();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
         self.state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
