--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -16,6 +16,7 @@
 use crate::controller::Controller;
 use crate::event;
 use crate::replication::committed_state::CONFIG_KEY;
+use crate::replication::registers::CompletedChange;
 
 /// What a change comes to on top of one committed value.
 enum ChangeResult {
@@ -44,7 +45,9 @@
     let decide = |body: &[u8]| decide(&parsed, body, known.as_deref(), read_by_all);
     let timeout_ms = operator_requests::request_timeout_ms(controller);
     let outcome = controller.change_unannounced(CONFIG_KEY, timeout_ms, decide).await;
-    let Some((result, owner, _)) = outcome else { return OperatorResponse::OutcomeUnknown };
+    let Some(CompletedChange { answer: result, ownership: owner, .. }) = outcome else {
+        return OperatorResponse::OutcomeUnknown;
+    };
     match result {
         ChangeResult::Transition(transition) => {
             publish(controller, &owner.entry, change, &transition);
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -25,7 +25,7 @@
 use crate::prefix_catalog::PrefixCatalog;
 use crate::quota_shards::QuotaShards;
 use crate::replication::committed_state::{read_core, Learned, CONFIG_KEY};
-use crate::replication::registers::{ChangeOutcome, Ownerships};
+use crate::replication::registers::{ChangeOutcome, CompletedChange, Ownerships};
 use crate::replication::replica::Replica;
 use crate::replication::shared_state::SharedCommittedState;
 use crate::roles::AcquiredRoles;
@@ -153,11 +153,11 @@
         wait_ms: u64,
         judge: impl FnMut(&[u8]) -> Decision<T>,
     ) -> ChangeOutcome<T> {
-        let (answer, owner, wrote) = self.change_unannounced(key, wait_ms, judge).await?;
-        if !wrote && owner.entry.body.len() > LONG_BODY_BYTES {
-            execution::publish_unchanged(self, key, &owner.entry);
-        } else if !owner.is_blank() {
-            self.learn(key, &owner.entry, true);
+        let CompletedChange { answer, ownership, written } = self.change_unannounced(key, wait_ms, judge).await?;
+        if !written && ownership.entry.body.len() > LONG_BODY_BYTES {
+            execution::publish_unchanged(self, key, &ownership.entry);
+        } else if !ownership.is_blank() {
+            self.learn(key, &ownership.entry, true);
         }
         Some(answer)
     }
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -33,6 +33,16 @@
 
 pub use consensus::Decision;
 
+/// What a change came to.
+pub struct CompletedChange<T> {
+    /// What `judge` answered.
+    pub answer: T,
+    /// The key's ownership with the committed entry.
+    pub ownership: Ownership,
+    /// Whether a change was written; otherwise the entry was committed before.
+    pub written: bool,
+}
+
 /// The result of a change. None: the outcome is unknown.
 pub type ChangeOutcome<T> = Option<T>;
 
@@ -72,7 +82,7 @@
         key: &str,
         owned: Option<Ownership>,
         judge: &mut impl FnMut(&[u8]) -> Decision<T>,
-    ) -> Option<(T, Ownership, bool)> {
+    ) -> Option<CompletedChange<T>> {
         let core = self.replica.membership();
         if core.members.is_empty() {
             return None;
@@ -87,7 +97,9 @@
             match proposal.handle_response(&from, response, judge, clock::now()) {
                 Progress::Wait => {}
                 Progress::Send(ask) => responses = self.ask(&core, ask, &members),
-                Progress::Finished { answer, ownership, written } => return Some((answer, ownership, written)),
+                Progress::Finished { answer, ownership, written } => {
+                    return Some(CompletedChange { answer, ownership, written })
+                }
                 Progress::Superseded(proposal_number) => {
                     self.committed.observe_term(proposal_number.term);
                     return None;
@@ -100,14 +112,13 @@
         }
     }
 
-    /// Changes a key without announcing the committed entry: that is left to the caller, who gets it, and whether a change was
-    /// written. `judge` sees what is committed and says what to do; it may be asked again.
+    /// Changes a key without announcing the committed entry: that is left to the caller. `judge` sees what is committed and says what to do; it may be asked again.
     pub async fn change_unannounced<T>(
         &self,
         key: &str,
         wait_ms: u64,
         mut judge: impl FnMut(&[u8]) -> Decision<T>,
-    ) -> ChangeOutcome<(T, Ownership, bool)> {
+    ) -> ChangeOutcome<CompletedChange<T>> {
         let own = self.ownerships.lock_of(key);
         let end = Instant::now() + Duration::from_millis(wait_ms);
         let mut owned = time::timeout_at(end, own.lock()).await.ok()?;
@@ -115,7 +126,7 @@
         let mut pause = FIRST_PAUSE_MS;
         while Instant::now() < end {
             if let Some(done) = self.propose(key, owned.take(), &mut judge).await {
-                *owned = Some(done.1.clone());
+                *owned = Some(done.ownership.clone());
                 return Some(done);
             }
             let pause_ms = random.below(pause) + 2;
