--- a/controller/src/delivery/limit_confirmations.rs
+++ b/controller/src/delivery/limit_confirmations.rs
@@ -37,7 +37,7 @@
 
 /// From a commit on, how long a router that has not heard of it may still send bound work: its controller may count what it
 /// read before as confirmed for `CONFIRMATION_TTL_MS`, and the lease that it then renews lasts `LEASE_MS`.
-pub const SETTLE_TIMEOUT_MS: u64 = CONFIRMATION_TTL_MS + LEASE_MS + 200;
+pub const CONFIRMATION_TIMEOUT_MS: u64 = CONFIRMATION_TTL_MS + LEASE_MS + 200;
 /// The pause between two counts.
 const POLL_INTERVAL_MS: u64 = 60;
 /// How long a controller may take to respond with its count.
@@ -59,7 +59,7 @@
         let (all, confirmed) = self.subscribers.confirmations(key, version, now);
         // Not yet learned, or started so lately that routers may hold a lease from an earlier incarnation: whoever
         // asks must ask again.
-        match known && now >= SETTLE_TIMEOUT_MS {
+        match known && now >= CONFIRMATION_TIMEOUT_MS {
             true => (all, confirmed),
             false => (all.max(1), 0),
         }
@@ -88,7 +88,7 @@
         let begun = clock::now();
         loop {
             let list = self.collect_confirmations(key, version).await;
-            let late = clock::now() >= begun + SETTLE_TIMEOUT_MS;
+            let late = clock::now() >= begun + CONFIRMATION_TIMEOUT_MS;
             // A controller that does not respond can be waited out; for one that responds all must have confirmed.
             let all_confirmed = list.iter().all(|count| count.map_or(late, |(all, confirmed)| all == confirmed));
             if all_confirmed || late {
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -160,11 +160,11 @@
     list: Vec<Engine>,
 ) -> Option<EndpointList> {
     let name = version_rollout::candidates_of(zone);
-    let held = lists.iter().find(|list| list.zone == name);
-    if list.is_empty() && held.is_none_or(|held| held.engines.is_empty()) {
+    let known_list = lists.iter().find(|list| list.zone == name);
+    if list.is_empty() && known_list.is_none_or(|known_list| known_list.engines.is_empty()) {
         return None;
     }
-    let mut term = held.map_or(0, |held| held.term);
+    let mut term = known_list.map_or(0, |known_list| known_list.term);
     let known = lists.observed_version(&name);
     if term != 0 && !is_term_of(term, controller.replica_id) {
         term = 0;
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -75,7 +75,7 @@
 /// Sends a heartbeat to all controllers that are known.
 pub fn broadcast(controller: &Controller) {
     let now = clock::now();
-    let own = controller.peers.update(|view| OwnReport::take(view, now));
+    let own = controller.peers.update(|view| OwnReport::collect(view, now));
     let gossip = heartbeat(controller, &own, now);
     let balancer = controller.committed.role_owner(BALANCE);
     let batch_owner = controller.committed.role_owner(BATCH);
@@ -103,7 +103,7 @@
 
 impl OwnReport {
     /// Forgets what has expired and reports the rest.
-    fn take(view: &mut MembershipView, now: u64) -> OwnReport {
+    fn collect(view: &mut MembershipView, now: u64) -> OwnReport {
         view.remove_expired(now);
         OwnReport {
             live_peers: view.controllers.keys().filter(|ip| view.is_live(ip, now)).cloned().collect(),
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -32,8 +32,8 @@
     held(revision, text(revision, 5)).encode(BodyFormat::Digested)
 }
 
-fn entry(turn: u64, step: u64, body: Vec<u8>) -> Entry {
-    Entry { proposal_number: ProposalNumber { term: turn, replica_id: 1 }, index: step, body }
+fn entry(term: u64, step: u64, body: Vec<u8>) -> Entry {
+    Entry { proposal_number: ProposalNumber { term, replica_id: 1 }, index: step, body }
 }
 
 fn place(state: &CommittedState, key: &str) -> Option<(u64, u64)> {
@@ -86,10 +86,10 @@
 #[test]
 fn a_body_in_another_form_leads_nowhere_else() {
     let mut state = CommittedState::default();
-    for (turn, form) in [(1, BodyFormat::Plain), (2, BodyFormat::Compressed), (3, BodyFormat::Digested)] {
+    for (term, form) in [(1, BodyFormat::Plain), (2, BodyFormat::Compressed), (3, BodyFormat::Digested)] {
         let body = held(3, text(3, 5)).encode(form);
-        state.learn(CONFIG_KEY, &entry(turn, 0, body), None);
-        assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((turn, 0))));
+        state.learn(CONFIG_KEY, &entry(term, 0, body), None);
+        assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((term, 0))));
     }
 }
 
@@ -111,17 +111,17 @@
     for (bytes, error) in broken {
         let mut state = CommittedState::default();
         state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None);
-        let bad = entry(5, 0, bytes);
+        let unreadable_entry = entry(5, 0, bytes);
         let unreadable = |first| Learned::Unreadable { error: error.clone(), first };
-        assert_eq!(state.learn(CONFIG_KEY, &bad, None), unreadable(true));
-        assert_eq!(state.learn(CONFIG_KEY, &bad, None), unreadable(false), "told once");
+        assert_eq!(state.learn(CONFIG_KEY, &unreadable_entry, None), unreadable(true));
+        assert_eq!(state.learn(CONFIG_KEY, &unreadable_entry, None), unreadable(false), "told once");
         assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((1, 0))), "its place stays behind");
         assert_eq!(state.learn(CONFIG_KEY, &entry(6, 0, body(9)), None), Learned::New { revision: 9 }, "and is mended");
         assert_eq!(in_force(&mut state), 9);
     }
     for text in ["", "{", "[]", "{\"revision\":true}", "{\"revision\":8,\"route_table\":3}"] {
-        let bad = held(8, text.into()).encode(BodyFormat::Plain);
-        assert!(matches!(read_config(&bad), Err(Unreadable::Text(_))), "{text}");
+        let invalid_body = held(8, text.into()).encode(BodyFormat::Plain);
+        assert!(matches!(read_config(&invalid_body), Err(Unreadable::Text(_))), "{text}");
     }
 }
 
@@ -143,13 +143,13 @@
         assert!(confirmation.is_quorum());
         confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
-    let bad = entry(2, 1, b"of another form".to_vec());
-    assert_eq!(behind(&state, &bad), 1);
-    state.learn(CONFIG_KEY, &bad, None);
-    assert_eq!(behind(&state, &bad), 1, "still");
+    let unreadable_entry = entry(2, 1, b"of another form".to_vec());
+    assert_eq!(behind(&state, &unreadable_entry), 1);
+    state.learn(CONFIG_KEY, &unreadable_entry, None);
+    assert_eq!(behind(&state, &unreadable_entry), 1, "still");
     let good = entry(2, 2, body(4));
     state.learn(CONFIG_KEY, &good, None);
-    assert_eq!((behind(&state, &bad), behind(&state, &good)), (0, 0));
+    assert_eq!((behind(&state, &unreadable_entry), behind(&state, &good)), (0, 0));
 }
 
 #[test]
@@ -175,14 +175,14 @@
 #[test]
 fn entries_in_any_order_never_lead_back() {
     for seed in 0..200 {
-        let mut dice = Rng::new(hashing::combine(seed, 9));
+        let mut random = Rng::new(hashing::combine(seed, 9));
         // Two histories never exist under one key; late and repeated entries of one do.
         let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
         let mut state = CommittedState::default();
         let mut newest = 0;
         for _ in 0..120 {
-            let pick = &chain[dice.below(chain.len() as u64) as usize];
-            match dice.below(8) {
+            let pick = &chain[random.below(chain.len() as u64) as usize];
+            match random.below(8) {
                 0 => drop(state.learn(CONFIG_KEY, &entry(pick.proposal_number.term, pick.index, vec![1, 2, 3]), None)),
                 // An owner's own change, read already.
                 1 => {
--- a/controller/src/replication/disk_tests.rs
+++ b/controller/src/replication/disk_tests.rs
@@ -6,9 +6,9 @@
 
 use super::{newest, open, Disk};
 
-fn slot(key: &str, turn: u64) -> LogRecord {
-    let ballot = ProposalNumber { term: turn, replica_id: 1 };
-    LogRecord::Register(RegisterState { key: key.into(), prepared: ballot, entry: None })
+fn slot(key: &str, term: u64) -> LogRecord {
+    let proposal_number = ProposalNumber { term, replica_id: 1 };
+    LogRecord::Register(RegisterState { key: key.into(), prepared: proposal_number, entry: None })
 }
 
 fn core(version: u64) -> LogRecord {
@@ -31,7 +31,7 @@
 
 #[test]
 fn hundreds_of_waiting_changes_of_one_key_are_one_record() {
-    let records: Vec<LogRecord> = (1..500).map(|turn| slot("config", turn)).collect();
+    let records: Vec<LogRecord> = (1..500).map(|term| slot("config", term)).collect();
     assert_eq!(newest(records), [slot("config", 499)]);
 }
 
@@ -45,9 +45,9 @@
     let disk = Disk::start(Some(store), voter, telemetry::latency_histogram());
     let (done, wait) = mpsc::channel();
     disk.write(vec![core(1), LogRecord::VotingEnabled]);
-    for turn in 1..=300 {
+    for term in 1..=300 {
         let done = done.clone();
-        disk.then(vec![slot("config", turn)], move || done.send(turn).expect("awaited"));
+        disk.then(vec![slot("config", term)], move || done.send(term).expect("awaited"));
     }
     let order: Vec<u64> = wait.iter().take(300).collect();
     assert_eq!(order, (1..=300).collect::<Vec<u64>>(), "in the order in which they were handed over");
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -79,7 +79,7 @@
     let next = controller.peers.read(|view| next(&core, view, now));
     let Some(next) = next else { return };
     let judge = |body: &[u8]| match committed_state::read_core(body) {
-        Some(held) if held.version != core.version || !held.stable => Decision::Answer(()),
+        Some(committed) if committed.version != core.version || !committed.stable => Decision::Answer(()),
         _ => Decision::Write(committed_state::write_core(&next), ()),
     };
     if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, judge).await.is_some() {
@@ -111,13 +111,13 @@
 async fn advance_transition(
     controller: &Arc<Controller>,
     core: &CoreMembership,
-    kept: &mut Option<MembershipTransition>,
+    transition_slot: &mut Option<MembershipTransition>,
 ) {
-    let current = |held: &MembershipTransition| held.membership() == core;
-    if !kept.as_ref().is_some_and(current) {
-        *kept = Some(MembershipTransition::new(core));
+    let is_current = |transition: &MembershipTransition| transition.membership() == core;
+    if !transition_slot.as_ref().is_some_and(is_current) {
+        *transition_slot = Some(MembershipTransition::new(core));
     }
-    let Some(transition) = kept.as_mut() else { return };
+    let Some(transition) = transition_slot.as_mut() else { return };
     if !transition.is_known() && !announce(controller, core, transition).await {
         return;
     }
@@ -126,14 +126,14 @@
         return;
     }
     let judge = |body: &[u8]| match committed_state::read_core(body) {
-        Some(held) if held.version == core.version && !held.stable => {
-            let settled = stabilized(&held);
-            Decision::Write(committed_state::write_core(&settled), ())
+        Some(committed) if committed.version == core.version && !committed.stable => {
+            let stable = stabilized(&committed);
+            Decision::Write(committed_state::write_core(&stable), ())
         }
         _ => Decision::Answer(()),
     };
     if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, judge).await.is_some() {
-        *kept = None;
+        *transition_slot = None;
     }
 }
 
--- a/controller/src/replication/reconfiguration_tests.rs
+++ b/controller/src/replication/reconfiguration_tests.rs
@@ -11,7 +11,7 @@
     CoreMembership { version: 4, members: list, previous_members: Vec::new(), stable: true }
 }
 
-fn roster(heard: &[(&str, u64)]) -> MembershipView {
+fn view(heard: &[(&str, u64)]) -> MembershipView {
     let mut list = MembershipView::new("10.0.0.1", "a", LIVENESS_TIMEOUT_MS);
     for (ip, heard) in heard {
         let peer = Peer { last_seen: *heard, eligible: true, ..Default::default() };
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_newcomer_is_added_and_then_the_one_that_is_gone_removed() {
-    let list = roster(&[("10.0.0.2", 9900), ("10.0.0.3", 5000), ("10.0.0.4", 9900)]);
+    let list = view(&[("10.0.0.2", 9900), ("10.0.0.3", 5000), ("10.0.0.4", 9900)]);
     let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]);
     assert_eq!((next.version, next.stable, next.previous_members.len()), (5, false, 3));
@@ -36,15 +36,15 @@
 
 #[test]
 fn nobody_is_removed_without_one_too_many_and_nobody_added_without_a_majority() {
-    let gone = roster(&[("10.0.0.2", 9900), ("10.0.0.3", 100)]);
+    let gone = view(&[("10.0.0.2", 9900), ("10.0.0.3", 100)]);
     assert_eq!(next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &gone, 10_000), None);
-    let few = roster(&[("10.0.0.2", 100), ("10.0.0.3", 100), ("10.0.0.4", 9900)]);
+    let few = view(&[("10.0.0.2", 100), ("10.0.0.3", 100), ("10.0.0.4", 9900)]);
     assert_eq!(next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &few, 10_000), None);
 }
 
 /// All peers read the newest messages, and the second member said that it is about to end.
 fn with_one_leaving(heard: &[(&str, u64)]) -> MembershipView {
-    let mut list = roster(heard);
+    let mut list = view(heard);
     for (ip, peer) in &mut list.controllers {
         peer.protocol_version = PROTOCOL_VERSION;
         peer.shutting_down = ip == "10.0.0.2";
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -165,12 +165,12 @@
     });
     plugin::start(&CONTROLLER_PARTS, &controller);
     signal::wait_for_termination(&mut signals).await;
-    shut_down(&controller).await;
+    terminate(&controller).await;
     process::ExitCode::SUCCESS
 }
 
 /// Leaves the core where that is possible, then finishes what is under way. Meanwhile peers hear that this controller ends.
-async fn shut_down(controller: &Arc<Controller>) {
+async fn terminate(controller: &Arc<Controller>) {
     log_event!(SHUTDOWN_BEGUN);
     let end = shutdown::last_moment(controller.settings.bounds.grace_s);
     controller.shutting_down.store(true, Ordering::Relaxed);
