--- a/kernel/src/settings/error.rs
+++ b/kernel/src/settings/error.rs
@@ -5,7 +5,7 @@
 use error_stack::Report;
 
 /// A field of the settings that stops the start of a daemon.
-#[derive(Debug, PartialEq)]
+#[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
     /// The path of the field.
     pub field: String,
--- /dev/null
+++ b/tidepoint/src/http_client.rs
@@ -0,0 +1,68 @@
+//! Calls to a controller's control address.
+
+use std::fs;
+use std::time::Duration;
+
+use reqwest::{Client, RequestBuilder};
+use tokio::runtime::Builder;
+
+use crate::error::CommandError;
+use crate::flags::{Submit, VersionCmd};
+
+/// How long a call may take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Makes one call and returns the body of a successful answer.
+pub fn send(build: impl FnOnce(Client) -> RequestBuilder) -> Result<String, CommandError> {
+    let runtime = Builder::new_current_thread().enable_all().build().map_err(CommandError::Runtime)?;
+    let client = Client::builder().timeout(CALL_TIMEOUT).no_proxy().build()?;
+    runtime.block_on(async {
+        let response = build(client).send().await?;
+        let status = response.status();
+        let body = response.text().await?;
+        match status.is_success() {
+            true => Ok(body),
+            false => Err(CommandError::Rejected { status, body }),
+        }
+    })
+}
+
+/// Returns what a controller answers to a `GET`.
+pub fn get(controller: &str, path: &str) -> Result<String, CommandError> {
+    send(|client| client.get(format!("http://{controller}{path}")))
+}
+
+/// Prints what a controller answers to a `GET`.
+pub fn print(controller: &str, path: &str) -> Result<(), CommandError> {
+    println!("{}", get(controller, path)?);
+    Ok(())
+}
+
+/// Submits a batch of jobs from a file and prints the answer.
+pub fn submit_batch(flags: &Submit) -> Result<(), CommandError> {
+    let unreadable = |source| CommandError::UnreadableFile { path: flags.file.clone(), source };
+    let body = fs::read_to_string(&flags.file).map_err(unreadable)?;
+    let url = format!("http://{}/batches", flags.at);
+    println!("{}", send(|client| client.post(url).header("idempotency-key", &flags.key).body(body))?);
+    Ok(())
+}
+
+/// Cancels what of a batch is not yet sent.
+pub fn cancel_batch(controller: &str, batch: &str) -> Result<(), CommandError> {
+    println!("{}", send(|client| client.delete(format!("http://{controller}/batches/{batch}")))?);
+    Ok(())
+}
+
+/// Starts a version rollout of a service, or shows it.
+pub fn version_rollout(command: &VersionCmd) -> Result<(), CommandError> {
+    match command {
+        VersionCmd::State(state) => print(&state.at, &format!("/rollouts/{}", state.service)),
+        VersionCmd::Start(start) => {
+            let body = serde_json::json!({"service": start.service, "target_version": start.version,
+                "duration_s": start.duration_s});
+            let url = format!("http://{}/rollouts", start.at);
+            println!("{}", send(|client| client.post(url).body(body.to_string()))?);
+            Ok(())
+        }
+    }
+}
--- a/tidepoint/src/rehearse.rs
+++ b/tidepoint/src/simulate_batch.rs
@@ -2,9 +2,15 @@
 
 use batch::testing::{reference_plan, simulate};
 
+use crate::error::CommandError;
 use crate::flags::Rehearse;
 
-pub fn run(flags: &Rehearse) -> Result<(), String> {
+/// Plays the run with and without the batch and prints what came of both.
+///
+/// # Errors
+///
+/// Fails if a job was not answered exactly once.
+pub fn run(flags: &Rehearse) -> Result<(), CommandError> {
     let plan = reference_plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
     let (with, without) = (simulate(&plan, true), simulate(&plan, false));
     println!(
@@ -32,7 +38,7 @@
         with.interactive_p50_ms, without.interactive_p50_ms, with.interactive_p99_ms, without.interactive_p99_ms
     );
     if with.answered_twice + with.run_twice + with.responses_without_run + with.unfinished > 0 {
-        return Err("a job was not answered exactly once".into());
+        return Err(CommandError::NotExactlyOnce);
     }
     Ok(())
 }
