--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -10,7 +10,7 @@
 use protocol::message::Record;
 use tokio::time;
 
-use crate::event::{BAD_CONFIG, CONFIG};
+use crate::event::{CONFIG_ACTIVATED, CONFIG_UNREADABLE};
 use crate::state::State;
 
 /// A whole configuration as text, from a controller that knows no other form.
@@ -22,7 +22,7 @@
     let read = read.and_then(|text| ConfigDocument::parse_committed(text).map_err(|error| error.to_string()));
     match read {
         Ok(config) => turn(state, &ConfigUpdate::full(config.config())),
-        Err(error) => kernel::log_event!(BAD_CONFIG, "version" => version, "error" => error),
+        Err(error) => kernel::log_event!(CONFIG_UNREADABLE, "version" => version, "error" => error),
     }
 }
 
@@ -30,7 +30,7 @@
 pub fn change(state: &State, body: &[u8]) {
     match ConfigUpdate::decode(body) {
         Some(change) => turn(state, &change),
-        None => kernel::log_event!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
+        None => kernel::log_event!(CONFIG_UNREADABLE, "version" => 0, "error" => "a change that can't be read"),
     }
 }
 
@@ -40,7 +40,7 @@
     *state.table.lock() = Arc::new(table);
     state.subscribed.lock().config_revision = change.to;
     state.freshness.table_changed();
-    kernel::log_event!(CONFIG, "revision" => change.to);
+    kernel::log_event!(CONFIG_ACTIVATED, "revision" => change.to);
 }
 
 /// A new holder of the catalog starts empty: what is known here is registered again, in steps.
--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -3,7 +3,7 @@
 use kernel::clock;
 use protocol::message::EvacuationState;
 
-use crate::event::CLOSED;
+use crate::event::EVACUATION_ACTIVATED;
 use crate::state::State;
 
 /// What the list of engines takes beyond its lag until it is here.
@@ -30,7 +30,7 @@
         } else {
             engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
         }
-        kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
+        kernel::log_event!(EVACUATION_ACTIVATED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
     }
 }
 
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -6,7 +6,7 @@
 use load_balancing::{StalenessBound, WeightVersionRange};
 use protocol::message::{HiddenKey, StalenessLimit, VersionEntry, WeightVersions};
 
-use crate::event::{FEW, RULE};
+use crate::event::{STALENESS_LIMIT_ACTIVATED, STALENESS_LIMIT_UNMET};
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
@@ -35,7 +35,7 @@
     pub fn drop_stale_handle(&mut self) {
         let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
-            self.release_handle();
+            self.release_kv_handle();
         }
         if self.kv_handle.is_none() && !self.may_have_run {
             self.pinned_version = None;
@@ -54,7 +54,7 @@
         let (now, order) = (clock::now(), Ordering::Relaxed);
         let told = self.state.few_at.load(order);
         if now >= told + TELL_MS && self.state.few_at.compare_exchange(told, now, order, order).is_ok() {
-            kernel::log_event!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
+            kernel::log_event!(STALENESS_LIMIT_UNMET, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
@@ -64,7 +64,7 @@
     let service = state.engine_table.lock().service_index(&rule.service);
     let now = clock::now();
     if state.staleness_bounds.lock().update(rule, service, now) {
-        kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
+        kernel::log_event!(STALENESS_LIMIT_ACTIVATED, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
 }
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -16,7 +16,7 @@
 use crate::config::freshness::{self, Miss};
 use crate::config::routing_table::{self, Table};
 use crate::config::tenants::KeyDigest;
-use crate::event::FIRST;
+use crate::event::FIRST_REQUEST;
 use crate::frontend::authorization::{self, Authorization, UnknownKey};
 use crate::frontend::drain::Phase;
 use crate::frontend::error_response::{self, Body, Failure};
@@ -105,7 +105,7 @@
     // A client that asks before it sends its body is not told to send it.
     let asks = parts.headers.contains_key(EXPECT);
     let read = match body {
-        Some(body) => !asks && request::discard(body).await,
+        Some(body) => !asks && request::discard_body(body).await,
         None => true,
     };
     Rejection { failure, ends: !read }
@@ -114,7 +114,7 @@
 /// Refuses a request of which only the head was looked at.
 async fn refuse_unread(incoming: http::Request<Incoming>) -> Rejection {
     let (parts, body) = incoming.into_parts();
-    reject(Failure::Refused(RETRY_MS), &parts, Some(body)).await
+    reject(Failure::Unavailable(RETRY_MS), &parts, Some(body)).await
 }
 
 /// What lets a request in: the table of that moment, and the route and tenant that it has for the request.
@@ -126,7 +126,7 @@
 /// Judges a request by one table: the route first, since it says whether a key is needed.
 fn judge(table: &Table, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
-    let route = table.find(host, parts.uri.path()).ok_or(Failure::NoRoute)?;
+    let route = table.find(host, parts.uri.path()).ok_or(Failure::RouteNotFound)?;
     let granted = Authorization::grant(table, route, key);
     granted.map_err(|UnknownKey| Failure::Unauthorized)
 }
@@ -134,12 +134,12 @@
 /// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
 /// proved to be current.
 async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
-    let left_ms = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
+    let left_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
     let key = authorization::key(&parts.headers);
     let accepts = |table: &Table| judge(table, parts, key).is_ok();
     let table = match freshness::table_with(state, left_ms, accepts).await {
         Ok(table) => table,
-        Err(Miss::Unproved) => return Err(Failure::Refused(RETRY_MS)),
+        Err(Miss::Unproved) => return Err(Failure::Unavailable(RETRY_MS)),
         // The proof holds for this table as well: it is the same or a newer one.
         Err(Miss::Certain) => state.table(),
     };
@@ -148,9 +148,9 @@
 }
 
 async fn enter(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
-    let born = clock::now();
+    let received_at_ms = clock::now();
     let (parts, body) = incoming.into_parts();
-    if !request::sound(&parts.headers) {
+    if !request::has_unambiguous_framing(&parts.headers) {
         return Err(Failure::Malformed.into());
     }
     let mut body = Some(body);
@@ -158,16 +158,16 @@
     if !state.ready.load(Ordering::Relaxed) {
         // Just started: what is needed comes within moments. The body is read meanwhile.
         let early = body.take().ok_or(Failure::Malformed)?;
-        whole = Some(request::body(early, EARLY_BYTES, EARLY_MS).await?);
-        let wait = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS) / 3;
-        starting(state, born + wait.min(EARLY_MS)).await;
+        whole = Some(request::read_body(early, EARLY_BYTES, EARLY_MS).await?);
+        let wait = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS) / 3;
+        starting(state, received_at_ms + wait.min(EARLY_MS)).await;
     }
     let table = state.table();
     if table.revision == 0 {
-        return Err(Failure::Refused(RETRY_MS).into());
+        return Err(Failure::Unavailable(RETRY_MS).into());
     }
     if !table.seen.swap(true, Ordering::Relaxed) {
-        kernel::log_event!(FIRST, "revision" => table.revision);
+        kernel::log_event!(FIRST_REQUEST, "revision" => table.revision);
     }
     let mut admitted = match admit(state, &parts).await {
         Ok(admitted) => admitted,
@@ -176,32 +176,32 @@
     let looked_up = clock::now();
     let room = (state.settings.limits.memory_mb as usize) << 18;
     if state.held_body_bytes.load(Ordering::Relaxed) > room {
-        return Err(Failure::Refused(250).into());
+        return Err(Failure::Unavailable(250).into());
     }
     let most = admitted.table.body_bytes;
     let body = match (whole, body) {
         (Some(whole), _) if whole.len() <= most => whole,
-        (None, Some(body)) => request::body(body, most, admitted.table.idle_ms).await?,
-        _ => return Err(Failure::TooLarge.into()),
+        (None, Some(body)) => request::read_body(body, most, admitted.table.idle_ms).await?,
+        _ => return Err(Failure::BodyTooLarge.into()),
     };
     if clock::now() > looked_up + state.freshness.budget().lookup_age_ms() {
         // The body came slowly: a newer configuration may send it elsewhere.
         admitted = admit(state, &parts).await?;
     }
-    Ok(begin(state, admitted, parts, body, born))
+    Ok(begin(state, admitted, parts, body, received_at_ms))
 }
 
 /// The exchange of a request that was let in and read.
-fn begin(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, born: u64) -> Exchange {
+fn begin(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, received_at_ms: u64) -> Exchange {
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
         let mut dice = state.rng.lock();
         routing_table::split(&route.targets, dice.next_u64())
     };
-    let request = request::Request::make(parts, body, authorization, u64::from(service), born);
+    let request = request::Request::new(parts, body, authorization, u64::from(service), received_at_ms);
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.retry_budget.lock().record_request(service, born);
+    state.retry_budget.lock().record_request(service, received_at_ms);
     Exchange {
         closed_zones: plan::closed_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -46,18 +46,18 @@
     }
 
     /// How long what is taken now may take; None: as long as it likes.
-    pub fn left_ms(&self) -> Option<u64> {
+    pub fn remaining_ms(&self) -> Option<u64> {
         let end = self.finish_at.get()?;
         Some(end.saturating_duration_since(Instant::now()).as_millis() as u64)
     }
 
     /// Until nothing new is taken any more.
-    pub async fn closing(&self) {
+    pub async fn wait_for_closing(&self) {
         self.closing.cancelled().await;
     }
 
     /// Follows a client's connection to its end.
-    pub async fn follow_connection(&self, connection: impl Future<Output = ()>) {
+    pub async fn track_connection(&self, connection: impl Future<Output = ()>) {
         self.connections.track_future(connection).await;
     }
 
--- a/router/src/frontend/drain_tests.rs
+++ b/router/src/frontend/drain_tests.rs
@@ -24,7 +24,7 @@
 
 fn connect(drain: &Arc<Drain>, time_ms: u64) {
     let drain = drain.clone();
-    tokio::spawn(async move { drain.follow_connection(sleep_ms(time_ms)).await });
+    tokio::spawn(async move { drain.track_connection(sleep_ms(time_ms)).await });
 }
 
 #[test]
@@ -52,10 +52,10 @@
 #[tokio::test(start_paused = true)]
 async fn the_time_left_is_known_from_the_moment_at_which_it_drains() {
     let drain = Arc::new(Drain::default());
-    assert_eq!(drain.left_ms(), None);
+    assert_eq!(drain.remaining_ms(), None);
     let end = run(&drain);
     sleep_ms(1000).await;
-    assert_eq!(drain.left_ms(), Some(6700));
+    assert_eq!(drain.remaining_ms(), Some(6700));
     end.await.expect("ends");
 }
 
@@ -91,7 +91,7 @@
 async fn who_waits_for_the_closing_is_woken_by_it() {
     let drain = Arc::new(Drain::default());
     let end = run(&drain);
-    drain.closing().await;
+    drain.wait_for_closing().await;
     assert_eq!(drain.phase(), Phase::Closing);
     end.await.expect("ends");
 }
--- a/router/src/frontend/error_response.rs
+++ b/router/src/frontend/error_response.rs
@@ -14,19 +14,19 @@
 pub enum Failure {
     /// Not as the protocol has it; the connection ends.
     Malformed,
-    NoRoute,
+    RouteNotFound,
     /// The route needs a key that is known.
     Unauthorized,
-    Late,
-    TooLarge,
+    BodyTimeout,
+    BodyTooLarge,
     /// It has not run and never will; come back after so many milliseconds.
-    Refused(u64),
+    Unavailable(u64),
     /// Its tenant is over its limit; it has not run and never will. Come back after so many milliseconds.
-    OverQuota(u64),
+    QuotaExceeded(u64),
     /// It may have run and its answer is lost.
-    Lost,
+    ResponseLost,
     /// It may have run and time is up.
-    TimedOut,
+    DeadlineExceeded,
 }
 
 /// `last`: the connection ends with this answer, whatever it says.
@@ -34,19 +34,19 @@
     let status = match failure {
         Failure::Malformed => 400,
         Failure::Unauthorized => 401,
-        Failure::NoRoute => 404,
-        Failure::Late => 408,
-        Failure::TooLarge => 413,
-        Failure::OverQuota(_) => 429,
-        Failure::Refused(_) => 503,
-        Failure::Lost => 502,
-        Failure::TimedOut => 504,
+        Failure::RouteNotFound => 404,
+        Failure::BodyTimeout => 408,
+        Failure::BodyTooLarge => 413,
+        Failure::QuotaExceeded(_) => 429,
+        Failure::Unavailable(_) => 503,
+        Failure::ResponseLost => 502,
+        Failure::DeadlineExceeded => 504,
     };
     let mut reply =
         Response::new(Body::new(UnsyncBoxBody::new(BodyExt::map_err(Empty::new(), |never| match never {}))));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let head = reply.headers_mut();
-    if let Failure::Refused(wait) | Failure::OverQuota(wait) = failure {
+    if let Failure::Unavailable(wait) | Failure::QuotaExceeded(wait) = failure {
         let text = format!("{}.{:03}", wait / 1000, wait % 1000);
         if let Ok(value) = HeaderValue::from_str(&text) {
             head.insert(RETRY_AFTER, value);
@@ -55,7 +55,7 @@
     if failure == Failure::Unauthorized {
         head.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
     }
-    let ends = matches!(failure, Failure::Malformed | Failure::Late | Failure::TooLarge);
+    let ends = matches!(failure, Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge);
     if ends || last {
         head.insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -68,13 +68,13 @@
     let room = most_connections(&state.settings);
     tokio::select! {
         () = socket::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
-        () = state.drain.closing() => {}
+        () = state.drain.wait_for_closing() => {}
     }
 }
 
 /// Serves one client's connection until it ends.
 pub async fn client(state: Arc<State>, stream: TcpStream) {
-    state.drain.follow_connection(serve_connection(state.clone(), stream)).await;
+    state.drain.track_connection(serve_connection(state.clone(), stream)).await;
 }
 
 /// One client's connection, counted while it is open.
@@ -126,7 +126,7 @@
     tokio::pin!(served);
     tokio::select! {
         _ = served.as_mut() => return,
-        () = state.drain.closing() => served.as_mut().graceful_shutdown(),
+        () = state.drain.wait_for_closing() => served.as_mut().graceful_shutdown(),
     }
     // What is under way on it is finished; without that it ends at once.
     let _ = served.await;
--- a/router/src/frontend/request.rs
+++ b/router/src/frontend/request.rs
@@ -22,21 +22,21 @@
 pub struct Request {
     pub method: Method,
     pub path: Uri,
-    pub head: HeaderMap,
+    pub headers: HeaderMap,
     pub body: Bytes,
-    pub attempt: Option<HeaderValue>,
+    pub attempt_id: Option<HeaderValue>,
     pub model: String,
     /// The hash of its name, by which engines' weight versions are kept.
     pub model_key: u64,
     /// Steady time at which the client or the operator no longer wants it.
-    pub deadline: u64,
-    pub born: u64,
-    pub parts: Vec<PromptSegment>,
-    pub keys: Vec<u64>,
-    pub last: Option<HeaderValue>,
+    pub deadline_ms: u64,
+    pub received_at_ms: u64,
+    pub prompt_segments: Vec<PromptSegment>,
+    pub prefix_keys: Vec<u64>,
+    pub last_event_id: Option<HeaderValue>,
     pub authorization: Authorization,
     /// Deferrable work: it only fills what is idle. The share of places it leaves free.
-    pub spare: Option<f64>,
+    pub deferrable_share: Option<f64>,
 }
 
 const HOP: [&str; 8] =
@@ -53,7 +53,7 @@
 const SYSTEM: [&str; 5] = [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
 
 /// Removes what concerns one connection, and what `Connection` names.
-pub fn strip(head: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(head: &mut HeaderMap) {
     let named: Vec<String> = head
         .get_all(CONNECTION)
         .iter()
@@ -67,12 +67,12 @@
     }
 }
 
-pub fn number(head: &HeaderMap, name: &str) -> Option<u64> {
+pub fn parse_number(head: &HeaderMap, name: &str) -> Option<u64> {
     head.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
 /// Shapes that could hide another request: refused before anything is done.
-pub fn sound(head: &HeaderMap) -> bool {
+pub fn has_unambiguous_framing(head: &HeaderMap) -> bool {
     let count = |name: HeaderName| head.get_all(name).iter().count();
     let framed = count(TRANSFER_ENCODING);
     let sized = count(CONTENT_LENGTH);
@@ -81,25 +81,25 @@
 }
 
 /// Reads a body within the limit; the pause between pieces is bounded by `idle_ms`.
-pub async fn body(mut body: Incoming, most: usize, idle_ms: u64) -> Result<Bytes, Failure> {
+pub async fn read_body(mut body: Incoming, most: usize, idle_ms: u64) -> Result<Bytes, Failure> {
     use http_body_util::BodyExt;
     use hyper::body::Body;
     let hint = body.size_hint().exact().unwrap_or(0) as usize;
     if hint > most {
-        return Err(Failure::TooLarge);
+        return Err(Failure::BodyTooLarge);
     }
     let wait = Duration::from_millis(idle_ms.max(1));
     let mut whole = BytesMut::with_capacity(hint);
     loop {
         let frame = match time::timeout(wait, body.frame()).await {
-            Err(_) => return Err(Failure::Late),
+            Err(_) => return Err(Failure::BodyTimeout),
             Ok(None) => return Ok(whole.freeze()),
             Ok(Some(Err(_))) => return Err(Failure::Malformed),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
         if whole.len() + data.len() > most {
-            return Err(Failure::TooLarge);
+            return Err(Failure::BodyTooLarge);
         }
         whole.extend_from_slice(&data);
     }
@@ -111,7 +111,7 @@
 
 /// Reads a body that nobody needs to its end, so that its connection can be used again. False: it is too long,
 /// too slow or broken.
-pub async fn discard(mut body: Incoming) -> bool {
+pub async fn discard_body(mut body: Incoming) -> bool {
     use http_body_util::BodyExt;
     use hyper::body::Body;
     if body.size_hint().lower() > DISCARD_BYTES as u64 {
@@ -131,9 +131,9 @@
 }
 
 impl Request {
-    pub fn make(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, born: u64) -> Request {
+    pub fn new(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, received_at_ms: u64) -> Request {
         let mut head = parts.headers;
-        strip(&mut head);
+        remove_hop_by_hop_headers(&mut head);
         head.remove(header::EXPECT);
         for name in SYSTEM {
             head.remove(name);
@@ -141,7 +141,7 @@
         authorization.rewrite(&mut head);
         let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
         let most = authorization.route().timeout_ms;
-        let wait = number(&head, TIME_BUDGET).unwrap_or(most).min(most);
+        let wait = parse_number(&head, TIME_BUDGET).unwrap_or(most).min(most);
         let text = head.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
         let list = text.and_then(catalog::parse_prompt_prefix).unwrap_or_default();
         let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
@@ -151,32 +151,32 @@
         Request {
             method: parts.method,
             path,
-            attempt: head.get(ATTEMPT_ID).cloned(),
+            attempt_id: head.get(ATTEMPT_ID).cloned(),
             model_key,
             model: String::from_utf8_lossy(model).into_owned(),
-            last: head.get(LAST_EVENT_ID).cloned(),
-            head,
+            last_event_id: head.get(LAST_EVENT_ID).cloned(),
+            headers: head,
             body,
-            deadline: born + wait,
-            born,
-            parts: list,
-            keys,
+            deadline_ms: received_at_ms + wait,
+            received_at_ms,
+            prompt_segments: list,
+            prefix_keys: keys,
             authorization,
-            spare,
+            deferrable_share: spare,
         }
     }
 
-    pub fn left(&self, now: u64) -> u64 {
-        self.deadline.saturating_sub(now)
+    pub fn remaining_ms(&self, now: u64) -> u64 {
+        self.deadline_ms.saturating_sub(now)
     }
 
-    pub fn tokens(&self) -> u32 {
-        self.parts.iter().fold(0, |sum, part| part.tokens.saturating_add(sum))
+    pub fn prompt_tokens(&self) -> u32 {
+        self.prompt_segments.iter().fold(0, |sum, part| part.tokens.saturating_add(sum))
     }
 
     /// Tokens of the parts that others may share: all but the last.
-    pub fn shared(&self) -> u32 {
-        self.tokens() - self.parts.last().map_or(0, |part| part.tokens)
+    pub fn shared_tokens(&self) -> u32 {
+        self.prompt_tokens() - self.prompt_segments.last().map_or(0, |part| part.tokens)
     }
 }
 
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -127,12 +127,12 @@
     fn from(failure: error_response::Failure) -> Outcome {
         use crate::frontend::error_response::Failure;
         match failure {
-            Failure::Refused(_) => Outcome::Refused,
-            Failure::OverQuota(_) => Outcome::OverQuota,
-            Failure::NoRoute => Outcome::NoRoute,
+            Failure::Unavailable(_) => Outcome::Refused,
+            Failure::QuotaExceeded(_) => Outcome::OverQuota,
+            Failure::RouteNotFound => Outcome::NoRoute,
             Failure::Unauthorized => Outcome::Unauthorized,
-            Failure::Malformed | Failure::Late | Failure::TooLarge => Outcome::Rejected,
-            Failure::Lost | Failure::TimedOut => Outcome::Lost,
+            Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge => Outcome::Rejected,
+            Failure::ResponseLost | Failure::DeadlineExceeded => Outcome::Lost,
         }
     }
 }
--- a/router/src/kv/prefix_lookup.rs
+++ b/router/src/kv/catalog_client.rs
@@ -11,7 +11,7 @@
 /// Invariant: what is sent carries the epoch it was meant for; an answer under a lower epoch than
 /// the one known counts for nothing.
 #[derive(Default)]
-pub struct Lookup {
+pub struct CatalogClient {
     inner: Mutex<Inner>,
 }
 
@@ -36,9 +36,9 @@
 const WAIT_MS: u64 = 40;
 const REST_MS: u64 = 600;
 
-impl Lookup {
+impl CatalogClient {
     /// True when the duty has changed hands: what is known here must be registered anew.
-    pub fn hold(&self, epoch: u64, holder: &str, port: u16) -> bool {
+    pub fn set_owner(&self, epoch: u64, holder: &str, port: u16) -> bool {
         let mut inner = self.inner.lock();
         if epoch <= inner.epoch || holder.is_empty() {
             return false;
@@ -73,7 +73,7 @@
     }
 
     /// The owners of each key asked, and how pressed they and the sample are; None: no answer in time.
-    pub async fn query(&self, keys: &[u64], sample: Vec<u64>) -> Option<Found> {
+    pub async fn look_up(&self, keys: &[u64], sample: Vec<u64>) -> Option<Found> {
         let (epoch, peer) = self.peer(clock::now())?;
         let plain = self.inner.lock().plain;
         let msg = match plain {
--- a/router/src/kv/handle.rs
+++ b/router/src/kv/kv_handle.rs
@@ -8,41 +8,41 @@
 
 /// The memory of a read prompt. Invariants: it serves this request only, is taken once, and is
 /// never named after `until`.
-pub struct Handle {
-    pub at: usize,
+pub struct KvHandle {
+    pub engine_index: usize,
     /// The engine that holds it.
-    pub reader: Endpoint,
+    pub endpoint: Endpoint,
     pub id: String,
-    pub until: u64,
+    pub expires_at_ms: u64,
 }
 
 impl Exchange {
     /// The engine whose memory is held.
-    pub fn handle_engine(&self) -> Option<usize> {
-        self.kv_handle.as_ref().map(|handle| handle.at)
+    pub fn kv_handle_engine(&self) -> Option<usize> {
+        self.kv_handle.as_ref().map(|handle| handle.engine_index)
     }
 
-    pub fn hold_handle(&mut self, handle: Handle) {
-        self.release_handle();
+    pub fn hold_kv_handle(&mut self, handle: KvHandle) {
+        self.release_kv_handle();
         self.kv_handle = Some(handle);
     }
 
     /// The handle, if it may still be named. It is out of our hands from here on.
-    pub fn take_handle(&mut self) -> Option<Handle> {
+    pub fn take_kv_handle(&mut self) -> Option<KvHandle> {
         let now = clock::now();
         let good = self.kv_handle.as_ref().is_some_and(|handle| {
             let engine_table = self.state.engine_table.lock();
-            let engine = &engine_table.engines[handle.at];
-            now < handle.until && engine.listed && !self.closed_zones.contains(&engine.zone)
+            let engine = &engine_table.engines[handle.engine_index];
+            now < handle.expires_at_ms && engine.listed && !self.closed_zones.contains(&engine.zone)
         });
         if !good {
-            self.release_handle();
+            self.release_kv_handle();
         }
         self.kv_handle.take()
     }
 
     /// Memory that nobody will take is given free at once.
-    pub fn release_handle(&mut self) {
+    pub fn release_kv_handle(&mut self) {
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
         let most = self.max_connections();
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -49,9 +49,9 @@
     fn failure(self) -> Option<Failure> {
         match self {
             Decision::Granted | Decision::GrantedAlone => None,
-            Decision::Denied | Decision::Remembered => Some(Failure::OverQuota(RETRY_AFTER_MS)),
+            Decision::Denied | Decision::Remembered => Some(Failure::QuotaExceeded(RETRY_AFTER_MS)),
             // Not known to be over its limit: another router may reach a holder.
-            Decision::RefusedAlone => Some(Failure::Refused(RETRY_ALONE_MS)),
+            Decision::RefusedAlone => Some(Failure::Unavailable(RETRY_ALONE_MS)),
         }
     }
 }
@@ -100,7 +100,7 @@
     }
 
     /// Takes a list of controllers that may hold shards.
-    pub fn set_holders(&self, list: &[ShardOwner]) {
+    pub fn set_shard_owners(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock();
         inner.mark = shard_owners_fingerprint(list);
         inner.holders = list.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
@@ -110,7 +110,7 @@
     }
 
     /// What tells the list of holders from others.
-    pub fn mark(&self) -> u64 {
+    pub fn shard_owners_fingerprint(&self) -> u64 {
         self.inner.lock().mark
     }
 
@@ -192,7 +192,7 @@
 
 impl Exchange {
     /// Takes a token of the tenant's limit for this request, if its tenant has one.
-    pub async fn spend_quota(&self) -> Result<(), Failure> {
+    pub async fn acquire_quota_token(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
         let roll = self.state.rng.lock().next_u64();
--- a/router/src/limits/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -40,7 +40,7 @@
         settings.replace("budget_slack = 0.0", "budget_slack = 0.0, quota_slack = 20.0, quota_overage = 0.1");
     let gate = QuotaGate::new(&settings::parse(&settings).expect("good settings"));
     let holder = |ip: &&str| ShardOwner { ip: ip.to_string(), zone: ip.to_string() };
-    gate.set_holders(&ips.iter().map(holder).collect::<Vec<_>>());
+    gate.set_shard_owners(&ips.iter().map(holder).collect::<Vec<_>>());
     gate
 }
 
@@ -55,7 +55,7 @@
         assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
     }
     let holder = |ip: &str| ShardOwner { ip: ip.into(), zone: "a".into() };
-    gate.set_holders(&[holder(ips[0]), holder(ips[2])]);
+    gate.set_shard_owners(&[holder(ips[0]), holder(ips[2])]);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Denied);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Remembered);
     assert_eq!(gate.decide("other", &QUOTA, 9, 0).await, Decision::Denied, "each tenant by itself");
@@ -95,7 +95,7 @@
     let asked = controller(ip, port, Some(EMPTY)).await;
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
-    state.quota_gate.set_holders(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
+    state.quota_gate.set_shard_owners(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
     let tenant = |rate: f64| serde_json::json!({"tenant_table": [{"name": "one", "api_keys": ["k1"], "rate_per_s": rate, "burst_size": 1}]});
     configure(&state, 2, tenant(5.0));
     let text = ask(&state, "once", "1", KEYED).await;
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -57,7 +57,7 @@
 
 /// What a request sent to an engine was for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Half {
+pub enum SendPhase {
     /// Only its prompt is read.
     Prefill,
     /// It is run.
@@ -93,8 +93,8 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Sent {
-    pub half: Half,
+pub struct EngineSendLabels {
+    pub half: SendPhase,
     pub result: SendResult,
 }
 
@@ -119,7 +119,7 @@
     pub first_byte: Histogram,
     pub connections_accepted: Family<InPhase, Counter>,
     pub connections_open: Gauge,
-    pub engine_sends: Family<Sent, Counter>,
+    pub engine_sends: Family<EngineSendLabels, Counter>,
     pub engine_connections: Counter,
     pub quota_decisions: Family<Quotas, Counter>,
     pub retries_denied: Counter,
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -12,8 +12,8 @@
 
 use crate::config::routing_table::{Kind, Service};
 use crate::frontend::request::Request;
-use crate::kv::handle::Handle;
-use crate::metrics::{Half, Sent};
+use crate::kv::kv_handle::KvHandle;
+use crate::metrics::{EngineSendLabels, SendPhase};
 use crate::proxy::plan::PrefixOwners;
 use crate::proxy::response_head;
 use crate::proxy::send::{Extra, Outcome};
@@ -51,7 +51,7 @@
     pub tried: Vec<usize>,
     /// Engines at which it is under way, and the prompt tokens that each has yet to read.
     pub in_flight: Vec<(usize, u64)>,
-    pub kv_handle: Option<Handle>,
+    pub kv_handle: Option<KvHandle>,
     /// The version that serves it, for all of its sends.
     pub arm: Arm,
 }
@@ -61,9 +61,9 @@
         while let Some((at, _)) = self.in_flight.last().copied() {
             self.end_send(at);
         }
-        self.release_handle();
+        self.release_kv_handle();
         if self.arrived {
-            let spent_ms = clock::now().saturating_sub(self.request.born);
+            let spent_ms = clock::now().saturating_sub(self.request.received_at_ms);
             self.request.authorization.route().durations.note(spent_ms);
         }
         self.state.held_body_bytes.fetch_sub(self.request.body.len(), Ordering::Relaxed);
@@ -74,20 +74,20 @@
     /// Is it expected to be finished before this process ends, if that is about to end?
     pub fn fits_before_the_end(&self) -> bool {
         let expected_ms = self.request.authorization.route().durations.expected_ms();
-        self.state.drain.left_ms().is_none_or(|left_ms| expected_ms < left_ms)
+        self.state.drain.remaining_ms().is_none_or(|left_ms| expected_ms < left_ms)
     }
 
     pub fn remaining_ms(&self) -> u64 {
-        self.request.left(clock::now())
+        self.request.remaining_ms(clock::now())
     }
 
     /// Deferrable work is the least urgent there is; the rest goes by the operator's rank where the
     /// request has halves to be ranked in.
     pub fn urgency(&self) -> Option<u32> {
-        if self.request.spare.is_some() {
+        if self.request.deferrable_share.is_some() {
             return Some(9);
         }
-        (!self.request.keys.is_empty()).then_some((4 + self.priority).min(8))
+        (!self.request.prefix_keys.is_empty()).then_some((4 + self.priority).min(8))
     }
 
     pub fn is_streaming(&self) -> bool {
@@ -189,11 +189,11 @@
         }
         self.in_flight.push((at, tokens));
         let stage = extra.stage;
-        extra.budget_ms = self.request.left(now).max(1);
+        extra.budget_ms = self.request.remaining_ms(now).max(1);
         let outcome = self.await_outcome(at, &to, &extra, again).await;
         self.record_outcome(at, &outcome);
-        let half = if extra.stage { Half::Prefill } else { Half::Run };
-        let sent = Sent { half, result: (&outcome).into() };
+        let half = if extra.stage { SendPhase::Prefill } else { SendPhase::Run };
+        let sent = EngineSendLabels { half, result: (&outcome).into() };
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
         let answered = matches!(outcome, Outcome::Answer(_));
         let unsent = matches!(outcome, Outcome::Unsent(_));
@@ -210,7 +210,7 @@
     /// Until there is an outcome, time is up, or the engine is found dark and the request may go elsewhere.
     async fn await_outcome(&self, at: usize, to: &Endpoint, extra: &Extra, again: bool) -> Outcome {
         let now = clock::now();
-        let wait = self.request.left(now);
+        let wait = self.request.remaining_ms(now);
         let call =
             crate::proxy::send::send(&self.state, &self.request, self.service, to, self.max_connections(), extra, wait);
         tokio::pin!(call);
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -17,7 +17,7 @@
 use crate::proxy::response_body::{self, Pipe};
 use crate::proxy::send::{self, Answer, Extra, Outcome};
 use crate::proxy::{phases, plan, response_head};
-use crate::rollout::Seen;
+use crate::rollout::VersionOutcome;
 use crate::upstream::suspicion::{self, SIGN_MS};
 
 /// When a refused client may come back: soon, and later the more is waiting.
@@ -29,12 +29,12 @@
 /// The answer to a request that is given up. Nothing that may have run is ever called refused.
 pub fn failure_of(exchange: &Exchange) -> Failure {
     if !exchange.may_have_run {
-        return Failure::Refused(retry_after_ms(exchange));
+        return Failure::Unavailable(retry_after_ms(exchange));
     }
     if exchange.remaining_ms() == 0 {
-        return Failure::TimedOut;
+        return Failure::DeadlineExceeded;
     }
-    Failure::Lost
+    Failure::ResponseLost
 }
 
 /// By rank: how far over its slots every maker may be before a request is refused at once.
@@ -45,8 +45,8 @@
 
 /// Chooses the path and follows it to an answer.
 pub async fn answer(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
-    if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.has_spare_capacity(share))) {
-        return Err(Failure::Refused(STAND_BACK_MS));
+    if exchange.request.deferrable_share.is_some_and(|share| !exchange.view(|view| view.has_spare_capacity(share))) {
+        return Err(Failure::Unavailable(STAND_BACK_MS));
     }
     exchange.choose_version();
     if !exchange.fits_before_the_end() {
@@ -61,23 +61,23 @@
     if exchange.view(|view| view.is_saturated(share)) {
         return Err(failure_of(&exchange));
     }
-    exchange.spend_quota().await?;
+    exchange.acquire_quota_token().await?;
     let split = exchange.is_streaming()
-        && !exchange.request.keys.is_empty()
+        && !exchange.request.prefix_keys.is_empty()
         && exchange.view(|view| view.has_phase(Phase::Prefill) && view.has_phase(Phase::Decode));
     let carried = if split { phases::carry(&mut exchange).await } else { plain(&mut exchange).await };
     let (at, answer) = match carried {
         Ok(carried) => carried,
         Err(failure) => {
             if exchange.may_have_run {
-                exchange.note_seen(Seen::Failed);
+                exchange.record_version_outcome(VersionOutcome::Failed);
             }
             return Err(failure);
         }
     };
     if !answer.head.status.is_success() {
         if answer.head.status.is_server_error() {
-            exchange.note_seen(Seen::Failed);
+            exchange.record_version_outcome(VersionOutcome::Failed);
         }
         return Ok(pass(exchange, at, answer));
     }
@@ -102,7 +102,7 @@
     // A failed answer is given up only once the next send is granted.
     let mut granted = false;
     loop {
-        let rank = hashing::combine(exchange.request.born, exchange.request.body.len() as u64);
+        let rank = hashing::combine(exchange.request.received_at_ms, exchange.request.body.len() as u64);
         let place = exchange.view(|view| view.select_decode(0, &[], None, rank));
         let Some(at) = place else { return Err(failure_of(exchange)) };
         if !mem::take(&mut granted) && !exchange.grant_send() {
@@ -141,7 +141,7 @@
         if !self.is_resumable() || !split.resumable() {
             return None;
         }
-        let (tokens, rank) = (self.request.tokens(), plan::rank(&self.request));
+        let (tokens, rank) = (self.request.prompt_tokens(), plan::rank(&self.request));
         for _ in 0..3 {
             let held = self.prefix_owners.clone();
             let next = self.view(|view| view.select_combined(tokens, &held, rank))?.engine;
@@ -150,7 +150,7 @@
             }
             let last = match &split.last {
                 Some(last) => HeaderValue::from_str(last).ok(),
-                None => self.request.last.clone(),
+                None => self.request.last_event_id.clone(),
             };
             let extra = Extra { last, urgency: self.urgency(), ..Default::default() };
             self.sends += 1;
@@ -182,8 +182,8 @@
     let mut reply = Response::new(());
     *reply.status_mut() = answer.head.status;
     *reply.headers_mut() = answer.head.headers.clone();
-    let length = request::number(reply.headers(), "content-length").filter(|_| !exchange.is_resumable());
-    request::strip(reply.headers_mut());
+    let length = request::parse_number(reply.headers(), "content-length").filter(|_| !exchange.is_resumable());
+    request::remove_hop_by_hop_headers(reply.headers_mut());
     if exchange.state.is_leaving() {
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -205,13 +205,13 @@
             End::Whole => {
                 pipe.end().await;
                 if is_success {
-                    exchange.note_seen(Seen::Good { pace_us: split.pace_us() });
+                    exchange.record_version_outcome(VersionOutcome::Success { event_interval_us: split.pace_us() });
                 }
                 let to = exchange.endpoint(at);
                 send::give_back(&exchange.state, &to, &answer.head.headers, answer.connection).await;
                 return;
             }
-            End::Broken => exchange.note_seen(Seen::Failed),
+            End::Broken => exchange.record_version_outcome(VersionOutcome::Failed),
         }
         split.cut();
         let Some((next, more)) = exchange.resume(at, &split).await else { return };
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::frontend::error_response::Failure;
-use crate::kv::handle::Handle;
+use crate::kv::kv_handle::KvHandle;
 use crate::proxy::exchange::Exchange;
 use crate::proxy::forward;
 use crate::proxy::plan::{self, Plan};
@@ -78,14 +78,14 @@
         exchange.pinned_version = version.or(exchange.pinned_version);
     }
     let until = got + exchange.service_config.hold_ms.saturating_sub(MARGIN_MS);
-    exchange.hold_handle(Handle { at, reader, id, until });
+    exchange.hold_kv_handle(KvHandle { engine_index: at, endpoint: reader, id, expires_at_ms: until });
     Ok(Reading::Held)
 }
 
 /// How urgent a read is: a short one goes before long ones, which it hardly delays, while behind them
 /// it would miss its aim; among alike the operator's rank decides.
 fn rush(exchange: &Exchange, reads: u32) -> u32 {
-    if exchange.request.spare.is_some() {
+    if exchange.request.deferrable_share.is_some() {
         return 9;
     }
     let size = match reads {
@@ -103,10 +103,10 @@
         let engine_table = exchange.state.engine_table.lock();
         (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
     };
-    let mut list = Vec::with_capacity(exchange.request.keys.len());
+    let mut list = Vec::with_capacity(exchange.request.prefix_keys.len());
     {
         let mut record = exchange.state.owner_cache.lock();
-        for key in &exchange.request.keys {
+        for key in &exchange.request.prefix_keys {
             record.record(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
         }
@@ -125,7 +125,7 @@
         return Ok((at, answer));
     }
     if reading.is_ok() {
-        reader = exchange.handle_engine();
+        reader = exchange.kv_handle_engine();
         if let Some(at) = reader {
             let sent = register(exchange, at);
             let drops = exchange.state.prefix_catalog.flush(sent).await;
@@ -137,22 +137,22 @@
 }
 
 /// The engine that is to make the tokens, and the memory that it goes on with.
-fn choose_maker(exchange: &mut Exchange, reader: Option<usize>) -> Option<(usize, Option<Handle>)> {
-    let (tokens, rank) = (exchange.request.tokens(), plan::rank(&exchange.request));
+fn choose_maker(exchange: &mut Exchange, reader: Option<usize>) -> Option<(usize, Option<KvHandle>)> {
+    let (tokens, rank) = (exchange.request.prompt_tokens(), plan::rank(&exchange.request));
     let owners = exchange.prefix_owners.clone();
     loop {
         exchange.drop_stale_handle();
-        let Some(handle) = exchange.take_handle() else {
+        let Some(handle) = exchange.take_kv_handle() else {
             let selected = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
             return Some((selected.engine, None));
         };
         if let Some(at) = exchange.view(|view| view.select_decode(tokens, &owners, reader, rank)) {
             return Some((at, Some(handle)));
         }
-        exchange.hold_handle(handle);
+        exchange.hold_kv_handle(handle);
         exchange.version_bounds()?;
         // No maker has the version that read it: one inside the limit reads it itself.
-        exchange.release_handle();
+        exchange.release_kv_handle();
     }
 }
 
@@ -163,11 +163,11 @@
             return Err(forward::failure_of(exchange));
         };
         if !exchange.grant_send() {
-            handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
+            handle.into_iter().for_each(|handle| exchange.hold_kv_handle(handle));
             return Err(forward::failure_of(exchange));
         }
-        let reads = if handle.is_some() { 0 } else { exchange.request.tokens() };
-        let source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
+        let reads = if handle.is_some() { 0 } else { exchange.request.prompt_tokens() };
+        let source = handle.as_ref().map(|handle| format!("{}/{}", handle.endpoint.addr, handle.id));
         let extra = Extra { source, urgency: exchange.urgency(), ..Default::default() };
         exchange.sends += 1;
         let again = exchange.may_retry();
@@ -181,13 +181,13 @@
         }
         exchange.tried.push(at);
         let held = handle.is_some();
-        handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
+        handle.into_iter().for_each(|handle| exchange.hold_kv_handle(handle));
         match outcome {
             Outcome::Unsent(_) => exchange.sends -= 1,
             Outcome::Lost => {
                 exchange.may_have_run = true;
                 // Where it was not taken nobody else may name it: this maker may yet come for it.
-                exchange.release_handle();
+                exchange.release_kv_handle();
                 if !exchange.repeatable {
                     return Err(forward::failure_of(exchange));
                 }
@@ -205,14 +205,14 @@
 
 /// The memory can't be had: its engine is suppressed for these keys, not for the request.
 fn give_up_handle(exchange: &mut Exchange) {
-    if let Some(reader) = exchange.handle_engine() {
+    if let Some(reader) = exchange.kv_handle_engine() {
         let now = clock::now();
         let id = exchange.endpoint(reader).engine;
         let mut record = exchange.state.owner_cache.lock();
         record.counts.transfer_error += 1;
-        for key in &exchange.request.keys {
+        for key in &exchange.request.prefix_keys {
             record.suppress(&id, *key, now + HUSH_MS);
         }
     }
-    exchange.release_handle();
+    exchange.release_kv_handle();
 }
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -18,8 +18,8 @@
 }
 
 pub fn read(view: &SelectionContext, request: &Request, held: &PrefixOwners) -> Plan {
-    let (tokens, rank) = (request.tokens(), rank(request));
-    let Some(reader) = view.select_prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
+    let (tokens, rank) = (request.prompt_tokens(), rank(request));
+    let Some(reader) = view.select_prefill(tokens, held, request.shared_tokens(), rank) else { return Plan::Alone };
     if view.select_combined(tokens, held, rank).is_some_and(|alone| alone.cost < reader.cost) {
         return Plan::Alone;
     }
@@ -36,12 +36,12 @@
     let known = {
         let mut record = state.owner_cache.lock();
         record.counts.queries += 1;
-        record.known_prefix_count(&request.keys, now)
+        record.known_prefix_count(&request.prefix_keys, now)
     };
-    let missing = &request.keys[known..];
+    let missing = &request.prefix_keys[known..];
     if !missing.is_empty() {
         let sample = sample(state, request, service);
-        let found = state.prefix_catalog.query(missing, sample).await;
+        let found = state.prefix_catalog.look_up(missing, sample).await;
         if let Some(found) = &found {
             let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
             found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
@@ -90,12 +90,12 @@
 /// The longest prefix each usable engine owns.
 fn held(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
-    let depths = catalog::prefix_token_counts(&request.parts);
+    let depths = catalog::prefix_token_counts(&request.prompt_segments);
     let engine_table = state.engine_table.lock();
     let mut record = state.owner_cache.lock();
     let mut list: PrefixOwners = Vec::new();
     let mut stale = 0;
-    for (key, depth) in request.keys.iter().zip(depths).rev() {
+    for (key, depth) in request.prefix_keys.iter().zip(depths).rev() {
         for name in record.owners(*key, now) {
             let usable =
                 engine_table.find(name).filter(|at| engine_table.engines[*at].up && engine_table.engines[*at].listed);
@@ -113,8 +113,8 @@
 
 /// The key by which engines are ranked where nothing else tells them apart: the shared prefix.
 pub fn rank(request: &Request) -> u64 {
-    let shared = request.keys.len().checked_sub(2).and_then(|at| request.keys.get(at));
-    shared.or(request.keys.first()).copied().unwrap_or(request.born)
+    let shared = request.prefix_keys.len().checked_sub(2).and_then(|at| request.prefix_keys.get(at));
+    shared.or(request.prefix_keys.first()).copied().unwrap_or(request.received_at_ms)
 }
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -15,9 +15,9 @@
 };
 use tokio::time::{self, Instant};
 
-use crate::event::MISFIT;
+use crate::event::RESPONSE_MISMATCHED;
 use crate::frontend::request;
-use crate::kv::handle::Handle;
+use crate::kv::kv_handle::KvHandle;
 use crate::proxy::response_head::{self, Asked, Verdict};
 use crate::state::State;
 use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
@@ -82,7 +82,7 @@
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.path.clone();
     let head = outgoing.headers_mut();
-    *head = request.head.clone();
+    *head = request.headers.clone();
     let mut set = |name: &'static str, text: &str| {
         if let Ok(value) = HeaderValue::from_str(text) {
             head.insert(name, value);
@@ -157,12 +157,12 @@
 
 /// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
 async fn judged(state: &State, request: &request::Request, to: &Endpoint, extra: &Extra, answer: Answer) -> Outcome {
-    let asked = Asked { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
+    let asked = Asked { attempt: request.attempt_id.as_ref(), target: &to.engine, version: extra.expect };
     let outcome = match response_head::judge(&answer.head, &asked) {
         Verdict::Executed => return Outcome::Answer(Box::new(answer)),
         Verdict::Foreign => {
             let status = answer.head.status.as_u16();
-            kernel::log_event!(MISFIT, "engine" => to.engine.clone(), "status" => status);
+            kernel::log_event!(RESPONSE_MISMATCHED, "engine" => to.engine.clone(), "status" => status);
             return Outcome::Lost;
         }
         Verdict::Unproven => Outcome::Lost,
@@ -210,17 +210,17 @@
 }
 
 /// Gives the memory of a handle free; tried once, since it lapses by itself.
-pub async fn free(state: &State, handle: &Handle, most: usize) {
+pub async fn free(state: &State, handle: &KvHandle, most: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
     let Ok(path) = format!("/kv-handle/{}", handle.id).parse() else { return };
     *outgoing.uri_mut() = path;
-    if let Ok(host) = HeaderValue::from_str(&handle.reader.addr) {
+    if let Ok(host) = HeaderValue::from_str(&handle.endpoint.addr) {
         outgoing.headers_mut().insert(HOST, host);
     }
-    let mut connection = match state.connection_pools.idle(&handle.reader) {
+    let mut connection = match state.connection_pools.idle(&handle.endpoint) {
         Some(connection) => connection,
-        None => match state.connection_pools.dial(&handle.reader, most).await {
+        None => match state.connection_pools.dial(&handle.endpoint, most).await {
             Ok(connection) => connection,
             Err(_) => return,
         },
@@ -232,5 +232,5 @@
         // Another outgoing's: the answer to this one would be the next that comes.
         return;
     }
-    finish(state, &handle.reader, Answer { head, body, connection }).await;
+    finish(state, &handle.endpoint, Answer { head, body, connection }).await;
 }
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -15,7 +15,7 @@
 use tokio::time;
 use versions::FULL_SHARE;
 
-use crate::event::VERSION;
+use crate::event::VERSION_ROLLOUT_ACTIVATED;
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
@@ -33,9 +33,9 @@
 
 /// What a request showed of the version that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum VersionOutcome {
     /// It ended as it should; the mean time between its events, where it had several.
-    Good { pace_us: Option<u64> },
+    Success { event_interval_us: Option<u64> },
     /// Its engine failed it.
     Failed,
 }
@@ -64,7 +64,7 @@
     }
 
     /// Notes what a request showed, while its service has an active rollout.
-    fn note(&mut self, service: u32, route: &str, arm: Arm, seen: Seen) -> bool {
+    fn note(&mut self, service: u32, route: &str, arm: Arm, seen: VersionOutcome) -> bool {
         let Some(rollout) = self.list.get(&service).filter(|rollout| rollout.state == RolloutState::Active) else {
             return false;
         };
@@ -73,13 +73,13 @@
         let fresh = || RouteSamples { route: route.into(), is_candidate, good: 0, failed: 0, paces: Vec::new() };
         let samples = routes.entry((route.into(), is_candidate)).or_insert_with(fresh);
         match seen {
-            Seen::Good { pace_us } => {
+            VersionOutcome::Success { event_interval_us } => {
                 samples.good += 1;
                 if samples.paces.len() < MOST_PACES {
-                    samples.paces.extend(pace_us.map(|pace_us| (pace_us, 1)));
+                    samples.paces.extend(event_interval_us.map(|event_interval_us| (event_interval_us, 1)));
                 }
             }
-            Seen::Failed => samples.failed += 1,
+            VersionOutcome::Failed => samples.failed += 1,
         }
         true
     }
@@ -96,17 +96,17 @@
 }
 
 /// A record from a controller.
-pub fn take(state: &State, rollout: VersionRollout) {
+pub fn apply(state: &State, rollout: VersionRollout) {
     let service = state.engine_table.lock().service_index(&rollout.service);
     let (name, target, share, word) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.as_str());
     if state.rollouts.lock().take(service, rollout) {
-        kernel::log_event!(VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
+        kernel::log_event!(VERSION_ROLLOUT_ACTIVATED, "service" => name, "version" => target, "state" => word, "share" => share);
     }
 }
 
 /// The records held, as told to controllers.
-pub fn told(state: &State) -> Vec<(String, u64)> {
+pub fn applied_revisions(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock();
     let told =
         |rollout: &VersionRollout| (HiddenKey::Register(&VersionRollout::key(&rollout.service)).into(), rollout.number);
@@ -140,7 +140,7 @@
     }
 
     /// Notes what this request showed of the version that served it.
-    pub fn note_seen(&self, seen: Seen) {
+    pub fn record_version_outcome(&self, seen: VersionOutcome) {
         let noted = self.state.rollouts.lock().note(self.service, &self.route, self.arm, seen);
         if noted {
             self.state.samples_wanted.notify_one();
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -5,7 +5,7 @@
 use protocol::message::{EndpointList, Engine};
 use protocol::version_rollout::{candidates_of, RolloutState, VersionRollout};
 
-use super::{take, Rollouts, Seen};
+use super::{apply, Rollouts, VersionOutcome};
 use crate::testing::engine::{answer, engines, events, Act};
 use crate::testing::router::{ask, router};
 
@@ -48,18 +48,18 @@
 #[test]
 fn samples_are_kept_by_route_and_version_while_a_rollout_is_active() {
     let mut rollouts = Rollouts::default();
-    assert!(!rollouts.note(0, "r", Arm::Stable, Seen::Failed));
+    assert!(!rollouts.note(0, "r", Arm::Stable, VersionOutcome::Failed));
     rollouts.take(0, rollout(1, RolloutState::Active, 70));
-    rollouts.note(0, "r", Arm::Stable, Seen::Good { pace_us: Some(7000) });
-    rollouts.note(0, "r", Arm::Candidate(70), Seen::Failed);
-    rollouts.note(0, "r", Arm::Candidate(70), Seen::Good { pace_us: None });
+    rollouts.note(0, "r", Arm::Stable, VersionOutcome::Success { event_interval_us: Some(7000) });
+    rollouts.note(0, "r", Arm::Candidate(70), VersionOutcome::Failed);
+    rollouts.note(0, "r", Arm::Candidate(70), VersionOutcome::Success { event_interval_us: None });
     let told = rollouts.take_samples();
     let counts: Vec<_> = told[0].list.iter().map(|one| (one.is_candidate, one.good, one.failed)).collect();
     assert_eq!(counts, [(false, 1, 0), (true, 1, 1)]);
     assert_eq!(told[0].list[0].paces, [(7000, 1)]);
     assert!(rollouts.take_samples().is_empty());
     rollouts.take(0, rollout(2, RolloutState::Complete, 1000));
-    assert!(!rollouts.note(0, "r", Arm::Stable, Seen::Failed));
+    assert!(!rollouts.note(0, "r", Arm::Stable, VersionOutcome::Failed));
 }
 
 #[tokio::test]
@@ -76,7 +76,7 @@
     let sheet = EndpointList { zone: candidates_of("a"), term: 1, sequence: 1, engines: list };
     state.engine_table.lock().update(&sheet, clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
-    take(&state, rollout(1, RolloutState::Active, 1000));
+    apply(&state, rollout(1, RolloutState::Active, 1000));
     assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
     state.staleness_bounds.lock().renew_lease(clock::now());
     assert!(ask(&state, "stream", "c", "").await.contains("token-3"));
@@ -85,6 +85,6 @@
     let counts: Vec<_> =
         told[0].list.iter().map(|one| (one.route.as_str(), one.is_candidate, one.good, one.failed)).collect();
     assert_eq!(counts, [("once", false, 1, 0), ("once", true, 0, 1), ("stream", true, 1, 0)]);
-    take(&state, rollout(2, RolloutState::Reverted, 0));
+    apply(&state, rollout(2, RolloutState::Reverted, 0));
     assert!(ask(&state, "once", "d", "").await.ends_with("old"), "reverted");
 }
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -7,7 +7,7 @@
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
 
-use crate::event::{COUNTS, GONE, LEAVE, START};
+use crate::event::{PREFIX_LOOKUP_COUNTS, ROUTER_STARTED, SHUTDOWN_FINISHED, SHUTDOWN_STARTED};
 use crate::frontend::drain::{Phase, Schedule};
 use crate::frontend::listener;
 use crate::metrics::Stage;
@@ -35,7 +35,7 @@
 
 /// Runs a router until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    kernel::log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
+    kernel::log_event!(ROUTER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
     let state = State::new(settings);
     let observed = state.clone();
     telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
@@ -48,8 +48,8 @@
 /// Ends what the router does, well inside the grace.
 pub(crate) async fn leave(state: &State) {
     let counts = state.owner_cache.lock().counts;
-    kernel::log_event!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
-    kernel::log_event!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
+    kernel::log_event!(SHUTDOWN_STARTED, "open" => under_way(state, &PHASES, &STAGES));
+    kernel::log_event!(PREFIX_LOOKUP_COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
         "dropped" => counts.dropped);
     state.drain.run(&Schedule::of(state.settings.bounds.grace_s)).await;
@@ -67,7 +67,7 @@
 
 /// What is left unfinished, by how far it is and whether it came before or after SIGTERM.
 fn report_end(state: &State) {
-    kernel::log_event!(GONE, "open" => under_way(state, &PHASES, &STAGES),
+    kernel::log_event!(SHUTDOWN_FINISHED, "open" => under_way(state, &PHASES, &STAGES),
         "reading" => under_way(state, &PHASES, &[Stage::Reading]),
         "forwarding" => under_way(state, &PHASES, &[Stage::Forwarding]),
         "answering" => under_way(state, &PHASES, &[Stage::Answering]),
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -23,7 +23,7 @@
 use crate::config::freshness::Currency;
 use crate::config::routing_table::Table;
 use crate::frontend::drain::{Drain, Phase};
-use crate::kv::prefix_lookup::Lookup;
+use crate::kv::catalog_client::CatalogClient;
 use crate::limits::quota_gate::QuotaGate;
 use crate::metrics::Metrics;
 use crate::rollout::Rollouts;
@@ -39,7 +39,7 @@
     pub owner_cache: Mutex<OwnerCache>,
     pub retry_budget: Mutex<RetryBudget>,
     pub connection_pools: Pools,
-    pub prefix_catalog: Lookup,
+    pub prefix_catalog: CatalogClient,
     /// Limits on stale weights. Taken last, never together with another.
     pub staleness_bounds: Mutex<StalenessBounds>,
     /// By zone: the version of the weight versions held.
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -9,7 +9,7 @@
 use protocol::quota::shard_owners_entry;
 
 use crate::config::{activation, evacuation, version_bounds};
-use crate::event::{CATALOG, READY};
+use crate::event::{CATALOG_OWNER_CHANGED, READY};
 use crate::rollout;
 use crate::state::State;
 use crate::upstream::suspicion;
@@ -24,8 +24,8 @@
     match msg {
         Message::StateUpdate(news) => absorb(state, *news),
         Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => activation::change(state, &body),
-        Message::ShardOwners(list) => state.quota_gate.set_holders(&list),
-        Message::VersionRollout(rollout) => rollout::take(state, *rollout),
+        Message::ShardOwners(list) => state.quota_gate.set_shard_owners(&list),
+        Message::VersionRollout(rollout) => rollout::apply(state, *rollout),
         Message::StalenessLimit(rule) => version_bounds::rule(state, &rule),
         Message::WeightVersions(list) => version_bounds::versions(state, &list),
         Message::SuspectEngine(doubt) => suspicion::hear(state, &doubt.0),
@@ -46,9 +46,9 @@
     };
     let (rules, weights) = version_bounds::known_versions(state);
     sheets.extend(weights);
-    let rollouts = rollout::told(state);
+    let rollouts = rollout::applied_revisions(state);
     sheets.push(message::own_protocol_version());
-    sheets.push(shard_owners_entry(state.quota_gate.mark()));
+    sheets.push(shard_owners_entry(state.quota_gate.shard_owners_fingerprint()));
     let news = state.subscribed.lock();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
@@ -121,8 +121,8 @@
     }
     let seats = state.router_count();
     state.engine_table.lock().set_router(state.mark(), state.zone, seats);
-    if state.prefix_catalog.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
-        kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
+    if state.prefix_catalog.set_owner(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
+        kernel::log_event!(CATALOG_OWNER_CHANGED, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(activation::again(state.clone()));
     }
 }
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -7,7 +7,7 @@
 use protocol::message::{Message, StateUpdate};
 use tokio::time;
 
-use crate::event::HOME;
+use crate::event::HOME_CONTROLLER_CHANGED;
 use crate::state::State;
 use crate::subscription::apply_update;
 use crate::subscription::links::{End, Event, Links};
@@ -129,7 +129,7 @@
     fn home_moved(&mut self, left: Option<String>) {
         let home = self.following.home().unwrap_or_default().to_string();
         *self.state.home_controller.lock() = Some(self.links.caller(&home));
-        kernel::log_event!(HOME, "left" => left.unwrap_or_default(), "home" => home);
+        kernel::log_event!(HOME_CONTROLLER_CHANGED, "left" => left.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
 
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -183,7 +183,7 @@
     let durations = process.state.table().route("stream").expect("there").durations.clone();
     (0..40).for_each(|_| durations.note(2500));
     process.terminate.notify_one();
-    while process.state.drain.left_ms().is_none() {
+    while process.state.drain.remaining_ms().is_none() {
         task::yield_now().await;
     }
     let long = request(process.address.clone(), "long".into()).await;
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -224,7 +224,7 @@
     let route = table.find("h", "/once/x").expect("there");
     let key = authorization::key(&parts.headers);
     let authorization = Authorization::grant(&table, route, key).expect("granted");
-    request::Request::make(parts, Bytes::new(), authorization, 0, clock::now())
+    request::Request::new(parts, Bytes::new(), authorization, 0, clock::now())
 }
 
 #[tokio::test]
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -14,7 +14,7 @@
 use tokio::time::{self, Instant};
 
 use crate::config::evacuation;
-use crate::event::STRIKE;
+use crate::event::ENGINE_UNRESPONSIVE;
 use crate::state::State;
 use crate::upstream::probe::probe;
 use crate::upstream::probe_rate::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
@@ -196,7 +196,7 @@
         return Found::Ended;
     }
     engine.answered_elsewhere = false;
-    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.consecutive_failures);
+    kernel::log_event!(ENGINE_UNRESPONSIVE, "engine" => id, "strikes" => engine.consecutive_failures);
     Found::Silent { known }
 }
 
