--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -18,7 +18,7 @@
 use crate::config::tenants::KeyDigest;
 use crate::event::FIRST_REQUEST;
 use crate::frontend::authorization::{self, Authorization, UnknownKey};
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::frontend::error_response::{self, Body, Failure};
 use crate::frontend::framing_check::Look;
 use crate::frontend::request;
@@ -37,15 +37,15 @@
 ) -> Response<Body> {
     let mut guard = RequestGuard::begin(&state, connection);
     let leaving = state.is_leaving();
-    let fail = |failure: Failure, last| (error_response::write(failure, last), failure.into());
+    let fail = |failure: Failure, last| (error_response::build(failure, last), failure.into());
     if look.both() {
         let (response, outcome) = fail(Failure::Malformed, leaving);
         return guard.follow(response, outcome);
     }
     let entered = match guard.phase() {
-        Phase::Serving | Phase::Draining => enter(&state, incoming).await,
+        DrainPhase::Serving | DrainPhase::Draining => enter(&state, incoming).await,
         // Its head came as the router closed: refused early rather than given up late.
-        Phase::Closing => Err(refuse_unread(incoming).await),
+        DrainPhase::Closing => Err(refuse_unread(incoming).await),
     };
     look.arm();
     let (response, outcome) = match entered {
@@ -135,7 +135,7 @@
 /// proved to be current.
 async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
     let left_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
-    let key = authorization::key(&parts.headers);
+    let key = authorization::api_key_digest(&parts.headers);
     let accepts = |table: &Table| judge(table, parts, key).is_ok();
     let table = match freshness::table_with(state, left_ms, accepts).await {
         Ok(table) => table,
@@ -203,7 +203,7 @@
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
     state.retry_budget.lock().record_request(service, received_at_ms);
     Exchange {
-        closed_zones: plan::closed_zones(state, request.authorization.homes()),
+        closed_zones: plan::closed_zones(state, request.authorization.allowed_regions()),
         priority: request.authorization.priority(),
         route: route.name.clone(),
         pinned_version: None,
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -14,7 +14,7 @@
 const SCHEME: &[u8] = b"bearer";
 
 /// The key of a request. None: it has none, or not exactly one in the form that the protocol knows.
-pub fn key(head: &HeaderMap) -> Option<KeyDigest> {
+pub fn api_key_digest(head: &HeaderMap) -> Option<KeyDigest> {
     let mut values = head.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes().trim_ascii();
     if values.next().is_some() {
@@ -46,7 +46,7 @@
 
     /// Would the request be admitted now, and on the same terms? A key may be revoked, or pass to another tenant,
     /// while its request waits.
-    pub fn holds(&self, table: &Table) -> bool {
+    pub fn is_still_valid(&self, table: &Table) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
         match (holder(table, anonymous, self.key.as_ref()), &self.tenant) {
             (Err(UnknownKey), _) => false,
@@ -71,13 +71,13 @@
     }
 
     /// The lists of regions that bind the request, each by itself; an empty one binds nothing.
-    pub fn homes(&self) -> [&[String]; 2] {
+    pub fn allowed_regions(&self) -> [&[String]; 2] {
         let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.homes);
         [&self.route.homes, tenant]
     }
 
     /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
-    pub fn rewrite(&self, head: &mut HeaderMap) {
+    pub fn rewrite_headers(&self, head: &mut HeaderMap) {
         head.remove(AUTHORIZATION);
         head.remove(TENANT);
         if let Some(name) = self.tenant.as_ref().and_then(|tenant| tenant.header.clone()) {
@@ -102,7 +102,7 @@
 impl Exchange {
     /// May the request still be sent to an engine?
     pub fn is_authorized(&self) -> bool {
-        self.request.authorization.holds(&self.state.table())
+        self.request.authorization.is_still_valid(&self.state.table())
     }
 }
 
--- a/router/src/frontend/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -4,7 +4,7 @@
 use protocol::config_update::ConfigUpdate;
 use serde_json::Value;
 
-use super::{key, Authorization, UnknownKey};
+use super::{api_key_digest, Authorization, UnknownKey};
 use crate::config::routing_table::Table;
 use crate::config::tenants::KeyDigest;
 
@@ -20,7 +20,7 @@
 fn a_key_is_carried_once_and_under_one_scheme() {
     let good: [&[u8]; 6] = [b"Bearer k1", b"bearer k1", b"BEARER k1", b"Bearer   k1", b"Bearer\tk1 ", b" Bearer k1\t"];
     for value in good {
-        assert_eq!(key(&head(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
+        assert_eq!(api_key_digest(&head(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
     }
     let bad: [&[u8]; 11] = [
         b"",
@@ -36,12 +36,12 @@
         b"B\xe9arer k1",
     ];
     for value in bad {
-        assert_eq!(key(&head(&[value])), None, "{value:?}");
+        assert_eq!(api_key_digest(&head(&[value])), None, "{value:?}");
     }
-    assert_eq!(key(&head(&[])), None);
+    assert_eq!(api_key_digest(&head(&[])), None);
     for other in [&b"Bearer k1"[..], b"Bearer k2", b"", b"Basic k1"] {
-        assert_eq!(key(&head(&[b"Bearer k1", other])), None, "more than one says nothing: {other:?}");
-        assert_eq!(key(&head(&[other, b"Bearer k1"])), None, "{other:?}");
+        assert_eq!(api_key_digest(&head(&[b"Bearer k1", other])), None, "more than one says nothing: {other:?}");
+        assert_eq!(api_key_digest(&head(&[other, b"Bearer k1"])), None, "{other:?}");
     }
 }
 
@@ -55,7 +55,7 @@
         b"Bearer k1 k1",
         b"Bearer k\xe9",
     ] {
-        assert_ne!(key(&head(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
+        assert_ne!(api_key_digest(&head(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
     }
 }
 
@@ -90,7 +90,7 @@
 fn named(table: &Table, route: &str, key: Option<&str>) -> Option<String> {
     let granted = grant(table, route, key).ok()?;
     let mut head = HeaderMap::new();
-    granted.rewrite(&mut head);
+    granted.rewrite_headers(&mut head);
     Some(head.get("tenant").map_or(String::new(), |name| name.to_str().expect("text").into()))
 }
 
@@ -113,9 +113,9 @@
     let granted = |key| grant(&table, "open", key).expect("granted");
     assert_eq!([Some("k1"), Some("k2"), None].map(|key| granted(key).priority()), [0, 3, 3]);
     let of_route = &["r".to_string()][..];
-    assert_eq!(granted(Some("k1")).homes(), [of_route, &["q".to_string(), "r".to_string()]]);
-    assert_eq!(granted(Some("k2")).homes(), [of_route, &[]]);
-    assert_eq!(granted(None).homes(), [of_route, &[]]);
+    assert_eq!(granted(Some("k1")).allowed_regions(), [of_route, &["q".to_string(), "r".to_string()]]);
+    assert_eq!(granted(Some("k2")).allowed_regions(), [of_route, &[]]);
+    assert_eq!(granted(None).allowed_regions(), [of_route, &[]]);
 }
 
 #[test]
@@ -127,33 +127,42 @@
         table(list, true)
     };
     let granted = grant(&first, "keyed", Some("k1")).expect("granted");
-    assert!(granted.holds(&first));
-    assert!(granted.holds(&next(&|list| list[0]["priority"] = 5.into())), "still the same tenant's");
-    assert!(granted.holds(&next(&|list| list[0]["api_keys"] = serde_json::json!(["k9", "k1"]))));
-    assert!(granted.holds(&next(&|list| list[1]["api_keys"] = serde_json::json!([]))), "another's key");
-    assert!(!granted.holds(&next(&|list| list[0]["api_keys"] = serde_json::json!(["k9"]))), "revoked");
-    assert!(!granted.holds(&next(&|list| drop(list.as_array_mut().expect("list").remove(0)))), "its tenant is gone");
-    assert!(!granted.holds(&next(&|list| list[0]["allowed_regions"] = serde_json::json!(["q"]))), "other homes");
+    assert!(granted.is_still_valid(&first));
+    assert!(granted.is_still_valid(&next(&|list| list[0]["priority"] = 5.into())), "still the same tenant's");
+    assert!(granted.is_still_valid(&next(&|list| list[0]["api_keys"] = serde_json::json!(["k9", "k1"]))));
+    assert!(granted.is_still_valid(&next(&|list| list[1]["api_keys"] = serde_json::json!([]))), "another's key");
+    assert!(!granted.is_still_valid(&next(&|list| list[0]["api_keys"] = serde_json::json!(["k9"]))), "revoked");
+    assert!(
+        !granted.is_still_valid(&next(&|list| drop(list.as_array_mut().expect("list").remove(0)))),
+        "its tenant is gone"
+    );
+    assert!(
+        !granted.is_still_valid(&next(&|list| list[0]["allowed_regions"] = serde_json::json!(["q"]))),
+        "other homes"
+    );
     let moved = next(&|list| {
         list[0]["api_keys"] = serde_json::json!([]);
         list[1]["api_keys"] = serde_json::json!(["k1", "k2"]);
     });
-    assert!(!granted.holds(&moved), "the engine was to be told another tenant");
-    assert!(!granted.holds(&table(serde_json::json!([]), true)), "there are no tenants any more");
+    assert!(!granted.is_still_valid(&moved), "the engine was to be told another tenant");
+    assert!(!granted.is_still_valid(&table(serde_json::json!([]), true)), "there are no tenants any more");
 }
 
 #[test]
 fn what_was_granted_without_a_key_holds_while_none_is_needed() {
     let (open, closed) = (table(tenants(), true), table(tenants(), false));
     let anonymous = grant(&open, "open", None).expect("granted");
-    assert!(anonymous.holds(&open) && !anonymous.holds(&closed), "the route is not anonymous any more");
+    assert!(
+        anonymous.is_still_valid(&open) && !anonymous.is_still_valid(&closed),
+        "the route is not anonymous any more"
+    );
     let without = table(Value::Null, false);
     let early = grant(&without, "keyed", None).expect("granted");
-    assert!(early.holds(&without) && !early.holds(&closed), "there are tenants now");
+    assert!(early.is_still_valid(&without) && !early.is_still_valid(&closed), "there are tenants now");
     let stranger = grant(&without, "keyed", Some("k1")).expect("granted");
-    assert!(!stranger.holds(&closed), "its key is a tenant's now, which no engine was told");
+    assert!(!stranger.is_still_valid(&closed), "its key is a tenant's now, which no engine was told");
     let gone = table_of(&[("keyed", false)], tenants());
-    assert!(anonymous.holds(&gone), "of a route that is gone the last word counts");
+    assert!(anonymous.is_still_valid(&gone), "of a route that is gone the last word counts");
 }
 
 #[test]
@@ -166,7 +175,7 @@
             map.append("tenant", name.parse().expect("value"));
         }
         map.insert("x-other", "kept".parse().expect("value"));
-        grant(&with, route, key).expect("granted").rewrite(&mut map);
+        grant(&with, route, key).expect("granted").rewrite_headers(&mut map);
         let names: Vec<_> = map.get_all("tenant").iter().map(|name| name.to_str().expect("text")).collect();
         assert_eq!(names, expected.into_iter().collect::<Vec<_>>());
         assert!(!map.contains_key("authorization") && map.contains_key("x-other"));
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -16,7 +16,7 @@
 
 /// How far a router is on its way out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, prometheus_client::encoding::EncodeLabelValue)]
-pub enum Phase {
+pub enum DrainPhase {
     /// It is not about to end.
     Serving,
     /// It is about to end: unready, but it takes requests.
@@ -37,11 +37,11 @@
 
 impl Drain {
     /// The phase of now.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> DrainPhase {
         match (self.draining.is_cancelled(), self.closing.is_cancelled()) {
-            (_, true) => Phase::Closing,
-            (true, false) => Phase::Draining,
-            (false, false) => Phase::Serving,
+            (_, true) => DrainPhase::Closing,
+            (true, false) => DrainPhase::Draining,
+            (false, false) => DrainPhase::Serving,
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Goes through all phases; over once every connection has ended, or the time to finish is.
-    pub async fn run(&self, schedule: &Schedule) {
+    pub async fn run(&self, schedule: &DrainSchedule) {
         let end = Instant::now() + schedule.finish_by;
         let _ = self.finish_at.set(end);
         self.draining.cancel();
@@ -75,7 +75,7 @@
 
 /// What a grace is divided into, from the moment at which the process is told to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Schedule {
+pub struct DrainSchedule {
     /// For so long requests are taken.
     pub take_for: Duration,
     /// By then what was taken is finished or given up.
@@ -91,13 +91,13 @@
 const RESERVE_SHARE: f64 = 1.0 / 24.0;
 const MOST_RESERVE_MS: u64 = 300;
 
-impl Schedule {
+impl DrainSchedule {
     /// The division of a grace in seconds.
-    pub fn of(grace_s: f64) -> Schedule {
+    pub fn for_grace(grace_s: f64) -> DrainSchedule {
         let grace_ms = grace_s * 1000.0;
         let take_ms = NOTICED_MS.min((grace_ms * TAKE_SHARE) as u64);
         let reserve_ms = MOST_RESERVE_MS.min((grace_ms * RESERVE_SHARE) as u64);
-        Schedule {
+        DrainSchedule {
             take_for: Duration::from_millis(take_ms),
             finish_by: Duration::from_millis((grace_ms as u64).saturating_sub(reserve_ms)),
         }
--- a/router/src/frontend/drain_tests.rs
+++ b/router/src/frontend/drain_tests.rs
@@ -6,7 +6,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{self, Instant};
 
-use super::{Drain, Phase, Schedule};
+use super::{Drain, DrainPhase, DrainSchedule};
 
 async fn sleep_ms(time_ms: u64) {
     time::sleep(Duration::from_millis(time_ms)).await;
@@ -17,7 +17,7 @@
     let drain = drain.clone();
     let begun = Instant::now();
     tokio::spawn(async move {
-        drain.run(&Schedule::of(8.0)).await;
+        drain.run(&DrainSchedule::for_grace(8.0)).await;
         begun.elapsed().as_millis()
     })
 }
@@ -30,7 +30,7 @@
 #[test]
 fn a_grace_is_divided_into_being_noticed_finishing_and_a_reserve() {
     let parts = |grace_s: f64| {
-        let schedule = Schedule::of(grace_s);
+        let schedule = DrainSchedule::for_grace(grace_s);
         (schedule.take_for.as_millis(), schedule.finish_by.as_millis())
     };
     assert_eq!(parts(8.0), (3000, 7700));
@@ -43,7 +43,7 @@
 fn most_of_the_last_sixth_of_any_grace_is_used() {
     for tenths in 1..600 {
         let grace_s = f64::from(tenths) / 10.0;
-        let schedule = Schedule::of(grace_s);
+        let schedule = DrainSchedule::for_grace(grace_s);
         assert!(schedule.finish_by.as_secs_f64() >= grace_s * 5.0 / 6.0 - 0.001, "{grace_s} {schedule:?}");
         assert!(schedule.take_for < schedule.finish_by, "{grace_s} {schedule:?}");
     }
@@ -62,12 +62,12 @@
 #[tokio::test(start_paused = true)]
 async fn without_connections_it_ends_once_it_was_noticed() {
     let drain = Arc::new(Drain::default());
-    assert_eq!(drain.phase(), Phase::Serving);
+    assert_eq!(drain.phase(), DrainPhase::Serving);
     let end = run(&drain);
     sleep_ms(2999).await;
-    assert_eq!(drain.phase(), Phase::Draining);
+    assert_eq!(drain.phase(), DrainPhase::Draining);
     sleep_ms(2).await;
-    assert_eq!((drain.phase(), end.await.expect("ends")), (Phase::Closing, 3000));
+    assert_eq!((drain.phase(), end.await.expect("ends")), (DrainPhase::Closing, 3000));
 }
 
 #[tokio::test(start_paused = true)]
@@ -92,6 +92,6 @@
     let drain = Arc::new(Drain::default());
     let end = run(&drain);
     drain.wait_for_closing().await;
-    assert_eq!(drain.phase(), Phase::Closing);
+    assert_eq!(drain.phase(), DrainPhase::Closing);
     end.await.expect("ends");
 }
--- a/router/src/frontend/error_response.rs
+++ b/router/src/frontend/error_response.rs
@@ -30,7 +30,7 @@
 }
 
 /// `last`: the connection ends with this answer, whatever it says.
-pub fn write(failure: Failure, last: bool) -> Response<Body> {
+pub fn build(failure: Failure, last: bool) -> Response<Body> {
     let status = match failure {
         Failure::Malformed => 400,
         Failure::Unauthorized => 401,
--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -20,9 +20,9 @@
 
 use crate::config::routing_table::Table;
 use crate::frontend::admission;
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::frontend::framing_check::{Look, Stream};
-use crate::metrics::{Connection, InPhase};
+use crate::metrics::{Connection, PhaseLabels};
 use crate::state::State;
 
 /// Connections that ask for readiness at once.
@@ -44,7 +44,7 @@
 }
 
 /// Answers the platform's calls for readiness.
-pub async fn readiness(state: Arc<State>) {
+pub async fn serve_readiness(state: Arc<State>) {
     let Some(addr) = state.settings.bind_addresses.readiness.clone() else { return };
     socket::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
@@ -63,17 +63,17 @@
 }
 
 /// Serves clients until the router closes; then nobody listens any more.
-pub async fn frontend(state: Arc<State>) {
+pub async fn serve_frontend(state: Arc<State>) {
     let Some(addr) = state.settings.bind_addresses.frontend.clone() else { return };
     let room = most_connections(&state.settings);
     tokio::select! {
-        () = socket::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
+        () = socket::accept_each(&addr, room, |stream| serve_client(state.clone(), stream)) => {}
         () = state.drain.wait_for_closing() => {}
     }
 }
 
 /// Serves one client's connection until it ends.
-pub async fn client(state: Arc<State>, stream: TcpStream) {
+pub async fn serve_client(state: Arc<State>, stream: TcpStream) {
     state.drain.track_connection(serve_connection(state.clone(), stream)).await;
 }
 
@@ -83,7 +83,7 @@
 impl OpenConnection {
     fn count(state: &State) -> OpenConnection {
         let phase = state.drain.phase();
-        state.metrics.connections_accepted.get_or_create(&InPhase { phase }).inc();
+        state.metrics.connections_accepted.get_or_create(&PhaseLabels { phase }).inc();
         let gauge = state.metrics.connections_open.clone();
         gauge.inc();
         OpenConnection(gauge)
@@ -135,6 +135,6 @@
 impl State {
     /// Does the platform get a 200?
     pub fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Relaxed) && self.drain.phase() == Phase::Serving
+        self.ready.load(Ordering::Relaxed) && self.drain.phase() == DrainPhase::Serving
     }
 }
--- a/router/src/frontend/request.rs
+++ b/router/src/frontend/request.rs
@@ -138,7 +138,7 @@
         for name in SYSTEM {
             head.remove(name);
         }
-        authorization.rewrite(&mut head);
+        authorization.rewrite_headers(&mut head);
         let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
         let most = authorization.route().timeout_ms;
         let wait = parse_number(&head, TIME_BUDGET).unwrap_or(most).min(most);
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -10,16 +10,16 @@
 use http_body::{Frame, SizeHint};
 use kernel::clock;
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::frontend::error_response;
-use crate::metrics::{Arrival, Connection, Ended, Outcome, Stage, UnderWay};
+use crate::metrics::{ArrivalLabels, Connection, Outcome, OutcomeLabels, Stage, StageLabels};
 use crate::state::State;
 
 /// Counts a request under way. Invariant: it is counted in one stage at a time, and its end once, on drop: as cut,
 /// unless an outcome was noted before.
 pub struct RequestGuard {
     state: Arc<State>,
-    phase: Phase,
+    phase: DrainPhase,
     stage: Stage,
     outcome: Outcome,
     begun: u64,
@@ -31,22 +31,22 @@
     /// A request whose head was just read.
     pub fn begin(state: &Arc<State>, connection: Connection) -> RequestGuard {
         let phase = state.drain.phase();
-        state.metrics.requests_received.get_or_create(&Arrival { phase, connection }).inc();
+        state.metrics.requests_received.get_or_create(&ArrivalLabels { phase, connection }).inc();
         let stage = Stage::Reading;
-        state.metrics.requests_under_way.get_or_create(&UnderWay { phase, stage }).inc();
+        state.metrics.requests_under_way.get_or_create(&StageLabels { phase, stage }).inc();
         RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, begun: clock::now() }
     }
 
     /// The phase in which it came.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
     /// It goes on to a further stage.
     pub fn enter(&mut self, stage: Stage) {
         let gauges = &self.state.metrics.requests_under_way;
-        gauges.get_or_create(&UnderWay { phase: self.phase, stage: self.stage }).dec();
-        gauges.get_or_create(&UnderWay { phase: self.phase, stage }).inc();
+        gauges.get_or_create(&StageLabels { phase: self.phase, stage: self.stage }).dec();
+        gauges.get_or_create(&StageLabels { phase: self.phase, stage }).inc();
         self.stage = stage;
     }
 
@@ -75,8 +75,8 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         let metrics = &self.state.metrics;
-        metrics.requests_under_way.get_or_create(&UnderWay { phase: self.phase, stage: self.stage }).dec();
-        metrics.requests_ended.get_or_create(&Ended { phase: self.phase, outcome: self.outcome }).inc();
+        metrics.requests_under_way.get_or_create(&StageLabels { phase: self.phase, stage: self.stage }).dec();
+        metrics.requests_ended.get_or_create(&OutcomeLabels { phase: self.phase, outcome: self.outcome }).inc();
         metrics.request_duration.observe(self.age_s());
     }
 }
--- a/router/src/kv/catalog_client.rs
+++ b/router/src/kv/catalog_client.rs
@@ -28,9 +28,9 @@
 }
 
 /// What the catalog told.
-pub struct Found {
+pub struct LookupResult {
     pub owners: Vec<Vec<String>>,
-    pub list: Vec<EngineLoad>,
+    pub loads: Vec<EngineLoad>,
 }
 
 const WAIT_MS: u64 = 40;
@@ -73,7 +73,7 @@
     }
 
     /// The owners of each key asked, and how pressed they and the sample are; None: no answer in time.
-    pub async fn look_up(&self, keys: &[u64], sample: Vec<u64>) -> Option<Found> {
+    pub async fn look_up(&self, keys: &[u64], sample: Vec<u64>) -> Option<LookupResult> {
         let (epoch, peer) = self.peer(clock::now())?;
         let plain = self.inner.lock().plain;
         let msg = match plain {
@@ -83,9 +83,9 @@
         let reply = peer.call(msg, WAIT_MS).await;
         self.heard(reply.is_some());
         match reply? {
-            Message::Owners(found) if found.0 == epoch => Some(Found { owners: found.1, list: Vec::new() }),
+            Message::Owners(found) if found.0 == epoch => Some(LookupResult { owners: found.1, loads: Vec::new() }),
             Message::PrefixLookupResponse(found) if found.epoch == epoch => {
-                Some(Found { owners: found.owners, list: found.list })
+                Some(LookupResult { owners: found.owners, loads: found.list })
             }
             _ => None,
         }
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -16,7 +16,7 @@
 use quota::{Allowances, Bounds, EligibleOwner, Quota};
 
 use crate::frontend::error_response::Failure;
-use crate::metrics::Quotas;
+use crate::metrics::QuotaLabels;
 use crate::proxy::exchange::Exchange;
 
 /// How long a holder may take to answer.
@@ -197,7 +197,7 @@
         let Some(quota) = tenant.quota else { return Ok(()) };
         let roll = self.state.rng.lock().next_u64();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
-        self.state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
+        self.state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
     }
 }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -9,7 +9,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::limits::quota_gate::Decision;
 use crate::proxy::send;
 use crate::state::State;
@@ -75,20 +75,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Arrival {
-    pub phase: Phase,
+pub struct ArrivalLabels {
+    pub phase: DrainPhase,
     pub connection: Connection,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct UnderWay {
-    pub phase: Phase,
+pub struct StageLabels {
+    pub phase: DrainPhase,
     pub stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Ended {
-    pub phase: Phase,
+pub struct OutcomeLabels {
+    pub phase: DrainPhase,
     pub outcome: Outcome,
 }
 
@@ -99,12 +99,12 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct InPhase {
-    pub phase: Phase,
+pub struct PhaseLabels {
+    pub phase: DrainPhase,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Quotas {
+pub struct QuotaLabels {
     pub decision: Decision,
 }
 
@@ -112,16 +112,16 @@
 pub struct Metrics {
     registry: Registry,
     /// By the phase in which they came.
-    pub requests_received: Family<Arrival, Counter>,
-    pub requests_under_way: Family<UnderWay, Gauge>,
-    pub requests_ended: Family<Ended, Counter>,
+    pub requests_received: Family<ArrivalLabels, Counter>,
+    pub requests_under_way: Family<StageLabels, Gauge>,
+    pub requests_ended: Family<OutcomeLabels, Counter>,
     pub request_duration: Histogram,
     pub first_byte: Histogram,
-    pub connections_accepted: Family<InPhase, Counter>,
+    pub connections_accepted: Family<PhaseLabels, Counter>,
     pub connections_open: Gauge,
     pub engine_sends: Family<EngineSendLabels, Counter>,
     pub engine_connections: Counter,
-    pub quota_decisions: Family<Quotas, Counter>,
+    pub quota_decisions: Family<QuotaLabels, Counter>,
     pub retries_denied: Counter,
     pub readiness_checks_failed: Counter,
     config_revision: Gauge,
@@ -208,8 +208,8 @@
     }
 
     /// Requests that are not ended yet and came in a phase, and how far they are.
-    pub fn under_way(&self, phase: Phase, stage: Stage) -> i64 {
-        self.requests_under_way.get_or_create(&UnderWay { phase, stage }).get()
+    pub fn requests_in_stage(&self, phase: DrainPhase, stage: Stage) -> i64 {
+        self.requests_under_way.get_or_create(&StageLabels { phase, stage }).get()
     }
 
     /// All metrics as text, with the figures that are only read when asked for.
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -4,20 +4,20 @@
 
 use tokio::{task, time};
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::limits::quota_gate::Decision;
-use crate::metrics::{Ended, Outcome, Quotas, Stage};
+use crate::metrics::{Outcome, OutcomeLabels, QuotaLabels, Stage};
 use crate::state::State;
 use crate::testing::engine::{answer, engines, events, waiting_engine, Act};
 use crate::testing::router::{ask, post, router, Client};
 
 fn ended(state: &State, outcome: Outcome) -> u64 {
-    state.metrics.requests_ended.get_or_create(&Ended { phase: Phase::Serving, outcome }).get()
+    state.metrics.requests_ended.get_or_create(&OutcomeLabels { phase: DrainPhase::Serving, outcome }).get()
 }
 
 fn total_under_way(state: &State) -> i64 {
     let stages = [Stage::Reading, Stage::Forwarding, Stage::Answering];
-    stages.into_iter().map(|stage| state.metrics.under_way(Phase::Serving, stage)).sum()
+    stages.into_iter().map(|stage| state.metrics.requests_in_stage(DrainPhase::Serving, stage)).sum()
 }
 
 /// Waits until a figure is as wished.
@@ -58,9 +58,9 @@
     let request = post("stream", "1", "");
     let (head, body) = request.split_at(request.len() - 2);
     client.write(head).await;
-    until(|| state.metrics.under_way(Phase::Serving, Stage::Reading) == 1).await;
+    until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Reading) == 1).await;
     client.write(body).await;
-    until(|| state.metrics.under_way(Phase::Serving, Stage::Answering) == 1).await;
+    until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Answering) == 1).await;
     assert_eq!(total_under_way(&state), 1);
     go_on.notify_one();
     client.until("0\r\n\r\n").await;
@@ -75,7 +75,7 @@
     // A family without a series is not told.
     ask(&state, "once", "1", "").await;
     let decision = Decision::Granted;
-    state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
+    state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
     let page = include_str!("../../docs/metrics.md");
     assert_eq!(
         telemetry::testing::metric_names(&state.metrics.render(&state)),
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -44,7 +44,7 @@
         let found = state.prefix_catalog.look_up(missing, sample).await;
         if let Some(found) = &found {
             let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
-            found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
+            found.loads.iter().for_each(|told| engine_table.record_relayed_load(told, now));
         }
         let found = found.map(|found| found.owners);
         let mut record = state.owner_cache.lock();
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -134,7 +134,7 @@
         if !holds(state, service, &request.model, extra) {
             return Outcome::Unsent(SendError::Behind);
         }
-        if !request.authorization.holds(&state.table()) {
+        if !request.authorization.is_still_valid(&state.table()) {
             return Outcome::Unsent(SendError::Unauthorized);
         }
         let reply = match time::timeout_at(end, connection.try_send_request(outgoing)).await {
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -8,7 +8,7 @@
 use kernel::signal::{self, Signals};
 
 use crate::event::{PREFIX_LOOKUP_COUNTS, ROUTER_STARTED, SHUTDOWN_FINISHED, SHUTDOWN_STARTED};
-use crate::frontend::drain::{Phase, Schedule};
+use crate::frontend::drain::{DrainPhase, DrainSchedule};
 use crate::frontend::listener;
 use crate::metrics::Stage;
 use crate::rollout;
@@ -28,10 +28,10 @@
     };
 }
 
-part!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::readiness(state.clone()))));
+part!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::serve_readiness(state.clone()))));
 part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
 part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
-part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(listener::frontend(state.clone()))));
+part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(listener::serve_frontend(state.clone()))));
 
 /// Runs a router until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
@@ -41,27 +41,28 @@
     telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
     plugin::start(&ROUTER_PARTS, &state);
     signal::wait_for_termination(&mut signals).await;
-    leave(&state).await;
+    shut_down(&state).await;
     process::ExitCode::SUCCESS
 }
 
 /// Ends what the router does, well inside the grace.
-pub(crate) async fn leave(state: &State) {
+pub(crate) async fn shut_down(state: &State) {
     let counts = state.owner_cache.lock().counts;
     kernel::log_event!(SHUTDOWN_STARTED, "open" => under_way(state, &PHASES, &STAGES));
     kernel::log_event!(PREFIX_LOOKUP_COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
         "dropped" => counts.dropped);
-    state.drain.run(&Schedule::of(state.settings.bounds.grace_s)).await;
+    state.drain.run(&DrainSchedule::for_grace(state.settings.bounds.grace_s)).await;
     report_end(state);
 }
 
-const PHASES: [Phase; 3] = [Phase::Serving, Phase::Draining, Phase::Closing];
+const PHASES: [DrainPhase; 3] = [DrainPhase::Serving, DrainPhase::Draining, DrainPhase::Closing];
 const STAGES: [Stage; 3] = [Stage::Reading, Stage::Forwarding, Stage::Answering];
 
 /// Requests that are not ended yet: those that came in some phases and are in some stages.
-fn under_way(state: &State, phases: &[Phase], stages: &[Stage]) -> i64 {
-    let of_phase = |phase: &Phase| stages.iter().map(|stage| state.metrics.under_way(*phase, *stage)).sum::<i64>();
+fn under_way(state: &State, phases: &[DrainPhase], stages: &[Stage]) -> i64 {
+    let of_phase =
+        |phase: &DrainPhase| stages.iter().map(|stage| state.metrics.requests_in_stage(*phase, *stage)).sum::<i64>();
     phases.iter().map(of_phase).sum()
 }
 
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -22,7 +22,7 @@
 
 use crate::config::freshness::Currency;
 use crate::config::routing_table::Table;
-use crate::frontend::drain::{Drain, Phase};
+use crate::frontend::drain::{Drain, DrainPhase};
 use crate::kv::catalog_client::CatalogClient;
 use crate::limits::quota_gate::QuotaGate;
 use crate::metrics::Metrics;
@@ -136,6 +136,6 @@
 
     /// Is the process about to end?
     pub fn is_leaving(&self) -> bool {
-        self.drain.phase() != Phase::Serving
+        self.drain.phase() != DrainPhase::Serving
     }
 }
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -92,7 +92,7 @@
         let state = state.clone();
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.expect("a client");
-            listener::client(state, stream).await;
+            listener::serve_client(state, stream).await;
         });
         Client(TcpStream::connect(addr).await.expect("connected"))
     }
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -13,7 +13,7 @@
 use tokio::task::{self, JoinSet};
 use tokio::time;
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::frontend::listener;
 use crate::metrics::Stage;
 use crate::startup;
@@ -54,9 +54,9 @@
         thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
-                tokio::spawn(listener::frontend(inner.clone()));
+                tokio::spawn(listener::serve_frontend(inner.clone()));
                 signal.notified().await;
-                startup::leave(&inner).await;
+                startup::shut_down(&inner).await;
             });
             drop(runtime);
             let _ = end.send(());
@@ -172,7 +172,7 @@
     let mut answer = String::new();
     let read = stream.read_to_string(&mut answer).await;
     assert!(read.is_ok() && status(&answer) == "503", "{read:?} {answer:?}");
-    assert_eq!(process.state.metrics.under_way(Phase::Draining, Stage::Reading), 0);
+    assert_eq!(process.state.metrics.requests_in_stage(DrainPhase::Draining, Stage::Reading), 0);
 }
 
 #[tokio::test]
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -222,7 +222,7 @@
     let (parts, ()) = request.into_parts();
     let table = state.table();
     let route = table.find("h", "/once/x").expect("there");
-    let key = authorization::key(&parts.headers);
+    let key = authorization::api_key_digest(&parts.headers);
     let authorization = Authorization::grant(&table, route, key).expect("granted");
     request::Request::new(parts, Bytes::new(), authorization, 0, clock::now())
 }
