--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -20,7 +20,7 @@
 use crate::frontend::authorization::{self, Authorization, UnknownKey};
 use crate::frontend::drain::DrainPhase;
 use crate::frontend::error_response::{self, Body, Failure};
-use crate::frontend::framing_check::Look;
+use crate::frontend::framing_check::FramingMonitor;
 use crate::frontend::request;
 use crate::frontend::request_guard::RequestGuard;
 use crate::metrics::{Connection, Outcome, Stage};
@@ -32,40 +32,40 @@
 pub async fn serve(
     state: Arc<State>,
     incoming: http::Request<Incoming>,
-    look: &Look,
+    framing: &FramingMonitor,
     connection: Connection,
 ) -> Response<Body> {
-    let mut guard = RequestGuard::begin(&state, connection);
-    let leaving = state.is_leaving();
+    let mut guard = RequestGuard::start(&state, connection);
+    let shutting_down = state.is_leaving();
     let fail = |failure: Failure, last| (error_response::build(failure, last), failure.into());
-    if look.both() {
-        let (response, outcome) = fail(Failure::Malformed, leaving);
-        return guard.follow(response, outcome);
+    if framing.has_conflicting_framings() {
+        let (response, outcome) = fail(Failure::Malformed, shutting_down);
+        return guard.track_response(response, outcome);
     }
-    let entered = match guard.phase() {
-        DrainPhase::Serving | DrainPhase::Draining => enter(&state, incoming).await,
+    let admitted = match guard.phase() {
+        DrainPhase::Serving | DrainPhase::Draining => read_and_admit(&state, incoming).await,
         // Its head came as the router closed: refused early rather than given up late.
-        DrainPhase::Closing => Err(refuse_unread(incoming).await),
+        DrainPhase::Closing => Err(reject_unread(incoming).await),
     };
-    look.arm();
-    let (response, outcome) = match entered {
+    framing.expect_head();
+    let (response, outcome) = match admitted {
         Ok(exchange) => {
-            guard.enter(Stage::Forwarding);
+            guard.advance_to(Stage::Forwarding);
             match forward::answer(exchange).await {
                 Ok(response) => {
-                    let outcome = passed_on(&response);
+                    let outcome = forwarded_outcome(&response);
                     (response, outcome)
                 }
                 Err(failure) => fail(failure, state.is_leaving()),
             }
         }
-        Err(rejection) => fail(rejection.failure, leaving || rejection.ends),
+        Err(rejection) => fail(rejection.failure, shutting_down || rejection.close_connection),
     };
-    guard.follow(response, outcome)
+    guard.track_response(response, outcome)
 }
 
 /// What an engine's answer comes to once it is passed on whole.
-fn passed_on(response: &Response<Body>) -> Outcome {
+fn forwarded_outcome(response: &Response<Body>) -> Outcome {
     match response.status().is_success() {
         true => Outcome::Success,
         false => Outcome::EngineFailure,
@@ -73,15 +73,15 @@
 }
 
 /// Bounds for a request that comes before the first configuration is known.
-const EARLY_BYTES: usize = 8 * 1024 * 1024;
-const EARLY_MS: u64 = 1000;
+const STARTUP_MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+const STARTUP_WAIT_MS: u64 = 1000;
 /// When to come back where the configuration is not known well enough.
-const RETRY_MS: u64 = 300;
+const RETRY_AFTER_MS: u64 = 300;
 
 /// Until this daemon is ready, or `end`.
-async fn starting(state: &State, end: u64) {
-    let order = Ordering::Relaxed;
-    while !state.ready.load(order) && clock::now() < end {
+async fn wait_until_ready(state: &State, deadline_ms: u64) {
+    let ordering = Ordering::Relaxed;
+    while !state.ready.load(ordering) && clock::now() < deadline_ms {
         time::sleep(Duration::from_millis(15)).await;
     }
 }
@@ -90,12 +90,12 @@
 struct Rejection {
     failure: Failure,
     /// Its body was not read to the end: the connection can't go on.
-    ends: bool,
+    close_connection: bool,
 }
 
 impl From<Failure> for Rejection {
     fn from(failure: Failure) -> Rejection {
-        Rejection { failure, ends: false }
+        Rejection { failure, close_connection: false }
     }
 }
 
@@ -103,18 +103,18 @@
 /// next request on the connection is found where it begins.
 async fn reject(failure: Failure, parts: &Parts, body: Option<Incoming>) -> Rejection {
     // A client that asks before it sends its body is not told to send it.
-    let asks = parts.headers.contains_key(EXPECT);
+    let awaits_continue = parts.headers.contains_key(EXPECT);
     let read = match body {
-        Some(body) => !asks && request::discard_body(body).await,
+        Some(body) => !awaits_continue && request::discard_body(body).await,
         None => true,
     };
-    Rejection { failure, ends: !read }
+    Rejection { failure, close_connection: !read }
 }
 
 /// Refuses a request of which only the head was looked at.
-async fn refuse_unread(incoming: http::Request<Incoming>) -> Rejection {
+async fn reject_unread(incoming: http::Request<Incoming>) -> Rejection {
     let (parts, body) = incoming.into_parts();
-    reject(Failure::Unavailable(RETRY_MS), &parts, Some(body)).await
+    reject(Failure::Unavailable(RETRY_AFTER_MS), &parts, Some(body)).await
 }
 
 /// What lets a request in: the table of that moment, and the route and tenant that it has for the request.
@@ -124,7 +124,7 @@
 }
 
 /// Judges a request by one table: the route first, since it says whether a key is needed.
-fn judge(table: &Table, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
+fn authorize_by(table: &Table, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
     let route = table.find(host, parts.uri.path()).ok_or(Failure::RouteNotFound)?;
     let granted = Authorization::grant(table, route, key);
@@ -133,71 +133,71 @@
 
 /// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
 /// proved to be current.
-async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
-    let left_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
+async fn authorize(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
+    let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
     let key = authorization::api_key_digest(&parts.headers);
-    let accepts = |table: &Table| judge(table, parts, key).is_ok();
-    let table = match freshness::table_with(state, left_ms, accepts).await {
+    let accepts = |table: &Table| authorize_by(table, parts, key).is_ok();
+    let table = match freshness::table_with(state, time_budget_ms, accepts).await {
         Ok(table) => table,
-        Err(Miss::Unproved) => return Err(Failure::Unavailable(RETRY_MS)),
+        Err(Miss::Unproved) => return Err(Failure::Unavailable(RETRY_AFTER_MS)),
         // The proof holds for this table as well: it is the same or a newer one.
         Err(Miss::Certain) => state.table(),
     };
-    let authorization = judge(&table, parts, key)?;
+    let authorization = authorize_by(&table, parts, key)?;
     Ok(Admitted { table, authorization })
 }
 
-async fn enter(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
+async fn read_and_admit(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
     let received_at_ms = clock::now();
     let (parts, body) = incoming.into_parts();
     if !request::has_unambiguous_framing(&parts.headers) {
         return Err(Failure::Malformed.into());
     }
     let mut body = Some(body);
-    let mut whole = None;
+    let mut early_body = None;
     if !state.ready.load(Ordering::Relaxed) {
         // Just started: what is needed comes within moments. The body is read meanwhile.
-        let early = body.take().ok_or(Failure::Malformed)?;
-        whole = Some(request::read_body(early, EARLY_BYTES, EARLY_MS).await?);
-        let wait = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS) / 3;
-        starting(state, received_at_ms + wait.min(EARLY_MS)).await;
+        let unread = body.take().ok_or(Failure::Malformed)?;
+        early_body = Some(request::read_body(unread, STARTUP_MAX_BODY_BYTES, STARTUP_WAIT_MS).await?);
+        let wait = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS) / 3;
+        wait_until_ready(state, received_at_ms + wait.min(STARTUP_WAIT_MS)).await;
     }
     let table = state.table();
     if table.revision == 0 {
-        return Err(Failure::Unavailable(RETRY_MS).into());
+        return Err(Failure::Unavailable(RETRY_AFTER_MS).into());
     }
     if !table.seen.swap(true, Ordering::Relaxed) {
         kernel::log_event!(FIRST_REQUEST, "revision" => table.revision);
     }
-    let mut admitted = match admit(state, &parts).await {
+    let mut admitted = match authorize(state, &parts).await {
         Ok(admitted) => admitted,
         Err(failure) => return Err(reject(failure, &parts, body).await),
     };
-    let looked_up = clock::now();
-    let room = (state.settings.limits.memory_mb as usize) << 18;
-    if state.held_body_bytes.load(Ordering::Relaxed) > room {
+    let authorized_at_ms = clock::now();
+    let max_held_bytes = (state.settings.limits.memory_mb as usize) << 18;
+    if state.held_body_bytes.load(Ordering::Relaxed) > max_held_bytes {
         return Err(Failure::Unavailable(250).into());
     }
-    let most = admitted.table.body_bytes;
-    let body = match (whole, body) {
-        (Some(whole), _) if whole.len() <= most => whole,
-        (None, Some(body)) => request::read_body(body, most, admitted.table.idle_ms).await?,
+    let max_body_bytes = admitted.table.body_bytes;
+    let body = match (early_body, body) {
+        (Some(early_body), _) if early_body.len() <= max_body_bytes => early_body,
+        (None, Some(body)) => request::read_body(body, max_body_bytes, admitted.table.idle_ms).await?,
         _ => return Err(Failure::BodyTooLarge.into()),
     };
-    if clock::now() > looked_up + state.freshness.budget().lookup_age_ms() {
+    if clock::now() > authorized_at_ms + state.freshness.budget().lookup_age_ms() {
         // The body came slowly: a newer configuration may send it elsewhere.
-        admitted = admit(state, &parts).await?;
+        admitted = authorize(state, &parts).await?;
     }
-    Ok(begin(state, admitted, parts, body, received_at_ms))
+    Ok(start_exchange(state, admitted, parts, body, received_at_ms))
 }
 
 /// The exchange of a request that was let in and read.
-fn begin(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, received_at_ms: u64) -> Exchange {
+fn start_exchange(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, received_at_ms: u64) -> Exchange {
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
-        let mut dice = state.rng.lock();
-        routing_table::split(&route.targets, dice.next_u64())
+        let mut rng = state.rng.lock();
+        routing_table::split(&route.targets, rng.next_u64())
     };
     let request = request::Request::new(parts, body, authorization, u64::from(service), received_at_ms);
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -10,7 +10,7 @@
 
 const KEYED: &str = "Authorization: Bearer k1\r\n";
 
-async fn good_engines() -> Vec<Engine> {
+async fn succeeding_engines() -> Vec<Engine> {
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await
 }
 
@@ -22,7 +22,7 @@
 
 #[tokio::test]
 async fn a_key_or_route_that_may_only_be_late_is_refused_with_a_promise() {
-    let list = good_engines().await;
+    let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
     keys(&state, &["k2"]);
     for route in ["once", "gone"] {
@@ -39,7 +39,7 @@
 
 #[tokio::test]
 async fn a_key_that_comes_while_its_request_waits_is_served() {
-    let list = good_engines().await;
+    let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
     keys(&state, &["k2"]);
     let mut client = Client::connect(&state).await;
@@ -53,7 +53,7 @@
 
 #[tokio::test]
 async fn a_key_that_is_known_needs_no_proof() {
-    let list = good_engines().await;
+    let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
     keys(&state, &["k1"]);
     assert_eq!(status(&ask(&state, "once", "1", KEYED).await), "200");
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -11,18 +11,18 @@
 use crate::proxy::exchange::Exchange;
 
 /// The one scheme by which a key is carried: `Authorization: Bearer KEY`.
-const SCHEME: &[u8] = b"bearer";
+const BEARER_SCHEME: &[u8] = b"bearer";
 
 /// The key of a request. None: it has none, or not exactly one in the form that the protocol knows.
-pub fn api_key_digest(head: &HeaderMap) -> Option<KeyDigest> {
-    let mut values = head.get_all(AUTHORIZATION).iter();
+pub fn api_key_digest(headers: &HeaderMap) -> Option<KeyDigest> {
+    let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes().trim_ascii();
     if values.next().is_some() {
         return None;
     }
     let end = value.iter().position(u8::is_ascii_whitespace)?;
     let (scheme, key) = (&value[..end], value[end..].trim_ascii());
-    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
+    (scheme.eq_ignore_ascii_case(BEARER_SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
 }
 
 /// The route needs a key, and the request has none that is known.
@@ -40,7 +40,7 @@
 impl Authorization {
     /// Judges a request by the configuration of the moment.
     pub fn grant(table: &Table, route: &Arc<Route>, key: Option<KeyDigest>) -> Result<Authorization, UnknownKey> {
-        let tenant = holder(table, route.anonymous, key.as_ref())?.cloned();
+        let tenant = tenant_of_key(table, route.anonymous, key.as_ref())?.cloned();
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
@@ -48,10 +48,11 @@
     /// while its request waits.
     pub fn is_still_valid(&self, table: &Table) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
-        match (holder(table, anonymous, self.key.as_ref()), &self.tenant) {
+        match (tenant_of_key(table, anonymous, self.key.as_ref()), &self.tenant) {
             (Err(UnknownKey), _) => false,
-            (Ok(now), then) => {
-                now.map(|now| (&now.name, &now.homes)) == then.as_ref().map(|then| (&then.name, &then.homes))
+            (Ok(current), granted) => {
+                current.map(|current| (&current.name, &current.homes))
+                    == granted.as_ref().map(|granted| (&granted.name, &granted.homes))
             }
         }
     }
@@ -77,17 +78,17 @@
     }
 
     /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
-    pub fn rewrite_headers(&self, head: &mut HeaderMap) {
-        head.remove(AUTHORIZATION);
-        head.remove(TENANT);
+    pub fn rewrite_headers(&self, headers: &mut HeaderMap) {
+        headers.remove(AUTHORIZATION);
+        headers.remove(TENANT);
         if let Some(name) = self.tenant.as_ref().and_then(|tenant| tenant.header.clone()) {
-            head.insert(TENANT, name);
+            headers.insert(TENANT, name);
         }
     }
 }
 
 /// Whose request it is. None: nobody's, and it may go all the same. A known key counts on an anonymous route too.
-fn holder<'a>(
+fn tenant_of_key<'a>(
     table: &'a Table,
     anonymous: bool,
     key: Option<&KeyDigest>,
--- a/router/src/frontend/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -8,7 +8,7 @@
 use crate::config::routing_table::Table;
 use crate::config::tenants::KeyDigest;
 
-fn head(values: &[&[u8]]) -> HeaderMap {
+fn headers(values: &[&[u8]]) -> HeaderMap {
     let mut map = HeaderMap::new();
     for value in values {
         map.append("authorization", HeaderValue::from_bytes(value).expect("value"));
@@ -20,7 +20,7 @@
 fn a_key_is_carried_once_and_under_one_scheme() {
     let good: [&[u8]; 6] = [b"Bearer k1", b"bearer k1", b"BEARER k1", b"Bearer   k1", b"Bearer\tk1 ", b" Bearer k1\t"];
     for value in good {
-        assert_eq!(api_key_digest(&head(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
+        assert_eq!(api_key_digest(&headers(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
     }
     let bad: [&[u8]; 11] = [
         b"",
@@ -36,12 +36,12 @@
         b"B\xe9arer k1",
     ];
     for value in bad {
-        assert_eq!(api_key_digest(&head(&[value])), None, "{value:?}");
+        assert_eq!(api_key_digest(&headers(&[value])), None, "{value:?}");
     }
-    assert_eq!(api_key_digest(&head(&[])), None);
+    assert_eq!(api_key_digest(&headers(&[])), None);
     for other in [&b"Bearer k1"[..], b"Bearer k2", b"", b"Basic k1"] {
-        assert_eq!(api_key_digest(&head(&[b"Bearer k1", other])), None, "more than one says nothing: {other:?}");
-        assert_eq!(api_key_digest(&head(&[other, b"Bearer k1"])), None, "{other:?}");
+        assert_eq!(api_key_digest(&headers(&[b"Bearer k1", other])), None, "more than one says nothing: {other:?}");
+        assert_eq!(api_key_digest(&headers(&[other, b"Bearer k1"])), None, "{other:?}");
     }
 }
 
@@ -55,7 +55,7 @@
         b"Bearer k1 k1",
         b"Bearer k\xe9",
     ] {
-        assert_ne!(api_key_digest(&head(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
+        assert_ne!(api_key_digest(&headers(&[value])), Some(KeyDigest::of(b"k1")), "{value:?}");
     }
 }
 
@@ -89,9 +89,9 @@
 /// The tenant that an engine is told. None: the request is refused; empty: nobody's.
 fn named(table: &Table, route: &str, key: Option<&str>) -> Option<String> {
     let granted = grant(table, route, key).ok()?;
-    let mut head = HeaderMap::new();
-    granted.rewrite_headers(&mut head);
-    Some(head.get("tenant").map_or(String::new(), |name| name.to_str().expect("text").into()))
+    let mut headers = HeaderMap::new();
+    granted.rewrite_headers(&mut headers);
+    Some(headers.get("tenant").map_or(String::new(), |name| name.to_str().expect("text").into()))
 }
 
 #[test]
@@ -170,7 +170,7 @@
     let with = table(tenants(), true);
     for (route, key, expected) in [("keyed", Some("k1"), Some("one")), ("open", None, None), ("open", Some("k3"), None)]
     {
-        let mut map = head(&[b"Bearer k1", b"Basic x"]);
+        let mut map = headers(&[b"Bearer k1", b"Basic x"]);
         for name in ["two", "three"] {
             map.append("tenant", name.parse().expect("value"));
         }
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -32,7 +32,7 @@
     closing: CancellationToken,
     connections: TaskTracker,
     /// When everything must be finished, once that is known.
-    finish_at: OnceLock<Instant>,
+    deadline: OnceLock<Instant>,
 }
 
 impl Drain {
@@ -47,7 +47,7 @@
 
     /// How long what is taken now may take; None: as long as it likes.
     pub fn remaining_ms(&self) -> Option<u64> {
-        let end = self.finish_at.get()?;
+        let end = self.deadline.get()?;
         Some(end.saturating_duration_since(Instant::now()).as_millis() as u64)
     }
 
@@ -63,10 +63,10 @@
 
     /// Goes through all phases; over once every connection has ended, or the time to finish is.
     pub async fn run(&self, schedule: &DrainSchedule) {
-        let end = Instant::now() + schedule.finish_by;
-        let _ = self.finish_at.set(end);
+        let end = Instant::now() + schedule.finish_within;
+        let _ = self.deadline.set(end);
         self.draining.cancel();
-        time::sleep(schedule.take_for).await;
+        time::sleep(schedule.accept_for).await;
         self.closing.cancel();
         self.connections.close();
         let _ = time::timeout_at(end, self.connections.wait()).await;
@@ -77,29 +77,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainSchedule {
     /// For so long requests are taken.
-    pub take_for: Duration,
+    pub accept_for: Duration,
     /// By then what was taken is finished or given up.
-    pub finish_by: Duration,
+    pub finish_within: Duration,
 }
 
 /// The platform asks for readiness once a second and takes a router out that misses twice; what it passed on by then
 /// is on its way for a moment more.
-const NOTICED_MS: u64 = 3000;
+const UNREADY_DETECTION_MS: u64 = 3000;
 /// At most this part of the grace goes to being noticed, so that most is left for what was taken last.
-const TAKE_SHARE: f64 = 0.4;
+const MAX_ACCEPT_SHARE: f64 = 0.4;
 /// What is kept for the end of the process itself: a share of the grace, and no more than this.
 const RESERVE_SHARE: f64 = 1.0 / 24.0;
-const MOST_RESERVE_MS: u64 = 300;
+const MAX_RESERVE_MS: u64 = 300;
 
 impl DrainSchedule {
     /// The division of a grace in seconds.
     pub fn for_grace(grace_s: f64) -> DrainSchedule {
         let grace_ms = grace_s * 1000.0;
-        let take_ms = NOTICED_MS.min((grace_ms * TAKE_SHARE) as u64);
-        let reserve_ms = MOST_RESERVE_MS.min((grace_ms * RESERVE_SHARE) as u64);
+        let accept_ms = UNREADY_DETECTION_MS.min((grace_ms * MAX_ACCEPT_SHARE) as u64);
+        let reserve_ms = MAX_RESERVE_MS.min((grace_ms * RESERVE_SHARE) as u64);
         DrainSchedule {
-            take_for: Duration::from_millis(take_ms),
-            finish_by: Duration::from_millis((grace_ms as u64).saturating_sub(reserve_ms)),
+            accept_for: Duration::from_millis(accept_ms),
+            finish_within: Duration::from_millis((grace_ms as u64).saturating_sub(reserve_ms)),
         }
     }
 }
--- a/router/src/frontend/drain_tests.rs
+++ b/router/src/frontend/drain_tests.rs
@@ -15,10 +15,10 @@
 /// Runs through the phases of a grace of eight seconds; gives the time that it took.
 fn run(drain: &Arc<Drain>) -> JoinHandle<u128> {
     let drain = drain.clone();
-    let begun = Instant::now();
+    let started = Instant::now();
     tokio::spawn(async move {
         drain.run(&DrainSchedule::for_grace(8.0)).await;
-        begun.elapsed().as_millis()
+        started.elapsed().as_millis()
     })
 }
 
@@ -31,7 +31,7 @@
 fn a_grace_is_divided_into_being_noticed_finishing_and_a_reserve() {
     let parts = |grace_s: f64| {
         let schedule = DrainSchedule::for_grace(grace_s);
-        (schedule.take_for.as_millis(), schedule.finish_by.as_millis())
+        (schedule.accept_for.as_millis(), schedule.finish_within.as_millis())
     };
     assert_eq!(parts(8.0), (3000, 7700));
     assert_eq!(parts(30.0), (3000, 29_700));
@@ -44,8 +44,8 @@
     for tenths in 1..600 {
         let grace_s = f64::from(tenths) / 10.0;
         let schedule = DrainSchedule::for_grace(grace_s);
-        assert!(schedule.finish_by.as_secs_f64() >= grace_s * 5.0 / 6.0 - 0.001, "{grace_s} {schedule:?}");
-        assert!(schedule.take_for < schedule.finish_by, "{grace_s} {schedule:?}");
+        assert!(schedule.finish_within.as_secs_f64() >= grace_s * 5.0 / 6.0 - 0.001, "{grace_s} {schedule:?}");
+        assert!(schedule.accept_for < schedule.finish_within, "{grace_s} {schedule:?}");
     }
 }
 
--- a/router/src/frontend/error_response.rs
+++ b/router/src/frontend/error_response.rs
@@ -30,7 +30,7 @@
 }
 
 /// `last`: the connection ends with this answer, whatever it says.
-pub fn build(failure: Failure, last: bool) -> Response<Body> {
+pub fn build(failure: Failure, close_connection: bool) -> Response<Body> {
     let status = match failure {
         Failure::Malformed => 400,
         Failure::Unauthorized => 401,
@@ -42,22 +42,22 @@
         Failure::ResponseLost => 502,
         Failure::DeadlineExceeded => 504,
     };
-    let mut reply =
+    let mut response =
         Response::new(Body::new(UnsyncBoxBody::new(BodyExt::map_err(Empty::new(), |never| match never {}))));
-    *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let head = reply.headers_mut();
-    if let Failure::Unavailable(wait) | Failure::QuotaExceeded(wait) = failure {
-        let text = format!("{}.{:03}", wait / 1000, wait % 1000);
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let headers = response.headers_mut();
+    if let Failure::Unavailable(retry_after_ms) | Failure::QuotaExceeded(retry_after_ms) = failure {
+        let text = format!("{}.{:03}", retry_after_ms / 1000, retry_after_ms % 1000);
         if let Ok(value) = HeaderValue::from_str(&text) {
-            head.insert(RETRY_AFTER, value);
+            headers.insert(RETRY_AFTER, value);
         }
     }
     if failure == Failure::Unauthorized {
-        head.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
+        headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
     }
-    let ends = matches!(failure, Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge);
-    if ends || last {
-        head.insert(CONNECTION, HeaderValue::from_static("close"));
+    let ends_connection = matches!(failure, Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge);
+    if ends_connection || close_connection {
+        headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    reply
+    response
 }
--- a/router/src/frontend/framing_check.rs
+++ b/router/src/frontend/framing_check.rs
@@ -13,62 +13,62 @@
 
 /// Invariant: `armed` while the next bytes begin or continue a head; `both` tells of the last head.
 #[derive(Default)]
-pub struct Look {
-    armed: AtomicBool,
-    both: AtomicBool,
+pub struct FramingMonitor {
+    expects_head: AtomicBool,
+    has_conflicting_framings: AtomicBool,
 }
 
-impl Look {
-    pub fn new() -> Arc<Look> {
-        let look = Look::default();
-        look.arm();
-        Arc::new(look)
+impl FramingMonitor {
+    pub fn new() -> Arc<FramingMonitor> {
+        let framing = FramingMonitor::default();
+        framing.expect_head();
+        Arc::new(framing)
     }
 
     /// The body before is read: a head comes next.
-    pub fn arm(&self) {
-        self.armed.store(true, Ordering::Relaxed);
+    pub fn expect_head(&self) {
+        self.expects_head.store(true, Ordering::Relaxed);
     }
 
-    pub fn both(&self) -> bool {
-        self.both.load(Ordering::Relaxed)
+    pub fn has_conflicting_framings(&self) -> bool {
+        self.has_conflicting_framings.load(Ordering::Relaxed)
     }
 }
 
-pub struct Stream {
+pub struct MonitoredStream {
     inner: TcpStream,
-    look: Arc<Look>,
+    framing: Arc<FramingMonitor>,
     head: Vec<u8>,
 }
 
 /// Larger heads are refused anyway.
-const MOST: usize = 256 * 1024;
+const MAX_HEAD_BYTES: usize = 256 * 1024;
 
-impl Stream {
-    pub fn new(inner: TcpStream, look: Arc<Look>) -> Stream {
-        Stream { inner, look, head: Vec::new() }
+impl MonitoredStream {
+    pub fn new(inner: TcpStream, framing: Arc<FramingMonitor>) -> MonitoredStream {
+        MonitoredStream { inner, framing, head: Vec::new() }
     }
 
-    fn scan(&mut self, fresh: &[u8]) {
+    fn scan(&mut self, bytes: &[u8]) {
         let order = Ordering::Relaxed;
-        if !self.look.armed.load(order) {
+        if !self.framing.expects_head.load(order) {
             return;
         }
         let from = self.head.len().saturating_sub(3);
-        self.head.extend_from_slice(fresh);
-        let end = self.head[from..].windows(4).position(|four| four == b"\r\n\r\n");
-        if end.is_none() && self.head.len() < MOST {
+        self.head.extend_from_slice(bytes);
+        let end = self.head[from..].windows(4).position(|window| window == b"\r\n\r\n");
+        if end.is_none() && self.head.len() < MAX_HEAD_BYTES {
             return;
         }
         let head = &self.head[..end.map_or(self.head.len(), |end| from + end)];
-        self.look.both.store(framings(head) > 1, order);
-        self.look.armed.store(false, order);
+        self.framing.has_conflicting_framings.store(count_framings(head) > 1, order);
+        self.framing.expects_head.store(false, order);
         self.head = Vec::new();
     }
 }
 
 /// How many of the two framings a head names.
-fn framings(head: &[u8]) -> usize {
+fn count_framings(head: &[u8]) -> usize {
     let names = |name: &[u8]| {
         head.split(|byte| *byte == b'\n')
             .any(|line| line.len() > name.len() && line[..name.len()].eq_ignore_ascii_case(name))
@@ -76,18 +76,18 @@
     usize::from(names(b"content-length")) + usize::from(names(b"transfer-encoding"))
 }
 
-impl AsyncRead for Stream {
+impl AsyncRead for MonitoredStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let done = Pin::new(&mut self.inner).poll_read(cx, buf);
-        if let Poll::Ready(Ok(())) = &done {
-            self.scan(&buf.filled()[before..]);
+        let filled_before = buf.filled().len();
+        let result = Pin::new(&mut self.inner).poll_read(cx, buf);
+        if let Poll::Ready(Ok(())) = &result {
+            self.scan(&buf.filled()[filled_before..]);
         }
-        done
+        result
     }
 }
 
-impl AsyncWrite for Stream {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.inner).poll_write(cx, buf)
     }
--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -21,32 +21,32 @@
 use crate::config::routing_table::Table;
 use crate::frontend::admission;
 use crate::frontend::drain::DrainPhase;
-use crate::frontend::framing_check::{Look, Stream};
+use crate::frontend::framing_check::{FramingMonitor, MonitoredStream};
 use crate::metrics::{Connection, PhaseLabels};
 use crate::state::State;
 
 /// Connections that ask for readiness at once.
-const READINESS_CONNECTIONS: usize = 64;
+const MAX_READINESS_CONNECTIONS: usize = 64;
 /// Descriptors that are reserved; clients and engines share the rest.
 const RESERVED_DESCRIPTORS: u64 = 200;
 /// Clients' connections are served however few descriptors there are.
-const FEWEST_CONNECTIONS: u64 = 16;
+const MIN_CLIENT_CONNECTIONS: u64 = 16;
 /// A client that takes nothing for so long is gone.
-const CLIENT_SILENCE_MS: u64 = 10_000;
+const CLIENT_TIMEOUT_MS: u64 = 10_000;
 /// The smallest buffer for the head of a request, and what a buffer holds beyond it.
 const HEAD_BUFFER_BYTES: usize = 16 * 1024;
 const BODY_BUFFER_BYTES: usize = 64 * 1024;
 /// A kept connection may stay idle for so long at least.
-const SHORTEST_IDLE_MS: u64 = 1000;
+const MIN_IDLE_TIMEOUT_MS: u64 = 1000;
 
-fn most_connections(settings: &Settings) -> usize {
-    (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(FEWEST_CONNECTIONS) as usize
+fn max_client_connections(settings: &Settings) -> usize {
+    (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(MIN_CLIENT_CONNECTIONS) as usize
 }
 
 /// Answers the platform's calls for readiness.
 pub async fn serve_readiness(state: Arc<State>) {
-    let Some(addr) = state.settings.bind_addresses.readiness.clone() else { return };
-    socket::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
+    let Some(address) = state.settings.bind_addresses.readiness.clone() else { return };
+    socket::accept_each(&address, MAX_READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
 async fn answer_readiness(state: Arc<State>, stream: TcpStream) {
@@ -64,10 +64,10 @@
 
 /// Serves clients until the router closes; then nobody listens any more.
 pub async fn serve_frontend(state: Arc<State>) {
-    let Some(addr) = state.settings.bind_addresses.frontend.clone() else { return };
-    let room = most_connections(&state.settings);
+    let Some(address) = state.settings.bind_addresses.frontend.clone() else { return };
+    let max_connections = max_client_connections(&state.settings);
     tokio::select! {
-        () = socket::accept_each(&addr, room, |stream| serve_client(state.clone(), stream)) => {}
+        () = socket::accept_each(&address, max_connections, |stream| serve_client(state.clone(), stream)) => {}
         () = state.drain.wait_for_closing() => {}
     }
 }
@@ -102,8 +102,8 @@
     builder.timer(TokioTimer::new());
     builder.keep_alive(true).max_buf_size(table.header_bytes.max(HEAD_BUFFER_BYTES) + BODY_BUFFER_BYTES);
     // Also bounds how long a kept connection may stay idle.
-    let wait_ms = table.idle_ms.max(table.header_ms).max(SHORTEST_IDLE_MS);
-    builder.header_read_timeout(Duration::from_millis(wait_ms));
+    let timeout_ms = table.idle_ms.max(table.header_ms).max(MIN_IDLE_TIMEOUT_MS);
+    builder.header_read_timeout(Duration::from_millis(timeout_ms));
     if table.header_bytes > 0 {
         builder.max_header_size(table.header_bytes);
     }
@@ -111,25 +111,25 @@
 }
 
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
-    socket::configure(&stream, CLIENT_SILENCE_MS);
+    socket::configure(&stream, CLIENT_TIMEOUT_MS);
     let _open = OpenConnection::count(&state);
-    let look = Look::new();
-    let io = TokioIo::new(Stream::new(stream, look.clone()));
+    let framing = FramingMonitor::new();
+    let io = TokioIo::new(MonitoredStream::new(stream, framing.clone()));
     let inner = state.clone();
     let connection = Cell::new(Connection::New);
     let service = service::service_fn(move |request| {
-        let (state, look) = (inner.clone(), look.clone());
+        let (state, framing) = (inner.clone(), framing.clone());
         let connection = connection.replace(Connection::Kept);
-        async move { Ok::<_, Infallible>(admission::serve(state, request, &look, connection).await) }
+        async move { Ok::<_, Infallible>(admission::serve(state, request, &framing, connection).await) }
     });
-    let served = http_settings(&state.table()).serve_connection(io, service);
-    tokio::pin!(served);
+    let connection_future = http_settings(&state.table()).serve_connection(io, service);
+    tokio::pin!(connection_future);
     tokio::select! {
-        _ = served.as_mut() => return,
-        () = state.drain.wait_for_closing() => served.as_mut().graceful_shutdown(),
+        _ = connection_future.as_mut() => return,
+        () = state.drain.wait_for_closing() => connection_future.as_mut().graceful_shutdown(),
     }
     // What is under way on it is finished; without that it ends at once.
-    let _ = served.await;
+    let _ = connection_future.await;
 }
 
 impl State {
--- a/router/src/frontend/request.rs
+++ b/router/src/frontend/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use catalog::PromptSegment;
-use http::header::{self, HeaderName, CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
+use http::header::{HeaderName, CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use hyper::body::Incoming;
@@ -39,69 +39,74 @@
     pub deferrable_share: Option<f64>,
 }
 
-const HOP: [&str; 8] =
+const HOP_BY_HOP_HEADERS: [&str; 8] =
     ["connection", "keep-alive", "proxy-connection", "transfer-encoding", "te", "trailer", "upgrade", "content-length"];
 
 /// The mark of deferrable work, and the share of an engine's places up to which it is let in: little
 /// by day, more when its window comes near; interactive work has the rest.
-pub const DEFER: &str = "deferrable";
-const IDLE: f64 = 0.3;
-const NEAR: f64 = 0.5;
+pub const DEFERRABLE: &str = "deferrable";
+const IDLE_SHARE: f64 = 0.3;
+const NEAR_DEADLINE_SHARE: f64 = 0.5;
 
 /// What the system alone tells engines. From a client these would lead to another request's memory, or have its
 /// own request only read.
-const SYSTEM: [&str; 5] = [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
+const INTERNAL_HEADERS: [&str; 5] =
+    [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
 
 /// Removes what concerns one connection, and what `Connection` names.
-pub fn remove_hop_by_hop_headers(head: &mut HeaderMap) {
-    let named: Vec<String> = head
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    for name in HOP.iter().copied().chain(named.iter().map(String::as_str)) {
+    for name in HOP_BY_HOP_HEADERS.iter().copied().chain(connection_options.iter().map(String::as_str)) {
         if !name.is_empty() {
-            head.remove(name);
+            headers.remove(name);
         }
     }
 }
 
-pub fn parse_number(head: &HeaderMap, name: &str) -> Option<u64> {
-    head.get(name)?.to_str().ok()?.trim().parse().ok()
+pub fn parse_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
 /// Shapes that could hide another request: refused before anything is done.
-pub fn has_unambiguous_framing(head: &HeaderMap) -> bool {
-    let count = |name: HeaderName| head.get_all(name).iter().count();
-    let framed = count(TRANSFER_ENCODING);
-    let sized = count(CONTENT_LENGTH);
-    let ids = head.get_all(ATTEMPT_ID).iter().count();
-    framed <= 1 && sized <= 1 && framed + sized <= 1 && count(HOST) == 1 && ids <= 1
+pub fn has_unambiguous_framing(headers: &HeaderMap) -> bool {
+    let count = |name: HeaderName| headers.get_all(name).iter().count();
+    let transfer_encodings = count(TRANSFER_ENCODING);
+    let content_lengths = count(CONTENT_LENGTH);
+    let attempt_ids = headers.get_all(ATTEMPT_ID).iter().count();
+    transfer_encodings <= 1
+        && content_lengths <= 1
+        && transfer_encodings + content_lengths <= 1
+        && count(HOST) == 1
+        && attempt_ids <= 1
 }
 
 /// Reads a body within the limit; the pause between pieces is bounded by `idle_ms`.
-pub async fn read_body(mut body: Incoming, most: usize, idle_ms: u64) -> Result<Bytes, Failure> {
+pub async fn read_body(mut body: Incoming, max_bytes: usize, idle_ms: u64) -> Result<Bytes, Failure> {
     use http_body_util::BodyExt;
     use hyper::body::Body;
     let hint = body.size_hint().exact().unwrap_or(0) as usize;
-    if hint > most {
+    if hint > max_bytes {
         return Err(Failure::BodyTooLarge);
     }
     let wait = Duration::from_millis(idle_ms.max(1));
-    let mut whole = BytesMut::with_capacity(hint);
+    let mut buffer = BytesMut::with_capacity(hint);
     loop {
         let frame = match time::timeout(wait, body.frame()).await {
             Err(_) => return Err(Failure::BodyTimeout),
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(buffer.freeze()),
             Ok(Some(Err(_))) => return Err(Failure::Malformed),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
-        if whole.len() + data.len() > most {
+        if buffer.len() + data.len() > max_bytes {
             return Err(Failure::BodyTooLarge);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
 }
 
@@ -117,7 +122,7 @@
     if body.size_hint().lower() > DISCARD_BYTES as u64 {
         return false;
     }
-    let whole = async {
+    let read_to_end = async {
         let mut left = DISCARD_BYTES;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
@@ -127,42 +132,43 @@
         }
         true
     };
-    time::timeout(Duration::from_millis(DISCARD_MS), whole).await.unwrap_or(false)
+    time::timeout(Duration::from_millis(DISCARD_MS), read_to_end).await.unwrap_or(false)
 }
 
 impl Request {
     pub fn new(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, received_at_ms: u64) -> Request {
-        let mut head = parts.headers;
-        remove_hop_by_hop_headers(&mut head);
-        head.remove(header::EXPECT);
-        for name in SYSTEM {
-            head.remove(name);
+        let mut headers = parts.headers;
+        remove_hop_by_hop_headers(&mut headers);
+        headers.remove(EXPECT);
+        for name in INTERNAL_HEADERS {
+            headers.remove(name);
         }
-        authorization.rewrite_headers(&mut head);
-        let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
-        let most = authorization.route().timeout_ms;
-        let wait = parse_number(&head, TIME_BUDGET).unwrap_or(most).min(most);
-        let text = head.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
+        authorization.rewrite_headers(&mut headers);
+        let deferrable_share =
+            headers.remove(DEFERRABLE).map(|urgency| if urgency == "near" { NEAR_DEADLINE_SHARE } else { IDLE_SHARE });
+        let max_timeout_ms = authorization.route().timeout_ms;
+        let timeout_ms = parse_number(&headers, TIME_BUDGET).unwrap_or(max_timeout_ms).min(max_timeout_ms);
+        let text = headers.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
         let list = text.and_then(catalog::parse_prompt_prefix).unwrap_or_default();
-        let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
+        let model = headers.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
         let model_key = hashing::hash(model);
         let keys = catalog::prefix_keys(hashing::combine(seed, model_key), &list);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
             path,
-            attempt_id: head.get(ATTEMPT_ID).cloned(),
+            attempt_id: headers.get(ATTEMPT_ID).cloned(),
             model_key,
             model: String::from_utf8_lossy(model).into_owned(),
-            last_event_id: head.get(LAST_EVENT_ID).cloned(),
-            headers: head,
+            last_event_id: headers.get(LAST_EVENT_ID).cloned(),
+            headers,
             body,
-            deadline_ms: received_at_ms + wait,
+            deadline_ms: received_at_ms + timeout_ms,
             received_at_ms,
             prompt_segments: list,
             prefix_keys: keys,
             authorization,
-            deferrable_share: spare,
+            deferrable_share,
         }
     }
 
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -22,19 +22,19 @@
     phase: DrainPhase,
     stage: Stage,
     outcome: Outcome,
-    begun: u64,
+    started_at_ms: u64,
 }
 
 const MS_PER_S: f64 = 1000.0;
 
 impl RequestGuard {
     /// A request whose head was just read.
-    pub fn begin(state: &Arc<State>, connection: Connection) -> RequestGuard {
+    pub fn start(state: &Arc<State>, connection: Connection) -> RequestGuard {
         let phase = state.drain.phase();
         state.metrics.requests_received.get_or_create(&ArrivalLabels { phase, connection }).inc();
         let stage = Stage::Reading;
         state.metrics.requests_under_way.get_or_create(&StageLabels { phase, stage }).inc();
-        RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, begun: clock::now() }
+        RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, started_at_ms: clock::now() }
     }
 
     /// The phase in which it came.
@@ -43,7 +43,7 @@
     }
 
     /// It goes on to a further stage.
-    pub fn enter(&mut self, stage: Stage) {
+    pub fn advance_to(&mut self, stage: Stage) {
         let gauges = &self.state.metrics.requests_under_way;
         gauges.get_or_create(&StageLabels { phase: self.phase, stage: self.stage }).dec();
         gauges.get_or_create(&StageLabels { phase: self.phase, stage }).inc();
@@ -51,23 +51,23 @@
     }
 
     fn age_s(&self) -> f64 {
-        (clock::now() - self.begun) as f64 / MS_PER_S
+        (clock::now() - self.started_at_ms) as f64 / MS_PER_S
     }
 
     /// Follows the answer to its end: `outcome` counts once all of the body was taken.
-    pub fn follow(
+    pub fn track_response(
         mut self,
         response: Response<error_response::Body>,
         outcome: Outcome,
     ) -> Response<error_response::Body> {
         use http_body::Body;
-        self.enter(Stage::Answering);
+        self.advance_to(Stage::Answering);
         self.state.metrics.first_byte.observe(self.age_s());
         response.map(|body| {
-            let left = body.size_hint().exact();
-            let mut followed = FollowedBody { body, left, outcome, guard: self };
-            followed.note_end(left == Some(0));
-            error_response::Body::new(followed)
+            let remaining_bytes = body.size_hint().exact();
+            let mut tracked = TrackedBody { body, remaining_bytes, outcome, guard: self };
+            tracked.record_end(remaining_bytes == Some(0));
+            error_response::Body::new(tracked)
         })
     }
 }
@@ -82,24 +82,24 @@
 }
 
 /// The body of an answer, and the request that it ends.
-struct FollowedBody {
+struct TrackedBody {
     body: error_response::Body,
     /// Bytes still to come, where that is known.
-    left: Option<u64>,
+    remaining_bytes: Option<u64>,
     /// What the request came to once the body is taken whole.
     outcome: Outcome,
     guard: RequestGuard,
 }
 
-impl FollowedBody {
-    fn note_end(&mut self, is_whole: bool) {
-        if is_whole {
+impl TrackedBody {
+    fn record_end(&mut self, is_complete: bool) {
+        if is_complete {
             self.guard.outcome = self.outcome;
         }
     }
 }
 
-impl http_body::Body for FollowedBody {
+impl http_body::Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -107,10 +107,10 @@
         let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
             let size = frame.data_ref().map_or(0, Bytes::len) as u64;
-            self.left = self.left.map(|left| left.saturating_sub(size));
+            self.remaining_bytes = self.remaining_bytes.map(|remaining_bytes| remaining_bytes.saturating_sub(size));
         }
-        let is_whole = frame.is_none() || self.left == Some(0);
-        self.note_end(is_whole);
+        let is_complete = frame.is_none() || self.remaining_bytes == Some(0);
+        self.record_end(is_complete);
         Poll::Ready(frame)
     }
 
--- a/router/src/frontend/request_tests.rs
+++ b/router/src/frontend/request_tests.rs
@@ -2,7 +2,7 @@
 
 use super::{has_unambiguous_framing, remove_hop_by_hop_headers};
 
-fn head(list: &[(&'static str, &str)]) -> HeaderMap {
+fn headers(list: &[(&'static str, &str)]) -> HeaderMap {
     let mut map = HeaderMap::new();
     for (name, value) in list {
         map.append(*name, value.parse().expect("value"));
@@ -12,7 +12,7 @@
 
 #[test]
 fn smuggling_shapes_are_unsound() {
-    assert!(has_unambiguous_framing(&head(&[("host", "a"), ("content-length", "3")])));
+    assert!(has_unambiguous_framing(&headers(&[("host", "a"), ("content-length", "3")])));
     for bad in [
         vec![("host", "a"), ("content-length", "3"), ("content-length", "3")],
         vec![("host", "a"), ("content-length", "3"), ("transfer-encoding", "chunked")],
@@ -20,13 +20,13 @@
         vec![("host", "a"), ("host", "b")],
         vec![],
     ] {
-        assert!(!has_unambiguous_framing(&head(&bad)), "{bad:?}");
+        assert!(!has_unambiguous_framing(&headers(&bad)), "{bad:?}");
     }
 }
 
 #[test]
 fn what_concerns_one_connection_is_not_passed_on() {
-    let mut map = head(&[("connection", "close, x-hop"), ("x-hop", "1"), ("keep-alive", "3"), ("x-end", "2")]);
+    let mut map = headers(&[("connection", "close, x-hop"), ("x-hop", "1"), ("keep-alive", "3"), ("x-end", "2")]);
     remove_hop_by_hop_headers(&mut map);
     assert_eq!(map.len(), 1);
     assert!(map.contains_key("x-end"));
--- a/router/src/kv/kv_handle.rs
+++ b/router/src/kv/kv_handle.rs
@@ -30,12 +30,12 @@
     /// The handle, if it may still be named. It is out of our hands from here on.
     pub fn take_kv_handle(&mut self) -> Option<KvHandle> {
         let now = clock::now();
-        let good = self.kv_handle.as_ref().is_some_and(|handle| {
+        let is_usable = self.kv_handle.as_ref().is_some_and(|handle| {
             let engine_table = self.state.engine_table.lock();
             let engine = &engine_table.engines[handle.engine_index];
             now < handle.expires_at_ms && engine.listed && !self.closed_zones.contains(&engine.zone)
         });
-        if !good {
+        if !is_usable {
             self.release_kv_handle();
         }
         self.kv_handle.take()
@@ -45,7 +45,7 @@
     pub fn release_kv_handle(&mut self) {
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
-        let most = self.max_connections();
-        tokio::spawn(async move { send::free(&state, &handle, most).await });
+        let max_connections = self.max_connections();
+        tokio::spawn(async move { send::free(&state, &handle, max_connections).await });
     }
 }
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -20,14 +20,14 @@
 use crate::proxy::exchange::Exchange;
 
 /// How long a holder may take to answer.
-const ANSWER_MS: u64 = 60;
+const RESPONSE_TIMEOUT_MS: u64 = 60;
 /// A holder that gave no answer is passed over for so long.
-const REST_MS: u64 = 500;
+const BACKOFF_MS: u64 = 500;
 /// A tenant whose shards were all empty is refused without asking for at most so long.
-const MEMORY_MS: u64 = 30;
+const EMPTY_CACHE_MS: u64 = 30;
 /// When a client that was refused may come back.
 const RETRY_AFTER_MS: u64 = 500;
-const RETRY_ALONE_MS: u64 = 200;
+const LOCAL_RETRY_AFTER_MS: u64 = 200;
 
 /// What a request of a tenant with a limit came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, prometheus_client::encoding::EncodeLabelValue)]
@@ -51,24 +51,24 @@
             Decision::Granted | Decision::GrantedAlone => None,
             Decision::Denied | Decision::Remembered => Some(Failure::QuotaExceeded(RETRY_AFTER_MS)),
             // Not known to be over its limit: another router may reach a holder.
-            Decision::RefusedAlone => Some(Failure::Unavailable(RETRY_ALONE_MS)),
+            Decision::RefusedAlone => Some(Failure::Unavailable(LOCAL_RETRY_AFTER_MS)),
         }
     }
 }
 
 /// What a round of asking came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum TokenOutcome {
     Granted,
     Empty { retry_after_ms: u64 },
-    Nobody,
+    Unanswered,
 }
 
 struct Inner {
-    holders: Vec<EligibleOwner>,
-    mark: u64,
-    links: HashMap<String, Arc<PeerClient>>,
-    resting_until: HashMap<String, u64>,
+    shard_owners: Vec<EligibleOwner>,
+    fingerprint: u64,
+    clients: HashMap<String, Arc<PeerClient>>,
+    backoff_until: HashMap<String, u64>,
     empty_until: HashMap<String, u64>,
     allowances: Allowances,
 }
@@ -87,14 +87,14 @@
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
         };
-        let mark = hashing::hash(settings.node_name.as_bytes());
+        let node_seed = hashing::hash(settings.node_name.as_bytes());
         let inner = Inner {
-            holders: Vec::new(),
-            mark: 0,
-            links: HashMap::new(),
-            resting_until: HashMap::new(),
+            shard_owners: Vec::new(),
+            fingerprint: 0,
+            clients: HashMap::new(),
+            backoff_until: HashMap::new(),
             empty_until: HashMap::new(),
-            allowances: Allowances::new(bounds, mark),
+            allowances: Allowances::new(bounds, node_seed),
         };
         QuotaGate { peer_port: settings.peer_port(), inner: Mutex::new(inner) }
     }
@@ -102,35 +102,36 @@
     /// Takes a list of controllers that may hold shards.
     pub fn set_shard_owners(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock();
-        inner.mark = shard_owners_fingerprint(list);
-        inner.holders = list.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
-        let known = inner.holders.clone();
-        inner.links.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
-        inner.resting_until.retain(|ip, _| known.iter().any(|holder| holder.ip == *ip));
+        inner.fingerprint = shard_owners_fingerprint(list);
+        inner.shard_owners =
+            list.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+        let known = inner.shard_owners.clone();
+        inner.clients.retain(|ip, _| known.iter().any(|owner| owner.ip == *ip));
+        inner.backoff_until.retain(|ip, _| known.iter().any(|owner| owner.ip == *ip));
     }
 
     /// What tells the list of holders from others.
     pub fn shard_owners_fingerprint(&self) -> u64 {
-        self.inner.lock().mark
+        self.inner.lock().fingerprint
     }
 
     /// Decides about one request of a tenant.
-    pub async fn decide(&self, tenant: &str, quota: &Quota, routers: u32, roll: u64) -> Decision {
+    pub async fn decide(&self, tenant: &str, quota: &Quota, router_count: u32, random: u64) -> Decision {
         let now = clock::now();
         if self.is_known_empty(tenant, now) {
             return Decision::Remembered;
         }
-        match self.ask(tenant, quota, roll).await {
-            Asked::Granted => Decision::Granted,
-            Asked::Empty { retry_after_ms } => {
-                let until = clock::now() + retry_after_ms.min(MEMORY_MS);
+        match self.request_token(tenant, quota, random).await {
+            TokenOutcome::Granted => Decision::Granted,
+            TokenOutcome::Empty { retry_after_ms } => {
+                let until = clock::now() + retry_after_ms.min(EMPTY_CACHE_MS);
                 self.inner.lock().empty_until.insert(tenant.into(), until);
                 Decision::Denied
             }
-            Asked::Nobody => {
+            TokenOutcome::Unanswered => {
                 let now = clock::now();
                 let mut inner = self.inner.lock();
-                match inner.allowances.try_acquire(tenant, quota, routers, now) {
+                match inner.allowances.try_acquire(tenant, quota, router_count, now) {
                     true => Decision::GrantedAlone,
                     false => Decision::RefusedAlone,
                 }
@@ -145,48 +146,48 @@
     }
 
     /// The holders of a tenant's shards in the order in which they are asked: those that answered lately.
-    fn order(&self, tenant: &str, roll: u64) -> Vec<(String, Arc<PeerClient>)> {
+    fn owners_in_order(&self, tenant: &str, random: u64) -> Vec<(String, Arc<PeerClient>)> {
         let now = clock::now();
         let mut inner = self.inner.lock();
-        inner.resting_until.retain(|_, until| now < *until);
-        let chosen = quota::shard_owners(tenant, &inner.holders);
-        let mut order: Vec<String> = chosen.into_iter().map(|holder| holder.ip.clone()).collect();
-        let first = roll.checked_rem(order.len() as u64).unwrap_or(0) as usize;
-        order.rotate_left(first);
-        order.retain(|ip| !inner.resting_until.contains_key(ip));
+        inner.backoff_until.retain(|_, until| now < *until);
+        let owners = quota::shard_owners(tenant, &inner.shard_owners);
+        let mut owners_in_order: Vec<String> = owners.into_iter().map(|owner| owner.ip.clone()).collect();
+        let offset = random.checked_rem(owners_in_order.len() as u64).unwrap_or(0) as usize;
+        owners_in_order.rotate_left(offset);
+        owners_in_order.retain(|ip| !inner.backoff_until.contains_key(ip));
         let port = self.peer_port;
-        let link = |ip: String| {
+        let client = |ip: String| {
             let start = || Arc::new(PeerClient::start(format!("{ip}:{port}"), None));
-            let caller = inner.links.entry(ip.clone()).or_insert_with(start).clone();
-            (ip, caller)
+            let client_of_owner = inner.clients.entry(ip.clone()).or_insert_with(start).clone();
+            (ip, client_of_owner)
         };
-        order.into_iter().map(link).collect()
+        owners_in_order.into_iter().map(client).collect()
     }
 
-    async fn ask(&self, tenant: &str, quota: &Quota, roll: u64) -> Asked {
-        let spend = TokenRequest {
+    async fn request_token(&self, tenant: &str, quota: &Quota, random: u64) -> TokenOutcome {
+        let request = TokenRequest {
             tenant: tenant.into(),
             rate_milli: to_milli(quota.rate_per_s),
             burst_milli: to_milli(quota.burst),
         };
-        let mut result = Asked::Nobody;
-        for (ip, link) in self.order(tenant, roll) {
-            let message = Message::TokenRequest(Box::new(spend.clone()));
-            match link.call(message, ANSWER_MS).await {
-                Some(Message::TokenResponse(spent)) => match *spent {
-                    TokenResponse::Granted => return Asked::Granted,
-                    TokenResponse::Denied { retry_after_ms } => result = Asked::Empty { retry_after_ms },
+        let mut result = TokenOutcome::Unanswered;
+        for (ip, client) in self.owners_in_order(tenant, random) {
+            let message = Message::TokenRequest(Box::new(request.clone()));
+            match client.call(message, RESPONSE_TIMEOUT_MS).await {
+                Some(Message::TokenResponse(response)) => match *response {
+                    TokenResponse::Granted => return TokenOutcome::Granted,
+                    TokenResponse::Denied { retry_after_ms } => result = TokenOutcome::Empty { retry_after_ms },
                     TokenResponse::NotHeld => {}
                 },
-                _ => self.rest(ip),
+                _ => self.back_off(ip),
             }
         }
         result
     }
 
-    fn rest(&self, ip: String) {
-        let until = clock::now() + REST_MS;
-        self.inner.lock().resting_until.insert(ip, until);
+    fn back_off(&self, ip: String) {
+        let until = clock::now() + BACKOFF_MS;
+        self.inner.lock().backoff_until.insert(ip, until);
     }
 }
 
@@ -195,8 +196,8 @@
     pub async fn acquire_quota_token(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
-        let roll = self.state.rng.lock().next_u64();
-        let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
+        let random = self.state.rng.lock().next_u64();
+        let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), random).await;
         self.state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
     }
--- a/router/src/limits/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -15,20 +15,20 @@
 use crate::testing::router::{ask, configure, router, status, SETTINGS};
 
 /// A controller that answers every request for a token so.
-async fn controller(ip: &str, port: u16, spent: Option<TokenResponse>) -> Arc<AtomicUsize> {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = asked.clone();
+async fn controller(ip: &str, port: u16, response: Option<TokenResponse>) -> Arc<AtomicUsize> {
+    let requests = Arc::new(AtomicUsize::new(0));
+    let count = requests.clone();
     let listener = socket::listen(&format!("{ip}:{port}")).expect("a free address");
-    let handler: Handler = Arc::new(move |mouth, id, message| {
+    let handler: Handler = Arc::new(move |responder, id, message| {
         if let Message::TokenRequest(_) = message {
             count.fetch_add(1, Ordering::Relaxed);
-            if let Some(spent) = spent {
-                mouth.reply(id, &Message::TokenResponse(Box::new(spent)));
+            if let Some(response) = response {
+                responder.reply(id, &Message::TokenResponse(Box::new(response)));
             }
         }
     });
     tokio::spawn(link::serve(listener, handler));
-    asked
+    requests
 }
 
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 10.0 };
@@ -39,8 +39,8 @@
     let settings =
         settings.replace("budget_slack = 0.0", "budget_slack = 0.0, quota_slack = 20.0, quota_overage = 0.1");
     let gate = QuotaGate::new(&settings::parse(&settings).expect("good settings"));
-    let holder = |ip: &&str| ShardOwner { ip: ip.to_string(), zone: ip.to_string() };
-    gate.set_shard_owners(&ips.iter().map(holder).collect::<Vec<_>>());
+    let owner = |ip: &&str| ShardOwner { ip: ip.to_string(), zone: ip.to_string() };
+    gate.set_shard_owners(&ips.iter().map(owner).collect::<Vec<_>>());
     gate
 }
 
@@ -51,11 +51,11 @@
     controller(ips[1], port, Some(TokenResponse::Granted)).await;
     controller(ips[2], port, Some(TokenResponse::NotHeld)).await;
     let gate = gate(port, &ips);
-    for roll in 0..6 {
-        assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
+    for random in 0..6 {
+        assert_eq!(gate.decide("t", &QUOTA, 9, random).await, Decision::Granted);
     }
-    let holder = |ip: &str| ShardOwner { ip: ip.into(), zone: "a".into() };
-    gate.set_shard_owners(&[holder(ips[0]), holder(ips[2])]);
+    let owner = |ip: &str| ShardOwner { ip: ip.into(), zone: "a".into() };
+    gate.set_shard_owners(&[owner(ips[0]), owner(ips[2])]);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Denied);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Remembered);
     assert_eq!(gate.decide("other", &QUOTA, 9, 0).await, Decision::Denied, "each tenant by itself");
@@ -67,8 +67,8 @@
     let silent = controller(ips[0], port, None).await;
     controller(ips[1], port, Some(TokenResponse::Granted)).await;
     let gate = gate(port, &ips);
-    for roll in 0..10 {
-        assert_eq!(gate.decide("t", &QUOTA, 9, roll).await, Decision::Granted);
+    for random in 0..10 {
+        assert_eq!(gate.decide("t", &QUOTA, 9, random).await, Decision::Granted);
     }
     assert_eq!(silent.load(Ordering::Relaxed), 1);
 }
@@ -77,8 +77,8 @@
 async fn without_an_answer_a_router_keeps_to_its_own_allowance() {
     let gate = gate(7383, &["127.0.83.1"]);
     let mut granted = 0;
-    for roll in 0..100 {
-        match gate.decide("t", &QUOTA, 2, roll).await {
+    for random in 0..100 {
+        match gate.decide("t", &QUOTA, 2, random).await {
             Decision::GrantedAlone => granted += 1,
             decision => assert_eq!(decision, Decision::RefusedAlone),
         }
@@ -92,7 +92,7 @@
 #[tokio::test]
 async fn who_is_over_the_limit_gets_429_and_reaches_no_engine() {
     let (ip, port) = ("127.0.84.1", 7300);
-    let asked = controller(ip, port, Some(EMPTY)).await;
+    let requests = controller(ip, port, Some(EMPTY)).await;
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
     state.quota_gate.set_shard_owners(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
@@ -101,8 +101,8 @@
     let text = ask(&state, "once", "1", KEYED).await;
     assert_eq!(status(&text), "429", "{text}");
     assert!(text.to_lowercase().contains("retry-after: 0.500"), "{text}");
-    assert_eq!((seen(&list).len(), asked.load(Ordering::Relaxed)), (0, 1));
+    assert_eq!((seen(&list).len(), requests.load(Ordering::Relaxed)), (0, 1));
     configure(&state, 3, tenant(0.0));
     assert_eq!(status(&ask(&state, "once", "2", KEYED).await), "200", "no rate, no limit");
-    assert_eq!(asked.load(Ordering::Relaxed), 1);
+    assert_eq!(requests.load(Ordering::Relaxed), 1);
 }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -132,12 +132,12 @@
     prefix_hits: Gauge,
 }
 
-const PREFIX: &str = "tidepoint_router";
+const METRIC_PREFIX: &str = "tidepoint_router";
 
 impl Default for Metrics {
     fn default() -> Metrics {
         let mut metrics = Metrics {
-            registry: Registry::with_prefix(PREFIX),
+            registry: Registry::with_prefix(METRIC_PREFIX),
             requests_received: Default::default(),
             requests_under_way: Default::default(),
             requests_ended: Default::default(),
@@ -214,11 +214,11 @@
 
     /// All metrics as text, with the figures that are only read when asked for.
     pub fn render(&self, state: &State) -> String {
-        let order = Ordering::Relaxed;
+        let ordering = Ordering::Relaxed;
         let counts = state.owner_cache.lock().counts;
         self.ready.set(i64::from(state.is_ready()));
         self.config_revision.set(state.table().revision as i64);
-        self.body_bytes.set(state.held_body_bytes.load(order) as i64);
+        self.body_bytes.set(state.held_body_bytes.load(ordering) as i64);
         self.engines_known.set(state.engine_table.lock().engines.len() as i64);
         self.prefix_lookups.set(counts.queries as i64);
         self.prefix_hits.set(counts.hits as i64);
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -15,13 +15,13 @@
     state.metrics.requests_ended.get_or_create(&OutcomeLabels { phase: DrainPhase::Serving, outcome }).get()
 }
 
-fn total_under_way(state: &State) -> i64 {
+fn unfinished_requests(state: &State) -> i64 {
     let stages = [Stage::Reading, Stage::Forwarding, Stage::Answering];
     stages.into_iter().map(|stage| state.metrics.requests_in_stage(DrainPhase::Serving, stage)).sum()
 }
 
 /// Waits until a figure is as wished.
-async fn until(figure: impl Fn() -> bool) {
+async fn wait_until(figure: impl Fn() -> bool) {
     let wait = async {
         while !figure() {
             task::yield_now().await;
@@ -43,7 +43,7 @@
     ask(&state, "once", "failed", "").await;
     ask(&state, "none", "nowhere", "").await;
     ask(&state, "stream", "broken", "").await;
-    until(|| total_under_way(&state) == 0).await;
+    wait_until(|| unfinished_requests(&state) == 0).await;
     let outcomes = [Outcome::Success, Outcome::EngineFailure, Outcome::NoRoute, Outcome::Cut, Outcome::Lost];
     assert_eq!(outcomes.map(|outcome| ended(&state, outcome)), [1, 1, 1, 1, 0]);
     let text = state.metrics.render(&state);
@@ -52,19 +52,19 @@
 
 #[tokio::test]
 async fn a_request_is_under_way_from_its_head_to_the_end_of_its_answer() {
-    let (list, go_on) = waiting_engine().await;
+    let (list, resume) = waiting_engine().await;
     let state = router(&list);
     let mut client = Client::connect(&state).await;
     let request = post("stream", "1", "");
     let (head, body) = request.split_at(request.len() - 2);
     client.write(head).await;
-    until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Reading) == 1).await;
+    wait_until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Reading) == 1).await;
     client.write(body).await;
-    until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Answering) == 1).await;
-    assert_eq!(total_under_way(&state), 1);
-    go_on.notify_one();
+    wait_until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Answering) == 1).await;
+    assert_eq!(unfinished_requests(&state), 1);
+    resume.notify_one();
     client.until("0\r\n\r\n").await;
-    until(|| total_under_way(&state) == 0).await;
+    wait_until(|| unfinished_requests(&state) == 0).await;
     assert_eq!(ended(&state, Outcome::Success), 1);
 }
 
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -20,14 +20,14 @@
 use crate::state::State;
 
 /// How long samples are gathered before they are sent.
-const GATHER: Duration = Duration::from_millis(200);
+const SAMPLING_INTERVAL: Duration = Duration::from_millis(200);
 /// The most paces that one message holds for a route and version: more say no more.
-const MOST_PACES: usize = 64;
+const MAX_INTERVALS_PER_SAMPLE: usize = 64;
 
 /// The newest rollouts, by the dense index of their service, and samples of those that are active.
 #[derive(Default)]
 pub struct Rollouts {
-    list: HashMap<u32, VersionRollout>,
+    by_service: HashMap<u32, VersionRollout>,
     samples: BTreeMap<(String, u64), BTreeMap<(String, bool), RouteSamples>>,
 }
 
@@ -42,19 +42,19 @@
 
 impl Rollouts {
     /// Takes a record that is newer than the one held.
-    fn take(&mut self, service: u32, rollout: VersionRollout) -> bool {
-        let is_new = self.list.get(&service).is_none_or(|held| held.number < rollout.number);
+    fn insert_if_newer(&mut self, service: u32, rollout: VersionRollout) -> bool {
+        let is_new = self.by_service.get(&service).is_none_or(|known| known.number < rollout.number);
         if is_new {
-            self.list.insert(service, rollout);
+            self.by_service.insert(service, rollout);
         }
         is_new
     }
 
     /// Which engines a request goes to. `holds_lease`: what is known here was confirmed a moment ago.
-    pub fn arm(&self, service: u32, roll: u64, holds_lease: bool) -> Arm {
-        let Some(rollout) = self.list.get(&service) else { return Arm::Stable };
+    pub fn arm(&self, service: u32, random: u64, holds_lease: bool) -> Arm {
+        let Some(rollout) = self.by_service.get(&service) else { return Arm::Stable };
         match rollout.state {
-            RolloutState::Active if holds_lease && roll % 1000 < u64::from(rollout.share) => {
+            RolloutState::Active if holds_lease && random % 1000 < u64::from(rollout.share) => {
                 Arm::Candidate(rollout.share)
             }
             // Until the lists follow, its engines still stand among those that are brought in.
@@ -64,18 +64,19 @@
     }
 
     /// Notes what a request showed, while its service has an active rollout.
-    fn note(&mut self, service: u32, route: &str, arm: Arm, seen: VersionOutcome) -> bool {
-        let Some(rollout) = self.list.get(&service).filter(|rollout| rollout.state == RolloutState::Active) else {
+    fn record(&mut self, service: u32, route: &str, arm: Arm, outcome: VersionOutcome) -> bool {
+        let Some(rollout) = self.by_service.get(&service).filter(|rollout| rollout.state == RolloutState::Active)
+        else {
             return false;
         };
         let routes = self.samples.entry((rollout.service.clone(), rollout.order)).or_default();
         let is_candidate = arm.is_candidate();
-        let fresh = || RouteSamples { route: route.into(), is_candidate, good: 0, failed: 0, paces: Vec::new() };
-        let samples = routes.entry((route.into(), is_candidate)).or_insert_with(fresh);
-        match seen {
+        let empty = || RouteSamples { route: route.into(), is_candidate, good: 0, failed: 0, paces: Vec::new() };
+        let samples = routes.entry((route.into(), is_candidate)).or_insert_with(empty);
+        match outcome {
             VersionOutcome::Success { event_interval_us } => {
                 samples.good += 1;
-                if samples.paces.len() < MOST_PACES {
+                if samples.paces.len() < MAX_INTERVALS_PER_SAMPLE {
                     samples.paces.extend(event_interval_us.map(|event_interval_us| (event_interval_us, 1)));
                 }
             }
@@ -84,45 +85,45 @@
         true
     }
 
-    fn take_samples(&mut self) -> Vec<Samples> {
-        let whole = |((service, order), routes): (_, BTreeMap<_, RouteSamples>)| Samples {
+    fn drain_samples(&mut self) -> Vec<Samples> {
+        let to_samples = |((service, order), routes): (_, BTreeMap<_, RouteSamples>)| Samples {
             service,
             order,
             list: routes.into_values().collect(),
             is_relayed: false,
         };
-        mem::take(&mut self.samples).into_iter().map(whole).collect()
+        mem::take(&mut self.samples).into_iter().map(to_samples).collect()
     }
 }
 
 /// A record from a controller.
 pub fn apply(state: &State, rollout: VersionRollout) {
     let service = state.engine_table.lock().service_index(&rollout.service);
-    let (name, target, share, word) =
+    let (name, target, share, state_name) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.as_str());
-    if state.rollouts.lock().take(service, rollout) {
-        kernel::log_event!(VERSION_ROLLOUT_ACTIVATED, "service" => name, "version" => target, "state" => word, "share" => share);
+    if state.rollouts.lock().insert_if_newer(service, rollout) {
+        kernel::log_event!(VERSION_ROLLOUT_ACTIVATED, "service" => name, "version" => target, "state" => state_name, "share" => share);
     }
 }
 
 /// The records held, as told to controllers.
 pub fn applied_revisions(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts.lock();
-    let told =
+    let entry =
         |rollout: &VersionRollout| (HiddenKey::Register(&VersionRollout::key(&rollout.service)).into(), rollout.number);
-    rollouts.list.values().map(told).collect()
+    rollouts.by_service.values().map(entry).collect()
 }
 
 /// Sends samples to the home controller as they come, for as long as the process runs.
 pub async fn send_samples(state: Arc<State>) {
     loop {
         state.samples_wanted.notified().await;
-        time::sleep(GATHER).await;
-        let list = state.rollouts.lock().take_samples();
-        let home = state.home_controller.lock().clone();
-        let Some(home) = home else { continue };
+        time::sleep(SAMPLING_INTERVAL).await;
+        let list = state.rollouts.lock().drain_samples();
+        let controller = state.home_controller.lock().clone();
+        let Some(controller) = controller else { continue };
         for samples in list {
-            home.notify(Message::Samples(Box::new(samples)));
+            controller.notify(Message::Samples(Box::new(samples)));
         }
     }
 }
@@ -130,19 +131,19 @@
 impl Exchange {
     /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
     pub fn choose_version(&mut self) {
-        let roll = self.state.rng.lock().next_u64();
+        let random = self.state.rng.lock().next_u64();
         let now = clock::now();
         let holds_lease = self.state.staleness_bounds.lock().is_confirmed(now);
-        self.arm = self.state.rollouts.lock().arm(self.service, roll, holds_lease);
+        self.arm = self.state.rollouts.lock().arm(self.service, random, holds_lease);
         if self.arm.is_candidate() && !self.view(|view| view.is_usable()) {
             self.arm = Arm::Stable;
         }
     }
 
     /// Notes what this request showed of the version that served it.
-    pub fn record_version_outcome(&self, seen: VersionOutcome) {
-        let noted = self.state.rollouts.lock().note(self.service, &self.route, self.arm, seen);
-        if noted {
+    pub fn record_version_outcome(&self, outcome: VersionOutcome) {
+        let recorded = self.state.rollouts.lock().record(self.service, &self.route, self.arm, outcome);
+        if recorded {
             self.state.samples_wanted.notify_one();
         }
     }
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -19,7 +19,7 @@
 #[linkme(crate = kernel::plugin::linkme)]
 pub static ROUTER_PARTS: [Plugin<Arc<State>>];
 
-macro_rules! part {
+macro_rules! router_plugin {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
         #[kernel::plugin::linkme::distributed_slice(ROUTER_PARTS)]
         #[linkme(crate = kernel::plugin::linkme)]
@@ -28,17 +28,17 @@
     };
 }
 
-part!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::serve_readiness(state.clone()))));
-part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
-part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
-part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(listener::serve_frontend(state.clone()))));
+router_plugin!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::serve_readiness(state.clone()))));
+router_plugin!(SUBSCRIPTION, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
+router_plugin!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
+router_plugin!(FRONTEND, "frontend", 3, |state| drop(tokio::spawn(listener::serve_frontend(state.clone()))));
 
 /// Runs a router until it is told to end and has finished what it took.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
     kernel::log_event!(ROUTER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
     let state = State::new(settings);
-    let observed = state.clone();
-    telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
+    let scraped = state.clone();
+    telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || scraped.metrics.render(&scraped));
     plugin::start(&ROUTER_PARTS, &state);
     signal::wait_for_termination(&mut signals).await;
     shut_down(&state).await;
@@ -48,30 +48,30 @@
 /// Ends what the router does, well inside the grace.
 pub(crate) async fn shut_down(state: &State) {
     let counts = state.owner_cache.lock().counts;
-    kernel::log_event!(SHUTDOWN_STARTED, "open" => under_way(state, &PHASES, &STAGES));
+    kernel::log_event!(SHUTDOWN_STARTED, "open" => count_unfinished(state, &PHASES, &STAGES));
     kernel::log_event!(PREFIX_LOOKUP_COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
         "dropped" => counts.dropped);
     state.drain.run(&DrainSchedule::for_grace(state.settings.bounds.grace_s)).await;
-    report_end(state);
+    log_unfinished(state);
 }
 
 const PHASES: [DrainPhase; 3] = [DrainPhase::Serving, DrainPhase::Draining, DrainPhase::Closing];
 const STAGES: [Stage; 3] = [Stage::Reading, Stage::Forwarding, Stage::Answering];
 
 /// Requests that are not ended yet: those that came in some phases and are in some stages.
-fn under_way(state: &State, phases: &[DrainPhase], stages: &[Stage]) -> i64 {
+fn count_unfinished(state: &State, phases: &[DrainPhase], stages: &[Stage]) -> i64 {
     let of_phase =
         |phase: &DrainPhase| stages.iter().map(|stage| state.metrics.requests_in_stage(*phase, *stage)).sum::<i64>();
     phases.iter().map(of_phase).sum()
 }
 
 /// What is left unfinished, by how far it is and whether it came before or after SIGTERM.
-fn report_end(state: &State) {
-    kernel::log_event!(SHUTDOWN_FINISHED, "open" => under_way(state, &PHASES, &STAGES),
-        "reading" => under_way(state, &PHASES, &[Stage::Reading]),
-        "forwarding" => under_way(state, &PHASES, &[Stage::Forwarding]),
-        "answering" => under_way(state, &PHASES, &[Stage::Answering]),
-        "taken_since" => under_way(state, &PHASES[1..], &STAGES),
+fn log_unfinished(state: &State) {
+    kernel::log_event!(SHUTDOWN_FINISHED, "open" => count_unfinished(state, &PHASES, &STAGES),
+        "reading" => count_unfinished(state, &PHASES, &[Stage::Reading]),
+        "forwarding" => count_unfinished(state, &PHASES, &[Stage::Forwarding]),
+        "answering" => count_unfinished(state, &PHASES, &[Stage::Answering]),
+        "taken_since" => count_unfinished(state, &PHASES[1..], &STAGES),
         "connections" => state.metrics.connections_open.get());
 }
--- a/router/src/tests/exchange.rs
+++ b/router/src/tests/exchange.rs
@@ -204,7 +204,7 @@
 }
 
 /// Engines that say nothing; each is found dark as soon as a request has come to it.
-async fn dark_once_asked(state: Arc<OnceLock<Arc<State>>>) -> Vec<Engine> {
+async fn unresponsive_after_first_request(state: Arc<OnceLock<Arc<State>>>) -> Vec<Engine> {
     engines("decode", 2, move |seen, before| {
         let state = state.get().expect("set");
         let now = clock::now() + 1;
@@ -221,7 +221,7 @@
 async fn only_a_repeatable_request_leaves_an_engine_that_is_found_dark() {
     for route in ["once", "stream", "again", "resume"] {
         let cell = Arc::new(OnceLock::new());
-        let list = dark_once_asked(cell.clone()).await;
+        let list = unresponsive_after_first_request(cell.clone()).await;
         let state = router(&list);
         assert!(cell.set(state.clone()).is_ok());
         let once = UNREPEATABLE.contains(&route);
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -23,7 +23,7 @@
 
 /// The grace of these routers, in seconds.
 const GRACE_S: f64 = 1.6;
-const WHOLE_STREAM: &str = "0\r\n\r\n";
+const STREAM_END: &str = "0\r\n\r\n";
 
 /// A router in a runtime of its own, which ends as its process would: with all that is open in it.
 struct Process {
@@ -97,7 +97,7 @@
     let mut piece = [0; 4096];
     while let Ok(size) = stream.read(&mut piece).await {
         bytes.extend_from_slice(&piece[..size]);
-        if size == 0 || bytes.ends_with(WHOLE_STREAM.as_bytes()) {
+        if size == 0 || bytes.ends_with(STREAM_END.as_bytes()) {
             break;
         }
     }
@@ -108,25 +108,25 @@
 /// Was a request lost? It is whole, or it was refused before any engine had it, or nobody took it.
 fn is_lost(received: &Received, engines: &[Engine]) -> bool {
     if status(&received.text) == "200" {
-        return !received.text.ends_with(WHOLE_STREAM);
+        return !received.text.ends_with(STREAM_END);
     }
     engine::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
 }
 
 /// Engines whose streams end at the next beat after their head, so that some are always under way.
 async fn slow_engines() -> Vec<Engine> {
-    let beat = Arc::new(Notify::new());
-    let ticking = beat.clone();
+    let release = Arc::new(Notify::new());
+    let releaser = release.clone();
     tokio::spawn(async move {
         let mut interval = time::interval(Duration::from_millis(150));
         loop {
             interval.tick().await;
-            ticking.notify_waiters();
+            releaser.notify_waiters();
         }
     });
     engines("decode", 3, move |seen, _| {
         let (head, rest) = head_and_rest(seen);
-        Act::SendAndLater(head, beat.clone(), rest)
+        Act::SendAndLater(head, release.clone(), rest)
     })
     .await
 }
@@ -138,21 +138,21 @@
     drop(process.first_connection().await);
     let mut clients = JoinSet::new();
     let mut arrivals = time::interval(Duration::from_millis(15));
-    let mut number = 0;
+    let mut count = 0;
     loop {
         arrivals.tick().await;
-        number += 1;
-        clients.spawn(request(process.address.clone(), format!("r{number}")));
-        if number == 20 {
+        count += 1;
+        clients.spawn(request(process.address.clone(), format!("r{count}")));
+        if count == 20 {
             process.terminate.notify_one();
         }
         if process.ended.try_recv().is_ok() {
             break;
         }
-        assert!(number < 1000, "the process ends inside its grace");
+        assert!(count < 1000, "the process ends inside its grace");
     }
     let received = clients.join_all().await;
-    let served = received.iter().filter(|one| one.text.ends_with(WHOLE_STREAM)).count();
+    let served = received.iter().filter(|one| one.text.ends_with(STREAM_END)).count();
     assert!(served > 20, "requests are served also after SIGTERM: {served}");
     let lost: Vec<_> = received.iter().filter(|one| is_lost(one, &list)).collect();
     assert!(lost.is_empty(), "{} of {} lost, first {:?}", lost.len(), received.len(), lost[0]);
--- a/router/src/tests/phases.rs
+++ b/router/src/tests/phases.rs
@@ -9,30 +9,30 @@
 
 /// Readers that give a handle and take it back, and makers that follow a script.
 async fn fleet(
-    read: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
-    make: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
+    prefill: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
+    decode: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
 ) -> Vec<Engine> {
-    let mut list = engines("prefill", 2, read).await;
-    list.extend(engines("decode", 2, make).await);
+    let mut list = engines("prefill", 2, prefill).await;
+    list.extend(engines("decode", 2, decode).await);
     list
 }
 
 /// The script of a reader that tells when a handle is given free.
-fn holder(freed: Arc<Notify>) -> impl Fn(&Seen, usize) -> Act + Send + Sync + 'static {
+fn freeing_prefill(released: Arc<Notify>) -> impl Fn(&Seen, usize) -> Act + Send + Sync + 'static {
     move |seen, _| {
         if seen.head.starts_with("DELETE") {
-            freed.notify_one();
+            released.notify_one();
         }
         Act::Send(held(seen))
     }
 }
 
-fn reads(list: &[Engine]) -> Vec<Seen> {
+fn prefills(list: &[Engine]) -> Vec<Seen> {
     let all = seen(&list[..2]).into_iter();
     all.filter(|seen| seen.header("serving-phase") == Some("prefill")).collect()
 }
 
-fn frees(list: &[Engine]) -> Vec<String> {
+fn releases(list: &[Engine]) -> Vec<String> {
     let all = seen(&list[..2]).into_iter();
     all.filter(|seen| seen.head.starts_with("DELETE")).map(|seen| seen.head).collect()
 }
@@ -77,7 +77,7 @@
         let text = ask(&router(&list), "stream", "1", PROMPT).await;
         assert_eq!(status(&text), "200", "{text}");
         assert_eq!(sources(&list), [None]);
-        assert_eq!(reads(&list).len(), 1, "a read is not repeated on a guess");
+        assert_eq!(prefills(&list).len(), 1, "a prefill is not repeated on a guess");
     }
 }
 
@@ -87,7 +87,7 @@
         let list = fleet(move |_, _| fault(String::new()), |seen, _| stream(seen)).await;
         let text = ask(&router(&list), "stream", "1", PROMPT).await;
         assert_eq!(status(&text), "200", "{text}");
-        assert_eq!((reads(&list).len(), sources(&list)), (1, vec![None]));
+        assert_eq!((prefills(&list).len(), sources(&list)), (1, vec![None]));
     }
 }
 
@@ -110,18 +110,21 @@
 
 #[tokio::test]
 async fn a_handle_is_named_to_one_maker_that_may_have_taken_it() {
-    let freed = Arc::new(Notify::new());
-    let list = fleet(
-        holder(freed.clone()),
-        |seen, before| if before == 0 { Act::SendAndReset(String::new()) } else { stream(seen) },
-    )
+    let released = Arc::new(Notify::new());
+    let list = fleet(freeing_prefill(released.clone()), |seen, before| {
+        if before == 0 {
+            Act::SendAndReset(String::new())
+        } else {
+            stream(seen)
+        }
+    })
     .await;
     let text = ask(&router(&list), "resume", "1", PROMPT).await;
     assert_eq!(status(&text), "200", "{text}");
     let named: Vec<_> = sources(&list).into_iter().flatten().collect();
     assert_eq!((named.len(), seen(&list[2..]).len()), (1, 2), "{named:?}");
-    freed.notified().await;
-    assert_eq!(frees(&list).len(), 1);
+    released.notified().await;
+    assert_eq!(releases(&list).len(), 1);
 }
 
 #[tokio::test]
@@ -133,16 +136,19 @@
 
 #[tokio::test]
 async fn memory_that_a_maker_could_not_have_is_given_free_and_the_prompt_read_there() {
-    let freed = Arc::new(Notify::new());
-    let list = fleet(
-        holder(freed.clone()),
-        |seen, before| if before == 0 { Act::Send(not_executed(seen)) } else { stream(seen) },
-    )
+    let released = Arc::new(Notify::new());
+    let list = fleet(freeing_prefill(released.clone()), |seen, before| {
+        if before == 0 {
+            Act::Send(not_executed(seen))
+        } else {
+            stream(seen)
+        }
+    })
     .await;
     let text = ask(&router(&list), "stream", "1", PROMPT).await;
     assert_eq!(status(&text), "200", "{text}");
-    freed.notified().await;
-    assert!(frees(&list)[0].starts_with("DELETE /kv-handle/h1 "), "{:?}", frees(&list));
+    released.notified().await;
+    assert!(releases(&list)[0].starts_with("DELETE /kv-handle/h1 "), "{:?}", releases(&list));
     let named: Vec<_> = sources(&list).into_iter().flatten().collect();
     assert_eq!((named.len(), seen(&list[2..]).len()), (1, 2), "{named:?}");
 }
@@ -156,5 +162,5 @@
     .await;
     let text = ask(&router(&list), "stream", "1", PROMPT).await;
     assert_eq!(status(&text), "200", "{text}");
-    assert!(reads(&list).len() <= 2 && seen(&list[2..]).len() == 1);
+    assert!(prefills(&list).len() <= 2 && seen(&list[2..]).len() == 1);
 }
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -35,7 +35,7 @@
 }
 
 impl Loss {
-    fn happen(self, cell: &Cell) {
+    fn apply(self, cell: &Cell) {
         let two: &[&str] = if self == Loss::Moved { &["k1", "k2"] } else { &["k2"] };
         tenants(cell.get().expect("set"), &["k3"], two);
     }
@@ -44,44 +44,44 @@
 const LOSSES: [Loss; 2] = [Loss::Revoked, Loss::Moved];
 
 /// What came of one request whose key is lost as soon as an engine has got it.
-struct Played {
+struct LostKeyRun {
     /// What the client got.
     text: String,
-    readers: Vec<Engine>,
-    makers: Vec<Engine>,
+    prefill_engines: Vec<Engine>,
+    decode_engines: Vec<Engine>,
 }
 
-async fn lost_on_the_way(loss: Loss, route: &str, more: &str, first: fn(&Seen) -> Act) -> Played {
+async fn run_with_lost_key(loss: Loss, route: &str, extra_headers: &str, first: fn(&Seen) -> Act) -> LostKeyRun {
     let cell = Cell::default();
     let script = |cell: Cell| {
         move |seen: &Seen, before: usize| {
             if before == 0 {
-                loss.happen(&cell);
+                loss.apply(&cell);
                 return first(seen);
             }
             Act::Send(events(seen, 1, 4, true))
         }
     };
-    let mut readers = Vec::new();
-    if !more.is_empty() {
-        readers = engines("prefill", 1, script(cell.clone())).await;
+    let mut prefill_engines = Vec::new();
+    if !extra_headers.is_empty() {
+        prefill_engines = engines("prefill", 1, script(cell.clone())).await;
     }
     let mut list = engines("decode", 2, script(cell.clone())).await;
-    list.append(&mut readers);
+    list.append(&mut prefill_engines);
     let state = router(&list);
     tenants(&state, &["k1"], &["k2"]);
     assert!(cell.set(state.clone()).is_ok());
     let mut client = Client::connect(&state).await;
-    client.write(&post(route, "1", &format!("Connection: close\r\n{KEYED}{more}"))).await;
+    client.write(&post(route, "1", &format!("Connection: close\r\n{KEYED}{extra_headers}"))).await;
     let text = client.rest().await;
-    let readers = list.split_off(2);
-    Played { text, readers, makers: list }
+    let prefill_engines = list.split_off(2);
+    LostKeyRun { text, prefill_engines, decode_engines: list }
 }
 
-impl Played {
+impl LostKeyRun {
     /// The status that the client got, and how many requests the makers did.
     fn outcome(&self) -> (&str, usize) {
-        (status(&self.text), seen(&self.makers).len())
+        (status(&self.text), seen(&self.decode_engines).len())
     }
 }
 
@@ -123,9 +123,9 @@
 async fn a_request_that_was_not_run_is_refused_before_another_engine_gets_it() {
     for loss in LOSSES {
         for route in ["once", "again", "stream", "resume"] {
-            let played = lost_on_the_way(loss, route, "", |seen| Act::Send(not_executed(seen))).await;
-            assert_eq!(played.outcome(), ("503", 1), "{loss:?} on {route}: {}", played.text);
-            assert!(played.text.to_lowercase().contains("retry-after"), "{}", played.text);
+            let run = run_with_lost_key(loss, route, "", |seen| Act::Send(not_executed(seen))).await;
+            assert_eq!(run.outcome(), ("503", 1), "{loss:?} on {route}: {}", run.text);
+            assert!(run.text.to_lowercase().contains("retry-after"), "{}", run.text);
         }
     }
 }
@@ -134,8 +134,8 @@
 async fn a_request_that_may_have_run_goes_to_no_other_engine_and_is_promised_nothing() {
     for loss in LOSSES {
         for route in ["again", "resume"] {
-            let played = lost_on_the_way(loss, route, "", |_| Act::SendAndReset(String::new())).await;
-            assert_eq!(played.outcome(), ("502", 1), "{loss:?} on {route}: {}", played.text);
+            let run = run_with_lost_key(loss, route, "", |_| Act::SendAndReset(String::new())).await;
+            assert_eq!(run.outcome(), ("502", 1), "{loss:?} on {route}: {}", run.text);
         }
     }
 }
@@ -144,21 +144,21 @@
 async fn an_engines_own_failure_is_passed_on_where_no_other_may_be_asked() {
     for loss in LOSSES {
         let failed = |seen: &Seen| Act::Send(sealed(seen.attempt(), "500 Internal Server Error", "why"));
-        let played = lost_on_the_way(loss, "again", "", failed).await;
-        assert_eq!(played.outcome(), ("500", 1), "{loss:?}: {}", played.text);
-        assert!(played.text.contains("seal-1") && played.text.ends_with("why"), "{}", played.text);
+        let run = run_with_lost_key(loss, "again", "", failed).await;
+        assert_eq!(run.outcome(), ("500", 1), "{loss:?}: {}", run.text);
+        assert!(run.text.contains("seal-1") && run.text.ends_with("why"), "{}", run.text);
     }
 }
 
 #[tokio::test]
 async fn a_prompt_that_was_read_goes_to_no_maker_and_its_memory_is_given_free() {
     for loss in LOSSES {
-        let played = lost_on_the_way(loss, "stream", PROMPT, |seen| Act::Send(held(seen))).await;
-        assert_eq!(played.outcome(), ("503", 0), "{loss:?}: {}", played.text);
-        while played.readers[0].seen().len() < 2 {
+        let run = run_with_lost_key(loss, "stream", PROMPT, |seen| Act::Send(held(seen))).await;
+        assert_eq!(run.outcome(), ("503", 0), "{loss:?}: {}", run.text);
+        while run.prefill_engines[0].seen().len() < 2 {
             task::yield_now().await;
         }
-        let read = played.readers[0].seen();
+        let read = run.prefill_engines[0].seen();
         assert_eq!(read[0].header("serving-phase"), Some("prefill"));
         assert!(read[1].head.starts_with("DELETE /kv-handle/h1 "), "{}", read[1].head);
     }
@@ -168,22 +168,22 @@
 async fn a_stream_that_breaks_off_is_not_gone_on_with() {
     for loss in LOSSES {
         let first = |seen: &Seen| Act::SendAndReset(events(seen, 1, 3, false));
-        let Played { text, makers, .. } = lost_on_the_way(loss, "resume", "", first).await;
+        let LostKeyRun { text, decode_engines, .. } = run_with_lost_key(loss, "resume", "", first).await;
         assert!(text.contains("token-2") && !text.contains("token-3"), "{loss:?}: {text}");
         assert!(!text.ends_with("0\r\n\r\n"), "it must not look complete: {text}");
-        assert_eq!(seen(&makers).len(), 1, "{loss:?}");
+        assert_eq!(seen(&decode_engines).len(), 1, "{loss:?}");
     }
 }
 
 #[tokio::test]
 async fn a_stream_under_way_goes_on_to_its_end() {
-    let played = lost_on_the_way(Loss::Revoked, "stream", "", |seen| Act::Send(events(seen, 1, 4, true))).await;
-    assert_eq!(played.outcome(), ("200", 1));
-    assert!(played.text.ends_with("0\r\n\r\n"), "{}", played.text);
+    let run = run_with_lost_key(Loss::Revoked, "stream", "", |seen| Act::Send(events(seen, 1, 4, true))).await;
+    assert_eq!(run.outcome(), ("200", 1));
+    assert!(run.text.ends_with("0\r\n\r\n"), "{}", run.text);
 }
 
 /// Two readers and a maker that would answer anything.
-async fn willing() -> Vec<Engine> {
+async fn accepting_engines() -> Vec<Engine> {
     let mut list = engines("prefill", 2, |seen, _| Act::Send(held(seen))).await;
     list.extend(engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await);
     list
@@ -192,21 +192,21 @@
 #[tokio::test]
 async fn a_request_whose_body_is_still_coming_is_judged_by_the_table_of_its_send() {
     for loss in LOSSES {
-        for more in ["", PROMPT] {
-            let list = willing().await;
+        for extra_headers in ["", PROMPT] {
+            let list = accepting_engines().await;
             let cell = Cell::default();
             let state = router(&list);
             tenants(&state, &["k1"], &["k2"]);
             assert!(cell.set(state.clone()).is_ok());
             let mut client = Client::connect(&state).await;
-            let whole = post("stream", "1", &format!("Connection: close\r\n{KEYED}{more}"));
-            let (first, last) = whole.split_at(whole.len() - 2);
+            let request = post("stream", "1", &format!("Connection: close\r\n{KEYED}{extra_headers}"));
+            let (first, last) = request.split_at(request.len() - 2);
             client.write(first).await;
             // Admitted: the body is waited for.
             while !state.table().seen.load(Ordering::Relaxed) {
                 task::yield_now().await;
             }
-            loss.happen(&cell);
+            loss.apply(&cell);
             client.write(last).await;
             let text = client.rest().await;
             // Where the body took its time, admission has judged anew.
@@ -230,13 +230,13 @@
 #[tokio::test]
 async fn a_key_that_is_lost_while_a_connection_is_made_stops_the_send() {
     for loss in LOSSES {
-        let list = willing().await;
+        let list = accepting_engines().await;
         let cell = Cell::default();
         let state = router(&list);
         assert!(cell.set(state.clone()).is_ok());
         tenants(&state, &["k1"], &["k2"]);
         let request = admitted(&state);
-        loss.happen(&cell);
+        loss.apply(&cell);
         let to = Endpoint { addr: list[2].addr.clone(), engine: list[2].id.clone() };
         let outcome = send::send(&state, &request, 0, &to, 1, &Default::default(), 1000).await;
         assert!(matches!(outcome, Outcome::Unsent(SendError::Unauthorized)), "{loss:?}");
--- a/router/src/tests/stream_end.rs
+++ b/router/src/tests/stream_end.rs
@@ -53,8 +53,8 @@
     })
     .await;
     let text = ask(&router(&list), "resume", "1", "").await;
-    let whole: String = (1..5).map(|id| format!("id: {id}\ndata: token-{id}\n\n")).collect();
-    assert_eq!(unchunked(&text), Some(whole), "{text}");
+    let expected: String = (1..5).map(|id| format!("id: {id}\ndata: token-{id}\n\n")).collect();
+    assert_eq!(unchunked(&text), Some(expected), "{text}");
     let lasts: Vec<_> =
         seen(&list).iter().filter_map(|seen| seen.header("last-event-id").map(str::to_string)).collect();
     assert_eq!(lasts, ["2"]);
--- a/router/src/tests/subscription_storm.rs
+++ b/router/src/tests/subscription_storm.rs
@@ -11,7 +11,7 @@
 const ROUTERS: u64 = 300;
 const CONTROLLERS: usize = 18;
 /// What a controller's link takes to carry the whole configuration with the lists of engines.
-const WHOLE_MS: u64 = 100;
+const SNAPSHOT_MS: u64 = 100;
 const STEP_MS: u64 = 20;
 
 /// Asks all controllers at once, as hedged calls without patience would.
@@ -51,38 +51,41 @@
     };
     let mut routers: Vec<World<P>> = (0..ROUTERS).map(router).collect();
     let mut link_free_at = BTreeMap::<String, u64>::new();
-    let (begin, mut wholes) = (routers[0].now, 0);
-    let mut now = begin;
+    let (start, mut snapshots) = (routers[0].now, 0);
+    let mut now = start;
     while routers.iter().any(|router| router.proof_age().is_none()) {
         now += STEP_MS;
-        assert!(now < begin + 120_000, "it ends");
+        assert!(now < start + 120_000, "it ends");
         for router in &mut routers {
             router.run_by_held(now, |controller, sent, held| {
                 if held > 0 {
                     return Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
                 }
-                wholes += 1;
+                snapshots += 1;
                 let free_at = link_free_at.entry(controller.into()).or_default();
-                *free_at = sent.max(*free_at) + WHOLE_MS;
+                *free_at = sent.max(*free_at) + SNAPSHOT_MS;
                 Behaviour::Healthy { answer_ms: *free_at - sent, age_ms: 100 }
             });
         }
     }
-    (now - begin, wholes)
+    (now - start, snapshots)
 }
 
 #[test]
 fn after_a_loss_of_power_everywhere_routers_do_not_ask_everybody_for_everything() {
-    let alone = ROUTERS * WHOLE_MS / CONTROLLERS as u64;
+    let lower_bound_ms = ROUTERS * SNAPSHOT_MS / CONTROLLERS as u64;
     let following = |node: &str, seeds: &[String]| Following::new(budget(3000), node, "none", seeds);
-    let (took, wholes) = storm(following);
-    assert!(took <= 2 * alone, "{took} ms, where the links need {alone} if none is asked twice");
-    assert!(wholes <= ROUTERS * 3 / 2, "{wholes}");
-    let everybody = |_: &str, seeds: &[String]| AskEverybody { controllers: seeds.to_vec(), current_as_of: None };
-    let (took, wholes) = storm(everybody);
+    let (elapsed_ms, snapshots) = storm(following);
     assert!(
-        took > 10 * alone && wholes == ROUTERS * CONTROLLERS as u64,
-        "the variant without patience: {took}, {wholes}"
+        elapsed_ms <= 2 * lower_bound_ms,
+        "{elapsed_ms} ms, where the links need {lower_bound_ms} if none is asked twice"
+    );
+    assert!(snapshots <= ROUTERS * 3 / 2, "{snapshots}");
+    let ask_everybody = |_: &str, seeds: &[String]| AskEverybody { controllers: seeds.to_vec(), current_as_of: None };
+    let (elapsed_ms, snapshots) = storm(ask_everybody);
+    assert!(
+        elapsed_ms > 10 * lower_bound_ms && snapshots == ROUTERS * CONTROLLERS as u64,
+        "the variant without patience: {elapsed_ms}, {snapshots}"
     );
 }
 
@@ -91,12 +94,12 @@
     let controllers = names("k", 3);
     let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &controllers), controllers);
     world.held = 0;
-    let begin = world.now;
-    world.run(begin + 5600, |controller, _| match controller {
+    let start = world.now;
+    world.run(start + 5600, |controller, _| match controller {
         "k0" => Behaviour::Healthy { answer_ms: 5500, age_ms: 100 },
         _ => Behaviour::Frozen,
     });
     assert!(world.proof_age().is_some(), "the answer that was under way was waited for");
-    let times: Vec<u64> = world.begun.iter().map(|begun| begun.at - begin).collect();
+    let times: Vec<u64> = world.begun.iter().map(|begun| begun.at - start).collect();
     assert_eq!(times[..3], [0, 1500, 4500], "each time with more patience");
 }
