--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -15,7 +15,7 @@
 
 /// A whole configuration as text, from a controller that knows no other form.
 pub fn config(state: &State, version: u64, text: &[u8]) {
-    if version <= state.subscribed.lock().config_revision {
+    if version <= state.subscribed().config_revision {
         return;
     }
     let read = str::from_utf8(text).map_err(|error| error.to_string());
@@ -36,16 +36,16 @@
 
 fn turn(state: &State, change: &ConfigUpdate) {
     let old = state.table();
-    let Some(table) = old.turn(change, &mut state.engine_table.lock()) else { return };
-    *state.table.lock() = Arc::new(table);
-    state.subscribed.lock().config_revision = change.to;
+    let Some(table) = old.turn(change, &mut state.engines()) else { return };
+    state.set_table(Arc::new(table));
+    state.subscribed().config_revision = change.to;
     state.freshness.table_changed();
     kernel::log_event!(CONFIG, "revision" => change.to);
 }
 
 /// A new holder of the catalog starts empty: what is known here is registered again, in steps.
 pub async fn again(state: Arc<State>) {
-    let all = state.owner_cache.lock().entries(clock::now());
+    let all = state.owner_cache().entries(clock::now());
     for part in all.chunks(100) {
         let list = part.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
         state.prefix_catalog.register(list, Vec::new());
--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -16,8 +16,8 @@
 
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
 pub fn absorb(state: &State, list: &[EvacuationState]) {
-    let mut engine_table = state.engine_table.lock();
-    let mut held = state.subscribed.lock();
+    let mut engine_table = state.engines();
+    let mut held = state.subscribed();
     for EvacuationState { zone, version, evacuated } in list {
         if held.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn cold_until(state: &State, at: usize) -> u64 {
-    state.engine_table.lock().engines[at].cold_until
+    state.engines().engines[at].cold_until
 }
 
 #[tokio::test]
@@ -38,5 +38,5 @@
     absorb(&state, &[evacuation("a", 3, true)]);
     absorb(&state, &[evacuation("a", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    assert!(state.subscribed.lock().evacuations[&"a".to_string()].1, "still evacuated");
+    assert!(state.subscribed().evacuations[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -31,7 +31,7 @@
 }
 
 /// Invariant: `current_as_of` never goes back, and the table in force contains all that was acknowledged before.
-pub struct Currency {
+pub struct Freshness {
     budget: ConvergenceBudget,
     current_as_of: AtomicI64,
     waiting: AtomicUsize,
@@ -42,7 +42,7 @@
 }
 
 /// One request that waits; counted until it is dropped.
-struct Waiting<'a>(&'a Currency);
+struct Waiting<'a>(&'a Freshness);
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
@@ -50,9 +50,9 @@
     }
 }
 
-impl Currency {
-    pub fn new(budget: ConvergenceBudget) -> Currency {
-        Currency {
+impl Freshness {
+    pub fn new(budget: ConvergenceBudget) -> Freshness {
+        Freshness {
             budget,
             current_as_of: NEVER.into(),
             waiting: Default::default(),
@@ -112,13 +112,13 @@
     if !matches!(first, Err(Miss::Unproved)) {
         return first;
     }
-    let currency = &state.freshness;
-    let Some(_waiting) = currency.enter() else { return first };
-    currency.wanted.notify_one();
-    let wait = Duration::from_millis(currency.budget.refusal_wait_ms().min(left_ms / 3));
+    let freshness = &state.freshness;
+    let Some(_waiting) = freshness.enter() else { return first };
+    freshness.wanted.notify_one();
+    let wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / 3));
     let end = Instant::now() + wait;
     loop {
-        let changed = currency.changed.notified();
+        let changed = freshness.changed.notified();
         let now = look(state, &accepts);
         if !matches!(now, Err(Miss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
             return now;
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -18,7 +18,7 @@
     /// has lapsed.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
-        let floors = self.state.staleness_bounds.lock();
+        let floors = self.state.staleness_bounds();
         let model = self.request.model_key;
         match floors.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
@@ -45,15 +45,17 @@
     /// What an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().engines[at].set_weight_version(self.request.model_key, Some(version));
+            self.state.engines().engines[at].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
     /// No replica inside the limit: told once a second.
     pub fn report_no_replica(&self) {
         let (now, order) = (clock::now(), Ordering::Relaxed);
-        let told = self.state.few_at.load(order);
-        if now >= told + TELL_MS && self.state.few_at.compare_exchange(told, now, order, order).is_ok() {
+        let told = self.state.replica_shortage_reported_at.load(order);
+        if now >= told + TELL_MS
+            && self.state.replica_shortage_reported_at.compare_exchange(told, now, order, order).is_ok()
+        {
             kernel::log_event!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
@@ -61,9 +63,9 @@
 
 /// A rule from a controller; binds at once where it is tighter.
 pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().service_index(&rule.service);
+    let service = state.engines().service_index(&rule.service);
     let now = clock::now();
-    if state.staleness_bounds.lock().update(rule, service, now) {
+    if state.staleness_bounds().update(rule, service, now) {
         kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
             "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
     }
@@ -72,14 +74,14 @@
 /// Weight versions of a zone. Older ones of the same poller change nothing.
 pub fn versions(state: &State, list: &WeightVersions) {
     {
-        let mut held = state.weight_versions.lock();
+        let mut held = state.weight_versions();
         let version = held.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().set_weight_versions(&list.list);
+    state.engines().set_weight_versions(&list.list);
 }
 
 /// A name and its version.
@@ -87,8 +89,8 @@
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
 pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
-    let rules = state.staleness_bounds.lock().versions();
-    let weights = state.weight_versions.lock();
+    let rules = state.staleness_bounds().versions();
+    let weights = state.weight_versions();
     let weights =
         weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
     (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -36,7 +36,7 @@
     connection: Connection,
 ) -> Response<Body> {
     let mut guard = RequestGuard::begin(&state, connection);
-    let leaving = state.is_leaving();
+    let leaving = state.is_shutting_down();
     let fail = |failure: Failure, last| (error_response::write(failure, last), failure.into());
     if look.both() {
         let (response, outcome) = fail(Failure::Malformed, leaving);
@@ -56,7 +56,7 @@
                     let outcome = passed_on(&response);
                     (response, outcome)
                 }
-                Err(failure) => fail(failure, state.is_leaving()),
+                Err(failure) => fail(failure, state.is_shutting_down()),
             }
         }
         Err(rejection) => fail(rejection.failure, leaving || rejection.ends),
@@ -196,12 +196,12 @@
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
-        let mut dice = state.rng.lock();
+        let mut dice = state.rng();
         routing_table::split(&route.targets, dice.next_u64())
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.retry_budget.lock().record_request(service, born);
+    state.retry_budget().record_request(service, born);
     Exchange {
         closed_zones: plan::closed_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
--- a/router/src/kv/handle.rs
+++ b/router/src/kv/handle.rs
@@ -31,7 +31,7 @@
     pub fn take_handle(&mut self) -> Option<Handle> {
         let now = clock::now();
         let good = self.kv_handle.as_ref().is_some_and(|handle| {
-            let engine_table = self.state.engine_table.lock();
+            let engine_table = self.state.engines();
             let engine = &engine_table.engines[handle.at];
             now < handle.until && engine.listed && !self.closed_zones.contains(&engine.zone)
         });
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -195,7 +195,7 @@
     pub async fn spend_quota(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
-        let roll = self.state.rng.lock().next_u64();
+        let roll = self.state.rng().next_u64();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), roll).await;
         self.state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -215,11 +215,11 @@
     /// All metrics as text, with the figures that are only read when asked for.
     pub fn render(&self, state: &State) -> String {
         let order = Ordering::Relaxed;
-        let counts = state.owner_cache.lock().counts;
+        let counts = state.owner_cache().counts;
         self.ready.set(i64::from(state.is_ready()));
         self.config_revision.set(state.table().revision as i64);
         self.body_bytes.set(state.held_body_bytes.load(order) as i64);
-        self.engines_known.set(state.engine_table.lock().engines.len() as i64);
+        self.engines_known.set(state.engines().engines.len() as i64);
         self.prefix_lookups.set(counts.queries as i64);
         self.prefix_hits.set(counts.hits as i64);
         telemetry::encode(&self.registry)
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -104,7 +104,7 @@
     }
 
     pub fn endpoint(&self, at: usize) -> Endpoint {
-        let engine_table = self.state.engine_table.lock();
+        let engine_table = self.state.engines();
         Endpoint { addr: engine_table.engines[at].address.clone(), engine: engine_table.engines[at].id.clone() }
     }
 
@@ -117,7 +117,7 @@
             return true;
         }
         let part = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
-        let is_allowed = self.state.retry_budget.lock().try_acquire(self.service, clock::now(), part);
+        let is_allowed = self.state.retry_budget().try_acquire(self.service, clock::now(), part);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
         }
@@ -129,8 +129,8 @@
         let ramp = table.services.get(&self.service).map_or(0.0, |spec| spec.ramp_per_s);
         let routers = self.state.router_count();
         let weights = self.version_bounds();
-        let confirmed = self.state.staleness_bounds.lock().is_confirmed(clock::now());
-        let engine_table = self.state.engine_table.lock();
+        let confirmed = self.state.staleness_bounds().is_confirmed(clock::now());
+        let engine_table = self.state.engines();
         look(&SelectionContext {
             engine_table: &engine_table,
             now: clock::now(),
@@ -156,7 +156,7 @@
     pub fn prompt_read(&mut self, at: usize) {
         let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == at) else { return };
         let tokens = mem::take(tokens);
-        let mut engine_table = self.state.engine_table.lock();
+        let mut engine_table = self.state.engines();
         engine_table.engines[at].prefill_tokens_in_flight =
             engine_table.engines[at].prefill_tokens_in_flight.saturating_sub(tokens);
     }
@@ -164,7 +164,7 @@
     pub fn end_send(&mut self, at: usize) {
         let Some(place) = self.in_flight.iter().position(|(engine, _)| *engine == at) else { return };
         let (at, tokens) = self.in_flight.swap_remove(place);
-        let mut engine_table = self.state.engine_table.lock();
+        let mut engine_table = self.state.engines();
         let engine = &mut engine_table.engines[at];
         engine.in_flight = engine.in_flight.saturating_sub(1);
         engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(tokens);
@@ -180,7 +180,7 @@
         extra.guard = weights.is_some().then(|| self.route.clone());
         let to = self.endpoint(at);
         {
-            let mut engine_table = self.state.engine_table.lock();
+            let mut engine_table = self.state.engines();
             let engine = &mut engine_table.engines[at];
             extra.expect = weights.and_then(|range| engine.weight_version(range.model));
             engine.in_flight += 1;
@@ -229,7 +229,7 @@
     pub fn found_dark(&self, at: usize, since: u64) -> bool {
         let now = clock::now();
         let (seen, struck) = {
-            let engine_table = self.state.engine_table.lock();
+            let engine_table = self.state.engines();
             (engine_table.engines[at].last_response_at.max(since), engine_table.engines[at].last_failure_at)
         };
         if struck > seen {
@@ -244,7 +244,7 @@
     /// Notes what an outcome shows about the engine.
     fn record_outcome(&self, at: usize, outcome: &Outcome) {
         let now = clock::now();
-        let mut engine_table = self.state.engine_table.lock();
+        let mut engine_table = self.state.engines();
         let engine = &mut engine_table.engines[at];
         match outcome {
             Outcome::Answer(answer) => {
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -184,7 +184,7 @@
     *reply.headers_mut() = answer.head.headers.clone();
     let length = request::number(reply.headers(), "content-length").filter(|_| !exchange.is_resumable());
     request::strip(reply.headers_mut());
-    if exchange.state.is_leaving() {
+    if exchange.state.is_shutting_down() {
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     let (pipe, feed) = response_body::pipe(length);
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -32,7 +32,7 @@
     for _ in 0..3 {
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engine_table.lock().record_prefill(exchange.service, reads);
+        exchange.state.engines().record_prefill(exchange.service, reads);
         let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
             Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
@@ -100,12 +100,12 @@
 fn register(exchange: &Exchange, at: usize) -> u32 {
     let now = clock::now();
     let (id, told) = {
-        let engine_table = exchange.state.engine_table.lock();
+        let engine_table = exchange.state.engines();
         (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
     };
     let mut list = Vec::with_capacity(exchange.request.keys.len());
     {
-        let mut record = exchange.state.owner_cache.lock();
+        let mut record = exchange.state.owner_cache();
         for key in &exchange.request.keys {
             record.record(*key, &id, now);
             list.push(Record { key: *key, engine: id.clone() });
@@ -130,7 +130,7 @@
             let sent = register(exchange, at);
             let drops = exchange.state.prefix_catalog.flush(sent).await;
             // A drop only means that others will not find this memory: the hand-over goes on.
-            exchange.state.owner_cache.lock().counts.dropped += u64::from(drops);
+            exchange.state.owner_cache().counts.dropped += u64::from(drops);
         }
     }
     make(exchange, reader).await
@@ -199,7 +199,7 @@
 }
 
 fn is_full(exchange: &Exchange, at: usize) -> bool {
-    let engine_table = exchange.state.engine_table.lock();
+    let engine_table = exchange.state.engines();
     engine_table.estimated_load(at, clock::now()) >= f64::from(engine_table.engines[at].slots)
 }
 
@@ -208,7 +208,7 @@
     if let Some(reader) = exchange.handle_engine() {
         let now = clock::now();
         let id = exchange.endpoint(reader).engine;
-        let mut record = exchange.state.owner_cache.lock();
+        let mut record = exchange.state.owner_cache();
         record.counts.transfer_error += 1;
         for key in &exchange.request.keys {
             record.suppress(&id, *key, now + HUSH_MS);
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -34,7 +34,7 @@
 pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
     let now = clock::now();
     let known = {
-        let mut record = state.owner_cache.lock();
+        let mut record = state.owner_cache();
         record.counts.queries += 1;
         record.known_prefix_count(&request.keys, now)
     };
@@ -43,11 +43,11 @@
         let sample = sample(state, request, service);
         let found = state.prefix_catalog.query(missing, sample).await;
         if let Some(found) = &found {
-            let (now, mut engine_table) = (clock::now(), state.engine_table.lock());
+            let (now, mut engine_table) = (clock::now(), state.engines());
             found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
         }
         let found = found.map(|found| found.owners);
-        let mut record = state.owner_cache.lock();
+        let mut record = state.owner_cache();
         match &found {
             None => record.counts.unanswered += 1,
             Some(list) if list.iter().all(Vec::is_empty) => record.counts.no_owner += u64::from(known == 0),
@@ -67,8 +67,8 @@
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
 fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
-    let roll = state.rng.lock().next_u64();
-    let engine_table = state.engine_table.lock();
+    let roll = state.rng().next_u64();
+    let engine_table = state.engines();
     let mut names = Vec::with_capacity(2 * DRAWN + 2);
     for half in [Phase::Prefill, Phase::Decode] {
         let Some(subset) = engine_table.subset(service, half, false) else { continue };
@@ -91,8 +91,8 @@
 fn held(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
     let depths = catalog::prefix_token_counts(&request.parts);
-    let engine_table = state.engine_table.lock();
-    let mut record = state.owner_cache.lock();
+    let engine_table = state.engines();
+    let mut record = state.owner_cache();
     let mut list: PrefixOwners = Vec::new();
     let mut stale = 0;
     for (key, depth) in request.keys.iter().zip(depths).rev() {
@@ -119,12 +119,12 @@
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
 pub fn closed_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
-    let mut list = state.subscribed.lock().evacuated_zones.clone();
+    let mut list = state.subscribed().evacuated_zones.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
     if homes.iter().all(|homes| homes.is_empty()) {
         return list;
     }
-    let mut engine_table = state.engine_table.lock();
+    let mut engine_table = state.engines();
     for (zone, region) in &state.settings.zones {
         if outside(region) {
             list.push(engine_table.zone_index(zone));
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -69,7 +69,7 @@
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
 fn holds(state: &State, service: u32, model: &str, extra: &Extra) -> bool {
     let Some(route) = &extra.guard else { return true };
-    let limit = state.staleness_bounds.lock().bound_for(service, model, route, clock::now());
+    let limit = state.staleness_bounds().bound_for(service, model, route, clock::now());
     match limit {
         StalenessBound::Unbounded => true,
         StalenessBound::AtLeast(floor) => extra.expect.is_some_and(|version| version >= floor),
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -97,17 +97,17 @@
 
 /// A record from a controller.
 pub fn take(state: &State, rollout: VersionRollout) {
-    let service = state.engine_table.lock().service_index(&rollout.service);
+    let service = state.engines().service_index(&rollout.service);
     let (name, target, share, word) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.as_str());
-    if state.rollouts.lock().take(service, rollout) {
+    if state.rollouts().take(service, rollout) {
         kernel::log_event!(VERSION, "service" => name, "version" => target, "state" => word, "share" => share);
     }
 }
 
 /// The records held, as told to controllers.
 pub fn told(state: &State) -> Vec<(String, u64)> {
-    let rollouts = state.rollouts.lock();
+    let rollouts = state.rollouts();
     let told =
         |rollout: &VersionRollout| (HiddenKey::Register(&VersionRollout::key(&rollout.service)).into(), rollout.number);
     rollouts.list.values().map(told).collect()
@@ -118,8 +118,8 @@
     loop {
         state.samples_wanted.notified().await;
         time::sleep(GATHER).await;
-        let list = state.rollouts.lock().take_samples();
-        let home = state.home_controller.lock().clone();
+        let list = state.rollouts().take_samples();
+        let home = state.home_controller().clone();
         let Some(home) = home else { continue };
         for samples in list {
             home.notify(Message::Samples(Box::new(samples)));
@@ -130,10 +130,10 @@
 impl Exchange {
     /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
     pub fn choose_version(&mut self) {
-        let roll = self.state.rng.lock().next_u64();
+        let roll = self.state.rng().next_u64();
         let now = clock::now();
-        let holds_lease = self.state.staleness_bounds.lock().is_confirmed(now);
-        self.arm = self.state.rollouts.lock().arm(self.service, roll, holds_lease);
+        let holds_lease = self.state.staleness_bounds().is_confirmed(now);
+        self.arm = self.state.rollouts().arm(self.service, roll, holds_lease);
         if self.arm.is_candidate() && !self.view(|view| view.is_usable()) {
             self.arm = Arm::Stable;
         }
@@ -141,7 +141,7 @@
 
     /// Notes what this request showed of the version that served it.
     pub fn note_seen(&self, seen: Seen) {
-        let noted = self.state.rollouts.lock().note(self.service, &self.route, self.arm, seen);
+        let noted = self.state.rollouts().note(self.service, &self.route, self.arm, seen);
         if noted {
             self.state.samples_wanted.notify_one();
         }
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -74,14 +74,14 @@
     let list = new.iter().enumerate();
     let list = list.map(|(at, engine)| Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
     let sheet = EndpointList { zone: candidates_of("a"), term: 1, sequence: 1, engines: list };
-    state.engine_table.lock().update(&sheet, clock::now());
+    state.engines().update(&sheet, clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
     take(&state, rollout(1, RolloutState::Active, 1000));
     assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
-    state.staleness_bounds.lock().renew_lease(clock::now());
+    state.staleness_bounds().renew_lease(clock::now());
     assert!(ask(&state, "stream", "c", "").await.contains("token-3"));
     ask(&state, "once", "f", "").await;
-    let told = state.rollouts.lock().take_samples();
+    let told = state.rollouts().take_samples();
     let counts: Vec<_> =
         told[0].list.iter().map(|one| (one.route.as_str(), one.is_candidate, one.good, one.failed)).collect();
     assert_eq!(counts, [("once", false, 1, 0), ("once", true, 0, 1), ("stream", true, 1, 0)]);
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -47,7 +47,7 @@
 
 /// Ends what the router does, well inside the grace.
 pub(crate) async fn leave(state: &State) {
-    let counts = state.owner_cache.lock().counts;
+    let counts = state.owner_cache().counts;
     kernel::log_event!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
     kernel::log_event!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -1,26 +1,22 @@
-//! The one state of the process, passed by reference.
+//! The state of the process, shared by all of its tasks.
 //!
-//! Lock order: table, engine_table, record, budget, news, pools. No lock is held over an await.
+//! Lock order: routing table, engine table, owner cache, retry budget, subscribed state, connection pools.
+//! Staleness bounds and rollouts are taken last, never together with another lock. Accessors return guards;
+//! no guard is held over an await, or a task that waits would block the thread that has to wake it.
 
-use kernel::hashing;
-use kernel::new_incarnation;
-use kernel::ConvergenceBudget;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 use std::sync::Arc;
 
 use catalog::OwnerCache;
-
 use kernel::settings::Settings;
-use kernel::Rng;
-use load_balancing::EngineTable;
-use load_balancing::RetryBudget;
-use load_balancing::StalenessBounds;
-use parking_lot::Mutex;
+use kernel::{hashing, new_incarnation, ConvergenceBudget, Rng};
+use load_balancing::{EngineTable, RetryBudget, StalenessBounds};
+use parking_lot::{Mutex, MutexGuard};
 use protocol::link::PeerClient;
 use tokio::sync::Notify;
 
-use crate::config::freshness::Currency;
+use crate::config::freshness::Freshness;
 use crate::config::routing_table::Table;
 use crate::frontend::drain::{Drain, Phase};
 use crate::kv::prefix_lookup::Lookup;
@@ -29,60 +25,73 @@
 use crate::rollout::Rollouts;
 use crate::upstream::connection_pool::Pools;
 
+/// Bound on the entries of the owner cache.
+const OWNER_CACHE_CAPACITY: usize = 20_000;
+/// How long an owner counts that was not reported again, in milliseconds.
+const OWNER_TTL_MS: u64 = 30_000;
+
+/// By zone: the version, a (term, sequence) pair, of the weight versions that are in force.
+pub type WeightVersionsByZone = BTreeMap<String, (u64, u64)>;
+
+/// What one router process knows, and the parts that its tasks work with.
 pub struct State {
+    /// The settings that the process was started with.
     pub settings: Settings,
+    /// Differs between two runs of one router.
     pub incarnation: u64,
-    /// The own zone, by its dense index.
+    /// Dense index of this router's zone.
     pub zone: u32,
-    pub table: Mutex<Arc<Table>>,
-    pub engine_table: Mutex<EngineTable>,
-    pub owner_cache: Mutex<OwnerCache>,
-    pub retry_budget: Mutex<RetryBudget>,
+    table: Mutex<Arc<Table>>,
+    engine_table: Mutex<EngineTable>,
+    owner_cache: Mutex<OwnerCache>,
+    retry_budget: Mutex<RetryBudget>,
+    /// Idle and counted connections to engines.
     pub connection_pools: Pools,
+    /// Asks the catalog for owners of prefixes and registers them there.
     pub prefix_catalog: Lookup,
-    /// Limits on stale weights. Taken last, never together with another.
-    pub staleness_bounds: Mutex<StalenessBounds>,
-    /// By zone: the version of the weight versions held.
-    pub weight_versions: Mutex<BTreeMap<String, (u64, u64)>>,
-    pub subscribed: Mutex<SubscribedState>,
-    /// As of when the table is proved to be current.
-    pub freshness: Currency,
-    /// The home controller of now.
-    pub home_controller: Mutex<Option<Arc<PeerClient>>>,
-    pub rng: Mutex<Rng>,
-    /// When the want of fresh replicas was last told.
-    pub few_at: AtomicU64,
-    /// Woken when an engine in doubt answered another router.
+    staleness_bounds: Mutex<StalenessBounds>,
+    weight_versions: Mutex<WeightVersionsByZone>,
+    subscribed: Mutex<SubscribedState>,
+    /// As of when the routing table is proved to be current.
+    pub freshness: Freshness,
+    home_controller: Mutex<Option<Arc<PeerClient>>>,
+    rng: Mutex<Rng>,
+    /// When the controller was last notified that fresh replicas are short, in milliseconds of the steady clock.
+    pub replica_shortage_reported_at: AtomicU64,
+    /// Woken when a suspected engine answered another router.
     pub suspicion_cleared: Notify,
+    /// Whether the router has what it needs to serve clients.
     pub ready: AtomicBool,
+    /// The phases of a graceful shutdown.
     pub drain: Drain,
-    /// Bytes of request bodies held.
+    /// Bytes of request bodies in memory.
     pub held_body_bytes: AtomicUsize,
+    /// The counters and gauges of the process.
     pub metrics: Metrics,
+    /// Enforces the tenants' rate limits.
     pub quota_gate: QuotaGate,
-    /// Rollouts of versions. Taken last, never together with another.
-    pub rollouts: Mutex<Rollouts>,
-    /// Samples of a rollout wait to be sent.
+    rollouts: Mutex<Rollouts>,
+    /// Woken when samples of a rollout wait to be sent.
     pub samples_wanted: Notify,
 }
 
-/// What the controllers told. Invariant: versions never go back.
+/// What subscriptions delivered, besides the routing table and the engines. Invariant: versions never go back.
 #[derive(Default)]
 pub struct SubscribedState {
+    /// Revision of the configuration in force; 0 before the first.
     pub config_revision: u64,
+    /// By zone: the version of its newest evacuation record, and whether it is evacuated.
     pub evacuations: BTreeMap<String, (u64, bool)>,
-    /// Evacuated zones, by dense index.
+    /// Dense indices of the evacuated zones.
     pub evacuated_zones: Vec<u32>,
+    /// Addresses of the controllers.
     pub controllers: Vec<String>,
+    /// Recent router counts, each with the time it came.
     pub router_counts: Vec<(u64, u32)>,
 }
 
-/// What a record may grow to, and for how long an owner counts that was not heard of again.
-const RECORD: usize = 20_000;
-const STALE_MS: u64 = 30_000;
-
 impl State {
-    /// The state of a process that has just started: it knows its settings and nothing else.
+    /// Returns the state of a process that has just started: it knows its settings and nothing else.
     pub fn new(settings: Settings) -> Arc<State> {
         let incarnation = new_incarnation();
         let mut engine_table = EngineTable::default();
@@ -96,17 +105,17 @@
             zone: own_zone,
             table: Default::default(),
             engine_table: Mutex::new(engine_table),
-            owner_cache: Mutex::new(OwnerCache::new(RECORD, STALE_MS)),
+            owner_cache: Mutex::new(OwnerCache::new(OWNER_CACHE_CAPACITY, OWNER_TTL_MS)),
             retry_budget: Mutex::new(RetryBudget::new(settings.bounds.retry_budget, window_ms)),
             connection_pools: Default::default(),
             prefix_catalog: Default::default(),
             staleness_bounds: Default::default(),
             weight_versions: Default::default(),
             subscribed: Default::default(),
-            freshness: Currency::new(ConvergenceBudget::new(&settings.bounds)),
+            freshness: Freshness::new(ConvergenceBudget::new(&settings.bounds)),
             home_controller: Default::default(),
             rng: Mutex::new(Rng::new(incarnation)),
-            few_at: Default::default(),
+            replica_shortage_reported_at: Default::default(),
             suspicion_cleared: Default::default(),
             ready: Default::default(),
             drain: Default::default(),
@@ -119,23 +128,74 @@
         })
     }
 
-    /// How many routers share the bounds: the most that was told in the last ten seconds.
+    /// Returns the routing table in force.
+    pub fn table(&self) -> Arc<Table> {
+        self.table.lock().clone()
+    }
+
+    /// Puts a routing table in force.
+    pub fn set_table(&self, table: Arc<Table>) {
+        *self.table.lock() = table;
+    }
+
+    /// Locks the table of engines and their load.
+    pub fn engines(&self) -> MutexGuard<'_, EngineTable> {
+        self.engine_table.lock()
+    }
+
+    /// Locks the local record of which engines own which prefixes.
+    pub fn owner_cache(&self) -> MutexGuard<'_, OwnerCache> {
+        self.owner_cache.lock()
+    }
+
+    /// Locks the budget that bounds retries as a part of requests.
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        self.retry_budget.lock()
+    }
+
+    /// Locks the limits on stale weights. Taken last, never together with another lock.
+    pub fn staleness_bounds(&self) -> MutexGuard<'_, StalenessBounds> {
+        self.staleness_bounds.lock()
+    }
+
+    /// Locks the versions, by zone, of the weight versions in force.
+    pub fn weight_versions(&self) -> MutexGuard<'_, WeightVersionsByZone> {
+        self.weight_versions.lock()
+    }
+
+    /// Locks what subscriptions delivered.
+    pub fn subscribed(&self) -> MutexGuard<'_, SubscribedState> {
+        self.subscribed.lock()
+    }
+
+    /// Locks the connection to the controller that this router subscribes to; none before the first subscription.
+    pub fn home_controller(&self) -> MutexGuard<'_, Option<Arc<PeerClient>>> {
+        self.home_controller.lock()
+    }
+
+    /// Locks the random number generator.
+    pub fn rng(&self) -> MutexGuard<'_, Rng> {
+        self.rng.lock()
+    }
+
+    /// Locks the rollouts of versions. Taken last, never together with another lock.
+    pub fn rollouts(&self) -> MutexGuard<'_, Rollouts> {
+        self.rollouts.lock()
+    }
+
+    /// Returns how many routers share the limits: the highest of the recent router counts, and at least one.
     pub fn router_count(&self) -> u32 {
-        let subscribed = self.subscribed.lock();
+        let subscribed = self.subscribed();
         subscribed.router_counts.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1)
     }
 
-    /// What tells this router's samples from those of others.
-    pub fn mark(&self) -> u64 {
+    /// Returns the hash of this router's name, which tells its samples of engines from those of other routers.
+    pub fn router_hash(&self) -> u64 {
         hashing::hash(self.settings.node_name.as_bytes())
     }
 
-    pub fn table(&self) -> Arc<Table> {
-        self.table.lock().clone()
-    }
-
-    /// Is the process about to end?
-    pub fn is_leaving(&self) -> bool {
+    /// Returns whether the process has begun to shut down.
+    pub fn is_shutting_down(&self) -> bool {
         self.drain.phase() != Phase::Serving
     }
 }
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -36,7 +36,7 @@
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
 pub fn standing(state: &State, at_home: bool) -> SubscriptionRenewal {
     let (mut sheets, busy): (Vec<_>, Vec<_>) = {
-        let engine_table = state.engine_table.lock();
+        let engine_table = state.engines();
         let busy = engine_table
             .engines
             .iter()
@@ -49,7 +49,7 @@
     let rollouts = rollout::told(state);
     sheets.push(message::own_protocol_version());
     sheets.push(shard_owners_entry(state.quota_gate.mark()));
-    let news = state.subscribed.lock();
+    let news = state.subscribed();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
@@ -69,7 +69,7 @@
             .bind_addresses
             .frontend
             .clone()
-            .filter(|_| !state.is_leaving())
+            .filter(|_| !state.is_shutting_down())
             .unwrap_or_default(),
     }
 }
@@ -80,8 +80,8 @@
     if state.ready.load(order) {
         return true;
     }
-    let known = state.engine_table.lock().listed_zone_count();
-    let held = state.subscribed.lock().config_revision > 0 && known >= state.settings.zones.len();
+    let known = state.engines().listed_zone_count();
+    let held = state.subscribed().config_revision > 0 && known >= state.settings.zones.len();
     if !held || !state.freshness.is_proved(clock::now()) {
         return false;
     }
@@ -98,19 +98,19 @@
     }
     let mut left = Vec::new();
     {
-        let mut engine_table = state.engine_table.lock();
+        let mut engine_table = state.engines();
         for sheet in &news.endpoint_lists {
             left.extend(engine_table.update(sheet, now));
         }
         engine_table.mark_reassigning(&news.reassigning, now + REST_MS);
     }
     if !left.is_empty() {
-        let mut record = state.owner_cache.lock();
+        let mut record = state.owner_cache();
         left.iter().for_each(|engine| record.remove_engine(engine));
     }
     evacuation::absorb(state, &news.evacuations);
     {
-        let mut held = state.subscribed.lock();
+        let mut held = state.subscribed();
         if !news.peers.is_empty() {
             held.controllers = news.peers;
         }
@@ -120,7 +120,7 @@
         }
     }
     let seats = state.router_count();
-    state.engine_table.lock().set_router(state.mark(), state.zone, seats);
+    state.engines().set_router(state.router_hash(), state.zone, seats);
     if state.prefix_catalog.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
         kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
         tokio::spawn(activation::again(state.clone()));
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -58,7 +58,7 @@
         self.links.call(&call.controller, msg, now, call.deadline_ms);
         if at_home {
             // The connection may be a new one.
-            *self.state.home_controller.lock() = Some(self.links.caller(&call.controller));
+            *self.state.home_controller() = Some(self.links.caller(&call.controller));
         }
     }
 
@@ -106,12 +106,12 @@
     }
 
     fn held(&self) -> u64 {
-        self.state.subscribed.lock().config_revision
+        self.state.subscribed().config_revision
     }
 
     fn absorb(&self, news: StateUpdate, sent: u64) {
         if news.confirmed {
-            self.state.staleness_bounds.lock().renew_lease(sent);
+            self.state.staleness_bounds().renew_lease(sent);
         }
         apply_update::absorb(&self.state, news);
     }
@@ -128,7 +128,7 @@
 
     fn home_moved(&mut self, left: Option<String>) {
         let home = self.following.home().unwrap_or_default().to_string();
-        *self.state.home_controller.lock() = Some(self.links.caller(&home));
+        *self.state.home_controller() = Some(self.links.caller(&home));
         kernel::log_event!(HOME, "left" => left.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -79,7 +79,7 @@
 pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
     let sheet = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
-    state.engine_table.lock().update(&sheet, clock::now());
+    state.engines().update(&sheet, clock::now());
 }
 
 /// A client's connection to a router.
--- a/router/src/tests/connection_reuse.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -78,7 +78,7 @@
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
         kept(&state, 1).await;
         crate::testing::router::list(&state, 2, &list);
-        state.engine_table.lock().engines[1].saturated_until = u64::MAX;
+        state.engines().engines[1].saturated_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
         if route == "again" {
--- a/router/src/tests/exchange.rs
+++ b/router/src/tests/exchange.rs
@@ -110,7 +110,7 @@
         let list = engines("decode", 3, |_, _| Act::SendAndReset(String::new())).await;
         let state = router(&list);
         // The budget would bear more.
-        *state.retry_budget.lock() = ::load_balancing::RetryBudget::new(100.0, 10_000);
+        *state.retry_budget() = ::load_balancing::RetryBudget::new(100.0, 10_000);
         let text = ask(&state, route, "1", "").await;
         assert_eq!((status(&text), seen(&list).len()), ("502", 2), "it may have run: {text}");
     }
@@ -209,7 +209,7 @@
         let state = state.get().expect("set");
         let now = clock::now() + 1;
         if before == 0 {
-            state.engine_table.lock().engines.iter_mut().for_each(|engine| engine.record_failure(now, 0));
+            state.engines().engines.iter_mut().for_each(|engine| engine.record_failure(now, 0));
             return Act::Silence;
         }
         Act::Send(answer(seen, "200 OK", "second"))
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -39,22 +39,22 @@
 }
 
 fn roll(state: &State) -> u64 {
-    state.rng.lock().next_u64()
+    state.rng().next_u64()
 }
 
 /// Word of an engine from a controller.
 pub fn hear(state: &Arc<State>, name: &str) {
     let word = Word::read(name);
-    let Some(at) = state.engine_table.lock().find(word.engine()) else { return };
+    let Some(at) = state.engines().find(word.engine()) else { return };
     match word {
         Word::Answered(_) => {
-            state.engine_table.lock().engines[at].answered_elsewhere = true;
+            state.engines().engines[at].answered_elsewhere = true;
             state.suspicion_cleared.notify_waiters();
         }
         Word::Dark(_) => {
             let now = clock::now();
             {
-                let mut engine_table = state.engine_table.lock();
+                let mut engine_table = state.engines();
                 let engine = &mut engine_table.engines[at];
                 // Nothing new is sent there; answers under way are no worse for what others saw.
                 engine.suspected_until = engine.suspected_until.max(now + SHY_MS);
@@ -74,7 +74,7 @@
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let woken = state.suspicion_cleared.notified();
-        if mem::take(&mut state.engine_table.lock().engines[at].answered_elsewhere) {
+        if mem::take(&mut state.engines().engines[at].answered_elsewhere) {
             return true;
         }
         if time::timeout_at(end, woken).await.is_err() {
@@ -89,7 +89,7 @@
     loop {
         let woken = state.suspicion_cleared.notified();
         {
-            let mut engine_table = state.engine_table.lock();
+            let mut engine_table = state.engines();
             let engine = &mut engine_table.engines[at];
             if mem::take(&mut engine.answered_elsewhere) {
                 return true;
@@ -105,7 +105,7 @@
 }
 
 fn tell(state: &State, word: Word) {
-    let home = state.home_controller.lock().clone();
+    let home = state.home_controller().clone();
     if let Some(home) = home {
         home.notify(Message::SuspectEngine(Box::new((word.write(), false))));
     }
@@ -113,7 +113,7 @@
 
 /// A request got no sign of life from an engine: it is asked until it answers or is gone.
 pub fn raise(state: &Arc<State>, at: usize) {
-    if let Some(engine) = state.engine_table.lock().engines.get_mut(at) {
+    if let Some(engine) = state.engines().engines.get_mut(at) {
         engine.is_unresponsive = true;
     }
     state.suspicion_cleared.notify_waiters();
@@ -123,7 +123,7 @@
 /// One asker an engine at a time.
 fn start(state: &Arc<State>, at: usize, cause: Cause) {
     {
-        let mut engine_table = state.engine_table.lock();
+        let mut engine_table = state.engines();
         let Some(engine) = engine_table.engines.get_mut(at).filter(|engine| engine.listed && !engine.is_probing) else {
             return;
         };
@@ -154,14 +154,14 @@
     let (mut unanswered, mut woken) = (0u32, false);
     loop {
         let (addr, id) = {
-            let engine_table = state.engine_table.lock();
+            let engine_table = state.engines();
             (engine_table.engines[at].address.clone(), engine_table.engines[at].id.clone())
         };
         let answer = probe(&addr).await;
         let known = match judge(&state, at, &id, answer, begun) {
             Found::Ended => {
                 // Whoever was told need not tell.
-                let is_here = state.engine_table.lock().engines[at].listed;
+                let is_here = state.engines().engines[at].listed;
                 if is_here && !woken && (unanswered > 0 || cause == Cause::Told) {
                     tell(&state, Word::Answered(&id));
                 }
@@ -183,7 +183,7 @@
 /// Takes the answer of an engine, or its silence, for what it says.
 fn judge(state: &State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
     let now = clock::now();
-    let mut engine_table = state.engine_table.lock();
+    let mut engine_table = state.engines();
     let engine = &mut engine_table.engines[at];
     let known = engine.suspected_until > now;
     match answer {
@@ -210,7 +210,7 @@
 
 /// Another router got an answer, and this one has no reason of its own to doubt it.
 fn trust(state: &State, at: usize, begun: u64) {
-    let mut engine_table = state.engine_table.lock();
+    let mut engine_table = state.engines();
     let engine = &mut engine_table.engines[at];
     engine.is_probing = false;
     answered(state, engine, clock::now(), begun);
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -21,11 +21,11 @@
 
 /// Is the engine left alone?
 fn is_left_alone(state: &State) -> bool {
-    state.engine_table.lock().engines[0].suspected_until > clock::now()
+    state.engines().engines[0].suspected_until > clock::now()
 }
 
 fn is_asked(state: &State) -> bool {
-    state.engine_table.lock().engines[0].is_probing
+    state.engines().engines[0].is_probing
 }
 
 /// Until the asker has ended.
@@ -75,7 +75,7 @@
     let list = fleet().await;
     let state = router(&list);
     // Of a thousand routers each would else ask after many seconds.
-    state.subscribed.lock().router_counts.push((clock::now(), 1000));
+    state.subscribed().router_counts.push((clock::now(), 1000));
     hear(&state, &Word::Dark(&id(&list)).write());
     raise(&state, 0);
     settled(&state).await;
@@ -88,5 +88,5 @@
     let list = fleet().await;
     let state = router(&list);
     hear(&state, &Word::Dark(&id(&list)).write());
-    assert_eq!(state.engine_table.lock().engines[0].last_failure_at, 0, "only own questions end an answer");
+    assert_eq!(state.engines().engines[0].last_failure_at, 0, "only own questions end an answer");
 }
