--- a/router/src/config/routing_table.rs
+++ b/router/src/config/routing_table.rs
@@ -13,7 +13,7 @@
 use crate::proxy::duration_estimate::DurationEstimate;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteType {
     Idempotent,
     NonIdempotent,
     Streaming,
@@ -23,7 +23,7 @@
 pub struct Route {
     pub name: String,
     pub prefix: String,
-    pub kind: Kind,
+    pub route_type: RouteType,
     pub resumable: bool,
     pub timeout_ms: u64,
     pub target_ms: u64,
@@ -40,7 +40,7 @@
 impl Route {
     /// May it run more than once?
     pub fn repeatable(&self) -> bool {
-        self.kind == Kind::Idempotent || (self.kind == Kind::Streaming && self.resumable)
+        self.route_type == RouteType::Idempotent || (self.route_type == RouteType::Streaming && self.resumable)
     }
 }
 
@@ -68,16 +68,16 @@
 }
 
 fn route(item: &config::Route, engine_table: &mut EngineTable) -> Route {
-    let kind = match item.route_type.as_str() {
-        "idempotent" => Kind::Idempotent,
-        "streaming" => Kind::Streaming,
-        _ => Kind::NonIdempotent,
+    let route_type = match item.route_type.as_str() {
+        "idempotent" => RouteType::Idempotent,
+        "streaming" => RouteType::Streaming,
+        _ => RouteType::NonIdempotent,
     };
     let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service_index(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
-        kind,
+        route_type,
         resumable: item.resumable,
         timeout_ms: item.timeout_ms,
         target_ms: item.target_ms,
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -51,7 +51,7 @@
     let (response, outcome) = match entered {
         Ok(exchange) => {
             guard.enter(Stage::Forwarding);
-            match forward::answer(exchange).await {
+            match forward::forward(exchange).await {
                 Ok(response) => {
                     let outcome = passed_on(&response);
                     (response, outcome)
@@ -203,26 +203,26 @@
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
     state.retry_budget().record_request(service, born);
     Exchange {
-        closed_zones: plan::closed_zones(state, request.authorization.homes()),
+        excluded_zones: plan::excluded_zones(state, request.authorization.homes()),
         priority: request.authorization.priority(),
         route: route.name.clone(),
         pinned_version: None,
         state: state.clone(),
         request,
-        kind: route.kind,
-        repeatable: route.repeatable(),
+        route_type: route.route_type,
+        is_repeatable: route.repeatable(),
         max_sends: route.tries,
         target_ms: route.target_ms.max(1),
         service,
         service_config: table.services.get(&service).cloned().unwrap_or_default(),
         prefix_owners: Vec::new(),
         sends: 0,
-        arrived: false,
+        reached_engine: false,
         may_have_run: false,
-        tried: Vec::new(),
+        attempted_engines: Vec::new(),
         in_flight: Vec::new(),
         kv_handle: None,
-        arm: Default::default(),
+        variant: Default::default(),
     }
 }
 
--- a/router/src/kv/handle.rs
+++ b/router/src/kv/handle.rs
@@ -33,7 +33,7 @@
         let good = self.kv_handle.as_ref().is_some_and(|handle| {
             let engine_table = self.state.engines();
             let engine = &engine_table.engines[handle.at];
-            now < handle.until && engine.listed && !self.closed_zones.contains(&engine.zone)
+            now < handle.until && engine.listed && !self.excluded_zones.contains(&engine.zone)
         });
         if !good {
             self.release_handle();
@@ -46,6 +46,6 @@
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
         let most = self.max_connections();
-        tokio::spawn(async move { send::free(&state, &handle, most).await });
+        tokio::spawn(async move { send::free_kv_handle(&state, &handle, most).await });
     }
 }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -226,14 +226,14 @@
     }
 }
 
-impl From<&send::Outcome> for SendResult {
-    fn from(outcome: &send::Outcome) -> SendResult {
+impl From<&send::SendOutcome> for SendResult {
+    fn from(outcome: &send::SendOutcome) -> SendResult {
         match outcome {
-            send::Outcome::Answer(_) => SendResult::Answered,
-            send::Outcome::NotExecuted => SendResult::NotExecuted,
-            send::Outcome::OtherEngine | send::Outcome::OtherVersion(_) => SendResult::Misdirected,
-            send::Outcome::Unsent(_) => SendResult::Unsent,
-            send::Outcome::Lost => SendResult::Lost,
+            send::SendOutcome::Response(_) => SendResult::Answered,
+            send::SendOutcome::NotExecuted => SendResult::NotExecuted,
+            send::SendOutcome::OtherEngine | send::SendOutcome::OtherVersion(_) => SendResult::Misdirected,
+            send::SendOutcome::Unsent(_) => SendResult::Unsent,
+            send::SendOutcome::Lost => SendResult::Lost,
         }
     }
 }
--- a/router/src/proxy/duration_estimate.rs
+++ b/router/src/proxy/duration_estimate.rs
@@ -13,7 +13,7 @@
 
 impl DurationEstimate {
     /// A request took so long, or was given up after so long.
-    pub fn note(&self, duration_ms: u64) {
+    pub fn record(&self, duration_ms: u64) {
         let held = self.held_ms();
         let distance = duration_ms as f64 - held;
         let step = if distance > 0.0 { STEP_UP } else { STEP_DOWN };
--- a/router/src/proxy/duration_estimate_tests.rs
+++ b/router/src/proxy/duration_estimate_tests.rs
@@ -19,7 +19,7 @@
         if number >= 10_000 && duration_ms > estimate.expected_ms() {
             longer += 1;
         }
-        estimate.note(duration_ms);
+        estimate.record(duration_ms);
     }
     assert!((500..2500).contains(&longer), "{longer} of 10000 took longer");
 }
@@ -27,11 +27,11 @@
 #[test]
 fn a_slow_spell_is_followed_within_some_requests_and_forgotten_slowly() {
     let estimate = DurationEstimate::default();
-    (0..100).for_each(|_| estimate.note(200));
-    (0..10).for_each(|_| estimate.note(5000));
+    (0..100).for_each(|_| estimate.record(200));
+    (0..10).for_each(|_| estimate.record(5000));
     assert!(estimate.expected_ms() > 4500, "{}", estimate.expected_ms());
-    (0..20).for_each(|_| estimate.note(200));
+    (0..20).for_each(|_| estimate.record(200));
     assert!(estimate.expected_ms() > 3000, "{}", estimate.expected_ms());
-    (0..400).for_each(|_| estimate.note(200));
+    (0..400).for_each(|_| estimate.record(200));
     assert!(estimate.expected_ms() < 300, "{}", estimate.expected_ms());
 }
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -10,13 +10,13 @@
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
-use crate::config::routing_table::{Kind, Service};
+use crate::config::routing_table::{RouteType, Service};
 use crate::frontend::request::Request;
 use crate::kv::handle::Handle;
 use crate::metrics::{Half, Sent};
 use crate::proxy::plan::PrefixOwners;
 use crate::proxy::response_head;
-use crate::proxy::send::{Extra, Outcome};
+use crate::proxy::send::{SendOptions, SendOutcome};
 use crate::state::State;
 use crate::upstream::connection_pool::{Endpoint, SendError};
 use crate::upstream::suspicion::{self, SIGN_MS};
@@ -26,8 +26,8 @@
 pub struct Exchange {
     pub state: Arc<State>,
     pub request: Request,
-    pub kind: Kind,
-    pub repeatable: bool,
+    pub route_type: RouteType,
+    pub is_repeatable: bool,
     /// The greatest number of engines that it may be sent to.
     pub max_sends: u32,
     pub target_ms: u64,
@@ -35,7 +35,7 @@
     pub service: u32,
     pub service_config: Service,
     /// Zones that it may not go to, by dense index.
-    pub closed_zones: Vec<u32>,
+    pub excluded_zones: Vec<u32>,
     /// The name of its route.
     pub route: String,
     /// Bound work goes on at this version only: its prompt was read, or its answer begun, with it.
@@ -44,16 +44,16 @@
     /// Sends that count against `max_sends`.
     pub sends: u32,
     /// An engine got it: each further send draws on the retry budget.
-    pub arrived: bool,
+    pub reached_engine: bool,
     /// An engine may have taken it up: it is never called refused any more.
     pub may_have_run: bool,
     /// Engines that are not tried again, by index.
-    pub tried: Vec<usize>,
+    pub attempted_engines: Vec<usize>,
     /// Engines at which it is under way, and the prompt tokens that each has yet to read.
     pub in_flight: Vec<(usize, u64)>,
     pub kv_handle: Option<Handle>,
     /// The version that serves it, for all of its sends.
-    pub arm: Arm,
+    pub variant: Arm,
 }
 
 impl Drop for Exchange {
@@ -62,9 +62,9 @@
             self.end_send(at);
         }
         self.release_handle();
-        if self.arrived {
+        if self.reached_engine {
             let spent_ms = clock::now().saturating_sub(self.request.born);
-            self.request.authorization.route().durations.note(spent_ms);
+            self.request.authorization.route().durations.record(spent_ms);
         }
         self.state.held_body_bytes.fetch_sub(self.request.body.len(), Ordering::Relaxed);
     }
@@ -91,16 +91,16 @@
     }
 
     pub fn is_streaming(&self) -> bool {
-        self.kind == Kind::Streaming
+        self.route_type == RouteType::Streaming
     }
 
     pub fn is_resumable(&self) -> bool {
-        self.is_streaming() && self.repeatable
+        self.is_streaming() && self.is_repeatable
     }
 
     /// May the request be sent to another engine once this one is found dark?
     pub fn may_retry(&self) -> bool {
-        self.repeatable && self.sends < self.max_sends
+        self.is_repeatable && self.sends < self.max_sends
     }
 
     pub fn endpoint(&self, at: usize) -> Endpoint {
@@ -113,7 +113,7 @@
         if self.sends >= self.max_sends || !self.is_authorized() {
             return false;
         }
-        if !self.arrived {
+        if !self.reached_engine {
             return true;
         }
         let part = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
@@ -136,13 +136,13 @@
             now: clock::now(),
             service: self.service,
             zone: self.state.zone,
-            excluded_zones: &self.closed_zones,
-            tried_engines: &self.tried,
+            excluded_zones: &self.excluded_zones,
+            tried_engines: &self.attempted_engines,
             router_count: routers,
             cold_engine_rate: ramp * self.state.settings.bounds.ramp_overage,
             weight_versions: weights,
             is_confirmed: confirmed,
-            arm: self.arm,
+            arm: self.variant,
         })
     }
 
@@ -173,7 +173,7 @@
     /// One send to one engine, with what it shows about that engine noted.
     /// `reads`: prompt tokens that the engine is to read. `again`: it may be sent elsewhere when the
     /// engine is found dark; one that answers others, or a probe, is only slow.
-    pub async fn send(&mut self, at: usize, mut extra: Extra, reads: u32, again: bool) -> Outcome {
+    pub async fn send(&mut self, at: usize, mut extra: SendOptions, reads: u32, again: bool) -> SendOutcome {
         let now = clock::now();
         let tokens = u64::from(reads);
         let weights = self.version_bounds();
@@ -195,12 +195,12 @@
         let half = if extra.stage { Half::Prefill } else { Half::Run };
         let sent = Sent { half, result: (&outcome).into() };
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
-        let answered = matches!(outcome, Outcome::Answer(_));
-        let unsent = matches!(outcome, Outcome::Unsent(_));
+        let answered = matches!(outcome, SendOutcome::Response(_));
+        let unsent = matches!(outcome, SendOutcome::Unsent(_));
         // The first read that an engine takes up is no arrival that counts. One without an answer
         // may never have been taken up, and counts.
         let free = answered && stage;
-        self.arrived |= !unsent && !free;
+        self.reached_engine |= !unsent && !free;
         if !answered {
             self.end_send(at);
         }
@@ -208,7 +208,7 @@
     }
 
     /// Until there is an outcome, time is up, or the engine is found dark and the request may go elsewhere.
-    async fn await_outcome(&self, at: usize, to: &Endpoint, extra: &Extra, again: bool) -> Outcome {
+    async fn await_outcome(&self, at: usize, to: &Endpoint, extra: &SendOptions, again: bool) -> SendOutcome {
         let now = clock::now();
         let wait = self.request.left(now);
         let call =
@@ -220,7 +220,7 @@
                 return outcome;
             }
             if self.remaining_ms() == 0 || (self.found_dark(at, now) && again) {
-                return Outcome::Lost;
+                return SendOutcome::Lost;
             }
         }
     }
@@ -242,12 +242,12 @@
     }
 
     /// Notes what an outcome shows about the engine.
-    fn record_outcome(&self, at: usize, outcome: &Outcome) {
+    fn record_outcome(&self, at: usize, outcome: &SendOutcome) {
         let now = clock::now();
         let mut engine_table = self.state.engines();
         let engine = &mut engine_table.engines[at];
         match outcome {
-            Outcome::Answer(answer) => {
+            SendOutcome::Response(answer) => {
                 engine.record_response(now);
                 if let Some(version) = response_head::version(&answer.head.headers) {
                     engine.set_weight_version(self.request.model_key, Some(version));
@@ -256,17 +256,17 @@
                     engine_table.record_reported_load(at, load, now);
                 }
             }
-            Outcome::OtherEngine => engine.retire(),
-            Outcome::NotExecuted => {
+            SendOutcome::OtherEngine => engine.retire(),
+            SendOutcome::NotExecuted => {
                 engine.record_response(now);
                 engine.saturated_until = now + 60;
             }
-            Outcome::OtherVersion(version) => {
+            SendOutcome::OtherVersion(version) => {
                 engine.record_response(now);
                 engine.set_weight_version(self.request.model_key, *version);
             }
-            Outcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
-            Outcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
+            SendOutcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
+            SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
             _ => {
                 drop(engine_table);
                 suspicion::raise(&self.state, at);
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -15,7 +15,7 @@
 use crate::proxy::event_stream::Splitter;
 use crate::proxy::exchange::Exchange;
 use crate::proxy::response_body::{self, Pipe};
-use crate::proxy::send::{self, Answer, Extra, Outcome};
+use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
 use crate::proxy::{phases, plan, response_head};
 use crate::rollout::Seen;
 use crate::upstream::suspicion::{self, SIGN_MS};
@@ -44,7 +44,7 @@
 const STAND_BACK_MS: u64 = 500;
 
 /// Chooses the path and follows it to an answer.
-pub async fn answer(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
+pub async fn forward(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
     if exchange.request.spare.is_some_and(|share| !exchange.view(|view| view.has_spare_capacity(share))) {
         return Err(Failure::Refused(STAND_BACK_MS));
     }
@@ -93,12 +93,12 @@
 }
 
 /// A success as an engine gives it.
-fn sealed(answer: &Answer) -> bool {
+fn sealed(answer: &EngineResponse) -> bool {
     answer.head.status.is_success() && answer.head.headers.contains_key(RESPONSE_SEAL)
 }
 
 /// Services without halves: one engine, and another where that is allowed.
-async fn plain(exchange: &mut Exchange) -> Result<(usize, Answer), Failure> {
+async fn plain(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     // A failed answer is given up only once the next send is granted.
     let mut granted = false;
     loop {
@@ -109,35 +109,35 @@
             return Err(failure_of(exchange));
         }
         exchange.sends += 1;
-        let (extra, again) = (Extra { urgency: exchange.urgency(), ..Default::default() }, exchange.may_retry());
+        let (extra, again) = (SendOptions { urgency: exchange.urgency(), ..Default::default() }, exchange.may_retry());
         match exchange.send(at, extra, 0, again).await {
-            Outcome::Answer(answer) => {
-                granted = exchange.repeatable && answer.head.status.is_server_error() && exchange.grant_send();
+            SendOutcome::Response(answer) => {
+                granted = exchange.is_repeatable && answer.head.status.is_server_error() && exchange.grant_send();
                 if !granted {
                     return Ok((at, *answer));
                 }
                 exchange.may_have_run = true;
                 exchange.end_send(at);
             }
-            Outcome::Unsent(_) => exchange.sends -= 1,
-            Outcome::NotExecuted | Outcome::OtherEngine | Outcome::OtherVersion(_) => {}
-            Outcome::Lost => {
+            SendOutcome::Unsent(_) => exchange.sends -= 1,
+            SendOutcome::NotExecuted | SendOutcome::OtherEngine | SendOutcome::OtherVersion(_) => {}
+            SendOutcome::Lost => {
                 exchange.may_have_run = true;
-                if !exchange.repeatable {
+                if !exchange.is_repeatable {
                     return Err(failure_of(exchange));
                 }
             }
         }
-        exchange.tried.push(at);
+        exchange.attempted_engines.push(at);
     }
 }
 
 impl Exchange {
     /// Goes on at another engine after a break, behind the last event that was passed on.
-    async fn resume(&mut self, at: usize, split: &Splitter) -> Option<(usize, Answer)> {
+    async fn resume(&mut self, at: usize, split: &Splitter) -> Option<(usize, EngineResponse)> {
         self.may_have_run = true;
         suspicion::raise(&self.state, at);
-        self.tried.push(at);
+        self.attempted_engines.push(at);
         if !self.is_resumable() || !split.resumable() {
             return None;
         }
@@ -152,18 +152,18 @@
                 Some(last) => HeaderValue::from_str(last).ok(),
                 None => self.request.last.clone(),
             };
-            let extra = Extra { last, urgency: self.urgency(), ..Default::default() };
+            let extra = SendOptions { last, urgency: self.urgency(), ..Default::default() };
             self.sends += 1;
             let again = self.may_retry();
             match self.send(next, extra, tokens, again).await {
-                Outcome::Answer(answer) if sealed(&answer) => {
+                SendOutcome::Response(answer) if sealed(&answer) => {
                     return Some((next, *answer));
                 }
-                Outcome::Answer(_) => self.end_send(next),
-                Outcome::Unsent(_) => self.sends -= 1,
+                SendOutcome::Response(_) => self.end_send(next),
+                SendOutcome::Unsent(_) => self.sends -= 1,
                 _ => {}
             }
-            self.tried.push(next);
+            self.attempted_engines.push(next);
         }
         None
     }
@@ -178,7 +178,7 @@
 }
 
 /// Answers with the engine's head; its body follows as it comes.
-pub fn pass(mut exchange: Exchange, at: usize, answer: Answer) -> Response<Body> {
+pub fn pass(mut exchange: Exchange, at: usize, answer: EngineResponse) -> Response<Body> {
     let mut reply = Response::new(());
     *reply.status_mut() = answer.head.status;
     *reply.headers_mut() = answer.head.headers.clone();
@@ -194,7 +194,7 @@
     reply.map(|()| Body::new(feed))
 }
 
-async fn run(exchange: &mut Exchange, mut at: usize, mut answer: Answer, pipe: &Pipe) {
+async fn run(exchange: &mut Exchange, mut at: usize, mut answer: EngineResponse, pipe: &Pipe) {
     let mut split = Splitter::default();
     let is_success = answer.head.status.is_success();
     loop {
@@ -208,7 +208,7 @@
                     exchange.note_seen(Seen::Good { pace_us: split.pace_us() });
                 }
                 let to = exchange.endpoint(at);
-                send::give_back(&exchange.state, &to, &answer.head.headers, answer.connection).await;
+                send::return_connection(&exchange.state, &to, &answer.head.headers, answer.connection).await;
                 return;
             }
             End::Broken => exchange.note_seen(Seen::Failed),
@@ -219,7 +219,7 @@
     }
 }
 
-async fn pump(exchange: &Exchange, at: usize, answer: &mut Answer, split: &mut Splitter, pipe: &Pipe) -> End {
+async fn pump(exchange: &Exchange, at: usize, answer: &mut EngineResponse, split: &mut Splitter, pipe: &Pipe) -> End {
     use http_body_util::BodyExt;
     let span = Duration::from_millis(SIGN_MS);
     let (stream, resumes) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -11,7 +11,7 @@
 use crate::proxy::exchange::Exchange;
 use crate::proxy::forward;
 use crate::proxy::plan::{self, Plan};
-use crate::proxy::send::{self, Answer, Extra, Outcome};
+use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
 
 /// Time kept between the end of a handle's life and its last use.
 const MARGIN_MS: u64 = 400;
@@ -23,7 +23,7 @@
     /// Its memory is held for this request.
     Held,
     /// The engine answered the request itself.
-    Answer(usize, Answer),
+    Answer(usize, EngineResponse),
 }
 
 /// A read takes up none of the counted sends unless it is turned away, or a read went before it.
@@ -33,42 +33,42 @@
         let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
         let Plan::Read { at, reads } = plan else { return Err(()) };
         exchange.state.engines().record_prefill(exchange.service, reads);
-        let extra = Extra { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
+        let extra = SendOptions { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
         match exchange.send(at, extra, reads, true).await {
-            Outcome::Answer(answer) => return taken(exchange, at, *answer).await,
-            Outcome::Unsent(_) => exchange.tried.push(at),
-            Outcome::NotExecuted | Outcome::OtherEngine | Outcome::OtherVersion(_) => {
-                exchange.tried.push(at);
+            SendOutcome::Response(answer) => return taken(exchange, at, *answer).await,
+            SendOutcome::Unsent(_) => exchange.attempted_engines.push(at),
+            SendOutcome::NotExecuted | SendOutcome::OtherEngine | SendOutcome::OtherVersion(_) => {
+                exchange.attempted_engines.push(at);
                 exchange.sends += 1;
                 // The last counted send is kept for the half that makes the tokens.
                 if exchange.sends + 1 >= exchange.max_sends || !exchange.grant_send() {
                     return Err(());
                 }
             }
-            Outcome::Lost => return Err(()),
+            SendOutcome::Lost => return Err(()),
         }
     }
     Err(())
 }
 
-async fn taken(exchange: &mut Exchange, at: usize, answer: Answer) -> Result<Reading, ()> {
+async fn taken(exchange: &mut Exchange, at: usize, answer: EngineResponse) -> Result<Reading, ()> {
     if answer.head.headers.contains_key(RESPONSE_SEAL) {
         // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
-        (exchange.sends, exchange.arrived, exchange.may_have_run) = (exchange.sends + 1, true, true);
+        (exchange.sends, exchange.reached_engine, exchange.may_have_run) = (exchange.sends + 1, true, true);
         return Ok(Reading::Answer(at, answer));
     }
     let reader = exchange.endpoint(at);
     let good = answer.head.status == 200;
     let wait = exchange.remaining_ms().min(1000);
     let got = clock::now();
-    let text = send::whole(&exchange.state, &reader, answer, 16 * 1024, wait).await;
+    let text = send::read_body(&exchange.state, &reader, answer, 16 * 1024, wait).await;
     exchange.end_send(at);
     let value: Value = text.and_then(|text| serde_json::from_slice(&text).ok()).unwrap_or_default();
     let id = value["kv_handle"].as_str().filter(|_| good).unwrap_or("").to_string();
     let sound = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
     if !sound {
         // It may have been turned away: counted.
-        exchange.arrived = true;
+        exchange.reached_engine = true;
         return Err(());
     }
     if exchange.version_bounds().is_some() {
@@ -117,7 +117,7 @@
 }
 
 /// Reads the prompt and hands it over; gives the engine that answers and its answer.
-pub async fn carry(exchange: &mut Exchange) -> Result<(usize, Answer), Failure> {
+pub async fn carry(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     exchange.prefix_owners = plan::owners(&exchange.state, &exchange.request, exchange.service).await;
     let mut reader = None;
     let reading = read(exchange).await;
@@ -157,7 +157,7 @@
 }
 
 /// Sends to the engine that makes the tokens, with the memory where there is one.
-async fn make(exchange: &mut Exchange, reader: Option<usize>) -> Result<(usize, Answer), Failure> {
+async fn make(exchange: &mut Exchange, reader: Option<usize>) -> Result<(usize, EngineResponse), Failure> {
     loop {
         let Some((at, handle)) = choose_maker(exchange, reader) else {
             return Err(forward::failure_of(exchange));
@@ -168,27 +168,27 @@
         }
         let reads = if handle.is_some() { 0 } else { exchange.request.tokens() };
         let source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
-        let extra = Extra { source, urgency: exchange.urgency(), ..Default::default() };
+        let extra = SendOptions { source, urgency: exchange.urgency(), ..Default::default() };
         exchange.sends += 1;
         let again = exchange.may_retry();
         let outcome = exchange.send(at, extra, reads, again).await;
-        if let Outcome::Answer(answer) = outcome {
+        if let SendOutcome::Response(answer) = outcome {
             exchange.prompt_read(at);
             if answer.head.status.is_success() {
                 register(exchange, at);
             }
             return Ok((at, *answer));
         }
-        exchange.tried.push(at);
+        exchange.attempted_engines.push(at);
         let held = handle.is_some();
         handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
         match outcome {
-            Outcome::Unsent(_) => exchange.sends -= 1,
-            Outcome::Lost => {
+            SendOutcome::Unsent(_) => exchange.sends -= 1,
+            SendOutcome::Lost => {
                 exchange.may_have_run = true;
                 // Where it was not taken nobody else may name it: this maker may yet come for it.
                 exchange.release_handle();
-                if !exchange.repeatable {
+                if !exchange.is_repeatable {
                     return Err(forward::failure_of(exchange));
                 }
             }
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -118,7 +118,7 @@
 }
 
 /// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
-pub fn closed_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
+pub fn excluded_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
     let mut list = state.subscribed().evacuated_zones.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
     if homes.iter().all(|homes| homes.is_empty()) {
--- a/router/src/proxy/response_head.rs
+++ b/router/src/proxy/response_head.rs
@@ -6,13 +6,13 @@
 
 /// What became of a request, as far as the head of an answer tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Classification {
     /// The answer belongs to another request, or is no final answer: the connection can't be trusted any more.
-    Foreign,
+    Mismatched,
     /// The engine has taken the request up, and this is its answer.
     Executed,
     /// A status that would promise a client that nothing ran, without the engine's word for it.
-    Unproven,
+    Unconfirmed,
     /// The engine says that the request was not run.
     NotExecuted,
     /// Not run: the address belongs to another engine.
@@ -22,7 +22,7 @@
 }
 
 /// What was asked of the engine, as far as its answer may speak to it.
-pub struct Asked<'a> {
+pub struct Expectation<'a> {
     pub attempt: Option<&'a HeaderValue>,
     pub target: &'a str,
     /// The version that its weights were to have.
@@ -45,9 +45,9 @@
     ids.next() == attempt && ids.next().is_none()
 }
 
-pub fn judge(head: &Parts, asked: &Asked) -> Verdict {
+pub fn classify(head: &Parts, asked: &Expectation) -> Classification {
     if head.status.is_informational() || !answers(&head.headers, asked.attempt) {
-        return Verdict::Foreign;
+        return Classification::Mismatched;
     }
     let status = head.status.as_u16();
     if status == MISDIRECTED {
@@ -55,23 +55,23 @@
     }
     if head.headers.contains_key(NOT_EXECUTED) {
         // A success contradicts that word, and nothing is repeated on it.
-        return if head.status.is_success() { Verdict::Unproven } else { Verdict::NotExecuted };
+        return if head.status.is_success() { Classification::Unconfirmed } else { Classification::NotExecuted };
     }
     if PROMISES.contains(&status) {
-        return Verdict::Unproven;
+        return Classification::Unconfirmed;
     }
-    Verdict::Executed
+    Classification::Executed
 }
 
 /// Why an engine turned away a request that it did not run.
-fn misdirected(head: &HeaderMap, asked: &Asked) -> Verdict {
+fn misdirected(head: &HeaderMap, asked: &Expectation) -> Classification {
     let name = head.get(INSTANCE_ID).and_then(|value| value.to_str().ok());
     if name.is_some_and(|name| name != asked.target) {
-        return Verdict::OtherEngine;
+        return Classification::OtherEngine;
     }
     let found = version(head);
     if asked.version.is_some() && found != asked.version {
-        return Verdict::OtherVersion(found);
+        return Classification::OtherVersion(found);
     }
-    Verdict::NotExecuted
+    Classification::NotExecuted
 }
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -18,18 +18,18 @@
 use crate::event::MISFIT;
 use crate::frontend::request;
 use crate::kv::handle::Handle;
-use crate::proxy::response_head::{self, Asked, Verdict};
+use crate::proxy::response_head::{self, Classification, Expectation};
 use crate::state::State;
 use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
 
-pub struct Answer {
+pub struct EngineResponse {
     pub head: Parts,
     pub body: Incoming,
     pub connection: Connection,
 }
 
-pub enum Outcome {
-    Answer(Box<Answer>),
+pub enum SendOutcome {
+    Response(Box<EngineResponse>),
     /// Nothing of it reached the engine.
     Unsent(SendError),
     /// The engine says that it has not run.
@@ -44,7 +44,7 @@
 
 /// What is set on a send besides the client's own headers.
 #[derive(Default)]
-pub struct Extra {
+pub struct SendOptions {
     pub budget_ms: u64,
     pub stage: bool,
     pub source: Option<String>,
@@ -56,7 +56,7 @@
     pub guard: Option<String>,
 }
 
-impl Answer {
+impl EngineResponse {
     /// Does the end of its body show whether it is whole? Where nothing frames it, a break looks like the end.
     pub fn framed(&self) -> bool {
         use hyper::body::Body;
@@ -67,7 +67,7 @@
 }
 
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
-fn holds(state: &State, service: u32, model: &str, extra: &Extra) -> bool {
+fn holds(state: &State, service: u32, model: &str, extra: &SendOptions) -> bool {
     let Some(route) = &extra.guard else { return true };
     let limit = state.staleness_bounds().bound_for(service, model, route, clock::now());
     match limit {
@@ -77,7 +77,7 @@
     }
 }
 
-fn compose(request: &request::Request, engine: &str, extra: &Extra) -> http::Request<Full<Bytes>> {
+fn compose(request: &request::Request, engine: &str, extra: &SendOptions) -> http::Request<Full<Bytes>> {
     let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.path.clone();
@@ -115,9 +115,9 @@
     service: u32,
     to: &Endpoint,
     most: usize,
-    extra: &Extra,
+    extra: &SendOptions,
     silence_ms: u64,
-) -> Outcome {
+) -> SendOutcome {
     let mut outgoing = compose(request, &to.engine, extra);
     let end = Instant::now() + Duration::from_millis(silence_ms);
     loop {
@@ -128,17 +128,17 @@
                     state.metrics.engine_connections.inc();
                     (connection, true)
                 }
-                Err(error) => return Outcome::Unsent(error),
+                Err(error) => return SendOutcome::Unsent(error),
             },
         };
         if !holds(state, service, &request.model, extra) {
-            return Outcome::Unsent(SendError::Behind);
+            return SendOutcome::Unsent(SendError::Behind);
         }
         if !request.authorization.holds(&state.table()) {
-            return Outcome::Unsent(SendError::Unauthorized);
+            return SendOutcome::Unsent(SendError::Unauthorized);
         }
         let reply = match time::timeout_at(end, connection.try_send_request(outgoing)).await {
-            Err(_) => return Outcome::Lost,
+            Err(_) => return SendOutcome::Lost,
             Ok(Ok(reply)) => reply,
             Ok(Err(mut error)) => match error.take_message() {
                 // Never written: the connection had ended before.
@@ -146,44 +146,56 @@
                     outgoing = back;
                     continue;
                 }
-                Some(_) => return Outcome::Unsent(SendError::Down),
-                None => return Outcome::Lost,
+                Some(_) => return SendOutcome::Unsent(SendError::Down),
+                None => return SendOutcome::Lost,
             },
         };
         let (head, body) = reply.into_parts();
-        return judged(state, request, to, extra, Answer { head, body, connection }).await;
+        return classify_response(state, request, to, extra, EngineResponse { head, body, connection }).await;
     }
 }
 
 /// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
-async fn judged(state: &State, request: &request::Request, to: &Endpoint, extra: &Extra, answer: Answer) -> Outcome {
-    let asked = Asked { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
-    let outcome = match response_head::judge(&answer.head, &asked) {
-        Verdict::Executed => return Outcome::Answer(Box::new(answer)),
-        Verdict::Foreign => {
+async fn classify_response(
+    state: &State,
+    request: &request::Request,
+    to: &Endpoint,
+    extra: &SendOptions,
+    answer: EngineResponse,
+) -> SendOutcome {
+    let asked = Expectation { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
+    let outcome = match response_head::classify(&answer.head, &asked) {
+        Classification::Executed => return SendOutcome::Response(Box::new(answer)),
+        Classification::Mismatched => {
             let status = answer.head.status.as_u16();
             kernel::log_event!(MISFIT, "engine" => to.engine.clone(), "status" => status);
-            return Outcome::Lost;
+            return SendOutcome::Lost;
         }
-        Verdict::Unproven => Outcome::Lost,
-        Verdict::NotExecuted => Outcome::NotExecuted,
-        Verdict::OtherEngine => Outcome::OtherEngine,
-        Verdict::OtherVersion(version) => Outcome::OtherVersion(version),
+        Classification::Unconfirmed => SendOutcome::Lost,
+        Classification::NotExecuted => SendOutcome::NotExecuted,
+        Classification::OtherEngine => SendOutcome::OtherEngine,
+        Classification::OtherVersion(version) => SendOutcome::OtherVersion(version),
     };
-    finish(state, to, answer).await;
+    drain_body(state, to, answer).await;
     outcome
 }
 
 /// Reads the rest of an answer that nobody needs and takes the connection back.
-pub async fn finish(state: &State, to: &Endpoint, answer: Answer) {
-    let _ = whole(state, to, answer, 64 * 1024, 200).await;
+pub async fn drain_body(state: &State, to: &Endpoint, answer: EngineResponse) {
+    let _ = read_body(state, to, answer, 64 * 1024, 200).await;
 }
 
 /// Reads a small answer whole.
-pub async fn whole(state: &State, to: &Endpoint, answer: Answer, most: usize, wait_ms: u64) -> Option<Bytes> {
+pub async fn read_body(
+    state: &State,
+    to: &Endpoint,
+    answer: EngineResponse,
+    most: usize,
+    wait_ms: u64,
+) -> Option<Bytes> {
     use http_body_util::BodyExt;
     let framed = answer.framed();
-    let Answer { head, mut body, connection } = answer;
+    let EngineResponse { head, mut body, connection } = answer;
     let end = Instant::now() + Duration::from_millis(wait_ms);
     let mut text = BytesMut::new();
     while let Some(frame) = time::timeout_at(end, body.frame()).await.ok()? {
@@ -194,12 +206,12 @@
             return None;
         }
     }
-    give_back(state, to, &head.headers, connection).await;
+    return_connection(state, to, &head.headers, connection).await;
     framed.then(|| text.freeze())
 }
 
 /// A connection whose answer was read to its end.
-pub async fn give_back(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
+pub async fn return_connection(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
     if connection_pool::closes(head) {
         return;
     }
@@ -210,7 +222,7 @@
 }
 
 /// Gives the memory of a handle free; tried once, since it lapses by itself.
-pub async fn free(state: &State, handle: &Handle, most: usize) {
+pub async fn free_kv_handle(state: &State, handle: &Handle, most: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
     let Ok(path) = format!("/kv-handle/{}", handle.id).parse() else { return };
@@ -232,5 +244,5 @@
         // Another outgoing's: the answer to this one would be the next that comes.
         return;
     }
-    finish(state, &handle.reader, Answer { head, body, connection }).await;
+    drain_body(state, &handle.reader, EngineResponse { head, body, connection }).await;
 }
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -133,15 +133,15 @@
         let roll = self.state.rng().next_u64();
         let now = clock::now();
         let holds_lease = self.state.staleness_bounds().is_confirmed(now);
-        self.arm = self.state.rollouts().arm(self.service, roll, holds_lease);
-        if self.arm.is_candidate() && !self.view(|view| view.is_usable()) {
-            self.arm = Arm::Stable;
+        self.variant = self.state.rollouts().arm(self.service, roll, holds_lease);
+        if self.variant.is_candidate() && !self.view(|view| view.is_usable()) {
+            self.variant = Arm::Stable;
         }
     }
 
     /// Notes what this request showed of the version that served it.
     pub fn note_seen(&self, seen: Seen) {
-        let noted = self.state.rollouts().note(self.service, &self.route, self.arm, seen);
+        let noted = self.state.rollouts().note(self.service, &self.route, self.variant, seen);
         if noted {
             self.state.samples_wanted.notify_one();
         }
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -181,7 +181,7 @@
     let process = Process::start(&list, true);
     drop(process.first_connection().await);
     let durations = process.state.table().route("stream").expect("there").durations.clone();
-    (0..40).for_each(|_| durations.note(2500));
+    (0..40).for_each(|_| durations.record(2500));
     process.terminate.notify_one();
     while process.state.drain.left_ms().is_none() {
         task::yield_now().await;
@@ -189,7 +189,7 @@
     let long = request(process.address.clone(), "long".into()).await;
     assert_eq!(status(&long.text), "503", "{}", long.text);
     assert!(long.text.to_lowercase().contains("retry-after"), "{}", long.text);
-    (0..1000).for_each(|_| durations.note(50));
+    (0..1000).for_each(|_| durations.record(50));
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
     let seen = engine::seen(&list);
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -9,7 +9,7 @@
 
 use crate::frontend::authorization::{self, Authorization};
 use crate::frontend::request;
-use crate::proxy::send::{self, Outcome};
+use crate::proxy::send::{self, SendOutcome};
 use crate::state::State;
 use crate::testing::engine::{answer, engines, events, held, not_executed, sealed, seen, Act, Engine, Seen, PROMPT};
 use crate::testing::router::{configure, post, router, status, Client};
@@ -239,7 +239,7 @@
         loss.happen(&cell);
         let to = Endpoint { addr: list[2].addr.clone(), engine: list[2].id.clone() };
         let outcome = send::send(&state, &request, 0, &to, 1, &Default::default(), 1000).await;
-        assert!(matches!(outcome, Outcome::Unsent(SendError::Unauthorized)), "{loss:?}");
+        assert!(matches!(outcome, SendOutcome::Unsent(SendError::Unauthorized)), "{loss:?}");
         assert_eq!(seen(&list).len(), 0);
     }
 }
--- a/router/src/tests/tenant_requests.rs
+++ b/router/src/tests/tenant_requests.rs
@@ -185,10 +185,10 @@
     let state = router(&[]);
     let (inside, outside, none) = (&["q".into(), "r".into()][..], &["q".into()][..], &[][..]);
     for open in [[none, none], [inside, none], [none, inside], [inside, inside]] {
-        assert!(plan::closed_zones(&state, open).is_empty(), "{open:?}");
+        assert!(plan::excluded_zones(&state, open).is_empty(), "{open:?}");
     }
     for closed in [[outside, none], [none, outside], [inside, outside], [outside, inside]] {
-        assert_eq!(plan::closed_zones(&state, closed), [state.zone], "{closed:?}");
+        assert_eq!(plan::excluded_zones(&state, closed), [state.zone], "{closed:?}");
     }
 }
 
