--- a/router/src/proxy/duration_estimate.rs
+++ b/router/src/proxy/duration_estimate.rs
@@ -14,18 +14,18 @@
 impl DurationEstimate {
     /// A request took so long, or was given up after so long.
     pub fn record(&self, duration_ms: u64) {
-        let held = self.held_ms();
-        let distance = duration_ms as f64 - held;
+        let estimate_ms = self.estimate_ms();
+        let distance = duration_ms as f64 - estimate_ms;
         let step = if distance > 0.0 { STEP_UP } else { STEP_DOWN };
-        self.0.store((held + distance * step).to_bits(), Ordering::Relaxed);
+        self.0.store((estimate_ms + distance * step).to_bits(), Ordering::Relaxed);
     }
 
     /// How long another one is expected to take.
     pub fn expected_ms(&self) -> u64 {
-        self.held_ms() as u64
+        self.estimate_ms() as u64
     }
 
-    fn held_ms(&self) -> f64 {
+    fn estimate_ms(&self) -> f64 {
         f64::from_bits(self.0.load(Ordering::Relaxed))
     }
 }
--- a/router/src/proxy/duration_estimate_tests.rs
+++ b/router/src/proxy/duration_estimate_tests.rs
@@ -12,10 +12,10 @@
 #[test]
 fn it_settles_where_few_take_longer() {
     let estimate = DurationEstimate::default();
-    let mut dice = Rng::new(7);
+    let mut rng = Rng::new(7);
     let mut longer = 0;
     for number in 0..20_000 {
-        let duration_ms = 100 + dice.below(1000);
+        let duration_ms = 100 + rng.below(1000);
         if number >= 10_000 && duration_ms > estimate.expected_ms() {
             longer += 1;
         }
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -58,13 +58,13 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        while let Some((at, _)) = self.in_flight.last().copied() {
-            self.end_send(at);
+        while let Some((engine_index, _)) = self.in_flight.last().copied() {
+            self.end_send(engine_index);
         }
         self.release_handle();
         if self.reached_engine {
-            let spent_ms = clock::now().saturating_sub(self.request.born);
-            self.request.authorization.route().durations.record(spent_ms);
+            let elapsed_ms = clock::now().saturating_sub(self.request.born);
+            self.request.authorization.route().durations.record(elapsed_ms);
         }
         self.state.held_body_bytes.fetch_sub(self.request.body.len(), Ordering::Relaxed);
     }
@@ -72,7 +72,7 @@
 
 impl Exchange {
     /// Is it expected to be finished before this process ends, if that is about to end?
-    pub fn fits_before_the_end(&self) -> bool {
+    pub fn fits_before_shutdown(&self) -> bool {
         let expected_ms = self.request.authorization.route().durations.expected_ms();
         self.state.drain.left_ms().is_none_or(|left_ms| expected_ms < left_ms)
     }
@@ -103,9 +103,12 @@
         self.is_repeatable && self.sends < self.max_sends
     }
 
-    pub fn endpoint(&self, at: usize) -> Endpoint {
+    pub fn endpoint(&self, engine_index: usize) -> Endpoint {
         let engine_table = self.state.engines();
-        Endpoint { addr: engine_table.engines[at].address.clone(), engine: engine_table.engines[at].id.clone() }
+        Endpoint {
+            addr: engine_table.engines[engine_index].address.clone(),
+            engine: engine_table.engines[engine_index].id.clone(),
+        }
     }
 
     /// May one more send be made that the operator counts? The first arrival draws on no budget.
@@ -116,56 +119,56 @@
         if !self.reached_engine {
             return true;
         }
-        let part = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
-        let is_allowed = self.state.retry_budget().try_acquire(self.service, clock::now(), part);
+        let share = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
+        let is_allowed = self.state.retry_budget().try_acquire(self.service, clock::now(), share);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
         }
         is_allowed
     }
 
-    pub fn view<T>(&self, look: impl FnOnce(&SelectionContext) -> T) -> T {
+    pub fn with_selection<T>(&self, select: impl FnOnce(&SelectionContext) -> T) -> T {
         let table = self.state.table();
-        let ramp = table.services.get(&self.service).map_or(0.0, |spec| spec.ramp_per_s);
-        let routers = self.state.router_count();
-        let weights = self.version_bounds();
-        let confirmed = self.state.staleness_bounds().is_confirmed(clock::now());
+        let ramp_per_s = table.services.get(&self.service).map_or(0.0, |service| service.ramp_per_s);
+        let router_count = self.state.router_count();
+        let version_bounds = self.version_bounds();
+        let is_confirmed = self.state.staleness_bounds().is_confirmed(clock::now());
         let engine_table = self.state.engines();
-        look(&SelectionContext {
+        select(&SelectionContext {
             engine_table: &engine_table,
             now: clock::now(),
             service: self.service,
             zone: self.state.zone,
             excluded_zones: &self.excluded_zones,
             tried_engines: &self.attempted_engines,
-            router_count: routers,
-            cold_engine_rate: ramp * self.state.settings.bounds.ramp_overage,
-            weight_versions: weights,
-            is_confirmed: confirmed,
+            router_count,
+            cold_engine_rate: ramp_per_s * self.state.settings.bounds.ramp_overage,
+            weight_versions: version_bounds,
+            is_confirmed,
             arm: self.variant,
         })
     }
 
     /// Connections that this router may have to one engine.
     pub fn max_connections(&self) -> usize {
-        let all = if self.service_config.connections == 0 { 1024 } else { self.service_config.connections };
-        ((f64::from(all) * 0.9) / f64::from(self.state.router_count())).max(2.0) as usize
+        let limit = if self.service_config.connections == 0 { 1024 } else { self.service_config.connections };
+        ((f64::from(limit) * 0.9) / f64::from(self.state.router_count())).max(2.0) as usize
     }
 
     /// Its prompt is read: only the making of tokens is left there.
-    pub fn prompt_read(&mut self, at: usize) {
-        let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == at) else { return };
+    pub fn complete_prefill(&mut self, engine_index: usize) {
+        let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == engine_index) else { return };
         let tokens = mem::take(tokens);
         let mut engine_table = self.state.engines();
-        engine_table.engines[at].prefill_tokens_in_flight =
-            engine_table.engines[at].prefill_tokens_in_flight.saturating_sub(tokens);
+        engine_table.engines[engine_index].prefill_tokens_in_flight =
+            engine_table.engines[engine_index].prefill_tokens_in_flight.saturating_sub(tokens);
     }
 
-    pub fn end_send(&mut self, at: usize) {
-        let Some(place) = self.in_flight.iter().position(|(engine, _)| *engine == at) else { return };
-        let (at, tokens) = self.in_flight.swap_remove(place);
+    pub fn end_send(&mut self, engine_index: usize) {
+        let Some(position) = self.in_flight.iter().position(|(engine, _)| *engine == engine_index) else { return };
+        let (engine_index, tokens) = self.in_flight.swap_remove(position);
         let mut engine_table = self.state.engines();
-        let engine = &mut engine_table.engines[at];
+        let engine = &mut engine_table.engines[engine_index];
         engine.in_flight = engine.in_flight.saturating_sub(1);
         engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(tokens);
     }
@@ -173,87 +176,109 @@
     /// One send to one engine, with what it shows about that engine noted.
     /// `reads`: prompt tokens that the engine is to read. `again`: it may be sent elsewhere when the
     /// engine is found dark; one that answers others, or a probe, is only slow.
-    pub async fn send(&mut self, at: usize, mut extra: SendOptions, reads: u32, again: bool) -> SendOutcome {
+    pub async fn send(
+        &mut self,
+        engine_index: usize,
+        mut options: SendOptions,
+        prefill_tokens: u32,
+        may_move: bool,
+    ) -> SendOutcome {
         let now = clock::now();
-        let tokens = u64::from(reads);
-        let weights = self.version_bounds();
-        extra.guard = weights.is_some().then(|| self.route.clone());
-        let to = self.endpoint(at);
+        let tokens = u64::from(prefill_tokens);
+        let version_bounds = self.version_bounds();
+        options.bounded_route = version_bounds.is_some().then(|| self.route.clone());
+        let endpoint = self.endpoint(engine_index);
         {
             let mut engine_table = self.state.engines();
-            let engine = &mut engine_table.engines[at];
-            extra.expect = weights.and_then(|range| engine.weight_version(range.model));
+            let engine = &mut engine_table.engines[engine_index];
+            options.expected_version = version_bounds.and_then(|range| engine.weight_version(range.model));
             engine.in_flight += 1;
             engine.prefill_tokens_in_flight += tokens;
             engine.slow_start.record_send(now);
         }
-        self.in_flight.push((at, tokens));
-        let stage = extra.stage;
-        extra.budget_ms = self.request.left(now).max(1);
-        let outcome = self.await_outcome(at, &to, &extra, again).await;
-        self.record_outcome(at, &outcome);
-        let half = if extra.stage { Half::Prefill } else { Half::Run };
-        let sent = Sent { half, result: (&outcome).into() };
+        self.in_flight.push((engine_index, tokens));
+        let is_prefill = options.is_prefill;
+        options.time_budget_ms = self.request.left(now).max(1);
+        let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
+        self.record_outcome(engine_index, &outcome);
+        let phase = if options.is_prefill { Half::Prefill } else { Half::Run };
+        let sent = Sent { half: phase, result: (&outcome).into() };
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
-        let answered = matches!(outcome, SendOutcome::Response(_));
-        let unsent = matches!(outcome, SendOutcome::Unsent(_));
+        let has_response = matches!(outcome, SendOutcome::Response(_));
+        let is_unsent = matches!(outcome, SendOutcome::Unsent(_));
         // The first read that an engine takes up is no arrival that counts. One without an answer
         // may never have been taken up, and counts.
-        let free = answered && stage;
-        self.reached_engine |= !unsent && !free;
-        if !answered {
-            self.end_send(at);
+        let is_first_prefill = has_response && is_prefill;
+        self.reached_engine |= !is_unsent && !is_first_prefill;
+        if !has_response {
+            self.end_send(engine_index);
         }
         outcome
     }
 
     /// Until there is an outcome, time is up, or the engine is found dark and the request may go elsewhere.
-    async fn await_outcome(&self, at: usize, to: &Endpoint, extra: &SendOptions, again: bool) -> SendOutcome {
+    async fn await_outcome(
+        &self,
+        engine_index: usize,
+        endpoint: &Endpoint,
+        options: &SendOptions,
+        may_move: bool,
+    ) -> SendOutcome {
         let now = clock::now();
-        let wait = self.request.left(now);
-        let call =
-            crate::proxy::send::send(&self.state, &self.request, self.service, to, self.max_connections(), extra, wait);
-        tokio::pin!(call);
-        let span = Duration::from_millis(SIGN_MS.min(wait.max(1)));
+        let wait_ms = self.request.left(now);
+        let send = crate::proxy::send::send(
+            &self.state,
+            &self.request,
+            self.service,
+            endpoint,
+            self.max_connections(),
+            options,
+            wait_ms,
+        );
+        tokio::pin!(send);
+        let interval = Duration::from_millis(SIGN_MS.min(wait_ms.max(1)));
         loop {
-            if let Ok(outcome) = time::timeout(span, &mut call).await {
+            if let Ok(outcome) = time::timeout(interval, &mut send).await {
                 return outcome;
             }
-            if self.remaining_ms() == 0 || (self.found_dark(at, now) && again) {
+            if self.remaining_ms() == 0 || (self.check_unresponsive(engine_index, now) && may_move) {
                 return SendOutcome::Lost;
             }
         }
     }
 
     /// Was the engine found dark since then? Raises doubt when it gave no sign of life for a while.
-    pub fn found_dark(&self, at: usize, since: u64) -> bool {
+    pub fn check_unresponsive(&self, engine_index: usize, since: u64) -> bool {
         let now = clock::now();
-        let (seen, struck) = {
+        let (seen_at, failed_at) = {
             let engine_table = self.state.engines();
-            (engine_table.engines[at].last_response_at.max(since), engine_table.engines[at].last_failure_at)
+            (
+                engine_table.engines[engine_index].last_response_at.max(since),
+                engine_table.engines[engine_index].last_failure_at,
+            )
         };
-        if struck > seen {
+        if failed_at > seen_at {
             return true;
         }
-        if now >= seen + SIGN_MS {
-            suspicion::raise(&self.state, at);
+        if now >= seen_at + SIGN_MS {
+            suspicion::raise(&self.state, engine_index);
         }
         false
     }
 
     /// Notes what an outcome shows about the engine.
-    fn record_outcome(&self, at: usize, outcome: &SendOutcome) {
+    fn record_outcome(&self, engine_index: usize, outcome: &SendOutcome) {
         let now = clock::now();
         let mut engine_table = self.state.engines();
-        let engine = &mut engine_table.engines[at];
+        let engine = &mut engine_table.engines[engine_index];
         match outcome {
-            SendOutcome::Response(answer) => {
+            SendOutcome::Response(response) => {
                 engine.record_response(now);
-                if let Some(version) = response_head::version(&answer.head.headers) {
+                if let Some(version) = response_head::weight_version(&response.head.headers) {
                     engine.set_weight_version(self.request.model_key, Some(version));
                 }
-                if let Some(load) = answer.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
-                    engine_table.record_reported_load(at, load, now);
+                if let Some(load) = response.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
+                    engine_table.record_reported_load(engine_index, load, now);
                 }
             }
             SendOutcome::OtherEngine => engine.retire(),
@@ -269,7 +294,7 @@
             SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
             _ => {
                 drop(engine_table);
-                suspicion::raise(&self.state, at);
+                suspicion::raise(&self.state, engine_index);
             }
         }
     }
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -14,31 +14,32 @@
 use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
 
 /// Time kept between the end of a handle's life and its last use.
-const MARGIN_MS: u64 = 400;
+const HANDLE_EXPIRY_MARGIN_MS: u64 = 400;
 /// How long the engine that came up short is not named for this key again.
-const HUSH_MS: u64 = 2000;
+const SUPPRESSION_MS: u64 = 2000;
 
 /// What a read came to.
-enum Reading {
+enum PrefillOutcome {
     /// Its memory is held for this request.
-    Held,
+    HandleHeld,
     /// The engine answered the request itself.
-    Answer(usize, EngineResponse),
+    Response(usize, EngineResponse),
 }
 
 /// A read takes up none of the counted sends unless it is turned away, or a read went before it.
-async fn read(exchange: &mut Exchange) -> Result<Reading, ()> {
-    let held = exchange.prefix_owners.clone();
+async fn prefill(exchange: &mut Exchange) -> Result<PrefillOutcome, ()> {
+    let owners = exchange.prefix_owners.clone();
     for _ in 0..3 {
-        let plan = exchange.view(|view| plan::read(view, &exchange.request, &held));
-        let Plan::Read { at, reads } = plan else { return Err(()) };
-        exchange.state.engines().record_prefill(exchange.service, reads);
-        let extra = SendOptions { stage: true, urgency: Some(rush(exchange, reads)), ..Default::default() };
-        match exchange.send(at, extra, reads, true).await {
-            SendOutcome::Response(answer) => return taken(exchange, at, *answer).await,
-            SendOutcome::Unsent(_) => exchange.attempted_engines.push(at),
+        let plan = exchange.with_selection(|selection| plan::plan_prefill(selection, &exchange.request, &owners));
+        let Plan::Prefill { engine_index, tokens } = plan else { return Err(()) };
+        exchange.state.engines().record_prefill(exchange.service, tokens);
+        let options =
+            SendOptions { is_prefill: true, urgency: Some(prefill_urgency(exchange, tokens)), ..Default::default() };
+        match exchange.send(engine_index, options, tokens, true).await {
+            SendOutcome::Response(response) => return accept_prefill_response(exchange, engine_index, *response).await,
+            SendOutcome::Unsent(_) => exchange.attempted_engines.push(engine_index),
             SendOutcome::NotExecuted | SendOutcome::OtherEngine | SendOutcome::OtherVersion(_) => {
-                exchange.attempted_engines.push(at);
+                exchange.attempted_engines.push(engine_index);
                 exchange.sends += 1;
                 // The last counted send is kept for the half that makes the tokens.
                 if exchange.sends + 1 >= exchange.max_sends || !exchange.grant_send() {
@@ -51,22 +52,26 @@
     Err(())
 }
 
-async fn taken(exchange: &mut Exchange, at: usize, answer: EngineResponse) -> Result<Reading, ()> {
-    if answer.head.headers.contains_key(RESPONSE_SEAL) {
+async fn accept_prefill_response(
+    exchange: &mut Exchange,
+    engine_index: usize,
+    response: EngineResponse,
+) -> Result<PrefillOutcome, ()> {
+    if response.head.headers.contains_key(RESPONSE_SEAL) {
         // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
         (exchange.sends, exchange.reached_engine, exchange.may_have_run) = (exchange.sends + 1, true, true);
-        return Ok(Reading::Answer(at, answer));
+        return Ok(PrefillOutcome::Response(engine_index, response));
     }
-    let reader = exchange.endpoint(at);
-    let good = answer.head.status == 200;
-    let wait = exchange.remaining_ms().min(1000);
-    let got = clock::now();
-    let text = send::read_body(&exchange.state, &reader, answer, 16 * 1024, wait).await;
-    exchange.end_send(at);
-    let value: Value = text.and_then(|text| serde_json::from_slice(&text).ok()).unwrap_or_default();
-    let id = value["kv_handle"].as_str().filter(|_| good).unwrap_or("").to_string();
-    let sound = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
-    if !sound {
+    let endpoint = exchange.endpoint(engine_index);
+    let is_success = response.head.status == 200;
+    let timeout_ms = exchange.remaining_ms().min(1000);
+    let received_at = clock::now();
+    let body = send::read_body(&exchange.state, &endpoint, response, 16 * 1024, timeout_ms).await;
+    exchange.end_send(engine_index);
+    let value: Value = body.and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
+    let id = value["kv_handle"].as_str().filter(|_| is_success).unwrap_or("").to_string();
+    let is_valid = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
+    if !is_valid {
         // It may have been turned away: counted.
         exchange.reached_engine = true;
         return Err(());
@@ -74,21 +79,21 @@
     if exchange.version_bounds().is_some() {
         // Reader and maker of bound work agree: what was read with other weights is of no use to it.
         let version = value["revision"].as_u64();
-        exchange.record_version(at, version);
+        exchange.record_version(engine_index, version);
         exchange.pinned_version = version.or(exchange.pinned_version);
     }
-    let until = got + exchange.service_config.hold_ms.saturating_sub(MARGIN_MS);
-    exchange.hold_handle(Handle { at, reader, id, until });
-    Ok(Reading::Held)
+    let until = received_at + exchange.service_config.hold_ms.saturating_sub(HANDLE_EXPIRY_MARGIN_MS);
+    exchange.hold_handle(Handle { at: engine_index, reader: endpoint, id, until });
+    Ok(PrefillOutcome::HandleHeld)
 }
 
 /// How urgent a read is: a short one goes before long ones, which it hardly delays, while behind them
 /// it would miss its aim; among alike the operator's rank decides.
-fn rush(exchange: &Exchange, reads: u32) -> u32 {
+fn prefill_urgency(exchange: &Exchange, prefill_tokens: u32) -> u32 {
     if exchange.request.spare.is_some() {
         return 9;
     }
-    let size = match reads {
+    let size = match prefill_tokens {
         0..1024 => 0,
         1024..4096 => 2,
         _ => 4,
@@ -97,57 +102,60 @@
 }
 
 /// Notes an owner here and tells the catalog; gives the number of registrations sent.
-fn register(exchange: &Exchange, at: usize) -> u32 {
+fn register(exchange: &Exchange, engine_index: usize) -> u32 {
     let now = clock::now();
-    let (id, told) = {
+    let (id, load) = {
         let engine_table = exchange.state.engines();
-        (engine_table.engines[at].id.clone(), engine_table.engines[at].fresh_load(now))
+        (engine_table.engines[engine_index].id.clone(), engine_table.engines[engine_index].fresh_load(now))
     };
-    let mut list = Vec::with_capacity(exchange.request.keys.len());
+    let mut records = Vec::with_capacity(exchange.request.keys.len());
     {
-        let mut record = exchange.state.owner_cache();
+        let mut owner_cache = exchange.state.owner_cache();
         for key in &exchange.request.keys {
-            record.record(*key, &id, now);
-            list.push(Record { key: *key, engine: id.clone() });
+            owner_cache.record(*key, &id, now);
+            records.push(Record { key: *key, engine: id.clone() });
         }
     }
-    let count = list.len() as u32;
-    exchange.state.prefix_catalog.register(list, told.into_iter().collect());
+    let count = records.len() as u32;
+    exchange.state.prefix_catalog.register(records, load.into_iter().collect());
     count
 }
 
 /// Reads the prompt and hands it over; gives the engine that answers and its answer.
-pub async fn carry(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
-    exchange.prefix_owners = plan::owners(&exchange.state, &exchange.request, exchange.service).await;
-    let mut reader = None;
-    let reading = read(exchange).await;
-    if let Ok(Reading::Answer(at, answer)) = reading {
-        return Ok((at, answer));
+pub async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
+    exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
+    let mut prefill_engine = None;
+    let outcome = prefill(exchange).await;
+    if let Ok(PrefillOutcome::Response(engine_index, response)) = outcome {
+        return Ok((engine_index, response));
     }
-    if reading.is_ok() {
-        reader = exchange.handle_engine();
-        if let Some(at) = reader {
-            let sent = register(exchange, at);
-            let drops = exchange.state.prefix_catalog.flush(sent).await;
+    if outcome.is_ok() {
+        prefill_engine = exchange.handle_engine();
+        if let Some(engine_index) = prefill_engine {
+            let registration_count = register(exchange, engine_index);
+            let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
             // A drop only means that others will not find this memory: the hand-over goes on.
-            exchange.state.owner_cache().counts.dropped += u64::from(drops);
+            exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
         }
     }
-    make(exchange, reader).await
+    decode(exchange, prefill_engine).await
 }
 
 /// The engine that is to make the tokens, and the memory that it goes on with.
-fn choose_maker(exchange: &mut Exchange, reader: Option<usize>) -> Option<(usize, Option<Handle>)> {
-    let (tokens, rank) = (exchange.request.tokens(), plan::rank(&exchange.request));
+fn select_decode_engine(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Option<(usize, Option<Handle>)> {
+    let (tokens, placement_hash) = (exchange.request.tokens(), plan::placement_hash(&exchange.request));
     let owners = exchange.prefix_owners.clone();
     loop {
         exchange.drop_stale_handle();
         let Some(handle) = exchange.take_handle() else {
-            let selected = exchange.view(|view| view.select_combined(tokens, &owners, rank))?;
+            let selected =
+                exchange.with_selection(|selection| selection.select_combined(tokens, &owners, placement_hash))?;
             return Some((selected.engine, None));
         };
-        if let Some(at) = exchange.view(|view| view.select_decode(tokens, &owners, reader, rank)) {
-            return Some((at, Some(handle)));
+        if let Some(engine_index) = exchange
+            .with_selection(|selection| selection.select_decode(tokens, &owners, prefill_engine, placement_hash))
+        {
+            return Some((engine_index, Some(handle)));
         }
         exchange.hold_handle(handle);
         exchange.version_bounds()?;
@@ -157,30 +165,30 @@
 }
 
 /// Sends to the engine that makes the tokens, with the memory where there is one.
-async fn make(exchange: &mut Exchange, reader: Option<usize>) -> Result<(usize, EngineResponse), Failure> {
+async fn decode(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Result<(usize, EngineResponse), Failure> {
     loop {
-        let Some((at, handle)) = choose_maker(exchange, reader) else {
-            return Err(forward::failure_of(exchange));
+        let Some((engine_index, handle)) = select_decode_engine(exchange, prefill_engine) else {
+            return Err(forward::failure_for(exchange));
         };
         if !exchange.grant_send() {
             handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
-            return Err(forward::failure_of(exchange));
+            return Err(forward::failure_for(exchange));
         }
-        let reads = if handle.is_some() { 0 } else { exchange.request.tokens() };
-        let source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
-        let extra = SendOptions { source, urgency: exchange.urgency(), ..Default::default() };
+        let prefill_tokens = if handle.is_some() { 0 } else { exchange.request.tokens() };
+        let kv_source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
+        let options = SendOptions { kv_source, urgency: exchange.urgency(), ..Default::default() };
         exchange.sends += 1;
-        let again = exchange.may_retry();
-        let outcome = exchange.send(at, extra, reads, again).await;
-        if let SendOutcome::Response(answer) = outcome {
-            exchange.prompt_read(at);
-            if answer.head.status.is_success() {
-                register(exchange, at);
+        let may_move = exchange.may_retry();
+        let outcome = exchange.send(engine_index, options, prefill_tokens, may_move).await;
+        if let SendOutcome::Response(response) = outcome {
+            exchange.complete_prefill(engine_index);
+            if response.head.status.is_success() {
+                register(exchange, engine_index);
             }
-            return Ok((at, *answer));
+            return Ok((engine_index, *response));
         }
-        exchange.attempted_engines.push(at);
-        let held = handle.is_some();
+        exchange.attempted_engines.push(engine_index);
+        let has_handle = handle.is_some();
         handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
         match outcome {
             SendOutcome::Unsent(_) => exchange.sends -= 1,
@@ -189,29 +197,29 @@
                 // Where it was not taken nobody else may name it: this maker may yet come for it.
                 exchange.release_handle();
                 if !exchange.is_repeatable {
-                    return Err(forward::failure_of(exchange));
+                    return Err(forward::failure_for(exchange));
                 }
             }
-            _ if held && !is_full(exchange, at) => give_up_handle(exchange),
+            _ if has_handle && !is_full(exchange, engine_index) => abandon_handle(exchange),
             _ => {}
         }
     }
 }
 
-fn is_full(exchange: &Exchange, at: usize) -> bool {
+fn is_full(exchange: &Exchange, engine_index: usize) -> bool {
     let engine_table = exchange.state.engines();
-    engine_table.estimated_load(at, clock::now()) >= f64::from(engine_table.engines[at].slots)
+    engine_table.estimated_load(engine_index, clock::now()) >= f64::from(engine_table.engines[engine_index].slots)
 }
 
 /// The memory can't be had: its engine is suppressed for these keys, not for the request.
-fn give_up_handle(exchange: &mut Exchange) {
-    if let Some(reader) = exchange.handle_engine() {
+fn abandon_handle(exchange: &mut Exchange) {
+    if let Some(prefill_engine) = exchange.handle_engine() {
         let now = clock::now();
-        let id = exchange.endpoint(reader).engine;
-        let mut record = exchange.state.owner_cache();
-        record.counts.transfer_error += 1;
+        let id = exchange.endpoint(prefill_engine).engine;
+        let mut owner_cache = exchange.state.owner_cache();
+        owner_cache.counts.transfer_error += 1;
         for key in &exchange.request.keys {
-            record.suppress(&id, *key, now + HUSH_MS);
+            owner_cache.suppress(&id, *key, now + SUPPRESSION_MS);
         }
     }
     exchange.release_handle();
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -11,108 +11,109 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// The engine and the tokens it has yet to read.
-    Read { at: usize, reads: u32 },
+    Prefill { engine_index: usize, tokens: u32 },
     /// The maker reads the prompt itself: there is no reader, or readers are so pressed that a maker
     /// is done sooner. The smallest exception to the ordinary path.
-    Alone,
+    Combined,
 }
 
-pub fn read(view: &SelectionContext, request: &Request, held: &PrefixOwners) -> Plan {
-    let (tokens, rank) = (request.tokens(), rank(request));
-    let Some(reader) = view.select_prefill(tokens, held, request.shared(), rank) else { return Plan::Alone };
-    if view.select_combined(tokens, held, rank).is_some_and(|alone| alone.cost < reader.cost) {
-        return Plan::Alone;
+pub fn plan_prefill(selection: &SelectionContext, request: &Request, owners: &PrefixOwners) -> Plan {
+    let (tokens, placement_hash) = (request.tokens(), placement_hash(request));
+    let Some(prefill) = selection.select_prefill(tokens, owners, request.shared(), placement_hash) else {
+        return Plan::Combined;
+    };
+    if selection.select_combined(tokens, owners, placement_hash).is_some_and(|combined| combined.cost < prefill.cost) {
+        return Plan::Combined;
     }
-    let have = held.iter().find(|prefix| prefix.engine == reader.engine).map_or(0, |prefix| prefix.tokens);
-    Plan::Read { at: reader.engine, reads: tokens.saturating_sub(have) }
+    let cached_tokens = owners.iter().find(|prefix| prefix.engine == prefill.engine).map_or(0, |prefix| prefix.tokens);
+    Plan::Prefill { engine_index: prefill.engine, tokens: tokens.saturating_sub(cached_tokens) }
 }
 
 /// What was learned about the owners of a request's prefixes: engine and tokens held.
 pub type PrefixOwners = Vec<CachedPrefix>;
 
 /// Scans the local record, asks the catalog for the missing suffix only, and notes what it finds.
-pub async fn owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
+pub async fn look_up_owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
     let now = clock::now();
     let known = {
-        let mut record = state.owner_cache();
-        record.counts.queries += 1;
-        record.known_prefix_count(&request.keys, now)
+        let mut owner_cache = state.owner_cache();
+        owner_cache.counts.queries += 1;
+        owner_cache.known_prefix_count(&request.keys, now)
     };
     let missing = &request.keys[known..];
     if !missing.is_empty() {
-        let sample = sample(state, request, service);
-        let found = state.prefix_catalog.query(missing, sample).await;
+        let sampled = sampled_engines(state, request, service);
+        let found = state.prefix_catalog.query(missing, sampled).await;
         if let Some(found) = &found {
             let (now, mut engine_table) = (clock::now(), state.engines());
-            found.list.iter().for_each(|told| engine_table.record_relayed_load(told, now));
+            found.list.iter().for_each(|load| engine_table.record_relayed_load(load, now));
         }
         let found = found.map(|found| found.owners);
-        let mut record = state.owner_cache();
+        let mut owner_cache = state.owner_cache();
         match &found {
-            None => record.counts.unanswered += 1,
-            Some(list) if list.iter().all(Vec::is_empty) => record.counts.no_owner += u64::from(known == 0),
+            None => owner_cache.counts.unanswered += 1,
+            Some(list) if list.iter().all(Vec::is_empty) => owner_cache.counts.no_owner += u64::from(known == 0),
             Some(_) => {}
         }
-        for (key, names) in missing.iter().zip(found.iter().flatten()) {
-            for name in names {
-                if !record.is_suppressed(name, *key, now) {
-                    record.record(*key, name, now);
+        for (key, engine_names) in missing.iter().zip(found.iter().flatten()) {
+            for engine_name in engine_names {
+                if !owner_cache.is_suppressed(engine_name, *key, now) {
+                    owner_cache.record(*key, engine_name, now);
                 }
             }
         }
     }
-    held(state, request)
+    cached_prefixes(state, request)
 }
 
 /// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
 /// this router's subset.
-fn sample(state: &State, request: &Request, service: u32) -> Vec<u64> {
+fn sampled_engines(state: &State, request: &Request, service: u32) -> Vec<u64> {
     let roll = state.rng().next_u64();
     let engine_table = state.engines();
-    let mut names = Vec::with_capacity(2 * DRAWN + 2);
-    for half in [Phase::Prefill, Phase::Decode] {
-        let Some(subset) = engine_table.subset(service, half, false) else { continue };
-        if half == Phase::Prefill {
-            names.extend(
-                subset.home_engines(rank(request), 2, |at| {
-                    engine_table.engines[at].up && engine_table.engines[at].listed
-                }),
-            );
+    let mut engine_hashes = Vec::with_capacity(2 * SAMPLES_PER_PHASE + 2);
+    for phase in [Phase::Prefill, Phase::Decode] {
+        let Some(subset) = engine_table.subset(service, phase, false) else { continue };
+        if phase == Phase::Prefill {
+            engine_hashes.extend(subset.home_engines(placement_hash(request), 2, |at| {
+                engine_table.engines[at].up && engine_table.engines[at].listed
+            }));
         }
-        names.extend(subset.sampled_run(roll, DRAWN));
+        engine_hashes.extend(subset.sampled_run(roll, SAMPLES_PER_PHASE));
     }
-    names.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
+    engine_hashes.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
 }
 
 /// How many of a half are drawn for each request.
-const DRAWN: usize = 4;
+const SAMPLES_PER_PHASE: usize = 4;
 
 /// The longest prefix each usable engine owns.
-fn held(state: &State, request: &Request) -> PrefixOwners {
+fn cached_prefixes(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
-    let depths = catalog::prefix_token_counts(&request.parts);
+    let prefix_lengths = catalog::prefix_token_counts(&request.parts);
     let engine_table = state.engines();
-    let mut record = state.owner_cache();
+    let mut owner_cache = state.owner_cache();
     let mut list: PrefixOwners = Vec::new();
-    let mut stale = 0;
-    for (key, depth) in request.keys.iter().zip(depths).rev() {
-        for name in record.owners(*key, now) {
-            let usable =
-                engine_table.find(name).filter(|at| engine_table.engines[*at].up && engine_table.engines[*at].listed);
+    let mut stale_count = 0;
+    for (key, prefix_tokens) in request.keys.iter().zip(prefix_lengths).rev() {
+        for engine_name in owner_cache.owners(*key, now) {
+            let usable = engine_table
+                .find(engine_name)
+                .filter(|at| engine_table.engines[*at].up && engine_table.engines[*at].listed);
             match usable {
                 Some(at) if list.iter().any(|prefix| prefix.engine == at) => {}
-                Some(at) => list.push(CachedPrefix { engine: at, tokens: depth }),
-                None => stale += 1,
+                Some(at) => list.push(CachedPrefix { engine: at, tokens: prefix_tokens }),
+                None => stale_count += 1,
             }
         }
     }
-    record.counts.stale_owner += stale;
-    record.counts.hits += u64::from(!list.is_empty());
+    owner_cache.counts.stale_owner += stale_count;
+    owner_cache.counts.hits += u64::from(!list.is_empty());
     list
 }
 
 /// The key by which engines are ranked where nothing else tells them apart: the shared prefix.
-pub fn rank(request: &Request) -> u64 {
+pub fn placement_hash(request: &Request) -> u64 {
     let shared = request.keys.len().checked_sub(2).and_then(|at| request.keys.get(at));
     shared.or(request.keys.first()).copied().unwrap_or(request.born)
 }
--- a/router/src/proxy/response_head.rs
+++ b/router/src/proxy/response_head.rs
@@ -29,48 +29,48 @@
     pub version: Option<u64>,
 }
 
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_STATUS: u16 = 421;
 /// By these a client is promised that its request has not run and never will.
-const PROMISES: [u16; 3] = [408, 429, 503];
+const NOT_EXECUTED_STATUSES: [u16; 3] = [408, 429, 503];
 
 /// The version of the weights that an answer names.
-pub fn version(head: &HeaderMap) -> Option<u64> {
-    let text = head.get(WEIGHT_VERSIONS)?.to_str().ok()?;
-    text.split(|sign: char| !sign.is_ascii_digit()).find(|part| !part.is_empty())?.parse().ok()
+pub fn weight_version(head: &HeaderMap) -> Option<u64> {
+    let versions = head.get(WEIGHT_VERSIONS)?.to_str().ok()?;
+    versions.split(|character: char| !character.is_ascii_digit()).find(|part| !part.is_empty())?.parse().ok()
 }
 
 /// Does an answer bear the id of the request, once, or none where that has none?
-pub fn answers(head: &HeaderMap, attempt: Option<&HeaderValue>) -> bool {
+pub fn matches_attempt(head: &HeaderMap, attempt: Option<&HeaderValue>) -> bool {
     let mut ids = head.get_all(ATTEMPT_ID).iter();
     ids.next() == attempt && ids.next().is_none()
 }
 
-pub fn classify(head: &Parts, asked: &Expectation) -> Classification {
-    if head.status.is_informational() || !answers(&head.headers, asked.attempt) {
+pub fn classify(head: &Parts, expected: &Expectation) -> Classification {
+    if head.status.is_informational() || !matches_attempt(&head.headers, expected.attempt) {
         return Classification::Mismatched;
     }
     let status = head.status.as_u16();
-    if status == MISDIRECTED {
-        return misdirected(&head.headers, asked);
+    if status == MISDIRECTED_STATUS {
+        return classify_misdirected(&head.headers, expected);
     }
     if head.headers.contains_key(NOT_EXECUTED) {
         // A success contradicts that word, and nothing is repeated on it.
         return if head.status.is_success() { Classification::Unconfirmed } else { Classification::NotExecuted };
     }
-    if PROMISES.contains(&status) {
+    if NOT_EXECUTED_STATUSES.contains(&status) {
         return Classification::Unconfirmed;
     }
     Classification::Executed
 }
 
 /// Why an engine turned away a request that it did not run.
-fn misdirected(head: &HeaderMap, asked: &Expectation) -> Classification {
+fn classify_misdirected(head: &HeaderMap, expected: &Expectation) -> Classification {
     let name = head.get(INSTANCE_ID).and_then(|value| value.to_str().ok());
-    if name.is_some_and(|name| name != asked.target) {
+    if name.is_some_and(|name| name != expected.target) {
         return Classification::OtherEngine;
     }
-    let found = version(head);
-    if asked.version.is_some() && found != asked.version {
+    let found = weight_version(head);
+    if expected.version.is_some() && found != expected.version {
         return Classification::OtherVersion(found);
     }
     Classification::NotExecuted
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -45,20 +45,20 @@
 /// What is set on a send besides the client's own headers.
 #[derive(Default)]
 pub struct SendOptions {
-    pub budget_ms: u64,
-    pub stage: bool,
-    pub source: Option<String>,
-    pub last: Option<HeaderValue>,
+    pub time_budget_ms: u64,
+    pub is_prefill: bool,
+    pub kv_source: Option<String>,
+    pub last_event_id: Option<HeaderValue>,
     pub urgency: Option<u32>,
     /// The version that its weights must have.
-    pub expect: Option<u64>,
+    pub expected_version: Option<u64>,
     /// The route, where a limit on stale weights binds it.
-    pub guard: Option<String>,
+    pub bounded_route: Option<String>,
 }
 
 impl EngineResponse {
     /// Does the end of its body show whether it is whole? Where nothing frames it, a break looks like the end.
-    pub fn framed(&self) -> bool {
+    pub fn is_framed(&self) -> bool {
         use hyper::body::Body;
         self.body.is_end_stream()
             || self.body.size_hint().exact().is_some()
@@ -67,17 +67,17 @@
 }
 
 /// Immediately before a send: does what is expected of the engine still satisfy the limit?
-fn holds(state: &State, service: u32, model: &str, extra: &SendOptions) -> bool {
-    let Some(route) = &extra.guard else { return true };
-    let limit = state.staleness_bounds().bound_for(service, model, route, clock::now());
-    match limit {
+fn satisfies_bound(state: &State, service: u32, model: &str, options: &SendOptions) -> bool {
+    let Some(route) = &options.bounded_route else { return true };
+    let bound = state.staleness_bounds().bound_for(service, model, route, clock::now());
+    match bound {
         StalenessBound::Unbounded => true,
-        StalenessBound::AtLeast(floor) => extra.expect.is_some_and(|version| version >= floor),
+        StalenessBound::AtLeast(floor) => options.expected_version.is_some_and(|version| version >= floor),
         StalenessBound::LeaseExpired => false,
     }
 }
 
-fn compose(request: &request::Request, engine: &str, extra: &SendOptions) -> http::Request<Full<Bytes>> {
+fn build_request(request: &request::Request, engine: &str, options: &SendOptions) -> http::Request<Full<Bytes>> {
     let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.path.clone();
@@ -89,21 +89,21 @@
         }
     };
     set(TARGET_INSTANCE, engine);
-    set(TIME_BUDGET, &extra.budget_ms.to_string());
-    if extra.stage {
+    set(TIME_BUDGET, &options.time_budget_ms.to_string());
+    if options.is_prefill {
         set(SERVING_PHASE, "prefill");
     }
-    if let Some(source) = &extra.source {
-        set(KV_SOURCE, source);
+    if let Some(kv_source) = &options.kv_source {
+        set(KV_SOURCE, kv_source);
     }
-    if let Some(urgency) = extra.urgency {
+    if let Some(urgency) = options.urgency {
         set(URGENCY_CLASS, &urgency.to_string());
     }
-    if let Some(version) = extra.expect {
+    if let Some(version) = options.expected_version {
         set(EXPECTED_VERSION, &version.to_string());
     }
-    if let Some(last) = &extra.last {
-        head.insert(LAST_EVENT_ID, last.clone());
+    if let Some(last_event_id) = &options.last_event_id {
+        head.insert(LAST_EVENT_ID, last_event_id.clone());
     }
     outgoing
 }
@@ -113,17 +113,17 @@
     state: &State,
     request: &request::Request,
     service: u32,
-    to: &Endpoint,
-    most: usize,
-    extra: &SendOptions,
-    silence_ms: u64,
+    endpoint: &Endpoint,
+    max_connections: usize,
+    options: &SendOptions,
+    timeout_ms: u64,
 ) -> SendOutcome {
-    let mut outgoing = compose(request, &to.engine, extra);
-    let end = Instant::now() + Duration::from_millis(silence_ms);
+    let mut outgoing = build_request(request, &endpoint.engine, options);
+    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
     loop {
-        let (mut connection, fresh) = match state.connection_pools.idle(to) {
+        let (mut connection, is_new) = match state.connection_pools.idle(endpoint) {
             Some(connection) => (connection, false),
-            None => match state.connection_pools.dial(to, most).await {
+            None => match state.connection_pools.dial(endpoint, max_connections).await {
                 Ok(connection) => {
                     state.metrics.engine_connections.inc();
                     (connection, true)
@@ -131,27 +131,27 @@
                 Err(error) => return SendOutcome::Unsent(error),
             },
         };
-        if !holds(state, service, &request.model, extra) {
+        if !satisfies_bound(state, service, &request.model, options) {
             return SendOutcome::Unsent(SendError::Behind);
         }
         if !request.authorization.holds(&state.table()) {
             return SendOutcome::Unsent(SendError::Unauthorized);
         }
-        let reply = match time::timeout_at(end, connection.try_send_request(outgoing)).await {
+        let response = match time::timeout_at(deadline, connection.try_send_request(outgoing)).await {
             Err(_) => return SendOutcome::Lost,
-            Ok(Ok(reply)) => reply,
+            Ok(Ok(response)) => response,
             Ok(Err(mut error)) => match error.take_message() {
                 // Never written: the connection had ended before.
-                Some(back) if !fresh => {
-                    outgoing = back;
+                Some(unwritten) if !is_new => {
+                    outgoing = unwritten;
                     continue;
                 }
                 Some(_) => return SendOutcome::Unsent(SendError::Down),
                 None => return SendOutcome::Lost,
             },
         };
-        let (head, body) = reply.into_parts();
-        return classify_response(state, request, to, extra, EngineResponse { head, body, connection }).await;
+        let (head, body) = response.into_parts();
+        return classify_response(state, request, endpoint, options, EngineResponse { head, body, connection }).await;
     }
 }
 
@@ -159,16 +159,17 @@
 async fn classify_response(
     state: &State,
     request: &request::Request,
-    to: &Endpoint,
-    extra: &SendOptions,
-    answer: EngineResponse,
+    endpoint: &Endpoint,
+    options: &SendOptions,
+    response: EngineResponse,
 ) -> SendOutcome {
-    let asked = Expectation { attempt: request.attempt.as_ref(), target: &to.engine, version: extra.expect };
-    let outcome = match response_head::classify(&answer.head, &asked) {
-        Classification::Executed => return SendOutcome::Response(Box::new(answer)),
+    let expected =
+        Expectation { attempt: request.attempt.as_ref(), target: &endpoint.engine, version: options.expected_version };
+    let outcome = match response_head::classify(&response.head, &expected) {
+        Classification::Executed => return SendOutcome::Response(Box::new(response)),
         Classification::Mismatched => {
-            let status = answer.head.status.as_u16();
-            kernel::log_event!(MISFIT, "engine" => to.engine.clone(), "status" => status);
+            let status = response.head.status.as_u16();
+            kernel::log_event!(MISFIT, "engine" => endpoint.engine.clone(), "status" => status);
             return SendOutcome::Lost;
         }
         Classification::Unconfirmed => SendOutcome::Lost,
@@ -176,53 +177,53 @@
         Classification::OtherEngine => SendOutcome::OtherEngine,
         Classification::OtherVersion(version) => SendOutcome::OtherVersion(version),
     };
-    drain_body(state, to, answer).await;
+    drain_body(state, endpoint, response).await;
     outcome
 }
 
 /// Reads the rest of an answer that nobody needs and takes the connection back.
-pub async fn drain_body(state: &State, to: &Endpoint, answer: EngineResponse) {
-    let _ = read_body(state, to, answer, 64 * 1024, 200).await;
+pub async fn drain_body(state: &State, endpoint: &Endpoint, response: EngineResponse) {
+    let _ = read_body(state, endpoint, response, 64 * 1024, 200).await;
 }
 
 /// Reads a small answer whole.
 pub async fn read_body(
     state: &State,
-    to: &Endpoint,
-    answer: EngineResponse,
-    most: usize,
-    wait_ms: u64,
+    endpoint: &Endpoint,
+    response: EngineResponse,
+    max_bytes: usize,
+    timeout_ms: u64,
 ) -> Option<Bytes> {
     use http_body_util::BodyExt;
-    let framed = answer.framed();
-    let EngineResponse { head, mut body, connection } = answer;
-    let end = Instant::now() + Duration::from_millis(wait_ms);
-    let mut text = BytesMut::new();
-    while let Some(frame) = time::timeout_at(end, body.frame()).await.ok()? {
+    let is_framed = response.is_framed();
+    let EngineResponse { head, mut body, connection } = response;
+    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
+    let mut buffer = BytesMut::new();
+    while let Some(frame) = time::timeout_at(deadline, body.frame()).await.ok()? {
         if let Ok(data) = frame.ok()?.into_data() {
-            text.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        if text.len() > most {
+        if buffer.len() > max_bytes {
             return None;
         }
     }
-    return_connection(state, to, &head.headers, connection).await;
-    framed.then(|| text.freeze())
+    return_connection(state, endpoint, &head.headers, connection).await;
+    is_framed.then(|| buffer.freeze())
 }
 
 /// A connection whose answer was read to its end.
-pub async fn return_connection(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
+pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
     if connection_pool::closes(head) {
         return;
     }
     let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.connection_pools.put(to, connection, connection_pool::keep(head));
+        state.connection_pools.put(endpoint, connection, connection_pool::keep(head));
     }
 }
 
 /// Gives the memory of a handle free; tried once, since it lapses by itself.
-pub async fn free_kv_handle(state: &State, handle: &Handle, most: usize) {
+pub async fn free_kv_handle(state: &State, handle: &Handle, max_connections: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
     let Ok(path) = format!("/kv-handle/{}", handle.id).parse() else { return };
@@ -232,15 +233,15 @@
     }
     let mut connection = match state.connection_pools.idle(&handle.reader) {
         Some(connection) => connection,
-        None => match state.connection_pools.dial(&handle.reader, most).await {
+        None => match state.connection_pools.dial(&handle.reader, max_connections).await {
             Ok(connection) => connection,
             Err(_) => return,
         },
     };
     let wait = Duration::from_millis(500);
-    let Ok(Ok(reply)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
-    let (head, body) = reply.into_parts();
-    if !response_head::answers(&head.headers, None) {
+    let Ok(Ok(response)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
+    let (head, body) = response.into_parts();
+    if !response_head::matches_attempt(&head.headers, None) {
         // Another outgoing's: the answer to this one would be the next that comes.
         return;
     }
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -134,7 +134,7 @@
         let now = clock::now();
         let holds_lease = self.state.staleness_bounds().is_confirmed(now);
         self.variant = self.state.rollouts().arm(self.service, roll, holds_lease);
-        if self.variant.is_candidate() && !self.view(|view| view.is_usable()) {
+        if self.variant.is_candidate() && !self.with_selection(|selection| selection.is_usable()) {
             self.variant = Arm::Stable;
         }
     }
