--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -36,7 +36,7 @@
     connection: Connection,
 ) -> Response<Body> {
     let mut guard = RequestGuard::start(&state, connection);
-    let shutting_down = state.is_leaving();
+    let shutting_down = state.is_shutting_down();
     let fail = |failure: Failure, last| (error_response::build(failure, last), failure.into());
     if framing.has_conflicting_framings() {
         let (response, outcome) = fail(Failure::Malformed, shutting_down);
@@ -51,12 +51,12 @@
     let (response, outcome) = match admitted {
         Ok(exchange) => {
             guard.advance_to(Stage::Forwarding);
-            match forward::answer(exchange).await {
+            match forward::forward(exchange).await {
                 Ok(response) => {
                     let outcome = forwarded_outcome(&response);
                     (response, outcome)
                 }
-                Err(failure) => fail(failure, state.is_leaving()),
+                Err(failure) => fail(failure, state.is_shutting_down()),
             }
         }
         Err(rejection) => fail(rejection.failure, shutting_down || rejection.close_connection),
@@ -196,33 +196,33 @@
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
-        let mut rng = state.rng.lock();
+        let mut rng = state.rng();
         routing_table::split(&route.targets, rng.next_u64())
     };
     let request = request::Request::new(parts, body, authorization, u64::from(service), received_at_ms);
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.retry_budget.lock().record_request(service, received_at_ms);
+    state.retry_budget().record_request(service, received_at_ms);
     Exchange {
-        closed_zones: plan::closed_zones(state, request.authorization.allowed_regions()),
+        excluded_zones: plan::excluded_zones(state, request.authorization.allowed_regions()),
         priority: request.authorization.priority(),
         route: route.name.clone(),
         pinned_version: None,
         state: state.clone(),
         request,
-        kind: route.kind,
-        repeatable: route.repeatable(),
+        route_type: route.route_type,
+        is_repeatable: route.repeatable(),
         max_sends: route.tries,
         target_ms: route.target_ms.max(1),
         service,
         service_config: table.services.get(&service).cloned().unwrap_or_default(),
         prefix_owners: Vec::new(),
         sends: 0,
-        arrived: false,
+        reached_engine: false,
         may_have_run: false,
-        tried: Vec::new(),
+        attempted_engines: Vec::new(),
         in_flight: Vec::new(),
         kv_handle: None,
-        arm: Default::default(),
+        variant: Default::default(),
     }
 }
 
--- a/router/src/kv/kv_handle.rs
+++ b/router/src/kv/kv_handle.rs
@@ -31,9 +31,9 @@
     pub fn take_kv_handle(&mut self) -> Option<KvHandle> {
         let now = clock::now();
         let is_usable = self.kv_handle.as_ref().is_some_and(|handle| {
-            let engine_table = self.state.engine_table.lock();
+            let engine_table = self.state.engines();
             let engine = &engine_table.engines[handle.engine_index];
-            now < handle.expires_at_ms && engine.listed && !self.closed_zones.contains(&engine.zone)
+            now < handle.expires_at_ms && engine.listed && !self.excluded_zones.contains(&engine.zone)
         });
         if !is_usable {
             self.release_kv_handle();
@@ -46,6 +46,6 @@
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
         let max_connections = self.max_connections();
-        tokio::spawn(async move { send::free(&state, &handle, max_connections).await });
+        tokio::spawn(async move { send::free_kv_handle(&state, &handle, max_connections).await });
     }
 }
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -196,7 +196,7 @@
     pub async fn acquire_quota_token(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
-        let random = self.state.rng.lock().next_u64();
+        let random = self.state.rng().next_u64();
         let decision = self.state.quota_gate.decide(&tenant.name, &quota, self.state.router_count(), random).await;
         self.state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
         decision.failure().map_or(Ok(()), Err)
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -215,25 +215,25 @@
     /// All metrics as text, with the figures that are only read when asked for.
     pub fn render(&self, state: &State) -> String {
         let ordering = Ordering::Relaxed;
-        let counts = state.owner_cache.lock().counts;
+        let counts = state.owner_cache().counts;
         self.ready.set(i64::from(state.is_ready()));
         self.config_revision.set(state.table().revision as i64);
         self.body_bytes.set(state.held_body_bytes.load(ordering) as i64);
-        self.engines_known.set(state.engine_table.lock().engines.len() as i64);
+        self.engines_known.set(state.engines().engines.len() as i64);
         self.prefix_lookups.set(counts.queries as i64);
         self.prefix_hits.set(counts.hits as i64);
         telemetry::encode(&self.registry)
     }
 }
 
-impl From<&send::Outcome> for SendResult {
-    fn from(outcome: &send::Outcome) -> SendResult {
+impl From<&send::SendOutcome> for SendResult {
+    fn from(outcome: &send::SendOutcome) -> SendResult {
         match outcome {
-            send::Outcome::Answer(_) => SendResult::Answered,
-            send::Outcome::NotExecuted => SendResult::NotExecuted,
-            send::Outcome::OtherEngine | send::Outcome::OtherVersion(_) => SendResult::Misdirected,
-            send::Outcome::Unsent(_) => SendResult::Unsent,
-            send::Outcome::Lost => SendResult::Lost,
+            send::SendOutcome::Response(_) => SendResult::Answered,
+            send::SendOutcome::NotExecuted => SendResult::NotExecuted,
+            send::SendOutcome::OtherEngine | send::SendOutcome::OtherVersion(_) => SendResult::Misdirected,
+            send::SendOutcome::Unsent(_) => SendResult::Unsent,
+            send::SendOutcome::Lost => SendResult::Lost,
         }
     }
 }
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -98,17 +98,17 @@
 
 /// A record from a controller.
 pub fn apply(state: &State, rollout: VersionRollout) {
-    let service = state.engine_table.lock().service_index(&rollout.service);
+    let service = state.engines().service_index(&rollout.service);
     let (name, target, share, state_name) =
         (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.as_str());
-    if state.rollouts.lock().insert_if_newer(service, rollout) {
+    if state.rollouts().insert_if_newer(service, rollout) {
         kernel::log_event!(VERSION_ROLLOUT_ACTIVATED, "service" => name, "version" => target, "state" => state_name, "share" => share);
     }
 }
 
 /// The records held, as told to controllers.
 pub fn applied_revisions(state: &State) -> Vec<(String, u64)> {
-    let rollouts = state.rollouts.lock();
+    let rollouts = state.rollouts();
     let entry =
         |rollout: &VersionRollout| (HiddenKey::Register(&VersionRollout::key(&rollout.service)).into(), rollout.number);
     rollouts.by_service.values().map(entry).collect()
@@ -119,8 +119,8 @@
     loop {
         state.samples_wanted.notified().await;
         time::sleep(SAMPLING_INTERVAL).await;
-        let list = state.rollouts.lock().drain_samples();
-        let controller = state.home_controller.lock().clone();
+        let list = state.rollouts().drain_samples();
+        let controller = state.home_controller().clone();
         let Some(controller) = controller else { continue };
         for samples in list {
             controller.notify(Message::Samples(Box::new(samples)));
@@ -131,18 +131,18 @@
 impl Exchange {
     /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
     pub fn choose_version(&mut self) {
-        let random = self.state.rng.lock().next_u64();
+        let random = self.state.rng().next_u64();
         let now = clock::now();
-        let holds_lease = self.state.staleness_bounds.lock().is_confirmed(now);
-        self.arm = self.state.rollouts.lock().arm(self.service, random, holds_lease);
-        if self.arm.is_candidate() && !self.view(|view| view.is_usable()) {
-            self.arm = Arm::Stable;
+        let holds_lease = self.state.staleness_bounds().is_confirmed(now);
+        self.variant = self.state.rollouts().arm(self.service, random, holds_lease);
+        if self.variant.is_candidate() && !self.with_selection(|selection| selection.is_usable()) {
+            self.variant = Arm::Stable;
         }
     }
 
     /// Notes what this request showed of the version that served it.
     pub fn record_version_outcome(&self, outcome: VersionOutcome) {
-        let recorded = self.state.rollouts.lock().record(self.service, &self.route, self.arm, outcome);
+        let recorded = self.state.rollouts().record(self.service, &self.route, self.variant, outcome);
         if recorded {
             self.state.samples_wanted.notify_one();
         }
