--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -21,7 +21,7 @@
     let read = str::from_utf8(text).map_err(|error| error.to_string());
     let read = read.and_then(|text| ConfigDocument::parse_committed(text).map_err(|error| error.to_string()));
     match read {
-        Ok(config) => turn(state, &ConfigUpdate::full(config.config())),
+        Ok(config) => apply_update(state, &ConfigUpdate::full(config.config())),
         Err(error) => kernel::log_event!(BAD_CONFIG, "version" => version, "error" => error),
     }
 }
@@ -29,14 +29,14 @@
 /// One that can't be read counts for nothing: the next call tells what is held and the whole comes.
 pub fn change(state: &State, body: &[u8]) {
     match ConfigUpdate::decode(body) {
-        Some(change) => turn(state, &change),
+        Some(change) => apply_update(state, &change),
         None => kernel::log_event!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
     }
 }
 
-fn turn(state: &State, change: &ConfigUpdate) {
+fn apply_update(state: &State, change: &ConfigUpdate) {
     let old = state.table();
-    let Some(table) = old.turn(change, &mut state.engine_table.lock()) else { return };
+    let Some(table) = old.apply(change, &mut state.engine_table.lock()) else { return };
     *state.table.lock() = Arc::new(table);
     state.subscribed.lock().config_revision = change.to;
     state.freshness.table_changed();
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
 
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::state::State;
 
 /// No proof yet.
@@ -23,7 +23,7 @@
 
 /// Why the table gives nothing for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum LookupMiss {
     /// The table is current, and has nothing for it.
     Certain,
     /// The table may only be late.
@@ -95,21 +95,25 @@
 }
 
 /// Looks at the table of this moment. The proof is read first: the table that follows is no older.
-fn look(state: &State, accepts: &impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
+fn look(state: &State, accepts: &impl Fn(&RoutingTable) -> bool) -> Result<Arc<RoutingTable>, LookupMiss> {
     let proved = state.freshness.is_proved(clock::now());
     let table = state.table();
     match accepts(&table) {
         true => Ok(table),
-        false if proved => Err(Miss::Certain),
-        false => Err(Miss::Unproved),
+        false if proved => Err(LookupMiss::Certain),
+        false => Err(LookupMiss::Unproved),
     }
 }
 
 /// The first table from now on that has what a request needs. A miss is certain only by a table that is proved
 /// current; that proof is waited for during a third of the time that the request has left at most.
-pub async fn table_with(state: &State, left_ms: u64, accepts: impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
+pub async fn wait_for_table(
+    state: &State,
+    left_ms: u64,
+    accepts: impl Fn(&RoutingTable) -> bool,
+) -> Result<Arc<RoutingTable>, LookupMiss> {
     let first = look(state, &accepts);
-    if !matches!(first, Err(Miss::Unproved)) {
+    if !matches!(first, Err(LookupMiss::Unproved)) {
         return first;
     }
     let currency = &state.freshness;
@@ -120,7 +124,7 @@
     loop {
         let changed = currency.changed.notified();
         let now = look(state, &accepts);
-        if !matches!(now, Err(Miss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
+        if !matches!(now, Err(LookupMiss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
             return now;
         }
     }
--- a/router/src/config/freshness_tests.rs
+++ b/router/src/config/freshness_tests.rs
@@ -5,9 +5,9 @@
 use kernel::{clock, settings};
 use tokio::time::Instant;
 
-use super::{table_with, Miss, MOST_WAITING};
+use super::{wait_for_table, LookupMiss, MOST_WAITING};
 use crate::config::activation;
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::state::State;
 use crate::testing::router::SETTINGS;
 
@@ -24,12 +24,12 @@
 }
 
 /// What a request looks for: something that is there from a revision on.
-fn since(revision: u64) -> impl Fn(&Table) -> bool {
+fn since(revision: u64) -> impl Fn(&RoutingTable) -> bool {
     move |table| table.revision >= revision
 }
 
-async fn look(state: &State, revision: u64) -> Result<u64, Miss> {
-    table_with(state, LEFT_MS, since(revision)).await.map(|table| table.revision)
+async fn look(state: &State, revision: u64) -> Result<u64, LookupMiss> {
+    wait_for_table(state, LEFT_MS, since(revision)).await.map(|table| table.revision)
 }
 
 #[tokio::test(start_paused = true)]
@@ -39,7 +39,7 @@
     assert_eq!(look(&state, 5).await, Ok(5));
     state.freshness.prove(clock::now() as i64);
     let begun = Instant::now();
-    assert_eq!(look(&state, 6).await, Err(Miss::Certain));
+    assert_eq!(look(&state, 6).await, Err(LookupMiss::Certain));
     assert_eq!(begun.elapsed().as_millis(), 0);
 }
 
@@ -48,21 +48,21 @@
     let state = unproved();
     let age = state.freshness.budget().refusal_age_ms() as i64;
     state.freshness.prove(clock::now() as i64 - age - 1);
-    assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
+    assert_eq!(look(&state, 6).await, Err(LookupMiss::Unproved));
     state.freshness.prove(clock::now() as i64 - age / 2);
-    assert_eq!(look(&state, 6).await, Err(Miss::Certain));
+    assert_eq!(look(&state, 6).await, Err(LookupMiss::Certain));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_miss_that_is_not_proved_waits_for_a_bounded_time() {
     let state = unproved();
     let begun = Instant::now();
-    assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
+    assert_eq!(look(&state, 6).await, Err(LookupMiss::Unproved));
     let waited = begun.elapsed().as_millis() as u64;
     let most = state.freshness.budget().refusal_wait_ms();
     assert!((most..most + 10).contains(&waited), "{waited}");
     let begun = Instant::now();
-    assert!(table_with(&state, 90, since(6)).await.is_err());
+    assert!(wait_for_table(&state, 90, since(6)).await.is_err());
     assert!(begun.elapsed().as_millis() <= 31, "a third of what the client has left");
 }
 
@@ -79,7 +79,7 @@
     assert_eq!(added.await.expect("it ends"), Ok(6), "the route was only late");
     assert!(!never.is_finished());
     state.freshness.prove(clock::now() as i64);
-    assert_eq!(never.await.expect("it ends"), Err(Miss::Certain));
+    assert_eq!(never.await.expect("it ends"), Err(LookupMiss::Certain));
 }
 
 #[tokio::test(start_paused = true)]
@@ -95,13 +95,13 @@
     });
     let begun = Instant::now();
     let all = (0..MOST_WAITING + 50).map(|_| async {
-        assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
+        assert_eq!(look(&state, 6).await, Err(LookupMiss::Unproved));
         begun.elapsed().as_millis()
     });
     let waited: Vec<u128> = future::join_all(all).await;
     assert_eq!(waited.iter().filter(|waited| **waited == 0).count(), 50);
     assert_eq!(asked.load(Ordering::Relaxed), 1);
     let begun = Instant::now();
-    assert_eq!(look(&state, 6).await, Err(Miss::Unproved));
+    assert_eq!(look(&state, 6).await, Err(LookupMiss::Unproved));
     assert!(begun.elapsed().as_millis() > 0, "those that are through are not counted any more");
 }
--- a/router/src/config/routing_table.rs
+++ b/router/src/config/routing_table.rs
@@ -13,7 +13,7 @@
 use crate::proxy::duration_estimate::DurationEstimate;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     Idempotent,
     NonIdempotent,
     Streaming,
@@ -23,14 +23,14 @@
 pub struct Route {
     pub name: String,
     pub prefix: String,
-    pub kind: Kind,
+    pub kind: RouteKind,
     pub resumable: bool,
     pub timeout_ms: u64,
     pub target_ms: u64,
     pub priority: u32,
-    pub tries: u32,
+    pub max_attempts: u32,
     pub targets: Vec<(u32, u64)>,
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
     /// Served without a key.
     pub anonymous: bool,
     /// Of its requests at this router, across changes of the route.
@@ -40,7 +40,7 @@
 impl Route {
     /// May it run more than once?
     pub fn repeatable(&self) -> bool {
-        self.kind == Kind::Idempotent || (self.kind == Kind::Streaming && self.resumable)
+        self.kind == RouteKind::Idempotent || (self.kind == RouteKind::Streaming && self.resumable)
     }
 }
 
@@ -53,10 +53,10 @@
 
 /// Invariants: routes of a host stand longest prefix first; `names` gives the host of each route.
 #[derive(Default)]
-pub struct Table {
+pub struct RoutingTable {
     pub revision: u64,
     /// Has a request been read under it yet?
-    pub seen: AtomicBool,
+    pub has_served: AtomicBool,
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
     names: HashMap<Arc<str>, Arc<str>>,
     pub services: HashMap<u32, Service>,
@@ -69,9 +69,9 @@
 
 fn route(item: &config::Route, engine_table: &mut EngineTable) -> Route {
     let kind = match item.route_type.as_str() {
-        "idempotent" => Kind::Idempotent,
-        "streaming" => Kind::Streaming,
-        _ => Kind::NonIdempotent,
+        "idempotent" => RouteKind::Idempotent,
+        "streaming" => RouteKind::Streaming,
+        _ => RouteKind::NonIdempotent,
     };
     let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service_index(name), weight));
     Route {
@@ -82,9 +82,9 @@
         timeout_ms: item.timeout_ms,
         target_ms: item.target_ms,
         priority: item.priority,
-        tries: item.retry_count.max(1),
+        max_attempts: item.retry_count.max(1),
         targets: targets.collect(),
-        homes: item.allowed_regions.clone(),
+        allowed_regions: item.allowed_regions.clone(),
         anonymous: item.anonymous,
         durations: Default::default(),
     }
@@ -99,20 +99,20 @@
     }
 }
 
-impl Table {
+impl RoutingTable {
     /// The table after a change. None: it is no newer, or counts on top of another revision than this.
-    pub fn turn(&self, change: &ConfigUpdate, engine_table: &mut EngineTable) -> Option<Table> {
+    pub fn apply(&self, change: &ConfigUpdate, engine_table: &mut EngineTable) -> Option<RoutingTable> {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return None;
         }
-        let mut next = Table {
+        let mut next = RoutingTable {
             revision: change.to,
             header_bytes: change.limits.max_header_bytes as usize,
             body_bytes: change.limits.max_body_bytes as usize,
             header_ms: change.limits.header_timeout_ms,
             idle_ms: change.limits.idle_timeout_ms,
             tenants: Tenants::after(&self.tenants, change),
-            ..Table::default()
+            ..RoutingTable::default()
         };
         if change.from != 0 {
             next.hosts.clone_from(&self.hosts);
@@ -161,7 +161,7 @@
 }
 
 /// Picks by weight; a service of weight 0 is never picked.
-pub fn split(targets: &[(u32, u64)], roll: u64) -> u32 {
+pub fn pick_weighted(targets: &[(u32, u64)], roll: u64) -> u32 {
     let sum: u64 = targets.iter().map(|(_, weight)| weight).sum();
     let mut left = roll % sum.max(1);
     for (service, weight) in targets {
--- a/router/src/config/routing_table_tests.rs
+++ b/router/src/config/routing_table_tests.rs
@@ -3,7 +3,7 @@
 use protocol::config::{read, Config};
 use protocol::config_update::ConfigUpdate;
 
-use super::{split, Table};
+use super::{pick_weighted, RoutingTable};
 
 fn config(revision: u64, routes: &[(&str, &str, &str)]) -> Config {
     let route = |(name, prefix, service): &(&str, &str, &str)| {
@@ -17,9 +17,9 @@
 
 const FIRST: [(&str, &str, &str); 3] = [("1", "/", "s"), ("2", "/x/y/", "t"), ("3", "/x/", "u")];
 
-fn made(engine_table: &mut EngineTable) -> Table {
+fn made(engine_table: &mut EngineTable) -> RoutingTable {
     let whole = ConfigUpdate::full(&config(1, &FIRST));
-    Table::default().turn(&whole, engine_table).expect("newer")
+    RoutingTable::default().apply(&whole, engine_table).expect("newer")
 }
 
 #[test]
@@ -51,12 +51,13 @@
             routes.push((name.as_str(), prefixes[(at + turn) % 12], service));
         }
         let next = config(revision, &routes);
-        table = table.turn(&ConfigUpdate::between(&held, &next), &mut engine_table).expect("in order");
-        let whole = Table::default().turn(&ConfigUpdate::full(&next), &mut engine_table).expect("whole");
+        table = table.apply(&ConfigUpdate::between(&held, &next), &mut engine_table).expect("in order");
+        let whole = RoutingTable::default().apply(&ConfigUpdate::full(&next), &mut engine_table).expect("whole");
         for prefix in prefixes {
             let path = format!("{prefix}x");
-            let seen =
-                |table: &Table| table.find("a.example", &path).map(|route| (route.name.clone(), route.targets.clone()));
+            let seen = |table: &RoutingTable| {
+                table.find("a.example", &path).map(|route| (route.name.clone(), route.targets.clone()))
+            };
             assert_eq!(seen(&table), seen(&whole), "revision {revision}, {path}");
         }
         held = next;
@@ -69,19 +70,19 @@
     let table = made(&mut engine_table);
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
     let gap = ConfigUpdate::between(&three, &four);
-    assert!(table.turn(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
-    let later = table.turn(&ConfigUpdate::full(&four), &mut engine_table).expect("whole");
+    assert!(table.apply(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
+    let later = table.apply(&ConfigUpdate::full(&four), &mut engine_table).expect("whole");
     let back = ConfigUpdate::full(&three);
-    assert!(later.turn(&back, &mut engine_table).is_none(), "it never goes back");
-    assert!(later.turn(&gap, &mut engine_table).is_none(), "the same again");
+    assert!(later.apply(&back, &mut engine_table).is_none(), "it never goes back");
+    assert!(later.apply(&gap, &mut engine_table).is_none(), "the same again");
 }
 
 #[test]
 fn weights_split_and_zero_is_never_picked() {
     let targets = [(0, 0), (1, 90), (2, 10)];
-    let count = (0..100).filter(|roll| split(&targets, *roll) == 1).count();
+    let count = (0..100).filter(|roll| pick_weighted(&targets, *roll) == 1).count();
     assert_eq!(count, 90);
-    assert!((0..200).all(|roll| split(&targets, roll) != 0));
+    assert!((0..200).all(|roll| pick_weighted(&targets, roll) != 0));
 }
 
 #[test]
@@ -91,7 +92,7 @@
         let mut dice = Rng::new(seed);
         let mut counts = [0.0; 4];
         for _ in 0..200 {
-            counts[split(&targets, dice.next_u64()) as usize] += 1.0;
+            counts[pick_weighted(&targets, dice.next_u64()) as usize] += 1.0;
         }
         for (service, weight) in targets {
             let off = counts[service as usize] / 200.0 - weight as f64 / 100.0;
--- a/router/src/config/tenants.rs
+++ b/router/src/config/tenants.rs
@@ -36,7 +36,7 @@
     /// Takes precedence over the priority of a route.
     pub priority: Option<u32>,
     /// The regions that its requests may go to; empty: all.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
     /// What it may send, over all routers.
     pub quota: Option<Quota>,
     keys: Vec<KeyDigest>,
@@ -48,7 +48,7 @@
             name: item.name.clone(),
             header: HeaderValue::from_bytes(item.name.as_bytes()).ok(),
             priority: item.priority,
-            homes: item.allowed_regions.clone(),
+            allowed_regions: item.allowed_regions.clone(),
             quota: Quota::new(item.rate_per_s, item.burst_size),
             keys: item.api_keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect(),
         }
@@ -59,16 +59,16 @@
 #[derive(Debug, Default)]
 pub struct Tenants {
     by_name: BTreeMap<String, Arc<Tenant>>,
-    by_key: HashMap<KeyDigest, Holder>,
+    by_key: HashMap<KeyDigest, KeyOwner>,
     requires_keys: bool,
 }
 
 /// Who holds a key.
 #[derive(Debug)]
-enum Holder {
+enum KeyOwner {
     One(Arc<Tenant>),
     /// Several tenants do, which no valid configuration has: the key tells nobody apart and counts as unknown.
-    Several,
+    Ambiguous,
 }
 
 impl Tenants {
@@ -78,10 +78,10 @@
     }
 
     /// The tenant that holds a key. None: the key is unknown.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         match self.by_key.get(key)? {
-            Holder::One(tenant) => Some(tenant),
-            Holder::Several => None,
+            KeyOwner::One(tenant) => Some(tenant),
+            KeyOwner::Ambiguous => None,
         }
     }
 
@@ -106,14 +106,14 @@
 
 /// The holder of each key. Made anew from all tenants with each change of one: a key that moves from one tenant to
 /// another is then its new holder's whatever the order in which a change names them.
-fn holders<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, Holder> {
+fn holders<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, KeyOwner> {
     let mut by_key = HashMap::new();
     // A tenant whose name no header can carry can't be named to engines: its keys stay unknown.
     for tenant in tenants.filter(|tenant| tenant.header.is_some()) {
         for key in &tenant.keys {
-            let holder = by_key.entry(*key).or_insert_with(|| Holder::One(tenant.clone()));
-            if matches!(holder, Holder::One(other) if !Arc::ptr_eq(other, tenant)) {
-                *holder = Holder::Several;
+            let holder = by_key.entry(*key).or_insert_with(|| KeyOwner::One(tenant.clone()));
+            if matches!(holder, KeyOwner::One(other) if !Arc::ptr_eq(other, tenant)) {
+                *holder = KeyOwner::Ambiguous;
             }
         }
     }
--- a/router/src/config/tenants_tests.rs
+++ b/router/src/config/tenants_tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn holder(tenants: &Tenants, key: &str) -> Option<String> {
-    tenants.holder(&KeyDigest::of(key.as_bytes())).map(|tenant| tenant.name.clone())
+    tenants.find_by_key(&KeyDigest::of(key.as_bytes())).map(|tenant| tenant.name.clone())
 }
 
 /// The tenants after the change from one list to another, as routers get it.
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -13,8 +13,8 @@
 use protocol::headers::TIME_BUDGET;
 use tokio::time;
 
-use crate::config::freshness::{self, Miss};
-use crate::config::routing_table::{self, Table};
+use crate::config::freshness::{self, LookupMiss};
+use crate::config::routing_table::{self, RoutingTable};
 use crate::config::tenants::KeyDigest;
 use crate::event::FIRST;
 use crate::frontend::authorization::{self, Authorization, UnknownKey};
@@ -119,12 +119,12 @@
 
 /// What lets a request in: the table of that moment, and the route and tenant that it has for the request.
 struct Admitted {
-    table: Arc<Table>,
+    table: Arc<RoutingTable>,
     authorization: Authorization,
 }
 
 /// Judges a request by one table: the route first, since it says whether a key is needed.
-fn judge(table: &Table, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
+fn judge(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
     let route = table.find(host, parts.uri.path()).ok_or(Failure::NoRoute)?;
     let granted = Authorization::grant(table, route, key);
@@ -136,12 +136,12 @@
 async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
     let left_ms = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
     let key = authorization::key(&parts.headers);
-    let accepts = |table: &Table| judge(table, parts, key).is_ok();
-    let table = match freshness::table_with(state, left_ms, accepts).await {
+    let accepts = |table: &RoutingTable| judge(table, parts, key).is_ok();
+    let table = match freshness::wait_for_table(state, left_ms, accepts).await {
         Ok(table) => table,
-        Err(Miss::Unproved) => return Err(Failure::Refused(RETRY_MS)),
+        Err(LookupMiss::Unproved) => return Err(Failure::Refused(RETRY_MS)),
         // The proof holds for this table as well: it is the same or a newer one.
-        Err(Miss::Certain) => state.table(),
+        Err(LookupMiss::Certain) => state.table(),
     };
     let authorization = judge(&table, parts, key)?;
     Ok(Admitted { table, authorization })
@@ -166,7 +166,7 @@
     if table.revision == 0 {
         return Err(Failure::Refused(RETRY_MS).into());
     }
-    if !table.seen.swap(true, Ordering::Relaxed) {
+    if !table.has_served.swap(true, Ordering::Relaxed) {
         kernel::log_event!(FIRST, "revision" => table.revision);
     }
     let mut admitted = match admit(state, &parts).await {
@@ -197,7 +197,7 @@
     let route = authorization.route().clone();
     let service = {
         let mut dice = state.rng.lock();
-        routing_table::split(&route.targets, dice.next_u64())
+        routing_table::pick_weighted(&route.targets, dice.next_u64())
     };
     let request = request::Request::make(parts, body, authorization, u64::from(service), born);
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
@@ -211,7 +211,7 @@
         request,
         kind: route.kind,
         repeatable: route.repeatable(),
-        max_sends: route.tries,
+        max_sends: route.max_attempts,
         target_ms: route.target_ms.max(1),
         service,
         service_config: table.services.get(&service).cloned().unwrap_or_default(),
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -6,7 +6,7 @@
 use http::HeaderMap;
 use protocol::headers::TENANT;
 
-use crate::config::routing_table::{Route, Table};
+use crate::config::routing_table::{Route, RoutingTable};
 use crate::config::tenants::{KeyDigest, Tenant};
 use crate::proxy::exchange::Exchange;
 
@@ -39,19 +39,24 @@
 
 impl Authorization {
     /// Judges a request by the configuration of the moment.
-    pub fn grant(table: &Table, route: &Arc<Route>, key: Option<KeyDigest>) -> Result<Authorization, UnknownKey> {
+    pub fn grant(
+        table: &RoutingTable,
+        route: &Arc<Route>,
+        key: Option<KeyDigest>,
+    ) -> Result<Authorization, UnknownKey> {
         let tenant = holder(table, route.anonymous, key.as_ref())?.cloned();
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
     /// Would the request be admitted now, and on the same terms? A key may be revoked, or pass to another tenant,
     /// while its request waits.
-    pub fn holds(&self, table: &Table) -> bool {
+    pub fn holds(&self, table: &RoutingTable) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
         match (holder(table, anonymous, self.key.as_ref()), &self.tenant) {
             (Err(UnknownKey), _) => false,
             (Ok(now), then) => {
-                now.map(|now| (&now.name, &now.homes)) == then.as_ref().map(|then| (&then.name, &then.homes))
+                now.map(|now| (&now.name, &now.allowed_regions))
+                    == then.as_ref().map(|then| (&then.name, &then.allowed_regions))
             }
         }
     }
@@ -72,8 +77,8 @@
 
     /// The lists of regions that bind the request, each by itself; an empty one binds nothing.
     pub fn homes(&self) -> [&[String]; 2] {
-        let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.homes);
-        [&self.route.homes, tenant]
+        let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.allowed_regions);
+        [&self.route.allowed_regions, tenant]
     }
 
     /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
@@ -88,11 +93,11 @@
 
 /// Whose request it is. None: nobody's, and it may go all the same. A known key counts on an anonymous route too.
 fn holder<'a>(
-    table: &'a Table,
+    table: &'a RoutingTable,
     anonymous: bool,
     key: Option<&KeyDigest>,
 ) -> Result<Option<&'a Arc<Tenant>>, UnknownKey> {
-    let tenant = key.and_then(|key| table.tenants.holder(key));
+    let tenant = key.and_then(|key| table.tenants.find_by_key(key));
     if tenant.is_some() || anonymous || !table.tenants.requires_keys() {
         return Ok(tenant);
     }
--- a/router/src/frontend/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use super::{key, Authorization, UnknownKey};
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::config::tenants::KeyDigest;
 
 fn head(values: &[&[u8]]) -> HeaderMap {
@@ -60,11 +60,11 @@
 }
 
 /// A configuration with the routes `keyed` and `open`; the latter is anonymous where that is `open`.
-fn table(tenants: Value, open: bool) -> Table {
+fn table(tenants: Value, open: bool) -> RoutingTable {
     table_of(&[("keyed", false), ("open", open)], tenants)
 }
 
-fn table_of(routes: &[(&str, bool)], tenants: Value) -> Table {
+fn table_of(routes: &[(&str, bool)], tenants: Value) -> RoutingTable {
     let route = |(name, anonymous): &(&str, bool)| {
         serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"), "service": "s",
             "route_type": "streaming", "timeout_ms": 5, "priority": 3, "allowed_regions": ["r"], "anonymous": anonymous})
@@ -73,7 +73,7 @@
         "route_table": routes.iter().map(route).collect::<Vec<_>>(), "tenant_table": tenants});
     let config = config::read(&text.to_string()).expect("good");
     let change = ConfigUpdate::full(&config);
-    Table::default().turn(&change, &mut EngineTable::default()).expect("newer")
+    RoutingTable::default().apply(&change, &mut EngineTable::default()).expect("newer")
 }
 
 fn tenants() -> Value {
@@ -81,13 +81,13 @@
         {"name": "two", "api_keys": ["k2"]}])
 }
 
-fn grant(table: &Table, route: &str, key: Option<&str>) -> Result<Authorization, UnknownKey> {
+fn grant(table: &RoutingTable, route: &str, key: Option<&str>) -> Result<Authorization, UnknownKey> {
     let route = table.find("h", &format!("/{route}/x")).expect("there");
     Authorization::grant(table, route, key.map(|key| KeyDigest::of(key.as_bytes())))
 }
 
 /// The tenant that an engine is told. None: the request is refused; empty: nobody's.
-fn named(table: &Table, route: &str, key: Option<&str>) -> Option<String> {
+fn named(table: &RoutingTable, route: &str, key: Option<&str>) -> Option<String> {
     let granted = grant(table, route, key).ok()?;
     let mut head = HeaderMap::new();
     granted.rewrite(&mut head);
--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -18,7 +18,7 @@
 use protocol::socket;
 use tokio::net::TcpStream;
 
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::frontend::admission;
 use crate::frontend::drain::Phase;
 use crate::frontend::framing_check::{Look, Stream};
@@ -97,7 +97,7 @@
 }
 
 /// What the configuration of now says about clients' connections.
-fn http_settings(table: &Table) -> Builder {
+fn http_settings(table: &RoutingTable) -> Builder {
     let mut builder = Builder::new();
     builder.timer(TokioTimer::new());
     builder.keep_alive(true).max_buf_size(table.header_bytes.max(HEAD_BUFFER_BYTES) + BODY_BUFFER_BYTES);
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -10,7 +10,7 @@
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
-use crate::config::routing_table::{Kind, Service};
+use crate::config::routing_table::{RouteKind, Service};
 use crate::frontend::request::Request;
 use crate::kv::handle::Handle;
 use crate::metrics::{Half, Sent};
@@ -19,14 +19,14 @@
 use crate::proxy::send::{Extra, Outcome};
 use crate::state::State;
 use crate::upstream::connection_pool::{Endpoint, SendError};
-use crate::upstream::suspicion::{self, SIGN_MS};
+use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
 /// One request on its way. Invariants: `may_have_run` never goes back to false;
 /// what is still in flight is ended on drop, and memory that is held is given free.
 pub struct Exchange {
     pub state: Arc<State>,
     pub request: Request,
-    pub kind: Kind,
+    pub kind: RouteKind,
     pub repeatable: bool,
     /// The greatest number of engines that it may be sent to.
     pub max_sends: u32,
@@ -91,7 +91,7 @@
     }
 
     pub fn is_streaming(&self) -> bool {
-        self.kind == Kind::Streaming
+        self.kind == RouteKind::Streaming
     }
 
     pub fn is_resumable(&self) -> bool {
@@ -214,7 +214,7 @@
         let call =
             crate::proxy::send::send(&self.state, &self.request, self.service, to, self.max_connections(), extra, wait);
         tokio::pin!(call);
-        let span = Duration::from_millis(SIGN_MS.min(wait.max(1)));
+        let span = Duration::from_millis(LIVENESS_TIMEOUT_MS.min(wait.max(1)));
         loop {
             if let Ok(outcome) = time::timeout(span, &mut call).await {
                 return outcome;
@@ -235,7 +235,7 @@
         if struck > seen {
             return true;
         }
-        if now >= seen + SIGN_MS {
+        if now >= seen + LIVENESS_TIMEOUT_MS {
             suspicion::raise(&self.state, at);
         }
         false
@@ -265,8 +265,8 @@
                 engine.record_response(now);
                 engine.set_weight_version(self.request.model_key, *version);
             }
-            Outcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
-            Outcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
+            Outcome::Unsent(SendError::TooStale | SendError::Unauthorized) => {}
+            Outcome::Unsent(SendError::PoolExhausted) => engine.saturated_until = now + 20,
             _ => {
                 drop(engine_table);
                 suspicion::raise(&self.state, at);
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -18,7 +18,7 @@
 use crate::proxy::send::{self, Answer, Extra, Outcome};
 use crate::proxy::{phases, plan, response_head};
 use crate::rollout::Seen;
-use crate::upstream::suspicion::{self, SIGN_MS};
+use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
 /// When a refused client may come back: soon, and later the more is waiting.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
@@ -221,7 +221,7 @@
 
 async fn pump(exchange: &Exchange, at: usize, answer: &mut Answer, split: &mut Splitter, pipe: &Pipe) -> End {
     use http_body_util::BodyExt;
-    let span = Duration::from_millis(SIGN_MS);
+    let span = Duration::from_millis(LIVENESS_TIMEOUT_MS);
     let (stream, resumes) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
     let framed = answer.framed();
     let mut heard = clock::now();
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -132,7 +132,7 @@
             },
         };
         if !holds(state, service, &request.model, extra) {
-            return Outcome::Unsent(SendError::Behind);
+            return Outcome::Unsent(SendError::TooStale);
         }
         if !request.authorization.holds(&state.table()) {
             return Outcome::Unsent(SendError::Unauthorized);
@@ -146,7 +146,7 @@
                     outgoing = back;
                     continue;
                 }
-                Some(_) => return Outcome::Unsent(SendError::Down),
+                Some(_) => return Outcome::Unsent(SendError::Unreachable),
                 None => return Outcome::Lost,
             },
         };
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -21,24 +21,24 @@
 use tokio::sync::Notify;
 
 use crate::config::freshness::Currency;
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::frontend::drain::{Drain, Phase};
 use crate::kv::prefix_lookup::Lookup;
 use crate::limits::quota_gate::QuotaGate;
 use crate::metrics::Metrics;
 use crate::rollout::Rollouts;
-use crate::upstream::connection_pool::Pools;
+use crate::upstream::connection_pool::ConnectionPools;
 
 pub struct State {
     pub settings: Settings,
     pub incarnation: u64,
     /// The own zone, by its dense index.
     pub zone: u32,
-    pub table: Mutex<Arc<Table>>,
+    pub table: Mutex<Arc<RoutingTable>>,
     pub engine_table: Mutex<EngineTable>,
     pub owner_cache: Mutex<OwnerCache>,
     pub retry_budget: Mutex<RetryBudget>,
-    pub connection_pools: Pools,
+    pub connection_pools: ConnectionPools,
     pub prefix_catalog: Lookup,
     /// Limits on stale weights. Taken last, never together with another.
     pub staleness_bounds: Mutex<StalenessBounds>,
@@ -130,7 +130,7 @@
         hashing::hash(self.settings.node_name.as_bytes())
     }
 
-    pub fn table(&self) -> Arc<Table> {
+    pub fn table(&self) -> Arc<RoutingTable> {
         self.table.lock().clone()
     }
 
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -203,7 +203,7 @@
             let (first, last) = whole.split_at(whole.len() - 2);
             client.write(first).await;
             // Admitted: the body is waited for.
-            while !state.table().seen.load(Ordering::Relaxed) {
+            while !state.table().has_served.load(Ordering::Relaxed) {
                 task::yield_now().await;
             }
             loss.happen(&cell);
--- a/router/src/upstream/connection_pool.rs
+++ b/router/src/upstream/connection_pool.rs
@@ -35,13 +35,13 @@
 
 /// Invariant: `count` is the number of connections to one address that are open or being opened.
 #[derive(Default)]
-struct Pool {
+struct EndpointPool {
     idle: Vec<Idle>,
     count: Arc<AtomicUsize>,
 }
 
 #[derive(Default)]
-pub struct Pools(Mutex<HashMap<String, Pool>>);
+pub struct ConnectionPools(Mutex<HashMap<String, EndpointPool>>);
 
 /// An idle connection whose engine named no time is used again only this soon.
 const SHORT_MS: u64 = 700;
@@ -52,16 +52,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
     /// The slice of connections is in use.
-    Full,
+    PoolExhausted,
     /// Refused or silent.
-    Down,
+    Unreachable,
     /// The limit on stale weights rose, or its lease lapsed, before anything was written.
-    Behind,
+    TooStale,
     /// The key of the request was revoked, or passed to another tenant, before anything was written.
     Unauthorized,
 }
 
-impl Pools {
+impl ConnectionPools {
     /// A kept connection to this very engine. Those that are of no use any more are dropped on the way.
     pub fn idle(&self, to: &Endpoint) -> Option<Connection> {
         let now = clock::now();
@@ -78,13 +78,13 @@
     pub async fn dial(&self, to: &Endpoint, most: usize) -> Result<Connection, SendError> {
         let count = self.0.lock().entry(to.addr.clone()).or_default().count.clone();
         if count.load(Ordering::Relaxed) >= most.max(1) {
-            return Err(SendError::Full);
+            return Err(SendError::PoolExhausted);
         }
         count.fetch_add(1, Ordering::Relaxed);
         let hold = Hold(count);
-        let stream = socket::connect(&to.addr, DIAL_MS, IO_TIMEOUT_MS).await.map_err(|_| SendError::Down)?;
+        let stream = socket::connect(&to.addr, DIAL_MS, IO_TIMEOUT_MS).await.map_err(|_| SendError::Unreachable)?;
         let io = TokioIo::new(stream);
-        let (connection, conn) = http1::handshake(io).await.map_err(|_| SendError::Down)?;
+        let (connection, conn) = http1::handshake(io).await.map_err(|_| SendError::Unreachable)?;
         tokio::spawn(async move {
             let _ = conn.await;
             drop(hold);
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -21,7 +21,7 @@
 use crate::upstream::suspicion_report::Word;
 
 /// How long a request may go without a sign of life from its engine before that is asked.
-pub const SIGN_MS: u64 = 150;
+pub const LIVENESS_TIMEOUT_MS: u64 = 150;
 /// How often a router tells of its own doubt while it gets no answer.
 const TELLINGS: u32 = 3;
 /// An engine that gave no answer for so long was not only slow.
