--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -14,7 +14,7 @@
 use crate::state::State;
 
 /// A whole configuration as text, from a controller that knows no other form.
-pub fn config(state: &State, version: u64, text: &[u8]) {
+pub fn apply_document(state: &State, version: u64, text: &[u8]) {
     if version <= state.subscribed.lock().config_revision {
         return;
     }
@@ -27,7 +27,7 @@
 }
 
 /// One that can't be read counts for nothing: the next call tells what is held and the whole comes.
-pub fn change(state: &State, body: &[u8]) {
+pub fn apply_encoded_update(state: &State, body: &[u8]) {
     match ConfigUpdate::decode(body) {
         Some(change) => apply_update(state, &change),
         None => kernel::log_event!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
@@ -44,10 +44,10 @@
 }
 
 /// A new holder of the catalog starts empty: what is known here is registered again, in steps.
-pub async fn again(state: Arc<State>) {
-    let all = state.owner_cache.lock().entries(clock::now());
-    for part in all.chunks(100) {
-        let list = part.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
+pub async fn reregister_prefixes(state: Arc<State>) {
+    let entries = state.owner_cache.lock().entries(clock::now());
+    for batch in entries.chunks(100) {
+        let list = batch.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
         state.prefix_catalog.register(list, Vec::new());
         time::sleep(Duration::from_millis(50)).await;
     }
--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -15,20 +15,20 @@
 }
 
 /// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
-pub fn absorb(state: &State, list: &[EvacuationState]) {
+pub fn apply(state: &State, list: &[EvacuationState]) {
     let mut engine_table = state.engine_table.lock();
-    let mut held = state.subscribed.lock();
+    let mut subscribed = state.subscribed.lock();
     for EvacuationState { zone, version, evacuated } in list {
-        if held.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
+        if subscribed.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
         }
-        let dense = engine_table.zone_index(zone);
-        held.evacuations.insert(zone.clone(), (*version, *evacuated));
-        held.evacuated_zones.retain(|shut| *shut != dense);
+        let index = engine_table.zone_index(zone);
+        subscribed.evacuations.insert(zone.clone(), (*version, *evacuated));
+        subscribed.evacuated_zones.retain(|zone_index| *zone_index != index);
         if *evacuated {
-            held.evacuated_zones.push(dense);
+            subscribed.evacuated_zones.push(index);
         } else {
-            engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
+            engine_table.presume_zone_cold(index, clock::now() + presumed_cold_ms(state));
         }
         kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
     }
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -3,7 +3,7 @@
 use kernel::clock;
 use protocol::message::EvacuationState;
 
-use super::{absorb, presumed_cold_ms};
+use super::{apply, presumed_cold_ms};
 use crate::state::State;
 use crate::testing::engine::Engine;
 use crate::testing::router;
@@ -23,20 +23,20 @@
 #[tokio::test]
 async fn engines_of_a_zone_that_is_taken_back_are_taken_for_cold_until_the_list_would_say_so() {
     let state = router::router(&[engine("i-1").await]);
-    absorb(&state, &[evacuation("a", 1, true)]);
+    apply(&state, &[evacuation("a", 1, true)]);
     assert_eq!(cold_until(&state, 0), 0);
     let before = clock::now();
-    absorb(&state, &[evacuation("a", 2, false)]);
+    apply(&state, &[evacuation("a", 2, false)]);
     assert!(cold_until(&state, 0) >= before + presumed_cold_ms(&state));
 }
 
 #[tokio::test]
 async fn other_zones_and_older_news_change_nothing() {
     let state = router::router(&[engine("i-1").await]);
-    absorb(&state, &[evacuation("b", 1, true), evacuation("b", 2, false)]);
+    apply(&state, &[evacuation("b", 1, true), evacuation("b", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    absorb(&state, &[evacuation("a", 3, true)]);
-    absorb(&state, &[evacuation("a", 2, false)]);
+    apply(&state, &[evacuation("a", 3, true)]);
+    apply(&state, &[evacuation("a", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
     assert!(state.subscribed.lock().evacuations[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -17,9 +17,9 @@
 use crate::state::State;
 
 /// No proof yet.
-const NEVER: i64 = i64::MIN;
+const NO_PROOF: i64 = i64::MIN;
 /// How many requests may wait at once. Beyond them the answer is uncertain without a wait.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 
 /// Why the table gives nothing for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,9 +42,9 @@
 }
 
 /// One request that waits; counted until it is dropped.
-struct Waiting<'a>(&'a Currency);
+struct WaitGuard<'a>(&'a Currency);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, Ordering::Relaxed);
     }
@@ -54,7 +54,7 @@
     pub fn new(budget: ConvergenceBudget) -> Currency {
         Currency {
             budget,
-            current_as_of: NEVER.into(),
+            current_as_of: NO_PROOF.into(),
             waiting: Default::default(),
             changed: Default::default(),
             wanted: Default::default(),
@@ -87,15 +87,15 @@
         self.wanted.notified().await;
     }
 
-    fn enter(&self) -> Option<Waiting<'_>> {
+    fn try_wait(&self) -> Option<WaitGuard<'_>> {
         let order = Ordering::Relaxed;
-        let waiting = Waiting(self);
-        (self.waiting.fetch_add(1, order) < MOST_WAITING).then_some(waiting)
+        let waiting = WaitGuard(self);
+        (self.waiting.fetch_add(1, order) < MAX_WAITING).then_some(waiting)
     }
 }
 
 /// Looks at the table of this moment. The proof is read first: the table that follows is no older.
-fn look(state: &State, accepts: &impl Fn(&RoutingTable) -> bool) -> Result<Arc<RoutingTable>, LookupMiss> {
+fn find_table(state: &State, accepts: &impl Fn(&RoutingTable) -> bool) -> Result<Arc<RoutingTable>, LookupMiss> {
     let proved = state.freshness.is_proved(clock::now());
     let table = state.table();
     match accepts(&table) {
@@ -112,18 +112,18 @@
     left_ms: u64,
     accepts: impl Fn(&RoutingTable) -> bool,
 ) -> Result<Arc<RoutingTable>, LookupMiss> {
-    let first = look(state, &accepts);
+    let first = find_table(state, &accepts);
     if !matches!(first, Err(LookupMiss::Unproved)) {
         return first;
     }
-    let currency = &state.freshness;
-    let Some(_waiting) = currency.enter() else { return first };
-    currency.wanted.notify_one();
-    let wait = Duration::from_millis(currency.budget.refusal_wait_ms().min(left_ms / 3));
+    let freshness = &state.freshness;
+    let Some(_waiting) = freshness.try_wait() else { return first };
+    freshness.wanted.notify_one();
+    let wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / 3));
     let end = Instant::now() + wait;
     loop {
-        let changed = currency.changed.notified();
-        let now = look(state, &accepts);
+        let changed = freshness.changed.notified();
+        let now = find_table(state, &accepts);
         if !matches!(now, Err(LookupMiss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
             return now;
         }
--- a/router/src/config/routing_table_tests.rs
+++ b/router/src/config/routing_table_tests.rs
@@ -17,15 +17,15 @@
 
 const FIRST: [(&str, &str, &str); 3] = [("1", "/", "s"), ("2", "/x/y/", "t"), ("3", "/x/", "u")];
 
-fn made(engine_table: &mut EngineTable) -> RoutingTable {
-    let whole = ConfigUpdate::full(&config(1, &FIRST));
-    RoutingTable::default().apply(&whole, engine_table).expect("newer")
+fn initial_table(engine_table: &mut EngineTable) -> RoutingTable {
+    let full = ConfigUpdate::full(&config(1, &FIRST));
+    RoutingTable::default().apply(&full, engine_table).expect("newer")
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
     let mut engine_table = EngineTable::default();
-    let table = made(&mut engine_table);
+    let table = initial_table(&mut engine_table);
     let service = |host: &str, path: &str| table.find(host, path).map(|route| route.targets[0].0);
     assert_eq!(service("a.example", "/x/y/z"), Some(engine_table.service_index("t")));
     assert_eq!(service("a.example:80", "/x/z"), Some(engine_table.service_index("u")));
@@ -36,38 +36,38 @@
 #[test]
 fn a_chain_of_changes_gives_the_table_that_the_whole_gives() {
     let mut engine_table = EngineTable::default();
-    let mut dice = Rng::new(7);
+    let mut rng = Rng::new(7);
     let names: Vec<String> = (0..12).map(|at| format!("r{at}")).collect();
-    let (mut held, mut table) = (config(1, &FIRST), made(&mut engine_table));
+    let (mut current, mut table) = (config(1, &FIRST), initial_table(&mut engine_table));
     for revision in 2..200 {
         let mut routes = Vec::new();
         let prefixes = ["/", "/a/", "/a/b/", "/c/", "/d/", "/e/", "/f/", "/g/", "/h/", "/i/", "/j/", "/k/"];
-        let turn = dice.below(12) as usize;
+        let shift = rng.below(12) as usize;
         for (at, name) in names.iter().enumerate() {
-            if dice.below(3) == 0 {
+            if rng.below(3) == 0 {
                 continue;
             }
-            let service = ["s", "t", "u"][dice.below(3) as usize];
-            routes.push((name.as_str(), prefixes[(at + turn) % 12], service));
+            let service = ["s", "t", "u"][rng.below(3) as usize];
+            routes.push((name.as_str(), prefixes[(at + shift) % 12], service));
         }
         let next = config(revision, &routes);
-        table = table.apply(&ConfigUpdate::between(&held, &next), &mut engine_table).expect("in order");
-        let whole = RoutingTable::default().apply(&ConfigUpdate::full(&next), &mut engine_table).expect("whole");
+        table = table.apply(&ConfigUpdate::between(&current, &next), &mut engine_table).expect("in order");
+        let full = RoutingTable::default().apply(&ConfigUpdate::full(&next), &mut engine_table).expect("whole");
         for prefix in prefixes {
             let path = format!("{prefix}x");
             let seen = |table: &RoutingTable| {
                 table.find("a.example", &path).map(|route| (route.name.clone(), route.targets.clone()))
             };
-            assert_eq!(seen(&table), seen(&whole), "revision {revision}, {path}");
+            assert_eq!(seen(&table), seen(&full), "revision {revision}, {path}");
         }
-        held = next;
+        current = next;
     }
 }
 
 #[test]
 fn a_gap_and_an_older_one_change_nothing() {
     let mut engine_table = EngineTable::default();
-    let table = made(&mut engine_table);
+    let table = initial_table(&mut engine_table);
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
     let gap = ConfigUpdate::between(&three, &four);
     assert!(table.apply(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
@@ -89,10 +89,10 @@
 fn each_part_gets_its_share_of_a_few_hundred_requests() {
     let targets = [(1, 70), (2, 20), (3, 10)];
     for seed in 0..500 {
-        let mut dice = Rng::new(seed);
+        let mut rng = Rng::new(seed);
         let mut counts = [0.0; 4];
         for _ in 0..200 {
-            counts[pick_weighted(&targets, dice.next_u64()) as usize] += 1.0;
+            counts[pick_weighted(&targets, rng.next_u64()) as usize] += 1.0;
         }
         for (service, weight) in targets {
             let off = counts[service as usize] / 200.0 - weight as f64 / 100.0;
--- a/router/src/config/tenants.rs
+++ b/router/src/config/tenants.rs
@@ -86,34 +86,34 @@
     }
 
     /// The tenants after a change: those that it removes are gone, those that it names stand as it has them.
-    pub fn after(held: &Arc<Tenants>, change: &ConfigUpdate) -> Arc<Tenants> {
-        let whole = change.from == 0;
+    pub fn after(current: &Arc<Tenants>, change: &ConfigUpdate) -> Arc<Tenants> {
+        let is_full = change.from == 0;
         let same_tenants = change.tenants.is_empty() && change.removed_tenants.is_empty();
-        if !whole && same_tenants && change.requires_keys == held.requires_keys {
-            return held.clone();
+        if !is_full && same_tenants && change.requires_keys == current.requires_keys {
+            return current.clone();
         }
-        let mut by_name = if whole { Default::default() } else { held.by_name.clone() };
+        let mut by_name = if is_full { Default::default() } else { current.by_name.clone() };
         for name in &change.removed_tenants {
             by_name.remove(name);
         }
         for item in &change.tenants {
             by_name.insert(item.name.clone(), Arc::new(Tenant::new(item)));
         }
-        let by_key = holders(by_name.values());
+        let by_key = index_keys(by_name.values());
         Arc::new(Tenants { by_name, by_key, requires_keys: change.requires_keys })
     }
 }
 
 /// The holder of each key. Made anew from all tenants with each change of one: a key that moves from one tenant to
 /// another is then its new holder's whatever the order in which a change names them.
-fn holders<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, KeyOwner> {
+fn index_keys<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, KeyOwner> {
     let mut by_key = HashMap::new();
     // A tenant whose name no header can carry can't be named to engines: its keys stay unknown.
     for tenant in tenants.filter(|tenant| tenant.header.is_some()) {
         for key in &tenant.keys {
-            let holder = by_key.entry(*key).or_insert_with(|| KeyOwner::One(tenant.clone()));
-            if matches!(holder, KeyOwner::One(other) if !Arc::ptr_eq(other, tenant)) {
-                *holder = KeyOwner::Ambiguous;
+            let owner = by_key.entry(*key).or_insert_with(|| KeyOwner::One(tenant.clone()));
+            if matches!(owner, KeyOwner::One(other) if !Arc::ptr_eq(other, tenant)) {
+                *owner = KeyOwner::Ambiguous;
             }
         }
     }
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -11,21 +11,21 @@
 use crate::state::State;
 
 /// How often the want of fresh replicas is told, however many requests meet it.
-const TELL_MS: u64 = 1000;
+const REPORT_INTERVAL_MS: u64 = 1000;
 
 impl Exchange {
     /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
     /// has lapsed.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
-        let floors = self.state.staleness_bounds.lock();
+        let bounds = self.state.staleness_bounds.lock();
         let model = self.request.model_key;
-        match floors.bound_for(self.service, &self.request.model, &self.route, now) {
+        match bounds.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
             StalenessBound::LeaseExpired => Some(WeightVersionRange { model, oldest: u64::MAX, newest: 0 }),
-            StalenessBound::AtLeast(floor) => match self.pinned_version {
-                Some(exact) if exact >= floor => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
-                _ => Some(WeightVersionRange { model, oldest: floor, newest: u64::MAX }),
+            StalenessBound::AtLeast(oldest) => match self.pinned_version {
+                Some(exact) if exact >= oldest => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
+                _ => Some(WeightVersionRange { model, oldest, newest: u64::MAX }),
             },
         }
     }
@@ -52,28 +52,30 @@
     /// No replica inside the limit: told once a second.
     pub fn report_no_replica(&self) {
         let (now, order) = (clock::now(), Ordering::Relaxed);
-        let told = self.state.few_at.load(order);
-        if now >= told + TELL_MS && self.state.few_at.compare_exchange(told, now, order, order).is_ok() {
+        let reported_at = self.state.few_at.load(order);
+        if now >= reported_at + REPORT_INTERVAL_MS
+            && self.state.few_at.compare_exchange(reported_at, now, order, order).is_ok()
+        {
             kernel::log_event!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
 
 /// A rule from a controller; binds at once where it is tighter.
-pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().service_index(&rule.service);
+pub fn apply_staleness_limit(state: &State, limit: &StalenessLimit) {
+    let service = state.engine_table.lock().service_index(&limit.service);
     let now = clock::now();
-    if state.staleness_bounds.lock().update(rule, service, now) {
-        kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
-            "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
+    if state.staleness_bounds.lock().update(limit, service, now) {
+        kernel::log_event!(RULE, "service" => limit.service.clone(), "model" => limit.model.clone(),
+            "version" => limit.version, "floor" => limit.floor(), "removed" => limit.removed);
     }
 }
 
 /// Weight versions of a zone. Older ones of the same poller change nothing.
-pub fn versions(state: &State, list: &WeightVersions) {
+pub fn apply_weight_versions(state: &State, list: &WeightVersions) {
     {
-        let mut held = state.weight_versions.lock();
-        let version = held.entry(list.zone.clone()).or_default();
+        let mut versions = state.weight_versions.lock();
+        let version = versions.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
@@ -83,13 +85,14 @@
 }
 
 /// A name and its version.
-type Told = (String, u64);
+type NamedVersion = (String, u64);
 
 /// The versions of rules and versions held, to be told beside those of evacuations and sheets.
-pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
-    let rules = state.staleness_bounds.lock().versions();
+pub fn known_versions(state: &State) -> (Vec<NamedVersion>, Vec<VersionEntry>) {
+    let limits = state.staleness_bounds.lock().versions();
     let weights = state.weight_versions.lock();
-    let weights =
-        weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
+    let weights = weights
+        .iter()
+        .map(|(zone, (term, sequence))| VersionEntry::new(HiddenKey::WeightVersions(zone), *term, *sequence));
+    (limits.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
 }
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -121,7 +121,7 @@
     let mut outgoing = compose(request, &to.engine, extra);
     let end = Instant::now() + Duration::from_millis(silence_ms);
     loop {
-        let (mut connection, fresh) = match state.connection_pools.idle(to) {
+        let (mut connection, fresh) = match state.connection_pools.take_idle(to) {
             Some(connection) => (connection, false),
             None => match state.connection_pools.dial(to, most).await {
                 Ok(connection) => {
@@ -200,12 +200,12 @@
 
 /// A connection whose answer was read to its end.
 pub async fn give_back(state: &State, to: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if connection_pool::closes(head) {
+    if connection_pool::requests_close(head) {
         return;
     }
     let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.connection_pools.put(to, connection, connection_pool::keep(head));
+        state.connection_pools.release(to, connection, connection_pool::keep_alive_seconds(head));
     }
 }
 
@@ -218,7 +218,7 @@
     if let Ok(host) = HeaderValue::from_str(&handle.reader.addr) {
         outgoing.headers_mut().insert(HOST, host);
     }
-    let mut connection = match state.connection_pools.idle(&handle.reader) {
+    let mut connection = match state.connection_pools.take_idle(&handle.reader) {
         Some(connection) => connection,
         None => match state.connection_pools.dial(&handle.reader, most).await {
             Ok(connection) => connection,
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -15,55 +15,57 @@
 use crate::upstream::suspicion;
 
 /// How long news of engines that are about to change their part holds.
-const REST_MS: u64 = 1500;
+const REASSIGNING_VALID_MS: u64 = 1500;
 /// For how long a number of routers that was told counts.
-const SEATS_MS: u64 = 10_000;
+const ROUTER_COUNT_VALID_MS: u64 = 10_000;
 
 /// A message that a controller pushed.
-pub fn take(state: &Arc<State>, msg: Message) {
+pub fn apply_message(state: &Arc<State>, msg: Message) {
     match msg {
-        Message::StateUpdate(news) => absorb(state, *news),
-        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => activation::change(state, &body),
+        Message::StateUpdate(update) => apply_state_update(state, *update),
+        Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => {
+            activation::apply_encoded_update(state, &body)
+        }
         Message::ShardOwners(list) => state.quota_gate.set_holders(&list),
         Message::VersionRollout(rollout) => rollout::take(state, *rollout),
-        Message::StalenessLimit(rule) => version_bounds::rule(state, &rule),
-        Message::WeightVersions(list) => version_bounds::versions(state, &list),
-        Message::SuspectEngine(doubt) => suspicion::hear(state, &doubt.0),
+        Message::StalenessLimit(limit) => version_bounds::apply_staleness_limit(state, &limit),
+        Message::WeightVersions(list) => version_bounds::apply_weight_versions(state, &list),
+        Message::SuspectEngine(report) => suspicion::handle_report(state, &report.0),
         _ => {}
     }
 }
 
 /// What this router holds. Its requests under way are told to its home alone, where they are added up.
-pub fn standing(state: &State, at_home: bool) -> SubscriptionRenewal {
-    let (mut sheets, busy): (Vec<_>, Vec<_>) = {
+pub fn build_renewal(state: &State, is_home: bool) -> SubscriptionRenewal {
+    let (mut list_versions, in_flight): (Vec<_>, Vec<_>) = {
         let engine_table = state.engine_table.lock();
-        let busy = engine_table
+        let in_flight = engine_table
             .engines
             .iter()
-            .filter(|engine| at_home && engine.in_flight > 0)
+            .filter(|engine| is_home && engine.in_flight > 0)
             .map(|engine| (engine.id.clone(), engine.in_flight));
-        (engine_table.list_versions(), busy.collect())
+        (engine_table.list_versions(), in_flight.collect())
     };
-    let (rules, weights) = version_bounds::known_versions(state);
-    sheets.extend(weights);
+    let (limits, weights) = version_bounds::known_versions(state);
+    list_versions.extend(weights);
     let rollouts = rollout::told(state);
-    sheets.push(message::own_protocol_version());
-    sheets.push(shard_owners_entry(state.quota_gate.mark()));
-    let news = state.subscribed.lock();
+    list_versions.push(message::own_protocol_version());
+    list_versions.push(shard_owners_entry(state.quota_gate.mark()));
+    let subscribed = state.subscribed.lock();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
         incarnation: state.incarnation,
-        config_revision: news.config_revision,
-        evacuation_versions: news
+        config_revision: subscribed.config_revision,
+        evacuation_versions: subscribed
             .evacuations
             .iter()
             .map(|(zone, (version, _))| (zone.clone(), *version))
-            .chain(rules)
+            .chain(limits)
             .chain(rollouts)
             .collect(),
-        list_versions: sheets,
-        in_flight: busy,
+        list_versions,
+        in_flight,
         frontend_address: state
             .settings
             .bind_addresses
@@ -75,14 +77,14 @@
 }
 
 /// Ready once the configuration is proved to be current and the lists are known; from then on until it leaves.
-pub fn ready(state: &State) -> bool {
+pub fn update_readiness(state: &State) -> bool {
     let order = Ordering::Relaxed;
     if state.ready.load(order) {
         return true;
     }
     let known = state.engine_table.lock().listed_zone_count();
-    let held = state.subscribed.lock().config_revision > 0 && known >= state.settings.zones.len();
-    if !held || !state.freshness.is_proved(clock::now()) {
+    let is_complete = state.subscribed.lock().config_revision > 0 && known >= state.settings.zones.len();
+    if !is_complete || !state.freshness.is_proved(clock::now()) {
         return false;
     }
     state.ready.store(true, order);
@@ -91,38 +93,38 @@
 }
 
 /// Takes what is newer; versions never go back.
-pub fn absorb(state: &Arc<State>, news: StateUpdate) {
+pub fn apply_state_update(state: &Arc<State>, update: StateUpdate) {
     let now = clock::now();
-    if let Some((version, text)) = &news.config {
-        activation::config(state, *version, text);
+    if let Some((version, text)) = &update.config {
+        activation::apply_document(state, *version, text);
     }
-    let mut left = Vec::new();
+    let mut removed_engines = Vec::new();
     {
         let mut engine_table = state.engine_table.lock();
-        for sheet in &news.endpoint_lists {
-            left.extend(engine_table.update(sheet, now));
+        for list in &update.endpoint_lists {
+            removed_engines.extend(engine_table.update(list, now));
         }
-        engine_table.mark_reassigning(&news.reassigning, now + REST_MS);
+        engine_table.mark_reassigning(&update.reassigning, now + REASSIGNING_VALID_MS);
     }
-    if !left.is_empty() {
-        let mut record = state.owner_cache.lock();
-        left.iter().for_each(|engine| record.remove_engine(engine));
+    if !removed_engines.is_empty() {
+        let mut owner_cache = state.owner_cache.lock();
+        removed_engines.iter().for_each(|engine| owner_cache.remove_engine(engine));
     }
-    evacuation::absorb(state, &news.evacuations);
+    evacuation::apply(state, &update.evacuations);
     {
-        let mut held = state.subscribed.lock();
-        if !news.peers.is_empty() {
-            held.controllers = news.peers;
+        let mut subscribed = state.subscribed.lock();
+        if !update.peers.is_empty() {
+            subscribed.controllers = update.peers;
         }
-        if news.router_count > 0 {
-            held.router_counts.retain(|(time, _)| now < time + SEATS_MS);
-            held.router_counts.push((now, news.router_count));
+        if update.router_count > 0 {
+            subscribed.router_counts.retain(|(time, _)| now < time + ROUTER_COUNT_VALID_MS);
+            subscribed.router_counts.push((now, update.router_count));
         }
     }
-    let seats = state.router_count();
-    state.engine_table.lock().set_router(state.mark(), state.zone, seats);
-    if state.prefix_catalog.hold(news.catalog.0, &news.catalog.1, state.settings.peer_port()) {
-        kernel::log_event!(CATALOG, "epoch" => news.catalog.0, "holder" => news.catalog.1.clone());
-        tokio::spawn(activation::again(state.clone()));
+    let router_count = state.router_count();
+    state.engine_table.lock().set_router(state.mark(), state.zone, router_count);
+    if state.prefix_catalog.hold(update.catalog.0, &update.catalog.1, state.settings.peer_port()) {
+        kernel::log_event!(CATALOG, "epoch" => update.catalog.0, "holder" => update.catalog.1.clone());
+        tokio::spawn(activation::reregister_prefixes(state.clone()));
     }
 }
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -10,131 +10,131 @@
 use crate::event::HOME;
 use crate::state::State;
 use crate::subscription::apply_update;
-use crate::subscription::links::{End, Event, Links};
-use crate::subscription::response::Answer;
-use crate::subscription::scheduler::{Call, Following};
+use crate::subscription::links::{Event, FinishedCall, Links};
+use crate::subscription::response::RenewalResponse;
+use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 
 /// Follows until the process ends.
 pub async fn run(state: Arc<State>) {
     let links = Links::new(state.settings.peer_port());
-    let following = Following::new(
+    let scheduler = SubscriptionScheduler::new(
         *state.freshness.budget(),
         &state.settings.node_name,
         &state.settings.ip,
         &state.settings.seed_ips(),
     );
-    let mut follower = Follower { state, following, links, seeds_read_at: clock::now() };
+    let mut subscriber = Subscriber { state, scheduler, links, seeds_read_at: clock::now() };
     loop {
-        follower.step().await;
+        subscriber.run_step().await;
     }
 }
 
-struct Follower {
+struct Subscriber {
     state: Arc<State>,
-    following: Following,
+    scheduler: SubscriptionScheduler,
     links: Links,
     seeds_read_at: u64,
 }
 
-impl Follower {
+impl Subscriber {
     /// Begins the calls that are due, and takes in the next thing that comes.
-    async fn step(&mut self) {
+    async fn run_step(&mut self) {
         let now = clock::now();
-        for call in self.following.due(now) {
-            self.begin(&call, now);
+        for call in self.scheduler.due_calls(now) {
+            self.begin_call(&call, now);
         }
-        let pause = self.following.wake_at(now).saturating_sub(now);
+        let pause = self.scheduler.wake_at(now).saturating_sub(now);
         tokio::select! {
-            event = self.links.next() => self.take(event),
-            _ = self.state.freshness.wanted() => self.following.want_proof(),
-            _ = time::sleep(Duration::from_millis(pause)) => self.read_seeds(),
+            event = self.links.next_event() => self.handle_event(event),
+            _ = self.state.freshness.wanted() => self.scheduler.request_proof(),
+            _ = time::sleep(Duration::from_millis(pause)) => self.reload_seeds_if_unproved(),
         }
     }
 
-    fn begin(&mut self, call: &Call, now: u64) {
-        let at_home = self.following.home() == Some(&call.controller);
-        let standing = apply_update::standing(&self.state, at_home);
-        let msg = Message::SubscriptionRenewal(Box::new(standing));
-        self.links.call(&call.controller, msg, now, call.deadline_ms);
-        if at_home {
+    fn begin_call(&mut self, call: &Call, now: u64) {
+        let is_home = self.scheduler.home() == Some(&call.controller);
+        let renewal = apply_update::build_renewal(&self.state, is_home);
+        let msg = Message::SubscriptionRenewal(Box::new(renewal));
+        self.links.call(&call.controller, msg, now, call.timeout_ms);
+        if is_home {
             // The connection may be a new one.
-            *self.state.home_controller.lock() = Some(self.links.caller(&call.controller));
+            *self.state.home_controller.lock() = Some(self.links.client(&call.controller));
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Pushed(msg) => self.take_pushed(msg),
-            Event::Ended(end) => self.take_end(end),
+            Event::Pushed(msg) => self.handle_push(msg),
+            Event::CallFinished(finished) => self.handle_finished_call(finished),
         }
     }
 
-    fn take_pushed(&mut self, msg: Message) {
+    fn handle_push(&mut self, msg: Message) {
         if self.links.may_have_dropped() {
-            self.following.frames_lost(clock::now());
+            self.scheduler.on_frames_lost(clock::now());
         }
         if matches!(msg, Message::StalenessLimit(_)) {
             // Confirmed at once: somebody waits for it.
-            self.following.renew_now();
+            self.scheduler.renew_now();
         }
-        apply_update::take(&self.state, msg);
+        apply_update::apply_message(&self.state, msg);
     }
 
-    fn take_end(&mut self, end: End) {
-        let left = self.following.home().map(str::to_string);
-        match end.reply {
+    fn handle_finished_call(&mut self, finished: FinishedCall) {
+        let previous_home = self.scheduler.home().map(str::to_string);
+        match finished.reply {
             Some(Message::SubscriptionRenewed(renewed)) => {
-                self.absorb(renewed.update.clone(), end.sent);
-                let answer = Answer::renewed(&renewed, self.held());
-                self.answered(&end.controller, &answer);
+                self.apply_state_update(renewed.update.clone(), finished.sent_at);
+                let response = RenewalResponse::from_renewal(&renewed, self.held_revision());
+                self.record_response(&finished.controller, &response);
             }
-            Some(Message::StateUpdate(news)) => {
-                self.absorb((*news).clone(), end.sent);
-                let answer = Answer::news(&news, self.held());
-                self.answered(&end.controller, &answer);
+            Some(Message::StateUpdate(update)) => {
+                self.apply_state_update((*update).clone(), finished.sent_at);
+                let response = RenewalResponse::from_state_update(&update, self.held_revision());
+                self.record_response(&finished.controller, &response);
             }
             _ => {
-                self.links.close(&end.controller);
-                self.following.failed(clock::now(), &end.controller);
+                self.links.close(&finished.controller);
+                self.scheduler.on_failure(clock::now(), &finished.controller);
             }
         }
-        if self.following.home() != left.as_deref() {
-            self.home_moved(left);
+        if self.scheduler.home() != previous_home.as_deref() {
+            self.on_home_changed(previous_home);
         }
-        let following = &self.following;
-        self.links.keep(|controller| following.home() == Some(controller) || following.is_open(controller));
+        let scheduler = &self.scheduler;
+        self.links.retain(|controller| scheduler.home() == Some(controller) || scheduler.has_open_call(controller));
     }
 
-    fn held(&self) -> u64 {
+    fn held_revision(&self) -> u64 {
         self.state.subscribed.lock().config_revision
     }
 
-    fn absorb(&self, news: StateUpdate, sent: u64) {
-        if news.confirmed {
-            self.state.staleness_bounds.lock().renew_lease(sent);
+    fn apply_state_update(&self, update: StateUpdate, sent_at: u64) {
+        if update.confirmed {
+            self.state.staleness_bounds.lock().renew_lease(sent_at);
         }
-        apply_update::absorb(&self.state, news);
+        apply_update::apply_state_update(&self.state, update);
     }
 
-    fn answered(&mut self, controller: &str, answer: &Answer) {
-        self.following.answered(clock::now(), controller, answer);
-        if let Some(as_of) = self.following.current_as_of() {
+    fn record_response(&mut self, controller: &str, response: &RenewalResponse) {
+        self.scheduler.on_response(clock::now(), controller, response);
+        if let Some(as_of) = self.scheduler.current_as_of() {
             self.state.freshness.prove(as_of);
         }
-        if apply_update::ready(&self.state) {
-            self.following.set_ready();
+        if apply_update::update_readiness(&self.state) {
+            self.scheduler.set_ready();
         }
     }
 
-    fn home_moved(&mut self, left: Option<String>) {
-        let home = self.following.home().unwrap_or_default().to_string();
-        *self.state.home_controller.lock() = Some(self.links.caller(&home));
-        kernel::log_event!(HOME, "left" => left.unwrap_or_default(), "home" => home);
+    fn on_home_changed(&mut self, previous_home: Option<String>) {
+        let home = self.scheduler.home().unwrap_or_default().to_string();
+        *self.state.home_controller.lock() = Some(self.links.client(&home));
+        kernel::log_event!(HOME, "left" => previous_home.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
 
     /// While nothing is proved the settings may name controllers that are better.
-    fn read_seeds(&mut self) {
+    fn reload_seeds_if_unproved(&mut self) {
         let now = clock::now();
         let every = self.state.freshness.budget().bulk_age_ms();
         if !self.state.freshness.is_proved(now) && now > self.seeds_read_at + every {
@@ -145,7 +145,7 @@
     fn reload_seeds(&mut self) {
         self.seeds_read_at = clock::now();
         if let Ok(settings) = settings::load(&settings::path()) {
-            self.following.set_seeds(&settings.seed_ips());
+            self.scheduler.set_seeds(&settings.seed_ips());
         }
     }
 }
--- a/router/src/subscription/links_tests.rs
+++ b/router/src/subscription/links_tests.rs
@@ -2,7 +2,7 @@
 use protocol::message::{Message, SubscriptionRenewal};
 use tokio::task;
 
-use super::{Event, Links, PUSHED_MOST};
+use super::{Event, Links, PUSH_QUEUE_CAPACITY};
 use crate::testing::controller::{controllers, Manner};
 
 fn config() -> Config {
@@ -10,9 +10,9 @@
     read(&text.to_string()).expect("good")
 }
 
-fn follow() -> Message {
+fn renewal() -> Message {
     let empty = String::new;
-    let follow = SubscriptionRenewal {
+    let renewal = SubscriptionRenewal {
         node: "edge-1".into(),
         zone: "a".into(),
         incarnation: 1,
@@ -22,18 +22,18 @@
         in_flight: Vec::new(),
         frontend_address: empty(),
     };
-    Message::SubscriptionRenewal(Box::new(follow))
+    Message::SubscriptionRenewal(Box::new(renewal))
 }
 
 #[tokio::test]
 async fn what_was_pushed_before_an_answer_comes_before_it() {
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
-    links.call(&controllers[0].ip, follow(), 5, 5000);
-    assert!(matches!(links.next().await, Event::Pushed(Message::ConfigUpdate(_))));
-    let Event::Ended(end) = links.next().await else { panic!("an answer") };
-    assert_eq!((end.controller.as_str(), end.sent), ("127.0.0.1", 5));
-    assert!(matches!(end.reply, Some(Message::SubscriptionRenewed(_))));
+    links.call(&controllers[0].ip, renewal(), 5, 5000);
+    assert!(matches!(links.next_event().await, Event::Pushed(Message::ConfigUpdate(_))));
+    let Event::CallFinished(finished) = links.next_event().await else { panic!("an answer") };
+    assert_eq!((finished.controller.as_str(), finished.sent_at), ("127.0.0.1", 5));
+    assert!(matches!(finished.reply, Some(Message::SubscriptionRenewed(_))));
 }
 
 #[tokio::test]
@@ -41,34 +41,39 @@
     let (controllers, port) = controllers(2, &config());
     controllers[0].set(Manner::Frozen);
     let mut links = Links::new(port);
-    links.call(&controllers[0].ip, follow(), 5, 60_000);
-    links.call(&controllers[1].ip, follow(), 6, 60_000);
-    assert!(matches!(links.next().await, Event::Pushed(_)));
-    assert!(matches!(links.next().await, Event::Ended(end) if end.controller == controllers[1].ip));
-    links.keep(|controller| controller != controllers[0].ip);
+    links.call(&controllers[0].ip, renewal(), 5, 60_000);
+    links.call(&controllers[1].ip, renewal(), 6, 60_000);
+    assert!(matches!(links.next_event().await, Event::Pushed(_)));
+    assert!(
+        matches!(links.next_event().await, Event::CallFinished(finished) if finished.controller == controllers[1].ip)
+    );
+    links.retain(|controller| controller != controllers[0].ip);
     controllers[0].set(Manner::Confirming);
-    links.call(&controllers[0].ip, follow(), 7, 60_000);
-    assert!(matches!(links.next().await, Event::Pushed(_)));
-    assert!(matches!(links.next().await, Event::Ended(end) if end.sent == 7), "not the call that was given up");
+    links.call(&controllers[0].ip, renewal(), 7, 60_000);
+    assert!(matches!(links.next_event().await, Event::Pushed(_)));
+    assert!(
+        matches!(links.next_event().await, Event::CallFinished(finished) if finished.sent_at == 7),
+        "not the call that was given up"
+    );
 }
 
 #[tokio::test]
 async fn an_answer_to_a_call_that_was_given_up_is_not_taken_for_that_to_the_next() {
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
-    links.call(&controllers[0].ip, follow(), 5, 60_000);
+    links.call(&controllers[0].ip, renewal(), 5, 60_000);
     // The change is pushed right before the answer.
-    while links.pushed.is_empty() {
+    while links.push_receiver.is_empty() {
         task::yield_now().await;
     }
     for _ in 0..100 {
         task::yield_now().await;
     }
     links.close(&controllers[0].ip);
-    links.call(&controllers[0].ip, follow(), 6, 60_000);
+    links.call(&controllers[0].ip, renewal(), 6, 60_000);
     loop {
-        if let Event::Ended(end) = links.next().await {
-            assert_eq!(end.sent, 6);
+        if let Event::CallFinished(finished) = links.next_event().await {
+            assert_eq!(finished.sent_at, 6);
             return;
         }
     }
@@ -77,13 +82,13 @@
 #[tokio::test]
 async fn a_queue_that_was_full_is_noticed_with_the_first_message_taken() {
     let mut links = Links::new(1);
-    let doubt = Message::SuspectEngine(Box::new(("i-1".into(), true)));
-    for _ in 0..PUSHED_MOST / 2 {
-        assert!(links.push.try_send(doubt.clone()).is_ok());
+    let report = Message::SuspectEngine(Box::new(("i-1".into(), true)));
+    for _ in 0..PUSH_QUEUE_CAPACITY / 2 {
+        assert!(links.push_sender.try_send(report.clone()).is_ok());
     }
-    assert!(matches!(links.next().await, Event::Pushed(_)));
+    assert!(matches!(links.next_event().await, Event::Pushed(_)));
     assert!(!links.may_have_dropped());
-    while links.push.try_send(doubt.clone()).is_ok() {}
-    assert!(matches!(links.next().await, Event::Pushed(_)));
+    while links.push_sender.try_send(report.clone()).is_ok() {}
+    assert!(matches!(links.next_event().await, Event::Pushed(_)));
     assert!(links.may_have_dropped());
 }
--- a/router/src/subscription/scheduler.rs
+++ b/router/src/subscription/scheduler.rs
@@ -10,9 +10,9 @@
 
 use kernel::ConvergenceBudget;
 
-use crate::subscription::candidates::{Candidates, Fault};
-use crate::subscription::pacing::{patience, Outcome, Pace, PATIENCE_MS};
-use crate::subscription::response::{Answer, Worth};
+use crate::subscription::candidates::{BackoffReason, Candidates};
+use crate::subscription::pacing::{next_patience, Outcome, Pacing, INITIAL_PATIENCE_MS};
+use crate::subscription::response::{Assessment, RenewalResponse};
 
 #[path = "scheduler_calls.rs"]
 mod calls;
@@ -21,16 +21,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     pub controller: String,
-    pub deadline_ms: u64,
+    pub timeout_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct OpenCall {
-    sent: u64,
-    deadline: u64,
+    sent_at: u64,
+    deadline_at: u64,
     /// Until then nobody else is asked for the same where it may be long.
-    patient_until: u64,
-    waited_in_vain: bool,
+    patience_ends_at: u64,
+    patience_exceeded: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -38,47 +38,47 @@
     controller: String,
     renew_at: u64,
     /// When it was last called again because of a lost frame.
-    recalled_at: Option<u64>,
+    early_renewal_at: Option<u64>,
     /// Its last call failed.
     failed: bool,
     /// It answers as controllers of an older version do.
-    older: bool,
+    is_older_version: bool,
 }
 
 /// Invariants: at most one call to a controller is open; `current_as_of` never goes back, and all that was
 /// acknowledged before it is held here.
 #[derive(Clone, Debug)]
-pub struct Following {
+pub struct SubscriptionScheduler {
     budget: ConvergenceBudget,
     candidates: Candidates,
     home: Option<Home>,
-    open: BTreeMap<String, OpenCall>,
-    pace: Pace,
+    open_calls: BTreeMap<String, OpenCall>,
+    pacing: Pacing,
     /// How often each was asked since all was well.
-    asked: BTreeMap<String, u32>,
+    attempts: BTreeMap<String, u32>,
     patience_ms: u64,
     current_as_of: Option<i64>,
-    held: u64,
+    held_revision: u64,
     ready: bool,
-    proof_wanted: bool,
+    proof_requested: bool,
     frames_lost_at: Option<u64>,
 }
 
-impl Following {
+impl SubscriptionScheduler {
     /// A fresh process, which knows the seeds only.
-    pub fn new(budget: ConvergenceBudget, node_name: &str, own_ip: &str, seeds: &[String]) -> Following {
-        Following {
+    pub fn new(budget: ConvergenceBudget, node_name: &str, own_ip: &str, seeds: &[String]) -> SubscriptionScheduler {
+        SubscriptionScheduler {
             budget,
             candidates: Candidates::new(node_name, own_ip, seeds),
             home: None,
-            open: Default::default(),
-            pace: Pace::default(),
-            asked: Default::default(),
-            patience_ms: PATIENCE_MS,
+            open_calls: Default::default(),
+            pacing: Pacing::default(),
+            attempts: Default::default(),
+            patience_ms: INITIAL_PATIENCE_MS,
             current_as_of: None,
-            held: 0,
+            held_revision: 0,
             ready: false,
-            proof_wanted: false,
+            proof_requested: false,
             frames_lost_at: None,
         }
     }
@@ -93,8 +93,8 @@
     }
 
     /// Is an answer of this controller still waited for? A call may end here before its time, once it is of no use.
-    pub fn is_open(&self, controller: &str) -> bool {
-        self.open.contains_key(controller)
+    pub fn has_open_call(&self, controller: &str) -> bool {
+        self.open_calls.contains_key(controller)
     }
 
     pub fn set_seeds(&mut self, seeds: &[String]) {
@@ -106,8 +106,8 @@
     }
 
     /// Requests wait for a proof, however many they are.
-    pub fn want_proof(&mut self) {
-        self.proof_wanted = true;
+    pub fn request_proof(&mut self) {
+        self.proof_requested = true;
     }
 
     /// Something came whose confirmation is waited for: the home is called without waiting for the beat.
@@ -118,85 +118,100 @@
     }
 
     /// Frames may have been dropped on this side.
-    pub fn frames_lost(&mut self, now: u64) {
+    pub fn on_frames_lost(&mut self, now: u64) {
         self.frames_lost_at = Some(now);
-        self.recall(now);
+        self.renew_early(now);
     }
 
     /// The home is called again at once; when that does not help, no faster than others are asked.
-    fn recall(&mut self, now: u64) {
+    fn renew_early(&mut self, now: u64) {
         let gap = self.budget.hedge_gap_ms();
         if let Some(home) = &mut self.home {
-            let at = home.recalled_at.map_or(now, |last| now.max(last + gap));
+            let at = home.early_renewal_at.map_or(now, |last| now.max(last + gap));
             home.renew_at = home.renew_at.min(at);
-            home.recalled_at = Some(at);
+            home.early_renewal_at = Some(at);
         }
     }
 
     /// A controller answered, and what it sent is taken in.
-    pub fn answered(&mut self, now: u64, controller: &str, answer: &Answer) {
-        let Some(call) = self.open.remove(controller) else { return };
-        let others_needed = self.needs_others(now);
+    pub fn on_response(&mut self, now: u64, controller: &str, response: &RenewalResponse) {
+        let Some(call) = self.open_calls.remove(controller) else { return };
+        let hedging_needed = self.needs_hedging(now);
         let nearer = self.home().is_some_and(|home| self.candidates.is_nearer(controller, home, now));
-        self.patience_ms = patience(self.patience_ms, Outcome::Answered);
-        self.candidates.learn(&answer.controllers, &answer.members);
-        if self.held == 0 && answer.held > 0 {
+        self.patience_ms = next_patience(self.patience_ms, Outcome::Responded);
+        self.candidates.update(&response.controllers, &response.core_members);
+        if self.held_revision == 0 && response.held_revision > 0 {
             // Nobody else need go on sending the whole configuration.
-            self.open.clear();
+            self.open_calls.clear();
         }
-        self.held = answer.held;
-        let worth = answer.worth(call.sent, self.frames_lost_at);
-        let good = self.take_proof(worth, answer.is_older(), now);
-        if good {
-            self.candidates.restore(controller, now);
+        self.held_revision = response.held_revision;
+        let assessment = response.assess(call.sent_at, self.frames_lost_at);
+        let is_fresh = self.apply_proof(assessment, response.is_older(), now);
+        if is_fresh {
+            self.candidates.end_backoff(controller, now);
         }
         match &mut self.home {
-            Some(home) if home.controller == controller => (home.failed, home.older) = (false, answer.is_older()),
-            Some(home) if !home.failed && !(good && (others_needed || nearer)) => {
-                if !good {
-                    self.candidates.pass_over(controller, Fault::Unproved, now);
+            Some(home) if home.controller == controller => {
+                (home.failed, home.is_older_version) = (false, response.is_older())
+            }
+            Some(home) if !home.failed && !(is_fresh && (hedging_needed || nearer)) => {
+                if !is_fresh {
+                    self.candidates.back_off(controller, BackoffReason::Unproved, now);
                 }
                 return;
             }
-            _ => self.move_home(controller, &call, answer.is_older(), others_needed, now),
+            _ => self.change_home(controller, &call, response.is_older(), hedging_needed, now),
         }
-        if worth == Worth::FrameLost {
-            self.recall(now);
+        if assessment == Assessment::FrameLost {
+            self.renew_early(now);
         }
     }
 
     /// True: the controller is as good a home as any.
-    fn take_proof(&mut self, worth: Worth, older: bool, now: u64) -> bool {
-        match worth {
-            Worth::Nothing => false,
-            Worth::FrameLost => true,
-            Worth::CurrentAsOf(as_of) => {
+    fn apply_proof(&mut self, assessment: Assessment, is_older_version: bool, now: u64) -> bool {
+        match assessment {
+            Assessment::Unproved => false,
+            Assessment::FrameLost => true,
+            Assessment::CurrentAsOf(as_of) => {
                 self.current_as_of = self.current_as_of.max(Some(as_of));
-                now as i64 <= as_of + self.hedge_age_ms(older) as i64
+                now as i64 <= as_of + self.hedge_age_ms(is_older_version) as i64
             }
         }
     }
 
-    fn move_home(&mut self, controller: &str, call: &OpenCall, older: bool, others_needed: bool, now: u64) {
-        if let Some(left) = self.home.take().filter(|_| others_needed) {
-            let fault = if left.failed { Fault::Lost } else { Fault::Unproved };
-            self.candidates.pass_over(&left.controller, fault, now);
+    fn change_home(
+        &mut self,
+        controller: &str,
+        call: &OpenCall,
+        is_older_version: bool,
+        hedging_needed: bool,
+        now: u64,
+    ) {
+        if let Some(previous) = self.home.take().filter(|_| hedging_needed) {
+            let reason = if previous.failed { BackoffReason::Unresponsive } else { BackoffReason::Unproved };
+            self.candidates.back_off(&previous.controller, reason, now);
         }
-        let renew_at = call.sent + self.renewal_interval_ms();
-        self.home = Some(Home { controller: controller.into(), renew_at, recalled_at: None, failed: false, older });
+        let renew_at = call.sent_at + self.renewal_interval_ms();
+        self.home = Some(Home {
+            controller: controller.into(),
+            renew_at,
+            early_renewal_at: None,
+            failed: false,
+            is_older_version,
+        });
     }
 
     /// A call ended without an answer: no connection, or none in its time.
-    pub fn failed(&mut self, now: u64, controller: &str) {
-        self.note_waited_in_vain(now);
-        let Some(call) = self.open.remove(controller) else { return };
-        if now < call.deadline {
-            self.patience_ms = patience(self.patience_ms, Outcome::Unreached);
+    pub fn on_failure(&mut self, now: u64, controller: &str) {
+        self.record_exceeded_patience(now);
+        let Some(call) = self.open_calls.remove(controller) else { return };
+        if now < call.deadline_at {
+            self.patience_ms = next_patience(self.patience_ms, Outcome::Unreachable);
         }
-        self.candidates.pass_over(controller, Fault::Lost, now);
+        self.candidates.back_off(controller, BackoffReason::Unresponsive, now);
         match self.home.as_mut().filter(|home| home.controller == controller) {
             Some(home) => home.failed = true,
-            None if now < call.deadline => self.pace.note_failure(),
+            None if now < call.deadline_at => self.pacing.record_failure(),
             None => {}
         }
     }
--- a/router/src/subscription/scheduler_calls.rs
+++ b/router/src/subscription/scheduler_calls.rs
@@ -2,69 +2,74 @@
 
 use std::mem;
 
-use super::{Call, Following, OpenCall};
-use crate::subscription::candidates::{Fault, List};
-use crate::subscription::pacing::{patience, Outcome, PATIENCE_MOST_MS};
-use crate::subscription::response::OLDER_CONTROLLER_SURE_MS;
+use super::{Call, OpenCall, SubscriptionScheduler};
+use crate::subscription::candidates::{BackoffReason, List};
+use crate::subscription::pacing::{next_patience, Outcome, MAX_PATIENCE_MS};
+use crate::subscription::response::OLDER_CONTROLLER_CONFIRMATION_AGE_MS;
 
 /// Until it is ready a router renews more often: what it lacks may come any moment.
 const UNREADY_DIVISOR: u64 = 4;
 /// How many are asked at once when the home begins to fail.
-const ASKED_AT_ONCE: u32 = 2;
+const INITIAL_HEDGES: u32 = 2;
 /// One in so many of those asked is the next in the router's order, the others are members of the core.
-const ORDER_TURN: u32 = 3;
+const OWN_ORDER_PERIOD: u32 = 3;
 /// How many calls may be open whose answers may be long: while nothing is held, and later.
-const LONG_ANSWERS_AT_FIRST: usize = 1;
-const LONG_ANSWERS: usize = 2;
+const MAX_INITIAL_BULK_CALLS: usize = 1;
+const MAX_BULK_CALLS: usize = 2;
 /// The machine is looked at again after this at the latest.
-const IDLE_MS: u64 = 1000;
+const MAX_IDLE_MS: u64 = 1000;
 
-impl Following {
+impl SubscriptionScheduler {
     /// The calls to begin now.
-    pub fn due(&mut self, now: u64) -> Vec<Call> {
-        self.note_waited_in_vain(now);
+    pub fn due_calls(&mut self, now: u64) -> Vec<Call> {
+        self.record_exceeded_patience(now);
         let mut calls = Vec::new();
-        if let Some(home) = self.home.as_ref().filter(|home| now >= home.renew_at && !self.is_open(&home.controller)) {
-            calls.push(self.begin(home.controller.clone(), now));
+        if let Some(home) =
+            self.home.as_ref().filter(|home| now >= home.renew_at && !self.has_open_call(&home.controller))
+        {
+            calls.push(self.begin_call(home.controller.clone(), now));
         }
-        if self.needs_others(now) {
-            self.ask_others(now, &mut calls);
+        if self.needs_hedging(now) {
+            self.begin_hedged_calls(now, &mut calls);
             return calls;
         }
-        self.proof_wanted = false;
-        if self.pace.note_proof(&self.budget, now) {
-            self.asked.clear();
+        self.proof_requested = false;
+        if self.pacing.record_proof(&self.budget, now) {
+            self.attempts.clear();
         }
         if let Some(nearer) = self.nearer_than_home(now) {
-            calls.push(self.begin(nearer, now));
+            calls.push(self.begin_call(nearer, now));
         }
         calls
     }
 
     /// When `due` is to be looked at again, if nothing is reported before.
     pub fn wake_at(&self, now: u64) -> u64 {
-        let mut times = vec![now + IDLE_MS];
+        let mut times = vec![now + MAX_IDLE_MS];
         if let Some(home) = &self.home {
-            let silent_at = |call: &OpenCall| call.sent + self.budget.timeout_ms() + 1;
-            times.push(self.open.get(&home.controller).map_or(home.renew_at, silent_at));
+            let silent_at = |call: &OpenCall| call.sent_at + self.budget.timeout_ms() + 1;
+            times.push(self.open_calls.get(&home.controller).map_or(home.renew_at, silent_at));
         }
-        match self.current_as_of.filter(|_| !self.needs_others(now)) {
+        match self.current_as_of.filter(|_| !self.needs_hedging(now)) {
             Some(as_of) => times.push((as_of + self.home_hedge_age_ms() as i64 + 1).max(0) as u64),
-            None => times.push(self.next_ask_at(now)),
+            None => times.push(self.next_hedge_at(now)),
         }
-        times.extend(self.open.values().map(|call| call.patient_until));
-        times.into_iter().filter(|time| *time > now).min().unwrap_or(now + IDLE_MS)
+        times.extend(self.open_calls.values().map(|call| call.patience_ends_at));
+        times.into_iter().filter(|time| *time > now).min().unwrap_or(now + MAX_IDLE_MS)
     }
 
-    fn begin(&mut self, controller: String, now: u64) -> Call {
+    fn begin_call(&mut self, controller: String, now: u64) -> Call {
         let interval = self.renewal_interval_ms();
         if let Some(home) = self.home.as_mut().filter(|home| home.controller == controller) {
             home.renew_at = now + interval;
         }
-        let deadline_ms = if self.answers_may_be_long(now) { PATIENCE_MOST_MS } else { self.patience_ms };
-        let (deadline, patient_until) = (now + deadline_ms, now + self.patience_ms);
-        self.open.insert(controller.clone(), OpenCall { sent: now, deadline, patient_until, waited_in_vain: false });
-        Call { controller, deadline_ms }
+        let timeout_ms = if self.expects_bulk_response(now) { MAX_PATIENCE_MS } else { self.patience_ms };
+        let (deadline_at, patience_ends_at) = (now + timeout_ms, now + self.patience_ms);
+        self.open_calls.insert(
+            controller.clone(),
+            OpenCall { sent_at: now, deadline_at, patience_ends_at, patience_exceeded: false },
+        );
+        Call { controller, timeout_ms }
     }
 
     pub(super) fn renewal_interval_ms(&self) -> u64 {
@@ -76,18 +81,18 @@
     }
 
     /// How old a proof may be before others are asked. One from a controller of an older version is never young.
-    pub(super) fn hedge_age_ms(&self, older: bool) -> u64 {
+    pub(super) fn hedge_age_ms(&self, is_older_version: bool) -> u64 {
         let budget = &self.budget;
         let age = budget.hedge_age_ms();
-        if !older {
+        if !is_older_version {
             return age;
         }
-        let usual = OLDER_CONTROLLER_SURE_MS + budget.renewal_interval_ms() + budget.response_ms();
+        let usual = OLDER_CONTROLLER_CONFIRMATION_AGE_MS + budget.renewal_interval_ms() + budget.response_ms();
         age.max(usual)
     }
 
     fn home_hedge_age_ms(&self) -> u64 {
-        self.hedge_age_ms(self.home.as_ref().is_some_and(|home| home.older))
+        self.hedge_age_ms(self.home.as_ref().is_some_and(|home| home.is_older_version))
     }
 
     fn is_current(&self, now: u64, age_ms: u64) -> bool {
@@ -95,62 +100,63 @@
     }
 
     /// Is the home not enough to stay current?
-    pub(super) fn needs_others(&self, now: u64) -> bool {
+    pub(super) fn needs_hedging(&self, now: u64) -> bool {
         let Some(home) = &self.home else { return true };
         let silence_ms = self.budget.timeout_ms();
-        let silent = self.open.get(&home.controller).is_some_and(|call| now > call.sent + silence_ms);
+        let silent = self.open_calls.get(&home.controller).is_some_and(|call| now > call.sent_at + silence_ms);
         home.failed || silent || !self.is_current(now, self.home_hedge_age_ms())
     }
 
     /// Does what is held lie so far back that an answer may hold the whole configuration?
-    fn answers_may_be_long(&self, now: u64) -> bool {
-        self.held == 0 || !self.is_current(now, self.budget.bulk_age_ms())
+    fn expects_bulk_response(&self, now: u64) -> bool {
+        self.held_revision == 0 || !self.is_current(now, self.budget.bulk_age_ms())
     }
 
-    fn ask_others(&mut self, now: u64, calls: &mut Vec<Call>) {
-        if now < self.next_ask_at(now) {
+    fn begin_hedged_calls(&mut self, now: u64, calls: &mut Vec<Call>) {
+        if now < self.next_hedge_at(now) {
             return;
         }
-        let first = self.pace.asks() == 0 && !self.answers_may_be_long(now);
-        for _ in 0..if first { ASKED_AT_ONCE } else { 1 } {
-            let controller = self.next_to_ask(now);
-            self.pace.note_ask(now);
-            self.proof_wanted = false;
+        let first = self.pacing.attempts() == 0 && !self.expects_bulk_response(now);
+        for _ in 0..if first { INITIAL_HEDGES } else { 1 } {
+            let controller = self.next_hedge_target(now);
+            self.pacing.record_attempt(now);
+            self.proof_requested = false;
             let Some(controller) = controller else { return };
-            *self.asked.entry(controller.clone()).or_default() += 1;
-            calls.push(self.begin(controller, now));
+            *self.attempts.entry(controller.clone()).or_default() += 1;
+            calls.push(self.begin_call(controller, now));
         }
     }
 
-    fn next_ask_at(&self, now: u64) -> u64 {
-        let at = self.pace.next_at(&self.budget, self.proof_wanted);
-        if !self.answers_may_be_long(now) {
+    fn next_hedge_at(&self, now: u64) -> u64 {
+        let at = self.pacing.next_at(&self.budget, self.proof_requested);
+        if !self.expects_bulk_response(now) {
             return at;
         }
-        let most = if self.held == 0 { LONG_ANSWERS_AT_FIRST } else { LONG_ANSWERS };
-        let waited_for = self.open.values().map(|call| call.patient_until).filter(|until| now < *until);
-        let mut waited_for: Vec<u64> = waited_for.collect();
-        waited_for.sort_unstable();
-        let free_at = waited_for.len().checked_sub(most).map_or(0, |at| waited_for[at]);
+        let most = if self.held_revision == 0 { MAX_INITIAL_BULK_CALLS } else { MAX_BULK_CALLS };
+        let patience_ends = self.open_calls.values().map(|call| call.patience_ends_at).filter(|until| now < *until);
+        let mut patience_ends: Vec<u64> = patience_ends.collect();
+        patience_ends.sort_unstable();
+        let free_at = patience_ends.len().checked_sub(most).map_or(0, |at| patience_ends[at]);
         at.max(free_at)
     }
 
     /// Neither the home nor one that is being asked. A member of the core is always among the first two; later
     /// members that were passed over stand back behind others that were not.
-    fn next_to_ask(&self, now: u64) -> Option<String> {
-        let turn = self.pace.asks() % ORDER_TURN;
-        let order_turn = if self.answers_may_be_long(now) { ORDER_TURN - 1 } else { 0 };
-        let times_asked = |controller: &str| {
-            let free = !self.is_open(controller) && self.home() != Some(controller);
-            free.then(|| self.asked.get(controller).copied().unwrap_or(0))
+    fn next_hedge_target(&self, now: u64) -> Option<String> {
+        let offset = self.pacing.attempts() % OWN_ORDER_PERIOD;
+        let own_order_offset = if self.expects_bulk_response(now) { OWN_ORDER_PERIOD - 1 } else { 0 };
+        let attempts = |controller: &str| {
+            let free = !self.has_open_call(controller) && self.home() != Some(controller);
+            free.then(|| self.attempts.get(controller).copied().unwrap_or(0))
         };
-        let next = self.candidates.pick(List::Order, now, times_asked);
-        let member = self.candidates.pick(List::Core, now, times_asked).filter(|_| turn != order_turn);
-        let passed_over = |controller: &Option<String>| {
-            controller.as_ref().is_none_or(|controller| self.candidates.is_passed_over(controller, now))
+        let next = self.candidates.pick(List::OwnOrder, now, attempts);
+        let member = self.candidates.pick(List::Core, now, attempts).filter(|_| offset != own_order_offset);
+        let is_backed_off = |controller: &Option<String>| {
+            controller.as_ref().is_none_or(|controller| self.candidates.is_backed_off(controller, now))
         };
-        let stands_back = self.pace.asks() >= ASKED_AT_ONCE && passed_over(&member) && !passed_over(&next);
-        if stands_back {
+        let prefers_own_order =
+            self.pacing.attempts() >= INITIAL_HEDGES && is_backed_off(&member) && !is_backed_off(&next);
+        if prefers_own_order {
             return next;
         }
         member.or(next)
@@ -160,19 +166,19 @@
     fn nearer_than_home(&self, now: u64) -> Option<String> {
         let nearest = self.candidates.nearest(now)?;
         let nearer = self.candidates.is_nearer(nearest, self.home()?, now);
-        (nearer && !self.is_open(nearest)).then(|| nearest.clone())
+        (nearer && !self.has_open_call(nearest)).then(|| nearest.clone())
     }
 
     /// Whoever is waited for in vain is followed by one that gets more time.
-    pub(super) fn note_waited_in_vain(&mut self, now: u64) {
+    pub(super) fn record_exceeded_patience(&mut self, now: u64) {
         let home = self.home.as_ref().map(|home| home.controller.as_str());
-        for (controller, call) in self.open.iter_mut().filter(|(_, call)| now >= call.patient_until) {
-            if mem::replace(&mut call.waited_in_vain, true) {
+        for (controller, call) in self.open_calls.iter_mut().filter(|(_, call)| now >= call.patience_ends_at) {
+            if mem::replace(&mut call.patience_exceeded, true) {
                 continue;
             }
-            let outcome = if home == Some(controller) { Outcome::Silent } else { Outcome::Slow };
-            self.patience_ms = patience(self.patience_ms, outcome);
-            self.candidates.pass_over(controller, Fault::Lost, now);
+            let outcome = if home == Some(controller) { Outcome::Unresponsive } else { Outcome::Slow };
+            self.patience_ms = next_patience(self.patience_ms, outcome);
+            self.candidates.back_off(controller, BackoffReason::Unresponsive, now);
         }
     }
 }
--- a/router/src/subscription/scheduler_calls_tests.rs
+++ b/router/src/subscription/scheduler_calls_tests.rs
@@ -4,7 +4,7 @@
 
 use kernel::Rng;
 
-use crate::subscription::scheduler::Following;
+use crate::subscription::scheduler::SubscriptionScheduler;
 use crate::testing::subscription_world::{budget, names, Behaviour, World};
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
@@ -13,15 +13,15 @@
 const SETTLED: u64 = 5000;
 
 /// What happens next at a controller that is called.
-fn any_behaviour(dice: &mut Rng) -> Behaviour {
-    match dice.below(8) {
+fn any_behaviour(rng: &mut Rng) -> Behaviour {
+    match rng.below(8) {
         0 => Behaviour::Frozen,
         1 => Behaviour::Unreachable,
         2 => Behaviour::Refusing,
         3 => Behaviour::UnconfirmedSince(0),
-        4 => Behaviour::LosingFrames { answer_ms: dice.below(30) },
-        5 => Behaviour::Older { answer_ms: dice.below(30) },
-        _ => Behaviour::Healthy { answer_ms: dice.below(700), age_ms: dice.below(2500) },
+        4 => Behaviour::LosingFrames { answer_ms: rng.below(30) },
+        5 => Behaviour::Older { answer_ms: rng.below(30) },
+        _ => Behaviour::Healthy { answer_ms: rng.below(700), age_ms: rng.below(2500) },
     }
 }
 
@@ -29,11 +29,11 @@
 fn a_proof_never_goes_back_and_calls_are_bounded_whatever_controllers_do() {
     for converge_ms in CONVERGE_MS {
         for seed in 1..8 {
-            let mut dice = Rng::new(seed);
+            let mut rng = Rng::new(seed);
             let mut world = World::new(converge_ms, CONTROLLERS);
             let mut proved = None;
             for step in 0..600 {
-                world.run(1000 + step * 50, |_, _| any_behaviour(&mut dice));
+                world.run(1000 + step * 50, |_, _| any_behaviour(&mut rng));
                 assert!(world.policy.current_as_of() >= proved);
                 proved = world.policy.current_as_of();
             }
@@ -76,7 +76,7 @@
             world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
             for now in SETTLED..SETTLED + 20_000 {
                 if wanted {
-                    world.policy.want_proof();
+                    world.policy.request_proof();
                 }
                 world.run(now, |_, _| Behaviour::UnconfirmedSince(SETTLED));
             }
@@ -131,7 +131,8 @@
     for (node, converge_ms) in (0..40).zip(CONVERGE_MS.into_iter().cycle()) {
         let budget = budget(converge_ms);
         let controllers = names("k", CONTROLLERS);
-        let mut world = World::with(Following::new(budget, &format!("edge-{node}"), "k0", &controllers), controllers);
+        let mut world =
+            World::with(SubscriptionScheduler::new(budget, &format!("edge-{node}"), "k0", &controllers), controllers);
         world.policy.set_ready();
         world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 50 });
         let calls = world.begun.len();
@@ -148,7 +149,7 @@
 #[test]
 fn once_the_whole_configuration_has_come_nobody_else_need_go_on_sending_it() {
     let controllers = names("k", 3);
-    let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &controllers), controllers);
+    let mut world = World::with(SubscriptionScheduler::new(budget(2000), "edge-1", "k0", &controllers), controllers);
     world.held = 0;
     let begin = world.now;
     let slow = |controller: &str, _| match controller {
@@ -157,8 +158,8 @@
     };
     world.run(begin + 1690, slow);
     let second = world.begun[1].controller.clone();
-    assert!(world.policy.is_open("k0") && world.policy.is_open(&second));
+    assert!(world.policy.has_open_call("k0") && world.policy.has_open_call(&second));
     world.run(begin + 1710, slow);
     assert_eq!(world.policy.home(), Some("k0"));
-    assert!(!world.policy.is_open(&second));
+    assert!(!world.policy.has_open_call(&second));
 }
--- a/router/src/testing/controller.rs
+++ b/router/src/testing/controller.rs
@@ -64,11 +64,11 @@
         let inner = Inner { manner: Manner::Confirming, config: config.clone(), calls: 0, routers: Vec::new() };
         let inner = Arc::new(Mutex::new(inner));
         let called = Arc::new(Notify::new());
-        let (held, told, all) = (inner.clone(), called.clone(), all.to_vec());
-        let handler: Handler = Arc::new(move |mouth, id, msg| {
-            if let Message::SubscriptionRenewal(follow) = msg {
-                held.lock().answer(&mouth, id, &follow, &all);
-                told.notify_waiters();
+        let (controller, on_call, all) = (inner.clone(), called.clone(), all.to_vec());
+        let handler: Handler = Arc::new(move |responder, id, msg| {
+            if let Message::SubscriptionRenewal(renewal) = msg {
+                controller.lock().answer(&responder, id, &renewal, &all);
+                on_call.notify_waiters();
             }
         });
         tokio::spawn(link::serve(listener, handler));
@@ -109,31 +109,30 @@
 }
 
 impl Inner {
-    fn answer(&mut self, mouth: &Responder, id: u64, follow: &SubscriptionRenewal, all: &[String]) {
+    fn answer(&mut self, responder: &Responder, id: u64, renewal: &SubscriptionRenewal, all: &[String]) {
         self.calls += 1;
-        self.routers.push(mouth.clone());
+        self.routers.push(responder.clone());
         if self.manner == Manner::Frozen {
             return;
         }
         let change = ConfigUpdate::full(&self.config);
-        if follow.config_revision < change.to && self.manner != Manner::LosingFrames {
-            mouth.notify(&Message::ConfigUpdate(Box::new(change.encode())));
+        if renewal.config_revision < change.to && self.manner != Manner::LosingFrames {
+            responder.notify(&Message::ConfigUpdate(Box::new(change.encode())));
         }
-        let sheet = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
-        let sure = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
-        let news =
-            StateUpdate { confirmed: sure, peers: all.to_vec(), endpoint_lists: vec![sheet], ..Default::default() };
+        let list = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
+        let confirmed = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
+        let update = StateUpdate { confirmed, peers: all.to_vec(), endpoint_lists: vec![list], ..Default::default() };
         if self.manner == Manner::Older {
-            mouth.reply(id, &Message::StateUpdate(Box::new(news)));
+            responder.reply(id, &Message::StateUpdate(Box::new(update)));
             return;
         }
         let confirmation = Confirmation { age_ms: 0, config_revision: self.config.revision };
-        let confirmation = sure.then_some(confirmation);
+        let confirmation = confirmed.then_some(confirmation);
         let members = all.iter().skip(1).cloned().collect();
-        mouth.reply(
+        responder.reply(
             id,
             &Message::SubscriptionRenewed(Box::new(SubscriptionRenewed {
-                update: news,
+                update,
                 confirmation,
                 core_members: members,
             })),
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -65,7 +65,7 @@
             route("stream", "streaming", false), route("resume", "streaming", true)]});
     let (tables, more) = (config.as_object_mut().expect("tables"), more.as_object().expect("tables").clone());
     tables.extend(more);
-    activation::config(state, revision, config.to_string().as_bytes());
+    activation::apply_document(state, revision, config.to_string().as_bytes());
     assert_eq!(state.table().revision, revision, "in force");
 }
 
@@ -78,8 +78,8 @@
 /// Tells the router which engines there are.
 pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let sheet = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
-    state.engine_table.lock().update(&sheet, clock::now());
+    let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
+    state.engine_table.lock().update(&endpoint_list, clock::now());
 }
 
 /// A client's connection to a router.
--- a/router/src/testing/single_home.rs
+++ b/router/src/testing/single_home.rs
@@ -3,27 +3,27 @@
 
 use std::collections::BTreeMap;
 
-use crate::subscription::response::{Answer, Proof, Worth};
+use crate::subscription::response::{Assessment, Proof, RenewalResponse};
 use crate::subscription::scheduler::Call;
 use crate::testing::subscription_world::Policy;
 
-const BEAT_MS: u64 = 400;
+const RENEWAL_INTERVAL_MS: u64 = 400;
 const CALL_MS: u64 = 700;
 const FIRST_CALL_MS: u64 = 1500;
-const UNSURE_MS: u64 = 1200;
-const SURE_MS: u64 = 1100;
-const PASSED_OVER_MS: u64 = 5000;
-const PAUSE_MS: u64 = 30;
+const MAX_UNCONFIRMED_MS: u64 = 1200;
+const MAX_CONFIRMATION_AGE_MS: u64 = 1100;
+const BACKOFF_MS: u64 = 5000;
+const RETRY_DELAY_MS: u64 = 30;
 
 pub struct SingleHome {
     order: Vec<String>,
-    passed_over: BTreeMap<String, u64>,
+    backoffs: BTreeMap<String, u64>,
     home: String,
-    sent: Option<u64>,
+    sent_at: Option<u64>,
     call_at: u64,
-    sure_at: u64,
-    misses: u32,
-    settled: bool,
+    confirmed_at: u64,
+    failures: u32,
+    has_responded: bool,
     current_as_of: Option<i64>,
 }
 
@@ -31,64 +31,64 @@
     pub fn new(order: &[String]) -> SingleHome {
         SingleHome {
             order: order.to_vec(),
-            passed_over: Default::default(),
+            backoffs: Default::default(),
             home: order[0].clone(),
-            sent: None,
+            sent_at: None,
             call_at: 0,
-            sure_at: 0,
-            misses: 0,
-            settled: false,
+            confirmed_at: 0,
+            failures: 0,
+            has_responded: false,
             current_as_of: None,
         }
     }
 
-    fn leave(&mut self, now: u64) {
-        self.passed_over.insert(self.home.clone(), now + PASSED_OVER_MS);
-        let until = |ip: &String| self.passed_over.get(ip).copied().filter(|until| *until > now).unwrap_or(0);
+    fn change_home(&mut self, now: u64) {
+        self.backoffs.insert(self.home.clone(), now + BACKOFF_MS);
+        let until = |ip: &String| self.backoffs.get(ip).copied().filter(|until| *until > now).unwrap_or(0);
         self.home = self.order.iter().min_by_key(|ip| until(ip)).expect("a controller").clone();
-        (self.sure_at, self.misses, self.settled, self.call_at) = (now, 0, false, now + PAUSE_MS);
+        (self.confirmed_at, self.failures, self.has_responded, self.call_at) = (now, 0, false, now + RETRY_DELAY_MS);
     }
 }
 
 impl Policy for SingleHome {
-    fn due(&mut self, now: u64) -> Vec<Call> {
-        if self.sent.is_some() || now < self.call_at {
+    fn due_calls(&mut self, now: u64) -> Vec<Call> {
+        if self.sent_at.is_some() || now < self.call_at {
             return Vec::new();
         }
-        self.sent = Some(now);
-        let deadline_ms = if self.settled { CALL_MS } else { FIRST_CALL_MS };
-        vec![Call { controller: self.home.clone(), deadline_ms }]
+        self.sent_at = Some(now);
+        let timeout_ms = if self.has_responded { CALL_MS } else { FIRST_CALL_MS };
+        vec![Call { controller: self.home.clone(), timeout_ms }]
     }
 
     fn wake_at(&self, now: u64) -> u64 {
-        if self.sent.is_none() {
+        if self.sent_at.is_none() {
             self.call_at.max(now + 1)
         } else {
             now + 1000
         }
     }
 
-    fn answered(&mut self, now: u64, _: &str, answer: &Answer) {
-        let sent = self.sent.take().expect("a call is open");
-        (self.misses, self.settled, self.call_at) = (0, true, now + BEAT_MS);
-        let sure = matches!(answer.proof, Proof::Confirmed { age_ms, .. } if age_ms < SURE_MS);
-        if sure {
-            self.sure_at = now;
+    fn on_response(&mut self, now: u64, _: &str, answer: &RenewalResponse) {
+        let sent_at = self.sent_at.take().expect("a call is open");
+        (self.failures, self.has_responded, self.call_at) = (0, true, now + RENEWAL_INTERVAL_MS);
+        let is_confirmed = matches!(answer.proof, Proof::Confirmed { age_ms, .. } if age_ms < MAX_CONFIRMATION_AGE_MS);
+        if is_confirmed {
+            self.confirmed_at = now;
         }
-        if let Worth::CurrentAsOf(as_of) = answer.worth(sent, None) {
+        if let Assessment::CurrentAsOf(as_of) = answer.assess(sent_at, None) {
             self.current_as_of = self.current_as_of.max(Some(as_of));
         }
-        if now > self.sure_at + UNSURE_MS {
-            self.leave(now);
+        if now > self.confirmed_at + MAX_UNCONFIRMED_MS {
+            self.change_home(now);
         }
     }
 
-    fn failed(&mut self, now: u64, _: &str) {
-        self.sent = None;
-        self.misses += 1;
-        self.call_at = now + BEAT_MS;
-        if !self.settled || self.misses >= 2 || now > self.sure_at + UNSURE_MS {
-            self.leave(now);
+    fn on_failure(&mut self, now: u64, _: &str) {
+        self.sent_at = None;
+        self.failures += 1;
+        self.call_at = now + RENEWAL_INTERVAL_MS;
+        if !self.has_responded || self.failures >= 2 || now > self.confirmed_at + MAX_UNCONFIRMED_MS {
+            self.change_home(now);
         }
     }
 
--- a/router/src/testing/subscription_world.rs
+++ b/router/src/testing/subscription_world.rs
@@ -3,8 +3,8 @@
 use kernel::settings::Bounds;
 use kernel::ConvergenceBudget;
 
-use crate::subscription::response::{Answer, Proof};
-use crate::subscription::scheduler::{Call, Following};
+use crate::subscription::response::{Proof, RenewalResponse};
+use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 
 /// A dial that meets silence is given up after this.
 const DIAL_MS: u64 = 500;
@@ -30,40 +30,40 @@
 
 /// What decides which controllers are called.
 pub trait Policy {
-    fn due(&mut self, now: u64) -> Vec<Call>;
+    fn due_calls(&mut self, now: u64) -> Vec<Call>;
     fn wake_at(&self, now: u64) -> u64;
-    fn answered(&mut self, now: u64, controller: &str, answer: &Answer);
-    fn failed(&mut self, now: u64, controller: &str);
+    fn on_response(&mut self, now: u64, controller: &str, answer: &RenewalResponse);
+    fn on_failure(&mut self, now: u64, controller: &str);
     fn current_as_of(&self) -> Option<i64>;
 }
 
-impl Policy for Following {
-    fn due(&mut self, now: u64) -> Vec<Call> {
-        Following::due(self, now)
+impl Policy for SubscriptionScheduler {
+    fn due_calls(&mut self, now: u64) -> Vec<Call> {
+        SubscriptionScheduler::due_calls(self, now)
     }
 
     fn wake_at(&self, now: u64) -> u64 {
-        Following::wake_at(self, now)
+        SubscriptionScheduler::wake_at(self, now)
     }
 
-    fn answered(&mut self, now: u64, controller: &str, answer: &Answer) {
-        Following::answered(self, now, controller, answer);
+    fn on_response(&mut self, now: u64, controller: &str, answer: &RenewalResponse) {
+        SubscriptionScheduler::on_response(self, now, controller, answer);
     }
 
-    fn failed(&mut self, now: u64, controller: &str) {
-        Following::failed(self, now, controller);
+    fn on_failure(&mut self, now: u64, controller: &str) {
+        SubscriptionScheduler::on_failure(self, now, controller);
     }
 
     fn current_as_of(&self) -> Option<i64> {
-        Following::current_as_of(self)
+        SubscriptionScheduler::current_as_of(self)
     }
 }
 
 /// The end of a call that is under way.
-struct End {
+struct FinishedCall {
     at: u64,
     controller: String,
-    answer: Option<Answer>,
+    answer: Option<RenewalResponse>,
 }
 
 /// A call as it was begun.
@@ -84,7 +84,7 @@
     pub begun: Vec<Begun>,
     /// The oldest that the proof ever was, since there is one.
     pub oldest_proof: i64,
-    under_way: Vec<End>,
+    under_way: Vec<FinishedCall>,
 }
 
 pub fn names(prefix: &str, count: usize) -> Vec<String> {
@@ -95,13 +95,13 @@
     ConvergenceBudget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
-impl World<Following> {
+impl World<SubscriptionScheduler> {
     /// A ready router whose order is `k0`, `k1`, ...; from `k4` on every third controller is a member of the core.
-    pub fn new(converge_ms: u64, controllers: usize) -> World<Following> {
+    pub fn new(converge_ms: u64, controllers: usize) -> World<SubscriptionScheduler> {
         let controllers = names("k", controllers);
-        let mut following = Following::new(budget(converge_ms), "edge-1", "k0", &controllers[..1]);
-        following.set_ready();
-        World::with(following, controllers)
+        let mut scheduler = SubscriptionScheduler::new(budget(converge_ms), "edge-1", "k0", &controllers[..1]);
+        scheduler.set_ready();
+        World::with(scheduler, controllers)
     }
 }
 
@@ -122,7 +122,7 @@
         while self.now < until {
             self.end_calls();
             self.note_proof_age();
-            for call in self.policy.due(self.now) {
+            for call in self.policy.due_calls(self.now) {
                 let end = self.end_of(&call, behaviour(&call.controller, self.now, self.held));
                 self.begun.push(Begun { at: self.now, controller: call.controller });
                 self.under_way.push(end);
@@ -140,11 +140,11 @@
             let end = self.under_way.remove(at);
             match end.answer {
                 Some(answer) => {
-                    self.held = self.held.max(answer.held);
-                    let answer = Answer { held: self.held, ..answer };
-                    self.policy.answered(self.now, &end.controller, &answer);
+                    self.held = self.held.max(answer.held_revision);
+                    let answer = RenewalResponse { held_revision: self.held, ..answer };
+                    self.policy.on_response(self.now, &end.controller, &answer);
                 }
-                None => self.policy.failed(self.now, &end.controller),
+                None => self.policy.on_failure(self.now, &end.controller),
             }
         }
     }
@@ -157,28 +157,35 @@
         self.oldest_proof = self.oldest_proof.max(self.proof_age().unwrap_or(0));
     }
 
-    fn end_of(&self, call: &Call, behaviour: Behaviour) -> End {
+    fn end_of(&self, call: &Call, behaviour: Behaviour) -> FinishedCall {
         let controller = call.controller.clone();
-        let failure = |after: u64| End {
-            at: self.now + after.min(call.deadline_ms),
+        let failure = |after: u64| FinishedCall {
+            at: self.now + after.min(call.timeout_ms),
             controller: controller.clone(),
             answer: None,
         };
-        let confirmed = |age_ms| Proof::Confirmed { age_ms, config: 7 };
+        let confirmed = |age_ms| Proof::Confirmed { age_ms, config_revision: 7 };
         let (after, proof, held) = match behaviour {
-            Behaviour::Frozen => return failure(call.deadline_ms),
+            Behaviour::Frozen => return failure(call.timeout_ms),
             Behaviour::Unreachable => return failure(DIAL_MS),
             Behaviour::Refusing => return failure(1),
             Behaviour::Healthy { answer_ms, age_ms } => (answer_ms, confirmed(age_ms), 7),
-            Behaviour::LosingFrames { answer_ms } => (answer_ms, Proof::Confirmed { age_ms: 0, config: u64::MAX }, 7),
+            Behaviour::LosingFrames { answer_ms } => {
+                (answer_ms, Proof::Confirmed { age_ms: 0, config_revision: u64::MAX }, 7)
+            }
             Behaviour::UnconfirmedSince(time) => (5, confirmed(self.now.saturating_sub(time)), 7),
-            Behaviour::Older { answer_ms } => (answer_ms, Proof::Sure, 7),
+            Behaviour::Older { answer_ms } => (answer_ms, Proof::ConfirmedByOlderVersion, 7),
         };
-        if after > call.deadline_ms {
-            return failure(call.deadline_ms);
+        if after > call.timeout_ms {
+            return failure(call.timeout_ms);
         }
-        let answer = Answer { proof, held, controllers: self.controllers.clone(), members: self.members.clone() };
-        End { at: self.now + after, controller, answer: Some(answer) }
+        let answer = RenewalResponse {
+            proof,
+            held_revision: held,
+            controllers: self.controllers.clone(),
+            core_members: self.members.clone(),
+        };
+        FinishedCall { at: self.now + after, controller, answer: Some(answer) }
     }
 
     /// The most calls that were begun within any span of this length, from a time on.
--- a/router/src/tests/subscription_storm.rs
+++ b/router/src/tests/subscription_storm.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::mem;
 
-use crate::subscription::response::Answer;
-use crate::subscription::scheduler::{Call, Following};
+use crate::subscription::response::RenewalResponse;
+use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 use crate::testing::subscription_world::{budget, names, Behaviour, Policy, World};
 
 const ROUTERS: u64 = 300;
@@ -21,8 +21,8 @@
 }
 
 impl Policy for AskEverybody {
-    fn due(&mut self, _: u64) -> Vec<Call> {
-        let call = |controller| Call { controller, deadline_ms: 100_000 };
+    fn due_calls(&mut self, _: u64) -> Vec<Call> {
+        let call = |controller| Call { controller, timeout_ms: 100_000 };
         mem::take(&mut self.controllers).into_iter().map(call).collect()
     }
 
@@ -30,11 +30,11 @@
         now + 1000
     }
 
-    fn answered(&mut self, now: u64, _: &str, _: &Answer) {
+    fn on_response(&mut self, now: u64, _: &str, _: &RenewalResponse) {
         self.current_as_of = Some(now as i64);
     }
 
-    fn failed(&mut self, _: u64, _: &str) {}
+    fn on_failure(&mut self, _: u64, _: &str) {}
 
     fn current_as_of(&self) -> Option<i64> {
         self.current_as_of
@@ -74,7 +74,7 @@
 #[test]
 fn after_a_loss_of_power_everywhere_routers_do_not_ask_everybody_for_everything() {
     let alone = ROUTERS * WHOLE_MS / CONTROLLERS as u64;
-    let following = |node: &str, seeds: &[String]| Following::new(budget(3000), node, "none", seeds);
+    let following = |node: &str, seeds: &[String]| SubscriptionScheduler::new(budget(3000), node, "none", seeds);
     let (took, wholes) = storm(following);
     assert!(took <= 2 * alone, "{took} ms, where the links need {alone} if none is asked twice");
     assert!(wholes <= ROUTERS * 3 / 2, "{wholes}");
@@ -89,7 +89,7 @@
 #[test]
 fn a_link_that_carries_slowly_gets_its_time() {
     let controllers = names("k", 3);
-    let mut world = World::with(Following::new(budget(2000), "edge-1", "k0", &controllers), controllers);
+    let mut world = World::with(SubscriptionScheduler::new(budget(2000), "edge-1", "k0", &controllers), controllers);
     world.held = 0;
     let begin = world.now;
     world.run(begin + 5600, |controller, _| match controller {
--- a/router/src/upstream/connection_pool.rs
+++ b/router/src/upstream/connection_pool.rs
@@ -44,10 +44,10 @@
 pub struct ConnectionPools(Mutex<HashMap<String, EndpointPool>>);
 
 /// An idle connection whose engine named no time is used again only this soon.
-const SHORT_MS: u64 = 700;
+const DEFAULT_KEEP_ALIVE_MS: u64 = 700;
 /// How much sooner than its engine a router gives a connection up.
-const EARLY_MS: u64 = 300;
-const DIAL_MS: u64 = 400;
+const KEEP_ALIVE_MARGIN_MS: u64 = 300;
+const CONNECT_TIMEOUT_MS: u64 = 400;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
@@ -63,7 +63,7 @@
 
 impl ConnectionPools {
     /// A kept connection to this very engine. Those that are of no use any more are dropped on the way.
-    pub fn idle(&self, to: &Endpoint) -> Option<Connection> {
+    pub fn take_idle(&self, to: &Endpoint) -> Option<Connection> {
         let now = clock::now();
         let mut pools = self.0.lock();
         let pool = pools.get_mut(&to.addr)?;
@@ -75,28 +75,30 @@
         None
     }
 
-    pub async fn dial(&self, to: &Endpoint, most: usize) -> Result<Connection, SendError> {
+    pub async fn dial(&self, to: &Endpoint, max_connections: usize) -> Result<Connection, SendError> {
         let count = self.0.lock().entry(to.addr.clone()).or_default().count.clone();
-        if count.load(Ordering::Relaxed) >= most.max(1) {
+        if count.load(Ordering::Relaxed) >= max_connections.max(1) {
             return Err(SendError::PoolExhausted);
         }
         count.fetch_add(1, Ordering::Relaxed);
-        let hold = Hold(count);
-        let stream = socket::connect(&to.addr, DIAL_MS, IO_TIMEOUT_MS).await.map_err(|_| SendError::Unreachable)?;
+        let slot = ConnectionSlot(count);
+        let stream =
+            socket::connect(&to.addr, CONNECT_TIMEOUT_MS, IO_TIMEOUT_MS).await.map_err(|_| SendError::Unreachable)?;
         let io = TokioIo::new(stream);
         let (connection, conn) = http1::handshake(io).await.map_err(|_| SendError::Unreachable)?;
         tokio::spawn(async move {
             let _ = conn.await;
-            drop(hold);
+            drop(slot);
         });
         Ok(connection)
     }
 
     /// Takes a connection back once its answer was read whole. `keep` is what the engine named, in
     /// whole seconds cut down; None when it named nothing.
-    pub fn put(&self, to: &Endpoint, connection: Connection, keep: Option<u64>) {
+    pub fn release(&self, to: &Endpoint, connection: Connection, keep_alive_s: Option<u64>) {
         let now = clock::now();
-        let span = keep.map_or(SHORT_MS, |keep| (keep * 1000).saturating_sub(EARLY_MS));
+        let span =
+            keep_alive_s.map_or(DEFAULT_KEEP_ALIVE_MS, |seconds| (seconds * 1000).saturating_sub(KEEP_ALIVE_MARGIN_MS));
         let mut pools = self.0.lock();
         let pool = pools.entry(to.addr.clone()).or_default();
         pool.idle.retain(|idle| now < idle.until && !idle.connection.is_closed());
@@ -119,21 +121,21 @@
     }
 }
 
-struct Hold(Arc<AtomicUsize>);
+struct ConnectionSlot(Arc<AtomicUsize>);
 
-impl Drop for Hold {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// `Keep-Alive: timeout=N`
-pub fn keep(head: &HeaderMap) -> Option<u64> {
+pub fn keep_alive_seconds(head: &HeaderMap) -> Option<u64> {
     let text = head.get("keep-alive")?.to_str().ok()?;
     text.split(',').find_map(|piece| piece.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
-pub fn closes(head: &HeaderMap) -> bool {
+pub fn requests_close(head: &HeaderMap) -> bool {
     let list = head.get_all(CONNECTION);
     list.iter().any(|value| value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close")))
 }
--- a/router/src/upstream/probe.rs
+++ b/router/src/upstream/probe.rs
@@ -13,18 +13,18 @@
 use tokio::time;
 
 /// How long the answer may take.
-pub const WAIT_MS: u64 = 250;
+pub const PROBE_TIMEOUT_MS: u64 = 250;
 
 /// Some: it answered, with its id where it gave one.
 pub async fn probe(addr: &str) -> Option<Option<String>> {
-    let wait = Duration::from_millis(WAIT_MS);
+    let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
     time::timeout(wait, report(addr)).await.ok()?
 }
 
 async fn report(addr: &str) -> Option<Option<String>> {
-    let stream = socket::connect(addr, WAIT_MS, IO_TIMEOUT_MS).await.ok()?;
+    let stream = socket::connect(addr, PROBE_TIMEOUT_MS, IO_TIMEOUT_MS).await.ok()?;
     let io = TokioIo::new(stream);
-    let (mut link, conn) = http1::handshake(io).await.ok()?;
+    let (mut sender, conn) = http1::handshake(io).await.ok()?;
     tokio::spawn(async move {
         let _ = conn.await;
     });
@@ -32,7 +32,7 @@
     *request.uri_mut() = Uri::from_static("/report");
     request.headers_mut().insert(HOST, HeaderValue::from_str(addr).ok()?);
     request.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-    let reply = link.send_request(request).await.ok()?;
+    let reply = sender.send_request(request).await.ok()?;
     let name = reply.headers().get(INSTANCE_ID).and_then(|value| value.to_str().ok());
     Some(name.map(str::to_string))
 }
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -17,77 +17,77 @@
 use crate::event::STRIKE;
 use crate::state::State;
 use crate::upstream::probe::probe;
-use crate::upstream::probe_rate::{is_drawn, pause, told_pause, SHY_MS, SPREAD_MS};
-use crate::upstream::suspicion_report::Word;
+use crate::upstream::probe_rate::{is_sampled, probe_delay, reported_probe_delay, PROBE_JITTER_MS, SUSPICION_MS};
+use crate::upstream::suspicion_report::SuspicionReport;
 
 /// How long a request may go without a sign of life from its engine before that is asked.
 pub const LIVENESS_TIMEOUT_MS: u64 = 150;
 /// How often a router tells of its own doubt while it gets no answer.
-const TELLINGS: u32 = 3;
+const MAX_SUSPICION_REPORTS: u32 = 3;
 /// An engine that gave no answer for so long was not only slow.
-const DARK_MS: u64 = 1000;
+const PRESUMED_RESTART_MS: u64 = 1000;
 
 /// Why an engine is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cause {
+enum ProbeReason {
     /// A request of this router got no sign of life.
-    Seen,
+    OwnRequest,
     /// Another router's doubt, and this one was drawn to ask.
-    Drawn,
+    Sampled,
     /// It is told to be dark.
-    Told,
+    Reported,
 }
 
-fn roll(state: &State) -> u64 {
+fn next_random(state: &State) -> u64 {
     state.rng.lock().next_u64()
 }
 
 /// Word of an engine from a controller.
-pub fn hear(state: &Arc<State>, name: &str) {
-    let word = Word::read(name);
-    let Some(at) = state.engine_table.lock().find(word.engine()) else { return };
-    match word {
-        Word::Answered(_) => {
+pub fn handle_report(state: &Arc<State>, name: &str) {
+    let report = SuspicionReport::decode(name);
+    let Some(at) = state.engine_table.lock().find(report.engine()) else { return };
+    match report {
+        SuspicionReport::Responded(_) => {
             state.engine_table.lock().engines[at].answered_elsewhere = true;
             state.suspicion_cleared.notify_waiters();
         }
-        Word::Dark(_) => {
+        SuspicionReport::Unresponsive(_) => {
             let now = clock::now();
             {
                 let mut engine_table = state.engine_table.lock();
                 let engine = &mut engine_table.engines[at];
                 // Nothing new is sent there; answers under way are no worse for what others saw.
-                engine.suspected_until = engine.suspected_until.max(now + SHY_MS);
+                engine.suspected_until = engine.suspected_until.max(now + SUSPICION_MS);
             }
-            start(state, at, Cause::Told);
+            start_probing(state, at, ProbeReason::Reported);
         }
-        Word::Doubted(_) => {
-            if is_drawn(state.router_count(), roll(state)) {
-                start(state, at, Cause::Drawn);
+        SuspicionReport::Suspected(_) => {
+            if is_sampled(state.router_count(), next_random(state)) {
+                start_probing(state, at, ProbeReason::Sampled);
             }
         }
     }
 }
 
 /// Until the next probe is due (false), or another router got an answer (true).
-async fn rest(state: &State, at: usize, wait_ms: u64) -> bool {
+async fn wait_for_next_probe(state: &State, at: usize, wait_ms: u64) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        let woken = state.suspicion_cleared.notified();
+        let notified = state.suspicion_cleared.notified();
         if mem::take(&mut state.engine_table.lock().engines[at].answered_elsewhere) {
             return true;
         }
-        if time::timeout_at(end, woken).await.is_err() {
+        if time::timeout_at(end, notified).await.is_err() {
             return false;
         }
     }
 }
 
 /// As `rest`, until a request of this router gets no sign of life either: then it asks for itself.
-async fn rest_on_word(state: &State, at: usize, wait_ms: u64) -> bool {
+async fn wait_on_report(state: &State, at: usize, wait_ms: u64) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        let woken = state.suspicion_cleared.notified();
+        let notified = state.suspicion_cleared.notified();
         {
             let mut engine_table = state.engine_table.lock();
             let engine = &mut engine_table.engines[at];
@@ -98,16 +98,16 @@
                 return false;
             }
         }
-        if time::timeout_at(end, woken).await.is_err() {
+        if time::timeout_at(end, notified).await.is_err() {
             return false;
         }
     }
 }
 
-fn tell(state: &State, word: Word) {
+fn send_report(state: &State, report: SuspicionReport) {
     let home = state.home_controller.lock().clone();
     if let Some(home) = home {
-        home.notify(Message::SuspectEngine(Box::new((word.write(), false))));
+        home.notify(Message::SuspectEngine(Box::new((report.encode(), false))));
     }
 }
 
@@ -117,11 +117,11 @@
         engine.is_unresponsive = true;
     }
     state.suspicion_cleared.notify_waiters();
-    start(state, at, Cause::Seen);
+    start_probing(state, at, ProbeReason::OwnRequest);
 }
 
 /// One asker an engine at a time.
-fn start(state: &Arc<State>, at: usize, cause: Cause) {
+fn start_probing(state: &Arc<State>, at: usize, reason: ProbeReason) {
     {
         let mut engine_table = state.engine_table.lock();
         let Some(engine) = engine_table.engines.get_mut(at).filter(|engine| engine.listed && !engine.is_probing) else {
@@ -131,92 +131,99 @@
         engine.answered_elsewhere = false;
         engine.is_unresponsive = false;
     }
-    tokio::spawn(ask(state.clone(), at, cause));
+    tokio::spawn(probe_until_response(state.clone(), at, reason));
 }
 
 /// What came of one probe.
-enum Found {
+enum ProbeOutcome {
     /// Nothing more is to be asked.
-    Ended,
+    Finished,
     /// No answer; whether the engine was known to be dark before.
-    Silent { known: bool },
+    Unanswered { known: bool },
 }
 
-async fn ask(state: Arc<State>, at: usize, cause: Cause) {
-    let begun = clock::now();
-    let roll_of = || roll(&state);
-    if cause == Cause::Drawn {
-        time::sleep(Duration::from_millis(roll_of() % SPREAD_MS)).await;
+async fn probe_until_response(state: Arc<State>, at: usize, reason: ProbeReason) {
+    let started_at = clock::now();
+    let random = || next_random(&state);
+    if reason == ProbeReason::Sampled {
+        time::sleep(Duration::from_millis(random() % PROBE_JITTER_MS)).await;
     }
-    if cause == Cause::Told && rest_on_word(&state, at, told_pause(state.router_count(), roll_of())).await {
-        return trust(&state, at, begun);
+    if reason == ProbeReason::Reported
+        && wait_on_report(&state, at, reported_probe_delay(state.router_count(), random())).await
+    {
+        return accept_reported_response(&state, at, started_at);
     }
-    let (mut unanswered, mut woken) = (0u32, false);
+    let (mut unanswered, mut response_reported) = (0u32, false);
     loop {
         let (addr, id) = {
             let engine_table = state.engine_table.lock();
             (engine_table.engines[at].address.clone(), engine_table.engines[at].id.clone())
         };
         let answer = probe(&addr).await;
-        let known = match judge(&state, at, &id, answer, begun) {
-            Found::Ended => {
+        let known = match record_probe(&state, at, &id, answer, started_at) {
+            ProbeOutcome::Finished => {
                 // Whoever was told need not tell.
                 let is_here = state.engine_table.lock().engines[at].listed;
-                if is_here && !woken && (unanswered > 0 || cause == Cause::Told) {
-                    tell(&state, Word::Answered(&id));
+                if is_here && !response_reported && (unanswered > 0 || reason == ProbeReason::Reported) {
+                    send_report(&state, SuspicionReport::Responded(&id));
                 }
                 return;
             }
-            Found::Silent { known } => known,
+            ProbeOutcome::Unanswered { known } => known,
         };
         state.connection_pools.forget(&addr);
-        match cause {
-            Cause::Seen if unanswered < TELLINGS => tell(&state, Word::Doubted(&id)),
-            Cause::Drawn if unanswered == 0 && !known => tell(&state, Word::Dark(&id)),
+        match reason {
+            ProbeReason::OwnRequest if unanswered < MAX_SUSPICION_REPORTS => {
+                send_report(&state, SuspicionReport::Suspected(&id))
+            }
+            ProbeReason::Sampled if unanswered == 0 && !known => {
+                send_report(&state, SuspicionReport::Unresponsive(&id))
+            }
             _ => {}
         }
         unanswered += 1;
-        woken = rest(&state, at, pause(unanswered, state.router_count(), roll_of())).await;
+        response_reported =
+            wait_for_next_probe(&state, at, probe_delay(unanswered, state.router_count(), random())).await;
     }
 }
 
 /// Takes the answer of an engine, or its silence, for what it says.
-fn judge(state: &State, at: usize, id: &str, answer: Option<Option<String>>, begun: u64) -> Found {
+fn record_probe(state: &State, at: usize, id: &str, answer: Option<Option<String>>, started_at: u64) -> ProbeOutcome {
     let now = clock::now();
     let mut engine_table = state.engine_table.lock();
     let engine = &mut engine_table.engines[at];
     let known = engine.suspected_until > now;
     match answer {
-        Some(name) if name.as_ref().is_none_or(|name| name == id) => answered(state, engine, now, begun),
+        Some(name) if name.as_ref().is_none_or(|name| name == id) => record_response(state, engine, now, started_at),
         Some(_) => engine.retire(),
-        None => engine.record_failure(now, SHY_MS),
+        None => engine.record_failure(now, SUSPICION_MS),
     }
-    if answer_ends(engine, now) {
+    if is_resolved(engine, now) {
         engine.is_probing = false;
-        return Found::Ended;
+        return ProbeOutcome::Finished;
     }
     engine.answered_elsewhere = false;
     kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.consecutive_failures);
-    Found::Silent { known }
+    ProbeOutcome::Unanswered { known }
 }
 
-fn answered(state: &State, engine: &mut EngineState, now: u64, begun: u64) {
+fn record_response(state: &State, engine: &mut EngineState, now: u64, started_at: u64) {
     engine.record_response(now);
-    if now > begun + DARK_MS {
+    if now > started_at + PRESUMED_RESTART_MS {
         // It may have been started anew meanwhile.
         engine.presume_cold(now + evacuation::presumed_cold_ms(state));
     }
 }
 
 /// Another router got an answer, and this one has no reason of its own to doubt it.
-fn trust(state: &State, at: usize, begun: u64) {
+fn accept_reported_response(state: &State, at: usize, started_at: u64) {
     let mut engine_table = state.engine_table.lock();
     let engine = &mut engine_table.engines[at];
     engine.is_probing = false;
-    answered(state, engine, clock::now(), begun);
+    record_response(state, engine, clock::now(), started_at);
 }
 
-fn answer_ends(engine: &EngineState, now: u64) -> bool {
+fn is_resolved(engine: &EngineState, now: u64) -> bool {
     !engine.listed || engine.suspected_until <= now
 }
 
--- a/router/src/upstream/suspicion_report.rs
+++ b/router/src/upstream/suspicion_report.rs
@@ -3,36 +3,38 @@
 /// What routers tell one another of an engine, through the controllers. Peers of earlier versions know no engine of the
 /// marked names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word<'a> {
+pub enum SuspicionReport<'a> {
     /// It gave a router no sign of life: some others ask it.
-    Doubted(&'a str),
+    Suspected(&'a str),
     /// One of those that were drawn got no answer either.
-    Dark(&'a str),
+    Unresponsive(&'a str),
     /// It answered again.
-    Answered(&'a str),
+    Responded(&'a str),
 }
 
-const DARK: &str = "\0dark/";
-const ANSWERED: &str = "\0calm/";
+const UNRESPONSIVE_PREFIX: &str = "\0dark/";
+const RESPONDED_PREFIX: &str = "\0calm/";
 
-impl<'a> Word<'a> {
-    pub fn read(name: &'a str) -> Word<'a> {
-        if let Some(engine) = name.strip_prefix(DARK) {
-            return Word::Dark(engine);
+impl<'a> SuspicionReport<'a> {
+    pub fn decode(name: &'a str) -> SuspicionReport<'a> {
+        if let Some(engine) = name.strip_prefix(UNRESPONSIVE_PREFIX) {
+            return SuspicionReport::Unresponsive(engine);
         }
-        name.strip_prefix(ANSWERED).map_or(Word::Doubted(name), Word::Answered)
+        name.strip_prefix(RESPONDED_PREFIX).map_or(SuspicionReport::Suspected(name), SuspicionReport::Responded)
     }
 
-    pub fn write(self) -> String {
+    pub fn encode(self) -> String {
         match self {
-            Word::Doubted(engine) => engine.into(),
-            Word::Dark(engine) => format!("{DARK}{engine}"),
-            Word::Answered(engine) => format!("{ANSWERED}{engine}"),
+            SuspicionReport::Suspected(engine) => engine.into(),
+            SuspicionReport::Unresponsive(engine) => format!("{UNRESPONSIVE_PREFIX}{engine}"),
+            SuspicionReport::Responded(engine) => format!("{RESPONDED_PREFIX}{engine}"),
         }
     }
 
     pub fn engine(self) -> &'a str {
-        let (Word::Doubted(engine) | Word::Dark(engine) | Word::Answered(engine)) = self;
+        let (SuspicionReport::Suspected(engine)
+        | SuspicionReport::Unresponsive(engine)
+        | SuspicionReport::Responded(engine)) = self;
         engine
     }
 }
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -5,11 +5,11 @@
 use kernel::clock;
 use tokio::{task, time};
 
-use super::{hear, raise};
+use super::{handle_report, raise};
 use crate::state::State;
 use crate::testing::engine::{answer, engines, Act, Engine};
 use crate::testing::router::router;
-use crate::upstream::suspicion_report::Word;
+use crate::upstream::suspicion_report::SuspicionReport;
 
 async fn fleet() -> Vec<Engine> {
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "{}"))).await
@@ -24,14 +24,14 @@
     state.engine_table.lock().engines[0].suspected_until > clock::now()
 }
 
-fn is_asked(state: &State) -> bool {
+fn is_probing(state: &State) -> bool {
     state.engine_table.lock().engines[0].is_probing
 }
 
 /// Until the asker has ended.
-async fn settled(state: &State) {
+async fn probing_ended(state: &State) {
     let done = async {
-        while is_asked(state) {
+        while is_probing(state) {
             task::yield_now().await;
         }
     };
@@ -40,20 +40,22 @@
 
 #[test]
 fn words_are_read_as_they_were_written_and_the_plain_name_is_a_doubt() {
-    for word in [Word::Doubted("i-1"), Word::Dark("i-1"), Word::Answered("i-1")] {
-        assert_eq!((Word::read(&word.write()), word.engine()), (word, "i-1"));
+    for report in
+        [SuspicionReport::Suspected("i-1"), SuspicionReport::Unresponsive("i-1"), SuspicionReport::Responded("i-1")]
+    {
+        assert_eq!((SuspicionReport::decode(&report.encode()), report.engine()), (report, "i-1"));
     }
-    assert_eq!(Word::Doubted("i-1").write(), "i-1", "as earlier versions tell it");
+    assert_eq!(SuspicionReport::Suspected("i-1").encode(), "i-1", "as earlier versions tell it");
 }
 
 #[tokio::test]
 async fn what_others_found_dark_is_left_alone_without_asking_until_it_answers_one_of_them() {
     let list = fleet().await;
     let state = router(&list);
-    hear(&state, &Word::Dark(&id(&list)).write());
-    assert!(is_left_alone(&state) && is_asked(&state));
-    hear(&state, &Word::Answered(&id(&list)).write());
-    settled(&state).await;
+    handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
+    assert!(is_left_alone(&state) && is_probing(&state));
+    handle_report(&state, &SuspicionReport::Responded(&id(&list)).encode());
+    probing_ended(&state).await;
     assert!(!is_left_alone(&state));
     assert_eq!(list[0].probes(), 0, "nobody asked it");
 }
@@ -63,9 +65,9 @@
     let list = fleet().await;
     let state = router(&list);
     // A fleet of one: it is always drawn.
-    hear(&state, &Word::Doubted(&id(&list)).write());
+    handle_report(&state, &SuspicionReport::Suspected(&id(&list)).encode());
     assert!(!is_left_alone(&state), "not before somebody got no answer");
-    settled(&state).await;
+    probing_ended(&state).await;
     assert!(!is_left_alone(&state));
     assert_eq!(list[0].probes(), 1);
 }
@@ -76,9 +78,9 @@
     let state = router(&list);
     // Of a thousand routers each would else ask after many seconds.
     state.subscribed.lock().router_counts.push((clock::now(), 1000));
-    hear(&state, &Word::Dark(&id(&list)).write());
+    handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
     raise(&state, 0);
-    settled(&state).await;
+    probing_ended(&state).await;
     assert!(!is_left_alone(&state));
     assert_eq!(list[0].probes(), 1, "asked, and it answered");
 }
@@ -87,6 +89,6 @@
 async fn an_answer_under_way_is_not_given_up_for_what_others_found() {
     let list = fleet().await;
     let state = router(&list);
-    hear(&state, &Word::Dark(&id(&list)).write());
+    handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
     assert_eq!(state.engine_table.lock().engines[0].last_failure_at, 0, "only own questions end an answer");
 }
