--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -1,4 +1,4 @@
-//! A newer configuration taken into force, and a catalog that changed hands.
+//! Brings a newer configuration into force, and reregisters prefixes when the catalog gets a new owner.
 
 use std::str;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::event::{BAD_CONFIG, CONFIG};
 use crate::state::State;
 
-/// A whole configuration as text, from a controller that knows no other form.
+/// Applies a whole configuration as text, from a controller that knows no other form.
 pub fn apply_document(state: &State, version: u64, text: &[u8]) {
     if version <= state.subscribed.lock().config_revision {
         return;
@@ -26,7 +26,8 @@
     }
 }
 
-/// One that can't be read counts for nothing: the next call tells what is held and the whole comes.
+/// Applies an encoded update. One that can't be decoded changes nothing: the next renewal reports the revision
+/// held, and the whole configuration is sent.
 pub fn apply_encoded_update(state: &State, body: &[u8]) {
     match ConfigUpdate::decode(body) {
         Some(change) => apply_update(state, &change),
@@ -34,6 +35,7 @@
     }
 }
 
+/// Brings an update into force unless it is outdated or doesn't follow the revision held.
 fn apply_update(state: &State, change: &ConfigUpdate) {
     let old = state.table();
     let Some(table) = old.apply(change, &mut state.engine_table.lock()) else { return };
@@ -43,7 +45,7 @@
     kernel::log_event!(CONFIG, "revision" => change.to);
 }
 
-/// A new holder of the catalog starts empty: what is known here is registered again, in steps.
+/// Registers all known prefixes again, in batches: a new owner of the catalog starts empty.
 pub async fn reregister_prefixes(state: Arc<State>) {
     let entries = state.owner_cache.lock().entries(clock::now());
     for batch in entries.chunks(100) {
--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones, as controllers tell of them.
+//! Evacuated zones, as reported by controllers.
 
 use kernel::clock;
 use protocol::message::EvacuationState;
@@ -6,15 +6,16 @@
 use crate::event::CLOSED;
 use crate::state::State;
 
-/// What the list of engines takes beyond its lag until it is here.
+/// How long an endpoint list takes to get here beyond the lag of the platform, in milliseconds.
 const DELIVERY_MS: u64 = 1500;
 
-/// How long an engine that may just have turned cold is taken for cold: until the list would say so.
+/// Returns how long an engine that may just have become cold is presumed cold, in milliseconds: until the endpoint
+/// list would say so.
 pub fn presumed_cold_ms(state: &State) -> u64 {
     state.settings.cloud_api.lag_ms + DELIVERY_MS
 }
 
-/// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
+/// Applies evacuations that were begun or withdrawn; versions older than those held change nothing.
 pub fn apply(state: &State, list: &[EvacuationState]) {
     let mut engine_table = state.engine_table.lock();
     let mut subscribed = state.subscribed.lock();
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -1,8 +1,8 @@
-//! Whether the table in force is proved to be current, and the requests that wait to know it.
+//! Whether the routing table in force is proved to be current, and the requests that wait for that proof.
 //!
-//! A refusal that rests on what the table lacks (no such route, no such key) is only certain if nothing that was
-//! acknowledged in time can be missing. A request that would be refused without that proof waits for a short
-//! time, together with all others: the router's follower is woken once for all of them.
+//! A refusal that rests on what the table lacks (no such route, no such key) is certain only if nothing that was
+//! acknowledged in time can be missing. A request that would be refused without that proof waits for a short time
+//! together with all others; the router's subscription is woken once for all of them.
 
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use crate::config::routing_table::RoutingTable;
 use crate::state::State;
 
-/// No proof yet.
+/// Stands for "no proof yet".
 const NO_PROOF: i64 = i64::MIN;
-/// How many requests may wait at once. Beyond them the answer is uncertain without a wait.
+/// How many requests may wait at once. Beyond them the outcome is uncertain without a wait.
 const MAX_WAITING: usize = 256;
 
-/// Why the table gives nothing for a request.
+/// Why the routing table has nothing for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupMiss {
     /// The table is current, and has nothing for it.
     Certain,
-    /// The table may only be late.
+    /// The table may be outdated.
     Unproved,
 }
 
@@ -35,13 +35,13 @@
     budget: ConvergenceBudget,
     current_as_of: AtomicI64,
     waiting: AtomicUsize,
-    /// A proof or a newer table has come.
+    /// Notified when a proof or a newer table has arrived.
     changed: Notify,
-    /// Somebody waits for a proof.
+    /// Notified when a request waits for a proof.
     wanted: Notify,
 }
 
-/// One request that waits; counted until it is dropped.
+/// Counts one waiting request until it is dropped.
 struct WaitGuard<'a>(&'a Currency);
 
 impl Drop for WaitGuard<'_> {
@@ -51,6 +51,7 @@
 }
 
 impl Currency {
+    /// Returns the state before the first proof.
     pub fn new(budget: ConvergenceBudget) -> Currency {
         Currency {
             budget,
@@ -61,32 +62,34 @@
         }
     }
 
+    /// Returns the budget of the time in which changes converge.
     pub fn budget(&self) -> &ConvergenceBudget {
         &self.budget
     }
 
-    /// All that was acknowledged before this time of the steady clock is in the table in force.
+    /// Records that all that was acknowledged before this time of the steady clock is in the table in force.
     pub fn prove(&self, as_of: i64) {
         self.current_as_of.fetch_max(as_of, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// A newer table is in force.
+    /// Wakes the waiting requests because a newer table is in force.
     pub fn table_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    /// May a refusal rest on the table in force?
+    /// Returns whether a refusal may rest on the table in force.
     pub fn is_proved(&self, now: u64) -> bool {
         let as_of = self.current_as_of.load(Ordering::Relaxed);
         now as i64 <= as_of.saturating_add(self.budget.refusal_age_ms() as i64)
     }
 
-    /// Until a request waits for a proof. Many that wait end it once.
+    /// Waits until a request waits for a proof. Any number of them end it once.
     pub async fn wanted(&self) {
         self.wanted.notified().await;
     }
 
+    /// Counts the caller as waiting unless too many are.
     fn try_wait(&self) -> Option<WaitGuard<'_>> {
         let order = Ordering::Relaxed;
         let waiting = WaitGuard(self);
@@ -94,7 +97,8 @@
     }
 }
 
-/// Looks at the table of this moment. The proof is read first: the table that follows is no older.
+/// Returns the table of this moment if it is accepted. The proof is read first, so that the table read after it is
+/// no older.
 fn find_table(state: &State, accepts: &impl Fn(&RoutingTable) -> bool) -> Result<Arc<RoutingTable>, LookupMiss> {
     let proved = state.freshness.is_proved(clock::now());
     let table = state.table();
@@ -105,8 +109,11 @@
     }
 }
 
-/// The first table from now on that has what a request needs. A miss is certain only by a table that is proved
-/// current; that proof is waited for during a third of the time that the request has left at most.
+/// Returns the first table from now on that has what a request needs.
+///
+/// # Errors
+/// A miss is `Certain` only by a table that is proved current. Without that proof it waits, during a third of the
+/// time that the request has left at most, and then returns `Unproved`.
 pub async fn wait_for_table(
     state: &State,
     left_ms: u64,
--- a/router/src/config/routing_table.rs
+++ b/router/src/config/routing_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, made for look-ups: names are dense indices from here on.
+//! The configuration in force, prepared for look-ups: services are referred to by dense indices from here on.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -12,61 +12,88 @@
 use crate::config::tenants::Tenants;
 use crate::proxy::duration_estimate::DurationEstimate;
 
+/// Whether and how a request of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
+    /// May be sent more than once.
     Idempotent,
+    /// Must not run more than once.
     NonIdempotent,
+    /// Answered by an event stream, which may be resumable.
     Streaming,
 }
 
-/// Invariant: `targets` is not empty and its weights sum to more than 0.
+/// A route. Invariant: `targets` is not empty and its weights sum to more than 0.
 pub struct Route {
+    /// Its name, unique in the configuration.
     pub name: String,
+    /// The prefix of the paths that it serves.
     pub prefix: String,
+    /// Whether a request may be repeated.
     pub kind: RouteKind,
+    /// Whether a broken stream may be resumed at another engine.
     pub resumable: bool,
+    /// How long a request may take, in milliseconds.
     pub timeout_ms: u64,
+    /// The target for the first byte of a response, in milliseconds; 0: none.
     pub target_ms: u64,
+    /// The priority of its requests, unless their tenant has one.
     pub priority: u32,
+    /// How many times a request may be sent, at least 1.
     pub max_attempts: u32,
+    /// Services by dense index, with their weights.
     pub targets: Vec<(u32, u64)>,
+    /// The regions to which its requests may go; empty: all.
     pub allowed_regions: Vec<String>,
-    /// Served without a key.
+    /// Whether it is served without a key.
     pub anonymous: bool,
-    /// Of its requests at this router, across changes of the route.
+    /// The durations of its requests at this router, kept across changes of the route.
     pub durations: Arc<DurationEstimate>,
 }
 
 impl Route {
-    /// May it run more than once?
+    /// Returns whether a request may run more than once.
     pub fn repeatable(&self) -> bool {
         self.kind == RouteKind::Idempotent || (self.kind == RouteKind::Streaming && self.resumable)
     }
 }
 
+/// The settings of a service.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
+    /// Connections to one engine at most, over all routers; 0: none configured.
     pub connections: u32,
+    /// By how many requests a second the load of a new engine may rise each second.
     pub ramp_per_s: f64,
+    /// How long its engines hold the KV cache of a prompt for a later phase, in milliseconds.
     pub hold_ms: u64,
 }
 
-/// Invariants: routes of a host stand longest prefix first; `names` gives the host of each route.
+/// The routing table. Invariants: the routes of a host are sorted by descending length of their prefix; `names` has
+/// the host of each route.
 #[derive(Default)]
 pub struct RoutingTable {
+    /// The revision of the configuration.
     pub revision: u64,
-    /// Has a request been read under it yet?
+    /// Whether a request has been read under it yet.
     pub has_served: AtomicBool,
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
     names: HashMap<Arc<str>, Arc<str>>,
+    /// The services by dense index.
     pub services: HashMap<u32, Service>,
+    /// The tenants with their keys.
     pub tenants: Arc<Tenants>,
+    /// The longest header of a request, in bytes.
     pub header_bytes: usize,
+    /// The longest body of a request, in bytes.
     pub body_bytes: usize,
+    /// How long a header may take to arrive, in milliseconds.
     pub header_ms: u64,
+    /// How long a connection may stay idle, in milliseconds.
     pub idle_ms: u64,
 }
 
+/// Builds a route from its configuration.
 fn route(item: &config::Route, engine_table: &mut EngineTable) -> Route {
     let kind = match item.route_type.as_str() {
         "idempotent" => RouteKind::Idempotent,
@@ -90,6 +117,7 @@
     }
 }
 
+/// Builds a service from its configuration.
 fn service(item: &config::Service) -> Service {
     let engine = item.engine.as_ref();
     Service {
@@ -100,7 +128,7 @@
 }
 
 impl RoutingTable {
-    /// The table after a change. None: it is no newer, or counts on top of another revision than this.
+    /// Returns the table after an update. `None`: the update is no newer, or builds on another revision than this.
     pub fn apply(&self, change: &ConfigUpdate, engine_table: &mut EngineTable) -> Option<RoutingTable> {
         if change.to <= self.revision || (change.from != 0 && change.from != self.revision) {
             return None;
@@ -139,6 +167,7 @@
         Some(next)
     }
 
+    /// Removes a route.
     fn remove(&mut self, name: &str) {
         let Some(host) = self.names.remove(name) else { return };
         let Some(list) = self.hosts.get_mut(&host) else { return };
@@ -148,19 +177,25 @@
         }
     }
 
+    /// Returns the route of a host and path: the one with the longest prefix. A port in the host is ignored unless
+    /// a route names it.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
         let list = self.hosts.get(host.as_str()).or_else(|| self.hosts.get(host.rsplit_once(':')?.0))?;
         list.iter().find(|route| path.starts_with(&route.prefix))
     }
 
+    /// Returns a route by its name.
     pub fn route(&self, name: &str) -> Option<&Arc<Route>> {
         let list = self.hosts.get(self.names.get(name)?)?;
         list.iter().find(|route| route.name == name)
     }
 }
 
-/// Picks by weight; a service of weight 0 is never picked.
+/// Picks a service by weight with a random number; one of weight 0 is never picked.
+///
+/// # Panics
+/// If `targets` is empty.
 pub fn pick_weighted(targets: &[(u32, u64)], roll: u64) -> u32 {
     let sum: u64 = targets.iter().map(|(_, weight)| weight).sum();
     let mut left = roll % sum.max(1);
--- a/router/src/config/tenants.rs
+++ b/router/src/config/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of the configuration in force, found by the digests of their keys.
+//! The tenants of the configuration in force, indexed by the digests of their API keys.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,12 +9,13 @@
 use quota::Quota;
 use sha2::Sha256;
 
-/// The digest of an API key. Keys are secrets: the clear text is not held, and a digest is not shown either,
-/// since a weak key can be guessed from it.
+/// The digest of an API key. Keys are secrets: the clear text is not kept, and a digest is not shown either, since
+/// a weak key can be guessed from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
+    /// Returns the digest of a key.
     pub fn of(key: &[u8]) -> KeyDigest {
         use sha2::Digest;
         KeyDigest(Sha256::digest(key).into())
@@ -27,17 +28,18 @@
     }
 }
 
-/// One tenant, as far as requests are served by it.
+/// A tenant, as far as it matters to its requests.
 #[derive(Debug)]
 pub struct Tenant {
+    /// Its name, unique in the configuration.
     pub name: String,
-    /// Its name as engines are told. None: no header can carry it.
+    /// The value of the header that names it to engines. `None`: no header can carry the name.
     pub header: Option<HeaderValue>,
     /// Takes precedence over the priority of a route.
     pub priority: Option<u32>,
-    /// The regions that its requests may go to; empty: all.
+    /// The regions to which its requests may go; empty: all.
     pub allowed_regions: Vec<String>,
-    /// What it may send, over all routers.
+    /// Its rate limit, over all routers.
     pub quota: Option<Quota>,
     keys: Vec<KeyDigest>,
 }
@@ -63,21 +65,23 @@
     requires_keys: bool,
 }
 
-/// Who holds a key.
+/// The tenant to which a key belongs.
 #[derive(Debug)]
 enum KeyOwner {
+    /// Exactly one tenant has it.
     One(Arc<Tenant>),
-    /// Several tenants do, which no valid configuration has: the key tells nobody apart and counts as unknown.
+    /// Several tenants have it, which no valid configuration allows: the key identifies nobody and counts as
+    /// unknown.
     Ambiguous,
 }
 
 impl Tenants {
-    /// Does the configuration have a table of tenants, so that requests need a key?
+    /// Returns whether the configuration has a table of tenants, so that requests need a key.
     pub fn requires_keys(&self) -> bool {
         self.requires_keys
     }
 
-    /// The tenant that holds a key. None: the key is unknown.
+    /// Returns the tenant that owns a key. `None`: the key is unknown.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         match self.by_key.get(key)? {
             KeyOwner::One(tenant) => Some(tenant),
@@ -85,7 +89,7 @@
         }
     }
 
-    /// The tenants after a change: those that it removes are gone, those that it names stand as it has them.
+    /// Returns the tenants after a change: those that it removes are gone, those that it names are as it has them.
     pub fn after(current: &Arc<Tenants>, change: &ConfigUpdate) -> Arc<Tenants> {
         let is_full = change.from == 0;
         let same_tenants = change.tenants.is_empty() && change.removed_tenants.is_empty();
@@ -104,11 +108,11 @@
     }
 }
 
-/// The holder of each key. Made anew from all tenants with each change of one: a key that moves from one tenant to
-/// another is then its new holder's whatever the order in which a change names them.
+/// Indexes the keys of all tenants. Rebuilt with each change of any tenant: a key that moves between tenants then
+/// belongs to its new owner whatever the order in which a change names them.
 fn index_keys<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, KeyOwner> {
     let mut by_key = HashMap::new();
-    // A tenant whose name no header can carry can't be named to engines: its keys stay unknown.
+    // Engines couldn't be told of a tenant whose name no header can carry: its keys stay unknown.
     for tenant in tenants.filter(|tenant| tenant.header.is_some()) {
         for key in &tenant.keys {
             let owner = by_key.entry(*key).or_insert_with(|| KeyOwner::One(tenant.clone()));
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -1,4 +1,4 @@
-//! The limit on stale weights, as one request meets it.
+//! The limit on stale weights, as it applies to one request.
 
 use std::sync::atomic::Ordering;
 
@@ -10,12 +10,12 @@
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
-/// How often the want of fresh replicas is told, however many requests meet it.
+/// The shortest pause between two reports of missing replicas, in milliseconds, however many requests find none.
 const REPORT_INTERVAL_MS: u64 = 1000;
 
 impl Exchange {
-    /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
-    /// has lapsed.
+    /// Returns the model with the oldest and the newest weight version that are allowed; `None` if the request has
+    /// no limit. Nothing is allowed while the lease has lapsed.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
         let bounds = self.state.staleness_bounds.lock();
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Before a maker is chosen: memory of a version that is past the limit by now is given free, and without
-    /// memory the version is not settled yet.
+    /// Releases a KV handle whose version has fallen below the limit, before a decode engine is chosen; without a
+    /// handle the version is open again.
     pub fn drop_stale_handle(&mut self) {
         let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
@@ -42,14 +42,14 @@
         }
     }
 
-    /// What an engine was seen to have.
+    /// Records the weight version that an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
             self.state.engine_table.lock().engines[at].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
-    /// No replica inside the limit: told once a second.
+    /// Logs that no replica is within the limit, at most once a second.
     pub fn report_no_replica(&self) {
         let (now, order) = (clock::now(), Ordering::Relaxed);
         let reported_at = self.state.few_at.load(order);
@@ -61,7 +61,7 @@
     }
 }
 
-/// A rule from a controller; binds at once where it is tighter.
+/// Applies a limit from a controller; it takes effect at once where it is tighter.
 pub fn apply_staleness_limit(state: &State, limit: &StalenessLimit) {
     let service = state.engine_table.lock().service_index(&limit.service);
     let now = clock::now();
@@ -71,7 +71,7 @@
     }
 }
 
-/// Weight versions of a zone. Older ones of the same poller change nothing.
+/// Applies the weight versions of a zone. Older ones of the same poller change nothing.
 pub fn apply_weight_versions(state: &State, list: &WeightVersions) {
     {
         let mut versions = state.weight_versions.lock();
@@ -84,10 +84,11 @@
     state.engine_table.lock().set_weight_versions(&list.list);
 }
 
-/// A name and its version.
+/// The name of a key and its version.
 type NamedVersion = (String, u64);
 
-/// The versions of rules and versions held, to be told beside those of evacuations and sheets.
+/// Returns the versions of the limits and weight versions held, to be reported beside those of evacuations and
+/// endpoint lists.
 pub fn known_versions(state: &State) -> (Vec<NamedVersion>, Vec<VersionEntry>) {
     let limits = state.staleness_bounds.lock().versions();
     let weights = state.weight_versions.lock();
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -1,5 +1,5 @@
-//! What a router tells controllers of itself, and what it takes in from them. All of it is monotone: whichever
-//! controller sends what, in whatever order, the newest counts.
+//! What a router reports to controllers about itself, and how it applies what they send. All state is monotone:
+//! whichever controller sends what, in whatever order, the newest version counts.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::state::State;
 use crate::upstream::suspicion;
 
-/// How long news of engines that are about to change their part holds.
+/// How long an announcement that engines are about to change their phase is valid, in milliseconds.
 const REASSIGNING_VALID_MS: u64 = 1500;
-/// For how long a number of routers that was told counts.
+/// How long a reported number of routers is valid, in milliseconds.
 const ROUTER_COUNT_VALID_MS: u64 = 10_000;
 
-/// A message that a controller pushed.
+/// Applies a message that a controller pushed.
 pub fn apply_message(state: &Arc<State>, msg: Message) {
     match msg {
         Message::StateUpdate(update) => apply_state_update(state, *update),
@@ -35,7 +35,8 @@
     }
 }
 
-/// What this router holds. Its requests under way are told to its home alone, where they are added up.
+/// Builds the renewal: the versions this router holds. Its requests in flight are reported to its home controller
+/// only, where they are summed up.
 pub fn build_renewal(state: &State, is_home: bool) -> SubscriptionRenewal {
     let (mut list_versions, in_flight): (Vec<_>, Vec<_>) = {
         let engine_table = state.engine_table.lock();
@@ -76,7 +77,8 @@
     }
 }
 
-/// Ready once the configuration is proved to be current and the lists are known; from then on until it leaves.
+/// Returns whether the router is ready: once the configuration is proved to be current and every zone is listed,
+/// and from then on until it shuts down.
 pub fn update_readiness(state: &State) -> bool {
     let order = Ordering::Relaxed;
     if state.ready.load(order) {
@@ -92,7 +94,7 @@
     true
 }
 
-/// Takes what is newer; versions never go back.
+/// Applies whatever is newer than the state held; versions never go back.
 pub fn apply_state_update(state: &Arc<State>, update: StateUpdate) {
     let now = clock::now();
     if let Some((version, text)) = &update.config {
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -1,4 +1,5 @@
-//! Following the controllers: makes the calls that `following` decides on, and takes in what controllers send.
+//! The task that keeps the subscription: it makes the calls that `scheduler` decides on, and applies what
+//! controllers send.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use crate::subscription::response::RenewalResponse;
 use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 
-/// Follows until the process ends.
+/// Keeps the subscription until the process ends.
 pub async fn run(state: Arc<State>) {
     let links = Links::new(state.settings.peer_port());
     let scheduler = SubscriptionScheduler::new(
@@ -29,6 +30,7 @@
     }
 }
 
+/// Binds the scheduler to real connections and to the router's state.
 struct Subscriber {
     state: Arc<State>,
     scheduler: SubscriptionScheduler,
@@ -37,7 +39,7 @@
 }
 
 impl Subscriber {
-    /// Begins the calls that are due, and takes in the next thing that comes.
+    /// Begins the calls that are due, then waits for one event or for the next deadline and handles it.
     async fn run_step(&mut self) {
         let now = clock::now();
         for call in self.scheduler.due_calls(now) {
@@ -51,17 +53,19 @@
         }
     }
 
+    /// Sends a renewal to a controller.
     fn begin_call(&mut self, call: &Call, now: u64) {
         let is_home = self.scheduler.home() == Some(&call.controller);
         let renewal = apply_update::build_renewal(&self.state, is_home);
         let msg = Message::SubscriptionRenewal(Box::new(renewal));
         self.links.call(&call.controller, msg, now, call.timeout_ms);
         if is_home {
-            // The connection may be a new one.
+            // The connection may have been reopened since the last call.
             *self.state.home_controller.lock() = Some(self.links.client(&call.controller));
         }
     }
 
+    /// Handles a push or the end of a call.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Pushed(msg) => self.handle_push(msg),
@@ -69,17 +73,20 @@
         }
     }
 
+    /// Applies a message that a controller pushed.
     fn handle_push(&mut self, msg: Message) {
         if self.links.may_have_dropped() {
             self.scheduler.on_frames_lost(clock::now());
         }
         if matches!(msg, Message::StalenessLimit(_)) {
-            // Confirmed at once: somebody waits for it.
+            // Renewed at once: the confirmation of a limit is awaited.
             self.scheduler.renew_now();
         }
         apply_update::apply_message(&self.state, msg);
     }
 
+    /// Applies the response to a call, or records its failure, and closes the connections that are no longer
+    /// needed.
     fn handle_finished_call(&mut self, finished: FinishedCall) {
         let previous_home = self.scheduler.home().map(str::to_string);
         match finished.reply {
@@ -105,10 +112,13 @@
         self.links.retain(|controller| scheduler.home() == Some(controller) || scheduler.has_open_call(controller));
     }
 
+    /// Returns the configuration revision that is in force here.
     fn held_revision(&self) -> u64 {
         self.state.subscribed.lock().config_revision
     }
 
+    /// Applies a state update. A confirmed one renews the lease of the limits on stale weights as of the time of
+    /// the call, not of its response.
     fn apply_state_update(&self, update: StateUpdate, sent_at: u64) {
         if update.confirmed {
             self.state.staleness_bounds.lock().renew_lease(sent_at);
@@ -116,6 +126,7 @@
         apply_update::apply_state_update(&self.state, update);
     }
 
+    /// Reports a response to the scheduler, and publishes what it proves.
     fn record_response(&mut self, controller: &str, response: &RenewalResponse) {
         self.scheduler.on_response(clock::now(), controller, response);
         if let Some(as_of) = self.scheduler.current_as_of() {
@@ -126,6 +137,7 @@
         }
     }
 
+    /// Publishes the new home controller. `previous_home`: the one before, if any.
     fn on_home_changed(&mut self, previous_home: Option<String>) {
         let home = self.scheduler.home().unwrap_or_default().to_string();
         *self.state.home_controller.lock() = Some(self.links.client(&home));
@@ -133,7 +145,7 @@
         self.reload_seeds();
     }
 
-    /// While nothing is proved the settings may name controllers that are better.
+    /// Reloads the seeds from time to time while nothing is proved: the settings file may name better controllers.
     fn reload_seeds_if_unproved(&mut self) {
         let now = clock::now();
         let every = self.state.freshness.budget().bulk_age_ms();
@@ -142,6 +154,7 @@
         }
     }
 
+    /// Reads the seed controllers from the settings file; an unreadable file changes nothing.
     fn reload_seeds(&mut self) {
         self.seeds_read_at = clock::now();
         if let Ok(settings) = settings::load(&settings::path()) {
--- a/router/src/subscription/links.rs
+++ b/router/src/subscription/links.rs
@@ -1,4 +1,4 @@
-//! Connections to controllers, and the calls that are under way on them.
+//! Connections to controllers, and the calls that are in flight on them.
 
 use std::collections::BTreeMap;
 use std::future;
@@ -9,20 +9,22 @@
 use tokio::sync::mpsc::{self, Receiver, Sender};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// How many pushed messages may wait to be taken in.
+/// How many pushed messages may wait to be applied.
 const PUSH_QUEUE_CAPACITY: usize = 256;
 
-/// How a call ended.
+/// The end of a call.
 pub struct FinishedCall {
+    /// The address of the controller that was called.
     pub controller: String,
-    /// When the call was begun.
+    /// When the call began.
     pub sent_at: u64,
-    /// None: no connection, or no answer in its time.
+    /// The response. `None`: no connection, or no response before the timeout.
     pub reply: Option<Message>,
+    /// Tells this call from earlier ones to the same controller.
     sequence: u64,
 }
 
-/// A connection. `call` is the one that is under way.
+/// One connection, with the sequence number and the task of the call that is in flight on it.
 struct Link {
     client: Arc<PeerClient>,
     call: Option<(u64, AbortHandle)>,
@@ -36,7 +38,7 @@
     }
 }
 
-/// Invariant: one connection a controller, and at most one call on it.
+/// Connections by controller. Invariant: one connection per controller, and at most one call on it.
 pub struct Links {
     port: u16,
     open_links: BTreeMap<String, Link>,
@@ -46,13 +48,16 @@
     push_receiver: Receiver<Message>,
 }
 
-/// What comes from controllers.
+/// What arrives from controllers.
 pub enum Event {
+    /// A call has ended.
     CallFinished(FinishedCall),
+    /// A controller pushed a message.
     Pushed(Message),
 }
 
 impl Links {
+    /// Returns an empty set of connections to controllers that listen on `port`.
     pub fn new(port: u16) -> Links {
         let (push_sender, push_receiver) = mpsc::channel(PUSH_QUEUE_CAPACITY);
         Links {
@@ -65,7 +70,7 @@
         }
     }
 
-    /// The connection to a controller; it comes up with its first call.
+    /// Returns the connection to a controller; it is established with its first call.
     pub fn client(&mut self, controller: &str) -> Arc<PeerClient> {
         let (port, push_sender) = (self.port, &self.push_sender);
         let connect = || {
@@ -75,7 +80,7 @@
         self.open_links.entry(controller.into()).or_insert_with(connect).client.clone()
     }
 
-    /// Begins a call.
+    /// Begins a call. `sent_at` is reported with its end; `timeout_ms` bounds it.
     pub fn call(&mut self, controller: &str, msg: Message, sent_at: u64, timeout_ms: u64) {
         let client = self.client(controller);
         self.sequence += 1;
@@ -90,7 +95,7 @@
         }
     }
 
-    /// The next thing that comes. What was pushed before an answer comes before it.
+    /// Returns the next event. A message that was pushed before a response is returned before it.
     pub async fn next_event(&mut self) -> Event {
         loop {
             tokio::select! {
@@ -109,17 +114,18 @@
         }
     }
 
-    /// After a message was taken: may others have been dropped because too many waited?
+    /// Returns whether further pushes may have been dropped because the queue was full. Meant to be called after
+    /// each push.
     pub fn may_have_dropped(&self) -> bool {
         self.push_receiver.capacity() <= 1
     }
 
-    /// Closes the connections that are not to be kept; a call that is under way there ends without a report.
+    /// Closes the connections that are not to be kept; a call that is in flight there ends without an event.
     pub fn retain(&mut self, kept: impl Fn(&str) -> bool) {
         self.open_links.retain(|controller, _| kept(controller));
     }
 
-    /// Closes a connection on which a call failed: the next call dials anew.
+    /// Closes a connection on which a call failed: the next call dials again.
     pub fn close(&mut self, controller: &str) {
         self.open_links.remove(controller);
     }
--- a/router/src/subscription/mod.rs
+++ b/router/src/subscription/mod.rs
@@ -1,4 +1,5 @@
-//! The subscription to controllers: which of them is asked and when (pure), the links to them, and what their updates change here.
+//! The subscription of a router to controllers: the scheduling of calls (a pure state machine), the connections,
+//! and the application of updates to the router's state.
 
 pub mod apply_update;
 pub mod candidates;
--- a/router/src/subscription/pacing.rs
+++ b/router/src/subscription/pacing.rs
@@ -1,31 +1,37 @@
-//! How fast a router asks further controllers, and how long it waits for one that may be sending much.
+//! The pacing of hedged calls: how soon a router asks further controllers, and how long it waits for one whose
+//! response may be large.
+
 use kernel::ConvergenceBudget;
 
-/// How long a controller that was reached has before another is asked beside it, where its answer may hold the
-/// whole configuration. After a loss of power everywhere all routers ask for it at once: whoever asks another
-/// controller asks for it again there, so each that was waited for in vain is followed by one that gets more time.
+/// How long a controller that was reached may take, in milliseconds, before another is asked beside it where the
+/// response may hold the whole configuration.
+/// After a loss of power everywhere all routers request it at once, and every further controller that is asked has
+/// to send it again. Each controller that exceeded the patience is therefore followed by one that gets twice as
+/// long.
 pub const INITIAL_PATIENCE_MS: u64 = 1500;
+/// The upper bound of the patience, in milliseconds.
 pub const MAX_PATIENCE_MS: u64 = 6000;
 
-/// So many are asked at the first gap; from then on each gap is twice the one before, up to the greatest.
+/// The number of attempts at the shortest gap; from then on each gap is twice the one before, up to the longest.
 const ATTEMPTS_BEFORE_BACKOFF: u32 = 6;
-/// One that fails at once costs nothing: the next is asked so much sooner.
+/// A failed attempt costs nothing, so the gap after it is divided by this.
 const FAILED_DIVISOR: u64 = 4;
 
-/// What became of a call, as far as it tells of links.
+/// The outcome of a call, as far as it says something about the speed of links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The controller responded.
     Responded,
-    /// No connection came up, or it broke.
+    /// No connection was established, or it broke.
     Unreachable,
-    /// It was reached, and gave no first answer in the time that it had.
+    /// It was reached, and sent no first response within the patience.
     Slow,
-    /// It had answered before, and does no longer.
+    /// It had responded before, and no longer does.
     Unresponsive,
 }
 
-/// The patience with the next controller. Only one that was reached and waited for shows that links are slow: a
-/// dial that failed, or a controller that had answered before, does not.
+/// Returns the patience with the next controller, in milliseconds. Only a controller that was reached and exceeded
+/// its patience shows that links are slow; a failed dial, or one that had responded before, does not.
 pub fn next_patience(current_ms: u64, outcome: Outcome) -> u64 {
     match outcome {
         Outcome::Slow => (current_ms * 2).min(MAX_PATIENCE_MS),
@@ -34,8 +40,8 @@
     }
 }
 
-/// The pace of asking. Invariant: two asks are at least a gap apart, but for the two that begin it and the few
-/// that follow a failure; the gaps grow while nothing is proved.
+/// The pacing of attempts. Invariant: two attempts are at least one gap apart, except for the two that begin a
+/// series and those that follow a failure; gaps grow while nothing is proved.
 #[derive(Clone, Debug, Default)]
 pub struct Pacing {
     last_attempt_at: Option<u64>,
@@ -44,23 +50,24 @@
 }
 
 impl Pacing {
-    /// How many were asked since all was well.
+    /// Returns the number of attempts since the last reset.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
+    /// Records that a controller is being asked.
     pub fn record_attempt(&mut self, now: u64) {
         (self.last_attempt_at, self.last_attempt_failed) = (Some(now), false);
         self.attempts = self.attempts.saturating_add(1);
     }
 
-    /// A controller that was asked was not reached.
+    /// Records that the controller that was asked last could not be reached.
     pub fn record_failure(&mut self) {
         self.last_attempt_failed = true;
     }
 
-    /// All is well. What was asked within the last gap still counts: a proof that is soon too old again must not
-    /// have two controllers asked each time. True: the next ask is the first.
+    /// Resets the pacing because a fresh proof was obtained, and returns whether it did. An attempt within the last
+    /// gap still counts: otherwise a proof that soon becomes too old again would cause two calls each time.
     pub fn record_proof(&mut self, budget: &ConvergenceBudget, now: u64) -> bool {
         if self.last_attempt_at.is_some_and(|last| now < last + budget.hedge_gap_ms()) {
             return false;
@@ -69,13 +76,14 @@
         true
     }
 
-    /// When the next may be asked. `wanted`: requests wait for a proof.
+    /// Returns the earliest time of the next attempt. `proof_requested`: client requests wait for a proof.
     pub fn next_at(&self, budget: &ConvergenceBudget, proof_requested: bool) -> u64 {
         let Some(last) = self.last_attempt_at else { return 0 };
         let gap = self.gap(budget);
         last + if proof_requested { gap.min(budget.refusal_wait_ms()) } else { gap }
     }
 
+    /// Returns the gap after the last attempt, in milliseconds.
     fn gap(&self, budget: &ConvergenceBudget) -> u64 {
         let doublings = self.attempts.saturating_sub(ATTEMPTS_BEFORE_BACKOFF).min(16);
         let gap = (budget.hedge_gap_ms() << doublings).min(budget.max_hedge_gap_ms());
--- a/router/src/subscription/scheduler.rs
+++ b/router/src/subscription/scheduler.rs
@@ -1,10 +1,10 @@
-//! Which controllers a router asks, and when: a pure state machine, time comes in with every call.
+//! Which controllers a router calls, and when: a pure state machine; the time comes in with every call.
 //!
-//! One controller is the *home*: the router's lease is renewed there on a beat, and it pushes changes. What counts is
-//! not the home but `current_as_of`, the time as of which the configuration held here is proved to be current.
-//! Once that is too long ago, or the home is silent, others are asked beside it (hedged calls): at once the next
-//! in the router's own order and a member of the core, then one more every gap. The first that proves enough is
-//! the home from then on.
+//! One controller is the *home*: the preferred controller, at which the router renews its lease at a fixed interval
+//! and which pushes changes. What counts is not the home but `current_as_of`, the time as of which the
+//! configuration held here is proved to be current. Once that is too long ago, or the home is unresponsive, others
+//! are asked beside it (hedged calls): at once the next in the router's own order and a member of the core, then
+//! one more every gap. The first that proves enough becomes the home.
 
 use std::collections::BTreeMap;
 
@@ -17,36 +17,41 @@
 #[path = "scheduler_calls.rs"]
 mod calls;
 
-/// A call to be begun now. Who makes it reports its end: `answered`, or `failed` after `deadline_ms` at the latest.
+/// A call to be begun now. Whoever makes it reports its end through `on_response`, or through `on_failure` after
+/// `timeout_ms` at the latest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// The address of the controller.
     pub controller: String,
+    /// How long the call may take, in milliseconds.
     pub timeout_ms: u64,
 }
 
+/// A call whose end has not been reported.
 #[derive(Clone, Debug)]
 struct OpenCall {
     sent_at: u64,
     deadline_at: u64,
-    /// Until then nobody else is asked for the same where it may be long.
+    /// Until then no other controller is asked for the same where the response may be large.
     patience_ends_at: u64,
     patience_exceeded: bool,
 }
 
+/// The preferred controller.
 #[derive(Clone, Debug)]
 struct Home {
     controller: String,
     renew_at: u64,
-    /// When it was last called again because of a lost frame.
+    /// When it was last called early because of a lost frame.
     early_renewal_at: Option<u64>,
-    /// Its last call failed.
+    /// Whether its last call failed.
     failed: bool,
-    /// It answers as controllers of an older version do.
+    /// Whether it responds as controllers of an older version do.
     is_older_version: bool,
 }
 
-/// Invariants: at most one call to a controller is open; `current_as_of` never goes back, and all that was
-/// acknowledged before it is held here.
+/// Decides which controllers are called. Invariants: at most one call to a controller is open; `current_as_of`
+/// never goes back, and all that was acknowledged before it is held here.
 #[derive(Clone, Debug)]
 pub struct SubscriptionScheduler {
     budget: ConvergenceBudget,
@@ -54,7 +59,7 @@
     home: Option<Home>,
     open_calls: BTreeMap<String, OpenCall>,
     pacing: Pacing,
-    /// How often each was asked since all was well.
+    /// How often each controller was asked in the current series of hedged calls.
     attempts: BTreeMap<String, u32>,
     patience_ms: u64,
     current_as_of: Option<i64>,
@@ -65,7 +70,7 @@
 }
 
 impl SubscriptionScheduler {
-    /// A fresh process, which knows the seeds only.
+    /// Returns the scheduler of a process that has just started and knows the seeds only.
     pub fn new(budget: ConvergenceBudget, node_name: &str, own_ip: &str, seeds: &[String]) -> SubscriptionScheduler {
         SubscriptionScheduler {
             budget,
@@ -83,47 +88,51 @@
         }
     }
 
+    /// Returns the home controller.
     pub fn home(&self) -> Option<&str> {
         self.home.as_ref().map(|home| home.controller.as_str())
     }
 
-    /// All that was acknowledged before this time is held here. None: nothing is proved yet.
+    /// Returns the time before which all that was acknowledged is held here. `None`: nothing is proved yet.
     pub fn current_as_of(&self) -> Option<i64> {
         self.current_as_of
     }
 
-    /// Is an answer of this controller still waited for? A call may end here before its time, once it is of no use.
+    /// Returns whether a response of this controller is still awaited. A call may end here before its timeout, once
+    /// it is of no use.
     pub fn has_open_call(&self, controller: &str) -> bool {
         self.open_calls.contains_key(controller)
     }
 
+    /// Replaces the seed controllers.
     pub fn set_seeds(&mut self, seeds: &[String]) {
         self.candidates.set_seeds(seeds);
     }
 
+    /// Records that the router is ready: renewals become less frequent.
     pub fn set_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Requests wait for a proof, however many they are.
+    /// Records that client requests wait for a proof, however many they are.
     pub fn request_proof(&mut self) {
         self.proof_requested = true;
     }
 
-    /// Something came whose confirmation is waited for: the home is called without waiting for the beat.
+    /// Makes a renewal at the home due at once, because something was pushed whose confirmation is awaited.
     pub fn renew_now(&mut self) {
         if let Some(home) = &mut self.home {
             home.renew_at = 0;
         }
     }
 
-    /// Frames may have been dropped on this side.
+    /// Records that frames may have been dropped on this side.
     pub fn on_frames_lost(&mut self, now: u64) {
         self.frames_lost_at = Some(now);
         self.renew_early(now);
     }
 
-    /// The home is called again at once; when that does not help, no faster than others are asked.
+    /// Makes a renewal at the home due at once; repeated ones are one hedging gap apart.
     fn renew_early(&mut self, now: u64) {
         let gap = self.budget.hedge_gap_ms();
         if let Some(home) = &mut self.home {
@@ -133,7 +142,7 @@
         }
     }
 
-    /// A controller answered, and what it sent is taken in.
+    /// Handles the response of a controller; its state update has been applied already.
     pub fn on_response(&mut self, now: u64, controller: &str, response: &RenewalResponse) {
         let Some(call) = self.open_calls.remove(controller) else { return };
         let hedging_needed = self.needs_hedging(now);
@@ -167,7 +176,7 @@
         }
     }
 
-    /// True: the controller is as good a home as any.
+    /// Applies what a response proves, and returns whether the controller is as good a home as any.
     fn apply_proof(&mut self, assessment: Assessment, is_older_version: bool, now: u64) -> bool {
         match assessment {
             Assessment::Unproved => false,
@@ -179,6 +188,7 @@
         }
     }
 
+    /// Makes a controller the home. If hedging was needed the previous home is avoided for a while.
     fn change_home(
         &mut self,
         controller: &str,
@@ -201,7 +211,7 @@
         });
     }
 
-    /// A call ended without an answer: no connection, or none in its time.
+    /// Handles a call that ended without a response: no connection, or none in time.
     pub fn on_failure(&mut self, now: u64, controller: &str) {
         self.record_exceeded_patience(now);
         let Some(call) = self.open_calls.remove(controller) else { return };
--- a/router/src/subscription/scheduler_calls.rs
+++ b/router/src/subscription/scheduler_calls.rs
@@ -1,4 +1,4 @@
-//! Which calls are begun: renewals at the home, and others asked beside it.
+//! Which calls are begun: renewals at the home, and hedged calls beside it.
 
 use std::mem;
 
@@ -7,20 +7,21 @@
 use crate::subscription::pacing::{next_patience, Outcome, MAX_PATIENCE_MS};
 use crate::subscription::response::OLDER_CONTROLLER_CONFIRMATION_AGE_MS;
 
-/// Until it is ready a router renews more often: what it lacks may come any moment.
+/// The renewal interval is divided by this until the router is ready: what it lacks may arrive at any moment.
 const UNREADY_DIVISOR: u64 = 4;
-/// How many are asked at once when the home begins to fail.
+/// How many hedged calls are begun at once when the home begins to fail.
 const INITIAL_HEDGES: u32 = 2;
-/// One in so many of those asked is the next in the router's order, the others are members of the core.
+/// One in so many hedged calls goes to the next in the router's order, the others to members of the core.
 const OWN_ORDER_PERIOD: u32 = 3;
-/// How many calls may be open whose answers may be long: while nothing is held, and later.
+/// How many calls with large responses may be open at once while nothing is held.
 const MAX_INITIAL_BULK_CALLS: usize = 1;
+/// The same once something is held.
 const MAX_BULK_CALLS: usize = 2;
-/// The machine is looked at again after this at the latest.
+/// The longest time until the scheduler is consulted again, in milliseconds.
 const MAX_IDLE_MS: u64 = 1000;
 
 impl SubscriptionScheduler {
-    /// The calls to begin now.
+    /// Returns the calls to begin now.
     pub fn due_calls(&mut self, now: u64) -> Vec<Call> {
         self.record_exceeded_patience(now);
         let mut calls = Vec::new();
@@ -43,7 +44,7 @@
         calls
     }
 
-    /// When `due` is to be looked at again, if nothing is reported before.
+    /// Returns when `due_calls` is to be consulted again if nothing is reported before.
     pub fn wake_at(&self, now: u64) -> u64 {
         let mut times = vec![now + MAX_IDLE_MS];
         if let Some(home) = &self.home {
@@ -58,6 +59,7 @@
         times.into_iter().filter(|time| *time > now).min().unwrap_or(now + MAX_IDLE_MS)
     }
 
+    /// Records a call as open and returns it.
     fn begin_call(&mut self, controller: String, now: u64) -> Call {
         let interval = self.renewal_interval_ms();
         if let Some(home) = self.home.as_mut().filter(|home| home.controller == controller) {
@@ -72,6 +74,7 @@
         Call { controller, timeout_ms }
     }
 
+    /// Returns the pause between two renewals, in milliseconds.
     pub(super) fn renewal_interval_ms(&self) -> u64 {
         let interval = self.budget.renewal_interval_ms();
         if self.ready {
@@ -80,7 +83,8 @@
         interval / UNREADY_DIVISOR
     }
 
-    /// How old a proof may be before others are asked. One from a controller of an older version is never young.
+    /// Returns how old a proof may be before others are asked, in milliseconds. One from a controller of an older
+    /// version is never fresh, so that the usual age there is allowed.
     pub(super) fn hedge_age_ms(&self, is_older_version: bool) -> u64 {
         let budget = &self.budget;
         let age = budget.hedge_age_ms();
@@ -91,15 +95,17 @@
         age.max(usual)
     }
 
+    /// Returns `hedge_age_ms` for the home of now.
     fn home_hedge_age_ms(&self) -> u64 {
         self.hedge_age_ms(self.home.as_ref().is_some_and(|home| home.is_older_version))
     }
 
+    /// Returns whether the proof is at most `age_ms` old.
     fn is_current(&self, now: u64, age_ms: u64) -> bool {
         self.current_as_of.is_some_and(|as_of| now as i64 <= as_of + age_ms as i64)
     }
 
-    /// Is the home not enough to stay current?
+    /// Returns whether the home is not enough to stay current.
     pub(super) fn needs_hedging(&self, now: u64) -> bool {
         let Some(home) = &self.home else { return true };
         let silence_ms = self.budget.timeout_ms();
@@ -107,11 +113,12 @@
         home.failed || silent || !self.is_current(now, self.home_hedge_age_ms())
     }
 
-    /// Does what is held lie so far back that an answer may hold the whole configuration?
+    /// Returns whether the state held is so old that a response may contain the whole configuration.
     fn expects_bulk_response(&self, now: u64) -> bool {
         self.held_revision == 0 || !self.is_current(now, self.budget.bulk_age_ms())
     }
 
+    /// Begins hedged calls if one is due.
     fn begin_hedged_calls(&mut self, now: u64, calls: &mut Vec<Call>) {
         if now < self.next_hedge_at(now) {
             return;
@@ -127,21 +134,22 @@
         }
     }
 
+    /// Returns the earliest time of the next hedged call.
     fn next_hedge_at(&self, now: u64) -> u64 {
         let at = self.pacing.next_at(&self.budget, self.proof_requested);
         if !self.expects_bulk_response(now) {
             return at;
         }
-        let most = if self.held_revision == 0 { MAX_INITIAL_BULK_CALLS } else { MAX_BULK_CALLS };
+        let max_calls = if self.held_revision == 0 { MAX_INITIAL_BULK_CALLS } else { MAX_BULK_CALLS };
         let patience_ends = self.open_calls.values().map(|call| call.patience_ends_at).filter(|until| now < *until);
         let mut patience_ends: Vec<u64> = patience_ends.collect();
         patience_ends.sort_unstable();
-        let free_at = patience_ends.len().checked_sub(most).map_or(0, |at| patience_ends[at]);
+        let free_at = patience_ends.len().checked_sub(max_calls).map_or(0, |at| patience_ends[at]);
         at.max(free_at)
     }
 
-    /// Neither the home nor one that is being asked. A member of the core is always among the first two; later
-    /// members that were passed over stand back behind others that were not.
+    /// Returns the controller of the next hedged call, neither the home nor one with an open call. A member of the
+    /// core is always among the first two; later, members in backoff stand behind others that are not.
     fn next_hedge_target(&self, now: u64) -> Option<String> {
         let offset = self.pacing.attempts() % OWN_ORDER_PERIOD;
         let own_order_offset = if self.expects_bulk_response(now) { OWN_ORDER_PERIOD - 1 } else { 0 };
@@ -162,14 +170,15 @@
         member.or(next)
     }
 
-    /// A controller nearer than the home that is not passed over: all being well, the router goes back to it.
+    /// Returns a controller that is nearer than the home and not in backoff: once all is well the router goes back
+    /// to it.
     fn nearer_than_home(&self, now: u64) -> Option<String> {
         let nearest = self.candidates.nearest(now)?;
         let nearer = self.candidates.is_nearer(nearest, self.home()?, now);
         (nearer && !self.has_open_call(nearest)).then(|| nearest.clone())
     }
 
-    /// Whoever is waited for in vain is followed by one that gets more time.
+    /// Records calls that exceeded their patience: whoever is asked next gets more time.
     pub(super) fn record_exceeded_patience(&mut self, now: u64) {
         let home = self.home.as_ref().map(|home| home.controller.as_str());
         for (controller, call) in self.open_calls.iter_mut().filter(|(_, call)| now >= call.patience_ends_at) {
--- a/router/src/testing/controller.rs
+++ b/router/src/testing/controller.rs
@@ -1,4 +1,4 @@
-//! Controllers in the test's own process, each at an address of its own on the loopback.
+//! Controllers in the test's own process, each at an address of its own on the loopback interface.
 
 use std::iter;
 use std::sync::Arc;
@@ -24,12 +24,13 @@
     LosingFrames,
     /// Sends what is missing and confirms nothing.
     Unconfirmed,
-    /// As controllers of version 3: it says that it is sure.
+    /// As controllers of version 3: confirms without an age.
     Older,
-    /// Takes calls and says nothing.
+    /// Accepts calls and never responds.
     Frozen,
 }
 
+/// The state that the connections of a controller share.
 struct Inner {
     manner: Manner,
     config: Config,
@@ -39,12 +40,16 @@
 
 /// A controller with a configuration of its own.
 pub struct Controller {
+    /// Its address.
     pub ip: String,
     inner: Arc<Mutex<Inner>>,
     called: Arc<Notify>,
 }
 
-/// Controllers that listen on one port, as those of a deployment do, and that port.
+/// Starts controllers that listen on one port, as those of a deployment do, and returns them with that port.
+///
+/// # Panics
+/// If no port is free.
 pub fn controllers(count: u8, config: &Config) -> (Vec<Controller>, u16) {
     let ips: Vec<String> = (1..=count).map(|number| format!("127.0.0.{number}")).collect();
     loop {
@@ -60,6 +65,7 @@
 }
 
 impl Controller {
+    /// Starts to serve on a listener; `all` are the controllers it reports.
     fn start(ip: &str, all: &[String], listener: TcpListener, config: &Config) -> Controller {
         let inner = Inner { manner: Manner::Confirming, config: config.clone(), calls: 0, routers: Vec::new() };
         let inner = Arc::new(Mutex::new(inner));
@@ -75,15 +81,17 @@
         Controller { ip: ip.into(), inner, called }
     }
 
+    /// Changes what it does with calls.
     pub fn set(&self, manner: Manner) {
         self.inner.lock().manner = manner;
     }
 
+    /// Returns how many calls it got.
     pub fn calls(&self) -> usize {
         self.inner.lock().calls
     }
 
-    /// A newer configuration is committed; nothing is pushed.
+    /// Commits a newer configuration; nothing is pushed.
     pub fn commit(&self, config: &Config) {
         self.inner.lock().config = config.clone();
     }
@@ -95,7 +103,10 @@
         }
     }
 
-    /// Waits until it was called so often, but not without end.
+    /// Waits until it got so many calls.
+    ///
+    /// # Panics
+    /// If that takes longer than 20 s.
     pub async fn called(&self, times: usize) {
         let end = Instant::now() + Duration::from_secs(20);
         loop {
@@ -109,6 +120,7 @@
 }
 
 impl Inner {
+    /// Handles a renewal.
     fn answer(&mut self, responder: &Responder, id: u64, renewal: &SubscriptionRenewal, all: &[String]) {
         self.calls += 1;
         self.routers.push(responder.clone());
--- a/router/src/testing/engine.rs
+++ b/router/src/testing/engine.rs
@@ -1,4 +1,4 @@
-//! Engines in the test's own process, on real connections over the loopback.
+//! Engines in the test's own process, on real connections over the loopback interface.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -14,26 +14,30 @@
 
 pub use crate::testing::engine_responses::*;
 
-/// A request as an engine saw it.
+/// A request as an engine received it.
 #[derive(Clone, Debug)]
 pub struct Seen {
     /// Which of the engine's connections it came on, counted from 0.
     pub connection: usize,
+    /// The request line and the headers.
     pub head: String,
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Seen {
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
 
+    /// Returns the attempt id, empty without one.
     pub fn attempt(&self) -> &str {
         self.header("attempt-id").unwrap_or("")
     }
 }
 
-/// The value of a header in the text of a head.
+/// Returns the value of a header in the text of a head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
     lines.find(|(found, _)| found.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
@@ -41,21 +45,22 @@
 
 /// What an engine does with a request.
 pub enum Act {
-    /// Sends these bytes and serves on.
+    /// Sends these bytes and continues to serve.
     Send(String),
     /// Sends these bytes and closes the connection.
     SendAndClose(String),
     /// Sends these bytes and resets the connection.
     SendAndReset(String),
-    /// Sends these bytes, and the others once the test says so.
+    /// Sends these bytes, and the others once the test notifies it.
     SendAndLater(String, Arc<Notify>, String),
-    /// Says nothing and keeps the connection open.
+    /// Sends nothing and keeps the connection open.
     Silence,
 }
 
+/// Decides what an engine does with each request.
 type Script = Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
 
-/// Engines that follow one script, which is also told how many requests came before to any of them.
+/// Starts engines that follow one script, which also gets the number of earlier requests to any of them.
 pub async fn engines(
     phase: &'static str,
     count: usize,
@@ -72,7 +77,7 @@
     list
 }
 
-/// An engine that answers with the head of a stream, and sends the rest once the test says so.
+/// Starts an engine that sends the head of a stream, and the rest once it is notified.
 pub async fn waiting_engine() -> (Vec<Engine>, Arc<Notify>) {
     let go_on = Arc::new(Notify::new());
     let later = go_on.clone();
@@ -83,17 +88,21 @@
     (list.await, go_on)
 }
 
-/// All requests that a list of engines saw.
+/// Returns all requests that a list of engines received.
 pub fn seen(engines: &[Engine]) -> Vec<Seen> {
     engines.iter().flat_map(Engine::seen).collect()
 }
 
+/// The number of probes that an engine answered.
 type Probes = Arc<AtomicUsize>;
 
 /// An engine that follows a script. Probes (`GET /report`) are answered and only counted.
 pub struct Engine {
+    /// Its id.
     pub id: String,
+    /// Its address, `ip:port`.
     pub addr: String,
+    /// The phase that it serves, `prefill` or `decode`.
     pub phase: &'static str,
     seen: Arc<Mutex<Vec<Seen>>>,
     probes: Probes,
@@ -101,11 +110,12 @@
 }
 
 impl Engine {
+    /// Starts an engine.
     pub async fn start(id: &str, phase: &'static str, script: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Engine {
         Engine::start_greeting(id, phase, "", script).await
     }
 
-    /// One that sends `greeting` on each new connection before it has read anything.
+    /// Starts an engine that sends `greeting` on each new connection before it has read anything.
     pub async fn start_greeting(
         id: &str,
         phase: &'static str,
@@ -137,22 +147,23 @@
         engine
     }
 
+    /// Returns the requests that it received.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.lock().clone()
     }
 
-    /// How often it was asked for a report.
+    /// Returns the number of probes that it answered.
     pub fn probes(&self) -> usize {
         self.probes.load(Ordering::Relaxed)
     }
 
-    /// Waits until so many connections have ended, probes apart.
+    /// Waits until so many connections have ended, probes excluded.
     pub async fn ended(&self, count: usize) {
         let mut ended = self.ended.clone();
         ended.wait_for(|now| *now >= count).await.expect("the engine lives");
     }
 
-    /// Its line in the platform's list.
+    /// Returns its entry in the platform's list.
     pub fn entry(&self) -> message::Engine {
         message::Engine {
             id: self.id.clone(),
@@ -168,7 +179,7 @@
     }
 }
 
-/// Serves a connection to its end. False: it was a probe's.
+/// Serves a connection to its end, and returns `false` if it was a probe's.
 async fn follow(
     mut stream: TcpStream,
     connection: usize,
@@ -209,7 +220,7 @@
     true
 }
 
-/// The next request on a connection: its head and its body. None: the connection ended.
+/// Reads the next request on a connection, its head and its body. `None`: the connection ended.
 async fn request(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     let end = loop {
         if let Some(at) = unread.windows(4).position(|four| four == b"\r\n\r\n") {
--- a/router/src/testing/engine_responses.rs
+++ b/router/src/testing/engine_responses.rs
@@ -1,11 +1,13 @@
-//! What stand-in engines answer.
+//! The responses of stand-in engines.
+
 use crate::testing::engine::Seen;
 
-/// An engine's answer to a request, with the seal and the id that belong there.
+/// Returns an engine's response to a request, with the seal and the attempt id that belong there.
 pub fn answer(seen: &Seen, status: &str, body: &str) -> String {
     sealed(seen.attempt(), status, body)
 }
 
+/// Returns a sealed response to an attempt.
 pub fn sealed(attempt: &str, status: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -14,13 +16,13 @@
     )
 }
 
-/// An engine's word that it did not run a request.
+/// Returns the response of an engine that did not run the request.
 pub fn not_executed(seen: &Seen) -> String {
     let attempt = seen.attempt();
     format!("HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {attempt}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// The head of a stream and events `from..to`; the end only where it is `whole`.
+/// Returns the head of a stream and the events `from..to`; the end of the stream only if it is `whole`.
 pub fn events(seen: &Seen, from: u32, to: u32, whole: bool) -> String {
     let attempt = seen.attempt();
     let mut text = format!(
@@ -37,7 +39,7 @@
     text
 }
 
-/// The head of a whole stream of two events, and what follows it.
+/// Returns the head of a complete stream of two events, and what follows it.
 pub fn head_and_rest(seen: &Seen) -> (String, String) {
     let whole = events(seen, 1, 3, true);
     let (head, rest) = whole.split_at(whole.find("\r\n\r\n").expect("a head") + 4);
--- a/router/src/testing/mod.rs
+++ b/router/src/testing/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines, controllers and clients, and virtual worlds, for tests only.
+//! Stand-ins for engines, controllers and clients, and simulations in virtual time, for tests only.
 
 pub mod controller;
 pub mod engine;
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -1,4 +1,4 @@
-//! A router in the test's own process, and clients of it, on real connections over the loopback.
+//! A router in the test's own process, and clients of it, on real connections over the loopback interface.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -16,6 +16,7 @@
 use crate::state::State;
 use crate::testing::engine::Engine;
 
+/// The settings of the router under test.
 pub const SETTINGS: &str = r#"
 node_name = "edge-1"
 ip = "127.0.0.1"
@@ -27,12 +28,12 @@
 cloud_api = { address = "127.0.0.1:1", rate_per_s = 1.0 }
 "#;
 
-/// A ready router with one route of each kind to one service.
+/// Returns a ready router with one route of each kind to one service.
 pub fn router(engines: &[Engine]) -> Arc<State> {
     router_holding(engines, 5.0)
 }
 
-/// One whose engines hold the memory of a prompt for so long.
+/// Returns one whose engines hold the KV cache of a prompt for `hold_s` seconds.
 pub fn router_holding(engines: &[Engine], hold_s: f64) -> Arc<State> {
     let state = unproved_router(engines, hold_s);
     // Nothing is ever in force in these tests that this router does not hold.
@@ -40,12 +41,12 @@
     state
 }
 
-/// One that does not know whether its configuration is current.
+/// Returns one that does not know whether its configuration is current.
 pub fn unproved_router(engines: &[Engine], hold_s: f64) -> Arc<State> {
     unproved_router_of(SETTINGS, engines, hold_s)
 }
 
-/// One with these settings that does not know whether its configuration is current.
+/// Returns one with these settings that does not know whether its configuration is current.
 pub fn unproved_router_of(settings: &str, engines: &[Engine], hold_s: f64) -> Arc<State> {
     let state = State::new(settings::parse(settings).expect("good settings"));
     let service = serde_json::json!([{"name": "s", "engine": {"kv_hold_s": hold_s}}]);
@@ -69,13 +70,13 @@
     assert_eq!(state.table().revision, revision, "in force");
 }
 
-/// A route of the usual configuration; its paths begin with its name.
+/// Returns a route of the usual configuration; its paths begin with its name.
 pub fn route(name: &str, kind: &str, resumable: bool) -> Value {
     serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"), "route_type": kind,
         "timeout_ms": 20000, "target_ms": 1000, "retry_count": 2, "service": "s", "resumable": resumable})
 }
 
-/// Tells the router which engines there are.
+/// Applies an endpoint list with these engines; `count` is its sequence number.
 pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
     let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
@@ -86,6 +87,7 @@
 pub struct Client(pub TcpStream);
 
 impl Client {
+    /// Connects to a router.
     pub async fn connect(state: &Arc<State>) -> Client {
         let listener = socket::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("its address");
@@ -97,6 +99,7 @@
         Client(TcpStream::connect(addr).await.expect("connected"))
     }
 
+    /// Sends text.
     pub async fn write(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.expect("written");
     }
@@ -108,7 +111,7 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Reads until `mark` has come.
+    /// Reads until `mark` has arrived.
     pub async fn until(&mut self, mark: &str) -> String {
         let mut bytes = Vec::new();
         while !String::from_utf8_lossy(&bytes).contains(mark) {
@@ -118,26 +121,26 @@
     }
 }
 
-/// A client's request; `more` holds further header lines.
+/// Returns the text of a client's request; `more` holds further header lines.
 pub fn post(route: &str, attempt: &str, more: &str) -> String {
     format!("POST /{route}/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {attempt}\r\nContent-Length: 4\r\n{more}\r\nbody")
 }
 
-/// One request on a connection of its own, and all that came back.
+/// Sends one request on a connection of its own, and returns all that came back.
 pub async fn ask(state: &Arc<State>, route: &str, attempt: &str, more: &str) -> String {
     let mut client = Client::connect(state).await;
     client.write(&post(route, attempt, &format!("Connection: close\r\n{more}"))).await;
     client.rest().await
 }
 
-/// Waits until the router holds so many kept connections to engines.
+/// Waits until the router holds so many idle connections to engines.
 pub async fn kept(state: &State, count: usize) {
     while state.connection_pools.ready_count() != count {
         task::yield_now().await;
     }
 }
 
-/// The status of the first answer in a text.
+/// Returns the status of the first response in a text.
 pub fn status(text: &str) -> &str {
     text.split(' ').nth(1).unwrap_or("none")
 }
--- a/router/src/testing/single_home.rs
+++ b/router/src/testing/single_home.rs
@@ -1,5 +1,5 @@
-//! The router as it was before hedged calls, as a broken variant for tests: one home at a time, with waits that
-//! do not go by the bounds.
+//! The router as it was before hedged calls, as a broken variant for tests: one home controller at a time, with
+//! timeouts that do not follow the convergence budget.
 
 use std::collections::BTreeMap;
 
@@ -15,6 +15,7 @@
 const BACKOFF_MS: u64 = 5000;
 const RETRY_DELAY_MS: u64 = 30;
 
+/// Calls one controller at a time.
 pub struct SingleHome {
     order: Vec<String>,
     backoffs: BTreeMap<String, u64>,
@@ -28,6 +29,7 @@
 }
 
 impl SingleHome {
+    /// Returns the policy of a router with this order of controllers.
     pub fn new(order: &[String]) -> SingleHome {
         SingleHome {
             order: order.to_vec(),
@@ -42,6 +44,7 @@
         }
     }
 
+    /// Leaves the home for the next controller.
     fn change_home(&mut self, now: u64) {
         self.backoffs.insert(self.home.clone(), now + BACKOFF_MS);
         let until = |ip: &String| self.backoffs.get(ip).copied().filter(|until| *until > now).unwrap_or(0);
--- a/router/src/testing/subscription_world.rs
+++ b/router/src/testing/subscription_world.rs
@@ -1,4 +1,5 @@
-//! Controllers in virtual time, for tests of the state machine that decides which of them are asked.
+//! A simulation of controllers in virtual time, for tests of the state machine that decides which of them are
+//! called.
 
 use kernel::settings::Bounds;
 use kernel::ConvergenceBudget;
@@ -6,34 +7,39 @@
 use crate::subscription::response::{Proof, RenewalResponse};
 use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 
-/// A dial that meets silence is given up after this.
+/// A dial that gets no answer ends after this, in milliseconds.
 const DIAL_MS: u64 = 500;
 
-/// How a controller takes a call.
+/// How a controller handles a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It answers after `answer_ms` what it confirmed `age_ms` before.
+    /// Responds after `answer_ms` with a confirmation that is `age_ms` old.
     Healthy { answer_ms: u64, age_ms: u64 },
-    /// As healthy, but a frame is lost on the way: the answer confirms more than has come.
+    /// As healthy, but a frame is lost on the way: the response confirms more than has arrived.
     LosingFrames { answer_ms: u64 },
-    /// It answers, and has not been able to confirm anything since a time.
+    /// Responds, and has not been able to confirm anything since a time.
     UnconfirmedSince(u64),
-    /// It is of an older version, and sure.
+    /// Is of an older version, and confirms without an age.
     Older { answer_ms: u64 },
-    /// Its machine takes the connection and says nothing.
+    /// Accepts the connection and never responds.
     Frozen,
     /// Nothing comes back from its machine.
     Unreachable,
-    /// Its process is gone, its machine is not.
+    /// Its process is gone, its machine is not: connections are refused.
     Refusing,
 }
 
-/// What decides which controllers are called.
+/// Decides which controllers are called.
 pub trait Policy {
+    /// Returns the calls to begin now.
     fn due_calls(&mut self, now: u64) -> Vec<Call>;
+    /// Returns when `due_calls` is to be consulted again.
     fn wake_at(&self, now: u64) -> u64;
+    /// Handles a response.
     fn on_response(&mut self, now: u64, controller: &str, answer: &RenewalResponse);
+    /// Handles a call that failed.
     fn on_failure(&mut self, now: u64, controller: &str);
+    /// Returns the time as of which the configuration is proved to be current.
     fn current_as_of(&self) -> Option<i64>;
 }
 
@@ -59,7 +65,7 @@
     }
 }
 
-/// The end of a call that is under way.
+/// The end of a call that is in flight.
 struct FinishedCall {
     at: u64,
     controller: String,
@@ -69,34 +75,44 @@
 /// A call as it was begun.
 #[derive(Clone, Debug)]
 pub struct Begun {
+    /// When it was begun.
     pub at: u64,
+    /// The controller that was called.
     pub controller: String,
 }
 
 /// One router and its controllers.
 pub struct World<P> {
+    /// The virtual time, in milliseconds.
     pub now: u64,
+    /// What decides which controllers are called.
     pub policy: P,
+    /// All controllers, in the order of the router.
     pub controllers: Vec<String>,
+    /// The members of the core.
     pub members: Vec<String>,
     /// The revision held by the router.
     pub held: u64,
+    /// All calls so far.
     pub begun: Vec<Begun>,
-    /// The oldest that the proof ever was, since there is one.
+    /// The greatest age that the proof has had since there is one, in milliseconds.
     pub oldest_proof: i64,
     under_way: Vec<FinishedCall>,
 }
 
+/// Returns the names `prefix0`, `prefix1`, ...
 pub fn names(prefix: &str, count: usize) -> Vec<String> {
     (0..count).map(|at| format!("{prefix}{at}")).collect()
 }
 
+/// Returns the convergence budget of a bound in milliseconds.
 pub fn budget(converge_ms: u64) -> ConvergenceBudget {
     ConvergenceBudget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
 impl World<SubscriptionScheduler> {
-    /// A ready router whose order is `k0`, `k1`, ...; from `k4` on every third controller is a member of the core.
+    /// Returns the world of a ready router whose order is `k0`, `k1`, ...; from `k4` on every third controller is a
+    /// member of the core.
     pub fn new(converge_ms: u64, controllers: usize) -> World<SubscriptionScheduler> {
         let controllers = names("k", controllers);
         let mut scheduler = SubscriptionScheduler::new(budget(converge_ms), "edge-1", "k0", &controllers[..1]);
@@ -106,18 +122,19 @@
 }
 
 impl<P: Policy> World<P> {
+    /// Returns the world of a router that follows a policy.
     pub fn with(policy: P, controllers: Vec<String>) -> World<P> {
         let members = controllers.iter().skip(4).step_by(3).cloned().collect();
         let (begun, under_way) = (Vec::new(), Vec::new());
         World { now: 1000, policy, controllers, members, held: 7, begun, oldest_proof: 0, under_way }
     }
 
-    /// Until a time; `behaviour` says how each controller takes a call that begins at a time.
+    /// Runs until a time; `behaviour` says how each controller handles a call that begins at a time.
     pub fn run(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64) -> Behaviour) {
         self.run_by_held(until, |controller, now, _| behaviour(controller, now));
     }
 
-    /// As `run`; `behaviour` is also told which revision the router holds.
+    /// Runs as `run` does; `behaviour` also gets the revision that the router holds.
     pub fn run_by_held(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64, u64) -> Behaviour) {
         while self.now < until {
             self.end_calls();
@@ -135,6 +152,7 @@
         }
     }
 
+    /// Reports the calls that have ended.
     fn end_calls(&mut self) {
         while let Some(at) = self.under_way.iter().position(|end| end.at <= self.now) {
             let end = self.under_way.remove(at);
@@ -149,14 +167,17 @@
         }
     }
 
+    /// Returns the age of the proof, in milliseconds.
     pub fn proof_age(&self) -> Option<i64> {
         self.policy.current_as_of().map(|as_of| self.now as i64 - as_of)
     }
 
+    /// Keeps the greatest age of the proof.
     fn note_proof_age(&mut self) {
         self.oldest_proof = self.oldest_proof.max(self.proof_age().unwrap_or(0));
     }
 
+    /// Returns the end of a call under a behaviour.
     fn end_of(&self, call: &Call, behaviour: Behaviour) -> FinishedCall {
         let controller = call.controller.clone();
         let failure = |after: u64| FinishedCall {
@@ -188,7 +209,7 @@
         FinishedCall { at: self.now + after, controller, answer: Some(answer) }
     }
 
-    /// The most calls that were begun within any span of this length, from a time on.
+    /// Returns the most calls that were begun within any span of this length, from a time on.
     pub fn most_calls_within(&self, span_ms: u64, from: u64) -> usize {
         let times: Vec<u64> = self.begun.iter().map(|begun| begun.at).filter(|at| *at >= from).collect();
         let within = |begin: u64| times.iter().filter(|at| (begin..begin + span_ms).contains(at)).count();
--- a/router/src/upstream/connection_pool.rs
+++ b/router/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: kept while the engine keeps them, never more than this router's slice.
+//! Connections to engines: reused while the engine keeps them open, and never more than this router's share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,46 +14,51 @@
 use parking_lot::Mutex;
 use protocol::socket::{self, IO_TIMEOUT_MS};
 
+/// An HTTP/1.1 connection to an engine.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// Where an engine is reached. An address may pass to another engine; what was kept to the one before is of no
-/// use to it.
+/// Where an engine is reached. An address may pass to another engine; connections to the previous one are of no use
+/// to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
+    /// The address, `ip:port`.
     pub addr: String,
     /// The engine's id.
     pub engine: String,
 }
 
-/// A connection that waits to be used again.
+/// A connection that waits to be reused.
 struct Idle {
     connection: Connection,
-    /// Its engine may close it after this.
+    /// Its engine may close it after this time.
     until: u64,
     engine: String,
 }
 
-/// Invariant: `count` is the number of connections to one address that are open or being opened.
+/// The connections to one address. Invariant: `count` is the number of those that are open or being opened.
 #[derive(Default)]
 struct EndpointPool {
     idle: Vec<Idle>,
     count: Arc<AtomicUsize>,
 }
 
+/// The pools of all addresses.
 #[derive(Default)]
 pub struct ConnectionPools(Mutex<HashMap<String, EndpointPool>>);
 
-/// An idle connection whose engine named no time is used again only this soon.
+/// How long an idle connection is reused whose engine named no time, in milliseconds.
 const DEFAULT_KEEP_ALIVE_MS: u64 = 700;
-/// How much sooner than its engine a router gives a connection up.
+/// How much sooner than its engine a router closes a connection, in milliseconds.
 const KEEP_ALIVE_MARGIN_MS: u64 = 300;
+/// How long a connection may take to be established, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 400;
 
+/// Why a request was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// The slice of connections is in use.
+    /// This router's share of connections is in use.
     PoolExhausted,
-    /// Refused or silent.
+    /// The connection was refused or not established in time.
     Unreachable,
     /// The limit on stale weights rose, or its lease lapsed, before anything was written.
     TooStale,
@@ -62,7 +67,7 @@
 }
 
 impl ConnectionPools {
-    /// A kept connection to this very engine. Those that are of no use any more are dropped on the way.
+    /// Takes an idle connection to this very engine, and drops unusable ones on the way.
     pub fn take_idle(&self, to: &Endpoint) -> Option<Connection> {
         let now = clock::now();
         let mut pools = self.0.lock();
@@ -75,6 +80,11 @@
         None
     }
 
+    /// Opens a connection.
+    ///
+    /// # Errors
+    /// `PoolExhausted` if `max_connections` to the address are open already, `Unreachable` if it is not
+    /// established.
     pub async fn dial(&self, to: &Endpoint, max_connections: usize) -> Result<Connection, SendError> {
         let count = self.0.lock().entry(to.addr.clone()).or_default().count.clone();
         if count.load(Ordering::Relaxed) >= max_connections.max(1) {
@@ -93,8 +103,8 @@
         Ok(connection)
     }
 
-    /// Takes a connection back once its answer was read whole. `keep` is what the engine named, in
-    /// whole seconds cut down; None when it named nothing.
+    /// Returns a connection for reuse after its response was read completely. `keep_alive_s`: the time that the
+    /// engine named, in whole seconds rounded down; `None` if it named none.
     pub fn release(&self, to: &Endpoint, connection: Connection, keep_alive_s: Option<u64>) {
         let now = clock::now();
         let span =
@@ -107,13 +117,14 @@
         }
     }
 
-    /// Kept connections that may still be used.
+    /// Returns the number of idle connections that may still be reused.
     #[cfg(test)]
     pub fn ready_count(&self) -> usize {
         let pools = self.0.lock();
         pools.values().flat_map(|pool| &pool.idle).filter(|idle| idle.connection.is_ready()).count()
     }
 
+    /// Drops the idle connections to an address.
     pub fn forget(&self, addr: &str) {
         if let Some(pool) = self.0.lock().get_mut(addr) {
             pool.idle.clear();
@@ -121,6 +132,7 @@
     }
 }
 
+/// Counts one connection until it is dropped.
 struct ConnectionSlot(Arc<AtomicUsize>);
 
 impl Drop for ConnectionSlot {
@@ -129,12 +141,13 @@
     }
 }
 
-/// `Keep-Alive: timeout=N`
+/// Returns N of the header `Keep-Alive: timeout=N`.
 pub fn keep_alive_seconds(head: &HeaderMap) -> Option<u64> {
     let text = head.get("keep-alive")?.to_str().ok()?;
     text.split(',').find_map(|piece| piece.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
+/// Returns whether the header `Connection` has the option `close`.
 pub fn requests_close(head: &HeaderMap) -> bool {
     let list = head.get_all(CONNECTION);
     list.iter().any(|value| value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close")))
--- a/router/src/upstream/mod.rs
+++ b/router/src/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! The engines' side: connections to engines, and outlier detection: suspicion of engines that give no sign of life, settled by probes.
+//! The connections to engines, and outlier detection: engines that are suspected to be unresponsive, and the probes
+//! that confirm or clear the suspicion.
 
 pub mod connection_pool;
 pub mod probe;
--- a/router/src/upstream/probe.rs
+++ b/router/src/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! One question to an engine, on a connection of its own.
+//! One health probe of an engine, on a connection of its own.
 
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
 use protocol::socket::{self, IO_TIMEOUT_MS};
 use tokio::time;
 
-/// How long the answer may take.
+/// How long a probe may take, in milliseconds.
 pub const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Some: it answered, with its id where it gave one.
+/// Probes an engine. `Some`: it responded, with its id where it gave one. `None`: no response in time.
 pub async fn probe(addr: &str) -> Option<Option<String>> {
     let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
     time::timeout(wait, report(addr)).await.ok()?
 }
 
+/// Requests `GET /report` on a new connection.
 async fn report(addr: &str) -> Option<Option<String>> {
     let stream = socket::connect(addr, PROBE_TIMEOUT_MS, IO_TIMEOUT_MS).await.ok()?;
     let io = TokioIo::new(stream);
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -1,8 +1,9 @@
-//! Doubt about an engine that gives no sign of life: settled by asking it, never by a client's
-//! request. `GET /report` takes no slot; a slow engine answers it, a dark one does not.
+//! Outlier detection: suspicion of an engine that gave no sign of life, confirmed or cleared by a probe and never
+//! by a client's request. `GET /report` takes no slot; a slow engine answers it, an unresponsive one does not.
 //!
-//! One engine that goes dark must not be asked by every router: one that doubts it tells, some others are drawn to
-//! ask it too, and the rest take their word, both for its silence and for its first answer.
+//! An engine that becomes unresponsive must not be probed by every router. One that suspects it reports so, some
+//! others are sampled to probe it too, and the rest rely on their reports, both for its silence and for its first
+//! response.
 
 use std::mem;
 use std::sync::Arc;
@@ -20,29 +21,30 @@
 use crate::upstream::probe_rate::{is_sampled, probe_delay, reported_probe_delay, PROBE_JITTER_MS, SUSPICION_MS};
 use crate::upstream::suspicion_report::SuspicionReport;
 
-/// How long a request may go without a sign of life from its engine before that is asked.
+/// How long a request may go without a sign of life from its engine before the engine is probed, in milliseconds.
 pub const LIVENESS_TIMEOUT_MS: u64 = 150;
-/// How often a router tells of its own doubt while it gets no answer.
+/// How many times a router reports its own suspicion while it gets no response.
 const MAX_SUSPICION_REPORTS: u32 = 3;
-/// An engine that gave no answer for so long was not only slow.
+/// An engine that was unresponsive for longer than this, in milliseconds, may have been restarted.
 const PRESUMED_RESTART_MS: u64 = 1000;
 
-/// Why an engine is asked.
+/// Why an engine is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeReason {
     /// A request of this router got no sign of life.
     OwnRequest,
-    /// Another router's doubt, and this one was drawn to ask.
+    /// Another router suspects it, and this one was sampled to probe it too.
     Sampled,
-    /// It is told to be dark.
+    /// It is reported to be unresponsive.
     Reported,
 }
 
+/// Returns a random number.
 fn next_random(state: &State) -> u64 {
     state.rng.lock().next_u64()
 }
 
-/// Word of an engine from a controller.
+/// Handles a report about an engine that a controller relayed.
 pub fn handle_report(state: &Arc<State>, name: &str) {
     let report = SuspicionReport::decode(name);
     let Some(at) = state.engine_table.lock().find(report.engine()) else { return };
@@ -56,7 +58,7 @@
             {
                 let mut engine_table = state.engine_table.lock();
                 let engine = &mut engine_table.engines[at];
-                // Nothing new is sent there; answers under way are no worse for what others saw.
+                // New requests avoid it; responses in flight are not affected by what other routers saw.
                 engine.suspected_until = engine.suspected_until.max(now + SUSPICION_MS);
             }
             start_probing(state, at, ProbeReason::Reported);
@@ -69,7 +71,7 @@
     }
 }
 
-/// Until the next probe is due (false), or another router got an answer (true).
+/// Waits until the next probe is due (`false`), or another router got a response (`true`).
 async fn wait_for_next_probe(state: &State, at: usize, wait_ms: u64) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
@@ -83,7 +85,8 @@
     }
 }
 
-/// As `rest`, until a request of this router gets no sign of life either: then it asks for itself.
+/// Waits as `wait_for_next_probe` does, but also ends when a request of this router gets no sign of life either:
+/// then it probes for itself.
 async fn wait_on_report(state: &State, at: usize, wait_ms: u64) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
@@ -104,6 +107,7 @@
     }
 }
 
+/// Sends a report to the home controller, which relays it.
 fn send_report(state: &State, report: SuspicionReport) {
     let home = state.home_controller.lock().clone();
     if let Some(home) = home {
@@ -111,7 +115,8 @@
     }
 }
 
-/// A request got no sign of life from an engine: it is asked until it answers or is gone.
+/// Raises a suspicion because a request got no sign of life: the engine is probed until it responds or is no longer
+/// listed.
 pub fn raise(state: &Arc<State>, at: usize) {
     if let Some(engine) = state.engine_table.lock().engines.get_mut(at) {
         engine.is_unresponsive = true;
@@ -120,7 +125,7 @@
     start_probing(state, at, ProbeReason::OwnRequest);
 }
 
-/// One asker an engine at a time.
+/// Starts a prober unless the engine has one.
 fn start_probing(state: &Arc<State>, at: usize, reason: ProbeReason) {
     {
         let mut engine_table = state.engine_table.lock();
@@ -134,14 +139,15 @@
     tokio::spawn(probe_until_response(state.clone(), at, reason));
 }
 
-/// What came of one probe.
+/// The outcome of one probe.
 enum ProbeOutcome {
-    /// Nothing more is to be asked.
+    /// No more probes are needed.
     Finished,
-    /// No answer; whether the engine was known to be dark before.
+    /// No response; `known`: the engine was suspected before.
     Unanswered { known: bool },
 }
 
+/// Probes an engine until it responds or is no longer listed.
 async fn probe_until_response(state: Arc<State>, at: usize, reason: ProbeReason) {
     let started_at = clock::now();
     let random = || next_random(&state);
@@ -162,7 +168,7 @@
         let answer = probe(&addr).await;
         let known = match record_probe(&state, at, &id, answer, started_at) {
             ProbeOutcome::Finished => {
-                // Whoever was told need not tell.
+                // A router that learned of the response from a report need not report it again.
                 let is_here = state.engine_table.lock().engines[at].listed;
                 if is_here && !response_reported && (unanswered > 0 || reason == ProbeReason::Reported) {
                     send_report(&state, SuspicionReport::Responded(&id));
@@ -187,7 +193,7 @@
     }
 }
 
-/// Takes the answer of an engine, or its silence, for what it says.
+/// Records the response of an engine, or its absence.
 fn record_probe(state: &State, at: usize, id: &str, answer: Option<Option<String>>, started_at: u64) -> ProbeOutcome {
     let now = clock::now();
     let mut engine_table = state.engine_table.lock();
@@ -207,15 +213,17 @@
     ProbeOutcome::Unanswered { known }
 }
 
+/// Records that the engine responded.
 fn record_response(state: &State, engine: &mut EngineState, now: u64, started_at: u64) {
     engine.record_response(now);
     if now > started_at + PRESUMED_RESTART_MS {
-        // It may have been started anew meanwhile.
+        // It may have been restarted in the meantime.
         engine.presume_cold(now + evacuation::presumed_cold_ms(state));
     }
 }
 
-/// Another router got an answer, and this one has no reason of its own to doubt it.
+/// Clears the suspicion because another router got a response and this one has no evidence of its own against the
+/// engine.
 fn accept_reported_response(state: &State, at: usize, started_at: u64) {
     let mut engine_table = state.engine_table.lock();
     let engine = &mut engine_table.engines[at];
@@ -223,6 +231,7 @@
     record_response(state, engine, clock::now(), started_at);
 }
 
+/// Returns whether the engine needs no further probes.
 fn is_resolved(engine: &EngineState, now: u64) -> bool {
     !engine.listed || engine.suspected_until <= now
 }
--- a/router/src/upstream/suspicion_report.rs
+++ b/router/src/upstream/suspicion_report.rs
@@ -1,21 +1,24 @@
-//! What routers tell one another of an engine that is in doubt.
+//! What routers report to one another about a suspected engine, through the controllers.
 
-/// What routers tell one another of an engine, through the controllers. Peers of earlier versions know no engine of the
-/// marked names.
+/// A report about one engine. It travels as the engine's id with a prefix; peers of earlier versions know no engine
+/// of a prefixed name and ignore it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionReport<'a> {
-    /// It gave a router no sign of life: some others ask it.
+    /// It gave a router no sign of life: some others probe it.
     Suspected(&'a str),
-    /// One of those that were drawn got no answer either.
+    /// A router that was sampled got no response either.
     Unresponsive(&'a str),
-    /// It answered again.
+    /// It responds again.
     Responded(&'a str),
 }
 
+/// The prefix of an unresponsive engine's id.
 const UNRESPONSIVE_PREFIX: &str = "\0dark/";
+/// The prefix of the id of an engine that responds again.
 const RESPONDED_PREFIX: &str = "\0calm/";
 
 impl<'a> SuspicionReport<'a> {
+    /// Decodes a report from its form on the wire.
     pub fn decode(name: &'a str) -> SuspicionReport<'a> {
         if let Some(engine) = name.strip_prefix(UNRESPONSIVE_PREFIX) {
             return SuspicionReport::Unresponsive(engine);
@@ -23,6 +26,7 @@
         name.strip_prefix(RESPONDED_PREFIX).map_or(SuspicionReport::Suspected(name), SuspicionReport::Responded)
     }
 
+    /// Encodes a report for the wire.
     pub fn encode(self) -> String {
         match self {
             SuspicionReport::Suspected(engine) => engine.into(),
@@ -31,6 +35,7 @@
         }
     }
 
+    /// Returns the id of the engine.
     pub fn engine(self) -> &'a str {
         let (SuspicionReport::Suspected(engine)
         | SuspicionReport::Unresponsive(engine)
