--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -1,4 +1,4 @@
-//! A newer configuration taken into force, and a catalog that changed hands.
+//! Brings a newer configuration into force, and reregisters prefixes when the catalog gets a new owner.
 
 use std::str;
 use std::sync::Arc;
@@ -13,41 +13,43 @@
 use crate::event::{CONFIG_ACTIVATED, CONFIG_UNREADABLE};
 use crate::state::State;
 
-/// A whole configuration as text, from a controller that knows no other form.
-pub fn config(state: &State, version: u64, text: &[u8]) {
+/// Applies a whole configuration as text, from a controller that knows no other form.
+pub fn apply_document(state: &State, version: u64, text: &[u8]) {
     if version <= state.subscribed().config_revision {
         return;
     }
     let read = str::from_utf8(text).map_err(|error| error.to_string());
     let read = read.and_then(|text| ConfigDocument::parse_committed(text).map_err(|error| error.to_string()));
     match read {
-        Ok(config) => turn(state, &ConfigUpdate::full(config.config())),
+        Ok(config) => apply_update(state, &ConfigUpdate::full(config.config())),
         Err(error) => kernel::log_event!(CONFIG_UNREADABLE, "version" => version, "error" => error),
     }
 }
 
-/// One that can't be read counts for nothing: the next call tells what is held and the whole comes.
-pub fn change(state: &State, body: &[u8]) {
+/// Applies an encoded update. One that can't be decoded changes nothing: the next renewal reports the revision
+/// held, and the whole configuration is sent.
+pub fn apply_encoded_update(state: &State, body: &[u8]) {
     match ConfigUpdate::decode(body) {
-        Some(change) => turn(state, &change),
+        Some(change) => apply_update(state, &change),
         None => kernel::log_event!(CONFIG_UNREADABLE, "version" => 0, "error" => "a change that can't be read"),
     }
 }
 
-fn turn(state: &State, change: &ConfigUpdate) {
+/// Brings an update into force unless it is outdated or doesn't follow the revision held.
+fn apply_update(state: &State, change: &ConfigUpdate) {
     let old = state.table();
-    let Some(table) = old.turn(change, &mut state.engines()) else { return };
+    let Some(table) = old.apply(change, &mut state.engines()) else { return };
     state.set_table(Arc::new(table));
     state.subscribed().config_revision = change.to;
     state.freshness.table_changed();
     kernel::log_event!(CONFIG_ACTIVATED, "revision" => change.to);
 }
 
-/// A new holder of the catalog starts empty: what is known here is registered again, in steps.
-pub async fn again(state: Arc<State>) {
-    let all = state.owner_cache().entries(clock::now());
-    for part in all.chunks(100) {
-        let list = part.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
+/// Registers all known prefixes again, in batches: a new owner of the catalog starts empty.
+pub async fn reregister_prefixes(state: Arc<State>) {
+    let entries = state.owner_cache().entries(clock::now());
+    for batch in entries.chunks(100) {
+        let list = batch.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
         state.prefix_catalog.register(list, Vec::new());
         time::sleep(Duration::from_millis(50)).await;
     }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -1,8 +1,8 @@
-//! Whether the table in force is proved to be current, and the requests that wait to know it.
+//! Whether the routing table in force is proved to be current, and the requests that wait for that proof.
 //!
-//! A refusal that rests on what the table lacks (no such route, no such key) is only certain if nothing that was
-//! acknowledged in time can be missing. A request that would be refused without that proof waits for a short
-//! time, together with all others: the router's follower is woken once for all of them.
+//! A refusal that rests on what the table lacks (no such route, no such key) is certain only if nothing that was
+//! acknowledged in time can be missing. A request that would be refused without that proof waits for a short time
+//! together with all others; the router's subscription is woken once for all of them.
 
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -13,20 +13,20 @@
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
 
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::state::State;
 
-/// No proof yet.
-const NEVER: i64 = i64::MIN;
-/// How many requests may wait at once. Beyond them the answer is uncertain without a wait.
-const MOST_WAITING: usize = 256;
+/// Stands for "no proof yet".
+const NO_PROOF: i64 = i64::MIN;
+/// How many requests may wait at once. Beyond them the outcome is uncertain without a wait.
+const MAX_WAITING: usize = 256;
 
-/// Why the table gives nothing for a request.
+/// Why the routing table has nothing for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum LookupMiss {
     /// The table is current, and has nothing for it.
     Certain,
-    /// The table may only be late.
+    /// The table may be outdated.
     Unproved,
 }
 
@@ -35,92 +35,103 @@
     budget: ConvergenceBudget,
     current_as_of: AtomicI64,
     waiting: AtomicUsize,
-    /// A proof or a newer table has come.
+    /// Notified when a proof or a newer table has arrived.
     changed: Notify,
-    /// Somebody waits for a proof.
+    /// Notified when a request waits for a proof.
     wanted: Notify,
 }
 
-/// One request that waits; counted until it is dropped.
-struct Waiting<'a>(&'a Freshness);
+/// Counts one waiting request until it is dropped.
+struct WaitGuard<'a>(&'a Freshness);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Freshness {
+    /// Returns the state before the first proof.
     pub fn new(budget: ConvergenceBudget) -> Freshness {
         Freshness {
             budget,
-            current_as_of: NEVER.into(),
+            current_as_of: NO_PROOF.into(),
             waiting: Default::default(),
             changed: Default::default(),
             wanted: Default::default(),
         }
     }
 
+    /// Returns the budget of the time in which changes converge.
     pub fn budget(&self) -> &ConvergenceBudget {
         &self.budget
     }
 
-    /// All that was acknowledged before this time of the steady clock is in the table in force.
+    /// Records that all that was acknowledged before this time of the steady clock is in the table in force.
     pub fn prove(&self, as_of: i64) {
         self.current_as_of.fetch_max(as_of, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// A newer table is in force.
+    /// Wakes the waiting requests because a newer table is in force.
     pub fn table_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    /// May a refusal rest on the table in force?
+    /// Returns whether a refusal may rest on the table in force.
     pub fn is_proved(&self, now: u64) -> bool {
         let as_of = self.current_as_of.load(Ordering::Relaxed);
         now as i64 <= as_of.saturating_add(self.budget.refusal_age_ms() as i64)
     }
 
-    /// Until a request waits for a proof. Many that wait end it once.
+    /// Waits until a request waits for a proof. Any number of them end it once.
     pub async fn wanted(&self) {
         self.wanted.notified().await;
     }
 
-    fn enter(&self) -> Option<Waiting<'_>> {
+    /// Counts the caller as waiting unless too many are.
+    fn try_wait(&self) -> Option<WaitGuard<'_>> {
         let order = Ordering::Relaxed;
-        let waiting = Waiting(self);
-        (self.waiting.fetch_add(1, order) < MOST_WAITING).then_some(waiting)
+        let waiting = WaitGuard(self);
+        (self.waiting.fetch_add(1, order) < MAX_WAITING).then_some(waiting)
     }
 }
 
-/// Looks at the table of this moment. The proof is read first: the table that follows is no older.
-fn look(state: &State, accepts: &impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
+/// Returns the table of this moment if it is accepted. The proof is read first, so that the table read after it is
+/// no older.
+fn find_table(state: &State, accepts: &impl Fn(&RoutingTable) -> bool) -> Result<Arc<RoutingTable>, LookupMiss> {
     let proved = state.freshness.is_proved(clock::now());
     let table = state.table();
     match accepts(&table) {
         true => Ok(table),
-        false if proved => Err(Miss::Certain),
-        false => Err(Miss::Unproved),
+        false if proved => Err(LookupMiss::Certain),
+        false => Err(LookupMiss::Unproved),
     }
 }
 
-/// The first table from now on that has what a request needs. A miss is certain only by a table that is proved
-/// current; that proof is waited for during a third of the time that the request has left at most.
-pub async fn table_with(state: &State, left_ms: u64, accepts: impl Fn(&Table) -> bool) -> Result<Arc<Table>, Miss> {
-    let first = look(state, &accepts);
-    if !matches!(first, Err(Miss::Unproved)) {
+/// Returns the first table from now on that has what a request needs.
+///
+/// # Errors
+/// A miss is `Certain` only by a table that is proved current. Without that proof it waits, during a third of the
+/// time that the request has left at most, and then returns `Unproved`.
+pub async fn wait_for_table(
+    state: &State,
+    left_ms: u64,
+    accepts: impl Fn(&RoutingTable) -> bool,
+) -> Result<Arc<RoutingTable>, LookupMiss> {
+    let first = find_table(state, &accepts);
+    if !matches!(first, Err(LookupMiss::Unproved)) {
         return first;
     }
     let freshness = &state.freshness;
-    let Some(_waiting) = freshness.enter() else { return first };
+    let Some(_waiting) = freshness.try_wait() else { return first };
     freshness.wanted.notify_one();
     let wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / 3));
     let end = Instant::now() + wait;
     loop {
         let changed = freshness.changed.notified();
-        let now = look(state, &accepts);
-        if !matches!(now, Err(Miss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
+        let now = find_table(state, &accepts);
+        if !matches!(now, Err(LookupMiss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
             return now;
         }
     }
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -19,7 +19,7 @@
 use crate::proxy::send::{SendOptions, SendOutcome};
 use crate::state::State;
 use crate::upstream::connection_pool::{Endpoint, SendError};
-use crate::upstream::suspicion::{self, SIGN_MS};
+use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
 /// One request on its way. Invariants: `may_have_run` never goes back to false;
 /// what is still in flight is ended on drop, and memory that is held is given free.
@@ -236,7 +236,7 @@
             wait_ms,
         );
         tokio::pin!(send);
-        let interval = Duration::from_millis(SIGN_MS.min(wait_ms.max(1)));
+        let interval = Duration::from_millis(LIVENESS_TIMEOUT_MS.min(wait_ms.max(1)));
         loop {
             if let Ok(outcome) = time::timeout(interval, &mut send).await {
                 return outcome;
@@ -260,7 +260,7 @@
         if failed_at > seen_at {
             return true;
         }
-        if now >= seen_at + SIGN_MS {
+        if now >= seen_at + LIVENESS_TIMEOUT_MS {
             suspicion::raise(&self.state, engine_index);
         }
         false
@@ -290,8 +290,8 @@
                 engine.record_response(now);
                 engine.set_weight_version(self.request.model_key, *version);
             }
-            SendOutcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
-            SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
+            SendOutcome::Unsent(SendError::TooStale | SendError::Unauthorized) => {}
+            SendOutcome::Unsent(SendError::PoolExhausted) => engine.saturated_until = now + 20,
             _ => {
                 drop(engine_table);
                 suspicion::raise(&self.state, engine_index);
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -18,7 +18,7 @@
 use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
 use crate::proxy::{phases, plan, response_head};
 use crate::rollout::VersionOutcome;
-use crate::upstream::suspicion::{self, SIGN_MS};
+use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
 /// When a refused client may come back: soon, and later the more is waiting.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
@@ -245,7 +245,7 @@
     sender: &BodySender,
 ) -> BodyEnd {
     use http_body_util::BodyExt;
-    let interval = Duration::from_millis(SIGN_MS);
+    let interval = Duration::from_millis(LIVENESS_TIMEOUT_MS);
     let (is_streaming, may_move) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
     let is_framed = response.is_framed();
     let mut last_seen_at = clock::now();
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -121,7 +121,7 @@
     let mut outgoing = build_request(request, &endpoint.engine, options);
     let deadline = Instant::now() + Duration::from_millis(timeout_ms);
     loop {
-        let (mut connection, is_new) = match state.connection_pools.idle(endpoint) {
+        let (mut connection, is_new) = match state.connection_pools.take_idle(endpoint) {
             Some(connection) => (connection, false),
             None => match state.connection_pools.dial(endpoint, max_connections).await {
                 Ok(connection) => {
@@ -132,7 +132,7 @@
             },
         };
         if !satisfies_bound(state, service, &request.model, options) {
-            return SendOutcome::Unsent(SendError::Behind);
+            return SendOutcome::Unsent(SendError::TooStale);
         }
         if !request.authorization.is_still_valid(&state.table()) {
             return SendOutcome::Unsent(SendError::Unauthorized);
@@ -146,7 +146,7 @@
                     outgoing = unwritten;
                     continue;
                 }
-                Some(_) => return SendOutcome::Unsent(SendError::Down),
+                Some(_) => return SendOutcome::Unsent(SendError::Unreachable),
                 None => return SendOutcome::Lost,
             },
         };
@@ -216,12 +216,12 @@
 
 /// A connection whose answer was read to its end.
 pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if connection_pool::closes(head) {
+    if connection_pool::requests_close(head) {
         return;
     }
     let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.connection_pools.put(endpoint, connection, connection_pool::keep(head));
+        state.connection_pools.release(endpoint, connection, connection_pool::keep_alive_seconds(head));
     }
 }
 
@@ -234,7 +234,7 @@
     if let Ok(host) = HeaderValue::from_str(&handle.endpoint.addr) {
         outgoing.headers_mut().insert(HOST, host);
     }
-    let mut connection = match state.connection_pools.idle(&handle.endpoint) {
+    let mut connection = match state.connection_pools.take_idle(&handle.endpoint) {
         Some(connection) => connection,
         None => match state.connection_pools.dial(&handle.endpoint, max_connections).await {
             Ok(connection) => connection,
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -17,13 +17,13 @@
 use tokio::sync::Notify;
 
 use crate::config::freshness::Freshness;
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::frontend::drain::{Drain, DrainPhase};
 use crate::kv::catalog_client::CatalogClient;
 use crate::limits::quota_gate::QuotaGate;
 use crate::metrics::Metrics;
 use crate::rollout::Rollouts;
-use crate::upstream::connection_pool::Pools;
+use crate::upstream::connection_pool::ConnectionPools;
 
 /// Bound on the entries of the owner cache.
 const OWNER_CACHE_CAPACITY: usize = 20_000;
@@ -41,12 +41,12 @@
     pub incarnation: u64,
     /// Dense index of this router's zone.
     pub zone: u32,
-    table: Mutex<Arc<Table>>,
+    table: Mutex<Arc<RoutingTable>>,
     engine_table: Mutex<EngineTable>,
     owner_cache: Mutex<OwnerCache>,
     retry_budget: Mutex<RetryBudget>,
     /// Idle and counted connections to engines.
-    pub connection_pools: Pools,
+    pub connection_pools: ConnectionPools,
     /// Asks the catalog for owners of prefixes and registers them there.
     pub prefix_catalog: CatalogClient,
     staleness_bounds: Mutex<StalenessBounds>,
@@ -129,12 +129,13 @@
     }
 
     /// Returns the routing table in force.
-    pub fn table(&self) -> Arc<Table> {
+
+    pub fn table(&self) -> Arc<RoutingTable> {
         self.table.lock().clone()
     }
 
     /// Puts a routing table in force.
-    pub fn set_table(&self, table: Arc<Table>) {
+    pub fn set_table(&self, table: Arc<RoutingTable>) {
         *self.table.lock() = table;
     }
 
