--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -1,4 +1,8 @@
-//! A request's entry: read, checked, and sent on its way.
+//! Admission of a request: reads it, authorizes it, and hands it to the proxy.
+//!
+//! Order of the steps: framing (a request whose end is ambiguous must not be interpreted further), configuration and
+//! authorization (so that the body of an unauthorized request is never held in memory), the memory limit, the body.
+//! Every request gets a response, and is counted by a `RequestGuard` from its head to the end of that response.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -28,7 +32,7 @@
 use crate::proxy::{forward, plan};
 use crate::state::State;
 
-/// Reads, checks and carries one request; always gives an answer.
+/// Reads, admits and forwards one request and returns the response, which is one of the router's own if any step fails.
 pub async fn serve(
     state: Arc<State>,
     incoming: http::Request<Incoming>,
@@ -37,14 +41,14 @@
 ) -> Response<Body> {
     let mut guard = RequestGuard::start(&state, connection);
     let shutting_down = state.is_shutting_down();
-    let fail = |failure: Failure, last| (error_response::build(failure, last), failure.into());
+    let fail = |failure: Failure, close_connection| (error_response::build(failure, close_connection), failure.into());
     if framing.has_conflicting_framings() {
         let (response, outcome) = fail(Failure::Malformed, shutting_down);
         return guard.track_response(response, outcome);
     }
     let admitted = match guard.phase() {
         DrainPhase::Serving | DrainPhase::Draining => read_and_admit(&state, incoming).await,
-        // Its head came as the router closed: refused early rather than given up late.
+        // Its head arrived while the router was closing: rejected now rather than abandoned at the end of the grace.
         DrainPhase::Closing => Err(reject_unread(incoming).await),
     };
     framing.expect_head();
@@ -64,7 +68,7 @@
     guard.track_response(response, outcome)
 }
 
-/// What an engine's answer comes to once it is passed on whole.
+/// Returns how a request ends for the metrics once the engine's response has been forwarded completely.
 fn forwarded_outcome(response: &Response<Body>) -> Outcome {
     match response.status().is_success() {
         true => Outcome::Success,
@@ -72,24 +76,33 @@
     }
 }
 
-/// Bounds for a request that comes before the first configuration is known.
+/// Longest body that is read before the first configuration, and with it the configured limit, is known.
 const STARTUP_MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Longest wait for the first configuration, and the time budget assumed of a request that names none.
 const STARTUP_WAIT_MS: u64 = 1000;
-/// When to come back where the configuration is not known well enough.
+/// The part of its time budget that a request spends waiting for the first configuration, as a divisor.
+const STARTUP_WAIT_DIVISOR: u64 = 3;
+/// Pause between two looks at whether the router is ready.
+const READY_POLL_MS: u64 = 15;
+/// `Retry-After` where the configuration is not known well enough to decide.
 const RETRY_AFTER_MS: u64 = 300;
+/// `Retry-After` where request bodies occupy too much memory.
+const MEMORY_RETRY_AFTER_MS: u64 = 250;
+/// Shift from a memory limit in MiB to the bytes of it that request bodies may occupy: a quarter.
+const HELD_BODY_BYTES_SHIFT: u32 = 18;
 
-/// Until this daemon is ready, or `end`.
+/// Waits until the router is ready, but not beyond `deadline_ms`.
 async fn wait_until_ready(state: &State, deadline_ms: u64) {
     let ordering = Ordering::Relaxed;
     while !state.ready.load(ordering) && clock::now() < deadline_ms {
-        time::sleep(Duration::from_millis(15)).await;
+        time::sleep(Duration::from_millis(READY_POLL_MS)).await;
     }
 }
 
-/// A request that is not let in.
+/// A request that is not admitted.
 struct Rejection {
     failure: Failure,
-    /// Its body was not read to the end: the connection can't go on.
+    /// Its body was not read to the end, so the next request on the connection could not be found.
     close_connection: bool,
 }
 
@@ -99,31 +112,39 @@
     }
 }
 
-/// Rejects a request whose body is not needed. What of it has not been read yet is read and thrown away, so that the
-/// next request on the connection is found where it begins.
-async fn reject(failure: Failure, parts: &Parts, body: Option<Incoming>) -> Rejection {
-    // A client that asks before it sends its body is not told to send it.
+/// The body of a request during admission.
+enum ClientBody {
+    /// Still on the connection.
+    Unread(Incoming),
+    /// In memory, since it was read while the router started.
+    Read(Bytes),
+}
+
+/// Rejects a request whose body is not needed. What is left of the body is read and discarded, so that the next
+/// request on the connection is found where it begins.
+async fn reject(failure: Failure, parts: &Parts, body: ClientBody) -> Rejection {
+    // A client with `Expect` sends its body only once it is asked to, which reading would do.
     let awaits_continue = parts.headers.contains_key(EXPECT);
-    let read = match body {
-        Some(body) => !awaits_continue && request::discard_body(body).await,
-        None => true,
+    let was_read = match body {
+        ClientBody::Unread(body) => !awaits_continue && request::discard_body(body).await,
+        ClientBody::Read(_) => true,
     };
-    Rejection { failure, close_connection: !read }
+    Rejection { failure, close_connection: !was_read }
 }
 
-/// Refuses a request of which only the head was looked at.
+/// Rejects a request of which only the head was read.
 async fn reject_unread(incoming: http::Request<Incoming>) -> Rejection {
     let (parts, body) = incoming.into_parts();
-    reject(Failure::Unavailable(RETRY_AFTER_MS), &parts, Some(body)).await
+    reject(Failure::Unavailable(RETRY_AFTER_MS), &parts, ClientBody::Unread(body)).await
 }
 
-/// What lets a request in: the table of that moment, and the route and tenant that it has for the request.
+/// The routing table that a request was authorized by, with the result.
 struct Admitted {
     table: Arc<RoutingTable>,
     authorization: Authorization,
 }
 
-/// Judges a request by one table: the route first, since it says whether a key is needed.
+/// Authorizes a request by one routing table: the route first, since it says whether a key is needed.
 fn authorize_by(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
     let route = table.find(host, parts.uri.path()).ok_or(Failure::RouteNotFound)?;
@@ -131,8 +152,10 @@
     granted.map_err(|UnknownKey| Failure::Unauthorized)
 }
 
-/// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
-/// proved to be current.
+/// Authorizes a request by the routing table in force, waiting for a newer one if this one rejects the request.
+///
+/// # Errors
+/// `RouteNotFound` and `Unauthorized` only by a table that is proved to be current; `Unavailable` without a proof.
 async fn authorize(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
     let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
     let key = authorization::api_key_digest(&parts.headers);
@@ -147,51 +170,77 @@
     Ok(Admitted { table, authorization })
 }
 
-async fn read_and_admit(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
-    let received_at_ms = clock::now();
-    let (parts, body) = incoming.into_parts();
-    if !request::has_unambiguous_framing(&parts.headers) {
-        return Err(Failure::Malformed.into());
-    }
-    let mut body = Some(body);
-    let mut early_body = None;
-    if !state.ready.load(Ordering::Relaxed) {
-        // Just started: what is needed comes within moments. The body is read meanwhile.
-        let unread = body.take().ok_or(Failure::Malformed)?;
-        early_body = Some(request::read_body(unread, STARTUP_MAX_BODY_BYTES, STARTUP_WAIT_MS).await?);
-        let wait = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS) / 3;
-        wait_until_ready(state, received_at_ms + wait.min(STARTUP_WAIT_MS)).await;
-    }
+/// Reads the body of a request that came before the first configuration, and then waits for that configuration.
+async fn read_during_startup(
+    state: &State,
+    parts: &Parts,
+    body: Incoming,
+    received_at_ms: u64,
+) -> Result<Bytes, Failure> {
+    let body = request::read_body(body, STARTUP_MAX_BODY_BYTES, STARTUP_WAIT_MS).await?;
+    let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
+    let wait_ms = (time_budget_ms / STARTUP_WAIT_DIVISOR).min(STARTUP_WAIT_MS);
+    wait_until_ready(state, received_at_ms + wait_ms).await;
+    Ok(body)
+}
+
+/// Checks that a configuration is in force, and logs the first request that comes under it.
+fn check_configured(state: &State) -> Result<(), Failure> {
     let table = state.table();
     if table.revision == 0 {
-        return Err(Failure::Unavailable(RETRY_AFTER_MS).into());
+        return Err(Failure::Unavailable(RETRY_AFTER_MS));
     }
     if !table.has_served.swap(true, Ordering::Relaxed) {
         kernel::log_event!(FIRST_REQUEST, "revision" => table.revision);
     }
+    Ok(())
+}
+
+/// Checks that request bodies leave memory for another one.
+fn check_body_memory(state: &State) -> Result<(), Failure> {
+    let max_held_bytes = (state.settings.limits.memory_mb as usize) << HELD_BODY_BYTES_SHIFT;
+    if state.held_body_bytes.load(Ordering::Relaxed) > max_held_bytes {
+        return Err(Failure::Unavailable(MEMORY_RETRY_AFTER_MS));
+    }
+    Ok(())
+}
+
+/// Returns the whole body, within the limits of the table that the request was authorized by.
+async fn read_within_limits(body: ClientBody, table: &RoutingTable) -> Result<Bytes, Failure> {
+    match body {
+        ClientBody::Unread(body) => request::read_body(body, table.body_bytes, table.idle_ms).await,
+        ClientBody::Read(body) if body.len() <= table.body_bytes => Ok(body),
+        ClientBody::Read(_) => Err(Failure::BodyTooLarge),
+    }
+}
+
+/// Reads and authorizes a request, and returns the exchange that carries it on.
+async fn read_and_admit(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
+    let received_at_ms = clock::now();
+    let (parts, incoming_body) = incoming.into_parts();
+    if !request::has_unambiguous_framing(&parts.headers) {
+        return Err(Failure::Malformed.into());
+    }
+    let body = match state.ready.load(Ordering::Relaxed) {
+        true => ClientBody::Unread(incoming_body),
+        false => ClientBody::Read(read_during_startup(state, &parts, incoming_body, received_at_ms).await?),
+    };
+    check_configured(state)?;
     let mut admitted = match authorize(state, &parts).await {
         Ok(admitted) => admitted,
         Err(failure) => return Err(reject(failure, &parts, body).await),
     };
     let authorized_at_ms = clock::now();
-    let max_held_bytes = (state.settings.limits.memory_mb as usize) << 18;
-    if state.held_body_bytes.load(Ordering::Relaxed) > max_held_bytes {
-        return Err(Failure::Unavailable(250).into());
-    }
-    let max_body_bytes = admitted.table.body_bytes;
-    let body = match (early_body, body) {
-        (Some(early_body), _) if early_body.len() <= max_body_bytes => early_body,
-        (None, Some(body)) => request::read_body(body, max_body_bytes, admitted.table.idle_ms).await?,
-        _ => return Err(Failure::BodyTooLarge.into()),
-    };
+    check_body_memory(state)?;
+    let body = read_within_limits(body, &admitted.table).await?;
     if clock::now() > authorized_at_ms + state.freshness.budget().lookup_age_ms() {
-        // The body came slowly: a newer configuration may send it elsewhere.
+        // The body took long to arrive: a newer configuration may route the request elsewhere.
         admitted = authorize(state, &parts).await?;
     }
     Ok(start_exchange(state, admitted, parts, body, received_at_ms))
 }
 
-/// The exchange of a request that was let in and read.
+/// Returns the exchange of a request that was admitted and read, and counts it in the retry budget.
 fn start_exchange(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, received_at_ms: u64) -> Exchange {
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -1,4 +1,5 @@
-//! May a request go to an engine, and as which tenant's? Asked when it is admitted, and again before each send.
+//! Authorization: whether a request may go to an engine, and on behalf of which tenant. Checked when the request is
+//! admitted, and again before each send, since keys may be revoked meanwhile.
 
 use std::sync::Arc;
 
@@ -10,10 +11,10 @@
 use crate::config::tenants::{KeyDigest, Tenant};
 use crate::proxy::exchange::Exchange;
 
-/// The one scheme by which a key is carried: `Authorization: Bearer KEY`.
+/// The only supported scheme: `Authorization: Bearer KEY`.
 const BEARER_SCHEME: &[u8] = b"bearer";
 
-/// The key of a request. None: it has none, or not exactly one in the form that the protocol knows.
+/// Returns the digest of the API key of a request; `None` if it has none, several, or one in another form.
 pub fn api_key_digest(headers: &HeaderMap) -> Option<KeyDigest> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes().trim_ascii();
@@ -25,20 +26,23 @@
     (scheme.eq_ignore_ascii_case(BEARER_SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
 }
 
-/// The route needs a key, and the request has none that is known.
+/// The error of a request whose route needs a key and which has none that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// What a request was admitted with. It is sent as this tenant's, or not at all.
+/// What a request was admitted with. It is sent on behalf of this tenant, or not at all.
 pub struct Authorization {
     key: Option<KeyDigest>,
     route: Arc<Route>,
-    /// None: the request is nobody's, since there are no tenants or its route is anonymous.
+    /// `None` if there are no tenants, or the route is anonymous.
     tenant: Option<Arc<Tenant>>,
 }
 
 impl Authorization {
-    /// Judges a request by the configuration of the moment.
+    /// Authorizes a request by a routing table.
+    ///
+    /// # Errors
+    /// `UnknownKey` if the route needs a key and none is known.
     pub fn grant(
         table: &RoutingTable,
         route: &Arc<Route>,
@@ -48,8 +52,8 @@
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
-    /// Would the request be admitted now, and on the same terms? A key may be revoked, or pass to another tenant,
-    /// while its request waits.
+    /// Returns whether the request would still be admitted, on behalf of the same tenant and for the same regions. A key
+    /// may be revoked, or pass to another tenant, while its request waits.
     pub fn is_still_valid(&self, table: &RoutingTable) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
         match (tenant_of_key(table, anonymous, self.key.as_ref()), &self.tenant) {
@@ -61,27 +65,29 @@
         }
     }
 
-    /// Whose request it is, where it is somebody's.
+    /// Returns the tenant, if the request has one.
     pub fn tenant(&self) -> Option<&Tenant> {
         self.tenant.as_deref()
     }
 
+    /// Returns the route that the request was admitted by.
     pub fn route(&self) -> &Arc<Route> {
         &self.route
     }
 
-    /// The rank of the request: its tenant's, else its route's.
+    /// Returns the priority of the request: its tenant's, else its route's. 0 is the most urgent.
     pub fn priority(&self) -> u32 {
         self.tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(self.route.priority)
     }
 
-    /// The lists of regions that bind the request, each by itself; an empty one binds nothing.
+    /// Returns the lists of regions, of the route and of the tenant, that each restrict the request; an empty list
+    /// restricts nothing.
     pub fn allowed_regions(&self) -> [&[String]; 2] {
         let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.allowed_regions);
         [&self.route.allowed_regions, tenant]
     }
 
-    /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
+    /// Removes the key, which no engine may see, and any tenant that the client named; adds the authorized tenant.
     pub fn rewrite_headers(&self, headers: &mut HeaderMap) {
         headers.remove(AUTHORIZATION);
         headers.remove(TENANT);
@@ -91,7 +97,7 @@
     }
 }
 
-/// Whose request it is. None: nobody's, and it may go all the same. A known key counts on an anonymous route too.
+/// Returns the tenant of a key; `None` if the request may go without one. A known key counts on an anonymous route too.
 fn tenant_of_key<'a>(
     table: &'a RoutingTable,
     anonymous: bool,
@@ -105,7 +111,7 @@
 }
 
 impl Exchange {
-    /// May the request still be sent to an engine?
+    /// Returns whether the request may still be sent to an engine.
     pub fn is_authorized(&self) -> bool {
         self.request.authorization.is_still_valid(&self.state.table())
     }
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -1,8 +1,9 @@
-//! How a router ends without giving anything up that it took.
+//! Graceful shutdown: how a router ends without abandoning a request that it accepted.
 //!
-//! It turns unready at once and serves on while the platform may not have noticed (`Draining`), but refuses what it does
-//! not expect to finish. Then it takes nothing new, finishes what is under way (`Closing`), and ends. The platform may go on sending to a router that is not ready, so the
-//! end of the first part never depends on how much comes.
+//! On SIGTERM the router turns unready at once and goes on accepting requests while the platform may not have noticed
+//! (`Draining`), but rejects those that it does not expect to finish. Then it accepts nothing new, finishes what is in
+//! flight (`Closing`), and ends. The platform may go on sending to a router that is not ready, so the end of `Draining`
+//! depends on the clock alone, never on how many requests arrive.
 //!
 //! Invariant: the phase only goes forward.
 
@@ -14,29 +15,29 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// How far a router is on its way out.
+/// How far a graceful shutdown is. The names of the variants are label values of metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, prometheus_client::encoding::EncodeLabelValue)]
 pub enum DrainPhase {
-    /// It is not about to end.
+    /// No shutdown has begun.
     Serving,
-    /// It is about to end: unready, but it takes requests.
+    /// The router is unready, but still accepts requests.
     Draining,
-    /// It takes nothing new and finishes what it has.
+    /// The router accepts nothing new and finishes what is in flight.
     Closing,
 }
 
-/// The phases of a router, and the connections of its clients.
+/// The state of a graceful shutdown, and the connections of clients that it waits for.
 #[derive(Default)]
 pub struct Drain {
     draining: CancellationToken,
     closing: CancellationToken,
     connections: TaskTracker,
-    /// When everything must be finished, once that is known.
+    /// When everything must be finished; set when the shutdown begins.
     deadline: OnceLock<Instant>,
 }
 
 impl Drain {
-    /// The phase of now.
+    /// Returns the current phase.
     pub fn phase(&self) -> DrainPhase {
         match (self.draining.is_cancelled(), self.closing.is_cancelled()) {
             (_, true) => DrainPhase::Closing,
@@ -45,23 +46,23 @@
         }
     }
 
-    /// How long what is taken now may take; None: as long as it likes.
+    /// Returns how long a request that is accepted now may take, in milliseconds; `None` before a shutdown.
     pub fn remaining_ms(&self) -> Option<u64> {
         let end = self.deadline.get()?;
         Some(end.saturating_duration_since(Instant::now()).as_millis() as u64)
     }
 
-    /// Until nothing new is taken any more.
+    /// Waits until nothing new is accepted any more.
     pub async fn wait_for_closing(&self) {
         self.closing.cancelled().await;
     }
 
-    /// Follows a client's connection to its end.
+    /// Serves a client's connection to its end; the shutdown waits for it.
     pub async fn track_connection(&self, connection: impl Future<Output = ()>) {
         self.connections.track_future(connection).await;
     }
 
-    /// Goes through all phases; over once every connection has ended, or the time to finish is.
+    /// Goes through all phases. Returns once every connection has ended, or the time to finish is over.
     pub async fn run(&self, schedule: &DrainSchedule) {
         let end = Instant::now() + schedule.finish_within;
         let _ = self.deadline.set(end);
@@ -73,26 +74,27 @@
     }
 }
 
-/// What a grace is divided into, from the moment at which the process is told to end.
+/// The division of the termination grace period, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainSchedule {
-    /// For so long requests are taken.
+    /// How long new requests are accepted.
     pub accept_for: Duration,
-    /// By then what was taken is finished or given up.
+    /// When requests in flight are finished or abandoned.
     pub finish_within: Duration,
 }
 
-/// The platform asks for readiness once a second and takes a router out that misses twice; what it passed on by then
-/// is on its way for a moment more.
+/// Time in which the platform notices that a router is unready: it polls once a second and removes a router after two
+/// failures, and what it forwarded by then is on its way for a moment more.
 const UNREADY_DETECTION_MS: u64 = 3000;
-/// At most this part of the grace goes to being noticed, so that most is left for what was taken last.
+/// Largest share of the grace period in which requests are accepted, so that most is left to finish the last of them.
 const MAX_ACCEPT_SHARE: f64 = 0.4;
-/// What is kept for the end of the process itself: a share of the grace, and no more than this.
+/// Share of the grace period that is reserved for the end of the process itself.
 const RESERVE_SHARE: f64 = 1.0 / 24.0;
+/// Upper bound of that reserve.
 const MAX_RESERVE_MS: u64 = 300;
 
 impl DrainSchedule {
-    /// The division of a grace in seconds.
+    /// Returns the division of a grace period in seconds.
     pub fn for_grace(grace_s: f64) -> DrainSchedule {
         let grace_ms = grace_s * 1000.0;
         let accept_ms = UNREADY_DETECTION_MS.min((grace_ms * MAX_ACCEPT_SHARE) as u64);
--- a/router/src/frontend/error_response.rs
+++ b/router/src/frontend/error_response.rs
@@ -1,4 +1,4 @@
-//! Answers of our own: a small value says which, one place writes it.
+//! Responses that the router itself gives: `Failure` names the condition, `build` alone turns it into HTTP.
 
 use std::io;
 
@@ -8,49 +8,71 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Empty};
 
+const MS_PER_S: u64 = 1000;
+
+/// The body of any response to a client.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
+/// Why a request gets no response of an engine.
+///
+/// 429 and 503 promise that the request has not run and never will, so that a client may send it again; 502 and 504
+/// promise nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Not as the protocol has it; the connection ends.
+    /// 400: the request violates the protocol. Ends the connection.
     Malformed,
+    /// 404: no route matches the host and path.
     RouteNotFound,
-    /// The route needs a key that is known.
+    /// 401: the route needs a key, and the request has none that is known.
     Unauthorized,
+    /// 408: the body paused for longer than the configured limit. Ends the connection.
     BodyTimeout,
+    /// 413: the body exceeds the configured limit. Ends the connection.
     BodyTooLarge,
-    /// It has not run and never will; come back after so many milliseconds.
+    /// 503: the request was shed. It has not run and never will; retry after so many milliseconds.
     Unavailable(u64),
-    /// Its tenant is over its limit; it has not run and never will. Come back after so many milliseconds.
+    /// 429: the tenant is over its rate limit. It has not run and never will; retry after so many milliseconds.
     QuotaExceeded(u64),
-    /// It may have run and its answer is lost.
+    /// 502: the request may have run, and the response is lost.
     ResponseLost,
-    /// It may have run and time is up.
+    /// 504: the request may have run, and its time is up.
     DeadlineExceeded,
 }
 
-/// `last`: the connection ends with this answer, whatever it says.
+impl Failure {
+    /// Returns the HTTP status.
+    fn status(self) -> StatusCode {
+        match self {
+            Failure::Malformed => StatusCode::BAD_REQUEST,
+            Failure::Unauthorized => StatusCode::UNAUTHORIZED,
+            Failure::RouteNotFound => StatusCode::NOT_FOUND,
+            Failure::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Failure::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Failure::QuotaExceeded(_) => StatusCode::TOO_MANY_REQUESTS,
+            Failure::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
+            Failure::ResponseLost => StatusCode::BAD_GATEWAY,
+            Failure::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
+        }
+    }
+
+    /// Returns the value of `Retry-After`: seconds with three decimals.
+    fn retry_after(self) -> Option<HeaderValue> {
+        let (Failure::Unavailable(retry_after_ms) | Failure::QuotaExceeded(retry_after_ms)) = self else {
+            return None;
+        };
+        let text = format!("{}.{:03}", retry_after_ms / MS_PER_S, retry_after_ms % MS_PER_S);
+        HeaderValue::from_str(&text).ok()
+    }
+}
+
+/// Returns the response for a failure. With `close_connection` the connection ends with it, whatever the failure.
 pub fn build(failure: Failure, close_connection: bool) -> Response<Body> {
-    let status = match failure {
-        Failure::Malformed => 400,
-        Failure::Unauthorized => 401,
-        Failure::RouteNotFound => 404,
-        Failure::BodyTimeout => 408,
-        Failure::BodyTooLarge => 413,
-        Failure::QuotaExceeded(_) => 429,
-        Failure::Unavailable(_) => 503,
-        Failure::ResponseLost => 502,
-        Failure::DeadlineExceeded => 504,
-    };
-    let mut response =
-        Response::new(Body::new(UnsyncBoxBody::new(BodyExt::map_err(Empty::new(), |never| match never {}))));
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let empty = BodyExt::map_err(Empty::new(), |never| match never {});
+    let mut response = Response::new(Body::new(UnsyncBoxBody::new(empty)));
+    *response.status_mut() = failure.status();
     let headers = response.headers_mut();
-    if let Failure::Unavailable(retry_after_ms) | Failure::QuotaExceeded(retry_after_ms) = failure {
-        let text = format!("{}.{:03}", retry_after_ms / 1000, retry_after_ms % 1000);
-        if let Ok(value) = HeaderValue::from_str(&text) {
-            headers.insert(RETRY_AFTER, value);
-        }
+    if let Some(value) = failure.retry_after() {
+        headers.insert(RETRY_AFTER, value);
     }
     if failure == Failure::Unauthorized {
         headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
--- a/router/src/frontend/framing_check.rs
+++ b/router/src/frontend/framing_check.rs
@@ -1,8 +1,10 @@
-//! A look at request heads as they arrive, for one shape that the HTTP library settles by itself: both
-//! framings in one head. It reads by chunks and drops the length, so nothing can hide; but such a
-//! request is to be refused.
+//! Detects request heads that name both framings, `Content-Length` and `Transfer-Encoding`.
+//!
+//! The HTTP library resolves this conflict by itself: it reads by chunks and drops the length, so no request can be
+//! smuggled past the router. But such a request has to be rejected as malformed, and behind the library the conflict is
+//! no longer visible. So the bytes of each head are scanned on their way from the socket to the library.
 
-use std::io;
+use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -11,7 +13,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Invariant: `armed` while the next bytes begin or continue a head; `both` tells of the last head.
+/// What the scan of a connection found, shared by the stream and the service behind the HTTP library.
+///
+/// Invariant: `expects_head` is set while the next bytes begin or continue a head; `has_conflicting_framings` describes
+/// the last complete head.
 #[derive(Default)]
 pub struct FramingMonitor {
     expects_head: AtomicBool,
@@ -19,55 +24,61 @@
 }
 
 impl FramingMonitor {
+    /// Returns a monitor that expects the first head of a connection.
     pub fn new() -> Arc<FramingMonitor> {
         let framing = FramingMonitor::default();
         framing.expect_head();
         Arc::new(framing)
     }
 
-    /// The body before is read: a head comes next.
+    /// Starts the scan of the next head, once the body before it has been read.
     pub fn expect_head(&self) {
         self.expects_head.store(true, Ordering::Relaxed);
     }
 
+    /// Returns whether the last head named both framings.
     pub fn has_conflicting_framings(&self) -> bool {
         self.has_conflicting_framings.load(Ordering::Relaxed)
     }
 }
 
+/// A client's connection whose request heads are scanned as they are read.
 pub struct MonitoredStream {
     inner: TcpStream,
     framing: Arc<FramingMonitor>,
     head: Vec<u8>,
 }
 
-/// Larger heads are refused anyway.
+/// Bytes of a head that are scanned; the HTTP library rejects larger heads anyway.
 const MAX_HEAD_BYTES: usize = 256 * 1024;
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
 impl MonitoredStream {
+    /// Wraps a connection; `framing` gets what is found on it.
     pub fn new(inner: TcpStream, framing: Arc<FramingMonitor>) -> MonitoredStream {
         MonitoredStream { inner, framing, head: Vec::new() }
     }
 
+    /// Scans bytes that were just read, unless they belong to a body.
     fn scan(&mut self, bytes: &[u8]) {
-        let order = Ordering::Relaxed;
-        if !self.framing.expects_head.load(order) {
+        if !self.framing.expects_head.load(Ordering::Relaxed) {
             return;
         }
-        let from = self.head.len().saturating_sub(3);
+        // The end may be split over two reads.
+        let from = self.head.len().saturating_sub(END_OF_HEAD.len() - 1);
         self.head.extend_from_slice(bytes);
-        let end = self.head[from..].windows(4).position(|window| window == b"\r\n\r\n");
+        let end = self.head[from..].windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD);
         if end.is_none() && self.head.len() < MAX_HEAD_BYTES {
             return;
         }
         let head = &self.head[..end.map_or(self.head.len(), |end| from + end)];
-        self.framing.has_conflicting_framings.store(count_framings(head) > 1, order);
-        self.framing.expects_head.store(false, order);
+        self.framing.has_conflicting_framings.store(count_framings(head) > 1, Ordering::Relaxed);
+        self.framing.expects_head.store(false, Ordering::Relaxed);
         self.head = Vec::new();
     }
 }
 
-/// How many of the two framings a head names.
+/// Returns how many of the two framings a head names.
 fn count_framings(head: &[u8]) -> usize {
     let names = |name: &[u8]| {
         head.split(|byte| *byte == b'\n')
@@ -95,7 +106,7 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
+        bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.inner).poll_write_vectored(cx, bufs)
     }
--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Where clients and the platform come in.
+//! The listeners of a router: clients' connections, and the platform's readiness checks.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -25,30 +25,33 @@
 use crate::metrics::{Connection, PhaseLabels};
 use crate::state::State;
 
-/// Connections that ask for readiness at once.
+/// Most readiness checks that are served at the same time.
 const MAX_READINESS_CONNECTIONS: usize = 64;
-/// Descriptors that are reserved; clients and engines share the rest.
+/// File descriptors that are reserved; clients and engines share the rest.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// Clients' connections are served however few descriptors there are.
+/// Clients' connections that are accepted even if the limit on descriptors is very low.
 const MIN_CLIENT_CONNECTIONS: u64 = 16;
-/// A client that takes nothing for so long is gone.
+/// How long a client may leave sent bytes unacknowledged before its connection is given up.
 const CLIENT_TIMEOUT_MS: u64 = 10_000;
-/// The smallest buffer for the head of a request, and what a buffer holds beyond it.
+/// Smallest buffer for the head of a request.
 const HEAD_BUFFER_BYTES: usize = 16 * 1024;
+/// What a connection's buffer holds beyond the head.
 const BODY_BUFFER_BYTES: usize = 64 * 1024;
-/// A kept connection may stay idle for so long at least.
+/// Shortest idle timeout of a kept-alive connection, whatever is configured.
 const MIN_IDLE_TIMEOUT_MS: u64 = 1000;
 
+/// Returns how many clients' connections are accepted: half of the descriptors that are not reserved.
 fn max_client_connections(settings: &Settings) -> usize {
     (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(MIN_CLIENT_CONNECTIONS) as usize
 }
 
-/// Answers the platform's calls for readiness.
+/// Serves the platform's readiness checks until the process ends.
 pub async fn serve_readiness(state: Arc<State>) {
     let Some(address) = state.settings.bind_addresses.readiness.clone() else { return };
     socket::accept_each(&address, MAX_READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
+/// Answers the readiness checks of one connection: 200 while the router is ready, else 503.
 async fn answer_readiness(state: Arc<State>, stream: TcpStream) {
     let service = service::service_fn(move |_: Request<Incoming>| {
         let mut response = Response::new(Empty::<Bytes>::new());
@@ -62,7 +65,7 @@
     let _ = Builder::new().serve_connection(io, service).await;
 }
 
-/// Serves clients until the router closes; then nobody listens any more.
+/// Serves clients until the router closes; from then on the address is not listened on.
 pub async fn serve_frontend(state: Arc<State>) {
     let Some(address) = state.settings.bind_addresses.frontend.clone() else { return };
     let max_connections = max_client_connections(&state.settings);
@@ -81,6 +84,7 @@
 struct OpenConnection(Gauge);
 
 impl OpenConnection {
+    /// Counts a connection until the returned guard is dropped.
     fn count(state: &State) -> OpenConnection {
         let phase = state.drain.phase();
         state.metrics.connections_accepted.get_or_create(&PhaseLabels { phase }).inc();
@@ -96,12 +100,12 @@
     }
 }
 
-/// What the configuration of now says about clients' connections.
+/// Returns the HTTP limits of a client's connection by the configuration in force.
 fn http_settings(table: &RoutingTable) -> Builder {
     let mut builder = Builder::new();
     builder.timer(TokioTimer::new());
     builder.keep_alive(true).max_buf_size(table.header_bytes.max(HEAD_BUFFER_BYTES) + BODY_BUFFER_BYTES);
-    // Also bounds how long a kept connection may stay idle.
+    // hyper applies the same timeout to a kept-alive connection that is idle.
     let timeout_ms = table.idle_ms.max(table.header_ms).max(MIN_IDLE_TIMEOUT_MS);
     builder.header_read_timeout(Duration::from_millis(timeout_ms));
     if table.header_bytes > 0 {
@@ -110,6 +114,7 @@
     builder
 }
 
+/// Serves the requests of one connection, and shuts it down gracefully once the router closes.
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
     socket::configure(&stream, CLIENT_TIMEOUT_MS);
     let _open = OpenConnection::count(&state);
@@ -128,12 +133,12 @@
         _ = connection_future.as_mut() => return,
         () = state.drain.wait_for_closing() => connection_future.as_mut().graceful_shutdown(),
     }
-    // What is under way on it is finished; without that it ends at once.
+    // A request in flight is finished; an idle connection ends at once.
     let _ = connection_future.await;
 }
 
 impl State {
-    /// Does the platform get a 200?
+    /// Returns whether a readiness check gets a 200.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && self.drain.phase() == DrainPhase::Serving
     }
--- a/router/src/frontend/mod.rs
+++ b/router/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections, request heads and bodies, authorization, admission, draining, and error responses of the router's own.
+//! The clients' side: connections, request heads and bodies, authorization, admission, draining, and the router's own error responses.
 
 pub mod admission;
 pub mod authorization;
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -1,22 +1,24 @@
-//! One request, counted from the reading of its head until its answer has left or its connection is gone.
+//! Counts one request, from the reading of its head until its response has been sent or its connection is gone.
 
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
-use std::task::{Context, Poll};
+use std::task::{ready, Context, Poll};
 
 use bytes::Bytes;
 use http::Response;
-use http_body::{Frame, SizeHint};
+use http_body::{Body, Frame, SizeHint};
 use kernel::clock;
 
 use crate::frontend::drain::DrainPhase;
-use crate::frontend::error_response;
+use crate::frontend::error_response::{self, Failure};
 use crate::metrics::{ArrivalLabels, Connection, Outcome, OutcomeLabels, Stage, StageLabels};
 use crate::state::State;
 
-/// Counts a request under way. Invariant: it is counted in one stage at a time, and its end once, on drop: as cut,
-/// unless an outcome was noted before.
+/// Counts a request in the metrics while it is in flight.
+///
+/// Invariant: the request is counted in one stage at a time, and its end exactly once, on drop: as `Cut` unless its
+/// response was sent to the end.
 pub struct RequestGuard {
     state: Arc<State>,
     phase: DrainPhase,
@@ -28,7 +30,7 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl RequestGuard {
-    /// A request whose head was just read.
+    /// Counts a request whose head was just read.
     pub fn start(state: &Arc<State>, connection: Connection) -> RequestGuard {
         let phase = state.drain.phase();
         state.metrics.requests_received.get_or_create(&ArrivalLabels { phase, connection }).inc();
@@ -37,12 +39,12 @@
         RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, started_at_ms: clock::now() }
     }
 
-    /// The phase in which it came.
+    /// Returns the phase of the router in which the request arrived.
     pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
-    /// It goes on to a further stage.
+    /// Moves the request to a later stage.
     pub fn advance_to(&mut self, stage: Stage) {
         let gauges = &self.state.metrics.requests_under_way;
         gauges.get_or_create(&StageLabels { phase: self.phase, stage: self.stage }).dec();
@@ -50,17 +52,17 @@
         self.stage = stage;
     }
 
+    /// Returns the time since the head was read, in seconds.
     fn age_s(&self) -> f64 {
         (clock::now() - self.started_at_ms) as f64 / MS_PER_S
     }
 
-    /// Follows the answer to its end: `outcome` counts once all of the body was taken.
+    /// Tracks the response to its end: `outcome` counts once all of the body was sent.
     pub fn track_response(
         mut self,
         response: Response<error_response::Body>,
         outcome: Outcome,
     ) -> Response<error_response::Body> {
-        use http_body::Body;
         self.advance_to(Stage::Answering);
         self.state.metrics.first_byte.observe(self.age_s());
         response.map(|body| {
@@ -81,17 +83,18 @@
     }
 }
 
-/// The body of an answer, and the request that it ends.
+/// The body of a response, with the request that ends with it.
 struct TrackedBody {
     body: error_response::Body,
-    /// Bytes still to come, where that is known.
+    /// Bytes still to come, if the length is known.
     remaining_bytes: Option<u64>,
-    /// What the request came to once the body is taken whole.
+    /// How the request ended if the body is sent completely.
     outcome: Outcome,
     guard: RequestGuard,
 }
 
 impl TrackedBody {
+    /// Records the outcome if the body is complete.
     fn record_end(&mut self, is_complete: bool) {
         if is_complete {
             self.guard.outcome = self.outcome;
@@ -99,12 +102,12 @@
     }
 }
 
-impl http_body::Body for TrackedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(cx));
+        let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
             let size = frame.data_ref().map_or(0, Bytes::len) as u64;
             self.remaining_bytes = self.remaining_bytes.map(|remaining_bytes| remaining_bytes.saturating_sub(size));
@@ -123,9 +126,8 @@
     }
 }
 
-impl From<error_response::Failure> for Outcome {
-    fn from(failure: error_response::Failure) -> Outcome {
-        use crate::frontend::error_response::Failure;
+impl From<Failure> for Outcome {
+    fn from(failure: Failure) -> Outcome {
         match failure {
             Failure::Unavailable(_) => Outcome::Refused,
             Failure::QuotaExceeded(_) => Outcome::OverQuota,
