--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -75,7 +75,7 @@
         &self.route
     }
 
-    /// Returns the priority of the request: its tenant's, else its route's. 0 is the most urgent.
+    /// Returns the priority of the request: its tenant's, else its route's.
     pub fn priority(&self) -> u32 {
         self.tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(self.route.priority)
     }
--- a/router/src/kv/catalog_client.rs
+++ b/router/src/kv/catalog_client.rs
@@ -1,4 +1,6 @@
-//! The catalog as a router uses it: short waits, and nothing depends on its answer.
+//! The router's client of the prefix catalog, which one controller runs at a time.
+//!
+//! The catalog only makes requests faster: calls time out early, and a request is served without a response too.
 
 use std::mem;
 use std::sync::Arc;
@@ -8,8 +10,10 @@
 use protocol::link::PeerClient;
 use protocol::message::{EngineLoad, Message, PrefixLookup, PrefixRegistration, Record};
 
-/// Invariant: what is sent carries the epoch it was meant for; an answer under a lower epoch than
-/// the one known counts for nothing.
+/// Looks up and registers the owners of prefixes at the controller that runs the catalog.
+///
+/// Invariant: each message carries the epoch of the catalog's owner that it was meant for; a response under another epoch
+/// is ignored.
 #[derive(Default)]
 pub struct CatalogClient {
     inner: Mutex<Inner>,
@@ -23,21 +27,28 @@
     consecutive_timeouts: u32,
     backoff_until_ms: u64,
     dropped_registrations: u32,
-    /// The holder may know only the first version: when it falls silent the other form is tried.
+    /// Whether messages of the first protocol version are used. An owner that does not respond may know only the other
+    /// version, so they alternate.
     uses_first_version: bool,
 }
 
-/// What the catalog told.
+/// The catalog's response to a look-up.
 pub struct LookupResult {
+    /// For each key the engines that hold its prefix.
     pub owners: Vec<Vec<String>>,
+    /// Last reported loads of those engines and of the sample.
     pub loads: Vec<EngineLoad>,
 }
 
+/// How long the catalog may take to respond.
 const RESPONSE_TIMEOUT_MS: u64 = 40;
+/// How long the catalog is not called after repeated timeouts.
 const BACKOFF_MS: u64 = 600;
+/// Timeouts in a row that start a backoff.
+const TIMEOUTS_BEFORE_BACKOFF: u32 = 2;
 
 impl CatalogClient {
-    /// True when the duty has changed hands: what is known here must be registered anew.
+    /// Sets the owner of the catalog. Returns true if it is a new one, which needs all registrations anew.
     pub fn set_owner(&self, epoch: u64, owner: &str, port: u16) -> bool {
         let mut inner = self.inner.lock();
         if epoch <= inner.epoch || owner.is_empty() {
@@ -55,6 +66,7 @@
         true
     }
 
+    /// Returns the epoch and the connection of the owner, unless it is unknown or in backoff.
     fn peer(&self, now: u64) -> Option<(u64, Arc<PeerClient>)> {
         let inner = self.inner.lock();
         if now < inner.backoff_until_ms {
@@ -63,16 +75,17 @@
         Some((inner.epoch, inner.peer.clone()?))
     }
 
+    /// Counts a response or a timeout, and starts a backoff after repeated timeouts.
     fn record_response(&self, answered: bool) {
         let mut inner = self.inner.lock();
         inner.consecutive_timeouts = if answered { 0 } else { inner.consecutive_timeouts + 1 };
-        if inner.consecutive_timeouts >= 2 {
+        if inner.consecutive_timeouts >= TIMEOUTS_BEFORE_BACKOFF {
             inner.uses_first_version = !inner.uses_first_version;
             inner.backoff_until_ms = clock::now() + BACKOFF_MS;
         }
     }
 
-    /// The owners of each key asked, and how pressed they and the sample are; None: no answer in time.
+    /// Returns the owners of each key, and the loads of those and of the sampled engines; `None` without a response in time.
     pub async fn look_up(&self, keys: &[u64], sample: Vec<u64>) -> Option<LookupResult> {
         let (epoch, peer) = self.peer(clock::now())?;
         let uses_first_version = self.inner.lock().uses_first_version;
@@ -91,7 +104,8 @@
         }
     }
 
-    /// Fire and forget; what can't even be sent is counted and told by the next flush.
+    /// Registers owners without waiting for a response. Registrations that can't even be sent are counted and returned by
+    /// the next flush.
     pub fn register(&self, registrations: Vec<Record>, loads: Vec<EngineLoad>) {
         let count = registrations.len() as u32;
         let uses_first_version = self.inner.lock().uses_first_version;
@@ -108,7 +122,8 @@
         }
     }
 
-    /// The barrier before a hand-over: all registrations before it are delivered, or counted here.
+    /// Waits until the `sent` registrations before it are delivered, and returns how many were lost: the barrier before a
+    /// request is handed from prefill to decode.
     pub async fn flush(&self, sent: u32) -> u32 {
         let dropped_before = mem::take(&mut self.inner.lock().dropped_registrations);
         let Some((epoch, peer)) = self.peer(clock::now()) else { return dropped_before };
--- a/router/src/kv/kv_handle.rs
+++ b/router/src/kv/kv_handle.rs
@@ -1,4 +1,4 @@
-//! The memory of a read prompt, held for one request.
+//! The KV cache that a prefill engine holds for one request until a decode engine takes it over.
 
 use kernel::clock;
 
@@ -6,28 +6,33 @@
 use crate::proxy::send;
 use crate::upstream::connection_pool::Endpoint;
 
-/// The memory of a read prompt. Invariants: it serves this request only, is taken once, and is
-/// never named after `until`.
+/// The right to take over a KV cache. Invariants: it serves one request only, is named to one decode engine only, and is
+/// not named after `expires_at_ms`; a handle that is not taken over is released.
 pub struct KvHandle {
+    /// Dense index of the engine that holds the cache.
     pub engine_index: usize,
-    /// The engine that holds it.
+    /// The address and id of that engine.
     pub endpoint: Endpoint,
+    /// The engine's name for the cache.
     pub id: String,
+    /// When it may no longer be named, in milliseconds of the steady clock.
     pub expires_at_ms: u64,
 }
 
 impl Exchange {
-    /// The engine whose memory is held.
+    /// Returns the engine that holds a KV cache for this request.
     pub fn kv_handle_engine(&self) -> Option<usize> {
         self.kv_handle.as_ref().map(|handle| handle.engine_index)
     }
 
+    /// Keeps a handle, and releases the one that was kept before.
     pub fn hold_kv_handle(&mut self, handle: KvHandle) {
         self.release_kv_handle();
         self.kv_handle = Some(handle);
     }
 
-    /// The handle, if it may still be named. It is out of our hands from here on.
+    /// Takes the handle if it may still be named to a decode engine; otherwise releases it. Whoever takes it has to put it
+    /// back or name it.
     pub fn take_kv_handle(&mut self) -> Option<KvHandle> {
         let now = clock::now();
         let is_usable = self.kv_handle.as_ref().is_some_and(|handle| {
@@ -41,7 +46,7 @@
         self.kv_handle.take()
     }
 
-    /// Memory that nobody will take is given free at once.
+    /// Releases the handle, if there is one, at its engine: in the background, since the request need not wait for it.
     pub fn release_kv_handle(&mut self) {
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
--- a/router/src/kv/mod.rs
+++ b/router/src/kv/mod.rs
@@ -1,4 +1,4 @@
-//! Prefix look-ups at the catalog, and handles of KV cache that is held for one request.
+//! KV cache that requests can reuse: prefix look-ups at the catalog, and handles of cache held for one request.
 
 pub mod catalog_client;
 pub mod kv_handle;
--- a/router/src/limits/mod.rs
+++ b/router/src/limits/mod.rs
@@ -1,3 +1,3 @@
-//! Limits that are enforced before a request is sent.
+//! Rate limits of tenants, enforced before a request is sent to an engine.
 
 pub mod quota_gate;
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -1,15 +1,16 @@
-//! A tenant's limit at this router: a token is asked for before a request is sent to any engine.
+//! Rate limits of tenants: a token is requested before a request is sent to any engine.
 //!
-//! The holders of the shards of the tenant's bucket are asked one after the other, the first of them by chance so that
-//! their shards empty evenly. While none of them answers, the router has a small allowance of its own.
+//! A tenant's token bucket is divided into shards, each owned by one controller. The owners are called one after the
+//! other, starting with a random one so that the shards empty evenly. While none of them responds, the router grants
+//! from a small allowance of its own.
 
-use kernel::clock;
-use kernel::hashing;
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use kernel::settings::Settings;
+use kernel::{clock, hashing};
 use parking_lot::Mutex;
+use prometheus_client::encoding::EncodeLabelValue;
 use protocol::link::PeerClient;
 use protocol::message::Message;
 use protocol::quota::{shard_owners_fingerprint, to_milli, ShardOwner, TokenRequest, TokenResponse};
@@ -19,44 +20,46 @@
 use crate::metrics::QuotaLabels;
 use crate::proxy::exchange::Exchange;
 
-/// How long a holder may take to answer.
+const MS_PER_S: f64 = 1000.0;
+/// How long a shard owner may take to respond.
 const RESPONSE_TIMEOUT_MS: u64 = 60;
-/// A holder that gave no answer is passed over for so long.
+/// How long a shard owner that did not respond is not called.
 const BACKOFF_MS: u64 = 500;
-/// A tenant whose shards were all empty is refused without asking for at most so long.
+/// Longest time for which a tenant whose shards were all empty is rejected without a call.
 const EMPTY_CACHE_MS: u64 = 30;
-/// When a client that was refused may come back.
+/// `Retry-After` for a tenant over its limit.
 const RETRY_AFTER_MS: u64 = 500;
+/// `Retry-After` where no shard owner responded and the allowance is used up.
 const LOCAL_RETRY_AFTER_MS: u64 = 200;
 
-/// What a request of a tenant with a limit came to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, prometheus_client::encoding::EncodeLabelValue)]
+/// The decision about a request of a tenant with a limit. The names of the variants are label values of metrics.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Decision {
-    /// A holder gave a token.
+    /// A shard owner issued a token.
     Granted,
-    /// All shards that answered are empty.
+    /// All shards whose owners responded are empty.
     Denied,
-    /// They were empty a moment ago.
+    /// They were empty a moment ago, so no owner was called.
     Remembered,
-    /// No holder answered; it is within this router's own allowance.
+    /// No shard owner responded; the request is within this router's allowance.
     GrantedAlone,
-    /// No holder answered, and the allowance is used up.
+    /// No shard owner responded, and the allowance is used up.
     RefusedAlone,
 }
 
 impl Decision {
-    /// Why a request may not be sent. None: it may.
+    /// Returns why the request may not be sent; `None` if it may.
     fn failure(self) -> Option<Failure> {
         match self {
             Decision::Granted | Decision::GrantedAlone => None,
             Decision::Denied | Decision::Remembered => Some(Failure::QuotaExceeded(RETRY_AFTER_MS)),
-            // Not known to be over its limit: another router may reach a holder.
+            // The tenant is not known to be over its limit: another router may reach a shard owner.
             Decision::RefusedAlone => Some(Failure::Unavailable(LOCAL_RETRY_AFTER_MS)),
         }
     }
 }
 
-/// What a round of asking came to.
+/// The result of calling the shard owners in turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TokenOutcome {
     Granted,
@@ -64,6 +67,8 @@
     Unanswered,
 }
 
+/// The state behind the lock. Maps by owner are keyed by its IP address, `empty_until` by tenant; times are in
+/// milliseconds of the steady clock.
 struct Inner {
     shard_owners: Vec<EligibleOwner>,
     fingerprint: u64,
@@ -73,17 +78,19 @@
     allowances: Allowances,
 }
 
-/// Invariant: no lock is held over an await.
+/// Enforces the rate limits of tenants at this router.
+///
+/// Invariant: the lock is never held over an await.
 pub struct QuotaGate {
     peer_port: u16,
     inner: Mutex<Inner>,
 }
 
 impl QuotaGate {
-    /// One that knows no holders yet.
+    /// Returns a gate that knows no shard owners yet.
     pub fn new(settings: &Settings) -> QuotaGate {
         let bounds = Bounds {
-            window_ms: (settings.bounds.quota_window_s * 1000.0) as u64,
+            window_ms: (settings.bounds.quota_window_s * MS_PER_S) as u64,
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
         };
@@ -99,23 +106,23 @@
         QuotaGate { peer_port: settings.peer_port(), inner: Mutex::new(inner) }
     }
 
-    /// Takes a list of controllers that may hold shards.
+    /// Replaces the list of controllers that may own shards.
     pub fn set_shard_owners(&self, list: &[ShardOwner]) {
         let mut inner = self.inner.lock();
         inner.fingerprint = shard_owners_fingerprint(list);
         inner.shard_owners =
-            list.iter().map(|one| EligibleOwner { ip: one.ip.clone(), zone: one.zone.clone() }).collect();
+            list.iter().map(|owner| EligibleOwner { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
         let known = inner.shard_owners.clone();
         inner.clients.retain(|ip, _| known.iter().any(|owner| owner.ip == *ip));
         inner.backoff_until.retain(|ip, _| known.iter().any(|owner| owner.ip == *ip));
     }
 
-    /// What tells the list of holders from others.
+    /// Returns the fingerprint of the list of shard owners, by which controllers see whether it is current.
     pub fn shard_owners_fingerprint(&self) -> u64 {
         self.inner.lock().fingerprint
     }
 
-    /// Decides about one request of a tenant.
+    /// Decides about one request of a tenant. `router_count` routers share the allowance; `random` selects the first owner.
     pub async fn decide(&self, tenant: &str, quota: &Quota, router_count: u32, random: u64) -> Decision {
         let now = clock::now();
         if self.is_known_empty(tenant, now) {
@@ -128,24 +135,27 @@
                 self.inner.lock().empty_until.insert(tenant.into(), until);
                 Decision::Denied
             }
-            TokenOutcome::Unanswered => {
-                let now = clock::now();
-                let mut inner = self.inner.lock();
-                match inner.allowances.try_acquire(tenant, quota, router_count, now) {
-                    true => Decision::GrantedAlone,
-                    false => Decision::RefusedAlone,
-                }
-            }
+            TokenOutcome::Unanswered => self.decide_alone(tenant, quota, router_count),
+        }
+    }
+
+    /// Decides by this router's own allowance.
+    fn decide_alone(&self, tenant: &str, quota: &Quota, router_count: u32) -> Decision {
+        let now = clock::now();
+        match self.inner.lock().allowances.try_acquire(tenant, quota, router_count, now) {
+            true => Decision::GrantedAlone,
+            false => Decision::RefusedAlone,
         }
     }
 
+    /// Returns whether all shards of a tenant were empty a moment ago.
     fn is_known_empty(&self, tenant: &str, now: u64) -> bool {
         let mut inner = self.inner.lock();
         inner.empty_until.retain(|_, until| now < *until);
         inner.empty_until.contains_key(tenant)
     }
 
-    /// The holders of a tenant's shards in the order in which they are asked: those that answered lately.
+    /// Returns the owners of a tenant's shards, without those in backoff, in the order in which they are called.
     fn owners_in_order(&self, tenant: &str, random: u64) -> Vec<(String, Arc<PeerClient>)> {
         let now = clock::now();
         let mut inner = self.inner.lock();
@@ -164,6 +174,7 @@
         owners_in_order.into_iter().map(client).collect()
     }
 
+    /// Calls the shard owners one after the other until one issues a token.
     async fn request_token(&self, tenant: &str, quota: &Quota, random: u64) -> TokenOutcome {
         let request = TokenRequest {
             tenant: tenant.into(),
@@ -185,6 +196,7 @@
         result
     }
 
+    /// Starts the backoff of an owner that did not respond.
     fn back_off(&self, ip: String) {
         let until = clock::now() + BACKOFF_MS;
         self.inner.lock().backoff_until.insert(ip, until);
@@ -192,7 +204,10 @@
 }
 
 impl Exchange {
-    /// Takes a token of the tenant's limit for this request, if its tenant has one.
+    /// Acquires a token for this request, if its tenant has a rate limit.
+    ///
+    /// # Errors
+    /// `QuotaExceeded` if the tenant is over its limit, `Unavailable` if that can't be told.
     pub async fn acquire_quota_token(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -1,7 +1,7 @@
-//! Rollouts of versions at this router: which version a request goes to, and what is seen of each.
+//! Rollouts of versions at this router: which version serves a request, and samples of how each version did.
 //!
-//! A new version gets its share only while a controller that was confirmed renewed this router's lease a moment ago. A router that is
-//! cut off, or wakes late, sends to the version in place.
+//! A new version gets its share only while a confirmed controller has renewed this router's lease a moment ago. A router
+//! that is partitioned, or was suspended, sends to the stable version.
 
 use std::collections::{BTreeMap, HashMap};
 use std::mem;
@@ -19,29 +19,49 @@
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
-/// How long samples are gathered before they are sent.
+/// How long samples are collected before they are sent.
 const SAMPLING_INTERVAL: Duration = Duration::from_millis(200);
-/// The most paces that one message holds for a route and version: more say no more.
+/// Most event intervals that one message has for a route and version; more would not change the estimate.
 const MAX_INTERVALS_PER_SAMPLE: usize = 64;
 
+/// Thousandths of the requests that make a whole.
+const SHARE_SCALE: u64 = 1000;
+
+/// The rollout that samples belong to.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RolloutKey {
+    service: String,
+    order: u64,
+}
+
+/// The requests that samples belong to: those of one route to one version.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RouteKey {
+    route: String,
+    is_candidate: bool,
+}
+
 /// The newest rollouts, by the dense index of their service, and samples of those that are active.
 #[derive(Default)]
 pub struct Rollouts {
     by_service: HashMap<u32, VersionRollout>,
-    samples: BTreeMap<(String, u64), BTreeMap<(String, bool), RouteSamples>>,
+    samples: BTreeMap<RolloutKey, BTreeMap<RouteKey, RouteSamples>>,
 }
 
-/// What a request showed of the version that served it.
+/// How the version that served a request did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOutcome {
-    /// It ended as it should; the mean time between its events, where it had several.
-    Success { event_interval_us: Option<u64> },
-    /// Its engine failed it.
+    /// The request ended as it should.
+    Success {
+        /// The mean time between the events of its stream in microseconds, if it had several.
+        event_interval_us: Option<u64>,
+    },
+    /// Its engine failed.
     Failed,
 }
 
 impl Rollouts {
-    /// Takes a record that is newer than the one held.
+    /// Inserts a rollout if it is newer than the known one of its service, and returns whether it was.
     fn insert_if_newer(&mut self, service: u32, rollout: VersionRollout) -> bool {
         let is_new = self.by_service.get(&service).is_none_or(|known| known.number < rollout.number);
         if is_new {
@@ -50,29 +70,30 @@
         is_new
     }
 
-    /// Which engines a request goes to. `holds_lease`: what is known here was confirmed a moment ago.
-    pub fn arm(&self, service: u32, random: u64, holds_lease: bool) -> Arm {
+    /// Returns the version that serves a request. `holds_lease`: the known rollouts were confirmed a moment ago.
+    pub fn select_variant(&self, service: u32, random: u64, holds_lease: bool) -> Arm {
         let Some(rollout) = self.by_service.get(&service) else { return Arm::Stable };
         match rollout.state {
-            RolloutState::Active if holds_lease && random % 1000 < u64::from(rollout.share) => {
+            RolloutState::Active if holds_lease && random % SHARE_SCALE < u64::from(rollout.share) => {
                 Arm::Candidate(rollout.share)
             }
-            // Until the lists follow, its engines still stand among those that are brought in.
+            // Its engines are listed as candidates until discovery has moved them to the stable ones.
             RolloutState::Complete => Arm::Candidate(FULL_SHARE),
             RolloutState::Active | RolloutState::Reverted => Arm::Stable,
         }
     }
 
-    /// Notes what a request showed, while its service has an active rollout.
+    /// Records the outcome of a request while its service has an active rollout, and returns whether it has one.
     fn record(&mut self, service: u32, route: &str, arm: Arm, outcome: VersionOutcome) -> bool {
         let Some(rollout) = self.by_service.get(&service).filter(|rollout| rollout.state == RolloutState::Active)
         else {
             return false;
         };
-        let routes = self.samples.entry((rollout.service.clone(), rollout.order)).or_default();
+        let routes =
+            self.samples.entry(RolloutKey { service: rollout.service.clone(), order: rollout.order }).or_default();
         let is_candidate = arm.is_candidate();
         let empty = || RouteSamples { route: route.into(), is_candidate, good: 0, failed: 0, paces: Vec::new() };
-        let samples = routes.entry((route.into(), is_candidate)).or_insert_with(empty);
+        let samples = routes.entry(RouteKey { route: route.into(), is_candidate }).or_insert_with(empty);
         match outcome {
             VersionOutcome::Success { event_interval_us } => {
                 samples.good += 1;
@@ -85,28 +106,28 @@
         true
     }
 
+    /// Removes and returns all samples, one message for each rollout.
     fn drain_samples(&mut self) -> Vec<Samples> {
-        let to_samples = |((service, order), routes): (_, BTreeMap<_, RouteSamples>)| Samples {
+        let to_message = |(RolloutKey { service, order }, routes): (RolloutKey, BTreeMap<_, RouteSamples>)| Samples {
             service,
             order,
             list: routes.into_values().collect(),
             is_relayed: false,
         };
-        mem::take(&mut self.samples).into_iter().map(to_samples).collect()
+        mem::take(&mut self.samples).into_iter().map(to_message).collect()
     }
 }
 
-/// A record from a controller.
+/// Puts a rollout from a controller in force, unless a newer one is known.
 pub fn apply(state: &State, rollout: VersionRollout) {
     let service = state.engines().service_index(&rollout.service);
-    let (name, target, share, state_name) =
-        (rollout.service.clone(), rollout.target.clone(), rollout.share, rollout.state.as_str());
-    if state.rollouts().insert_if_newer(service, rollout) {
-        kernel::log_event!(VERSION_ROLLOUT_ACTIVATED, "service" => name, "version" => target, "state" => state_name, "share" => share);
+    if state.rollouts().insert_if_newer(service, rollout.clone()) {
+        kernel::log_event!(VERSION_ROLLOUT_ACTIVATED, "service" => rollout.service, "version" => rollout.target,
+            "state" => rollout.state.as_str(), "share" => rollout.share);
     }
 }
 
-/// The records held, as told to controllers.
+/// Returns the number of the known rollout of each service, by its register's key, as it is sent with each renewal.
 pub fn applied_revisions(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts();
     let entry =
@@ -114,7 +135,7 @@
     rollouts.by_service.values().map(entry).collect()
 }
 
-/// Sends samples to the home controller as they come, for as long as the process runs.
+/// Sends samples to the home controller, as long as the process runs.
 pub async fn send_samples(state: Arc<State>) {
     loop {
         state.samples_wanted.notified().await;
@@ -129,18 +150,18 @@
 }
 
 impl Exchange {
-    /// Chooses the version that serves this request. One whose engines can't be sent to now is not tried.
+    /// Chooses the version that serves this request: a new one only if its engines can be sent to now.
     pub fn choose_version(&mut self) {
         let random = self.state.rng().next_u64();
         let now = clock::now();
         let holds_lease = self.state.staleness_bounds().is_confirmed(now);
-        self.variant = self.state.rollouts().arm(self.service, random, holds_lease);
+        self.variant = self.state.rollouts().select_variant(self.service, random, holds_lease);
         if self.variant.is_candidate() && !self.with_selection(|selection| selection.is_usable()) {
             self.variant = Arm::Stable;
         }
     }
 
-    /// Notes what this request showed of the version that served it.
+    /// Records how the version that served this request did.
     pub fn record_version_outcome(&self, outcome: VersionOutcome) {
         let recorded = self.state.rollouts().record(self.service, &self.route, self.variant, outcome);
         if recorded {
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -1,4 +1,4 @@
-//! Which version requests go to, and what is told of them.
+//! Which version serves requests, and the samples that are reported of them.
 
 use kernel::clock;
 use load_balancing::Arm;
@@ -26,7 +26,7 @@
 }
 
 fn share_of(rollouts: &Rollouts, holds_lease: bool) -> usize {
-    (0..1000).filter(|random| rollouts.arm(0, *random, holds_lease).is_candidate()).count()
+    (0..1000).filter(|random| rollouts.select_variant(0, *random, holds_lease).is_candidate()).count()
 }
 
 #[test]
