--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The data plane: takes clients' requests and carries them to engines.
+//! The data-plane daemon: reads the command line and runs the router.
 
 use std::process;
 
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -1,4 +1,7 @@
-//! What a router counts. The list with units stands in `docs/metrics.md`; a test holds the two together.
+//! The metrics of a router. The list with units is in `docs/metrics.md`; a test compares the two.
+//!
+//! Names of metrics, names of fields of label sets, and names of variants of label values are published: dashboards
+//! depend on them.
 
 use std::sync::atomic::Ordering;
 
@@ -14,115 +17,149 @@
 use crate::proxy::send;
 use crate::state::State;
 
-/// How far a request is.
+/// How far a request is (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Stage {
-    /// Its head is read; its body is on its way, or it waits for the configuration.
+    /// Its head is read; its body is arriving, or it waits for the configuration.
     Reading,
-    /// It is let in and looks for an answer.
+    /// It is admitted, and no response has begun.
     Forwarding,
-    /// Its answer has begun.
+    /// Its response has begun.
     Answering,
 }
 
-/// How a request ended.
+/// How a request ended (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Outcome {
-    /// An engine's success, whole.
+    /// An engine's success was sent completely.
     Success,
-    /// An engine's failure, passed on.
+    /// An engine's failure was forwarded.
     EngineFailure,
-    /// 503: it has not run and never will.
+    /// 503 of the router: it has not run and never will.
     Refused,
-    /// 429 of our own.
+    /// 429 of the router.
     OverQuota,
-    /// 404 of our own.
+    /// 404 of the router.
     NoRoute,
-    /// 401 of our own.
+    /// 401 of the router.
     Unauthorized,
-    /// 400, 408 or 413 of our own.
+    /// 400, 408 or 413 of the router.
     Rejected,
-    /// 502 or 504 of our own: it may have run.
+    /// 502 or 504 of the router: it may have run.
     Lost,
-    /// Its connection ended before its answer did.
+    /// Its connection ended before its response did.
     Cut,
 }
 
-/// Is a request the first on its connection?
+/// Whether a request is the first on its connection (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Connection {
+    /// It is the first.
     New,
+    /// It came on a kept-alive connection.
     Kept,
 }
 
-/// What a request sent to an engine was for.
+/// What a request sent to an engine was for (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum SendPhase {
-    /// Only its prompt is read.
+    /// Only to prefill its prompt.
     Prefill,
-    /// It is run.
+    /// To produce the response.
     Run,
 }
 
-/// What came of a send to an engine.
+/// The result of a send to an engine (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum SendResult {
+    /// The engine responded.
     Answered,
+    /// The engine did not execute the request.
     NotExecuted,
+    /// 421: another engine, or another version, was found at the address.
     Misdirected,
+    /// The request was not sent.
     Unsent,
+    /// The request may have run, and the response is lost.
     Lost,
 }
 
+/// Labels of requests as they arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ArrivalLabels {
+    /// The phase of the router when the request arrived.
     pub phase: DrainPhase,
+    /// Whether the request is the first on its connection.
     pub connection: Connection,
 }
 
+/// Labels of requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StageLabels {
+    /// The phase of the router when the request arrived.
     pub phase: DrainPhase,
+    /// How far the request is.
     pub stage: Stage,
 }
 
+/// Labels of requests that have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
+    /// The phase of the router when the request arrived.
     pub phase: DrainPhase,
+    /// How the request ended.
     pub outcome: Outcome,
 }
 
+/// Labels of requests sent to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EngineSendLabels {
+    /// What the request was for.
     pub half: SendPhase,
+    /// What came of it.
     pub result: SendResult,
 }
 
+/// Labels of clients' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PhaseLabels {
+    /// The phase of the router when the connection was accepted.
     pub phase: DrainPhase,
 }
 
+/// Labels of decisions about requests of tenants with a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct QuotaLabels {
+    /// The decision.
     pub decision: Decision,
 }
 
 /// All metrics of a router. Labels have fixed values only, so that their number never grows.
 pub struct Metrics {
     registry: Registry,
-    /// By the phase in which they came.
+    /// Requests whose head was read.
     pub requests_received: Family<ArrivalLabels, Counter>,
+    /// Requests that have not ended yet.
     pub requests_under_way: Family<StageLabels, Gauge>,
+    /// Requests that have ended.
     pub requests_ended: Family<OutcomeLabels, Counter>,
+    /// Seconds from the head of a request to the end of its response.
     pub request_duration: Histogram,
+    /// Seconds from the head of a request to the head of its response.
     pub first_byte: Histogram,
+    /// Clients' connections that were accepted.
     pub connections_accepted: Family<PhaseLabels, Counter>,
+    /// Clients' connections that are open.
     pub connections_open: Gauge,
+    /// Requests that were sent to engines.
     pub engine_sends: Family<EngineSendLabels, Counter>,
+    /// Connections that were opened to engines.
     pub engine_connections: Counter,
+    /// Decisions about requests of tenants with a limit.
     pub quota_decisions: Family<QuotaLabels, Counter>,
+    /// Retries that the retry budget did not allow.
     pub retries_denied: Counter,
+    /// Readiness checks that did not get a 200.
     pub readiness_checks_failed: Counter,
     config_revision: Gauge,
     ready: Gauge,
@@ -132,6 +169,7 @@
     prefix_hits: Gauge,
 }
 
+/// The prefix of the names of all metrics.
 const METRIC_PREFIX: &str = "tidepoint_router";
 
 impl Default for Metrics {
@@ -165,6 +203,7 @@
 }
 
 impl Metrics {
+    /// Registers the metrics of requests.
     fn register_requests(&mut self) {
         let registry = &mut self.registry;
         let received = self.requests_received.clone();
@@ -183,6 +222,7 @@
         registry.register_with_unit("request_bodies", "Request bodies held", Unit::Bytes, body_bytes);
     }
 
+    /// Registers the metrics of connections and sends.
     fn register_connections(&mut self) {
         let registry = &mut self.registry;
         let accepted = self.connections_accepted.clone();
@@ -196,6 +236,7 @@
         registry.register("retries_denied", "Further sends that the retry budget did not allow", denied);
     }
 
+    /// Registers the metrics of the router's state.
     fn register_state(&mut self) {
         let registry = &mut self.registry;
         registry.register("config_revision", "Version of the configuration in force", self.config_revision.clone());
@@ -207,12 +248,12 @@
         registry.register("prefix_hits", "Prompt prefixes whose owner was found", self.prefix_hits.clone());
     }
 
-    /// Requests that are not ended yet and came in a phase, and how far they are.
+    /// Returns how many requests that arrived in a phase are in a stage.
     pub fn requests_in_stage(&self, phase: DrainPhase, stage: Stage) -> i64 {
         self.requests_under_way.get_or_create(&StageLabels { phase, stage }).get()
     }
 
-    /// All metrics as text, with the figures that are only read when asked for.
+    /// Returns all metrics as text. Gauges of the router's state are read here, at each scrape.
     pub fn render(&self, state: &State) -> String {
         let ordering = Ordering::Relaxed;
         let counts = state.owner_cache().counts;
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start and end of the process.
+//! Start and graceful shutdown of the process.
 
 use std::process;
 use std::sync::Arc;
@@ -15,10 +15,12 @@
 use crate::state::State;
 use crate::subscription::driver;
 
+/// The tasks of a router, which register themselves and are started in their stated order.
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
 pub static ROUTER_PARTS: [Plugin<Arc<State>>];
 
+/// Registers a task of the router: the static's name, the task's name, its place in the order, and how it starts.
 macro_rules! router_plugin {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
         #[kernel::plugin::linkme::distributed_slice(ROUTER_PARTS)]
@@ -33,7 +35,7 @@
 router_plugin!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
 router_plugin!(FRONTEND, "frontend", 3, |state| drop(tokio::spawn(listener::serve_frontend(state.clone()))));
 
-/// Runs a router until it is told to end and has finished what it took.
+/// Runs a router until it gets SIGTERM and has finished what it accepted.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
     kernel::log_event!(ROUTER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
     let state = State::new(settings);
@@ -45,7 +47,7 @@
     process::ExitCode::SUCCESS
 }
 
-/// Ends what the router does, well inside the grace.
+/// Shuts the router down gracefully, well inside the grace period.
 pub(crate) async fn shut_down(state: &State) {
     let counts = state.owner_cache().counts;
     kernel::log_event!(SHUTDOWN_STARTED, "open" => count_unfinished(state, &PHASES, &STAGES));
@@ -56,17 +58,19 @@
     log_unfinished(state);
 }
 
+/// All phases, in their order.
 const PHASES: [DrainPhase; 3] = [DrainPhase::Serving, DrainPhase::Draining, DrainPhase::Closing];
+/// All stages, in their order.
 const STAGES: [Stage; 3] = [Stage::Reading, Stage::Forwarding, Stage::Answering];
 
-/// Requests that are not ended yet: those that came in some phases and are in some stages.
+/// Returns how many unfinished requests arrived in one of these phases and are in one of these stages.
 fn count_unfinished(state: &State, phases: &[DrainPhase], stages: &[Stage]) -> i64 {
     let of_phase =
         |phase: &DrainPhase| stages.iter().map(|stage| state.metrics.requests_in_stage(*phase, *stage)).sum::<i64>();
     phases.iter().map(of_phase).sum()
 }
 
-/// What is left unfinished, by how far it is and whether it came before or after SIGTERM.
+/// Logs what is left unfinished, by stage, and how much of it arrived after SIGTERM.
 fn log_unfinished(state: &State) {
     kernel::log_event!(SHUTDOWN_FINISHED, "open" => count_unfinished(state, &PHASES, &STAGES),
         "reading" => count_unfinished(state, &PHASES, &[Stage::Reading]),
