--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -1,4 +1,4 @@
-//! Refusals that rest on what the configuration lacks, where it is not known to be current.
+//! Rejections by what the configuration lacks, where it is not known to be current.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn a_key_or_route_that_may_only_be_late_is_refused_with_a_promise() {
+async fn an_unknown_key_or_route_is_rejected_with_retry_after_while_the_table_may_be_stale() {
     let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
     keys(&state, &["k2"]);
--- a/router/src/frontend/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -86,7 +86,7 @@
     Authorization::grant(table, route, key.map(|key| KeyDigest::of(key.as_bytes())))
 }
 
-/// The tenant that an engine is told. None: the request is refused; empty: nobody's.
+/// Returns the tenant that an engine is given; `None` if the request is rejected, empty if it has no tenant.
 fn named(table: &RoutingTable, route: &str, key: Option<&str>) -> Option<String> {
     let granted = grant(table, route, key).ok()?;
     let mut headers = HeaderMap::new();
@@ -99,7 +99,7 @@
     let table = table(tenants(), true);
     let found = [Some("k1"), Some("k2"), Some("k3"), None].map(|key| named(&table, "keyed", key));
     assert_eq!(found, [Some("one".to_string()), Some("two".to_string()), None, None]);
-    // A known key counts there too: the engine is told whose it is.
+    // A known key counts there too: the engine is given its tenant.
     let found = [Some("k1"), Some("k3"), None].map(|key| named(&table, "open", key));
     assert_eq!(found, [Some("one".to_string()), Some(String::new()), Some(String::new())]);
     let without = self::table(Value::Null, false);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_rank_is_the_tenants_before_the_routes_and_both_homes_bind() {
+fn the_tenants_priority_precedes_the_routes_and_both_region_lists_apply() {
     let table = table(tenants(), true);
     let granted = |key| grant(&table, "open", key).expect("granted");
     assert_eq!([Some("k1"), Some("k2"), None].map(|key| granted(key).priority()), [0, 3, 3]);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_was_granted_holds_as_long_as_its_tenant_has_the_key_and_the_same_homes() {
+fn an_authorization_is_valid_while_its_tenant_has_the_key_and_the_same_regions() {
     let first = table(tenants(), true);
     let next = |change: &dyn Fn(&mut Value)| {
         let mut list = tenants();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_was_granted_without_a_key_holds_while_none_is_needed() {
+fn an_authorization_without_a_key_is_valid_while_none_is_needed() {
     let (open, closed) = (table(tenants(), true), table(tenants(), false));
     let anonymous = grant(&open, "open", None).expect("granted");
     assert!(
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn neither_the_key_nor_a_tenant_of_the_clients_choice_is_passed_on() {
+fn neither_the_key_nor_a_tenant_named_by_the_client_is_forwarded() {
     let with = table(tenants(), true);
     for (route, key, expected) in [("keyed", Some("k1"), Some("one")), ("open", None, None), ("open", Some("k3"), None)]
     {
--- a/router/src/frontend/drain_tests.rs
+++ b/router/src/frontend/drain_tests.rs
@@ -1,4 +1,4 @@
-//! The phases of a router that ends, in virtual time.
+//! The phases of a graceful shutdown, in virtual time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
     time::sleep(Duration::from_millis(time_ms)).await;
 }
 
-/// Runs through the phases of a grace of eight seconds; gives the time that it took.
+/// Runs through the phases of a grace period of eight seconds, and returns the milliseconds that it took.
 fn run(drain: &Arc<Drain>) -> JoinHandle<u128> {
     let drain = drain.clone();
     let started = Instant::now();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_grace_is_divided_into_being_noticed_finishing_and_a_reserve() {
+fn a_grace_period_is_divided_into_detection_completion_and_a_reserve() {
     let parts = |grace_s: f64| {
         let schedule = DrainSchedule::for_grace(grace_s);
         (schedule.accept_for.as_millis(), schedule.finish_within.as_millis())
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_connections_it_ends_once_it_was_noticed() {
+async fn without_connections_it_ends_after_the_detection_time() {
     let drain = Arc::new(Drain::default());
     assert_eq!(drain.phase(), DrainPhase::Serving);
     let end = run(&drain);
@@ -81,14 +81,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_does_not_end_does_not_outlast_the_grace() {
+async fn a_connection_that_does_not_end_is_dropped_at_the_end_of_the_grace_period() {
     let drain = Arc::new(Drain::default());
     connect(&drain, 60_000);
     assert_eq!(run(&drain).await.expect("ends"), 7700);
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_waits_for_the_closing_is_woken_by_it() {
+async fn a_task_that_waits_for_closing_is_woken_by_it() {
     let drain = Arc::new(Drain::default());
     let end = run(&drain);
     drain.wait_for_closing().await;
--- a/router/src/frontend/request_tests.rs
+++ b/router/src/frontend/request_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn smuggling_shapes_are_unsound() {
+fn heads_that_could_smuggle_a_request_are_ambiguous() {
     assert!(has_unambiguous_framing(&headers(&[("host", "a"), ("content-length", "3")])));
     for bad in [
         vec![("host", "a"), ("content-length", "3"), ("content-length", "3")],
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut map = headers(&[("connection", "close, x-hop"), ("x-hop", "1"), ("keep-alive", "3"), ("x-end", "2")]);
     remove_hop_by_hop_headers(&mut map);
     assert_eq!(map.len(), 1);
--- a/router/src/limits/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -1,4 +1,4 @@
-//! A router and stand-ins for the controllers that hold shards.
+//! A router and stand-ins for the controllers that own shards.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::testing::engine::{answer, engines, seen, Act};
 use crate::testing::router::{ask, configure, router, status, SETTINGS};
 
-/// A controller that answers every request for a token so.
+/// Starts a controller that responds to every token request with `response`, and returns the count of requests.
 async fn controller(ip: &str, port: u16, response: Option<TokenResponse>) -> Arc<AtomicUsize> {
     let requests = Arc::new(AtomicUsize::new(0));
     let count = requests.clone();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_shard_that_is_empty_sends_to_the_next_and_all_empty_ones_refuse() {
+async fn an_empty_shard_leads_to_the_next_and_all_empty_ones_deny() {
     let (ips, port) = (["127.0.81.1", "127.0.81.2", "127.0.81.3"], 7381);
     controller(ips[0], port, Some(EMPTY)).await;
     controller(ips[1], port, Some(TokenResponse::Granted)).await;
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_holder_is_passed_over_for_a_while() {
+async fn an_unresponsive_shard_owner_is_skipped_during_its_backoff() {
     let (ips, port) = (["127.0.82.1", "127.0.82.2"], 7382);
     let silent = controller(ips[0], port, None).await;
     controller(ips[1], port, Some(TokenResponse::Granted)).await;
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn without_an_answer_a_router_keeps_to_its_own_allowance() {
+async fn without_a_response_a_router_keeps_to_its_own_allowance() {
     let gate = gate(7383, &["127.0.83.1"]);
     let mut granted = 0;
     for random in 0..100 {
@@ -90,7 +90,7 @@
 const KEYED: &str = "Authorization: Bearer k1\r\n";
 
 #[tokio::test]
-async fn who_is_over_the_limit_gets_429_and_reaches_no_engine() {
+async fn a_tenant_over_its_limit_gets_429_and_reaches_no_engine() {
     let (ip, port) = ("127.0.84.1", 7300);
     let requests = controller(ip, port, Some(EMPTY)).await;
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! What is counted when requests come, and that the page and the code name the same metrics.
+//! The counts of requests, and that the documentation and the code name the same metrics.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     stages.into_iter().map(|stage| state.metrics.requests_in_stage(DrainPhase::Serving, stage)).sum()
 }
 
-/// Waits until a figure is as wished.
+/// Waits until a condition on the metrics holds.
 async fn wait_until(figure: impl Fn() -> bool) {
     let wait = async {
         while !figure() {
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn each_request_ends_once_as_what_it_came_to() {
+async fn each_request_is_counted_once_by_its_outcome() {
     let list = engines("decode", 1, |seen, _| match seen.attempt() {
         "broken" => Act::SendAndClose(events(seen, 1, 3, false)),
         "failed" => Act::Send(answer(seen, "500 Internal Server Error", "no")),
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn every_metric_stands_on_the_page_and_none_besides() {
+async fn every_metric_is_documented_and_no_other() {
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
     // A family without a series is not told.
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -18,12 +18,12 @@
 /// The tasks of a router, which register themselves and are started in their stated order.
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
-pub static ROUTER_PARTS: [Plugin<Arc<State>>];
+pub static ROUTER_PLUGINS: [Plugin<Arc<State>>];
 
 /// Registers a task of the router: the static's name, the task's name, its place in the order, and how it starts.
 macro_rules! router_plugin {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
-        #[kernel::plugin::linkme::distributed_slice(ROUTER_PARTS)]
+        #[kernel::plugin::linkme::distributed_slice(ROUTER_PLUGINS)]
         #[linkme(crate = kernel::plugin::linkme)]
         static $label: kernel::plugin::Plugin<Arc<State>> =
             kernel::plugin::Plugin { name: $name, order: $order, start: $start };
@@ -41,7 +41,7 @@
     let state = State::new(settings);
     let scraped = state.clone();
     telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || scraped.metrics.render(&scraped));
-    plugin::start(&ROUTER_PARTS, &state);
+    plugin::start(&ROUTER_PLUGINS, &state);
     signal::wait_for_termination(&mut signals).await;
     shut_down(&state).await;
     process::ExitCode::SUCCESS
--- a/router/src/tests/connection_reuse.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Connections that serve more than one request, to engines and from clients: nobody gets what is another's.
+//! Reuse of connections, to engines and from clients: no request gets the response of another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_whose_answer_was_whole_is_used_again() {
+async fn a_connection_whose_response_was_complete_is_reused() {
     let list = engines("decode", 1, |seen, _| Act::Send(own(seen))).await;
     let state = router(&list);
     for attempt in ["1", "2", "3"] {
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn bytes_behind_a_whole_answer_end_its_connection() {
+async fn bytes_after_a_complete_response_end_its_connection() {
     for surplus in [sealed("1", "200 OK", "for-1"), "garbage\r\n\r\n".into(), "x".into()] {
         let list = engines("decode", 1, move |seen, before| match before {
             0 => Act::Send(format!("{}{surplus}", own(seen))),
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn bytes_that_come_while_a_connection_rests_end_it() {
+async fn bytes_that_come_while_a_connection_is_idle_end_it() {
     let when = Arc::new(Notify::new());
     let now = when.clone();
     let list = engines("decode", 1, move |seen, before| match before {
@@ -77,7 +77,7 @@
         let state = router(&list[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
         kept(&state, 1).await;
-        crate::testing::router::list(&state, 2, &list);
+        router::list(&state, 2, &list);
         state.engines().engines[1].saturated_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
--- a/router/src/tests/exchange.rs
+++ b/router/src/tests/exchange.rs
@@ -1,9 +1,10 @@
-//! One request and its answer, with engines that misbehave: whose answer a client gets, and how often a
-//! request reaches an engine.
+//! One request and its response, with engines that misbehave: which response a client gets, and how often a request
+//! reaches an engine.
 
 use std::sync::{Arc, OnceLock};
 
 use kernel::clock;
+use load_balancing::RetryBudget;
 
 use crate::state::State;
 use crate::testing::engine::{answer, engines, not_executed, sealed, seen, Act, Engine, Seen};
@@ -47,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_without_the_engines_word_is_never_passed_on_as_a_promise() {
+async fn a_retriable_status_without_not_executed_is_never_forwarded() {
     for code in ["408 Request Timeout", "429 Too Many Requests", "503 Service Unavailable"] {
         for route in UNREPEATABLE {
             let list = engines("decode", 2, move |seen, _| Act::Send(answer(seen, code, ""))).await;
@@ -70,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_the_engines_own_is_passed_on_with_its_seal() {
+async fn an_engines_failure_is_forwarded_with_its_seal() {
     for code in ["400 Bad Request", "500 Internal Server Error", "504 Gateway Timeout"] {
         let list = engines("decode", 2, move |seen, _| Act::Send(answer(seen, code, "why"))).await;
         let text = ask(&router(&list), "once", "1", "").await;
@@ -110,7 +111,7 @@
         let list = engines("decode", 3, |_, _| Act::SendAndReset(String::new())).await;
         let state = router(&list);
         // The budget would bear more.
-        *state.retry_budget() = ::load_balancing::RetryBudget::new(100.0, 10_000);
+        *state.retry_budget() = RetryBudget::new(100.0, 10_000);
         let text = ask(&state, route, "1", "").await;
         assert_eq!((status(&text), seen(&list).len()), ("502", 2), "it may have run: {text}");
     }
@@ -128,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn silence_is_waited_out_and_never_followed_by_another_send() {
+async fn an_unanswered_send_is_waited_for_and_never_repeated() {
     for route in UNREPEATABLE {
         let list = engines("decode", 2, |_, _| Act::Silence).await;
         let text = ask(&router(&list), route, "1", "Time-Budget: 300\r\n").await;
@@ -137,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_before_its_request_is_nobodys() {
+async fn a_response_that_comes_before_its_request_is_not_forwarded() {
     let stale = sealed("stale", "200 OK", "of another");
     for route in UNREPEATABLE {
         let list = [Engine::start_greeting("g", "decode", &stale, |_| Act::Silence).await];
@@ -177,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn a_success_without_a_seal_is_not_passed_on() {
+async fn a_success_without_a_seal_is_not_forwarded() {
     for route in UNREPEATABLE {
         let list = engines("decode", 2, |seen, _| {
             Act::Send(answer(seen, "200 OK", "unsealed").replace("Response-Seal", "Other"))
@@ -203,7 +204,7 @@
     assert_eq!(seen.header("x-other"), Some("kept"));
 }
 
-/// Engines that say nothing; each is found dark as soon as a request has come to it.
+/// Engines that do not respond; each is marked as failed as soon as a request has reached it.
 async fn unresponsive_after_first_request(state: Arc<OnceLock<Arc<State>>>) -> Vec<Engine> {
     engines("decode", 2, move |seen, before| {
         let state = state.get().expect("set");
@@ -218,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn only_a_repeatable_request_leaves_an_engine_that_is_found_dark() {
+async fn only_a_repeatable_request_leaves_an_engine_that_is_found_unresponsive() {
     for route in ["once", "stream", "again", "resume"] {
         let cell = Arc::new(OnceLock::new());
         let list = unresponsive_after_first_request(cell.clone()).await;
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A router that ends while clients go on sending to it, as they do where fewer than half of a zone's routers are ready.
+//! Graceful shutdown while clients go on sending, as they do where fewer than half of a zone's routers are ready.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use crate::testing::engine::{self, answer, engines, events, head_and_rest, Act, Engine};
 use crate::testing::router::{post, status, unproved_router_of, SETTINGS};
 
-/// The grace of these routers, in seconds.
+/// The grace period of these routers, in seconds.
 const GRACE_S: f64 = 1.6;
 const STREAM_END: &str = "0\r\n\r\n";
 
-/// A router in a runtime of its own, which ends as its process would: with all that is open in it.
+/// A router in a runtime of its own, which ends as its process would: with everything that is open in it.
 struct Process {
     state: Arc<State>,
     address: String,
@@ -64,7 +64,7 @@
         Process { state, address, terminate, ended }
     }
 
-    /// A connection to it, or none where nobody listens any more.
+    /// Returns a connection to it, or `None` if it does not listen any more.
     async fn connect(address: &str) -> Option<TcpStream> {
         TcpStream::connect(address).await.ok()
     }
@@ -105,7 +105,7 @@
     received
 }
 
-/// Was a request lost? It is whole, or it was refused before any engine had it, or nobody took it.
+/// Returns whether a request was lost: it neither completed, nor was rejected before any send, nor was never accepted.
 fn is_lost(received: &Received, engines: &[Engine]) -> bool {
     if status(&received.text) == "200" {
         return !received.text.ends_with(STREAM_END);
@@ -113,7 +113,7 @@
     engine::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
 }
 
-/// Engines whose streams end at the next beat after their head, so that some are always under way.
+/// Engines whose streams end at the next tick after their head, so that some are always in flight.
 async fn slow_engines() -> Vec<Engine> {
     let release = Arc::new(Notify::new());
     let releaser = release.clone();
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn nothing_that_was_taken_is_given_up_while_requests_keep_coming() {
+async fn no_accepted_request_is_abandoned_while_requests_keep_coming() {
     let list = slow_engines().await;
     let mut process = Process::start(&list, true);
     drop(process.first_connection().await);
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_waits_to_be_let_in_is_answered_before_the_process_ends() {
+async fn a_request_that_waits_for_admission_is_answered_before_the_process_ends() {
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let process = Process::start(&list, false);
     let mut stream = process.first_connection().await;
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test]
-async fn what_takes_longer_than_the_time_left_is_refused_before_any_engine_has_it() {
+async fn a_request_longer_than_the_time_left_is_rejected_before_any_send() {
     let list = engines("decode", 1, |seen, _| Act::Send(events(seen, 1, 3, true))).await;
     let process = Process::start(&list, true);
     drop(process.first_connection().await);
--- a/router/src/tests/kept_connections.rs
+++ b/router/src/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that a client keeps: whatever becomes of a request at its engine, it is answered, and the next one is served.
+//! Kept-alive connections of clients: whatever becomes of a request at its engine, it is answered, and the next is served.
 
 use std::time::Duration;
 
--- a/router/src/tests/mod.rs
+++ b/router/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of a whole router between stand-in engines, controllers and clients.
+//! Tests of a complete router between stand-in engines, controllers and clients.
 
 mod connection_reuse;
 mod exchange;
--- a/router/src/tests/phases.rs
+++ b/router/src/tests/phases.rs
@@ -1,4 +1,4 @@
-//! Requests whose prompt one engine reads and another answers: whose memory is named, and how often.
+//! Requests that one engine prefills and another decodes: whose KV cache is named, and how often.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::testing::engine::{answer, engines, events, handle, held, not_executed, seen, Act, Engine, Seen, PROMPT};
 use crate::testing::router::{self, ask, router, status};
 
-/// Readers that give a handle and take it back, and makers that follow a script.
+/// Prefill engines that give a handle and release it, and decode engines that follow a script.
 async fn fleet(
     prefill: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
     decode: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
@@ -17,7 +17,7 @@
     list
 }
 
-/// The script of a reader that tells when a handle is given free.
+/// The script of a prefill engine that notifies when a handle is released.
 fn freeing_prefill(released: Arc<Notify>) -> impl Fn(&Seen, usize) -> Act + Send + Sync + 'static {
     move |seen, _| {
         if seen.head.starts_with("DELETE") {
@@ -37,14 +37,15 @@
     all.filter(|seen| seen.head.starts_with("DELETE")).map(|seen| seen.head).collect()
 }
 
-/// What each request to a maker names as the source of its memory.
+/// Returns what each request to a decode engine names as the source of its KV cache.
 fn sources(list: &[Engine]) -> Vec<Option<String>> {
     seen(&list[2..]).iter().map(|seen| seen.header("kv-source").map(str::to_string)).collect()
 }
 
 fn source(list: &[Engine], id: &str) -> Option<String> {
-    let reader = list[..2].iter().find(|engine| !engine.seen().is_empty()).expect("a reader was asked");
-    Some(format!("{}/h{id}", reader.addr))
+    let prefill_engine =
+        list[..2].iter().find(|engine| !engine.seen().is_empty()).expect("a prefill engine was called");
+    Some(format!("{}/h{id}", prefill_engine.addr))
 }
 
 fn stream(seen: &Seen) -> Act {
@@ -52,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn each_request_goes_on_with_the_memory_of_its_own_prompt() {
+async fn each_request_continues_with_the_cache_of_its_own_prompt() {
     let list = fleet(|seen, _| Act::Send(held(seen)), |seen, _| stream(seen)).await;
     let state = router(&list);
     let (one, two) = tokio::join!(ask(&state, "stream", "1", PROMPT), ask(&state, "resume", "2", PROMPT));
@@ -66,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_reads_answer_that_is_another_requests_names_no_memory() {
+async fn a_prefill_response_of_another_request_names_no_handle() {
     let others: [fn(&Seen) -> String; 3] = [
         |_| handle("another", "another"),
         |_| handle("another", "another").replace("Attempt-Id: another\r\n", ""),
@@ -82,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_read_without_an_answer_is_not_repeated() {
+async fn a_prefill_without_a_response_is_not_repeated() {
     for fault in [Act::SendAndReset as fn(String) -> Act, Act::SendAndClose] {
         let list = fleet(move |_, _| fault(String::new()), |seen, _| stream(seen)).await;
         let text = ask(&router(&list), "stream", "1", PROMPT).await;
@@ -92,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn an_unrepeatable_request_reaches_one_maker_whatever_becomes_of_its_answer() {
+async fn an_unrepeatable_request_reaches_one_decode_engine_whatever_becomes_of_its_response() {
     let faults: [fn(&Seen) -> Act; 4] = [
         |_| Act::SendAndReset(String::new()),
         |seen| Act::Send(answer(seen, "503 Service Unavailable", "")),
@@ -109,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn a_handle_is_named_to_one_maker_that_may_have_taken_it() {
+async fn a_handle_is_named_to_one_decode_engine_that_may_have_taken_it() {
     let released = Arc::new(Notify::new());
     let list = fleet(freeing_prefill(released.clone()), |seen, before| {
         if before == 0 {
@@ -135,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn memory_that_a_maker_could_not_have_is_given_free_and_the_prompt_read_there() {
+async fn a_cache_that_a_decode_engine_could_not_take_is_released_and_the_prompt_prefilled_there() {
     let released = Arc::new(Notify::new());
     let list = fleet(freeing_prefill(released.clone()), |seen, before| {
         if before == 0 {
@@ -154,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_takes_nothing_up_is_followed_by_another_within_the_count() {
+async fn a_prefill_engine_that_does_not_execute_is_followed_by_another_within_the_retry_count() {
     let list = fleet(
         |seen, before| Act::Send(if before == 0 { not_executed(seen) } else { held(seen) }),
         |seen, _| stream(seen),
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -1,4 +1,4 @@
-//! Keys that are revoked, or pass to another tenant, while their clients are connected and their requests wait.
+//! Keys that are revoked, or move to another tenant, while their clients are connected and their requests wait.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
@@ -27,7 +27,7 @@
 /// A router that the scripts of its engines can reach.
 type Cell = Arc<OnceLock<Arc<State>>>;
 
-/// Takes `k1` away: from everybody, or to give it to the other tenant.
+/// How tenant `one` loses the key `k1`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
     Revoked,
@@ -43,7 +43,7 @@
 
 const LOSSES: [Loss; 2] = [Loss::Revoked, Loss::Moved];
 
-/// What came of one request whose key is lost as soon as an engine has got it.
+/// The result of one request whose key is lost as soon as an engine has it.
 struct LostKeyRun {
     /// What the client got.
     text: String,
@@ -79,7 +79,7 @@
 }
 
 impl LostKeyRun {
-    /// The status that the client got, and how many requests the makers did.
+    /// Returns the status that the client got, and how many requests the decode engines got.
     fn outcome(&self) -> (&str, usize) {
         (status(&self.text), seen(&self.decode_engines).len())
     }
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_have_run_goes_to_no_other_engine_and_is_promised_nothing() {
+async fn a_request_that_may_have_run_goes_to_no_other_engine_and_gets_no_retry_after() {
     for loss in LOSSES {
         for route in ["again", "resume"] {
             let run = run_with_lost_key(loss, route, "", |_| Act::SendAndReset(String::new())).await;
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn an_engines_own_failure_is_passed_on_where_no_other_may_be_asked() {
+async fn an_engines_failure_is_forwarded_where_no_other_engine_may_be_called() {
     for loss in LOSSES {
         let failed = |seen: &Seen| Act::Send(sealed(seen.attempt(), "500 Internal Server Error", "why"));
         let run = run_with_lost_key(loss, "again", "", failed).await;
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_prompt_that_was_read_goes_to_no_maker_and_its_memory_is_given_free() {
+async fn a_prefilled_prompt_goes_to_no_decode_engine_and_its_cache_is_released() {
     for loss in LOSSES {
         let run = run_with_lost_key(loss, "stream", PROMPT, |seen| Act::Send(held(seen))).await;
         assert_eq!(run.outcome(), ("503", 0), "{loss:?}: {}", run.text);
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_is_not_gone_on_with() {
+async fn a_broken_stream_is_not_resumed() {
     for loss in LOSSES {
         let first = |seen: &Seen| Act::SendAndReset(events(seen, 1, 3, false));
         let LostKeyRun { text, decode_engines, .. } = run_with_lost_key(loss, "resume", "", first).await;
@@ -176,13 +176,13 @@
 }
 
 #[tokio::test]
-async fn a_stream_under_way_goes_on_to_its_end() {
+async fn a_stream_in_flight_continues_to_its_end() {
     let run = run_with_lost_key(Loss::Revoked, "stream", "", |seen| Act::Send(events(seen, 1, 4, true))).await;
     assert_eq!(run.outcome(), ("200", 1));
     assert!(run.text.ends_with("0\r\n\r\n"), "{}", run.text);
 }
 
-/// Two readers and a maker that would answer anything.
+/// Two prefill engines and a decode engine that accept any request.
 async fn accepting_engines() -> Vec<Engine> {
     let mut list = engines("prefill", 2, |seen, _| Act::Send(held(seen))).await;
     list.extend(engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await);
--- a/router/src/tests/stream_end.rs
+++ b/router/src/tests/stream_end.rs
@@ -1,4 +1,4 @@
-//! Answers that break off, and streams that go on at another engine.
+//! Responses that break off, and streams that are resumed at another engine.
 
 use crate::testing::engine::{answer, engines, events, seen, Act, Seen};
 use crate::testing::router::{ask, router};
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_whose_events_bear_no_ids_is_not_begun_anew() {
+async fn a_stream_whose_events_have_no_ids_is_not_restarted() {
     let list = engines("decode", 2, |seen, before| match before {
         0 => Act::SendAndReset(events(seen, 1, 3, false).replace("id: ", "in: ")),
         _ => Act::Send(events(seen, 1, 5, true)),
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_body_without_joints_is_not_begun_anew_once_a_part_was_passed_on() {
+async fn a_body_without_events_is_not_restarted_once_a_part_was_forwarded() {
     let large = "x".repeat(300 * 1024);
     let list = engines("decode", 2, move |seen, before| {
         let text = events(seen, 1, 2, false);
--- a/router/src/tests/subscription_storm.rs
+++ b/router/src/tests/subscription_storm.rs
@@ -1,4 +1,4 @@
-//! A loss of power everywhere: all routers start at once with nothing, and the whole configuration comes over
+//! A total power loss: all routers start at once with nothing, and the configuration snapshot comes over
 //! links that carry a few of them a second.
 
 use std::collections::BTreeMap;
@@ -10,11 +10,11 @@
 
 const ROUTERS: u64 = 300;
 const CONTROLLERS: usize = 18;
-/// What a controller's link takes to carry the whole configuration with the lists of engines.
+/// How long a controller's link takes to transfer a configuration snapshot with the endpoint lists.
 const SNAPSHOT_MS: u64 = 100;
 const STEP_MS: u64 = 20;
 
-/// Asks all controllers at once, as hedged calls without patience would.
+/// Calls all controllers at once, as hedged calls without a delay would.
 struct AskEverybody {
     controllers: Vec<String>,
     current_as_of: Option<i64>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// When the last router has a proof, and how often the whole configuration was asked for.
+/// Returns when the last router has a proof, and how many snapshots were requested.
 fn storm<P: Policy>(make: impl Fn(&str, &[String]) -> P) -> (u64, u64) {
     let controllers = names("k", CONTROLLERS);
     let router = |number: u64| {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn after_a_loss_of_power_everywhere_routers_do_not_ask_everybody_for_everything() {
+fn after_a_total_power_loss_routers_do_not_call_all_controllers() {
     let lower_bound_ms = ROUTERS * SNAPSHOT_MS / CONTROLLERS as u64;
     let following = |node: &str, seeds: &[String]| SubscriptionScheduler::new(budget(3000), node, "none", seeds);
     let (elapsed_ms, snapshots) = storm(following);
--- a/router/src/tests/tenant_requests.rs
+++ b/router/src/tests/tenant_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: which are let in, and what engines see of them.
+//! Requests of tenants: which are admitted, and what engines see of them.
 
 use std::sync::Arc;
 
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn of_an_unknown_route_nobody_is_asked_for_a_key() {
+async fn an_unknown_route_is_not_found_whatever_the_key() {
     let list = succeeding_engines().await;
     let state = shared_router(&list);
     for extra_headers in ["", KEYED, "Authorization: Bearer unknown\r\n"] {
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn without_tenants_neither_a_key_nor_a_tenants_name_is_passed_on() {
+async fn without_tenants_neither_a_key_nor_a_tenants_name_is_forwarded() {
     let list = succeeding_engines().await;
     assert_eq!(status(&ask(&router(&list), "once", "1", &format!("{KEYED}Tenant: one\r\n")).await), "200");
     let seen = seen(&list).remove(0);
@@ -113,7 +113,7 @@
     assert!(tenants(&seen).is_empty(), "{}", seen.head);
 }
 
-/// Readers give a handle; makers follow a script.
+/// Prefill engines that give a handle, and decode engines that follow a script.
 async fn prefill_and_decode_engines(make: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static) -> Vec<Engine> {
     let mut list = engines("prefill", 1, |seen, _| Act::Send(held(seen))).await;
     list.extend(engines("decode", 2, make).await);
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn the_rank_of_a_tenant_goes_before_that_of_its_route() {
+async fn the_priority_of_a_tenant_precedes_that_of_its_route() {
     let list = prefill_and_decode_engines(|seen, _| Act::Send(events(seen, 1, 3, true))).await;
     let state = shared_router(&list);
     for (attempt, key) in [("1", KEYED), ("2", OTHER)] {
@@ -166,13 +166,13 @@
         let mine = all.iter().find(|seen| seen.attempt() == attempt && !seen.head.starts_with("DELETE"));
         mine.and_then(|seen| seen.header("urgency-class").map(str::to_string)).expect("named")
     };
-    // The makers see it, and so does the reader.
+    // The decode engines see it, and so does the prefill engine.
     assert_eq!((urgency("1", 1), urgency("2", 1)), ("5".into(), "4".into()));
     assert_eq!((urgency("1", 0), urgency("2", 0)), ("2".into(), "1".into()));
 }
 
 #[tokio::test]
-async fn a_tenants_homes_bind_beside_those_of_the_route() {
+async fn the_regions_of_a_tenant_and_of_its_route_both_restrict_a_request() {
     let list = succeeding_engines().await;
     let state = shared_router(&list);
     let text = ask(&state, "once", "1", "Authorization: Bearer far\r\n").await;
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn a_zone_is_closed_where_it_is_outside_one_of_the_lists_of_homes() {
+async fn a_zone_outside_one_of_the_lists_of_regions_is_excluded() {
     let state = router(&[]);
     let (inside, outside, none) = (&["q".into(), "r".into()][..], &["q".into()][..], &[][..]);
     for open in [[none, none], [inside, none], [none, inside], [inside, inside]] {
@@ -192,13 +192,13 @@
     }
 }
 
-/// What a connection answers: a refused request, and a good one behind it.
+/// Returns what a connection responds to a rejected request and a good one after it.
 async fn refused_then_served(expected: &str, pieces: &[&str]) -> String {
     let list = succeeding_engines().await;
     let mut client = Client::connect(&shared_router(&list)).await;
     for piece in pieces {
         client.write(piece).await;
-        // The router has had its turn before the next piece comes.
+        // The router runs before the next piece comes.
         task::yield_now().await;
     }
     let refused = client.until("\r\n\r\n").await;
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_goes_on_behind_a_refusal_and_its_body_is_never_taken_for_a_request() {
+async fn a_connection_continues_after_a_rejection_and_the_body_is_never_parsed_as_a_request() {
     // What hides in the body is a good request, and one of a shape that would be refused as malformed.
     let hidden = [post("once", "8", KEYED), post("once", "7", "Transfer-Encoding: chunked\r\n")].concat();
     let chunk = format!("{:x}\r\n{hidden}\r\n", hidden.len());
@@ -235,7 +235,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_ends_a_connection_whose_body_it_does_not_wait_for() {
+async fn a_rejection_closes_a_connection_whose_body_is_not_awaited() {
     let list = succeeding_engines().await;
     let state = shared_router(&list);
     let size = 300 * 1024;
