--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Where clients and the platform come in.
+//! The listeners of a router: clients' connections, and the platform's readiness checks.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -18,37 +18,40 @@
 use protocol::socket;
 use tokio::net::TcpStream;
 
-use crate::config::routing_table::Table;
+use crate::config::routing_table::RoutingTable;
 use crate::frontend::admission;
-use crate::frontend::drain::Phase;
-use crate::frontend::framing_check::{Look, Stream};
-use crate::metrics::{Connection, InPhase};
+use crate::frontend::drain::DrainPhase;
+use crate::frontend::framing_check::{FramingMonitor, MonitoredStream};
+use crate::metrics::{Connection, PhaseLabels};
 use crate::state::State;
 
-/// Connections that ask for readiness at once.
-const READINESS_CONNECTIONS: usize = 64;
-/// Descriptors that are reserved; clients and engines share the rest.
+/// Most readiness checks that are served at the same time.
+const MAX_READINESS_CONNECTIONS: usize = 64;
+/// File descriptors that are reserved; clients and engines share the rest.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// Clients' connections are served however few descriptors there are.
-const FEWEST_CONNECTIONS: u64 = 16;
-/// A client that takes nothing for so long is gone.
-const CLIENT_SILENCE_MS: u64 = 10_000;
-/// The smallest buffer for the head of a request, and what a buffer holds beyond it.
+/// Clients' connections that are accepted even if the limit on descriptors is very low.
+const MIN_CLIENT_CONNECTIONS: u64 = 16;
+/// How long a client may leave sent bytes unacknowledged before its connection is given up.
+const CLIENT_TIMEOUT_MS: u64 = 10_000;
+/// Smallest buffer for the head of a request.
 const HEAD_BUFFER_BYTES: usize = 16 * 1024;
+/// What a connection's buffer holds beyond the head.
 const BODY_BUFFER_BYTES: usize = 64 * 1024;
-/// A kept connection may stay idle for so long at least.
-const SHORTEST_IDLE_MS: u64 = 1000;
+/// Shortest idle timeout of a kept-alive connection, whatever is configured.
+const MIN_IDLE_TIMEOUT_MS: u64 = 1000;
 
-fn most_connections(settings: &Settings) -> usize {
-    (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(FEWEST_CONNECTIONS) as usize
+/// Returns how many clients' connections are accepted: half of the descriptors that are not reserved.
+fn max_client_connections(settings: &Settings) -> usize {
+    (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(MIN_CLIENT_CONNECTIONS) as usize
 }
 
-/// Answers the platform's calls for readiness.
-pub async fn readiness(state: Arc<State>) {
-    let Some(addr) = state.settings.bind_addresses.readiness.clone() else { return };
-    socket::accept_each(&addr, READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
+/// Serves the platform's readiness checks until the process ends.
+pub async fn serve_readiness(state: Arc<State>) {
+    let Some(address) = state.settings.bind_addresses.readiness.clone() else { return };
+    socket::accept_each(&address, MAX_READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
 }
 
+/// Answers the readiness checks of one connection: 200 while the router is ready, else 503.
 async fn answer_readiness(state: Arc<State>, stream: TcpStream) {
     let service = service::service_fn(move |_: Request<Incoming>| {
         let mut response = Response::new(Empty::<Bytes>::new());
@@ -62,28 +65,29 @@
     let _ = Builder::new().serve_connection(io, service).await;
 }
 
-/// Serves clients until the router closes; then nobody listens any more.
-pub async fn frontend(state: Arc<State>) {
-    let Some(addr) = state.settings.bind_addresses.frontend.clone() else { return };
-    let room = most_connections(&state.settings);
+/// Serves clients until the router closes; from then on the address is not listened on.
+pub async fn serve_frontend(state: Arc<State>) {
+    let Some(address) = state.settings.bind_addresses.frontend.clone() else { return };
+    let max_connections = max_client_connections(&state.settings);
     tokio::select! {
-        () = socket::accept_each(&addr, room, |stream| client(state.clone(), stream)) => {}
-        () = state.drain.closing() => {}
+        () = socket::accept_each(&address, max_connections, |stream| serve_client(state.clone(), stream)) => {}
+        () = state.drain.wait_for_closing() => {}
     }
 }
 
 /// Serves one client's connection until it ends.
-pub async fn client(state: Arc<State>, stream: TcpStream) {
-    state.drain.follow_connection(serve_connection(state.clone(), stream)).await;
+pub async fn serve_client(state: Arc<State>, stream: TcpStream) {
+    state.drain.track_connection(serve_connection(state.clone(), stream)).await;
 }
 
 /// One client's connection, counted while it is open.
 struct OpenConnection(Gauge);
 
 impl OpenConnection {
+    /// Counts a connection until the returned guard is dropped.
     fn count(state: &State) -> OpenConnection {
         let phase = state.drain.phase();
-        state.metrics.connections_accepted.get_or_create(&InPhase { phase }).inc();
+        state.metrics.connections_accepted.get_or_create(&PhaseLabels { phase }).inc();
         let gauge = state.metrics.connections_open.clone();
         gauge.inc();
         OpenConnection(gauge)
@@ -96,45 +100,46 @@
     }
 }
 
-/// What the configuration of now says about clients' connections.
-fn http_settings(table: &Table) -> Builder {
+/// Returns the HTTP limits of a client's connection by the configuration in force.
+fn http_settings(table: &RoutingTable) -> Builder {
     let mut builder = Builder::new();
     builder.timer(TokioTimer::new());
     builder.keep_alive(true).max_buf_size(table.header_bytes.max(HEAD_BUFFER_BYTES) + BODY_BUFFER_BYTES);
-    // Also bounds how long a kept connection may stay idle.
-    let wait_ms = table.idle_ms.max(table.header_ms).max(SHORTEST_IDLE_MS);
-    builder.header_read_timeout(Duration::from_millis(wait_ms));
+    // hyper applies the same timeout to a kept-alive connection that is idle.
+    let timeout_ms = table.idle_ms.max(table.header_ms).max(MIN_IDLE_TIMEOUT_MS);
+    builder.header_read_timeout(Duration::from_millis(timeout_ms));
     if table.header_bytes > 0 {
         builder.max_header_size(table.header_bytes);
     }
     builder
 }
 
+/// Serves the requests of one connection, and shuts it down gracefully once the router closes.
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
-    socket::configure(&stream, CLIENT_SILENCE_MS);
+    socket::configure(&stream, CLIENT_TIMEOUT_MS);
     let _open = OpenConnection::count(&state);
-    let look = Look::new();
-    let io = TokioIo::new(Stream::new(stream, look.clone()));
+    let framing = FramingMonitor::new();
+    let io = TokioIo::new(MonitoredStream::new(stream, framing.clone()));
     let inner = state.clone();
     let connection = Cell::new(Connection::New);
     let service = service::service_fn(move |request| {
-        let (state, look) = (inner.clone(), look.clone());
+        let (state, framing) = (inner.clone(), framing.clone());
         let connection = connection.replace(Connection::Kept);
-        async move { Ok::<_, Infallible>(admission::serve(state, request, &look, connection).await) }
+        async move { Ok::<_, Infallible>(admission::serve(state, request, &framing, connection).await) }
     });
-    let served = http_settings(&state.table()).serve_connection(io, service);
-    tokio::pin!(served);
+    let connection_future = http_settings(&state.table()).serve_connection(io, service);
+    tokio::pin!(connection_future);
     tokio::select! {
-        _ = served.as_mut() => return,
-        () = state.drain.closing() => served.as_mut().graceful_shutdown(),
+        _ = connection_future.as_mut() => return,
+        () = state.drain.wait_for_closing() => connection_future.as_mut().graceful_shutdown(),
     }
-    // What is under way on it is finished; without that it ends at once.
-    let _ = served.await;
+    // A request in flight is finished; an idle connection ends at once.
+    let _ = connection_future.await;
 }
 
 impl State {
-    /// Does the platform get a 200?
+    /// Returns whether a readiness check gets a 200.
     pub fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Relaxed) && self.drain.phase() == Phase::Serving
+        self.ready.load(Ordering::Relaxed) && self.drain.phase() == DrainPhase::Serving
     }
 }
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -1,73 +1,75 @@
-//! One request, counted from the reading of its head until its answer has left or its connection is gone.
+//! Counts one request, from the reading of its head until its response has been sent or its connection is gone.
 
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
-use std::task::{Context, Poll};
+use std::task::{ready, Context, Poll};
 
 use bytes::Bytes;
 use http::Response;
-use http_body::{Frame, SizeHint};
+use http_body::{Body, Frame, SizeHint};
 use kernel::clock;
 
-use crate::frontend::drain::Phase;
-use crate::frontend::error_response;
-use crate::metrics::{Arrival, Connection, Ended, Outcome, Stage, UnderWay};
+use crate::frontend::drain::DrainPhase;
+use crate::frontend::error_response::{self, Failure};
+use crate::metrics::{ArrivalLabels, Connection, Outcome, OutcomeLabels, Stage, StageLabels};
 use crate::state::State;
 
-/// Counts a request under way. Invariant: it is counted in one stage at a time, and its end once, on drop: as cut,
-/// unless an outcome was noted before.
+/// Counts a request in the metrics while it is in flight.
+///
+/// Invariant: the request is counted in one stage at a time, and its end exactly once, on drop: as `Cut` unless its
+/// response was sent to the end.
 pub struct RequestGuard {
     state: Arc<State>,
-    phase: Phase,
+    phase: DrainPhase,
     stage: Stage,
     outcome: Outcome,
-    begun: u64,
+    started_at_ms: u64,
 }
 
 const MS_PER_S: f64 = 1000.0;
 
 impl RequestGuard {
-    /// A request whose head was just read.
-    pub fn begin(state: &Arc<State>, connection: Connection) -> RequestGuard {
+    /// Counts a request whose head was just read.
+    pub fn start(state: &Arc<State>, connection: Connection) -> RequestGuard {
         let phase = state.drain.phase();
-        state.metrics.requests_received.get_or_create(&Arrival { phase, connection }).inc();
+        state.metrics.requests_received.get_or_create(&ArrivalLabels { phase, connection }).inc();
         let stage = Stage::Reading;
-        state.metrics.requests_under_way.get_or_create(&UnderWay { phase, stage }).inc();
-        RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, begun: clock::now() }
+        state.metrics.requests_under_way.get_or_create(&StageLabels { phase, stage }).inc();
+        RequestGuard { state: state.clone(), phase, stage, outcome: Outcome::Cut, started_at_ms: clock::now() }
     }
 
-    /// The phase in which it came.
-    pub fn phase(&self) -> Phase {
+    /// Returns the phase of the router in which the request arrived.
+    pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
-    /// It goes on to a further stage.
-    pub fn enter(&mut self, stage: Stage) {
+    /// Moves the request to a later stage.
+    pub fn advance_to(&mut self, stage: Stage) {
         let gauges = &self.state.metrics.requests_under_way;
-        gauges.get_or_create(&UnderWay { phase: self.phase, stage: self.stage }).dec();
-        gauges.get_or_create(&UnderWay { phase: self.phase, stage }).inc();
+        gauges.get_or_create(&StageLabels { phase: self.phase, stage: self.stage }).dec();
+        gauges.get_or_create(&StageLabels { phase: self.phase, stage }).inc();
         self.stage = stage;
     }
 
+    /// Returns the time since the head was read, in seconds.
     fn age_s(&self) -> f64 {
-        (clock::now() - self.begun) as f64 / MS_PER_S
+        (clock::now() - self.started_at_ms) as f64 / MS_PER_S
     }
 
-    /// Follows the answer to its end: `outcome` counts once all of the body was taken.
-    pub fn follow(
+    /// Tracks the response to its end: `outcome` counts once all of the body was sent.
+    pub fn track_response(
         mut self,
         response: Response<error_response::Body>,
         outcome: Outcome,
     ) -> Response<error_response::Body> {
-        use http_body::Body;
-        self.enter(Stage::Answering);
+        self.advance_to(Stage::Answering);
         self.state.metrics.first_byte.observe(self.age_s());
         response.map(|body| {
-            let left = body.size_hint().exact();
-            let mut followed = FollowedBody { body, left, outcome, guard: self };
-            followed.note_end(left == Some(0));
-            error_response::Body::new(followed)
+            let remaining_bytes = body.size_hint().exact();
+            let mut tracked = TrackedBody { body, remaining_bytes, outcome, guard: self };
+            tracked.record_end(remaining_bytes == Some(0));
+            error_response::Body::new(tracked)
         })
     }
 }
@@ -75,42 +77,43 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         let metrics = &self.state.metrics;
-        metrics.requests_under_way.get_or_create(&UnderWay { phase: self.phase, stage: self.stage }).dec();
-        metrics.requests_ended.get_or_create(&Ended { phase: self.phase, outcome: self.outcome }).inc();
+        metrics.requests_under_way.get_or_create(&StageLabels { phase: self.phase, stage: self.stage }).dec();
+        metrics.requests_ended.get_or_create(&OutcomeLabels { phase: self.phase, outcome: self.outcome }).inc();
         metrics.request_duration.observe(self.age_s());
     }
 }
 
-/// The body of an answer, and the request that it ends.
-struct FollowedBody {
+/// The body of a response, with the request that ends with it.
+struct TrackedBody {
     body: error_response::Body,
-    /// Bytes still to come, where that is known.
-    left: Option<u64>,
-    /// What the request came to once the body is taken whole.
+    /// Bytes still to come, if the length is known.
+    remaining_bytes: Option<u64>,
+    /// How the request ended if the body is sent completely.
     outcome: Outcome,
     guard: RequestGuard,
 }
 
-impl FollowedBody {
-    fn note_end(&mut self, is_whole: bool) {
-        if is_whole {
+impl TrackedBody {
+    /// Records the outcome if the body is complete.
+    fn record_end(&mut self, is_complete: bool) {
+        if is_complete {
             self.guard.outcome = self.outcome;
         }
     }
 }
 
-impl http_body::Body for FollowedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(cx));
+        let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
             let size = frame.data_ref().map_or(0, Bytes::len) as u64;
-            self.left = self.left.map(|left| left.saturating_sub(size));
+            self.remaining_bytes = self.remaining_bytes.map(|remaining_bytes| remaining_bytes.saturating_sub(size));
         }
-        let is_whole = frame.is_none() || self.left == Some(0);
-        self.note_end(is_whole);
+        let is_complete = frame.is_none() || self.remaining_bytes == Some(0);
+        self.record_end(is_complete);
         Poll::Ready(frame)
     }
 
@@ -123,16 +126,15 @@
     }
 }
 
-impl From<error_response::Failure> for Outcome {
-    fn from(failure: error_response::Failure) -> Outcome {
-        use crate::frontend::error_response::Failure;
+impl From<Failure> for Outcome {
+    fn from(failure: Failure) -> Outcome {
         match failure {
-            Failure::Refused(_) => Outcome::Refused,
-            Failure::OverQuota(_) => Outcome::OverQuota,
-            Failure::NoRoute => Outcome::NoRoute,
+            Failure::Unavailable(_) => Outcome::Refused,
+            Failure::QuotaExceeded(_) => Outcome::OverQuota,
+            Failure::RouteNotFound => Outcome::NoRoute,
             Failure::Unauthorized => Outcome::Unauthorized,
-            Failure::Malformed | Failure::Late | Failure::TooLarge => Outcome::Rejected,
-            Failure::Lost | Failure::TimedOut => Outcome::Lost,
+            Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge => Outcome::Rejected,
+            Failure::ResponseLost | Failure::DeadlineExceeded => Outcome::Lost,
         }
     }
 }
--- a/router/src/testing/controller.rs
+++ b/router/src/testing/controller.rs
@@ -1,4 +1,4 @@
-//! Controllers in the test's own process, each at an address of its own on the loopback.
+//! Controllers in the test's own process, each at an address of its own on the loopback interface.
 
 use std::iter;
 use std::sync::Arc;
@@ -24,12 +24,13 @@
     LosingFrames,
     /// Sends what is missing and confirms nothing.
     Unconfirmed,
-    /// As controllers of version 3: it says that it is sure.
+    /// As controllers of version 3: confirms without an age.
     Older,
-    /// Takes calls and says nothing.
+    /// Accepts calls and never responds.
     Frozen,
 }
 
+/// The state that the connections of a controller share.
 struct Inner {
     manner: Manner,
     config: Config,
@@ -39,12 +40,16 @@
 
 /// A controller with a configuration of its own.
 pub struct Controller {
+    /// Its address.
     pub ip: String,
     inner: Arc<Mutex<Inner>>,
     called: Arc<Notify>,
 }
 
-/// Controllers that listen on one port, as those of a deployment do, and that port.
+/// Starts controllers that listen on one port, as those of a deployment do, and returns them with that port.
+///
+/// # Panics
+/// If no port is free.
 pub fn controllers(count: u8, config: &Config) -> (Vec<Controller>, u16) {
     let ips: Vec<String> = (1..=count).map(|number| format!("127.0.0.{number}")).collect();
     loop {
@@ -60,30 +65,33 @@
 }
 
 impl Controller {
+    /// Starts to serve on a listener; `all` are the controllers it reports.
     fn start(ip: &str, all: &[String], listener: TcpListener, config: &Config) -> Controller {
         let inner = Inner { manner: Manner::Confirming, config: config.clone(), calls: 0, routers: Vec::new() };
         let inner = Arc::new(Mutex::new(inner));
         let called = Arc::new(Notify::new());
-        let (held, told, all) = (inner.clone(), called.clone(), all.to_vec());
-        let handler: Handler = Arc::new(move |mouth, id, msg| {
-            if let Message::SubscriptionRenewal(follow) = msg {
-                held.lock().answer(&mouth, id, &follow, &all);
-                told.notify_waiters();
+        let (controller, on_call, all) = (inner.clone(), called.clone(), all.to_vec());
+        let handler: Handler = Arc::new(move |responder, id, msg| {
+            if let Message::SubscriptionRenewal(renewal) = msg {
+                controller.lock().answer(&responder, id, &renewal, &all);
+                on_call.notify_waiters();
             }
         });
         tokio::spawn(link::serve(listener, handler));
         Controller { ip: ip.into(), inner, called }
     }
 
+    /// Changes what it does with calls.
     pub fn set(&self, manner: Manner) {
         self.inner.lock().manner = manner;
     }
 
+    /// Returns how many calls it got.
     pub fn calls(&self) -> usize {
         self.inner.lock().calls
     }
 
-    /// A newer configuration is committed; nothing is pushed.
+    /// Commits a newer configuration; nothing is pushed.
     pub fn commit(&self, config: &Config) {
         self.inner.lock().config = config.clone();
     }
@@ -95,7 +103,10 @@
         }
     }
 
-    /// Waits until it was called so often, but not without end.
+    /// Waits until it got so many calls.
+    ///
+    /// # Panics
+    /// If that takes longer than 20 s.
     pub async fn called(&self, times: usize) {
         let end = Instant::now() + Duration::from_secs(20);
         loop {
@@ -109,31 +120,31 @@
 }
 
 impl Inner {
-    fn answer(&mut self, mouth: &Responder, id: u64, follow: &SubscriptionRenewal, all: &[String]) {
+    /// Handles a renewal.
+    fn answer(&mut self, responder: &Responder, id: u64, renewal: &SubscriptionRenewal, all: &[String]) {
         self.calls += 1;
-        self.routers.push(mouth.clone());
+        self.routers.push(responder.clone());
         if self.manner == Manner::Frozen {
             return;
         }
         let change = ConfigUpdate::full(&self.config);
-        if follow.config_revision < change.to && self.manner != Manner::LosingFrames {
-            mouth.notify(&Message::ConfigUpdate(Box::new(change.encode())));
+        if renewal.config_revision < change.to && self.manner != Manner::LosingFrames {
+            responder.notify(&Message::ConfigUpdate(Box::new(change.encode())));
         }
-        let sheet = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
-        let sure = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
-        let news =
-            StateUpdate { confirmed: sure, peers: all.to_vec(), endpoint_lists: vec![sheet], ..Default::default() };
+        let list = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
+        let confirmed = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
+        let update = StateUpdate { confirmed, peers: all.to_vec(), endpoint_lists: vec![list], ..Default::default() };
         if self.manner == Manner::Older {
-            mouth.reply(id, &Message::StateUpdate(Box::new(news)));
+            responder.reply(id, &Message::StateUpdate(Box::new(update)));
             return;
         }
         let confirmation = Confirmation { age_ms: 0, config_revision: self.config.revision };
-        let confirmation = sure.then_some(confirmation);
+        let confirmation = confirmed.then_some(confirmation);
         let members = all.iter().skip(1).cloned().collect();
-        mouth.reply(
+        responder.reply(
             id,
             &Message::SubscriptionRenewed(Box::new(SubscriptionRenewed {
-                update: news,
+                update,
                 confirmation,
                 core_members: members,
             })),
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A router that ends while clients go on sending to it, as they do where fewer than half of a zone's routers are ready.
+//! Graceful shutdown while clients go on sending, as they do where fewer than half of a zone's routers are ready.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use tokio::task::{self, JoinSet};
 use tokio::time;
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::frontend::listener;
 use crate::metrics::Stage;
 use crate::startup;
@@ -21,11 +21,11 @@
 use crate::testing::engine::{self, answer, engines, events, head_and_rest, Act, Engine};
 use crate::testing::router::{post, status, unproved_router_of, SETTINGS};
 
-/// The grace of these routers, in seconds.
+/// The grace period of these routers, in seconds.
 const GRACE_S: f64 = 1.6;
-const WHOLE_STREAM: &str = "0\r\n\r\n";
+const STREAM_END: &str = "0\r\n\r\n";
 
-/// A router in a runtime of its own, which ends as its process would: with all that is open in it.
+/// A router in a runtime of its own, which ends as its process would: with everything that is open in it.
 struct Process {
     state: Arc<State>,
     address: String,
@@ -54,9 +54,9 @@
         thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
-                tokio::spawn(listener::frontend(inner.clone()));
+                tokio::spawn(listener::serve_frontend(inner.clone()));
                 signal.notified().await;
-                startup::leave(&inner).await;
+                startup::shut_down(&inner).await;
             });
             drop(runtime);
             let _ = end.send(());
@@ -64,7 +64,7 @@
         Process { state, address, terminate, ended }
     }
 
-    /// A connection to it, or none where nobody listens any more.
+    /// Returns a connection to it, or `None` if it does not listen any more.
     async fn connect(address: &str) -> Option<TcpStream> {
         TcpStream::connect(address).await.ok()
     }
@@ -97,7 +97,7 @@
     let mut piece = [0; 4096];
     while let Ok(size) = stream.read(&mut piece).await {
         bytes.extend_from_slice(&piece[..size]);
-        if size == 0 || bytes.ends_with(WHOLE_STREAM.as_bytes()) {
+        if size == 0 || bytes.ends_with(STREAM_END.as_bytes()) {
             break;
         }
     }
@@ -105,61 +105,61 @@
     received
 }
 
-/// Was a request lost? It is whole, or it was refused before any engine had it, or nobody took it.
+/// Returns whether a request was lost: it neither completed, nor was rejected before any send, nor was never accepted.
 fn is_lost(received: &Received, engines: &[Engine]) -> bool {
     if status(&received.text) == "200" {
-        return !received.text.ends_with(WHOLE_STREAM);
+        return !received.text.ends_with(STREAM_END);
     }
     engine::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
 }
 
-/// Engines whose streams end at the next beat after their head, so that some are always under way.
+/// Engines whose streams end at the next tick after their head, so that some are always in flight.
 async fn slow_engines() -> Vec<Engine> {
-    let beat = Arc::new(Notify::new());
-    let ticking = beat.clone();
+    let release = Arc::new(Notify::new());
+    let releaser = release.clone();
     tokio::spawn(async move {
         let mut interval = time::interval(Duration::from_millis(150));
         loop {
             interval.tick().await;
-            ticking.notify_waiters();
+            releaser.notify_waiters();
         }
     });
     engines("decode", 3, move |seen, _| {
         let (head, rest) = head_and_rest(seen);
-        Act::SendAndLater(head, beat.clone(), rest)
+        Act::SendAndLater(head, release.clone(), rest)
     })
     .await
 }
 
 #[tokio::test]
-async fn nothing_that_was_taken_is_given_up_while_requests_keep_coming() {
+async fn no_accepted_request_is_abandoned_while_requests_keep_coming() {
     let list = slow_engines().await;
     let mut process = Process::start(&list, true);
     drop(process.first_connection().await);
     let mut clients = JoinSet::new();
     let mut arrivals = time::interval(Duration::from_millis(15));
-    let mut number = 0;
+    let mut count = 0;
     loop {
         arrivals.tick().await;
-        number += 1;
-        clients.spawn(request(process.address.clone(), format!("r{number}")));
-        if number == 20 {
+        count += 1;
+        clients.spawn(request(process.address.clone(), format!("r{count}")));
+        if count == 20 {
             process.terminate.notify_one();
         }
         if process.ended.try_recv().is_ok() {
             break;
         }
-        assert!(number < 1000, "the process ends inside its grace");
+        assert!(count < 1000, "the process ends inside its grace");
     }
     let received = clients.join_all().await;
-    let served = received.iter().filter(|one| one.text.ends_with(WHOLE_STREAM)).count();
+    let served = received.iter().filter(|one| one.text.ends_with(STREAM_END)).count();
     assert!(served > 20, "requests are served also after SIGTERM: {served}");
     let lost: Vec<_> = received.iter().filter(|one| is_lost(one, &list)).collect();
     assert!(lost.is_empty(), "{} of {} lost, first {:?}", lost.len(), received.len(), lost[0]);
 }
 
 #[tokio::test]
-async fn a_request_that_waits_to_be_let_in_is_answered_before_the_process_ends() {
+async fn a_request_that_waits_for_admission_is_answered_before_the_process_ends() {
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let process = Process::start(&list, false);
     let mut stream = process.first_connection().await;
@@ -172,24 +172,24 @@
     let mut answer = String::new();
     let read = stream.read_to_string(&mut answer).await;
     assert!(read.is_ok() && status(&answer) == "503", "{read:?} {answer:?}");
-    assert_eq!(process.state.metrics.under_way(Phase::Draining, Stage::Reading), 0);
+    assert_eq!(process.state.metrics.requests_in_stage(DrainPhase::Draining, Stage::Reading), 0);
 }
 
 #[tokio::test]
-async fn what_takes_longer_than_the_time_left_is_refused_before_any_engine_has_it() {
+async fn a_request_longer_than_the_time_left_is_rejected_before_any_send() {
     let list = engines("decode", 1, |seen, _| Act::Send(events(seen, 1, 3, true))).await;
     let process = Process::start(&list, true);
     drop(process.first_connection().await);
     let durations = process.state.table().route("stream").expect("there").durations.clone();
-    (0..40).for_each(|_| durations.note(2500));
+    (0..40).for_each(|_| durations.record(2500));
     process.terminate.notify_one();
-    while process.state.drain.left_ms().is_none() {
+    while process.state.drain.remaining_ms().is_none() {
         task::yield_now().await;
     }
     let long = request(process.address.clone(), "long".into()).await;
     assert_eq!(status(&long.text), "503", "{}", long.text);
     assert!(long.text.to_lowercase().contains("retry-after"), "{}", long.text);
-    (0..1000).for_each(|_| durations.note(50));
+    (0..1000).for_each(|_| durations.record(50));
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
     let seen = engine::seen(&list);
