--- a/catalog/src/load_table_tests.rs
+++ b/catalog/src/load_table_tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn capacity_is_bounded_and_stale_entries_make_room() {
     let mut load_table = LoadTable::default();
-    (0..super::CAPACITY as u64 + 50).for_each(|engine_hash| load_table.record(&reported(engine_hash, 1, 0), 10));
+    (0..CAPACITY as u64 + 50).for_each(|engine_hash| load_table.record(&reported(engine_hash, 1, 0), 10));
     assert_eq!(load_table.entries.len(), CAPACITY);
     load_table.record(&reported(u64::MAX, 3, 0), 10 + STALE_MS);
     assert_eq!(load_table.loads([u64::MAX].into_iter(), 10 + STALE_MS).len(), 1);
--- a/consensus/src/testing/unit/stored_by_5_tests.rs
+++ b/consensus/src/testing/unit/stored_by_5_tests.rs
@@ -171,6 +171,7 @@
 }
 
 /// What the directory holds, written out.
+#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
 fn expected_acceptor() -> Acceptor {
     let registers = [
         RegisterState {
--- a/controller/src/replication/reconfiguration_tests.rs
+++ b/controller/src/replication/reconfiguration_tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_newcomer_is_added_and_then_the_one_that_is_gone_removed() {
     let list = view(&[("10.0.0.2", 9900), ("10.0.0.3", 5000), ("10.0.0.4", 9900)]);
-    let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
+    let next = next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]);
     assert_eq!((next.version, next.stable, next.previous_members.len()), (5, false, 3));
     let last = super::next(&next, &list, 10_000).expect("removed");
@@ -55,7 +55,7 @@
 #[test]
 fn a_member_that_is_leaving_is_exchanged_at_once() {
     let list = with_one_leaving(&[("10.0.0.2", 9900), ("10.0.0.3", 9900), ("10.0.0.4", 9900)]);
-    let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("exchanged");
+    let next = next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("exchanged");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.3", "10.0.0.4"]);
 }
 
@@ -63,6 +63,6 @@
 fn members_are_not_exchanged_while_a_peer_does_not_count_joint_quorums() {
     let mut list = with_one_leaving(&[("10.0.0.2", 9900), ("10.0.0.3", 9900), ("10.0.0.4", 9900)]);
     list.controllers.get_mut("10.0.0.3").expect("a peer").protocol_version = JOINT_QUORUMS - 1;
-    let next = super::next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
+    let next = next(&core(&["10.0.0.1", "10.0.0.2", "10.0.0.3"]), &list, 10_000).expect("added");
     assert_eq!(names(&next), ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]);
 }
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -46,6 +46,7 @@
 }"#;
 
 /// What it says.
+#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
 fn tenants_config() -> Config {
     let split = |service: &str, weight| Split { service: service.into(), weight };
     Config {
--- a/protocol/src/config_update_tests.rs
+++ b/protocol/src/config_update_tests.rs
@@ -65,6 +65,7 @@
     fs::read(path).expect("the fixture")
 }
 
+#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
 #[test]
 fn the_legacy_format_is_decoded_and_encoded_to_the_byte() {
     use crate::config::{Engine, Limits, Model, Route, Service, Split};
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -10,7 +10,7 @@
 
 fn split(frame: &[u8]) -> ([u8; HEADER_BYTES], &[u8]) {
     let mut head = [0; HEADER_BYTES];
-    head.copy_from_slice(&frame[..super::HEADER_BYTES]);
+    head.copy_from_slice(&frame[..HEADER_BYTES]);
     (head, &frame[HEADER_BYTES..])
 }
 
@@ -18,7 +18,7 @@
 fn a_frame_decodes_to_what_was_encoded() {
     let frame = encode(Kind::Request, 9, &sample()).expect("sealed");
     let (head, body) = split(&frame);
-    let read = super::decode_header(&head).expect("head");
+    let read = decode_header(&head).expect("head");
     assert_eq!((read.kind, read.id, read.len), (Kind::Request, 9, body.len()));
     assert_eq!(decode_body(body).expect("body"), sample());
 }
@@ -110,7 +110,7 @@
     let mut seen = Vec::new();
     while !rest.is_empty() {
         let (head, body) = split(rest);
-        let head = super::decode_header(&head).expect("head");
+        let head = decode_header(&head).expect("head");
         assert_eq!(head.version, 1);
         seen.push(decode_body(&body[..head.len]).expect("body"));
         rest = &body[head.len..];
--- a/tidepoint/tests/rollout.rs
+++ b/tidepoint/tests/rollout.rs
@@ -85,6 +85,7 @@
 }
 
 /// `limit`: with the rule, or as a control run without it.
+#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
 fn play(net: u8, limit: bool) -> Play {
     let world = Arc::new(stand::World::default());
     stand::platform(world.clone(), &format!("127.0.{net}.99:7800"));
--- a/tidepoint/tests/stand/mod.rs
+++ b/tidepoint/tests/stand/mod.rs
@@ -152,6 +152,7 @@
     engine_in(world, id, addr, phase, "a");
 }
 
+#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
 pub fn engine_in(world: Arc<World>, id: &'static str, addr: &'static str, phase: &'static str, zone: &'static str) {
     world.list.lock().expect("list").push(serde_json::json!({
         "instance_id": id, "service": "s", "address": addr, "zone": zone, "revision": "v1", "slot_count": 8,
@@ -212,7 +213,7 @@
         );
         let _ = stream.write_all(top.as_bytes());
         for event in first..=4 {
-            std::thread::sleep(pause);
+            thread::sleep(pause);
             if cut && event == 3 {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
