--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,6 +1,6 @@
 //! The data-plane daemon: reads the command line and runs the router.
 
-use std::process;
+use std::process::ExitCode;
 
 use kernel::startup::{run_daemon, DaemonFlags};
 
@@ -20,7 +20,7 @@
     }
 }
 
-fn main() -> process::ExitCode {
+fn main() -> ExitCode {
     let flags = match flags::Router::from_env() {
         Ok(flags) => flags,
         Err(error) => error.exit(),
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -1,8 +1,9 @@
 //! Start and graceful shutdown of the process.
 
-use std::process;
+use std::process::ExitCode;
 use std::sync::Arc;
 
+use kernel::plugin::linkme::distributed_slice;
 use kernel::plugin::{self, Plugin};
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
@@ -16,27 +17,26 @@
 use crate::subscription::driver;
 
 /// The tasks of a router, which register themselves and are started in their stated order.
-#[kernel::plugin::linkme::distributed_slice]
+#[distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
 pub static ROUTER_PLUGINS: [Plugin<Arc<State>>];
 
 /// Registers a task of the router: the static's name, the task's name, its place in the order, and how it starts.
 macro_rules! router_plugin {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
-        #[kernel::plugin::linkme::distributed_slice(ROUTER_PLUGINS)]
+        #[distributed_slice(ROUTER_PLUGINS)]
         #[linkme(crate = kernel::plugin::linkme)]
-        static $label: kernel::plugin::Plugin<Arc<State>> =
-            kernel::plugin::Plugin { name: $name, order: $order, start: $start };
+        static $label: Plugin<Arc<State>> = Plugin { name: $name, order: $order, start: $start };
     };
 }
 
 router_plugin!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::serve_readiness(state.clone()))));
 router_plugin!(SUBSCRIPTION, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
-router_plugin!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
 router_plugin!(FRONTEND, "frontend", 3, |state| drop(tokio::spawn(listener::serve_frontend(state.clone()))));
+router_plugin!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
 
 /// Runs a router until it gets SIGTERM and has finished what it accepted.
-pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
+pub async fn run(settings: Settings, mut signals: Signals) -> ExitCode {
     kernel::log_event!(ROUTER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
     let state = State::new(settings);
     let scraped = state.clone();
@@ -44,7 +44,7 @@
     plugin::start(&ROUTER_PLUGINS, &state);
     signal::wait_for_termination(&mut signals).await;
     shut_down(&state).await;
-    process::ExitCode::SUCCESS
+    ExitCode::SUCCESS
 }
 
 /// Shuts the router down gracefully, well inside the grace period.
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -129,7 +129,6 @@
     }
 
     /// Returns the routing table in force.
-
     pub fn table(&self) -> Arc<RoutingTable> {
         self.table.lock().clone()
     }
