--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of a request: reads it, authorizes it, and hands it to the proxy.
 //!
 //! Order of the steps: framing (a request whose end is ambiguous must not be interpreted further), configuration and
-//! authorization (so that the body of an unauthorized request is never held in memory), the memory limit, the body.
+//! authorization (so that a ready router holds no body of an unauthorized request in memory), the memory limit, the body.
 //! Every request gets a response, and is counted by a `RequestGuard` from its head to the end of that response.
 
 use std::sync::atomic::Ordering;
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -33,6 +33,7 @@
 /// What a request was admitted with. It is sent on behalf of this tenant, or not at all.
 pub struct Authorization {
     key: Option<KeyDigest>,
+    /// The route in the table that admitted the request.
     route: Arc<Route>,
     /// `None` if there are no tenants, or the route is anonymous.
     tenant: Option<Arc<Tenant>>,
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -29,7 +29,9 @@
 /// The state of a graceful shutdown, and the connections of clients that it waits for.
 #[derive(Default)]
 pub struct Drain {
+    /// Cancelled when the shutdown begins.
     draining: CancellationToken,
+    /// Cancelled when nothing new is accepted any more.
     closing: CancellationToken,
     connections: TaskTracker,
     /// When everything must be finished; set when the shutdown begins.
--- a/router/src/frontend/framing_check.rs
+++ b/router/src/frontend/framing_check.rs
@@ -46,6 +46,7 @@
 pub struct MonitoredStream {
     inner: TcpStream,
     framing: Arc<FramingMonitor>,
+    /// What has been read of the head that is being scanned.
     head: Vec<u8>,
 }
 
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -21,9 +21,11 @@
 /// response was sent to the end.
 pub struct RequestGuard {
     state: Arc<State>,
+    /// The phase of the router when the request arrived.
     phase: DrainPhase,
     stage: Stage,
     outcome: Outcome,
+    /// When the head was read, in milliseconds of the steady clock.
     started_at_ms: u64,
 }
 
--- a/router/src/kv/catalog_client.rs
+++ b/router/src/kv/catalog_client.rs
@@ -19,13 +19,18 @@
     inner: Mutex<Inner>,
 }
 
+/// The state behind the lock, which is never held over an await.
 #[derive(Default)]
 struct Inner {
+    /// The epoch of the owner; 0 before the first.
     epoch: u64,
+    /// The address of the controller that runs the catalog.
     owner: String,
     peer: Option<Arc<PeerClient>>,
     consecutive_timeouts: u32,
+    /// In milliseconds of the steady clock.
     backoff_until_ms: u64,
+    /// Registrations that could not be sent since the last flush.
     dropped_registrations: u32,
     /// Whether messages of the first protocol version are used. An owner that does not respond may know only the other
     /// version, so they alternate.
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -207,7 +207,7 @@
     /// Acquires a token for this request, if its tenant has a rate limit.
     ///
     /// # Errors
-    /// `QuotaExceeded` if the tenant is over its limit, `Unavailable` if that can't be told.
+    /// `QuotaExceeded` if the tenant is over its limit, `Unavailable` if that cannot be determined.
     pub async fn acquire_quota_token(&self) -> Result<(), Failure> {
         let Some(tenant) = self.request.authorization.tenant() else { return Ok(()) };
         let Some(quota) = tenant.quota else { return Ok(()) };
