--- a/router/src/proxy/event_stream.rs
+++ b/router/src/proxy/event_stream.rs
@@ -1,29 +1,35 @@
-//! Cutting a stream of events at its joints, so that only whole events are passed on.
+//! Splits a stream of server-sent events between events, so that only complete ones are forwarded.
+//!
+//! A broken stream can be resumed at another engine only where what the client has ends with an event.
 
 use std::str;
 
 use bytes::{Bytes, BytesMut};
 use kernel::clock;
 
-/// Invariant: what `feed` gave out ends at the end of an event; `rest` holds the bytes of an event
-/// that is not whole; `last` is the id of the last event given out; `torn` once this does not hold any more.
+/// Splits a stream of events. Invariant, unless `is_misaligned`: what `feed` returned ends with an event, and
+/// `partial_event` holds the bytes of the one that is not complete.
 #[derive(Default)]
 pub struct EventSplitter {
     partial_event: BytesMut,
+    /// Id of the last event that was returned.
     pub last_event_id: Option<String>,
+    /// Number of events that were returned.
     pub events: u64,
     is_misaligned: bool,
-    /// When the first events were given out, and how many they were.
+    /// When the first events were returned, in milliseconds of the steady clock.
     first_event_at: Option<u64>,
+    /// How many they were.
     first_event_count: u64,
-    /// When the last event was given out, and how many came after the first ones.
+    /// When the last event was returned, and how many came after the first ones.
     last_event_at: (u64, u64),
 }
 
-/// Larger than any event; a body without joints is passed on rather than held.
+/// Larger than any event, in bytes; a body without events is forwarded rather than buffered.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 impl EventSplitter {
+    /// Takes bytes of the stream, and returns the events that they complete.
     pub fn feed(&mut self, data: &[u8]) -> Bytes {
         let scan_from = self.partial_event.len().saturating_sub(3);
         self.partial_event.extend_from_slice(data);
@@ -39,7 +45,7 @@
         complete
     }
 
-    /// The mean time between events in microseconds, where there were several.
+    /// Returns the mean time between events in microseconds, where there were several.
     pub fn mean_interval_us(&self) -> Option<u64> {
         let (last_event_at, event_count) = self.last_event_at;
         let span_ms = last_event_at.checked_sub(self.first_event_at?)?;
@@ -65,30 +71,30 @@
             return;
         }
         if self.first_event_at.is_none() {
-            // Events that came together with the first one tell nothing of the pace.
+            // Events that came together with the first one say nothing about the interval.
             self.first_event_at = Some(now);
             self.first_event_count = self.events;
         }
         self.last_event_at = (now, self.events - self.first_event_count);
     }
 
-    /// Can another engine go on behind what was given out? Not where that does not end at an event with an id.
+    /// Returns whether another engine can resume after what was returned: it must end with an event that has an id.
     pub fn is_resumable(&self) -> bool {
         !self.is_misaligned && (self.events == 0 || self.last_event_id.is_some())
     }
 
-    /// What is left at the end of a body that ended as it should.
+    /// Takes what is left at the end of a complete body.
     pub fn take_partial_event(&mut self) -> Bytes {
         self.partial_event.split().freeze()
     }
 
-    /// What is left of a body that broke off is thrown away.
+    /// Discards what is left of a body that broke off.
     pub fn discard_partial_event(&mut self) {
         self.partial_event.clear();
     }
 }
 
-/// The end of the last whole event in `text`.
+/// Returns the end of the last complete event in `text`, looking from the offset `from` on.
 fn last_event_end(text: &[u8], from: usize) -> Option<usize> {
     let mut end = None;
     for position in from..text.len() {
--- a/router/src/proxy/event_stream_tests.rs
+++ b/router/src/proxy/event_stream_tests.rs
@@ -1,3 +1,5 @@
+//! Events come out whole however the bytes of the stream are split.
+
 use super::EventSplitter;
 
 #[test]
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -1,4 +1,7 @@
-//! One request on its way: what was sent, what is open, what is held for it.
+//! The state of one request while it is forwarded: what was sent, what is in flight, what engines hold for it.
+//!
+//! All accounting of a request at engines goes through here, so that dropping the exchange undoes it wherever the
+//! request ends.
 
 use std::mem;
 use std::sync::atomic::Ordering;
@@ -21,38 +24,48 @@
 use crate::upstream::connection_pool::{Endpoint, SendError};
 use crate::upstream::suspicion::{self, SIGN_MS};
 
-/// One request on its way. Invariants: `may_have_run` never goes back to false;
-/// what is still in flight is ended on drop, and memory that is held is given free.
+/// One request while it is forwarded. Invariants: `may_have_run` never goes back to false; sends still in flight are
+/// ended on drop, and a KV handle still held is released.
 pub struct Exchange {
+    /// The state of the process.
     pub state: Arc<State>,
+    /// The request as the client sent it.
     pub request: Request,
+    /// Type of its route.
     pub route_type: RouteType,
+    /// Whether it may be executed more than once.
     pub is_repeatable: bool,
-    /// The greatest number of engines that it may be sent to.
+    /// Limit on the sends that count.
     pub max_sends: u32,
+    /// Latency target of its route, in milliseconds.
     pub target_ms: u64,
+    /// Priority of its tenant or route; 0 is the highest.
     pub priority: u32,
+    /// Dense index of its service.
     pub service: u32,
+    /// Configuration of its service.
     pub service_config: Service,
-    /// Zones that it may not go to, by dense index.
+    /// Zones that it may not use, by dense index.
     pub excluded_zones: Vec<u32>,
-    /// The name of its route.
+    /// Name of its route.
     pub route: String,
-    /// Bound work goes on at this version only: its prompt was read, or its answer begun, with it.
+    /// With a staleness limit: the weight version that its prefill or its response began with, and must go on with.
     pub pinned_version: Option<u64>,
+    /// Engines that own prefixes of its prompt.
     pub prefix_owners: PrefixOwners,
     /// Sends that count against `max_sends`.
     pub sends: u32,
-    /// An engine got it: each further send draws on the retry budget.
+    /// Whether an engine got it: each further send draws on the retry budget.
     pub reached_engine: bool,
-    /// An engine may have taken it up: it is never called refused any more.
+    /// Whether an engine may have executed it: it is never reported as refused any more.
     pub may_have_run: bool,
-    /// Engines that are not tried again, by index.
+    /// Indices of the engines that are not tried again.
     pub attempted_engines: Vec<usize>,
-    /// Engines at which it is under way, and the prompt tokens that each has yet to read.
+    /// Engines at which it is in flight, each with the prompt tokens that it has yet to prefill.
     pub in_flight: Vec<(usize, u64)>,
+    /// The KV cache that an engine holds for it.
     pub kv_handle: Option<Handle>,
-    /// The version that serves it, for all of its sends.
+    /// Which variant of a rollout serves it, in all of its sends.
     pub variant: Arm,
 }
 
@@ -71,18 +84,19 @@
 }
 
 impl Exchange {
-    /// Is it expected to be finished before this process ends, if that is about to end?
+    /// Returns whether the request is expected to end before this process does, where that is shutting down.
     pub fn fits_before_shutdown(&self) -> bool {
         let expected_ms = self.request.authorization.route().durations.expected_ms();
         self.state.drain.left_ms().is_none_or(|left_ms| expected_ms < left_ms)
     }
 
+    /// Returns the time left until the deadline, in milliseconds.
     pub fn remaining_ms(&self) -> u64 {
         self.request.left(clock::now())
     }
 
-    /// Deferrable work is the least urgent there is; the rest goes by the operator's rank where the
-    /// request has halves to be ranked in.
+    /// Returns the urgency class that engines order their queues by, smaller first. Deferrable work comes last; the
+    /// rest goes by priority, where the request has a prompt that is split into phases.
     pub fn urgency(&self) -> Option<u32> {
         if self.request.spare.is_some() {
             return Some(9);
@@ -90,19 +104,22 @@
         (!self.request.keys.is_empty()).then_some((4 + self.priority).min(8))
     }
 
+    /// Returns whether the response is a stream of events.
     pub fn is_streaming(&self) -> bool {
         self.route_type == RouteType::Streaming
     }
 
+    /// Returns whether a broken stream may be resumed at another engine.
     pub fn is_resumable(&self) -> bool {
         self.is_streaming() && self.is_repeatable
     }
 
-    /// May the request be sent to another engine once this one is found dark?
+    /// Returns whether the request may be sent to another engine once this one is found unresponsive.
     pub fn may_retry(&self) -> bool {
         self.is_repeatable && self.sends < self.max_sends
     }
 
+    /// Returns the address and name of an engine.
     pub fn endpoint(&self, engine_index: usize) -> Endpoint {
         let engine_table = self.state.engines();
         Endpoint {
@@ -111,7 +128,8 @@
         }
     }
 
-    /// May one more send be made that the operator counts? The first arrival draws on no budget.
+    /// Returns whether one more counted send may be made, and charges the retry budget for it where an engine already got
+    /// the request.
     pub fn grant_send(&self) -> bool {
         if self.sends >= self.max_sends || !self.is_authorized() {
             return false;
@@ -127,6 +145,8 @@
         is_allowed
     }
 
+    /// Calls `select` with the context in which engines for this request are selected. Holds the lock on the engines
+    /// meanwhile.
     pub fn with_selection<T>(&self, select: impl FnOnce(&SelectionContext) -> T) -> T {
         let table = self.state.table();
         let ramp_per_s = table.services.get(&self.service).map_or(0.0, |service| service.ramp_per_s);
@@ -149,13 +169,13 @@
         })
     }
 
-    /// Connections that this router may have to one engine.
+    /// Returns how many connections this router may have to one engine.
     pub fn max_connections(&self) -> usize {
         let limit = if self.service_config.connections == 0 { 1024 } else { self.service_config.connections };
         ((f64::from(limit) * 0.9) / f64::from(self.state.router_count())).max(2.0) as usize
     }
 
-    /// Its prompt is read: only the making of tokens is left there.
+    /// Records that an engine has prefilled the prompt: only decoding is left there.
     pub fn complete_prefill(&mut self, engine_index: usize) {
         let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == engine_index) else { return };
         let tokens = mem::take(tokens);
@@ -164,6 +184,7 @@
             engine_table.engines[engine_index].prefill_tokens_in_flight.saturating_sub(tokens);
     }
 
+    /// Ends what is in flight at an engine; does nothing where that has ended already.
     pub fn end_send(&mut self, engine_index: usize) {
         let Some(position) = self.in_flight.iter().position(|(engine, _)| *engine == engine_index) else { return };
         let (engine_index, tokens) = self.in_flight.swap_remove(position);
@@ -173,9 +194,11 @@
         engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(tokens);
     }
 
-    /// One send to one engine, with what it shows about that engine noted.
-    /// `reads`: prompt tokens that the engine is to read. `again`: it may be sent elsewhere when the
-    /// engine is found dark; one that answers others, or a probe, is only slow.
+    /// Sends the request to one engine, and records what the outcome shows about that engine.
+    ///
+    /// `prefill_tokens` are the prompt tokens that the engine has to prefill. With `may_move` the send is given up when
+    /// the engine is found unresponsive, since the request may go elsewhere; an engine that answers other requests, or
+    /// a probe, is only slow.
     pub async fn send(
         &mut self,
         engine_index: usize,
@@ -206,8 +229,8 @@
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
         let has_response = matches!(outcome, SendOutcome::Response(_));
         let is_unsent = matches!(outcome, SendOutcome::Unsent(_));
-        // The first read that an engine takes up is no arrival that counts. One without an answer
-        // may never have been taken up, and counts.
+        // A prefill that an engine answers is no arrival that counts. One without a response may never have been
+        // executed, and counts.
         let is_first_prefill = has_response && is_prefill;
         self.reached_engine |= !is_unsent && !is_first_prefill;
         if !has_response {
@@ -216,7 +239,7 @@
         outcome
     }
 
-    /// Until there is an outcome, time is up, or the engine is found dark and the request may go elsewhere.
+    /// Waits until there is an outcome, time is up, or the engine is found unresponsive and the request may go elsewhere.
     async fn await_outcome(
         &self,
         engine_index: usize,
@@ -247,7 +270,8 @@
         }
     }
 
-    /// Was the engine found dark since then? Raises doubt when it gave no sign of life for a while.
+    /// Returns whether the engine was found unresponsive after `since`, in milliseconds of the steady clock. Raises a
+    /// suspicion where it gave no sign of life for a while.
     pub fn check_unresponsive(&self, engine_index: usize, since: u64) -> bool {
         let now = clock::now();
         let (seen_at, failed_at) = {
@@ -266,7 +290,7 @@
         false
     }
 
-    /// Notes what an outcome shows about the engine.
+    /// Records what an outcome shows about the engine.
     fn record_outcome(&self, engine_index: usize, outcome: &SendOutcome) {
         let now = clock::now();
         let mut engine_table = self.state.engines();
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -1,4 +1,5 @@
-//! Passing an engine's answer on as it comes, and going on at another engine where that is allowed.
+//! Forwards one request: admits it to engines, executes it, and streams the response to the client as it comes,
+//! resumed at another engine where that is allowed.
 
 use std::mem;
 use std::time::Duration;
@@ -20,13 +21,14 @@
 use crate::rollout::Seen;
 use crate::upstream::suspicion::{self, SIGN_MS};
 
-/// When a refused client may come back: soon, and later the more is waiting.
+/// Returns the delay after which a refused client may try again, in milliseconds: a part of the latency target, and no
+/// more than a third of the time that it has left.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
     let third_of_remaining = exchange.remaining_ms() / 3;
     (exchange.target_ms / 4).clamp(50, 1000).min(third_of_remaining.max(20))
 }
 
-/// The answer to a request that is given up. Nothing that may have run is ever called refused.
+/// Returns the failure that ends a request. One that may have been executed is never reported as refused.
 pub fn failure_for(exchange: &Exchange) -> Failure {
     if !exchange.may_have_run {
         return Failure::Refused(retry_after_ms(exchange));
@@ -37,13 +39,18 @@
     Failure::Lost
 }
 
-/// By rank: how far over its slots every maker may be before a request is refused at once.
+/// By priority: the load, as a multiple of its slots, that every decode engine must exceed for a request to be refused
+/// at once.
 const SATURATION_LIMITS: [f64; 3] = [2.0, 1.5, 1.25];
 
-/// How long deferrable work stands back when interactive work needs the places.
+/// After how many milliseconds deferrable work may try again when interactive work needs the slots.
 const DEFERRED_RETRY_MS: u64 = 500;
 
-/// Chooses the path and follows it to an answer.
+/// Executes a request and returns the head of the response; the body follows as it comes.
+///
+/// # Errors
+///
+/// Returns what the client is answered where no engine's response may be forwarded.
 pub async fn forward(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
     if exchange
         .request
@@ -54,7 +61,7 @@
     }
     exchange.choose_version();
     if !exchange.fits_before_shutdown() {
-        // Refused early rather than given up late.
+        // Refused now rather than cut off when the process ends.
         return Err(failure_for(&exchange));
     }
     if exchange.version_bounds().is_some()
@@ -93,21 +100,21 @@
         exchange.pinned_version = response_head::weight_version(&response.head.headers).or(exchange.pinned_version);
     }
     if !is_sealed(&response) {
-        // Not an engine's answer, whatever it is.
+        // A success without the seal comes from something that is no engine.
         exchange.may_have_run = true;
         return Err(failure_for(&exchange));
     }
     Ok(stream_response(exchange, engine_index, response))
 }
 
-/// A success as an engine gives it.
+/// Returns whether the response is a success that an engine gave.
 fn is_sealed(response: &EngineResponse) -> bool {
     response.head.status.is_success() && response.head.headers.contains_key(RESPONSE_SEAL)
 }
 
-/// Services without halves: one engine, and another where that is allowed.
+/// Executes a request on one engine for both phases, and on another where a retry is allowed.
 async fn execute_combined(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
-    // A failed answer is given up only once the next send is granted.
+    // A failed response is dropped only once the next send is granted.
     let mut granted = false;
     loop {
         let placement_hash = hashing::combine(exchange.request.born, exchange.request.body.len() as u64);
@@ -142,7 +149,8 @@
 }
 
 impl Exchange {
-    /// Goes on at another engine after a break, behind the last event that was passed on.
+    /// Resumes a broken stream at another engine, after the last event that was forwarded. Returns the engine and its
+    /// response.
     async fn resume(&mut self, engine_index: usize, splitter: &EventSplitter) -> Option<(usize, EngineResponse)> {
         self.may_have_run = true;
         suspicion::raise(&self.state, engine_index);
@@ -179,15 +187,17 @@
     }
 }
 
-/// How an engine's body ended.
+/// How the body of a response ended.
 enum BodyEnd {
+    /// As its framing says.
     Complete,
+    /// The connection or the engine failed.
     Broken,
-    /// The client is gone.
+    /// The client disconnected.
     ClientGone,
 }
 
-/// Answers with the engine's head; its body follows as it comes.
+/// Returns a response with the engine's head, and spawns a task that streams its body.
 pub fn stream_response(mut exchange: Exchange, engine_index: usize, response: EngineResponse) -> Response<Body> {
     let mut client_response = Response::new(());
     *client_response.status_mut() = response.head.status;
@@ -204,6 +214,7 @@
     client_response.map(|()| Body::new(body))
 }
 
+/// Streams the body of a response to the client, and those of the responses that resume it.
 async fn stream_bodies(
     exchange: &mut Exchange,
     mut engine_index: usize,
@@ -234,6 +245,7 @@
     }
 }
 
+/// Forwards the body of one response until it ends, breaks, or the client disconnects.
 async fn forward_body(
     exchange: &Exchange,
     engine_index: usize,
--- a/router/src/proxy/mod.rs
+++ b/router/src/proxy/mod.rs
@@ -1,4 +1,9 @@
-//! The way of one request: planned, sent to engines in one or two phases, its response classified and forwarded, retried or resumed where that is allowed.
+//! The path of one request: planned, sent to engines in one or two phases, its response classified and forwarded,
+//! retried or resumed where that is allowed.
+//!
+//! `plan` decides as data, before anything is sent. `exchange` is the state of one request, and makes single sends
+//! through `send`. `phases` carries out prefill and decode; `forward` chooses between that and a single engine, and
+//! streams the response to the client.
 
 pub mod duration_estimate;
 pub mod event_stream;
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -1,5 +1,7 @@
-//! The ordinary path of the design: look up, have the prompt read, register, flush, and only then
-//! send to the engine that makes the tokens.
+//! Carries out a request in two phases: prefill on one engine, decode on another.
+//!
+//! The order is: look up owners, prefill, register the new owner in the catalog, flush, and only then decode. The flush
+//! comes first so that the catalog knows the owner before the KV cache moves on.
 
 use kernel::clock;
 use protocol::headers::RESPONSE_SEAL;
@@ -13,20 +15,25 @@
 use crate::proxy::plan::{self, Plan};
 use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
 
-/// Time kept between the end of a handle's life and its last use.
+/// Margin between a KV handle's last use and its expiry.
 const HANDLE_EXPIRY_MARGIN_MS: u64 = 400;
-/// How long the engine that came up short is not named for this key again.
+/// How long an engine that failed to hand over its KV cache is not recorded as the owner of these keys.
 const SUPPRESSION_MS: u64 = 2000;
 
-/// What a read came to.
+/// What came of a prefill.
 enum PrefillOutcome {
-    /// Its memory is held for this request.
+    /// An engine holds the KV cache for this request.
     HandleHeld,
-    /// The engine answered the request itself.
+    /// The engine, which knows no phases, answered the request itself.
     Response(usize, EngineResponse),
 }
 
-/// A read takes up none of the counted sends unless it is turned away, or a read went before it.
+/// Prefills the prompt. The first send does not count against the limit on sends; each further one, after a rejection,
+/// does.
+///
+/// # Errors
+///
+/// Fails where no engine has prefilled the prompt: the decode engine does so then.
 async fn prefill(exchange: &mut Exchange) -> Result<PrefillOutcome, ()> {
     let owners = exchange.prefix_owners.clone();
     for _ in 0..3 {
@@ -52,13 +59,14 @@
     Err(())
 }
 
+/// Takes the KV handle from the response to a prefill.
 async fn accept_prefill_response(
     exchange: &mut Exchange,
     engine_index: usize,
     response: EngineResponse,
 ) -> Result<PrefillOutcome, ()> {
     if response.head.headers.contains_key(RESPONSE_SEAL) {
-        // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
+        // An engine that knows no phases has run it: this is the response, and nothing more is sent.
         (exchange.sends, exchange.reached_engine, exchange.may_have_run) = (exchange.sends + 1, true, true);
         return Ok(PrefillOutcome::Response(engine_index, response));
     }
@@ -72,12 +80,12 @@
     let id = value["kv_handle"].as_str().filter(|_| is_success).unwrap_or("").to_string();
     let is_valid = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
     if !is_valid {
-        // It may have been turned away: counted.
+        // It may have been rejected, so it counts.
         exchange.reached_engine = true;
         return Err(());
     }
     if exchange.version_bounds().is_some() {
-        // Reader and maker of bound work agree: what was read with other weights is of no use to it.
+        // With a staleness limit both phases use the same weights: a KV cache of other weights is of no use.
         let version = value["revision"].as_u64();
         exchange.record_version(engine_index, version);
         exchange.pinned_version = version.or(exchange.pinned_version);
@@ -87,8 +95,8 @@
     Ok(PrefillOutcome::HandleHeld)
 }
 
-/// How urgent a read is: a short one goes before long ones, which it hardly delays, while behind them
-/// it would miss its aim; among alike the operator's rank decides.
+/// Returns the urgency class of a prefill. A short one goes before long ones: it hardly delays them, and behind them it
+/// would miss its latency target. Among similar ones the operator's priority decides.
 fn prefill_urgency(exchange: &Exchange, prefill_tokens: u32) -> u32 {
     if exchange.request.spare.is_some() {
         return 9;
@@ -101,7 +109,8 @@
     (1 + size + exchange.priority.min(1)).min(8)
 }
 
-/// Notes an owner here and tells the catalog; gives the number of registrations sent.
+/// Records an engine as the owner of the prompt's prefixes, here and in the catalog. Returns how many registrations
+/// were sent.
 fn register(exchange: &Exchange, engine_index: usize) -> u32 {
     let now = clock::now();
     let (id, load) = {
@@ -121,7 +130,11 @@
     count
 }
 
-/// Reads the prompt and hands it over; gives the engine that answers and its answer.
+/// Carries out both phases. Returns the index of the engine that responds, and its response.
+///
+/// # Errors
+///
+/// Returns what the client is answered where no engine responds.
 pub async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
     let mut prefill_engine = None;
@@ -134,14 +147,14 @@
         if let Some(engine_index) = prefill_engine {
             let registration_count = register(exchange, engine_index);
             let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
-            // A drop only means that others will not find this memory: the hand-over goes on.
+            // A dropped registration only means that others will not find this KV cache: the hand-over goes on.
             exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
         }
     }
     decode(exchange, prefill_engine).await
 }
 
-/// The engine that is to make the tokens, and the memory that it goes on with.
+/// Selects the engine that decodes, and the KV handle that it starts from.
 fn select_decode_engine(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Option<(usize, Option<Handle>)> {
     let (tokens, placement_hash) = (exchange.request.tokens(), plan::placement_hash(&exchange.request));
     let owners = exchange.prefix_owners.clone();
@@ -159,12 +172,12 @@
         }
         exchange.hold_handle(handle);
         exchange.version_bounds()?;
-        // No maker has the version that read it: one inside the limit reads it itself.
+        // No decode engine has the weights that prefilled it: one within the limit prefills it itself.
         exchange.release_handle();
     }
 }
 
-/// Sends to the engine that makes the tokens, with the memory where there is one.
+/// Sends to a decode engine, with the KV handle where there is one, until one responds.
 async fn decode(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Result<(usize, EngineResponse), Failure> {
     loop {
         let Some((engine_index, handle)) = select_decode_engine(exchange, prefill_engine) else {
@@ -194,7 +207,7 @@
             SendOutcome::Unsent(_) => exchange.sends -= 1,
             SendOutcome::Lost => {
                 exchange.may_have_run = true;
-                // Where it was not taken nobody else may name it: this maker may yet come for it.
+                // No other engine may name the handle: this one may still fetch the KV cache.
                 exchange.release_handle();
                 if !exchange.is_repeatable {
                     return Err(forward::failure_for(exchange));
@@ -206,12 +219,13 @@
     }
 }
 
+/// Returns whether all slots of an engine are estimated to be in use.
 fn is_full(exchange: &Exchange, engine_index: usize) -> bool {
     let engine_table = exchange.state.engines();
     engine_table.estimated_load(engine_index, clock::now()) >= f64::from(engine_table.engines[engine_index].slots)
 }
 
-/// The memory can't be had: its engine is suppressed for these keys, not for the request.
+/// Gives up a KV handle whose KV cache can't be fetched: its engine is suppressed for these keys, not for the request.
 fn abandon_handle(exchange: &mut Exchange) {
     if let Some(prefill_engine) = exchange.handle_engine() {
         let now = clock::now();
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -1,4 +1,7 @@
-//! Planning a request's way, as data, before anything is sent.
+//! Decides which engine prefills a prompt, as data, before anything is sent.
+//!
+//! The decision rests on which engines already own prefixes of the prompt: the local owner cache first, then the
+//! catalog for the prefixes that the cache lacks.
 
 use kernel::clock;
 use load_balancing::{CachedPrefix, Phase, SelectionContext};
@@ -6,17 +9,23 @@
 use crate::frontend::request::Request;
 use crate::state::State;
 
-/// Who reads the prompt. Invariant: a reader is an engine of the route's service outside `shut`
-/// that was not tried before.
+/// Who prefills the prompt. Invariant: a prefill engine belongs to the route's service, stands in no excluded zone,
+/// and was not tried before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// The engine and the tokens it has yet to read.
-    Prefill { engine_index: usize, tokens: u32 },
-    /// The maker reads the prompt itself: there is no reader, or readers are so pressed that a maker
-    /// is done sooner. The smallest exception to the ordinary path.
+    /// An engine of the prefill phase does.
+    Prefill {
+        /// The engine, by its index in the engine table.
+        engine_index: usize,
+        /// Prompt tokens that it does not have cached.
+        tokens: u32,
+    },
+    /// The decode engine does: there is no prefill engine, or those are so loaded that a decode engine finishes
+    /// sooner.
     Combined,
 }
 
+/// Decides who prefills the prompt, given the engines that own prefixes of it.
 pub fn plan_prefill(selection: &SelectionContext, request: &Request, owners: &PrefixOwners) -> Plan {
     let (tokens, placement_hash) = (request.tokens(), placement_hash(request));
     let Some(prefill) = selection.select_prefill(tokens, owners, request.shared(), placement_hash) else {
@@ -29,10 +38,11 @@
     Plan::Prefill { engine_index: prefill.engine, tokens: tokens.saturating_sub(cached_tokens) }
 }
 
-/// What was learned about the owners of a request's prefixes: engine and tokens held.
+/// For each engine that owns a prefix of the prompt: the tokens of the longest one.
 pub type PrefixOwners = Vec<CachedPrefix>;
 
-/// Scans the local record, asks the catalog for the missing suffix only, and notes what it finds.
+/// Returns the owners of the prompt's prefixes. Asks the catalog only for those that the owner cache lacks, and caches
+/// what it answers.
 pub async fn look_up_owners(state: &State, request: &Request, service: u32) -> PrefixOwners {
     let now = clock::now();
     let known = {
@@ -66,8 +76,8 @@
     cached_prefixes(state, request)
 }
 
-/// The engines whose pressure is asked for: the homes of the prefix, and a few of each half drawn from
-/// this router's subset.
+/// Returns the hashes of the engines whose load the catalog is asked for: the home engines of the prefix, and a few of
+/// each phase, sampled from this router's subset.
 fn sampled_engines(state: &State, request: &Request, service: u32) -> Vec<u64> {
     let roll = state.rng().next_u64();
     let engine_table = state.engines();
@@ -84,10 +94,10 @@
     engine_hashes.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
 }
 
-/// How many of a half are drawn for each request.
+/// How many engines of each phase are sampled for one request.
 const SAMPLES_PER_PHASE: usize = 4;
 
-/// The longest prefix each usable engine owns.
+/// Returns the longest prefix that each usable engine owns.
 fn cached_prefixes(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
     let prefix_lengths = catalog::prefix_token_counts(&request.parts);
@@ -112,13 +122,15 @@
     list
 }
 
-/// The key by which engines are ranked where nothing else tells them apart: the shared prefix.
+/// Returns the hash by which engines are ranked where their costs are equal: that of the shared prefix, so that requests
+/// with the same prefix prefer the same engines.
 pub fn placement_hash(request: &Request) -> u64 {
     let shared = request.keys.len().checked_sub(2).and_then(|at| request.keys.get(at));
     shared.or(request.keys.first()).copied().unwrap_or(request.born)
 }
 
-/// Zones that a request may not use: evacuated ones, and those outside the homes of its route or of its tenant.
+/// Returns the zones that a request may not use, by dense index: evacuated ones, and those outside the home regions of
+/// its route or of its tenant.
 pub fn excluded_zones(state: &State, homes: [&[String]; 2]) -> Vec<u32> {
     let mut list = state.subscribed().evacuated_zones.clone();
     let outside = |region| homes.iter().any(|homes| !homes.is_empty() && !homes.contains(region));
--- a/router/src/proxy/response_body.rs
+++ b/router/src/proxy/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to a client.
+//! The body of a response on its way to a client: a bounded channel that ends as complete only when told so.
 
 use std::io;
 use std::pin::Pin;
@@ -8,40 +8,45 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc::{self, Receiver, Sender};
 
+/// What goes through the channel.
 enum Chunk {
+    /// Bytes of the body.
     Data(Bytes),
+    /// The body is complete.
     End,
 }
 
-/// What is passed on to a client. Invariant: only `end` ends the body as whole; a sender that is dropped
-/// before breaks it off.
+/// Sends a body to a client. Invariant: only `finish` ends the body as complete; a sender that is dropped before aborts
+/// it.
 pub struct BodySender(Sender<Chunk>);
 
 impl BodySender {
-    /// False: the client is gone.
+    /// Sends bytes. Returns false where the client is gone.
     pub async fn send_data(&self, data: Bytes) -> bool {
         data.is_empty() || self.0.send(Chunk::Data(data)).await.is_ok()
     }
 
+    /// Ends the body as complete.
     pub async fn finish(&self) {
         let _ = self.0.send(Chunk::End).await;
     }
 
-    /// Until the client is gone.
+    /// Waits until the client is gone.
     pub async fn client_gone(&self) {
         self.0.closed().await;
     }
 }
 
-/// How many pieces may wait for a slow client.
+/// How many chunks may wait for a slow client.
 const CHANNEL_CAPACITY: usize = 16;
 
+/// Returns both ends of a body; `length` is its length in bytes, where the engine declared one.
 pub fn channel(length: Option<u64>) -> (BodySender, ForwardedBody) {
     let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
     (BodySender(sender), ForwardedBody { chunks, length })
 }
 
-/// The body of an answer, as it comes through a pipe; its length where the engine named one.
+/// The receiving end of the channel, as the body of a response.
 pub struct ForwardedBody {
     chunks: Receiver<Chunk>,
     length: Option<u64>,
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -1,4 +1,6 @@
-//! One send to one engine: what came of it is a value that says whether it may have run.
+//! Sends a request to one engine over a pooled connection.
+//!
+//! The outcome says whether the engine may have executed the request, since that decides about retries.
 
 use std::time::Duration;
 
@@ -22,42 +24,54 @@
 use crate::state::State;
 use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
 
+/// A response of an engine, whose body is still to be read.
 pub struct EngineResponse {
+    /// Status and headers.
     pub head: Parts,
+    /// The body as it arrives.
     pub body: Incoming,
+    /// The connection that it arrives on.
     pub connection: Connection,
 }
 
+/// What came of one send.
 pub enum SendOutcome {
+    /// The engine executed the request and responds.
     Response(Box<EngineResponse>),
-    /// Nothing of it reached the engine.
+    /// Nothing of the request reached the engine.
     Unsent(SendError),
-    /// The engine says that it has not run.
+    /// The engine says that it has not executed the request.
     NotExecuted,
-    /// It has not run, and the address is another engine's.
+    /// Not executed: the address belongs to another engine.
     OtherEngine,
-    /// It has not run, since its weights have another version: this one, where it said so.
+    /// Not executed: its weights have another version, this one where it said so.
     OtherVersion(Option<u64>),
-    /// It may have run.
+    /// The request may have been executed, and there is no response to forward.
     Lost,
 }
 
-/// What is set on a send besides the client's own headers.
+/// What a send sets besides the client's own headers.
 #[derive(Default)]
 pub struct SendOptions {
+    /// Time that the engine has, in milliseconds.
     pub time_budget_ms: u64,
+    /// Whether the engine only prefills the prompt.
     pub is_prefill: bool,
+    /// Address and KV handle from which the engine fetches the KV cache.
     pub kv_source: Option<String>,
+    /// The event after which a stream is resumed.
     pub last_event_id: Option<HeaderValue>,
+    /// Urgency class; smaller goes first.
     pub urgency: Option<u32>,
-    /// The version that its weights must have.
+    /// The version that the engine's weights must have.
     pub expected_version: Option<u64>,
-    /// The route, where a limit on stale weights binds it.
+    /// Name of the route, where it has a staleness limit.
     pub bounded_route: Option<String>,
 }
 
 impl EngineResponse {
-    /// Does the end of its body show whether it is whole? Where nothing frames it, a break looks like the end.
+    /// Returns whether the body's framing shows that it is complete. Without framing a broken connection looks like the
+    /// end.
     pub fn is_framed(&self) -> bool {
         use hyper::body::Body;
         self.body.is_end_stream()
@@ -66,7 +80,8 @@
     }
 }
 
-/// Immediately before a send: does what is expected of the engine still satisfy the limit?
+/// Returns whether the expected weight version still satisfies the staleness limit, which may have changed since the
+/// engine was selected.
 fn satisfies_bound(state: &State, service: u32, model: &str, options: &SendOptions) -> bool {
     let Some(route) = &options.bounded_route else { return true };
     let bound = state.staleness_bounds().bound_for(service, model, route, clock::now());
@@ -77,6 +92,7 @@
     }
 }
 
+/// Returns the request as it is sent to an engine.
 fn build_request(request: &request::Request, engine: &str, options: &SendOptions) -> http::Request<Full<Bytes>> {
     let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
@@ -108,7 +124,8 @@
     outgoing
 }
 
-/// `silence_ms`: how long the head of the answer may take.
+/// Sends the request to one engine. The head of the response may take `timeout_ms`; a connection that turns out to have
+/// ended before anything was written is replaced by the next.
 pub async fn send(
     state: &State,
     request: &request::Request,
@@ -155,7 +172,8 @@
     }
 }
 
-/// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
+/// Returns the outcome that a response stands for. One that is not forwarded is read to its end, so that its connection
+/// can be used again.
 async fn classify_response(
     state: &State,
     request: &request::Request,
@@ -181,12 +199,13 @@
     outcome
 }
 
-/// Reads the rest of an answer that nobody needs and takes the connection back.
+/// Reads the rest of a response that is not needed, and returns its connection to the pool.
 pub async fn drain_body(state: &State, endpoint: &Endpoint, response: EngineResponse) {
     let _ = read_body(state, endpoint, response, 64 * 1024, 200).await;
 }
 
-/// Reads a small answer whole.
+/// Reads the body of a small response, and returns its connection to the pool. None where it is longer than `max_bytes`,
+/// takes longer than `timeout_ms`, or may be incomplete.
 pub async fn read_body(
     state: &State,
     endpoint: &Endpoint,
@@ -211,7 +230,7 @@
     is_framed.then(|| buffer.freeze())
 }
 
-/// A connection whose answer was read to its end.
+/// Returns a connection to the pool, after the response on it was read to its end.
 pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
     if connection_pool::closes(head) {
         return;
@@ -222,7 +241,7 @@
     }
 }
 
-/// Gives the memory of a handle free; tried once, since it lapses by itself.
+/// Frees the KV cache that a handle stands for. Tried once, since the handle expires by itself.
 pub async fn free_kv_handle(state: &State, handle: &Handle, max_connections: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
@@ -242,7 +261,7 @@
     let Ok(Ok(response)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
     let (head, body) = response.into_parts();
     if !response_head::matches_attempt(&head.headers, None) {
-        // Another outgoing's: the answer to this one would be the next that comes.
+        // The response to another request: that to this one would be the next, so the connection is dropped.
         return;
     }
     drain_body(state, &handle.reader, EngineResponse { head, body, connection }).await;
