--- /dev/null
+++ b/router/src/proxy/engine_send.rs
@@ -0,0 +1,161 @@
+//! Sends of one request to single engines, and what each shows about its engine.
+//!
+//! What is in flight at an engine is counted in the engine table from the start of a send until `end_send`, since load
+//! balancing goes by it.
+
+use std::mem;
+use std::time::Duration;
+
+use kernel::clock;
+use protocol::headers::SERVER_LOAD;
+use tokio::time;
+
+use crate::metrics::{Half, Sent};
+use crate::proxy::exchange::Exchange;
+use crate::proxy::response_head;
+use crate::proxy::send::{self, SendOptions, SendOutcome};
+use crate::upstream::connection_pool::{Endpoint, SendError};
+use crate::upstream::suspicion::{self, SIGN_MS};
+
+impl Exchange {
+    /// Records that an engine has prefilled the prompt: only decoding is left there.
+    pub fn complete_prefill(&mut self, engine_index: usize) {
+        let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == engine_index) else { return };
+        let tokens = mem::take(tokens);
+        let mut engine_table = self.state.engines();
+        engine_table.engines[engine_index].prefill_tokens_in_flight =
+            engine_table.engines[engine_index].prefill_tokens_in_flight.saturating_sub(tokens);
+    }
+
+    /// Ends what is in flight at an engine; does nothing where that has ended already.
+    pub fn end_send(&mut self, engine_index: usize) {
+        let Some(position) = self.in_flight.iter().position(|(engine, _)| *engine == engine_index) else { return };
+        let (engine_index, tokens) = self.in_flight.swap_remove(position);
+        let mut engine_table = self.state.engines();
+        let engine = &mut engine_table.engines[engine_index];
+        engine.in_flight = engine.in_flight.saturating_sub(1);
+        engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(tokens);
+    }
+
+    /// Sends the request to one engine, and records what the outcome shows about that engine.
+    ///
+    /// `prefill_tokens` are the prompt tokens that the engine has to prefill. With `may_move` the send is given up when
+    /// the engine is found unresponsive, since the request may go elsewhere; an engine that answers other requests, or
+    /// a probe, is only slow.
+    pub async fn send(
+        &mut self,
+        engine_index: usize,
+        mut options: SendOptions,
+        prefill_tokens: u32,
+        may_move: bool,
+    ) -> SendOutcome {
+        let now = clock::now();
+        let tokens = u64::from(prefill_tokens);
+        let version_bounds = self.version_bounds();
+        options.bounded_route = version_bounds.is_some().then(|| self.route.clone());
+        let endpoint = self.endpoint(engine_index);
+        {
+            let mut engine_table = self.state.engines();
+            let engine = &mut engine_table.engines[engine_index];
+            options.expected_version = version_bounds.and_then(|range| engine.weight_version(range.model));
+            engine.in_flight += 1;
+            engine.prefill_tokens_in_flight += tokens;
+            engine.slow_start.record_send(now);
+        }
+        self.in_flight.push((engine_index, tokens));
+        let is_prefill = options.is_prefill;
+        options.time_budget_ms = self.request.left(now).max(1);
+        let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
+        self.record_outcome(engine_index, &outcome);
+        let phase = if options.is_prefill { Half::Prefill } else { Half::Run };
+        let sent = Sent { half: phase, result: (&outcome).into() };
+        self.state.metrics.engine_sends.get_or_create(&sent).inc();
+        let has_response = matches!(outcome, SendOutcome::Response(_));
+        let is_unsent = matches!(outcome, SendOutcome::Unsent(_));
+        // A prefill that an engine answers is no arrival that counts. One without a response may never have been
+        // executed, and counts.
+        let is_first_prefill = has_response && is_prefill;
+        self.reached_engine |= !is_unsent && !is_first_prefill;
+        if !has_response {
+            self.end_send(engine_index);
+        }
+        outcome
+    }
+
+    /// Waits until there is an outcome, time is up, or the engine is found unresponsive and the request may go elsewhere.
+    async fn await_outcome(
+        &self,
+        engine_index: usize,
+        endpoint: &Endpoint,
+        options: &SendOptions,
+        may_move: bool,
+    ) -> SendOutcome {
+        let now = clock::now();
+        let wait_ms = self.request.left(now);
+        let send =
+            send::send(&self.state, &self.request, self.service, endpoint, self.max_connections(), options, wait_ms);
+        tokio::pin!(send);
+        let interval = Duration::from_millis(SIGN_MS.min(wait_ms.max(1)));
+        loop {
+            if let Ok(outcome) = time::timeout(interval, &mut send).await {
+                return outcome;
+            }
+            if self.remaining_ms() == 0 || (self.check_unresponsive(engine_index, now) && may_move) {
+                return SendOutcome::Lost;
+            }
+        }
+    }
+
+    /// Returns whether the engine was found unresponsive after `since`, in milliseconds of the steady clock. Raises a
+    /// suspicion where it gave no sign of life for a while.
+    pub fn check_unresponsive(&self, engine_index: usize, since: u64) -> bool {
+        let now = clock::now();
+        let (seen_at, failed_at) = {
+            let engine_table = self.state.engines();
+            (
+                engine_table.engines[engine_index].last_response_at.max(since),
+                engine_table.engines[engine_index].last_failure_at,
+            )
+        };
+        if failed_at > seen_at {
+            return true;
+        }
+        if now >= seen_at + SIGN_MS {
+            suspicion::raise(&self.state, engine_index);
+        }
+        false
+    }
+
+    /// Records what an outcome shows about the engine.
+    fn record_outcome(&self, engine_index: usize, outcome: &SendOutcome) {
+        let now = clock::now();
+        let mut engine_table = self.state.engines();
+        let engine = &mut engine_table.engines[engine_index];
+        match outcome {
+            SendOutcome::Response(response) => {
+                engine.record_response(now);
+                if let Some(version) = response_head::weight_version(&response.head.headers) {
+                    engine.set_weight_version(self.request.model_key, Some(version));
+                }
+                if let Some(load) = response.head.headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
+                    engine_table.record_reported_load(engine_index, load, now);
+                }
+            }
+            SendOutcome::OtherEngine => engine.retire(),
+            SendOutcome::NotExecuted => {
+                engine.record_response(now);
+                engine.saturated_until = now + 60;
+            }
+            SendOutcome::OtherVersion(version) => {
+                engine.record_response(now);
+                engine.set_weight_version(self.request.model_key, *version);
+            }
+            SendOutcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
+            SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
+            _ => {
+                drop(engine_table);
+                suspicion::raise(&self.state, engine_index);
+            }
+        }
+    }
+}
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -2,24 +2,19 @@
 //! resumed at another engine where that is allowed.
 
 use std::mem;
-use std::time::Duration;
 
-use http::header::CONNECTION;
-use http::{HeaderValue, Response};
-use kernel::{clock, hashing};
+use http::Response;
+use kernel::hashing;
 use load_balancing::Phase;
 use protocol::headers::RESPONSE_SEAL;
-use tokio::time;
 
 use crate::frontend::error_response::{Body, Failure};
-use crate::frontend::request;
-use crate::proxy::event_stream::EventSplitter;
+use crate::proxy::engine_response::EngineResponse;
 use crate::proxy::exchange::Exchange;
-use crate::proxy::response_body::{self, BodySender};
-use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
-use crate::proxy::{phases, plan, response_head};
+use crate::proxy::send::{SendOptions, SendOutcome};
+use crate::proxy::stream::stream_response;
+use crate::proxy::{phases, response_head};
 use crate::rollout::Seen;
-use crate::upstream::suspicion::{self, SIGN_MS};
 
 /// Returns the delay after which a refused client may try again, in milliseconds: a part of the latency target, and no
 /// more than a third of the time that it has left.
@@ -108,7 +103,7 @@
 }
 
 /// Returns whether the response is a success that an engine gave.
-fn is_sealed(response: &EngineResponse) -> bool {
+pub fn is_sealed(response: &EngineResponse) -> bool {
     response.head.status.is_success() && response.head.headers.contains_key(RESPONSE_SEAL)
 }
 
@@ -147,145 +142,3 @@
         exchange.attempted_engines.push(engine_index);
     }
 }
-
-impl Exchange {
-    /// Resumes a broken stream at another engine, after the last event that was forwarded. Returns the engine and its
-    /// response.
-    async fn resume(&mut self, engine_index: usize, splitter: &EventSplitter) -> Option<(usize, EngineResponse)> {
-        self.may_have_run = true;
-        suspicion::raise(&self.state, engine_index);
-        self.attempted_engines.push(engine_index);
-        if !self.is_resumable() || !splitter.is_resumable() {
-            return None;
-        }
-        let (tokens, placement_hash) = (self.request.tokens(), plan::placement_hash(&self.request));
-        for _ in 0..3 {
-            let owners = self.prefix_owners.clone();
-            let next =
-                self.with_selection(|selection| selection.select_combined(tokens, &owners, placement_hash))?.engine;
-            if self.remaining_ms() == 0 || !self.grant_send() {
-                return None;
-            }
-            let last_event_id = match &splitter.last_event_id {
-                Some(last_event_id) => HeaderValue::from_str(last_event_id).ok(),
-                None => self.request.last.clone(),
-            };
-            let options = SendOptions { last_event_id, urgency: self.urgency(), ..Default::default() };
-            self.sends += 1;
-            let may_move = self.may_retry();
-            match self.send(next, options, tokens, may_move).await {
-                SendOutcome::Response(response) if is_sealed(&response) => {
-                    return Some((next, *response));
-                }
-                SendOutcome::Response(_) => self.end_send(next),
-                SendOutcome::Unsent(_) => self.sends -= 1,
-                _ => {}
-            }
-            self.attempted_engines.push(next);
-        }
-        None
-    }
-}
-
-/// How the body of a response ended.
-enum BodyEnd {
-    /// As its framing says.
-    Complete,
-    /// The connection or the engine failed.
-    Broken,
-    /// The client disconnected.
-    ClientGone,
-}
-
-/// Returns a response with the engine's head, and spawns a task that streams its body.
-pub fn stream_response(mut exchange: Exchange, engine_index: usize, response: EngineResponse) -> Response<Body> {
-    let mut client_response = Response::new(());
-    *client_response.status_mut() = response.head.status;
-    *client_response.headers_mut() = response.head.headers.clone();
-    let length = request::number(client_response.headers(), "content-length").filter(|_| !exchange.is_resumable());
-    request::strip(client_response.headers_mut());
-    if exchange.state.is_shutting_down() {
-        client_response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-    }
-    let (sender, body) = response_body::channel(length);
-    tokio::spawn(async move {
-        stream_bodies(&mut exchange, engine_index, response, &sender).await;
-    });
-    client_response.map(|()| Body::new(body))
-}
-
-/// Streams the body of a response to the client, and those of the responses that resume it.
-async fn stream_bodies(
-    exchange: &mut Exchange,
-    mut engine_index: usize,
-    mut response: EngineResponse,
-    sender: &BodySender,
-) {
-    let mut splitter = EventSplitter::default();
-    let is_success = response.head.status.is_success();
-    loop {
-        let end = forward_body(exchange, engine_index, &mut response, &mut splitter, sender).await;
-        exchange.end_send(engine_index);
-        match end {
-            BodyEnd::ClientGone => return,
-            BodyEnd::Complete => {
-                sender.finish().await;
-                if is_success {
-                    exchange.note_seen(Seen::Good { pace_us: splitter.mean_interval_us() });
-                }
-                let to = exchange.endpoint(engine_index);
-                send::return_connection(&exchange.state, &to, &response.head.headers, response.connection).await;
-                return;
-            }
-            BodyEnd::Broken => exchange.note_seen(Seen::Failed),
-        }
-        splitter.discard_partial_event();
-        let Some((next, next_response)) = exchange.resume(engine_index, &splitter).await else { return };
-        (engine_index, response) = (next, next_response);
-    }
-}
-
-/// Forwards the body of one response until it ends, breaks, or the client disconnects.
-async fn forward_body(
-    exchange: &Exchange,
-    engine_index: usize,
-    response: &mut EngineResponse,
-    splitter: &mut EventSplitter,
-    sender: &BodySender,
-) -> BodyEnd {
-    use http_body_util::BodyExt;
-    let interval = Duration::from_millis(SIGN_MS);
-    let (is_streaming, may_move) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
-    let is_framed = response.is_framed();
-    let mut last_seen_at = clock::now();
-    loop {
-        let frame = tokio::select! {
-            frame = time::timeout(interval, response.body.frame()) => frame,
-            () = sender.client_gone() => return BodyEnd::ClientGone,
-        };
-        let data = match frame {
-            Err(_)
-                if exchange.remaining_ms() == 0
-                    || (exchange.check_unresponsive(engine_index, last_seen_at) && may_move) =>
-            {
-                return BodyEnd::Broken
-            }
-            Err(_) => continue,
-            Ok(None) if !is_framed => return BodyEnd::Broken,
-            Ok(None) => {
-                return if sender.send_data(splitter.take_partial_event()).await {
-                    BodyEnd::Complete
-                } else {
-                    BodyEnd::ClientGone
-                }
-            }
-            Ok(Some(Err(_))) => return BodyEnd::Broken,
-            Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
-        };
-        last_seen_at = clock::now();
-        let complete = if is_streaming { splitter.feed(&data) } else { data };
-        if !sender.send_data(complete).await {
-            return BodyEnd::ClientGone;
-        }
-    }
-}
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -10,10 +10,11 @@
 
 use crate::frontend::error_response::Failure;
 use crate::kv::handle::Handle;
+use crate::proxy::engine_response::{self, EngineResponse};
 use crate::proxy::exchange::Exchange;
 use crate::proxy::forward;
 use crate::proxy::plan::{self, Plan};
-use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
+use crate::proxy::send::{SendOptions, SendOutcome};
 
 /// Margin between a KV handle's last use and its expiry.
 const HANDLE_EXPIRY_MARGIN_MS: u64 = 400;
@@ -74,7 +75,7 @@
     let is_success = response.head.status == 200;
     let timeout_ms = exchange.remaining_ms().min(1000);
     let received_at = clock::now();
-    let body = send::read_body(&exchange.state, &endpoint, response, 16 * 1024, timeout_ms).await;
+    let body = engine_response::read_body(&exchange.state, &endpoint, response, 16 * 1024, timeout_ms).await;
     exchange.end_send(engine_index);
     let value: Value = body.and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
     let id = value["kv_handle"].as_str().filter(|_| is_success).unwrap_or("").to_string();
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -4,12 +4,10 @@
 
 use std::time::Duration;
 
-use bytes::{Bytes, BytesMut};
-use http::header::{HOST, TRANSFER_ENCODING};
-use http::response::Parts;
-use http::{HeaderMap, HeaderValue, Method};
+use bytes::Bytes;
+use http::header::HOST;
+use http::{HeaderValue, Method};
 use http_body_util::Full;
-use hyper::body::Incoming;
 use kernel::clock;
 use load_balancing::StalenessBound;
 use protocol::headers::{
@@ -20,19 +18,10 @@
 use crate::event::MISFIT;
 use crate::frontend::request;
 use crate::kv::handle::Handle;
+use crate::proxy::engine_response::{self, EngineResponse};
 use crate::proxy::response_head::{self, Classification, Expectation};
 use crate::state::State;
-use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
-
-/// A response of an engine, whose body is still to be read.
-pub struct EngineResponse {
-    /// Status and headers.
-    pub head: Parts,
-    /// The body as it arrives.
-    pub body: Incoming,
-    /// The connection that it arrives on.
-    pub connection: Connection,
-}
+use crate::upstream::connection_pool::{Endpoint, SendError};
 
 /// What came of one send.
 pub enum SendOutcome {
@@ -69,17 +58,6 @@
     pub bounded_route: Option<String>,
 }
 
-impl EngineResponse {
-    /// Returns whether the body's framing shows that it is complete. Without framing a broken connection looks like the
-    /// end.
-    pub fn is_framed(&self) -> bool {
-        use hyper::body::Body;
-        self.body.is_end_stream()
-            || self.body.size_hint().exact().is_some()
-            || self.head.headers.contains_key(TRANSFER_ENCODING)
-    }
-}
-
 /// Returns whether the expected weight version still satisfies the staleness limit, which may have changed since the
 /// engine was selected.
 fn satisfies_bound(state: &State, service: u32, model: &str, options: &SendOptions) -> bool {
@@ -195,52 +173,10 @@
         Classification::OtherEngine => SendOutcome::OtherEngine,
         Classification::OtherVersion(version) => SendOutcome::OtherVersion(version),
     };
-    drain_body(state, endpoint, response).await;
+    engine_response::drain_body(state, endpoint, response).await;
     outcome
 }
 
-/// Reads the rest of a response that is not needed, and returns its connection to the pool.
-pub async fn drain_body(state: &State, endpoint: &Endpoint, response: EngineResponse) {
-    let _ = read_body(state, endpoint, response, 64 * 1024, 200).await;
-}
-
-/// Reads the body of a small response, and returns its connection to the pool. None where it is longer than `max_bytes`,
-/// takes longer than `timeout_ms`, or may be incomplete.
-pub async fn read_body(
-    state: &State,
-    endpoint: &Endpoint,
-    response: EngineResponse,
-    max_bytes: usize,
-    timeout_ms: u64,
-) -> Option<Bytes> {
-    use http_body_util::BodyExt;
-    let is_framed = response.is_framed();
-    let EngineResponse { head, mut body, connection } = response;
-    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
-    let mut buffer = BytesMut::new();
-    while let Some(frame) = time::timeout_at(deadline, body.frame()).await.ok()? {
-        if let Ok(data) = frame.ok()?.into_data() {
-            buffer.extend_from_slice(&data);
-        }
-        if buffer.len() > max_bytes {
-            return None;
-        }
-    }
-    return_connection(state, endpoint, &head.headers, connection).await;
-    is_framed.then(|| buffer.freeze())
-}
-
-/// Returns a connection to the pool, after the response on it was read to its end.
-pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if connection_pool::closes(head) {
-        return;
-    }
-    let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
-    if matches!(ready, Ok(Ok(()))) {
-        state.connection_pools.put(endpoint, connection, connection_pool::keep(head));
-    }
-}
-
 /// Frees the KV cache that a handle stands for. Tried once, since the handle expires by itself.
 pub async fn free_kv_handle(state: &State, handle: &Handle, max_connections: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
@@ -264,5 +200,5 @@
         // The response to another request: that to this one would be the next, so the connection is dropped.
         return;
     }
-    drain_body(state, &handle.reader, EngineResponse { head, body, connection }).await;
+    engine_response::drain_body(state, &handle.reader, EngineResponse { head, body, connection }).await;
 }
--- /dev/null
+++ b/router/src/proxy/stream.rs
@@ -0,0 +1,163 @@
+//! Streams a response to the client as it comes, resumed at another engine where that is allowed.
+
+use std::time::Duration;
+
+use http::header::CONNECTION;
+use http::{HeaderValue, Response};
+use http_body_util::BodyExt;
+use kernel::clock;
+use tokio::time;
+
+use crate::frontend::error_response::Body;
+use crate::frontend::request;
+use crate::proxy::engine_response::{self, EngineResponse};
+use crate::proxy::event_stream::EventSplitter;
+use crate::proxy::exchange::Exchange;
+use crate::proxy::forward::is_sealed;
+use crate::proxy::plan;
+use crate::proxy::response_body::{self, BodySender};
+use crate::proxy::send::{SendOptions, SendOutcome};
+use crate::rollout::Seen;
+use crate::upstream::suspicion::{self, SIGN_MS};
+
+/// How the body of a response ended.
+enum BodyEnd {
+    /// As its framing says.
+    Complete,
+    /// The connection or the engine failed.
+    Broken,
+    /// The client disconnected.
+    ClientGone,
+}
+
+/// Returns a response with the engine's head, and spawns a task that streams its body.
+pub fn stream_response(mut exchange: Exchange, engine_index: usize, response: EngineResponse) -> Response<Body> {
+    let mut client_response = Response::new(());
+    *client_response.status_mut() = response.head.status;
+    *client_response.headers_mut() = response.head.headers.clone();
+    let length = request::number(client_response.headers(), "content-length").filter(|_| !exchange.is_resumable());
+    request::strip(client_response.headers_mut());
+    if exchange.state.is_shutting_down() {
+        client_response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    let (sender, body) = response_body::channel(length);
+    tokio::spawn(async move {
+        stream_bodies(&mut exchange, engine_index, response, &sender).await;
+    });
+    client_response.map(|()| Body::new(body))
+}
+
+/// Streams the body of a response to the client, and those of the responses that resume it.
+async fn stream_bodies(
+    exchange: &mut Exchange,
+    mut engine_index: usize,
+    mut response: EngineResponse,
+    sender: &BodySender,
+) {
+    let mut splitter = EventSplitter::default();
+    let is_success = response.head.status.is_success();
+    loop {
+        let end = forward_body(exchange, engine_index, &mut response, &mut splitter, sender).await;
+        exchange.end_send(engine_index);
+        match end {
+            BodyEnd::ClientGone => return,
+            BodyEnd::Complete => {
+                sender.finish().await;
+                if is_success {
+                    exchange.note_seen(Seen::Good { pace_us: splitter.mean_interval_us() });
+                }
+                let to = exchange.endpoint(engine_index);
+                engine_response::return_connection(&exchange.state, &to, &response.head.headers, response.connection)
+                    .await;
+                return;
+            }
+            BodyEnd::Broken => exchange.note_seen(Seen::Failed),
+        }
+        splitter.discard_partial_event();
+        let Some((next, next_response)) = exchange.resume(engine_index, &splitter).await else { return };
+        (engine_index, response) = (next, next_response);
+    }
+}
+
+/// Forwards the body of one response until it ends, breaks, or the client disconnects.
+async fn forward_body(
+    exchange: &Exchange,
+    engine_index: usize,
+    response: &mut EngineResponse,
+    splitter: &mut EventSplitter,
+    sender: &BodySender,
+) -> BodyEnd {
+    let interval = Duration::from_millis(SIGN_MS);
+    let (is_streaming, may_move) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
+    let is_framed = response.is_framed();
+    let mut last_seen_at = clock::now();
+    loop {
+        let frame = tokio::select! {
+            frame = time::timeout(interval, response.body.frame()) => frame,
+            () = sender.client_gone() => return BodyEnd::ClientGone,
+        };
+        let data = match frame {
+            Err(_)
+                if exchange.remaining_ms() == 0
+                    || (exchange.check_unresponsive(engine_index, last_seen_at) && may_move) =>
+            {
+                return BodyEnd::Broken
+            }
+            Err(_) => continue,
+            Ok(None) if !is_framed => return BodyEnd::Broken,
+            Ok(None) => {
+                return if sender.send_data(splitter.take_partial_event()).await {
+                    BodyEnd::Complete
+                } else {
+                    BodyEnd::ClientGone
+                }
+            }
+            Ok(Some(Err(_))) => return BodyEnd::Broken,
+            Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
+        };
+        last_seen_at = clock::now();
+        let complete = if is_streaming { splitter.feed(&data) } else { data };
+        if !sender.send_data(complete).await {
+            return BodyEnd::ClientGone;
+        }
+    }
+}
+
+impl Exchange {
+    /// Resumes a broken stream at another engine, after the last event that was forwarded. Returns the engine and its
+    /// response.
+    async fn resume(&mut self, engine_index: usize, splitter: &EventSplitter) -> Option<(usize, EngineResponse)> {
+        self.may_have_run = true;
+        suspicion::raise(&self.state, engine_index);
+        self.attempted_engines.push(engine_index);
+        if !self.is_resumable() || !splitter.is_resumable() {
+            return None;
+        }
+        let (tokens, placement_hash) = (self.request.tokens(), plan::placement_hash(&self.request));
+        for _ in 0..3 {
+            let owners = self.prefix_owners.clone();
+            let next =
+                self.with_selection(|selection| selection.select_combined(tokens, &owners, placement_hash))?.engine;
+            if self.remaining_ms() == 0 || !self.grant_send() {
+                return None;
+            }
+            let last_event_id = match &splitter.last_event_id {
+                Some(last_event_id) => HeaderValue::from_str(last_event_id).ok(),
+                None => self.request.last.clone(),
+            };
+            let options = SendOptions { last_event_id, urgency: self.urgency(), ..Default::default() };
+            self.sends += 1;
+            let may_move = self.may_retry();
+            match self.send(next, options, tokens, may_move).await {
+                SendOutcome::Response(response) if is_sealed(&response) => {
+                    return Some((next, *response));
+                }
+                SendOutcome::Response(_) => self.end_send(next),
+                SendOutcome::Unsent(_) => self.sends -= 1,
+                _ => {}
+            }
+            self.attempted_engines.push(next);
+        }
+        None
+    }
+}
