--- a/router/src/proxy/engine_response.rs
+++ b/router/src/proxy/engine_response.rs
@@ -13,6 +13,13 @@
 use crate::state::State;
 use crate::upstream::connection_pool::{self, Connection, Endpoint};
 
+/// How much of a response that is not needed is read so that its connection can be used again.
+const MAX_DRAINED_BYTES: usize = 64 * 1024;
+/// For how long that is read, in milliseconds.
+const DRAIN_TIMEOUT_MS: u64 = 200;
+/// How long a connection may take to be ready for the next request.
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
+
 /// A response of an engine, whose body is still to be read.
 pub struct EngineResponse {
     /// Status and headers.
@@ -35,7 +42,7 @@
 
 /// Reads the rest of a response that is not needed, and returns its connection to the pool.
 pub async fn drain_body(state: &State, endpoint: &Endpoint, response: EngineResponse) {
-    let _ = read_body(state, endpoint, response, 64 * 1024, 200).await;
+    let _ = read_body(state, endpoint, response, MAX_DRAINED_BYTES, DRAIN_TIMEOUT_MS).await;
 }
 
 /// Reads the body of a small response, and returns its connection to the pool. None where it is longer than `max_bytes`,
@@ -68,7 +75,7 @@
     if connection_pool::closes(head) {
         return;
     }
-    let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
+    let ready = time::timeout(READY_TIMEOUT, connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
         state.connection_pools.put(endpoint, connection, connection_pool::keep(head));
     }
--- a/router/src/proxy/engine_send.rs
+++ b/router/src/proxy/engine_send.rs
@@ -11,17 +11,22 @@
 use tokio::time;
 
 use crate::metrics::{Half, Sent};
-use crate::proxy::exchange::Exchange;
+use crate::proxy::exchange::{Exchange, InFlight};
 use crate::proxy::response_head;
 use crate::proxy::send::{self, SendOptions, SendOutcome};
 use crate::upstream::connection_pool::{Endpoint, SendError};
 use crate::upstream::suspicion::{self, SIGN_MS};
 
+/// How long an engine that rejected a request counts as saturated.
+const REJECTED_PAUSE_MS: u64 = 60;
+/// How long an engine counts as saturated when this router's connections to it are all in use.
+const NO_CONNECTION_PAUSE_MS: u64 = 20;
+
 impl Exchange {
     /// Records that an engine has prefilled the prompt: only decoding is left there.
     pub fn complete_prefill(&mut self, engine_index: usize) {
-        let Some((_, tokens)) = self.in_flight.iter_mut().find(|(engine, _)| *engine == engine_index) else { return };
-        let tokens = mem::take(tokens);
+        let Some(send) = self.in_flight.iter_mut().find(|send| send.engine_index == engine_index) else { return };
+        let tokens = mem::take(&mut send.prefill_tokens);
         let mut engine_table = self.state.engines();
         engine_table.engines[engine_index].prefill_tokens_in_flight =
             engine_table.engines[engine_index].prefill_tokens_in_flight.saturating_sub(tokens);
@@ -29,12 +34,12 @@
 
     /// Ends what is in flight at an engine; does nothing where that has ended already.
     pub fn end_send(&mut self, engine_index: usize) {
-        let Some(position) = self.in_flight.iter().position(|(engine, _)| *engine == engine_index) else { return };
-        let (engine_index, tokens) = self.in_flight.swap_remove(position);
+        let Some(position) = self.in_flight.iter().position(|send| send.engine_index == engine_index) else { return };
+        let InFlight { engine_index, prefill_tokens } = self.in_flight.swap_remove(position);
         let mut engine_table = self.state.engines();
         let engine = &mut engine_table.engines[engine_index];
         engine.in_flight = engine.in_flight.saturating_sub(1);
-        engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(tokens);
+        engine.prefill_tokens_in_flight = engine.prefill_tokens_in_flight.saturating_sub(prefill_tokens);
     }
 
     /// Sends the request to one engine, and records what the outcome shows about that engine.
@@ -62,7 +67,7 @@
             engine.prefill_tokens_in_flight += tokens;
             engine.slow_start.record_send(now);
         }
-        self.in_flight.push((engine_index, tokens));
+        self.in_flight.push(InFlight { engine_index, prefill_tokens: tokens });
         let is_prefill = options.is_prefill;
         options.time_budget_ms = self.request.left(now).max(1);
         let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
@@ -144,14 +149,14 @@
             SendOutcome::OtherEngine => engine.retire(),
             SendOutcome::NotExecuted => {
                 engine.record_response(now);
-                engine.saturated_until = now + 60;
+                engine.saturated_until = now + REJECTED_PAUSE_MS;
             }
             SendOutcome::OtherVersion(version) => {
                 engine.record_response(now);
                 engine.set_weight_version(self.request.model_key, *version);
             }
             SendOutcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
-            SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + 20,
+            SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + NO_CONNECTION_PAUSE_MS,
             _ => {
                 drop(engine_table);
                 suspicion::raise(&self.state, engine_index);
--- a/router/src/proxy/event_stream.rs
+++ b/router/src/proxy/event_stream.rs
@@ -7,6 +7,9 @@
 use bytes::{Bytes, BytesMut};
 use kernel::clock;
 
+/// Larger than any event, in bytes; a body without events is forwarded rather than buffered.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
+
 /// Splits a stream of events. Invariant, unless `is_misaligned`: what `feed` returned ends with an event, and
 /// `partial_event` holds the bytes of the one that is not complete.
 #[derive(Default)]
@@ -21,13 +24,12 @@
     first_event_at: Option<u64>,
     /// How many they were.
     first_event_count: u64,
-    /// When the last event was returned, and how many came after the first ones.
-    last_event_at: (u64, u64),
+    /// When the last event was returned, in milliseconds of the steady clock.
+    last_event_at: u64,
+    /// How many events came after the first ones.
+    later_event_count: u64,
 }
 
-/// Larger than any event, in bytes; a body without events is forwarded rather than buffered.
-const MAX_EVENT_BYTES: usize = 256 * 1024;
-
 impl EventSplitter {
     /// Takes bytes of the stream, and returns the events that they complete.
     pub fn feed(&mut self, data: &[u8]) -> Bytes {
@@ -47,9 +49,8 @@
 
     /// Returns the mean time between events in microseconds, where there were several.
     pub fn mean_interval_us(&self) -> Option<u64> {
-        let (last_event_at, event_count) = self.last_event_at;
-        let span_ms = last_event_at.checked_sub(self.first_event_at?)?;
-        (event_count > 0).then(|| span_ms * 1000 / event_count)
+        let span_ms = self.last_event_at.checked_sub(self.first_event_at?)?;
+        (self.later_event_count > 0).then(|| span_ms * 1000 / self.later_event_count)
     }
 
     fn record_events(&mut self, complete: &[u8]) {
@@ -75,7 +76,8 @@
             self.first_event_at = Some(now);
             self.first_event_count = self.events;
         }
-        self.last_event_at = (now, self.events - self.first_event_count);
+        self.last_event_at = now;
+        self.later_event_count = self.events - self.first_event_count;
     }
 
     /// Returns whether another engine can resume after what was returned: it must end with an event that has an id.
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -16,6 +16,29 @@
 use crate::state::State;
 use crate::upstream::connection_pool::Endpoint;
 
+/// Urgency class of deferrable work, the last of all.
+pub const DEFERRABLE_URGENCY: u32 = 9;
+/// The last urgency class of interactive work.
+pub const MAX_INTERACTIVE_URGENCY: u32 = 8;
+/// Urgency class of work of the highest priority, other than prefills.
+const DECODE_URGENCY: u32 = 4;
+/// Connections to one engine, for all routers together, where the service names no limit.
+const DEFAULT_CONNECTIONS: u32 = 1024;
+/// Part of an engine's connections that routers share out, so that there are spare ones while the count of routers
+/// changes.
+const SHARED_CONNECTIONS: f64 = 0.9;
+/// Part of the operator's slack that the retry budget may use.
+const RETRY_SLACK: f64 = 0.5;
+
+/// A send that has not ended.
+#[derive(Clone, Copy, Debug)]
+pub struct InFlight {
+    /// Index of the engine.
+    pub engine_index: usize,
+    /// Prompt tokens that the engine has yet to prefill.
+    pub prefill_tokens: u64,
+}
+
 /// One request while it is forwarded. Invariants: `may_have_run` never goes back to false; sends still in flight are
 /// ended on drop, and a KV handle still held is released.
 pub struct Exchange {
@@ -53,8 +76,8 @@
     pub may_have_run: bool,
     /// Indices of the engines that are not tried again.
     pub attempted_engines: Vec<usize>,
-    /// Engines at which it is in flight, each with the prompt tokens that it has yet to prefill.
-    pub in_flight: Vec<(usize, u64)>,
+    /// Sends that have not ended.
+    pub in_flight: Vec<InFlight>,
     /// The KV cache that an engine holds for it.
     pub kv_handle: Option<Handle>,
     /// Which variant of a rollout serves it, in all of its sends.
@@ -63,8 +86,8 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        while let Some((engine_index, _)) = self.in_flight.last().copied() {
-            self.end_send(engine_index);
+        while let Some(send) = self.in_flight.last().copied() {
+            self.end_send(send.engine_index);
         }
         self.release_handle();
         if self.reached_engine {
@@ -91,9 +114,9 @@
     /// rest goes by priority, where the request has a prompt that is split into phases.
     pub fn urgency(&self) -> Option<u32> {
         if self.request.spare.is_some() {
-            return Some(9);
+            return Some(DEFERRABLE_URGENCY);
         }
-        (!self.request.keys.is_empty()).then_some((4 + self.priority).min(8))
+        (!self.request.keys.is_empty()).then_some((DECODE_URGENCY + self.priority).min(MAX_INTERACTIVE_URGENCY))
     }
 
     /// Returns whether the response is a stream of events.
@@ -129,7 +152,7 @@
         if !self.reached_engine {
             return true;
         }
-        let share = self.state.settings.bounds.budget_slack * 0.5 / f64::from(self.state.router_count());
+        let share = self.state.settings.bounds.budget_slack * RETRY_SLACK / f64::from(self.state.router_count());
         let is_allowed = self.state.retry_budget().try_acquire(self.service, clock::now(), share);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
@@ -163,7 +186,10 @@
 
     /// Returns how many connections this router may have to one engine.
     pub fn max_connections(&self) -> usize {
-        let limit = if self.service_config.connections == 0 { 1024 } else { self.service_config.connections };
-        ((f64::from(limit) * 0.9) / f64::from(self.state.router_count())).max(2.0) as usize
+        let limit = match self.service_config.connections {
+            0 => DEFAULT_CONNECTIONS,
+            connections => connections,
+        };
+        ((f64::from(limit) * SHARED_CONNECTIONS) / f64::from(self.state.router_count())).max(2.0) as usize
     }
 }
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -16,11 +16,23 @@
 use crate::proxy::{phases, response_head};
 use crate::rollout::Seen;
 
+/// By priority: the load, as a multiple of its slots, that every decode engine must exceed for a request to be refused
+/// at once.
+const SATURATION_LIMITS: [f64; 3] = [2.0, 1.5, 1.25];
+/// After how many milliseconds deferrable work may try again when interactive work needs the slots.
+const DEFERRED_RETRY_MS: u64 = 500;
+/// Shortest and longest delay after which a refused client may try again, in milliseconds, where its deadline allows.
+const MIN_RETRY_AFTER_MS: u64 = 50;
+const MAX_RETRY_AFTER_MS: u64 = 1000;
+/// The delay close to the deadline, in milliseconds.
+const LAST_RETRY_AFTER_MS: u64 = 20;
+
 /// Returns the delay after which a refused client may try again, in milliseconds: a part of the latency target, and no
 /// more than a third of the time that it has left.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
     let third_of_remaining = exchange.remaining_ms() / 3;
-    (exchange.target_ms / 4).clamp(50, 1000).min(third_of_remaining.max(20))
+    let quarter_of_target = exchange.target_ms / 4;
+    quarter_of_target.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS).min(third_of_remaining.max(LAST_RETRY_AFTER_MS))
 }
 
 /// Returns the failure that ends a request. One that may have been executed is never reported as refused.
@@ -34,72 +46,83 @@
     Failure::Lost
 }
 
-/// By priority: the load, as a multiple of its slots, that every decode engine must exceed for a request to be refused
-/// at once.
-const SATURATION_LIMITS: [f64; 3] = [2.0, 1.5, 1.25];
-
-/// After how many milliseconds deferrable work may try again when interactive work needs the slots.
-const DEFERRED_RETRY_MS: u64 = 500;
-
 /// Executes a request and returns the head of the response; the body follows as it comes.
 ///
 /// # Errors
 ///
 /// Returns what the client is answered where no engine's response may be forwarded.
 pub async fn forward(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
-    if exchange
-        .request
-        .spare
-        .is_some_and(|share| !exchange.with_selection(|selection| selection.has_spare_capacity(share)))
-    {
+    admit(&mut exchange)?;
+    exchange.spend_quota().await?;
+    let (engine_index, response) = execute(&mut exchange).await?;
+    if response.head.status.is_success() {
+        verify_success(&mut exchange, &response)?;
+    } else if response.head.status.is_server_error() {
+        exchange.note_seen(Seen::Failed);
+    }
+    Ok(stream_response(exchange, engine_index, response))
+}
+
+/// Chooses the variant of a rollout that serves the request, and checks whether engines can take it now.
+fn admit(exchange: &mut Exchange) -> Result<(), Failure> {
+    if is_deferred(exchange) {
         return Err(Failure::Refused(DEFERRED_RETRY_MS));
     }
     exchange.choose_version();
     if !exchange.fits_before_shutdown() {
         // Refused now rather than cut off when the process ends.
-        return Err(failure_for(&exchange));
+        return Err(failure_for(exchange));
     }
     if exchange.version_bounds().is_some()
         && exchange.with_selection(|selection| selection.candidates(Phase::Decode).is_empty())
     {
         exchange.report_no_replica();
-        return Err(failure_for(&exchange));
+        return Err(failure_for(exchange));
     }
     let limit = SATURATION_LIMITS[(exchange.priority as usize).min(SATURATION_LIMITS.len() - 1)];
     if exchange.with_selection(|selection| selection.is_saturated(limit)) {
-        return Err(failure_for(&exchange));
+        return Err(failure_for(exchange));
     }
-    exchange.spend_quota().await?;
-    let has_phases = exchange.is_streaming()
+    Ok(())
+}
+
+/// Returns whether this is deferrable work, and interactive work needs the slots.
+fn is_deferred(exchange: &Exchange) -> bool {
+    let Some(share) = exchange.request.spare else { return false };
+    !exchange.with_selection(|selection| selection.has_spare_capacity(share))
+}
+
+/// Returns whether the request has a prompt, and its service engines, for two phases.
+fn has_phases(exchange: &Exchange) -> bool {
+    exchange.is_streaming()
         && !exchange.request.keys.is_empty()
         && exchange
-            .with_selection(|selection| selection.has_phase(Phase::Prefill) && selection.has_phase(Phase::Decode));
-    let executed =
-        if has_phases { phases::execute(&mut exchange).await } else { execute_combined(&mut exchange).await };
-    let (engine_index, response) = match executed {
-        Ok(executed) => executed,
-        Err(failure) => {
-            if exchange.may_have_run {
-                exchange.note_seen(Seen::Failed);
-            }
-            return Err(failure);
-        }
+            .with_selection(|selection| selection.has_phase(Phase::Prefill) && selection.has_phase(Phase::Decode))
+}
+
+/// Executes the request in two phases or on one engine. Returns the engine that responds, and its response.
+async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
+    let executed = match has_phases(exchange) {
+        true => phases::execute(exchange).await,
+        false => execute_combined(exchange).await,
     };
-    if !response.head.status.is_success() {
-        if response.head.status.is_server_error() {
-            exchange.note_seen(Seen::Failed);
-        }
-        return Ok(stream_response(exchange, engine_index, response));
+    if executed.is_err() && exchange.may_have_run {
+        exchange.note_seen(Seen::Failed);
     }
+    executed
+}
+
+/// Checks that a success comes from an engine, and pins the weight version of a request with a staleness limit.
+fn verify_success(exchange: &mut Exchange, response: &EngineResponse) -> Result<(), Failure> {
     if exchange.version_bounds().is_some() {
         exchange.pinned_version = response_head::weight_version(&response.head.headers).or(exchange.pinned_version);
     }
-    if !is_sealed(&response) {
+    if !is_sealed(response) {
         // A success without the seal comes from something that is no engine.
         exchange.may_have_run = true;
-        return Err(failure_for(&exchange));
+        return Err(failure_for(exchange));
     }
-    Ok(stream_response(exchange, engine_index, response))
+    Ok(())
 }
 
 /// Returns whether the response is a success that an engine gave.
@@ -119,8 +142,8 @@
             return Err(failure_for(exchange));
         }
         exchange.sends += 1;
-        let (options, may_move) =
-            (SendOptions { urgency: exchange.urgency(), ..Default::default() }, exchange.may_retry());
+        let options = SendOptions { urgency: exchange.urgency(), ..Default::default() };
+        let may_move = exchange.may_retry();
         match exchange.send(engine_index, options, 0, may_move).await {
             SendOutcome::Response(response) => {
                 granted = exchange.is_repeatable && response.head.status.is_server_error() && exchange.grant_send();
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -11,7 +11,7 @@
 use crate::frontend::error_response::Failure;
 use crate::kv::handle::Handle;
 use crate::proxy::engine_response::{self, EngineResponse};
-use crate::proxy::exchange::Exchange;
+use crate::proxy::exchange::{Exchange, DEFERRABLE_URGENCY, MAX_INTERACTIVE_URGENCY};
 use crate::proxy::forward;
 use crate::proxy::plan::{self, Plan};
 use crate::proxy::send::{SendOptions, SendOutcome};
@@ -21,6 +21,17 @@
 /// How long an engine that failed to hand over its KV cache is not recorded as the owner of these keys.
 const SUPPRESSION_MS: u64 = 2000;
 
+/// How many engines are asked to prefill one prompt.
+const MAX_PREFILL_SENDS: usize = 3;
+/// Limit on the body of the response to a prefill.
+const MAX_PREFILL_RESPONSE_BYTES: usize = 16 * 1024;
+/// How long that body may take, in milliseconds.
+const PREFILL_RESPONSE_TIMEOUT_MS: u64 = 1000;
+/// Prompt tokens below which a prefill is short.
+const SHORT_PREFILL_TOKENS: u32 = 1024;
+/// Prompt tokens below which a prefill is of medium length.
+const MEDIUM_PREFILL_TOKENS: u32 = 4096;
+
 /// What came of a prefill.
 enum PrefillOutcome {
     /// An engine holds the KV cache for this request.
@@ -30,16 +41,12 @@
 }
 
 /// Prefills the prompt. The first send does not count against the limit on sends; each further one, after a rejection,
-/// does.
-///
-/// # Errors
-///
-/// Fails where no engine has prefilled the prompt: the decode engine does so then.
-async fn prefill(exchange: &mut Exchange) -> Result<PrefillOutcome, ()> {
+/// does. None where no engine has prefilled the prompt: the decode engine does so then.
+async fn prefill(exchange: &mut Exchange) -> Option<PrefillOutcome> {
     let owners = exchange.prefix_owners.clone();
-    for _ in 0..3 {
+    for _ in 0..MAX_PREFILL_SENDS {
         let plan = exchange.with_selection(|selection| plan::plan_prefill(selection, &exchange.request, &owners));
-        let Plan::Prefill { engine_index, tokens } = plan else { return Err(()) };
+        let Plan::Prefill { engine_index, tokens } = plan else { return None };
         exchange.state.engines().record_prefill(exchange.service, tokens);
         let options =
             SendOptions { is_prefill: true, urgency: Some(prefill_urgency(exchange, tokens)), ..Default::default() };
@@ -51,39 +58,41 @@
                 exchange.sends += 1;
                 // The last counted send is kept for the half that makes the tokens.
                 if exchange.sends + 1 >= exchange.max_sends || !exchange.grant_send() {
-                    return Err(());
+                    return None;
                 }
             }
-            SendOutcome::Lost => return Err(()),
+            SendOutcome::Lost => return None,
         }
     }
-    Err(())
+    None
 }
 
-/// Takes the KV handle from the response to a prefill.
+/// Takes the KV handle from the response to a prefill. None where there is no usable one.
 async fn accept_prefill_response(
     exchange: &mut Exchange,
     engine_index: usize,
     response: EngineResponse,
-) -> Result<PrefillOutcome, ()> {
+) -> Option<PrefillOutcome> {
     if response.head.headers.contains_key(RESPONSE_SEAL) {
         // An engine that knows no phases has run it: this is the response, and nothing more is sent.
-        (exchange.sends, exchange.reached_engine, exchange.may_have_run) = (exchange.sends + 1, true, true);
-        return Ok(PrefillOutcome::Response(engine_index, response));
+        exchange.sends += 1;
+        exchange.reached_engine = true;
+        exchange.may_have_run = true;
+        return Some(PrefillOutcome::Response(engine_index, response));
     }
     let endpoint = exchange.endpoint(engine_index);
     let is_success = response.head.status == 200;
-    let timeout_ms = exchange.remaining_ms().min(1000);
+    let timeout_ms = exchange.remaining_ms().min(PREFILL_RESPONSE_TIMEOUT_MS);
     let received_at = clock::now();
-    let body = engine_response::read_body(&exchange.state, &endpoint, response, 16 * 1024, timeout_ms).await;
+    let body =
+        engine_response::read_body(&exchange.state, &endpoint, response, MAX_PREFILL_RESPONSE_BYTES, timeout_ms).await;
     exchange.end_send(engine_index);
     let value: Value = body.and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
     let id = value["kv_handle"].as_str().filter(|_| is_success).unwrap_or("").to_string();
-    let is_valid = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
-    if !is_valid {
+    if !is_valid_handle_id(&id) {
         // It may have been rejected, so it counts.
         exchange.reached_engine = true;
-        return Err(());
+        return None;
     }
     if exchange.version_bounds().is_some() {
         // With a staleness limit both phases use the same weights: a KV cache of other weights is of no use.
@@ -93,21 +102,26 @@
     }
     let until = received_at + exchange.service_config.hold_ms.saturating_sub(HANDLE_EXPIRY_MARGIN_MS);
     exchange.hold_handle(Handle { at: engine_index, reader: endpoint, id, until });
-    Ok(PrefillOutcome::HandleHeld)
+    Some(PrefillOutcome::HandleHeld)
+}
+
+/// Returns whether an id may stand in a path and in a header.
+fn is_valid_handle_id(id: &str) -> bool {
+    !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
 /// Returns the urgency class of a prefill. A short one goes before long ones: it hardly delays them, and behind them it
 /// would miss its latency target. Among similar ones the operator's priority decides.
 fn prefill_urgency(exchange: &Exchange, prefill_tokens: u32) -> u32 {
     if exchange.request.spare.is_some() {
-        return 9;
+        return DEFERRABLE_URGENCY;
     }
     let size = match prefill_tokens {
-        0..1024 => 0,
-        1024..4096 => 2,
+        0..SHORT_PREFILL_TOKENS => 0,
+        SHORT_PREFILL_TOKENS..MEDIUM_PREFILL_TOKENS => 2,
         _ => 4,
     };
-    (1 + size + exchange.priority.min(1)).min(8)
+    (1 + size + exchange.priority.min(1)).min(MAX_INTERACTIVE_URGENCY)
 }
 
 /// Records an engine as the owner of the prompt's prefixes, here and in the catalog. Returns how many registrations
@@ -140,10 +154,10 @@
     exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
     let mut prefill_engine = None;
     let outcome = prefill(exchange).await;
-    if let Ok(PrefillOutcome::Response(engine_index, response)) = outcome {
+    if let Some(PrefillOutcome::Response(engine_index, response)) = outcome {
         return Ok((engine_index, response));
     }
-    if outcome.is_ok() {
+    if outcome.is_some() {
         prefill_engine = exchange.handle_engine();
         if let Some(engine_index) = prefill_engine {
             let registration_count = register(exchange, engine_index);
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -9,6 +9,11 @@
 use crate::frontend::request::Request;
 use crate::state::State;
 
+/// How many engines of each phase are sampled for one request.
+const SAMPLES_PER_PHASE: usize = 4;
+/// How many home engines of the prefix are sampled for one request.
+const SAMPLED_HOME_ENGINES: usize = 2;
+
 /// Who prefills the prompt. Invariant: a prefill engine belongs to the route's service, stands in no excluded zone,
 /// and was not tried before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,22 +63,26 @@
             let (now, mut engine_table) = (clock::now(), state.engines());
             found.list.iter().for_each(|load| engine_table.record_relayed_load(load, now));
         }
-        let found = found.map(|found| found.owners);
-        let mut owner_cache = state.owner_cache();
-        match &found {
-            None => owner_cache.counts.unanswered += 1,
-            Some(list) if list.iter().all(Vec::is_empty) => owner_cache.counts.no_owner += u64::from(known == 0),
-            Some(_) => {}
-        }
-        for (key, engine_names) in missing.iter().zip(found.iter().flatten()) {
-            for engine_name in engine_names {
-                if !owner_cache.is_suppressed(engine_name, *key, now) {
-                    owner_cache.record(*key, engine_name, now);
-                }
+        cache_owners(state, missing, found.map(|found| found.owners), known == 0, now);
+    }
+    cached_prefixes(state, request)
+}
+
+/// Caches what the catalog answered: for each missing key the names of its owners. None where it did not answer.
+fn cache_owners(state: &State, missing: &[u64], found: Option<Vec<Vec<String>>>, all_missing: bool, now: u64) {
+    let mut owner_cache = state.owner_cache();
+    match &found {
+        None => owner_cache.counts.unanswered += 1,
+        Some(owners) if owners.iter().all(Vec::is_empty) => owner_cache.counts.no_owner += u64::from(all_missing),
+        Some(_) => {}
+    }
+    for (key, engine_names) in missing.iter().zip(found.iter().flatten()) {
+        for engine_name in engine_names {
+            if !owner_cache.is_suppressed(engine_name, *key, now) {
+                owner_cache.record(*key, engine_name, now);
             }
         }
     }
-    cached_prefixes(state, request)
 }
 
 /// Returns the hashes of the engines whose load the catalog is asked for: the home engines of the prefix, and a few of
@@ -81,11 +90,11 @@
 fn sampled_engines(state: &State, request: &Request, service: u32) -> Vec<u64> {
     let roll = state.rng().next_u64();
     let engine_table = state.engines();
-    let mut engine_hashes = Vec::with_capacity(2 * SAMPLES_PER_PHASE + 2);
+    let mut engine_hashes = Vec::with_capacity(2 * SAMPLES_PER_PHASE + SAMPLED_HOME_ENGINES);
     for phase in [Phase::Prefill, Phase::Decode] {
         let Some(subset) = engine_table.subset(service, phase, false) else { continue };
         if phase == Phase::Prefill {
-            engine_hashes.extend(subset.home_engines(placement_hash(request), 2, |at| {
+            engine_hashes.extend(subset.home_engines(placement_hash(request), SAMPLED_HOME_ENGINES, |at| {
                 engine_table.engines[at].up && engine_table.engines[at].listed
             }));
         }
@@ -94,9 +103,6 @@
     engine_hashes.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
 }
 
-/// How many engines of each phase are sampled for one request.
-const SAMPLES_PER_PHASE: usize = 4;
-
 /// Returns the longest prefix that each usable engine owns.
 fn cached_prefixes(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
--- a/router/src/proxy/response_body.rs
+++ b/router/src/proxy/response_body.rs
@@ -8,6 +8,9 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc::{self, Receiver, Sender};
 
+/// How many chunks may wait for a slow client.
+const CHANNEL_CAPACITY: usize = 16;
+
 /// What goes through the channel.
 enum Chunk {
     /// Bytes of the body.
@@ -37,9 +40,6 @@
     }
 }
 
-/// How many chunks may wait for a slow client.
-const CHANNEL_CAPACITY: usize = 16;
-
 /// Returns both ends of a body; `length` is its length in bytes, where the engine declared one.
 pub fn channel(length: Option<u64>) -> (BodySender, ForwardedBody) {
     let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -21,7 +21,10 @@
 use crate::proxy::engine_response::{self, EngineResponse};
 use crate::proxy::response_head::{self, Classification, Expectation};
 use crate::state::State;
-use crate::upstream::connection_pool::{Endpoint, SendError};
+use crate::upstream::connection_pool::{Connection, Endpoint, SendError};
+
+/// How long freeing a KV cache may take.
+const FREE_HANDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What came of one send.
 pub enum SendOutcome {
@@ -102,6 +105,23 @@
     outgoing
 }
 
+/// A connection to send on.
+struct PooledConnection {
+    connection: Connection,
+    /// Whether it was dialled for this send.
+    is_new: bool,
+}
+
+/// Takes an idle connection from the pool, or dials one.
+async fn connect(state: &State, endpoint: &Endpoint, max_connections: usize) -> Result<PooledConnection, SendError> {
+    if let Some(connection) = state.connection_pools.idle(endpoint) {
+        return Ok(PooledConnection { connection, is_new: false });
+    }
+    let connection = state.connection_pools.dial(endpoint, max_connections).await?;
+    state.metrics.engine_connections.inc();
+    Ok(PooledConnection { connection, is_new: true })
+}
+
 /// Sends the request to one engine. The head of the response may take `timeout_ms`; a connection that turns out to have
 /// ended before anything was written is replaced by the next.
 pub async fn send(
@@ -116,15 +136,9 @@
     let mut outgoing = build_request(request, &endpoint.engine, options);
     let deadline = Instant::now() + Duration::from_millis(timeout_ms);
     loop {
-        let (mut connection, is_new) = match state.connection_pools.idle(endpoint) {
-            Some(connection) => (connection, false),
-            None => match state.connection_pools.dial(endpoint, max_connections).await {
-                Ok(connection) => {
-                    state.metrics.engine_connections.inc();
-                    (connection, true)
-                }
-                Err(error) => return SendOutcome::Unsent(error),
-            },
+        let PooledConnection { mut connection, is_new } = match connect(state, endpoint, max_connections).await {
+            Ok(connected) => connected,
+            Err(error) => return SendOutcome::Unsent(error),
         };
         if !satisfies_bound(state, service, &request.model, options) {
             return SendOutcome::Unsent(SendError::Behind);
@@ -193,8 +207,8 @@
             Err(_) => return,
         },
     };
-    let wait = Duration::from_millis(500);
-    let Ok(Ok(response)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
+    let sent = time::timeout(FREE_HANDLE_TIMEOUT, connection.send_request(outgoing)).await;
+    let Ok(Ok(response)) = sent else { return };
     let (head, body) = response.into_parts();
     if !response_head::matches_attempt(&head.headers, None) {
         // The response to another request: that to this one would be the next, so the connection is dropped.
--- a/router/src/proxy/stream.rs
+++ b/router/src/proxy/stream.rs
@@ -20,6 +20,9 @@
 use crate::rollout::Seen;
 use crate::upstream::suspicion::{self, SIGN_MS};
 
+/// How many engines are asked to resume one broken stream.
+const MAX_RESUMPTION_SENDS: usize = 3;
+
 /// How the body of a response ended.
 enum BodyEnd {
     /// As its framing says.
@@ -134,7 +137,7 @@
             return None;
         }
         let (tokens, placement_hash) = (self.request.tokens(), plan::placement_hash(&self.request));
-        for _ in 0..3 {
+        for _ in 0..MAX_RESUMPTION_SENDS {
             let owners = self.prefix_owners.clone();
             let next =
                 self.with_selection(|selection| selection.select_combined(tokens, &owners, placement_hash))?.engine;
