--- a/router/src/proxy/engine_send.rs
+++ b/router/src/proxy/engine_send.rs
@@ -55,7 +55,26 @@
         may_move: bool,
     ) -> SendOutcome {
         let now = clock::now();
-        let tokens = u64::from(prefill_tokens);
+        let endpoint = self.begin_send(engine_index, &mut options, prefill_tokens.into(), now);
+        options.time_budget_ms = self.request.left(now).max(1);
+        let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
+        self.record_outcome(engine_index, &outcome);
+        self.count_outcome(&outcome, options.is_prefill);
+        if !matches!(outcome, SendOutcome::Response(_)) {
+            self.end_send(engine_index);
+        }
+        outcome
+    }
+
+    /// Counts the send as in flight, and sets the weight version that a staleness limit makes it expect. Returns where
+    /// the engine is reached.
+    fn begin_send(
+        &mut self,
+        engine_index: usize,
+        options: &mut SendOptions,
+        prefill_tokens: u64,
+        now: u64,
+    ) -> Endpoint {
         let version_bounds = self.version_bounds();
         options.bounded_route = version_bounds.is_some().then(|| self.route.clone());
         let endpoint = self.endpoint(engine_index);
@@ -64,27 +83,23 @@
             let engine = &mut engine_table.engines[engine_index];
             options.expected_version = version_bounds.and_then(|range| engine.weight_version(range.model));
             engine.in_flight += 1;
-            engine.prefill_tokens_in_flight += tokens;
+            engine.prefill_tokens_in_flight += prefill_tokens;
             engine.slow_start.record_send(now);
         }
-        self.in_flight.push(InFlight { engine_index, prefill_tokens: tokens });
-        let is_prefill = options.is_prefill;
-        options.time_budget_ms = self.request.left(now).max(1);
-        let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
-        self.record_outcome(engine_index, &outcome);
-        let phase = if options.is_prefill { Half::Prefill } else { Half::Run };
-        let sent = Sent { half: phase, result: (&outcome).into() };
+        self.in_flight.push(InFlight { engine_index, prefill_tokens });
+        endpoint
+    }
+
+    /// Counts an outcome in the metrics, and as an arrival where the engine may have begun to execute the request.
+    fn count_outcome(&mut self, outcome: &SendOutcome, is_prefill: bool) {
+        let half = if is_prefill { Half::Prefill } else { Half::Run };
+        let sent = Sent { half, result: outcome.into() };
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
-        let has_response = matches!(outcome, SendOutcome::Response(_));
         let is_unsent = matches!(outcome, SendOutcome::Unsent(_));
         // A prefill that an engine answers is no arrival that counts. One without a response may never have been
         // executed, and counts.
-        let is_first_prefill = has_response && is_prefill;
-        self.reached_engine |= !is_unsent && !is_first_prefill;
-        if !has_response {
-            self.end_send(engine_index);
-        }
-        outcome
+        let is_answered_prefill = is_prefill && matches!(outcome, SendOutcome::Response(_));
+        self.reached_engine |= !is_unsent && !is_answered_prefill;
     }
 
     /// Waits until there is an outcome, time is up, or the engine is found unresponsive and the request may go elsewhere.
@@ -117,10 +132,8 @@
         let now = clock::now();
         let (seen_at, failed_at) = {
             let engine_table = self.state.engines();
-            (
-                engine_table.engines[engine_index].last_response_at.max(since),
-                engine_table.engines[engine_index].last_failure_at,
-            )
+            let engine = &engine_table.engines[engine_index];
+            (engine.last_response_at.max(since), engine.last_failure_at)
         };
         if failed_at > seen_at {
             return true;
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -24,8 +24,7 @@
 const DECODE_URGENCY: u32 = 4;
 /// Connections to one engine, for all routers together, where the service names no limit.
 const DEFAULT_CONNECTIONS: u32 = 1024;
-/// Part of an engine's connections that routers share out, so that there are spare ones while the count of routers
-/// changes.
+/// Part of an engine's connections that routers share out; the rest is spare.
 const SHARED_CONNECTIONS: f64 = 0.9;
 /// Part of the operator's slack that the retry budget may use.
 const RETRY_SLACK: f64 = 0.5;
@@ -137,10 +136,8 @@
     /// Returns the address and name of an engine.
     pub fn endpoint(&self, engine_index: usize) -> Endpoint {
         let engine_table = self.state.engines();
-        Endpoint {
-            addr: engine_table.engines[engine_index].address.clone(),
-            engine: engine_table.engines[engine_index].id.clone(),
-        }
+        let engine = &engine_table.engines[engine_index];
+        Endpoint { addr: engine.address.clone(), engine: engine.id.clone() }
     }
 
     /// Returns whether one more counted send may be made, and charges the retry budget for it where an engine already got
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -56,7 +56,7 @@
             SendOutcome::NotExecuted | SendOutcome::OtherEngine | SendOutcome::OtherVersion(_) => {
                 exchange.attempted_engines.push(engine_index);
                 exchange.sends += 1;
-                // The last counted send is kept for the half that makes the tokens.
+                // The last counted send is kept for the decode phase.
                 if exchange.sends + 1 >= exchange.max_sends || !exchange.grant_send() {
                     return None;
                 }
@@ -152,19 +152,16 @@
 /// Returns what the client is answered where no engine responds.
 pub async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
-    let mut prefill_engine = None;
-    let outcome = prefill(exchange).await;
-    if let Some(PrefillOutcome::Response(engine_index, response)) = outcome {
-        return Ok((engine_index, response));
-    }
-    if outcome.is_some() {
-        prefill_engine = exchange.handle_engine();
-        if let Some(engine_index) = prefill_engine {
-            let registration_count = register(exchange, engine_index);
-            let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
-            // A dropped registration only means that others will not find this KV cache: the hand-over goes on.
-            exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
-        }
+    let prefill_engine = match prefill(exchange).await {
+        Some(PrefillOutcome::Response(engine_index, response)) => return Ok((engine_index, response)),
+        Some(PrefillOutcome::HandleHeld) => exchange.handle_engine(),
+        None => None,
+    };
+    if let Some(engine_index) = prefill_engine {
+        let registration_count = register(exchange, engine_index);
+        let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
+        // A dropped registration only means that others will not find this KV cache: the hand-over goes on.
+        exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
     }
     decode(exchange, prefill_engine).await
 }
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -90,17 +90,17 @@
 fn sampled_engines(state: &State, request: &Request, service: u32) -> Vec<u64> {
     let roll = state.rng().next_u64();
     let engine_table = state.engines();
-    let mut engine_hashes = Vec::with_capacity(2 * SAMPLES_PER_PHASE + SAMPLED_HOME_ENGINES);
+    let is_usable =
+        |engine_index: usize| engine_table.engines[engine_index].up && engine_table.engines[engine_index].listed;
+    let mut engine_indices = Vec::with_capacity(2 * SAMPLES_PER_PHASE + SAMPLED_HOME_ENGINES);
     for phase in [Phase::Prefill, Phase::Decode] {
         let Some(subset) = engine_table.subset(service, phase, false) else { continue };
         if phase == Phase::Prefill {
-            engine_hashes.extend(subset.home_engines(placement_hash(request), SAMPLED_HOME_ENGINES, |at| {
-                engine_table.engines[at].up && engine_table.engines[at].listed
-            }));
+            engine_indices.extend(subset.home_engines(placement_hash(request), SAMPLED_HOME_ENGINES, is_usable));
         }
-        engine_hashes.extend(subset.sampled_run(roll, SAMPLES_PER_PHASE));
+        engine_indices.extend(subset.sampled_run(roll, SAMPLES_PER_PHASE));
     }
-    engine_hashes.into_iter().map(|at| engine_table.engines[at].id_hash).collect()
+    engine_indices.into_iter().map(|engine_index| engine_table.engines[engine_index].id_hash).collect()
 }
 
 /// Returns the longest prefix that each usable engine owns.
--- a/router/src/proxy/stream.rs
+++ b/router/src/proxy/stream.rs
@@ -69,9 +69,9 @@
                 if is_success {
                     exchange.note_seen(Seen::Good { pace_us: splitter.mean_interval_us() });
                 }
-                let to = exchange.endpoint(engine_index);
-                engine_response::return_connection(&exchange.state, &to, &response.head.headers, response.connection)
-                    .await;
+                let endpoint = exchange.endpoint(engine_index);
+                let EngineResponse { head, connection, .. } = response;
+                engine_response::return_connection(&exchange.state, &endpoint, &head.headers, connection).await;
                 return;
             }
             BodyEnd::Broken => exchange.note_seen(Seen::Failed),
@@ -91,7 +91,8 @@
     sender: &BodySender,
 ) -> BodyEnd {
     let interval = Duration::from_millis(SIGN_MS);
-    let (is_streaming, may_move) = (exchange.is_streaming(), exchange.is_resumable() && exchange.may_retry());
+    let is_streaming = exchange.is_streaming();
+    let may_move = exchange.is_resumable() && exchange.may_retry();
     let is_framed = response.is_framed();
     let mut last_seen_at = clock::now();
     loop {
@@ -108,13 +109,7 @@
             }
             Err(_) => continue,
             Ok(None) if !is_framed => return BodyEnd::Broken,
-            Ok(None) => {
-                return if sender.send_data(splitter.take_partial_event()).await {
-                    BodyEnd::Complete
-                } else {
-                    BodyEnd::ClientGone
-                }
-            }
+            Ok(None) => return send_rest(splitter, sender).await,
             Ok(Some(Err(_))) => return BodyEnd::Broken,
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
         };
@@ -126,6 +121,14 @@
     }
 }
 
+/// Sends what is left of a complete body.
+async fn send_rest(splitter: &mut EventSplitter, sender: &BodySender) -> BodyEnd {
+    match sender.send_data(splitter.take_partial_event()).await {
+        true => BodyEnd::Complete,
+        false => BodyEnd::ClientGone,
+    }
+}
+
 impl Exchange {
     /// Resumes a broken stream at another engine, after the last event that was forwarded. Returns the engine and its
     /// response.
@@ -144,17 +147,12 @@
             if self.remaining_ms() == 0 || !self.grant_send() {
                 return None;
             }
-            let last_event_id = match &splitter.last_event_id {
-                Some(last_event_id) => HeaderValue::from_str(last_event_id).ok(),
-                None => self.request.last.clone(),
-            };
+            let last_event_id = self.resumption_point(splitter);
             let options = SendOptions { last_event_id, urgency: self.urgency(), ..Default::default() };
             self.sends += 1;
             let may_move = self.may_retry();
             match self.send(next, options, tokens, may_move).await {
-                SendOutcome::Response(response) if is_sealed(&response) => {
-                    return Some((next, *response));
-                }
+                SendOutcome::Response(response) if is_sealed(&response) => return Some((next, *response)),
                 SendOutcome::Response(_) => self.end_send(next),
                 SendOutcome::Unsent(_) => self.sends -= 1,
                 _ => {}
@@ -163,4 +161,13 @@
         }
         None
     }
+
+    /// Returns the id of the event after which the stream resumes: the last one forwarded, else the one that the client
+    /// asked to resume after.
+    fn resumption_point(&self, splitter: &EventSplitter) -> Option<HeaderValue> {
+        match &splitter.last_event_id {
+            Some(last_event_id) => HeaderValue::from_str(last_event_id).ok(),
+            None => self.request.last.clone(),
+        }
+    }
 }
