--- a/router/src/frontend/drain_tests.rs
+++ b/router/src/frontend/drain_tests.rs
@@ -6,7 +6,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{self, Instant};
 
-use super::{Drain, Phase, Schedule};
+use super::{Drain, DrainPhase, DrainSchedule};
 
 async fn sleep_ms(time_ms: u64) {
     time::sleep(Duration::from_millis(time_ms)).await;
@@ -15,23 +15,23 @@
 /// Runs through the phases of a grace of eight seconds; gives the time that it took.
 fn run(drain: &Arc<Drain>) -> JoinHandle<u128> {
     let drain = drain.clone();
-    let begun = Instant::now();
+    let started = Instant::now();
     tokio::spawn(async move {
-        drain.run(&Schedule::of(8.0)).await;
-        begun.elapsed().as_millis()
+        drain.run(&DrainSchedule::for_grace(8.0)).await;
+        started.elapsed().as_millis()
     })
 }
 
 fn connect(drain: &Arc<Drain>, time_ms: u64) {
     let drain = drain.clone();
-    tokio::spawn(async move { drain.follow_connection(sleep_ms(time_ms)).await });
+    tokio::spawn(async move { drain.track_connection(sleep_ms(time_ms)).await });
 }
 
 #[test]
 fn a_grace_is_divided_into_being_noticed_finishing_and_a_reserve() {
     let parts = |grace_s: f64| {
-        let schedule = Schedule::of(grace_s);
-        (schedule.take_for.as_millis(), schedule.finish_by.as_millis())
+        let schedule = DrainSchedule::for_grace(grace_s);
+        (schedule.accept_for.as_millis(), schedule.finish_within.as_millis())
     };
     assert_eq!(parts(8.0), (3000, 7700));
     assert_eq!(parts(30.0), (3000, 29_700));
@@ -43,31 +43,31 @@
 fn most_of_the_last_sixth_of_any_grace_is_used() {
     for tenths in 1..600 {
         let grace_s = f64::from(tenths) / 10.0;
-        let schedule = Schedule::of(grace_s);
-        assert!(schedule.finish_by.as_secs_f64() >= grace_s * 5.0 / 6.0 - 0.001, "{grace_s} {schedule:?}");
-        assert!(schedule.take_for < schedule.finish_by, "{grace_s} {schedule:?}");
+        let schedule = DrainSchedule::for_grace(grace_s);
+        assert!(schedule.finish_within.as_secs_f64() >= grace_s * 5.0 / 6.0 - 0.001, "{grace_s} {schedule:?}");
+        assert!(schedule.accept_for < schedule.finish_within, "{grace_s} {schedule:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_time_left_is_known_from_the_moment_at_which_it_drains() {
     let drain = Arc::new(Drain::default());
-    assert_eq!(drain.left_ms(), None);
+    assert_eq!(drain.remaining_ms(), None);
     let end = run(&drain);
     sleep_ms(1000).await;
-    assert_eq!(drain.left_ms(), Some(6700));
+    assert_eq!(drain.remaining_ms(), Some(6700));
     end.await.expect("ends");
 }
 
 #[tokio::test(start_paused = true)]
 async fn without_connections_it_ends_once_it_was_noticed() {
     let drain = Arc::new(Drain::default());
-    assert_eq!(drain.phase(), Phase::Serving);
+    assert_eq!(drain.phase(), DrainPhase::Serving);
     let end = run(&drain);
     sleep_ms(2999).await;
-    assert_eq!(drain.phase(), Phase::Draining);
+    assert_eq!(drain.phase(), DrainPhase::Draining);
     sleep_ms(2).await;
-    assert_eq!((drain.phase(), end.await.expect("ends")), (Phase::Closing, 3000));
+    assert_eq!((drain.phase(), end.await.expect("ends")), (DrainPhase::Closing, 3000));
 }
 
 #[tokio::test(start_paused = true)]
@@ -91,7 +91,7 @@
 async fn who_waits_for_the_closing_is_woken_by_it() {
     let drain = Arc::new(Drain::default());
     let end = run(&drain);
-    drain.closing().await;
-    assert_eq!(drain.phase(), Phase::Closing);
+    drain.wait_for_closing().await;
+    assert_eq!(drain.phase(), DrainPhase::Closing);
     end.await.expect("ends");
 }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -9,7 +9,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::limits::quota_gate::Decision;
 use crate::proxy::send;
 use crate::state::State;
@@ -57,7 +57,7 @@
 
 /// What a request sent to an engine was for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Half {
+pub enum SendPhase {
     /// Only its prompt is read.
     Prefill,
     /// It is run.
@@ -75,36 +75,36 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Arrival {
-    pub phase: Phase,
+pub struct ArrivalLabels {
+    pub phase: DrainPhase,
     pub connection: Connection,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct UnderWay {
-    pub phase: Phase,
+pub struct StageLabels {
+    pub phase: DrainPhase,
     pub stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Ended {
-    pub phase: Phase,
+pub struct OutcomeLabels {
+    pub phase: DrainPhase,
     pub outcome: Outcome,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Sent {
-    pub half: Half,
+pub struct EngineSendLabels {
+    pub half: SendPhase,
     pub result: SendResult,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct InPhase {
-    pub phase: Phase,
+pub struct PhaseLabels {
+    pub phase: DrainPhase,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Quotas {
+pub struct QuotaLabels {
     pub decision: Decision,
 }
 
@@ -112,16 +112,16 @@
 pub struct Metrics {
     registry: Registry,
     /// By the phase in which they came.
-    pub requests_received: Family<Arrival, Counter>,
-    pub requests_under_way: Family<UnderWay, Gauge>,
-    pub requests_ended: Family<Ended, Counter>,
+    pub requests_received: Family<ArrivalLabels, Counter>,
+    pub requests_under_way: Family<StageLabels, Gauge>,
+    pub requests_ended: Family<OutcomeLabels, Counter>,
     pub request_duration: Histogram,
     pub first_byte: Histogram,
-    pub connections_accepted: Family<InPhase, Counter>,
+    pub connections_accepted: Family<PhaseLabels, Counter>,
     pub connections_open: Gauge,
-    pub engine_sends: Family<Sent, Counter>,
+    pub engine_sends: Family<EngineSendLabels, Counter>,
     pub engine_connections: Counter,
-    pub quota_decisions: Family<Quotas, Counter>,
+    pub quota_decisions: Family<QuotaLabels, Counter>,
     pub retries_denied: Counter,
     pub readiness_checks_failed: Counter,
     config_revision: Gauge,
@@ -132,12 +132,12 @@
     prefix_hits: Gauge,
 }
 
-const PREFIX: &str = "tidepoint_router";
+const METRIC_PREFIX: &str = "tidepoint_router";
 
 impl Default for Metrics {
     fn default() -> Metrics {
         let mut metrics = Metrics {
-            registry: Registry::with_prefix(PREFIX),
+            registry: Registry::with_prefix(METRIC_PREFIX),
             requests_received: Default::default(),
             requests_under_way: Default::default(),
             requests_ended: Default::default(),
@@ -208,17 +208,17 @@
     }
 
     /// Requests that are not ended yet and came in a phase, and how far they are.
-    pub fn under_way(&self, phase: Phase, stage: Stage) -> i64 {
-        self.requests_under_way.get_or_create(&UnderWay { phase, stage }).get()
+    pub fn requests_in_stage(&self, phase: DrainPhase, stage: Stage) -> i64 {
+        self.requests_under_way.get_or_create(&StageLabels { phase, stage }).get()
     }
 
     /// All metrics as text, with the figures that are only read when asked for.
     pub fn render(&self, state: &State) -> String {
-        let order = Ordering::Relaxed;
+        let ordering = Ordering::Relaxed;
         let counts = state.owner_cache().counts;
         self.ready.set(i64::from(state.is_ready()));
         self.config_revision.set(state.table().revision as i64);
-        self.body_bytes.set(state.held_body_bytes.load(order) as i64);
+        self.body_bytes.set(state.held_body_bytes.load(ordering) as i64);
         self.engines_known.set(state.engines().engines.len() as i64);
         self.prefix_lookups.set(counts.queries as i64);
         self.prefix_hits.set(counts.hits as i64);
--- a/router/src/proxy/engine_response.rs
+++ b/router/src/proxy/engine_response.rs
@@ -72,11 +72,11 @@
 
 /// Returns a connection to the pool, after the response on it was read to its end.
 pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if connection_pool::closes(head) {
+    if connection_pool::requests_close(head) {
         return;
     }
     let ready = time::timeout(READY_TIMEOUT, connection.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        state.connection_pools.put(endpoint, connection, connection_pool::keep(head));
+        state.connection_pools.release(endpoint, connection, connection_pool::keep_alive_seconds(head));
     }
 }
--- a/router/src/proxy/engine_send.rs
+++ b/router/src/proxy/engine_send.rs
@@ -10,12 +10,12 @@
 use protocol::headers::SERVER_LOAD;
 use tokio::time;
 
-use crate::metrics::{Half, Sent};
+use crate::metrics::{EngineSendLabels, SendPhase};
 use crate::proxy::exchange::{Exchange, InFlight};
 use crate::proxy::response_head;
 use crate::proxy::send::{self, SendOptions, SendOutcome};
 use crate::upstream::connection_pool::{Endpoint, SendError};
-use crate::upstream::suspicion::{self, SIGN_MS};
+use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
 /// How long an engine that rejected a request counts as saturated.
 const REJECTED_PAUSE_MS: u64 = 60;
@@ -56,7 +56,7 @@
     ) -> SendOutcome {
         let now = clock::now();
         let endpoint = self.begin_send(engine_index, &mut options, prefill_tokens.into(), now);
-        options.time_budget_ms = self.request.left(now).max(1);
+        options.time_budget_ms = self.request.remaining_ms(now).max(1);
         let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
         self.record_outcome(engine_index, &outcome);
         self.count_outcome(&outcome, options.is_prefill);
@@ -92,8 +92,8 @@
 
     /// Counts an outcome in the metrics, and as an arrival where the engine may have begun to execute the request.
     fn count_outcome(&mut self, outcome: &SendOutcome, is_prefill: bool) {
-        let half = if is_prefill { Half::Prefill } else { Half::Run };
-        let sent = Sent { half, result: outcome.into() };
+        let half = if is_prefill { SendPhase::Prefill } else { SendPhase::Run };
+        let sent = EngineSendLabels { half, result: outcome.into() };
         self.state.metrics.engine_sends.get_or_create(&sent).inc();
         let is_unsent = matches!(outcome, SendOutcome::Unsent(_));
         // A prefill that an engine answers is no arrival that counts. One without a response may never have been
@@ -111,11 +111,11 @@
         may_move: bool,
     ) -> SendOutcome {
         let now = clock::now();
-        let wait_ms = self.request.left(now);
+        let wait_ms = self.request.remaining_ms(now);
         let send =
             send::send(&self.state, &self.request, self.service, endpoint, self.max_connections(), options, wait_ms);
         tokio::pin!(send);
-        let interval = Duration::from_millis(SIGN_MS.min(wait_ms.max(1)));
+        let interval = Duration::from_millis(LIVENESS_TIMEOUT_MS.min(wait_ms.max(1)));
         loop {
             if let Ok(outcome) = time::timeout(interval, &mut send).await {
                 return outcome;
@@ -138,7 +138,7 @@
         if failed_at > seen_at {
             return true;
         }
-        if now >= seen_at + SIGN_MS {
+        if now >= seen_at + LIVENESS_TIMEOUT_MS {
             suspicion::raise(&self.state, engine_index);
         }
         false
@@ -168,8 +168,8 @@
                 engine.record_response(now);
                 engine.set_weight_version(self.request.model_key, *version);
             }
-            SendOutcome::Unsent(SendError::Behind | SendError::Unauthorized) => {}
-            SendOutcome::Unsent(SendError::Full) => engine.saturated_until = now + NO_CONNECTION_PAUSE_MS,
+            SendOutcome::Unsent(SendError::TooStale | SendError::Unauthorized) => {}
+            SendOutcome::Unsent(SendError::PoolExhausted) => engine.saturated_until = now + NO_CONNECTION_PAUSE_MS,
             _ => {
                 drop(engine_table);
                 suspicion::raise(&self.state, engine_index);
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -11,7 +11,7 @@
 
 use crate::config::routing_table::{RouteType, Service};
 use crate::frontend::request::Request;
-use crate::kv::handle::Handle;
+use crate::kv::kv_handle::KvHandle;
 use crate::proxy::plan::PrefixOwners;
 use crate::state::State;
 use crate::upstream::connection_pool::Endpoint;
@@ -78,7 +78,7 @@
     /// Sends that have not ended.
     pub in_flight: Vec<InFlight>,
     /// The KV cache that an engine holds for it.
-    pub kv_handle: Option<Handle>,
+    pub kv_handle: Option<KvHandle>,
     /// Which variant of a rollout serves it, in all of its sends.
     pub variant: Arm,
 }
@@ -88,9 +88,9 @@
         while let Some(send) = self.in_flight.last().copied() {
             self.end_send(send.engine_index);
         }
-        self.release_handle();
+        self.release_kv_handle();
         if self.reached_engine {
-            let elapsed_ms = clock::now().saturating_sub(self.request.born);
+            let elapsed_ms = clock::now().saturating_sub(self.request.received_at_ms);
             self.request.authorization.route().durations.record(elapsed_ms);
         }
         self.state.held_body_bytes.fetch_sub(self.request.body.len(), Ordering::Relaxed);
@@ -101,21 +101,21 @@
     /// Returns whether the request is expected to end before this process does, where that is shutting down.
     pub fn fits_before_shutdown(&self) -> bool {
         let expected_ms = self.request.authorization.route().durations.expected_ms();
-        self.state.drain.left_ms().is_none_or(|left_ms| expected_ms < left_ms)
+        self.state.drain.remaining_ms().is_none_or(|left_ms| expected_ms < left_ms)
     }
 
     /// Returns the time left until the deadline, in milliseconds.
     pub fn remaining_ms(&self) -> u64 {
-        self.request.left(clock::now())
+        self.request.remaining_ms(clock::now())
     }
 
     /// Returns the urgency class that engines order their queues by, smaller first. Deferrable work comes last; the
     /// rest goes by priority, where the request has a prompt that is split into phases.
     pub fn urgency(&self) -> Option<u32> {
-        if self.request.spare.is_some() {
+        if self.request.deferrable_share.is_some() {
             return Some(DEFERRABLE_URGENCY);
         }
-        (!self.request.keys.is_empty()).then_some((DECODE_URGENCY + self.priority).min(MAX_INTERACTIVE_URGENCY))
+        (!self.request.prefix_keys.is_empty()).then_some((DECODE_URGENCY + self.priority).min(MAX_INTERACTIVE_URGENCY))
     }
 
     /// Returns whether the response is a stream of events.
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -14,7 +14,7 @@
 use crate::proxy::send::{SendOptions, SendOutcome};
 use crate::proxy::stream::stream_response;
 use crate::proxy::{phases, response_head};
-use crate::rollout::Seen;
+use crate::rollout::VersionOutcome;
 
 /// By priority: the load, as a multiple of its slots, that every decode engine must exceed for a request to be refused
 /// at once.
@@ -38,12 +38,12 @@
 /// Returns the failure that ends a request. One that may have been executed is never reported as refused.
 pub fn failure_for(exchange: &Exchange) -> Failure {
     if !exchange.may_have_run {
-        return Failure::Refused(retry_after_ms(exchange));
+        return Failure::Unavailable(retry_after_ms(exchange));
     }
     if exchange.remaining_ms() == 0 {
-        return Failure::TimedOut;
+        return Failure::DeadlineExceeded;
     }
-    Failure::Lost
+    Failure::ResponseLost
 }
 
 /// Executes a request and returns the head of the response; the body follows as it comes.
@@ -53,12 +53,12 @@
 /// Returns what the client is answered where no engine's response may be forwarded.
 pub async fn forward(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
     admit(&mut exchange)?;
-    exchange.spend_quota().await?;
+    exchange.acquire_quota_token().await?;
     let (engine_index, response) = execute(&mut exchange).await?;
     if response.head.status.is_success() {
         verify_success(&mut exchange, &response)?;
     } else if response.head.status.is_server_error() {
-        exchange.note_seen(Seen::Failed);
+        exchange.record_version_outcome(VersionOutcome::Failed);
     }
     Ok(stream_response(exchange, engine_index, response))
 }
@@ -66,7 +66,7 @@
 /// Chooses the variant of a rollout that serves the request, and checks whether engines can take it now.
 fn admit(exchange: &mut Exchange) -> Result<(), Failure> {
     if is_deferred(exchange) {
-        return Err(Failure::Refused(DEFERRED_RETRY_MS));
+        return Err(Failure::Unavailable(DEFERRED_RETRY_MS));
     }
     exchange.choose_version();
     if !exchange.fits_before_shutdown() {
@@ -88,14 +88,14 @@
 
 /// Returns whether this is deferrable work, and interactive work needs the slots.
 fn is_deferred(exchange: &Exchange) -> bool {
-    let Some(share) = exchange.request.spare else { return false };
+    let Some(share) = exchange.request.deferrable_share else { return false };
     !exchange.with_selection(|selection| selection.has_spare_capacity(share))
 }
 
 /// Returns whether the request has a prompt, and its service engines, for two phases.
 fn has_phases(exchange: &Exchange) -> bool {
     exchange.is_streaming()
-        && !exchange.request.keys.is_empty()
+        && !exchange.request.prefix_keys.is_empty()
         && exchange
             .with_selection(|selection| selection.has_phase(Phase::Prefill) && selection.has_phase(Phase::Decode))
 }
@@ -107,7 +107,7 @@
         false => execute_combined(exchange).await,
     };
     if executed.is_err() && exchange.may_have_run {
-        exchange.note_seen(Seen::Failed);
+        exchange.record_version_outcome(VersionOutcome::Failed);
     }
     executed
 }
@@ -135,7 +135,7 @@
     // A failed response is dropped only once the next send is granted.
     let mut granted = false;
     loop {
-        let placement_hash = hashing::combine(exchange.request.born, exchange.request.body.len() as u64);
+        let placement_hash = hashing::combine(exchange.request.received_at_ms, exchange.request.body.len() as u64);
         let selected = exchange.with_selection(|selection| selection.select_decode(0, &[], None, placement_hash));
         let Some(engine_index) = selected else { return Err(failure_for(exchange)) };
         if !mem::take(&mut granted) && !exchange.grant_send() {
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::frontend::error_response::Failure;
-use crate::kv::handle::Handle;
+use crate::kv::kv_handle::KvHandle;
 use crate::proxy::engine_response::{self, EngineResponse};
 use crate::proxy::exchange::{Exchange, DEFERRABLE_URGENCY, MAX_INTERACTIVE_URGENCY};
 use crate::proxy::forward;
@@ -100,8 +100,8 @@
         exchange.record_version(engine_index, version);
         exchange.pinned_version = version.or(exchange.pinned_version);
     }
-    let until = received_at + exchange.service_config.hold_ms.saturating_sub(HANDLE_EXPIRY_MARGIN_MS);
-    exchange.hold_handle(Handle { at: engine_index, reader: endpoint, id, until });
+    let expires_at_ms = received_at + exchange.service_config.hold_ms.saturating_sub(HANDLE_EXPIRY_MARGIN_MS);
+    exchange.hold_kv_handle(KvHandle { engine_index, endpoint, id, expires_at_ms });
     Some(PrefillOutcome::HandleHeld)
 }
 
@@ -113,7 +113,7 @@
 /// Returns the urgency class of a prefill. A short one goes before long ones: it hardly delays them, and behind them it
 /// would miss its latency target. Among similar ones the operator's priority decides.
 fn prefill_urgency(exchange: &Exchange, prefill_tokens: u32) -> u32 {
-    if exchange.request.spare.is_some() {
+    if exchange.request.deferrable_share.is_some() {
         return DEFERRABLE_URGENCY;
     }
     let size = match prefill_tokens {
@@ -132,10 +132,10 @@
         let engine_table = exchange.state.engines();
         (engine_table.engines[engine_index].id.clone(), engine_table.engines[engine_index].fresh_load(now))
     };
-    let mut records = Vec::with_capacity(exchange.request.keys.len());
+    let mut records = Vec::with_capacity(exchange.request.prefix_keys.len());
     {
         let mut owner_cache = exchange.state.owner_cache();
-        for key in &exchange.request.keys {
+        for key in &exchange.request.prefix_keys {
             owner_cache.record(*key, &id, now);
             records.push(Record { key: *key, engine: id.clone() });
         }
@@ -154,7 +154,7 @@
     exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
     let prefill_engine = match prefill(exchange).await {
         Some(PrefillOutcome::Response(engine_index, response)) => return Ok((engine_index, response)),
-        Some(PrefillOutcome::HandleHeld) => exchange.handle_engine(),
+        Some(PrefillOutcome::HandleHeld) => exchange.kv_handle_engine(),
         None => None,
     };
     if let Some(engine_index) = prefill_engine {
@@ -167,12 +167,12 @@
 }
 
 /// Selects the engine that decodes, and the KV handle that it starts from.
-fn select_decode_engine(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Option<(usize, Option<Handle>)> {
-    let (tokens, placement_hash) = (exchange.request.tokens(), plan::placement_hash(&exchange.request));
+fn select_decode_engine(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Option<(usize, Option<KvHandle>)> {
+    let (tokens, placement_hash) = (exchange.request.prompt_tokens(), plan::placement_hash(&exchange.request));
     let owners = exchange.prefix_owners.clone();
     loop {
         exchange.drop_stale_handle();
-        let Some(handle) = exchange.take_handle() else {
+        let Some(handle) = exchange.take_kv_handle() else {
             let selected =
                 exchange.with_selection(|selection| selection.select_combined(tokens, &owners, placement_hash))?;
             return Some((selected.engine, None));
@@ -182,10 +182,10 @@
         {
             return Some((engine_index, Some(handle)));
         }
-        exchange.hold_handle(handle);
+        exchange.hold_kv_handle(handle);
         exchange.version_bounds()?;
         // No decode engine has the weights that prefilled it: one within the limit prefills it itself.
-        exchange.release_handle();
+        exchange.release_kv_handle();
     }
 }
 
@@ -196,11 +196,11 @@
             return Err(forward::failure_for(exchange));
         };
         if !exchange.grant_send() {
-            handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
+            handle.into_iter().for_each(|handle| exchange.hold_kv_handle(handle));
             return Err(forward::failure_for(exchange));
         }
-        let prefill_tokens = if handle.is_some() { 0 } else { exchange.request.tokens() };
-        let kv_source = handle.as_ref().map(|handle| format!("{}/{}", handle.reader.addr, handle.id));
+        let prefill_tokens = if handle.is_some() { 0 } else { exchange.request.prompt_tokens() };
+        let kv_source = handle.as_ref().map(|handle| format!("{}/{}", handle.endpoint.addr, handle.id));
         let options = SendOptions { kv_source, urgency: exchange.urgency(), ..Default::default() };
         exchange.sends += 1;
         let may_move = exchange.may_retry();
@@ -214,13 +214,13 @@
         }
         exchange.attempted_engines.push(engine_index);
         let has_handle = handle.is_some();
-        handle.into_iter().for_each(|handle| exchange.hold_handle(handle));
+        handle.into_iter().for_each(|handle| exchange.hold_kv_handle(handle));
         match outcome {
             SendOutcome::Unsent(_) => exchange.sends -= 1,
             SendOutcome::Lost => {
                 exchange.may_have_run = true;
                 // No other engine may name the handle: this one may still fetch the KV cache.
-                exchange.release_handle();
+                exchange.release_kv_handle();
                 if !exchange.is_repeatable {
                     return Err(forward::failure_for(exchange));
                 }
@@ -239,14 +239,14 @@
 
 /// Gives up a KV handle whose KV cache can't be fetched: its engine is suppressed for these keys, not for the request.
 fn abandon_handle(exchange: &mut Exchange) {
-    if let Some(prefill_engine) = exchange.handle_engine() {
+    if let Some(prefill_engine) = exchange.kv_handle_engine() {
         let now = clock::now();
         let id = exchange.endpoint(prefill_engine).engine;
         let mut owner_cache = exchange.state.owner_cache();
         owner_cache.counts.transfer_error += 1;
-        for key in &exchange.request.keys {
+        for key in &exchange.request.prefix_keys {
             owner_cache.suppress(&id, *key, now + SUPPRESSION_MS);
         }
     }
-    exchange.release_handle();
+    exchange.release_kv_handle();
 }
--- a/router/src/proxy/plan.rs
+++ b/router/src/proxy/plan.rs
@@ -32,8 +32,8 @@
 
 /// Decides who prefills the prompt, given the engines that own prefixes of it.
 pub fn plan_prefill(selection: &SelectionContext, request: &Request, owners: &PrefixOwners) -> Plan {
-    let (tokens, placement_hash) = (request.tokens(), placement_hash(request));
-    let Some(prefill) = selection.select_prefill(tokens, owners, request.shared(), placement_hash) else {
+    let (tokens, placement_hash) = (request.prompt_tokens(), placement_hash(request));
+    let Some(prefill) = selection.select_prefill(tokens, owners, request.shared_tokens(), placement_hash) else {
         return Plan::Combined;
     };
     if selection.select_combined(tokens, owners, placement_hash).is_some_and(|combined| combined.cost < prefill.cost) {
@@ -53,15 +53,15 @@
     let known = {
         let mut owner_cache = state.owner_cache();
         owner_cache.counts.queries += 1;
-        owner_cache.known_prefix_count(&request.keys, now)
+        owner_cache.known_prefix_count(&request.prefix_keys, now)
     };
-    let missing = &request.keys[known..];
+    let missing = &request.prefix_keys[known..];
     if !missing.is_empty() {
         let sampled = sampled_engines(state, request, service);
-        let found = state.prefix_catalog.query(missing, sampled).await;
+        let found = state.prefix_catalog.look_up(missing, sampled).await;
         if let Some(found) = &found {
             let (now, mut engine_table) = (clock::now(), state.engines());
-            found.list.iter().for_each(|load| engine_table.record_relayed_load(load, now));
+            found.loads.iter().for_each(|load| engine_table.record_relayed_load(load, now));
         }
         cache_owners(state, missing, found.map(|found| found.owners), known == 0, now);
     }
@@ -106,12 +106,12 @@
 /// Returns the longest prefix that each usable engine owns.
 fn cached_prefixes(state: &State, request: &Request) -> PrefixOwners {
     let now = clock::now();
-    let prefix_lengths = catalog::prefix_token_counts(&request.parts);
+    let prefix_lengths = catalog::prefix_token_counts(&request.prompt_segments);
     let engine_table = state.engines();
     let mut owner_cache = state.owner_cache();
     let mut list: PrefixOwners = Vec::new();
     let mut stale_count = 0;
-    for (key, prefix_tokens) in request.keys.iter().zip(prefix_lengths).rev() {
+    for (key, prefix_tokens) in request.prefix_keys.iter().zip(prefix_lengths).rev() {
         for engine_name in owner_cache.owners(*key, now) {
             let usable = engine_table
                 .find(engine_name)
@@ -131,8 +131,8 @@
 /// Returns the hash by which engines are ranked where their costs are equal: that of the shared prefix, so that requests
 /// with the same prefix prefer the same engines.
 pub fn placement_hash(request: &Request) -> u64 {
-    let shared = request.keys.len().checked_sub(2).and_then(|at| request.keys.get(at));
-    shared.or(request.keys.first()).copied().unwrap_or(request.born)
+    let shared = request.prefix_keys.len().checked_sub(2).and_then(|at| request.prefix_keys.get(at));
+    shared.or(request.prefix_keys.first()).copied().unwrap_or(request.received_at_ms)
 }
 
 /// Returns the zones that a request may not use, by dense index: evacuated ones, and those outside the home regions of
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -15,9 +15,9 @@
 };
 use tokio::time::{self, Instant};
 
-use crate::event::MISFIT;
+use crate::event::RESPONSE_MISMATCHED;
 use crate::frontend::request;
-use crate::kv::handle::Handle;
+use crate::kv::kv_handle::KvHandle;
 use crate::proxy::engine_response::{self, EngineResponse};
 use crate::proxy::response_head::{self, Classification, Expectation};
 use crate::state::State;
@@ -79,7 +79,7 @@
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.path.clone();
     let head = outgoing.headers_mut();
-    *head = request.head.clone();
+    *head = request.headers.clone();
     let mut set = |name: &'static str, text: &str| {
         if let Ok(value) = HeaderValue::from_str(text) {
             head.insert(name, value);
@@ -114,7 +114,7 @@
 
 /// Takes an idle connection from the pool, or dials one.
 async fn connect(state: &State, endpoint: &Endpoint, max_connections: usize) -> Result<PooledConnection, SendError> {
-    if let Some(connection) = state.connection_pools.idle(endpoint) {
+    if let Some(connection) = state.connection_pools.take_idle(endpoint) {
         return Ok(PooledConnection { connection, is_new: false });
     }
     let connection = state.connection_pools.dial(endpoint, max_connections).await?;
@@ -141,9 +141,9 @@
             Err(error) => return SendOutcome::Unsent(error),
         };
         if !satisfies_bound(state, service, &request.model, options) {
-            return SendOutcome::Unsent(SendError::Behind);
+            return SendOutcome::Unsent(SendError::TooStale);
         }
-        if !request.authorization.holds(&state.table()) {
+        if !request.authorization.is_still_valid(&state.table()) {
             return SendOutcome::Unsent(SendError::Unauthorized);
         }
         let response = match time::timeout_at(deadline, connection.try_send_request(outgoing)).await {
@@ -155,7 +155,7 @@
                     outgoing = unwritten;
                     continue;
                 }
-                Some(_) => return SendOutcome::Unsent(SendError::Down),
+                Some(_) => return SendOutcome::Unsent(SendError::Unreachable),
                 None => return SendOutcome::Lost,
             },
         };
@@ -173,13 +173,16 @@
     options: &SendOptions,
     response: EngineResponse,
 ) -> SendOutcome {
-    let expected =
-        Expectation { attempt: request.attempt.as_ref(), target: &endpoint.engine, version: options.expected_version };
+    let expected = Expectation {
+        attempt: request.attempt_id.as_ref(),
+        target: &endpoint.engine,
+        version: options.expected_version,
+    };
     let outcome = match response_head::classify(&response.head, &expected) {
         Classification::Executed => return SendOutcome::Response(Box::new(response)),
         Classification::Mismatched => {
             let status = response.head.status.as_u16();
-            kernel::log_event!(MISFIT, "engine" => endpoint.engine.clone(), "status" => status);
+            kernel::log_event!(RESPONSE_MISMATCHED, "engine" => endpoint.engine.clone(), "status" => status);
             return SendOutcome::Lost;
         }
         Classification::Unconfirmed => SendOutcome::Lost,
@@ -192,17 +195,17 @@
 }
 
 /// Frees the KV cache that a handle stands for. Tried once, since the handle expires by itself.
-pub async fn free_kv_handle(state: &State, handle: &Handle, max_connections: usize) {
+pub async fn free_kv_handle(state: &State, handle: &KvHandle, max_connections: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
     let Ok(path) = format!("/kv-handle/{}", handle.id).parse() else { return };
     *outgoing.uri_mut() = path;
-    if let Ok(host) = HeaderValue::from_str(&handle.reader.addr) {
+    if let Ok(host) = HeaderValue::from_str(&handle.endpoint.addr) {
         outgoing.headers_mut().insert(HOST, host);
     }
-    let mut connection = match state.connection_pools.idle(&handle.reader) {
+    let mut connection = match state.connection_pools.take_idle(&handle.endpoint) {
         Some(connection) => connection,
-        None => match state.connection_pools.dial(&handle.reader, max_connections).await {
+        None => match state.connection_pools.dial(&handle.endpoint, max_connections).await {
             Ok(connection) => connection,
             Err(_) => return,
         },
@@ -214,5 +217,5 @@
         // The response to another request: that to this one would be the next, so the connection is dropped.
         return;
     }
-    engine_response::drain_body(state, &handle.reader, EngineResponse { head, body, connection }).await;
+    engine_response::drain_body(state, &handle.endpoint, EngineResponse { head, body, connection }).await;
 }
--- a/router/src/proxy/stream.rs
+++ b/router/src/proxy/stream.rs
@@ -17,8 +17,8 @@
 use crate::proxy::plan;
 use crate::proxy::response_body::{self, BodySender};
 use crate::proxy::send::{SendOptions, SendOutcome};
-use crate::rollout::Seen;
-use crate::upstream::suspicion::{self, SIGN_MS};
+use crate::rollout::VersionOutcome;
+use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
 /// How many engines are asked to resume one broken stream.
 const MAX_RESUMPTION_SENDS: usize = 3;
@@ -38,8 +38,9 @@
     let mut client_response = Response::new(());
     *client_response.status_mut() = response.head.status;
     *client_response.headers_mut() = response.head.headers.clone();
-    let length = request::number(client_response.headers(), "content-length").filter(|_| !exchange.is_resumable());
-    request::strip(client_response.headers_mut());
+    let length =
+        request::parse_number(client_response.headers(), "content-length").filter(|_| !exchange.is_resumable());
+    request::remove_hop_by_hop_headers(client_response.headers_mut());
     if exchange.state.is_shutting_down() {
         client_response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -67,14 +68,16 @@
             BodyEnd::Complete => {
                 sender.finish().await;
                 if is_success {
-                    exchange.note_seen(Seen::Good { pace_us: splitter.mean_interval_us() });
+                    exchange.record_version_outcome(VersionOutcome::Success {
+                        event_interval_us: splitter.mean_interval_us(),
+                    });
                 }
                 let endpoint = exchange.endpoint(engine_index);
                 let EngineResponse { head, connection, .. } = response;
                 engine_response::return_connection(&exchange.state, &endpoint, &head.headers, connection).await;
                 return;
             }
-            BodyEnd::Broken => exchange.note_seen(Seen::Failed),
+            BodyEnd::Broken => exchange.record_version_outcome(VersionOutcome::Failed),
         }
         splitter.discard_partial_event();
         let Some((next, next_response)) = exchange.resume(engine_index, &splitter).await else { return };
@@ -90,7 +93,7 @@
     splitter: &mut EventSplitter,
     sender: &BodySender,
 ) -> BodyEnd {
-    let interval = Duration::from_millis(SIGN_MS);
+    let interval = Duration::from_millis(LIVENESS_TIMEOUT_MS);
     let is_streaming = exchange.is_streaming();
     let may_move = exchange.is_resumable() && exchange.may_retry();
     let is_framed = response.is_framed();
@@ -139,7 +142,7 @@
         if !self.is_resumable() || !splitter.is_resumable() {
             return None;
         }
-        let (tokens, placement_hash) = (self.request.tokens(), plan::placement_hash(&self.request));
+        let (tokens, placement_hash) = (self.request.prompt_tokens(), plan::placement_hash(&self.request));
         for _ in 0..MAX_RESUMPTION_SENDS {
             let owners = self.prefix_owners.clone();
             let next =
@@ -167,7 +170,7 @@
     fn resumption_point(&self, splitter: &EventSplitter) -> Option<HeaderValue> {
         match &splitter.last_event_id {
             Some(last_event_id) => HeaderValue::from_str(last_event_id).ok(),
-            None => self.request.last.clone(),
+            None => self.request.last_event_id.clone(),
         }
     }
 }
