--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,4 +1,9 @@
-//! The data plane: takes clients' requests and carries them to engines.
+//! The data plane: takes clients' requests and forwards them to engines.
+//!
+//! `frontend` accepts and authorizes requests, `limits` enforces tenants' rate limits, `proxy` forwards, and `upstream`
+//! keeps connections to engines and finds out which do not respond. `subscription` gets configuration and engines from
+//! controllers; `config` holds what is in force, `kv` asks the catalog which engines own a prompt's KV cache, and
+//! `rollout` splits traffic between versions. All of them share one `state`.
 
 mod config;
 mod event;
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -56,7 +56,7 @@
     pub freshness: Freshness,
     home_controller: Mutex<Option<Arc<PeerClient>>>,
     rng: Mutex<Rng>,
-    /// When the controller was last notified that fresh replicas are short, in milliseconds of the steady clock.
+    /// When it was last logged that no replica is within a staleness limit, in milliseconds of the steady clock.
     pub replica_shortage_reported_at: AtomicU64,
     /// Woken when a suspected engine answered another router.
     pub suspicion_cleared: Notify,
@@ -129,7 +129,6 @@
     }
 
     /// Returns the routing table in force.
-
     pub fn table(&self) -> Arc<RoutingTable> {
         self.table.lock().clone()
     }
