--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn engines_of_a_zone_that_is_taken_back_are_taken_for_cold_until_the_list_would_say_so() {
+async fn engines_of_a_zone_whose_evacuation_is_withdrawn_are_presumed_cold() {
     let state = router::router(&[engine("i-1").await]);
     apply(&state, &[evacuation("a", 1, true)]);
     assert_eq!(cold_until(&state, 0), 0);
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn other_zones_and_older_news_change_nothing() {
+async fn other_zones_and_older_evacuations_change_nothing() {
     let state = router::router(&[engine("i-1").await]);
     apply(&state, &[evacuation("b", 1, true), evacuation("b", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
--- a/router/src/config/freshness_tests.rs
+++ b/router/src/config/freshness_tests.rs
@@ -11,7 +11,7 @@
 use crate::state::State;
 use crate::testing::router::SETTINGS;
 
-/// A client that has long.
+/// The time budget of a patient client, in milliseconds.
 const LEFT_MS: u64 = 60_000;
 
 fn unproved() -> Arc<State> {
@@ -23,7 +23,7 @@
     activation::apply_document(state, revision, config.to_string().as_bytes());
 }
 
-/// What a request looks for: something that is there from a revision on.
+/// What a request looks for: something that exists from a revision on.
 fn since(revision: u64) -> impl Fn(&RoutingTable) -> bool {
     move |table| table.revision >= revision
 }
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_there_needs_no_proof_and_a_miss_under_proof_is_certain_at_once() {
+async fn a_hit_needs_no_proof_and_a_miss_under_proof_is_certain_at_once() {
     let state = unproved();
     put_in_force(&state, 5);
     assert_eq!(find_table(&state, 5).await, Ok(5));
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_miss_that_is_not_proved_waits_for_a_bounded_time() {
+async fn an_unproved_miss_waits_for_a_bounded_time() {
     let state = unproved();
     let begun = Instant::now();
     assert_eq!(find_table(&state, 6).await, Err(LookupMiss::Unproved));
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_waits_gets_what_comes_meanwhile() {
+async fn a_waiting_request_gets_a_table_that_arrives_meanwhile() {
     let state = unproved();
     let waiting = |revision| {
         let state = state.clone();
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn any_number_that_wait_ask_once_and_no_more_than_a_bound_wait() {
+async fn waiting_requests_wake_the_subscription_once_and_are_bounded() {
     let state = unproved();
     let asked = Arc::new(AtomicUsize::new(0));
     let (count, follower) = (asked.clone(), state.clone());
--- a/router/src/config/routing_table_tests.rs
+++ b/router/src/config/routing_table_tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_chain_of_changes_gives_the_table_that_the_whole_gives() {
+fn a_chain_of_updates_gives_the_table_of_the_full_configuration() {
     let mut engine_table = EngineTable::default();
     let mut rng = Rng::new(7);
     let names: Vec<String> = (0..12).map(|at| format!("r{at}")).collect();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_gap_and_an_older_one_change_nothing() {
+fn an_update_after_a_gap_and_an_older_one_change_nothing() {
     let mut engine_table = EngineTable::default();
     let table = initial_table(&mut engine_table);
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn each_part_gets_its_share_of_a_few_hundred_requests() {
+fn each_target_gets_its_share_of_a_few_hundred_requests() {
     let targets = [(1, 70), (2, 20), (3, 10)];
     for seed in 0..500 {
         let mut rng = Rng::new(seed);
--- a/router/src/config/tenants_tests.rs
+++ b/router/src/config/tenants_tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn each_key_is_its_tenants() {
+fn each_key_belongs_to_its_tenant() {
     let tenants = full(&config(1, &[("one", vec!["k1", "k2"]), ("two", vec!["k3"]), ("none", vec![])]));
     let found: Vec<_> = ["k1", "k2", "k3", "k4", "", "K1"].iter().map(|key| owner_of(&tenants, key)).collect();
     let name = |name: &str| Some(name.to_string());
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_key_that_moves_to_another_tenant_in_one_change_is_that_ones() {
+fn a_key_that_moves_to_another_tenant_in_one_change_belongs_to_it() {
     for (from, to) in [("a", "b"), ("b", "a")] {
         let tenants =
             after(&[(from, vec!["moves", "stays"]), (to, vec![])], &[(from, vec!["stays"]), (to, vec!["moves"])]);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_last_tenant_that_leaves_lets_nobody_in() {
+fn without_its_last_tenant_a_configuration_still_requires_keys() {
     let emptied = after(&[("a", vec!["k"])], &[]);
     assert_eq!((emptied.requires_keys(), owner_of(&emptied, "k")), (true, None));
 }
@@ -87,12 +87,12 @@
     let (none, empty) = (without_tenants(1), config(2, &[]));
     let came = Tenants::after(&full(&none), &ConfigUpdate::between(&none, &empty));
     assert!(came.requires_keys());
-    let gone = Tenants::after(&came, &ConfigUpdate::between(&empty, &without_tenants(3)));
-    assert!(!gone.requires_keys());
+    let removed = Tenants::after(&came, &ConfigUpdate::between(&empty, &without_tenants(3)));
+    assert!(!removed.requires_keys());
 }
 
 #[test]
-fn a_whole_configuration_leaves_nothing_of_the_one_before() {
+fn a_full_configuration_replaces_all_tenants() {
     let current = full(&config(1, &[("a", vec!["old"])]));
     let change = ConfigUpdate::full(&config(2, &[("b", vec!["new"])]));
     let tenants = Tenants::after(&current, &change);
@@ -100,21 +100,21 @@
 }
 
 #[test]
-fn a_change_without_tenants_shares_those_that_are_held() {
+fn a_change_without_tenants_shares_the_current_ones() {
     let (old, new) = (config(1, &[("a", vec!["k"])]), config(2, &[("a", vec!["k"])]));
     let current = full(&old);
     assert!(Arc::ptr_eq(&current, &Tenants::after(&current, &ConfigUpdate::between(&old, &new))));
 }
 
 #[test]
-fn a_chain_of_changes_gives_the_tenants_that_the_whole_gives() {
+fn a_chain_of_updates_gives_the_tenants_of_the_full_configuration() {
     let mut rng = Rng::new(11);
     let keys: Vec<String> = (0..20).map(|at| format!("key-{at}")).collect();
     let names = ["a", "b", "c", "d", "e"];
     let mut current = config(1, &[]);
     let mut tenants = full(&current);
     for revision in 2..300 {
-        // Each tenant is there or not; each key is one tenant's or nobody's.
+        // Each tenant exists or not; each key belongs to one tenant or to none.
         let mut list: Vec<Item> = names.iter().filter(|_| rng.below(4) > 0).map(|name| (*name, vec![])).collect();
         for key in &keys {
             let at = rng.below(names.len() as u64 + 1) as usize;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_key_that_several_tenants_hold_is_nobodys() {
+fn a_key_of_several_tenants_is_unknown() {
     // No valid configuration has one: the change is made by hand.
     let mut change = ConfigUpdate::full(&config(1, &[("a", vec!["own", "shared"]), ("b", vec![])]));
     change.tenants[1].api_keys = vec!["shared".into()];
--- a/router/src/subscription/candidates_tests.rs
+++ b/router/src/subscription/candidates_tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_silent_controller_is_passed_over_until_all_are() {
+fn an_unresponsive_controller_is_avoided_until_all_are() {
     let mut candidates = three();
     assert_eq!(pick(&candidates, 10).as_deref(), Some("a"));
     candidates.back_off("a", BackoffReason::Unresponsive, 0);
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn one_that_is_gone_for_good_is_tried_ever_more_seldom_and_a_proof_restores_it() {
+fn backoff_doubles_with_each_failure_and_a_proof_ends_it() {
     let mut candidates = three();
     let (mut now, mut spans) = (0, Vec::new());
     for _ in 0..6 {
         candidates.back_off("a", BackoffReason::Unresponsive, now);
-        // That it fails again meanwhile counts for nothing.
+        // A further failure during the backoff does not count.
         candidates.back_off("a", BackoffReason::Unresponsive, now + 1);
         let begun = now;
         while candidates.is_backed_off("a", now) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn those_asked_less_often_come_first_and_those_passed_over_last() {
+fn candidates_with_fewer_attempts_come_first_and_those_in_backoff_last() {
     let mut candidates = three();
     let attempts = |controller: &str| Some(u32::from(controller == "a"));
     assert_eq!(candidates.pick(List::OwnOrder, 0, attempts).as_deref(), Some("b"));
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -92,12 +92,12 @@
         match finished.reply {
             Some(Message::SubscriptionRenewed(renewed)) => {
                 self.apply_state_update(renewed.update.clone(), finished.sent_at);
-                let response = RenewalResponse::from_renewal(&renewed, self.held_revision());
+                let response = RenewalResponse::from_renewal(&renewed, self.applied_revision());
                 self.record_response(&finished.controller, &response);
             }
             Some(Message::StateUpdate(update)) => {
                 self.apply_state_update((*update).clone(), finished.sent_at);
-                let response = RenewalResponse::from_state_update(&update, self.held_revision());
+                let response = RenewalResponse::from_state_update(&update, self.applied_revision());
                 self.record_response(&finished.controller, &response);
             }
             _ => {
@@ -113,7 +113,7 @@
     }
 
     /// Returns the configuration revision that is in force here.
-    fn held_revision(&self) -> u64 {
+    fn applied_revision(&self) -> u64 {
         self.state.subscribed.lock().config_revision
     }
 
--- a/router/src/subscription/driver_tests.rs
+++ b/router/src/subscription/driver_tests.rs
@@ -1,4 +1,4 @@
-//! A router and controllers on real connections. How long things take is shown in virtual time (`following_tests.rs`);
+//! A router and controllers on real connections. How long things take is shown in virtual time (`scheduler_tests.rs`);
 //! here each test fails where something comes only with a later call or not at all.
 
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
 use crate::testing::controller::{controllers, Controller, Manner};
 use crate::testing::router::{ask, status, SETTINGS};
 
-/// Large enough that a busy machine doesn't make a proof too old by itself.
+/// Large enough that a proof does not become too old merely because the machine is busy.
 const CONVERGE_MS: u64 = 2000;
 
 fn config(revision: u64, routes: &[&str]) -> Config {
@@ -31,7 +31,7 @@
     read(&text.to_string()).expect("good")
 }
 
-/// A router that knows these controllers, and follows them.
+/// Starts a router that subscribes to these controllers.
 fn follow(controllers: &[Controller], port: u16, converge_ms: u64) -> Arc<State> {
     let seeds: Vec<String> = controllers.iter().map(|controller| format!("\"{}:{port}\"", controller.ip)).collect();
     let text = SETTINGS
@@ -42,7 +42,7 @@
     state
 }
 
-/// Waits until something holds, but not without end.
+/// Waits until a condition holds, for at most 20 s.
 async fn until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
     while !holds() {
@@ -59,7 +59,7 @@
     until("in force", || state.table().revision >= revision).await;
 }
 
-/// Waits until what was proved is too old.
+/// Waits until the proof is too old.
 async fn unproved(state: &State) {
     until("no proof", || !state.freshness.is_proved(clock::now())).await;
 }
@@ -90,14 +90,14 @@
     }
     in_force(&state, 8).await;
     // The call at the home is still open; formerly a home was left after 1,800 ms.
-    let took = begun.elapsed().as_millis();
-    assert!(took < 1500, "{took} ms");
+    let elapsed_ms = begun.elapsed().as_millis();
+    assert!(elapsed_ms < 1500, "{elapsed_ms} ms");
 }
 
 #[tokio::test]
-async fn a_frame_lost_on_the_way_is_asked_for_again_without_waiting_for_the_beat() {
+async fn a_lost_frame_is_requested_again_without_waiting_for_the_renewal_interval() {
     let (controllers, port) = controllers(1, &config(7, &["x"]));
-    // A beat of 400 ms.
+    // A renewal interval of 400 ms.
     let state = follow(&controllers, port, 4000);
     ready(&state).await;
     controllers[0].called(controllers[0].calls() + 2).await;
@@ -107,16 +107,16 @@
     controllers[0].called(calls + 1).await;
     let begun = Instant::now();
     controllers[0].called(calls + 2).await;
-    let took = begun.elapsed().as_millis();
-    assert!(took < 350, "{took} ms");
+    let elapsed_ms = begun.elapsed().as_millis();
+    assert!(elapsed_ms < 350, "{elapsed_ms} ms");
     controllers[0].set(Manner::Confirming);
     in_force(&state, 8).await;
 }
 
 #[tokio::test]
-async fn a_limit_that_was_pushed_is_confirmed_without_waiting_for_the_beat() {
+async fn a_pushed_limit_is_confirmed_without_waiting_for_the_renewal_interval() {
     let (controllers, port) = controllers(1, &config(7, &["x"]));
-    // A beat of 400 ms.
+    // A renewal interval of 400 ms.
     let state = follow(&controllers, port, 4000);
     ready(&state).await;
     controllers[0].called(controllers[0].calls() + 1).await;
@@ -124,8 +124,8 @@
     let rule = StalenessLimit { service: "s".into(), model: "m".into(), version: 1, ..Default::default() };
     controllers[0].push(&Message::StalenessLimit(Box::new(rule)));
     controllers[0].called(controllers[0].calls() + 1).await;
-    let took = begun.elapsed().as_millis();
-    assert!(took < 350, "{took} ms");
+    let elapsed_ms = begun.elapsed().as_millis();
+    assert!(elapsed_ms < 350, "{elapsed_ms} ms");
 }
 
 #[tokio::test]
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_request_on_a_route_that_is_only_late_here_waits_for_it() {
+async fn a_request_on_a_route_that_has_not_arrived_yet_waits_for_it() {
     let (controllers, port) = controllers(2, &config(7, &["x"]));
     let state = follow(&controllers, port, CONVERGE_MS);
     ready(&state).await;
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn a_flood_of_unknown_names_asks_controllers_no_more_than_one_does() {
+async fn a_flood_of_unknown_routes_causes_no_more_calls_than_one() {
     let (controllers, port) = controllers(3, &config(7, &["x"]));
     let state = follow(&controllers, port, CONVERGE_MS);
     ready(&state).await;
--- a/router/src/subscription/links_tests.rs
+++ b/router/src/subscription/links_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn what_was_pushed_before_an_answer_comes_before_it() {
+async fn a_push_before_a_response_is_returned_before_it() {
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
     links.call(&controllers[0].ip, renewal(), 5, 5000);
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn calls_to_several_controllers_run_at_once_and_one_that_is_closed_is_not_reported() {
+async fn calls_to_several_controllers_run_concurrently_and_a_closed_one_is_not_reported() {
     let (controllers, port) = controllers(2, &config());
     controllers[0].set(Manner::Frozen);
     let mut links = Links::new(port);
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_to_a_call_that_was_given_up_is_not_taken_for_that_to_the_next() {
+async fn a_response_to_an_abandoned_call_is_not_attributed_to_the_next() {
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(port);
     links.call(&controllers[0].ip, renewal(), 5, 60_000);
--- a/router/src/subscription/pacing_tests.rs
+++ b/router/src/subscription/pacing_tests.rs
@@ -1,7 +1,7 @@
 use super::{next_patience, Outcome, INITIAL_PATIENCE_MS, MAX_PATIENCE_MS};
 
 #[test]
-fn each_home_that_was_waited_for_in_vain_is_followed_by_more_patience() {
+fn each_controller_that_exceeded_its_patience_is_followed_by_more_patience() {
     let mut current_ms = INITIAL_PATIENCE_MS;
     let mut sum = 0;
     for _ in 0..4 {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn dials_that_fail_during_a_cut_leave_no_long_wait_at_a_frozen_home_after_it() {
+fn failed_dials_during_a_partition_leave_no_long_patience_after_it() {
     let mut current_ms = INITIAL_PATIENCE_MS;
     for _ in 0..20 {
         current_ms = next_patience(current_ms, Outcome::Unreachable);
--- a/router/src/subscription/response.rs
+++ b/router/src/subscription/response.rs
@@ -28,7 +28,7 @@
     /// What the controller confirms.
     pub proof: Proof,
     /// The configuration revision that is held here afterwards.
-    pub held_revision: u64,
+    pub applied_revision: u64,
     /// Controllers in this router's order, nearest first.
     pub controllers: Vec<String>,
     /// Members of the core, the controllers that vote.
@@ -48,23 +48,23 @@
 
 impl RenewalResponse {
     /// Builds the response of a controller of the current version.
-    pub fn from_renewal(renewed: &SubscriptionRenewed, held_revision: u64) -> RenewalResponse {
+    pub fn from_renewal(renewed: &SubscriptionRenewed, applied_revision: u64) -> RenewalResponse {
         let proof = renewed.confirmation.as_ref().map_or(Proof::Absent, |confirmation| Proof::Confirmed {
             age_ms: confirmation.age_ms,
             config_revision: confirmation.config_revision,
         });
         RenewalResponse {
             proof,
-            held_revision,
+            applied_revision,
             controllers: renewed.update.peers.clone(),
             core_members: renewed.core_members.clone(),
         }
     }
 
     /// Builds the response of a controller of an older version.
-    pub fn from_state_update(update: &StateUpdate, held_revision: u64) -> RenewalResponse {
+    pub fn from_state_update(update: &StateUpdate, applied_revision: u64) -> RenewalResponse {
         let proof = if update.confirmed { Proof::ConfirmedByOlderVersion } else { Proof::Absent };
-        RenewalResponse { proof, held_revision, controllers: update.peers.clone(), core_members: Vec::new() }
+        RenewalResponse { proof, applied_revision, controllers: update.peers.clone(), core_members: Vec::new() }
     }
 
     /// Assesses the response to a call sent at `sent`. `frames_lost_at`: when frames were last lost on this side.
@@ -72,7 +72,9 @@
         let before = |age_ms: u64| sent as i64 - age_ms as i64;
         match self.proof {
             Proof::Absent => Assessment::Unproved,
-            Proof::Confirmed { config_revision, .. } if config_revision > self.held_revision => Assessment::FrameLost,
+            Proof::Confirmed { config_revision, .. } if config_revision > self.applied_revision => {
+                Assessment::FrameLost
+            }
             Proof::Confirmed { age_ms, .. } => Assessment::CurrentAsOf(before(age_ms)),
             Proof::ConfirmedByOlderVersion if frames_lost_at.is_some_and(|lost| lost >= sent) => Assessment::FrameLost,
             Proof::ConfirmedByOlderVersion => Assessment::CurrentAsOf(before(OLDER_CONTROLLER_CONFIRMATION_AGE_MS)),
--- a/router/src/subscription/scheduler.rs
+++ b/router/src/subscription/scheduler.rs
@@ -63,7 +63,7 @@
     attempts: BTreeMap<String, u32>,
     patience_ms: u64,
     current_as_of: Option<i64>,
-    held_revision: u64,
+    applied_revision: u64,
     ready: bool,
     proof_requested: bool,
     frames_lost_at: Option<u64>,
@@ -81,7 +81,7 @@
             attempts: Default::default(),
             patience_ms: INITIAL_PATIENCE_MS,
             current_as_of: None,
-            held_revision: 0,
+            applied_revision: 0,
             ready: false,
             proof_requested: false,
             frames_lost_at: None,
@@ -149,11 +149,11 @@
         let nearer = self.home().is_some_and(|home| self.candidates.is_nearer(controller, home, now));
         self.patience_ms = next_patience(self.patience_ms, Outcome::Responded);
         self.candidates.update(&response.controllers, &response.core_members);
-        if self.held_revision == 0 && response.held_revision > 0 {
+        if self.applied_revision == 0 && response.applied_revision > 0 {
             // Nobody else need go on sending the whole configuration.
             self.open_calls.clear();
         }
-        self.held_revision = response.held_revision;
+        self.applied_revision = response.applied_revision;
         let assessment = response.assess(call.sent_at, self.frames_lost_at);
         let is_fresh = self.apply_proof(assessment, response.is_older(), now);
         if is_fresh {
--- a/router/src/subscription/scheduler_calls.rs
+++ b/router/src/subscription/scheduler_calls.rs
@@ -108,14 +108,14 @@
     /// Returns whether the home is not enough to stay current.
     pub(super) fn needs_hedging(&self, now: u64) -> bool {
         let Some(home) = &self.home else { return true };
-        let silence_ms = self.budget.timeout_ms();
-        let silent = self.open_calls.get(&home.controller).is_some_and(|call| now > call.sent_at + silence_ms);
+        let timeout_ms = self.budget.timeout_ms();
+        let silent = self.open_calls.get(&home.controller).is_some_and(|call| now > call.sent_at + timeout_ms);
         home.failed || silent || !self.is_current(now, self.home_hedge_age_ms())
     }
 
     /// Returns whether the state held is so old that a response may contain the whole configuration.
     fn expects_bulk_response(&self, now: u64) -> bool {
-        self.held_revision == 0 || !self.is_current(now, self.budget.bulk_age_ms())
+        self.applied_revision == 0 || !self.is_current(now, self.budget.bulk_age_ms())
     }
 
     /// Begins hedged calls if one is due.
@@ -140,7 +140,7 @@
         if !self.expects_bulk_response(now) {
             return at;
         }
-        let max_calls = if self.held_revision == 0 { MAX_INITIAL_BULK_CALLS } else { MAX_BULK_CALLS };
+        let max_calls = if self.applied_revision == 0 { MAX_INITIAL_BULK_CALLS } else { MAX_BULK_CALLS };
         let patience_ends = self.open_calls.values().map(|call| call.patience_ends_at).filter(|until| now < *until);
         let mut patience_ends: Vec<u64> = patience_ends.collect();
         patience_ends.sort_unstable();
--- a/router/src/subscription/scheduler_calls_tests.rs
+++ b/router/src/subscription/scheduler_calls_tests.rs
@@ -9,10 +9,10 @@
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
 const CONTROLLERS: usize = 18;
-/// By then the router is settled at its first home.
-const SETTLED: u64 = 5000;
+/// By then the router has a stable first home, in milliseconds.
+const WARMED_UP_AT: u64 = 5000;
 
-/// What happens next at a controller that is called.
+/// Returns a random behaviour.
 fn any_behaviour(rng: &mut Rng) -> Behaviour {
     match rng.below(8) {
         0 => Behaviour::Frozen,
@@ -59,9 +59,9 @@
 fn while_the_core_has_no_quorum_routers_do_not_flood_the_controllers() {
     for converge_ms in CONVERGE_MS {
         let mut world = World::new(converge_ms, CONTROLLERS);
-        world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
-        world.run(60_000, |_, _| Behaviour::UnconfirmedSince(SETTLED));
-        let most = world.most_calls_within(1000, SETTLED + 4000) as u64;
+        world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
+        world.run(60_000, |_, _| Behaviour::UnconfirmedSince(WARMED_UP_AT));
+        let most = world.most_calls_within(1000, WARMED_UP_AT + 4000) as u64;
         assert!(most <= most_calls_without_proof(converge_ms), "{most}");
         let calm = 1000 / budget(converge_ms).renewal_interval_ms() + 1;
         assert!(most <= 2 * calm, "{most}: no more than twice what is sent in calm");
@@ -73,14 +73,14 @@
     for converge_ms in CONVERGE_MS {
         let count = |wanted: bool| {
             let mut world = World::new(converge_ms, CONTROLLERS);
-            world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
-            for now in SETTLED..SETTLED + 20_000 {
+            world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
+            for now in WARMED_UP_AT..WARMED_UP_AT + 20_000 {
                 if wanted {
                     world.policy.request_proof();
                 }
-                world.run(now, |_, _| Behaviour::UnconfirmedSince(SETTLED));
+                world.run(now, |_, _| Behaviour::UnconfirmedSince(WARMED_UP_AT));
             }
-            world.begun.iter().filter(|begun| begun.at >= SETTLED + 4000).count() as u64
+            world.begun.iter().filter(|begun| begun.at >= WARMED_UP_AT + 4000).count() as u64
         };
         let waits = 16_000 / budget(converge_ms).refusal_wait_ms();
         let (quiet, flooded) = (count(false), count(true));
@@ -89,12 +89,12 @@
 }
 
 #[test]
-fn a_frame_that_was_lost_is_asked_for_at_once_and_is_no_proof() {
+fn a_lost_frame_is_requested_at_once_and_proves_nothing() {
     let mut world = World::new(2000, CONTROLLERS);
-    world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
+    world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
     let mut lost = false;
     let (before, calls) = (world.policy.current_as_of(), world.begun.len());
-    let lost_at = SETTLED + 400;
+    let lost_at = WARMED_UP_AT + 400;
     world.run(lost_at, |_, _| {
         if mem::replace(&mut lost, true) {
             return Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
@@ -103,7 +103,11 @@
     });
     let first = &world.begun[calls];
     let again = &world.begun[calls + 1];
-    assert_eq!((again.at, &again.controller), (first.at + 5, &first.controller), "without waiting for the beat");
+    assert_eq!(
+        (again.at, &again.controller),
+        (first.at + 5, &first.controller),
+        "without waiting for the renewal interval"
+    );
     assert_eq!(world.policy.current_as_of(), Some(again.at as i64 - 100));
     assert!(before < world.policy.current_as_of());
     // One whose frames are lost for good is called no faster than others would be asked.
@@ -113,13 +117,13 @@
 }
 
 #[test]
-fn controllers_of_an_older_version_are_followed_without_asking_others_on_and_on() {
+fn controllers_of_an_older_version_cause_no_continual_hedging() {
     for converge_ms in CONVERGE_MS {
         let mut world = World::new(converge_ms, CONTROLLERS);
-        world.run(SETTLED, |_, _| Behaviour::Older { answer_ms: 5 });
+        world.run(WARMED_UP_AT, |_, _| Behaviour::Older { answer_ms: 5 });
         world.policy.set_ready();
         let calls = world.begun.len();
-        world.run(SETTLED + 10_000, |_, _| Behaviour::Older { answer_ms: 5 });
+        world.run(WARMED_UP_AT + 10_000, |_, _| Behaviour::Older { answer_ms: 5 });
         let renewals = 10_000 / budget(converge_ms).renewal_interval_ms() + 2;
         assert!((world.begun.len() - calls) as u64 <= renewals);
         assert!(world.oldest_proof <= 1100 + budget(converge_ms).renewal_interval_ms() as i64 + 10);
@@ -127,16 +131,16 @@
 }
 
 #[test]
-fn the_next_controller_and_a_member_of_the_core_are_asked_at_once_beside_a_silent_home() {
+fn the_next_controller_and_a_core_member_are_called_at_once_beside_an_unresponsive_home() {
     for (node, converge_ms) in (0..40).zip(CONVERGE_MS.into_iter().cycle()) {
         let budget = budget(converge_ms);
         let controllers = names("k", CONTROLLERS);
         let mut world =
             World::with(SubscriptionScheduler::new(budget, &format!("edge-{node}"), "k0", &controllers), controllers);
         world.policy.set_ready();
-        world.run(SETTLED, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 50 });
+        world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 50 });
         let calls = world.begun.len();
-        world.run(SETTLED + 2000, |_, _| Behaviour::Frozen);
+        world.run(WARMED_UP_AT + 2000, |_, _| Behaviour::Frozen);
         let asked: Vec<_> = world.begun[calls..].iter().collect();
         assert_eq!((asked[0].controller.as_str(), asked[1].controller.as_str()), ("k0", "k1"));
         assert!(world.members.contains(&asked[2].controller), "{asked:?}");
@@ -147,10 +151,10 @@
 }
 
 #[test]
-fn once_the_whole_configuration_has_come_nobody_else_need_go_on_sending_it() {
+fn other_bulk_calls_end_once_the_whole_configuration_has_arrived() {
     let controllers = names("k", 3);
     let mut world = World::with(SubscriptionScheduler::new(budget(2000), "edge-1", "k0", &controllers), controllers);
-    world.held = 0;
+    world.applied_revision = 0;
     let begin = world.now;
     let slow = |controller: &str, _| match controller {
         "k0" => Behaviour::Healthy { answer_ms: 1700, age_ms: 100 },
--- a/router/src/testing/engine_responses.rs
+++ b/router/src/testing/engine_responses.rs
@@ -22,8 +22,8 @@
     format!("HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {attempt}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// Returns the head of a stream and the events `from..to`; the end of the stream only if it is `whole`.
-pub fn events(seen: &Seen, from: u32, to: u32, whole: bool) -> String {
+/// Returns the head of a stream and the events `from..to`; the end of the stream only if it is `complete`.
+pub fn events(seen: &Seen, from: u32, to: u32, complete: bool) -> String {
     let attempt = seen.attempt();
     let mut text = format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nResponse-Seal: seal-{attempt}\r\n\
@@ -33,7 +33,7 @@
         let event = format!("id: {id}\ndata: token-{id}\n\n");
         text.push_str(&format!("{:x}\r\n{event}\r\n", event.len()));
     }
-    if whole {
+    if complete {
         text.push_str("0\r\n\r\n");
     }
     text
@@ -41,8 +41,8 @@
 
 /// Returns the head of a complete stream of two events, and what follows it.
 pub fn head_and_rest(seen: &Seen) -> (String, String) {
-    let whole = events(seen, 1, 3, true);
-    let (head, rest) = whole.split_at(whole.find("\r\n\r\n").expect("a head") + 4);
+    let complete = events(seen, 1, 3, true);
+    let (head, rest) = complete.split_at(complete.find("\r\n\r\n").expect("a head") + 4);
     (head.into(), rest.into())
 }
 
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -111,11 +111,11 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Reads until `mark` has arrived.
-    pub async fn until(&mut self, mark: &str) -> String {
+    /// Reads until `marker` has arrived.
+    pub async fn until(&mut self, marker: &str) -> String {
         let mut bytes = Vec::new();
-        while !String::from_utf8_lossy(&bytes).contains(mark) {
-            assert_ne!(self.0.read_buf(&mut bytes).await.expect("read"), 0, "closed before {mark:?}");
+        while !String::from_utf8_lossy(&bytes).contains(marker) {
+            assert_ne!(self.0.read_buf(&mut bytes).await.expect("read"), 0, "closed before {marker:?}");
         }
         String::from_utf8_lossy(&bytes).into_owned()
     }
--- a/router/src/testing/subscription_world.rs
+++ b/router/src/testing/subscription_world.rs
@@ -92,12 +92,12 @@
     /// The members of the core.
     pub members: Vec<String>,
     /// The revision held by the router.
-    pub held: u64,
+    pub applied_revision: u64,
     /// All calls so far.
     pub begun: Vec<Begun>,
     /// The greatest age that the proof has had since there is one, in milliseconds.
     pub oldest_proof: i64,
-    under_way: Vec<FinishedCall>,
+    in_flight: Vec<FinishedCall>,
 }
 
 /// Returns the names `prefix0`, `prefix1`, ...
@@ -125,41 +125,41 @@
     /// Returns the world of a router that follows a policy.
     pub fn with(policy: P, controllers: Vec<String>) -> World<P> {
         let members = controllers.iter().skip(4).step_by(3).cloned().collect();
-        let (begun, under_way) = (Vec::new(), Vec::new());
-        World { now: 1000, policy, controllers, members, held: 7, begun, oldest_proof: 0, under_way }
+        let (begun, in_flight) = (Vec::new(), Vec::new());
+        World { now: 1000, policy, controllers, members, applied_revision: 7, begun, oldest_proof: 0, in_flight }
     }
 
     /// Runs until a time; `behaviour` says how each controller handles a call that begins at a time.
     pub fn run(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64) -> Behaviour) {
-        self.run_by_held(until, |controller, now, _| behaviour(controller, now));
+        self.run_by_revision(until, |controller, now, _| behaviour(controller, now));
     }
 
     /// Runs as `run` does; `behaviour` also gets the revision that the router holds.
-    pub fn run_by_held(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64, u64) -> Behaviour) {
+    pub fn run_by_revision(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64, u64) -> Behaviour) {
         while self.now < until {
             self.end_calls();
-            self.note_proof_age();
+            self.record_proof_age();
             for call in self.policy.due_calls(self.now) {
-                let end = self.end_of(&call, behaviour(&call.controller, self.now, self.held));
+                let end = self.end_of(&call, behaviour(&call.controller, self.now, self.applied_revision));
                 self.begun.push(Begun { at: self.now, controller: call.controller });
-                self.under_way.push(end);
+                self.in_flight.push(end);
             }
             let wake_at = self.policy.wake_at(self.now);
             assert!(wake_at > self.now, "it would be looked at again without end");
-            let next_end = self.under_way.iter().map(|end| end.at).min().unwrap_or(u64::MAX);
+            let next_end = self.in_flight.iter().map(|end| end.at).min().unwrap_or(u64::MAX);
             self.now = wake_at.min(next_end).min(until).max(self.now);
-            self.note_proof_age();
+            self.record_proof_age();
         }
     }
 
     /// Reports the calls that have ended.
     fn end_calls(&mut self) {
-        while let Some(at) = self.under_way.iter().position(|end| end.at <= self.now) {
-            let end = self.under_way.remove(at);
+        while let Some(at) = self.in_flight.iter().position(|end| end.at <= self.now) {
+            let end = self.in_flight.remove(at);
             match end.answer {
                 Some(answer) => {
-                    self.held = self.held.max(answer.held_revision);
-                    let answer = RenewalResponse { held_revision: self.held, ..answer };
+                    self.applied_revision = self.applied_revision.max(answer.applied_revision);
+                    let answer = RenewalResponse { applied_revision: self.applied_revision, ..answer };
                     self.policy.on_response(self.now, &end.controller, &answer);
                 }
                 None => self.policy.on_failure(self.now, &end.controller),
@@ -173,7 +173,7 @@
     }
 
     /// Keeps the greatest age of the proof.
-    fn note_proof_age(&mut self) {
+    fn record_proof_age(&mut self) {
         self.oldest_proof = self.oldest_proof.max(self.proof_age().unwrap_or(0));
     }
 
@@ -186,7 +186,7 @@
             answer: None,
         };
         let confirmed = |age_ms| Proof::Confirmed { age_ms, config_revision: 7 };
-        let (after, proof, held) = match behaviour {
+        let (after, proof, applied_revision) = match behaviour {
             Behaviour::Frozen => return failure(call.timeout_ms),
             Behaviour::Unreachable => return failure(DIAL_MS),
             Behaviour::Refusing => return failure(1),
@@ -202,7 +202,7 @@
         }
         let answer = RenewalResponse {
             proof,
-            held_revision: held,
+            applied_revision,
             controllers: self.controllers.clone(),
             core_members: self.members.clone(),
         };
--- a/router/src/tests/subscription_storm.rs
+++ b/router/src/tests/subscription_storm.rs
@@ -46,7 +46,7 @@
     let controllers = names("k", CONTROLLERS);
     let router = |number: u64| {
         let mut world = World::with(make(&format!("edge-{number}"), &controllers), controllers.clone());
-        world.held = 0;
+        world.applied_revision = 0;
         world
     };
     let mut routers: Vec<World<P>> = (0..ROUTERS).map(router).collect();
@@ -57,7 +57,7 @@
         now += STEP_MS;
         assert!(now < begin + 120_000, "it ends");
         for router in &mut routers {
-            router.run_by_held(now, |controller, sent, held| {
+            router.run_by_revision(now, |controller, sent, held| {
                 if held > 0 {
                     return Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
                 }
@@ -90,7 +90,7 @@
 fn a_link_that_carries_slowly_gets_its_time() {
     let controllers = names("k", 3);
     let mut world = World::with(SubscriptionScheduler::new(budget(2000), "edge-1", "k0", &controllers), controllers);
-    world.held = 0;
+    world.applied_revision = 0;
     let begin = world.now;
     world.run(begin + 5600, |controller, _| match controller {
         "k0" => Behaviour::Healthy { answer_ms: 5500, age_ms: 100 },
--- a/router/src/upstream/probe_rate_tests.rs
+++ b/router/src/upstream/probe_rate_tests.rs
@@ -5,7 +5,8 @@
 use super::{is_sampled, probe_delay, reported_probe_delay, MAX_PROBE_INTERVAL_MS, PROBE_INTERVAL_MS};
 use crate::upstream::probe::PROBE_TIMEOUT_MS;
 
-/// Probes that all routers send to one engine that stays dark for ten seconds, once one of them has doubted it.
+/// Returns the number of probes that all routers send to an engine that is unresponsive for ten seconds, once one
+/// of them suspects it.
 fn probes(routers: u32) -> u64 {
     let mut rng = Rng::new(u64::from(routers));
     let mut count = 0;
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_false_alarm_is_short_and_few_routers_ask_as_before() {
+fn a_false_alarm_is_short_and_few_routers_all_probe() {
     assert_eq!(probe_delay(1, 1600, 7), PROBE_INTERVAL_MS);
     for routers in 1..=8 {
         assert!((225..=375).contains(&probe_delay(5, routers, u64::from(routers) * 31)), "{routers}");
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn many_routers_ask_a_dark_engine_hardly_more_often_than_few() {
+fn many_routers_probe_an_unresponsive_engine_hardly_more_often_than_few() {
     let few = probes(8);
     for many in [88, 300, 1600] {
         let probes = probes(many);
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn of_many_routers_some_are_always_drawn() {
+fn of_many_routers_some_are_always_sampled() {
     for routers in [88u64, 300, 1600] {
         let mut rng = Rng::new(routers);
         let drawn = || (0..routers).filter(|_| is_sampled(routers as u32, rng.next_u64())).count();
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -1,4 +1,4 @@
-//! Engines in doubt: who asks them, and whose word is taken.
+//! Suspected engines: which routers probe them, and which rely on reports.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
     engines[0].id.clone()
 }
 
-/// Is the engine left alone?
-fn is_left_alone(state: &State) -> bool {
+/// Returns whether the engine is avoided.
+fn is_avoided(state: &State) -> bool {
     state.engine_table.lock().engines[0].suspected_until > clock::now()
 }
 
@@ -28,7 +28,7 @@
     state.engine_table.lock().engines[0].is_probing
 }
 
-/// Until the asker has ended.
+/// Waits until the prober has ended.
 async fn probing_ended(state: &State) {
     let done = async {
         while is_probing(state) {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn words_are_read_as_they_were_written_and_the_plain_name_is_a_doubt() {
+fn reports_are_decoded_as_they_were_encoded_and_the_plain_id_is_a_suspicion() {
     for report in
         [SuspicionReport::Suspected("i-1"), SuspicionReport::Unresponsive("i-1"), SuspicionReport::Responded("i-1")]
     {
@@ -49,44 +49,44 @@
 }
 
 #[tokio::test]
-async fn what_others_found_dark_is_left_alone_without_asking_until_it_answers_one_of_them() {
+async fn an_engine_reported_unresponsive_is_avoided_unprobed_until_it_is_reported_to_respond() {
     let list = fleet().await;
     let state = router(&list);
     handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
-    assert!(is_left_alone(&state) && is_probing(&state));
+    assert!(is_avoided(&state) && is_probing(&state));
     handle_report(&state, &SuspicionReport::Responded(&id(&list)).encode());
     probing_ended(&state).await;
-    assert!(!is_left_alone(&state));
+    assert!(!is_avoided(&state));
     assert_eq!(list[0].probes(), 0, "nobody asked it");
 }
 
 #[tokio::test]
-async fn a_doubt_alone_stops_nothing_and_one_that_is_drawn_asks() {
+async fn a_suspicion_alone_stops_nothing_and_a_sampled_router_probes() {
     let list = fleet().await;
     let state = router(&list);
-    // A fleet of one: it is always drawn.
+    // The only router is always sampled.
     handle_report(&state, &SuspicionReport::Suspected(&id(&list)).encode());
-    assert!(!is_left_alone(&state), "not before somebody got no answer");
+    assert!(!is_avoided(&state), "not before somebody got no answer");
     probing_ended(&state).await;
-    assert!(!is_left_alone(&state));
+    assert!(!is_avoided(&state));
     assert_eq!(list[0].probes(), 1);
 }
 
 #[tokio::test]
-async fn one_that_was_only_told_asks_at_once_when_a_request_of_its_own_gets_no_sign_of_life() {
+async fn a_router_with_only_a_report_probes_at_once_when_its_own_request_gets_no_sign_of_life() {
     let list = fleet().await;
     let state = router(&list);
-    // Of a thousand routers each would else ask after many seconds.
+    // Of a thousand routers each would otherwise probe after many seconds.
     state.subscribed.lock().router_counts.push((clock::now(), 1000));
     handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
     raise(&state, 0);
     probing_ended(&state).await;
-    assert!(!is_left_alone(&state));
+    assert!(!is_avoided(&state));
     assert_eq!(list[0].probes(), 1, "asked, and it answered");
 }
 
 #[tokio::test]
-async fn an_answer_under_way_is_not_given_up_for_what_others_found() {
+async fn a_response_in_flight_is_not_given_up_because_of_a_report() {
     let list = fleet().await;
     let state = router(&list);
     handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
