--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -13,6 +13,11 @@
 use crate::event::{BAD_CONFIG, CONFIG};
 use crate::state::State;
 
+/// How many prefixes are registered again at once.
+const REGISTRATION_BATCH: usize = 100;
+/// The pause between two batches, in milliseconds.
+const REGISTRATION_PAUSE_MS: u64 = 50;
+
 /// Applies a whole configuration as text, from a controller that knows no other form.
 pub fn apply_document(state: &State, version: u64, text: &[u8]) {
     if version <= state.subscribed.lock().config_revision {
@@ -48,9 +53,9 @@
 /// Registers all known prefixes again, in batches: a new owner of the catalog starts empty.
 pub async fn reregister_prefixes(state: Arc<State>) {
     let entries = state.owner_cache.lock().entries(clock::now());
-    for batch in entries.chunks(100) {
+    for batch in entries.chunks(REGISTRATION_BATCH) {
         let list = batch.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
         state.prefix_catalog.register(list, Vec::new());
-        time::sleep(Duration::from_millis(50)).await;
+        time::sleep(Duration::from_millis(REGISTRATION_PAUSE_MS)).await;
     }
 }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -21,6 +21,9 @@
 /// How many requests may wait at once. Beyond them the outcome is uncertain without a wait.
 const MAX_WAITING: usize = 256;
 
+/// A request waits for a proof during this part of the time that it has left at most.
+const WAIT_DIVISOR: u64 = 3;
+
 /// Why the routing table has nothing for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupMiss {
@@ -126,7 +129,7 @@
     let freshness = &state.freshness;
     let Some(_waiting) = freshness.try_wait() else { return first };
     freshness.wanted.notify_one();
-    let wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / 3));
+    let wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / WAIT_DIVISOR));
     let end = Instant::now() + wait;
     loop {
         let changed = freshness.changed.notified();
--- a/router/src/config/routing_table.rs
+++ b/router/src/config/routing_table.rs
@@ -151,12 +151,8 @@
             next.remove(name);
         }
         for item in &change.routes {
-            let host: Arc<str> = item.hostname.to_ascii_lowercase().into();
-            next.names.insert(item.name.as_str().into(), host.clone());
             let durations = self.route(&item.name).map_or_else(Default::default, |held| held.durations.clone());
-            let list = next.hosts.entry(host).or_default();
-            list.push(Arc::new(Route { durations, ..route(item, engine_table) }));
-            list.sort_by_key(|route| Reverse(route.prefix.len()));
+            next.insert(&item.hostname, Route { durations, ..route(item, engine_table) });
         }
         for name in &change.removed_services {
             next.services.remove(&engine_table.service_index(name));
@@ -167,6 +163,15 @@
         Some(next)
     }
 
+    /// Inserts a route of a host. A route of the same name must have been removed before.
+    fn insert(&mut self, hostname: &str, route: Route) {
+        let host: Arc<str> = hostname.to_ascii_lowercase().into();
+        self.names.insert(route.name.as_str().into(), host.clone());
+        let list = self.hosts.entry(host).or_default();
+        list.push(Arc::new(route));
+        list.sort_by_key(|route| Reverse(route.prefix.len()));
+    }
+
     /// Removes a route.
     fn remove(&mut self, name: &str) {
         let Some(host) = self.names.remove(name) else { return };
--- a/router/src/config/tenants.rs
+++ b/router/src/config/tenants.rs
@@ -1,6 +1,7 @@
 //! The tenants of the configuration in force, indexed by the digests of their API keys.
 
 use std::collections::{BTreeMap, HashMap};
+use std::fmt;
 use std::sync::Arc;
 
 use http::HeaderValue;
@@ -22,8 +23,8 @@
     }
 }
 
-impl std::fmt::Debug for KeyDigest {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Debug for KeyDigest {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str("KeyDigest(..)")
     }
 }
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -100,6 +100,17 @@
     if let Some((version, text)) = &update.config {
         activation::apply_document(state, *version, text);
     }
+    apply_endpoint_lists(state, &update, now);
+    evacuation::apply(state, &update.evacuations);
+    apply_peers(state, update.peers, update.router_count, now);
+    if state.prefix_catalog.hold(update.catalog.0, &update.catalog.1, state.settings.peer_port()) {
+        kernel::log_event!(CATALOG, "epoch" => update.catalog.0, "holder" => update.catalog.1.clone());
+        tokio::spawn(activation::reregister_prefixes(state.clone()));
+    }
+}
+
+/// Applies the endpoint lists and the engines about to be reassigned, and forgets the prefixes of removed engines.
+fn apply_endpoint_lists(state: &State, update: &StateUpdate, now: u64) {
     let mut removed_engines = Vec::new();
     {
         let mut engine_table = state.engine_table.lock();
@@ -112,21 +123,21 @@
         let mut owner_cache = state.owner_cache.lock();
         removed_engines.iter().for_each(|engine| owner_cache.remove_engine(engine));
     }
-    evacuation::apply(state, &update.evacuations);
+}
+
+/// Applies the known controllers and the number of routers, both unless empty, and updates this router's share of
+/// the engines.
+fn apply_peers(state: &State, peers: Vec<String>, router_count: u32, now: u64) {
     {
         let mut subscribed = state.subscribed.lock();
-        if !update.peers.is_empty() {
-            subscribed.controllers = update.peers;
+        if !peers.is_empty() {
+            subscribed.controllers = peers;
         }
-        if update.router_count > 0 {
+        if router_count > 0 {
             subscribed.router_counts.retain(|(time, _)| now < time + ROUTER_COUNT_VALID_MS);
-            subscribed.router_counts.push((now, update.router_count));
+            subscribed.router_counts.push((now, router_count));
         }
     }
     let router_count = state.router_count();
     state.engine_table.lock().set_router(state.mark(), state.zone, router_count);
-    if state.prefix_catalog.hold(update.catalog.0, &update.catalog.1, state.settings.peer_port()) {
-        kernel::log_event!(CATALOG, "epoch" => update.catalog.0, "holder" => update.catalog.1.clone());
-        tokio::spawn(activation::reregister_prefixes(state.clone()));
-    }
 }
--- a/router/src/subscription/pacing.rs
+++ b/router/src/subscription/pacing.rs
@@ -14,6 +14,8 @@
 
 /// The number of attempts at the shortest gap; from then on each gap is twice the one before, up to the longest.
 const ATTEMPTS_BEFORE_BACKOFF: u32 = 6;
+/// How often a gap is doubled at most; keeps the shift in range.
+const MAX_GAP_DOUBLINGS: u32 = 16;
 /// A failed attempt costs nothing, so the gap after it is divided by this.
 const FAILED_DIVISOR: u64 = 4;
 
@@ -85,7 +87,7 @@
 
     /// Returns the gap after the last attempt, in milliseconds.
     fn gap(&self, budget: &ConvergenceBudget) -> u64 {
-        let doublings = self.attempts.saturating_sub(ATTEMPTS_BEFORE_BACKOFF).min(16);
+        let doublings = self.attempts.saturating_sub(ATTEMPTS_BEFORE_BACKOFF).min(MAX_GAP_DOUBLINGS);
         let gap = (budget.hedge_gap_ms() << doublings).min(budget.max_hedge_gap_ms());
         if self.last_attempt_failed && doublings == 0 {
             return gap / FAILED_DIVISOR;
--- a/router/src/upstream/probe.rs
+++ b/router/src/upstream/probe.rs
@@ -15,14 +15,26 @@
 /// How long a probe may take, in milliseconds.
 pub const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Probes an engine. `Some`: it responded, with its id where it gave one. `None`: no response in time.
-pub async fn probe(addr: &str) -> Option<Option<String>> {
+/// The response of an engine to a probe.
+pub struct ProbeResponse {
+    engine_id: Option<String>,
+}
+
+impl ProbeResponse {
+    /// Returns whether it may be a response of the engine with this id: it states that id, or none.
+    pub fn may_be_from(&self, id: &str) -> bool {
+        self.engine_id.as_ref().is_none_or(|engine_id| engine_id == id)
+    }
+}
+
+/// Probes the engine at an address. `None`: no response in time.
+pub async fn probe(addr: &str) -> Option<ProbeResponse> {
     let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
     time::timeout(wait, report(addr)).await.ok()?
 }
 
 /// Requests `GET /report` on a new connection.
-async fn report(addr: &str) -> Option<Option<String>> {
+async fn report(addr: &str) -> Option<ProbeResponse> {
     let stream = socket::connect(addr, PROBE_TIMEOUT_MS, IO_TIMEOUT_MS).await.ok()?;
     let io = TokioIo::new(stream);
     let (mut sender, conn) = http1::handshake(io).await.ok()?;
@@ -34,6 +46,6 @@
     request.headers_mut().insert(HOST, HeaderValue::from_str(addr).ok()?);
     request.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     let reply = sender.send_request(request).await.ok()?;
-    let name = reply.headers().get(INSTANCE_ID).and_then(|value| value.to_str().ok());
-    Some(name.map(str::to_string))
+    let engine_id = reply.headers().get(INSTANCE_ID).and_then(|value| value.to_str().ok());
+    Some(ProbeResponse { engine_id: engine_id.map(str::to_string) })
 }
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -17,7 +17,7 @@
 use crate::config::evacuation;
 use crate::event::STRIKE;
 use crate::state::State;
-use crate::upstream::probe::probe;
+use crate::upstream::probe::{probe, ProbeResponse};
 use crate::upstream::probe_rate::{is_sampled, probe_delay, reported_probe_delay, PROBE_JITTER_MS, SUSPICION_MS};
 use crate::upstream::suspicion_report::SuspicionReport;
 
@@ -71,13 +71,16 @@
     }
 }
 
-/// Waits until the next probe is due (`false`), or another router got a response (`true`).
-async fn wait_for_next_probe(state: &State, at: usize, wait_ms: u64) -> bool {
+/// Waits until `outcome` returns a value, which is returned, or the time is up (`false`). It is evaluated at once and
+/// after each notification.
+async fn wait_for(state: &State, at: usize, wait_ms: u64, outcome: impl Fn(&mut EngineState) -> Option<bool>) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
+        // Registered before the check, so that no notification in between is missed.
         let notified = state.suspicion_cleared.notified();
-        if mem::take(&mut state.engine_table.lock().engines[at].answered_elsewhere) {
-            return true;
+        let result = outcome(&mut state.engine_table.lock().engines[at]);
+        if let Some(result) = result {
+            return result;
         }
         if time::timeout_at(end, notified).await.is_err() {
             return false;
@@ -85,26 +88,21 @@
     }
 }
 
+/// Waits until the next probe is due (`false`), or another router got a response (`true`).
+async fn wait_for_next_probe(state: &State, at: usize, wait_ms: u64) -> bool {
+    wait_for(state, at, wait_ms, |engine| mem::take(&mut engine.answered_elsewhere).then_some(true)).await
+}
+
 /// Waits as `wait_for_next_probe` does, but also ends when a request of this router gets no sign of life either:
 /// then it probes for itself.
 async fn wait_on_report(state: &State, at: usize, wait_ms: u64) -> bool {
-    let end = Instant::now() + Duration::from_millis(wait_ms);
-    loop {
-        let notified = state.suspicion_cleared.notified();
-        {
-            let mut engine_table = state.engine_table.lock();
-            let engine = &mut engine_table.engines[at];
-            if mem::take(&mut engine.answered_elsewhere) {
-                return true;
-            }
-            if mem::take(&mut engine.is_unresponsive) {
-                return false;
-            }
-        }
-        if time::timeout_at(end, notified).await.is_err() {
-            return false;
+    let outcome = |engine: &mut EngineState| {
+        if mem::take(&mut engine.answered_elsewhere) {
+            return Some(true);
         }
-    }
+        mem::take(&mut engine.is_unresponsive).then_some(false)
+    };
+    wait_for(state, at, wait_ms, outcome).await
 }
 
 /// Sends a report to the home controller, which relays it.
@@ -147,60 +145,89 @@
     Unanswered { known: bool },
 }
 
-/// Probes an engine until it responds or is no longer listed.
+/// Probes an engine until it responds or is no longer listed, unless a report clears the suspicion first.
 async fn probe_until_response(state: Arc<State>, at: usize, reason: ProbeReason) {
     let started_at = clock::now();
-    let random = || next_random(&state);
     if reason == ProbeReason::Sampled {
-        time::sleep(Duration::from_millis(random() % PROBE_JITTER_MS)).await;
+        time::sleep(Duration::from_millis(next_random(&state) % PROBE_JITTER_MS)).await;
     }
-    if reason == ProbeReason::Reported
-        && wait_on_report(&state, at, reported_probe_delay(state.router_count(), random())).await
-    {
-        return accept_reported_response(&state, at, started_at);
+    if reason == ProbeReason::Reported {
+        let delay_ms = reported_probe_delay(state.router_count(), next_random(&state));
+        if wait_on_report(&state, at, delay_ms).await {
+            return accept_reported_response(&state, at, started_at);
+        }
     }
-    let (mut unanswered, mut response_reported) = (0u32, false);
-    loop {
-        let (addr, id) = {
-            let engine_table = state.engine_table.lock();
-            (engine_table.engines[at].address.clone(), engine_table.engines[at].id.clone())
-        };
-        let answer = probe(&addr).await;
-        let known = match record_probe(&state, at, &id, answer, started_at) {
-            ProbeOutcome::Finished => {
-                // A router that learned of the response from a report need not report it again.
-                let is_here = state.engine_table.lock().engines[at].listed;
-                if is_here && !response_reported && (unanswered > 0 || reason == ProbeReason::Reported) {
-                    send_report(&state, SuspicionReport::Responded(&id));
-                }
-                return;
-            }
-            ProbeOutcome::Unanswered { known } => known,
-        };
-        state.connection_pools.forget(&addr);
-        match reason {
-            ProbeReason::OwnRequest if unanswered < MAX_SUSPICION_REPORTS => {
-                send_report(&state, SuspicionReport::Suspected(&id))
+    let mut prober = Prober { state: &state, at, reason, started_at, unanswered: 0, response_reported: false };
+    prober.run().await;
+}
+
+/// The one prober of an engine.
+struct Prober<'a> {
+    state: &'a State,
+    at: usize,
+    reason: ProbeReason,
+    started_at: u64,
+    /// How many probes got no response.
+    unanswered: u32,
+    /// Whether another router reported a response while this one waited for its next probe.
+    response_reported: bool,
+}
+
+impl Prober<'_> {
+    /// Probes until the engine responds or is no longer listed.
+    async fn run(&mut self) {
+        loop {
+            let (address, id) = self.engine();
+            let response = probe(&address).await;
+            let outcome = record_probe(self.state, self.at, &id, response, self.started_at);
+            let ProbeOutcome::Unanswered { known } = outcome else { return self.report_response(&id) };
+            self.state.connection_pools.forget(&address);
+            self.report_silence(&id, known);
+            self.unanswered += 1;
+            let delay_ms = probe_delay(self.unanswered, self.state.router_count(), next_random(self.state));
+            self.response_reported = wait_for_next_probe(self.state, self.at, delay_ms).await;
+        }
+    }
+
+    /// Returns the address and the id that the engine has now.
+    fn engine(&self) -> (String, String) {
+        let engine_table = self.state.engine_table.lock();
+        let engine = &engine_table.engines[self.at];
+        (engine.address.clone(), engine.id.clone())
+    }
+
+    /// Reports a response to routers that know of the suspicion. One that was learned from a report need not be
+    /// reported again.
+    fn report_response(&self, id: &str) {
+        let is_listed = self.state.engine_table.lock().engines[self.at].listed;
+        let is_known = self.unanswered > 0 || self.reason == ProbeReason::Reported;
+        if is_listed && !self.response_reported && is_known {
+            send_report(self.state, SuspicionReport::Responded(id));
+        }
+    }
+
+    /// Reports that a probe got no response, where others need to know. `known`: it was suspected before.
+    fn report_silence(&self, id: &str, known: bool) {
+        match self.reason {
+            ProbeReason::OwnRequest if self.unanswered < MAX_SUSPICION_REPORTS => {
+                send_report(self.state, SuspicionReport::Suspected(id));
             }
-            ProbeReason::Sampled if unanswered == 0 && !known => {
-                send_report(&state, SuspicionReport::Unresponsive(&id))
+            ProbeReason::Sampled if self.unanswered == 0 && !known => {
+                send_report(self.state, SuspicionReport::Unresponsive(id));
             }
             _ => {}
         }
-        unanswered += 1;
-        response_reported =
-            wait_for_next_probe(&state, at, probe_delay(unanswered, state.router_count(), random())).await;
     }
 }
 
 /// Records the response of an engine, or its absence.
-fn record_probe(state: &State, at: usize, id: &str, answer: Option<Option<String>>, started_at: u64) -> ProbeOutcome {
+fn record_probe(state: &State, at: usize, id: &str, response: Option<ProbeResponse>, started_at: u64) -> ProbeOutcome {
     let now = clock::now();
     let mut engine_table = state.engine_table.lock();
     let engine = &mut engine_table.engines[at];
     let known = engine.suspected_until > now;
-    match answer {
-        Some(name) if name.as_ref().is_none_or(|name| name == id) => record_response(state, engine, now, started_at),
+    match response {
+        Some(response) if response.may_be_from(id) => record_response(state, engine, now, started_at),
         Some(_) => engine.retire(),
         None => engine.record_failure(now, SUSPICION_MS),
     }
