--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -16,8 +16,8 @@
     EvacuationState { zone: zone.into(), version, evacuated }
 }
 
-fn cold_until(state: &State, at: usize) -> u64 {
-    state.engine_table.lock().engines[at].cold_until
+fn cold_until(state: &State, engine_index: usize) -> u64 {
+    state.engine_table.lock().engines[engine_index].cold_until
 }
 
 #[tokio::test]
--- a/router/src/config/routing_table_tests.rs
+++ b/router/src/config/routing_table_tests.rs
@@ -52,7 +52,7 @@
         }
         let next = config(revision, &routes);
         table = table.apply(&ConfigUpdate::between(&current, &next), &mut engine_table).expect("in order");
-        let full = RoutingTable::default().apply(&ConfigUpdate::full(&next), &mut engine_table).expect("whole");
+        let full = RoutingTable::default().apply(&ConfigUpdate::full(&next), &mut engine_table).expect("full");
         for prefix in prefixes {
             let path = format!("{prefix}x");
             let seen = |table: &RoutingTable| {
@@ -71,7 +71,7 @@
     let (three, four) = (config(3, &FIRST[..2]), config(4, &FIRST[..1]));
     let gap = ConfigUpdate::between(&three, &four);
     assert!(table.apply(&gap, &mut engine_table).is_none(), "on top of 3, but 1 is held");
-    let later = table.apply(&ConfigUpdate::full(&four), &mut engine_table).expect("whole");
+    let later = table.apply(&ConfigUpdate::full(&four), &mut engine_table).expect("full");
     let back = ConfigUpdate::full(&three);
     assert!(later.apply(&back, &mut engine_table).is_none(), "it never goes back");
     assert!(later.apply(&gap, &mut engine_table).is_none(), "the same again");
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -43,9 +43,10 @@
     }
 
     /// Records the weight version that an engine was seen to have.
-    pub fn record_version(&self, at: usize, version: Option<u64>) {
+    pub fn record_version(&self, engine_index: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().engines[at].set_weight_version(self.request.model_key, Some(version));
+            self.state.engine_table.lock().engines[engine_index]
+                .set_weight_version(self.request.model_key, Some(version));
         }
     }
 
--- a/router/src/subscription/candidates.rs
+++ b/router/src/subscription/candidates.rs
@@ -129,7 +129,7 @@
 
     /// Returns whether `ip` stands before `other` in the router's own order and is not in backoff.
     pub fn is_nearer(&self, ip: &str, other: &str, now: u64) -> bool {
-        let position_of = |wanted: &str| self.order.iter().position(|ip| ip == wanted).unwrap_or(usize::MAX);
+        let position_of = |wanted_ip: &str| self.order.iter().position(|ip| ip == wanted_ip).unwrap_or(usize::MAX);
         !self.is_backed_off(ip, now) && position_of(ip) < position_of(other)
     }
 
@@ -140,20 +140,20 @@
 
     /// Begins or extends a backoff. A failure during one does not count as a repetition.
     pub fn back_off(&mut self, ip: &str, reason: BackoffReason, now: u64) {
-        let span = match reason {
+        let backoff_ms = match reason {
             BackoffReason::Unresponsive => UNRESPONSIVE_BACKOFF_MS,
             BackoffReason::Unproved => UNPROVED_BACKOFF_MS,
         };
         let Some(backoff) = self.backoffs.get_mut(ip) else {
-            self.backoffs.insert(ip.into(), Backoff { until: now + span, repetitions: 0 });
+            self.backoffs.insert(ip.into(), Backoff { until: now + backoff_ms, repetitions: 0 });
             return;
         };
         if now < backoff.until {
-            backoff.until = backoff.until.max(now + span);
+            backoff.until = backoff.until.max(now + backoff_ms);
             return;
         }
         backoff.repetitions = if now > backoff.until + BACKOFF_RESET_MS { 0 } else { backoff.repetitions + 1 };
-        backoff.until = now + (span << backoff.repetitions.min(MAX_DOUBLINGS));
+        backoff.until = now + (backoff_ms << backoff.repetitions.min(MAX_DOUBLINGS));
     }
 
     /// Ends a backoff because the controller gave a proof; its repetitions are remembered for a while.
--- a/router/src/subscription/driver_tests.rs
+++ b/router/src/subscription/driver_tests.rs
@@ -165,7 +165,7 @@
         controller.set(Manner::Confirming);
     }
     let text = answer.await.expect("it ends");
-    // No engine serves it here; what counts is that it is not taken for unknown.
+    // No engine serves it here; what counts is that the route is not reported as unknown.
     assert_ne!(status(&text), "404", "{text}");
     assert_eq!(state.table().revision, 8, "{text}");
     assert!(controllers.iter().map(Controller::calls).sum::<usize>() > calls);
--- a/router/src/subscription/scheduler.rs
+++ b/router/src/subscription/scheduler.rs
@@ -150,7 +150,7 @@
         self.patience_ms = next_patience(self.patience_ms, Outcome::Responded);
         self.candidates.update(&response.controllers, &response.core_members);
         if self.applied_revision == 0 && response.applied_revision > 0 {
-            // Nobody else need go on sending the whole configuration.
+            // No other controller needs to continue sending the whole configuration.
             self.open_calls.clear();
         }
         self.applied_revision = response.applied_revision;
--- a/router/src/subscription/scheduler_calls_tests.rs
+++ b/router/src/subscription/scheduler_calls_tests.rs
@@ -38,7 +38,7 @@
                 proved = world.policy.current_as_of();
             }
             let budget = budget(converge_ms);
-            // Renewals while unready, recalls, two asked a gap, and the nearer one.
+            // Renewals while unready, early renewals, two hedged calls a gap, and the nearer controller.
             let renewals = 4 * 1000 / budget.renewal_interval_ms() + 2;
             let others = 4 * (1000 / budget.hedge_gap_ms() + 1);
             let most = world.most_calls_within(1000, 0) as u64;
@@ -71,11 +71,11 @@
 #[test]
 fn requests_that_wait_for_a_proof_cause_no_flood_of_calls() {
     for converge_ms in CONVERGE_MS {
-        let count = |wanted: bool| {
+        let count = |proof_requested: bool| {
             let mut world = World::new(converge_ms, CONTROLLERS);
             world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
             for now in WARMED_UP_AT..WARMED_UP_AT + 20_000 {
-                if wanted {
+                if proof_requested {
                     world.policy.request_proof();
                 }
                 world.run(now, |_, _| Behaviour::UnconfirmedSince(WARMED_UP_AT));
@@ -110,7 +110,7 @@
     );
     assert_eq!(world.policy.current_as_of(), Some(again.at as i64 - 100));
     assert!(before < world.policy.current_as_of());
-    // One whose frames are lost for good is called no faster than others would be asked.
+    // One whose frames are always lost is called no more often than hedged calls would be made.
     world.run(20_000, |_, _| Behaviour::LosingFrames { answer_ms: 5 });
     let most = world.most_calls_within(1000, lost_at) as u64;
     assert!(most <= 2 * 1000 / budget(2000).hedge_gap_ms() + 2, "{most}");
--- a/router/src/subscription/scheduler_tests.rs
+++ b/router/src/subscription/scheduler_tests.rs
@@ -1,4 +1,4 @@
-//! How long what is held may go without a proof, whatever happens to the controllers that are asked.
+//! How old the proof of the configuration becomes at most, whatever faults the controllers have.
 
 use kernel::settings::Bounds;
 use kernel::{hashing, Rng};
@@ -32,7 +32,7 @@
     let mut rng = Rng::new(seed);
     let begin = WARMED_UP_AT + rng.below(1000);
     world.run(begin, |_, _| healthy(&mut rng, converge_ms));
-    assert!(world.proof_age().is_some(), "settled by then");
+    assert!(world.proof_age().is_some(), "warmed up by then");
     world.oldest_proof = 0;
     let mut faulty: Vec<String> = Vec::new();
     world.run(END, |controller, _| {
@@ -77,8 +77,8 @@
     }
 }
 
-/// A settled router is cut off for a while; of those that it turns to afterwards the first are frozen. How old
-/// the proof is at the time from which it counts as in touch again.
+/// Returns how old the proof is when a router counts as in contact again: it was partitioned for a while, and the
+/// first controllers that it calls afterwards are frozen.
 fn proof_age_once_in_touch<P: Policy>(mut world: World<P>, partition_ms: u64, faulty: usize) -> i64 {
     world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
     let healed = WARMED_UP_AT + partition_ms;
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -47,25 +47,25 @@
 /// Handles a report about an engine that a controller relayed.
 pub fn handle_report(state: &Arc<State>, name: &str) {
     let report = SuspicionReport::decode(name);
-    let Some(at) = state.engine_table.lock().find(report.engine()) else { return };
+    let Some(engine_index) = state.engine_table.lock().find(report.engine()) else { return };
     match report {
         SuspicionReport::Responded(_) => {
-            state.engine_table.lock().engines[at].answered_elsewhere = true;
+            state.engine_table.lock().engines[engine_index].answered_elsewhere = true;
             state.suspicion_cleared.notify_waiters();
         }
         SuspicionReport::Unresponsive(_) => {
             let now = clock::now();
             {
                 let mut engine_table = state.engine_table.lock();
-                let engine = &mut engine_table.engines[at];
+                let engine = &mut engine_table.engines[engine_index];
                 // New requests avoid it; responses in flight are not affected by what other routers saw.
                 engine.suspected_until = engine.suspected_until.max(now + SUSPICION_MS);
             }
-            start_probing(state, at, ProbeReason::Reported);
+            start_probing(state, engine_index, ProbeReason::Reported);
         }
         SuspicionReport::Suspected(_) => {
             if is_sampled(state.router_count(), next_random(state)) {
-                start_probing(state, at, ProbeReason::Sampled);
+                start_probing(state, engine_index, ProbeReason::Sampled);
             }
         }
     }
@@ -73,12 +73,17 @@
 
 /// Waits until `outcome` returns a value, which is returned, or the time is up (`false`). It is evaluated at once and
 /// after each notification.
-async fn wait_for(state: &State, at: usize, wait_ms: u64, outcome: impl Fn(&mut EngineState) -> Option<bool>) -> bool {
+async fn wait_for(
+    state: &State,
+    engine_index: usize,
+    wait_ms: u64,
+    outcome: impl Fn(&mut EngineState) -> Option<bool>,
+) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         // Registered before the check, so that no notification in between is missed.
         let notified = state.suspicion_cleared.notified();
-        let result = outcome(&mut state.engine_table.lock().engines[at]);
+        let result = outcome(&mut state.engine_table.lock().engines[engine_index]);
         if let Some(result) = result {
             return result;
         }
@@ -89,20 +94,20 @@
 }
 
 /// Waits until the next probe is due (`false`), or another router got a response (`true`).
-async fn wait_for_next_probe(state: &State, at: usize, wait_ms: u64) -> bool {
-    wait_for(state, at, wait_ms, |engine| mem::take(&mut engine.answered_elsewhere).then_some(true)).await
+async fn wait_for_next_probe(state: &State, engine_index: usize, wait_ms: u64) -> bool {
+    wait_for(state, engine_index, wait_ms, |engine| mem::take(&mut engine.answered_elsewhere).then_some(true)).await
 }
 
 /// Waits as `wait_for_next_probe` does, but also ends when a request of this router gets no sign of life either:
 /// then it probes for itself.
-async fn wait_on_report(state: &State, at: usize, wait_ms: u64) -> bool {
+async fn wait_on_report(state: &State, engine_index: usize, wait_ms: u64) -> bool {
     let outcome = |engine: &mut EngineState| {
         if mem::take(&mut engine.answered_elsewhere) {
             return Some(true);
         }
         mem::take(&mut engine.is_unresponsive).then_some(false)
     };
-    wait_for(state, at, wait_ms, outcome).await
+    wait_for(state, engine_index, wait_ms, outcome).await
 }
 
 /// Sends a report to the home controller, which relays it.
@@ -115,26 +120,28 @@
 
 /// Raises a suspicion because a request got no sign of life: the engine is probed until it responds or is no longer
 /// listed.
-pub fn raise(state: &Arc<State>, at: usize) {
-    if let Some(engine) = state.engine_table.lock().engines.get_mut(at) {
+pub fn raise(state: &Arc<State>, engine_index: usize) {
+    if let Some(engine) = state.engine_table.lock().engines.get_mut(engine_index) {
         engine.is_unresponsive = true;
     }
     state.suspicion_cleared.notify_waiters();
-    start_probing(state, at, ProbeReason::OwnRequest);
+    start_probing(state, engine_index, ProbeReason::OwnRequest);
 }
 
 /// Starts a prober unless the engine has one.
-fn start_probing(state: &Arc<State>, at: usize, reason: ProbeReason) {
+fn start_probing(state: &Arc<State>, engine_index: usize, reason: ProbeReason) {
     {
         let mut engine_table = state.engine_table.lock();
-        let Some(engine) = engine_table.engines.get_mut(at).filter(|engine| engine.listed && !engine.is_probing) else {
+        let Some(engine) =
+            engine_table.engines.get_mut(engine_index).filter(|engine| engine.listed && !engine.is_probing)
+        else {
             return;
         };
         engine.is_probing = true;
         engine.answered_elsewhere = false;
         engine.is_unresponsive = false;
     }
-    tokio::spawn(probe_until_response(state.clone(), at, reason));
+    tokio::spawn(probe_until_response(state.clone(), engine_index, reason));
 }
 
 /// The outcome of one probe.
@@ -146,25 +153,26 @@
 }
 
 /// Probes an engine until it responds or is no longer listed, unless a report clears the suspicion first.
-async fn probe_until_response(state: Arc<State>, at: usize, reason: ProbeReason) {
+async fn probe_until_response(state: Arc<State>, engine_index: usize, reason: ProbeReason) {
     let started_at = clock::now();
     if reason == ProbeReason::Sampled {
         time::sleep(Duration::from_millis(next_random(&state) % PROBE_JITTER_MS)).await;
     }
     if reason == ProbeReason::Reported {
         let delay_ms = reported_probe_delay(state.router_count(), next_random(&state));
-        if wait_on_report(&state, at, delay_ms).await {
-            return accept_reported_response(&state, at, started_at);
+        if wait_on_report(&state, engine_index, delay_ms).await {
+            return accept_reported_response(&state, engine_index, started_at);
         }
     }
-    let mut prober = Prober { state: &state, at, reason, started_at, unanswered: 0, response_reported: false };
+    let mut prober =
+        Prober { state: &state, engine_index, reason, started_at, unanswered: 0, response_reported: false };
     prober.run().await;
 }
 
 /// The one prober of an engine.
 struct Prober<'a> {
     state: &'a State,
-    at: usize,
+    engine_index: usize,
     reason: ProbeReason,
     started_at: u64,
     /// How many probes got no response.
@@ -179,27 +187,27 @@
         loop {
             let (address, id) = self.engine();
             let response = probe(&address).await;
-            let outcome = record_probe(self.state, self.at, &id, response, self.started_at);
+            let outcome = record_probe(self.state, self.engine_index, &id, response, self.started_at);
             let ProbeOutcome::Unanswered { known } = outcome else { return self.report_response(&id) };
             self.state.connection_pools.forget(&address);
             self.report_silence(&id, known);
             self.unanswered += 1;
             let delay_ms = probe_delay(self.unanswered, self.state.router_count(), next_random(self.state));
-            self.response_reported = wait_for_next_probe(self.state, self.at, delay_ms).await;
+            self.response_reported = wait_for_next_probe(self.state, self.engine_index, delay_ms).await;
         }
     }
 
     /// Returns the address and the id that the engine has now.
     fn engine(&self) -> (String, String) {
         let engine_table = self.state.engine_table.lock();
-        let engine = &engine_table.engines[self.at];
+        let engine = &engine_table.engines[self.engine_index];
         (engine.address.clone(), engine.id.clone())
     }
 
     /// Reports a response to routers that know of the suspicion. One that was learned from a report need not be
     /// reported again.
     fn report_response(&self, id: &str) {
-        let is_listed = self.state.engine_table.lock().engines[self.at].listed;
+        let is_listed = self.state.engine_table.lock().engines[self.engine_index].listed;
         let is_known = self.unanswered > 0 || self.reason == ProbeReason::Reported;
         if is_listed && !self.response_reported && is_known {
             send_report(self.state, SuspicionReport::Responded(id));
@@ -221,10 +229,16 @@
 }
 
 /// Records the response of an engine, or its absence.
-fn record_probe(state: &State, at: usize, id: &str, response: Option<ProbeResponse>, started_at: u64) -> ProbeOutcome {
+fn record_probe(
+    state: &State,
+    engine_index: usize,
+    id: &str,
+    response: Option<ProbeResponse>,
+    started_at: u64,
+) -> ProbeOutcome {
     let now = clock::now();
     let mut engine_table = state.engine_table.lock();
-    let engine = &mut engine_table.engines[at];
+    let engine = &mut engine_table.engines[engine_index];
     let known = engine.suspected_until > now;
     match response {
         Some(response) if response.may_be_from(id) => record_response(state, engine, now, started_at),
@@ -251,9 +265,9 @@
 
 /// Clears the suspicion because another router got a response and this one has no evidence of its own against the
 /// engine.
-fn accept_reported_response(state: &State, at: usize, started_at: u64) {
+fn accept_reported_response(state: &State, engine_index: usize, started_at: u64) {
     let mut engine_table = state.engine_table.lock();
-    let engine = &mut engine_table.engines[at];
+    let engine = &mut engine_table.engines[engine_index];
     engine.is_probing = false;
     record_response(state, engine, clock::now(), started_at);
 }
