--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -67,16 +67,16 @@
             .collect(),
         list_versions,
         in_flight,
-        frontend_address: state
-            .settings
-            .bind_addresses
-            .frontend
-            .clone()
-            .filter(|_| !state.is_leaving())
-            .unwrap_or_default(),
+        frontend_address: frontend_address(state),
     }
 }
 
+/// Returns where clients reach this router; empty without such an address and during the shutdown.
+fn frontend_address(state: &State) -> String {
+    let address = state.settings.bind_addresses.frontend.clone();
+    address.filter(|_| !state.is_leaving()).unwrap_or_default()
+}
+
 /// Returns whether the router is ready: once the configuration is proved to be current and every zone is listed,
 /// and from then on until it shuts down.
 pub fn update_readiness(state: &State) -> bool {
--- a/router/src/subscription/links.rs
+++ b/router/src/subscription/links.rs
@@ -103,17 +103,25 @@
                 Some(msg) = self.push_receiver.recv() => return Event::Pushed(msg),
                 Some(ended) = self.calls.join_next() => {
                     let Ok(finished) = ended else { continue };
-                    let link = self.open_links.get_mut(&finished.controller);
-                    let current = |link: &&mut Link| link.call.as_ref().is_some_and(|call| call.0 == finished.sequence);
-                    let Some(link) = link.filter(current) else { continue };
-                    link.call = None;
-                    return Event::CallFinished(finished);
+                    if self.end_call(&finished) {
+                        return Event::CallFinished(finished);
+                    }
                 }
                 else => future::pending::<()>().await,
             }
         }
     }
 
+    /// Marks the connection of a call as free, and returns whether the call was still the current one there.
+    fn end_call(&mut self, finished: &FinishedCall) -> bool {
+        let Some(link) = self.open_links.get_mut(&finished.controller) else { return false };
+        let is_current = link.call.as_ref().is_some_and(|call| call.0 == finished.sequence);
+        if is_current {
+            link.call = None;
+        }
+        is_current
+    }
+
     /// Returns whether further pushes may have been dropped because the queue was full. Meant to be called after
     /// each push.
     pub fn may_have_dropped(&self) -> bool {
--- a/router/src/testing/engine.rs
+++ b/router/src/testing/engine.rs
@@ -196,26 +196,34 @@
         }
         let request = Seen { connection, head, body };
         seen.lock().push(request.clone());
-        match script(&request) {
-            Act::Send(text) => {
-                let _ = stream.write_all(text.as_bytes()).await;
-            }
-            Act::SendAndClose(text) => {
-                let _ = stream.write_all(text.as_bytes()).await;
-                return true;
-            }
-            Act::SendAndReset(text) => {
-                let _ = stream.write_all(text.as_bytes()).await;
-                let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-                return true;
-            }
-            Act::SendAndLater(text, when, later) => {
-                let _ = stream.write_all(text.as_bytes()).await;
-                when.notified().await;
-                let _ = stream.write_all(later.as_bytes()).await;
-            }
-            Act::Silence => {}
+        if !perform(&mut stream, script(&request)).await {
+            return true;
+        }
+    }
+    true
+}
+
+/// Does what the script says, and returns whether the connection stays open.
+async fn perform(stream: &mut TcpStream, act: Act) -> bool {
+    match act {
+        Act::Send(text) => {
+            let _ = stream.write_all(text.as_bytes()).await;
+        }
+        Act::SendAndClose(text) => {
+            let _ = stream.write_all(text.as_bytes()).await;
+            return false;
+        }
+        Act::SendAndReset(text) => {
+            let _ = stream.write_all(text.as_bytes()).await;
+            let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
+            return false;
+        }
+        Act::SendAndLater(text, when, later) => {
+            let _ = stream.write_all(text.as_bytes()).await;
+            when.notified().await;
+            let _ = stream.write_all(later.as_bytes()).await;
         }
+        Act::Silence => {}
     }
     true
 }
