--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -1,13 +1,13 @@
-//! One send to one engine: what came of it is a value that says whether it may have run.
+//! Sends a request to one engine over a pooled connection.
+//!
+//! The outcome says whether the engine may have executed the request, since that decides about retries.
 
 use std::time::Duration;
 
-use bytes::{Bytes, BytesMut};
-use http::header::{HOST, TRANSFER_ENCODING};
-use http::response::Parts;
-use http::{HeaderMap, HeaderValue, Method};
+use bytes::Bytes;
+use http::header::HOST;
+use http::{HeaderValue, Method};
 use http_body_util::Full;
-use hyper::body::Incoming;
 use kernel::clock;
 use load_balancing::StalenessBound;
 use protocol::headers::{
@@ -18,55 +18,51 @@
 use crate::event::RESPONSE_MISMATCHED;
 use crate::frontend::request;
 use crate::kv::kv_handle::KvHandle;
+use crate::proxy::engine_response::{self, EngineResponse};
 use crate::proxy::response_head::{self, Classification, Expectation};
 use crate::state::State;
-use crate::upstream::connection_pool::{self, Connection, Endpoint, SendError};
+use crate::upstream::connection_pool::{Connection, Endpoint, SendError};
 
-pub struct EngineResponse {
-    pub head: Parts,
-    pub body: Incoming,
-    pub connection: Connection,
-}
+/// How long freeing a KV cache may take.
+const FREE_HANDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// What came of one send.
 pub enum SendOutcome {
+    /// The engine executed the request and responds.
     Response(Box<EngineResponse>),
-    /// Nothing of it reached the engine.
+    /// Nothing of the request reached the engine.
     Unsent(SendError),
-    /// The engine says that it has not run.
+    /// The engine says that it has not executed the request.
     NotExecuted,
-    /// It has not run, and the address is another engine's.
+    /// Not executed: the address belongs to another engine.
     OtherEngine,
-    /// It has not run, since its weights have another version: this one, where it said so.
+    /// Not executed: its weights have another version, this one where it said so.
     OtherVersion(Option<u64>),
-    /// It may have run.
+    /// The request may have been executed, and there is no response to forward.
     Lost,
 }
 
-/// What is set on a send besides the client's own headers.
+/// What a send sets besides the client's own headers.
 #[derive(Default)]
 pub struct SendOptions {
+    /// Time that the engine has, in milliseconds.
     pub time_budget_ms: u64,
+    /// Whether the engine only prefills the prompt.
     pub is_prefill: bool,
+    /// Address and KV handle from which the engine fetches the KV cache.
     pub kv_source: Option<String>,
+    /// The event after which a stream is resumed.
     pub last_event_id: Option<HeaderValue>,
+    /// Urgency class; smaller goes first.
     pub urgency: Option<u32>,
-    /// The version that its weights must have.
+    /// The version that the engine's weights must have.
     pub expected_version: Option<u64>,
-    /// The route, where a limit on stale weights binds it.
+    /// Name of the route, where it has a staleness limit.
     pub bounded_route: Option<String>,
 }
 
-impl EngineResponse {
-    /// Does the end of its body show whether it is whole? Where nothing frames it, a break looks like the end.
-    pub fn is_framed(&self) -> bool {
-        use hyper::body::Body;
-        self.body.is_end_stream()
-            || self.body.size_hint().exact().is_some()
-            || self.head.headers.contains_key(TRANSFER_ENCODING)
-    }
-}
-
-/// Immediately before a send: does what is expected of the engine still satisfy the limit?
+/// Returns whether the expected weight version still satisfies the staleness limit, which may have changed since the
+/// engine was selected.
 fn satisfies_bound(state: &State, service: u32, model: &str, options: &SendOptions) -> bool {
     let Some(route) = &options.bounded_route else { return true };
     let bound = state.staleness_bounds().bound_for(service, model, route, clock::now());
@@ -77,6 +73,7 @@
     }
 }
 
+/// Returns the request as it is sent to an engine.
 fn build_request(request: &request::Request, engine: &str, options: &SendOptions) -> http::Request<Full<Bytes>> {
     let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
@@ -108,7 +105,25 @@
     outgoing
 }
 
-/// `silence_ms`: how long the head of the answer may take.
+/// A connection to send on.
+struct PooledConnection {
+    connection: Connection,
+    /// Whether it was dialled for this send.
+    is_new: bool,
+}
+
+/// Takes an idle connection from the pool, or dials one.
+async fn connect(state: &State, endpoint: &Endpoint, max_connections: usize) -> Result<PooledConnection, SendError> {
+    if let Some(connection) = state.connection_pools.take_idle(endpoint) {
+        return Ok(PooledConnection { connection, is_new: false });
+    }
+    let connection = state.connection_pools.dial(endpoint, max_connections).await?;
+    state.metrics.engine_connections.inc();
+    Ok(PooledConnection { connection, is_new: true })
+}
+
+/// Sends the request to one engine. The head of the response may take `timeout_ms`; a connection that turns out to have
+/// ended before anything was written is replaced by the next.
 pub async fn send(
     state: &State,
     request: &request::Request,
@@ -121,15 +136,9 @@
     let mut outgoing = build_request(request, &endpoint.engine, options);
     let deadline = Instant::now() + Duration::from_millis(timeout_ms);
     loop {
-        let (mut connection, is_new) = match state.connection_pools.take_idle(endpoint) {
-            Some(connection) => (connection, false),
-            None => match state.connection_pools.dial(endpoint, max_connections).await {
-                Ok(connection) => {
-                    state.metrics.engine_connections.inc();
-                    (connection, true)
-                }
-                Err(error) => return SendOutcome::Unsent(error),
-            },
+        let PooledConnection { mut connection, is_new } = match connect(state, endpoint, max_connections).await {
+            Ok(connected) => connected,
+            Err(error) => return SendOutcome::Unsent(error),
         };
         if !satisfies_bound(state, service, &request.model, options) {
             return SendOutcome::Unsent(SendError::TooStale);
@@ -155,7 +164,8 @@
     }
 }
 
-/// What an answer comes to. One that is not passed on is read to its end, so that its connection is of use again.
+/// Returns the outcome that a response stands for. One that is not forwarded is read to its end, so that its connection
+/// can be used again.
 async fn classify_response(
     state: &State,
     request: &request::Request,
@@ -180,52 +190,11 @@
         Classification::OtherEngine => SendOutcome::OtherEngine,
         Classification::OtherVersion(version) => SendOutcome::OtherVersion(version),
     };
-    drain_body(state, endpoint, response).await;
+    engine_response::drain_body(state, endpoint, response).await;
     outcome
 }
 
-/// Reads the rest of an answer that nobody needs and takes the connection back.
-pub async fn drain_body(state: &State, endpoint: &Endpoint, response: EngineResponse) {
-    let _ = read_body(state, endpoint, response, 64 * 1024, 200).await;
-}
-
-/// Reads a small answer whole.
-pub async fn read_body(
-    state: &State,
-    endpoint: &Endpoint,
-    response: EngineResponse,
-    max_bytes: usize,
-    timeout_ms: u64,
-) -> Option<Bytes> {
-    use http_body_util::BodyExt;
-    let is_framed = response.is_framed();
-    let EngineResponse { head, mut body, connection } = response;
-    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
-    let mut buffer = BytesMut::new();
-    while let Some(frame) = time::timeout_at(deadline, body.frame()).await.ok()? {
-        if let Ok(data) = frame.ok()?.into_data() {
-            buffer.extend_from_slice(&data);
-        }
-        if buffer.len() > max_bytes {
-            return None;
-        }
-    }
-    return_connection(state, endpoint, &head.headers, connection).await;
-    is_framed.then(|| buffer.freeze())
-}
-
-/// A connection whose answer was read to its end.
-pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
-    if connection_pool::requests_close(head) {
-        return;
-    }
-    let ready = time::timeout(Duration::from_millis(20), connection.ready()).await;
-    if matches!(ready, Ok(Ok(()))) {
-        state.connection_pools.release(endpoint, connection, connection_pool::keep_alive_seconds(head));
-    }
-}
-
-/// Gives the memory of a handle free; tried once, since it lapses by itself.
+/// Frees the KV cache that a handle stands for. Tried once, since the handle expires by itself.
 pub async fn free_kv_handle(state: &State, handle: &KvHandle, max_connections: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
@@ -241,12 +210,12 @@
             Err(_) => return,
         },
     };
-    let wait = Duration::from_millis(500);
-    let Ok(Ok(response)) = time::timeout(wait, connection.send_request(outgoing)).await else { return };
+    let sent = time::timeout(FREE_HANDLE_TIMEOUT, connection.send_request(outgoing)).await;
+    let Ok(Ok(response)) = sent else { return };
     let (head, body) = response.into_parts();
     if !response_head::matches_attempt(&head.headers, None) {
-        // Another outgoing's: the answer to this one would be the next that comes.
+        // The response to another request: that to this one would be the next, so the connection is dropped.
         return;
     }
-    drain_body(state, &handle.endpoint, EngineResponse { head, body, connection }).await;
+    engine_response::drain_body(state, &handle.endpoint, EngineResponse { head, body, connection }).await;
 }
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -17,7 +17,7 @@
 use crate::config::evacuation;
 use crate::event::ENGINE_UNRESPONSIVE;
 use crate::state::State;
-use crate::upstream::probe::probe;
+use crate::upstream::probe::{probe, ProbeResponse};
 use crate::upstream::probe_rate::{is_sampled, probe_delay, reported_probe_delay, PROBE_JITTER_MS, SUSPICION_MS};
 use crate::upstream::suspicion_report::SuspicionReport;
 
@@ -47,37 +47,45 @@
 /// Handles a report about an engine that a controller relayed.
 pub fn handle_report(state: &Arc<State>, name: &str) {
     let report = SuspicionReport::decode(name);
-    let Some(at) = state.engines().find(report.engine()) else { return };
+    let Some(engine_index) = state.engines().find(report.engine()) else { return };
     match report {
         SuspicionReport::Responded(_) => {
-            state.engines().engines[at].answered_elsewhere = true;
+            state.engines().engines[engine_index].answered_elsewhere = true;
             state.suspicion_cleared.notify_waiters();
         }
         SuspicionReport::Unresponsive(_) => {
             let now = clock::now();
             {
                 let mut engine_table = state.engines();
-                let engine = &mut engine_table.engines[at];
+                let engine = &mut engine_table.engines[engine_index];
                 // New requests avoid it; responses in flight are not affected by what other routers saw.
                 engine.suspected_until = engine.suspected_until.max(now + SUSPICION_MS);
             }
-            start_probing(state, at, ProbeReason::Reported);
+            start_probing(state, engine_index, ProbeReason::Reported);
         }
         SuspicionReport::Suspected(_) => {
             if is_sampled(state.router_count(), next_random(state)) {
-                start_probing(state, at, ProbeReason::Sampled);
+                start_probing(state, engine_index, ProbeReason::Sampled);
             }
         }
     }
 }
 
-/// Waits until the next probe is due (`false`), or another router got a response (`true`).
-async fn wait_for_next_probe(state: &State, at: usize, wait_ms: u64) -> bool {
+/// Waits until `outcome` returns a value, which is returned, or the time is up (`false`). It is evaluated at once and
+/// after each notification.
+async fn wait_for(
+    state: &State,
+    engine_index: usize,
+    wait_ms: u64,
+    outcome: impl Fn(&mut EngineState) -> Option<bool>,
+) -> bool {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
+        // Registered before the check, so that no notification in between is missed.
         let notified = state.suspicion_cleared.notified();
-        if mem::take(&mut state.engines().engines[at].answered_elsewhere) {
-            return true;
+        let result = outcome(&mut state.engines().engines[engine_index]);
+        if let Some(result) = result {
+            return result;
         }
         if time::timeout_at(end, notified).await.is_err() {
             return false;
@@ -85,26 +93,21 @@
     }
 }
 
+/// Waits until the next probe is due (`false`), or another router got a response (`true`).
+async fn wait_for_next_probe(state: &State, engine_index: usize, wait_ms: u64) -> bool {
+    wait_for(state, engine_index, wait_ms, |engine| mem::take(&mut engine.answered_elsewhere).then_some(true)).await
+}
+
 /// Waits as `wait_for_next_probe` does, but also ends when a request of this router gets no sign of life either:
 /// then it probes for itself.
-async fn wait_on_report(state: &State, at: usize, wait_ms: u64) -> bool {
-    let end = Instant::now() + Duration::from_millis(wait_ms);
-    loop {
-        let notified = state.suspicion_cleared.notified();
-        {
-            let mut engine_table = state.engines();
-            let engine = &mut engine_table.engines[at];
-            if mem::take(&mut engine.answered_elsewhere) {
-                return true;
-            }
-            if mem::take(&mut engine.is_unresponsive) {
-                return false;
-            }
-        }
-        if time::timeout_at(end, notified).await.is_err() {
-            return false;
+async fn wait_on_report(state: &State, engine_index: usize, wait_ms: u64) -> bool {
+    let outcome = |engine: &mut EngineState| {
+        if mem::take(&mut engine.answered_elsewhere) {
+            return Some(true);
         }
-    }
+        mem::take(&mut engine.is_unresponsive).then_some(false)
+    };
+    wait_for(state, engine_index, wait_ms, outcome).await
 }
 
 /// Sends a report to the home controller, which relays it.
@@ -117,26 +120,28 @@
 
 /// Raises a suspicion because a request got no sign of life: the engine is probed until it responds or is no longer
 /// listed.
-pub fn raise(state: &Arc<State>, at: usize) {
-    if let Some(engine) = state.engines().engines.get_mut(at) {
+pub fn raise(state: &Arc<State>, engine_index: usize) {
+    if let Some(engine) = state.engines().engines.get_mut(engine_index) {
         engine.is_unresponsive = true;
     }
     state.suspicion_cleared.notify_waiters();
-    start_probing(state, at, ProbeReason::OwnRequest);
+    start_probing(state, engine_index, ProbeReason::OwnRequest);
 }
 
 /// Starts a prober unless the engine has one.
-fn start_probing(state: &Arc<State>, at: usize, reason: ProbeReason) {
+fn start_probing(state: &Arc<State>, engine_index: usize, reason: ProbeReason) {
     {
         let mut engine_table = state.engines();
-        let Some(engine) = engine_table.engines.get_mut(at).filter(|engine| engine.listed && !engine.is_probing) else {
+        let Some(engine) =
+            engine_table.engines.get_mut(engine_index).filter(|engine| engine.listed && !engine.is_probing)
+        else {
             return;
         };
         engine.is_probing = true;
         engine.answered_elsewhere = false;
         engine.is_unresponsive = false;
     }
-    tokio::spawn(probe_until_response(state.clone(), at, reason));
+    tokio::spawn(probe_until_response(state.clone(), engine_index, reason));
 }
 
 /// The outcome of one probe.
@@ -147,60 +152,96 @@
     Unanswered { known: bool },
 }
 
-/// Probes an engine until it responds or is no longer listed.
-async fn probe_until_response(state: Arc<State>, at: usize, reason: ProbeReason) {
+/// Probes an engine until it responds or is no longer listed, unless a report clears the suspicion first.
+async fn probe_until_response(state: Arc<State>, engine_index: usize, reason: ProbeReason) {
     let started_at = clock::now();
-    let random = || next_random(&state);
     if reason == ProbeReason::Sampled {
-        time::sleep(Duration::from_millis(random() % PROBE_JITTER_MS)).await;
+        time::sleep(Duration::from_millis(next_random(&state) % PROBE_JITTER_MS)).await;
     }
-    if reason == ProbeReason::Reported
-        && wait_on_report(&state, at, reported_probe_delay(state.router_count(), random())).await
-    {
-        return accept_reported_response(&state, at, started_at);
+    if reason == ProbeReason::Reported {
+        let delay_ms = reported_probe_delay(state.router_count(), next_random(&state));
+        if wait_on_report(&state, engine_index, delay_ms).await {
+            return accept_reported_response(&state, engine_index, started_at);
+        }
     }
-    let (mut unanswered, mut response_reported) = (0u32, false);
-    loop {
-        let (addr, id) = {
-            let engine_table = state.engines();
-            (engine_table.engines[at].address.clone(), engine_table.engines[at].id.clone())
-        };
-        let answer = probe(&addr).await;
-        let known = match record_probe(&state, at, &id, answer, started_at) {
-            ProbeOutcome::Finished => {
-                // A router that learned of the response from a report need not report it again.
-                let is_here = state.engines().engines[at].listed;
-                if is_here && !response_reported && (unanswered > 0 || reason == ProbeReason::Reported) {
-                    send_report(&state, SuspicionReport::Responded(&id));
-                }
-                return;
-            }
-            ProbeOutcome::Unanswered { known } => known,
-        };
-        state.connection_pools.forget(&addr);
-        match reason {
-            ProbeReason::OwnRequest if unanswered < MAX_SUSPICION_REPORTS => {
-                send_report(&state, SuspicionReport::Suspected(&id))
+    let mut prober =
+        Prober { state: &state, engine_index, reason, started_at, unanswered: 0, response_reported: false };
+    prober.run().await;
+}
+
+/// The one prober of an engine.
+struct Prober<'a> {
+    state: &'a State,
+    engine_index: usize,
+    reason: ProbeReason,
+    started_at: u64,
+    /// How many probes got no response.
+    unanswered: u32,
+    /// Whether another router reported a response while this one waited for its next probe.
+    response_reported: bool,
+}
+
+impl Prober<'_> {
+    /// Probes until the engine responds or is no longer listed.
+    async fn run(&mut self) {
+        loop {
+            let (address, id) = self.engine();
+            let response = probe(&address).await;
+            let outcome = record_probe(self.state, self.engine_index, &id, response, self.started_at);
+            let ProbeOutcome::Unanswered { known } = outcome else { return self.report_response(&id) };
+            self.state.connection_pools.forget(&address);
+            self.report_silence(&id, known);
+            self.unanswered += 1;
+            let delay_ms = probe_delay(self.unanswered, self.state.router_count(), next_random(self.state));
+            self.response_reported = wait_for_next_probe(self.state, self.engine_index, delay_ms).await;
+        }
+    }
+
+    /// Returns the address and the id that the engine has now.
+    fn engine(&self) -> (String, String) {
+        let engine_table = self.state.engines();
+        let engine = &engine_table.engines[self.engine_index];
+        (engine.address.clone(), engine.id.clone())
+    }
+
+    /// Reports a response to routers that know of the suspicion. One that was learned from a report need not be
+    /// reported again.
+    fn report_response(&self, id: &str) {
+        let is_listed = self.state.engines().engines[self.engine_index].listed;
+        let is_known = self.unanswered > 0 || self.reason == ProbeReason::Reported;
+        if is_listed && !self.response_reported && is_known {
+            send_report(self.state, SuspicionReport::Responded(id));
+        }
+    }
+
+    /// Reports that a probe got no response, where others need to know. `known`: it was suspected before.
+    fn report_silence(&self, id: &str, known: bool) {
+        match self.reason {
+            ProbeReason::OwnRequest if self.unanswered < MAX_SUSPICION_REPORTS => {
+                send_report(self.state, SuspicionReport::Suspected(id));
             }
-            ProbeReason::Sampled if unanswered == 0 && !known => {
-                send_report(&state, SuspicionReport::Unresponsive(&id))
+            ProbeReason::Sampled if self.unanswered == 0 && !known => {
+                send_report(self.state, SuspicionReport::Unresponsive(id));
             }
             _ => {}
         }
-        unanswered += 1;
-        response_reported =
-            wait_for_next_probe(&state, at, probe_delay(unanswered, state.router_count(), random())).await;
     }
 }
 
 /// Records the response of an engine, or its absence.
-fn record_probe(state: &State, at: usize, id: &str, answer: Option<Option<String>>, started_at: u64) -> ProbeOutcome {
+fn record_probe(
+    state: &State,
+    engine_index: usize,
+    id: &str,
+    response: Option<ProbeResponse>,
+    started_at: u64,
+) -> ProbeOutcome {
     let now = clock::now();
     let mut engine_table = state.engines();
-    let engine = &mut engine_table.engines[at];
+    let engine = &mut engine_table.engines[engine_index];
     let known = engine.suspected_until > now;
-    match answer {
-        Some(name) if name.as_ref().is_none_or(|name| name == id) => record_response(state, engine, now, started_at),
+    match response {
+        Some(response) if response.may_be_from(id) => record_response(state, engine, now, started_at),
         Some(_) => engine.retire(),
         None => engine.record_failure(now, SUSPICION_MS),
     }
@@ -224,9 +265,9 @@
 
 /// Clears the suspicion because another router got a response and this one has no evidence of its own against the
 /// engine.
-fn accept_reported_response(state: &State, at: usize, started_at: u64) {
+fn accept_reported_response(state: &State, engine_index: usize, started_at: u64) {
     let mut engine_table = state.engines();
-    let engine = &mut engine_table.engines[at];
+    let engine = &mut engine_table.engines[engine_index];
     engine.is_probing = false;
     record_response(state, engine, clock::now(), started_at);
 }
