--- a/router/src/config/activation.rs
+++ b/router/src/config/activation.rs
@@ -10,7 +10,7 @@
 use protocol::message::Record;
 use tokio::time;
 
-use crate::event::{BAD_CONFIG, CONFIG};
+use crate::event::{CONFIG_ACTIVATED, CONFIG_UNREADABLE};
 use crate::state::State;
 
 /// How many prefixes are registered again at once.
@@ -20,14 +20,14 @@
 
 /// Applies a whole configuration as text, from a controller that knows no other form.
 pub fn apply_document(state: &State, version: u64, text: &[u8]) {
-    if version <= state.subscribed.lock().config_revision {
+    if version <= state.subscribed().config_revision {
         return;
     }
     let read = str::from_utf8(text).map_err(|error| error.to_string());
     let read = read.and_then(|text| ConfigDocument::parse_committed(text).map_err(|error| error.to_string()));
     match read {
         Ok(config) => apply_update(state, &ConfigUpdate::full(config.config())),
-        Err(error) => kernel::log_event!(BAD_CONFIG, "version" => version, "error" => error),
+        Err(error) => kernel::log_event!(CONFIG_UNREADABLE, "version" => version, "error" => error),
     }
 }
 
@@ -36,23 +36,23 @@
 pub fn apply_encoded_update(state: &State, body: &[u8]) {
     match ConfigUpdate::decode(body) {
         Some(change) => apply_update(state, &change),
-        None => kernel::log_event!(BAD_CONFIG, "version" => 0, "error" => "a change that can't be read"),
+        None => kernel::log_event!(CONFIG_UNREADABLE, "version" => 0, "error" => "a change that can't be read"),
     }
 }
 
 /// Brings an update into force unless it is outdated or doesn't follow the revision held.
 fn apply_update(state: &State, change: &ConfigUpdate) {
     let old = state.table();
-    let Some(table) = old.apply(change, &mut state.engine_table.lock()) else { return };
-    *state.table.lock() = Arc::new(table);
-    state.subscribed.lock().config_revision = change.to;
+    let Some(table) = old.apply(change, &mut state.engines()) else { return };
+    state.set_table(Arc::new(table));
+    state.subscribed().config_revision = change.to;
     state.freshness.table_changed();
-    kernel::log_event!(CONFIG, "revision" => change.to);
+    kernel::log_event!(CONFIG_ACTIVATED, "revision" => change.to);
 }
 
 /// Registers all known prefixes again, in batches: a new owner of the catalog starts empty.
 pub async fn reregister_prefixes(state: Arc<State>) {
-    let entries = state.owner_cache.lock().entries(clock::now());
+    let entries = state.owner_cache().entries(clock::now());
     for batch in entries.chunks(REGISTRATION_BATCH) {
         let list = batch.iter().map(|(key, engine)| Record { key: *key, engine: engine.clone() }).collect();
         state.prefix_catalog.register(list, Vec::new());
--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -3,7 +3,7 @@
 use kernel::clock;
 use protocol::message::EvacuationState;
 
-use crate::event::CLOSED;
+use crate::event::EVACUATION_ACTIVATED;
 use crate::state::State;
 
 /// How long an endpoint list takes to get here beyond the lag of the platform, in milliseconds.
@@ -17,8 +17,8 @@
 
 /// Applies evacuations that were begun or withdrawn; versions older than those held change nothing.
 pub fn apply(state: &State, list: &[EvacuationState]) {
-    let mut engine_table = state.engine_table.lock();
-    let mut subscribed = state.subscribed.lock();
+    let mut engine_table = state.engines();
+    let mut subscribed = state.subscribed();
     for EvacuationState { zone, version, evacuated } in list {
         if subscribed.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
@@ -31,7 +31,7 @@
         } else {
             engine_table.presume_zone_cold(index, clock::now() + presumed_cold_ms(state));
         }
-        kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
+        kernel::log_event!(EVACUATION_ACTIVATED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
     }
 }
 
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn cold_until(state: &State, engine_index: usize) -> u64 {
-    state.engine_table.lock().engines[engine_index].cold_until
+    state.engines().engines[engine_index].cold_until
 }
 
 #[tokio::test]
@@ -38,5 +38,5 @@
     apply(&state, &[evacuation("a", 3, true)]);
     apply(&state, &[evacuation("a", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    assert!(state.subscribed.lock().evacuations[&"a".to_string()].1, "still evacuated");
+    assert!(state.subscribed().evacuations[&"a".to_string()].1, "still evacuated");
 }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -34,7 +34,7 @@
 }
 
 /// Invariant: `current_as_of` never goes back, and the table in force contains all that was acknowledged before.
-pub struct Currency {
+pub struct Freshness {
     budget: ConvergenceBudget,
     current_as_of: AtomicI64,
     waiting: AtomicUsize,
@@ -45,7 +45,7 @@
 }
 
 /// Counts one waiting request until it is dropped.
-struct WaitGuard<'a>(&'a Currency);
+struct WaitGuard<'a>(&'a Freshness);
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
@@ -53,10 +53,10 @@
     }
 }
 
-impl Currency {
+impl Freshness {
     /// Returns the state before the first proof.
-    pub fn new(budget: ConvergenceBudget) -> Currency {
-        Currency {
+    pub fn new(budget: ConvergenceBudget) -> Freshness {
+        Freshness {
             budget,
             current_as_of: NO_PROOF.into(),
             waiting: Default::default(),
--- a/router/src/config/routing_table.rs
+++ b/router/src/config/routing_table.rs
@@ -14,7 +14,7 @@
 
 /// Whether and how a request of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RouteKind {
+pub enum RouteType {
     /// May be sent more than once.
     Idempotent,
     /// Must not run more than once.
@@ -30,7 +30,7 @@
     /// The prefix of the paths that it serves.
     pub prefix: String,
     /// Whether a request may be repeated.
-    pub kind: RouteKind,
+    pub route_type: RouteType,
     /// Whether a broken stream may be resumed at another engine.
     pub resumable: bool,
     /// How long a request may take, in milliseconds.
@@ -54,7 +54,7 @@
 impl Route {
     /// Returns whether a request may run more than once.
     pub fn repeatable(&self) -> bool {
-        self.kind == RouteKind::Idempotent || (self.kind == RouteKind::Streaming && self.resumable)
+        self.route_type == RouteType::Idempotent || (self.route_type == RouteType::Streaming && self.resumable)
     }
 }
 
@@ -95,16 +95,16 @@
 
 /// Builds a route from its configuration.
 fn route(item: &config::Route, engine_table: &mut EngineTable) -> Route {
-    let kind = match item.route_type.as_str() {
-        "idempotent" => RouteKind::Idempotent,
-        "streaming" => RouteKind::Streaming,
-        _ => RouteKind::NonIdempotent,
+    let route_type = match item.route_type.as_str() {
+        "idempotent" => RouteType::Idempotent,
+        "streaming" => RouteType::Streaming,
+        _ => RouteType::NonIdempotent,
     };
     let targets = config::targets(item).into_iter().map(|(name, weight)| (engine_table.service_index(name), weight));
     Route {
         name: item.name.clone(),
         prefix: item.path_prefix.clone(),
-        kind,
+        route_type,
         resumable: item.resumable,
         timeout_ms: item.timeout_ms,
         target_ms: item.target_ms,
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -6,7 +6,7 @@
 use load_balancing::{StalenessBound, WeightVersionRange};
 use protocol::message::{HiddenKey, StalenessLimit, VersionEntry, WeightVersions};
 
-use crate::event::{FEW, RULE};
+use crate::event::{STALENESS_LIMIT_ACTIVATED, STALENESS_LIMIT_UNMET};
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
@@ -18,7 +18,7 @@
     /// no limit. Nothing is allowed while the lease has lapsed.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
-        let bounds = self.state.staleness_bounds.lock();
+        let bounds = self.state.staleness_bounds();
         let model = self.request.model_key;
         match bounds.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
@@ -35,7 +35,7 @@
     pub fn drop_stale_handle(&mut self) {
         let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
-            self.release_handle();
+            self.release_kv_handle();
         }
         if self.kv_handle.is_none() && !self.may_have_run {
             self.pinned_version = None;
@@ -45,29 +45,28 @@
     /// Records the weight version that an engine was seen to have.
     pub fn record_version(&self, engine_index: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().engines[engine_index]
-                .set_weight_version(self.request.model_key, Some(version));
+            self.state.engines().engines[engine_index].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
     /// Logs that no replica is within the limit, at most once a second.
     pub fn report_no_replica(&self) {
         let (now, order) = (clock::now(), Ordering::Relaxed);
-        let reported_at = self.state.few_at.load(order);
+        let reported_at = self.state.replica_shortage_reported_at.load(order);
         if now >= reported_at + REPORT_INTERVAL_MS
-            && self.state.few_at.compare_exchange(reported_at, now, order, order).is_ok()
+            && self.state.replica_shortage_reported_at.compare_exchange(reported_at, now, order, order).is_ok()
         {
-            kernel::log_event!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
+            kernel::log_event!(STALENESS_LIMIT_UNMET, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
 
 /// Applies a limit from a controller; it takes effect at once where it is tighter.
 pub fn apply_staleness_limit(state: &State, limit: &StalenessLimit) {
-    let service = state.engine_table.lock().service_index(&limit.service);
+    let service = state.engines().service_index(&limit.service);
     let now = clock::now();
-    if state.staleness_bounds.lock().update(limit, service, now) {
-        kernel::log_event!(RULE, "service" => limit.service.clone(), "model" => limit.model.clone(),
+    if state.staleness_bounds().update(limit, service, now) {
+        kernel::log_event!(STALENESS_LIMIT_ACTIVATED, "service" => limit.service.clone(), "model" => limit.model.clone(),
             "version" => limit.version, "floor" => limit.floor(), "removed" => limit.removed);
     }
 }
@@ -75,14 +74,14 @@
 /// Applies the weight versions of a zone. Older ones of the same poller change nothing.
 pub fn apply_weight_versions(state: &State, list: &WeightVersions) {
     {
-        let mut versions = state.weight_versions.lock();
+        let mut versions = state.weight_versions();
         let version = versions.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().set_weight_versions(&list.list);
+    state.engines().set_weight_versions(&list.list);
 }
 
 /// The name of a key and its version.
@@ -91,8 +90,8 @@
 /// Returns the versions of the limits and weight versions held, to be reported beside those of evacuations and
 /// endpoint lists.
 pub fn known_versions(state: &State) -> (Vec<NamedVersion>, Vec<VersionEntry>) {
-    let limits = state.staleness_bounds.lock().versions();
-    let weights = state.weight_versions.lock();
+    let limits = state.staleness_bounds().versions();
+    let weights = state.weight_versions();
     let weights = weights
         .iter()
         .map(|(zone, (term, sequence))| VersionEntry::new(HiddenKey::WeightVersions(zone), *term, *sequence));
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -1,4 +1,8 @@
-//! A request's entry: read, checked, and sent on its way.
+//! Admission of a request: reads it, authorizes it, and hands it to the proxy.
+//!
+//! Order of the steps: framing (a request whose end is ambiguous must not be interpreted further), configuration and
+//! authorization (so that the body of an unauthorized request is never held in memory), the memory limit, the body.
+//! Every request gets a response, and is counted by a `RequestGuard` from its head to the end of that response.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -16,11 +20,11 @@
 use crate::config::freshness::{self, LookupMiss};
 use crate::config::routing_table::{self, RoutingTable};
 use crate::config::tenants::KeyDigest;
-use crate::event::FIRST;
+use crate::event::FIRST_REQUEST;
 use crate::frontend::authorization::{self, Authorization, UnknownKey};
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::frontend::error_response::{self, Body, Failure};
-use crate::frontend::framing_check::Look;
+use crate::frontend::framing_check::FramingMonitor;
 use crate::frontend::request;
 use crate::frontend::request_guard::RequestGuard;
 use crate::metrics::{Connection, Outcome, Stage};
@@ -28,201 +32,246 @@
 use crate::proxy::{forward, plan};
 use crate::state::State;
 
-/// Reads, checks and carries one request; always gives an answer.
+/// Reads, admits and forwards one request and returns the response, which is one of the router's own if any step fails.
 pub async fn serve(
     state: Arc<State>,
     incoming: http::Request<Incoming>,
-    look: &Look,
+    framing: &FramingMonitor,
     connection: Connection,
 ) -> Response<Body> {
-    let mut guard = RequestGuard::begin(&state, connection);
-    let leaving = state.is_leaving();
-    let fail = |failure: Failure, last| (error_response::write(failure, last), failure.into());
-    if look.both() {
-        let (response, outcome) = fail(Failure::Malformed, leaving);
-        return guard.follow(response, outcome);
+    let mut guard = RequestGuard::start(&state, connection);
+    let shutting_down = state.is_shutting_down();
+    let fail = |failure: Failure, close_connection| (error_response::build(failure, close_connection), failure.into());
+    if framing.has_conflicting_framings() {
+        let (response, outcome) = fail(Failure::Malformed, shutting_down);
+        return guard.track_response(response, outcome);
     }
-    let entered = match guard.phase() {
-        Phase::Serving | Phase::Draining => enter(&state, incoming).await,
-        // Its head came as the router closed: refused early rather than given up late.
-        Phase::Closing => Err(refuse_unread(incoming).await),
+    let admitted = match guard.phase() {
+        DrainPhase::Serving | DrainPhase::Draining => read_and_admit(&state, incoming).await,
+        // Its head arrived while the router was closing: rejected now rather than abandoned at the end of the grace.
+        DrainPhase::Closing => Err(reject_unread(incoming).await),
     };
-    look.arm();
-    let (response, outcome) = match entered {
+    framing.expect_head();
+    let (response, outcome) = match admitted {
         Ok(exchange) => {
-            guard.enter(Stage::Forwarding);
-            match forward::answer(exchange).await {
+            guard.advance_to(Stage::Forwarding);
+            match forward::forward(exchange).await {
                 Ok(response) => {
-                    let outcome = passed_on(&response);
+                    let outcome = forwarded_outcome(&response);
                     (response, outcome)
                 }
-                Err(failure) => fail(failure, state.is_leaving()),
+                Err(failure) => fail(failure, state.is_shutting_down()),
             }
         }
-        Err(rejection) => fail(rejection.failure, leaving || rejection.ends),
+        Err(rejection) => fail(rejection.failure, shutting_down || rejection.close_connection),
     };
-    guard.follow(response, outcome)
+    guard.track_response(response, outcome)
 }
 
-/// What an engine's answer comes to once it is passed on whole.
-fn passed_on(response: &Response<Body>) -> Outcome {
+/// Returns how a request ends for the metrics once the engine's response has been forwarded completely.
+fn forwarded_outcome(response: &Response<Body>) -> Outcome {
     match response.status().is_success() {
         true => Outcome::Success,
         false => Outcome::EngineFailure,
     }
 }
 
-/// Bounds for a request that comes before the first configuration is known.
-const EARLY_BYTES: usize = 8 * 1024 * 1024;
-const EARLY_MS: u64 = 1000;
-/// When to come back where the configuration is not known well enough.
-const RETRY_MS: u64 = 300;
+/// Longest body that is read before the first configuration, and with it the configured limit, is known.
+const STARTUP_MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Longest wait for the first configuration, and the time budget assumed of a request that names none.
+const STARTUP_WAIT_MS: u64 = 1000;
+/// The part of its time budget that a request spends waiting for the first configuration, as a divisor.
+const STARTUP_WAIT_DIVISOR: u64 = 3;
+/// Pause between two looks at whether the router is ready.
+const READY_POLL_MS: u64 = 15;
+/// `Retry-After` where the configuration is not known well enough to decide.
+const RETRY_AFTER_MS: u64 = 300;
+/// `Retry-After` where request bodies occupy too much memory.
+const MEMORY_RETRY_AFTER_MS: u64 = 250;
+/// Shift from a memory limit in MiB to the bytes of it that request bodies may occupy: a quarter.
+const HELD_BODY_BYTES_SHIFT: u32 = 18;
 
-/// Until this daemon is ready, or `end`.
-async fn starting(state: &State, end: u64) {
-    let order = Ordering::Relaxed;
-    while !state.ready.load(order) && clock::now() < end {
-        time::sleep(Duration::from_millis(15)).await;
+/// Waits until the router is ready, but not beyond `deadline_ms`.
+async fn wait_until_ready(state: &State, deadline_ms: u64) {
+    let ordering = Ordering::Relaxed;
+    while !state.ready.load(ordering) && clock::now() < deadline_ms {
+        time::sleep(Duration::from_millis(READY_POLL_MS)).await;
     }
 }
 
-/// A request that is not let in.
+/// A request that is not admitted.
 struct Rejection {
     failure: Failure,
-    /// Its body was not read to the end: the connection can't go on.
-    ends: bool,
+    /// Its body was not read to the end, so the next request on the connection could not be found.
+    close_connection: bool,
 }
 
 impl From<Failure> for Rejection {
     fn from(failure: Failure) -> Rejection {
-        Rejection { failure, ends: false }
+        Rejection { failure, close_connection: false }
     }
 }
 
-/// Rejects a request whose body is not needed. What of it has not been read yet is read and thrown away, so that the
-/// next request on the connection is found where it begins.
-async fn reject(failure: Failure, parts: &Parts, body: Option<Incoming>) -> Rejection {
-    // A client that asks before it sends its body is not told to send it.
-    let asks = parts.headers.contains_key(EXPECT);
-    let read = match body {
-        Some(body) => !asks && request::discard(body).await,
-        None => true,
+/// The body of a request during admission.
+enum ClientBody {
+    /// Still on the connection.
+    Unread(Incoming),
+    /// In memory, since it was read while the router started.
+    Read(Bytes),
+}
+
+/// Rejects a request whose body is not needed. What is left of the body is read and discarded, so that the next
+/// request on the connection is found where it begins.
+async fn reject(failure: Failure, parts: &Parts, body: ClientBody) -> Rejection {
+    // A client with `Expect` sends its body only once it is asked to, which reading would do.
+    let awaits_continue = parts.headers.contains_key(EXPECT);
+    let was_read = match body {
+        ClientBody::Unread(body) => !awaits_continue && request::discard_body(body).await,
+        ClientBody::Read(_) => true,
     };
-    Rejection { failure, ends: !read }
+    Rejection { failure, close_connection: !was_read }
 }
 
-/// Refuses a request of which only the head was looked at.
-async fn refuse_unread(incoming: http::Request<Incoming>) -> Rejection {
+/// Rejects a request of which only the head was read.
+async fn reject_unread(incoming: http::Request<Incoming>) -> Rejection {
     let (parts, body) = incoming.into_parts();
-    reject(Failure::Refused(RETRY_MS), &parts, Some(body)).await
+    reject(Failure::Unavailable(RETRY_AFTER_MS), &parts, ClientBody::Unread(body)).await
 }
 
-/// What lets a request in: the table of that moment, and the route and tenant that it has for the request.
+/// The routing table that a request was authorized by, with the result.
 struct Admitted {
     table: Arc<RoutingTable>,
     authorization: Authorization,
 }
 
-/// Judges a request by one table: the route first, since it says whether a key is needed.
-fn judge(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
+/// Authorizes a request by one routing table: the route first, since it says whether a key is needed.
+fn authorize_by(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
-    let route = table.find(host, parts.uri.path()).ok_or(Failure::NoRoute)?;
+    let route = table.find(host, parts.uri.path()).ok_or(Failure::RouteNotFound)?;
     let granted = Authorization::grant(table, route, key);
     granted.map_err(|UnknownKey| Failure::Unauthorized)
 }
 
-/// Judges a request by the table in force. That there is no such route or no such key is said only by a table that is
-/// proved to be current.
-async fn admit(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
-    let left_ms = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS);
-    let key = authorization::key(&parts.headers);
-    let accepts = |table: &RoutingTable| judge(table, parts, key).is_ok();
-    let table = match freshness::wait_for_table(state, left_ms, accepts).await {
+/// Authorizes a request by the routing table in force, waiting for a newer one if this one rejects the request.
+///
+/// # Errors
+/// `RouteNotFound` and `Unauthorized` only by a table that is proved to be current; `Unavailable` without a proof.
+async fn authorize(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
+    let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
+    let key = authorization::api_key_digest(&parts.headers);
+    let accepts = |table: &RoutingTable| authorize_by(table, parts, key).is_ok();
+    let table = match freshness::wait_for_table(state, time_budget_ms, accepts).await {
         Ok(table) => table,
-        Err(LookupMiss::Unproved) => return Err(Failure::Refused(RETRY_MS)),
+        Err(LookupMiss::Unproved) => return Err(Failure::Unavailable(RETRY_AFTER_MS)),
         // The proof holds for this table as well: it is the same or a newer one.
         Err(LookupMiss::Certain) => state.table(),
     };
-    let authorization = judge(&table, parts, key)?;
+    let authorization = authorize_by(&table, parts, key)?;
     Ok(Admitted { table, authorization })
 }
 
-async fn enter(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
-    let born = clock::now();
-    let (parts, body) = incoming.into_parts();
-    if !request::sound(&parts.headers) {
-        return Err(Failure::Malformed.into());
-    }
-    let mut body = Some(body);
-    let mut whole = None;
-    if !state.ready.load(Ordering::Relaxed) {
-        // Just started: what is needed comes within moments. The body is read meanwhile.
-        let early = body.take().ok_or(Failure::Malformed)?;
-        whole = Some(request::body(early, EARLY_BYTES, EARLY_MS).await?);
-        let wait = request::number(&parts.headers, TIME_BUDGET).unwrap_or(EARLY_MS) / 3;
-        starting(state, born + wait.min(EARLY_MS)).await;
-    }
+/// Reads the body of a request that came before the first configuration, and then waits for that configuration.
+async fn read_during_startup(
+    state: &State,
+    parts: &Parts,
+    body: Incoming,
+    received_at_ms: u64,
+) -> Result<Bytes, Failure> {
+    let body = request::read_body(body, STARTUP_MAX_BODY_BYTES, STARTUP_WAIT_MS).await?;
+    let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
+    let wait_ms = (time_budget_ms / STARTUP_WAIT_DIVISOR).min(STARTUP_WAIT_MS);
+    wait_until_ready(state, received_at_ms + wait_ms).await;
+    Ok(body)
+}
+
+/// Checks that a configuration is in force, and logs the first request that comes under it.
+fn check_configured(state: &State) -> Result<(), Failure> {
     let table = state.table();
     if table.revision == 0 {
-        return Err(Failure::Refused(RETRY_MS).into());
+        return Err(Failure::Unavailable(RETRY_AFTER_MS));
     }
     if !table.has_served.swap(true, Ordering::Relaxed) {
-        kernel::log_event!(FIRST, "revision" => table.revision);
+        kernel::log_event!(FIRST_REQUEST, "revision" => table.revision);
+    }
+    Ok(())
+}
+
+/// Checks that request bodies leave memory for another one.
+fn check_body_memory(state: &State) -> Result<(), Failure> {
+    let max_held_bytes = (state.settings.limits.memory_mb as usize) << HELD_BODY_BYTES_SHIFT;
+    if state.held_body_bytes.load(Ordering::Relaxed) > max_held_bytes {
+        return Err(Failure::Unavailable(MEMORY_RETRY_AFTER_MS));
     }
-    let mut admitted = match admit(state, &parts).await {
+    Ok(())
+}
+
+/// Returns the whole body, within the limits of the table that the request was authorized by.
+async fn read_within_limits(body: ClientBody, table: &RoutingTable) -> Result<Bytes, Failure> {
+    match body {
+        ClientBody::Unread(body) => request::read_body(body, table.body_bytes, table.idle_ms).await,
+        ClientBody::Read(body) if body.len() <= table.body_bytes => Ok(body),
+        ClientBody::Read(_) => Err(Failure::BodyTooLarge),
+    }
+}
+
+/// Reads and authorizes a request, and returns the exchange that carries it on.
+async fn read_and_admit(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
+    let received_at_ms = clock::now();
+    let (parts, incoming_body) = incoming.into_parts();
+    if !request::has_unambiguous_framing(&parts.headers) {
+        return Err(Failure::Malformed.into());
+    }
+    let body = match state.ready.load(Ordering::Relaxed) {
+        true => ClientBody::Unread(incoming_body),
+        false => ClientBody::Read(read_during_startup(state, &parts, incoming_body, received_at_ms).await?),
+    };
+    check_configured(state)?;
+    let mut admitted = match authorize(state, &parts).await {
         Ok(admitted) => admitted,
         Err(failure) => return Err(reject(failure, &parts, body).await),
     };
-    let looked_up = clock::now();
-    let room = (state.settings.limits.memory_mb as usize) << 18;
-    if state.held_body_bytes.load(Ordering::Relaxed) > room {
-        return Err(Failure::Refused(250).into());
-    }
-    let most = admitted.table.body_bytes;
-    let body = match (whole, body) {
-        (Some(whole), _) if whole.len() <= most => whole,
-        (None, Some(body)) => request::body(body, most, admitted.table.idle_ms).await?,
-        _ => return Err(Failure::TooLarge.into()),
-    };
-    if clock::now() > looked_up + state.freshness.budget().lookup_age_ms() {
-        // The body came slowly: a newer configuration may send it elsewhere.
-        admitted = admit(state, &parts).await?;
+    let authorized_at_ms = clock::now();
+    check_body_memory(state)?;
+    let body = read_within_limits(body, &admitted.table).await?;
+    if clock::now() > authorized_at_ms + state.freshness.budget().lookup_age_ms() {
+        // The body took long to arrive: a newer configuration may route the request elsewhere.
+        admitted = authorize(state, &parts).await?;
     }
-    Ok(begin(state, admitted, parts, body, born))
+    Ok(start_exchange(state, admitted, parts, body, received_at_ms))
 }
 
-/// The exchange of a request that was let in and read.
-fn begin(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, born: u64) -> Exchange {
+/// Returns the exchange of a request that was admitted and read, and counts it in the retry budget.
+fn start_exchange(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, received_at_ms: u64) -> Exchange {
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
     let service = {
-        let mut dice = state.rng.lock();
-        routing_table::pick_weighted(&route.targets, dice.next_u64())
+        let mut rng = state.rng();
+        routing_table::pick_weighted(&route.targets, rng.next_u64())
     };
-    let request = request::Request::make(parts, body, authorization, u64::from(service), born);
+    let request = request::Request::new(parts, body, authorization, u64::from(service), received_at_ms);
     state.held_body_bytes.fetch_add(request.body.len(), Ordering::Relaxed);
-    state.retry_budget.lock().record_request(service, born);
+    state.retry_budget().record_request(service, received_at_ms);
     Exchange {
-        closed_zones: plan::closed_zones(state, request.authorization.homes()),
+        excluded_zones: plan::excluded_zones(state, request.authorization.allowed_regions()),
         priority: request.authorization.priority(),
         route: route.name.clone(),
         pinned_version: None,
         state: state.clone(),
         request,
-        kind: route.kind,
-        repeatable: route.repeatable(),
+        route_type: route.route_type,
+        is_repeatable: route.repeatable(),
         max_sends: route.max_attempts,
         target_ms: route.target_ms.max(1),
         service,
         service_config: table.services.get(&service).cloned().unwrap_or_default(),
         prefix_owners: Vec::new(),
         sends: 0,
-        arrived: false,
+        reached_engine: false,
         may_have_run: false,
-        tried: Vec::new(),
+        attempted_engines: Vec::new(),
         in_flight: Vec::new(),
         kv_handle: None,
-        arm: Default::default(),
+        variant: Default::default(),
     }
 }
 
--- a/router/src/frontend/request.rs
+++ b/router/src/frontend/request.rs
@@ -1,13 +1,14 @@
-//! A client's request, read and checked at the door.
+//! A client's request: reading it, and what is kept of it while it is forwarded.
 
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 use catalog::PromptSegment;
-use http::header::{self, HeaderName, CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
+use http::header::{HeaderName, CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Uri};
-use hyper::body::Incoming;
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
 use kernel::hashing;
 use protocol::headers::{
     self, ATTEMPT_ID, KV_SOURCE, LAST_EVENT_ID, MODEL, PROMPT_PREFIX, SERVING_PHASE, TARGET_INSTANCE, TIME_BUDGET,
@@ -18,106 +19,129 @@
 use crate::frontend::authorization::Authorization;
 use crate::frontend::error_response::Failure;
 
-/// Invariants: `head` carries no header that concerns one connection only; `body` is whole.
+/// A request that was admitted, as engines are to get it.
+///
+/// Invariants: `headers` has no hop-by-hop header, no key, and none that only the router may set; `body` is complete.
 pub struct Request {
+    /// The HTTP method.
     pub method: Method,
+    /// Path and query.
     pub path: Uri,
-    pub head: HeaderMap,
+    /// The headers that are forwarded.
+    pub headers: HeaderMap,
+    /// The complete body.
     pub body: Bytes,
-    pub attempt: Option<HeaderValue>,
+    /// The client's id of this attempt, which a response has to repeat.
+    pub attempt_id: Option<HeaderValue>,
+    /// The name of the model; empty if the request names none.
     pub model: String,
-    /// The hash of its name, by which engines' weight versions are kept.
+    /// The hash of the model's name, by which engines' weight versions are kept.
     pub model_key: u64,
-    /// Steady time at which the client or the operator no longer wants it.
-    pub deadline: u64,
-    pub born: u64,
-    pub parts: Vec<PromptSegment>,
-    pub keys: Vec<u64>,
-    pub last: Option<HeaderValue>,
+    /// When the client or the operator no longer wants it, in milliseconds of the steady clock.
+    pub deadline_ms: u64,
+    /// When its head was read, in milliseconds of the steady clock.
+    pub received_at_ms: u64,
+    /// The segments of its prompt; empty if the request names none.
+    pub prompt_segments: Vec<PromptSegment>,
+    /// The keys of the prompt's prefixes, shortest first.
+    pub prefix_keys: Vec<u64>,
+    /// The event behind which the client wants its stream to go on.
+    pub last_event_id: Option<HeaderValue>,
+    /// What it was admitted with.
     pub authorization: Authorization,
-    /// Deferrable work: it only fills what is idle. The share of places it leaves free.
-    pub spare: Option<f64>,
+    /// Set for deferrable work: the share of an engine's slots up to which it is admitted.
+    pub deferrable_share: Option<f64>,
 }
 
-const HOP: [&str; 8] =
+/// Headers that concern one connection only.
+const HOP_BY_HOP_HEADERS: [&str; 8] =
     ["connection", "keep-alive", "proxy-connection", "transfer-encoding", "te", "trailer", "upgrade", "content-length"];
 
-/// The mark of deferrable work, and the share of an engine's places up to which it is let in: little
-/// by day, more when its window comes near; interactive work has the rest.
-pub const DEFER: &str = "deferrable";
-const IDLE: f64 = 0.3;
-const NEAR: f64 = 0.5;
-
-/// What the system alone tells engines. From a client these would lead to another request's memory, or have its
-/// own request only read.
-const SYSTEM: [&str; 5] = [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
-
-/// Removes what concerns one connection, and what `Connection` names.
-pub fn strip(head: &mut HeaderMap) {
-    let named: Vec<String> = head
+/// The header of deferrable work; its value `near` means that the end of the work's window is near.
+pub const DEFERRABLE: &str = "deferrable";
+/// The share of an engine's slots up to which deferrable work is admitted; interactive work has the rest.
+const IDLE_SHARE: f64 = 0.3;
+/// The same when the end of the work's window is near.
+const NEAR_DEADLINE_SHARE: f64 = 0.5;
+
+/// Headers that only the router may set. From a client they could name another request's KV cache, or have its own
+/// request only prefilled.
+const INTERNAL_HEADERS: [&str; 5] =
+    [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
+
+/// Removes the headers that concern one connection only, and those that `Connection` names.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    for name in HOP.iter().copied().chain(named.iter().map(String::as_str)) {
+    for name in HOP_BY_HOP_HEADERS.iter().copied().chain(connection_options.iter().map(String::as_str)) {
         if !name.is_empty() {
-            head.remove(name);
+            headers.remove(name);
         }
     }
 }
 
-pub fn number(head: &HeaderMap, name: &str) -> Option<u64> {
-    head.get(name)?.to_str().ok()?.trim().parse().ok()
+/// Returns the value of a numeric header; `None` if it is absent or not a number.
+pub fn parse_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Shapes that could hide another request: refused before anything is done.
-pub fn sound(head: &HeaderMap) -> bool {
-    let count = |name: HeaderName| head.get_all(name).iter().count();
-    let framed = count(TRANSFER_ENCODING);
-    let sized = count(CONTENT_LENGTH);
-    let ids = head.get_all(ATTEMPT_ID).iter().count();
-    framed <= 1 && sized <= 1 && framed + sized <= 1 && count(HOST) == 1 && ids <= 1
+/// Returns whether a head has one meaning only: one host, one framing, at most one attempt id. Any other head could hide
+/// a second request, and is rejected before anything else is done.
+pub fn has_unambiguous_framing(headers: &HeaderMap) -> bool {
+    let count = |name: HeaderName| headers.get_all(name).iter().count();
+    let transfer_encodings = count(TRANSFER_ENCODING);
+    let content_lengths = count(CONTENT_LENGTH);
+    let attempt_ids = headers.get_all(ATTEMPT_ID).iter().count();
+    transfer_encodings <= 1
+        && content_lengths <= 1
+        && transfer_encodings + content_lengths <= 1
+        && count(HOST) == 1
+        && attempt_ids <= 1
 }
 
-/// Reads a body within the limit; the pause between pieces is bounded by `idle_ms`.
-pub async fn body(mut body: Incoming, most: usize, idle_ms: u64) -> Result<Bytes, Failure> {
-    use http_body_util::BodyExt;
-    use hyper::body::Body;
+/// Reads a body to its end.
+///
+/// # Errors
+/// `BodyTooLarge` beyond `max_bytes`, `BodyTimeout` after a pause of `idle_ms` between two frames, `Malformed` if the
+/// connection or the framing breaks.
+pub async fn read_body(mut body: Incoming, max_bytes: usize, idle_ms: u64) -> Result<Bytes, Failure> {
     let hint = body.size_hint().exact().unwrap_or(0) as usize;
-    if hint > most {
-        return Err(Failure::TooLarge);
+    if hint > max_bytes {
+        return Err(Failure::BodyTooLarge);
     }
     let wait = Duration::from_millis(idle_ms.max(1));
-    let mut whole = BytesMut::with_capacity(hint);
+    let mut buffer = BytesMut::with_capacity(hint);
     loop {
         let frame = match time::timeout(wait, body.frame()).await {
-            Err(_) => return Err(Failure::Late),
-            Ok(None) => return Ok(whole.freeze()),
+            Err(_) => return Err(Failure::BodyTimeout),
+            Ok(None) => return Ok(buffer.freeze()),
             Ok(Some(Err(_))) => return Err(Failure::Malformed),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
-        if whole.len() + data.len() > most {
-            return Err(Failure::TooLarge);
+        if buffer.len() + data.len() > max_bytes {
+            return Err(Failure::BodyTooLarge);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
 }
 
-/// What of a body that nobody needs is read, and for how long.
+/// Longest body that is read only to be discarded.
 const DISCARD_BYTES: usize = 256 * 1024;
+/// How long such a body may take.
 const DISCARD_MS: u64 = 1000;
 
-/// Reads a body that nobody needs to its end, so that its connection can be used again. False: it is too long,
-/// too slow or broken.
-pub async fn discard(mut body: Incoming) -> bool {
-    use http_body_util::BodyExt;
-    use hyper::body::Body;
+/// Reads and discards a body, so that its connection can be used again. Returns false if it is too long, too slow or
+/// broken.
+pub async fn discard_body(mut body: Incoming) -> bool {
     if body.size_hint().lower() > DISCARD_BYTES as u64 {
         return false;
     }
-    let whole = async {
+    let read_to_end = async {
         let mut left = DISCARD_BYTES;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
@@ -127,56 +151,70 @@
         }
         true
     };
-    time::timeout(Duration::from_millis(DISCARD_MS), whole).await.unwrap_or(false)
+    time::timeout(Duration::from_millis(DISCARD_MS), read_to_end).await.unwrap_or(false)
+}
+
+/// Removes the header of deferrable work and returns the share of an engine's slots that it admits the request to.
+fn take_deferrable_share(headers: &mut HeaderMap) -> Option<f64> {
+    let urgency = headers.remove(DEFERRABLE)?;
+    Some(if urgency == "near" { NEAR_DEADLINE_SHARE } else { IDLE_SHARE })
+}
+
+/// Returns the segments of the prompt that the headers describe.
+fn prompt_segments(headers: &HeaderMap) -> Vec<PromptSegment> {
+    let text = headers.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
+    text.and_then(catalog::parse_prompt_prefix).unwrap_or_default()
 }
 
 impl Request {
-    pub fn make(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, born: u64) -> Request {
-        let mut head = parts.headers;
-        strip(&mut head);
-        head.remove(header::EXPECT);
-        for name in SYSTEM {
-            head.remove(name);
+    /// Returns the request that is forwarded for an admitted one. `seed` separates the prefixes of different services.
+    pub fn new(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, received_at_ms: u64) -> Request {
+        let mut headers = parts.headers;
+        remove_hop_by_hop_headers(&mut headers);
+        headers.remove(EXPECT);
+        for name in INTERNAL_HEADERS {
+            headers.remove(name);
         }
-        authorization.rewrite(&mut head);
-        let spare = head.remove(DEFER).map(|press| if press == "near" { NEAR } else { IDLE });
-        let most = authorization.route().timeout_ms;
-        let wait = number(&head, TIME_BUDGET).unwrap_or(most).min(most);
-        let text = head.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
-        let list = text.and_then(catalog::parse_prompt_prefix).unwrap_or_default();
-        let model = head.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
+        authorization.rewrite_headers(&mut headers);
+        let deferrable_share = take_deferrable_share(&mut headers);
+        let max_timeout_ms = authorization.route().timeout_ms;
+        let timeout_ms = parse_number(&headers, TIME_BUDGET).unwrap_or(max_timeout_ms).min(max_timeout_ms);
+        let prompt_segments = prompt_segments(&headers);
+        let model = headers.get(MODEL).map_or(&b""[..], HeaderValue::as_bytes);
         let model_key = hashing::hash(model);
-        let keys = catalog::prefix_keys(hashing::combine(seed, model_key), &list);
+        let prefix_keys = catalog::prefix_keys(hashing::combine(seed, model_key), &prompt_segments);
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse().unwrap_or_default();
         Request {
             method: parts.method,
             path,
-            attempt: head.get(ATTEMPT_ID).cloned(),
+            attempt_id: headers.get(ATTEMPT_ID).cloned(),
             model_key,
             model: String::from_utf8_lossy(model).into_owned(),
-            last: head.get(LAST_EVENT_ID).cloned(),
-            head,
+            last_event_id: headers.get(LAST_EVENT_ID).cloned(),
+            headers,
             body,
-            deadline: born + wait,
-            born,
-            parts: list,
-            keys,
+            deadline_ms: received_at_ms + timeout_ms,
+            received_at_ms,
+            prompt_segments,
+            prefix_keys,
             authorization,
-            spare,
+            deferrable_share,
         }
     }
 
-    pub fn left(&self, now: u64) -> u64 {
-        self.deadline.saturating_sub(now)
+    /// Returns the time left until the deadline, in milliseconds.
+    pub fn remaining_ms(&self, now: u64) -> u64 {
+        self.deadline_ms.saturating_sub(now)
     }
 
-    pub fn tokens(&self) -> u32 {
-        self.parts.iter().fold(0, |sum, part| part.tokens.saturating_add(sum))
+    /// Returns the number of tokens of the prompt.
+    pub fn prompt_tokens(&self) -> u32 {
+        self.prompt_segments.iter().fold(0, |sum, segment| segment.tokens.saturating_add(sum))
     }
 
-    /// Tokens of the parts that others may share: all but the last.
-    pub fn shared(&self) -> u32 {
-        self.tokens() - self.parts.last().map_or(0, |part| part.tokens)
+    /// Returns the number of tokens of the segments that other requests may share: all but the last.
+    pub fn shared_tokens(&self) -> u32 {
+        self.prompt_tokens() - self.prompt_segments.last().map_or(0, |segment| segment.tokens)
     }
 }
 
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -1,27 +1,27 @@
-//! What is counted when requests come, and that the page and the code name the same metrics.
+//! The counts of requests, and that the documentation and the code name the same metrics.
 
 use std::time::Duration;
 
 use tokio::{task, time};
 
-use crate::frontend::drain::Phase;
+use crate::frontend::drain::DrainPhase;
 use crate::limits::quota_gate::Decision;
-use crate::metrics::{Ended, Outcome, Quotas, Stage};
+use crate::metrics::{Outcome, OutcomeLabels, QuotaLabels, Stage};
 use crate::state::State;
 use crate::testing::engine::{answer, engines, events, waiting_engine, Act};
 use crate::testing::router::{ask, post, router, Client};
 
 fn ended(state: &State, outcome: Outcome) -> u64 {
-    state.metrics.requests_ended.get_or_create(&Ended { phase: Phase::Serving, outcome }).get()
+    state.metrics.requests_ended.get_or_create(&OutcomeLabels { phase: DrainPhase::Serving, outcome }).get()
 }
 
-fn total_under_way(state: &State) -> i64 {
+fn unfinished_requests(state: &State) -> i64 {
     let stages = [Stage::Reading, Stage::Forwarding, Stage::Answering];
-    stages.into_iter().map(|stage| state.metrics.under_way(Phase::Serving, stage)).sum()
+    stages.into_iter().map(|stage| state.metrics.requests_in_stage(DrainPhase::Serving, stage)).sum()
 }
 
-/// Waits until a figure is as wished.
-async fn until(figure: impl Fn() -> bool) {
+/// Waits until a condition on the metrics holds.
+async fn wait_until(figure: impl Fn() -> bool) {
     let wait = async {
         while !figure() {
             task::yield_now().await;
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn each_request_ends_once_as_what_it_came_to() {
+async fn each_request_is_counted_once_by_its_outcome() {
     let list = engines("decode", 1, |seen, _| match seen.attempt() {
         "broken" => Act::SendAndClose(events(seen, 1, 3, false)),
         "failed" => Act::Send(answer(seen, "500 Internal Server Error", "no")),
@@ -43,7 +43,7 @@
     ask(&state, "once", "failed", "").await;
     ask(&state, "none", "nowhere", "").await;
     ask(&state, "stream", "broken", "").await;
-    until(|| total_under_way(&state) == 0).await;
+    wait_until(|| unfinished_requests(&state) == 0).await;
     let outcomes = [Outcome::Success, Outcome::EngineFailure, Outcome::NoRoute, Outcome::Cut, Outcome::Lost];
     assert_eq!(outcomes.map(|outcome| ended(&state, outcome)), [1, 1, 1, 1, 0]);
     let text = state.metrics.render(&state);
@@ -52,30 +52,30 @@
 
 #[tokio::test]
 async fn a_request_is_under_way_from_its_head_to_the_end_of_its_answer() {
-    let (list, go_on) = waiting_engine().await;
+    let (list, resume) = waiting_engine().await;
     let state = router(&list);
     let mut client = Client::connect(&state).await;
     let request = post("stream", "1", "");
     let (head, body) = request.split_at(request.len() - 2);
     client.write(head).await;
-    until(|| state.metrics.under_way(Phase::Serving, Stage::Reading) == 1).await;
+    wait_until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Reading) == 1).await;
     client.write(body).await;
-    until(|| state.metrics.under_way(Phase::Serving, Stage::Answering) == 1).await;
-    assert_eq!(total_under_way(&state), 1);
-    go_on.notify_one();
+    wait_until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Answering) == 1).await;
+    assert_eq!(unfinished_requests(&state), 1);
+    resume.notify_one();
     client.until("0\r\n\r\n").await;
-    until(|| total_under_way(&state) == 0).await;
+    wait_until(|| unfinished_requests(&state) == 0).await;
     assert_eq!(ended(&state, Outcome::Success), 1);
 }
 
 #[tokio::test]
-async fn every_metric_stands_on_the_page_and_none_besides() {
+async fn every_metric_is_documented_and_no_other() {
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
     // A family without a series is not told.
     ask(&state, "once", "1", "").await;
     let decision = Decision::Granted;
-    state.metrics.quota_decisions.get_or_create(&Quotas { decision }).inc();
+    state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
     let page = include_str!("../../docs/metrics.md");
     assert_eq!(
         telemetry::testing::metric_names(&state.metrics.render(&state)),
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start and end of the process.
+//! Start and graceful shutdown of the process.
 
 use std::process;
 use std::sync::Arc;
@@ -7,70 +7,75 @@
 use kernel::settings::Settings;
 use kernel::signal::{self, Signals};
 
-use crate::event::{COUNTS, GONE, LEAVE, START};
-use crate::frontend::drain::{Phase, Schedule};
+use crate::event::{PREFIX_LOOKUP_COUNTS, ROUTER_STARTED, SHUTDOWN_FINISHED, SHUTDOWN_STARTED};
+use crate::frontend::drain::{DrainPhase, DrainSchedule};
 use crate::frontend::listener;
 use crate::metrics::Stage;
 use crate::rollout;
 use crate::state::State;
 use crate::subscription::driver;
 
+/// The tasks of a router, which register themselves and are started in their stated order.
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
-pub static ROUTER_PARTS: [Plugin<Arc<State>>];
+pub static ROUTER_PLUGINS: [Plugin<Arc<State>>];
 
-macro_rules! part {
+/// Registers a task of the router: the static's name, the task's name, its place in the order, and how it starts.
+macro_rules! router_plugin {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
-        #[kernel::plugin::linkme::distributed_slice(ROUTER_PARTS)]
+        #[kernel::plugin::linkme::distributed_slice(ROUTER_PLUGINS)]
         #[linkme(crate = kernel::plugin::linkme)]
         static $label: kernel::plugin::Plugin<Arc<State>> =
             kernel::plugin::Plugin { name: $name, order: $order, start: $start };
     };
 }
 
-part!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::readiness(state.clone()))));
-part!(FOLLOW, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
-part!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
-part!(DOOR, "frontend", 3, |state| drop(tokio::spawn(listener::frontend(state.clone()))));
+router_plugin!(READY, "readiness", 1, |state| drop(tokio::spawn(listener::serve_readiness(state.clone()))));
+router_plugin!(SUBSCRIPTION, "news", 2, |state| drop(tokio::spawn(driver::run(state.clone()))));
+router_plugin!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
+router_plugin!(FRONTEND, "frontend", 3, |state| drop(tokio::spawn(listener::serve_frontend(state.clone()))));
 
-/// Runs a router until it is told to end and has finished what it took.
+/// Runs a router until it gets SIGTERM and has finished what it accepted.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
-    kernel::log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
+    kernel::log_event!(ROUTER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
     let state = State::new(settings);
-    let observed = state.clone();
-    telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || observed.metrics.render(&observed));
-    plugin::start(&ROUTER_PARTS, &state);
+    let scraped = state.clone();
+    telemetry::start(&state.settings.ip, state.settings.metrics.as_ref(), move || scraped.metrics.render(&scraped));
+    plugin::start(&ROUTER_PLUGINS, &state);
     signal::wait_for_termination(&mut signals).await;
-    leave(&state).await;
+    shut_down(&state).await;
     process::ExitCode::SUCCESS
 }
 
-/// Ends what the router does, well inside the grace.
-pub(crate) async fn leave(state: &State) {
-    let counts = state.owner_cache.lock().counts;
-    kernel::log_event!(LEAVE, "open" => under_way(state, &PHASES, &STAGES));
-    kernel::log_event!(COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
+/// Shuts the router down gracefully, well inside the grace period.
+pub(crate) async fn shut_down(state: &State) {
+    let counts = state.owner_cache().counts;
+    kernel::log_event!(SHUTDOWN_STARTED, "open" => count_unfinished(state, &PHASES, &STAGES));
+    kernel::log_event!(PREFIX_LOOKUP_COUNTS, "queries" => counts.queries, "hits" => counts.hits, "no_owner" => counts.no_owner,
         "stale" => counts.stale_owner, "transfer" => counts.transfer_error, "unanswered" => counts.unanswered,
         "dropped" => counts.dropped);
-    state.drain.run(&Schedule::of(state.settings.bounds.grace_s)).await;
-    report_end(state);
+    state.drain.run(&DrainSchedule::for_grace(state.settings.bounds.grace_s)).await;
+    log_unfinished(state);
 }
 
-const PHASES: [Phase; 3] = [Phase::Serving, Phase::Draining, Phase::Closing];
+/// All phases, in their order.
+const PHASES: [DrainPhase; 3] = [DrainPhase::Serving, DrainPhase::Draining, DrainPhase::Closing];
+/// All stages, in their order.
 const STAGES: [Stage; 3] = [Stage::Reading, Stage::Forwarding, Stage::Answering];
 
-/// Requests that are not ended yet: those that came in some phases and are in some stages.
-fn under_way(state: &State, phases: &[Phase], stages: &[Stage]) -> i64 {
-    let of_phase = |phase: &Phase| stages.iter().map(|stage| state.metrics.under_way(*phase, *stage)).sum::<i64>();
+/// Returns how many unfinished requests arrived in one of these phases and are in one of these stages.
+fn count_unfinished(state: &State, phases: &[DrainPhase], stages: &[Stage]) -> i64 {
+    let of_phase =
+        |phase: &DrainPhase| stages.iter().map(|stage| state.metrics.requests_in_stage(*phase, *stage)).sum::<i64>();
     phases.iter().map(of_phase).sum()
 }
 
-/// What is left unfinished, by how far it is and whether it came before or after SIGTERM.
-fn report_end(state: &State) {
-    kernel::log_event!(GONE, "open" => under_way(state, &PHASES, &STAGES),
-        "reading" => under_way(state, &PHASES, &[Stage::Reading]),
-        "forwarding" => under_way(state, &PHASES, &[Stage::Forwarding]),
-        "answering" => under_way(state, &PHASES, &[Stage::Answering]),
-        "taken_since" => under_way(state, &PHASES[1..], &STAGES),
+/// Logs what is left unfinished, by stage, and how much of it arrived after SIGTERM.
+fn log_unfinished(state: &State) {
+    kernel::log_event!(SHUTDOWN_FINISHED, "open" => count_unfinished(state, &PHASES, &STAGES),
+        "reading" => count_unfinished(state, &PHASES, &[Stage::Reading]),
+        "forwarding" => count_unfinished(state, &PHASES, &[Stage::Forwarding]),
+        "answering" => count_unfinished(state, &PHASES, &[Stage::Answering]),
+        "taken_since" => count_unfinished(state, &PHASES[1..], &STAGES),
         "connections" => state.metrics.connections_open.get());
 }
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -9,7 +9,7 @@
 use protocol::quota::shard_owners_entry;
 
 use crate::config::{activation, evacuation, version_bounds};
-use crate::event::{CATALOG, READY};
+use crate::event::{CATALOG_OWNER_CHANGED, READY};
 use crate::rollout;
 use crate::state::State;
 use crate::upstream::suspicion;
@@ -26,8 +26,8 @@
         Message::ConfigUpdate(body) | Message::TenantConfigUpdate(body) => {
             activation::apply_encoded_update(state, &body)
         }
-        Message::ShardOwners(list) => state.quota_gate.set_holders(&list),
-        Message::VersionRollout(rollout) => rollout::take(state, *rollout),
+        Message::ShardOwners(list) => state.quota_gate.set_shard_owners(&list),
+        Message::VersionRollout(rollout) => rollout::apply(state, *rollout),
         Message::StalenessLimit(limit) => version_bounds::apply_staleness_limit(state, &limit),
         Message::WeightVersions(list) => version_bounds::apply_weight_versions(state, &list),
         Message::SuspectEngine(report) => suspicion::handle_report(state, &report.0),
@@ -39,7 +39,7 @@
 /// only, where they are summed up.
 pub fn build_renewal(state: &State, is_home: bool) -> SubscriptionRenewal {
     let (mut list_versions, in_flight): (Vec<_>, Vec<_>) = {
-        let engine_table = state.engine_table.lock();
+        let engine_table = state.engines();
         let in_flight = engine_table
             .engines
             .iter()
@@ -49,10 +49,10 @@
     };
     let (limits, weights) = version_bounds::known_versions(state);
     list_versions.extend(weights);
-    let rollouts = rollout::told(state);
+    let rollouts = rollout::applied_revisions(state);
     list_versions.push(message::own_protocol_version());
-    list_versions.push(shard_owners_entry(state.quota_gate.mark()));
-    let subscribed = state.subscribed.lock();
+    list_versions.push(shard_owners_entry(state.quota_gate.shard_owners_fingerprint()));
+    let subscribed = state.subscribed();
     SubscriptionRenewal {
         node: state.settings.node_name.clone(),
         zone: state.settings.zone.clone(),
@@ -74,7 +74,7 @@
 /// Returns where clients reach this router; empty without such an address and during the shutdown.
 fn frontend_address(state: &State) -> String {
     let address = state.settings.bind_addresses.frontend.clone();
-    address.filter(|_| !state.is_leaving()).unwrap_or_default()
+    address.filter(|_| !state.is_shutting_down()).unwrap_or_default()
 }
 
 /// Returns whether the router is ready: once the configuration is proved to be current and every zone is listed,
@@ -84,8 +84,8 @@
     if state.ready.load(order) {
         return true;
     }
-    let known = state.engine_table.lock().listed_zone_count();
-    let is_complete = state.subscribed.lock().config_revision > 0 && known >= state.settings.zones.len();
+    let known = state.engines().listed_zone_count();
+    let is_complete = state.subscribed().config_revision > 0 && known >= state.settings.zones.len();
     if !is_complete || !state.freshness.is_proved(clock::now()) {
         return false;
     }
@@ -103,8 +103,8 @@
     apply_endpoint_lists(state, &update, now);
     evacuation::apply(state, &update.evacuations);
     apply_peers(state, update.peers, update.router_count, now);
-    if state.prefix_catalog.hold(update.catalog.0, &update.catalog.1, state.settings.peer_port()) {
-        kernel::log_event!(CATALOG, "epoch" => update.catalog.0, "holder" => update.catalog.1.clone());
+    if state.prefix_catalog.set_owner(update.catalog.0, &update.catalog.1, state.settings.peer_port()) {
+        kernel::log_event!(CATALOG_OWNER_CHANGED, "epoch" => update.catalog.0, "holder" => update.catalog.1.clone());
         tokio::spawn(activation::reregister_prefixes(state.clone()));
     }
 }
@@ -113,14 +113,14 @@
 fn apply_endpoint_lists(state: &State, update: &StateUpdate, now: u64) {
     let mut removed_engines = Vec::new();
     {
-        let mut engine_table = state.engine_table.lock();
+        let mut engine_table = state.engines();
         for list in &update.endpoint_lists {
             removed_engines.extend(engine_table.update(list, now));
         }
         engine_table.mark_reassigning(&update.reassigning, now + REASSIGNING_VALID_MS);
     }
     if !removed_engines.is_empty() {
-        let mut owner_cache = state.owner_cache.lock();
+        let mut owner_cache = state.owner_cache();
         removed_engines.iter().for_each(|engine| owner_cache.remove_engine(engine));
     }
 }
@@ -129,7 +129,7 @@
 /// the engines.
 fn apply_peers(state: &State, peers: Vec<String>, router_count: u32, now: u64) {
     {
-        let mut subscribed = state.subscribed.lock();
+        let mut subscribed = state.subscribed();
         if !peers.is_empty() {
             subscribed.controllers = peers;
         }
@@ -139,5 +139,5 @@
         }
     }
     let router_count = state.router_count();
-    state.engine_table.lock().set_router(state.mark(), state.zone, router_count);
+    state.engines().set_router(state.router_hash(), state.zone, router_count);
 }
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -8,7 +8,7 @@
 use protocol::message::{Message, StateUpdate};
 use tokio::time;
 
-use crate::event::HOME;
+use crate::event::HOME_CONTROLLER_CHANGED;
 use crate::state::State;
 use crate::subscription::apply_update;
 use crate::subscription::links::{Event, FinishedCall, Links};
@@ -61,7 +61,7 @@
         self.links.call(&call.controller, msg, now, call.timeout_ms);
         if is_home {
             // The connection may have been reopened since the last call.
-            *self.state.home_controller.lock() = Some(self.links.client(&call.controller));
+            *self.state.home_controller() = Some(self.links.client(&call.controller));
         }
     }
 
@@ -114,14 +114,14 @@
 
     /// Returns the configuration revision that is in force here.
     fn applied_revision(&self) -> u64 {
-        self.state.subscribed.lock().config_revision
+        self.state.subscribed().config_revision
     }
 
     /// Applies a state update. A confirmed one renews the lease of the limits on stale weights as of the time of
     /// the call, not of its response.
     fn apply_state_update(&self, update: StateUpdate, sent_at: u64) {
         if update.confirmed {
-            self.state.staleness_bounds.lock().renew_lease(sent_at);
+            self.state.staleness_bounds().renew_lease(sent_at);
         }
         apply_update::apply_state_update(&self.state, update);
     }
@@ -140,8 +140,8 @@
     /// Publishes the new home controller. `previous_home`: the one before, if any.
     fn on_home_changed(&mut self, previous_home: Option<String>) {
         let home = self.scheduler.home().unwrap_or_default().to_string();
-        *self.state.home_controller.lock() = Some(self.links.client(&home));
-        kernel::log_event!(HOME, "left" => previous_home.unwrap_or_default(), "home" => home);
+        *self.state.home_controller() = Some(self.links.client(&home));
+        kernel::log_event!(HOME_CONTROLLER_CHANGED, "left" => previous_home.unwrap_or_default(), "home" => home);
         self.reload_seeds();
     }
 
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -80,7 +80,7 @@
 pub fn list(state: &State, count: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
     let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
-    state.engine_table.lock().update(&endpoint_list, clock::now());
+    state.engines().update(&endpoint_list, clock::now());
 }
 
 /// A client's connection to a router.
@@ -94,7 +94,7 @@
         let state = state.clone();
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.expect("a client");
-            listener::client(state, stream).await;
+            listener::serve_client(state, stream).await;
         });
         Client(TcpStream::connect(addr).await.expect("connected"))
     }
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -15,7 +15,7 @@
 use tokio::time::{self, Instant};
 
 use crate::config::evacuation;
-use crate::event::STRIKE;
+use crate::event::ENGINE_UNRESPONSIVE;
 use crate::state::State;
 use crate::upstream::probe::{probe, ProbeResponse};
 use crate::upstream::probe_rate::{is_sampled, probe_delay, reported_probe_delay, PROBE_JITTER_MS, SUSPICION_MS};
@@ -41,22 +41,22 @@
 
 /// Returns a random number.
 fn next_random(state: &State) -> u64 {
-    state.rng.lock().next_u64()
+    state.rng().next_u64()
 }
 
 /// Handles a report about an engine that a controller relayed.
 pub fn handle_report(state: &Arc<State>, name: &str) {
     let report = SuspicionReport::decode(name);
-    let Some(engine_index) = state.engine_table.lock().find(report.engine()) else { return };
+    let Some(engine_index) = state.engines().find(report.engine()) else { return };
     match report {
         SuspicionReport::Responded(_) => {
-            state.engine_table.lock().engines[engine_index].answered_elsewhere = true;
+            state.engines().engines[engine_index].answered_elsewhere = true;
             state.suspicion_cleared.notify_waiters();
         }
         SuspicionReport::Unresponsive(_) => {
             let now = clock::now();
             {
-                let mut engine_table = state.engine_table.lock();
+                let mut engine_table = state.engines();
                 let engine = &mut engine_table.engines[engine_index];
                 // New requests avoid it; responses in flight are not affected by what other routers saw.
                 engine.suspected_until = engine.suspected_until.max(now + SUSPICION_MS);
@@ -83,7 +83,7 @@
     loop {
         // Registered before the check, so that no notification in between is missed.
         let notified = state.suspicion_cleared.notified();
-        let result = outcome(&mut state.engine_table.lock().engines[engine_index]);
+        let result = outcome(&mut state.engines().engines[engine_index]);
         if let Some(result) = result {
             return result;
         }
@@ -112,7 +112,7 @@
 
 /// Sends a report to the home controller, which relays it.
 fn send_report(state: &State, report: SuspicionReport) {
-    let home = state.home_controller.lock().clone();
+    let home = state.home_controller().clone();
     if let Some(home) = home {
         home.notify(Message::SuspectEngine(Box::new((report.encode(), false))));
     }
@@ -121,7 +121,7 @@
 /// Raises a suspicion because a request got no sign of life: the engine is probed until it responds or is no longer
 /// listed.
 pub fn raise(state: &Arc<State>, engine_index: usize) {
-    if let Some(engine) = state.engine_table.lock().engines.get_mut(engine_index) {
+    if let Some(engine) = state.engines().engines.get_mut(engine_index) {
         engine.is_unresponsive = true;
     }
     state.suspicion_cleared.notify_waiters();
@@ -131,7 +131,7 @@
 /// Starts a prober unless the engine has one.
 fn start_probing(state: &Arc<State>, engine_index: usize, reason: ProbeReason) {
     {
-        let mut engine_table = state.engine_table.lock();
+        let mut engine_table = state.engines();
         let Some(engine) =
             engine_table.engines.get_mut(engine_index).filter(|engine| engine.listed && !engine.is_probing)
         else {
@@ -199,7 +199,7 @@
 
     /// Returns the address and the id that the engine has now.
     fn engine(&self) -> (String, String) {
-        let engine_table = self.state.engine_table.lock();
+        let engine_table = self.state.engines();
         let engine = &engine_table.engines[self.engine_index];
         (engine.address.clone(), engine.id.clone())
     }
@@ -207,7 +207,7 @@
     /// Reports a response to routers that know of the suspicion. One that was learned from a report need not be
     /// reported again.
     fn report_response(&self, id: &str) {
-        let is_listed = self.state.engine_table.lock().engines[self.engine_index].listed;
+        let is_listed = self.state.engines().engines[self.engine_index].listed;
         let is_known = self.unanswered > 0 || self.reason == ProbeReason::Reported;
         if is_listed && !self.response_reported && is_known {
             send_report(self.state, SuspicionReport::Responded(id));
@@ -237,7 +237,7 @@
     started_at: u64,
 ) -> ProbeOutcome {
     let now = clock::now();
-    let mut engine_table = state.engine_table.lock();
+    let mut engine_table = state.engines();
     let engine = &mut engine_table.engines[engine_index];
     let known = engine.suspected_until > now;
     match response {
@@ -250,7 +250,7 @@
         return ProbeOutcome::Finished;
     }
     engine.answered_elsewhere = false;
-    kernel::log_event!(STRIKE, "engine" => id, "strikes" => engine.consecutive_failures);
+    kernel::log_event!(ENGINE_UNRESPONSIVE, "engine" => id, "strikes" => engine.consecutive_failures);
     ProbeOutcome::Unanswered { known }
 }
 
@@ -266,7 +266,7 @@
 /// Clears the suspicion because another router got a response and this one has no evidence of its own against the
 /// engine.
 fn accept_reported_response(state: &State, engine_index: usize, started_at: u64) {
-    let mut engine_table = state.engine_table.lock();
+    let mut engine_table = state.engines();
     let engine = &mut engine_table.engines[engine_index];
     engine.is_probing = false;
     record_response(state, engine, clock::now(), started_at);
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -21,11 +21,11 @@
 
 /// Returns whether the engine is avoided.
 fn is_avoided(state: &State) -> bool {
-    state.engine_table.lock().engines[0].suspected_until > clock::now()
+    state.engines().engines[0].suspected_until > clock::now()
 }
 
 fn is_probing(state: &State) -> bool {
-    state.engine_table.lock().engines[0].is_probing
+    state.engines().engines[0].is_probing
 }
 
 /// Waits until the prober has ended.
@@ -77,7 +77,7 @@
     let list = fleet().await;
     let state = router(&list);
     // Of a thousand routers each would otherwise probe after many seconds.
-    state.subscribed.lock().router_counts.push((clock::now(), 1000));
+    state.subscribed().router_counts.push((clock::now(), 1000));
     handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
     raise(&state, 0);
     probing_ended(&state).await;
@@ -90,5 +90,5 @@
     let list = fleet().await;
     let state = router(&list);
     handle_report(&state, &SuspicionReport::Unresponsive(&id(&list)).encode());
-    assert_eq!(state.engine_table.lock().engines[0].last_failure_at, 0, "only own questions end an answer");
+    assert_eq!(state.engines().engines[0].last_failure_at, 0, "only own questions end an answer");
 }
