--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -5,6 +5,8 @@
 //! controllers; `config` holds what is in force, `kv` asks the catalog which engines own a prompt's KV cache, and
 //! `rollout` splits traffic between versions. All of them share one `state`.
 
+#![deny(missing_docs)]
+
 mod config;
 mod event;
 mod frontend;
