--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -1,36 +1,37 @@
-//! Evacuated zones, as controllers tell of them.
+//! Evacuated zones, as reported by controllers.
 
 use kernel::clock;
 use protocol::message::EvacuationState;
 
-use crate::event::CLOSED;
+use crate::event::EVACUATION_ACTIVATED;
 use crate::state::State;
 
-/// What the list of engines takes beyond its lag until it is here.
+/// How long an endpoint list takes to get here beyond the lag of the platform, in milliseconds.
 const DELIVERY_MS: u64 = 1500;
 
-/// How long an engine that may just have turned cold is taken for cold: until the list would say so.
+/// Returns how long an engine that may just have become cold is presumed cold, in milliseconds: until the endpoint
+/// list would say so.
 pub fn presumed_cold_ms(state: &State) -> u64 {
     state.settings.cloud_api.lag_ms + DELIVERY_MS
 }
 
-/// Evacuations begun or withdrawn: zone, version, whether it is on. Older ones than what is held change nothing.
-pub fn absorb(state: &State, list: &[EvacuationState]) {
-    let mut engine_table = state.engine_table.lock();
-    let mut held = state.subscribed.lock();
+/// Applies evacuations that were begun or withdrawn; versions older than those held change nothing.
+pub fn apply(state: &State, list: &[EvacuationState]) {
+    let mut engine_table = state.engines();
+    let mut subscribed = state.subscribed();
     for EvacuationState { zone, version, evacuated } in list {
-        if held.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
+        if subscribed.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
             continue;
         }
-        let dense = engine_table.zone_index(zone);
-        held.evacuations.insert(zone.clone(), (*version, *evacuated));
-        held.evacuated_zones.retain(|shut| *shut != dense);
+        let index = engine_table.zone_index(zone);
+        subscribed.evacuations.insert(zone.clone(), (*version, *evacuated));
+        subscribed.evacuated_zones.retain(|zone_index| *zone_index != index);
         if *evacuated {
-            held.evacuated_zones.push(dense);
+            subscribed.evacuated_zones.push(index);
         } else {
-            engine_table.presume_zone_cold(dense, clock::now() + presumed_cold_ms(state));
+            engine_table.presume_zone_cold(index, clock::now() + presumed_cold_ms(state));
         }
-        kernel::log_event!(CLOSED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
+        kernel::log_event!(EVACUATION_ACTIVATED, "zone" => zone.clone(), "version" => *version, "on" => *evacuated);
     }
 }
 
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -1,4 +1,4 @@
-//! The limit on stale weights, as one request meets it.
+//! The limit on stale weights, as it applies to one request.
 
 use std::sync::atomic::Ordering;
 
@@ -6,90 +6,94 @@
 use load_balancing::{StalenessBound, WeightVersionRange};
 use protocol::message::{HiddenKey, StalenessLimit, VersionEntry, WeightVersions};
 
-use crate::event::{FEW, RULE};
+use crate::event::{STALENESS_LIMIT_ACTIVATED, STALENESS_LIMIT_UNMET};
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
-/// How often the want of fresh replicas is told, however many requests meet it.
-const TELL_MS: u64 = 1000;
+/// The shortest pause between two reports of missing replicas, in milliseconds, however many requests find none.
+const REPORT_INTERVAL_MS: u64 = 1000;
 
 impl Exchange {
-    /// Of bound work: the model, and the oldest and newest version that will do. Nothing will while the lease
-    /// has lapsed.
+    /// Returns the model with the oldest and the newest weight version that are allowed; `None` if the request has
+    /// no limit. Nothing is allowed while the lease has lapsed.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
-        let floors = self.state.staleness_bounds.lock();
+        let bounds = self.state.staleness_bounds();
         let model = self.request.model_key;
-        match floors.bound_for(self.service, &self.request.model, &self.route, now) {
+        match bounds.bound_for(self.service, &self.request.model, &self.route, now) {
             StalenessBound::Unbounded => None,
             StalenessBound::LeaseExpired => Some(WeightVersionRange { model, oldest: u64::MAX, newest: 0 }),
-            StalenessBound::AtLeast(floor) => match self.pinned_version {
-                Some(exact) if exact >= floor => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
-                _ => Some(WeightVersionRange { model, oldest: floor, newest: u64::MAX }),
+            StalenessBound::AtLeast(oldest) => match self.pinned_version {
+                Some(exact) if exact >= oldest => Some(WeightVersionRange { model, oldest: exact, newest: exact }),
+                _ => Some(WeightVersionRange { model, oldest, newest: u64::MAX }),
             },
         }
     }
 
-    /// Before a maker is chosen: memory of a version that is past the limit by now is given free, and without
-    /// memory the version is not settled yet.
+    /// Releases a KV handle whose version has fallen below the limit, before a decode engine is chosen; without a
+    /// handle the version is open again.
     pub fn drop_stale_handle(&mut self) {
         let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
         if !self.version_bounds().is_none_or(fits) {
-            self.release_handle();
+            self.release_kv_handle();
         }
         if self.kv_handle.is_none() && !self.may_have_run {
             self.pinned_version = None;
         }
     }
 
-    /// What an engine was seen to have.
+    /// Records the weight version that an engine was seen to have.
     pub fn record_version(&self, at: usize, version: Option<u64>) {
         if let Some(version) = version {
-            self.state.engine_table.lock().engines[at].set_weight_version(self.request.model_key, Some(version));
+            self.state.engines().engines[at].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
-    /// No replica inside the limit: told once a second.
+    /// Logs that no replica is within the limit, at most once a second.
     pub fn report_no_replica(&self) {
         let (now, order) = (clock::now(), Ordering::Relaxed);
-        let told = self.state.few_at.load(order);
-        if now >= told + TELL_MS && self.state.few_at.compare_exchange(told, now, order, order).is_ok() {
-            kernel::log_event!(FEW, "route" => self.route.clone(), "model" => self.request.model.clone());
+        let reported_at = self.state.replica_shortage_reported_at.load(order);
+        if now >= reported_at + REPORT_INTERVAL_MS
+            && self.state.replica_shortage_reported_at.compare_exchange(reported_at, now, order, order).is_ok()
+        {
+            kernel::log_event!(STALENESS_LIMIT_UNMET, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
 
-/// A rule from a controller; binds at once where it is tighter.
-pub fn rule(state: &State, rule: &StalenessLimit) {
-    let service = state.engine_table.lock().service_index(&rule.service);
+/// Applies a limit from a controller; it takes effect at once where it is tighter.
+pub fn apply_staleness_limit(state: &State, limit: &StalenessLimit) {
+    let service = state.engines().service_index(&limit.service);
     let now = clock::now();
-    if state.staleness_bounds.lock().update(rule, service, now) {
-        kernel::log_event!(RULE, "service" => rule.service.clone(), "model" => rule.model.clone(),
-            "version" => rule.version, "floor" => rule.floor(), "removed" => rule.removed);
+    if state.staleness_bounds().update(limit, service, now) {
+        kernel::log_event!(STALENESS_LIMIT_ACTIVATED, "service" => limit.service.clone(), "model" => limit.model.clone(),
+            "version" => limit.version, "floor" => limit.floor(), "removed" => limit.removed);
     }
 }
 
-/// Weight versions of a zone. Older ones of the same poller change nothing.
-pub fn versions(state: &State, list: &WeightVersions) {
+/// Applies the weight versions of a zone. Older ones of the same poller change nothing.
+pub fn apply_weight_versions(state: &State, list: &WeightVersions) {
     {
-        let mut held = state.weight_versions.lock();
-        let version = held.entry(list.zone.clone()).or_default();
+        let mut versions = state.weight_versions();
+        let version = versions.entry(list.zone.clone()).or_default();
         if version.0 == list.term && version.1 >= list.sequence {
             return;
         }
         *version = (list.term, list.sequence);
     }
-    state.engine_table.lock().set_weight_versions(&list.list);
+    state.engines().set_weight_versions(&list.list);
 }
 
-/// A name and its version.
-type Told = (String, u64);
+/// The name of a key and its version.
+type NamedVersion = (String, u64);
 
-/// The versions of rules and versions held, to be told beside those of evacuations and sheets.
-pub fn known_versions(state: &State) -> (Vec<Told>, Vec<VersionEntry>) {
-    let rules = state.staleness_bounds.lock().versions();
-    let weights = state.weight_versions.lock();
-    let weights =
-        weights.iter().map(|(zone, (turn, count))| VersionEntry::new(HiddenKey::WeightVersions(zone), *turn, *count));
-    (rules.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
+/// Returns the versions of the limits and weight versions held, to be reported beside those of evacuations and
+/// endpoint lists.
+pub fn known_versions(state: &State) -> (Vec<NamedVersion>, Vec<VersionEntry>) {
+    let limits = state.staleness_bounds().versions();
+    let weights = state.weight_versions();
+    let weights = weights
+        .iter()
+        .map(|(zone, (term, sequence))| VersionEntry::new(HiddenKey::WeightVersions(zone), *term, *sequence));
+    (limits.into_iter().map(|(key, version)| (HiddenKey::Register(&key).into(), version)).collect(), weights.collect())
 }
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -1,4 +1,5 @@
-//! May a request go to an engine, and as which tenant's? Asked when it is admitted, and again before each send.
+//! Authorization: whether a request may go to an engine, and on behalf of which tenant. Checked when the request is
+//! admitted, and again before each send, since keys may be revoked meanwhile.
 
 use std::sync::Arc;
 
@@ -6,93 +7,103 @@
 use http::HeaderMap;
 use protocol::headers::TENANT;
 
-use crate::config::routing_table::{Route, Table};
+use crate::config::routing_table::{Route, RoutingTable};
 use crate::config::tenants::{KeyDigest, Tenant};
 use crate::proxy::exchange::Exchange;
 
-/// The one scheme by which a key is carried: `Authorization: Bearer KEY`.
-const SCHEME: &[u8] = b"bearer";
+/// The only supported scheme: `Authorization: Bearer KEY`.
+const BEARER_SCHEME: &[u8] = b"bearer";
 
-/// The key of a request. None: it has none, or not exactly one in the form that the protocol knows.
-pub fn key(head: &HeaderMap) -> Option<KeyDigest> {
-    let mut values = head.get_all(AUTHORIZATION).iter();
+/// Returns the digest of the API key of a request; `None` if it has none, several, or one in another form.
+pub fn api_key_digest(headers: &HeaderMap) -> Option<KeyDigest> {
+    let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes().trim_ascii();
     if values.next().is_some() {
         return None;
     }
     let end = value.iter().position(u8::is_ascii_whitespace)?;
     let (scheme, key) = (&value[..end], value[end..].trim_ascii());
-    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
+    (scheme.eq_ignore_ascii_case(BEARER_SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
 }
 
-/// The route needs a key, and the request has none that is known.
+/// The error of a request whose route needs a key and which has none that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// What a request was admitted with. It is sent as this tenant's, or not at all.
+/// What a request was admitted with. It is sent on behalf of this tenant, or not at all.
 pub struct Authorization {
     key: Option<KeyDigest>,
     route: Arc<Route>,
-    /// None: the request is nobody's, since there are no tenants or its route is anonymous.
+    /// `None` if there are no tenants, or the route is anonymous.
     tenant: Option<Arc<Tenant>>,
 }
 
 impl Authorization {
-    /// Judges a request by the configuration of the moment.
-    pub fn grant(table: &Table, route: &Arc<Route>, key: Option<KeyDigest>) -> Result<Authorization, UnknownKey> {
-        let tenant = holder(table, route.anonymous, key.as_ref())?.cloned();
+    /// Authorizes a request by a routing table.
+    ///
+    /// # Errors
+    /// `UnknownKey` if the route needs a key and none is known.
+    pub fn grant(
+        table: &RoutingTable,
+        route: &Arc<Route>,
+        key: Option<KeyDigest>,
+    ) -> Result<Authorization, UnknownKey> {
+        let tenant = tenant_of_key(table, route.anonymous, key.as_ref())?.cloned();
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
-    /// Would the request be admitted now, and on the same terms? A key may be revoked, or pass to another tenant,
-    /// while its request waits.
-    pub fn holds(&self, table: &Table) -> bool {
+    /// Returns whether the request would still be admitted, on behalf of the same tenant and for the same regions. A key
+    /// may be revoked, or pass to another tenant, while its request waits.
+    pub fn is_still_valid(&self, table: &RoutingTable) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
-        match (holder(table, anonymous, self.key.as_ref()), &self.tenant) {
+        match (tenant_of_key(table, anonymous, self.key.as_ref()), &self.tenant) {
             (Err(UnknownKey), _) => false,
-            (Ok(now), then) => {
-                now.map(|now| (&now.name, &now.homes)) == then.as_ref().map(|then| (&then.name, &then.homes))
+            (Ok(current), granted) => {
+                current.map(|current| (&current.name, &current.allowed_regions))
+                    == granted.as_ref().map(|granted| (&granted.name, &granted.allowed_regions))
             }
         }
     }
 
-    /// Whose request it is, where it is somebody's.
+    /// Returns the tenant, if the request has one.
     pub fn tenant(&self) -> Option<&Tenant> {
         self.tenant.as_deref()
     }
 
+    /// Returns the route that the request was admitted by.
     pub fn route(&self) -> &Arc<Route> {
         &self.route
     }
 
-    /// The rank of the request: its tenant's, else its route's.
+    /// Returns the priority of the request: its tenant's, else its route's.
     pub fn priority(&self) -> u32 {
         self.tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(self.route.priority)
     }
 
-    /// The lists of regions that bind the request, each by itself; an empty one binds nothing.
-    pub fn homes(&self) -> [&[String]; 2] {
-        let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.homes);
-        [&self.route.homes, tenant]
+    /// Returns the lists of regions, of the route and of the tenant, that each restrict the request; an empty list
+    /// restricts nothing.
+    pub fn allowed_regions(&self) -> [&[String]; 2] {
+        let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.allowed_regions);
+        [&self.route.allowed_regions, tenant]
     }
 
-    /// Removes the key, which no engine is to see, and what the client called itself; names the tenant.
-    pub fn rewrite(&self, head: &mut HeaderMap) {
-        head.remove(AUTHORIZATION);
-        head.remove(TENANT);
+    /// Removes the key, which no engine may see, and any tenant that the client named; adds the authorized tenant.
+    pub fn rewrite_headers(&self, headers: &mut HeaderMap) {
+        headers.remove(AUTHORIZATION);
+        headers.remove(TENANT);
         if let Some(name) = self.tenant.as_ref().and_then(|tenant| tenant.header.clone()) {
-            head.insert(TENANT, name);
+            headers.insert(TENANT, name);
         }
     }
 }
 
-/// Whose request it is. None: nobody's, and it may go all the same. A known key counts on an anonymous route too.
-fn holder<'a>(
-    table: &'a Table,
+/// Returns the tenant of a key; `None` if the request may go without one. A known key counts on an anonymous route too.
+fn tenant_of_key<'a>(
+    table: &'a RoutingTable,
     anonymous: bool,
     key: Option<&KeyDigest>,
 ) -> Result<Option<&'a Arc<Tenant>>, UnknownKey> {
-    let tenant = key.and_then(|key| table.tenants.holder(key));
+    let tenant = key.and_then(|key| table.tenants.find_by_key(key));
     if tenant.is_some() || anonymous || !table.tenants.requires_keys() {
         return Ok(tenant);
     }
@@ -100,9 +111,9 @@
 }
 
 impl Exchange {
-    /// May the request still be sent to an engine?
+    /// Returns whether the request may still be sent to an engine.
     pub fn is_authorized(&self) -> bool {
-        self.request.authorization.holds(&self.state.table())
+        self.request.authorization.is_still_valid(&self.state.table())
     }
 }
 
