--- a/consensus/src/testing/model/mod.rs
+++ b/consensus/src/testing/model/mod.rs
@@ -4,7 +4,7 @@
 //! any order, more than once or never; responses are counted late or never; proposers and acceptors restart, disks
 //! are lost and members change. What responds, counts responses and decides is the production code: `Acceptor`,
 //! `Proposal` with `Round`, `quorum` and `reconfiguration`. Only what carries them (network, disk, clock, clients)
-//! is modelled here. `docs/ledger.md` says what is checked, what was left out and why that loses nothing.
+//! is modelled here. `docs/consensus.md` says what is checked, what was left out and why that loses nothing.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -1,6 +1,6 @@
 //! Singleton roles: tasks that one controller carries out at a time, each under an epoch that no other owner shares.
 //!
-//! `docs/fencing.md` says what holds and why.
+//! `docs/singleton-roles.md` says what holds and why.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter;
--- a/load_balancing/src/staleness_bound.rs
+++ b/load_balancing/src/staleness_bound.rs
@@ -1,4 +1,4 @@
-//! The limits on stale weights as one router enforces them (`docs/rollouts.md`).
+//! The limits on stale weights as one router enforces them (`docs/staleness-limits.md`).
 //!
 //! A raised minimum version or an added route binds at once; a lowered minimum or a freed route only once every router can
 //! know of it. Bound requests are sent only under a lease: one that lapsed refuses them, since then a raise may have been
