--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -1,5 +1,7 @@
-//! The ordinary path of the design: look up, have the prompt read, register, flush, and only then
-//! send to the engine that makes the tokens.
+//! Carries out a request in two phases: prefill on one engine, decode on another.
+//!
+//! The order is: look up owners, prefill, register the new owner in the catalog, flush, and only then decode. The flush
+//! comes first so that the catalog knows the owner before the KV cache moves on.
 
 use kernel::clock;
 use protocol::headers::RESPONSE_SEAL;
@@ -8,30 +10,43 @@
 
 use crate::frontend::error_response::Failure;
 use crate::kv::kv_handle::KvHandle;
-use crate::proxy::exchange::Exchange;
+use crate::proxy::engine_response::{self, EngineResponse};
+use crate::proxy::exchange::{Exchange, DEFERRABLE_URGENCY, MAX_INTERACTIVE_URGENCY};
 use crate::proxy::forward;
 use crate::proxy::plan::{self, Plan};
-use crate::proxy::send::{self, EngineResponse, SendOptions, SendOutcome};
+use crate::proxy::send::{SendOptions, SendOutcome};
 
-/// Time kept between the end of a handle's life and its last use.
+/// Margin between a KV handle's last use and its expiry.
 const HANDLE_EXPIRY_MARGIN_MS: u64 = 400;
-/// How long the engine that came up short is not named for this key again.
+/// How long an engine that failed to hand over its KV cache is not recorded as the owner of these keys.
 const SUPPRESSION_MS: u64 = 2000;
 
-/// What a read came to.
+/// How many engines are asked to prefill one prompt.
+const MAX_PREFILL_SENDS: usize = 3;
+/// Limit on the body of the response to a prefill.
+const MAX_PREFILL_RESPONSE_BYTES: usize = 16 * 1024;
+/// How long that body may take, in milliseconds.
+const PREFILL_RESPONSE_TIMEOUT_MS: u64 = 1000;
+/// Prompt tokens below which a prefill is short.
+const SHORT_PREFILL_TOKENS: u32 = 1024;
+/// Prompt tokens below which a prefill is of medium length.
+const MEDIUM_PREFILL_TOKENS: u32 = 4096;
+
+/// What came of a prefill.
 enum PrefillOutcome {
-    /// Its memory is held for this request.
+    /// An engine holds the KV cache for this request.
     HandleHeld,
-    /// The engine answered the request itself.
+    /// The engine, which knows no phases, answered the request itself.
     Response(usize, EngineResponse),
 }
 
-/// A read takes up none of the counted sends unless it is turned away, or a read went before it.
-async fn prefill(exchange: &mut Exchange) -> Result<PrefillOutcome, ()> {
+/// Prefills the prompt. The first send does not count against the limit on sends; each further one, after a rejection,
+/// does. None where no engine has prefilled the prompt: the decode engine does so then.
+async fn prefill(exchange: &mut Exchange) -> Option<PrefillOutcome> {
     let owners = exchange.prefix_owners.clone();
-    for _ in 0..3 {
+    for _ in 0..MAX_PREFILL_SENDS {
         let plan = exchange.with_selection(|selection| plan::plan_prefill(selection, &exchange.request, &owners));
-        let Plan::Prefill { engine_index, tokens } = plan else { return Err(()) };
+        let Plan::Prefill { engine_index, tokens } = plan else { return None };
         exchange.state.engines().record_prefill(exchange.service, tokens);
         let options =
             SendOptions { is_prefill: true, urgency: Some(prefill_urgency(exchange, tokens)), ..Default::default() };
@@ -41,67 +56,76 @@
             SendOutcome::NotExecuted | SendOutcome::OtherEngine | SendOutcome::OtherVersion(_) => {
                 exchange.attempted_engines.push(engine_index);
                 exchange.sends += 1;
-                // The last counted send is kept for the half that makes the tokens.
+                // The last counted send is kept for the decode phase.
                 if exchange.sends + 1 >= exchange.max_sends || !exchange.grant_send() {
-                    return Err(());
+                    return None;
                 }
             }
-            SendOutcome::Lost => return Err(()),
+            SendOutcome::Lost => return None,
         }
     }
-    Err(())
+    None
 }
 
+/// Takes the KV handle from the response to a prefill. None where there is no usable one.
 async fn accept_prefill_response(
     exchange: &mut Exchange,
     engine_index: usize,
     response: EngineResponse,
-) -> Result<PrefillOutcome, ()> {
+) -> Option<PrefillOutcome> {
     if response.head.headers.contains_key(RESPONSE_SEAL) {
-        // An engine that knows no halves has run it: this is the answer, and nothing more is sent.
-        (exchange.sends, exchange.reached_engine, exchange.may_have_run) = (exchange.sends + 1, true, true);
-        return Ok(PrefillOutcome::Response(engine_index, response));
+        // An engine that knows no phases has run it: this is the response, and nothing more is sent.
+        exchange.sends += 1;
+        exchange.reached_engine = true;
+        exchange.may_have_run = true;
+        return Some(PrefillOutcome::Response(engine_index, response));
     }
     let endpoint = exchange.endpoint(engine_index);
     let is_success = response.head.status == 200;
-    let timeout_ms = exchange.remaining_ms().min(1000);
+    let timeout_ms = exchange.remaining_ms().min(PREFILL_RESPONSE_TIMEOUT_MS);
     let received_at = clock::now();
-    let body = send::read_body(&exchange.state, &endpoint, response, 16 * 1024, timeout_ms).await;
+    let body =
+        engine_response::read_body(&exchange.state, &endpoint, response, MAX_PREFILL_RESPONSE_BYTES, timeout_ms).await;
     exchange.end_send(engine_index);
     let value: Value = body.and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
     let id = value["kv_handle"].as_str().filter(|_| is_success).unwrap_or("").to_string();
-    let is_valid = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
-    if !is_valid {
-        // It may have been turned away: counted.
+    if !is_valid_handle_id(&id) {
+        // It may have been rejected, so it counts.
         exchange.reached_engine = true;
-        return Err(());
+        return None;
     }
     if exchange.version_bounds().is_some() {
-        // Reader and maker of bound work agree: what was read with other weights is of no use to it.
+        // With a staleness limit both phases use the same weights: a KV cache of other weights is of no use.
         let version = value["revision"].as_u64();
         exchange.record_version(engine_index, version);
         exchange.pinned_version = version.or(exchange.pinned_version);
     }
-    let until = received_at + exchange.service_config.hold_ms.saturating_sub(HANDLE_EXPIRY_MARGIN_MS);
-    exchange.hold_kv_handle(KvHandle { engine_index, endpoint, id, expires_at_ms: until });
-    Ok(PrefillOutcome::HandleHeld)
+    let expires_at_ms = received_at + exchange.service_config.hold_ms.saturating_sub(HANDLE_EXPIRY_MARGIN_MS);
+    exchange.hold_kv_handle(KvHandle { engine_index, endpoint, id, expires_at_ms });
+    Some(PrefillOutcome::HandleHeld)
+}
+
+/// Returns whether an id may stand in a path and in a header.
+fn is_valid_handle_id(id: &str) -> bool {
+    !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// How urgent a read is: a short one goes before long ones, which it hardly delays, while behind them
-/// it would miss its aim; among alike the operator's rank decides.
+/// Returns the urgency class of a prefill. A short one goes before long ones: it hardly delays them, and behind them it
+/// would miss its latency target. Among similar ones the operator's priority decides.
 fn prefill_urgency(exchange: &Exchange, prefill_tokens: u32) -> u32 {
     if exchange.request.deferrable_share.is_some() {
-        return 9;
+        return DEFERRABLE_URGENCY;
     }
     let size = match prefill_tokens {
-        0..1024 => 0,
-        1024..4096 => 2,
+        0..SHORT_PREFILL_TOKENS => 0,
+        SHORT_PREFILL_TOKENS..MEDIUM_PREFILL_TOKENS => 2,
         _ => 4,
     };
-    (1 + size + exchange.priority.min(1)).min(8)
+    (1 + size + exchange.priority.min(1)).min(MAX_INTERACTIVE_URGENCY)
 }
 
-/// Notes an owner here and tells the catalog; gives the number of registrations sent.
+/// Records an engine as the owner of the prompt's prefixes, here and in the catalog. Returns how many registrations
+/// were sent.
 fn register(exchange: &Exchange, engine_index: usize) -> u32 {
     let now = clock::now();
     let (id, load) = {
@@ -121,27 +145,28 @@
     count
 }
 
-/// Reads the prompt and hands it over; gives the engine that answers and its answer.
+/// Carries out both phases. Returns the index of the engine that responds, and its response.
+///
+/// # Errors
+///
+/// Returns what the client is answered where no engine responds.
 pub async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
-    let mut prefill_engine = None;
-    let outcome = prefill(exchange).await;
-    if let Ok(PrefillOutcome::Response(engine_index, response)) = outcome {
-        return Ok((engine_index, response));
-    }
-    if outcome.is_ok() {
-        prefill_engine = exchange.kv_handle_engine();
-        if let Some(engine_index) = prefill_engine {
-            let registration_count = register(exchange, engine_index);
-            let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
-            // A drop only means that others will not find this memory: the hand-over goes on.
-            exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
-        }
+    let prefill_engine = match prefill(exchange).await {
+        Some(PrefillOutcome::Response(engine_index, response)) => return Ok((engine_index, response)),
+        Some(PrefillOutcome::HandleHeld) => exchange.kv_handle_engine(),
+        None => None,
+    };
+    if let Some(engine_index) = prefill_engine {
+        let registration_count = register(exchange, engine_index);
+        let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
+        // A dropped registration only means that others will not find this KV cache: the hand-over goes on.
+        exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
     }
     decode(exchange, prefill_engine).await
 }
 
-/// The engine that is to make the tokens, and the memory that it goes on with.
+/// Selects the engine that decodes, and the KV handle that it starts from.
 fn select_decode_engine(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Option<(usize, Option<KvHandle>)> {
     let (tokens, placement_hash) = (exchange.request.prompt_tokens(), plan::placement_hash(&exchange.request));
     let owners = exchange.prefix_owners.clone();
@@ -159,12 +184,12 @@
         }
         exchange.hold_kv_handle(handle);
         exchange.version_bounds()?;
-        // No maker has the version that read it: one inside the limit reads it itself.
+        // No decode engine has the weights that prefilled it: one within the limit prefills it itself.
         exchange.release_kv_handle();
     }
 }
 
-/// Sends to the engine that makes the tokens, with the memory where there is one.
+/// Sends to a decode engine, with the KV handle where there is one, until one responds.
 async fn decode(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Result<(usize, EngineResponse), Failure> {
     loop {
         let Some((engine_index, handle)) = select_decode_engine(exchange, prefill_engine) else {
@@ -194,7 +219,7 @@
             SendOutcome::Unsent(_) => exchange.sends -= 1,
             SendOutcome::Lost => {
                 exchange.may_have_run = true;
-                // Where it was not taken nobody else may name it: this maker may yet come for it.
+                // No other engine may name the handle: this one may still fetch the KV cache.
                 exchange.release_kv_handle();
                 if !exchange.is_repeatable {
                     return Err(forward::failure_for(exchange));
@@ -206,12 +231,13 @@
     }
 }
 
+/// Returns whether all slots of an engine are estimated to be in use.
 fn is_full(exchange: &Exchange, engine_index: usize) -> bool {
     let engine_table = exchange.state.engines();
     engine_table.estimated_load(engine_index, clock::now()) >= f64::from(engine_table.engines[engine_index].slots)
 }
 
-/// The memory can't be had: its engine is suppressed for these keys, not for the request.
+/// Gives up a KV handle whose KV cache can't be fetched: its engine is suppressed for these keys, not for the request.
 fn abandon_handle(exchange: &mut Exchange) {
     if let Some(prefill_engine) = exchange.kv_handle_engine() {
         let now = clock::now();
