--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -39,7 +39,7 @@
 
 /// Carries out an operator's change.
 pub async fn execute(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
-    let read_by_all = controller.body_form();
+    let read_by_all = controller.body_format();
     let known = controller.committed.current_config();
     let parsed = ParsedChange::parse(change);
     let decide = |body: &[u8]| decide(&parsed, body, known.as_deref(), read_by_all);
--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -24,7 +24,7 @@
 use crate::peers::directory::Peers;
 use crate::prefix_catalog::PrefixCatalog;
 use crate::quota_shards::QuotaShards;
-use crate::replication::committed_state::{read_core, Learned, CONFIG_KEY};
+use crate::replication::committed_state::{decode_membership, Learned, CONFIG_KEY};
 use crate::replication::registers::{ChangeOutcome, CompletedChange, Ownerships};
 use crate::replication::replica::Replica;
 use crate::replication::shared_state::SharedCommittedState;
@@ -58,7 +58,7 @@
     pub acquired_roles: AcquiredRoles,
     /// Time spent on batches that is not yet written.
     pub elapsed_times: ElapsedTimes,
-    /// RolloutAnalyses of new versions.
+    /// Analyses of new versions under rollout.
     pub rollout_analyses: RolloutAnalyses,
     /// Shards of tenants' quotas.
     pub quotas: QuotaShards,
@@ -137,7 +137,7 @@
             }
         }
         if key == MEMBERSHIP_KEY {
-            if let Some(membership) = read_core(&entry.body) {
+            if let Some(membership) = decode_membership(&entry.body) {
                 self.replica.adopt_membership(&membership);
             }
         }
@@ -145,15 +145,15 @@
         true
     }
 
-    /// Changes a key and announces the committed entry. `judge` sees what is committed and says what to do; it may be asked
+    /// Changes a key and announces the committed entry. `decide` sees what is committed and says what to do; it may be asked
     /// again, and an answer without a write is only given on what a quorum was just seen to hold.
     pub async fn change<T>(
         &self,
         key: &str,
         wait_ms: u64,
-        judge: impl FnMut(&[u8]) -> Decision<T>,
+        decide: impl FnMut(&[u8]) -> Decision<T>,
     ) -> ChangeOutcome<T> {
-        let CompletedChange { answer, ownership, written } = self.change_unannounced(key, wait_ms, judge).await?;
+        let CompletedChange { answer, ownership, written } = self.change_unannounced(key, wait_ms, decide).await?;
         if !written && ownership.entry.body.len() > LONG_BODY_BYTES {
             execution::publish_unchanged(self, key, &ownership.entry);
         } else if !ownership.is_blank() {
@@ -163,7 +163,7 @@
     }
 
     /// Returns the form of the configuration's body that the members of the core and all live controllers read.
-    pub fn body_form(&self) -> BodyFormat {
+    pub fn body_format(&self) -> BodyFormat {
         let now = clock::now();
         let core = self.replica.membership();
         self.peers.read(|view| {
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -44,7 +44,7 @@
 kernel::impl_archive_bytes!(EvacuationRecord);
 kernel::impl_archive_bytes!(RoleState);
 
-pub use consensus::{decode_membership as read_core, encode_membership as write_core};
+pub use consensus::{decode_membership, encode_membership};
 
 /// Implements `open`, which reads the value in a body.
 macro_rules! open {
@@ -190,7 +190,7 @@
             self.roles.insert(key.into(), role);
         }
         if key == MEMBERSHIP_KEY && !body.is_empty() {
-            read_core(body).ok_or(Unreadable::Body)?;
+            decode_membership(body).ok_or(Unreadable::Body)?;
         }
         Ok(())
     }
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -78,9 +78,9 @@
     }
     let next = controller.peers.read(|view| next(&core, view, now));
     let Some(next) = next else { return };
-    let judge = |body: &[u8]| match committed_state::read_core(body) {
+    let judge = |body: &[u8]| match committed_state::decode_membership(body) {
         Some(committed) if committed.version != core.version || !committed.stable => Decision::Answer(()),
-        _ => Decision::Write(committed_state::write_core(&next), ()),
+        _ => Decision::Write(committed_state::encode_membership(&next), ()),
     };
     if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, judge).await.is_some() {
         advance_transition(controller, &controller.replica.membership(), transition).await;
@@ -125,10 +125,10 @@
     if !transition.is_done() {
         return;
     }
-    let judge = |body: &[u8]| match committed_state::read_core(body) {
+    let judge = |body: &[u8]| match committed_state::decode_membership(body) {
         Some(committed) if committed.version == core.version && !committed.stable => {
             let stable = stabilized(&committed);
-            Decision::Write(committed_state::write_core(&stable), ())
+            Decision::Write(committed_state::encode_membership(&stable), ())
         }
         _ => Decision::Answer(()),
     };
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -35,7 +35,7 @@
 
 /// What a change came to.
 pub struct CompletedChange<T> {
-    /// What `judge` answered.
+    /// What `decide` answered.
     pub answer: T,
     /// The key's ownership with the committed entry.
     pub ownership: Ownership,
@@ -81,7 +81,7 @@
         &self,
         key: &str,
         owned: Option<Ownership>,
-        judge: &mut impl FnMut(&[u8]) -> Decision<T>,
+        decide: &mut impl FnMut(&[u8]) -> Decision<T>,
     ) -> Option<CompletedChange<T>> {
         let core = self.replica.membership();
         if core.members.is_empty() {
@@ -89,12 +89,12 @@
         }
         let members = quorum::addresses(&core);
         let proposal_number = self.committed.next_proposal_number(&core, self.replica_id);
-        let (mut proposal, ask) = Proposal::start(key, &core, owned, proposal_number, judge, clock::now());
+        let (mut proposal, ask) = Proposal::start(key, &core, owned, proposal_number, decide, clock::now());
         let mut responses = self.ask(&core, ask, &members);
         loop {
             let span = Duration::from_millis(ROUND_TIMEOUT_MS);
             let Ok(Some((from, response))) = time::timeout(span, responses.recv()).await else { return None };
-            match proposal.handle_response(&from, response, judge, clock::now()) {
+            match proposal.handle_response(&from, response, decide, clock::now()) {
                 Progress::Wait => {}
                 Progress::Send(ask) => responses = self.ask(&core, ask, &members),
                 Progress::Finished { answer, ownership, written } => {
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Changes a key without announcing the committed entry: that is left to the caller. `judge` sees what is committed and says what to do; it may be asked again.
+    /// Changes a key without announcing the committed entry: that is left to the caller. `decide` sees what is committed and says what to do; it may be asked again.
     pub async fn change_unannounced<T>(
         &self,
         key: &str,
         wait_ms: u64,
-        mut judge: impl FnMut(&[u8]) -> Decision<T>,
+        mut decide: impl FnMut(&[u8]) -> Decision<T>,
     ) -> ChangeOutcome<CompletedChange<T>> {
         let own = self.ownerships.lock_of(key);
         let end = Instant::now() + Duration::from_millis(wait_ms);
@@ -125,7 +125,7 @@
         let mut random = Rng::new(self.incarnation ^ clock::now());
         let mut pause = FIRST_PAUSE_MS;
         while Instant::now() < end {
-            if let Some(done) = self.propose(key, owned.take(), &mut judge).await {
+            if let Some(done) = self.propose(key, owned.take(), &mut decide).await {
                 *owned = Some(done.ownership.clone());
                 return Some(done);
             }
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -5,8 +5,8 @@
 //! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
 use super::CommittedState;
 use super::{
-    read_config, read_core, write_core, EvacuationRecord, Learned, RoleState, CONFIG_KEY, EVACUATION_PREFIX,
-    ROLE_PREFIX,
+    decode_membership, encode_membership, read_config, EvacuationRecord, Learned, RoleState, CONFIG_KEY,
+    EVACUATION_PREFIX, ROLE_PREFIX,
 };
 use crate::batches::records::{self as batches, batch_key, ids, page_key};
 use crate::config::body::BodyFormat::{self, Compressed, Digested, Plain};
@@ -349,7 +349,7 @@
         ("control-5-batch-live.bin", live_batch().to_bytes()),
         ("control-5-batch-expired.bin", expired_batch().to_bytes()),
         ("control-5-page.bin", page().to_bytes()),
-        ("control-5-core.bin", write_core(&core())),
+        ("control-5-core.bin", encode_membership(&core())),
     ]
 }
 
@@ -517,7 +517,7 @@
 
 #[test]
 fn members_of_version_5_are_read() {
-    assert_eq!(read_core(&fixture("control-5-core.bin")), Some(core()));
+    assert_eq!(decode_membership(&fixture("control-5-core.bin")), Some(core()));
     learned(&[("core", "control-5-core.bin")]);
 }
 
--- a/controller/src/testing/simulation/members.rs
+++ b/controller/src/testing/simulation/members.rs
@@ -70,9 +70,9 @@
         let now = self.now;
         let Some(next) = reconfiguration::next(core, &self.nodes[at].view, now) else { return };
         let version = core.version;
-        let judge = move |body: &[u8]| match committed_state::read_core(body) {
+        let judge = move |body: &[u8]| match committed_state::decode_membership(body) {
             Some(held) if held.version != version || !held.stable => Decision::Answer(None),
-            _ => Decision::Write(committed_state::write_core(&next), None),
+            _ => Decision::Write(committed_state::encode_membership(&next), None),
         };
         self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
     }
@@ -117,10 +117,10 @@
             return;
         }
         let version = core.version;
-        let judge = move |body: &[u8]| match committed_state::read_core(body) {
+        let judge = move |body: &[u8]| match committed_state::decode_membership(body) {
             Some(held) if held.version == version && !held.stable => {
                 let stabilized_membership = stabilized(&held);
-                Decision::Write(committed_state::write_core(&stabilized_membership), None)
+                Decision::Write(committed_state::encode_membership(&stabilized_membership), None)
             }
             _ => Decision::Answer(None),
         };
--- a/controller/src/testing/simulation/node.rs
+++ b/controller/src/testing/simulation/node.rs
@@ -180,7 +180,7 @@
         }
         node.committed.insert(key.into(), entry.clone());
         if key == MEMBERSHIP_KEY {
-            if let Some(core) = committed_state::read_core(&entry.body) {
+            if let Some(core) = committed_state::decode_membership(&entry.body) {
                 self.adopt(at, &core);
             }
         }
