--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -35,8 +35,11 @@
 
 /// Invariant: `current_as_of` never goes back, and the table in force contains all that was acknowledged before.
 pub struct Freshness {
+    /// The times that follow from the bound on convergence.
     budget: ConvergenceBudget,
+    /// All that was acknowledged before this time is in the table in force.
     current_as_of: AtomicI64,
+    /// How many requests wait.
     waiting: AtomicUsize,
     /// Notified when a proof or a newer table has arrived.
     changed: Notify,
--- a/router/src/testing/engine_responses.rs
+++ b/router/src/testing/engine_responses.rs
@@ -46,14 +46,15 @@
     (head.into(), rest.into())
 }
 
-/// The header lines of a request whose prompt can be read by one engine and answered by another.
+/// The header lines of a request whose prompt can be processed by one engine and answered by another.
 pub const PROMPT: &str = "Model: m\r\nToken-Count: 150,10\r\nPrompt-Prefix: ab:100,cd:50\r\n";
 
-/// The answer of an engine that has read a prompt; the handle is named after the request.
+/// Returns the response of a prefill engine that keeps the KV cache; its handle is named after the request.
 pub fn held(seen: &Seen) -> String {
     handle(seen.attempt(), seen.attempt())
 }
 
+/// Returns the response of a prefill engine to an attempt, with the handle `h` followed by `id`.
 pub fn handle(attempt: &str, id: &str) -> String {
     let body = format!("{{\"kv_handle\":\"h{id}\",\"token_count\":150,\"revision\":1}}");
     let length = body.len();
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -190,7 +190,7 @@
             let outcome = record_probe(self.state, self.engine_index, &id, response, self.started_at);
             let ProbeOutcome::Unanswered { known } = outcome else { return self.report_response(&id) };
             self.state.connection_pools.forget(&address);
-            self.report_silence(&id, known);
+            self.report_no_response(&id, known);
             self.unanswered += 1;
             let delay_ms = probe_delay(self.unanswered, self.state.router_count(), next_random(self.state));
             self.response_reported = wait_for_next_probe(self.state, self.engine_index, delay_ms).await;
@@ -215,7 +215,7 @@
     }
 
     /// Reports that a probe got no response, where others need to know. `known`: it was suspected before.
-    fn report_silence(&self, id: &str, known: bool) {
+    fn report_no_response(&self, id: &str, known: bool) {
         match self.reason {
             ProbeReason::OwnRequest if self.unanswered < MAX_SUSPICION_REPORTS => {
                 send_report(self.state, SuspicionReport::Suspected(id));
