--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -1,4 +1,4 @@
-//! The history of prefill and decode engines: orders to engines, from the one owner of the role.
+//! The balance of prefill and decode engines: orders to engines, from the one owner of the role.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
