--- a/controller/src/testing/simulation/members.rs
+++ b/controller/src/testing/simulation/members.rs
@@ -1,4 +1,4 @@
-//! Changes of the core at a simulated controller, and the recovery of a acceptor that lost its disk.
+//! Changes of the core at a simulated controller, and the recovery of an acceptor that lost its disk.
 
 use std::mem;
 
--- a/controller/src/testing/simulation/mod.rs
+++ b/controller/src/testing/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders, cuts,
 //! frozen processes, losses of power and of disks, replaced machines, operators that race and send again.
-//! The nodes run the state machines of `ledger` and the decisions of this crate; only what carries them
+//! The nodes run the state machines of `consensus` and the decisions of this crate; only what carries them
 //! (sockets, timers, the disk) is simulated. `history` checks what operators and subscribers got.
 
 use std::mem;
@@ -39,9 +39,9 @@
     pub validity: bool,
     /// A relayed evacuation names the version that it is made on top of.
     pub versioned_evacuations: bool,
-    /// Orders that waited in a socket while the process stood still are not carried out.
+    /// Requests that waited in a socket while the process stood still are not carried out.
     pub stale_orders: bool,
-    /// A wiped acceptor reads the others before it responses.
+    /// A wiped acceptor reads the others before it responds.
     pub recovery_reads: bool,
     /// A member tells that it is about to end, and waits to be released.
     pub hand_over: bool,
--- a/load_balancing/src/endpoint_lists.rs
+++ b/load_balancing/src/endpoint_lists.rs
@@ -2,7 +2,7 @@
 //!
 //! A list is versioned by (term, sequence): a poller raises the sequence with each change that it sees, and a poller that
 //! takes over goes to a higher term. Lists are compared by version alone, so no fence is needed: nobody takes an older
-//! list, however late it arrives (`docs/singleton-roles.md`, "Engine lists").
+//! list, however late it arrives (`docs/singleton-roles.md`, "Endpoint lists").
 
 use std::collections::BTreeMap;
 
--- a/protocol/src/stored_by_5_tests.rs
+++ b/protocol/src/stored_by_5_tests.rs
@@ -333,7 +333,7 @@
     Message::OperatorResponse(Box::new(result))
 }
 
-/// What voters say to one another: all variants of `Ask` and `Vote`.
+/// What proposers and acceptors send: all variants of `ConsensusOperation` and `ConsensusResponse`.
 fn votes() -> Vec<Message> {
     vec![
         poll(unsettled_core(), ConsensusOperation::Prepare { key: "config".into(), proposal_number: ballot() }),
--- a/tidepoint/tests/stand/hollow.rs
+++ b/tidepoint/tests/stand/hollow.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Until everything is known everywhere and duties are held.
+    /// Until everything is known everywhere and singleton roles are owned.
     pub async fn settle(&self) {
         self.until(1).await;
         let ready = |seat: &Arc<Seat>| seat.sure.load(Ordering::Relaxed) && seat.catalog.lock().expect("catalog").0 > 0;
