--- a/router/src/config/evacuation.rs
+++ b/router/src/config/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones, as reported by controllers.
+//! Applies the evacuations of zones that controllers report.
 
 use kernel::clock;
 use protocol::message::EvacuationState;
@@ -6,21 +6,21 @@
 use crate::event::EVACUATION_ACTIVATED;
 use crate::state::State;
 
-/// How long an endpoint list takes to get here beyond the lag of the platform, in milliseconds.
-const DELIVERY_MS: u64 = 1500;
+/// How long an endpoint list takes to reach a router beyond the lag of the platform, in milliseconds.
+const DELIVERY_LAG_MS: u64 = 1500;
 
-/// Returns how long an engine that may just have become cold is presumed cold, in milliseconds: until the endpoint
-/// list would say so.
+/// Returns how long an engine that may just have become cold is presumed cold, in milliseconds: until an endpoint list
+/// that shows it has arrived.
 pub fn presumed_cold_ms(state: &State) -> u64 {
-    state.settings.cloud_api.lag_ms + DELIVERY_MS
+    state.settings.cloud_api.lag_ms + DELIVERY_LAG_MS
 }
 
-/// Applies evacuations that were begun or withdrawn; versions older than those held change nothing.
-pub fn apply(state: &State, list: &[EvacuationState]) {
+/// Applies evacuations that were started or withdrawn. Versions no newer than those held change nothing.
+pub fn apply(state: &State, evacuations: &[EvacuationState]) {
     let mut engine_table = state.engines();
     let mut subscribed = state.subscribed();
-    for EvacuationState { zone, version, evacuated } in list {
-        if subscribed.evacuations.get(zone).is_some_and(|(known, _)| known >= version) {
+    for EvacuationState { zone, version, evacuated } in evacuations {
+        if subscribed.evacuations.get(zone).is_some_and(|(held_version, _)| held_version >= version) {
             continue;
         }
         let index = engine_table.zone_index(zone);
--- a/router/src/config/evacuation_tests.rs
+++ b/router/src/config/evacuation_tests.rs
@@ -1,4 +1,4 @@
-//! What withdrawing an evacuation means for the zone's engines.
+//! The effect of a withdrawn evacuation on the engines of the zone.
 
 use kernel::clock;
 use protocol::message::EvacuationState;
@@ -9,7 +9,7 @@
 use crate::testing::router;
 
 async fn engine(id: &str) -> Engine {
-    Engine::start(id, "decode", |_| unreachable!("nothing is sent")).await
+    Engine::start(id, "decode", |_| unreachable!("no request is sent")).await
 }
 
 fn evacuation(zone: &str, version: u64, evacuated: bool) -> EvacuationState {
@@ -38,5 +38,5 @@
     apply(&state, &[evacuation("a", 3, true)]);
     apply(&state, &[evacuation("a", 2, false)]);
     assert_eq!(cold_until(&state, 0), 0);
-    assert!(state.subscribed().evacuations[&"a".to_string()].1, "still evacuated");
+    assert!(state.subscribed().evacuations[&"a".to_string()].1, "the zone is still evacuated");
 }
--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -1,8 +1,8 @@
-//! Whether the routing table in force is proved to be current, and the requests that wait for that proof.
+//! Tracks whether the routing table in force is proved to be current, and lets requests wait for that proof.
 //!
-//! A refusal that rests on what the table lacks (no such route, no such key) is certain only if nothing that was
-//! acknowledged in time can be missing. A request that would be refused without that proof waits for a short time
-//! together with all others; the router's subscription is woken once for all of them.
+//! A refusal because of a missing entry (no such route, no such key) is certain only if no change that was acknowledged
+//! in time can be missing from the table. A request that would be refused without that proof waits for it for a short
+//! time; the router's subscription is woken once for all waiting requests.
 
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -16,35 +16,36 @@
 use crate::config::routing_table::RoutingTable;
 use crate::state::State;
 
-/// Stands for "no proof yet".
+/// The value of `current_as_of` before the first proof.
 const NO_PROOF: i64 = i64::MIN;
-/// How many requests may wait at once. Beyond them the outcome is uncertain without a wait.
+/// Maximum number of requests that wait at once. Further ones get `Unproved` without a wait.
 const MAX_WAITING: usize = 256;
 
-/// A request waits for a proof during this part of the time that it has left at most.
+/// Divides the time that a request has left to get the maximum time that it waits for a proof.
 const WAIT_DIVISOR: u64 = 3;
 
-/// Why the routing table has nothing for a request.
+/// Why a look-up in the routing table found nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupMiss {
-    /// The table is current, and has nothing for it.
+    /// The table is proved to be current, so the entry does not exist.
     Certain,
-    /// The table may be outdated.
+    /// The table may be outdated, so the entry may exist.
     Unproved,
 }
 
-/// Invariant: `current_as_of` never goes back, and the table in force contains all that was acknowledged before.
+/// The proof that the table in force is current, and the requests that wait for one. Invariant: `current_as_of` never
+/// decreases, and the table in force contains every change that was acknowledged before it.
 pub struct Freshness {
-    /// The times that follow from the bound on convergence.
+    /// The timeouts and age limits derived from the convergence bound.
     budget: ConvergenceBudget,
-    /// All that was acknowledged before this time is in the table in force.
+    /// Every change that was acknowledged before this time of the steady clock is in the table in force.
     current_as_of: AtomicI64,
-    /// How many requests wait.
+    /// The number of waiting requests.
     waiting: AtomicUsize,
     /// Notified when a proof or a newer table has arrived.
     changed: Notify,
-    /// Notified when a request waits for a proof.
-    wanted: Notify,
+    /// Notified when a request begins to wait for a proof.
+    proof_wanted: Notify,
 }
 
 /// Counts one waiting request until it is dropped.
@@ -64,62 +65,62 @@
             current_as_of: NO_PROOF.into(),
             waiting: Default::default(),
             changed: Default::default(),
-            wanted: Default::default(),
+            proof_wanted: Default::default(),
         }
     }
 
-    /// Returns the budget of the time in which changes converge.
+    /// Returns the convergence budget.
     pub fn budget(&self) -> &ConvergenceBudget {
         &self.budget
     }
 
-    /// Records that all that was acknowledged before this time of the steady clock is in the table in force.
+    /// Records the proof that every change acknowledged before this time of the steady clock is in the table in force.
     pub fn prove(&self, as_of: i64) {
         self.current_as_of.fetch_max(as_of, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
     /// Wakes the waiting requests because a newer table is in force.
-    pub fn table_changed(&self) {
+    pub fn notify_table_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    /// Returns whether a refusal may rest on the table in force.
+    /// Returns whether the proof is recent enough to refuse a request because the table has no entry for it.
     pub fn is_proved(&self, now: u64) -> bool {
         let as_of = self.current_as_of.load(Ordering::Relaxed);
         now as i64 <= as_of.saturating_add(self.budget.refusal_age_ms() as i64)
     }
 
-    /// Waits until a request waits for a proof. Any number of them end it once.
-    pub async fn wanted(&self) {
-        self.wanted.notified().await;
+    /// Returns once requests wait for a proof; any number of them count as one.
+    pub async fn proof_wanted(&self) {
+        self.proof_wanted.notified().await;
     }
 
-    /// Counts the caller as waiting unless too many are.
-    fn try_wait(&self) -> Option<WaitGuard<'_>> {
-        let order = Ordering::Relaxed;
-        let waiting = WaitGuard(self);
-        (self.waiting.fetch_add(1, order) < MAX_WAITING).then_some(waiting)
+    /// Counts the caller as waiting; `None` if too many requests wait already.
+    fn try_begin_wait(&self) -> Option<WaitGuard<'_>> {
+        let ordering = Ordering::Relaxed;
+        let guard = WaitGuard(self);
+        (self.waiting.fetch_add(1, ordering) < MAX_WAITING).then_some(guard)
     }
 }
 
-/// Returns the table of this moment if it is accepted. The proof is read first, so that the table read after it is
-/// no older.
+/// Returns the table in force if it is accepted. The proof is read before the table, so that the table is at least as
+/// new as the proof.
 fn find_table(state: &State, accepts: &impl Fn(&RoutingTable) -> bool) -> Result<Arc<RoutingTable>, LookupMiss> {
-    let proved = state.freshness.is_proved(clock::now());
+    let is_proved = state.freshness.is_proved(clock::now());
     let table = state.table();
     match accepts(&table) {
         true => Ok(table),
-        false if proved => Err(LookupMiss::Certain),
+        false if is_proved => Err(LookupMiss::Certain),
         false => Err(LookupMiss::Unproved),
     }
 }
 
-/// Returns the first table from now on that has what a request needs.
+/// Returns the table in force as soon as `accepts` returns true for it, which looks for what a request needs.
 ///
 /// # Errors
-/// A miss is `Certain` only by a table that is proved current. Without that proof it waits, during a third of the
-/// time that the request has left at most, and then returns `Unproved`.
+/// `Certain` only if the table is proved to be current. Without that proof it waits, for at most a third of the time
+/// that the request has left, and then returns `Unproved`.
 pub async fn wait_for_table(
     state: &State,
     left_ms: u64,
@@ -130,15 +131,15 @@
         return first;
     }
     let freshness = &state.freshness;
-    let Some(_waiting) = freshness.try_wait() else { return first };
-    freshness.wanted.notify_one();
-    let wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / WAIT_DIVISOR));
-    let end = Instant::now() + wait;
+    let Some(_guard) = freshness.try_begin_wait() else { return first };
+    freshness.proof_wanted.notify_one();
+    let max_wait = Duration::from_millis(freshness.budget.refusal_wait_ms().min(left_ms / WAIT_DIVISOR));
+    let deadline = Instant::now() + max_wait;
     loop {
         let changed = freshness.changed.notified();
-        let now = find_table(state, &accepts);
-        if !matches!(now, Err(LookupMiss::Unproved)) || time::timeout_at(end, changed).await.is_err() {
-            return now;
+        let result = find_table(state, &accepts);
+        if !matches!(result, Err(LookupMiss::Unproved)) || time::timeout_at(deadline, changed).await.is_err() {
+            return result;
         }
     }
 }
--- a/router/src/config/mod.rs
+++ b/router/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: the routing table, tenants, evacuations, and how current the table is proved to be.
+//! The configuration in force: the routing table, tenants, evacuations, and the proof that the table is current.
 
 pub mod activation;
 pub mod evacuation;
--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -45,7 +45,7 @@
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", &format!("Connection: close\r\n{KEYED}"))).await;
     let asked = Duration::from_secs(10);
-    time::timeout(asked, state.freshness.wanted()).await.expect("the proof is asked for");
+    time::timeout(asked, state.freshness.proof_wanted()).await.expect("the proof is asked for");
     keys(&state, &["k1"]);
     let text = client.rest().await;
     assert_eq!((status(&text), seen(&list).len()), ("200", 1), "{text}");
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -1,8 +1,8 @@
-//! The state of the process, shared by all of its tasks.
+//! The state of the router process, shared by all of its tasks.
 //!
 //! Lock order: routing table, engine table, owner cache, retry budget, subscribed state, connection pools.
-//! Staleness bounds and rollouts are taken last, never together with another lock. Accessors return guards;
-//! no guard is held over an await, or a task that waits would block the thread that has to wake it.
+//! Staleness bounds and rollouts come last and are never held together with another lock. Accessors return guards.
+//! No guard is held across an await: a suspended task would block the thread that has to wake it.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
@@ -27,19 +27,19 @@
 use crate::rollout::Rollouts;
 use crate::upstream::connection_pool::ConnectionPools;
 
-/// Bound on the entries of the owner cache.
+/// Capacity of the owner cache, in entries.
 const OWNER_CACHE_CAPACITY: usize = 20_000;
-/// How long an owner counts that was not reported again, in milliseconds.
+/// Time to live of an owner in the cache since it was last reported, in milliseconds.
 const OWNER_TTL_MS: u64 = 30_000;
 
-/// By zone: the version, a (term, sequence) pair, of the weight versions that are in force.
+/// By zone, the version of the weight versions in force, as a (term, sequence) pair.
 pub type WeightVersionsByZone = BTreeMap<String, (u64, u64)>;
 
-/// What one router process knows, and the parts that its tasks work with.
+/// The state of one router process and the components that its tasks share.
 pub struct State {
     /// The settings that the process was started with.
     pub settings: Settings,
-    /// Differs between two runs of one router.
+    /// Distinguishes this run of the process from other runs of the same router.
     pub incarnation: u64,
     /// Dense index of this router's zone.
     pub zone: u32,
@@ -47,55 +47,55 @@
     engine_table: Mutex<EngineTable>,
     owner_cache: Mutex<OwnerCache>,
     retry_budget: Mutex<RetryBudget>,
-    /// Idle and counted connections to engines.
+    /// Connection pools, by address of the engine.
     pub connection_pools: ConnectionPools,
-    /// Asks the catalog for owners of prefixes and registers them there.
+    /// Looks up the owners of prefixes in the catalog and registers them there.
     pub prefix_catalog: CatalogClient,
     staleness_bounds: Mutex<StalenessBounds>,
     weight_versions: Mutex<WeightVersionsByZone>,
     subscribed: Mutex<SubscribedState>,
-    /// As of when the routing table is proved to be current.
+    /// The time as of which the routing table is proved to be current.
     pub freshness: Freshness,
     home_controller: Mutex<Option<Arc<PeerClient>>>,
     rng: Mutex<Rng>,
-    /// When it was last logged that no replica is within a staleness limit, in milliseconds of the steady clock.
+    /// When the event that no replica is within a staleness limit was last logged, in milliseconds of the steady clock.
     pub replica_shortage_reported_at: AtomicU64,
-    /// Woken when a suspected engine answered another router.
+    /// Notified when a suspected engine has responded to another router.
     pub suspicion_cleared: Notify,
-    /// Whether the router has what it needs to serve clients.
+    /// Whether the router is ready to serve clients.
     pub ready: AtomicBool,
-    /// The phases of a graceful shutdown.
+    /// The progress of a graceful shutdown.
     pub drain: Drain,
-    /// Bytes of request bodies in memory.
+    /// Total size of the request bodies in memory, in bytes.
     pub held_body_bytes: AtomicUsize,
-    /// The counters and gauges of the process.
+    /// The metrics of the process.
     pub metrics: Metrics,
     /// Enforces the tenants' rate limits.
     pub quota_gate: QuotaGate,
     rollouts: Mutex<Rollouts>,
-    /// Woken when samples of a rollout wait to be sent.
+    /// Notified when samples of a rollout are to be sent.
     pub samples_wanted: Notify,
-    /// Counts requests that begin.
+    /// Counts requests as they start.
     pub metering: Metering,
 }
 
-/// What subscriptions delivered, besides the routing table and the engines. Invariant: versions never go back.
+/// State received through subscriptions, besides the routing table and the engines. Invariant: versions never decrease.
 #[derive(Default)]
 pub struct SubscribedState {
-    /// Revision of the configuration in force; 0 before the first.
+    /// Revision of the configuration in force; 0 before there is one.
     pub config_revision: u64,
-    /// By zone: the version of its newest evacuation record, and whether it is evacuated.
+    /// By zone, the version of its newest evacuation record and whether the zone is evacuated.
     pub evacuations: BTreeMap<String, (u64, bool)>,
     /// Dense indices of the evacuated zones.
     pub evacuated_zones: Vec<u32>,
     /// Addresses of the controllers.
     pub controllers: Vec<String>,
-    /// Recent router counts, each with the time it came.
+    /// Recent router counts, each with the time at which it was received.
     pub router_counts: Vec<(u64, u32)>,
 }
 
 impl State {
-    /// Returns the state of a process that has just started: it knows its settings and nothing else.
+    /// Returns the initial state of a process, which holds nothing but its settings.
     pub fn new(settings: Settings) -> Arc<State> {
         let incarnation = new_incarnation();
         let mut engine_table = EngineTable::default();
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Returns what opens connections to controllers and engines.
+    /// Returns the dialer for connections to controllers and engines.
     pub fn dialer(&self) -> Dialer {
         Dialer::new(self.settings.source_ip())
     }
@@ -143,7 +143,7 @@
         self.table.lock().clone()
     }
 
-    /// Puts a routing table in force.
+    /// Replaces the routing table in force.
     pub fn set_table(&self, table: Arc<RoutingTable>) {
         *self.table.lock() = table;
     }
@@ -158,27 +158,27 @@
         self.owner_cache.lock()
     }
 
-    /// Locks the budget that bounds retries as a part of requests.
+    /// Locks the retry budget, which limits retries to a share of all requests.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.retry_budget.lock()
     }
 
-    /// Locks the limits on stale weights. Taken last, never together with another lock.
+    /// Locks the limits on stale weights. Never held together with another lock.
     pub fn staleness_bounds(&self) -> MutexGuard<'_, StalenessBounds> {
         self.staleness_bounds.lock()
     }
 
-    /// Locks the versions, by zone, of the weight versions in force.
+    /// Locks the versions of the weight versions in force, by zone.
     pub fn weight_versions(&self) -> MutexGuard<'_, WeightVersionsByZone> {
         self.weight_versions.lock()
     }
 
-    /// Locks what subscriptions delivered.
+    /// Locks the state received through subscriptions.
     pub fn subscribed(&self) -> MutexGuard<'_, SubscribedState> {
         self.subscribed.lock()
     }
 
-    /// Locks the connection to the controller that this router subscribes to; none before the first subscription.
+    /// Locks the connection to the home controller; `None` before the first subscription.
     pub fn home_controller(&self) -> MutexGuard<'_, Option<Arc<PeerClient>>> {
         self.home_controller.lock()
     }
@@ -188,23 +188,23 @@
         self.rng.lock()
     }
 
-    /// Locks the rollouts of versions. Taken last, never together with another lock.
+    /// Locks the rollouts of versions. Never held together with another lock.
     pub fn rollouts(&self) -> MutexGuard<'_, Rollouts> {
         self.rollouts.lock()
     }
 
-    /// Returns how many routers share the limits: the highest of the recent router counts, and at least one.
+    /// Returns how many routers share the limits: the highest of the recent router counts, at least 1.
     pub fn router_count(&self) -> u32 {
         let subscribed = self.subscribed();
         subscribed.router_counts.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1)
     }
 
-    /// Returns the hash of this router's name, which tells its samples of engines from those of other routers.
+    /// Returns the hash of this router's name, the seed of its subset of the engines.
     pub fn router_hash(&self) -> u64 {
         hashing::hash(self.settings.node_name.as_bytes())
     }
 
-    /// Returns whether the process has begun to shut down.
+    /// Returns whether a graceful shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.drain.phase() != DrainPhase::Serving
     }
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -1,5 +1,5 @@
-//! What a router reports to controllers about itself, and how it applies what they send. All state is monotone:
-//! whichever controller sends what, in whatever order, the newest version counts.
+//! Builds the renewals that a router sends to controllers, and applies the updates that they send. All state is
+//! monotonic: the newest version wins, whichever controller sends it and in whatever order updates arrive.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 use crate::state::State;
 use crate::upstream::suspicion;
 
-/// How long an announcement that engines are about to change their phase is valid, in milliseconds.
+/// How long an announcement that engines are about to change their phase stays valid, in milliseconds.
 const REASSIGNING_VALID_MS: u64 = 1500;
-/// How long a reported number of routers is valid, in milliseconds.
+/// How long a reported number of routers stays valid, in milliseconds.
 const ROUTER_COUNT_VALID_MS: u64 = 10_000;
 
 /// Applies a message that a controller pushed.
@@ -38,8 +38,8 @@
     }
 }
 
-/// Builds the renewal: the versions this router holds. Its requests in flight are reported to its home controller
-/// only, where they are summed up.
+/// Builds a renewal, which reports the versions that this router holds. Its requests in flight are reported to its home
+/// controller only, which sums them up.
 pub fn build_renewal(state: &State, is_home: bool) -> SubscriptionRenewal {
     let (mut list_versions, in_flight): (Vec<_>, Vec<_>) = {
         let engine_table = state.engines();
@@ -74,30 +74,30 @@
     }
 }
 
-/// Returns where clients reach this router; empty without such an address and during the shutdown.
+/// Returns the address at which clients reach this router; empty if none is configured and during a shutdown.
 fn frontend_address(state: &State) -> String {
     let address = state.settings.bind_addresses.frontend.clone();
     address.filter(|_| !state.is_shutting_down()).unwrap_or_default()
 }
 
-/// Returns whether the router is ready: once the configuration is proved to be current and every zone is listed,
-/// and from then on until it shuts down.
+/// Returns whether the router is ready, and records it. It becomes ready once the configuration is proved to be current
+/// and the endpoint list of every zone has arrived, and stays ready until it shuts down.
 pub fn update_readiness(state: &State) -> bool {
-    let order = Ordering::Relaxed;
-    if state.ready.load(order) {
+    let ordering = Ordering::Relaxed;
+    if state.ready.load(ordering) {
         return true;
     }
-    let known = state.engines().listed_zone_count();
-    let is_complete = state.subscribed().config_revision > 0 && known >= state.settings.zones.len();
+    let listed_zones = state.engines().listed_zone_count();
+    let is_complete = state.subscribed().config_revision > 0 && listed_zones >= state.settings.zones.len();
     if !is_complete || !state.freshness.is_proved(clock::now()) {
         return false;
     }
-    state.ready.store(true, order);
+    state.ready.store(true, ordering);
     kernel::log_event!(READY);
     true
 }
 
-/// Applies whatever is newer than the state held; versions never go back.
+/// Applies the parts of a state update that are newer than the state held; versions never decrease.
 pub fn apply_state_update(state: &Arc<State>, update: StateUpdate) {
     let now = clock::now();
     if let Some((version, text)) = &update.config {
@@ -112,7 +112,8 @@
     }
 }
 
-/// Applies the endpoint lists and the engines about to be reassigned, and forgets the prefixes of removed engines.
+/// Applies the endpoint lists, marks the engines about to be reassigned, and drops the cached prefixes of removed
+/// engines.
 fn apply_endpoint_lists(state: &State, update: &StateUpdate, now: u64) {
     let mut removed_engines = Vec::new();
     {
@@ -125,14 +126,14 @@
     forget_owners(state, &removed_engines);
 }
 
-/// Applies an update of an endpoint list. One that does not follow the version held changes nothing: the next renewal reports
-/// that version, and the controller sends what leads on from it.
+/// Applies an update of an endpoint list. One that does not follow the version held changes nothing: the next renewal
+/// reports that version, and the controller sends the updates that follow it.
 fn apply_endpoint_update(state: &State, update: &EndpointUpdate) {
     let removed_engines = state.engines().apply_update(update, clock::now());
     forget_owners(state, &removed_engines);
 }
 
-/// Forgets the prefixes of engines that left or began to drain.
+/// Drops the cached prefixes of engines that were removed or began to drain.
 fn forget_owners(state: &State, removed_engines: &[String]) {
     if removed_engines.is_empty() {
         return;
@@ -141,8 +142,8 @@
     removed_engines.iter().for_each(|engine| owner_cache.remove_engine(engine));
 }
 
-/// Applies the known controllers and the number of routers, both unless empty, and updates this router's share of
-/// the engines.
+/// Applies the list of controllers unless it is empty and the number of routers unless it is 0, and updates this
+/// router's subset of the engines.
 fn apply_peers(state: &State, peers: Vec<String>, router_count: u32, now: u64) {
     {
         let mut subscribed = state.subscribed();
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -1,5 +1,5 @@
-//! The task that keeps the subscription: it makes the calls that `scheduler` decides on, and applies what
-//! controllers send.
+//! The task that keeps the subscription alive: it makes the calls that `scheduler` decides on, and applies the updates
+//! that controllers send.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::subscription::response::RenewalResponse;
 use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 
-/// Keeps the subscription until the process ends.
+/// Keeps the subscription alive until the process ends.
 pub async fn run(state: Arc<State>) {
     let links = Links::new(state.dialer(), state.settings.peer_port());
     let scheduler = SubscriptionScheduler::new(
@@ -30,7 +30,7 @@
     }
 }
 
-/// Binds the scheduler to real connections and to the router's state.
+/// Connects the scheduler to the connections to controllers and to the router's state.
 struct Subscriber {
     state: Arc<State>,
     scheduler: SubscriptionScheduler,
@@ -39,22 +39,22 @@
 }
 
 impl Subscriber {
-    /// Begins the calls that are due, then waits for one event or for the next deadline and handles it.
+    /// Starts the calls that are due, then waits for one event or the next deadline and handles it.
     async fn run_step(&mut self) {
         let now = clock::now();
         for call in self.scheduler.due_calls(now) {
-            self.begin_call(&call, now);
+            self.start_call(&call, now);
         }
-        let pause = self.scheduler.wake_at(now).saturating_sub(now);
+        let wait_ms = self.scheduler.wake_at(now).saturating_sub(now);
         tokio::select! {
             event = self.links.next_event() => self.handle_event(event),
-            _ = self.state.freshness.wanted() => self.scheduler.request_proof(),
-            _ = time::sleep(Duration::from_millis(pause)) => self.reload_seeds_if_unproved(),
+            _ = self.state.freshness.proof_wanted() => self.scheduler.request_proof(),
+            _ = time::sleep(Duration::from_millis(wait_ms)) => self.reload_seeds_if_unproved(),
         }
     }
 
     /// Sends a renewal to a controller.
-    fn begin_call(&mut self, call: &Call, now: u64) {
+    fn start_call(&mut self, call: &Call, now: u64) {
         let is_home = self.scheduler.home() == Some(&call.controller);
         let renewal = apply_update::build_renewal(&self.state, is_home);
         let msg = Message::SubscriptionRenewal(Box::new(renewal));
@@ -79,14 +79,13 @@
             self.scheduler.on_frames_lost(clock::now());
         }
         if matches!(msg, Message::StalenessLimit(_)) {
-            // Renewed at once: the confirmation of a limit is awaited.
+            // Renewed at once, because the controller waits for the router to confirm the limit.
             self.scheduler.renew_now();
         }
         apply_update::apply_message(&self.state, msg);
     }
 
-    /// Applies the response to a call, or records its failure, and closes the connections that are no longer
-    /// needed.
+    /// Applies the response to a call or records its failure, then closes the connections that are no longer needed.
     fn handle_finished_call(&mut self, finished: FinishedCall) {
         let previous_home = self.scheduler.home().map(str::to_string);
         match finished.reply {
@@ -112,13 +111,13 @@
         self.links.retain(|controller| scheduler.home() == Some(controller) || scheduler.has_open_call(controller));
     }
 
-    /// Returns the configuration revision that is in force here.
+    /// Returns the revision of the configuration in force.
     fn applied_revision(&self) -> u64 {
         self.state.subscribed().config_revision
     }
 
-    /// Applies a state update. A confirmed one renews the lease of the limits on stale weights as of the time of
-    /// the call, not of its response.
+    /// Applies a state update. A confirmed one renews the lease of the limits on stale weights, as of the start of the
+    /// call and not of its response.
     fn apply_state_update(&self, update: StateUpdate, sent_at: u64) {
         if update.confirmed {
             self.state.staleness_bounds().renew_lease(sent_at);
@@ -126,7 +125,7 @@
         apply_update::apply_state_update(&self.state, update);
     }
 
-    /// Reports a response to the scheduler, and publishes what it proves.
+    /// Reports a response to the scheduler, then publishes the new proof and updates the readiness.
     fn record_response(&mut self, controller: &str, response: &RenewalResponse) {
         self.scheduler.on_response(clock::now(), controller, response);
         if let Some(as_of) = self.scheduler.current_as_of() {
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Publishes the new home controller. `previous_home`: the one before, if any.
+    /// Publishes the new home controller and reloads the seeds.
     fn on_home_changed(&mut self, previous_home: Option<String>) {
         let home = self.scheduler.home().unwrap_or_default().to_string();
         *self.state.home_controller() = Some(self.links.client(&home));
@@ -145,16 +144,16 @@
         self.reload_seeds();
     }
 
-    /// Reloads the seeds from time to time while nothing is proved: the settings file may name better controllers.
+    /// Reloads the seeds at intervals while there is no fresh proof: the settings file may name other controllers.
     fn reload_seeds_if_unproved(&mut self) {
         let now = clock::now();
-        let every = self.state.freshness.budget().bulk_age_ms();
-        if !self.state.freshness.is_proved(now) && now > self.seeds_read_at + every {
+        let interval_ms = self.state.freshness.budget().bulk_age_ms();
+        if !self.state.freshness.is_proved(now) && now > self.seeds_read_at + interval_ms {
             self.reload_seeds();
         }
     }
 
-    /// Reads the seed controllers from the settings file; an unreadable file changes nothing.
+    /// Reloads the seed controllers from the settings file; a file that cannot be loaded changes nothing.
     fn reload_seeds(&mut self) {
         self.seeds_read_at = clock::now();
         if let Ok(settings) = settings::load(&settings::path()) {
--- a/router/src/subscription/links.rs
+++ b/router/src/subscription/links.rs
@@ -1,4 +1,4 @@
-//! Connections to controllers, and the calls that are in flight on them.
+//! Connections to controllers, and the calls in flight on them.
 
 use std::collections::BTreeMap;
 use std::future;
@@ -10,22 +10,22 @@
 use tokio::sync::mpsc::{self, Receiver, Sender};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// How many pushed messages may wait to be applied.
+/// Capacity of the queue of pushed messages that wait to be applied.
 const PUSH_QUEUE_CAPACITY: usize = 256;
 
-/// The end of a call.
+/// A call that has ended.
 pub struct FinishedCall {
     /// The address of the controller that was called.
     pub controller: String,
-    /// When the call began.
+    /// When the call was started, in milliseconds of the steady clock.
     pub sent_at: u64,
     /// The response. `None`: no connection, or no response before the timeout.
     pub reply: Option<Message>,
-    /// Tells this call from earlier ones to the same controller.
+    /// Distinguishes this call from earlier ones to the same controller.
     sequence: u64,
 }
 
-/// One connection, with the sequence number and the task of the call that is in flight on it.
+/// One connection, with the sequence number and the task of the call in flight on it.
 struct Link {
     client: Arc<PeerClient>,
     call: Option<(u64, AbortHandle)>,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Connections by controller. Invariant: one connection per controller, and at most one call on it.
+/// The connections by controller. Invariant: one connection per controller, with at most one call in flight.
 pub struct Links {
     dialer: Dialer,
     port: u16,
@@ -50,7 +50,7 @@
     push_receiver: Receiver<Message>,
 }
 
-/// What arrives from controllers.
+/// An event on a connection to a controller.
 pub enum Event {
     /// A call has ended.
     CallFinished(FinishedCall),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the connection to a controller; it is established with its first call.
+    /// Returns the connection to a controller; it is established by the first call.
     pub fn client(&mut self, controller: &str) -> Arc<PeerClient> {
         let (dialer, port, push_sender) = (self.dialer, self.port, &self.push_sender);
         let connect = || {
@@ -83,7 +83,7 @@
         self.open_links.entry(controller.into()).or_insert_with(connect).client.clone()
     }
 
-    /// Begins a call. `sent_at` is reported with its end; `timeout_ms` bounds it.
+    /// Starts a call that ends after `timeout_ms` at the latest. `sent_at` is returned in its `FinishedCall`.
     pub fn call(&mut self, controller: &str, msg: Message, sent_at: u64, timeout_ms: u64) {
         let client = self.client(controller);
         self.sequence += 1;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the next event. A message that was pushed before a response is returned before it.
+    /// Returns the next event. A message that was pushed before a response is returned before that response.
     pub async fn next_event(&mut self) -> Event {
         loop {
             tokio::select! {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Marks the connection of a call as free, and returns whether the call was still the current one there.
+    /// Returns whether a call was still the current one on its connection, and if so marks the connection as free.
     fn end_call(&mut self, finished: &FinishedCall) -> bool {
         let Some(link) = self.open_links.get_mut(&finished.controller) else { return false };
         let is_current = link.call.as_ref().is_some_and(|call| call.0 == finished.sequence);
@@ -125,18 +125,18 @@
         is_current
     }
 
-    /// Returns whether further pushes may have been dropped because the queue was full. Meant to be called after
-    /// each push.
+    /// Returns whether pushed messages may have been dropped because the queue was full. To be called after each
+    /// `Event::Pushed`.
     pub fn may_have_dropped(&self) -> bool {
         self.push_receiver.capacity() <= 1
     }
 
-    /// Closes the connections that are not to be kept; a call that is in flight there ends without an event.
-    pub fn retain(&mut self, kept: impl Fn(&str) -> bool) {
-        self.open_links.retain(|controller, _| kept(controller));
+    /// Closes the connections for which `keep` returns false. A call in flight on one of them ends without an event.
+    pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
+        self.open_links.retain(|controller, _| keep(controller));
     }
 
-    /// Closes a connection on which a call failed: the next call dials again.
+    /// Closes a connection on which a call failed; the next call opens a new one.
     pub fn close(&mut self, controller: &str) {
         self.open_links.remove(controller);
     }
--- a/router/src/subscription/links_tests.rs
+++ b/router/src/subscription/links_tests.rs
@@ -4,11 +4,11 @@
 use tokio::task;
 
 use super::{Event, Links, PUSH_QUEUE_CAPACITY};
-use crate::testing::controller::{controllers, Manner};
+use crate::testing::controller::{controllers, ResponseMode};
 
 fn config() -> Config {
     let text = serde_json::json!({"revision": 7, "route_table": [], "service_table": []});
-    read(&text.to_string()).expect("good")
+    read(&text.to_string()).expect("valid configuration")
 }
 
 fn renewal() -> Message {
@@ -32,15 +32,15 @@
     let mut links = Links::new(Dialer::default(), port);
     links.call(&controllers[0].ip, renewal(), 5, 5000);
     assert!(matches!(links.next_event().await, Event::Pushed(Message::ConfigUpdate(_))));
-    let Event::CallFinished(finished) = links.next_event().await else { panic!("an answer") };
+    let Event::CallFinished(finished) = links.next_event().await else { panic!("the call has not finished") };
     assert_eq!((finished.controller.as_str(), finished.sent_at), ("127.0.0.1", 5));
     assert!(matches!(finished.reply, Some(Message::SubscriptionRenewed(_))));
 }
 
 #[tokio::test]
-async fn calls_to_several_controllers_run_concurrently_and_a_closed_one_is_not_reported() {
+async fn calls_run_concurrently_and_a_call_on_a_closed_connection_is_not_reported() {
     let (controllers, port) = controllers(2, &config());
-    controllers[0].set(Manner::Frozen);
+    controllers[0].set_mode(ResponseMode::Frozen);
     let mut links = Links::new(Dialer::default(), port);
     links.call(&controllers[0].ip, renewal(), 5, 60_000);
     links.call(&controllers[1].ip, renewal(), 6, 60_000);
@@ -49,12 +49,12 @@
         matches!(links.next_event().await, Event::CallFinished(finished) if finished.controller == controllers[1].ip)
     );
     links.retain(|controller| controller != controllers[0].ip);
-    controllers[0].set(Manner::Confirming);
+    controllers[0].set_mode(ResponseMode::Confirming);
     links.call(&controllers[0].ip, renewal(), 7, 60_000);
     assert!(matches!(links.next_event().await, Event::Pushed(_)));
     assert!(
         matches!(links.next_event().await, Event::CallFinished(finished) if finished.sent_at == 7),
-        "not the call that was given up"
+        "not the abandoned call"
     );
 }
 
@@ -63,7 +63,7 @@
     let (controllers, port) = controllers(1, &config());
     let mut links = Links::new(Dialer::default(), port);
     links.call(&controllers[0].ip, renewal(), 5, 60_000);
-    // The change is pushed right before the answer.
+    // The configuration update is pushed right before the response.
     while links.push_receiver.is_empty() {
         task::yield_now().await;
     }
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_queue_that_was_full_is_noticed_with_the_first_message_taken() {
+async fn a_full_queue_is_detected_with_the_first_message_received() {
     let mut links = Links::new(Dialer::default(), 1);
     let report = Message::SuspectEngine(Box::new(("i-1".into(), true)));
     for _ in 0..PUSH_QUEUE_CAPACITY / 2 {
--- a/router/src/subscription/pacing.rs
+++ b/router/src/subscription/pacing.rs
@@ -1,49 +1,49 @@
-//! The pacing of hedged calls: how soon a router asks further controllers, and how long it waits for one whose
-//! response may be large.
+//! The pacing of hedged calls: how soon a router calls another controller, and how long it waits for a controller
+//! whose response may be large.
 
 use kernel::ConvergenceBudget;
 
-/// How long a controller that was reached may take, in milliseconds, before another is asked beside it where the
-/// response may hold the whole configuration.
-/// After a loss of power everywhere all routers request it at once, and every further controller that is asked has
-/// to send it again. Each controller that exceeded the patience is therefore followed by one that gets twice as
-/// long.
-pub const INITIAL_PATIENCE_MS: u64 = 1500;
-/// The upper bound of the patience, in milliseconds.
-pub const MAX_PATIENCE_MS: u64 = 6000;
+/// Initial soft timeout of a call, in milliseconds: if the response may contain the whole configuration, no other
+/// controller is called for it before then.
+///
+/// After a total power loss all routers request the configuration at once, and each further controller that is called
+/// has to send it again. After each soft timeout the next controller therefore gets twice as long.
+pub const INITIAL_SOFT_TIMEOUT_MS: u64 = 1500;
+/// Maximum soft timeout, in milliseconds.
+pub const MAX_SOFT_TIMEOUT_MS: u64 = 6000;
 
-/// The number of attempts at the shortest gap; from then on each gap is twice the one before, up to the longest.
+/// The number of attempts at the shortest gap. From then on each gap is twice the previous one, up to the longest.
 const ATTEMPTS_BEFORE_BACKOFF: u32 = 6;
-/// How often a gap is doubled at most; keeps the shift in range.
+/// The maximum number of times that a gap is doubled; keeps the shift in range.
 const MAX_GAP_DOUBLINGS: u32 = 16;
-/// A failed attempt costs nothing, so the gap after it is divided by this.
-const FAILED_DIVISOR: u64 = 4;
+/// Divides the gap after a failed attempt, because a failed attempt puts no load on any controller.
+const FAILED_GAP_DIVISOR: u64 = 4;
 
-/// The outcome of a call, as far as it says something about the speed of links.
+/// The outcome of a call, as far as it tells something about the speed of the links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// The controller responded.
     Responded,
     /// No connection was established, or it broke.
     Unreachable,
-    /// It was reached, and sent no first response within the patience.
+    /// The controller was reached but sent no first response within the soft timeout.
     Slow,
-    /// It had responded before, and no longer does.
+    /// The controller had responded before and no longer does.
     Unresponsive,
 }
 
-/// Returns the patience with the next controller, in milliseconds. Only a controller that was reached and exceeded
-/// its patience shows that links are slow; a failed dial, or one that had responded before, does not.
-pub fn next_patience(current_ms: u64, outcome: Outcome) -> u64 {
+/// Returns the soft timeout of the next call, in milliseconds. Only a controller that was reached and exceeded its soft
+/// timeout indicates slow links; a failed dial, or a controller that had responded before, does not.
+pub fn next_soft_timeout(current_ms: u64, outcome: CallOutcome) -> u64 {
     match outcome {
-        Outcome::Slow => (current_ms * 2).min(MAX_PATIENCE_MS),
-        Outcome::Unreachable => current_ms,
-        Outcome::Responded | Outcome::Unresponsive => INITIAL_PATIENCE_MS,
+        CallOutcome::Slow => (current_ms * 2).min(MAX_SOFT_TIMEOUT_MS),
+        CallOutcome::Unreachable => current_ms,
+        CallOutcome::Responded | CallOutcome::Unresponsive => INITIAL_SOFT_TIMEOUT_MS,
     }
 }
 
-/// The pacing of attempts. Invariant: two attempts are at least one gap apart, except for the two that begin a
-/// series and those that follow a failure; gaps grow while nothing is proved.
+/// The pacing of attempts. Invariant: two attempts are at least one gap apart, except for the two that start a series
+/// and those that follow a failure; gaps grow until a fresh proof is obtained.
 #[derive(Clone, Debug, Default)]
 pub struct Pacing {
     last_attempt_at: Option<u64>,
@@ -57,19 +57,19 @@
         self.attempts
     }
 
-    /// Records that a controller is being asked.
+    /// Records that a controller is being called.
     pub fn record_attempt(&mut self, now: u64) {
         (self.last_attempt_at, self.last_attempt_failed) = (Some(now), false);
         self.attempts = self.attempts.saturating_add(1);
     }
 
-    /// Records that the controller that was asked last could not be reached.
+    /// Records that the controller called last could not be reached.
     pub fn record_failure(&mut self) {
         self.last_attempt_failed = true;
     }
 
-    /// Resets the pacing because a fresh proof was obtained, and returns whether it did. An attempt within the last
-    /// gap still counts: otherwise a proof that soon becomes too old again would cause two calls each time.
+    /// Resets the pacing after a fresh proof unless the last attempt is less than a gap ago, and returns whether it was
+    /// reset. Otherwise each proof that soon becomes too old again would cause two calls at once.
     pub fn record_proof(&mut self, budget: &ConvergenceBudget, now: u64) -> bool {
         if self.last_attempt_at.is_some_and(|last| now < last + budget.hedge_gap_ms()) {
             return false;
@@ -90,7 +90,7 @@
         let doublings = self.attempts.saturating_sub(ATTEMPTS_BEFORE_BACKOFF).min(MAX_GAP_DOUBLINGS);
         let gap = (budget.hedge_gap_ms() << doublings).min(budget.max_hedge_gap_ms());
         if self.last_attempt_failed && doublings == 0 {
-            return gap / FAILED_DIVISOR;
+            return gap / FAILED_GAP_DIVISOR;
         }
         gap
     }
--- a/router/src/subscription/pacing_tests.rs
+++ b/router/src/subscription/pacing_tests.rs
@@ -1,24 +1,28 @@
-use super::{next_patience, Outcome, INITIAL_PATIENCE_MS, MAX_PATIENCE_MS};
+use super::{next_soft_timeout, CallOutcome, INITIAL_SOFT_TIMEOUT_MS, MAX_SOFT_TIMEOUT_MS};
 
 #[test]
-fn each_controller_that_exceeded_its_patience_is_followed_by_more_patience() {
-    let mut current_ms = INITIAL_PATIENCE_MS;
-    let mut sum = 0;
+fn each_soft_timeout_doubles_the_next_one_up_to_the_maximum() {
+    let mut current_ms = INITIAL_SOFT_TIMEOUT_MS;
+    let mut sum_ms = 0;
     for _ in 0..4 {
-        current_ms = next_patience(current_ms, Outcome::Slow);
-        sum += current_ms;
-        assert!(current_ms <= MAX_PATIENCE_MS);
+        current_ms = next_soft_timeout(current_ms, CallOutcome::Slow);
+        sum_ms += current_ms;
+        assert!(current_ms <= MAX_SOFT_TIMEOUT_MS);
     }
-    assert!(current_ms == MAX_PATIENCE_MS && sum > 10_000, "a slow link gets its time");
-    assert_eq!(next_patience(current_ms, Outcome::Responded), INITIAL_PATIENCE_MS);
+    assert!(current_ms == MAX_SOFT_TIMEOUT_MS && sum_ms > 10_000, "long enough for a slow link");
+    assert_eq!(next_soft_timeout(current_ms, CallOutcome::Responded), INITIAL_SOFT_TIMEOUT_MS);
 }
 
 #[test]
-fn failed_dials_during_a_partition_leave_no_long_patience_after_it() {
-    let mut current_ms = INITIAL_PATIENCE_MS;
+fn failed_dials_during_a_partition_do_not_lengthen_the_soft_timeout() {
+    let mut current_ms = INITIAL_SOFT_TIMEOUT_MS;
     for _ in 0..20 {
-        current_ms = next_patience(current_ms, Outcome::Unreachable);
+        current_ms = next_soft_timeout(current_ms, CallOutcome::Unreachable);
     }
-    assert_eq!(current_ms, INITIAL_PATIENCE_MS);
-    assert_eq!(next_patience(MAX_PATIENCE_MS, Outcome::Unresponsive), INITIAL_PATIENCE_MS, "it had answered before");
+    assert_eq!(current_ms, INITIAL_SOFT_TIMEOUT_MS);
+    assert_eq!(
+        next_soft_timeout(MAX_SOFT_TIMEOUT_MS, CallOutcome::Unresponsive),
+        INITIAL_SOFT_TIMEOUT_MS,
+        "it had responded before"
+    );
 }
--- a/router/src/subscription/scheduler.rs
+++ b/router/src/subscription/scheduler.rs
@@ -1,29 +1,29 @@
-//! Which controllers a router calls, and when: a pure state machine; the time comes in with every call.
+//! Decides which controllers a router calls, and when. A pure state machine: callers pass in the current time.
 //!
-//! One controller is the *home*: the preferred controller, at which the router renews its lease at a fixed interval
-//! and which pushes changes. What counts is not the home but `current_as_of`, the time as of which the
-//! configuration held here is proved to be current. Once that is too long ago, or the home is unresponsive, others
-//! are asked beside it (hedged calls): at once the next in the router's own order and a member of the core, then
-//! one more every gap. The first that proves enough becomes the home.
+//! One controller is the *home*: the preferred controller, with which the router renews its lease at a fixed interval
+//! and which pushes changes. The goal is to keep `current_as_of` recent: the time as of which the configuration that
+//! the router holds is proved to be current. Once that is too long ago, or the home is unresponsive, other controllers
+//! are called too (hedged calls): at once the next in the router's order and a member of the core, then one more after
+//! each gap. The first one that gives a fresh proof becomes the home.
 
 use std::collections::BTreeMap;
 
 use kernel::ConvergenceBudget;
 
 use crate::subscription::candidates::{BackoffReason, Candidates};
-use crate::subscription::pacing::{next_patience, Outcome, Pacing, INITIAL_PATIENCE_MS};
+use crate::subscription::pacing::{next_soft_timeout, CallOutcome, Pacing, INITIAL_SOFT_TIMEOUT_MS};
 use crate::subscription::response::{Assessment, RenewalResponse};
 
 #[path = "scheduler_calls.rs"]
 mod calls;
 
-/// A call to be begun now. Whoever makes it reports its end through `on_response`, or through `on_failure` after
-/// `timeout_ms` at the latest.
+/// A call to start now. The caller reports its end through `on_response`, or through `on_failure` after `timeout_ms` at
+/// the latest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The address of the controller.
     pub controller: String,
-    /// How long the call may take, in milliseconds.
+    /// The timeout of the call, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -32,9 +32,9 @@
 struct OpenCall {
     sent_at: u64,
     deadline_at: u64,
-    /// Until then no other controller is asked for the same where the response may be large.
-    patience_ends_at: u64,
-    patience_exceeded: bool,
+    /// The end of the soft timeout. If the response may be large, no other controller is called before then.
+    soft_deadline_at: u64,
+    soft_timed_out: bool,
 }
 
 /// The preferred controller.
@@ -42,16 +42,16 @@
 struct Home {
     controller: String,
     renew_at: u64,
-    /// When it was last called early because of a lost frame.
+    /// The time of the last early renewal because of a lost frame.
     early_renewal_at: Option<u64>,
     /// Whether its last call failed.
     failed: bool,
-    /// Whether it responds as controllers of an older version do.
+    /// Whether it is a controller of an older version.
     is_older_version: bool,
 }
 
-/// Decides which controllers are called. Invariants: at most one call to a controller is open; `current_as_of`
-/// never goes back, and all that was acknowledged before it is held here.
+/// Decides which controllers are called. Invariants: at most one call to a controller is open; `current_as_of` never
+/// decreases, and the router holds every change that was acknowledged before it.
 #[derive(Clone, Debug)]
 pub struct SubscriptionScheduler {
     budget: ConvergenceBudget,
@@ -59,9 +59,9 @@
     home: Option<Home>,
     open_calls: BTreeMap<String, OpenCall>,
     pacing: Pacing,
-    /// How often each controller was asked in the current series of hedged calls.
+    /// The number of calls to each controller in the current series of hedged calls.
     attempts: BTreeMap<String, u32>,
-    patience_ms: u64,
+    soft_timeout_ms: u64,
     current_as_of: Option<i64>,
     applied_revision: u64,
     ready: bool,
@@ -70,7 +70,7 @@
 }
 
 impl SubscriptionScheduler {
-    /// Returns the scheduler of a process that has just started and knows the seeds only.
+    /// Returns the initial scheduler of a process, which knows the seeds only.
     pub fn new(budget: ConvergenceBudget, node_name: &str, own_ip: &str, seeds: &[String]) -> SubscriptionScheduler {
         SubscriptionScheduler {
             budget,
@@ -79,7 +79,7 @@
             open_calls: Default::default(),
             pacing: Pacing::default(),
             attempts: Default::default(),
-            patience_ms: INITIAL_PATIENCE_MS,
+            soft_timeout_ms: INITIAL_SOFT_TIMEOUT_MS,
             current_as_of: None,
             applied_revision: 0,
             ready: false,
@@ -93,13 +93,13 @@
         self.home.as_ref().map(|home| home.controller.as_str())
     }
 
-    /// Returns the time before which all that was acknowledged is held here. `None`: nothing is proved yet.
+    /// Returns the time before which every acknowledged change is held by the router; `None` before the first proof.
     pub fn current_as_of(&self) -> Option<i64> {
         self.current_as_of
     }
 
-    /// Returns whether a response of this controller is still awaited. A call may end here before its timeout, once
-    /// it is of no use.
+    /// Returns whether a response of this controller is still awaited. A call may be abandoned before its timeout, once
+    /// its response is no longer needed.
     pub fn has_open_call(&self, controller: &str) -> bool {
         self.open_calls.contains_key(controller)
     }
@@ -109,17 +109,17 @@
         self.candidates.set_seeds(seeds);
     }
 
-    /// Records that the router is ready: renewals become less frequent.
+    /// Records that the router is ready, which makes renewals less frequent.
     pub fn set_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Records that client requests wait for a proof, however many they are.
+    /// Records that client requests wait for a proof. Their number makes no difference.
     pub fn request_proof(&mut self) {
         self.proof_requested = true;
     }
 
-    /// Makes a renewal at the home due at once, because something was pushed whose confirmation is awaited.
+    /// Makes a renewal with the home due at once, because a pushed change has to be confirmed.
     pub fn renew_now(&mut self) {
         if let Some(home) = &mut self.home {
             home.renew_at = 0;
@@ -132,51 +132,51 @@
         self.renew_early(now);
     }
 
-    /// Makes a renewal at the home due at once; repeated ones are one hedging gap apart.
+    /// Makes a renewal with the home due at once; repeated early renewals are one hedging gap apart.
     fn renew_early(&mut self, now: u64) {
         let gap = self.budget.hedge_gap_ms();
         if let Some(home) = &mut self.home {
-            let at = home.early_renewal_at.map_or(now, |last| now.max(last + gap));
-            home.renew_at = home.renew_at.min(at);
-            home.early_renewal_at = Some(at);
+            let renew_at = home.early_renewal_at.map_or(now, |last| now.max(last + gap));
+            home.renew_at = home.renew_at.min(renew_at);
+            home.early_renewal_at = Some(renew_at);
         }
     }
 
-    /// Handles the response of a controller; its state update has been applied already.
+    /// Handles the response of a controller, whose state update has already been applied.
     pub fn on_response(&mut self, now: u64, controller: &str, response: &RenewalResponse) {
         let Some(call) = self.open_calls.remove(controller) else { return };
         let hedging_needed = self.needs_hedging(now);
-        let nearer = self.home().is_some_and(|home| self.candidates.is_nearer(controller, home, now));
-        self.patience_ms = next_patience(self.patience_ms, Outcome::Responded);
+        let is_nearer_than_home = self.home().is_some_and(|home| self.candidates.is_nearer(controller, home, now));
+        self.soft_timeout_ms = next_soft_timeout(self.soft_timeout_ms, CallOutcome::Responded);
         self.candidates.update(&response.controllers, &response.core_members);
         if self.applied_revision == 0 && response.applied_revision > 0 {
-            // No other controller needs to continue sending the whole configuration.
+            // No other controller needs to go on sending the whole configuration.
             self.open_calls.clear();
         }
         self.applied_revision = response.applied_revision;
         let assessment = response.assess(call.sent_at, self.frames_lost_at);
-        let is_fresh = self.apply_proof(assessment, response.is_older(), now);
+        let is_fresh = self.apply_proof(assessment, response.is_from_older_version(), now);
         if is_fresh {
             self.candidates.end_backoff(controller, now);
         }
         match &mut self.home {
             Some(home) if home.controller == controller => {
-                (home.failed, home.is_older_version) = (false, response.is_older())
+                (home.failed, home.is_older_version) = (false, response.is_from_older_version())
             }
-            Some(home) if !home.failed && !(is_fresh && (hedging_needed || nearer)) => {
+            Some(home) if !home.failed && !(is_fresh && (hedging_needed || is_nearer_than_home)) => {
                 if !is_fresh {
                     self.candidates.back_off(controller, BackoffReason::Unproved, now);
                 }
                 return;
             }
-            _ => self.change_home(controller, &call, response.is_older(), hedging_needed, now),
+            _ => self.change_home(controller, &call, response.is_from_older_version(), hedging_needed, now),
         }
         if assessment == Assessment::FrameLost {
             self.renew_early(now);
         }
     }
 
-    /// Applies what a response proves, and returns whether the controller is as good a home as any.
+    /// Applies what a response proves, and returns whether the controller qualifies as the home.
     fn apply_proof(&mut self, assessment: Assessment, is_older_version: bool, now: u64) -> bool {
         match assessment {
             Assessment::Unproved => false,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Makes a controller the home. If hedging was needed the previous home is avoided for a while.
+    /// Makes a controller the home. If hedging was needed, the previous home is put in backoff.
     fn change_home(
         &mut self,
         controller: &str,
@@ -211,12 +211,12 @@
         });
     }
 
-    /// Handles a call that ended without a response: no connection, or none in time.
+    /// Handles a call that ended without a response: there was no connection, or it timed out.
     pub fn on_failure(&mut self, now: u64, controller: &str) {
-        self.record_exceeded_patience(now);
+        self.record_soft_timeouts(now);
         let Some(call) = self.open_calls.remove(controller) else { return };
         if now < call.deadline_at {
-            self.patience_ms = next_patience(self.patience_ms, Outcome::Unreachable);
+            self.soft_timeout_ms = next_soft_timeout(self.soft_timeout_ms, CallOutcome::Unreachable);
         }
         self.candidates.back_off(controller, BackoffReason::Unresponsive, now);
         match self.home.as_mut().filter(|home| home.controller == controller) {
--- a/router/src/subscription/scheduler_tests.rs
+++ b/router/src/subscription/scheduler_tests.rs
@@ -1,38 +1,38 @@
-//! How old the proof of the configuration becomes at most, whatever faults the controllers have.
+//! The maximum age of the proof of the configuration under faults of the controllers.
 
 use kernel::settings::Bounds;
 use kernel::{hashing, Rng};
 
 use crate::subscription::response::{Proof, RenewalResponse};
 use crate::testing::single_home::SingleHome;
-use crate::testing::subscription_world::{budget, names, Behaviour, Policy, World};
+use crate::testing::subscription_world::{budget, numbered_names, Behaviour, Policy, World};
 
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
 const CONTROLLERS: usize = 18;
-/// By then the router has a stable first home, in milliseconds.
+/// The time at which the router has a stable first home, in milliseconds.
 const WARMED_UP_AT: u64 = 5000;
 const END: u64 = 12_000;
 
-/// The faults of the controllers that the router calls.
+/// The faults of the controllers that a router calls.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
-    /// How many are faulty besides the home: the first that are called after the fault began.
+    /// How many controllers are faulty besides the home: the first ones called after the faults began.
     candidates: usize,
     behaviour: Behaviour,
 }
 
-/// A healthy controller's answer: its confirmation is as old as it may be where nothing goes wrong.
+/// Returns the behaviour of a healthy controller; the age of its confirmation is within the usual range.
 fn healthy(rng: &mut Rng, converge_ms: u64) -> Behaviour {
     let budget = budget(converge_ms);
-    Behaviour::Healthy { answer_ms: 2 + rng.below(20), age_ms: 5 + rng.below(budget.confirmation_interval_ms()) }
+    Behaviour::Healthy { response_ms: 2 + rng.below(20), age_ms: 5 + rng.below(budget.confirmation_interval_ms()) }
 }
 
-/// The oldest that the proof is while, from a time on, the home and others that are called are faulty.
+/// Returns the greatest age of the proof from the time on at which the home and other called controllers are faulty.
 fn oldest_proof<P: Policy>(mut world: World<P>, faults: Faults, converge_ms: u64, seed: u64) -> i64 {
     let mut rng = Rng::new(seed);
-    let begin = WARMED_UP_AT + rng.below(1000);
-    world.run(begin, |_, _| healthy(&mut rng, converge_ms));
-    assert!(world.proof_age().is_some(), "warmed up by then");
+    let faults_begin = WARMED_UP_AT + rng.below(1000);
+    world.run(faults_begin, |_, _| healthy(&mut rng, converge_ms));
+    assert!(world.proof_age().is_some(), "no proof after the warm-up");
     world.oldest_proof = 0;
     let mut faulty: Vec<String> = Vec::new();
     world.run(END, |controller, _| {
@@ -50,12 +50,12 @@
 fn fault_combinations() -> Vec<Faults> {
     let behaviours =
         [Behaviour::Frozen, Behaviour::Unreachable, Behaviour::Refusing, Behaviour::UnconfirmedSince(WARMED_UP_AT)];
-    let each = |candidates| behaviours.map(|behaviour| Faults { candidates, behaviour });
-    (0..=3).flat_map(each).collect()
+    let with_candidates = |candidates| behaviours.map(|behaviour| Faults { candidates, behaviour });
+    (0..=3).flat_map(with_candidates).collect()
 }
 
 #[test]
-fn a_router_that_reaches_the_core_has_a_proof_within_the_bound_whichever_controllers_are_faulty() {
+fn with_up_to_four_faulty_controllers_the_age_of_the_proof_stays_within_the_bound() {
     for converge_ms in CONVERGE_MS {
         for faults in fault_combinations() {
             for seed in 1..16 {
@@ -67,96 +67,101 @@
 }
 
 #[test]
-fn a_single_home_with_fixed_timeouts_does_not() {
+fn with_a_single_home_and_fixed_timeouts_the_age_of_the_proof_exceeds_the_bound() {
     for converge_ms in CONVERGE_MS {
         let two_faulty = Faults { candidates: 1, behaviour: Behaviour::Frozen };
-        let controllers = names("k", CONTROLLERS);
+        let controllers = numbered_names("k", CONTROLLERS);
         let world = World::with(SingleHome::new(&controllers), controllers);
         let oldest = oldest_proof(world, two_faulty, converge_ms, 1);
         assert!(oldest > converge_ms as i64 * 9 / 10, "{oldest} of {converge_ms}");
     }
 }
 
-/// Returns how old the proof is when a router counts as in contact again: it was partitioned for a while, and the
-/// first controllers that it calls afterwards are frozen.
-fn proof_age_once_in_touch<P: Policy>(mut world: World<P>, partition_ms: u64, faulty: usize) -> i64 {
-    world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { answer_ms: 5, age_ms: 100 });
-    let healed = WARMED_UP_AT + partition_ms;
-    // Bytes on the old connection are sent again only long after the cut.
-    world.run(healed, |controller, now| match controller == "k0" && now < WARMED_UP_AT + 500 {
+/// Returns the age of the proof when a router counts as in contact again after a partition, where the first controllers
+/// that it calls after the partition are frozen.
+fn proof_age_after_partition<P: Policy>(mut world: World<P>, partition_ms: u64, faulty: usize) -> i64 {
+    world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { response_ms: 5, age_ms: 100 });
+    let healed_at = WARMED_UP_AT + partition_ms;
+    // On the old connection TCP retransmits only long after the partition began, so that a call there gets no response.
+    world.run(healed_at, |controller, now| match controller == "k0" && now < WARMED_UP_AT + 500 {
         true => Behaviour::Frozen,
         false => Behaviour::Unreachable,
     });
-    let mut turned_to: Vec<String> = Vec::new();
-    world.run(healed + Bounds::default().contact_ms, |controller, _| {
-        if turned_to.len() < faulty && !turned_to.iter().any(|known| known == controller) {
-            turned_to.push(controller.to_string());
+    let mut faulty_controllers: Vec<String> = Vec::new();
+    world.run(healed_at + Bounds::default().contact_ms, |controller, _| {
+        if faulty_controllers.len() < faulty && !faulty_controllers.iter().any(|known| known == controller) {
+            faulty_controllers.push(controller.to_string());
         }
-        match turned_to.iter().any(|known| known == controller) {
+        match faulty_controllers.iter().any(|known| known == controller) {
             true => Behaviour::Frozen,
-            false => Behaviour::Healthy { answer_ms: 5, age_ms: 100 },
+            false => Behaviour::Healthy { response_ms: 5, age_ms: 100 },
         }
     });
-    world.proof_age().expect("proved")
+    world.proof_age().expect("there is a proof")
 }
 
 #[test]
-fn restored_contact_is_used_in_time_although_two_controllers_are_faulty() {
+fn after_a_partition_the_proof_is_fresh_in_time_despite_two_faulty_controllers() {
     for partition_ms in [300, 1000, 2400, 5000, 20_000] {
         for faulty in 0..=2 {
             let world = World::new(2000, CONTROLLERS);
-            let age = proof_age_once_in_touch(world, partition_ms, faulty);
-            assert!(age <= 1800, "{age}: cut for {partition_ms}, {faulty} faulty");
+            let age = proof_age_after_partition(world, partition_ms, faulty);
+            assert!(age <= 1800, "{age}: partition of {partition_ms} ms, {faulty} faulty");
         }
     }
-    let controllers = names("k", CONTROLLERS);
+    let controllers = numbered_names("k", CONTROLLERS);
     let single = World::with(SingleHome::new(&controllers), controllers);
-    let age = proof_age_once_in_touch(single, 5000, 2);
+    let age = proof_age_after_partition(single, 5000, 2);
     assert!(age > 2000, "a router with a single home: {age}");
 }
 
 #[test]
-fn a_router_returns_to_the_nearest_controller_once_that_recovered() {
+fn a_router_returns_to_the_nearest_controller_once_it_has_recovered() {
     let mut world = World::new(2000, CONTROLLERS);
-    let healthy_response = Behaviour::Healthy { answer_ms: 5, age_ms: 100 };
+    let healthy_response = Behaviour::Healthy { response_ms: 5, age_ms: 100 };
     world.run(WARMED_UP_AT, |_, _| healthy_response);
     assert_eq!(world.policy.home(), Some("k0"));
     world.run(
         WARMED_UP_AT + 3000,
         |controller, _| if controller == "k0" { Behaviour::Frozen } else { healthy_response },
     );
-    assert_eq!(world.policy.home(), Some("k1"), "the next in its order, not the core member that answered too");
+    assert_eq!(
+        world.policy.home(),
+        Some("k1"),
+        "the next in the router's order, not the core member that responded too"
+    );
     world.run(WARMED_UP_AT + 10_000, |_, _| healthy_response);
     assert_eq!(world.policy.home(), Some("k0"));
 }
 
 #[test]
-fn a_confirmation_by_an_older_controller_counts_only_if_no_frame_was_lost_since() {
+fn a_confirmation_by_an_older_controller_counts_only_if_no_frame_was_lost_since_the_call() {
     let mut world = World::new(2000, CONTROLLERS);
-    world.run(WARMED_UP_AT, |_, _| Behaviour::Older { answer_ms: 5 });
+    world.run(WARMED_UP_AT, |_, _| Behaviour::Older { response_ms: 5 });
     let proved = world.policy.current_as_of();
     let Some(call) =
         (0..2000).find_map(|wait| world.policy.due_calls(WARMED_UP_AT + wait).pop().map(|call| (call, wait)))
     else {
-        panic!("a renewal is due");
+        panic!("no renewal became due");
     };
-    let (call, sent) = (call.0, WARMED_UP_AT + call.1);
-    world.policy.on_frames_lost(sent + 1);
-    let answer = RenewalResponse {
+    let (call, sent_at) = (call.0, WARMED_UP_AT + call.1);
+    world.policy.on_frames_lost(sent_at + 1);
+    let response = RenewalResponse {
         proof: Proof::ConfirmedByOlderVersion,
         applied_revision: 7,
         controllers: world.controllers.clone(),
         core_members: Vec::new(),
     };
-    world.policy.on_response(sent + 5, &call.controller, &answer);
+    world.policy.on_response(sent_at + 5, &call.controller, &response);
     assert_eq!(world.policy.current_as_of(), proved);
-    let again = world.policy.due_calls(sent + 5);
-    assert_eq!(again.first().map(|call| &call.controller), Some(&call.controller), "at once");
-    world.policy.on_response(sent + 10, &call.controller, &answer);
-    assert_eq!(world.policy.current_as_of(), Some(sent as i64 + 5 - 1100));
+    let repeated = world.policy.due_calls(sent_at + 5);
+    assert_eq!(repeated.first().map(|call| &call.controller), Some(&call.controller), "at once");
+    world.policy.on_response(sent_at + 10, &call.controller, &response);
+    assert_eq!(world.policy.current_as_of(), Some(sent_at as i64 + 5 - 1100));
 }
 
-/// Two thirds of the controllers outside the core and one member of it are faulty, different ones every two seconds.
+/// Returns the greatest age of the proof while two thirds of the controllers outside the core and one member of the
+/// core are faulty, different ones every two seconds.
 fn oldest_proof_under_churn<P: Policy>(mut world: World<P>, converge_ms: u64, seed: u64) -> i64 {
     const CHANGE_MS: u64 = 2000;
     let mut rng = Rng::new(seed);
@@ -164,16 +169,16 @@
     world.oldest_proof = 0;
     let members = world.members.clone();
     world.run(WARMED_UP_AT + 60_000, |controller, now| {
-        let change = now / CHANGE_MS;
-        let luck = hashing::combine(hashing::hash(controller.as_bytes()), change + (seed << 32));
+        let period = now / CHANGE_MS;
+        let roll = hashing::combine(hashing::hash(controller.as_bytes()), period + (seed << 32));
         let is_member = members.iter().any(|member| member == controller);
-        let faulty_member = change as usize % members.len();
-        let faulty = if is_member { members[faulty_member] == controller } else { !luck.is_multiple_of(3) };
-        match luck / 3 % 3 {
+        let faulty_member = period as usize % members.len();
+        let faulty = if is_member { members[faulty_member] == controller } else { !roll.is_multiple_of(3) };
+        match roll / 3 % 3 {
             _ if !faulty => healthy(&mut rng, converge_ms),
             0 => Behaviour::Frozen,
             1 => Behaviour::Unreachable,
-            _ => Behaviour::UnconfirmedSince(change * CHANGE_MS),
+            _ => Behaviour::UnconfirmedSince(period * CHANGE_MS),
         }
     });
     world.oldest_proof
@@ -183,14 +188,14 @@
 fn the_bound_holds_while_most_controllers_outside_the_core_are_faulty() {
     let seeds = 1..12;
     for converge_ms in CONVERGE_MS {
-        let following = |seed| oldest_proof_under_churn(World::new(converge_ms, CONTROLLERS), converge_ms, seed);
-        let oldest = seeds.clone().map(following).max().unwrap_or(0);
+        let with_hedging = |seed| oldest_proof_under_churn(World::new(converge_ms, CONTROLLERS), converge_ms, seed);
+        let oldest = seeds.clone().map(with_hedging).max().unwrap_or(0);
         assert!(oldest * 10 <= converge_ms as i64 * 9, "{oldest} of {converge_ms}");
-        let single = |seed| {
-            let controllers = names("k", CONTROLLERS);
+        let with_single_home = |seed| {
+            let controllers = numbered_names("k", CONTROLLERS);
             oldest_proof_under_churn(World::with(SingleHome::new(&controllers), controllers), converge_ms, seed)
         };
-        let oldest = seeds.clone().map(single).max().unwrap_or(0);
+        let oldest = seeds.clone().map(with_single_home).max().unwrap_or(0);
         assert!(oldest > converge_ms as i64, "a single home: {oldest} of {converge_ms}");
     }
 }
--- a/router/src/testing/controller.rs
+++ b/router/src/testing/controller.rs
@@ -1,4 +1,4 @@
-//! Controllers in the test's own process, each at an address of its own on the loopback interface.
+//! Stand-in controllers in the test's own process, each at its own address on the loopback interface.
 
 use std::iter;
 use std::sync::Arc;
@@ -15,30 +15,30 @@
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
 
-/// What a controller does with the calls of routers.
+/// How a controller responds to the calls of routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ResponseMode {
     /// Sends what is missing and confirms it.
     Confirming,
-    /// As confirming, but each frame with a change is lost.
+    /// As `Confirming`, but each frame with a configuration update is lost.
     LosingFrames,
     /// Sends what is missing and confirms nothing.
     Unconfirmed,
-    /// As controllers of version 3: confirms without an age.
+    /// Responds as controllers of version 3 do, which confirm without an age.
     Older,
     /// Accepts calls and never responds.
     Frozen,
 }
 
-/// The state that the connections of a controller share.
+/// The state of a controller, shared by its connections.
 struct Inner {
-    manner: Manner,
+    mode: ResponseMode,
     config: Config,
     calls: usize,
     routers: Vec<Responder>,
 }
 
-/// A controller with a configuration of its own.
+/// A stand-in controller with its own configuration.
 pub struct Controller {
     /// Its address.
     pub ip: String,
@@ -46,7 +46,7 @@
     called: Arc<Notify>,
 }
 
-/// Starts controllers that listen on one port, as those of a deployment do, and returns them with that port.
+/// Starts controllers that all listen on one port, as in a deployment, and returns them with that port.
 ///
 /// # Panics
 /// If no port is free.
@@ -56,7 +56,7 @@
         let first = socket::listen("127.0.0.1:0").expect("a free port");
         let port = first.local_addr().expect("its address").port();
         let others = ips[1..].iter().map(|ip| socket::listen(&format!("{ip}:{port}")));
-        // Somebody else may have the port at another address.
+        // The port may be in use at another address.
         let Ok(others) = others.collect::<Result<Vec<_>, _>>() else { continue };
         let listeners = iter::once(first).chain(others);
         let controllers = ips.iter().zip(listeners).map(|(ip, listener)| Controller::start(ip, &ips, listener, config));
@@ -65,15 +65,15 @@
 }
 
 impl Controller {
-    /// Starts to serve on a listener; `all` are the controllers it reports.
-    fn start(ip: &str, all: &[String], listener: TcpListener, config: &Config) -> Controller {
-        let inner = Inner { manner: Manner::Confirming, config: config.clone(), calls: 0, routers: Vec::new() };
+    /// Serves on a listener; `all_ips` are the controllers that it reports.
+    fn start(ip: &str, all_ips: &[String], listener: TcpListener, config: &Config) -> Controller {
+        let inner = Inner { mode: ResponseMode::Confirming, config: config.clone(), calls: 0, routers: Vec::new() };
         let inner = Arc::new(Mutex::new(inner));
         let called = Arc::new(Notify::new());
-        let (controller, on_call, all) = (inner.clone(), called.clone(), all.to_vec());
+        let (controller, on_call, all_ips) = (inner.clone(), called.clone(), all_ips.to_vec());
         let handler: Handler = Arc::new(move |responder, id, msg| {
             if let Message::SubscriptionRenewal(renewal) = msg {
-                controller.lock().answer(&responder, id, &renewal, &all);
+                controller.lock().respond(&responder, id, &renewal, &all_ips);
                 on_call.notify_waiters();
             }
         });
@@ -81,66 +81,68 @@
         Controller { ip: ip.into(), inner, called }
     }
 
-    /// Changes what it does with calls.
-    pub fn set(&self, manner: Manner) {
-        self.inner.lock().manner = manner;
+    /// Changes how it responds to calls.
+    pub fn set_mode(&self, mode: ResponseMode) {
+        self.inner.lock().mode = mode;
     }
 
-    /// Returns how many calls it got.
+    /// Returns how many calls it has received.
     pub fn calls(&self) -> usize {
         self.inner.lock().calls
     }
 
-    /// Commits a newer configuration; nothing is pushed.
+    /// Commits a newer configuration without pushing it.
     pub fn commit(&self, config: &Config) {
         self.inner.lock().config = config.clone();
     }
 
-    /// Pushes a message to every router that called.
+    /// Pushes a message to every router that has called.
     pub fn push(&self, msg: &Message) {
         for router in &self.inner.lock().routers {
             router.notify(msg);
         }
     }
 
-    /// Waits until it got so many calls.
+    /// Waits until it has received `calls` calls.
     ///
     /// # Panics
     /// If that takes longer than 20 s.
-    pub async fn called(&self, times: usize) {
-        let end = Instant::now() + Duration::from_secs(20);
+    pub async fn wait_for_calls(&self, calls: usize) {
+        let deadline = Instant::now() + Duration::from_secs(20);
         loop {
             let called = self.called.notified();
-            if self.calls() >= times {
+            if self.calls() >= calls {
                 return;
             }
-            time::timeout_at(end, called).await.expect("called in time");
+            time::timeout_at(deadline, called).await.expect("too few calls in 20 s");
         }
     }
 }
 
 impl Inner {
-    /// Handles a renewal.
-    fn answer(&mut self, responder: &Responder, id: u64, renewal: &SubscriptionRenewal, all: &[String]) {
+    /// Responds to a renewal.
+    fn respond(&mut self, responder: &Responder, id: u64, renewal: &SubscriptionRenewal, all_ips: &[String]) {
         self.calls += 1;
         self.routers.push(responder.clone());
-        if self.manner == Manner::Frozen {
+        if self.mode == ResponseMode::Frozen {
             return;
         }
-        let change = ConfigUpdate::full(&self.config);
-        if renewal.config_revision < change.to && self.manner != Manner::LosingFrames {
-            responder.notify(&Message::ConfigUpdate(Box::new(change.encode())));
+        let config_update = ConfigUpdate::full(&self.config);
+        if renewal.config_revision < config_update.to && self.mode != ResponseMode::LosingFrames {
+            responder.notify(&Message::ConfigUpdate(Box::new(config_update.encode())));
         }
         let list = EndpointList { zone: "a".into(), term: 1, ..Default::default() };
-        let confirmed = matches!(self.manner, Manner::Confirming | Manner::Older | Manner::LosingFrames);
-        let update = StateUpdate { confirmed, peers: all.to_vec(), endpoint_lists: vec![list], ..Default::default() };
-        if self.manner == Manner::Older {
+        let confirmed =
+            matches!(self.mode, ResponseMode::Confirming | ResponseMode::Older | ResponseMode::LosingFrames);
+        let update =
+            StateUpdate { confirmed, peers: all_ips.to_vec(), endpoint_lists: vec![list], ..Default::default() };
+        if self.mode == ResponseMode::Older {
             responder.reply(id, &Message::StateUpdate(Box::new(update)));
             return;
         }
         let confirmation = Confirmation { age_ms: 0, config_revision: self.config.revision };
         let confirmation = confirmed.then_some(confirmation);
-        let members = all.iter().skip(1).cloned().collect();
+        let members = all_ips.iter().skip(1).cloned().collect();
         responder.reply(
             id,
             &Message::SubscriptionRenewed(Box::new(SubscriptionRenewed {
--- a/router/src/testing/single_home.rs
+++ b/router/src/testing/single_home.rs
@@ -1,5 +1,5 @@
-//! The router as it was before hedged calls, as a broken variant for tests: one home controller at a time, with
-//! timeouts that do not follow the convergence budget.
+//! The policy of routers before hedged calls, which tests expect to miss the bounds: one home controller at a time,
+//! with timeouts that do not depend on the convergence budget.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,19 @@
 use crate::subscription::scheduler::Call;
 use crate::testing::subscription_world::Policy;
 
+/// The interval between two calls to the home, in milliseconds.
 const RENEWAL_INTERVAL_MS: u64 = 400;
-const CALL_MS: u64 = 700;
-const FIRST_CALL_MS: u64 = 1500;
+/// The timeout of a call to a home that has responded before, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 700;
+/// The timeout of a call to a home that has not responded yet, in milliseconds.
+const FIRST_CALL_TIMEOUT_MS: u64 = 1500;
+/// How long the home may confirm nothing before it is left, in milliseconds.
 const MAX_UNCONFIRMED_MS: u64 = 1200;
+/// The age below which a confirmation counts, in milliseconds.
 const MAX_CONFIRMATION_AGE_MS: u64 = 1100;
+/// The backoff of a controller that was left, in milliseconds.
 const BACKOFF_MS: u64 = 5000;
+/// The delay before the first call to a new home, in milliseconds.
 const RETRY_DELAY_MS: u64 = 30;
 
 /// Calls one controller at a time.
@@ -29,7 +36,7 @@
 }
 
 impl SingleHome {
-    /// Returns the policy of a router with this order of controllers.
+    /// Returns the policy of a router that tries the controllers in this order.
     pub fn new(order: &[String]) -> SingleHome {
         SingleHome {
             order: order.to_vec(),
@@ -44,11 +51,11 @@
         }
     }
 
-    /// Leaves the home for the next controller.
+    /// Puts the home in backoff and makes the next controller the home.
     fn change_home(&mut self, now: u64) {
         self.backoffs.insert(self.home.clone(), now + BACKOFF_MS);
-        let until = |ip: &String| self.backoffs.get(ip).copied().filter(|until| *until > now).unwrap_or(0);
-        self.home = self.order.iter().min_by_key(|ip| until(ip)).expect("a controller").clone();
+        let backoff_until = |ip: &String| self.backoffs.get(ip).copied().filter(|until| *until > now).unwrap_or(0);
+        self.home = self.order.iter().min_by_key(|ip| backoff_until(ip)).expect("the order is not empty").clone();
         (self.confirmed_at, self.failures, self.has_responded, self.call_at) = (now, 0, false, now + RETRY_DELAY_MS);
     }
 }
@@ -59,7 +66,7 @@
             return Vec::new();
         }
         self.sent_at = Some(now);
-        let timeout_ms = if self.has_responded { CALL_MS } else { FIRST_CALL_MS };
+        let timeout_ms = if self.has_responded { CALL_TIMEOUT_MS } else { FIRST_CALL_TIMEOUT_MS };
         vec![Call { controller: self.home.clone(), timeout_ms }]
     }
 
@@ -71,14 +78,15 @@
         }
     }
 
-    fn on_response(&mut self, now: u64, _: &str, answer: &RenewalResponse) {
+    fn on_response(&mut self, now: u64, _: &str, response: &RenewalResponse) {
         let sent_at = self.sent_at.take().expect("a call is open");
         (self.failures, self.has_responded, self.call_at) = (0, true, now + RENEWAL_INTERVAL_MS);
-        let is_confirmed = matches!(answer.proof, Proof::Confirmed { age_ms, .. } if age_ms < MAX_CONFIRMATION_AGE_MS);
+        let is_confirmed =
+            matches!(response.proof, Proof::Confirmed { age_ms, .. } if age_ms < MAX_CONFIRMATION_AGE_MS);
         if is_confirmed {
             self.confirmed_at = now;
         }
-        if let Assessment::CurrentAsOf(as_of) = answer.assess(sent_at, None) {
+        if let Assessment::CurrentAsOf(as_of) = response.assess(sent_at, None) {
             self.current_as_of = self.current_as_of.max(Some(as_of));
         }
         if now > self.confirmed_at + MAX_UNCONFIRMED_MS {
--- a/router/src/testing/subscription_world.rs
+++ b/router/src/testing/subscription_world.rs
@@ -1,5 +1,5 @@
-//! A simulation of controllers in virtual time, for tests of the state machine that decides which of them are
-//! called.
+//! A simulation of one router and its controllers in virtual time, for tests of the state machine that decides which
+//! controllers are called.
 
 use kernel::settings::Bounds;
 use kernel::ConvergenceBudget;
@@ -7,36 +7,36 @@
 use crate::subscription::response::{Proof, RenewalResponse};
 use crate::subscription::scheduler::{Call, SubscriptionScheduler};
 
-/// A dial that gets no answer ends after this, in milliseconds.
-const DIAL_MS: u64 = 500;
+/// The timeout of a dial, in milliseconds.
+const DIAL_TIMEOUT_MS: u64 = 500;
 
 /// How a controller handles a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Responds after `answer_ms` with a confirmation that is `age_ms` old.
-    Healthy { answer_ms: u64, age_ms: u64 },
-    /// As healthy, but a frame is lost on the way: the response confirms more than has arrived.
-    LosingFrames { answer_ms: u64 },
-    /// Responds, and has not been able to confirm anything since a time.
+    /// Responds after `response_ms` with a confirmation that is `age_ms` old.
+    Healthy { response_ms: u64, age_ms: u64 },
+    /// As `Healthy`, but a frame is lost on the way: the response confirms a newer revision than has arrived.
+    LosingFrames { response_ms: u64 },
+    /// Responds, but has not been able to confirm anything since this time.
     UnconfirmedSince(u64),
-    /// Is of an older version, and confirms without an age.
-    Older { answer_ms: u64 },
+    /// Responds as a controller of an older version, which confirms without an age.
+    Older { response_ms: u64 },
     /// Accepts the connection and never responds.
     Frozen,
-    /// Nothing comes back from its machine.
+    /// Its machine does not respond: dials time out.
     Unreachable,
-    /// Its process is gone, its machine is not: connections are refused.
+    /// Its process is not running, but its machine is: connections are refused.
     Refusing,
 }
 
 /// Decides which controllers are called.
 pub trait Policy {
-    /// Returns the calls to begin now.
+    /// Returns the calls to start now.
     fn due_calls(&mut self, now: u64) -> Vec<Call>;
-    /// Returns when `due_calls` is to be consulted again.
+    /// Returns when `due_calls` is to be called again if nothing happens before then.
     fn wake_at(&self, now: u64) -> u64;
     /// Handles a response.
-    fn on_response(&mut self, now: u64, controller: &str, answer: &RenewalResponse);
+    fn on_response(&mut self, now: u64, controller: &str, response: &RenewalResponse);
     /// Handles a call that failed.
     fn on_failure(&mut self, now: u64, controller: &str);
     /// Returns the time as of which the configuration is proved to be current.
@@ -52,8 +52,8 @@
         SubscriptionScheduler::wake_at(self, now)
     }
 
-    fn on_response(&mut self, now: u64, controller: &str, answer: &RenewalResponse) {
-        SubscriptionScheduler::on_response(self, now, controller, answer);
+    fn on_response(&mut self, now: u64, controller: &str, response: &RenewalResponse) {
+        SubscriptionScheduler::on_response(self, now, controller, response);
     }
 
     fn on_failure(&mut self, now: u64, controller: &str) {
@@ -65,56 +65,56 @@
     }
 }
 
-/// The end of a call that is in flight.
+/// A call in flight, with the time and the outcome of its end.
 struct FinishedCall {
     at: u64,
     controller: String,
-    answer: Option<RenewalResponse>,
+    response: Option<RenewalResponse>,
 }
 
-/// A call as it was begun.
+/// A call that was started.
 #[derive(Clone, Debug)]
-pub struct Begun {
-    /// When it was begun.
+pub struct StartedCall {
+    /// When it was started.
     pub at: u64,
     /// The controller that was called.
     pub controller: String,
 }
 
-/// One router and its controllers.
+/// The state of a simulation of one router and its controllers.
 pub struct World<P> {
     /// The virtual time, in milliseconds.
     pub now: u64,
-    /// What decides which controllers are called.
+    /// The policy that decides which controllers are called.
     pub policy: P,
     /// All controllers, in the order of the router.
     pub controllers: Vec<String>,
     /// The members of the core.
     pub members: Vec<String>,
-    /// The revision held by the router.
+    /// The configuration revision that the router holds.
     pub applied_revision: u64,
     /// All calls so far.
-    pub begun: Vec<Begun>,
-    /// The greatest age that the proof has had since there is one, in milliseconds.
+    pub started_calls: Vec<StartedCall>,
+    /// The greatest age of the proof so far, in milliseconds.
     pub oldest_proof: i64,
     in_flight: Vec<FinishedCall>,
 }
 
-/// Returns the names `prefix0`, `prefix1`, ...
-pub fn names(prefix: &str, count: usize) -> Vec<String> {
-    (0..count).map(|at| format!("{prefix}{at}")).collect()
+/// Returns `count` names: `prefix0`, `prefix1`, ...
+pub fn numbered_names(prefix: &str, count: usize) -> Vec<String> {
+    (0..count).map(|index| format!("{prefix}{index}")).collect()
 }
 
-/// Returns the convergence budget of a bound in milliseconds.
+/// Returns the budget of a convergence bound in milliseconds.
 pub fn budget(converge_ms: u64) -> ConvergenceBudget {
     ConvergenceBudget::new(&Bounds { converge_ms, ..Default::default() })
 }
 
 impl World<SubscriptionScheduler> {
-    /// Returns the world of a ready router whose order is `k0`, `k1`, ...; from `k4` on every third controller is a
-    /// member of the core.
+    /// Returns the simulation of a ready router whose order of controllers is `k0`, `k1`, ...; from `k4` on every third
+    /// controller is a member of the core.
     pub fn new(converge_ms: u64, controllers: usize) -> World<SubscriptionScheduler> {
-        let controllers = names("k", controllers);
+        let controllers = numbered_names("k", controllers);
         let mut scheduler = SubscriptionScheduler::new(budget(converge_ms), "edge-1", "k0", &controllers[..1]);
         scheduler.set_ready();
         World::with(scheduler, controllers)
@@ -122,31 +122,40 @@
 }
 
 impl<P: Policy> World<P> {
-    /// Returns the world of a router that follows a policy.
+    /// Returns the simulation of a router with this policy.
     pub fn with(policy: P, controllers: Vec<String>) -> World<P> {
         let members = controllers.iter().skip(4).step_by(3).cloned().collect();
-        let (begun, in_flight) = (Vec::new(), Vec::new());
-        World { now: 1000, policy, controllers, members, applied_revision: 7, begun, oldest_proof: 0, in_flight }
+        let (started_calls, in_flight) = (Vec::new(), Vec::new());
+        World {
+            now: 1000,
+            policy,
+            controllers,
+            members,
+            applied_revision: 7,
+            started_calls,
+            oldest_proof: 0,
+            in_flight,
+        }
     }
 
-    /// Runs until a time; `behaviour` says how each controller handles a call that begins at a time.
+    /// Runs until a time. `behaviour` returns how a controller handles a call that is started at a given time.
     pub fn run(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64) -> Behaviour) {
         self.run_by_revision(until, |controller, now, _| behaviour(controller, now));
     }
 
-    /// Runs as `run` does; `behaviour` also gets the revision that the router holds.
+    /// As `run`; `behaviour` also gets the revision that the router holds.
     pub fn run_by_revision(&mut self, until: u64, mut behaviour: impl FnMut(&str, u64, u64) -> Behaviour) {
         while self.now < until {
             self.end_calls();
             self.record_proof_age();
             for call in self.policy.due_calls(self.now) {
-                let end = self.end_of(&call, behaviour(&call.controller, self.now, self.applied_revision));
-                self.begun.push(Begun { at: self.now, controller: call.controller });
-                self.in_flight.push(end);
+                let finished = self.finished_call(&call, behaviour(&call.controller, self.now, self.applied_revision));
+                self.started_calls.push(StartedCall { at: self.now, controller: call.controller });
+                self.in_flight.push(finished);
             }
             let wake_at = self.policy.wake_at(self.now);
-            assert!(wake_at > self.now, "it would be looked at again without end");
-            let next_end = self.in_flight.iter().map(|end| end.at).min().unwrap_or(u64::MAX);
+            assert!(wake_at > self.now, "the policy asks to be called again at once: endless loop");
+            let next_end = self.in_flight.iter().map(|call| call.at).min().unwrap_or(u64::MAX);
             self.now = wake_at.min(next_end).min(until).max(self.now);
             self.record_proof_age();
         }
@@ -154,15 +163,15 @@
 
     /// Reports the calls that have ended.
     fn end_calls(&mut self) {
-        while let Some(at) = self.in_flight.iter().position(|end| end.at <= self.now) {
-            let end = self.in_flight.remove(at);
-            match end.answer {
-                Some(answer) => {
-                    self.applied_revision = self.applied_revision.max(answer.applied_revision);
-                    let answer = RenewalResponse { applied_revision: self.applied_revision, ..answer };
-                    self.policy.on_response(self.now, &end.controller, &answer);
+        while let Some(index) = self.in_flight.iter().position(|call| call.at <= self.now) {
+            let finished = self.in_flight.remove(index);
+            match finished.response {
+                Some(response) => {
+                    self.applied_revision = self.applied_revision.max(response.applied_revision);
+                    let response = RenewalResponse { applied_revision: self.applied_revision, ..response };
+                    self.policy.on_response(self.now, &finished.controller, &response);
                 }
-                None => self.policy.on_failure(self.now, &end.controller),
+                None => self.policy.on_failure(self.now, &finished.controller),
             }
         }
     }
@@ -172,47 +181,47 @@
         self.policy.current_as_of().map(|as_of| self.now as i64 - as_of)
     }
 
-    /// Keeps the greatest age of the proof.
+    /// Updates the greatest age of the proof.
     fn record_proof_age(&mut self) {
         self.oldest_proof = self.oldest_proof.max(self.proof_age().unwrap_or(0));
     }
 
-    /// Returns the end of a call under a behaviour.
-    fn end_of(&self, call: &Call, behaviour: Behaviour) -> FinishedCall {
+    /// Returns the call with its end, which follows from the behaviour of the controller.
+    fn finished_call(&self, call: &Call, behaviour: Behaviour) -> FinishedCall {
         let controller = call.controller.clone();
-        let failure = |after: u64| FinishedCall {
-            at: self.now + after.min(call.timeout_ms),
+        let failure = |after_ms: u64| FinishedCall {
+            at: self.now + after_ms.min(call.timeout_ms),
             controller: controller.clone(),
-            answer: None,
+            response: None,
         };
         let confirmed = |age_ms| Proof::Confirmed { age_ms, config_revision: 7 };
-        let (after, proof, applied_revision) = match behaviour {
+        let (after_ms, proof, applied_revision) = match behaviour {
             Behaviour::Frozen => return failure(call.timeout_ms),
-            Behaviour::Unreachable => return failure(DIAL_MS),
+            Behaviour::Unreachable => return failure(DIAL_TIMEOUT_MS),
             Behaviour::Refusing => return failure(1),
-            Behaviour::Healthy { answer_ms, age_ms } => (answer_ms, confirmed(age_ms), 7),
-            Behaviour::LosingFrames { answer_ms } => {
-                (answer_ms, Proof::Confirmed { age_ms: 0, config_revision: u64::MAX }, 7)
+            Behaviour::Healthy { response_ms, age_ms } => (response_ms, confirmed(age_ms), 7),
+            Behaviour::LosingFrames { response_ms } => {
+                (response_ms, Proof::Confirmed { age_ms: 0, config_revision: u64::MAX }, 7)
             }
-            Behaviour::UnconfirmedSince(time) => (5, confirmed(self.now.saturating_sub(time)), 7),
-            Behaviour::Older { answer_ms } => (answer_ms, Proof::ConfirmedByOlderVersion, 7),
+            Behaviour::UnconfirmedSince(since) => (5, confirmed(self.now.saturating_sub(since)), 7),
+            Behaviour::Older { response_ms } => (response_ms, Proof::ConfirmedByOlderVersion, 7),
         };
-        if after > call.timeout_ms {
+        if after_ms > call.timeout_ms {
             return failure(call.timeout_ms);
         }
-        let answer = RenewalResponse {
+        let response = RenewalResponse {
             proof,
             applied_revision,
             controllers: self.controllers.clone(),
             core_members: self.members.clone(),
         };
-        FinishedCall { at: self.now + after, controller, answer: Some(answer) }
+        FinishedCall { at: self.now + after_ms, controller, response: Some(response) }
     }
 
-    /// Returns the most calls that were begun within any span of this length, from a time on.
-    pub fn most_calls_within(&self, span_ms: u64, from: u64) -> usize {
-        let times: Vec<u64> = self.begun.iter().map(|begun| begun.at).filter(|at| *at >= from).collect();
-        let within = |begin: u64| times.iter().filter(|at| (begin..begin + span_ms).contains(at)).count();
-        times.iter().map(|begin| within(*begin)).max().unwrap_or(0)
+    /// Returns the most calls that were started within any period of this length, from a time on.
+    pub fn most_calls_within(&self, period_ms: u64, from: u64) -> usize {
+        let times: Vec<u64> = self.started_calls.iter().map(|call| call.at).filter(|at| *at >= from).collect();
+        let count_from = |start: u64| times.iter().filter(|at| (start..start + period_ms).contains(at)).count();
+        times.iter().map(|start| count_from(*start)).max().unwrap_or(0)
     }
 }
