--- a/router/src/config/freshness.rs
+++ b/router/src/config/freshness.rs
@@ -21,7 +21,7 @@
 /// Maximum number of requests that wait at once. Further ones get `Unproved` without a wait.
 const MAX_WAITING: usize = 256;
 
-/// Divides the time that a request has left to get the maximum time that it waits for a proof.
+/// A request waits for a proof for at most the time that it has left divided by this.
 const WAIT_DIVISOR: u64 = 3;
 
 /// Why a look-up in the routing table found nothing.
@@ -36,7 +36,7 @@
 /// The proof that the table in force is current, and the requests that wait for one. Invariant: `current_as_of` never
 /// decreases, and the table in force contains every change that was acknowledged before it.
 pub struct Freshness {
-    /// The timeouts and age limits derived from the convergence bound.
+    /// The convergence budget, which determines the timeouts and age limits.
     budget: ConvergenceBudget,
     /// Every change that was acknowledged before this time of the steady clock is in the table in force.
     current_as_of: AtomicI64,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns the table in force as soon as `accepts` returns true for it, which looks for what a request needs.
+/// Returns the routing table as soon as `accepts` finds in it what a request needs.
 ///
 /// # Errors
 /// `Certain` only if the table is proved to be current. Without that proof it waits, for at most a third of the time
--- a/router/src/config/tenants.rs
+++ b/router/src/config/tenants.rs
@@ -10,7 +10,7 @@
 use quota::Quota;
 use sha2::Sha256;
 
-/// The digest of an API key. Keys are secrets: the clear text is not kept, and a digest is not shown either, since
+/// The digest of an API key. Keys are secrets: the clear text is not kept, and the digest is not printed either, since
 /// a weak key can be guessed from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
@@ -29,18 +29,18 @@
     }
 }
 
-/// A tenant, as far as it matters to its requests.
+/// A tenant, as far as it concerns the handling of its requests.
 #[derive(Debug)]
 pub struct Tenant {
-    /// Its name, unique in the configuration.
+    /// The name, unique in the configuration.
     pub name: String,
-    /// The value of the header that names it to engines. `None`: no header can carry the name.
+    /// The value of the header that tells engines the tenant; `None` if the name is not a valid header value.
     pub header: Option<HeaderValue>,
-    /// Takes precedence over the priority of a route.
+    /// The priority of its requests, which takes precedence over that of a route.
     pub priority: Option<u32>,
-    /// The regions to which its requests may go; empty: all.
+    /// The regions to which its requests may be sent; empty: all.
     pub allowed_regions: Vec<String>,
-    /// Its rate limit, over all routers.
+    /// The rate limit, over all routers.
     pub quota: Option<Quota>,
     keys: Vec<KeyDigest>,
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// All tenants. Invariant: `by_key` holds the keys of those in `by_name` and no others.
+/// All tenants. Invariant: `by_key` holds only keys of the tenants in `by_name`.
 #[derive(Debug, Default)]
 pub struct Tenants {
     by_name: BTreeMap<String, Arc<Tenant>>,
@@ -66,23 +66,23 @@
     requires_keys: bool,
 }
 
-/// The tenant to which a key belongs.
+/// The owner of a key.
 #[derive(Debug)]
 enum KeyOwner {
-    /// Exactly one tenant has it.
+    /// Exactly one tenant has the key.
     One(Arc<Tenant>),
-    /// Several tenants have it, which no valid configuration allows: the key identifies nobody and counts as
+    /// Several tenants have it, which no valid configuration allows: the key identifies none of them and is treated as
     /// unknown.
     Ambiguous,
 }
 
 impl Tenants {
-    /// Returns whether the configuration has a table of tenants, so that requests need a key.
+    /// Returns whether requests need a key, because the configuration has a table of tenants.
     pub fn requires_keys(&self) -> bool {
         self.requires_keys
     }
 
-    /// Returns the tenant that owns a key. `None`: the key is unknown.
+    /// Returns the tenant that owns a key; `None` if the key is unknown.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         match self.by_key.get(key)? {
             KeyOwner::One(tenant) => Some(tenant),
@@ -90,30 +90,30 @@
         }
     }
 
-    /// Returns the tenants after a change: those that it removes are gone, those that it names are as it has them.
-    pub fn after(current: &Arc<Tenants>, change: &ConfigUpdate) -> Arc<Tenants> {
-        let is_full = change.from == 0;
-        let same_tenants = change.tenants.is_empty() && change.removed_tenants.is_empty();
-        if !is_full && same_tenants && change.requires_keys == current.requires_keys {
+    /// Returns the tenants after an update, which removes some tenants and adds or replaces others.
+    pub fn apply(current: &Arc<Tenants>, update: &ConfigUpdate) -> Arc<Tenants> {
+        let is_full = update.from == 0;
+        let tenants_unchanged = update.tenants.is_empty() && update.removed_tenants.is_empty();
+        if !is_full && tenants_unchanged && update.requires_keys == current.requires_keys {
             return current.clone();
         }
         let mut by_name = if is_full { Default::default() } else { current.by_name.clone() };
-        for name in &change.removed_tenants {
+        for name in &update.removed_tenants {
             by_name.remove(name);
         }
-        for item in &change.tenants {
+        for item in &update.tenants {
             by_name.insert(item.name.clone(), Arc::new(Tenant::new(item)));
         }
         let by_key = index_keys(by_name.values());
-        Arc::new(Tenants { by_name, by_key, requires_keys: change.requires_keys })
+        Arc::new(Tenants { by_name, by_key, requires_keys: update.requires_keys })
     }
 }
 
-/// Indexes the keys of all tenants. Rebuilt with each change of any tenant: a key that moves between tenants then
-/// belongs to its new owner whatever the order in which a change names them.
+/// Indexes the keys of all tenants. The index is rebuilt after each change of a tenant, so that a key that moves to
+/// another tenant belongs to its new owner in whatever order the update lists the two.
 fn index_keys<'a>(tenants: impl Iterator<Item = &'a Arc<Tenant>>) -> HashMap<KeyDigest, KeyOwner> {
     let mut by_key = HashMap::new();
-    // Engines couldn't be told of a tenant whose name no header can carry: its keys stay unknown.
+    // A tenant whose name is not a valid header value could not be named to engines, so its keys stay unknown.
     for tenant in tenants.filter(|tenant| tenant.header.is_some()) {
         for key in &tenant.keys {
             let owner = by_key.entry(*key).or_insert_with(|| KeyOwner::One(tenant.clone()));
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -1,4 +1,4 @@
-//! The limit on stale weights, as it applies to one request.
+//! The limits on stale weights: how they apply to a request, and how updates from controllers are applied.
 
 use std::sync::atomic::Ordering;
 
@@ -10,12 +10,12 @@
 use crate::proxy::exchange::Exchange;
 use crate::state::State;
 
-/// The shortest pause between two reports of missing replicas, in milliseconds, however many requests find none.
+/// The minimum interval between two events that report missing replicas, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 1000;
 
 impl Exchange {
-    /// Returns the model with the oldest and the newest weight version that are allowed; `None` if the request has
-    /// no limit. Nothing is allowed while the lease has lapsed.
+    /// Returns the model with the oldest and the newest allowed weight version; `None` if no limit applies to the
+    /// request. No version is allowed after the lease has expired.
     pub fn version_bounds(&self) -> Option<WeightVersionRange> {
         let now = clock::now();
         let bounds = self.state.staleness_bounds();
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Releases a KV handle whose version has fallen below the limit, before a decode engine is chosen; without a
-    /// handle the version is open again.
+    /// Releases a KV handle whose version has fallen below the limit, before a decode engine is chosen. Without a
+    /// handle the request is no longer pinned to a version, unless it may have run.
     pub fn drop_stale_handle(&mut self) {
-        let fits = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
-        if !self.version_bounds().is_none_or(fits) {
+        let is_within = |range: WeightVersionRange| self.pinned_version.is_none_or(|exact| range.contains(exact));
+        if !self.version_bounds().is_none_or(is_within) {
             self.release_kv_handle();
         }
         if self.kv_handle.is_none() && !self.may_have_run {
@@ -42,26 +42,26 @@
         }
     }
 
-    /// Records the weight version that an engine was seen to have.
+    /// Records the weight version that was observed at an engine.
     pub fn record_version(&self, engine_index: usize, version: Option<u64>) {
         if let Some(version) = version {
             self.state.engines().engines[engine_index].set_weight_version(self.request.model_key, Some(version));
         }
     }
 
-    /// Logs that no replica is within the limit, at most once a second.
+    /// Logs that no replica is within the limit, at most once per `REPORT_INTERVAL_MS`.
     pub fn report_no_replica(&self) {
-        let (now, order) = (clock::now(), Ordering::Relaxed);
-        let reported_at = self.state.replica_shortage_reported_at.load(order);
+        let (now, ordering) = (clock::now(), Ordering::Relaxed);
+        let reported_at = self.state.replica_shortage_reported_at.load(ordering);
         if now >= reported_at + REPORT_INTERVAL_MS
-            && self.state.replica_shortage_reported_at.compare_exchange(reported_at, now, order, order).is_ok()
+            && self.state.replica_shortage_reported_at.compare_exchange(reported_at, now, ordering, ordering).is_ok()
         {
             kernel::log_event!(STALENESS_LIMIT_UNMET, "route" => self.route.clone(), "model" => self.request.model.clone());
         }
     }
 }
 
-/// Applies a limit from a controller; it takes effect at once where it is tighter.
+/// Applies a limit from a controller. Where it is tighter, it takes effect at once.
 pub fn apply_staleness_limit(state: &State, limit: &StalenessLimit) {
     let service = state.engines().service_index(&limit.service);
     let now = clock::now();
@@ -71,7 +71,7 @@
     }
 }
 
-/// Applies the weight versions of a zone. Older ones of the same poller change nothing.
+/// Applies the weight versions of a zone. Versions no newer than those held from the same poller change nothing.
 pub fn apply_weight_versions(state: &State, list: &WeightVersions) {
     {
         let mut versions = state.weight_versions();
@@ -84,11 +84,11 @@
     state.engines().set_weight_versions(&list.list);
 }
 
-/// The name of a key and its version.
+/// The name of a register key and its version.
 type NamedVersion = (String, u64);
 
-/// Returns the versions of the limits and weight versions held, to be reported beside those of evacuations and
-/// endpoint lists.
+/// Returns the versions of the limits and of the weight versions held, which a renewal reports together with those of
+/// evacuations and endpoint lists.
 pub fn known_versions(state: &State) -> (Vec<NamedVersion>, Vec<VersionEntry>) {
     let limits = state.staleness_bounds().versions();
     let weights = state.weight_versions();
--- a/router/src/subscription/response.rs
+++ b/router/src/subscription/response.rs
@@ -3,8 +3,8 @@
 use protocol::message::StateUpdate;
 use protocol::renewal::SubscriptionRenewed;
 
-/// The age assumed for a confirmation by a controller of an older version, which states none: its maximum, in
-/// milliseconds.
+/// The assumed age, in milliseconds, of a confirmation by a controller of an older version: the maximum, because the
+/// confirmation states no age.
 pub const OLDER_CONTROLLER_CONFIRMATION_AGE_MS: u64 = 1100;
 
 /// What a controller confirms about its own state.
--- a/router/src/subscription/scheduler_calls_tests.rs
+++ b/router/src/subscription/scheduler_calls_tests.rs
@@ -93,7 +93,7 @@
     let mut world = World::new(2000, CONTROLLERS);
     world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { response_ms: 5, age_ms: 100 });
     let mut frame_lost = false;
-    let (as_of_before, calls) = (world.policy.current_as_of(), world.started_calls.len());
+    let (as_of_before, calls_before) = (world.policy.current_as_of(), world.started_calls.len());
     let lost_at = WARMED_UP_AT + 400;
     world.run(lost_at, |_, _| {
         if mem::replace(&mut frame_lost, true) {
@@ -101,8 +101,8 @@
         }
         Behaviour::LosingFrames { response_ms: 5 }
     });
-    let first = &world.started_calls[calls];
-    let repeated = &world.started_calls[calls + 1];
+    let first = &world.started_calls[calls_before];
+    let repeated = &world.started_calls[calls_before + 1];
     assert_eq!(
         (repeated.at, &repeated.controller),
         (first.at + 5, &first.controller),
@@ -122,26 +122,26 @@
         let mut world = World::new(converge_ms, CONTROLLERS);
         world.run(WARMED_UP_AT, |_, _| Behaviour::Older { response_ms: 5 });
         world.policy.set_ready();
-        let calls = world.started_calls.len();
+        let calls_before = world.started_calls.len();
         world.run(WARMED_UP_AT + 10_000, |_, _| Behaviour::Older { response_ms: 5 });
         let renewals = 10_000 / budget(converge_ms).renewal_interval_ms() + 2;
-        assert!((world.started_calls.len() - calls) as u64 <= renewals);
+        assert!((world.started_calls.len() - calls_before) as u64 <= renewals);
         assert!(world.oldest_proof <= 1100 + budget(converge_ms).renewal_interval_ms() as i64 + 10);
     }
 }
 
 #[test]
 fn an_unresponsive_home_causes_calls_to_the_next_controller_and_a_core_member_at_once() {
-    for (node, converge_ms) in (0..40).zip(CONVERGE_MS.into_iter().cycle()) {
+    for (router, converge_ms) in (0..40).zip(CONVERGE_MS.into_iter().cycle()) {
         let budget = budget(converge_ms);
         let controllers = numbered_names("k", CONTROLLERS);
         let mut world =
-            World::with(SubscriptionScheduler::new(budget, &format!("edge-{node}"), "k0", &controllers), controllers);
+            World::with(SubscriptionScheduler::new(budget, &format!("edge-{router}"), "k0", &controllers), controllers);
         world.policy.set_ready();
         world.run(WARMED_UP_AT, |_, _| Behaviour::Healthy { response_ms: 5, age_ms: 50 });
-        let calls = world.started_calls.len();
+        let calls_before = world.started_calls.len();
         world.run(WARMED_UP_AT + 2000, |_, _| Behaviour::Frozen);
-        let calls: Vec<_> = world.started_calls[calls..].iter().collect();
+        let calls: Vec<_> = world.started_calls[calls_before..].iter().collect();
         assert_eq!((calls[0].controller.as_str(), calls[1].controller.as_str()), ("k0", "k1"));
         assert!(world.members.contains(&calls[2].controller), "{calls:?}");
         assert_eq!(calls[1].at, calls[0].at + budget.timeout_ms() + 1);
@@ -161,9 +161,9 @@
         _ => Behaviour::Healthy { response_ms: 5000, age_ms: 100 },
     };
     world.run(start + 1690, slow);
-    let second = world.started_calls[1].controller.clone();
-    assert!(world.policy.has_open_call("k0") && world.policy.has_open_call(&second));
+    let second_controller = world.started_calls[1].controller.clone();
+    assert!(world.policy.has_open_call("k0") && world.policy.has_open_call(&second_controller));
     world.run(start + 1710, slow);
     assert_eq!(world.policy.home(), Some("k0"));
-    assert!(!world.policy.has_open_call(&second));
+    assert!(!world.policy.has_open_call(&second_controller));
 }
