--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! The acceptor: answers prepare and accept requests, as in "Paxos Made Simple", section 2.2.
 //!
-//! A pure state machine. Each request yields a response together with the log records that must be on disk before
-//! that response may leave: a promise that a power loss can undo is no promise.
+//! A pure state machine. Each request yields a response and the log records that must be on disk before the response
+//! is sent. Otherwise a power loss could undo a promise that a proposer has already counted.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,15 @@
 
 use crate::{decode_membership, quorum, StoredRecord, MEMBERSHIP_KEY};
 
-/// One change of an acceptor's state, as it is logged. Later records replace earlier ones.
+/// A change of an acceptor's state, as written to the log. A later record replaces an earlier one of the same register
+/// or of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A register with its highest prepared proposal number and its accepted entry.
+    /// A register: its highest prepared proposal number and its accepted entry.
     Register(RegisterState),
     /// The newest committed core membership that the acceptor knows.
     Membership(CoreMembership),
-    /// From this record on the acceptor may vote: it was set up as a member, or has recovered from a lost disk.
+    /// Permits the acceptor to vote. Written when it is set up as a member or has recovered from a lost disk.
     VotingEnabled,
 }
 
@@ -43,23 +44,23 @@
 /// vote neither prepares nor accepts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// The address under which the acceptor is a member.
+    /// The address that identifies the acceptor in the membership.
     pub ip: String,
-    /// The newest committed core membership that it knows.
+    /// The newest committed core membership that the acceptor knows.
     pub membership: CoreMembership,
     /// The registers by key.
     pub registers: BTreeMap<String, RegisterState>,
-    /// False on an empty disk, until recovery has ended.
+    /// Whether the acceptor may vote: false after a start with an empty disk, until recovery is complete.
     pub may_vote: bool,
 }
 
 impl Acceptor {
-    /// Creates an acceptor that knows nothing and may not vote.
+    /// Creates an acceptor without any state, which may not vote.
     pub fn new(ip: &str) -> Self {
         Acceptor { ip: ip.into(), ..Acceptor::default() }
     }
 
-    /// Applies a record that was found on disk. Records have to come in the order in which they were written.
+    /// Applies a record read from disk. Records must be applied in the order in which they were written.
     pub fn replay(&mut self, record: LogRecord) {
         match record {
             LogRecord::Register(register) => {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Returns the records that restore this state in a new acceptor. The permission to vote comes last.
+    /// Returns the records that restore this state in a new acceptor. [`LogRecord::VotingEnabled`] comes last.
     pub fn snapshot(&self) -> Vec<LogRecord> {
         let mut records = vec![LogRecord::Membership(self.membership.clone())];
         records.extend(self.registers.values().cloned().map(LogRecord::Register));
@@ -110,8 +111,8 @@
 
     fn respond(&mut self, operation: ConsensusOperation, records: &mut Vec<LogRecord>) -> ConsensusResponse {
         match operation {
-            // Snapshots and positions are also returned by an acceptor that is no longer a member: the keys that it
-            // holds have to be committed again before a change of members is complete.
+            // An acceptor that is no longer a member still returns snapshots and positions: the keys that it holds
+            // must be committed again before a membership change is complete.
             ConsensusOperation::Snapshot if self.may_vote => {
                 ConsensusResponse::Snapshot { registers: self.registers.values().cloned().collect() }
             }
@@ -160,7 +161,7 @@
     }
 
     /// Phase 2 of "Paxos Made Simple": accepts the entry unless a higher number was prepared. Since an owner writes
-    /// several entries under one number, an entry must not replace one with a higher index either.
+    /// several entries under one number, an entry with a higher index is not replaced either.
     fn accept(&mut self, key: &str, entry: Entry, records: &mut Vec<LogRecord>) -> ConsensusResponse {
         let register = self.register_mut(key);
         let accepted = register.entry.as_ref().map(Entry::position);
@@ -174,12 +175,12 @@
         ConsensusResponse::Accepted
     }
 
-    /// Ends recovery with what other acceptors hold, once [`Acceptor::has_enough_reads`] says so. The highest
-    /// proposal number that any of them prepared binds, since one of them was part of each majority that counted a
-    /// lost response. Returns the records to write.
+    /// Completes recovery with the registers of other acceptors, once [`Acceptor::has_enough_reads`] returns true. The
+    /// highest proposal number that any of them prepared is adopted, since each majority that counted a lost response
+    /// includes one of them. Returns the records to write.
     ///
     /// Returns `None` if a membership newer than the known one may be committed: lost responses may have been given
-    /// under it, and its quorums need none of the acceptors that were read.
+    /// under it, and its quorums may include none of the acceptors that were read.
     pub fn recover(&mut self, reads: Vec<Vec<RegisterState>>) -> Option<Vec<LogRecord>> {
         if accepted_membership(&reads).is_some_and(|accepted| accepted.version > self.membership.version) {
             return None;
@@ -191,7 +192,7 @@
         Some(self.snapshot())
     }
 
-    /// Keeps the higher prepared number and the newer entry of a register's own state and one that was read.
+    /// Merges a register read from another acceptor: keeps the higher prepared number and the newer entry.
     fn merge(&mut self, read: RegisterState) {
         let register = self.register_mut(&read.key);
         register.prepared = register.prepared.max(read.prepared);
@@ -202,23 +203,23 @@
         }
     }
 
-    /// Returns whether enough acceptors were read to end recovery.
+    /// Returns whether enough acceptors were read to complete recovery.
     ///
-    /// Every majority of the members (and of the previous ones while the membership is joint) must contain one of
-    /// them, so that no lost response goes unseen. Acceptors that are themselves in recovery do not count, and need
-    /// not be waited for.
+    /// Every majority of the members (and of the previous members while the membership is joint) must include an
+    /// acceptor that was read, so that no lost response is missed. Acceptors that are in recovery themselves do not
+    /// count and need not be waited for.
     pub fn has_enough_reads(&self, read: &[String]) -> bool {
-        let meets_every_majority = |members: &[Member]| {
-            let seen = members.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
-            seen + quorum::majority(members.len()) > members.len()
+        let intersects_every_majority = |members: &[Member]| {
+            let read_count = members.iter().filter(|member| member.ip != self.ip && read.contains(&member.ip)).count();
+            read_count + quorum::majority(members.len()) > members.len()
         };
         !read.is_empty()
-            && meets_every_majority(&self.membership.members)
-            && (self.membership.stable || meets_every_majority(&self.membership.previous_members))
+            && intersects_every_majority(&self.membership.members)
+            && (self.membership.stable || intersects_every_majority(&self.membership.previous_members))
     }
 
-    /// Returns the addresses that an acceptor in recovery reads: all other members, and the previous ones while the
-    /// membership is joint.
+    /// Returns the addresses that an acceptor in recovery reads: all other members and, while the membership is joint,
+    /// the previous members.
     pub fn recovery_peers(&self) -> Vec<String> {
         let mut addresses = quorum::old_and_new_members(&self.membership);
         addresses.retain(|address| *address != self.ip);
@@ -226,7 +227,7 @@
     }
 }
 
-/// Returns the newest membership that any of these acceptors accepted, committed or not.
+/// Returns the newest membership that any of these acceptors has accepted, whether committed or not.
 fn accepted_membership(reads: &[Vec<RegisterState>]) -> Option<CoreMembership> {
     let registers = reads.iter().flatten().filter(|register| register.key == MEMBERSHIP_KEY);
     let entries = registers.filter_map(|register| register.entry.as_ref());
--- a/consensus/src/confirmation.rs
+++ b/consensus/src/confirmation.rs
@@ -1,7 +1,7 @@
-//! Confirms at a quorum that the known state is not older than what is committed. Pure: no input or output.
+//! Confirms with a quorum that the known state includes everything that is committed. Pure: performs no I/O.
 //!
-//! Any committed entry is on a quorum, and two quorums share an acceptor. So the positions that a quorum reports
-//! include, for each key, one at least as new as the newest committed entry.
+//! A committed entry is stored by a quorum, and any two quorums share an acceptor. The positions that a quorum reports
+//! therefore include, for each key, one at least as new as that of the newest committed entry.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,25 +10,26 @@
 
 use crate::quorum;
 
-/// A key of which an acceptor holds something newer than the known state.
+/// A key for which an acceptor holds a newer entry than the known state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleKey {
     /// The key of the register.
     pub key: String,
     /// The newest position that an acceptor reported.
     pub position: Position,
-    /// A quorum reported this position, so that it is committed; otherwise it may still be on its way.
+    /// Whether a quorum reported this position, which proves it committed. Otherwise its write may still be in
+    /// progress.
     pub is_committed: bool,
 }
 
-/// A read of the positions of all keys. Invariant: each acceptor counts once.
+/// A quorum read of the positions of all keys. Invariant: each acceptor counts once.
 pub struct Confirmation {
     membership: CoreMembership,
     responders: Vec<String>,
     reports: Vec<Report>,
 }
 
-/// What one acceptor holds of one key.
+/// The position that one acceptor reported for one key.
 struct Report {
     from: String,
     key: String,
@@ -36,7 +37,7 @@
 }
 
 impl Confirmation {
-    /// Starts a read at the quorums of this membership.
+    /// Starts a read that needs a quorum of this membership.
     pub fn new(membership: &CoreMembership) -> Confirmation {
         Confirmation { membership: membership.clone(), responders: Vec::new(), reports: Vec::new() }
     }
@@ -56,8 +57,8 @@
         quorum::is_quorum(&self.membership, &self.responders)
     }
 
-    /// Returns the keys of which an acceptor holds something newer than the position that `known` returns for them,
-    /// in ascending order.
+    /// Returns the keys for which an acceptor reported a newer position than the one that `known` returns, in ascending
+    /// order.
     pub fn stale_keys(&self, known: impl Fn(&str) -> Option<Position>) -> Vec<StaleKey> {
         let newest = self.newest_positions().into_iter();
         let stale = newest.filter(|(key, position)| known(key) < Some(*position));
@@ -78,22 +79,23 @@
     }
 
     fn is_committed(&self, key: &str, position: Position) -> bool {
-        let same = self.reports.iter().filter(|report| report.key == key && report.position == position);
-        let holders: Vec<String> = same.map(|report| report.from.clone()).collect();
+        let matching = self.reports.iter().filter(|report| report.key == key && report.position == position);
+        let holders: Vec<String> = matching.map(|report| report.from.clone()).collect();
         quorum::is_quorum(&self.membership, &holders)
     }
 }
 
 /// Returns the newest entry that a quorum of acceptors holds at the same position and that is therefore committed.
-/// `fetched` holds entries with the addresses that they came from.
+/// `fetched` pairs each entry with the address of the acceptor that returned it.
 ///
-/// Acceptors may move on between two reads: an entry that came after the one looked for serves as well.
+/// Acceptors may accept newer entries between two reads. A committed entry that is newer than the one looked for is
+/// equally valid.
 pub fn newest_committed(membership: &CoreMembership, fetched: &[(String, Entry)]) -> Option<Entry> {
     let mut entries: Vec<&Entry> = fetched.iter().map(|(_, entry)| entry).collect();
     entries.sort_by_key(|entry| Reverse(entry.position()));
     let is_committed = |entry: &Entry| {
-        let same = fetched.iter().filter(|(_, other)| other.position() == entry.position());
-        let holders: Vec<String> = same.map(|(from, _)| from.clone()).collect();
+        let matching = fetched.iter().filter(|(_, other)| other.position() == entry.position());
+        let holders: Vec<String> = matching.map(|(from, _)| from.clone()).collect();
         quorum::is_quorum(membership, &holders)
     };
     entries.into_iter().find(|entry| is_committed(entry)).cloned()
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,12 +1,12 @@
 //! Replicated registers for the control state: one Paxos instance per key.
 //!
-//! Each key is a register of its own. One owner at a time writes it under a rising proposal number, and a change is
-//! on the disks of a quorum before anybody is answered. There is neither a common log nor a leader of all keys. The
-//! terms are those of Lamport's "Paxos Made Simple" (acceptor, proposal number, prepare, accept, chosen).
+//! Each key is an independent register. One owner at a time writes it, under an increasing proposal number, and a
+//! change is on the disks of a quorum before it is acknowledged. There is neither a shared log nor a leader of all
+//! keys. The terms (acceptor, proposal number, prepare, accept, chosen) are those of Lamport's "Paxos Made Simple".
 //!
-//! The engine is pure: [`Acceptor`], [`Round`], [`Proposal`], [`Confirmation`], [`MembershipTransition`] and
+//! The protocol is pure: [`Acceptor`], [`Round`], [`Proposal`], [`Confirmation`], [`MembershipTransition`] and
 //! [`quorum`] take messages and the time as arguments and return what to send and what to write. The controller
-//! drives them over the network, the tests in virtual time. Only [`Store`] touches a disk.
+//! drives them over the network, the tests in virtual time. Only [`Store`] accesses a disk.
 
 #![deny(missing_docs)]
 
@@ -33,18 +33,18 @@
 
 /// The key of the register that holds the core membership.
 pub const MEMBERSHIP_KEY: &str = "core";
-/// How long a round may take, in milliseconds. After it the round is abandoned and its outcome is unknown.
+/// The timeout of a round, in milliseconds. A round that exceeds it is abandoned, and its outcome is unknown.
 pub const ROUND_TIMEOUT_MS: u64 = 900;
-/// How long an acceptor that lost its disk waits before it reads the others, in milliseconds.
+/// The delay before an acceptor that lost its disk reads the others, in milliseconds.
 ///
-/// Invariant: longer than [`ROUND_TIMEOUT_MS`], so that every round which counted a response that the acceptor no
-/// longer remembers is over by then.
+/// Invariant: longer than [`ROUND_TIMEOUT_MS`], so that every round that counted a response lost with the disk is over
+/// by then.
 pub const RECOVERY_DELAY_MS: u64 = 1300;
 
 /// Returns the replica id that a controller uses in its proposal numbers.
 ///
-/// It mixes the address, which differs between live controllers, with the incarnation, so that two incarnations of
-/// one controller never act under the same proposal number.
+/// It combines the address, which differs between live controllers, with the incarnation, so that two incarnations of
+/// one controller never use the same proposal number.
 pub fn replica_id(ip: &str, incarnation: u64) -> u64 {
     hashing::combine(hashing::hash(ip.as_bytes()), incarnation)
 }
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,7 +1,7 @@
 //! One change or linearizable read of a register, from the first request to its outcome, as a pure state machine.
 //!
-//! A proposal consists of one or two rounds: a claim where the key is not owned, then a change where one is wanted.
-//! The controller drives it over the network, the simulation in virtual time.
+//! A proposal takes one or two rounds: a claim if the proposer does not own the key, then a change if the caller
+//! decides on one. The controller drives it over the network, the simulation in virtual time.
 
 use std::mem;
 
@@ -9,10 +9,10 @@
 
 use crate::round::{Ownership, Round, RoundProgress};
 
-/// What a caller decides once it sees the committed body.
+/// The caller's decision, given the committed body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision<T> {
-    /// Nothing is to be changed: finish with this answer.
+    /// Change nothing and finish with this answer.
     Answer(T),
     /// Commit this body, then finish with this answer.
     Write(Vec<u8>, T),
@@ -23,36 +23,37 @@
 pub enum Progress<T> {
     /// More responses are needed.
     Wait,
-    /// This operation has to be sent to every member of the proposal's membership; responses to earlier ones no
+    /// This operation must be sent to every member of the proposal's membership. Responses to earlier operations no
     /// longer count.
     Send(ConsensusOperation),
-    /// The change is committed, or the answer rests on what was read at a quorum.
+    /// The change is committed, or the answer is based on a quorum read.
     Finished {
-        /// The answer that the caller decided on.
+        /// The answer of the caller's decision.
         answer: T,
-        /// Serves the next change of the same key.
+        /// Lets the next change of the same key skip the claim.
         ownership: Ownership,
         /// Whether a change was committed.
         written: bool,
     },
-    /// Another owner is at work under this higher proposal number. The outcome of an own write is unknown.
+    /// Another owner is active under this higher proposal number. Whether this proposal's write is committed is
+    /// unknown.
     Superseded(ProposalNumber),
-    /// An acceptor knows this newer membership. The outcome of an own write is unknown.
+    /// An acceptor knows this newer membership. Whether this proposal's write is committed is unknown.
     NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage<T> {
-    /// Claiming the key: a quorum prepares a new number, and what it reports is committed again.
+    /// Claiming the key: a quorum prepares a new number, and the newest entry that it reports is committed again.
     Claiming,
-    /// Committing an own change, with the answer to give then.
+    /// Committing a change, after which the proposal finishes with this answer.
     Writing(T),
 }
 
 /// One change or read of a register.
 ///
-/// Invariants: an answer without a write is given only on what this proposal itself read at a quorum; a change is
-/// written only under a proposal number that a quorum prepared for this owner.
+/// Invariants: an answer without a write is based only on a quorum read by this proposal; a change is written only
+/// under a proposal number that a quorum prepared for this owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal<T> {
     key: String,
@@ -61,9 +62,9 @@
 }
 
 impl<T> Proposal<T> {
-    /// Starts with the ownership of an earlier proposal where that serves, else with a claim under `proposal_number`,
-    /// which must be new to this owner. Returns the proposal and the operation to send to every member. `now` is in
-    /// milliseconds.
+    /// Starts with a change if `ownership`, from an earlier proposal, is still valid and the caller decides on a
+    /// change; else with a claim under `proposal_number`, which this owner must not have used before. Returns the
+    /// proposal and the operation to send to every member. `now` is in milliseconds.
     pub fn start(
         key: &str,
         membership: &CoreMembership,
@@ -74,7 +75,8 @@
     ) -> (Proposal<T>, ConsensusOperation) {
         let ownership = ownership.filter(|ownership| ownership.membership_version == membership.version);
         if let Some(ownership) = ownership {
-            // An answer without a write would rest on an earlier read: another may own the key by now.
+            // An answer without a write would be based on an earlier read, and another owner may have changed the key
+            // since.
             if let Decision::Write(body, answer) = decide(&ownership.entry.body) {
                 let (round, operation) = Round::change(key, membership.clone(), &ownership, body, now);
                 return (Proposal { key: key.into(), round, stage: Stage::Writing(answer) }, operation);
@@ -89,12 +91,12 @@
         self.round.membership()
     }
 
-    /// Returns whether the present round has run out of time without an outcome. `now` is in milliseconds.
+    /// Returns whether the current round has timed out. `now` is in milliseconds.
     pub fn is_expired(&self, now: u64) -> bool {
         self.round.is_expired(now)
     }
 
-    /// Handles a response to the present operation from the member at this address. `now` is in milliseconds.
+    /// Handles a response to the current operation from the member at this address. `now` is in milliseconds.
     pub fn handle_response(
         &mut self,
         from: &str,
--- a/consensus/src/quorum.rs
+++ b/consensus/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Quorums of the core membership: majorities of its members, and joint ones while members are exchanged.
+//! Quorums of the core membership: majorities of its members, and joint quorums while a member is being replaced.
 
 use protocol::message::{CoreMembership, Member};
 
@@ -17,8 +17,8 @@
     contains(&membership.members, address)
 }
 
-/// Returns whether responses of this address may have counted: it is a member or, while the membership is joint, a
-/// previous one.
+/// Returns whether responses from this address may have counted: it is a member or, while the membership is joint, a
+/// previous member.
 pub fn is_old_or_new_member(membership: &CoreMembership, address: &str) -> bool {
     is_member(membership, address) || (!membership.stable && contains(&membership.previous_members, address))
 }
@@ -30,20 +30,22 @@
 
 /// Returns whether these acceptors form a quorum.
 ///
-/// Usually that is a majority of the members: majorities before and after one member more or less always share an
-/// acceptor. While members are exchanged a majority of the previous members is needed too (a joint quorum), since a
-/// majority of the previous ones and one of the new ones may have no acceptor in common.
+/// Usually a quorum is a majority of the members: when a single member is added or removed, a majority before the
+/// change and one after it always share an acceptor. While a member is being replaced, a majority of the previous
+/// members is required too (a joint quorum), since a majority of the previous members and one of the new members may be
+/// disjoint.
 pub fn is_quorum(membership: &CoreMembership, acceptors: &[String]) -> bool {
     has_majority(&membership.members, acceptors)
-        && (!is_exchange(membership) || has_majority(&membership.previous_members, acceptors))
+        && (!is_replacement(membership) || has_majority(&membership.previous_members, acceptors))
 }
 
-/// Returns whether the membership is joint, and neither the previous nor the new members include the others.
-pub fn is_exchange(membership: &CoreMembership) -> bool {
-    let is_missing = |members: &[Member], others: &[Member]| members.iter().any(|member| !contains(others, &member.ip));
+/// Returns whether the membership is joint and replaces a member: each of its two lists has a member that the other
+/// lacks.
+pub fn is_replacement(membership: &CoreMembership) -> bool {
+    let has_other = |members: &[Member], others: &[Member]| members.iter().any(|member| !contains(others, &member.ip));
     !membership.stable
-        && is_missing(&membership.previous_members, &membership.members)
-        && is_missing(&membership.members, &membership.previous_members)
+        && has_other(&membership.previous_members, &membership.members)
+        && has_other(&membership.members, &membership.previous_members)
 }
 
 /// Returns whether these acceptors include more than half of the members of one list.
@@ -52,19 +54,19 @@
     count >= majority(members.len())
 }
 
-/// Returns the addresses of the members and, while the membership is joint, those of the previous members. One that
-/// is only among the latter no longer votes, but is notified of the change and asked what it holds.
+/// Returns the addresses of the members and, while the membership is joint, those of the previous members. A member
+/// that is being removed no longer votes, but is notified of the change and asked which keys it holds.
 pub fn old_and_new_members(membership: &CoreMembership) -> Vec<String> {
-    let mut list = addresses(membership);
+    let mut recipients = addresses(membership);
     if membership.stable {
-        return list;
+        return recipients;
     }
     for member in &membership.previous_members {
-        if !list.contains(&member.ip) {
-            list.push(member.ip.clone());
+        if !recipients.contains(&member.ip) {
+            recipients.push(member.ip.clone());
         }
     }
-    list
+    recipients
 }
 
 #[cfg(test)]
--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -1,10 +1,10 @@
-//! Decides which member to add, remove or exchange, and tracks the transition to the new membership. Pure: no input
-//! or output.
+//! Decides which member to add, remove or replace, and tracks the transition to the new membership. Pure: performs no
+//! I/O.
 //!
-//! Members change in two steps, each a committed entry of the register [`MEMBERSHIP_KEY`]. The first makes the
-//! membership joint: old and new members both count. Before the second makes it stable, majorities of both must know
-//! it and every key that any of them holds must be committed again under it; only then may the old members be
-//! forgotten.
+//! A membership change takes two steps, each a committed entry of the register [`MEMBERSHIP_KEY`]. The first makes the
+//! membership joint: both old and new members count. Before the second makes it stable, majorities of both must know
+//! the joint membership, and every key that any of them holds must be committed again under it. Only then may the old
+//! members be forgotten.
 
 use std::collections::BTreeSet;
 
@@ -12,17 +12,17 @@
 
 use crate::{quorum, MEMBERSHIP_KEY};
 
-/// How long a member must be silent before it counts as gone, in milliseconds.
+/// The time without a heartbeat after which a member counts as gone, in milliseconds.
 pub const MEMBER_TIMEOUT_MS: u64 = 2500;
 
-/// How this controller sees a member.
+/// The health of a member as seen by this controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// Milliseconds since its last heartbeat.
+    /// Time since its last heartbeat, in milliseconds.
     pub since_last_seen_ms: u64,
-    /// Its last heartbeat is recent.
+    /// Whether its last heartbeat is recent.
     pub live: bool,
-    /// It announced that its process is about to end.
+    /// Whether it announced that it is shutting down.
     pub shutting_down: bool,
 }
 
@@ -36,18 +36,18 @@
     }
 }
 
-/// What the next change of members is decided on.
+/// The input of the decision on the next membership.
 pub struct ClusterView<'a> {
     /// Returns the health of the member at an address.
     pub health: &'a dyn Fn(&str) -> Health,
-    /// Live controllers that may become members and are none yet.
+    /// Live controllers that may become members and are not members yet.
     pub candidates: Vec<Member>,
-    /// Every live controller counts joint quorums, so that members may be exchanged in one change.
+    /// Whether every live controller supports joint quorums, so that a member may be replaced in one change.
     pub joint_quorums: bool,
 }
 
-/// Returns the next membership, if one is due: a member that is gone is exchanged for a candidate, or removed where
-/// the number of members is even, or a candidate is added.
+/// Returns the next membership, if a change is due: a member that is gone is replaced by a candidate or, if the number
+/// of members is even, removed; else a candidate is added.
 ///
 /// Invariant: the members that stay are a quorum of the next membership.
 pub fn next_membership(membership: &CoreMembership, view: &ClusterView) -> Option<CoreMembership> {
@@ -57,9 +57,9 @@
         None => view.candidates.first(),
     };
     let members = match (gone, candidate) {
-        (Some(gone), Some(candidate)) if view.joint_quorums => exchanged(membership, gone, candidate),
-        (Some(gone), _) if membership.members.len().is_multiple_of(2) => without(membership, gone),
-        (_, Some(candidate)) => with(membership, candidate),
+        (Some(gone), Some(candidate)) if view.joint_quorums => with_replacement(membership, gone, candidate),
+        (Some(gone), _) if membership.members.len().is_multiple_of(2) => without_member(membership, gone),
+        (_, Some(candidate)) => with_member(membership, candidate),
         _ => return None,
     };
     let next = CoreMembership {
@@ -71,8 +71,8 @@
     can_complete(&next, view).then_some(next)
 }
 
-/// Returns whether the transition to this membership can complete: those that stay must be a quorum of it, and the
-/// live previous members, including those that are shutting down, must be able to commit it.
+/// Returns whether the transition to this membership can complete: the members that stay must be a quorum of it, and
+/// the live previous members, including those that are shutting down, must be able to commit it.
 fn can_complete(next: &CoreMembership, view: &ClusterView) -> bool {
     let is_candidate = |address: &str| view.candidates.iter().any(|candidate| candidate.ip == address);
     let mut staying = Vec::new();
@@ -89,24 +89,24 @@
     quorum::is_quorum(next, &staying) && quorum::has_majority(&next.previous_members, &live)
 }
 
-fn without(membership: &CoreMembership, gone: &Member) -> Vec<Member> {
+fn without_member(membership: &CoreMembership, gone: &Member) -> Vec<Member> {
     membership.members.iter().filter(|member| *member != gone).cloned().collect()
 }
 
-fn with(membership: &CoreMembership, candidate: &Member) -> Vec<Member> {
+fn with_member(membership: &CoreMembership, candidate: &Member) -> Vec<Member> {
     membership.members.iter().chain([candidate]).cloned().collect()
 }
 
-fn exchanged(membership: &CoreMembership, gone: &Member, candidate: &Member) -> Vec<Member> {
-    let mut members = without(membership, gone);
+fn with_replacement(membership: &CoreMembership, gone: &Member, candidate: &Member) -> Vec<Member> {
+    let mut members = without_member(membership, gone);
     members.push(candidate.clone());
     members
 }
 
 /// The transition from a joint membership to the stable one.
 ///
-/// Invariant: before it is done, majorities of the old and the new members know the new membership, and every key
-/// that any of them holds was committed again under it.
+/// Invariant: once it is done, majorities of the old and the new members know the new membership, and every key that
+/// any of them holds has been committed again under it.
 pub struct MembershipTransition {
     membership: CoreMembership,
     informed: Vec<String>,
@@ -132,7 +132,7 @@
 
     /// Records a response to a request that carried the joint membership.
     ///
-    /// An acceptor that did not say which keys it holds does not count: what only it and unreachable ones hold would
+    /// An acceptor that does not report its keys does not count: keys that only it and unreachable acceptors hold would
     /// not be committed again.
     pub fn record_response(&mut self, from: &str, response: &ConsensusResponse) {
         if let ConsensusResponse::Positions { positions } = response {
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -1,14 +1,14 @@
 //! The proposer's side of one round on one register, as a pure state machine.
 //!
-//! A round follows "Paxos Made Simple", section 2.2: a claim prepares a new proposal number at a quorum and commits
-//! the newest entry found there again; a change sends accept requests at once, because the owner's number is already
-//! prepared at a quorum (the optimization that the paper makes for a distinguished proposer, in section 3).
+//! A round follows "Paxos Made Simple", section 2.2. A claim prepares a new proposal number at a quorum and commits
+//! again the newest entry found there. A change skips the prepare phase, because a quorum has already prepared the
+//! owner's number (the paper's optimization for a distinguished proposer, section 3).
 
 use protocol::message::{ConsensusOperation, ConsensusResponse, CoreMembership, Entry, ProposalNumber};
 
 use crate::{quorum, ROUND_TIMEOUT_MS};
 
-/// What an owner knows of its register.
+/// An owner's knowledge of its register.
 ///
 /// Invariants: `entry` is committed; its proposal number is the owner's own; the next change carries the next index,
 /// so that two changes never share a position.
@@ -21,21 +21,21 @@
 }
 
 impl Ownership {
-    /// Returns whether nothing was ever committed under this key.
+    /// Returns whether nothing has ever been committed under this key.
     pub fn is_blank(&self) -> bool {
         self.entry.index == 0 && self.entry.body.is_empty()
     }
 }
 
-/// How many terms belong to one version of the membership.
+/// The number of terms reserved for each membership version.
 const TERMS_PER_MEMBERSHIP: u64 = 1 << 32;
 
 /// Returns the term of an owner's next proposal number: above its last one, and above every term under an earlier
 /// membership.
 ///
-/// An entry that was left incomplete under an earlier membership may be on a single disk, and its number may have been
-/// prepared by members that were removed since. It must not outrank what was committed later by a quorum that never
-/// saw it.
+/// An entry whose round was not completed under an earlier membership may be on a single disk, and its number may have
+/// been prepared by members that have been removed since. It must not supersede an entry that was committed later by a
+/// quorum that never saw it.
 pub fn next_term(last: u64, membership: &CoreMembership) -> u64 {
     (last + 1).max(membership.version * TERMS_PER_MEMBERSHIP)
 }
@@ -45,27 +45,27 @@
 pub enum RoundProgress {
     /// More responses are needed.
     Wait,
-    /// This operation has to be sent to every member; responses to earlier ones no longer count.
+    /// This operation must be sent to every member. Responses to earlier operations no longer count.
     Send(ConsensusOperation),
     /// The entry is chosen: a quorum has it on disk.
     Chosen(Ownership),
-    /// Another owner is at work under this higher proposal number; the outcome of an own change is unknown.
+    /// Another owner is active under this higher proposal number. Whether this round's change is committed is unknown.
     Superseded(ProposalNumber),
-    /// An acceptor knows this newer membership; the outcome of an own change is unknown.
+    /// An acceptor knows this newer membership. Whether this round's change is committed is unknown.
     NewerMembership(CoreMembership),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Phase 1, with the newest entry that any acceptor reported.
+    /// Phase 1, with the newest entry that any acceptor has reported.
     Preparing { newest: Option<Entry> },
-    /// Phase 2.
+    /// Phase 2, with the entry to be accepted.
     Accepting(Entry),
 }
 
 /// One round of a register.
 ///
-/// Invariant: `responders` holds each member of the round's membership at most once per phase, and nobody else.
+/// Invariant: `responders` holds each member of the round's membership at most once per phase, and no one else.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
@@ -77,8 +77,8 @@
 }
 
 impl Round {
-    /// Starts a claim, which prepares a new proposal number at a quorum and commits again what it finds. Returns the
-    /// round and the operation to send to every member. `now` is in milliseconds.
+    /// Starts a claim, which prepares a new proposal number at a quorum and commits again the newest entry found there.
+    /// Returns the round and the operation to send to every member. `now` is in milliseconds.
     pub fn claim(
         key: &str,
         membership: CoreMembership,
@@ -113,7 +113,7 @@
         &self.membership
     }
 
-    /// Returns whether the round has run out of time without an outcome. `now` is in milliseconds.
+    /// Returns whether the round has timed out. `now` is in milliseconds.
     pub fn is_expired(&self, now: u64) -> bool {
         now >= self.deadline
     }
@@ -155,8 +155,9 @@
         }
     }
 
-    /// A quorum prepared the number. What it reported may be chosen, so it is committed again under the new number;
-    /// where it reported nothing, nothing is chosen and the register belongs to this owner.
+    /// Ends phase 1 after a quorum has prepared the number. The newest entry that it reported may be chosen, so that
+    /// entry is committed again under the new number. If it reported none, none is chosen, and the proposer owns the
+    /// register without phase 2.
     fn finish_preparing(&mut self) -> RoundProgress {
         let Phase::Preparing { newest } = &mut self.phase else { return RoundProgress::Wait };
         let Some(newest) = newest.take() else {
@@ -165,7 +166,7 @@
         };
         let entry = Entry { proposal_number: self.proposal_number, index: 0, body: newest.body };
         self.phase = Phase::Accepting(entry.clone());
-        // Phase 2 needs a quorum of its own.
+        // Phase 2 needs its own quorum.
         self.responders.clear();
         RoundProgress::Send(ConsensusOperation::Accept { key: self.key.clone(), entry })
     }
--- a/consensus/src/storage/directory.rs
+++ b/consensus/src/storage/directory.rs
@@ -1,30 +1,30 @@
-//! The few file operations that a store needs, behind traits, so that tests can replace the file system by a simulated
-//! one with power losses, full disks and failed syncs.
+//! The file operations that a store needs, as traits, so that tests can substitute a simulated file system with power
+//! losses, full disks and failed syncs.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// A directory of files. A name that was created, changed or removed is durable once `sync` has returned.
+/// A directory of files. The creation, renaming or removal of a file is durable once `sync` has returned.
 pub trait Directory: Send {
     /// Returns the names of the files.
     fn names(&self) -> io::Result<Vec<String>>;
     /// Opens an existing file for reading and writing.
     fn open(&self, name: &str) -> io::Result<Box<dyn DataFile>>;
-    /// Creates an empty file; an existing one of that name is emptied.
+    /// Creates an empty file, or truncates an existing one of that name.
     fn create(&self, name: &str) -> io::Result<Box<dyn DataFile>>;
     /// Renames a file, replacing an existing one.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes the names durable.
+    /// Makes the file names durable.
     fn sync(&self) -> io::Result<()>;
-    /// Returns the path of a file, for messages.
+    /// Returns the path of a file, for error messages.
     fn path(&self, name: &str) -> PathBuf;
 }
 
-/// A file. Its content is durable once `sync` has returned; after a failed `sync` everything written since the last
+/// A file. Its content is durable once `sync` has returned. After a failed `sync`, everything written since the last
 /// successful one must be written again.
 pub trait DataFile: Send {
     /// Returns the size in bytes.
@@ -39,13 +39,13 @@
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A directory of the machine's file system.
+/// A directory of the local file system.
 pub struct FileSystemDirectory {
     path: PathBuf,
 }
 
 impl FileSystemDirectory {
-    /// Opens a directory, creating it where it is missing.
+    /// Opens a directory, creating it if it is missing.
     pub fn open(path: &Path) -> io::Result<FileSystemDirectory> {
         if !path.exists() {
             fs::create_dir_all(path)?;
--- a/consensus/src/storage/error.rs
+++ b/consensus/src/storage/error.rs
@@ -1,29 +1,29 @@
-//! Why a store could not be opened or written.
+//! Errors of a store.
 
 use std::path::PathBuf;
 use std::{error, fmt, io};
 
 use super::directory::Directory;
 
-/// Why a store could not be opened or written.
+/// An error while opening or writing a store.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The file system returned an error; the same operation may work later.
+    /// The file system returned an error. A later retry may succeed.
     Io {
-        /// The file or directory concerned.
+        /// The affected file or directory.
         path: PathBuf,
         /// The error of the file system.
         source: io::Error,
     },
-    /// The log has reached its maximum length: a snapshot must be made before it may grow further.
+    /// The log has reached its maximum length. A snapshot must be made before it may grow further.
     SnapshotOverdue,
-    /// Records that were synced are missing or unreadable, or the file is not one of a store.
+    /// Synced records are missing or unreadable, or the file does not belong to a store.
     Corrupted {
-        /// The file concerned.
+        /// The affected file.
         path: PathBuf,
-        /// Where in the file the first unreadable record begins, in bytes.
+        /// The offset of the first unreadable record, in bytes.
         offset: u64,
-        /// What was found.
+        /// What is wrong with the file.
         reason: &'static str,
     },
 }
@@ -32,7 +32,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StoreError::Io { path, source } => write!(formatter, "{}: {source}", path.display()),
-            StoreError::SnapshotOverdue => write!(formatter, "the log is too long: a snapshot must come first"),
+            StoreError::SnapshotOverdue => {
+                write!(formatter, "the log has reached its maximum length: a snapshot must be made first")
+            }
             StoreError::Corrupted { path, offset, reason } => {
                 write!(formatter, "{} at offset {offset}: {reason}", path.display())
             }
@@ -49,7 +51,7 @@
     }
 }
 
-/// Returns a function that turns an error of the file system into one that names the file.
+/// Returns a function that adds the path of a file to an error of the file system.
 pub fn io_error(directory: &dyn Directory, name: &str) -> impl FnOnce(io::Error) -> StoreError {
     let path = directory.path(name);
     |source| StoreError::Io { path, source }
--- a/consensus/src/storage/files.rs
+++ b/consensus/src/storage/files.rs
@@ -1,9 +1,9 @@
-//! The files of a store by name: segments `log-N`, snapshots `snap-N`, and a snapshot that is being written.
+//! The file names of a store: segments `log-N`, snapshots `snap-N`, and the temporary name of an unfinished snapshot.
 
 use super::directory::Directory;
 use super::error::{io_error, StoreError};
 
-/// The name of a snapshot that is being written.
+/// The file name of a snapshot that is being written.
 pub const TEMPORARY_SNAPSHOT: &str = "draft";
 const SEGMENT_PREFIX: &str = "log-";
 const SNAPSHOT_PREFIX: &str = "snap-";
@@ -20,17 +20,17 @@
     format!("{SNAPSHOT_PREFIX}{number:08}")
 }
 
-/// The numbers of a store's files, ascending.
+/// The numbers of a store's files, in ascending order.
 #[derive(Default)]
 pub struct StoreFiles {
-    /// Snapshot N holds everything of the segments below N.
+    /// The snapshots. Snapshot N replaces all segments below N.
     pub snapshots: Vec<u64>,
     /// The segments of the log.
     pub segments: Vec<u64>,
 }
 
 impl StoreFiles {
-    /// Lists the files of the store in this directory. Files of other names are left out.
+    /// Lists the files of the store in this directory. Files with other names are ignored.
     pub fn list(directory: &dyn Directory) -> Result<StoreFiles, StoreError> {
         let mut files = StoreFiles::default();
         for name in directory.names().map_err(io_error(directory, ""))? {
@@ -44,16 +44,16 @@
     }
 
     /// Returns the number of the first segment that no snapshot replaces.
-    pub fn first_live(&self) -> u64 {
+    pub fn first_live_segment(&self) -> u64 {
         self.snapshots.last().copied().unwrap_or(FIRST_SEGMENT)
     }
 
     /// Returns the segments that no snapshot replaces, or `None` if one of them is missing.
     pub fn live_segments(&self) -> Option<Vec<u64>> {
-        let first = self.first_live();
+        let first = self.first_live_segment();
         let live: Vec<u64> = self.segments.iter().copied().filter(|number| *number >= first).collect();
-        let is_unbroken = live.iter().copied().eq(first..first + live.len() as u64);
+        let is_contiguous = live.iter().copied().eq(first..first + live.len() as u64);
         let is_missing = live.is_empty() && !(self.snapshots.is_empty() && self.segments.is_empty());
-        (is_unbroken && !is_missing).then_some(live)
+        (is_contiguous && !is_missing).then_some(live)
     }
 }
--- a/consensus/src/storage/mod.rs
+++ b/consensus/src/storage/mod.rs
@@ -1,7 +1,9 @@
-//! A state on disk, the acceptor's or another one: a log in numbered segments with a snapshot beside it (docs/storage.md).
+//! Durable state, the acceptor's or that of another component: a log in numbered segments and its snapshots
+//! (docs/storage.md).
 //!
-//! `store` writes, `recovery` reads back what is found when a store is opened, `record` and `segment` define and read
-//! the bytes, `files` the names, and `directory` is the file system, which tests replace by a simulated one.
+//! `store` writes the log and its snapshots. `recovery` reads them when a store is opened. `record` defines the binary
+//! form of a record, `segment` reads records from a file, and `files` defines the file names. `directory` is the
+//! interface to the file system, for which tests substitute a simulated one.
 
 mod directory;
 mod error;
--- a/consensus/src/storage/record.rs
+++ b/consensus/src/storage/record.rs
@@ -1,30 +1,30 @@
-//! The binary form of one log record: a header with a checksum, followed by the body in the form that its type gives it.
+//! The binary form of a log record: a header with a checksum, followed by the body as serialized by the record's type.
 //!
 //! Header: magic (4 bytes), body length (4), the length of the segment known to be synced when the record was written
-//! (8), checksum of all the rest (4), zero (4). Numbers are little-endian.
+//! (8), checksum of these three fields and the body (4), zero (4). Numbers are little-endian.
 
 use crc32fast::Hasher;
 
-/// What a store holds: the records of one kind of state.
+/// A record that a store can hold.
 pub trait StoredRecord: Sized {
     /// Returns the binary form.
     fn to_bytes(&self) -> Vec<u8>;
-    /// Parses the binary form; `None` if the bytes are not one.
+    /// Parses the binary form, or returns `None` if the bytes are not a valid record.
     fn from_bytes(bytes: &[u8]) -> Option<Self>;
 }
 
 /// The first bytes of every record.
 pub const MAGIC: [u8; 4] = *b"tdp1";
-/// The length of a header.
+/// The length of a header, in bytes.
 pub const HEADER_BYTES: usize = 24;
-/// The part of the header that the checksum covers.
+/// The length of the part of the header that the checksum covers, in bytes.
 const CHECKED_HEADER_BYTES: usize = 16;
 
-/// The header of a record whose magic fits; neither checksum nor body are checked yet.
+/// A record header with the right magic. Neither the checksum nor the body has been checked yet.
 pub struct Header {
-    /// The length of the body.
+    /// The length of the body, in bytes.
     pub body_bytes: usize,
-    /// Everything before this offset of the segment was synced before the record was written.
+    /// The offset in the segment up to which everything was synced before the record was written.
     pub synced_before: u64,
     checksum: u32,
 }
@@ -68,7 +68,7 @@
     out.extend_from_slice(&body);
 }
 
-/// Decodes a record from its header and body, or returns `None` if the checksum or the body does not fit.
+/// Decodes a record from its header and body, or returns `None` if the checksum does not match or the body is invalid.
 pub fn decode<R: StoredRecord>(header_bytes: &[u8; HEADER_BYTES], header: &Header, body: &[u8]) -> Option<R> {
     if checksum(header_bytes, body) != header.checksum {
         return None;
--- a/consensus/src/storage/recovery.rs
+++ b/consensus/src/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! What happens when a store is opened: reading the files, finding a torn end and repairing it.
+//! Recovery when a store is opened: reads the files, detects a torn tail and repairs it.
 
 use std::io;
 
@@ -8,29 +8,29 @@
 use super::record::StoredRecord;
 use super::segment::SegmentReader;
 
-/// How the records of one file ended.
+/// Where the valid and the synced part of a file end.
 #[derive(Default)]
 pub struct FileEnd {
-    /// The length of the part that holds complete records, in bytes.
+    /// The length of the part that consists of complete records, in bytes.
     pub valid_bytes: u64,
-    /// The part of the file that had been synced when its last record was written, in bytes.
+    /// The length of the part that had been synced when the last record was written, in bytes.
     pub synced_bytes: u64,
 }
 
-/// The log as it was found.
+/// The state of the log as read from disk.
 pub struct RecoveredLog {
-    /// The segment that is written next.
+    /// The number of the segment to which records are appended.
     pub active_segment: u64,
-    /// How the active segment ended.
+    /// Where the active segment ends.
     pub end: FileEnd,
-    /// Bytes of the segments before the active one.
+    /// The length of the segments before the active one, in bytes.
     pub earlier_bytes: u64,
 }
 
-/// Returns the numbers of the live segments, after creating the first one of an empty store.
+/// Returns the numbers of the live segments. Creates the first segment of an empty store.
 pub fn prepare_segments(directory: &dyn Directory, files: &StoreFiles) -> Result<Vec<u64>, StoreError> {
     let Some(mut live) = files.live_segments() else {
-        let path = directory.path(&segment_name(files.first_live()));
+        let path = directory.path(&segment_name(files.first_live_segment()));
         return Err(StoreError::Corrupted { path, offset: 0, reason: "a segment of the log is missing" });
     };
     if live.is_empty() {
@@ -70,7 +70,7 @@
     Ok(RecoveredLog { active_segment, end, earlier_bytes })
 }
 
-/// Reads the records of one file. `may_be_torn`: its end may have been written without being synced.
+/// Passes the records of one file to `apply`. `may_be_torn` states that its end may have been written but not synced.
 fn read_file<R: StoredRecord>(
     directory: &dyn Directory,
     name: &str,
@@ -90,10 +90,10 @@
     }
     let corrupted = |reason| Err(StoreError::Corrupted { path: directory.path(name), offset: end.valid_bytes, reason });
     if !may_be_torn {
-        return corrupted("not a whole record, in a file that was synced whole");
+        return corrupted("incomplete record in a file that was synced completely");
     }
     if reader.is_synced_later().map_err(io_error(directory, name))? {
-        return corrupted("not a whole record, yet a later one says it was synced");
+        return corrupted("incomplete record, although a later record states that it was synced");
     }
     if reader.is_foreign().map_err(io_error(directory, name))? {
         return corrupted("not a file of a store");
@@ -101,8 +101,8 @@
     Ok(end)
 }
 
-/// Returns the last segment with bytes in it, or the first: only its end can be torn, since a segment is written only
-/// once the one before it is on disk.
+/// Returns the last segment that is not empty, or the first if all are empty. Only its end can be torn, since a segment
+/// is written only once the one before it is on disk.
 fn active_segment(directory: &dyn Directory, live: &[u64]) -> Result<u64, StoreError> {
     for number in live.iter().rev() {
         let name = segment_name(*number);
@@ -114,8 +114,8 @@
     Ok(live[0])
 }
 
-/// Cuts off a torn end, and writes again what may be in the page cache only: after a sync that failed in an earlier
-/// process, the kernel returns pages as if they were on disk.
+/// Cuts off a torn tail and rewrites the records that may be in the page cache only: after a sync that failed in an
+/// earlier process, the kernel returns pages as if they were on disk.
 pub fn repair_tail(segment: &dyn DataFile, end: &FileEnd) -> io::Result<()> {
     segment.truncate(end.valid_bytes)?;
     let from = end.synced_bytes.min(end.valid_bytes);
@@ -125,8 +125,8 @@
     segment.sync()
 }
 
-/// Empties the segments behind the active one. They read as empty, but cutting off what a failed write left there may
-/// never have been synced, and they must stay empty after the next power loss.
+/// Truncates the segments after the active one and syncs them. They read as empty, but the truncation that removed the
+/// rest of a failed write may never have been synced, and they must still be empty after the next power loss.
 pub fn clear_later_segments(directory: &dyn Directory, live: &[u64], active: u64) -> Result<(), StoreError> {
     for number in live.iter().filter(|number| **number > active) {
         let name = segment_name(*number);
--- a/consensus/src/storage/store.rs
+++ b/consensus/src/storage/store.rs
@@ -1,7 +1,7 @@
 //! Writes the log and its snapshots.
 //!
-//! A record counts once its checksum fits. A torn end is cut off when the store is opened; corruption in front of
-//! something that was synced is an error with file and offset, because an acceptor must not forget what it promised.
+//! A record is valid if its checksum matches. A torn tail is cut off when the store is opened. Corruption before data
+//! that was synced is an error with file and offset, because an acceptor must not forget its promises.
 
 use std::io;
 use std::marker::PhantomData;
@@ -14,45 +14,44 @@
 use super::recovery::{clear_later_segments, prepare_segments, read_log, read_snapshot, repair_tail};
 use crate::acceptor::LogRecord;
 
-/// A segment longer than this is followed by a snapshot and a new segment.
+/// The segment length above which a snapshot is made and a new segment is started, in bytes.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
-/// After a snapshot failed, the next is tried when the log has grown by a segment's length divided by this.
-const SNAPSHOT_RETRY_FRACTION: u64 = 8;
-/// A log as long as this many segments takes no more records before a snapshot was made, so that it cannot fill the
-/// disk.
+/// A failed snapshot is retried once the log has grown by the segment length divided by this.
+const SNAPSHOT_RETRY_DIVISOR: u64 = 8;
+/// The maximum length of the log, in segment lengths. A longer log rejects records until a snapshot has been made, so
+/// that it cannot fill the disk.
 const MAX_SEGMENTS: u64 = 4;
-/// Records are gathered up to this size before they are written.
-const WRITE_BYTES: usize = 1024 * 1024;
+/// The size from which buffered records are written to the file, in bytes.
+const WRITE_BUFFER_BYTES: usize = 1024 * 1024;
 
-/// A log of records and its snapshots, in one directory; the acceptor's unless stated.
+/// A log of records and its snapshots in one directory, by default the acceptor's.
 ///
-/// Invariants: the first `synced` bytes of the active segment are on disk; every segment before it is on disk as a
-/// whole; the snapshot numbered N holds everything of the segments below N.
+/// Invariants: the first `synced` bytes of the active segment are on disk; every segment before it is on disk
+/// completely; snapshot N replaces all segments below N.
 pub struct Store<R = LogRecord> {
     records: PhantomData<fn(R)>,
     directory: Box<dyn Directory>,
     segment: Box<dyn DataFile>,
     number: u64,
     synced: u64,
-    /// Bytes of the segments before the active one that no snapshot replaces yet.
+    /// The length of the segments before the active one that no snapshot replaces yet, in bytes.
     earlier_bytes: u64,
     /// The number of the newest snapshot that is on disk.
     snapshot_number: u64,
-    /// A write or sync failed: what stands behind `synced` counts for nothing and must be cut off.
+    /// Whether a write or sync failed: the content after `synced` is undefined and must be cut off.
     is_tail_unknown: bool,
     segment_bytes: u64,
-    /// A snapshot is due once the active segment is longer than this.
-    snapshot_from: u64,
+    /// The length of the active segment above which a snapshot is due, in bytes.
+    snapshot_threshold: u64,
 }
 
 impl<R: StoredRecord> Store<R> {
-    /// Opens a directory, creating it where it is missing, and passes all records found there to `apply`, oldest
-    /// first. All of them are on disk when this returns.
+    /// Opens the store in a directory, which is created if it is missing, and passes all of its records to `apply`,
+    /// oldest first. All of them are on disk when this returns.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Io`] where the file system refuses; [`StoreError::Corrupted`] where something that was synced
-    /// cannot be read.
+    /// [`StoreError::Io`] if the file system fails; [`StoreError::Corrupted`] if data that was synced cannot be read.
     pub fn open(path: &Path, apply: &mut dyn FnMut(R)) -> Result<Store<R>, StoreError> {
         let directory =
             FileSystemDirectory::open(path).map_err(|source| StoreError::Io { path: path.into(), source })?;
@@ -80,10 +79,10 @@
             number: log.active_segment,
             synced: log.end.valid_bytes,
             earlier_bytes: log.earlier_bytes,
-            snapshot_number: files.first_live(),
+            snapshot_number: files.first_live_segment(),
             is_tail_unknown: false,
             segment_bytes,
-            snapshot_from: segment_bytes,
+            snapshot_threshold: segment_bytes,
         };
         store.remove_replaced_files();
         Ok(store)
@@ -93,8 +92,8 @@
     ///
     /// # Errors
     ///
-    /// None of the records counts after an error, and no response that rests on them may be sent.
-    /// [`StoreError::SnapshotOverdue`] where the log has reached its maximum length, else [`StoreError::Io`].
+    /// After an error none of the records counts as stored, and no response that depends on them may be sent.
+    /// [`StoreError::SnapshotOverdue`] if the log has reached its maximum length, else [`StoreError::Io`].
     pub fn append(&mut self, records: &[R]) -> Result<(), StoreError> {
         if self.is_snapshot_overdue() {
             return Err(StoreError::SnapshotOverdue);
@@ -109,30 +108,30 @@
         Ok(())
     }
 
-    /// Returns whether the log is long enough for a snapshot.
+    /// Returns whether the log has grown enough to make a snapshot.
     pub fn is_snapshot_due(&self) -> bool {
-        self.synced > self.snapshot_from || self.is_snapshot_overdue()
+        self.synced > self.snapshot_threshold || self.is_snapshot_overdue()
     }
 
     fn is_snapshot_overdue(&self) -> bool {
         self.earlier_bytes + self.synced > MAX_SEGMENTS * self.segment_bytes
     }
 
-    /// Starts a new segment and writes these records, which must restore everything before it, as a snapshot. The
-    /// files that it replaces are removed last.
+    /// Starts a new segment and writes these records, which must restore the state before it, as a snapshot. The files
+    /// that the snapshot replaces are removed last.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Io`]. The log goes on, in the old segment or the new one, and nothing is lost.
+    /// [`StoreError::Io`]. The log remains usable, in the old segment or the new one, and nothing is lost.
     pub fn snapshot(&mut self, records: &[R]) -> Result<(), StoreError> {
         self.remove_replaced_files();
         let written = self.begin_segment().and_then(|()| self.write_snapshot(records));
         if written.is_err() {
-            self.snapshot_from = self.synced + self.segment_bytes / SNAPSHOT_RETRY_FRACTION;
+            self.snapshot_threshold = self.synced + self.segment_bytes / SNAPSHOT_RETRY_DIVISOR;
             let _ = self.directory.remove(TEMPORARY_SNAPSHOT);
             return written;
         }
-        self.snapshot_from = self.segment_bytes;
+        self.snapshot_threshold = self.segment_bytes;
         self.snapshot_number = self.number;
         self.earlier_bytes = 0;
         self.remove_replaced_files();
@@ -157,7 +156,7 @@
         Ok(())
     }
 
-    /// Writes a snapshot, which appears under its name only once its content is on disk.
+    /// Writes a snapshot, which receives its name only once its content is on disk.
     fn write_snapshot(&self, records: &[R]) -> Result<(), StoreError> {
         let temporary = self.directory.create(TEMPORARY_SNAPSHOT).map_err(self.io_error(TEMPORARY_SNAPSHOT))?;
         write_records(&*temporary, 0, 0, records).map_err(self.io_error(TEMPORARY_SNAPSHOT))?;
@@ -167,7 +166,7 @@
         self.directory.sync().map_err(self.io_error(""))
     }
 
-    /// Cuts off what a failed write or sync left behind the synced part: it must never be read again.
+    /// Cuts off what a failed write or sync left after the synced part: it must never be read.
     fn truncate_unknown_tail(&mut self) -> Result<(), StoreError> {
         if !self.is_tail_unknown {
             return Ok(());
@@ -178,7 +177,8 @@
         Ok(())
     }
 
-    /// Removes the files that a snapshot on disk replaces. What cannot be removed now is removed another time.
+    /// Removes the files that a snapshot on disk replaces. Files that cannot be removed now are removed at a later
+    /// call.
     fn remove_replaced_files(&self) {
         let first = self.snapshot_number;
         let Ok(files) = StoreFiles::list(&*self.directory) else { return };
@@ -195,24 +195,24 @@
     }
 }
 
-/// Writes records one after the other from `offset` on. Returns the offset where they end.
+/// Writes records consecutively, starting at `offset`. Returns the offset of their end.
 fn write_records<R: StoredRecord>(
     file: &dyn DataFile,
     mut offset: u64,
     synced_before: u64,
     records: &[R],
 ) -> io::Result<u64> {
-    let mut block = Vec::new();
+    let mut buffer = Vec::new();
     for record in records {
-        encode(record, synced_before, &mut block);
-        if block.len() >= WRITE_BYTES {
-            file.write_at(offset, &block)?;
-            offset += block.len() as u64;
-            block.clear();
+        encode(record, synced_before, &mut buffer);
+        if buffer.len() >= WRITE_BUFFER_BYTES {
+            file.write_at(offset, &buffer)?;
+            offset += buffer.len() as u64;
+            buffer.clear();
         }
     }
-    file.write_at(offset, &block)?;
-    Ok(offset + block.len() as u64)
+    file.write_at(offset, &buffer)?;
+    Ok(offset + buffer.len() as u64)
 }
 
 #[cfg(test)]
