--- a/consensus/src/testing/mod.rs
+++ b/consensus/src/testing/mod.rs
@@ -1,4 +1,4 @@
-//! Simulations, stand-ins and the model checker, for tests only.
+//! Simulations, simulated devices and the model checker, for tests only.
 
 mod model;
 mod simulation;
--- a/consensus/src/testing/model/action.rs
+++ b/consensus/src/testing/model/action.rs
@@ -1,4 +1,4 @@
-//! What may happen next.
+//! The actions of the model.
 
 use protocol::message::Position;
 
@@ -6,37 +6,38 @@
 use super::machines::MachineSet;
 use super::Model;
 
-/// One atomic event. A message that is lost, late or cut off is one whose action does not come, or comes late;
-/// a doubled one comes again.
+/// An atomic event. The action that delivers a message never happens if the message is lost, happens late if it is
+/// delayed, and happens again if it is duplicated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A proposer begins its next proposal under this term and membership, giving up the present one.
+    /// A proposer begins its next proposal under this term and membership and abandons the current one.
     Begin { proposer: usize, term: u64, membership: usize },
-    /// The present request of a proposer reaches an acceptor, whose response is on its way.
+    /// The current request of a proposer reaches an acceptor, whose response is now in transit.
     Deliver { proposer: usize, machine: usize },
-    /// An acceptor rejects the present request, and the proposer learns of it.
+    /// An acceptor rejects the current request, and the proposer receives the rejection.
     Reject { proposer: usize, machine: usize },
-    /// A proposer counts the responses of these machines, which are a quorum.
+    /// A proposer counts the responses of these machines, which form a quorum.
     Count { proposer: usize, machines: MachineSet },
-    /// A request of a round that ended long ago reaches an acceptor.
+    /// A request of a round that has already ended reaches an acceptor.
     DeliverLate { position: Position, machine: usize },
-    /// A proposer loses its memory and begins a new incarnation.
+    /// A proposer restarts: it loses its memory and begins a new incarnation.
     Restart { proposer: usize },
-    /// A coordinator learns of the newest membership.
+    /// A coordinator learns the newest membership.
     Inform { proposer: usize },
-    /// A machine loses its disk; it is notified of a committed membership, perhaps an old one.
+    /// A machine loses its disk and is notified of a committed membership, which may be outdated.
     Wipe { machine: usize, membership: usize },
     /// Time passes.
     Elapse,
-    /// An acceptor that lost its disk learns of a newer membership.
+    /// An acceptor that lost its disk learns a newer membership.
     LearnMembership { machine: usize, membership: usize },
     /// An acceptor that lost its disk reads the registers of another.
     Read { machine: usize, from: usize },
-    /// The next membership, or the changed one as stable, is committed, on these disks if it matters.
+    /// The next joint membership, or the stable form of the current one, is committed. The quorum is empty if it makes
+    /// no difference which machines store the entry.
     CommitMembership { proposer: usize, quorum: MachineSet },
-    /// A machine is notified of the changed membership and says which keys it holds.
+    /// A machine is notified of the joint membership and reports which keys it holds.
     Announce { proposer: usize, machine: usize },
 }
 
-/// One way on from a state of the model.
+/// An action in a state of the model, with its outcome.
 pub type Successor = Step<Model>;
--- a/consensus/src/testing/model/changing_membership.rs
+++ b/consensus/src/testing/model/changing_membership.rs
@@ -1,8 +1,9 @@
-//! Changes of the members, as the controller that coordinates them makes them.
+//! Membership changes, as made by the controller that coordinates them.
 //!
-//! The key of the membership is a register like any other, and what the exploration shows of the key that it follows
-//! holds for it as well. So its rounds are not played again: a change of the membership is committed in one step, by
-//! any quorum that answers. What comes of it is explored in full: who knows of the change, and the keys.
+//! The membership is stored in a register like any other, so what the exploration shows for the key [`super::KEY`]
+//! holds for it too. Its rounds are therefore not modelled: a membership change is committed in a single step, by any
+//! quorum that can vote. Its effects are explored completely: which machines know the change, and which keys are
+//! committed again.
 
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Position,
@@ -22,33 +23,33 @@
 use crate::{encode_membership, quorum, MEMBERSHIP_KEY};
 
 impl Model {
-    /// Adds what the coordinators may do next.
-    pub fn change_membership(&self, state: &State, list: &mut Vec<Successor>) {
-        for at in 0..state.proposers.len() {
-            if !state.proposers[at].coordinates {
+    /// Adds the next actions of the coordinators.
+    pub fn change_membership(&self, state: &State, successors: &mut Vec<Successor>) {
+        for index in 0..state.proposers.len() {
+            if !state.proposers[index].is_coordinator {
                 continue;
             }
-            self.inform(state, at, list);
-            match self.transition(state, at) {
-                None => self.begin_change(state, at, list),
-                Some(transition) => self.advance_transition(state, at, transition, list),
+            self.inform(state, index, successors);
+            match self.transition(state, index) {
+                None => self.begin_change(state, index, successors),
+                Some(transition) => self.advance_transition(state, index, transition, successors),
             }
         }
     }
 
-    /// A coordinator learns of the newest membership. (Other proposers do when they begin a proposal.)
-    fn inform(&self, state: &State, proposer: usize, list: &mut Vec<Successor>) {
+    /// A coordinator learns the newest membership. Other proposers learn it when they begin a proposal.
+    fn inform(&self, state: &State, proposer: usize, successors: &mut Vec<Successor>) {
         let newest = state.memberships.len() - 1;
         if state.proposers[proposer].membership < newest {
             let mut next = state.clone();
             next.proposers[proposer].edit(|proposer| proposer.learn_membership(newest));
-            list.push(Successor { action: Action::Inform { proposer }, outcome: Ok(next) });
+            successors.push(Successor { action: Action::Inform { proposer }, outcome: Ok(next) });
         }
     }
 
-    /// The transition that this proposer is at, if its membership is changing.
-    pub fn transition(&self, state: &State, at: usize) -> Option<MembershipTransition> {
-        let proposer = &state.proposers[at];
+    /// Returns the current transition of this proposer, if the membership that it knows is joint.
+    pub fn transition(&self, state: &State, index: usize) -> Option<MembershipTransition> {
+        let proposer = &state.proposers[index];
         let membership = &state.memberships[proposer.membership];
         if membership.stable {
             return None;
@@ -62,7 +63,7 @@
         Some(transition)
     }
 
-    /// The next membership as the coordinator decides it.
+    /// Returns the next membership as decided by the coordinator.
     fn planned_membership(&self, membership: &CoreMembership) -> Option<CoreMembership> {
         let change = self.scenario.membership_change.as_ref()?;
         let leaving = change.leaving.map(|machine| self.addresses[machine].clone());
@@ -71,86 +72,88 @@
             live: true,
             shutting_down: leaving.as_deref() == Some(address),
         };
-        let waits = |machine: &usize| !quorum::is_member(membership, &self.addresses[*machine]);
-        let waiting = change.candidates.iter().copied().filter(waits);
-        let candidates = waiting.map(machines::member).collect();
+        let is_not_member = |machine: &usize| !quorum::is_member(membership, &self.addresses[*machine]);
+        let non_members = change.candidates.iter().copied().filter(is_not_member);
+        let candidates = non_members.map(machines::member).collect();
         let next = next_membership(membership, &ClusterView { health: &health, candidates, joint_quorums: true })?;
-        match self.has(Defect::NoJointQuorums) {
+        match self.has_defect(Defect::NoJointQuorums) {
             true => Some(stabilized(&next)),
             false => Some(next),
         }
     }
 
-    fn begin_change(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
-        let Some(next) = self.planned_membership(&state.memberships[state.proposers[at].membership]) else { return };
-        self.commit_membership(state, at, &next, list);
+    fn begin_change(&self, state: &State, index: usize, successors: &mut Vec<Successor>) {
+        let Some(next) = self.planned_membership(&state.memberships[state.proposers[index].membership]) else { return };
+        self.commit_membership(state, index, &next, successors);
     }
 
     fn advance_transition(
         &self,
         state: &State,
-        at: usize,
+        index: usize,
         transition: MembershipTransition,
-        list: &mut Vec<Successor>,
+        successors: &mut Vec<Successor>,
     ) {
         if !transition.is_known() {
-            return self.announce(state, at, list);
+            return self.announce(state, index, successors);
         }
-        if transition.is_done() || self.has(Defect::StabilizedWithoutRecommit) {
-            self.commit_membership(state, at, &stabilized(transition.membership()), list);
+        if transition.is_done() || self.has_defect(Defect::StabilizedWithoutRecommit) {
+            self.commit_membership(state, index, &stabilized(transition.membership()), successors);
         }
     }
 
-    /// The next membership is committed under the one that the coordinator knows, by any quorum that answers.
-    fn commit_membership(&self, state: &State, at: usize, next: &CoreMembership, list: &mut Vec<Successor>) {
-        let known = state.proposers[at].membership;
+    /// Commits the next membership under the one that the coordinator knows, by any quorum that can vote.
+    fn commit_membership(&self, state: &State, index: usize, next: &CoreMembership, successors: &mut Vec<Successor>) {
+        let known = state.proposers[index].membership;
         if known + 1 < state.memberships.len() {
-            // What it would change is not what it finds committed.
+            // The coordinator knows an outdated membership, so its change would be rejected.
             return;
         }
         let membership = &state.memberships[known];
         let facts = self.membership_facts(membership);
-        let answers = |quorum: &&MachineSet| quorum.iter().all(|machine| self.answers(state, machine, membership));
-        let quorums = facts.quorums.iter().filter(answers).copied();
-        // Who holds the entry matters only where one may have to read it from the others.
-        let choices: Vec<MachineSet> = match state.wipes_left > 0 || state.non_voting() > 0 {
+        let can_vote =
+            |quorum: &&MachineSet| quorum.iter().all(|machine| self.can_vote_under(state, machine, membership));
+        let quorums = facts.quorums.iter().filter(can_vote).copied();
+        // Which machines store the entry matters only if a recovering acceptor may have to read it from them.
+        let stored_on: Vec<MachineSet> = match state.wipes_left > 0 || state.non_voting() > 0 {
             true => quorums.collect(),
             false => quorums.take(1).map(|_| MachineSet::default()).collect(),
         };
-        for quorum in choices {
+        for quorum in stored_on {
             let mut state = state.clone();
             state.write_membership(quorum, next);
             let newest = state.memberships.len() - 1;
-            state.proposers[at].edit(|proposer| proposer.learn_membership(newest));
-            list.push(Successor { action: Action::CommitMembership { proposer: at, quorum }, outcome: Ok(state) });
+            state.proposers[index].edit(|proposer| proposer.learn_membership(newest));
+            successors
+                .push(Successor { action: Action::CommitMembership { proposer: index, quorum }, outcome: Ok(state) });
         }
     }
 
-    /// Announces the changed membership to machines.
-    fn announce(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
-        let membership = &state.memberships[state.proposers[at].membership];
+    /// Notifies the old and new members of the joint membership.
+    fn announce(&self, state: &State, index: usize, successors: &mut Vec<Successor>) {
+        let membership = &state.memberships[state.proposers[index].membership];
         let recipients = quorum::old_and_new_members(membership);
         let request =
             Shared::new(ConsensusRequest { membership: membership.clone(), operation: ConsensusOperation::Positions });
         for machine in (0..self.addresses.len()).filter(|machine| recipients.contains(&self.addresses[*machine])) {
-            let outcome = self.notify_change(state, at, machine, &request);
-            list.push(Successor { action: Action::Announce { proposer: at, machine }, outcome });
+            let outcome = self.notify_change(state, index, machine, &request);
+            successors.push(Successor { action: Action::Announce { proposer: index, machine }, outcome });
         }
     }
 
     fn notify_change(
         &self,
         state: &State,
-        at: usize,
+        index: usize,
         machine: usize,
         request: &Shared<ConsensusRequest>,
     ) -> Result<State, Violation> {
         let Answer { acceptor, response } = self.respond(machine, &state.replicas[machine].acceptor, request)?;
         let mut next = state.clone();
         next.put_acceptor(machine, acceptor);
-        if let ConsensusResponse::Positions { positions: list } = &*response {
-            let response = Shared::new(keys_only(list));
-            next.proposers[at].edit(|proposer| drop(proposer.transition.responses.insert(machine, response)));
+        if let ConsensusResponse::Positions { positions: reported } = &*response {
+            let response = Shared::new(keys_only(reported));
+            next.proposers[index].edit(|proposer| drop(proposer.transition.responses.insert(machine, response)));
         }
         Ok(next)
     }
@@ -170,10 +173,10 @@
     }
 }
 
-/// A transition cares for the keys and not for their positions, and always for the key of the membership: states that
-/// differ only in these are one.
-fn keys_only(list: &[KeyPosition]) -> ConsensusResponse {
-    let keys = list.iter().map(|held| &held.key).filter(|key| *key != MEMBERSHIP_KEY);
+/// Keeps only the keys of a response, since a transition ignores the positions and always includes the key of the
+/// membership. States that differ only in these are then equal.
+fn keys_only(reported: &[KeyPosition]) -> ConsensusResponse {
+    let keys = reported.iter().map(|position| &position.key).filter(|key| *key != MEMBERSHIP_KEY);
     let named = |key: &String| KeyPosition { key: key.clone(), position: Position::default() };
     ConsensusResponse::Positions { positions: keys.map(named).collect() }
 }
--- a/consensus/src/testing/model/check.rs
+++ b/consensus/src/testing/model/check.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state.
+//! The invariants that are checked in every state.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,14 +13,14 @@
 use super::{Model, KEY};
 use crate::quorum;
 
-/// What is needed again and again of a membership.
+/// Properties of a membership that are computed once.
 pub struct MembershipFacts {
     pub members: MachineSet,
-    /// The quorums that are none without any one of their members.
+    /// The minimal quorums: without any of its machines such a set is no longer a quorum.
     pub quorums: Vec<MachineSet>,
 }
 
-/// The facts of each membership, which its version and whether it is stable tell apart.
+/// The facts of each membership, by its version and whether it is stable.
 pub type MembershipCache = RefCell<HashMap<(u64, bool), Rc<MembershipFacts>>>;
 
 impl Model {
@@ -32,22 +32,24 @@
         }
         let is_member = |machine: &usize| quorum::is_member(membership, &self.addresses[*machine]);
         let members = (0..self.addresses.len()).filter(is_member).collect();
-        let facts = Rc::new(MembershipFacts { members, quorums: self.smallest_quorums(membership, members) });
+        let facts = Rc::new(MembershipFacts { members, quorums: self.minimal_quorums(membership, members) });
         self.memberships.borrow_mut().insert(key, facts.clone());
         facts
     }
 
-    fn smallest_quorums(&self, membership: &CoreMembership, members: MachineSet) -> Vec<MachineSet> {
+    fn minimal_quorums(&self, membership: &CoreMembership, members: MachineSet) -> Vec<MachineSet> {
         let is_quorum = |set: MachineSet| {
             let addresses: Vec<String> = set.iter().map(|machine| self.addresses[machine].clone()).collect();
             quorum::is_quorum(membership, &addresses)
         };
-        let smallest = |set: &MachineSet| is_quorum(*set) && !set.iter().any(|machine| is_quorum(set.without(machine)));
+        let is_minimal =
+            |set: &MachineSet| is_quorum(*set) && !set.iter().any(|machine| is_quorum(set.without(machine)));
         let sets = MachineSet::subsets(self.addresses.len()).filter(|set| members.includes(*set));
-        sets.filter(smallest).collect()
+        sets.filter(is_minimal).collect()
     }
 
-    /// One value per position: no two bodies were accepted, or are proposed, under one proposal number and index.
+    /// Checks that each position has a single value: no two different bodies were accepted, or are proposed, under one
+    /// proposal number and index.
     pub fn check_positions(&self, state: &State) -> Result<(), Violation> {
         let mut seen: Vec<&Entry> = Vec::new();
         for entry in entries(state) {
@@ -63,15 +65,15 @@
         Ok(())
     }
 
-    /// No two proposers act under one proposal number.
+    /// Checks that no two proposers use the same proposal number.
     pub fn check_owners(&self, state: &State) -> Result<(), Violation> {
         let mut seen: Vec<ProposalNumber> = Vec::new();
         for proposer in &state.proposers {
-            let own = match (&proposer.task, &proposer.ownership) {
+            let active_number = match (&proposer.task, &proposer.ownership) {
                 (Some(task), _) => proposal_number(&task.request.operation),
                 (None, ownership) => ownership.as_ref().map(|owner| owner.entry.proposal_number),
             };
-            let Some(proposal_number) = own else { continue };
+            let Some(proposal_number) = active_number else { continue };
             if seen.contains(&proposal_number) {
                 return Err(Violation::ConflictingOwners { proposal_number });
             }
@@ -80,12 +82,12 @@
         Ok(())
     }
 
-    /// Nothing acknowledged is lost: whichever quorum of whichever membership is read now, under a new proposal
-    /// number, the read returns it or something built on it.
+    /// Checks that no acknowledged change is lost: a read under a new proposal number, by any quorum of any membership,
+    /// returns the acknowledged body or one that extends it.
     pub fn check_quorum_reads(&self, state: &State) -> Result<(), Violation> {
         for membership in state.memberships.iter() {
             for quorum in self.membership_facts(membership).quorums.iter() {
-                if quorum.iter().all(|machine| self.answers(state, machine, membership)) {
+                if quorum.iter().all(|machine| self.can_vote_under(state, machine, membership)) {
                     check_read(state, *quorum)?;
                 }
             }
@@ -93,8 +95,8 @@
         Ok(())
     }
 
-    /// Would this acceptor take part in a round of this membership?
-    pub fn answers(&self, state: &State, machine: usize, membership: &CoreMembership) -> bool {
+    /// Returns whether this acceptor takes part in rounds under this membership.
+    pub fn can_vote_under(&self, state: &State, machine: usize, membership: &CoreMembership) -> bool {
         let acceptor = &state.replicas[machine].acceptor;
         acceptor.may_vote && acceptor.membership.version <= membership.version
     }
@@ -110,11 +112,11 @@
     }
 }
 
-/// All entries of the key that exist: on disks, in requests under way and late, in votes, with owners.
+/// Returns all entries of the key: on disks, in current and late requests, and in responses.
 fn entries(state: &State) -> impl Iterator<Item = &Entry> {
     let stored = state.replicas.iter().filter_map(|replica| replica.acceptor.registers.get(KEY)?.entry.as_ref());
     let tasks = || state.proposers.iter().filter_map(|proposer| proposer.task.as_ref());
-    let requests = tasks().map(|task| &task.request).chain(state.late.iter());
+    let requests = tasks().map(|task| &task.request).chain(state.late_requests.iter());
     let proposed = requests.filter_map(|request| match &request.operation {
         ConsensusOperation::Accept { entry, .. } => Some(entry),
         _ => None,
--- a/consensus/src/testing/model/explore.rs
+++ b/consensus/src/testing/model/explore.rs
@@ -1,17 +1,17 @@
-//! Breadth-first search over the states of a system. Each state is visited once; a violation comes with the
+//! Breadth-first search over the states of a system. Each state is visited once; a violation is returned with the
 //! shortest sequence of actions that leads to it.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::{fmt, mem};
 
-/// One way on from a state: an action, and the next state or the violation that the action is.
+/// An action in a state, and the next state or the violation that results.
 pub struct Step<S: System + ?Sized> {
     pub action: S::Action,
     pub outcome: Result<S::State, S::Violation>,
 }
 
-/// What is explored.
+/// A system whose states can be explored.
 pub trait System {
     type State: Clone + Hash;
     type Action: Clone + fmt::Debug;
@@ -21,7 +21,7 @@
 
     fn successors(&self, state: &Self::State) -> Vec<Step<Self>>;
 
-    /// What must hold in every state.
+    /// Checks the invariants of a state.
     fn check(&self, state: &Self::State) -> Result<(), Self::Violation>;
 }
 
@@ -33,19 +33,19 @@
 
 /// The result of an exploration.
 pub struct Report<S: System> {
-    /// Distinct states that were checked.
+    /// The number of distinct states that were checked.
     pub states: usize,
-    /// Actions that were tried.
+    /// The number of actions that were tried.
     pub transitions: usize,
-    /// Actions from the initial state to the deepest state checked.
+    /// The number of actions from the initial state to the deepest state that was checked.
     pub depth: usize,
-    /// Every reachable state was checked, rather than only the first ones up to the bound.
+    /// Whether every reachable state was checked, rather than only the first ones up to the bound.
     pub complete: bool,
     pub counterexample: Option<Counterexample<S>>,
 }
 
-/// States are told apart by 64 bits of hash: at 100 million states the chance that any two coincide, and
-/// one of them goes unseen, is one in 3,700.
+/// A 64-bit hash that identifies a state. At 100 million states the probability that any two collide, so that one of
+/// them is not visited, is 1 in 3,700.
 type Fingerprint = u64;
 
 /// Returns the fingerprint of a value.
@@ -57,13 +57,13 @@
 
 struct Search<'a, S: System> {
     system: &'a S,
-    /// Each state seen, and the one that it was first reached from.
+    /// Each visited state, with the state from which it was first reached.
     parents: HashMap<Fingerprint, Fingerprint>,
     frontier: Vec<S::State>,
     transitions: usize,
 }
 
-/// Checks every state that is reached before more than `bound` states are known.
+/// Explores a system breadth-first until every state was checked, a violation was found, or `bound` states are known.
 pub fn explore<S: System>(system: &S, bound: usize) -> Report<S> {
     let initial = system.initial();
     let first = fingerprint(&initial);
@@ -84,7 +84,7 @@
 }
 
 impl<S: System> Search<'_, S> {
-    /// Goes one action further from every state of the frontier, which becomes the next one.
+    /// Expands every state of the frontier by one action and replaces the frontier by the new states.
     fn expand_level(&mut self, bound: usize) -> Option<Counterexample<S>> {
         let mut next = Vec::new();
         let mut level = mem::take(&mut self.frontier).into_iter();
@@ -94,7 +94,8 @@
                 return Some(counterexample);
             }
         }
-        // What the bound left out keeps the exploration from being called complete.
+        // States that were not expanded because of the bound stay in the frontier, so that the exploration counts as
+        // incomplete.
         next.extend(level);
         self.frontier = next;
         None
@@ -127,21 +128,23 @@
         Counterexample { violation, trace }
     }
 
-    /// The actions that lead to a state. Only fingerprints were kept, so they are found by going the way again.
+    /// Returns the actions that lead to a state. Only fingerprints were kept, so the actions are found by replaying the
+    /// path from the initial state.
     fn trace(&self, to: Fingerprint) -> Vec<S::Action> {
         let mut path = vec![to];
-        while let Some(parent) = self.parents.get(path.last().expect("a path")).filter(|parent| !path.contains(parent))
+        while let Some(parent) =
+            self.parents.get(path.last().expect("the path is not empty")).filter(|parent| !path.contains(parent))
         {
             path.push(*parent);
         }
         let mut state = self.system.initial();
         let mut trace = Vec::new();
-        for wanted in path.iter().rev().skip(1) {
+        for target in path.iter().rev().skip(1) {
             let steps = self.system.successors(&state);
-            let reached = |step: &Step<S>| step.outcome.as_ref().is_ok_and(|next| fingerprint(next) == *wanted);
-            let step = steps.into_iter().find(reached).expect("the path was gone before");
+            let reached = |step: &Step<S>| step.outcome.as_ref().is_ok_and(|next| fingerprint(next) == *target);
+            let step = steps.into_iter().find(reached).expect("the path was taken before");
             trace.push(step.action);
-            state = step.outcome.expect("a state");
+            state = step.outcome.expect("the step leads to a state");
         }
         trace
     }
--- a/consensus/src/testing/model/explore_tests.rs
+++ b/consensus/src/testing/model/explore_tests.rs
@@ -1,7 +1,7 @@
-//! The search itself, on systems small enough to count by hand.
+//! Tests of the search, on a system small enough to count its states by hand.
 use super::{explore, Step, System};
 
-/// Two counters that each go from 0 to a limit, in any order.
+/// Two counters that each count from 0 to a limit, in any order.
 struct Counters {
     limit: u8,
     forbidden: Option<(u8, u8)>,
@@ -17,14 +17,14 @@
     }
 
     fn successors(&self, (left, right): &(u8, u8)) -> Vec<Step<Self>> {
-        let mut list = Vec::new();
+        let mut successors = Vec::new();
         if *left < self.limit {
-            list.push(Step { action: "left", outcome: Ok((left + 1, *right)) });
+            successors.push(Step { action: "left", outcome: Ok((left + 1, *right)) });
         }
         if *right < self.limit {
-            list.push(Step { action: "right", outcome: Ok((*left, right + 1)) });
+            successors.push(Step { action: "right", outcome: Ok((*left, right + 1)) });
         }
-        list
+        successors
     }
 
     fn check(&self, state: &(u8, u8)) -> Result<(), (u8, u8)> {
@@ -36,29 +36,29 @@
 }
 
 #[test]
-fn every_state_is_visited_once() {
+fn explore_visits_every_state_once() {
     let report = explore(&Counters { limit: 9, forbidden: None }, usize::MAX);
     assert_eq!((report.states, report.transitions, report.depth, report.complete), (100, 180, 18, true));
     assert!(report.counterexample.is_none());
 }
 
 #[test]
-fn a_violation_comes_with_the_shortest_way_to_it() {
+fn explore_returns_the_shortest_trace_to_a_violation() {
     let report = explore(&Counters { limit: 9, forbidden: Some((2, 1)) }, usize::MAX);
-    let found = report.counterexample.expect("a violation");
+    let found = report.counterexample.expect("a counterexample");
     assert_eq!((found.violation, found.trace.len()), ((2, 1), 3));
     assert_eq!(found.trace.iter().filter(|action| **action == "left").count(), 2);
     assert!(!report.complete);
 }
 
 #[test]
-fn a_violation_in_the_initial_state_is_found() {
+fn explore_finds_a_violation_in_the_initial_state() {
     let report = explore(&Counters { limit: 9, forbidden: Some((0, 0)) }, usize::MAX);
-    assert!(report.counterexample.expect("a violation").trace.is_empty());
+    assert!(report.counterexample.expect("a counterexample").trace.is_empty());
 }
 
 #[test]
-fn an_exploration_cut_off_by_its_bound_is_not_called_complete() {
+fn explore_reports_an_exploration_cut_off_by_its_bound_as_incomplete() {
     let report = explore(&Counters { limit: 9, forbidden: None }, 50);
     assert!(!report.complete);
     assert!((50..60).contains(&report.states), "{}", report.states);
--- a/consensus/src/testing/model/machines.rs
+++ b/consensus/src/testing/model/machines.rs
@@ -1,4 +1,4 @@
-//! Machines by number, and small sets of them.
+//! Machines, identified by number, and small sets of them.
 
 use protocol::message::Member;
 
@@ -17,10 +17,10 @@
 pub struct MachineSet(u8);
 
 impl MachineSet {
-    /// The largest number of machines.
+    /// The maximum number of machines in a set.
     pub const COUNT: usize = 8;
 
-    /// All sets of the first `count` machines, smaller numbers first.
+    /// Returns all subsets of the first `count` machines, in ascending order of their bits.
     pub fn subsets(count: usize) -> impl Iterator<Item = MachineSet> {
         (0..1u16 << count).map(|bits| MachineSet(bits as u8))
     }
--- a/consensus/src/testing/model/mod.rs
+++ b/consensus/src/testing/model/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! The explorer visits every state that a small cluster can reach: each request reaches each acceptor at any time, in
 //! any order, more than once or never; responses are counted late or never; proposers and acceptors restart, disks
-//! are lost and members change. What responds, counts responses and decides is the production code: `Acceptor`,
-//! `Proposal` with `Round`, `quorum` and `reconfiguration`. Only what carries them (network, disk, clock, clients)
-//! is modelled here. `docs/consensus.md` says what is checked, what was left out and why that loses nothing.
+//! are lost and members change. The protocol logic is the production code: `Acceptor`, `Proposal` with `Round`,
+//! `quorum` and `reconfiguration`. Only its environment (network, disk, clock, clients) is modelled here.
+//! `docs/consensus.md` describes what is checked, what is left out and why that hides no violation.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -33,14 +33,14 @@
 /// The key whose history is checked.
 const KEY: &str = "k";
 
-/// A scenario together with what is computed once for all its states.
+/// A scenario, with caches of what is computed once for all its states.
 pub struct Model {
     scenario: Scenario,
     addresses: Vec<String>,
     memberships: check::MembershipCache,
     answers: voting::AnswerCache,
-    /// Contents of disks from which progress was shown.
-    progressed: RefCell<HashSet<u64>>,
+    /// Hashes of the disk contents for which progress was checked.
+    checked_progress: RefCell<HashSet<u64>>,
 }
 
 impl Model {
@@ -52,11 +52,11 @@
             addresses,
             memberships: Default::default(),
             answers: Default::default(),
-            progressed: Default::default(),
+            checked_progress: Default::default(),
         }
     }
 
-    fn has(&self, defect: scenario::Defect) -> bool {
+    fn has_defect(&self, defect: scenario::Defect) -> bool {
         self.scenario.defect == Some(defect)
     }
 }
@@ -73,17 +73,17 @@
     }
 
     fn successors(&self, state: &State) -> Vec<Successor> {
-        let mut list = Vec::new();
-        self.propose(state, &mut list);
-        self.deliver_requests(state, &mut list);
-        self.recover(state, &mut list);
-        self.change_membership(state, &mut list);
-        for successor in &mut list {
+        let mut successors = Vec::new();
+        self.propose(state, &mut successors);
+        self.deliver_requests(state, &mut successors);
+        self.recover(state, &mut successors);
+        self.change_membership(state, &mut successors);
+        for successor in &mut successors {
             if let Ok(next) = &mut successor.outcome {
                 self.normalize(next);
             }
         }
-        list
+        successors
     }
 
     fn check(&self, state: &State) -> Result<(), Violation> {
--- a/consensus/src/testing/model/progress.rs
+++ b/consensus/src/testing/model/progress.rs
@@ -1,4 +1,4 @@
-//! Progress: from every state, with a majority in touch and no further faults, everything terminates.
+//! The progress check: from every state, with a majority reachable and no further faults, everything terminates.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -17,7 +17,7 @@
 use crate::{quorum, MEMBERSHIP_KEY, RECOVERY_DELAY_MS, ROUND_TIMEOUT_MS};
 
 impl Model {
-    /// Runs a proposal to its end with these machines answering each request at once.
+    /// Runs a proposal to its end, with these machines responding to each request at once.
     pub fn run(
         &self,
         state: &mut State,
@@ -48,47 +48,48 @@
                         requested = next;
                         continue 'request;
                     }
-                    over => return Ok(over),
+                    outcome => return Ok(outcome),
                 }
             }
             return Ok(Progress::Wait);
         }
     }
 
-    /// Goes on from this state without further faults. What is on the disks decides the outcome, so states
-    /// with the same disks are looked at once.
+    /// Checks that everything terminates from this state without further faults. The outcome depends only on the disks,
+    /// so states with the same disk contents are checked once.
     pub fn check_progress(&self, state: &State) -> Result<(), Violation> {
         let mut hasher = DefaultHasher::new();
         (&state.replicas, &state.memberships, &state.acknowledged).hash(&mut hasher);
-        if !self.progressed.borrow_mut().insert(hasher.finish()) {
+        if !self.checked_progress.borrow_mut().insert(hasher.finish()) {
             return Ok(());
         }
         let newest = state.newest_membership().clone();
         self.check_reads(state, &newest)?;
-        let mut later = state.clone();
-        self.end_losses(&mut later, &newest)?;
+        let mut recovered = state.clone();
+        self.recover_all(&mut recovered, &newest)?;
         if newest.stable {
-            return self.check_reads(&later, &newest);
+            return self.check_reads(&recovered, &newest);
         }
-        let everyone = MachineSet::subsets(self.addresses.len()).last().expect("machines");
-        self.check_transition(later.clone(), &newest, everyone)?;
-        // One at a time may be out of touch, as long as quorums before and after the change are left.
-        let stabilizes = |in_touch: &MachineSet| self.may_stabilize(&newest, *in_touch);
-        let mut all_but_one = (0..self.addresses.len()).map(|machine| everyone.without(machine)).filter(stabilizes);
-        all_but_one.try_for_each(|in_touch| self.check_transition(later.clone(), &newest, in_touch))
+        let all_machines = MachineSet::subsets(self.addresses.len()).last().expect("there is at least the empty set");
+        self.check_transition(recovered.clone(), &newest, all_machines)?;
+        // Any single machine may be unreachable, as long as quorums before and after the change remain.
+        let is_sufficient = |reachable: &MachineSet| self.can_stabilize(&newest, *reachable);
+        let mut all_but_one =
+            (0..self.addresses.len()).map(|machine| all_machines.without(machine)).filter(is_sufficient);
+        all_but_one.try_for_each(|reachable| self.check_transition(recovered.clone(), &newest, reachable))
     }
 
-    /// Are these machines a quorum of the changed membership, and a majority of the members before it?
-    fn may_stabilize(&self, membership: &CoreMembership, in_touch: MachineSet) -> bool {
-        let addresses: Vec<String> = in_touch.iter().map(|machine| self.addresses[machine].clone()).collect();
-        let has_quorum = self.membership_facts(membership).quorums.iter().any(|quorum| in_touch.includes(*quorum));
+    /// Returns whether these machines include a quorum of the joint membership and a majority of the previous members.
+    fn can_stabilize(&self, membership: &CoreMembership, reachable: MachineSet) -> bool {
+        let addresses: Vec<String> = reachable.iter().map(|machine| self.addresses[machine].clone()).collect();
+        let has_quorum = self.membership_facts(membership).quorums.iter().any(|quorum| reachable.includes(*quorum));
         has_quorum && quorum::has_majority(&membership.previous_members, &addresses)
     }
 
-    /// A read by any quorum that may vote finishes, and returns all that was acknowledged.
+    /// Checks that a read by any quorum that can vote finishes and returns everything that was acknowledged.
     fn check_reads(&self, state: &State, membership: &CoreMembership) -> Result<(), Violation> {
         for quorum in self.membership_facts(membership).quorums.iter() {
-            if quorum.iter().all(|machine| self.answers(state, machine, membership)) {
+            if quorum.iter().all(|machine| self.can_vote_under(state, machine, membership)) {
                 self.check_read_by(state.clone(), membership, *quorum)?;
             }
         }
@@ -107,15 +108,15 @@
             Progress::Finished { answer, .. } => {
                 Err(Violation::Lost { acknowledged: acknowledged.to_vec(), found: answer })
             }
-            _ => Err(Violation::Stuck("a quorum in touch did not finish a read")),
+            _ => Err(Violation::NoProgress("a reachable quorum did not finish a read")),
         }
     }
 
-    /// All acceptors that lost their disks read the others and vote again.
-    fn end_losses(&self, state: &mut State, membership: &CoreMembership) -> Result<(), Violation> {
+    /// Lets all acceptors that lost their disks read the others, and checks that they vote again.
+    fn recover_all(&self, state: &mut State, membership: &CoreMembership) -> Result<(), Violation> {
         state.now += ROUND_TIMEOUT_MS + RECOVERY_DELAY_MS;
         let non_voting: Vec<usize> =
-            (0..state.replicas.len()).filter(|at| !state.replicas[*at].acceptor.may_vote).collect();
+            (0..state.replicas.len()).filter(|index| !state.replicas[*index].acceptor.may_vote).collect();
         for machine in non_voting {
             state.notify(machine, membership);
             for from in self.recovery_peers(machine, &state.replicas[machine].acceptor) {
@@ -127,30 +128,31 @@
                 }
             }
             if !state.replicas[machine].acceptor.may_vote {
-                return Err(Violation::Stuck("an acceptor that lost its disk does not vote again"));
+                return Err(Violation::NoProgress("an acceptor that lost its disk does not vote again"));
             }
         }
         Ok(())
     }
 
-    /// A joint membership becomes stable while these machines are in touch, and reads finish after it.
+    /// Checks that a joint membership becomes stable while these machines are reachable, and that reads finish after
+    /// it.
     fn check_transition(
         &self,
         mut state: State,
         membership: &CoreMembership,
-        in_touch: MachineSet,
+        reachable: MachineSet,
     ) -> Result<(), Violation> {
         let mut transition = MembershipTransition::new(membership);
         let recipients = quorum::old_and_new_members(membership);
         let request =
             Shared::new(ConsensusRequest { membership: membership.clone(), operation: ConsensusOperation::Positions });
-        for machine in in_touch.iter().filter(|machine| recipients.contains(&self.addresses[*machine])) {
+        for machine in reachable.iter().filter(|machine| recipients.contains(&self.addresses[*machine])) {
             let Answer { acceptor, response } = self.respond(machine, &state.replicas[machine].acceptor, &request)?;
             state.put_acceptor(machine, acceptor);
             transition.record_response(&self.addresses[machine], &response);
         }
         let members: MachineSet =
-            self.membership_facts(membership).members.iter().filter(|machine| in_touch.contains(*machine)).collect();
+            self.membership_facts(membership).members.iter().filter(|machine| reachable.contains(*machine)).collect();
         for key in transition.remaining_keys() {
             let read = self.run(&mut state, membership, members, Operation::Read)?;
             let is_recommitted = key == MEMBERSHIP_KEY || matches!(read, Progress::Finished { .. });
@@ -159,7 +161,7 @@
             }
         }
         if !transition.is_done() {
-            return Err(Violation::Stuck("a membership transition does not complete"));
+            return Err(Violation::NoProgress("a membership transition does not complete"));
         }
         let stable = stabilized(membership);
         state.memberships = Shared::new(vec![stable.clone()]);
--- a/consensus/src/testing/model/proposing.rs
+++ b/consensus/src/testing/model/proposing.rs
@@ -1,4 +1,4 @@
-//! Proposers: beginning, counting responses, ending, restarting.
+//! Proposers: they begin proposals, count responses, finish and restart.
 use super::action::{Action, Successor};
 use super::machines::MachineSet;
 use super::scenario::{Defect, Operation};
@@ -10,14 +10,14 @@
 use crate::round::{next_term, Ownership};
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, ProposalNumber};
 
-/// More incarnations than any proposer has.
+/// An upper bound on the incarnations of a proposer.
 const INCARNATIONS: u64 = 16;
 
 fn replica_id(proposer: usize, incarnation: u64) -> u64 {
     proposer as u64 * INCARNATIONS + incarnation
 }
 
-/// The proposal number that a request is sent under.
+/// Returns the proposal number of a request, if it has one.
 pub fn proposal_number(requested: &ConsensusOperation) -> Option<ProposalNumber> {
     match requested {
         ConsensusOperation::Prepare { proposal_number, .. } => Some(*proposal_number),
@@ -27,40 +27,41 @@
 }
 
 impl Model {
-    /// Adds what the proposers may do next.
-    pub fn propose(&self, state: &State, list: &mut Vec<Successor>) {
+    /// Adds the next actions of the proposers.
+    pub fn propose(&self, state: &State, successors: &mut Vec<Successor>) {
         for proposer in 0..state.proposers.len() {
-            self.begin(state, proposer, list);
-            self.count(state, proposer, list);
-            self.restart(state, proposer, list);
+            self.begin(state, proposer, successors);
+            self.count(state, proposer, successors);
+            self.restart(state, proposer, successors);
         }
     }
 
-    /// What this proposer has to do next.
-    fn purpose(&self, state: &State, at: usize) -> Option<Purpose> {
-        let proposer = &state.proposers[at];
-        if proposer.coordinates {
-            let left = self
-                .transition(state, at)
+    /// Returns the purpose of the proposer's next proposal, if it has anything left to do.
+    fn purpose(&self, state: &State, index: usize) -> Option<Purpose> {
+        let proposer = &state.proposers[index];
+        if proposer.is_coordinator {
+            let needs_recommit = self
+                .transition(state, index)
                 .is_some_and(|transition| transition.remaining_keys().iter().any(|key| key == KEY));
-            return left.then_some(Purpose::Recommit);
+            return needs_recommit.then_some(Purpose::Recommit);
         }
-        self.scenario.proposers[at].operations.get(proposer.done).copied().map(Purpose::Operation)
+        self.scenario.proposers[index].operations.get(proposer.done).copied().map(Purpose::Operation)
     }
 
-    /// Begins the next proposal: under the next term or, if it learned of one by now, above the highest; with the
-    /// membership that it knows or, if it learned of one by now, a newer one.
-    fn begin(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
-        let proposer = &state.proposers[at];
-        let Some(purpose) = self.purpose(state, at) else { return };
+    /// Adds the start of the next proposal: under the proposer's next term or one above the highest term, in case the
+    /// proposer has learned it; and with the membership that it knows or any newer one, in case it has learned that.
+    fn begin(&self, state: &State, index: usize, successors: &mut Vec<Successor>) {
+        let proposer = &state.proposers[index];
+        let Some(purpose) = self.purpose(state, index) else { return };
         if proposer.attempts_left == 0 {
             return;
         }
-        let newest = if proposer.coordinates { proposer.membership } else { state.memberships.len() - 1 };
+        let newest = if proposer.is_coordinator { proposer.membership } else { state.memberships.len() - 1 };
         for membership in proposer.membership..=newest {
             for term in terms(state, proposer, &state.memberships[membership]) {
-                let action = Action::Begin { proposer: at, term, membership };
-                list.push(Successor { action, outcome: self.begin_under(state, at, purpose, term, membership) });
+                let action = Action::Begin { proposer: index, term, membership };
+                successors
+                    .push(Successor { action, outcome: self.begin_under(state, index, purpose, term, membership) });
             }
         }
     }
@@ -68,24 +69,24 @@
     fn begin_under(
         &self,
         state: &State,
-        at: usize,
+        index: usize,
         purpose: Purpose,
         term: u64,
         membership: usize,
     ) -> Result<State, Violation> {
-        let proposer = &state.proposers[at];
+        let proposer = &state.proposers[index];
         let ownership = proposer.ownership.clone().filter(|_| purpose != Purpose::Recommit);
         let mut next = state.clone();
-        next.end_task(at);
-        next.proposers[at].edit(|proposer| {
+        next.end_task(index);
+        next.proposers[index].edit(|proposer| {
             (proposer.attempts_left, proposer.term, proposer.ownership) = (proposer.attempts_left - 1, term, None);
             proposer.learn_membership(membership);
         });
         if let Some(owner) = ownership.clone().filter(|_| self.answers_from_memory(purpose)) {
-            return self.finish(next, at, purpose, &state.acknowledged, owner.entry.body.clone(), owner);
+            return self.finish(next, index, purpose, &state.acknowledged, owner.entry.body.clone(), owner);
         }
         let operation = purpose.operation();
-        let proposal_number = ProposalNumber { term, replica_id: replica_id(at, proposer.incarnation) };
+        let proposal_number = ProposalNumber { term, replica_id: replica_id(index, proposer.incarnation) };
         let mut decide = |body: &[u8]| operation.decide(body);
         let membership = &state.memberships[membership];
         let (proposal, requested) =
@@ -100,43 +101,43 @@
             responses: Default::default(),
             acknowledged_before: state.acknowledged.clone(),
         };
-        next.proposers[at].edit(|proposer| proposer.task = Some(task));
+        next.proposers[index].edit(|proposer| proposer.task = Some(task));
         Ok(next)
     }
 
     fn answers_from_memory(&self, purpose: Purpose) -> bool {
-        self.has(Defect::ReadFromMemory) && purpose == Purpose::Operation(Operation::Read)
+        self.has_defect(Defect::ReadFromMemory) && purpose == Purpose::Operation(Operation::Read)
     }
 
-    /// Counts the responses of a quorum, for each smallest one whose responses are there.
-    fn count(&self, state: &State, at: usize, list: &mut Vec<Successor>) {
-        let Some(task) = &state.proposers[at].task else { return };
+    /// Adds the counting of a quorum's responses, for each minimal quorum that has responded.
+    fn count(&self, state: &State, index: usize, successors: &mut Vec<Successor>) {
+        let Some(task) = &state.proposers[index].task else { return };
         let responded: MachineSet = task.responses.keys().copied().collect();
         let facts = self.membership_facts(&task.request.membership);
         for quorum in &facts.quorums {
-            let absent: Vec<usize> = quorum.iter().filter(|machine| !responded.contains(*machine)).collect();
+            let missing: Vec<usize> = quorum.iter().filter(|machine| !responded.contains(*machine)).collect();
             let mut responses: Vec<(usize, Shared<ConsensusResponse>)> =
                 quorum.iter().filter_map(|machine| Some((machine, task.responses.get(&machine)?.clone()))).collect();
-            match absent[..] {
+            match missing[..] {
                 [] => {}
-                [machine] if self.has(Defect::QuorumOneShort) => {
+                [machine] if self.has_defect(Defect::QuorumOneShort) => {
                     responses.push((machine, forged_response(&task.request.operation)))
                 }
                 _ => continue,
             }
-            let action = Action::Count { proposer: at, machines: *quorum };
-            list.push(Successor { action, outcome: self.count_responses(state.clone(), at, &responses) });
+            let action = Action::Count { proposer: index, machines: *quorum };
+            successors.push(Successor { action, outcome: self.count_responses(state.clone(), index, &responses) });
         }
     }
 
-    /// A proposer handles these responses, the last of which must complete its phase.
+    /// Lets a proposer handle these responses, the last of which must complete its phase.
     pub fn count_responses(
         &self,
         state: State,
-        at: usize,
+        index: usize,
         responses: &[(usize, Shared<ConsensusResponse>)],
     ) -> Result<State, Violation> {
-        let task = state.proposers[at].task.clone().expect("a task");
+        let task = state.proposers[index].task.clone().expect("the proposer has a task");
         let mut proposal = Proposal::clone(&task.proposal);
         let operation = task.purpose.operation();
         let mut decide = |body: &[u8]| operation.decide(body);
@@ -149,44 +150,45 @@
                 state.now,
             );
         }
-        self.advance(state, at, Task { proposal: Shared::new(proposal), ..task }, progress)
+        self.advance(state, index, Task { proposal: Shared::new(proposal), ..task }, progress)
     }
 
     fn advance(
         &self,
         mut state: State,
-        at: usize,
+        index: usize,
         task: Task,
         progress: Progress<Vec<u8>>,
     ) -> Result<State, Violation> {
-        state.end_task(at);
+        state.end_task(index);
         match progress {
-            Progress::Wait => return Err(Violation::Stuck("the responses of a quorum did not complete a phase")),
+            Progress::Wait => return Err(Violation::NoProgress("the responses of a quorum did not complete a phase")),
             Progress::Send(requested) => {
                 let request =
                     Shared::new(ConsensusRequest { membership: task.request.membership.clone(), operation: requested });
                 let task = Task { request, responses: Default::default(), ..task };
-                state.proposers[at].edit(|proposer| proposer.task = Some(task));
+                state.proposers[index].edit(|proposer| proposer.task = Some(task));
             }
             Progress::Finished { answer, ownership: owner, .. } => {
-                return self.finish(state, at, task.purpose, &task.acknowledged_before, answer, owner);
+                return self.finish(state, index, task.purpose, &task.acknowledged_before, answer, owner);
             }
             Progress::Superseded(proposal_number) => {
-                state.proposers[at].edit(|proposer| proposer.term = proposer.term.max(proposal_number.term));
+                state.proposers[index].edit(|proposer| proposer.term = proposer.term.max(proposal_number.term));
             }
             Progress::NewerMembership(membership) => {
                 let known = state.memberships.iter().position(|known| *known == membership).unwrap_or_default();
-                state.proposers[at].edit(|proposer| proposer.learn_membership(known));
+                state.proposers[index].edit(|proposer| proposer.learn_membership(known));
             }
         }
         Ok(state)
     }
 
-    /// The client is answered: with all that was acknowledged before it asked, and on a single history.
+    /// Answers the client. The answer must include everything that was acknowledged before the request, and must belong
+    /// to the single history.
     fn finish(
         &self,
         mut state: State,
-        at: usize,
+        index: usize,
         purpose: Purpose,
         before: &[u8],
         answer: Vec<u8>,
@@ -204,7 +206,7 @@
                 return Err(Violation::MissingChange { change, body: answer });
             }
         }
-        state.proposers[at].edit(|proposer| match purpose {
+        state.proposers[index].edit(|proposer| match purpose {
             Purpose::Operation(_) => (proposer.done, proposer.ownership) = (proposer.done + 1, Some(owner)),
             Purpose::Recommit => drop(proposer.transition.recommitted.insert(KEY.into())),
         });
@@ -215,7 +217,7 @@
     }
 }
 
-/// The terms that a proposer may begin under: it learned of the highest one by now, or not.
+/// Returns the terms under which a proposer may begin, depending on whether it has learned the highest one.
 fn terms(state: &State, proposer: &Proposer, membership: &CoreMembership) -> Vec<u64> {
     let next = next_term(proposer.term, membership);
     let above_all = next_term(proposer.term.max(state.highest_term()), membership);
@@ -225,7 +227,7 @@
     }
 }
 
-/// A response that nobody gave.
+/// A response that no acceptor sent.
 fn forged_response(requested: &ConsensusOperation) -> Shared<ConsensusResponse> {
     Shared::new(match requested {
         ConsensusOperation::Prepare { .. } => ConsensusResponse::Prepared { entry: None },
@@ -234,7 +236,7 @@
 }
 
 impl Proposer {
-    /// Learns of a newer membership, whose transition starts from the beginning.
+    /// Adopts a newer membership, whose transition starts from the beginning.
     pub fn learn_membership(&mut self, membership: usize) {
         if membership > self.membership {
             (self.membership, self.transition) = (membership, Default::default());
--- a/consensus/src/testing/model/recovering.rs
+++ b/consensus/src/testing/model/recovering.rs
@@ -1,4 +1,4 @@
-//! Disks that are lost, and acceptors that read the others before they vote again.
+//! Lost disks, and acceptors that read the others before they vote again.
 
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership};
 
@@ -11,35 +11,35 @@
 use crate::acceptor::{Acceptor, LogRecord};
 use crate::{quorum, RECOVERY_DELAY_MS, ROUND_TIMEOUT_MS};
 
-/// Time passes in steps so long that a round begun when a disk was lost is over when its acceptor reads the
-/// others, and one begun a step later is not.
+/// The time step of the model, in milliseconds. A round that began when a disk was lost is over when the acceptor reads
+/// the others; a round that began one step later is not.
 const STEP_MS: u64 = RECOVERY_DELAY_MS / 2;
 const _: () = assert!(STEP_MS < ROUND_TIMEOUT_MS && ROUND_TIMEOUT_MS <= 2 * STEP_MS);
 
 impl Model {
-    /// Adds losses of disks, and what acceptors in recovery may do next.
-    pub fn recover(&self, state: &State, list: &mut Vec<Successor>) {
-        self.elapse(state, list);
+    /// Adds losses of disks, and the next actions of acceptors in recovery.
+    pub fn recover(&self, state: &State, successors: &mut Vec<Successor>) {
+        self.elapse(state, successors);
         for machine in 0..state.replicas.len() {
-            self.wipe(state, machine, list);
+            self.wipe(state, machine, successors);
             if !state.replicas[machine].acceptor.may_vote {
-                self.learn(state, machine, list);
-                self.read(state, machine, list);
+                self.learn(state, machine, successors);
+                self.read(state, machine, successors);
             }
         }
     }
 
-    /// A disk is lost, as long as the membership tolerates it.
-    fn wipe(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
+    /// Adds the loss of a disk, if the membership tolerates it.
+    fn wipe(&self, state: &State, machine: usize, successors: &mut Vec<Successor>) {
         let tolerated = Scenario::tolerated_losses(state.newest_membership().members.len());
         let before = &state.replicas[machine].acceptor;
-        let forgets = !before.registers.is_empty() || before.membership != state.memberships[0];
-        if state.wipes_left == 0 || !before.may_vote || !forgets || state.non_voting() >= tolerated {
+        let loses_state = !before.registers.is_empty() || before.membership != state.memberships[0];
+        if state.wipes_left == 0 || !before.may_vote || !loses_state || state.non_voting() >= tolerated {
             return;
         }
         for membership in 0..state.memberships.len() {
             let mut acceptor = Acceptor { membership: state.memberships[membership].clone(), ..Acceptor::default() };
-            if self.has(Defect::WipedVotesAtOnce) {
+            if self.has_defect(Defect::WipedVotesAtOnce) {
                 (acceptor.membership, acceptor.may_vote) = (before.membership.clone(), true);
             }
             let wiped_at = (!acceptor.may_vote).then_some(state.now);
@@ -47,42 +47,43 @@
             let mut next = state.clone();
             next.wipes_left -= 1;
             next.replicas[machine].edit(|replica| *replica = wiped);
-            list.push(Successor { action: Action::Wipe { machine, membership }, outcome: Ok(next) });
+            successors.push(Successor { action: Action::Wipe { machine, membership }, outcome: Ok(next) });
         }
     }
 
     fn is_ready_to_read(&self, replica: &Replica, now: u64) -> bool {
-        let delay = if self.has(Defect::RecoveryWithoutDelay) { 0 } else { RECOVERY_DELAY_MS };
+        let delay = if self.has_defect(Defect::RecoveryWithoutDelay) { 0 } else { RECOVERY_DELAY_MS };
         replica.wiped_at.is_some_and(|wiped_at| now >= wiped_at + delay)
     }
 
-    /// Time matters only to acceptors that wait before they read the others.
-    fn elapse(&self, state: &State, list: &mut Vec<Successor>) {
-        let waits = |replica: &Replica| replica.wiped_at.is_some() && !self.is_ready_to_read(replica, state.now);
-        if !state.replicas.iter().any(|replica| waits(replica)) {
+    /// Adds the passing of time, which matters only to acceptors that wait before they read the others.
+    fn elapse(&self, state: &State, successors: &mut Vec<Successor>) {
+        let is_waiting = |replica: &Replica| replica.wiped_at.is_some() && !self.is_ready_to_read(replica, state.now);
+        if !state.replicas.iter().any(|replica| is_waiting(replica)) {
             return;
         }
         let mut next = state.clone();
         next.now += STEP_MS;
-        for at in 0..next.proposers.len() {
-            if next.proposers[at].task.as_ref().is_some_and(|task| task.proposal.is_expired(next.now)) {
-                next.end_task(at);
+        for index in 0..next.proposers.len() {
+            if next.proposers[index].task.as_ref().is_some_and(|task| task.proposal.is_expired(next.now)) {
+                next.end_task(index);
             }
         }
-        list.push(Successor { action: Action::Elapse, outcome: Ok(next) });
+        successors.push(Successor { action: Action::Elapse, outcome: Ok(next) });
     }
 
-    fn learn(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
+    fn learn(&self, state: &State, machine: usize, successors: &mut Vec<Successor>) {
         for (membership, committed) in state.memberships.iter().enumerate() {
             let mut next = state.clone();
             if next.notify(machine, committed) {
-                list.push(Successor { action: Action::LearnMembership { machine, membership }, outcome: Ok(next) });
+                successors
+                    .push(Successor { action: Action::LearnMembership { machine, membership }, outcome: Ok(next) });
             }
         }
     }
 
-    /// Reads one of the others, and votes again once enough were read.
-    fn read(&self, state: &State, machine: usize, list: &mut Vec<Successor>) {
+    /// Adds reads of other acceptors. The acceptor votes again once it has read enough of them.
+    fn read(&self, state: &State, machine: usize, successors: &mut Vec<Successor>) {
         let replica = &state.replicas[machine];
         if !self.is_ready_to_read(replica, state.now) {
             return;
@@ -91,20 +92,20 @@
             if !replica.reads.contains_key(&from) {
                 let action = Action::Read { machine, from };
                 if let Some(outcome) = self.read_from(state, machine, from).transpose() {
-                    list.push(Successor { action, outcome });
+                    successors.push(Successor { action, outcome });
                 }
             }
         }
     }
 
-    /// Those whom an acceptor that lost its disk asks, as machines.
+    /// Returns the machines that an acceptor that lost its disk reads.
     pub fn recovery_peers(&self, machine: usize, acceptor: &Acceptor) -> Vec<usize> {
-        let asking = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(acceptor) };
-        let recovery_peers = asking.recovery_peers();
+        let reader = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(acceptor) };
+        let recovery_peers = reader.recovery_peers();
         (0..self.addresses.len()).filter(|other| recovery_peers.contains(&self.addresses[*other])).collect()
     }
 
-    /// None: the other does not answer what was asked.
+    /// Lets an acceptor read another one. Returns `None` if the other does not return what was requested.
     pub fn read_from(&self, state: &State, machine: usize, from: usize) -> Result<Option<State>, Violation> {
         let membership = state.replicas[machine].acceptor.membership.clone();
         let is_member = quorum::is_old_or_new_member(&membership, &self.addresses[machine]);
@@ -130,7 +131,7 @@
         Ok(Some(next))
     }
 
-    /// Ends recovery if enough others were read.
+    /// Completes recovery if enough others were read.
     fn resume_voting(&self, state: &mut State, machine: usize, membership: &CoreMembership) {
         let replica = &state.replicas[machine];
         let mut acceptor = Acceptor { ip: self.addresses[machine].clone(), ..Acceptor::clone(&replica.acceptor) };
@@ -156,7 +157,7 @@
 }
 
 impl State {
-    /// An acceptor learns of a committed membership. False: it is no newer than the one that it knows.
+    /// Notifies an acceptor of a committed membership. Returns false if it is not newer than the known one.
     pub fn notify(&mut self, machine: usize, membership: &CoreMembership) -> bool {
         let mut acceptor = Acceptor::clone(&self.replicas[machine].acceptor);
         acceptor.adopt_membership(membership).is_some() && self.put_acceptor(machine, Shared::new(acceptor))
--- a/consensus/src/testing/model/shared.rs
+++ b/consensus/src/testing/model/shared.rs
@@ -1,4 +1,4 @@
-//! A part of a state that many states have in common: copied by reference, hashed once.
+//! A part of a state that many states share: copied by reference and hashed once.
 
 use std::hash::{Hash, Hasher};
 use std::ops::Deref;
@@ -6,7 +6,7 @@
 
 use super::explore;
 
-/// Invariant: `hash` is that of the value.
+/// A shared value with its hash. Invariant: `hash` is the fingerprint of `value`.
 #[derive(Debug, Eq)]
 pub struct Shared<T> {
     value: Rc<T>,
@@ -14,7 +14,7 @@
 }
 
 impl<T: Hash> Shared<T> {
-    /// Hashes a value.
+    /// Wraps a value and computes its hash.
     pub fn new(value: T) -> Shared<T> {
         let hash = explore::fingerprint(&value);
         Shared { value: Rc::new(value), hash }
--- a/consensus/src/testing/model/state.rs
+++ b/consensus/src/testing/model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the modelled world.
+//! The state of the model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter;
@@ -14,28 +14,28 @@
 use crate::proposal::{Progress, Proposal};
 use crate::round::{next_term, Ownership};
 
-/// How many attempts there are to commit a key again under a changed membership.
+/// The number of attempts of a coordinator to commit a key again under a joint membership.
 const COORDINATOR_ATTEMPTS: u8 = 1;
-/// The change that may have been left incomplete before the exploration begins.
+/// The change of a write that was not completed before the exploration begins.
 const INCOMPLETE_CHANGE: u8 = 8;
 
-/// One acceptor and its disk, which hold the same between two requests: a response leaves only once it is on disk, and
-/// requests that a crash loses are requests that did not come. Its address is put in for each call, so that
-/// interchangeable replicas are equal.
+/// An acceptor and its disk, which hold the same state between two requests: a response is sent only once its records
+/// are on disk, and a request lost in a crash is equivalent to one that never arrived. The address of the acceptor is
+/// set for each call only, so that interchangeable replicas are equal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Replica {
     pub acceptor: Shared<Acceptor>,
-    /// When it lost its disk, as long as it may not vote again.
+    /// When it lost its disk, until it may vote again.
     pub wiped_at: Option<u64>,
-    /// What it has read from others since, in order to recover.
+    /// The registers that it has read from others since, by machine.
     pub reads: BTreeMap<usize, Vec<RegisterState>>,
 }
 
-/// What a proposal is for.
+/// The purpose of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
     Operation(Operation),
-    /// The key is committed again under a changed membership.
+    /// Commits the key again under a joint membership.
     Recommit,
 }
 
@@ -49,23 +49,23 @@
     }
 }
 
-/// A proposal under way. Responses are under way until those of a quorum are counted at once: counting them one by
-/// one changes nothing that others can see before the last one.
+/// A proposal in progress. Responses stay in transit until those of a quorum are counted in a single step: counting
+/// them one by one has no visible effect before the last one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Task {
     pub purpose: Purpose,
     pub proposal: Shared<Proposal<Vec<u8>>>,
-    /// The present request, on its way to every member.
+    /// The current request, in transit to every member.
     pub request: Shared<ConsensusRequest>,
     pub responses: BTreeMap<usize, Shared<ConsensusResponse>>,
-    /// What was acknowledged when the proposal began: its answer must hold it.
+    /// The body that was acknowledged when the proposal began. The answer must extend it.
     pub acknowledged_before: Shared<Vec<u8>>,
 }
 
-/// The transition of a changed membership, from which the real one is built when it is asked.
+/// The state of a transition, from which the `MembershipTransition` is built when it is needed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct TransitionRecord {
-    /// Responses of those that were notified of the membership.
+    /// Responses of the machines that were notified of the membership.
     pub responses: BTreeMap<usize, Shared<ConsensusResponse>>,
     pub recommitted: BTreeSet<String>,
 }
@@ -75,28 +75,29 @@
 pub struct Proposer {
     pub incarnation: u64,
     pub term: u64,
-    /// The membership that it knows, as an index of the committed ones.
+    /// The membership that it knows, as an index into the committed ones.
     pub membership: usize,
-    /// How many of its operations are done.
+    /// The number of its completed operations.
     pub done: usize,
     pub attempts_left: u8,
     pub ownership: Option<Ownership>,
     pub task: Option<Task>,
-    /// This one coordinates changes of the membership.
-    pub coordinates: bool,
+    /// Whether it coordinates membership changes.
+    pub is_coordinator: bool,
     pub transition: TransitionRecord,
 }
 
+/// A state of the cluster.
 #[derive(Clone, Debug, Hash)]
 pub struct State {
     pub now: u64,
     pub replicas: Vec<Shared<Replica>>,
     pub proposers: Vec<Shared<Proposer>>,
-    /// Acceptances asked for in rounds that are over: they may still reach an acceptor.
-    pub late: Shared<Vec<Shared<ConsensusRequest>>>,
-    /// The memberships that were committed, oldest first.
+    /// Accept requests of rounds that are over. They may still reach an acceptor.
+    pub late_requests: Shared<Vec<Shared<ConsensusRequest>>>,
+    /// The committed memberships, oldest first.
     pub memberships: Shared<Vec<CoreMembership>>,
-    /// The longest body that any client was answered with.
+    /// The longest body that any client has received as an answer.
     pub acknowledged: Shared<Vec<u8>>,
     pub restarts_left: u8,
     pub wipes_left: u8,
@@ -105,7 +106,7 @@
 impl State {
     /// Returns the membership that was committed last.
     pub fn newest_membership(&self) -> &CoreMembership {
-        self.memberships.last().expect("a first membership")
+        self.memberships.last().expect("there is a first membership")
     }
 
     /// Returns the highest term that an acceptor prepared.
@@ -114,17 +115,18 @@
         registers.map(|register| register.prepared.term).max().unwrap_or_default()
     }
 
-    /// Replicas that may not vote.
+    /// Returns the number of replicas that may not vote.
     pub fn non_voting(&self) -> usize {
         self.replicas.iter().filter(|replica| !replica.acceptor.may_vote).count()
     }
 }
 
 impl Model {
-    /// All machines in touch and idle, with what the scenario says was acknowledged before.
+    /// Returns the initial state: all machines reachable and idle, after the earlier operations of the scenario.
     pub fn initial_state(&self) -> State {
-        let list = (0..self.scenario.member_count).map(machines::member).collect();
-        let membership = CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
+        let initial_members = (0..self.scenario.member_count).map(machines::member).collect();
+        let membership =
+            CoreMembership { version: 1, members: initial_members, previous_members: Vec::new(), stable: true };
         let acceptor = Acceptor { membership: membership.clone(), may_vote: true, ..Default::default() };
         let replica = Shared::new(Replica { acceptor: Shared::new(acceptor), ..Replica::default() });
         let idle =
@@ -133,7 +135,7 @@
             now: 0,
             replicas: vec![replica; self.scenario.machines],
             proposers: self.scenario.proposers.iter().map(idle).collect(),
-            late: Shared::new(Vec::new()),
+            late_requests: Shared::new(Vec::new()),
             memberships: Shared::new(vec![membership]),
             acknowledged: Shared::new(Vec::new()),
             restarts_left: self.scenario.restarts,
@@ -141,15 +143,15 @@
         };
         if let Some(change) = &self.scenario.membership_change {
             let attempts_left = COORDINATOR_ATTEMPTS;
-            let coordinator = Proposer { attempts_left, coordinates: true, ..Proposer::default() };
+            let coordinator = Proposer { attempts_left, is_coordinator: true, ..Proposer::default() };
             state.proposers.extend(iter::repeat_n(Shared::new(coordinator), change.coordinators));
         }
         self.run_earlier_operation(&mut state);
-        self.leave_incomplete_write(&mut state);
+        self.apply_incomplete_write(&mut state);
         state
     }
 
-    fn leave_incomplete_write(&self, state: &mut State) {
+    fn apply_incomplete_write(&self, state: &mut State) {
         let Some(incomplete) = self.scenario.incomplete_write else { return };
         let membership = state.newest_membership().clone();
         let proposal_number =
@@ -170,9 +172,11 @@
         let Some((operation, machines)) = self.scenario.earlier_operation else { return };
         let membership = state.newest_membership().clone();
         let progress = self.run(state, &membership, machines, operation).expect("no violation");
-        let Progress::Finished { answer, ownership: owner, .. } = progress else { panic!("no quorum") };
+        let Progress::Finished { answer, ownership: owner, .. } = progress else {
+            panic!("the machines of the earlier operation are not a quorum")
+        };
         state.acknowledged = Shared::new(answer);
-        if let Some(first) = state.proposers.first_mut().filter(|proposer| !proposer.coordinates) {
+        if let Some(first) = state.proposers.first_mut().filter(|proposer| !proposer.is_coordinator) {
             first.edit(|proposer| proposer.ownership = Some(owner));
         }
     }
--- a/consensus/src/testing/model/symmetry.rs
+++ b/consensus/src/testing/model/symmetry.rs
@@ -1,8 +1,7 @@
-//! One form for states that are equivalent.
+//! Symmetry reduction: a canonical form for equivalent states.
 //!
-//! Machines that are interchangeable are numbered anew, in the order of what they hold: a state and the one
-//! with two of them swapped have the same futures but for the numbers. Late requests that no acceptor will take any
-//! more are dropped.
+//! Interchangeable machines are renumbered in the order of their fingerprints. Swapping two of them yields a state with
+//! the same behaviour except for the numbers. Late requests that every acceptor will reject are dropped.
 
 use std::collections::BTreeMap;
 use std::mem;
@@ -18,9 +17,9 @@
 type Renumbering = Vec<usize>;
 
 impl Model {
-    /// Brings a state into the form that stands for all equivalent ones.
+    /// Brings a state into the canonical form of its equivalence class.
     pub fn normalize(&self, state: &mut State) {
-        self.drop_dead_requests(state);
+        self.drop_obsolete_requests(state);
         for group in &self.scenario.interchangeable {
             if let Some(renumbering) = renumbering(state, group) {
                 renumber(state, &renumbering);
@@ -28,21 +27,21 @@
         }
     }
 
-    /// Without lost disks prepared numbers and positions only increase, so what an acceptor rejects now it rejects ever
-    /// after.
-    fn drop_dead_requests(&self, state: &mut State) {
-        if state.late.is_empty() || state.wipes_left > 0 || state.non_voting() > 0 {
+    /// Drops late requests that every member rejects. Prepared numbers and positions never decrease while no disk is
+    /// lost, so a request that is rejected now is rejected forever.
+    fn drop_obsolete_requests(&self, state: &mut State) {
+        if state.late_requests.is_empty() || state.wipes_left > 0 || state.non_voting() > 0 {
             return;
         }
-        let is_dead = |request: &Shared<ConsensusRequest>| {
+        let is_obsolete = |request: &Shared<ConsensusRequest>| {
             self.membership_facts(&request.membership)
                 .members
                 .iter()
                 .all(|machine| is_rejected(&state.replicas[machine], request))
         };
-        if state.late.iter().any(is_dead) {
-            let alive = state.late.iter().filter(|request| !is_dead(request)).cloned().collect();
-            state.late = Shared::new(alive);
+        if state.late_requests.iter().any(is_obsolete) {
+            let remaining = state.late_requests.iter().filter(|request| !is_obsolete(request)).cloned().collect();
+            state.late_requests = Shared::new(remaining);
         }
     }
 }
@@ -50,27 +49,28 @@
 fn is_rejected(replica: &Replica, request: &ConsensusRequest) -> bool {
     let ConsensusOperation::Accept { key, entry } = &request.operation else { return false };
     let acceptor = &replica.acceptor;
-    let overtaken = acceptor.registers.get(key).is_some_and(|register| {
+    let is_superseded = acceptor.registers.get(key).is_some_and(|register| {
         register.prepared > entry.proposal_number
-            || register.entry.as_ref().is_some_and(|held| held.position() >= entry.position())
+            || register.entry.as_ref().is_some_and(|accepted| accepted.position() >= entry.position())
     });
-    acceptor.membership.version > request.membership.version || overtaken
+    acceptor.membership.version > request.membership.version || is_superseded
 }
 
-/// What a state says of one machine, without its number.
-fn description(state: &State, machine: usize) -> u64 {
-    let of_proposer = |proposer: &Shared<Proposer>| {
+/// Returns the fingerprint of everything that a state holds about one machine, except its number.
+fn machine_fingerprint(state: &State, machine: usize) -> u64 {
+    let proposer_fingerprint = |proposer: &Shared<Proposer>| {
         let response = proposer.task.as_ref().and_then(|task| task.responses.get(&machine));
         fingerprint(&(response, proposer.transition.responses.get(&machine)))
     };
-    let proposers: Vec<u64> = state.proposers.iter().map(of_proposer).collect();
+    let proposers: Vec<u64> = state.proposers.iter().map(proposer_fingerprint).collect();
     let reads: Vec<bool> = state.replicas.iter().map(|replica| replica.reads.contains_key(&machine)).collect();
     fingerprint(&(state.replicas[machine].fingerprint(), proposers, reads))
 }
 
-/// None: the machines of the group stand in order.
+/// Returns the renumbering that sorts the machines of a group, or `None` if they are in order.
 fn renumbering(state: &State, group: &[usize]) -> Option<Renumbering> {
-    let mut sorted: Vec<(u64, usize)> = group.iter().map(|machine| (description(state, *machine), *machine)).collect();
+    let mut sorted: Vec<(u64, usize)> =
+        group.iter().map(|machine| (machine_fingerprint(state, *machine), *machine)).collect();
     sorted.sort_unstable();
     if sorted.iter().map(|(_, machine)| machine).eq(group) {
         return None;
--- a/consensus/src/testing/model/symmetry_tests.rs
+++ b/consensus/src/testing/model/symmetry_tests.rs
@@ -1,4 +1,4 @@
-//! Renumbering against an exploration without it.
+//! Compares explorations with and without renumbering.
 use super::super::explore::{fingerprint, System};
 use super::super::runs::{members_only, proposer};
 use super::super::scenario::{MembershipChange, Operation, Scenario};
@@ -18,8 +18,8 @@
     states
 }
 
-/// Every state that is reached without renumbering is, renumbered, one that is reached with it, and the reverse.
-fn hides_nothing(scenario: Scenario) {
+/// Asserts that the states reached without renumbering, once renumbered, are exactly those reached with renumbering.
+fn assert_same_reachable_states(scenario: Scenario) {
     let complete = Model::new(Scenario { interchangeable: Vec::new(), ..scenario.clone() });
     let reduced = Model::new(scenario);
     let normalized = reachable(&complete).into_iter().map(|mut state| {
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn renumbering_hides_nothing_while_members_stay() {
+fn renumbering_preserves_the_reachable_states_of_a_stable_membership() {
     let proposers = vec![proposer(&[Operation::Write(1)], 1), proposer(&[Operation::Write(2)], 1)];
-    hides_nothing(Scenario { proposers, ..members_only(3) });
+    assert_same_reachable_states(Scenario { proposers, ..members_only(3) });
 }
 
 #[test]
-fn renumbering_hides_nothing_while_members_change() {
+fn renumbering_preserves_the_reachable_states_during_a_membership_change() {
     let membership_change = Some(MembershipChange { leaving: None, candidates: vec![3], coordinators: 1 });
     let earlier_operation = Some((Operation::Write(9), [0, 1].into_iter().collect()));
     let scenario = Scenario { machines: 4, membership_change, earlier_operation, ..members_only(3) };
-    hides_nothing(scenario);
+    assert_same_reachable_states(scenario);
 }
--- a/consensus/src/testing/model/violation.rs
+++ b/consensus/src/testing/model/violation.rs
@@ -1,21 +1,21 @@
-//! What an exploration may find wrong.
+//! The violations that an exploration can find.
 use protocol::message::{Position, ProposalNumber};
 
-/// A state or an action that must not be.
+/// An invariant that a state or an action violates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two bodies at one position of the history.
+    /// Two different bodies have the same position.
     ConflictingValues { position: Position, bodies: [Vec<u8>; 2] },
-    /// Two owners act under one proposal number.
+    /// Two owners use the same proposal number.
     ConflictingOwners { proposal_number: ProposalNumber },
-    /// What was acknowledged is not part of what a later quorum read returns.
+    /// A later quorum read does not return what was acknowledged.
     Lost { acknowledged: Vec<u8>, found: Vec<u8> },
-    /// A change was acknowledged and is not in the body that was committed for it.
+    /// An acknowledged change is missing from the body that was committed for it.
     MissingChange { change: u8, body: Vec<u8> },
-    /// A response left an acceptor whose disk does not hold what the response rests on.
+    /// An acceptor sent a response before the state behind it was on disk.
     NotSynced,
     /// A prepared number or the position of an entry decreased, or an entry is above the prepared number.
     Regressed,
-    /// With a majority in touch and no further faults something does not terminate.
-    Stuck(&'static str),
+    /// Something does not terminate although a majority is reachable and no further faults occur.
+    NoProgress(&'static str),
 }
--- a/consensus/src/testing/model/voting.rs
+++ b/consensus/src/testing/model/voting.rs
@@ -1,4 +1,4 @@
-//! Requests that reach acceptors, in time or late.
+//! Requests that reach acceptors, during their round or late.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,14 +14,14 @@
 use super::Model;
 use crate::acceptor::Acceptor;
 
-/// An acceptor after a request, and its response.
+/// The state of an acceptor after a request, and its response.
 #[derive(Clone)]
 pub struct Answer {
     pub acceptor: Shared<Acceptor>,
     pub response: Shared<ConsensusResponse>,
 }
 
-/// What identifies an answer: the machine, and the fingerprints of the acceptor and of the request.
+/// The key of a cached answer: the machine and the fingerprints of its acceptor and of the request.
 #[derive(PartialEq, Eq, Hash)]
 pub struct AnswerKey {
     machine: usize,
@@ -29,11 +29,12 @@
     request: u64,
 }
 
-/// What each acceptor answered to each request.
+/// The cached answers of acceptors to requests.
 pub type AnswerCache = RefCell<HashMap<AnswerKey, Answer>>;
 
 impl Model {
-    /// Lets an acceptor answer a request. Both the acceptor and what a restart would find on its disk are as returned.
+    /// Returns an acceptor's answer to a request. The acceptor is returned both as it is in memory and as a restart
+    /// would restore it from disk: the two are checked to be equal.
     pub fn respond(
         &self,
         machine: usize,
@@ -58,40 +59,40 @@
         request: &ConsensusRequest,
     ) -> Result<(Acceptor, ConsensusResponse), Violation> {
         let mut after = Acceptor { ip: self.addresses[machine].clone(), ..acceptor.clone() };
-        let accepts_old = self.has(Defect::OldProposalAccepted);
-        if accepts_old {
+        let accepts_old_proposals = self.has_defect(Defect::OldProposalAccepted);
+        if accepts_old_proposals {
             forget_prepared(&mut after, &request.operation);
         }
         let (response, records) = after.handle(request.clone());
-        if accepts_old && matches!(response, ConsensusResponse::Rejected { .. }) {
+        if accepts_old_proposals && matches!(response, ConsensusResponse::Rejected { .. }) {
             return Ok((acceptor.clone(), response));
         }
         after.ip.clear();
         let mut restarted = acceptor.clone();
-        if !self.has(Defect::ResponseBeforeSync) {
+        if !self.has_defect(Defect::ResponseBeforeSync) {
             records.into_iter().for_each(|record| restarted.replay(record));
         }
         if restarted != after {
             return Err(Violation::NotSynced);
         }
-        if !accepts_old {
+        if !accepts_old_proposals {
             check_only_increases(acceptor, &after)?;
         }
         Ok((after, response))
     }
 
-    /// Adds the deliveries of requests, in time or late.
-    pub fn deliver_requests(&self, state: &State, list: &mut Vec<Successor>) {
+    /// Adds the deliveries of current and late requests.
+    pub fn deliver_requests(&self, state: &State, successors: &mut Vec<Successor>) {
         for proposer in 0..state.proposers.len() {
-            self.deliver(state, proposer, list);
+            self.deliver(state, proposer, successors);
         }
-        for request in state.late.iter() {
-            self.deliver_late(state, request, list);
+        for request in state.late_requests.iter() {
+            self.deliver_late(state, request, successors);
         }
     }
 
-    /// The present request of a proposer reaches one of the members.
-    fn deliver(&self, state: &State, proposer: usize, list: &mut Vec<Successor>) {
+    /// Adds the delivery of a proposer's current request to each member.
+    fn deliver(&self, state: &State, proposer: usize, successors: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[proposer].task else { return };
         for machine in self.membership_facts(&task.request.membership).members.iter() {
             let action = Action::Deliver { proposer, machine };
@@ -99,7 +100,7 @@
                 match self.respond(machine, &state.replicas[machine].acceptor, &task.request) {
                     Ok(answer) => answer,
                     Err(violation) => {
-                        list.push(Successor { action, outcome: Err(violation) });
+                        successors.push(Successor { action, outcome: Err(violation) });
                         continue;
                     }
                 };
@@ -111,32 +112,32 @@
                     if !task.responses.contains_key(&machine) =>
                 {
                     next.edit_task(proposer, |task| drop(task.responses.insert(machine, response)));
-                    list.push(Successor { action, outcome: Ok(next) });
+                    successors.push(Successor { action, outcome: Ok(next) });
                 }
-                // A rejection under the own proposal number answers a request that came twice.
+                // A rejection that names no higher proposal number than the request's is the response to a duplicate.
                 ConsensusResponse::Rejected { prepared }
                     if Some(*prepared) <= proposal_number(&task.request.operation) => {}
                 ConsensusResponse::Rejected { .. } | ConsensusResponse::NewerMembership { .. } => {
                     let outcome = self.count_responses(next, proposer, &[(machine, response)]);
-                    list.push(Successor { action: Action::Reject { proposer, machine }, outcome });
+                    successors.push(Successor { action: Action::Reject { proposer, machine }, outcome });
                 }
-                _ if changed => list.push(Successor { action, outcome: Ok(next) }),
+                _ if changed => successors.push(Successor { action, outcome: Ok(next) }),
                 _ => {}
             }
         }
     }
 
-    fn deliver_late(&self, state: &State, request: &Shared<ConsensusRequest>, list: &mut Vec<Successor>) {
+    fn deliver_late(&self, state: &State, request: &Shared<ConsensusRequest>, successors: &mut Vec<Successor>) {
         let ConsensusOperation::Accept { entry, .. } = &request.operation else { return };
         for machine in self.membership_facts(&request.membership).members.iter() {
             let action = Action::DeliverLate { position: entry.position(), machine };
             match self.respond(machine, &state.replicas[machine].acceptor, request) {
-                Err(violation) => list.push(Successor { action, outcome: Err(violation) }),
+                Err(violation) => successors.push(Successor { action, outcome: Err(violation) }),
                 Ok(answer) if answer.acceptor == state.replicas[machine].acceptor => {}
                 Ok(answer) => {
                     let mut next = state.clone();
                     next.put_acceptor(machine, answer.acceptor);
-                    list.push(Successor { action, outcome: Ok(next) });
+                    successors.push(Successor { action, outcome: Ok(next) });
                 }
             }
         }
@@ -144,14 +145,14 @@
 }
 
 impl State {
-    /// Gives a replica its acceptor after a request. False: nothing changed.
+    /// Replaces the acceptor of a replica by its state after a request. Returns false if nothing changed.
     pub fn put_acceptor(&mut self, machine: usize, acceptor: Shared<Acceptor>) -> bool {
         let replica = &mut self.replicas[machine];
         if replica.acceptor == acceptor {
             return false;
         }
         replica.edit(|replica| {
-            // What was read answers for the quorums of another membership.
+            // The reads so far only count for the quorums of the previous membership.
             if replica.acceptor.membership.version != acceptor.membership.version {
                 replica.reads.clear();
             }
@@ -168,15 +169,16 @@
     }
 }
 
-/// Prepared numbers and positions of entries never decrease, and no entry is above what is prepared.
+/// Checks that prepared numbers and positions of entries never decrease, and that no entry is above the prepared
+/// number.
 fn check_only_increases(before: &Acceptor, after: &Acceptor) -> Result<(), Violation> {
     for (key, register) in &after.registers {
         let position = register.entry.as_ref().map(Entry::position);
-        let above = register.entry.as_ref().is_some_and(|entry| entry.proposal_number > register.prepared);
-        let back = before.registers.get(key).is_some_and(|held| {
-            held.prepared > register.prepared || held.entry.as_ref().map(Entry::position) > position
+        let is_above_prepared = register.entry.as_ref().is_some_and(|entry| entry.proposal_number > register.prepared);
+        let has_decreased = before.registers.get(key).is_some_and(|previous| {
+            previous.prepared > register.prepared || previous.entry.as_ref().map(Entry::position) > position
         });
-        if above || back {
+        if is_above_prepared || has_decreased {
             return Err(Violation::Regressed);
         }
     }
