--- a/consensus/src/testing/simulation/faults.rs
+++ b/consensus/src/testing/simulation/faults.rs
@@ -1,33 +1,33 @@
-//! Faults of the simulated world, changes of its members, and the read at the end.
+//! Faults and membership changes of the simulated cluster, and the final read.
 
 use protocol::message::{ConsensusOperation, CoreMembership, Member};
 
-use super::{ip, Replica, World};
+use super::{ip, Cluster, Replica};
 use crate::acceptor::Acceptor;
 use crate::quorum;
 
-impl World {
-    /// Power loss: what is not synced is gone. `wipe`: the disk too.
-    pub fn crash(&mut self, at: usize, wipe: bool) {
+impl Cluster {
+    /// Simulates a power loss of a replica, which loses everything that was not synced and, with `wipe`, its disk too.
+    pub fn crash(&mut self, index: usize, wipe: bool) {
         let now = self.now;
-        let replica = &mut self.replicas[at];
+        let replica = &mut self.replicas[index];
         replica.is_up = false;
         replica.unsynced.clear();
         (replica.ownership, replica.task) = (None, None);
         replica.reads.clear();
         if wipe {
             let membership = replica.disk.membership.clone();
-            replica.disk = Acceptor::new(&ip(at));
+            replica.disk = Acceptor::new(&ip(index));
             replica.disk.membership = membership;
             replica.disk.may_vote = self.skips_recovery;
         }
         replica.started_at = now;
     }
 
-    /// Starts a replica that is down, with what is on its disk.
-    pub fn restart(&mut self, at: usize) {
+    /// Starts a replica that is down, with the state of its disk.
+    pub fn restart(&mut self, index: usize) {
         let now = self.now;
-        let replica = &mut self.replicas[at];
+        let replica = &mut self.replicas[index];
         if replica.is_up {
             return;
         }
@@ -43,10 +43,10 @@
         self.replicas.iter().all(|replica| replica.acceptor.may_vote)
     }
 
-    /// Returns what a read at a majority finds at the end, with all replicas up.
+    /// Restarts all replicas, heals the network and returns the body that a read by a majority finds.
     pub fn read_after_recovery(&mut self) -> Vec<u8> {
         self.partitioned.clear();
-        (0..self.replicas.len()).for_each(|at| self.restart(at));
+        (0..self.replicas.len()).for_each(|index| self.restart(index));
         for replica in &mut self.replicas {
             (replica.ownership, replica.task) = (None, None);
         }
@@ -59,22 +59,22 @@
                 self.propose(0);
             }
         }
-        panic!("no reader became owner within a minute of virtual time");
+        panic!("replica 0 could not claim the key within a minute of virtual time");
     }
 
-    /// An empty machine at a new address: never an acceptor, so it may be added.
+    /// Adds an empty replica at a new address. It has never been an acceptor, so it may become a member.
     pub fn add_replica(&mut self) -> usize {
-        let at = self.replicas.len();
+        let index = self.replicas.len();
         let membership = self.replicas[0].acceptor.membership.clone();
-        self.replicas.push(Replica::empty(at, membership, self.now));
-        at
+        self.replicas.push(Replica::empty(index, membership, self.now));
+        index
     }
 
-    /// The next membership, known at first to one replica only. `joint`: until it is stable, quorums of the members
-    /// before it are needed too.
+    /// Changes the membership, which only replica 0 knows at first. With `joint`, the membership is joint, so that
+    /// majorities of the previous members may be needed too.
     pub fn change_members(&mut self, list: Vec<usize>, joint: bool) -> CoreMembership {
         let old = self.replicas[0].acceptor.membership.clone();
-        let list = list.into_iter().map(|at| Member { ip: ip(at), zone: String::new() }).collect();
+        let list = list.into_iter().map(|index| Member { ip: ip(index), zone: String::new() }).collect();
         let membership =
             CoreMembership { version: old.version + 1, members: list, previous_members: old.members, stable: !joint };
         let replica = &mut self.replicas[0];
@@ -83,7 +83,7 @@
         membership
     }
 
-    /// Announces a membership to old and new members; true once majorities of both have it on disk.
+    /// Sends a membership to all replicas. Returns true once majorities of the old and the new members have it on disk.
     pub fn announce(&mut self, membership: &CoreMembership) -> bool {
         for to in 0..self.replicas.len() {
             self.send_request(0, to, 0, membership, &ConsensusOperation::Positions);
@@ -100,7 +100,7 @@
         is_known_to(&membership.members) && is_known_to(&membership.previous_members)
     }
 
-    /// Commits the key again under the newest membership; true once done.
+    /// Tries to commit the key again under the newest membership. Returns true once it is committed.
     pub fn try_recommit(&mut self, version: u64) -> bool {
         if self.replicas[0].ownership.as_ref().is_some_and(|ownership| ownership.membership_version >= version) {
             return true;
--- a/consensus/src/testing/simulation/membership_tests.rs
+++ b/consensus/src/testing/simulation/membership_tests.rs
@@ -1,22 +1,24 @@
-//! Members replaced while the register is at work: the simulated world must not lose what was acknowledged.
+//! Replaces members while the register is in use. No acknowledged change may be lost.
 
 use kernel::Rng;
 use protocol::message::CoreMembership;
 
-use super::tests::nothing_lost;
-use super::World;
+use super::tests::no_acknowledged_change_lost;
+use super::Cluster;
 
-/// How a lost member is replaced.
+/// The way in which a lost member is replaced.
 #[derive(Clone, Copy, PartialEq)]
 enum Strategy {
-    /// The new one is added, then the old one removed.
+    /// The new member is added, then the old one is removed.
     AddThenRemove,
-    /// Both in one change, under joint quorums.
-    Exchange,
-    /// Both at once, without joint quorums, without notifying the old members or committing again.
+    /// Both in a single change, under joint quorums.
+    Replace,
+    /// Both in a single change, without joint quorums, without notifying the old members and without committing the
+    /// keys again.
     Unsafe,
 }
 
+/// The progress of a replacement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     BeforeLoss,
@@ -29,13 +31,13 @@
 
 /// One run in which a member is replaced.
 struct Replacement {
-    world: World,
+    cluster: Cluster,
     rng: Rng,
     strategy: Strategy,
     stage: Stage,
     membership: Option<CoreMembership>,
     lost: usize,
-    stays: usize,
+    staying: usize,
 }
 
 /// The number of the machine that replaces the lost one.
@@ -45,8 +47,8 @@
     fn new(seed: u64, strategy: Strategy) -> Replacement {
         let mut rng = Rng::new(seed ^ 0x7e57);
         let lost = 1 + rng.below(2) as usize;
-        let (world, stays) = (World::new(seed, 3), 3 - lost);
-        Replacement { world, rng, strategy, stage: Stage::BeforeLoss, membership: None, lost, stays }
+        let (cluster, staying) = (Cluster::new(seed, 3), 3 - lost);
+        Replacement { cluster, rng, strategy, stage: Stage::BeforeLoss, membership: None, lost, staying }
     }
 
     fn is_unsafe(&self) -> bool {
@@ -54,11 +56,11 @@
     }
 
     fn propose(&mut self) {
-        let is_quiet = matches!(self.stage, Stage::BeforeLoss | Stage::Done);
-        if self.rng.below(12) == 0 && (is_quiet || self.rng.below(3) == 0) {
-            let at = [0, self.stays, self.lost, ADDED][self.rng.below(4) as usize];
-            if at < self.world.replicas.len() {
-                self.world.propose(at);
+        let no_change_in_progress = matches!(self.stage, Stage::BeforeLoss | Stage::Done);
+        if self.rng.below(12) == 0 && (no_change_in_progress || self.rng.below(3) == 0) {
+            let index = [0, self.staying, self.lost, ADDED][self.rng.below(4) as usize];
+            if index < self.cluster.replicas.len() {
+                self.cluster.propose(index);
             }
         }
     }
@@ -66,11 +68,11 @@
     fn advance(&mut self) {
         let stage = self.stage;
         match stage {
-            Stage::BeforeLoss if self.world.now >= 2000 => self.begin(),
+            Stage::BeforeLoss if self.cluster.now >= 2000 => self.begin(),
             Stage::AnnounceAddition if self.is_announced() => self.stage = Stage::RecommitAfterAddition,
             Stage::RecommitAfterAddition if self.is_recommitted() => {
                 self.stage = Stage::AnnounceFinalMembers;
-                self.membership = Some(self.world.change_members(vec![0, self.stays, ADDED], true));
+                self.membership = Some(self.cluster.change_members(vec![0, self.staying, ADDED], true));
             }
             Stage::AnnounceFinalMembers if self.is_announced() => self.stage = Stage::RecommitAfterFinalMembers,
             Stage::RecommitAfterFinalMembers if self.is_recommitted() => self.stage = Stage::Done,
@@ -80,88 +82,94 @@
 
     fn begin(&mut self) {
         if !self.is_unsafe() {
-            self.world.crash(self.lost, false);
+            self.cluster.crash(self.lost, false);
         }
-        self.world.add_replica();
+        self.cluster.add_replica();
         let members = match self.strategy {
             Strategy::AddThenRemove => vec![0, 1, 2, ADDED],
-            Strategy::Exchange | Strategy::Unsafe => vec![0, self.stays, ADDED],
+            Strategy::Replace | Strategy::Unsafe => vec![0, self.staying, ADDED],
         };
-        self.membership = Some(self.world.change_members(members, !self.is_unsafe()));
+        self.membership = Some(self.cluster.change_members(members, !self.is_unsafe()));
         self.stage = match self.strategy {
             Strategy::AddThenRemove => Stage::AnnounceAddition,
-            Strategy::Exchange => Stage::AnnounceFinalMembers,
+            Strategy::Replace => Stage::AnnounceFinalMembers,
             Strategy::Unsafe => Stage::Done,
         };
         if self.is_unsafe() {
-            // The old members do not learn of it: they still make a majority of their own.
-            let cut = [(0, self.stays), (0, self.lost), (ADDED, self.stays), (ADDED, self.lost)];
-            self.world.partitioned = cut.iter().flat_map(|(one, two)| [(*one, *two), (*two, *one)]).collect();
+            // The old members do not learn the change: they still form a majority of the old membership.
+            let cut_connections = [(0, self.staying), (0, self.lost), (ADDED, self.staying), (ADDED, self.lost)];
+            self.cluster.partitioned =
+                cut_connections.iter().flat_map(|(first, second)| [(*first, *second), (*second, *first)]).collect();
         }
     }
 
     fn is_announced(&mut self) -> bool {
-        self.world.now.is_multiple_of(20) && self.world.announce(self.membership.as_ref().expect("a membership"))
+        self.cluster.now.is_multiple_of(20)
+            && self.cluster.announce(self.membership.as_ref().expect("the change has begun"))
     }
 
     fn is_recommitted(&mut self) -> bool {
-        let version = self.membership.as_ref().expect("a membership").version;
-        self.world.now.is_multiple_of(20) && self.world.try_recommit(version)
+        let version = self.membership.as_ref().expect("the change has begun").version;
+        self.cluster.now.is_multiple_of(20) && self.cluster.try_recommit(version)
     }
 
-    /// The new members tolerate the loss of one machine as the old ones did.
-    fn lose_another(&mut self) {
-        if !self.is_unsafe() && self.stage == Stage::Done && self.world.now == 9000 {
-            self.world.crash(self.stays, false);
+    /// Crashes another member after the replacement, which the new members must tolerate, and restarts it later.
+    fn crash_another(&mut self) {
+        if !self.is_unsafe() && self.stage == Stage::Done && self.cluster.now == 9000 {
+            self.cluster.crash(self.staying, false);
         }
-        if self.world.now == 12_000 {
-            self.world.restart(self.stays);
+        if self.cluster.now == 12_000 {
+            self.cluster.restart(self.staying);
         }
     }
 }
 
-/// A member is lost for good, an empty one replaces it, and then another crashes. Returns the world and the body that
-/// is committed at the end.
-fn run_replacement(seed: u64, strategy: Strategy) -> (World, Vec<u8>) {
+/// Loses a member permanently, replaces it by an empty one, and then crashes another. Returns the cluster and the body
+/// that is committed at the end.
+fn run_replacement(seed: u64, strategy: Strategy) -> (Cluster, Vec<u8>) {
     let mut run = Replacement::new(seed, strategy);
-    while run.world.now < 16_000 {
-        run.world.step();
+    while run.cluster.now < 16_000 {
+        run.cluster.step();
         run.propose();
         run.advance();
-        run.lose_another();
+        run.crash_another();
     }
-    assert!(run.is_unsafe() || run.stage == Stage::Done, "seed {seed}: stuck at stage {:?}", run.stage);
-    let last = run.world.read_after_recovery();
-    (run.world, last)
+    assert!(
+        run.is_unsafe() || run.stage == Stage::Done,
+        "seed {seed}: the replacement did not get past {:?}",
+        run.stage
+    );
+    let last = run.cluster.read_after_recovery();
+    (run.cluster, last)
 }
 
 #[test]
-fn a_core_member_is_replaced_and_nothing_acknowledged_is_lost() {
+fn no_acknowledged_change_is_lost_when_a_member_is_added_and_then_one_removed() {
     let mut acknowledged = 0;
     for seed in 1..=40 {
-        let (world, last) = run_replacement(seed, Strategy::AddThenRemove);
-        assert!(nothing_lost(&world, &last), "seed {seed}");
-        acknowledged += world.acknowledged.len();
+        let (cluster, last) = run_replacement(seed, Strategy::AddThenRemove);
+        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}");
+        acknowledged += cluster.acknowledged.len();
     }
-    assert!(acknowledged > 1000, "the world must get work done: {acknowledged}");
+    assert!(acknowledged > 1000, "too few changes were acknowledged: {acknowledged}");
 }
 
 #[test]
-fn a_core_member_is_exchanged_under_joint_quorums_and_nothing_acknowledged_is_lost() {
+fn no_acknowledged_change_is_lost_when_a_member_is_replaced_under_joint_quorums() {
     let mut acknowledged = 0;
     for seed in 1..=60 {
-        let (world, last) = run_replacement(seed, Strategy::Exchange);
-        assert!(nothing_lost(&world, &last), "seed {seed}");
-        acknowledged += world.acknowledged.len();
+        let (cluster, last) = run_replacement(seed, Strategy::Replace);
+        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}");
+        acknowledged += cluster.acknowledged.len();
     }
-    assert!(acknowledged > 1500, "the world must get work done: {acknowledged}");
+    assert!(acknowledged > 1500, "too few changes were acknowledged: {acknowledged}");
 }
 
 #[test]
-fn the_simulation_finds_the_fault_when_members_are_swapped_at_once() {
+fn the_simulation_finds_a_replacement_without_joint_quorums() {
     let broken = (1..=60).any(|seed| {
-        let (world, last) = run_replacement(seed, Strategy::Unsafe);
-        !nothing_lost(&world, &last)
+        let (cluster, last) = run_replacement(seed, Strategy::Unsafe);
+        !no_acknowledged_change_lost(&cluster, &last)
     });
-    assert!(broken, "a test that can't fail shows nothing");
+    assert!(broken, "the simulation did not find the defect");
 }
--- a/consensus/src/testing/simulation/mod.rs
+++ b/consensus/src/testing/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A deterministic simulation of one register: virtual time, a seed, messages that are lost and reordered, crashes
-//! that lose what was not synced, wiped disks and partitions. It checks that nothing acknowledged is lost and that
-//! the key has a single history.
+//! A deterministic simulation of one register in virtual time, driven by a seed: messages are lost and reordered,
+//! crashes lose what was not synced, disks are wiped and connections are cut. It checks that no acknowledged change is
+//! lost and that the key has a single history.
 
 use std::collections::BTreeMap;
 use std::{mem, str};
@@ -19,9 +19,9 @@
 mod tests;
 
 const KEY: &str = "k";
-/// How long the disk takes for a record that no response waits for.
+/// The write latency of records that no response waits for, in milliseconds.
 const LOCAL_WRITE_MS: u64 = 2;
-/// How often an acceptor in recovery reads the others.
+/// The interval at which an acceptor in recovery reads the others, in milliseconds.
 const RECOVERY_READ_INTERVAL_MS: u64 = 50;
 
 enum Payload {
@@ -33,7 +33,7 @@
     arrives_at: u64,
     from: usize,
     to: usize,
-    /// The incarnation of the receiver when it was sent: a connection does not survive a restart.
+    /// The incarnation of the receiver when the packet was sent, since a connection does not survive a restart.
     incarnation: u64,
     payload: Payload,
 }
@@ -41,24 +41,25 @@
 struct Task {
     id: u64,
     round: Round,
-    /// The body that this round commits, when it is a change.
+    /// The body that this round commits, if it is a change.
     body: Option<Vec<u8>>,
 }
 
-/// A response that leaves once the records before it are on disk.
+/// A response that is sent once the records before it are on disk.
 struct Reply {
     to: usize,
     payload: Payload,
 }
 
-/// Records on their way to the disk.
+/// Records whose write has not been synced yet.
 struct PendingWrite {
     synced_at: u64,
     records: Vec<LogRecord>,
     reply: Option<Reply>,
 }
 
-/// Invariant: `disk` is what was synced; `acceptor` may be ahead of it by what waits in `unsynced`.
+/// A machine that acts as acceptor and proposer. Invariant: `disk` is the synced state; `acceptor` may be ahead of it
+/// by the records in `unsynced`.
 struct Replica {
     acceptor: Acceptor,
     disk: Acceptor,
@@ -72,33 +73,34 @@
     reads: BTreeMap<usize, Vec<RegisterState>>,
 }
 
-pub struct World {
+/// The simulated cluster: its replicas, its network and the acknowledged changes.
+pub struct Cluster {
     now: u64,
     rng: Rng,
     replicas: Vec<Replica>,
     in_transit: Vec<Packet>,
-    /// Sender and receiver of the connections that are cut.
+    /// The connections that are cut, as pairs of sender and receiver.
     partitioned: Vec<(usize, usize)>,
     next_id: u64,
-    /// Acknowledged bodies, in the order of their acknowledgement.
+    /// The acknowledged bodies, in the order of their acknowledgement.
     pub acknowledged: Vec<Vec<u8>>,
-    /// A wiped acceptor votes at once: the fault that recovery prevents.
+    /// Whether a wiped acceptor votes at once, the defect that recovery prevents.
     pub skips_recovery: bool,
 }
 
-fn ip(at: usize) -> String {
-    format!("10.0.0.{at}")
+fn ip(index: usize) -> String {
+    format!("10.0.0.{index}")
 }
 
-/// The number of changes that a body says were made.
-fn count(body: &[u8]) -> u64 {
+/// Returns the number of changes that a body records.
+fn change_count(body: &[u8]) -> u64 {
     str::from_utf8(body).ok().and_then(|text| text.split('/').next()?.parse().ok()).unwrap_or(0)
 }
 
 impl Replica {
-    /// An empty machine that may vote where the membership names it.
-    fn empty(at: usize, membership: CoreMembership, started_at: u64) -> Replica {
-        let mut acceptor = Acceptor::new(&ip(at));
+    /// Returns a machine with an empty register that may vote if it is a member.
+    fn empty(index: usize, membership: CoreMembership, started_at: u64) -> Replica {
+        let mut acceptor = Acceptor::new(&ip(index));
         (acceptor.membership, acceptor.may_vote) = (membership, true);
         Replica {
             disk: acceptor.clone(),
@@ -124,17 +126,17 @@
         self.unsynced.push(PendingWrite { synced_at: now + LOCAL_WRITE_MS, records, reply: None });
     }
 
-    /// Starts a change where the key is owned, else a claim. Returns the round, its operation and the body that it
-    /// commits.
-    fn begin_round(&mut self, at: usize, id: u64, now: u64) -> (Round, ConsensusOperation, Option<Vec<u8>>) {
+    /// Starts a change if the replica owns the key, else a claim. Returns the round, its operation and, for a change,
+    /// the body that it commits.
+    fn begin_round(&mut self, index: usize, id: u64, now: u64) -> (Round, ConsensusOperation, Option<Vec<u8>>) {
         let membership = self.acceptor.membership.clone();
         if let Some(ownership) = self.ownership.take() {
-            let body = format!("{}/{at}.{id}", count(&ownership.entry.body) + 1).into_bytes();
+            let body = format!("{}/{index}.{id}", change_count(&ownership.entry.body) + 1).into_bytes();
             let (round, operation) = Round::change(KEY, membership, &ownership, body.clone(), now);
             return (round, operation, Some(body));
         }
         self.term = next_term(self.term, &membership);
-        let replica_id = replica_id(&ip(at), self.incarnation);
+        let replica_id = replica_id(&ip(index), self.incarnation);
         let proposal_number = ProposalNumber { term: self.term, replica_id };
         let (round, operation) = Round::claim(KEY, membership, proposal_number, now);
         (round, operation, None)
@@ -145,7 +147,7 @@
             return;
         }
         self.reads.insert(from, registers.to_vec());
-        let read: Vec<String> = self.reads.keys().map(|at| ip(*at)).collect();
+        let read: Vec<String> = self.reads.keys().map(|index| ip(*index)).collect();
         if self.acceptor.has_enough_reads(&read) {
             let records = self.acceptor.recover(self.reads.values().cloned().collect());
             self.write(records.unwrap_or_default(), now);
@@ -158,14 +160,14 @@
     }
 }
 
-impl World {
-    pub fn new(seed: u64, size: usize) -> World {
-        let members = (0..size).map(|at| Member { ip: ip(at), zone: String::new() }).collect();
+impl Cluster {
+    pub fn new(seed: u64, size: usize) -> Cluster {
+        let members = (0..size).map(|index| Member { ip: ip(index), zone: String::new() }).collect();
         let membership = CoreMembership { version: 1, members, previous_members: Vec::new(), stable: true };
-        World {
+        Cluster {
             now: 0,
             rng: Rng::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
-            replicas: (0..size).map(|at| Replica::empty(at, membership.clone(), 0)).collect(),
+            replicas: (0..size).map(|index| Replica::empty(index, membership.clone(), 0)).collect(),
             in_transit: Vec::new(),
             partitioned: Vec::new(),
             next_id: 1,
@@ -209,23 +211,23 @@
         self.next_id - 1
     }
 
-    /// A controller begins a change where it owns the key, else a claim.
-    pub fn propose(&mut self, at: usize) {
-        let replica = &self.replicas[at];
+    /// Lets a replica begin a change if it owns the key, else a claim. Does nothing while another round is in progress.
+    pub fn propose(&mut self, index: usize) {
+        let replica = &self.replicas[index];
         if !replica.is_up || replica.task.as_ref().is_some_and(|task| !task.round.is_expired(self.now)) {
             return;
         }
         let id = self.take_id();
-        let replica = &mut self.replicas[at];
-        let (round, operation, body) = replica.begin_round(at, id, self.now);
+        let replica = &mut self.replicas[index];
+        let (round, operation, body) = replica.begin_round(index, id, self.now);
         let membership = round.membership().clone();
         replica.task = Some(Task { id, round, body });
-        self.broadcast(at, id, &membership, &operation);
+        self.broadcast(index, id, &membership, &operation);
     }
 
-    fn handle_response(&mut self, at: usize, from: usize, id: u64, response: ConsensusResponse) {
+    fn handle_response(&mut self, index: usize, from: usize, id: u64, response: ConsensusResponse) {
         let now = self.now;
-        let replica = &mut self.replicas[at];
+        let replica = &mut self.replicas[index];
         if let ConsensusResponse::Snapshot { registers } = &response {
             return replica.record_read(from, registers, now);
         }
@@ -236,7 +238,7 @@
                 replica.task = None;
                 replica.adopt_membership(&membership, now);
             }
-            RoundProgress::Send(operation) => self.begin_second_phase(at, &operation),
+            RoundProgress::Send(operation) => self.begin_second_phase(index, &operation),
             RoundProgress::Superseded(proposal_number) => {
                 replica.term = replica.term.max(proposal_number.term);
                 replica.task = None;
@@ -250,13 +252,13 @@
         }
     }
 
-    /// The second phase has an id of its own: responses to the first do not count for it.
-    fn begin_second_phase(&mut self, at: usize, operation: &ConsensusOperation) {
+    /// Begins the second phase under a new id, so that responses to the first do not count for it.
+    fn begin_second_phase(&mut self, index: usize, operation: &ConsensusOperation) {
         let id = self.take_id();
-        let task = self.replicas[at].task.as_mut().expect("a task whose round goes on");
+        let task = self.replicas[index].task.as_mut().expect("the round is in progress");
         task.id = id;
         let membership = task.round.membership().clone();
-        self.broadcast(at, id, &membership, operation);
+        self.broadcast(index, id, &membership, operation);
     }
 
     fn deliver(&mut self, packet: Packet) {
@@ -270,13 +272,13 @@
         }
     }
 
-    fn handle_request(&mut self, at: usize, from: usize, round: u64, request: ConsensusRequest) {
-        let (response, records) = self.replicas[at].acceptor.handle(request);
+    fn handle_request(&mut self, index: usize, from: usize, round: u64, request: ConsensusRequest) {
+        let (response, records) = self.replicas[index].acceptor.handle(request);
         let longest_delay = if self.rng.below(30) == 0 { 700 } else { 6 };
         let delay = 1 + self.rng.below(longest_delay);
         let reply = Some(Reply { to: from, payload: Payload::Response { round, response } });
-        let unsynced = &mut self.replicas[at].unsynced;
-        // The disk works in order: nothing is answered before what came before it is synced.
+        let unsynced = &mut self.replicas[index].unsynced;
+        // The disk syncs writes in order, so a response waits for all earlier writes.
         let earliest = unsynced.last().map_or(0, |write| write.synced_at);
         unsynced.push(PendingWrite { synced_at: earliest.max(self.now + delay), records, reply });
     }
@@ -284,9 +286,9 @@
     /// Advances the time by one millisecond.
     pub fn step(&mut self) {
         self.now += 1;
-        for at in 0..self.replicas.len() {
-            self.sync_writes(at);
-            self.read_others(at);
+        for index in 0..self.replicas.len() {
+            self.sync_writes(index);
+            self.read_others(index);
         }
         let now = self.now;
         let (arrived, in_transit) =
@@ -295,31 +297,31 @@
         arrived.into_iter().for_each(|packet| self.deliver(packet));
     }
 
-    fn sync_writes(&mut self, at: usize) {
+    fn sync_writes(&mut self, index: usize) {
         let is_synced = |write: &PendingWrite, now| write.synced_at <= now;
-        while self.replicas[at].is_up
-            && self.replicas[at].unsynced.first().is_some_and(|write| is_synced(write, self.now))
+        while self.replicas[index].is_up
+            && self.replicas[index].unsynced.first().is_some_and(|write| is_synced(write, self.now))
         {
-            let replica = &mut self.replicas[at];
+            let replica = &mut self.replicas[index];
             let write = replica.unsynced.remove(0);
             write.records.into_iter().for_each(|record| replica.disk.replay(record));
             if let Some(reply) = write.reply {
-                self.send(at, reply.to, reply.payload);
+                self.send(index, reply.to, reply.payload);
             }
         }
     }
 
-    /// An acceptor in recovery reads the others.
-    fn read_others(&mut self, at: usize) {
-        if !self.replicas[at].reads_others(self.now) {
+    /// Lets an acceptor in recovery read the others.
+    fn read_others(&mut self, index: usize) {
+        if !self.replicas[index].reads_others(self.now) {
             return;
         }
-        let membership = self.replicas[at].acceptor.membership.clone();
-        let peers = self.replicas[at].acceptor.recovery_peers();
-        self.replicas[at].reads.clear();
+        let membership = self.replicas[index].acceptor.membership.clone();
+        let peers = self.replicas[index].acceptor.recovery_peers();
+        self.replicas[index].reads.clear();
         for to in 0..self.replicas.len() {
             if peers.contains(&ip(to)) {
-                self.send_request(at, to, 0, &membership, &ConsensusOperation::Snapshot);
+                self.send_request(index, to, 0, &membership, &ConsensusOperation::Snapshot);
             }
         }
     }
--- a/consensus/src/testing/storage/mod.rs
+++ b/consensus/src/testing/storage/mod.rs
@@ -1,4 +1,4 @@
-//! The store on a simulated disk.
+//! Tests of the store on a simulated disk.
 
 mod simulated_directory;
 mod simulated_disk;
--- a/consensus/src/testing/storage/simulated_disk.rs
+++ b/consensus/src/testing/storage/simulated_disk.rs
@@ -1,6 +1,6 @@
-//! A simulated disk for tests of the store. What was not synced may be kept, lost or torn block by
-//! block at a power loss; names that were not synced are kept or lost one by one; a failed sync drops
-//! what it should have written, while reads still give it.
+//! A simulated disk for tests of the store. At a power loss, writes that were not synced may be kept, lost or torn
+//! block by block, and file names that were not synced are kept or lost one by one. A failed sync drops part of the
+//! pending writes, while reads still return them.
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
@@ -10,15 +10,16 @@
 use kernel::{hashing, Rng};
 
 const BLOCK_BYTES: usize = 64;
-const LOST_PROCESS: &str = "the process is gone";
+const PROCESS_ENDED: &str = "the process has ended";
 
+/// A change of the content of a file.
 #[derive(Clone)]
 pub enum FileChange {
     Write(usize, Vec<u8>),
     Truncate(usize),
 }
 
-/// A change of the names, with the file that it concerns: it does nothing to another file of that name.
+/// A change of the file names, with the inode of the affected file. It does not affect another file of the same name.
 #[derive(Clone)]
 pub enum NameChange {
     Create(String, usize),
@@ -26,8 +27,8 @@
     Remove(String, usize),
 }
 
-/// Invariant: `cached` is what reads give; `stored` with all of `pending` done would be the same,
-/// unless a sync failed.
+/// The content of a file. Invariant: reads return `cached`, which equals `stored` with all `pending` changes applied,
+/// unless a sync has failed.
 #[derive(Default)]
 pub struct Inode {
     pub cached: Vec<u8>,
@@ -35,24 +36,25 @@
     pub pending: Vec<FileChange>,
 }
 
-/// What goes wrong, and guards of the store that are made to do nothing.
+/// The faults of a disk, and operations that it ignores in order to disable a safeguard of the store.
 #[derive(Clone, Default)]
 pub struct Faults {
-    /// Out of a thousand writes, syncs and name changes.
+    /// The number of operations out of a thousand that fail.
     pub errors: u64,
+    /// The capacity of the disk, in bytes.
     pub capacity: usize,
-    /// The process ends in the middle of the operation this many ahead.
+    /// The number of operations after which the process ends, in the middle of the next one.
     pub crash_in: Option<u64>,
     pub directory_sync_ignored: bool,
     pub file_sync_ignored: Option<&'static str>,
-    /// Bytes written over the same bytes do not reach the disk.
+    /// Whether a write that does not change the content is dropped.
     pub rewrites_ignored: bool,
     pub truncations_ignored: bool,
-    /// Names become durable only by a sync of the directory, not by a sync of the new file.
+    /// Whether a new name becomes durable only by a sync of the directory, not by a sync of the file.
     pub strict_names: bool,
 }
 
-/// A disk with the names and files on it, in memory and stored.
+/// A disk with its files and their names, both as cached in memory and as stored.
 pub struct Disk {
     pub inodes: Vec<Inode>,
     pub names: BTreeMap<String, usize>,
@@ -63,7 +65,7 @@
     pub crashed: bool,
 }
 
-/// A disk as the test and the store share it.
+/// A disk that the test and the store share.
 pub type SharedDisk = Arc<Mutex<Disk>>;
 
 fn apply_write(content: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Some blocks of each write reach the disk, others do not.
-    fn store_in_part(&mut self, change: &FileChange, rng: &mut Rng, kept_of_ten: u64) {
+    /// Stores some blocks of a write and drops the others.
+    fn store_partially(&mut self, change: &FileChange, rng: &mut Rng, kept_of_ten: u64) {
         let FileChange::Write(offset, bytes) = change else { return };
         for (index, block) in bytes.chunks(BLOCK_BYTES).enumerate() {
             if rng.below(10) < kept_of_ten {
@@ -125,14 +127,14 @@
         }))
     }
 
-    /// Bytes that files with a name take.
+    /// Returns the total size of the files that have a name, in bytes.
     pub fn used(&self) -> usize {
         self.names.values().map(|inode| self.inodes[*inode].cached.len()).sum()
     }
 
-    /// Loses what is in memory only; the next process finds what the disk holds.
+    /// Simulates a power loss: discards what is cached in memory only, and starts the next process.
     pub fn lose_power(&mut self) {
-        // At some losses all that was not synced is gone, at some all is there.
+        // In some power losses all writes that were not synced are lost, in others all are kept.
         let kept_of_ten = [0, 2, 5, 8, 10][self.rng.below(5) as usize];
         let changes = mem::take(&mut self.pending_names);
         for change in changes {
@@ -144,7 +146,7 @@
             for change in mem::take(&mut inode.pending) {
                 match change {
                     FileChange::Truncate(_) if self.rng.below(10) < kept_of_ten => inode.store(&change),
-                    _ => inode.store_in_part(&change, &mut self.rng, kept_of_ten),
+                    _ => inode.store_partially(&change, &mut self.rng, kept_of_ten),
                 }
             }
             inode.cached = inode.stored.clone();
@@ -153,30 +155,30 @@
         self.restart();
     }
 
-    /// A process ends and the next begins; what the kernel holds stays.
+    /// Ends the process and starts the next one. The page cache of the kernel is kept.
     pub fn restart(&mut self) {
         (self.crashed, self.faults.crash_in) = (false, None);
     }
 
-    /// Returns an error where the process has ended, ends here, or the disk fails.
-    pub fn operate(&mut self) -> Result<()> {
+    /// Returns an error if the process has ended, ends in this operation, or the disk fails.
+    pub fn begin_operation(&mut self) -> Result<()> {
         if self.crashed {
-            return Err(Error::other(LOST_PROCESS));
+            return Err(Error::other(PROCESS_ENDED));
         }
         if let Some(left) = &mut self.faults.crash_in {
             if *left == 0 {
                 self.crashed = true;
-                return Err(Error::other(LOST_PROCESS));
+                return Err(Error::other(PROCESS_ENDED));
             }
             *left -= 1;
         }
         if self.rng.below(1000) < self.faults.errors {
-            return Err(Error::other("the disk refuses"));
+            return Err(Error::other("simulated disk error"));
         }
         Ok(())
     }
 
-    /// Changes the names in memory.
+    /// Changes the cached file names.
     pub fn change_name(&mut self, change: NameChange) {
         apply_name(&mut self.names, &change);
         self.pending_names.push(change);
@@ -186,36 +188,36 @@
         self.names.iter().find(|(_, number)| **number == inode).map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// Writes to a file in memory, in part where that fails.
+    /// Writes to the cached content of a file. A write that fails may be done in part.
     pub fn write(&mut self, inode: usize, offset: usize, bytes: &[u8]) -> Result<()> {
-        let outcome = self.operate();
+        let outcome = self.begin_operation();
         let cached = &self.inodes[inode].cached;
         let growth = (offset + bytes.len()).saturating_sub(cached.len());
         let free = self.faults.capacity.saturating_sub(self.used());
-        let full = growth > free;
-        // A write that fails may have been done in part.
-        let size = match outcome.is_err() || full {
+        let is_full = growth > free;
+        // A failed write may have been done in part, up to the free space.
+        let size = match outcome.is_err() || is_full {
             true => {
                 self.rng.below((bytes.len() + 1).min(bytes.len().saturating_sub(growth) + free + 1) as u64) as usize
             }
             false => bytes.len(),
         };
         let inode_state = &mut self.inodes[inode];
-        let same = inode_state.cached.get(offset..offset + size) == Some(&bytes[..size]);
+        let is_unchanged = inode_state.cached.get(offset..offset + size) == Some(&bytes[..size]);
         apply_write(&mut inode_state.cached, offset, &bytes[..size]);
-        if !(same && self.faults.rewrites_ignored) {
+        if !(is_unchanged && self.faults.rewrites_ignored) {
             inode_state.pending.push(FileChange::Write(offset, bytes[..size].to_vec()));
         }
         outcome?;
-        match full {
+        match is_full {
             true => Err(Error::new(ErrorKind::StorageFull, "the disk is full")),
             false => Ok(()),
         }
     }
 
-    /// Stores what was written to a file; a failed sync drops part of it.
+    /// Stores the pending changes of a file. A failed sync drops part of the writes.
     pub fn sync_file(&mut self, inode: usize) -> Result<()> {
-        let outcome = self.operate();
+        let outcome = self.begin_operation();
         let name = self.name_of(inode);
         if outcome.is_ok() && self.faults.file_sync_ignored.is_some_and(|prefix| name.starts_with(prefix)) {
             return Ok(());
@@ -227,9 +229,9 @@
         for change in mem::take(&mut inode_state.pending) {
             match (&outcome, &change) {
                 (Ok(()), _) => inode_state.store(&change),
-                // The length of a file is in the journal of the file system, which is written again.
+                // The length of a file is in the journal of the file system, which retries the write.
                 (Err(_), FileChange::Truncate(_)) => inode_state.pending.push(change),
-                (Err(_), FileChange::Write(..)) => inode_state.store_in_part(&change, &mut self.rng, 5),
+                (Err(_), FileChange::Write(..)) => inode_state.store_partially(&change, &mut self.rng, 5),
             }
         }
         if outcome.is_ok() && !self.faults.strict_names {
@@ -243,9 +245,9 @@
         outcome
     }
 
-    /// Stores all names.
+    /// Stores all file names.
     pub fn sync_names(&mut self) -> Result<()> {
-        self.operate()?;
+        self.begin_operation()?;
         if self.faults.directory_sync_ignored {
             return Ok(());
         }
--- a/consensus/src/testing/storage/workload.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -1,6 +1,6 @@
-//! The store at random work on a simulated disk that loses power, ends the process, fills up and refuses.
-//! After each opening all that was reported as synced must be there, and nothing but part of what was
-//! in flight may be new.
+//! A random workload of the store on a simulated disk with power losses, ended processes, full disks and errors.
+//! Whenever the store is opened, all records that were reported as synced must be present, and the only other ones may
+//! be the first records of a batch that was in flight.
 
 use std::fmt;
 
@@ -13,55 +13,59 @@
 use crate::storage::{Store, StoreError};
 use crate::LogRecord;
 
+/// The segment length of the store under test, in bytes.
 const SEGMENT_BYTES: u64 = 2000;
 const KEYS: u64 = 5;
 const MAX_BODY_BYTES: u64 = 300;
-/// The disk of a whole run: the store must never need more.
+/// The capacity of the disk, in bytes. The store must never need more during a run.
 const CAPACITY: usize = 16_000;
-/// What remains after a snapshot: all keys, the members, and a new segment with little in it.
+/// The maximum size of the files after a snapshot, in bytes: all keys, the membership and a new, short segment.
 const MAX_BYTES_AFTER_SNAPSHOT: usize = 4_000;
 
-/// How a run failed.
+/// The failure of a run.
 #[derive(Debug)]
 pub enum RunError {
-    /// The store reports corruption where none was injected.
-    TakenForCorrupted(StoreError),
-    /// The store does not open on a disk without faults.
-    NeverOpens(StoreError),
-    /// Records that were reported as synced are missing, or others are there.
+    /// The store reported corruption although none was injected.
+    FalseCorruption(StoreError),
+    /// The store could not be opened on a disk without faults.
+    OpenFailed(StoreError),
+    /// Records that were reported as synced are missing, or unexpected records were found.
     WrongRecords { expected: Vec<LogRecord>, found: Vec<LogRecord> },
-    /// No snapshot can be made on a disk without faults.
-    NoSnapshot(StoreError),
-    /// Nothing can be appended on a disk without faults.
-    StaysFull(StoreError),
-    /// So many bytes are left after a snapshot.
-    BytesLeft(usize),
+    /// No snapshot could be made on a disk without faults.
+    SnapshotFailed(StoreError),
+    /// No record could be appended on a disk without faults.
+    AppendFailed(StoreError),
+    /// The files are larger than expected after a snapshot; the size in bytes.
+    TooManyBytes(usize),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RunError::TakenForCorrupted(error) => write!(formatter, "taken for corrupted: {error}"),
-            RunError::NeverOpens(error) => write!(formatter, "never opens: {error}"),
+            RunError::FalseCorruption(error) => write!(formatter, "corruption was reported but not injected: {error}"),
+            RunError::OpenFailed(error) => write!(formatter, "the store cannot be opened: {error}"),
             RunError::WrongRecords { expected, found } => {
                 write!(formatter, "expected {expected:?}\nfound {found:?}")
             }
-            RunError::NoSnapshot(error) => write!(formatter, "no snapshot: {error}"),
-            RunError::StaysFull(error) => write!(formatter, "stays full: {error}"),
-            RunError::BytesLeft(bytes) => {
-                write!(formatter, "{bytes} bytes stay on the disk, at most {MAX_BYTES_AFTER_SNAPSHOT} expected")
+            RunError::SnapshotFailed(error) => write!(formatter, "no snapshot can be made: {error}"),
+            RunError::AppendFailed(error) => write!(formatter, "no record can be appended: {error}"),
+            RunError::TooManyBytes(bytes) => {
+                write!(
+                    formatter,
+                    "{bytes} bytes are in use after a snapshot, at most {MAX_BYTES_AFTER_SNAPSHOT} expected"
+                )
             }
         }
     }
 }
 
-/// The store under test, and what must be found on its disk.
+/// A run of the workload, with the state that must be found on the disk.
 pub struct Run {
     pub disk: SharedDisk,
     pub rng: Rng,
-    /// All that was reported as synced.
+    /// The state after all records that were reported as synced.
     acknowledged: Acceptor,
-    /// Batches whose writing failed and that nothing has overwritten for certain.
+    /// Batches whose append failed and that are not yet known to be overwritten.
     in_flight: Vec<Vec<LogRecord>>,
     term: u64,
 }
@@ -73,22 +77,22 @@
 }
 
 impl Run {
-    /// Starts with an empty disk that has these faults.
+    /// Creates a run with an empty disk that has these faults.
     pub fn new(seed: u64, faults: Faults) -> Run {
         let disk = Disk::new(seed);
-        disk.lock().expect("disk").faults = Faults { capacity: CAPACITY, ..faults };
+        disk.lock().expect("the disk lock").faults = Faults { capacity: CAPACITY, ..faults };
         let acknowledged = Acceptor::new("10.0.0.1");
         Run { disk, rng: Rng::new(hashing::combine(seed, 3)), acknowledged, in_flight: Vec::new(), term: 0 }
     }
 
     /// Changes the faults of the disk.
-    pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut self.disk.lock().expect("disk").faults);
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
+        change(&mut self.disk.lock().expect("the disk lock").faults);
     }
 
     /// Returns whether the process has ended.
     pub fn crashed(&self) -> bool {
-        self.disk.lock().expect("disk").crashed
+        self.disk.lock().expect("the disk lock").crashed
     }
 
     fn record(&mut self) -> LogRecord {
@@ -114,18 +118,18 @@
     }
 
     fn end_process(&mut self) {
-        let mut disk = self.disk.lock().expect("disk");
+        let mut disk = self.disk.lock().expect("the disk lock");
         match self.rng.below(3) {
             0 => disk.restart(),
             _ => disk.lose_power(),
         }
     }
 
-    /// Opens again and again until it works, as the controller does.
+    /// Opens the store, with retries as the controller makes them, and checks the records that are found.
     pub fn open(&mut self) -> Result<Store, RunError> {
         for attempt in 0.. {
             if attempt == 20 {
-                self.faults(|faults| (faults.errors, faults.capacity) = (0, CAPACITY));
+                self.change_faults(|faults| (faults.errors, faults.capacity) = (0, CAPACITY));
             }
             let mut found = Acceptor::new("10.0.0.1");
             let directory = Box::new(SimulatedDirectory(self.disk.clone()));
@@ -136,20 +140,20 @@
                     self.in_flight.clear();
                     return Ok(store);
                 }
-                Err(error @ StoreError::Corrupted { .. }) => return Err(RunError::TakenForCorrupted(error)),
+                Err(error @ StoreError::Corrupted { .. }) => return Err(RunError::FalseCorruption(error)),
                 Err(StoreError::Io { .. }) if self.crashed() => self.end_process(),
-                Err(error) if attempt > 40 => return Err(RunError::NeverOpens(error)),
+                Err(error) if attempt > 40 => return Err(RunError::OpenFailed(error)),
                 Err(_) => {}
             }
         }
-        unreachable!("the loop has no end")
+        unreachable!("the loop only ends by returning")
     }
 
     fn check(&self, found: &Acceptor) -> Result<(), RunError> {
-        let may_be = |records: &[LogRecord]| after(&self.acknowledged, records).snapshot() == found.snapshot();
-        let fits =
-            may_be(&[]) || self.in_flight.iter().any(|batch| (1..=batch.len()).any(|length| may_be(&batch[..length])));
-        match fits {
+        let is_expected = |records: &[LogRecord]| after(&self.acknowledged, records).snapshot() == found.snapshot();
+        let is_valid = is_expected(&[])
+            || self.in_flight.iter().any(|batch| (1..=batch.len()).any(|length| is_expected(&batch[..length])));
+        match is_valid {
             true => Ok(()),
             false => Err(RunError::WrongRecords { expected: self.acknowledged.snapshot(), found: found.snapshot() }),
         }
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Tries to make a snapshot.
+    /// Tries to make a snapshot of the acknowledged state.
     pub fn snapshot(&mut self, store: &mut Store) {
         if store.snapshot(&self.acknowledged.snapshot()).is_ok() {
             self.in_flight.clear();
@@ -185,23 +189,23 @@
     }
 
     fn inject_faults(&mut self) {
-        let used = self.disk.lock().expect("disk").used();
+        let used = self.disk.lock().expect("the disk lock").used();
         let free = self.rng.below(1500) as usize;
-        let ahead = self.rng.below(40);
+        let operations = self.rng.below(40);
         match self.rng.below(5) {
-            0 => self.faults(|faults| faults.errors = 0),
-            1 => self.faults(|faults| faults.errors = 40),
-            2 => self.faults(|faults| faults.errors = 300),
-            3 => self.faults(|faults| faults.capacity = (used + free).min(CAPACITY)),
-            _ => self.faults(|faults| faults.capacity = CAPACITY),
+            0 => self.change_faults(|faults| faults.errors = 0),
+            1 => self.change_faults(|faults| faults.errors = 40),
+            2 => self.change_faults(|faults| faults.errors = 300),
+            3 => self.change_faults(|faults| faults.capacity = (used + free).min(CAPACITY)),
+            _ => self.change_faults(|faults| faults.capacity = CAPACITY),
         }
         if self.rng.below(2) == 0 {
-            self.faults(|faults| faults.crash_in = Some(ahead));
+            self.change_faults(|faults| faults.crash_in = Some(operations));
         }
     }
 
     /// Runs this many random operations, then checks that the store works on a disk without faults.
-    pub fn steps(&mut self, count: u64) -> Result<(), RunError> {
+    pub fn run_operations(&mut self, count: u64) -> Result<(), RunError> {
         let mut store = self.open()?;
         for _ in 0..count {
             match self.rng.below(10) {
@@ -219,25 +223,25 @@
         }
         drop(store);
         self.end_process();
-        self.faults(|faults| (faults.errors, faults.capacity, faults.crash_in) = (0, CAPACITY, None));
+        self.change_faults(|faults| (faults.errors, faults.capacity, faults.crash_in) = (0, CAPACITY, None));
         self.finish()
     }
 
-    /// Once the disk works again, everything succeeds and files that are not needed are gone.
+    /// Checks that every operation succeeds once the disk works again, and that files that are not needed are removed.
     pub fn finish(&mut self) -> Result<(), RunError> {
         let mut store = self.open()?;
         if store.is_snapshot_due() {
-            store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::NoSnapshot)?;
+            store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::SnapshotFailed)?;
         }
         let batch = self.batch();
-        store.append(&batch).map_err(RunError::StaysFull)?;
+        store.append(&batch).map_err(RunError::AppendFailed)?;
         self.acknowledged = after(&self.acknowledged, &batch);
-        store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::NoSnapshot)?;
-        let used = self.disk.lock().expect("disk").used();
+        store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::SnapshotFailed)?;
+        let used = self.disk.lock().expect("the disk lock").used();
         if used > MAX_BYTES_AFTER_SNAPSHOT {
-            return Err(RunError::BytesLeft(used));
+            return Err(RunError::TooManyBytes(used));
         }
-        self.disk.lock().expect("disk").lose_power();
+        self.disk.lock().expect("the disk lock").lose_power();
         self.open().map(drop)
     }
 }
--- a/consensus/src/testing/storage/workload_tests.rs
+++ b/consensus/src/testing/storage/workload_tests.rs
@@ -1,4 +1,4 @@
-//! Random runs of the store, and runs with defects that the workload must find.
+//! Random runs of the store, and runs with injected defects that the workload must find.
 
 use kernel::{hashing, Rng};
 
@@ -7,31 +7,31 @@
 
 fn run(seed: u64, faults: Faults) -> Result<(), RunError> {
     let strict_names = seed & 1 == 0;
-    Run::new(seed, Faults { strict_names, ..faults }).steps(60)
+    Run::new(seed, Faults { strict_names, ..faults }).run_operations(60)
 }
 
-/// The first seed at which a run fails.
+/// Returns the first seed whose run fails.
 fn first_failure(faults: &Faults) -> Option<u64> {
     (0..1000).find(|seed| run(*seed, faults.clone()).is_err())
 }
 
 #[test]
-fn what_was_synced_is_there_after_any_fault() {
+fn synced_records_survive_every_fault() {
     for seed in 0..2000 {
         run(seed, Faults::default()).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     }
 }
 
-/// The same work, with the process ended at each of its operations in turn.
+/// Runs the same workload repeatedly and ends the process at each of its operations in turn.
 #[test]
 fn a_process_may_end_at_every_operation() {
     for seed in 0..10 {
-        for ahead in 0.. {
-            let mut run = Run::new(hashing::combine(seed, ahead), Faults::default());
+        for operations in 0.. {
+            let mut run = Run::new(hashing::combine(seed, operations), Faults::default());
             run.rng = Rng::new(seed + 1);
-            run.faults(|faults| faults.crash_in = Some(ahead));
-            let completed =
-                run_workload(&mut run).unwrap_or_else(|error| panic!("seed {seed}, operation {ahead}: {error}"));
+            run.change_faults(|faults| faults.crash_in = Some(operations));
+            let completed = run_workload(&mut run)
+                .unwrap_or_else(|error| panic!("seed {seed}, process end after {operations} operations: {error}"));
             if completed {
                 break;
             }
@@ -39,7 +39,7 @@
     }
 }
 
-/// True: it came to its end without a crash.
+/// Returns whether the workload completed without a crash.
 fn run_workload(run: &mut Run) -> Result<bool, RunError> {
     let mut store = run.open()?;
     for step in 0..12 {
@@ -48,12 +48,12 @@
             run.snapshot(&mut store);
         }
         if run.crashed() {
-            run.disk.lock().expect("disk").lose_power();
+            run.disk.lock().expect("the disk lock").lose_power();
             run.finish()?;
             return Ok(false);
         }
     }
-    Ok(run.disk.lock().expect("disk").faults.crash_in.is_some())
+    Ok(run.disk.lock().expect("the disk lock").faults.crash_in.is_some())
 }
 
 #[test]
