--- a/consensus/src/testing/storage/simulated_disk.rs
+++ b/consensus/src/testing/storage/simulated_disk.rs
@@ -160,7 +160,7 @@
         (self.crashed, self.faults.crash_in) = (false, None);
     }
 
-    /// Returns an error if the process has ended, ends in this operation, or the disk fails.
+    /// Starts an operation. Returns an error if the process has ended, ends in this operation, or the disk fails.
     pub fn begin_operation(&mut self) -> Result<()> {
         if self.crashed {
             return Err(Error::other(PROCESS_ENDED));
--- a/consensus/src/testing/unit/acceptor_tests.rs
+++ b/consensus/src/testing/unit/acceptor_tests.rs
@@ -1,4 +1,4 @@
-//! Acceptors during changes of the members.
+//! Tests of acceptors during membership changes.
 
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry, KeyPosition, Member, Position,
@@ -18,17 +18,18 @@
     machines.iter().map(|machine| Member { ip: address(*machine), zone: String::new() }).collect()
 }
 
-/// Four members, before the last of them is removed.
-fn four() -> CoreMembership {
+/// The membership of four, before the last member is removed.
+fn four_members() -> CoreMembership {
     CoreMembership { version: 1, members: members(&[0, 1, 2, 3]), previous_members: Vec::new(), stable: true }
 }
 
-fn three() -> CoreMembership {
-    CoreMembership { version: 2, members: members(&[0, 1, 2]), previous_members: four().members, stable: false }
+/// The joint membership of three, without the last member.
+fn three_members() -> CoreMembership {
+    CoreMembership { version: 2, members: members(&[0, 1, 2]), previous_members: four_members().members, stable: false }
 }
 
 fn acceptor(machine: usize) -> Acceptor {
-    Acceptor { membership: four(), may_vote: true, ..Acceptor::new(&address(machine)) }
+    Acceptor { membership: four_members(), may_vote: true, ..Acceptor::new(&address(machine)) }
 }
 
 fn entry(body: Vec<u8>) -> Entry {
@@ -47,65 +48,65 @@
     }
 }
 
-/// All four acceptors; the membership of three was committed on the disks of the first three.
-fn acceptors_as_one_is_removed() -> Vec<Acceptor> {
+/// Returns all four acceptors. The membership of three was committed on the disks of the first three.
+fn acceptors_during_a_removal() -> Vec<Acceptor> {
     let mut acceptors: Vec<Acceptor> = (0..4).map(acceptor).collect();
     for acceptor in &mut acceptors[..3] {
-        accept(acceptor, four(), MEMBERSHIP_KEY, encode_membership(&three()));
+        accept(acceptor, four_members(), MEMBERSHIP_KEY, encode_membership(&three_members()));
     }
     acceptors
 }
 
 #[test]
-fn one_that_is_no_member_any_more_says_what_it_holds() {
+fn a_removed_member_reports_its_positions_but_does_not_vote() {
     let mut leaving = acceptor(3);
-    accept(&mut leaving, four(), KEY, b"x".to_vec());
+    accept(&mut leaving, four_members(), KEY, b"x".to_vec());
     let (response, _) =
-        leaving.handle(ConsensusRequest { membership: three(), operation: ConsensusOperation::Positions });
+        leaving.handle(ConsensusRequest { membership: three_members(), operation: ConsensusOperation::Positions });
     let position = Position { proposal_number: entry(Vec::new()).proposal_number, index: 1 };
     assert_eq!(response, ConsensusResponse::Positions { positions: vec![KeyPosition { key: KEY.into(), position }] });
     let (response, _) = leaving.handle(ConsensusRequest {
-        membership: three(),
+        membership: three_members(),
         operation: ConsensusOperation::Prepare { key: KEY.into(), proposal_number: ProposalNumber::default() },
     });
-    assert_eq!(response, ConsensusResponse::NonVoting, "it votes no more");
+    assert_eq!(response, ConsensusResponse::NonVoting, "it no longer votes");
 }
 
 #[test]
 fn an_acceptor_in_recovery_reports_no_positions() {
-    let mut wiped = Acceptor { membership: four(), ..Acceptor::new(&address(0)) };
+    let mut wiped = Acceptor { membership: four_members(), ..Acceptor::new(&address(0)) };
     assert_eq!(
-        wiped.handle(ConsensusRequest { membership: four(), operation: ConsensusOperation::Positions }).0,
+        wiped.handle(ConsensusRequest { membership: four_members(), operation: ConsensusOperation::Positions }).0,
         ConsensusResponse::NonVoting
     );
 }
 
-/// Two of three are a quorum of the new membership, and no majority of the four before.
+/// Two acceptors are a quorum of the three new members, but not a majority of the four previous ones.
 #[test]
-fn an_acceptor_in_recovery_waits_while_a_newer_membership_may_be_committed() {
-    let mut acceptors = acceptors_as_one_is_removed();
+fn recovery_does_not_end_while_a_newer_membership_may_be_committed() {
+    let mut acceptors = acceptors_during_a_removal();
     for acceptor in &mut acceptors[..2] {
-        accept(acceptor, three(), KEY, b"acknowledged".to_vec());
+        accept(acceptor, three_members(), KEY, b"acknowledged".to_vec());
     }
-    let mut wiped = Acceptor { membership: four(), ..Acceptor::new(&address(0)) };
+    let mut wiped = Acceptor { membership: four_members(), ..Acceptor::new(&address(0)) };
     assert!(wiped.has_enough_reads(&[address(2), address(3)]));
-    let reads = vec![snapshot(&mut acceptors[2], four()), snapshot(&mut acceptors[3], four())];
+    let reads = vec![snapshot(&mut acceptors[2], four_members()), snapshot(&mut acceptors[3], four_members())];
     assert_eq!(wiped.recover(reads), None);
     assert!(!wiped.may_vote);
 
-    // Notified of the new membership, it reads those that responded under it.
-    wiped.adopt_membership(&three());
+    // Once notified of the new membership, it reads acceptors that responded under it.
+    wiped.adopt_membership(&three_members());
     assert!(!wiped.has_enough_reads(&[address(2), address(3)]));
-    let reads = (1..4).map(|machine| snapshot(&mut acceptors[machine], three())).collect();
-    let records = wiped.recover(reads).expect("enough");
+    let reads = (1..4).map(|machine| snapshot(&mut acceptors[machine], three_members())).collect();
+    let records = wiped.recover(reads).expect("enough acceptors were read");
     assert_eq!(wiped.registers[KEY].entry, Some(entry(b"acknowledged".to_vec())));
     assert_eq!(records.last(), Some(&LogRecord::VotingEnabled));
 }
 
 #[test]
-fn a_membership_that_is_known_keeps_no_acceptor_in_recovery_waiting() {
-    let mut acceptors = acceptors_as_one_is_removed();
-    let mut wiped = Acceptor { membership: three(), ..Acceptor::new(&address(0)) };
-    let reads = (1..4).map(|machine| snapshot(&mut acceptors[machine], three())).collect();
+fn recovery_ends_if_the_accepted_membership_is_already_known() {
+    let mut acceptors = acceptors_during_a_removal();
+    let mut wiped = Acceptor { membership: three_members(), ..Acceptor::new(&address(0)) };
+    let reads = (1..4).map(|machine| snapshot(&mut acceptors[machine], three_members())).collect();
     assert!(wiped.recover(reads).is_some());
 }
--- a/consensus/src/testing/unit/confirmation_tests.rs
+++ b/consensus/src/testing/unit/confirmation_tests.rs
@@ -1,9 +1,9 @@
-//! What a read at a quorum says about the state known here.
+//! Tests of quorum reads that confirm the known state.
 use super::{newest_committed, Confirmation, StaleKey};
 use protocol::message::{CoreMembership, Entry, KeyPosition, Member, Position, ProposalNumber};
 
 fn membership(size: usize) -> CoreMembership {
-    let list = (0..size).map(|at| Member { ip: format!("m{at}"), zone: String::new() }).collect();
+    let list = (0..size).map(|index| Member { ip: format!("m{index}"), zone: String::new() }).collect();
     CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
 }
 
@@ -19,14 +19,14 @@
     Position { proposal_number: proposal_number(term), index }
 }
 
-fn positions(list: &[(&str, u64, u64)]) -> Vec<KeyPosition> {
-    let named =
+fn positions(positions: &[(&str, u64, u64)]) -> Vec<KeyPosition> {
+    let key_position =
         |(key, term, index): &(&str, u64, u64)| KeyPosition { key: key.to_string(), position: position(*term, *index) };
-    list.iter().map(named).collect()
+    positions.iter().map(key_position).collect()
 }
 
 #[test]
-fn one_acceptor_is_no_quorum_however_often_it_answers() {
+fn an_acceptor_that_responds_twice_counts_once() {
     let mut confirmation = Confirmation::new(&membership(3));
     confirmation.record("m0", positions(&[]));
     confirmation.record("m0", positions(&[]));
@@ -36,21 +36,21 @@
 }
 
 #[test]
-fn what_a_quorum_holds_alike_is_committed_and_what_one_holds_is_not() {
+fn a_position_is_committed_only_if_a_quorum_reports_it() {
     let mut confirmation = Confirmation::new(&membership(3));
     confirmation.record("m0", positions(&[("config", 2, 7), ("evacuation/z", 1, 1)]));
     confirmation.record("m1", positions(&[("config", 2, 7), ("evacuation/z", 1, 2)]));
     let known = |key: &str| (key == "config").then_some(position(2, 6));
-    let behind = confirmation.stale_keys(known);
+    let stale_keys = confirmation.stale_keys(known);
     let expected = [
         StaleKey { key: "config".into(), position: position(2, 7), is_committed: true },
         StaleKey { key: "evacuation/z".into(), position: position(1, 2), is_committed: false },
     ];
-    assert_eq!(behind, expected);
+    assert_eq!(stale_keys, expected);
 }
 
 #[test]
-fn nothing_is_behind_where_all_is_known() {
+fn no_key_is_stale_if_the_known_position_is_the_newest() {
     let mut confirmation = Confirmation::new(&membership(3));
     confirmation.record("m0", positions(&[("config", 2, 7)]));
     confirmation.record("m1", positions(&[("config", 2, 6)]));
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn acceptors_that_moved_on_between_two_reads_still_show_a_committed_entry() {
+fn newest_committed_finds_an_entry_although_an_acceptor_has_accepted_a_newer_one() {
     let from = |name: &str, entry: Entry| (name.to_string(), entry);
-    let moved = [from("m0", entry(2, 9)), from("m1", entry(2, 8)), from("m2", entry(2, 8))];
-    assert_eq!(newest_committed(&membership(3), &moved), Some(entry(2, 8)));
-    assert_eq!(newest_committed(&membership(3), &moved[..2]), None, "each on one acceptor only");
+    let fetched = [from("m0", entry(2, 9)), from("m1", entry(2, 8)), from("m2", entry(2, 8))];
+    assert_eq!(newest_committed(&membership(3), &fetched), Some(entry(2, 8)));
+    assert_eq!(newest_committed(&membership(3), &fetched[..2]), None, "each entry is on one acceptor only");
 }
--- a/consensus/src/testing/unit/proposal_tests.rs
+++ b/consensus/src/testing/unit/proposal_tests.rs
@@ -1,4 +1,4 @@
-//! One proposal against acceptors that answer in the order a test says.
+//! Tests of a proposal with acceptors that respond in the order set by the test.
 
 use protocol::message::{
     ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Member, ProposalNumber,
@@ -12,16 +12,17 @@
 const KEY: &str = "config";
 
 fn membership(size: usize) -> CoreMembership {
-    let list = (0..size).map(|at| Member { ip: address(at), zone: String::new() }).collect();
+    let list = (0..size).map(|index| Member { ip: address(index), zone: String::new() }).collect();
     CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true }
 }
 
-fn address(at: usize) -> String {
-    format!("10.0.0.{at}")
+fn address(index: usize) -> String {
+    format!("10.0.0.{index}")
 }
 
 fn acceptors(size: usize) -> Vec<Acceptor> {
-    let acceptor = |at: usize| Acceptor { membership: membership(size), may_vote: true, ..Acceptor::new(&address(at)) };
+    let acceptor =
+        |index: usize| Acceptor { membership: membership(size), may_vote: true, ..Acceptor::new(&address(index)) };
     (0..size).map(acceptor).collect()
 }
 
@@ -34,17 +35,17 @@
     ProposalNumber { term, replica_id: 1 }
 }
 
-/// Writes this body whatever is committed.
+/// Decides to write this body, whatever is committed.
 fn write(body: &'static str) -> impl FnMut(&[u8]) -> Decision<&'static str> {
     move |_| Decision::Write(body.into(), body)
 }
 
-/// Answers with what is committed.
+/// Decides to answer with the committed body.
 fn read() -> impl FnMut(&[u8]) -> Decision<String> {
     |body| Decision::Answer(String::from_utf8_lossy(body).into_owned())
 }
 
-/// Runs a proposal against these acceptors, which all answer each request in turn.
+/// Runs a proposal with these acceptors, which respond to each request one after another.
 fn run<T>(
     acceptors: &mut [Acceptor],
     ownership: Option<Ownership>,
@@ -62,7 +63,7 @@
                     next = Some(operation);
                     break;
                 }
-                over => return over,
+                outcome => return outcome,
             }
         }
         let Some(operation) = next else { return Progress::Wait };
@@ -70,53 +71,54 @@
     }
 }
 
-fn owner<T>(progress: Progress<T>) -> Ownership {
-    let Progress::Finished { ownership: owner, .. } = progress else { panic!("finished") };
+fn ownership<T>(progress: Progress<T>) -> Ownership {
+    let Progress::Finished { ownership: owner, .. } = progress else { panic!("the proposal has not finished") };
     owner
 }
 
 #[test]
-fn a_change_is_committed_on_a_quorum_and_read_by_the_next() {
-    let mut all = acceptors(3);
-    let done = run(&mut all[..2], None, 1, &mut write("a"));
-    assert!(matches!(done, Progress::Finished { answer: "a", written: true, .. }));
-    let seen = run(&mut all[1..], None, 2, &mut read());
-    assert!(matches!(seen, Progress::Finished { answer, written: false, .. } if answer == "a"));
+fn a_change_committed_by_a_quorum_is_read_by_the_next_proposal() {
+    let mut acceptors = acceptors(3);
+    let write_progress = run(&mut acceptors[..2], None, 1, &mut write("a"));
+    assert!(matches!(write_progress, Progress::Finished { answer: "a", written: true, .. }));
+    let read_progress = run(&mut acceptors[1..], None, 2, &mut read());
+    assert!(matches!(read_progress, Progress::Finished { answer, written: false, .. } if answer == "a"));
 }
 
 #[test]
-fn nothing_is_answered_and_nothing_committed_without_a_quorum() {
-    let mut all = acceptors(3);
-    assert_eq!(run(&mut all[..1], None, 1, &mut write("a")), Progress::Wait);
-    assert!(matches!(run(&mut all[..1], None, 2, &mut read()), Progress::Wait));
+fn a_proposal_does_not_finish_without_a_quorum() {
+    let mut acceptors = acceptors(3);
+    assert_eq!(run(&mut acceptors[..1], None, 1, &mut write("a")), Progress::Wait);
+    assert!(matches!(run(&mut acceptors[..1], None, 2, &mut read()), Progress::Wait));
 }
 
 #[test]
 fn an_owner_that_was_superseded_neither_answers_from_memory_nor_commits() {
-    let mut all = acceptors(3);
-    let old = owner(run(&mut all, None, 1, &mut write("a")));
-    owner(run(&mut all, None, 2, &mut write("b")));
-    // It reads again before it answers.
-    let seen = run(&mut all, Some(old.clone()), 3, &mut read());
-    assert!(matches!(seen, Progress::Finished { answer, .. } if answer == "b"));
+    let mut acceptors = acceptors(3);
+    let old_ownership = ownership(run(&mut acceptors, None, 1, &mut write("a")));
+    ownership(run(&mut acceptors, None, 2, &mut write("b")));
+    // It reads at a quorum again before it answers.
+    let read_progress = run(&mut acceptors, Some(old_ownership.clone()), 3, &mut read());
+    assert!(matches!(read_progress, Progress::Finished { answer, .. } if answer == "b"));
     // Its own next change is rejected by the first acceptor that prepared a higher proposal number.
-    assert_eq!(run(&mut all, Some(old), 4, &mut write("c")), Progress::Superseded(proposal_number(3)));
+    assert_eq!(run(&mut acceptors, Some(old_ownership), 4, &mut write("c")), Progress::Superseded(proposal_number(3)));
 }
 
 #[test]
-fn an_owner_under_an_older_membership_claims_the_key_anew() {
-    let mut all = acceptors(3);
-    let mut old = owner(run(&mut all, None, 1, &mut write("a")));
-    old.membership_version = 0;
-    let (_, request) = Proposal::start(KEY, &membership(3), Some(old), proposal_number(5), &mut write("b"), 0);
+fn an_owner_under_an_older_membership_claims_the_key_again() {
+    let mut acceptors = acceptors(3);
+    let mut old_ownership = ownership(run(&mut acceptors, None, 1, &mut write("a")));
+    old_ownership.membership_version = 0;
+    let (_, request) =
+        Proposal::start(KEY, &membership(3), Some(old_ownership), proposal_number(5), &mut write("b"), 0);
     assert_eq!(request, ConsensusOperation::Prepare { key: KEY.into(), proposal_number: proposal_number(5) });
 }
 
 #[test]
-fn responses_that_come_after_the_deadline_do_not_count() {
-    let mut all = acceptors(3);
+fn responses_after_the_deadline_do_not_count() {
+    let mut acceptors = acceptors(3);
     let (mut proposal, request) = Proposal::start(KEY, &membership(3), None, proposal_number(1), &mut write("a"), 0);
-    for acceptor in &mut all {
+    for acceptor in &mut acceptors {
         let response = respond(acceptor, &request);
         assert_eq!(proposal.handle_response(&acceptor.ip, response, &mut write("a"), ROUND_TIMEOUT_MS), Progress::Wait);
     }
@@ -124,11 +126,11 @@
 }
 
 #[test]
-fn an_acceptor_that_answers_twice_counts_once() {
-    let mut all = acceptors(3);
+fn an_acceptor_that_responds_twice_counts_once() {
+    let mut acceptors = acceptors(3);
     let (mut proposal, request) = Proposal::start(KEY, &membership(3), None, proposal_number(1), &mut write("a"), 0);
     for _ in 0..2 {
-        let response = respond(&mut all[0], &request);
+        let response = respond(&mut acceptors[0], &request);
         let response = if let ConsensusResponse::Rejected { .. } = response {
             ConsensusResponse::Prepared { entry: None }
         } else {
--- a/consensus/src/testing/unit/quorum_tests.rs
+++ b/consensus/src/testing/unit/quorum_tests.rs
@@ -1,4 +1,4 @@
-//! Quorums of a membership before, during and after a change always share an acceptor.
+//! Tests that quorums before, during and after a membership change always share an acceptor.
 use super::{is_old_or_new_member, is_quorum, old_and_new_members};
 use protocol::message::{CoreMembership, Member};
 
@@ -15,7 +15,7 @@
     CoreMembership { version: 1, members: members(mask), previous_members: Vec::new(), stable: true }
 }
 
-fn changing(old: u32, new: u32) -> CoreMembership {
+fn joint(old: u32, new: u32) -> CoreMembership {
     CoreMembership { version: 2, members: members(new), previous_members: members(old), stable: false }
 }
 
@@ -23,25 +23,25 @@
     (0..64u32).filter(|mask| is_quorum(membership, &addresses(*mask))).collect()
 }
 
-/// Old members, and new ones after one was added, removed or exchanged.
-fn changes() -> Vec<(u32, u32)> {
-    let mut list = Vec::new();
+/// Returns all pairs of old and new members in which one member is added, removed or replaced.
+fn membership_changes() -> Vec<(u32, u32)> {
+    let mut changes = Vec::new();
     for old in 1..64u32 {
         for new in 1..64u32 {
-            let gone = (old & !new).count_ones();
+            let removed = (old & !new).count_ones();
             let added = (new & !old).count_ones();
-            if gone <= 1 && added <= 1 && old != new && old.count_ones() >= 2 && new.count_ones() >= 2 {
-                list.push((old, new));
+            if removed <= 1 && added <= 1 && old != new && old.count_ones() >= 2 && new.count_ones() >= 2 {
+                changes.push((old, new));
             }
         }
     }
-    list
+    changes
 }
 
 #[test]
-fn quorums_before_and_during_a_change_share_an_acceptor() {
-    for (old, new) in changes() {
-        let during = quorums(&changing(old, new));
+fn quorums_before_and_during_a_membership_change_share_an_acceptor() {
+    for (old, new) in membership_changes() {
+        let during = quorums(&joint(old, new));
         for before in quorums(&stable(old)) {
             assert!(during.iter().all(|quorum| quorum & before != 0), "{old:b} -> {new:b}: {before:b}");
         }
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn quorums_during_and_after_a_change_share_an_acceptor() {
-    for (old, new) in changes() {
-        let during = quorums(&changing(old, new));
+fn quorums_during_and_after_a_membership_change_share_an_acceptor() {
+    for (old, new) in membership_changes() {
+        let during = quorums(&joint(old, new));
         for after in quorums(&stable(new)) {
             assert!(during.iter().all(|quorum| quorum & after != 0), "{old:b} -> {new:b}: {after:b}");
         }
@@ -59,23 +59,23 @@
 }
 
 #[test]
-fn an_exchange_without_joint_quorums_would_not_hold() {
+fn quorums_before_and_after_a_replacement_may_be_disjoint_without_joint_quorums() {
     let (old, new) = (stable(0b0111), stable(0b1011));
-    let apart = |one: &u32| quorums(&new).iter().any(|other| one & other == 0);
-    assert!(quorums(&old).iter().any(apart));
+    let is_disjoint = |quorum: &u32| quorums(&new).iter().any(|other| quorum & other == 0);
+    assert!(quorums(&old).iter().any(is_disjoint));
 }
 
 #[test]
-fn members_before_a_change_are_notified_until_it_is_stable() {
-    let mut membership = changing(0b0111, 0b1011);
+fn previous_members_are_notified_until_the_membership_is_stable() {
+    let mut membership = joint(0b0111, 0b1011);
     assert_eq!(old_and_new_members(&membership).len(), 4);
     membership.stable = true;
     assert_eq!(old_and_new_members(&membership).len(), 3);
 }
 
 #[test]
-fn old_and_new_members_are_those_that_are_notified() {
-    for mut membership in [changing(0b0111, 0b1011), changing(0b0011, 0b0111), changing(0b1111, 0b0111)] {
+fn is_old_or_new_member_returns_true_exactly_for_notified_members() {
+    for mut membership in [joint(0b0111, 0b1011), joint(0b0011, 0b0111), joint(0b1111, 0b0111)] {
         for stable in [false, true] {
             membership.stable = stable;
             let recipients = old_and_new_members(&membership);
--- a/consensus/src/testing/unit/stored_by_5_tests.rs
+++ b/consensus/src/testing/unit/stored_by_5_tests.rs
@@ -1,11 +1,11 @@
-//! The data directory of an acceptor of version 5.
+//! Tests that this version reads the data directory of an acceptor of version 5.
 //!
 //! `fixtures/disk-5` was written by commit 0f675d7. To write it again, check out that commit, put this file beside
-//! `store.rs`, attach it as it is attached here, and run `cargo test -p ledger --lib -- --ignored stored_by_5`. Later
-//! versions never write it again: they read it.
+//! `store.rs`, declare its module as is done here, and run `cargo test -p ledger --lib -- --ignored stored_by_5`. Later
+//! versions only read it.
 //!
-//! The directory stands as it does after a first snapshot that was made and a second one that failed once its new
-//! segment was begun: `snap-00000002` with the two segments behind it.
+//! The directory is in the state after a successful snapshot and a second snapshot that failed after starting a new
+//! segment: `snap-00000002` and the two segments after it.
 
 use crate::{decode_membership, encode_membership, replica_id, Acceptor, LogRecord, Store};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, RegisterState};
@@ -30,19 +30,19 @@
     directory
 }
 
-/// A copy of the fixture: a store that is opened writes.
+/// Copies the fixture to a scratch directory, because opening a store writes to its files.
 fn copied_fixture(name: &str) -> PathBuf {
     let directory = scratch_directory(name);
-    fs::create_dir_all(&directory).expect("made");
+    fs::create_dir_all(&directory).expect("the directory is created");
     for file in FILES {
-        fs::copy(fixture().join(file), directory.join(file)).expect("copied");
+        fs::copy(fixture().join(file), directory.join(file)).expect("the file is copied");
     }
     directory
 }
 
 fn open(directory: &Path) -> (Store, Vec<LogRecord>) {
     let mut records = Vec::new();
-    let store = Store::open(directory, &mut |record| records.push(record)).expect("opens");
+    let store = Store::open(directory, &mut |record| records.push(record)).expect("the store opens");
     (store, records)
 }
 
@@ -95,7 +95,7 @@
     })
 }
 
-/// An entry, and a higher prepared number.
+/// A register with an entry and a higher prepared number.
 fn prepared_above(key: &str, prepared: ProposalNumber, entry: Entry) -> LogRecord {
     LogRecord::Register(RegisterState { key: key.into(), prepared, entry: Some(entry) })
 }
@@ -104,12 +104,12 @@
     ProposalNumber { term, replica_id }
 }
 
-/// Longer than a block of a disk.
+/// A body longer than a disk block.
 fn long_body() -> Vec<u8> {
-    (0..5000u32).map(|at| (at % 251) as u8).collect()
+    (0..5000u32).map(|index| (index % 251) as u8).collect()
 }
 
-/// Gone with the segment that the snapshot replaced.
+/// The records of the first segment, which the snapshot replaced.
 fn records_before_the_snapshot() -> [LogRecord; 4] {
     [
         LogRecord::Membership(first_membership()),
@@ -119,7 +119,7 @@
     ]
 }
 
-/// As `Acceptor::snapshot` returns them: the membership, the registers by key, the permission to vote.
+/// The records in the order of `Acceptor::snapshot`: the membership, the registers by key, the permission to vote.
 fn records_of_the_snapshot() -> [LogRecord; 5] {
     [
         LogRecord::Membership(stable_membership()),
@@ -150,28 +150,28 @@
     ]
 }
 
-/// The work of an acceptor of version 5 on its disk.
+/// Writes a data directory in the way of an acceptor of version 5.
 fn write_directory(directory: &Path) {
     let (mut store, found) = open(directory);
     assert_eq!(found, []);
     let [membership, voting_enabled, prepare, acceptance] = records_before_the_snapshot();
-    store.append(&[membership, voting_enabled]).expect("written");
-    store.append(&[prepare, acceptance]).expect("written");
-    store.snapshot(&records_of_the_snapshot()).expect("written");
+    store.append(&[membership, voting_enabled]).expect("the records are appended");
+    store.append(&[prepare, acceptance]).expect("the records are appended");
+    store.snapshot(&records_of_the_snapshot()).expect("the snapshot is made");
     let [first, second, third] = records_of_the_first_segment();
-    store.append(&[first]).expect("written");
-    store.append(&[second, third]).expect("written");
-    // A directory stands where the snapshot would be drafted: it fails behind the begin of a new segment.
-    fs::create_dir(directory.join("draft")).expect("made");
-    store.snapshot(&[]).expect_err("no snapshot");
-    fs::remove_dir(directory.join("draft")).expect("removed");
+    store.append(&[first]).expect("the records are appended");
+    store.append(&[second, third]).expect("the records are appended");
+    // A directory with the name of the temporary file makes the snapshot fail after a new segment was started.
+    fs::create_dir(directory.join("draft")).expect("the directory is created");
+    store.snapshot(&[]).expect_err("the snapshot fails");
+    fs::remove_dir(directory.join("draft")).expect("the directory is removed");
     let [first, second, third] = records_of_the_second_segment();
-    store.append(&[first, second]).expect("written");
-    store.append(&[third]).expect("written");
+    store.append(&[first, second]).expect("the records are appended");
+    store.append(&[third]).expect("the records are appended");
 }
 
-/// What the directory holds, written out.
-#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
+/// The state that the directory holds, as a literal.
+#[allow(clippy::too_many_lines)] // a single literal
 fn expected_acceptor() -> Acceptor {
     let registers = [
         RegisterState {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn the_disk_of_version_5_is_read_as_it_was_left() {
+fn the_records_of_version_5_are_read() {
     let directory = copied_fixture("read");
     let (_, records) = open(&directory);
     assert_eq!(records, expected_records());
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn the_members_in_an_entry_of_version_5_are_read() {
+fn the_membership_entry_of_version_5_is_decoded() {
     let directory = copied_fixture("core");
     let acceptor = replayed(&open(&directory).1);
     let entry = acceptor.registers["core"].entry.as_ref().expect("an entry");
@@ -269,11 +269,11 @@
 }
 
 #[test]
-fn the_log_of_version_5_goes_on() {
+fn records_can_be_appended_to_a_log_of_version_5() {
     let directory = copied_fixture("append");
     let (mut store, _) = open(&directory);
     let appended = accepted("duty/catalog", proposal_number(7, 14), 1, b"a duty");
-    store.append(from_ref(&appended)).expect("written");
+    store.append(from_ref(&appended)).expect("the records are appended");
     drop(store);
     let (mut store, records) = open(&directory);
     assert_eq!(records, [expected_records(), vec![appended.clone()]].concat());
@@ -287,8 +287,8 @@
     };
     expected.registers.insert("duty/catalog".into(), register);
     assert_eq!(replayed(&records), expected);
-    // A snapshot of it replaces the files of version 5.
-    store.snapshot(&expected.snapshot()).expect("written");
+    // A new snapshot replaces the files of version 5.
+    store.snapshot(&expected.snapshot()).expect("the snapshot is made");
     drop(store);
     assert!(FILES.iter().all(|file| !directory.join(file).exists()));
     assert_eq!(replayed(&open(&directory).1), expected);
@@ -296,25 +296,28 @@
 }
 
 #[test]
-fn the_same_work_leaves_the_same_files() {
+fn the_same_operations_write_the_same_files_as_version_5() {
     let directory = scratch_directory("write");
     write_directory(&directory);
     let mut names: Vec<_> = fs::read_dir(&directory)
-        .expect("listed")
-        .map(|item| item.expect("an item").file_name().into_string().expect("a name"))
+        .expect("the directory is listed")
+        .map(|entry| entry.expect("a directory entry").file_name().into_string().expect("a UTF-8 name"))
         .collect();
     names.sort();
     assert_eq!(names, FILES);
     for file in FILES {
-        let (written, kept) =
-            (fs::read(directory.join(file)).expect("read"), fs::read(fixture().join(file)).expect("read"));
-        assert!(written == kept, "{file} differs from that of version 5");
+        let (written, kept) = (
+            fs::read(directory.join(file)).expect("the file is read"),
+            fs::read(fixture().join(file)).expect("the file is read"),
+        );
+        assert!(written == kept, "{file} differs from the file of version 5");
     }
     let _ = fs::remove_dir_all(directory);
 }
 
-/// Worked out by another program: a controller of another version must not act under the proposal numbers of this one.
+/// The expected value was computed by an independent program. A controller of another version must not use the proposal
+/// numbers of this one.
 #[test]
-fn the_replica_id_of_a_controller_stays_what_it_is() {
+fn the_replica_id_of_a_controller_is_unchanged() {
     assert_eq!(replica_id("10.0.0.1", 7), 0x1fbc_b423_33d4_7a13);
 }
