--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -13,7 +13,7 @@
 
 use crate::{decode_membership, quorum, StoredRecord, MEMBERSHIP_KEY};
 
-/// A change of an acceptor's state, as written to the log. A later record replaces an earlier one of the same register
+/// A change of an acceptor's state, as written to the log. A later record replaces an earlier one of the same register,
 /// or of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum LogRecord {
--- a/consensus/src/quorum.rs
+++ b/consensus/src/quorum.rs
@@ -42,10 +42,11 @@
 /// Returns whether the membership is joint and replaces a member: each of its two lists has a member that the other
 /// lacks.
 pub fn is_replacement(membership: &CoreMembership) -> bool {
-    let has_other = |members: &[Member], others: &[Member]| members.iter().any(|member| !contains(others, &member.ip));
+    let has_member_outside =
+        |members: &[Member], others: &[Member]| members.iter().any(|member| !contains(others, &member.ip));
     !membership.stable
-        && has_other(&membership.previous_members, &membership.members)
-        && has_other(&membership.members, &membership.previous_members)
+        && has_member_outside(&membership.previous_members, &membership.members)
+        && has_member_outside(&membership.members, &membership.previous_members)
 }
 
 /// Returns whether these acceptors include more than half of the members of one list.
--- a/consensus/src/testing/model/changing_membership.rs
+++ b/consensus/src/testing/model/changing_membership.rs
@@ -1,7 +1,7 @@
 //! Membership changes, as made by the controller that coordinates them.
 //!
-//! The membership is stored in a register like any other, so what the exploration shows for the key [`super::KEY`]
-//! holds for it too. Its rounds are therefore not modelled: a membership change is committed in a single step, by any
+//! The membership is stored in a register like any other, so what the exploration shows for the key `KEY` holds
+//! for it too. Its rounds are therefore not modelled: a membership change is committed in a single step, by any
 //! quorum that can vote. Its effects are explored completely: which machines know the change, and which keys are
 //! committed again.
 
@@ -37,7 +37,8 @@
         }
     }
 
-    /// A coordinator learns the newest membership. Other proposers learn it when they begin a proposal.
+    /// Adds the step in which a coordinator learns the newest membership. Other proposers learn it when they begin a
+    /// proposal.
     fn inform(&self, state: &State, proposer: usize, successors: &mut Vec<Successor>) {
         let newest = state.memberships.len() - 1;
         if state.proposers[proposer].membership < newest {
@@ -106,14 +107,14 @@
     fn commit_membership(&self, state: &State, index: usize, next: &CoreMembership, successors: &mut Vec<Successor>) {
         let known = state.proposers[index].membership;
         if known + 1 < state.memberships.len() {
-            // The coordinator knows an outdated membership, so its change would be rejected.
+            // The coordinator's membership is outdated, so its proposal would find another one committed.
             return;
         }
         let membership = &state.memberships[known];
-        let facts = self.membership_facts(membership);
+        let info = self.membership_info(membership);
         let can_vote =
             |quorum: &&MachineSet| quorum.iter().all(|machine| self.can_vote_under(state, machine, membership));
-        let quorums = facts.quorums.iter().filter(can_vote).copied();
+        let quorums = info.quorums.iter().filter(can_vote).copied();
         // Which machines store the entry matters only if a recovering acceptor may have to read it from them.
         let stored_on: Vec<MachineSet> = match state.wipes_left > 0 || state.non_voting() > 0 {
             true => quorums.collect(),
--- a/consensus/src/testing/model/check.rs
+++ b/consensus/src/testing/model/check.rs
@@ -13,28 +13,28 @@
 use super::{Model, KEY};
 use crate::quorum;
 
-/// Properties of a membership that are computed once.
-pub struct MembershipFacts {
+/// The members and quorums of a membership, computed once.
+pub struct MembershipInfo {
     pub members: MachineSet,
     /// The minimal quorums: without any of its machines such a set is no longer a quorum.
     pub quorums: Vec<MachineSet>,
 }
 
-/// The facts of each membership, by its version and whether it is stable.
-pub type MembershipCache = RefCell<HashMap<(u64, bool), Rc<MembershipFacts>>>;
+/// The members and quorums of each membership, by its version and whether it is stable.
+pub type MembershipCache = RefCell<HashMap<(u64, bool), Rc<MembershipInfo>>>;
 
 impl Model {
-    /// Returns the facts of a membership, computed once.
-    pub fn membership_facts(&self, membership: &CoreMembership) -> Rc<MembershipFacts> {
+    /// Returns the members and quorums of a membership, computed once.
+    pub fn membership_info(&self, membership: &CoreMembership) -> Rc<MembershipInfo> {
         let key = (membership.version, membership.stable);
         if let Some(known) = self.memberships.borrow().get(&key) {
             return known.clone();
         }
         let is_member = |machine: &usize| quorum::is_member(membership, &self.addresses[*machine]);
         let members = (0..self.addresses.len()).filter(is_member).collect();
-        let facts = Rc::new(MembershipFacts { members, quorums: self.minimal_quorums(membership, members) });
-        self.memberships.borrow_mut().insert(key, facts.clone());
-        facts
+        let info = Rc::new(MembershipInfo { members, quorums: self.minimal_quorums(membership, members) });
+        self.memberships.borrow_mut().insert(key, info.clone());
+        info
     }
 
     fn minimal_quorums(&self, membership: &CoreMembership, members: MachineSet) -> Vec<MachineSet> {
@@ -86,7 +86,7 @@
     /// returns the acknowledged body or one that extends it.
     pub fn check_quorum_reads(&self, state: &State) -> Result<(), Violation> {
         for membership in state.memberships.iter() {
-            for quorum in self.membership_facts(membership).quorums.iter() {
+            for quorum in self.membership_info(membership).quorums.iter() {
                 if quorum.iter().all(|machine| self.can_vote_under(state, machine, membership)) {
                     check_read(state, *quorum)?;
                 }
--- a/consensus/src/testing/model/defect_tests.rs
+++ b/consensus/src/testing/model/defect_tests.rs
@@ -1,6 +1,6 @@
 //! Injected defects, each of which the exploration must find.
 use super::machines::MachineSet;
-use super::runs::{find_violation, members_only, proposer};
+use super::runs::{find_violation, members_only, workload};
 use super::scenario::{Defect, MembershipChange, Operation, Scenario};
 use super::violation::Violation;
 use Operation::{Read, Write};
@@ -10,7 +10,7 @@
 }
 
 fn two_writers(defect: Defect) -> Scenario {
-    let proposers = vec![proposer(&[Write(1)], 1), proposer(&[Write(2)], 1)];
+    let proposers = vec![workload(&[Write(1)], 1), workload(&[Write(2)], 1)];
     Scenario { proposers, defect: Some(defect), ..members_only(3) }
 }
 
@@ -48,14 +48,14 @@
 #[test]
 fn the_model_finds_a_proposal_number_used_by_two_incarnations() {
     let scenario = Scenario { restarts: 1, ..two_writers(Defect::ProposalNumbersReused) };
-    let proposers = vec![proposer(&[Write(1)], 2)];
+    let proposers = vec![workload(&[Write(1)], 2)];
     let found = find_violation("proposal numbers reused", &Scenario { proposers, ..scenario });
     assert!(matches!(found.violation, Violation::ConflictingOwners { .. }), "{:?}", found.trace);
 }
 
 #[test]
 fn the_model_finds_a_read_answered_from_memory() {
-    let proposers = vec![proposer(&[Write(1), Read], 2), proposer(&[Write(2)], 1)];
+    let proposers = vec![workload(&[Write(1), Read], 2), workload(&[Write(2)], 1)];
     let found = find_violation("read from memory", &Scenario { proposers, ..two_writers(Defect::ReadFromMemory) });
     assert!(is_lost(&found.violation), "{:?}", found.trace);
 }
@@ -68,7 +68,7 @@
 
 #[test]
 fn the_model_finds_a_wiped_acceptor_that_recovers_without_delay() {
-    let proposers = vec![proposer(&[Write(1)], 1)];
+    let proposers = vec![workload(&[Write(1)], 1)];
     let scenario = Scenario { wipes: 1, proposers, ..two_writers(Defect::RecoveryWithoutDelay) };
     assert!(is_lost(&find_violation("wiped acceptor reads at once", &scenario).violation));
 }
--- a/consensus/src/testing/model/ending.rs
+++ b/consensus/src/testing/model/ending.rs
@@ -27,7 +27,7 @@
 impl State {
     /// Changes the current task of a proposer.
     pub fn edit_task(&mut self, proposer: usize, change: impl FnOnce(&mut Task)) {
-        self.proposers[proposer].edit(|proposer| change(proposer.task.as_mut().expect("a task")));
+        self.proposers[proposer].edit(|proposer| change(proposer.task.as_mut().expect("the proposer has a task")));
     }
 
     /// Ends the current task of a proposer. It counts no more responses to its request, but an accept request may still
--- a/consensus/src/testing/model/membership_tests.rs
+++ b/consensus/src/testing/model/membership_tests.rs
@@ -1,6 +1,6 @@
 //! Explorations of every kind of membership change that the controller makes.
 use super::machines::MachineSet;
-use super::runs::{check_every_state, check_first_states, members_only, proposer};
+use super::runs::{check_every_state, check_first_states, members_only, workload};
 use super::scenario::{IncompleteWrite, MembershipChange, Operation, Scenario};
 use Operation::{Read, Write};
 
@@ -28,7 +28,7 @@
 }
 
 fn with_one_write(scenario: Scenario) -> Scenario {
-    Scenario { proposers: vec![proposer(&[Write(1)], 1)], ..scenario }
+    Scenario { proposers: vec![workload(&[Write(1)], 1)], ..scenario }
 }
 
 fn with_one_lost_disk(scenario: Scenario) -> Scenario {
@@ -135,7 +135,7 @@
 
 #[test]
 fn agreement_holds_when_two_writes_run_during_a_membership_change() {
-    let proposers = vec![proposer(&[Write(1)], 1), proposer(&[Write(2)], 1)];
+    let proposers = vec![workload(&[Write(1)], 1), workload(&[Write(2)], 1)];
     let scenario = Scenario { proposers, ..replace_member(3) };
     check_first_states("3 members, 1 replaced, 1 + 1 changes", &scenario, 6_000);
 }
--- a/consensus/src/testing/model/progress.rs
+++ b/consensus/src/testing/model/progress.rs
@@ -82,13 +82,13 @@
     /// Returns whether these machines include a quorum of the joint membership and a majority of the previous members.
     fn can_stabilize(&self, membership: &CoreMembership, reachable: MachineSet) -> bool {
         let addresses: Vec<String> = reachable.iter().map(|machine| self.addresses[machine].clone()).collect();
-        let has_quorum = self.membership_facts(membership).quorums.iter().any(|quorum| reachable.includes(*quorum));
+        let has_quorum = self.membership_info(membership).quorums.iter().any(|quorum| reachable.includes(*quorum));
         has_quorum && quorum::has_majority(&membership.previous_members, &addresses)
     }
 
     /// Checks that a read by any quorum that can vote finishes and returns everything that was acknowledged.
     fn check_reads(&self, state: &State, membership: &CoreMembership) -> Result<(), Violation> {
-        for quorum in self.membership_facts(membership).quorums.iter() {
+        for quorum in self.membership_info(membership).quorums.iter() {
             if quorum.iter().all(|machine| self.can_vote_under(state, machine, membership)) {
                 self.check_read_by(state.clone(), membership, *quorum)?;
             }
@@ -152,7 +152,7 @@
             transition.record_response(&self.addresses[machine], &response);
         }
         let members: MachineSet =
-            self.membership_facts(membership).members.iter().filter(|machine| reachable.contains(*machine)).collect();
+            self.membership_info(membership).members.iter().filter(|machine| reachable.contains(*machine)).collect();
         for key in transition.remaining_keys() {
             let read = self.run(&mut state, membership, members, Operation::Read)?;
             let is_recommitted = key == MEMBERSHIP_KEY || matches!(read, Progress::Finished { .. });
--- a/consensus/src/testing/model/proposing.rs
+++ b/consensus/src/testing/model/proposing.rs
@@ -113,8 +113,8 @@
     fn count(&self, state: &State, index: usize, successors: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[index].task else { return };
         let responded: MachineSet = task.responses.keys().copied().collect();
-        let facts = self.membership_facts(&task.request.membership);
-        for quorum in &facts.quorums {
+        let info = self.membership_info(&task.request.membership);
+        for quorum in &info.quorums {
             let missing: Vec<usize> = quorum.iter().filter(|machine| !responded.contains(*machine)).collect();
             let mut responses: Vec<(usize, Shared<ConsensusResponse>)> =
                 quorum.iter().filter_map(|machine| Some((machine, task.responses.get(&machine)?.clone()))).collect();
--- a/consensus/src/testing/model/runs.rs
+++ b/consensus/src/testing/model/runs.rs
@@ -17,7 +17,7 @@
 }
 
 /// Returns the workload of a proposer that does these operations in sequence, with this many attempts in total.
-pub fn proposer(operations: &[Operation], attempts: u8) -> Workload {
+pub fn workload(operations: &[Operation], attempts: u8) -> Workload {
     Workload { operations: operations.to_vec(), attempts }
 }
 
--- a/consensus/src/testing/model/symmetry.rs
+++ b/consensus/src/testing/model/symmetry.rs
@@ -34,7 +34,7 @@
             return;
         }
         let is_obsolete = |request: &Shared<ConsensusRequest>| {
-            self.membership_facts(&request.membership)
+            self.membership_info(&request.membership)
                 .members
                 .iter()
                 .all(|machine| is_rejected(&state.replicas[machine], request))
--- a/consensus/src/testing/model/symmetry_tests.rs
+++ b/consensus/src/testing/model/symmetry_tests.rs
@@ -1,6 +1,6 @@
 //! Compares explorations with and without renumbering.
 use super::super::explore::{fingerprint, System};
-use super::super::runs::{members_only, proposer};
+use super::super::runs::{members_only, workload};
 use super::super::scenario::{MembershipChange, Operation, Scenario};
 use super::{Model, State};
 use std::collections::HashSet;
@@ -34,7 +34,7 @@
 
 #[test]
 fn renumbering_preserves_the_reachable_states_of_a_stable_membership() {
-    let proposers = vec![proposer(&[Operation::Write(1)], 1), proposer(&[Operation::Write(2)], 1)];
+    let proposers = vec![workload(&[Operation::Write(1)], 1), workload(&[Operation::Write(2)], 1)];
     assert_same_reachable_states(Scenario { proposers, ..members_only(3) });
 }
 
--- a/consensus/src/testing/model/voting.rs
+++ b/consensus/src/testing/model/voting.rs
@@ -94,7 +94,7 @@
     /// Adds the delivery of a proposer's current request to each member.
     fn deliver(&self, state: &State, proposer: usize, successors: &mut Vec<Successor>) {
         let Some(task) = &state.proposers[proposer].task else { return };
-        for machine in self.membership_facts(&task.request.membership).members.iter() {
+        for machine in self.membership_info(&task.request.membership).members.iter() {
             let action = Action::Deliver { proposer, machine };
             let Answer { acceptor, response } =
                 match self.respond(machine, &state.replicas[machine].acceptor, &task.request) {
@@ -129,7 +129,7 @@
 
     fn deliver_late(&self, state: &State, request: &Shared<ConsensusRequest>, successors: &mut Vec<Successor>) {
         let ConsensusOperation::Accept { entry, .. } = &request.operation else { return };
-        for machine in self.membership_facts(&request.membership).members.iter() {
+        for machine in self.membership_info(&request.membership).members.iter() {
             let action = Action::DeliverLate { position: entry.position(), machine };
             match self.respond(machine, &state.replicas[machine].acceptor, request) {
                 Err(violation) => successors.push(Successor { action, outcome: Err(violation) }),
--- a/consensus/src/testing/simulation/membership_tests.rs
+++ b/consensus/src/testing/simulation/membership_tests.rs
@@ -139,16 +139,16 @@
         "seed {seed}: the replacement did not get past {:?}",
         run.stage
     );
-    let last = run.cluster.read_after_recovery();
-    (run.cluster, last)
+    let final_body = run.cluster.read_after_recovery();
+    (run.cluster, final_body)
 }
 
 #[test]
 fn no_acknowledged_change_is_lost_when_a_member_is_added_and_then_one_removed() {
     let mut acknowledged = 0;
     for seed in 1..=40 {
-        let (cluster, last) = run_replacement(seed, Strategy::AddThenRemove);
-        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}");
+        let (cluster, final_body) = run_replacement(seed, Strategy::AddThenRemove);
+        assert!(no_acknowledged_change_lost(&cluster, &final_body), "seed {seed}");
         acknowledged += cluster.acknowledged.len();
     }
     assert!(acknowledged > 1000, "too few changes were acknowledged: {acknowledged}");
@@ -158,8 +158,8 @@
 fn no_acknowledged_change_is_lost_when_a_member_is_replaced_under_joint_quorums() {
     let mut acknowledged = 0;
     for seed in 1..=60 {
-        let (cluster, last) = run_replacement(seed, Strategy::Replace);
-        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}");
+        let (cluster, final_body) = run_replacement(seed, Strategy::Replace);
+        assert!(no_acknowledged_change_lost(&cluster, &final_body), "seed {seed}");
         acknowledged += cluster.acknowledged.len();
     }
     assert!(acknowledged > 1500, "too few changes were acknowledged: {acknowledged}");
@@ -168,8 +168,8 @@
 #[test]
 fn the_simulation_finds_a_replacement_without_joint_quorums() {
     let broken = (1..=60).any(|seed| {
-        let (cluster, last) = run_replacement(seed, Strategy::Unsafe);
-        !no_acknowledged_change_lost(&cluster, &last)
+        let (cluster, final_body) = run_replacement(seed, Strategy::Unsafe);
+        !no_acknowledged_change_lost(&cluster, &final_body)
     });
     assert!(broken, "the simulation did not find the defect");
 }
--- a/consensus/src/testing/simulation/mod.rs
+++ b/consensus/src/testing/simulation/mod.rs
@@ -154,7 +154,7 @@
         }
     }
 
-    fn reads_others(&self, now: u64) -> bool {
+    fn should_read_others(&self, now: u64) -> bool {
         let is_ready = now >= self.started_at + RECOVERY_DELAY_MS && now.is_multiple_of(RECOVERY_READ_INTERVAL_MS);
         self.is_up && !self.acceptor.may_vote && is_ready
     }
@@ -313,7 +313,7 @@
 
     /// Lets an acceptor in recovery read the others.
     fn read_others(&mut self, index: usize) {
-        if !self.replicas[index].reads_others(self.now) {
+        if !self.replicas[index].should_read_others(self.now) {
             return;
         }
         let membership = self.replicas[index].acceptor.membership.clone();
--- a/consensus/src/testing/simulation/tests.rs
+++ b/consensus/src/testing/simulation/tests.rs
@@ -1,5 +1,5 @@
 //! Runs of the simulated cluster. Every body is "N/owner.round", where N is the number of changes up to it. A lost
-//! change shows as a number that is not higher than that of an acknowledged one.
+//! change shows as a number that does not increase.
 
 use kernel::Rng;
 use protocol::message::{CoreMembership, Member};
@@ -35,26 +35,26 @@
             cluster.partitioned = if from == to { Vec::new() } else { vec![(from, to)] };
         }
     }
-    let last = cluster.read_after_recovery();
-    (cluster, last)
+    let final_body = cluster.read_after_recovery();
+    (cluster, final_body)
 }
 
 /// Returns whether no acknowledged change is lost and no two have the same number in the history.
-pub fn no_acknowledged_change_lost(cluster: &Cluster, last: &[u8]) -> bool {
+pub fn no_acknowledged_change_lost(cluster: &Cluster, final_body: &[u8]) -> bool {
     let mut counts: Vec<u64> = cluster.acknowledged.iter().map(|body| change_count(body)).collect();
-    let last_count = change_count(last);
+    let final_count = change_count(final_body);
     let highest = counts.iter().copied().max().unwrap_or(0);
     counts.sort_unstable();
     let unique = counts.windows(2).all(|pair| pair[0] < pair[1]);
-    unique && last_count >= highest
+    unique && final_count >= highest
 }
 
 #[test]
 fn no_acknowledged_change_is_lost_under_message_loss_crashes_and_partitions() {
     let mut acknowledged = 0;
     for seed in 1..=60 {
-        let (cluster, last) = run(seed, 3, false, false);
-        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}: {:?}", cluster.acknowledged.len());
+        let (cluster, final_body) = run(seed, 3, false, false);
+        assert!(no_acknowledged_change_lost(&cluster, &final_body), "seed {seed}: {:?}", cluster.acknowledged.len());
         acknowledged += cluster.acknowledged.len();
     }
     assert!(acknowledged > 2000, "too few changes were acknowledged: {acknowledged}");
@@ -64,8 +64,8 @@
 fn no_acknowledged_change_is_lost_when_disks_are_wiped() {
     let mut acknowledged = 0;
     for seed in 1..=60 {
-        let (cluster, last) = run(seed, 3, true, false);
-        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}");
+        let (cluster, final_body) = run(seed, 3, true, false);
+        assert!(no_acknowledged_change_lost(&cluster, &final_body), "seed {seed}");
         acknowledged += cluster.acknowledged.len();
     }
     assert!(acknowledged > 1500, "too few changes were acknowledged: {acknowledged}");
@@ -74,8 +74,8 @@
 #[test]
 fn the_simulation_finds_a_wiped_acceptor_that_votes_at_once() {
     let broken = (1..=300).any(|seed| {
-        let (cluster, last) = run(seed, 3, true, true);
-        !no_acknowledged_change_lost(&cluster, &last)
+        let (cluster, final_body) = run(seed, 3, true, true);
+        !no_acknowledged_change_lost(&cluster, &final_body)
     });
     assert!(broken, "the simulation did not find the defect");
 }
@@ -83,8 +83,8 @@
 #[test]
 fn no_acknowledged_change_is_lost_with_five_members() {
     for seed in 1..=20 {
-        let (cluster, last) = run(seed, 5, true, false);
-        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed}");
+        let (cluster, final_body) = run(seed, 5, true, false);
+        assert!(no_acknowledged_change_lost(&cluster, &final_body), "seed {seed}");
     }
 }
 
@@ -92,7 +92,7 @@
 struct DoubleLosses {
     cluster: Cluster,
     /// The body that is committed at the end.
-    last: Vec<u8>,
+    final_body: Vec<u8>,
     /// Whether every acceptor voted again in time after each loss.
     recovered: bool,
 }
@@ -130,16 +130,16 @@
             recovered &= cluster.all_voting();
         }
     }
-    let last = cluster.read_after_recovery();
-    DoubleLosses { cluster, last, recovered }
+    let final_body = cluster.read_after_recovery();
+    DoubleLosses { cluster, final_body, recovered }
 }
 
 #[test]
 fn two_acceptors_wiped_at_once_recover_without_waiting_for_each_other() {
     let mut acknowledged = 0;
     for (seed, size) in (1..=24).flat_map(|seed| [(seed, 5), (seed, 6), (seed, 8)]) {
-        let DoubleLosses { cluster, last, recovered } = run_with_double_losses(seed, size, false);
-        assert!(no_acknowledged_change_lost(&cluster, &last), "seed {seed} of {size}");
+        let DoubleLosses { cluster, final_body, recovered } = run_with_double_losses(seed, size, false);
+        assert!(no_acknowledged_change_lost(&cluster, &final_body), "seed {seed} of {size}");
         assert!(recovered, "seed {seed} of {size}: a wiped acceptor did not recover");
         acknowledged += cluster.acknowledged.len();
     }
@@ -149,8 +149,8 @@
 #[test]
 fn the_simulation_finds_two_wiped_acceptors_that_vote_at_once() {
     let broken = (1..=60).any(|seed| {
-        let DoubleLosses { cluster, last, .. } = run_with_double_losses(seed, 5, true);
-        !no_acknowledged_change_lost(&cluster, &last)
+        let DoubleLosses { cluster, final_body, .. } = run_with_double_losses(seed, 5, true);
+        !no_acknowledged_change_lost(&cluster, &final_body)
     });
     assert!(broken, "the simulation did not find the defect");
 }
--- a/consensus/src/testing/storage/simulated_disk.rs
+++ b/consensus/src/testing/storage/simulated_disk.rs
@@ -45,10 +45,13 @@
     pub capacity: usize,
     /// The number of operations after which the process ends, in the middle of the next one.
     pub crash_in: Option<u64>,
+    /// Whether a sync of the directory does nothing.
     pub directory_sync_ignored: bool,
+    /// The name prefix of the files whose sync does nothing.
     pub file_sync_ignored: Option<&'static str>,
     /// Whether a write that does not change the content is dropped.
     pub rewrites_ignored: bool,
+    /// Whether truncations are dropped.
     pub truncations_ignored: bool,
     /// Whether a new name becomes durable only by a sync of the directory, not by a sync of the file.
     pub strict_names: bool,
--- a/consensus/src/testing/storage/workload.rs
+++ b/consensus/src/testing/storage/workload.rs
@@ -70,7 +70,7 @@
     term: u64,
 }
 
-fn after(acceptor: &Acceptor, records: &[LogRecord]) -> Acceptor {
+fn with_records(acceptor: &Acceptor, records: &[LogRecord]) -> Acceptor {
     let mut next = acceptor.clone();
     records.iter().for_each(|record| next.replay(record.clone()));
     next
@@ -95,7 +95,7 @@
         self.disk.lock().expect("the disk lock").crashed
     }
 
-    fn record(&mut self) -> LogRecord {
+    fn random_record(&mut self) -> LogRecord {
         self.term += 1;
         match self.rng.below(12) {
             0 => return LogRecord::VotingEnabled,
@@ -112,9 +112,9 @@
         })
     }
 
-    fn batch(&mut self) -> Vec<LogRecord> {
+    fn random_batch(&mut self) -> Vec<LogRecord> {
         let count = 1 + self.rng.below(4);
-        (0..count).map(|_| self.record()).collect()
+        (0..count).map(|_| self.random_record()).collect()
     }
 
     fn end_process(&mut self) {
@@ -150,7 +150,8 @@
     }
 
     fn check(&self, found: &Acceptor) -> Result<(), RunError> {
-        let is_expected = |records: &[LogRecord]| after(&self.acknowledged, records).snapshot() == found.snapshot();
+        let is_expected =
+            |records: &[LogRecord]| with_records(&self.acknowledged, records).snapshot() == found.snapshot();
         let is_valid = is_expected(&[])
             || self.in_flight.iter().any(|batch| (1..=batch.len()).any(|length| is_expected(&batch[..length])));
         match is_valid {
@@ -161,10 +162,10 @@
 
     /// Appends a batch, with retries as the controller makes them.
     pub fn append(&mut self, store: &mut Store) {
-        let mut batch = self.batch();
+        let mut batch = self.random_batch();
         for _ in 0..4 {
             if store.append(&batch).is_ok() {
-                self.acknowledged = after(&self.acknowledged, &batch);
+                self.acknowledged = with_records(&self.acknowledged, &batch);
                 self.in_flight.clear();
                 return;
             }
@@ -176,7 +177,7 @@
                 self.snapshot(store);
             }
             if self.rng.below(2) == 0 {
-                batch = self.batch();
+                batch = self.random_batch();
             }
         }
     }
@@ -233,9 +234,9 @@
         if store.is_snapshot_due() {
             store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::SnapshotFailed)?;
         }
-        let batch = self.batch();
+        let batch = self.random_batch();
         store.append(&batch).map_err(RunError::AppendFailed)?;
-        self.acknowledged = after(&self.acknowledged, &batch);
+        self.acknowledged = with_records(&self.acknowledged, &batch);
         store.snapshot(&self.acknowledged.snapshot()).map_err(RunError::SnapshotFailed)?;
         let used = self.disk.lock().expect("the disk lock").used();
         if used > MAX_BYTES_AFTER_SNAPSHOT {
