--- a/consensus/src/reconfiguration.rs
+++ b/consensus/src/reconfiguration.rs
@@ -136,7 +136,7 @@
     /// not be committed again.
     pub fn record_response(&mut self, from: &str, response: &ConsensusResponse) {
         if let ConsensusResponse::Positions { positions } = response {
-            self.record_keys(from, positions.iter().map(|held| held.key.clone()));
+            self.record_keys(from, positions.iter().map(|position| position.key.clone()));
         }
     }
 
--- a/consensus/src/testing/unit/reconfiguration_tests.rs
+++ b/consensus/src/testing/unit/reconfiguration_tests.rs
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_leaving_member_of_an_even_number_is_removed_although_another_is_lost() {
-    // The member that is shutting down still votes for the change, so that three of four do.
+    // The member that is shutting down still votes for the change, which makes three votes of four.
     let health = |name: &str| match name {
         "b" => LEAVING,
         "c" => SILENT,
