--- a/controller/src/config/change.rs
+++ b/controller/src/config/change.rs
@@ -1,5 +1,5 @@
-//! Decides what an operator's change of the configuration leads to on top of the committed one. Nothing here waits or
-//! sends.
+//! Validates an operator's change against the committed configuration and prepares the next value. Pure logic without
+//! I/O.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use crate::config::body::{BodyFormat, ChangeStatus, StoredConfig};
 
-/// Why a change is rejected for good.
+/// Why a change is permanently rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigChangeError {
     /// The change builds on the revision `base`, but `current` is committed.
@@ -26,7 +26,7 @@
         /// The committed revision.
         current: u64,
     },
-    /// The change, or the configuration that it leads to, is invalid.
+    /// The change or the resulting configuration is invalid.
     Invalid(ConfigError),
 }
 
@@ -55,23 +55,23 @@
     }
 }
 
-/// The value to be committed and the configuration in it. Invariant: the text of `stored` is that of `config`.
+/// The value to commit and its configuration. Invariant: the text of `stored` is that of `config`.
 #[derive(Clone, Debug)]
 pub struct PreparedChange {
-    /// What is written to the register.
+    /// The value to write to the register.
     pub stored: StoredConfig,
-    /// The configuration in `stored`, already checked.
+    /// The configuration in `stored`, already validated.
     pub config: Arc<ConfigDocument>,
 }
 
-/// What is to be done about a change that is not rejected.
+/// What to do about a change that is not rejected.
 #[derive(Clone, Debug)]
 pub enum ChangeDecision {
-    /// The change is in force, or was until a later one: its sender repeats it after a lost response.
+    /// The change is committed, perhaps with later ones on top: its sender retries it after a lost response.
     AlreadyCommitted,
-    /// It is not known here whether the change was committed, or could be.
+    /// This controller cannot tell whether the change was committed or is applicable.
     OutcomeUnknown,
-    /// The change is to be committed.
+    /// Commit the change.
     Commit(PreparedChange),
 }
 
@@ -81,15 +81,15 @@
     Patch(ConfigPatch),
 }
 
-/// A change whose text was parsed once, whether or not it is valid.
+/// A change whose text was parsed once; the text may be invalid.
 pub struct ParsedChange<'a> {
     change: &'a ConfigChange,
     content: Result<ChangeContent, ConfigError>,
 }
 
 impl ParsedChange<'_> {
-    /// Parses the text of a change. An error in it is kept until [`ParsedChange::decide`], which first recognizes
-    /// changes that are committed already.
+    /// Parses the text of a change. A parse error is reported only by [`ParsedChange::decide`], after it has checked
+    /// whether the change is already committed.
     pub fn parse(change: &ConfigChange) -> ParsedChange<'_> {
         let content = match change.partial {
             true => ConfigPatch::parse(&change.text).map(ChangeContent::Patch),
@@ -98,12 +98,12 @@
         ParsedChange { change, content }
     }
 
-    /// Decides about the change on top of the committed value. `known` may be the configuration in `stored`, already
-    /// checked.
+    /// Decides what to do about the change on top of the committed value. `known` is a configuration that is already
+    /// parsed; it is used if it is the one in `stored`.
     ///
     /// # Errors
     ///
-    /// Returns why the change is rejected; the same change is rejected again whenever it comes.
+    /// Returns why the change is rejected; a retry of the same change is rejected too.
     pub fn decide(
         &self,
         stored: &StoredConfig,
@@ -118,15 +118,15 @@
         if self.change.base != stored.revision {
             return Err(ConfigChangeError::Conflict { base: self.change.base, current: stored.revision });
         }
-        let Some(config) = self.config_on(stored, known)? else { return Ok(ChangeDecision::OutcomeUnknown) };
+        let Some(config) = self.resulting_config(stored, known)? else { return Ok(ChangeDecision::OutcomeUnknown) };
         if config.revision() <= stored.revision {
             return Err(ConfigChangeError::RevisionNotNewer { found: config.revision(), current: stored.revision });
         }
         Ok(ChangeDecision::Commit(prepare(self.change, stored, config, format)))
     }
 
-    /// Returns the configuration after the change. `None`: the committed one cannot be read.
-    fn config_on(
+    /// Returns the configuration after the change, or `None` if the committed one cannot be parsed.
+    fn resulting_config(
         &self,
         stored: &StoredConfig,
         known: Option<&ConfigDocument>,
@@ -138,22 +138,22 @@
                 Err(ConfigChangeError::Invalid(ConfigError::no_base_config()))
             }
             Ok(ChangeContent::Patch(patch)) => {
-                let patched = with_committed(stored, known, |base| base.apply(patch)).transpose();
+                let patched = with_committed_config(stored, known, |base| base.apply(patch)).transpose();
                 Ok(patched.map_err(ConfigChangeError::Invalid)?.map(Arc::new))
             }
         }
     }
 }
 
-/// Passes the committed configuration to `act`. `None`: it cannot be read.
-fn with_committed<T>(
+/// Passes the committed configuration to `apply`. Returns `None` if it cannot be parsed.
+fn with_committed_config<T>(
     stored: &StoredConfig,
     known: Option<&ConfigDocument>,
-    act: impl FnOnce(&ConfigDocument) -> T,
+    apply: impl FnOnce(&ConfigDocument) -> T,
 ) -> Option<T> {
     match known.filter(|known| known.text() == stored.text) {
-        Some(known) => Some(act(known)),
-        None => ConfigDocument::parse_committed(&stored.text).ok().map(|base| act(&base)),
+        Some(known) => Some(apply(known)),
+        None => ConfigDocument::parse_committed(&stored.text).ok().map(|base| apply(&base)),
     }
 }
 
@@ -168,8 +168,8 @@
     PreparedChange { stored: next, config }
 }
 
-/// Makes a change that is known to be committed on top of `stored`, without checking it again. Returns `None` if it does
-/// not lead to `revision` here.
+/// Applies a change that is known to be committed to `stored`, without validating it again. Returns `None` if the
+/// result does not have the revision `revision`.
 pub fn reapply(
     change: &ConfigChange,
     revision: u64,
@@ -180,7 +180,7 @@
     let config = match change.partial {
         true => {
             let patch = ConfigPatch::parse(&change.text).ok()?;
-            with_committed(stored, known, |base| base.apply_committed(&patch))?
+            with_committed_config(stored, known, |base| base.apply_committed(&patch))?
         }
         false => ConfigDocument::parse_committed(&change.text),
     };
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -1,7 +1,7 @@
 //! Execution of changes of the configuration.
 //!
-//! A change is decided on top of the committed value, written, and published to the other controllers: as the change
-//! where they can make the same value from it, else as the full value.
+//! A change is validated against the committed value, committed, and published to the other controllers: as a delta to
+//! those that can derive the same value from it, else as the full value.
 
 use std::sync::Arc;
 
@@ -18,18 +18,18 @@
 use crate::replication::committed_state::CONFIG_KEY;
 use crate::replication::registers::CompletedChange;
 
-/// What a change comes to on top of one committed value.
+/// The result of a change on top of one committed value.
 enum ChangeResult {
-    /// Nothing is written; this is the response.
+    /// Nothing is written; this response is returned.
     Response(OperatorResponse),
-    /// The next value is written.
+    /// A new value is written.
     Transition(Transition),
 }
 
-/// The way from one committed value to the next. It goes with the write that it was made for, so that what is published
-/// of a change never mixes with what another one did meanwhile.
+/// The transition from one committed value to the next. It is kept with the write that it was prepared for, so that a
+/// published delta never includes the effects of a concurrent change.
 struct Transition {
-    /// The digest of the value before.
+    /// The digest of the previous value.
     digest_before: u64,
     format_before: BodyFormat,
     format: BodyFormat,
@@ -37,7 +37,7 @@
     config: Arc<ConfigDocument>,
 }
 
-/// Carries out an operator's change.
+/// Executes an operator's change.
 pub async fn execute(controller: &Arc<Controller>, change: &ConfigChange) -> OperatorResponse {
     let read_by_all = controller.body_format();
     let known = controller.committed.current_config();
@@ -80,8 +80,8 @@
     let respond = |response| Decision::Answer(ChangeResult::Response(response));
     let Some(stored) = StoredConfig::decode(body) else { return respond(OperatorResponse::OutcomeUnknown) };
     let format_before = BodyFormat::of(body);
-    // Never an older format than before: a member that is away since this controller started is unknown here, and long
-    // values without need fill the links until it is never heard again.
+    // Never an older format than before: the version of a member that has been away since this controller started is
+    // unknown here, and uncompressed values would needlessly load the links for as long as it stays away.
     let format = read_by_all.max(format_before);
     match parsed.decide(&stored, known, format) {
         Ok(ChangeDecision::AlreadyCommitted) => respond(OperatorResponse::Done),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Makes a committed configuration known here and at the other controllers.
+/// Records a committed configuration here and publishes it to the other controllers.
 fn publish(controller: &Controller, entry: &Entry, change: &ConfigChange, transition: &Transition) {
     controller.learn_config(entry, transition.config.clone());
     let delta = delta_of(entry, change, transition);
@@ -116,26 +116,26 @@
     }
 }
 
-/// Returns whether a controller of this protocol version can make the value after the change from the one before it. One
-/// of version 3 writes the text of a changed configuration in another way, and a new layout is not derived from a change.
+/// Returns whether a controller of this protocol version can derive the value after the change from the one before it.
+/// Version 3 formats the text of a patched configuration differently, and a change to the new layout is not derivable.
 fn can_apply(protocol_version: u64, change: &ConfigChange, transition: &Transition) -> bool {
-    let writes_same_text = !change.partial || protocol_version >= DIGESTED_BODIES;
-    writes_same_text && transition.format.has_same_layout(transition.format_before)
+    let formats_same_text = !change.partial || protocol_version >= DIGESTED_BODIES;
+    formats_same_text && transition.format.has_same_layout(transition.format_before)
 }
 
-/// Sends the delta to the controllers that can use it, and the full value to the others.
+/// Sends the delta to the controllers that can apply it, and the full value to the others.
 fn send(controller: &Controller, entry: &Entry, delta: CommittedDelta, can_apply: impl Fn(u64) -> bool) {
     let full = Message::Committed(Box::new((delta.key.clone(), entry.clone())));
     let delta = Message::CommittedDelta(Box::new(delta));
     for peer in controller.known_peers() {
         let protocol_version = controller.peers.protocol_version(&peer);
-        let takes_delta = protocol_version >= RELAYED_ORDERS && can_apply(protocol_version);
-        controller.peers.consensus_client(&peer).notify(if takes_delta { delta.clone() } else { full.clone() });
+        let accepts_delta = protocol_version >= RELAYED_ORDERS && can_apply(protocol_version);
+        controller.peers.consensus_client(&peer).notify(if accepts_delta { delta.clone() } else { full.clone() });
     }
 }
 
-/// Makes it known that the same value was committed again, by a read or under a changed membership: controllers that have
-/// the value need only its position.
+/// Publishes that the same value was committed again, by a read or under a changed membership: controllers that have
+/// the value need only its new position.
 pub fn publish_unchanged(controller: &Controller, key: &str, entry: &Entry) {
     controller.learn(key, entry, false);
     let Position { proposal_number, index } = entry.position();
@@ -153,8 +153,8 @@
     send(controller, entry, delta, |_| true);
 }
 
-/// Applies a change that another controller committed. What does not fit is left to the next confirmation, which fetches
-/// the full value.
+/// Applies a delta that another controller committed. A delta that is not applicable is ignored: the next confirmation
+/// fetches the full value.
 pub fn apply_delta(controller: &Controller, delta: &CommittedDelta) {
     let (stored, known) = controller.committed.entry_and_config(&delta.key);
     let position = Position { proposal_number: delta.proposal_number, index: delta.index };
@@ -168,8 +168,8 @@
     }
 }
 
-/// Returns the value after a delta, if it is the one that was committed, and the configuration in it where that is
-/// another one. `known` is the configuration in the value before, where that was read already.
+/// Returns the value after a delta, if it is the committed one, and its configuration if that changed. `known` is the
+/// configuration in the previous value, if it is already parsed.
 fn next_body(
     body: &[u8],
     known: Option<&ConfigDocument>,
--- a/controller/src/config/history.rs
+++ b/controller/src/config/history.rs
@@ -1,5 +1,5 @@
-//! The configuration in force: as it is stored, as a value, and in the form in which routers take it. A change is encoded
-//! into a frame once and sent to many routers.
+//! The current configuration and its latest changes, encoded as frames for routers. A change is encoded once and sent
+//! to many routers.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use protocol::message::{Message, TENANTS};
 use quota::Quota;
 
-/// How many changes are kept for routers that are behind.
+/// The maximum number of changes kept for routers that are behind.
 const MAX_CHANGES: usize = 64;
-/// How many bytes of such changes are kept.
+/// The maximum total size of these changes, in bytes.
 const MAX_CHANGES_BYTES: usize = 1 << 20;
-/// The protocol version of routers that take the configuration as text.
+/// The protocol version of routers that receive the configuration as text.
 const TEXT_PROTOCOL_VERSION: u64 = 1;
 
 /// The layouts of encoded changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeLayout {
-    /// For routers that know no tenants.
+    /// For routers without support for tenants.
     BeforeTenants,
     /// The layout of this protocol version.
     Current,
@@ -37,30 +37,30 @@
     }
 }
 
-/// A change from the revision `from` to the next one that was in force here.
+/// A change from the revision `from` to the one that followed it here.
 struct EncodedChange {
     from: u64,
-    /// Whether routers that know no tenants may have the configuration after it.
+    /// Whether the configuration after the change may be sent to routers without support for tenants.
     is_valid_before_tenants: bool,
     frame: Bytes,
-    /// The frame in the layout before tenants, made when it is first needed.
+    /// The frame in the layout before tenants, encoded on first use.
     before_tenants: Option<Bytes>,
 }
 
-/// A configuration that was to replace the one in force is not newer.
+/// The error for a configuration that is not newer than the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevisionNotNewer {
-    /// The revision in force.
+    /// The current revision.
     pub current: u64,
-    /// The revision that was to replace it.
+    /// The revision of the rejected configuration.
     pub found: u64,
 }
 
-/// The configuration in force and the latest changes that led to it.
+/// The current configuration and the latest changes that led to it.
 ///
-/// Invariants: `current` never goes back to a lower revision, nor to another text under the same one; `changes` is a
-/// chain, each from the revision before it to the next, the last one ending at `current`; `full_frame` and
-/// `full_frame_before_tenants` are of `current`. What is kept is bounded by count and by bytes.
+/// Invariants: the revision of `current` never decreases, and its text never changes under the same revision; `changes`
+/// is a chain in which each change starts at the revision where the one before it ends, and the last ends at `current`;
+/// `full_frame` and `full_frame_before_tenants` encode `current`. `changes` is bounded by count and by bytes.
 #[derive(Default)]
 pub struct ConfigHistory {
     current: Option<Arc<ConfigDocument>>,
@@ -68,7 +68,7 @@
     full_frame_before_tenants: Option<Bytes>,
     changes: VecDeque<EncodedChange>,
     changes_bytes: usize,
-    /// Limits by tenant.
+    /// Rate limits by tenant.
     quotas: HashMap<String, Quota>,
 }
 
@@ -99,44 +99,44 @@
         self.frame.len() + self.before_tenants.as_ref().map_or(0, Bytes::len)
     }
 
-    /// Returns the frame in the layout before tenants, for routers of earlier versions.
+    /// Returns the frame in the layout before tenants, for routers of earlier versions. `None` if it cannot be encoded.
     fn frame_before_tenants(&mut self) -> Option<Bytes> {
         if self.before_tenants.is_none() {
-            let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&self.frame[HEADER_BYTES..]) else {
+            let Ok(Message::TenantConfigUpdate(encoded)) = frame::decode_body(&self.frame[HEADER_BYTES..]) else {
                 return None;
             };
-            self.before_tenants = encode_change(&ConfigUpdate::decode(&packed)?, ChangeLayout::BeforeTenants);
+            self.before_tenants = encode_change(&ConfigUpdate::decode(&encoded)?, ChangeLayout::BeforeTenants);
         }
         self.before_tenants.clone()
     }
 }
 
 impl ConfigHistory {
-    /// Returns the revision in force; 0 before the first.
+    /// Returns the current revision; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.current.as_ref().map_or(0, |current| current.revision())
     }
 
-    /// Returns whether the configuration in force has tenants.
+    /// Returns whether the current configuration has tenants.
     pub fn has_tenants(&self) -> bool {
         self.current.as_ref().is_some_and(|current| !current.config().tenant_table.is_empty())
     }
 
-    /// Returns the limit of a tenant of the configuration in force; the rate is 0 where the tenant has no limit.
+    /// Returns the rate limit of a tenant in the current configuration; a rate of 0 means no limit.
     pub fn tenant_quota(&self, name: &str) -> Option<Quota> {
         self.quotas.get(name).copied()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn current(&self) -> Option<&Arc<ConfigDocument>> {
         self.current.as_ref()
     }
 
-    /// Puts a newer configuration in force. The one in force may come again, maybe with other bytes around it.
+    /// Replaces the current configuration by a newer one. The current one again is accepted without effect.
     ///
     /// # Errors
     ///
-    /// Returns both revisions if the configuration is not newer; nothing has changed then.
+    /// Returns both revisions if the configuration is not newer; the current one stays then.
     pub fn advance(&mut self, config: Arc<ConfigDocument>) -> Result<(), RevisionNotNewer> {
         let Some(old) = self.current.clone() else {
             self.quotas = quotas(&config);
@@ -174,16 +174,16 @@
         self.changes_bytes = 0;
     }
 
-    /// Returns whether the configuration in force may be sent to a router of this protocol version. A router that knows
-    /// no tenants would serve requests without keys.
+    /// Returns whether the current configuration may be sent to a router of this protocol version. A router without
+    /// support for tenants would serve requests without API keys.
     pub fn can_send_to(&self, protocol_version: u64) -> bool {
         let current = self.current.as_ref();
         ChangeLayout::of(protocol_version) == ChangeLayout::Current
             || current.is_none_or(|current| legacy_format::can_encode(current.config()))
     }
 
-    /// Returns revision and text for a router of the first protocol version that has the revision `known`, if that is
-    /// older.
+    /// Returns the current revision and text for a router of the first protocol version, if `known`, the revision that
+    /// it has, is older.
     pub fn text_newer_than(&self, known: u64) -> Option<(u64, Vec<u8>)> {
         let is_newer =
             |current: &&Arc<ConfigDocument>| current.revision() > known && self.can_send_to(TEXT_PROTOCOL_VERSION);
@@ -191,14 +191,14 @@
         newer.map(|current| (current.revision(), current.text().as_bytes().to_vec()))
     }
 
-    /// Returns what brings a router that has the revision `known` up to date: the changes since, or the full
-    /// configuration where there are none or they are not smaller.
+    /// Returns the frames that bring a router from the revision `known` up to date: the changes since then, or the full
+    /// configuration if there is no such chain or it is not smaller.
     pub fn frames_since(&mut self, known: u64, layout: ChangeLayout) -> Vec<Bytes> {
         if known >= self.revision() {
             return Vec::new();
         }
         let changes = self.changes_since(known, layout);
-        // One change is almost always smaller: the full frame need not be made to see it.
+        // A single change is almost always smaller, so the full frame is not encoded just to compare sizes.
         if changes.len() == 1 {
             return changes;
         }
@@ -222,26 +222,26 @@
         cached.clone()
     }
 
-    /// Returns the chain from a revision on; empty where that revision is not known, or one of the changes can't be
-    /// written in this layout.
+    /// Returns the chain of changes from a revision on. Empty if that revision is unknown or one of the changes cannot
+    /// be encoded in this layout.
     fn changes_since(&mut self, known: u64, layout: ChangeLayout) -> Vec<Bytes> {
         let Some(first) = self.changes.iter().position(|change| change.from == known) else { return Vec::new() };
         let changes = self.changes.iter_mut().skip(first);
         if layout == ChangeLayout::Current {
             return changes.map(|change| change.frame.clone()).collect();
         }
-        let older_frame = |change: &mut EncodedChange| {
+        let legacy_frame = |change: &mut EncodedChange| {
             change.is_valid_before_tenants.then(|| change.frame_before_tenants()).flatten()
         };
-        let frames = changes.map(older_frame).collect();
+        let frames = changes.map(legacy_frame).collect();
         self.changes_bytes = self.changes.iter().map(EncodedChange::bytes).sum();
         Option::unwrap_or_default(frames)
     }
 
-    /// Sends what a router lacks, in the layout for its protocol version. Returns whether all of it was sent: `false`
-    /// means that `send` failed for some of it, or that it may not be sent to this router.
+    /// Sends the frames that a router lacks, in the layout for its protocol version. Returns whether all were sent:
+    /// `false` means that `send` failed for a frame, or that the configuration may not be sent to this router.
     ///
-    /// `known`, the revision that the router has, rises only once `send` succeeded for all of it.
+    /// `known`, the revision that the router has, is advanced only once `send` succeeded for all frames.
     pub fn send_missing(
         &mut self,
         protocol_version: u64,
--- a/controller/src/config/mod.rs
+++ b/controller/src/config/mod.rs
@@ -1,7 +1,8 @@
 //! The operators' configuration as control state.
 //!
-//! `body` is the value of its register in all byte formats, `change` decides about a change on top of it, `execution`
-//! commits changes and publishes them to the other controllers, and `history` has the frames that routers get.
+//! `body` defines the value of its register in all byte formats, `change` validates a change against that value,
+//! `execution` commits changes and publishes them to the other controllers, and `history` encodes the frames that
+//! routers receive.
 
 pub mod body;
 pub mod change;
--- a/controller/src/config/timing_tests.rs
+++ b/controller/src/config/timing_tests.rs
@@ -1,4 +1,4 @@
-//! What a change of the configuration costs. Run by hand, in release:
+//! Measures the time that a change of the configuration takes. Run manually, in release mode:
 //! `cargo test --release -p controller --lib timing -- --ignored --nocapture`.
 
 use std::time::Instant;
@@ -14,11 +14,11 @@
 use crate::config::change::ParsedChange;
 use crate::replication::committed_state::{CommittedState, CONFIG_KEY};
 
-const ROUNDS: usize = 40;
-/// How many changes a body remembers here.
-const REMEMBERED: u64 = 300;
+const SAMPLE_COUNT: usize = 40;
+/// The number of remembered changes in the measured value.
+const REMEMBERED_CHANGES: u64 = 300;
 
-fn text(revision: u64, routes: usize) -> String {
+fn config_text(revision: u64, routes: usize) -> String {
     let route = |number: usize| {
         let host = number % 50;
         format!(
@@ -37,16 +37,16 @@
     )
 }
 
-fn print_median(label: &str, mut act: impl FnMut()) {
-    let mut times: Vec<f64> = (0..ROUNDS)
+fn print_median(label: &str, mut measured: impl FnMut()) {
+    let mut times: Vec<f64> = (0..SAMPLE_COUNT)
         .map(|_| {
-            let begun = Instant::now();
-            act();
-            begun.elapsed().as_secs_f64() * 1000.0
+            let started_at = Instant::now();
+            measured();
+            started_at.elapsed().as_secs_f64() * 1000.0
         })
         .collect();
     times.sort_by(f64::total_cmp);
-    println!("  {label}: {:.3} ms", times[ROUNDS / 2]);
+    println!("  {label}: {:.3} ms", times[SAMPLE_COUNT / 2]);
 }
 
 fn entry(term: u64, body: Vec<u8>) -> Entry {
@@ -54,36 +54,36 @@
 }
 
 #[test]
-#[ignore = "prints times, checks nothing"]
-fn what_a_change_costs() {
+#[ignore = "prints timings, checks nothing"]
+fn change_timings() {
     for routes in [40, 1500] {
-        let mut stored = StoredConfig { revision: 5, text: text(5, routes), ..StoredConfig::default() };
+        let mut stored = StoredConfig { revision: 5, text: config_text(5, routes), ..StoredConfig::default() };
         let earlier = |base| ConfigChange { base, text: String::new(), partial: false };
-        (0..REMEMBERED).for_each(|base| stored.remember(&earlier(base), BodyFormat::Digested));
+        (0..REMEMBERED_CHANGES).for_each(|base| stored.remember(&earlier(base), BodyFormat::Digested));
         let body = stored.encode(BodyFormat::Digested);
-        println!("{routes} routes: text of {} bytes, body of {}", stored.text.len(), body.len());
-        print_median("read and check", || drop(config::read(&stored.text).expect("good")));
+        println!("{routes} routes: text of {} bytes, value of {} bytes", stored.text.len(), body.len());
+        print_median("parse and validate", || drop(config::read(&stored.text).expect("the configuration is valid")));
         let mut state = CommittedState::default();
         state.learn(CONFIG_KEY, &entry(1, body.clone()), None);
         let known = state.history.current().cloned();
         let route = "{\"name\":\"new\",\"hostname\":\"n\",\"path_prefix\":\"/\",\"route_type\":\"idempotent\",\
             \"timeout_ms\":9,\"service\":\"service-1\"}";
         let patch = format!("{{\"revision\":8,\"upsert\":{{\"route_table\":[{route}]}}}}");
-        let full = ConfigChange { base: 5, text: text(8, routes), partial: false };
-        let part = ConfigChange { base: 5, text: patch, partial: true };
-        for (label, change) in [("PUT", &full), ("PATCH", &part)] {
-            let judged = || match decide(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
+        let full = ConfigChange { base: 5, text: config_text(8, routes), partial: false };
+        let partial = ConfigChange { base: 5, text: patch, partial: true };
+        for (label, change) in [("PUT", &full), ("PATCH", &partial)] {
+            let prepare = || match decide(&ParsedChange::parse(change), &body, known.as_deref(), BodyFormat::Digested) {
                 Decision::Write(next, ChangeResult::Transition(transition)) => (next, transition),
-                _ => panic!("a change"),
+                _ => panic!("the change is not written"),
             };
-            print_median(&format!("{label}, judged and sealed by its committer"), || drop(judged()));
-            let (next, transition) = judged();
+            print_median(&format!("{label}, decided and encoded by the committing controller"), || drop(prepare()));
+            let (next, transition) = prepare();
             let delta = delta_of(&entry(2, next), change, &transition);
-            let old = known.as_deref().expect("a configuration");
-            print_median(&format!("{label}, at a controller that is told of it"), || {
-                let (_, checked) = next_body(&body, Some(old), &delta).expect("made");
-                let checked = checked.expect("changed");
-                drop(ConfigUpdate::between(old.config(), checked.config()).encode());
+            let old = known.as_deref().expect("a configuration is current");
+            print_median(&format!("{label}, applied as a delta by another controller"), || {
+                let (_, config) = next_body(&body, Some(old), &delta).expect("the delta is applied");
+                let config = config.expect("the configuration changed");
+                drop(ConfigUpdate::between(old.config(), config.config()).encode());
             });
         }
     }
