--- a/controller/src/api/batches.rs
+++ b/controller/src/api/batches.rs
@@ -1,4 +1,4 @@
-//! The resources of batches: submission, state, results, cancellation. What is read here is committed.
+//! The resources of batches: submission, state, results and cancellation. Reads return committed state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
 
-/// The longest body of a submission: a batch takes up less once it is parsed.
+/// The largest body of a submission, in bytes: a parsed batch is smaller than its text.
 const MAX_BODY_BYTES: usize = 2 * MAX_BATCH_BYTES;
-/// When a batch for which there is no capacity may be submitted again.
+/// The retry delay reported for a batch that exceeds the capacity, in ms.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 60_000;
 
-/// All batches: listed or added to.
+/// The collection of batches: list all of them or submit one.
 pub struct BatchCollection(pub Arc<Controller>);
-/// One batch: its state, or its cancellation.
+/// One batch: read its state or cancel it.
 pub struct BatchResource(pub Arc<Controller>);
-/// The outcomes of the jobs of one batch.
+/// The outcomes of a batch's jobs.
 pub struct BatchResults(pub Arc<Controller>);
 
 impl BatchCollection {
@@ -37,7 +37,7 @@
         let key = request.header("idempotency-key").unwrap_or("").to_string();
         let text = read_text(request, MAX_BODY_BYTES).await?;
         let config = controller.committed.current_config();
-        let config = config.ok_or_else(|| ApiError::conflict("no configuration yet: no routes"))?;
+        let config = config.ok_or_else(|| ApiError::conflict("no configuration yet, so there are no routes"))?;
         let route = |host: &str, path: &str| is_repeatable_route(config.config(), host, path);
         let batch = parse(&key, &text, &route).map_err(|error| ApiError::bad_request(error.to_string()))?;
         let id = batch_id(&key);
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns whether the route for a path may be sent a request again. `None`: there is no route.
+/// Returns whether requests on the route for a path may be repeated, or `None` if there is no route.
 fn is_repeatable_route(config: &Config, host: &str, path: &str) -> Option<bool> {
     let host = config::without_port(host);
     let matches = |route: &&Route| route.hostname.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix);
@@ -68,12 +68,12 @@
     Some(route.route_type == "idempotent" || is_resumable)
 }
 
-/// Returns whether there is capacity for a batch. One that is submitted again needs no more than it has.
+/// Returns whether there is capacity for a batch. A batch that is already stored needs none.
 fn has_capacity(controller: &Controller, id: &str, batch: &Batch) -> bool {
     let response_bytes = batch.jobs.len() * MAX_RESPONSE_BYTES;
     controller.committed.read(|state| {
         let ids = records::ids(state);
-        if ids.iter().any(|known| known == id) {
+        if ids.iter().any(|stored_id| stored_id == id) {
             return true;
         }
         let stored = ids.iter().filter_map(|id| records::batch(state, id));
@@ -86,11 +86,13 @@
 async fn commit(controller: &Controller, id: &str, batch: &Batch) -> ApiResponse {
     let body = batch.to_bytes();
     let decide = |stored: &[u8]| match Batch::from_bytes(stored) {
-        Some(stored) if stored.expired => {
-            Decision::Answer(ApiError::conflict("Idempotency-Key: its batch has expired; use another").into())
-        }
+        Some(stored) if stored.expired => Decision::Answer(
+            ApiError::conflict("Idempotency-Key: the batch with this key has expired; use another key").into(),
+        ),
         Some(stored) if stored.digest == batch.digest => Decision::Answer(ApiResponse::Done),
-        Some(_) => Decision::Answer(ApiError::conflict("Idempotency-Key: used for a batch with other content").into()),
+        Some(_) => Decision::Answer(
+            ApiError::conflict("Idempotency-Key: already used for a batch with different content").into(),
+        ),
         None => Decision::Write(body.clone(), ApiResponse::Done),
     };
     let result = controller.change(&records::batch_key(id), request_timeout_ms(controller), decide).await;
@@ -98,7 +100,7 @@
 }
 
 fn unknown_batch(id: &str) -> ApiError {
-    ApiError::not_found(format!("batch `{id}`: not known"))
+    ApiError::not_found(format!("batch `{id}`: not found"))
 }
 
 impl BatchResource {
@@ -128,8 +130,8 @@
     for job in records::pages(state, id, batch).flat_map(|page| page.states) {
         *counts.entry(job.as_str()).or_default() += 1;
     }
-    let open = counts.get("waiting").unwrap_or(&0) + counts.get("running").unwrap_or(&0);
-    let name = match (batch.expired, batch.cancelled, open) {
+    let unfinished = counts.get("waiting").unwrap_or(&0) + counts.get("running").unwrap_or(&0);
+    let name = match (batch.expired, batch.cancelled, unfinished) {
         (true, _, _) => "expired",
         (_, true, _) => "cancelled",
         (_, _, 0) => "finished",
@@ -142,7 +144,7 @@
 }
 
 impl BatchResults {
-    /// Returns the outcomes that there are: a job that is still open has none.
+    /// Returns the outcomes of the finished jobs.
     fn read(&self, id: &str) -> Result<ApiResponse, ApiError> {
         self.0.committed.read(|state| {
             let batch = records::batch(state, id).ok_or_else(|| unknown_batch(id))?;
--- a/controller/src/api/config.rs
+++ b/controller/src/api/config.rs
@@ -1,4 +1,5 @@
-//! The resources `/config` and `/evacuation/:zone`. Both are carried out at the controller that is home to the key.
+//! The resources `/config` and `/evacuation/:zone`. Their requests are executed by the controller that coordinates the
+//! key.
 
 use std::sync::Arc;
 
@@ -17,7 +18,7 @@
 /// The path of the configuration.
 pub const CONFIG_PATH: &str = "/config";
 
-/// The configuration: read, replaced or patched.
+/// The configuration: read, replace or patch it.
 pub struct ConfigResource(pub Arc<Controller>);
 
 impl ConfigResource {
@@ -38,7 +39,7 @@
     match request.take_body().into_bytes_limit(MAX_TEXT_BYTES).await {
         Ok(body) => into_text(body.to_vec()),
         Err(ReadBodyError::PayloadTooLarge) => Err(ApiError::payload_too_large("body: too large")),
-        Err(_) => Err(ApiError::bad_request("body: cut short")),
+        Err(_) => Err(ApiError::bad_request("body: incomplete")),
     }
 }
 
@@ -56,13 +57,13 @@
     }
 }
 
-/// The evacuation of a zone: begun or withdrawn.
+/// The evacuation of a zone: start or end it.
 pub struct EvacuationResource(pub Arc<Controller>);
 
 impl EvacuationResource {
     async fn set(&self, zone: &str, on: bool) -> ApiResponse {
         if !self.0.settings.zones.contains_key(zone) {
-            return ApiError::not_found(format!("zone `{zone}`: not known")).into();
+            return ApiError::not_found(format!("zone `{zone}`: not found")).into();
         }
         submit(&self.0, format!("/evacuation/{zone}"), OperatorRequest::Evacuate { zone: zone.into(), on }).await
     }
@@ -82,7 +83,7 @@
     }
 }
 
-/// Carries a request out, or redirects its sender to the controller that should.
+/// Executes a request, or redirects its sender to the controller that should execute it.
 async fn submit(controller: &Arc<Controller>, path: String, request: OperatorRequest) -> ApiResponse {
     let timer = RequestTimer::start(&controller.metrics, &request);
     if let Some(address) = operator_requests::redirect_address(controller, &request) {
--- a/controller/src/api/mod.rs
+++ b/controller/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' interface over HTTP: resources, requests and their responses.
+//! The operators' HTTP interface: resources, requests and their responses.
 //!
-//! A resource reads its request, has it carried out, and returns an [`response::ApiResponse`]; only `response` knows how
-//! that is written.
+//! A resource reads its request, has it executed, and returns an [`response::ApiResponse`]; only `response` knows its
+//! representation in HTTP.
 
 pub mod batches;
 pub mod config;
--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -1,5 +1,6 @@
-//! Execution of operators' requests. One controller is home to a key and carries out what concerns it, so that controllers
-//! do not supersede each other; the others relay to it, and carry a request out themselves when it does not answer.
+//! Execution of operators' requests. One controller coordinates each key and executes its requests, so that controllers
+//! do not supersede each other's proposals. The others relay to it, and execute a request themselves if it does not
+//! respond.
 
 use std::sync::Arc;
 
@@ -14,12 +15,12 @@
 use crate::replication::committed_state::{EvacuationRecord, CONFIG_KEY, EVACUATION_PREFIX};
 use crate::replication::reconfiguration;
 
-/// How long the home of a key may take before a request is carried out here.
+/// The timeout of a request relayed to the coordinator of a key, after which the request is executed here, in ms.
 const RELAY_TIMEOUT_MS: u64 = 500;
-/// How long an evacuation may take: a request without a version must not be carried out after its sender gave up, sent
-/// it to another controller, and then took it back there. Below a second, after which callers give up.
+/// The timeout of an evacuation, in ms. It is less than the second after which callers give up: a request without a
+/// version must not be executed after its sender has started the evacuation at another controller and ended it again.
 pub const EVACUATION_TIMEOUT_MS: u64 = 900;
-/// The shortest and the longest time for other requests.
+/// The bounds of the timeout of other requests, in ms.
 const MIN_REQUEST_TIMEOUT_MS: u64 = 800;
 const MAX_REQUEST_TIMEOUT_MS: u64 = 2500;
 
@@ -28,7 +29,7 @@
     (controller.settings.bounds.ack_ms / 2).clamp(MIN_REQUEST_TIMEOUT_MS, MAX_REQUEST_TIMEOUT_MS)
 }
 
-/// Carries a request out, at its home where that answers in time.
+/// Executes a request, at the coordinator of its key if that responds in time.
 pub async fn submit(controller: &Arc<Controller>, request: OperatorRequest) -> OperatorResponse {
     if controller.peers.requests_may_be_stale() {
         return OperatorResponse::OutcomeUnknown;
@@ -41,7 +42,7 @@
     execute(controller, &request, elapsed_ms).await
 }
 
-/// Carries out a request that another controller relayed. It is not relayed again.
+/// Executes a request that another controller relayed. It is not relayed again.
 pub async fn execute_relayed(controller: &Arc<Controller>, request: OperatorRequest) -> OperatorResponse {
     if controller.peers.requests_may_be_stale() {
         return OperatorResponse::OutcomeUnknown;
@@ -53,56 +54,56 @@
     format!("{EVACUATION_PREFIX}{zone}")
 }
 
-/// Returns the key that a request concerns.
-fn key(request: &OperatorRequest) -> String {
+/// Returns the key that a request reads or changes.
+fn request_key(request: &OperatorRequest) -> String {
     match request {
         OperatorRequest::Change(_) | OperatorRequest::ReadConfig => CONFIG_KEY.into(),
         OperatorRequest::Evacuate { zone, .. } | OperatorRequest::EvacuateFrom { zone, .. } => evacuation_key(zone),
     }
 }
 
-/// Returns the controller that is home to a key, if that is another one: the first live member in the agreed order. It
-/// has a disk and votes itself.
-fn home(controller: &Controller, key: &str) -> Option<String> {
+/// Returns the controller that coordinates a key, if that is another one: the first live member in the agreed order. It
+/// has a disk and a vote.
+fn coordinator(controller: &Controller, key: &str) -> Option<String> {
     let now = clock::now();
     let membership = controller.replica.membership();
     let is_shutting_down = controller.is_shutting_down();
     controller.peers.read(|view| {
         let first = reconfiguration::first_member(&membership, view, is_shutting_down, key, now)?;
-        let takes_requests = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
-        takes_requests.then_some(first)
+        let accepts_relayed = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
+        accepts_relayed.then_some(first)
     })
 }
 
-/// Returns where a caller had better send a request: to the home of its key, from a controller that is no member of the
-/// core. Such a controller may have a slow link, and would only pass request and response on.
+/// Returns the address to which a caller is redirected. A controller that is no core member redirects to the
+/// coordinator of the key: it may have a slow link and would only forward request and response.
 pub fn redirect_address(controller: &Controller, request: &OperatorRequest) -> Option<String> {
     if quorum::is_member(&controller.replica.membership(), controller.own_ip()) {
         return None;
     }
     let own = controller.settings.bind_addresses.control_plane.as_deref()?;
-    control_address(own, &home(controller, &key(request))?)
+    control_address(own, &coordinator(controller, &request_key(request))?)
 }
 
-/// Returns the address of the operators' interface of another controller: ports are the same on all machines.
+/// Returns the address of another controller's operators' interface, which has the same port on all machines.
 pub fn control_address(own: &str, peer: &str) -> Option<String> {
     let (_, port) = own.rsplit_once(':')?;
     Some(format!("{peer}:{port}"))
 }
 
-/// Relays a request to the home of its key. Returns `None` if it is to be carried out here.
+/// Relays a request to the coordinator of its key. Returns `None` if it is to be executed here.
 async fn relay(controller: &Arc<Controller>, request: &OperatorRequest) -> Option<OperatorResponse> {
-    let home = home(controller, &key(request))?;
-    let protocol_version = controller.peers.protocol_version(&home);
+    let coordinator = coordinator(controller, &request_key(request))?;
+    let protocol_version = controller.peers.protocol_version(&coordinator);
     let message = Message::OperatorRequest(Box::new(relayed_form(controller, request, protocol_version)));
-    match controller.peers.consensus_client(&home).call(message, RELAY_TIMEOUT_MS).await {
+    match controller.peers.consensus_client(&coordinator).call(message, RELAY_TIMEOUT_MS).await {
         Some(Message::OperatorResponse(response)) if *response != OperatorResponse::OutcomeUnknown => Some(*response),
         _ => None,
     }
 }
 
-/// Returns a request as it goes to a controller of this protocol version. It may arrive late, after it was carried out
-/// here and then taken back: so an evacuation names the version of the zone's evacuation that it builds on.
+/// Returns a request as it is relayed to a controller of this protocol version. It may arrive late, after the
+/// evacuation was started here and ended again, so it states the version of the zone's evacuation that it builds on.
 fn relayed_form(controller: &Controller, request: &OperatorRequest, protocol_version: u64) -> OperatorRequest {
     match request {
         OperatorRequest::Evacuate { zone, on } if protocol_version >= VERSIONED_EVACUATIONS => {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Carries a request out here. `elapsed_ms` is how long it took so far.
+/// Executes a request here. `elapsed_ms` is the time already spent on it.
 async fn execute(controller: &Arc<Controller>, request: &OperatorRequest, elapsed_ms: u64) -> OperatorResponse {
     match request {
         OperatorRequest::Change(change) => execution::execute(controller, change).await,
@@ -133,9 +134,9 @@
     result.unwrap_or(OperatorResponse::OutcomeUnknown)
 }
 
-/// Decides about beginning or withdrawing an evacuation on top of the committed value, or only on top of one version of
-/// it. Answers with `done` once the zone is so, and with `unknown` where another version is committed or the value
-/// cannot be read.
+/// Decides about starting or ending an evacuation on top of the committed value; with `from`, only on top of that
+/// version. Answers `done` if the zone already has the requested state, and `unknown` if another version is committed
+/// or the value cannot be decoded.
 pub fn decide_evacuation<T>(on: bool, from: Option<u64>, body: &[u8], done: T, unknown: T) -> Decision<T> {
     let Some(stored) = EvacuationRecord::open(body) else { return Decision::Answer(unknown) };
     if stored.evacuated == on {
--- a/controller/src/api/response.rs
+++ b/controller/src/api/response.rs
@@ -1,4 +1,4 @@
-//! What the operators' interface answers, as values. One place writes them as HTTP responses and logs the failures.
+//! The responses of the operators' interface as values. This module alone converts them to HTTP and logs failures.
 
 use poem::http::header::{HeaderName, LOCATION, RETRY_AFTER};
 use poem::http::{HeaderValue, StatusCode};
@@ -9,21 +9,21 @@
 
 use crate::event::{REFUSED, UNCLEAR};
 
-/// Seconds after which a caller is to send a request of unknown outcome again.
+/// The `Retry-After` of a request of unknown outcome, in seconds.
 const OUTCOME_UNKNOWN_RETRY_AFTER_S: &str = "0.3";
 
-/// Why a request is rejected for good.
+/// Why a request is permanently rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{status} {message}")]
 pub struct ApiError {
     /// The HTTP status.
     pub status: u16,
-    /// What was expected, what was found, and where.
+    /// Where the error is, what was found and what was expected.
     pub message: String,
 }
 
 impl ApiError {
-    /// Returns an error of any status.
+    /// Returns an error with the given status.
     pub fn new(status: u16, message: impl Into<String>) -> ApiError {
         ApiError { status, message: message.into() }
     }
@@ -38,17 +38,17 @@
         ApiError::new(404, message)
     }
 
-    /// Returns the error for a method that a resource does not have (405).
+    /// Returns the error for a method that a resource does not support (405).
     pub fn method_not_allowed(message: impl Into<String>) -> ApiError {
         ApiError::new(405, message)
     }
 
-    /// Returns the error for a request that the present state does not allow (409).
+    /// Returns the error for a request that the current state does not allow (409).
     pub fn conflict(message: impl Into<String>) -> ApiError {
         ApiError::new(409, message)
     }
 
-    /// Returns the error for a request that builds on another version than the current one (412).
+    /// Returns the error for a request that does not build on the current version (412).
     pub fn precondition_failed(message: impl Into<String>) -> ApiError {
         ApiError::new(412, message)
     }
@@ -59,33 +59,33 @@
     }
 }
 
-/// The response to a call of the operators' interface.
+/// The response to a request to the operators' interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApiResponse {
-    /// The request was carried out; there is nothing more to say.
+    /// The request was executed; there is no further information.
     Done,
     /// A JSON text.
     Json(Vec<u8>),
-    /// The request is rejected for good.
+    /// The request is permanently rejected.
     Rejected(ApiError),
-    /// There is no capacity for the request now.
+    /// There is currently no capacity for the request.
     Overloaded {
-        /// When it may be sent again, in ms.
+        /// The delay after which it may be retried, in ms.
         retry_after_ms: u64,
     },
-    /// The request may have been carried out, or may yet be; it is to be sent again.
+    /// The request may have been executed, or may still be; the caller should retry it.
     OutcomeUnknown,
-    /// Another controller is to be asked.
+    /// The request must be sent to another controller.
     Redirect {
-        /// Host and port of that controller.
+        /// The host and port of that controller.
         address: String,
-        /// The path to ask for.
+        /// The path of the request there.
         path: String,
     },
 }
 
 impl ApiResponse {
-    /// Returns a response that consists of a JSON value.
+    /// Returns a response with a JSON value as its body.
     pub fn json(value: &Value) -> ApiResponse {
         ApiResponse::Json(value.to_string().into_bytes())
     }
@@ -104,7 +104,7 @@
 }
 
 impl From<OperatorResponse> for ApiResponse {
-    /// Converts the outcome of an operation. What a read found is converted by the resource, which knows its format.
+    /// Converts the outcome of an operation. `Found` is converted by the resource, which knows the format of the value.
     fn from(response: OperatorResponse) -> ApiResponse {
         match response {
             OperatorResponse::Done => ApiResponse::Done,
@@ -125,14 +125,14 @@
             }
             ApiResponse::Overloaded { retry_after_ms } => {
                 let seconds = format!("{:.1}", retry_after_ms as f64 / 1000.0);
-                with_header(error_response(503, "no room for it now"), RETRY_AFTER, &seconds)
+                with_header(error_response(503, "no capacity for this request now"), RETRY_AFTER, &seconds)
             }
             ApiResponse::Redirect { address, path } => {
                 with_header(json_response(307, b"{}".to_vec()), LOCATION, &format!("http://{address}{path}"))
             }
             ApiResponse::OutcomeUnknown => {
                 kernel::log_event!(UNCLEAR);
-                let response = error_response(503, "no majority answered in time");
+                let response = error_response(503, "no quorum responded in time");
                 with_header(response, RETRY_AFTER, OUTCOME_UNKNOWN_RETRY_AFTER_S)
             }
         }
@@ -148,7 +148,7 @@
     json_response(status, serde_json::json!({ "error": message }).to_string().into_bytes())
 }
 
-/// Adds a header; a value that HTTP does not allow is left out.
+/// Adds a header, or leaves it out if HTTP does not allow its value.
 fn with_header(mut response: Response, name: HeaderName, value: &str) -> Response {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
--- a/controller/src/api/response_tests.rs
+++ b/controller/src/api/response_tests.rs
@@ -1,10 +1,10 @@
-//! How outcomes of requests are written as HTTP responses.
+//! Conversion of responses to HTTP.
 use poem::IntoResponse;
 
 use super::ApiResponse;
 
 #[test]
-fn a_request_for_another_controller_is_redirected_with_its_method_kept() {
+fn redirect_is_a_307_that_keeps_the_method() {
     let redirect = ApiResponse::Redirect { address: "10.0.0.4:8262".into(), path: "/evacuation/a".into() };
     let response = redirect.into_response();
     assert_eq!(response.status(), 307);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_request_of_unknown_outcome_is_to_be_sent_again() {
+fn unknown_outcome_is_a_503_with_retry_after() {
     let response = ApiResponse::OutcomeUnknown.into_response();
     assert_eq!(response.status(), 503);
     assert!(response.header("retry-after").is_some());
--- a/controller/src/api/routes.rs
+++ b/controller/src/api/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of the operators' interface, and the server that answers there.
+//! The routes of the operators' interface, and its HTTP server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,19 +19,19 @@
 use crate::controller::Controller;
 use crate::shutdown::Shutdown;
 
-/// The pause before an address that can't be listened on is tried again.
+/// The retry delay after listening on the address failed.
 const LISTEN_RETRY: Duration = Duration::from_millis(200);
-/// How long a connection may stay idle.
+/// The idle timeout of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves the operators' interface until the process closes, if the settings name an address for it.
+/// Serves the operators' interface until the process shuts down, if the settings have an address for it.
 pub fn start(controller: &Arc<Controller>) {
     let Some(address) = controller.settings.bind_addresses.control_plane.clone() else { return };
     let routes = Arc::new(routes(controller));
-    let inner = controller.clone();
+    let task_controller = controller.clone();
     controller.shutdown.spawn(async move {
-        while !inner.shutdown.is_closing() {
-            serve(&address, routes.clone(), &inner.shutdown).await;
+        while !task_controller.shutdown.is_closing() {
+            serve(&address, routes.clone(), &task_controller.shutdown).await;
         }
     });
 }
@@ -58,7 +58,7 @@
         .at("/evacuation/:zone", EvacuationResource(controller.clone()))
 }
 
-/// Serves callers until the process closes, and then finishes the requests that are in flight.
+/// Serves requests until the process shuts down, then completes the requests in flight.
 async fn serve(address: &str, routes: Arc<Route>, shutdown: &Shutdown) {
     let Ok(listener) = socket::listen(address) else {
         time::sleep(LISTEN_RETRY).await;
--- a/controller/src/api/staleness_limits.rs
+++ b/controller/src/api/staleness_limits.rs
@@ -1,5 +1,5 @@
-//! The resources of limits on stale weights: a limit, the trainer's latest version, a rollback to an older one, and how
-//! far a limit holds.
+//! The resources of staleness limits on model weights: a limit and how far it is in effect, the trainer's latest
+//! version, and a rollback to an older one.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -17,36 +17,36 @@
 use crate::controller::Controller;
 use crate::rollout::staleness_limits::{self, LimitTarget, StalenessLimitChange};
 
-/// The longest body of a request.
+/// The largest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The name under which replicas are shown that serve both phases.
+/// The phase shown for replicas that serve both prefill and decode.
 const UNSPLIT_PHASE: &str = "whole";
 
-/// All limits, which are listed; a version rollout is started here too.
+/// The collection of limits, which are listed here. A `POST` starts a version rollout.
 pub struct RolloutCollection(pub Arc<Controller>);
 
 /// The limit of one service and model.
 pub struct StalenessLimitResource(pub Arc<Controller>);
 
-/// The version that the trainer made last, or the older one that is to be served again.
+/// A report of the trainer's latest version, or a rollback to an older one.
 pub struct LatestVersionResource {
-    /// The controller that answers.
+    /// The controller that serves the resource.
     pub controller: Arc<Controller>,
-    /// Which of the two this resource takes.
+    /// The kind of report that this resource accepts.
     pub report: VersionReport,
 }
 
-/// What a report of a version means.
+/// The kind of a version report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionReport {
     /// The trainer has a newer version.
     Latest,
-    /// An older version is to be served again.
+    /// An older version must be served again.
     Rollback,
 }
 
-/// Replicas of one zone and phase by what a limit says of their weights. The names of the fields are those of the JSON
-/// body, in this order.
+/// The number of replicas in one zone and phase with weights `inside` a limit, `past` it, or of `unknown` version. The
+/// JSON body has the same field names in this order.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct ReplicaCounts {
     inside: u32,
@@ -67,7 +67,7 @@
         let (target, base) = (target(request), if_match(request));
         let text = read_text(request, MAX_BODY_BYTES).await?;
         let config = self.0.committed.current_config();
-        let config = config.ok_or_else(|| ApiError::conflict("no configuration yet: no routes"))?;
+        let config = config.ok_or_else(|| ApiError::conflict("no configuration yet, so there are no routes"))?;
         let change = staleness_limits::parse_limit(&text, base, &target, config.config())?;
         Ok(staleness_limits::execute(&self.0, &target, &change).await)
     }
@@ -78,20 +78,21 @@
         Ok(staleness_limits::execute(&self.0, &target(request), &change).await)
     }
 
-    /// Returns the limit and how far it holds: replicas by zone and phase, routers that confirmed it.
+    /// Returns the limit and how far it is in effect: replica counts by zone and phase, and the routers that confirmed
+    /// it.
     async fn state(&self, target: &LimitTarget) -> Result<ApiResponse, ApiError> {
         let key = target.key();
         let limit = self.0.committed.staleness_limit(&key).filter(|limit| !limit.removed);
         let limit = limit.ok_or_else(staleness_limits::no_limit)?;
         let replies = self.0.collect_confirmations(&key, limit.version).await;
         let (routers, confirmed) =
-            replies.iter().flatten().fold((0, 0), |sum, (all, confirmed)| (sum.0 + all, sum.1 + confirmed));
-        let silent = replies.iter().filter(|reply| reply.is_none()).count();
+            replies.iter().flatten().fold((0, 0), |sum, (total, confirmed)| (sum.0 + total, sum.1 + confirmed));
+        let unresponsive = replies.iter().filter(|reply| reply.is_none()).count();
         Ok(ApiResponse::json(&serde_json::json!({
             "service": target.service, "model": target.model, "version": limit.version, "latest": limit.latest,
             "lag": limit.lag, "floor": limit.floor(), "routes": limit.routes, "rollbacks": limit.rollbacks,
             "reason": limit.reason, "replicas": self.replicas(&limit), "routers": routers,
-            "routers_confirmed": confirmed, "keepers_silent": silent,
+            "routers_confirmed": confirmed, "keepers_silent": unresponsive,
         })))
     }
 
--- a/controller/src/api/status.rs
+++ b/controller/src/api/status.rs
@@ -1,4 +1,4 @@
-//! Resources that show the state of the fleet. They are read only: any other method than GET gets 405.
+//! Read-only resources that show the state of the fleet. Methods other than GET get 405.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::controller::Controller;
 use crate::quota_shards::fleet_usage;
 
-/// Returns 405 unless a request only reads.
+/// Returns the 405 response for a request that is not a GET.
 fn require_get(request: &Request) -> Result<(), ApiResponse> {
     match *request.method() == Method::GET {
         true => Ok(()),
@@ -18,44 +18,44 @@
     }
 }
 
-/// The last log events of this controller.
+/// The most recent log events of this controller.
 pub struct Journal;
 
 impl Endpoint for Journal {
     type Output = ApiResponse;
 
     async fn call(&self, request: Request) -> poem::Result<ApiResponse> {
-        if let Err(refused) = require_get(&request) {
-            return Ok(refused);
+        if let Err(rejection) = require_get(&request) {
+            return Ok(rejection);
         }
         let events: Vec<String> = log::events_since(0).into_iter().map(|line| line.event).collect();
         Ok(ApiResponse::json(&serde_json::json!({ "events": events })))
     }
 }
 
-/// Who is live as this controller sees it, and which configuration each router has in force.
+/// The live members of the fleet as this controller sees them, and the configuration revision of each router.
 pub struct Fleet(pub Arc<Controller>);
 
 impl Endpoint for Fleet {
     type Output = ApiResponse;
 
     async fn call(&self, request: Request) -> poem::Result<ApiResponse> {
-        if let Err(refused) = require_get(&request) {
-            return Ok(refused);
+        if let Err(rejection) = require_get(&request) {
+            return Ok(rejection);
         }
         Ok(ApiResponse::json(&self.0.fleet_view()))
     }
 }
 
-/// What tenants have used of their limits, over all routers.
+/// The usage of tenants' rate limits, summed over all routers.
 pub struct Tenants(pub Arc<Controller>);
 
 impl Endpoint for Tenants {
     type Output = ApiResponse;
 
     async fn call(&self, request: Request) -> poem::Result<ApiResponse> {
-        if let Err(refused) = require_get(&request) {
-            return Ok(refused);
+        if let Err(rejection) = require_get(&request) {
+            return Ok(rejection);
         }
         Ok(ApiResponse::json(&fleet_usage(&self.0).await))
     }
--- a/controller/src/api/status_tests.rs
+++ b/controller/src/api/status_tests.rs
@@ -1,4 +1,4 @@
-//! Resources that are only read.
+//! Read-only resources.
 
 use poem::http::Method;
 use poem::{Endpoint, Request};
@@ -7,11 +7,11 @@
 use crate::api::response::{ApiError, ApiResponse};
 
 #[tokio::test]
-async fn what_is_only_read_answers_to_get_alone() {
+async fn read_only_resource_rejects_methods_other_than_get() {
     let call = |method| Journal.call(Request::builder().method(method).finish());
-    assert!(matches!(call(Method::GET).await.expect("an answer"), ApiResponse::Json(_)));
+    assert!(matches!(call(Method::GET).await.expect("a response"), ApiResponse::Json(_)));
     for method in [Method::POST, Method::PUT, Method::DELETE] {
-        let refused = ApiResponse::Rejected(ApiError::method_not_allowed("method: GET"));
-        assert_eq!(call(method).await.expect("an answer"), refused);
+        let rejection = ApiResponse::Rejected(ApiError::method_not_allowed("method: GET"));
+        assert_eq!(call(method).await.expect("a response"), rejection);
     }
 }
--- a/controller/src/api/tallies.rs
+++ b/controller/src/api/tallies.rs
@@ -1,4 +1,4 @@
-//! The resources of tallies: `POST` and `GET /tallies/ID`, `GET /tallies`, which lists them, and `GET /tally_usage`.
+//! The resources of tallies: `POST` and `GET /tallies/ID`, `GET /tallies` for all totals, and `GET /tally_usage`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,29 +16,29 @@
 use crate::metrics::Metrics;
 use crate::tallies::{AddOutcome, Refusal, Tallies, TallyReplica, TallyUsage};
 
-/// The longest body of an add.
+/// The largest body of an add, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
-/// When a refused caller had better come again, in milliseconds.
+/// The retry delay reported with a refused request, in ms.
 const RETRY_AFTER_MS: u64 = 300;
-/// The status of an add that is in the log and could not be acknowledged in time.
+/// The HTTP status of an add that is logged but was not acknowledged in time.
 const UNCONFIRMED_STATUS: u16 = 504;
 
-/// One tally.
+/// One tally: add to it or read its total.
 pub struct TallyResource(pub Arc<Controller>);
 
-/// All tallies.
+/// The totals of all tallies.
 pub struct TallyCollection(pub Arc<Controller>);
 
-/// How much room tallies take here.
+/// The capacity that tallies use at this controller.
 pub struct TallyUsageResource(pub Arc<Controller>);
 
-/// Returns where to ask, where this controller keeps no tallies.
-fn elsewhere(controller: &Controller, path: &str) -> ApiResponse {
+/// Redirects to the nearest replica, for a controller that stores no tallies.
+fn redirect_to_replica(controller: &Controller, path: &str) -> ApiResponse {
     let Tallies::Elsewhere(directory) = &controller.tallies else { return overloaded() };
     let zone = &controller.settings.zone;
-    let is_near = |ip: &str| controller.peers.read(|view| view.zone_of(ip) == zone);
+    let is_same_zone = |ip: &str| controller.peers.read(|view| view.zone_of(ip) == zone);
     let own = controller.settings.bind_addresses.control_plane.as_deref();
-    let replica = directory.nearest(is_near, clock::now());
+    let replica = directory.nearest(is_same_zone, clock::now());
     let address = own.zip(replica).and_then(|(own, replica)| operator_requests::control_address(own, &replica));
     match address {
         Some(address) => ApiResponse::Redirect { address, path: path.into() },
@@ -54,15 +54,15 @@
 ///
 /// # Errors
 ///
-/// Which part of it is missing or not allowed.
+/// Returns which field is missing or invalid.
 fn parse_add(tally: &str, text: &str) -> Result<TallyEntry, ApiError> {
     let value: Map<String, Value> =
         serde_json::from_str(text).map_err(|error| ApiError::bad_request(format!("body: {error}")))?;
     let instance_id = value.get("instance_id").and_then(Value::as_str);
-    let instance_id = instance_id.ok_or_else(|| ApiError::bad_request("instance_id: missing or no text"))?;
+    let instance_id = instance_id.ok_or_else(|| ApiError::bad_request("instance_id: missing or not a string"))?;
     let found = value.get("actor").ok_or_else(|| ApiError::bad_request("actor: missing"))?;
     let amount = found.as_u64().ok_or_else(|| {
-        ApiError::bad_request(format!("actor: found {found}, must be a whole number from 0 to {}", tally::MAX_AMOUNT))
+        ApiError::bad_request(format!("actor: found {found}, must be an integer from 0 to {}", tally::MAX_AMOUNT))
     })?;
     let entry = TallyEntry { tally: tally.into(), instance_id: instance_id.into(), amount };
     tally::check_entry(&entry).map_err(|error| ApiError::bad_request(error.to_string()))?;
@@ -76,12 +76,12 @@
         AddOutcome::Acknowledged => ApiResponse::Done,
         AddOutcome::Refused(Refusal::CatchingUp | Refusal::DiskStalled | Refusal::Full) => overloaded(),
         AddOutcome::Unconfirmed => {
-            ApiError::new(UNCONFIRMED_STATUS, "too few disks confirmed it in time: it may count").into()
+            ApiError::new(UNCONFIRMED_STATUS, "too few disks confirmed the add in time: it may still be counted").into()
         }
     }
 }
 
-/// Totals may exceed 64 bits: they are written as they are.
+/// The total is formatted as text, since it may exceed 64 bits.
 fn total_json(total: u128) -> ApiResponse {
     ApiResponse::Json(format!("{{\"total\":{total}}}").into_bytes())
 }
@@ -96,7 +96,7 @@
     }
 }
 
-/// The share is rounded to thousandths.
+/// `used_share` is rounded to thousandths.
 fn usage_json(usage: TallyUsage) -> ApiResponse {
     let value = json!({
         "sealed_entries": usage.counts.sealed,
@@ -110,7 +110,7 @@
 }
 
 impl TallyResource {
-    async fn answer(&self, request: &mut Request) -> Result<ApiResponse, ApiError> {
+    async fn respond(&self, request: &mut Request) -> Result<ApiResponse, ApiError> {
         let name = request.path_params::<String>().unwrap_or_default();
         let entry = match request.method().as_str() {
             "GET" => None,
@@ -118,7 +118,7 @@
             _ => return Err(ApiError::method_not_allowed("method: GET or POST")),
         };
         let Tallies::Replica(replica) = &self.0.tallies else {
-            return Ok(elsewhere(&self.0, request.uri().path()));
+            return Ok(redirect_to_replica(&self.0, request.uri().path()));
         };
         Ok(match entry {
             Some(entry) => add(replica, entry, &self.0.metrics).await,
@@ -131,7 +131,7 @@
     type Output = ApiResponse;
 
     async fn call(&self, mut request: Request) -> poem::Result<ApiResponse> {
-        Ok(self.answer(&mut request).await.into())
+        Ok(self.respond(&mut request).await.into())
     }
 }
 
@@ -144,7 +144,7 @@
         }
         Ok(match &self.0.tallies {
             Tallies::Replica(replica) => replica.totals().map_or_else(overloaded, totals_json),
-            Tallies::Elsewhere(_) => elsewhere(&self.0, request.uri().path()),
+            Tallies::Elsewhere(_) => redirect_to_replica(&self.0, request.uri().path()),
         })
     }
 }
@@ -158,7 +158,7 @@
         }
         Ok(match &self.0.tallies {
             Tallies::Replica(replica) => usage_json(replica.usage()),
-            Tallies::Elsewhere(_) => elsewhere(&self.0, request.uri().path()),
+            Tallies::Elsewhere(_) => redirect_to_replica(&self.0, request.uri().path()),
         })
     }
 }
--- a/controller/src/api/usage.rs
+++ b/controller/src/api/usage.rs
@@ -1,4 +1,4 @@
-//! The resource of usage: which windows are agreed on, and which of them the platform has acknowledged.
+//! The resource of usage: the metering windows whose counts are agreed on, and which of them the platform acknowledged.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::metering::exporter;
 
-/// The windows that are agreed on.
+/// The windows whose counts are agreed on.
 pub struct Usage(pub Arc<Controller>);
 
 impl Endpoint for Usage {
@@ -25,10 +25,10 @@
         let windows: Vec<Value> = state
             .windows
             .iter()
-            .map(|known| {
+            .map(|window| {
                 let counts: Map<String, Value> =
-                    known.counts.iter().map(|one| (one.tenant.clone(), Value::from(one.count))).collect();
-                json!({ "window_id": known.window, "told": known.told, "count_table": counts })
+                    window.counts.iter().map(|usage| (usage.tenant.clone(), Value::from(usage.count))).collect();
+                json!({ "window_id": window.window, "told": window.told, "count_table": counts })
             })
             .collect();
         Ok(ApiResponse::json(&json!({ "windows": windows })))
--- a/controller/src/api/version_rollouts.rs
+++ b/controller/src/api/version_rollouts.rs
@@ -1,4 +1,4 @@
-//! The resource of rollouts of versions: starting one, and its state.
+//! The resource of version rollouts: start one and read its state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,26 +16,26 @@
 use crate::rollout::staleness_limits::unknown_service;
 use crate::rollout::version_rollouts;
 
-/// The longest that a rollout may take.
+/// The maximum duration of a rollout, in seconds.
 const MAX_DURATION_S: f64 = 7.0 * 86_400.0;
-/// How long a question for the state of a rollout waits for its end, in milliseconds, where that is due in a moment.
+/// How long a read of a rollout's state waits for a rollout that is about to end, in ms.
 const MAX_END_WAIT_MS: u64 = 700;
-/// How often it looks meanwhile.
+/// The poll interval during that wait.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A request to roll a version out.
+/// A request to roll out a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutRequest {
     /// The name of the service.
     pub service: String,
     /// The version to roll out.
     pub target: String,
-    /// How long the rollout is to take.
+    /// The duration of the rollout, in ms.
     pub duration_ms: u64,
 }
 
 impl RolloutRequest {
-    /// Parses a request. `is_known_service` returns whether there is a service of a name.
+    /// Parses a request. `is_known_service` returns whether a service of that name exists.
     ///
     /// # Errors
     ///
@@ -47,35 +47,38 @@
         if !is_known_service(&service) {
             return Err(unknown_service(&service));
         }
-        let duration_s = value["duration_s"].as_f64().filter(|time| *time > 0.0 && *time <= MAX_DURATION_S);
+        let duration_s = value["duration_s"].as_f64().filter(|seconds| *seconds > 0.0 && *seconds <= MAX_DURATION_S);
         let duration_s = duration_s.ok_or_else(|| {
             let found = &value["duration_s"];
-            let message = format!("duration_s: found {found}, must be a number above 0, {MAX_DURATION_S} at most");
+            let message = format!("duration_s: found {found}, must be above 0 and at most {MAX_DURATION_S}");
             ApiError::bad_request(message)
         })?;
         Ok(RolloutRequest { service, target, duration_ms: (duration_s * 1000.0) as u64 })
     }
 
-    /// Returns the rollout that the request leads to on top of the newest one. `Ok(None)`: the same request was carried
-    /// out before.
+    /// Returns the rollout that the request starts on top of the newest one, or `Ok(None)` if the newest one is already
+    /// that of this request.
     ///
     /// # Errors
     ///
-    /// Returns why the rollout can't be started now.
+    /// Returns why the rollout cannot be started now.
     pub fn decide(&self, stored: Option<&VersionRollout>) -> Result<Option<VersionRollout>, ApiError> {
         let Some(stored) = stored else { return Ok(Some(self.first_rollout())) };
         if stored.target == self.target && stored.duration_ms == self.duration_ms {
             return Ok(None);
         }
         if stored.state == RolloutState::Active {
-            return Err(ApiError::conflict(format!("rollout: version {} is being brought in", stored.target)));
+            return Err(ApiError::conflict(format!("rollout: version {} is still being rolled out", stored.target)));
         }
         let stable = match stored.state {
             RolloutState::Complete => Some(stored.target.clone()),
             _ => stored.stable.clone(),
         };
         if stable.as_ref() == Some(&self.target) {
-            return Err(ApiError::bad_request(format!("target_version: {} is in place", self.target)));
+            return Err(ApiError::bad_request(format!(
+                "target_version: {} is already the stable version",
+                self.target
+            )));
         }
         let mut reverted = stored.reverted.clone();
         reverted.retain(|version| *version != self.target);
@@ -88,11 +91,11 @@
     }
 }
 
-/// Returns a name that must be there and not blank.
+/// Returns a name, which must be present and not blank.
 fn name(value: &Value, field: &str) -> Result<String, ApiError> {
     let name = value[field].as_str().filter(|name| !name.trim().is_empty());
     name.map(str::to_string)
-        .ok_or_else(|| ApiError::bad_request(format!("{field}: found {}, must be a name", value[field])))
+        .ok_or_else(|| ApiError::bad_request(format!("{field}: found {}, must be a non-blank string", value[field])))
 }
 
 /// Starts a rollout.
@@ -126,7 +129,7 @@
 /// The newest rollout of a service.
 pub struct VersionRolloutResource(pub Arc<Controller>);
 
-/// What a register with a rollout holds.
+/// The decoded value of a rollout's register.
 enum StoredRollout {
     Rollout(VersionRollout),
     Empty,
@@ -155,18 +158,19 @@
         }
     }
 
-    /// Waits while the end of a service's rollout is due in a moment, so that operators who ask now and then learn it in time.
+    /// Waits while a service's rollout is about to end, so that operators who poll rarely learn of the end in time.
     ///
-    /// Only what is known here is looked at: a read at a quorum would get in the way of the very change that is waited for.
+    /// It checks only the state known here: a quorum read would contend with the change that it waits for.
     async fn wait_for_end(&self, service: &str) {
-        let asked_at = clock::now();
-        while clock::now() < asked_at + MAX_END_WAIT_MS && version_rollouts::ends_soon(&self.0, service, clock::now()) {
+        let started_at = clock::now();
+        while clock::now() < started_at + MAX_END_WAIT_MS && version_rollouts::ends_soon(&self.0, service, clock::now())
+        {
             time::sleep(END_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Returns a rollout as operators see it.
+/// Returns the JSON of a rollout for operators.
 fn rollout_state(rollout: &VersionRollout) -> Value {
     serde_json::json!({
         "oper_state": rollout.state.as_str(), "target_version": rollout.target,
--- a/controller/src/config/body.rs
+++ b/controller/src/config/body.rs
@@ -206,7 +206,7 @@
     lz4_flex::decompress_size_prepended(compressed).ok()
 }
 
-/// Returns the digest of a change, the first digest of its SHA-256: a retried change has the same digest, any other
+/// Returns the digest of a change, the first half of its SHA-256: a retried change has the same digest, any other
 /// change a different one.
 pub fn change_digest(change: &ConfigChange) -> [u8; 16] {
     let mut hash = Sha256::new();
--- a/controller/src/config/execution_tests.rs
+++ b/controller/src/config/execution_tests.rs
@@ -48,8 +48,8 @@
         let (body, delta, after) = committed_delta(routes, format);
         assert_eq!(derived_body(&body, &delta), Some(after));
         // The result is the same with the previous configuration already parsed, or with an unrelated one.
-        let known = ConfigDocument::parse(&config_text(5, routes)).expect("good");
-        let other = ConfigDocument::parse(&config_text(5, routes + 1)).expect("good");
+        let known = ConfigDocument::parse(&config_text(5, routes)).expect("the configuration is valid");
+        let other = ConfigDocument::parse(&config_text(5, routes + 1)).expect("the configuration is valid");
         for known in [known, other] {
             let (body, config) = next_body(&body, Some(&known), &delta).expect("the delta is applied");
             let stored = StoredConfig::decode(&body).expect("the body is decoded");
--- a/controller/src/delivery/mod.rs
+++ b/controller/src/delivery/mod.rs
@@ -1,4 +1,4 @@
-//! Delivery to routers: their subscriptions, what each lacks, and what they have confirmed.
+//! Delivery of state to routers: their subscriptions, missing updates and confirmations.
 
 pub mod limit_confirmations;
 pub mod subscribers;
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -1,4 +1,4 @@
-//! What a subscriber lacks, and sending it: with each of its renewals, and at once when something changes.
+//! Sends subscribers the state that they lack: with each of their renewals, and immediately when state changes.
 
 use std::collections::BTreeMap;
 
@@ -19,11 +19,11 @@
 use crate::roles::CATALOG;
 use crate::rollout::{sample_relay, version_rollouts};
 
-/// From this version of messages on routers know staleness limits.
+/// The first protocol version with staleness limits.
 const STALENESS_LIMITS: u64 = 2;
 
 impl Controller {
-    /// Renews a router's lease and responds with what it lacks of what it reported.
+    /// Renews a router's lease and responds with the state that it lacks according to its report.
     pub fn renew_subscription(&self, responder: Responder, id: u64, renewal: SubscriptionRenewal) {
         let now = clock::now();
         let lease_expires_at = now + ROUTER_LEASE_MS;
@@ -52,10 +52,11 @@
         sample_relay::request_samples(self, &subscriber);
         metering::request_counts(&self.settings, self.incarnation, &subscriber);
         self.add_controllers(&mut update, &renewal.node, &mut subscriber, now);
-        // A lease on bound work is renewed only for one that has confirmed every limit known here.
-        // One of the first version holds none: it serves on, and no limit binds while it is there.
+        // The lease for requests under a limit is renewed only for a router that has confirmed every limit known here.
+        // A router of the first version holds no such lease: it continues to serve, and no limit is in effect while it
+        // is subscribed.
         update.confirmed &= subscriber.protocol_version < STALENESS_LIMITS || self.has_confirmed_limits(&subscriber);
-        // Whoever is told that it is current must have been sent all.
+        // A router that is told that it is current must have been sent all updates.
         update.confirmed &= !subscriber.is_behind;
         if !subscriber.responder.reply(id, &Message::StateUpdate(Box::new(update))) {
             subscriber.sent_controllers = None;
@@ -63,8 +64,8 @@
         self.subscribers.insert(renewal.node, subscriber);
     }
 
-    /// Passes the suspicion of an engine on to all routers: each probes the engine for itself. `relayed`: it came from a
-    /// controller, so the others have it.
+    /// Forwards the suspicion of an engine to all routers, each of which probes the engine itself. If it was `relayed`
+    /// by a controller, the other controllers already have it.
     pub fn suspect_engine(&self, engine: &str, relayed: bool) {
         let suspicion = Message::SuspectEngine(Box::new((engine.to_string(), true)));
         self.subscribers.notify_all(&suspicion);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Sends to each subscriber what it lacks. One that is behind gets it with its next renewal.
+    /// Sends each subscriber the state that it lacks. A subscriber that is behind gets it with its next renewal.
     pub fn push_updates(&self) {
         let now = clock::now();
         let mut list = self.subscribers.take_all();
@@ -88,7 +89,8 @@
         self.subscribers.restore(list, now);
     }
 
-    /// Returns what a subscriber lacks. What has a message of its own is sent at once, the rest goes into the update.
+    /// Returns the update with the state that a subscriber lacks. State with its own message type is sent immediately
+    /// instead.
     fn missing_state(&self, subscriber: &mut Subscriber, now: u64) -> StateUpdate {
         let mut update = StateUpdate { confirmed: self.committed.is_confirmed(now), ..Default::default() };
         self.committed.update(|state| add_control_state(state, &mut update, subscriber));
@@ -113,8 +115,8 @@
         });
     }
 
-    /// Adds the controllers, unless the router was sent the same list a moment ago: it keeps the one that it has. Each router
-    /// has an order of its own, so that the controllers of a zone share the routers.
+    /// Adds the list of controllers, unless the router was recently sent the same one. Each router has its own order,
+    /// so that the routers are distributed over the controllers of a zone.
     fn add_controllers(&self, update: &mut StateUpdate, node: &str, subscriber: &mut Subscriber, now: u64) {
         let controllers = self.peers.read(|view| view.preference_order(&subscriber.zone, node));
         if subscriber.needs_controllers(&controllers, now) {
@@ -122,49 +124,50 @@
         }
     }
 
-    /// Sends what a subscriber lacks of the endpoint lists: changes where it has a recent version, else whole lists.
+    /// Sends a subscriber the endpoint updates that it lacks: changes if it has a recent version, otherwise full lists.
     fn send_list_updates(&self, subscriber: &mut Subscriber, now: u64) {
         self.engines.for_each_history(now, |zone, history| {
-            let has = subscriber.list_versions.entry(zone.into()).or_default();
-            let known = (*has != (0, 0)).then_some(ListVersion { term: has.0, sequence: has.1 });
+            let known_version = subscriber.list_versions.entry(zone.into()).or_default();
+            let known =
+                (*known_version != (0, 0)).then_some(ListVersion { term: known_version.0, sequence: known_version.1 });
             let frames = history.frames_since(known, now);
             if frames.is_empty() {
                 return;
             }
             let ListVersion { term, sequence } = history.version();
             match frames.into_iter().all(|frame| subscriber.responder.notify_frame(frame)) {
-                true => *has = (term, sequence),
+                true => *known_version = (term, sequence),
                 false => subscriber.is_behind = true,
             }
         });
     }
 
-    /// Adds the whole lists that a subscriber of an earlier version lacks.
+    /// Adds the full endpoint lists that a subscriber of an earlier protocol version lacks.
     fn add_engine_lists(&self, update: &mut StateUpdate, subscriber: &mut Subscriber) {
         self.engines.read(|lists| {
             for list in lists.iter() {
                 if message::is_hidden_key(&list.zone) && subscriber.protocol_version < VERSION_ROLLOUTS {
                     continue;
                 }
-                let has = subscriber.list_versions.entry(list.zone.clone()).or_default();
-                if (list.term, list.sequence) > *has {
-                    *has = (list.term, list.sequence);
+                let known_version = subscriber.list_versions.entry(list.zone.clone()).or_default();
+                if (list.term, list.sequence) > *known_version {
+                    *known_version = (list.term, list.sequence);
                     update.endpoint_lists.push(list.clone());
                 }
             }
         });
     }
 
-    /// Returns the fleet as this controller sees it, for operators.
+    /// Returns this controller's view of the fleet as JSON for operators.
     pub fn fleet_view(&self) -> Value {
         let now = clock::now();
         let core = self.replica.membership();
         let members: Vec<&str> = core.members.iter().map(|member| member.ip.as_str()).collect();
         let is_confirmed = self.committed.is_confirmed(now);
         let revision = self.committed.revision();
-        let as_list = |role: RoleState| (role.epoch, role.owner, role.predecessor_expired);
+        let to_tuple = |role: RoleState| (role.epoch, role.owner, role.predecessor_expired);
         let roles = self.committed.roles().into_iter();
-        let roles: BTreeMap<String, _> = roles.map(|(key, role)| (key, as_list(role))).collect();
+        let roles: BTreeMap<String, _> = roles.map(|(key, role)| (key, to_tuple(role))).collect();
         let controllers = self.peers.live_ips(now);
         let routers = self.subscribers.config_revisions();
         serde_json::json!({
@@ -175,16 +178,18 @@
     }
 }
 
-/// Adds what is committed: staleness limits, the configuration, version rollouts, evacuations and the catalog's owner.
+/// Adds or sends the committed state: staleness limits, the configuration, version rollouts, evacuations and the
+/// catalog's owner.
 fn add_control_state(state: &mut CommittedState, update: &mut StateUpdate, subscriber: &mut Subscriber) {
     if subscriber.protocol_version >= STALENESS_LIMITS {
-        // Before the configuration: no route is served whose limit is known here and not there.
+        // Sent before the configuration, so that no router serves a route without a limit that is known here.
         limit_confirmations::send_missing_limits(state, subscriber);
-        // Before the update: whoever reads there that it is current has it by then.
+        // Sent before the update: a router that the update confirms as current already has the configuration.
         let responder = &subscriber.responder;
-        let reads = subscriber.protocol_version;
-        let sent =
-            state.history.send_missing(reads, &mut subscriber.config_revision, |frame| responder.notify_frame(frame));
+        let protocol_version = subscriber.protocol_version;
+        let sent = state
+            .history
+            .send_missing(protocol_version, &mut subscriber.config_revision, |frame| responder.notify_frame(frame));
         subscriber.is_behind |= !sent;
     } else if let Some((revision, text)) = state.history.text_newer_than(subscriber.config_revision) {
         update.config = Some((revision, text));
@@ -195,14 +200,14 @@
     }
     subscriber.is_behind |= !state.history.can_send_to(subscriber.protocol_version);
     for (zone, evacuation) in &state.evacuations {
-        let has = subscriber.evacuation_versions.entry(zone.clone()).or_default();
-        if evacuation.version > *has {
+        let known_version = subscriber.evacuation_versions.entry(zone.clone()).or_default();
+        if evacuation.version > *known_version {
             update.evacuations.push(EvacuationState {
                 zone: zone.clone(),
                 version: evacuation.version,
                 evacuated: evacuation.evacuated,
             });
-            *has = evacuation.version;
+            *known_version = evacuation.version;
         }
     }
     let catalog = state.roles.get(CATALOG).cloned().unwrap_or_default();
--- a/controller/src/http_client_tests.rs
+++ b/controller/src/http_client_tests.rs
@@ -11,15 +11,15 @@
 use super::{at_most_once, reads};
 use crate::batches::job_request;
 
-/// What a server does once it has read a request.
+/// What the test server does after it has read a request.
 #[derive(Clone, Copy)]
 enum Reply {
-    Answer(&'static str),
+    Send(&'static str),
     Close,
 }
 
-/// A server that gives `replies` in turn, over all its connections. It counts the requests it read and
-/// the connections it accepted.
+/// A server that uses its replies in order across all connections, and counts the requests that it reads and the
+/// connections that it accepts.
 struct Server {
     address: String,
     requests: Arc<AtomicUsize>,
@@ -27,18 +27,18 @@
 }
 
 async fn server(replies: &'static [Reply]) -> Server {
-    let listener = socket::listen("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let listener = socket::listen("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a local address").to_string();
     let (requests, connections) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let (seen, accepted) = (requests.clone(), connections.clone());
+    let (request_count, connection_count) = (requests.clone(), connections.clone());
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            accepted.fetch_add(1, Ordering::SeqCst);
-            let seen = seen.clone();
+            connection_count.fetch_add(1, Ordering::SeqCst);
+            let request_count = request_count.clone();
             tokio::spawn(async move {
                 while read_request(&mut stream).await {
-                    let at = seen.fetch_add(1, Ordering::SeqCst);
-                    let Some(Reply::Answer(text)) = replies.get(at) else { return };
+                    let index = request_count.fetch_add(1, Ordering::SeqCst);
+                    let Some(Reply::Send(text)) = replies.get(index) else { return };
                     if stream.write_all(text.as_bytes()).await.is_err() {
                         return;
                     }
@@ -49,7 +49,7 @@
     Server { address, requests, connections }
 }
 
-/// Reads up to the end of a request's head: the requests of these tests have bodies of one byte at most.
+/// Reads to the end of a request's headers. That is enough here, since the bodies have at most one byte.
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut text = Vec::new();
     let mut buffer = [0; 1024];
@@ -58,16 +58,16 @@
             Ok(count @ 1..) => text.extend_from_slice(&buffer[..count]),
             _ => return false,
         }
-        if text.windows(4).any(|part| part == b"\r\n\r\n") {
+        if text.windows(4).any(|window| window == b"\r\n\r\n") {
             return true;
         }
     }
 }
 
-const OK: Reply = Reply::Answer("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx");
-/// Without a host: back to the same server.
+const OK: Reply = Reply::Send("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx");
+/// A redirect without a host, which leads to the same server.
 const REDIRECT: Reply =
-    Reply::Answer("HTTP/1.1 307 Temporary Redirect\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n");
+    Reply::Send("HTTP/1.1 307 Temporary Redirect\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n");
 
 fn job(repeatable: bool) -> Job {
     Job {
@@ -86,11 +86,11 @@
 }
 
 fn client() -> Client {
-    at_most_once(None, Duration::from_secs(10), Duration::from_secs(10)).build().expect("a client")
+    at_most_once(None, Duration::from_secs(10), Duration::from_secs(10)).build().expect("a valid client")
 }
 
 #[tokio::test]
-async fn a_redirect_is_an_answer_and_never_sends_a_job_again() {
+async fn at_most_once_client_does_not_follow_a_redirect() {
     let server = server(&[REDIRECT, OK]).await;
     let outcome = send(&server, &client()).await;
     assert!(matches!(outcome, AttemptOutcome::Completed { status: 307, .. }));
@@ -98,14 +98,14 @@
 }
 
 #[tokio::test]
-async fn a_job_whose_connection_ends_without_an_answer_is_lost_and_sent_once() {
+async fn at_most_once_client_does_not_retry_after_a_closed_connection() {
     let server = server(&[Reply::Close, OK]).await;
     assert!(matches!(send(&server, &client()).await, AttemptOutcome::Unknown));
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
-async fn each_job_has_a_connection_of_its_own() {
+async fn at_most_once_client_opens_a_connection_for_each_job() {
     let server = server(&[OK, OK, Reply::Close, OK]).await;
     let client = client();
     for _ in 0..2 {
@@ -117,10 +117,10 @@
 }
 
 #[tokio::test]
-async fn reads_do_not_follow_a_redirect_either() {
+async fn reads_client_does_not_follow_a_redirect() {
     let server = server(&[REDIRECT, OK]).await;
-    let client = reads(None, Duration::from_secs(10)).build().expect("a client");
-    let reply = client.get(format!("http://{}/instances", server.address)).send().await.expect("an answer");
-    assert_eq!(reply.status().as_u16(), 307);
+    let client = reads(None, Duration::from_secs(10)).build().expect("a valid client");
+    let response = client.get(format!("http://{}/instances", server.address)).send().await.expect("a response");
+    assert_eq!(response.status().as_u16(), 307);
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
 }
--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics of a controller. `docs/metrics.md` lists them with units; a test compares the two. Variants of label types are
-//! label values: renaming one changes what is exported.
+//! The metrics of a controller. `docs/metrics.md` lists them with units, and a test compares the two. Variants of label
+//! types are exported as label values, so renaming one changes the metric.
 
 use std::sync::atomic::AtomicU64;
 
@@ -18,53 +18,53 @@
 use crate::controller::Controller;
 use crate::tallies::{AddOutcome, Tallies};
 
-/// What an operator's request is about.
+/// The kind of an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestKind {
     /// Reads the configuration.
     ReadConfig,
     /// Changes the configuration.
     ChangeConfig,
-    /// Begins or ends an evacuation.
+    /// Starts or ends an evacuation.
     Evacuate,
 }
 
 /// The outcome of an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestOutcome {
-    /// It was carried out.
+    /// The request was executed.
     Done,
-    /// It was rejected.
+    /// The request was rejected.
     Refused,
-    /// It may have been carried out, or may yet be.
+    /// The request may have been executed, or may still be.
     Unclear,
-    /// The caller was sent to another controller.
+    /// The caller was redirected to another controller.
     Redirected,
 }
 
-/// The outcome of a poll of the platform's list.
+/// The outcome of a poll of the platform's instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum PollOutcome {
     /// The list was read.
     Read,
-    /// Over the shared rate, or the response was no list.
+    /// The poll exceeded the shared rate limit, or the response was not a list.
     Refused,
-    /// No response.
+    /// There was no response.
     Unreachable,
-    /// This process stood still meanwhile.
+    /// This process was paused during the poll.
     Stalled,
 }
 
-/// The labels of a metric by outcome.
+/// The labels of operators' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// What the request is about.
+    /// The kind of the request.
     pub kind: RequestKind,
-    /// Its outcome.
+    /// The outcome of the request.
     pub result: RequestOutcome,
 }
 
-/// The labels of a metric by outcome.
+/// The labels of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PollLabels {
     /// The outcome of the poll.
@@ -76,51 +76,51 @@
 pub enum TokenOutcome {
     /// A token was issued.
     Granted,
-    /// None is left.
+    /// No token is left.
     Denied,
     /// This controller does not own the shard.
     NotHeld,
 }
 
-/// The labels of a metric by outcome.
+/// The labels of token requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TokenLabels {
-    /// The outcome.
+    /// The outcome of the request.
     pub answer: TokenOutcome,
 }
 
 /// The outcome of an add to a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum AddResult {
-    /// It counts and was acknowledged.
+    /// The add is counted and was acknowledged.
     Acknowledged,
-    /// Nothing was done.
+    /// The add was not counted.
     Refused,
-    /// It may count: too few disks confirmed it in time.
+    /// The add may be counted: too few disks confirmed it in time.
     Unconfirmed,
 }
 
-/// The labels of a metric by outcome.
+/// The labels of adds to tallies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AddLabels {
-    /// The outcome.
+    /// The outcome of the add.
     pub result: AddResult,
 }
 
-/// All metrics of a controller. Labels have fixed values only, so that their number never grows.
+/// All metrics of a controller. Labels have only fixed values, which bounds the number of time series.
 pub struct Metrics {
     registry: Registry,
-    /// Operators' requests that were answered.
+    /// The number of operators' requests that got a response.
     pub operator_requests: Family<RequestLabels, Counter>,
-    /// Operators' requests not yet answered.
+    /// The number of operators' requests in flight.
     pub requests_in_flight: Gauge,
-    /// Time from reading an operator's request to its response, in seconds.
+    /// The time from reading an operator's request to its response, in seconds.
     pub request_duration: Histogram,
-    /// Time of a write of records, in seconds.
+    /// The time of a write of records to disk, in seconds.
     pub disk_write: Histogram,
-    /// Polls of the platform's list.
+    /// The number of polls of the platform's instance list.
     pub platform_polls: Family<PollLabels, Counter>,
-    /// Singleton roles acquired under a new epoch.
+    /// The number of singleton roles acquired under a new epoch.
     pub roles_acquired: Counter,
     token_responses: Family<TokenLabels, Counter>,
     tally_adds: Family<AddLabels, Counter>,
@@ -170,7 +170,7 @@
             batches: Default::default(),
             shutting_down: Default::default(),
         };
-        metrics.register_work();
+        metrics.register_operations();
         metrics.register_state();
         metrics.register_tallies();
         traffic::register(&mut metrics.registry);
@@ -179,11 +179,11 @@
 }
 
 impl Metrics {
-    fn register_work(&mut self) {
+    fn register_operations(&mut self) {
         let registry = &mut self.registry;
         registry.register("orders", "Operators' calls by what they came to", self.operator_requests.clone());
-        let under_way = self.requests_in_flight.clone();
-        registry.register("orders_under_way", "Operators' calls not answered yet", under_way);
+        let in_flight = self.requests_in_flight.clone();
+        registry.register("orders_under_way", "Operators' calls not answered yet", in_flight);
         let duration = self.request_duration.clone();
         let help = "Time from the reading of an operator's call to its answer";
         registry.register_with_unit("order_duration", help, Unit::Seconds, duration);
@@ -246,8 +246,8 @@
     }
 
     /// Counts a response to a request for a token.
-    pub fn record_token_response(&self, spent: TokenResponse) {
-        let answer = match spent {
+    pub fn record_token_response(&self, response: TokenResponse) {
+        let answer = match response {
             TokenResponse::Granted => TokenOutcome::Granted,
             TokenResponse::Denied { .. } => TokenOutcome::Denied,
             TokenResponse::NotHeld => TokenOutcome::NotHeld,
@@ -255,7 +255,7 @@
         self.token_responses.get_or_create(&TokenLabels { answer }).inc();
     }
 
-    /// Returns all metrics as text, with the figures that are only read when asked for.
+    /// Renders all metrics as text, after updating the gauges that are computed on demand.
     pub fn render(&self, controller: &Controller) -> String {
         let now = clock::now();
         let core = controller.replica.membership();
@@ -277,11 +277,11 @@
     controller.peers.live_ips(now).iter().filter(|ip| *ip != controller.own_ip()).count() as i64
 }
 
-/// One request of an operator, counted as in flight until dropped.
+/// An operator's request in flight, until dropped.
 pub struct RequestTimer<'a> {
     metrics: &'a Metrics,
     kind: RequestKind,
-    begun: u64,
+    started_at: u64,
 }
 
 impl<'a> RequestTimer<'a> {
@@ -294,7 +294,7 @@
             OperatorRequest::Evacuate { .. } | OperatorRequest::EvacuateFrom { .. } => RequestKind::Evacuate,
         };
         metrics.requests_in_flight.inc();
-        RequestTimer { metrics, kind, begun: clock::now() }
+        RequestTimer { metrics, kind, started_at: clock::now() }
     }
 
     /// Counts the outcome.
@@ -306,15 +306,15 @@
 impl Drop for RequestTimer<'_> {
     fn drop(&mut self) {
         self.metrics.requests_in_flight.dec();
-        let spent_ms = clock::now() - self.begun;
-        self.metrics.request_duration.observe(spent_ms as f64 / MS_PER_S);
+        let elapsed_ms = clock::now() - self.started_at;
+        self.metrics.request_duration.observe(elapsed_ms as f64 / MS_PER_S);
     }
 }
 
 impl From<&OperatorResponse> for RequestOutcome {
-    fn from(result: &OperatorResponse) -> RequestOutcome {
+    fn from(response: &OperatorResponse) -> RequestOutcome {
         use protocol::operator_request::OperatorResponse;
-        match result {
+        match response {
             OperatorResponse::Done | OperatorResponse::Found { .. } => RequestOutcome::Done,
             OperatorResponse::Rejected { .. } => RequestOutcome::Refused,
             OperatorResponse::OutcomeUnknown => RequestOutcome::Unclear,
--- a/controller/src/metrics_tests.rs
+++ b/controller/src/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! That the page and the code name the same metrics, and what a call of an operator counts as.
+//! Documentation of the metrics, and counting of operators' requests.
 
 use protocol::operator_request::{OperatorRequest, OperatorResponse};
 use protocol::quota::TokenResponse;
@@ -8,10 +8,10 @@
 use super::{Metrics, PollLabels, PollOutcome, RequestKind, RequestLabels, RequestOutcome, RequestTimer};
 
 #[test]
-fn every_metric_stands_on_the_page_and_none_besides() {
+fn documented_metrics_match_exported_metrics() {
     let page = include_str!("../../docs/metrics.md");
     let metrics = Metrics::default();
-    // A family without a series is not told.
+    // A metric family without a series is not exported.
     RequestTimer::start(&metrics, &OperatorRequest::ReadConfig).finish(RequestOutcome::Done);
     metrics.platform_polls.get_or_create(&PollLabels { result: PollOutcome::Read }).inc();
     metrics.record_token_response(TokenResponse::Granted);
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn a_call_is_under_way_until_it_is_answered_or_given_up() {
+fn a_request_is_in_flight_until_it_is_finished_or_dropped() {
     let metrics = Metrics::default();
     let evacuation = OperatorRequest::Evacuate { zone: "a".into(), on: true };
-    let answered = RequestTimer::start(&metrics, &evacuation);
-    let given_up = RequestTimer::start(&metrics, &OperatorRequest::ReadConfig);
+    let finished = RequestTimer::start(&metrics, &evacuation);
+    let dropped = RequestTimer::start(&metrics, &OperatorRequest::ReadConfig);
     assert_eq!(metrics.requests_in_flight.get(), 2);
-    answered.finish((&OperatorResponse::OutcomeUnknown).into());
-    drop(given_up);
+    finished.finish((&OperatorResponse::OutcomeUnknown).into());
+    drop(dropped);
     assert_eq!(metrics.requests_in_flight.get(), 0);
     let count = |kind, result| metrics.operator_requests.get_or_create(&RequestLabels { kind, result }).get();
     assert_eq!(count(RequestKind::Evacuate, RequestOutcome::Unclear), 1);
