--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -1,4 +1,4 @@
-//! The balance of prefill and decode engines: orders to engines, from the one owner of the role.
+//! Balances prefill and decode engines: the single owner of the role orders engines to change their phase.
 
 pub mod usage_reports;
 
@@ -20,26 +20,27 @@
 use crate::http_client;
 use crate::roles::{self, BALANCE};
 
-/// The pause between two looks at the load.
+/// Interval at which the load is evaluated, in ms.
 const TICK_MS: u64 = 400;
-/// How often in a row the same change towards decode must be planned before it is made.
+/// How many consecutive evaluations must plan the same change towards decode before it is made.
 const DECODE_CONFIRMATIONS: u32 = 2;
-/// The same for a change towards prefill. Prefill engines are loaded for a moment whenever caches are cold: a decode engine
-/// is only reassigned for what lasts.
+/// How many consecutive evaluations must plan the same change towards prefill before it is made. Cold caches load the
+/// prefill engines only briefly, so a decode engine is reassigned only for a load that persists.
 const PREFILL_CONFIRMATIONS: u32 = 6;
-/// Routers get this long to stop using an engine before it gets its order.
+/// Drain time: how long routers have to stop using an engine before it gets its order, in ms.
 const DRAIN_MS: u64 = 900;
-/// Beyond the time that an engine takes to change its phase: until the list of engines shows it.
+/// Extra time, after an engine has changed its phase, until the endpoint list shows the change, in ms.
 const LIST_DELAY_MS: u64 = 1500;
-/// How long connecting to an engine may take.
+/// Connect timeout for engines, in ms.
 const CONNECT_TIMEOUT_MS: u64 = 300;
-/// How long an order and its response may take.
+/// Timeout of an order, including its response, in ms.
 const CALL_TIMEOUT_MS: u64 = 900;
-/// How long an order's bytes may be unacknowledged. With `CONNECT_TIMEOUT_MS` it must stay inside the time for which an owner
-/// may act on its last confirmation, which the next owner waits out twice.
+/// How long sent bytes of an order may stay unacknowledged, in ms. Together with `CONNECT_TIMEOUT_MS` it must be
+/// shorter than the time for which an owner may act on its last confirmation: the next owner waits twice that time
+/// before it acts.
 const UNACKNOWLEDGED_TIMEOUT_MS: u64 = 500;
 
-/// What was last planned for a service, and how often in a row.
+/// The last change planned for a service, and how many times in a row it was planned.
 struct PlannedChange {
     prefill: bool,
     count: u32,
@@ -47,23 +48,23 @@
 
 #[derive(Default)]
 struct LoadHistory {
-    /// Smoothed requests in flight at engines of the sample, by id.
+    /// Smoothed number of requests in flight at each sampled engine, by engine id.
     in_flight: HashMap<String, f64>,
-    /// Smoothed requests in flight, by service and phase.
+    /// Smoothed number of requests in flight, by service and phase.
     totals: HashMap<PhaseKey, f64>,
-    /// By service.
+    /// The planned change of each service.
     planned_changes: HashMap<String, PlannedChange>,
-    /// Until when no further change of a service is made.
+    /// End of the cooldown of each service, in ms; no change is made before it.
     cooldown_until: HashMap<String, u64>,
 }
 
-/// An engine that may be ordered to change, and its load.
+/// A sampled engine that may be ordered to change its phase, and its load.
 struct Candidate {
     engine: Engine,
     observation: EngineObservation,
 }
 
-/// What is known of a service: the load of all of its engines, and those of the sample one by one.
+/// The observed load of a service: the totals over all its engines, and each sampled engine.
 #[derive(Default)]
 struct ServiceObservation {
     load: ServiceLoad,
@@ -71,14 +72,14 @@
     candidates: Vec<Candidate>,
 }
 
-/// An order to one engine to change its phase.
+/// An order that tells one engine to change its phase.
 struct PhaseOrder {
     engine: Engine,
     prefill: bool,
     switch_ms: u64,
 }
 
-/// Balances prefill and decode engines while this controller owns the role, for as long as the process runs.
+/// Starts the task that balances prefill and decode engines while this controller owns the role.
 pub fn start(controller: &Arc<Controller>) {
     let wait = Duration::from_millis;
     let client = http_client::at_most_once(
@@ -122,7 +123,7 @@
     }
 }
 
-/// Returns what is known of each service that has engines with a phase.
+/// Returns the observed load of each service that has engines with a phase.
 fn observe_services(
     controller: &Controller,
     history: &mut LoadHistory,
@@ -150,7 +151,7 @@
 }
 
 impl ServiceObservation {
-    /// Counts an engine.
+    /// Adds an engine to the totals.
     fn add(&mut self, engine: &Engine, eligible: bool) {
         self.engine_count += 1;
         if eligible {
@@ -169,7 +170,7 @@
 }
 
 impl LoadHistory {
-    /// Smooths the load of an engine and says how it stands.
+    /// Updates the smoothed load of an engine and returns its observation.
     fn observe(&mut self, engine: &Engine, reported: u32, eligible: bool) -> EngineObservation {
         let reported = f64::from(reported);
         let mean = self.in_flight.entry(engine.id.clone()).or_insert(reported);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Smooths the load of both phases of a service and adds it to what is known of the service.
+    /// Updates the smoothed load of both phases of a service and stores it in `observed`.
     fn add_totals(&mut self, service: &str, observed: &mut ServiceObservation, usage: &TotalUsage) {
         for prefill in [true, false] {
             let key = PhaseKey { service: service.into(), prefill };
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Returns the engines to order and their new part, once the same change was planned often enough in a row.
+    /// Returns the phase change to make, once it was planned often enough in a row and the service is not in cooldown.
     fn decide(&mut self, service: &str, observed: &ServiceObservation, now: u64) -> Option<PhaseChange> {
         let observations: Vec<EngineObservation> =
             observed.candidates.iter().map(|candidate| candidate.observation.clone()).collect();
@@ -206,9 +207,9 @@
         let planned = self.planned_changes.entry(service.into()).or_insert(PlannedChange { prefill, count: 0 });
         planned.count = if planned.prefill == prefill { planned.count + 1 } else { 1 };
         planned.prefill = prefill;
-        let needed = if prefill { PREFILL_CONFIRMATIONS } else { DECODE_CONFIRMATIONS };
+        let required = if prefill { PREFILL_CONFIRMATIONS } else { DECODE_CONFIRMATIONS };
         let is_cooling_down = self.cooldown_until.get(service).is_some_and(|until| now < *until);
-        (planned.count >= needed && !is_cooling_down).then_some(change)
+        (planned.count >= required && !is_cooling_down).then_some(change)
     }
 }
 
@@ -217,12 +218,12 @@
     let services = config.as_ref().map(|config| config.config().service_table.as_slice());
     let spec = services.unwrap_or_default().iter().find(|item| item.name == service);
     let wait = spec.and_then(|spec| spec.engine.as_ref()).map(|engine| engine.role_switch_s);
-    // 0: not configured.
+    // 0 means that it is not configured.
     wait.filter(|wait| *wait > 0.0).map_or(2000, |wait| (wait * 1000.0) as u64)
 }
 
-/// First routers stop using the engine, then it gets its order. One without a response may have been carried out, so it is not
-/// sent again: the list will show it.
+/// Drains an engine and sends it an order. An order without a response may have been executed, so it is not sent again;
+/// the endpoint list will show the outcome.
 async fn execute(controller: Arc<Controller>, client: Client, order: PhaseOrder) {
     let engine = &order.engine;
     let begun = clock::now();
@@ -230,11 +231,11 @@
     controller.peers.update(|view| view.reassigning.push((engine.id.clone(), until)));
     time::sleep(Duration::from_millis(DRAIN_MS)).await;
     let now = clock::now();
-    // Asleep for longer than meant: what was planned is out of date.
+    // The sleep took much longer than requested, so the plan is out of date.
     if now >= begun + 2 * DRAIN_MS {
         return;
     }
-    // No longer the owner: no order.
+    // This controller no longer owns the role.
     let Some(epoch) = roles::acting_epoch(&controller, BALANCE, now) else { return };
     let phase = if order.prefill { "prefill" } else { "decode" };
     let body = serde_json::json!({
--- a/controller/src/balancing/usage_reports.rs
+++ b/controller/src/balancing/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Requests in flight at the engines, as the controllers report them to the one that balances phases.
+//! Reports of the requests in flight at engines, sent by all controllers to the one that balances phases.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,7 +9,7 @@
 use crate::controller::{Controller, LIVENESS_TIMEOUT_MS};
 use crate::replication::committed_state::EvacuationRecord;
 
-/// What the other controllers reported last. A report counts as long as its sender would count as live.
+/// The latest usage report of each other controller. A report expires after the liveness timeout of its sender.
 #[derive(Default)]
 pub struct UsageReports(Mutex<HashMap<String, TimedReport>>);
 
@@ -19,7 +19,7 @@
 }
 
 impl UsageReports {
-    /// Replaces what a controller reported before.
+    /// Stores a report in place of the sender's previous one and removes expired reports.
     pub fn record(&self, usage: EngineUsage, now: u64) {
         let mut reports = self.0.lock();
         reports.retain(|_, report| now < report.received_at + LIVENESS_TIMEOUT_MS);
@@ -33,7 +33,8 @@
     }
 }
 
-/// Returns the engines that have a phase, with whether each may get new requests: it is up, in a zone that is not evacuated.
+/// Returns the engines that have a phase, each with whether it may get new requests: it must be up and in a zone that
+/// is not evacuated.
 pub fn engines_with_phase<'a>(
     evacuations: &BTreeMap<String, EvacuationRecord>,
     lists: impl Iterator<Item = &'a EndpointList>,
@@ -48,7 +49,7 @@
     engines
 }
 
-/// Sums up requests in flight, given by engine id.
+/// Summarizes the requests in flight at this controller's routers, given by engine id.
 pub fn own_usage(controller: &Controller, in_flight: &[(String, u32)]) -> EngineUsage {
     let in_flight: HashMap<&str, u32> = in_flight.iter().map(|(id, count)| (id.as_str(), *count)).collect();
     let evacuations = controller.committed.evacuations();
@@ -61,8 +62,8 @@
     })
 }
 
-/// Returns the requests in flight from the routers of all live controllers. Those of earlier versions report them engine by
-/// engine with their heartbeats.
+/// Returns the requests in flight from the routers of all live controllers. Controllers of earlier versions report them
+/// per engine in their heartbeats.
 pub fn total_usage(controller: &Controller, now: u64) -> TotalUsage {
     let by_engine: Vec<(String, u32)> = controller.peers.read(|view| view.total_in_flight(now)).into_iter().collect();
     let mut total = TotalUsage::default();
--- a/controller/src/balancing/usage_reports_tests.rs
+++ b/controller/src/balancing/usage_reports_tests.rs
@@ -1,4 +1,4 @@
-//! Which reports of loads count.
+//! Replacement and expiry of usage reports.
 
 use load_balancing::{PhaseKey, TotalUsage};
 use protocol::message::{EngineUsage, PhaseUsage, SampledUsage};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_report_replaces_the_one_before_and_is_counted_once() {
+fn a_report_replaces_the_previous_one_of_its_sender() {
     let reports = UsageReports::default();
     reports.record(report("10.0.0.1", 5), 0);
     reports.record(report("10.0.0.2", 3), 10);
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn a_controller_that_is_silent_stops_counting() {
+fn reports_of_a_silent_controller_expire() {
     let reports = UsageReports::default();
     reports.record(report("10.0.0.1", 5), 0);
     reports.record(report("10.0.0.2", 3), 500);
     assert_eq!(total(&reports, LIVENESS_TIMEOUT_MS - 1), 8);
-    assert_eq!(total(&reports, LIVENESS_TIMEOUT_MS), 3, "its routers may report elsewhere by now");
+    assert_eq!(total(&reports, LIVENESS_TIMEOUT_MS), 3, "its routers may report to another controller by now");
     reports.record(report("10.0.0.2", 2), 5000);
-    assert_eq!(reports.0.lock().len(), 1, "what counts no more is forgotten");
+    assert_eq!(reports.0.lock().len(), 1, "expired reports are removed");
 }
--- a/controller/src/balancing_tests.rs
+++ b/controller/src/balancing_tests.rs
@@ -8,23 +8,24 @@
 };
 use crate::controller::CONFIRMATION_TTL_MS;
 
-/// A holder may act for `CONFIRMATION_TTL_MS` after its last confirmation began, and the next one waits that time
-/// out twice before a lease. What the last order of the first spends on its way must fit in between.
+/// An owner may act for `CONFIRMATION_TTL_MS` after its last confirmation began. The next owner waits twice that time
+/// and then for a lease. The delivery of the previous owner's last order must fit into this gap.
 #[test]
-fn the_last_order_of_a_holder_arrives_a_lease_before_the_first_of_the_next() {
+fn the_last_order_of_an_owner_arrives_a_lease_before_the_next_owner_may_act() {
     let lease_ms = 3000;
     let committed = 50_000;
     let confirmed_ms = CONFIRMATION_TTL_MS;
     let last_arrival = committed + confirmed_ms + CONNECT_TIMEOUT_MS + UNACKNOWLEDGED_TIMEOUT_MS;
     let tenure = RoleTenure { acquired_at: committed, predecessor_expired: false, confirmed_at: 100_000 };
-    let first_act = (committed..100_000)
+    let first_action = (committed..100_000)
         .find(|now| singleton_role::may_act(tenure, *now, false, lease_ms, confirmed_ms))
-        .expect("it may act one day");
-    assert!(first_act >= last_arrival + lease_ms, "{first_act} is less than a lease after {last_arrival}");
+        .expect("the next owner may act before 100 s");
+    assert!(first_action >= last_arrival + lease_ms, "{first_action} is less than a lease after {last_arrival}");
 }
 
-fn candidate(id: &str, prefill: bool, busy: u32) -> Candidate {
-    let observation = EngineObservation { id: id.into(), prefill, slots: 10, in_flight: busy, eligible: true };
+fn candidate(id: &str, prefill: bool, in_flight_count: u32) -> Candidate {
+    let observation =
+        EngineObservation { id: id.into(), prefill, slots: 10, in_flight: in_flight_count, eligible: true };
     let engine = Engine {
         id: id.into(),
         service: "s".into(),
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_judgement_must_stand_and_an_order_is_followed_by_a_calm_time() {
+fn decide_requires_repeated_plans_and_respects_the_cooldown() {
     let loaded = service([candidate("p", true, 9), candidate("d", false, 0), candidate("e", false, 0)]);
     let idle = service([candidate("p", true, 0), candidate("q", true, 0), candidate("d", false, 9)]);
     let mut history = LoadHistory::default();
@@ -59,7 +60,7 @@
     history.cooldown_until.insert("s".into(), 100);
     assert_eq!(history.decide("s", &loaded, 99), None);
     assert_eq!(history.decide("s", &loaded, 100), one(1, true));
-    // Another judgement starts to count anew.
+    // A plan for the other direction restarts the count.
     for _ in 1..DECODE_CONFIRMATIONS {
         assert_eq!(history.decide("s", &idle, 200), None);
     }
--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a job: started on a majority, sent once, and its outcome written.
+//! One attempt of a job: its start is committed by a majority, it is sent once, and its outcome is committed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 use crate::controller::Controller;
 use crate::event::JOB;
 
-/// The longest time for one attempt, whatever the route allows.
+/// Maximum duration of one attempt, in ms, independent of the route's timeout.
 const MAX_ATTEMPT_MS: u64 = 120_000;
 
-/// One attempt of one job, under the epoch in which this controller owns the batches.
+/// One attempt of one job, made under the epoch in which this controller owns the batches.
 pub struct JobAttempt {
-    /// The controller that sends the job.
+    /// The controller that makes the attempt.
     pub controller: Arc<Controller>,
-    /// The client that it is sent with.
+    /// The HTTP client that sends the job.
     pub client: Client,
     /// The jobs in flight; this one is among them until the attempt has ended.
     pub in_flight: SharedInFlight,
-    /// Which job it is.
+    /// The job to send.
     pub dispatch: Dispatch,
-    /// The epoch of the owner of the batches.
+    /// The epoch of the batch owner.
     pub epoch: u64,
 }
 
 impl JobAttempt {
-    /// Makes the attempt.
+    /// Makes the attempt and removes the job from those in flight.
     pub async fn run(self) {
         self.attempt().await;
         self.in_flight.lock().jobs.remove(&JobId::of(&self.dispatch));
     }
 
     async fn attempt(&self) -> Option<()> {
-        let (id, at) = (self.dispatch.batch_id.as_str(), self.dispatch.job);
+        let (id, job_number) = (self.dispatch.batch_id.as_str(), self.dispatch.job);
         let batch = self.controller.committed.read(|state| records::batch(state, id))?;
-        let job = batch.jobs.get(at)?;
-        let router = self.controller.peers.read(|view| view.next_frontend(clock::now(), at))?;
+        let job = batch.jobs.get(job_number)?;
+        let router = self.controller.peers.read(|view| view.next_frontend(clock::now(), job_number))?;
         let started = self.change_page(&batch, |page, slot| page.start(slot, self.epoch)).await;
         if started == PageChange::Rejected {
             return None;
@@ -55,7 +55,7 @@
         Some(())
     }
 
-    /// Sends the job, unless its start is not durable or this controller has ceased to be the owner.
+    /// Sends the job, unless its start was not committed or this controller no longer owns the batches.
     async fn send(&self, batch: &Batch, job: &Job, router: &str, started: PageChange) -> AttemptOutcome {
         let is_owner = runner::acting_epoch(&self.controller, clock::now()) == Some(self.epoch);
         if started != PageChange::Committed || !is_owner {
@@ -65,8 +65,8 @@
         job_request::send(&self.client, router, job, self.dispatch.urgency, remaining_ms).await
     }
 
-    /// Tries until the outcome is written or another owner has claimed the page: a response that came is not thrown
-    /// away.
+    /// Retries until the outcome is written or another owner has claimed the page, so that a received response is not
+    /// lost.
     async fn write_outcome(&self, batch: &Batch, state: &JobState) {
         let finish = |page: &mut JobPage, slot| page.finish(slot, self.epoch, state.clone());
         while self.change_page(batch, finish).await == PageChange::OutcomeUnknown {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Changes the page with this job. `change` gets the page and where the job stands in it.
+    /// Changes the page that contains this job. `change` gets the page and the job's slot in it.
     async fn change_page(
         &self,
         batch: &Batch,
--- a/controller/src/batches/job_request.rs
+++ b/controller/src/batches/job_request.rs
@@ -1,4 +1,4 @@
-//! One job as a request to a router, sent once, and what came of it as a value.
+//! Sends a job to a router as one HTTP request and maps the response to an outcome.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use protocol::headers::{ATTEMPT_ID, TIME_BUDGET};
 use reqwest::{Client, Method, RequestBuilder, Response};
 
-/// The header by which a router recognizes deferrable work; it never reaches an engine.
+/// The header that marks a request as deferrable for the router; it is not forwarded to engines.
 const DEFERRABLE: &str = "deferrable";
 
-/// Statuses with which a router answers a request that has not run and never will.
+/// Statuses of a router's response to a request that was not executed and never will be.
 const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// Statuses that leave open whether the request has run.
+/// Statuses that do not tell whether the request was executed.
 const UNKNOWN_OUTCOME_STATUSES: [u16; 3] = [500, 502, 504];
 
-/// Sends a job to a router and returns what came of it. `remaining_ms` is how long it may take.
+/// Sends a job to a router and returns the outcome. `remaining_ms` is the request timeout.
 pub async fn send(client: &Client, router: &str, job: &Job, urgency: Urgency, remaining_ms: u64) -> AttemptOutcome {
     let Ok(method) = Method::from_bytes(job.method.as_bytes()) else {
         return AttemptOutcome::Completed { status: 400, body: String::new() };
@@ -72,7 +72,7 @@
             Err(_) => return AttemptOutcome::Unknown,
         }
         if body.len() > MAX_RESPONSE_BYTES {
-            // A response that is too long to be stored is reported as such: a truncated one would look complete.
+            // A response that is too large to store is reported as such, since a truncated one would look complete.
             return AttemptOutcome::Completed { status: 507, body: format!("answer over {MAX_RESPONSE_BYTES} bytes") };
         }
     }
--- a/controller/src/batches/mod.rs
+++ b/controller/src/batches/mod.rs
@@ -1,7 +1,7 @@
-//! Deferrable work: batch records and the runner that carries their jobs out.
+//! Deferrable work: batch records and the runner that executes their jobs.
 //!
-//! A batch and its jobs are committed before anything is sent. The states of its jobs stand in pages, which are registers
-//! of their own, so that the outcome of one job does not make the whole batch be written again.
+//! A batch and its jobs are committed before any job is sent. Job states are stored in pages, which have their own
+//! registers, so that the outcome of one job does not rewrite the whole batch.
 
 pub mod job_attempt;
 pub mod job_request;
--- a/controller/src/batches/records.rs
+++ b/controller/src/batches/records.rs
@@ -1,4 +1,4 @@
-//! Keys and look-ups of committed batches and of the pages with the states of their jobs.
+//! Keys and lookups of committed batches and of the pages that store their job states.
 
 use batch::{Batch, JobPage, JOBS_PER_PAGE};
 use kernel::settings::Settings;
@@ -8,7 +8,7 @@
 /// The prefix of the keys of all batches and pages.
 pub const KEY_PREFIX: &str = "batch/";
 
-/// Turns MiB into bytes, and takes an eighth of them: the share of the machine that batches may take up.
+/// Converts MiB to bytes and takes an eighth of them, the share of the machine's memory or disk that batches may use.
 const CAPACITY_SHIFT: u32 = 20 - 3;
 
 /// Returns the key of one page of a batch's jobs.
@@ -21,23 +21,23 @@
     format!("{KEY_PREFIX}{id}")
 }
 
-/// Returns a batch as it is known to be committed.
+/// Returns the committed state of a batch.
 pub fn batch(state: &CommittedState, id: &str) -> Option<Batch> {
     Batch::from_bytes(&state.entries.get(&batch_key(id))?.body)
 }
 
-/// Returns a page as it is known to be committed. All jobs wait in a page that was never written.
+/// Returns the committed state of a page. In a page that was never written all jobs are waiting.
 pub fn page(state: &CommittedState, id: &str, batch: &Batch, number: usize) -> JobPage {
     let stored = state.entries.get(&page_key(id, number)).and_then(|entry| JobPage::from_bytes(&entry.body));
     stored.unwrap_or_else(|| blank_page(batch, number))
 }
 
-/// Returns all pages of a batch as they are known to be committed.
+/// Returns the committed states of all pages of a batch.
 pub fn pages<'a>(state: &'a CommittedState, id: &'a str, batch: &'a Batch) -> impl Iterator<Item = JobPage> + 'a {
     (0..batch.page_count()).map(move |number| page(state, id, batch, number))
 }
 
-/// Returns a page in which all jobs wait.
+/// Returns a page in which all jobs are waiting.
 pub fn blank_page(batch: &Batch, number: usize) -> JobPage {
     JobPage::new(batch.jobs.len().saturating_sub(number * JOBS_PER_PAGE).min(JOBS_PER_PAGE))
 }
@@ -49,7 +49,7 @@
     ids.filter(|id| batch(state, id).is_some_and(|batch| !batch.expired)).collect()
 }
 
-/// Returns how many bytes batches may take up on disk and in memory: a share of what the machine has.
+/// Returns how many bytes batches may use, on disk as well as in memory: a share of the smaller limit of the two.
 pub fn capacity_bytes(settings: &Settings) -> usize {
     let memory_mb = settings.limits.memory_mb;
     let disk_mb = if settings.limits.disk_mb == 0 { memory_mb / 2 } else { settings.limits.disk_mb };
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -1,8 +1,8 @@
-//! The owner of the batches: it claims their pages under its epoch, sends jobs to routers as a client does, and writes
-//! the outcomes.
+//! The batch owner: it claims the pages of batches under its epoch, sends their jobs to routers like any client, and
+//! writes the outcomes.
 //!
-//! A page is changed only under the epoch that claimed it, so that an owner that was superseded can't write an outcome
-//! over that of its successor.
+//! A page is changed only under the epoch that claimed it, so that a superseded owner cannot overwrite an outcome of
+//! its successor.
 
 use std::collections::{HashMap, HashSet};
 use std::mem;
@@ -25,33 +25,35 @@
 use crate::replication::registers::Decision;
 use crate::roles::{self, BATCH};
 
-/// How often the owner looks at the batches.
+/// Interval at which the owner polls the batches, in ms.
 pub const POLL_INTERVAL_MS: u64 = 250;
+/// Connect timeout for routers, in ms.
 const CONNECT_TIMEOUT_MS: u64 = 700;
-/// How long one change of a batch may take.
+/// Timeout of one change to a batch, in ms.
 const BATCH_CHANGE_TIMEOUT_MS: u64 = 2000;
-/// How long one change of a page may take.
+/// Timeout of one change to a page, in ms.
 const PAGE_CHANGE_TIMEOUT_MS: u64 = 3000;
-/// The most jobs in flight at once.
+/// The maximum number of jobs in flight.
 const MAX_IN_FLIGHT: usize = 64;
-/// Elapsed time is written so many times in the course of a window, or of the time that a finished batch is kept.
+/// How many times the elapsed time is written during the window of a batch, or during the retention of a finished
+/// batch.
 const ELAPSED_WRITES: u64 = 20;
-/// Elapsed time of an open batch is written when it comes to at least this.
+/// Lower bound of the interval at which the elapsed time of an open batch is written, in ms.
 const MIN_ELAPSED_WRITE_MS: u64 = 500;
-/// Elapsed time of an open batch is written at the latest when it comes to this.
+/// Upper bound of the interval at which the elapsed time of an open batch is written, in ms.
 const MAX_ELAPSED_WRITE_MS: u64 = 30_000;
 
-/// What this controller knows as the owner of the batches.
+/// The state of this controller as the batch owner.
 #[derive(Default)]
 struct OwnerState {
     epoch: u64,
-    /// Ids of batches whose pages are claimed under this epoch.
+    /// Ids of the batches whose pages are claimed under `epoch`.
     claimed: HashSet<String>,
-    /// When the batches were last looked at.
+    /// The time of the last poll, in ms.
     polled_at: u64,
 }
 
-/// Steady time that has elapsed for each batch and is not yet written.
+/// Elapsed time of each batch that is not yet written, in ms of the steady clock, by batch id.
 #[derive(Default)]
 pub struct ElapsedTimes(Mutex<HashMap<String, u64>>);
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// A job, by its batch and its number there.
+/// Identifies a job by its batch and its number there.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct JobId {
     /// The id of the batch.
@@ -78,44 +80,44 @@
 }
 
 impl JobId {
-    /// Returns which job a dispatch is for.
+    /// Returns the id of the job of a dispatch.
     pub fn of(dispatch: &Dispatch) -> JobId {
         JobId { batch_id: dispatch.batch_id.clone(), job: dispatch.job }
     }
 }
 
-/// The jobs in flight, shared by the runner and all attempts.
+/// The jobs in flight, shared between the runner and all attempts.
 pub type SharedInFlight = Arc<Mutex<InFlight>>;
 
 /// The jobs in flight. Invariant: a job is in `jobs` from before it is sent until after its outcome is written.
 pub struct InFlight {
-    /// The jobs.
+    /// The ids of the jobs.
     pub jobs: HashSet<JobId>,
-    /// How many attempts of a job had an unknown outcome.
+    /// The number of attempts with an unknown outcome, by job.
     pub unknown_outcomes: HashMap<JobId, u32>,
-    /// How many jobs may be in flight.
+    /// The limit on the number of jobs in flight.
     pub limit: ConcurrencyLimit,
 }
 
-/// A batch that has jobs to send.
+/// A batch that is neither over nor finished.
 struct OpenBatch {
     id: String,
     batch: Batch,
     waiting: Vec<usize>,
 }
 
-/// What came of a change of a page.
+/// The result of a page change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PageChange {
-    /// The page is as it was to be.
+    /// The page has the requested content.
     Committed,
-    /// Another owner has claimed the page, or the job has its outcome.
+    /// Another owner has claimed the page, or the job already has its outcome.
     Rejected,
-    /// It is not known whether the page was changed.
+    /// The change may or may not have been committed.
     OutcomeUnknown,
 }
 
-/// Carries batches out whenever this controller owns them, for as long as the process runs.
+/// Starts the task that runs batches while this controller owns them.
 pub fn start(controller: &Arc<Controller>) {
     let (connect_timeout, unacknowledged) =
         (Duration::from_millis(CONNECT_TIMEOUT_MS), Duration::from_millis(IO_TIMEOUT_MS));
@@ -141,7 +143,7 @@
     });
 }
 
-/// Returns the epoch under which batches may be run now: the previous owner has stopped by then.
+/// Returns the epoch under which this controller may run batches now. The previous owner has stopped by then.
 pub fn acting_epoch(controller: &Controller, now: u64) -> Option<u64> {
     roles::acting_epoch(controller, BATCH, now)
 }
@@ -156,7 +158,7 @@
 impl Runner {
     async fn poll(&mut self) {
         if self.controller.is_shutting_down() {
-            // The next owner sends the rest; what is in flight here is finished.
+            // The jobs in flight here are finished; the next owner sends the others.
             return;
         }
         let now = clock::now();
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Claims batches that are new to this owner, and returns those that have jobs to send.
+    /// Claims batches that are new to this owner, and returns the open ones.
     async fn open_batches(&mut self, ids: &[String], elapsed_ms: u64) -> Vec<OpenBatch> {
         let (controller, epoch) = (&self.controller, self.owner.epoch);
         let mut open = Vec::new();
@@ -197,7 +199,7 @@
         open
     }
 
-    /// Returns the jobs of a batch that wait and are not in flight.
+    /// Returns the waiting jobs of a batch that are not in flight.
     fn waiting(&self, id: &str, batch: &Batch) -> Vec<usize> {
         self.controller.committed.read(|state| {
             let in_flight = self.in_flight.lock();
@@ -211,7 +213,7 @@
         })
     }
 
-    /// Returns what to send now, as far as the limit allows.
+    /// Returns the jobs to send now, within the concurrency limit.
     fn next(&self, open: &[OpenBatch], now: u64) -> Vec<Dispatch> {
         let in_flight = self.in_flight.lock();
         let free = in_flight.limit.available(in_flight.jobs.len(), now);
@@ -237,7 +239,8 @@
     }
 }
 
-/// Changes one page of a batch. `change` fails if another owner has claimed the page or the job has its outcome.
+/// Changes one page of a batch. `change` fails if another owner has claimed the page or the job already has its
+/// outcome.
 pub async fn change_page(
     controller: &Controller,
     id: &str,
@@ -257,7 +260,7 @@
     result.unwrap_or(PageChange::OutcomeUnknown)
 }
 
-/// Claims all pages of a batch. Returns whether all of them are claimed.
+/// Claims all pages of a batch. Returns whether that succeeded.
 async fn claim(controller: &Controller, id: &str, epoch: u64) -> bool {
     let Some(batch) = controller.committed.read(|state| records::batch(state, id)) else {
         return false;
@@ -276,8 +279,8 @@
     true
 }
 
-/// Counts the window down, ends jobs that can't make it, and expires what is long finished. Returns the batch if it has
-/// jobs to send.
+/// Advances the elapsed time of a batch, ends the waiting jobs of a batch that is over, and expires a finished batch
+/// after its retention. Returns the batch if it is still open.
 async fn maintain(controller: &Controller, id: &str, elapsed_ms: u64, epoch: u64) -> Option<Batch> {
     let (batch, is_finished) = controller.committed.read(|state| {
         let batch = records::batch(state, id)?;
@@ -293,7 +296,8 @@
     (!is_over && !is_finished).then_some(batch)
 }
 
-/// Adds elapsed time to a batch. It is written in steps, so that it outlives this owner without a write for each poll.
+/// Adds elapsed time to a batch. The time is written in steps, so that it survives a change of owner without a write
+/// per poll.
 async fn count_down(
     controller: &Controller,
     id: &str,
@@ -325,7 +329,7 @@
     }
 }
 
-/// Gives the jobs that still wait their final state.
+/// Sets the final state of all jobs that are still waiting.
 async fn end_waiting(controller: &Controller, id: &str, batch: &Batch, final_state: JobState, epoch: u64) {
     for number in 0..batch.page_count() {
         let end = |page: &mut JobPage| {
@@ -336,7 +340,7 @@
             waiting.for_each(|state| *state = final_state.clone());
             Ok(())
         };
-        // What fails is tried again at the next poll.
+        // A failed change is retried at the next poll.
         let _ = change_page(controller, id, batch, number, end).await;
     }
 }
--- a/controller/src/discovery/engine_directory.rs
+++ b/controller/src/discovery/engine_directory.rs
@@ -1,4 +1,4 @@
-//! What is known of engines: endpoint lists, versions of their weights, and versions of their software.
+//! The engines known to this controller: endpoint lists, weight versions and software versions.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,23 @@
 
 use crate::discovery::list_history::ListHistory;
 use crate::discovery::list_repairs::ListRepairs;
-use crate::discovery::version_lists::{FirstVersions, ListedEngine, PartitionedEngines};
+use crate::discovery::version_lists::{BaselineVersions, ListedEngine, PartitionedEngines};
 
 /// All engines of the fleet as this controller knows them.
 ///
-/// Lock order: endpoint lists, histories, weight versions. The first versions and the repairs are locked without another.
+/// Lock order: `endpoint_lists`, `histories`, `weight_versions`. `baseline_versions` and `repairs` are never held
+/// together with another lock.
 pub struct EngineDirectory {
     endpoint_lists: Mutex<EndpointLists>,
-    /// By zone: the latest changes of its list. They follow the lists whenever they are read.
+    /// The latest changes of each zone's list, by zone. Brought up to date with `endpoint_lists` on every read.
     histories: Mutex<BTreeMap<String, ListHistory>>,
-    /// Whose lists are behind.
+    /// Peers whose lists are out of date.
     repairs: Mutex<ListRepairs>,
-    /// By zone, kept only while there are limits on stale weights.
+    /// Weight versions by zone, kept only while staleness limits exist.
     weight_versions: Mutex<BTreeMap<String, WeightVersions>>,
-    /// The version of each service that was there before any rollout.
-    first_versions: Mutex<FirstVersions>,
-    /// One poll of the platform at a time.
+    /// The version that each service ran before any rollout.
+    baseline_versions: Mutex<BaselineVersions>,
+    /// Allows one poll of the platform at a time.
     poll_permit: Semaphore,
 }
 
@@ -37,34 +38,34 @@
             histories: Mutex::default(),
             repairs: Mutex::default(),
             weight_versions: Mutex::default(),
-            first_versions: Mutex::default(),
+            baseline_versions: Mutex::default(),
             poll_permit: Semaphore::new(1),
         }
     }
 }
 
 impl EngineDirectory {
-    /// Returns what `read` makes of the endpoint lists of one moment.
+    /// Calls `read` with the endpoint lists under their lock and returns its result.
     pub fn read<T>(&self, read: impl FnOnce(&EndpointLists) -> T) -> T {
         read(&self.endpoint_lists.lock())
     }
 
-    /// Changes the endpoint lists under their lock.
+    /// Calls `update` with the endpoint lists under their lock and returns its result.
     pub fn update<T>(&self, update: impl FnOnce(&mut EndpointLists) -> T) -> T {
         update(&mut self.endpoint_lists.lock())
     }
 
-    /// Takes over a peer's endpoint list. Returns false where it is not newer than the one known.
+    /// Stores a peer's endpoint list. Returns false if it is not newer than the stored one.
     pub fn accept(&self, list: &EndpointList) -> bool {
         self.endpoint_lists.lock().update(list)
     }
 
-    /// Takes over a peer's update of an endpoint list. `None`: it does not apply to the list known.
+    /// Applies a peer's update to an endpoint list. Returns `None` if it does not apply to the stored list.
     pub fn apply(&self, update: &EndpointUpdate) -> Option<ChangedEngines> {
         self.endpoint_lists.lock().apply(update)
     }
 
-    /// Calls `visit` with the history of each zone's list, as of now.
+    /// Calls `visit` with the history of each zone's list, brought up to date first.
     pub fn for_each_history(&self, now: u64, mut visit: impl FnMut(&str, &mut ListHistory)) {
         let endpoint_lists = self.endpoint_lists.lock();
         let mut histories = self.histories.lock();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Returns what brings one that has the version `known` of a zone's list up to date.
+    /// Returns the frames that bring a receiver with version `known` of a zone's list up to date.
     pub fn frames_since(&self, zone: &str, known: Option<ListVersion>, now: u64) -> Vec<Bytes> {
         let mut frames = Vec::new();
         self.for_each_history(now, |name, history| {
@@ -87,7 +88,7 @@
         frames
     }
 
-    /// Returns the latest change of a zone's list, or the whole list where no change is known.
+    /// Returns the latest change of a zone's list, or the full list if no change is kept.
     pub fn latest_frame(&self, zone: &str, now: u64) -> Option<Bytes> {
         let mut frame = None;
         self.for_each_history(now, |name, history| {
@@ -98,8 +99,9 @@
         frame
     }
 
-    /// Notes whether a peer's heartbeat showed it behind, and returns whether this controller is to send what it lacks.
-    pub fn is_to_repair(&self, own: &str, peer: &str, is_behind: bool, live: &[String]) -> bool {
+    /// Records whether a peer's heartbeat showed outdated lists, and returns whether this controller should send the
+    /// missing changes.
+    pub fn should_repair(&self, own: &str, peer: &str, is_behind: bool, live: &[String]) -> bool {
         let mut repairs = self.repairs.lock();
         if !is_behind {
             repairs.record_current(peer);
@@ -108,29 +110,29 @@
         repairs.record_behind(own, peer, live)
     }
 
-    /// Returns which list of a zone is known, to be compared after a poll.
+    /// Returns the current version of a zone's list. A poller compares it after the poll to detect a concurrent update.
     pub fn known_list(&self, zone: &str) -> ObservedVersion {
         self.endpoint_lists.lock().observed_version(zone)
     }
 
-    /// Returns what `read` makes of the endpoint lists and the weight versions by zone of one moment.
+    /// Calls `read` with the endpoint lists and the weight versions by zone, both locked, and returns its result.
     pub fn read_with_weights<T>(&self, read: impl FnOnce(&EndpointLists, &BTreeMap<String, WeightVersions>) -> T) -> T {
         let endpoint_lists = self.endpoint_lists.lock();
         let weight_versions = self.weight_versions.lock();
         read(&endpoint_lists, &weight_versions)
     }
 
-    /// Calls `visit` for the weight versions of each zone.
+    /// Calls `visit` with the weight versions of each zone.
     pub fn for_each_weight_versions(&self, visit: impl FnMut((&String, &WeightVersions))) {
         self.weight_versions.lock().iter().for_each(visit);
     }
 
-    /// Returns the weight versions of a zone, none where there are none.
+    /// Returns the weight versions of a zone; empty if none are known.
     pub fn weight_versions(&self, zone: &str) -> WeightVersions {
         self.weight_versions.lock().get(zone).cloned().unwrap_or_default()
     }
 
-    /// Takes over the weight versions of a zone. Returns false where they are not newer than those known.
+    /// Stores the weight versions of a zone. Returns false if they are not newer than the stored ones.
     pub fn accept_weight_versions(&self, list: WeightVersions) -> bool {
         let mut known = self.weight_versions.lock();
         let old = known.get(&list.zone).map(|known| (known.term, known.sequence));
@@ -141,18 +143,18 @@
         true
     }
 
-    /// Divides a zone's engines by the rollouts that are known. With `by_request` a version that nobody has requested gets
-    /// nothing.
+    /// Partitions a zone's engines by the known rollouts. With `rollout_required`, a version that no rollout has
+    /// requested gets no traffic.
     pub fn partition(
         &self,
         rollouts: &BTreeMap<String, VersionRollout>,
         list: Vec<ListedEngine>,
-        by_request: bool,
+        rollout_required: bool,
     ) -> PartitionedEngines {
-        self.first_versions.lock().partition(rollouts, list, by_request)
+        self.baseline_versions.lock().partition(rollouts, list, rollout_required)
     }
 
-    /// Waits until no other poll of the platform is under way. None: the process ends.
+    /// Waits until no other poll of the platform is running. Returns `None` if the semaphore is closed.
     pub async fn poll_permit(&self) -> Option<SemaphorePermit<'_>> {
         self.poll_permit.acquire().await.ok()
     }
--- a/controller/src/discovery/list_history.rs
+++ b/controller/src/discovery/list_history.rs
@@ -1,7 +1,7 @@
-//! The latest changes of a zone's endpoint list, encoded once for all that they are sent to.
+//! The latest changes of a zone's endpoint list, each encoded once for all receivers.
 //!
-//! Whoever has a recent version gets the changes since, anyone else the whole list. What is kept follows the list that is in
-//! force, whichever way that came to be known.
+//! A receiver with a recent version gets the changes since that version, any other receiver the full list. The history
+//! follows the current list, whether it came from a local poll or from a peer.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,48 +10,48 @@
 use protocol::frame::{self, Kind};
 use protocol::message::{EndpointList, EndpointUpdate, Engine, ListVersion, Message};
 
-/// How many changes are kept for those that are behind.
+/// The maximum number of changes kept for receivers that are behind.
 const MAX_CHANGES: usize = 32;
-/// How many bytes of such changes are kept for one zone.
+/// The maximum size of the changes kept for one zone, in bytes.
 const MAX_CHANGES_BYTES: usize = 256 * 1024;
-/// For how long an encoded whole list is sent while engines are cold, in ms: what is left of that runs down.
+/// Lifetime of an encoded full list while engines are cold, in ms: the remaining warm-up times in it go out of date.
 const COLD_FRAME_TTL_MS: u64 = 250;
 
-/// A change of the version `from` to the next one that was in force here.
+/// An encoded change from the version `from` to the version that followed it on this controller.
 struct EncodedChange {
     from: ListVersion,
     frame: Bytes,
 }
 
-/// The whole list, encoded once for several that ask for it.
-struct WholeFrame {
+/// The full list, encoded once for several receivers.
+struct FullFrame {
     frame: Bytes,
-    /// Until when it may be sent, where it says what is left of slow starts.
+    /// The time at which the frame expires, in ms. Set only if the list contains remaining warm-up times.
     expires_at: Option<u64>,
 }
 
-/// One zone's list and the latest changes that led to it.
+/// One zone's current list and the latest changes that led to it.
 ///
-/// Invariants: `changes` is a chain, each from the version before it to the next, the last one ending at `current`;
-/// `whole_frame` is of `current`. What is kept is bounded by count and by bytes.
+/// Invariants: each entry of `changes` starts at the version that the previous entry leads to, and the last one leads
+/// to `current`; `full_frame` encodes `current`. The changes are bounded by count and by bytes.
 pub struct ListHistory {
     current: Arc<EndpointList>,
     changes: VecDeque<EncodedChange>,
     changes_bytes: usize,
-    whole_frame: Option<WholeFrame>,
-    /// Until when each engine that is listed as cold stays so, in ms of the steady clock: lists say how much was left when
-    /// they were made.
+    full_frame: Option<FullFrame>,
+    /// The end of the warm-up of each cold engine, in ms of the steady clock. A list only gives the time that remained
+    /// when it was published.
     cold_until: HashMap<String, u64>,
 }
 
 impl ListHistory {
-    /// Returns the history of a list that has just become known.
+    /// Creates a history that starts with the list `current`.
     pub fn new(current: Arc<EndpointList>, now: u64) -> ListHistory {
         let cold_until = cold_until(&current.engines, now).collect();
-        ListHistory { current, changes: VecDeque::new(), changes_bytes: 0, whole_frame: None, cold_until }
+        ListHistory { current, changes: VecDeque::new(), changes_bytes: 0, full_frame: None, cold_until }
     }
 
-    /// Follows the list that is in force.
+    /// Records the change from the previous list to `list`, which is now current.
     pub fn follow(&mut self, list: &Arc<EndpointList>, now: u64) {
         if list.version() == self.current.version() {
             return;
@@ -67,7 +67,7 @@
             None => self.clear_changes(),
         }
         self.current = list.clone();
-        self.whole_frame = None;
+        self.full_frame = None;
     }
 
     fn push(&mut self, change: EncodedChange) {
@@ -84,25 +84,25 @@
         self.changes_bytes = 0;
     }
 
-    /// Returns the version in force.
+    /// Returns the version of the current list.
     pub fn version(&self) -> ListVersion {
         self.current.version()
     }
 
-    /// Returns what brings one that has the version `known` up to date: the changes since, or the whole list where the
-    /// changes are not known or not smaller.
+    /// Returns the frames that bring a receiver with version `known` up to date: the changes since then, or the full
+    /// list if the changes are no longer kept or not smaller.
     pub fn frames_since(&mut self, known: Option<ListVersion>, now: u64) -> Vec<Bytes> {
         if known >= Some(self.version()) {
             return Vec::new();
         }
         let changes = self.changes_since(known);
-        // One change is almost always smaller: the whole list need not be encoded to see it.
+        // A single change is almost always smaller than the full list, so the list is not encoded for the comparison.
         if changes.len() == 1 {
             return changes;
         }
         let size: usize = changes.iter().map(Bytes::len).sum();
-        match self.whole_frame(now) {
-            Some(whole) if changes.is_empty() || size >= whole.len() => vec![whole],
+        match self.full_frame(now) {
+            Some(full) if changes.is_empty() || size >= full.len() => vec![full],
             _ => changes,
         }
     }
@@ -113,26 +113,26 @@
             .map_or_else(Vec::new, |first| self.changes.iter().skip(first).map(|change| change.frame.clone()).collect())
     }
 
-    /// Returns the latest change, or the whole list where none is known.
+    /// Returns the latest change, or the full list if no change is kept.
     pub fn latest_frame(&mut self, now: u64) -> Option<Bytes> {
         let change = self.changes.back().map(|change| change.frame.clone());
-        change.or_else(|| self.whole_frame(now))
+        change.or_else(|| self.full_frame(now))
     }
 
-    fn whole_frame(&mut self, now: u64) -> Option<Bytes> {
-        let is_usable = |whole: &&WholeFrame| whole.expires_at.is_none_or(|until| now < until);
-        if let Some(whole) = self.whole_frame.as_ref().filter(is_usable) {
-            return Some(whole.frame.clone());
+    fn full_frame(&mut self, now: u64) -> Option<Bytes> {
+        let is_usable = |full: &&FullFrame| full.expires_at.is_none_or(|until| now < until);
+        if let Some(full) = self.full_frame.as_ref().filter(is_usable) {
+            return Some(full.frame.clone());
         }
         self.cold_until.retain(|_, until| *until > now);
         let frame = encode(EndpointUpdate::whole(&self.list_as_of(now)))?;
         let expires_at = (!self.cold_until.is_empty()).then_some(now + COLD_FRAME_TTL_MS);
-        self.whole_frame = Some(WholeFrame { frame: frame.clone(), expires_at });
+        self.full_frame = Some(FullFrame { frame: frame.clone(), expires_at });
         Some(frame)
     }
 
-    /// Returns the list with what is left of slow starts now. One that is listed as cold stays so until the list says
-    /// otherwise.
+    /// Returns the list with the warm-up times that remain at `now`. An engine listed as cold keeps at least 1 ms until
+    /// a new list shows it as warm.
     fn list_as_of(&self, now: u64) -> EndpointList {
         let mut list = EndpointList::clone(&self.current);
         for engine in list.engines.iter_mut().filter(|engine| engine.cold_ms > 0) {
--- a/controller/src/discovery/list_history_tests.rs
+++ b/controller/src/discovery/list_history_tests.rs
@@ -1,4 +1,4 @@
-//! What those that are behind get of a zone's list.
+//! Which frames of a zone's list a receiver gets, depending on the version that it has.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The list of a zone of 300 engines of which those up to the sequence are draining.
+/// A list of 300 engines, of which those with numbers up to `sequence` are draining.
 fn list(sequence: u64) -> Arc<EndpointList> {
     let engines = (0..300).map(|number| engine(number, number as u64 > sequence, 0)).collect();
     Arc::new(EndpointList { zone: "a".into(), term: 5, sequence, engines })
@@ -33,14 +33,14 @@
     Some(ListVersion { term: 5, sequence })
 }
 
-fn read(frame: &Bytes) -> EndpointUpdate {
+fn decode_update(frame: &Bytes) -> EndpointUpdate {
     match frame::decode_body(&frame[HEADER_BYTES..]).expect("a message") {
         Message::EndpointUpdate(update) => *update,
         other => panic!("{other:?}"),
     }
 }
 
-/// A history that saw the versions from 1 to `last`.
+/// A history that recorded the versions 1 to `last`.
 fn history(last: u64) -> ListHistory {
     let mut history = ListHistory::new(list(1), 0);
     (2..=last).for_each(|sequence| history.follow(&list(sequence), 0));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn each_version_leads_to_the_list_in_force_by_changes_or_by_the_whole() {
+fn frames_since_any_version_lead_to_the_current_list() {
     let last = MAX_CHANGES as u64 + 8;
     let mut history = history(last);
     for known in 0..=last {
@@ -57,10 +57,10 @@
             receiver.update(&list(known));
         }
         let frames = history.frames_since((known > 0).then(|| version(known)).flatten(), 0);
-        let updates: Vec<EndpointUpdate> = frames.iter().map(read).collect();
+        let updates: Vec<EndpointUpdate> = frames.iter().map(decode_update).collect();
         let are_changes = updates.iter().all(|update| update.base.is_some());
-        assert!(known >= 8 || !are_changes, "version {known}: the oldest changes are forgotten");
-        assert!(known < last - 8 || are_changes, "version {known}: few changes are shorter than the list");
+        assert!(known >= 8 || !are_changes, "version {known}: the oldest changes are no longer kept");
+        assert!(known < last - 8 || are_changes, "version {known}: a few changes are smaller than the list");
         for update in &updates {
             assert!(receiver.apply(update).is_some(), "version {known}");
         }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_whole_list_is_sent_where_the_changes_are_longer() {
+fn frames_since_returns_the_full_list_if_the_changes_are_larger() {
     let mut history = ListHistory::new(list(1), 0);
     let all_drain = |sequence| {
         let engines = (0..300).map(|number| engine(number, sequence % 2 == 0, 0)).collect();
@@ -80,21 +80,21 @@
     (2..6).for_each(|sequence| history.follow(&all_drain(sequence), 0));
     let frames = history.frames_since(version(1), 0);
     assert_eq!(frames.len(), 1);
-    assert_eq!(read(&frames[0]).base, None);
+    assert_eq!(decode_update(&frames[0]).base, None);
     assert_eq!(history.frames_since(version(4), 0).len(), 1);
     assert!(history.frames_since(version(5), 0).is_empty());
-    assert!(history.frames_since(version(9), 0).is_empty(), "whoever has a newer list needs nothing");
+    assert!(history.frames_since(version(9), 0).is_empty(), "a receiver with a newer list needs no frames");
 }
 
 #[test]
-fn a_whole_list_says_what_is_left_of_slow_starts_now() {
+fn the_full_list_contains_the_warm_up_times_that_remain() {
     let cold = EndpointList { zone: "a".into(), term: 5, sequence: 1, engines: vec![engine(1, true, 3000)] };
     let mut history = ListHistory::new(Arc::new(cold), 10_000);
     let mut cold_ms = |now| {
-        let update = read(&history.frames_since(None, now)[0]);
+        let update = decode_update(&history.frames_since(None, now)[0]);
         update.unpack().expect("readable").changed[0].cold_ms
     };
     assert_eq!(cold_ms(10_000), 3000);
     assert_eq!(cold_ms(12_500), 500);
-    assert_eq!(cold_ms(60_000), 1, "the list in force still says that it is cold");
+    assert_eq!(cold_ms(60_000), 1, "the current list still shows the engine as cold");
 }
--- a/controller/src/discovery/list_repairs.rs
+++ b/controller/src/discovery/list_repairs.rs
@@ -1,32 +1,33 @@
-//! Which controller sends a peer the endpoint lists that the peer lacks.
+//! Selects the controllers that send a peer the endpoint lists that it lacks.
 //!
-//! A peer tells its versions to all controllers in each heartbeat, and most of them know what it lacks. If all sent it, one
-//! lost message would cost the peer as many copies as there are controllers, and a link that is full would never empty. So two
-//! of them send at once; with each further heartbeat that shows the peer behind, twice as many do.
+//! Each heartbeat of a peer tells all controllers its list versions, and most of them could send the missing lists. If
+//! all did, one lost message would bring the peer as many copies as there are controllers, and a saturated link would
+//! never recover. So two controllers send at first, and their number doubles with each further heartbeat that shows the
+//! peer behind.
 
 use std::collections::BTreeMap;
 
 use kernel::hashing;
 
-/// How many controllers repair a peer after its first heartbeat that shows it behind.
+/// The number of controllers that send lists after the first heartbeat that shows a peer behind.
 const FIRST_REPAIRERS: u32 = 2;
-/// From this count on all controllers repair.
+/// The number of doublings after which it no longer grows; all controllers send by then.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// By peer: how many of its heartbeats in a row have shown it behind.
+/// Counts, for each peer, the consecutive heartbeats that showed it behind.
 #[derive(Default)]
 pub struct ListRepairs {
     behind: BTreeMap<String, u32>,
 }
 
 impl ListRepairs {
-    /// Notes that a heartbeat showed a peer up to date.
+    /// Records that a heartbeat showed a peer up to date.
     pub fn record_current(&mut self, peer: &str) {
         self.behind.remove(peer);
     }
 
-    /// Notes that a heartbeat showed a peer behind, and returns whether `own` is to send what it lacks. `live`: all
-    /// controllers that live, `own` and the peer with them or not.
+    /// Records that a heartbeat showed a peer behind, and returns whether the controller `own` should send the missing
+    /// lists. `live` lists the live controllers, with or without `own` and the peer.
     pub fn record_behind(&mut self, own: &str, peer: &str, live: &[String]) -> bool {
         let heartbeats = self.behind.entry(peer.into()).or_default();
         let repairers = FIRST_REPAIRERS << (*heartbeats).min(MAX_DOUBLINGS);
@@ -35,11 +36,11 @@
     }
 }
 
-/// Returns how many of the others stand before a controller in an order of its own for each peer.
+/// Returns how many other live controllers precede `own` in an order that is derived from hashes and differs by peer.
 fn rank(own: &str, peer: &str, live: &[String]) -> u32 {
-    let place = |ip: &str| hashing::combine(hashing::hash(peer.as_bytes()), hashing::hash(ip.as_bytes()));
+    let position = |ip: &str| hashing::combine(hashing::hash(peer.as_bytes()), hashing::hash(ip.as_bytes()));
     let others = live.iter().filter(|ip| *ip != own && *ip != peer);
-    others.filter(|ip| place(ip) < place(own)).count() as u32
+    others.filter(|ip| position(ip) < position(own)).count() as u32
 }
 
 #[cfg(test)]
--- a/controller/src/discovery/listing.rs
+++ b/controller/src/discovery/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list of engines as it comes: pages, put together to one reading of a zone.
+//! The platform's engine list in its wire format, and the pages of one zone combined into a listing.
 
 use load_balancing::ObservedVersion;
 use protocol::message::{Engine, EngineWeights};
@@ -20,7 +20,7 @@
     address: String,
     #[serde(default)]
     zone: String,
-    /// Of its software.
+    /// The version of the engine's software.
     #[serde(default)]
     revision: String,
     #[serde(default)]
@@ -39,34 +39,34 @@
 #[derive(serde::Deserialize)]
 pub struct Page {
     instance_list: Vec<Item>,
-    /// To be sent for the next page; None or empty: this is the last.
+    /// The token to request the next page with; `None` or empty on the last page.
     pub next_token: Option<String>,
 }
 
-/// The version of each model on each engine.
+/// The weight version of each model on each engine.
 pub type Weights = Vec<EngineWeights>;
 
-/// One complete reading of a zone's list.
+/// The engines of a zone as read by one poll, from all pages.
 pub struct Listing {
-    /// All engines in the order of the platform.
+    /// All engines, in the platform's order.
     pub engines: Vec<ListedEngine>,
-    /// The versions of their weights, where wanted.
+    /// The weight versions of the engines; empty if not requested.
     pub weights: Weights,
-    /// How many pages were read.
+    /// The number of pages read.
     pub pages: usize,
-    /// What was known of this list before the first page was asked for.
+    /// The list version that was known before the first page was requested.
     pub known: ObservedVersion,
 }
 
 impl Listing {
-    /// Returns a listing of which nothing is read yet.
+    /// Creates an empty listing.
     pub fn new(known: ObservedVersion) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
-    /// Adds one page. `versions`: whether weight versions are wanted.
-    pub fn add(&mut self, page: Page, versions: bool) {
-        for item in page.instance_list.iter().filter(|_| versions) {
+    /// Adds one page. `wants_weights` tells whether to keep the weight versions.
+    pub fn add(&mut self, page: Page, wants_weights: bool) {
+        for item in page.instance_list.iter().filter(|_| wants_weights) {
             let models = item.model_list.iter();
             self.weights.extend(models.map(|model| EngineWeights {
                 engine: item.instance_id.clone(),
--- a/controller/src/discovery/mod.rs
+++ b/controller/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery of engines: the poller of the platform's list and what is made of it.
+//! Engine discovery: polls the platform's engine list and derives the endpoint lists from it.
 
 pub mod engine_directory;
 pub mod list_history;
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -1,4 +1,4 @@
-//! The platform's list of engines: one poller a zone, within the rate that all daemons share.
+//! Polls the platform's engine list: one poller per zone, within the rate limit that all daemons share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 use crate::metrics::{PollLabels, PollOutcome};
 use crate::{http_client, roles};
 
-/// Why a poll gave no list.
+/// Why a poll failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollError {
-    /// No answer: the platform is down, or cut off from here.
+    /// No response: the platform is down or not reachable from here.
     Unreachable,
-    /// Over the shared rate, or an answer that is no list.
+    /// The shared rate limit was exceeded, or the response was not a list.
     Refused,
-    /// This process stood still meanwhile: what was read before is too old to be sent out.
+    /// The process was suspended during the poll, so what was read before is too old to be published.
     Stalled,
 }
 
@@ -41,26 +41,26 @@
     }
 }
 
-/// The longest that one call may take.
+/// Timeout of one call to the platform, in ms.
 const CALL_TIMEOUT_MS: u64 = 1500;
-/// A step that takes this much longer than it may shows that the process stood still.
+/// A step that exceeds its time limit by more than this shows that the process was suspended, in ms.
 const STALL_TOLERANCE_MS: u64 = 500;
-/// Time after a start to hear who else is there.
+/// Delay after startup in which this controller learns of its peers before it polls, in ms.
 const STARTUP_DELAY_MS: u64 = 160;
-/// Versions go out again with every so many polls, for controllers that missed them.
+/// The number of polls after which unchanged weight versions are sent again, for controllers that missed them.
 const RESEND_EVERY_POLLS: u32 = 8;
-/// How many refusals one poll bears before it is left to the next.
+/// The number of refused calls that a poll tolerates before it fails.
 const MAX_REFUSALS: u32 = 4;
-/// The most pages that are read of one list.
+/// The maximum number of pages read in one poll.
 const MAX_PAGES: usize = 1000;
 
-/// Returns what heartbeats say about the own access to the platform, None while it is reached.
+/// Returns the heartbeat entry that marks the platform as unreachable from here; `None` while it is reachable.
 pub fn access_marker(controller: &Controller, now: u64) -> Option<VersionEntry> {
     let unreachable = controller.peers.read(|view| view.platform_access.is_unreachable(now));
     unreachable.then(|| VersionEntry::new(HiddenKey::PlatformUnreachable, 1, 0))
 }
 
-/// Returns what a peer's heartbeat says of others and of its access to the platform.
+/// Extracts from a peer's heartbeat its confirmations and whether it can reach the platform.
 pub fn peer_report(gossip: &Gossip) -> PeerReport {
     let key = Some(HiddenKey::PlatformUnreachable);
     let platform_unreachable = gossip.list_versions.iter().any(|entry| HiddenKey::parse(&entry.name) == key);
@@ -68,16 +68,17 @@
     PeerReport { confirmed, confirmations, platform_unreachable }
 }
 
-/// Returns the pause between two polls of a zone: often enough for `drain_ms`, within the shared rate.
+/// Returns the interval between two polls of a zone, in ms: short enough for `drain_ms` and within the shared rate
+/// limit.
 fn poll_interval_ms(settings: &Settings, pages: usize) -> u64 {
     let zones = settings.zones.len().max(1);
     let calls = (zones * pages.max(1)) as f64;
-    // Two pollers may overlap while a zone changes its poller, and the calls stay under half the rate.
+    // Two pollers may overlap during a handover of a zone, so one poller uses at most half of the rate.
     let floor = (calls * 2000.0 / settings.cloud_api.rate_per_s) as u64;
     (settings.bounds.drain_ms / 5).clamp(250, 1000).max(floor)
 }
 
-/// Returns whether a step that may take `allowed_ms` took so long that the process must have stood still.
+/// Returns whether a step with the time limit `allowed_ms` took so long that the process must have been suspended.
 fn stalled(begun: u64, allowed_ms: u64, now: u64) -> bool {
     now > begun + allowed_ms + STALL_TOLERANCE_MS
 }
@@ -105,14 +106,14 @@
             wait = wait.min(STARTUP_DELAY_MS);
             continue;
         }
-        // Without staleness limits weight versions are neither read nor sent.
+        // Weight versions are read and sent only if there are staleness limits.
         let wants_weights = controller.committed.has_staleness_limits();
         let outcome = poll(&controller, &client, &zone, wants_weights).await;
         record_access(&controller, outcome.as_ref().err().copied());
         let result = outcome.as_ref().map_or_else(|error| (*error).into(), |_| PollOutcome::Read);
         controller.metrics.platform_polls.get_or_create(&PollLabels { result }).inc();
         let Ok(listing) = outcome else {
-            // What is known stays in force, the next poll comes a little later.
+            // The known list stays in force, and the next poll is delayed.
             wait = wait * 3 / 2;
             continue;
         };
@@ -122,8 +123,7 @@
     }
 }
 
-/// Keeps count of polls without an answer: a poller that is cut off from the platform lets another
-/// controller take its place.
+/// Records whether the platform responded: a poller that cannot reach the platform is replaced by another controller.
 fn record_access(controller: &Controller, error: Option<PollError>) {
     controller.peers.update(|view| match error {
         None | Some(PollError::Refused) => view.platform_access.record_success(),
@@ -132,28 +132,28 @@
     });
 }
 
-/// Publishes what a poll read, unless a list that another poller made became known meanwhile. `versions`: None where weight
-/// versions are not wanted, else whether to send them even if unchanged.
-fn apply_listing(controller: &Controller, zone: &str, term: &mut u64, listing: Listing, versions: Option<bool>) {
+/// Publishes the listing of a poll, unless another poller's list arrived during the poll. `resend_weights` is `None` if
+/// weight versions are not wanted, otherwise it tells whether to send them even if unchanged.
+fn apply_listing(controller: &Controller, zone: &str, term: &mut u64, listing: Listing, resend_weights: Option<bool>) {
     let partitioned = version_lists::partition(controller, listing.engines);
-    let made = controller.engines.update(|lists| {
+    let published = controller.engines.update(|lists| {
         if lists.observed_version(zone) != listing.known {
             return None;
         }
         let list = lists.publish(zone, term, controller.replica_id, partitioned.stable, listing.known);
         Some((list, candidate_list(controller, lists, zone, partitioned.candidates)))
     });
-    let Some((list, candidates)) = made else { return };
-    if let Some(again) = versions {
-        limit_confirmations::publish_weight_versions(controller, zone, listing.weights, again);
+    let Some((list, candidates)) = published else { return };
+    if let Some(resend) = resend_weights {
+        limit_confirmations::publish_weight_versions(controller, zone, listing.weights, resend);
     }
-    // First those of the version in place: an engine that is both for a moment is no more left out.
+    // The stable list goes first: an engine that is briefly on both lists is then never missing from both.
     for list in list.into_iter().chain(candidates) {
         publish(controller, list);
     }
 }
 
-/// The list of a zone's engines of versions that are brought in, if there are any or were.
+/// Returns the list of a zone's candidate engines, or `None` if there are none and there were none.
 fn candidate_list(
     controller: &Controller,
     lists: &mut EndpointLists,
@@ -178,16 +178,16 @@
     let known = controller.engines.known_list(zone);
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
-    let mut refused = 0;
+    let mut refusals = 0;
     let gap_ms = (1000.0 / controller.settings.cloud_api.rate_per_s) as u64;
     loop {
-        let Some(page) = call(client, &url(controller, zone, token.as_deref())).await? else {
-            // Over the shared rate: the same page again, what was read of the list stays.
-            refused += 1;
-            if refused > MAX_REFUSALS {
+        let Some(page) = fetch_page(client, &url(controller, zone, token.as_deref())).await? else {
+            // Over the shared rate limit: requests the same page again and keeps the pages read so far.
+            refusals += 1;
+            if refusals > MAX_REFUSALS {
                 return Err(PollError::Refused);
             }
-            pause_between_calls(gap_ms * u64::from(refused) * 2).await?;
+            pause_between_calls(gap_ms * u64::from(refusals) * 2).await?;
             continue;
         };
         token = page.next_token.clone().filter(|token| !token.is_empty());
@@ -205,8 +205,8 @@
     format!("http://{address}/instances?zone={zone}{page}")
 }
 
-/// Fetches one page. Ok(None): refused, over the shared rate.
-async fn call(client: &Client, url: &str) -> Result<Option<Page>, PollError> {
+/// Fetches one page. Returns `Ok(None)` if the call was refused because of the shared rate limit.
+async fn fetch_page(client: &Client, url: &str) -> Result<Option<Page>, PollError> {
     let begun = clock::now();
     let reply = client.get(url).send().await.map_err(|_| PollError::Unreachable)?;
     if reply.status() == StatusCode::TOO_MANY_REQUESTS {
@@ -237,21 +237,22 @@
         "up" => list.engines.iter().filter(|engine| engine.up).count(), "all" => list.engines.len(),
         "prefill" => list.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     controller.catalog.remove_draining(&list);
-    announce(controller, list);
+    send_to_peers(controller, list);
     controller.push_updates();
 }
 
-/// Sends the other controllers a list that was just published: what changed where they read that, else the whole list. One
-/// that lacks the version before gets it after its next heartbeat.
-fn announce(controller: &Controller, list: EndpointList) {
+/// Sends a newly published list to the other controllers: only the change to those whose protocol version supports it,
+/// the full list to the rest. A controller that lacks the previous version gets the missing changes after its next
+/// heartbeat.
+fn send_to_peers(controller: &Controller, list: EndpointList) {
     let change = controller.engines.latest_frame(&list.zone, clock::now());
-    let whole = Message::EndpointList(Box::new(list));
+    let full = Message::EndpointList(Box::new(list));
     for ip in controller.known_peers() {
         let reads_updates = controller.peers.protocol_version(&ip) >= ENDPOINT_UPDATES;
         let client = controller.peers.client(&ip);
         match change.as_ref().filter(|_| reads_updates) {
             Some(change) => client.notify_frame(change.clone()),
-            None => client.notify(whole.clone()),
+            None => client.notify(full.clone()),
         };
     }
 }
--- a/controller/src/discovery/version_lists.rs
+++ b/controller/src/discovery/version_lists.rs
@@ -1,4 +1,4 @@
-//! Divides a zone's engines: those of the stable version, and those of a candidate version under rollout.
+//! Partitions a zone's engines into those with the stable version and those with a candidate version under rollout.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,37 +17,37 @@
     pub version: String,
 }
 
-/// The contract by which a new version waits for an operator's request.
+/// The contract under which a new version gets traffic only after an operator has requested a rollout.
 const ROLLOUT_CONTRACT: &str = "rollout";
 
-/// The version of each service that was there before any rollout of it.
+/// The version that each service ran before its first rollout, by service.
 #[derive(Default)]
-pub struct FirstVersions(BTreeMap<String, String>);
+pub struct BaselineVersions(BTreeMap<String, String>);
 
-/// A zone's engines, divided by which requests they may get.
+/// A zone's engines, partitioned by the kind of traffic that they may get.
 #[derive(Debug, Default, PartialEq)]
 pub struct PartitionedEngines {
-    /// Engines of the version in place.
+    /// Engines with the stable version.
     pub stable: Vec<Engine>,
-    /// Engines of a version under rollout.
+    /// Engines with a version under rollout.
     pub candidates: Vec<Engine>,
 }
 
-/// Divides a zone's list by the rollouts that are known.
+/// Partitions a zone's engines by the known rollouts.
 pub fn partition(controller: &Controller, list: Vec<ListedEngine>) -> PartitionedEngines {
     let rollouts = controller.committed.version_rollouts();
-    // Where versions are not brought in by request, engines may be replaced by others of any version.
-    let by_request = controller.settings.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
-    controller.engines.partition(&rollouts, list, by_request)
+    // Without the contract, engines may be replaced by engines of any version.
+    let rollout_required = controller.settings.contracts.iter().any(|contract| contract == ROLLOUT_CONTRACT);
+    controller.engines.partition(&rollouts, list, rollout_required)
 }
 
-impl FirstVersions {
-    /// Divides a zone's list. With `by_request` a version that nobody has requested gets nothing.
+impl BaselineVersions {
+    /// Partitions a zone's engines. With `rollout_required`, a version that no rollout has requested gets no traffic.
     pub fn partition(
         &mut self,
         rollouts: &BTreeMap<String, VersionRollout>,
         list: Vec<ListedEngine>,
-        by_request: bool,
+        rollout_required: bool,
     ) -> PartitionedEngines {
         self.learn(&list);
         let mut partitioned = PartitionedEngines::default();
@@ -55,7 +55,9 @@
             let service = &listed.engine.service;
             let (is_stable, is_candidate) = match rollouts.get(service) {
                 Some(rollout) => (rollout.is_stable(&listed.version), rollout.is_candidate(&listed.version)),
-                None => (!by_request || self.0.get(service).is_none_or(|first| *first == listed.version), false),
+                None => {
+                    (!rollout_required || self.0.get(service).is_none_or(|baseline| *baseline == listed.version), false)
+                }
             };
             if is_stable {
                 partitioned.stable.push(listed.engine);
@@ -66,19 +68,19 @@
         partitioned
     }
 
-    /// Notes the version of services that were not seen before, and of those of which no engine has the version that
-    /// was noted.
+    /// Records the version of services that are new, and of services of which no engine runs the recorded version any
+    /// more.
     fn learn(&mut self, list: &[ListedEngine]) {
         let mut by_service: BTreeMap<&str, BTreeMap<&str, usize>> = BTreeMap::new();
         for listed in list.iter().filter(|listed| listed.engine.up) {
             let versions = by_service.entry(&listed.engine.service).or_default();
-            // Engines that are no longer cold were there before those that have just started.
+            // Warm engines were there before those that have just started, so they outweigh any number of cold ones.
             *versions.entry(&listed.version).or_default() += if listed.engine.cold_ms == 0 { 1000 } else { 1 };
         }
         for (service, versions) in by_service {
-            let is_known = self.0.get(service).is_some_and(|first| versions.contains_key(first.as_str()));
-            let most = versions.iter().max_by_key(|(version, count)| (**count, Reverse(**version)));
-            if let (false, Some((version, _))) = (is_known, most) {
+            let is_known = self.0.get(service).is_some_and(|baseline| versions.contains_key(baseline.as_str()));
+            let most_common = versions.iter().max_by_key(|(version, count)| (**count, Reverse(**version)));
+            if let (false, Some((version, _))) = (is_known, most_common) {
                 self.0.insert(service.into(), version.to_string());
             }
         }
--- a/controller/src/discovery/version_lists_tests.rs
+++ b/controller/src/discovery/version_lists_tests.rs
@@ -1,11 +1,11 @@
-//! Lists with several versions.
+//! Partitioning of lists with several versions.
 
 use std::collections::BTreeMap;
 
 use protocol::message::Engine;
 use protocol::version_rollout::{RolloutState, VersionRollout};
 
-use super::{FirstVersions, ListedEngine, PartitionedEngines};
+use super::{BaselineVersions, ListedEngine, PartitionedEngines};
 
 fn listed(id: &str, version: &str, cold_ms: u32) -> ListedEngine {
     let engine = Engine {
@@ -22,8 +22,8 @@
     ListedEngine { engine, version: version.into() }
 }
 
-fn ids(parted: &PartitionedEngines) -> [Vec<&str>; 2] {
-    [&parted.stable, &parted.candidates].map(|list| list.iter().map(|engine| engine.id.as_str()).collect())
+fn ids(partitioned: &PartitionedEngines) -> [Vec<&str>; 2] {
+    [&partitioned.stable, &partitioned.candidates].map(|list| list.iter().map(|engine| engine.id.as_str()).collect())
 }
 
 fn rollouts(state: RolloutState) -> BTreeMap<String, VersionRollout> {
@@ -43,7 +43,7 @@
     [("s".to_string(), rollout)].into()
 }
 
-fn both() -> Vec<ListedEngine> {
+fn two_versions() -> Vec<ListedEngine> {
     vec![
         listed("new-1", "v2", 3000),
         listed("old-1", "v1", 0),
@@ -53,32 +53,38 @@
 }
 
 #[test]
-fn a_version_that_nobody_ordered_gets_nothing() {
-    let mut first = FirstVersions::default();
-    assert_eq!(ids(&first.partition(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true)), [vec!["old-1"], vec![]]);
-    assert_eq!(ids(&first.partition(&BTreeMap::new(), both(), true)), [vec!["old-1"], vec![]]);
-    let started_late = FirstVersions::default().partition(&BTreeMap::new(), both(), true);
-    assert_eq!(ids(&started_late), [vec!["old-1"], vec![]], "the warm ones were there before");
+fn a_version_without_a_rollout_gets_no_traffic() {
+    let mut baseline = BaselineVersions::default();
+    assert_eq!(
+        ids(&baseline.partition(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true)),
+        [vec!["old-1"], vec![]]
+    );
+    assert_eq!(ids(&baseline.partition(&BTreeMap::new(), two_versions(), true)), [vec!["old-1"], vec![]]);
+    let started_late = BaselineVersions::default().partition(&BTreeMap::new(), two_versions(), true);
+    assert_eq!(ids(&started_late), [vec!["old-1"], vec![]], "warm engines were there before cold ones");
 }
 
 #[test]
-fn a_rollout_says_what_is_in_place_and_what_is_brought_in() {
-    let part = |state| FirstVersions::default().partition(&rollouts(state), both(), true);
-    let new = vec!["new-1", "new-2", "new-3"];
-    assert_eq!(ids(&part(RolloutState::Active)), [vec!["old-1"], new.clone()]);
-    assert_eq!(ids(&part(RolloutState::Complete)), [new, vec![]]);
-    assert_eq!(ids(&part(RolloutState::Reverted)), [vec!["old-1"], vec![]]);
+fn the_state_of_a_rollout_determines_stable_and_candidate_engines() {
+    let partition = |state| BaselineVersions::default().partition(&rollouts(state), two_versions(), true);
+    let candidates = vec!["new-1", "new-2", "new-3"];
+    assert_eq!(ids(&partition(RolloutState::Active)), [vec!["old-1"], candidates.clone()]);
+    assert_eq!(ids(&partition(RolloutState::Complete)), [candidates, vec![]]);
+    assert_eq!(ids(&partition(RolloutState::Reverted)), [vec!["old-1"], vec![]]);
 }
 
 #[test]
-fn a_service_whose_engines_were_all_replaced_without_an_order_is_served() {
-    let mut first = FirstVersions::default();
-    first.partition(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true);
-    assert_eq!(ids(&first.partition(&BTreeMap::new(), vec![listed("new-1", "v2", 0)], true)), [vec!["new-1"], vec![]]);
+fn a_service_is_served_after_all_its_engines_were_replaced_without_a_rollout() {
+    let mut baseline = BaselineVersions::default();
+    baseline.partition(&BTreeMap::new(), vec![listed("old-1", "v1", 0)], true);
+    assert_eq!(
+        ids(&baseline.partition(&BTreeMap::new(), vec![listed("new-1", "v2", 0)], true)),
+        [vec!["new-1"], vec![]]
+    );
 }
 
 #[test]
-fn where_versions_need_no_order_all_are_served() {
-    let parted = FirstVersions::default().partition(&BTreeMap::new(), both(), false);
-    assert_eq!(ids(&parted), [vec!["new-1", "old-1", "new-2", "new-3"], vec![]]);
+fn all_versions_are_served_if_no_rollout_is_required() {
+    let partitioned = BaselineVersions::default().partition(&BTreeMap::new(), two_versions(), false);
+    assert_eq!(ids(&partitioned), [vec!["new-1", "old-1", "new-2", "new-3"], vec![]]);
 }
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -43,7 +43,7 @@
         lists.outdated_zones(&gossip.list_versions)
     });
     let live = controller.peers.live_ips(now);
-    if !controller.engines.is_to_repair(controller.own_ip(), &gossip.ip, !outdated.is_empty(), &live) {
+    if !controller.engines.should_repair(controller.own_ip(), &gossip.ip, !outdated.is_empty(), &live) {
         return;
     }
     let peer = controller.peers.client(&gossip.ip);
@@ -103,7 +103,8 @@
     let Ok(frame) = encoded.map(Bytes::from) else { return };
     for ip in controller.known_peers() {
         let client = controller.peers.client(&ip);
-        // What grows with routers goes to the one controller that reads it, and nothing that is sent grows with engines.
+        // What grows with routers goes to the one controller that reads it, and nothing that is sent grows with
+        // engines.
         let is_balancer = balancer.as_ref() == Some(&ip);
         let is_batch_owner = batch_owner.as_ref() == Some(&ip);
         let reads_usage = controller.peers.protocol_version(&ip) >= ENGINE_USAGE;
--- a/controller/src/rollout/mod.rs
+++ b/controller/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Rollouts: limits on stale weights, and analysis of versions that are brought in step by step.
+//! Rollouts: staleness limits for weights, and the stepwise rollout of software versions with canary analysis.
 
 pub mod rollout_analyses;
 pub mod sample_relay;
--- a/controller/src/rollout/rollout_analyses.rs
+++ b/controller/src/rollout/rollout_analyses.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of rollouts: their pooled samples, and since when they have been under way.
+//! The analysis of each rollout on this controller: its pooled samples and its start time.
 
 use std::collections::BTreeMap;
 use std::mem;
@@ -9,22 +9,23 @@
 use tokio::sync::Notify;
 use versions::{CanaryAnalysis, EventInterval, LoadClass, SampleBatch, SampleOrigin, Variant, Verdict};
 
-/// How long samples are not judged as they come after they were: judging takes some time, and reports come from many routers.
-const JUDGING_INTERVAL_MS: u64 = 40;
+/// Minimum interval between two evaluations on arrival of samples, in ms. An evaluation is expensive, and samples
+/// arrive from many routers.
+const EVALUATION_INTERVAL_MS: u64 = 40;
 
-/// What is known here of one rollout.
+/// The analysis of one rollout.
 struct RolloutAnalysis {
     order: u64,
     canary: CanaryAnalysis,
-    /// The steady time at which the rollout began, as far as can be told here: a record says how long before it was written.
-    /// Negative where that was before this process began.
+    /// The estimated start of the rollout, in ms of the steady clock, derived from the elapsed time that each record
+    /// contains. Negative if the rollout started before this process.
     started_at: i64,
-    /// The number of the newest record.
+    /// The number of the latest record.
     record_number: u64,
-    /// When the newest record became known.
-    record_since: u64,
-    /// When the samples were last judged as they came.
-    judged_at: u64,
+    /// The time at which the latest record arrived, in ms.
+    record_received_at: u64,
+    /// The time of the last evaluation on arrival of samples, in ms.
+    evaluated_at: u64,
 }
 
 impl RolloutAnalysis {
@@ -34,63 +35,63 @@
             canary: CanaryAnalysis::new(),
             started_at: start_time(now, rollout.elapsed_ms),
             record_number: rollout.number,
-            record_since: now,
-            judged_at: 0,
+            record_received_at: now,
+            evaluated_at: 0,
         }
     }
 
-    /// Takes note of the newest record. Each record took some time to get here, so the earliest start that one of them tells is
-    /// the nearest to the truth.
-    fn note_record(&mut self, rollout: &VersionRollout, now: u64) {
+    /// Applies the latest record. Each record was delayed on its way, so the earliest start time derived from any of
+    /// them is the most accurate.
+    fn apply_record(&mut self, rollout: &VersionRollout, now: u64) {
         if self.record_number == rollout.number {
             return;
         }
-        (self.record_number, self.record_since) = (rollout.number, now);
-        self.note_elapsed(rollout.elapsed_ms, now);
+        (self.record_number, self.record_received_at) = (rollout.number, now);
+        self.apply_elapsed(rollout.elapsed_ms, now);
     }
 
-    /// Takes note of how long the rollout has been under way, as someone told it now.
-    fn note_elapsed(&mut self, elapsed_ms: u64, now: u64) {
+    /// Applies an elapsed time of the rollout that was reported at `now`.
+    fn apply_elapsed(&mut self, elapsed_ms: u64, now: u64) {
         self.started_at = self.started_at.min(start_time(now, elapsed_ms));
     }
 
-    /// Returns whether samples show that the version is bad, unless they were judged a moment ago.
-    fn is_alarming(&mut self, now: u64) -> bool {
-        if now < self.judged_at + JUDGING_INTERVAL_MS {
+    /// Evaluates the samples and returns whether they raise an alarm; false if they were evaluated a moment ago.
+    fn raises_alarm(&mut self, now: u64) -> bool {
+        if now < self.evaluated_at + EVALUATION_INTERVAL_MS {
             return false;
         }
-        self.judged_at = now;
+        self.evaluated_at = now;
         self.canary.verdict().is_alarm()
     }
 
-    /// Returns how long the rollout has been under way.
+    /// Returns how long the rollout has been running, in ms.
     fn elapsed_ms(&self, now: u64) -> u64 {
         u64::try_from(now as i64 - self.started_at).unwrap_or(0)
     }
 }
 
-/// Returns the steady time `elapsed_ms` before `now`.
+/// Returns the time `elapsed_ms` before `now` on the steady clock.
 fn start_time(now: u64, elapsed_ms: u64) -> i64 {
     now as i64 - i64::try_from(elapsed_ms).unwrap_or(i64::MAX)
 }
 
-/// The analyses of all rollouts, and samples that were not yet passed on to the other controllers.
+/// The analyses of all rollouts, and the samples that were not yet sent to the other controllers.
 #[derive(Default)]
 pub struct RolloutAnalyses {
     table: Mutex<AnalysisTable>,
-    /// Woken when samples show that a version is bad.
+    /// Notified when samples raise an alarm for a candidate version.
     alarm_raised: Notify,
 }
 
-/// What is known of a rollout at one moment.
-pub struct Judgement {
-    /// What the samples show.
+/// The evaluation of a rollout at one moment.
+pub struct Evaluation {
+    /// The verdict on the samples.
     pub verdict: Verdict,
-    /// The route with the most evidence against the candidate; empty unless that is an alarm.
+    /// The route with the most evidence against the candidate; empty unless the verdict is an alarm.
     pub worst_route: String,
-    /// How long the rollout has been under way.
+    /// How long the rollout has been running, in ms.
     pub elapsed_ms: u64,
-    /// How long its newest record has been known here.
+    /// How long the latest record, and with it the current share, has been known here, in ms.
     pub share_for_ms: u64,
 }
 
@@ -101,34 +102,34 @@
 }
 
 impl AnalysisTable {
-    /// Returns the analysis of a rollout; a new one where there is none of this order.
+    /// Returns the analysis of a rollout, and creates it if there is none for this order.
     fn of(&mut self, rollout: &VersionRollout, now: u64) -> &mut RolloutAnalysis {
         let new = || RolloutAnalysis::new(rollout, now);
         let analysis = self.by_service.entry(rollout.service.clone()).or_insert_with(new);
         if analysis.order != rollout.order {
             *analysis = new();
         }
-        analysis.note_record(rollout, now);
+        analysis.apply_record(rollout, now);
         analysis
     }
 }
 
 impl RolloutAnalyses {
-    /// Records samples of a rollout from a router or from another controller. Those from a router are kept until
+    /// Records samples of a rollout from a router or another controller. Samples from a router are kept until
     /// [`take_unsent`](Self::take_unsent).
     pub fn record(&self, rollout: &VersionRollout, samples: EngineSamples, now: u64) {
         let mut table = self.table.lock();
         let analysis = table.of(rollout, now);
-        analysis.note_elapsed(samples.elapsed_ms, now);
+        analysis.apply_elapsed(samples.elapsed_ms, now);
         let canary = &mut analysis.canary;
-        // The stable version first: the candidate is compared with it.
+        // Samples of the stable version go first, since the candidate is compared with it.
         for (key, counts) in samples.list.iter().filter(|(key, _)| !key.is_candidate) {
             canary.record(&origin_of(key), &batch_of(counts), now);
         }
         for (key, counts) in samples.list.iter().filter(|(key, _)| key.is_candidate) {
             canary.record(&origin_of(key), &batch_of(counts), now);
         }
-        if analysis.is_alarming(now) {
+        if analysis.raises_alarm(now) {
             self.alarm_raised.notify_one();
         }
         if !samples.is_relayed {
@@ -136,34 +137,34 @@
         }
     }
 
-    /// Returns what is known of a rollout now.
-    pub fn judge(&self, rollout: &VersionRollout, now: u64) -> Judgement {
+    /// Evaluates all samples of a rollout.
+    pub fn evaluate(&self, rollout: &VersionRollout, now: u64) -> Evaluation {
         let mut table = self.table.lock();
         let analysis = table.of(rollout, now);
         let verdict = analysis.canary.verdict();
-        // Looking for the route means weighing all evidence once more.
+        // Finding the route evaluates all evidence again, so it is done only for an alarm.
         let worst_route = if verdict.is_alarm() { analysis.canary.worst_route() } else { None };
-        Judgement {
+        Evaluation {
             verdict,
             worst_route: worst_route.unwrap_or_default().to_string(),
             elapsed_ms: analysis.elapsed_ms(now),
-            share_for_ms: now - analysis.record_since,
+            share_for_ms: now - analysis.record_received_at,
         }
     }
 
-    /// Returns how long a rollout has been under way.
+    /// Returns how long a rollout has been running, in ms.
     pub fn elapsed_ms(&self, rollout: &VersionRollout, now: u64) -> u64 {
         self.table.lock().of(rollout, now).elapsed_ms(now)
     }
 
-    /// Waits until samples show that a version must not serve any longer.
+    /// Waits until samples raise an alarm for a candidate version.
     ///
-    /// Cancel safe: an alarm that nobody waited for wakes the next one who does.
+    /// Cancel safe: an alarm raised while no task waits completes the next call.
     pub async fn alarm(&self) {
         self.alarm_raised.notified().await;
     }
 
-    /// Removes and returns the samples from routers that were not yet passed on.
+    /// Removes and returns the samples from routers that were not yet sent to the other controllers.
     pub fn take_unsent(&self) -> Vec<EngineSamples> {
         mem::take(&mut self.table.lock().unsent)
     }
--- a/controller/src/rollout/rollout_analyses_tests.rs
+++ b/controller/src/rollout/rollout_analyses_tests.rs
@@ -1,4 +1,4 @@
-//! Since when a rollout has been under way, as its records and its samples tell.
+//! The start time of a rollout, derived from its records and samples.
 
 use protocol::version_rollout::{RolloutState, VersionRollout};
 
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn records_that_arrive_late_do_not_delay_the_end() {
+fn late_records_do_not_move_the_start_time_forward() {
     let record = |number, elapsed_ms| VersionRollout { number, elapsed_ms, ..rollout() };
     let mut analysis = RolloutAnalysis::new(&record(1, 0), 1000);
-    analysis.note_record(&record(2, 4000), 5150);
-    assert_eq!((analysis.started_at, analysis.record_since), (1000, 5150));
+    analysis.apply_record(&record(2, 4000), 5150);
+    assert_eq!((analysis.started_at, analysis.record_received_at), (1000, 5150));
     let mut late = RolloutAnalysis::new(&record(1, 0), 3000);
-    late.note_record(&record(2, 4000), 5150);
-    assert_eq!(late.started_at, 1150, "as the newer record tells");
-    late.note_elapsed(9000, 6000);
-    assert_eq!((late.started_at, late.elapsed_ms(6500)), (-3000, 9500), "it began before this process");
+    late.apply_record(&record(2, 4000), 5150);
+    assert_eq!(late.started_at, 1150, "derived from the newer record");
+    late.apply_elapsed(9000, 6000);
+    assert_eq!((late.started_at, late.elapsed_ms(6500)), (-3000, 9500), "the rollout started before this process");
 }
--- a/controller/src/rollout/sample_relay.rs
+++ b/controller/src/rollout/sample_relay.rs
@@ -1,4 +1,4 @@
-//! The way of samples: asked of routers, added up, and passed on to the other controllers.
+//! Requests samples from routers, merges them and relays them to the other controllers.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::delivery::subscribers::Subscriber;
 use crate::rollout::version_rollouts;
 
-/// Most event intervals of one origin that are passed on together.
+/// The maximum number of event intervals of one origin in a relayed message.
 const MAX_INTERVALS_PER_SAMPLE: usize = 64;
 
-/// Asks a subscriber for samples by engine and load while a rollout is active.
+/// Asks a subscriber for samples per engine and load class while a rollout is active.
 pub fn request_samples(controller: &Controller, subscriber: &Subscriber) {
     if subscriber.protocol_version < ENGINE_SAMPLES || version_rollouts::active(controller).is_empty() {
         return;
@@ -22,14 +22,14 @@
     subscriber.responder.notify(&Message::SampleRequest(Box::new(request)));
 }
 
-/// Records samples from a router or from another controller, unless they belong to an earlier rollout.
+/// Records samples from a router or another controller, unless they belong to a different rollout than the current one.
 pub fn record_samples(controller: &Controller, samples: EngineSamples) {
     let rollout = controller.committed.version_rollout(&samples.service);
     let Some(rollout) = rollout.filter(|rollout| rollout.order == samples.order) else { return };
     controller.rollout_analyses.record(&rollout, samples, clock::now());
 }
 
-/// Sends the other controllers what this one's routers reported.
+/// Sends the samples of this controller's routers to the other controllers.
 pub fn send_samples(controller: &Controller) {
     for samples in merge(controller.rollout_analyses.take_unsent()) {
         let legacy = Message::Samples(Box::new(samples.to_legacy()));
@@ -38,14 +38,14 @@
     }
 }
 
-/// The samples of one rollout that several routers reported.
+/// The samples of one rollout, merged over several routers.
 #[derive(Default)]
 struct MergedSamples {
     elapsed_ms: u64,
     origins: BTreeMap<SampleKey, SampleCounts>,
 }
 
-/// Merges samples into one message for each rollout.
+/// Merges samples into one message per rollout.
 fn merge(list: Vec<EngineSamples>) -> Vec<EngineSamples> {
     let mut merged: BTreeMap<(String, u64), MergedSamples> = BTreeMap::new();
     for samples in list {
--- a/controller/src/rollout/sample_relay_tests.rs
+++ b/controller/src/rollout/sample_relay_tests.rs
@@ -1,11 +1,11 @@
-//! Samples of several routers in one message.
+//! Merging of samples from several routers.
 
 use protocol::version_samples::{EngineSamples, SampleCounts, SampleKey, SampledInterval};
 
 use super::merge;
 
 #[test]
-fn samples_of_several_routers_go_on_as_one() {
+fn samples_of_several_routers_are_merged_per_rollout() {
     let samples = |order: u64, is_candidate: bool, succeeded: u32| {
         let key = SampleKey { route: "r".into(), is_candidate, engine_hash: 7, zone: "a".into(), is_loaded: false };
         let intervals = vec![SampledInterval { running: 1, interval_us: succeeded, is_cold: false }];
@@ -20,5 +20,5 @@
     assert_eq!(counts, [(false, 5, 1), (true, 7, 2)]);
     let intervals: Vec<_> = list[1].1.intervals.iter().map(|one| one.interval_us).collect();
     assert_eq!(intervals, [3, 4]);
-    assert_eq!((merged[0].elapsed_ms, merged[1].order), (1005, 2), "the longest time");
+    assert_eq!((merged[0].elapsed_ms, merged[1].order), (1005, 2), "the longest elapsed time is kept");
 }
--- a/controller/src/rollout/staleness_limits.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -1,5 +1,5 @@
-//! Limits on stale weights: what a request asks for, what it leads to on top of the committed limit, and its execution.
-//! Each service and model has a register of its own.
+//! Staleness limits for weights: parses requests, applies them to the committed limit and commits the result. Each pair
+//! of service and model has its own register.
 
 use protocol::config::{self, Config, Service};
 use protocol::message::{StalenessLimit, STALENESS_LIMIT_PREFIX};
@@ -12,7 +12,7 @@
 use crate::event::{RULE, UNSETTLED};
 use crate::replication::registers::Decision;
 
-/// What a limit is for.
+/// The service and model that a limit applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitTarget {
     /// The name of the service.
@@ -22,46 +22,46 @@
 }
 
 impl LimitTarget {
-    /// Returns the key of the register with the limit.
+    /// Returns the key of the register that stores the limit.
     pub fn key(&self) -> String {
         format!("{STALENESS_LIMIT_PREFIX}{}/{}", self.service, self.model)
     }
 }
 
-/// A change of a limit.
+/// A requested change to a staleness limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StalenessLimitChange {
-    /// The whole limit is replaced.
+    /// Replaces the whole limit.
     Replace {
-        /// The version that the change builds on; 0 for the first limit.
+        /// The limit version that the change is based on; 0 if there is no limit.
         base: u64,
         /// The latest version of the weights.
         latest: u64,
         /// How many versions an engine may be behind the latest one.
         lag: u64,
-        /// The names of the routes that the limit binds.
+        /// The names of the routes that the limit applies to.
         routes: Vec<String>,
     },
-    /// The trainer has a newer version.
+    /// Raises the latest version after the trainer has published newer weights.
     Raise {
         /// The latest version of the weights.
         latest: u64,
     },
-    /// An older version is to be served again.
+    /// Returns to an older version of the weights.
     RollBack {
-        /// The version that counts as the latest from now on.
+        /// The version that becomes the latest one.
         latest: u64,
-        /// Why.
+        /// The operator's reason for the rollback.
         reason: String,
     },
-    /// The limit is removed.
+    /// Removes the limit.
     Remove {
-        /// The version that the change builds on.
+        /// The limit version that the change is based on.
         base: u64,
     },
 }
 
-/// Returns what a change leads to on top of the committed limit. `Ok(None)`: the limit is so already.
+/// Applies a change to the committed limit. Returns `Ok(None)` if the limit is already in the requested state.
 ///
 /// # Errors
 ///
@@ -83,7 +83,8 @@
     stored.filter(|limit| !limit.removed)
 }
 
-/// Returns the version of the next state. It goes on after a removal, so that it never names two states.
+/// Returns the version of the next state. The count continues after a removal, so that no version stands for two
+/// states.
 fn next_version(stored: Option<&StalenessLimit>) -> u64 {
     stored.map_or(0, |limit| limit.version) + 1
 }
@@ -109,7 +110,9 @@
     }
     check_base(stored, base)?;
     if active(stored).is_some_and(|limit| latest < limit.latest) {
-        return Err(ApiError::bad_request(format!("latest: found {latest}, goes back; a rollback says so and why")));
+        return Err(ApiError::bad_request(format!(
+            "latest: found {latest}, older than the current one; use a rollback and give its reason"
+        )));
     }
     let next = stored.cloned().unwrap_or_default();
     let (version, routes) = (next_version(stored), routes.to_vec());
@@ -120,7 +123,7 @@
     let limit = active(stored).ok_or_else(no_limit)?;
     if latest < limit.latest {
         let reported = limit.latest;
-        let message = format!("latest: found {latest}, {reported} was reported; a rollback says so");
+        let message = format!("latest: found {latest}, older than {reported}; use a rollback");
         return Err(ApiError::bad_request(message));
     }
     let next = StalenessLimit { version: next_version(stored), latest, ..limit.clone() };
@@ -156,13 +159,15 @@
     serde_json::from_str(text).map_err(|error| ApiError::bad_request(format!("body: {error}")))
 }
 
-/// Returns a number that must be there and not negative.
+/// Returns a required non-negative integer.
 fn number(value: &Value, name: &str) -> Result<u64, ApiError> {
     let number = value[name].as_u64();
-    number.ok_or_else(|| ApiError::bad_request(format!("{name}: found {}, must be a whole number from 0", value[name])))
+    number
+        .ok_or_else(|| ApiError::bad_request(format!("{name}: found {}, must be a non-negative integer", value[name])))
 }
 
-/// Parses a limit. `base` is the version that it builds on; `config` tells which services, models and routes there are.
+/// Parses a limit. `base` is the limit version that it is based on; `config` provides the known services, models and
+/// routes.
 ///
 /// # Errors
 ///
@@ -188,11 +193,11 @@
     };
     match models(item).any(|name| name == model) {
         true => Ok(()),
-        false => Err(ApiError::not_found(format!("model `{model}`: service `{service}` has none of that name"))),
+        false => Err(ApiError::not_found(format!("model `{model}`: not known in service `{service}`"))),
     }
 }
 
-/// Returns the error for a service that the configuration does not have.
+/// Returns the error for a service that is not in the configuration.
 pub fn unknown_service(service: &str) -> ApiError {
     ApiError::not_found(format!("service `{service}`: not known"))
 }
@@ -201,9 +206,10 @@
     service.engine.iter().flat_map(|engine| &engine.model_list).map(|model| &model.name)
 }
 
-/// Returns the names of the routes in a request, sorted and each once.
+/// Returns the names of the routes in a request, sorted and without duplicates.
 fn routes(value: &Value, service: &str, config: &Config) -> Result<Vec<String>, ApiError> {
-    let items = value["routes"].as_array().ok_or_else(|| ApiError::bad_request("routes: not a list of names"))?;
+    let items =
+        value["routes"].as_array().ok_or_else(|| ApiError::bad_request("routes: must be a list of route names"))?;
     let mut routes = Vec::new();
     for item in items {
         let name = item.as_str().unwrap_or("");
@@ -230,7 +236,7 @@
     Ok(StalenessLimitChange::Raise { latest })
 }
 
-/// Parses a request to serve an older version again.
+/// Parses a request to roll back to an older version.
 ///
 /// # Errors
 ///
@@ -240,12 +246,12 @@
     let latest = number(&value, "latest")?;
     let reason = value["reason"].as_str().unwrap_or("").trim().to_string();
     if reason.is_empty() {
-        return Err(ApiError::bad_request("reason: a rollback says why"));
+        return Err(ApiError::bad_request("reason: missing, a rollback must give one"));
     }
     Ok(StalenessLimitChange::RollBack { latest, reason })
 }
 
-/// Carries a change out: commits it and waits until it binds everywhere.
+/// Executes a change: commits it and waits until the resulting limit is in force everywhere.
 pub async fn execute(controller: &Controller, target: &LimitTarget, change: &StalenessLimitChange) -> ApiResponse {
     let key = target.key();
     let version = match commit(controller, &key, target, change).await {
@@ -260,7 +266,7 @@
     ApiResponse::json(&serde_json::json!({ "rule": key, "version": version }))
 }
 
-/// Commits a change, and returns the version of the limit after it. The error is what to answer instead.
+/// Commits a change and returns the resulting version of the limit, or the response to send on failure.
 async fn commit(
     controller: &Controller,
     key: &str,
--- a/controller/src/rollout/version_rollouts.rs
+++ b/controller/src/rollout/version_rollouts.rs
@@ -1,7 +1,7 @@
-//! Analysis of versions that are being rolled out.
+//! Drives the rollouts of software versions.
 //!
-//! Samples of all routers are pooled at every controller, and the first controller that is confirmed takes the steps. That
-//! needs no epoch: each step is a change on top of the very record that the decision was made on.
+//! Every controller pools the samples of all routers, and the first confirmed controller takes the steps. This needs no
+//! epoch: a step is committed only if the record that the decision was based on is still the latest.
 
 use std::sync::Arc;
 
@@ -15,30 +15,30 @@
 use crate::event::VERSION_STEP;
 use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
-use crate::rollout::rollout_analyses::Judgement;
+use crate::rollout::rollout_analyses::Evaluation;
 use crate::rollout::sample_relay;
 
-/// How often samples are passed on and rollouts looked at.
+/// Interval at which samples are relayed and rollouts are evaluated, in ms.
 const POLL_INTERVAL_MS: u64 = 100;
-/// How long one step may take.
+/// Timeout of committing one step, in ms.
 const STEP_TIMEOUT_MS: u64 = 900;
 
 /// Sends a subscriber the rollouts that it lacks.
 pub fn send_missing_rollouts(state: &CommittedState, subscriber: &mut Subscriber) {
     for rollout in state.version_rollouts.values() {
         let key = VersionRollout::key(&rollout.service);
-        let has = subscriber.evacuation_versions.entry(HiddenKey::Register(&key).into()).or_default();
-        if rollout.number <= *has {
+        let sent_number = subscriber.evacuation_versions.entry(HiddenKey::Register(&key).into()).or_default();
+        if rollout.number <= *sent_number {
             continue;
         }
         match subscriber.responder.notify(&Message::VersionRollout(Box::new(rollout.clone()))) {
-            true => *has = rollout.number,
+            true => *sent_number = rollout.number,
             false => subscriber.is_behind = true,
         }
     }
 }
 
-/// Passes samples on and takes the steps of rollouts, for as long as the process runs.
+/// Starts the task that relays samples and takes the steps of rollouts.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -55,14 +55,13 @@
     });
 }
 
-/// Returns the rollouts that are under way.
+/// Returns the active rollouts.
 pub fn active(controller: &Controller) -> Vec<VersionRollout> {
     let rollouts = controller.committed.version_rollouts().into_values();
     rollouts.filter(|rollout| rollout.state == RolloutState::Active).collect()
 }
 
-/// Returns whether the rollout of a service, as far as it is known here, is about to be complete or rolled back since its duration
-/// ends.
+/// Returns whether the known rollout of a service is about to be completed or rolled back because its duration ends.
 pub fn ends_soon(controller: &Controller, service: &str, now: u64) -> bool {
     let Some(rollout) = controller.committed.version_rollout(service) else { return false };
     if rollout.state != RolloutState::Active || RolloutStage::of(rollout.share) != RolloutStage::Full {
@@ -77,10 +76,11 @@
     RolloutSchedule { duration_ms: rollout.duration_ms, exposure_share }
 }
 
-/// Looks at one rollout, and takes the step that is due if this controller is the one to do so.
+/// Evaluates one rollout and takes the step that is due, if this controller is responsible for it.
 async fn advance(controller: &Arc<Controller>, rollout: &VersionRollout) {
     let now = clock::now();
-    let Judgement { verdict, worst_route, elapsed_ms, share_for_ms } = controller.rollout_analyses.judge(rollout, now);
+    let Evaluation { verdict, worst_route, elapsed_ms, share_for_ms } =
+        controller.rollout_analyses.evaluate(rollout, now);
     if !is_responsible(controller, &rollout.service, now) {
         return;
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Returns whether this controller takes the steps of a service's rollout.
+/// Returns whether this controller is responsible for the rollout of a service.
 fn is_responsible(controller: &Controller, service: &str, now: u64) -> bool {
     if !controller.committed.is_confirmed(now) || controller.is_shutting_down() {
         return false;
@@ -101,7 +101,7 @@
     controller.peers.is_first_confirmed(&VersionRollout::key(service), now)
 }
 
-/// Returns the record after a step. `None`: nothing changes.
+/// Returns the record after a step, or `None` if nothing changes.
 fn after_step(
     rollout: &VersionRollout,
     step: RolloutStep,
@@ -139,7 +139,7 @@
     }
 }
 
-/// Commits a record if the one that it follows is still the newest. Returns whether it was committed.
+/// Commits the record `next` if `rollout` is still the latest one. Returns whether it was committed.
 async fn commit(controller: &Arc<Controller>, rollout: &VersionRollout, next: &VersionRollout) -> bool {
     let decide = |body: &[u8]| match VersionRollout::from_bytes(body) {
         Some(stored) if stored.number == rollout.number => Decision::Write(next.to_bytes(), true),
--- a/controller/src/rollout/version_rollouts_tests.rs
+++ b/controller/src/rollout/version_rollouts_tests.rs
@@ -1,4 +1,4 @@
-//! Records after steps.
+//! The record that follows each step.
 
 use super::{after_step, rollback_reason};
 use protocol::version_rollout::{RolloutState, VersionRollout};
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn each_step_is_a_record_of_its_own() {
+fn each_step_that_changes_a_rollout_yields_a_new_record() {
     assert_eq!(after_step(&rollout(), RolloutStep::Hold, 500, ""), None);
-    let shared = after_step(&rollout(), RolloutStep::SetShare(400), 500, "").expect("a change");
-    assert_eq!((shared.number, shared.share, shared.elapsed_ms), (5, 400, 500));
-    let complete = after_step(&rollout(), RolloutStep::Complete, 500, "").expect("a change");
+    let with_share = after_step(&rollout(), RolloutStep::SetShare(400), 500, "").expect("a new record");
+    assert_eq!((with_share.number, with_share.share, with_share.elapsed_ms), (5, 400, 500));
+    let complete = after_step(&rollout(), RolloutStep::Complete, 500, "").expect("a new record");
     assert_eq!(complete.state, RolloutState::Complete);
     let reason = rollback_reason(Verdict::Slow, "r-1");
-    let reverted = after_step(&rollout(), RolloutStep::RollBack, 500, &reason).expect("a change");
+    let reverted = after_step(&rollout(), RolloutStep::RollBack, 500, &reason).expect("a new record");
     assert_eq!((reverted.state, reverted.share), (RolloutState::Reverted, 0));
     assert_eq!(reverted.reverted, ["v0", "v2"]);
     assert!(reverted.reason.contains("slower") && reverted.reason.contains("r-1"));
