--- a/controller/src/metering/exporter.rs
+++ b/controller/src/metering/exporter.rs
@@ -1,7 +1,8 @@
-//! The export of windows: collected from all controllers, agreed on in a register, then told to the platform.
+//! Exports usage windows: collects their counts from all controllers, commits them to a register and reports them to
+//! the platform.
 //!
-//! The order is what keeps one value for a window for ever: nothing is sent before its counts are on a quorum of disks, and whoever
-//! sends it, and however often, sends the bytes of the register.
+//! This order ensures that a window never has two values: counts are sent only after they are stored on a quorum of
+//! disks, and every sender and every retry sends the bytes of the register.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,26 +18,26 @@
 use crate::controller::Controller;
 use crate::event::{USAGE_AGREED, USAGE_REFUSED, USAGE_TOLD};
 use crate::metering::completeness::{self, ExpectedController, Reply};
-use crate::metering::platform::{Holder, Platform, TellError};
+use crate::metering::platform::{Platform, ReportError, RoleOwner};
 use crate::replication::committed_state::CommittedState;
 use crate::roles::{self, USAGE};
 
-/// The key of the register that holds what is agreed on.
+/// The key of the register that stores the agreed windows.
 pub const EXPORT_KEY: &str = "usage";
-/// The pause between two looks.
+/// Interval at which due windows are checked, in ms.
 const TICK_MS: u64 = 300;
-/// A controller that was heard within this time is expected to answer, in milliseconds.
-const EXPECTED_MS: u64 = 60_000;
-/// How long another controller may take to answer what routers reported to it, in milliseconds.
+/// A controller whose last heartbeat is more recent than this is expected to reply, in ms.
+const RECENTLY_SEEN_MS: u64 = 60_000;
+/// Timeout of a query to another controller, in ms.
 const QUERY_TIMEOUT_MS: u64 = 600;
-/// How long one change of the register may take, in milliseconds.
+/// Timeout of one change to the register, in ms.
 const COMMIT_TIMEOUT_MS: u64 = 1000;
-/// The shortest and the longest pause after a call to the platform that failed, in milliseconds.
-const FIRST_RETRY_MS: u64 = 300;
-const LONGEST_RETRY_MS: u64 = 4000;
+/// Initial and maximum backoff after a failed call to the platform, in ms.
+const INITIAL_BACKOFF_MS: u64 = 300;
+const MAX_BACKOFF_MS: u64 = 4000;
 const MS_PER_S: f64 = 1000.0;
 
-/// Exports windows while this controller owns the role, for as long as the process runs.
+/// Starts the task that exports windows while this controller owns the role.
 pub fn start(controller: &Arc<Controller>) {
     if !controller.settings.cloud_api.takes_usage() {
         return;
@@ -45,8 +46,8 @@
     let Some(platform) = Platform::new(settings.source_ip(), &settings.cloud_api.address) else { return };
     let delay_ms = (controller.settings.bounds.usage_delay_s * MS_PER_S) as u64;
     let schedule = ExportSchedule { window_ms: controller.metering.window_ms(), delay_ms };
-    let (empty, retry) = (BTreeSet::new(), Retry::default());
-    let mut exporter = Exporter { controller: controller.clone(), platform, schedule, empty, retry };
+    let (empty, backoff) = (BTreeSet::new(), Backoff::default());
+    let mut exporter = Exporter { controller: controller.clone(), platform, schedule, empty, backoff };
     tokio::spawn(async move {
         let mut ticks = startup::interval(TICK_MS);
         loop {
@@ -56,17 +57,17 @@
     });
 }
 
-/// The pause after failed calls to the platform.
+/// Exponential backoff after failed calls to the platform.
 #[derive(Default)]
-struct Retry {
-    pause_ms: u64,
+struct Backoff {
+    delay_ms: u64,
     not_before: u64,
 }
 
-impl Retry {
-    fn fail(&mut self, now: u64) {
-        self.pause_ms = (self.pause_ms * 2).clamp(FIRST_RETRY_MS, LONGEST_RETRY_MS);
-        self.not_before = now + self.pause_ms;
+impl Backoff {
+    fn record_failure(&mut self, now: u64) {
+        self.delay_ms = (self.delay_ms * 2).clamp(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS);
+        self.not_before = now + self.delay_ms;
     }
 }
 
@@ -74,33 +75,33 @@
     controller: Arc<Controller>,
     platform: Platform,
     schedule: ExportSchedule,
-    /// Windows of which all controllers said that nothing began in them.
+    /// Windows for which all controllers reported no requests.
     empty: BTreeSet<WindowId>,
-    retry: Retry,
+    backoff: Backoff,
 }
 
-/// What all controllers know of some windows.
+/// The counts collected from all controllers for some windows.
 struct Collected {
     tables: CountTables,
     missing: MissingReports,
 }
 
 impl Exporter {
-    /// Agrees on windows that are due, and tells the oldest that is agreed on.
+    /// Commits the counts of due windows and reports the oldest agreed window.
     async fn step(&mut self) {
         let Some(epoch) = self.acting_epoch() else { return };
         if !roles::declare_predecessor_expired(&self.controller, USAGE, epoch).await {
             return;
         }
-        self.agree().await;
-        self.tell().await;
+        self.commit_due_windows().await;
+        self.report_oldest().await;
     }
 
     fn acting_epoch(&self) -> Option<u64> {
         roles::acting_epoch(&self.controller, USAGE, clock::now())
     }
 
-    async fn agree(&mut self) {
+    async fn commit_due_windows(&mut self) {
         let (controller, time_ms) = (self.controller.clone(), self.controller.metering.time_ms());
         let Some(state) = controller.committed.read(known_state) else { return };
         let due = self.schedule.due_windows(&state, &self.empty, time_ms);
@@ -131,26 +132,26 @@
         self.empty.retain(|window| *window >= first);
     }
 
-    /// Tells the platform the oldest window that is agreed on.
-    async fn tell(&mut self) {
+    /// Reports the oldest agreed window to the platform.
+    async fn report_oldest(&mut self) {
         let now = clock::now();
-        if now < self.retry.not_before {
+        if now < self.backoff.not_before {
             return;
         }
         let window = self.controller.committed.read(|state| known_state(state)?.next_to_tell().cloned());
         let Some(window) = window else { return };
-        // Asked for again: agreeing took its time.
+        // Checked again, since the role may have been lost while windows were agreed on.
         let Some(epoch) = self.acting_epoch() else { return };
-        let holder = Holder { node: &self.controller.settings.node_name, epoch };
-        match self.platform.tell(&holder, &window).await {
+        let role_owner = RoleOwner { node: &self.controller.settings.node_name, epoch };
+        match self.platform.report(&role_owner, &window).await {
             Ok(()) => {
-                self.retry = Retry::default();
+                self.backoff = Backoff::default();
                 change(&self.controller, |state| state.with_told(window.window)).await;
                 log_event!(USAGE_TOLD, "window" => window.window, "tenants" => window.counts.len(), "epoch" => epoch);
             }
             Err(error) => {
-                self.retry.fail(clock::now());
-                if error != TellError::RateLimited {
+                self.backoff.record_failure(clock::now());
+                if error != ReportError::RateLimited {
                     log_event!(USAGE_REFUSED, "window" => window.window, "cause" => format!("{error:?}"));
                 }
             }
@@ -158,27 +159,27 @@
     }
 }
 
-/// Returns what is known to be agreed on. `None`: it can't be read.
+/// Returns the committed export state, or `None` if it cannot be decoded.
 pub fn known_state(state: &CommittedState) -> Option<ExportState> {
     let body = state.entries.get(EXPORT_KEY).map_or(&[][..], |entry| &entry.body);
     ExportState::open(body)
 }
 
-/// Changes the register. Returns whether this change, and no other, was written.
+/// Changes the register. Returns whether this change was written.
 async fn change(controller: &Controller, next: impl Fn(&ExportState) -> Option<ExportState>) -> bool {
-    let judge = |body: &[u8]| {
+    let decide = |body: &[u8]| {
         let changed = ExportState::open(body).and_then(|state| next(&state));
         changed.map_or(Decision::Answer(false), |state| Decision::Write(state.to_bytes(), true))
     };
-    controller.change(EXPORT_KEY, COMMIT_TIMEOUT_MS, judge).await.unwrap_or(false)
+    controller.change(EXPORT_KEY, COMMIT_TIMEOUT_MS, decide).await.unwrap_or(false)
 }
 
-/// Asks all controllers what routers reported to them of some windows.
+/// Collects the routers' reports for some windows from all controllers.
 async fn collect(controller: &Arc<Controller>, windows: &[WindowId], time_ms: u64) -> Collected {
-    let present = window_at(time_ms, controller.metering.window_ms());
+    let current = window_at(time_ms, controller.metering.window_ms());
     let mut tables = CountTables::default();
     let own = controller.metering.select(windows);
-    own.routers.iter().for_each(|report| tables.merge(report, present));
+    own.routers.iter().for_each(|report| tables.merge(report, current));
     let mut calls = JoinSet::new();
     for expected in expected(controller) {
         let (client, windows) = (controller.peers.client(&expected.ip), windows.to_vec());
@@ -192,7 +193,7 @@
     while let Some(Ok((expected, answer))) = calls.join_next().await {
         let reply = match answer {
             Some(Message::MeteringTables(answer)) => {
-                answer.routers.iter().for_each(|report| tables.merge(report, present));
+                answer.routers.iter().for_each(|report| tables.merge(report, current));
                 reply_of(&answer)
             }
             _ => Reply::None,
@@ -207,25 +208,25 @@
 fn reply_of(answer: &MeteringTables) -> Reply {
     match answer.is_complete {
         true => Reply::Complete,
-        // It was started lately and has lost what was reported to it; routers may not have reported again.
+        // It was started recently and has lost earlier reports, and routers may not have reported again yet.
         false => Reply::Incomplete,
     }
 }
 
-/// Returns the other controllers that were heard lately, and the members of the core that were never heard.
+/// Returns the other controllers that were seen recently, and the core members that were never seen.
 fn expected(controller: &Controller) -> Vec<ExpectedController> {
     let now = clock::now();
     let core = controller.replica.membership();
     controller.peers.read(|view| {
         let others = view.controllers.iter().filter(|(ip, peer)| *ip != controller.own_ip() && peer.last_seen > 0);
-        let heard = others.clone().filter(|(_, peer)| peer.last_seen + EXPECTED_MS > now);
-        let readers = heard.filter(|(_, peer)| peer.protocol_version >= METERING);
+        let recently_seen = others.clone().filter(|(_, peer)| peer.last_seen + RECENTLY_SEEN_MS > now);
+        let metering_peers = recently_seen.filter(|(_, peer)| peer.protocol_version >= METERING);
         let with_zone =
             |(ip, peer): (&String, &Peer)| ExpectedController { ip: ip.clone(), zone: Some(peer.zone.clone()) };
-        let ever_heard: BTreeSet<&str> = others.map(|(ip, _)| ip.as_str()).collect();
+        let ever_seen: BTreeSet<&str> = others.map(|(ip, _)| ip.as_str()).collect();
         let members = core.members.iter().map(|member| member.ip.as_str());
-        let unheard = members.filter(|ip| *ip != controller.own_ip() && !ever_heard.contains(ip));
-        let without_zone = unheard.map(|ip| ExpectedController { ip: ip.into(), zone: None });
-        readers.map(with_zone).chain(without_zone).collect()
+        let never_seen = members.filter(|ip| *ip != controller.own_ip() && !ever_seen.contains(ip));
+        let without_zone = never_seen.map(|ip| ExpectedController { ip: ip.into(), zone: None });
+        metering_peers.map(with_zone).chain(without_zone).collect()
     })
 }
--- a/controller/src/metering/mod.rs
+++ b/controller/src/metering/mod.rs
@@ -1,4 +1,5 @@
-//! Counts of requests that began: what routers report here, and the export to the platform by the one owner of the role.
+//! Counts of started requests: the reports of routers, and their export to the platform by the single owner of the
+//! role.
 
 mod completeness;
 pub mod exporter;
@@ -16,94 +17,96 @@
 
 use crate::delivery::subscribers::Subscriber;
 
-/// A process knows what routers keep once it has run for so long, in milliseconds: a lease of theirs, and some reports.
+/// Uptime after which a process has the reports of all its routers, in ms: a router's lease and several report
+/// intervals.
 const COMPLETE_AFTER_MS: u64 = 4000;
-/// Reports that are kept for a controller that is to have copies and does not answer.
+/// The maximum number of reports kept for the controller that stores the copies.
 const MAX_UNRELAYED: usize = 2048;
 const MS_PER_S: f64 = 1000.0;
 
+/// The reports received so far.
 #[derive(Default)]
 struct Reported {
     clock: AnchoredClock,
     tables: CountTables,
-    /// Reports that the owner of the role has no copy of.
+    /// Reports that were not yet copied to another controller.
     unrelayed: Vec<RouterCounts>,
 }
 
-/// What routers reported to this controller.
+/// The usage reports of this controller's routers, and copies of reports to other controllers.
 pub struct Metering {
     window_ms: u64,
     reported: Mutex<Reported>,
 }
 
 impl Metering {
-    /// Returns the tables of a process that has just started: empty.
+    /// Creates the metering state of a started process, with empty tables.
     pub fn new(settings: &Settings) -> Metering {
         let window_ms = (settings.bounds.report_window_s * MS_PER_S) as u64;
         Metering { window_ms: window_ms.max(1), reported: Mutex::default() }
     }
 
-    /// Returns the length of a window in milliseconds.
+    /// Returns the length of a window, in ms.
     pub fn window_ms(&self) -> u64 {
         self.window_ms
     }
 
-    /// Returns the time of day that windows go by, in milliseconds.
+    /// Returns the time of day that determines the windows, in ms.
     pub fn time_ms(&self) -> u64 {
         self.reported.lock().clock.read(clock::time_of_day_ms(), clock::now())
     }
 
-    /// Takes a router's report.
+    /// Records a router's report.
     pub fn record(&self, report: RouterCounts) {
-        let present = window_at(self.time_ms(), self.window_ms);
+        let current = window_at(self.time_ms(), self.window_ms);
         let mut reported = self.reported.lock();
-        reported.tables.merge(&report, present);
-        // Beyond the bound nobody takes copies: the tables have it.
+        reported.tables.merge(&report, current);
+        // Beyond the bound a report is not copied, but the tables contain it.
         if reported.unrelayed.len() < MAX_UNRELAYED {
             reported.unrelayed.push(report);
         }
     }
 
-    /// Takes copies of what routers reported to another controller.
+    /// Records copies of reports to another controller.
     pub fn record_copies(&self, copies: &MeteringTables) {
-        let present = window_at(self.time_ms(), self.window_ms);
+        let current = window_at(self.time_ms(), self.window_ms);
         let mut reported = self.reported.lock();
-        copies.routers.iter().for_each(|report| reported.tables.merge(report, present));
+        copies.routers.iter().for_each(|report| reported.tables.merge(report, current));
     }
 
-    /// Puts reports back that the owner of the role did not take. While it is out of reach, what is over the bound is dropped:
-    /// the tables here have it, and the routers that still run.
+    /// Puts back reports that could not be copied. Reports beyond the bound are dropped from this queue; the tables
+    /// here and the routers that are still running have them.
     fn return_unrelayed(&self, reports: Vec<RouterCounts>) {
         let mut reported = self.reported.lock();
         reported.unrelayed.extend(reports);
         reported.unrelayed.truncate(MAX_UNRELAYED);
     }
 
-    /// Removes and returns the reports that the owner of the role has no copy of.
+    /// Removes and returns the reports that were not yet copied to another controller.
     fn take_unrelayed(&self) -> Vec<RouterCounts> {
         mem::take(&mut self.reported.lock().unrelayed)
     }
 
-    /// Returns what was reported of some windows.
+    /// Returns the reports for some windows.
     pub fn select(&self, windows: &[WindowId]) -> MeteringTables {
         let is_complete = clock::now() >= COMPLETE_AFTER_MS;
         MeteringTables { is_complete, routers: self.reported.lock().tables.select(windows) }
     }
 
-    /// Answers another controller's question for what routers reported here.
+    /// Answers another controller's query.
     pub fn answer(&self, query: &MeteringQuery) -> Message {
         Message::MeteringTables(Box::new(self.select(&query.windows)))
     }
 
-    /// Takes copies of what routers reported to another controller. The response tells whether this one keeps them, which it
-    /// does not where it is about to end.
-    pub fn take_copies(&self, copies: &MeteringTables, is_ending: bool) -> Message {
+    /// Records copies of reports to another controller. The response tells whether this controller will keep them,
+    /// which it does not if it is shutting down.
+    pub fn take_copies(&self, copies: &MeteringTables, is_shutting_down: bool) -> Message {
         self.record_copies(copies);
-        Message::MeteringTables(Box::new(MeteringTables { is_complete: !is_ending, routers: Vec::new() }))
+        Message::MeteringTables(Box::new(MeteringTables { is_complete: !is_shutting_down, routers: Vec::new() }))
     }
 }
 
-/// Asks a router that renews here for counts, where the platform is to be told of them.
+/// Asks a router that renews its subscription for its counts, if usage is exported to the platform.
 pub fn request_counts(settings: &Settings, incarnation: u64, subscriber: &Subscriber) {
     if subscriber.protocol_version < METERING || !settings.cloud_api.takes_usage() {
         return;
--- a/controller/src/metering/platform.rs
+++ b/controller/src/metering/platform.rs
@@ -1,4 +1,4 @@
-//! The call that tells the platform the counts of a window.
+//! The call that reports the counts of a window to the platform.
 
 use std::time::Duration;
 
@@ -9,73 +9,73 @@
 use crate::http_client;
 use std::net::Ipv4Addr;
 
-/// How long connecting may take.
+/// Connect timeout for the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a call's bytes may be unacknowledged. With `CONNECT_TIMEOUT` it stays inside the time for which an owner may act on its
-/// last confirmation, which the next owner waits out twice.
+/// How long sent bytes of a call may stay unacknowledged. Together with `CONNECT_TIMEOUT` it is shorter than the time
+/// for which an owner may act on its last confirmation: the next owner waits twice that time before it acts.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a call and its response may take.
+/// Timeout of a call, including its response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Why a call did not succeed. What was sent may have been taken: it is sent again, to the byte.
+/// Why a call failed. The platform may have accepted the counts nevertheless; a retry sends identical bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TellError {
-    /// No response came.
+pub enum ReportError {
+    /// There was no response.
     Unanswered,
-    /// The platform takes no more calls now.
+    /// The platform rejected the call because of its rate limit.
     RateLimited,
-    /// The platform answered with this status.
+    /// The platform responded with this status.
     Status(u16),
 }
 
-/// Under which right a call is made.
-pub struct Holder<'a> {
+/// The role owner on whose behalf a call is made.
+pub struct RoleOwner<'a> {
     /// The name of this machine.
     pub node: &'a str,
-    /// The epoch of the role: the fencing token.
+    /// The epoch of the role, used as the fencing token.
     pub epoch: u64,
 }
 
-/// The platform as it is told of usage.
+/// A client of the platform's usage API.
 pub struct Platform {
     client: Client,
     url: String,
 }
 
 impl Platform {
-    /// Returns the platform at an address. `None`: no client could be built.
+    /// Creates a client for the platform at `address`; `None` if the HTTP client cannot be built.
     pub fn new(source: Option<Ipv4Addr>, address: &str) -> Option<Platform> {
         let client =
             http_client::at_most_once(source, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).timeout(CALL_TIMEOUT).build();
         Some(Platform { client: client.ok()?, url: format!("http://{address}/usage") })
     }
 
-    /// Tells the counts of a window.
+    /// Reports the counts of a window.
     ///
     /// # Errors
     ///
-    /// When anything else than a success was answered, or nothing.
-    pub async fn tell(&self, holder: &Holder<'_>, window: &ExportWindow) -> Result<(), TellError> {
+    /// Fails if there was no response or its status was not a success.
+    pub async fn report(&self, role_owner: &RoleOwner<'_>, window: &ExportWindow) -> Result<(), ReportError> {
         let request = self
             .client
             .post(&self.url)
-            .header("duty-holder", holder.node)
-            .header("fence-token", holder.epoch.to_string())
+            .header("duty-holder", role_owner.node)
+            .header("fence-token", role_owner.epoch.to_string())
             .header("content-type", "application/json")
             .body(body(window));
-        let response = request.send().await.map_err(|_| TellError::Unanswered)?;
+        let response = request.send().await.map_err(|_| ReportError::Unanswered)?;
         match response.status() {
             status if status.is_success() => Ok(()),
-            StatusCode::TOO_MANY_REQUESTS => Err(TellError::RateLimited),
-            status => Err(TellError::Status(status.as_u16())),
+            StatusCode::TOO_MANY_REQUESTS => Err(ReportError::RateLimited),
+            status => Err(ReportError::Status(status.as_u16())),
         }
     }
 }
 
-/// Returns the body of the call: the same bytes whoever sends it.
+/// Returns the body of the call. It contains the same bytes regardless of the sender.
 pub fn body(window: &ExportWindow) -> String {
     let counts: Map<String, Value> =
-        window.counts.iter().map(|one| (one.tenant.clone(), Value::from(one.count))).collect();
+        window.counts.iter().map(|entry| (entry.tenant.clone(), Value::from(entry.count))).collect();
     serde_json::json!({ "window_id": window.window, "count_table": counts }).to_string()
 }
 
--- a/controller/src/metering/relay.rs
+++ b/controller/src/metering/relay.rs
@@ -1,5 +1,5 @@
-//! Copies of what routers reported, at other controllers: a router that has ended can't report again to whoever is there when its
-//! home controller ends as well.
+//! Copies the reports of routers to other controllers. Without copies, the counts of a router that has stopped would be
+//! lost with its home controller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 use crate::controller::Controller;
 use crate::roles::USAGE;
 
-/// The pause between two copies to the owner of the role.
+/// Interval at which new reports are copied to the owner of the role, in ms.
 const RELAY_INTERVAL_MS: u64 = 500;
-/// How long another controller may take to answer, in milliseconds.
+/// Timeout of a copy to another controller, in ms.
 const COPY_TIMEOUT_MS: u64 = 400;
-/// The part of the grace in which a controller that ends looks for one that keeps its tables.
+/// The share of the shutdown grace period in which a controller tries to hand over its tables.
 const HAND_OVER_SHARE: f64 = 0.4;
-/// The pause before it looks again.
+/// Delay before the next attempt to hand over the tables.
 const HAND_OVER_PAUSE: Duration = Duration::from_millis(60);
-/// How many of the newest windows a controller that ends hands over.
+/// The number of most recent windows that a controller hands over on shutdown.
 const HANDED_OVER_WINDOWS: u64 = 8;
 
-/// Copies new reports to another controller, for as long as the process runs.
+/// Starts the task that copies new reports to another controller.
 pub fn start(controller: &Arc<Controller>) {
     if !controller.settings.cloud_api.takes_usage() {
         return;
@@ -42,64 +42,66 @@
 
 async fn relay(controller: &Controller) {
     let owner = controller.committed.role_owner(USAGE);
-    let Some(keeper) = copy_target(owner.as_deref(), controller.own_ip(), &readers(controller)) else { return };
+    let Some(target) = copy_target(owner.as_deref(), controller.own_ip(), &metering_peers(controller)) else { return };
     let routers = controller.metering.take_unrelayed();
     if routers.is_empty() {
         return;
     }
-    if copy(controller, &keeper, MeteringTables { is_complete: false, routers: routers.clone() }).await
-        != Some(Copied::Kept)
+    if copy(controller, &target, MeteringTables { is_complete: false, routers: routers.clone() }).await
+        != Some(CopyOutcome::Kept)
     {
         controller.metering.return_unrelayed(routers);
     }
 }
 
-/// Returns the other controllers that keep such copies, in an agreed order.
-fn readers(controller: &Controller) -> Vec<String> {
-    let mut readers = controller.known_peers();
-    readers.retain(|ip| controller.peers.protocol_version(ip) >= METERING);
-    readers
+/// Returns the other controllers whose protocol version supports copies, in an order that all controllers agree on.
+fn metering_peers(controller: &Controller) -> Vec<String> {
+    let mut metering_peers = controller.known_peers();
+    metering_peers.retain(|ip| controller.peers.protocol_version(ip) >= METERING);
+    metering_peers
 }
 
-/// Returns which controller is to keep copies of what routers report here: the owner of the role, and for the owner itself the
-/// one that follows it, since a router that has ended can't report again when the owner is killed. `None`: nobody yet.
-fn copy_target(owner: Option<&str>, own_ip: &str, readers: &[String]) -> Option<String> {
+/// Returns the controller that stores copies of the reports received here: the owner of the role or, for the owner
+/// itself, the next controller, since a stopped router cannot report again if the owner is killed. `None` if there is
+/// none yet.
+fn copy_target(owner: Option<&str>, own_ip: &str, metering_peers: &[String]) -> Option<String> {
     let owner = owner?;
     if owner != own_ip {
-        return readers.iter().find(|ip| *ip == owner).cloned();
+        return metering_peers.iter().find(|ip| *ip == owner).cloned();
     }
-    let following = readers.iter().find(|ip| ip.as_str() > own_ip);
-    following.or(readers.first()).cloned()
+    let following = metering_peers.iter().find(|ip| ip.as_str() > own_ip);
+    following.or(metering_peers.first()).cloned()
 }
 
-/// What became of copies.
+/// The outcome of sending copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Copied {
-    /// Another controller keeps them.
+enum CopyOutcome {
+    /// The other controller has stored them.
     Kept,
-    /// It has them, and is about to end itself.
-    Ending,
+    /// The other controller has stored them but is shutting down itself.
+    ShuttingDown,
 }
 
-/// Sends copies to another controller. `None`: no answer came in time.
-async fn copy(controller: &Controller, ip: &str, tables: MeteringTables) -> Option<Copied> {
+/// Sends copies to another controller. Returns `None` if it did not respond in time.
+async fn copy(controller: &Controller, ip: &str, tables: MeteringTables) -> Option<CopyOutcome> {
     let message = Message::MeteringTables(Box::new(tables));
     match controller.peers.client(ip).call(message, COPY_TIMEOUT_MS).await? {
-        Message::MeteringTables(answer) if answer.is_complete => Some(Copied::Kept),
-        Message::MeteringTables(_) => Some(Copied::Ending),
+        Message::MeteringTables(answer) if answer.is_complete => Some(CopyOutcome::Kept),
+        Message::MeteringTables(_) => Some(CopyOutcome::ShuttingDown),
         _ => None,
     }
 }
 
-/// Hands what routers reported lately to all other controllers: this one is about to end. Returns once one of them keeps it, or the
-/// time for that is over: where all controllers are replaced at once there may be none for a moment.
+/// Hands the recent reports over to all other controllers before this one shuts down. Returns once one of them keeps
+/// them or the time limit is reached. It retries because, if all controllers are replaced at once, for a moment there
+/// may be none to take them.
 pub async fn hand_over(controller: &Arc<Controller>) {
     if !controller.settings.cloud_api.takes_usage() {
         return;
     }
     let metering = &controller.metering;
-    let present = window_at(metering.time_ms(), metering.window_ms());
-    let windows: Vec<u64> = (present.saturating_sub(HANDED_OVER_WINDOWS)..=present).collect();
+    let current = window_at(metering.time_ms(), metering.window_ms());
+    let windows: Vec<u64> = (current.saturating_sub(HANDED_OVER_WINDOWS)..=current).collect();
     let tables = metering.select(&windows);
     let end = Instant::now() + Duration::from_secs_f64(controller.settings.bounds.grace_s * HAND_OVER_SHARE);
     while !tables.routers.is_empty() && Instant::now() < end && !hand_to_all(controller, &tables).await {
@@ -107,18 +109,18 @@
     }
 }
 
-/// Returns whether another controller keeps the tables now.
+/// Sends the tables to all other controllers. Returns whether one of them keeps them, or there is none.
 async fn hand_to_all(controller: &Arc<Controller>, tables: &MeteringTables) -> bool {
-    let readers = readers(controller);
-    if readers.is_empty() {
+    let metering_peers = metering_peers(controller);
+    if metering_peers.is_empty() {
         return true;
     }
     let mut calls = JoinSet::new();
-    for ip in readers {
+    for ip in metering_peers {
         let (controller, tables) = (controller.clone(), tables.clone());
         calls.spawn(async move { copy(&controller, &ip, tables).await });
     }
-    calls.join_all().await.contains(&Some(Copied::Kept))
+    calls.join_all().await.contains(&Some(CopyOutcome::Kept))
 }
 
 #[cfg(test)]
--- a/controller/src/prefix_catalog.rs
+++ b/controller/src/prefix_catalog.rs
@@ -1,4 +1,5 @@
-//! The prefix catalog as its owner answers it: which engines hold the KV cache of which prefixes, and their load.
+//! The prefix catalog that the role owner serves: which engines hold the KV cache of which prefixes, and the load of
+//! engines.
 
 use std::mem;
 
@@ -8,31 +9,32 @@
 use parking_lot::Mutex;
 use protocol::message::{ChangedEngines, EndpointList, EngineLoad, PrefixLookup, PrefixLookupResponse, Record};
 
-/// How many keys, engines or loads of one message are read.
+/// The maximum number of keys, engines or loads read from one message.
 const MAX_ITEMS: usize = 256;
-/// How many prefixes are kept.
-const CAPACITY: usize = 200_000;
-/// How long a registration counts, in ms.
-const STALE_MS: u64 = 30_000;
+/// The maximum number of prefixes in the index.
+const MAX_PREFIXES: usize = 200_000;
+/// Lifetime of a registration, in ms.
+const REGISTRATION_TTL_MS: u64 = 30_000;
 
-/// The catalog of this process. Invariant: it answers only under its epoch, and only while this controller owns the role.
+/// The prefix catalog of this process. Invariant: it serves lookups only under its current epoch, and only while this
+/// controller owns the role.
 pub struct PrefixCatalog(Mutex<CatalogState>);
 
 struct CatalogState {
     prefix_index: PrefixIndex,
     load_table: LoadTable,
-    /// The epoch under which it answers now; 0: under none.
+    /// The epoch that is served now; 0 if none.
     epoch: u64,
-    /// The last epoch under which it answered.
+    /// The last epoch that was served.
     last_epoch: u64,
-    /// Registrations that came under another epoch, since the last flush.
+    /// The number of registrations dropped since the last flush because they carried another epoch.
     dropped_registrations: u32,
 }
 
 impl Default for PrefixCatalog {
     fn default() -> PrefixCatalog {
         PrefixCatalog(Mutex::new(CatalogState {
-            prefix_index: PrefixIndex::new(CAPACITY, STALE_MS),
+            prefix_index: PrefixIndex::new(MAX_PREFIXES, REGISTRATION_TTL_MS),
             load_table: LoadTable::default(),
             epoch: 0,
             last_epoch: 0,
@@ -42,7 +44,7 @@
 }
 
 impl PrefixCatalog {
-    /// Answers under this epoch from now on, 0: not at all. A new epoch starts with an empty catalog.
+    /// Serves `epoch` from now on, or none if it is 0. A new epoch starts with an empty catalog.
     pub fn open(&self, epoch: u64) {
         let mut catalog = self.0.lock();
         if catalog.epoch != epoch && epoch > catalog.last_epoch {
@@ -53,12 +55,12 @@
         catalog.epoch = epoch;
     }
 
-    /// Returns the engines that hold each prefix asked for, with their loads and those of a sample of engines.
+    /// Returns the engines that hold each requested prefix, with their loads and those of the sampled engines.
     pub fn look_up(&self, lookup: &PrefixLookup, now: u64) -> PrefixLookupResponse {
         let catalog = self.0.lock();
         let (mut owners, mut list) = (Vec::new(), Vec::new());
-        if catalog.answers(lookup.epoch) {
-            owners = catalog.find_all(&lookup.keys, now);
+        if catalog.serves(lookup.epoch) {
+            owners = catalog.find_holders(&lookup.keys, now);
             let mut engine_hashes: Vec<u64> = owners.iter().flatten().map(|id| hashing::hash(id.as_bytes())).collect();
             engine_hashes.extend(lookup.sample.iter().take(MAX_ITEMS));
             engine_hashes.sort_unstable();
@@ -68,19 +70,19 @@
         PrefixLookupResponse { epoch: catalog.epoch, owners, list }
     }
 
-    /// Returns the epoch and the engines that hold each key; none under another epoch.
+    /// Returns the current epoch and the engines that hold each key; no engines if `epoch` is not the current one.
     pub fn find_owners(&self, epoch: u64, keys: &[u64], now: u64) -> (u64, Vec<Vec<String>>) {
         let catalog = self.0.lock();
-        match catalog.answers(epoch) {
-            true => (epoch, catalog.find_all(keys, now)),
+        match catalog.serves(epoch) {
+            true => (epoch, catalog.find_holders(keys, now)),
             false => (catalog.epoch, Vec::new()),
         }
     }
 
-    /// Registers engines for prefixes; under another epoch they are dropped and counted.
+    /// Registers engines for prefixes. Registrations under another epoch are dropped and counted.
     pub fn register(&self, epoch: u64, records: &[Record], now: u64) {
         let mut catalog = self.0.lock();
-        if !catalog.answers(epoch) {
+        if !catalog.serves(epoch) {
             catalog.dropped_registrations += records.len() as u32;
             return;
         }
@@ -89,13 +91,14 @@
         }
     }
 
-    /// Notes the loads that engines reported.
+    /// Records reported engine loads.
     pub fn record_loads(&self, loads: &[EngineLoad], now: u64) {
         let mut catalog = self.0.lock();
         loads.iter().take(MAX_ITEMS).for_each(|load| catalog.load_table.record(load, now));
     }
 
-    /// Returns the epoch and how many registrations were dropped since the last flush; under another epoch `dropped`.
+    /// Returns the current epoch and the number of registrations dropped since the last flush, or `dropped` unchanged
+    /// if `epoch` is not the current one.
     pub fn flush(&self, epoch: u64, dropped: u32) -> (u64, u32) {
         let mut catalog = self.0.lock();
         let dropped = match catalog.epoch == epoch {
@@ -105,7 +108,7 @@
         (catalog.epoch, dropped)
     }
 
-    /// Forgets engines that drain, so that they leave the answers at once.
+    /// Removes draining engines, so that lookups no longer return them.
     pub fn remove_draining(&self, list: &EndpointList) {
         let mut catalog = self.0.lock();
         for engine in list.engines.iter().filter(|engine| !engine.up) {
@@ -115,7 +118,7 @@
 }
 
 impl PrefixCatalog {
-    /// Forgets the engines of an update that drain or are gone, so that they leave the answers at once.
+    /// Removes the engines that an update shows as draining or removed, so that lookups no longer return them.
     pub fn remove_leaving(&self, engines: &ChangedEngines) {
         let draining = engines.changed.iter().filter(|engine| !engine.up).map(|engine| &engine.id);
         let mut catalog = self.0.lock();
@@ -126,11 +129,11 @@
 }
 
 impl CatalogState {
-    fn answers(&self, epoch: u64) -> bool {
+    fn serves(&self, epoch: u64) -> bool {
         self.epoch == epoch && epoch != 0
     }
 
-    fn find_all(&self, keys: &[u64], now: u64) -> Vec<Vec<String>> {
+    fn find_holders(&self, keys: &[u64], now: u64) -> Vec<Vec<String>> {
         keys.iter().take(MAX_ITEMS).map(|key| self.prefix_index.owners(*key, now)).collect()
     }
 }
--- a/controller/src/quota_shards.rs
+++ b/controller/src/quota_shards.rs
@@ -1,4 +1,4 @@
-//! The shards of tenants' limits that this controller owns. The rules are in the crate `quota`; here they meet the
+//! The quota shards that this controller owns. The crate `quota` implements the rules; this module connects them to the
 //! controller.
 
 use std::cmp::Reverse;
@@ -18,28 +18,28 @@
 use crate::delivery::subscribers::Subscriber;
 use crate::replication::committed_state::CommittedState;
 
-/// How long a controller may take to answer what its shards have granted.
+/// Timeout of a usage request to another controller, in ms.
 const USAGE_TIMEOUT_MS: u64 = 400;
 
-/// The shards owned here, and who may own others.
+/// The shards owned here, and the controllers that are eligible to own shards.
 pub struct QuotaShards(Mutex<ShardTable>);
 
 struct ShardTable {
     shards: Shards,
     eligible_owners: Vec<ShardOwner>,
-    /// Tells this list of owners from others.
-    owners_digest: u64,
+    /// The fingerprint of `eligible_owners`, used to detect changes.
+    owners_fingerprint: u64,
 }
 
 impl QuotaShards {
-    /// Returns the shards of a controller that has just started: none.
+    /// Creates the shard table of a controller that has just started and owns no shards.
     pub fn new(ip: &str) -> QuotaShards {
-        let table = ShardTable { shards: Shards::new(ip), eligible_owners: Vec::new(), owners_digest: 0 };
+        let table = ShardTable { shards: Shards::new(ip), eligible_owners: Vec::new(), owners_fingerprint: 0 };
         QuotaShards(Mutex::new(table))
     }
 }
 
-/// Updates who may own shards. Returns whether that has changed, so that routers are to be notified.
+/// Updates the eligible owners. Returns whether they have changed and routers must be notified.
 pub fn refresh_owners(controller: &Controller) -> bool {
     let now = clock::now();
     let is_shutting_down = controller.is_shutting_down();
@@ -47,12 +47,12 @@
     let eligible = controller.peers.read(|view| view.eligible_owners(QUOTAS, OWNER_EXPIRY_MS, is_shutting_down, now));
     let owners: Vec<ShardOwner> =
         eligible.into_iter().map(|owner| ShardOwner { ip: owner.ip, zone: owner.zone }).collect();
-    let digest = shard_owners_fingerprint(&owners);
+    let fingerprint = shard_owners_fingerprint(&owners);
     let live = owners.iter().map(|owner| EligibleOwner { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
     let mut table = controller.quotas.0.lock();
     table.shards.refresh(now, confirmed_at, live);
-    let has_changed = table.owners_digest != digest;
-    (table.eligible_owners, table.owners_digest) = (owners, digest);
+    let has_changed = table.owners_fingerprint != fingerprint;
+    (table.eligible_owners, table.owners_fingerprint) = (owners, fingerprint);
     has_changed
 }
 
@@ -61,7 +61,7 @@
     let now = clock::now();
     let (confirmed_at, committed) =
         controller.committed.read(|state| (state.confirmed_at, state.history.tenant_quota(&request.tenant)));
-    // The router may know of a newer configuration than this controller, or of an older one.
+    // The router's configuration may be newer or older than this controller's.
     let requested = Quota { rate_per_s: from_milli(request.rate_milli), burst: from_milli(request.burst_milli) };
     let quota = committed.unwrap_or(requested);
     let Some(quota) = Quota::new(quota.rate_per_s, quota.burst) else { return TokenResponse::Granted };
@@ -75,20 +75,20 @@
     response
 }
 
-/// Sends a router who may own shards, where it has another list.
+/// Sends a router the eligible owners, unless it already has the current list.
 pub fn send_owners(controller: &Controller, subscriber: &mut Subscriber) {
     let table = controller.quotas.0.lock();
-    let has = subscriber.list_versions.entry(HiddenKey::ShardOwners.into()).or_default();
-    if has.0 == table.owners_digest {
+    let sent_fingerprint = subscriber.list_versions.entry(HiddenKey::ShardOwners.into()).or_default();
+    if sent_fingerprint.0 == table.owners_fingerprint {
         return;
     }
     match subscriber.responder.notify(&Message::ShardOwners(Box::new(table.eligible_owners.clone()))) {
-        true => has.0 = table.owners_digest,
+        true => sent_fingerprint.0 = table.owners_fingerprint,
         false => subscriber.is_behind = true,
     }
 }
 
-/// Returns what the shards owned here have granted.
+/// Returns the usage counters of the shards owned here.
 pub fn usage(controller: &Controller) -> Vec<ShardUsage> {
     let counters = controller.quotas.0.lock().shards.counters();
     let usage = counters.into_iter().map(|shard| ShardUsage {
@@ -100,7 +100,7 @@
     usage.collect()
 }
 
-/// Returns what all shards have granted, by tenant, and the controllers that did not answer.
+/// Returns the usage of all shards by tenant, and the controllers that did not respond.
 pub async fn fleet_usage(controller: &Arc<Controller>) -> Value {
     let owners = controller.quotas.0.lock().eligible_owners.clone();
     let mut sums = BTreeMap::<String, TenantUsage>::new();
@@ -139,7 +139,7 @@
     }
 }
 
-/// What one tenant has used, over all its shards.
+/// The usage of one tenant, summed over all its shards.
 #[derive(Default)]
 struct TenantUsage {
     granted: u64,
--- a/controller/src/tallies/mod.rs
+++ b/controller/src/tallies/mod.rs
@@ -1,6 +1,7 @@
-//! Tallies at this controller: a replica where there is a disk, else the way to those that have one.
+//! Tallies on this controller: a replica if it has a disk, otherwise the addresses of the replicas.
 //!
-//! The decisions are in the crate `tally`. [`replica`] meets the disk and the callers, [`exchange`] the other replicas.
+//! The crate `tally` implements the logic. [`replica`] connects it to the disk and the callers, [`exchange`] to the
+//! other replicas.
 
 pub mod exchange;
 mod replica;
@@ -11,16 +12,17 @@
 pub use replica::{AddOutcome, Refusal, TallyReplica, TallyUsage};
 pub use replica_directory::ReplicaDirectory;
 
-/// What this controller has to do with tallies.
+/// How this controller serves tallies.
 pub enum Tallies {
-    /// It has a disk and keeps them.
+    /// It has a disk and stores a replica.
     Replica(TallyReplica),
-    /// It has none and sends callers to those that keep them.
+    /// It has no disk and redirects callers to a replica.
     Elsewhere(ReplicaDirectory),
 }
 
 impl Tallies {
-    /// Takes what a replica sent, packed or not, and responds once it is on disk, or at once where nothing is kept here.
+    /// Receives batches, packed or not, from a replica. Responds once they are on disk, or at once if there is no
+    /// replica here.
     pub fn receive(
         &self,
         sync: &TallySync,
--- a/controller/src/tallies/replica/adds.rs
+++ b/controller/src/tallies/replica/adds.rs
@@ -1,4 +1,4 @@
-//! Adds, and how long they wait until enough disks have them.
+//! Adds entries and waits until enough disks have them.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 
 use super::TallyReplica;
 
-/// How long an add may wait for its acknowledgement, in milliseconds: below a second, after which callers give up, and longer than
-/// a replica stays in reach that has just become silent.
+/// Timeout of an add, in ms: less than the second after which callers give up, and longer than a replica that has just
+/// become silent counts as reachable.
 const ADD_TIMEOUT_MS: u64 = REACH_MS + 70;
-/// How often an add that waits looks whether a replica has gone out of reach meanwhile.
+/// Interval at which a waiting add checks whether a replica has become unreachable.
 const REACH_POLL: Duration = Duration::from_millis(20);
 
-/// Why an add was not taken: nothing was done.
+/// Why an add was refused. The entry was not added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// This replica was started lately and may lack what others have.
+    /// This replica was started recently and may lack entries of other replicas.
     CatchingUp,
-    /// The disk has not written anything for a while.
+    /// The disk has made no progress for `DISK_STALL_MS`.
     DiskStalled,
-    /// There are as many keys as this machine bears.
+    /// The capacity of this machine is exhausted.
     Full,
 }
 
-/// What became of an add.
+/// The outcome of an add.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddOutcome {
-    /// It counts, and outlives every loss that is to be borne.
+    /// The entry counts, and it survives every loss within the configured fault tolerance.
     Acknowledged,
-    /// Nothing was done.
+    /// The entry was not added.
     Refused(Refusal),
-    /// It is in the log here, and may come to count: too few disks have confirmed it in time.
+    /// The entry is in the local log and may still count, but too few disks have confirmed it in time.
     Unconfirmed,
 }
 
 impl TallyReplica {
-    /// Adds to a tally, once for each key, and waits until that may be acknowledged.
+    /// Adds an entry to a tally, at most once per key, and waits until it may be acknowledged.
     ///
-    /// Cancel safe in the sense of a lost answer: the entry may count.
+    /// Cancelling it is equivalent to losing the response: the entry may count.
     pub async fn add(&self, entry: TallyEntry) -> AddOutcome {
         let dot = match self.begin_add(entry) {
             Ok(dot) => dot,
@@ -68,7 +68,7 @@
         state.replicas.is_durable(dot, now)
     }
 
-    /// Puts an entry into the log unless its key is there, and returns its place.
+    /// Appends an entry to the log unless its key is present, and returns the position of the entry.
     pub(super) fn begin_add(&self, entry: TallyEntry) -> Result<Dot, Refusal> {
         let now = clock::now();
         let mut state = self.0.state.lock();
--- a/controller/src/tallies/replica/mod.rs
+++ b/controller/src/tallies/replica/mod.rs
@@ -1,10 +1,10 @@
 //! A replica of the tallies: its log in memory and on disk.
 //!
-//! [`adds`] takes entries and waits until enough disks have them, [`sync`] exchanges them with other replicas, [`catch_up`]
-//! decides when a replica that was started answers, [`room`] bounds what is kept.
+//! [`adds`] accepts entries and waits until enough disks have them, [`sync`] exchanges them with other replicas,
+//! [`catch_up`] decides when a started replica may answer, [`room`] bounds the size of the log.
 //!
-//! An entry is applied, then synced here, and only then sent to others (docs/counters.md): after a loss of power the log goes on
-//! where the disk ends, and no other replica has seen more of it.
+//! An entry is applied, then synced to the local disk, and only then sent to other replicas (docs/counters.md). After a
+//! power loss the log continues where the disk ends, and no other replica has seen entries beyond that.
 
 mod adds;
 mod catch_up;
@@ -30,7 +30,7 @@
 
 /// The folder of the tallies below the data folder.
 const FOLDER: &str = "tallies";
-/// Without progress of the disk for so long, in milliseconds, nothing new is taken.
+/// Time without disk progress after which new entries are refused, in ms.
 const DISK_STALL_MS: u64 = 400;
 
 impl LoggedState for TallyLog {
@@ -49,13 +49,15 @@
     log: TallyLog,
     replicas: ReplicaSet,
     caught_up: bool,
-    /// The disk was empty at the start: another replica that knows something must be heard first.
-    needs_informed: bool,
+    /// Whether a peer that has caught up must respond before this replica may answer. Set if this replica has never
+    /// caught up since its disk was empty.
+    needs_informed_peer: bool,
     started_at: u64,
-    /// Writes that the disk has not finished, and when it last finished one or had none.
+    /// The number of writes that the disk has not finished.
     unfinished_writes: usize,
+    /// When the disk last finished a write or had none to do, in ms.
     disk_progress_at: u64,
-    /// When entries are sealed and sent packed.
+    /// Decides when entries may be sealed and sent packed.
     packing: PackingGate,
     reported_fill: room::Fill,
 }
@@ -67,27 +69,27 @@
     disk: Disk<TallyLog>,
     /// Notified whenever more entries may have become durable.
     progress: Notify,
-    /// How many entries of the own log are on disk: whoever sends them to others follows it.
+    /// The number of entries of the own origin that are on disk. The sync tasks watch it.
     own_length: watch::Sender<u64>,
 }
 
-/// A replica of the tallies. Clones are handles to the same one.
+/// A replica of the tallies. Clones share the same replica.
 #[derive(Clone)]
 pub struct TallyReplica(Arc<Inner>);
 
-/// How many disks and zones must have an entry so that any loss to be borne leaves one.
+/// Returns how many disks and zones must have an entry so that it survives every loss within the fault tolerance.
 fn redundancy(settings: &Settings) -> Redundancy {
     let tolerance = settings.fault_tolerance;
     Redundancy { replicas: tolerance.machine_loss as usize + 1, zones: tolerance.zones as usize + 1 }
 }
 
 impl TallyReplica {
-    /// Opens the replica in the data folder. On an empty disk it draws an origin from `random`, and if the whole system starts
-    /// for the first time, it knows that there is nothing to catch up with.
+    /// Opens the replica in the data folder. On an empty disk it takes its origin from `random`, and if the settings
+    /// request a bootstrap, it starts without anything to catch up with.
     ///
     /// # Errors
     ///
-    /// The store is damaged, or the disk failed for long.
+    /// Fails if the store is damaged or the disk keeps failing.
     pub fn open(
         settings: &Settings,
         data_dir: &str,
@@ -109,12 +111,12 @@
         let state = State {
             replicas: ReplicaSet::new(&settings.zone, redundancy(settings), log.versions()),
             caught_up: false,
-            needs_informed: !log.had_caught_up(),
+            needs_informed_peer: !log.had_caught_up(),
             started_at: now,
             unfinished_writes: 0,
             disk_progress_at: now,
             packing: PackingGate::new(now),
-            reported_fill: room::Fill::Roomy,
+            reported_fill: room::Fill::Normal,
             log,
         };
         Ok(TallyReplica(Arc::new(Inner {
@@ -127,26 +129,26 @@
         })))
     }
 
-    /// Returns the total of a tally; `None` while this replica may lack what others have acknowledged.
+    /// Returns the total of a tally, or `None` while this replica may lack acknowledged entries.
     pub fn total(&self, tally: &str) -> Option<u128> {
         let state = self.0.state.lock();
         state.caught_up.then(|| state.log.total(tally))
     }
 
-    /// Returns all tallies with their totals; `None` while this replica may lack what others have acknowledged.
+    /// Returns all tallies with their totals, or `None` while this replica may lack acknowledged entries.
     pub fn totals(&self) -> Option<Vec<(String, u128)>> {
         let state = self.0.state.lock();
         state.caught_up.then(|| state.log.totals().map(|(name, total)| (name.to_string(), total)).collect())
     }
 
-    /// Writes records and runs `completion` once they are on disk, with what is on it then. The lock is held, so that the
-    /// order on disk is the order of the log.
+    /// Writes records and runs `completion` once they are on disk. The caller holds the state lock, so the order on
+    /// disk is the order of the log.
     fn write(&self, state: &mut State, records: Vec<TallyRecord>, completion: impl FnOnce(&Inner) + Send + 'static) {
         if state.unfinished_writes == 0 {
             state.disk_progress_at = clock::now();
         }
         state.unfinished_writes += 1;
-        let written: VersionVector = records.iter().filter_map(end_of).collect();
+        let written: VersionVector = records.iter().filter_map(version_after).collect();
         let inner = self.0.clone();
         self.0.disk.then(records, move || {
             inner.record_written(&written);
@@ -155,8 +157,8 @@
     }
 }
 
-/// Returns how long the log of an origin is with a record.
-fn end_of(record: &TallyRecord) -> Option<OriginVersion> {
+/// Returns the log length of a record's origin once the record is applied.
+fn version_after(record: &TallyRecord) -> Option<OriginVersion> {
     match record {
         TallyRecord::Batch(batch) => {
             Some(OriginVersion { origin: batch.origin, length: batch.start + batch.entries.len() as u64 })
@@ -164,7 +166,7 @@
         TallyRecord::Packed(batch) => {
             Some(OriginVersion { origin: batch.origin, length: batch.start + batch.digests.len() as u64 })
         }
-        // What is sealed was on disk before.
+        // Sealed entries were on disk before.
         TallyRecord::Sealed(_) | TallyRecord::Origin(_) | TallyRecord::CaughtUp => None,
     }
 }
@@ -187,9 +189,9 @@
         state.replicas.record_own(written);
         let own_length = state.own_length();
         drop(state);
-        self.own_length.send_if_modified(|known| {
-            *known != own_length && {
-                *known = own_length;
+        self.own_length.send_if_modified(|previous| {
+            *previous != own_length && {
+                *previous = own_length;
                 true
             }
         });
--- a/controller/src/tallies/replica/replica_tests.rs
+++ b/controller/src/tallies/replica/replica_tests.rs
@@ -1,4 +1,4 @@
-//! Replicas with disks in a temporary folder, and the exchange between them done by hand.
+//! Replicas on disk in a temporary folder; the tests perform the exchange between them.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -14,10 +14,10 @@
 
 use super::{AddOutcome, Refusal, TallyReplica};
 
-/// Later than the time for which no older replica must have been known before entries are sealed, in milliseconds.
+/// Longer than the time for which no older replica may have been known before entries are sealed, in ms.
 const AFTER_QUIET_MS: u64 = 3_600_000;
 
-/// How long sealing a few chunks after the other may take.
+/// Time limit for sealing all chunks, and for a stalled disk to recover.
 const SEAL_LIMIT: Duration = Duration::from_secs(20);
 
 fn settings(ip: &str, zone: &str, bootstrap: bool, memory_mb: u64) -> Settings {
@@ -26,7 +26,7 @@
          [zones]\na = \"r\"\nb = \"r\"\n[limits]\nmemory_mb = {memory_mb}\nfd_limit = 100\n[fault_tolerance]\nmachine_loss = 1\n\
          zones = 1\n[cloud_api]\naddress = \"127.0.0.1:1\"\nrate_per_s = 1.0\n"
     );
-    settings::parse(&text).expect("good settings")
+    settings::parse(&text).expect("valid settings")
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -43,17 +43,18 @@
     let random = dir.to_string_lossy().bytes().chain(ip.bytes()).map(u64::from).sum();
     let dir = dir.join(ip);
     let settings = settings(ip, zone, bootstrap, memory_mb);
-    TallyReplica::open(&settings, &dir.to_string_lossy(), random, telemetry::latency_histogram()).expect("opens")
+    TallyReplica::open(&settings, &dir.to_string_lossy(), random, telemetry::latency_histogram())
+        .expect("the replica opens")
 }
 
 fn entry(key: &str, amount: u64) -> TallyEntry {
     TallyEntry { tally: "t".into(), instance_id: key.into(), amount }
 }
 
-/// One call of a replica to another, whose response waits for its disk.
+/// Calls `to` from `from` and waits for the response, which is sent once the entries are on disk.
 fn call(from: &TallyReplica, from_ip: &str, to: &TallyReplica, to_ip: &str, lag: &mut LagTracker) {
     let (sender, answer) = mpsc::channel::<TallySynced>();
-    let respond = move |answer| sender.send(answer).expect("awaited");
+    let respond = move |answer| sender.send(answer).expect("the receiver waits");
     match from.sync_for(to_ip, true, lag) {
         Message::TallySync(sync) => {
             assert_eq!(sync.ip, from_ip);
@@ -63,13 +64,13 @@
             assert_eq!(sync.sync.ip, from_ip);
             to.receive(&sync.sync, &sync.packed, respond);
         }
-        other => panic!("{other:?}"),
+        message => panic!("{message:?}"),
     }
     from.record_answer(to_ip, answer.recv().expect("an answer"));
 }
 
-/// Waits until a replica that was started answers.
-async fn caught_up(replica: &TallyReplica) {
+/// Waits until a started replica has caught up.
+async fn wait_until_caught_up(replica: &TallyReplica) {
     while replica.total("t").is_none() {
         replica.update_caught_up();
         time::sleep(Duration::from_millis(20)).await;
@@ -77,148 +78,149 @@
 }
 
 #[tokio::test]
-async fn an_add_waits_for_another_disk_and_is_read_there() {
+async fn an_add_is_acknowledged_once_a_second_disk_has_it() {
     let dir = folder("pair");
-    let (one, other) = (open(&dir, "10.0.0.1", "a", true), open(&dir, "10.0.0.2", "b", true));
-    tokio::join!(caught_up(&one), caught_up(&other));
-    one.discover("10.0.0.2", "b");
+    let (first, second) = (open(&dir, "10.0.0.1", "a", true), open(&dir, "10.0.0.2", "b", true));
+    tokio::join!(wait_until_caught_up(&first), wait_until_caught_up(&second));
+    first.discover("10.0.0.2", "b");
     let adding = tokio::spawn({
-        let one = one.clone();
-        async move { one.add(entry("k", 4)).await }
+        let first = first.clone();
+        async move { first.add(entry("k", 4)).await }
     });
-    let mut written = one.own_length();
-    written.changed().await.expect("its disk");
-    assert!(!adding.is_finished(), "its own disk is not enough while another replica may be in reach");
+    let mut own_length = first.own_length();
+    own_length.changed().await.expect("the sender is alive");
+    assert!(!adding.is_finished(), "one disk is not enough while another replica may be reachable");
     let mut lag = LagTracker::default();
-    call(&one, "10.0.0.1", &other, "10.0.0.2", &mut lag);
-    call(&one, "10.0.0.1", &other, "10.0.0.2", &mut lag);
-    assert_eq!(adding.await.expect("ends"), AddOutcome::Acknowledged);
-    assert_eq!((one.total("t"), other.total("t")), (Some(4), Some(4)));
-    assert_eq!(one.add(entry("k", 4)).await, AddOutcome::Acknowledged, "again");
-    assert_eq!(one.total("t"), Some(4), "it counts once");
+    call(&first, "10.0.0.1", &second, "10.0.0.2", &mut lag);
+    call(&first, "10.0.0.1", &second, "10.0.0.2", &mut lag);
+    assert_eq!(adding.await.expect("the task does not panic"), AddOutcome::Acknowledged);
+    assert_eq!((first.total("t"), second.total("t")), (Some(4), Some(4)));
+    assert_eq!(first.add(entry("k", 4)).await, AddOutcome::Acknowledged, "repeated");
+    assert_eq!(first.total("t"), Some(4), "the repeated entry counts once");
     let _ = fs::remove_dir_all(dir);
 }
 
 #[tokio::test]
-async fn alone_it_goes_on_once_the_others_have_been_silent_and_a_new_start_reads_the_disk() {
+async fn a_single_replica_acknowledges_after_its_peer_timed_out_and_reads_its_log_after_a_restart() {
     let dir = folder("alone");
-    let one = open(&dir, "10.0.0.1", "a", true);
-    assert_eq!(one.add(entry("early", 1)).await, AddOutcome::Refused(Refusal::CatchingUp));
-    caught_up(&one).await;
-    one.discover("10.0.0.2", "b");
-    let begun = Instant::now();
-    assert_eq!(one.add(entry("k", 3)).await, AddOutcome::Acknowledged, "the other one has been silent by then");
-    let waited = begun.elapsed();
-    assert!(waited >= Duration::from_millis(REACH_MS - 50), "it was there a moment ago: {waited:?}");
-    assert!(waited < Duration::from_millis(1000), "its caller has not given up: {waited:?}");
-    assert_eq!(one.add(entry("l", 5)).await, AddOutcome::Acknowledged);
-    let again = open(&dir, "10.0.0.1", "a", false);
-    assert_eq!(again.total("t"), None, "it may lack what others have");
-    caught_up(&again).await;
-    assert_eq!(again.total("t"), Some(8));
+    let first = open(&dir, "10.0.0.1", "a", true);
+    assert_eq!(first.add(entry("early", 1)).await, AddOutcome::Refused(Refusal::CatchingUp));
+    wait_until_caught_up(&first).await;
+    first.discover("10.0.0.2", "b");
+    let started = Instant::now();
+    assert_eq!(first.add(entry("k", 3)).await, AddOutcome::Acknowledged, "its peer has become unreachable by then");
+    let waited = started.elapsed();
+    assert!(waited >= Duration::from_millis(REACH_MS - 50), "the peer was reachable a moment ago: {waited:?}");
+    assert!(waited < Duration::from_millis(1000), "the caller has not given up: {waited:?}");
+    assert_eq!(first.add(entry("l", 5)).await, AddOutcome::Acknowledged);
+    let reopened = open(&dir, "10.0.0.1", "a", false);
+    assert_eq!(reopened.total("t"), None, "it may lack entries of other replicas");
+    wait_until_caught_up(&reopened).await;
+    assert_eq!(reopened.total("t"), Some(8));
     let _ = fs::remove_dir_all(dir);
 }
 
 #[tokio::test]
-async fn an_add_that_a_replica_in_reach_does_not_confirm_is_not_acknowledged() {
+async fn an_add_is_unconfirmed_if_a_reachable_replica_lacks_it() {
     let dir = folder("unconfirmed");
-    let one = open(&dir, "10.0.0.1", "a", true);
-    caught_up(&one).await;
-    one.discover("10.0.0.2", "b");
+    let first = open(&dir, "10.0.0.1", "a", true);
+    wait_until_caught_up(&first).await;
+    first.discover("10.0.0.2", "b");
     let answering = tokio::spawn({
-        let one = one.clone();
+        let first = first.clone();
         async move {
             loop {
                 let empty = TallySynced { is_replica: true, caught_up: true, durable: Vec::new() };
-                one.record_answer("10.0.0.2", empty);
+                first.record_answer("10.0.0.2", empty);
                 time::sleep(Duration::from_millis(100)).await;
             }
         }
     });
-    assert_eq!(one.add(entry("k", 3)).await, AddOutcome::Unconfirmed, "it answers, and does not have it");
+    assert_eq!(first.add(entry("k", 3)).await, AddOutcome::Unconfirmed, "the peer answers but lacks the entry");
     answering.abort();
-    assert_eq!(one.total("t"), Some(3), "it may count");
-    assert_eq!(one.add(entry("k", 3)).await, AddOutcome::Acknowledged, "the other one is silent by now");
-    assert_eq!(one.total("t"), Some(3), "once");
+    assert_eq!(first.total("t"), Some(3), "the entry counts here");
+    assert_eq!(first.add(entry("k", 3)).await, AddOutcome::Acknowledged, "its peer is unreachable by now");
+    assert_eq!(first.total("t"), Some(3), "the entry counts once");
     let _ = fs::remove_dir_all(dir);
 }
 
 #[tokio::test]
-async fn one_that_lost_its_disk_answers_only_after_another_one_told_it_what_there_is() {
+async fn a_replica_with_an_empty_disk_answers_only_after_it_caught_up_with_an_informed_peer() {
     let dir = folder("lost");
-    let one = open(&dir, "10.0.0.1", "a", true);
-    caught_up(&one).await;
-    assert_eq!(one.add(entry("k", 7)).await, AddOutcome::Acknowledged);
-    let other = open(&dir, "10.0.0.2", "b", false);
+    let first = open(&dir, "10.0.0.1", "a", true);
+    wait_until_caught_up(&first).await;
+    assert_eq!(first.add(entry("k", 7)).await, AddOutcome::Acknowledged);
+    let second = open(&dir, "10.0.0.2", "b", false);
     time::sleep(Duration::from_millis(1100)).await;
-    other.update_caught_up();
-    assert_eq!(other.total("t"), None, "nobody told it anything");
-    other.discover("10.0.0.1", "a");
-    one.discover("10.0.0.2", "b");
-    let (mut forth, mut back) = (LagTracker::default(), LagTracker::default());
-    call(&one, "10.0.0.1", &other, "10.0.0.2", &mut forth);
-    call(&other, "10.0.0.2", &one, "10.0.0.1", &mut back);
-    other.update_caught_up();
-    assert_eq!(other.total("t"), None, "it knows that it lacks something");
-    call(&one, "10.0.0.1", &other, "10.0.0.2", &mut forth);
-    call(&other, "10.0.0.2", &one, "10.0.0.1", &mut back);
-    other.update_caught_up();
-    assert_eq!(other.total("t"), Some(7));
+    second.update_caught_up();
+    assert_eq!(second.total("t"), None, "no peer has answered yet");
+    second.discover("10.0.0.1", "a");
+    first.discover("10.0.0.2", "b");
+    let (mut to_second, mut to_first) = (LagTracker::default(), LagTracker::default());
+    call(&first, "10.0.0.1", &second, "10.0.0.2", &mut to_second);
+    call(&second, "10.0.0.2", &first, "10.0.0.1", &mut to_first);
+    second.update_caught_up();
+    assert_eq!(second.total("t"), None, "it has learned that it lacks entries");
+    call(&first, "10.0.0.1", &second, "10.0.0.2", &mut to_second);
+    call(&second, "10.0.0.2", &first, "10.0.0.1", &mut to_first);
+    second.update_caught_up();
+    assert_eq!(second.total("t"), Some(7));
     let _ = fs::remove_dir_all(dir);
 }
 
-/// Adds a key. A disk that other work keeps busy refuses it for a while; any other refusal, and one that lasts, is a failure.
+/// Adds a key, and retries while a busy disk refuses it. Fails on any other refusal, and if the disk stays stalled.
 async fn add_to_busy_disk(replica: &TallyReplica, key: &str) {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         match replica.begin_add(entry(key, 1)) {
             Ok(_) => return,
-            Err(Refusal::DiskStalled) if begun.elapsed() < SEAL_LIMIT => time::sleep(Duration::from_millis(20)).await,
-            Err(refusal) => panic!("{key} is refused: {refusal:?} after {:?}", begun.elapsed()),
+            Err(Refusal::DiskStalled) if started.elapsed() < SEAL_LIMIT => time::sleep(Duration::from_millis(20)).await,
+            Err(refusal) => panic!("{key} is refused: {refusal:?} after {:?}", started.elapsed()),
         }
     }
 }
 
 #[tokio::test]
-async fn beyond_its_room_it_takes_no_new_keys_and_answers_for_known_ones() {
+async fn a_full_replica_refuses_new_keys_and_acknowledges_known_ones() {
     let dir = folder("full");
-    let one = open(&dir, "10.0.0.1", "a", true);
-    caught_up(&one).await;
+    let first = open(&dir, "10.0.0.1", "a", true);
+    wait_until_caught_up(&first).await;
     let capacity = Capacity::of_machine(16, 0);
-    let mut room = 0;
-    while capacity.used_share(EntryCounts { sealed: 0, unsealed: room, tallies: usize::from(room > 0) }) < 1.0 {
-        add_to_busy_disk(&one, &format!("k{room}")).await;
-        room += 1;
+    let mut key_count = 0;
+    while capacity.used_share(EntryCounts { sealed: 0, unsealed: key_count, tallies: usize::from(key_count > 0) }) < 1.0
+    {
+        add_to_busy_disk(&first, &format!("k{key_count}")).await;
+        key_count += 1;
     }
-    assert_eq!(one.add(entry("more", 1)).await, AddOutcome::Refused(Refusal::Full));
-    assert_eq!(one.add(entry("k0", 1)).await, AddOutcome::Acknowledged);
-    assert_eq!(one.total("t"), Some(room as u128));
-    assert!(one.usage().used_share >= 1.0);
+    assert_eq!(first.add(entry("more", 1)).await, AddOutcome::Refused(Refusal::Full));
+    assert_eq!(first.add(entry("k0", 1)).await, AddOutcome::Acknowledged);
+    assert_eq!(first.total("t"), Some(key_count as u128));
+    assert!(first.usage().used_share >= 1.0);
 
-    // Sealed, the same keys take less: there is room again, and a key that is sealed still counts once.
-    one.seal_at(true, clock::now());
-    assert_eq!(one.usage().counts.sealed, 0, "an older replica is there");
-    while one.own_length().borrow().to_owned() < room as u64 {
+    // Sealed keys need less space, so there is room again; a sealed key still counts once.
+    first.seal_at(true, clock::now());
+    assert_eq!(first.usage().counts.sealed, 0, "an older replica is known");
+    while first.own_length().borrow().to_owned() < key_count as u64 {
         time::sleep(Duration::from_millis(20)).await;
     }
-    let begun = Instant::now();
-    while one.usage().counts.sealed + 1000 <= room && begun.elapsed() < SEAL_LIMIT {
-        one.seal_at(false, clock::now() + AFTER_QUIET_MS);
+    let started = Instant::now();
+    while first.usage().counts.sealed + 1000 <= key_count && started.elapsed() < SEAL_LIMIT {
+        first.seal_at(false, clock::now() + AFTER_QUIET_MS);
         time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(one.usage().counts.sealed > room - 1000, "{:?}", one.usage());
-    assert!(one.usage().used_share < 0.5, "{:?}", one.usage());
-    assert_eq!(one.add(entry("k0", 1)).await, AddOutcome::Acknowledged);
-    assert_eq!(one.add(entry("more", 1)).await, AddOutcome::Acknowledged);
-    assert_eq!(one.total("t"), Some(room as u128 + 1));
-    let again = open(&dir, "10.0.0.1", "a", false);
-    caught_up(&again).await;
-    assert_eq!(again.total("t"), Some(room as u128 + 1));
-    assert_eq!(again.usage().counts, one.usage().counts, "sealed entries are read back as such");
+    assert!(first.usage().counts.sealed > key_count - 1000, "{:?}", first.usage());
+    assert!(first.usage().used_share < 0.5, "{:?}", first.usage());
+    assert_eq!(first.add(entry("k0", 1)).await, AddOutcome::Acknowledged);
+    assert_eq!(first.add(entry("more", 1)).await, AddOutcome::Acknowledged);
+    assert_eq!(first.total("t"), Some(key_count as u128 + 1));
+    let reopened = open(&dir, "10.0.0.1", "a", false);
+    wait_until_caught_up(&reopened).await;
+    assert_eq!(reopened.total("t"), Some(key_count as u128 + 1));
+    assert_eq!(reopened.usage().counts, first.usage().counts, "sealed entries are read back as sealed");
     let _ = fs::remove_dir_all(dir);
 }
 
-/// Keys by two origins that never met, as after a cut.
+/// Adds keys directly to the log, without waiting for other replicas.
 fn fill(replica: &TallyReplica, prefix: &str, keys: usize) {
     for number in 0..keys {
         assert!(replica.begin_add(entry(&format!("{prefix}-{number:020}"), 1)).is_ok());
@@ -226,35 +228,36 @@
 }
 
 #[tokio::test]
-#[ignore = "measures the merge of 100,000 keys a side, and a start with them"]
-async fn two_sides_merge_100_000_keys_each() {
+#[ignore = "measures the merge of 100,000 keys per replica, and a start with them"]
+async fn two_replicas_merge_100_000_keys_each() {
     const KEYS: usize = 100_000;
     let dir = folder("merge");
-    let one = open_with(&dir, "10.0.0.1", "a", true, 160);
-    let other = open_with(&dir, "10.0.0.2", "b", true, 160);
-    tokio::join!(caught_up(&one), caught_up(&other));
-    fill(&one, "one", KEYS);
-    fill(&other, "other", KEYS);
-    while one.own_length().borrow().to_owned() < KEYS as u64 || other.own_length().borrow().to_owned() < KEYS as u64 {
+    let first = open_with(&dir, "10.0.0.1", "a", true, 160);
+    let second = open_with(&dir, "10.0.0.2", "b", true, 160);
+    tokio::join!(wait_until_caught_up(&first), wait_until_caught_up(&second));
+    fill(&first, "one", KEYS);
+    fill(&second, "other", KEYS);
+    while first.own_length().borrow().to_owned() < KEYS as u64 || second.own_length().borrow().to_owned() < KEYS as u64
+    {
         time::sleep(Duration::from_millis(50)).await;
     }
-    one.discover("10.0.0.2", "b");
-    other.discover("10.0.0.1", "a");
-    let (mut forth, mut back) = (LagTracker::default(), LagTracker::default());
-    let (begun, mut calls) = (Instant::now(), 0);
-    while one.total("t") != Some(2 * KEYS as u128) || other.total("t") != Some(2 * KEYS as u128) {
-        call(&one, "10.0.0.1", &other, "10.0.0.2", &mut forth);
-        call(&other, "10.0.0.2", &one, "10.0.0.1", &mut back);
+    first.discover("10.0.0.2", "b");
+    second.discover("10.0.0.1", "a");
+    let (mut to_second, mut to_first) = (LagTracker::default(), LagTracker::default());
+    let (started, mut calls) = (Instant::now(), 0);
+    while first.total("t") != Some(2 * KEYS as u128) || second.total("t") != Some(2 * KEYS as u128) {
+        call(&first, "10.0.0.1", &second, "10.0.0.2", &mut to_second);
+        call(&second, "10.0.0.2", &first, "10.0.0.1", &mut to_first);
         calls += 1;
     }
-    println!("merged in {:?}, {calls} calls each way", begun.elapsed());
-    while one.usage().counts.unsealed > 2000 {
-        one.seal_at(false, clock::now() + AFTER_QUIET_MS);
+    println!("merged in {:?}, {calls} calls each way", started.elapsed());
+    while first.usage().counts.unsealed > 2000 {
+        first.seal_at(false, clock::now() + AFTER_QUIET_MS);
         time::sleep(Duration::from_millis(20)).await;
     }
-    let begun = Instant::now();
-    let again = open_with(&dir, "10.0.0.1", "a", false, 160);
-    println!("opened with {:?} in {:?}", again.usage().counts, begun.elapsed());
-    assert_eq!(again.usage().counts.sealed + again.usage().counts.unsealed, 2 * KEYS);
+    let started = Instant::now();
+    let reopened = open_with(&dir, "10.0.0.1", "a", false, 160);
+    println!("opened with {:?} in {:?}", reopened.usage().counts, started.elapsed());
+    assert_eq!(reopened.usage().counts.sealed + reopened.usage().counts.unsealed, 2 * KEYS);
     let _ = fs::remove_dir_all(dir);
 }
--- a/controller/src/tallies/replica/room.rs
+++ b/controller/src/tallies/replica/room.rs
@@ -1,4 +1,4 @@
-//! How much a replica keeps, and when it takes no more.
+//! The capacity of a replica, and the sealing of entries, which saves memory.
 
 use kernel::{clock, log_event};
 use tally::{EntryCounts, TallyRecord};
@@ -6,35 +6,36 @@
 use super::{Inner, State, TallyReplica};
 use crate::event::{TALLIES_FILLING, TALLIES_FULL};
 
-/// From this part of the capacity on operators are warned.
-const FILLING_SHARE: f64 = 0.8;
-/// Up to this part of the own capacity a replica takes what others have accepted: they may bear more than this machine.
-const FOREIGN_SHARE: f64 = 1.2;
+/// The share of the capacity from which operators are warned.
+const WARNING_SHARE: f64 = 0.8;
+/// The share of its capacity up to which a replica takes entries that others have accepted. Their capacity may be
+/// larger than this machine's.
+const MAX_REMOTE_SHARE: f64 = 1.2;
 
-/// How many chunks are sealed at once: the process serves nothing else meanwhile.
-const MAX_CHUNKS: usize = 16;
+/// The maximum number of chunks sealed at once. Other work of the process is blocked meanwhile.
+const MAX_CHUNKS_PER_SEAL: usize = 16;
 
-/// How full a replica is, as it was last reported.
+/// The fill level of a replica, as last reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Fill {
-    /// Nothing to tell.
-    Roomy,
-    /// Nearly full.
-    Filling,
-    /// New keys are refused.
+    /// Below the warning threshold.
+    Normal,
+    /// At or above the warning threshold.
+    NearlyFull,
+    /// At or above the capacity: new keys are refused.
     Full,
 }
 
-/// How much a replica has and knows.
+/// The usage of a replica, and the replicas that it knows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TallyUsage {
-    /// Entries and tallies.
+    /// The numbers of entries and tallies.
     pub counts: EntryCounts,
-    /// The part of what this machine bears: 1 where there is no room for new keys.
+    /// The used share of this machine's capacity; from 1 on, new keys are refused.
     pub used_share: f64,
-    /// Other replicas.
+    /// The number of other known replicas.
     pub known: usize,
-    /// Those of them that answered within the last 0.85 s.
+    /// The number of known replicas that answered within the last 0.85 s.
     pub in_reach: usize,
 }
 
@@ -43,13 +44,13 @@
         self.capacity.used_share(state.log.counts())
     }
 
-    /// Returns whether there is room for a new key, and reports it where that changed.
+    /// Returns whether there is room for a new key, and logs an event if the fill level has risen.
     pub(super) fn has_room(&self, state: &mut State) -> bool {
         let share = self.used_share(state);
         let fill = match share {
-            full if full >= 1.0 => Fill::Full,
-            filling if filling >= FILLING_SHARE => Fill::Filling,
-            _ => Fill::Roomy,
+            share if share >= 1.0 => Fill::Full,
+            share if share >= WARNING_SHARE => Fill::NearlyFull,
+            _ => Fill::Normal,
         };
         if fill > state.reported_fill {
             let event = if fill == Fill::Full { TALLIES_FULL } else { TALLIES_FILLING };
@@ -59,21 +60,22 @@
         fill != Fill::Full
     }
 
-    /// Returns whether there is room for what another replica accepted.
-    pub(super) fn has_foreign_room(&self, state: &State) -> bool {
-        self.used_share(state) < FOREIGN_SHARE
+    /// Returns whether there is room for entries that another replica has accepted.
+    pub(super) fn has_room_for_remote(&self, state: &State) -> bool {
+        self.used_share(state) < MAX_REMOTE_SHARE
     }
 }
 
 impl TallyReplica {
-    /// Returns how much there is.
+    /// Returns the current usage.
     pub fn usage(&self) -> TallyUsage {
         let state = self.0.state.lock();
         let (known, in_reach) = state.replicas.counts(clock::now());
         TallyUsage { counts: state.log.counts(), used_share: self.0.used_share(&state), known, in_reach }
     }
 
-    /// Seals entries that are on disk, unless a replica is known, or was known lately, that reads keys as text only.
+    /// Seals entries that are on disk, unless a replica that does not support packed entries is known or was known
+    /// recently.
     pub fn seal(&self, has_older_replica: bool) {
         self.seal_at(has_older_replica, clock::now());
     }
@@ -86,7 +88,7 @@
         }
         let durable = state.replicas.own_durable().clone();
         let sealed: Vec<TallyRecord> =
-            state.log.seal(&durable, MAX_CHUNKS).into_iter().map(TallyRecord::Sealed).collect();
+            state.log.seal(&durable, MAX_CHUNKS_PER_SEAL).into_iter().map(TallyRecord::Sealed).collect();
         if !sealed.is_empty() {
             self.write(&mut state, sealed, |_| {});
         }
--- a/controller/src/tallies/replica/sync.rs
+++ b/controller/src/tallies/replica/sync.rs
@@ -1,4 +1,4 @@
-//! What is sent to other replicas, and what comes from them.
+//! Exchanges entries with other replicas.
 
 use kernel::clock;
 use protocol::message::Message;
@@ -8,23 +8,23 @@
 
 use super::{State, TallyReplica};
 
-/// What one message to another replica carries at most, in bytes.
+/// The maximum size of the entries in one message, in bytes.
 const MAX_SYNC_BYTES: usize = 64 * 1024;
 
 impl State {
-    /// Applies batches and returns records of what was new.
+    /// Applies batches and returns records of the new entries.
     fn apply(&mut self, batches: &[TallyBatch], packed: &[PackedBatch]) -> Vec<TallyRecord> {
         let mut records: Vec<TallyRecord> =
             batches.iter().filter_map(|batch| self.log.apply(batch)).map(TallyRecord::Batch).collect();
-        let new = packed.iter().filter_map(|batch| self.log.apply_packed(batch));
-        records.extend(new.map(|batch| TallyRecord::Packed(Box::new(batch))));
+        let new_batches = packed.iter().filter_map(|batch| self.log.apply_packed(batch));
+        records.extend(new_batches.map(|batch| TallyRecord::Packed(Box::new(batch))));
         records
     }
 }
 
 /// The exchange with other replicas.
 impl TallyReplica {
-    /// Takes what another replica sent, packed or not, and responds once it is on disk.
+    /// Receives batches, packed or not, from another replica and responds once they are on disk.
     pub fn receive(
         &self,
         sync: &TallySync,
@@ -34,33 +34,33 @@
         let now = clock::now();
         let mut state = self.0.state.lock();
         state.replicas.discover(&sync.ip, "", now);
-        let has_room = !state.is_disk_stalled(now) && self.0.has_foreign_room(&state);
-        let new = if has_room { state.apply(&sync.batches, packed) } else { Vec::new() };
-        if new.is_empty() {
+        let has_room = !state.is_disk_stalled(now) && self.0.has_room_for_remote(&state);
+        let new_records = if has_room { state.apply(&sync.batches, packed) } else { Vec::new() };
+        if new_records.is_empty() {
             drop(state);
             respond(self.0.answer());
             return;
         }
-        self.write(&mut state, new, |inner| respond(inner.answer()));
+        self.write(&mut state, new_records, |inner| respond(inner.answer()));
     }
 
-    /// Returns what another replica is to be sent, packed if it reads that and no older one is or was there lately. `lag`
-    /// follows that replica.
+    /// Returns the next message for another replica. Entries are packed if that replica supports it and no replica
+    /// without support is known or was known recently. `lag` tracks what that replica lacks.
     pub fn sync_for(&self, ip: &str, reads_packed: bool, lag: &mut LagTracker) -> Message {
         let now = clock::now();
         let state = self.0.state.lock();
         let is_packed = reads_packed && state.packing.is_open(now);
         let durable = state.replicas.own_durable();
         let (mut batches, mut packed) = (Vec::new(), Vec::new());
-        // Nothing is sent blindly: the first call asks what the other one has.
-        if let Some(known) = state.replicas.durable_at(ip) {
-            lag.observe(known, durable, now);
+        // The first call sends no entries; its response tells what the replica has.
+        if let Some(peer_durable) = state.replicas.durable_at(ip) {
+            lag.observe(peer_durable, durable, now);
             let own = state.log.own_origin();
             let is_wanted = |origin| lag.is_wanted(origin, own, now);
             if is_packed {
-                packed = state.log.missing_packed_at(known, durable, is_wanted, MAX_SYNC_BYTES);
+                packed = state.log.missing_packed_at(peer_durable, durable, is_wanted, MAX_SYNC_BYTES);
             } else {
-                batches = state.log.missing_at(known, durable, is_wanted, MAX_SYNC_BYTES);
+                batches = state.log.missing_at(peer_durable, durable, is_wanted, MAX_SYNC_BYTES);
             }
         }
         let durable = durable.iter().collect();
@@ -71,33 +71,33 @@
         }
     }
 
-    /// Notes a controller that may keep tallies, in a zone.
+    /// Records a controller in `zone` that may have a replica.
     pub fn discover(&self, ip: &str, zone: &str) {
         self.0.state.lock().replicas.discover(ip, zone, clock::now());
     }
 
-    /// Notes the zone of a replica, if it is one.
+    /// Sets the zone of a controller if it is a known replica.
     pub fn set_zone(&self, ip: &str, zone: &str) {
         self.0.state.lock().replicas.set_zone(ip, zone);
     }
 
-    /// Forgets a controller that keeps no tallies.
+    /// Removes a controller that has no replica or is no longer known.
     pub fn forget(&self, ip: &str) {
         self.0.state.lock().replicas.forget(ip);
     }
 
-    /// Notes the answer of another replica. Returns whether it has more than when it answered before.
+    /// Records the answer of another replica. Returns whether it has more entries than in its previous answer.
     pub fn record_answer(&self, ip: &str, answer: TallySynced) -> bool {
         let durable: VersionVector = answer.durable.into_iter().collect();
         let mut state = self.0.state.lock();
-        let has_advanced = state.replicas.durable_at(ip).is_none_or(|known| !known.covers(&durable));
+        let has_advanced = state.replicas.durable_at(ip).is_none_or(|peer_durable| !peer_durable.covers(&durable));
         state.replicas.record_answer(ip, durable, answer.caught_up, clock::now());
         drop(state);
         self.0.progress.notify_waiters();
         has_advanced
     }
 
-    /// Returns a receiver that is told when more of the own log is on disk.
+    /// Returns a receiver for the number of entries of the own origin that are on disk.
     pub fn own_length(&self) -> watch::Receiver<u64> {
         self.0.own_length.subscribe()
     }
--- a/controller/src/tallies/replica_directory_tests.rs
+++ b/controller/src/tallies/replica_directory_tests.rs
@@ -1,9 +1,9 @@
-//! Where callers are sent.
+//! The replica that callers are redirected to.
 
 use super::{ReplicaDirectory, EXPIRY_MS};
 
 #[test]
-fn a_replica_in_the_zone_goes_first_and_silent_ones_are_left_out() {
+fn nearest_prefers_near_replicas_and_skips_expired_ones() {
     let directory = ReplicaDirectory::default();
     assert_eq!(directory.nearest(|_| true, 0), None);
     directory.observe("10.0.0.1", 0);
