--- a/controller/src/balancing.rs
+++ b/controller/src/balancing.rs
@@ -81,13 +81,13 @@
 
 /// Starts the task that balances prefill and decode engines while this controller owns the role.
 pub fn start(controller: &Arc<Controller>) {
-    let wait = Duration::from_millis;
+    let millis = Duration::from_millis;
     let client = http_client::at_most_once(
         controller.settings.source_ip(),
-        wait(CONNECT_TIMEOUT_MS),
-        wait(UNACKNOWLEDGED_TIMEOUT_MS),
+        millis(CONNECT_TIMEOUT_MS),
+        millis(UNACKNOWLEDGED_TIMEOUT_MS),
     )
-    .timeout(wait(CALL_TIMEOUT_MS));
+    .timeout(millis(CALL_TIMEOUT_MS));
     let Ok(client) = client.build() else { return };
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -114,9 +114,9 @@
         let Some(change) = history.decide(&service, &observed, now) else { continue };
         let switch_ms = switch_ms(controller, &service);
         history.cooldown_until.insert(service, now + DRAIN_MS + switch_ms + LIST_DELAY_MS);
-        for at in change.engines {
+        for index in change.engines {
             let order =
-                PhaseOrder { engine: observed.candidates[at].engine.clone(), prefill: change.prefill, switch_ms };
+                PhaseOrder { engine: observed.candidates[index].engine.clone(), prefill: change.prefill, switch_ms };
             tokio::spawn(execute(controller.clone(), client.clone(), order));
         }
         return;
@@ -217,22 +217,22 @@
     let config = controller.committed.current_config();
     let services = config.as_ref().map(|config| config.config().service_table.as_slice());
     let spec = services.unwrap_or_default().iter().find(|item| item.name == service);
-    let wait = spec.and_then(|spec| spec.engine.as_ref()).map(|engine| engine.role_switch_s);
-    // 0 means that it is not configured.
-    wait.filter(|wait| *wait > 0.0).map_or(2000, |wait| (wait * 1000.0) as u64)
+    let switch_s = spec.and_then(|spec| spec.engine.as_ref()).map(|engine| engine.role_switch_s);
+    // 0 means that the time is not configured.
+    switch_s.filter(|seconds| *seconds > 0.0).map_or(2000, |seconds| (seconds * 1000.0) as u64)
 }
 
 /// Drains an engine and sends it an order. An order without a response may have been executed, so it is not sent again;
 /// the endpoint list will show the outcome.
 async fn execute(controller: Arc<Controller>, client: Client, order: PhaseOrder) {
     let engine = &order.engine;
-    let begun = clock::now();
-    let until = begun + DRAIN_MS + order.switch_ms + 1200;
+    let started_at = clock::now();
+    let until = started_at + DRAIN_MS + order.switch_ms + 1200;
     controller.peers.update(|view| view.reassigning.push((engine.id.clone(), until)));
     time::sleep(Duration::from_millis(DRAIN_MS)).await;
     let now = clock::now();
     // The sleep took much longer than requested, so the plan is out of date.
-    if now >= begun + 2 * DRAIN_MS {
+    if now >= started_at + 2 * DRAIN_MS {
         return;
     }
     // This controller no longer owns the role.
--- a/controller/src/balancing/usage_reports.rs
+++ b/controller/src/balancing/usage_reports.rs
@@ -49,7 +49,7 @@
     engines
 }
 
-/// Summarizes the requests in flight at this controller's routers, given by engine id.
+/// Summarizes requests in flight, given by engine id, as a usage report of this controller.
 pub fn own_usage(controller: &Controller, in_flight: &[(String, u32)]) -> EngineUsage {
     let in_flight: HashMap<&str, u32> = in_flight.iter().map(|(id, count)| (id.as_str(), *count)).collect();
     let evacuations = controller.committed.evacuations();
--- a/controller/src/balancing_tests.rs
+++ b/controller/src/balancing_tests.rs
@@ -49,20 +49,20 @@
 
 #[test]
 fn decide_requires_repeated_plans_and_respects_the_cooldown() {
-    let loaded = service([candidate("p", true, 9), candidate("d", false, 0), candidate("e", false, 0)]);
-    let idle = service([candidate("p", true, 0), candidate("q", true, 0), candidate("d", false, 9)]);
+    let prefill_loaded = service([candidate("p", true, 9), candidate("d", false, 0), candidate("e", false, 0)]);
+    let prefill_idle = service([candidate("p", true, 0), candidate("q", true, 0), candidate("d", false, 9)]);
     let mut history = LoadHistory::default();
-    let one = |at: usize, prefill: bool| Some(PhaseChange { engines: vec![at], prefill });
+    let single_change = |at: usize, prefill: bool| Some(PhaseChange { engines: vec![at], prefill });
     for _ in 1..PREFILL_CONFIRMATIONS {
-        assert_eq!(history.decide("s", &loaded, 0), None);
+        assert_eq!(history.decide("s", &prefill_loaded, 0), None);
     }
-    assert_eq!(history.decide("s", &loaded, 0), one(1, true));
+    assert_eq!(history.decide("s", &prefill_loaded, 0), single_change(1, true));
     history.cooldown_until.insert("s".into(), 100);
-    assert_eq!(history.decide("s", &loaded, 99), None);
-    assert_eq!(history.decide("s", &loaded, 100), one(1, true));
+    assert_eq!(history.decide("s", &prefill_loaded, 99), None);
+    assert_eq!(history.decide("s", &prefill_loaded, 100), single_change(1, true));
     // A plan for the other direction restarts the count.
     for _ in 1..DECODE_CONFIRMATIONS {
-        assert_eq!(history.decide("s", &idle, 200), None);
+        assert_eq!(history.decide("s", &prefill_idle, 200), None);
     }
-    assert_eq!(history.decide("s", &idle, 200), one(0, false));
+    assert_eq!(history.decide("s", &prefill_idle, 200), single_change(0, false));
 }
--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -33,11 +33,11 @@
 impl JobAttempt {
     /// Makes the attempt and removes the job from those in flight.
     pub async fn run(self) {
-        self.attempt().await;
+        self.execute().await;
         self.in_flight.lock().jobs.remove(&JobId::of(&self.dispatch));
     }
 
-    async fn attempt(&self) -> Option<()> {
+    async fn execute(&self) -> Option<()> {
         let (id, job_number) = (self.dispatch.batch_id.as_str(), self.dispatch.job);
         let batch = self.controller.committed.read(|state| records::batch(state, id))?;
         let job = batch.jobs.get(job_number)?;
--- a/controller/src/batches/runner.rs
+++ b/controller/src/batches/runner.rs
@@ -119,10 +119,10 @@
 
 /// Starts the task that runs batches while this controller owns them.
 pub fn start(controller: &Arc<Controller>) {
-    let (connect_timeout, unacknowledged) =
+    let (connect_timeout, unacknowledged_timeout) =
         (Duration::from_millis(CONNECT_TIMEOUT_MS), Duration::from_millis(IO_TIMEOUT_MS));
     let Ok(client) =
-        http_client::at_most_once(controller.settings.source_ip(), connect_timeout, unacknowledged).build()
+        http_client::at_most_once(controller.settings.source_ip(), connect_timeout, unacknowledged_timeout).build()
     else {
         return;
     };
@@ -176,7 +176,7 @@
         }
         let elapsed_ms = now.saturating_sub(mem::replace(&mut self.owner.polled_at, now));
         let open = self.open_batches(&ids, elapsed_ms).await;
-        for dispatch in self.next(&open, now) {
+        for dispatch in self.select_dispatches(&open, now) {
             self.dispatch(dispatch);
         }
     }
@@ -214,7 +214,7 @@
     }
 
     /// Returns the jobs to send now, within the concurrency limit.
-    fn next(&self, open: &[OpenBatch], now: u64) -> Vec<Dispatch> {
+    fn select_dispatches(&self, open: &[OpenBatch], now: u64) -> Vec<Dispatch> {
         let in_flight = self.in_flight.lock();
         let free = in_flight.limit.available(in_flight.jobs.len(), now);
         let views = open.iter().map(|open| BatchView {
@@ -287,18 +287,18 @@
         let is_finished = records::pages(state, id, &batch).all(|page| page.is_final());
         Some((batch, is_finished))
     })?;
-    let batch = count_down(controller, id, batch, elapsed_ms, is_finished).await?;
+    let batch = add_elapsed_time(controller, id, batch, elapsed_ms, is_finished).await?;
     let is_over = batch.cancelled || batch.remaining_ms() == 0;
     if is_over && !is_finished {
         let state = if batch.cancelled { JobState::Cancelled } else { JobState::DeadlineMissed };
-        end_waiting(controller, id, &batch, state, epoch).await;
+        finalize_waiting_jobs(controller, id, &batch, state, epoch).await;
     }
     (!is_over && !is_finished).then_some(batch)
 }
 
 /// Adds elapsed time to a batch. The time is written in steps, so that it survives a change of owner without a write
 /// per poll.
-async fn count_down(
+async fn add_elapsed_time(
     controller: &Controller,
     id: &str,
     batch: Batch,
@@ -307,7 +307,7 @@
 ) -> Option<Batch> {
     let unwritten_ms = controller.elapsed_times.add(id, elapsed_ms);
     let ends_now = batch.elapsed_ms < batch.window_ms && batch.elapsed_ms + unwritten_ms >= batch.window_ms;
-    if unwritten_ms < write_step_ms(&batch, is_finished) && !ends_now {
+    if unwritten_ms < write_interval_ms(&batch, is_finished) && !ends_now {
         return Some(batch);
     }
     let additional_ms = controller.elapsed_times.take(id);
@@ -322,7 +322,7 @@
     controller.committed.read(|state| records::batch(state, id))
 }
 
-fn write_step_ms(batch: &Batch, is_finished: bool) -> u64 {
+fn write_interval_ms(batch: &Batch, is_finished: bool) -> u64 {
     match is_finished {
         true => RETENTION_MS / ELAPSED_WRITES,
         false => (batch.window_ms / ELAPSED_WRITES).clamp(MIN_ELAPSED_WRITE_MS, MAX_ELAPSED_WRITE_MS),
@@ -330,7 +330,7 @@
 }
 
 /// Sets the final state of all jobs that are still waiting.
-async fn end_waiting(controller: &Controller, id: &str, batch: &Batch, final_state: JobState, epoch: u64) {
+async fn finalize_waiting_jobs(controller: &Controller, id: &str, batch: &Batch, final_state: JobState, epoch: u64) {
     for number in 0..batch.page_count() {
         let end = |page: &mut JobPage| {
             if page.epoch != epoch {
--- a/controller/src/discovery/list_history_tests.rs
+++ b/controller/src/discovery/list_history_tests.rs
@@ -34,7 +34,7 @@
 }
 
 fn decode_update(frame: &Bytes) -> EndpointUpdate {
-    match frame::decode_body(&frame[HEADER_BYTES..]).expect("a message") {
+    match frame::decode_body(&frame[HEADER_BYTES..]).expect("a valid frame") {
         Message::EndpointUpdate(update) => *update,
         other => panic!("{other:?}"),
     }
@@ -64,7 +64,7 @@
         for update in &updates {
             assert!(receiver.apply(update).is_some(), "version {known}");
         }
-        let mut engines = receiver.list("a").expect("a list").engines.clone();
+        let mut engines = receiver.list("a").expect("the zone has a list").engines.clone();
         engines.sort_by(|left, right| left.id.cmp(&right.id));
         assert_eq!(engines, list(last).engines, "version {known}");
     }
@@ -92,7 +92,7 @@
     let mut history = ListHistory::new(Arc::new(cold), 10_000);
     let mut cold_ms = |now| {
         let update = decode_update(&history.frames_since(None, now)[0]);
-        update.unpack().expect("readable").changed[0].cold_ms
+        update.unpack().expect("the update unpacks").changed[0].cold_ms
     };
     assert_eq!(cold_ms(10_000), 3000);
     assert_eq!(cold_ms(12_500), 500);
--- a/controller/src/discovery/listing.rs
+++ b/controller/src/discovery/listing.rs
@@ -14,7 +14,7 @@
 }
 
 #[derive(serde::Deserialize)]
-struct Item {
+struct Instance {
     instance_id: String,
     service: String,
     address: String,
@@ -38,7 +38,7 @@
 /// One page as the platform sends it.
 #[derive(serde::Deserialize)]
 pub struct Page {
-    instance_list: Vec<Item>,
+    instance_list: Vec<Instance>,
     /// The token to request the next page with; `None` or empty on the last page.
     pub next_token: Option<String>,
 }
@@ -66,30 +66,30 @@
 
     /// Adds one page. `wants_weights` tells whether to keep the weight versions.
     pub fn add(&mut self, page: Page, wants_weights: bool) {
-        for item in page.instance_list.iter().filter(|_| wants_weights) {
-            let models = item.model_list.iter();
+        for instance in page.instance_list.iter().filter(|_| wants_weights) {
+            let models = instance.model_list.iter();
             self.weights.extend(models.map(|model| EngineWeights {
-                engine: item.instance_id.clone(),
+                engine: instance.instance_id.clone(),
                 model: model.name.clone(),
                 version: model.revision,
             }));
         }
-        self.engines.extend(page.instance_list.into_iter().map(engine));
+        self.engines.extend(page.instance_list.into_iter().map(listed_engine));
         self.pages += 1;
     }
 }
 
-fn engine(item: Item) -> ListedEngine {
+fn listed_engine(instance: Instance) -> ListedEngine {
     let engine = Engine {
-        id: item.instance_id,
-        service: item.service,
-        addr: item.address,
-        zone: item.zone,
-        phase: item.phase,
-        model: item.model_list.into_iter().next().map(|model| model.name).unwrap_or_default(),
-        slots: item.slot_count,
-        up: item.oper_state == "up",
-        cold_ms: item.ramp_left_ms.clamp(0.0, 1e9).ceil() as u32,
+        id: instance.instance_id,
+        service: instance.service,
+        addr: instance.address,
+        zone: instance.zone,
+        phase: instance.phase,
+        model: instance.model_list.into_iter().next().map(|model| model.name).unwrap_or_default(),
+        slots: instance.slot_count,
+        up: instance.oper_state == "up",
+        cold_ms: instance.ramp_left_ms.clamp(0.0, 1e9).ceil() as u32,
     };
-    ListedEngine { engine, version: item.revision }
+    ListedEngine { engine, version: instance.revision }
 }
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -79,11 +79,11 @@
 }
 
 /// Returns whether a step with the time limit `allowed_ms` took so long that the process must have been suspended.
-fn stalled(begun: u64, allowed_ms: u64, now: u64) -> bool {
-    now > begun + allowed_ms + STALL_TOLERANCE_MS
+fn stalled(started_at: u64, allowed_ms: u64, now: u64) -> bool {
+    now > started_at + allowed_ms + STALL_TOLERANCE_MS
 }
 
-/// Polls the list of each zone while this controller is its poller, for as long as the process runs.
+/// Starts a task per zone that polls the zone's list while this controller is its poller.
 pub fn start(controller: &Arc<Controller>) {
     let client = http_client::reads(controller.settings.source_ip(), Duration::from_millis(700))
         .timeout(Duration::from_millis(CALL_TIMEOUT_MS));
@@ -207,7 +207,7 @@
 
 /// Fetches one page. Returns `Ok(None)` if the call was refused because of the shared rate limit.
 async fn fetch_page(client: &Client, url: &str) -> Result<Option<Page>, PollError> {
-    let begun = clock::now();
+    let started_at = clock::now();
     let reply = client.get(url).send().await.map_err(|_| PollError::Unreachable)?;
     if reply.status() == StatusCode::TOO_MANY_REQUESTS {
         return Ok(None);
@@ -217,16 +217,16 @@
     }
     let body = reply.bytes().await.map_err(|_| PollError::Unreachable)?;
     let page = serde_json::from_slice(&body).map_err(|_| PollError::Refused)?;
-    match stalled(begun, CALL_TIMEOUT_MS, clock::now()) {
+    match stalled(started_at, CALL_TIMEOUT_MS, clock::now()) {
         true => Err(PollError::Stalled),
         false => Ok(Some(page)),
     }
 }
 
 async fn pause_between_calls(wait_ms: u64) -> Result<(), PollError> {
-    let begun = clock::now();
+    let started_at = clock::now();
     time::sleep(Duration::from_millis(wait_ms)).await;
-    match stalled(begun, wait_ms, clock::now()) {
+    match stalled(started_at, wait_ms, clock::now()) {
         true => Err(PollError::Stalled),
         false => Ok(()),
     }
--- a/controller/src/discovery/version_lists.rs
+++ b/controller/src/discovery/version_lists.rs
@@ -74,7 +74,8 @@
         let mut by_service: BTreeMap<&str, BTreeMap<&str, usize>> = BTreeMap::new();
         for listed in list.iter().filter(|listed| listed.engine.up) {
             let versions = by_service.entry(&listed.engine.service).or_default();
-            // Warm engines were there before those that have just started, so they outweigh any number of cold ones.
+            // Warm engines were there before cold ones, which have just started, so each counts as much as 1000 cold
+            // ones.
             *versions.entry(&listed.version).or_default() += if listed.engine.cold_ms == 0 { 1000 } else { 1 };
         }
         for (service, versions) in by_service {
--- a/controller/src/metering/completeness.rs
+++ b/controller/src/metering/completeness.rs
@@ -24,7 +24,7 @@
     None,
 }
 
-/// Returns how many controllers lack a complete reply, and whether all replies of a zone are missing.
+/// Returns how many controllers have no complete reply, and whether a zone is missing.
 ///
 /// A zone is missing if none of its controllers replied. A core member that was never seen may belong to any zone
 /// without a reply: an owner that was started while a zone was partitioned knows that zone only from the settings.
--- a/controller/src/metering/exporter.rs
+++ b/controller/src/metering/exporter.rs
@@ -128,8 +128,8 @@
                     "age_ms" => age_ms);
             }
         }
-        let first = self.schedule.first_collected(time_ms);
-        self.empty.retain(|window| *window >= first);
+        let first_collected = self.schedule.first_collected(time_ms);
+        self.empty.retain(|window| *window >= first_collected);
     }
 
     /// Reports the oldest agreed window to the platform.
@@ -181,7 +181,7 @@
     let own = controller.metering.select(windows);
     own.routers.iter().for_each(|report| tables.merge(report, current));
     let mut calls = JoinSet::new();
-    for expected in expected(controller) {
+    for expected in expected_controllers(controller) {
         let (client, windows) = (controller.peers.client(&expected.ip), windows.to_vec());
         calls.spawn(async move {
             let query = Message::MeteringQuery(Box::new(MeteringQuery { windows }));
@@ -214,7 +214,7 @@
 }
 
 /// Returns the other controllers that were seen recently, and the core members that were never seen.
-fn expected(controller: &Controller) -> Vec<ExpectedController> {
+fn expected_controllers(controller: &Controller) -> Vec<ExpectedController> {
     let now = clock::now();
     let core = controller.replica.membership();
     controller.peers.read(|view| {
--- a/controller/src/metering/relay.rs
+++ b/controller/src/metering/relay.rs
@@ -1,5 +1,5 @@
-//! Copies the reports of routers to other controllers. Without copies, the counts of a router that has stopped would be
-//! lost with its home controller.
+//! Copies the reports of routers to other controllers. Without copies, the counts of a router that has stopped and
+//! cannot report again would be lost with its home controller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,8 +69,8 @@
     if owner != own_ip {
         return metering_peers.iter().find(|ip| *ip == owner).cloned();
     }
-    let following = metering_peers.iter().find(|ip| ip.as_str() > own_ip);
-    following.or(metering_peers.first()).cloned()
+    let next_peer = metering_peers.iter().find(|ip| ip.as_str() > own_ip);
+    next_peer.or(metering_peers.first()).cloned()
 }
 
 /// The outcome of sending copies.
@@ -103,14 +103,14 @@
     let current = window_at(metering.time_ms(), metering.window_ms());
     let windows: Vec<u64> = (current.saturating_sub(HANDED_OVER_WINDOWS)..=current).collect();
     let tables = metering.select(&windows);
-    let end = Instant::now() + Duration::from_secs_f64(controller.settings.bounds.grace_s * HAND_OVER_SHARE);
-    while !tables.routers.is_empty() && Instant::now() < end && !hand_to_all(controller, &tables).await {
+    let deadline = Instant::now() + Duration::from_secs_f64(controller.settings.bounds.grace_s * HAND_OVER_SHARE);
+    while !tables.routers.is_empty() && Instant::now() < deadline && !send_to_all(controller, &tables).await {
         time::sleep(HAND_OVER_PAUSE).await;
     }
 }
 
 /// Sends the tables to all other controllers. Returns whether one of them keeps them, or there is none.
-async fn hand_to_all(controller: &Arc<Controller>, tables: &MeteringTables) -> bool {
+async fn send_to_all(controller: &Arc<Controller>, tables: &MeteringTables) -> bool {
     let metering_peers = metering_peers(controller);
     if metering_peers.is_empty() {
         return true;
--- a/controller/src/rollout/staleness_limits.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -114,9 +114,9 @@
             "latest: found {latest}, older than the current one; use a rollback and give its reason"
         )));
     }
-    let next = stored.cloned().unwrap_or_default();
+    let previous = stored.cloned().unwrap_or_default();
     let (version, routes) = (next_version(stored), routes.to_vec());
-    Ok(Some(StalenessLimit { version, latest, lag, routes, removed: false, ..next }))
+    Ok(Some(StalenessLimit { version, latest, lag, routes, removed: false, ..previous }))
 }
 
 fn raise(stored: Option<&StalenessLimit>, latest: u64) -> Result<Option<StalenessLimit>, ApiError> {
@@ -152,7 +152,7 @@
 
 /// Returns the error for a service and model without a limit.
 pub fn no_limit() -> ApiError {
-    ApiError::not_found("no rule for this service and model")
+    ApiError::not_found("no staleness limit for this service and model")
 }
 
 fn parse_json(text: &str) -> Result<Value, ApiError> {
@@ -162,8 +162,7 @@
 /// Returns a required non-negative integer.
 fn number(value: &Value, name: &str) -> Result<u64, ApiError> {
     let number = value[name].as_u64();
-    number
-        .ok_or_else(|| ApiError::bad_request(format!("{name}: found {}, must be a non-negative integer", value[name])))
+    number.ok_or_else(|| ApiError::bad_request(format!("{name}: found {}, must be a whole number from 0", value[name])))
 }
 
 /// Parses a limit. `base` is the limit version that it is based on; `config` provides the known services, models and
--- a/controller/src/tallies/replica/adds.rs
+++ b/controller/src/tallies/replica/adds.rs
@@ -46,7 +46,7 @@
             Ok(dot) => dot,
             Err(refusal) => return AddOutcome::Refused(refusal),
         };
-        let is_durable = async {
+        let until_durable = async {
             loop {
                 let progress = self.0.progress.notified();
                 if self.is_durable(dot) {
@@ -55,7 +55,7 @@
                 let _ = time::timeout(REACH_POLL, progress).await;
             }
         };
-        match time::timeout(Duration::from_millis(ADD_TIMEOUT_MS), is_durable).await {
+        match time::timeout(Duration::from_millis(ADD_TIMEOUT_MS), until_durable).await {
             Ok(()) => AddOutcome::Acknowledged,
             Err(_) => AddOutcome::Unconfirmed,
         }
--- a/controller/src/tallies/replica/mod.rs
+++ b/controller/src/tallies/replica/mod.rs
@@ -85,7 +85,7 @@
 
 impl TallyReplica {
     /// Opens the replica in the data folder. On an empty disk it takes its origin from `random`, and if the settings
-    /// request a bootstrap, it starts without anything to catch up with.
+    /// mark the first start of the whole system (`bootstrap`), it has nothing to catch up with.
     ///
     /// # Errors
     ///
@@ -141,8 +141,8 @@
         state.caught_up.then(|| state.log.totals().map(|(name, total)| (name.to_string(), total)).collect())
     }
 
-    /// Writes records and runs `completion` once they are on disk. The caller holds the state lock, so the order on
-    /// disk is the order of the log.
+    /// Writes records. Once they are on disk, marks their versions as durable and runs `completion`. The caller holds
+    /// the state lock, so the order on disk is the order of the log.
     fn write(&self, state: &mut State, records: Vec<TallyRecord>, completion: impl FnOnce(&Inner) + Send + 'static) {
         if state.unfinished_writes == 0 {
             state.disk_progress_at = clock::now();
--- a/controller/src/tallies/replica/room.rs
+++ b/controller/src/tallies/replica/room.rs
@@ -1,4 +1,4 @@
-//! The capacity of a replica, and the sealing of entries, which saves memory.
+//! The capacity of a replica, and the sealing of entries, which reduces their size.
 
 use kernel::{clock, log_event};
 use tally::{EntryCounts, TallyRecord};
