--- a/controller/src/discovery/list_repairs.rs
+++ b/controller/src/discovery/list_repairs.rs
@@ -10,7 +10,7 @@
 use kernel::hashing;
 
 /// The number of controllers that send lists after the first heartbeat that shows a peer behind.
-const FIRST_REPAIRERS: u32 = 2;
+const INITIAL_REPAIRERS: u32 = 2;
 /// The number of doublings after which it no longer grows; all controllers send by then.
 const MAX_DOUBLINGS: u32 = 16;
 
@@ -30,7 +30,7 @@
     /// lists. `live` lists the live controllers, with or without `own` and the peer.
     pub fn record_behind(&mut self, own: &str, peer: &str, live: &[String]) -> bool {
         let heartbeats = self.behind.entry(peer.into()).or_default();
-        let repairers = FIRST_REPAIRERS << (*heartbeats).min(MAX_DOUBLINGS);
+        let repairers = INITIAL_REPAIRERS << (*heartbeats).min(MAX_DOUBLINGS);
         *heartbeats = heartbeats.saturating_add(1);
         rank(own, peer, live) < repairers
     }
--- a/controller/src/discovery/list_repairs_tests.rs
+++ b/controller/src/discovery/list_repairs_tests.rs
@@ -1,6 +1,6 @@
 //! Which controllers send a peer the lists that it lacks.
 
-use super::{ListRepairs, FIRST_REPAIRERS};
+use super::{ListRepairs, INITIAL_REPAIRERS};
 
 const CONTROLLERS: u32 = 24;
 
@@ -18,7 +18,7 @@
         repairs.iter_mut().zip(&all).map(should_send).filter(|sends| *sends).count()
     };
     let counts: Vec<usize> = (0..5).map(|_| repairers_after_heartbeat()).collect();
-    assert_eq!(counts, [FIRST_REPAIRERS as usize, 4, 8, 16, CONTROLLERS as usize]);
+    assert_eq!(counts, [INITIAL_REPAIRERS as usize, 4, 8, 16, CONTROLLERS as usize]);
 }
 
 #[test]
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -96,14 +96,14 @@
 async fn run(controller: Arc<Controller>, client: Client, zone: String) {
     let (mut term, mut polls) = (0, 0u32);
     let mut pages = 1;
-    let mut wait = 0;
+    let mut wait_ms = 0;
     loop {
-        time::sleep(Duration::from_millis(wait)).await;
-        wait = poll_interval_ms(&controller.settings, pages);
+        time::sleep(Duration::from_millis(wait_ms)).await;
+        wait_ms = poll_interval_ms(&controller.settings, pages);
         let now = clock::now();
         let poller = controller.peers.read(|view| view.poller(&zone, now));
         if poller != controller.own_ip() || now < STARTUP_DELAY_MS {
-            wait = wait.min(STARTUP_DELAY_MS);
+            wait_ms = wait_ms.min(STARTUP_DELAY_MS);
             continue;
         }
         // Weight versions are read and sent only if there are staleness limits.
@@ -114,7 +114,7 @@
         controller.metrics.platform_polls.get_or_create(&PollLabels { result }).inc();
         let Ok(listing) = outcome else {
             // The known list stays in force, and the next poll is delayed.
-            wait = wait * 3 / 2;
+            wait_ms = wait_ms * 3 / 2;
             continue;
         };
         pages = listing.pages;
@@ -179,7 +179,7 @@
     let mut listing = Listing::new(known);
     let mut token: Option<String> = None;
     let mut refusals = 0;
-    let gap_ms = (1000.0 / controller.settings.cloud_api.rate_per_s) as u64;
+    let call_interval_ms = (1000.0 / controller.settings.cloud_api.rate_per_s) as u64;
     loop {
         let Some(page) = fetch_page(client, &url(controller, zone, token.as_deref())).await? else {
             // Over the shared rate limit: requests the same page again and keeps the pages read so far.
@@ -187,7 +187,7 @@
             if refusals > MAX_REFUSALS {
                 return Err(PollError::Refused);
             }
-            pause_between_calls(gap_ms * u64::from(refusals) * 2).await?;
+            pause_between_calls(call_interval_ms * u64::from(refusals) * 2).await?;
             continue;
         };
         token = page.next_token.clone().filter(|token| !token.is_empty());
@@ -195,7 +195,7 @@
         if token.is_none() || listing.pages >= MAX_PAGES {
             return Ok(listing);
         }
-        pause_between_calls(gap_ms).await?;
+        pause_between_calls(call_interval_ms).await?;
     }
 }
 
--- a/controller/src/metering/exporter.rs
+++ b/controller/src/metering/exporter.rs
@@ -32,8 +32,9 @@
 const QUERY_TIMEOUT_MS: u64 = 600;
 /// Timeout of one change to the register, in ms.
 const COMMIT_TIMEOUT_MS: u64 = 1000;
-/// Initial and maximum backoff after a failed call to the platform, in ms.
+/// Initial backoff after a failed call to the platform, in ms.
 const INITIAL_BACKOFF_MS: u64 = 300;
+/// Maximum backoff after a failed call to the platform, in ms.
 const MAX_BACKOFF_MS: u64 = 4000;
 const MS_PER_S: f64 = 1000.0;
 
