--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -103,8 +103,7 @@
     let Ok(frame) = encoded.map(Bytes::from) else { return };
     for ip in controller.known_peers() {
         let client = controller.peers.client(&ip);
-        // What grows with routers goes to the one controller that reads it, and nothing that is sent grows with
-        // engines.
+        // What grows with routers goes to the one controller that reads it, and nothing that is sent grows with engines.
         let is_balancer = balancer.as_ref() == Some(&ip);
         let is_batch_owner = batch_owner.as_ref() == Some(&ip);
         let reads_usage = controller.peers.protocol_version(&ip) >= ENGINE_USAGE;
