--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -1,9 +1,9 @@
-//! The one state of the process, put together from the states of its parts. It is passed by reference; nothing else is
-//! global.
+//! The state of the controller process, composed of the states of its components. It is passed by reference; the process
+//! has no other global state.
 //!
-//! Lock order, for the few places that hold two: a key's ownership, the acceptor, the committed state, the acquired roles, the
-//! membership view, the endpoint lists, the weight versions, the subscribers, the catalog, the quota shards. No lock but an
-//! ownership is held over an await.
+//! Lock order, for the few places that hold two locks: ownership of a key, acceptor, committed state, acquired roles,
+//! membership view, endpoint lists, weight versions, subscribers, catalog, quota shards. Only the ownership lock may be
+//! held across an await.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 use crate::config::execution;
 use crate::delivery::subscribers::Subscribers;
 use crate::discovery::engine_directory::EngineDirectory;
-use crate::event::{LEARNED, UNREADABLE};
+use crate::event::{ENTRY_LEARNED, ENTRY_UNREADABLE};
 use crate::metering::Metering;
 use crate::metrics::Metrics;
 use crate::peers::directory::Peers;
@@ -39,59 +39,59 @@
 use crate::shutdown::Shutdown;
 use crate::tallies::Tallies;
 
-/// The parts of this process. Each keeps its own state behind its own lock.
+/// The components of the controller. Each keeps its state behind its own lock.
 pub struct Controller {
-    /// What the settings file says.
+    /// The contents of the settings file.
     pub settings: Settings,
-    /// Differs between two runs of this daemon.
+    /// Identifies this run of the process: two runs never share it.
     pub incarnation: u64,
     /// Identifies this incarnation in proposal numbers.
     pub replica_id: u64,
-    /// The acceptor and its disk.
+    /// The acceptor of this controller and its disk.
     pub replica: Replica,
-    /// What is known to be committed.
+    /// The newest committed state that is known here.
     pub committed: SharedCommittedState,
-    /// Which keys this controller owns as a proposer.
+    /// The keys that this controller owns as a proposer.
     pub ownerships: Ownerships,
     /// The other controllers.
     pub peers: Peers,
     /// The engines of the fleet.
     pub engines: EngineDirectory,
-    /// The routers that renew their leases here.
+    /// The routers that renew their leases with this controller.
     pub subscribers: Subscribers,
-    /// Loads of engines, as the other controllers report them.
+    /// Engine loads reported by the other controllers.
     pub usage_reports: UsageReports,
     /// The prefix catalog.
     pub catalog: PrefixCatalog,
-    /// The singleton roles acquired here.
+    /// The singleton roles that this controller has acquired.
     pub acquired_roles: AcquiredRoles,
-    /// Time spent on batches that is not yet written.
+    /// Time spent on batches that has not been committed yet.
     pub elapsed_times: ElapsedTimes,
-    /// Analyses of new versions under rollout.
+    /// Analyses of the versions that are being rolled out.
     pub rollout_analyses: RolloutAnalyses,
-    /// Shards of tenants' quotas.
+    /// The shards of tenant quotas that are held here.
     pub quotas: QuotaShards,
-    /// Counts of requests that routers report.
+    /// Request counts reported by routers.
     pub metering: Metering,
-    /// Tallies, or the way to them.
+    /// The replica of the tallies, or the directory of the replicas on other controllers.
     pub tallies: Tallies,
-    /// The process is about to end.
+    /// Whether the process is shutting down.
     pub shutting_down: AtomicBool,
-    /// The work that is finished before the process ends.
+    /// Tracks the work that must finish before the process exits.
     pub shutdown: Shutdown,
-    /// What is counted.
+    /// The metrics of this process.
     pub metrics: Metrics,
 }
 
-/// A controller counts as live for so long after its last heartbeat.
+/// How long a controller counts as live after its last heartbeat, in milliseconds.
 pub const LIVENESS_TIMEOUT_MS: u64 = 1100;
-/// The pause between two heartbeats.
+/// The interval between heartbeats, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 350;
-/// How long the committed state counts as confirmed after the beginning of the read that confirmed it.
+/// How long the committed state stays confirmed, counted from the start of the read that confirmed it, in milliseconds.
 pub const CONFIRMATION_TTL_MS: u64 = 1100;
-/// How long a router's lease lasts after each renewal.
+/// How long a router's lease lasts after a renewal, in milliseconds.
 pub const ROUTER_LEASE_MS: u64 = 1600;
-/// Longer bodies are not sent again to controllers that have them.
+/// Unchanged bodies above this size are not sent again to controllers that already have them.
 const LONG_BODY_BYTES: usize = 1024;
 
 impl Controller {
@@ -100,12 +100,12 @@
         &self.settings.ip
     }
 
-    /// Returns whether the process is about to end.
+    /// Returns whether the process is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Returns the other controllers that are known: members of the core, seeds, and whoever sent a heartbeat.
+    /// Returns the addresses of all other known controllers: seeds, core members, and senders of heartbeats.
     pub fn known_peers(&self) -> Vec<String> {
         let mut list = self.settings.seed_ips();
         list.extend(self.replica.membership().members.into_iter().map(|member| member.ip));
@@ -116,12 +116,12 @@
         list
     }
 
-    /// Sends a message without a response to all controllers that are known.
+    /// Sends a notification, which has no response, to all known controllers.
     pub fn notify_peers(&self, message: &Message) {
         self.notify_each(message, |ip| self.peers.client(ip));
     }
 
-    /// Sends `current` to all controllers that read messages of a version, and `legacy` to the others that are known.
+    /// Sends `current` to the known controllers that support protocol `version`, and `legacy` to the others.
     pub fn notify_peers_since(&self, version: u64, current: &Message, legacy: &Message) {
         let encode = |message| frame::encode(Kind::Notification, 0, message).map(Bytes::from);
         let (Ok(current), Ok(legacy)) = (encode(current), encode(legacy)) else { return };
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Sends a message, encoded once, to all controllers that are known.
+    /// Encodes a notification once and sends it to all known controllers.
     fn notify_each(&self, message: &Message, client: impl Fn(&str) -> Arc<PeerClient>) {
         let Ok(frame) = frame::encode(Kind::Notification, 0, message).map(Bytes::from) else { return };
         for ip in self.known_peers() {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes over a committed entry, and sends subscribers what is new to them. With `announce` it also goes to the other
+    /// Applies a committed entry and pushes updates to subscribers. With `announce`, a new entry is also sent to the other
     /// controllers.
     pub fn learn(&self, key: &str, entry: &Entry, announce: bool) {
         let is_new = self.learn_entry(key, entry, None);
@@ -149,25 +149,25 @@
         }
     }
 
-    /// Takes over a committed configuration that was read already.
+    /// Applies a committed configuration that is already parsed.
     pub fn learn_config(&self, entry: &Entry, config: Arc<ConfigDocument>) {
         self.learn_entry(CONFIG_KEY, entry, Some(config));
     }
 
-    /// Returns false where this entry, or a newer one, was known.
+    /// Applies a committed entry. Returns `false` if this entry or a newer one was already known.
     fn learn_entry(&self, key: &str, entry: &Entry, config: Option<Arc<ConfigDocument>>) -> bool {
         match self.committed.learn(key, entry, config) {
             Learned::AlreadyKnown => return false,
             Learned::Unreadable { error, first } => {
                 if first {
-                    log_event!(UNREADABLE, "key" => key, "turn" => entry.proposal_number.term, "step" => entry.index,
+                    log_event!(ENTRY_UNREADABLE, "key" => key, "turn" => entry.proposal_number.term, "step" => entry.index,
                         "error" => error.to_string());
                 }
                 return true;
             }
             Learned::Recommitted => {}
             Learned::New { revision } => {
-                log_event!(LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
+                log_event!(ENTRY_LEARNED, "key" => key, "revision" => revision, "turn" => entry.proposal_number.term,
                     "step" => entry.index);
             }
         }
@@ -180,15 +180,15 @@
         true
     }
 
-    /// Changes a key and announces the committed entry. `decide` sees what is committed and says what to do; it may be asked
-    /// again, and an answer without a write is only given on what a quorum was just seen to hold.
+    /// Changes a key and announces the committed entry. `decide` gets the committed body and returns what to do; it may be
+    /// called more than once. It is answered without a write only on a body that a quorum was just seen to hold.
     pub async fn change<T>(
         &self,
         key: &str,
-        wait_ms: u64,
+        timeout_ms: u64,
         decide: impl FnMut(&[u8]) -> Decision<T>,
     ) -> ChangeOutcome<T> {
-        let CompletedChange { answer, ownership, written } = self.change_unannounced(key, wait_ms, decide).await?;
+        let CompletedChange { answer, ownership, written } = self.change_unannounced(key, timeout_ms, decide).await?;
         if !written && ownership.entry.body.len() > LONG_BODY_BYTES {
             execution::publish_unchanged(self, key, &ownership.entry);
         } else if !ownership.is_blank() {
@@ -197,15 +197,15 @@
         Some(answer)
     }
 
-    /// Returns the form of the configuration's body that the members of the core and all live controllers read.
+    /// Returns the newest format of the configuration's body that all core members and all live controllers can read.
     pub fn body_format(&self) -> BodyFormat {
         let now = clock::now();
         let core = self.replica.membership();
         self.peers.read(|view| {
-            let reads = |ip: &str| view.controllers.get(ip).map_or(0, |peer| peer.protocol_version);
+            let version = |ip: &str| view.controllers.get(ip).map_or(0, |peer| peer.protocol_version);
             let members = core.members.iter().map(|member| member.ip.as_str()).filter(|ip| *ip != self.own_ip());
             let live = view.controllers.keys().map(String::as_str).filter(|ip| view.is_live(ip, now));
-            BodyFormat::for_readers(members.chain(live).map(reads))
+            BodyFormat::for_readers(members.chain(live).map(version))
         })
     }
 }
--- a/controller/src/discovery/poller.rs
+++ b/controller/src/discovery/poller.rs
@@ -16,7 +16,7 @@
 use crate::delivery::limit_confirmations;
 use crate::discovery::listing::{Listing, Page};
 use crate::discovery::version_lists;
-use crate::event::LIST;
+use crate::event::ENDPOINT_LIST_CHANGED;
 use crate::metrics::{PollLabels, PollOutcome};
 use crate::{http_client, roles};
 
@@ -233,7 +233,7 @@
 }
 
 fn publish(controller: &Controller, list: EndpointList) {
-    kernel::log_event!(LIST, "zone" => list.zone.clone(), "turn" => list.term, "count" => list.sequence,
+    kernel::log_event!(ENDPOINT_LIST_CHANGED, "zone" => list.zone.clone(), "turn" => list.term, "count" => list.sequence,
         "up" => list.engines.iter().filter(|engine| engine.up).count(), "all" => list.engines.len(),
         "prefill" => list.engines.iter().filter(|engine| engine.up && engine.phase == "prefill").count());
     controller.catalog.remove_draining(&list);
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the control plane.
+//! The control-plane daemon.
 
 use std::process;
 
--- a/controller/src/metering/exporter.rs
+++ b/controller/src/metering/exporter.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 use crate::controller::Controller;
-use crate::event::{USAGE_AGREED, USAGE_REFUSED, USAGE_TOLD};
+use crate::event::{USAGE_ACKNOWLEDGED, USAGE_AGREED, USAGE_REFUSED};
 use crate::metering::completeness::{self, ExpectedController, Reply};
 use crate::metering::platform::{Holder, Platform, TellError};
 use crate::replication::committed_state::CommittedState;
@@ -146,7 +146,7 @@
             Ok(()) => {
                 self.retry = Retry::default();
                 change(&self.controller, |state| state.with_told(window.window)).await;
-                log_event!(USAGE_TOLD, "window" => window.window, "tenants" => window.counts.len(), "epoch" => epoch);
+                log_event!(USAGE_ACKNOWLEDGED, "window" => window.window, "tenants" => window.counts.len(), "epoch" => epoch);
             }
             Err(error) => {
                 self.retry.fail(clock::now());
--- a/controller/src/peers/address_announcements_tests.rs
+++ b/controller/src/peers/address_announcements_tests.rs
@@ -1,22 +1,30 @@
-//! When addresses go out.
+//! Which heartbeats carry addresses.
 
-use super::{AddressAnnouncements, INTERVAL, REPEATED};
+use super::{AddressAnnouncements, INTERVAL, REPEATS_AFTER_CHANGE};
 
-fn due_of(announcements: &mut AddressAnnouncements, addresses: &[String], heartbeats: u32) -> u32 {
+fn count_due(announcements: &mut AddressAnnouncements, addresses: &[String], heartbeats: u32) -> u32 {
     (0..heartbeats).filter(|_| announcements.is_due(addresses)).count() as u32
 }
 
 #[test]
-fn a_change_goes_out_several_times_and_what_is_unchanged_now_and_then() {
+fn addresses_are_due_repeatedly_after_a_change_and_periodically_otherwise() {
     let (one, two) = (["10.0.0.1".to_string()], ["10.0.0.1".to_string(), "10.0.0.2".to_string()]);
     let mut announcements = AddressAnnouncements::default();
-    assert_eq!(due_of(&mut announcements, &one, REPEATED), REPEATED);
-    assert_eq!(due_of(&mut announcements, &one, 10 * INTERVAL), 10);
-    assert_eq!(due_of(&mut announcements, &two, REPEATED), REPEATED, "somebody new is made known at once");
-    assert_eq!(due_of(&mut announcements, &one, REPEATED), REPEATED, "and so is that somebody is gone");
+    assert_eq!(count_due(&mut announcements, &one, REPEATS_AFTER_CHANGE), REPEATS_AFTER_CHANGE);
+    assert_eq!(count_due(&mut announcements, &one, 10 * INTERVAL), 10);
+    assert_eq!(
+        count_due(&mut announcements, &two, REPEATS_AFTER_CHANGE),
+        REPEATS_AFTER_CHANGE,
+        "an added address is announced at once"
+    );
+    assert_eq!(
+        count_due(&mut announcements, &one, REPEATS_AFTER_CHANGE),
+        REPEATS_AFTER_CHANGE,
+        "a removed address is announced at once"
+    );
 }
 
 #[test]
-fn a_controller_alone_announces_that_too() {
-    assert_eq!(due_of(&mut AddressAnnouncements::default(), &[], 3), 3);
+fn an_empty_list_of_addresses_is_due_after_a_start() {
+    assert_eq!(count_due(&mut AddressAnnouncements::default(), &[], 3), 3);
 }
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Messages from peers and routers: each is handed to the part that it concerns.
+//! Dispatches messages from peers and routers to the components that handle them.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::quota_shards;
 use crate::rollout::sample_relay::record_samples;
 
-/// Handles one message that came over a connection, and responds where the message wants a response.
+/// Handles one message from a connection, and sends a response if the message expects one.
 pub fn dispatch(controller: &Arc<Controller>, responder: Responder, id: u64, message: Message) {
     let now = clock::now();
     let respond = |response: Message| {
@@ -70,17 +70,17 @@
     }
 }
 
-/// Responds once the entries are on disk.
+/// Hands tally entries to the replica, and responds once they are on disk.
 fn receive_tallies(controller: &Controller, responder: Responder, id: u64, sync: &TallySync, packed: &[PackedBatch]) {
     controller.tallies.receive(sync, packed, clock::now(), move |answer| {
         responder.reply(id, &Message::TallySynced(Box::new(answer)));
     });
 }
 
-/// The reason that is given for a message that no controller handles.
+/// The reason code for a message of a kind that controllers do not handle.
 const UNKNOWN_MESSAGE: u16 = 1;
 
-/// Handles a message without a response. Returns false where it is of no kind that controllers handle.
+/// Handles a message that expects no response. Returns `false` if controllers do not handle its kind.
 fn handle_notification(controller: &Arc<Controller>, message: Message, now: u64) -> bool {
     match message {
         Message::Gossip(gossip) => gossip::receive(controller, &gossip),
@@ -114,7 +114,7 @@
     true
 }
 
-/// Carries out an operator's request that another controller relayed, in a task of its own.
+/// Executes an operator request that another controller relayed, in a separate task.
 fn execute_relayed(controller: &Arc<Controller>, responder: Responder, id: u64, request: OperatorRequest) {
     let controller = controller.clone();
     tokio::spawn(async move {
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between controllers: who is alive, and which endpoint lists each has.
+//! Heartbeats between controllers: which of them are alive, and which endpoint lists each of them has.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::replication::confirmer;
 use crate::roles::{self, BALANCE, BATCH};
 
-/// Takes over a heartbeat of another controller, and sends it the endpoint lists that it lacks.
+/// Processes a heartbeat from another controller, and sends back the endpoint lists that it lacks.
 pub fn receive(controller: &Controller, gossip: &Gossip) {
     if gossip.ip == controller.own_ip() {
         return;
@@ -36,7 +36,7 @@
     repair_lists(controller, gossip, now);
 }
 
-/// Sends a peer the endpoint lists that its heartbeat shows it to lack, if that falls to this controller.
+/// Sends a peer the endpoint lists that it lacks according to its heartbeat, if this controller is the one to repair them.
 fn repair_lists(controller: &Controller, gossip: &Gossip, now: u64) {
     let outdated = controller.engines.update(|lists| {
         lists.observe_terms(&gossip.observed_list_versions);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns the sender of a heartbeat as the membership view keeps it.
+/// Converts a heartbeat to the membership view's entry for its sender.
 fn peer_of(gossip: &Gossip, now: u64) -> Peer {
     Peer {
         zone: gossip.zone.clone(),
@@ -76,7 +76,7 @@
     }
 }
 
-/// Sends heartbeats and confirms the committed state, for as long as the process runs.
+/// Starts the task that sends heartbeats and confirms the committed state. It runs until the process ends.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -92,7 +92,7 @@
     });
 }
 
-/// Sends a heartbeat to all controllers that are known.
+/// Sends a heartbeat to all known controllers.
 pub fn broadcast(controller: &Controller) {
     let now = clock::now();
     let own = controller.peers.update(|view| OwnReport::collect(view, now));
@@ -103,7 +103,8 @@
     let Ok(frame) = encoded.map(Bytes::from) else { return };
     for ip in controller.known_peers() {
         let client = controller.peers.client(&ip);
-        // What grows with routers goes to the one controller that reads it, and nothing that is sent grows with engines.
+        // Data that grows with the number of routers is sent only to the controller that reads it, and nothing grows with the
+        // number of engines.
         let is_balancer = balancer.as_ref() == Some(&ip);
         let is_batch_owner = batch_owner.as_ref() == Some(&ip);
         let reads_usage = controller.peers.protocol_version(&ip) >= ENGINE_USAGE;
@@ -125,7 +126,7 @@
     }
 }
 
-/// What this controller reports of its peers, routers and engines, as of one moment.
+/// A consistent snapshot of this controller's peers, routers and engines, for its heartbeat.
 struct OwnReport {
     live_peers: Vec<String>,
     router_count: u32,
@@ -135,7 +136,7 @@
 }
 
 impl OwnReport {
-    /// Forgets what has expired and reports the rest.
+    /// Removes expired entries from the view and reports the rest.
     fn collect(view: &mut MembershipView, now: u64) -> OwnReport {
         view.remove_expired(now);
         OwnReport {
@@ -148,7 +149,7 @@
     }
 }
 
-/// Returns the part of a heartbeat that all controllers get.
+/// Returns the part of a heartbeat that is the same for all controllers.
 fn heartbeat(controller: &Controller, own: &OwnReport, now: u64) -> Gossip {
     let (mut list_versions, observed_list_versions) =
         controller.engines.read(|lists| (lists.versions(), lists.observed_terms()));
@@ -174,7 +175,7 @@
     }
 }
 
-/// Returns whether this controller may be made a member: a counted machine, or any where none has a disk.
+/// Returns whether this controller may become a core member: its settings allow it, and its acceptor may vote.
 fn is_eligible(controller: &Controller) -> bool {
     controller.settings.quorum_member && controller.replica.may_vote()
 }
--- a/controller/src/peers/mod.rs
+++ b/controller/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other controllers: heartbeats, pauses of the own process, and dispatch of their messages.
+//! The other controllers: heartbeats, dispatch of their messages, and detection of pauses of this process.
 
 mod address_announcements;
 pub mod directory;
--- a/controller/src/peers/network.rs
+++ b/controller/src/peers/network.rs
@@ -1,4 +1,4 @@
-//! What a part needs that talks to other controllers, without the rest of the process.
+//! The interface through which a component talks to other controllers, independent of the rest of the process.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 
 /// The other controllers, and the connections to them.
 pub trait PeerNetwork: Send + Sync + 'static {
-    /// Returns the addresses of all controllers that are known, but for the own one.
+    /// Returns the addresses of all known controllers except this one.
     fn known_peers(&self) -> Vec<String>;
 
-    /// Returns the newest protocol version that a controller reads, 0 if it was never heard.
+    /// Returns the newest protocol version that a controller supports, 0 if it is unknown.
     fn protocol_version(&self, ip: &str) -> u64;
 
-    /// Returns the zone of a controller, empty if it is not known.
+    /// Returns the zone of a controller, empty if it is unknown.
     fn zone_of(&self, ip: &str) -> String;
 
-    /// Returns the connection that is kept for consensus and replication, dialled at the first use.
+    /// Returns the connection to a controller for consensus and replication, dialled on first use.
     fn consensus_client(&self, ip: &str) -> Arc<PeerClient>;
 }
--- a/controller/src/peers/pause.rs
+++ b/controller/src/peers/pause.rs
@@ -1,5 +1,5 @@
-//! Notices that the whole process stood still, as when it is frozen and thawed or its machine sleeps. What
-//! waited in its sockets meanwhile is as old as the pause.
+//! Detects pauses of the whole process, as when it is stopped and continued or its machine is suspended. Requests that waited
+//! in its sockets meanwhile may be as old as the pause.
 
 use std::sync::Arc;
 
@@ -7,14 +7,16 @@
 
 use crate::controller::Controller;
 
-/// After a pause from this length on, a request in a socket may long have been given up by its sender.
-const PAUSE_MS: u64 = 1000;
-/// For so long after the process goes on, requests count as stale.
+/// The shortest gap between ticks that counts as a pause, in milliseconds. After it, the sender of a request that waited in a
+/// socket may have given up.
+const MIN_PAUSE_MS: u64 = 1000;
+/// How long requests count as stale after the process resumes, in milliseconds.
 const STALE_AFTER_PAUSE_MS: u64 = 500;
 
+/// The interval between ticks, in milliseconds.
 const TICK_MS: u64 = 250;
 
-/// Records ticks in a task of its own: one that also does other work would stall with it.
+/// Starts the task that records ticks. It does nothing else, so that no other work can delay the ticks.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -26,7 +28,8 @@
     });
 }
 
-/// Times of the steady clock. Invariant: `resumed` is the time of the first tick after the last pause.
+/// Detects pauses from gaps between ticks, in milliseconds of the steady clock. Invariant: `resumed` is the time of the first
+/// tick after the last pause.
 #[derive(Debug, Default)]
 pub struct PauseMonitor {
     last_tick: u64,
@@ -34,7 +37,7 @@
 }
 
 impl PauseMonitor {
-    /// Records that the process runs. To be called more often than `PAUSE_MS`.
+    /// Records that the process is running. To be called at intervals well below `MIN_PAUSE_MS`.
     pub fn record_tick(&mut self, now: u64) {
         if self.is_paused(now) {
             self.resumed = Some(now);
@@ -48,7 +51,7 @@
     }
 
     fn is_paused(&self, now: u64) -> bool {
-        now > self.last_tick + PAUSE_MS
+        now > self.last_tick + MIN_PAUSE_MS
     }
 }
 
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -1,4 +1,4 @@
-//! What the keys of the control state hold, and how it is read from what was committed.
+//! The committed control state: the values of its keys, decoded from the committed entries.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,31 +14,31 @@
 use crate::config::history::{ConfigHistory, RevisionNotNewer};
 use crate::controller::CONFIRMATION_TTL_MS;
 
-/// What the key of a zone's evacuation holds. The stored bytes depend on the order of the fields.
+/// The value of a zone's evacuation key. The stored bytes depend on the order of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EvacuationRecord {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
     /// Whether the zone is being evacuated.
     pub evacuated: bool,
 }
 
-/// What the key of a singleton role holds. The stored bytes depend on the order of the fields.
+/// The value of a singleton role's key. The stored bytes depend on the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RoleState {
-    /// The fencing token: rises with each acquisition.
+    /// The fencing token, which increases with each acquisition.
     pub epoch: u64,
-    /// The address of the controller that owns the role; empty: nobody yet.
+    /// The address of the controller that owns the role, empty if nobody has owned it yet.
     pub owner: String,
-    /// The owner has waited until no earlier owner can still act, and declared so before its first act.
+    /// Whether the owner has waited until no earlier owner can act any more. It declares so before its first action.
     pub predecessor_expired: bool,
 }
 
 /// The key of the configuration.
 pub const CONFIG_KEY: &str = "config";
-/// The keys of evacuations, with the zone behind it.
+/// The prefix of evacuation keys; the zone follows.
 pub const EVACUATION_PREFIX: &str = "evacuation/";
-/// The keys of singleton roles.
+/// The prefix of the keys of singleton roles.
 pub const ROLE_PREFIX: &str = "duty/";
 
 kernel::impl_archive_bytes!(EvacuationRecord);
@@ -46,12 +46,12 @@
 
 pub use consensus::{decode_membership, encode_membership};
 
-/// Implements `open`, which reads the value in a body.
+/// Implements `open`, which decodes the body of an entry.
 macro_rules! open {
     ($kind:ty) => {
         impl $kind {
-            /// Returns the value in a body, the default one where the body is empty. None: the body is of another form, which
-            /// is never taken for an empty one.
+            /// Decodes a body. An empty body is the default value. Returns `None` for a body of an unknown format, which must
+            /// not be taken for an empty one.
             pub fn open(body: &[u8]) -> Option<Self> {
                 match body.is_empty() {
                     true => Some(Self::default()),
@@ -65,75 +65,78 @@
 open!(EvacuationRecord);
 open!(RoleState);
 
-/// Why a committed entry cannot be taken for what a key holds.
+/// The reason why a committed entry cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// The body is of no form that this version knows.
+    /// The body has a format that this version does not support.
     Body,
     /// The text of the configuration is not valid.
     Text(ConfigError),
-    /// The body declares another revision than its text.
+    /// The revision in the body differs from the one in the configuration's text.
     Revision {
         /// The revision in the body.
         declared: u64,
         /// The revision in the text.
         found: u64,
     },
-    /// It would lead back from what is known.
+    /// The revision is not newer than the one in force.
     NotNewer(RevisionNotNewer),
 }
 
 impl fmt::Display for Unreadable {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unreadable::Body => out.write_str("a body of an unknown form"),
+            Unreadable::Body => out.write_str("unknown body format"),
             Unreadable::Text(error) => error.fmt(out),
             Unreadable::Revision { declared, found } => {
-                write!(out, "revision: {declared} in the record, {found} in the text")
+                write!(out, "revision mismatch: {declared} in the body, {found} in the text")
+            }
+            Unreadable::NotNewer(error) => {
+                write!(out, "revision {} is not newer than the known revision {}", error.found, error.current)
             }
-            Unreadable::NotNewer(order) => write!(out, "revision: found {}, {} is known", order.found, order.current),
         }
     }
 }
 
-/// What became of a committed entry.
+/// The result of learning a committed entry.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Learned {
-    /// It, or a newer one, was known.
+    /// This entry or a newer one was already known.
     AlreadyKnown,
-    /// The same body, committed again.
+    /// The body is unchanged; it was committed again at a newer position.
     Recommitted,
-    /// It is known from now on.
+    /// The entry is new and was applied.
     New {
         /// The revision of the configuration in force.
         revision: u64,
     },
-    /// It is not known here: what the key known before is, and its position stays behind. `first`: not reported before.
+    /// The entry could not be applied. The key keeps its previous value and position.
     Unreadable {
-        /// Why.
+        /// The reason.
         error: Unreadable,
-        /// Whether this was not reported before.
+        /// Whether this entry is reported for the first time.
         first: bool,
     },
 }
 
-/// What is known to be committed. Invariant: the position of an entry never goes back.
+/// The committed state as far as this controller knows it. Invariant: the position of an entry never goes back.
 #[derive(Default)]
 pub struct CommittedState {
-    /// The newest committed entry that is known of each key.
+    /// The newest known committed entry of each key.
     pub entries: BTreeMap<String, Entry>,
-    /// When the read began that last confirmed these at a majority; None before the first.
+    /// When the read began that last confirmed these entries at a quorum, in milliseconds of the steady clock. `None` before
+    /// the first confirmation.
     pub confirmed_at: Option<u64>,
     /// The highest term seen in any proposal number.
     pub highest_term: u64,
-    /// The configuration in the entry of its key, as a value and as routers take it.
+    /// The configuration of the `config` entry, parsed, with the updates that are sent to routers.
     pub history: ConfigHistory,
-    /// The position of a committed entry that could not be read: it is not known here, so nothing newer than what it was
-    /// committed on top of counts as confirmed.
+    /// The position of the last committed entry that could not be read. Its key stays at the previous entry, so the state does
+    /// not count as confirmed until a newer entry can be read.
     pub unreadable: Option<Position>,
-    /// The evacuations by zone, ended ones too.
+    /// The evacuations by zone, including ended ones.
     pub evacuations: BTreeMap<String, EvacuationRecord>,
-    /// Limits on stale weights, removed ones too: their versions must not start anew.
+    /// The staleness limits by key. Removed ones are kept, since their versions must not start over.
     pub staleness_limits: BTreeMap<String, StalenessLimit>,
     /// The newest rollout of each service.
     pub version_rollouts: BTreeMap<String, VersionRollout>,
@@ -142,36 +145,37 @@
 }
 
 impl CommittedState {
-    /// Returns whether the last confirmation still counts.
+    /// Returns whether the last confirmation is still valid at `now`.
     pub fn is_confirmed(&self, now: u64) -> bool {
         self.confirmed_at.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
-    /// Takes over an entry that is committed. `read` is the configuration in it, where that was read already.
-    pub fn learn(&mut self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
+    /// Applies a committed entry if it is newer than the known one. `parsed` is the configuration in it, if it is already
+    /// parsed.
+    pub fn learn(&mut self, key: &str, entry: &Entry, parsed: Option<Arc<ConfigDocument>>) -> Learned {
         self.highest_term = self.highest_term.max(entry.proposal_number.term);
         let known = self.entries.get(key);
         if known.is_some_and(|known| known.position() >= entry.position()) {
             return Learned::AlreadyKnown;
         }
-        let same = known.is_some_and(|known| known.body == entry.body);
-        if !same {
-            if let Err(error) = self.apply(key, &entry.body, read) {
+        let unchanged = known.is_some_and(|known| known.body == entry.body);
+        if !unchanged {
+            if let Err(error) = self.apply(key, &entry.body, parsed) {
                 let position = Some(entry.position());
                 let first = mem::replace(&mut self.unreadable, position) != position;
                 return Learned::Unreadable { error, first };
             }
         }
         self.entries.insert(key.into(), entry.clone());
-        match same {
+        match unchanged {
             true => Learned::Recommitted,
             false => Learned::New { revision: self.history.revision() },
         }
     }
 
-    fn apply(&mut self, key: &str, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
+    fn apply(&mut self, key: &str, body: &[u8], parsed: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if key == CONFIG_KEY {
-            return self.apply_config(body, read);
+            return self.apply_config(body, parsed);
         }
         if let Some(zone) = key.strip_prefix(EVACUATION_PREFIX) {
             let evacuation = EvacuationRecord::open(body).ok_or(Unreadable::Body)?;
@@ -195,25 +199,25 @@
         Ok(())
     }
 
-    fn apply_config(&mut self, body: &[u8], read: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
+    fn apply_config(&mut self, body: &[u8], parsed: Option<Arc<ConfigDocument>>) -> Result<(), Unreadable> {
         if body.is_empty() && self.history.revision() == 0 {
             return Ok(());
         }
-        let config = match read {
-            Some(read) => read,
+        let config = match parsed {
+            Some(parsed) => parsed,
             None => Arc::new(read_config(body)?),
         };
         self.history.advance(config).map_err(Unreadable::NotNewer)
     }
 }
 
-/// Reads a committed configuration.
+/// Decodes and parses the body of a committed configuration.
 fn read_config(body: &[u8]) -> Result<ConfigDocument, Unreadable> {
-    let known = StoredConfig::decode(body).ok_or(Unreadable::Body)?;
-    let checked = ConfigDocument::parse_committed(&known.text).map_err(Unreadable::Text)?;
-    match checked.revision() == known.revision {
-        true => Ok(checked),
-        false => Err(Unreadable::Revision { declared: known.revision, found: checked.revision() }),
+    let stored = StoredConfig::decode(body).ok_or(Unreadable::Body)?;
+    let config = ConfigDocument::parse_committed(&stored.text).map_err(Unreadable::Text)?;
+    match config.revision() == stored.revision {
+        true => Ok(config),
+        false => Err(Unreadable::Revision { declared: stored.revision, found: config.revision() }),
     }
 }
 
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -1,5 +1,5 @@
-//! What is learned of committed entries: a configuration and its history are one value, and what cannot be read is not
-//! known.
+//! Learning committed entries: a configuration and its history always agree, and an entry that cannot be read changes
+//! nothing.
 
 use kernel::hashing;
 use std::sync::Arc;
@@ -24,111 +24,124 @@
     .to_string()
 }
 
-fn held(revision: u64, text: String) -> StoredConfig {
+fn stored(revision: u64, text: String) -> StoredConfig {
     StoredConfig { revision, text, ..StoredConfig::default() }
 }
 
 fn body(revision: u64) -> Vec<u8> {
-    held(revision, text(revision, 5)).encode(BodyFormat::Digested)
+    stored(revision, text(revision, 5)).encode(BodyFormat::Digested)
 }
 
-fn entry(term: u64, step: u64, body: Vec<u8>) -> Entry {
-    Entry { proposal_number: ProposalNumber { term, replica_id: 1 }, index: step, body }
+fn entry(term: u64, entry_index: u64, body: Vec<u8>) -> Entry {
+    Entry { proposal_number: ProposalNumber { term, replica_id: 1 }, index: entry_index, body }
 }
 
-fn place(state: &CommittedState, key: &str) -> Option<(u64, u64)> {
+fn position(state: &CommittedState, key: &str) -> Option<(u64, u64)> {
     state.entries.get(key).map(|entry| (entry.proposal_number.term, entry.index))
 }
 
-/// What the state says of the configuration, which must be one thing: entry, text, value and frames.
-fn in_force(state: &mut CommittedState) -> u64 {
+/// Returns the revision in force, and checks that the entry, the text, the parsed value and the frames for routers agree on
+/// it.
+fn consistent_revision(state: &mut CommittedState) -> u64 {
     let revision = state.history.revision();
     let body = state.entries.get(CONFIG_KEY).map_or(Vec::new(), |entry| entry.body.clone());
-    let held = StoredConfig::decode(&body).expect("only what is read is known");
-    assert_eq!(held.revision, revision);
+    let stored = StoredConfig::decode(&body).expect("a known entry can be decoded");
+    assert_eq!(stored.revision, revision);
     if let Some(current) = state.history.current() {
-        assert_eq!((current.text(), current.revision()), (held.text.as_str(), revision));
+        assert_eq!((current.text(), current.revision()), (stored.text.as_str(), revision));
     }
-    let mut has = 0;
+    let mut sent = 0;
     let mut last = 0;
-    assert!(state.history.send_missing(PROTOCOL_VERSION, &mut has, |frame| {
+    assert!(state.history.send_missing(PROTOCOL_VERSION, &mut sent, |frame| {
         let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
             return false;
         };
-        last = ConfigUpdate::decode(&packed).expect("a change").to;
+        last = ConfigUpdate::decode(&packed).expect("a configuration update").to;
         true
     }));
-    assert_eq!((has, last), (revision, revision), "routers get what the entry holds");
+    assert_eq!((sent, last), (revision, revision), "routers get the configuration of the entry");
     revision
 }
 
 #[test]
-fn what_is_committed_is_known_by_its_place() {
+fn learn_ignores_entries_at_older_positions() {
     let mut state = CommittedState::default();
     assert_eq!(state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None), Learned::New { revision: 3 });
     assert_eq!(state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None), Learned::AlreadyKnown);
     assert_eq!(
         state.learn(CONFIG_KEY, &entry(2, 0, body(3)), None),
         Learned::Recommitted,
-        "committed again by a new owner"
+        "the same body committed again by a new owner"
     );
     assert_eq!(
         state.learn(CONFIG_KEY, &entry(1, 9, body(4)), None),
         Learned::AlreadyKnown,
-        "late, from an owner before"
+        "a late entry of an earlier owner"
     );
-    assert_eq!(in_force(&mut state), 3);
+    assert_eq!(consistent_revision(&mut state), 3);
     assert_eq!(state.learn(CONFIG_KEY, &entry(2, 1, body(8)), None), Learned::New { revision: 8 });
-    assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY), state.highest_term), (8, Some((2, 1)), 2));
+    assert_eq!(
+        (consistent_revision(&mut state), position(&state, CONFIG_KEY), state.highest_term),
+        (8, Some((2, 1)), 2)
+    );
 }
 
-/// The same configuration in another form: the entry moves on, the configuration in force is the same.
+/// The same configuration committed in another body format advances the position and leaves the configuration in force.
 #[test]
-fn a_body_in_another_form_leads_nowhere_else() {
+fn learn_keeps_the_configuration_when_only_the_body_format_changes() {
     let mut state = CommittedState::default();
-    for (term, form) in [(1, BodyFormat::Plain), (2, BodyFormat::Compressed), (3, BodyFormat::Digested)] {
-        let body = held(3, text(3, 5)).encode(form);
+    for (term, format) in [(1, BodyFormat::Plain), (2, BodyFormat::Compressed), (3, BodyFormat::Digested)] {
+        let body = stored(3, text(3, 5)).encode(format);
         state.learn(CONFIG_KEY, &entry(term, 0, body), None);
-        assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((term, 0))));
+        assert_eq!((consistent_revision(&mut state), position(&state, CONFIG_KEY)), (3, Some((term, 0))));
     }
 }
 
-/// The revision was taken once, and the controller went on as sure, while routers got the old configuration.
+/// Guards against a fault in which the revision of an unreadable entry was adopted: the controller counted as confirmed while
+/// routers kept the old configuration.
 #[test]
-fn what_cannot_be_read_is_not_known_and_changes_nothing() {
-    let broken = [
-        (b"of another form".to_vec(), Unreadable::Body),
-        (held(8, text(9, 5)).encode(BodyFormat::Digested), Unreadable::Revision { declared: 8, found: 9 }),
+fn learn_rejects_an_unreadable_configuration_and_keeps_the_previous_one() {
+    let invalid_bodies = [
+        (b"of another format".to_vec(), Unreadable::Body),
+        (stored(8, text(9, 5)).encode(BodyFormat::Digested), Unreadable::Revision { declared: 8, found: 9 }),
         (
-            held(2, text(2, 5)).encode(BodyFormat::Digested),
+            stored(2, text(2, 5)).encode(BodyFormat::Digested),
             Unreadable::NotNewer(RevisionNotNewer { current: 3, found: 2 }),
         ),
         (
-            held(3, text(3, 6)).encode(BodyFormat::Digested),
+            stored(3, text(3, 6)).encode(BodyFormat::Digested),
             Unreadable::NotNewer(RevisionNotNewer { current: 3, found: 3 }),
         ),
     ];
-    for (bytes, error) in broken {
+    for (bytes, error) in invalid_bodies {
         let mut state = CommittedState::default();
         state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None);
         let unreadable_entry = entry(5, 0, bytes);
         let unreadable = |first| Learned::Unreadable { error: error.clone(), first };
         assert_eq!(state.learn(CONFIG_KEY, &unreadable_entry, None), unreadable(true));
-        assert_eq!(state.learn(CONFIG_KEY, &unreadable_entry, None), unreadable(false), "told once");
-        assert_eq!((in_force(&mut state), place(&state, CONFIG_KEY)), (3, Some((1, 0))), "its place stays behind");
-        assert_eq!(state.learn(CONFIG_KEY, &entry(6, 0, body(9)), None), Learned::New { revision: 9 }, "and is mended");
-        assert_eq!(in_force(&mut state), 9);
+        assert_eq!(state.learn(CONFIG_KEY, &unreadable_entry, None), unreadable(false), "reported once");
+        assert_eq!(
+            (consistent_revision(&mut state), position(&state, CONFIG_KEY)),
+            (3, Some((1, 0))),
+            "the key keeps its position"
+        );
+        assert_eq!(
+            state.learn(CONFIG_KEY, &entry(6, 0, body(9)), None),
+            Learned::New { revision: 9 },
+            "a newer readable entry is applied"
+        );
+        assert_eq!(consistent_revision(&mut state), 9);
     }
     for text in ["", "{", "[]", "{\"revision\":true}", "{\"revision\":8,\"route_table\":3}"] {
-        let invalid_body = held(8, text.into()).encode(BodyFormat::Plain);
+        let invalid_body = stored(8, text.into()).encode(BodyFormat::Plain);
         assert!(matches!(read_config(&invalid_body), Err(Unreadable::Text(_))), "{text}");
     }
 }
 
-/// A confirmation reads places at a quorum; while one cannot be read it must stay open. The controller's own loop does what this
-/// one does.
+/// A confirmation reads the positions at a quorum. While the newest entry of a key cannot be read, the key must stay stale, so
+/// that the state is not confirmed. The confirmer takes the same steps as this test.
 #[test]
-fn a_controller_behind_something_unreadable_stays_behind() {
+fn a_key_with_an_unreadable_entry_stays_stale_until_a_readable_one_is_learned() {
     let core = CoreMembership {
         version: 1,
         members: vec![Member { ip: "a".into(), zone: String::new() }],
@@ -137,62 +150,63 @@
     };
     let mut state = CommittedState::default();
     state.learn(CONFIG_KEY, &entry(1, 0, body(3)), None);
-    let behind = |state: &CommittedState, entry: &Entry| {
+    let stale_count = |state: &CommittedState, entry: &Entry| {
         let mut confirmation = Confirmation::new(&core);
         confirmation.record("a", vec![KeyPosition { key: CONFIG_KEY.into(), position: entry.position() }]);
         assert!(confirmation.is_quorum());
         confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
-    let unreadable_entry = entry(2, 1, b"of another form".to_vec());
-    assert_eq!(behind(&state, &unreadable_entry), 1);
+    let unreadable_entry = entry(2, 1, b"of another format".to_vec());
+    assert_eq!(stale_count(&state, &unreadable_entry), 1);
     state.learn(CONFIG_KEY, &unreadable_entry, None);
-    assert_eq!(behind(&state, &unreadable_entry), 1, "still");
-    let good = entry(2, 2, body(4));
-    state.learn(CONFIG_KEY, &good, None);
-    assert_eq!((behind(&state, &unreadable_entry), behind(&state, &good)), (0, 0));
+    assert_eq!(stale_count(&state, &unreadable_entry), 1, "the key stays stale");
+    let readable_entry = entry(2, 2, body(4));
+    state.learn(CONFIG_KEY, &readable_entry, None);
+    assert_eq!((stale_count(&state, &unreadable_entry), stale_count(&state, &readable_entry)), (0, 0));
 }
 
 #[test]
-fn other_keys_are_not_taken_for_empty_either() {
+fn learn_does_not_take_an_unreadable_body_for_an_empty_one() {
     let mut state = CommittedState::default();
     let zone = format!("{EVACUATION_PREFIX}z");
-    let closed = EvacuationRecord { version: 4, evacuated: true }.to_bytes();
-    state.learn(&zone, &entry(1, 0, closed), None);
+    let evacuated = EvacuationRecord { version: 4, evacuated: true }.to_bytes();
+    state.learn(&zone, &entry(1, 0, evacuated), None);
     for key in [zone.as_str(), &format!("{ROLE_PREFIX}x"), &format!("{}s/m", STALENESS_LIMIT_PREFIX), MEMBERSHIP_KEY] {
-        let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
+        let learned = state.learn(key, &entry(2, 0, b"of another format".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
-        assert_ne!(place(&state, key), Some((2, 0)));
+        assert_ne!(position(&state, key), Some((2, 0)));
     }
     assert_eq!(
         state.evacuations.get("z"),
         Some(&EvacuationRecord { version: 4, evacuated: true }),
-        "the evacuation goes on"
+        "the evacuation stays in force"
     );
 }
 
-/// Whatever comes in whatever order, late, twice, broken: the configuration never goes back, and entry, text, value and
-/// frames never disagree.
+/// Entries that arrive in any order, late, repeated or unreadable never lower the revision, and the entry, the text, the parsed
+/// value and the frames always agree.
 #[test]
-fn entries_in_any_order_never_lead_back() {
+fn learn_never_lowers_the_revision_whatever_the_order_of_entries() {
     for seed in 0..200 {
         let mut random = Rng::new(hashing::combine(seed, 9));
-        // Two histories never exist under one key; late and repeated entries of one do.
-        let chain: Vec<Entry> = (1..=40u64).map(|at| entry(1 + at / 7, at % 7, body(2 * at))).collect();
+        // A key has a single history, whose entries may arrive late or repeatedly.
+        let history: Vec<Entry> =
+            (1..=40u64).map(|number| entry(1 + number / 7, number % 7, body(2 * number))).collect();
         let mut state = CommittedState::default();
         let mut newest = 0;
         for _ in 0..120 {
-            let pick = &chain[random.below(chain.len() as u64) as usize];
+            let pick = &history[random.below(history.len() as u64) as usize];
             match random.below(8) {
                 0 => drop(state.learn(CONFIG_KEY, &entry(pick.proposal_number.term, pick.index, vec![1, 2, 3]), None)),
-                // An owner's own change, read already.
+                // An owner learns its own change, which is already parsed.
                 1 => {
-                    let read = Arc::new(read_config(&pick.body).expect("good"));
-                    state.learn(CONFIG_KEY, pick, Some(read));
+                    let parsed = Arc::new(read_config(&pick.body).expect("a valid configuration"));
+                    state.learn(CONFIG_KEY, pick, Some(parsed));
                 }
                 _ => drop(state.learn(CONFIG_KEY, pick, None)),
             }
-            let revision = in_force(&mut state);
-            assert!(revision >= newest, "seed {seed}: from {newest} back to {revision}");
+            let revision = consistent_revision(&mut state);
+            assert!(revision >= newest, "seed {seed}: the revision went from {newest} back to {revision}");
             newest = revision;
         }
     }
--- a/controller/src/replication/disk_tests.rs
+++ b/controller/src/replication/disk_tests.rs
@@ -4,55 +4,65 @@
 use consensus::{Acceptor, LogRecord};
 use protocol::message::{CoreMembership, ProposalNumber, RegisterState};
 
-use super::{newest, open, Disk};
+use super::{latest_per_key, open, Disk};
 
-fn slot(key: &str, term: u64) -> LogRecord {
+fn register(key: &str, term: u64) -> LogRecord {
     let proposal_number = ProposalNumber { term, replica_id: 1 };
     LogRecord::Register(RegisterState { key: key.into(), prepared: proposal_number, entry: None })
 }
 
-fn core(version: u64) -> LogRecord {
+fn membership(version: u64) -> LogRecord {
     LogRecord::Membership(CoreMembership { version, ..Default::default() })
 }
 
-fn folded(records: &[LogRecord]) -> Vec<LogRecord> {
-    let mut voter = Acceptor::new("10.0.0.1");
-    records.iter().for_each(|record| voter.replay(record.clone()));
-    voter.snapshot()
+fn replayed(records: &[LogRecord]) -> Vec<LogRecord> {
+    let mut acceptor = Acceptor::new("10.0.0.1");
+    records.iter().for_each(|record| acceptor.replay(record.clone()));
+    acceptor.snapshot()
 }
 
 #[test]
-fn of_one_write_the_last_of_each_key_counts_and_the_leave_to_vote_goes_last() {
-    let records = vec![slot("a", 1), core(1), LogRecord::VotingEnabled, slot("b", 2), slot("a", 3), core(2)];
-    let kept = newest(records.clone());
-    assert_eq!(kept, [slot("b", 2), slot("a", 3), core(2), LogRecord::VotingEnabled]);
-    assert_eq!(folded(&kept), folded(&records));
+fn coalescing_keeps_the_last_record_of_each_key_and_puts_the_permission_to_vote_last() {
+    let records = vec![
+        register("a", 1),
+        membership(1),
+        LogRecord::VotingEnabled,
+        register("b", 2),
+        register("a", 3),
+        membership(2),
+    ];
+    let kept = latest_per_key(records.clone());
+    assert_eq!(kept, [register("b", 2), register("a", 3), membership(2), LogRecord::VotingEnabled]);
+    assert_eq!(replayed(&kept), replayed(&records));
 }
 
 #[test]
-fn hundreds_of_waiting_changes_of_one_key_are_one_record() {
-    let records: Vec<LogRecord> = (1..500).map(|term| slot("config", term)).collect();
-    assert_eq!(newest(records), [slot("config", 499)]);
+fn coalescing_reduces_many_changes_of_one_key_to_one_record() {
+    let records: Vec<LogRecord> = (1..500).map(|term| register("config", term)).collect();
+    assert_eq!(latest_per_key(records), [register("config", 499)]);
 }
 
 #[test]
-fn what_was_completed_is_found_when_the_store_is_opened_again() {
+fn reopened_store_holds_all_completed_writes() {
     let path = env::temp_dir().join(format!("tidepoint-disk-{}", process::id()));
     let _ = fs::remove_dir_all(&path);
-    let blank = || Acceptor::new("10.0.0.1");
-    let opened = open(&path, blank).expect("opens");
+    let initial_state = || Acceptor::new("10.0.0.1");
+    let opened = open(&path, initial_state).expect("the store opens");
     assert!(opened.is_empty && opened.state.snapshot().len() == 1);
     let disk = Disk::start(Some(opened.store), opened.state, telemetry::latency_histogram());
     let (done, wait) = mpsc::channel();
-    disk.write(vec![core(1), LogRecord::VotingEnabled]);
+    disk.write(vec![membership(1), LogRecord::VotingEnabled]);
     for term in 1..=300 {
         let done = done.clone();
-        disk.then(vec![slot("config", term)], move || done.send(term).expect("awaited"));
+        disk.then(vec![register("config", term)], move || done.send(term).expect("a receiver"));
     }
     let order: Vec<u64> = wait.iter().take(300).collect();
-    assert_eq!(order, (1..=300).collect::<Vec<u64>>(), "in the order in which they were handed over");
-    let found = open(&path, blank).expect("opens");
-    assert!(!found.is_empty);
-    assert_eq!(found.state.snapshot(), folded(&[core(1), LogRecord::VotingEnabled, slot("config", 300)]));
+    assert_eq!(order, (1..=300).collect::<Vec<u64>>(), "completions run in the order of the writes");
+    let reopened = open(&path, initial_state).expect("the store opens");
+    assert!(!reopened.is_empty);
+    assert_eq!(
+        reopened.state.snapshot(),
+        replayed(&[membership(1), LogRecord::VotingEnabled, register("config", 300)])
+    );
     let _ = fs::remove_dir_all(path);
 }
--- a/controller/src/replication/mod.rs
+++ b/controller/src/replication/mod.rs
@@ -1,4 +1,5 @@
-//! Control state on a quorum of disks: registers, the acceptor's disk, confirmation, recovery and changes of the members.
+//! Control state replicated on a quorum of disks: registers, the acceptor's disk, confirmation, recovery, and
+//! reconfiguration of the core.
 
 pub mod committed_state;
 pub mod confirmer;
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Members of the core are added, exchanged and removed, one change at a time, by the controller that is first in the agreed
-//! order. Which membership comes next, and when a transition is complete, is decided in `consensus`.
+//! Reconfiguration of the core: adds, replaces and removes members, one change at a time. The live member that is first in the
+//! agreed order coordinates it. Crate `consensus` decides which membership comes next and when a transition is complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,17 +15,18 @@
 use crate::controller::Controller;
 use crate::replication::{committed_state, recovery};
 
-/// How often members are looked at. Short: a core that lost one for good bears no second loss until this
-/// has run its course.
+/// The interval between checks of the members, in milliseconds. It is short because a core that has lost a member for good
+/// cannot bear a second loss until the member is replaced.
 const TICK_MS: u64 = 150;
-/// How long announcing a membership and collecting the keys may take.
+/// Timeout of announcing a membership and collecting the keys, in milliseconds.
 const ANNOUNCE_TIMEOUT_MS: u64 = 800;
-/// How long one commit may take.
+/// Timeout of one commit, in milliseconds.
 const COMMIT_TIMEOUT_MS: u64 = 1500;
-/// How many keys are committed again at once.
+/// How many keys are committed again concurrently.
 const CONCURRENT_RECOMMITS: usize = 16;
 
-/// Recovers the acceptor where that is needed and changes the core where that is due, for as long as the process runs.
+/// Starts the task that recovers the acceptor if necessary and coordinates changes of the core. It runs until the process
+/// ends.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -42,7 +43,8 @@
     });
 }
 
-/// Returns the first live member that is not about to end, in the order in which controllers agree for a key or role.
+/// Returns the first live member that is not shutting down, in the order on which all controllers agree for `name`, a key or
+/// role.
 pub fn first_member(
     core: &CoreMembership,
     view: &MembershipView,
@@ -58,18 +60,18 @@
     view.preference_order("", name).into_iter().find(|ip| stays(ip))
 }
 
-/// Returns whether this controller is the one that changes the core.
-fn coordinates(controller: &Controller, core: &CoreMembership, now: u64) -> bool {
+/// Returns whether this controller coordinates changes of the core.
+fn is_coordinator(controller: &Controller, core: &CoreMembership, now: u64) -> bool {
     let shutting_down = controller.is_shutting_down();
     let first = controller.peers.read(|view| first_member(core, view, shutting_down, MEMBERSHIP_KEY, now));
     first.as_deref() == Some(controller.own_ip())
 }
 
-/// Goes on with a transition under way, else begins the next change.
+/// Advances the transition in progress; otherwise starts the next change if one is due.
 async fn coordinate(controller: &Arc<Controller>, transition: &mut Option<MembershipTransition>) {
     let now = clock::now();
     let core = controller.replica.membership();
-    if core.members.is_empty() || !controller.committed.is_confirmed(now) || !coordinates(controller, &core, now) {
+    if core.members.is_empty() || !controller.committed.is_confirmed(now) || !is_coordinator(controller, &core, now) {
         return;
     }
     if !core.stable {
@@ -77,23 +79,24 @@
     }
     let next = controller.peers.read(|view| next(&core, view, now));
     let Some(next) = next else { return };
-    let judge = |body: &[u8]| match committed_state::decode_membership(body) {
+    let decide = |body: &[u8]| match committed_state::decode_membership(body) {
         Some(committed) if committed.version != core.version || !committed.stable => Decision::Answer(()),
         _ => Decision::Write(committed_state::encode_membership(&next), ()),
     };
-    if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, judge).await.is_some() {
+    if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, decide).await.is_some() {
         advance_transition(controller, &controller.replica.membership(), transition).await;
     }
 }
 
-/// Returns the live controllers that may be made members and aren't yet.
+/// Returns the live controllers that may become members and are not members yet.
 fn candidates(core: &CoreMembership, view: &MembershipView, now: u64) -> Vec<Member> {
-    let waits = |ip: &str| !quorum::is_member(core, ip) && view.is_live(ip, now);
-    let eligible = view.controllers.iter().filter(|(ip, peer)| peer.eligible && !peer.shutting_down && waits(ip));
+    let is_available = |ip: &str| !quorum::is_member(core, ip) && view.is_live(ip, now);
+    let eligible =
+        view.controllers.iter().filter(|(ip, peer)| peer.eligible && !peer.shutting_down && is_available(ip));
     eligible.map(|(ip, peer)| Member { ip: ip.clone(), zone: peer.zone.clone() }).collect()
 }
 
-/// Returns the next membership as this controller sees the others, None where the current one stays.
+/// Returns the next membership according to this controller's view of its peers, or `None` if the current one stays.
 pub fn next(core: &CoreMembership, view: &MembershipView, now: u64) -> Option<CoreMembership> {
     let health = |ip: &str| Health {
         since_last_seen_ms: view.silent_ms(ip, now),
@@ -101,12 +104,12 @@
         shutting_down: view.controllers.get(ip).is_some_and(|peer| peer.shutting_down),
     };
     let candidates = candidates(core, view, now);
-    let counts_joint = |peer: &Peer| peer.protocol_version >= JOINT_QUORUMS;
-    let joint_quorums = view.controllers.iter().all(|(ip, peer)| !view.is_live(ip, now) || counts_joint(peer));
+    let supports_joint = |peer: &Peer| peer.protocol_version >= JOINT_QUORUMS;
+    let joint_quorums = view.controllers.iter().all(|(ip, peer)| !view.is_live(ip, now) || supports_joint(peer));
     consensus::next_membership(core, &ClusterView { health: &health, candidates, joint_quorums })
 }
 
-/// Goes on with the transition of a changed core; what was done of it before is not done again.
+/// Advances the transition to a changed core. Steps that are already done are not repeated.
 async fn advance_transition(
     controller: &Arc<Controller>,
     core: &CoreMembership,
@@ -124,25 +127,25 @@
     if !transition.is_done() {
         return;
     }
-    let judge = |body: &[u8]| match committed_state::decode_membership(body) {
+    let decide = |body: &[u8]| match committed_state::decode_membership(body) {
         Some(committed) if committed.version == core.version && !committed.stable => {
             let stable = stabilized(&committed);
             Decision::Write(committed_state::encode_membership(&stable), ())
         }
         _ => Decision::Answer(()),
     };
-    if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, judge).await.is_some() {
+    if controller.change(MEMBERSHIP_KEY, COMMIT_TIMEOUT_MS, decide).await.is_some() {
         *transition_slot = None;
     }
 }
 
-/// Announces the membership to old and new members and collects the keys they hold. Returns false where not enough responded.
+/// Announces the membership to old and new members and collects the keys that they hold. Returns `false` if too few responded.
 async fn announce(controller: &Arc<Controller>, core: &CoreMembership, transition: &mut MembershipTransition) -> bool {
     let members = quorum::old_and_new_members(core);
-    let mut responses = controller.ask(core, ConsensusOperation::Positions, &members);
-    let end = Instant::now() + Duration::from_millis(ANNOUNCE_TIMEOUT_MS);
+    let mut responses = controller.send_requests(core, ConsensusOperation::Positions, &members);
+    let deadline = Instant::now() + Duration::from_millis(ANNOUNCE_TIMEOUT_MS);
     while !transition.is_known() {
-        let Ok(Some((from, response))) = time::timeout_at(end, responses.recv()).await else { return false };
+        let Ok(Some((from, response))) = time::timeout_at(deadline, responses.recv()).await else { return false };
         match response {
             ConsensusResponse::NewerMembership { membership: core } => {
                 controller.replica.adopt_membership(&core);
@@ -154,14 +157,14 @@
     true
 }
 
-/// Commits every remaining key again under the new membership, several at once.
+/// Commits every remaining key again under the new membership, several of them concurrently.
 async fn recommit_all(controller: &Arc<Controller>, transition: &mut MembershipTransition) {
-    let slots = Arc::new(Semaphore::new(CONCURRENT_RECOMMITS));
+    let permits = Arc::new(Semaphore::new(CONCURRENT_RECOMMITS));
     let mut tasks = JoinSet::new();
     for key in transition.remaining_keys() {
-        let (controller, slots) = (controller.clone(), slots.clone());
+        let (controller, permits) = (controller.clone(), permits.clone());
         tasks.spawn(async move {
-            let _slot = slots.acquire().await.ok()?;
+            let _permit = permits.acquire().await.ok()?;
             controller.recommit(&key, COMMIT_TIMEOUT_MS).await.map(|()| key)
         });
     }
@@ -172,19 +175,21 @@
     }
 }
 
-/// The longest time that a shutting_down member waits to be exchanged or removed.
+/// How long a member that is shutting down waits to be replaced or removed, in milliseconds.
 const HAND_OVER_TIMEOUT_MS: u64 = 3500;
+/// The interval between checks whether it has been released, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 50;
 
-/// Waits, as a member that is about to end and has said so, until the core does without it where that is possible: where
-/// another stands ready or there is one member too many. Otherwise it does not wait.
+/// Waits until this controller, which has announced its shutdown, is no longer a core member. Waits only if it can be released:
+/// a candidate is available, or the number of members is even, so that one can be removed.
 pub async fn leave(controller: &Arc<Controller>) {
-    let end = clock::now() + HAND_OVER_TIMEOUT_MS;
-    while clock::now() < end && may_be_released(controller) {
+    let deadline = clock::now() + HAND_OVER_TIMEOUT_MS;
+    while clock::now() < deadline && may_be_released(controller) {
         time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
 }
 
+/// Returns whether this controller is still needed by the core, or by its transition, and can be released.
 fn may_be_released(controller: &Controller) -> bool {
     let now = clock::now();
     let core = controller.replica.membership();
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -1,5 +1,5 @@
-//! An acceptor on an empty disk: either it was never a member, or it must first read so many others that no response it gave
-//! and lost goes unseen.
+//! Recovery of an acceptor on an empty disk. Either it was never a member, or it must first read so many other acceptors that
+//! the effect of every response it gave before it lost its disk is seen again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use crate::controller::Controller;
 use crate::event::{RECOVERED, VOTING_ENABLED};
 
-/// How long one read of the others may take.
+/// Timeout of one read of the other acceptors, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 800;
 
-/// Attempts to become able to response, once. It may be repeated until the acceptor may response.
+/// Makes one attempt to let the acceptor vote. To be repeated until the acceptor may vote.
 pub async fn attempt(controller: &Arc<Controller>) {
     let core = controller.replica.membership();
     if clock::now() < RECOVERY_DELAY_MS || core.members.is_empty() {
         return;
     }
-    // One that is being removed no longer votes, but the membership transition rests on what it reports.
+    // A member that is being removed recovers too: it no longer votes, but the membership transition depends on its reports.
     if quorum::is_old_or_new_member(&core, controller.own_ip()) {
         recover(controller, &core).await;
     } else {
@@ -29,13 +29,13 @@
     }
 }
 
-/// Reads what the other acceptors hold until every quorum of the core has one that was read.
+/// Reads the registers of the other acceptors until every quorum of the core contains one that was read.
 async fn recover(controller: &Arc<Controller>, core: &CoreMembership) {
     let others = controller.replica.recovery_peers();
     let enough = |from: &[String]| controller.replica.has_enough_reads(from);
-    let Some(answers) = gather(controller, core, ConsensusOperation::Snapshot, &others, enough).await else { return };
+    let Some(responses) = gather(controller, core, ConsensusOperation::Snapshot, &others, enough).await else { return };
     let (mut reads, mut from) = (Vec::new(), Vec::new());
-    for (address, response) in answers {
+    for (address, response) in responses {
         if let ConsensusResponse::Snapshot { registers } = response {
             reads.push(registers);
             from.push(address);
@@ -46,8 +46,8 @@
     }
 }
 
-/// A quorum says that this core is the current one, and this controller is neither in it nor, as long as it matters,
-/// in the one before: no response of it counts.
+/// Lets an acceptor that was never a member vote. A quorum must confirm that the core is the current one. This controller is
+/// not in it, nor in the previous one while that still counts, so no response that it may have lost matters.
 async fn become_candidate(controller: &Arc<Controller>, core: &CoreMembership) {
     let members = quorum::old_and_new_members(core);
     let enough = |from: &[String]| quorum::is_quorum(core, from);
@@ -59,29 +59,30 @@
     }
 }
 
-/// Asks acceptors until enough of them responded. None: not in time, or the membership is not current.
+/// Sends an operation to acceptors and collects responses until enough of them have answered. Returns `None` on a timeout, or
+/// if the membership is not current.
 async fn gather(
     controller: &Arc<Controller>,
     core: &CoreMembership,
-    ask: ConsensusOperation,
+    operation: ConsensusOperation,
     addresses: &[String],
     enough: impl Fn(&[String]) -> bool,
 ) -> Option<Vec<(String, ConsensusResponse)>> {
-    let mut responses = controller.ask(core, ask, addresses);
-    let end = Instant::now() + Duration::from_millis(READ_TIMEOUT_MS);
-    let (mut answers, mut from) = (Vec::new(), Vec::new());
+    let mut responses = controller.send_requests(core, operation, addresses);
+    let deadline = Instant::now() + Duration::from_millis(READ_TIMEOUT_MS);
+    let (mut gathered, mut from) = (Vec::new(), Vec::new());
     while !enough(&from) {
-        match time::timeout_at(end, responses.recv()).await.ok()?? {
+        match time::timeout_at(deadline, responses.recv()).await.ok()?? {
             (_, ConsensusResponse::NewerMembership { membership: core }) => {
                 controller.replica.adopt_membership(&core);
                 return None;
             }
             (address, response @ (ConsensusResponse::Snapshot { .. } | ConsensusResponse::Positions { .. })) => {
                 from.push(address.clone());
-                answers.push((address, response));
+                gathered.push((address, response));
             }
             _ => {}
         }
     }
-    Some(answers)
+    Some(gathered)
 }
--- a/controller/src/replication/shared_state.rs
+++ b/controller/src/replication/shared_state.rs
@@ -1,4 +1,4 @@
-//! The committed state of the process behind its lock.
+//! The committed state of the process, behind a lock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,43 +12,44 @@
 
 use crate::replication::committed_state::{CommittedState, EvacuationRecord, Learned, RoleState};
 
-/// What is known to be committed, shared by all parts of the process. Every method is one moment under the lock; what
-/// must be of one moment is read by one of them, or by `read`.
+/// The committed state, shared by all components. Each method locks the state once. Values that must be consistent with each
+/// other are read by a single method, or through [`Self::read`].
 #[derive(Default)]
 pub struct SharedCommittedState(Mutex<CommittedState>);
 
 impl SharedCommittedState {
-    /// Returns what `read` makes of the state of one moment.
+    /// Returns the result of `read` on the locked state.
     pub fn read<T>(&self, read: impl FnOnce(&CommittedState) -> T) -> T {
         read(&self.0.lock())
     }
 
-    /// Changes what is derived from the state, such as cached frames, under the lock.
+    /// Updates what is derived from the state, such as cached frames, under the lock.
     pub fn update<T>(&self, update: impl FnOnce(&mut CommittedState) -> T) -> T {
         update(&mut self.0.lock())
     }
 
-    /// Takes an entry that is committed. `read` is the configuration in it where that was read already.
-    pub fn learn(&self, key: &str, entry: &Entry, read: Option<Arc<ConfigDocument>>) -> Learned {
-        self.0.lock().learn(key, entry, read)
+    /// Applies a committed entry if it is newer than the known one. `parsed` is the configuration in it, if it is already
+    /// parsed.
+    pub fn learn(&self, key: &str, entry: &Entry, parsed: Option<Arc<ConfigDocument>>) -> Learned {
+        self.0.lock().learn(key, entry, parsed)
     }
 
-    /// Notes a term that was seen in a proposal number.
+    /// Records a term that was seen in a proposal number.
     pub fn observe_term(&self, term: u64) {
         let mut state = self.0.lock();
         state.highest_term = state.highest_term.max(term);
     }
 
-    /// Returns a proposal number that no one used before.
+    /// Returns a proposal number that was never used before.
     pub fn next_proposal_number(&self, membership: &CoreMembership, replica_id: u64) -> ProposalNumber {
         let mut state = self.0.lock();
         state.highest_term = next_term(state.highest_term, membership);
         ProposalNumber { term: state.highest_term, replica_id }
     }
 
-    /// Notes that a read which began at `begun` found nothing newer at a quorum.
-    pub fn confirm(&self, begun: u64) {
-        self.0.lock().confirmed_at = Some(begun);
+    /// Records that a read which began at `read_started` found nothing newer at a quorum.
+    pub fn confirm(&self, read_started: u64) {
+        self.0.lock().confirmed_at = Some(read_started);
     }
 
     /// Returns when the read began that last confirmed this state at a quorum.
@@ -56,17 +57,17 @@
         self.0.lock().confirmed_at
     }
 
-    /// Returns whether the last confirmation still counts.
+    /// Returns whether the last confirmation is still valid at `now`.
     pub fn is_confirmed(&self, now: u64) -> bool {
         self.0.lock().is_confirmed(now)
     }
 
-    /// Returns the position of the entry that is known of a key.
+    /// Returns the position of the known entry of a key.
     pub fn position(&self, key: &str) -> Option<Position> {
         self.0.lock().entries.get(key).map(Entry::position)
     }
 
-    /// Returns the entry that is known of a key, and the configuration in force at the same moment.
+    /// Returns the known entry of a key, together with the configuration in force.
     pub fn entry_and_config(&self, key: &str) -> (Option<Entry>, Option<Arc<ConfigDocument>>) {
         let state = self.0.lock();
         (state.entries.get(key).cloned(), state.history.current().cloned())
@@ -77,17 +78,17 @@
         self.0.lock().history.current().cloned()
     }
 
-    /// Returns the revision of the configuration known to be committed, 0 where there is none yet.
+    /// Returns the revision of the known committed configuration, 0 if there is none yet.
     pub fn revision(&self) -> u64 {
         self.0.lock().history.revision()
     }
 
-    /// Returns whether the configuration known to be committed has any tenants.
+    /// Returns whether the known committed configuration has any tenants.
     pub fn has_tenants(&self) -> bool {
         self.0.lock().history.has_tenants()
     }
 
-    /// Returns the version of a zone's evacuation, 0 where it never was one.
+    /// Returns the version of a zone's evacuation, 0 if the zone was never evacuated.
     pub fn evacuation_version(&self, zone: &str) -> u64 {
         self.0.lock().evacuations.get(zone).map_or(0, |evacuation| evacuation.version)
     }
@@ -97,12 +98,12 @@
         self.0.lock().evacuations.clone()
     }
 
-    /// Returns the limit on stale weights of a key, also a removed one.
+    /// Returns the staleness limit of a key, even if it is removed.
     pub fn staleness_limit(&self, key: &str) -> Option<StalenessLimit> {
         self.0.lock().staleness_limits.get(key).cloned()
     }
 
-    /// Returns whether there is any limit on stale weights, a removed one included.
+    /// Returns whether there is any staleness limit, including removed ones.
     pub fn has_staleness_limits(&self) -> bool {
         !self.0.lock().staleness_limits.is_empty()
     }
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -1,8 +1,8 @@
-//! What keepers of version 5 commit under each key of the control state.
+//! Bytes that controllers of version 5 commit under each key of the control state.
 //!
-//! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To write them again, check
-//! out that commit, put this file beside `state.rs`, attach it as it is attached here, and run
-//! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions never write them again: they read them.
+//! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To regenerate them, check out
+//! that commit, put this file beside `state.rs`, declare it there as it is declared here, and run
+//! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions only read them.
 use super::CommittedState;
 use super::{
     decode_membership, encode_membership, read_config, EvacuationRecord, Learned, RoleState, CONFIG_KEY,
@@ -17,7 +17,7 @@
 use protocol::config::{Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 use protocol::message::{CoreMembership, Entry, Member, ProposalNumber, StalenessLimit, STALENESS_LIMIT_PREFIX};
 use protocol::operator_request::ConfigChange;
-use protocol::version_rollout::{RolloutState, VersionRollout, KEY_PREFIX as ROLLOUT_OF_VERSIONS};
+use protocol::version_rollout::{RolloutState, VersionRollout, KEY_PREFIX as VERSION_ROLLOUT_PREFIX};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -45,7 +45,7 @@
   ]
 }"#;
 
-/// What it says.
+/// The configuration that [`TENANTS_TEXT`] parses to.
 #[allow(clippy::too_many_lines)] // one literal, or one scenario in order
 fn tenants_config() -> Config {
     let split = |service: &str, weight| Split { service: service.into(), weight };
@@ -148,49 +148,56 @@
     format!(r#"{{"revision":{revision},"service_table":[{{"name":"s"}}],"route_table":[{routes}],"tenant_table":[]}}"#)
 }
 
-/// The changes that led to the configurations: two that are told by digests of the first version, and two by those of the
-/// second.
-fn earlier_changes() -> [ConfigChange; 2] {
+/// Changes that are remembered by digests of the legacy layout.
+fn legacy_changes() -> [ConfigChange; 2] {
     [
         ConfigChange { base: 0, text: r#"{"revision":5}"#.into(), partial: false },
         ConfigChange { base: 5, text: r#"{"revision":8,"upsert":{}}"#.into(), partial: true },
     ]
 }
 
-fn taken_changes() -> [ConfigChange; 2] {
+/// Changes that are remembered by digests of the current layout.
+fn committed_changes() -> [ConfigChange; 2] {
     [
         ConfigChange { base: 8, text: r#"{"revision":9}"#.into(), partial: false },
         ConfigChange { base: 9, text: r#"{"revision":12,"remove":{}}"#.into(), partial: true },
     ]
 }
 
-/// The digests of these changes, worked out by another program.
-fn earlier() -> Vec<u64> {
+/// The digests of [`legacy_changes`], computed by an independent program.
+fn legacy_digests() -> Vec<u64> {
     vec![0x974b_9188_40f3_bd59, 0x6042_43a3_d2d3_12cf]
 }
 
-fn taken() -> Vec<CommittedChange> {
+/// [`committed_changes`] as they are stored, with digests computed by an independent program.
+fn stored_changes() -> Vec<CommittedChange> {
     vec![
         CommittedChange { base: 8, digest: 0x9bf8_2847_2e78_1c20_60e3_e1b1_e750_1211_u128.to_be_bytes() },
         CommittedChange { base: 9, digest: 0xcee6_9e3f_fe3f_3a78_4531_e136_86a9_ea9b_u128.to_be_bytes() },
     ]
 }
 
-/// A body of the key `config`: its file, the form in which it was asked for, the form that it has, and what it holds.
+/// A body of the key `config`: its fixture file, the format requested, the format actually written, and the stored value.
 struct ConfigBody {
     file: &'static str,
-    asked: BodyFormat,
-    form: BodyFormat,
-    held: StoredConfig,
+    requested: BodyFormat,
+    format: BodyFormat,
+    stored: StoredConfig,
 }
 
 fn config_bodies() -> Vec<ConfigBody> {
-    let body = |file, asked, form, held| ConfigBody { file, asked, form, held };
-    let short = StoredConfig { revision: 8, text: SHORT_TEXT.into(), changes: Vec::new(), legacy_changes: earlier() };
-    let long = StoredConfig { revision: 8, text: long_text(8), changes: Vec::new(), legacy_changes: earlier() };
-    let tenants = StoredConfig { revision: 12, text: TENANTS_TEXT.into(), changes: taken(), legacy_changes: earlier() };
+    let body = |file, requested, format, stored| ConfigBody { file, requested, format, stored };
+    let short =
+        StoredConfig { revision: 8, text: SHORT_TEXT.into(), changes: Vec::new(), legacy_changes: legacy_digests() };
+    let long = StoredConfig { revision: 8, text: long_text(8), changes: Vec::new(), legacy_changes: legacy_digests() };
+    let tenants = StoredConfig {
+        revision: 12,
+        text: TENANTS_TEXT.into(),
+        changes: stored_changes(),
+        legacy_changes: legacy_digests(),
+    };
     let long_digested =
-        StoredConfig { revision: 12, text: long_text(12), changes: taken(), legacy_changes: Vec::new() };
+        StoredConfig { revision: 12, text: long_text(12), changes: stored_changes(), legacy_changes: Vec::new() };
     vec![
         body("config-body-5-plain-short.bin", Plain, Plain, short.clone()),
         body("config-body-5-plain-long.bin", Plain, Plain, long.clone()),
@@ -201,7 +208,7 @@
             Plain,
             StoredConfig { legacy_changes: Vec::new(), ..short.clone() },
         ),
-        // What is short stays plain.
+        // Short bodies stay uncompressed.
         body("config-body-5-packed-short.bin", Compressed, Plain, short.clone()),
         body("config-body-5-packed-long.bin", Compressed, Compressed, long),
         body("config-body-5-digested-short.bin", Digested, Digested, short.clone()),
@@ -213,7 +220,7 @@
             Digested,
             StoredConfig { legacy_changes: Vec::new(), ..short },
         ),
-        // Digests of the second version have no room in the earlier forms.
+        // The legacy layout cannot hold digests of the current layout.
         body("config-body-5-plain-with-digests.bin", Plain, Digested, tenants),
     ]
 }
@@ -226,7 +233,7 @@
     RoleState { epoch: 19, owner: "10.0.0.2-with-a-long-name".into(), predecessor_expired: true }
 }
 
-fn rule() -> StalenessLimit {
+fn staleness_limit() -> StalenessLimit {
     StalenessLimit {
         service: "chat".into(),
         model: "m-1".into(),
@@ -311,7 +318,7 @@
     }
 }
 
-/// A page with every state of a job.
+/// A page with jobs in every state.
 fn page() -> JobPage {
     JobPage {
         epoch: 6,
@@ -337,12 +344,12 @@
     }
 }
 
-/// The bodies of all keys but `config`, as the present code writes them.
+/// The bodies of all keys except `config`, as the current code encodes them.
 fn control_bodies() -> [(&'static str, Vec<u8>); 10] {
     [
         ("control-5-closed.bin", evacuation().to_bytes()),
         ("control-5-duty.bin", role().to_bytes()),
-        ("control-5-rule.bin", rule().to_bytes()),
+        ("control-5-rule.bin", staleness_limit().to_bytes()),
         ("control-5-rollout-active.bin", active_rollout().to_bytes()),
         ("control-5-rollout-complete.bin", complete_rollout().to_bytes()),
         ("control-5-rollout-reverted.bin", reverted_rollout().to_bytes()),
@@ -365,7 +372,7 @@
     Entry { proposal_number: ProposalNumber { term: 3, replica_id: 1 }, index: 0, body }
 }
 
-/// A state that learned the bodies of these files under these keys.
+/// Returns a state that has learned the bodies of these fixture files under these keys.
 fn learned(bodies: &[(&str, &str)]) -> CommittedState {
     let mut state = CommittedState::default();
     for (key, file) in bodies {
@@ -378,43 +385,43 @@
 #[test]
 #[ignore = "writes the fixtures of version 5"]
 fn write_fixtures() {
-    for ConfigBody { file, asked, held, .. } in config_bodies() {
-        fs::write(path(file), held.encode(asked)).expect("written");
+    for ConfigBody { file, requested, stored, .. } in config_bodies() {
+        fs::write(path(file), stored.encode(requested)).expect("the fixture is written");
     }
     for (file, body) in control_bodies() {
-        fs::write(path(file), body).expect("written");
+        fs::write(path(file), body).expect("the fixture is written");
     }
 }
 
 #[test]
-fn configurations_of_version_5_are_read_in_every_form() {
-    for ConfigBody { file, form, held, .. } in config_bodies() {
+fn configurations_of_version_5_are_decoded_in_every_format() {
+    for ConfigBody { file, format, stored, .. } in config_bodies() {
         let body = fixture(file);
-        assert_eq!(BodyFormat::of(&body), form, "{file}");
-        assert_eq!(StoredConfig::decode(&body).as_ref(), Some(&held), "{file}");
+        assert_eq!(BodyFormat::of(&body), format, "{file}");
+        assert_eq!(StoredConfig::decode(&body).as_ref(), Some(&stored), "{file}");
     }
 }
 
 #[test]
-fn configurations_of_version_5_are_written_to_the_byte() {
-    for ConfigBody { file, asked, held, .. } in config_bodies() {
-        assert!(held.encode(asked) == fixture(file), "{file} differs from that of version 5");
+fn configurations_are_encoded_byte_for_byte_as_by_version_5() {
+    for ConfigBody { file, requested, stored, .. } in config_bodies() {
+        assert!(stored.encode(requested) == fixture(file), "{file} differs from the encoding of version 5");
     }
 }
 
 #[test]
-fn configurations_of_version_5_are_in_force() {
-    for ConfigBody { file, held, .. } in config_bodies() {
+fn configurations_of_version_5_are_learned() {
+    for ConfigBody { file, stored, .. } in config_bodies() {
         let mut state = CommittedState::default();
         let learned = state.learn(CONFIG_KEY, &entry(fixture(file)), None);
-        assert_eq!(learned, Learned::New { revision: held.revision }, "{file}");
+        assert_eq!(learned, Learned::New { revision: stored.revision }, "{file}");
         let current = state.history.current().expect("a configuration");
-        assert_eq!((current.text(), current.revision()), (held.text.as_str(), held.revision), "{file}");
+        assert_eq!((current.text(), current.revision()), (stored.text.as_str(), stored.revision), "{file}");
     }
 }
 
 #[test]
-fn tenants_in_a_configuration_of_version_5_are_read() {
+fn tenants_in_configurations_of_version_5_are_parsed() {
     let files = [
         "config-body-5-plain-tenants.bin",
         "config-body-5-digested-tenants.bin",
@@ -424,32 +431,33 @@
         let read = read_config(&fixture(file)).unwrap_or_else(|error| panic!("{file}: {error}"));
         assert_eq!(read.config(), &tenants_config(), "{file}");
     }
-    let long = read_config(&fixture("config-body-5-digested-long.bin")).expect("read");
+    let long = read_config(&fixture("config-body-5-digested-long.bin")).expect("the fixture is decoded");
     let config = long.config();
     assert_eq!((config.route_table.len(), config.tenant_table.len(), config.requires_keys), (200, 0, true));
 }
 
 #[test]
-fn changes_that_version_5_took_are_known() {
-    for ConfigBody { file, held, .. } in config_bodies() {
-        let read = StoredConfig::decode(&fixture(file)).expect("read");
-        let memory = |is_there: bool| if is_there { ChangeStatus::Committed } else { ChangeStatus::NotCommitted };
-        for change in earlier_changes() {
-            assert_eq!(read.status_of(&change), memory(!held.legacy_changes.is_empty()), "{file}: {change:?}");
+fn changes_committed_by_version_5_are_recognised() {
+    for ConfigBody { file, stored, .. } in config_bodies() {
+        let read = StoredConfig::decode(&fixture(file)).expect("the fixture is decoded");
+        let status = |is_stored: bool| if is_stored { ChangeStatus::Committed } else { ChangeStatus::NotCommitted };
+        for change in legacy_changes() {
+            assert_eq!(read.status_of(&change), status(!stored.legacy_changes.is_empty()), "{file}: {change:?}");
         }
-        for change in taken_changes() {
-            assert_eq!(read.status_of(&change), memory(!held.changes.is_empty()), "{file}: {change:?}");
+        for change in committed_changes() {
+            assert_eq!(read.status_of(&change), status(!stored.changes.is_empty()), "{file}: {change:?}");
         }
     }
     let mut remembered = StoredConfig::default();
-    earlier_changes().iter().for_each(|change| remembered.remember(change, Compressed));
-    taken_changes().iter().for_each(|change| remembered.remember(change, Digested));
-    assert_eq!((remembered.legacy_changes, remembered.changes), (earlier(), taken()));
+    legacy_changes().iter().for_each(|change| remembered.remember(change, Compressed));
+    committed_changes().iter().for_each(|change| remembered.remember(change, Digested));
+    assert_eq!((remembered.legacy_changes, remembered.changes), (legacy_digests(), stored_changes()));
 }
 
-/// Keepers tell bodies apart by these, worked out by another program: a keeper of another version finds the same.
+/// Controllers tell bodies apart by these digests, so all versions must compute the same ones. The expected digests were
+/// computed by an independent program.
 #[test]
-fn the_digests_of_bodies_stay_what_they_are() {
+fn body_digests_are_the_same_in_all_versions() {
     let digests = [
         ("config-body-5-plain-short.bin", 0xb3e4_cf8a_cfbe_2d1b),
         ("config-body-5-packed-long.bin", 0xeadb_b26f_d22f_ef62),
@@ -461,19 +469,19 @@
 }
 
 #[test]
-fn bodies_of_the_other_keys_are_written_to_the_byte() {
+fn bodies_of_other_keys_are_encoded_byte_for_byte_as_by_version_5() {
     for (file, body) in control_bodies() {
-        assert!(body == fixture(file), "{file} differs from that of version 5");
+        assert!(body == fixture(file), "{file} differs from the encoding of version 5");
     }
 }
 
 #[test]
-fn evacuations_and_duties_of_version_5_are_read() {
+fn evacuations_and_roles_of_version_5_are_decoded() {
     let EvacuationRecord { version, evacuated } =
-        EvacuationRecord::open(&fixture("control-5-closed.bin")).expect("read");
+        EvacuationRecord::open(&fixture("control-5-closed.bin")).expect("the fixture is decoded");
     assert_eq!((version, evacuated), (4, true));
     let RoleState { epoch, owner, predecessor_expired } =
-        RoleState::open(&fixture("control-5-duty.bin")).expect("read");
+        RoleState::open(&fixture("control-5-duty.bin")).expect("the fixture is decoded");
     assert_eq!((epoch, owner.as_str(), predecessor_expired), (19, "10.0.0.2-with-a-long-name", true));
     let state = learned(&[("evacuation/zone-a", "control-5-closed.bin"), ("duty/catalog", "control-5-duty.bin")]);
     assert_eq!(state.evacuations.get("zone-a"), Some(&evacuation()));
@@ -481,14 +489,14 @@
 }
 
 #[test]
-fn limits_on_stale_weights_of_version_5_are_read() {
-    assert_eq!(StalenessLimit::from_bytes(&fixture("control-5-rule.bin")), Some(rule()));
+fn staleness_limits_of_version_5_are_decoded() {
+    assert_eq!(StalenessLimit::from_bytes(&fixture("control-5-rule.bin")), Some(staleness_limit()));
     let state = learned(&[("rollout/chat/m-1", "control-5-rule.bin")]);
-    assert_eq!(state.staleness_limits.get("rollout/chat/m-1"), Some(&rule()));
+    assert_eq!(state.staleness_limits.get("rollout/chat/m-1"), Some(&staleness_limit()));
 }
 
 #[test]
-fn rollouts_of_version_5_are_read_in_every_state() {
+fn rollouts_of_version_5_are_decoded_in_every_state() {
     let rollouts = [
         ("control-5-rollout-active.bin", active_rollout()),
         ("control-5-rollout-complete.bin", complete_rollout()),
@@ -501,7 +509,7 @@
 }
 
 #[test]
-fn batches_of_version_5_are_read() {
+fn batches_of_version_5_are_decoded() {
     assert_eq!(Batch::from_bytes(&fixture("control-5-batch-live.bin")), Some(live_batch()));
     assert_eq!(Batch::from_bytes(&fixture("control-5-batch-expired.bin")), Some(expired_batch()));
     assert_eq!(JobPage::from_bytes(&fixture("control-5-page.bin")), Some(page()));
@@ -516,18 +524,18 @@
 }
 
 #[test]
-fn members_of_version_5_are_read() {
+fn the_membership_of_version_5_is_decoded() {
     assert_eq!(decode_membership(&fixture("control-5-core.bin")), Some(core()));
     learned(&[("core", "control-5-core.bin")]);
 }
 
-/// What version 5 committed is found under these.
+/// The entries that version 5 committed are stored under these keys.
 #[test]
-fn the_keys_of_the_control_state_stay_what_they_are() {
+fn keys_of_the_control_state_are_unchanged() {
     assert_eq!((CONFIG_KEY, EVACUATION_PREFIX, ROLE_PREFIX), ("config", "evacuation/", "duty/"));
     assert_eq!((CATALOG, BALANCE, BATCH), ("duty/catalog", "duty/balance", "duty/batch"));
-    assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, ROLLOUT_OF_VERSIONS), ("core", "rollout/", "versions/"));
-    // Of the batch with the idempotency key `key-1`, worked out by another program.
+    assert_eq!((MEMBERSHIP_KEY, STALENESS_LIMIT_PREFIX, VERSION_ROLLOUT_PREFIX), ("core", "rollout/", "versions/"));
+    // The id of the batch with the idempotency key `key-1`, computed by an independent program.
     assert_eq!(batch_id("key-1"), "a002e14b20bb64ec");
     assert_eq!(batch_key("a002e14b20bb64ec"), "batch/a002e14b20bb64ec");
     assert_eq!(page_key("a002e14b20bb64ec", 3), "batch/a002e14b20bb64ec/3");
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -1,6 +1,6 @@
-//! Singleton roles: tasks that one controller carries out at a time, each under an epoch that no other owner shares.
+//! Singleton roles: tasks that only one controller performs at a time, each under an epoch that no other owner shares.
 //!
-//! `docs/singleton-roles.md` says what holds and why.
+//! `docs/singleton-roles.md` states the guarantees and the reasons for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter;
@@ -17,35 +17,37 @@
 use crate::replication::committed_state::RoleState;
 use crate::replication::registers::Decision;
 
-/// The key of the role that answers the prefix catalog.
+/// The key of the role that serves the prefix catalog.
 pub const CATALOG: &str = "duty/catalog";
 /// The key of the role that balances prefill and decode engines.
 pub const BALANCE: &str = "duty/balance";
 /// The key of the role that runs batches.
 pub const BATCH: &str = "duty/batch";
 
-/// The key of the role that tells the platform how many requests began.
+/// The key of the role that reports to the platform how many requests began.
 pub const USAGE: &str = "duty/usage";
 
-/// The pause between two looks at a role.
+/// The interval between attempts to acquire a role, in milliseconds.
 const TICK_MS: u64 = 400;
-/// A controller that has just started first listens who else is there.
+/// How long a controller waits after its start, to hear the other controllers, before it acquires roles, in milliseconds.
 const STARTUP_DELAY_MS: u64 = 1200;
-/// How long one change of a role's register may take.
+/// Timeout of one change of a role's register, in milliseconds.
 const COMMIT_TIMEOUT_MS: u64 = 1000;
 
-/// A role as this incarnation acquired it.
+/// How this incarnation owns a role.
 #[derive(Clone, Copy)]
 struct Tenure {
     epoch: u64,
-    /// When the commit of the epoch was known.
+    /// When the epoch was known to be committed, in milliseconds of the steady clock.
     since: u64,
-    /// No earlier owner can have acted lately.
+    /// Whether the lease of every earlier owner is known to have expired.
     predecessor_expired: bool,
 }
 
-/// The roles that this incarnation acquired, by key. Invariant: a role is acted in only while the committed state names this
-/// controller under the same epoch and is confirmed.
+/// The roles that this incarnation acquired, by key.
+///
+/// Invariant: this controller acts in a role only while the committed state is confirmed and names it as the owner under
+/// the same epoch.
 #[derive(Default)]
 pub struct AcquiredRoles(Mutex<BTreeMap<String, Tenure>>);
 
@@ -59,7 +61,7 @@
     }
 }
 
-/// Acquires roles where that is due, for as long as the process runs.
+/// Starts the tasks that acquire the roles as they become free. They run until the process ends.
 pub fn start(controller: &Arc<Controller>) {
     for key in [CATALOG, BALANCE, BATCH, USAGE] {
         let controller = controller.clone();
@@ -79,7 +81,7 @@
     }
 }
 
-/// Returns the tenure under which this controller owns a role, while that is confirmed.
+/// Returns the tenure under which this controller owns a role, if the committed state is confirmed.
 fn confirmed_tenure(controller: &Controller, key: &str, now: u64) -> Option<Tenure> {
     controller.committed.read(|state| {
         let role = state.roles.get(key)?;
@@ -88,7 +90,7 @@
     })
 }
 
-/// Returns the epoch under which this controller may act now, where two owners may not act within a lease.
+/// Returns the epoch under which this controller may act in a role now. Two owners must not act within one lease.
 pub fn acting_epoch(controller: &Controller, key: &str, now: u64) -> Option<u64> {
     let tenure = confirmed_tenure(controller, key, now)?;
     let confirmed_at = controller.committed.confirmed_at()?;
@@ -99,14 +101,15 @@
         .then_some(tenure.epoch)
 }
 
-/// Declares in the register that the wait is over, once, before the first act. Returns whether that is committed.
+/// Declares in the register, once and before the first action under `epoch`, that the predecessor's lease has expired.
+/// Returns whether the declaration is committed.
 pub async fn declare_predecessor_expired(controller: &Controller, key: &str, epoch: u64) -> bool {
     let is_declared =
         controller.committed.role(key).is_some_and(|role| role.epoch == epoch && role.predecessor_expired);
     if is_declared {
         return true;
     }
-    let judge = |body: &[u8]| {
+    let decide = |body: &[u8]| {
         let stored = RoleState::from_bytes(body).unwrap_or_default();
         if stored.epoch != epoch || stored.owner != controller.own_ip() {
             return Decision::Answer(false);
@@ -114,10 +117,11 @@
         let next = RoleState { predecessor_expired: true, ..stored };
         Decision::Write(next.to_bytes(), true)
     };
-    controller.change(key, COMMIT_TIMEOUT_MS, judge).await.unwrap_or(false)
+    controller.change(key, COMMIT_TIMEOUT_MS, decide).await.unwrap_or(false)
 }
 
-/// Lets the catalog answer only under the epoch of the own tenure; a new epoch starts with an empty one.
+/// Opens the catalog under the epoch of this controller's tenure, so that it answers under no other. A new epoch starts with
+/// an empty catalog.
 fn open_catalog(controller: &Controller) {
     let epoch = confirmed_tenure(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
     controller.catalog.open(epoch);
@@ -131,7 +135,7 @@
     {
         return;
     }
-    // Acquired only once there is something to do.
+    // The role is acquired only once there are batches.
     if key == BATCH && controller.committed.read(records::ids).is_empty() {
         return;
     }
@@ -142,7 +146,8 @@
     if !may_acquire(controller, key, &role.owner, confirmed_ms) {
         return;
     }
-    // Only an earlier incarnation that had waited: one that had not may stand between two that acted.
+    // An earlier incarnation of this controller counts as expired only if it had waited for its own predecessor: otherwise it
+    // may have taken over from an owner that can still act.
     let is_first_tenure = controller.acquired_roles.get(key).is_none();
     let predecessor_expired =
         role.owner.is_empty() || (is_first_tenure && role.owner == controller.own_ip() && role.predecessor_expired);
@@ -166,7 +171,8 @@
     })
 }
 
-/// Returns what heartbeats say about who can act in a role: whether this controller is confirmed, and which owners it confirms.
+/// Returns the heartbeat markers about who can act in a role: whether this controller is confirmed, and which role owners it
+/// sees as confirmed.
 pub fn gossip_markers(controller: &Controller, now: u64) -> Vec<VersionEntry> {
     let owners: BTreeSet<String> = controller.committed.roles().into_values().map(|role| role.owner).collect();
     let is_confirmed = controller.committed.is_confirmed(now);
@@ -177,8 +183,8 @@
     iter::once(VersionEntry::new(HiddenKey::Confirmed, u64::from(is_confirmed), 0)).chain(confirmed_owners).collect()
 }
 
-/// Returns what a peer's heartbeat says: whether it is confirmed, and whom it confirms. One of an earlier version, which says
-/// nothing of it, counts as confirmed while its heartbeats come.
+/// Returns whether a peer is confirmed, and which role owners it sees as confirmed, from the markers in its heartbeat. A peer
+/// of an earlier version, which sends no such markers, counts as confirmed while its heartbeats arrive.
 pub fn parse_gossip_markers(markers: &[VersionEntry]) -> (bool, Vec<String>) {
     let is_confirmed = markers.iter().find(|entry| HiddenKey::parse(&entry.name) == Some(HiddenKey::Confirmed));
     let is_confirmed = is_confirmed.is_none_or(|entry| entry.term == 1);
@@ -189,10 +195,10 @@
     (is_confirmed, confirmations.collect())
 }
 
-/// Commits the next epoch on top of `epoch`. None: another controller was first, or the outcome is unknown. An epoch that was
-/// committed all the same is never acted under: it is not among the acquired roles.
+/// Commits the next epoch on top of `epoch`. Returns `None` if another controller was first or the outcome is unknown. If the
+/// epoch was committed after all, this controller never acts under it, since it is not among the acquired roles.
 async fn commit_next_epoch(controller: &Controller, key: &str, epoch: u64, predecessor_expired: bool) -> Option<u64> {
-    let judge = |body: &[u8]| {
+    let decide = |body: &[u8]| {
         let stored = RoleState::from_bytes(body).unwrap_or_default();
         if stored.epoch != epoch {
             return Decision::Answer(None);
@@ -200,7 +206,7 @@
         let next = RoleState { epoch: epoch + 1, owner: controller.own_ip().to_string(), predecessor_expired };
         Decision::Write(next.to_bytes(), Some(epoch + 1))
     };
-    controller.change(key, COMMIT_TIMEOUT_MS, judge).await.flatten()
+    controller.change(key, COMMIT_TIMEOUT_MS, decide).await.flatten()
 }
 
 #[cfg(test)]
--- a/controller/src/roles_tests.rs
+++ b/controller/src/roles_tests.rs
@@ -3,7 +3,7 @@
 use super::parse_gossip_markers;
 
 #[test]
-fn peers_hear_who_is_confirmed_and_whom_it_confirms() {
+fn gossip_markers_state_whether_a_peer_is_confirmed_and_which_owners_it_confirms() {
     let markers = |confirmed: u64| {
         vec![
             VersionEntry::new("zone-a", 7, 1),
@@ -14,6 +14,13 @@
     };
     assert_eq!(parse_gossip_markers(&markers(1)), (true, vec!["10.0.0.2".to_string()]));
     assert_eq!(parse_gossip_markers(&markers(0)), (false, vec!["10.0.0.2".to_string()]));
-    assert_eq!(parse_gossip_markers(&markers(1)[..2]), (true, Vec::new()), "an earlier version tells nothing of it");
-    assert!(markers(1)[2..].iter().all(|item| message::is_hidden_key(&item.name)), "never taken for a zone");
+    assert_eq!(
+        parse_gossip_markers(&markers(1)[..2]),
+        (true, Vec::new()),
+        "a peer without markers counts as confirmed"
+    );
+    assert!(
+        markers(1)[2..].iter().all(|item| message::is_hidden_key(&item.name)),
+        "markers must not be taken for zones"
+    );
 }
--- a/controller/src/rollout/staleness_limits.rs
+++ b/controller/src/rollout/staleness_limits.rs
@@ -9,7 +9,7 @@
 use crate::api::request::missing_if_match;
 use crate::api::response::{ApiError, ApiResponse};
 use crate::controller::Controller;
-use crate::event::{RULE, UNSETTLED};
+use crate::event::{STALENESS_LIMIT_ENFORCED, STALENESS_LIMIT_UNCONFIRMED};
 use crate::replication::registers::Decision;
 
 /// What a limit is for.
@@ -253,10 +253,10 @@
         Err(response) => return response,
     };
     if !controller.wait_for_confirmations(&key, version).await {
-        kernel::log_event!(UNSETTLED, "rule" => key.as_str(), "version" => version);
+        kernel::log_event!(STALENESS_LIMIT_UNCONFIRMED, "rule" => key.as_str(), "version" => version);
         return ApiResponse::OutcomeUnknown;
     }
-    kernel::log_event!(RULE, "rule" => key.as_str(), "version" => version);
+    kernel::log_event!(STALENESS_LIMIT_ENFORCED, "rule" => key.as_str(), "version" => version);
     ApiResponse::json(&serde_json::json!({ "rule": key, "version": version }))
 }
 
--- a/controller/src/shutdown.rs
+++ b/controller/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a controller: what it accepted is finished, and nothing new is accepted.
+//! Graceful shutdown: accepted work is finished, and no new work is accepted.
 
 use std::future::Future;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The work that a controller finishes before it ends: operators' requests and jobs of batches.
+/// Tracks the work that a controller finishes before it exits: operator requests and batch jobs.
 #[derive(Default)]
 pub struct Shutdown {
     closing: CancellationToken,
@@ -15,36 +15,36 @@
 }
 
 impl Shutdown {
-    /// Starts work that is to be finished before the process ends.
+    /// Spawns work that must finish before the process exits.
     pub fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         self.work.spawn(work);
     }
 
-    /// Returns whether nothing new is accepted any more.
+    /// Returns whether new work is refused.
     pub fn is_closing(&self) -> bool {
         self.closing.is_cancelled()
     }
 
-    /// Waits until nothing new is accepted any more.
+    /// Waits until new work is refused.
     pub async fn closing(&self) {
         self.closing.cancelled().await;
     }
 
-    /// Accepts nothing new and waits for what is under way. Returns false if something is not finished at the end.
-    pub async fn run(&self, end: Instant) -> bool {
+    /// Refuses new work and waits for the work in progress. Returns `false` if some of it is unfinished at `deadline`.
+    pub async fn run(&self, deadline: Instant) -> bool {
         self.closing.cancel();
         self.work.close();
-        time::timeout_at(end, self.work.wait()).await.is_ok()
+        time::timeout_at(deadline, self.work.wait()).await.is_ok()
     }
 }
 
-/// How much of the grace is reserved for the end of the process itself.
-const RESERVE_MS: u64 = 300;
+/// The part of the shutdown grace period that is reserved for the exit of the process itself, in milliseconds.
+const EXIT_RESERVE_MS: u64 = 300;
 
-/// Returns when a process that gets SIGTERM now must have finished.
-pub fn last_moment(grace_s: f64) -> Instant {
+/// Returns the time by which a process that receives SIGTERM now must have finished its work.
+pub fn shutdown_deadline(grace_s: f64) -> Instant {
     let grace = Duration::from_secs_f64(grace_s);
-    Instant::now() + grace.saturating_sub(Duration::from_millis(RESERVE_MS))
+    Instant::now() + grace.saturating_sub(Duration::from_millis(EXIT_RESERVE_MS))
 }
 
 #[cfg(test)]
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -1,5 +1,5 @@
-//! Start and end of the process: the acceptor is read from disk, the parts are started in their order, and on SIGTERM what
-//! is under way is finished.
+//! Startup and shutdown of the process: reads the acceptor from disk, starts the components in order, and on SIGTERM finishes
+//! the work in progress.
 
 use std::path::Path;
 use std::process;
@@ -23,7 +23,7 @@
 use crate::batches::runner;
 use crate::controller::{Controller, LIVENESS_TIMEOUT_MS};
 use crate::discovery::poller;
-use crate::event::{DISK_UNUSABLE, SHUTDOWN_BEGUN, SHUTDOWN_FINISHED, START};
+use crate::event::{CONTROLLER_STARTED, DISK_UNUSABLE, SHUTDOWN_FINISHED, SHUTDOWN_STARTED};
 use crate::metering::{exporter, relay, Metering};
 use crate::metrics::Metrics;
 use crate::peers::directory::Peers;
@@ -36,48 +36,48 @@
 use crate::tallies::{exchange, ReplicaDirectory, Tallies, TallyReplica};
 use crate::{balancing, roles, shutdown};
 
-/// The parts of the controller, which register themselves here and are started in their stated order.
+/// The components of the controller. Each is registered here and started in the given order.
 #[kernel::plugin::linkme::distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
-pub static CONTROLLER_PARTS: [Plugin<Arc<Controller>>];
+pub static CONTROLLER_COMPONENTS: [Plugin<Arc<Controller>>];
 
-macro_rules! part {
+macro_rules! component {
     ($label:ident, $name:literal, $order:literal, $start:path) => {
-        #[kernel::plugin::linkme::distributed_slice(CONTROLLER_PARTS)]
+        #[kernel::plugin::linkme::distributed_slice(CONTROLLER_COMPONENTS)]
         #[linkme(crate = kernel::plugin::linkme)]
         static $label: Plugin<Arc<Controller>> = Plugin { name: $name, order: $order, start: $start };
     };
 }
 
-part!(GOSSIP, "gossip", 2, gossip::start);
-part!(PAUSE_MONITOR, "pauses", 1, pause::start);
-part!(RECONFIGURATION, "membership", 3, reconfiguration::start);
-part!(DISCOVERY, "platform", 4, poller::start);
-part!(ROLES, "duty", 5, roles::start);
-part!(BATCHES, "batches", 8, runner::start);
-part!(BALANCING, "balance", 7, balancing::start);
-part!(VERSION_ROLLOUTS, "versions", 9, version_rollouts::start);
-part!(OPERATOR_API, "control", 6, routes::start);
-part!(METERING_COPIES, "metering copies", 12, relay::start);
-part!(METERING, "metering", 11, exporter::start);
-part!(TALLIES, "tallies", 10, start_tally_exchange);
-part!(PEERS, "peers", 1, start_peer_listener);
-
-/// How long to wait before the socket for peers is tried again.
-const LISTEN_RETRY: Duration = Duration::from_millis(200);
-/// Messages to peers that were handed over get so long to leave.
-const FAREWELL: Duration = Duration::from_millis(300);
-/// The exit code of a process whose disk cannot be used.
+component!(GOSSIP, "gossip", 2, gossip::start);
+component!(PAUSE_MONITOR, "pauses", 1, pause::start);
+component!(RECONFIGURATION, "membership", 3, reconfiguration::start);
+component!(DISCOVERY, "platform", 4, poller::start);
+component!(ROLES, "duty", 5, roles::start);
+component!(BATCHES, "batches", 8, runner::start);
+component!(BALANCING, "balance", 7, balancing::start);
+component!(VERSION_ROLLOUTS, "versions", 9, version_rollouts::start);
+component!(OPERATOR_API, "control", 6, routes::start);
+component!(METERING_COPIES, "metering copies", 12, relay::start);
+component!(METERING, "metering", 11, exporter::start);
+component!(TALLIES, "tallies", 10, start_tally_exchange);
+component!(PEERS, "peers", 1, start_peer_listener);
+
+/// The delay before a failed listen on the peer socket is retried.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// How long messages that are queued for peers get to be sent before the process exits.
+const NOTIFICATION_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+/// The exit code if the data directory is unusable.
 const EXIT_DISK_UNUSABLE: u8 = 4;
 
-/// Starts the exchange of tallies, where there is a replica here.
+/// Starts the exchange of tallies, if this controller has a replica of them.
 fn start_tally_exchange(controller: &Arc<Controller>) {
     if let Tallies::Replica(replica) = &controller.tallies {
         exchange::start(replica.clone(), controller.clone());
     }
 }
 
-/// Listens for peers and routers for as long as the process runs.
+/// Starts the task that listens for peers and routers. It runs until the process ends.
 fn start_peer_listener(controller: &Arc<Controller>) {
     let address = format!("{}:{}", controller.settings.listen_ip(), controller.settings.peer_port());
     let controller = controller.clone();
@@ -87,14 +87,14 @@
         loop {
             match socket::listen(&address) {
                 Ok(listener) => link::serve(listener, handler.clone()).await,
-                Err(_) => time::sleep(LISTEN_RETRY).await,
+                Err(_) => time::sleep(LISTEN_RETRY_DELAY).await,
             }
         }
     });
 }
 
-/// Returns the first core membership: the seeds, which at the first start are the same in all settings.
-fn founding_membership(settings: &Settings) -> CoreMembership {
+/// Returns the initial core membership: the seeds, which are the same in all settings files at the first start.
+fn initial_membership(settings: &Settings) -> CoreMembership {
     let mut ips = settings.seed_ips();
     ips.sort();
     ips.dedup();
@@ -102,10 +102,10 @@
     CoreMembership { version: 1, members, previous_members: Vec::new(), stable: true }
 }
 
-/// The acceptor as it was found on disk.
+/// The acceptor as it was read from disk.
 struct OpenedAcceptor {
     acceptor: Acceptor,
-    /// None: everything is kept in memory only.
+    /// `None` if everything is kept in memory only.
     store: Option<Store>,
     is_disk_empty: bool,
 }
@@ -119,30 +119,30 @@
     Ok(OpenedAcceptor { acceptor: opened.state, store: Some(opened.store), is_disk_empty: opened.is_empty })
 }
 
-/// Starts the acceptor on its disk. One that bootstraps on an empty disk founds the core.
+/// Starts the acceptor on its disk. With `bootstrap` set and an empty disk, it starts with the initial core membership.
 fn start_replica(settings: &Settings, opened: OpenedAcceptor, metrics: &Metrics) -> Replica {
     let OpenedAcceptor { mut acceptor, store, is_disk_empty } = opened;
     let mut first_records = Vec::new();
     if is_disk_empty && settings.bootstrap {
-        acceptor.membership = founding_membership(settings);
+        acceptor.membership = initial_membership(settings);
         acceptor.may_vote = true;
         first_records = acceptor.snapshot();
     }
-    log_event!(START, "node" => settings.node_name.clone(), "ip" => settings.ip.clone(), "empty" => is_disk_empty,
+    log_event!(CONTROLLER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone(), "empty" => is_disk_empty,
         "bootstrap" => settings.bootstrap, "may_vote" => acceptor.may_vote, "core" => acceptor.membership.version);
     let disk = Disk::start(store, acceptor.clone(), metrics.disk_write.clone());
     disk.write(first_records);
     Replica::new(acceptor, disk)
 }
 
-/// Opens the tallies where there is a disk.
+/// Opens the replica of the tallies if there is a data directory.
 fn open_tallies(settings: &Settings, incarnation: u64, metrics: &Metrics) -> Result<Tallies, StoreError> {
     let Some(dir) = &settings.data_dir else { return Ok(Tallies::Elsewhere(ReplicaDirectory::default())) };
-    let random = consensus::replica_id(&settings.ip, incarnation);
-    TallyReplica::open(settings, dir, random, metrics.disk_write.clone()).map(Tallies::Replica)
+    let replica_id = consensus::replica_id(&settings.ip, incarnation);
+    TallyReplica::open(settings, dir, replica_id, metrics.disk_write.clone()).map(Tallies::Replica)
 }
 
-/// Puts the parts of the process together.
+/// Builds the controller from its components.
 fn assemble(settings: Settings, opened: OpenedAcceptor, incarnation: u64) -> Result<Arc<Controller>, StoreError> {
     let metrics = Metrics::default();
     let tallies = open_tallies(&settings, incarnation, &metrics)?;
@@ -171,7 +171,7 @@
     }))
 }
 
-/// Runs a controller until it is told to end and has finished what it took, and returns the code to exit with.
+/// Runs a controller until it is told to terminate and has finished its accepted work, and returns the exit code.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
     let incarnation = new_incarnation();
     let assembled = open_acceptor(&settings).and_then(|opened| assemble(settings, opened, incarnation));
@@ -187,19 +187,20 @@
     telemetry::start(controller.settings.listen_ip(), controller.settings.metrics.as_ref(), move || {
         observed.metrics.render(&observed)
     });
-    plugin::start(&CONTROLLER_PARTS, &controller);
+    plugin::start(&CONTROLLER_COMPONENTS, &controller);
     signal::wait_for_termination(&mut signals).await;
     terminate(&controller).await;
     process::ExitCode::SUCCESS
 }
 
-/// Leaves the core where that is possible, then finishes what is under way. Meanwhile peers hear that this controller ends.
+/// Leaves the core if possible, then finishes the work in progress. Heartbeats tell the peers meanwhile that this controller
+/// is shutting down.
 async fn terminate(controller: &Arc<Controller>) {
-    log_event!(SHUTDOWN_BEGUN);
-    let end = shutdown::last_moment(controller.settings.bounds.grace_s);
+    log_event!(SHUTDOWN_STARTED);
+    let deadline = shutdown::shutdown_deadline(controller.settings.bounds.grace_s);
     controller.shutting_down.store(true, Ordering::Relaxed);
     gossip::broadcast(controller);
     tokio::join!(relay::hand_over(controller), reconfiguration::leave(controller));
-    let (finished, ()) = tokio::join!(controller.shutdown.run(end), time::sleep(FAREWELL));
+    let (finished, ()) = tokio::join!(controller.shutdown.run(deadline), time::sleep(NOTIFICATION_FLUSH_TIMEOUT));
     log_event!(SHUTDOWN_FINISHED, "finished" => finished, "orders" => controller.metrics.requests_in_flight.get());
 }
--- a/controller/src/testing/mod.rs
+++ b/controller/src/testing/mod.rs
@@ -1,3 +1,3 @@
-//! Test support: nothing of it is part of the daemon.
+//! Test support; no part of the daemon.
 
 mod simulation;
