--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -102,7 +102,7 @@
 #[test]
 fn learn_rejects_an_unreadable_configuration_and_keeps_the_previous_one() {
     let invalid_bodies = [
-        (b"of another format".to_vec(), Unreadable::Body),
+        (b"of another form".to_vec(), Unreadable::Body),
         (stored(8, text(9, 5)).encode(BodyFormat::Digested), Unreadable::Revision { declared: 8, found: 9 }),
         (
             stored(2, text(2, 5)).encode(BodyFormat::Digested),
@@ -156,7 +156,7 @@
         assert!(confirmation.is_quorum());
         confirmation.stale_keys(|key| state.entries.get(key).map(Entry::position)).len()
     };
-    let unreadable_entry = entry(2, 1, b"of another format".to_vec());
+    let unreadable_entry = entry(2, 1, b"of another form".to_vec());
     assert_eq!(stale_count(&state, &unreadable_entry), 1);
     state.learn(CONFIG_KEY, &unreadable_entry, None);
     assert_eq!(stale_count(&state, &unreadable_entry), 1, "the key stays stale");
@@ -172,7 +172,7 @@
     let evacuated = EvacuationRecord { version: 4, evacuated: true }.to_bytes();
     state.learn(&zone, &entry(1, 0, evacuated), None);
     for key in [zone.as_str(), &format!("{ROLE_PREFIX}x"), &format!("{}s/m", STALENESS_LIMIT_PREFIX), MEMBERSHIP_KEY] {
-        let learned = state.learn(key, &entry(2, 0, b"of another format".to_vec()), None);
+        let learned = state.learn(key, &entry(2, 0, b"of another form".to_vec()), None);
         assert!(matches!(learned, Learned::Unreadable { error: Unreadable::Body, .. }), "{key}");
         assert_ne!(position(&state, key), Some((2, 0)));
     }
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -69,10 +69,8 @@
             }
             let peer = self.peers.consensus_client(ip);
             tokio::spawn(async move {
-                let message = Message::ConsensusRequest(Box::new(request));
-                let Some(Message::ConsensusResponse(response)) = peer.call(message, ROUND_TIMEOUT_MS).await else {
-                    return;
-                };
+                let msg = Message::ConsensusRequest(Box::new(request));
+                let Some(Message::ConsensusResponse(response)) = peer.call(msg, ROUND_TIMEOUT_MS).await else { return };
                 let _ = send.try_send((from, *response));
             });
         }
--- a/controller/src/testing/simulation/bodies.rs
+++ b/controller/src/testing/simulation/bodies.rs
@@ -20,17 +20,17 @@
 }
 
 /// A valid whole configuration that no other operator sends, under a number that others may choose too.
-pub fn whole(random: &mut Rng, operator: u64, order: u64, base: u64) -> Body {
+pub fn whole(random: &mut Rng, operator: u64, action_number: u64, base: u64) -> Body {
     let revision = base + 1 + random.below(2);
-    let routes = json!([route("r", "/", 1 + operator + 10 * order)]);
+    let routes = json!([route("r", "/", 1 + operator + 10 * action_number)]);
     let value = json!({"revision": revision, "service_table": [{"name": "s"}], "route_table": routes});
     Body { change: ConfigChange { base, text: value.to_string(), partial: false }, valid: true }
 }
 
 /// A change of any kind. Every configuration holds the route `r` to the service `s`.
-pub fn draw(random: &mut Rng, operator: u64, order: u64, base: u64) -> Body {
+pub fn draw(random: &mut Rng, operator: u64, action_number: u64, base: u64) -> Body {
     let revision = base + 1 + random.below(2);
-    let timeout = 1 + operator + 10 * order;
+    let timeout = 1 + operator + 10 * action_number;
     let partial = base > 0 && random.below(ITEMS_ONE_OF) == 0;
     let routes = json!([route("r", "/", timeout), route(&format!("r{operator}"), &format!("/{operator}/"), timeout)]);
     let mut value = match partial {
--- a/controller/src/testing/simulation/catch_up_tests.rs
+++ b/controller/src/testing/simulation/catch_up_tests.rs
@@ -5,31 +5,31 @@
 use super::{Cluster, Guards, ALL_GUARDS};
 
 /// How long a machine has to catch up.
-const SYNC_MS: u64 = 4000;
+const CATCH_UP_MS: u64 = 4000;
 
 /// Many operators change the configuration all the time while one machine is away. False: it did not catch up in
 /// time while the changes went on.
 fn run(seed: u64, wipe: bool, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, 3, 8);
     cluster.guards = guards;
-    cluster.max_pause_ms = 20;
-    let mut chance = Rng::new(seed ^ 0xca7);
+    cluster.max_think_time_ms = 20;
+    let mut rng = Rng::new(seed ^ 0xca7);
     let mut caught_up = true;
     cluster.run(1500);
     for _ in 0..3 {
-        let at = chance.below(3) as usize;
-        cluster.lose_power(at, wipe);
-        cluster.run(500 + chance.below(6000));
-        cluster.start(at);
-        cluster.run(SYNC_MS);
-        let node = &cluster.nodes[at];
+        let index = rng.below(3) as usize;
+        cluster.lose_power(index, wipe);
+        cluster.run(500 + rng.below(6000));
+        cluster.start(index);
+        cluster.run(CATCH_UP_MS);
+        let node = &cluster.nodes[index];
         caught_up &= node.acceptor.may_vote && node.is_confirmed(cluster.now);
     }
     cluster.finish();
     (cluster, caught_up)
 }
 
-fn holds(wipe: bool) {
+fn assert_holds(wipe: bool) {
     let mut acknowledged = 0;
     for seed in 1..=10 {
         let (cluster, caught_up) = run(seed, wipe, ALL_GUARDS);
@@ -42,19 +42,19 @@
 
 #[test]
 fn a_member_restarted_in_a_storm_of_changes_catches_up_and_leads_with_nothing_old() {
-    holds(false);
+    assert_holds(false);
 }
 
 #[test]
 fn a_wiped_member_in_a_storm_of_changes_catches_up_and_leads_with_nothing_old() {
-    holds(true);
+    assert_holds(true);
 }
 
 #[test]
 fn without_reading_the_others_a_wiped_member_votes_on_what_it_forgot() {
     let guards = Guards { recovery_reads: false, ..ALL_GUARDS };
-    let broken = (1..=60).any(|seed| !run(seed, true, guards).0.history.violations.is_empty());
-    assert!(broken, "a simulation that can't fail shows nothing");
+    let found_violation = (1..=60).any(|seed| !run(seed, true, guards).0.history.violations.is_empty());
+    assert!(found_violation, "a simulation that can't fail shows nothing");
 }
 
 #[test]
--- a/controller/src/testing/simulation/confirming.rs
+++ b/controller/src/testing/simulation/confirming.rs
@@ -9,63 +9,63 @@
 use super::Cluster;
 use crate::controller::HEARTBEAT_INTERVAL_MS;
 
-const READ_MS: u64 = 600;
-const FETCH_MS: u64 = 60;
-const RENEW_MS: u64 = 600;
-const CATCH_UP_MS: u64 = 600;
-const ON_ITS_WAY_MS: u64 = 60;
-const INCOMPLETE_AFTER_MS: u64 = 100;
+const READ_TIMEOUT_MS: u64 = 600;
+const FETCH_INTERVAL_MS: u64 = 60;
+const RECOMMIT_TIMEOUT_MS: u64 = 600;
+const CATCH_UP_TIMEOUT_MS: u64 = 600;
+const IN_TRANSIT_DELAY_MS: u64 = 60;
+const ABANDONED_AFTER_MS: u64 = 100;
 
 /// One key that is behind, and the reads of it at the members.
 struct CatchUp {
-    behind: StaleKey,
+    stale: StaleKey,
     since: u64,
     next_try: u64,
     id: u64,
     fetched: Vec<(String, Entry)>,
 }
 
-/// The confirmation under way. Invariant: `confirmed` is set to `begun` only once nothing is behind.
+/// The confirmation under way. Invariant: `confirmed` is set to `started` only once nothing is behind.
 #[derive(Default)]
 pub struct Confirming {
     next_tick: u64,
-    begun: u64,
+    started: u64,
     read: Option<(u64, Confirmation)>,
-    behind: Vec<CatchUp>,
+    catch_ups: Vec<CatchUp>,
 }
 
 impl Confirming {
-    fn is_at_work(&self) -> bool {
-        self.read.is_some() || !self.behind.is_empty()
+    fn is_in_progress(&self) -> bool {
+        self.read.is_some() || !self.catch_ups.is_empty()
     }
 
-    fn give_up(&mut self) {
+    fn abort(&mut self) {
         self.read = None;
-        self.behind.clear();
+        self.catch_ups.clear();
     }
 }
 
 impl Cluster {
-    pub fn run_confirmation(&mut self, at: usize) {
+    pub fn run_confirmation(&mut self, index: usize) {
         let now = self.now;
-        let confirming = &mut self.nodes[at].confirming;
-        if now >= confirming.next_tick && !confirming.is_at_work() {
+        let confirming = &mut self.nodes[index].confirming;
+        if now >= confirming.next_tick && !confirming.is_in_progress() {
             confirming.next_tick = now + HEARTBEAT_INTERVAL_MS;
-            self.broadcast(at);
-            self.begin_confirmation(at);
+            self.broadcast(index);
+            self.begin_confirmation(index);
             return;
         }
-        let late_read = confirming.read.is_some() && now > confirming.begun + READ_MS;
-        if late_read || confirming.behind.iter().any(|one| now > one.since + CATCH_UP_MS) {
-            confirming.give_up();
+        let read_timed_out = confirming.read.is_some() && now > confirming.started + READ_TIMEOUT_MS;
+        if read_timed_out || confirming.catch_ups.iter().any(|catch_up| now > catch_up.since + CATCH_UP_TIMEOUT_MS) {
+            confirming.abort();
         }
-        for number in 0..confirming.behind.len() {
-            self.try_to_catch_up(at, number);
+        for number in 0..confirming.catch_ups.len() {
+            self.try_to_catch_up(index, number);
         }
     }
 
-    pub fn broadcast(&mut self, at: usize) {
-        let node = &self.nodes[at];
+    pub fn broadcast(&mut self, index: usize) {
+        let node = &self.nodes[index];
         let live = |ip: &&String| node.view.is_live(ip, self.now);
         let heartbeat = Heartbeat {
             address: node.acceptor.ip.clone(),
@@ -75,12 +75,12 @@
             peers: node.view.controllers.keys().filter(live).cloned().collect(),
         };
         for to in node.known_peers().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
-            self.send(Address::Node(at), Address::Node(to), Packet::Heartbeat(heartbeat.clone()));
+            self.send(Address::Node(index), Address::Node(to), Packet::Heartbeat(heartbeat.clone()));
         }
     }
 
-    pub fn receive_heartbeat(&mut self, at: usize, heartbeat: Heartbeat) {
-        self.adopt(at, &heartbeat.core);
+    pub fn receive_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) {
+        self.adopt(index, &heartbeat.core);
         let peer = Peer {
             last_seen: self.now,
             eligible: heartbeat.eligible,
@@ -88,7 +88,7 @@
             protocol_version: PROTOCOL_VERSION,
             ..Default::default()
         };
-        let view = &mut self.nodes[at].view;
+        let view = &mut self.nodes[index].view;
         view.observe(&heartbeat.address, peer);
         for ip in heartbeat.peers {
             if ip != view.own_ip {
@@ -97,35 +97,41 @@
         }
     }
 
-    fn begin_confirmation(&mut self, at: usize) {
-        let core = self.nodes[at].acceptor.membership.clone();
+    fn begin_confirmation(&mut self, index: usize) {
+        let core = self.nodes[index].acceptor.membership.clone();
         if core.members.is_empty() {
             return;
         }
         let members = quorum::addresses(&core);
-        let id = self.poll(at, &core, &ConsensusOperation::Positions, &members);
-        let confirming = &mut self.nodes[at].confirming;
-        confirming.begun = self.now;
+        let id = self.send_requests(index, &core, &ConsensusOperation::Positions, &members);
+        let confirming = &mut self.nodes[index].confirming;
+        confirming.started = self.now;
         confirming.read = Some((id, Confirmation::new(&core)));
     }
 
     /// A vote on the confirmation. False: it was for something else.
-    pub fn response_to_confirmation(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
+    pub fn handle_confirmation_response(
+        &mut self,
+        index: usize,
+        from: &str,
+        id: u64,
+        response: &ConsensusResponse,
+    ) -> bool {
         if let ConsensusResponse::NewerMembership { membership } = response {
-            self.adopt(at, membership);
-            let confirming = &mut self.nodes[at].confirming;
+            self.adopt(index, membership);
+            let confirming = &mut self.nodes[index].confirming;
             let stale = confirming.read.as_ref().is_some_and(|(read, _)| *read == id);
-            if stale || confirming.behind.iter().any(|one| one.id == id) {
-                confirming.give_up();
+            if stale || confirming.catch_ups.iter().any(|catch_up| catch_up.id == id) {
+                confirming.abort();
                 return true;
             }
             return false;
         }
         if let ConsensusResponse::Fetched { entry } = response {
-            self.receive_fetched(at, from, id, entry.clone());
+            self.receive_fetched(index, from, id, entry.clone());
             return true;
         }
-        let confirming = &mut self.nodes[at].confirming;
+        let confirming = &mut self.nodes[index].confirming;
         let Some((read, confirmation)) = confirming.read.as_mut() else { return false };
         if *read != id {
             return false;
@@ -134,73 +140,82 @@
         confirmation.record(from, positions.clone());
         if confirmation.is_quorum() {
             let (_, confirmation) = confirming.read.take().expect("a read");
-            self.catch_up(at, &confirmation);
+            self.catch_up(index, &confirmation);
         }
         true
     }
 
-    fn catch_up(&mut self, at: usize, confirmation: &Confirmation) {
-        let (now, behind) = (self.now, confirmation.stale_keys(|key| self.nodes[at].place(key)));
-        let wait = |committed: bool| if committed { 0 } else { ON_ITS_WAY_MS };
-        let one = |behind: StaleKey| {
-            let next_try = now + wait(behind.is_committed);
-            CatchUp { behind, since: now, next_try, id: 0, fetched: Vec::new() }
+    fn catch_up(&mut self, index: usize, confirmation: &Confirmation) {
+        let (now, stale_keys) = (self.now, confirmation.stale_keys(|key| self.nodes[index].position(key)));
+        let delay = |committed: bool| if committed { 0 } else { IN_TRANSIT_DELAY_MS };
+        let catch_up = |stale: StaleKey| {
+            let next_try = now + delay(stale.is_committed);
+            CatchUp { stale, since: now, next_try, id: 0, fetched: Vec::new() }
         };
-        self.nodes[at].confirming.behind = behind.into_iter().map(one).collect();
-        self.finish_confirmation(at);
+        self.nodes[index].confirming.catch_ups = stale_keys.into_iter().map(catch_up).collect();
+        self.finish_confirmation(index);
     }
 
     /// Looks whether a key is known by now, else reads it at the members once more.
-    fn try_to_catch_up(&mut self, at: usize, number: usize) {
+    fn try_to_catch_up(&mut self, index: usize, number: usize) {
         let now = self.now;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         let core = node.acceptor.membership.clone();
-        let Some(one) = node.confirming.behind.get_mut(number).filter(|one| now >= one.next_try) else { return };
-        one.next_try = now + FETCH_MS;
-        one.fetched.clear();
-        let (key, place, half_done) =
-            (one.behind.key.clone(), one.behind.position, now > one.since + INCOMPLETE_AFTER_MS);
-        if node.place(&key) >= Some(place) {
-            return self.caught_up(at, &key);
+        let Some(catch_up) = node.confirming.catch_ups.get_mut(number).filter(|catch_up| now >= catch_up.next_try)
+        else {
+            return;
+        };
+        catch_up.next_try = now + FETCH_INTERVAL_MS;
+        catch_up.fetched.clear();
+        let (key, position, is_abandoned) =
+            (catch_up.stale.key.clone(), catch_up.stale.position, now > catch_up.since + ABANDONED_AFTER_MS);
+        if node.position(&key) >= Some(position) {
+            return self.caught_up(index, &key);
         }
         let first = node.view.first_live("", &key, now) == node.acceptor.ip;
         let members = quorum::addresses(&core);
-        let id = self.poll(at, &core, &ConsensusOperation::Fetch { key: key.clone() }, &members);
-        self.nodes[at].confirming.behind[number].id = id;
-        if half_done && first && !self.is_changing(at, &Purpose::Repair) {
-            self.nodes[at].owned.remove(&key);
-            self.begin_change(at, &key, Purpose::Repair, RENEW_MS, Box::new(|_: &[u8]| Decision::Answer(None)));
+        let id = self.send_requests(index, &core, &ConsensusOperation::Fetch { key: key.clone() }, &members);
+        self.nodes[index].confirming.catch_ups[number].id = id;
+        if is_abandoned && first && !self.has_change(index, &Purpose::RecommitAbandoned) {
+            self.nodes[index].owned.remove(&key);
+            self.begin_change(
+                index,
+                &key,
+                Purpose::RecommitAbandoned,
+                RECOMMIT_TIMEOUT_MS,
+                Box::new(|_: &[u8]| Decision::Answer(None)),
+            );
         }
     }
 
-    fn receive_fetched(&mut self, at: usize, from: &str, id: u64, entry: Option<Entry>) {
-        let takes_newer = self.guards.newer_entries;
-        let node = &mut self.nodes[at];
-        let Some(one) = node.confirming.behind.iter_mut().find(|one| one.id == id) else { return };
+    fn receive_fetched(&mut self, index: usize, from: &str, id: u64, entry: Option<Entry>) {
+        let accepts_newer = self.guards.newer_entries;
+        let node = &mut self.nodes[index];
+        let Some(catch_up) = node.confirming.catch_ups.iter_mut().find(|catch_up| catch_up.id == id) else { return };
         let Some(entry) = entry else { return };
-        let (key, place) = (one.behind.key.clone(), one.behind.position);
-        one.fetched.push((from.into(), entry.clone()));
-        let newer = consensus::newest_committed(&node.acceptor.membership, &one.fetched);
-        let newer = newer.filter(|newer| takes_newer && newer.position() >= place);
-        let looked_for = Some(entry).filter(|entry| one.behind.is_committed && entry.position() == place);
-        let Some(entry) = looked_for.or(newer) else { return };
-        self.learn(at, &key, &entry, false);
-        self.caught_up(at, &key);
+        let (key, position) = (catch_up.stale.key.clone(), catch_up.stale.position);
+        catch_up.fetched.push((from.into(), entry.clone()));
+        let newer = consensus::newest_committed(&node.acceptor.membership, &catch_up.fetched);
+        let newer = newer.filter(|newer| accepts_newer && newer.position() >= position);
+        let requested = Some(entry).filter(|entry| catch_up.stale.is_committed && entry.position() == position);
+        let Some(entry) = requested.or(newer) else { return };
+        self.learn(index, &key, &entry, false);
+        self.caught_up(index, &key);
     }
 
-    fn caught_up(&mut self, at: usize, key: &str) {
-        self.nodes[at].confirming.behind.retain(|one| one.behind.key != key);
-        self.finish_confirmation(at);
+    fn caught_up(&mut self, index: usize, key: &str) {
+        self.nodes[index].confirming.catch_ups.retain(|catch_up| catch_up.stale.key != key);
+        self.finish_confirmation(index);
     }
 
-    fn finish_confirmation(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
-        if node.confirming.is_at_work() {
+    fn finish_confirmation(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        if node.confirming.is_in_progress() {
             return;
         }
-        let begun = node.confirming.begun;
-        node.confirmed = Some(begun);
+        let started = node.confirming.started;
+        node.confirmed = Some(started);
         let (config, evacuated) = (node.config(), node.is_evacuated());
-        self.history.check_confirmed(at, begun, &config, evacuated);
+        self.history.check_confirmed(index, started, &config, evacuated);
     }
 }
--- a/controller/src/testing/simulation/history.rs
+++ b/controller/src/testing/simulation/history.rs
@@ -5,13 +5,13 @@
 use protocol::config;
 
 use super::bodies;
-use super::operator::{Answer, Attempt, OperatorAction};
+use super::operator::{ActionId, Answer, OperatorAction};
 use crate::config::body::{self, StoredConfig};
 
 /// A change that an operator knows to be taken.
 #[derive(Clone, Copy, Debug)]
 struct Acknowledged {
-    at: u64,
+    time: u64,
     base: u64,
     revision: u64,
     digest: [u8; 16],
@@ -20,12 +20,12 @@
 /// Everything that is checked, as it happened. Broken promises are listed in `violations`.
 #[derive(Default)]
 pub struct History {
-    orders: BTreeMap<Attempt, OperatorAction>,
+    actions: BTreeMap<ActionId, OperatorAction>,
     /// The newest revision known to be taken when a read was first sent.
-    read_floor: BTreeMap<Attempt, u64>,
-    refused: Vec<Attempt>,
+    read_floor: BTreeMap<ActionId, u64>,
+    rejected: Vec<ActionId>,
     /// Changes that must never be taken.
-    invalid: BTreeSet<Attempt>,
+    invalid: BTreeSet<ActionId>,
     acknowledged: Vec<Acknowledged>,
     /// The evacuation that was acknowledged last, and when; None while another is under way.
     evacuation: Option<(u64, bool)>,
@@ -33,12 +33,12 @@
     pub violations: Vec<String>,
 }
 
-fn is_taken(held: &StoredConfig, digest: &[u8; 16]) -> bool {
-    held.changes.iter().any(|taken| taken.digest == *digest)
+fn contains_change(config: &StoredConfig, digest: &[u8; 16]) -> bool {
+    config.changes.iter().any(|stored| stored.digest == *digest)
 }
 
-fn revision(order: &OperatorAction) -> u64 {
-    let OperatorAction::Change(change) = order else { return 0 };
+fn revision(action: &OperatorAction) -> u64 {
+    let OperatorAction::Change(change) = action else { return 0 };
     bodies::revision(change)
 }
 
@@ -48,49 +48,49 @@
     }
 
     fn newest(&self) -> u64 {
-        self.acknowledged.iter().map(|one| one.revision).max().unwrap_or(0)
+        self.acknowledged.iter().map(|change| change.revision).max().unwrap_or(0)
     }
 
-    pub fn begun(&mut self, attempt: Attempt, order: OperatorAction) {
-        if matches!(order, OperatorAction::Evacuate(_)) {
+    pub fn record_start(&mut self, action_id: ActionId, action: OperatorAction) {
+        if matches!(action, OperatorAction::Evacuate(_)) {
             self.evacuation = None;
         }
-        self.read_floor.insert(attempt, self.newest());
-        self.orders.insert(attempt, order);
+        self.read_floor.insert(action_id, self.newest());
+        self.actions.insert(action_id, action);
     }
 
     /// An order is sent that must never be taken.
-    pub fn invalid(&mut self, attempt: Attempt) {
-        self.invalid.insert(attempt);
+    pub fn record_invalid(&mut self, action_id: ActionId) {
+        self.invalid.insert(action_id);
     }
 
     /// A controller answered, whether or not the answer arrives.
-    pub fn answered(&mut self, attempt: Attempt, answer: &Answer) {
-        if *answer == Answer::Refused {
-            self.refused.push(attempt);
+    pub fn record_answer(&mut self, action_id: ActionId, answer: &Answer) {
+        if *answer == Answer::Rejected {
+            self.rejected.push(action_id);
         }
-        if *answer == Answer::Good && self.invalid.contains(&attempt) {
-            self.violations.push(format!("{attempt:?}: an invalid change was acknowledged"));
+        if *answer == Answer::Done && self.invalid.contains(&action_id) {
+            self.violations.push(format!("{action_id:?}: an invalid change was acknowledged"));
         }
     }
 
     /// The operator got this answer.
-    pub fn heard(&mut self, attempt: Attempt, answer: &Answer, now: u64) {
-        let Some(order) = self.orders.get(&attempt) else { return };
-        match (order, answer) {
-            (OperatorAction::Change(change), Answer::Good) => {
+    pub fn record_received_answer(&mut self, action_id: ActionId, answer: &Answer, now: u64) {
+        let Some(action) = self.actions.get(&action_id) else { return };
+        match (action, answer) {
+            (OperatorAction::Change(change), Answer::Done) => {
                 let (base, digest) = (change.base, body::change_digest(change));
-                let same_base = self.acknowledged.iter().find(|one| one.base == base && one.digest != digest);
+                let same_base = self.acknowledged.iter().find(|change| change.base == base && change.digest != digest);
                 if same_base.is_some() {
                     self.violations.push(format!("{now}: two changes of version {base} were acknowledged"));
                 }
-                let revision = revision(order);
-                self.acknowledged.push(Acknowledged { at: now, base, revision, digest });
+                let revision = revision(action);
+                self.acknowledged.push(Acknowledged { time: now, base, revision, digest });
             }
-            (OperatorAction::Evacuate(on), Answer::Good) => self.evacuation = Some((now, *on)),
+            (OperatorAction::Evacuate(on), Answer::Done) => self.evacuation = Some((now, *on)),
             (OperatorAction::Read, Answer::Found { revision, .. }) => {
                 self.reads += 1;
-                let floor = self.read_floor[&attempt];
+                let floor = self.read_floor[&action_id];
                 if *revision < floor {
                     self.violations.push(format!("{now}: a read found version {revision}, {floor} was acknowledged"));
                 }
@@ -100,16 +100,17 @@
     }
 
     /// A controller says that what it knows was confirmed at `confirmed`: nothing acknowledged by then is missing.
-    pub fn check_confirmed(&mut self, at: usize, confirmed: u64, config: &StoredConfig, evacuated: bool) {
-        let before = self.acknowledged.iter().filter(|one| one.at <= confirmed);
-        let newest = before.map(|one| one.revision).max().unwrap_or(0);
+    pub fn check_confirmed(&mut self, index: usize, confirmed: u64, config: &StoredConfig, evacuated: bool) {
+        let before = self.acknowledged.iter().filter(|change| change.time <= confirmed);
+        let newest = before.map(|change| change.revision).max().unwrap_or(0);
         if config.revision < newest {
-            let words = format!("{confirmed}: controller {at} confirms version {}, {newest} is known", config.revision);
-            self.violations.push(words);
+            let violation =
+                format!("{confirmed}: controller {index} confirms version {}, {newest} is known", config.revision);
+            self.violations.push(violation);
         }
         if let Some((_, on)) = self.evacuation.filter(|(time, on)| *time <= confirmed && *on != evacuated) {
             self.violations
-                .push(format!("{confirmed}: controller {at} confirms evacuation {evacuated}, {on} is known"));
+                .push(format!("{confirmed}: controller {index} confirms evacuation {evacuated}, {on} is known"));
         }
     }
 
@@ -121,21 +122,21 @@
                 other => self.violations.push(format!("version {} reads as {other:?}", last.revision)),
             }
         }
-        for attempt in &self.invalid {
-            let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &body::change_digest(change)) {
-                self.violations.push(format!("{attempt:?}: an invalid change is in force"));
+        for action_id in &self.invalid {
+            let Some(OperatorAction::Change(change)) = self.actions.get(action_id) else { continue };
+            if contains_change(last, &body::change_digest(change)) {
+                self.violations.push(format!("{action_id:?}: an invalid change is in force"));
             }
         }
-        for one in &self.acknowledged {
-            if one.revision > last.revision || !is_taken(last, &one.digest) {
+        for change in &self.acknowledged {
+            if change.revision > last.revision || !contains_change(last, &change.digest) {
                 self.violations
-                    .push(format!("version {} was acknowledged and is not in {}", one.revision, last.revision));
+                    .push(format!("version {} was acknowledged and is not in {}", change.revision, last.revision));
             }
         }
-        for attempt in &self.refused {
-            let Some(OperatorAction::Change(change)) = self.orders.get(attempt) else { continue };
-            if is_taken(last, &body::change_digest(change)) {
+        for action_id in &self.rejected {
+            let Some(OperatorAction::Change(change)) = self.actions.get(action_id) else { continue };
+            if contains_change(last, &body::change_digest(change)) {
                 self.violations.push(format!("a change of version {} was taken and refused", change.base));
             }
         }
--- a/controller/src/testing/simulation/isolation_tests.rs
+++ b/controller/src/testing/simulation/isolation_tests.rs
@@ -4,80 +4,80 @@
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
-const AWAY_MS: u64 = 20_000;
+const OUTAGE_MS: u64 = 20_000;
 
 /// How a controller loses the others.
 #[derive(Clone, Copy, Debug)]
-enum Away {
-    CutOff,
+enum Outage {
+    Isolated,
     /// It hears the others, and they do not hear it.
-    Unheard,
+    Muted,
     Frozen,
 }
 
-fn run(seed: u64, away: Away, guards: Guards) -> Cluster {
+fn run(seed: u64, outage: Outage, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 3);
     cluster.guards = guards;
-    cluster.lost_answers = 20;
-    let mut chance = Rng::new(seed ^ 0xc07);
-    cluster.run(2500 + chance.below(1500));
-    let at = chance.below(3) as usize;
-    match away {
-        Away::CutOff => cluster.isolate(at),
-        Away::Unheard => cluster.silence(at),
-        Away::Frozen => cluster.freeze(at),
+    cluster.lost_answer_percent = 20;
+    let mut rng = Rng::new(seed ^ 0xc07);
+    cluster.run(2500 + rng.below(1500));
+    let index = rng.below(3) as usize;
+    match outage {
+        Outage::Isolated => cluster.isolate(index),
+        Outage::Muted => cluster.block_outgoing(index),
+        Outage::Frozen => cluster.freeze(index),
     }
-    cluster.run(AWAY_MS / 2);
-    if !matches!(away, Away::Frozen) {
-        assert!(!cluster.nodes[at].is_confirmed(cluster.now), "seed {seed}: confirmed without a quorum");
+    cluster.run(OUTAGE_MS / 2);
+    if !matches!(outage, Outage::Frozen) {
+        assert!(!cluster.nodes[index].is_confirmed(cluster.now), "seed {seed}: confirmed without a quorum");
     }
-    cluster.run(AWAY_MS / 2);
+    cluster.run(OUTAGE_MS / 2);
     cluster.network.heal();
-    cluster.thaw(at);
+    cluster.thaw(index);
     cluster.run(3000);
     cluster.finish();
     cluster
 }
 
-fn holds(away: Away) {
+fn assert_holds(outage: Outage) {
     let (mut acknowledged, mut reads) = (0, 0);
     for seed in 1..=12 {
-        let cluster = run(seed, away, ALL_GUARDS);
+        let cluster = run(seed, outage, ALL_GUARDS);
         let history = &cluster.history;
-        assert!(history.violations.is_empty(), "seed {seed}, {away:?}: {:?}", history.violations);
+        assert!(history.violations.is_empty(), "seed {seed}, {outage:?}: {:?}", history.violations);
         acknowledged += history.acknowledged();
         reads += history.reads;
     }
     assert!(acknowledged > 300 && reads > 100, "operators must get work done: {acknowledged}, {reads}");
 }
 
-fn breaks(away: Away, guards: Guards) -> bool {
-    (1..=40).any(|seed| !run(seed, away, guards).history.violations.is_empty())
+fn finds_violation(outage: Outage, guards: Guards) -> bool {
+    (1..=40).any(|seed| !run(seed, outage, guards).history.violations.is_empty())
 }
 
 #[test]
 fn one_that_is_cut_off_hands_out_nothing_old_refuses_nothing_good_and_confirms_nothing() {
-    holds(Away::CutOff);
+    assert_holds(Outage::Isolated);
 }
 
 #[test]
 fn one_that_nobody_hears_hands_out_nothing_old_refuses_nothing_good_and_confirms_nothing() {
-    holds(Away::Unheard);
+    assert_holds(Outage::Muted);
 }
 
 #[test]
 fn one_that_stood_still_carries_out_no_order_from_before() {
-    holds(Away::Frozen);
+    assert_holds(Outage::Frozen);
 }
 
 #[test]
 fn without_reads_at_a_quorum_one_that_is_cut_off_hands_out_an_old_configuration() {
     let guards = Guards { quorum_reads: false, ..ALL_GUARDS };
-    assert!(breaks(Away::CutOff, guards), "a simulation that can't fail shows nothing");
+    assert!(finds_violation(Outage::Isolated, guards), "a simulation that can't fail shows nothing");
 }
 
 #[test]
 fn without_dropping_old_orders_one_that_stood_still_carries_them_out() {
-    let guards = Guards { stale_orders: false, ..ALL_GUARDS };
-    assert!(breaks(Away::Frozen, guards), "a simulation that can't fail shows nothing");
+    let guards = Guards { stale_requests: false, ..ALL_GUARDS };
+    assert!(finds_violation(Outage::Frozen, guards), "a simulation that can't fail shows nothing");
 }
--- a/controller/src/testing/simulation/members.rs
+++ b/controller/src/testing/simulation/members.rs
@@ -11,171 +11,179 @@
 use crate::replication::{committed_state, reconfiguration};
 
 const TICK_MS: u64 = 150;
-const SPREAD_MS: u64 = 800;
-const COMMIT_MS: u64 = 1500;
-const READ_MS: u64 = 800;
+const ANNOUNCE_TIMEOUT_MS: u64 = 800;
+const COMMIT_TIMEOUT_MS: u64 = 1500;
+const READ_TIMEOUT_MS: u64 = 800;
 
 /// A read of other acceptors by one that may not vote.
 struct Recovery {
     id: u64,
     core: CoreMembership,
-    end: u64,
+    deadline: u64,
     from: Vec<String>,
     reads: Vec<Vec<RegisterState>>,
 }
 
 #[derive(Default)]
-pub struct Members {
+pub struct MembershipState {
     next_tick: u64,
     transition: Option<MembershipTransition>,
-    spread: Option<(u64, u64)>,
+    announcement: Option<(u64, u64)>,
     recovery: Option<Recovery>,
 }
 
 impl Cluster {
-    pub fn run_membership(&mut self, at: usize) {
-        self.end_if_released(at);
+    pub fn run_membership(&mut self, index: usize) {
+        self.end_if_released(index);
         let now = self.now;
-        self.nodes[at].pauses.record_tick(now);
-        if now < self.nodes[at].members.next_tick {
+        self.nodes[index].pauses.record_tick(now);
+        if now < self.nodes[index].members.next_tick {
             return;
         }
-        self.nodes[at].members.next_tick = now + TICK_MS;
-        if !self.nodes[at].acceptor.may_vote {
-            self.attempt_recovery(at);
+        self.nodes[index].members.next_tick = now + TICK_MS;
+        if !self.nodes[index].acceptor.may_vote {
+            self.attempt_recovery(index);
             return;
         }
-        let core = self.nodes[at].acceptor.membership.clone();
-        if core.members.is_empty() || !self.nodes[at].is_confirmed(now) || !self.coordinates(at, &core) {
+        let core = self.nodes[index].acceptor.membership.clone();
+        if core.members.is_empty() || !self.nodes[index].is_confirmed(now) || !self.is_coordinator(index, &core) {
             return;
         }
         if core.stable {
-            self.begin_core_change(at, &core);
+            self.begin_membership_change(index, &core);
         } else {
-            self.advance_transition(at, &core);
+            self.advance_transition(index, &core);
         }
     }
 
-    fn coordinates(&self, at: usize, core: &CoreMembership) -> bool {
-        let node = &self.nodes[at];
+    fn is_coordinator(&self, index: usize, core: &CoreMembership) -> bool {
+        let node = &self.nodes[index];
         let leaving = node.leaving.is_some();
         let first = reconfiguration::first_member(core, &node.view, leaving, MEMBERSHIP_KEY, self.now);
         first.as_deref() == Some(&node.acceptor.ip)
     }
 
-    fn begin_core_change(&mut self, at: usize, core: &CoreMembership) {
-        if self.is_changing(at, &Purpose::CoreChange) {
+    fn begin_membership_change(&mut self, index: usize, core: &CoreMembership) {
+        if self.has_change(index, &Purpose::MembershipChange) {
             return;
         }
         let now = self.now;
-        let Some(next) = reconfiguration::next(core, &self.nodes[at].view, now) else { return };
+        let Some(next) = reconfiguration::next(core, &self.nodes[index].view, now) else { return };
         let version = core.version;
-        let judge = move |body: &[u8]| match committed_state::decode_membership(body) {
-            Some(held) if held.version != version || !held.stable => Decision::Answer(None),
+        let decide = move |body: &[u8]| match committed_state::decode_membership(body) {
+            Some(committed) if committed.version != version || !committed.stable => Decision::Answer(None),
             _ => Decision::Write(committed_state::encode_membership(&next), None),
         };
-        self.begin_change(at, MEMBERSHIP_KEY, Purpose::CoreChange, COMMIT_MS, Box::new(judge));
+        self.begin_change(index, MEMBERSHIP_KEY, Purpose::MembershipChange, COMMIT_TIMEOUT_MS, Box::new(decide));
     }
 
-    fn advance_transition(&mut self, at: usize, core: &CoreMembership) {
+    fn advance_transition(&mut self, index: usize, core: &CoreMembership) {
         let now = self.now;
-        let members = &mut self.nodes[at].members;
-        if !members.transition.as_ref().is_some_and(|held| held.membership() == core) {
+        let members = &mut self.nodes[index].members;
+        if !members.transition.as_ref().is_some_and(|committed| committed.membership() == core) {
             members.transition = Some(MembershipTransition::new(core));
-            members.spread = None;
+            members.announcement = None;
         }
-        let transition = members.transition.as_ref().expect("a settlement");
+        let transition = members.transition.as_ref().expect("a transition");
         if transition.is_done() {
-            return self.finish_transition(at, core);
+            return self.finish_transition(index, core);
         }
         if !transition.is_known() {
-            if members.spread.is_some_and(|(_, end)| now < end) {
+            if members.announcement.is_some_and(|(_, deadline)| now < deadline) {
                 return;
             }
             let all = quorum::old_and_new_members(core);
-            let id = self.poll(at, core, &ConsensusOperation::Positions, &all);
-            self.nodes[at].members.spread = Some((id, now + SPREAD_MS));
+            let id = self.send_requests(index, core, &ConsensusOperation::Positions, &all);
+            self.nodes[index].members.announcement = Some((id, now + ANNOUNCE_TIMEOUT_MS));
             return;
         }
         for key in transition.remaining_keys() {
-            let purpose = Purpose::Renewal(key.clone());
-            if !self.is_changing(at, &purpose) {
-                self.nodes[at].owned.remove(&key);
-                self.begin_change(at, &key, purpose, COMMIT_MS, Box::new(|_: &[u8]| Decision::Answer(None)));
+            let purpose = Purpose::Recommit(key.clone());
+            if !self.has_change(index, &purpose) {
+                self.nodes[index].owned.remove(&key);
+                self.begin_change(index, &key, purpose, COMMIT_TIMEOUT_MS, Box::new(|_: &[u8]| Decision::Answer(None)));
             }
         }
     }
 
-    pub fn renewed(&mut self, at: usize, key: &str) {
-        if let Some(transition) = &mut self.nodes[at].members.transition {
+    pub fn record_recommit(&mut self, index: usize, key: &str) {
+        if let Some(transition) = &mut self.nodes[index].members.transition {
             transition.mark_recommitted(key);
         }
     }
 
-    fn finish_transition(&mut self, at: usize, core: &CoreMembership) {
-        if self.is_changing(at, &Purpose::TransitionEnd) {
+    fn finish_transition(&mut self, index: usize, core: &CoreMembership) {
+        if self.has_change(index, &Purpose::TransitionEnd) {
             return;
         }
         let version = core.version;
-        let judge = move |body: &[u8]| match committed_state::decode_membership(body) {
-            Some(held) if held.version == version && !held.stable => {
-                let stabilized_membership = stabilized(&held);
+        let decide = move |body: &[u8]| match committed_state::decode_membership(body) {
+            Some(committed) if committed.version == version && !committed.stable => {
+                let stabilized_membership = stabilized(&committed);
                 Decision::Write(committed_state::encode_membership(&stabilized_membership), None)
             }
             _ => Decision::Answer(None),
         };
-        self.begin_change(at, MEMBERSHIP_KEY, Purpose::TransitionEnd, COMMIT_MS, Box::new(judge));
+        self.begin_change(index, MEMBERSHIP_KEY, Purpose::TransitionEnd, COMMIT_TIMEOUT_MS, Box::new(decide));
     }
 
-    fn attempt_recovery(&mut self, at: usize) {
-        let node = &self.nodes[at];
+    fn attempt_recovery(&mut self, index: usize) {
+        let node = &self.nodes[index];
         let core = node.acceptor.membership.clone();
-        let at_work = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.end);
-        if self.now < node.started_at + RECOVERY_DELAY_MS || core.members.is_empty() || at_work {
+        let in_progress = node.members.recovery.as_ref().is_some_and(|recovery| self.now < recovery.deadline);
+        if self.now < node.started_at + RECOVERY_DELAY_MS || core.members.is_empty() || in_progress {
             return;
         }
         let member = quorum::is_old_or_new_member(&core, &node.acceptor.ip);
         let others = node.acceptor.recovery_peers();
         let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
-        let id = self.poll(at, &core, &ask, &others);
-        let end = self.now + READ_MS;
-        self.nodes[at].members.recovery = Some(Recovery { id, core, end, from: Vec::new(), reads: Vec::new() });
+        let id = self.send_requests(index, &core, &ask, &others);
+        let deadline = self.now + READ_TIMEOUT_MS;
+        self.nodes[index].members.recovery = Some(Recovery { id, core, deadline, from: Vec::new(), reads: Vec::new() });
     }
 
     /// Routes a response to what asked for it.
-    pub fn receive_response(&mut self, at: usize, from: Address, id: u64, response: ConsensusResponse) {
+    pub fn dispatch_response(&mut self, index: usize, from: Address, id: u64, response: ConsensusResponse) {
         let Address::Node(from) = from else { return };
         let from = address(from);
-        if self.response_to_change(at, &from, id, &response) || self.response_to_recovery(at, &from, id, &response) {
+        if self.handle_change_response(index, &from, id, &response)
+            || self.handle_recovery_response(index, &from, id, &response)
+        {
             return;
         }
-        if self.response_to_announcement(at, &from, id, &response) {
+        if self.handle_announcement_response(index, &from, id, &response) {
             return;
         }
-        self.response_to_confirmation(at, &from, id, &response);
+        self.handle_confirmation_response(index, &from, id, &response);
     }
 
-    fn response_to_announcement(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
-        let members = &mut self.nodes[at].members;
-        if members.spread.is_none_or(|(spread, _)| spread != id) {
+    fn handle_announcement_response(
+        &mut self,
+        index: usize,
+        from: &str,
+        id: u64,
+        response: &ConsensusResponse,
+    ) -> bool {
+        let members = &mut self.nodes[index].members;
+        if members.announcement.is_none_or(|(announcement, _)| announcement != id) {
             return false;
         }
         let Some(transition) = &mut members.transition else { return false };
         match response {
-            ConsensusResponse::NewerMembership { membership } => self.adopt(at, &membership.clone()),
+            ConsensusResponse::NewerMembership { membership } => self.adopt(index, &membership.clone()),
             response => transition.record_response(from, response),
         }
         true
     }
 
-    fn response_to_recovery(&mut self, at: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
-        let node = &mut self.nodes[at];
+    fn handle_recovery_response(&mut self, index: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
+        let node = &mut self.nodes[index];
         let Some(recovery) = node.members.recovery.as_mut().filter(|recovery| recovery.id == id) else { return false };
         let current = recovery.core.version == node.acceptor.membership.version && !node.acceptor.may_vote;
         match response {
             ConsensusResponse::NewerMembership { membership } => {
                 node.members.recovery = None;
-                self.adopt(at, &membership.clone());
+                self.adopt(index, &membership.clone());
                 return true;
             }
             ConsensusResponse::Snapshot { registers } => recovery.reads.push(registers.clone()),
@@ -194,7 +202,7 @@
             return true;
         };
         node.members.recovery = None;
-        self.write(at, records, None);
+        self.write(index, records, None);
         true
     }
 }
--- a/controller/src/testing/simulation/mod.rs
+++ b/controller/src/testing/simulation/mod.rs
@@ -40,7 +40,7 @@
     /// A relayed evacuation names the version that it is made on top of.
     pub versioned_evacuations: bool,
     /// Requests that waited in a socket while the process stood still are not carried out.
-    pub stale_orders: bool,
+    pub stale_requests: bool,
     /// A wiped acceptor reads the others before it responds.
     pub recovery_reads: bool,
     /// A member tells that it is about to end, and waits to be released.
@@ -54,7 +54,7 @@
     digests: true,
     validity: true,
     versioned_evacuations: true,
-    stale_orders: true,
+    stale_requests: true,
     recovery_reads: true,
     hand_over: true,
     newer_entries: true,
@@ -72,15 +72,15 @@
     /// The addresses that a new process is told.
     pub seeds: Vec<String>,
     /// Of a hundred answers to operators, so many are lost.
-    pub lost_answers: u64,
+    pub lost_answer_percent: u64,
     /// The longest time that an operator rests before its next order.
-    pub max_pause_ms: u64,
+    pub max_think_time_ms: u64,
     /// Operators send changes of named items and invalid ones too, and some orders are carried out at two controllers at once.
-    pub mixed_orders: bool,
+    pub mixed_actions: bool,
 }
 
-pub fn address(at: usize) -> String {
-    format!("10.0.0.{at}")
+pub fn address(index: usize) -> String {
+    format!("10.0.0.{index}")
 }
 
 impl Cluster {
@@ -95,13 +95,13 @@
             history: History::default(),
             guards: ALL_GUARDS,
             seeds,
-            lost_answers: 0,
-            max_pause_ms: 300,
-            mixed_orders: false,
+            lost_answer_percent: 0,
+            max_think_time_ms: 300,
+            mixed_actions: false,
         };
-        for at in 0..size {
-            let mut node = Node::new(at, &cluster.seeds, 0);
-            node.found(&cluster.seeds);
+        for index in 0..size {
+            let mut node = Node::new(index, &cluster.seeds, 0);
+            node.bootstrap(&cluster.seeds);
             cluster.nodes.push(node);
         }
         cluster
@@ -113,9 +113,9 @@
         for envelope in self.network.due(self.now) {
             self.deliver(envelope);
         }
-        for at in 0..self.nodes.len() {
-            if self.nodes[at].runs() {
-                self.run_node(at);
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].is_running() {
+                self.run_node(index);
             }
         }
         for number in 0..self.operators.len() {
@@ -132,12 +132,12 @@
 
     fn deliver(&mut self, envelope: network::Envelope) {
         if let network::Address::Operator(number) = envelope.to {
-            let Packet::Answer(attempt, answer) = envelope.message else { return };
-            self.receive_answer(number, attempt, answer);
+            let Packet::Answer(action_id, answer) = envelope.message else { return };
+            self.receive_answer(number, action_id, answer);
             return;
         }
-        let network::Address::Node(at) = envelope.to else { return };
-        let node = &mut self.nodes[at];
+        let network::Address::Node(index) = envelope.to else { return };
+        let node = &mut self.nodes[index];
         if !node.up || node.incarnation != envelope.incarnation {
             return;
         }
@@ -145,30 +145,30 @@
             node.inbox.push(envelope);
             return;
         }
-        self.handle(at, envelope);
+        self.handle(index, envelope);
     }
 
     /// Everything that a node does by itself at this time.
-    fn run_node(&mut self, at: usize) {
-        for envelope in mem::take(&mut self.nodes[at].inbox) {
-            self.handle(at, envelope);
+    fn run_node(&mut self, index: usize) {
+        for envelope in mem::take(&mut self.nodes[index].inbox) {
+            self.handle(index, envelope);
             // Each is begun before the next is read, as tasks of a process may be.
-            self.run_changes(at);
+            self.run_changes(index);
         }
-        self.sync_disk(at);
-        self.run_changes(at);
-        self.run_confirmation(at);
-        self.run_membership(at);
+        self.sync_disk(index);
+        self.run_changes(index);
+        self.run_confirmation(index);
+        self.run_membership(index);
     }
 
-    fn handle(&mut self, at: usize, envelope: network::Envelope) {
+    fn handle(&mut self, index: usize, envelope: network::Envelope) {
         match envelope.message {
-            Packet::Poll { id, poll } => self.handle_request(at, envelope.from, id, poll),
-            Packet::Response { id, response } => self.receive_response(at, envelope.from, id, response),
-            Packet::Heartbeat(heartbeat) => self.receive_heartbeat(at, heartbeat),
-            Packet::Learn(key, entry) => self.learn(at, &key, &entry, false),
-            Packet::OperatorAction(attempt, order) => self.receive_action(at, envelope.from, attempt, order),
-            Packet::Close(attempt) => self.drop_action(at, envelope.from, attempt),
+            Packet::Request { id, request } => self.handle_request(index, envelope.from, id, request),
+            Packet::Response { id, response } => self.dispatch_response(index, envelope.from, id, response),
+            Packet::Heartbeat(heartbeat) => self.receive_heartbeat(index, heartbeat),
+            Packet::Learn(key, entry) => self.learn(index, &key, &entry, false),
+            Packet::OperatorAction(action_id, action) => self.receive_action(index, envelope.from, action_id, action),
+            Packet::Close(action_id) => self.drop_action(index, envelope.from, action_id),
             Packet::Answer(..) => {}
         }
     }
--- a/controller/src/testing/simulation/network.rs
+++ b/controller/src/testing/simulation/network.rs
@@ -5,12 +5,12 @@
 
 use protocol::message::{ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, Entry};
 
-use super::operator::{Answer, Attempt, OperatorAction};
+use super::operator::{ActionId, Answer, OperatorAction};
 use super::Cluster;
 
-const DELAY_MS: u64 = 8;
+const MAX_DELAY_MS: u64 = 8;
 const LATE_ONE_OF: u64 = 25;
-const LATE_MS: u64 = 300;
+const MAX_LATE_DELAY_MS: u64 = 300;
 const LOST_ONE_OF: u64 = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,9 +21,9 @@
 
 #[derive(Clone, Debug)]
 pub enum Packet {
-    Poll {
+    Request {
         id: u64,
-        poll: ConsensusRequest,
+        request: ConsensusRequest,
     },
     Response {
         id: u64,
@@ -31,10 +31,10 @@
     },
     Heartbeat(Heartbeat),
     Learn(String, Entry),
-    OperatorAction(Attempt, OperatorAction),
-    Answer(Attempt, Answer),
+    OperatorAction(ActionId, OperatorAction),
+    Answer(ActionId, Answer),
     /// The operator closed the connection on which it sent an order.
-    Close(Attempt),
+    Close(ActionId),
 }
 
 /// What a controller tells the others of itself.
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Envelope {
-    pub at: u64,
+    pub arrives_at: u64,
     pub from: Address,
     pub to: Address,
     /// The life of the process it is meant for: a connection ends with the process.
@@ -60,7 +60,7 @@
 /// Invariant: `envelopes` are sorted by the time of their arrival, in the order sent where it is the same.
 #[derive(Default)]
 pub struct Network {
-    letters: BTreeMap<(u64, u64), Envelope>,
+    envelopes: BTreeMap<(u64, u64), Envelope>,
     sent: u64,
     cuts: BTreeSet<(usize, usize)>,
 }
@@ -73,19 +73,19 @@
             }
         }
         self.sent += 1;
-        self.letters.insert((envelope.at, self.sent), envelope);
+        self.envelopes.insert((envelope.arrives_at, self.sent), envelope);
     }
 
     pub fn due(&mut self, now: u64) -> Vec<Envelope> {
-        let later = self.letters.split_off(&(now + 1, 0));
-        mem::replace(&mut self.letters, later).into_values().collect()
+        let later = self.envelopes.split_off(&(now + 1, 0));
+        mem::replace(&mut self.envelopes, later).into_values().collect()
     }
 
     /// Nothing passes from one node to another any more, nor what is under way.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
         let ends = (Address::Node(from), Address::Node(to));
-        self.letters.retain(|_, envelope| (envelope.from, envelope.to) != ends);
+        self.envelopes.retain(|_, envelope| (envelope.from, envelope.to) != ends);
     }
 
     pub fn heal(&mut self) {
@@ -98,18 +98,18 @@
     /// nodes are lost, as when a connection is reset.
     pub fn send(&mut self, from: Address, to: Address, message: Packet) {
         let between_nodes = matches!((from, to), (Address::Node(_), Address::Node(_)));
-        let itself = from == to;
-        if between_nodes && !itself && self.random.below(LOST_ONE_OF) == 0 {
+        let to_self = from == to;
+        if between_nodes && !to_self && self.random.below(LOST_ONE_OF) == 0 {
             return;
         }
-        let late = between_nodes && self.random.below(LATE_ONE_OF) == 0;
-        let most = if late { LATE_MS } else { DELAY_MS };
-        let delay = if itself { 0 } else { 1 + self.random.below(most) };
+        let is_late = between_nodes && self.random.below(LATE_ONE_OF) == 0;
+        let max_delay = if is_late { MAX_LATE_DELAY_MS } else { MAX_DELAY_MS };
+        let delay = if to_self { 0 } else { 1 + self.random.below(max_delay) };
         let incarnation = match to {
-            Address::Node(at) => self.nodes.get(at).map_or(0, |node| node.incarnation),
+            Address::Node(index) => self.nodes.get(index).map_or(0, |node| node.incarnation),
             Address::Operator(_) => 0,
         };
-        self.network.send(Envelope { at: self.now + 1 + delay, from, to, incarnation, message });
+        self.network.send(Envelope { arrives_at: self.now + 1 + delay, from, to, incarnation, message });
     }
 
     /// The node at an address, if there ever was one.
@@ -118,11 +118,17 @@
     }
 
     /// Polls these addresses under a number of its own, by which the responses are told apart.
-    pub fn poll(&mut self, at: usize, core: &CoreMembership, ask: &ConsensusOperation, addresses: &[String]) -> u64 {
-        let id = self.nodes[at].next_id();
+    pub fn send_requests(
+        &mut self,
+        index: usize,
+        core: &CoreMembership,
+        ask: &ConsensusOperation,
+        addresses: &[String],
+    ) -> u64 {
+        let id = self.nodes[index].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
-            let poll = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
-            self.send(Address::Node(at), Address::Node(to), Packet::Poll { id, poll });
+            let request = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
+            self.send(Address::Node(index), Address::Node(to), Packet::Request { id, request });
         }
         id
     }
--- a/controller/src/testing/simulation/node.rs
+++ b/controller/src/testing/simulation/node.rs
@@ -8,9 +8,9 @@
 
 use super::changes::Change;
 use super::confirming::Confirming;
-use super::members::Members;
+use super::members::MembershipState;
 use super::network::{Address, Envelope, Packet};
-use super::operator::EVACUATION;
+use super::operator::EVACUATION_KEY;
 use super::{address, Cluster};
 use crate::config::body::StoredConfig;
 use crate::controller::{CONFIRMATION_TTL_MS, LIVENESS_TIMEOUT_MS};
@@ -27,7 +27,7 @@
 /// Invariants: `disk` is what was synced; `acceptor` is ahead of it by what waits in `writes`. All else is lost
 /// with the process.
 pub struct Node {
-    pub at: usize,
+    pub index: usize,
     pub acceptor: Acceptor,
     pub disk: Acceptor,
     pub writes: Vec<Write>,
@@ -47,19 +47,19 @@
     /// Changes by key: the first of each list is under way.
     pub changes: BTreeMap<String, Vec<Change>>,
     pub confirming: Confirming,
-    pub members: Members,
+    pub members: MembershipState,
     pub view: MembershipView,
     pub seeds: Vec<String>,
     pub leaving: Option<u64>,
     pub pauses: PauseMonitor,
-    polls: u64,
+    request_count: u64,
 }
 
 impl Node {
-    pub fn new(at: usize, seeds: &[String], now: u64) -> Node {
-        let address = address(at);
+    pub fn new(index: usize, seeds: &[String], now: u64) -> Node {
+        let address = address(index);
         Node {
-            at,
+            index,
             acceptor: Acceptor::new(&address),
             disk: Acceptor::new(&address),
             writes: Vec::new(),
@@ -75,17 +75,17 @@
             owned: BTreeMap::new(),
             changes: BTreeMap::new(),
             confirming: Confirming::default(),
-            members: Members::default(),
+            members: MembershipState::default(),
             view: MembershipView::new(&address, "", LIVENESS_TIMEOUT_MS),
             seeds: seeds.to_vec(),
             leaving: None,
             pauses: Default::default(),
-            polls: 0,
+            request_count: 0,
         }
     }
 
     /// The first start of the whole system: the seeds are the core.
-    pub fn found(&mut self, seeds: &[String]) {
+    pub fn bootstrap(&mut self, seeds: &[String]) {
         let list = seeds.iter().map(|ip| Member { ip: ip.clone(), zone: String::new() }).collect();
         self.acceptor.membership =
             CoreMembership { version: 1, members: list, previous_members: Vec::new(), stable: true };
@@ -93,32 +93,32 @@
         self.disk = self.acceptor.clone();
     }
 
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.up && !self.frozen
     }
 
     pub fn next_id(&mut self) -> u64 {
-        self.polls += 1;
-        self.polls
+        self.request_count += 1;
+        self.request_count
     }
 
     pub fn is_confirmed(&self, now: u64) -> bool {
         self.confirmed.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
-    pub fn place(&self, key: &str) -> Option<Position> {
+    pub fn position(&self, key: &str) -> Option<Position> {
         self.committed.get(key).map(Entry::position)
     }
 
     /// The configuration that it would tell a follower.
     pub fn config(&self) -> StoredConfig {
         let body = self.committed.get(CONFIG_KEY).map_or(&[][..], |entry| &entry.body);
-        StoredConfig::decode(body).expect("a configuration that reads")
+        StoredConfig::decode(body).expect("a valid configuration")
     }
 
     pub fn evacuation(&self) -> EvacuationRecord {
-        let body = self.committed.get(EVACUATION).map_or(&[][..], |entry| &entry.body);
-        EvacuationRecord::open(body).expect("an evacuation that reads")
+        let body = self.committed.get(EVACUATION_KEY).map_or(&[][..], |entry| &entry.body);
+        EvacuationRecord::open(body).expect("a valid evacuation record")
     }
 
     pub fn is_evacuated(&self) -> bool {
@@ -139,56 +139,61 @@
 
 impl Cluster {
     /// The vote of a node leaves once what it promises is on its disk.
-    pub fn handle_request(&mut self, at: usize, from: Address, id: u64, poll: ConsensusRequest) {
-        self.adopt(at, &poll.membership);
-        let (response, records) = self.nodes[at].acceptor.handle(poll);
-        self.write(at, records, Some((from, id, response)));
+    pub fn handle_request(&mut self, index: usize, from: Address, id: u64, request: ConsensusRequest) {
+        self.adopt(index, &request.membership);
+        let (response, records) = self.nodes[index].acceptor.handle(request);
+        self.write(index, records, Some((from, id, response)));
     }
 
-    pub fn write(&mut self, at: usize, records: Vec<LogRecord>, response: Option<(Address, u64, ConsensusResponse)>) {
-        let slow = if self.random.below(60) == 0 { 400 } else { 5 };
-        let late = if records.is_empty() { 0 } else { 1 + self.random.below(slow) };
-        let node = &mut self.nodes[at];
+    pub fn write(
+        &mut self,
+        index: usize,
+        records: Vec<LogRecord>,
+        response: Option<(Address, u64, ConsensusResponse)>,
+    ) {
+        let max_delay = if self.random.below(60) == 0 { 400 } else { 5 };
+        let delay = if records.is_empty() { 0 } else { 1 + self.random.below(max_delay) };
+        let node = &mut self.nodes[index];
         // The disk works in order.
-        let before = node.writes.last().map_or(0, |write| write.due);
-        let due = before.max(self.now + late);
+        let previous_due = node.writes.last().map_or(0, |write| write.due);
+        let due = previous_due.max(self.now + delay);
         node.writes.push(Write { due, records, response });
     }
 
-    pub fn sync_disk(&mut self, at: usize) {
-        while self.nodes[at].writes.first().is_some_and(|write| write.due <= self.now) {
-            let write = self.nodes[at].writes.remove(0);
-            write.records.into_iter().for_each(|record| self.nodes[at].disk.replay(record));
+    pub fn sync_disk(&mut self, index: usize) {
+        while self.nodes[index].writes.first().is_some_and(|write| write.due <= self.now) {
+            let write = self.nodes[index].writes.remove(0);
+            write.records.into_iter().for_each(|record| self.nodes[index].disk.replay(record));
             if let Some((to, id, response)) = write.response {
-                self.send(Address::Node(at), to, Packet::Response { id, response });
+                self.send(Address::Node(index), to, Packet::Response { id, response });
             }
         }
     }
 
-    pub fn adopt(&mut self, at: usize, core: &CoreMembership) {
-        if let Some(record) = self.nodes[at].acceptor.adopt_membership(core) {
-            self.write(at, vec![record], None);
+    pub fn adopt(&mut self, index: usize, core: &CoreMembership) {
+        if let Some(record) = self.nodes[index].acceptor.adopt_membership(core) {
+            self.write(index, vec![record], None);
         }
     }
 
     /// A committed entry becomes known at a node; with `tell` at the others too.
-    pub fn learn(&mut self, at: usize, key: &str, entry: &Entry, broadcast: bool) {
-        let node = &mut self.nodes[at];
+    pub fn learn(&mut self, index: usize, key: &str, entry: &Entry, broadcast: bool) {
+        let node = &mut self.nodes[index];
         node.highest_term = node.highest_term.max(entry.proposal_number.term);
-        if node.place(key) >= Some(entry.position()) {
+        if node.position(key) >= Some(entry.position()) {
             return;
         }
         node.committed.insert(key.into(), entry.clone());
         if key == MEMBERSHIP_KEY {
             if let Some(core) = committed_state::decode_membership(&entry.body) {
-                self.adopt(at, &core);
+                self.adopt(index, &core);
             }
         }
         if !broadcast {
             return;
         }
-        for to in self.nodes[at].known_peers().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
-            self.send(Address::Node(at), Address::Node(to), Packet::Learn(key.into(), entry.clone()));
+        for to in self.nodes[index].known_peers().iter().filter_map(|ip| self.node_at(ip)).collect::<Vec<_>>() {
+            self.send(Address::Node(index), Address::Node(to), Packet::Learn(key.into(), entry.clone()));
         }
     }
 }
--- a/controller/src/testing/simulation/replacement_tests.rs
+++ b/controller/src/testing/simulation/replacement_tests.rs
@@ -6,11 +6,11 @@
 use super::{address, Cluster, Guards, ALL_GUARDS};
 
 /// How long a new or returned machine has until the next may be lost.
-const SYNC_MS: u64 = 4000;
+const CATCH_UP_MS: u64 = 4000;
 
 /// How a machine leaves for good.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Replacement {
     /// It dies; an empty one comes later.
     Lost,
     /// An empty one comes first, then it is told to end.
@@ -19,63 +19,64 @@
 
 /// One machine after another is replaced, and each time another one loses power or its disk at the first
 /// moment at which that may happen. Gives how often operators then got a change through in time.
-fn run(seed: u64, size: usize, way: Way, guards: Guards) -> (Cluster, bool) {
+fn run(seed: u64, size: usize, replacement: Replacement, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 3);
     cluster.guards = guards;
-    let mut chance = Rng::new(seed ^ 0x5e7);
-    let mut serves = true;
+    let mut rng = Rng::new(seed ^ 0x5e7);
+    let mut is_available = true;
     cluster.run(2000);
     for _ in 0..2 {
-        let gone = pick(&cluster, &mut chance, &[]);
-        replace(&mut cluster, gone, way, &mut chance);
-        let second = pick(&cluster, &mut chance, &[gone]);
-        let wipe = chance.below(2) == 0;
+        let replaced = random_member(&cluster, &mut rng, &[]);
+        replace(&mut cluster, replaced, replacement, &mut rng);
+        let second = random_member(&cluster, &mut rng, &[replaced]);
+        let wipe = rng.below(2) == 0;
         cluster.lose_power(second, wipe);
         let before = cluster.history.acknowledged();
         cluster.run(3000);
-        serves &= cluster.all_confirmed() && cluster.history.acknowledged() > before;
+        is_available &= cluster.all_confirmed() && cluster.history.acknowledged() > before;
         cluster.start(second);
-        cluster.run(SYNC_MS);
-        serves &= cluster.all_confirmed();
+        cluster.run(CATCH_UP_MS);
+        is_available &= cluster.all_confirmed();
     }
-    if serves {
+    if is_available {
         cluster.finish();
     }
-    (cluster, serves)
+    (cluster, is_available)
 }
 
-fn pick(cluster: &Cluster, chance: &mut Rng, but: &[usize]) -> usize {
+fn random_member(cluster: &Cluster, rng: &mut Rng, excluded: &[usize]) -> usize {
     let core = &cluster.nodes[cluster.live()[0]].acceptor.membership;
-    let member = |at: &usize| quorum::is_member(core, &address(*at));
-    let list: Vec<usize> = cluster.live().into_iter().filter(|at| !but.contains(at) && member(at)).collect();
-    list[chance.below(list.len() as u64) as usize]
+    let is_member = |index: &usize| quorum::is_member(core, &address(*index));
+    let members: Vec<usize> =
+        cluster.live().into_iter().filter(|index| !excluded.contains(index) && is_member(index)).collect();
+    members[rng.below(members.len() as u64) as usize]
 }
 
 /// Returns once the second loss is allowed.
-fn replace(cluster: &mut Cluster, gone: usize, way: Way, chance: &mut Rng) {
-    match way {
-        Way::Lost => {
-            cluster.remove(gone);
-            cluster.run(500 + chance.below(3500));
+fn replace(cluster: &mut Cluster, replaced: usize, replacement: Replacement, rng: &mut Rng) {
+    match replacement {
+        Replacement::Lost => {
+            cluster.remove(replaced);
+            cluster.run(500 + rng.below(3500));
             cluster.add_machine();
-            cluster.run(SYNC_MS);
+            cluster.run(CATCH_UP_MS);
         }
-        Way::Planned => {
+        Replacement::Planned => {
             cluster.add_machine();
             // The old one may be told at any time, at the latest right before the second loss.
-            let stays = 500 + chance.below(SYNC_MS - 500);
-            cluster.run(stays);
-            cluster.terminate(gone);
-            cluster.run(SYNC_MS - stays);
+            let delay = 500 + rng.below(CATCH_UP_MS - 500);
+            cluster.run(delay);
+            cluster.terminate(replaced);
+            cluster.run(CATCH_UP_MS - delay);
         }
     }
 }
 
-fn holds(way: Way) {
+fn assert_holds(replacement: Replacement) {
     let mut acknowledged = 0;
     for (seed, size) in (1..=10).flat_map(|seed| [(seed, 3), (seed, 5)]) {
-        let (cluster, serves) = run(seed, size, way, ALL_GUARDS);
-        assert!(serves, "seed {seed} of {size}, {way:?}: no quorum after a second loss");
+        let (cluster, is_available) = run(seed, size, replacement, ALL_GUARDS);
+        assert!(is_available, "seed {seed} of {size}, {replacement:?}: no quorum after a second loss");
         assert!(cluster.history.violations.is_empty(), "seed {seed} of {size}: {:?}", cluster.history.violations);
         acknowledged += cluster.history.acknowledged();
     }
@@ -84,17 +85,17 @@
 
 #[test]
 fn a_second_loss_right_after_a_replacement_leaves_a_quorum() {
-    holds(Way::Lost);
+    assert_holds(Replacement::Lost);
 }
 
 #[test]
 fn a_second_loss_right_after_a_planned_replacement_leaves_a_quorum() {
-    holds(Way::Planned);
+    assert_holds(Replacement::Planned);
 }
 
 #[test]
 fn without_a_hand_over_a_second_loss_may_leave_none() {
     let guards = Guards { hand_over: false, ..ALL_GUARDS };
-    let broken = (1..=20).any(|seed| !run(seed, 3, Way::Planned, guards).1);
-    assert!(broken, "a simulation that can't fail shows nothing");
+    let found_violation = (1..=20).any(|seed| !run(seed, 3, Replacement::Planned, guards).1);
+    assert!(found_violation, "a simulation that can't fail shows nothing");
 }
