--- a/controller/src/testing/simulation/catch_up_tests.rs
+++ b/controller/src/testing/simulation/catch_up_tests.rs
@@ -1,14 +1,14 @@
-//! Members that come back after hundreds of changes, or with an empty disk.
+//! Members that return after hundreds of changes, or with an empty disk.
 
 use kernel::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
-/// How long a machine has to catch up.
+/// How long a restarted machine has to catch up, in milliseconds.
 const CATCH_UP_MS: u64 = 4000;
 
-/// Many operators change the configuration all the time while one machine is away. False: it did not catch up in
-/// time while the changes went on.
+/// Many operators change the configuration continuously while one machine after another is down for a while. Returns whether
+/// each of them caught up in time while the changes continued.
 fn run(seed: u64, wipe: bool, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, 3, 8);
     cluster.guards = guards;
@@ -29,7 +29,7 @@
     (cluster, caught_up)
 }
 
-fn assert_holds(wipe: bool) {
+fn assert_no_violations(wipe: bool) {
     let mut acknowledged = 0;
     for seed in 1..=10 {
         let (cluster, caught_up) = run(seed, wipe, ALL_GUARDS);
@@ -37,29 +37,29 @@
         assert!(cluster.history.violations.is_empty(), "seed {seed}: {:?}", cluster.history.violations);
         acknowledged += cluster.history.acknowledged();
     }
-    assert!(acknowledged > 1000, "operators must get work done: {acknowledged}");
+    assert!(acknowledged > 1000, "too few changes acknowledged: {acknowledged}");
 }
 
 #[test]
-fn a_member_restarted_in_a_storm_of_changes_catches_up_and_leads_with_nothing_old() {
-    assert_holds(false);
+fn a_member_restarted_during_continuous_changes_catches_up_in_time() {
+    assert_no_violations(false);
 }
 
 #[test]
-fn a_wiped_member_in_a_storm_of_changes_catches_up_and_leads_with_nothing_old() {
-    assert_holds(true);
+fn a_wiped_member_catches_up_in_time_during_continuous_changes() {
+    assert_no_violations(true);
 }
 
 #[test]
-fn without_reading_the_others_a_wiped_member_votes_on_what_it_forgot() {
+fn without_recovery_reads_a_wiped_member_breaks_its_earlier_promises() {
     let guards = Guards { recovery_reads: false, ..ALL_GUARDS };
     let found_violation = (1..=60).any(|seed| !run(seed, true, guards).0.history.violations.is_empty());
-    assert!(found_violation, "a simulation that can't fail shows nothing");
+    assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
 
 #[test]
-fn without_taking_newer_entries_a_restarted_member_may_not_catch_up_in_time() {
+fn without_newer_entries_a_restarted_member_may_not_catch_up_in_time() {
     let guards = Guards { newer_entries: false, ..ALL_GUARDS };
     let late = (1..=40).any(|seed| !run(seed, false, guards).1);
-    assert!(late, "a simulation that can't fail shows nothing");
+    assert!(late, "the simulation did not find the fault that the guard prevents");
 }
--- a/controller/src/testing/simulation/changes.rs
+++ b/controller/src/testing/simulation/changes.rs
@@ -1,4 +1,5 @@
-//! Changes of keys at a simulated controller: one at a time for each key, tried again until their time is over.
+//! Changes of keys at a simulated controller. Each key has one change in progress at a time, which is retried until its
+//! deadline.
 
 use std::mem;
 
@@ -12,16 +13,16 @@
 const INITIAL_BACKOFF_MS: u64 = 20;
 const MAX_BACKOFF_MS: u64 = 200;
 
-/// Decides what is to be done on top of what is committed.
+/// Decides what to do with a key, given its committed body.
 pub type DecideFn = Box<dyn FnMut(&[u8]) -> Decision<Option<Answer>>>;
 
-/// What a change is for.
+/// The purpose of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Purpose {
     OperatorAction(Address, ActionId),
-    /// Committing a key again under a changed core.
+    /// Commits a key again under a changed core membership.
     Recommit(String),
-    /// Committing again what its owner left half done.
+    /// Commits again an entry that its owner has abandoned.
     RecommitAbandoned,
     MembershipChange,
     TransitionEnd,
@@ -30,7 +31,7 @@
 pub struct Change {
     pub purpose: Purpose,
     decide: DecideFn,
-    /// Given up from then on.
+    /// The time at which the change is abandoned.
     deadline: u64,
     next_attempt: u64,
     backoff: u64,
@@ -38,8 +39,8 @@
 }
 
 impl Cluster {
-    pub fn begin_change(&mut self, index: usize, key: &str, purpose: Purpose, wait_ms: u64, decide: DecideFn) {
-        let deadline = self.now + wait_ms;
+    pub fn begin_change(&mut self, index: usize, key: &str, purpose: Purpose, timeout_ms: u64, decide: DecideFn) {
+        let deadline = self.now + timeout_ms;
         let change =
             Change { purpose, decide, deadline, next_attempt: self.now, backoff: INITIAL_BACKOFF_MS, running: None };
         self.nodes[index].changes.entry(key.into()).or_default().push(change);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Those whose time is over get no clear outcome.
+    /// Ends the changes whose deadline has passed, with an unknown outcome.
     fn expire_changes(&mut self, index: usize, key: &str) {
         let now = self.now;
         let Some(list) = self.nodes[index].changes.get_mut(key) else { return };
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Begins the next try of the change that is first in line, unless one is under way.
+    /// Starts the next attempt of the first queued change, unless an attempt is in progress.
     fn start_attempt(&mut self, index: usize, key: &str) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -88,14 +89,14 @@
             replica_id: consensus::replica_id(&node.acceptor.ip, node.incarnation),
         };
         let ownership = node.owned.remove(key);
-        let (proposal, ask) = Proposal::start(key, &core, ownership, proposal_number, &mut change.decide, now);
+        let (proposal, operation) = Proposal::start(key, &core, ownership, proposal_number, &mut change.decide, now);
         let members = quorum::addresses(&core);
-        let id = self.send_requests(index, &core, &ask, &members);
+        let id = self.send_requests(index, &core, &operation, &members);
         let change = self.nodes[index].changes.get_mut(key).and_then(|list| list.first_mut());
         change.expect("a change").running = Some((id, proposal));
     }
 
-    /// A vote on a proposal. False: it was for something else.
+    /// Handles a response to a proposal. Returns `false` if the response belongs to another operation.
     pub fn handle_change_response(&mut self, index: usize, from: &str, id: u64, response: &ConsensusResponse) -> bool {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -107,18 +108,18 @@
         let core = proposal.membership().clone();
         match proposal.handle_response(from, response.clone(), &mut change.decide, now) {
             Progress::Wait => {}
-            Progress::Send(ask) => {
+            Progress::Send(operation) => {
                 let members = quorum::addresses(&core);
-                let next = self.send_requests(index, &core, &ask, &members);
+                let next = self.send_requests(index, &core, &operation, &members);
                 let change = &mut self.nodes[index].changes.get_mut(&key).expect("a change")[0];
-                change.running.as_mut().expect("under way").0 = next;
+                change.running.as_mut().expect("an attempt in progress").0 = next;
             }
-            Progress::Finished { answer, ownership, .. } => {
+            Progress::Finished { answer, ownership: acquired, .. } => {
                 let change = list.remove(0);
-                if !ownership.is_blank() {
-                    self.learn(index, &key, &ownership.entry, true);
+                if !acquired.is_blank() {
+                    self.learn(index, &key, &acquired.entry, true);
                 }
-                self.nodes[index].owned.insert(key, ownership);
+                self.nodes[index].owned.insert(key, acquired);
                 self.complete_change(index, change.purpose, answer);
             }
             Progress::Superseded(proposal_number) => {
@@ -142,7 +143,7 @@
         change.next_attempt = now + 2 + self.random.below(backoff);
     }
 
-    /// None: done, with nothing to tell.
+    /// Ends a change. `answer` is `None` if it succeeded and there is nothing to report.
     fn complete_change(&mut self, index: usize, purpose: Purpose, answer: Option<Answer>) {
         let done = !matches!(answer, Some(Answer::OutcomeUnknown));
         match purpose {
--- a/controller/src/testing/simulation/confirming.rs
+++ b/controller/src/testing/simulation/confirming.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and the confirmation at a quorum that a simulated controller knows what is committed.
+//! Heartbeats of a simulated controller, and confirmation at a quorum that its committed state is current.
 
 use consensus::{quorum, Confirmation, Decision, StaleKey};
 use membership::Peer;
@@ -16,7 +16,7 @@
 const IN_TRANSIT_DELAY_MS: u64 = 60;
 const ABANDONED_AFTER_MS: u64 = 100;
 
-/// One key that is behind, and the reads of it at the members.
+/// A stale key, and the entries of it that were fetched from the members.
 struct CatchUp {
     stale: StaleKey,
     since: u64,
@@ -25,16 +25,17 @@
     fetched: Vec<(String, Entry)>,
 }
 
-/// The confirmation under way. Invariant: `confirmed` is set to `started` only once nothing is behind.
+/// The state of the current confirmation. Invariant: [`super::node::Node::confirmed`] is set to `started` only once no key is
+/// stale.
 #[derive(Default)]
-pub struct Confirming {
+pub struct ConfirmationState {
     next_tick: u64,
     started: u64,
     read: Option<(u64, Confirmation)>,
     catch_ups: Vec<CatchUp>,
 }
 
-impl Confirming {
+impl ConfirmationState {
     fn is_in_progress(&self) -> bool {
         self.read.is_some() || !self.catch_ups.is_empty()
     }
@@ -109,7 +110,7 @@
         confirming.read = Some((id, Confirmation::new(&core)));
     }
 
-    /// A vote on the confirmation. False: it was for something else.
+    /// Handles a response to the confirmation. Returns `false` if the response belongs to another operation.
     pub fn handle_confirmation_response(
         &mut self,
         index: usize,
@@ -156,13 +157,12 @@
         self.finish_confirmation(index);
     }
 
-    /// Looks whether a key is known by now, else reads it at the members once more.
+    /// Checks whether a stale key is known by now; otherwise fetches it from the members again.
     fn try_to_catch_up(&mut self, index: usize, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let core = node.acceptor.membership.clone();
-        let Some(catch_up) = node.confirming.catch_ups.get_mut(number).filter(|catch_up| now >= catch_up.next_try)
-        else {
+        let Some(catch_up) = node.confirming.catch_ups.get_mut(number).filter(|due| now >= due.next_try) else {
             return;
         };
         catch_up.next_try = now + FETCH_INTERVAL_MS;
--- a/controller/src/testing/simulation/faults.rs
+++ b/controller/src/testing/simulation/faults.rs
@@ -1,17 +1,17 @@
-//! Trouble in the simulation, and the quiet end at which everything is read back.
+//! Fault injection in the simulation, and the final phase without faults, in which the committed state is checked.
 
 use consensus::{quorum, Acceptor};
 
 use super::{address, Cluster, Node};
 use crate::config::body::StoredConfig;
 
-/// How long a leaving process stays at most, as the controller has it.
+/// How long a leaving process waits to be released, as in `reconfiguration`.
 const HAND_OVER_TIMEOUT_MS: u64 = 3500;
-/// How long a call under way may take once a process leaves.
+/// How long a leaving process keeps running for calls in progress.
 const DRAIN_TIMEOUT_MS: u64 = 300;
 
 impl Cluster {
-    /// The node that is cut off hears nobody and is heard by nobody but operators.
+    /// Cuts a node off from all other nodes in both directions. Operators still reach it.
     pub fn isolate(&mut self, index: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != index) {
             self.network.cut(index, other);
@@ -19,14 +19,14 @@
         }
     }
 
-    /// Nothing that this node sends arrives any more.
+    /// Drops everything that a node sends to other nodes.
     pub fn block_outgoing(&mut self, index: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != index) {
             self.network.cut(index, other);
         }
     }
 
-    /// A loss of power: what was not synced is gone. With `wipe` the disk too.
+    /// Simulates a power loss: unsynced writes are lost, and with `wipe` the disk too.
     pub fn lose_power(&mut self, index: usize, wipe: bool) {
         let skip_recovery = !self.guards.recovery_reads;
         let node = &mut self.nodes[index];
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The process starts anew with what is on its disk.
+    /// Restarts the process of a node with the state on its disk.
     pub fn start(&mut self, index: usize) {
         let old = &self.nodes[index];
         if old.up || old.removed {
@@ -55,20 +55,20 @@
         self.nodes[index] = node;
     }
 
-    /// An empty machine at a new address.
+    /// Adds a machine with an empty disk at a new address.
     pub fn add_machine(&mut self) -> usize {
         let index = self.nodes.len();
         self.nodes.push(Node::new(index, &self.seeds, self.now));
         index
     }
 
-    /// A machine that never comes back.
+    /// Removes a machine for good.
     pub fn remove(&mut self, index: usize) {
         self.lose_power(index, true);
         self.nodes[index].removed = true;
     }
 
-    /// A machine that is to end in order, for good.
+    /// Shuts a machine down gracefully and for good.
     pub fn terminate(&mut self, index: usize) {
         if self.guards.hand_over {
             self.nodes[index].leaving = Some(self.now);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A leaving process ends once the core does without it, or after a while.
+    /// Ends a leaving process once it is no longer a core member, or after a timeout.
     pub fn end_if_released(&mut self, index: usize) {
         let Some(since) = self.nodes[index].leaving else { return };
         let core = &self.nodes[index].acceptor.membership;
@@ -101,13 +101,13 @@
         self.nodes.iter().filter(|node| node.is_running()).map(|node| node.index).collect()
     }
 
-    /// Is every controller that runs confirmed, and may it vote?
+    /// Returns whether all running controllers are confirmed and may vote.
     pub fn all_confirmed(&self) -> bool {
         let mut running = self.nodes.iter().filter(|node| node.is_running());
         running.all(|node| node.is_confirmed(self.now) && node.acceptor.may_vote)
     }
 
-    /// Heals and starts everything, lets the last orders end, and reads back what is committed.
+    /// Heals all cuts, restarts all nodes, lets the last actions finish, and checks and returns the committed configuration.
     pub fn finish(&mut self) -> StoredConfig {
         self.network.heal();
         for index in 0..self.nodes.len() {
@@ -118,7 +118,7 @@
         self.operators.iter_mut().for_each(|operator| operator.active = false);
         self.lost_answer_percent = 0;
         self.run(8000);
-        assert!(self.all_confirmed(), "a controller did not catch up in twelve seconds of calm");
+        assert!(self.all_confirmed(), "a controller did not catch up in twelve seconds without faults");
         let configs: Vec<StoredConfig> = self.live().iter().map(|index| self.nodes[*index].config()).collect();
         let last = configs.into_iter().max_by_key(|config| config.revision).expect("a controller");
         self.history.check_end(&last);
--- a/controller/src/testing/simulation/halves_tests.rs
+++ b/controller/src/testing/simulation/halves_tests.rs
@@ -1,13 +1,14 @@
-//! A core that is cut into two halves: nobody has a majority, and nothing acknowledged is lost or shown in an older state.
+//! A core that is partitioned into two halves, neither of which has a majority. No acknowledged change may be lost, and no
+//! controller may serve an older state.
 use super::{Cluster, Guards, ALL_GUARDS};
 
 const PARTITION_MS: u64 = 6000;
 
 impl Cluster {
-    /// Cuts the first nodes off from the others, both ways. Operators reach all.
-    fn partition(&mut self, first: usize) {
-        for one in 0..first {
-            for other in first..self.nodes.len() {
+    /// Partitions the first `count` nodes from the others. Operators still reach all nodes.
+    fn partition(&mut self, count: usize) {
+        for one in 0..count {
+            for other in count..self.nodes.len() {
                 self.network.cut(one, other);
                 self.network.cut(other, one);
             }
@@ -15,13 +16,13 @@
     }
 }
 
-/// What overlaps the cut.
+/// A fault that overlaps the partition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Overlap {
     NoFault,
-    /// A member of each half loses power, and comes back before the cut heals.
+    /// A member of each half loses power and restarts before the partition heals.
     PowerLoss,
-    /// A member stands still until after the cut.
+    /// A member is frozen until after the partition has healed.
     Freeze,
 }
 
@@ -49,7 +50,7 @@
     cluster
 }
 
-fn assert_holds(size: usize, overlap: Overlap) {
+fn assert_no_violations(size: usize, overlap: Overlap) {
     let mut acknowledged = 0;
     for seed in 1..=8 {
         let cluster = run(seed, size, overlap);
@@ -57,32 +58,31 @@
         assert!(history.violations.is_empty(), "seed {seed}, {size}, {overlap:?}: {:?}", history.violations);
         acknowledged += history.acknowledged();
     }
-    assert!(acknowledged > 100, "operators must get work done before and after: {acknowledged}");
+    assert!(acknowledged > 100, "too few changes acknowledged before and after the partition: {acknowledged}");
 }
 
 #[test]
-fn halves_of_four_and_of_six_acknowledge_nothing_and_show_nothing_old() {
-    assert_holds(4, Overlap::NoFault);
-    assert_holds(6, Overlap::NoFault);
+fn halves_without_a_majority_are_not_confirmed_and_lose_no_acknowledged_change() {
+    assert_no_violations(4, Overlap::NoFault);
+    assert_no_violations(6, Overlap::NoFault);
 }
 
 #[test]
-fn losses_of_power_during_the_cut_lose_nothing() {
-    assert_holds(4, Overlap::PowerLoss);
-    assert_holds(6, Overlap::PowerLoss);
+fn power_losses_during_a_partition_lose_no_acknowledged_change() {
+    assert_no_violations(4, Overlap::PowerLoss);
+    assert_no_violations(6, Overlap::PowerLoss);
 }
 
 #[test]
-fn a_member_that_stands_still_through_the_cut_hands_out_nothing_old() {
-    assert_holds(4, Overlap::Freeze);
-    assert_holds(6, Overlap::Freeze);
+fn a_member_frozen_during_a_partition_serves_no_old_configuration() {
+    assert_no_violations(4, Overlap::Freeze);
+    assert_no_violations(6, Overlap::Freeze);
 }
 
-/// The same cut, but for one part that has a majority: without reads at one the other shows what is old, and the history
-/// tells.
+/// Here one side has a majority. Without quorum reads the other side serves an old configuration, which the history must report.
 #[test]
-fn without_reads_at_a_majority_the_smaller_part_hands_out_an_old_configuration() {
-    let shows_old = |seed: u64| {
+fn without_quorum_reads_the_minority_serves_an_old_configuration() {
+    let serves_old_config = |seed: u64| {
         let mut cluster = Cluster::new(seed, 4, 3);
         cluster.guards = Guards { quorum_reads: false, ..ALL_GUARDS };
         cluster.run(3000);
@@ -91,5 +91,5 @@
         cluster.finish();
         !cluster.history.violations.is_empty()
     };
-    assert!((1..=20).any(shows_old), "a simulation that can't fail shows nothing");
+    assert!((1..=20).any(serves_old_config), "the simulation did not find the fault that the guard prevents");
 }
--- a/controller/src/testing/simulation/history.rs
+++ b/controller/src/testing/simulation/history.rs
@@ -1,4 +1,4 @@
-//! What operators were told, and whether it holds together.
+//! Records the answers that operators got, and checks that they are consistent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use super::operator::{ActionId, Answer, OperatorAction};
 use crate::config::body::{self, StoredConfig};
 
-/// A change that an operator knows to be taken.
+/// A change whose commit an operator knows of.
 #[derive(Clone, Copy, Debug)]
 struct Acknowledged {
     time: u64,
@@ -17,17 +17,17 @@
     digest: [u8; 16],
 }
 
-/// Everything that is checked, as it happened. Broken promises are listed in `violations`.
+/// The recorded history. Violated guarantees are listed in `violations`.
 #[derive(Default)]
 pub struct History {
     actions: BTreeMap<ActionId, OperatorAction>,
-    /// The newest revision known to be taken when a read was first sent.
+    /// The newest acknowledged revision at the time when an action was first sent.
     read_floor: BTreeMap<ActionId, u64>,
     rejected: Vec<ActionId>,
-    /// Changes that must never be taken.
+    /// Changes that must never be committed.
     invalid: BTreeSet<ActionId>,
     acknowledged: Vec<Acknowledged>,
-    /// The evacuation that was acknowledged last, and when; None while another is under way.
+    /// The evacuation that was acknowledged last, and when. `None` while another one is in progress.
     evacuation: Option<(u64, bool)>,
     pub reads: usize,
     pub violations: Vec<String>,
@@ -59,12 +59,12 @@
         self.actions.insert(action_id, action);
     }
 
-    /// An order is sent that must never be taken.
+    /// Records that an action contains a change that must never be committed.
     pub fn record_invalid(&mut self, action_id: ActionId) {
         self.invalid.insert(action_id);
     }
 
-    /// A controller answered, whether or not the answer arrives.
+    /// Records an answer that a controller gave, whether or not it reaches the operator.
     pub fn record_answer(&mut self, action_id: ActionId, answer: &Answer) {
         if *answer == Answer::Rejected {
             self.rejected.push(action_id);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The operator got this answer.
+    /// Records an answer that reached the operator, and checks it.
     pub fn record_received_answer(&mut self, action_id: ActionId, answer: &Answer, now: u64) {
         let Some(action) = self.actions.get(&action_id) else { return };
         match (action, answer) {
@@ -82,7 +82,7 @@
                 let (base, digest) = (change.base, body::change_digest(change));
                 let same_base = self.acknowledged.iter().find(|change| change.base == base && change.digest != digest);
                 if same_base.is_some() {
-                    self.violations.push(format!("{now}: two changes of version {base} were acknowledged"));
+                    self.violations.push(format!("{now}: two changes on top of revision {base} were acknowledged"));
                 }
                 let revision = revision(action);
                 self.acknowledged.push(Acknowledged { time: now, base, revision, digest });
@@ -92,34 +92,38 @@
                 self.reads += 1;
                 let floor = self.read_floor[&action_id];
                 if *revision < floor {
-                    self.violations.push(format!("{now}: a read found version {revision}, {floor} was acknowledged"));
+                    self.violations
+                        .push(format!("{now}: a read returned revision {revision} after {floor} was acknowledged"));
                 }
             }
             _ => {}
         }
     }
 
-    /// A controller says that what it knows was confirmed at `confirmed`: nothing acknowledged by then is missing.
+    /// Checks that a controller whose state was confirmed at `confirmed` knows every change acknowledged by then.
     pub fn check_confirmed(&mut self, index: usize, confirmed: u64, config: &StoredConfig, evacuated: bool) {
         let before = self.acknowledged.iter().filter(|change| change.time <= confirmed);
         let newest = before.map(|change| change.revision).max().unwrap_or(0);
         if config.revision < newest {
-            let violation =
-                format!("{confirmed}: controller {index} confirms version {}, {newest} is known", config.revision);
+            let violation = format!(
+                "{confirmed}: controller {index} confirms revision {}, but {newest} was acknowledged",
+                config.revision
+            );
             self.violations.push(violation);
         }
         if let Some((_, on)) = self.evacuation.filter(|(time, on)| *time <= confirmed && *on != evacuated) {
-            self.violations
-                .push(format!("{confirmed}: controller {index} confirms evacuation {evacuated}, {on} is known"));
+            self.violations.push(format!(
+                "{confirmed}: controller {index} confirms evacuation {evacuated}, but {on} was acknowledged"
+            ));
         }
     }
 
-    /// What was acknowledged is there at the end, and what is there was never refused.
+    /// Checks that the final configuration contains all acknowledged changes and no rejected or invalid one.
     pub fn check_end(&mut self, last: &StoredConfig) {
         if last.revision > 0 {
             match config::read(&last.text) {
                 Ok(config) if config.revision == last.revision => {}
-                other => self.violations.push(format!("version {} reads as {other:?}", last.revision)),
+                other => self.violations.push(format!("revision {} is parsed as {other:?}", last.revision)),
             }
         }
         for action_id in &self.invalid {
@@ -130,14 +134,16 @@
         }
         for change in &self.acknowledged {
             if change.revision > last.revision || !contains_change(last, &change.digest) {
-                self.violations
-                    .push(format!("version {} was acknowledged and is not in {}", change.revision, last.revision));
+                self.violations.push(format!(
+                    "revision {} was acknowledged but is missing in revision {}",
+                    change.revision, last.revision
+                ));
             }
         }
         for action_id in &self.rejected {
             let Some(OperatorAction::Change(change)) = self.actions.get(action_id) else { continue };
             if contains_change(last, &body::change_digest(change)) {
-                self.violations.push(format!("a change of version {} was taken and refused", change.base));
+                self.violations.push(format!("a change on top of revision {} was committed and rejected", change.base));
             }
         }
     }
--- a/controller/src/testing/simulation/isolation_tests.rs
+++ b/controller/src/testing/simulation/isolation_tests.rs
@@ -1,4 +1,4 @@
-//! A controller that is cut off, or stands still, for some twenty seconds and comes back.
+//! A controller that is isolated or frozen for twenty seconds and then returns.
 
 use kernel::Rng;
 
@@ -6,11 +6,11 @@
 
 const OUTAGE_MS: u64 = 20_000;
 
-/// How a controller loses the others.
+/// How a controller loses contact with the others.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
     Isolated,
-    /// It hears the others, and they do not hear it.
+    /// It receives messages from the others, but they receive none from it.
     Muted,
     Frozen,
 }
@@ -39,7 +39,7 @@
     cluster
 }
 
-fn assert_holds(outage: Outage) {
+fn assert_no_violations(outage: Outage) {
     let (mut acknowledged, mut reads) = (0, 0);
     for seed in 1..=12 {
         let cluster = run(seed, outage, ALL_GUARDS);
@@ -48,7 +48,7 @@
         acknowledged += history.acknowledged();
         reads += history.reads;
     }
-    assert!(acknowledged > 300 && reads > 100, "operators must get work done: {acknowledged}, {reads}");
+    assert!(acknowledged > 300 && reads > 100, "too few changes or reads completed: {acknowledged}, {reads}");
 }
 
 fn finds_violation(outage: Outage, guards: Guards) -> bool {
@@ -56,28 +56,28 @@
 }
 
 #[test]
-fn one_that_is_cut_off_hands_out_nothing_old_refuses_nothing_good_and_confirms_nothing() {
-    assert_holds(Outage::Isolated);
+fn an_isolated_controller_is_not_confirmed_and_violates_no_guarantee() {
+    assert_no_violations(Outage::Isolated);
 }
 
 #[test]
-fn one_that_nobody_hears_hands_out_nothing_old_refuses_nothing_good_and_confirms_nothing() {
-    assert_holds(Outage::Muted);
+fn a_muted_controller_is_not_confirmed_and_violates_no_guarantee() {
+    assert_no_violations(Outage::Muted);
 }
 
 #[test]
-fn one_that_stood_still_carries_out_no_order_from_before() {
-    assert_holds(Outage::Frozen);
+fn a_frozen_controller_executes_no_stale_request() {
+    assert_no_violations(Outage::Frozen);
 }
 
 #[test]
-fn without_reads_at_a_quorum_one_that_is_cut_off_hands_out_an_old_configuration() {
+fn without_quorum_reads_an_isolated_controller_serves_an_old_configuration() {
     let guards = Guards { quorum_reads: false, ..ALL_GUARDS };
-    assert!(finds_violation(Outage::Isolated, guards), "a simulation that can't fail shows nothing");
+    assert!(finds_violation(Outage::Isolated, guards), "the simulation did not find the fault that the guard prevents");
 }
 
 #[test]
-fn without_dropping_old_orders_one_that_stood_still_carries_them_out() {
+fn without_dropping_stale_requests_a_frozen_controller_executes_them() {
     let guards = Guards { stale_requests: false, ..ALL_GUARDS };
-    assert!(finds_violation(Outage::Frozen, guards), "a simulation that can't fail shows nothing");
+    assert!(finds_violation(Outage::Frozen, guards), "the simulation did not find the fault that the guard prevents");
 }
--- a/controller/src/testing/simulation/members.rs
+++ b/controller/src/testing/simulation/members.rs
@@ -1,4 +1,4 @@
-//! Changes of the core at a simulated controller, and the recovery of an acceptor that lost its disk.
+//! Reconfiguration of the core by a simulated controller, and recovery of an acceptor that lost its disk.
 
 use std::mem;
 
@@ -15,7 +15,7 @@
 const COMMIT_TIMEOUT_MS: u64 = 1500;
 const READ_TIMEOUT_MS: u64 = 800;
 
-/// A read of other acceptors by one that may not vote.
+/// A read of other acceptors by one that may not vote yet.
 struct Recovery {
     id: u64,
     core: CoreMembership,
@@ -136,13 +136,13 @@
         }
         let member = quorum::is_old_or_new_member(&core, &node.acceptor.ip);
         let others = node.acceptor.recovery_peers();
-        let ask = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
-        let id = self.send_requests(index, &core, &ask, &others);
+        let operation = if member { ConsensusOperation::Snapshot } else { ConsensusOperation::Positions };
+        let id = self.send_requests(index, &core, &operation, &others);
         let deadline = self.now + READ_TIMEOUT_MS;
         self.nodes[index].members.recovery = Some(Recovery { id, core, deadline, from: Vec::new(), reads: Vec::new() });
     }
 
-    /// Routes a response to what asked for it.
+    /// Passes a response to the operation that it belongs to.
     pub fn dispatch_response(&mut self, index: usize, from: Address, id: u64, response: ConsensusResponse) {
         let Address::Node(from) = from else { return };
         let from = address(from);
--- a/controller/src/testing/simulation/mod.rs
+++ b/controller/src/testing/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders, cuts,
-//! frozen processes, losses of power and of disks, replaced machines, operators that race and send again.
-//! The nodes run the state machines of `consensus` and the decisions of this crate; only what carries them
-//! (sockets, timers, the disk) is simulated. `history` checks what operators and subscribers got.
+//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders messages, partitions,
+//! frozen processes, losses of power and of disks, replaced machines, and operators that race and retry.
+//!
+//! The nodes run the state machines of `consensus` and the decisions of this crate; only sockets, timers and disks are
+//! simulated. `history` checks what operators were answered and what controllers confirm.
 
 use std::mem;
 
@@ -28,24 +29,24 @@
 mod replacement_tests;
 mod restart_tests;
 
-/// Guards that a test may switch off to show that the simulation finds the fault they prevent.
+/// Guards that a test may switch off to show that the simulation finds the fault that they prevent.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
     /// A read is answered only after a round at a quorum.
     pub quorum_reads: bool,
-    /// A committed configuration remembers the digests of the changes it came from.
+    /// A committed configuration remembers the digests of the changes that led to it.
     pub digests: bool,
     /// A change is checked before it is committed.
     pub validity: bool,
-    /// A relayed evacuation names the version that it is made on top of.
+    /// A relayed evacuation names the version on top of which it is made.
     pub versioned_evacuations: bool,
-    /// Requests that waited in a socket while the process stood still are not carried out.
+    /// Requests that waited in a socket while the process was frozen are not executed.
     pub stale_requests: bool,
     /// A wiped acceptor reads the others before it responds.
     pub recovery_reads: bool,
-    /// A member tells that it is about to end, and waits to be released.
+    /// A member announces its shutdown and waits to be released.
     pub hand_over: bool,
-    /// A controller that is behind takes a newer committed entry than the one it asked for.
+    /// A controller with a stale key accepts a newer committed entry than the one it requested.
     pub newer_entries: bool,
 }
 
@@ -60,7 +61,7 @@
     newer_entries: true,
 };
 
-/// All machines, operators and the network between them.
+/// All machines and operators, and the network between them.
 pub struct Cluster {
     pub now: u64,
     pub random: Rng,
@@ -69,13 +70,13 @@
     pub operators: Vec<Operator>,
     pub history: History,
     pub guards: Guards,
-    /// The addresses that a new process is told.
+    /// The seed addresses in the settings of a new process.
     pub seeds: Vec<String>,
-    /// Of a hundred answers to operators, so many are lost.
+    /// The percentage of answers to operators that are lost.
     pub lost_answer_percent: u64,
-    /// The longest time that an operator rests before its next order.
+    /// The longest pause of an operator before its next action, in milliseconds.
     pub max_think_time_ms: u64,
-    /// Operators send changes of named items and invalid ones too, and some orders are carried out at two controllers at once.
+    /// Operators also send partial and invalid changes, and some actions are executed at two controllers at once.
     pub mixed_actions: bool,
 }
 
@@ -107,7 +108,7 @@
         cluster
     }
 
-    /// One millisecond: what is due is delivered, then every process that runs does what is due.
+    /// Advances the time by one millisecond: delivers the messages that are due, then runs all running nodes and operators.
     pub fn step(&mut self) {
         self.now += 1;
         for envelope in self.network.due(self.now) {
@@ -148,11 +149,11 @@
         self.handle(index, envelope);
     }
 
-    /// Everything that a node does by itself at this time.
+    /// Runs everything that a node does at the current time.
     fn run_node(&mut self, index: usize) {
         for envelope in mem::take(&mut self.nodes[index].inbox) {
             self.handle(index, envelope);
-            // Each is begun before the next is read, as tasks of a process may be.
+            // Each request is started before the next one is read, as may happen with tasks of a process.
             self.run_changes(index);
         }
         self.sync_disk(index);
--- a/controller/src/testing/simulation/network.rs
+++ b/controller/src/testing/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: envelopes that arrive late, out of order or never.
+//! The simulated network, which delays, reorders and loses messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -33,11 +33,11 @@
     Learn(String, Entry),
     OperatorAction(ActionId, OperatorAction),
     Answer(ActionId, Answer),
-    /// The operator closed the connection on which it sent an order.
+    /// The operator closed the connection on which it sent an action.
     Close(ActionId),
 }
 
-/// What a controller tells the others of itself.
+/// The heartbeat of a simulated controller.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     pub address: String,
@@ -52,12 +52,12 @@
     pub arrives_at: u64,
     pub from: Address,
     pub to: Address,
-    /// The life of the process it is meant for: a connection ends with the process.
+    /// The incarnation of the receiving process: a connection ends with its process.
     pub incarnation: u64,
     pub message: Packet,
 }
 
-/// Invariant: `envelopes` are sorted by the time of their arrival, in the order sent where it is the same.
+/// Messages in transit. Invariant: `envelopes` are sorted by arrival time, then by the order in which they were sent.
 #[derive(Default)]
 pub struct Network {
     envelopes: BTreeMap<(u64, u64), Envelope>,
@@ -81,7 +81,7 @@
         mem::replace(&mut self.envelopes, later).into_values().collect()
     }
 
-    /// Nothing passes from one node to another any more, nor what is under way.
+    /// Blocks messages from one node to another and drops those in transit.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
         let ends = (Address::Node(from), Address::Node(to));
@@ -94,8 +94,8 @@
 }
 
 impl Cluster {
-    /// Sends with a delay drawn by lot. Some envelopes come late, as after a retransmission, and a few between
-    /// nodes are lost, as when a connection is reset.
+    /// Sends a message with a random delay. Some messages between nodes arrive late, as after a retransmission, and a few are
+    /// lost, as when a connection is reset.
     pub fn send(&mut self, from: Address, to: Address, message: Packet) {
         let between_nodes = matches!((from, to), (Address::Node(_), Address::Node(_)));
         let to_self = from == to;
@@ -112,22 +112,22 @@
         self.network.send(Envelope { arrives_at: self.now + 1 + delay, from, to, incarnation, message });
     }
 
-    /// The node at an address, if there ever was one.
+    /// Returns the node with an address, if there ever was one.
     pub fn node_at(&self, address: &str) -> Option<usize> {
         self.nodes.iter().position(|node| node.acceptor.ip == address)
     }
 
-    /// Polls these addresses under a number of its own, by which the responses are told apart.
+    /// Sends an operation to the nodes at these addresses and returns the id that their responses will carry.
     pub fn send_requests(
         &mut self,
         index: usize,
         core: &CoreMembership,
-        ask: &ConsensusOperation,
+        operation: &ConsensusOperation,
         addresses: &[String],
     ) -> u64 {
         let id = self.nodes[index].next_id();
         for to in addresses.iter().filter_map(|address| self.node_at(address)).collect::<Vec<_>>() {
-            let request = ConsensusRequest { membership: core.clone(), operation: ask.clone() };
+            let request = ConsensusRequest { membership: core.clone(), operation: operation.clone() };
             self.send(Address::Node(index), Address::Node(to), Packet::Request { id, request });
         }
         id
--- a/controller/src/testing/simulation/node.rs
+++ b/controller/src/testing/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One simulated controller: its acceptor and disk, what it knows to be committed, and what it is at work on.
+//! One simulated controller: its acceptor and disk, the committed state that it knows, and its operations in progress.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use protocol::message::{ConsensusRequest, ConsensusResponse, CoreMembership, Entry, Member, Position};
 
 use super::changes::Change;
-use super::confirming::Confirming;
+use super::confirming::ConfirmationState;
 use super::members::MembershipState;
 use super::network::{Address, Envelope, Packet};
 use super::operator::EVACUATION_KEY;
@@ -17,15 +17,15 @@
 use crate::peers::pause::PauseMonitor;
 use crate::replication::committed_state::{self, EvacuationRecord, CONFIG_KEY};
 
-/// Records on their way to the disk, and the response that may leave once they are there.
+/// Records queued for the disk, and the response that is sent once they are synced.
 pub struct Write {
     pub due: u64,
     pub records: Vec<LogRecord>,
     pub response: Option<(Address, u64, ConsensusResponse)>,
 }
 
-/// Invariants: `disk` is what was synced; `acceptor` is ahead of it by what waits in `writes`. All else is lost
-/// with the process.
+/// A simulated controller. Invariants: `disk` is the synced state; `acceptor` is ahead of it by the records in `writes`. All
+/// other state is lost when the process ends.
 pub struct Node {
     pub index: usize,
     pub acceptor: Acceptor,
@@ -33,20 +33,20 @@
     pub writes: Vec<Write>,
     pub up: bool,
     pub frozen: bool,
-    /// Gone for good: it is not started again.
+    /// The machine is removed for good and never restarted.
     pub removed: bool,
     pub incarnation: u64,
     pub started_at: u64,
-    /// Letters that arrived while the process stood still.
+    /// Messages that arrived while the process was frozen.
     pub inbox: Vec<Envelope>,
     pub committed: BTreeMap<String, Entry>,
     /// When the read began that last confirmed `committed` at a quorum.
     pub confirmed: Option<u64>,
     pub highest_term: u64,
     pub owned: BTreeMap<String, Ownership>,
-    /// Changes by key: the first of each list is under way.
+    /// Changes by key; the first of each list is in progress.
     pub changes: BTreeMap<String, Vec<Change>>,
-    pub confirming: Confirming,
+    pub confirming: ConfirmationState,
     pub members: MembershipState,
     pub view: MembershipView,
     pub seeds: Vec<String>,
@@ -74,7 +74,7 @@
             highest_term: 0,
             owned: BTreeMap::new(),
             changes: BTreeMap::new(),
-            confirming: Confirming::default(),
+            confirming: ConfirmationState::default(),
             members: MembershipState::default(),
             view: MembershipView::new(&address, "", LIVENESS_TIMEOUT_MS),
             seeds: seeds.to_vec(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The first start of the whole system: the seeds are the core.
+    /// Bootstraps the node at the first start of the system: the seeds form the core.
     pub fn bootstrap(&mut self, seeds: &[String]) {
         let list = seeds.iter().map(|ip| Member { ip: ip.clone(), zone: String::new() }).collect();
         self.acceptor.membership =
@@ -110,7 +110,7 @@
         self.committed.get(key).map(Entry::position)
     }
 
-    /// The configuration that it would tell a follower.
+    /// Returns the configuration that the node would send to a subscriber.
     pub fn config(&self) -> StoredConfig {
         let body = self.committed.get(CONFIG_KEY).map_or(&[][..], |entry| &entry.body);
         StoredConfig::decode(body).expect("a valid configuration")
@@ -125,7 +125,7 @@
         self.evacuation().evacuated
     }
 
-    /// All that is known of other controllers.
+    /// Returns the addresses of all other known controllers.
     pub fn known_peers(&self) -> Vec<String> {
         let mut list = self.seeds.clone();
         list.extend(self.acceptor.membership.members.iter().map(|member| member.ip.clone()));
@@ -138,7 +138,7 @@
 }
 
 impl Cluster {
-    /// The vote of a node leaves once what it promises is on its disk.
+    /// Handles a consensus request. The response is sent once the records that it depends on are on disk.
     pub fn handle_request(&mut self, index: usize, from: Address, id: u64, request: ConsensusRequest) {
         self.adopt(index, &request.membership);
         let (response, records) = self.nodes[index].acceptor.handle(request);
@@ -154,7 +154,7 @@
         let max_delay = if self.random.below(60) == 0 { 400 } else { 5 };
         let delay = if records.is_empty() { 0 } else { 1 + self.random.below(max_delay) };
         let node = &mut self.nodes[index];
-        // The disk works in order.
+        // Writes complete in order.
         let previous_due = node.writes.last().map_or(0, |write| write.due);
         let due = previous_due.max(self.now + delay);
         node.writes.push(Write { due, records, response });
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A committed entry becomes known at a node; with `tell` at the others too.
+    /// Applies a committed entry at a node. With `broadcast`, it is also sent to the other nodes.
     pub fn learn(&mut self, index: usize, key: &str, entry: &Entry, broadcast: bool) {
         let node = &mut self.nodes[index];
         node.highest_term = node.highest_term.max(entry.proposal_number.term);
--- a/controller/src/testing/simulation/operator.rs
+++ b/controller/src/testing/simulation/operator.rs
@@ -1,5 +1,4 @@
-//! Operators that change the configuration, evacuate zones and read back, and send again what got no
-//! clear answer.
+//! Operators that change the configuration, evacuate zones, read the configuration, and retry actions whose outcome is unknown.
 
 use consensus::Decision;
 use protocol::operator_request::ConfigChange;
@@ -12,8 +11,9 @@
 use crate::config::change::{self, ChangeDecision, ConfigChangeError, ParsedChange};
 use crate::replication::committed_state::CONFIG_KEY;
 
-/// How long an operator waits for an answer, and a controller for an outcome.
-const IO_TIMEOUT_MS: u64 = 1000;
+/// How long an operator waits for an answer before it sends an action again.
+const ANSWER_TIMEOUT_MS: u64 = 1000;
+/// How long a controller tries to commit a change or a read.
 const CHANGE_TIMEOUT_MS: u64 = 2000;
 const EVACUATION_TIMEOUT_MS: u64 = operator_requests::EVACUATION_TIMEOUT_MS;
 const UNHEARD_CLOSE_ONE_OF: u64 = 4;
@@ -24,12 +24,12 @@
 pub enum OperatorAction {
     Change(ConfigChange),
     Evacuate(bool),
-    /// Relayed: on top of a version.
+    /// A relayed evacuation, made on top of a version.
     EvacuateFrom(bool, u64),
     Read,
 }
 
-/// One order of one operator, sent once or more often. Invariant: `number` is new for each order.
+/// Identifies an action of an operator, which may be sent several times. Invariant: `number` is unique per operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ActionId {
     pub operator: usize,
@@ -39,23 +39,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Done,
-    /// The configuration, as a read found it.
+    /// The configuration that a read returned.
     Found {
         revision: u64,
         changes: Vec<CommittedChange>,
     },
     Rejected,
-    /// No clear outcome: to be sent again.
+    /// The outcome is unknown, and the action is sent again.
     OutcomeUnknown,
 }
 
-/// Invariant: at most one order is under way.
+/// A simulated operator. Invariant: at most one action is in progress.
 pub struct Operator {
     number: usize,
     actions: u64,
     revision: u64,
     current: Option<(ActionId, OperatorAction)>,
-    /// Where the order was sent last.
+    /// The node to which the action was last sent.
     last_target: Option<usize>,
     resend_at: u64,
     next_action_at: u64,
@@ -86,7 +86,7 @@
         }
         let operator = &mut self.operators[number];
         if operator.current.is_some() && now >= operator.resend_at {
-            operator.resend_at = now + IO_TIMEOUT_MS;
+            operator.resend_at = now + ANSWER_TIMEOUT_MS;
             self.send_action(number);
         }
     }
@@ -98,18 +98,18 @@
         let action_id = ActionId { operator: number, number: operator.actions };
         let action = match choice {
             0 | 1 => OperatorAction::Read,
-            // One operator only, so that what it was told last is what holds.
+            // Only one operator evacuates, so that the last answer it got is the state in force.
             2 | 3 if number == 0 => OperatorAction::Evacuate(self.random.below(2) == 0),
             _ => {
                 let (action_number, base) = (operator.actions, operator.revision);
-                let body = match self.mixed_actions {
-                    true => bodies::draw(&mut self.random, number as u64, action_number, base),
-                    false => bodies::whole(&mut self.random, number as u64, action_number, base),
+                let generated = match self.mixed_actions {
+                    true => bodies::random_change(&mut self.random, number as u64, action_number, base),
+                    false => bodies::full_config(&mut self.random, number as u64, action_number, base),
                 };
-                if !body.valid {
+                if !generated.valid {
                     self.history.record_invalid(action_id);
                 }
-                OperatorAction::Change(body.change)
+                OperatorAction::Change(generated.change)
             }
         };
         operator.current = Some((action_id, action.clone()));
@@ -117,11 +117,11 @@
         self.history.record_start(action_id, action);
     }
 
-    /// To any machine that is there, as far as the operator's old list tells. The connection to the one asked
+    /// Sends the current action to a random machine that was not removed, running or not. The connection on which it was sent
     /// before is closed.
     fn send_action(&mut self, number: usize) {
         let Some((action_id, action)) = self.operators[number].current.clone() else { return };
-        // The operator's own machine or path may be gone: then nobody hears that it gave up.
+        // The close may be lost, as when the operator's machine or network path fails.
         let previous =
             self.operators[number].last_target.take().filter(|_| self.random.below(UNHEARD_CLOSE_ONE_OF) > 0);
         if let Some(previous) = previous {
@@ -131,7 +131,7 @@
         let to = targets[self.random.below(targets.len() as u64) as usize];
         self.operators[number].last_target = Some(to);
         if self.mixed_actions && self.random.below(EXECUTED_TWICE_ONE_OF) == 0 {
-            // The one asked relays it to the home of its key, hears nothing, and carries it out too.
+            // The controller relays the action to another one, gets no response, and executes it too.
             let other = targets[self.random.below(targets.len() as u64) as usize];
             let relayed = match action {
                 OperatorAction::Evacuate(on) if self.guards.versioned_evacuations => {
@@ -144,11 +144,11 @@
         self.send(Address::Operator(number), Address::Node(to), Packet::OperatorAction(action_id, action));
     }
 
-    /// The caller is gone: its call is dropped, whatever became of it.
+    /// Drops an action whose operator has closed the connection. Its outcome is unknown.
     pub fn drop_action(&mut self, index: usize, from: Address, action_id: ActionId) {
         let purpose = Purpose::OperatorAction(from, action_id);
-        for list in self.nodes[index].changes.values_mut() {
-            list.retain(|change| change.purpose != purpose);
+        for changes in self.nodes[index].changes.values_mut() {
+            changes.retain(|change| change.purpose != purpose);
         }
     }
 
@@ -174,7 +174,7 @@
             }
             OperatorAction::Read if self.guards.quorum_reads => {
                 let decide = Box::new(|body: &[u8]| {
-                    Decision::Answer(Some(found_answer(&StoredConfig::decode(body).expect("reads"))))
+                    Decision::Answer(Some(found_answer(&StoredConfig::decode(body).expect("a valid configuration"))))
                 });
                 self.begin_change(index, CONFIG_KEY, purpose, CHANGE_TIMEOUT_MS, decide);
             }
@@ -194,7 +194,7 @@
 
     pub fn receive_answer(&mut self, number: usize, action_id: ActionId, answer: Answer) {
         let now = self.now;
-        let pause = self.random.below(self.max_think_time_ms);
+        let think_time = self.random.below(self.max_think_time_ms);
         let operator = &mut self.operators[number];
         debug_assert_eq!(operator.number, number);
         let Some((current, action)) = operator.current.clone().filter(|(current, _)| *current == action_id) else {
@@ -202,7 +202,7 @@
         };
         match &answer {
             Answer::OutcomeUnknown => {
-                operator.resend_at = now + 50 + pause;
+                operator.resend_at = now + 50 + think_time;
                 return;
             }
             Answer::Found { revision, .. } => operator.revision = *revision,
@@ -211,12 +211,12 @@
                     operator.revision = bodies::revision(change);
                 }
             }
-            // Another version is current: it is read before the next change.
+            // Another revision is in force, which is read before the next change.
             Answer::Rejected => operator.actions += 1,
         }
         operator.current = None;
         operator.last_target = None;
-        operator.next_action_at = now + pause;
+        operator.next_action_at = now + think_time;
         self.history.record_received_answer(current, &answer, now);
         if answer == Answer::Rejected {
             let action_id = ActionId { operator: number, number: self.operators[number].actions };
@@ -236,7 +236,7 @@
 }
 
 fn decide_change(change: &ConfigChange, body: &[u8], guards: Guards) -> Decision<Option<Answer>> {
-    let mut stored = StoredConfig::decode(body).expect("a configuration that reads");
+    let mut stored = StoredConfig::decode(body).expect("a valid configuration");
     if !guards.digests {
         stored.changes.clear();
     }
--- a/controller/src/testing/simulation/orders_tests.rs
+++ b/controller/src/testing/simulation/orders_tests.rs
@@ -1,10 +1,10 @@
-//! Operators that race and send again what got no answer.
+//! Operators that race each other and retry actions that got no answer.
 
 use kernel::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
-/// Three operators, most answers lost, one machine after the other down for a while.
+/// Three operators lose most of their answers while one machine after another is down for a while.
 fn run(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 3);
     cluster.guards = guards;
@@ -23,25 +23,25 @@
 }
 
 #[test]
-fn one_change_of_a_version_is_acknowledged_and_none_that_was_taken_is_refused() {
+fn one_change_per_revision_is_acknowledged_and_no_committed_one_is_rejected() {
     let mut acknowledged = 0;
     for seed in 1..=25 {
         let cluster = run(seed, ALL_GUARDS);
         assert!(cluster.history.violations.is_empty(), "seed {seed}: {:?}", cluster.history.violations);
         acknowledged += cluster.history.acknowledged();
     }
-    assert!(acknowledged > 200, "operators must get work done: {acknowledged}");
+    assert!(acknowledged > 200, "too few changes acknowledged: {acknowledged}");
 }
 
 #[test]
-fn without_digests_an_order_sent_again_is_refused() {
+fn without_digests_a_retried_change_is_rejected() {
     let guards = Guards { digests: false, ..ALL_GUARDS };
     let found_violation = (1..=20).any(|seed| !run(seed, guards).history.violations.is_empty());
-    assert!(found_violation, "a simulation that can't fail shows nothing");
+    assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
 
-/// The same with operators that send everything: changes of named items, invalid ones of every kind, orders that reach two
-/// controllers at once.
+/// Like [`run`], but operators also send partial changes and invalid ones of every kind, and some actions reach two controllers
+/// at once.
 fn run_mixed(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 4);
     cluster.guards = guards;
@@ -61,32 +61,32 @@
 }
 
 #[test]
-fn no_invalid_change_is_taken_whatever_else_is_sent() {
+fn no_invalid_change_is_committed_among_mixed_actions() {
     let mut acknowledged = 0;
     for seed in 1..=40 {
         let cluster = run_mixed(seed, ALL_GUARDS);
         assert!(cluster.history.violations.is_empty(), "seed {seed}: {:?}", cluster.history.violations);
         acknowledged += cluster.history.acknowledged();
     }
-    assert!(acknowledged > 400, "operators must get work done: {acknowledged}");
+    assert!(acknowledged > 400, "too few changes acknowledged: {acknowledged}");
 }
 
 #[test]
-fn without_checks_an_invalid_change_is_taken() {
+fn without_validation_an_invalid_change_is_committed() {
     let guards = Guards { validity: false, ..ALL_GUARDS };
     let found_violation = (1..=20).any(|seed| !run_mixed(seed, guards).history.violations.is_empty());
-    assert!(found_violation, "a simulation that can't fail shows nothing");
+    assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
 
 #[test]
-fn without_digests_an_order_that_two_controllers_carry_out_is_refused() {
+fn without_digests_a_change_executed_by_two_controllers_is_rejected() {
     let guards = Guards { digests: false, ..ALL_GUARDS };
     let found_violation = (1..=20).any(|seed| !run_mixed(seed, guards).history.violations.is_empty());
-    assert!(found_violation, "a simulation that can't fail shows nothing");
+    assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
 
-/// One controller after the other is cut off for a moment: what it was relayed meanwhile it carries out late.
-fn run_short_cuts(seed: u64, guards: Guards) -> Cluster {
+/// One controller after another is isolated for a short time, so that relayed actions are executed late.
+fn run_with_short_isolations(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 2);
     cluster.guards = guards;
     cluster.max_think_time_ms = 20;
@@ -103,16 +103,16 @@
 }
 
 #[test]
-fn a_relayed_order_that_comes_late_undoes_no_later_one() {
+fn a_late_relayed_action_does_not_undo_a_later_one() {
     for seed in 1..=40 {
-        let cluster = run_short_cuts(seed, ALL_GUARDS);
+        let cluster = run_with_short_isolations(seed, ALL_GUARDS);
         assert!(cluster.history.violations.is_empty(), "seed {seed}: {:?}", cluster.history.violations);
     }
 }
 
 #[test]
-fn without_versions_a_relayed_evacuation_that_comes_late_undoes_a_later_order() {
+fn without_versions_a_late_relayed_evacuation_undoes_a_later_one() {
     let guards = Guards { versioned_evacuations: false, ..ALL_GUARDS };
-    let found_violation = (1..=300).any(|seed| !run_short_cuts(seed, guards).history.violations.is_empty());
-    assert!(found_violation, "a simulation that can't fail shows nothing");
+    let found_violation = (1..=300).any(|seed| !run_with_short_isolations(seed, guards).history.violations.is_empty());
+    assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
--- a/controller/src/testing/simulation/replacement_tests.rs
+++ b/controller/src/testing/simulation/replacement_tests.rs
@@ -1,24 +1,24 @@
-//! Machines of the core replaced, and a second loss as soon as the new one has had its time.
+//! Core machines that are replaced, with a second loss as soon as the new machine has had time to catch up.
 
 use consensus::quorum;
 use kernel::Rng;
 
 use super::{address, Cluster, Guards, ALL_GUARDS};
 
-/// How long a new or returned machine has until the next may be lost.
+/// How long a new or restarted machine has to catch up before the next one may be lost, in milliseconds.
 const CATCH_UP_MS: u64 = 4000;
 
-/// How a machine leaves for good.
+/// How a machine is replaced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Replacement {
-    /// It dies; an empty one comes later.
+    /// The machine fails; an empty one is added later.
     Lost,
-    /// An empty one comes first, then it is told to end.
+    /// An empty machine is added first, then the old one is shut down.
     Planned,
 }
 
-/// One machine after another is replaced, and each time another one loses power or its disk at the first
-/// moment at which that may happen. Gives how often operators then got a change through in time.
+/// Replaces two machines one after the other. Each time another machine loses power, and perhaps its disk, as early as that is
+/// allowed. Returns whether the cluster was confirmed and acknowledged changes each time.
 fn run(seed: u64, size: usize, replacement: Replacement, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 3);
     cluster.guards = guards;
@@ -52,7 +52,7 @@
     members[rng.below(members.len() as u64) as usize]
 }
 
-/// Returns once the second loss is allowed.
+/// Replaces a machine, and returns once a second loss is allowed.
 fn replace(cluster: &mut Cluster, replaced: usize, replacement: Replacement, rng: &mut Rng) {
     match replacement {
         Replacement::Lost => {
@@ -63,7 +63,7 @@
         }
         Replacement::Planned => {
             cluster.add_machine();
-            // The old one may be told at any time, at the latest right before the second loss.
+            // The old machine may be shut down at any time before the second loss.
             let delay = 500 + rng.below(CATCH_UP_MS - 500);
             cluster.run(delay);
             cluster.terminate(replaced);
@@ -72,30 +72,30 @@
     }
 }
 
-fn assert_holds(replacement: Replacement) {
+fn assert_no_violations(replacement: Replacement) {
     let mut acknowledged = 0;
     for (seed, size) in (1..=10).flat_map(|seed| [(seed, 3), (seed, 5)]) {
         let (cluster, is_available) = run(seed, size, replacement, ALL_GUARDS);
-        assert!(is_available, "seed {seed} of {size}, {replacement:?}: no quorum after a second loss");
+        assert!(is_available, "seed {seed} of {size}, {replacement:?}: unavailable after a second loss");
         assert!(cluster.history.violations.is_empty(), "seed {seed} of {size}: {:?}", cluster.history.violations);
         acknowledged += cluster.history.acknowledged();
     }
-    assert!(acknowledged > 500, "operators must get work done: {acknowledged}");
+    assert!(acknowledged > 500, "too few changes acknowledged: {acknowledged}");
 }
 
 #[test]
-fn a_second_loss_right_after_a_replacement_leaves_a_quorum() {
-    assert_holds(Replacement::Lost);
+fn a_second_loss_right_after_an_unplanned_replacement_leaves_a_quorum() {
+    assert_no_violations(Replacement::Lost);
 }
 
 #[test]
 fn a_second_loss_right_after_a_planned_replacement_leaves_a_quorum() {
-    assert_holds(Replacement::Planned);
+    assert_no_violations(Replacement::Planned);
 }
 
 #[test]
-fn without_a_hand_over_a_second_loss_may_leave_none() {
+fn without_a_hand_over_a_second_loss_may_leave_no_quorum() {
     let guards = Guards { hand_over: false, ..ALL_GUARDS };
     let found_violation = (1..=20).any(|seed| !run(seed, 3, Replacement::Planned, guards).1);
-    assert!(found_violation, "a simulation that can't fail shows nothing");
+    assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
--- a/controller/src/testing/simulation/restart_tests.rs
+++ b/controller/src/testing/simulation/restart_tests.rs
@@ -1,24 +1,24 @@
-//! A storm of changes while one member is cut off and all others are restarted one after the other.
+//! Continuous changes while one member is isolated and all others are restarted one after the other.
 
 use kernel::Rng;
 
 use super::{Cluster, ALL_GUARDS};
 
-/// Gives whether changes went on and all were confirmed a while after everything was back.
+/// Returns whether changes continued and all controllers were confirmed some time after the last fault.
 fn run(seed: u64, size: usize) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 8);
     cluster.guards = ALL_GUARDS;
     cluster.max_think_time_ms = 20;
     let mut rng = Rng::new(seed ^ 0x4e57);
     cluster.run(2000);
-    let cut = rng.below(size as u64) as usize;
-    cluster.isolate(cut);
+    let isolated = rng.below(size as u64) as usize;
+    cluster.isolate(isolated);
     cluster.run(2000 + rng.below(6000));
-    cluster.lose_power(cut, false);
+    cluster.lose_power(isolated, false);
     cluster.run(200 + rng.below(800));
-    cluster.start(cut);
+    cluster.start(isolated);
     cluster.run(500 + rng.below(4000));
-    for index in (0..size).filter(|index| *index != cut) {
+    for index in (0..size).filter(|index| *index != isolated) {
         cluster.lose_power(index, false);
         cluster.run(100 + rng.below(900));
         cluster.start(index);
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn changes_go_on_after_a_cut_and_restarts_of_all_members() {
+fn changes_continue_after_an_isolation_and_restarts_of_all_members() {
     for (seed, size) in (1..=12).flat_map(|seed| [(seed, 3), (seed, 6)]) {
         let (cluster, is_available) = run(seed, size);
-        assert!(is_available, "seed {seed} of {size}: the control state does not go on");
+        assert!(is_available, "seed {seed} of {size}: no changes after the faults ended");
         assert!(cluster.history.violations.is_empty(), "seed {seed} of {size}: {:?}", cluster.history.violations);
     }
 }
