--- a/controller/src/event.rs
+++ b/controller/src/event.rs
@@ -7,7 +7,7 @@
 pub const CONTROLLER_STARTED: Event = Event { code: 101, text: "controller started" };
 /// The data directory cannot be used; the process exits.
 pub const DISK_UNUSABLE: Event = Event { code: 102, text: "data directory unusable" };
-/// A disk operation failed and is retried.
+/// A disk operation failed. Writes are retried until they succeed.
 pub const DISK_FAILED: Event = Event { code: 103, text: "disk write failed, retrying" };
 /// A change of the configuration is committed.
 pub const CONFIG: Event = Event { code: 110, text: "configuration committed" };
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -10,11 +10,11 @@
     xflags::xflags! {
         /// Control-plane daemon of tidepoint.
         cmd controller {
-            /// Only check the settings and say what is wrong with them.
+            /// Check the settings, report errors in them, and exit.
             optional --check
             /// Print the version.
             optional --version
-            /// Where to tell metrics, in place of what the settings say: PORT/PATH.
+            /// Serve metrics at PORT/PATH instead of the endpoint in the settings.
             optional --metrics endpoint: MetricsEndpoint
         }
     }
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -180,8 +180,8 @@
 /// The interval between checks whether it has been released, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 50;
 
-/// Waits until this controller, which has announced its shutdown, is no longer a core member. Waits only if it can be released:
-/// a candidate is available, or the number of members is even, so that one can be removed.
+/// Waits until this controller, which has announced its shutdown, has left the core. Waits only while it can be released: a
+/// candidate is available, or the number of members is even, so that one can be removed.
 pub async fn leave(controller: &Arc<Controller>) {
     let deadline = clock::now() + HAND_OVER_TIMEOUT_MS;
     while clock::now() < deadline && may_be_released(controller) {
@@ -189,7 +189,8 @@
     }
 }
 
-/// Returns whether this controller is still needed by the core, or by its transition, and can be released.
+/// Returns whether it is worth waiting: this controller is a member that can be released, or the transition that removed it is
+/// still in progress.
 fn may_be_released(controller: &Controller) -> bool {
     let now = clock::now();
     let core = controller.replica.membership();
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -136,7 +136,7 @@
 
 const SHORT_TEXT: &str = r#"{"revision":8,"service_table":[{"name":"s"}],"route_table":[]}"#;
 
-/// A text that is packed where that is allowed.
+/// A text that is long enough to be compressed.
 fn long_text(revision: u64) -> String {
     let route = |at: usize| {
         format!(
--- a/controller/src/testing/simulation/confirming.rs
+++ b/controller/src/testing/simulation/confirming.rs
@@ -32,17 +32,17 @@
     next_tick: u64,
     started: u64,
     read: Option<(u64, Confirmation)>,
-    catch_ups: Vec<CatchUp>,
+    pending: Vec<CatchUp>,
 }
 
 impl ConfirmationState {
     fn is_in_progress(&self) -> bool {
-        self.read.is_some() || !self.catch_ups.is_empty()
+        self.read.is_some() || !self.pending.is_empty()
     }
 
     fn abort(&mut self) {
         self.read = None;
-        self.catch_ups.clear();
+        self.pending.clear();
     }
 }
 
@@ -57,10 +57,10 @@
             return;
         }
         let read_timed_out = confirming.read.is_some() && now > confirming.started + READ_TIMEOUT_MS;
-        if read_timed_out || confirming.catch_ups.iter().any(|catch_up| now > catch_up.since + CATCH_UP_TIMEOUT_MS) {
+        if read_timed_out || confirming.pending.iter().any(|catch_up| now > catch_up.since + CATCH_UP_TIMEOUT_MS) {
             confirming.abort();
         }
-        for number in 0..confirming.catch_ups.len() {
+        for number in 0..confirming.pending.len() {
             self.try_to_catch_up(index, number);
         }
     }
@@ -122,7 +122,7 @@
             self.adopt(index, membership);
             let confirming = &mut self.nodes[index].confirming;
             let stale = confirming.read.as_ref().is_some_and(|(read, _)| *read == id);
-            if stale || confirming.catch_ups.iter().any(|catch_up| catch_up.id == id) {
+            if stale || confirming.pending.iter().any(|catch_up| catch_up.id == id) {
                 confirming.abort();
                 return true;
             }
@@ -153,7 +153,7 @@
             let next_try = now + delay(stale.is_committed);
             CatchUp { stale, since: now, next_try, id: 0, fetched: Vec::new() }
         };
-        self.nodes[index].confirming.catch_ups = stale_keys.into_iter().map(catch_up).collect();
+        self.nodes[index].confirming.pending = stale_keys.into_iter().map(catch_up).collect();
         self.finish_confirmation(index);
     }
 
@@ -162,9 +162,7 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         let core = node.acceptor.membership.clone();
-        let Some(catch_up) = node.confirming.catch_ups.get_mut(number).filter(|due| now >= due.next_try) else {
-            return;
-        };
+        let Some(catch_up) = node.confirming.pending.get_mut(number).filter(|due| now >= due.next_try) else { return };
         catch_up.next_try = now + FETCH_INTERVAL_MS;
         catch_up.fetched.clear();
         let (key, position, is_abandoned) =
@@ -175,7 +173,7 @@
         let first = node.view.first_live("", &key, now) == node.acceptor.ip;
         let members = quorum::addresses(&core);
         let id = self.send_requests(index, &core, &ConsensusOperation::Fetch { key: key.clone() }, &members);
-        self.nodes[index].confirming.catch_ups[number].id = id;
+        self.nodes[index].confirming.pending[number].id = id;
         if is_abandoned && first && !self.has_change(index, &Purpose::RecommitAbandoned) {
             self.nodes[index].owned.remove(&key);
             self.begin_change(
@@ -191,7 +189,7 @@
     fn receive_fetched(&mut self, index: usize, from: &str, id: u64, entry: Option<Entry>) {
         let accepts_newer = self.guards.newer_entries;
         let node = &mut self.nodes[index];
-        let Some(catch_up) = node.confirming.catch_ups.iter_mut().find(|catch_up| catch_up.id == id) else { return };
+        let Some(catch_up) = node.confirming.pending.iter_mut().find(|catch_up| catch_up.id == id) else { return };
         let Some(entry) = entry else { return };
         let (key, position) = (catch_up.stale.key.clone(), catch_up.stale.position);
         catch_up.fetched.push((from.into(), entry.clone()));
@@ -204,7 +202,7 @@
     }
 
     fn caught_up(&mut self, index: usize, key: &str) {
-        self.nodes[index].confirming.catch_ups.retain(|catch_up| catch_up.stale.key != key);
+        self.nodes[index].confirming.pending.retain(|catch_up| catch_up.stale.key != key);
         self.finish_confirmation(index);
     }
 
