--- a/controller/src/controller.rs
+++ b/controller/src/controller.rs
@@ -1,5 +1,5 @@
-//! The state of the controller process, composed of the states of its components. It is passed by reference; the process
-//! has no other global state.
+//! The state of the controller process, composed of the states of its components. It is passed by reference; the
+//! process has no other global state.
 //!
 //! Lock order, for the few places that hold two locks: ownership of a key, acceptor, committed state, acquired roles,
 //! membership view, endpoint lists, weight versions, subscribers, catalog, quota shards. Only the ownership lock may be
@@ -43,7 +43,7 @@
 pub struct Controller {
     /// The contents of the settings file.
     pub settings: Settings,
-    /// Identifies this run of the process: two runs never share it.
+    /// Identifies this run of the process; it differs between two runs.
     pub incarnation: u64,
     /// Identifies this incarnation in proposal numbers.
     pub replica_id: u64,
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Applies a committed entry and pushes updates to subscribers. With `announce`, a new entry is also sent to the other
-    /// controllers.
+    /// Applies a committed entry and pushes updates to subscribers. With `announce`, a new entry is also sent to the
+    /// other controllers.
     pub fn learn(&self, key: &str, entry: &Entry, announce: bool) {
         let is_new = self.learn_entry(key, entry, None);
         if is_new && announce {
@@ -180,8 +180,8 @@
         true
     }
 
-    /// Changes a key and announces the committed entry. `decide` gets the committed body and returns what to do; it may be
-    /// called more than once. It is answered without a write only on a body that a quorum was just seen to hold.
+    /// Changes a key and announces the committed entry. `decide` gets the committed body and returns what to do; it may
+    /// be called more than once. An answer without a write is based on a body that a quorum was just seen to hold.
     pub async fn change<T>(
         &self,
         key: &str,
--- a/controller/src/event.rs
+++ b/controller/src/event.rs
@@ -1,5 +1,5 @@
-//! The numbered log events of the controller. The catalogue, with the meaning of their fields, is `docs/events.md`; a test
-//! compares the two.
+//! The numbered log events of the controller. The catalogue, with the meaning of their fields, is `docs/events.md`; a
+//! test compares the two.
 
 use kernel::log::Event;
 
@@ -18,7 +18,7 @@
 /// An operator request was rejected.
 pub const REFUSED: Event = Event { code: 113, text: "operator request rejected" };
 /// The outcome of an operator request is unknown: it may have been executed, or may still be.
-pub const UNCLEAR: Event = Event { code: 114, text: "operator request without known outcome" };
+pub const UNCLEAR: Event = Event { code: 114, text: "operator request outcome unknown" };
 /// A committed entry has a format that this version does not support.
 pub const ENTRY_UNREADABLE: Event = Event { code: 115, text: "committed entry cannot be read" };
 /// This controller adopted a newer core membership.
--- a/controller/src/lib.rs
+++ b/controller/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control plane: stores control state by consensus, discovers engines, delivers updates to routers, and carries out
-//! singleton roles. `docs/architecture.md` shows how the modules depend on each other.
+//! The control plane: stores control state by consensus, discovers engines, delivers updates to routers, and carries
+//! out singleton roles. `docs/architecture.md` shows how the modules depend on each other.
 
 #![deny(missing_docs)]
 
--- a/controller/src/peers/address_announcements.rs
+++ b/controller/src/peers/address_announcements.rs
@@ -1,7 +1,7 @@
 //! Decides which heartbeats carry the addresses of the known controllers.
 //!
-//! The addresses are needed when a controller does not know all others: after a start and after a change. In every heartbeat
-//! they would be half of its size, and their traffic would grow with the square of the number of controllers.
+//! The addresses are needed when a controller does not know all others: after a start and after a change. In every
+//! heartbeat they would be half of its size, and their traffic would grow with the square of the number of controllers.
 
 use kernel::hashing;
 
--- a/controller/src/peers/directory.rs
+++ b/controller/src/peers/directory.rs
@@ -24,7 +24,8 @@
 }
 
 impl Peers {
-    /// Returns the peers of a controller that has no connections yet. `port` is the port on which all of them listen for peers.
+    /// Returns the peers of a controller that has no connections yet. `port` is the port on which all of them listen
+    /// for peers.
     pub fn new(dialer: Dialer, port: u16, view: MembershipView) -> Peers {
         Peers {
             dialer,
@@ -52,8 +53,8 @@
         self.client_among(&self.clients, ip)
     }
 
-    /// Returns the connection to a controller for consensus, operator requests and committed entries. It has its own queue, so
-    /// that no message that an operator waits for is queued behind an endpoint list.
+    /// Returns the connection to a controller for consensus, operator requests and committed entries. It has its own
+    /// queue, so that no message that an operator waits for is queued behind an endpoint list.
     pub fn consensus_client(&self, ip: &str) -> Arc<PeerClient> {
         self.client_among(&self.consensus_clients, ip)
     }
--- a/controller/src/peers/gossip.rs
+++ b/controller/src/peers/gossip.rs
@@ -36,7 +36,8 @@
     repair_lists(controller, gossip, now);
 }
 
-/// Sends a peer the endpoint lists that it lacks according to its heartbeat, if this controller is the one to repair them.
+/// Sends a peer the endpoint lists that it lacks according to its heartbeat, if this controller is the one to repair
+/// them.
 fn repair_lists(controller: &Controller, gossip: &Gossip, now: u64) {
     let outdated = controller.engines.update(|lists| {
         lists.observe_terms(&gossip.observed_list_versions);
@@ -103,8 +104,8 @@
     let Ok(frame) = encoded.map(Bytes::from) else { return };
     for ip in controller.known_peers() {
         let client = controller.peers.client(&ip);
-        // Data that grows with the number of routers is sent only to the controller that reads it, and nothing grows with the
-        // number of engines.
+        // Data that grows with the number of routers is sent only to the controller that reads it, and nothing grows
+        // with the number of engines.
         let is_balancer = balancer.as_ref() == Some(&ip);
         let is_batch_owner = batch_owner.as_ref() == Some(&ip);
         let reads_usage = controller.peers.protocol_version(&ip) >= ENGINE_USAGE;
@@ -175,7 +176,8 @@
     }
 }
 
-/// Returns whether this controller may become a core member: its settings allow it, and its acceptor may vote.
+/// Returns whether this controller may become a core member: its settings allow that (on a machine that counts for
+/// quorums, or on any machine if none has a disk), and its acceptor may vote.
 fn is_eligible(controller: &Controller) -> bool {
     controller.settings.quorum_member && controller.replica.may_vote()
 }
--- a/controller/src/peers/pause.rs
+++ b/controller/src/peers/pause.rs
@@ -1,5 +1,5 @@
-//! Detects pauses of the whole process, as when it is stopped and continued or its machine is suspended. Requests that waited
-//! in its sockets meanwhile may be as old as the pause.
+//! Detects pauses of the whole process, as when it is stopped and continued or its machine is suspended. Requests that
+//! waited in its sockets meanwhile may be as old as the pause.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 
 use crate::controller::Controller;
 
-/// The shortest gap between ticks that counts as a pause, in milliseconds. After it, the sender of a request that waited in a
-/// socket may have given up.
+/// The shortest gap between ticks that counts as a pause, in milliseconds. After it, the sender of a request that
+/// waited in a socket may have given up.
 const MIN_PAUSE_MS: u64 = 1000;
 /// How long requests count as stale after the process resumes, in milliseconds.
 const STALE_AFTER_PAUSE_MS: u64 = 500;
@@ -28,8 +28,8 @@
     });
 }
 
-/// Detects pauses from gaps between ticks, in milliseconds of the steady clock. Invariant: `resumed` is the time of the first
-/// tick after the last pause.
+/// Detects pauses from gaps between ticks, in milliseconds of the steady clock. Invariant: `resumed` is the time of the
+/// first tick after the last pause.
 #[derive(Debug, Default)]
 pub struct PauseMonitor {
     last_tick: u64,
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -50,8 +50,8 @@
 macro_rules! open {
     ($kind:ty) => {
         impl $kind {
-            /// Decodes a body. An empty body is the default value. Returns `None` for a body of an unknown format, which must
-            /// not be taken for an empty one.
+            /// Decodes a body. An empty body is the default value. Returns `None` for a body of an unknown format,
+            /// which must not be taken for an empty one.
             pub fn open(body: &[u8]) -> Option<Self> {
                 match body.is_empty() {
                     true => Some(Self::default()),
@@ -124,15 +124,15 @@
 pub struct CommittedState {
     /// The newest known committed entry of each key.
     pub entries: BTreeMap<String, Entry>,
-    /// When the read began that last confirmed these entries at a quorum, in milliseconds of the steady clock. `None` before
-    /// the first confirmation.
+    /// When the read began that last confirmed these entries at a quorum, in milliseconds of the steady clock. `None`
+    /// before the first confirmation.
     pub confirmed_at: Option<u64>,
     /// The highest term seen in any proposal number.
     pub highest_term: u64,
     /// The configuration of the `config` entry, parsed, with the updates that are sent to routers.
     pub history: ConfigHistory,
-    /// The position of the last committed entry that could not be read. Its key stays at the previous entry, so the state does
-    /// not count as confirmed until a newer entry can be read.
+    /// The position of the last committed entry that could not be read. Its key stays at the previous entry, so the
+    /// state does not count as confirmed until a newer entry can be read.
     pub unreadable: Option<Position>,
     /// The evacuations by zone, including ended ones.
     pub evacuations: BTreeMap<String, EvacuationRecord>,
@@ -150,8 +150,8 @@
         self.confirmed_at.is_some_and(|time| now < time + CONFIRMATION_TTL_MS)
     }
 
-    /// Applies a committed entry if it is newer than the known one. `parsed` is the configuration in it, if it is already
-    /// parsed.
+    /// Applies a committed entry if it is newer than the known one. `parsed` is the configuration in it, if it is
+    /// already parsed.
     pub fn learn(&mut self, key: &str, entry: &Entry, parsed: Option<Arc<ConfigDocument>>) -> Learned {
         self.highest_term = self.highest_term.max(entry.proposal_number.term);
         let known = self.entries.get(key);
--- a/controller/src/replication/committed_state_tests.rs
+++ b/controller/src/replication/committed_state_tests.rs
@@ -40,8 +40,8 @@
     state.entries.get(key).map(|entry| (entry.proposal_number.term, entry.index))
 }
 
-/// Returns the revision in force, and checks that the entry, the text, the parsed value and the frames for routers agree on
-/// it.
+/// Returns the revision in force, and checks that the entry, the text, the parsed value and the frames for routers
+/// agree on it.
 fn consistent_revision(state: &mut CommittedState) -> u64 {
     let revision = state.history.revision();
     let body = state.entries.get(CONFIG_KEY).map_or(Vec::new(), |entry| entry.body.clone());
@@ -97,8 +97,8 @@
     }
 }
 
-/// Guards against a fault in which the revision of an unreadable entry was adopted: the controller counted as confirmed while
-/// routers kept the old configuration.
+/// Guards against a fault in which the revision of an unreadable entry was adopted: the controller counted as confirmed
+/// while routers kept the old configuration.
 #[test]
 fn learn_rejects_an_unreadable_configuration_and_keeps_the_previous_one() {
     let invalid_bodies = [
@@ -138,8 +138,8 @@
     }
 }
 
-/// A confirmation reads the positions at a quorum. While the newest entry of a key cannot be read, the key must stay stale, so
-/// that the state is not confirmed. The confirmer takes the same steps as this test.
+/// A confirmation reads the positions at a quorum. While the newest entry of a key cannot be read, the key must stay
+/// stale, so that the state is not confirmed. The confirmer takes the same steps as this test.
 #[test]
 fn a_key_with_an_unreadable_entry_stays_stale_until_a_readable_one_is_learned() {
     let core = CoreMembership {
@@ -183,8 +183,8 @@
     );
 }
 
-/// Entries that arrive in any order, late, repeated or unreadable never lower the revision, and the entry, the text, the parsed
-/// value and the frames always agree.
+/// Entries that arrive in any order, late, repeated or unreadable never lower the revision, and the entry, the text,
+/// the parsed value and the frames always agree.
 #[test]
 fn learn_never_lowers_the_revision_whatever_the_order_of_entries() {
     for seed in 0..200 {
--- a/controller/src/replication/confirmer.rs
+++ b/controller/src/replication/confirmer.rs
@@ -24,8 +24,8 @@
 /// controller commits it again.
 const ABANDONED_AFTER_MS: u64 = 100;
 
-/// Reads the positions of all keys at a quorum and catches up on stale keys. Once no key is stale, the state known here is
-/// confirmed as of the start of the read.
+/// Reads the positions of all keys at a quorum and catches up on stale keys. Once no key is stale, the state known here
+/// is confirmed as of the start of the read.
 pub async fn run(controller: &Arc<Controller>) {
     let started = clock::now();
     let membership = controller.replica.membership();
@@ -68,8 +68,8 @@
 
 /// Learns the newest committed entry of a stale key. Returns `false` if that takes too long.
 ///
-/// A position that is on no quorum may be in transit, superseded, or abandoned by its owner. In each case, once its entry or a
-/// newer committed one is known, so is everything that was committed before it.
+/// A position that is on no quorum may be in transit, superseded, or abandoned by its owner. In each case, once its
+/// entry or a newer committed one is known, so is everything that was committed before it.
 async fn catch_up(controller: &Arc<Controller>, membership: &CoreMembership, stale: &StaleKey) -> bool {
     let started = clock::now();
     if stale.is_committed && fetch(controller, membership, stale).await {
@@ -90,8 +90,8 @@
     false
 }
 
-/// Fetches from the members the entry at the stale key's reported position, or a newer one that a quorum holds by now. Returns
-/// whether one of them is known.
+/// Fetches from the members the entry at the stale key's reported position, or a newer one that a quorum holds by now.
+/// Returns whether one of them is known.
 async fn fetch(controller: &Arc<Controller>, membership: &CoreMembership, stale: &StaleKey) -> bool {
     let mut responses = controller.send_requests(
         membership,
--- a/controller/src/replication/disk.rs
+++ b/controller/src/replication/disk.rs
@@ -1,6 +1,6 @@
-//! Writes the records of a replicated state to disk on a dedicated thread, so that a stalled disk delays only the work that
-//! waits for it. Records are written in the order in which they are queued; a response is sent once all records queued before
-//! it are on disk.
+//! Writes the records of a replicated state to disk on a dedicated thread, so that a stalled disk delays only the work
+//! that waits for it. Records are written in the order in which they are queued; a response is sent once all records
+//! queued before it are on disk.
 
 use std::collections::HashSet;
 use std::path::Path;
@@ -29,8 +29,8 @@
     /// Returns records that restore the state.
     fn snapshot(&self) -> Vec<Self::Record>;
 
-    /// Drops the records of one write that later ones supersede. No record of a write takes effect before all of them are on
-    /// disk.
+    /// Drops the records of one write that later ones supersede. No record of a write takes effect before all of them
+    /// are on disk.
     fn coalesce(records: Vec<Self::Record>) -> Vec<Self::Record> {
         records
     }
@@ -94,8 +94,8 @@
     pub is_empty: bool,
 }
 
-/// Opens a store and replays its records on `initial_state`. I/O errors may be transient and are retried for a while; a damaged
-/// store is an error at once.
+/// Opens a store and replays its records on `initial_state`. I/O errors may be transient and are retried for a while; a
+/// damaged store is an error at once.
 ///
 /// # Errors
 /// The store is damaged, or the last attempt ended in an I/O error.
@@ -142,8 +142,8 @@
     }
 }
 
-/// Returns only the last record of each kind and key of one write, since no record takes effect before all are on disk. The
-/// permission to vote goes last, so that a torn write never contains it without the records that it depends on.
+/// Returns only the last record of each kind and key of one write, since no record takes effect before all are on disk.
+/// The permission to vote goes last, so that a torn write never contains it without the records that it depends on.
 fn latest_per_key(records: Vec<LogRecord>) -> Vec<LogRecord> {
     let mut keys = HashSet::new();
     let (mut has_membership, mut may_vote) = (false, false);
@@ -166,7 +166,8 @@
     kept
 }
 
-/// Appends records to the store. A failed write is retried until it succeeds; no completion queued after it runs before that.
+/// Appends records to the store. A failed write is retried until it succeeds; no completion queued after it runs before
+/// that.
 fn persist<S: LoggedState>(store: &mut Store<S::Record>, records: Vec<S::Record>, synced_state: &mut S) {
     let mut first = true;
     while let Err(error) = store.append(&records) {
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -1,5 +1,6 @@
-//! Reconfiguration of the core: adds, replaces and removes members, one change at a time. The live member that is first in the
-//! agreed order coordinates it. Crate `consensus` decides which membership comes next and when a transition is complete.
+//! Reconfiguration of the core: adds, replaces and removes members, one change at a time. The live member that is first
+//! in the agreed order coordinates it. Crate `consensus` decides which membership comes next and when a transition is
+//! complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +16,8 @@
 use crate::controller::Controller;
 use crate::replication::{committed_state, recovery};
 
-/// The interval between checks of the members, in milliseconds. It is short because a core that has lost a member for good
-/// cannot bear a second loss until the member is replaced.
+/// The interval between checks of the members, in milliseconds. It is short because a core that has lost a member for
+/// good cannot bear a second loss until the member is replaced.
 const TICK_MS: u64 = 150;
 /// Timeout of announcing a membership and collecting the keys, in milliseconds.
 const ANNOUNCE_TIMEOUT_MS: u64 = 800;
@@ -25,8 +26,8 @@
 /// How many keys are committed again concurrently.
 const CONCURRENT_RECOMMITS: usize = 16;
 
-/// Starts the task that recovers the acceptor if necessary and coordinates changes of the core. It runs until the process
-/// ends.
+/// Starts the task that recovers the acceptor if necessary and coordinates changes of the core. It runs until the
+/// process ends.
 pub fn start(controller: &Arc<Controller>) {
     let controller = controller.clone();
     tokio::spawn(async move {
@@ -43,8 +44,8 @@
     });
 }
 
-/// Returns the first live member that is not shutting down, in the order on which all controllers agree for `name`, a key or
-/// role.
+/// Returns the first live member that is not shutting down, in the order on which all controllers agree for `name`, a
+/// key or role.
 pub fn first_member(
     core: &CoreMembership,
     view: &MembershipView,
@@ -139,7 +140,8 @@
     }
 }
 
-/// Announces the membership to old and new members and collects the keys that they hold. Returns `false` if too few responded.
+/// Announces the membership to old and new members and collects the keys that they hold. Returns `false` if too few
+/// responded.
 async fn announce(controller: &Arc<Controller>, core: &CoreMembership, transition: &mut MembershipTransition) -> bool {
     let members = quorum::old_and_new_members(core);
     let mut responses = controller.send_requests(core, ConsensusOperation::Positions, &members);
@@ -180,8 +182,8 @@
 /// The interval between checks whether it has been released, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 50;
 
-/// Waits until this controller, which has announced its shutdown, has left the core. Waits only while it can be released: a
-/// candidate is available, or the number of members is even, so that one can be removed.
+/// Waits until this controller, which has announced its shutdown, has left the core. Waits only while it can be
+/// released: a candidate is available, or the number of members is even, so that one can be removed.
 pub async fn leave(controller: &Arc<Controller>) {
     let deadline = clock::now() + HAND_OVER_TIMEOUT_MS;
     while clock::now() < deadline && may_be_released(controller) {
@@ -189,8 +191,8 @@
     }
 }
 
-/// Returns whether it is worth waiting: this controller is a member that can be released, or the transition that removed it is
-/// still in progress.
+/// Returns whether it is worth waiting: this controller is a member that can be released, or the transition that
+/// removed it is still in progress.
 fn may_be_released(controller: &Controller) -> bool {
     let now = clock::now();
     let core = controller.replica.membership();
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of an acceptor on an empty disk. Either it was never a member, or it must first read so many other acceptors that
-//! the effect of every response it gave before it lost its disk is seen again.
+//! Recovery of an acceptor on an empty disk. Either it was never a member, or it must first read so many other
+//! acceptors that no response that it gave before it lost its disk goes unseen.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,8 @@
     if clock::now() < RECOVERY_DELAY_MS || core.members.is_empty() {
         return;
     }
-    // A member that is being removed recovers too: it no longer votes, but the membership transition depends on its reports.
+    // A member that is being removed recovers too: it no longer votes, but the membership transition depends on its
+    // reports.
     if quorum::is_old_or_new_member(&core, controller.own_ip()) {
         recover(controller, &core).await;
     } else {
@@ -46,8 +47,9 @@
     }
 }
 
-/// Lets an acceptor that was never a member vote. A quorum must confirm that the core is the current one. This controller is
-/// not in it, nor in the previous one while that still counts, so no response that it may have lost matters.
+/// Lets an acceptor that was never a member vote. A quorum must confirm that the core is the current one. This
+/// controller is not in it, nor in the previous one while that still counts, so no response that it may have lost
+/// matters.
 async fn become_candidate(controller: &Arc<Controller>, core: &CoreMembership) {
     let members = quorum::old_and_new_members(core);
     let enough = |from: &[String]| quorum::is_quorum(core, from);
@@ -59,8 +61,8 @@
     }
 }
 
-/// Sends an operation to acceptors and collects responses until enough of them have answered. Returns `None` on a timeout, or
-/// if the membership is not current.
+/// Sends an operation to acceptors and collects responses until enough of them have answered. Returns `None` on a
+/// timeout, or if the membership is not current.
 async fn gather(
     controller: &Arc<Controller>,
     core: &CoreMembership,
--- a/controller/src/replication/registers.rs
+++ b/controller/src/replication/registers.rs
@@ -1,5 +1,5 @@
-//! Proposes changes of registers. Requests are sent to all members at once, and each response is fed to the proposal. Each key
-//! is its own Paxos instance, as in Lamport's "Paxos Made Simple".
+//! Proposes changes of registers. Requests are sent to all members at once, and each response is fed to the proposal.
+//! Each key is its own Paxos instance, as in Lamport's "Paxos Made Simple".
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 
 use crate::controller::Controller;
 
-/// This controller's ownership of one key, if any. Invariant: a change is made only while it is locked, so two changes of one
-/// owner never share a position.
+/// This controller's ownership of one key, if any. Invariant: a change is made only while it is locked, so two changes
+/// of one owner never share a position.
 pub type OwnershipLock = Mutex<Option<Ownership>>;
 
 /// This controller's ownerships by key. Different keys are changed independently.
@@ -54,8 +54,8 @@
 type Responses = Receiver<(String, ConsensusResponse)>;
 
 impl Controller {
-    /// Sends an operation to the acceptors at `ips` and returns a channel that receives each response with the address of its
-    /// sender.
+    /// Sends an operation to the acceptors at `ips` and returns a channel that receives each response with the address
+    /// of its sender.
     pub fn send_requests(&self, core: &CoreMembership, operation: ConsensusOperation, ips: &[String]) -> Responses {
         let (send, responses) = mpsc::channel(ips.len().max(1));
         for ip in ips {
@@ -77,8 +77,8 @@
         responses
     }
 
-    /// Makes one attempt at a change, starting from the ownership of the key, if any. Returns `None` if the attempt timed out,
-    /// was superseded, or used an outdated membership.
+    /// Makes one attempt at a change, starting from the ownership of the key, if any. Returns `None` if the attempt
+    /// timed out, was superseded, or used an outdated membership.
     async fn propose<T>(
         &self,
         key: &str,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Changes a key without announcing the committed entry, which is left to the caller. `decide` gets the committed body and
-    /// returns what to do; it may be called more than once.
+    /// Changes a key without announcing the committed entry, which is left to the caller. `decide` gets the committed
+    /// body and returns what to do; it may be called more than once.
     pub async fn change_unannounced<T>(
         &self,
         key: &str,
--- a/controller/src/replication/replica.rs
+++ b/controller/src/replication/replica.rs
@@ -1,4 +1,5 @@
-//! This controller's acceptor and its disk. Each request is handled, and its records are queued for the disk, under one lock.
+//! This controller's acceptor and its disk. Each request is handled, and its records are queued for the disk, under one
+//! lock.
 
 use consensus::Acceptor;
 use consensus::LogRecord;
@@ -11,8 +12,8 @@
 
 /// The acceptor of this process and the disk behind it.
 ///
-/// Invariant: records are on disk in the order of the acceptor's responses, since the records of a request are queued for the
-/// disk before the lock is released.
+/// Invariant: records are on disk in the order of the acceptor's responses, since the records of a request are queued
+/// for the disk before the lock is released.
 pub struct Replica {
     acceptor: Mutex<Acceptor>,
     disk: Disk,
@@ -46,7 +47,8 @@
     pub fn adopt_membership(&self, membership: &CoreMembership) {
         let mut acceptor = self.acceptor.lock();
         let Some(record) = acceptor.adopt_membership(membership) else { return };
-        // Queued under the lock, so that no response under the new membership reaches the disk before the membership does.
+        // Queued under the lock, so that no response under the new membership reaches the disk before the membership
+        // does.
         self.disk.write(vec![record]);
         drop(acceptor);
         log_event!(CORE_CHANGED, "version" => membership.version, "settled" => membership.stable,
@@ -63,8 +65,9 @@
         self.acceptor.lock().has_enough_reads(read)
     }
 
-    /// Restores the acceptor from the registers of the other acceptors of the core of `membership_version` and lets it vote.
-    /// Returns `false`, and changes nothing, if another core is known or a newer one is in transit to this controller.
+    /// Restores the acceptor from the registers of the other acceptors of the core of `membership_version` and lets it
+    /// vote. Returns `false`, and changes nothing, if another core is known or a newer one is in transit to this
+    /// controller.
     pub fn recover(&self, membership_version: u64, reads: Vec<Vec<RegisterState>>) -> bool {
         let mut acceptor = self.acceptor.lock();
         if acceptor.membership.version != membership_version {
--- a/controller/src/replication/shared_state.rs
+++ b/controller/src/replication/shared_state.rs
@@ -12,8 +12,8 @@
 
 use crate::replication::committed_state::{CommittedState, EvacuationRecord, Learned, RoleState};
 
-/// The committed state, shared by all components. Each method locks the state once. Values that must be consistent with each
-/// other are read by a single method, or through [`Self::read`].
+/// The committed state, shared by all components. Each method locks the state once. Values that must be consistent with
+/// each other are read by a single method, or through [`Self::read`].
 #[derive(Default)]
 pub struct SharedCommittedState(Mutex<CommittedState>);
 
@@ -28,8 +28,8 @@
         update(&mut self.0.lock())
     }
 
-    /// Applies a committed entry if it is newer than the known one. `parsed` is the configuration in it, if it is already
-    /// parsed.
+    /// Applies a committed entry if it is newer than the known one. `parsed` is the configuration in it, if it is
+    /// already parsed.
     pub fn learn(&self, key: &str, entry: &Entry, parsed: Option<Arc<ConfigDocument>>) -> Learned {
         self.0.lock().learn(key, entry, parsed)
     }
--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -1,8 +1,8 @@
 //! Bytes that controllers of version 5 commit under each key of the control state.
 //!
-//! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To regenerate them, check out
-//! that commit, put this file beside `state.rs`, declare it there as it is declared here, and run
-//! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions only read them.
+//! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To regenerate them,
+//! check out that commit, put this file beside `state.rs`, declare it there as it is declared here, and run `cargo test
+//! -p keeper --lib -- --ignored stored_by_5`. Later versions only read them.
 use super::CommittedState;
 use super::{
     decode_membership, encode_membership, read_config, EvacuationRecord, Learned, RoleState, CONFIG_KEY,
@@ -177,7 +177,8 @@
     ]
 }
 
-/// A body of the key `config`: its fixture file, the format requested, the format actually written, and the stored value.
+/// A body of the key `config`: its fixture file, the format requested, the format actually written, and the stored
+/// value.
 struct ConfigBody {
     file: &'static str,
     requested: BodyFormat,
@@ -454,8 +455,8 @@
     assert_eq!((remembered.legacy_changes, remembered.changes), (legacy_digests(), stored_changes()));
 }
 
-/// Controllers tell bodies apart by these digests, so all versions must compute the same ones. The expected digests were
-/// computed by an independent program.
+/// Controllers tell bodies apart by these digests, so all versions must compute the same ones. The expected digests
+/// were computed by an independent program.
 #[test]
 fn body_digests_are_the_same_in_all_versions() {
     let digests = [
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -29,7 +29,8 @@
 
 /// The interval between attempts to acquire a role, in milliseconds.
 const TICK_MS: u64 = 400;
-/// How long a controller waits after its start, to hear the other controllers, before it acquires roles, in milliseconds.
+/// How long a controller waits after its start, to hear the other controllers, before it acquires roles, in
+/// milliseconds.
 const STARTUP_DELAY_MS: u64 = 1200;
 /// Timeout of one change of a role's register, in milliseconds.
 const COMMIT_TIMEOUT_MS: u64 = 1000;
@@ -40,14 +41,14 @@
     epoch: u64,
     /// When the epoch was known to be committed, in milliseconds of the steady clock.
     since: u64,
-    /// Whether the lease of every earlier owner is known to have expired.
+    /// Whether no earlier owner can have acted recently.
     predecessor_expired: bool,
 }
 
 /// The roles that this incarnation acquired, by key.
 ///
-/// Invariant: this controller acts in a role only while the committed state is confirmed and names it as the owner under
-/// the same epoch.
+/// Invariant: this controller acts in a role only while the committed state is confirmed and names it as the owner
+/// under the same epoch.
 #[derive(Default)]
 pub struct AcquiredRoles(Mutex<BTreeMap<String, Tenure>>);
 
@@ -120,8 +121,8 @@
     controller.change(key, COMMIT_TIMEOUT_MS, decide).await.unwrap_or(false)
 }
 
-/// Opens the catalog under the epoch of this controller's tenure, so that it answers under no other. A new epoch starts with
-/// an empty catalog.
+/// Opens the catalog under the epoch of this controller's tenure, so that it answers under no other. A new epoch starts
+/// with an empty catalog.
 fn open_catalog(controller: &Controller) {
     let epoch = confirmed_tenure(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
     controller.catalog.open(epoch);
@@ -146,8 +147,8 @@
     if !may_acquire(controller, key, &role.owner, confirmed_ms) {
         return;
     }
-    // An earlier incarnation of this controller counts as expired only if it had waited for its own predecessor: otherwise it
-    // may have taken over from an owner that can still act.
+    // An earlier incarnation of this controller counts as expired only if it had waited for its own predecessor:
+    // otherwise it may have taken over from an owner that can still act.
     let is_first_tenure = controller.acquired_roles.get(key).is_none();
     let predecessor_expired =
         role.owner.is_empty() || (is_first_tenure && role.owner == controller.own_ip() && role.predecessor_expired);
@@ -171,8 +172,8 @@
     })
 }
 
-/// Returns the heartbeat markers about who can act in a role: whether this controller is confirmed, and which role owners it
-/// sees as confirmed.
+/// Returns the heartbeat markers about who can act in a role: whether this controller is confirmed, and which role
+/// owners it sees as confirmed.
 pub fn gossip_markers(controller: &Controller, now: u64) -> Vec<VersionEntry> {
     let owners: BTreeSet<String> = controller.committed.roles().into_values().map(|role| role.owner).collect();
     let is_confirmed = controller.committed.is_confirmed(now);
@@ -183,8 +184,8 @@
     iter::once(VersionEntry::new(HiddenKey::Confirmed, u64::from(is_confirmed), 0)).chain(confirmed_owners).collect()
 }
 
-/// Returns whether a peer is confirmed, and which role owners it sees as confirmed, from the markers in its heartbeat. A peer
-/// of an earlier version, which sends no such markers, counts as confirmed while its heartbeats arrive.
+/// Returns whether a peer is confirmed, and which role owners it sees as confirmed, from the markers in its heartbeat.
+/// A peer of an earlier version, which sends no such markers, counts as confirmed while its heartbeats arrive.
 pub fn parse_gossip_markers(markers: &[VersionEntry]) -> (bool, Vec<String>) {
     let is_confirmed = markers.iter().find(|entry| HiddenKey::parse(&entry.name) == Some(HiddenKey::Confirmed));
     let is_confirmed = is_confirmed.is_none_or(|entry| entry.term == 1);
@@ -195,8 +196,8 @@
     (is_confirmed, confirmations.collect())
 }
 
-/// Commits the next epoch on top of `epoch`. Returns `None` if another controller was first or the outcome is unknown. If the
-/// epoch was committed after all, this controller never acts under it, since it is not among the acquired roles.
+/// Commits the next epoch on top of `epoch`. Returns `None` if another controller was first or the outcome is unknown.
+/// If the epoch was committed after all, this controller never acts under it, since it is not among the acquired roles.
 async fn commit_next_epoch(controller: &Controller, key: &str, epoch: u64, predecessor_expired: bool) -> Option<u64> {
     let decide = |body: &[u8]| {
         let stored = RoleState::from_bytes(body).unwrap_or_default();
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -1,5 +1,5 @@
-//! Startup and shutdown of the process: reads the acceptor from disk, starts the components in order, and on SIGTERM finishes
-//! the work in progress.
+//! Startup and shutdown of the process: reads the acceptor from disk, starts the components in order, and on SIGTERM
+//! finishes the work in progress.
 
 use std::path::Path;
 use std::process;
@@ -66,7 +66,7 @@
 /// The delay before a failed listen on the peer socket is retried.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How long messages that are queued for peers get to be sent before the process exits.
-const NOTIFICATION_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+const NOTIFICATION_FLUSH_DELAY: Duration = Duration::from_millis(300);
 /// The exit code if the data directory is unusable.
 const EXIT_DISK_UNUSABLE: u8 = 4;
 
@@ -193,14 +193,14 @@
     process::ExitCode::SUCCESS
 }
 
-/// Leaves the core if possible, then finishes the work in progress. Heartbeats tell the peers meanwhile that this controller
-/// is shutting down.
+/// Leaves the core if possible, then finishes the work in progress. Heartbeats tell the peers meanwhile that this
+/// controller is shutting down.
 async fn terminate(controller: &Arc<Controller>) {
     log_event!(SHUTDOWN_STARTED);
     let deadline = shutdown::shutdown_deadline(controller.settings.bounds.grace_s);
     controller.shutting_down.store(true, Ordering::Relaxed);
     gossip::broadcast(controller);
     tokio::join!(relay::hand_over(controller), reconfiguration::leave(controller));
-    let (finished, ()) = tokio::join!(controller.shutdown.run(deadline), time::sleep(NOTIFICATION_FLUSH_TIMEOUT));
+    let (finished, ()) = tokio::join!(controller.shutdown.run(deadline), time::sleep(NOTIFICATION_FLUSH_DELAY));
     log_event!(SHUTDOWN_FINISHED, "finished" => finished, "orders" => controller.metrics.requests_in_flight.get());
 }
--- a/controller/src/testing/simulation/bodies.rs
+++ b/controller/src/testing/simulation/bodies.rs
@@ -1,5 +1,5 @@
-//! Random configuration changes that operators send: full configurations and partial changes, valid and invalid ones of every
-//! kind.
+//! Random configuration changes that operators send: full configurations and partial changes, valid and invalid ones of
+//! every kind.
 use kernel::Rng;
 use protocol::operator_request::ConfigChange;
 use serde_json::{json, Value};
--- a/controller/src/testing/simulation/catch_up_tests.rs
+++ b/controller/src/testing/simulation/catch_up_tests.rs
@@ -7,8 +7,8 @@
 /// How long a restarted machine has to catch up, in milliseconds.
 const CATCH_UP_MS: u64 = 4000;
 
-/// Many operators change the configuration continuously while one machine after another is down for a while. Returns whether
-/// each of them caught up in time while the changes continued.
+/// Many operators change the configuration continuously while one machine after another is down for a while. Returns
+/// whether each of them caught up in time while the changes continued.
 fn run(seed: u64, wipe: bool, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, 3, 8);
     cluster.guards = guards;
--- a/controller/src/testing/simulation/confirming.rs
+++ b/controller/src/testing/simulation/confirming.rs
@@ -25,8 +25,8 @@
     fetched: Vec<(String, Entry)>,
 }
 
-/// The state of the current confirmation. Invariant: [`super::node::Node::confirmed`] is set to `started` only once no key is
-/// stale.
+/// The state of the current confirmation. Invariant: [`super::node::Node::confirmed`] is set to `started` only once no
+/// key is stale.
 #[derive(Default)]
 pub struct ConfirmationState {
     next_tick: u64,
--- a/controller/src/testing/simulation/faults.rs
+++ b/controller/src/testing/simulation/faults.rs
@@ -5,9 +5,9 @@
 use super::{address, Cluster, Node};
 use crate::config::body::StoredConfig;
 
-/// How long a leaving process waits to be released, as in `reconfiguration`.
+/// How long a leaving process waits to be released, in milliseconds; the same as in `replication::reconfiguration`.
 const HAND_OVER_TIMEOUT_MS: u64 = 3500;
-/// How long a leaving process keeps running for calls in progress.
+/// How long a leaving process keeps running for calls in progress, in milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 300;
 
 impl Cluster {
@@ -107,7 +107,8 @@
         running.all(|node| node.is_confirmed(self.now) && node.acceptor.may_vote)
     }
 
-    /// Heals all cuts, restarts all nodes, lets the last actions finish, and checks and returns the committed configuration.
+    /// Heals all cuts, restarts all nodes, lets the last actions finish, and checks and returns the committed
+    /// configuration.
     pub fn finish(&mut self) -> StoredConfig {
         self.network.heal();
         for index in 0..self.nodes.len() {
--- a/controller/src/testing/simulation/halves_tests.rs
+++ b/controller/src/testing/simulation/halves_tests.rs
@@ -1,7 +1,8 @@
-//! A core that is partitioned into two halves, neither of which has a majority. No acknowledged change may be lost, and no
-//! controller may serve an older state.
+//! A core that is partitioned into two halves, neither of which has a majority. No acknowledged change may be lost, and
+//! no controller may serve an older state.
 use super::{Cluster, Guards, ALL_GUARDS};
 
+/// How long a partition lasts, in milliseconds.
 const PARTITION_MS: u64 = 6000;
 
 impl Cluster {
@@ -79,7 +80,8 @@
     assert_no_violations(6, Overlap::Freeze);
 }
 
-/// Here one side has a majority. Without quorum reads the other side serves an old configuration, which the history must report.
+/// Here one side has a majority. Without quorum reads the other side serves an old configuration, which the history
+/// must report.
 #[test]
 fn without_quorum_reads_the_minority_serves_an_old_configuration() {
     let serves_old_config = |seed: u64| {
--- a/controller/src/testing/simulation/isolation_tests.rs
+++ b/controller/src/testing/simulation/isolation_tests.rs
@@ -4,6 +4,7 @@
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
+/// How long an outage lasts, in milliseconds.
 const OUTAGE_MS: u64 = 20_000;
 
 /// How a controller loses contact with the others.
--- a/controller/src/testing/simulation/mod.rs
+++ b/controller/src/testing/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders messages, partitions,
-//! frozen processes, losses of power and of disks, replaced machines, and operators that race and retry.
+//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders messages,
+//! partitions, frozen processes, losses of power and of disks, replaced machines, and operators that race and retry.
 //!
 //! The nodes run the state machines of `consensus` and the decisions of this crate; only sockets, timers and disks are
 //! simulated. `history` checks what operators were answered and what controllers confirm.
@@ -108,7 +108,8 @@
         cluster
     }
 
-    /// Advances the time by one millisecond: delivers the messages that are due, then runs all running nodes and operators.
+    /// Advances the time by one millisecond: delivers the messages that are due, then runs all running nodes and
+    /// operators.
     pub fn step(&mut self) {
         self.now += 1;
         for envelope in self.network.due(self.now) {
--- a/controller/src/testing/simulation/network.rs
+++ b/controller/src/testing/simulation/network.rs
@@ -8,9 +8,13 @@
 use super::operator::{ActionId, Answer, OperatorAction};
 use super::Cluster;
 
+/// The longest delay of a message that is not late, in milliseconds.
 const MAX_DELAY_MS: u64 = 8;
+/// One in this many messages between nodes is late.
 const LATE_ONE_OF: u64 = 25;
+/// The longest delay of a late message, in milliseconds.
 const MAX_LATE_DELAY_MS: u64 = 300;
+/// One in this many messages between nodes is lost.
 const LOST_ONE_OF: u64 = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,8 +98,8 @@
 }
 
 impl Cluster {
-    /// Sends a message with a random delay. Some messages between nodes arrive late, as after a retransmission, and a few are
-    /// lost, as when a connection is reset.
+    /// Sends a message with a random delay. Some messages between nodes arrive late, as after a retransmission, and a
+    /// few are lost, as when a connection is reset.
     pub fn send(&mut self, from: Address, to: Address, message: Packet) {
         let between_nodes = matches!((from, to), (Address::Node(_), Address::Node(_)));
         let to_self = from == to;
--- a/controller/src/testing/simulation/node.rs
+++ b/controller/src/testing/simulation/node.rs
@@ -24,8 +24,8 @@
     pub response: Option<(Address, u64, ConsensusResponse)>,
 }
 
-/// A simulated controller. Invariants: `disk` is the synced state; `acceptor` is ahead of it by the records in `writes`. All
-/// other state is lost when the process ends.
+/// A simulated controller. Invariants: `disk` is the synced state; `acceptor` is ahead of it by the records in
+/// `writes`. All other state is lost when the process ends.
 pub struct Node {
     pub index: usize,
     pub acceptor: Acceptor,
--- a/controller/src/testing/simulation/operator.rs
+++ b/controller/src/testing/simulation/operator.rs
@@ -1,4 +1,5 @@
-//! Operators that change the configuration, evacuate zones, read the configuration, and retry actions whose outcome is unknown.
+//! Operators that change the configuration, evacuate zones, read the configuration, and retry actions whose outcome is
+//! unknown.
 
 use consensus::Decision;
 use protocol::operator_request::ConfigChange;
@@ -11,12 +12,14 @@
 use crate::config::change::{self, ChangeDecision, ConfigChangeError, ParsedChange};
 use crate::replication::committed_state::CONFIG_KEY;
 
-/// How long an operator waits for an answer before it sends an action again.
+/// How long an operator waits for an answer before it sends an action again, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 1000;
-/// How long a controller tries to commit a change or a read.
+/// How long a controller tries to commit a change or to confirm a read, in milliseconds.
 const CHANGE_TIMEOUT_MS: u64 = 2000;
 const EVACUATION_TIMEOUT_MS: u64 = operator_requests::EVACUATION_TIMEOUT_MS;
-const UNHEARD_CLOSE_ONE_OF: u64 = 4;
+/// One in this many closes of a connection is lost.
+const LOST_CLOSE_ONE_OF: u64 = 4;
+/// One in this many mixed actions is executed at two controllers.
 const EXECUTED_TWICE_ONE_OF: u64 = 3;
 pub const EVACUATION_KEY: &str = "evacuation/z";
 
@@ -117,13 +120,12 @@
         self.history.record_start(action_id, action);
     }
 
-    /// Sends the current action to a random machine that was not removed, running or not. The connection on which it was sent
-    /// before is closed.
+    /// Sends the current action to a random machine that was not removed, running or not. The connection on which it
+    /// was sent before is closed.
     fn send_action(&mut self, number: usize) {
         let Some((action_id, action)) = self.operators[number].current.clone() else { return };
         // The close may be lost, as when the operator's machine or network path fails.
-        let previous =
-            self.operators[number].last_target.take().filter(|_| self.random.below(UNHEARD_CLOSE_ONE_OF) > 0);
+        let previous = self.operators[number].last_target.take().filter(|_| self.random.below(LOST_CLOSE_ONE_OF) > 0);
         if let Some(previous) = previous {
             self.send(Address::Operator(number), Address::Node(previous), Packet::Close(action_id));
         }
--- a/controller/src/testing/simulation/orders_tests.rs
+++ b/controller/src/testing/simulation/orders_tests.rs
@@ -40,8 +40,8 @@
     assert!(found_violation, "the simulation did not find the fault that the guard prevents");
 }
 
-/// Like [`run`], but operators also send partial changes and invalid ones of every kind, and some actions reach two controllers
-/// at once.
+/// Like [`run`], but operators also send partial changes and invalid ones of every kind, and some actions reach two
+/// controllers at once.
 fn run_mixed(seed: u64, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 4);
     cluster.guards = guards;
--- a/controller/src/testing/simulation/replacement_tests.rs
+++ b/controller/src/testing/simulation/replacement_tests.rs
@@ -17,8 +17,8 @@
     Planned,
 }
 
-/// Replaces two machines one after the other. Each time another machine loses power, and perhaps its disk, as early as that is
-/// allowed. Returns whether the cluster was confirmed and acknowledged changes each time.
+/// Replaces two machines one after the other. Each time another machine loses power, and perhaps its disk, as early as
+/// that is allowed. Returns whether the cluster was confirmed and acknowledged changes each time.
 fn run(seed: u64, size: usize, replacement: Replacement, guards: Guards) -> (Cluster, bool) {
     let mut cluster = Cluster::new(seed, size, 3);
     cluster.guards = guards;
