--- a/controller/src/replication/stored_by_5_tests.rs
+++ b/controller/src/replication/stored_by_5_tests.rs
@@ -1,8 +1,8 @@
 //! Bytes that controllers of version 5 commit under each key of the control state.
 //!
-//! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To regenerate them,
-//! check out that commit, put this file beside `state.rs`, declare it there as it is declared here, and run `cargo test
-//! -p keeper --lib -- --ignored stored_by_5`. Later versions only read them.
+//! `fixtures/config-body-5-*.bin` and `fixtures/control-5-*.bin` were written by commit 0f675d7. To regenerate them, check
+//! out that commit, put this file beside `state.rs`, declare it there as it is declared here, and run
+//! `cargo test -p keeper --lib -- --ignored stored_by_5`. Later versions only read them.
 use super::CommittedState;
 use super::{
     decode_membership, encode_membership, read_config, EvacuationRecord, Learned, RoleState, CONFIG_KEY,
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -40,7 +40,7 @@
 struct Tenure {
     epoch: u64,
     /// When the epoch was known to be committed, in milliseconds of the steady clock.
-    since: u64,
+    acquired_at: u64,
     /// Whether no earlier owner can have acted recently.
     predecessor_expired: bool,
 }
@@ -96,7 +96,7 @@
     let tenure = confirmed_tenure(controller, key, now)?;
     let confirmed_at = controller.committed.confirmed_at()?;
     let role_tenure =
-        RoleTenure { acquired_at: tenure.since, predecessor_expired: tenure.predecessor_expired, confirmed_at };
+        RoleTenure { acquired_at: tenure.acquired_at, predecessor_expired: tenure.predecessor_expired, confirmed_at };
     let bounds = &controller.settings.bounds;
     singleton_role::may_act(role_tenure, now, bounds.fencing, bounds.lease_ms, CONFIRMATION_TTL_MS)
         .then_some(tenure.epoch)
@@ -153,7 +153,7 @@
     let predecessor_expired =
         role.owner.is_empty() || (is_first_tenure && role.owner == controller.own_ip() && role.predecessor_expired);
     let Some(epoch) = commit_next_epoch(controller, key, role.epoch, predecessor_expired).await else { return };
-    let tenure = Tenure { epoch, since: clock::now(), predecessor_expired };
+    let tenure = Tenure { epoch, acquired_at: clock::now(), predecessor_expired };
     controller.acquired_roles.insert(key, tenure);
     controller.metrics.roles_acquired.inc();
     kernel::log_event!(ROLE_ACQUIRED, "duty" => key, "epoch" => epoch);
