--- a/router/src/proxy/duration_estimate.rs
+++ b/router/src/proxy/duration_estimate.rs
@@ -1,20 +1,20 @@
-//! Estimates how long requests of a route take, so that a router that shuts down knows which still fit into the time
-//! it has left.
+//! Estimates request durations per route, so that a router that is shutting down can refuse requests that would not
+//! finish in time.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Fraction of the distance to a longer duration by which the estimate rises. With `STEP_DOWN` it converges to the 0.95
-/// expectile, and follows a slow period within some requests.
+/// Smoothing factor for durations above the estimate. Together with `STEP_DOWN`, the estimate converges to the 0.95
+/// expectile and follows a slow period within a few requests.
 const STEP_UP: f64 = 0.25;
-/// Fraction of the distance to a shorter duration by which the estimate falls.
+/// Smoothing factor for durations below the estimate.
 const STEP_DOWN: f64 = 0.0125;
 
-/// An estimate in milliseconds that few requests exceed; 0 before the first.
+/// A duration in milliseconds that few requests exceed, stored as the bits of an `f64`; 0 before the first request.
 #[derive(Debug, Default)]
 pub struct DurationEstimate(AtomicU64);
 
 impl DurationEstimate {
-    /// Records how long a request took, or after how long it was given up, in milliseconds.
+    /// Records the duration of a request that finished or was abandoned, in milliseconds.
     pub fn record(&self, duration_ms: u64) {
         let estimate_ms = self.estimate_ms();
         let distance = duration_ms as f64 - estimate_ms;
@@ -22,7 +22,7 @@
         self.0.store((estimate_ms + distance * step).to_bits(), Ordering::Relaxed);
     }
 
-    /// Returns how long another request is expected to take, in milliseconds.
+    /// Returns the expected duration of the next request, in milliseconds.
     pub fn expected_ms(&self) -> u64 {
         self.estimate_ms() as u64
     }
--- a/router/src/proxy/duration_estimate_tests.rs
+++ b/router/src/proxy/duration_estimate_tests.rs
@@ -1,16 +1,16 @@
-//! What is expected after runs of short and long requests.
+//! Tests the estimate after sequences of short and long requests.
 
 use kernel::Rng;
 
 use super::DurationEstimate;
 
 #[test]
-fn nothing_is_expected_before_the_first() {
+fn expected_duration_is_zero_before_the_first_request() {
     assert_eq!(DurationEstimate::default().expected_ms(), 0);
 }
 
 #[test]
-fn it_settles_where_few_take_longer() {
+fn estimate_converges_to_a_duration_that_few_requests_exceed() {
     let estimate = DurationEstimate::default();
     let mut rng = Rng::new(7);
     let mut longer = 0;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_slow_spell_is_followed_within_some_requests_and_forgotten_slowly() {
+fn estimate_rises_within_a_few_slow_requests_and_falls_slowly() {
     let estimate = DurationEstimate::default();
     (0..100).for_each(|_| estimate.record(200));
     (0..10).for_each(|_| estimate.record(5000));
--- a/router/src/proxy/engine_response.rs
+++ b/router/src/proxy/engine_response.rs
@@ -1,4 +1,4 @@
-//! A response of an engine, and what is done with its body and connection where it is not streamed to a client.
+//! The response of an engine: reading or draining its body, and returning its connection to the pool.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::state::State;
 use crate::upstream::connection_pool::{self, Connection, Endpoint};
 
-/// How much of a response that is not needed is read so that its connection can be used again.
+/// Maximum size of an unneeded body that is drained so that its connection can be reused, in bytes.
 const MAX_DRAINED_BYTES: usize = 64 * 1024;
-/// For how long that is read, in milliseconds.
+/// Timeout for draining an unneeded body, in milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 200;
-/// How long a connection may take to be ready for the next request.
+/// Timeout for a connection to become ready for its next request.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A response of an engine, whose body is still to be read.
+/// A response of an engine whose body has not been read yet.
 pub struct EngineResponse {
     /// Status and headers.
     pub head: Parts,
@@ -31,8 +31,8 @@
 }
 
 impl EngineResponse {
-    /// Returns whether the body's framing shows that it is complete. Without framing a broken connection looks like the
-    /// end.
+    /// Returns whether the body's framing shows where it ends. Without framing, a broken connection looks like the end
+    /// of the body.
     pub fn is_framed(&self) -> bool {
         self.body.is_end_stream()
             || self.body.size_hint().exact().is_some()
@@ -40,13 +40,13 @@
     }
 }
 
-/// Reads the rest of a response that is not needed, and returns its connection to the pool.
+/// Drains the body of an unneeded response, and returns its connection to the pool.
 pub async fn drain_body(state: &State, endpoint: &Endpoint, response: EngineResponse) {
     let _ = read_body(state, endpoint, response, MAX_DRAINED_BYTES, DRAIN_TIMEOUT_MS).await;
 }
 
-/// Reads the body of a small response, and returns its connection to the pool. None where it is longer than `max_bytes`,
-/// takes longer than `timeout_ms`, or may be incomplete.
+/// Reads the body of a small response, and returns its connection to the pool. Returns `None` if the body is longer
+/// than `max_bytes`, takes longer than `timeout_ms`, or may be incomplete.
 pub async fn read_body(
     state: &State,
     endpoint: &Endpoint,
@@ -70,7 +70,7 @@
     is_framed.then(|| buffer.freeze())
 }
 
-/// Returns a connection to the pool, after the response on it was read to its end.
+/// Returns a connection to the pool after the response on it was read completely.
 pub async fn return_connection(state: &State, endpoint: &Endpoint, head: &HeaderMap, mut connection: Connection) {
     if connection_pool::requests_close(head) {
         return;
--- a/router/src/proxy/engine_send.rs
+++ b/router/src/proxy/engine_send.rs
@@ -1,7 +1,7 @@
-//! Sends of one request to single engines, and what each shows about its engine.
+//! Sends one request to individual engines, and records what each outcome shows about its engine.
 //!
-//! What is in flight at an engine is counted in the engine table from the start of a send until `end_send`, since load
-//! balancing goes by it.
+//! The engine table counts a send as in flight from its start until `end_send`, because load balancing relies on these
+//! counts.
 
 use std::mem;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use crate::upstream::connection_pool::{Endpoint, SendError};
 use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
-/// How long an engine that rejected a request counts as saturated.
-const REJECTED_PAUSE_MS: u64 = 60;
-/// How long an engine counts as saturated when this router's connections to it are all in use.
-const NO_CONNECTION_PAUSE_MS: u64 = 20;
+/// How long an engine counts as saturated after it rejected a request, in milliseconds.
+const REJECTION_SATURATION_MS: u64 = 60;
+/// How long an engine counts as saturated when all of this router's connections to it are in use, in milliseconds.
+const POOL_EXHAUSTED_SATURATION_MS: u64 = 20;
 
 impl Exchange {
-    /// Records that an engine has prefilled the prompt: only decoding is left there.
+    /// Records that an engine has prefilled the prompt and only has to decode.
     pub fn complete_prefill(&mut self, engine_index: usize) {
         let Some(send) = self.in_flight.iter_mut().find(|send| send.engine_index == engine_index) else { return };
         let tokens = mem::take(&mut send.prefill_tokens);
@@ -32,7 +32,7 @@
             engine_table.engines[engine_index].prefill_tokens_in_flight.saturating_sub(tokens);
     }
 
-    /// Ends what is in flight at an engine; does nothing where that has ended already.
+    /// Ends the send that is in flight at an engine, if there is one.
     pub fn end_send(&mut self, engine_index: usize) {
         let Some(position) = self.in_flight.iter().position(|send| send.engine_index == engine_index) else { return };
         let InFlight { engine_index, prefill_tokens } = self.in_flight.swap_remove(position);
@@ -44,20 +44,20 @@
 
     /// Sends the request to one engine, and records what the outcome shows about that engine.
     ///
-    /// `prefill_tokens` are the prompt tokens that the engine has to prefill. With `may_move` the send is given up when
-    /// the engine is found unresponsive, since the request may go elsewhere; an engine that answers other requests, or
-    /// a probe, is only slow.
+    /// `prefill_tokens` is the number of prompt tokens that the engine has to prefill. With `may_reroute`, the send is
+    /// abandoned when the engine is found unresponsive, since the request may go to another engine. An engine that
+    /// responds to other requests or to a probe is slow, not unresponsive.
     pub async fn send(
         &mut self,
         engine_index: usize,
         mut options: SendOptions,
         prefill_tokens: u32,
-        may_move: bool,
+        may_reroute: bool,
     ) -> SendOutcome {
         let now = clock::now();
         let endpoint = self.begin_send(engine_index, &mut options, prefill_tokens.into(), now);
         options.time_budget_ms = self.request.remaining_ms(now).max(1);
-        let outcome = self.await_outcome(engine_index, &endpoint, &options, may_move).await;
+        let outcome = self.await_outcome(engine_index, &endpoint, &options, may_reroute).await;
         self.record_outcome(engine_index, &outcome);
         self.note_served_by(engine_index);
         self.count_outcome(&outcome, options.is_prefill);
@@ -68,8 +68,8 @@
         outcome
     }
 
-    /// Counts the send as in flight, and sets the weight version that a staleness limit makes it expect. Returns where
-    /// the engine is reached.
+    /// Counts the send as in flight, and sets the expected weight version if the route has a staleness limit. Returns
+    /// the engine's endpoint.
     fn begin_send(
         &mut self,
         engine_index: usize,
@@ -92,19 +92,19 @@
         endpoint
     }
 
-    /// Counts an outcome in the metrics, and as an arrival where the engine may have begun to execute the request.
+    /// Counts an outcome in the metrics, and records whether it means that the request has reached an engine.
     fn count_outcome(&mut self, outcome: &SendOutcome, is_prefill: bool) {
         let half = if is_prefill { SendPhase::Prefill } else { SendPhase::Run };
-        let sent = EngineSendLabels { half, result: outcome.into() };
-        self.state.metrics.engine_sends.get_or_create(&sent).inc();
+        let labels = EngineSendLabels { half, result: outcome.into() };
+        self.state.metrics.engine_sends.get_or_create(&labels).inc();
         let is_unsent = matches!(outcome, SendOutcome::Unsent(_));
-        // A prefill that an engine answers is no arrival that counts. One without a response may never have been
-        // executed, and counts.
+        // A prefill with a response does not count. One without a response may never have been executed, so further
+        // sends have to draw on the retry budget.
         let is_answered_prefill = is_prefill && matches!(outcome, SendOutcome::Response(_));
         self.reached_engine |= !is_unsent && !is_answered_prefill;
     }
 
-    /// Counts the request for its tenant, once, when an engine has begun to run it.
+    /// Counts the request for its tenant, once, when an engine has begun to execute it.
     fn meter(&mut self, outcome: &SendOutcome, is_prefill: bool) {
         let has_begun = !is_prefill && matches!(outcome, SendOutcome::Response(_));
         if !has_begun || mem::replace(&mut self.is_metered, true) {
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Waits until there is an outcome, time is up, or the engine is found unresponsive and the request may go elsewhere.
+    /// Waits for the outcome, until the deadline passes or the engine is found unresponsive and `may_reroute` is set.
     async fn await_outcome(
         &self,
         engine_index: usize,
         endpoint: &Endpoint,
         options: &SendOptions,
-        may_move: bool,
+        may_reroute: bool,
     ) -> SendOutcome {
         let now = clock::now();
         let wait_ms = self.request.remaining_ms(now);
@@ -133,14 +133,14 @@
             if let Ok(outcome) = time::timeout(interval, &mut send).await {
                 return outcome;
             }
-            if self.remaining_ms() == 0 || (self.check_unresponsive(engine_index, now) && may_move) {
+            if self.remaining_ms() == 0 || (self.check_unresponsive(engine_index, now) && may_reroute) {
                 return SendOutcome::Lost;
             }
         }
     }
 
     /// Returns whether the engine was found unresponsive after `since`, in milliseconds of the steady clock. Raises a
-    /// suspicion where it gave no sign of life for a while.
+    /// suspicion if the engine has not responded for `LIVENESS_TIMEOUT_MS`.
     pub fn check_unresponsive(&self, engine_index: usize, since: u64) -> bool {
         let now = clock::now();
         let (seen_at, failed_at) = {
@@ -175,14 +175,16 @@
             SendOutcome::OtherEngine => engine.retire(),
             SendOutcome::NotExecuted => {
                 engine.record_response(now);
-                engine.saturated_until = now + REJECTED_PAUSE_MS;
+                engine.saturated_until = now + REJECTION_SATURATION_MS;
             }
             SendOutcome::OtherVersion(version) => {
                 engine.record_response(now);
                 engine.set_weight_version(self.request.model_key, *version);
             }
             SendOutcome::Unsent(SendError::TooStale | SendError::Unauthorized) => {}
-            SendOutcome::Unsent(SendError::PoolExhausted) => engine.saturated_until = now + NO_CONNECTION_PAUSE_MS,
+            SendOutcome::Unsent(SendError::PoolExhausted) => {
+                engine.saturated_until = now + POOL_EXHAUSTED_SATURATION_MS
+            }
             _ => {
                 drop(engine_table);
                 suspicion::raise(&self.state, engine_index);
--- a/router/src/proxy/event_stream.rs
+++ b/router/src/proxy/event_stream.rs
@@ -1,17 +1,18 @@
-//! Splits a stream of server-sent events between events, so that only complete ones are forwarded.
+//! Splits a stream of server-sent events at event boundaries, so that only complete events are forwarded.
 //!
-//! A broken stream can be resumed at another engine only where what the client has ends with an event.
+//! A broken stream can be resumed at another engine only if the bytes that the client has received end with an event.
 
 use std::str;
 
 use bytes::{Bytes, BytesMut};
 use kernel::clock;
 
-/// Larger than any event, in bytes; a body without events is forwarded rather than buffered.
+/// Maximum size of a buffered event in bytes, larger than any real event. A body without events is forwarded rather
+/// than buffered beyond it.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Splits a stream of events. Invariant, unless `is_misaligned`: what `feed` returned ends with an event, and
-/// `partial_event` holds the bytes of the one that is not complete.
+/// Splits a stream into complete events. Invariant, unless `is_misaligned`: the bytes that `feed` returned end with an
+/// event, and `partial_event` holds the bytes of the incomplete event that follows.
 #[derive(Default)]
 pub struct EventSplitter {
     partial_event: BytesMut,
@@ -19,19 +20,20 @@
     pub last_event_id: Option<String>,
     /// Number of events that were returned.
     pub events: u64,
+    /// Whether `feed` returned bytes that do not end with an event.
     is_misaligned: bool,
     /// When the first events were returned, in milliseconds of the steady clock.
     first_event_at: Option<u64>,
-    /// How many they were.
+    /// Number of events that were returned first, together.
     first_event_count: u64,
     /// When the last event was returned, in milliseconds of the steady clock.
     last_event_at: u64,
-    /// How many events came after the first ones.
+    /// Number of events that were returned after the first ones.
     later_event_count: u64,
 }
 
 impl EventSplitter {
-    /// Takes bytes of the stream, and returns the events that they complete.
+    /// Appends bytes of the stream, and returns the events that they complete.
     pub fn feed(&mut self, data: &[u8]) -> Bytes {
         let scan_from = self.partial_event.len().saturating_sub(3);
         self.partial_event.extend_from_slice(data);
@@ -47,7 +49,7 @@
         complete
     }
 
-    /// Returns the mean time between events in microseconds, where there were several.
+    /// Returns the mean interval between events in microseconds; `None` if no event came after the first ones.
     pub fn mean_interval_us(&self) -> Option<u64> {
         let span_ms = self.last_event_at.checked_sub(self.first_event_at?)?;
         (self.later_event_count > 0).then(|| span_ms * 1000 / self.later_event_count)
@@ -72,7 +74,7 @@
             return;
         }
         if self.first_event_at.is_none() {
-            // Events that came together with the first one say nothing about the interval.
+            // Events that arrived together with the first one do not count towards the interval.
             self.first_event_at = Some(now);
             self.first_event_count = self.events;
         }
@@ -80,23 +82,24 @@
         self.later_event_count = self.events - self.first_event_count;
     }
 
-    /// Returns whether another engine can resume after what was returned: it must end with an event that has an id.
+    /// Returns whether another engine can resume the stream: what was returned must hold no events, or end with an
+    /// event after an event id was seen.
     pub fn is_resumable(&self) -> bool {
         !self.is_misaligned && (self.events == 0 || self.last_event_id.is_some())
     }
 
-    /// Takes what is left at the end of a complete body.
+    /// Takes the remaining bytes at the end of a complete body.
     pub fn take_partial_event(&mut self) -> Bytes {
         self.partial_event.split().freeze()
     }
 
-    /// Discards what is left of a body that broke off.
+    /// Discards the incomplete event of a body that broke off.
     pub fn discard_partial_event(&mut self) {
         self.partial_event.clear();
     }
 }
 
-/// Returns the end of the last complete event in `text`, looking from the offset `from` on.
+/// Returns the end of the last complete event in `text`, searching from offset `from`.
 fn last_event_end(text: &[u8], from: usize) -> Option<usize> {
     let mut end = None;
     for position in from..text.len() {
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -1,7 +1,7 @@
-//! The state of one request while it is forwarded: what was sent, what is in flight, what engines hold for it.
+//! The state of one request while it is forwarded: its sends, and the KV cache that an engine holds for it.
 //!
-//! All accounting of a request at engines goes through here, so that dropping the exchange undoes it wherever the
-//! request ends.
+//! All accounting of a request at engines goes through `Exchange`, so that dropping it reverts the accounting wherever
+//! the request ends.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -17,18 +17,18 @@
 use crate::state::State;
 use crate::upstream::connection_pool::Endpoint;
 
-/// Urgency class of deferrable work, the last of all.
+/// Urgency class of deferrable requests, the least urgent of all.
 pub const DEFERRABLE_URGENCY: u32 = 9;
-/// The last urgency class of interactive work.
+/// The least urgent class of interactive requests.
 pub const MAX_INTERACTIVE_URGENCY: u32 = 8;
-/// Urgency class of work of the highest priority, other than prefills.
+/// Urgency class of requests of the highest priority, other than prefills.
 const DECODE_URGENCY: u32 = 4;
-/// Connections to one engine, for all routers together, where the service names no limit.
+/// Limit on the connections of all routers to one engine, if the service sets none.
 const DEFAULT_CONNECTIONS: u32 = 1024;
-/// Part of an engine's connections that routers share out; the rest is spare.
-const SHARED_CONNECTIONS: f64 = 0.9;
-/// Part of the operator's slack that the retry budget may use.
-const RETRY_SLACK: f64 = 0.5;
+/// Fraction of an engine's connections that is divided among the routers; the rest is headroom.
+const SHARED_CONNECTION_FRACTION: f64 = 0.9;
+/// Fraction of the operator's budget slack that the retry budget may use.
+const RETRY_SLACK_FRACTION: f64 = 0.5;
 
 /// A send that has not ended.
 #[derive(Clone, Copy, Debug)]
@@ -39,8 +39,8 @@
     pub prefill_tokens: u64,
 }
 
-/// One request while it is forwarded. Invariants: `may_have_run` never goes back to false; sends still in flight are
-/// ended on drop, and a KV handle still held is released.
+/// One request while it is forwarded. Invariants: `may_have_run` is never reset to false; dropping it ends the sends
+/// still in flight, and releases a KV handle still held.
 pub struct Exchange {
     /// The state of the process.
     pub state: Arc<State>,
@@ -50,7 +50,7 @@
     pub route_type: RouteType,
     /// Whether it may be executed more than once.
     pub is_repeatable: bool,
-    /// Limit on the sends that count.
+    /// Maximum number of counted sends.
     pub max_sends: u32,
     /// Latency target of its route, in milliseconds.
     pub target_ms: u64,
@@ -60,33 +60,33 @@
     pub service: u32,
     /// Configuration of its service.
     pub service_config: Service,
-    /// Zones that it may not use, by dense index.
+    /// Zones that it must not use, by dense index.
     pub excluded_zones: Vec<u32>,
     /// Name of its route.
     pub route: String,
-    /// With a staleness limit: the weight version that its prefill or its response began with, and must go on with.
+    /// Weight version that its prefill or its response began with and must continue with, if it has a staleness limit.
     pub pinned_version: Option<u64>,
     /// Engines that own prefixes of its prompt.
     pub prefix_owners: PrefixOwners,
     /// Sends that count against `max_sends`.
     pub sends: u32,
-    /// Whether an engine got it: each further send draws on the retry budget.
+    /// Whether it has reached an engine, so that each further send draws on the retry budget.
     pub reached_engine: bool,
-    /// Whether an engine may have executed it: it is never reported as refused any more.
+    /// Whether an engine may have executed it, so that it must not be reported as refused.
     pub may_have_run: bool,
-    /// Indices of the engines that are not tried again.
+    /// Indices of the engines that were tried and are not tried again.
     pub attempted_engines: Vec<usize>,
     /// Sends that have not ended.
     pub in_flight: Vec<InFlight>,
-    /// The KV cache that an engine holds for it.
+    /// Handle of the KV cache that an engine holds for it.
     pub kv_handle: Option<KvHandle>,
-    /// Which variant of a rollout serves it, in all of its sends.
+    /// Rollout variant that serves all of its sends.
     pub variant: Arm,
-    /// The engine that was sent to last, as it stood when it responded.
+    /// The engine that it was last sent to, as of that engine's response.
     pub served_by: ServedBy,
-    /// When it responded, in milliseconds.
+    /// When that engine responded, in milliseconds of the steady clock.
     pub responded_at_ms: Option<u64>,
-    /// Counted for its tenant: an engine has begun it.
+    /// Whether it was counted for its tenant, because an engine has begun to execute it.
     pub is_metered: bool,
 }
 
@@ -105,7 +105,8 @@
 }
 
 impl Exchange {
-    /// Returns whether the request is expected to end before this process does, where that is shutting down.
+    /// Returns whether the request is expected to finish before the process exits; always true unless it is shutting
+    /// down.
     pub fn fits_before_shutdown(&self) -> bool {
         let expected_ms = self.request.authorization.route().durations.expected_ms();
         self.state.drain.remaining_ms().is_none_or(|left_ms| expected_ms < left_ms)
@@ -116,8 +117,8 @@
         self.request.remaining_ms(clock::now())
     }
 
-    /// Returns the urgency class that engines order their queues by, smaller first. Deferrable work comes last; the
-    /// rest goes by priority, where the request has a prompt that is split into phases.
+    /// Returns the urgency class by which engines order their queues, smaller first. Deferrable requests come last;
+    /// others are ordered by priority if they have a prompt with prefix keys, and get no class otherwise.
     pub fn urgency(&self) -> Option<u32> {
         if self.request.deferrable_share.is_some() {
             return Some(DEFERRABLE_URGENCY);
@@ -135,20 +136,20 @@
         self.is_streaming() && self.is_repeatable
     }
 
-    /// Returns whether the request may be sent to another engine once this one is found unresponsive.
+    /// Returns whether the request may be sent to another engine if the current one is found unresponsive.
     pub fn may_retry(&self) -> bool {
         self.is_repeatable && self.sends < self.max_sends
     }
 
-    /// Returns the address and name of an engine.
+    /// Returns the address and id of an engine.
     pub fn endpoint(&self, engine_index: usize) -> Endpoint {
         let engine_table = self.state.engines();
         let engine = &engine_table.engines[engine_index];
         Endpoint { addr: engine.address.clone(), engine: engine.id.clone() }
     }
 
-    /// Returns whether one more counted send may be made, and charges the retry budget for it where an engine already got
-    /// the request.
+    /// Returns whether one more counted send is allowed. The send draws on the retry budget if the request has already
+    /// reached an engine.
     pub fn grant_send(&self) -> bool {
         if self.sends >= self.max_sends || !self.is_authorized() {
             return false;
@@ -156,7 +157,8 @@
         if !self.reached_engine {
             return true;
         }
-        let share = self.state.settings.bounds.budget_slack * RETRY_SLACK / f64::from(self.state.router_count());
+        let share =
+            self.state.settings.bounds.budget_slack * RETRY_SLACK_FRACTION / f64::from(self.state.router_count());
         let is_allowed = self.state.retry_budget().try_acquire(self.service, clock::now(), share);
         if !is_allowed {
             self.state.metrics.retries_denied.inc();
@@ -164,8 +166,8 @@
         is_allowed
     }
 
-    /// Calls `select` with the context in which engines for this request are selected. Holds the lock on the engines
-    /// meanwhile.
+    /// Calls `select` with the context for selecting engines for this request, while holding the lock on the engine
+    /// table.
     pub fn with_selection<T>(&self, select: impl FnOnce(&SelectionContext) -> T) -> T {
         let table = self.state.table();
         let ramp_per_s = table.services.get(&self.service).map_or(0.0, |service| service.ramp_per_s);
@@ -188,12 +190,12 @@
         })
     }
 
-    /// Returns how many connections this router may have to one engine.
+    /// Returns the maximum number of connections from this router to one engine.
     pub fn max_connections(&self) -> usize {
         let limit = match self.service_config.connections {
             0 => DEFAULT_CONNECTIONS,
             connections => connections,
         };
-        ((f64::from(limit) * SHARED_CONNECTIONS) / f64::from(self.state.router_count())).max(2.0) as usize
+        ((f64::from(limit) * SHARED_CONNECTION_FRACTION) / f64::from(self.state.router_count())).max(2.0) as usize
     }
 }
--- a/router/src/proxy/forward.rs
+++ b/router/src/proxy/forward.rs
@@ -1,5 +1,5 @@
-//! Forwards one request: admits it to engines, executes it, and streams the response to the client as it comes,
-//! resumed at another engine where that is allowed.
+//! Forwards one request: admits it, executes it on engines, and streams the response to the client, resuming it at
+//! another engine where that is allowed.
 
 use std::mem;
 
@@ -16,26 +16,28 @@
 use crate::proxy::{phases, response_head};
 use crate::rollout::VersionOutcome;
 
-/// By priority: the load, as a multiple of its slots, that every decode engine must exceed for a request to be refused
-/// at once.
+/// Saturation threshold by priority: a request is refused at once if the load of every decode engine, as a multiple of
+/// its slots, reaches it.
 const SATURATION_LIMITS: [f64; 3] = [2.0, 1.5, 1.25];
-/// After how many milliseconds deferrable work may try again when interactive work needs the slots.
+/// Retry delay of deferrable requests while interactive requests need the slots, in milliseconds.
 const DEFERRED_RETRY_MS: u64 = 500;
-/// Shortest and longest delay after which a refused client may try again, in milliseconds, where its deadline allows.
+/// Minimum and maximum retry delay of a refused request in milliseconds, if its deadline allows.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 const MAX_RETRY_AFTER_MS: u64 = 1000;
-/// The delay close to the deadline, in milliseconds.
-const LAST_RETRY_AFTER_MS: u64 = 20;
+/// Minimum retry delay close to the deadline, in milliseconds.
+const NEAR_DEADLINE_RETRY_AFTER_MS: u64 = 20;
 
-/// Returns the delay after which a refused client may try again, in milliseconds: a part of the latency target, and no
-/// more than a third of the time that it has left.
+/// Returns the delay after which a refused request may be retried, in milliseconds: a quarter of the latency target,
+/// but at most a third of the time until the deadline.
 fn retry_after_ms(exchange: &Exchange) -> u64 {
     let third_of_remaining = exchange.remaining_ms() / 3;
     let quarter_of_target = exchange.target_ms / 4;
-    quarter_of_target.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS).min(third_of_remaining.max(LAST_RETRY_AFTER_MS))
+    quarter_of_target
+        .clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
+        .min(third_of_remaining.max(NEAR_DEADLINE_RETRY_AFTER_MS))
 }
 
-/// Returns the failure that ends a request. One that may have been executed is never reported as refused.
+/// Returns the failure to report to the client. A request that may have been executed is never reported as refused.
 pub fn failure_for(exchange: &Exchange) -> Failure {
     if !exchange.may_have_run {
         return Failure::Unavailable(retry_after_ms(exchange));
@@ -46,11 +48,11 @@
     Failure::ResponseLost
 }
 
-/// Executes a request and returns the head of the response; the body follows as it comes.
+/// Executes a request and returns the response, whose body is streamed as it arrives.
 ///
 /// # Errors
 ///
-/// Returns what the client is answered where no engine's response may be forwarded.
+/// Returns the failure to report to the client if no engine's response may be forwarded.
 pub async fn forward(mut exchange: Exchange) -> Result<Response<Body>, Failure> {
     admit(&mut exchange)?;
     exchange.acquire_quota_token().await?;
@@ -64,14 +66,14 @@
     Ok(stream_response(exchange, engine_index, response))
 }
 
-/// Chooses the variant of a rollout that serves the request, and checks whether engines can take it now.
+/// Chooses the rollout variant that serves the request, and checks whether engines can take the request now.
 fn admit(exchange: &mut Exchange) -> Result<(), Failure> {
     if is_deferred(exchange) {
         return Err(Failure::Unavailable(DEFERRED_RETRY_MS));
     }
     exchange.choose_version();
     if !exchange.fits_before_shutdown() {
-        // Refused now rather than cut off when the process ends.
+        // Refused now rather than aborted when the process exits.
         return Err(failure_for(exchange));
     }
     if exchange.version_bounds().is_some()
@@ -87,13 +89,14 @@
     Ok(())
 }
 
-/// Returns whether this is deferrable work, and interactive work needs the slots.
+/// Returns whether the request is deferrable and interactive requests need the slots.
 fn is_deferred(exchange: &Exchange) -> bool {
     let Some(share) = exchange.request.deferrable_share else { return false };
     !exchange.with_selection(|selection| selection.has_spare_capacity(share))
 }
 
-/// Returns whether the request has a prompt, and its service engines, for two phases.
+/// Returns whether the request can be executed in two phases: it has a prompt with prefix keys, and its service has
+/// prefill and decode engines.
 fn has_phases(exchange: &Exchange) -> bool {
     exchange.is_streaming()
         && !exchange.request.prefix_keys.is_empty()
@@ -101,7 +104,7 @@
             .with_selection(|selection| selection.has_phase(Phase::Prefill) && selection.has_phase(Phase::Decode))
 }
 
-/// Executes the request in two phases or on one engine. Returns the engine that responds, and its response.
+/// Executes the request in two phases or on one engine. Returns the responding engine and its response.
 async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     let executed = match has_phases(exchange) {
         true => phases::execute(exchange).await,
@@ -113,27 +116,28 @@
     executed
 }
 
-/// Checks that a success comes from an engine, and pins the weight version of a request with a staleness limit.
+/// Checks that a successful response comes from an engine, and pins the weight version of a request with a staleness
+/// limit.
 fn verify_success(exchange: &mut Exchange, response: &EngineResponse) -> Result<(), Failure> {
     if exchange.version_bounds().is_some() {
         exchange.pinned_version = response_head::weight_version(&response.head.headers).or(exchange.pinned_version);
     }
     if !is_sealed(response) {
-        // A success without the seal comes from something that is no engine.
+        // A success without the seal does not come from an engine.
         exchange.may_have_run = true;
         return Err(failure_for(exchange));
     }
     Ok(())
 }
 
-/// Returns whether the response is a success that an engine gave.
+/// Returns whether the response is a success with the seal of an engine.
 pub fn is_sealed(response: &EngineResponse) -> bool {
     response.head.status.is_success() && response.head.headers.contains_key(RESPONSE_SEAL)
 }
 
-/// Executes a request on one engine for both phases, and on another where a retry is allowed.
+/// Executes both phases of a request on one engine, and retries it on another where that is allowed.
 async fn execute_combined(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
-    // A failed response is dropped only once the next send is granted.
+    // A failed response is dropped only after the next send was granted.
     let mut granted = false;
     loop {
         let placement_hash = hashing::combine(exchange.request.received_at_ms, exchange.request.body.len() as u64);
@@ -144,8 +148,8 @@
         }
         exchange.sends += 1;
         let options = SendOptions { urgency: exchange.urgency(), ..Default::default() };
-        let may_move = exchange.may_retry();
-        match exchange.send(engine_index, options, 0, may_move).await {
+        let may_reroute = exchange.may_retry();
+        match exchange.send(engine_index, options, 0, may_reroute).await {
             SendOutcome::Response(response) => {
                 granted = exchange.is_repeatable && response.head.status.is_server_error() && exchange.grant_send();
                 if !granted {
--- a/router/src/proxy/mod.rs
+++ b/router/src/proxy/mod.rs
@@ -1,9 +1,9 @@
-//! The path of one request: planned, sent to engines in one or two phases, its response classified and forwarded,
-//! retried or resumed where that is allowed.
+//! The path of one request: it is planned and sent to engines in one or two phases, and its response is classified and
+//! forwarded. It is retried or resumed where that is allowed.
 //!
-//! `plan` decides as data, before anything is sent. `exchange` is the state of one request; `engine_send` makes
-//! single sends of it through `send`. `phases` carries out prefill and decode; `forward` chooses between that and a
-//! single engine, and `stream` streams the response to the client.
+//! `plan` chooses the prefill engine before anything is sent. `exchange` holds the state of one request; `engine_send`
+//! sends it to individual engines through `send`. `phases` executes prefill and decode on two engines; `forward`
+//! chooses between that and a single engine, and `stream` streams the response to the client.
 
 pub mod duration_estimate;
 mod engine_response;
--- a/router/src/proxy/phases.rs
+++ b/router/src/proxy/phases.rs
@@ -1,7 +1,7 @@
-//! Carries out a request in two phases: prefill on one engine, decode on another.
+//! Executes a request in two phases: prefill on one engine, decode on another.
 //!
-//! The order is: look up owners, prefill, register the new owner in the catalog, flush, and only then decode. The flush
-//! comes first so that the catalog knows the owner before the KV cache moves on.
+//! The steps are: look up the owners of its prefixes, prefill, register the new owner in the catalog, flush, decode.
+//! The flush precedes decoding so that the catalog knows the owner before the KV cache is transferred.
 
 use kernel::clock;
 use protocol::headers::RESPONSE_SEAL;
@@ -16,32 +16,32 @@
 use crate::proxy::plan::{self, Plan};
 use crate::proxy::send::{SendOptions, SendOutcome};
 
-/// Margin between a KV handle's last use and its expiry.
+/// Margin between a KV handle's last use and its expiry, in milliseconds.
 const HANDLE_EXPIRY_MARGIN_MS: u64 = 400;
-/// How long an engine that failed to hand over its KV cache is not recorded as the owner of these keys.
+/// How long an engine whose KV cache could not be fetched is not recorded as an owner of these keys, in milliseconds.
 const SUPPRESSION_MS: u64 = 2000;
 
-/// How many engines are asked to prefill one prompt.
+/// Maximum number of engines that are asked to prefill one prompt.
 const MAX_PREFILL_SENDS: usize = 3;
-/// Limit on the body of the response to a prefill.
+/// Maximum size of the body of a prefill response, in bytes.
 const MAX_PREFILL_RESPONSE_BYTES: usize = 16 * 1024;
-/// How long that body may take, in milliseconds.
+/// Timeout for reading the body of a prefill response, in milliseconds.
 const PREFILL_RESPONSE_TIMEOUT_MS: u64 = 1000;
 /// Prompt tokens below which a prefill is short.
 const SHORT_PREFILL_TOKENS: u32 = 1024;
 /// Prompt tokens below which a prefill is of medium length.
 const MEDIUM_PREFILL_TOKENS: u32 = 4096;
 
-/// What came of a prefill.
+/// Outcome of the prefill phase.
 enum PrefillOutcome {
     /// An engine holds the KV cache for this request.
     HandleHeld,
-    /// The engine, which knows no phases, answered the request itself.
+    /// The engine does not support phases and responded to the whole request.
     Response(usize, EngineResponse),
 }
 
-/// Prefills the prompt. The first send does not count against the limit on sends; each further one, after a rejection,
-/// does. None where no engine has prefilled the prompt: the decode engine does so then.
+/// Prefills the prompt. The first send does not count against `max_sends`; each further one, after a rejection, does.
+/// Returns `None` if no engine has prefilled the prompt, so that the decode engine has to.
 async fn prefill(exchange: &mut Exchange) -> Option<PrefillOutcome> {
     let owners = exchange.prefix_owners.clone();
     for _ in 0..MAX_PREFILL_SENDS {
@@ -56,7 +56,7 @@
             SendOutcome::NotExecuted | SendOutcome::OtherEngine | SendOutcome::OtherVersion(_) => {
                 exchange.attempted_engines.push(engine_index);
                 exchange.sends += 1;
-                // The last counted send is kept for the decode phase.
+                // The last counted send is reserved for the decode phase.
                 if exchange.sends + 1 >= exchange.max_sends || !exchange.grant_send() {
                     return None;
                 }
@@ -67,14 +67,14 @@
     None
 }
 
-/// Takes the KV handle from the response to a prefill. None where there is no usable one.
+/// Takes the KV handle from a prefill response. Returns `None` if it has no usable one.
 async fn accept_prefill_response(
     exchange: &mut Exchange,
     engine_index: usize,
     response: EngineResponse,
 ) -> Option<PrefillOutcome> {
     if response.head.headers.contains_key(RESPONSE_SEAL) {
-        // An engine that knows no phases has run it: this is the response, and nothing more is sent.
+        // An engine without support for phases has executed the whole request: this is its response.
         exchange.sends += 1;
         exchange.reached_engine = true;
         exchange.may_have_run = true;
@@ -90,12 +90,12 @@
     let value: Value = body.and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
     let id = value["kv_handle"].as_str().filter(|_| is_success).unwrap_or("").to_string();
     if !is_valid_handle_id(&id) {
-        // It may have been rejected, so it counts.
+        // The prefill may have been rejected, so further sends have to draw on the retry budget.
         exchange.reached_engine = true;
         return None;
     }
     if exchange.version_bounds().is_some() {
-        // With a staleness limit both phases use the same weights: a KV cache of other weights is of no use.
+        // With a staleness limit, both phases must use the same weights: a KV cache of other weights is unusable.
         let version = value["revision"].as_u64();
         exchange.record_version(engine_index, version);
         exchange.pinned_version = version.or(exchange.pinned_version);
@@ -105,27 +105,27 @@
     Some(PrefillOutcome::HandleHeld)
 }
 
-/// Returns whether an id may stand in a path and in a header.
+/// Returns whether an id is safe to use in a path and in a header.
 fn is_valid_handle_id(id: &str) -> bool {
     !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// Returns the urgency class of a prefill. A short one goes before long ones: it hardly delays them, and behind them it
-/// would miss its latency target. Among similar ones the operator's priority decides.
+/// Returns the urgency class of a prefill. A short prefill goes before long ones: it hardly delays them, and would miss
+/// its latency target behind them. Among prefills of similar length the operator's priority decides.
 fn prefill_urgency(exchange: &Exchange, prefill_tokens: u32) -> u32 {
     if exchange.request.deferrable_share.is_some() {
         return DEFERRABLE_URGENCY;
     }
-    let size = match prefill_tokens {
+    let length_class = match prefill_tokens {
         0..SHORT_PREFILL_TOKENS => 0,
         SHORT_PREFILL_TOKENS..MEDIUM_PREFILL_TOKENS => 2,
         _ => 4,
     };
-    (1 + size + exchange.priority.min(1)).min(MAX_INTERACTIVE_URGENCY)
+    (1 + length_class + exchange.priority.min(1)).min(MAX_INTERACTIVE_URGENCY)
 }
 
-/// Records an engine as the owner of the prompt's prefixes, here and in the catalog. Returns how many registrations
-/// were sent.
+/// Records an engine as the owner of the prompt's prefixes, here and in the catalog. Returns the number of
+/// registrations.
 fn register(exchange: &Exchange, engine_index: usize) -> u32 {
     let now = clock::now();
     let (id, load) = {
@@ -145,11 +145,11 @@
     count
 }
 
-/// Carries out both phases. Returns the index of the engine that responds, and its response.
+/// Executes both phases. Returns the index of the responding engine, and its response.
 ///
 /// # Errors
 ///
-/// Returns what the client is answered where no engine responds.
+/// Returns the failure to report to the client if no engine responds.
 pub async fn execute(exchange: &mut Exchange) -> Result<(usize, EngineResponse), Failure> {
     exchange.prefix_owners = plan::look_up_owners(&exchange.state, &exchange.request, exchange.service).await;
     let prefill_engine = match prefill(exchange).await {
@@ -160,13 +160,13 @@
     if let Some(engine_index) = prefill_engine {
         let registration_count = register(exchange, engine_index);
         let dropped_count = exchange.state.prefix_catalog.flush(registration_count).await;
-        // A dropped registration only means that others will not find this KV cache: the hand-over goes on.
+        // A dropped registration only keeps other requests from finding this KV cache, so this request continues.
         exchange.state.owner_cache().counts.dropped += u64::from(dropped_count);
     }
     decode(exchange, prefill_engine).await
 }
 
-/// Selects the engine that decodes, and the KV handle that it starts from.
+/// Selects the engine that decodes, and takes the KV handle from which it fetches the KV cache, if there is one.
 fn select_decode_engine(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Option<(usize, Option<KvHandle>)> {
     let (tokens, placement_hash) = (exchange.request.prompt_tokens(), plan::placement_hash(&exchange.request));
     let owners = exchange.prefix_owners.clone();
@@ -184,12 +184,12 @@
         }
         exchange.hold_kv_handle(handle);
         exchange.version_bounds()?;
-        // No decode engine has the weights that prefilled it: one within the limit prefills it itself.
+        // No decode engine has the weights of the prefill: one within the staleness limit prefills the prompt itself.
         exchange.release_kv_handle();
     }
 }
 
-/// Sends to a decode engine, with the KV handle where there is one, until one responds.
+/// Sends the request to decode engines, with the KV handle if there is one, until one of them responds.
 async fn decode(exchange: &mut Exchange, prefill_engine: Option<usize>) -> Result<(usize, EngineResponse), Failure> {
     loop {
         let Some((engine_index, handle)) = select_decode_engine(exchange, prefill_engine) else {
@@ -203,8 +203,8 @@
         let kv_source = handle.as_ref().map(|handle| format!("{}/{}", handle.endpoint.addr, handle.id));
         let options = SendOptions { kv_source, urgency: exchange.urgency(), ..Default::default() };
         exchange.sends += 1;
-        let may_move = exchange.may_retry();
-        let outcome = exchange.send(engine_index, options, prefill_tokens, may_move).await;
+        let may_reroute = exchange.may_retry();
+        let outcome = exchange.send(engine_index, options, prefill_tokens, may_reroute).await;
         if let SendOutcome::Response(response) = outcome {
             exchange.complete_prefill(engine_index);
             if response.head.status.is_success() {
@@ -219,7 +219,7 @@
             SendOutcome::Unsent(_) => exchange.sends -= 1,
             SendOutcome::Lost => {
                 exchange.may_have_run = true;
-                // No other engine may name the handle: this one may still fetch the KV cache.
+                // The handle must not be sent to another engine, since this one may still fetch the KV cache.
                 exchange.release_kv_handle();
                 if !exchange.is_repeatable {
                     return Err(forward::failure_for(exchange));
@@ -237,7 +237,8 @@
     engine_table.estimated_load(engine_index, clock::now()) >= f64::from(engine_table.engines[engine_index].slots)
 }
 
-/// Gives up a KV handle whose KV cache can't be fetched: its engine is suppressed for these keys, not for the request.
+/// Releases a KV handle whose KV cache could not be fetched. Its engine is suppressed as an owner of these keys, but
+/// may still serve the request.
 fn abandon_handle(exchange: &mut Exchange) {
     if let Some(prefill_engine) = exchange.kv_handle_engine() {
         let now = clock::now();
--- a/router/src/proxy/response_body.rs
+++ b/router/src/proxy/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client: a bounded channel that ends as complete only when told so.
+//! The body of a response on its way to a client: a bounded channel that ends as complete only on `finish`.
 
 use std::io;
 use std::pin::Pin;
@@ -8,10 +8,10 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc::{self, Receiver, Sender};
 
-/// How many chunks may wait for a slow client.
+/// Number of chunks that are buffered for a slow client.
 const CHANNEL_CAPACITY: usize = 16;
 
-/// What goes through the channel.
+/// An item in the channel.
 enum Chunk {
     /// Bytes of the body.
     Data(Bytes),
@@ -19,12 +19,11 @@
     End,
 }
 
-/// Sends a body to a client. Invariant: only `finish` ends the body as complete; a sender that is dropped before aborts
-/// it.
+/// Sends a body to a client. Invariant: only `finish` ends the body as complete; dropping the sender before aborts it.
 pub struct BodySender(Sender<Chunk>);
 
 impl BodySender {
-    /// Sends bytes. Returns false where the client is gone.
+    /// Sends bytes. Returns false if the client has disconnected.
     pub async fn send_data(&self, data: Bytes) -> bool {
         data.is_empty() || self.0.send(Chunk::Data(data)).await.is_ok()
     }
@@ -34,13 +33,13 @@
         let _ = self.0.send(Chunk::End).await;
     }
 
-    /// Waits until the client is gone.
-    pub async fn client_gone(&self) {
+    /// Waits until the client has disconnected.
+    pub async fn client_disconnected(&self) {
         self.0.closed().await;
     }
 }
 
-/// Returns both ends of a body; `length` is its length in bytes, where the engine declared one.
+/// Returns the sending and the receiving end of a body; `length` is its length in bytes, if the engine declared one.
 pub fn channel(length: Option<u64>) -> (BodySender, ForwardedBody) {
     let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
     (BodySender(sender), ForwardedBody { chunks, length })
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -23,41 +23,41 @@
 use crate::state::State;
 use crate::upstream::connection_pool::{Connection, Endpoint, SendError};
 
-/// How long freeing a KV cache may take.
+/// Timeout for freeing a KV cache.
 const FREE_HANDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What came of one send.
+/// Outcome of one send.
 pub enum SendOutcome {
-    /// The engine executed the request and responds.
+    /// The engine executed the request and responded.
     Response(Box<EngineResponse>),
     /// Nothing of the request reached the engine.
     Unsent(SendError),
-    /// The engine says that it has not executed the request.
+    /// The engine confirms that it has not executed the request.
     NotExecuted,
     /// Not executed: the address belongs to another engine.
     OtherEngine,
-    /// Not executed: its weights have another version, this one where it said so.
+    /// Not executed: the engine's weights have another version, given here if the engine named it.
     OtherVersion(Option<u64>),
     /// The request may have been executed, and there is no response to forward.
     Lost,
 }
 
-/// What a send sets besides the client's own headers.
+/// Options of one send, which add headers to the client's own.
 #[derive(Default)]
 pub struct SendOptions {
-    /// Time that the engine has, in milliseconds.
+    /// Time budget of the engine, in milliseconds.
     pub time_budget_ms: u64,
     /// Whether the engine only prefills the prompt.
     pub is_prefill: bool,
     /// Address and KV handle from which the engine fetches the KV cache.
     pub kv_source: Option<String>,
-    /// The event after which a stream is resumed.
+    /// Id of the event after which a stream is resumed.
     pub last_event_id: Option<HeaderValue>,
-    /// Urgency class; smaller goes first.
+    /// Urgency class; smaller ones go first.
     pub urgency: Option<u32>,
     /// The version that the engine's weights must have.
     pub expected_version: Option<u64>,
-    /// Name of the route, where it has a staleness limit.
+    /// Name of the route, if it has a staleness limit.
     pub bounded_route: Option<String>,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Returns the request as it is sent to an engine.
+/// Builds the request that is sent to an engine.
 fn build_request(request: &request::Request, engine: &str, options: &SendOptions) -> http::Request<Full<Bytes>> {
     let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
@@ -105,14 +105,14 @@
     outgoing
 }
 
-/// A connection to send on.
+/// A connection for one send.
 struct PooledConnection {
     connection: Connection,
-    /// Whether it was dialled for this send.
+    /// Whether it was opened for this send.
     is_new: bool,
 }
 
-/// Takes an idle connection from the pool, or dials one.
+/// Takes an idle connection from the pool, or opens one.
 async fn connect(state: &State, endpoint: &Endpoint, max_connections: usize) -> Result<PooledConnection, SendError> {
     if let Some(connection) = state.connection_pools.take_idle(endpoint) {
         return Ok(PooledConnection { connection, is_new: false });
@@ -122,8 +122,8 @@
     Ok(PooledConnection { connection, is_new: true })
 }
 
-/// Sends the request to one engine. The head of the response may take `timeout_ms`; a connection that turns out to have
-/// ended before anything was written is replaced by the next.
+/// Sends the request to one engine, and waits up to `timeout_ms` for the head of the response. If a reused connection
+/// turns out to have been closed before anything was written, the next one is tried.
 pub async fn send(
     state: &State,
     request: &request::Request,
@@ -137,7 +137,7 @@
     let deadline = Instant::now() + Duration::from_millis(timeout_ms);
     loop {
         let PooledConnection { mut connection, is_new } = match connect(state, endpoint, max_connections).await {
-            Ok(connected) => connected,
+            Ok(pooled) => pooled,
             Err(error) => return SendOutcome::Unsent(error),
         };
         if !satisfies_bound(state, service, &request.model, options) {
@@ -150,7 +150,7 @@
             Err(_) => return SendOutcome::Lost,
             Ok(Ok(response)) => response,
             Ok(Err(mut error)) => match error.take_message() {
-                // Never written: the connection had ended before.
+                // Nothing was written: the connection was already closed.
                 Some(unwritten) if !is_new => {
                     outgoing = unwritten;
                     continue;
@@ -164,8 +164,8 @@
     }
 }
 
-/// Returns the outcome that a response stands for. One that is not forwarded is read to its end, so that its connection
-/// can be used again.
+/// Returns the outcome that a response represents. A response that is not forwarded is drained, so that its connection
+/// can be reused.
 async fn classify_response(
     state: &State,
     request: &request::Request,
@@ -194,7 +194,7 @@
     outcome
 }
 
-/// Frees the KV cache that a handle stands for. Tried once, since the handle expires by itself.
+/// Frees the KV cache of a handle. Tried only once, since the handle expires by itself.
 pub async fn free_kv_handle(state: &State, handle: &KvHandle, max_connections: usize) {
     let mut outgoing = http::Request::new(Full::new(Bytes::new()));
     *outgoing.method_mut() = Method::DELETE;
@@ -210,11 +210,11 @@
             Err(_) => return,
         },
     };
-    let sent = time::timeout(FREE_HANDLE_TIMEOUT, connection.send_request(outgoing)).await;
-    let Ok(Ok(response)) = sent else { return };
+    let result = time::timeout(FREE_HANDLE_TIMEOUT, connection.send_request(outgoing)).await;
+    let Ok(Ok(response)) = result else { return };
     let (head, body) = response.into_parts();
     if !response_head::matches_attempt(&head.headers, None) {
-        // The response to another request: that to this one would be the next, so the connection is dropped.
+        // This responds to another request, and the response to this one would follow, so the connection is dropped.
         return;
     }
     engine_response::drain_body(state, &handle.endpoint, EngineResponse { head, body, connection }).await;
--- a/router/src/proxy/stream.rs
+++ b/router/src/proxy/stream.rs
@@ -1,4 +1,4 @@
-//! Streams a response to the client as it comes, resumed at another engine where that is allowed.
+//! Streams a response to the client as it arrives, and resumes it at another engine where that is allowed.
 
 use std::time::Duration;
 
@@ -20,17 +20,17 @@
 use crate::rollout::VersionOutcome;
 use crate::upstream::suspicion::{self, LIVENESS_TIMEOUT_MS};
 
-/// How many engines are asked to resume one broken stream.
+/// Maximum number of engines that are asked to resume one broken stream.
 const MAX_RESUMPTION_SENDS: usize = 3;
 
 /// How the body of a response ended.
 enum BodyEnd {
-    /// As its framing says.
+    /// At the end given by its framing.
     Complete,
     /// The connection or the engine failed.
     Broken,
     /// The client disconnected.
-    ClientGone,
+    ClientDisconnected,
 }
 
 /// Returns a response with the engine's head, and spawns a task that streams its body.
@@ -64,7 +64,7 @@
         let end = forward_body(exchange, engine_index, &mut response, &mut splitter, sender).await;
         exchange.end_send(engine_index);
         match end {
-            BodyEnd::ClientGone => return,
+            BodyEnd::ClientDisconnected => return,
             BodyEnd::Complete => {
                 sender.finish().await;
                 if is_success {
@@ -96,18 +96,18 @@
 ) -> BodyEnd {
     let interval = Duration::from_millis(LIVENESS_TIMEOUT_MS);
     let is_streaming = exchange.is_streaming();
-    let may_move = exchange.is_resumable() && exchange.may_retry();
+    let may_reroute = exchange.is_resumable() && exchange.may_retry();
     let is_framed = response.is_framed();
-    let mut last_seen_at = clock::now();
+    let mut last_data_at = clock::now();
     loop {
         let frame = tokio::select! {
             frame = time::timeout(interval, response.body.frame()) => frame,
-            () = sender.client_gone() => return BodyEnd::ClientGone,
+            () = sender.client_disconnected() => return BodyEnd::ClientDisconnected,
         };
         let data = match frame {
             Err(_)
                 if exchange.remaining_ms() == 0
-                    || (exchange.check_unresponsive(engine_index, last_seen_at) && may_move) =>
+                    || (exchange.check_unresponsive(engine_index, last_data_at) && may_reroute) =>
             {
                 return BodyEnd::Broken
             }
@@ -117,19 +117,19 @@
             Ok(Some(Err(_))) => return BodyEnd::Broken,
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
         };
-        last_seen_at = clock::now();
+        last_data_at = clock::now();
         let complete = if is_streaming { splitter.feed(&data) } else { data };
         if !sender.send_data(complete).await {
-            return BodyEnd::ClientGone;
+            return BodyEnd::ClientDisconnected;
         }
     }
 }
 
-/// Sends what is left of a complete body.
+/// Sends the remaining bytes of a complete body.
 async fn send_rest(splitter: &mut EventSplitter, sender: &BodySender) -> BodyEnd {
     match sender.send_data(splitter.take_partial_event()).await {
         true => BodyEnd::Complete,
-        false => BodyEnd::ClientGone,
+        false => BodyEnd::ClientDisconnected,
     }
 }
 
@@ -154,8 +154,8 @@
             let last_event_id = self.resumption_point(splitter);
             let options = SendOptions { last_event_id, urgency: self.urgency(), ..Default::default() };
             self.sends += 1;
-            let may_move = self.may_retry();
-            match self.send(next, options, tokens, may_move).await {
+            let may_reroute = self.may_retry();
+            match self.send(next, options, tokens, may_reroute).await {
                 SendOutcome::Response(response) if is_sealed(&response) => return Some((next, *response)),
                 SendOutcome::Response(_) => self.end_send(next),
                 SendOutcome::Unsent(_) => self.sends -= 1,
@@ -166,8 +166,8 @@
         None
     }
 
-    /// Returns the id of the event after which the stream resumes: the last one forwarded, else the one that the client
-    /// asked to resume after.
+    /// Returns the id of the event after which the stream resumes: the last one forwarded, or else the one after which
+    /// the client asked to resume.
     fn resumption_point(&self, splitter: &EventSplitter) -> Option<HeaderValue> {
         match &splitter.last_event_id {
             Some(last_event_id) => HeaderValue::from_str(last_event_id).ok(),
--- a/router/src/proxy/stream_duration_tests.rs
+++ b/router/src/proxy/stream_duration_tests.rs
@@ -1,4 +1,4 @@
-//! How long streams are expected to take.
+//! Tests the expected duration of streams.
 
 use super::{StreamDuration, StreamTimes};
 
@@ -7,20 +7,20 @@
 }
 
 #[test]
-fn a_stream_of_more_tokens_is_expected_to_take_longer() {
+fn expected_duration_grows_with_the_number_of_output_tokens() {
     let duration = StreamDuration::default();
     assert_eq!(duration.expected_ms(10), None);
-    (0..200).for_each(|step| duration.record(times(100, 20 + step % 80)));
+    (0..200).for_each(|number| duration.record(times(100, 20 + number % 80)));
     assert_eq!(duration.expected_ms(0), Some(250));
     assert_eq!(duration.expected_ms(100), Some(1250));
 }
 
 #[test]
-fn a_few_streams_that_took_long_do_not_raise_the_estimate_for_all() {
+fn occasional_slow_streams_do_not_dominate_the_estimate() {
     let duration = StreamDuration::default();
-    for step in 0..1000 {
-        duration.record(times(if step % 10 == 0 { 1000 } else { 100 }, 20));
+    for number in 0..1000 {
+        duration.record(times(if number % 10 == 0 { 1000 } else { 100 }, 20));
     }
-    let expected = duration.expected_ms(0).expect("recorded");
+    let expected = duration.expected_ms(0).expect("an estimate after recorded streams");
     assert!((300..700).contains(&expected), "{expected}");
 }
--- a/router/src/upstream/connection_pool.rs
+++ b/router/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: reused while the engine keeps them open, and never more than this router's share.
+//! Connections to engines: reused while the engine keeps them open, and limited to this router's share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,8 +18,8 @@
 /// An HTTP/1.1 connection to an engine.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// Where an engine is reached. An address may pass to another engine; connections to the previous one are of no use
-/// to it.
+/// The address and id of an engine. An address may be reassigned to another engine; connections to the previous one are
+/// not reused then.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The address, `ip:port`.
@@ -28,18 +28,18 @@
     pub engine: String,
 }
 
-/// A connection that waits to be reused.
-struct Idle {
+/// A connection that may be reused.
+struct IdleConnection {
     connection: Connection,
-    /// Its engine may close it after this time.
-    until: u64,
+    /// When its engine may close it, in milliseconds of the steady clock.
+    expires_at_ms: u64,
     engine: String,
 }
 
 /// The connections to one address. Invariant: `count` is the number of those that are open or being opened.
 #[derive(Default)]
 struct EndpointPool {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     count: Arc<AtomicUsize>,
 }
 
@@ -47,34 +47,34 @@
 #[derive(Default)]
 pub struct ConnectionPools(Mutex<HashMap<String, EndpointPool>>);
 
-/// How long an idle connection is reused whose engine named no time, in milliseconds.
+/// Keep-alive timeout of connections whose engine names none, in milliseconds.
 const DEFAULT_KEEP_ALIVE_MS: u64 = 700;
-/// How much sooner than its engine a router closes a connection, in milliseconds.
+/// How long before its engine's keep-alive timeout a connection is no longer reused, in milliseconds.
 const KEEP_ALIVE_MARGIN_MS: u64 = 300;
-/// How long a connection may take to be established, in milliseconds.
+/// Timeout for establishing a connection, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 400;
 
 /// Why a request was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// This router's share of connections is in use.
+    /// All connections of this router's share are in use.
     PoolExhausted,
     /// The connection was refused or not established in time.
     Unreachable,
-    /// The limit on stale weights rose, or its lease lapsed, before anything was written.
+    /// The required weight version rose, or the lease of the staleness limit expired, before anything was written.
     TooStale,
-    /// The key of the request was revoked, or passed to another tenant, before anything was written.
+    /// The API key of the request was revoked, or assigned to another tenant, before anything was written.
     Unauthorized,
 }
 
 impl ConnectionPools {
-    /// Takes an idle connection to this very engine, and drops unusable ones on the way.
+    /// Takes an idle connection to exactly this engine, and drops unusable ones that it finds first.
     pub fn take_idle(&self, to: &Endpoint) -> Option<Connection> {
         let now = clock::now();
         let mut pools = self.0.lock();
         let pool = pools.get_mut(&to.addr)?;
         while let Some(idle) = pool.idle.pop() {
-            if now < idle.until && idle.engine == to.engine && idle.connection.is_ready() {
+            if now < idle.expires_at_ms && idle.engine == to.engine && idle.connection.is_ready() {
                 return Some(idle.connection);
             }
         }
@@ -84,7 +84,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// `PoolExhausted` if `max_connections` to the address are open already, `Unreachable` if it is not
+    /// `PoolExhausted` if `max_connections` to the address are open already, `Unreachable` if the connection cannot be
     /// established.
     pub async fn dial(&self, dialer: Dialer, to: &Endpoint, max_connections: usize) -> Result<Connection, SendError> {
         let count = self.0.lock().entry(to.addr.clone()).or_default().count.clone();
@@ -96,25 +96,29 @@
         let stream =
             dialer.connect(&to.addr, CONNECT_TIMEOUT_MS, IO_TIMEOUT_MS).await.map_err(|_| SendError::Unreachable)?;
         let io = TokioIo::new(stream);
-        let (connection, conn) = http1::handshake(io).await.map_err(|_| SendError::Unreachable)?;
+        let (connection, driver) = http1::handshake(io).await.map_err(|_| SendError::Unreachable)?;
         tokio::spawn(async move {
-            let _ = conn.await;
+            let _ = driver.await;
             drop(slot);
         });
         Ok(connection)
     }
 
-    /// Returns a connection for reuse after its response was read completely. `keep_alive_s`: the time that the
-    /// engine named, in whole seconds rounded down; `None` if it named none.
+    /// Returns a connection to its pool after its response was read completely. `keep_alive_s` is the keep-alive
+    /// timeout that the engine named, in whole seconds rounded down; `None` if it named none.
     pub fn release(&self, to: &Endpoint, connection: Connection, keep_alive_s: Option<u64>) {
         let now = clock::now();
-        let span =
+        let keep_alive_ms =
             keep_alive_s.map_or(DEFAULT_KEEP_ALIVE_MS, |seconds| (seconds * 1000).saturating_sub(KEEP_ALIVE_MARGIN_MS));
         let mut pools = self.0.lock();
         let pool = pools.entry(to.addr.clone()).or_default();
-        pool.idle.retain(|idle| now < idle.until && !idle.connection.is_closed());
-        if span > 0 {
-            pool.idle.push(Idle { connection, until: now + span, engine: to.engine.clone() });
+        pool.idle.retain(|idle| now < idle.expires_at_ms && !idle.connection.is_closed());
+        if keep_alive_ms > 0 {
+            pool.idle.push(IdleConnection {
+                connection,
+                expires_at_ms: now + keep_alive_ms,
+                engine: to.engine.clone(),
+            });
         }
     }
 
@@ -142,13 +146,13 @@
     }
 }
 
-/// Returns N of the header `Keep-Alive: timeout=N`.
+/// Returns the number of seconds in a header `Keep-Alive: timeout=N`.
 pub fn keep_alive_seconds(head: &HeaderMap) -> Option<u64> {
     let text = head.get("keep-alive")?.to_str().ok()?;
-    text.split(',').find_map(|piece| piece.trim().strip_prefix("timeout=")?.trim().parse().ok())
+    text.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
-/// Returns whether a header `Connection` contains the text `close`, in upper or lower case.
+/// Returns whether a `Connection` header contains the text `close`, in any case.
 pub fn requests_close(head: &HeaderMap) -> bool {
     let list = head.get_all(CONNECTION);
     list.iter().any(|value| value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close")))
--- a/router/src/upstream/probe_rate.rs
+++ b/router/src/upstream/probe_rate.rs
@@ -1,46 +1,46 @@
-//! How many of the routers that know of a suspected engine probe it, and how often.
+//! Limits how many routers probe a suspected engine, and how often.
 
-/// The pause before the next probe where few routers probe, in milliseconds.
+/// Interval between probes while few routers probe, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 300;
-/// Of many routers only about so many probe a suspected engine at once and in each interval; the rest rely on their
+/// Approximate number of routers that probe a suspected engine at once and in each interval; the others rely on their
 /// reports.
 const TARGET_PROBERS: u64 = 8;
-/// The longest interval of a router that has seen for itself that the engine does not respond, in milliseconds.
+/// Maximum interval, before jitter, of a router whose own probes got no response, in milliseconds.
 const MAX_PROBE_INTERVAL_MS: u64 = 3000;
-/// Sampled routers begin to probe spread over this time, in milliseconds, so that the first to find out can report
-/// to the others.
+/// Maximum jitter before the first probe of a sampled router, in milliseconds, so that the first to get a result can
+/// report it to the others.
 pub const PROBE_JITTER_MS: u64 = 80;
-/// How long a suspected engine is avoided, in milliseconds; a probe that is answered ends it earlier.
+/// How long a suspected engine is avoided, in milliseconds, unless it responds to a probe earlier.
 pub const SUSPICION_MS: u64 = 20_000;
 
-/// Returns the delay before the next probe, in milliseconds, after `unanswered` probes. The second comes soon, so
-/// that a false alarm is short.
-pub fn probe_delay(unanswered: u32, routers: u32, roll: u64) -> u64 {
+/// Returns the delay before the next probe, in milliseconds, after `unanswered` probes without a response. The second
+/// probe follows soon, so that a false suspicion is short.
+pub fn probe_delay(unanswered: u32, routers: u32, random: u64) -> u64 {
     if unanswered < 2 {
         return PROBE_INTERVAL_MS;
     }
-    with_jitter(shared_interval(routers).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS), roll)
+    with_jitter(shared_interval(routers).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS), random)
 }
 
-/// Returns the delay before the first probe of a router that only has a report, in milliseconds: of all such
-/// routers some probe in each interval.
-pub fn reported_probe_delay(routers: u32, roll: u64) -> u64 {
-    with_jitter(shared_interval(routers).clamp(PROBE_INTERVAL_MS, SUSPICION_MS), roll)
+/// Returns the delay before the first probe of a router that knows of the suspicion only from a report, in
+/// milliseconds. The probes of all such routers are spread so that some of them probe in each interval.
+pub fn reported_probe_delay(routers: u32, random: u64) -> u64 {
+    with_jitter(shared_interval(routers).clamp(PROBE_INTERVAL_MS, SUSPICION_MS), random)
 }
 
-/// Returns the interval that gives the wanted rate of probes over all routers, in milliseconds.
+/// Returns the interval per router that yields the target rate of probes over all routers, in milliseconds.
 fn shared_interval(routers: u32) -> u64 {
     PROBE_INTERVAL_MS * u64::from(routers) / TARGET_PROBERS
 }
 
-/// Returns a value between 3/4 and 5/4 of `mean`.
-fn with_jitter(mean: u64, roll: u64) -> u64 {
-    mean * 3 / 4 + roll % (mean / 2)
+/// Returns a random value between 3/4 and 5/4 of `mean`.
+fn with_jitter(mean: u64, random: u64) -> u64 {
+    mean * 3 / 4 + random % (mean / 2)
 }
 
-/// Returns whether this router is one of those that probe.
-pub fn is_sampled(routers: u32, roll: u64) -> bool {
-    roll % u64::from(routers.max(1)) < TARGET_PROBERS
+/// Returns whether this router is sampled to probe the engine.
+pub fn is_sampled(routers: u32, random: u64) -> bool {
+    random % u64::from(routers.max(1)) < TARGET_PROBERS
 }
 
 #[cfg(test)]
--- a/router/src/upstream/suspicion_report.rs
+++ b/router/src/upstream/suspicion_report.rs
@@ -1,77 +1,77 @@
-//! What routers report to one another about a suspected engine, through the controllers.
+//! Reports about suspected engines that routers send to one another through the controllers.
 //!
-//! An engine that one zone cannot reach may be well for another: whether it responds is reported with the zone that it was
-//! seen from.
+//! An engine that is unreachable from one zone may be healthy from another, so a report of whether it responds names
+//! the zone that it was probed from.
 
-/// A report about one engine. It travels as the engine's id with a prefix; peers of earlier versions know no engine
-/// of a prefixed name and ignore it.
+/// A report about one engine. On the wire it is the engine's id, with a prefix in all but the first variant; peers of
+/// earlier versions know no engine with a prefixed id and ignore the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionReport<'a> {
-    /// It gave a router no sign of life: some others probe it.
+    /// A router's request got no response: a sample of the other routers probes the engine.
     Suspected(&'a str),
-    /// A router that was sampled got no response either.
-    Unresponsive(Sighting<'a>),
-    /// It responds again.
-    Responded(Sighting<'a>),
+    /// The probe of a sampled router got no response either.
+    Unresponsive(ProbeResult<'a>),
+    /// The engine responds again.
+    Responded(ProbeResult<'a>),
 }
 
-/// What a probe showed of an engine.
+/// The engine that was probed, and from where.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sighting<'a> {
+pub struct ProbeResult<'a> {
     /// The id of the engine.
     pub engine: &'a str,
-    /// The zone of the router that probed it; `None` from routers that do not tell it.
-    pub seen_from: Option<&'a str>,
+    /// The zone of the router that probed it; `None` if the router did not name it.
+    pub probed_from: Option<&'a str>,
 }
 
-impl Sighting<'_> {
-    /// Returns whether it holds for routers of a zone.
-    pub fn holds_in(&self, zone: &str) -> bool {
-        self.seen_from.is_none_or(|seen_from| seen_from == zone)
+impl ProbeResult<'_> {
+    /// Returns whether the result applies to the routers of a zone.
+    pub fn applies_to(&self, zone: &str) -> bool {
+        self.probed_from.is_none_or(|probed_from| probed_from == zone)
     }
 }
 
-/// The prefix of an unresponsive engine's id.
+/// Prefix of the id of an unresponsive engine.
 const UNRESPONSIVE_PREFIX: &str = "\0dark";
-/// The prefix of the id of an engine that responds again.
+/// Prefix of the id of an engine that responds again.
 const RESPONDED_PREFIX: &str = "\0calm";
-/// Stands before the zone in a prefix.
+/// Precedes the zone in a prefix.
 const ZONE_MARK: char = '@';
 /// Ends a prefix.
 const PREFIX_END: char = '/';
 
-/// Decodes what follows a prefix: the zone, if it is told, and the engine.
-fn decode_sighting(text: &str) -> Option<Sighting<'_>> {
+/// Decodes the text after a prefix: the zone, if it is named, and the engine.
+fn decode_probe_result(text: &str) -> Option<ProbeResult<'_>> {
     if let Some(engine) = text.strip_prefix(PREFIX_END) {
-        return Some(Sighting { engine, seen_from: None });
+        return Some(ProbeResult { engine, probed_from: None });
     }
     let (zone, engine) = text.strip_prefix(ZONE_MARK)?.split_once(PREFIX_END)?;
-    Some(Sighting { engine, seen_from: Some(zone) })
+    Some(ProbeResult { engine, probed_from: Some(zone) })
 }
 
-fn encode_sighting(prefix: &str, sighting: Sighting<'_>) -> String {
-    match sighting.seen_from.filter(|zone| !zone.contains(PREFIX_END)) {
-        Some(zone) => format!("{prefix}{ZONE_MARK}{zone}{PREFIX_END}{}", sighting.engine),
-        None => format!("{prefix}{PREFIX_END}{}", sighting.engine),
+fn encode_probe_result(prefix: &str, result: ProbeResult<'_>) -> String {
+    match result.probed_from.filter(|zone| !zone.contains(PREFIX_END)) {
+        Some(zone) => format!("{prefix}{ZONE_MARK}{zone}{PREFIX_END}{}", result.engine),
+        None => format!("{prefix}{PREFIX_END}{}", result.engine),
     }
 }
 
 impl<'a> SuspicionReport<'a> {
-    /// Decodes a report from its form on the wire.
+    /// Decodes a report from the wire.
     pub fn decode(name: &'a str) -> SuspicionReport<'a> {
-        let sighting = |prefix| name.strip_prefix(prefix).and_then(decode_sighting);
-        if let Some(unresponsive) = sighting(UNRESPONSIVE_PREFIX) {
+        let probe_result = |prefix| name.strip_prefix(prefix).and_then(decode_probe_result);
+        if let Some(unresponsive) = probe_result(UNRESPONSIVE_PREFIX) {
             return SuspicionReport::Unresponsive(unresponsive);
         }
-        sighting(RESPONDED_PREFIX).map_or(SuspicionReport::Suspected(name), SuspicionReport::Responded)
+        probe_result(RESPONDED_PREFIX).map_or(SuspicionReport::Suspected(name), SuspicionReport::Responded)
     }
 
     /// Encodes a report for the wire.
     pub fn encode(self) -> String {
         match self {
             SuspicionReport::Suspected(engine) => engine.into(),
-            SuspicionReport::Unresponsive(sighting) => encode_sighting(UNRESPONSIVE_PREFIX, sighting),
-            SuspicionReport::Responded(sighting) => encode_sighting(RESPONDED_PREFIX, sighting),
+            SuspicionReport::Unresponsive(result) => encode_probe_result(UNRESPONSIVE_PREFIX, result),
+            SuspicionReport::Responded(result) => encode_probe_result(RESPONDED_PREFIX, result),
         }
     }
 
@@ -79,7 +79,7 @@
     pub fn engine(self) -> &'a str {
         match self {
             SuspicionReport::Suspected(engine) => engine,
-            SuspicionReport::Unresponsive(sighting) | SuspicionReport::Responded(sighting) => sighting.engine,
+            SuspicionReport::Unresponsive(result) | SuspicionReport::Responded(result) => result.engine,
         }
     }
 }
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -1,4 +1,4 @@
-//! Suspected engines: which routers probe them, and which rely on reports.
+//! Tests which routers probe a suspected engine, and which rely on reports.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use crate::state::State;
 use crate::testing::engine::{answer, engines, Act, Engine};
 use crate::testing::router::router;
-use crate::upstream::suspicion_report::{Sighting, SuspicionReport};
+use crate::upstream::suspicion_report::{ProbeResult, SuspicionReport};
 
-async fn fleet() -> Vec<Engine> {
+async fn start_engine() -> Vec<Engine> {
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "{}"))).await
 }
 
@@ -19,7 +19,7 @@
     engines[0].id.clone()
 }
 
-/// Returns whether the engine is avoided.
+/// Returns whether new requests avoid the engine.
 fn is_avoided(state: &State) -> bool {
     state.engines().engines[0].suspected_until > clock::now()
 }
@@ -28,37 +28,37 @@
     state.engines().engines[0].is_probing
 }
 
-/// Waits until the prober has ended.
+/// Waits until the prober has finished.
 async fn probing_ended(state: &State) {
     let done = async {
         while is_probing(state) {
             task::yield_now().await;
         }
     };
-    time::timeout(Duration::from_secs(20), done).await.expect("it ends");
+    time::timeout(Duration::from_secs(20), done).await.expect("the prober finishes");
 }
 
-/// What a router of a zone saw of an engine; without a zone as routers of earlier versions tell it.
-fn seen<'a>(engine: &'a str, zone: Option<&'a str>) -> Sighting<'a> {
-    Sighting { engine, seen_from: zone }
+/// Returns the probe of an engine from a zone; without a zone as in reports of earlier versions.
+fn probe_result<'a>(engine: &'a str, zone: Option<&'a str>) -> ProbeResult<'a> {
+    ProbeResult { engine, probed_from: zone }
 }
 
 fn unresponsive(engine: &str, zone: Option<&str>) -> String {
-    SuspicionReport::Unresponsive(seen(engine, zone)).encode()
+    SuspicionReport::Unresponsive(probe_result(engine, zone)).encode()
 }
 
 fn responded(engine: &str, zone: Option<&str>) -> String {
-    SuspicionReport::Responded(seen(engine, zone)).encode()
+    SuspicionReport::Responded(probe_result(engine, zone)).encode()
 }
 
 #[test]
-fn reports_are_decoded_as_they_were_encoded_and_the_plain_id_is_a_suspicion() {
+fn encoded_reports_decode_to_themselves_and_a_plain_id_is_a_suspicion() {
     for report in [
         SuspicionReport::Suspected("i-1"),
-        SuspicionReport::Unresponsive(seen("i-1", None)),
-        SuspicionReport::Responded(seen("i-1", None)),
-        SuspicionReport::Unresponsive(seen("i-1", Some("z-2"))),
-        SuspicionReport::Responded(seen("i-1", Some("z-2"))),
+        SuspicionReport::Unresponsive(probe_result("i-1", None)),
+        SuspicionReport::Responded(probe_result("i-1", None)),
+        SuspicionReport::Unresponsive(probe_result("i-1", Some("z-2"))),
+        SuspicionReport::Responded(probe_result("i-1", Some("z-2"))),
     ] {
         assert_eq!((SuspicionReport::decode(&report.encode()), report.engine()), (report, "i-1"));
     }
@@ -67,78 +67,78 @@
     assert_eq!(responded("i-1", None), "\0calm/i-1", "as earlier versions tell it");
 }
 
-// Users saw requests wait for seconds while one hall was cut off and connections into it were refused, though each side had
-// engines enough. Routers of one side told that the engines of the other did not respond; routers beside those engines
-// believed it, so that few engines got all prompts. Evidence: in logs of the cut, routers of all zones avoided engines of
-// their own zone, probed them without pause, and the busiest engine got 2.3 times the mean (1.4 where no report got through).
+// Guards against routers that trust reports from another zone during a network partition. Routers on one side reported
+// the engines of the other side as unresponsive, and routers next to those engines avoided them and probed them without
+// pause. The few remaining engines got all prompts (the busiest 2.3 times the mean, 1.4 times where no report got
+// through), and requests waited for seconds.
 #[tokio::test]
-async fn an_engine_that_another_zone_cannot_reach_is_not_avoided_here() {
-    let list = fleet().await;
+async fn engine_reported_unresponsive_from_another_zone_is_probed_and_not_avoided() {
+    let list = start_engine().await;
     let state = router(&list);
     handle_report(&state, &unresponsive(&id(&list), Some("elsewhere")));
-    assert!(!is_avoided(&state), "one that is beside it sees for itself");
+    assert!(!is_avoided(&state), "a report from another zone does not apply here");
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
     assert_eq!(list[0].probes(), 1, "the only router is always sampled");
     handle_report(&state, &unresponsive(&id(&list), Some(&state.settings.zone)));
-    assert!(is_avoided(&state), "what this zone sees holds");
+    assert!(is_avoided(&state), "a report from this zone applies");
 }
 
 #[tokio::test]
-async fn a_response_to_another_zone_makes_a_router_look_and_clears_nothing_by_itself() {
-    let list = fleet().await;
+async fn response_reported_from_another_zone_triggers_a_probe_but_clears_no_suspicion() {
+    let list = start_engine().await;
     let state = router(&list);
     state.subscribed().router_counts.push((clock::now(), 1000));
     handle_report(&state, &unresponsive(&id(&list), Some(&state.settings.zone)));
     state.subscribed().router_counts.clear();
     handle_report(&state, &responded(&id(&list), Some("elsewhere")));
-    assert!(is_avoided(&state), "not before a probe from here");
+    assert!(is_avoided(&state), "avoided until a probe from this zone gets a response");
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
     assert_eq!(list[0].probes(), 1);
 }
 
 #[tokio::test]
-async fn an_engine_reported_unresponsive_is_avoided_unprobed_until_it_is_reported_to_respond() {
-    let list = fleet().await;
+async fn engine_reported_unresponsive_is_avoided_without_probes_until_a_response_is_reported() {
+    let list = start_engine().await;
     let state = router(&list);
     handle_report(&state, &unresponsive(&id(&list), None));
     assert!(is_avoided(&state) && is_probing(&state));
     handle_report(&state, &responded(&id(&list), None));
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 0, "nobody asked it");
+    assert_eq!(list[0].probes(), 0, "it was not probed");
 }
 
 #[tokio::test]
-async fn a_suspicion_alone_stops_nothing_and_a_sampled_router_probes() {
-    let list = fleet().await;
+async fn reported_suspicion_makes_a_sampled_router_probe_and_does_not_avoid_the_engine() {
+    let list = start_engine().await;
     let state = router(&list);
     // The only router is always sampled.
     handle_report(&state, &SuspicionReport::Suspected(&id(&list)).encode());
-    assert!(!is_avoided(&state), "not before somebody got no answer");
+    assert!(!is_avoided(&state), "not avoided before a probe got no response");
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
     assert_eq!(list[0].probes(), 1);
 }
 
 #[tokio::test]
-async fn a_router_with_only_a_report_probes_at_once_when_its_own_request_gets_no_sign_of_life() {
-    let list = fleet().await;
+async fn router_with_only_a_report_probes_at_once_when_its_own_request_gets_no_response() {
+    let list = start_engine().await;
     let state = router(&list);
-    // Of a thousand routers each would otherwise probe after many seconds.
+    // With a thousand routers, each would otherwise probe only after many seconds.
     state.subscribed().router_counts.push((clock::now(), 1000));
     handle_report(&state, &unresponsive(&id(&list), None));
     raise(&state, 0);
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 1, "asked, and it answered");
+    assert_eq!(list[0].probes(), 1, "probed once, and it responded");
 }
 
 #[tokio::test]
-async fn a_response_in_flight_is_not_given_up_because_of_a_report() {
-    let list = fleet().await;
+async fn report_does_not_abort_a_response_in_flight() {
+    let list = start_engine().await;
     let state = router(&list);
     handle_report(&state, &unresponsive(&id(&list), None));
-    assert_eq!(state.engines().engines[0].last_failure_at, 0, "only own questions end an answer");
+    assert_eq!(state.engines().engines[0].last_failure_at, 0, "only this router's own probes abort a response");
 }
