--- a/router/src/kv/catalog_client.rs
+++ b/router/src/kv/catalog_client.rs
@@ -1,6 +1,6 @@
 //! The router's client of the prefix catalog, which one controller runs at a time.
 //!
-//! The catalog only makes requests faster: calls time out early, and a request is served without a response too.
+//! The catalog is only an optimization: calls time out early, and a request is also served without a response.
 
 use std::mem;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 
 /// Looks up and registers the owners of prefixes at the controller that runs the catalog.
 ///
-/// Invariant: each message carries the epoch of the catalog's owner that it was meant for; a response under another epoch
-/// is ignored.
+/// Invariant: each message carries the epoch of the catalog's owner for which it is meant; a response from another
+/// epoch is ignored.
 #[derive(Default)]
 pub struct CatalogClient {
     inner: Mutex<Inner>,
@@ -23,7 +23,7 @@
 /// The state behind the lock, which is never held over an await.
 #[derive(Default)]
 struct Inner {
-    /// The epoch of the owner; 0 before the first.
+    /// The epoch of the owner; 0 before the first owner is known.
     epoch: u64,
     /// The address of the controller that runs the catalog.
     owner: String,
@@ -33,12 +33,12 @@
     backoff_until_ms: u64,
     /// Registrations that could not be sent since the last flush.
     dropped_registrations: u32,
-    /// Whether messages of the first protocol version are used. An owner that does not respond may know only the other
-    /// version, so they alternate.
+    /// Whether messages of the first protocol version are used. An owner that does not respond may support only the
+    /// other version, so the client switches versions with each backoff.
     uses_first_version: bool,
 }
 
-/// The catalog's response to a look-up.
+/// The catalog's response to a lookup.
 pub struct LookupResult {
     /// For each key the engines that hold its prefix.
     pub owners: Vec<Vec<String>>,
@@ -46,15 +46,15 @@
     pub loads: Vec<EngineLoad>,
 }
 
-/// How long the catalog may take to respond.
+/// Timeout for a response of the catalog, in milliseconds.
 const RESPONSE_TIMEOUT_MS: u64 = 40;
-/// How long the catalog is not called after repeated timeouts.
+/// Backoff after consecutive timeouts, in milliseconds.
 const BACKOFF_MS: u64 = 600;
-/// Timeouts in a row that start a backoff.
+/// Number of consecutive timeouts that start a backoff.
 const TIMEOUTS_BEFORE_BACKOFF: u32 = 2;
 
 impl CatalogClient {
-    /// Sets the owner of the catalog. Returns true if it is a new one, which needs all registrations anew.
+    /// Sets the owner of the catalog. Returns true if its epoch is new: all registrations have to be sent to it again.
     pub fn set_owner(&self, epoch: u64, owner: &str, dialer: Dialer, port: u16) -> bool {
         let mut inner = self.inner.lock();
         if epoch <= inner.epoch || owner.is_empty() {
@@ -81,7 +81,7 @@
         Some((inner.epoch, inner.peer.clone()?))
     }
 
-    /// Counts a response or a timeout, and starts a backoff after repeated timeouts.
+    /// Records a response or a timeout, and starts a backoff after consecutive timeouts.
     fn record_response(&self, answered: bool) {
         let mut inner = self.inner.lock();
         inner.consecutive_timeouts = if answered { 0 } else { inner.consecutive_timeouts + 1 };
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Returns the owners of each key, and the loads of those and of the sampled engines; `None` without a response in time.
+    /// Returns the owners of each key, and the loads of the owners and the sampled engines; `None` without a response
+    /// in time.
     pub async fn look_up(&self, keys: &[u64], sample: Vec<u64>) -> Option<LookupResult> {
         let (epoch, peer) = self.peer(clock::now())?;
         let uses_first_version = self.inner.lock().uses_first_version;
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Registers owners without waiting for a response. Registrations that can't even be sent are counted and returned by
-    /// the next flush.
+    /// Registers owners without waiting for a response. Registrations that cannot be sent are counted, and the next
+    /// flush includes them in its result.
     pub fn register(&self, registrations: Vec<Record>, loads: Vec<EngineLoad>) {
         let count = registrations.len() as u32;
         let uses_first_version = self.inner.lock().uses_first_version;
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Waits until the `sent` registrations before it are delivered, and returns how many were lost: the barrier before a
-    /// request is handed from prefill to decode.
+    /// Waits until the `sent` preceding registrations are delivered, and returns how many were lost. This is the
+    /// barrier between the prefill and the decode phase of a request.
     pub async fn flush(&self, sent: u32) -> u32 {
         let dropped_before = mem::take(&mut self.inner.lock().dropped_registrations);
         let Some((epoch, peer)) = self.peer(clock::now()) else { return dropped_before };
--- a/router/src/kv/kv_handle.rs
+++ b/router/src/kv/kv_handle.rs
@@ -1,4 +1,4 @@
-//! The KV cache that a prefill engine holds for one request until a decode engine takes it over.
+//! Handles of the KV cache that a prefill engine holds for one request until a decode engine fetches it.
 
 use kernel::clock;
 
@@ -6,16 +6,16 @@
 use crate::proxy::send;
 use crate::upstream::connection_pool::Endpoint;
 
-/// The right to take over a KV cache. Invariants: it serves one request only, is named to one decode engine only, and is
-/// not named after `expires_at_ms`; a handle that is not taken over is released.
+/// The right to fetch a KV cache. Invariants: it serves one request only, is sent to one decode engine only, and is not
+/// sent after `expires_at_ms`; an unused handle is released.
 pub struct KvHandle {
-    /// Dense index of the engine that holds the cache.
+    /// Index of the engine that holds the cache.
     pub engine_index: usize,
     /// The address and id of that engine.
     pub endpoint: Endpoint,
-    /// The engine's name for the cache.
+    /// The engine's id for the cache.
     pub id: String,
-    /// When it may no longer be named, in milliseconds of the steady clock.
+    /// When it may no longer be sent to a decode engine, in milliseconds of the steady clock.
     pub expires_at_ms: u64,
 }
 
@@ -25,14 +25,14 @@
         self.kv_handle.as_ref().map(|handle| handle.engine_index)
     }
 
-    /// Keeps a handle, and releases the one that was kept before.
+    /// Stores a handle, and releases the one that was stored before.
     pub fn hold_kv_handle(&mut self, handle: KvHandle) {
         self.release_kv_handle();
         self.kv_handle = Some(handle);
     }
 
-    /// Takes the handle if it may still be named to a decode engine; otherwise releases it. Whoever takes it has to put it
-    /// back or name it.
+    /// Takes the handle if it may still be sent to a decode engine; otherwise releases it. The caller has to send it or
+    /// put it back.
     pub fn take_kv_handle(&mut self) -> Option<KvHandle> {
         let now = clock::now();
         let is_usable = self.kv_handle.as_ref().is_some_and(|handle| {
@@ -46,7 +46,8 @@
         self.kv_handle.take()
     }
 
-    /// Releases the handle, if there is one, at its engine: in the background, since the request need not wait for it.
+    /// Releases the handle at its engine, if there is one. This runs in the background, so that the request does not
+    /// wait.
     pub fn release_kv_handle(&mut self) {
         let Some(handle) = self.kv_handle.take() else { return };
         let state = self.state.clone();
--- a/router/src/kv/mod.rs
+++ b/router/src/kv/mod.rs
@@ -1,4 +1,4 @@
-//! KV cache that requests can reuse: prefix look-ups at the catalog, and handles of cache held for one request.
+//! Reuse of KV cache: prefix lookups in the catalog, and handles of cache that is held for one request.
 
 pub mod catalog_client;
 pub mod kv_handle;
--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -2,7 +2,7 @@
 //!
 //! A tenant's token bucket is divided into shards, each owned by one controller. The owners are called one after the
 //! other, starting with a random one so that the shards empty evenly. While none of them responds, the router grants
-//! from a small allowance of its own.
+//! tokens from a small allowance of its own.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,15 +22,15 @@
 use crate::proxy::exchange::Exchange;
 
 const MS_PER_S: f64 = 1000.0;
-/// How long a shard owner may take to respond.
+/// Timeout for a response of a shard owner, in milliseconds.
 const RESPONSE_TIMEOUT_MS: u64 = 60;
-/// How long a shard owner that did not respond is not called.
+/// Backoff of a shard owner that did not respond, in milliseconds.
 const BACKOFF_MS: u64 = 500;
-/// Longest time for which a tenant whose shards were all empty is rejected without a call.
+/// Maximum time for which a tenant whose shards were all empty is rejected without a call, in milliseconds.
 const EMPTY_CACHE_MS: u64 = 30;
-/// `Retry-After` for a tenant over its limit.
+/// Retry delay of a tenant over its limit, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
-/// `Retry-After` where no shard owner responded and the allowance is used up.
+/// Retry delay when no shard owner responded and the allowance is used up, in milliseconds.
 const LOCAL_RETRY_AFTER_MS: u64 = 200;
 
 /// The decision about a request of a tenant with a limit. The names of the variants are label values of metrics.
@@ -40,7 +40,7 @@
     Granted,
     /// All shards whose owners responded are empty.
     Denied,
-    /// They were empty a moment ago, so no owner was called.
+    /// All shards were empty a moment ago, so no owner was called.
     Remembered,
     /// No shard owner responded; the request is within this router's allowance.
     GrantedAlone,
@@ -113,17 +113,17 @@
     }
 
     /// Replaces the list of controllers that may own shards.
-    pub fn set_shard_owners(&self, list: &[ShardOwner]) {
+    pub fn set_shard_owners(&self, owners: &[ShardOwner]) {
         let mut inner = self.inner.lock();
-        inner.fingerprint = shard_owners_fingerprint(list);
+        inner.fingerprint = shard_owners_fingerprint(owners);
         inner.shard_owners =
-            list.iter().map(|owner| EligibleOwner { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
-        let known = inner.shard_owners.clone();
-        inner.clients.retain(|ip, _| known.iter().any(|owner| owner.ip == *ip));
-        inner.backoff_until.retain(|ip, _| known.iter().any(|owner| owner.ip == *ip));
+            owners.iter().map(|owner| EligibleOwner { ip: owner.ip.clone(), zone: owner.zone.clone() }).collect();
+        let eligible = inner.shard_owners.clone();
+        inner.clients.retain(|ip, _| eligible.iter().any(|owner| owner.ip == *ip));
+        inner.backoff_until.retain(|ip, _| eligible.iter().any(|owner| owner.ip == *ip));
     }
 
-    /// Returns the fingerprint of the list of shard owners, by which controllers see whether it is current.
+    /// Returns the fingerprint of the list of shard owners, from which controllers see whether the list is current.
     pub fn shard_owners_fingerprint(&self) -> u64 {
         self.inner.lock().fingerprint
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Decides by this router's own allowance.
+    /// Decides from this router's own allowance.
     fn decide_alone(&self, tenant: &str, quota: &Quota, router_count: u32) -> Decision {
         let now = clock::now();
         match self.inner.lock().allowances.try_acquire(tenant, quota, router_count, now) {
@@ -174,13 +174,13 @@
         let (dialer, port) = (self.dialer, self.peer_port);
         let client = |ip: String| {
             let start = || Arc::new(PeerClient::start(dialer, format!("{ip}:{port}"), None));
-            let client_of_owner = inner.clients.entry(ip.clone()).or_insert_with(start).clone();
-            (ip, client_of_owner)
+            let client = inner.clients.entry(ip.clone()).or_insert_with(start).clone();
+            (ip, client)
         };
         owners_in_order.into_iter().map(client).collect()
     }
 
-    /// Calls the shard owners one after the other until one issues a token.
+    /// Calls the shard owners one after another until one issues a token.
     async fn request_token(&self, tenant: &str, quota: &Quota, random: u64) -> TokenOutcome {
         let request = TokenRequest {
             tenant: tenant.into(),
--- a/router/src/limits/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -1,4 +1,4 @@
-//! A router and stand-ins for the controllers that own shards.
+//! Tests the quota gate of a router against fake controllers that own shards.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -38,14 +38,14 @@
     let settings = SETTINGS.replace("[7300, 7315]", &format!("[{port}, {port}]"));
     let settings =
         settings.replace("budget_slack = 0.0", "budget_slack = 0.0, quota_slack = 20.0, quota_overage = 0.1");
-    let gate = QuotaGate::new(&settings::parse(&settings).expect("good settings"));
+    let gate = QuotaGate::new(&settings::parse(&settings).expect("valid settings"));
     let owner = |ip: &&str| ShardOwner { ip: ip.to_string(), zone: ip.to_string() };
     gate.set_shard_owners(&ips.iter().map(owner).collect::<Vec<_>>());
     gate
 }
 
 #[tokio::test]
-async fn an_empty_shard_leads_to_the_next_and_all_empty_ones_deny() {
+async fn empty_shard_is_followed_by_the_next_and_a_request_is_denied_once_all_are_empty() {
     let (ips, port) = (["127.0.81.1", "127.0.81.2", "127.0.81.3"], 7381);
     controller(ips[0], port, Some(EMPTY)).await;
     controller(ips[1], port, Some(TokenResponse::Granted)).await;
@@ -58,23 +58,23 @@
     gate.set_shard_owners(&[owner(ips[0]), owner(ips[2])]);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Denied);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Remembered);
-    assert_eq!(gate.decide("other", &QUOTA, 9, 0).await, Decision::Denied, "each tenant by itself");
+    assert_eq!(gate.decide("other", &QUOTA, 9, 0).await, Decision::Denied, "only the tenant's own shards count");
 }
 
 #[tokio::test]
-async fn an_unresponsive_shard_owner_is_skipped_during_its_backoff() {
+async fn unresponsive_shard_owner_is_skipped_during_its_backoff() {
     let (ips, port) = (["127.0.82.1", "127.0.82.2"], 7382);
-    let silent = controller(ips[0], port, None).await;
+    let unresponsive = controller(ips[0], port, None).await;
     controller(ips[1], port, Some(TokenResponse::Granted)).await;
     let gate = gate(port, &ips);
     for random in 0..10 {
         assert_eq!(gate.decide("t", &QUOTA, 9, random).await, Decision::Granted);
     }
-    assert_eq!(silent.load(Ordering::Relaxed), 1);
+    assert_eq!(unresponsive.load(Ordering::Relaxed), 1);
 }
 
 #[tokio::test]
-async fn without_a_response_a_router_keeps_to_its_own_allowance() {
+async fn router_grants_only_its_own_allowance_while_no_shard_owner_responds() {
     let gate = gate(7383, &["127.0.83.1"]);
     let mut granted = 0;
     for random in 0..100 {
@@ -83,14 +83,14 @@
             decision => assert_eq!(decision, Decision::RefusedAlone),
         }
     }
-    // 1.6 times what 0.1 of 60 and 20 besides leave, over two routers.
+    // 1.6 times the headroom of 0.1 * 60 + 20 tokens, divided between two routers.
     assert!((20..=21).contains(&granted), "{granted}");
 }
 
-const KEYED: &str = "Authorization: Bearer k1\r\n";
+const API_KEY_HEADER: &str = "Authorization: Bearer k1\r\n";
 
 #[tokio::test]
-async fn a_tenant_over_its_limit_gets_429_and_reaches_no_engine() {
+async fn request_of_a_tenant_over_its_limit_gets_429_and_reaches_no_engine() {
     let (ip, port) = ("127.0.84.1", 7300);
     let requests = controller(ip, port, Some(EMPTY)).await;
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
@@ -98,11 +98,11 @@
     state.quota_gate.set_shard_owners(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
     let tenant = |rate: f64| serde_json::json!({"tenant_table": [{"name": "one", "api_keys": ["k1"], "rate_per_s": rate, "burst_size": 1}]});
     configure(&state, 2, tenant(5.0));
-    let text = ask(&state, "once", "1", KEYED).await;
+    let text = ask(&state, "once", "1", API_KEY_HEADER).await;
     assert_eq!(status(&text), "429", "{text}");
     assert!(text.to_lowercase().contains("retry-after: 0.500"), "{text}");
     assert_eq!((seen(&list).len(), requests.load(Ordering::Relaxed)), (0, 1));
     configure(&state, 3, tenant(0.0));
-    assert_eq!(status(&ask(&state, "once", "2", KEYED).await), "200", "no rate, no limit");
+    assert_eq!(status(&ask(&state, "once", "2", API_KEY_HEADER).await), "200", "a rate of 0 means no limit");
     assert_eq!(requests.load(Ordering::Relaxed), 1);
 }
--- a/router/src/testing/engine.rs
+++ b/router/src/testing/engine.rs
@@ -1,4 +1,4 @@
-//! Engines in the test's own process, on real connections over the loopback interface.
+//! Fake engines in the test process, on real connections over the loopback interface.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 /// A request as an engine received it.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// Which of the engine's connections it came on, counted from 0.
+    /// Number of the engine's connection on which it arrived, counted from 0.
     pub connection: usize,
     /// The request line and the headers.
     pub head: String,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the value of a header in the text of a head.
+/// Returns the value of a header in the text of a request head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
     lines.find(|(found, _)| found.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
@@ -45,13 +45,13 @@
 
 /// What an engine does with a request.
 pub enum Act {
-    /// Sends these bytes and continues to serve.
+    /// Sends this text and keeps the connection open.
     Send(String),
-    /// Sends these bytes and closes the connection.
+    /// Sends this text and closes the connection.
     SendAndClose(String),
-    /// Sends these bytes and resets the connection.
+    /// Sends this text and resets the connection.
     SendAndReset(String),
-    /// Sends these bytes, and the others once the test notifies it.
+    /// Sends the first text, and the second once the test notifies it.
     SendAndLater(String, Arc<Notify>, String),
     /// Sends nothing and keeps the connection open.
     Silence,
@@ -60,32 +60,32 @@
 /// Decides what an engine does with each request.
 type Script = Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
 
-/// Starts engines that follow one script, which also gets the number of earlier requests to any of them.
+/// Starts engines that share one script, which also gets the number of earlier requests to any of them.
 pub async fn engines(
     phase: &'static str,
     count: usize,
     script: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
 ) -> Vec<Engine> {
     let script = Arc::new(script);
-    let before = Arc::new(AtomicUsize::new(0));
+    let earlier_count = Arc::new(AtomicUsize::new(0));
     let mut list = Vec::new();
-    for at in 0..count {
-        let (script, before) = (script.clone(), before.clone());
-        let each = move |seen: &Seen| script(seen, before.fetch_add(1, Ordering::Relaxed));
-        list.push(Engine::start(&format!("{phase}-{at}"), phase, each).await);
+    for index in 0..count {
+        let (script, earlier_count) = (script.clone(), earlier_count.clone());
+        let engine_script = move |seen: &Seen| script(seen, earlier_count.fetch_add(1, Ordering::Relaxed));
+        list.push(Engine::start(&format!("{phase}-{index}"), phase, engine_script).await);
     }
     list
 }
 
-/// Starts an engine that sends the head of a stream, and the rest once it is notified.
+/// Starts an engine that sends the head of a stream, and the rest of the stream once it is notified.
 pub async fn waiting_engine() -> (Vec<Engine>, Arc<Notify>) {
-    let go_on = Arc::new(Notify::new());
-    let later = go_on.clone();
+    let resume = Arc::new(Notify::new());
+    let resumed = resume.clone();
     let list = engines("decode", 1, move |seen, _| {
         let (head, rest) = head_and_rest(seen);
-        Act::SendAndLater(head, later.clone(), rest)
+        Act::SendAndLater(head, resumed.clone(), rest)
     });
-    (list.await, go_on)
+    (list.await, resume)
 }
 
 /// Returns all requests that a list of engines received.
@@ -96,7 +96,7 @@
 /// The number of probes that an engine answered.
 type Probes = Arc<AtomicUsize>;
 
-/// An engine that follows a script. Probes (`GET /report`) are answered and only counted.
+/// An engine that follows a script. Probes (`GET /report`) get a response and are only counted.
 pub struct Engine {
     /// Its id.
     pub id: String,
@@ -124,7 +124,7 @@
     ) -> Engine {
         let greeting = greeting.to_string();
         let listener = socket::listen("127.0.0.1:0").expect("a free port");
-        let addr = listener.local_addr().expect("its address").to_string();
+        let addr = listener.local_addr().expect("a local address").to_string();
         let seen = Arc::new(Mutex::new(Vec::new()));
         let (end, ended) = watch::channel(0);
         let probes = Probes::default();
@@ -138,7 +138,7 @@
                 let (script, seen, end) = (script.clone(), seen.clone(), end.clone());
                 let probes = probes.clone();
                 tokio::spawn(async move {
-                    if follow(stream, connection, script, seen, probes).await {
+                    if serve_connection(stream, connection, script, seen, probes).await {
                         end.send_modify(|count| *count += 1);
                     }
                 });
@@ -157,13 +157,13 @@
         self.probes.load(Ordering::Relaxed)
     }
 
-    /// Waits until so many connections have ended, probes excluded.
+    /// Waits until `count` connections have ended, not counting those of probes.
     pub async fn ended(&self, count: usize) {
         let mut ended = self.ended.clone();
-        ended.wait_for(|now| *now >= count).await.expect("the engine lives");
+        ended.wait_for(|ended_count| *ended_count >= count).await.expect("the engine is running");
     }
 
-    /// Returns its entry in the platform's list.
+    /// Returns its entry in the platform's endpoint list.
     pub fn entry(&self) -> message::Engine {
         message::Engine {
             id: self.id.clone(),
@@ -179,8 +179,8 @@
     }
 }
 
-/// Serves a connection to its end, and returns `false` if it was a probe's.
-async fn follow(
+/// Serves a connection until it ends, and returns `false` if it carried a probe.
+async fn serve_connection(
     mut stream: TcpStream,
     connection: usize,
     script: Script,
@@ -188,7 +188,7 @@
     probes: Probes,
 ) -> bool {
     let mut unread = Vec::new();
-    while let Some((head, body)) = request(&mut stream, &mut unread).await {
+    while let Some((head, body)) = read_request(&mut stream, &mut unread).await {
         if head.starts_with("GET /report") {
             probes.fetch_add(1, Ordering::Relaxed);
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}").await;
@@ -203,7 +203,7 @@
     true
 }
 
-/// Does what the script says, and returns whether the connection stays open.
+/// Performs an action of the script, and returns whether the connection stays open.
 async fn perform(stream: &mut TcpStream, act: Act) -> bool {
     match act {
         Act::Send(text) => {
@@ -218,21 +218,21 @@
             let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             return false;
         }
-        Act::SendAndLater(text, when, later) => {
+        Act::SendAndLater(text, notify, rest) => {
             let _ = stream.write_all(text.as_bytes()).await;
-            when.notified().await;
-            let _ = stream.write_all(later.as_bytes()).await;
+            notify.notified().await;
+            let _ = stream.write_all(rest.as_bytes()).await;
         }
         Act::Silence => {}
     }
     true
 }
 
-/// Reads the next request on a connection, its head and its body. `None`: the connection ended.
-async fn request(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+/// Reads the head and the body of the next request on a connection. Returns `None` if the connection has ended.
+async fn read_request(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     let end = loop {
-        if let Some(at) = unread.windows(4).position(|four| four == b"\r\n\r\n") {
-            break at + 4;
+        if let Some(position) = unread.windows(4).position(|window| window == b"\r\n\r\n") {
+            break position + 4;
         }
         if stream.read_buf(unread).await.ok()? == 0 {
             return None;
--- a/router/src/testing/engine_responses.rs
+++ b/router/src/testing/engine_responses.rs
@@ -1,8 +1,8 @@
-//! The responses of stand-in engines.
+//! The responses of fake engines.
 
 use crate::testing::engine::Seen;
 
-/// Returns an engine's response to a request, with the seal and the attempt id that belong there.
+/// Returns an engine's response to a request, with the seal and the attempt id of that request.
 pub fn answer(seen: &Seen, status: &str, body: &str) -> String {
     sealed(seen.attempt(), status, body)
 }
@@ -16,13 +16,13 @@
     )
 }
 
-/// Returns the response of an engine that did not run the request.
+/// Returns the response of an engine that did not execute the request.
 pub fn not_executed(seen: &Seen) -> String {
     let attempt = seen.attempt();
     format!("HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {attempt}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// Returns the head of a stream and the events `from..to`; the end of the stream only if it is `complete`.
+/// Returns the head of a stream and the events `from..to`, followed by the end of the stream if it is `complete`.
 pub fn events(seen: &Seen, from: u32, to: u32, complete: bool) -> String {
     let attempt = seen.attempt();
     let mut text = format!(
@@ -39,17 +39,17 @@
     text
 }
 
-/// Returns the head of a complete stream of two events, and what follows it.
+/// Returns the head of a complete stream of two events, and the rest of that stream.
 pub fn head_and_rest(seen: &Seen) -> (String, String) {
     let complete = events(seen, 1, 3, true);
     let (head, rest) = complete.split_at(complete.find("\r\n\r\n").expect("a head") + 4);
     (head.into(), rest.into())
 }
 
-/// The header lines of a request whose prompt can be processed by one engine and answered by another.
+/// The header lines of a request whose prompt can be prefilled by one engine and decoded by another.
 pub const PROMPT: &str = "Model: m\r\nToken-Count: 150,10\r\nPrompt-Prefix: ab:100,cd:50\r\n";
 
-/// Returns the response of a prefill engine that keeps the KV cache; its handle is named after the request.
+/// Returns the response of a prefill engine that holds the KV cache, with a handle that contains the attempt id.
 pub fn held(seen: &Seen) -> String {
     handle(seen.attempt(), seen.attempt())
 }
