--- a/router/src/limits/quota_gate.rs
+++ b/router/src/limits/quota_gate.rs
@@ -89,7 +89,7 @@
 }
 
 impl QuotaGate {
-    /// Returns a gate that knows no shard owners yet.
+    /// Creates a gate that knows no shard owners yet.
     pub fn new(settings: &Settings) -> QuotaGate {
         let bounds = Bounds {
             window_ms: (settings.bounds.quota_window_s * MS_PER_S) as u64,
@@ -128,7 +128,7 @@
         self.inner.lock().fingerprint
     }
 
-    /// Decides about one request of a tenant. `router_count` routers share the allowance; `random` selects the first owner.
+    /// Decides on a request of a tenant. `router_count` routers share the allowance; `random` selects the first owner.
     pub async fn decide(&self, tenant: &str, quota: &Quota, router_count: u32, random: u64) -> Decision {
         let now = clock::now();
         if self.is_known_empty(tenant, now) {
--- a/router/src/limits/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -58,7 +58,7 @@
     gate.set_shard_owners(&[owner(ips[0]), owner(ips[2])]);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Denied);
     assert_eq!(gate.decide("t", &QUOTA, 9, 0).await, Decision::Remembered);
-    assert_eq!(gate.decide("other", &QUOTA, 9, 0).await, Decision::Denied, "only the tenant's own shards count");
+    assert_eq!(gate.decide("other", &QUOTA, 9, 0).await, Decision::Denied, "empty shards are remembered per tenant");
 }
 
 #[tokio::test]
@@ -93,15 +93,15 @@
 async fn request_of_a_tenant_over_its_limit_gets_429_and_reaches_no_engine() {
     let (ip, port) = ("127.0.84.1", 7300);
     let requests = controller(ip, port, Some(EMPTY)).await;
-    let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
-    let state = router(&list);
+    let fleet = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let state = router(&fleet);
     state.quota_gate.set_shard_owners(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
     let tenant = |rate: f64| serde_json::json!({"tenant_table": [{"name": "one", "api_keys": ["k1"], "rate_per_s": rate, "burst_size": 1}]});
     configure(&state, 2, tenant(5.0));
     let text = ask(&state, "once", "1", API_KEY_HEADER).await;
     assert_eq!(status(&text), "429", "{text}");
     assert!(text.to_lowercase().contains("retry-after: 0.500"), "{text}");
-    assert_eq!((seen(&list).len(), requests.load(Ordering::Relaxed)), (0, 1));
+    assert_eq!((seen(&fleet).len(), requests.load(Ordering::Relaxed)), (0, 1));
     configure(&state, 3, tenant(0.0));
     assert_eq!(status(&ask(&state, "once", "2", API_KEY_HEADER).await), "200", "a rate of 0 means no limit");
     assert_eq!(requests.load(Ordering::Relaxed), 1);
--- a/router/src/proxy/event_stream.rs
+++ b/router/src/proxy/event_stream.rs
@@ -82,8 +82,8 @@
         self.later_event_count = self.events - self.first_event_count;
     }
 
-    /// Returns whether another engine can resume the stream: what was returned must hold no events, or end with an
-    /// event after an event id was seen.
+    /// Returns whether another engine can resume the stream. What was returned must end with an event, and must include
+    /// an event id if it includes events.
     pub fn is_resumable(&self) -> bool {
         !self.is_misaligned && (self.events == 0 || self.last_event_id.is_some())
     }
--- a/router/src/proxy/stream_duration.rs
+++ b/router/src/proxy/stream_duration.rs
@@ -18,7 +18,7 @@
     pub head_ms: u64,
     /// Time from the head to the end of the body, in milliseconds.
     pub body_ms: u64,
-    /// Maximum number of output tokens that was set for it.
+    /// Maximum number of its output tokens.
     pub max_output_tokens: u32,
 }
 
--- a/router/src/tests/connection_reuse.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Reuse of connections, to engines and from clients: no request gets the response of another.
+//! Reuse of connections to engines and from clients: no request gets the response to another.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,146 +10,150 @@
 use crate::testing::engine::{answer, engines, events, sealed, seen, Act, Engine, Seen};
 use crate::testing::router::{self, ask, kept, post, router, status, Client};
 
-/// An answer with a body that names its request.
-fn own(seen: &Seen) -> String {
+/// Returns a response whose body contains the attempt id of its request.
+fn response_for(seen: &Seen) -> String {
     answer(seen, "200 OK", &format!("for-{}", seen.attempt()))
 }
 
-/// Returns which connection each request came on, counted from 0 among those that carried requests: a slow machine may have an engine
-/// probed meanwhile, on a connection of its own.
-fn connections(list: &[Engine]) -> Vec<usize> {
-    let used: Vec<usize> = seen(list).iter().map(|seen| seen.connection).collect();
+/// Returns the connection on which each request arrived, counted from 0 among those that carried requests. On a slow
+/// machine an engine may also be probed, on a separate connection.
+fn connections(fleet: &[Engine]) -> Vec<usize> {
+    let used: Vec<usize> = seen(fleet).iter().map(|seen| seen.connection).collect();
     let distinct: BTreeSet<usize> = used.iter().copied().collect();
     used.iter().map(|connection| distinct.range(..connection).count()).collect()
 }
 
 #[tokio::test]
-async fn a_connection_whose_response_was_complete_is_reused() {
-    let list = engines("decode", 1, |seen, _| Act::Send(own(seen))).await;
-    let state = router(&list);
+async fn connection_is_reused_after_a_complete_response() {
+    let fleet = engines("decode", 1, |seen, _| Act::Send(response_for(seen))).await;
+    let state = router(&fleet);
     for attempt in ["1", "2", "3"] {
         let text = ask(&state, "once", attempt, "").await;
         assert!(text.ends_with(&format!("for-{attempt}")), "{text}");
         kept(&state, 1).await;
     }
-    assert_eq!(connections(&list), [0, 0, 0]);
+    assert_eq!(connections(&fleet), [0, 0, 0]);
 }
 
 #[tokio::test]
-async fn bytes_after_a_complete_response_end_its_connection() {
+async fn surplus_bytes_after_a_complete_response_close_the_connection() {
     for surplus in [sealed("1", "200 OK", "for-1"), "garbage\r\n\r\n".into(), "x".into()] {
-        let list = engines("decode", 1, move |seen, before| match before {
-            0 => Act::Send(format!("{}{surplus}", own(seen))),
-            _ => Act::Send(own(seen)),
+        let fleet = engines("decode", 1, move |seen, request_index| match request_index {
+            0 => Act::Send(format!("{}{surplus}", response_for(seen))),
+            _ => Act::Send(response_for(seen)),
         })
         .await;
-        let state = router(&list);
+        let state = router(&fleet);
         assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-        list[0].ended(1).await;
+        fleet[0].ended(1).await;
         let text = ask(&state, "once", "2", "").await;
         assert!(text.ends_with("for-2"), "{text}");
-        assert_eq!(connections(&list), [0, 1]);
+        assert_eq!(connections(&fleet), [0, 1]);
     }
 }
 
 #[tokio::test]
-async fn bytes_that_come_while_a_connection_is_idle_end_it() {
-    let when = Arc::new(Notify::new());
-    let now = when.clone();
-    let list = engines("decode", 1, move |seen, before| match before {
-        0 => Act::SendAndLater(own(seen), now.clone(), sealed("1", "200 OK", "for-1")),
-        _ => Act::Send(own(seen)),
+async fn bytes_received_on_an_idle_connection_close_it() {
+    let trigger = Arc::new(Notify::new());
+    let engine_trigger = trigger.clone();
+    let fleet = engines("decode", 1, move |seen, request_index| match request_index {
+        0 => Act::SendAndLater(response_for(seen), engine_trigger.clone(), sealed("1", "200 OK", "for-1")),
+        _ => Act::Send(response_for(seen)),
     })
     .await;
-    let state = router(&list);
+    let state = router(&fleet);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
     kept(&state, 1).await;
-    when.notify_one();
+    trigger.notify_one();
     kept(&state, 0).await;
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
-    assert_eq!(connections(&list), [0, 1]);
+    assert_eq!(connections(&fleet), [0, 1]);
 }
 
 #[tokio::test]
-async fn a_surplus_answer_in_place_of_the_next_is_dropped_with_its_connection() {
+async fn surplus_response_in_place_of_the_next_is_dropped_with_its_connection() {
     for route in ["once", "stream", "again"] {
-        let list = engines("decode", 2, |seen, before| match before {
-            0 => Act::Send(own(seen)),
-            1 => Act::Send(format!("{}{}", sealed("1", "200 OK", "for-1"), own(seen))),
-            _ => Act::Send(own(seen)),
+        let fleet = engines("decode", 2, |seen, request_index| match request_index {
+            0 => Act::Send(response_for(seen)),
+            1 => Act::Send(format!("{}{}", sealed("1", "200 OK", "for-1"), response_for(seen))),
+            _ => Act::Send(response_for(seen)),
         })
         .await;
-        let state = router(&list[..1]);
+        let state = router(&fleet[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
         kept(&state, 1).await;
-        router::list(&state, 2, &list);
+        router::list(&state, 2, &fleet);
         state.engines().engines[1].saturated_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
         if route == "again" {
             assert!(text.ends_with("for-2"), "{text}");
         } else {
-            assert_eq!((status(&text), seen(&list).len()), ("502", 2), "{text}");
+            assert_eq!((status(&text), seen(&fleet).len()), ("502", 2), "{text}");
         }
         kept(&state, usize::from(route == "again")).await;
     }
 }
 
 #[tokio::test]
-async fn a_connection_that_its_engine_ends_is_not_used_again() {
+async fn connection_closed_by_its_engine_is_not_reused() {
     let ends: [fn(&Seen) -> Act; 3] = [
-        |seen| Act::SendAndClose(own(seen)),
-        |seen| Act::Send(own(seen).replace("Keep-Alive: timeout=30", "Connection: close")),
-        |seen| Act::Send(own(seen).replace("Keep-Alive: timeout=30", "Keep-Alive: timeout=0")),
+        |seen| Act::SendAndClose(response_for(seen)),
+        |seen| Act::Send(response_for(seen).replace("Keep-Alive: timeout=30", "Connection: close")),
+        |seen| Act::Send(response_for(seen).replace("Keep-Alive: timeout=30", "Keep-Alive: timeout=0")),
     ];
     for end in ends {
-        let list =
-            engines("decode", 1, move |seen, before| if before == 0 { end(seen) } else { Act::Send(own(seen)) }).await;
-        let state = router(&list);
+        let fleet = engines(
+            "decode",
+            1,
+            move |seen, request_index| if request_index == 0 { end(seen) } else { Act::Send(response_for(seen)) },
+        )
+        .await;
+        let state = router(&fleet);
         assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-        list[0].ended(1).await;
+        fleet[0].ended(1).await;
         kept(&state, 0).await;
         assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
-        assert_eq!(connections(&list), [0, 1]);
+        assert_eq!(connections(&fleet), [0, 1]);
     }
 }
 
 #[tokio::test]
-async fn a_request_on_a_connection_that_ends_meanwhile_is_not_sent_twice() {
-    let list = engines("decode", 2, |seen, _| match seen.attempt() {
-        "1" => Act::Send(own(seen)),
+async fn request_on_a_connection_that_is_reset_is_not_sent_twice() {
+    let fleet = engines("decode", 2, |seen, _| match seen.attempt() {
+        "1" => Act::Send(response_for(seen)),
         _ if seen.connection == 0 => Act::SendAndReset(String::new()),
-        _ => Act::Send(own(seen)),
+        _ => Act::Send(response_for(seen)),
     })
     .await;
-    let state = router(&list[..1]);
+    let state = router(&fleet[..1]);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
     kept(&state, 1).await;
     let text = ask(&state, "once", "2", "").await;
-    assert_eq!(status(&text), "502", "it may have run: {text}");
-    assert_eq!(connections(&list), [0, 0]);
+    assert_eq!(status(&text), "502", "it may have been executed: {text}");
+    assert_eq!(connections(&fleet), [0, 0]);
 }
 
 #[tokio::test]
-async fn an_engine_does_not_get_the_connections_of_the_one_before_it() {
-    let mut list = engines("decode", 1, |seen, _| Act::Send(own(seen))).await;
-    let state = router(&list);
+async fn connection_is_not_reused_for_another_engine_at_the_same_address() {
+    let mut fleet = engines("decode", 1, |seen, _| Act::Send(response_for(seen))).await;
+    let state = router(&fleet);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
     kept(&state, 1).await;
-    list[0].id = "successor".into();
-    router::list(&state, 2, &list);
+    fleet[0].id = "successor".into();
+    router::list(&state, 2, &fleet);
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
-    assert_eq!(connections(&list), [0, 1]);
+    assert_eq!(connections(&fleet), [0, 1]);
 }
 
 #[tokio::test]
-async fn a_cut_answer_ends_its_connection_and_touches_no_other() {
-    let list = engines("decode", 1, |seen, before| match before {
+async fn truncated_response_closes_its_connection_and_affects_no_other_request() {
+    let fleet = engines("decode", 1, |seen, request_index| match request_index {
         1 => Act::SendAndReset(events(seen, 1, 3, false)),
-        _ => Act::Send(own(seen)),
+        _ => Act::Send(response_for(seen)),
     })
     .await;
-    let state = router(&list);
+    let state = router(&fleet);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
     kept(&state, 1).await;
     assert!(!ask(&state, "stream", "2", "").await.ends_with("0\r\n\r\n"));
@@ -158,13 +162,13 @@
 }
 
 #[tokio::test]
-async fn requests_that_a_client_sends_at_once_are_answered_in_their_order() {
-    let list = engines("decode", 3, |seen, _| match seen.attempt() {
+async fn pipelined_requests_get_their_responses_in_order() {
+    let fleet = engines("decode", 3, |seen, _| match seen.attempt() {
         "2" => Act::SendAndReset(String::new()),
-        _ => Act::Send(own(seen)),
+        _ => Act::Send(response_for(seen)),
     })
     .await;
-    let mut client = Client::connect(&router(&list)).await;
+    let mut client = Client::connect(&router(&fleet)).await;
     let all = [
         post("once", "1", ""),
         post("once", "2", ""),
@@ -173,56 +177,56 @@
     ];
     client.write(&all.concat()).await;
     let text = client.rest().await;
-    let answers: Vec<&str> = text.split("HTTP/1.1 ").skip(1).collect();
-    let statuses: Vec<&str> = answers.iter().map(|answer| &answer[..3]).collect();
+    let responses: Vec<&str> = text.split("HTTP/1.1 ").skip(1).collect();
+    let statuses: Vec<&str> = responses.iter().map(|response| &response[..3]).collect();
     assert_eq!(statuses, ["200", "502", "404", "200"], "{text}");
-    assert!(answers[0].ends_with("for-1") && answers[3].ends_with("for-4"), "{text}");
-    assert_eq!(seen(&list).len(), 3);
+    assert!(responses[0].ends_with("for-1") && responses[3].ends_with("for-4"), "{text}");
+    assert_eq!(seen(&fleet).len(), 3);
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_takes_its_request_with_it() {
+async fn request_is_aborted_when_its_client_disconnects_during_the_response() {
     for route in ["once", "again", "resume"] {
-        let list = engines("decode", 2, |seen, _| Act::Send(events(seen, 1, 3, false))).await;
-        let state = router(&list);
+        let fleet = engines("decode", 2, |seen, _| Act::Send(events(seen, 1, 3, false))).await;
+        let state = router(&fleet);
         let mut client = Client::connect(&state).await;
         client.write(&post(route, "1", "")).await;
         client.until("token-2").await;
         drop(client);
-        ended_once(&list).await;
-        assert_eq!(seen(&list).len(), 1, "{route}");
+        any_connection_ended(&fleet).await;
+        assert_eq!(seen(&fleet).len(), 1, "{route}");
         kept(&state, 0).await;
     }
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_before_the_answer_takes_its_request_with_it() {
+async fn request_is_aborted_when_its_client_disconnects_before_the_response() {
     for route in ["once", "again", "resume"] {
-        let asked = Arc::new(Notify::new());
-        let now = asked.clone();
-        let list = engines("decode", 2, move |_, _| {
-            now.notify_one();
+        let received = Arc::new(Notify::new());
+        let notify = received.clone();
+        let fleet = engines("decode", 2, move |_, _| {
+            notify.notify_one();
             Act::Silence
         })
         .await;
-        let state = router(&list);
+        let state = router(&fleet);
         let mut client = Client::connect(&state).await;
         client.write(&post(route, "1", "")).await;
-        asked.notified().await;
+        received.notified().await;
         drop(client);
-        ended_once(&list).await;
-        assert_eq!(seen(&list).len(), 1, "{route}");
+        any_connection_ended(&fleet).await;
+        assert_eq!(seen(&fleet).len(), 1, "{route}");
     }
 }
 
-/// Waits until one of two engines has lost a connection: long before the request's time is up.
-async fn ended_once(list: &[Engine]) {
+/// Waits until a connection to one of two engines has ended, long before the deadline of the request.
+async fn any_connection_ended(fleet: &[Engine]) {
     let ended = async {
         tokio::select! {
-            () = list[0].ended(1) => {}
-            () = list[1].ended(1) => {}
+            () = fleet[0].ended(1) => {}
+            () = fleet[1].ended(1) => {}
         }
     };
-    let bound = Duration::from_secs(10);
-    time::timeout(bound, ended).await.expect("the engine's connection is closed");
+    let timeout = Duration::from_secs(10);
+    time::timeout(timeout, ended).await.expect("the engine's connection is closed");
 }
--- a/router/src/tests/early_answer.rs
+++ b/router/src/tests/early_answer.rs
@@ -1,5 +1,5 @@
-//! An engine that answers before it has read a long body, keeps the connection and reads on later: it never gets other bytes where
-//! the rest of that body is due.
+//! An engine that responds before it has read a long body, keeps the connection open and reads the body later must
+//! never get other bytes in place of the rest of that body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,47 +16,47 @@
 use crate::testing::engine::{header, sealed};
 use crate::testing::router::{configure, router, Client};
 
-/// Longer than what the buffers of a connection take.
+/// Size of a long body in bytes, larger than the buffers of a connection.
 const BODY_BYTES: usize = 6 << 20;
-/// What the engine's connections take into their buffers.
+/// Size of the receive buffers of the engine's connections, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 16 << 10;
-/// How long the engine reads nothing after its answer.
-const PAUSE: Duration = Duration::from_millis(300);
-/// The byte that bodies are made of; no head begins with it.
-const FILLING: u8 = b'x';
+/// Delay between the engine's response and its reading of the body.
+const READ_DELAY: Duration = Duration::from_millis(300);
+/// The byte of which bodies consist; no request head begins with it.
+const BODY_BYTE: u8 = b'x';
 
-/// What one connection of the engine carried.
+/// What a connection of the engine carried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Carried {
-    /// Whole requests alone.
-    Whole,
-    /// It ended within a body, and carried nothing else in it.
-    CutBody,
-    /// Other bytes came where the rest of a body was due.
+enum ConnectionContent {
+    /// Only complete requests.
+    CompleteRequests,
+    /// It ended within a body, and no other bytes arrived in its place.
+    TruncatedBody,
+    /// Other bytes arrived in place of the rest of a body.
     OtherBytes,
 }
 
-/// Listens with buffers that are small.
+/// Returns a listener with small receive buffers.
 fn listen() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a buffer");
-    let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-    socket.bind(&any.into()).expect("a free port");
+    let address = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+    socket.bind(&address.into()).expect("a free port");
     socket.listen(16).expect("listening");
     socket.set_nonblocking(true).expect("nonblocking");
     TcpListener::from_std(socket.into()).expect("a listener")
 }
 
-/// Answers each request as soon as its head is there, and reads its body after a pause.
-async fn serve(mut stream: TcpStream) -> Carried {
+/// Responds to each request as soon as its head has arrived, and reads its body after `READ_DELAY`.
+async fn serve(mut stream: TcpStream) -> ConnectionContent {
     let mut unread = Vec::new();
     loop {
         let end = loop {
-            if let Some(at) = unread.windows(4).position(|four| four == b"\r\n\r\n") {
-                break at + 4;
+            if let Some(position) = unread.windows(4).position(|window| window == b"\r\n\r\n") {
+                break position + 4;
             }
             if stream.read_buf(&mut unread).await.unwrap_or(0) == 0 {
-                return Carried::Whole;
+                return ConnectionContent::CompleteRequests;
             }
         };
         let head = String::from_utf8_lossy(&unread[..end]).into_owned();
@@ -65,42 +65,42 @@
         let length: usize = header(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
         let text = sealed(&attempt, "200 OK", &format!("for-{attempt}"));
         if stream.write_all(text.as_bytes()).await.is_err() {
-            return Carried::CutBody;
+            return ConnectionContent::TruncatedBody;
         }
-        time::sleep(PAUSE).await;
-        let mut left = length;
-        while left > 0 {
+        time::sleep(READ_DELAY).await;
+        let mut remaining = length;
+        while remaining > 0 {
             if unread.is_empty() && stream.read_buf(&mut unread).await.unwrap_or(0) == 0 {
-                return Carried::CutBody;
+                return ConnectionContent::TruncatedBody;
             }
-            let part = left.min(unread.len());
-            if unread.drain(..part).any(|byte| byte != FILLING) {
-                return Carried::OtherBytes;
+            let part = remaining.min(unread.len());
+            if unread.drain(..part).any(|byte| byte != BODY_BYTE) {
+                return ConnectionContent::OtherBytes;
             }
-            left -= part;
+            remaining -= part;
         }
     }
 }
 
 fn request(attempt: &str, body_bytes: usize) -> String {
-    let body = char::from(FILLING).to_string().repeat(body_bytes);
+    let body = char::from(BODY_BYTE).to_string().repeat(body_bytes);
     format!(
         "POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {attempt}\r\nConnection: close\r\nContent-Length: {body_bytes}\r\n\r\n{body}"
     )
 }
 
 #[tokio::test]
-async fn an_engine_that_answers_before_it_has_read_the_body_gets_no_other_bytes_in_it() {
+async fn engine_that_responds_before_reading_the_body_gets_no_other_bytes_in_its_place() {
     let listener = listen();
-    let addr = listener.local_addr().expect("its address").to_string();
-    let carried = Arc::<Mutex<Vec<Carried>>>::default();
-    let seen = carried.clone();
+    let addr = listener.local_addr().expect("a local address").to_string();
+    let shared_outcomes = Arc::<Mutex<Vec<ConnectionContent>>>::default();
+    let recorder = shared_outcomes.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let seen = seen.clone();
+            let recorder = recorder.clone();
             tokio::spawn(async move {
                 let outcome = serve(stream).await;
-                seen.lock().push(outcome);
+                recorder.lock().push(outcome);
             });
         }
     });
@@ -121,8 +121,8 @@
         up: true,
         cold_ms: 0,
     };
-    let list = EndpointList { zone: "a".into(), term: 1, sequence: 2, engines: vec![engine] };
-    state.engines().update(&list, clock::now());
+    let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence: 2, engines: vec![engine] };
+    state.engines().update(&endpoint_list, clock::now());
 
     for attempt in 1..=4 {
         let body_bytes = if attempt % 2 == 1 { BODY_BYTES } else { 4 };
@@ -131,22 +131,22 @@
         let text = client.rest().await;
         assert!(text.ends_with(&format!("for-{attempt}")), "attempt {attempt}: {text:.200}");
     }
-    // Connections that are still open end with the pools of this router.
-    time::sleep(2 * PAUSE).await;
+    // Connections that are still open end when the pools of this router are dropped.
+    time::sleep(2 * READ_DELAY).await;
     drop(state);
-    time::sleep(2 * PAUSE).await;
-    let outcomes = carried.lock().clone();
+    time::sleep(2 * READ_DELAY).await;
+    let outcomes = shared_outcomes.lock().clone();
     assert!(!outcomes.is_empty(), "some connections have ended");
-    assert!(!outcomes.contains(&Carried::OtherBytes), "{outcomes:?}");
+    assert!(!outcomes.contains(&ConnectionContent::OtherBytes), "{outcomes:?}");
 }
 
 #[tokio::test]
-async fn the_engine_of_these_tests_notices_other_bytes() {
+async fn fake_engine_detects_other_bytes_in_place_of_a_body() {
     let listener = listen();
-    let mut client = TcpStream::connect(listener.local_addr().expect("its address")).await.expect("connected");
+    let mut client = TcpStream::connect(listener.local_addr().expect("a local address")).await.expect("connected");
     let (stream, _) = listener.accept().await.expect("a client");
     let engine = tokio::spawn(serve(stream));
     let start = "POST /once/x HTTP/1.1\r\nAttempt-Id: 1\r\nContent-Length: 10\r\n\r\nxxx";
     client.write_all(format!("{start}{}", request("2", 4)).as_bytes()).await.expect("written");
-    assert_eq!(engine.await.expect("it ends"), Carried::OtherBytes);
+    assert_eq!(engine.await.expect("the engine finishes"), ConnectionContent::OtherBytes);
 }
--- a/router/src/tests/kept_connections.rs
+++ b/router/src/tests/kept_connections.rs
@@ -1,4 +1,5 @@
-//! Kept-alive connections of clients: whatever becomes of a request at its engine, it is answered, and the next is served.
+//! Keep-alive connections of clients: whatever happens to a request at its engine, the client gets a response and can
+//! send the next request.
 
 use std::time::Duration;
 
@@ -8,15 +9,15 @@
 use crate::testing::router::{configure, post, router, status, Client};
 
 #[tokio::test]
-async fn a_request_that_an_engine_has_is_answered_on_its_kept_connection() {
-    let list = engines("decode", 1, |seen, _| match seen.attempt().chars().next() {
+async fn failed_request_gets_a_response_and_keeps_the_client_connection_open() {
+    let fleet = engines("decode", 1, |seen, _| match seen.attempt().chars().next() {
         Some('r') => Act::SendAndReset(String::new()),
         Some('c') => Act::SendAndClose(String::new()),
         Some('f') => Act::SendAndClose("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\n\r\n".into()),
         _ => Act::Send(answer(seen, "200 OK", "hello")),
     })
     .await;
-    let state = router(&list);
+    let state = router(&fleet);
     let mut client = Client::connect(&state).await;
     for (attempt, expected) in
         [("g1", "200"), ("r2", "502"), ("g3", "200"), ("c4", "502"), ("f5", "502"), ("g6", "200")]
@@ -27,13 +28,13 @@
         assert_eq!(status(&text), expected, "{attempt}: {text}");
         assert!(!text.to_lowercase().contains("connection: close"), "{attempt}: {text}");
     }
-    assert_eq!(seen(&list).len(), 6);
+    assert_eq!(seen(&fleet).len(), 6);
 }
 
 #[tokio::test]
-async fn a_change_of_the_limits_ends_no_answer_on_a_kept_connection() {
-    let (list, go_on) = waiting_engine().await;
-    let state = router(&list);
+async fn changed_limits_do_not_abort_a_response_on_a_keep_alive_connection() {
+    let (fleet, resume) = waiting_engine().await;
+    let state = router(&fleet);
     let mut client = Client::connect(&state).await;
     client.write(&post("stream", "1", "")).await;
     client.until("\r\n\r\n").await;
@@ -41,7 +42,7 @@
         "idle_timeout_ms": 1});
     configure(&state, 2, serde_json::json!({"limits": limits, "route_table": []}));
     time::sleep(Duration::from_millis(50)).await;
-    go_on.notify_one();
+    resume.notify_one();
     let text = client.until("0\r\n\r\n").await;
     assert!(text.contains("token-2"), "{text}");
 }
--- a/router/src/tests/stream_end.rs
+++ b/router/src/tests/stream_end.rs
@@ -1,37 +1,37 @@
-//! Responses that break off, and streams that are resumed at another engine.
+//! Truncated responses, and streams that are resumed at another engine.
 
 use crate::testing::engine::{answer, engines, events, seen, Act, Seen};
 use crate::testing::router::{ask, router};
 
-const UNREPEATABLE: [&str; 2] = ["once", "stream"];
+const UNREPEATABLE_ROUTES: [&str; 2] = ["once", "stream"];
 
 #[tokio::test]
-async fn an_answer_that_ends_early_does_not_look_complete() {
+async fn truncated_response_does_not_look_complete() {
     let faults: [fn(&Seen) -> Act; 4] = [
         |seen| Act::SendAndClose(events(seen, 1, 3, false)),
         |seen| Act::SendAndReset(events(seen, 1, 3, false)),
         |seen| Act::SendAndClose(format!("{}5\r\nid: ", events(seen, 1, 3, false))),
-        // Without a length or chunks nobody can tell a break from the end.
+        // Without a length or chunks, a broken connection cannot be told from the end of the body.
         |seen| Act::SendAndClose(answer(seen, "200 OK", "id: 1\n\n").replace("Content-Length: 7\r\n", "")),
     ];
-    for (at, fault) in faults.into_iter().enumerate() {
-        for route in UNREPEATABLE {
-            let list = engines("decode", 2, move |seen, _| fault(seen)).await;
-            let text = ask(&router(&list), route, "1", "").await;
-            assert!(!text.ends_with("\r\n0\r\n\r\n"), "fault {at} on {route}: {text}");
-            assert_eq!(seen(&list).len(), 1, "fault {at} on {route}");
+    for (index, fault) in faults.into_iter().enumerate() {
+        for route in UNREPEATABLE_ROUTES {
+            let fleet = engines("decode", 2, move |seen, _| fault(seen)).await;
+            let text = ask(&router(&fleet), route, "1", "").await;
+            assert!(!text.ends_with("\r\n0\r\n\r\n"), "fault {index} on {route}: {text}");
+            assert_eq!(seen(&fleet).len(), 1, "fault {index} on {route}");
         }
     }
-    let list = engines("decode", 1, |seen, _| {
+    let fleet = engines("decode", 1, |seen, _| {
         Act::SendAndClose(answer(seen, "200 OK", "part").replace("Content-Length: 4", "Content-Length: 9"))
     })
     .await;
-    let text = ask(&router(&list), "once", "1", "").await;
+    let text = ask(&router(&fleet), "once", "1", "").await;
     assert!(text.to_lowercase().contains("content-length: 9"), "{text}");
 }
 
-/// The body of an answer that came in chunks. None: it has no end.
-fn unchunked(text: &str) -> Option<String> {
+/// Returns the body of a chunked response, or `None` if it is incomplete.
+fn decode_chunked(text: &str) -> Option<String> {
     let (_, mut rest) = text.split_once("\r\n\r\n")?;
     let mut body = String::new();
     loop {
@@ -46,65 +46,65 @@
 }
 
 #[tokio::test]
-async fn a_cut_stream_goes_on_behind_its_last_whole_event() {
-    let list = engines("decode", 2, |seen, before| match before {
+async fn broken_stream_is_resumed_after_its_last_complete_event() {
+    let fleet = engines("decode", 2, |seen, request_index| match request_index {
         0 => Act::SendAndReset(format!("{}c\r\nid: 3\ndata: \r\n", events(seen, 1, 3, false))),
         _ => Act::Send(events(seen, 3, 5, true)),
     })
     .await;
-    let text = ask(&router(&list), "resume", "1", "").await;
+    let text = ask(&router(&fleet), "resume", "1", "").await;
     let expected: String = (1..5).map(|id| format!("id: {id}\ndata: token-{id}\n\n")).collect();
-    assert_eq!(unchunked(&text), Some(expected), "{text}");
-    let lasts: Vec<_> =
-        seen(&list).iter().filter_map(|seen| seen.header("last-event-id").map(str::to_string)).collect();
-    assert_eq!(lasts, ["2"]);
+    assert_eq!(decode_chunked(&text), Some(expected), "{text}");
+    let last_event_ids: Vec<_> =
+        seen(&fleet).iter().filter_map(|seen| seen.header("last-event-id").map(str::to_string)).collect();
+    assert_eq!(last_event_ids, ["2"]);
 }
 
 #[tokio::test]
-async fn a_stream_is_not_joined_with_what_is_no_engines_stream() {
-    let joins: [fn(&Seen) -> String; 3] = [
+async fn broken_stream_is_not_resumed_with_an_invalid_response() {
+    let invalid_responses: [fn(&Seen) -> String; 3] = [
         |seen| events(seen, 2, 4, true).replace("Response-Seal", "Other"),
         |seen| events(seen, 2, 4, true).replace("Attempt-Id: 1", "Attempt-Id: 2"),
         |seen| answer(seen, "500 Internal Server Error", "id: 2\n\n"),
     ];
-    for join in joins {
-        let list = engines("decode", 2, move |seen, before| match before {
+    for invalid_response in invalid_responses {
+        let fleet = engines("decode", 2, move |seen, request_index| match request_index {
             0 => Act::SendAndReset(events(seen, 1, 2, false)),
-            _ => Act::Send(join(seen)),
+            _ => Act::Send(invalid_response(seen)),
         })
         .await;
-        let text = ask(&router(&list), "resume", "1", "").await;
+        let text = ask(&router(&fleet), "resume", "1", "").await;
         assert!(text.contains("id: 1") && !text.contains("id: 2"), "{text}");
         assert!(!text.ends_with("0\r\n\r\n"), "{text}");
     }
 }
 
 #[tokio::test]
-async fn a_stream_whose_events_have_no_ids_is_not_restarted() {
-    let list = engines("decode", 2, |seen, before| match before {
+async fn broken_stream_without_event_ids_is_not_restarted() {
+    let fleet = engines("decode", 2, |seen, request_index| match request_index {
         0 => Act::SendAndReset(events(seen, 1, 3, false).replace("id: ", "in: ")),
         _ => Act::Send(events(seen, 1, 5, true)),
     })
     .await;
-    let text = ask(&router(&list), "resume", "1", "").await;
+    let text = ask(&router(&fleet), "resume", "1", "").await;
     assert_eq!(text.matches("token-1").count(), 1, "{text}");
     assert!(!text.ends_with("0\r\n\r\n"), "{text}");
 }
 
 #[tokio::test]
-async fn a_body_without_events_is_not_restarted_once_a_part_was_forwarded() {
+async fn broken_body_without_events_is_not_restarted_after_a_part_was_forwarded() {
     let large = "x".repeat(300 * 1024);
-    let list = engines("decode", 2, move |seen, before| {
+    let fleet = engines("decode", 2, move |seen, request_index| {
         let text = events(seen, 1, 2, false);
         let chunk = format!("{:x}\r\n{large}\r\n", large.len());
-        if before == 0 {
+        if request_index == 0 {
             Act::SendAndClose(format!("{text}{chunk}"))
         } else {
             Act::Send(events(seen, 2, 5, true))
         }
     })
     .await;
-    let text = ask(&router(&list), "resume", "1", "").await;
-    assert!(text.contains("xxx") && !text.contains("token-2"), "joined");
+    let text = ask(&router(&fleet), "resume", "1", "").await;
+    assert!(text.contains("xxx") && !text.contains("token-2"), "the two bodies were joined");
     assert!(!text.ends_with("0\r\n\r\n"));
 }
--- a/router/src/upstream/connection_pool.rs
+++ b/router/src/upstream/connection_pool.rs
@@ -152,7 +152,7 @@
     text.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
-/// Returns whether a `Connection` header contains the text `close`, in any case.
+/// Returns whether a `Connection` header contains the text `close`, in upper or lower case.
 pub fn requests_close(head: &HeaderMap) -> bool {
     let list = head.get_all(CONNECTION);
     list.iter().any(|value| value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close")))
--- a/router/src/upstream/suspicion.rs
+++ b/router/src/upstream/suspicion.rs
@@ -27,7 +27,7 @@
 pub const LIVENESS_TIMEOUT_MS: u64 = 150;
 /// Maximum number of reports that a router sends of its own suspicion while it gets no response.
 const MAX_SUSPICION_REPORTS: u32 = 3;
-/// An engine that was unresponsive for longer than this, in milliseconds, is presumed to have been restarted.
+/// Unresponsive time in milliseconds after which an engine is presumed to have been restarted.
 const PRESUMED_RESTART_MS: u64 = 1000;
 
 /// Why an engine is probed.
@@ -37,7 +37,7 @@
     OwnRequest,
     /// Another router suspects it, and this one was sampled to probe it too.
     Sampled,
-    /// Another router of this zone reported it as unresponsive.
+    /// A report says that it is unresponsive from this zone.
     Reported,
 }
 
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -38,7 +38,7 @@
     time::timeout(Duration::from_secs(20), done).await.expect("the prober finishes");
 }
 
-/// Returns the probe of an engine from a zone; without a zone as in reports of earlier versions.
+/// Returns the result of probing an engine from a zone; reports of earlier versions name no zone.
 fn probe_result<'a>(engine: &'a str, zone: Option<&'a str>) -> ProbeResult<'a> {
     ProbeResult { engine, probed_from: zone }
 }
@@ -73,72 +73,72 @@
 // through), and requests waited for seconds.
 #[tokio::test]
 async fn engine_reported_unresponsive_from_another_zone_is_probed_and_not_avoided() {
-    let list = start_engine().await;
-    let state = router(&list);
-    handle_report(&state, &unresponsive(&id(&list), Some("elsewhere")));
+    let fleet = start_engine().await;
+    let state = router(&fleet);
+    handle_report(&state, &unresponsive(&id(&fleet), Some("elsewhere")));
     assert!(!is_avoided(&state), "a report from another zone does not apply here");
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 1, "the only router is always sampled");
-    handle_report(&state, &unresponsive(&id(&list), Some(&state.settings.zone)));
+    assert_eq!(fleet[0].probes(), 1, "the only router is always sampled");
+    handle_report(&state, &unresponsive(&id(&fleet), Some(&state.settings.zone)));
     assert!(is_avoided(&state), "a report from this zone applies");
 }
 
 #[tokio::test]
 async fn response_reported_from_another_zone_triggers_a_probe_but_clears_no_suspicion() {
-    let list = start_engine().await;
-    let state = router(&list);
+    let fleet = start_engine().await;
+    let state = router(&fleet);
     state.subscribed().router_counts.push((clock::now(), 1000));
-    handle_report(&state, &unresponsive(&id(&list), Some(&state.settings.zone)));
+    handle_report(&state, &unresponsive(&id(&fleet), Some(&state.settings.zone)));
     state.subscribed().router_counts.clear();
-    handle_report(&state, &responded(&id(&list), Some("elsewhere")));
+    handle_report(&state, &responded(&id(&fleet), Some("elsewhere")));
     assert!(is_avoided(&state), "avoided until a probe from this zone gets a response");
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 1);
+    assert_eq!(fleet[0].probes(), 1);
 }
 
 #[tokio::test]
 async fn engine_reported_unresponsive_is_avoided_without_probes_until_a_response_is_reported() {
-    let list = start_engine().await;
-    let state = router(&list);
-    handle_report(&state, &unresponsive(&id(&list), None));
+    let fleet = start_engine().await;
+    let state = router(&fleet);
+    handle_report(&state, &unresponsive(&id(&fleet), None));
     assert!(is_avoided(&state) && is_probing(&state));
-    handle_report(&state, &responded(&id(&list), None));
+    handle_report(&state, &responded(&id(&fleet), None));
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 0, "it was not probed");
+    assert_eq!(fleet[0].probes(), 0, "it was not probed");
 }
 
 #[tokio::test]
 async fn reported_suspicion_makes_a_sampled_router_probe_and_does_not_avoid_the_engine() {
-    let list = start_engine().await;
-    let state = router(&list);
+    let fleet = start_engine().await;
+    let state = router(&fleet);
     // The only router is always sampled.
-    handle_report(&state, &SuspicionReport::Suspected(&id(&list)).encode());
+    handle_report(&state, &SuspicionReport::Suspected(&id(&fleet)).encode());
     assert!(!is_avoided(&state), "not avoided before a probe got no response");
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 1);
+    assert_eq!(fleet[0].probes(), 1);
 }
 
 #[tokio::test]
 async fn router_with_only_a_report_probes_at_once_when_its_own_request_gets_no_response() {
-    let list = start_engine().await;
-    let state = router(&list);
+    let fleet = start_engine().await;
+    let state = router(&fleet);
     // With a thousand routers, each would otherwise probe only after many seconds.
     state.subscribed().router_counts.push((clock::now(), 1000));
-    handle_report(&state, &unresponsive(&id(&list), None));
+    handle_report(&state, &unresponsive(&id(&fleet), None));
     raise(&state, 0);
     probing_ended(&state).await;
     assert!(!is_avoided(&state));
-    assert_eq!(list[0].probes(), 1, "probed once, and it responded");
+    assert_eq!(fleet[0].probes(), 1, "probed once, and it responded");
 }
 
 #[tokio::test]
 async fn report_does_not_abort_a_response_in_flight() {
-    let list = start_engine().await;
-    let state = router(&list);
-    handle_report(&state, &unresponsive(&id(&list), None));
+    let fleet = start_engine().await;
+    let state = router(&fleet);
+    handle_report(&state, &unresponsive(&id(&fleet), None));
     assert_eq!(state.engines().engines[0].last_failure_at, 0, "only this router's own probes abort a response");
 }
