--- a/router/src/kv/catalog_client.rs
+++ b/router/src/kv/catalog_client.rs
@@ -82,9 +82,9 @@
     }
 
     /// Records a response or a timeout, and starts a backoff after consecutive timeouts.
-    fn record_response(&self, answered: bool) {
+    fn record_response(&self, has_responded: bool) {
         let mut inner = self.inner.lock();
-        inner.consecutive_timeouts = if answered { 0 } else { inner.consecutive_timeouts + 1 };
+        inner.consecutive_timeouts = if has_responded { 0 } else { inner.consecutive_timeouts + 1 };
         if inner.consecutive_timeouts >= TIMEOUTS_BEFORE_BACKOFF {
             inner.uses_first_version = !inner.uses_first_version;
             inner.backoff_until_ms = clock::now() + BACKOFF_MS;
--- a/router/src/testing/engine.rs
+++ b/router/src/testing/engine.rs
@@ -93,7 +93,7 @@
     engines.iter().flat_map(Engine::seen).collect()
 }
 
-/// The number of probes that an engine answered.
+/// The number of probes to which an engine responded.
 type Probes = Arc<AtomicUsize>;
 
 /// An engine that follows a script. Probes (`GET /report`) get a response and are only counted.
@@ -152,7 +152,7 @@
         self.seen.lock().clone()
     }
 
-    /// Returns the number of probes that it answered.
+    /// Returns the number of probes to which it responded.
     pub fn probes(&self) -> usize {
         self.probes.load(Ordering::Relaxed)
     }
--- a/router/src/tests/early_answer.rs
+++ b/router/src/tests/early_answer.rs
@@ -23,7 +23,7 @@
 /// Delay between the engine's response and its reading of the body.
 const READ_DELAY: Duration = Duration::from_millis(300);
 /// The byte of which bodies consist; no request head begins with it.
-const BODY_BYTE: u8 = b'x';
+const FILL_BYTE: u8 = b'x';
 
 /// What a connection of the engine carried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
                 return ConnectionContent::TruncatedBody;
             }
             let part = remaining.min(unread.len());
-            if unread.drain(..part).any(|byte| byte != BODY_BYTE) {
+            if unread.drain(..part).any(|byte| byte != FILL_BYTE) {
                 return ConnectionContent::OtherBytes;
             }
             remaining -= part;
@@ -83,7 +83,7 @@
 }
 
 fn request(attempt: &str, body_bytes: usize) -> String {
-    let body = char::from(BODY_BYTE).to_string().repeat(body_bytes);
+    let body = char::from(FILL_BYTE).to_string().repeat(body_bytes);
     format!(
         "POST /once/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {attempt}\r\nConnection: close\r\nContent-Length: {body_bytes}\r\n\r\n{body}"
     )
--- a/router/src/tests/phases.rs
+++ b/router/src/tests/phases.rs
@@ -1,5 +1,4 @@
-//! Requests that one engine prefills and another decodes: whose KV cache the decode engine is told to fetch, and how
-//! often.
+//! Requests that one engine prefills and another decodes: which KV cache the decode engine is sent, and how often.
 
 use std::sync::Arc;
 
--- a/router/src/tests/stream_end.rs
+++ b/router/src/tests/stream_end.rs
@@ -11,7 +11,7 @@
         |seen| Act::SendAndClose(events(seen, 1, 3, false)),
         |seen| Act::SendAndReset(events(seen, 1, 3, false)),
         |seen| Act::SendAndClose(format!("{}5\r\nid: ", events(seen, 1, 3, false))),
-        // Without a length or chunks, a broken connection cannot be told from the end of the body.
+        // Without a length or chunks, a broken connection cannot be distinguished from the end of the body.
         |seen| Act::SendAndClose(answer(seen, "200 OK", "id: 1\n\n").replace("Content-Length: 7\r\n", "")),
     ];
     for (index, fault) in faults.into_iter().enumerate() {
