--- a/controller/src/discovery/listing.rs
+++ b/controller/src/discovery/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list of engines as it comes: pages, put together to one reading of a zone.
+//! The platform's engine list in its wire format, and the pages of one zone combined into a listing.
 
 use load_balancing::ObservedVersion;
 use protocol::message::{Engine, EngineWeights};
@@ -14,13 +14,13 @@
 }
 
 #[derive(serde::Deserialize)]
-struct Item {
+struct Instance {
     instance_id: String,
     service: String,
     address: String,
     #[serde(default)]
     zone: String,
-    /// Of its software.
+    /// The version of the engine's software.
     #[serde(default)]
     revision: String,
     #[serde(default)]
@@ -38,58 +38,58 @@
 /// One page as the platform sends it.
 #[derive(serde::Deserialize)]
 pub struct Page {
-    instance_list: Vec<Item>,
-    /// To be sent for the next page; None or empty: this is the last.
+    instance_list: Vec<Instance>,
+    /// The token to request the next page with; `None` or empty on the last page.
     pub next_token: Option<String>,
 }
 
-/// The version of each model on each engine.
+/// The weight version of each model on each engine.
 pub type Weights = Vec<EngineWeights>;
 
-/// One complete reading of a zone's list.
+/// The engines of a zone as read by one poll, from all pages.
 pub struct Listing {
-    /// All engines in the order of the platform.
+    /// All engines, in the platform's order.
     pub engines: Vec<ListedEngine>,
-    /// The versions of their weights, where wanted.
+    /// The weight versions of the engines; empty if not requested.
     pub weights: Weights,
-    /// How many pages were read.
+    /// The number of pages read.
     pub pages: usize,
-    /// What was known of this list before the first page was asked for.
+    /// The list version that was known before the first page was requested.
     pub known: ObservedVersion,
 }
 
 impl Listing {
-    /// Returns a listing of which nothing is read yet.
+    /// Creates an empty listing.
     pub fn new(known: ObservedVersion) -> Listing {
         Listing { engines: Vec::new(), weights: Vec::new(), pages: 0, known }
     }
 
-    /// Adds one page. `versions`: whether weight versions are wanted.
-    pub fn add(&mut self, page: Page, versions: bool) {
-        for item in page.instance_list.iter().filter(|_| versions) {
-            let models = item.model_list.iter();
+    /// Adds one page. `wants_weights` tells whether to keep the weight versions.
+    pub fn add(&mut self, page: Page, wants_weights: bool) {
+        for instance in page.instance_list.iter().filter(|_| wants_weights) {
+            let models = instance.model_list.iter();
             self.weights.extend(models.map(|model| EngineWeights {
-                engine: item.instance_id.clone(),
+                engine: instance.instance_id.clone(),
                 model: model.name.clone(),
                 version: model.revision,
             }));
         }
-        self.engines.extend(page.instance_list.into_iter().map(engine));
+        self.engines.extend(page.instance_list.into_iter().map(listed_engine));
         self.pages += 1;
     }
 }
 
-fn engine(item: Item) -> ListedEngine {
+fn listed_engine(instance: Instance) -> ListedEngine {
     let engine = Engine {
-        id: item.instance_id,
-        service: item.service,
-        addr: item.address,
-        zone: item.zone,
-        phase: item.phase,
-        model: item.model_list.into_iter().next().map(|model| model.name).unwrap_or_default(),
-        slots: item.slot_count,
-        up: item.oper_state == "up",
-        cold_ms: item.ramp_left_ms.clamp(0.0, 1e9).ceil() as u32,
+        id: instance.instance_id,
+        service: instance.service,
+        addr: instance.address,
+        zone: instance.zone,
+        phase: instance.phase,
+        model: instance.model_list.into_iter().next().map(|model| model.name).unwrap_or_default(),
+        slots: instance.slot_count,
+        up: instance.oper_state == "up",
+        cold_ms: instance.ramp_left_ms.clamp(0.0, 1e9).ceil() as u32,
     };
-    ListedEngine { engine, version: item.revision }
+    ListedEngine { engine, version: instance.revision }
 }
--- a/controller/src/testing/simulation/isolation_tests.rs
+++ b/controller/src/testing/simulation/isolation_tests.rs
@@ -1,83 +1,84 @@
-//! A controller that is cut off, or stands still, for some twenty seconds and comes back.
+//! A controller that is isolated or frozen for twenty seconds and then returns.
 
 use kernel::Rng;
 
 use super::{Cluster, Guards, ALL_GUARDS};
 
-const AWAY_MS: u64 = 20_000;
+/// How long an outage lasts, in milliseconds.
+const OUTAGE_MS: u64 = 20_000;
 
-/// How a controller loses the others.
+/// How a controller loses contact with the others.
 #[derive(Clone, Copy, Debug)]
-enum Away {
-    CutOff,
-    /// It hears the others, and they do not hear it.
-    Unheard,
+enum Outage {
+    Isolated,
+    /// It receives messages from the others, but they receive none from it.
+    Muted,
     Frozen,
 }
 
-fn run(seed: u64, away: Away, guards: Guards) -> Cluster {
+fn run(seed: u64, outage: Outage, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 3);
     cluster.guards = guards;
-    cluster.lost_answers = 20;
-    let mut chance = Rng::new(seed ^ 0xc07);
-    cluster.run(2500 + chance.below(1500));
-    let at = chance.below(3) as usize;
-    match away {
-        Away::CutOff => cluster.isolate(at),
-        Away::Unheard => cluster.silence(at),
-        Away::Frozen => cluster.freeze(at),
+    cluster.lost_answer_percent = 20;
+    let mut rng = Rng::new(seed ^ 0xc07);
+    cluster.run(2500 + rng.below(1500));
+    let index = rng.below(3) as usize;
+    match outage {
+        Outage::Isolated => cluster.isolate(index),
+        Outage::Muted => cluster.block_outgoing(index),
+        Outage::Frozen => cluster.freeze(index),
     }
-    cluster.run(AWAY_MS / 2);
-    if !matches!(away, Away::Frozen) {
-        assert!(!cluster.nodes[at].is_confirmed(cluster.now), "seed {seed}: confirmed without a quorum");
+    cluster.run(OUTAGE_MS / 2);
+    if !matches!(outage, Outage::Frozen) {
+        assert!(!cluster.nodes[index].is_confirmed(cluster.now), "seed {seed}: confirmed without a quorum");
     }
-    cluster.run(AWAY_MS / 2);
+    cluster.run(OUTAGE_MS / 2);
     cluster.network.heal();
-    cluster.thaw(at);
+    cluster.thaw(index);
     cluster.run(3000);
     cluster.finish();
     cluster
 }
 
-fn holds(away: Away) {
+fn assert_no_violations(outage: Outage) {
     let (mut acknowledged, mut reads) = (0, 0);
     for seed in 1..=12 {
-        let cluster = run(seed, away, ALL_GUARDS);
+        let cluster = run(seed, outage, ALL_GUARDS);
         let history = &cluster.history;
-        assert!(history.violations.is_empty(), "seed {seed}, {away:?}: {:?}", history.violations);
+        assert!(history.violations.is_empty(), "seed {seed}, {outage:?}: {:?}", history.violations);
         acknowledged += history.acknowledged();
         reads += history.reads;
     }
-    assert!(acknowledged > 300 && reads > 100, "operators must get work done: {acknowledged}, {reads}");
+    assert!(acknowledged > 300 && reads > 100, "too few changes or reads completed: {acknowledged}, {reads}");
 }
 
-fn breaks(away: Away, guards: Guards) -> bool {
-    (1..=40).any(|seed| !run(seed, away, guards).history.violations.is_empty())
+fn finds_violation(outage: Outage, guards: Guards) -> bool {
+    (1..=40).any(|seed| !run(seed, outage, guards).history.violations.is_empty())
 }
 
 #[test]
-fn one_that_is_cut_off_hands_out_nothing_old_refuses_nothing_good_and_confirms_nothing() {
-    holds(Away::CutOff);
+fn an_isolated_controller_is_not_confirmed_and_violates_no_guarantee() {
+    assert_no_violations(Outage::Isolated);
 }
 
 #[test]
-fn one_that_nobody_hears_hands_out_nothing_old_refuses_nothing_good_and_confirms_nothing() {
-    holds(Away::Unheard);
+fn a_muted_controller_is_not_confirmed_and_violates_no_guarantee() {
+    assert_no_violations(Outage::Muted);
 }
 
 #[test]
-fn one_that_stood_still_carries_out_no_order_from_before() {
-    holds(Away::Frozen);
+fn a_frozen_controller_executes_no_stale_request() {
+    assert_no_violations(Outage::Frozen);
 }
 
 #[test]
-fn without_reads_at_a_quorum_one_that_is_cut_off_hands_out_an_old_configuration() {
+fn without_quorum_reads_an_isolated_controller_serves_an_old_configuration() {
     let guards = Guards { quorum_reads: false, ..ALL_GUARDS };
-    assert!(breaks(Away::CutOff, guards), "a simulation that can't fail shows nothing");
+    assert!(finds_violation(Outage::Isolated, guards), "the simulation did not find the fault that the guard prevents");
 }
 
 #[test]
-fn without_dropping_old_orders_one_that_stood_still_carries_them_out() {
-    let guards = Guards { stale_orders: false, ..ALL_GUARDS };
-    assert!(breaks(Away::Frozen, guards), "a simulation that can't fail shows nothing");
+fn without_dropping_stale_requests_a_frozen_controller_executes_them() {
+    let guards = Guards { stale_requests: false, ..ALL_GUARDS };
+    assert!(finds_violation(Outage::Frozen, guards), "the simulation did not find the fault that the guard prevents");
 }
--- a/controller/src/testing/simulation/mod.rs
+++ b/controller/src/testing/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders, cuts,
-//! frozen processes, losses of power and of disks, replaced machines, operators that race and send again.
-//! The nodes run the state machines of `consensus` and the decisions of this crate; only what carries them
-//! (sockets, timers, the disk) is simulated. `history` checks what operators and subscribers got.
+//! A seeded simulation of the controllers in virtual time: a network that loses, delays and reorders messages,
+//! partitions, frozen processes, losses of power and of disks, replaced machines, and operators that race and retry.
+//!
+//! The nodes run the state machines of `consensus` and the decisions of this crate; only sockets, timers and disks are
+//! simulated. `history` checks what operators were answered and what controllers confirm.
 
 use std::mem;
 
@@ -28,24 +29,24 @@
 mod replacement_tests;
 mod restart_tests;
 
-/// Guards that a test may switch off to show that the simulation finds the fault they prevent.
+/// Guards that a test may switch off to show that the simulation finds the fault that they prevent.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
     /// A read is answered only after a round at a quorum.
     pub quorum_reads: bool,
-    /// A committed configuration remembers the digests of the changes it came from.
+    /// A committed configuration remembers the digests of the changes that led to it.
     pub digests: bool,
     /// A change is checked before it is committed.
     pub validity: bool,
-    /// A relayed evacuation names the version that it is made on top of.
+    /// A relayed evacuation names the version on top of which it is made.
     pub versioned_evacuations: bool,
-    /// Requests that waited in a socket while the process stood still are not carried out.
-    pub stale_orders: bool,
+    /// Requests that waited in a socket while the process was frozen are not executed.
+    pub stale_requests: bool,
     /// A wiped acceptor reads the others before it responds.
     pub recovery_reads: bool,
-    /// A member tells that it is about to end, and waits to be released.
+    /// A member announces its shutdown and waits to be released.
     pub hand_over: bool,
-    /// A controller that is behind takes a newer committed entry than the one it asked for.
+    /// A controller with a stale key accepts a newer committed entry than the one it requested.
     pub newer_entries: bool,
 }
 
@@ -54,13 +55,13 @@
     digests: true,
     validity: true,
     versioned_evacuations: true,
-    stale_orders: true,
+    stale_requests: true,
     recovery_reads: true,
     hand_over: true,
     newer_entries: true,
 };
 
-/// All machines, operators and the network between them.
+/// All machines and operators, and the network between them.
 pub struct Cluster {
     pub now: u64,
     pub random: Rng,
@@ -69,18 +70,18 @@
     pub operators: Vec<Operator>,
     pub history: History,
     pub guards: Guards,
-    /// The addresses that a new process is told.
+    /// The seed addresses in the settings of a new process.
     pub seeds: Vec<String>,
-    /// Of a hundred answers to operators, so many are lost.
-    pub lost_answers: u64,
-    /// The longest time that an operator rests before its next order.
-    pub max_pause_ms: u64,
-    /// Operators send changes of named items and invalid ones too, and some orders are carried out at two controllers at once.
-    pub mixed_orders: bool,
+    /// The percentage of answers to operators that are lost.
+    pub lost_answer_percent: u64,
+    /// The longest pause of an operator before its next action, in milliseconds.
+    pub max_think_time_ms: u64,
+    /// Operators also send partial and invalid changes, and some actions are executed at two controllers at once.
+    pub mixed_actions: bool,
 }
 
-pub fn address(at: usize) -> String {
-    format!("10.0.0.{at}")
+pub fn address(index: usize) -> String {
+    format!("10.0.0.{index}")
 }
 
 impl Cluster {
@@ -95,27 +96,28 @@
             history: History::default(),
             guards: ALL_GUARDS,
             seeds,
-            lost_answers: 0,
-            max_pause_ms: 300,
-            mixed_orders: false,
+            lost_answer_percent: 0,
+            max_think_time_ms: 300,
+            mixed_actions: false,
         };
-        for at in 0..size {
-            let mut node = Node::new(at, &cluster.seeds, 0);
-            node.found(&cluster.seeds);
+        for index in 0..size {
+            let mut node = Node::new(index, &cluster.seeds, 0);
+            node.bootstrap(&cluster.seeds);
             cluster.nodes.push(node);
         }
         cluster
     }
 
-    /// One millisecond: what is due is delivered, then every process that runs does what is due.
+    /// Advances the time by one millisecond: delivers the messages that are due, then runs all running nodes and
+    /// operators.
     pub fn step(&mut self) {
         self.now += 1;
         for envelope in self.network.due(self.now) {
             self.deliver(envelope);
         }
-        for at in 0..self.nodes.len() {
-            if self.nodes[at].runs() {
-                self.run_node(at);
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].is_running() {
+                self.run_node(index);
             }
         }
         for number in 0..self.operators.len() {
@@ -132,12 +134,12 @@
 
     fn deliver(&mut self, envelope: network::Envelope) {
         if let network::Address::Operator(number) = envelope.to {
-            let Packet::Answer(attempt, answer) = envelope.message else { return };
-            self.receive_answer(number, attempt, answer);
+            let Packet::Answer(action_id, answer) = envelope.message else { return };
+            self.receive_answer(number, action_id, answer);
             return;
         }
-        let network::Address::Node(at) = envelope.to else { return };
-        let node = &mut self.nodes[at];
+        let network::Address::Node(index) = envelope.to else { return };
+        let node = &mut self.nodes[index];
         if !node.up || node.incarnation != envelope.incarnation {
             return;
         }
@@ -145,30 +147,30 @@
             node.inbox.push(envelope);
             return;
         }
-        self.handle(at, envelope);
+        self.handle(index, envelope);
     }
 
-    /// Everything that a node does by itself at this time.
-    fn run_node(&mut self, at: usize) {
-        for envelope in mem::take(&mut self.nodes[at].inbox) {
-            self.handle(at, envelope);
-            // Each is begun before the next is read, as tasks of a process may be.
-            self.run_changes(at);
+    /// Runs everything that a node does at the current time.
+    fn run_node(&mut self, index: usize) {
+        for envelope in mem::take(&mut self.nodes[index].inbox) {
+            self.handle(index, envelope);
+            // Each request is started before the next one is read, as may happen with tasks of a process.
+            self.run_changes(index);
         }
-        self.sync_disk(at);
-        self.run_changes(at);
-        self.run_confirmation(at);
-        self.run_membership(at);
+        self.sync_disk(index);
+        self.run_changes(index);
+        self.run_confirmation(index);
+        self.run_membership(index);
     }
 
-    fn handle(&mut self, at: usize, envelope: network::Envelope) {
+    fn handle(&mut self, index: usize, envelope: network::Envelope) {
         match envelope.message {
-            Packet::Poll { id, poll } => self.handle_request(at, envelope.from, id, poll),
-            Packet::Response { id, response } => self.receive_response(at, envelope.from, id, response),
-            Packet::Heartbeat(heartbeat) => self.receive_heartbeat(at, heartbeat),
-            Packet::Learn(key, entry) => self.learn(at, &key, &entry, false),
-            Packet::OperatorAction(attempt, order) => self.receive_action(at, envelope.from, attempt, order),
-            Packet::Close(attempt) => self.drop_action(at, envelope.from, attempt),
+            Packet::Request { id, request } => self.handle_request(index, envelope.from, id, request),
+            Packet::Response { id, response } => self.dispatch_response(index, envelope.from, id, response),
+            Packet::Heartbeat(heartbeat) => self.receive_heartbeat(index, heartbeat),
+            Packet::Learn(key, entry) => self.learn(index, &key, &entry, false),
+            Packet::OperatorAction(action_id, action) => self.receive_action(index, envelope.from, action_id, action),
+            Packet::Close(action_id) => self.drop_action(index, envelope.from, action_id),
             Packet::Answer(..) => {}
         }
     }
