--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of a request: reads it, authorizes it, and hands it to the proxy.
+//! Request admission: reads a request, authorizes it, and hands it to the proxy.
 //!
-//! Order of the steps: framing (a request whose end is ambiguous must not be interpreted further), configuration and
-//! authorization (so that a ready router holds no body of an unauthorized request in memory), the memory limit, the body.
-//! Every request gets a response, and is counted by a `RequestGuard` from its head to the end of that response.
+//! The checks run in this order: framing (a request with ambiguous framing must not be interpreted further), configuration
+//! and authorization (so that a ready router buffers no body of an unauthorized request), the memory limit, the body. Every
+//! request gets a response, and a `RequestGuard` counts it from its head to the end of that response.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 use crate::proxy::{forward, plan};
 use crate::state::State;
 
-/// Reads, admits and forwards one request and returns the response, which is one of the router's own if any step fails.
+/// Reads, admits and forwards one request. Returns the engine's response, or an error response if a step fails.
 pub async fn serve(
     state: Arc<State>,
     incoming: http::Request<Incoming>,
@@ -48,7 +48,7 @@
     }
     let admitted = match guard.phase() {
         DrainPhase::Serving | DrainPhase::Draining => read_and_admit(&state, incoming).await,
-        // Its head arrived while the router was closing: rejected now rather than abandoned at the end of the grace.
+        // The head arrived while the router was closing: rejected now rather than aborted when the grace period ends.
         DrainPhase::Closing => Err(reject_unread(incoming).await),
     };
     framing.expect_head();
@@ -68,7 +68,7 @@
     guard.track_response(response, outcome)
 }
 
-/// Returns how a request ends for the metrics once the engine's response has been forwarded completely.
+/// Returns the outcome to record once the engine's response has been forwarded completely.
 fn forwarded_outcome(response: &Response<Body>) -> Outcome {
     match response.status().is_success() {
         true => Outcome::Success,
@@ -76,22 +76,23 @@
     }
 }
 
-/// Longest body that is read before the first configuration, and with it the configured limit, is known.
+/// Body size limit that applies until the first configuration arrives with the configured limit.
 const STARTUP_MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Longest wait for the first configuration, and the time budget assumed of a request that names none.
+/// Maximum wait for the first configuration, idle timeout of bodies until then, and default time budget of requests, in
+/// milliseconds.
 const STARTUP_WAIT_MS: u64 = 1000;
-/// The part of its time budget that a request spends waiting for the first configuration, as a divisor.
+/// A request waits for the first configuration for at most its time budget divided by this.
 const STARTUP_WAIT_DIVISOR: u64 = 3;
-/// Pause between two looks at whether the router is ready.
+/// Polling interval while waiting for the router to become ready, in milliseconds.
 const READY_POLL_MS: u64 = 15;
-/// `Retry-After` where the configuration is not known well enough to decide.
+/// `Retry-After` if the router is closing, or its configuration is missing or may be stale, in milliseconds.
 const RETRY_AFTER_MS: u64 = 300;
-/// `Retry-After` where request bodies occupy too much memory.
+/// `Retry-After` if buffered request bodies occupy too much memory, in milliseconds.
 const MEMORY_RETRY_AFTER_MS: u64 = 250;
-/// Shift from a memory limit in MiB to the bytes of it that request bodies may occupy: a quarter.
+/// Shift that converts the memory limit in MiB to the byte limit on buffered request bodies: a quarter of it.
 const HELD_BODY_BYTES_SHIFT: u32 = 18;
 
-/// Waits until the router is ready, but not beyond `deadline_ms`.
+/// Waits until the router is ready or `deadline_ms` has passed.
 async fn wait_until_ready(state: &State, deadline_ms: u64) {
     let ordering = Ordering::Relaxed;
     while !state.ready.load(ordering) && clock::now() < deadline_ms {
@@ -99,10 +100,10 @@
     }
 }
 
-/// A request that is not admitted.
+/// Why a request was not admitted.
 struct Rejection {
     failure: Failure,
-    /// Its body was not read to the end, so the next request on the connection could not be found.
+    /// The body was not read to its end, so the start of the next request on the connection is unknown.
     close_connection: bool,
 }
 
@@ -114,16 +115,16 @@
 
 /// The body of a request during admission.
 enum ClientBody {
-    /// Still on the connection.
+    /// Not read from the connection yet.
     Unread(Incoming),
-    /// In memory, since it was read while the router started.
+    /// Buffered in memory, because it was read during startup.
     Read(Bytes),
 }
 
-/// Rejects a request whose body is not needed. What is left of the body is read and discarded, so that the next
-/// request on the connection is found where it begins.
+/// Rejects a request whose body is not needed. The rest of the body is read and discarded, so that the connection can
+/// be reused.
 async fn reject(failure: Failure, parts: &Parts, body: ClientBody) -> Rejection {
-    // A client with `Expect` sends its body only once it is asked to, which reading would do.
+    // A client that sent `Expect` waits for `100 Continue`, and reading the body would send that.
     let awaits_continue = parts.headers.contains_key(EXPECT);
     let was_read = match body {
         ClientBody::Unread(body) => !awaits_continue && request::discard_body(body).await,
@@ -132,30 +133,30 @@
     Rejection { failure, close_connection: !was_read }
 }
 
-/// Rejects a request of which only the head was read.
+/// Rejects a request after reading only its head.
 async fn reject_unread(incoming: http::Request<Incoming>) -> Rejection {
     let (parts, body) = incoming.into_parts();
     reject(Failure::Unavailable(RETRY_AFTER_MS), &parts, ClientBody::Unread(body)).await
 }
 
-/// The routing table that a request was authorized by, with the result.
+/// The authorization of a request, with the routing table that it is based on.
 struct Admitted {
     table: Arc<RoutingTable>,
     authorization: Authorization,
 }
 
-/// Authorizes a request by one routing table: the route first, since it says whether a key is needed.
+/// Authorizes a request against a routing table. The route is looked up first, since it says whether a key is required.
 fn authorize_by(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
     let route = table.find(host, parts.uri.path()).ok_or(Failure::RouteNotFound)?;
-    let granted = Authorization::grant(table, route, key);
-    granted.map_err(|UnknownKey| Failure::Unauthorized)
+    let authorization = Authorization::grant(table, route, key);
+    authorization.map_err(|UnknownKey| Failure::Unauthorized)
 }
 
-/// Authorizes a request by the routing table in force, waiting for a newer one if this one rejects the request.
+/// Authorizes a request against the routing table in force. If it rejects the request, waits for a newer table.
 ///
 /// # Errors
-/// `RouteNotFound` and `Unauthorized` only by a table that is proved to be current; `Unavailable` without a proof.
+/// `RouteNotFound` or `Unauthorized` if the table is proved to be current; `Unavailable` if it may be stale.
 async fn authorize(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
     let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
     let key = authorization::api_key_digest(&parts.headers);
@@ -163,14 +164,14 @@
     let table = match freshness::wait_for_table(state, time_budget_ms, accepts).await {
         Ok(table) => table,
         Err(LookupMiss::Unproved) => return Err(Failure::Unavailable(RETRY_AFTER_MS)),
-        // The proof holds for this table as well: it is the same or a newer one.
+        // The proof covers this table too: it is the same one or a newer one.
         Err(LookupMiss::Certain) => state.table(),
     };
     let authorization = authorize_by(&table, parts, key)?;
     Ok(Admitted { table, authorization })
 }
 
-/// Reads the body of a request that came before the first configuration, and then waits for that configuration.
+/// Reads the body of a request that arrived before the first configuration, then waits for the configuration.
 async fn read_during_startup(
     state: &State,
     parts: &Parts,
@@ -184,7 +185,7 @@
     Ok(body)
 }
 
-/// Checks that a configuration is in force, and logs the first request that comes under it.
+/// Checks that a configuration is in force, and logs the first request served under it.
 fn check_configured(state: &State) -> Result<(), Failure> {
     let table = state.table();
     if table.revision == 0 {
@@ -196,7 +197,7 @@
     Ok(())
 }
 
-/// Checks that request bodies leave memory for another one.
+/// Checks that buffered request bodies are within their memory limit.
 fn check_body_memory(state: &State) -> Result<(), Failure> {
     let max_held_bytes = (state.settings.limits.memory_mb as usize) << HELD_BODY_BYTES_SHIFT;
     if state.held_body_bytes.load(Ordering::Relaxed) > max_held_bytes {
@@ -205,7 +206,7 @@
     Ok(())
 }
 
-/// Returns the whole body, within the limits of the table that the request was authorized by.
+/// Returns the complete body, subject to the limits of the routing table that authorized the request.
 async fn read_within_limits(body: ClientBody, table: &RoutingTable) -> Result<Bytes, Failure> {
     match body {
         ClientBody::Unread(body) => request::read_body(body, table.body_bytes, table.idle_ms).await,
@@ -214,7 +215,7 @@
     }
 }
 
-/// Reads and authorizes a request, and returns the exchange that carries it on.
+/// Reads and authorizes a request, and returns the exchange that forwards it.
 async fn read_and_admit(state: &Arc<State>, incoming: http::Request<Incoming>) -> Result<Exchange, Rejection> {
     let received_at_ms = clock::now();
     let (parts, incoming_body) = incoming.into_parts();
@@ -234,13 +235,13 @@
     check_body_memory(state)?;
     let body = read_within_limits(body, &admitted.table).await?;
     if clock::now() > authorized_at_ms + state.freshness.budget().lookup_age_ms() {
-        // The body took long to arrive: a newer configuration may route the request elsewhere.
+        // The body was slow to arrive, and a newer configuration may route the request differently.
         admitted = authorize(state, &parts).await?;
     }
     Ok(start_exchange(state, admitted, parts, body, received_at_ms))
 }
 
-/// Returns the exchange of a request that was admitted and read, and counts it in the retry budget.
+/// Returns the exchange for an admitted request, and records the request in the retry budget.
 fn start_exchange(state: &Arc<State>, admitted: Admitted, parts: Parts, body: Bytes, received_at_ms: u64) -> Exchange {
     let Admitted { table, authorization } = admitted;
     let route = authorization.route().clone();
--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -1,4 +1,4 @@
-//! Rejections by what the configuration lacks, where it is not known to be current.
+//! Rejection of unknown keys and routes while the configuration may be stale.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await
 }
 
-/// Brings a configuration into force in which the one tenant has these keys.
-fn keys(state: &State, keys: &[&str]) {
+/// Applies a configuration with one tenant that has these API keys.
+fn configure_api_keys(state: &State, keys: &[&str]) {
     let revision = state.table().revision + 1;
     configure(state, revision, serde_json::json!({"tenant_table": [{"name": "one", "api_keys": keys}]}));
 }
@@ -24,7 +24,7 @@
 async fn an_unknown_key_or_route_is_rejected_with_retry_after_while_the_table_may_be_stale() {
     let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
-    keys(&state, &["k2"]);
+    configure_api_keys(&state, &["k2"]);
     for route in ["once", "gone"] {
         let text = ask(&state, route, "1", &format!("Time-Budget: 60\r\n{KEYED}")).await;
         assert_eq!(status(&text), "503", "{route}: {text}");
@@ -38,23 +38,23 @@
 }
 
 #[tokio::test]
-async fn a_key_that_comes_while_its_request_waits_is_served() {
+async fn a_request_that_waits_for_a_current_table_is_served_once_its_key_is_configured() {
     let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
-    keys(&state, &["k2"]);
+    configure_api_keys(&state, &["k2"]);
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", &format!("Connection: close\r\n{KEYED}"))).await;
-    let asked = Duration::from_secs(10);
-    time::timeout(asked, state.freshness.wanted()).await.expect("the proof is asked for");
-    keys(&state, &["k1"]);
+    let timeout = Duration::from_secs(10);
+    time::timeout(timeout, state.freshness.wanted()).await.expect("a freshness proof is requested");
+    configure_api_keys(&state, &["k1"]);
     let text = client.rest().await;
     assert_eq!((status(&text), seen(&list).len()), ("200", 1), "{text}");
 }
 
 #[tokio::test]
-async fn a_key_that_is_known_needs_no_proof() {
+async fn a_known_key_is_accepted_without_a_freshness_proof() {
     let list = succeeding_engines().await;
     let state = unproved_router(&list, 5.0);
-    keys(&state, &["k1"]);
+    configure_api_keys(&state, &["k1"]);
     assert_eq!(status(&ask(&state, "once", "1", KEYED).await), "200");
 }
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -1,5 +1,5 @@
-//! Authorization: whether a request may go to an engine, and on behalf of which tenant. Checked when the request is
-//! admitted, and again before each send, since keys may be revoked meanwhile.
+//! Authorization: whether a request may be sent to an engine, and on behalf of which tenant. It is checked at admission,
+//! and again before each send, since keys may be revoked in between.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 /// The only supported scheme: `Authorization: Bearer KEY`.
 const BEARER_SCHEME: &[u8] = b"bearer";
 
-/// Returns the digest of the API key of a request; `None` if it has none, several, or one in another form.
+/// Returns the digest of a request's API key; `None` unless there is exactly one, in the supported scheme.
 pub fn api_key_digest(headers: &HeaderMap) -> Option<KeyDigest> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes().trim_ascii();
@@ -26,24 +26,24 @@
     (scheme.eq_ignore_ascii_case(BEARER_SCHEME) && !key.is_empty()).then(|| KeyDigest::of(key))
 }
 
-/// The error of a request whose route needs a key and which has none that is known.
+/// The route requires an API key, and the request has no known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// What a request was admitted with. It is sent on behalf of this tenant, or not at all.
+/// The result of authorizing a request: it is sent on behalf of this tenant or not at all.
 pub struct Authorization {
     key: Option<KeyDigest>,
-    /// The route in the table that admitted the request.
+    /// The route, as defined by the routing table that admitted the request.
     route: Arc<Route>,
-    /// `None` if there are no tenants, or the route is anonymous.
+    /// `None` if no tenants are configured, or the route is anonymous and the request has no known key.
     tenant: Option<Arc<Tenant>>,
 }
 
 impl Authorization {
-    /// Authorizes a request by a routing table.
+    /// Authorizes a request against a routing table.
     ///
     /// # Errors
-    /// `UnknownKey` if the route needs a key and none is known.
+    /// `UnknownKey` if the route requires a key and the request has no known one.
     pub fn grant(
         table: &RoutingTable,
         route: &Arc<Route>,
@@ -53,8 +53,8 @@
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
-    /// Returns whether the request would still be admitted, on behalf of the same tenant and for the same regions. A key
-    /// may be revoked, or pass to another tenant, while its request waits.
+    /// Returns whether the request would still be admitted for the same tenant and the same regions. A key may be revoked
+    /// or assigned to another tenant while the request waits.
     pub fn is_still_valid(&self, table: &RoutingTable) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
         match (tenant_of_key(table, anonymous, self.key.as_ref()), &self.tenant) {
@@ -71,24 +71,23 @@
         self.tenant.as_deref()
     }
 
-    /// Returns the route that the request was admitted by.
+    /// Returns the route that matched the request at admission.
     pub fn route(&self) -> &Arc<Route> {
         &self.route
     }
 
-    /// Returns the priority of the request: its tenant's, else its route's.
+    /// Returns the priority of the request: that of its tenant if configured, else that of its route.
     pub fn priority(&self) -> u32 {
         self.tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(self.route.priority)
     }
 
-    /// Returns the lists of regions, of the route and of the tenant, that each restrict the request; an empty list
-    /// restricts nothing.
+    /// Returns the region allowlists of the route and of the tenant. Both apply; an empty list allows every region.
     pub fn allowed_regions(&self) -> [&[String]; 2] {
         let tenant = self.tenant.as_ref().map_or(&[][..], |tenant| &tenant.allowed_regions);
         [&self.route.allowed_regions, tenant]
     }
 
-    /// Removes the key, which no engine may see, and any tenant that the client named; adds the authorized tenant.
+    /// Removes the API key, which must not reach an engine, and replaces any client-supplied tenant by the authorized one.
     pub fn rewrite_headers(&self, headers: &mut HeaderMap) {
         headers.remove(AUTHORIZATION);
         headers.remove(TENANT);
@@ -98,7 +97,7 @@
     }
 }
 
-/// Returns the tenant of a key; `None` if the request may go without one. A known key counts on an anonymous route too.
+/// Returns the tenant of a key; `None` if no tenant is needed. On an anonymous route a known key still selects its tenant.
 fn tenant_of_key<'a>(
     table: &'a RoutingTable,
     anonymous: bool,
--- a/router/src/frontend/error_response.rs
+++ b/router/src/frontend/error_response.rs
@@ -1,4 +1,4 @@
-//! Responses that the router itself gives: `Failure` names the condition, `build` alone turns it into HTTP.
+//! Error responses of the router: `Failure` names the condition, and only `build` maps it to HTTP.
 
 use std::io;
 
@@ -13,29 +13,30 @@
 /// The body of any response to a client.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Why a request gets no response of an engine.
+/// Why a request gets no response from an engine.
 ///
-/// 429 and 503 promise that the request has not run and never will, so that a client may send it again; 502 and 504
-/// promise nothing.
+/// 429 and 503 guarantee that the request has not run and never will, so that a client can safely retry it; 502 and 504
+/// guarantee nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// 400: the request violates the protocol. Ends the connection.
+    /// 400: the request violates the protocol. Closes the connection.
     Malformed,
     /// 404: no route matches the host and path.
     RouteNotFound,
-    /// 401: the route needs a key, and the request has none that is known.
+    /// 401: the route requires an API key, and the request has no known one.
     Unauthorized,
-    /// 408: the body paused for longer than the configured limit. Ends the connection.
+    /// 408: the body stalled for longer than the configured idle timeout. Closes the connection.
     BodyTimeout,
-    /// 413: the body exceeds the configured limit. Ends the connection.
+    /// 413: the body exceeds the configured limit. Closes the connection.
     BodyTooLarge,
-    /// 503: the request was shed. It has not run and never will; retry after so many milliseconds.
+    /// 503: the request was shed; it has not run and never will. Holds the retry delay in milliseconds.
     Unavailable(u64),
-    /// 429: the tenant is over its rate limit. It has not run and never will; retry after so many milliseconds.
+    /// 429: the tenant is over its rate limit; the request has not run and never will. Holds the retry delay in
+    /// milliseconds.
     QuotaExceeded(u64),
     /// 502: the request may have run, and the response is lost.
     ResponseLost,
-    /// 504: the request may have run, and its time is up.
+    /// 504: the request may have run, and its deadline has passed.
     DeadlineExceeded,
 }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Returns the value of `Retry-After`: seconds with three decimals.
+    /// Returns the value of `Retry-After` in seconds with three decimals; `None` if the failure has no retry delay.
     fn retry_after(self) -> Option<HeaderValue> {
         let (Failure::Unavailable(retry_after_ms) | Failure::QuotaExceeded(retry_after_ms)) = self else {
             return None;
@@ -65,7 +66,7 @@
     }
 }
 
-/// Returns the response for a failure. With `close_connection` the connection ends with it, whatever the failure.
+/// Returns the response for a failure. `close_connection` closes the connection after it, whatever the failure.
 pub fn build(failure: Failure, close_connection: bool) -> Response<Body> {
     let empty = BodyExt::map_err(Empty::new(), |never| match never {});
     let mut response = Response::new(Body::new(UnsyncBoxBody::new(empty)));
@@ -77,8 +78,8 @@
     if failure == Failure::Unauthorized {
         headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
     }
-    let ends_connection = matches!(failure, Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge);
-    if ends_connection || close_connection {
+    let closes_connection = matches!(failure, Failure::Malformed | Failure::BodyTimeout | Failure::BodyTooLarge);
+    if closes_connection || close_connection {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
--- a/router/src/frontend/framing_check.rs
+++ b/router/src/frontend/framing_check.rs
@@ -1,8 +1,8 @@
-//! Detects request heads that name both framings, `Content-Length` and `Transfer-Encoding`.
+//! Detects request heads that have both `Content-Length` and `Transfer-Encoding`.
 //!
-//! The HTTP library resolves this conflict by itself: it reads by chunks and drops the length, so no request can be
-//! smuggled past the router. But such a request has to be rejected as malformed, and behind the library the conflict is
-//! no longer visible. So the bytes of each head are scanned on their way from the socket to the library.
+//! The HTTP library resolves this conflict itself: it decodes the chunks and drops the length, so no request can be
+//! smuggled past the router. But such a request must be rejected as malformed, and the parsed request no longer shows the
+//! conflict. Therefore the bytes of each head are scanned on their way from the socket to the library.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What the scan of a connection found, shared by the stream and the service behind the HTTP library.
+/// The scan state of a connection, shared by the stream that feeds the HTTP library and the service that it calls.
 ///
-/// Invariant: `expects_head` is set while the next bytes begin or continue a head; `has_conflicting_framings` describes
+/// Invariant: `expects_head` is set while the next bytes start or continue a head; `has_conflicting_framings` describes
 /// the last complete head.
 #[derive(Default)]
 pub struct FramingMonitor {
@@ -24,68 +24,68 @@
 }
 
 impl FramingMonitor {
-    /// Returns a monitor that expects the first head of a connection.
+    /// Returns the monitor of a new connection, which expects a head.
     pub fn new() -> Arc<FramingMonitor> {
         let framing = FramingMonitor::default();
         framing.expect_head();
         Arc::new(framing)
     }
 
-    /// Starts the scan of the next head, once the body before it has been read.
+    /// Starts scanning for the next head. Called once the preceding body has been read.
     pub fn expect_head(&self) {
         self.expects_head.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the last head named both framings.
+    /// Returns whether the last head had both framing headers.
     pub fn has_conflicting_framings(&self) -> bool {
         self.has_conflicting_framings.load(Ordering::Relaxed)
     }
 }
 
-/// A client's connection whose request heads are scanned as they are read.
+/// A client connection whose request heads are scanned as they are read.
 pub struct MonitoredStream {
     inner: TcpStream,
     framing: Arc<FramingMonitor>,
-    /// What has been read of the head that is being scanned.
+    /// The bytes read so far of the head that is being scanned.
     head: Vec<u8>,
 }
 
-/// Bytes of a head that are scanned; the HTTP library rejects larger heads anyway.
+/// Maximum number of bytes scanned per head; the HTTP library rejects larger heads anyway.
 const MAX_HEAD_BYTES: usize = 256 * 1024;
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
 impl MonitoredStream {
-    /// Wraps a connection; `framing` gets what is found on it.
+    /// Wraps a connection; the results of the scan are stored in `framing`.
     pub fn new(inner: TcpStream, framing: Arc<FramingMonitor>) -> MonitoredStream {
         MonitoredStream { inner, framing, head: Vec::new() }
     }
 
-    /// Scans bytes that were just read, unless they belong to a body.
+    /// Scans newly read bytes unless they belong to a body.
     fn scan(&mut self, bytes: &[u8]) {
         if !self.framing.expects_head.load(Ordering::Relaxed) {
             return;
         }
-        // The end may be split over two reads.
-        let from = self.head.len().saturating_sub(END_OF_HEAD.len() - 1);
+        // The end of the head may be split across two reads.
+        let search_start = self.head.len().saturating_sub(END_OF_HEAD.len() - 1);
         self.head.extend_from_slice(bytes);
-        let end = self.head[from..].windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD);
+        let end = self.head[search_start..].windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD);
         if end.is_none() && self.head.len() < MAX_HEAD_BYTES {
             return;
         }
-        let head = &self.head[..end.map_or(self.head.len(), |end| from + end)];
+        let head = &self.head[..end.map_or(self.head.len(), |end| search_start + end)];
         self.framing.has_conflicting_framings.store(count_framings(head) > 1, Ordering::Relaxed);
         self.framing.expects_head.store(false, Ordering::Relaxed);
         self.head = Vec::new();
     }
 }
 
-/// Returns how many of the two framings a head names.
+/// Returns how many of the two framing headers a head has.
 fn count_framings(head: &[u8]) -> usize {
-    let names = |name: &[u8]| {
+    let has_header = |name: &[u8]| {
         head.split(|byte| *byte == b'\n')
             .any(|line| line.len() > name.len() && line[..name.len()].eq_ignore_ascii_case(name))
     };
-    usize::from(names(b"content-length")) + usize::from(names(b"transfer-encoding"))
+    usize::from(has_header(b"content-length")) + usize::from(has_header(b"transfer-encoding"))
 }
 
 impl AsyncRead for MonitoredStream {
--- a/router/src/frontend/listener.rs
+++ b/router/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners of a router: clients' connections, and the platform's readiness checks.
+//! The router's listeners for client connections and for the platform's readiness checks.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -25,27 +25,27 @@
 use crate::metrics::{Connection, PhaseLabels};
 use crate::state::State;
 
-/// Most readiness checks that are served at the same time.
+/// Maximum number of concurrent connections for readiness checks.
 const MAX_READINESS_CONNECTIONS: usize = 64;
-/// File descriptors that are reserved; clients and engines share the rest.
+/// File descriptors reserved for other uses; connections of clients and engines share the rest.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// Clients' connections that are accepted even if the limit on descriptors is very low.
+/// Minimum number of concurrent client connections, even if the file descriptor limit is very low.
 const MIN_CLIENT_CONNECTIONS: u64 = 16;
-/// How long a client may leave sent bytes unacknowledged before its connection is given up.
+/// How long sent data may stay unacknowledged before the connection to a client is dropped, in milliseconds.
 const CLIENT_TIMEOUT_MS: u64 = 10_000;
-/// Smallest buffer for the head of a request.
+/// Minimum buffer capacity for the head of a request.
 const HEAD_BUFFER_BYTES: usize = 16 * 1024;
-/// What a connection's buffer holds beyond the head.
+/// Buffer capacity of a connection beyond the head.
 const BODY_BUFFER_BYTES: usize = 64 * 1024;
-/// Shortest idle timeout of a kept-alive connection, whatever is configured.
+/// Minimum idle timeout of a keep-alive connection, whatever is configured, in milliseconds.
 const MIN_IDLE_TIMEOUT_MS: u64 = 1000;
 
-/// Returns how many clients' connections are accepted: half of the descriptors that are not reserved.
+/// Returns the maximum number of client connections: half of the file descriptors that are not reserved.
 fn max_client_connections(settings: &Settings) -> usize {
     (settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(MIN_CLIENT_CONNECTIONS) as usize
 }
 
-/// Serves the platform's readiness checks until the process ends.
+/// Serves the platform's readiness checks until the process exits.
 pub async fn serve_readiness(state: Arc<State>) {
     let Some(address) = state.settings.bind_addresses.readiness.clone() else { return };
     socket::accept_each(&address, MAX_READINESS_CONNECTIONS, |stream| answer_readiness(state.clone(), stream)).await;
@@ -65,7 +65,7 @@
     let _ = Builder::new().serve_connection(io, service).await;
 }
 
-/// Serves clients until the router closes; from then on the address is not listened on.
+/// Serves clients until the router closes, then stops listening.
 pub async fn serve_frontend(state: Arc<State>) {
     let Some(address) = state.settings.bind_addresses.frontend.clone() else { return };
     let max_connections = max_client_connections(&state.settings);
@@ -75,16 +75,16 @@
     }
 }
 
-/// Serves one client's connection until it ends.
+/// Serves a client connection until it ends; a shutdown waits for it.
 pub async fn serve_client(state: Arc<State>, stream: TcpStream) {
     state.drain.track_connection(serve_connection(state.clone(), stream)).await;
 }
 
-/// One client's connection, counted while it is open.
+/// Counts a client connection as open until dropped.
 struct OpenConnection(Gauge);
 
 impl OpenConnection {
-    /// Counts a connection until the returned guard is dropped.
+    /// Counts a new connection and returns the guard.
     fn count(state: &State) -> OpenConnection {
         let phase = state.drain.phase();
         state.metrics.connections_accepted.get_or_create(&PhaseLabels { phase }).inc();
@@ -100,12 +100,12 @@
     }
 }
 
-/// Returns the HTTP limits of a client's connection by the configuration in force.
+/// Returns the HTTP settings of a client connection from the configuration in force.
 fn http_settings(table: &RoutingTable) -> Builder {
     let mut builder = Builder::new();
     builder.timer(TokioTimer::new());
     builder.keep_alive(true).max_buf_size(table.header_bytes.max(HEAD_BUFFER_BYTES) + BODY_BUFFER_BYTES);
-    // hyper applies the same timeout to a kept-alive connection that is idle.
+    // hyper also applies this timeout to an idle keep-alive connection.
     let timeout_ms = table.idle_ms.max(table.header_ms).max(MIN_IDLE_TIMEOUT_MS);
     builder.header_read_timeout(Duration::from_millis(timeout_ms));
     if table.header_bytes > 0 {
@@ -114,16 +114,16 @@
     builder
 }
 
-/// Serves the requests of one connection, and shuts it down gracefully once the router closes.
+/// Serves the requests of a connection, and shuts it down gracefully once the router closes.
 async fn serve_connection(state: Arc<State>, stream: TcpStream) {
     socket::configure(&stream, CLIENT_TIMEOUT_MS);
-    let _open = OpenConnection::count(&state);
+    let _open_connection = OpenConnection::count(&state);
     let framing = FramingMonitor::new();
     let io = TokioIo::new(MonitoredStream::new(stream, framing.clone()));
-    let inner = state.clone();
+    let service_state = state.clone();
     let connection = Cell::new(Connection::New);
     let service = service::service_fn(move |request| {
-        let (state, framing) = (inner.clone(), framing.clone());
+        let (state, framing) = (service_state.clone(), framing.clone());
         let connection = connection.replace(Connection::Kept);
         async move { Ok::<_, Infallible>(admission::serve(state, request, &framing, connection).await) }
     });
@@ -133,7 +133,7 @@
         _ = connection_future.as_mut() => return,
         () = state.drain.wait_for_closing() => connection_future.as_mut().graceful_shutdown(),
     }
-    // A request in flight is finished; an idle connection ends at once.
+    // A request in flight is finished; an idle connection is closed at once.
     let _ = connection_future.await;
 }
 
--- a/router/src/frontend/mod.rs
+++ b/router/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections, request heads and bodies, authorization, admission, draining, and the router's own error responses.
+//! The client-facing side: connections, request parsing, authorization, admission, graceful shutdown, and error responses.
 
 pub mod admission;
 pub mod authorization;
--- a/router/src/frontend/request.rs
+++ b/router/src/frontend/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: reading it, and what is kept of it while it is forwarded.
+//! Client requests: reading them, and the data kept while they are forwarded.
 
 use std::time::Duration;
 
@@ -19,57 +19,58 @@
 use crate::frontend::authorization::Authorization;
 use crate::frontend::error_response::Failure;
 
-/// A request that was admitted, as engines are to get it.
+/// An admitted request in the form that is sent to engines.
 ///
-/// Invariants: `headers` has no hop-by-hop header, no key, and none that only the router may set; `body` is complete.
+/// Invariants: `headers` contains no hop-by-hop header, no API key, and no header that only the router may set; `body` is
+/// complete.
 pub struct Request {
     /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: Uri,
-    /// The headers that are forwarded.
+    /// The forwarded headers.
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// The client's id of this attempt, which a response has to repeat.
+    /// The client's id of this attempt, which the response must repeat.
     pub attempt_id: Option<HeaderValue>,
     /// The name of the model; empty if the request names none.
     pub model: String,
-    /// The hash of the model's name, by which engines' weight versions are kept.
+    /// The hash of the model name, which keys the weight versions of engines.
     pub model_key: u64,
-    /// When the client or the operator no longer wants it, in milliseconds of the steady clock.
+    /// The deadline set by the client's time budget or the route's timeout, in milliseconds of the steady clock.
     pub deadline_ms: u64,
-    /// When its head was read, in milliseconds of the steady clock.
+    /// When the head was read, in milliseconds of the steady clock.
     pub received_at_ms: u64,
-    /// The segments of its prompt; empty if the request names none.
+    /// The segments of the prompt; empty if the request describes none.
     pub prompt_segments: Vec<PromptSegment>,
     /// The keys of the prompt's prefixes, shortest first.
     pub prefix_keys: Vec<u64>,
-    /// The event behind which the client wants its stream to go on.
+    /// The last event that the client received; the stream resumes after it.
     pub last_event_id: Option<HeaderValue>,
-    /// What it was admitted with.
+    /// The authorization granted at admission.
     pub authorization: Authorization,
-    /// Set for deferrable work: the share of an engine's slots up to which it is admitted.
+    /// For deferrable requests, the share of an engine's slots up to which they are admitted.
     pub deferrable_share: Option<f64>,
 }
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] =
     ["connection", "keep-alive", "proxy-connection", "transfer-encoding", "te", "trailer", "upgrade", "content-length"];
 
-/// The header of deferrable work; its value `near` means that the end of the work's window is near.
+/// The header that marks a request as deferrable. The value `near` means that the end of its time window is near.
 pub const DEFERRABLE: &str = "deferrable";
-/// The share of an engine's slots up to which deferrable work is admitted; interactive work has the rest.
-const IDLE_SHARE: f64 = 0.3;
-/// The same when the end of the work's window is near.
+/// The share of an engine's slots up to which deferrable requests are admitted; the rest is left to interactive ones.
+const DEFERRABLE_SHARE: f64 = 0.3;
+/// The same share when the end of the time window is near.
 const NEAR_DEADLINE_SHARE: f64 = 0.5;
 
-/// Headers that only the router may set. From a client they could name another request's KV cache, or have its own
-/// request only prefilled.
+/// Headers that only the router may set. A client could use them to read the KV cache of another request, or to have its
+/// own request only prefilled.
 const INTERNAL_HEADERS: [&str; 5] =
     [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
 
-/// Removes the headers that concern one connection only, and those that `Connection` names.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
@@ -89,8 +90,8 @@
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Returns whether a head has one meaning only: one host, one framing, at most one attempt id. Any other head could hide
-/// a second request, and is rejected before anything else is done.
+/// Returns whether a head is unambiguous: one host, at most one framing header, and at most one attempt id. Any other head
+/// could smuggle a second request, and is rejected before any other step.
 pub fn has_unambiguous_framing(headers: &HeaderMap) -> bool {
     let count = |name: HeaderName| headers.get_all(name).iter().count();
     let transfer_encodings = count(TRANSFER_ENCODING);
@@ -106,17 +107,17 @@
 /// Reads a body to its end.
 ///
 /// # Errors
-/// `BodyTooLarge` beyond `max_bytes`, `BodyTimeout` after a pause of `idle_ms` between two frames, `Malformed` if the
-/// connection or the framing breaks.
+/// `BodyTooLarge` beyond `max_bytes`, `BodyTimeout` if no frame arrives within `idle_ms`, `Malformed` if the connection
+/// fails or the framing is invalid.
 pub async fn read_body(mut body: Incoming, max_bytes: usize, idle_ms: u64) -> Result<Bytes, Failure> {
-    let hint = body.size_hint().exact().unwrap_or(0) as usize;
-    if hint > max_bytes {
+    let declared_bytes = body.size_hint().exact().unwrap_or(0) as usize;
+    if declared_bytes > max_bytes {
         return Err(Failure::BodyTooLarge);
     }
-    let wait = Duration::from_millis(idle_ms.max(1));
-    let mut buffer = BytesMut::with_capacity(hint);
+    let idle_timeout = Duration::from_millis(idle_ms.max(1));
+    let mut buffer = BytesMut::with_capacity(declared_bytes);
     loop {
-        let frame = match time::timeout(wait, body.frame()).await {
+        let frame = match time::timeout(idle_timeout, body.frame()).await {
             Err(_) => return Err(Failure::BodyTimeout),
             Ok(None) => return Ok(buffer.freeze()),
             Ok(Some(Err(_))) => return Err(Failure::Malformed),
@@ -130,44 +131,44 @@
     }
 }
 
-/// Longest body that is read only to be discarded.
-const DISCARD_BYTES: usize = 256 * 1024;
-/// How long such a body may take.
-const DISCARD_MS: u64 = 1000;
+/// Maximum size of a body that is read only to be discarded.
+const MAX_DISCARD_BYTES: usize = 256 * 1024;
+/// Timeout for reading such a body, in milliseconds.
+const DISCARD_TIMEOUT_MS: u64 = 1000;
 
-/// Reads and discards a body, so that its connection can be used again. Returns false if it is too long, too slow or
+/// Reads and discards a body, so that its connection can be reused. Returns false if the body is too large, too slow or
 /// broken.
 pub async fn discard_body(mut body: Incoming) -> bool {
-    if body.size_hint().lower() > DISCARD_BYTES as u64 {
+    if body.size_hint().lower() > MAX_DISCARD_BYTES as u64 {
         return false;
     }
     let read_to_end = async {
-        let mut left = DISCARD_BYTES;
+        let mut remaining_bytes = MAX_DISCARD_BYTES;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
             let size = frame.data_ref().map_or(0, Bytes::len);
-            let Some(rest) = left.checked_sub(size) else { return false };
-            left = rest;
+            let Some(rest) = remaining_bytes.checked_sub(size) else { return false };
+            remaining_bytes = rest;
         }
         true
     };
-    time::timeout(Duration::from_millis(DISCARD_MS), read_to_end).await.unwrap_or(false)
+    time::timeout(Duration::from_millis(DISCARD_TIMEOUT_MS), read_to_end).await.unwrap_or(false)
 }
 
-/// Removes the header of deferrable work and returns the share of an engine's slots that it admits the request to.
+/// Removes the `DEFERRABLE` header, and returns the share of an engine's slots up to which the request is admitted.
 fn take_deferrable_share(headers: &mut HeaderMap) -> Option<f64> {
     let urgency = headers.remove(DEFERRABLE)?;
-    Some(if urgency == "near" { NEAR_DEADLINE_SHARE } else { IDLE_SHARE })
+    Some(if urgency == "near" { NEAR_DEADLINE_SHARE } else { DEFERRABLE_SHARE })
 }
 
-/// Returns the segments of the prompt that the headers describe.
+/// Returns the prompt segments that the headers describe.
 fn prompt_segments(headers: &HeaderMap) -> Vec<PromptSegment> {
     let text = headers.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
     text.and_then(catalog::parse_prompt_prefix).unwrap_or_default()
 }
 
 impl Request {
-    /// Returns the request that is forwarded for an admitted one. `seed` separates the prefixes of different services.
+    /// Builds the request to forward. `seed` keeps the prefix keys of different services apart.
     pub fn new(parts: Parts, body: Bytes, authorization: Authorization, seed: u64, received_at_ms: u64) -> Request {
         let mut headers = parts.headers;
         remove_hop_by_hop_headers(&mut headers);
@@ -207,18 +208,18 @@
         self.deadline_ms.saturating_sub(now)
     }
 
-    /// Returns the number of tokens that the request puts out at most; 0 where it does not say.
+    /// Returns the maximum number of output tokens of the request; 0 if it states none.
     pub fn max_output_tokens(&self) -> u32 {
         let text = self.headers.get(TOKEN_COUNT).and_then(|value| value.to_str().ok()).unwrap_or_default();
         text.split(',').nth(1).and_then(|number| number.trim().parse().ok()).unwrap_or(0)
     }
 
-    /// Returns the number of tokens of the prompt.
+    /// Returns the number of prompt tokens.
     pub fn prompt_tokens(&self) -> u32 {
         self.prompt_segments.iter().fold(0, |sum, segment| segment.tokens.saturating_add(sum))
     }
 
-    /// Returns the number of tokens of the segments that other requests may share: all but the last.
+    /// Returns the number of prompt tokens that other requests may share: those of all segments but the last.
     pub fn shared_tokens(&self) -> u32 {
         self.prompt_tokens() - self.prompt_segments.last().map_or(0, |segment| segment.tokens)
     }
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -1,4 +1,4 @@
-//! Counts one request, from the reading of its head until its response has been sent or its connection is gone.
+//! Counts a request in the metrics, from reading its head until its response has been sent or its connection has closed.
 
 use std::io;
 use std::pin::Pin;
@@ -17,8 +17,8 @@
 
 /// Counts a request in the metrics while it is in flight.
 ///
-/// Invariant: the request is counted in one stage at a time, and its end exactly once, on drop: as `Cut` unless its
-/// response was sent to the end.
+/// Invariant: the request is counted in one stage at a time. Its end is counted exactly once, on drop: as `Cut` unless the
+/// response was sent completely.
 pub struct RequestGuard {
     state: Arc<State>,
     /// The phase of the router when the request arrived.
@@ -32,7 +32,7 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl RequestGuard {
-    /// Counts a request whose head was just read.
+    /// Starts counting a request whose head was just read.
     pub fn start(state: &Arc<State>, connection: Connection) -> RequestGuard {
         let phase = state.drain.phase();
         state.metrics.requests_received.get_or_create(&ArrivalLabels { phase, connection }).inc();
@@ -59,7 +59,7 @@
         (clock::now() - self.started_at_ms) as f64 / MS_PER_S
     }
 
-    /// Tracks the response to its end: `outcome` counts once all of the body was sent.
+    /// Tracks the response to its end; `outcome` is recorded once the whole body has been sent.
     pub fn track_response(
         mut self,
         response: Response<error_response::Body>,
@@ -85,12 +85,12 @@
     }
 }
 
-/// The body of a response, with the request that ends with it.
+/// A response body together with the guard of its request, which ends with it.
 struct TrackedBody {
     body: error_response::Body,
-    /// Bytes still to come, if the length is known.
+    /// Bytes not sent yet, if the length is known.
     remaining_bytes: Option<u64>,
-    /// How the request ended if the body is sent completely.
+    /// The outcome to record if the body is sent completely.
     outcome: Outcome,
     guard: RequestGuard,
 }
--- a/router/src/frontend/request_tests.rs
+++ b/router/src/frontend/request_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn heads_that_could_smuggle_a_request_are_ambiguous() {
+fn heads_that_could_smuggle_a_request_are_rejected_as_ambiguous() {
     assert!(has_unambiguous_framing(&headers(&[("host", "a"), ("content-length", "3")])));
     for bad in [
         vec![("host", "a"), ("content-length", "3"), ("content-length", "3")],
