--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The data-plane daemon: reads the command line and runs the router.
+//! The data-plane daemon: parses the command line and runs the router.
 
 use std::process::ExitCode;
 
@@ -10,11 +10,11 @@
     xflags::xflags! {
         /// Data-plane daemon of tidepoint.
         cmd router {
-            /// Only check the settings and say what is wrong with them.
+            /// Check the settings, report any errors, and exit.
             optional --check
-            /// Print the version.
+            /// Print the version and exit.
             optional --version
-            /// Where to tell metrics, in place of what the settings say: PORT/PATH.
+            /// Serve metrics at PORT/PATH instead of the endpoint in the settings.
             optional --metrics endpoint: MetricsEndpoint
         }
     }
--- a/router/src/metering.rs
+++ b/router/src/metering.rs
@@ -1,7 +1,7 @@
-//! Counts of requests that began, by tenant and window of time, reported to the home controller.
+//! Counts started requests by tenant and time window, and reports the counts to the home controller.
 //!
-//! Counts go from the beginning of each window on, so a report that is lost or comes twice does no harm: the next one has them
-//! too. Another reader, or a new process of the same one, gets everything that is kept.
+//! Counts are cumulative from the start of each window, so lost or duplicate reports are harmless: the next report includes
+//! them. A new reader, or a new process of the same reader, gets all retained windows.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,19 +17,20 @@
 
 use crate::state::State;
 
-/// The pause between two reports.
+/// Reporting interval.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Each so many reports hold the newest windows whole, in case one before was lost on its way.
-const WHOLE_REPORT_EVERY: u32 = 5;
-/// How many of the newest windows these hold.
-const WHOLE_WINDOWS: usize = 2;
-/// How long a controller's request for counts is valid, in milliseconds; it comes with each renewal.
+/// Every nth report includes the newest windows in full, in case an earlier report was lost.
+const FULL_REPORT_EVERY: u32 = 5;
+/// Number of newest windows that a full report includes.
+const FULL_REPORT_WINDOWS: usize = 2;
+/// How long a controller's request for counts is valid, in milliseconds. The controller repeats it with each subscription
+/// renewal.
 const REQUEST_VALID_MS: u64 = 5000;
-/// The last report gets so long to leave before the process ends.
-const FAREWELL: Duration = Duration::from_millis(60);
+/// Time for the last report to be sent before the process exits.
+const FINAL_REPORT_WAIT: Duration = Duration::from_millis(60);
 const MS_PER_S: f64 = 1000.0;
 
-/// A process of a controller that reads counts.
+/// A controller process that requested counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Reader {
     incarnation: u64,
@@ -40,29 +41,29 @@
 struct Counts {
     clock: AnchoredClock,
     counter: RequestCounter,
-    /// Who asked for counts, by address.
+    /// The processes that requested counts, by IP address.
     readers: BTreeMap<String, Reader>,
-    /// Whom the last report went to: the incarnation of that process.
+    /// The incarnation of the process that the last report was sent to.
     reported_to: Option<u64>,
     report_number: u32,
 }
 
-/// Counts requests that begin, where the platform is to be told of them.
+/// Counts started requests if usage is reported to the platform.
 pub struct Metering {
-    /// The length of a window in milliseconds; `None` where nobody is told.
+    /// The length of a window in milliseconds; `None` if usage is not reported.
     window_ms: Option<u64>,
     counts: Mutex<Counts>,
 }
 
 impl Metering {
-    /// Returns the counts of a process that has just started.
+    /// Returns empty counts. Requests are counted only if the settings enable usage reports.
     pub fn new(settings: &Settings) -> Metering {
         let window_ms = (settings.bounds.report_window_s * MS_PER_S) as u64;
         let window_ms = (settings.cloud_api.takes_usage() && window_ms > 0).then_some(window_ms);
         Metering { window_ms, counts: Mutex::default() }
     }
 
-    /// Counts a request of a tenant that began just now.
+    /// Counts a request of a tenant that has just started.
     pub fn record(&self, tenant: &str) {
         let Some(window_ms) = self.window_ms else { return };
         let mut counts = self.counts.lock();
@@ -70,7 +71,7 @@
         counts.counter.record(window_at(time_ms, window_ms), tenant);
     }
 
-    /// Takes a controller's request for counts.
+    /// Applies a controller's request for counts.
     pub fn apply_request(&self, request: MeteringRequest) {
         let now = clock::now();
         let reader = Reader { incarnation: request.incarnation, requested_at: now };
@@ -79,7 +80,7 @@
         counts.readers.insert(request.controller, reader);
     }
 
-    /// Returns what is to be reported to the controller at an address now; `None`: nothing, or it does not read it.
+    /// Returns the next report to the controller at `ip`; `None` if there is nothing to report or it requested no counts.
     fn next_report(&self, ip: &str, router: u64) -> Option<RouterCounts> {
         let mut counts = self.counts.lock();
         let reader = counts.readers.get(ip).copied();
@@ -89,14 +90,15 @@
             counts.counter.report_again(usize::MAX);
         }
         counts.report_number = counts.report_number.wrapping_add(1);
-        if counts.report_number.is_multiple_of(WHOLE_REPORT_EVERY) {
-            counts.counter.report_again(WHOLE_WINDOWS);
+        if counts.report_number.is_multiple_of(FULL_REPORT_EVERY) {
+            counts.counter.report_again(FULL_REPORT_WINDOWS);
         }
         let windows = counts.counter.take_unreported();
         (!windows.is_empty()).then_some(RouterCounts { router, windows })
     }
 
-    fn report_all_again(&self) {
+    /// Marks all retained windows as unreported.
+    fn mark_all_unreported(&self) {
         self.counts.lock().counter.report_again(usize::MAX);
     }
 }
@@ -112,21 +114,22 @@
     }
 }
 
-/// Reports what was counted up to now, and gives the report time to leave.
+/// Sends a final report, and waits until it is likely to have been sent.
 pub async fn send_last_counts(state: &State) {
     if state.metering.window_ms.is_some() {
         report(state);
-        time::sleep(FAREWELL).await;
+        time::sleep(FINAL_REPORT_WAIT).await;
     }
 }
 
+/// Sends a report to the home controller if there is one to send.
 fn report(state: &State) {
     let controller = state.home_controller().clone();
     let Some(controller) = controller else { return };
     let ip = controller.addr().rsplit_once(':').map_or(controller.addr(), |(ip, _)| ip);
     let Some(counts) = state.metering.next_report(ip, state.incarnation) else { return };
     if !controller.notify(Message::MeteringReport(Box::new(counts))) {
-        state.metering.report_all_again();
+        state.metering.mark_all_unreported();
     }
 }
 
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -1,7 +1,6 @@
-//! The metrics of a router. The list with units is in `docs/metrics.md`; a test compares the two.
+//! The metrics of a router. `docs/metrics.md` lists them with their units; a test compares the two.
 //!
-//! Names of metrics, names of fields of label sets, and names of variants of label values are published: dashboards
-//! depend on them.
+//! The names of metrics, of label set fields and of label value variants are public: dashboards depend on them.
 
 use std::sync::atomic::Ordering;
 
@@ -18,53 +17,53 @@
 use crate::proxy::send;
 use crate::state::State;
 
-/// How far a request is (label value).
+/// The processing stage of a request (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Stage {
-    /// Its head is read; its body is arriving, or it waits for the configuration.
+    /// The head has been read; the body is arriving, or the request waits for the configuration.
     Reading,
-    /// It is admitted, and no response has begun.
+    /// The request has been admitted, and no response has started.
     Forwarding,
-    /// Its response has begun.
+    /// The response has started.
     Answering,
 }
 
-/// How a request ended (label value).
+/// The outcome of a request (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Outcome {
-    /// An engine's success was sent completely.
+    /// A successful response of an engine was sent completely.
     Success,
-    /// An engine's failure was forwarded.
+    /// An error response of an engine was sent completely.
     EngineFailure,
-    /// 503 of the router: it has not run and never will.
+    /// 503 from the router: the request has not run and never will.
     Refused,
-    /// 429 of the router.
+    /// 429 from the router.
     OverQuota,
-    /// 404 of the router.
+    /// 404 from the router.
     NoRoute,
-    /// 401 of the router.
+    /// 401 from the router.
     Unauthorized,
-    /// 400, 408 or 413 of the router.
+    /// 400, 408 or 413 from the router.
     Rejected,
-    /// 502 or 504 of the router: it may have run.
+    /// 502 or 504 from the router: the request may have run.
     Lost,
-    /// Its connection ended before its response did.
+    /// The connection closed before the response was sent completely.
     Cut,
 }
 
 /// Whether a request is the first on its connection (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Connection {
-    /// It is the first.
+    /// The first request on its connection.
     New,
-    /// It came on a kept-alive connection.
+    /// A later request on a keep-alive connection.
     Kept,
 }
 
-/// What a request sent to an engine was for (label value).
+/// The purpose of a send to an engine (label value).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum SendPhase {
-    /// Only to prefill its prompt.
+    /// Only to prefill the prompt.
     Prefill,
     /// To produce the response.
     Run,
@@ -99,7 +98,7 @@
 pub struct StageLabels {
     /// The phase of the router when the request arrived.
     pub phase: DrainPhase,
-    /// How far the request is.
+    /// The processing stage of the request.
     pub stage: Stage,
 }
 
@@ -108,57 +107,57 @@
 pub struct OutcomeLabels {
     /// The phase of the router when the request arrived.
     pub phase: DrainPhase,
-    /// How the request ended.
+    /// The outcome of the request.
     pub outcome: Outcome,
 }
 
 /// Labels of requests sent to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EngineSendLabels {
-    /// What the request was for.
+    /// The purpose of the send.
     pub half: SendPhase,
-    /// What came of it.
+    /// The result of the send.
     pub result: SendResult,
 }
 
-/// Labels of clients' connections.
+/// Labels of client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PhaseLabels {
     /// The phase of the router when the connection was accepted.
     pub phase: DrainPhase,
 }
 
-/// Labels of decisions about requests of tenants with a limit.
+/// Labels of quota decisions about requests of tenants with a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct QuotaLabels {
     /// The decision.
     pub decision: Decision,
 }
 
-/// All metrics of a router. Labels have fixed values only, so that their number never grows.
+/// All metrics of a router. Labels take a fixed set of values, so the number of series is bounded.
 pub struct Metrics {
     registry: Registry,
     /// Requests whose head was read.
     pub requests_received: Family<ArrivalLabels, Counter>,
-    /// Requests that have not ended yet.
+    /// Requests in flight.
     pub requests_under_way: Family<StageLabels, Gauge>,
     /// Requests that have ended.
     pub requests_ended: Family<OutcomeLabels, Counter>,
-    /// Seconds from the head of a request to the end of its response.
+    /// Time from the head of a request to the end of its response, in seconds.
     pub request_duration: Histogram,
-    /// Seconds from the head of a request to the head of its response.
+    /// Time from the head of a request to the head of its response, in seconds.
     pub first_byte: Histogram,
-    /// Clients' connections that were accepted.
+    /// Accepted client connections.
     pub connections_accepted: Family<PhaseLabels, Counter>,
-    /// Clients' connections that are open.
+    /// Open client connections.
     pub connections_open: Gauge,
-    /// Requests that were sent to engines.
+    /// Requests sent to engines.
     pub engine_sends: Family<EngineSendLabels, Counter>,
-    /// Connections that were opened to engines.
+    /// Connections opened to engines.
     pub engine_connections: Counter,
-    /// Decisions about requests of tenants with a limit.
+    /// Quota decisions about requests of tenants with a rate limit.
     pub quota_decisions: Family<QuotaLabels, Counter>,
-    /// Retries that the retry budget did not allow.
+    /// Retries denied by the retry budget.
     pub retries_denied: Counter,
     /// Readiness checks that did not get a 200.
     pub readiness_checks_failed: Counter,
@@ -170,7 +169,7 @@
     prefix_hits: Gauge,
 }
 
-/// The prefix of the names of all metrics.
+/// The prefix of all metric names.
 const METRIC_PREFIX: &str = "tidepoint_router";
 
 impl Default for Metrics {
@@ -205,7 +204,7 @@
 }
 
 impl Metrics {
-    /// Registers the metrics of requests.
+    /// Registers the request metrics.
     fn register_requests(&mut self) {
         let registry = &mut self.registry;
         let received = self.requests_received.clone();
@@ -224,7 +223,7 @@
         registry.register_with_unit("request_bodies", "Request bodies held", Unit::Bytes, body_bytes);
     }
 
-    /// Registers the metrics of connections and sends.
+    /// Registers the metrics of client connections and of sends to engines.
     fn register_connections(&mut self) {
         let registry = &mut self.registry;
         let accepted = self.connections_accepted.clone();
@@ -238,7 +237,7 @@
         registry.register("retries_denied", "Further sends that the retry budget did not allow", denied);
     }
 
-    /// Registers the metrics of the router's state.
+    /// Registers the router state metrics.
     fn register_state(&mut self) {
         let registry = &mut self.registry;
         registry.register("config_revision", "Version of the configuration in force", self.config_revision.clone());
@@ -250,12 +249,12 @@
         registry.register("prefix_hits", "Prompt prefixes whose owner was found", self.prefix_hits.clone());
     }
 
-    /// Returns how many requests that arrived in a phase are in a stage.
+    /// Returns the number of requests that arrived in a phase and are in a stage.
     pub fn requests_in_stage(&self, phase: DrainPhase, stage: Stage) -> i64 {
         self.requests_under_way.get_or_create(&StageLabels { phase, stage }).get()
     }
 
-    /// Returns all metrics as text. Gauges of the router's state are read here, at each scrape.
+    /// Returns all metrics as text. The router state gauges are updated here, at each scrape.
     pub fn render(&self, state: &State) -> String {
         let ordering = Ordering::Relaxed;
         let counts = state.owner_cache().counts;
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! The counts of requests, and that the documentation and the code name the same metrics.
+//! Tests of the request counts, and that documentation and code list the same metrics.
 
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
 }
 
 /// Waits until a condition on the metrics holds.
-async fn wait_until(figure: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
-        while !figure() {
+        while !condition() {
             task::yield_now().await;
         }
     };
-    time::timeout(Duration::from_secs(10), wait).await.expect("the figure comes");
+    time::timeout(Duration::from_secs(10), wait).await.expect("the condition holds in time");
 }
 
 #[tokio::test]
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_under_way_from_its_head_to_the_end_of_its_answer() {
+async fn a_request_is_in_flight_from_its_head_to_the_end_of_its_response() {
     let (list, resume) = waiting_engine().await;
     let state = router(&list);
     let mut client = Client::connect(&state).await;
@@ -69,10 +69,10 @@
 }
 
 #[tokio::test]
-async fn every_metric_is_documented_and_no_other() {
+async fn the_documentation_lists_exactly_the_exported_metrics() {
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let state = router(&list);
-    // A family without a series is not told.
+    // A family without a series is not exported.
     ask(&state, "once", "1", "").await;
     let decision = Decision::Granted;
     state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -1,7 +1,7 @@
-//! Rollouts of versions at this router: which version serves a request, and samples of how each version did.
+//! Version rollouts at this router: which version serves a request, and samples of how each version performed.
 //!
-//! A new version gets its share only while a confirmed controller has renewed this router's lease a moment ago. A router
-//! that is partitioned, or was suspended, sends to the stable version.
+//! A new version gets its share of requests only while the router holds a lease that a confirmed controller renews. A router
+//! that is partitioned or was suspended sends to the stable version.
 
 mod outcome;
 mod output_sizes;
@@ -30,17 +30,17 @@
 pub use reporting::{apply_sample_request, send_samples};
 pub use version_choice::RequestProfile;
 
-/// How long samples are collected before they are sent while the new version has a small share.
+/// Sampling interval while all active rollouts are canaries.
 const CANARY_SAMPLING_INTERVAL: Duration = Duration::from_millis(200);
-/// How long they are collected while it has a larger one: the sooner it is found bad, the fewer requests it gets.
+/// Sampling interval otherwise: the sooner a faulty version is detected, the fewer requests it gets.
 const SAMPLING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a request is expected to take where nothing is known, in milliseconds.
+/// Expected duration of a request if none is known, in milliseconds.
 const DEFAULT_EXPECTED_MS: u64 = 2000;
-/// The most engines of the stable version, by service, that samples tell apart.
+/// Maximum number of stable engines per service that are sampled individually.
 const MAX_SAMPLED_ENGINES: u64 = 64;
 
-/// The rollout that samples belong to.
+/// Identifies the rollout that samples belong to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RolloutKey {
     service: String,
@@ -50,13 +50,13 @@
 /// The newest rollout of a service.
 struct KnownRollout {
     record: VersionRollout,
-    /// The steady time at which it began, in milliseconds, as far as its records tell; negative where that was before this
-    /// process began.
+    /// The start of the rollout according to its records, in milliseconds of the steady clock; negative if it started
+    /// before this process.
     started_at: i64,
 }
 
 impl KnownRollout {
-    /// Returns how long it has been under way.
+    /// Returns the time since the rollout started, in milliseconds.
     fn elapsed_ms(&self, now: u64) -> u64 {
         u64::try_from(now as i64 - self.started_at).unwrap_or(0)
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// The newest rollouts, by the dense index of their service, and samples of those that are active.
+/// The newest rollout of each service, by the service's dense index, and the samples of active rollouts.
 #[derive(Default)]
 pub struct Rollouts {
     by_service: HashMap<u32, KnownRollout>,
@@ -76,15 +76,15 @@
 }
 
 impl Rollouts {
-    /// Inserts a rollout if it is newer than the known one of its service, and returns whether it was.
+    /// Inserts a rollout if it is newer than the known one of its service. Returns whether it was inserted.
     pub fn insert_if_newer(&mut self, service: u32, record: VersionRollout, now: u64) -> bool {
         let known = self.by_service.get(&service);
         if known.is_some_and(|known| known.record.number >= record.number) {
             return false;
         }
-        let told = now as i64 - i64::try_from(record.elapsed_ms).unwrap_or(i64::MAX);
+        let recorded_start = now as i64 - i64::try_from(record.elapsed_ms).unwrap_or(i64::MAX);
         let same_order = known.filter(|known| known.record.order == record.order);
-        let started_at = same_order.map_or(told, |known| known.started_at.min(told));
+        let started_at = same_order.map_or(recorded_start, |known| known.started_at.min(recorded_start));
         self.by_service.insert(service, KnownRollout { record, started_at });
         true
     }
@@ -95,18 +95,18 @@
         (known.record.state == RolloutState::Active).then_some(&known.record)
     }
 
-    /// Returns how long the rollout that samples belong to has been under way.
+    /// Returns the time since the rollout of `key` started, in milliseconds; 0 if it is not the known one.
     fn elapsed_ms(&self, key: &RolloutKey, now: u64) -> u64 {
         let is_same = |known: &&KnownRollout| known.record.service == key.service && known.record.order == key.order;
         self.by_service.values().find(is_same).map_or(0, |known| known.elapsed_ms(now))
     }
 
-    /// Records how many tokens a request puts out at most.
+    /// Records the maximum number of output tokens of a request.
     pub fn record_output(&mut self, service: u32, max_output_tokens: u32) {
         self.output_sizes.entry(service).or_default().record(max_output_tokens);
     }
 
-    /// Records the outcome of a request while its service has an active rollout, and returns whether it has one.
+    /// Records the outcome of a request if its service has an active rollout. Returns whether it was recorded.
     fn record(&mut self, service: u32, key: SampleKey, served_by: &ServedBy, outcome: VersionOutcome) -> bool {
         let Some(rollout) = self.active(service) else { return false };
         let rollout = RolloutKey { service: rollout.service.clone(), order: rollout.order };
@@ -115,20 +115,20 @@
         true
     }
 
-    /// Removes and returns all samples, one message for each rollout.
+    /// Removes and returns all samples, as one message per rollout.
     fn drain_samples(&mut self, now: u64) -> Vec<EngineSamples> {
         let samples = mem::take(&mut self.samples);
-        let to_message = |(key, origins): (RolloutKey, BTreeMap<_, _>)| EngineSamples {
+        let to_message = |(key, counts): (RolloutKey, BTreeMap<_, _>)| EngineSamples {
             elapsed_ms: self.elapsed_ms(&key, now),
             service: key.service,
             order: key.order,
-            list: origins.into_iter().collect(),
+            list: counts.into_iter().collect(),
             is_relayed: false,
         };
         samples.into_iter().map(to_message).collect()
     }
 
-    /// Returns how long samples are collected before they are sent.
+    /// Returns how long to collect samples before sending them.
     fn sampling_interval(&self) -> Duration {
         let is_canary = |rollout: &VersionRollout| RolloutStage::of(rollout.share) == RolloutStage::Canary;
         match self.by_service.keys().filter_map(|service| self.active(*service)).all(is_canary) {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Puts a rollout from a controller in force, unless a newer one is known.
+/// Applies a rollout from a controller unless a newer one is known.
 pub fn apply(state: &State, rollout: VersionRollout) {
     let service = state.engines().service_index(&rollout.service);
     if state.rollouts().insert_if_newer(service, rollout.clone(), clock::now()) {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Returns the number of the known rollout of each service, by its register's key, as it is sent with each renewal.
+/// Returns the number of the known rollout of each service, by register key, as sent with each subscription renewal.
 pub fn applied_revisions(state: &State) -> Vec<(String, u64)> {
     let rollouts = state.rollouts();
     let entry =
@@ -156,7 +156,7 @@
 }
 
 impl Exchange {
-    /// Chooses the version that serves this request: a new one only if its engines can be sent to now.
+    /// Chooses the version that serves this request. The new version is chosen only if its engines are usable now.
     pub fn choose_version(&mut self) {
         let now = clock::now();
         let profile = self.request_profile(now);
@@ -182,13 +182,13 @@
         RequestProfile { random, max_output_tokens, expected_ms, holds_lease, exposure_share, load_test_need }
     }
 
-    /// Returns the part of the stable version's load, in thousandths, that a load test of the candidate needs.
+    /// Returns the part of the stable version's load that a load test of the candidate needs, in thousandths.
     fn candidate_load_test_need(&self) -> u32 {
         let candidate = Arm::Candidate(CandidatePlacement::Spread);
         self.with_selection(|selection| selection.for_arm(candidate).load_test_need())
     }
 
-    /// Records how long the stream took that is complete now.
+    /// Records the duration of a stream that has just completed.
     pub fn record_stream_duration(&self) {
         let Some(responded_at_ms) = self.responded_at_ms else { return };
         self.request.authorization.route().stream_durations.record(StreamTimes {
@@ -198,7 +198,7 @@
         });
     }
 
-    /// Notes the engine that responds, as it stands now.
+    /// Records the engine that responds, with its current state.
     pub fn note_served_by(&mut self, engine_index: usize) {
         let now = clock::now();
         self.responded_at_ms = Some(now);
@@ -215,18 +215,18 @@
         };
     }
 
-    /// Records how the version that served this request did.
+    /// Records the outcome of this request for the version that served it.
     pub fn record_version_outcome(&self, outcome: VersionOutcome) {
         if self.state.rollouts().active(self.service).is_none() {
             return;
         }
         let served_by = self.served_by;
         let is_candidate = self.variant.is_candidate();
-        let has_known_engine = is_candidate || self.is_sampled_engine(served_by.engine_hash);
+        let is_engine_sampled = is_candidate || self.is_sampled_engine(served_by.engine_hash);
         let key = SampleKey {
             route: self.route.clone(),
             is_candidate,
-            engine_hash: if has_known_engine { served_by.engine_hash } else { 0 },
+            engine_hash: if is_engine_sampled { served_by.engine_hash } else { 0 },
             zone: self.state.engines().zone_name(served_by.zone).unwrap_or_default().into(),
             is_loaded: LoadClass::of(served_by.running, served_by.slots) == LoadClass::Loaded,
         };
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Returns whether samples tell this engine of the stable version apart. In a large fleet only a part of them is, so that
-    /// reports stay small.
+    /// Returns whether this stable engine is sampled individually. In a large fleet only a subset is, so that reports stay
+    /// small.
     fn is_sampled_engine(&self, engine_hash: u64) -> bool {
         let engine_table = self.state.engines();
         let subset = engine_table.subset(self.service, Phase::Decode, false);
--- a/router/src/rollout/output_sizes.rs
+++ b/router/src/rollout/output_sizes.rs
@@ -1,10 +1,10 @@
-//! How many tokens the requests of a service put out, so that a load test can prefer those that occupy an engine for long: they load
-//! an engine with fewer requests.
+//! Statistics of the output sizes of a service's requests. With them a load test prefers requests with long outputs, which
+//! load an engine with fewer requests.
 
-/// How much one request counts.
-const WEIGHT: f64 = 1.0 / 128.0;
+/// Minimum weight of a new request in the moving averages.
+const MIN_WEIGHT: f64 = 1.0 / 128.0;
 
-/// Fading means of the tokens that requests put out at most.
+/// Exponential moving averages of the maximum number of output tokens of requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutputSizes {
     count: f64,
@@ -13,16 +13,16 @@
 }
 
 impl OutputSizes {
-    /// Records a request.
+    /// Records the maximum number of output tokens of a request.
     pub fn record(&mut self, max_output_tokens: u32) {
         let size = f64::from(max_output_tokens.max(1));
         self.count += 1.0;
-        let weight = WEIGHT.max(1.0 / self.count);
+        let weight = MIN_WEIGHT.max(1.0 / self.count);
         self.mean += weight * (size - self.mean);
         self.mean_square += weight * (size * size - self.mean_square);
     }
 
-    /// Returns a request's size as a multiple of the mean; 1 before any was recorded.
+    /// Returns the size of a request as a multiple of the mean; 1 before any request was recorded.
     pub fn relative_size(&self, max_output_tokens: u32) -> f64 {
         if self.mean > 0.0 {
             f64::from(max_output_tokens.max(1)) / self.mean
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Returns how much more load a share of the requests makes where each is chosen in proportion to its size: the mean of the
-    /// squared relative size.
+    /// Returns by which factor a share of the requests generates more load if each is selected in proportion to its size: the
+    /// mean of the squared relative size.
     pub fn load_factor(&self) -> f64 {
         if self.mean > 0.0 {
             (self.mean_square / (self.mean * self.mean)).max(1.0)
--- a/router/src/rollout/reporting.rs
+++ b/router/src/rollout/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports of samples to the home controller, in a form that it reads.
+//! Reports samples to the home controller in a format that it supports.
 
 use std::sync::Arc;
 
@@ -11,30 +11,31 @@
 use crate::rollout::Rollouts;
 use crate::state::State;
 
-/// How long a controller's request for samples by engine and load is valid, in milliseconds. It comes with each renewal.
+/// How long a controller's request for samples by engine and load is valid, in milliseconds. The controller repeats it with
+/// each subscription renewal.
 const SAMPLE_REQUEST_VALID_MS: u64 = 5000;
 
-/// A controller that reads samples by engine and load.
+/// A controller that requested samples by engine and load.
 pub(super) struct SampleReader {
     ip: String,
     requested_at: u64,
 }
 
 impl Rollouts {
-    /// Returns whether the controller at `ip` reads samples by engine and load.
+    /// Returns whether the controller at `ip` has a valid request for samples by engine and load.
     pub(super) fn is_read_by(&self, ip: &str, now: u64) -> bool {
         let is_valid = |reader: &SampleReader| reader.ip == ip && now < reader.requested_at + SAMPLE_REQUEST_VALID_MS;
         self.sample_reader.as_ref().is_some_and(is_valid)
     }
 }
 
-/// Takes a controller's request for samples by engine and load.
+/// Applies a controller's request for samples by engine and load.
 pub fn apply_sample_request(state: &State, controller: String) {
     let reader = SampleReader { ip: controller, requested_at: clock::now() };
     state.rollouts().sample_reader = Some(reader);
 }
 
-/// Sends samples to the home controller, as long as the process runs.
+/// Sends samples to the home controller for as long as the process runs.
 pub async fn send_samples(state: Arc<State>) {
     loop {
         state.samples_wanted.notified().await;
@@ -47,7 +48,7 @@
     }
 }
 
-/// Reports samples to a controller in a form that it reads.
+/// Reports samples to a controller in a format that it supports.
 fn report(state: &State, controller: &PeerClient, samples: &EngineSamples) {
     let ip = controller.addr().rsplit_once(':').map_or(controller.addr(), |(ip, _)| ip);
     let is_read = state.rollouts().is_read_by(ip, clock::now());
--- a/router/src/rollout/version_choice.rs
+++ b/router/src/rollout/version_choice.rs
@@ -1,4 +1,4 @@
-//! Which version serves a request, and on which of its engines.
+//! Selects the version that serves a request, and how the request is placed on its engines.
 
 use load_balancing::{Arm, CandidatePlacement, PackingStart};
 use protocol::version_rollout::RolloutState;
@@ -7,32 +7,32 @@
 use crate::rollout::output_sizes::OutputSizes;
 use crate::rollout::{KnownRollout, Rollouts};
 
-/// How long a canary stays at the same engines: about as long as a response takes, so that they bear their load for most of
-/// it.
+/// How long a canary stays on the same engines, in milliseconds: about as long as a response takes, so that they carry its
+/// load for most of the turn.
 const TURN_MS: u64 = 1200;
 
-/// Thousandths of the requests that make a whole.
+/// The unit of shares: thousandths of the requests.
 const SHARE_SCALE: u64 = 1000;
 
-/// The part of the load that a load test makes in the end which it makes while it lasts: long requests add up.
+/// The part of its final load that a load test reaches while it lasts, since long requests accumulate.
 const LOAD_TEST_BUILD_UP: f64 = 0.6;
-/// How much more load a load test makes at first than it needs, so that engines fill up while it lasts.
+/// The factor by which a load test exceeds the load that it needs, so that engines fill up while it lasts.
 const LOAD_TEST_SURPLUS: f64 = 2.5;
 
-/// What the choice of a version depends on, beside the rollout.
+/// The inputs of the version choice besides the rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile {
     /// Uniformly random bits.
     pub random: u64,
-    /// The tokens that the request puts out at most.
+    /// The maximum number of output tokens of the request.
     pub max_output_tokens: u32,
-    /// How long it is expected to take, in milliseconds.
+    /// The expected duration of the request, in milliseconds.
     pub expected_ms: u64,
-    /// The known rollouts were confirmed a moment ago.
+    /// Whether the router's lease is valid, so that the known rollouts count as confirmed.
     pub holds_lease: bool,
-    /// The share of the requests of its term that a faulty version may have.
+    /// The share of the requests during the rollout that a faulty version may get, 0 to 1.
     pub exposure_share: f64,
-    /// The part of the stable version's load, in thousandths, that a load test needs.
+    /// The part of the stable version's load that a load test needs, in thousandths.
     pub load_test_need: u32,
 }
 
@@ -42,7 +42,7 @@
         let Some(known) = self.by_service.get(&service) else { return Arm::Stable };
         match known.record.state {
             RolloutState::Active if profile.holds_lease => self.select_active(service, known, profile, now),
-            // Its engines are listed as candidates until discovery has moved them to the stable ones.
+            // Its engines are listed as candidates until discovery has moved them to the stable version.
             RolloutState::Complete => Arm::Candidate(CandidatePlacement::Spread),
             RolloutState::Active | RolloutState::Reverted => Arm::Stable,
         }
@@ -79,12 +79,12 @@
     }
 }
 
-/// Returns the turn of a canary.
+/// Returns the turn number of a canary, by which its engines rotate.
 fn turn_at(elapsed_ms: u64) -> u32 {
     (elapsed_ms / TURN_MS) as u32
 }
 
-/// Returns the share of the requests that a load test takes, in thousandths: `share`, or less where that is enough.
+/// Returns the share of the requests that a load test takes, in thousandths: at most `share`, less if that is enough.
 fn load_test_share(share: u32, sizes: &OutputSizes, need: u32) -> f64 {
     let needed = f64::from(need) * LOAD_TEST_SURPLUS / sizes.load_factor();
     f64::from(share).min(needed)
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -1,4 +1,4 @@
-//! Which version serves requests, and the samples that are reported of them.
+//! Tests of version selection during rollouts, and of the reported samples.
 
 use kernel::clock;
 use load_balancing::{Arm, CandidatePlacement};
@@ -33,7 +33,7 @@
     ServedBy { running, slots: 64, ..ServedBy::default() }
 }
 
-/// Returns the profile of a request that takes long and puts out as many tokens as others.
+/// Returns the profile of a request with a long expected duration and an average output size.
 fn profile(random: u64, holds_lease: bool) -> RequestProfile {
     RequestProfile {
         random,
@@ -45,29 +45,30 @@
     }
 }
 
-fn share_of(rollouts: &Rollouts, holds_lease: bool) -> usize {
+/// Returns how many of 1,000 requests go to the candidate.
+fn candidate_share(rollouts: &Rollouts, holds_lease: bool) -> usize {
     let is_candidate = |random: &u64| rollouts.select_variant(0, &profile(*random, holds_lease), 1000).is_candidate();
     (0..1000).filter(is_candidate).count()
 }
 
 #[test]
-fn a_new_version_gets_its_share_under_a_lease_and_nothing_without() {
+fn a_new_version_gets_its_share_with_a_lease_and_nothing_without() {
     let mut rollouts = Rollouts::default();
-    assert_eq!(share_of(&rollouts, true), 0);
+    assert_eq!(candidate_share(&rollouts, true), 0);
     rollouts.insert_if_newer(0, rollout(1, RolloutState::Active, 70), 1000);
-    assert_eq!([share_of(&rollouts, true), share_of(&rollouts, false)], [70, 0]);
+    assert_eq!([candidate_share(&rollouts, true), candidate_share(&rollouts, false)], [70, 0]);
     rollouts.insert_if_newer(0, rollout(2, RolloutState::Active, 1000), 1000);
-    assert_eq!([share_of(&rollouts, true), share_of(&rollouts, false)], [1000, 0]);
-    assert!(!rollouts.insert_if_newer(0, rollout(1, RolloutState::Active, 70), 1000), "older");
+    assert_eq!([candidate_share(&rollouts, true), candidate_share(&rollouts, false)], [1000, 0]);
+    assert!(!rollouts.insert_if_newer(0, rollout(1, RolloutState::Active, 70), 1000), "an older rollout is ignored");
     rollouts.insert_if_newer(0, rollout(3, RolloutState::Reverted, 0), 1000);
-    assert_eq!(share_of(&rollouts, true), 0);
+    assert_eq!(candidate_share(&rollouts, true), 0);
     let mut complete = Rollouts::default();
     complete.insert_if_newer(0, rollout(3, RolloutState::Complete, 1000), 1000);
-    assert_eq!(share_of(&complete, false), 1000, "also where it is cut off: the old version is no more");
+    assert_eq!(candidate_share(&complete, false), 1000, "even without a lease, since the old version is gone");
 }
 
 #[test]
-fn a_larger_share_that_is_not_all_is_packed_on_few_engines() {
+fn only_a_load_test_is_packed_on_few_engines() {
     let mut rollouts = Rollouts::default();
     for (number, share, is_packed) in [(1, 40, false), (2, 300, true), (3, 1000, false)] {
         rollouts.insert_if_newer(0, rollout(number, RolloutState::Active, share), 1000);
@@ -83,7 +84,7 @@
     }
 }
 
-/// Returns how many of 1,000 requests of a size go to the candidate.
+/// Returns how many of 1,000 requests of this size go to the candidate.
 fn load_test_requests(rollouts: &Rollouts, max_output_tokens: u32, load_test_need: u32) -> usize {
     let select = |random: u64| {
         let profile = RequestProfile { max_output_tokens, load_test_need, ..profile(random, true) };
@@ -93,17 +94,17 @@
 }
 
 #[test]
-fn a_load_test_prefers_requests_that_put_out_more() {
+fn a_load_test_prefers_requests_with_longer_outputs() {
     let mut rollouts = Rollouts::default();
     (0..2000).for_each(|step| rollouts.record_output(0, if step % 2 == 0 { 10 } else { 90 }));
     rollouts.insert_if_newer(0, rollout(1, RolloutState::Active, 300), 1000);
     let [short, long] = [10, 90].map(|tokens| load_test_requests(&rollouts, tokens, 1000));
     assert!((50..=70).contains(&short) && (520..=560).contains(&long), "{short} {long}");
-    assert!((short + long).abs_diff(600) <= 20, "no more than its share of all: {short} {long}");
+    assert!((short + long).abs_diff(600) <= 20, "its share of all requests is kept: {short} {long}");
 }
 
 #[test]
-fn a_load_test_takes_no_more_than_fills_its_engines() {
+fn a_load_test_takes_no_more_requests_than_it_needs() {
     let mut rollouts = Rollouts::default();
     rollouts.record_output(0, 10);
     rollouts.insert_if_newer(0, rollout(1, RolloutState::Active, 300), 1000);
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn in_the_last_stage_a_request_moves_that_would_not_end_before_the_old_version_does() {
+fn at_full_share_a_request_moves_if_it_would_outlast_the_old_version() {
     let mut rollouts = Rollouts::default();
     rollouts.insert_if_newer(0, rollout(1, RolloutState::Active, 1000), 1000);
     let moves = |elapsed_ms: u64, expected_ms| {
@@ -122,11 +123,11 @@
     // The rollout of 12 s is complete after 11.7 s.
     assert!(!moves(9000, 2600) && moves(9000, 2800));
     assert!(!moves(11_400, 100) && moves(11_400, 400));
-    assert!(moves(11_700, 0), "all of them at the end");
+    assert!(moves(11_700, 0), "all requests have moved at the end");
 }
 
 #[test]
-fn samples_are_kept_by_origin_while_a_rollout_is_active() {
+fn samples_are_counted_by_key_while_a_rollout_is_active() {
     let key = |is_candidate| SampleKey {
         route: "r".into(),
         is_candidate,
@@ -157,34 +158,37 @@
 }
 
 #[test]
-fn a_router_tells_for_how_long_a_rollout_has_been_under_way() {
+fn samples_state_the_time_since_the_rollout_started() {
     let mut rollouts = Rollouts::default();
     let key = SampleKey { route: "r".into(), is_candidate: true, engine_hash: 1, zone: "a".into(), is_loaded: false };
-    let late = |number, elapsed_ms| VersionRollout { elapsed_ms, ..rollout(number, RolloutState::Active, 70) };
-    rollouts.insert_if_newer(0, late(1, 0), 1000);
-    rollouts.insert_if_newer(0, late(2, 3000), 4200);
+    let with_elapsed = |number, elapsed_ms| VersionRollout { elapsed_ms, ..rollout(number, RolloutState::Active, 70) };
+    rollouts.insert_if_newer(0, with_elapsed(1, 0), 1000);
+    rollouts.insert_if_newer(0, with_elapsed(2, 3000), 4200);
     rollouts.record(0, key.clone(), &served_by(1), VersionOutcome::Failed);
-    assert_eq!(rollouts.drain_samples(6000)[0].elapsed_ms, 5000, "since the first record");
-    rollouts.insert_if_newer(0, VersionRollout { order: 2, ..late(3, 0) }, 7000);
+    assert_eq!(rollouts.drain_samples(6000)[0].elapsed_ms, 5000, "counted from the first record");
+    rollouts.insert_if_newer(0, VersionRollout { order: 2, ..with_elapsed(3, 0) }, 7000);
     rollouts.record(0, key.clone(), &served_by(1), VersionOutcome::Failed);
-    assert_eq!(rollouts.drain_samples(7500)[0].elapsed_ms, 500, "another order");
-    rollouts.insert_if_newer(0, VersionRollout { order: 3, ..late(4, 9000) }, 8000);
+    assert_eq!(rollouts.drain_samples(7500)[0].elapsed_ms, 500, "another order starts anew");
+    rollouts.insert_if_newer(0, VersionRollout { order: 3, ..with_elapsed(4, 9000) }, 8000);
     rollouts.record(0, key, &served_by(1), VersionOutcome::Failed);
-    assert_eq!(rollouts.drain_samples(8100)[0].elapsed_ms, 9100, "it began before this process");
+    assert_eq!(rollouts.drain_samples(8100)[0].elapsed_ms, 9100, "the rollout started before this process");
 }
 
 #[tokio::test]
-async fn only_a_controller_that_asked_gets_samples_by_engine() {
+async fn only_a_controller_that_requested_samples_by_engine_gets_them() {
     let state = router(&[]);
     let is_read = |ip: &str, now| state.rollouts().is_read_by(ip, now);
     assert!(!is_read("10.0.0.1", clock::now()));
     apply_sample_request(&state, "10.0.0.1".into());
     assert!(is_read("10.0.0.1", clock::now()) && !is_read("10.0.0.2", clock::now()));
-    assert!(!is_read("10.0.0.1", clock::now() + 5001), "it may be an older one by now");
+    assert!(
+        !is_read("10.0.0.1", clock::now() + 5001),
+        "the request has expired: the address may belong to an older version by now"
+    );
 }
 
 #[tokio::test]
-async fn requests_go_to_the_version_that_the_rollout_gives_them() {
+async fn requests_are_served_by_the_version_that_the_rollout_selects() {
     let old = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "old"))).await;
     let new = engines("decode", 2, |seen, _| match seen.attempt().starts_with('f') {
         true => Act::Send(answer(seen, "500 Internal Server Error", "bad")),
@@ -193,11 +197,11 @@
     .await;
     let state = router(&old);
     let list = new.iter().enumerate();
-    let list = list.map(|(at, engine)| Engine { id: format!("new-{at}"), ..engine.entry() }).collect();
+    let list = list.map(|(index, engine)| Engine { id: format!("new-{index}"), ..engine.entry() }).collect();
     let endpoints = EndpointList { zone: candidates_of("a"), term: 1, sequence: 1, engines: list };
     state.engines().update(&endpoints, clock::now());
     assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
-    // So late that all requests have moved.
+    // Late enough that all requests have moved.
     apply(&state, VersionRollout { elapsed_ms: 11_800, ..rollout(1, RolloutState::Active, 1000) });
     assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
     state.staleness_bounds().renew_lease(clock::now());
@@ -211,7 +215,10 @@
         .collect();
     counts.sort_unstable();
     assert_eq!(counts, [("once", false, 1, 0, "a"), ("once", true, 0, 1, "a"), ("stream", true, 1, 0, "a")]);
-    assert!(samples[0].list.iter().all(|(key, _)| key.engine_hash != 0), "engines of both versions are told apart");
+    assert!(
+        samples[0].list.iter().all(|(key, _)| key.engine_hash != 0),
+        "engines of both versions are sampled individually"
+    );
     apply(&state, rollout(2, RolloutState::Reverted, 0));
     assert!(ask(&state, "once", "d", "").await.ends_with("old"), "reverted");
 }
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start and graceful shutdown of the process.
+//! Startup and graceful shutdown of the process.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use crate::state::State;
 use crate::subscription::driver;
 
-/// The tasks of a router, which register themselves and are started in their stated order.
+/// The background tasks of a router. They register themselves and are started by ascending `order`.
 #[distributed_slice]
 #[linkme(crate = kernel::plugin::linkme)]
 pub static ROUTER_PLUGINS: [Plugin<Arc<State>>];
 
-/// Registers a task of the router: the static's name, the task's name, its place in the order, and how it starts.
+/// Registers a background task: the name of the static, the name of the task, its start order, and its start function.
 macro_rules! router_plugin {
     ($label:ident, $name:literal, $order:literal, $start:expr) => {
         #[distributed_slice(ROUTER_PLUGINS)]
@@ -37,13 +37,13 @@
 router_plugin!(METERING, "metering", 5, |state| drop(tokio::spawn(metering::send_counts(state.clone()))));
 router_plugin!(SAMPLES, "samples", 4, |state| drop(tokio::spawn(rollout::send_samples(state.clone()))));
 
-/// Runs a router until it gets SIGTERM and has finished what it accepted.
+/// Runs a router until SIGTERM, then shuts it down gracefully.
 pub async fn run(settings: Settings, mut signals: Signals) -> ExitCode {
     kernel::log_event!(ROUTER_STARTED, "node" => settings.node_name.clone(), "ip" => settings.ip.clone());
     let state = State::new(settings);
-    let scraped = state.clone();
+    let metrics_state = state.clone();
     telemetry::start(state.settings.listen_ip(), state.settings.metrics.as_ref(), move || {
-        scraped.metrics.render(&scraped)
+        metrics_state.metrics.render(&metrics_state)
     });
     plugin::start(&ROUTER_PLUGINS, &state);
     signal::wait_for_termination(&mut signals).await;
@@ -51,7 +51,7 @@
     ExitCode::SUCCESS
 }
 
-/// Shuts the router down gracefully, well inside the grace period.
+/// Shuts the router down gracefully within the grace period.
 pub(crate) async fn shut_down(state: &State) {
     let counts = state.owner_cache().counts;
     kernel::log_event!(SHUTDOWN_STARTED, "open" => count_unfinished(state, &PHASES, &STAGES));
@@ -63,19 +63,19 @@
     log_unfinished(state);
 }
 
-/// All phases, in their order.
+/// All phases in order.
 const PHASES: [DrainPhase; 3] = [DrainPhase::Serving, DrainPhase::Draining, DrainPhase::Closing];
-/// All stages, in their order.
+/// All stages in order.
 const STAGES: [Stage; 3] = [Stage::Reading, Stage::Forwarding, Stage::Answering];
 
-/// Returns how many unfinished requests arrived in one of these phases and are in one of these stages.
+/// Returns the number of unfinished requests that arrived in one of `phases` and are in one of `stages`.
 fn count_unfinished(state: &State, phases: &[DrainPhase], stages: &[Stage]) -> i64 {
-    let of_phase =
+    let count_in_phase =
         |phase: &DrainPhase| stages.iter().map(|stage| state.metrics.requests_in_stage(*phase, *stage)).sum::<i64>();
-    phases.iter().map(of_phase).sum()
+    phases.iter().map(count_in_phase).sum()
 }
 
-/// Logs what is left unfinished, by stage, and how much of it arrived after SIGTERM.
+/// Logs the number of unfinished requests, by stage, and how many of them arrived after SIGTERM.
 fn log_unfinished(state: &State) {
     kernel::log_event!(SHUTDOWN_FINISHED, "open" => count_unfinished(state, &PHASES, &STAGES),
         "reading" => count_unfinished(state, &PHASES, &[Stage::Reading]),
