--- a/router/src/testing/mod.rs
+++ b/router/src/testing/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines, controllers and clients, and simulations in virtual time, for tests only.
+//! Test doubles of engines, controllers and clients, and simulations in virtual time.
 
 pub mod controller;
 pub mod engine;
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -1,4 +1,4 @@
-//! A router in the test's own process, and clients of it, on real connections over the loopback interface.
+//! An in-process router and its clients, on real connections over the loopback interface.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -28,126 +28,128 @@
 cloud_api = { address = "127.0.0.1:1", rate_per_s = 1.0 }
 "#;
 
-/// Returns a ready router with one route of each kind to one service.
+/// Returns a ready router with one service and one route of each type to it.
 pub fn router(engines: &[Engine]) -> Arc<State> {
     router_holding(engines, 5.0)
 }
 
-/// Returns one whose engines hold the KV cache of a prompt for `hold_s` seconds.
+/// Returns a ready router whose engines hold the KV cache of a prompt for `hold_s` seconds.
 pub fn router_holding(engines: &[Engine], hold_s: f64) -> Arc<State> {
     let state = unproved_router(engines, hold_s);
-    // Nothing is ever in force in these tests that this router does not hold.
+    // Its configuration is the only one in these tests, so it is always current.
     state.freshness.prove(i64::MAX);
     state
 }
 
-/// Returns one with these settings.
+/// Returns a ready router with these settings.
 pub fn router_with(settings: &str, engines: &[Engine]) -> Arc<State> {
-    let state = unproved_router_of(settings, engines, 5.0);
+    let state = unproved_router_with(settings, engines, 5.0);
     state.freshness.prove(i64::MAX);
     state
 }
 
-/// Returns one that does not know whether its configuration is current.
+/// Returns a ready router whose configuration is not proved to be current.
 pub fn unproved_router(engines: &[Engine], hold_s: f64) -> Arc<State> {
-    unproved_router_of(SETTINGS, engines, hold_s)
+    unproved_router_with(SETTINGS, engines, hold_s)
 }
 
-/// Returns one with these settings that does not know whether its configuration is current.
-pub fn unproved_router_of(settings: &str, engines: &[Engine], hold_s: f64) -> Arc<State> {
-    let state = State::new(settings::parse(settings).expect("good settings"));
-    let service = serde_json::json!([{"name": "s", "engine": {"kv_hold_s": hold_s}}]);
-    configure(&state, 1, serde_json::json!({"service_table": service}));
-    list(&state, 1, engines);
+/// Returns a ready router with these settings, whose configuration is not proved to be current.
+pub fn unproved_router_with(settings: &str, engines: &[Engine], hold_s: f64) -> Arc<State> {
+    let state = State::new(settings::parse(settings).expect("valid settings"));
+    let services = serde_json::json!([{"name": "s", "engine": {"kv_hold_s": hold_s}}]);
+    configure(&state, 1, serde_json::json!({"service_table": services}));
+    apply_endpoint_list(&state, 1, engines);
     state.ready.store(true, Ordering::Relaxed);
     state
 }
 
-/// Brings a whole configuration into force: the usual one, with the tables of `more` in place of its own.
-pub fn configure(state: &State, revision: u64, more: Value) {
+/// Applies a full configuration: the default one, with its tables replaced by those in `overrides`.
+pub fn configure(state: &State, revision: u64, overrides: Value) {
     let mut config = serde_json::json!({"revision": revision,
         "service_table": [{"name": "s", "engine": {"kv_hold_s": 5.0}}],
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000,
             "idle_timeout_ms": 15000},
         "route_table": [route("once", "non_idempotent", false), route("again", "idempotent", false),
             route("stream", "streaming", false), route("resume", "streaming", true)]});
-    let (tables, more) = (config.as_object_mut().expect("tables"), more.as_object().expect("tables").clone());
-    tables.extend(more);
+    let (tables, overrides) = (config.as_object_mut().expect("tables"), overrides.as_object().expect("tables").clone());
+    tables.extend(overrides);
     activation::apply_document(state, revision, config.to_string().as_bytes());
-    assert_eq!(state.table().revision, revision, "in force");
+    assert_eq!(state.table().revision, revision, "the configuration is in force");
 }
 
-/// Returns a route of the usual configuration; its paths begin with its name.
-pub fn route(name: &str, kind: &str, resumable: bool) -> Value {
-    serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"), "route_type": kind,
+/// Returns a route as in the default configuration; its path prefix is its name.
+pub fn route(name: &str, route_type: &str, resumable: bool) -> Value {
+    serde_json::json!({"name": name, "hostname": "h", "path_prefix": format!("/{name}/"), "route_type": route_type,
         "timeout_ms": 20000, "target_ms": 1000, "retry_count": 2, "service": "s", "resumable": resumable})
 }
 
-/// Applies an endpoint list with these engines; `count` is its sequence number.
-pub fn list(state: &State, count: u64, engines: &[Engine]) {
+/// Applies an endpoint list with these engines.
+pub fn apply_endpoint_list(state: &State, sequence: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence: count, engines: list };
+    let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence, engines: list };
     state.engines().update(&endpoint_list, clock::now());
 }
 
-/// A client's connection to a router.
+/// A client connection to a router.
 pub struct Client(pub TcpStream);
 
 impl Client {
     /// Connects to a router.
     pub async fn connect(state: &Arc<State>) -> Client {
         let listener = socket::listen("127.0.0.1:0").expect("a free port");
-        let addr = listener.local_addr().expect("its address");
+        let addr = listener.local_addr().expect("local address");
         let state = state.clone();
         tokio::spawn(async move {
-            let (stream, _) = listener.accept().await.expect("a client");
+            let (stream, _) = listener.accept().await.expect("a client connects");
             listener::serve_client(state, stream).await;
         });
-        Client(TcpStream::connect(addr).await.expect("connected"))
+        Client(TcpStream::connect(addr).await.expect("connects to the router"))
     }
 
     /// Sends text.
     pub async fn write(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).await.expect("written");
+        self.0.write_all(text.as_bytes()).await.expect("write to the router");
     }
 
-    /// Reads until the router has closed the connection.
+    /// Reads until the router closes the connection.
     pub async fn rest(&mut self) -> String {
         let mut bytes = Vec::new();
         let _ = self.0.read_to_end(&mut bytes).await;
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Reads until `marker` has arrived.
+    /// Reads until `marker` has been received.
     pub async fn until(&mut self, marker: &str) -> String {
         let mut bytes = Vec::new();
         while !String::from_utf8_lossy(&bytes).contains(marker) {
-            assert_ne!(self.0.read_buf(&mut bytes).await.expect("read"), 0, "closed before {marker:?}");
+            assert_ne!(self.0.read_buf(&mut bytes).await.expect("read from the router"), 0, "closed before {marker:?}");
         }
         String::from_utf8_lossy(&bytes).into_owned()
     }
 }
 
-/// Returns the text of a client's request; `more` holds further header lines.
-pub fn post(route: &str, attempt: &str, more: &str) -> String {
-    format!("POST /{route}/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {attempt}\r\nContent-Length: 4\r\n{more}\r\nbody")
+/// Returns the text of a client's request; `extra_headers` holds additional header lines.
+pub fn post(route: &str, attempt: &str, extra_headers: &str) -> String {
+    format!(
+        "POST /{route}/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: {attempt}\r\nContent-Length: 4\r\n{extra_headers}\r\nbody"
+    )
 }
 
-/// Sends one request on a connection of its own, and returns all that came back.
-pub async fn ask(state: &Arc<State>, route: &str, attempt: &str, more: &str) -> String {
+/// Sends a request on a new connection, and returns everything received until the connection closes.
+pub async fn ask(state: &Arc<State>, route: &str, attempt: &str, extra_headers: &str) -> String {
     let mut client = Client::connect(state).await;
-    client.write(&post(route, attempt, &format!("Connection: close\r\n{more}"))).await;
+    client.write(&post(route, attempt, &format!("Connection: close\r\n{extra_headers}"))).await;
     client.rest().await
 }
 
-/// Waits until the router holds so many idle connections to engines.
-pub async fn kept(state: &State, count: usize) {
+/// Waits until the router has `count` idle connections to engines.
+pub async fn wait_for_idle_connections(state: &State, count: usize) {
     while state.connection_pools.ready_count() != count {
         task::yield_now().await;
     }
 }
 
-/// Returns the status of the first response in a text.
+/// Returns the status code of the first response in a text.
 pub fn status(text: &str) -> &str {
     text.split(' ').nth(1).unwrap_or("none")
 }
--- a/router/src/tests/connection_reuse.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -8,7 +8,7 @@
 use tokio::time;
 
 use crate::testing::engine::{answer, engines, events, sealed, seen, Act, Engine, Seen};
-use crate::testing::router::{self, ask, kept, post, router, status, Client};
+use crate::testing::router::{self, ask, post, router, status, wait_for_idle_connections, Client};
 
 /// An answer with a body that names its request.
 fn own(seen: &Seen) -> String {
@@ -30,7 +30,7 @@
     for attempt in ["1", "2", "3"] {
         let text = ask(&state, "once", attempt, "").await;
         assert!(text.ends_with(&format!("for-{attempt}")), "{text}");
-        kept(&state, 1).await;
+        wait_for_idle_connections(&state, 1).await;
     }
     assert_eq!(connections(&list), [0, 0, 0]);
 }
@@ -63,9 +63,9 @@
     .await;
     let state = router(&list);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     when.notify_one();
-    kept(&state, 0).await;
+    wait_for_idle_connections(&state, 0).await;
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
     assert_eq!(connections(&list), [0, 1]);
 }
@@ -81,8 +81,8 @@
         .await;
         let state = router(&list[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
-        kept(&state, 1).await;
-        router::list(&state, 2, &list);
+        wait_for_idle_connections(&state, 1).await;
+        router::apply_endpoint_list(&state, 2, &list);
         state.engines().engines[1].saturated_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
@@ -91,7 +91,7 @@
         } else {
             assert_eq!((status(&text), seen(&list).len()), ("502", 2), "{text}");
         }
-        kept(&state, usize::from(route == "again")).await;
+        wait_for_idle_connections(&state, usize::from(route == "again")).await;
     }
 }
 
@@ -108,7 +108,7 @@
         let state = router(&list);
         assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
         list[0].ended(1).await;
-        kept(&state, 0).await;
+        wait_for_idle_connections(&state, 0).await;
         assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
         assert_eq!(connections(&list), [0, 1]);
     }
@@ -124,7 +124,7 @@
     .await;
     let state = router(&list[..1]);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     let text = ask(&state, "once", "2", "").await;
     assert_eq!(status(&text), "502", "it may have run: {text}");
     assert_eq!(connections(&list), [0, 0]);
@@ -135,9 +135,9 @@
     let mut list = engines("decode", 1, |seen, _| Act::Send(own(seen))).await;
     let state = router(&list);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     list[0].id = "successor".into();
-    router::list(&state, 2, &list);
+    router::apply_endpoint_list(&state, 2, &list);
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
     assert_eq!(connections(&list), [0, 1]);
 }
@@ -151,9 +151,9 @@
     .await;
     let state = router(&list);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     assert!(!ask(&state, "stream", "2", "").await.ends_with("0\r\n\r\n"));
-    kept(&state, 0).await;
+    wait_for_idle_connections(&state, 0).await;
     assert!(ask(&state, "once", "3", "").await.ends_with("for-3"));
 }
 
@@ -191,7 +191,7 @@
         drop(client);
         ended_once(&list).await;
         assert_eq!(seen(&list).len(), 1, "{route}");
-        kept(&state, 0).await;
+        wait_for_idle_connections(&state, 0).await;
     }
 }
 
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown while clients go on sending, as they do where fewer than half of a zone's routers are ready.
+//! Graceful shutdown while clients keep sending, as happens if fewer than half of a zone's routers are ready.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use crate::startup;
 use crate::state::State;
 use crate::testing::engine::{self, answer, engines, events, head_and_rest, Act, Engine};
-use crate::testing::router::{post, status, unproved_router_of, SETTINGS};
+use crate::testing::router::{post, status, unproved_router_with, SETTINGS};
 
 /// The grace period of these routers, in seconds.
 const GRACE_S: f64 = 1.6;
 const STREAM_END: &str = "0\r\n\r\n";
 
-/// A router in a runtime of its own, which ends as its process would: with everything that is open in it.
+/// A router in its own runtime. Like a process exit, its end drops everything that is still open.
 struct Process {
     state: Arc<State>,
     address: String,
@@ -35,7 +35,7 @@
 
 fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("its address").to_string()
+    listener.local_addr().expect("local address").to_string()
 }
 
 impl Process {
@@ -44,31 +44,32 @@
         let bounds = format!("budget_slack = 0.0, grace_s = {GRACE_S:?}");
         let settings = SETTINGS.replace("budget_slack = 0.0", &bounds);
         let settings = format!("{settings}\nbind_addresses = {{ frontend = {address:?} }}\n");
-        let state = unproved_router_of(&settings, engines, 5.0);
+        let state = unproved_router_with(&settings, engines, 5.0);
         if is_proved {
             state.freshness.prove(i64::MAX);
         }
         let terminate = Arc::new(Notify::new());
-        let (end, ended) = oneshot::channel();
-        let (inner, signal) = (state.clone(), terminate.clone());
+        let (end_sender, ended) = oneshot::channel();
+        let (router_state, signal) = (state.clone(), terminate.clone());
         thread::spawn(move || {
-            let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = Builder::new_current_thread().enable_all().build().expect("build the runtime");
             runtime.block_on(async {
-                tokio::spawn(listener::serve_frontend(inner.clone()));
+                tokio::spawn(listener::serve_frontend(router_state.clone()));
                 signal.notified().await;
-                startup::shut_down(&inner).await;
+                startup::shut_down(&router_state).await;
             });
             drop(runtime);
-            let _ = end.send(());
+            let _ = end_sender.send(());
         });
         Process { state, address, terminate, ended }
     }
 
-    /// Returns a connection to it, or `None` if it does not listen any more.
+    /// Connects to the router; `None` if it does not listen.
     async fn connect(address: &str) -> Option<TcpStream> {
         TcpStream::connect(address).await.ok()
     }
 
+    /// Connects to the router as soon as it listens.
     async fn first_connection(&self) -> TcpStream {
         loop {
             match Process::connect(&self.address).await {
@@ -79,13 +80,14 @@
     }
 }
 
-/// What a client got for one request.
+/// What a client received for one request.
 #[derive(Debug)]
 struct Received {
     attempt: String,
     text: String,
 }
 
+/// Sends a streaming request, and returns what was received until the stream or the connection ended.
 async fn request(address: String, attempt: String) -> Received {
     let mut received = Received { attempt, text: String::new() };
     let Some(mut stream) = Process::connect(&address).await else { return received };
@@ -94,9 +96,9 @@
         return received;
     }
     let mut bytes = Vec::new();
-    let mut piece = [0; 4096];
-    while let Ok(size) = stream.read(&mut piece).await {
-        bytes.extend_from_slice(&piece[..size]);
+    let mut buffer = [0; 4096];
+    while let Ok(size) = stream.read(&mut buffer).await {
+        bytes.extend_from_slice(&buffer[..size]);
         if size == 0 || bytes.ends_with(STREAM_END.as_bytes()) {
             break;
         }
@@ -105,7 +107,7 @@
     received
 }
 
-/// Returns whether a request was lost: it neither completed, nor was rejected before any send, nor was never accepted.
+/// Returns whether a request was lost: its response was cut off, or it failed although it had reached an engine.
 fn is_lost(received: &Received, engines: &[Engine]) -> bool {
     if status(&received.text) == "200" {
         return !received.text.ends_with(STREAM_END);
@@ -113,7 +115,7 @@
     engine::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
 }
 
-/// Engines whose streams end at the next tick after their head, so that some are always in flight.
+/// Starts engines whose streams end at the next tick after their head, so that some streams are always in flight.
 async fn slow_engines() -> Vec<Engine> {
     let release = Arc::new(Notify::new());
     let releaser = release.clone();
@@ -132,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn no_accepted_request_is_abandoned_while_requests_keep_coming() {
+async fn no_accepted_request_is_lost_if_requests_keep_arriving_during_shutdown() {
     let list = slow_engines().await;
     let mut process = Process::start(&list, true);
     drop(process.first_connection().await);
@@ -149,38 +151,38 @@
         if process.ended.try_recv().is_ok() {
             break;
         }
-        assert!(count < 1000, "the process ends inside its grace");
+        assert!(count < 1000, "the process ends within its grace period");
     }
     let received = clients.join_all().await;
-    let served = received.iter().filter(|one| one.text.ends_with(STREAM_END)).count();
-    assert!(served > 20, "requests are served also after SIGTERM: {served}");
-    let lost: Vec<_> = received.iter().filter(|one| is_lost(one, &list)).collect();
+    let served = received.iter().filter(|received| received.text.ends_with(STREAM_END)).count();
+    assert!(served > 20, "requests are also served after SIGTERM: {served}");
+    let lost: Vec<_> = received.iter().filter(|received| is_lost(received, &list)).collect();
     assert!(lost.is_empty(), "{} of {} lost, first {:?}", lost.len(), received.len(), lost[0]);
 }
 
 #[tokio::test]
-async fn a_request_that_waits_for_admission_is_answered_before_the_process_ends() {
+async fn a_request_that_waits_for_admission_gets_a_response_before_the_process_ends() {
     let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
     let process = Process::start(&list, false);
     let mut stream = process.first_connection().await;
     process.terminate.notify_one();
-    // Its route is not known, and no proof comes: it waits while the time for which the router serves on runs out.
-    let served_on = Duration::from_secs_f64(GRACE_S * 0.4);
-    time::sleep(served_on.saturating_sub(Duration::from_millis(100))).await;
+    // The route is unknown and no freshness proof arrives, so the request waits until the router stops accepting requests.
+    let accept_for = Duration::from_secs_f64(GRACE_S * 0.4);
+    time::sleep(accept_for.saturating_sub(Duration::from_millis(100))).await;
     let text = post("unknown", "1", "Connection: close\r\n");
-    stream.write_all(text.as_bytes()).await.expect("written");
-    let mut answer = String::new();
-    let read = stream.read_to_string(&mut answer).await;
-    assert!(read.is_ok() && status(&answer) == "503", "{read:?} {answer:?}");
+    stream.write_all(text.as_bytes()).await.expect("write to the router");
+    let mut response = String::new();
+    let result = stream.read_to_string(&mut response).await;
+    assert!(result.is_ok() && status(&response) == "503", "{result:?} {response:?}");
     assert_eq!(process.state.metrics.requests_in_stage(DrainPhase::Draining, Stage::Reading), 0);
 }
 
 #[tokio::test]
-async fn a_request_longer_than_the_time_left_is_rejected_before_any_send() {
+async fn during_shutdown_a_request_longer_than_the_remaining_time_is_rejected_before_any_send() {
     let list = engines("decode", 1, |seen, _| Act::Send(events(seen, 1, 3, true))).await;
     let process = Process::start(&list, true);
     drop(process.first_connection().await);
-    let durations = process.state.table().route("stream").expect("there").durations.clone();
+    let durations = process.state.table().route("stream").expect("route exists").durations.clone();
     (0..40).for_each(|_| durations.record(2500));
     process.terminate.notify_one();
     while process.state.drain.remaining_ms().is_none() {
@@ -193,5 +195,5 @@
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
     let seen = engine::seen(&list);
-    assert_eq!(seen.iter().map(|one| one.attempt()).collect::<Vec<_>>(), ["short"]);
+    assert_eq!(seen.iter().map(|request| request.attempt()).collect::<Vec<_>>(), ["short"]);
 }
--- a/router/src/tests/mod.rs
+++ b/router/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of a complete router between stand-in engines, controllers and clients.
+//! Tests of a complete router with test engines, controllers and clients.
 
 mod connection_reuse;
 mod early_answer;
