--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -146,7 +146,7 @@
 }
 
 /// Authorizes a request against a routing table. The route is looked up first, since it says whether a key is required.
-fn authorize_by(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
+fn authorize_against(table: &RoutingTable, parts: &Parts, key: Option<KeyDigest>) -> Result<Authorization, Failure> {
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
     let route = table.find(host, parts.uri.path()).ok_or(Failure::RouteNotFound)?;
     let authorization = Authorization::grant(table, route, key);
@@ -160,14 +160,14 @@
 async fn authorize(state: &State, parts: &Parts) -> Result<Admitted, Failure> {
     let time_budget_ms = request::parse_number(&parts.headers, TIME_BUDGET).unwrap_or(STARTUP_WAIT_MS);
     let key = authorization::api_key_digest(&parts.headers);
-    let accepts = |table: &RoutingTable| authorize_by(table, parts, key).is_ok();
+    let accepts = |table: &RoutingTable| authorize_against(table, parts, key).is_ok();
     let table = match freshness::wait_for_table(state, time_budget_ms, accepts).await {
         Ok(table) => table,
         Err(LookupMiss::Unproved) => return Err(Failure::Unavailable(RETRY_AFTER_MS)),
         // The proof covers this table too: it is the same one or a newer one.
         Err(LookupMiss::Certain) => state.table(),
     };
-    let authorization = authorize_by(&table, parts, key)?;
+    let authorization = authorize_against(&table, parts, key)?;
     Ok(Admitted { table, authorization })
 }
 
--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -22,8 +22,8 @@
 
 #[tokio::test]
 async fn an_unknown_key_or_route_is_rejected_with_retry_after_while_the_table_may_be_stale() {
-    let list = succeeding_engines().await;
-    let state = unproved_router(&list, 5.0);
+    let engines = succeeding_engines().await;
+    let state = unproved_router(&engines, 5.0);
     configure_api_keys(&state, &["k2"]);
     for route in ["once", "gone"] {
         let text = ask(&state, route, "1", &format!("Time-Budget: 60\r\n{KEYED}")).await;
@@ -34,13 +34,13 @@
     for (route, expected) in [("once", "401"), ("gone", "404")] {
         assert_eq!(status(&ask(&state, route, "1", KEYED).await), expected);
     }
-    assert_eq!(seen(&list).len(), 0);
+    assert_eq!(seen(&engines).len(), 0);
 }
 
 #[tokio::test]
 async fn a_request_that_waits_for_a_current_table_is_served_once_its_key_is_configured() {
-    let list = succeeding_engines().await;
-    let state = unproved_router(&list, 5.0);
+    let engines = succeeding_engines().await;
+    let state = unproved_router(&engines, 5.0);
     configure_api_keys(&state, &["k2"]);
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", &format!("Connection: close\r\n{KEYED}"))).await;
@@ -48,13 +48,13 @@
     time::timeout(timeout, state.freshness.wanted()).await.expect("a freshness proof is requested");
     configure_api_keys(&state, &["k1"]);
     let text = client.rest().await;
-    assert_eq!((status(&text), seen(&list).len()), ("200", 1), "{text}");
+    assert_eq!((status(&text), seen(&engines).len()), ("200", 1), "{text}");
 }
 
 #[tokio::test]
 async fn a_known_key_is_accepted_without_a_freshness_proof() {
-    let list = succeeding_engines().await;
-    let state = unproved_router(&list, 5.0);
+    let engines = succeeding_engines().await;
+    let state = unproved_router(&engines, 5.0);
     configure_api_keys(&state, &["k1"]);
     assert_eq!(status(&ask(&state, "once", "1", KEYED).await), "200");
 }
--- a/router/src/frontend/authorization_tests.rs
+++ b/router/src/frontend/authorization_tests.rs
@@ -97,14 +97,14 @@
 #[test]
 fn a_route_needs_a_known_key_where_there_are_tenants_unless_it_is_anonymous() {
     let table = table(tenants(), true);
-    let found = [Some("k1"), Some("k2"), Some("k3"), None].map(|key| forwarded_tenant(&table, "keyed", key));
-    assert_eq!(found, [Some("one".to_string()), Some("two".to_string()), None, None]);
+    let forwarded = [Some("k1"), Some("k2"), Some("k3"), None].map(|key| forwarded_tenant(&table, "keyed", key));
+    assert_eq!(forwarded, [Some("one".to_string()), Some("two".to_string()), None, None]);
     // On an anonymous route a known key still selects its tenant.
-    let found = [Some("k1"), Some("k3"), None].map(|key| forwarded_tenant(&table, "open", key));
-    assert_eq!(found, [Some("one".to_string()), Some(String::new()), Some(String::new())]);
+    let forwarded = [Some("k1"), Some("k3"), None].map(|key| forwarded_tenant(&table, "open", key));
+    assert_eq!(forwarded, [Some("one".to_string()), Some(String::new()), Some(String::new())]);
     let without_tenants = self::table(Value::Null, false);
-    let found = [Some("k1"), None].map(|key| forwarded_tenant(&without_tenants, "keyed", key));
-    assert_eq!(found, [Some(String::new()), Some(String::new())]);
+    let forwarded = [Some("k1"), None].map(|key| forwarded_tenant(&without_tenants, "keyed", key));
+    assert_eq!(forwarded, [Some(String::new()), Some(String::new())]);
 }
 
 #[test]
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the time until the shutdown deadline, in milliseconds; `None` if no shutdown has started.
+    /// Returns the time left for requests until the shutdown deadline, in milliseconds; `None` if no shutdown has started.
     pub fn remaining_ms(&self) -> Option<u64> {
         let deadline = self.deadline.get()?;
         Some(deadline.saturating_duration_since(Instant::now()).as_millis() as u64)
--- a/router/src/metering_tests.rs
+++ b/router/src/metering_tests.rs
@@ -56,8 +56,8 @@
 }
 
 #[tokio::test]
-async fn a_request_is_counted_once_if_an_engine_has_started_it_and_not_if_none_has() {
-    let list = engines("decode", 2, |seen, number| match seen.attempt() {
+async fn a_request_is_counted_once_for_its_tenant_if_and_only_if_an_engine_started_it() {
+    let engines = engines("decode", 2, |seen, number| match seen.attempt() {
         "refused" => {
             Act::Send(answer(seen, "503 Service Unavailable", "full").replacen("\r\n", "\r\nNot-Executed: 1\r\n", 1))
         }
@@ -65,7 +65,7 @@
     })
     .await;
     let text = SETTINGS.replace("rate_per_s = 1.0", "rate_per_s = 1.0, duty_list = [\"usage_export\"]");
-    let state = router_with(&text, &list);
+    let state = router_with(&text, &engines);
     let tenants = serde_json::json!([{"name": "one", "api_keys": ["k1"]}, {"name": "two", "api_keys": ["k2"]}]);
     crate::testing::router::configure(&state, 2, serde_json::json!({ "tenant_table": tenants }));
     for (attempt, key) in [("x", "k1"), ("y", "k1"), ("z", "k2"), ("refused", "k2")] {
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -11,7 +11,8 @@
 use crate::testing::engine::{answer, engines, events, waiting_engine, Act};
 use crate::testing::router::{ask, post, router, Client};
 
-fn ended(state: &State, outcome: Outcome) -> u64 {
+/// Returns how many requests that arrived in normal operation ended with `outcome`.
+fn ended_requests(state: &State, outcome: Outcome) -> u64 {
     state.metrics.requests_ended.get_or_create(&OutcomeLabels { phase: DrainPhase::Serving, outcome }).get()
 }
 
@@ -32,28 +33,28 @@
 
 #[tokio::test]
 async fn each_request_is_counted_once_by_its_outcome() {
-    let list = engines("decode", 1, |seen, _| match seen.attempt() {
+    let engines = engines("decode", 1, |seen, _| match seen.attempt() {
         "broken" => Act::SendAndClose(events(seen, 1, 3, false)),
         "failed" => Act::Send(answer(seen, "500 Internal Server Error", "no")),
         _ => Act::Send(answer(seen, "200 OK", "hello")),
     })
     .await;
-    let state = router(&list);
+    let state = router(&engines);
     ask(&state, "once", "good", "").await;
     ask(&state, "once", "failed", "").await;
     ask(&state, "none", "nowhere", "").await;
     ask(&state, "stream", "broken", "").await;
     wait_until(|| unfinished_requests(&state) == 0).await;
     let outcomes = [Outcome::Success, Outcome::EngineFailure, Outcome::NoRoute, Outcome::Cut, Outcome::Lost];
-    assert_eq!(outcomes.map(|outcome| ended(&state, outcome)), [1, 1, 1, 1, 0]);
+    assert_eq!(outcomes.map(|outcome| ended_requests(&state, outcome)), [1, 1, 1, 1, 0]);
     let text = state.metrics.render(&state);
     assert!(text.contains("tidepoint_router_request_duration_seconds_count 4\n"), "{text}");
 }
 
 #[tokio::test]
 async fn a_request_is_in_flight_from_its_head_to_the_end_of_its_response() {
-    let (list, resume) = waiting_engine().await;
-    let state = router(&list);
+    let (engines, resume) = waiting_engine().await;
+    let state = router(&engines);
     let mut client = Client::connect(&state).await;
     let request = post("stream", "1", "");
     let (head, body) = request.split_at(request.len() - 2);
@@ -65,13 +66,13 @@
     resume.notify_one();
     client.until("0\r\n\r\n").await;
     wait_until(|| unfinished_requests(&state) == 0).await;
-    assert_eq!(ended(&state, Outcome::Success), 1);
+    assert_eq!(ended_requests(&state, Outcome::Success), 1);
 }
 
 #[tokio::test]
 async fn the_documentation_lists_exactly_the_exported_metrics() {
-    let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
-    let state = router(&list);
+    let engines = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let state = router(&engines);
     // A family without a series is not exported.
     ask(&state, "once", "1", "").await;
     let decision = Decision::Granted;
--- a/router/src/rollout/reporting.rs
+++ b/router/src/rollout/reporting.rs
@@ -23,7 +23,7 @@
 
 impl Rollouts {
     /// Returns whether the controller at `ip` has a valid request for samples by engine and load.
-    pub(super) fn is_read_by(&self, ip: &str, now: u64) -> bool {
+    pub(super) fn is_requested_by(&self, ip: &str, now: u64) -> bool {
         let is_valid = |reader: &SampleReader| reader.ip == ip && now < reader.requested_at + SAMPLE_REQUEST_VALID_MS;
         self.sample_reader.as_ref().is_some_and(is_valid)
     }
@@ -51,8 +51,8 @@
 /// Reports samples to a controller in a format that it supports.
 fn report(state: &State, controller: &PeerClient, samples: &EngineSamples) {
     let ip = controller.addr().rsplit_once(':').map_or(controller.addr(), |(ip, _)| ip);
-    let is_read = state.rollouts().is_read_by(ip, clock::now());
-    controller.notify(match is_read {
+    let is_requested = state.rollouts().is_requested_by(ip, clock::now());
+    controller.notify(match is_requested {
         true => Message::EngineSamples(Box::new(samples.clone())),
         false => Message::Samples(Box::new(samples.to_legacy())),
     });
--- a/router/src/rollout/version_choice.rs
+++ b/router/src/rollout/version_choice.rs
@@ -11,12 +11,12 @@
 /// load for most of the turn.
 const TURN_MS: u64 = 1200;
 
-/// The unit of shares: thousandths of the requests.
+/// Denominator of shares, which are given in thousandths of the requests.
 const SHARE_SCALE: u64 = 1000;
 
-/// The part of its final load that a load test reaches while it lasts, since long requests accumulate.
+/// The part of its eventual load that a load test reaches while it lasts, since long requests accumulate.
 const LOAD_TEST_BUILD_UP: f64 = 0.6;
-/// The factor by which a load test exceeds the load that it needs, so that engines fill up while it lasts.
+/// The factor by which a load test initially exceeds the load that it needs, so that engines fill up while it lasts.
 const LOAD_TEST_SURPLUS: f64 = 2.5;
 
 /// The inputs of the version choice besides the rollout.
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -177,12 +177,12 @@
 #[tokio::test]
 async fn only_a_controller_that_requested_samples_by_engine_gets_them() {
     let state = router(&[]);
-    let is_read = |ip: &str, now| state.rollouts().is_read_by(ip, now);
-    assert!(!is_read("10.0.0.1", clock::now()));
+    let is_requested = |ip: &str, now| state.rollouts().is_requested_by(ip, now);
+    assert!(!is_requested("10.0.0.1", clock::now()));
     apply_sample_request(&state, "10.0.0.1".into());
-    assert!(is_read("10.0.0.1", clock::now()) && !is_read("10.0.0.2", clock::now()));
+    assert!(is_requested("10.0.0.1", clock::now()) && !is_requested("10.0.0.2", clock::now()));
     assert!(
-        !is_read("10.0.0.1", clock::now() + 5001),
+        !is_requested("10.0.0.1", clock::now() + 5001),
         "the request has expired: the address may belong to an older version by now"
     );
 }
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -84,9 +84,9 @@
 }
 
 /// Applies an endpoint list with these engines.
-pub fn apply_endpoint_list(state: &State, sequence: u64, engines: &[Engine]) {
+pub fn apply_endpoint_list(state: &State, sequence_number: u64, engines: &[Engine]) {
     let list = engines.iter().map(Engine::entry).collect();
-    let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence, engines: list };
+    let endpoint_list = EndpointList { zone: "a".into(), term: 1, sequence: sequence_number, engines: list };
     state.engines().update(&endpoint_list, clock::now());
 }
 
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -39,13 +39,13 @@
 }
 
 impl Process {
-    fn start(engines: &[Engine], is_proved: bool) -> Process {
+    fn start(engines: &[Engine], is_config_proved: bool) -> Process {
         let address = free_address();
         let bounds = format!("budget_slack = 0.0, grace_s = {GRACE_S:?}");
         let settings = SETTINGS.replace("budget_slack = 0.0", &bounds);
         let settings = format!("{settings}\nbind_addresses = {{ frontend = {address:?} }}\n");
         let state = unproved_router_with(&settings, engines, 5.0);
-        if is_proved {
+        if is_config_proved {
             state.freshness.prove(i64::MAX);
         }
         let terminate = Arc::new(Notify::new());
@@ -135,8 +135,8 @@
 
 #[tokio::test]
 async fn no_accepted_request_is_lost_if_requests_keep_arriving_during_shutdown() {
-    let list = slow_engines().await;
-    let mut process = Process::start(&list, true);
+    let engines = slow_engines().await;
+    let mut process = Process::start(&engines, true);
     drop(process.first_connection().await);
     let mut clients = JoinSet::new();
     let mut arrivals = time::interval(Duration::from_millis(15));
@@ -156,19 +156,19 @@
     let received = clients.join_all().await;
     let served = received.iter().filter(|received| received.text.ends_with(STREAM_END)).count();
     assert!(served > 20, "requests are also served after SIGTERM: {served}");
-    let lost: Vec<_> = received.iter().filter(|received| is_lost(received, &list)).collect();
+    let lost: Vec<_> = received.iter().filter(|received| is_lost(received, &engines)).collect();
     assert!(lost.is_empty(), "{} of {} lost, first {:?}", lost.len(), received.len(), lost[0]);
 }
 
 #[tokio::test]
 async fn a_request_that_waits_for_admission_gets_a_response_before_the_process_ends() {
-    let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
-    let process = Process::start(&list, false);
+    let engines = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let process = Process::start(&engines, false);
     let mut stream = process.first_connection().await;
     process.terminate.notify_one();
     // The route is unknown and no freshness proof arrives, so the request waits until the router stops accepting requests.
-    let accept_for = Duration::from_secs_f64(GRACE_S * 0.4);
-    time::sleep(accept_for.saturating_sub(Duration::from_millis(100))).await;
+    let accept_time = Duration::from_secs_f64(GRACE_S * 0.4);
+    time::sleep(accept_time.saturating_sub(Duration::from_millis(100))).await;
     let text = post("unknown", "1", "Connection: close\r\n");
     stream.write_all(text.as_bytes()).await.expect("write to the router");
     let mut response = String::new();
@@ -179,8 +179,8 @@
 
 #[tokio::test]
 async fn during_shutdown_a_request_longer_than_the_remaining_time_is_rejected_before_any_send() {
-    let list = engines("decode", 1, |seen, _| Act::Send(events(seen, 1, 3, true))).await;
-    let process = Process::start(&list, true);
+    let engines = engines("decode", 1, |seen, _| Act::Send(events(seen, 1, 3, true))).await;
+    let process = Process::start(&engines, true);
     drop(process.first_connection().await);
     let durations = process.state.table().route("stream").expect("route exists").durations.clone();
     (0..40).for_each(|_| durations.record(2500));
@@ -194,6 +194,6 @@
     (0..1000).for_each(|_| durations.record(50));
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
-    let seen = engine::seen(&list);
+    let seen = engine::seen(&engines);
     assert_eq!(seen.iter().map(|request| request.attempt()).collect::<Vec<_>>(), ["short"]);
 }
