--- a/router/src/event.rs
+++ b/router/src/event.rs
@@ -1,5 +1,5 @@
-//! Numbered log events of the router. `docs/events.md` catalogues them with the meaning of their fields; a test compares
-//! the two.
+//! Numbered log events of the router. `docs/events.md` catalogues them with the meaning of their fields; a test
+//! compares the two.
 
 use kernel::log::Event;
 
--- a/router/src/frontend/admission.rs
+++ b/router/src/frontend/admission.rs
@@ -1,8 +1,9 @@
 //! Request admission: reads a request, authorizes it, and hands it to the proxy.
 //!
-//! The checks run in this order: framing (a request with ambiguous framing must not be interpreted further), configuration
-//! and authorization (so that a ready router buffers no body of an unauthorized request), the memory limit, the body. Every
-//! request gets a response, and a `RequestGuard` counts it from its head to the end of that response.
+//! The checks run in this order: framing (a request with ambiguous framing must not be interpreted further),
+//! configuration and authorization (so that a ready router buffers no body of an unauthorized request), the memory
+//! limit, the body. Every request gets a response, and a `RequestGuard` counts it from its head to the end of that
+//! response.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/router/src/frontend/authorization.rs
+++ b/router/src/frontend/authorization.rs
@@ -1,5 +1,5 @@
-//! Authorization: whether a request may be sent to an engine, and on behalf of which tenant. It is checked at admission,
-//! and again before each send, since keys may be revoked in between.
+//! Authorization: whether a request may be sent to an engine, and on behalf of which tenant. It is checked at
+//! admission, and again before each send, since keys may be revoked in between.
 
 use std::sync::Arc;
 
@@ -53,8 +53,8 @@
         Ok(Authorization { key, route: route.clone(), tenant })
     }
 
-    /// Returns whether the request would still be admitted for the same tenant and the same regions. A key may be revoked
-    /// or assigned to another tenant while the request waits.
+    /// Returns whether the request would still be admitted for the same tenant and the same regions. A key may be
+    /// revoked or assigned to another tenant while the request waits.
     pub fn is_still_valid(&self, table: &RoutingTable) -> bool {
         let anonymous = table.route(&self.route.name).unwrap_or(&self.route).anonymous;
         match (tenant_of_key(table, anonymous, self.key.as_ref()), &self.tenant) {
@@ -87,7 +87,7 @@
         [&self.route.allowed_regions, tenant]
     }
 
-    /// Removes the API key, which must not reach an engine, and replaces any client-supplied tenant by the authorized one.
+    /// Removes the API key, which must not reach an engine, and replaces any tenant that the client named.
     pub fn rewrite_headers(&self, headers: &mut HeaderMap) {
         headers.remove(AUTHORIZATION);
         headers.remove(TENANT);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the tenant of a key; `None` if no tenant is needed. On an anonymous route a known key still selects its tenant.
+/// Returns the tenant of a key; `None` if none is needed. A known key selects its tenant on an anonymous route too.
 fn tenant_of_key<'a>(
     table: &'a RoutingTable,
     anonymous: bool,
--- a/router/src/frontend/drain.rs
+++ b/router/src/frontend/drain.rs
@@ -1,9 +1,9 @@
 //! Graceful shutdown: how a router stops without aborting requests that it accepted.
 //!
-//! On SIGTERM the router fails its readiness checks at once. Until the platform has noticed, it keeps accepting requests
-//! (`Draining`), except those that it does not expect to finish in time. Then it accepts nothing new, finishes the requests
-//! in flight (`Closing`), and exits. The platform may keep sending to a router that is not ready, so the end of `Draining`
-//! depends on elapsed time alone, not on whether requests still arrive.
+//! On SIGTERM the router fails its readiness checks at once. Until the platform has noticed, it keeps accepting
+//! requests (`Draining`), except those that it does not expect to finish in time. Then it accepts nothing new, finishes
+//! the requests in flight (`Closing`), and exits. The platform may keep sending to a router that is not ready, so the
+//! end of `Draining` depends on elapsed time alone, not on whether requests still arrive.
 //!
 //! Invariant: the phase never goes back.
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the time left for requests until the shutdown deadline, in milliseconds; `None` if no shutdown has started.
+    /// Returns the time left until the shutdown deadline, in milliseconds; `None` if no shutdown has started.
     pub fn remaining_ms(&self) -> Option<u64> {
         let deadline = self.deadline.get()?;
         Some(deadline.saturating_duration_since(Instant::now()).as_millis() as u64)
@@ -88,8 +88,8 @@
 /// Time until the platform stops sending to an unready router, in milliseconds: it polls once a second and removes a
 /// router after two failures, and requests that it has already forwarded take a moment longer to arrive.
 const UNREADY_DETECTION_MS: u64 = 3000;
-/// Maximum share of the grace period in which requests are accepted, so that most of it is left to finish the last ones:
-/// three of eight seconds.
+/// Maximum share of the grace period in which requests are accepted, so that most of it is left to finish the last
+/// ones: three of eight seconds.
 const MAX_ACCEPT_SHARE: f64 = 3.0 / 8.0;
 /// Share of the grace period that is reserved for process exit.
 const RESERVE_SHARE: f64 = 1.0 / 24.0;
--- a/router/src/frontend/framing_check.rs
+++ b/router/src/frontend/framing_check.rs
@@ -1,8 +1,8 @@
 //! Detects request heads that have both `Content-Length` and `Transfer-Encoding`.
 //!
 //! The HTTP library resolves this conflict itself: it decodes the chunks and drops the length, so no request can be
-//! smuggled past the router. But such a request must be rejected as malformed, and the parsed request no longer shows the
-//! conflict. Therefore the bytes of each head are scanned on their way from the socket to the library.
+//! smuggled past the router. But such a request must be rejected as malformed, and the parsed request no longer shows
+//! the conflict. Therefore the bytes of each head are scanned on their way from the socket to the library.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
--- a/router/src/frontend/mod.rs
+++ b/router/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The client-facing side: connections, request parsing, authorization, admission, graceful shutdown, and error responses.
+//! The client-facing side: connections, requests, authorization, admission, graceful shutdown, and error responses.
 
 pub mod admission;
 pub mod authorization;
--- a/router/src/frontend/request.rs
+++ b/router/src/frontend/request.rs
@@ -21,8 +21,8 @@
 
 /// An admitted request in the form that is sent to engines.
 ///
-/// Invariants: `headers` contains no hop-by-hop header, no API key, and no header that only the router may set; `body` is
-/// complete.
+/// Invariants: `headers` contains no hop-by-hop header, no API key, and no header that only the router may set; `body`
+/// is complete.
 pub struct Request {
     /// The HTTP method.
     pub method: Method,
@@ -65,8 +65,8 @@
 /// The same share when the end of the time window is near.
 const NEAR_DEADLINE_SHARE: f64 = 0.5;
 
-/// Headers that only the router may set. A client could use them to read the KV cache of another request, or to have its
-/// own request only prefilled.
+/// Headers that only the router may set. A client could use them to read the KV cache of another request, or to have
+/// its own request only prefilled.
 const INTERNAL_HEADERS: [&str; 5] =
     [TARGET_INSTANCE, SERVING_PHASE, KV_SOURCE, URGENCY_CLASS, headers::EXPECTED_VERSION];
 
@@ -90,8 +90,8 @@
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Returns whether a head is unambiguous: one host, at most one framing header, and at most one attempt id. Any other head
-/// could smuggle a second request, and is rejected before any other step.
+/// Returns whether a head is unambiguous: one host, at most one framing header, and at most one attempt id. Any other
+/// head could smuggle a second request, and is rejected before any other step.
 pub fn has_unambiguous_framing(headers: &HeaderMap) -> bool {
     let count = |name: HeaderName| headers.get_all(name).iter().count();
     let transfer_encodings = count(TRANSFER_ENCODING);
--- a/router/src/frontend/request_guard.rs
+++ b/router/src/frontend/request_guard.rs
@@ -1,4 +1,4 @@
-//! Counts a request in the metrics, from reading its head until its response has been sent or its connection has closed.
+//! Counts a request in the metrics, from its head until its response has been sent or its connection has closed.
 
 use std::io;
 use std::pin::Pin;
@@ -17,8 +17,8 @@
 
 /// Counts a request in the metrics while it is in flight.
 ///
-/// Invariant: the request is counted in one stage at a time. Its end is counted exactly once, on drop: as `Cut` unless the
-/// response was sent completely.
+/// Invariant: the request is counted in one stage at a time. Its end is counted exactly once, on drop: as `Cut` unless
+/// the response was sent completely.
 pub struct RequestGuard {
     state: Arc<State>,
     /// The phase of the router when the request arrived.
--- a/router/src/metering.rs
+++ b/router/src/metering.rs
@@ -1,7 +1,7 @@
 //! Counts started requests by tenant and time window, and reports the counts to the home controller.
 //!
-//! Counts are cumulative from the start of each window, so lost or duplicate reports are harmless: the next report includes
-//! them. A new reader, or a new process of the same reader, gets all retained windows.
+//! Counts are cumulative from the start of each window, so lost or duplicate reports are harmless: the next report
+//! includes them. A new reader, or a new process of the same reader, gets all retained windows.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 const FULL_REPORT_EVERY: u32 = 5;
 /// Number of newest windows that a full report includes.
 const FULL_REPORT_WINDOWS: usize = 2;
-/// How long a controller's request for counts is valid, in milliseconds. The controller repeats it with each subscription
-/// renewal.
+/// How long a controller's request for counts is valid, in milliseconds. The controller repeats it with each
+/// subscription renewal.
 const REQUEST_VALID_MS: u64 = 5000;
 /// Time for the last report to be sent before the process exits.
 const FINAL_REPORT_WAIT: Duration = Duration::from_millis(60);
@@ -80,7 +80,7 @@
         counts.readers.insert(request.controller, reader);
     }
 
-    /// Returns the next report to the controller at `ip`; `None` if there is nothing to report or it requested no counts.
+    /// Returns the next report to the controller at `ip`; `None` if it is empty or the controller requested none.
     fn next_report(&self, ip: &str, router: u64) -> Option<RouterCounts> {
         let mut counts = self.counts.lock();
         let reader = counts.readers.get(ip).copied();
--- a/router/src/rollout.rs
+++ b/router/src/rollout.rs
@@ -1,7 +1,7 @@
 //! Version rollouts at this router: which version serves a request, and samples of how each version performed.
 //!
-//! A new version gets its share of requests only while the router holds a lease that a confirmed controller renews. A router
-//! that is partitioned or was suspended sends to the stable version.
+//! A new version gets its share of requests only while the router holds a lease that a confirmed controller renews. A
+//! router that is partitioned or was suspended sends to the stable version.
 
 mod outcome;
 mod output_sizes;
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Returns whether this stable engine is sampled individually. In a large fleet only a subset is, so that reports stay
-    /// small.
+    /// Returns whether this stable engine is sampled individually. In a large fleet only a subset is, so that reports
+    /// stay small.
     fn is_sampled_engine(&self, engine_hash: u64) -> bool {
         let engine_table = self.state.engines();
         let subset = engine_table.subset(self.service, Phase::Decode, false);
--- a/router/src/rollout/outcome.rs
+++ b/router/src/rollout/outcome.rs
@@ -8,8 +8,8 @@
 /// The outcome of a request for the version that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOutcome {
-    /// The engine started a successful response, which may still be lost. Reported at once, like failures: otherwise the
-    /// failures of a version that has just got more requests would be known before its successes.
+    /// The engine started a successful response, which may still be lost. Reported at once, like failures: otherwise
+    /// the failures of a version that has just got more requests would be known before its successes.
     Answered,
     /// The response is complete.
     Complete {
--- a/router/src/rollout/output_sizes.rs
+++ b/router/src/rollout/output_sizes.rs
@@ -1,5 +1,5 @@
-//! Statistics of the output sizes of a service's requests. With them a load test prefers requests with long outputs, which
-//! load an engine with fewer requests.
+//! Statistics of the output sizes of a service's requests. With them a load test prefers requests with long outputs,
+//! which load an engine with fewer requests.
 
 /// Minimum weight of a new request in the moving averages.
 const MIN_WEIGHT: f64 = 1.0 / 128.0;
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Returns by which factor a share of the requests generates more load if each is selected in proportion to its size: the
-    /// mean of the squared relative size.
+    /// Returns by which factor a share of the requests generates more load if each is selected in proportion to its
+    /// size: the mean of the squared relative size.
     pub fn load_factor(&self) -> f64 {
         if self.mean > 0.0 {
             (self.mean_square / (self.mean * self.mean)).max(1.0)
--- a/router/src/rollout/reporting.rs
+++ b/router/src/rollout/reporting.rs
@@ -11,8 +11,8 @@
 use crate::rollout::Rollouts;
 use crate::state::State;
 
-/// How long a controller's request for samples by engine and load is valid, in milliseconds. The controller repeats it with
-/// each subscription renewal.
+/// How long a controller's request for samples by engine and load is valid, in milliseconds. The controller repeats it
+/// with each subscription renewal.
 const SAMPLE_REQUEST_VALID_MS: u64 = 5000;
 
 /// A controller that requested samples by engine and load.
--- a/router/src/rollout/version_choice.rs
+++ b/router/src/rollout/version_choice.rs
@@ -7,8 +7,8 @@
 use crate::rollout::output_sizes::OutputSizes;
 use crate::rollout::{KnownRollout, Rollouts};
 
-/// How long a canary stays on the same engines, in milliseconds: about as long as a response takes, so that they carry its
-/// load for most of the turn.
+/// How long a canary stays on the same engines, in milliseconds: about as long as a response takes, so that they carry
+/// its load for most of the turn.
 const TURN_MS: u64 = 1200;
 
 /// Denominator of shares, which are given in thousandths of the requests.
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -166,7 +166,7 @@
     let process = Process::start(&engines, false);
     let mut stream = process.first_connection().await;
     process.terminate.notify_one();
-    // The route is unknown and no freshness proof arrives, so the request waits until the router stops accepting requests.
+    // The route is unknown and no freshness proof arrives, so the request waits until the router is closing.
     let accept_time = Duration::from_secs_f64(GRACE_S * 0.4);
     time::sleep(accept_time.saturating_sub(Duration::from_millis(100))).await;
     let text = post("unknown", "1", "Connection: close\r\n");
