--- a/router/src/frontend/admission_tests.rs
+++ b/router/src/frontend/admission_tests.rs
@@ -1,4 +1,4 @@
-//! Rejections by what the configuration lacks, where it is not known to be current.
+//! Rejection of unknown keys and routes while the configuration may be stale.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
     engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await
 }
 
-/// Brings a configuration into force in which the one tenant has these keys.
-fn keys(state: &State, keys: &[&str]) {
+/// Applies a configuration with one tenant that has these API keys.
+fn configure_api_keys(state: &State, keys: &[&str]) {
     let revision = state.table().revision + 1;
     configure(state, revision, serde_json::json!({"tenant_table": [{"name": "one", "api_keys": keys}]}));
 }
 
 #[tokio::test]
 async fn an_unknown_key_or_route_is_rejected_with_retry_after_while_the_table_may_be_stale() {
-    let list = succeeding_engines().await;
-    let state = unproved_router(&list, 5.0);
-    keys(&state, &["k2"]);
+    let engines = succeeding_engines().await;
+    let state = unproved_router(&engines, 5.0);
+    configure_api_keys(&state, &["k2"]);
     for route in ["once", "gone"] {
         let text = ask(&state, route, "1", &format!("Time-Budget: 60\r\n{KEYED}")).await;
         assert_eq!(status(&text), "503", "{route}: {text}");
@@ -34,27 +34,27 @@
     for (route, expected) in [("once", "401"), ("gone", "404")] {
         assert_eq!(status(&ask(&state, route, "1", KEYED).await), expected);
     }
-    assert_eq!(seen(&list).len(), 0);
+    assert_eq!(seen(&engines).len(), 0);
 }
 
 #[tokio::test]
-async fn a_key_that_comes_while_its_request_waits_is_served() {
-    let list = succeeding_engines().await;
-    let state = unproved_router(&list, 5.0);
-    keys(&state, &["k2"]);
+async fn a_request_that_waits_for_a_current_table_is_served_once_its_key_is_configured() {
+    let engines = succeeding_engines().await;
+    let state = unproved_router(&engines, 5.0);
+    configure_api_keys(&state, &["k2"]);
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", &format!("Connection: close\r\n{KEYED}"))).await;
-    let asked = Duration::from_secs(10);
-    time::timeout(asked, state.freshness.proof_wanted()).await.expect("the proof is asked for");
-    keys(&state, &["k1"]);
+    let timeout = Duration::from_secs(10);
+    time::timeout(timeout, state.freshness.proof_wanted()).await.expect("a freshness proof is requested");
+    configure_api_keys(&state, &["k1"]);
     let text = client.rest().await;
-    assert_eq!((status(&text), seen(&list).len()), ("200", 1), "{text}");
+    assert_eq!((status(&text), seen(&engines).len()), ("200", 1), "{text}");
 }
 
 #[tokio::test]
-async fn a_key_that_is_known_needs_no_proof() {
-    let list = succeeding_engines().await;
-    let state = unproved_router(&list, 5.0);
-    keys(&state, &["k1"]);
+async fn a_known_key_is_accepted_without_a_freshness_proof() {
+    let engines = succeeding_engines().await;
+    let state = unproved_router(&engines, 5.0);
+    configure_api_keys(&state, &["k1"]);
     assert_eq!(status(&ask(&state, "once", "1", KEYED).await), "200");
 }
--- a/router/src/tests/connection_reuse.rs
+++ b/router/src/tests/connection_reuse.rs
@@ -8,7 +8,7 @@
 use tokio::time;
 
 use crate::testing::engine::{answer, engines, events, sealed, seen, Act, Engine, Seen};
-use crate::testing::router::{self, ask, kept, post, router, status, Client};
+use crate::testing::router::{self, ask, post, router, status, wait_for_idle_connections, Client};
 
 /// Returns a response whose body contains the attempt id of its request.
 fn response_for(seen: &Seen) -> String {
@@ -30,7 +30,7 @@
     for attempt in ["1", "2", "3"] {
         let text = ask(&state, "once", attempt, "").await;
         assert!(text.ends_with(&format!("for-{attempt}")), "{text}");
-        kept(&state, 1).await;
+        wait_for_idle_connections(&state, 1).await;
     }
     assert_eq!(connections(&fleet), [0, 0, 0]);
 }
@@ -63,9 +63,9 @@
     .await;
     let state = router(&fleet);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     trigger.notify_one();
-    kept(&state, 0).await;
+    wait_for_idle_connections(&state, 0).await;
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
     assert_eq!(connections(&fleet), [0, 1]);
 }
@@ -81,8 +81,8 @@
         .await;
         let state = router(&fleet[..1]);
         assert!(ask(&state, route, "1", "").await.ends_with("for-1"));
-        kept(&state, 1).await;
-        router::list(&state, 2, &fleet);
+        wait_for_idle_connections(&state, 1).await;
+        router::apply_endpoint_list(&state, 2, &fleet);
         state.engines().engines[1].saturated_until = u64::MAX;
         let text = ask(&state, route, "2", "").await;
         assert!(!text.contains("for-1"), "{text}");
@@ -91,7 +91,7 @@
         } else {
             assert_eq!((status(&text), seen(&fleet).len()), ("502", 2), "{text}");
         }
-        kept(&state, usize::from(route == "again")).await;
+        wait_for_idle_connections(&state, usize::from(route == "again")).await;
     }
 }
 
@@ -112,7 +112,7 @@
         let state = router(&fleet);
         assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
         fleet[0].ended(1).await;
-        kept(&state, 0).await;
+        wait_for_idle_connections(&state, 0).await;
         assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
         assert_eq!(connections(&fleet), [0, 1]);
     }
@@ -128,7 +128,7 @@
     .await;
     let state = router(&fleet[..1]);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     let text = ask(&state, "once", "2", "").await;
     assert_eq!(status(&text), "502", "it may have been executed: {text}");
     assert_eq!(connections(&fleet), [0, 0]);
@@ -139,9 +139,9 @@
     let mut fleet = engines("decode", 1, |seen, _| Act::Send(response_for(seen))).await;
     let state = router(&fleet);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     fleet[0].id = "successor".into();
-    router::list(&state, 2, &fleet);
+    router::apply_endpoint_list(&state, 2, &fleet);
     assert!(ask(&state, "once", "2", "").await.ends_with("for-2"));
     assert_eq!(connections(&fleet), [0, 1]);
 }
@@ -155,9 +155,9 @@
     .await;
     let state = router(&fleet);
     assert!(ask(&state, "once", "1", "").await.ends_with("for-1"));
-    kept(&state, 1).await;
+    wait_for_idle_connections(&state, 1).await;
     assert!(!ask(&state, "stream", "2", "").await.ends_with("0\r\n\r\n"));
-    kept(&state, 0).await;
+    wait_for_idle_connections(&state, 0).await;
     assert!(ask(&state, "once", "3", "").await.ends_with("for-3"));
 }
 
@@ -195,7 +195,7 @@
         drop(client);
         any_connection_ended(&fleet).await;
         assert_eq!(seen(&fleet).len(), 1, "{route}");
-        kept(&state, 0).await;
+        wait_for_idle_connections(&state, 0).await;
     }
 }
 
