--- a/load_balancing/src/endpoint_lists.rs
+++ b/load_balancing/src/endpoint_lists.rs
@@ -1,8 +1,8 @@
-//! The lists of engines as pollers of the platform saw them, one list a zone.
+//! The endpoint lists that pollers read from the platform, one per zone.
 //!
-//! A list is versioned by (term, sequence): a poller raises the sequence with each change that it sees, and a poller that
-//! takes over goes to a higher term. Lists are compared by version alone, so no fence is needed: nobody takes an older
-//! list, however late it arrives (`docs/singleton-roles.md`, "Endpoint lists").
+//! A list is versioned by (term, sequence): a poller increments the sequence with each change it sees, and a poller
+//! that takes over starts a higher term. Only versions decide between lists, so no fencing is needed: a receiver
+//! ignores a list that is older than its own, however late it arrives (`docs/singleton-roles.md`, "Endpoint lists").
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,38 +10,40 @@
 use protocol::message::{self, ChangedEngines, EndpointList, EndpointUpdate, Engine, ListVersion, VersionEntry};
 use protocol::version_rollout;
 
-/// The low bits of a term that hold its poller's replica id: enough that no two pollers of a large fleet share them.
+/// The number of low bits of a term that hold its poller's replica id: enough that no two pollers of a large fleet
+/// share an id.
 const REPLICA_ID_BITS: u32 = 28;
 const REPLICA_ID_MASK: u64 = (1 << REPLICA_ID_BITS) - 1;
 
-/// Returns whether the poller with this replica id made the lists of this term.
+/// Returns whether a term belongs to the poller with this replica id.
 pub fn is_term_of(term: u64, replica_id: u64) -> bool {
     term & REPLICA_ID_MASK == replica_id & REPLICA_ID_MASK
 }
 
-/// Returns the lowest term of a poller that is above another term.
+/// Returns the lowest term of a poller that is higher than `term`.
 fn term_above(term: u64, replica_id: u64) -> u64 {
     ((term >> REPLICA_ID_BITS) + 1) << REPLICA_ID_BITS | (replica_id & REPLICA_ID_MASK)
 }
 
-/// What was known of a zone's list at one moment: taken when a poll begins and compared when it ends.
+/// The versions known for a zone's list, recorded when a poll begins and compared when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedVersion {
-    /// The term and sequence of the list held then.
+    /// The term and sequence of the list held at that time.
     version: Option<(u64, u64)>,
+    /// The highest term known, of the list held or reported by others.
     newest_term: u64,
 }
 
-/// The newest list of each zone. Invariant: the version (term, sequence) of a zone's list never goes back.
+/// The newest list of each zone. Invariant: the version (term, sequence) of a zone's list never decreases.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: BTreeMap<String, Arc<EndpointList>>,
-    /// By zone: the highest term that others are known to hold. The next own poll goes above it.
+    /// By zone: the highest term that another process is known to hold. This poller's next list gets a higher one.
     observed_terms: BTreeMap<String, u64>,
 }
 
 impl EndpointLists {
-    /// Takes over a list. Returns whether it is newer than the current one.
+    /// Stores a list if it is newer than the current one, and returns whether it was.
     pub fn update(&mut self, list: &EndpointList) -> bool {
         let current = self.lists.get(&list.zone).map(|current| (current.term, current.sequence));
         if current >= Some((list.term, list.sequence)) {
@@ -51,8 +53,8 @@
         true
     }
 
-    /// Takes over an update that applies to the list held, and returns the engines in it. `None`: it is not newer, it changes
-    /// another version than the one held, or it can't be read; nothing has changed then.
+    /// Applies an update to the list held, and returns the engines in it. Returns `None` and changes nothing if the
+    /// update is not newer, is based on another version than the one held, or can't be decoded.
     pub fn apply(&mut self, update: &EndpointUpdate) -> Option<ChangedEngines> {
         let held = self.lists.get(&update.zone);
         if !update.applies_to(held.map(|list| list.version())) {
@@ -71,20 +73,21 @@
         self.lists.get(zone)
     }
 
-    /// Returns what is known of a zone's list, to be asked before the first call of a poll.
+    /// Returns the versions known for a zone's list. A poller calls this before the first request of a poll.
     pub fn observed_version(&self, zone: &str) -> ObservedVersion {
         let version = self.lists.get(zone).map(|current| (current.term, current.sequence));
         let observed = self.observed_terms.get(zone).copied().unwrap_or(0);
         ObservedVersion { version, newest_term: version.map_or(0, |current| current.0).max(observed) }
     }
 
-    /// Publishes what a poller saw that began when `known` was observed. Returns the new list when something changed.
+    /// Publishes the engines found by a poll that began when `known` was observed. Returns the new list if anything
+    /// changed.
     ///
-    /// `term` stays the poller's own while nobody else polled this zone since; else it goes above the current one. Its low
-    /// bits are the replica id, so that no two pollers share a term.
+    /// The poller keeps its `term` while no higher one is known for this zone; otherwise it takes a term above the
+    /// newest one. The low bits of a term are the replica id, so that no two pollers share a term.
     ///
-    /// Another poller's list that became known meanwhile may be newer than what was seen, so what was seen is dropped: it
-    /// would else be put above that list (a poller that froze in mid-poll).
+    /// If another poller's list became known during the poll, the result is dropped, since that list may be newer: a
+    /// poller that froze in the middle of a poll would otherwise publish its stale result above that list.
     pub fn publish(
         &mut self,
         zone: &str,
@@ -99,22 +102,23 @@
         if *term == 0 || *term != known.newest_term {
             *term = term_above(known.newest_term, replica_id);
         }
-        let own = self.lists.get(zone).filter(|current| current.term == *term);
-        if own.is_some_and(|current| is_same_list(&current.engines, &engines)) {
+        let published = self.lists.get(zone).filter(|current| current.term == *term);
+        if published.is_some_and(|current| is_same_list(&current.engines, &engines)) {
             return None;
         }
-        let sequence = own.map_or(1, |current| current.sequence + 1);
+        let sequence = published.map_or(1, |current| current.sequence + 1);
         let list = EndpointList { zone: zone.into(), term: *term, sequence, engines };
         self.lists.insert(zone.into(), Arc::new(list.clone()));
         Some(list)
     }
 
-    /// Returns all lists, by the names of their zones.
+    /// Returns all lists, ordered by zone name.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointList> {
         self.lists.values().map(Arc::as_ref)
     }
 
-    /// Returns the zones whose lists are newer than the versions a peer reported, and the version that the peer has.
+    /// Returns the zones whose lists are newer than the versions a peer reported, each with the version that the peer
+    /// holds.
     pub fn outdated_zones(&self, reported: &[VersionEntry]) -> Vec<(String, Option<ListVersion>)> {
         let held_by_peer = |zone: &str| {
             let entry = reported.iter().find(|entry| entry.name == zone)?;
@@ -136,12 +140,13 @@
             .collect()
     }
 
-    /// Returns the versions held.
+    /// Returns the versions of the lists held.
     pub fn versions(&self) -> Vec<VersionEntry> {
         self.lists.values().map(|list| VersionEntry::new(&list.zone, list.term, list.sequence)).collect()
     }
 
-    /// Records the terms of lists that someone holds: routers outlive the controllers that made their lists.
+    /// Records the terms of lists that a peer holds. Routers outlive the controllers that published their lists, so a
+    /// new poller must go above these terms.
     pub fn observe_terms(&mut self, reported: &[VersionEntry]) {
         let is_list = |name: &str| !message::is_hidden_key(name) || version_rollout::candidate_zone(name).is_some();
         for entry in reported.iter().filter(|entry| is_list(&entry.name)) {
@@ -150,15 +155,15 @@
         }
     }
 
-    /// Returns the recorded terms in the form of versions, with a sequence of 0.
+    /// Returns the recorded terms as version entries with sequence 0.
     pub fn observed_terms(&self) -> Vec<VersionEntry> {
         self.observed_terms.iter().map(|(zone, term)| VersionEntry::new(zone, *term, 0)).collect()
     }
 }
 
-/// Returns whether two lists are the same but for what is left of slow starts, which runs down by itself.
+/// Returns whether two lists are the same apart from the remaining slow-start time, which decreases by itself.
 fn is_same_list(left: &[Engine], right: &[Engine]) -> bool {
-    left.len() == right.len() && left.iter().zip(right).all(|(one, two)| one.is_same(two))
+    left.len() == right.len() && left.iter().zip(right).all(|(left, two)| left.is_same(two))
 }
 
 #[cfg(test)]
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -1,33 +1,33 @@
-//! One engine as a router knows it, with what sending to it has shown.
+//! The state of one engine as a router knows it: what the lists say, and what its own requests have shown.
 
 use kernel::hashing;
 use protocol::message::{Engine, EngineLoad};
 
 use crate::slow_start::SlowStart;
 
-/// For how long after a report it is passed on to other routers, in milliseconds: an estimate from a report older than
-/// that rests mostly on the average engine.
+/// How long a load report is relayed to other routers, in milliseconds: an estimate from an older report rests mostly
+/// on the average engine.
 const REPORT_FRESH_MS: u64 = 1000;
 
-/// Requests at an engine, as it reports them.
+/// The number of requests at an engine, as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
 }
 
 impl ReportedLoad {
-    /// Parses the value of a `Server-Load` header: running, waiting, slots. Returns `None` when one of the first two
-    /// numbers is missing.
+    /// Parses the value of a `Server-Load` header: running, waiting, slots. Returns `None` if one of the first two
+    /// numbers is missing or invalid.
     fn parse(text: &str) -> Option<ReportedLoad> {
-        let mut numbers = text.split(',').map(|piece| piece.trim().parse::<u32>());
+        let mut numbers = text.split(',').map(|field| field.trim().parse::<u32>());
         let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) else { return None };
         Some(ReportedLoad { running, waiting })
     }
 
-    /// Returns the number of requests at the engine.
+    /// Returns the number of running and waiting requests.
     pub fn total(self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
@@ -35,74 +35,74 @@
 
 /// An engine as a router knows it. Times are in milliseconds; 0 means never.
 ///
-/// Invariants: an index is never given to another `id`; `in_flight` counts sends whose outcome is open; nothing is sent to
-/// one that is not `up` and `listed`.
+/// Invariants: an index is never reused for another `id`; `in_flight` counts the sends without an outcome; no request
+/// is sent to an engine unless it is `up` and `listed`.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// The engine's id, which the platform gives only once.
+    /// The engine's id, which the platform never reuses.
     pub id: String,
-    /// The hash of the id, which is the same at all routers.
+    /// The hash of the id, the same at all routers.
     pub id_hash: u64,
     /// The index of its service.
     pub service: u32,
-    /// Host and port.
+    /// The host and port.
     pub address: String,
     /// The index of its zone.
     pub zone: u32,
-    /// It does prefill.
+    /// Whether the engine serves prefill.
     pub prefill: bool,
-    /// It decodes.
+    /// Whether the engine serves decode.
     pub decode: bool,
-    /// How many requests it decodes at once, at least 1.
+    /// The number of requests that it decodes concurrently, at least 1.
     pub slots: u32,
-    /// The list says that it takes requests; else it is draining.
+    /// Whether the list says that it accepts requests; otherwise it is draining.
     pub up: bool,
-    /// It is in the newest list of its zone, at an address that is still its own.
+    /// Whether it is in the newest list of its zone, under an address that has not passed to another engine.
     pub listed: bool,
-    /// It runs a version that is being rolled out: it gets only the requests of that rollout.
+    /// Whether it runs a version that is being rolled out: it gets only the requests of that rollout.
     pub candidate: bool,
-    /// Its address belongs to another engine now, whatever the list says.
+    /// Whether its address now belongs to another engine, whatever the list says.
     pub retired: bool,
-    /// Until then it is cold, and slow start limits what it gets.
+    /// The end of its cold period, during which slow start limits the requests sent to it.
     pub cold_until: u64,
-    /// The recent sends of this router.
+    /// This router's recent sends to it.
     pub slow_start: SlowStart,
-    /// Requests that this router sent and that are not answered yet.
+    /// The number of requests from this router that have not been answered yet.
     pub in_flight: u32,
-    /// Prompt tokens that it has yet to read for them.
+    /// The number of prompt tokens of those requests that it has yet to prefill.
     pub prefill_tokens_in_flight: u64,
-    /// When it last answered anything.
+    /// The time of its last response of any kind.
     pub last_response_at: u64,
-    /// What it last reported, to this router or to another.
+    /// The load that it last reported, to this router or to another one.
     pub reported_load: ReportedLoad,
-    /// When it reported that.
+    /// The time of that report.
     pub reported_at: u64,
-    /// This router's requests in flight at that time.
+    /// This router's requests in flight at the time of that report.
     pub in_flight_at_report: u32,
-    /// Failures without an answer, in a row.
+    /// The number of consecutive failures without a response.
     pub consecutive_failures: u32,
-    /// Until then it is suspected to be down and chosen only for want of another one.
+    /// The end of the period in which it is suspected to be down and selected only if no other engine is available.
     pub suspected_until: u64,
-    /// When a failure was last recorded.
+    /// The time of the last recorded failure.
     pub last_failure_at: u64,
-    /// A probe is under way.
+    /// Whether a probe is in progress.
     pub is_probing: bool,
-    /// It answered another router since the last probe from here.
+    /// Whether it answered another router since this router's last probe.
     pub answered_elsewhere: bool,
-    /// It answered a router of another zone since the last probe from here.
+    /// Whether it answered a router of another zone since this router's last probe.
     pub answered_in_other_zone: bool,
-    /// A request of this router got no sign of life since the last probe.
+    /// Whether a request of this router has got no response at all since the last probe.
     pub is_unresponsive: bool,
-    /// Until then it is taken for full, since it turned a request away.
+    /// The end of the period in which it counts as full, because it rejected a request.
     pub saturated_until: u64,
-    /// Until then it is about to change its phase and gets nothing new.
+    /// The end of the period in which it is about to change its phase and gets no new requests.
     pub reassigning_until: u64,
-    /// Weight versions by the hash of the model's name, as last listed or answered.
+    /// Weight versions by the hash of the model's name, from the latest list or response.
     weight_versions: Vec<(u64, u64)>,
 }
 
 impl EngineState {
-    /// Creates an engine of which nothing is known yet but its identity.
+    /// Creates an engine of which only the identity is known.
     pub fn new(engine: &Engine, service: u32, zone: u32) -> EngineState {
         EngineState {
             id: engine.id.clone(),
@@ -138,9 +138,9 @@
         }
     }
 
-    /// Takes over what the newest list says of this engine. Returns whether it has just begun to drain.
+    /// Applies the engine's entry in the newest list. Returns whether the engine has just begun to drain.
     pub(crate) fn apply_listing(&mut self, listed: &Engine, is_candidate: bool, now: u64) -> bool {
-        let began_to_drain = self.up && !listed.up;
+        let starts_draining = self.up && !listed.up;
         self.listed = !self.retired;
         self.candidate = is_candidate;
         self.up = listed.up;
@@ -151,21 +151,21 @@
         if listed.cold_ms > 0 {
             self.presume_cold(now + u64::from(listed.cold_ms));
         }
-        began_to_drain
+        starts_draining
     }
 
-    /// Returns the weight version of a model, by the hash of its name, as far as it is known.
+    /// Returns the weight version of a model, given the hash of its name, if it is known.
     pub fn weight_version(&self, model: u64) -> Option<u64> {
         self.weight_versions.iter().find(|(name, _)| *name == model).map(|(_, version)| *version)
     }
 
-    /// Records the weight version of a model. `None`: it is not known any more.
+    /// Records the weight version of a model; `None` means that it is no longer known.
     pub fn set_weight_version(&mut self, model: u64, version: Option<u64>) {
         self.weight_versions.retain(|(name, _)| *name != model);
         self.weight_versions.extend(version.map(|version| (model, version)));
     }
 
-    /// Returns the last report, to be passed on while it is fresh.
+    /// Returns the last load report for relaying, while it is fresh.
     pub fn fresh_load(&self, now: u64) -> Option<EngineLoad> {
         let age_ms = now.saturating_sub(self.reported_at);
         let is_fresh = self.reported_at > 0 && age_ms < REPORT_FRESH_MS;
@@ -173,8 +173,8 @@
         is_fresh.then_some(EngineLoad { engine_hash: self.id_hash, load, age_ms: age_ms as u32 })
     }
 
-    /// Records what it reported to another router at `time`. Own sends since then are not known apart: they count as
-    /// reported.
+    /// Records the load that the engine reported to another router at `time`. This router can't tell which of its own
+    /// sends came after the report, so it counts all of its requests in flight as included in the report.
     pub(crate) fn set_relayed_load(&mut self, load: u32, time: u64) {
         self.set_load(ReportedLoad { running: load, waiting: 0 }, time);
     }
@@ -192,25 +192,26 @@
         self.in_flight_at_report = self.in_flight;
     }
 
-    /// Records an answer of any kind: the engine is not suspected any more.
+    /// Records a response of any kind, which ends any suspicion.
     pub fn record_response(&mut self, now: u64) {
         self.last_response_at = now;
         self.consecutive_failures = 0;
         self.suspected_until = 0;
     }
 
-    /// Presumes that the engine is cold until a time, since it may be without the list saying so yet.
+    /// Treats the engine as cold until a time, because it may be cold before the list says so.
     pub fn presume_cold(&mut self, until: u64) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Retires the engine, which said that it is not the one meant: this incarnation of it is over, and no id comes back.
+    /// Retires the engine after its address answered that it is another engine. This is final, since ids are never
+    /// reused.
     pub fn retire(&mut self) {
         self.listed = false;
         self.retired = true;
     }
 
-    /// Records a request without an answer: the engine is suspected for `suspicion_ms`, unless it answers before.
+    /// Records a request without a response: the engine is suspected for `suspicion_ms`, or until it responds.
     pub fn record_failure(&mut self, now: u64, suspicion_ms: u64) {
         self.consecutive_failures += 1;
         self.last_failure_at = now;
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines that a router knows, by index, with their estimated load and the subsets that it samples.
+//! The engines that a router knows, by index, with their estimated load and this router's subsets.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,23 +12,24 @@
 use crate::subset::{Subset, SubsetMember, SubsetParams};
 use crate::topology::{Distance, NameIndex, Topology};
 
-/// How fast a report loses its worth, in milliseconds: by then half of it is left, the rest is the average engine.
+/// The half-life of a load report, in milliseconds: after that time the estimate takes half from the report and half
+/// from the average engine.
 const REPORT_HALF_LIFE_MS: f64 = 400.0;
-/// The weight of one report in the moving average of load.
-const REPORT_WEIGHT: f64 = 0.1;
-/// The weight of one prefill in the moving average of prompt tokens.
-const PREFILL_WEIGHT: f64 = 0.05;
+/// The smoothing factor of the moving average of load: the weight of one report.
+const MEAN_LOAD_SMOOTHING: f64 = 0.1;
+/// The smoothing factor of the moving average of prompt tokens: the weight of one prefill.
+const MEAN_PREFILL_SMOOTHING: f64 = 0.05;
 
-/// The engines among which one selection chooses.
+/// Identifies the engines that one selection chooses from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SubsetKey {
     service: u32,
     phase: Phase,
-    /// Of a version that is being rolled out.
+    /// Whether they run a version that is being rolled out.
     is_candidate: bool,
 }
 
-/// The engines whose load is averaged.
+/// Identifies the engines over which load is averaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct MeanLoadKey {
     service: u32,
@@ -44,33 +45,33 @@
 
 /// The engines of all zones. Times are in milliseconds.
 ///
-/// Invariants: an engine keeps its index for good; `subsets` are built anew with each list and each change of
+/// Invariants: the index of an engine never changes; `subsets` are rebuilt with each list and each change of
 /// `subset_params`.
 #[derive(Default)]
 pub struct EngineTable {
-    /// All engines that were ever listed, by index.
+    /// All engines that have ever been listed, by index.
     pub engines: Vec<EngineState>,
     index_by_id: HashMap<String, usize>,
     index_by_id_hash: HashMap<u64, usize>,
     services: NameIndex,
     topology: Topology,
     lists: EndpointLists,
-    /// By service: the prompt tokens that a prefill reads on average, as sent from here.
+    /// By service: the mean number of uncached prompt tokens of the prefills sent by this router.
     mean_prefill_tokens: HashMap<u32, f64>,
     subsets: HashMap<SubsetKey, Subset>,
-    /// Requests at an engine on average, from the reports that came lately.
+    /// The mean number of requests at an engine, as a moving average of the reports.
     mean_loads: HashMap<MeanLoadKey, f64>,
     subset_params: SubsetParams,
 }
 
 /// Names, zones and lists.
 impl EngineTable {
-    /// Returns the index of a service, a new one for a new name.
+    /// Returns the index of a service, and assigns one to a new name.
     pub fn service_index(&mut self, name: &str) -> u32 {
         self.services.index_of(name)
     }
 
-    /// Returns the index of a zone, a new one for a new name.
+    /// Returns the index of a zone, and assigns one to a new name.
     pub fn zone_index(&mut self, name: &str) -> u32 {
         self.topology.zone_index(name)
     }
@@ -85,9 +86,9 @@
         self.topology.set_region(zone, region);
     }
 
-    /// Returns how far one zone is from another, by their indices.
-    pub(crate) fn distance(&self, one: u32, two: u32) -> Distance {
-        self.topology.distance(one, two)
+    /// Returns the distance between two zones, given by index.
+    pub(crate) fn distance(&self, from: u32, to: u32) -> Distance {
+        self.topology.distance(from, to)
     }
 
     /// Returns the index of an engine.
@@ -100,12 +101,13 @@
         self.lists.versions()
     }
 
-    /// Returns how many zones' lists are known.
+    /// Returns the number of zones whose list is known.
     pub fn listed_zone_count(&self) -> usize {
         self.lists.iter().filter(|list| !message::is_hidden_key(&list.zone)).count()
     }
 
-    /// Takes over a list if it is newer than the current one. Returns the ids of engines that just left or began to drain.
+    /// Applies a list if it is newer than the current one. Returns the ids of engines that have just left or begun to
+    /// drain.
     pub fn update(&mut self, list: &EndpointList, now: u64) -> Vec<String> {
         if !self.lists.update(list) {
             return Vec::new();
@@ -117,8 +119,8 @@
         left
     }
 
-    /// Takes over an update that applies to the list held. Returns the ids of engines that just left or began to drain; none
-    /// where the update does not apply.
+    /// Applies an update to the list held. Returns the ids of engines that have just left or begun to drain; none if
+    /// the update does not apply.
     pub fn apply_update(&mut self, update: &EndpointUpdate, now: u64) -> Vec<String> {
         let Some(engines) = self.lists.apply(update) else { return Vec::new() };
         let (zone, is_candidate) = self.zone_of_list(&update.zone);
@@ -131,31 +133,31 @@
         left
     }
 
-    /// Returns the index of the zone of a list, and whether the list is that of its candidates.
+    /// Returns the index of a list's zone, and whether it is the list of that zone's candidate engines.
     fn zone_of_list(&mut self, name: &str) -> (u32, bool) {
         let candidate_zone = version_rollout::candidate_zone(name);
         (self.zone_index(candidate_zone.unwrap_or(name)), candidate_zone.is_some())
     }
 
-    /// Takes over what a list says of engines. Returns the ids of those that began to drain.
+    /// Applies the entries of a list. Returns the ids of the engines that have begun to drain.
     fn apply_listings(&mut self, engines: &[Engine], zone: u32, is_candidate: bool, now: u64) -> Vec<String> {
         let mut draining = Vec::new();
         for listed in engines {
-            let at = self.find_or_insert(listed, zone);
-            if self.engines[at].apply_listing(listed, is_candidate, now) {
-                draining.push(self.engines[at].id.clone());
+            let index = self.find_or_insert(listed, zone);
+            if self.engines[index].apply_listing(listed, is_candidate, now) {
+                draining.push(self.engines[index].id.clone());
             }
         }
         draining
     }
 
-    /// Marks engines that a list does not name any more. Returns the ids of those that it named. An engine that moved to the
-    /// other list of its zone stays.
+    /// Marks engines as no longer listed. Returns the ids of those that were listed. An engine that moved to the other
+    /// list of its zone (stable or candidate) stays listed.
     fn unlist(&mut self, ids: &[String], is_candidate: bool) -> Vec<String> {
         let mut left = Vec::new();
         for id in ids {
-            let Some(at) = self.find(id) else { continue };
-            let engine = &mut self.engines[at];
+            let Some(index) = self.find(id) else { continue };
+            let engine = &mut self.engines[index];
             if engine.listed && engine.candidate == is_candidate {
                 engine.listed = false;
                 left.push(engine.id.clone());
@@ -164,7 +166,7 @@
         left
     }
 
-    /// Marks the engines of a zone that its list does not name any more. Returns their ids.
+    /// Marks the engines of a zone that are missing from its list as no longer listed. Returns their ids.
     fn unlist_missing(&mut self, engines: &[Engine], zone: u32, is_candidate: bool) -> Vec<String> {
         let named: HashSet<&str> = engines.iter().map(|engine| engine.id.as_str()).collect();
         let is_missing = |engine: &&mut EngineState| {
@@ -182,37 +184,37 @@
 
     fn find_or_insert(&mut self, listed: &Engine, zone: u32) -> usize {
         let service = self.service_index(&listed.service);
-        if let Some(at) = self.find(&listed.id) {
-            return at;
+        if let Some(index) = self.find(&listed.id) {
+            return index;
         }
-        let at = self.engines.len();
+        let index = self.engines.len();
         self.engines.push(EngineState::new(listed, service, zone));
-        self.index_by_id_hash.insert(self.engines[at].id_hash, at);
-        self.index_by_id.insert(listed.id.clone(), at);
-        at
+        self.index_by_id_hash.insert(self.engines[index].id_hash, index);
+        self.index_by_id.insert(listed.id.clone(), index);
+        index
     }
 
-    /// Marks engines that are about to change their phase: they get nothing new until then.
+    /// Marks engines that are about to change their phase: they get no new requests before `until`.
     pub fn mark_reassigning(&mut self, ids: &[String], until: u64) {
         for id in ids {
-            if let Some(at) = self.find(id) {
-                self.engines[at].reassigning_until = until;
+            if let Some(index) = self.find(id) {
+                self.engines[index].reassigning_until = until;
             }
         }
     }
 
-    /// Presumes that the engines of a zone are cold until a time, since they may be without the list saying so yet.
+    /// Treats the engines of a zone as cold until a time, because they may be cold before the list says so.
     pub fn presume_zone_cold(&mut self, zone: u32, until: u64) {
         for engine in self.engines.iter_mut().filter(|engine| engine.zone == zone) {
             engine.presume_cold(until);
         }
     }
 
-    /// Records weight versions as a poller saw them.
+    /// Records the weight versions that a poller read.
     pub fn set_weight_versions(&mut self, versions: &[EngineWeights]) {
         for weights in versions {
-            if let Some(at) = self.find(&weights.engine) {
-                self.engines[at].set_weight_version(hashing::hash(weights.model.as_bytes()), Some(weights.version));
+            if let Some(index) = self.find(&weights.engine) {
+                self.engines[index].set_weight_version(hashing::hash(weights.model.as_bytes()), Some(weights.version));
             }
         }
     }
@@ -220,13 +222,13 @@
 
 /// Subsets.
 impl EngineTable {
-    /// Sets the router that samples here: the hash of its name, its zone, and how many routers there are. A count that
-    /// changed by a quarter or less is left as it is, so that a subset lasts.
+    /// Sets the parameters of this router's subsets: the hash of its name, its zone and the number of routers. A change
+    /// of the router count by a quarter or less is ignored, so that subsets stay stable.
     pub fn set_router(&mut self, router_hash: u64, zone: u32, router_count: u32) {
         let zone_count = self.topology.configured_zone_count().max(1) as u32;
         let current = self.subset_params;
-        let is_near = router_count.abs_diff(current.router_count) * 4 <= current.router_count;
-        if current.router_hash == router_hash && current.zone_count == zone_count && is_near {
+        let is_small_change = router_count.abs_diff(current.router_count) * 4 <= current.router_count;
+        if current.router_hash == router_hash && current.zone_count == zone_count && is_small_change {
             return;
         }
         self.subset_params = SubsetParams { router_hash, zone, router_count, zone_count };
@@ -235,8 +237,8 @@
 
     fn rebuild_subsets(&mut self) {
         let mut members: HashMap<SubsetKey, Vec<SubsetMember>> = HashMap::new();
-        for (at, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.listed) {
-            let member = SubsetMember { engine: at, zone: engine.zone, id_hash: engine.id_hash };
+        for (index, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.up && engine.listed) {
+            let member = SubsetMember { engine: index, zone: engine.zone, id_hash: engine.id_hash };
             let phases = [(Phase::Prefill, engine.prefill), (Phase::Decode, engine.decode)];
             for (phase, _) in phases.into_iter().filter(|(_, serves)| *serves) {
                 let key = SubsetKey { service: engine.service, phase, is_candidate: engine.candidate };
@@ -247,12 +249,14 @@
         self.subsets = members.into_iter().map(|(key, members)| (key, Subset::build(params, &members))).collect();
     }
 
-    /// Returns the subset of one phase of a service. `is_candidate`: of the version that is being rolled out.
+    /// Returns the subset of one phase of a service, of the version that is being rolled out if `is_candidate`, else of
+    /// the stable one.
     pub fn subset(&self, service: u32, phase: Phase, is_candidate: bool) -> Option<&Subset> {
         self.subsets.get(&SubsetKey { service, phase, is_candidate })
     }
 
-    /// Returns the hash of this router and an engine, by which few routers are drawn for a cold engine.
+    /// Returns the hash of this router and an engine, which decides whether this router may send to the engine while it
+    /// is cold.
     pub(crate) fn router_engine_hash(&self, id_hash: u64) -> u64 {
         hashing::combine(self.subset_params.router_hash, id_hash)
     }
@@ -260,64 +264,67 @@
 
 /// Load.
 impl EngineTable {
-    /// Records the length of a prefill that is about to be sent, in tokens to be read.
+    /// Records the number of uncached tokens of a prefill that is about to be sent.
     pub fn record_prefill(&mut self, service: u32, tokens: u32) {
         let mean = self.mean_prefill_tokens.entry(service).or_insert(f64::from(tokens));
-        *mean += (f64::from(tokens) - *mean) * PREFILL_WEIGHT;
+        *mean += (f64::from(tokens) - *mean) * MEAN_PREFILL_SMOOTHING;
     }
 
-    /// Returns the average length of a service's prefills, in tokens.
+    /// Returns the mean number of uncached tokens of a service's prefills.
     pub(crate) fn mean_prefill_tokens(&self, service: u32) -> f64 {
         self.mean_prefill_tokens.get(&service).copied().unwrap_or(0.0)
     }
 
-    /// Records the value of a `Server-Load` header that an engine sent to this router.
-    pub fn record_reported_load(&mut self, at: usize, text: &str, now: u64) {
-        let engine = &mut self.engines[at];
+    /// Records the value of a `Server-Load` header from an engine's response to this router.
+    pub fn record_reported_load(&mut self, index: usize, text: &str, now: u64) {
+        let engine = &mut self.engines[index];
         if !engine.set_reported_load(text, now) {
             return;
         }
         let load = engine.reported_load.total();
-        self.update_mean_load(at, load);
+        self.update_mean_load(index, load);
     }
 
-    /// Records what an engine reported to another router, if that is newer than what is known.
+    /// Records the load that an engine reported to another router, if that report is newer than the one held.
     pub fn record_relayed_load(&mut self, report: &EngineLoad, now: u64) {
-        let Some(at) = self.index_by_id_hash.get(&report.engine_hash).copied() else { return };
+        let Some(index) = self.index_by_id_hash.get(&report.engine_hash).copied() else { return };
         let time = now.saturating_sub(u64::from(report.age_ms));
-        let engine = &mut self.engines[at];
+        let engine = &mut self.engines[index];
         if time > engine.reported_at {
             engine.set_relayed_load(report.load, time);
-            self.update_mean_load(at, report.load);
+            self.update_mean_load(index, report.load);
         }
     }
 
-    fn update_mean_load(&mut self, at: usize, load: u32) {
-        let key = MeanLoadKey::of(&self.engines[at]);
+    fn update_mean_load(&mut self, index: usize, load: u32) {
+        let key = MeanLoadKey::of(&self.engines[index]);
         let mean = self.mean_loads.entry(key).or_insert(f64::from(load));
-        *mean += (f64::from(load) - *mean) * REPORT_WEIGHT;
+        *mean += (f64::from(load) - *mean) * MEAN_LOAD_SMOOTHING;
     }
 
-    /// Returns the requests at all decode engines of the stable version of an engine's service, as far as can be known here.
+    /// Returns the estimated number of requests at all stable decode engines of an engine's service.
     pub(crate) fn stable_decode_load(&self, engine: &EngineState) -> f64 {
         let reported = self.mean_loads.get(&MeanLoadKey { is_candidate: false, ..MeanLoadKey::of(engine) });
         let count = self.subset(engine.service, Phase::Decode, false).map_or(0, |subset| subset.engines.len());
-        // What an engine reports with a response counts the request that it answers: a random engine has one fewer on average.
+        // A report comes with a response and counts the request that it answers, so a random engine has one request
+        // fewer on average.
         (reported.copied().unwrap_or(0.0) - 1.0).max(0.0) * count as f64
     }
 
-    /// Returns the requests at an engine as far as can be known here: what it last reported, fading into the average of
-    /// the engines of its phase, and this router's own sends since. Never below the own requests in flight.
-    pub fn estimated_load(&self, at: usize, now: u64) -> f64 {
-        let engine = &self.engines[at];
-        let own = f64::from(engine.in_flight);
+    /// Returns the estimated number of requests at an engine: its last report, which decays into the mean of its phase,
+    /// plus this router's sends since then. Never less than this router's requests in flight.
+    pub fn estimated_load(&self, index: usize, now: u64) -> f64 {
+        let engine = &self.engines[index];
+        let own_in_flight = f64::from(engine.in_flight);
         let mean = self.mean_loads.get(&MeanLoadKey::of(engine)).copied().unwrap_or(0.0);
         if engine.reported_at == 0 {
-            return mean + own;
+            return mean + own_in_flight;
         }
-        let worth = (-(now.saturating_sub(engine.reported_at) as f64) / REPORT_HALF_LIFE_MS).exp2();
+        let freshness = (-(now.saturating_sub(engine.reported_at) as f64) / REPORT_HALF_LIFE_MS).exp2();
         let reported = f64::from(engine.reported_load.total());
-        (reported * worth + mean * (1.0 - worth) + own - f64::from(engine.in_flight_at_report) * worth).max(own)
+        (reported * freshness + mean * (1.0 - freshness) + own_in_flight
+            - f64::from(engine.in_flight_at_report) * freshness)
+            .max(own_in_flight)
     }
 }
 
--- a/load_balancing/src/engine_usage.rs
+++ b/load_balancing/src/engine_usage.rs
@@ -1,23 +1,23 @@
-//! Requests in flight at engines, summed up so that the size of a report does not grow with the number of engines.
+//! Summaries of the requests in flight at engines, whose size does not grow with the number of engines.
 //!
-//! A decision on phases needs the load of each phase, and the load of single engines only among those that may change. So
-//! reports hold sums by service and phase, and single engines of a sample: those whose hash is low enough. Whoever has the
-//! same list draws the same sample, and no list of it is ever sent.
+//! A decision on phases needs the load of each phase, and the load of single engines only among those that may change.
+//! A report therefore holds totals by service and phase, and single engines only of a sample: those whose hash is low
+//! enough. Everyone who has the same list derives the same sample, so the sample itself is never sent.
 
 use std::collections::{BTreeMap, HashMap};
 
 use kernel::hashing;
 use protocol::message::{Engine, EngineUsage, PhaseUsage, SampledUsage};
 
-/// How many engines of one service and phase are sampled on average; all of them where there are no more.
+/// The mean number of engines sampled of one service and phase; all of them if there are no more than that.
 const SAMPLE_SIZE: u64 = 64;
 
-/// One service and phase.
+/// Identifies one phase of a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PhaseKey {
     /// The service.
     pub service: String,
-    /// The engines do prefill, else decode.
+    /// Whether the engines do prefill; otherwise they decode.
     pub prefill: bool,
 }
 
@@ -28,15 +28,15 @@
     }
 }
 
-/// The engines that are reported one by one.
+/// The engines that are reported individually.
 #[derive(Clone, Debug, Default)]
 pub struct UsageSample {
-    /// By service and phase: the highest hash that is sampled.
+    /// By service and phase: the highest hash that is in the sample.
     thresholds: HashMap<PhaseKey, u64>,
 }
 
 impl UsageSample {
-    /// Draws the sample among these engines.
+    /// Derives the sample of these engines.
     pub fn of<'a>(engines: impl Iterator<Item = &'a Engine>) -> UsageSample {
         let mut counts: HashMap<PhaseKey, u64> = HashMap::new();
         engines.for_each(|engine| *counts.entry(PhaseKey::of(engine)).or_default() += 1);
@@ -47,14 +47,14 @@
         UsageSample { thresholds: counts.into_iter().map(|(key, count)| (key, threshold(count))).collect() }
     }
 
-    /// Returns whether an engine is reported by itself.
+    /// Returns whether an engine is reported individually.
     pub fn contains(&self, engine: &Engine) -> bool {
         let threshold = self.thresholds.get(&PhaseKey::of(engine));
         threshold.is_some_and(|threshold| hashing::hash(engine.id.as_bytes()) <= *threshold)
     }
 }
 
-/// Sums up requests in flight, given by engine id, at the engines that may get new ones.
+/// Summarizes the requests in flight, given by engine id, at the engines eligible for new requests.
 pub fn summarize_usage(
     ip: &str,
     eligible: &[&Engine],
@@ -75,7 +75,7 @@
     EngineUsage { ip: ip.into(), totals: totals.collect(), sampled }
 }
 
-/// Requests in flight as several controllers reported them, added up.
+/// The requests in flight that several controllers reported, added up.
 #[derive(Clone, Debug, Default)]
 pub struct TotalUsage {
     totals: HashMap<PhaseKey, u32>,
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Returns the requests in flight at all engines of a service and phase.
+    /// Returns the number of requests in flight at all engines of a service and phase.
     pub fn total(&self, key: &PhaseKey) -> u32 {
         self.totals.get(key).copied().unwrap_or(0)
     }
 
-    /// Returns the requests in flight at one engine of the sample.
+    /// Returns the number of requests in flight at one engine of the sample.
     pub fn sampled(&self, id: &str) -> u32 {
         self.sampled.get(&hashing::hash(id.as_bytes())).copied().unwrap_or(0)
     }
--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -1,15 +1,16 @@
-//! Load balancing of a router: which engines there are, what is known of them, and which one gets a request.
+//! Load balancing of a router: which engines exist, what is known about them, and which one gets a request.
 //!
-//! - [`EndpointLists`] holds the lists of engines as pollers saw them, one list a zone.
-//! - [`EngineTable`] holds the engines by index, with their load and health as seen by this router's own sends.
-//! - `subset` chooses the few engines that one router samples, so that a selection costs the same however large a fleet is.
+//! - [`EndpointLists`] holds the endpoint lists that pollers read, one per zone.
+//! - [`EngineTable`] holds the engines by index, with their load and health as this router observes them.
+//! - `subset` picks the few engines that one router samples, so that the cost of a selection does not depend on the fleet
+//!   size.
 //! - [`SelectionContext`] selects the engine for prefill, for decode, or for both.
-//! - [`RetryBudget`] and [`SlowStart`] are this router's slices of bounds that all routers share.
-//! - [`StalenessBounds`] says which weight versions a request may run on.
-//! - [`summarize_usage`] sums up requests in flight for the controller that decides on phases.
+//! - [`RetryBudget`] and [`SlowStart`] enforce this router's share of limits that apply to all routers together.
+//! - [`StalenessBounds`] determines which weight versions a request may run on.
+//! - [`summarize_usage`] summarizes requests in flight for the controller that assigns phases.
 //! - [`plan_phase_change`] decides, for a controller, which engines change between prefill and decode.
 //!
-//! Everything is synchronous and pure: times come in with each call, in milliseconds of the caller's clock.
+//! Everything is synchronous and free of I/O: the time comes in with each call, in milliseconds of the caller's clock.
 #![deny(missing_docs)]
 
 mod endpoint_lists;
--- a/load_balancing/src/phase.rs
+++ b/load_balancing/src/phase.rs
@@ -3,8 +3,8 @@
 /// What an engine does for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It reads the prompt and computes its KV cache.
+    /// Processes the prompt and computes its KV cache.
     Prefill,
-    /// It generates the tokens of the answer.
+    /// Generates the tokens of the response.
     Decode,
 }
--- a/load_balancing/src/phase_balance.rs
+++ b/load_balancing/src/phase_balance.rs
@@ -1,54 +1,55 @@
-//! How many engines of a service do prefill and how many decode: a pure decision on their load.
+//! Decides how many engines of a service do prefill and how many decode, as a pure function of their load.
 //!
-//! Each phase has a load factor: its load as a multiple of the load at which requests begin to wait. Where one is overloaded,
-//! engines change to it as long as that lowers the greater load factor of the two.
+//! The load factor of a phase is its load as a multiple of the load at which requests begin to queue. While a phase is
+//! overloaded, engines change to it as long as that lowers the higher of the two load factors.
 
 /// An engine as it was last observed.
 #[derive(Clone, Debug)]
 pub struct EngineObservation {
     /// The engine's id.
     pub id: String,
-    /// It does prefill, else decode.
+    /// Whether it does prefill; otherwise it decodes.
     pub prefill: bool,
-    /// How many requests it decodes at once.
+    /// The number of requests that it decodes concurrently.
     pub slots: u32,
-    /// Requests in flight there, from all routers.
+    /// The number of requests in flight there, from all routers.
     pub in_flight: u32,
-    /// It is up, in a zone that is not being evacuated.
+    /// Whether it is up, in a zone that is not being evacuated.
     pub eligible: bool,
 }
 
-/// Requests in flight per prefill engine at which its load factor is 1: prompts are read one after another, and with one request
-/// in flight on average every second one waits.
+/// The requests in flight per prefill engine at which its load factor is 1. Prompts are processed one after another:
+/// with one request in flight on average, every second request has to wait.
 const PREFILL_NOMINAL_LOAD: f64 = 1.1;
-/// The share of slots in use at which the load factor of decode engines is 1: they run requests side by side, each more slowly
-/// the more there are.
+/// The share of slots in use at which the load factor of decode engines is 1: they run requests concurrently, each more
+/// slowly the more there are.
 const DECODE_NOMINAL_LOAD: f64 = 0.35;
 /// The load factor above which a phase is overloaded.
-const OVERLOADED: f64 = 1.0;
-/// The load factor that a phase stays below when it gives an engine away.
-const SPARABLE: f64 = 1.57;
+const OVERLOAD_THRESHOLD: f64 = 1.0;
+/// The load factor that a phase must stay below after it gives up an engine.
+const MAX_DONOR_LOAD_FACTOR: f64 = 1.57;
 
-/// One of so many engines may change its phase at once: a large fleet follows its load as fast as a small one.
+/// One engine per this many may change its phase at once, so that a large fleet adapts to its load as fast as a small
+/// one.
 const ENGINES_PER_CHANGE: usize = 24;
 
-/// Engines that are to change their phase.
+/// The engines that are to change their phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PhaseChange {
-    /// Their indices in the list of observations, the least loaded first. Never empty.
+    /// Their indices in the list of observations, least loaded first. Never empty.
     pub engines: Vec<usize>,
-    /// They are to do prefill from then on, else decode.
+    /// Whether they change to prefill; otherwise they change to decode.
     pub prefill: bool,
 }
 
-/// The eligible engines of one phase, and their load.
+/// The number, load and slots of the eligible engines of one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PhaseLoad {
-    /// How many engines there are.
+    /// The number of engines.
     pub count: f64,
-    /// Requests in flight at all of them.
+    /// The number of requests in flight at all of them.
     pub in_flight: f64,
-    /// Requests that all of them decode at once.
+    /// The number of requests that all of them together decode concurrently.
     pub slots: f64,
 }
 
@@ -77,32 +78,35 @@
         busy_engines / idle_engines / PREFILL_NOMINAL_LOAD
     }
 
-    /// Returns the load factor on this many decode engines: the share of their slots in use.
+    /// Returns the load factor if the phase had `count` decode engines: the share of their slots in use, relative to
+    /// the nominal share.
     fn decode_load_factor(&self, count: f64) -> f64 {
         self.in_flight / (self.slots / self.count * count) / DECODE_NOMINAL_LOAD
     }
 }
 
-/// Both phases of a service.
+/// The load of both phases of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceLoad {
-    /// The engines that do prefill.
+    /// The load of the prefill engines.
     pub prefill: PhaseLoad,
-    /// The engines that decode.
+    /// The load of the decode engines.
     pub decode: PhaseLoad,
 }
 
 impl ServiceLoad {
-    /// Returns the load of a service whose engines are all observed.
+    /// Returns the load of a service all of whose engines are observed.
     pub fn of(observations: &[EngineObservation]) -> ServiceLoad {
         ServiceLoad { prefill: PhaseLoad::of(observations, true), decode: PhaseLoad::of(observations, false) }
     }
 
-    /// Returns the phase that one more engine should change to: prefill (true) or decode. `None`: leave all as they are.
+    /// Returns the phase that one more engine should change to: prefill (true) or decode (false). `None` means no
+    /// change.
     ///
-    /// Both phases are compared in one measure, their load factor. A change must lower the greater of the two by the share
-    /// that one engine is of all. So no change calls for its own undoing: that would raise it again.
-    fn wanted_phase(&self) -> Option<bool> {
+    /// Load factors make the two phases comparable. A change must lower the higher load factor by at least the share
+    /// that one engine is of all engines. The reverse change would raise it again, so a change never triggers its own
+    /// reversal.
+    fn phase_to_extend(&self) -> Option<bool> {
         let (prefill, decode) = (&self.prefill, &self.decode);
         if prefill.count + decode.count < 2.0 {
             return None;
@@ -111,12 +115,13 @@
             return Some(false);
         }
         if prefill.count == 0.0 {
-            return (decode.count > 1.0 && decode.decode_load_factor(decode.count - 1.0) < SPARABLE).then_some(true);
+            return (decode.count > 1.0 && decode.decode_load_factor(decode.count - 1.0) < MAX_DONOR_LOAD_FACTOR)
+                .then_some(true);
         }
         let prefill_load_factor = prefill.prefill_load_factor(prefill.count);
         let decode_load_factor = decode.decode_load_factor(decode.count);
-        let greater = prefill_load_factor.max(decode_load_factor);
-        if greater <= OVERLOADED {
+        let higher = prefill_load_factor.max(decode_load_factor);
+        if higher <= OVERLOAD_THRESHOLD {
             return None;
         }
         let to_prefill = prefill_load_factor > decode_load_factor;
@@ -127,12 +132,12 @@
         }
         let prefill_after = prefill.prefill_load_factor(prefill_count);
         let decode_after = decode.decode_load_factor(decode_count);
-        let giver_after = if to_prefill { decode_after } else { prefill_after };
-        let wanted_below = greater * (1.0 - 1.0 / (prefill.count + decode.count));
-        (giver_after < SPARABLE && prefill_after.max(decode_after) < wanted_below).then_some(to_prefill)
+        let donor_after = if to_prefill { decode_after } else { prefill_after };
+        let required_below = higher * (1.0 - 1.0 / (prefill.count + decode.count));
+        (donor_after < MAX_DONOR_LOAD_FACTOR && prefill_after.max(decode_after) < required_below).then_some(to_prefill)
     }
 
-    /// Returns the load once an idle engine has changed its phase.
+    /// Returns the load after an idle engine has changed its phase.
     fn after_change(mut self, engine: &EngineObservation, to_prefill: bool) -> ServiceLoad {
         let (from, to) = match to_prefill {
             true => (&mut self.decode, &mut self.prefill),
@@ -146,36 +151,37 @@
     }
 }
 
-/// Returns the indices of the eligible engines of a phase, the least loaded first.
+/// Returns the indices of the eligible engines of a phase, least loaded first.
 fn least_loaded_first(observations: &[EngineObservation], prefill: bool) -> Vec<usize> {
     let is_eligible = |engine: &EngineObservation| engine.eligible && engine.prefill == prefill;
-    let mut eligible: Vec<usize> = (0..observations.len()).filter(|at| is_eligible(&observations[*at])).collect();
-    eligible.sort_by_key(|at| (observations[*at].in_flight, observations[*at].id.as_str()));
+    let mut eligible: Vec<usize> = (0..observations.len()).filter(|index| is_eligible(&observations[*index])).collect();
+    eligible.sort_by_key(|index| (observations[*index].in_flight, observations[*index].id.as_str()));
     eligible
 }
 
-/// Returns the engines of a service that are to change their phase, where all of its engines are observed. `None`: leave all
-/// as they are.
+/// Returns the engines of a service that should change their phase, if all of its engines are observed. `None` means no
+/// change.
 pub fn plan_phase_change(observations: &[EngineObservation]) -> Option<PhaseChange> {
     plan_phase_change_among(observations, ServiceLoad::of(observations), observations.len())
 }
 
-/// Returns the engines among those observed that are to change their phase, as many as are wanted one after the other.
-/// `load`: that of all eligible engines of the service, `engine_count`: how many it has. `None`: leave all as they are.
+/// Returns the observed engines that should change their phase, as many as are needed one after the other. `load` is
+/// the load of all eligible engines of the service, and `engine_count` the number of its engines. `None` means no
+/// change.
 pub fn plan_phase_change_among(
     observations: &[EngineObservation],
     mut load: ServiceLoad,
     engine_count: usize,
 ) -> Option<PhaseChange> {
-    let prefill = load.wanted_phase()?;
+    let prefill = load.phase_to_extend()?;
     let limit = (engine_count / ENGINES_PER_CHANGE).max(1);
     let mut engines = Vec::new();
-    for at in least_loaded_first(observations, !prefill).into_iter().take(limit) {
-        if load.wanted_phase() != Some(prefill) {
+    for index in least_loaded_first(observations, !prefill).into_iter().take(limit) {
+        if load.phase_to_extend() != Some(prefill) {
             break;
         }
-        load = load.after_change(&observations[at], prefill);
-        engines.push(at);
+        load = load.after_change(&observations[index], prefill);
+        engines.push(index);
     }
     (!engines.is_empty()).then_some(PhaseChange { engines, prefill })
 }
--- a/load_balancing/src/phase_balance_tests.rs
+++ b/load_balancing/src/phase_balance_tests.rs
@@ -7,7 +7,7 @@
     EngineObservation { id: format!("i-{prefill}-{in_flight}"), prefill, slots: 10, in_flight, eligible: true }
 }
 
-fn list(prefill_counts: &[u32], decode_counts: &[u32]) -> Vec<EngineObservation> {
+fn fleet(prefill_counts: &[u32], decode_counts: &[u32]) -> Vec<EngineObservation> {
     prefill_counts
         .iter()
         .map(|in_flight| observation(true, *in_flight))
@@ -15,52 +15,53 @@
         .collect()
 }
 
-/// The only engine that is to change, and whether it is to be a prefill engine.
-fn plan(list: &[EngineObservation]) -> Option<(usize, bool)> {
-    let change = super::plan_phase_change(list)?;
-    assert_eq!(change.engines.len(), 1, "one at a time in a small fleet");
+/// Returns the only engine that is to change its phase, and whether it changes to prefill.
+fn plan(fleet: &[EngineObservation]) -> Option<(usize, bool)> {
+    let change = super::plan_phase_change(fleet)?;
+    assert_eq!(change.engines.len(), 1, "a small fleet changes one engine at a time");
     Some((change.engines[0], change.prefill))
 }
 
 #[test]
-fn the_least_loaded_of_the_idle_phase_helps_the_overloaded_one() {
-    assert_eq!(plan(&list(&[5, 4], &[2, 1, 3])), Some((3, true)));
-    assert_eq!(plan(&list(&[0, 1, 0, 0], &[9, 8])), Some((0, false)));
+fn the_least_loaded_engine_of_the_idle_phase_changes_to_the_overloaded_one() {
+    assert_eq!(plan(&fleet(&[5, 4], &[2, 1, 3])), Some((3, true)));
+    assert_eq!(plan(&fleet(&[0, 1, 0, 0], &[9, 8])), Some((0, false)));
 }
 
 #[test]
-fn nothing_changes_while_both_are_well_or_neither_can_help() {
-    assert_eq!(plan(&list(&[1, 1], &[3, 3])), None);
-    assert_eq!(plan(&list(&[1, 1], &[5, 5])), None);
-    assert_eq!(plan(&list(&[6, 6], &[8, 8])), None);
-    assert_eq!(plan(&list(&[6], &[1])), None);
+fn no_engine_changes_when_neither_phase_is_overloaded_or_neither_can_spare_one() {
+    assert_eq!(plan(&fleet(&[1, 1], &[3, 3])), None);
+    assert_eq!(plan(&fleet(&[1, 1], &[5, 5])), None);
+    assert_eq!(plan(&fleet(&[6, 6], &[8, 8])), None);
+    assert_eq!(plan(&fleet(&[6], &[1])), None);
 }
 
 #[test]
-fn a_change_does_not_call_for_its_own_undoing() {
+fn a_phase_change_never_triggers_its_own_reversal() {
     for prefill_counts in 0..12u32 {
         for decode_counts in 0..40u32 {
             for prefill_engines in 1..6usize {
                 for decode_engines in 1..6usize {
                     let all = |prefill_engines: usize, decode_engines: usize| {
-                        let part = |sum: u32, count: usize, at: usize| {
-                            (sum as usize / count + usize::from(at < sum as usize % count)) as u32
+                        let even_share = |total: u32, count: usize, index: usize| {
+                            (total as usize / count + usize::from(index < total as usize % count)) as u32
                         };
-                        let prefill_counts: Vec<u32> =
-                            (0..prefill_engines).map(|at| part(prefill_counts, prefill_engines, at)).collect();
+                        let prefill_counts: Vec<u32> = (0..prefill_engines)
+                            .map(|index| even_share(prefill_counts, prefill_engines, index))
+                            .collect();
                         let decode_counts: Vec<u32> =
-                            (0..decode_engines).map(|at| part(decode_counts, decode_engines, at)).collect();
-                        list(&prefill_counts, &decode_counts)
+                            (0..decode_engines).map(|index| even_share(decode_counts, decode_engines, index)).collect();
+                        fleet(&prefill_counts, &decode_counts)
                     };
                     let Some((_, prefill)) = plan(&all(prefill_engines, decode_engines)) else { continue };
-                    let (more, less) = if prefill {
+                    let (prefill_after, decode_after) = if prefill {
                         (prefill_engines + 1, decode_engines - 1)
                     } else {
                         (prefill_engines - 1, decode_engines + 1)
                     };
-                    let back = plan(&all(more, less));
+                    let next_change = plan(&all(prefill_after, decode_after));
                     assert!(
-                        back.is_none_or(|(_, next)| next == prefill),
+                        next_change.is_none_or(|(_, next_prefill)| next_prefill == prefill),
                         "{prefill_counts} {decode_counts} {prefill_engines} {decode_engines}"
                     );
                 }
@@ -70,31 +71,33 @@
 }
 
 #[test]
-fn a_large_fleet_changes_several_at_once_and_no_more_than_are_wanted() {
+fn a_large_fleet_changes_several_engines_at_once_and_no_more_than_needed() {
     let (overloaded, idle) = (vec![3; 90], vec![0; 166]);
-    let change = super::plan_phase_change(&list(&overloaded, &idle)).expect("a change");
+    let change = super::plan_phase_change(&fleet(&overloaded, &idle)).expect("a change");
     assert_eq!((change.engines.len(), change.prefill), (10, true));
-    assert!(change.engines.iter().all(|at| *at >= 90));
-    // 110 requests at 96 engines are 1.15 each: from 100 on they are no more than wanted.
-    let mut some = vec![1; 82];
-    some.extend([2; 14]);
-    let change = super::plan_phase_change(&list(&some, &[0; 160])).expect("a change");
+    assert!(change.engines.iter().all(|index| *index >= 90));
+    // 110 requests at 96 engines are 1.15 per engine; four more engines lower that to the nominal load of 1.1.
+    let mut lightly_loaded = vec![1; 82];
+    lightly_loaded.extend([2; 14]);
+    let change = super::plan_phase_change(&fleet(&lightly_loaded, &[0; 160])).expect("a change");
     assert_eq!(change.engines.len(), 4);
 }
 
 #[test]
-fn a_missing_phase_is_created() {
-    assert_eq!(plan(&list(&[0, 1], &[])), Some((0, false)));
-    assert_eq!(plan(&list(&[], &[1, 2])), Some((0, true)));
+fn an_engine_changes_to_a_phase_that_has_none() {
+    assert_eq!(plan(&fleet(&[0, 1], &[])), Some((0, false)));
+    assert_eq!(plan(&fleet(&[], &[1, 2])), Some((0, true)));
 }
 
-/// Two decode engines are left with all their slots taken beside six prefill engines, at a rate that they hardly bear.
+/// Two decode engines with all their slots in use are left beside six prefill engines, at a request rate that they can
+/// barely sustain.
 fn after_the_loss_of_decode_engines() -> Service {
     Service { prefill_engines: 6, decode_engines: 2, rate: 55.0, in_prefill: 4.0, in_decode: 128.0 }
 }
 
-/// The rule before load factors were compared: a prefill engine was spared only where the others would be next to idle.
-fn rule_by_separate_thresholds(
+/// The former policy, which had a separate threshold per phase: a prefill engine was released only if the others would
+/// be nearly idle.
+fn separate_threshold_policy(
     observations: &[EngineObservation],
     load: ServiceLoad,
     _engine_count: usize,
@@ -107,40 +110,40 @@
 }
 
 #[test]
-fn decode_engines_that_stay_full_after_a_loss_get_help() {
+fn full_decode_engines_get_more_engines_after_a_loss() {
     let outcome = after_the_loss_of_decode_engines().play(plan_phase_change_among, 40_000);
     assert!(
         !outcome.changes.is_empty() && outcome.changes.iter().all(|change| !change.prefill),
         "{:?}",
         outcome.changes
     );
-    // The first change takes 2.6 s, and what had piled up is gone two seconds later.
+    // The first change takes 2.6 s, and the backlog is gone two seconds later.
     let full_until = outcome.decode_above_until(0.5);
     assert!(full_until <= 4600, "more than half full until {full_until} ms");
-    assert!(outcome.samples.iter().all(|sample| sample.prefill_queue < 3.0), "prompts wait instead");
+    assert!(outcome.samples.iter().all(|sample| sample.prefill_queue < 3.0), "the prefill queue must stay short");
 }
 
 #[test]
-fn the_simulation_shows_the_overload_that_stays_under_separate_thresholds() {
-    let outcome = after_the_loss_of_decode_engines().play(rule_by_separate_thresholds, 40_000);
-    assert!(outcome.changes.is_empty(), "nothing was ordered: {:?}", outcome.changes);
+fn simulated_overload_persists_with_separate_thresholds() {
+    let outcome = after_the_loss_of_decode_engines().play(separate_threshold_policy, 40_000);
+    assert!(outcome.changes.is_empty(), "no change expected: {:?}", outcome.changes);
     let full_until = outcome.decode_above_until(0.5);
     assert!(full_until > 15_000, "more than half full until {full_until} ms");
 }
 
 #[test]
-fn no_load_that_the_engines_bear_starves_a_phase_or_makes_engines_change_to_and_fro() {
+fn a_sustainable_load_neither_starves_a_phase_nor_makes_changes_oscillate() {
     let mut rng = Rng::new(64);
-    let mut draw = |most: u64| rng.next_u64() % most;
-    let mut helped = 0;
+    let mut draw = |limit: u64| rng.next_u64() % limit;
+    let mut rebalanced = 0;
     for round in 0..400 {
         let engines = 4 + draw(28) as u32;
-        // A split that bears the rate in both phases exists, and has room.
+        // At least one split sustains the rate in both phases, with headroom.
         let good_prefill = 1 + draw(u64::from(engines) - 2) as u32;
         let good_decode = engines - good_prefill;
         let share = 0.2 + draw(35) as f64 / 100.0;
-        let bearable = 1.0 / (prefill_utilization(1.0, good_prefill).max(decode_utilization(1.0, good_decode)));
-        let rate = share * bearable;
+        let max_rate = 1.0 / (prefill_utilization(1.0, good_prefill).max(decode_utilization(1.0, good_decode)));
+        let rate = share * max_rate;
         let prefill_engines = 1 + draw(u64::from(engines) - 1) as u32;
         let service = Service {
             prefill_engines,
@@ -151,13 +154,14 @@
         };
         let outcome = service.clone().play(plan_phase_change_among, 180_000);
         let last = outcome.samples.last().expect("samples");
-        let context = format!("round {round}, {service:?}, {good_prefill} + {good_decode} would do: {outcome:?}");
+        let context =
+            format!("round {round}, {service:?}, a split of {good_prefill} + {good_decode} is sufficient: {outcome:?}");
         let context = &context[..context.len().min(400)];
         assert!(last.decode_occupancy < 0.9 && last.prefill_queue < 4.0, "starved: {last:?}, {context}");
-        assert!(outcome.reversals() <= 2, "to and fro: {:?}, {context}", outcome.changes);
+        assert!(outcome.reversals() <= 2, "oscillating: {:?}, {context}", outcome.changes);
         let quiet_since = outcome.changes.last().map_or(0, |change| change.at_ms);
         assert!(quiet_since < 150_000, "still changing: {context}");
-        helped += usize::from(!outcome.changes.is_empty());
+        rebalanced += usize::from(!outcome.changes.is_empty());
     }
-    assert!(helped > 100, "{helped} rounds needed a change");
+    assert!(rebalanced > 100, "{rebalanced} rounds needed a change");
 }
--- a/load_balancing/src/retry_budget.rs
+++ b/load_balancing/src/retry_budget.rs
@@ -1,15 +1,18 @@
-//! The retry budget: how many further sends one router may make.
+//! The retry budget: the number of retries that one router may send.
 //!
-//! All routers share the bound, and none asks another for leave: each keeps to a slice, and the slices never add up to
-//! more than the bound, whatever fails. A router's slice is the ratio of its own requests, so the slices add up to the
-//! ratio of all requests, and an even part of half of the allowed slack. The other half of the slack is left for routers
-//! that restart or are not counted yet.
+//! The limit applies to all routers together, but they don't coordinate: each keeps to its share, and the shares never
+//! exceed the limit in total, whatever fails. A router's share is the ratio times its own requests, which adds up to
+//! the ratio of all requests, plus an equal part of half of the allowed slack. The other half of the slack is reserved
+//! for routers that restart or are not counted yet.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::sliding_window::drop_before;
 
-/// Invariant: within any window that ends at a grant, grants are at most `ratio` x requests of that window + allowance.
+/// A retry budget per service.
+///
+/// Invariant: in any window that ends when a retry is granted, at most `ratio` * requests in that window + `allowance`
+/// retries are granted.
 pub struct RetryBudget {
     ratio: f64,
     window_ms: u64,
@@ -24,12 +27,12 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget of `ratio` retries for each request within `window_ms` milliseconds.
+    /// Creates a budget of `ratio` retries per request within a window of `window_ms` milliseconds.
     pub fn new(ratio: f64, window_ms: u64) -> RetryBudget {
         RetryBudget { ratio, window_ms, windows: HashMap::new() }
     }
 
-    /// Records a client's request to a service.
+    /// Records a client request to a service.
     pub fn record_request(&mut self, service: u32, now: u64) {
         let window_start = now.saturating_sub(self.window_ms);
         let window = self.windows.entry(service).or_default();
@@ -37,8 +40,8 @@
         window.requests.push_back(now);
     }
 
-    /// Grants one retry and returns true, or returns false when the budget is spent. `allowance` is this router's part of
-    /// the slack, in retries a window.
+    /// Returns whether a retry is granted, and counts it if so. `allowance` is this router's part of the slack, in
+    /// retries per window.
     pub fn try_acquire(&mut self, service: u32, now: u64, allowance: f64) -> bool {
         let window_start = now.saturating_sub(self.window_ms);
         let window = self.windows.entry(service).or_default();
--- a/load_balancing/src/retry_budget_tests.rs
+++ b/load_balancing/src/retry_budget_tests.rs
@@ -3,20 +3,20 @@
 use super::RetryBudget;
 
 #[test]
-fn retries_keep_to_the_ratio_of_own_requests() {
+fn retries_stay_within_the_ratio_of_the_routers_own_requests() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     for time in 0..10 {
         budget.record_request(0, time);
     }
     let granted = (0..10).filter(|_| budget.try_acquire(0, 10, 0.0)).count();
     assert_eq!(granted, 2);
-    assert!(budget.try_acquire(0, 10, 1.0) && !budget.try_acquire(0, 10, 1.0), "one more from the slack");
-    assert!(!budget.try_acquire(1, 10, 0.0), "another service has its own");
-    assert!(!budget.try_acquire(0, 10_011, 0.0), "requests and grants leave the window together");
+    assert!(budget.try_acquire(0, 10, 1.0) && !budget.try_acquire(0, 10, 1.0), "the slack allows one more");
+    assert!(!budget.try_acquire(1, 10, 0.0), "each service has its own budget");
+    assert!(!budget.try_acquire(0, 10_011, 0.0), "requests must leave the window together with their retries");
 }
 
 #[test]
-fn retries_of_all_routers_stay_under_the_bound_in_any_window() {
+fn retries_of_all_routers_stay_within_the_limit_in_any_window() {
     let (ratio, slack, window) = (0.2, 216.0, 10_000u64);
     for router_count in [1u32, 9, 88] {
         let allowance = slack * 0.5 / f64::from(router_count);
@@ -40,10 +40,13 @@
             let (requests_within, retries_within) = (within(&requests), within(&retries));
             assert!(
                 retries_within as f64 <= ratio * requests_within as f64 + slack,
-                "{retries_within} of {requests_within} at {router_count} routers"
+                "{retries_within} retries for {requests_within} requests at {router_count} routers"
             );
             least = least.min(retries_within);
         }
-        assert!(least as f64 >= 0.1 * requests.len() as f64 / 2.5, "{router_count} routers leave it unused: {least}");
+        assert!(
+            least as f64 >= 0.1 * requests.len() as f64 / 2.5,
+            "{router_count} routers use too little of the limit: {least}"
+        );
     }
 }
