--- a/load_balancing/src/endpoint_lists.rs
+++ b/load_balancing/src/endpoint_lists.rs
@@ -163,7 +163,7 @@
 
 /// Returns whether two lists are the same apart from the remaining slow-start time, which decreases by itself.
 fn is_same_list(left: &[Engine], right: &[Engine]) -> bool {
-    left.len() == right.len() && left.iter().zip(right).all(|(left, two)| left.is_same(two))
+    left.len() == right.len() && left.iter().zip(right).all(|(left, right)| left.is_same(right))
 }
 
 #[cfg(test)]
--- a/load_balancing/src/endpoint_lists_tests.rs
+++ b/load_balancing/src/endpoint_lists_tests.rs
@@ -25,15 +25,15 @@
 
 #[test]
 fn pollers_that_alternate_always_publish_a_higher_version() {
-    let (mut one, mut two) = (EndpointLists::default(), EndpointLists::default());
+    let (mut poller_a, mut poller_b) = (EndpointLists::default(), EndpointLists::default());
     let mut term = 0;
-    let first = poll(&mut one, &mut term, 1, vec![engine("i-1", 0)]).expect("a new list");
-    assert!(two.update(&first) && !two.update(&first));
-    let mut other = 0;
-    let second = poll(&mut two, &mut other, 2, vec![]).expect("a new list");
+    let first = poll(&mut poller_a, &mut term, 1, vec![engine("i-1", 0)]).expect("a new list");
+    assert!(poller_b.update(&first) && !poller_b.update(&first));
+    let mut other_term = 0;
+    let second = poll(&mut poller_b, &mut other_term, 2, vec![]).expect("a new list");
     assert!((second.term, second.sequence) > (first.term, first.sequence));
-    assert!(one.update(&second));
-    let third = poll(&mut one, &mut term, 1, vec![engine("i-1", 0)]).expect("a new list");
+    assert!(poller_a.update(&second));
+    let third = poll(&mut poller_a, &mut term, 1, vec![engine("i-1", 0)]).expect("a new list");
     assert!((third.term, third.sequence) > (second.term, second.sequence));
 }
 
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -113,10 +113,10 @@
             return Vec::new();
         }
         let (zone, is_candidate) = self.zone_of_list(&list.zone);
-        let mut left = self.unlist_missing(&list.engines, zone, is_candidate);
-        left.extend(self.apply_listings(&list.engines, zone, is_candidate, now));
+        let mut departed = self.unlist_missing(&list.engines, zone, is_candidate);
+        departed.extend(self.apply_listings(&list.engines, zone, is_candidate, now));
         self.rebuild_subsets();
-        left
+        departed
     }
 
     /// Applies an update to the list held. Returns the ids of engines that have just left or begun to drain; none if
@@ -124,13 +124,13 @@
     pub fn apply_update(&mut self, update: &EndpointUpdate, now: u64) -> Vec<String> {
         let Some(engines) = self.lists.apply(update) else { return Vec::new() };
         let (zone, is_candidate) = self.zone_of_list(&update.zone);
-        let mut left = match update.base {
+        let mut departed = match update.base {
             Some(_) => self.unlist(&engines.removed, is_candidate),
             None => self.unlist_missing(&engines.changed, zone, is_candidate),
         };
-        left.extend(self.apply_listings(&engines.changed, zone, is_candidate, now));
+        departed.extend(self.apply_listings(&engines.changed, zone, is_candidate, now));
         self.rebuild_subsets();
-        left
+        departed
     }
 
     /// Returns the index of a list's zone, and whether it is the list of that zone's candidate engines.
@@ -154,16 +154,16 @@
     /// Marks engines as no longer listed. Returns the ids of those that were listed. An engine that moved to the other
     /// list of its zone (stable or candidate) stays listed.
     fn unlist(&mut self, ids: &[String], is_candidate: bool) -> Vec<String> {
-        let mut left = Vec::new();
+        let mut departed = Vec::new();
         for id in ids {
             let Some(index) = self.find(id) else { continue };
             let engine = &mut self.engines[index];
             if engine.listed && engine.candidate == is_candidate {
                 engine.listed = false;
-                left.push(engine.id.clone());
+                departed.push(engine.id.clone());
             }
         }
-        left
+        departed
     }
 
     /// Marks the engines of a zone that are missing from its list as no longer listed. Returns their ids.
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -6,7 +6,7 @@
 use crate::phase::Phase;
 use crate::selection::SelectionContext;
 
-fn list(sequence: u64, list: &[(&str, bool, u32)]) -> EndpointList {
+fn list(sequence: u64, entries: &[(&str, bool, u32)]) -> EndpointList {
     let engine = |(id, up, cold_ms): &(&str, bool, u32)| Engine {
         id: id.to_string(),
         service: "s".into(),
@@ -18,7 +18,7 @@
         up: *up,
         cold_ms: *cold_ms,
     };
-    EndpointList { zone: "a".into(), term: 1, sequence, engines: list.iter().map(engine).collect() }
+    EndpointList { zone: "a".into(), term: 1, sequence, engines: entries.iter().map(engine).collect() }
 }
 
 #[test]
@@ -124,12 +124,12 @@
     for engine_table in [&mut from_whole_list, &mut from_update] {
         engine_table.update(&old, 0);
     }
-    let mut left_by_whole = from_whole_list.update(&new, 10);
-    let mut left_by_update = from_update.apply_update(&EndpointUpdate::between(&old, &new), 10);
-    left_by_whole.sort();
-    left_by_update.sort();
-    assert_eq!(left_by_whole, ["i-2", "i-3"], "one drains and one has left");
-    assert_eq!(left_by_update, left_by_whole);
+    let mut departed_by_list = from_whole_list.update(&new, 10);
+    let mut departed_by_update = from_update.apply_update(&EndpointUpdate::between(&old, &new), 10);
+    departed_by_list.sort();
+    departed_by_update.sort();
+    assert_eq!(departed_by_list, ["i-2", "i-3"], "one drains and one has left");
+    assert_eq!(departed_by_update, departed_by_list);
     assert_eq!(usable(&from_update), usable(&from_whole_list));
     assert_eq!(usable(&from_update), (vec!["i-1", "i-4"], 2));
 }
--- a/load_balancing/src/phase_balance.rs
+++ b/load_balancing/src/phase_balance.rs
@@ -64,11 +64,11 @@
         load
     }
 
-    /// Returns the load factor on this many prefill engines.
+    /// Returns the load factor if the phase had `count` prefill engines.
     ///
-    /// An engine with `load` requests in flight on average reads for `load / (1 + load)` of the time (a queue with one
-    /// server). What the engines read together stays the same when their number changes, so that the load follows from
-    /// it. Infinite where they could not read as much.
+    /// An engine with `load` requests in flight on average is busy for `load / (1 + load)` of the time (an M/M/1
+    /// queue). The total busy time of the phase does not depend on the number of engines, so the load per engine
+    /// follows from it. Infinite if that many engines could not keep up.
     fn prefill_load_factor(&self, count: f64) -> f64 {
         let busy_engines = self.count * self.in_flight / (self.count + self.in_flight);
         let idle_engines = count - busy_engines;
@@ -103,7 +103,7 @@
     /// Returns the phase that one more engine should change to: prefill (true) or decode (false). `None` means no
     /// change.
     ///
-    /// Load factors make the two phases comparable. A change must lower the higher load factor by at least the share
+    /// Load factors make the two phases comparable. A change must lower the higher load factor by more than the share
     /// that one engine is of all engines. The reverse change would raise it again, so a change never triggers its own
     /// reversal.
     fn phase_to_extend(&self) -> Option<bool> {
--- a/load_balancing/src/phase_balance_tests.rs
+++ b/load_balancing/src/phase_balance_tests.rs
@@ -111,23 +111,23 @@
 
 #[test]
 fn full_decode_engines_get_more_engines_after_a_loss() {
-    let outcome = after_the_loss_of_decode_engines().play(plan_phase_change_among, 40_000);
+    let outcome = after_the_loss_of_decode_engines().simulate(plan_phase_change_among, 40_000);
     assert!(
         !outcome.changes.is_empty() && outcome.changes.iter().all(|change| !change.prefill),
         "{:?}",
         outcome.changes
     );
     // The first change takes 2.6 s, and the backlog is gone two seconds later.
-    let full_until = outcome.decode_above_until(0.5);
+    let full_until = outcome.last_decode_above(0.5);
     assert!(full_until <= 4600, "more than half full until {full_until} ms");
     assert!(outcome.samples.iter().all(|sample| sample.prefill_queue < 3.0), "the prefill queue must stay short");
 }
 
 #[test]
 fn simulated_overload_persists_with_separate_thresholds() {
-    let outcome = after_the_loss_of_decode_engines().play(separate_threshold_policy, 40_000);
+    let outcome = after_the_loss_of_decode_engines().simulate(separate_threshold_policy, 40_000);
     assert!(outcome.changes.is_empty(), "no change expected: {:?}", outcome.changes);
-    let full_until = outcome.decode_above_until(0.5);
+    let full_until = outcome.last_decode_above(0.5);
     assert!(full_until > 15_000, "more than half full until {full_until} ms");
 }
 
@@ -152,7 +152,7 @@
             in_prefill: draw(20) as f64,
             in_decode: draw(100) as f64,
         };
-        let outcome = service.clone().play(plan_phase_change_among, 180_000);
+        let outcome = service.clone().simulate(plan_phase_change_among, 180_000);
         let last = outcome.samples.last().expect("samples");
         let context =
             format!("round {round}, {service:?}, a split of {good_prefill} + {good_decode} is sufficient: {outcome:?}");
@@ -163,5 +163,5 @@
         assert!(quiet_since < 150_000, "still changing: {context}");
         rebalanced += usize::from(!outcome.changes.is_empty());
     }
-    assert!(rebalanced > 100, "{rebalanced} rounds needed a change");
+    assert!(rebalanced > 100, "only {rebalanced} rounds needed a change");
 }
--- a/load_balancing/src/selection.rs
+++ b/load_balancing/src/selection.rs
@@ -1,7 +1,7 @@
-//! The selection of an engine: pure functions over the engine table.
+//! Selects the engine for a request, with pure functions over the engine table.
 //!
-//! `candidates` finds the engines that may be sent to, `cost` says what each would cost, and `choice` takes the cheapest.
-//! Among equal costs the highest rendezvous hash of key and engine wins, so that all routers agree.
+//! `candidates` finds the engines that may be selected, `cost` determines what each would cost, and `choice` takes the
+//! cheapest. Ties go to the highest rendezvous hash of key and engine, so that all routers agree.
 
 mod candidates;
 mod choice;
@@ -10,35 +10,35 @@
 
 use crate::engine_table::EngineTable;
 
-/// What a selection for one request rests on.
+/// The input of a selection for one request.
 pub struct SelectionContext<'a> {
-    /// The engines.
+    /// All known engines.
     pub engine_table: &'a EngineTable,
-    /// The time, in milliseconds.
+    /// The current time, in milliseconds.
     pub now: u64,
     /// The index of the service.
     pub service: u32,
     /// The index of the router's own zone.
     pub zone: u32,
-    /// The indices of zones not to be used: evacuated, or outside the regions that the route or tenant allows.
+    /// The indices of excluded zones: evacuated, or outside the regions that the route or tenant allows.
     pub excluded_zones: &'a [u32],
     /// The indices of engines that this request was already sent to.
     pub tried_engines: &'a [usize],
-    /// How many routers hold a lease.
+    /// The number of routers that hold a lease.
     pub router_count: u32,
-    /// What one cold engine bears in requests a second, all routers together; 0: no limit.
+    /// The requests per second that one cold engine may get from all routers together; 0 means no limit.
     pub cold_engine_rate: f64,
-    /// For work bound by a limit on stale weights: the versions it may run on. An engine whose version is not known
-    /// counts as past the limit.
+    /// The allowed weight versions, for work under a staleness limit. An engine whose version is unknown counts as
+    /// outside the limit.
     pub weight_versions: Option<WeightVersionRange>,
-    /// The control state known here was confirmed at a quorum a moment ago.
+    /// Whether this router's control state was confirmed at a quorum within its lease.
     pub is_confirmed: bool,
-    /// The version of the service that the request goes to.
+    /// The version of the service that serves the request.
     pub arm: Arm,
 }
 
 impl SelectionContext<'_> {
-    /// Returns the same selection among the engines of another version.
+    /// Returns the same context for the engines of another version.
     pub fn for_arm(&self, arm: Arm) -> SelectionContext<'_> {
         SelectionContext { arm, ..*self }
     }
@@ -51,18 +51,18 @@
     pub model: u64,
     /// The oldest version allowed.
     pub oldest: u64,
-    /// The newest version allowed. Below `oldest`: none is allowed.
+    /// The newest version allowed. If it is less than `oldest`, no version is allowed.
     pub newest: u64,
 }
 
 impl WeightVersionRange {
-    /// Returns whether a version lies in the range.
+    /// Returns whether a version is in the range.
     pub fn contains(&self, version: u64) -> bool {
         (self.oldest..=self.newest).contains(&version)
     }
 }
 
-/// The longest prefix of a prompt whose KV cache an engine holds.
+/// The longest prefix of a prompt whose KV cache is held by one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedPrefix {
     /// The index of the engine.
@@ -71,62 +71,62 @@
     pub tokens: u32,
 }
 
-/// The engine that a selection fell on.
+/// The result of a selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SelectedEngine {
     /// The index of the engine.
     pub engine: usize,
-    /// What it costs, in prompt tokens to be read before the answer can begin.
+    /// Its cost, in prompt tokens to be processed before the response can begin.
     pub cost: f64,
 }
 
-/// The version of a service whose engines are selected from.
+/// The version of a service from whose engines one is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Arm {
-    /// The version in place.
+    /// The stable version.
     #[default]
     Stable,
     /// The version that is being rolled out.
     Candidate(CandidatePlacement),
 }
 
-/// Which engines of a version that is being rolled out get the requests that it gets.
+/// How the requests of a version that is being rolled out are distributed over its engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidatePlacement {
-    /// All of them.
+    /// Over all of them.
     Spread,
-    /// As large a share of the decode engines as of the requests, so that each bears what an engine of the version in place
-    /// bears. The same ones at all routers, and others in each turn.
+    /// Over the same share of the decode engines as the candidate's share of the requests, so that each has the load of
+    /// a stable engine. The engines are the same at all routers and change with each turn.
     Rotating {
         /// The candidate's share of the requests, in thousandths.
         share: u32,
-        /// Drawn at random for each request: which of the engines it goes to.
+        /// A random number per request that picks one of these engines.
         draw: u32,
-        /// Counts the turns.
+        /// The number of the current turn.
         turn: u32,
     },
-    /// Few decode engines, the same ones at all routers, so that each gets as many requests as it bears.
+    /// Over few decode engines, the same ones at all routers, so that each gets as many requests as it can serve.
     Packed {
-        /// The part of the stable version's load that the candidate's requests make, in thousandths.
+        /// The candidate's load as a part of the stable version's load, in thousandths.
         load_share: u32,
-        /// Drawn at random for each request: which of the few engines it goes to.
+        /// A random number per request that picks one of these engines.
         draw: u32,
-        /// The first of these engines.
+        /// Determines the first of these engines.
         first: PackingStart,
     },
 }
 
-/// Where a load test begins: at the engines that the canary before it went to, which are known best.
+/// The engines at which a load test begins: those of the last canary turn, for which the most data exists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PackingStart {
     /// The canary's share of the requests, in thousandths.
     pub canary_share: u32,
-    /// The last turn of the canary.
+    /// The number of the canary's last turn.
     pub turn: u32,
 }
 
 impl Arm {
-    /// Returns whether this is the version that is being rolled out.
+    /// Returns whether this is the candidate version.
     pub fn is_candidate(self) -> bool {
         self != Arm::Stable
     }
--- a/load_balancing/src/selection/candidates.rs
+++ b/load_balancing/src/selection/candidates.rs
@@ -1,18 +1,18 @@
-//! The engines that a selection looks at.
+//! Determines the engines that a selection considers.
 
 use super::SelectionContext;
 use crate::engine_state::EngineState;
 use crate::phase::Phase;
 use crate::subset::Subset;
 
-/// How good an engine that may be sent to is now; a better one is greater.
+/// The current suitability of an eligible engine; a better rating compares greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Rating {
-    /// It is suspected to be down.
+    /// The engine is suspected to be down.
     Suspected,
-    /// It turned a request away a moment ago.
+    /// The engine has recently rejected a request.
     RecentlySaturated,
-    /// Nothing speaks against it.
+    /// No problem is known.
     Good,
 }
 
@@ -21,19 +21,19 @@
         self.engine_table.subset(self.service, phase, self.arm.is_candidate())
     }
 
-    /// Returns whether the service has engines of a phase at all, reachable or not.
+    /// Returns whether the service has engines of a phase at all, whether or not they can be selected.
     pub fn has_phase(&self, phase: Phase) -> bool {
         self.subset(phase).is_some_and(|subset| !subset.engines.is_empty())
     }
 
-    /// Returns whether each phase that the service has has an engine that can be sent to.
+    /// Returns whether every phase of the service has an engine that can be selected.
     pub fn is_usable(&self) -> bool {
         !self.candidates(Phase::Decode).is_empty()
             && (!self.has_phase(Phase::Prefill) || !self.candidates(Phase::Prefill).is_empty())
     }
 
-    /// Returns the indices of the engines that a selection looks at: the best rated of this router's subset. Only when
-    /// that has none but suspected ones are all engines looked at.
+    /// Returns the indices of the engines that a selection considers: the best rated of this router's subset. All
+    /// engines are considered only if the subset has none that is better than suspected.
     pub fn candidates(&self, phase: Phase) -> Vec<usize> {
         if let Some(engine) = self.placed_engine(phase) {
             return vec![engine];
@@ -49,23 +49,23 @@
     /// Returns the best rating in a list, and the engines that have it.
     fn best_rated(&self, engines: &[usize], phase: Phase) -> (Option<Rating>, Vec<usize>) {
         let (mut best, mut found) = (None, Vec::new());
-        for at in engines {
-            let Some(rating) = self.rating(*at, phase) else { continue };
+        for index in engines {
+            let Some(rating) = self.rating(*index, phase) else { continue };
             if Some(rating) > best {
                 found.clear();
                 best = Some(rating);
             }
             if Some(rating) == best {
-                found.push(*at);
+                found.push(*index);
             }
         }
         (best, found)
     }
 
-    /// Returns how good an engine is to be sent to now. `None`: not at all.
-    pub(super) fn rating(&self, at: usize, phase: Phase) -> Option<Rating> {
-        let engine = self.engine_table.engines.get(at)?;
-        if !self.is_eligible(at, engine, phase) || !self.slow_start_allows(engine) {
+    /// Returns the current rating of an engine, or `None` if it can't be selected.
+    pub(super) fn rating(&self, index: usize, phase: Phase) -> Option<Rating> {
+        let engine = self.engine_table.engines.get(index)?;
+        if !self.is_eligible(index, engine, phase) || !self.slow_start_allows(engine) {
             return None;
         }
         if engine.suspected_until > self.now {
@@ -77,7 +77,7 @@
         Some(Rating::Good)
     }
 
-    fn is_eligible(&self, at: usize, engine: &EngineState, phase: Phase) -> bool {
+    fn is_eligible(&self, index: usize, engine: &EngineState, phase: Phase) -> bool {
         let serves_phase = match phase {
             Phase::Prefill => engine.prefill,
             Phase::Decode => engine.decode,
@@ -89,7 +89,7 @@
             && engine.listed
             && engine.reassigning_until <= self.now
             && !self.excluded_zones.contains(&engine.zone)
-            && !self.tried_engines.contains(&at)
+            && !self.tried_engines.contains(&index)
             && self.has_allowed_weights(engine)
     }
 
@@ -110,32 +110,32 @@
         engine.slow_start.clone().allows(rate, router_count, draw, self.now)
     }
 
-    /// Returns whether there is room beside interactive work: most decode engines are under a share of their slots, and
-    /// most prefill engines, where there are any, have next to nothing to read.
+    /// Returns whether there is spare capacity beside interactive work: most decode engines are below a share of their
+    /// slots, and most prefill engines, if there are any, are nearly idle.
     pub fn has_spare_capacity(&self, share: f64) -> bool {
         !self.candidates(Phase::Decode).is_empty()
-            && self.are_most_below(Phase::Decode, |engine| share * f64::from(engine.slots))
-            && (!self.has_phase(Phase::Prefill) || self.are_most_below(Phase::Prefill, |_| 1.0 + share))
+            && self.is_majority_below(Phase::Decode, |engine| share * f64::from(engine.slots))
+            && (!self.has_phase(Phase::Prefill) || self.is_majority_below(Phase::Prefill, |_| 1.0 + share))
     }
 
-    /// Returns whether more than half of the candidates, if there are any, are warm and below a bound on their load.
-    fn are_most_below(&self, phase: Phase, bound: impl Fn(&EngineState) -> f64) -> bool {
+    /// Returns whether more than half of the candidates are warm and below a load limit; true if there are none.
+    fn is_majority_below(&self, phase: Phase, limit: impl Fn(&EngineState) -> f64) -> bool {
         let candidates = self.candidates(phase);
-        let is_below = |at: &usize| {
-            let engine = &self.engine_table.engines[*at];
-            engine.cold_until <= self.now && self.engine_table.estimated_load(*at, self.now) < bound(engine)
+        let is_below = |index: &usize| {
+            let engine = &self.engine_table.engines[*index];
+            engine.cold_until <= self.now && self.engine_table.estimated_load(*index, self.now) < limit(engine)
         };
-        candidates.is_empty() || candidates.iter().filter(|at| is_below(at)).count() * 2 > candidates.len()
+        candidates.is_empty() || candidates.iter().filter(|index| is_below(index)).count() * 2 > candidates.len()
     }
 
-    /// Returns whether every decode engine that may be sent to is at or over a share of its slots. What is sent then waits
-    /// at an engine, so a request of low rank is better refused at once.
+    /// Returns whether every selectable decode engine has reached a share of its slots. A further request would queue
+    /// at an engine, so one of low priority is better refused at once.
     pub fn is_saturated(&self, share: f64) -> bool {
         let candidates = self.candidates(Phase::Decode);
-        let is_over = |at: &usize| {
-            let engine = &self.engine_table.engines[*at];
-            self.engine_table.estimated_load(*at, self.now) >= share * f64::from(engine.slots)
+        let is_full = |index: &usize| {
+            let engine = &self.engine_table.engines[*index];
+            self.engine_table.estimated_load(*index, self.now) >= share * f64::from(engine.slots)
         };
-        !candidates.is_empty() && candidates.iter().all(is_over)
+        !candidates.is_empty() && candidates.iter().all(is_full)
     }
 }
--- a/load_balancing/src/selection/packing.rs
+++ b/load_balancing/src/selection/packing.rs
@@ -1,25 +1,25 @@
-//! The decode engines that requests to a version under rollout go to while it has a part of them: as many as the version in place
-//! needs for that part, or as few as take it.
+//! Places the requests of a candidate version while it gets only a share of them: over as many decode engines as the
+//! stable version needs for that share, or over as few as can serve it.
 
 use super::candidates::Rating;
 use super::{Arm, CandidatePlacement, PackingStart, SelectionContext};
 use crate::engine_state::EngineState;
 use crate::phase::Phase;
 
-/// The share of its slots that a packed engine is to have taken.
+/// The target share of slots in use at a packed engine.
 const TARGET_SLOT_SHARE: f64 = 0.65;
-/// The share of its slots from which on a packed engine is passed over.
+/// The share of slots in use at which a packed engine is skipped.
 const MAX_SLOT_SHARE: f64 = 0.9;
-/// How many engines are packed at most: more would not fill up while a load test lasts.
+/// The maximum number of packed engines: more would not fill up within a load test.
 const MAX_PACKED_ENGINES: f64 = 3.0;
-/// How many engines' load a load test takes: that of more than are packed, so that these fill up.
+/// The load that a load test takes, in full engines: more than the number of packed engines, so that these fill up.
 const LOAD_TEST_ENGINES: f64 = 4.0;
-/// A whole, in thousandths.
-const WHOLE: u32 = 1000;
+/// A share of 1, in thousandths.
+const SHARE_SCALE: u32 = 1000;
 
 impl SelectionContext<'_> {
-    /// Returns the engine that a request goes to while its version has a part of the requests. `None`: the choice is as usual,
-    /// since the request may go to any engine, or none of these can take it.
+    /// Returns the engine for a request while its version gets only a share of the requests. `None` means that the
+    /// usual selection applies, because the request may go to any engine or no placed engine can take it.
     pub(super) fn placed_engine(&self, phase: Phase) -> Option<usize> {
         let Arm::Candidate(placement) = self.arm else { return None };
         if phase != Phase::Decode {
@@ -35,18 +35,18 @@
             }
             CandidatePlacement::Packed { load_share, draw, first: PackingStart { canary_share, turn } } => {
                 let engine_load = TARGET_SLOT_SHARE * f64::from(first.slots.max(1));
-                let filled = self.packed_load(first, load_share) / engine_load;
+                let engines_needed = self.packed_load(first, load_share) / engine_load;
                 turn_position(self.rotating_count(canary_share), turn)
-                    + drawn_position(filled.clamp(1.0, MAX_PACKED_ENGINES), draw)
+                    + drawn_position(engines_needed.clamp(1.0, MAX_PACKED_ENGINES), draw)
             }
         };
         let from_position = ordered.iter().cycle().skip(position % ordered.len()).take(ordered.len());
-        from_position.copied().find(|at| self.can_be_placed(*at))
+        from_position.copied().find(|index| self.can_be_placed(*index))
     }
 
-    /// Returns to how many engines a canary goes at a time.
+    /// Returns the number of engines, possibly fractional, that a canary uses in each turn.
     fn rotating_count(&self, share: u32) -> f64 {
-        (self.stable_engine_count() * part(share)).max(1.0)
+        (self.stable_engine_count() * fraction(share)).max(1.0)
     }
 
     fn stable_engine_count(&self) -> f64 {
@@ -54,41 +54,41 @@
         stable.map_or(0.0, |subset| subset.engines.len() as f64)
     }
 
-    /// Returns how many requests the candidate's share is at a time, from what the stable version ran before the share moved. Once
-    /// that has fallen the figure is too low, and the packed engines fill up further; they are passed over when they are full.
+    /// Returns the number of concurrent requests that the candidate's share amounts to, based on the stable version's
+    /// load before the share moved. Once that load has fallen the result is too low, and the packed engines fill up
+    /// further; full ones are skipped.
     fn packed_load(&self, engine: &EngineState, load_share: u32) -> f64 {
-        self.engine_table.stable_decode_load(engine) * part(load_share)
+        self.engine_table.stable_decode_load(engine) * fraction(load_share)
     }
 
-    /// Returns the part of the stable version's load, in thousandths, that fills as many engines of the candidate as a load test
-    /// needs.
+    /// Returns the part of the stable version's load, in thousandths, that a load test needs to fill its engines.
     pub fn load_test_need(&self) -> u32 {
         let engines = self.subset(Phase::Decode).map(|subset| &subset.engines[..]).unwrap_or_default();
-        let Some(engine) = engines.first().map(|at| &self.engine_table.engines[*at]) else { return WHOLE };
+        let Some(engine) = engines.first().map(|index| &self.engine_table.engines[*index]) else { return SHARE_SCALE };
         let needed = LOAD_TEST_ENGINES * TARGET_SLOT_SHARE * f64::from(engine.slots);
         let load = self.engine_table.stable_decode_load(engine).max(1.0);
-        (f64::from(WHOLE) * needed / load).min(f64::from(WHOLE)) as u32
+        (f64::from(SHARE_SCALE) * needed / load).min(f64::from(SHARE_SCALE)) as u32
     }
 
-    fn can_be_placed(&self, at: usize) -> bool {
-        let slots = f64::from(self.engine_table.engines[at].slots);
-        self.rating(at, Phase::Decode) == Some(Rating::Good)
-            && self.engine_table.estimated_load(at, self.now) < MAX_SLOT_SHARE * slots
+    fn can_be_placed(&self, index: usize) -> bool {
+        let slots = f64::from(self.engine_table.engines[index].slots);
+        self.rating(index, Phase::Decode) == Some(Rating::Good)
+            && self.engine_table.estimated_load(index, self.now) < MAX_SLOT_SHARE * slots
     }
 }
 
-/// Returns a share in thousandths as a part of 1.
-fn part(share: u32) -> f64 {
-    f64::from(share) / f64::from(WHOLE)
+/// Converts a share in thousandths to a fraction of 1.
+fn fraction(share: u32) -> f64 {
+    f64::from(share) / f64::from(SHARE_SCALE)
 }
 
-/// Returns where the engines of a turn begin.
+/// Returns the position of the first engine of a turn.
 fn turn_position(count: f64, turn: u32) -> usize {
     turn as usize * count.ceil() as usize
 }
 
-/// Returns which of `count` engines a draw falls on; the last one gets a part of what the others get where `count` is no whole
-/// number.
+/// Returns which of `count` engines a random draw selects. If `count` is not an integer, the last engine gets a
+/// proportionally smaller share.
 fn drawn_position(count: f64, draw: u32) -> usize {
     (count * f64::from(draw) / (f64::from(u32::MAX) + 1.0)) as usize
 }
--- a/load_balancing/src/selection/packing_tests.rs
+++ b/load_balancing/src/selection/packing_tests.rs
@@ -1,4 +1,4 @@
-//! Requests of a load test on few engines.
+//! Tests of the placement of a candidate version's requests.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns a table of engines of both versions, of which those of the stable one report `running` requests each.
+/// Returns a table with engines of both versions, where each stable engine reports `running` requests.
 fn engine_table(running: u32) -> EngineTable {
     let mut engine_table = EngineTable::default();
     for (zone, prefix) in [("a".to_string(), "old"), (candidates_of("a"), "new")] {
@@ -34,18 +34,18 @@
         engine_table.update(&EndpointList { zone, term: 1, sequence: 1, engines }, 0);
     }
     for number in 0..ENGINES {
-        let at = engine_table.find(&format!("old-{number}")).expect("known");
-        engine_table.record_reported_load(at, &format!("{running},0,{SLOTS}"), 0);
+        let index = engine_table.find(&format!("old-{number}")).expect("a listed engine");
+        engine_table.record_reported_load(index, &format!("{running},0,{SLOTS}"), 0);
     }
     engine_table
 }
 
-/// Returns how many of 1,000 packed requests each engine gets.
+/// Returns the number of requests that each engine gets out of 1,000 packed ones.
 fn requests_by_engine(engine_table: &EngineTable, share: u32) -> BTreeMap<usize, u32> {
     placed(engine_table, |draw| CandidatePlacement::Packed { load_share: share, draw, first: PackingStart::default() })
 }
 
-/// Returns how many of 1,000 requests each engine gets.
+/// Returns the number of requests that each engine gets out of 1,000.
 fn placed(engine_table: &EngineTable, placement: impl Fn(u32) -> CandidatePlacement) -> BTreeMap<usize, u32> {
     let mut counts = BTreeMap::new();
     for step in 0..1000_u64 {
@@ -66,44 +66,45 @@
         let selected = selection.select_decode(100, &[], None, 7).expect("an engine");
         assert!(engine_table.engines[selected].candidate);
         *counts.entry(selected).or_default() += 1;
-        assert!(selection.candidates(Phase::Prefill).is_empty(), "none is listed");
+        assert!(selection.candidates(Phase::Prefill).is_empty(), "no prefill engine is listed");
     }
     counts
 }
 
 #[test]
-fn as_few_engines_as_bear_the_share_get_it() {
-    // 7 at each of 10 engines without the one that reports: three tenths of them are 21, and an engine takes 13.
+fn packed_requests_go_to_as_few_engines_as_can_serve_them() {
+    // Each of 10 engines reports 8 requests, of which one is being answered: three tenths of the other 70 are 21, and
+    // an engine takes 13.
     let counts = requests_by_engine(&engine_table(8), 300);
     assert_eq!(counts.len(), 2);
     let most = counts.values().max().copied().unwrap_or_default();
-    assert!((600..=640).contains(&most), "13 of 21: {counts:?}");
+    assert!((600..=640).contains(&most), "one engine takes 13 of 21: {counts:?}");
 }
 
 #[test]
-fn a_small_share_goes_to_one_engine() {
+fn a_small_packed_share_goes_to_one_engine() {
     assert_eq!(requests_by_engine(&engine_table(1), 300).len(), 1);
     assert_eq!(requests_by_engine(&engine_table(0), 300).len(), 1);
 }
 
 #[test]
-fn an_engine_that_is_full_is_passed_over() {
+fn a_full_packed_engine_is_skipped() {
     let mut engine_table = engine_table(1);
-    let only = *requests_by_engine(&engine_table, 300).keys().next().expect("one");
+    let only = *requests_by_engine(&engine_table, 300).keys().next().expect("one engine");
     engine_table.record_reported_load(only, &format!("{SLOTS},0,{SLOTS}"), 1000);
     let counts = requests_by_engine(&engine_table, 300);
     assert!(!counts.contains_key(&only) && counts.len() == 1, "{counts:?}");
 }
 
 #[test]
-fn a_canary_goes_to_as_large_a_share_of_the_engines_and_to_others_in_each_turn() {
+fn a_canary_uses_its_share_of_the_engines_and_rotates_them_each_turn() {
     let engine_table = engine_table(5);
     let in_turn = |turn| placed(&engine_table, |draw| CandidatePlacement::Rotating { share: 200, draw, turn });
     let first = in_turn(0);
     assert_eq!(first.values().collect::<Vec<_>>(), [&500, &500], "{first:?}");
     let all: BTreeMap<usize, u32> = (0..5).flat_map(in_turn).collect();
-    assert_eq!(all.len(), ENGINES, "five turns of two engines");
+    assert_eq!(all.len(), ENGINES, "five turns of two engines cover all");
     assert_eq!(in_turn(5), first);
     let single = placed(&engine_table, |draw| CandidatePlacement::Rotating { share: 40, draw, turn: 0 });
-    assert_eq!(single.len(), 1, "one engine at least");
+    assert_eq!(single.len(), 1, "a canary uses at least one engine");
 }
--- a/load_balancing/src/selection_tests.rs
+++ b/load_balancing/src/selection_tests.rs
@@ -49,14 +49,14 @@
     CachedPrefix { engine, tokens }
 }
 
-fn id(engine_table: &EngineTable, at: Option<usize>) -> &str {
-    at.map_or("", |at| engine_table.engines[at].id.as_str())
+fn id(engine_table: &EngineTable, index: Option<usize>) -> &str {
+    index.map_or("", |index| engine_table.engines[index].id.as_str())
 }
 
 #[test]
-fn the_longest_prefix_owner_does_prefill_unless_it_is_loaded() {
+fn the_owner_of_the_longest_prefix_does_the_prefill_unless_it_is_loaded() {
     let mut engine_table = engine_table();
-    let far = engine_table.find("p-b").expect("known");
+    let far = engine_table.find("p-b").expect("a listed engine");
     assert_eq!(
         id(
             &engine_table,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn all_routers_choose_the_same_prefill_engine_while_nobody_owns_the_prefix() {
+fn all_routers_choose_the_same_prefill_engine_for_a_prefix_without_owner() {
     let engine_table = engine_table();
     let mut remote = context(&engine_table, &[], &[]);
     let near = remote.select_prefill(9000, &[], 6000, 77).map(|best| best.engine);
@@ -91,7 +91,7 @@
 #[test]
 fn draining_excluded_and_tried_engines_are_never_selected() {
     let engine_table = engine_table();
-    let tried = [engine_table.find("d-a").expect("known")];
+    let tried = [engine_table.find("d-a").expect("a listed engine")];
     assert_eq!(id(&engine_table, context(&engine_table, &[], &tried).select_decode(10, &[], None, 1)), "d-b");
     assert_eq!(id(&engine_table, context(&engine_table, &[0], &[]).select_decode(10, &[], None, 1)), "d-b");
     assert_eq!(context(&engine_table, &[0, 1], &[]).select_decode(10, &[], None, 1), None);
@@ -110,28 +110,28 @@
     };
     let (prefill, combined) = costs(&engine_table);
     assert!(prefill < combined);
-    for at in [engine_table.find("p-a"), engine_table.find("p-b")].into_iter().flatten() {
-        engine_table.record_reported_load(at, "8,1,8", 900);
+    for index in [engine_table.find("p-a"), engine_table.find("p-b")].into_iter().flatten() {
+        engine_table.record_reported_load(index, "8,1,8", 900);
     }
     let (prefill, combined) = costs(&engine_table);
     assert!(prefill > combined);
 }
 
 #[test]
-fn the_kv_cache_stays_in_its_zone() {
+fn decode_is_selected_in_the_zone_of_the_kv_cache() {
     let engine_table = engine_table();
     let from = engine_table.find("p-b");
     assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(60_000, &[], from, 1)), "d-b");
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_than_slow_start_allows() {
+fn a_cold_engine_is_selected_only_as_often_as_slow_start_allows() {
     let mut engine_table = engine_table();
-    let at = engine_table.find("d-a").expect("known");
-    engine_table.engines[at].cold_until = 5000;
-    engine_table.engines[at].slow_start.record_send(900);
+    let index = engine_table.find("d-a").expect("a listed engine");
+    engine_table.engines[index].cold_until = 5000;
+    engine_table.engines[index].slow_start.record_send(900);
     assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(10, &[], None, 1)), "d-b");
-    engine_table.engines[at].cold_until = 0;
+    engine_table.engines[index].cold_until = 0;
     assert_eq!(id(&engine_table, context(&engine_table, &[], &[]).select_decode(10, &[], None, 1)), "d-a");
 }
 
@@ -140,26 +140,26 @@
     let mut engine_table = engine_table();
     assert!(context(&engine_table, &[], &[]).has_spare_capacity(0.3));
     for id in ["d-a", "d-b"] {
-        let at = engine_table.find(id).expect("known");
-        engine_table.record_reported_load(at, "4,0,8", 900);
+        let index = engine_table.find(id).expect("a listed engine");
+        engine_table.record_reported_load(index, "4,0,8", 900);
     }
     assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.3));
-    assert!(
-        context(&engine_table, &[], &[]).has_spare_capacity(0.6),
-        "nearer to its deadline it may load engines more"
-    );
+    assert!(context(&engine_table, &[], &[]).has_spare_capacity(0.6), "a higher share admits work at a higher load");
     for id in ["p-a", "p-b"] {
-        let at = engine_table.find(id).expect("known");
-        engine_table.record_reported_load(at, "3,0,8", 900);
+        let index = engine_table.find(id).expect("a listed engine");
+        engine_table.record_reported_load(index, "3,0,8", 900);
     }
-    assert!(!context(&engine_table, &[], &[]).has_spare_capacity(0.6), "never where prefill engines are loaded");
+    assert!(
+        !context(&engine_table, &[], &[]).has_spare_capacity(0.6),
+        "no work is admitted while prefill engines are loaded"
+    );
 }
 
 #[test]
-fn another_region_is_selected_only_without_a_nearer_engine() {
+fn an_engine_in_another_region_is_selected_only_if_no_nearer_one_is_available() {
     let mut engine_table = engine_table();
     engine_table.set_region("b", "other");
-    let far = engine_table.find("p-b").expect("known");
+    let far = engine_table.find("p-b").expect("a listed engine");
     assert_eq!(
         id(
             &engine_table,
@@ -169,7 +169,7 @@
         ),
         "p-a"
     );
-    let tried = [engine_table.find("p-a").expect("known")];
+    let tried = [engine_table.find("p-a").expect("a listed engine")];
     assert_eq!(
         id(
             &engine_table,
@@ -180,28 +180,29 @@
 }
 
 #[test]
-fn a_service_is_saturated_only_when_every_decode_engine_is() {
+fn is_saturated_requires_every_decode_engine_to_be_full() {
     let mut engine_table = engine_table();
     for (id, load) in [("d-a", "9,3,8"), ("d-b", "4,0,8")] {
-        let at = engine_table.find(id).expect("known");
-        engine_table.record_reported_load(at, load, 900);
+        let index = engine_table.find(id).expect("a listed engine");
+        engine_table.record_reported_load(index, load, 900);
     }
     assert!(!context(&engine_table, &[], &[]).is_saturated(1.25));
-    let at = engine_table.find("d-b").expect("known");
-    engine_table.record_reported_load(at, "8,2,8", 900);
+    let index = engine_table.find("d-b").expect("a listed engine");
+    engine_table.record_reported_load(index, "8,2,8", 900);
     assert!(context(&engine_table, &[], &[]).is_saturated(1.25));
-    assert!(!context(&engine_table, &[], &[]).is_saturated(1.5), "what ranks higher is let in for longer");
+    assert!(!context(&engine_table, &[], &[]).is_saturated(1.5), "a higher share is reached later");
 }
 
 #[test]
-fn owners_of_a_shorter_prefix_do_not_attract_what_has_a_home_engine() {
+fn an_owner_of_a_shorter_prefix_is_not_preferred_to_the_home_engine() {
     let engine_table = engine_table();
-    let (near, far) = (engine_table.find("p-a").expect("known"), engine_table.find("p-b").expect("known"));
+    let (near, far) =
+        (engine_table.find("p-a").expect("a listed engine"), engine_table.find("p-b").expect("a listed engine"));
     let chosen = |key, prefixes: &[CachedPrefix]| {
         context(&engine_table, &[], &[]).select_prefill(9000, prefixes, 6000, key).map(|best| best.engine)
     };
-    let home = |key| engine_table.subset(0, Phase::Prefill, false).expect("one").home_engines(key, 1, |_| true)[0];
-    let key = (0..).find(|key| home(*key) == near).expect("a key at home near");
-    assert_eq!(chosen(key, &[cached(far, 2500)]), Some(near), "the part that all share is not enough");
-    assert_eq!(chosen(key, &[cached(far, 6000)]), Some(far), "the whole shared prefix is");
+    let home = |key| engine_table.subset(0, Phase::Prefill, false).expect("a subset").home_engines(key, 1, |_| true)[0];
+    let key = (0..).find(|key| home(*key) == near).expect("a key whose home engine is near");
+    assert_eq!(chosen(key, &[cached(far, 2500)]), Some(near), "an owner of a shorter prefix is not preferred");
+    assert_eq!(chosen(key, &[cached(far, 6000)]), Some(far), "an owner of the whole shared prefix is preferred");
 }
--- a/load_balancing/src/slow_start_tests.rs
+++ b/load_balancing/src/slow_start_tests.rs
@@ -2,22 +2,23 @@
 
 use super::SlowStart;
 
-/// The most that falls into any window of `span` ms.
+/// Returns the largest number of timestamps within any window of `span` milliseconds.
 fn max_in_window(times: &mut [u64], span: u64) -> usize {
     times.sort_unstable();
     let mut from = 0;
-    let mut most = 0;
+    let mut max_sends = 0;
     for to in 0..times.len() {
         while times[to] >= times[from] + span {
             from += 1;
         }
-        most = most.max(to + 1 - from);
+        max_sends = max_sends.max(to + 1 - from);
     }
-    most
+    max_sends
 }
 
-/// All routers send as much as they are allowed; some restart midway and forget what they sent.
-fn saturating_sends(bound: f64, router_count: u32, engine: u64, crash: bool) -> Vec<u64> {
+/// Returns the times of all sends when all routers send as much as they may. If `crash` is set, some restart midway and
+/// lose the record of their sends.
+fn saturating_sends(engine_limit: f64, router_count: u32, engine: u64, crash: bool) -> Vec<u64> {
     let mut times = Vec::new();
     for router in 0..router_count {
         let router_hash = hashing::hash(format!("edge-{router}").as_bytes());
@@ -26,7 +27,7 @@
             if crash && router.is_multiple_of(29) && now / 25 == 60 {
                 slow_start = SlowStart::default();
             }
-            if slow_start.allows(bound, router_count, hashing::combine(router_hash, engine), now) {
+            if slow_start.allows(engine_limit, router_count, hashing::combine(router_hash, engine), now) {
                 slow_start.record_send(now);
                 times.push(now);
             }
@@ -36,28 +37,31 @@
 }
 
 #[test]
-fn sends_to_a_cold_engine_in_any_second_stay_under_its_bound_at_any_size() {
-    for bound in [5.0, 18.0] {
+fn sends_to_a_cold_engine_stay_within_its_limit_for_any_number_of_routers() {
+    for engine_limit in [5.0, 18.0] {
         for router_count in [1, 3, 9, 18, 19, 40, 88, 400] {
-            let (mut used, mut engines) = (0, 0);
+            let (mut total_sends, mut engines) = (0, 0);
             for engine in 0..16 {
-                let mut times = saturating_sends(bound, router_count, hashing::hash(&[engine as u8]), false);
-                let most = max_in_window(&mut times, 1000);
-                // Under half of the slack of 5 that the published rule has beside the bound.
-                assert!(most as f64 <= bound + 2.0, "{most} of {bound} at {router_count} routers, engine {engine}");
-                used += most;
+                let mut times = saturating_sends(engine_limit, router_count, hashing::hash(&[engine as u8]), false);
+                let max_sends = max_in_window(&mut times, 1000);
+                // Less than half of the slack of 5 that the published rule allows on top of the limit.
+                assert!(
+                    max_sends as f64 <= engine_limit + 2.0,
+                    "{max_sends} of {engine_limit} at {router_count} routers, engine {engine}"
+                );
+                total_sends += max_sends;
                 engines += 1;
             }
             assert!(
-                used as f64 / f64::from(engines) >= bound / 9.0,
-                "{router_count} routers leave {bound} unused: {used}"
+                total_sends as f64 / f64::from(engines) >= engine_limit / 9.0,
+                "{router_count} routers use too little of {engine_limit}: {total_sends}"
             );
         }
     }
 }
 
 #[test]
-fn routers_that_restart_stay_within_the_slack() {
+fn sends_of_routers_that_restart_stay_within_the_slack() {
     for router_count in [9, 88, 400] {
         for engine in 0..16u8 {
             let mut times = saturating_sends(18.0, router_count, hashing::hash(&[engine]), true);
@@ -67,8 +71,8 @@
 }
 
 #[test]
-fn a_count_of_routers_that_is_off_by_a_quarter_does_not_break_the_bound() {
-    // They count 66 routers though there are 88: each is drawn with a higher chance.
+fn sends_stay_within_the_limit_when_the_router_count_is_a_quarter_too_low() {
+    // The routers count 66 instead of 88, so each is picked with a higher probability.
     for engine in 0..20u8 {
         let mut times = Vec::new();
         for router in 0..88 {
@@ -86,7 +90,7 @@
 }
 
 #[test]
-fn a_router_without_confirmed_control_state_uses_a_quarter_of_a_bound_at_most() {
+fn a_router_without_confirmed_control_state_uses_at_most_a_quarter_of_the_limit() {
     let mut slow_start = SlowStart::default();
     let mut sent = 0;
     for now in (5000..6000).step_by(10) {
@@ -96,6 +100,6 @@
         }
     }
     assert_eq!(sent, 4);
-    assert!(slow_start.allows_unconfirmed(18.0, 9, 6900), "after a second again");
+    assert!(slow_start.allows_unconfirmed(18.0, 9, 6900), "sends are allowed again after a second");
     assert!(SlowStart::default().allows_unconfirmed(2.0, 300, 0), "one send is always allowed");
 }
--- a/load_balancing/src/staleness_bound_tests.rs
+++ b/load_balancing/src/staleness_bound_tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_raise_binds_at_once_and_only_what_it_names() {
+fn a_raise_takes_effect_at_once_and_only_for_its_service_model_and_routes() {
     let mut bounds = StalenessBounds::default();
     bounds.renew_lease(0);
     assert_eq!(bound(&bounds, "r", 10), StalenessBound::Unbounded);
@@ -27,30 +27,30 @@
 }
 
 #[test]
-fn a_relaxation_waits_until_all_could_know() {
+fn a_relaxation_takes_effect_after_the_delay_and_an_added_route_at_once() {
     let mut bounds = StalenessBounds::default();
     bounds.update(&staleness_limit(1, 10, 2, &["r", "t"]), 0, 0);
     bounds.update(&staleness_limit(2, 10, 5, &["r", "u"]), 0, 100);
     bounds.renew_lease(100 + RELAXATION_DELAY_MS);
-    let early = 100 + RELAXATION_DELAY_MS - 1;
+    let before_delay_ends = 100 + RELAXATION_DELAY_MS - 1;
     assert_eq!(
-        (bound(&bounds, "r", early), bound(&bounds, "t", early)),
+        (bound(&bounds, "r", before_delay_ends), bound(&bounds, "t", before_delay_ends)),
         (StalenessBound::AtLeast(8), StalenessBound::AtLeast(8))
     );
-    assert_eq!(bound(&bounds, "u", early), StalenessBound::AtLeast(8), "a route added is bound at once");
+    assert_eq!(bound(&bounds, "u", before_delay_ends), StalenessBound::AtLeast(8), "an added route is bound at once");
     assert_eq!(
-        (bound(&bounds, "r", early + 1), bound(&bounds, "t", early + 1)),
+        (bound(&bounds, "r", before_delay_ends + 1), bound(&bounds, "t", before_delay_ends + 1)),
         (StalenessBound::AtLeast(5), StalenessBound::Unbounded)
     );
-    let gone = StalenessLimit { removed: true, ..staleness_limit(3, 10, 5, &["r", "u"]) };
-    bounds.update(&gone, 0, 4000);
+    let removed = StalenessLimit { removed: true, ..staleness_limit(3, 10, 5, &["r", "u"]) };
+    bounds.update(&removed, 0, 4000);
     bounds.renew_lease(8000);
     assert_eq!(bound(&bounds, "r", 4000 + RELAXATION_DELAY_MS - 1), StalenessBound::AtLeast(5));
     assert_eq!(bound(&bounds, "r", 4000 + RELAXATION_DELAY_MS), StalenessBound::Unbounded);
 }
 
 #[test]
-fn an_expired_lease_refuses_what_is_bound_and_nothing_else() {
+fn an_expired_lease_refuses_only_requests_under_a_limit() {
     let mut bounds = StalenessBounds::default();
     bounds.update(&staleness_limit(1, 10, 2, &["r"]), 0, 0);
     assert_eq!(bound(&bounds, "r", 0), StalenessBound::LeaseExpired, "never renewed");
@@ -63,28 +63,28 @@
 }
 
 #[test]
-fn nothing_bound_is_sent_below_the_minimum_version_once_a_raise_is_acknowledged() {
+fn no_request_runs_below_the_minimum_version_once_a_raise_is_acknowledged() {
     let mut acknowledgements = 0;
     for seed in 1..=40 {
         let outcome = simulate(seed, Fault::None);
         assert_eq!(outcome.violations, 0, "seed {seed}");
         acknowledgements += outcome.acknowledgements;
     }
-    assert!(acknowledgements > 200, "raises must come through: {acknowledgements}");
+    assert!(acknowledgements > 200, "too few raises were acknowledged: {acknowledgements}");
 }
 
 #[test]
-fn the_simulation_shows_the_fault_when_a_raise_is_acknowledged_at_once() {
+fn simulated_violations_appear_when_a_raise_is_acknowledged_at_once() {
     assert!(
         (1..=10).any(|seed| simulate(seed, Fault::AcknowledgedAtOnce).violations > 0),
-        "a test that can't fail shows nothing"
+        "the simulation must detect this fault"
     );
 }
 
 #[test]
-fn the_simulation_shows_the_fault_when_a_new_controller_answers_for_leases_it_forgot() {
+fn simulated_violations_appear_when_a_restarted_controller_ignores_earlier_leases() {
     assert!(
         (1..=60).any(|seed| simulate(seed, Fault::ForgottenLeases).violations > 0),
-        "a test that can't fail shows nothing"
+        "the simulation must detect this fault"
     );
 }
--- a/load_balancing/src/subset.rs
+++ b/load_balancing/src/subset.rs
@@ -1,40 +1,41 @@
-//! What a router samples from: a subset of its own of the engines of one phase, and a consistent-hash ring on which all
-//! routers find the same home engines of a prefix.
+//! The engines of one phase that a router samples, and a consistent-hash ring on which all routers find the same home
+//! engines of a prefix.
 //!
-//! Each engine has one point on the ring, and a key probes it at several places ("Multi-probe consistent hashing", Appleton
-//! and O'Reilly, 2015): shares are as even as with many virtual nodes, and the ring is no larger than the list.
+//! Each engine has one point on the ring, and a key probes the ring at several positions ("Multi-probe consistent
+//! hashing", Appleton and O'Reilly, 2015): load is spread as evenly as with many virtual nodes, and the ring is no
+//! larger than the list.
 //!
-//! Both are built anew only when the list changes, so that a selection costs the same however many engines there are.
-//! Routers and engines are matched by rendezvous hashing: one engine more or less moves only its own place
-//! (`docs/design.md`, "Decisions from samples").
+//! Both are rebuilt only when the list changes, so that the cost of a selection does not depend on the number of
+//! engines. Rendezvous hashing picks each router's engines, so that adding or removing an engine affects only the
+//! places of that engine (`docs/design.md`, "Decisions from samples").
 
 use std::collections::BTreeMap;
 
 use kernel::hashing;
 
-/// The fewest engines sampled of the own zone: a zone that has no more is sampled whole.
+/// The minimum number of engines sampled in the router's own zone; a zone with no more than that is sampled whole.
 const MIN_SAMPLED_OWN_ZONE: usize = 12;
-/// The engines sampled of each other zone.
+/// The number of engines sampled in each other zone.
 const SAMPLED_OTHER_ZONE: usize = 4;
-/// How many routers of its zone an engine should be sampled by, on average: by chance none is then left out (e^-12 is six
-/// in a million).
+/// The target mean number of routers of its zone that sample an engine: the probability that none does is e^-12, six in
+/// a million.
 const ROUTERS_PER_ENGINE: f64 = 12.0;
-/// At how many places a key probes the ring: the busiest engine's share of the prefixes then stays within a tenth of the
-/// average.
+/// The number of positions at which a key probes the ring. It keeps the busiest engine's share of the prefixes within a
+/// tenth of the average.
 const PROBES: u64 = 21;
-/// How many engines that can't be used are passed over at each probe.
-const MAX_PASSED_OVER: usize = 64;
+/// The maximum number of engines examined at each probe to find usable ones.
+const MAX_EXAMINED_PER_PROBE: usize = 64;
 
-/// An engine as a subset sees it.
+/// The attributes of an engine that a subset needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SubsetMember {
-    /// Its index in the table.
+    /// Its index in the engine table.
     pub(crate) engine: usize,
     pub(crate) zone: u32,
     pub(crate) id_hash: u64,
 }
 
-/// The router that samples, and how many routers and zones share the engines.
+/// The router that samples, and the number of routers and zones that share the engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SubsetParams {
     pub(crate) router_hash: u64,
@@ -43,32 +44,32 @@
     pub(crate) zone_count: u32,
 }
 
-/// An engine with the hash by which it is ordered, by the hash first.
+/// The hash that an engine is sorted by, and its index.
 type HashedEngine = (u64, usize);
 
-/// The engines of one phase, by their indices in the table.
+/// The engines of one phase, by their indices in the engine table.
 ///
-/// Invariants: `sampled` is a part of `engines`, the same as long as the list and the fleet stay the same; `ring` is
-/// sorted, and holds each engine once at the hash of its id.
+/// Invariants: `sampled` is a subset of `engines` and changes only with the list or the subset parameters; `ring` is
+/// sorted and holds each engine once, at the hash of its id.
 #[derive(Clone, Debug, Default)]
 pub struct Subset {
-    /// All engines listed up for this phase.
+    /// All engines of this phase that are listed as up.
     pub engines: Vec<usize>,
-    /// Those that this router samples.
+    /// The engines that this router samples.
     pub sampled: Vec<usize>,
-    /// All of them, in an order that every router finds.
+    /// All engines, in the same order at every router.
     ring: Vec<HashedEngine>,
 }
 
 impl SubsetParams {
-    /// Returns how many of `count` engines of a zone are sampled.
+    /// Returns how many of the `count` engines of a zone are sampled.
     fn sample_size(&self, zone: u32, count: usize) -> usize {
         if zone != self.zone {
             return SAMPLED_OTHER_ZONE.min(count);
         }
         let routers = f64::from(self.router_count.max(1)) / f64::from(self.zone_count.max(1));
-        let cover = (ROUTERS_PER_ENGINE * count as f64 / routers.max(1.0)).ceil() as usize;
-        cover.max(MIN_SAMPLED_OWN_ZONE).min(count)
+        let size_for_coverage = (ROUTERS_PER_ENGINE * count as f64 / routers.max(1.0)).ceil() as usize;
+        size_for_coverage.max(MIN_SAMPLED_OWN_ZONE).min(count)
     }
 }
 
@@ -97,25 +98,25 @@
         zones.into_iter().flat_map(sample_zone).collect()
     }
 
-    /// Returns all engines, in an order that every router finds.
+    /// Returns all engines, in the same order at every router.
     pub(crate) fn ordered(&self) -> impl Iterator<Item = usize> + '_ {
         self.ring.iter().map(|(_, engine)| *engine)
     }
 
-    /// Returns at most `limit` sampled engines that follow one another, from a random `offset` on.
+    /// Returns up to `limit` consecutive sampled engines, starting at a random `offset` and wrapping around.
     pub fn sampled_run(&self, offset: u64, limit: usize) -> Vec<usize> {
         let count = self.sampled.len();
-        let from = offset.checked_rem(count as u64).unwrap_or(0) as usize;
-        (0..limit.min(count)).map(|step| self.sampled[(from + step) % count]).collect()
+        let start = offset.checked_rem(count as u64).unwrap_or(0) as usize;
+        (0..limit.min(count)).map(|step| self.sampled[(start + step) % count]).collect()
     }
 
-    /// Returns the `limit` usable engines that are nearest to the key's probes on the ring, the nearest first: the same at all
-    /// routers that see the same list.
+    /// Returns the `limit` usable engines that follow the key's probes on the ring most closely, nearest first. The
+    /// result is the same at all routers that have the same list.
     pub fn home_engines(&self, key: u64, limit: usize, is_usable: impl Fn(usize) -> bool) -> Vec<usize> {
         let mut found: Vec<(u64, usize)> = Vec::with_capacity(PROBES as usize * limit);
         for probe in (0..PROBES).map(|number| hashing::combine(key, number)) {
-            let behind = self.ring_from(probe).take(MAX_PASSED_OVER);
-            let usable = behind.filter(|(_, engine)| is_usable(*engine)).take(limit);
+            let successors = self.successors_of(probe).take(MAX_EXAMINED_PER_PROBE);
+            let usable = successors.filter(|(_, engine)| is_usable(*engine)).take(limit);
             found.extend(usable.map(|(point, engine)| (point.wrapping_sub(probe), engine)));
         }
         found.sort_unstable();
@@ -128,10 +129,10 @@
         homes
     }
 
-    /// Returns all engines once, from the first one behind a place on the ring on.
-    fn ring_from(&self, place: u64) -> impl Iterator<Item = HashedEngine> + '_ {
-        let from = self.ring.partition_point(|(point, _)| *point < place);
-        let (before, after) = self.ring.split_at(from);
+    /// Returns all engines once in ring order, starting at the first one at or after a position.
+    fn successors_of(&self, position: u64) -> impl Iterator<Item = HashedEngine> + '_ {
+        let start = self.ring.partition_point(|(point, _)| *point < position);
+        let (before, after) = self.ring.split_at(start);
         after.iter().chain(before).copied()
     }
 }
--- a/load_balancing/src/testing/mod.rs
+++ b/load_balancing/src/testing/mod.rs
@@ -1,4 +1,4 @@
-//! Support of tests.
+//! Test support.
 
 pub(crate) mod phase_simulation;
 pub(crate) mod staleness_simulation;
--- a/load_balancing/src/testing/phase_simulation.rs
+++ b/load_balancing/src/testing/phase_simulation.rs
@@ -1,53 +1,53 @@
-//! A simulation of a service whose engines change between prefill and decode, as flows of requests.
+//! A simulation of a service whose engines change between prefill and decode, with requests as continuous flows.
 //!
-//! A prefill engine is a queue with one server. A decode engine runs requests side by side, up to its slots or its memory,
-//! and each token comes more slowly the more of them run: with `n` requests it ends `n / (base + n * slope)` a second. A
-//! phase change takes an engine away for a while, as in production.
+//! A prefill engine is a queue with one server. A decode engine runs requests concurrently, up to its slots or its
+//! memory, and generates each token more slowly the more requests run: with `n` requests it completes `n / (base + n *
+//! slope)` per second. During a phase change an engine serves neither phase for a while, as in production.
 
 use std::collections::VecDeque;
 
 use crate::phase_balance::{EngineObservation, PhaseChange, ServiceLoad};
 
-/// The step of the simulation, in milliseconds.
+/// The time step of the simulation, in milliseconds.
 const STEP_MS: u64 = 20;
-/// The pause between two decisions, in milliseconds.
+/// The interval between two decisions, in milliseconds.
 const DECISION_INTERVAL_MS: u64 = 400;
-/// How long an engine is gone while it changes its phase, in milliseconds.
+/// The time that an engine is unavailable during a phase change, in milliseconds.
 const CHANGE_MS: u64 = 2600;
-/// The pause between two changes, in milliseconds.
+/// The minimum interval between two phase changes, in milliseconds.
 const COOLDOWN_MS: u64 = 4100;
-/// How many requests a decode engine has slots for.
+/// The number of slots of a decode engine.
 const SLOTS: u32 = 64;
-/// How many requests a decode engine has memory for.
+/// The number of requests that fit into the memory of a decode engine.
 const MEMORY_REQUESTS: f64 = 65.0;
-/// How long a prompt is read, in seconds.
+/// The time to prefill one prompt, in seconds.
 const PREFILL_S: f64 = 0.03;
-/// How long a request decodes alone, in seconds.
+/// The base time to decode a request, in seconds.
 const DECODE_BASE_S: f64 = 0.19;
-/// How much longer it decodes for each request beside it, in seconds.
+/// The additional decode time for each request that runs on the engine, in seconds.
 const DECODE_SLOPE_S: f64 = 0.033;
 
-/// A rule that decides on phases: what is observed, and the load of the service.
-pub(crate) type Rule = fn(&[EngineObservation], ServiceLoad, usize) -> Option<PhaseChange>;
+/// A policy that decides on phase changes, given the observations, the load of the service and its number of engines.
+pub(crate) type PhasePolicy = fn(&[EngineObservation], ServiceLoad, usize) -> Option<PhaseChange>;
 
-/// One moment of a simulation.
+/// The state of the service at one time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     pub(crate) at_ms: u64,
-    /// Requests at all decode engines, as a share of what they take at once.
+    /// The requests at all decode engines, as a share of their capacity.
     pub(crate) decode_occupancy: f64,
-    /// Requests at an average prefill engine.
+    /// The mean number of requests at a prefill engine.
     pub(crate) prefill_queue: f64,
 }
 
-/// A phase change that was ordered.
+/// A phase change that the policy ordered for one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OrderedChange {
     pub(crate) at_ms: u64,
     pub(crate) prefill: bool,
 }
 
-/// What came of a simulation.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) samples: Vec<Sample>,
@@ -55,8 +55,8 @@
 }
 
 impl Outcome {
-    /// Returns until when decode engines had more requests than a share of what they take, in milliseconds.
-    pub(crate) fn decode_above_until(&self, share: f64) -> u64 {
+    /// Returns the last time at which decode occupancy was above a share, in milliseconds.
+    pub(crate) fn last_decode_above(&self, share: f64) -> u64 {
         self.samples
             .iter()
             .filter(|sample| sample.decode_occupancy > share)
@@ -65,7 +65,7 @@
             .unwrap_or(0)
     }
 
-    /// Returns how often a change was ordered in the direction opposite to the one before.
+    /// Returns the number of changes in the direction opposite to the change before.
     pub(crate) fn reversals(&self) -> usize {
         self.changes.windows(2).filter(|pair| pair[0].prefill != pair[1].prefill).count()
     }
@@ -76,33 +76,33 @@
 pub(crate) struct Service {
     pub(crate) prefill_engines: u32,
     pub(crate) decode_engines: u32,
-    /// Requests a second.
+    /// The request rate, per second.
     pub(crate) rate: f64,
-    /// Requests at all prefill engines.
+    /// The number of requests at all prefill engines.
     pub(crate) in_prefill: f64,
-    /// Requests at all decode engines.
+    /// The number of requests at all decode engines.
     pub(crate) in_decode: f64,
 }
 
-/// Returns the share of time for which prefill engines read, if this many bear a rate.
+/// Returns the utilization of this many prefill engines at a request rate.
 pub(crate) fn prefill_utilization(rate: f64, engines: u32) -> f64 {
     rate * PREFILL_S / f64::from(engines)
 }
 
-/// Returns the share of what decode engines could end at most, if this many bear a rate.
+/// Returns the utilization of this many decode engines at a request rate, relative to their maximum throughput.
 pub(crate) fn decode_utilization(rate: f64, engines: u32) -> f64 {
     rate * DECODE_SLOPE_S / f64::from(engines)
 }
 
 impl Service {
-    /// Plays the service for a while under a rule.
-    pub(crate) fn play(mut self, rule: Rule, duration_ms: u64) -> Outcome {
+    /// Simulates the service under a policy for `duration_ms` milliseconds.
+    pub(crate) fn simulate(mut self, policy: PhasePolicy, duration_ms: u64) -> Outcome {
         let mut outcome = Outcome::default();
-        let mut changing: VecDeque<OrderedChange> = VecDeque::new();
+        let mut changes_in_progress: VecDeque<OrderedChange> = VecDeque::new();
         let mut cooldown_until = 0;
         for at_ms in (0..duration_ms).step_by(STEP_MS as usize) {
-            while changing.front().is_some_and(|change| at_ms >= change.at_ms + CHANGE_MS) {
-                let prefill = changing.pop_front().is_some_and(|change| change.prefill);
+            while changes_in_progress.front().is_some_and(|change| at_ms >= change.at_ms + CHANGE_MS) {
+                let prefill = changes_in_progress.pop_front().is_some_and(|change| change.prefill);
                 *self.engines_mut(prefill) += 1;
             }
             self.advance();
@@ -112,12 +112,12 @@
             }
             let observations = self.observations();
             let count = observations.len();
-            let Some(change) = rule(&observations, ServiceLoad::of(&observations), count) else { continue };
+            let Some(change) = policy(&observations, ServiceLoad::of(&observations), count) else { continue };
             cooldown_until = at_ms + COOLDOWN_MS;
             for _ in &change.engines {
                 *self.engines_mut(!change.prefill) -= 1;
                 let ordered = OrderedChange { at_ms, prefill: change.prefill };
-                changing.push_back(ordered);
+                changes_in_progress.push_back(ordered);
                 outcome.changes.push(ordered);
             }
         }
@@ -131,13 +131,13 @@
         }
     }
 
-    /// Lets requests arrive, be read and be decoded for one step.
+    /// Advances by one step: requests arrive, are prefilled and are decoded.
     fn advance(&mut self) {
         let step_s = STEP_MS as f64 / 1000.0;
-        let read = (prefill_throughput(self.in_prefill, self.prefill_engines) * step_s).min(self.in_prefill);
-        let ended = (decode_throughput(self.in_decode, self.decode_engines) * step_s).min(self.in_decode);
-        self.in_prefill += self.rate * step_s - read;
-        self.in_decode += read - ended;
+        let prefilled = (prefill_throughput(self.in_prefill, self.prefill_engines) * step_s).min(self.in_prefill);
+        let completed = (decode_throughput(self.in_decode, self.decode_engines) * step_s).min(self.in_decode);
+        self.in_prefill += self.rate * step_s - prefilled;
+        self.in_decode += prefilled - completed;
     }
 
     fn sample(&self, at_ms: u64) -> Sample {
@@ -148,16 +148,16 @@
         }
     }
 
-    /// Returns the engines with the requests of their phase spread evenly.
+    /// Returns an observation of each engine, with the requests of its phase spread evenly.
     fn observations(&self) -> Vec<EngineObservation> {
         let phases = [(true, self.prefill_engines, self.in_prefill), (false, self.decode_engines, self.in_decode)];
         let of_phase = |(prefill, engines, in_flight): (bool, u32, f64)| {
             let in_flight = in_flight.round() as u32;
-            (0..engines).map(move |at| EngineObservation {
-                id: format!("i-{prefill}-{at}"),
+            (0..engines).map(move |index| EngineObservation {
+                id: format!("i-{prefill}-{index}"),
                 prefill,
                 slots: SLOTS,
-                in_flight: in_flight / engines + u32::from(at < in_flight % engines),
+                in_flight: in_flight / engines + u32::from(index < in_flight % engines),
                 eligible: true,
             })
         };
@@ -165,12 +165,12 @@
     }
 }
 
-/// Returns how many requests one decode engine runs at once: the scarcer of slots and memory decides.
+/// Returns the number of requests that one decode engine runs concurrently, limited by slots or memory.
 fn decode_capacity() -> f64 {
     MEMORY_REQUESTS.min(f64::from(SLOTS))
 }
 
-/// Returns how many prompts a second are read.
+/// Returns the number of prompts prefilled per second.
 fn prefill_throughput(in_flight: f64, engines: u32) -> f64 {
     let engines = f64::from(engines);
     if engines == 0.0 {
@@ -179,7 +179,7 @@
     engines / PREFILL_S * in_flight / (engines + in_flight)
 }
 
-/// Returns how many requests a second are decoded to their end.
+/// Returns the number of requests completed per second.
 fn decode_throughput(in_flight: f64, engines: u32) -> f64 {
     if engines == 0 {
         return 0.0;
--- a/load_balancing/src/topology.rs
+++ b/load_balancing/src/topology.rs
@@ -1,8 +1,8 @@
-//! Zones by index, their regions, and how far apart they are.
+//! The known zones, their regions, and the distances between them.
 
 use std::collections::HashMap;
 
-/// How far one zone is from another.
+/// The distance between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Distance {
     SameZone,
@@ -10,18 +10,18 @@
     OtherRegion,
 }
 
-/// Names by index, in the order in which they were first seen.
+/// Assigns indices to names, in the order in which they are first seen.
 #[derive(Default)]
 pub(crate) struct NameIndex(HashMap<String, u32>);
 
 impl NameIndex {
-    /// Returns the index of a name, a new one for a new name.
+    /// Returns the index of a name, and assigns one to a new name.
     pub(crate) fn index_of(&mut self, name: &str) -> u32 {
         let next = self.0.len() as u32;
         *self.0.entry(name.to_string()).or_insert(next)
     }
 
-    /// Returns the name with an index.
+    /// Returns the name that has an index.
     fn name_of(&self, index: u32) -> Option<&str> {
         self.0.iter().find(|(_, known)| **known == index).map(|(name, _)| name.as_str())
     }
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct Topology {
     zones: NameIndex,
-    /// By zone: its region. A zone that is not named is a region of its own.
+    /// By zone: its region. A zone without an entry is a region of its own.
     regions: HashMap<u32, String>,
 }
 
@@ -54,12 +54,12 @@
         self.regions.len()
     }
 
-    pub(crate) fn distance(&self, one: u32, two: u32) -> Distance {
-        if one == two {
+    pub(crate) fn distance(&self, from: u32, to: u32) -> Distance {
+        if from == to {
             return Distance::SameZone;
         }
-        let region = self.regions.get(&one);
-        match region.is_some_and(|region| self.regions.get(&two) == Some(region)) {
+        let region = self.regions.get(&from);
+        match region.is_some_and(|region| self.regions.get(&to) == Some(region)) {
             true => Distance::SameRegion,
             false => Distance::OtherRegion,
         }
