--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -9,7 +9,7 @@
 /// on the average engine.
 const REPORT_FRESH_MS: u64 = 1000;
 
-/// The number of requests at an engine, as it reports it.
+/// The number of requests at an engine, as reported by the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
     /// Running requests.
--- a/load_balancing/src/engine_usage.rs
+++ b/load_balancing/src/engine_usage.rs
@@ -15,7 +15,7 @@
 /// Identifies one phase of a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PhaseKey {
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// Whether the engines do prefill; otherwise they decode.
     pub prefill: bool,
--- a/load_balancing/src/phase_balance_tests.rs
+++ b/load_balancing/src/phase_balance_tests.rs
@@ -38,8 +38,8 @@
 
 #[test]
 fn a_phase_change_never_triggers_its_own_reversal() {
-    for prefill_counts in 0..12u32 {
-        for decode_counts in 0..40u32 {
+    for prefill_load in 0..12u32 {
+        for decode_load in 0..40u32 {
             for prefill_engines in 1..6usize {
                 for decode_engines in 1..6usize {
                     let all = |prefill_engines: usize, decode_engines: usize| {
@@ -47,10 +47,10 @@
                             (total as usize / count + usize::from(index < total as usize % count)) as u32
                         };
                         let prefill_counts: Vec<u32> = (0..prefill_engines)
-                            .map(|index| even_share(prefill_counts, prefill_engines, index))
+                            .map(|index| even_share(prefill_load, prefill_engines, index))
                             .collect();
                         let decode_counts: Vec<u32> =
-                            (0..decode_engines).map(|index| even_share(decode_counts, decode_engines, index)).collect();
+                            (0..decode_engines).map(|index| even_share(decode_load, decode_engines, index)).collect();
                         fleet(&prefill_counts, &decode_counts)
                     };
                     let Some((_, prefill)) = plan(&all(prefill_engines, decode_engines)) else { continue };
@@ -62,7 +62,8 @@
                     let next_change = plan(&all(prefill_after, decode_after));
                     assert!(
                         next_change.is_none_or(|(_, next_prefill)| next_prefill == prefill),
-                        "{prefill_counts} {decode_counts} {prefill_engines} {decode_engines}"
+                        "reversed: {prefill_load} requests at {prefill_engines} prefill engines, \
+                         {decode_load} at {decode_engines} decode engines"
                     );
                 }
             }
@@ -159,8 +160,8 @@
         let context = &context[..context.len().min(400)];
         assert!(last.decode_occupancy < 0.9 && last.prefill_queue < 4.0, "starved: {last:?}, {context}");
         assert!(outcome.reversals() <= 2, "oscillating: {:?}, {context}", outcome.changes);
-        let quiet_since = outcome.changes.last().map_or(0, |change| change.at_ms);
-        assert!(quiet_since < 150_000, "still changing: {context}");
+        let last_change_at_ms = outcome.changes.last().map_or(0, |change| change.at_ms);
+        assert!(last_change_at_ms < 150_000, "still changing: {context}");
         rebalanced += usize::from(!outcome.changes.is_empty());
     }
     assert!(rebalanced > 100, "only {rebalanced} rounds needed a change");
--- a/load_balancing/src/selection/packing.rs
+++ b/load_balancing/src/selection/packing.rs
@@ -19,7 +19,7 @@
 
 impl SelectionContext<'_> {
     /// Returns the engine for a request while its version gets only a share of the requests. `None` means that the
-    /// usual selection applies, because the request may go to any engine or no placed engine can take it.
+    /// usual selection applies, because the request may go to any engine or no engine of the placement can take it.
     pub(super) fn placed_engine(&self, phase: Phase) -> Option<usize> {
         let Arm::Candidate(placement) = self.arm else { return None };
         if phase != Phase::Decode {
--- a/load_balancing/src/testing/staleness_simulation.rs
+++ b/load_balancing/src/testing/staleness_simulation.rs
@@ -31,7 +31,7 @@
 /// The part of the protocol that is disabled.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// A raise is acknowledged at once.
     AcknowledgedAtOnce,
