--- a/load_balancing/src/lib.rs
+++ b/load_balancing/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! - [`EndpointLists`] holds the endpoint lists that pollers read, one per zone.
 //! - [`EngineTable`] holds the engines by index, with their load and health as this router observes them.
-//! - `subset` picks the few engines that one router samples, so that the cost of a selection does not depend on the fleet
-//!   size.
+//! - `subset` picks the few engines that one router samples, so that the cost of a selection does not depend on the
+//!   size of the fleet.
 //! - [`SelectionContext`] selects the engine for prefill, for decode, or for both.
 //! - [`RetryBudget`] and [`SlowStart`] enforce this router's share of limits that apply to all routers together.
 //! - [`StalenessBounds`] determines which weight versions a request may run on.
--- a/load_balancing/src/selection/cost.rs
+++ b/load_balancing/src/selection/cost.rs
@@ -1,8 +1,8 @@
 //! The cost of sending a request to an engine: for prefill in prompt tokens to be processed before the response can
 //! begin, for decode in shares of an engine's slots.
 //!
-//! The constants are weights of a heuristic. `docs/design.md` gives the reasons for their relative order; values that
-//! it doesn't derive have no derivation.
+//! The constants are weights of a heuristic. `docs/design.md` explains their relative order and, where there is one,
+//! the derivation of a value.
 
 use super::{CachedPrefix, SelectionContext};
 use crate::engine_state::EngineState;
