--- a/membership/src/eligible_owner.rs
+++ b/membership/src/eligible_owner.rs
@@ -1,21 +1,21 @@
-//! Which controllers may own a shard of what all of them hold together.
+//! Selection of the controllers that may own shards of a quota.
 
 use crate::{MembershipView, Peer};
 
 /// A controller that may own a shard of a quota.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EligibleOwner {
-    /// Its address.
+    /// IP address of the controller.
     pub ip: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
 }
 
 impl MembershipView {
-    /// Returns the controllers that read messages of `protocol_version`, are not shutting down, and have been unavailable for
-    /// less than `max_unavailable_ms`, sorted by address.
+    /// Returns the controllers that support `protocol_version`, are not shutting down and have been unavailable for less than
+    /// `max_unavailable_ms`, sorted by address.
     ///
-    /// The own controller counts unless the caller says that it is shutting down.
+    /// This controller is included unless `self_shutting_down` is set.
     pub fn eligible_owners(
         &self,
         protocol_version: u64,
--- a/membership/src/eligible_owner_tests.rs
+++ b/membership/src/eligible_owner_tests.rs
@@ -1,4 +1,4 @@
-//! Who counts as eligible.
+//! Eligibility by protocol version, shutdown state and time unavailable.
 use crate::{MembershipView, Peer, PeerReport};
 
 const MAX_UNAVAILABLE_MS: u64 = 2400;
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn those_that_shut_down_or_read_no_such_messages_are_left_out() {
+fn eligible_owners_exclude_controllers_that_shut_down_or_lack_the_protocol_version() {
     assert_eq!(eligible_ips(&view(), false, 1100), ["a", "b", "e"]);
     assert_eq!(eligible_ips(&view(), true, 1100), ["b", "e"]);
 }
 
 #[test]
-fn one_that_was_not_confirmed_for_long_is_left_out() {
+fn eligible_owners_exclude_a_controller_once_it_is_unavailable_for_the_maximum_time() {
     let mut view = view();
     view.record_report("e", PeerReport { confirmed: true, ..Default::default() }, 3000);
     assert_eq!(eligible_ips(&view, false, 1000 + MAX_UNAVAILABLE_MS - 1), ["a", "b", "e"]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn one_that_a_live_peer_confirms_stays() {
+fn eligible_owners_include_a_controller_that_only_a_live_peer_confirms() {
     let mut view = view();
     let now = 1000 + MAX_UNAVAILABLE_MS;
     view.observe("e", Peer { zone: "z2".into(), last_seen: now, protocol_version: 5, ..Default::default() });
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which controllers and routers are alive, and the order in which singleton roles fall to controllers.
+//! Liveness of controllers and routers, and the order in which controllers are preferred as owners of singleton roles.
 //!
-//! Every controller keeps its own [`MembershipView`] from heartbeats and leases. The crate is pure: it holds no clock and no
-//! connection. Times come in with every call, in milliseconds of the caller's steady clock (`kernel::clock::now`), so that the
-//! simulations run in virtual time.
+//! Every controller builds its own [`MembershipView`] from heartbeats and leases. The crate does no I/O and reads no clock:
+//! callers pass the time in milliseconds of their monotonic clock (`kernel::clock::now`), so that simulations can run in
+//! virtual time.
 #![deny(missing_docs)]
 
 mod eligible_owner;
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -1,37 +1,37 @@
-//! What is known of another controller: its last heartbeat, and what it reported of others.
+//! State of another controller: its last heartbeat and its last report.
 
-/// Another controller as its last heartbeat described it.
+/// Another controller, as described by its last heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// Its zone; empty while it is not known.
+    /// Its zone; empty while unknown.
     pub zone: String,
-    /// Differs between two runs of its process.
+    /// Identifies one run of its process; changes with every restart.
     pub incarnation: u64,
-    /// When its last heartbeat came, in milliseconds of the own steady clock.
+    /// When its last heartbeat arrived, in milliseconds of this controller's monotonic clock.
     pub last_seen: u64,
-    /// Whether it may be made a voting member.
+    /// Whether it may become a voting member.
     pub eligible: bool,
-    /// How many routers hold a lease at it.
+    /// Number of routers with a lease at it.
     pub router_count: u32,
-    /// The newest version of messages and bodies that it reads.
+    /// Newest version of messages and stored bodies that it can read.
     pub protocol_version: u64,
-    /// Whether it announced that its process is about to end.
+    /// Whether it announced that its process is shutting down.
     pub shutting_down: bool,
-    /// Requests of its routers in flight, by engine id.
+    /// Requests in flight of its routers, by engine id.
     pub in_flight: Vec<(String, u32)>,
-    /// Ids of engines that it is about to change between prefill and decode, and until when each counts as such.
+    /// Ids of the engines that it is about to switch between prefill and decode, each with the expiry of the entry.
     pub reassigning: Vec<(String, u64)>,
-    /// Where clients reach its routers.
+    /// Addresses at which clients reach its routers.
     pub frontend_addresses: Vec<String>,
 }
 
-/// What a peer last reported of itself and of others.
+/// The last report of a peer about itself and others.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReport {
-    /// Whether a quorum confirmed its state a moment ago.
+    /// Whether a quorum recently confirmed its state.
     pub confirmed: bool,
-    /// Addresses of the controllers whose heartbeats reach it and that are confirmed.
+    /// Addresses of the controllers that are confirmed as seen by it.
     pub confirmations: Vec<String>,
-    /// Whether it gets no response from the platform.
+    /// Whether its polls of the platform get no response.
     pub platform_unreachable: bool,
 }
--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -1,4 +1,4 @@
-//! Three controllers that poll one zone's list, some of them cut off from the platform, in virtual time.
+//! Simulates in virtual time three controllers that poll the list of one zone while some are cut off from the platform.
 
 use super::PlatformAccess;
 use crate::{MembershipView, Peer, PeerReport};
@@ -8,26 +8,32 @@
 const POLL_INTERVAL_MS: u64 = 600;
 const CONTROLLER_COUNT: usize = 3;
 
-struct World {
+struct Simulation {
     now: u64,
     views: Vec<MembershipView>,
-    /// Until when each controller is cut off from the platform.
-    partitioned_until: [u64; CONTROLLER_COUNT],
-    /// When a poll last succeeded.
-    polled_at: u64,
-    /// Whose poll it was.
-    poller: usize,
+    /// End of each controller's partition from the platform, in milliseconds.
+    unreachable_until: [u64; CONTROLLER_COUNT],
+    /// When a poll last succeeded, in milliseconds.
+    last_success_at: u64,
+    /// Index of the controller that made this poll; `CONTROLLER_COUNT` before the first one.
+    last_poller: usize,
 }
 
 fn ip(index: usize) -> String {
     format!("10.0.0.{index}")
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let views =
             (0..CONTROLLER_COUNT).map(|index| MembershipView::new(&ip(index), "zone", LIVENESS_TIMEOUT_MS)).collect();
-        World { now: 0, views, partitioned_until: [0; CONTROLLER_COUNT], polled_at: 0, poller: CONTROLLER_COUNT }
+        Simulation {
+            now: 0,
+            views,
+            unreachable_until: [0; CONTROLLER_COUNT],
+            last_success_at: 0,
+            last_poller: CONTROLLER_COUNT,
+        }
     }
 
     fn step(&mut self) {
@@ -59,12 +65,12 @@
         if view.poller("zone", self.now) != ip(index) {
             return;
         }
-        if self.now < self.partitioned_until[index] {
+        if self.now < self.unreachable_until[index] {
             return view.platform_access.record_failure(self.now);
         }
         view.platform_access.record_success();
-        self.polled_at = self.now;
-        self.poller = index;
+        self.last_success_at = self.now;
+        self.last_poller = index;
     }
 
     fn run_until(&mut self, end: u64) {
@@ -75,37 +81,38 @@
 }
 
 #[test]
-fn another_controller_polls_while_the_first_is_cut_off_from_the_platform() {
-    let mut world = World::new();
-    world.run_until(3000);
-    let first = world.poller;
-    world.partitioned_until[first] = 23_000;
-    let mut longest = 0;
-    while world.now < 23_000 {
-        world.step();
-        longest = longest.max(world.now - world.polled_at);
+fn next_controller_polls_while_the_first_is_cut_off_from_the_platform() {
+    let mut simulation = Simulation::new();
+    simulation.run_until(3000);
+    let first = simulation.last_poller;
+    simulation.unreachable_until[first] = 23_000;
+    let mut longest_gap_ms = 0;
+    while simulation.now < 23_000 {
+        simulation.step();
+        longest_gap_ms = longest_gap_ms.max(simulation.now - simulation.last_success_at);
     }
-    assert!(longest <= MAX_GAP_MS, "no poll succeeded for {longest} ms");
-    world.run_until(30_000);
-    assert_eq!(world.poller, first, "it polls again once it reaches the platform");
+    assert!(longest_gap_ms <= MAX_GAP_MS, "no poll succeeded for {longest_gap_ms} ms");
+    simulation.run_until(30_000);
+    assert_eq!(simulation.last_poller, first, "the first controller polls again once it reaches the platform");
 }
 
-/// Three polls without an answer, a heartbeat and a poll of the next.
+/// Longest allowed gap between successful polls, in milliseconds: the polls until the platform counts as unreachable, one
+/// heartbeat that reports it, and one poll of the next controller.
 const MAX_GAP_MS: u64 = 4 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS + POLL_INTERVAL_MS;
 
 #[test]
-fn somebody_polls_soon_after_a_platform_that_nobody_reached_is_back() {
+fn polling_resumes_soon_after_the_platform_becomes_reachable_again() {
     for end in (5000..20_000).step_by(271) {
-        let mut world = World::new();
-        world.run_until(2000);
-        world.partitioned_until = [end; CONTROLLER_COUNT];
-        world.run_until(end + 2 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS);
-        assert!(world.polled_at >= end, "end {end}: the last poll was at {}", world.polled_at);
+        let mut simulation = Simulation::new();
+        simulation.run_until(2000);
+        simulation.unreachable_until = [end; CONTROLLER_COUNT];
+        simulation.run_until(end + 2 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS);
+        assert!(simulation.last_success_at >= end, "end {end}: last successful poll at {}", simulation.last_success_at);
     }
 }
 
 #[test]
-fn one_lost_poll_changes_nothing_and_a_success_forgets_failures() {
+fn platform_is_unreachable_only_after_consecutive_failures_and_until_the_backoff_ends() {
     let mut access = PlatformAccess::default();
     access.record_failure(1000);
     access.record_failure(1100);
--- a/membership/src/role_order.rs
+++ b/membership/src/role_order.rs
@@ -1,18 +1,19 @@
-//! The order in which singleton roles fall to controllers.
+//! The order in which controllers are preferred as owners of singleton roles.
 //!
-//! Every controller computes the same order from the same peers, so that they agree on a role's next owner without a vote. The
-//! register of the role decides where their views differ.
+//! Every controller computes the same order from the same peers, so that they agree on the next owner of a role without a vote.
+//! Where their views differ, the register of the role decides.
 
 use kernel::hashing;
 
 use crate::MembershipView;
 
-/// The role of polling the platform's list of engines for a zone. Its hash is part of the agreed order.
+/// Name of the role that polls the platform for a zone's list of engines. All controllers must use the same name, since its
+/// hash determines the order.
 const POLLER_ROLE: &str = "list";
 
 impl MembershipView {
-    /// Returns all known controllers in the order in which a role of a zone falls to them: those of that zone first, and within
-    /// each part by a hash of role and address, so that roles spread.
+    /// Returns all known controllers in order of preference for a role of a zone: those of that zone first, and within each
+    /// group by a hash of role and address, so that roles spread over the controllers.
     pub fn preference_order(&self, zone: &str, role: &str) -> Vec<String> {
         let mut order: Vec<String> = self.controllers.keys().cloned().collect();
         if !order.contains(&self.own_ip) {
@@ -26,20 +27,20 @@
         order
     }
 
-    /// Returns the first live controller in the order; the own one if there is no other.
+    /// Returns the first live controller in the preference order.
     pub fn first_live(&self, zone: &str, role: &str, now: u64) -> String {
         let order = self.preference_order(zone, role);
         order.into_iter().find(|ip| self.is_live(ip, now)).unwrap_or_else(|| self.own_ip.clone())
     }
 
-    /// Returns who acquires a role that is bound to no zone and has no owner: the first controller in the order that is
-    /// confirmed. Only a controller that is itself confirmed may ask.
+    /// Returns the controller that should acquire a vacant role that is bound to no zone: the first confirmed one in the
+    /// preference order. Call this only on a controller that is itself confirmed, since it counts itself as such.
     pub fn first_confirmed(&self, role: &str, now: u64) -> Option<String> {
         self.preference_order("", role).into_iter().find(|ip| *ip == self.own_ip || self.confirms(ip, now))
     }
 
-    /// Returns who polls the platform for a zone: the first live controller in the order that reaches the platform, or the first
-    /// live one while none does.
+    /// Returns the controller that polls the platform for a zone: the first live one in the preference order that reaches the
+    /// platform, or the first live one if none does.
     pub fn poller(&self, zone: &str, now: u64) -> String {
         let order = self.preference_order(zone, POLLER_ROLE);
         let live: Vec<String> = order.into_iter().filter(|ip| self.is_live(ip, now)).collect();
--- a/membership/src/singleton_role_tests.rs
+++ b/membership/src/singleton_role_tests.rs
@@ -1,109 +1,117 @@
-//! Controllers that are cut off, freeze, fall and wake, in virtual time: no two owners of a role act within
-//! a lease of each other, and epochs only rise.
+//! Simulates in virtual time controllers that are partitioned, freeze and restart: no two owners of a role act within one
+//! lease duration of each other, and epochs never decrease.
 
-use crate::testing::singleton_roles::{Act, World, LEASE_MS, ROLE};
+use crate::testing::singleton_roles::{Order, Simulation, LEASE_MS, ROLE};
 
 const RUN_MS: u64 = 60_000;
-/// By then the role of an undisturbed world has an owner that acts.
+/// Time by which the role has an acting owner in a simulation without faults, in milliseconds.
 const SETTLED_MS: u64 = 15_000;
 const PARTITION_MS: u64 = 20_000;
 
-impl World {
-    fn undisturbed() -> World {
-        let mut world = World::new(0, false);
-        world.is_undisturbed = true;
-        world
+impl Simulation {
+    fn without_faults() -> Simulation {
+        let mut simulation = Simulation::new(0, false);
+        simulation.is_fault_free = true;
+        simulation
     }
 
-    /// No two owners act under one epoch or within a lease, and no epoch is below an earlier one, as orders arrive.
-    fn is_sound(&self) -> bool {
-        let mut acts: Vec<&Act> = self.acts.iter().collect();
-        acts.sort_by_key(|act| act.at);
-        acts.windows(2).all(|pair| {
+    /// Returns whether, in the sequence in which orders arrive, epochs never decrease and two successive owners have different
+    /// epochs and are at least one lease duration apart.
+    fn is_safe(&self) -> bool {
+        let mut orders: Vec<&Order> = self.orders.iter().collect();
+        orders.sort_by_key(|order| order.arrives_at);
+        orders.windows(2).all(|pair| {
             let (before, after) = (pair[0], pair[1]);
-            let same = before.owner == after.owner;
-            after.epoch >= before.epoch && (same || (after.epoch > before.epoch && after.at - before.at >= LEASE_MS))
+            let same_owner = before.owner == after.owner;
+            after.epoch >= before.epoch
+                && (same_owner || (after.epoch > before.epoch && after.arrives_at - before.arrives_at >= LEASE_MS))
         })
     }
 
     fn index_of(&self, name: &str) -> usize {
-        self.controllers.iter().position(|controller| controller.name == name).expect("a known controller")
+        self.controllers.iter().position(|controller| controller.name == name).expect("a controller of this name")
     }
 }
 
-fn run(seed: u64, skips_wait: bool) -> World {
-    let mut world = World::new(seed, skips_wait);
-    world.run_until(RUN_MS);
-    world
+fn run_with_faults(seed: u64, skips_wait: bool) -> Simulation {
+    let mut simulation = Simulation::new(seed, skips_wait);
+    simulation.run_until(RUN_MS);
+    simulation
 }
 
 #[test]
 fn no_two_owners_act_within_a_lease() {
-    let (mut acts, mut changes) = (0, 0);
+    let (mut orders, mut owner_changes) = (0, 0);
     for seed in 1..=60 {
-        let world = run(seed, false);
-        assert!(world.is_sound(), "seed {seed}");
-        acts += world.acts.len();
-        changes += world.acts.windows(2).filter(|pair| pair[0].owner != pair[1].owner).count();
+        let simulation = run_with_faults(seed, false);
+        assert!(simulation.is_safe(), "seed {seed}");
+        orders += simulation.orders.len();
+        owner_changes += simulation.orders.windows(2).filter(|pair| pair[0].owner != pair[1].owner).count();
     }
-    assert!(acts > 10_000 && changes > 30, "the world must get work done: {acts} acts, {changes} changes of the owner");
+    assert!(
+        orders > 10_000 && owner_changes > 30,
+        "too little activity: {orders} orders, {owner_changes} owner changes"
+    );
 }
 
 #[test]
-fn the_world_shows_the_fault_without_the_wait() {
-    assert!((1..=60).any(|seed| !run(seed, true).is_sound()), "a test that can't fail shows nothing");
+fn owners_that_skip_the_wait_act_within_a_lease_of_each_other() {
+    assert!(
+        (1..=60).any(|seed| !run_with_faults(seed, true).is_safe()),
+        "the simulation does not detect a missing wait"
+    );
 }
 
-/// Cuts the owner of a role off from the controller next in order alone. Both reach the third, so a quorum confirms both, and
-/// each finds itself first in the order. Returns how many epochs and acts there were during the cut.
+/// Partitions the owner of a role from the next controller in the preference order only. Both reach the third one, so a quorum
+/// confirms both, and each finds itself first in the order. Returns the numbers of new epochs and orders during the partition.
 fn partition_between_the_first_two(ignores_reports: bool) -> (u64, usize) {
-    let mut world = World::undisturbed();
-    world.ignores_reports = ignores_reports;
-    world.run_until(SETTLED_MS);
-    let order = world.controllers[0].view.preference_order("", ROLE);
-    let (first, second) = (world.index_of(&order[0]), world.index_of(&order[1]));
-    world.pair_partitioned_until[first.min(second)][first.max(second)] = world.now + PARTITION_MS;
-    let (epoch, acts) = (world.register.epoch, world.acts.len());
-    world.run_until(SETTLED_MS + PARTITION_MS);
-    assert!(world.is_sound());
-    (world.register.epoch - epoch, world.acts.len() - acts)
+    let mut simulation = Simulation::without_faults();
+    simulation.ignores_reports = ignores_reports;
+    simulation.run_until(SETTLED_MS);
+    let order = simulation.controllers[0].view.preference_order("", ROLE);
+    let (first, second) = (simulation.index_of(&order[0]), simulation.index_of(&order[1]));
+    simulation.pair_partitioned_until[first.min(second)][first.max(second)] = simulation.now + PARTITION_MS;
+    let (epoch, orders) = (simulation.register.epoch, simulation.orders.len());
+    simulation.run_until(SETTLED_MS + PARTITION_MS);
+    assert!(simulation.is_safe());
+    (simulation.register.epoch - epoch, simulation.orders.len() - orders)
 }
 
 #[test]
-fn a_cut_between_two_controllers_does_not_pass_a_role_to_and_fro() {
-    let (epochs, acts) = partition_between_the_first_two(false);
-    assert_eq!(epochs, 0, "the owner is alive and confirmed");
-    assert!(acts > 300, "it goes on with its work: {acts} acts");
-    let (epochs, acts) = partition_between_the_first_two(true);
-    assert!(epochs > 10 && acts < 100, "a test that can't fail shows nothing: {epochs} epochs, {acts} acts");
+fn a_partition_between_two_controllers_does_not_make_a_role_flap() {
+    let (epochs, orders) = partition_between_the_first_two(false);
+    assert_eq!(epochs, 0, "the owner is live and confirmed");
+    assert!(orders > 300, "the owner must keep acting: {orders} orders");
+    let (epochs, orders) = partition_between_the_first_two(true);
+    assert!(epochs > 10 && orders < 100, "without reports the role must flap: {epochs} epochs, {orders} orders");
 }
 
 #[test]
 fn a_live_owner_that_reaches_no_quorum_is_replaced() {
-    let mut world = World::undisturbed();
-    world.run_until(SETTLED_MS);
-    let owner = world.register.owner.clone();
-    let index = world.index_of(&owner);
-    world.controllers[index].without_quorum_until = world.now + PARTITION_MS;
-    world.run_until(30_000);
-    let last = world.acts.last().expect("acts");
-    assert!(last.owner != owner && last.at > 29_000, "another carries out the role meanwhile: {last:?}");
-    world.run_until(45_000);
-    assert!(world.is_sound());
-    assert!(world.acts.last().is_some_and(|act| act.owner != owner), "and keeps it");
+    let mut simulation = Simulation::without_faults();
+    simulation.run_until(SETTLED_MS);
+    let owner = simulation.register.owner.clone();
+    let index = simulation.index_of(&owner);
+    simulation.controllers[index].without_quorum_until = simulation.now + PARTITION_MS;
+    simulation.run_until(30_000);
+    let last = simulation.orders.last().expect("at least one order");
+    assert!(last.owner != owner && last.arrives_at > 29_000, "another controller must act meanwhile: {last:?}");
+    simulation.run_until(45_000);
+    assert!(simulation.is_safe());
+    assert!(simulation.orders.last().is_some_and(|order| order.owner != owner), "the new owner must keep the role");
 }
 
 #[test]
 fn a_role_keeps_its_owner_while_nobody_reaches_a_quorum() {
     for first_back in 0..3 {
-        let mut world = World::undisturbed();
-        world.run_until(SETTLED_MS);
-        let register = world.register.clone();
+        let mut simulation = Simulation::without_faults();
+        simulation.run_until(SETTLED_MS);
+        let register = simulation.register.clone();
         for index in 0..3 {
             let delay_ms = if index == first_back { 0 } else { 2000 };
-            world.controllers[index].without_quorum_until = world.now + PARTITION_MS + delay_ms;
+            simulation.controllers[index].without_quorum_until = simulation.now + PARTITION_MS + delay_ms;
         }
-        world.run_until(45_000);
-        assert_eq!(world.register, register, "first back: {first_back}");
+        simulation.run_until(45_000);
+        assert_eq!(simulation.register, register, "first controller back: {first_back}");
     }
 }
--- a/membership/src/testing/singleton_roles.rs
+++ b/membership/src/testing/singleton_roles.rs
@@ -1,7 +1,7 @@
-//! Three controllers that own a singleton role in turn, and its register, in virtual time.
+//! Simulation in virtual time of three controllers that own a singleton role in turn, and of its register.
 //!
-//! Controllers freeze, restart, lose their quorum and are cut off from each other. The world records every act of an owner, for
-//! tests to judge.
+//! Controllers freeze, restart, lose their quorum and are partitioned from each other. The simulation records every order that an
+//! owner sends, for tests to check.
 
 use std::array;
 
@@ -13,78 +13,80 @@
 const CONTROLLER_COUNT: usize = 3;
 const QUORUM: usize = 2;
 
-/// The lease of the role.
+/// Lease duration of the role, in milliseconds.
 pub const LEASE_MS: u64 = 3000;
-/// How long a controller stays confirmed after its last confirmation.
-const CONFIRMED_MS: u64 = 1100;
+/// How long a controller stays confirmed after its last confirmation, in milliseconds.
+const CONFIRMATION_TTL_MS: u64 = 1100;
 const HEARTBEAT_INTERVAL_MS: u64 = 350;
-/// Each controller's heartbeats are shifted by so much against those of the one before.
-const HEARTBEAT_SHIFT_MS: u64 = 97;
-const ACT_INTERVAL_MS: u64 = 50;
-/// A controller that has just started acquires nothing for so long.
-const LISTEN_MS: u64 = 1200;
-/// The longest that an order is on its way.
+/// Offset between the heartbeats of one controller and the next, in milliseconds.
+const HEARTBEAT_OFFSET_MS: u64 = 97;
+/// Interval at which an owner sends orders, in milliseconds.
+const ORDER_INTERVAL_MS: u64 = 50;
+/// Grace period after its start during which a controller acquires no role, in milliseconds.
+const STARTUP_GRACE_MS: u64 = 1200;
+/// Upper bound of the delivery delay of an order, in milliseconds.
 const MAX_ORDER_DELAY_MS: u64 = 800;
-/// A disturbance comes once in so many milliseconds on average.
-const DISTURBANCE_INTERVAL_MS: u64 = 2500;
-/// The key of the role.
+/// Mean interval between injected faults, in milliseconds.
+const MEAN_FAULT_INTERVAL_MS: u64 = 2500;
+/// Register key of the role.
 pub const ROLE: &str = "duty/balance";
 
-/// An order as an engine sees it.
+/// An order from an owner to an engine.
 #[derive(Clone, Debug)]
-pub struct Act {
-    /// When it arrives.
-    pub at: u64,
+pub struct Order {
+    /// When it arrives, in milliseconds.
+    pub arrives_at: u64,
     /// The epoch under which it was sent.
     pub epoch: u64,
-    /// Who sent it.
+    /// Name of the controller that sent it.
     pub owner: String,
 }
 
 /// The register of the role.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Register {
-    /// Rises with every change of the owner.
+    /// Increases with every acquisition.
     pub epoch: u64,
-    /// Empty until somebody acquires the role.
+    /// Name of the owner; empty until a controller acquires the role.
     pub owner: String,
     /// Whether the owner recorded that its predecessor can no longer act.
     pub predecessor_expired: bool,
 }
 
-/// How a controller owns the role, with the epoch it acquired.
+/// A controller's ownership of the role under the epoch that it acquired.
 #[derive(Clone, Copy)]
 struct Ownership {
     epoch: u64,
     tenure: RoleTenure,
 }
 
+/// A simulated controller. Times are in milliseconds.
 #[derive(Clone)]
 pub struct Controller {
     pub name: String,
-    /// It does nothing at all before then.
+    /// End of a freeze, during which it does nothing.
     frozen_until: u64,
-    /// It is cut off from all others until then.
+    /// End of a partition from all others.
     partitioned_until: u64,
-    /// Its heartbeats reach all, but its rounds reach no quorum until then.
+    /// End of a fault during which its heartbeats reach all others, but its consensus rounds reach no quorum.
     pub without_quorum_until: u64,
     started_at: u64,
     pub view: MembershipView,
     streak: ConfirmedStreak,
     /// The register as a quorum last confirmed it.
     known_register: Register,
-    /// It knows that the register records that its predecessor has expired.
+    /// Whether it knows that the register records the expiry of its predecessor.
     has_recorded_expiry: bool,
     confirmed_at: Option<u64>,
     ownership: Option<Ownership>,
 }
 
 impl Controller {
-    /// A controller that knows nothing but what the register holds.
+    /// Creates a controller that has just started and knows no peers.
     fn started(index: usize, started_at: u64, frozen_until: u64) -> Controller {
         let name = format!("k{index}");
         Controller {
-            view: MembershipView::new(&name, "", CONFIRMED_MS),
+            view: MembershipView::new(&name, "", CONFIRMATION_TTL_MS),
             name,
             frozen_until,
             partitioned_until: 0,
@@ -99,7 +101,7 @@
     }
 
     fn is_confirmed(&self, now: u64) -> bool {
-        self.confirmed_at.is_some_and(|confirmed_at| now < confirmed_at + CONFIRMED_MS)
+        self.confirmed_at.is_some_and(|confirmed_at| now < confirmed_at + CONFIRMATION_TTL_MS)
     }
 
     fn is_owner(&self) -> bool {
@@ -108,52 +110,53 @@
     }
 }
 
-pub struct World {
+/// The state of a simulation. Times are in milliseconds.
+pub struct Simulation {
     pub now: u64,
     rng: Rng,
     pub controllers: [Controller; CONTROLLER_COUNT],
-    /// Until when two controllers are cut off from each other alone, by their indices in rising order.
+    /// End of a partition between two controllers only, by their indices in ascending order.
     pub pair_partitioned_until: [[u64; CONTROLLER_COUNT]; CONTROLLER_COUNT],
-    /// The register as a quorum holds it.
+    /// The committed register.
     pub register: Register,
     /// Orders in the sequence in which they were sent.
-    pub acts: Vec<Act>,
-    /// Owners act without waiting for their predecessors: the fault that the wait prevents.
+    pub orders: Vec<Order>,
+    /// Owners act without waiting for their predecessors to expire, to show the fault that the wait prevents.
     skips_wait: bool,
-    /// Controllers believe only the heartbeats that reach them: the fault that the peers' reports prevent.
+    /// Controllers judge an owner only by its heartbeats to them, to show the fault that the peers' reports prevent.
     pub ignores_reports: bool,
-    /// No disturbance comes by chance.
-    pub is_undisturbed: bool,
+    /// No random faults are injected, and register writes always succeed.
+    pub is_fault_free: bool,
 }
 
-impl World {
-    pub fn new(seed: u64, skips_wait: bool) -> World {
-        World {
+impl Simulation {
+    pub fn new(seed: u64, skips_wait: bool) -> Simulation {
+        Simulation {
             now: 0,
             rng: Rng::new(seed.wrapping_mul(0x9E37_79B9)),
             controllers: array::from_fn(|index| Controller::started(index, 0, 0)),
             pair_partitioned_until: Default::default(),
             register: Register::default(),
-            acts: Vec::new(),
+            orders: Vec::new(),
             skips_wait,
             ignores_reports: false,
-            is_undisturbed: false,
+            is_fault_free: false,
         }
     }
 
-    /// Moves on by a millisecond.
+    /// Advances the simulation by one millisecond.
     pub fn step(&mut self) {
         self.now += 1;
-        self.disturb();
+        self.inject_fault();
         for index in 0..CONTROLLER_COUNT {
-            let is_due = (self.now + index as u64 * HEARTBEAT_SHIFT_MS).is_multiple_of(HEARTBEAT_INTERVAL_MS);
+            let is_due = (self.now + index as u64 * HEARTBEAT_OFFSET_MS).is_multiple_of(HEARTBEAT_INTERVAL_MS);
             if is_due && self.is_up(index) {
                 self.heartbeat(index);
             }
         }
         for index in 0..CONTROLLER_COUNT {
-            if self.is_up(index) && self.now.is_multiple_of(ACT_INTERVAL_MS) {
-                self.act(index);
+            if self.is_up(index) && self.now.is_multiple_of(ORDER_INTERVAL_MS) {
+                self.send_order(index);
             }
         }
     }
@@ -168,12 +171,12 @@
         self.now >= self.controllers[index].frozen_until
     }
 
-    fn are_connected(&self, one: usize, two: usize) -> bool {
+    fn are_connected(&self, one: usize, other: usize) -> bool {
         self.is_up(one)
-            && self.is_up(two)
+            && self.is_up(other)
             && self.controllers[one].partitioned_until <= self.now
-            && self.controllers[two].partitioned_until <= self.now
-            && self.pair_partitioned_until[one.min(two)][one.max(two)] <= self.now
+            && self.controllers[other].partitioned_until <= self.now
+            && self.pair_partitioned_until[one.min(other)][one.max(other)] <= self.now
     }
 
     fn reaches_quorum(&self, index: usize) -> bool {
@@ -182,8 +185,9 @@
         reached >= QUORUM && self.now >= self.controllers[index].without_quorum_until
     }
 
-    fn disturb(&mut self) {
-        if self.is_undisturbed || self.rng.below(DISTURBANCE_INTERVAL_MS) != 0 {
+    /// Injects a random fault with a mean interval of `MEAN_FAULT_INTERVAL_MS`.
+    fn inject_fault(&mut self) {
+        if self.is_fault_free || self.rng.below(MEAN_FAULT_INTERVAL_MS) != 0 {
             return;
         }
         let index = self.rng.below(CONTROLLER_COUNT as u64) as usize;
@@ -200,7 +204,7 @@
         }
     }
 
-    /// The new run remembers nothing but what it reads from the register; cuts go on.
+    /// Restarts a controller. It keeps only the register that it knows; partitions and quorum faults continue.
     fn restart(&mut self, index: usize) {
         let frozen_until = self.now + self.rng.below(1000);
         let old = &self.controllers[index];
@@ -243,7 +247,7 @@
     fn consider_acquiring(&mut self, index: usize) {
         let now = self.now;
         let controller = &mut self.controllers[index];
-        if now < controller.started_at + LISTEN_MS {
+        if now < controller.started_at + STARTUP_GRACE_MS {
             return;
         }
         let is_confirmed = controller.is_confirmed(now);
@@ -298,39 +302,40 @@
         controller.known_register = self.register.clone();
     }
 
-    /// A round that writes the register. False: its outcome is unknown, whether it was carried out or not.
+    /// Runs a consensus round that writes the register. Returns `false` if the outcome is unknown: the write may or may not
+    /// have happened.
     fn write_register(&mut self, next: Register) -> bool {
-        let outcome = if self.is_undisturbed { 2 } else { self.rng.below(8) };
+        let outcome = if self.is_fault_free { 2 } else { self.rng.below(8) };
         if outcome != 0 {
             self.register = next;
         }
         outcome > 1
     }
 
-    fn act(&mut self, index: usize) {
+    fn send_order(&mut self, index: usize) {
         let controller = &self.controllers[index];
         let (Some(ownership), Some(confirmed_at)) = (controller.ownership, controller.confirmed_at) else { return };
         if !controller.is_owner() {
             return;
         }
         let tenure = RoleTenure { confirmed_at, ..ownership.tenure };
-        if !singleton_role::may_act(tenure, self.now, false, LEASE_MS, CONFIRMED_MS) {
+        if !singleton_role::may_act(tenure, self.now, false, LEASE_MS, CONFIRMATION_TTL_MS) {
             return;
         }
         let (epoch, owner) = (ownership.epoch, controller.name.clone());
-        // Before the first act, so that the next incarnation need not wait again.
+        // Recorded before the first order, so that the next incarnation of this controller need not wait again.
         if !controller.has_recorded_expiry {
             self.record_expiry(index, epoch, owner);
             return;
         }
-        let at = self.now + self.rng.below(MAX_ORDER_DELAY_MS);
-        self.acts.push(Act { at, epoch, owner });
+        let arrives_at = self.now + self.rng.below(MAX_ORDER_DELAY_MS);
+        self.orders.push(Order { arrives_at, epoch, owner });
     }
 
     fn record_expiry(&mut self, index: usize, epoch: u64, owner: String) {
-        let is_recorded = self.reaches_quorum(index)
+        let is_written = self.reaches_quorum(index)
             && self.register.epoch == epoch
             && self.write_register(Register { epoch, owner, predecessor_expired: true });
-        self.controllers[index].has_recorded_expiry |= is_recorded;
+        self.controllers[index].has_recorded_expiry |= is_written;
     }
 }
--- a/membership/src/view_tests.rs
+++ b/membership/src/view_tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_live_controller_of_the_zone_comes_first_and_another_follows_when_it_is_silent() {
+fn first_live_prefers_the_zone_and_falls_back_when_its_controller_times_out() {
     let mut view = MembershipView::new("10.0.0.1", "a", 1000);
     view.observe("10.0.0.2", peer("b", 100));
     assert_eq!(view.first_live("b", "list", 1000), "10.0.0.2");
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn all_controllers_agree_on_an_order() {
-    let mut one = MembershipView::new("10.0.0.1", "a", 1000);
-    let mut two = MembershipView::new("10.0.0.2", "b", 1000);
-    one.observe("10.0.0.2", peer("b", 1));
-    two.observe("10.0.0.1", peer("a", 1));
+fn preference_order_is_the_same_at_all_controllers() {
+    let mut first = MembershipView::new("10.0.0.1", "a", 1000);
+    let mut second = MembershipView::new("10.0.0.2", "b", 1000);
+    first.observe("10.0.0.2", peer("b", 1));
+    second.observe("10.0.0.1", peer("a", 1));
     for role in ["x", "y", "z"] {
-        assert_eq!(one.preference_order("c", role), two.preference_order("c", role));
+        assert_eq!(first.preference_order("c", role), second.preference_order("c", role));
     }
 }
 
 #[test]
-fn router_count_adds_own_leases_and_those_of_peers() {
+fn router_count_and_in_flight_totals_add_own_leases_and_those_of_peers() {
     let mut view = MembershipView::new("10.0.0.1", "a", 1000);
     view.observe("10.0.0.2", peer("b", 100));
     view.renew_lease("edge-1", 500, vec![("i-1".into(), 5)], "10.0.0.9:80".into());
@@ -42,11 +42,11 @@
     assert_eq!(view.router_count(400, true), 4);
     assert_eq!(view.router_count(600, true), 3);
     view.observe("10.0.0.2", peer("b", 50));
-    assert!(view.is_live("10.0.0.2", 1099), "the last heartbeat never goes back");
+    assert!(view.is_live("10.0.0.2", 1099), "the time of the last heartbeat must not move back");
 }
 
 #[test]
-fn one_that_a_live_peer_confirms_is_available() {
+fn a_controller_that_a_live_peer_confirms_is_available() {
     let confirmed = || PeerReport { confirmed: true, ..Default::default() };
     let mut view = MembershipView::new("10.0.0.1", "a", 1000);
     assert_eq!(view.unavailable_ms("10.0.0.2", 50), u64::MAX, "never seen");
@@ -56,14 +56,14 @@
     view.observe("10.0.0.3", peer("c", 9000));
     view.record_report("10.0.0.3", PeerReport { confirmations: vec!["10.0.0.2".into()], ..confirmed() }, 9000);
     assert_eq!((view.silent_ms("10.0.0.2", 9500), view.unavailable_ms("10.0.0.2", 9500)), (9400, 0));
-    assert_eq!(view.unavailable_ms("10.0.0.2", 10_000), 9900, "the peer itself is no longer live");
+    assert_eq!(view.unavailable_ms("10.0.0.2", 10_000), 9900, "the confirming peer is no longer live");
     view.observe("10.0.0.2", peer("b", 10_000));
     view.record_report("10.0.0.2", PeerReport { confirmations: vec!["10.0.0.2".into()], ..confirmed() }, 10_000);
-    assert_eq!(view.unavailable_ms("10.0.0.2", 10_100), 100, "nobody confirms itself");
+    assert_eq!(view.unavailable_ms("10.0.0.2", 10_100), 100, "a controller can't confirm itself");
 }
 
 #[test]
-fn one_that_is_live_but_reaches_no_quorum_is_unavailable() {
+fn a_live_controller_without_a_quorum_is_unavailable() {
     let mut view = MembershipView::new("10.0.0.1", "a", 1000);
     for now in (0..=5000).step_by(500) {
         view.observe("10.0.0.2", peer("b", now));
@@ -74,14 +74,18 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_goes_on_counting_the_routers_of_the_others() {
+fn router_count_never_drops_while_unconfirmed() {
     let mut view = MembershipView::new("10.0.0.1", "a", 1000);
     view.renew_lease("edge-1", 60_000, Vec::new(), String::new());
     view.observe("10.0.0.2", peer("b", 100));
     assert_eq!(view.router_count(200, true), 4);
-    assert_eq!(view.router_count(20_000, false), 4, "its part of a limit stays a quarter");
+    assert_eq!(view.router_count(20_000, false), 4, "its share of a limit stays a quarter");
     view.renew_lease("edge-2", 60_000, Vec::new(), String::new());
     view.observe("10.0.0.2", peer("b", 30_000));
     assert_eq!(view.router_count(30_000, false), 5);
-    assert_eq!(view.router_count(40_000, true), 2, "confirmed again: the other controller and its routers are gone");
+    assert_eq!(
+        view.router_count(40_000, true),
+        2,
+        "once confirmed again, it no longer counts routers of the lost peer"
+    );
 }
