--- a/membership/src/engine_usage.rs
+++ b/membership/src/engine_usage.rs
@@ -28,8 +28,8 @@
         unexpired_ids(&self.reassigning, now).collect()
     }
 
-    /// Returns the ids of the engines that any controller is about to switch between prefill and decode, starting with those
-    /// of this controller.
+    /// Returns the ids of the engines that any controller is about to switch between prefill and decode, starting with
+    /// those of this controller.
     pub fn reassigning(&self, now: u64) -> Vec<String> {
         let mut ids = self.own_reassigning(now);
         ids.extend(self.controllers.values().flat_map(|peer| unexpired_ids(&peer.reassigning, now)));
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,8 +1,8 @@
 //! Liveness of controllers and routers, and the order in which controllers are preferred as owners of singleton roles.
 //!
-//! Every controller builds its own [`MembershipView`] from heartbeats and leases. The crate does no I/O and reads no clock:
-//! callers pass the time in milliseconds of their monotonic clock (`kernel::clock::now`), so that simulations can run in
-//! virtual time.
+//! Every controller builds its own [`MembershipView`] from heartbeats and leases. The crate does no I/O and reads no
+//! clock: callers pass the time in milliseconds of their monotonic clock (`kernel::clock::now`), so that simulations
+//! can run in virtual time.
 #![deny(missing_docs)]
 
 mod eligible_owner;
--- a/membership/src/liveness.rs
+++ b/membership/src/liveness.rs
@@ -1,13 +1,14 @@
 //! Liveness, confirmation and availability of controllers.
 //!
-//! *Live*: its last heartbeat arrived within the liveness timeout. *Confirmed*: it is live and reported within the timeout that
-//! a quorum had confirmed its state. *Available*: confirmed as seen by this controller or by any live peer, so that a network
-//! partition between only two controllers makes neither of them unavailable.
+//! *Live*: its last heartbeat arrived within the liveness timeout. *Confirmed*: it is live and reported within the
+//! timeout that a quorum had confirmed its state. *Available*: confirmed as seen by this controller or by any live
+//! peer, so that a network partition between only two controllers makes neither of them unavailable.
 
 use crate::{MembershipView, Peer};
 
 impl MembershipView {
-    /// Returns whether the last heartbeat of a controller arrived within the liveness timeout. This controller is always live.
+    /// Returns whether the last heartbeat of a controller arrived within the liveness timeout. This controller is
+    /// always live.
     pub fn is_live(&self, ip: &str, now: u64) -> bool {
         ip == self.own_ip || self.controllers.get(ip).is_some_and(|peer| self.is_peer_live(peer, now))
     }
@@ -25,11 +26,11 @@
         self.is_live(ip, now) && self.unconfirmed_ms(ip, now) < self.liveness_timeout_ms
     }
 
-    /// Returns how long a controller has been unavailable, in milliseconds: 0 while a live peer confirms it, else the time since
-    /// it last reported to this controller that it was confirmed; `u64::MAX` if it never did.
+    /// Returns how long a controller has been unavailable, in milliseconds: 0 while a live peer confirms it, else the
+    /// time since it last reported to this controller that it was confirmed; `u64::MAX` if it never did.
     ///
-    /// A network partition between only two controllers makes neither of them unavailable. A controller that still sends
-    /// heartbeats but reaches no quorum is unavailable.
+    /// A network partition between only two controllers makes neither of them unavailable. A controller that still
+    /// sends heartbeats but reaches no quorum is unavailable.
     pub fn unavailable_ms(&self, ip: &str, now: u64) -> u64 {
         if ip == self.own_ip || self.is_confirmed_by_live_peer(ip, now) {
             return 0;
--- a/membership/src/platform_access.rs
+++ b/membership/src/platform_access.rs
@@ -23,7 +23,8 @@
         *self = PlatformAccess::default();
     }
 
-    /// Records a poll without a response. Once the platform counts as unreachable, each further failure starts another backoff.
+    /// Records a poll without a response. Once the platform counts as unreachable, each further failure starts another
+    /// backoff.
     pub fn record_failure(&mut self, now: u64) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if self.consecutive_failures >= UNREACHABLE_AFTER_FAILURES {
--- a/membership/src/platform_access_tests.rs
+++ b/membership/src/platform_access_tests.rs
@@ -96,8 +96,8 @@
     assert_eq!(simulation.last_poller, first, "the first controller polls again once it reaches the platform");
 }
 
-/// Longest allowed gap between successful polls, in milliseconds: the polls until the platform counts as unreachable, one
-/// heartbeat that reports it, and one poll of the next controller.
+/// Longest allowed gap between successful polls, in milliseconds: the polls until the platform counts as unreachable,
+/// one heartbeat that reports it, and one poll of the next controller.
 const MAX_GAP_MS: u64 = 4 * POLL_INTERVAL_MS + HEARTBEAT_INTERVAL_MS + POLL_INTERVAL_MS;
 
 #[test]
--- a/membership/src/router_lease.rs
+++ b/membership/src/router_lease.rs
@@ -34,8 +34,8 @@
 
     /// Returns the number of routers with a lease at any controller, by which shared limits are divided.
     ///
-    /// A controller that is not `confirmed` may be partitioned from the others and their routers. Until it is confirmed again,
-    /// the result never drops; otherwise each side of the partition would use the whole limit.
+    /// A controller that is not `confirmed` may be partitioned from the others and their routers. Until it is confirmed
+    /// again, the result never drops; otherwise each side of the partition would use the whole limit.
     pub fn router_count(&mut self, now: u64, confirmed: bool) -> u32 {
         let recent_peers = self.controllers.values().filter(|peer| now < peer.last_seen + 2 * self.liveness_timeout_ms);
         let own_count = self.routers.values().filter(|lease| lease.expires_at > now).count() as u32;
@@ -50,11 +50,11 @@
         addresses.filter(|address| !address.is_empty()).collect()
     }
 
-    /// Returns the frontend address of one router, or `None` if no router is known. Consecutive values of `attempt` cycle
-    /// through the routers.
+    /// Returns the frontend address of one router, or `None` if no router is known. Consecutive values of `attempt`
+    /// cycle through the routers.
     ///
-    /// Routers with a lease at this controller are preferred, since they are near; routers of live peers are used only if there
-    /// are none.
+    /// Routers with a lease at this controller are preferred, since they are near; routers of live peers are used only
+    /// if there are none.
     pub fn next_frontend(&self, now: u64, attempt: usize) -> Option<String> {
         let mut addresses = self.own_frontend_addresses();
         if addresses.is_empty() {
--- a/membership/src/singleton_role.rs
+++ b/membership/src/singleton_role.rs
@@ -1,8 +1,8 @@
 //! Rules for acquiring a singleton role and for acting as its owner.
 //!
-//! The register of a role holds its owner and an epoch, which serves as a fencing token. Writes to the register need a majority;
-//! this module decides when a controller tries to write it, and when the owner may act under its epoch. Two owners never act
-//! within one lease duration of each other, even if the receiver of their orders can't compare epochs.
+//! The register of a role holds its owner and an epoch, which serves as a fencing token. Writes to the register need a
+//! majority; this module decides when a controller tries to write it, and when the owner may act under its epoch. Two
+//! owners never act within one lease duration of each other, even if the receiver of their orders can't compare epochs.
 
 /// What a controller knows when it decides whether to acquire a role.
 #[derive(Clone, Copy, Debug)]
@@ -11,8 +11,8 @@
     pub own_ip: &'a str,
     /// Address of the owner in the register as a quorum last confirmed it; empty if the role has never been owned.
     pub owner: &'a str,
-    /// How long the owner has been unavailable, in milliseconds; counted only while this controller was confirmed without
-    /// interruption.
+    /// How long the owner has been unavailable, in milliseconds; counted only while this controller was confirmed
+    /// without interruption.
     pub unavailable_ms: u64,
     /// Whether this controller is the first confirmed one in the preference order.
     pub is_first_confirmed: bool,
@@ -30,8 +30,8 @@
 
 /// Measures how long a controller has been confirmed without interruption.
 ///
-/// While no controller reaches a quorum, the owner can't act either. This time must not count as unavailability of the owner, or
-/// any controller that is confirmed again before the owner would acquire its roles.
+/// While no controller reaches a quorum, the owner can't act either. This time must not count as unavailability of the
+/// owner, or any controller that is confirmed again before the owner would acquire its roles.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfirmedStreak {
     /// When the streak began, in milliseconds; `None` while the controller is not confirmed.
@@ -56,8 +56,8 @@
 pub struct RoleTenure {
     /// When the role was acquired, in milliseconds of the monotonic clock.
     pub acquired_at: u64,
-    /// Whether no other controller can have acted recently: either there was no owner before, or the last one was an earlier
-    /// incarnation of this controller, which recorded in the register that its own predecessor had expired.
+    /// Whether no other controller can have acted recently: either there was no owner before, or the last one was an
+    /// earlier incarnation of this controller, which recorded in the register that its own predecessor had expired.
     pub predecessor_expired: bool,
     /// Start of the quorum read that last confirmed this epoch, in milliseconds of the monotonic clock.
     pub confirmed_at: u64,
@@ -65,8 +65,10 @@
 
 /// Returns whether the owner may act at `now`, so that no two owners act within one lease duration of each other.
 ///
-/// An owner may act for `confirmed_ms` after the start of its last confirmation, so the predecessor may have acted until
-/// `confirmed_ms` after this epoch was committed. With `fencing`, receivers reject orders of older epochs and no wait is needed.
+/// An owner may act for `confirmed_ms` after the start of its last confirmation, so the predecessor may have acted
+/// until
+/// `confirmed_ms` after this epoch was committed. With `fencing`, receivers reject orders of older epochs and no wait
+/// is needed.
 pub fn may_act(tenure: RoleTenure, now: u64, fencing: bool, lease_ms: u64, confirmed_ms: u64) -> bool {
     if now >= tenure.confirmed_at + confirmed_ms {
         return false;
--- a/membership/src/singleton_role_tests.rs
+++ b/membership/src/singleton_role_tests.rs
@@ -1,5 +1,5 @@
-//! Simulates in virtual time controllers that are partitioned, freeze and restart: no two owners of a role act within one
-//! lease duration of each other, and epochs never decrease.
+//! Simulates in virtual time controllers that are partitioned, freeze and restart: no two owners of a role act within
+//! one lease duration of each other, and epochs never decrease.
 
 use crate::testing::singleton_roles::{Order, Simulation, LEASE_MS, ROLE};
 
@@ -15,8 +15,8 @@
         simulation
     }
 
-    /// Returns whether, in the sequence in which orders arrive, epochs never decrease and two successive owners have different
-    /// epochs and are at least one lease duration apart.
+    /// Returns whether, in the sequence in which orders arrive, epochs never decrease and two successive owners have
+    /// different epochs and are at least one lease duration apart.
     fn is_safe(&self) -> bool {
         let mut orders: Vec<&Order> = self.orders.iter().collect();
         orders.sort_by_key(|order| order.arrives_at);
@@ -62,8 +62,9 @@
     );
 }
 
-/// Partitions the owner of a role from the next controller in the preference order only. Both reach the third one, so a quorum
-/// confirms both, and each finds itself first in the order. Returns the numbers of new epochs and orders during the partition.
+/// Partitions the owner of a role from the next controller in the preference order only. Both reach the third one, so a
+/// quorum confirms both, and each finds itself first in the order. Returns the numbers of new epochs and orders during
+/// the partition.
 fn partition_between_the_first_two(ignores_reports: bool) -> (u64, usize) {
     let mut simulation = Simulation::without_faults();
     simulation.ignores_reports = ignores_reports;
--- a/membership/src/testing/singleton_roles.rs
+++ b/membership/src/testing/singleton_roles.rs
@@ -1,7 +1,7 @@
 //! Simulation in virtual time of three controllers that own a singleton role in turn, and of its register.
 //!
-//! Controllers freeze, restart, lose their quorum and are partitioned from each other. The simulation records every order that an
-//! owner sends, for tests to check.
+//! Controllers freeze, restart, lose their quorum and are partitioned from each other. The simulation records every
+//! order that an owner sends, for tests to check.
 
 use std::array;
 
@@ -302,8 +302,8 @@
         controller.known_register = self.register.clone();
     }
 
-    /// Runs a consensus round that writes the register. Returns `false` if the outcome is unknown: the write may or may not
-    /// have happened.
+    /// Runs a consensus round that writes the register. Returns `false` if the outcome is unknown: the write may or may
+    /// not have happened.
     fn write_register(&mut self, next: Register) -> bool {
         let outcome = if self.is_fault_free { 2 } else { self.rng.below(8) };
         if outcome != 0 {
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -6,23 +6,23 @@
 
 /// The peers and routers that one controller knows.
 ///
-/// Invariants: [`Peer::last_seen`] never moves back; a peer is live for `liveness_timeout_ms` after its last heartbeat; a
-/// router holds its lease until [`RouterLease::expires_at`].
+/// Invariants: [`Peer::last_seen`] never moves back; a peer is live for `liveness_timeout_ms` after its last heartbeat;
+/// a router holds its lease until [`RouterLease::expires_at`].
 #[derive(Clone, Debug, Default)]
 pub struct MembershipView {
     /// Address of the controller that keeps this view.
     pub own_ip: String,
     /// Zone of that controller.
     pub zone: String,
-    /// Liveness timeout: how long a peer stays live after its last heartbeat and confirmed after it last reported so, in
-    /// milliseconds.
+    /// Liveness timeout: how long a peer stays live after its last heartbeat and confirmed after it last reported so,
+    /// in milliseconds.
     pub liveness_timeout_ms: u64,
     /// The other known controllers, by address.
     pub controllers: BTreeMap<String, Peer>,
     /// Leases of routers at this controller, by node name.
     pub routers: BTreeMap<String, RouterLease>,
-    /// Ids of the engines that this controller is about to switch between prefill and decode, each with the expiry of the
-    /// entry in milliseconds.
+    /// Ids of the engines that this controller is about to switch between prefill and decode, each with the expiry of
+    /// the entry in milliseconds.
     pub reassigning: Vec<(String, u64)>,
     /// Number of routers when this controller was last confirmed, or a higher number counted since.
     pub(crate) confirmed_router_count: u32,
--- a/metering/src/anchored_clock.rs
+++ b/metering/src/anchored_clock.rs
@@ -1,42 +1,43 @@
-//! A time of day that goes on steadily while the machine's own jumps.
+//! A wall-clock time that ignores short steps of the machine's wall clock.
 
-/// A difference of the two clocks that is smaller than this is drift and followed at once, in milliseconds.
+/// Largest change of the offset between the two clocks that counts as drift and is applied at once, in milliseconds.
 const MAX_DRIFT_MS: u64 = 250;
-/// A jump is followed once it has lasted for so long, in milliseconds: then the time before it was the wrong one.
-const JUMP_ACCEPTED_MS: u64 = 60_000;
+/// How long a step must last before it is applied, in milliseconds. A step that lasts this long corrects a wrong time.
+const MIN_STEP_DURATION_MS: u64 = 60_000;
 
-/// The time of day as the steady clock carries it on from an earlier reading.
+/// A wall-clock time that advances with the monotonic clock from an earlier reading.
 ///
-/// Invariant: its offset from the steady clock changes by a small drift, or to one that has lasted for a minute.
+/// Invariant: its offset from the monotonic clock changes only by at most `MAX_DRIFT_MS` at a time, or to an offset
+/// that has lasted for `MIN_STEP_DURATION_MS`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnchoredClock {
-    /// The time of day less the steady clock; `None` before the first reading.
+    /// Wall clock minus monotonic clock, in milliseconds; `None` before the first reading.
     offset_ms: Option<i64>,
-    /// A jump: the offset that was read, and since when on the steady clock.
-    jump: Option<(i64, u64)>,
+    /// A step that is not applied yet: its offset, and the monotonic time at which it was first read, in milliseconds.
+    pending_step: Option<(i64, u64)>,
 }
 
 impl AnchoredClock {
-    /// Takes in a reading of both clocks, in milliseconds, and returns the time of day to go by.
-    pub fn read(&mut self, time_of_day_ms: u64, steady_ms: u64) -> u64 {
-        let found = time_of_day_ms as i64 - steady_ms as i64;
-        let offset = *self.offset_ms.get_or_insert(found);
-        if found.abs_diff(offset) <= MAX_DRIFT_MS {
-            (self.offset_ms, self.jump) = (Some(found), None);
+    /// Records a reading of both clocks and returns the adjusted wall-clock time, all in milliseconds.
+    pub fn read(&mut self, wall_clock_ms: u64, monotonic_ms: u64) -> u64 {
+        let measured_offset = wall_clock_ms as i64 - monotonic_ms as i64;
+        let offset = *self.offset_ms.get_or_insert(measured_offset);
+        if measured_offset.abs_diff(offset) <= MAX_DRIFT_MS {
+            (self.offset_ms, self.pending_step) = (Some(measured_offset), None);
         } else {
-            self.consider_jump(found, steady_ms);
+            self.consider_step(measured_offset, monotonic_ms);
         }
-        (steady_ms as i64 + self.offset_ms.unwrap_or(found)).max(0) as u64
+        (monotonic_ms as i64 + self.offset_ms.unwrap_or(measured_offset)).max(0) as u64
     }
 
-    fn consider_jump(&mut self, found: i64, steady_ms: u64) {
-        match self.jump {
-            Some((offset, since)) if found.abs_diff(offset) <= MAX_DRIFT_MS => {
-                if steady_ms >= since + JUMP_ACCEPTED_MS {
-                    (self.offset_ms, self.jump) = (Some(found), None);
+    fn consider_step(&mut self, measured_offset: i64, monotonic_ms: u64) {
+        match self.pending_step {
+            Some((pending_offset, since)) if measured_offset.abs_diff(pending_offset) <= MAX_DRIFT_MS => {
+                if monotonic_ms >= since + MIN_STEP_DURATION_MS {
+                    (self.offset_ms, self.pending_step) = (Some(measured_offset), None);
                 }
             }
-            _ => self.jump = Some((found, steady_ms)),
+            _ => self.pending_step = Some((measured_offset, monotonic_ms)),
         }
     }
 }
--- a/metering/src/count_tables_tests.rs
+++ b/metering/src/count_tables_tests.rs
@@ -1,4 +1,4 @@
-//! Reports merge to the same tables in any order, however often they come.
+//! Merging of reports: independent of order and duplicates, and limited to windows near the present one.
 
 use proptest::prelude::*;
 use protocol::metering::{RouterCounts, TenantCount, WindowCounts};
@@ -20,7 +20,7 @@
 
 proptest! {
     #[test]
-    fn order_and_repetition_do_not_matter(
+    fn merging_does_not_depend_on_order_or_duplicates(
         drawn in prop::collection::vec((0..3_u64, 0..3_u64, 0..3_u8, 1..9_u64), 0..30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
@@ -33,16 +33,16 @@
             shuffled.extend(order.iter().map(|index| index.get(&reports).clone()));
         }
         prop_assert_eq!(merged(&reports), merged(&shuffled));
-        // By way of another controller, too.
-        let first = merged(&reports);
-        let windows: Vec<u64> = first.windows().collect();
-        let passed_on = first.select(&windows);
-        prop_assert_eq!(merged(&passed_on), first);
+        // Tables that another controller forwards merge to the same result.
+        let direct = merged(&reports);
+        let windows: Vec<u64> = direct.windows().collect();
+        let forwarded = direct.select(&windows);
+        prop_assert_eq!(merged(&forwarded), direct);
     }
 }
 
 #[test]
-fn a_total_is_the_sum_over_router_processes_of_their_highest_counts() {
+fn totals_sum_the_highest_count_of_each_router_process() {
     let tables = merged(&[
         report(1, PRESENT, "a", 3),
         report(1, PRESENT, "a", 5),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn windows_of_another_time_are_passed_over_and_old_ones_forgotten() {
+fn windows_far_from_the_present_are_ignored_and_old_ones_removed() {
     let mut tables = merged(&[report(1, PRESENT + 120, "a", 1), report(1, 3, "a", 1), report(1, PRESENT, "a", 1)]);
     assert_eq!(tables.windows().collect::<Vec<_>>(), [PRESENT]);
     tables.merge(&report(1, PRESENT + 40, "a", 1), PRESENT + 40);
--- a/metering/src/export_schedule_tests.rs
+++ b/metering/src/export_schedule_tests.rs
@@ -1,4 +1,4 @@
-//! When windows are due, and what they wait for.
+//! Which windows are due, and how long a window waits for missing reports.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::ExportState;
 
 const SCHEDULE: ExportSchedule = ExportSchedule { window_ms: 5000, delay_ms: 10_000 };
-/// The end of window 999.
+/// End of window 999, in milliseconds.
 const END: u64 = 5_000_000;
 
 fn due(state: &ExportState, empty: &[u64], time_ms: u64) -> Vec<u64> {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_window_is_due_once_the_reports_of_its_end_have_come_and_for_two_minutes() {
+fn a_window_is_due_from_its_settle_time_until_two_minutes_after_its_end() {
     let state = ExportState::default();
     assert_eq!(due(&state, &[], END + 2499).last(), Some(&998));
     assert_eq!(due(&state, &[], END + 2500).last(), Some(&999));
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn what_is_agreed_on_or_empty_is_not_due() {
-    let agreed = ExportState::default().with_agreed(999, Vec::new()).expect("open");
-    let found = due(&agreed, &[998, 996], END + 2500);
-    assert_eq!(&found[found.len() - 2..], [995, 997]);
+fn committed_and_empty_windows_are_not_due() {
+    let committed = ExportState::default().with_agreed(999, Vec::new()).expect("window 999 is open");
+    let due_windows = due(&committed, &[998, 996], END + 2500);
+    assert_eq!(&due_windows[due_windows.len() - 2..], [995, 997]);
 }
 
 #[test]
-fn it_waits_for_controllers_until_its_counts_are_nearly_due_and_longer_for_a_zone() {
+fn a_window_waits_for_controllers_until_shortly_before_its_deadline_and_longer_for_a_zone() {
     let (none, one) = (MissingReports::default(), MissingReports { controllers: 1, is_zone_missing: false });
     let zone = MissingReports { controllers: 2, is_zone_missing: true };
     assert!(SCHEDULE.is_ready(none, 2500));
--- a/metering/src/export_state.rs
+++ b/metering/src/export_state.rs
@@ -1,40 +1,41 @@
-//! What is agreed on about the export of windows: it stands in a register, on a quorum of disks, before anything is told.
+//! The committed state of the export. It is in a register, stored by a quorum, before any of its counts are sent to the
+//! platform.
 
 use protocol::metering::TenantCount;
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::WindowId;
 
-/// How many windows are kept as told, so that they are never agreed on anew.
+/// How many committed windows are kept. Acknowledged windows stay among them so that they are not committed again.
 pub const RETAINED_WINDOWS: usize = 64;
 
-/// One window whose counts are agreed on. The stored bytes depend on the order of the fields.
+/// A window whose counts are committed. The stored bytes depend on the order of the fields.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ExportWindow {
-    /// The window.
+    /// Number of the window.
     pub window: WindowId,
-    /// The platform has acknowledged it: the counts are no longer kept.
+    /// Whether the platform has acknowledged the window. Its counts are then dropped.
     pub told: bool,
-    /// The counts by tenant, in order of the names.
+    /// Counts by tenant, sorted by tenant name.
     pub counts: Vec<TenantCount>,
 }
 
-/// The windows that are agreed on, ascending.
+/// The committed windows.
 ///
-/// Invariants: the counts of a window never change; a window that was told is never open again, and none below the oldest
-/// one that is kept can be agreed on.
+/// Invariants: the counts of a window never change before the platform acknowledges it; an acknowledged window never
+/// becomes open again; no window below `first` can be committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ExportState {
-    /// No window below this one can be agreed on any more.
+    /// First window that may still be committed; all earlier ones are closed.
     pub first: WindowId,
-    /// The windows in their order.
+    /// Committed windows in ascending order.
     pub windows: Vec<ExportWindow>,
 }
 
 kernel::impl_archive_bytes!(ExportState);
 
 impl ExportState {
-    /// Returns the state in a register's body, the initial one where it is empty. `None`: the body is of another form.
+    /// Decodes the body of a register; an empty body is the initial state. Returns `None` if the body is malformed.
     pub fn open(body: &[u8]) -> Option<ExportState> {
         match body.is_empty() {
             true => Some(ExportState::default()),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns whether a window may still be agreed on.
+    /// Returns whether a window may still be committed.
     pub fn is_open(&self, window: WindowId) -> bool {
         window >= self.first && self.find(window).is_none()
     }
@@ -51,7 +52,7 @@
         self.windows.iter().find(|known| known.window == window)
     }
 
-    /// Returns the state in which the counts of a window are agreed on; `None` where that window is not open.
+    /// Returns the state with the counts of a window added, or `None` if the window is not open.
     pub fn with_agreed(&self, window: WindowId, counts: Vec<TenantCount>) -> Option<ExportState> {
         if !self.is_open(window) {
             return None;
@@ -59,11 +60,11 @@
         let mut next = self.clone();
         next.windows.push(ExportWindow { window, told: false, counts });
         next.windows.sort_by_key(|known| known.window);
-        next.forget_told();
+        next.remove_acknowledged();
         Some(next)
     }
 
-    /// Returns the state in which a window was told; `None` where it was before, or is not agreed on.
+    /// Returns the state with a window marked as acknowledged, or `None` if it already is or is not committed.
     pub fn with_told(&self, window: WindowId) -> Option<ExportState> {
         let position = self.windows.iter().position(|known| known.window == window && !known.told)?;
         let mut next = self.clone();
@@ -71,15 +72,16 @@
         Some(next)
     }
 
-    /// Forgets the oldest windows that were told, and closes what is below them.
-    fn forget_told(&mut self) {
+    /// Removes the oldest windows beyond `RETAINED_WINDOWS` while they are acknowledged, and closes all windows up to
+    /// them.
+    fn remove_acknowledged(&mut self) {
         while self.windows.len() > RETAINED_WINDOWS && self.windows[0].told {
-            let forgotten = self.windows.remove(0);
-            self.first = self.first.max(forgotten.window + 1);
+            let removed = self.windows.remove(0);
+            self.first = self.first.max(removed.window + 1);
         }
     }
 
-    /// Returns the oldest window that is agreed on and was not told.
+    /// Returns the oldest committed window that is not acknowledged, which is the next to send to the platform.
     pub fn next_to_tell(&self) -> Option<&ExportWindow> {
         self.windows.iter().find(|known| !known.told)
     }
--- a/metering/src/lib.rs
+++ b/metering/src/lib.rs
@@ -1,8 +1,10 @@
-//! Metering: how many requests of each tenant began in each window of time, told to the platform once.
+//! Usage metering: counts the requests of each tenant that begin in each time window and exports each window to the
+//! platform with one final value.
 //!
-//! [`AnchoredClock`] gives the windows a time that does not follow the steps of one machine's clock. [`RequestCounter`] counts at
-//! a router, [`CountTables`] merge what routers report, and [`ExportState`] is what is agreed on before anything is told. All are
-//! pure: the time comes in with each call. The design is in `docs/usage.md`.
+//! [`AnchoredClock`] assigns requests to windows by a time that ignores short steps of the machine's wall clock.
+//! [`RequestCounter`] counts at a router, [`CountTables`] merges the reports of routers, and [`ExportState`] holds the
+//! counts that are committed before they are exported. All of them take the time as a parameter. The design is in
+//! `docs/usage.md`.
 
 #![deny(missing_docs)]
 
@@ -18,15 +20,15 @@
 pub use export_state::{ExportState, ExportWindow, RETAINED_WINDOWS};
 pub use request_counter::RequestCounter;
 
-/// The number of a window: it begins this many window lengths after the start of 1970.
+/// Number of a window, which begins this many window lengths after the Unix epoch.
 pub type WindowId = u64;
 
-/// Returns the window of a time of day, both in milliseconds.
+/// Returns the window that contains a wall-clock time. Both the time and the window length are in milliseconds.
 pub fn window_at(time_ms: u64, window_ms: u64) -> WindowId {
     time_ms / window_ms.max(1)
 }
 
-/// Returns when a window ends, as a time of day in milliseconds.
+/// Returns the wall-clock time at which a window ends, in milliseconds.
 pub fn window_end_ms(window: WindowId, window_ms: u64) -> u64 {
     (window + 1) * window_ms
 }
--- a/metering/src/request_counter.rs
+++ b/metering/src/request_counter.rs
@@ -1,4 +1,4 @@
-//! What one router counted: by window and tenant, and what of it the reader has not been told.
+//! Request counts of one router by window and tenant, and which of them are not reported yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -7,18 +7,19 @@
 
 use crate::WindowId;
 
-/// A router keeps its counts for so many windows, and tells them again to a new reader.
+/// How many windows before the current one are kept, so that they can be reported again to a new reader.
 const RETAINED_WINDOWS: u64 = 14;
 
-/// Counts of one router process. Counts only grow, so that a report that comes twice or late changes nothing.
+/// Counts of one router process. Counts only grow, so duplicate and late reports have no effect.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounter {
     counts: BTreeMap<WindowId, BTreeMap<String, u64>>,
+    /// Counts that changed since the last report.
     unreported: BTreeSet<(WindowId, String)>,
 }
 
 impl RequestCounter {
-    /// Counts a request of a tenant that began to run in a window.
+    /// Counts a request of a tenant that began in a window, and removes windows that are too old.
     pub fn record(&mut self, window: WindowId, tenant: &str) {
         let tenants = self.counts.entry(window).or_default();
         match tenants.get_mut(tenant) {
@@ -28,22 +29,22 @@
             }
         }
         self.unreported.insert((window, tenant.to_string()));
-        self.forget_before(window.saturating_sub(RETAINED_WINDOWS));
+        self.remove_before(window.saturating_sub(RETAINED_WINDOWS));
     }
 
-    fn forget_before(&mut self, first: WindowId) {
+    fn remove_before(&mut self, first: WindowId) {
         self.counts.retain(|window, _| *window >= first);
         self.unreported.retain(|(window, _)| *window >= first);
     }
 
-    /// Marks the newest windows as not reported, so many of them.
+    /// Marks the newest `windows` windows as unreported.
     pub fn report_again(&mut self, windows: usize) {
         for (window, tenants) in self.counts.iter().rev().take(windows) {
             self.unreported.extend(tenants.keys().map(|tenant| (*window, tenant.clone())));
         }
     }
 
-    /// Removes and returns what was not reported, as counts from the beginning of each window on.
+    /// Returns the unreported counts, each cumulative since the start of its window, and marks them as reported.
     pub fn take_unreported(&mut self) -> Vec<WindowCounts> {
         let mut windows: BTreeMap<WindowId, Vec<TenantCount>> = BTreeMap::new();
         for (window, tenant) in mem::take(&mut self.unreported) {
