--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -1,12 +1,12 @@
 //! The prefix catalog: which engines hold the KV cache of which prompt prefixes.
 //!
-//! A prompt arrives as a list of segments. Each prefix of that list has a key, a hash chained over the segments in their
-//! order, so that one key stands for a whole prefix (`prompt_prefix`). One controller keeps the [`PrefixIndex`] of all
-//! routers and the [`LoadTable`] beside it; each router keeps an [`OwnerCache`] of what it learned itself, scans that
-//! first and asks the index for the missing suffix only.
+//! A prompt arrives as a list of segments. Each prefix of that list has a key, a hash chained over its segments in
+//! order, so that one key identifies a whole prefix (`prompt_prefix`). One controller keeps the [`PrefixIndex`] of all
+//! routers and the [`LoadTable`]; each router keeps an [`OwnerCache`] of the owners that it learned itself, searches it
+//! first and asks the index only for the missing suffix.
 //!
-//! Nothing here is replicated or stored: after a loss the index fills again from what routers register. All functions are
-//! pure; times are milliseconds of the caller's clock.
+//! Nothing here is replicated or stored on disk: after a loss, the index is rebuilt from the registrations of routers.
+//! The crate does no I/O and reads no clock; callers pass the time in milliseconds of their own clock.
 #![deny(missing_docs)]
 
 mod load_table;
--- a/catalog/src/load_table.rs
+++ b/catalog/src/load_table.rs
@@ -1,51 +1,52 @@
-//! The load that engines last reported to any router.
+//! The load that each engine last reported to any router.
 //!
-//! It stands beside the prefix index since every prefill passes there anyway: registrations bring reports in, and look-ups
-//! take those of a few engines out (`docs/design.md`, "Decisions from samples").
+//! The controller that holds the prefix index also holds this table, since every prefill contacts it anyway:
+//! registrations carry reports in, and lookups return those of a few engines (`docs/design.md`, "Decisions from
+//! samples").
 
 use std::collections::HashMap;
 
 use protocol::message::EngineLoad;
 
-/// How long a report is returned, in milliseconds. A router lets a report fade by half each 0.4 s, so an older one says
-/// next to nothing.
+/// Age at which a report becomes stale and is no longer returned, in milliseconds. Routers discount a report with a
+/// half-life of 0.4 s, so an older one has almost no weight.
 const STALE_MS: u64 = 3000;
-/// How many engines are held at most: about three times the largest fleet weighed in `docs/design.md`.
+/// Maximum number of engines: about three times the largest fleet considered in `docs/design.md`.
 const CAPACITY: usize = 20_000;
 
 #[derive(Clone, Copy)]
 struct LoadEntry {
-    /// Requests that run or wait at the engine.
+    /// Number of requests that run or wait at the engine.
     load: u32,
-    /// In milliseconds.
+    /// When the engine reported the load, in milliseconds.
     reported_at: u64,
 }
 
 /// Maps engines, by the hash of their id, to their last reported load.
 ///
-/// Invariants: an older report never replaces a newer one; nothing of an age of `STALE_MS` or more is returned; at most
-/// `CAPACITY` engines are held.
+/// Invariants: an older report never replaces a newer one; no report of age `STALE_MS` or more is returned; there are
+/// at most `CAPACITY` entries.
 #[derive(Default)]
 pub struct LoadTable {
     entries: HashMap<u64, LoadEntry>,
 }
 
 impl LoadTable {
-    /// Records a report, whose age counts back from `now` in milliseconds. A new engine is ignored while the table is full
-    /// of fresh reports.
+    /// Records a report, whose age is relative to `now`. A new engine is ignored while the table is full of fresh
+    /// reports.
     pub fn record(&mut self, report: &EngineLoad, now: u64) {
         if !self.has_room_for(report.engine_hash, now) {
             return;
         }
         let reported_at = now.saturating_sub(u64::from(report.age_ms));
-        let new = LoadEntry { load: report.load, reported_at };
-        let entry = self.entries.entry(report.engine_hash).or_insert(new);
+        let new_entry = LoadEntry { load: report.load, reported_at };
+        let entry = self.entries.entry(report.engine_hash).or_insert(new_entry);
         if entry.reported_at <= reported_at {
-            *entry = new;
+            *entry = new_entry;
         }
     }
 
-    /// Returns whether an engine has an entry or may get one. Drops stale entries when the table is full.
+    /// Returns whether an engine has an entry or there is room for one. Removes stale entries when the table is full.
     fn has_room_for(&mut self, engine_hash: u64, now: u64) -> bool {
         if self.entries.len() < CAPACITY || self.entries.contains_key(&engine_hash) {
             return true;
@@ -54,7 +55,7 @@
         self.entries.len() < CAPACITY
     }
 
-    /// Returns the fresh reports of some engines.
+    /// Returns the fresh reports of the given engines.
     pub fn loads(&self, engine_hashes: impl Iterator<Item = u64>, now: u64) -> Vec<EngineLoad> {
         engine_hashes.filter_map(|engine_hash| self.load(engine_hash, now)).collect()
     }
--- a/catalog/src/owner_cache.rs
+++ b/catalog/src/owner_cache.rs
@@ -1,54 +1,54 @@
-//! What one router learned about the owners of prefixes: it scans this before it asks the prefix index.
+//! A router's cache of the owners of prefixes, which it searches before it asks the prefix index.
 
 use std::collections::HashMap;
 
 use crate::owner_map::OwnerMap;
 
-/// How many owners of one key are kept.
+/// Maximum number of owners of one key.
 const MAX_OWNERS_PER_KEY: usize = 4;
 
-/// Counts what came of look-ups, for the operator's log and metrics.
+/// Counts the outcomes of lookups, for the operator's log and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LookupCounts {
-    /// Requests whose owners were looked up.
+    /// Requests for which owners were looked up.
     pub queries: u64,
-    /// Look-ups that found a usable owner.
+    /// Lookups that found a usable owner.
     pub hits: u64,
-    /// Look-ups for which neither the router nor the index knew an owner.
+    /// Lookups for which neither the router nor the index knew an owner.
     pub no_owner: u64,
-    /// Owners that were found but have left the list of engines or are draining.
+    /// Owners that were found but are no longer in the list of engines or are draining.
     pub stale_owner: u64,
-    /// Hand-overs given up because the KV cache could not be fetched from its owner.
+    /// KV cache handovers that were abandoned because the cache could not be fetched from its owner.
     pub transfer_error: u64,
-    /// Queries to the index that got no answer.
+    /// Queries to the index that were not answered.
     pub unanswered: u64,
-    /// Registrations that were lost or still unconfirmed at the flush before a hand-over.
+    /// Registrations that were lost or still unconfirmed at the flush before the handover from prefill to decode.
     pub dropped: u64,
 }
 
-/// An engine that is not to be named as an owner of one key.
+/// An engine that is not returned as an owner of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Suppression {
     engine: String,
     key: u64,
 }
 
-/// Maps prefix keys to the engines that this router knows as their owners.
+/// Maps prefix keys to the engines that this router knows to be their owners.
 ///
-/// Invariants: an owner is returned only while it is younger than `stale_ms` and not suppressed; at most `capacity` keys
-/// are held; a suppression holds for one engine and one key, whatever request caused it.
+/// Invariants: an owner is returned only if it was recorded less than `stale_ms` ago and is not suppressed; there are
+/// at most `capacity` keys; a suppression applies to one engine and one key, for all requests.
 pub struct OwnerCache {
     owners: OwnerMap<String>,
-    /// Until when each suppression lasts, in milliseconds.
+    /// Expiry of each suppression, in milliseconds.
     suppressed: HashMap<Suppression, u64>,
     capacity: usize,
     stale_ms: u64,
-    /// What came of look-ups so far.
+    /// Outcomes of all lookups so far.
     pub counts: LookupCounts,
 }
 
 impl OwnerCache {
-    /// Creates an empty cache for `capacity` keys, whose entries count for `stale_ms` milliseconds.
+    /// Creates an empty cache for `capacity` keys, whose entries become stale after `stale_ms` milliseconds.
     pub fn new(capacity: usize, stale_ms: u64) -> OwnerCache {
         OwnerCache {
             owners: OwnerMap::new(capacity, MAX_OWNERS_PER_KEY),
@@ -64,7 +64,7 @@
         self.owners.record(key, engine, now);
     }
 
-    /// Returns how many of the keys, from the first one on, have an owner.
+    /// Returns the number of leading keys that have a usable owner.
     pub fn known_prefix_count(&self, keys: &[u64], now: u64) -> usize {
         keys.iter().take_while(|key| !self.owners(**key, now).is_empty()).count()
     }
@@ -77,8 +77,8 @@
         usable.map(|owner| owner.engine.as_str()).collect()
     }
 
-    /// Suppresses an engine as an owner of one key until `until`, in milliseconds. When too many suppressions are held,
-    /// all older ones are dropped.
+    /// Suppresses an engine as an owner of one key until `until`, in milliseconds. If there are more than `capacity`
+    /// suppressions, all earlier ones are removed.
     pub fn suppress(&mut self, engine: &str, key: u64, until: u64) {
         if self.suppressed.len() > self.capacity {
             self.suppressed.clear();
@@ -100,7 +100,7 @@
         self.owners.remove_engine(engine);
     }
 
-    /// Returns all keys with their usable owners, for a prefix index that lost its state.
+    /// Returns all pairs of a key and a usable owner, to rebuild a prefix index that lost its state.
     pub fn entries(&self, now: u64) -> Vec<(u64, String)> {
         let mut entries = Vec::new();
         for key in self.owners.keys() {
--- a/catalog/src/owner_cache_tests.rs
+++ b/catalog/src/owner_cache_tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn only_the_missing_suffix_is_unknown() {
+fn known_prefix_count_ends_at_the_first_key_without_a_fresh_owner() {
     let mut cache = super::OwnerCache::new(10, 1000);
     cache.record(1, "i-1", 0);
     cache.record(2, "i-1", 0);
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_short_transfer_suppresses_one_engine_for_one_key_only() {
+fn suppression_applies_to_one_engine_and_key_until_it_expires() {
     let mut cache = super::OwnerCache::new(10, 1000);
     for (key, engine) in [(1, "i-1"), (1, "i-2"), (2, "i-1")] {
         cache.record(key, engine, 0);
--- a/catalog/src/prefix_index.rs
+++ b/catalog/src/prefix_index.rs
@@ -1,26 +1,26 @@
-//! The index of all routers' registrations, in the controller that owns the catalog role.
+//! The index of all routers' registrations, kept by the controller that owns the catalog role.
 
 use std::collections::HashMap;
 
 use crate::owner_map::OwnerMap;
 
-/// How many owners of one key are kept: more than a selection has use for.
+/// Maximum number of owners of one key: more than the selection of an engine can use.
 const MAX_OWNERS_PER_KEY: usize = 8;
 
 /// Maps prefix keys to the engines that hold their KV cache.
 ///
-/// Invariants: `engine_indices` maps each id in `engine_ids` to its position there; at most `capacity` keys are held;
-/// nothing registered `stale_ms` ago or earlier is returned.
+/// Invariants: `engine_indices` maps each id in `engine_ids` to its position there; there are at most `capacity` keys;
+/// no owner that was registered `stale_ms` ago or earlier is returned.
 pub struct PrefixIndex {
     engine_ids: Vec<String>,
     engine_indices: HashMap<String, u32>,
-    /// Engines by their position in `engine_ids`, since ids would take most of the memory.
+    /// Owners by their index in `engine_ids`, since storing the ids would take most of the memory.
     owners: OwnerMap<u32>,
     stale_ms: u64,
 }
 
 impl PrefixIndex {
-    /// Creates an empty index for `capacity` keys, whose registrations count for `stale_ms` milliseconds.
+    /// Creates an empty index for `capacity` keys, whose registrations become stale after `stale_ms` milliseconds.
     pub fn new(capacity: usize, stale_ms: u64) -> PrefixIndex {
         PrefixIndex {
             engine_ids: Vec::new(),
@@ -36,6 +36,7 @@
         self.owners.record(key, engine, now);
     }
 
+    /// Returns the index of an engine in `engine_ids`, adding it if it is new.
     fn engine_index(&mut self, engine: &str) -> u32 {
         if let Some(index) = self.engine_indices.get(engine) {
             return *index;
@@ -64,12 +65,12 @@
         self.owners.clear();
     }
 
-    /// Returns the number of keys, those without an owner included.
+    /// Returns the number of keys, including those without an owner.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Returns whether no key is held.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.owners.len() == 0
     }
--- a/catalog/src/prefix_index_tests.rs
+++ b/catalog/src/prefix_index_tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn owners_go_stale_and_removed_engines_are_not_returned() {
+fn owners_excludes_stale_registrations_and_removed_engines() {
     let mut prefix_index = super::PrefixIndex::new(10, 30_000);
     prefix_index.register(1, "i-1", 0);
     prefix_index.register(1, "i-2", 10_000);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn capacity_is_bounded() {
+fn a_full_index_evicts_the_oldest_keys() {
     let mut prefix_index = super::PrefixIndex::new(2, 1000);
     for key in 0..5 {
         prefix_index.register(key, "i-1", 0);
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn a_key_that_is_registered_again_outlives_one_that_is_not() {
+fn registering_a_key_again_protects_it_from_eviction() {
     let mut prefix_index = super::PrefixIndex::new(2, 1000);
     for key in [1, 2, 1, 3] {
         prefix_index.register(key, "i-1", 0);
     }
     assert_eq!(prefix_index.owners(1, 0), ["i-1"]);
-    assert!(prefix_index.owners(2, 0).is_empty(), "registered the longest ago");
+    assert!(prefix_index.owners(2, 0).is_empty(), "the least recently registered key is evicted");
     assert_eq!(prefix_index.owners(3, 0), ["i-1"]);
 }
--- a/catalog/src/prompt_prefix.rs
+++ b/catalog/src/prompt_prefix.rs
@@ -11,19 +11,19 @@
     pub tokens: u32,
 }
 
-/// Parses the value of a `Prompt-Prefix` header: `ID:TOKENS` pairs, separated by commas. An id that is not hexadecimal is
-/// hashed. Returns `None` when the value does not have this form.
+/// Parses the value of a `Prompt-Prefix` header: comma-separated `ID:TOKENS` pairs. An id that is not a 64-bit
+/// hexadecimal number is hashed. Returns `None` if the value is malformed.
 pub fn parse_prompt_prefix(text: &str) -> Option<Vec<PromptSegment>> {
     let mut segments = Vec::new();
-    for piece in text.split(',') {
-        let (id, tokens) = piece.trim().split_once(':')?;
+    for pair in text.split(',') {
+        let (id, tokens) = pair.trim().split_once(':')?;
         let id = u64::from_str_radix(id, 16).ok().unwrap_or_else(|| hashing::hash(id.as_bytes()));
         segments.push(PromptSegment { id, tokens: tokens.parse().ok()? });
     }
     Some(segments)
 }
 
-/// Returns the keys of all prefixes, the shortest first. `seed` separates models and services.
+/// Returns the keys of all prefixes, shortest first. Different seeds keep models and services apart.
 pub fn prefix_keys(seed: u64, segments: &[PromptSegment]) -> Vec<u64> {
     let mut key = seed;
     let mut keys = Vec::with_capacity(segments.len());
@@ -34,12 +34,12 @@
     keys
 }
 
-/// Returns how many tokens each prefix covers, the shortest first.
+/// Returns the length in tokens of each prefix, shortest first.
 pub fn prefix_token_counts(segments: &[PromptSegment]) -> Vec<u32> {
-    let mut sum = 0u32;
+    let mut total = 0u32;
     let add = |segment: &PromptSegment| {
-        sum = sum.saturating_add(segment.tokens);
-        sum
+        total = total.saturating_add(segment.tokens);
+        total
     };
     segments.iter().map(add).collect()
 }
--- a/catalog/src/prompt_prefix_tests.rs
+++ b/catalog/src/prompt_prefix_tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn a_key_stands_for_all_segments_before_it() {
+fn prefix_keys_depend_on_the_seed_and_on_all_segments_in_order() {
     let segments = super::parse_prompt_prefix("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("segments");
     assert_eq!(super::prefix_token_counts(&segments), [800, 1210, 1460]);
     let keys = super::prefix_keys(1, &segments);
--- a/membership/src/eligible_owner.rs
+++ b/membership/src/eligible_owner.rs
@@ -13,8 +13,7 @@
 
 impl MembershipView {
     /// Returns the controllers that support `protocol_version`, are not shutting down and have been unavailable for
-    /// less than
-    /// `max_unavailable_ms`, sorted by address.
+    /// less than `max_unavailable_ms`, sorted by address.
     ///
     /// This controller is included unless `self_shutting_down` is set.
     pub fn eligible_owners(
--- a/membership/src/singleton_role.rs
+++ b/membership/src/singleton_role.rs
@@ -66,9 +66,8 @@
 /// Returns whether the owner may act at `now`, so that no two owners act within one lease duration of each other.
 ///
 /// An owner may act for `confirmed_ms` after the start of its last confirmation, so the predecessor may have acted
-/// until
-/// `confirmed_ms` after this epoch was committed. With `fencing`, receivers reject orders of older epochs and no wait
-/// is needed.
+/// until `confirmed_ms` after this epoch was committed. With `fencing`, receivers reject orders of older epochs and no
+/// wait is needed.
 pub fn may_act(tenure: RoleTenure, now: u64, fencing: bool, lease_ms: u64, confirmed_ms: u64) -> bool {
     if now >= tenure.confirmed_at + confirmed_ms {
         return false;
--- a/membership/src/singleton_role_tests.rs
+++ b/membership/src/singleton_role_tests.rs
@@ -69,8 +69,8 @@
     let mut simulation = Simulation::without_faults();
     simulation.ignores_reports = ignores_reports;
     simulation.run_until(SETTLED_MS);
-    let order = simulation.controllers[0].view.preference_order("", ROLE);
-    let (first, second) = (simulation.index_of(&order[0]), simulation.index_of(&order[1]));
+    let preference_order = simulation.controllers[0].view.preference_order("", ROLE);
+    let (first, second) = (simulation.index_of(&preference_order[0]), simulation.index_of(&preference_order[1]));
     simulation.pair_partitioned_until[first.min(second)][first.max(second)] = simulation.now + PARTITION_MS;
     let (epoch, orders) = (simulation.register.epoch, simulation.orders.len());
     simulation.run_until(SETTLED_MS + PARTITION_MS);
--- a/metering/src/count_tables_tests.rs
+++ b/metering/src/count_tables_tests.rs
@@ -51,7 +51,8 @@
         report(2, PRESENT, "b", 1),
         report(2, PRESENT - 1, "b", 7),
     ]);
-    let totals: Vec<(String, u64)> = tables.totals(PRESENT).into_iter().map(|one| (one.tenant, one.count)).collect();
+    let totals: Vec<(String, u64)> =
+        tables.totals(PRESENT).into_iter().map(|total| (total.tenant, total.count)).collect();
     assert_eq!(totals, [("a".into(), 7), ("b".into(), 1)]);
     assert!(tables.totals(PRESENT + 1).is_empty());
 }
--- a/metering/src/export_schedule.rs
+++ b/metering/src/export_schedule.rs
@@ -53,7 +53,7 @@
         time_ms.saturating_sub(window_end_ms(window, self.window_ms))
     }
 
-    /// Returns whether a window that ended `age_ms` ago should be committed although reports are `missing`.
+    /// Returns whether a window that ended `age_ms` ago should be committed despite the `missing` reports.
     pub fn is_ready(&self, missing: MissingReports, age_ms: u64) -> bool {
         match (missing.controllers, missing.is_zone_missing) {
             (0, _) => true,
--- a/metering/src/export_schedule_tests.rs
+++ b/metering/src/export_schedule_tests.rs
@@ -30,10 +30,13 @@
 
 #[test]
 fn a_window_waits_for_controllers_until_shortly_before_its_deadline_and_longer_for_a_zone() {
-    let (none, one) = (MissingReports::default(), MissingReports { controllers: 1, is_zone_missing: false });
-    let zone = MissingReports { controllers: 2, is_zone_missing: true };
-    assert!(SCHEDULE.is_ready(none, 2500));
-    assert!(!SCHEDULE.is_ready(one, 7499) && SCHEDULE.is_ready(one, 7500));
-    assert!(!SCHEDULE.is_ready(zone, PARTITION_WAIT_MS - 1) && SCHEDULE.is_ready(zone, PARTITION_WAIT_MS));
+    let (none_missing, controller_missing) =
+        (MissingReports::default(), MissingReports { controllers: 1, is_zone_missing: false });
+    let zone_missing = MissingReports { controllers: 2, is_zone_missing: true };
+    assert!(SCHEDULE.is_ready(none_missing, 2500));
+    assert!(!SCHEDULE.is_ready(controller_missing, 7499) && SCHEDULE.is_ready(controller_missing, 7500));
+    assert!(
+        !SCHEDULE.is_ready(zone_missing, PARTITION_WAIT_MS - 1) && SCHEDULE.is_ready(zone_missing, PARTITION_WAIT_MS)
+    );
     assert_eq!(SCHEDULE.age_ms(999, END + 700), 700);
 }
--- a/metering/src/export_state.rs
+++ b/metering/src/export_state.rs
@@ -6,7 +6,8 @@
 
 use crate::WindowId;
 
-/// How many committed windows are kept. Acknowledged windows stay among them so that they are not committed again.
+/// How many committed windows are kept, so that acknowledged ones are not committed again. Unacknowledged windows are
+/// always kept.
 pub const RETAINED_WINDOWS: usize = 64;
 
 /// A window whose counts are committed. The stored bytes depend on the order of the fields.
--- a/metering/src/lib.rs
+++ b/metering/src/lib.rs
@@ -1,7 +1,7 @@
-//! Usage metering: counts the requests of each tenant that begin in each time window and exports each window to the
-//! platform with one final value.
+//! Usage metering: counts the requests of each tenant that begin in each time window, and exports one final value per
+//! window to the platform.
 //!
-//! [`AnchoredClock`] assigns requests to windows by a time that ignores short steps of the machine's wall clock.
+//! [`AnchoredClock`] provides a wall-clock time that ignores short steps of the machine's clock.
 //! [`RequestCounter`] counts at a router, [`CountTables`] merges the reports of routers, and [`ExportState`] holds the
 //! counts that are committed before they are exported. All of them take the time as a parameter. The design is in
 //! `docs/usage.md`.
