--- a/membership/src/testing/singleton_roles.rs
+++ b/membership/src/testing/singleton_roles.rs
@@ -222,7 +222,7 @@
             self.controllers[index].known_register = self.register.clone();
             self.controllers[index].confirmed_at = Some(self.now);
         }
-        self.consider_acquiring(index);
+        self.try_acquire(index);
     }
 
     fn gossip(&mut self, index: usize) {
@@ -244,7 +244,7 @@
         }
     }
 
-    fn consider_acquiring(&mut self, index: usize) {
+    fn try_acquire(&mut self, index: usize) {
         let now = self.now;
         let controller = &mut self.controllers[index];
         if now < controller.started_at + STARTUP_GRACE_MS {
--- a/metering/src/anchored_clock.rs
+++ b/metering/src/anchored_clock.rs
@@ -25,12 +25,12 @@
         if measured_offset.abs_diff(offset) <= MAX_DRIFT_MS {
             (self.offset_ms, self.pending_step) = (Some(measured_offset), None);
         } else {
-            self.consider_step(measured_offset, monotonic_ms);
+            self.track_step(measured_offset, monotonic_ms);
         }
         (monotonic_ms as i64 + self.offset_ms.unwrap_or(measured_offset)).max(0) as u64
     }
 
-    fn consider_step(&mut self, measured_offset: i64, monotonic_ms: u64) {
+    fn track_step(&mut self, measured_offset: i64, monotonic_ms: u64) {
         match self.pending_step {
             Some((pending_offset, since)) if measured_offset.abs_diff(pending_offset) <= MAX_DRIFT_MS => {
                 if monotonic_ms >= since + MIN_STEP_DURATION_MS {
