--- a/protocol/src/config.rs
+++ b/protocol/src/config.rs
@@ -1,8 +1,8 @@
-//! The operator's configuration: parsed once into a typed and checked value, which is what is stored and delivered.
+//! The operator's configuration: parsed and checked once into the typed value that is stored and delivered.
 //!
-//! `json` parses strictly, `decode` and `values` turn JSON into the types of `model`, and `check` applies the rules for
-//! configurations. `patch` parses a change of named items and `apply` applies it to text and value. `ConfigDocument`
-//! keeps the two together.
+//! `json` is a strict JSON parser, `decode` and `values` turn JSON into the types of `model`, and `check` validates a
+//! configuration as a whole. `patch` parses a change of named items, and `apply` applies it to both the text and the
+//! value of a configuration. `ConfigDocument` holds the text and the value together.
 
 mod apply;
 mod bounds;
@@ -25,11 +25,11 @@
 pub use model::{targets, Config, Engine, Limits, Model, Route, Service, Split, Tenant};
 pub use patch::ConfigPatch;
 
-/// Parses and checks a whole configuration as an operator sends it.
+/// Parses and checks a whole configuration from an operator.
 ///
 /// # Errors
 ///
-/// As [`ConfigDocument::parse`].
+/// See [`ConfigDocument::parse`].
 pub fn read(text: &str) -> Result<Config, ConfigError> {
     ConfigDocument::parse(text).map(ConfigDocument::into_config)
 }
--- a/protocol/src/config/apply.rs
+++ b/protocol/src/config/apply.rs
@@ -1,5 +1,5 @@
-//! Applies a patch to a configuration. Text and value are made of the same parts by the same merge, so that they agree;
-//! what the patch does not name stays in the text as it was written, also where this version does not know it.
+//! Applies a patch to a configuration. The same merge of the same parts produces text and value, so that they agree.
+//! Whatever the patch does not name keeps its text, including fields and tables that this version does not know.
 
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -10,21 +10,21 @@
 use super::json;
 use super::merge::{merge, raw_items, RawFields, RawObject};
 use super::model::Config;
-use super::patch::{part, ConfigPatch, ObjectChange, TableChange};
+use super::patch::{patch_item, ConfigPatch, ObjectChange, TableChange};
 
-/// The text and the value of a configuration, made by one merge of the same parts.
+/// The text and the value of a patched configuration, produced by the same merge.
 pub struct Patched {
     /// The whole configuration as JSON.
     pub text: String,
-    /// What the text says.
+    /// The value that the text decodes to.
     pub config: Config,
 }
 
-/// Applies a patch to the text and the value of a configuration. The result is not yet checked.
+/// Applies a patch to the text and the value of a configuration. Does not check the result.
 pub fn apply(base_text: &str, base: &Config, patch: &ConfigPatch) -> Result<Patched, ConfigError> {
-    let Some(fields) = RawObject::read(base_text) else { return Err(ConfigError::no_base_config()) };
+    let Some(fields) = RawObject::parse(base_text) else { return Err(ConfigError::no_base_config()) };
     let mut fields = fields.to_raw_fields();
-    set(&mut fields, REVISION, patch.revision.to_string());
+    set_field(&mut fields, REVISION, patch.revision.to_string());
     for table in [ROUTES, SERVICES] {
         if !fields.iter().any(|(name, _)| name == table) {
             fields.push((table.into(), "[]".into()));
@@ -43,63 +43,66 @@
         service_table: merge_typed(&base.service_table, patch.withdrawn(SERVICES), &patch.services, |item| &item.name),
         tenant_table: merge_typed(&base.tenant_table, patch.withdrawn(TENANTS), &patch.tenants, |item| &item.name),
         limits: base.limits.clone(),
-        requires_keys: present(&fields, TENANTS).is_some(),
+        requires_keys: non_null_field(&fields, TENANTS).is_some(),
     };
     if patch.objects.iter().any(|object| object.name == LIMITS) {
         let limits = fields.iter().rev().find(|(name, _)| name == LIMITS).map_or("{}", |(_, raw)| raw);
-        config.limits = decode::limits(&json::parse_loosely(limits)?)?;
+        config.limits = decode::limits(&json::parse_lenient(limits)?)?;
     }
     Ok(Patched { text, config })
 }
 
-/// Merges typed items as [`change_table`] merges their texts.
+/// Merges typed items the way [`change_table`] merges their texts.
 fn merge_typed<T: Clone>(items: &[T], withdrawn: &[String], upserts: &[T], name: fn(&T) -> &String) -> Vec<T> {
     merge(items.to_vec(), withdrawn, upserts.to_vec(), |item| Some(name(item)))
 }
 
-/// Replaces the last field of a name, or adds one.
-fn set(fields: &mut RawFields, name: &str, raw: String) {
+/// Replaces the last field called `name`, or appends one.
+fn set_field(fields: &mut RawFields, name: &str, raw: String) {
     match fields.iter_mut().rev().find(|(field, _)| field == name) {
         Some((_, text)) => *text = raw,
         None => fields.push((name.into(), raw)),
     }
 }
 
-/// Returns the text of a field that is there and not null; the last one where an earlier version accepted two.
-fn present<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
+/// Returns the text of a field unless it is missing or null; the last one if an earlier version accepted duplicates.
+fn non_null_field<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let field = fields.iter().rev().find(|(field, raw)| field == name && raw != "null");
     field.map(|(_, raw)| raw.as_str())
 }
 
 fn change_table(fields: &mut RawFields, change: &TableChange) -> Result<(), ConfigError> {
-    let table = present(fields, &change.name);
+    let table = non_null_field(fields, &change.name);
     if table.is_none() && change.upserts.is_empty() {
         return Ok(());
     }
     let Some(items) = raw_items(table.unwrap_or("[]")) else {
-        return Err(ConfigError::invalid_item(part(UPSERT, &change.name), "what the configuration holds there"));
+        return Err(ConfigError::invalid_item(
+            patch_item(UPSERT, &change.name),
+            "a list of items in the configuration",
+        ));
     };
-    let named = |raw: &RawValue| {
-        let name = RawObject::read(raw.get()).and_then(|item| item.name());
+    let with_name = |raw: &RawValue| {
+        let name = RawObject::parse(raw.get()).and_then(|item| item.name());
         (name, raw.get().to_string())
     };
-    let items = items.into_iter().map(named).collect();
+    let items = items.into_iter().map(with_name).collect();
     let upserts = change.upserts.iter().map(|(name, raw)| (Some(name.clone()), raw.clone())).collect();
     let merged = merge(items, &change.withdrawn, upserts, |(name, _): &(Option<String>, String)| name.as_deref());
     let items: Vec<&str> = merged.iter().map(|(_, raw)| raw.as_str()).collect();
-    set(fields, &change.name, format!("[{}]", items.join(",")));
+    set_field(fields, &change.name, format!("[{}]", items.join(",")));
     Ok(())
 }
 
 fn change_object(fields: &mut RawFields, change: &ObjectChange) -> Result<(), ConfigError> {
-    let Some(object) = RawObject::read(present(fields, &change.name).unwrap_or("{}")) else {
-        return Err(ConfigError::invalid_item(part(UPSERT, &change.name), "what the configuration holds there"));
+    let Some(object) = RawObject::parse(non_null_field(fields, &change.name).unwrap_or("{}")) else {
+        return Err(ConfigError::invalid_item(patch_item(UPSERT, &change.name), "an object in the configuration"));
     };
     let mut merged = object.to_raw_fields();
     for (name, raw) in &change.fields {
-        set(&mut merged, name, raw.clone());
+        set_field(&mut merged, name, raw.clone());
     }
-    set(fields, &change.name, write_object(&merged));
+    set_field(fields, &change.name, write_object(&merged));
     Ok(())
 }
 
--- a/protocol/src/config/bounds.rs
+++ b/protocol/src/config/bounds.rs
@@ -1,13 +1,13 @@
-//! How large a configuration may be.
+//! Limits on the size and the numbers of a configuration.
 
-/// The longest text of a whole configuration: what is longer could not be stored and delivered.
+/// Maximum length of the text of a whole configuration in bytes. A longer one could not be stored and delivered.
 pub const MAX_TEXT_BYTES: usize = 8 * 1024 * 1024;
 
-/// How deep objects and lists may be nested: far more than any configuration, and far less than a stack holds.
+/// Maximum nesting depth of objects and arrays: far more than any configuration needs, far less than the stack allows.
 pub(super) const MAX_DEPTH: usize = 64;
-/// How many values one text may hold: a configuration of the longest text has fewer, and more would not fit into the
-/// memory of a small machine.
+/// Maximum number of JSON values in one text. A configuration of [`MAX_TEXT_BYTES`] has fewer, and more would not fit
+/// into the memory of a small machine.
 pub(super) const MAX_VALUES: usize = 1_000_000;
 
-/// The longest time, ten years: what is longer can't be told from it, and sums of times never overflow.
-pub(super) const LONGEST_MS: u64 = 10 * 365 * 24 * 3600 * 1000;
+/// Maximum duration in milliseconds: ten years. A longer one would have the same effect; sums never overflow.
+pub(super) const MAX_DURATION_MS: u64 = 10 * 365 * 24 * 3600 * 1000;
--- a/protocol/src/config/document.rs
+++ b/protocol/src/config/document.rs
@@ -1,4 +1,4 @@
-//! A configuration as text and as a value, which always agree: the one form in which it is checked, stored and delivered.
+//! A configuration as text and as a value that always agree: the form in which it is checked, stored and delivered.
 
 use super::apply::{self, Patched};
 use super::bounds::MAX_TEXT_BYTES;
@@ -8,8 +8,8 @@
 use super::patch::ConfigPatch;
 use super::{check, json};
 
-/// A configuration as text and as a value. Invariants: `config` is what `text` says; a document made by
-/// [`parse`](ConfigDocument::parse) or [`apply`](ConfigDocument::apply) passed every check.
+/// A configuration as text and as a value. Invariants: `config` is the decoded `text`; a document returned by
+/// [`parse`](ConfigDocument::parse) or [`apply`](ConfigDocument::apply) has passed every check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigDocument {
     text: String,
@@ -17,11 +17,11 @@
 }
 
 impl ConfigDocument {
-    /// Parses and checks a whole configuration as an operator sends it.
+    /// Parses and checks a whole configuration from an operator.
     ///
     /// # Errors
     ///
-    /// When the text is too long, no strict JSON, or no valid configuration; the error names the item.
+    /// If the text is too long, not strict JSON, or not a valid configuration; the error names the item.
     pub fn parse(text: &str) -> Result<ConfigDocument, ConfigError> {
         check_length(text)?;
         let config = decode::config(&json::parse(text)?, Strictness::Operator)?;
@@ -29,14 +29,14 @@
         Ok(ConfigDocument { text: text.into(), config })
     }
 
-    /// Parses a committed configuration, maybe of an earlier version that checked less. It is in force, so only its form
-    /// is checked; what stands behind its end was never served, and is ignored.
+    /// Parses a committed configuration, which an earlier version with fewer checks may have accepted. It is in force,
+    /// so only its structure is checked. Text after the JSON value is ignored, as it never had an effect.
     ///
     /// # Errors
     ///
-    /// When the text does not begin with a JSON object of the form of a configuration.
+    /// If the text does not begin with a JSON object that has the structure of a configuration.
     pub fn parse_committed(text: &str) -> Result<ConfigDocument, ConfigError> {
-        let config = decode::config(&json::parse_loosely(text)?, Strictness::Committed)?;
+        let config = decode::config(&json::parse_lenient(text)?, Strictness::Committed)?;
         Ok(ConfigDocument { text: text.into(), config })
     }
 
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// When the patch does not fit this configuration, or when its result is too long or invalid.
+    /// If the patch does not apply to this configuration, or if the result is too long or invalid.
     pub fn apply(&self, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
         let next = self.apply_committed(patch)?;
         check_length(&next.text)?;
@@ -52,27 +52,27 @@
         Ok(next)
     }
 
-    /// Returns this configuration with a patch applied that was checked before it was committed.
+    /// Returns this configuration with a committed patch applied. The result was checked before the commit.
     ///
     /// # Errors
     ///
-    /// When the patch does not fit this configuration.
+    /// If the patch does not apply to this configuration.
     pub fn apply_committed(&self, patch: &ConfigPatch) -> Result<ConfigDocument, ConfigError> {
         let Patched { text, config } = apply::apply(&self.text, &self.config, patch)?;
         Ok(ConfigDocument { text, config })
     }
 
-    /// Returns the text as it was sent, or as a patch left it.
+    /// Returns the text as the operator sent it, or as the last patch produced it.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Returns the value.
+    /// Returns the typed value.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Returns the value without the text.
+    /// Returns the typed value and drops the text.
     pub fn into_config(self) -> Config {
         self.config
     }
--- a/protocol/src/config/document_tests.rs
+++ b/protocol/src/config/document_tests.rs
@@ -1,4 +1,4 @@
-//! Whole configurations: how their items fit together, and what is refused with the item named.
+//! Tests of whole configurations: consistency between items, and errors that name the invalid item.
 use super::{read, targets, ConfigDocument};
 use crate::testing::samples::{accepted, rejected, rejection, valid, KEY};
 use serde_json::{json, Value};
@@ -16,33 +16,33 @@
 }
 
 #[test]
-fn each_error_names_its_item() {
+fn an_invalid_configuration_is_rejected_with_the_item_named() {
     assert!(
         rejected(|value| value["route_table"][1]["service"] = "gone".into()).contains("`r-2`: unknown service `gone`")
     );
     assert!(rejected(|value| value["route_table"][1]["timeout_ms"] = 0.into()).contains("`r-2`: timeout_ms"));
-    let same = rejected(|value| {
+    let duplicate_match = rejected(|value| {
         value["route_table"][1]["hostname"] = "a.example".into();
         value["route_table"][1]["path_prefix"] = "/x/".into();
     });
-    assert!(same.contains("`r-2`") && same.contains("`r-1`"));
-    let light = rejected(|value| {
+    assert!(duplicate_match.contains("`r-2`") && duplicate_match.contains("`r-1`"));
+    let zero_weights = rejected(|value| {
         value["route_table"][0]["traffic_split"] = json!([{"service": "s", "weight": 0}]);
     });
-    assert!(light.contains("`r-1`: weights"));
+    assert!(zero_weights.contains("`r-1`: weights"));
     assert!(rejected(|value| value["route_table"][0]["timeout_ms"] = (-4).into()).contains("timeout_ms"));
     assert!(read(&valid().to_string()[..300]).is_err());
     assert!(read("").is_err());
     assert!(read("[]").is_err());
 }
 
-/// A whole one carries routes and services: without a table it would withdraw all of them.
+/// A whole configuration without a route or service table would remove all routes or services.
 #[test]
-fn both_tables_must_be_there() {
+fn a_configuration_without_the_route_or_service_table_is_rejected() {
     for table in ["route_table", "service_table"] {
-        let without = rejected(|value| drop(value.as_object_mut().expect("an object").remove(table)));
-        assert_eq!(without, format!("body: {table} missing"));
-        assert_eq!(rejected(|value| value[table] = Value::Null), without, "null is nothing");
+        let missing = rejected(|value| drop(value.as_object_mut().expect("an object").remove(table)));
+        assert_eq!(missing, format!("body: {table} missing"));
+        assert_eq!(rejected(|value| value[table] = Value::Null), missing, "a null table counts as missing");
         assert!(rejected(|value| value[table] = json!({})).starts_with(table));
         assert!(rejected(|value| value[table] = json!([7])).starts_with(&format!("{table}[0]")));
     }
@@ -50,17 +50,17 @@
         value["route_table"] = json!([]);
         value["service_table"] = json!([]);
     });
-    assert!(empty.route_table.is_empty() && empty.service_table.is_empty(), "an empty one is one");
+    assert!(empty.route_table.is_empty() && empty.service_table.is_empty(), "empty tables are accepted");
 }
 
 #[test]
-fn a_service_that_no_traffic_goes_to_must_be_known_too() {
-    let beside = rejected(|value| value["route_table"][0]["service"] = "gone".into());
-    assert_eq!(beside, "route `r-1`: unknown service `gone`");
-    let unused = rejected(|value| {
+fn an_unknown_service_without_traffic_is_rejected() {
+    let unused_service = rejected(|value| value["route_table"][0]["service"] = "gone".into());
+    assert_eq!(unused_service, "route `r-1`: unknown service `gone`");
+    let zero_weight = rejected(|value| {
         value["route_table"][0]["traffic_split"] = json!([{"service": "s"}, {"service": "gone", "weight": 0}]);
     });
-    assert_eq!(unused, beside);
+    assert_eq!(zero_weight, unused_service);
     assert!(
         rejected(|value| value["route_table"][0]["traffic_split"] = json!([{"weight": 1}])).contains("unknown service")
     );
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn weights_of_any_size_are_served_in_their_proportions() {
+fn weights_of_any_size_keep_their_proportions() {
     let config = accepted(|value| {
         value["route_table"][0]["traffic_split"] = json!([{"service": "s", "weight": u64::MAX},
             {"service": "s", "weight": u64::MAX}, {"service": "s", "weight": 1}, {"service": "s", "weight": 0}]);
@@ -81,47 +81,47 @@
     assert!(weights[0] == weights[1] && weights[2] == 1 && weights[3] == 0, "{weights:?}");
 }
 
-/// A router looks `h:80` up under `h` where it holds no route of that very name.
+/// A router serves requests to `h:80` by the routes of `h` if it has none for `h:80` itself.
 #[test]
-fn hosts_that_a_look_up_cannot_tell_apart_are_one() {
-    for (one, two) in
+fn hostnames_that_route_lookup_treats_as_equal_are_duplicates() {
+    for (first, second) in
         [("h", "h:80"), ("h:8080", "h:80"), ("H.example", "h.EXAMPLE"), ("[::1]:80", "[::1]"), ("h:", "h")]
     {
-        let same = rejected(|value| {
-            for (at, host) in [one, two].into_iter().enumerate() {
-                value["route_table"][at]["hostname"] = host.into();
-                value["route_table"][at]["path_prefix"] = "/x/".into();
+        let duplicate = rejected(|value| {
+            for (index, host) in [first, second].into_iter().enumerate() {
+                value["route_table"][index]["hostname"] = host.into();
+                value["route_table"][index]["path_prefix"] = "/x/".into();
             }
         });
-        assert_eq!(same, "route `r-2`: hostname and path_prefix are those of `r-1`");
-        let other = accepted(|value| {
-            value["route_table"][0]["hostname"] = one.into();
-            value["route_table"][1]["hostname"] = two.into();
+        assert_eq!(duplicate, "route `r-2`: same hostname and path_prefix as route `r-1`");
+        let distinct = accepted(|value| {
+            value["route_table"][0]["hostname"] = first.into();
+            value["route_table"][1]["hostname"] = second.into();
         });
-        assert_eq!(other.route_table[0].hostname, other.route_table[1].hostname, "other prefixes of one host");
+        assert_eq!(distinct.route_table[0].hostname, distinct.route_table[1].hostname, "one host, different prefixes");
     }
-    for (one, two) in [("h", "h."), ("h", "g"), ("::1", "::")] {
+    for (first, second) in [("h", "h."), ("h", "g"), ("::1", "::")] {
         accepted(|value| {
-            for (at, host) in [one, two].into_iter().enumerate() {
-                value["route_table"][at]["hostname"] = host.into();
-                value["route_table"][at]["path_prefix"] = "/x/".into();
+            for (index, host) in [first, second].into_iter().enumerate() {
+                value["route_table"][index]["hostname"] = host.into();
+                value["route_table"][index]["path_prefix"] = "/x/".into();
             }
         });
     }
 }
 
 #[test]
-fn items_have_names_of_their_own() {
+fn an_item_with_a_duplicate_or_missing_name_is_rejected() {
     for (table, item) in
         [("route_table", "route `r-1`"), ("service_table", "service `s`"), ("tenant_table", "tenant `t-1`")]
     {
-        let twice = rejected(|value| {
-            let mut again = value[table][0].clone();
-            again["hostname"] = "z".into();
-            again["api_keys"] = json!([]);
-            value[table].as_array_mut().expect("a table").push(again);
+        let duplicate = rejected(|value| {
+            let mut copy = value[table][0].clone();
+            copy["hostname"] = "z".into();
+            copy["api_keys"] = json!([]);
+            value[table].as_array_mut().expect("a table").push(copy);
         });
-        assert_eq!(twice, format!("{item}: name used twice"));
+        assert_eq!(duplicate, format!("{item}: name used twice"));
         for name in [Value::Null, "".into()] {
             let nameless = rejected(|value| value[table][0]["name"] = name);
             assert_eq!(nameless, format!("{table}[0]: name missing"));
@@ -130,13 +130,13 @@
 }
 
 #[test]
-fn keys_belong_to_one_tenant_and_appear_in_no_error() {
+fn a_shared_or_misplaced_api_key_is_rejected_without_being_shown() {
     let shared = rejected(|value| value["tenant_table"][1]["api_keys"][0] = format!("{KEY}1").into());
-    assert_eq!(shared, "tenant `t-2`: a key is also a key of tenant `t-1`");
+    assert_eq!(shared, "tenant `t-2`: an API key also belongs to tenant `t-1`");
     accepted(|value| value["tenant_table"][0]["api_keys"][1] = format!("{KEY}1").into());
     accepted(|value| value["tenant_table"][0]["api_keys"] = json!([]));
-    assert_eq!(rejected(|value| value["tenant_table"][0]["api_keys"][1] = "".into()), "tenant `t-1`: an empty key");
-    // Where a key stands in place of something else.
+    assert_eq!(rejected(|value| value["tenant_table"][0]["api_keys"][1] = "".into()), "tenant `t-1`: empty API key");
+    // A key in the place of another value.
     let key = || Value::from(format!("{KEY}9"));
     let fields = [("rate_per_s", key()), ("burst_size", key()), ("api_keys", key()), ("priority", key())];
     for (field, value) in fields {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_prefix_stands_between_slashes_and_a_type_is_one_of_three() {
+fn an_invalid_path_prefix_route_type_or_hostname_is_rejected() {
     for bad in ["", "x/", "/x", "x"] {
         assert!(rejected(|value| value["route_table"][0]["path_prefix"] = bad.into()).contains("`r-1`: path_prefix"));
     }
@@ -159,11 +159,11 @@
     assert!(rejected(|value| value["route_table"][0]["hostname"] = ":80".into()).contains("`r-1`: hostname"));
 }
 
-/// Whatever an earlier version took and committed is in force, and must be read as that version read it.
+/// A configuration that an earlier version committed is in force and must be read as that version read it.
 #[test]
-fn what_was_committed_before_is_read_as_it_was() {
+fn a_configuration_committed_by_an_earlier_version_is_still_read() {
     let text = valid().to_string();
-    let old = [
+    let committed = [
         format!("{text} x"),
         text.replacen("\"new\":1", "\"new\":{\"x\":1,\"x\":2}", 1),
         text.replacen(
@@ -173,21 +173,21 @@
         )
         .replacen("\"service\":\"s\",\"retry", "\"retry", 1),
     ];
-    for text in old {
-        read(&text).expect_err("refused from an operator now");
-        let checked = ConfigDocument::parse_committed(&text).unwrap_or_else(|error| panic!("{error}"));
-        assert_eq!((checked.revision(), checked.config().route_table.len()), (7, 2));
-        assert_eq!(checked.text(), text);
+    for text in committed {
+        read(&text).expect_err("no longer accepted from an operator");
+        let document = ConfigDocument::parse_committed(&text).unwrap_or_else(|error| panic!("{error}"));
+        assert_eq!((document.revision(), document.config().route_table.len()), (7, 2));
+        assert_eq!(document.text(), text);
     }
-    let bare = ConfigDocument::parse_committed("{\"revision\":5}").expect("it withdrew every route");
-    assert!(bare.revision() == 5 && bare.config().route_table.is_empty());
+    let without_tables = ConfigDocument::parse_committed("{\"revision\":5}").expect("missing tables count as empty");
+    assert!(without_tables.revision() == 5 && without_tables.config().route_table.is_empty());
     assert!(ConfigDocument::parse_committed("{\"revision\":5").is_err());
     assert!(ConfigDocument::parse_committed("5").is_err());
 }
 
-/// Names come from the body: an error stays short, and on one line.
+/// Names come from the body, so an error must truncate and escape them to stay short and on one line.
 #[test]
-fn names_in_errors_are_bounded() {
+fn a_long_name_is_truncated_and_escaped_in_errors() {
     let long = "n\n".repeat(100_000);
     let error = rejected(|value| {
         value["route_table"][0]["name"] = long.clone().into();
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -1,11 +1,11 @@
-//! Why a configuration, or a patch of one, is invalid. An error names the item and never holds a value of the body other
-//! than a name: any value may be a tenant's key. Operators read the texts.
+//! Errors of invalid configurations and patches. An error names the item; other than names it holds no values of the
+//! body, since any of them may be a tenant's API key. Operators read the messages.
 
 use std::{error, fmt};
 
 use super::bounds::MAX_TEXT_BYTES;
 
-/// How many characters of a name are shown.
+/// Maximum number of characters of a name in an error message.
 const MAX_NAME_CHARS: usize = 80;
 
 /// What is wrong with a configuration, and where.
@@ -17,12 +17,12 @@
     pub kind: ConfigErrorKind,
 }
 
-/// What an error is about.
+/// The part of a configuration that an error is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
     /// The body as a whole.
     Body,
-    /// A field, by its path from the top.
+    /// A field, by its path from the root.
     Field(String),
     /// A route, by its name.
     Route(String),
@@ -30,113 +30,113 @@
     Service(String),
     /// A tenant, by its name.
     Tenant(String),
-    /// An item of a table that has no name to be called by.
+    /// An item of a table, by its index, because it has no usable name.
     Entry {
-        /// The table, by its path from the top.
+        /// The path of the table from the root.
         table: String,
-        /// The position in the table, from 0.
+        /// The zero-based index in the table.
         index: usize,
     },
 }
 
-/// Why a text is not one JSON value.
+/// Why a text is not a single JSON value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syntax {
-    /// It ends too soon.
+    /// The text ends inside the value.
     UnexpectedEnd,
-    /// It is no JSON.
+    /// The text is not JSON.
     Malformed,
-    /// More than white space follows the value.
+    /// Something other than whitespace follows the value.
     TrailingCharacters,
 }
 
 /// What is wrong with an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigErrorKind {
-    /// The text is not one JSON value.
+    /// The text is not a single JSON value.
     Syntax {
-        /// Why not.
+        /// The reason.
         syntax: Syntax,
-        /// The line where the parser stopped, from 1.
+        /// The line at which the parser stopped, from 1.
         line: usize,
-        /// The column where the parser stopped.
+        /// The column at which the parser stopped.
         column: usize,
     },
-    /// Objects and lists are nested too deep.
+    /// Objects and arrays are nested too deeply.
     TooDeep,
-    /// The text holds too many values.
+    /// The text contains too many values.
     TooManyValues,
     /// The text is too long.
     TooLong {
         /// Its length in bytes.
         bytes: usize,
     },
-    /// A field is there twice.
+    /// An object has the same field twice.
     DuplicateField,
-    /// A field is not there, or null.
+    /// A required field is missing or null.
     MissingField {
         /// The field.
         field: &'static str,
     },
-    /// A field holds something else than it must.
+    /// The value of a field has the wrong type or range.
     InvalidField {
         /// The field.
         field: &'static str,
-        /// What it must be.
+        /// What was expected instead.
         expected: &'static str,
     },
-    /// The item itself is something else than it must be.
+    /// The item itself has the wrong type or range.
     InvalidItem {
-        /// What it must be.
+        /// What was expected instead.
         expected: &'static str,
     },
-    /// Another item of its table has its name.
+    /// Another item of the same table has the same name.
     DuplicateName,
     /// A path prefix does not begin and end with a slash.
     InvalidPathPrefix,
-    /// The protocol does not define a route's type.
+    /// A route has a type that the protocol does not define.
     UnknownRouteType,
     /// A route's timeout is 0.
     ZeroTimeout,
-    /// Another route matches the same host and path prefix.
+    /// Another route has the same hostname and path prefix.
     DuplicateMatch {
-        /// That route's name.
+        /// The name of the other route.
         other: String,
     },
-    /// A route leads to no service.
+    /// A route names no service.
     MissingService,
-    /// A route leads to a service that the configuration does not have.
+    /// A route names a service that is not in the configuration.
     UnknownService {
-        /// That service's name.
+        /// The name of the missing service.
         service: String,
     },
     /// The weights of a traffic split sum to 0.
     ZeroWeights,
-    /// Another tenant has one of the keys.
+    /// Another tenant has one of the API keys.
     DuplicateKey {
-        /// That tenant's name.
+        /// The name of the other tenant.
         other: String,
     },
-    /// A tenant has an empty key.
+    /// A tenant has an empty API key.
     EmptyKey,
     /// The revision is missing or 0.
     ZeroRevision,
-    /// A patch builds on a configuration, and there is none.
+    /// A patch needs a configuration to apply to, and there is none.
     NoBaseConfig,
 }
 
 impl ConfigError {
-    /// Returns the error of a patch that came before the first configuration.
+    /// Returns the error for a patch that arrives before the first configuration.
     pub fn no_base_config() -> ConfigError {
         ConfigError { item: Item::Body, kind: ConfigErrorKind::NoBaseConfig }
     }
 
-    /// Returns the error of an item that is something else than it must be.
+    /// Returns the error for an item that has the wrong type or range.
     pub(super) fn invalid_item(item: Item, expected: &'static str) -> ConfigError {
         ConfigError { item, kind: ConfigErrorKind::InvalidItem { expected } }
     }
 
-    /// Returns the HTTP status of the response to whoever sent the configuration.
+    /// Returns the HTTP status code of the response to the operator.
     pub fn status(&self) -> u16 {
         match self.kind {
             ConfigErrorKind::TooLong { .. } | ConfigErrorKind::TooManyValues => 413,
@@ -145,21 +145,21 @@
     }
 }
 
-/// Returns a name as it may be shown: of bounded length, and on one line.
-fn shown(name: &str) -> String {
-    let cut: String = name.chars().take(MAX_NAME_CHARS).collect();
-    cut.escape_debug().collect()
+/// Truncates a name and escapes control characters, so that an error message stays short and on one line.
+fn sanitized(name: &str) -> String {
+    let truncated: String = name.chars().take(MAX_NAME_CHARS).collect();
+    truncated.escape_debug().collect()
 }
 
 impl fmt::Display for Item {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Item::Body => out.write_str("body"),
-            Item::Field(path) => out.write_str(&shown(path)),
-            Item::Route(name) => write!(out, "route `{}`", shown(name)),
-            Item::Service(name) => write!(out, "service `{}`", shown(name)),
-            Item::Tenant(name) => write!(out, "tenant `{}`", shown(name)),
-            Item::Entry { table, index } => write!(out, "{}[{index}]", shown(table)),
+            Item::Field(path) => out.write_str(&sanitized(path)),
+            Item::Route(name) => write!(out, "route `{}`", sanitized(name)),
+            Item::Service(name) => write!(out, "service `{}`", sanitized(name)),
+            Item::Tenant(name) => write!(out, "tenant `{}`", sanitized(name)),
+            Item::Entry { table, index } => write!(out, "{}[{index}]", sanitized(table)),
         }
     }
 }
@@ -167,9 +167,9 @@
 impl fmt::Display for Syntax {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            Syntax::UnexpectedEnd => "ends too soon",
+            Syntax::UnexpectedEnd => "unexpected end of text",
             Syntax::Malformed => "not JSON",
-            Syntax::TrailingCharacters => "something stands behind the end",
+            Syntax::TrailingCharacters => "trailing characters after the value",
         })
     }
 }
@@ -177,11 +177,11 @@
 impl fmt::Display for ConfigErrorKind {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax}, at line {line} column {column}"),
-            ConfigErrorKind::TooDeep => out.write_str("nested too deep"),
+            ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax} at line {line}, column {column}"),
+            ConfigErrorKind::TooDeep => out.write_str("nested too deeply"),
             ConfigErrorKind::TooManyValues => out.write_str("too many values"),
-            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, at most {} can be kept", MAX_TEXT_BYTES),
-            ConfigErrorKind::DuplicateField => out.write_str("is there twice"),
+            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, the maximum is {}", MAX_TEXT_BYTES),
+            ConfigErrorKind::DuplicateField => out.write_str("duplicate field"),
             ConfigErrorKind::MissingField { field } => write!(out, "{field} missing"),
             ConfigErrorKind::InvalidField { field, expected } => write!(out, "{field} is not {expected}"),
             ConfigErrorKind::InvalidItem { expected } => write!(out, "not {expected}"),
@@ -190,15 +190,17 @@
             ConfigErrorKind::UnknownRouteType => out.write_str("route_type unknown"),
             ConfigErrorKind::ZeroTimeout => out.write_str("timeout_ms is 0"),
             ConfigErrorKind::DuplicateMatch { other } => {
-                write!(out, "hostname and path_prefix are those of `{}`", shown(other))
+                write!(out, "same hostname and path_prefix as route `{}`", sanitized(other))
             }
             ConfigErrorKind::MissingService => out.write_str("no service"),
-            ConfigErrorKind::UnknownService { service } => write!(out, "unknown service `{}`", shown(service)),
+            ConfigErrorKind::UnknownService { service } => write!(out, "unknown service `{}`", sanitized(service)),
             ConfigErrorKind::ZeroWeights => out.write_str("weights sum to 0"),
-            ConfigErrorKind::DuplicateKey { other } => write!(out, "a key is also a key of tenant `{}`", shown(other)),
-            ConfigErrorKind::EmptyKey => out.write_str("an empty key"),
+            ConfigErrorKind::DuplicateKey { other } => {
+                write!(out, "an API key also belongs to tenant `{}`", sanitized(other))
+            }
+            ConfigErrorKind::EmptyKey => out.write_str("empty API key"),
             ConfigErrorKind::ZeroRevision => out.write_str("missing or 0"),
-            ConfigErrorKind::NoBaseConfig => out.write_str("no configuration to change"),
+            ConfigErrorKind::NoBaseConfig => out.write_str("no configuration to patch"),
         }
     }
 }
--- a/protocol/src/config/field_names.rs
+++ b/protocol/src/config/field_names.rs
@@ -1,4 +1,4 @@
-//! Names of fields of configurations.
+//! Names of the fields of configurations and patches.
 
 /// The table of routes.
 pub const ROUTES: &str = "route_table";
@@ -6,18 +6,18 @@
 pub const SERVICES: &str = "service_table";
 /// The table of tenants.
 pub const TENANTS: &str = "tenant_table";
-/// The limits on what clients may send.
+/// The limits for client connections.
 pub const LIMITS: &str = "limits";
-/// The revision of a configuration.
+/// The revision of a configuration or a patch.
 pub const REVISION: &str = "revision";
 
-/// The part of a patch with the items that are added or replaced.
+/// The part of a patch that lists the items to add or replace.
 pub const UPSERT: &str = "upsert";
-/// The part of a patch with the names of the items that are removed.
+/// The part of a patch that lists the names of the items to remove.
 pub const WITHDRAW: &str = "withdraw";
 
-/// Names of fields, which may be shown in errors.
-pub const FIELDS: &[&str] = &[
+/// Field names that error messages may contain.
+pub const KNOWN_FIELDS: &[&str] = &[
     "adapter_list",
     "allowed_regions",
     "anonymous",
@@ -64,9 +64,9 @@
     "withdraw",
 ];
 
-/// Returns the name of a field as errors show it: a name that no configuration has may be a key, and is not shown.
-pub fn shown(name: &str) -> &str {
-    if FIELDS.contains(&name) {
+/// Returns a field name for use in an error message. An unknown name becomes `?`, because it may be an API key.
+pub fn redact_unknown(name: &str) -> &str {
+    if KNOWN_FIELDS.contains(&name) {
         name
     } else {
         "?"
--- a/protocol/src/config/host.rs
+++ b/protocol/src/config/host.rs
@@ -1,10 +1,10 @@
-//! Host names in the form in which routers look them up.
+//! Normalization of host names for route lookup.
 
-/// Returns a host without its port. A router finds the routes of `h` for a request to `h:80` too, so both are one host.
+/// Returns a host without its port. Routers serve requests to `h:80` by the routes of `h` too, so both are one host.
 pub fn without_port(host: &str) -> &str {
     let Some((name, port)) = host.rsplit_once(':') else { return host };
     let is_port = port.bytes().all(|byte| byte.is_ascii_digit());
-    // A colon in what is left belongs to an address of version 6, which is complete only between brackets.
+    // A remaining colon belongs to an IPv6 address, after which a port can follow only if it is in brackets.
     let is_name = !name.contains(':') || name.ends_with(']');
     if is_port && is_name {
         name
@@ -13,7 +13,7 @@
     }
 }
 
-/// Returns the form in which hosts are compared.
-pub fn normal(host: &str) -> String {
+/// Returns the form in which hosts are compared: lower case and without a port.
+pub fn normalize(host: &str) -> String {
     without_port(host).to_ascii_lowercase()
 }
--- a/protocol/src/config/json.rs
+++ b/protocol/src/config/json.rs
@@ -1,5 +1,5 @@
-//! Strict JSON: one value and nothing behind it, every field of an object once, bounded in depth and in the number of
-//! values. Strings are borrowed from the text where they can be.
+//! Strict JSON: a single value without trailing characters, no duplicate fields, and limits on the nesting depth and
+//! the number of values. Strings are borrowed from the text unless they contain escapes.
 
 use std::borrow::Cow;
 use std::cell::Cell;
@@ -11,10 +11,10 @@
 
 use super::bounds::{MAX_DEPTH, MAX_VALUES};
 use super::error::{ConfigError, ConfigErrorKind, Item, Syntax};
-use super::field_names::shown;
+use super::field_names::redact_unknown;
 
-/// Objects with more fields than this are searched for duplicates by a set.
-const FEW_FIELDS: usize = 24;
+/// Objects with up to this many fields are searched for duplicates pairwise; larger ones use a hash set.
+const MAX_PAIRWISE_FIELDS: usize = 24;
 
 /// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,65 +26,66 @@
     /// A number.
     Number(Number),
     /// A string.
-    Text(Cow<'a, str>),
+    String(Cow<'a, str>),
     /// An array.
-    List(Vec<Json<'a>>),
-    /// An object: its fields in the order of the text.
+    Array(Vec<Json<'a>>),
+    /// An object, with its fields in the order of the text.
     Object(Vec<(Cow<'a, str>, Json<'a>)>),
 }
 
-/// A number as it was written.
+/// A number, by the form in which it was written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Number {
-    /// A whole number from 0.
+    /// A non-negative integer.
     Unsigned(u64),
-    /// A whole number below 0.
+    /// A negative integer.
     Negative(i64),
-    /// A number with a fraction or an exponent, or one of more than 64 bits.
+    /// A number with a fraction or an exponent, or an integer that does not fit into 64 bits.
     Float(f64),
 }
 
-/// Parses a text that must hold one value and nothing else.
+/// Parses a text that must consist of a single value.
 pub fn parse(text: &str) -> Result<Json<'_>, ConfigError> {
-    let (value, mut rest) = parse_first(text)?;
-    rest.end().map_err(|error| syntax(Syntax::TrailingCharacters, &error))?;
+    let (value, mut deserializer) = parse_first(text)?;
+    deserializer.end().map_err(|error| syntax_error(Syntax::TrailingCharacters, &error))?;
     match duplicate_field(&value) {
         Some(path) => Err(ConfigError { item: Item::Field(path), kind: ConfigErrorKind::DuplicateField }),
         None => Ok(value),
     }
 }
 
-/// Parses the first value of a text, whatever stands behind it; of a duplicate field the last one counts.
-pub fn parse_loosely(text: &str) -> Result<Json<'_>, ConfigError> {
+/// Parses the first value of a text and ignores what follows it. The last one of duplicate fields takes precedence.
+pub fn parse_lenient(text: &str) -> Result<Json<'_>, ConfigError> {
     parse_first(text).map(|(value, _)| value)
 }
 
-type Rest<'a> = serde_json::Deserializer<StrRead<'a>>;
+type TextDeserializer<'a> = serde_json::Deserializer<StrRead<'a>>;
 
-fn parse_first(text: &str) -> Result<(Json<'_>, Rest<'_>), ConfigError> {
+fn parse_first(text: &str) -> Result<(Json<'_>, TextDeserializer<'_>), ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let bounds = Bounds { values: Cell::new(MAX_VALUES), too_deep: Cell::new(false) };
+    let bounds = Bounds { remaining_values: Cell::new(MAX_VALUES), too_deep: Cell::new(false) };
     let seed = ValueSeed { bounds: &bounds, depth: 0 };
     match DeserializeSeed::deserialize(seed, &mut deserializer) {
         Ok(value) => Ok((value, deserializer)),
         Err(_) if bounds.too_deep.get() => Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooDeep }),
-        Err(_) if bounds.values.get() == 0 => {
+        Err(_) if bounds.remaining_values.get() == 0 => {
             Err(ConfigError { item: Item::Body, kind: ConfigErrorKind::TooManyValues })
         }
-        Err(error) if error.is_eof() => Err(syntax(Syntax::UnexpectedEnd, &error)),
-        Err(error) => Err(syntax(Syntax::Malformed, &error)),
+        Err(error) if error.is_eof() => Err(syntax_error(Syntax::UnexpectedEnd, &error)),
+        Err(error) => Err(syntax_error(Syntax::Malformed, &error)),
     }
 }
 
-/// The parser's message may hold a piece of the text, which may be a key: only line and column are kept.
-fn syntax(syntax: Syntax, error: &serde_json::Error) -> ConfigError {
+/// Keeps only line and column of the parser's error: its message may quote the text, which may contain an API key.
+fn syntax_error(syntax: Syntax, error: &serde_json::Error) -> ConfigError {
     let kind = ConfigErrorKind::Syntax { syntax, line: error.line(), column: error.column() };
     ConfigError { item: Item::Body, kind }
 }
 
-/// What is left of the bounds while a text is parsed.
+/// Limits that apply while a text is parsed.
 struct Bounds {
-    values: Cell<usize>,
+    /// How many more values the text may contain.
+    remaining_values: Cell<usize>,
     too_deep: Cell<bool>,
 }
 
@@ -95,18 +96,19 @@
 }
 
 impl ValueSeed<'_> {
+    /// Returns the seed for the values inside this one.
     fn nested<E: de::Error>(self) -> Result<Self, E> {
         if self.depth >= MAX_DEPTH {
             self.bounds.too_deep.set(true);
-            return Err(E::custom("too deep"));
+            return Err(E::custom("nested too deeply"));
         }
         Ok(ValueSeed { depth: self.depth + 1, ..self })
     }
 
-    fn count<E: de::Error>(self) -> Result<(), E> {
-        let left = self.bounds.values.get().saturating_sub(1);
-        self.bounds.values.set(left);
-        if left == 0 {
+    fn count_value<E: de::Error>(self) -> Result<(), E> {
+        let remaining = self.bounds.remaining_values.get().saturating_sub(1);
+        self.bounds.remaining_values.set(remaining);
+        if remaining == 0 {
             return Err(E::custom("too many values"));
         }
         Ok(())
@@ -117,7 +119,7 @@
     type Value = Json<'de>;
 
     fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<Json<'de>, D::Error> {
-        self.count()?;
+        self.count_value()?;
         deserializer.deserialize_any(self)
     }
 }
@@ -150,11 +152,11 @@
     }
 
     fn visit_borrowed_str<E>(self, value: &'de str) -> Result<Json<'de>, E> {
-        Ok(Json::Text(Cow::Borrowed(value)))
+        Ok(Json::String(Cow::Borrowed(value)))
     }
 
     fn visit_str<E>(self, value: &str) -> Result<Json<'de>, E> {
-        Ok(Json::Text(Cow::Owned(value.into())))
+        Ok(Json::String(Cow::Owned(value.into())))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<Json<'de>, A::Error> {
@@ -163,7 +165,7 @@
         while let Some(item) = items.next_element_seed(seed)? {
             list.push(item);
         }
-        Ok(Json::List(list))
+        Ok(Json::Array(list))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<Json<'de>, A::Error> {
@@ -176,7 +178,7 @@
     }
 }
 
-/// The name of a field, borrowed where it holds no escapes.
+/// Deserializes the name of a field, borrowed from the text unless it contains escapes.
 pub struct FieldName;
 
 impl<'de> DeserializeSeed<'de> for FieldName {
@@ -191,7 +193,7 @@
     type Value = Cow<'de, str>;
 
     fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        out.write_str("the name of a field")
+        out.write_str("a field name")
     }
 
     fn visit_borrowed_str<E>(self, name: &'de str) -> Result<Cow<'de, str>, E> {
@@ -203,35 +205,35 @@
     }
 }
 
-/// Returns the path of the first field that an object holds twice, at any depth.
+/// Returns the path of the first duplicate field of an object at any depth.
 fn duplicate_field(value: &Json) -> Option<String> {
     match value {
-        Json::List(items) => {
+        Json::Array(items) => {
             let found = items.iter().enumerate().find_map(|(index, item)| Some((index, duplicate_field(item)?)));
-            found.map(|(index, path)| joined(&format!("[{index}]"), &path))
+            found.map(|(index, path)| join_path(&format!("[{index}]"), &path))
         }
         Json::Object(fields) => {
             if let Some(name) = duplicate_name(fields) {
-                return Some(shown(name).into());
+                return Some(redact_unknown(name).into());
             }
             let found = fields.iter().find_map(|(name, field)| Some((name, duplicate_field(field)?)));
-            found.map(|(name, path)| joined(shown(name), &path))
+            found.map(|(name, path)| join_path(redact_unknown(name), &path))
         }
         _ => None,
     }
 }
 
-fn joined(first: &str, path: &str) -> String {
+fn join_path(first: &str, path: &str) -> String {
     let dot = if path.starts_with('[') { "" } else { "." };
     format!("{first}{dot}{path}")
 }
 
 fn duplicate_name<'a>(fields: &'a [(Cow<str>, Json)]) -> Option<&'a str> {
-    if fields.len() > FEW_FIELDS {
+    if fields.len() > MAX_PAIRWISE_FIELDS {
         let mut seen = HashSet::with_capacity(fields.len());
         return fields.iter().map(|(name, _)| name.as_ref()).find(|name| !seen.insert(*name));
     }
-    let is_before = |at: usize, name: &str| fields[..at].iter().any(|(before, _)| before == name);
-    let found = fields.iter().enumerate().find(|(at, (name, _))| is_before(*at, name));
+    let occurs_before = |at: usize, name: &str| fields[..at].iter().any(|(earlier, _)| earlier == name);
+    let found = fields.iter().enumerate().find(|(at, (name, _))| occurs_before(*at, name));
     found.map(|(_, (name, _))| name.as_ref())
 }
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -1,13 +1,13 @@
-//! The text of a configuration: JSON as strict as can be, and the shapes and ranges of single values.
+//! Tests of the text of a configuration: strict JSON, and the types and ranges of single values.
 
 use serde_json::{json, Value};
 
-use super::bounds::LONGEST_MS;
+use super::bounds::MAX_DURATION_MS;
 use super::{read, ConfigError, ConfigErrorKind, Item, Limits, Syntax, MAX_TEXT_BYTES};
 use crate::testing::samples::{accepted, rejected, rejection, valid};
 
 #[test]
-fn a_text_is_one_json_value_and_nothing_else() {
+fn a_text_other_than_a_single_json_value_is_rejected() {
     let text = valid().to_string();
     let syntax = |text: &str| match rejection(text).kind {
         ConfigErrorKind::Syntax { syntax, .. } => syntax,
@@ -16,17 +16,17 @@
     for cut in 0..text.len() {
         assert_eq!(syntax(&text[..cut]), Syntax::UnexpectedEnd, "cut at {cut}");
     }
-    for behind in [" x", "{}", "]", "}", ",", "\0", "\u{feff}", " null"] {
-        assert_eq!(syntax(&format!("{text}{behind}")), Syntax::TrailingCharacters, "{behind:?}");
+    for suffix in [" x", "{}", "]", "}", ",", "\0", "\u{feff}", " null"] {
+        assert_eq!(syntax(&format!("{text}{suffix}")), Syntax::TrailingCharacters, "{suffix:?}");
     }
     for bad in [format!("\u{feff}{text}"), text.replace("3000", "1e400"), text.replace("3000", "03000")] {
         assert_eq!(syntax(&bad), Syntax::Malformed);
     }
-    assert!(read(&format!(" \n{text}\r\n ")).is_ok(), "white space is no content");
+    assert!(read(&format!(" \n{text}\r\n ")).is_ok(), "surrounding whitespace is accepted");
 }
 
 #[test]
-fn no_field_is_there_twice_at_any_depth() {
+fn a_duplicate_field_at_any_depth_is_rejected() {
     let text = valid().to_string();
     let cases = [
         ("\"revision\":7", "\"revision\":7,\"revision\":7", "revision"),
@@ -38,13 +38,13 @@
         let error = rejection(&text.replacen(from, to, 1));
         assert_eq!(error, ConfigError { item: Item::Field(path.into()), kind: ConfigErrorKind::DuplicateField });
     }
-    let many: Vec<String> = (0..60).map(|at| format!("\"f{}\":1", at % 59)).collect();
-    let error = rejection(&text.replacen("\"new\":1", &format!("\"new\":{{{}}}", many.join(",")), 1));
+    let fields: Vec<String> = (0..60).map(|number| format!("\"f{}\":1", number % 59)).collect();
+    let error = rejection(&text.replacen("\"new\":1", &format!("\"new\":{{{}}}", fields.join(",")), 1));
     assert_eq!(error.kind, ConfigErrorKind::DuplicateField);
 }
 
 #[test]
-fn a_revision_is_a_whole_number_from_1() {
+fn a_revision_other_than_a_positive_integer_is_rejected() {
     for bad in ["0", "null", "-1", "7.0", "1e3", "\"7\"", "true", "18446744073709551616", "[7]"] {
         let error = rejection(&valid().to_string().replacen("\"revision\":7", &format!("\"revision\":{bad}"), 1));
         assert_eq!(error.item, Item::Field("revision".into()), "{bad}");
@@ -54,18 +54,21 @@
 }
 
 #[test]
-fn numbers_are_accepted_as_far_as_they_can_be_served() {
+fn large_numbers_are_clamped_and_invalid_ones_are_rejected() {
     for bad in [json!(-1), json!(0.5), json!("3000"), json!(true), json!([1])] {
         for field in ["timeout_ms", "target_ms", "priority", "retry_count", "gap_target_ms"] {
             let error = rejected(|value| value["route_table"][0][field] = bad.clone());
             assert!(error.starts_with(&format!("route `r-1`: {field}")), "{error}");
         }
     }
-    for none in [json!(0), json!(0.0), json!(-0.0), Value::Null] {
-        assert!(rejected(|value| value["route_table"][0]["timeout_ms"] = none).contains("`r-1`: timeout_ms is 0"));
+    for zero in [json!(0), json!(0.0), json!(-0.0), Value::Null] {
+        assert!(rejected(|value| value["route_table"][0]["timeout_ms"] = zero).contains("`r-1`: timeout_ms is 0"));
     }
-    for (given, held) in [(json!(3000.0), 3000), (json!(3e3), 3000), (json!(u64::MAX), LONGEST_MS)] {
-        assert_eq!(accepted(|value| value["route_table"][0]["timeout_ms"] = given).route_table[0].timeout_ms, held);
+    for (written, decoded) in [(json!(3000.0), 3000), (json!(3e3), 3000), (json!(u64::MAX), MAX_DURATION_MS)] {
+        assert_eq!(
+            accepted(|value| value["route_table"][0]["timeout_ms"] = written).route_table[0].timeout_ms,
+            decoded
+        );
     }
     let large = accepted(|value| {
         value["route_table"][0]["priority"] = json!(1u64 << 40);
@@ -74,7 +77,7 @@
         value["limits"]["max_body_bytes"] = json!(1e30);
     });
     assert_eq!((large.route_table[0].priority, large.service_table[0].max_connections), (u32::MAX, u32::MAX));
-    assert_eq!((large.route_table[0].timeout_ms, large.limits.max_body_bytes), (LONGEST_MS, u64::MAX));
+    assert_eq!((large.route_table[0].timeout_ms, large.limits.max_body_bytes), (MAX_DURATION_MS, u64::MAX));
     for (table, field) in
         [("service_table", "ramp_per_s"), ("tenant_table", "rate_per_s"), ("tenant_table", "burst_size")]
     {
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn fields_that_are_null_or_unknown_count_as_not_there() {
+fn null_fields_count_as_missing_and_unknown_fields_are_ignored() {
     let config = accepted(|value| {
         for (table, fields) in [
             ("route_table", &["target_ms", "priority", "retry_count", "persistent", "allowed_regions", "service"][..]),
@@ -107,16 +110,16 @@
 }
 
 #[test]
-fn neither_depth_nor_number_of_values_takes_the_process_down() {
-    let with = |piece: &str| valid().to_string().replacen("\"new\":1", &format!("\"new\":{piece}"), 1);
+fn a_text_too_deep_too_long_or_with_too_many_values_is_rejected() {
+    let with_value = |json: &str| valid().to_string().replacen("\"new\":1", &format!("\"new\":{json}"), 1);
     for (open, close) in [("[", "]"), ("{\"a\":", "}")] {
-        let deep = with(&format!("{}1{}", open.repeat(200_000), close.repeat(200_000)));
+        let deep = with_value(&format!("{}1{}", open.repeat(200_000), close.repeat(200_000)));
         assert_eq!(rejection(&deep).kind, ConfigErrorKind::TooDeep);
-        assert_eq!(rejection(&with(&open.repeat(200_000))).kind, ConfigErrorKind::TooDeep);
-        assert!(read(&with(&format!("{}1{}", open.repeat(50), close.repeat(50)))).is_ok());
+        assert_eq!(rejection(&with_value(&open.repeat(200_000))).kind, ConfigErrorKind::TooDeep);
+        assert!(read(&with_value(&format!("{}1{}", open.repeat(50), close.repeat(50)))).is_ok());
     }
-    let error = rejection(&with(&format!("[{}0]", "0,".repeat(1_100_000))));
+    let error = rejection(&with_value(&format!("[{}0]", "0,".repeat(1_100_000))));
     assert_eq!((error.status(), error.kind), (413, ConfigErrorKind::TooManyValues));
-    let long = with(&format!("\"{}\"", "x".repeat(MAX_TEXT_BYTES)));
+    let long = with_value(&format!("\"{}\"", "x".repeat(MAX_TEXT_BYTES)));
     assert_eq!(rejection(&long).status(), 413);
 }
--- a/protocol/src/config/merge.rs
+++ b/protocol/src/config/merge.rs
@@ -1,5 +1,5 @@
-//! Pieces of JSON text kept as they were written, and lists of named items merged with changes of them. The same merge
-//! serves the text and the typed value, so that they cannot come apart.
+//! JSON whose parts keep their original text, and the merge of a list of named items with changes to it. The text and
+//! the typed value use the same merge, so that they cannot diverge.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -12,20 +12,20 @@
 
 use super::json::FieldName;
 
-/// The names and the texts of an object's fields, in their order.
+/// The names and the texts of an object's fields, in the order of the text.
 pub type RawFields = Vec<(String, String)>;
 
-/// An object whose fields are kept as text, in their order.
+/// An object whose fields keep their original text and order.
 pub struct RawObject<'a>(pub Vec<(Cow<'a, str>, &'a RawValue)>);
 
 impl<'a> RawObject<'a> {
-    /// Returns the first value of a text, if it is an object.
-    pub fn read(text: &'a str) -> Option<RawObject<'a>> {
+    /// Parses the first value of a text. Returns `None` if it is not an object.
+    pub fn parse(text: &'a str) -> Option<RawObject<'a>> {
         let mut deserializer = serde_json::Deserializer::from_str(text);
         Deserialize::deserialize(&mut deserializer).ok()
     }
 
-    /// Returns the text of a field; of the last one where an earlier version accepted a name twice.
+    /// Returns the text of a field; of the last one if an earlier version accepted duplicates.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().rev().find(|(field, _)| field == name).map(|(_, raw)| raw.get())
     }
@@ -35,7 +35,7 @@
         self.0.iter().map(|(name, raw)| (name.to_string(), raw.get().to_string())).collect()
     }
 
-    /// Returns the name of the item that this object describes.
+    /// Returns the value of the object's field `name`, or `None` if it is missing or not a string.
     pub fn name(&self) -> Option<String> {
         serde_json::from_str(self.get("name")?).ok()
     }
@@ -65,17 +65,17 @@
     }
 }
 
-/// Returns the items of a list as text, or `None` if the text is no list.
+/// Returns the texts of the items of a list, or `None` if `text` is not a list.
 pub fn raw_items(text: &str) -> Option<Vec<&RawValue>> {
     serde_json::from_str(text).ok()
 }
 
-/// Returns `items` without the withdrawn ones, and with each of `upserts` in the position of the item of its name, or at
-/// the end.
+/// Removes the withdrawn items, then puts each upsert in the place of the item with the same name, or at the end if
+/// there is none.
 pub fn merge<T>(items: Vec<T>, withdrawn: &[String], upserts: Vec<T>, name: impl Fn(&T) -> Option<&str>) -> Vec<T> {
-    let removed: HashSet<&str> = withdrawn.iter().map(String::as_str).collect();
+    let withdrawn: HashSet<&str> = withdrawn.iter().map(String::as_str).collect();
     let mut merged: Vec<T> =
-        items.into_iter().filter(|item| !name(item).is_some_and(|name| removed.contains(name))).collect();
+        items.into_iter().filter(|item| !name(item).is_some_and(|name| withdrawn.contains(name))).collect();
     let positions: HashMap<String, usize> =
         merged.iter().enumerate().filter_map(|(index, item)| Some((name(item)?.to_string(), index))).collect();
     for item in upserts {
--- a/protocol/src/config/model.rs
+++ b/protocol/src/config/model.rs
@@ -1,50 +1,51 @@
-//! The types of a configuration. The form that routers get is made of them, so fields keep their order for good.
+//! The types of a configuration. The encoding that routers receive depends on the order of their fields, which must
+//! never change.
 
 use std::fmt;
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The share of a route's requests that one service gets.
+/// The share of a route's requests that goes to one service.
 #[derive(Clone, Debug, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Split {
     /// The service's name.
     pub service: String,
-    /// Its weight among the services of the route.
+    /// The weight relative to the other services of the route.
     pub weight: u64,
 }
 
-/// Where requests of a host and a path prefix go.
+/// Where requests for a hostname and a path prefix go.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Route {
     /// The name, unique among routes.
     pub name: String,
-    /// In lower case and without a port: hosts that a look-up cannot tell apart are equal here.
+    /// The hostname, in lower case and without a port: hosts that a lookup treats as the same are equal here.
     pub hostname: String,
-    /// Begins and ends with a slash; the longest prefix that matches decides.
+    /// The path prefix, which begins and ends with a slash. Of several matching prefixes the longest applies.
     pub path_prefix: String,
-    /// `idempotent`, `non_idempotent` or `streaming`: whether a request may run more than once.
+    /// `idempotent`, `non_idempotent` or `streaming`: determines whether a request may run more than once.
     pub route_type: String,
-    /// The time budget of a request in milliseconds.
+    /// The total timeout of a request in milliseconds.
     pub timeout_ms: u64,
-    /// The target for the first byte of a response in milliseconds; 0 for none.
+    /// The target for the time to first byte in milliseconds; 0 for none.
     pub target_ms: u64,
-    /// The priority of its requests.
+    /// The priority of the requests of this route.
     pub priority: u32,
-    /// The service, where there is no traffic split.
+    /// The service, if there is no traffic split.
     pub service: Option<String>,
     /// The services with their weights; takes precedence over `service`.
     pub traffic_split: Vec<Split>,
-    /// How often a request may be tried again.
+    /// Maximum number of retries of a request.
     pub retry_count: u32,
-    /// As the published protocol defines it.
+    /// The published protocol defines the meaning.
     pub persistent: bool,
-    /// Whether a stream that broke may go on at another engine.
+    /// Whether an interrupted stream may resume on another engine.
     pub resumable: bool,
     /// The target for the time between events of a stream in milliseconds; 0 for none.
     pub gap_target_ms: u64,
-    /// The regions whose engines may serve it; empty for all.
+    /// The regions whose engines may serve this route; empty for all.
     pub allowed_regions: Vec<String>,
-    /// Served without a key, also where the configuration has tenants.
+    /// Whether requests need no API key, even if the configuration has tenants.
     pub anonymous: bool,
 }
 
@@ -70,46 +71,46 @@
     }
 }
 
-/// A sender of requests, known by its keys and bound by a rate limit over all routers.
+/// A client, identified by its API keys and subject to a rate limit across all routers.
 #[derive(Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Tenant {
     /// The name, unique among tenants.
     pub name: String,
-    /// Secrets: they appear in no error and no log.
+    /// The API keys: secrets, which must not appear in errors or logs.
     pub api_keys: Vec<String>,
-    /// Takes precedence over the priority of a route.
+    /// The priority of its requests; takes precedence over the priority of the route.
     pub priority: Option<u32>,
-    /// Requests a second; 0 for no limit.
+    /// Rate limit in requests per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests that may come at once above the rate.
+    /// Maximum burst above the rate, in requests.
     pub burst_size: f64,
     /// The regions whose engines may serve its requests; empty for all.
     pub allowed_regions: Vec<String>,
 }
 
-/// A model that the engines of a service run.
+/// A model that the engines of a service serve.
 #[derive(Clone, Debug, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Model {
-    /// The name.
+    /// The name by which requests select the model.
     pub name: String,
 }
 
 /// The properties of a service's engines.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that an engine works on at once.
+    /// Maximum number of requests that an engine processes concurrently.
     pub slot_count: u32,
-    /// Tokens that its KV cache holds.
+    /// Capacity of the KV cache in tokens.
     pub kv_capacity: u64,
-    /// Bytes of the KV cache for one token.
+    /// Size of the KV cache of one token in bytes.
     pub kv_token_bytes: f64,
-    /// The rate of the link between engines in megabits a second.
+    /// Bandwidth of the link between engines in megabits per second.
     pub link_mbps: f64,
-    /// Seconds that an engine keeps a KV cache for another one to fetch.
+    /// How long an engine holds a KV cache for another engine to fetch, in seconds.
     pub kv_hold_s: f64,
-    /// Seconds that a change between prefill and decode takes.
+    /// How long a switch between the prefill and decode roles takes, in seconds.
     pub role_switch_s: f64,
-    /// The models that the engines run.
+    /// The models that the engines serve.
     pub model_list: Vec<Model>,
 }
 
@@ -128,28 +129,28 @@
 }
 
 impl fmt::Debug for Tenant {
-    /// Without the keys, which are secrets.
+    /// Prints the number of API keys in place of the keys, which are secrets.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let mut shown = out.debug_struct("Tenant");
-        shown.field("name", &self.name).field("api_keys", &self.api_keys.len());
-        shown.finish_non_exhaustive()
+        let mut output = out.debug_struct("Tenant");
+        output.field("name", &self.name).field("api_keys", &self.api_keys.len());
+        output.finish_non_exhaustive()
     }
 }
 
-/// A service, to which routes lead.
+/// A service: a group of engines to which routes send requests.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Service {
     /// The name, unique among services.
     pub name: String,
-    /// The path of an engine's health check.
+    /// The path of the health check of its engines.
     pub health_path: String,
-    /// Connections to one engine at most; 0 for no bound.
+    /// Maximum number of connections to one engine; 0 for no limit.
     pub max_connections: u32,
-    /// Seconds that a new engine takes to warm up.
+    /// How long a new engine takes to warm up, in seconds.
     pub warmup_s: f64,
-    /// By how many requests a second the load of a new engine may rise each second.
+    /// Maximum increase of the load of a new engine per second, in requests per second.
     pub ramp_per_s: f64,
-    /// The properties of its engines, if stated.
+    /// The properties of its engines, if specified.
     pub engine: Option<Engine>,
 }
 
@@ -166,16 +167,16 @@
     }
 }
 
-/// What a client may send, and how long it may take or stay idle.
+/// Size limits and timeouts for client connections.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Limits {
-    /// The longest header of a request in bytes.
+    /// Maximum size of a request header in bytes.
     pub max_header_bytes: u64,
-    /// The longest body of a request in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// How long a header may take to come, in milliseconds.
+    /// Timeout for receiving a request header in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle, in milliseconds.
+    /// Idle timeout of a connection in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -188,28 +189,28 @@
 /// A whole configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// Rises with each change; from 1.
+    /// The revision, which increases with each change; at least 1.
     pub revision: u64,
     /// The routes.
     pub route_table: Vec<Route>,
     /// The services.
     pub service_table: Vec<Service>,
-    /// What clients may send.
+    /// The limits for client connections.
     pub limits: Limits,
     /// The tenants.
     pub tenant_table: Vec<Tenant>,
-    /// Whether there is a table of tenants, if only an empty one. Then requests need a key: removing the last tenant must
-    /// not admit everybody.
+    /// Whether requests need an API key: true if there is a tenant table, even an empty one, so that removing the last
+    /// tenant does not admit everybody.
     pub requires_keys: bool,
 }
 
-/// Returns the services of a route with their weights, whose sum fits into 64 bits.
+/// Returns the services of a route with their weights, scaled if necessary so that their sum fits into 64 bits.
 pub fn targets(route: &Route) -> Vec<(&str, u64)> {
     if route.traffic_split.is_empty() {
         return route.service.iter().filter(|name| !name.is_empty()).map(|name| (name.as_str(), 1)).collect();
     }
     let sum: u128 = route.traffic_split.iter().map(|part| u128::from(part.weight)).sum();
-    // Only weights that no operator writes are scaled: their proportions are kept, none that counts becomes 0.
+    // Only unrealistically large weights are scaled. Proportions are kept, and no non-zero weight becomes 0.
     let shift = if sum > u128::from(u64::MAX / 2) { 66 - sum.leading_zeros().min(66) } else { 0 };
     let scaled = |weight: u64| weight.checked_shr(shift).unwrap_or(0).max(u64::from(weight > 0));
     route.traffic_split.iter().map(|part| (part.service.as_str(), scaled(part.weight))).collect()
--- a/protocol/src/config/patch.rs
+++ b/protocol/src/config/patch.rs
@@ -1,4 +1,4 @@
-//! A patch: a change of named items of a configuration, as an operator sends it.
+//! A patch: a change of named items of a configuration that an operator sends.
 
 use std::collections::HashSet;
 
@@ -10,24 +10,25 @@
 use super::model::{Route, Service, Tenant};
 use super::values::Fields;
 
-/// What a patch does to one table. Items stay as the operator wrote them.
+/// The changes of a patch to one table. Items keep the text that the operator wrote.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TableChange {
     pub(super) name: String,
+    /// The names of the items that are removed.
     pub(super) withdrawn: Vec<String>,
-    /// The items that are added or replaced: their names and texts.
+    /// The names and texts of the items that are added or replaced.
     pub(super) upserts: RawFields,
 }
 
-/// What a patch does to one object: fields that are added or replaced.
+/// The changes of a patch to one object: the fields that are added or replaced.
 #[derive(Clone, Debug)]
 pub(super) struct ObjectChange {
     pub(super) name: String,
     pub(super) fields: RawFields,
 }
 
-/// A parsed patch. Invariants: no table is named twice, nor an item twice among the upserts of a table; the typed
-/// items are those of `tables`, in their order.
+/// A parsed patch. Invariants: table names are unique, and so are the names of the upserts of a table; `routes`,
+/// `services` and `tenants` are the decoded upserts of `tables`, in the same order.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigPatch {
     pub(super) revision: u64,
@@ -39,15 +40,15 @@
 }
 
 impl ConfigPatch {
-    /// Parses a patch as an operator sends it. Whether its result is valid shows only when it is applied.
+    /// Parses a patch from an operator. Whether its result is valid is checked only when it is applied.
     ///
     /// # Errors
     ///
-    /// When the text is not strict JSON, or holds something else than a patch; the error names the item.
+    /// If the text is not strict JSON or not a patch; the error names the item.
     pub fn parse(text: &str) -> Result<ConfigPatch, ConfigError> {
         let value = json::parse(text)?;
         let Json::Object(fields) = &value else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
-        let Some(raw) = RawObject::read(text) else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
+        let Some(raw) = RawObject::parse(text) else { return Err(ConfigError::invalid_item(Item::Body, "an object")) };
         let mut patch = ConfigPatch::default();
         for (name, value) in fields {
             let raw = raw.get(name).unwrap_or_default();
@@ -55,11 +56,11 @@
                 REVISION => patch.revision = decode::revision(value)?,
                 UPSERT => patch.read_upserts(value, raw)?,
                 WITHDRAW => patch.read_withdrawals(value)?,
-                // Fields of a whole configuration: as parts of a patch they would change nothing.
+                // Fields of a whole configuration, which would have no effect in a patch.
                 ROUTES | SERVICES | TENANTS | LIMITS => {
                     return Err(ConfigError::invalid_item(
                         Item::Field(name.to_string()),
-                        "part of a change of named items",
+                        "allowed at the top level of a patch",
                     ));
                 }
                 _ => {}
@@ -69,34 +70,37 @@
     }
 
     fn read_upserts(&mut self, value: &Json, raw: &str) -> Result<(), ConfigError> {
-        let Some(tables) = object(UPSERT, value)? else { return Ok(()) };
-        let Some(raw) = RawObject::read(raw) else {
-            return Err(ConfigError::invalid_item(part(UPSERT, ""), "an object"));
+        let Some(tables) = optional_object(UPSERT, value)? else { return Ok(()) };
+        let Some(raw) = RawObject::parse(raw) else {
+            return Err(ConfigError::invalid_item(patch_item(UPSERT, ""), "an object"));
         };
         for (table, value) in tables {
             let raw = raw.get(table).unwrap_or_default();
             match (table.as_ref(), value) {
                 (_, Json::Null) => {}
-                (ROUTES | SERVICES | TENANTS, Json::List(items)) => {
-                    self.read_typed(table, value)?;
-                    self.read_items(table, items, raw)?;
+                (ROUTES | SERVICES | TENANTS, Json::Array(items)) => {
+                    self.decode_items(table, value)?;
+                    self.collect_items(table, items, raw)?;
                 }
                 (LIMITS, Json::Object(_)) => {
                     decode::limits(value)?;
-                    self.read_fields(table, raw)?;
+                    self.collect_fields(table, raw)?;
                 }
                 (ROUTES | SERVICES | TENANTS | LIMITS | REVISION, _) => {
-                    return Err(ConfigError::invalid_item(part(UPSERT, table), "what the configuration holds there"));
+                    return Err(ConfigError::invalid_item(
+                        patch_item(UPSERT, table),
+                        "of the type that it has in a configuration",
+                    ));
                 }
-                (_, Json::List(items)) => self.read_items(table, items, raw)?,
-                (_, Json::Object(_)) => self.read_fields(table, raw)?,
-                _ => return Err(ConfigError::invalid_item(part(UPSERT, table), "a list of items")),
+                (_, Json::Array(items)) => self.collect_items(table, items, raw)?,
+                (_, Json::Object(_)) => self.collect_fields(table, raw)?,
+                _ => return Err(ConfigError::invalid_item(patch_item(UPSERT, table), "a list of items")),
             }
         }
         Ok(())
     }
 
-    fn read_typed(&mut self, table: &str, value: &Json) -> Result<(), ConfigError> {
+    fn decode_items(&mut self, table: &str, value: &Json) -> Result<(), ConfigError> {
         match table {
             ROUTES => self.routes = decode::table(table, value, decode::route)?,
             SERVICES => self.services = decode::table(table, value, decode::service)?,
@@ -105,10 +109,10 @@
         Ok(())
     }
 
-    fn read_items(&mut self, table: &str, items: &[Json], raw: &str) -> Result<(), ConfigError> {
+    fn collect_items(&mut self, table: &str, items: &[Json], raw: &str) -> Result<(), ConfigError> {
         let mut names = HashSet::new();
         for (index, (item, raw)) in items.iter().zip(raw_items(raw).unwrap_or_default()).enumerate() {
-            let entry = || Item::Entry { table: path(UPSERT, table), index };
+            let entry = || Item::Entry { table: patch_path(UPSERT, table), index };
             let Json::Object(fields) = item else { return Err(ConfigError::invalid_item(entry(), "an object")) };
             let Some(name) = decode::name(fields) else {
                 return Err(ConfigError { item: entry(), kind: ConfigErrorKind::MissingField { field: "name" } });
@@ -116,38 +120,39 @@
             if !names.insert(name) {
                 return Err(ConfigError { item: entry(), kind: ConfigErrorKind::DuplicateName });
             }
-            self.table(table).upserts.push((name.into(), raw.get().into()));
+            self.table_mut(table).upserts.push((name.into(), raw.get().into()));
         }
         Ok(())
     }
 
-    fn read_fields(&mut self, table: &str, raw: &str) -> Result<(), ConfigError> {
-        let Some(raw) = RawObject::read(raw) else {
-            return Err(ConfigError::invalid_item(part(UPSERT, table), "an object"));
+    fn collect_fields(&mut self, table: &str, raw: &str) -> Result<(), ConfigError> {
+        let Some(raw) = RawObject::parse(raw) else {
+            return Err(ConfigError::invalid_item(patch_item(UPSERT, table), "an object"));
         };
         self.objects.push(ObjectChange { name: table.into(), fields: raw.to_raw_fields() });
         Ok(())
     }
 
     fn read_withdrawals(&mut self, value: &Json) -> Result<(), ConfigError> {
-        let Some(tables) = object(WITHDRAW, value)? else { return Ok(()) };
+        let Some(tables) = optional_object(WITHDRAW, value)? else { return Ok(()) };
         for (table, names) in tables {
-            let fail = || ConfigError::invalid_item(part(WITHDRAW, table), "a list of names of items");
+            let error = || ConfigError::invalid_item(patch_item(WITHDRAW, table), "a list of item names");
             let names = match (table.as_ref(), names) {
-                (LIMITS | REVISION, _) => return Err(fail()),
+                (LIMITS | REVISION, _) => return Err(error()),
                 (_, Json::Null) => continue,
-                (_, Json::List(names)) => names,
-                _ => return Err(fail()),
+                (_, Json::Array(names)) => names,
+                _ => return Err(error()),
             };
             for name in names {
-                let Json::Text(name) = name else { return Err(fail()) };
-                self.table(table).withdrawn.push(name.to_string());
+                let Json::String(name) = name else { return Err(error()) };
+                self.table_mut(table).withdrawn.push(name.to_string());
             }
         }
         Ok(())
     }
 
-    fn table(&mut self, name: &str) -> &mut TableChange {
+    /// Returns the changes to a table, which are created if there are none yet.
+    fn table_mut(&mut self, name: &str) -> &mut TableChange {
         let position = self.tables.iter().position(|table| table.name == name).unwrap_or_else(|| {
             self.tables.push(TableChange { name: name.into(), ..TableChange::default() });
             self.tables.len() - 1
@@ -155,14 +160,15 @@
         &mut self.tables[position]
     }
 
+    /// Returns the names of the items that are removed from a table.
     pub(super) fn withdrawn(&self, name: &str) -> &[String] {
         let table = self.tables.iter().find(|table| table.name == name);
         table.map_or(&[], |table| &table.withdrawn)
     }
 }
 
-/// Returns the fields of a part of the patch, or `None` where it is null.
-fn object<'a>(name: &str, value: &'a Json<'a>) -> Result<Option<&'a Fields<'a>>, ConfigError> {
+/// Returns the fields of a part of the patch, or `None` if it is null.
+fn optional_object<'a>(name: &str, value: &'a Json<'a>) -> Result<Option<&'a Fields<'a>>, ConfigError> {
     match value {
         Json::Object(fields) => Ok(Some(fields)),
         Json::Null => Ok(None),
@@ -170,10 +176,12 @@
     }
 }
 
-fn path(part: &str, table: &str) -> String {
-    format!("{part}.{}", field_names::shown(table))
+/// Returns the path of a table in a part of the patch, for use in errors.
+fn patch_path(part: &str, table: &str) -> String {
+    format!("{part}.{}", field_names::redact_unknown(table))
 }
 
-pub(super) fn part(part: &str, table: &str) -> Item {
-    Item::Field(path(part, table))
+/// Returns a table in a part of the patch as the item of an error.
+pub(super) fn patch_item(part: &str, table: &str) -> Item {
+    Item::Field(patch_path(part, table))
 }
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -1,4 +1,4 @@
-//! Changes of named items.
+//! Tests of patches.
 
 use serde_json::{json, Value};
 
@@ -6,30 +6,30 @@
 use crate::testing::samples::{valid, KEY};
 
 fn base() -> ConfigDocument {
-    ConfigDocument::parse(&valid().to_string()).expect("good")
+    ConfigDocument::parse(&valid().to_string()).expect("a valid configuration")
 }
 
-fn result(change: &Value) -> Result<ConfigDocument, ConfigError> {
+fn apply_patch(change: &Value) -> Result<ConfigDocument, ConfigError> {
     let patched = ConfigPatch::parse(&change.to_string()).and_then(|patch| base().apply(&patch));
     if let Ok(patched) = &patched {
-        let again = ConfigDocument::parse(patched.text()).expect("what is taken can be read");
-        assert_eq!(&again, patched, "text and value agree");
+        let reparsed = ConfigDocument::parse(patched.text()).expect("an accepted result is valid");
+        assert_eq!(&reparsed, patched, "text and value agree");
     }
     patched
 }
 
 fn rejected(change: &Value) -> String {
-    let error = result(change).expect_err("must be refused");
+    let error = apply_patch(change).expect_err("must be rejected");
     assert!((400..500).contains(&error.status()) && !error.to_string().contains(KEY), "{error}");
     error.to_string()
 }
 
 fn accepted(change: &Value) -> ConfigDocument {
-    result(change).unwrap_or_else(|error| panic!("{error}"))
+    apply_patch(change).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn names(checked: &ConfigDocument) -> Vec<(&str, u64)> {
-    checked.config().route_table.iter().map(|route| (route.name.as_str(), route.timeout_ms)).collect()
+fn names_and_timeouts(document: &ConfigDocument) -> Vec<(&str, u64)> {
+    document.config().route_table.iter().map(|route| (route.name.as_str(), route.timeout_ms)).collect()
 }
 
 fn route(name: &str, prefix: &str) -> Value {
@@ -37,74 +37,75 @@
 }
 
 #[test]
-fn a_change_replaces_adds_and_removes_by_name() {
-    let mut two = valid()["route_table"][1].clone();
-    two["timeout_ms"] = 9.into();
-    let change = json!({"revision": 9, "upsert": {"route_table": [route("r-3", "/"), two]},
+fn a_patch_replaces_adds_and_removes_items_by_name() {
+    let mut changed = valid()["route_table"][1].clone();
+    changed["timeout_ms"] = 9.into();
+    let change = json!({"revision": 9, "upsert": {"route_table": [route("r-3", "/"), changed]},
         "withdraw": {"route_table": ["r-1", "r-never"]}});
     let next = accepted(&change);
-    assert_eq!(names(&next), [("r-2", 9), ("r-3", 5)]);
+    assert_eq!(names_and_timeouts(&next), [("r-2", 9), ("r-3", 5)]);
     assert_eq!(next.revision(), 9);
     assert!(rejected(&json!({"revision": 9, "upsert": {"route_table": 3}})).contains("upsert.route_table"));
     let value: Value = serde_json::from_str(next.text()).expect("JSON");
-    assert_eq!(value["service_table"], valid()["service_table"], "also what this version does not know");
+    assert_eq!(value["service_table"], valid()["service_table"], "including fields unknown to this version");
 }
 
 #[test]
-fn what_is_not_named_stays_as_it_was_written() {
+fn an_item_that_a_patch_does_not_name_keeps_its_text() {
     let text = valid().to_string().replace("\"new\":1", "\"new\":{ \"exact\" : 12345678901234567890123.50 }");
-    let base = ConfigDocument::parse(&text).expect("good");
-    let patch = ConfigPatch::parse("{\"revision\":8,\"upsert\":{\"route_table\":[]}}").expect("read");
+    let base = ConfigDocument::parse(&text).expect("a valid configuration");
+    let patch = ConfigPatch::parse("{\"revision\":8,\"upsert\":{\"route_table\":[]}}").expect("a valid patch");
     let next = base.apply(&patch).expect("valid");
     assert!(next.text().contains("{ \"exact\" : 12345678901234567890123.50 }"));
     assert_eq!(next.config().route_table, base.config().route_table);
 }
 
 #[test]
-fn the_result_is_what_must_be_valid() {
+fn a_patch_is_accepted_only_if_its_result_is_valid() {
     let upsert = |table: &str, item: Value| json!({"revision": 9, "upsert": {table: [item]}});
-    // Good items, invalid result.
+    // Valid items, invalid result.
     assert!(rejected(&upsert(
         "route_table",
         json!({"name": "r-3", "hostname": "A.example:80", "path_prefix": "/x/",
         "route_type": "idempotent", "timeout_ms": 5, "service": "s"})
     ))
-    .contains("route `r-3`: hostname and path_prefix are those of `r-1`"));
+    .contains("route `r-3`: same hostname and path_prefix as route `r-1`"));
     assert!(rejected(&json!({"revision": 9, "withdraw": {"service_table": ["s"]}})).contains("unknown service `s`"));
     let shared = upsert("tenant_table", json!({"name": "t-3", "api_keys": [format!("{KEY}3")]}));
-    assert!(rejected(&shared).contains("tenant `t-3`: a key is also a key of tenant `t-2`"));
-    // Items that are good only together with what is held, or with each other.
+    assert!(rejected(&shared).contains("tenant `t-3`: an API key also belongs to tenant `t-2`"));
+    // Items that are valid only together with the current configuration or with each other.
     accepted(&json!({"revision": 9, "withdraw": {"tenant_table": ["t-2"]},
         "upsert": {"tenant_table": [{"name": "t-3", "api_keys": [format!("{KEY}3")]}]}}));
-    let mut moved = route("r-9", "/");
-    moved["service"] = "s-9".into();
-    accepted(&json!({"revision": 9, "upsert": {"service_table": [{"name": "s-9"}], "route_table": [moved]}}));
-    // Two routes change places at once.
+    let mut dependent = route("r-9", "/");
+    dependent["service"] = "s-9".into();
+    accepted(&json!({"revision": 9, "upsert": {"service_table": [{"name": "s-9"}], "route_table": [dependent]}}));
+    // Two routes swap names in one patch.
     let swapped = |name: &str, from: usize| {
         let mut item = valid()["route_table"][from].clone();
         item["name"] = name.into();
         item
     };
     accepted(&json!({"revision": 9, "upsert": {"route_table": [swapped("r-1", 1), swapped("r-2", 0)]}}));
-    let mut late = route("r-3", "/");
-    late["timeout_ms"] = 0.into();
-    assert!(rejected(&upsert("route_table", late)).contains("route `r-3`: timeout_ms is 0"));
+    let mut no_timeout = route("r-3", "/");
+    no_timeout["timeout_ms"] = 0.into();
+    assert!(rejected(&upsert("route_table", no_timeout)).contains("route `r-3`: timeout_ms is 0"));
 }
 
 #[test]
-fn a_patch_is_parsed_as_strictly_as_a_configuration() {
+fn a_malformed_patch_is_rejected_with_the_item_named() {
     let change =
         json!({"revision": 9, "upsert": {"route_table": [route("r-3", "/")]}, "withdraw": {"route_table": ["r-1"]}});
     let text = change.to_string();
-    let read = |text: &str| ConfigPatch::parse(text).expect_err("must be refused").to_string();
+    let rejection = |text: &str| ConfigPatch::parse(text).expect_err("must be rejected").to_string();
     for cut in 0..text.len() {
-        read(&text[..cut]);
+        rejection(&text[..cut]);
     }
     for bad in [format!("{text} x"), format!("\u{feff}{text}"), "[]".into(), "null".into(), format!("{text}{text}")] {
-        read(&bad);
+        rejection(&bad);
     }
-    assert!(read(&text.replacen("\"timeout_ms\":5", "\"timeout_ms\":5,\"timeout_ms\":5", 1)).contains("is there twice"));
-    assert!(read(&text.replacen("\"upsert\"", "\"upsert\":{},\"upsert\"", 1)).contains("is there twice"));
+    assert!(rejection(&text.replacen("\"timeout_ms\":5", "\"timeout_ms\":5,\"timeout_ms\":5", 1))
+        .contains("duplicate field"));
+    assert!(rejection(&text.replacen("\"upsert\"", "\"upsert\":{},\"upsert\"", 1)).contains("duplicate field"));
     for (bad, item) in [
         (json!({"upsert": 3}), "upsert"),
         (json!({"withdraw": ["r-1"]}), "withdraw"),
@@ -129,7 +130,7 @@
     ] {
         let mut bad = bad;
         bad["revision"] = 9.into();
-        let error = read(&bad.to_string());
+        let error = rejection(&bad.to_string());
         assert!(error.starts_with(item), "{error} for {item}");
     }
     for bad in [json!({}), json!({"revision": 0}), json!({"revision": null}), json!({"revision": 9.0})] {
@@ -138,61 +139,64 @@
 }
 
 #[test]
-fn a_part_that_is_null_is_not_there_and_the_withdrawn_go_first() {
-    for nothing in
+fn a_null_part_counts_as_missing_and_withdrawals_precede_upserts() {
+    for empty in
         [json!({"upsert": null}), json!({"withdraw": null}), json!({"upsert": {"route_table": null}}), json!({})]
     {
-        let mut change = nothing;
+        let mut change = empty;
         change["revision"] = 9.into();
-        assert_eq!(names(&accepted(&change)), names(&base()));
+        assert_eq!(names_and_timeouts(&accepted(&change)), names_and_timeouts(&base()));
     }
     let both = json!({"revision": 9, "upsert": {"route_table": [route("r-1", "/z/")]}, "withdraw": {"route_table": ["r-1", "r-1"]}});
-    assert_eq!(names(&accepted(&both)), [("r-2", 8000), ("r-1", 5)]);
+    assert_eq!(names_and_timeouts(&accepted(&both)), [("r-2", 8000), ("r-1", 5)]);
 }
 
 #[test]
-fn limits_and_what_this_version_does_not_know_can_be_changed() {
-    let limits =
+fn a_patch_changes_limits_and_fields_unknown_to_this_version() {
+    let patched =
         accepted(&json!({"revision": 9, "upsert": {"limits": {"max_body_bytes": 5, "idle_timeout_ms": null}}}));
-    let patched = &limits.config().limits;
-    assert_eq!((patched.max_body_bytes, patched.max_header_bytes), (5, 16384));
-    assert_eq!(patched.idle_timeout_ms, Limits::default().idle_timeout_ms);
+    let limits = &patched.config().limits;
+    assert_eq!((limits.max_body_bytes, limits.max_header_bytes), (5, 16384));
+    assert_eq!(limits.idle_timeout_ms, Limits::default().idle_timeout_ms);
     let later = accepted(&json!({"revision": 9, "upsert": {"later": [{"name": "x", "y": 1}], "more": {"a": 1}},
         "withdraw": {"never": ["x"]}}));
     let value: Value = serde_json::from_str(later.text()).expect("JSON");
     assert_eq!((&value["later"], &value["more"]), (&json!([{"name": "x", "y": 1}]), &json!({"a": 1})));
     assert!(value.get("never").is_none());
-    let patch = ConfigPatch::parse(&json!({"revision": 10, "upsert": {"later": {"a": 1}}}).to_string()).expect("read");
+    let patch =
+        ConfigPatch::parse(&json!({"revision": 10, "upsert": {"later": {"a": 1}}}).to_string()).expect("a valid patch");
     assert!(later.apply(&patch).is_err(), "a list does not become an object");
 }
 
 #[test]
-fn a_result_that_is_too_long_is_refused() {
+fn a_patch_with_a_result_that_is_too_long_is_rejected() {
     let mut item = route("r-3", "/");
     item["later"] = "x".repeat(MAX_TEXT_BYTES - 200).into();
-    let error = result(&json!({"revision": 9, "upsert": {"route_table": [item]}})).expect_err("too long");
+    let error = apply_patch(&json!({"revision": 9, "upsert": {"route_table": [item]}})).expect_err("too long");
     assert!(matches!(error.kind, ConfigErrorKind::TooLong { .. }) && error.status() == 413);
 }
 
-/// Tables that an earlier version allowed to be missing are there afterwards.
+/// An earlier version accepted configurations with missing tables; a patch adds them.
 #[test]
-fn a_patch_of_what_an_earlier_version_accepted_makes_it_complete() {
+fn a_patch_adds_tables_missing_from_a_committed_configuration() {
     for old in ["{\"revision\":5} x", "{\"revision\":5,\"route_table\":null,\"service_table\":[]}"] {
         let base = ConfigDocument::parse_committed(old).expect("committed");
         let change =
             json!({"revision": 9, "upsert": {"service_table": [{"name": "s"}], "route_table": [route("a", "/")]}});
-        let next = base.apply(&ConfigPatch::parse(&change.to_string()).expect("read")).expect("valid");
+        let next = base.apply(&ConfigPatch::parse(&change.to_string()).expect("a valid patch")).expect("valid");
         assert_eq!(ConfigDocument::parse(next.text()), Ok(next));
     }
 }
 
 #[test]
-fn keys_are_needed_as_long_as_there_is_a_table_of_tenants() {
+fn api_keys_are_required_while_there_is_a_tenant_table() {
     let names: Vec<String> = base().config().tenant_table.iter().map(|tenant| tenant.name.clone()).collect();
     assert!(!names.is_empty() && base().config().requires_keys);
     let emptied = accepted(&json!({"revision": 900_001, "withdraw": {"tenant_table": names}}));
     assert_eq!((emptied.config().tenant_table.len(), emptied.config().requires_keys), (0, true));
     let mut without_tenants = valid();
     without_tenants.as_object_mut().expect("an object").remove("tenant_table");
-    assert!(!ConfigDocument::parse(&without_tenants.to_string()).expect("good").config().requires_keys);
+    assert!(
+        !ConfigDocument::parse(&without_tenants.to_string()).expect("a valid configuration").config().requires_keys
+    );
 }
--- a/protocol/src/config/property_tests.rs
+++ b/protocol/src/config/property_tests.rs
@@ -1,5 +1,5 @@
-//! Properties of all configurations: valid ones are accepted and kept as they are; each corruption is rejected, names its item,
-//! shows no key and never panics; text and value of whatever is accepted agree.
+//! Property tests of configurations. A valid one is accepted with its text unchanged. A corrupted one is rejected without
+//! a panic, by an error that names the item and contains no API key. Text and value of an accepted one agree.
 
 use kernel::Rng;
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
 use crate::testing::corruptions::CORRUPTIONS;
 use crate::testing::samples::{self, KEY};
 
-/// A change of named items on JSON values, as plain as it can be written: what the real one is held against.
-fn plain_patch(base: &Value, change: &Value) -> Value {
+/// Reference implementation: applies a patch to JSON values in the simplest way.
+fn reference_patch(base: &Value, change: &Value) -> Value {
     let mut next = base.clone();
     next["revision"] = change["revision"].clone();
     for (table, names) in change["withdraw"].as_object().into_iter().flatten() {
@@ -31,8 +31,8 @@
                 next[table] = json!([]);
             }
             let list = next[table].as_array_mut().expect("a table");
-            match list.iter_mut().find(|held| held["name"] == item["name"]) {
-                Some(held) => *held = item.clone(),
+            match list.iter_mut().find(|existing| existing["name"] == item["name"]) {
+                Some(existing) => *existing = item.clone(),
                 None => list.push(item.clone()),
             }
         }
@@ -40,15 +40,15 @@
     next
 }
 
-/// A change that is well-formed; its result may be invalid.
-fn change(rng: &mut Rng, revision: u64) -> Value {
+/// Draws a well-formed patch, whose result may be invalid.
+fn random_patch(rng: &mut Rng, revision: u64) -> Value {
     let mut change = json!({"revision": revision});
-    let mut numbers = |most: u64| -> Vec<u64> { (0..most).filter(|_| rng.below(4) == 0).collect() };
+    let mut numbers = |limit: u64| -> Vec<u64> { (0..limit).filter(|_| rng.below(4) == 0).collect() };
     let (routes, services, tenants) = (numbers(9), numbers(5), numbers(5));
-    let (gone_routes, gone_services, gone_tenants) = (numbers(9), numbers(6), numbers(5));
-    let known = 1 + rng.below(6);
+    let (removed_routes, removed_services, removed_tenants) = (numbers(9), numbers(6), numbers(5));
+    let service_count = 1 + rng.below(6);
     change["upsert"] = json!({
-        "route_table": routes.iter().map(|number| samples::route(rng, *number, known)).collect::<Vec<_>>(),
+        "route_table": routes.iter().map(|number| samples::route(rng, *number, service_count)).collect::<Vec<_>>(),
         "service_table": services.iter().map(|number| samples::service(rng, *number)).collect::<Vec<_>>(),
     });
     if rng.below(2) == 0 {
@@ -61,24 +61,26 @@
     if rng.below(3) == 0 {
         change["upsert"]["later_table"] = json!([{"name": "x", "z": [1.50]}]);
     }
-    let names = |letter: &str, numbers: &[u64]| -> Value { numbers.iter().map(|at| format!("{letter}{at}")).collect() };
-    let routes = names("r", &gone_routes);
+    let names =
+        |letter: &str, numbers: &[u64]| -> Value { numbers.iter().map(|number| format!("{letter}{number}")).collect() };
+    let routes = names("r", &removed_routes);
     change["withdraw"] = json!({"route_table": routes});
     if rng.below(4) == 0 {
-        change["withdraw"]["service_table"] = names("s", &gone_services);
+        change["withdraw"]["service_table"] = names("s", &removed_services);
     }
     if rng.below(2) == 0 {
-        change["withdraw"]["tenant_table"] = names("t", &gone_tenants);
+        change["withdraw"]["tenant_table"] = names("t", &removed_tenants);
     }
     change
 }
 
-fn shows_no_key(error: &ConfigError) {
+/// Asserts that an error contains no API key and has a 4xx status.
+fn assert_error_hides_key(error: &ConfigError) {
     assert!(!error.to_string().contains(KEY), "{error}");
     assert!((400..500).contains(&error.status()));
 }
 
-fn valid_with_a_route(rng: &mut Rng) -> Value {
+fn config_with_a_route(rng: &mut Rng) -> Value {
     let mut value = samples::full_config(rng, 7);
     if value["route_table"].as_array().is_some_and(Vec::is_empty) {
         value["route_table"] = json!([samples::route(rng, 0, 1)]);
@@ -90,80 +92,80 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn valid_configurations_are_accepted_and_kept_as_they_were_sent(seed: u64) {
+    fn a_valid_configuration_is_accepted_with_its_text_unchanged(seed: u64) {
         let mut rng = Rng::new(seed);
         let value = samples::full_config(&mut rng, 1 + seed % 1000);
         let text = samples::with_whitespace(&mut rng, &value);
-        let checked = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
-        prop_assert_eq!(checked.text(), &text);
-        prop_assert_eq!(Some(checked.revision()), value["revision"].as_u64());
-        prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(checked.clone()), "a controller reads what was judged");
-        let packed = ConfigUpdate::full(checked.config()).encode();
-        prop_assert_eq!(ConfigUpdate::decode(&packed), Some(ConfigUpdate::full(checked.config())));
+        let document = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
+        prop_assert_eq!(document.text(), &text);
+        prop_assert_eq!(Some(document.revision()), value["revision"].as_u64());
+        prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(document.clone()), "reads the same when committed");
+        let encoded = ConfigUpdate::full(document.config()).encode();
+        prop_assert_eq!(ConfigUpdate::decode(&encoded), Some(ConfigUpdate::full(document.config())));
     }
 
     #[test]
-    fn each_corruption_is_rejected_and_names_the_item(seed: u64, way in 0..CORRUPTIONS.len()) {
+    fn a_corrupted_configuration_is_rejected_with_the_item_named(seed: u64, corruption in 0..CORRUPTIONS.len()) {
         let mut rng = Rng::new(seed);
-        let mut value = valid_with_a_route(&mut rng);
-        let item = CORRUPTIONS[way](&mut rng, &mut value);
-        let error = read(&samples::with_whitespace(&mut rng, &value)).expect_err("must be refused");
-        shows_no_key(&error);
-        prop_assert!(error.to_string().starts_with(&item), "{} names not {}", error, item);
+        let mut value = config_with_a_route(&mut rng);
+        let item = CORRUPTIONS[corruption](&mut rng, &mut value);
+        let error = read(&samples::with_whitespace(&mut rng, &value)).expect_err("must be rejected");
+        assert_error_hides_key(&error);
+        prop_assert!(error.to_string().starts_with(&item), "{} does not name {}", error, item);
     }
 
     #[test]
-    fn a_text_that_is_cut_or_followed_by_more_is_rejected(seed: u64, cut in 0.0..1.0f64, behind in "[^ \\t\\r\\n]{1,3}") {
+    fn a_truncated_text_or_one_with_trailing_characters_is_rejected(seed: u64, cut in 0.0..1.0f64, suffix in "[^ \\t\\r\\n]{1,3}") {
         let mut rng = Rng::new(seed);
         let text = samples::with_whitespace(&mut rng, &samples::full_config(&mut Rng::new(seed), 7));
         let text = text.trim();
         let at = (0..text.len()).rev().find(|at| *at as f64 <= cut * text.len() as f64 && text.is_char_boundary(*at));
-        shows_no_key(&read(&text[..at.unwrap_or(0)]).expect_err("cut"));
-        shows_no_key(&read(&format!("{text}{behind}")).expect_err("followed"));
+        assert_error_hides_key(&read(&text[..at.unwrap_or(0)]).expect_err("truncated"));
+        assert_error_hides_key(&read(&format!("{text}{suffix}")).expect_err("trailing characters"));
     }
 
     #[test]
-    fn a_duplicate_field_is_rejected_wherever_it_is(seed: u64, position: usize) {
+    fn a_duplicate_field_anywhere_is_rejected(seed: u64, position: usize) {
         let mut rng = Rng::new(seed);
-        let text = valid_with_a_route(&mut rng).to_string();
-        // Before some field of some object stands the same field once more.
-        let starts: Vec<usize> = text.match_indices("\":").map(|(at, _)| at).collect();
-        let end = starts[position % starts.len()];
-        let begin = text[..end].rfind('"').expect("the name of a field");
+        let text = config_with_a_route(&mut rng).to_string();
+        // Inserts a second field with the same name before an arbitrary field.
+        let name_ends: Vec<usize> = text.match_indices("\":").map(|(at, _)| at).collect();
+        let end = name_ends[position % name_ends.len()];
+        let begin = text[..end].rfind('"').expect("a field name");
         let name = &text[begin + 1..end];
         let doubled = format!("{}\"{name}\":null,{}", &text[..begin], &text[begin..]);
-        let error = read(&doubled).expect_err("must be refused");
-        prop_assert!(error.to_string().ends_with("is there twice"), "{} for {}", error, name);
+        let error = read(&doubled).expect_err("must be rejected");
+        prop_assert!(error.to_string().ends_with("duplicate field"), "{} for {}", error, name);
     }
 
-    /// A patch is accepted just where the whole configuration that it leads to would be, and comes to the same.
+    /// A patch is accepted if and only if the resulting whole configuration would be, with the same value or error.
     #[test]
-    fn a_patch_leads_to_what_the_full_configuration_would(seed: u64, steps in 1..4usize) {
+    fn a_patch_equals_the_whole_configuration_that_it_results_in(seed: u64, steps in 1..4usize) {
         let mut rng = Rng::new(seed);
-        let mut plain = samples::full_config(&mut rng, 1);
-        let mut held = ConfigDocument::parse(&samples::with_whitespace(&mut rng, &plain)).expect("valid");
+        let mut expected = samples::full_config(&mut rng, 1);
+        let mut current = ConfigDocument::parse(&samples::with_whitespace(&mut rng, &expected)).expect("valid");
         for step in 0..steps {
-            let change = change(&mut rng, 2 + step as u64);
+            let change = random_patch(&mut rng, 2 + step as u64);
             let patch = ConfigPatch::parse(&samples::with_whitespace(&mut rng, &change)).unwrap_or_else(|error| panic!("{error}"));
-            let next = plain_patch(&plain, &change);
-            match (held.apply(&patch), ConfigDocument::parse(&next.to_string())) {
+            let next = reference_patch(&expected, &change);
+            match (current.apply(&patch), ConfigDocument::parse(&next.to_string())) {
                 (Ok(patched), Ok(whole)) => {
                     prop_assert_eq!(patched.config(), whole.config());
                     prop_assert_eq!(serde_json::from_str::<Value>(patched.text()).expect("JSON"), next.clone());
                     prop_assert_eq!(ConfigDocument::parse(patched.text()), Ok(patched.clone()), "text and value agree");
-                    prop_assert_eq!(held.apply_committed(&patch), Ok(patched.clone()), "others make the same of it");
-                    (plain, held) = (next, patched);
+                    prop_assert_eq!(current.apply_committed(&patch), Ok(patched.clone()), "the same when committed");
+                    (expected, current) = (next, patched);
                 }
-                (Err(one), Err(two)) => {
-                    shows_no_key(&one);
-                    prop_assert_eq!(one, two);
+                (Err(patch_error), Err(whole_error)) => {
+                    assert_error_hides_key(&patch_error);
+                    prop_assert_eq!(patch_error, whole_error);
                 }
-                (patched, whole) => prop_assert!(false, "change: {:?}, whole: {:?}", patched, whole),
+                (patched, whole) => prop_assert!(false, "patch: {:?}, whole: {:?}", patched, whole),
             }
         }
     }
 
-    /// Anything at all: an answer, never a panic, and what is taken reads the same again.
+    /// Any text is either rejected or accepted without a panic, and an accepted one reads the same when parsed again.
     #[test]
     fn no_text_makes_the_parser_panic(seed: u64, edits in 1..6usize, noise in "\\PC{0,12}") {
         let mut rng = Rng::new(seed);
@@ -187,10 +189,10 @@
                 text.push(' ');
             }
         }
-        if let Ok(checked) = ConfigDocument::parse(&text) {
-            prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(checked));
+        if let Ok(document) = ConfigDocument::parse(&text) {
+            prop_assert_eq!(ConfigDocument::parse_committed(&text), Ok(document));
         }
-        let base = ConfigDocument::parse(&samples::valid().to_string()).expect("good");
+        let base = ConfigDocument::parse(&samples::valid().to_string()).expect("a valid configuration");
         if let Ok(patched) = ConfigPatch::parse(&text).and_then(|patch| base.apply(&patch)) {
             prop_assert_eq!(ConfigDocument::parse(patched.text()), Ok(patched));
         }
--- a/protocol/src/config_update.rs
+++ b/protocol/src/config_update.rs
@@ -1,8 +1,8 @@
-//! A configuration as routers get it: whole, or what changed since another revision. The size of an update depends on
-//! what changed, not on the length of the configuration.
+//! Updates that deliver a configuration to routers: the whole configuration or the changes since another revision.
+//! The size of the latter depends on what changed, not on the length of the configuration.
 //!
-//! The encoding is the archived update, compressed. `FORMAT` stands before that of this version; without it the bytes are
-//! in the format that routers without tenants read ([`legacy_format`]).
+//! The encoding is the compressed rkyv archive of the update, preceded by `FORMAT_MAGIC`. Bytes without this prefix are
+//! in the format for routers that do not support tenants ([`legacy_format`]).
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,38 +14,38 @@
 
 pub mod legacy_format;
 
-/// How an encoding in this format begins. One in the legacy format begins with its uncompressed length, which is never
-/// so large.
-const FORMAT: [u8; 4] = [b't', b'd', 2, 0xff];
+/// The prefix of the current format. The legacy format begins with the uncompressed length, which is never as large as
+/// this value.
+const FORMAT_MAGIC: [u8; 4] = [b't', b'd', 2, 0xff];
 
-/// What leads from one revision to another. Invariants: `from` is 0 for a whole configuration; otherwise the update
-/// applies only to the revision `from`. The controller that made it checked the result.
+/// The change from one revision to another. Invariant: `from` is 0 for a whole configuration; otherwise the update
+/// applies only to the revision `from`. The controller that created the update has checked the result.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ConfigUpdate {
-    /// The revision that it applies to; 0 for any.
+    /// The revision that the update applies to; 0 for any.
     pub from: u64,
-    /// The revision that it leads to.
+    /// The revision that the update results in.
     pub to: u64,
-    /// Routes that are added, or that replace the one of their name.
+    /// Routes that are added, or that replace the one with the same name.
     pub routes: Vec<Route>,
-    /// The names of routes that are removed.
+    /// The names of the routes that are removed.
     pub removed_routes: Vec<String>,
-    /// Services that are added, or that replace the one of their name.
+    /// Services that are added, or that replace the one with the same name.
     pub services: Vec<Service>,
-    /// The names of services that are removed.
+    /// The names of the services that are removed.
     pub removed_services: Vec<String>,
-    /// All limits.
+    /// All limits, including unchanged ones.
     pub limits: Limits,
-    /// Tenants that are added, or that replace the one of their name.
+    /// Tenants that are added, or that replace the one with the same name.
     pub tenants: Vec<Tenant>,
-    /// The names of tenants that are removed.
+    /// The names of the tenants that are removed.
     pub removed_tenants: Vec<String>,
-    /// Whether requests need a key, as in the configuration that it leads to.
+    /// Whether requests need an API key after the update.
     pub requires_keys: bool,
 }
 
 impl ConfigUpdate {
-    /// Returns the update that leads from anything to a configuration.
+    /// Returns an update to `config` that applies to any revision.
     pub fn full(config: &Config) -> ConfigUpdate {
         ConfigUpdate {
             from: 0,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns the update that leads from `old` to `new`.
+    /// Returns the update from `old` to `new`.
     pub fn between(old: &Config, new: &Config) -> ConfigUpdate {
         let (routes, removed_routes) = difference(&old.route_table, &new.route_table, |route| route.name.as_str());
         let (services, removed_services) =
@@ -82,30 +82,30 @@
         }
     }
 
-    /// Decodes an update in either format. Returns `None` if the bytes are cut short, or no update.
+    /// Decodes an update in either format. Returns `None` if the bytes are truncated or not an update.
     pub fn decode(encoded: &[u8]) -> Option<ConfigUpdate> {
-        let Some(compressed) = encoded.strip_prefix(&FORMAT[..]) else { return legacy_format::decode(encoded) };
+        let Some(compressed) = encoded.strip_prefix(&FORMAT_MAGIC[..]) else { return legacy_format::decode(encoded) };
         rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&compression::decompress(compressed)?).ok()
     }
 
-    /// Encodes the update, compressed: after a loss of power everywhere all routers of a controller ask for the whole
-    /// configuration at once.
+    /// Encodes the update. It is compressed because after a fleet-wide power loss all routers of a controller request
+    /// the whole configuration at once.
     ///
     /// # Panics
     ///
     /// Never for an update that fits into memory.
     pub fn encode(&self) -> Vec<u8> {
         let body = rkyv::to_bytes::<rancor::Error>(self).expect("an update can always be encoded");
-        [&FORMAT[..], &compression::compress(&body)].concat()
+        [&FORMAT_MAGIC[..], &compression::compress(&body)].concat()
     }
 }
 
 /// Returns the items that were added or replaced, and the names of those that were removed.
 fn difference<T: Clone + PartialEq>(old: &[T], new: &[T], name: impl Fn(&T) -> &str) -> (Vec<T>, Vec<String>) {
-    let before: HashMap<&str, &T> = old.iter().map(|item| (name(item), item)).collect();
-    let kept: HashSet<&str> = new.iter().map(&name).collect();
-    let changed = new.iter().filter(|item| before.get(name(item)) != Some(item)).cloned().collect();
-    let removed = old.iter().map(&name).filter(|name| !kept.contains(name)).map(str::to_string).collect();
+    let old_items: HashMap<&str, &T> = old.iter().map(|item| (name(item), item)).collect();
+    let new_names: HashSet<&str> = new.iter().map(&name).collect();
+    let changed = new.iter().filter(|item| old_items.get(name(item)) != Some(item)).cloned().collect();
+    let removed = old.iter().map(&name).filter(|name| !new_names.contains(name)).map(str::to_string).collect();
     (changed, removed)
 }
 
--- a/protocol/src/config_update/legacy_format.rs
+++ b/protocol/src/config_update/legacy_format.rs
@@ -1,5 +1,5 @@
-//! The format of updates that routers of protocol versions 2 and 3 read, frozen: it has neither tenants nor routes that
-//! are served without a key. A configuration with tenants must never be sent in it ([`can_encode`]): whoever read it
+//! The frozen format of updates for routers of protocol versions 2 and 3. It has neither tenants nor routes that need
+//! no API key. A configuration with tenants must never be sent in this format ([`can_encode`]): a router that reads it
 //! would serve requests without keys.
 
 use rkyv::rancor;
@@ -8,7 +8,7 @@
 use crate::compression;
 use crate::config;
 
-/// As `config::Route`, without `anonymous`.
+/// [`config::Route`] without `anonymous`.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct Route {
     name: String,
@@ -67,7 +67,7 @@
     idle_timeout_ms: u64,
 }
 
-/// As `super::ConfigUpdate`, without tenants.
+/// [`super::ConfigUpdate`] without tenants.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 struct ConfigUpdate {
     from: u64,
@@ -84,14 +84,14 @@
     !config.requires_keys
 }
 
-/// Decodes an update. Returns `None` if the bytes are cut short, or no update.
+/// Decodes an update. Returns `None` if the bytes are truncated or not an update.
 pub fn decode(compressed: &[u8]) -> Option<super::ConfigUpdate> {
     rkyv::from_bytes::<ConfigUpdate, rancor::Error>(&compression::decompress(compressed)?)
         .ok()
         .map(super::ConfigUpdate::from)
 }
 
-/// Encodes an update between configurations that [`can_encode`] admits.
+/// Encodes an update between configurations for which [`can_encode`] returns true.
 ///
 /// # Panics
 ///
--- a/protocol/src/config_update_tests.rs
+++ b/protocol/src/config_update_tests.rs
@@ -1,4 +1,4 @@
-//! The encodings of configurations and of updates between them.
+//! Tests of configuration updates and their encodings.
 
 use std::fs;
 use std::path::Path;
@@ -21,11 +21,11 @@
 }
 
 fn config(revision: u64, routes: &[(&str, u64)]) -> Config {
-    crate::config::read(&text(revision, routes)).expect("good")
+    crate::config::read(&text(revision, routes)).expect("a valid configuration")
 }
 
 #[test]
-fn an_update_names_only_what_differs() {
+fn an_update_contains_only_changed_and_removed_items() {
     let old = config(3, &[("a", 5), ("b", 5), ("c", 5)]);
     let new = config(8, &[("a", 5), ("b", 6), ("d", 5)]);
     let update = ConfigUpdate::between(&old, &new);
@@ -38,36 +38,36 @@
 }
 
 #[test]
-fn its_size_depends_on_what_changed_and_not_on_the_length_of_the_configuration() {
-    let names: Vec<String> = (0..3000).map(|at| format!("r{at}")).collect();
+fn the_size_of_an_update_depends_only_on_the_changes() {
+    let names: Vec<String> = (0..3000).map(|number| format!("r{number}")).collect();
     let mut routes: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 5)).collect();
     let old = config(1, &routes);
     routes[700].1 = 9;
     let new = config(2, &routes);
-    let (step, full) = (ConfigUpdate::between(&old, &new).encode(), ConfigUpdate::full(&new).encode());
-    assert!(step.len() < 600 && full.len() > 30 * step.len(), "{} {}", step.len(), full.len());
-    assert!(full.len() < 3000 * 40, "packed: {} for 3000 routes", full.len());
+    let (delta, full) = (ConfigUpdate::between(&old, &new).encode(), ConfigUpdate::full(&new).encode());
+    assert!(delta.len() < 600 && full.len() > 30 * delta.len(), "{} {}", delta.len(), full.len());
+    assert!(full.len() < 3000 * 40, "{} bytes for 3000 routes", full.len());
 }
 
 #[test]
-fn it_decodes_to_itself_and_a_truncated_one_does_not_decode() {
+fn an_update_decodes_to_itself_and_a_truncated_one_does_not_decode() {
     let update = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
-    let body = update.encode();
-    assert_eq!(ConfigUpdate::decode(&body), Some(update));
-    for cut in 0..body.len() {
-        assert_eq!(ConfigUpdate::decode(&body[..cut]), None, "cut at {cut}");
+    let encoded = update.encode();
+    assert_eq!(ConfigUpdate::decode(&encoded), Some(update));
+    for cut in 0..encoded.len() {
+        assert_eq!(ConfigUpdate::decode(&encoded[..cut]), None, "cut at {cut}");
     }
 }
 
-/// Updates as the version before tenants encoded them: one full configuration, and the update to the next.
+/// Reads an update that the last version without tenants encoded: a whole configuration, or the update to the next one.
 fn legacy_fixture(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures").join(name);
-    fs::read(path).expect("the fixture")
+    fs::read(path).expect("a readable fixture")
 }
 
-#[allow(clippy::too_many_lines)] // one literal, or one scenario in order
+#[allow(clippy::too_many_lines)] // The literals of the expected updates are long.
 #[test]
-fn the_legacy_format_is_decoded_and_encoded_to_the_byte() {
+fn the_legacy_format_is_decoded_and_encoded_byte_for_byte() {
     use crate::config::{Engine, Limits, Model, Route, Service, Split};
     let split = |service: &str, weight| Split { service: service.into(), weight };
     let one = Route {
@@ -125,7 +125,7 @@
         removed_tenants: Vec::new(),
         requires_keys: false,
     };
-    let step = ConfigUpdate {
+    let delta = ConfigUpdate {
         from: 7,
         to: 9,
         routes: vec![Route { timeout_ms: 4000, ..one }],
@@ -133,66 +133,70 @@
         services: Vec::new(),
         ..full.clone()
     };
-    for (name, update) in [("change-3-whole.bin", full), ("change-3-step.bin", step)] {
+    for (name, update) in [("change-3-whole.bin", full), ("change-3-step.bin", delta)] {
         let bytes = legacy_fixture(name);
-        assert_eq!(ConfigUpdate::decode(&bytes).as_ref(), Some(&update), "a router of this version reads both layouts");
-        assert_eq!(legacy_format::encode(&update), bytes, "one of the version before gets what it knows");
+        assert_eq!(
+            ConfigUpdate::decode(&bytes).as_ref(),
+            Some(&update),
+            "a router of this version reads the legacy format"
+        );
+        assert_eq!(legacy_format::encode(&update), bytes, "the encoding for older routers is unchanged");
     }
 }
 
-/// What a router of version 2 or 3 does with an encoded update: nothing in it may be taken for its own format.
+/// A router of version 2 or 3 must not take an update in the current format for one in the legacy format.
 #[test]
-fn the_formats_are_never_confused() {
+fn the_legacy_decoder_rejects_the_current_format() {
     let update = ConfigUpdate::full(&config(3, &[("a", 5), ("b", 5)]));
     let (new, old) = (update.encode(), legacy_format::encode(&update));
     assert_eq!(legacy_format::decode(&new), None);
-    let unpacked = u32::from_le_bytes(*new.first_chunk().expect("four bytes")) as usize;
-    assert!(unpacked > MAX_BODY_BYTES, "the reader of the version before stops at the length: {unpacked}");
+    let uncompressed_len = u32::from_le_bytes(*new.first_chunk().expect("four bytes")) as usize;
+    assert!(uncompressed_len > MAX_BODY_BYTES, "an older router rejects the length: {uncompressed_len}");
     assert_eq!(ConfigUpdate::decode(&old), Some(update));
-    let anonymous = |text: &str| text.replace("\"timeout_ms\":5", "\"timeout_ms\":5,\"anonymous\":true");
-    let text = anonymous(&text(3, &[("a", 5)]));
-    let open = ConfigUpdate::full(&crate::config::read(&text).expect("good"));
-    assert!(open.routes[0].anonymous && ConfigUpdate::decode(&open.encode()) == Some(open));
+    let with_anonymous = |text: &str| text.replace("\"timeout_ms\":5", "\"timeout_ms\":5,\"anonymous\":true");
+    let text = with_anonymous(&text(3, &[("a", 5)]));
+    let anonymous = ConfigUpdate::full(&crate::config::read(&text).expect("a valid configuration"));
+    assert!(anonymous.routes[0].anonymous && ConfigUpdate::decode(&anonymous.encode()) == Some(anonymous));
 }
 
 #[test]
-fn tenants_come_with_an_update_and_keep_it_from_older_routers() {
-    let with = |revision: u64, tenants: Value| {
+fn an_update_contains_tenants_and_then_cannot_use_the_legacy_format() {
+    let with_tenants = |revision: u64, tenants: Value| {
         let text =
             serde_json::json!({"revision": revision, "service_table": [], "route_table": [], "tenant_table": tenants});
-        crate::config::read(&text.to_string()).expect("good")
+        crate::config::read(&text.to_string()).expect("a valid configuration")
     };
-    let old = with(3, serde_json::json!([{"name": "a", "api_keys": ["x"]}, {"name": "b", "api_keys": ["y"]}]));
-    let new = with(4, serde_json::json!([{"name": "b", "api_keys": ["y", "z"]}, {"name": "c", "priority": 2}]));
+    let old = with_tenants(3, serde_json::json!([{"name": "a", "api_keys": ["x"]}, {"name": "b", "api_keys": ["y"]}]));
+    let new = with_tenants(4, serde_json::json!([{"name": "b", "api_keys": ["y", "z"]}, {"name": "c", "priority": 2}]));
     let update = ConfigUpdate::between(&old, &new);
     let names: Vec<&str> = update.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
     assert_eq!((names, &update.removed_tenants), (vec!["b", "c"], &vec!["a".to_string()]));
     assert_eq!(ConfigUpdate::decode(&update.encode()), Some(update));
-    assert!(!legacy_format::can_encode(&old) && legacy_format::can_encode(&with(5, Value::Null)));
+    assert!(!legacy_format::can_encode(&old) && legacy_format::can_encode(&with_tenants(5, Value::Null)));
 }
 
-/// The largest configurations that are accepted still fit into a message, and are decoded again.
+/// The largest configurations that are accepted fit into a frame and can be decoded again.
 #[test]
-fn the_longest_configurations_can_be_delivered() {
-    let most = MAX_TEXT_BYTES - 300;
+fn a_configuration_of_maximum_length_can_be_delivered() {
+    let max_len = MAX_TEXT_BYTES - 300;
     let list = |item: &str, count: usize| vec![item; count].join(",");
-    let wide = |routes: String, tenants: String| {
+    let config_text = |routes: String, tenants: String| {
         format!("{{\"revision\":3,\"service_table\":[{{\"name\":\"s\"}}],\"route_table\":[{routes}],\"tenant_table\":[{tenants}]}}")
     };
     let route = |number: usize| {
         format!("{{\"name\":\"{number}\",\"hostname\":\"h\",\"path_prefix\":\"/{number}/\",\"route_type\":\"idempotent\",\"timeout_ms\":1,\"service\":\"s\"}}")
     };
-    let many_routes = wide((0..70_000).map(route).collect::<Vec<_>>().join(","), String::new());
+    let many_routes = config_text((0..70_000).map(route).collect::<Vec<_>>().join(","), String::new());
     let regions = format!("{{\"name\":\"t\",\"allowed_regions\":[{}]}}", list("\"\"", 990_000));
-    for text in [many_routes, wide(String::new(), regions)] {
-        assert!(text.len() < most, "{}", text.len());
+    for text in [many_routes, config_text(String::new(), regions)] {
+        assert!(text.len() < max_len, "{}", text.len());
         let update = ConfigUpdate::full(&crate::config::read(&text).unwrap_or_else(|error| panic!("{error}")));
         let msg = Message::TenantConfigUpdate(Box::new(update.encode()));
-        let frame = frame::encode(Kind::Notification, 0, &msg).expect("it fits into a frame");
+        let frame = frame::encode(Kind::Notification, 0, &msg).expect("the update fits into a frame");
         assert!(frame.len() < MAX_BODY_BYTES);
-        let Ok(Message::TenantConfigUpdate(packed)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
-            panic!("read")
+        let Ok(Message::TenantConfigUpdate(encoded)) = frame::decode_body(&frame[HEADER_BYTES..]) else {
+            panic!("a configuration update was expected")
         };
-        assert_eq!(ConfigUpdate::decode(&packed), Some(update));
+        assert_eq!(ConfigUpdate::decode(&encoded), Some(update));
     }
 }
