--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -5,7 +5,7 @@
 
 use consensus::{quorum, Decision};
 use kernel::clock;
-use protocol::message::{Message, RELAYED_ORDERS, VERSIONED_EVACUATIONS};
+use protocol::message::{Message, RELAYED_OPERATOR_REQUESTS, VERSIONED_EVACUATIONS};
 use protocol::operator_request::{OperatorRequest, OperatorResponse};
 
 use crate::config::execution;
@@ -69,7 +69,8 @@
     let is_shutting_down = controller.is_shutting_down();
     controller.peers.read(|view| {
         let first = reconfiguration::first_member(&membership, view, is_shutting_down, key, now)?;
-        let takes_requests = view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_ORDERS);
+        let takes_requests =
+            view.controllers.get(&first).is_some_and(|peer| peer.protocol_version >= RELAYED_OPERATOR_REQUESTS);
         takes_requests.then_some(first)
     })
 }
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -7,7 +7,7 @@
 
 use consensus::Decision;
 use protocol::config::ConfigDocument;
-use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_ORDERS};
+use protocol::message::{Entry, Message, Position, DIGESTED_BODIES, RELAYED_OPERATOR_REQUESTS};
 use protocol::operator_request::{CommittedDelta, ConfigChange, OperatorResponse};
 
 use crate::api::operator_requests;
@@ -129,7 +129,7 @@
     let delta = Message::CommittedDelta(Box::new(delta));
     for peer in controller.known_peers() {
         let protocol_version = controller.peers.protocol_version(&peer);
-        let takes_delta = protocol_version >= RELAYED_ORDERS && can_apply(protocol_version);
+        let takes_delta = protocol_version >= RELAYED_OPERATOR_REQUESTS && can_apply(protocol_version);
         controller.peers.consensus_client(&peer).notify(if takes_delta { delta.clone() } else { full.clone() });
     }
 }
--- a/protocol/src/dialer.rs
+++ b/protocol/src/dialer.rs
@@ -1,4 +1,4 @@
-//! Opening connections to daemons and engines, from a chosen address of this machine where one is set.
+//! Opens TCP connections to daemons and engines, from a configured local address if one is set.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -9,31 +9,31 @@
 
 use crate::socket;
 
-/// Opens connections, all from the same address of this machine.
+/// Opens TCP connections, all from the same local address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dialer {
-    /// `None`: the system chooses by its routes.
+    /// The local address to connect from. `None`: the system chooses one by its routes.
     source: Option<Ipv4Addr>,
 }
 
 impl Dialer {
-    /// Returns a dialer whose connections come from an address of this machine. `None`: the system chooses one.
+    /// Returns a dialer that connects from this local address. `None`: the system chooses one.
     pub fn new(source: Option<Ipv4Addr>) -> Dialer {
         Dialer { source }
     }
 
-    /// Connects within `wait_ms` milliseconds. The connection counts as broken once the peer has left what was sent to it
-    /// unacknowledged for `timeout_ms`.
+    /// Connects within `connect_timeout_ms` milliseconds. The connection counts as broken once sent data has stayed
+    /// unacknowledged for `ack_timeout_ms` milliseconds.
     ///
     /// # Errors
     ///
-    /// When the peer can't be reached, or not in time, or the source address is not one of this machine.
-    pub async fn connect(self, addr: &str, wait_ms: u64, timeout_ms: u64) -> io::Result<TcpStream> {
-        let stream = match time::timeout(Duration::from_millis(wait_ms), self.open(addr)).await {
+    /// If the peer can't be reached in time, the source address is not a local one, or `addr` is not a valid address.
+    pub async fn connect(self, addr: &str, connect_timeout_ms: u64, ack_timeout_ms: u64) -> io::Result<TcpStream> {
+        let stream = match time::timeout(Duration::from_millis(connect_timeout_ms), self.open(addr)).await {
             Ok(stream) => stream?,
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
         };
-        socket::configure(&stream, timeout_ms);
+        socket::configure(&stream, ack_timeout_ms);
         Ok(stream)
     }
 
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -1,8 +1,8 @@
-//! Frames: a header of fixed length, then one validated message. What is malformed or too new is an error that costs its
-//! sender the connection and nothing else.
+//! Frames: a header of fixed length, followed by one validated message. A frame that is malformed or too new is an
+//! error, and closes only the connection that it arrived on.
 //!
-//! A header holds, in little-endian order: the magic number (4 bytes), the version of the framing (2), the kind (2), the
-//! id (8) and the length of the body (4).
+//! A header holds, in little-endian order: the magic number (4 bytes), the framing version (2), the kind (2), the id
+//! (8) and the length of the body (4).
 
 use std::{error, fmt};
 
@@ -11,68 +11,68 @@
 
 use crate::message::{ArchivedMessage, Message, MessageKind};
 
-/// The oldest version of the framing that is read.
+/// The oldest framing version that is accepted.
 pub const OLDEST_VERSION: u16 = 1;
-/// The version of the framing that is written, and the newest that is read.
+/// The framing version that is written, and the newest that is accepted.
 pub const NEWEST_VERSION: u16 = 1;
-/// The longest body in bytes. A reader checks it before it allocates memory.
+/// Maximum length of a body in bytes. A reader checks it before it allocates memory.
 pub const MAX_BODY_BYTES: usize = 12 * 1024 * 1024;
 /// The length of a header in bytes.
 pub const HEADER_BYTES: usize = 20;
-/// How every frame begins.
+/// The magic number at the start of every frame.
 const MAGIC: u32 = 0x7464_7031;
 
-/// What stands before the body of a frame.
+/// The decoded header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The version of the framing.
+    /// The framing version.
     pub version: u16,
-    /// What the message is sent as.
+    /// Whether the message is a request, a response or a notification.
     pub kind: Kind,
-    /// Tells requests on one connection apart; a response has the id of its request.
+    /// Identifies a request on its connection; a response carries the id of its request.
     pub id: u64,
     /// The length of the body in bytes.
     pub len: usize,
 }
 
-/// What a message is sent as.
+/// The role of a message in an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Expects a response.
     Request,
-    /// Answers the request with the same id.
+    /// Responds to the request with the same id.
     Response,
     /// Expects no response.
     Notification,
 }
 
-/// Why bytes are no frame, or why a message can't be sent as one.
+/// Why bytes can't be decoded as a frame, or a message can't be encoded as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The header does not begin as a frame's does.
+    /// The header does not begin with the magic number.
     InvalidMagic,
-    /// The framing has this version, which is not read here.
+    /// The header has this framing version, which is not supported.
     UnsupportedVersion(u16),
-    /// The header has this number for a kind.
+    /// The header has this number in place of a known kind.
     UnknownKind(u16),
     /// The body has this many bytes, more than [`MAX_BODY_BYTES`].
     TooLong(usize),
-    /// The body is no message.
+    /// The body is not a valid message.
     InvalidBody,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FrameError::InvalidMagic => write!(formatter, "a frame does not begin with {MAGIC:#x}"),
+            FrameError::InvalidMagic => write!(formatter, "the frame does not begin with the magic number {MAGIC:#x}"),
             FrameError::UnsupportedVersion(version) => {
-                write!(formatter, "a frame has version {version}, expected {OLDEST_VERSION} to {NEWEST_VERSION}")
+                write!(formatter, "unsupported frame version {version}, expected {OLDEST_VERSION} to {NEWEST_VERSION}")
             }
-            FrameError::UnknownKind(kind) => write!(formatter, "a frame has the unknown kind {kind}"),
+            FrameError::UnknownKind(kind) => write!(formatter, "unknown frame kind {kind}"),
             FrameError::TooLong(bytes) => {
-                write!(formatter, "a frame has {bytes} bytes, at most {MAX_BODY_BYTES} are allowed")
+                write!(formatter, "the frame body has {bytes} bytes, at most {MAX_BODY_BYTES} are allowed")
             }
-            FrameError::InvalidBody => formatter.write_str("the body of a frame is no message"),
+            FrameError::InvalidBody => formatter.write_str("the frame body is not a valid message"),
         }
     }
 }
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// When the message is longer than [`MAX_BODY_BYTES`].
+/// If the encoded message is longer than [`MAX_BODY_BYTES`].
 pub fn encode(kind: Kind, id: u64, message: &Message) -> Result<Vec<u8>, FrameError> {
     let body = rkyv::to_bytes::<rancor::Error>(message).map_err(|_| FrameError::InvalidBody)?;
     if body.len() > MAX_BODY_BYTES {
@@ -108,7 +108,7 @@
 ///
 /// # Errors
 ///
-/// When the bytes are no header, or one of a version, a kind or a length that is not read here.
+/// If the bytes are not a frame header, or its version, kind or length is not supported.
 pub fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
     if bytes[..4] != MAGIC.to_le_bytes() {
         return Err(FrameError::InvalidMagic);
@@ -136,20 +136,21 @@
 ///
 /// # Errors
 ///
-/// When the bytes are no message.
+/// If the bytes are not a valid message.
 pub fn decode_body(body: &[u8]) -> Result<Message, FrameError> {
     let mut aligned = AlignedVec::<16>::with_capacity(body.len());
     aligned.extend_from_slice(body);
     rkyv::from_bytes::<Message, rancor::Error>(&aligned).map_err(|_| FrameError::InvalidBody)
 }
 
-/// Returns the kind of the message in a frame that was encoded here or decoded without an error. `None`: the frame holds no
-/// message.
+/// Returns the kind of the message in a frame that was encoded here or decoded without an error, or `None` if the frame
+/// holds no message.
 ///
-/// An archived message stands at the end of the body and begins with the number of its variant.
+/// The archived message is at the end of the body and begins with its variant number.
 pub fn message_kind(frame: &[u8]) -> Option<MessageKind> {
-    let at = frame.len().checked_sub(size_of::<ArchivedMessage>()).filter(|at| *at >= HEADER_BYTES)?;
-    MessageKind::from_repr(frame[at])
+    let message_offset =
+        frame.len().checked_sub(size_of::<ArchivedMessage>()).filter(|offset| *offset >= HEADER_BYTES)?;
+    MessageKind::from_repr(frame[message_offset])
 }
 
 #[cfg(test)]
--- a/protocol/src/frame_tests.rs
+++ b/protocol/src/frame_tests.rs
@@ -8,25 +8,25 @@
     message::Message::OwnerQuery(Box::new((3, vec![1, 2, 3])))
 }
 
-fn split(frame: &[u8]) -> ([u8; HEADER_BYTES], &[u8]) {
-    let mut head = [0; HEADER_BYTES];
-    head.copy_from_slice(&frame[..HEADER_BYTES]);
-    (head, &frame[HEADER_BYTES..])
+fn split_header(frame: &[u8]) -> ([u8; HEADER_BYTES], &[u8]) {
+    let mut header = [0; HEADER_BYTES];
+    header.copy_from_slice(&frame[..HEADER_BYTES]);
+    (header, &frame[HEADER_BYTES..])
 }
 
 #[test]
-fn a_frame_decodes_to_what_was_encoded() {
-    let frame = encode(Kind::Request, 9, &sample()).expect("sealed");
-    let (head, body) = split(&frame);
-    let read = decode_header(&head).expect("head");
-    assert_eq!((read.kind, read.id, read.len), (Kind::Request, 9, body.len()));
-    assert_eq!(decode_body(body).expect("body"), sample());
+fn an_encoded_frame_decodes_to_its_header_and_message() {
+    let frame = encode(Kind::Request, 9, &sample()).expect("encoded");
+    let (header, body) = split_header(&frame);
+    let decoded = decode_header(&header).expect("a valid header");
+    assert_eq!((decoded.kind, decoded.id, decoded.len), (Kind::Request, 9, body.len()));
+    assert_eq!(decode_body(body).expect("a valid body"), sample());
 }
 
 #[test]
-fn invalid_frames_are_distinguished() {
-    let frame = encode(Kind::Notification, 0, &sample()).expect("sealed");
-    let (good, body) = split(&frame);
+fn each_kind_of_invalid_frame_has_its_own_error() {
+    let frame = encode(Kind::Notification, 0, &sample()).expect("encoded");
+    let (good, body) = split_header(&frame);
     let mut corrupt = good;
     corrupt[0] ^= 1;
     assert_eq!(decode_header(&corrupt), Err(FrameError::InvalidMagic));
@@ -37,16 +37,16 @@
     long[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_eq!(decode_header(&long), Err(FrameError::TooLong(u32::MAX as usize)));
     assert_eq!(decode_body(&body[..body.len() - 1]), Err(FrameError::InvalidBody));
-    for at in 0..body.len() {
+    for offset in 0..body.len() {
         let mut corrupted = body.to_vec();
-        corrupted[at] ^= 0xff;
+        corrupted[offset] ^= 0xff;
         // Either another valid message or an error; never a panic.
         let _ = decode_body(&corrupted);
     }
 }
 
-/// One message of each kind that version 1 sent, as it stood on the wire.
-fn first_version() -> Vec<message::Message> {
+/// One message of each kind that version 1 sent.
+fn version_1_messages() -> Vec<message::Message> {
     use crate::message::{
         ConsensusOperation, ConsensusRequest, ConsensusResponse, CoreMembership, EndpointList, Engine, Entry, Member,
         Message, ProposalNumber, StateUpdate,
@@ -94,26 +94,26 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/messages-1.bin")
 }
 
-/// Written once by version 1; later versions must still read it.
+/// Version 1 wrote the fixture once; later versions must still decode it.
 #[test]
 #[ignore = "writes the fixture of this version"]
 fn write_fixture() {
     let all: Vec<u8> =
-        first_version().iter().flat_map(|msg| encode(Kind::Notification, 1, msg).expect("sealed")).collect();
+        version_1_messages().iter().flat_map(|msg| encode(Kind::Notification, 1, msg).expect("encoded")).collect();
     fs::write(fixture(), all).expect("written");
 }
 
 #[test]
-fn messages_of_the_first_version_are_still_read() {
-    let bytes = fs::read(fixture()).expect("the fixture");
+fn messages_of_version_1_are_still_decoded() {
+    let bytes = fs::read(fixture()).expect("the fixture is readable");
     let mut rest = bytes.as_slice();
-    let mut seen = Vec::new();
+    let mut decoded = Vec::new();
     while !rest.is_empty() {
-        let (head, body) = split(rest);
-        let head = decode_header(&head).expect("head");
-        assert_eq!(head.version, 1);
-        seen.push(decode_body(&body[..head.len]).expect("body"));
-        rest = &body[head.len..];
+        let (header, body) = split_header(rest);
+        let header = decode_header(&header).expect("a valid header");
+        assert_eq!(header.version, 1);
+        decoded.push(decode_body(&body[..header.len]).expect("a valid body"));
+        rest = &body[header.len..];
     }
-    assert_eq!(seen, first_version());
+    assert_eq!(decoded, version_1_messages());
 }
--- a/protocol/src/hidden_key.rs
+++ b/protocol/src/hidden_key.rs
@@ -1,14 +1,14 @@
-//! Keys of what daemons exchange beside the versions of zones' endpoint lists.
+//! Hidden keys: the names of items other than zones' endpoint lists, whose versions daemons exchange in the same lists.
 //!
-//! Lists of versions are open: an entry whose name is empty or begins with a NUL character is no zone, and a daemon that
-//! does not know it ignores it. So later versions of the protocol add entries without a new message. This module is the
-//! one place that prints and parses such names; the texts are part of the protocol.
+//! Lists of versions are extensible: an entry whose name is empty or begins with a NUL character does not name a zone,
+//! and a daemon ignores one that it does not know. Later protocol versions can thus add entries without a new message.
+//! Only this module formats and parses such names; the texts are part of the protocol.
 
 use std::fmt;
 
 use crate::register_keys::{STALENESS_LIMIT_PREFIX, VERSION_ROLLOUT_PREFIX};
 
-/// What comes before the text of every hidden key but the protocol version's, whose name is empty.
+/// Prefix of every hidden key except the protocol version's, whose name is empty.
 const PREFIX: char = '\0';
 
 const SHUTTING_DOWN: &str = "leaving";
@@ -17,25 +17,25 @@
 const CONFIRMS: &str = "vouch ";
 const PLATFORM_UNREACHABLE: &str = "platform unreachable";
 const CANDIDATES: &str = "candidates ";
-/// How the keys of registers begin that daemons name by hidden keys.
-const REGISTERS: [&str; 2] = [STALENESS_LIMIT_PREFIX, VERSION_ROLLOUT_PREFIX];
+/// Prefixes of the register keys that also serve as hidden keys.
+const REGISTER_PREFIXES: [&str; 2] = [STALENESS_LIMIT_PREFIX, VERSION_ROLLOUT_PREFIX];
 
-/// The name of an item that is not a zone's endpoint list. [`fmt::Display`] prints the name as it is sent.
+/// The name of an item that is not a zone's endpoint list. [`fmt::Display`] writes the name as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HiddenKey<'a> {
-    /// The newest protocol version that the sender reads, as the entry's term.
+    /// The newest protocol version that the sender supports, as the entry's term.
     ProtocolVersion,
-    /// The sender's process is about to end.
+    /// The sender's process is about to exit.
     ShuttingDown,
-    /// Which list of shard owners the sender holds, as the entry's term.
+    /// The fingerprint of the sender's list of shard owners, as the entry's term.
     ShardOwners,
-    /// Whether the sender's state is confirmed at a quorum: the entry's term is 1 if so.
+    /// Whether a quorum confirmed the sender's state: the entry's term is 1 if so.
     Confirmed,
-    /// The sender confirms the controller with this address: it hears that it is alive and confirmed.
+    /// The sender attests that the controller with this address is alive and confirmed.
     Confirms(&'a str),
-    /// The sender does not reach the platform.
+    /// The sender can't reach the platform.
     PlatformUnreachable,
-    /// The endpoint list of a zone's engines that run a version which is being rolled out.
+    /// The endpoint list of this zone's candidates: engines that run a version being rolled out.
     Candidates(&'a str),
     /// The committed register with this key.
     Register(&'a str),
@@ -66,7 +66,7 @@
         if let Some(zone) = text.strip_prefix(CANDIDATES) {
             return HiddenKey::Candidates(zone);
         }
-        if REGISTERS.iter().any(|prefix| text.starts_with(prefix)) {
+        if REGISTER_PREFIXES.iter().any(|prefix| text.starts_with(prefix)) {
             return HiddenKey::Register(text);
         }
         HiddenKey::WeightVersions(text)
--- a/protocol/src/hidden_key_tests.rs
+++ b/protocol/src/hidden_key_tests.rs
@@ -1,9 +1,10 @@
-//! The names of hidden keys are part of the protocol: printed as earlier versions do, and parsed back.
+//! The names of hidden keys are part of the protocol: they are written as in earlier versions, and parse back to the
+//! same key.
 
 use super::HiddenKey;
 
 #[test]
-fn each_hidden_key_has_its_published_name_and_is_parsed_back() {
+fn hidden_keys_have_their_published_names_and_parse_back() {
     for (key, name) in [
         (HiddenKey::ProtocolVersion, ""),
         (HiddenKey::ShuttingDown, "\0leaving"),
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn the_name_of_a_zone_is_no_hidden_key() {
+fn zone_names_are_not_hidden_keys() {
     for zone in ["hall-a", "leaving", "sure", "candidates hall-a"] {
         assert_eq!(HiddenKey::parse(zone), None);
     }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,11 +1,11 @@
-//! Messages between daemons, their framing and connections, and the checked form of an operator's configuration.
+//! Messages between daemons, their framing and connections, and the validated form of an operator's configuration.
 //!
-//! [`message`] holds what daemons send, [`frame`] how it stands on a connection, [`link`] and [`socket`] the connections.
-//! [`config`] parses and checks configurations, and [`config_update`] encodes them for routers.
+//! [`message`] defines the messages, [`frame`] their encoding, [`link`] and [`socket`] the connections. [`config`]
+//! parses and validates configurations, and [`config_update`] encodes them for routers.
 //!
-//! Archived bytes depend on the order of fields and variants: types that derive `rkyv` traits keep theirs for good. A later
-//! version of the protocol adds variants at the end of [`message::Message`], and sends them only to daemons that say that
-//! they read that version.
+//! Archived bytes depend on the order of fields and variants: types that derive `rkyv` traits must keep theirs. A later
+//! protocol version adds variants at the end of [`message::Message`], and sends them only to daemons that announce
+//! support for that version.
 
 #![deny(missing_docs)]
 
--- a/protocol/src/link.rs
+++ b/protocol/src/link.rs
@@ -1,9 +1,10 @@
 //! Connections between daemons.
 //!
-//! The side that asks holds a [`PeerClient`]: one connection to one peer, dialled again when it breaks. The side that
-//! serves runs [`serve`], which hands each message to a [`Handler`] together with a [`Responder`], the way back on the
-//! same connection. Every wait has a deadline, and a queue that is full, by number or by bytes, drops a message and says so
-//! to its sender: a peer that stands still must not take memory or time from one that does not.
+//! The client side holds a [`PeerClient`]: one connection to one peer, reopened after it breaks. The server side runs
+//! [`serve`], which passes each message to a [`Handler`] with a [`Responder`] that sends on the same connection.
+//! Connecting, writing, receiving a body and awaiting a response have timeouts, and a queue that is full, by number or
+//! by bytes, drops new messages and reports that to the caller, so that a stalled peer takes no memory or time from
+//! others.
 
 mod bulk_budget;
 mod frame_io;
@@ -15,7 +16,7 @@
 pub use peer_client::PeerClient;
 pub use server::{serve, Handler, Responder};
 
-/// Frames that wait for one connection at most; what comes on top is dropped.
+/// Capacity of a connection's outbound queue, in frames; further frames are dropped.
 const QUEUE_CAPACITY: usize = 512;
 
 #[cfg(test)]
--- a/protocol/src/link/frame_io.rs
+++ b/protocol/src/link/frame_io.rs
@@ -1,4 +1,4 @@
-//! Reading and writing single frames, with deadlines.
+//! Reads and writes single frames, with timeouts.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use crate::socket::IO_TIMEOUT_MS;
 use crate::traffic::{self, Direction};
 
-/// How long one frame may take to be written.
+/// Timeout for writing one frame.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(IO_TIMEOUT_MS);
-/// How long a frame's body may take to come after its header.
+/// Timeout for receiving a frame's body after its header.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2 * IO_TIMEOUT_MS);
 
-/// Writes one frame. Returns `None` if the connection failed or took too long: it is of no more use.
+/// Writes one frame. Returns `None` if the write failed or timed out: the connection is then unusable.
 pub(super) async fn write_frame(write: &mut OwnedWriteHalf, frame: &[u8]) -> Option<()> {
     time::timeout(WRITE_TIMEOUT, write.write_all(frame)).await.ok()?.ok()?;
     traffic::record(Direction::Sent, frame);
     Some(())
 }
 
-/// Reads one frame, however long it is until one begins. Returns `None` if the connection ended, if a body took too
-/// long, or if what came is no valid frame: the connection is of no more use.
+/// Reads one frame, without a timeout for its header. Returns `None` if the connection ended, the body timed out, or
+/// the bytes are not a valid frame: the connection is then unusable.
 pub(super) async fn read_frame(read: &mut OwnedReadHalf) -> Option<(Header, Message)> {
     let mut encoded_header = [0; HEADER_BYTES];
     read.read_exact(&mut encoded_header).await.ok()?;
--- a/protocol/src/link/peer_client.rs
+++ b/protocol/src/link/peer_client.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that asks.
+//! The client side of a connection.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -21,31 +21,32 @@
 use crate::socket::IO_TIMEOUT_MS;
 use crate::traffic;
 
-/// How long a connection may take to be established.
+/// Timeout for establishing a connection, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 500;
-/// The pause after a first failure to connect; it doubles with each further one up to the longest.
-const FIRST_RETRY_MS: u64 = 50;
-const LONGEST_RETRY_MS: u64 = 150;
+/// Initial backoff after a failure to connect, in milliseconds; it doubles with each further failure up to the maximum.
+const INITIAL_BACKOFF_MS: u64 = 50;
+const MAX_BACKOFF_MS: u64 = 150;
 /// The id of a client's first request.
 const FIRST_REQUEST_ID: u64 = 1;
 
-/// A client of one peer: one connection, dialled when there is something to send and again when it broke.
+/// A client of one peer: one connection, opened when there is something to send and reopened after it breaks.
 pub struct PeerClient {
     addr: String,
-    outbound: mpsc::Sender<Outbound>,
+    outbound: mpsc::Sender<OutboundFrame>,
     budget: Arc<BulkBudget>,
     next_id: AtomicU64,
 }
 
-/// A frame on its way out.
-struct Outbound {
+/// A frame to send.
+struct OutboundFrame {
     frame: Bytes,
-    /// The id of a request, and where its response goes.
+    /// For a request: its id, and the channel for its response.
     response: Option<(u64, ResponseSender)>,
 }
 
 impl PeerClient {
-    /// Starts the client's task. Its connections are opened by `dialer`. Notifications that the peer sends on the connection go to `notifications`.
+    /// Starts the client's task, which opens connections with `dialer`. Notifications that the peer sends on the
+    /// connection go to `notifications`.
     pub fn start(dialer: Dialer, addr: String, notifications: Option<mpsc::Sender<Message>>) -> Self {
         let (outbound, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let budget = Arc::<BulkBudget>::default();
@@ -59,31 +60,31 @@
         &self.addr
     }
 
-    /// Sends a request and waits for its response. Returns `None` if none came within `wait_ms` milliseconds, for
-    /// whatever cause: the peer may have acted on the request, and one that was not yet sent will not be sent any more.
-    pub async fn call(&self, message: Message, wait_ms: u64) -> Option<Message> {
+    /// Sends a request and waits for its response. Returns `None` if none arrived within `timeout_ms` milliseconds, for
+    /// whatever reason: the peer may have processed the request, but one that is still queued is never sent.
+    pub async fn call(&self, message: Message, timeout_ms: u64) -> Option<Message> {
         let (sender, response) = oneshot::channel();
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let frame = frame::encode(Kind::Request, id, &message).ok()?;
-        let request = Outbound { frame: frame.into(), response: Some((id, sender)) };
+        let request = OutboundFrame { frame: frame.into(), response: Some((id, sender)) };
         if !self.enqueue(request) {
             return None;
         }
-        time::timeout(Duration::from_millis(wait_ms), response).await.ok()?.ok()
+        time::timeout(Duration::from_millis(timeout_ms), response).await.ok()?.ok()
     }
 
-    /// Sends a message without a response. Returns false if it was dropped before it was sent.
+    /// Sends a message that expects no response. Returns false if it was dropped before it was sent.
     pub fn notify(&self, message: Message) -> bool {
         frame::encode(Kind::Notification, 0, &message).is_ok_and(|frame| self.notify_frame(frame.into()))
     }
 
-    /// Sends a notification that is the same for many peers: encoded once and never copied. Returns false if it was dropped
-    /// before it was sent.
+    /// Sends an encoded notification, which many peers can share without copies. Returns false if it was dropped before
+    /// it was sent.
     pub fn notify_frame(&self, frame: Bytes) -> bool {
-        self.enqueue(Outbound { frame, response: None })
+        self.enqueue(OutboundFrame { frame, response: None })
     }
 
-    fn enqueue(&self, outbound: Outbound) -> bool {
+    fn enqueue(&self, outbound: OutboundFrame) -> bool {
         let len = outbound.frame.len();
         if !self.budget.try_admit(len) {
             traffic::record_dropped();
@@ -98,23 +99,23 @@
     }
 }
 
-/// The frames that wait for the connection.
+/// The frames queued for the connection.
 struct OutboundQueue {
-    receiver: Receiver<Outbound>,
+    receiver: Receiver<OutboundFrame>,
     budget: Arc<BulkBudget>,
 }
 
 impl OutboundQueue {
-    /// Waits for the next frame. `None`: the client was dropped.
+    /// Waits for the next frame. Returns `None` once the client was dropped.
     ///
-    /// Cancel safe: a frame is returned or stays queued.
-    async fn next(&mut self) -> Option<Outbound> {
+    /// Cancel safe: a frame is either returned or stays queued.
+    async fn next(&mut self) -> Option<OutboundFrame> {
         let outbound = self.receiver.recv().await?;
         self.budget.release(outbound.frame.len());
         Some(outbound)
     }
 
-    /// Drops all frames that wait.
+    /// Drops all queued frames.
     fn clear(&mut self) {
         while let Ok(outbound) = self.receiver.try_recv() {
             self.budget.release(outbound.frame.len());
@@ -122,55 +123,55 @@
     }
 }
 
-/// Keeps the connection up while there is something to send. Ends when the client is dropped.
+/// Connects whenever there is something to send. Returns once the client is dropped.
 async fn run(dialer: Dialer, addr: String, mut queue: OutboundQueue, notifications: Option<mpsc::Sender<Message>>) {
-    let mut first: Option<Outbound> = None;
-    let mut retry_ms = FIRST_RETRY_MS;
+    let mut first_frame: Option<OutboundFrame> = None;
+    let mut backoff_ms = INITIAL_BACKOFF_MS;
     loop {
-        if first.is_none() {
+        if first_frame.is_none() {
             let Some(outbound) = queue.next().await else { return };
-            first = Some(outbound);
+            first_frame = Some(outbound);
         }
         let Ok(stream) = dialer.connect(&addr, CONNECT_TIMEOUT_MS, IO_TIMEOUT_MS).await else {
-            // Callers learn at once that the peer can't be reached, and may turn to another.
-            first = None;
+            // Fails the queued requests at once, so that their callers can try another peer.
+            first_frame = None;
             queue.clear();
-            time::sleep(Duration::from_millis(retry_ms)).await;
-            retry_ms = (retry_ms * 2).min(LONGEST_RETRY_MS);
+            time::sleep(Duration::from_millis(backoff_ms)).await;
+            backoff_ms = (backoff_ms * 2).min(MAX_BACKOFF_MS);
             continue;
         };
-        retry_ms = FIRST_RETRY_MS;
-        match serve_queue(stream, first.take(), &mut queue, &notifications).await {
-            Ended::ConnectionBroke => {}
-            Ended::ClientDropped => return,
+        backoff_ms = INITIAL_BACKOFF_MS;
+        match run_connection(stream, first_frame.take(), &mut queue, &notifications).await {
+            EndReason::ConnectionBroke => {}
+            EndReason::ClientDropped => return,
         }
     }
 }
 
-/// Why a connection is no longer used.
-enum Ended {
+/// Why a connection ended.
+enum EndReason {
     ConnectionBroke,
     ClientDropped,
 }
 
-/// Sends what is queued until the connection breaks or the client is dropped; then all requests on it fail.
-async fn serve_queue(
+/// Sends queued frames until the connection breaks or the client is dropped, then fails all pending requests.
+async fn run_connection(
     stream: TcpStream,
-    first: Option<Outbound>,
+    first_frame: Option<OutboundFrame>,
     queue: &mut OutboundQueue,
     notifications: &Option<mpsc::Sender<Message>>,
-) -> Ended {
+) -> EndReason {
     let (read, write) = stream.into_split();
     let pending = Arc::new(PendingResponses::default());
     let (alive, closed) = oneshot::channel::<()>();
     let reader = tokio::spawn(receive(read, pending.clone(), notifications.clone(), alive));
-    let ended = send(write, first, queue, &pending, closed).await;
+    let end_reason = send(write, first_frame, queue, &pending, closed).await;
     reader.abort();
     pending.fail_all();
-    ended
+    end_reason
 }
 
-/// Hands out what the peer sends until the connection ends; dropping `alive` tells the sending side.
+/// Dispatches the peer's messages until the connection ends; dropping `alive` notifies the sending side.
 async fn receive(
     mut read: OwnedReadHalf,
     pending: Arc<PendingResponses>,
@@ -192,33 +193,33 @@
 
 async fn send(
     mut write: OwnedWriteHalf,
-    mut first: Option<Outbound>,
+    mut first_frame: Option<OutboundFrame>,
     queue: &mut OutboundQueue,
     pending: &PendingResponses,
     mut closed: oneshot::Receiver<()>,
-) -> Ended {
+) -> EndReason {
     loop {
-        let outbound = match first.take() {
+        let outbound = match first_frame.take() {
             Some(outbound) => outbound,
-            // What comes too late for this connection stays queued for the next.
+            // Once this connection has closed, further frames stay queued for the next one.
             None => tokio::select! {
                 biased;
-                _ = &mut closed => return Ended::ConnectionBroke,
+                _ = &mut closed => return EndReason::ConnectionBroke,
                 outbound = queue.next() => match outbound {
                     Some(outbound) => outbound,
-                    None => return Ended::ClientDropped,
+                    None => return EndReason::ClientDropped,
                 },
             },
         };
         if outbound.response.as_ref().is_some_and(|(_, sender)| sender.is_closed()) {
-            // Its caller has given up, and may have turned to another peer.
+            // The caller has given up and may have tried another peer.
             continue;
         }
         if let Some((id, sender)) = outbound.response {
             pending.insert(id, sender);
         }
         if write_frame(&mut write, &outbound.frame).await.is_none() {
-            return Ended::ConnectionBroke;
+            return EndReason::ConnectionBroke;
         }
     }
 }
--- a/protocol/src/link/pending_responses.rs
+++ b/protocol/src/link/pending_responses.rs
@@ -1,4 +1,4 @@
-//! Requests on one connection that wait for their responses.
+//! Requests on one connection that await their responses.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -7,25 +7,26 @@
 
 use crate::message::Message;
 
-/// Where the response to one request goes.
+/// The channel for the response to one request.
 pub(super) type ResponseSender = oneshot::Sender<Message>;
 
-/// The requests that wait, by the id of their frame. Shared by the task that writes a connection and the one that reads
-/// it. Invariant: holds only requests whose frame was handed to this connection.
+/// The pending requests by frame id, shared by the tasks that write and read a connection. Invariant: holds only
+/// requests whose frame was passed to this connection.
 #[derive(Default)]
 pub(super) struct PendingResponses {
     senders: Mutex<HashMap<u64, ResponseSender>>,
 }
 
 impl PendingResponses {
-    /// Adds a request, and forgets those that nobody waits for any more.
+    /// Adds a request, and removes those whose callers have given up.
     pub(super) fn insert(&self, id: u64, sender: ResponseSender) {
         let mut senders = self.lock();
-        senders.retain(|_, waiting| !waiting.is_closed());
+        senders.retain(|_, pending| !pending.is_closed());
         senders.insert(id, sender);
     }
 
-    /// Hands a response to whoever waits for it. Ignores a response that nobody waits for: it came twice or too late.
+    /// Passes a response to its caller. Ignores one without a pending request: a duplicate, or one that arrived too
+    /// late.
     pub(super) fn complete(&self, id: u64, response: Message) {
         let sender = self.lock().remove(&id);
         if let Some(sender) = sender {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Fails all requests that wait, at once.
+    /// Fails all pending requests at once.
     pub(super) fn fail_all(&self) {
         self.lock().clear();
     }
--- a/protocol/src/link/server.rs
+++ b/protocol/src/link/server.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that serves.
+//! The server side of a connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::socket::{self, IO_TIMEOUT_MS};
 use crate::traffic;
 
-/// The pause after a connection could not be accepted: most often the process is short of file descriptors.
+/// Delay before the next accept after a failed one, which most often means that the process is out of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// How a handler responds or sends notifications on the connection that a message came by.
+/// Sends responses and notifications on the connection that a message arrived on.
 #[derive(Clone)]
 pub struct Responder {
     frames: mpsc::Sender<Bytes>,
@@ -28,12 +28,12 @@
 }
 
 impl Responder {
-    /// Returns a responder whose frames come out at the other end of `frames`.
+    /// Returns a responder that sends its frames to `frames`.
     pub fn new(frames: mpsc::Sender<Bytes>) -> Responder {
         Responder { frames, budget: Arc::default() }
     }
 
-    /// Sends a notification. Returns false if it was dropped: the other side does not read, or is gone.
+    /// Sends a notification. Returns false if it was dropped: the peer reads too slowly, or the connection has ended.
     pub fn notify(&self, message: &Message) -> bool {
         self.send(Kind::Notification, 0, message)
     }
@@ -48,7 +48,7 @@
         self.notify_frame(frame.into())
     }
 
-    /// Sends a frame that is the same for many peers: encoded once and never copied. Returns false if it was dropped.
+    /// Sends an encoded frame, which many peers can share without copies. Returns false if it was dropped.
     pub fn notify_frame(&self, frame: Bytes) -> bool {
         let len = frame.len();
         if !self.budget.try_admit(len) {
@@ -69,11 +69,11 @@
     }
 }
 
-/// What a daemon does with a message: given the way back, the id to reply to, and the message itself.
+/// Handles a message, given the connection's responder, the id to reply to, and the message itself.
 pub type Handler = Arc<dyn Fn(Responder, u64, Message) + Send + Sync>;
 
-/// Accepts connections for ever and hands each message that comes to the handler. A malformed message costs its sender
-/// the connection and nothing else.
+/// Accepts connections forever and passes each message to the handler. A malformed message closes only the connection
+/// that it arrived on.
 pub async fn serve(listener: TcpListener, handler: Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/protocol/src/link_tests.rs
+++ b/protocol/src/link_tests.rs
@@ -14,9 +14,9 @@
 use crate::message::Message;
 use crate::socket;
 
-async fn echo() -> String {
-    let listener = socket::listen("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("its address").to_string();
+async fn start_echo_server() -> String {
+    let listener = socket::listen("127.0.0.1:0").expect("bound to a port");
+    let addr = listener.local_addr().expect("the local address").to_string();
     let handler: Handler = Arc::new(|responder, id, msg| {
         responder.reply(id, &msg);
     });
@@ -26,19 +26,19 @@
 
 #[tokio::test]
 async fn requests_get_responses_and_notifications_do_not() {
-    let client = PeerClient::start(Dialer::default(), echo().await, None);
+    let client = PeerClient::start(Dialer::default(), start_echo_server().await, None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
     assert!(client.notify(msg.clone()));
     assert_eq!(client.call(msg.clone(), 5000).await, Some(msg));
 }
 
 #[tokio::test]
-async fn a_malformed_or_too_new_frame_costs_its_sender_the_connection_only() {
-    let addr = echo().await;
+async fn a_malformed_or_too_new_frame_closes_only_its_connection() {
+    let addr = start_echo_server().await;
     let healthy = PeerClient::start(Dialer::default(), addr.clone(), None);
     let msg = Message::OwnerQuery(Box::new((1, vec![2])));
     assert!(healthy.call(msg.clone(), 5000).await.is_some());
-    let frame = frame::encode(Kind::Request, 1, &msg).expect("sealed");
+    let frame = frame::encode(Kind::Request, 1, &msg).expect("encoded");
     let mut newer = frame.clone();
     newer[4..6].copy_from_slice(&(NEWEST_VERSION + 1).to_le_bytes());
     let mut corrupted = frame.clone();
@@ -50,9 +50,9 @@
         stream.write_all(&bad).await.expect("sent");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
-        assert!(rest.is_empty(), "no answer, only the end");
+        assert!(rest.is_empty(), "the connection closes without a response");
     }
-    assert!(healthy.call(msg, 5000).await.is_some(), "others feel nothing");
+    assert!(healthy.call(msg, 5000).await.is_some(), "other connections are unaffected");
 }
 
 fn query(number: u64) -> Message {
@@ -60,82 +60,82 @@
 }
 
 /// A client and the listener that it connects to.
-async fn pair() -> (PeerClient, TcpListener) {
-    let listener = socket::listen("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("its address").to_string();
+async fn client_and_listener() -> (PeerClient, TcpListener) {
+    let listener = socket::listen("127.0.0.1:0").expect("bound to a port");
+    let addr = listener.local_addr().expect("the local address").to_string();
     (PeerClient::start(Dialer::default(), addr, None), listener)
 }
 
 async fn accept(listener: &TcpListener) -> (OwnedReadHalf, OwnedWriteHalf) {
-    listener.accept().await.expect("a client").0.into_split()
+    listener.accept().await.expect("a client connects").0.into_split()
 }
 
-async fn answer(write: &mut OwnedWriteHalf, id: u64, msg: &Message) {
-    let frame = frame::encode(Kind::Response, id, msg).expect("sealed");
+async fn respond(write: &mut OwnedWriteHalf, id: u64, msg: &Message) {
+    let frame = frame::encode(Kind::Response, id, msg).expect("encoded");
     write.write_all(&frame).await.expect("written");
 }
 
 #[tokio::test]
-async fn each_request_gets_its_own_response_in_whatever_order_and_however_often_they_come() {
-    let (client, listener) = pair().await;
+async fn reordered_and_duplicated_responses_reach_their_own_requests() {
+    let (client, listener) = client_and_listener().await;
     let serve = async {
         let (mut read, mut write) = accept(&listener).await;
-        let one = read_frame(&mut read).await.expect("the first");
-        let two = read_frame(&mut read).await.expect("the second");
-        for (head, msg) in [&two, &one, &two, &one] {
-            answer(&mut write, head.id, msg).await;
+        let first = read_frame(&mut read).await.expect("the first request");
+        let second = read_frame(&mut read).await.expect("the second request");
+        for (header, msg) in [&second, &first, &second, &first] {
+            respond(&mut write, header.id, msg).await;
         }
-        let three = read_frame(&mut read).await.expect("the third");
-        answer(&mut write, one.0.id, &one.1).await;
-        answer(&mut write, three.0.id, &three.1).await;
+        let third = read_frame(&mut read).await.expect("the third request");
+        respond(&mut write, first.0.id, &first.1).await;
+        respond(&mut write, third.0.id, &third.1).await;
     };
     let calls = async {
-        let (one, two) = tokio::join!(client.call(query(1), 5000), client.call(query(2), 5000));
-        assert_eq!((one, two), (Some(query(1)), Some(query(2))));
+        let (first, second) = tokio::join!(client.call(query(1), 5000), client.call(query(2), 5000));
+        assert_eq!((first, second), (Some(query(1)), Some(query(2))));
         assert_eq!(client.call(query(3), 5000).await, Some(query(3)));
     };
     tokio::join!(serve, calls);
 }
 
 #[tokio::test]
-async fn a_request_whose_connection_breaks_fails_and_is_not_sent_again() {
-    let (client, listener) = pair().await;
+async fn a_request_fails_and_is_not_resent_if_its_connection_breaks() {
+    let (client, listener) = client_and_listener().await;
     let serve = async {
         let (mut read, write) = accept(&listener).await;
-        assert_eq!(read_frame(&mut read).await.expect("the first").1, query(1));
+        assert_eq!(read_frame(&mut read).await.expect("the first request").1, query(1));
         drop((read, write));
         let (mut read, mut write) = accept(&listener).await;
-        let (head, msg) = read_frame(&mut read).await.expect("the next call");
+        let (header, msg) = read_frame(&mut read).await.expect("the next request");
         assert_eq!(msg, query(2));
-        answer(&mut write, head.id, &msg).await;
+        respond(&mut write, header.id, &msg).await;
     };
     let calls = async {
-        assert_eq!(client.call(query(1), 60_000).await, None, "at once, long before its time is up");
+        assert_eq!(client.call(query(1), 60_000).await, None, "fails at once, long before its timeout");
         assert_eq!(client.call(query(2), 5000).await, Some(query(2)));
     };
     tokio::join!(serve, calls);
 }
 
 #[tokio::test]
-async fn a_request_given_up_before_it_was_sent_is_never_sent() {
-    let (client, listener) = pair().await;
-    // More than sockets take in while nobody reads: what follows waits here.
+async fn a_queued_request_is_not_sent_after_its_timeout() {
+    let (client, listener) = client_and_listener().await;
+    // Exceeds the socket buffers while nobody reads, so that later frames stay queued in the client.
     let large = Message::OwnerQuery(Box::new((0, vec![7; 1_400_000])));
     assert!(client.notify(large.clone()));
     assert_eq!(client.call(query(1), 1).await, None);
     assert!(client.notify(query(2)));
     let (mut read, _write) = accept(&listener).await;
-    assert_eq!(read_frame(&mut read).await.expect("the large one").1, large);
-    assert_eq!(read_frame(&mut read).await.expect("the next").1, query(2));
+    assert_eq!(read_frame(&mut read).await.expect("the large message").1, large);
+    assert_eq!(read_frame(&mut read).await.expect("the next message").1, query(2));
 }
 
-/// A peer that reads nothing, or slowly: what waits for it is bounded in bytes, and short messages still pass.
+/// If a peer reads slowly or not at all, its queue is limited in bytes and still admits short messages.
 #[tokio::test]
-async fn what_waits_for_a_slow_peer_is_bounded_in_bytes() {
+async fn the_queue_of_a_slow_peer_is_limited_in_bytes() {
     const LONG: usize = 64 * 1024;
     const SENT: usize = 400;
-    let listener = socket::listen("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("its address").to_string();
+    let listener = socket::listen("127.0.0.1:0").expect("bound to a port");
+    let addr = listener.local_addr().expect("the local address").to_string();
     let (report, accepted) = mpsc::channel();
     let handler: Handler = Arc::new(move |responder, _, _| {
         // Nothing is written before this handler returns.
@@ -147,13 +147,16 @@
     let client = PeerClient::start(Dialer::default(), addr, None);
     assert!(client.notify(query(0)));
     let wait = task::spawn_blocking(move || accepted.recv_timeout(Duration::from_secs(10)));
-    let (long, short) = wait.await.expect("a thread").expect("the handler ran");
-    assert_eq!(long, MAX_BULK_BYTES / LONG, "of {SENT} long messages");
+    let (long, short) = wait.await.expect("the thread did not panic").expect("the handler ran");
+    assert_eq!(long, MAX_BULK_BYTES / LONG, "admitted of {SENT} long messages");
     assert_eq!(short, 10);
 
-    let (unread, _listener) = pair().await;
+    let (unread, _listener) = client_and_listener().await;
     let large = || Message::OwnerQuery(Box::new((0, vec![7; LONG / 8])));
     let queued = (0..SENT).filter(|_| unread.notify(large())).count();
-    assert!((1..=MAX_BULK_BYTES / LONG).contains(&queued), "{queued} of {SENT} long messages wait for one connection");
-    assert!(unread.notify(query(1)), "a short one still passes");
+    assert!(
+        (1..=MAX_BULK_BYTES / LONG).contains(&queued),
+        "{queued} of {SENT} long messages are queued for one connection"
+    );
+    assert!(unread.notify(query(1)), "a short message is still admitted");
 }
--- a/protocol/src/message.rs
+++ b/protocol/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between daemons. Every variant of [`Message`] holds a box, so that a new variant never changes the size of
-//! the others.
+//! Messages between daemons. Every variant of [`Message`] holds a box, so that a new variant does not change the size
+//! of the others.
 
 mod catalog;
 mod consensus;
@@ -36,7 +36,7 @@
 pub use gossip::Gossip;
 pub use subscription::{StateUpdate, SubscriptionRenewal};
 
-/// A message between daemons. Invariant: variants keep their order; later versions add theirs at the end.
+/// A message between daemons. Invariant: variants keep their order; later versions append theirs.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize, EnumDiscriminants)]
 #[strum_discriminants(
     name(MessageKind),
@@ -45,7 +45,7 @@
     derive(Hash, EncodeLabelValue, EnumIter, FromRepr)
 )]
 pub enum Message {
-    /// A proposer asks an acceptor.
+    /// A proposer's request to an acceptor.
     ConsensusRequest(Box<ConsensusRequest>),
     /// The acceptor's response.
     ConsensusResponse(Box<ConsensusResponse>),
@@ -55,86 +55,85 @@
     EndpointList(Box<EndpointList>),
     /// A router renews its lease.
     SubscriptionRenewal(Box<SubscriptionRenewal>),
-    /// What a router lacks.
+    /// State that a router lacks.
     StateUpdate(Box<StateUpdate>),
-    /// Asks the catalog who owns prefixes: its epoch, and the keys, shortest prefix first.
+    /// Asks the catalog which engines own prefixes: the catalog's epoch, and the keys, shortest prefix first.
     OwnerQuery(Box<(u64, Vec<u64>)>),
-    /// The catalog's epoch and, for each key that was asked, the engines that hold it.
+    /// The catalog's epoch and, for each requested key, the engines that hold it.
     Owners(Box<(u64, Vec<Vec<String>>)>),
     /// Registers owners of prefixes under the catalog's epoch.
     RegisterOwners(Box<(u64, Vec<Record>)>),
-    /// A barrier for the catalog: its epoch, and how many registrations were sent before it.
+    /// A barrier for the catalog: its epoch, and the number of registrations sent before the barrier.
     Flush(Box<(u64, u32)>),
-    /// All registrations before the barrier were processed: the epoch, and how many were lost.
+    /// All registrations before the barrier were processed: the epoch, and the number of lost ones.
     Flushed(Box<(u64, u32)>),
-    /// A committed entry, and its key.
+    /// A register's key and its committed entry.
     Committed(Box<(String, Entry)>),
-    /// An engine gave a router no sign of life; true if a controller has passed this on already.
+    /// The id of an engine that did not respond to a router; true if a controller has already relayed this.
     SuspectEngine(Box<(String, bool)>),
     /// A request was rejected with this HTTP status.
     Rejected(Box<u16>),
-    /// An update of the configuration in the format of [`legacy_format`](crate::config_update::legacy_format). Since
-    /// version 2.
+    /// A configuration update in the format of [`legacy_format`](crate::config_update::legacy_format). Since version 2.
     ConfigUpdate(Box<Vec<u8>>),
-    /// As `OwnerQuery`, and asks for the loads of some engines. Since version 2.
+    /// Like `OwnerQuery`, and also asks for the loads of some engines. Since version 2.
     PrefixLookup(Box<PrefixLookup>),
     /// The response to `PrefixLookup`. Since version 2.
     PrefixLookupResponse(Box<PrefixLookupResponse>),
-    /// As `RegisterOwners`, with the loads that these engines reported. Since version 2.
+    /// Like `RegisterOwners`, with the loads that these engines reported. Since version 2.
     PrefixRegistration(Box<PrefixRegistration>),
-    /// A staleness limit, newer than the router's. Since version 2.
+    /// A staleness limit that is newer than the router's. Since version 2.
     StalenessLimit(Box<StalenessLimit>),
     /// The weight versions of a zone's engines as its poller saw them. Since version 2.
     WeightVersions(Box<WeightVersions>),
-    /// Asks how many routers that hold a lease at a controller confirmed a staleness limit: its key and version. Since
+    /// Asks a controller how many routers with a lease there confirmed a staleness limit: its key and version. Since
     /// version 2.
     CountConfirmations(Box<(String, u64)>),
-    /// How many routers hold a lease, and how many of them confirmed. Since version 2.
+    /// The number of routers with a lease, and how many of them confirmed. Since version 2.
     ConfirmationCount(Box<(u32, u32)>),
     /// An operator's request, relayed to the owner of its key. Since version 3.
     OperatorRequest(Box<OperatorRequest>),
     /// The response to `OperatorRequest`. Since version 3.
     OperatorResponse(Box<OperatorResponse>),
-    /// As `Committed`, for controllers that hold the entry before. Since version 3.
+    /// Like `Committed`, for controllers that hold the previous entry. Since version 3.
     CommittedDelta(Box<CommittedDelta>),
-    /// The response to `SubscriptionRenewal` for routers that read it. Since version 4.
+    /// The response to `SubscriptionRenewal` for routers that support it. Since version 4.
     SubscriptionRenewed(Box<SubscriptionRenewed>),
     /// An encoded [`ConfigUpdate`](crate::config_update::ConfigUpdate), with tenants. Since version 4.
     TenantConfigUpdate(Box<Vec<u8>>),
-    /// Asks for one token of a tenant's limit. Since version 5.
+    /// Asks for one token of a tenant's rate limit. Since version 5.
     TokenRequest(Box<TokenRequest>),
     /// The response to `TokenRequest`. Since version 5.
     TokenResponse(Box<TokenResponse>),
-    /// The controllers that may own shards of tenants' limits, as one controller sees them. Since version 5.
+    /// The controllers that may own shards of tenants' rate limits, as one controller sees them. Since version 5.
     ShardOwners(Box<Vec<ShardOwner>>),
     /// Asks for the usage of the shards that a controller owns. Since version 5.
     UsageRequest(Box<u16>),
     /// The response to `UsageRequest`. Since version 5.
     UsageResponse(Box<Vec<ShardUsage>>),
-    /// A rollout of a service, newer than the router's. Since version 5.
+    /// A version rollout that is newer than the router's. Since version 5.
     VersionRollout(Box<VersionRollout>),
-    /// What routers saw of a rollout. Since version 5.
+    /// Routers' samples of a rollout. Since version 5.
     Samples(Box<Samples>),
-    /// A zone's endpoint list, whole or as what changed. Since version 6.
+    /// A zone's endpoint list, whole or as a delta. Since version 6.
     EndpointUpdate(Box<EndpointUpdate>),
-    /// How loaded engines are, for the controller that balances phases. Since version 6.
+    /// Engine loads, for the controller that balances prefill and decode. Since version 6.
     EngineUsage(Box<EngineUsage>),
     /// Asks a router for samples of a rollout by engine and load. Since version 7.
     SampleRequest(Box<SampleRequest>),
-    /// What routers saw of a rollout, by engine and load. Since version 7.
+    /// Routers' samples of a rollout by engine and load. Since version 7.
     EngineSamples(Box<EngineSamples>),
-    /// What a replica of tallies has, and entries that another one lacks. Since version 8.
+    /// The log lengths of a tally replica, and entries that its peer lacks. Since version 8.
     TallySync(Box<TallySync>),
     /// The response to `TallySync`. Since version 8.
     TallySynced(Box<TallySynced>),
-    /// Asks a router for counts of requests that began. Since version 8.
+    /// Asks a router for its counts of requests that began. Since version 8.
     MeteringRequest(Box<MeteringRequest>),
-    /// What a router counted. Since version 8.
+    /// A router's counts of requests that began. Since version 8.
     MeteringReport(Box<RouterCounts>),
-    /// Asks a controller for what routers reported to it. Since version 8.
+    /// Asks a controller for the counts that routers reported to it. Since version 8.
     MeteringQuery(Box<MeteringQuery>),
     /// The response to `MeteringQuery`. Since version 8.
     MeteringTables(Box<MeteringTables>),
-    /// What a replica of tallies has, and packed entries that another one lacks. Since version 9.
+    /// Like `TallySync`, with packed entries. Since version 9.
     PackedTallySync(Box<PackedTallySync>),
 }
--- a/protocol/src/message/catalog.rs
+++ b/protocol/src/message/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog of prefixes: which engines hold the KV cache of which prompt prefixes, and how loaded engines are.
+//! The prefix catalog: which engines hold the KV cache of which prompt prefixes, and the loads of engines.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -11,46 +11,46 @@
     pub engine: String,
 }
 
-/// Asks which engines hold the KV cache of a prompt's prefixes, and how loaded engines are.
+/// Asks which engines hold the KV cache of a prompt's prefixes, and for the loads of engines.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixLookup {
-    /// The epoch of the catalog's owner that is asked.
+    /// The epoch of the catalog owner that is queried.
     pub epoch: u64,
     /// The hashes of the prefixes, shortest first.
     pub keys: Vec<u64>,
-    /// A sample of engines whose load is asked for, by the hash of their id.
+    /// A sample of engines whose load is requested, by the hash of their id.
     pub sample: Vec<u64>,
 }
 
-/// What an engine last reported to any router.
+/// The load that an engine last reported to any router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The hash of the engine's id.
     pub engine_hash: u64,
-    /// Requests that run or wait there.
+    /// Number of requests that run or wait there.
     pub load: u32,
-    /// How many milliseconds ago it reported this.
+    /// Age of the report in milliseconds.
     pub age_ms: u32,
 }
 
 /// The response to a [`PrefixLookup`].
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixLookupResponse {
-    /// The epoch of the catalog's owner.
+    /// The epoch of the catalog owner.
     pub epoch: u64,
-    /// For each key that was asked, the ids of the engines that hold it.
+    /// For each requested key, the ids of the engines that hold it.
     pub owners: Vec<Vec<String>>,
-    /// The loads of the owners and of the sample, as far as known.
+    /// The known loads of the owners and of the sampled engines.
     pub list: Vec<EngineLoad>,
 }
 
-/// Registers owners of prefixes, and reports the loads of engines.
+/// Registers owners of prefixes and reports the loads of engines.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrefixRegistration {
-    /// The epoch of the catalog's owner that is notified.
+    /// The epoch of the catalog owner that is notified.
     pub epoch: u64,
     /// Engines that hold a prefix now.
     pub owners: Vec<Record>,
-    /// What engines reported.
+    /// The loads that engines reported.
     pub loads: Vec<EngineLoad>,
 }
--- a/protocol/src/message/consensus.rs
+++ b/protocol/src/message/consensus.rs
@@ -1,13 +1,12 @@
-//! What proposers and acceptors send one another: Paxos as in Lamport's "Paxos Made Simple", for many independent
-//! registers.
+//! Messages between proposers and acceptors: Paxos as in Lamport's "Paxos Made Simple", for many independent registers.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Numbers the proposals of one owner of a register. Totally ordered by term, then by replica id: a larger number
-/// supersedes a smaller one. Invariant: one owner acts under one number.
+/// Identifies the proposals of one owner of a register. Totally ordered by term, then by replica id: a larger number
+/// supersedes a smaller one. Invariant: an owner proposes under a single number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize)]
 pub struct ProposalNumber {
-    /// Rises whenever a register changes its owner.
+    /// Increases whenever a register changes its owner.
     pub term: u64,
     /// Identifies one incarnation of one controller.
     pub replica_id: u64,
@@ -18,18 +17,18 @@
 pub struct Entry {
     /// The proposal number under which its owner wrote it.
     pub proposal_number: ProposalNumber,
-    /// Counts the changes that the owner made under that number; begins at 0 with each number.
+    /// Index of the change among those that the owner made under that number, starting at 0.
     pub index: u64,
     /// The value.
     pub body: Vec<u8>,
 }
 
-/// Where an entry stands in the history of its key. Positions order by proposal number, then by index.
+/// The position of an entry in the history of its key. Ordered by proposal number, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize)]
 pub struct Position {
     /// The proposal number under which the owner of the key wrote the entry.
     pub proposal_number: ProposalNumber,
-    /// Counts the changes that the owner made under that number.
+    /// Index of the change among those that the owner made under that number.
     pub index: u64,
 }
 
@@ -43,13 +42,13 @@
 }
 
 impl Entry {
-    /// Returns where this entry stands in the history of its key.
+    /// Returns the position of this entry in the history of its key.
     pub fn position(&self) -> Position {
         Position { proposal_number: self.proposal_number, index: self.index }
     }
 }
 
-/// A controller that votes.
+/// A voting controller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct Member {
     /// Its address.
@@ -58,44 +57,44 @@
     pub zone: String,
 }
 
-/// The controllers that vote. Invariants: `version` rises by one with each change; a change is made only from a stable
-/// membership; until the next one is stable, the previous members count as well.
+/// The voting controllers. Invariants: `version` increases by one with each change; a change starts only from a stable
+/// membership; until the new membership is stable, the previous members count as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct CoreMembership {
-    /// Counts the changes of members.
+    /// Number of membership changes so far.
     pub version: u64,
     /// The members.
     pub members: Vec<Member>,
-    /// The members of the version before.
+    /// The members of the previous version.
     pub previous_members: Vec<Member>,
-    /// Whether only `members` count; false while the change from `previous_members` is under way.
+    /// Whether only `members` count; false while the change from `previous_members` is in progress.
     pub stable: bool,
 }
 
-/// What a proposer asks of an acceptor.
+/// An operation that a proposer requests from an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub enum ConsensusOperation {
-    /// Phase 1: accept nothing below this proposal number any more, and respond with the accepted entry.
+    /// Phase 1: promise to accept nothing below this proposal number, and respond with the accepted entry.
     Prepare {
-        /// The register.
+        /// The key of the register.
         key: String,
         /// The proposal number.
         proposal_number: ProposalNumber,
     },
     /// Phase 2: accept this entry.
     Accept {
-        /// The register.
+        /// The key of the register.
         key: String,
         /// The entry.
         entry: Entry,
     },
     /// Respond with the positions of all registers, without their bodies.
     Positions,
-    /// Respond with everything that the acceptor holds: for one that lost its disk.
+    /// Respond with the acceptor's whole state, for an acceptor that lost its disk.
     Snapshot,
     /// Respond with the accepted entry, without preparing.
     Fetch {
-        /// The register.
+        /// The key of the register.
         key: String,
     },
 }
@@ -103,18 +102,18 @@
 /// A request of a proposer to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct ConsensusRequest {
-    /// The members that the proposer counts; a membership is sent only once it is committed.
+    /// The membership that the proposer forms quorums from; a membership is sent only once it is committed.
     pub membership: CoreMembership,
-    /// What it asks.
+    /// The requested operation.
     pub operation: ConsensusOperation,
 }
 
-/// What an acceptor holds of one register.
+/// An acceptor's state of one register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct RegisterState {
-    /// The register.
+    /// The key of the register.
     pub key: String,
-    /// The acceptor accepts nothing below this proposal number.
+    /// The promised proposal number: the acceptor accepts nothing below it.
     pub prepared: ProposalNumber,
     /// The accepted entry, if any.
     pub entry: Option<Entry>,
@@ -123,7 +122,7 @@
 /// The response of an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub enum ConsensusResponse {
-    /// The acceptor accepts nothing below the proposal number any more.
+    /// The acceptor promised to accept nothing below the proposal number.
     Prepared {
         /// The accepted entry, if any.
         entry: Option<Entry>,
@@ -137,12 +136,12 @@
     },
     /// The response to `Positions`.
     Positions {
-        /// One position a register.
+        /// One position per register.
         positions: Vec<KeyPosition>,
     },
     /// The response to `Snapshot`.
     Snapshot {
-        /// All registers.
+        /// The state of all registers.
         registers: Vec<RegisterState>,
     },
     /// The response to `Fetch`.
@@ -155,7 +154,7 @@
         /// The acceptor's membership.
         membership: CoreMembership,
     },
-    /// Not a member, or one that lost its disk and has not yet recovered.
+    /// The acceptor is not a member, or lost its disk and has not yet recovered.
     NonVoting,
 }
 
--- a/protocol/src/message/consensus_tests.rs
+++ b/protocol/src/message/consensus_tests.rs
@@ -1,8 +1,8 @@
-//! The bytes of positions on the wire.
+//! The wire encoding of positions.
 use super::{ConsensusResponse, KeyPosition, Position, ProposalNumber};
 use rkyv::rancor;
 
-/// The response as it was declared before positions were a type of their own.
+/// `ConsensusResponse` as declared when positions were still tuples.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 enum TupleResponse {
     #[allow(dead_code)]
@@ -34,7 +34,7 @@
     NonVoting,
 }
 
-/// Keys that are stored inline, out of line and not at all.
+/// Keys that rkyv stores inline and out of line, and an empty one.
 const KEYS: [&str; 4] = ["", "core", "config", "evacuation/a-zone-with-a-long-name"];
 
 fn tuples() -> Vec<(String, ProposalNumber, u64)> {
@@ -48,26 +48,27 @@
 }
 
 #[test]
-fn positions_have_the_bytes_of_the_tuples_that_they_replace() {
+fn positions_encode_to_the_bytes_of_the_former_tuples() {
     for count in 0..=KEYS.len() {
         let tuple_form = TupleResponse::Positions { list: tuples()[..count].to_vec() };
         let struct_form = ConsensusResponse::Positions { positions: structs()[..count].to_vec() };
-        let tuple_bytes = rkyv::to_bytes::<rancor::Error>(&tuple_form).expect("bytes of the tuples");
-        let struct_bytes = rkyv::to_bytes::<rancor::Error>(&struct_form).expect("bytes of the structs");
+        let tuple_bytes = rkyv::to_bytes::<rancor::Error>(&tuple_form).expect("the tuples are encoded");
+        let struct_bytes = rkyv::to_bytes::<rancor::Error>(&struct_form).expect("the structs are encoded");
         assert_eq!(tuple_bytes.as_slice(), struct_bytes.as_slice(), "{count} keys");
-        let read = rkyv::from_bytes::<ConsensusResponse, rancor::Error>(&tuple_bytes).expect("read as structs");
-        assert_eq!(read, struct_form);
+        let decoded =
+            rkyv::from_bytes::<ConsensusResponse, rancor::Error>(&tuple_bytes).expect("the bytes decode as structs");
+        assert_eq!(decoded, struct_form);
     }
 }
 
 #[test]
-fn positions_order_as_the_tuples_did() {
+fn positions_have_the_order_of_the_former_tuples() {
     let number = |term, replica_id| ProposalNumber { term, replica_id };
     let tuples = [(number(1, 9), 9), (number(2, 1), 7), (number(2, 1), 8), (number(2, 2), 0), (number(3, 0), 0)];
-    for one in tuples {
-        for other in tuples {
+    for left in tuples {
+        for right in tuples {
             let position = |(proposal_number, index)| Position { proposal_number, index };
-            assert_eq!(position(one).cmp(&position(other)), one.cmp(&other));
+            assert_eq!(position(left).cmp(&position(right)), left.cmp(&right));
         }
     }
 }
--- a/protocol/src/message/endpoint_update.rs
+++ b/protocol/src/message/endpoint_update.rs
@@ -1,7 +1,7 @@
-//! A zone's endpoint list on its way: whole, or as what changed since an earlier version.
+//! Updates of a zone's endpoint list: the whole list, or a delta from an earlier version.
 //!
-//! A zone of a large fleet has a thousand engines, and during a release some of them change with each poll of the platform.
-//! Sent whole each time, the lists were most of what controllers and routers exchanged.
+//! A zone of a large fleet has a thousand engines, and during a release some of them change with each poll of the
+//! platform. Whole lists, sent each time, made up most of the traffic between controllers and routers.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,39 +10,39 @@
 use super::{EndpointList, Engine};
 use crate::compression;
 
-/// The version of an endpoint list. A later one is greater, whichever poller made it.
+/// The version of an endpoint list. Later versions compare greater, also across pollers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// Rises whenever another poller takes the zone over.
+    /// Increases whenever another poller takes over the zone.
     pub term: u64,
-    /// Counts the changes that this poller saw.
+    /// Number of changes that this poller saw.
     pub sequence: u64,
 }
 
-/// What leads from one version of a zone's endpoint list to a later one. Since version 6.
+/// The update from one version of a zone's endpoint list to a later one. Since version 6.
 ///
-/// Invariant: two lists of one version name the same engines in the same state, so an update leads to the same list wherever
-/// its base is held.
+/// Invariant: two lists of one version name the same engines in the same state, so an update yields the same list
+/// wherever its base is held.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EndpointUpdate {
     /// The zone, or a hidden key for the candidates of a zone.
     pub zone: String,
-    /// The version that it applies to. `None`: to any, since it is whole.
+    /// The version that it applies to, or `None` for a whole list, which applies to any older version.
     pub base: Option<ListVersion>,
-    /// The version that it leads to.
+    /// The resulting version.
     pub version: ListVersion,
-    /// The engines that were added or have changed, all of them where it is whole: archived and compressed.
+    /// The added and changed engines, or all engines of a whole list; archived and compressed.
     packed_engines: Vec<u8>,
-    /// The ids of engines that are gone.
+    /// The ids of removed engines.
     pub removed: Vec<String>,
 }
 
-/// An update whose engines are read.
+/// The unpacked engines of an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangedEngines {
-    /// The engines that were added or have changed, all of them where the update is whole.
+    /// The added and changed engines, or all engines of a whole list.
     pub changed: Vec<Engine>,
-    /// The ids of engines that are gone.
+    /// The ids of removed engines.
     pub removed: Vec<String>,
 }
 
@@ -54,13 +54,13 @@
 }
 
 impl EndpointUpdate {
-    /// Returns a list as an update that applies to any version.
+    /// Returns an update with the whole list, which applies to any older version.
     pub fn whole(list: &EndpointList) -> EndpointUpdate {
         EndpointUpdate::new(list, None, &list.engines, Vec::new())
     }
 
-    /// Returns what leads from one list of a zone to another. What is left of a slow start is no change as long as something
-    /// is: it runs down by itself.
+    /// Returns the delta from one list of a zone to another. A shorter remaining slow start does not count as a change
+    /// until it ends, since it runs down by itself.
     pub fn between(old: &EndpointList, new: &EndpointList) -> EndpointUpdate {
         let before: HashMap<&str, &Engine> = old.engines.iter().map(|engine| (engine.id.as_str(), engine)).collect();
         let is_changed = |engine: &&Engine| !before.get(engine.id.as_str()).is_some_and(|old| engine.is_same(old));
@@ -77,14 +77,14 @@
         EndpointUpdate { zone: list.zone.clone(), base, version: list.version(), packed_engines, removed }
     }
 
-    /// Reads the engines. Returns `None` where they can't be read.
+    /// Decodes the engines. Returns `None` if they can't be decoded.
     pub fn unpack(&self) -> Option<ChangedEngines> {
         let archived = compression::decompress(&self.packed_engines)?;
         let changed = rkyv::from_bytes::<Vec<Engine>, rancor::Error>(&archived).ok()?;
         Some(ChangedEngines { changed, removed: self.removed.clone() })
     }
 
-    /// Returns whether it applies to a list of this version, or to none where the zone has no list yet.
+    /// Returns whether it applies to a list of this version, or, for `None`, to a zone without a list.
     pub fn applies_to(&self, held: Option<ListVersion>) -> bool {
         match self.base {
             None => held.is_none_or(|held| held < self.version),
@@ -94,7 +94,7 @@
 }
 
 impl ChangedEngines {
-    /// Returns the engines after the update, those that stay in their order. `held` is empty for a whole update.
+    /// Returns the engines after the update; unchanged ones keep their order. `held` is empty for a whole list.
     pub fn apply(&self, held: &[Engine]) -> Vec<Engine> {
         let replaced: HashSet<&str> =
             self.changed.iter().map(|engine| &engine.id).chain(&self.removed).map(String::as_str).collect();
@@ -104,11 +104,12 @@
 }
 
 impl Engine {
-    /// Returns whether two views of one engine are the same but for what is left of its slow start, which runs down by
-    /// itself.
+    /// Returns whether two states of one engine are the same except for the remaining time of a slow start, which runs
+    /// down by itself.
     pub fn is_same(&self, other: &Engine) -> bool {
-        let without_time = |engine: &Engine| Engine { cold_ms: u32::from(engine.cold_ms > 0), ..engine.clone() };
-        without_time(self) == without_time(other)
+        let without_remaining_time =
+            |engine: &Engine| Engine { cold_ms: u32::from(engine.cold_ms > 0), ..engine.clone() };
+        without_remaining_time(self) == without_remaining_time(other)
     }
 }
 
--- a/protocol/src/message/endpoint_update_tests.rs
+++ b/protocol/src/message/endpoint_update_tests.rs
@@ -1,4 +1,4 @@
-//! Updates of endpoint lists lead to the same engines as whole lists.
+//! Updates of endpoint lists yield the same engines as whole lists.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn only_what_changed_is_sent() {
+fn an_update_contains_only_changed_engines() {
     let old = list(1, (0..1000).map(|number| engine(number, "decode", true, 0)).collect());
     let mut engines = old.engines.clone();
     engines[3].phase = "prefill".into();
@@ -39,7 +39,7 @@
     engines.push(engine(2000, "decode", true, 9000));
     let new = list(2, engines);
     let update = EndpointUpdate::between(&old, &new);
-    let unpacked = update.unpack().expect("readable");
+    let unpacked = update.unpack().expect("unpacked");
     assert_eq!(
         unpacked.changed.iter().map(|engine| engine.id.as_str()).collect::<Vec<_>>(),
         ["i-00000003", "i-000007d0"]
@@ -50,28 +50,28 @@
         let message = Message::EndpointUpdate(Box::new(update));
         frame::encode(Kind::Notification, 0, &message).expect("it fits into a frame").len()
     };
-    assert!(bytes(update) < 400, "a change of three engines of a thousand");
+    assert!(bytes(update) < 400, "a delta of three engines of a thousand");
     let whole = Message::EndpointList(Box::new(new.clone()));
     let whole = frame::encode(Kind::Notification, 0, &whole).expect("it fits into a frame").len();
-    assert!(3 * bytes(EndpointUpdate::whole(&new)) < whole, "{whole} bytes whole");
+    assert!(3 * bytes(EndpointUpdate::whole(&new)) < whole, "{whole} bytes for the whole list");
 }
 
 #[test]
-fn a_slow_start_that_runs_down_is_no_change_and_its_end_is_one() {
-    let cold = list(1, vec![engine(1, "decode", true, 3000)]);
-    let colder = list(2, vec![engine(1, "decode", true, 1000)]);
-    let warm = list(3, vec![engine(1, "decode", true, 0)]);
-    assert!(EndpointUpdate::between(&cold, &colder).unpack().expect("readable").changed.is_empty());
-    assert_eq!(EndpointUpdate::between(&colder, &warm).unpack().expect("readable").changed, warm.engines);
+fn a_slow_start_counts_as_a_change_only_when_it_ends() {
+    let starting = list(1, vec![engine(1, "decode", true, 3000)]);
+    let still_starting = list(2, vec![engine(1, "decode", true, 1000)]);
+    let started = list(3, vec![engine(1, "decode", true, 0)]);
+    assert!(EndpointUpdate::between(&starting, &still_starting).unpack().expect("unpacked").changed.is_empty());
+    assert_eq!(EndpointUpdate::between(&still_starting, &started).unpack().expect("unpacked").changed, started.engines);
 }
 
 #[test]
-fn an_update_applies_to_its_base_alone_and_a_whole_one_to_anything_older() {
+fn a_delta_applies_only_to_its_base_and_a_whole_list_to_any_older_version() {
     let version = |sequence| ListVersion { term: 7, sequence };
-    let change = EndpointUpdate::between(&list(1, Vec::new()), &list(2, Vec::new()));
-    assert!(change.applies_to(Some(version(1))));
+    let delta = EndpointUpdate::between(&list(1, Vec::new()), &list(2, Vec::new()));
+    assert!(delta.applies_to(Some(version(1))));
     for held in [None, Some(version(0)), Some(version(2)), Some(version(3))] {
-        assert!(!change.applies_to(held), "{held:?}");
+        assert!(!delta.applies_to(held), "{held:?}");
     }
     let whole = EndpointUpdate::whole(&list(2, Vec::new()));
     assert!(whole.applies_to(None) && whole.applies_to(Some(version(1))));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn engines_that_cannot_be_read_are_no_engines() {
+fn unpack_returns_none_for_invalid_engines() {
     let mut update = EndpointUpdate::whole(&list(1, vec![engine(1, "decode", true, 0)]));
     update.packed_engines.truncate(6);
     assert_eq!(update.unpack(), None);
@@ -89,9 +89,9 @@
     assert_eq!(update.unpack(), None);
 }
 
-/// Any walk of a list, in steps of one version or several, ends where the whole list stands.
+/// Deltas across one or more versions, applied in sequence, yield the same engines as the whole list.
 #[test]
-fn a_chain_of_updates_leads_to_the_whole_list() {
+fn a_chain_of_deltas_yields_the_whole_list() {
     for seed in 0..40 {
         let mut rng = Rng::new(seed);
         let mut lists = vec![list(1, (0..20).map(|number| engine(number, "decode", true, 0)).collect())];
@@ -105,15 +105,15 @@
             lists.push(list(sequence, engines));
         }
         let mut held = lists[0].clone();
-        let mut at = 0;
-        while at + 1 < lists.len() {
-            let next = (at + 1 + rng.below(4) as usize).min(lists.len() - 1);
-            let update = EndpointUpdate::between(&lists[at], &lists[next]);
+        let mut current = 0;
+        while current + 1 < lists.len() {
+            let next = (current + 1 + rng.below(4) as usize).min(lists.len() - 1);
+            let update = EndpointUpdate::between(&lists[current], &lists[next]);
             assert!(update.applies_to(Some(held.version())));
-            let engines = update.unpack().expect("readable").apply(&held.engines);
+            let engines = update.unpack().expect("unpacked").apply(&held.engines);
             held = EndpointList { engines, ..lists[next].clone() };
             assert_eq!(by_id(&held.engines), by_id(&lists[next].engines), "seed {seed}, version {next}");
-            at = next;
+            current = next;
         }
     }
 }
--- a/protocol/src/message/engine_usage.rs
+++ b/protocol/src/message/engine_usage.rs
@@ -1,4 +1,4 @@
-//! How loaded engines are, from the routers of one controller, for the controller that balances prefill and decode.
+//! Engine loads, summed over the routers of one controller, for the controller that balances prefill and decode.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -7,13 +7,13 @@
 pub struct PhaseUsage {
     /// The service.
     pub service: String,
-    /// The engines do prefill, else decode.
+    /// Whether the phase is prefill; otherwise it is decode.
     pub prefill: bool,
-    /// Requests in flight at all of them that may get new ones.
+    /// Requests in flight at all of these engines that may get new ones.
     pub in_flight: u32,
 }
 
-/// The requests in flight at one engine of the sample.
+/// The requests in flight at one sampled engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SampledUsage {
     /// The hash of the engine's id.
@@ -22,14 +22,14 @@
     pub in_flight: u32,
 }
 
-/// Requests in flight from the routers that hold a lease at one controller: sums by service and phase, and the engines of a
-/// sample that all controllers draw alike, however many engines there are. Since version 6.
+/// Requests in flight from the routers that hold a lease at one controller: totals by service and phase, and counts for
+/// a sample of engines, which all controllers draw alike whatever the number of engines. Since version 6.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineUsage {
     /// The address of the sender.
     pub ip: String,
-    /// By service and phase, those without a request left out.
+    /// Totals by service and phase; those without a request are omitted.
     pub totals: Vec<PhaseUsage>,
-    /// Engines of the sample, those without a request left out.
+    /// The sampled engines; those without a request are omitted.
     pub sampled: Vec<SampledUsage>,
 }
--- a/protocol/src/metering.rs
+++ b/protocol/src/metering.rs
@@ -1,55 +1,55 @@
-//! Counts of requests that began, on their way from routers to the controller that tells the platform.
+//! Counts of requests that began, sent from routers to the controller that reports them to the platform.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// How many requests of a tenant began.
+/// The number of requests of one tenant that began.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TenantCount {
     /// The name of the tenant.
     pub tenant: String,
-    /// How many.
+    /// The number of requests.
     pub count: u64,
 }
 
-/// Counts of one window of time, from its beginning on.
+/// Counts of one time window, cumulative from its beginning.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct WindowCounts {
     /// The number of the window.
     pub window: u64,
-    /// The counts; tenants that are not named have none, or the same as before.
+    /// The counts. Omitted tenants have no requests, or the same count as before.
     pub tenants: Vec<TenantCount>,
 }
 
-/// What one router process counted.
+/// The counts of one router process.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RouterCounts {
-    /// Tells processes of routers apart.
+    /// Identifies the router process.
     pub router: u64,
-    /// By window.
+    /// The counts by window.
     pub windows: Vec<WindowCounts>,
 }
 
-/// A controller asks a router that renews at it for counts.
+/// A controller's request for the counts of a router that renews its lease there.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MeteringRequest {
     /// The address of the controller.
     pub controller: String,
-    /// Tells processes of that controller apart: a new one knows nothing.
+    /// Identifies the controller process: a new one has no earlier counts.
     pub incarnation: u64,
 }
 
 /// Asks a controller for the counts that routers reported to it.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MeteringQuery {
-    /// Of these windows.
+    /// The requested windows.
     pub windows: Vec<u64>,
 }
 
 /// The response to [`MeteringQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MeteringTables {
-    /// Whether the routers that renew at the responder have had time to report what they keep.
+    /// Whether the routers that renew their leases at the responder have had time to report the counts that they keep.
     pub is_complete: bool,
-    /// By router process.
+    /// The counts by router process.
     pub routers: Vec<RouterCounts>,
 }
--- a/protocol/src/operator_request.rs
+++ b/protocol/src/operator_request.rs
@@ -1,4 +1,4 @@
-//! Operators' requests as controllers relay them to the owner of their key, and how the outcome reaches the others.
+//! Operators' requests, which controllers relay to the owner of the key, and the notification of other controllers.
 
 mod messages;
 
--- a/protocol/src/operator_request/messages.rs
+++ b/protocol/src/operator_request/messages.rs
@@ -1,11 +1,11 @@
-//! The messages on operators' requests.
+//! Messages for operators' requests.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::message::ProposalNumber;
 
-/// An operator's request. Invariant: no later variant is larger than `Change` in its archived form, or requests of earlier
-/// versions would not be read.
+/// An operator's request. Invariant: no later variant is larger than `Change` in its archived form; otherwise requests
+/// of earlier versions could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum OperatorRequest {
     /// Changes the configuration.
@@ -19,14 +19,14 @@
     },
     /// Reads the configuration.
     ReadConfig,
-    /// As `Evacuate`, but only on top of this version of the zone's evacuation, so that a request that is relayed late
-    /// undoes nothing. Since version 4.
+    /// Like `Evacuate`, but only if this version of the zone's evacuation is current, so that a request that is relayed
+    /// late does not undo a newer one. Since version 4.
     EvacuateFrom {
         /// The zone.
         zone: String,
         /// Whether the evacuation begins.
         on: bool,
-        /// The version that it must build on.
+        /// The version that must be current.
         version: u64,
     },
 }
@@ -34,37 +34,37 @@
 /// A whole configuration or a patch, as an operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// The version that it builds on.
+    /// The version that it is based on.
     pub base: u64,
     /// The JSON text.
     pub text: String,
-    /// Whether it is a patch of named items, which leaves the rest as it is.
+    /// Whether it is a patch of named items, which leaves the rest unchanged.
     pub partial: bool,
 }
 
 /// The outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum OperatorResponse {
-    /// It was carried out.
+    /// The request was carried out.
     Done,
-    /// What the key holds.
+    /// The value of the key.
     Found {
         /// The body as it was committed.
         body: Vec<u8>,
     },
-    /// It was rejected.
+    /// The request was rejected.
     Rejected {
         /// The HTTP status for the operator.
         status: u16,
-        /// The reason, as the operator reads it.
+        /// The reason shown to the operator.
         reason: String,
     },
-    /// It may have been carried out, or may yet be.
+    /// The request may have been carried out, or may still be.
     OutcomeUnknown,
 }
 
-/// Notifies controllers that hold a key's entry of the next committed one. Invariant: whoever holds a body with the digest
-/// `before` gets one with the digest `after` by applying the change.
+/// Notifies controllers that hold a key's entry of the next committed one. Invariant: applying the change to a body
+/// with the digest `before` yields one with the digest `after`.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CommittedDelta {
     /// The key.
@@ -73,7 +73,7 @@
     pub proposal_number: ProposalNumber,
     /// The index of the newer entry under that number.
     pub index: u64,
-    /// The digest of the body before.
+    /// The digest of the previous body.
     pub before: u64,
     /// The digest of the newer body.
     pub after: u64,
--- a/protocol/src/quota.rs
+++ b/protocol/src/quota.rs
@@ -1,7 +1,7 @@
-//! What routers and controllers say about tenants' rate limits. Since version 5.
+//! Messages between routers and controllers about tenants' rate limits. Since version 5.
 //!
-//! A tenant's limit is a token bucket that is divided into shards; each shard has an owner among the controllers, which
-//! issues its tokens.
+//! A tenant's limit is a token bucket that is divided into shards; each shard is owned by a controller, which issues
+//! its tokens.
 
 mod messages;
 
@@ -12,29 +12,29 @@
 
 pub use messages::{ShardOwner, ShardUsage, TokenRequest, TokenResponse};
 
-/// Thousandths in one.
+/// Thousandths per unit.
 const MILLI: f64 = 1000.0;
 
-/// Returns a number of requests in thousandths.
+/// Converts a number of requests to thousandths.
 pub fn to_milli(number: f64) -> u64 {
     (number * MILLI).round() as u64
 }
 
-/// Returns the number of requests of so many thousandths.
+/// Converts thousandths to a number of requests.
 pub fn from_milli(thousandths: u64) -> f64 {
     thousandths as f64 / MILLI
 }
 
-/// Returns the entry by which a router names the list of shard owners that it holds.
+/// Returns the entry by which a router announces the list of shard owners that it holds.
 pub fn shard_owners_entry(fingerprint: u64) -> VersionEntry {
     VersionEntry::new(HiddenKey::ShardOwners, fingerprint, 0)
 }
 
-/// Returns a number that differs between lists of shard owners that differ.
+/// Returns a fingerprint that differs between different lists of shard owners.
 pub fn shard_owners_fingerprint(list: &[ShardOwner]) -> u64 {
     list.iter().fold(1, |fingerprint, owner| {
-        let one = hashing::combine(hashing::hash(owner.ip.as_bytes()), hashing::hash(owner.zone.as_bytes()));
-        hashing::combine(fingerprint, one)
+        let owner_hash = hashing::combine(hashing::hash(owner.ip.as_bytes()), hashing::hash(owner.zone.as_bytes()));
+        hashing::combine(fingerprint, owner_hash)
     })
 }
 
--- a/protocol/src/quota/messages.rs
+++ b/protocol/src/quota/messages.rs
@@ -1,4 +1,4 @@
-//! The messages on tenants' rate limits.
+//! Messages for tenants' rate limits.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -7,9 +7,9 @@
 pub struct TokenRequest {
     /// The tenant's name.
     pub tenant: String,
-    /// Its limit in the configuration that the router has, in thousandths of a request a second.
+    /// Its rate limit in the router's configuration, in thousandths of a request per second.
     pub rate_milli: u64,
-    /// Requests that may come at once above the rate, in thousandths.
+    /// Burst size: requests that are allowed at once above the rate, in thousandths.
     pub burst_milli: u64,
 }
 
@@ -18,12 +18,12 @@
 pub enum TokenResponse {
     /// The request may be sent.
     Granted,
-    /// The shard is empty for this long at least.
+    /// The shard has no token left.
     Denied {
-        /// Milliseconds until its next token.
+        /// Minimum time until its next token, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The controller owns no shard of the tenant, or can't know that it still does.
+    /// The controller owns no shard of the tenant, or can't be sure that it still does.
     NotHeld,
 }
 
@@ -36,12 +36,12 @@
     pub zone: String,
 }
 
-/// What one shard has granted and denied.
+/// The usage of one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ShardUsage {
     /// The tenant's name.
     pub tenant: String,
-    /// Tokens granted since the shard is owned there.
+    /// Tokens granted since this controller became the shard's owner.
     pub granted: u64,
     /// Requests for a token that were denied.
     pub denied: u64,
--- a/protocol/src/register_keys.rs
+++ b/protocol/src/register_keys.rs
@@ -1,7 +1,7 @@
-//! How the keys of committed registers begin that daemons also name by hidden keys. The texts are stored on disk.
+//! Key prefixes of the committed registers that daemons also name by hidden keys. The texts are stored on disk.
 
-/// How the keys of staleness limits begin.
+/// Key prefix of staleness limits.
 pub const STALENESS_LIMIT_PREFIX: &str = "rollout/";
 
-/// How the keys of rollouts of versions begin.
+/// Key prefix of version rollouts.
 pub const VERSION_ROLLOUT_PREFIX: &str = "versions/";
--- a/protocol/src/staleness_limit.rs
+++ b/protocol/src/staleness_limit.rs
@@ -1,36 +1,37 @@
-//! Limits on stale weights, and the versions of weights that engines have.
+//! Staleness limits of model weights, and the weight versions of engines.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::register_keys::STALENESS_LIMIT_PREFIX;
 use crate::version_entry::EngineWeights;
 
-/// How far behind the trainer's latest weights an engine may be. Committed under the key [`StalenessLimit::key`]. Invariants: `version` rises with each
-/// change; the floor goes back only by a rollback, which is counted, or by a wider lag.
+/// How far behind the trainer's latest weights an engine may be. Committed under the key [`StalenessLimit::key`].
+/// Invariants: `version` increases with each change; the floor decreases only by a rollback, which is counted, or by a
+/// larger lag.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StalenessLimit {
     /// The service.
     pub service: String,
     /// The model.
     pub model: String,
-    /// Rises with each change of this limit.
+    /// Increases with each change of this limit.
     pub version: u64,
-    /// The trainer's latest version of the weights.
+    /// The trainer's latest weight version.
     pub latest: u64,
     /// How many versions an engine may be behind.
     pub lag: u64,
-    /// Names of the routes that it binds.
+    /// Names of the routes that it applies to.
     pub routes: Vec<String>,
-    /// Whether the limit was removed: it binds nothing then.
+    /// Whether the limit was removed and no longer applies.
     pub removed: bool,
-    /// How often the trainer went back to an earlier version.
+    /// Number of times that the trainer rolled back to an earlier version.
     pub rollbacks: u64,
-    /// Why the last rollback was made.
+    /// The reason for the last rollback.
     pub reason: String,
 }
 
 impl StalenessLimit {
-    /// Returns the oldest version of the weights that bound requests may run on.
+    /// Returns the oldest weight version that requests of these routes may run on.
     pub fn floor(&self) -> u64 {
         if self.removed {
             return 0;
@@ -46,16 +47,16 @@
 
 kernel::impl_archive_bytes!(StalenessLimit);
 
-/// The weight versions of a zone's engines. Invariant: `sequence` rises with each change that one poller sees; another
-/// poller has another `term`.
+/// The weight versions of a zone's engines. Invariant: `sequence` increases with each change that a poller sees; each
+/// poller has its own `term`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct WeightVersions {
     /// The zone.
     pub zone: String,
-    /// The poller that saw them.
+    /// The term of the poller that saw them.
     pub term: u64,
-    /// Counts the changes that this poller saw.
+    /// Number of changes that this poller saw.
     pub sequence: u64,
-    /// The version of each model on each engine.
+    /// The weight version of each model on each engine.
     pub list: Vec<EngineWeights>,
 }
--- a/protocol/src/stored_by_5_tests.rs
+++ b/protocol/src/stored_by_5_tests.rs
@@ -1,8 +1,8 @@
-//! Every message as daemons of version 5 send it, and what else they must agree on beside the frames.
+//! Every message as daemons of version 5 send it, and the names and hashes that they must also agree on.
 //!
-//! `fixtures/messages-5.bin` was written by commit 0f675d7: one sealed frame after the other, in the order of `messages`.
-//! To write it again, check out that commit, put this file beside `msg.rs`, attach it as it is attached here, and run
-//! `cargo test -p wire --lib -- --ignored stored_by_5`. Later versions never write it again: they read it.
+//! `fixtures/messages-5.bin` was written by commit 0f675d7: consecutive frames in the order of `messages`. To recreate
+//! it, check out that commit, put this file beside `msg.rs`, declare it as a module as here, and run
+//! `cargo test -p wire --lib -- --ignored stored_by_5`. Later versions never recreate it, but read it.
 use crate::capability::{own_protocol_version, shutting_down_marker, PROTOCOL_VERSION};
 use crate::config::{self, Limits, Model, Route, Service, Split, Tenant};
 use crate::config_update::{legacy_format, ConfigUpdate};
@@ -27,8 +27,8 @@
     KeyPosition { key: key.into(), position: Position { proposal_number, index } }
 }
 
-/// How many kinds of messages version 5 knows.
-const KINDS_OF_MESSAGES: usize = 34;
+/// Number of message kinds in version 5.
+const MESSAGE_KIND_COUNT: usize = 34;
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/messages-5.bin")
@@ -38,7 +38,7 @@
     Member { ip: ip.into(), zone: zone.into() }
 }
 
-fn unsettled_core() -> CoreMembership {
+fn changing_membership() -> CoreMembership {
     CoreMembership {
         version: 6,
         members: vec![member("10.0.0.1", "a"), member("10.0.0.2", "b"), member("10.0.0.3", "c")],
@@ -47,7 +47,7 @@
     }
 }
 
-fn settled_core() -> CoreMembership {
+fn stable_membership() -> CoreMembership {
     CoreMembership {
         version: 7,
         members: vec![member("10.0.0.4", "d")],
@@ -56,15 +56,15 @@
     }
 }
 
-fn ballot() -> ProposalNumber {
+fn proposal_number() -> ProposalNumber {
     ProposalNumber { term: 0x0102_0304_0506_0708, replica_id: 0x1112_1314_1516_1718 }
 }
 
 fn entry() -> Entry {
-    Entry { proposal_number: ballot(), index: 41, body: b"the body of a key".to_vec() }
+    Entry { proposal_number: proposal_number(), index: 41, body: b"the body of a key".to_vec() }
 }
 
-fn slots() -> Vec<RegisterState> {
+fn register_states() -> Vec<RegisterState> {
     vec![
         RegisterState {
             key: "config".into(),
@@ -83,7 +83,7 @@
     vec![VersionEntry::new("zone-a", 12, 13), VersionEntry::new("\0leaving", 1, 0), VersionEntry::new("", 5, 0)]
 }
 
-fn busy() -> Vec<(String, u32)> {
+fn in_flight() -> Vec<(String, u32)> {
     vec![("engine-1".into(), 3), ("engine-with-a-long-name-2".into(), 70_000)]
 }
 
@@ -103,11 +103,11 @@
     vec![first, second]
 }
 
-fn sheet() -> EndpointList {
+fn endpoint_list() -> EndpointList {
     EndpointList { zone: "zone-a".into(), term: 21, sequence: 22, engines: engines() }
 }
 
-fn news() -> StateUpdate {
+fn state_update() -> StateUpdate {
     StateUpdate {
         confirmed: true,
         config: Some((31, b"{\"revision\":31}".to_vec())),
@@ -115,7 +115,7 @@
             EvacuationState { zone: "zone-a".into(), version: 4, evacuated: true },
             EvacuationState { zone: "zone-b".into(), version: 5, evacuated: false },
         ],
-        endpoint_lists: vec![sheet()],
+        endpoint_lists: vec![endpoint_list()],
         router_count: 17,
         peers: vec!["10.0.0.1".into(), "10.0.0.2".into()],
         reassigning: vec!["i-2".into()],
@@ -123,7 +123,7 @@
     }
 }
 
-fn pressures() -> Vec<EngineLoad> {
+fn engine_loads() -> Vec<EngineLoad> {
     vec![
         EngineLoad { engine_hash: 0xfedc_ba98_7654_3210, load: 14, age_ms: 250 },
         EngineLoad { engine_hash: 77, load: 70_001, age_ms: 70_002 },
@@ -134,7 +134,7 @@
     vec![Record { key: 501, engine: "i-1".into() }, Record { key: 502, engine: "engine-with-a-long-name-2".into() }]
 }
 
-fn rule() -> StalenessLimit {
+fn staleness_limit() -> StalenessLimit {
     StalenessLimit {
         service: "chat".into(),
         model: "m-1".into(),
@@ -278,8 +278,8 @@
     }
 }
 
-/// The step to a later configuration, in the layout of version 5.
-fn step_with_tenants() -> ConfigUpdate {
+/// The delta to a later configuration, in the layout of version 5.
+fn delta_with_tenants() -> ConfigUpdate {
     ConfigUpdate {
         from: 31,
         to: 33,
@@ -301,8 +301,8 @@
     }
 }
 
-/// The step in the layout before tenants.
-fn step_without_tenants() -> ConfigUpdate {
+/// A delta in the layout before tenants.
+fn delta_without_tenants() -> ConfigUpdate {
     ConfigUpdate {
         from: 41,
         to: 42,
@@ -317,66 +317,72 @@
     }
 }
 
-fn poll(core: CoreMembership, operation: ConsensusOperation) -> Message {
-    Message::ConsensusRequest(Box::new(ConsensusRequest { membership: core, operation }))
+fn consensus_request(core_membership: CoreMembership, operation: ConsensusOperation) -> Message {
+    Message::ConsensusRequest(Box::new(ConsensusRequest { membership: core_membership, operation }))
 }
 
-fn vote(vote: ConsensusResponse) -> Message {
-    Message::ConsensusResponse(Box::new(vote))
+fn consensus_response(response: ConsensusResponse) -> Message {
+    Message::ConsensusResponse(Box::new(response))
 }
 
-fn order(order: OperatorRequest) -> Message {
-    Message::OperatorRequest(Box::new(order))
+fn operator_request(request: OperatorRequest) -> Message {
+    Message::OperatorRequest(Box::new(request))
 }
 
-fn order_done(result: OperatorResponse) -> Message {
+fn operator_response(result: OperatorResponse) -> Message {
     Message::OperatorResponse(Box::new(result))
 }
 
-/// What proposers and acceptors send: all variants of `ConsensusOperation` and `ConsensusResponse`.
-fn votes() -> Vec<Message> {
+/// Messages between proposers and acceptors: all variants of `ConsensusOperation` and `ConsensusResponse`.
+fn consensus_messages() -> Vec<Message> {
     vec![
-        poll(unsettled_core(), ConsensusOperation::Prepare { key: "config".into(), proposal_number: ballot() }),
-        poll(settled_core(), ConsensusOperation::Accept { key: "evacuation/zone-a".into(), entry: entry() }),
-        poll(unsettled_core(), ConsensusOperation::Positions),
-        poll(settled_core(), ConsensusOperation::Snapshot),
-        poll(unsettled_core(), ConsensusOperation::Fetch { key: "rollout/chat/m-1".into() }),
-        vote(ConsensusResponse::Prepared { entry: Some(entry()) }),
-        vote(ConsensusResponse::Prepared { entry: None }),
-        vote(ConsensusResponse::Accepted),
-        vote(ConsensusResponse::Rejected { prepared: ballot() }),
-        vote(ConsensusResponse::Positions {
+        consensus_request(
+            changing_membership(),
+            ConsensusOperation::Prepare { key: "config".into(), proposal_number: proposal_number() },
+        ),
+        consensus_request(
+            stable_membership(),
+            ConsensusOperation::Accept { key: "evacuation/zone-a".into(), entry: entry() },
+        ),
+        consensus_request(changing_membership(), ConsensusOperation::Positions),
+        consensus_request(stable_membership(), ConsensusOperation::Snapshot),
+        consensus_request(changing_membership(), ConsensusOperation::Fetch { key: "rollout/chat/m-1".into() }),
+        consensus_response(ConsensusResponse::Prepared { entry: Some(entry()) }),
+        consensus_response(ConsensusResponse::Prepared { entry: None }),
+        consensus_response(ConsensusResponse::Accepted),
+        consensus_response(ConsensusResponse::Rejected { prepared: proposal_number() }),
+        consensus_response(ConsensusResponse::Positions {
             positions: vec![
-                position("config", ballot(), 41),
+                position("config", proposal_number(), 41),
                 position("core", ProposalNumber { term: 2, replica_id: 3 }, 1),
             ],
         }),
-        vote(ConsensusResponse::Snapshot { registers: slots() }),
-        vote(ConsensusResponse::Fetched { entry: Some(entry()) }),
-        vote(ConsensusResponse::Fetched { entry: None }),
-        vote(ConsensusResponse::NewerMembership { membership: unsettled_core() }),
-        vote(ConsensusResponse::NonVoting),
+        consensus_response(ConsensusResponse::Snapshot { registers: register_states() }),
+        consensus_response(ConsensusResponse::Fetched { entry: Some(entry()) }),
+        consensus_response(ConsensusResponse::Fetched { entry: None }),
+        consensus_response(ConsensusResponse::NewerMembership { membership: changing_membership() }),
+        consensus_response(ConsensusResponse::NonVoting),
     ]
 }
 
-/// What keepers and routers tell of themselves, of engines and of what is committed.
-fn told_messages() -> Vec<Message> {
+/// Messages of controllers and routers about themselves, engines and committed state.
+fn state_messages() -> Vec<Message> {
     vec![
         Message::Gossip(Box::new(Gossip {
             ip: "10.0.0.1".into(),
             zone: "zone-a".into(),
             incarnation: 0x2122_2324_2526_2728,
             eligible: true,
-            membership: unsettled_core(),
+            membership: changing_membership(),
             peers: vec!["10.0.0.2".into(), "10.0.0.3".into()],
             router_count: 18,
-            in_flight: busy(),
+            in_flight: in_flight(),
             reassigning: vec!["i-2".into()],
             frontend_addresses: vec!["10.2.0.1:443".into(), "10.2.0.2:443".into()],
             list_versions: list_versions(),
             observed_list_versions: vec![VersionEntry::new("zone-b", 14, 15)],
         })),
-        Message::EndpointList(Box::new(sheet())),
+        Message::EndpointList(Box::new(endpoint_list())),
         Message::SubscriptionRenewal(Box::new(SubscriptionRenewal {
             node: "router-1".into(),
             zone: "zone-b".into(),
@@ -384,22 +390,22 @@
             config_revision: 31,
             evacuation_versions: vec![("zone-a".into(), 4)],
             list_versions: list_versions(),
-            in_flight: busy(),
+            in_flight: in_flight(),
             frontend_address: "10.2.0.1:443".into(),
         })),
-        Message::StateUpdate(Box::new(news())),
+        Message::StateUpdate(Box::new(state_update())),
         Message::Committed(Box::new(("evacuation/zone-a".into(), entry()))),
         Message::SuspectEngine(Box::new(("i-1".into(), true))),
         Message::Rejected(Box::new(503)),
         Message::SubscriptionRenewed(Box::new(SubscriptionRenewed {
-            update: news(),
+            update: state_update(),
             confirmation: Some(Confirmation { age_ms: 120, config_revision: 31 }),
             core_members: vec!["10.0.0.1".into(), "10.0.0.2".into()],
         })),
     ]
 }
 
-/// What is said to the catalog.
+/// Messages to and from the catalog.
 fn catalog_messages() -> Vec<Message> {
     vec![
         Message::OwnerQuery(Box::new((19, vec![501, 502, u64::MAX]))),
@@ -411,17 +417,22 @@
         Message::PrefixLookupResponse(Box::new(PrefixLookupResponse {
             epoch: 19,
             owners: vec![vec!["i-1".into()], Vec::new(), vec!["engine-with-a-long-name-2".into()]],
-            list: pressures(),
+            list: engine_loads(),
+        })),
+        Message::PrefixRegistration(Box::new(PrefixRegistration {
+            epoch: 19,
+            owners: records(),
+            loads: engine_loads(),
         })),
-        Message::PrefixRegistration(Box::new(PrefixRegistration { epoch: 19, owners: records(), loads: pressures() })),
     ]
 }
 
-/// Operators' orders, and what they lead to: all variants of `Order` and `OrderResult`, both layouts of changes.
-fn order_messages() -> Vec<Message> {
-    let advance = CommittedDelta {
+/// Operators' requests and their outcomes: all variants of `OperatorRequest` and `OperatorResponse`, and both layouts
+/// of configuration updates.
+fn operator_messages() -> Vec<Message> {
+    let delta = CommittedDelta {
         key: "config".into(),
-        proposal_number: ballot(),
+        proposal_number: proposal_number(),
         index: 42,
         before: 0x4142_4344_4546_4748,
         after: 0x5152_5354_5556_5758,
@@ -430,23 +441,27 @@
         pack: true,
     };
     vec![
-        order(OperatorRequest::Change(config_change())),
-        order(OperatorRequest::Evacuate { zone: "zone-a".into(), on: true }),
-        order(OperatorRequest::ReadConfig),
-        order(OperatorRequest::EvacuateFrom { zone: "a-zone-with-a-long-name".into(), on: true, version: 3 }),
-        order_done(OperatorResponse::Done),
-        order_done(OperatorResponse::Found { body: b"the body of the configuration".to_vec() }),
-        order_done(OperatorResponse::Rejected { status: 412, reason: "version 9 is current".into() }),
-        order_done(OperatorResponse::OutcomeUnknown),
-        Message::CommittedDelta(Box::new(CommittedDelta { change: None, ..advance.clone() })),
-        Message::CommittedDelta(Box::new(advance)),
-        Message::ConfigUpdate(Box::new(legacy_format::encode(&step_without_tenants()))),
+        operator_request(OperatorRequest::Change(config_change())),
+        operator_request(OperatorRequest::Evacuate { zone: "zone-a".into(), on: true }),
+        operator_request(OperatorRequest::ReadConfig),
+        operator_request(OperatorRequest::EvacuateFrom {
+            zone: "a-zone-with-a-long-name".into(),
+            on: true,
+            version: 3,
+        }),
+        operator_response(OperatorResponse::Done),
+        operator_response(OperatorResponse::Found { body: b"the body of the configuration".to_vec() }),
+        operator_response(OperatorResponse::Rejected { status: 412, reason: "version 9 is current".into() }),
+        operator_response(OperatorResponse::OutcomeUnknown),
+        Message::CommittedDelta(Box::new(CommittedDelta { change: None, ..delta.clone() })),
+        Message::CommittedDelta(Box::new(delta)),
+        Message::ConfigUpdate(Box::new(legacy_format::encode(&delta_without_tenants()))),
         Message::TenantConfigUpdate(Box::new(whole_with_tenants().encode())),
-        Message::TenantConfigUpdate(Box::new(step_with_tenants().encode())),
+        Message::TenantConfigUpdate(Box::new(delta_with_tenants().encode())),
     ]
 }
 
-/// Stale weights, rollouts of versions, and tenants' limits.
+/// Messages about staleness limits, version rollouts and tenants' rate limits.
 fn rollout_and_limit_messages() -> Vec<Message> {
     let samples = |is_relayed| Samples {
         service: "chat".into(),
@@ -463,9 +478,9 @@
         ],
         is_relayed,
     };
-    let holder = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
+    let owner = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
     vec![
-        Message::StalenessLimit(Box::new(rule())),
+        Message::StalenessLimit(Box::new(staleness_limit())),
         Message::WeightVersions(Box::new(WeightVersions {
             zone: "zone-a".into(),
             term: 23,
@@ -482,7 +497,7 @@
         Message::TokenResponse(Box::new(TokenResponse::Granted)),
         Message::TokenResponse(Box::new(TokenResponse::Denied { retry_after_ms: 80 })),
         Message::TokenResponse(Box::new(TokenResponse::NotHeld)),
-        Message::ShardOwners(Box::new(vec![holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")])),
+        Message::ShardOwners(Box::new(vec![owner("10.0.0.1", "zone-a"), owner("10.0.0.2", "zone-b")])),
         Message::UsageRequest(Box::new(5)),
         Message::UsageResponse(Box::new(vec![
             ShardUsage { tenant: "acme".into(), granted: 1000, denied: 7, tokens_milli: 12_345 },
@@ -498,92 +513,94 @@
 
 /// Every message of version 5.
 pub(crate) fn messages() -> Vec<Message> {
-    [votes(), told_messages(), catalog_messages(), order_messages(), rollout_and_limit_messages()].concat()
+    [consensus_messages(), state_messages(), catalog_messages(), operator_messages(), rollout_and_limit_messages()]
+        .concat()
 }
 
-/// The kind of the frame of a message at a place, and its number.
-fn kind_and_id(at: usize) -> (Kind, u64) {
-    ([Kind::Request, Kind::Response, Kind::Notification][at % 3], 0xA1A2_A3A4_0000_0000 + at as u64)
+/// The frame kind and id of the message at an index.
+fn kind_and_id(index: usize) -> (Kind, u64) {
+    ([Kind::Request, Kind::Response, Kind::Notification][index % 3], 0xA1A2_A3A4_0000_0000 + index as u64)
 }
 
-fn sealed(messages: &[Message]) -> Vec<u8> {
-    let frames = messages.iter().enumerate().map(|(at, message)| {
-        let (kind, id) = kind_and_id(at);
-        frame::encode(kind, id, message).expect("sealed")
+fn encode_frames(messages: &[Message]) -> Vec<u8> {
+    let frames = messages.iter().enumerate().map(|(index, message)| {
+        let (kind, id) = kind_and_id(index);
+        frame::encode(kind, id, message).expect("encoded")
     });
     frames.flatten().collect()
 }
 
-/// The frames of the fixture: kind, number and message.
+/// Decodes the frames of the fixture: kind, id and message.
 fn read_frames(bytes: &[u8]) -> Vec<((Kind, u64), Message)> {
     let mut rest = bytes;
     let mut frames = Vec::new();
-    while let Some((head, body)) = rest.split_first_chunk::<HEADER_BYTES>() {
-        let head = frame::decode_header(head).expect("a head");
-        assert_eq!(head.version, 1);
-        let (body, behind) = body.split_at(head.len);
-        frames.push(((head.kind, head.id), frame::decode_body(body).expect("a body")));
-        rest = behind;
+    while let Some((header, body)) = rest.split_first_chunk::<HEADER_BYTES>() {
+        let header = frame::decode_header(header).expect("a header");
+        assert_eq!(header.version, 1);
+        let (body, remaining) = body.split_at(header.len);
+        frames.push(((header.kind, header.id), frame::decode_body(body).expect("a body")));
+        rest = remaining;
     }
-    assert!(rest.is_empty(), "{} bytes behind the last frame", rest.len());
+    assert!(rest.is_empty(), "{} bytes after the last frame", rest.len());
     frames
 }
 
 #[test]
 #[ignore = "writes the fixture of version 5"]
 fn write_fixture() {
-    fs::write(fixture(), sealed(&messages())).expect("written");
+    fs::write(fixture(), encode_frames(&messages())).expect("written");
 }
 
 #[test]
-fn messages_of_version_5_are_read_as_they_were_meant() {
-    let frames = read_frames(&fs::read(fixture()).expect("the fixture"));
+fn messages_of_version_5_decode_to_the_original_values() {
+    let frames = read_frames(&fs::read(fixture()).expect("the fixture is readable"));
     let expected = messages();
     assert_eq!(frames.len(), expected.len());
-    for (at, ((found_head, found), expected)) in frames.into_iter().zip(expected).enumerate() {
-        assert_eq!(found_head, kind_and_id(at), "frame {at}");
-        assert_eq!(found, expected, "frame {at}");
+    for (index, ((decoded_header, decoded), expected)) in frames.into_iter().zip(expected).enumerate() {
+        assert_eq!(decoded_header, kind_and_id(index), "frame {index}");
+        assert_eq!(decoded, expected, "frame {index}");
     }
 }
 
 #[test]
-fn messages_of_version_5_are_written_to_the_byte() {
-    let bytes = fs::read(fixture()).expect("the fixture");
+fn messages_of_version_5_encode_to_the_same_bytes() {
+    let bytes = fs::read(fixture()).expect("the fixture is readable");
     let mut rest = bytes.as_slice();
-    for (at, message) in messages().iter().enumerate() {
-        let (kind, id) = kind_and_id(at);
-        let frame = frame::encode(kind, id, message).expect("sealed");
-        assert_eq!(rest.get(..frame.len()), Some(&frame[..]), "frame {at}: {message:?}");
+    for (index, message) in messages().iter().enumerate() {
+        let (kind, id) = kind_and_id(index);
+        let frame = frame::encode(kind, id, message).expect("encoded");
+        assert_eq!(rest.get(..frame.len()), Some(&frame[..]), "frame {index}: {message:?}");
         rest = &rest[frame.len()..];
     }
-    assert!(rest.is_empty(), "{} bytes behind the last frame", rest.len());
+    assert!(rest.is_empty(), "{} bytes after the last frame", rest.len());
 }
 
 #[test]
-fn the_fixture_holds_every_kind_of_message() {
-    let frames = read_frames(&fs::read(fixture()).expect("the fixture"));
+fn the_fixture_contains_every_kind_of_message() {
+    let frames = read_frames(&fs::read(fixture()).expect("the fixture is readable"));
     let kinds: HashSet<_> = frames.iter().map(|(_, message)| discriminant(message)).collect();
-    assert_eq!(kinds.len(), KINDS_OF_MESSAGES);
+    assert_eq!(kinds.len(), MESSAGE_KIND_COUNT);
 }
 
-/// The bytes in `ConfigUpdate` and `TenantConfigUpdate` are told apart from what they mean: another packing of the same change is read too.
+/// Compares the decoded contents of `ConfigUpdate` and `TenantConfigUpdate`: another packing of the same update is
+/// equally valid.
 #[test]
-fn packed_changes_of_version_5_are_read_in_both_layouts() {
-    let (mut before, mut with_tenants) = (Vec::new(), Vec::new());
-    for (_, message) in read_frames(&fs::read(fixture()).expect("the fixture")) {
+fn packed_updates_of_version_5_decode_in_both_layouts() {
+    let (mut without_tenants, mut with_tenants) = (Vec::new(), Vec::new());
+    for (_, message) in read_frames(&fs::read(fixture()).expect("the fixture is readable")) {
         match message {
-            Message::ConfigUpdate(packed) => before.push(ConfigUpdate::decode(&packed).expect("a change")),
-            Message::TenantConfigUpdate(packed) => with_tenants.push(ConfigUpdate::decode(&packed).expect("a change")),
+            Message::ConfigUpdate(packed) => without_tenants.push(ConfigUpdate::decode(&packed).expect("an update")),
+            Message::TenantConfigUpdate(packed) => with_tenants.push(ConfigUpdate::decode(&packed).expect("an update")),
             _ => {}
         }
     }
-    assert_eq!(before, [step_without_tenants()]);
-    assert_eq!(with_tenants, [whole_with_tenants(), step_with_tenants()]);
+    assert_eq!(without_tenants, [delta_without_tenants()]);
+    assert_eq!(with_tenants, [whole_with_tenants(), delta_with_tenants()]);
 }
 
-/// Daemons tell these beside the versions of engine lists, and find committed state under these keys.
+/// Daemons exchange these names with the versions of endpoint lists, and find committed state under these keys.
 #[test]
-fn the_names_that_version_5_tells_stay_what_they_are() {
+fn the_names_of_version_5_are_unchanged() {
     assert_eq!(own_protocol_version(), VersionEntry::new("", PROTOCOL_VERSION, 0));
     assert_eq!(shutting_down_marker(), VersionEntry::new("\0leaving", 1, 0));
     assert_eq!(HiddenKey::WeightVersions("zone-a").to_string(), "\0zone-a");
@@ -591,19 +608,19 @@
     assert_eq!(shard_owners_entry(12), VersionEntry::new("\0shard holders", 12, 0));
     assert_eq!(candidates_of("zone-a"), "\0candidates zone-a");
     assert_eq!((STALENESS_LIMIT_PREFIX, KEY_PREFIX), ("rollout/", "versions/"));
-    assert_eq!(rule().key(), "rollout/chat/m-1");
+    assert_eq!(staleness_limit().key(), "rollout/chat/m-1");
     assert_eq!(VersionRollout::key("chat"), "versions/chat");
 }
 
-/// Hashes are sent in place of names, and a list of holders is told by its mark.
+/// Hashes are sent in place of names, and a list of shard owners is identified by its fingerprint.
 #[test]
-fn the_hashes_that_version_5_sends_stay_what_they_are() {
-    let holder = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
+fn the_hashes_of_version_5_are_unchanged() {
+    let owner = |ip: &str, zone: &str| ShardOwner { ip: ip.into(), zone: zone.into() };
     assert_eq!(hash(b""), 0xefd0_1f60_ba99_2926);
     assert_eq!(hash(b"engine-with-a-long-name-2"), 0x96bf_6eee_64c0_2b9c);
     assert_eq!(combine(3, 9), 0xfecc_95cb_a7dc_91dc);
     assert_eq!(
-        shard_owners_fingerprint(&[holder("10.0.0.1", "zone-a"), holder("10.0.0.2", "zone-b")]),
+        shard_owners_fingerprint(&[owner("10.0.0.1", "zone-a"), owner("10.0.0.2", "zone-b")]),
         0xfdc6_4a92_8230_bc58
     );
 }
--- a/protocol/src/stored_by_6_tests.rs
+++ b/protocol/src/stored_by_6_tests.rs
@@ -1,4 +1,4 @@
-//! The messages that version 6 added, as they stand on the wire: later versions must read them as they were meant.
+//! The wire encoding of the messages that version 6 added, which later versions must still decode to the same values.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -60,45 +60,45 @@
 fn write_fixture() {
     let frames = messages()
         .iter()
-        .map(|message| frame::encode(Kind::Notification, 0, message).expect("sealed"))
+        .map(|message| frame::encode(Kind::Notification, 0, message).expect("encoded"))
         .collect::<Vec<_>>();
     fs::write(fixture(), frames.concat()).expect("written");
 }
 
 fn read_fixture() -> Vec<Message> {
-    let bytes = fs::read(fixture()).expect("the fixture");
+    let bytes = fs::read(fixture()).expect("the fixture is readable");
     let mut rest = bytes.as_slice();
-    let mut found = Vec::new();
-    while let Some((head, body)) = rest.split_first_chunk::<HEADER_BYTES>() {
-        let (body, behind) = body.split_at(frame::decode_header(head).expect("a head").len);
-        found.push(frame::decode_body(body).expect("a body"));
-        rest = behind;
+    let mut decoded = Vec::new();
+    while let Some((header, body)) = rest.split_first_chunk::<HEADER_BYTES>() {
+        let (body, remaining) = body.split_at(frame::decode_header(header).expect("a header").len);
+        decoded.push(frame::decode_body(body).expect("a body"));
+        rest = remaining;
     }
-    assert!(rest.is_empty(), "{} bytes behind the last frame", rest.len());
-    found
+    assert!(rest.is_empty(), "{} bytes after the last frame", rest.len());
+    decoded
 }
 
-/// The engines are packed: another packing of the same engines would be as good, so they are compared unpacked.
+/// The engines are compared unpacked, since another packing of the same engines is equally valid.
 #[test]
-fn updates_of_lists_of_version_6_are_read_as_they_were_meant() {
-    let found = read_fixture();
-    let [Message::EndpointUpdate(whole), Message::EndpointUpdate(change), _] = found.as_slice() else {
-        panic!("{found:?}")
+fn endpoint_updates_of_version_6_decode_to_the_original_values() {
+    let decoded = read_fixture();
+    let [Message::EndpointUpdate(whole), Message::EndpointUpdate(delta), _] = decoded.as_slice() else {
+        panic!("{decoded:?}")
     };
     assert_eq!((whole.zone.as_str(), whole.base), ("zone-a", None));
     assert_eq!(whole.version, ListVersion { term: 70, sequence: 4 });
-    assert_eq!(whole.unpack().expect("readable").changed, old_list().engines);
-    assert_eq!(change.base, Some(ListVersion { term: 70, sequence: 4 }));
-    assert_eq!(change.version, ListVersion { term: 70, sequence: 5 });
-    let engines = change.unpack().expect("readable");
+    assert_eq!(whole.unpack().expect("unpacked").changed, old_list().engines);
+    assert_eq!(delta.base, Some(ListVersion { term: 70, sequence: 4 }));
+    assert_eq!(delta.version, ListVersion { term: 70, sequence: 5 });
+    let engines = delta.unpack().expect("unpacked");
     let changed: Vec<Engine> = vec![engine("i-1", "prefill", false, 0), engine("i-4", "", true, 3000)];
     assert_eq!((engines.changed, engines.removed), (changed, vec!["i-3".to_string()]));
 }
 
 #[test]
-fn reports_of_usage_of_version_6_are_read_and_written_to_the_byte() {
+fn engine_usage_of_version_6_encodes_to_and_decodes_from_the_same_bytes() {
     let expected = messages().pop().expect("the last message");
     assert_eq!(read_fixture().pop(), Some(expected.clone()));
-    let bytes = fs::read(fixture()).expect("the fixture");
-    assert!(bytes.ends_with(&frame::encode(Kind::Notification, 0, &expected).expect("sealed")));
+    let bytes = fs::read(fixture()).expect("the fixture is readable");
+    assert!(bytes.ends_with(&frame::encode(Kind::Notification, 0, &expected).expect("encoded")));
 }
--- a/protocol/src/stored_by_7_tests.rs
+++ b/protocol/src/stored_by_7_tests.rs
@@ -1,10 +1,10 @@
-//! The messages that version 7 added, as they stand on the wire: later versions must read them as they were meant.
+//! The wire encoding of the messages that version 7 added, which later versions must still decode to the same values.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use crate::message::Message;
-use crate::testing::stored_frames::{assert_stored, frames};
+use crate::testing::stored_frames::{assert_encoding, encode_frames};
 use crate::version_samples::{EngineSamples, SampleCounts, SampleKey, SampleRequest, SampledInterval};
 
 fn fixture() -> PathBuf {
@@ -38,10 +38,10 @@
 #[test]
 #[ignore = "writes the fixture of version 7"]
 fn write_fixture() {
-    fs::write(fixture(), frames(&messages())).expect("written");
+    fs::write(fixture(), encode_frames(&messages())).expect("written");
 }
 
 #[test]
-fn messages_of_version_7_are_read_and_written_to_the_byte() {
-    assert_stored(&fs::read(fixture()).expect("the fixture"), messages());
+fn messages_of_version_7_encode_to_and_decode_from_the_same_bytes() {
+    assert_encoding(&fs::read(fixture()).expect("the fixture is readable"), messages());
 }
--- a/protocol/src/stored_by_8_tests.rs
+++ b/protocol/src/stored_by_8_tests.rs
@@ -1,4 +1,4 @@
-//! The messages that version 8 added, as they stand on the wire: later versions must read them as they were meant.
+//! The wire encoding of the messages that version 8 added, which later versions must still decode to the same values.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use crate::message::Message;
 use crate::metering::{MeteringQuery, MeteringRequest, MeteringTables, RouterCounts, TenantCount, WindowCounts};
 use crate::tally::{Origin, OriginVersion, TallyBatch, TallyEntry, TallySync, TallySynced};
-use crate::testing::stored_frames::{assert_stored, frames};
+use crate::testing::stored_frames::{assert_encoding, encode_frames};
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/messages-8.bin")
@@ -38,10 +38,10 @@
 #[test]
 #[ignore = "writes the fixture of version 8"]
 fn write_fixture() {
-    fs::write(fixture(), frames(&messages())).expect("written");
+    fs::write(fixture(), encode_frames(&messages())).expect("written");
 }
 
 #[test]
-fn messages_of_version_8_are_read_and_written_to_the_byte() {
-    assert_stored(&fs::read(fixture()).expect("the fixture"), messages());
+fn messages_of_version_8_encode_to_and_decode_from_the_same_bytes() {
+    assert_encoding(&fs::read(fixture()).expect("the fixture is readable"), messages());
 }
--- a/protocol/src/stored_by_9_tests.rs
+++ b/protocol/src/stored_by_9_tests.rs
@@ -1,11 +1,11 @@
-//! The message that version 9 added, as it stands on the wire: later versions must read it as it was meant.
+//! The wire encoding of the message that version 9 added, which later versions must still decode to the same value.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use crate::message::Message;
 use crate::tally::{KeyDigest, Origin, OriginVersion, PackedAmounts, PackedBatch, PackedTallySync, TallySync};
-use crate::testing::stored_frames::{assert_stored, frames};
+use crate::testing::stored_frames::{assert_encoding, encode_frames};
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/messages-9.bin")
@@ -41,10 +41,10 @@
 #[test]
 #[ignore = "writes the fixture of version 9"]
 fn write_fixture() {
-    fs::write(fixture(), frames(&messages())).expect("written");
+    fs::write(fixture(), encode_frames(&messages())).expect("written");
 }
 
 #[test]
-fn messages_of_version_9_are_read_and_written_to_the_byte() {
-    assert_stored(&fs::read(fixture()).expect("the fixture"), messages());
+fn messages_of_version_9_encode_to_and_decode_from_the_same_bytes() {
+    assert_encoding(&fs::read(fixture()).expect("the fixture is readable"), messages());
 }
--- a/protocol/src/tally.rs
+++ b/protocol/src/tally.rs
@@ -1,30 +1,30 @@
-//! What replicas of tallies send one another: entries of their logs, and how far each log is known.
+//! Messages between tally replicas: entries of their logs, and how much of each log they hold.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Identifies the log of one disk; drawn at random when the disk is empty.
+/// Identifies the log of one disk; generated at random when the disk is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize)]
 pub struct Origin(pub u64);
 
-/// One add to a tally.
+/// One addition to a tally.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize)]
 pub struct TallyEntry {
     /// The name of the tally.
     pub tally: String,
-    /// The idempotency key: it counts once in its tally.
+    /// The idempotency key, which counts once in its tally.
     pub instance_id: String,
-    /// What is added.
+    /// The amount that is added.
     pub amount: u64,
 }
 
 /// Consecutive entries of the log of one origin.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TallyBatch {
-    /// Whose log.
+    /// The origin of the log.
     pub origin: Origin,
-    /// How many entries of the log come before these.
+    /// Number of entries in the log before these.
     pub start: u64,
-    /// The entries in the order of the log.
+    /// The entries in log order.
     pub entries: Vec<TallyEntry>,
 }
 
@@ -37,67 +37,67 @@
 pub enum PackedAmounts {
     /// All of them fit into 32 bits.
     Narrow(Vec<u32>),
-    /// One of them does not.
+    /// At least one does not.
     Wide(Vec<u64>),
 }
 
-/// Consecutive entries of the log of one origin, by columns and with digests in place of keys: 22 bytes an entry.
-/// Invariant: the columns are of one length, and each index in `tally_of` names a tally.
+/// Consecutive entries of the log of one origin, in columns and with digests in place of keys: 22 bytes per entry.
+/// Invariant: the columns have the same length, and each value of `tally_of` is an index into `tallies`.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PackedBatch {
-    /// Whose log.
+    /// The origin of the log.
     pub origin: Origin,
-    /// How many entries of the log come before these.
+    /// Number of entries in the log before these.
     pub start: u64,
-    /// The names of the tallies that occur.
+    /// The names of the tallies in this batch.
     pub tallies: Vec<String>,
-    /// For each entry the index of its tally in `tallies`.
+    /// For each entry, the index of its tally in `tallies`.
     pub tally_of: Vec<u16>,
-    /// For each entry the digest of its key.
+    /// For each entry, the digest of its key.
     pub digests: Vec<KeyDigest>,
-    /// For each entry what is added.
+    /// For each entry, the amount that is added.
     pub amounts: PackedAmounts,
 }
 
-/// How many entries of an origin's log, from its beginning, a replica has on its disk.
+/// The length of the prefix of an origin's log that a replica has on its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct OriginVersion {
-    /// Whose log.
+    /// The origin of the log.
     pub origin: Origin,
-    /// How many entries.
+    /// Number of entries.
     pub length: u64,
 }
 
-/// A call of one replica to another: what the caller has, and what the other one lacks.
+/// A request from one replica to another: the log prefixes that the caller has, and entries that the receiver lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TallySync {
     /// The caller's address.
     pub ip: String,
-    /// What the caller has on its disk.
+    /// The log prefixes on the caller's disk.
     pub durable: Vec<OriginVersion>,
     /// Whether the caller has caught up since its start.
     pub caught_up: bool,
-    /// Entries that the other one lacked when it answered last.
+    /// Entries that the receiver lacked as of its last response.
     pub batches: Vec<TallyBatch>,
 }
 
-/// A [`TallySync`] whose entries are packed, for replicas that read them.
+/// A [`TallySync`] with packed entries, for replicas that support them.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PackedTallySync {
-    /// What the caller has; its batches are entries whose keys the caller still has as text.
+    /// The request; its batches hold the entries whose keys the caller still has as text.
     pub sync: TallySync,
-    /// Entries that the other one lacked when it answered last.
+    /// Entries that the receiver lacked as of its last response.
     pub packed: Vec<PackedBatch>,
 }
 
-/// The response to [`TallySync`] and [`PackedTallySync`], given once what was sent is on disk.
+/// The response to [`TallySync`] and [`PackedTallySync`], sent once the received entries are on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TallySynced {
     /// False for a controller without a disk, which keeps no tallies.
     pub is_replica: bool,
-    /// Whether the responder has caught up since its start, or has had a disk with entries.
+    /// Whether the responder has caught up since its start, or its disk already held entries.
     pub caught_up: bool,
-    /// What the responder has on its disk.
+    /// The log prefixes on the responder's disk.
     pub durable: Vec<OriginVersion>,
 }
 
--- a/protocol/src/testing.rs
+++ b/protocol/src/testing.rs
@@ -1,4 +1,4 @@
-//! Support for tests of this crate: configurations drawn from a seed, and ways to corrupt them.
+//! Support for tests of this crate: configurations generated from a seed, ways to corrupt them, and stored frames.
 
 pub mod corruptions;
 pub mod samples;
--- a/protocol/src/testing/corruptions.rs
+++ b/protocol/src/testing/corruptions.rs
@@ -3,7 +3,7 @@
 use kernel::Rng;
 use serde_json::{json, Value};
 
-/// Ways to corrupt a valid configuration with at least one route; each gives what the error must name.
+/// Ways to corrupt a valid configuration with at least one route; each returns the location that the error must name.
 pub const CORRUPTIONS: [fn(&mut Rng, &mut Value) -> String; 17] = [
     |_, value| {
         value["route_table"] = Value::Null;
@@ -13,9 +13,9 @@
         value.as_object_mut().expect("an object").remove("service_table");
         "body: service_table".into()
     },
-    |rng, value| on_route(rng, value, "service", json!("never")),
+    |rng, value| corrupt_route(rng, value, "service", json!("never")),
     |rng, value| {
-        on_route(
+        corrupt_route(
             rng,
             value,
             "traffic_split",
@@ -23,19 +23,24 @@
         )
     },
     |rng, value| {
-        on_route(rng, value, "traffic_split", json!([{"service": "s0", "weight": 0}, {"service": "s0", "weight": 0.0}]))
+        corrupt_route(
+            rng,
+            value,
+            "traffic_split",
+            json!([{"service": "s0", "weight": 0}, {"service": "s0", "weight": 0.0}]),
+        )
     },
-    |rng, value| on_route(rng, value, "traffic_split", json!([{"service": "s0", "weight": -1}])),
-    |rng, value| on_route(rng, value, "timeout_ms", json!(0)),
-    |rng, value| on_route(rng, value, "timeout_ms", Value::Null),
-    |rng, value| on_route(rng, value, "timeout_ms", json!(2.5)),
-    |rng, value| on_route(rng, value, "route_type", json!("sometimes")),
-    |rng, value| on_route(rng, value, "path_prefix", json!("/no-end")),
-    |rng, value| on_route(rng, value, "hostname", json!(["a.example"])),
+    |rng, value| corrupt_route(rng, value, "traffic_split", json!([{"service": "s0", "weight": -1}])),
+    |rng, value| corrupt_route(rng, value, "timeout_ms", json!(0)),
+    |rng, value| corrupt_route(rng, value, "timeout_ms", Value::Null),
+    |rng, value| corrupt_route(rng, value, "timeout_ms", json!(2.5)),
+    |rng, value| corrupt_route(rng, value, "route_type", json!("sometimes")),
+    |rng, value| corrupt_route(rng, value, "path_prefix", json!("/no-end")),
+    |rng, value| corrupt_route(rng, value, "hostname", json!(["a.example"])),
     |_, value| {
         let mut copy = value["route_table"][0].clone();
         copy["name"] = "copy".into();
-        let host = copy["hostname"].as_str().expect("a host").to_ascii_uppercase();
+        let host = copy["hostname"].as_str().expect("a host name").to_ascii_uppercase();
         copy["hostname"] = host.into();
         value["route_table"].as_array_mut().expect("a table").push(copy);
         "route `copy`".into()
@@ -61,9 +66,9 @@
     },
 ];
 
-fn on_route(rng: &mut Rng, value: &mut Value, field: &str, corrupted: Value) -> String {
+fn corrupt_route(rng: &mut Rng, value: &mut Value, field: &str, corrupted: Value) -> String {
     let routes = value["route_table"].as_array_mut().expect("a table");
-    let at = rng.below(routes.len() as u64) as usize;
-    routes[at][field] = corrupted;
-    format!("route `r{at}`")
+    let index = rng.below(routes.len() as u64) as usize;
+    routes[index][field] = corrupted;
+    format!("route `r{index}`")
 }
--- a/protocol/src/testing/samples.rs
+++ b/protocol/src/testing/samples.rs
@@ -1,14 +1,14 @@
-//! Bodies for tests, of the shape that operators send, drawn from a seed.
+//! Configurations for tests, in the form that operators send, generated from a seed.
 
 use kernel::Rng;
 use serde_json::{json, Value};
 
 use crate::config::{read, Config, ConfigDocument, ConfigError};
 
-/// A key that must appear in no error.
+/// Prefix of all API keys; it must not appear in any error.
 pub const KEY: &str = "kept-secret-";
 
-/// A valid whole configuration of every kind of item.
+/// A valid whole configuration with every kind of item.
 pub fn valid() -> Value {
     json!({
         "revision": 7,
@@ -32,8 +32,8 @@
     &list[rng.below(list.len() as u64) as usize]
 }
 
-/// Sometimes with a field that this version does not know, or null in place of nothing.
-fn varied(rng: &mut Rng, mut item: Value) -> Value {
+/// Sometimes adds a field that this version does not know, or an explicit null for an absent field.
+fn with_random_extras(rng: &mut Rng, mut item: Value) -> Value {
     match rng.below(6) {
         0 => item["later_field"] = json!({"a": [1, {"b": null}], "c": 1.5e-3}),
         1 => item["allowed_regions"] = Value::Null,
@@ -45,7 +45,7 @@
 
 pub fn route(rng: &mut Rng, number: u64, services: u64) -> Value {
     let mut service = || format!("s{}", rng.below(services));
-    let (one, two) = (service(), service());
+    let (first, second) = (service(), service());
     let mut item = json!({
         "name": format!("r{number}"),
         "hostname": pick(rng, &["a.example", "B.Example", "c.example:8080", "[::1]", "10.0.0.1"]),
@@ -54,14 +54,15 @@
         "timeout_ms": pick(rng, &[json!(1), json!(3000), json!(8000.0), json!(9e15), json!(u64::MAX)]),
     });
     match rng.below(4) {
-        0 => item["service"] = json!(one),
+        0 => item["service"] = json!(first),
         1 => {
-            item["traffic_split"] = json!([{"service": one, "weight": u64::MAX}, {"service": two, "weight": u64::MAX}])
+            item["traffic_split"] =
+                json!([{"service": first, "weight": u64::MAX}, {"service": second, "weight": u64::MAX}])
         }
-        2 => item["traffic_split"] = json!([{"service": one, "weight": 0}, {"service": two}]),
+        2 => item["traffic_split"] = json!([{"service": first, "weight": 0}, {"service": second}]),
         _ => {
-            item["service"] = json!(one);
-            item["traffic_split"] = json!([{"service": two, "weight": 90}, {"service": two, "weight": 10.0}]);
+            item["service"] = json!(first);
+            item["traffic_split"] = json!([{"service": second, "weight": 90}, {"service": second, "weight": 10.0}]);
         }
     }
     if rng.below(2) == 0 {
@@ -70,7 +71,7 @@
         item["resumable"] = json!(true);
         item["allowed_regions"] = json!(["south"]);
     }
-    varied(rng, item)
+    with_random_extras(rng, item)
 }
 
 pub fn service(rng: &mut Rng, number: u64) -> Value {
@@ -80,13 +81,13 @@
         item["ramp_per_s"] = json!(8.5);
         item["engine"] = json!({"slot_count": 16, "kv_hold_s": 5, "model_list": [{"name": "m", "adapter_list": []}]});
     }
-    varied(rng, item)
+    with_random_extras(rng, item)
 }
 
 pub fn tenant(rng: &mut Rng, number: u64) -> Value {
     let keys: Vec<String> = (0..rng.below(4)).map(|key| format!("{KEY}{number}-{key}")).collect();
     let item = json!({"name": format!("t{number}"), "api_keys": keys, "rate_per_s": rng.below(100), "burst_size": 1.5});
-    varied(rng, item)
+    with_random_extras(rng, item)
 }
 
 /// A valid whole configuration.
@@ -111,34 +112,34 @@
     value
 }
 
-/// The same value with spaces, line ends and escapes where JSON allows them.
+/// Returns the JSON text of a value, with random whitespace and an escape sequence.
 pub fn with_whitespace(rng: &mut Rng, value: &Value) -> String {
     let text = if rng.below(2) == 0 { serde_json::to_string_pretty(value) } else { serde_json::to_string(value) };
-    let text = text.expect("a text").replace("\"name\"", "\"n\\u0061me\"");
+    let text = text.expect("serialized").replace("\"name\"", "\"n\\u0061me\"");
     format!("{}{text}{}", pick(rng, &["", " ", "\r\n\t"]), pick(rng, &["", "\n", "   "]))
 }
 
-/// Why a text is refused.
+/// Returns the error with which a text is rejected.
 pub fn rejection(text: &str) -> ConfigError {
-    let error = read(text).expect_err("must be refused");
+    let error = read(text).expect_err("must be rejected");
     assert!((400..500).contains(&error.status()));
-    assert!(!error.to_string().contains(KEY), "a key in an error: {error}");
+    assert!(!error.to_string().contains(KEY), "the error contains an API key: {error}");
     error
 }
 
-/// Why the valid one is refused once it is changed.
+/// Applies a change to the valid configuration, and returns the text of the error with which it is rejected.
 pub fn rejected(change: impl FnOnce(&mut Value)) -> String {
     let mut value = valid();
     change(&mut value);
     rejection(&value.to_string()).to_string()
 }
 
-/// The valid one, changed, which is valid still.
+/// Applies a change to the valid configuration, which stays valid, and returns it parsed.
 pub fn accepted(change: impl FnOnce(&mut Value)) -> Config {
     let mut value = valid();
     change(&mut value);
     let text = value.to_string();
-    let checked = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error}"));
-    assert_eq!(checked.text(), text, "kept as it was sent");
-    checked.into_config()
+    let document = ConfigDocument::parse(&text).unwrap_or_else(|error| panic!("{error}"));
+    assert_eq!(document.text(), text, "the text is kept as sent");
+    document.into_config()
 }
--- a/protocol/src/traffic.rs
+++ b/protocol/src/traffic.rs
@@ -1,7 +1,6 @@
-//! What this process exchanges with other daemons, by kind of message and direction.
+//! Counters of the messages exchanged with other daemons, by kind of message and direction.
 //!
-//! The counters belong to the process, as its connections do: every connection counts into them, and the metrics of the
-//! process export them.
+//! The counters are global to the process: every connection updates them, and the metrics of the process export them.
 
 use std::sync::LazyLock;
 
@@ -22,7 +21,7 @@
     Received,
 }
 
-/// The labels of the metrics of messages.
+/// The labels of the message metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TrafficLabels {
     message: MessageKind,
@@ -38,7 +37,7 @@
 
 static TRAFFIC: LazyLock<Traffic> = LazyLock::new(Traffic::default);
 
-/// Counts a frame, header included.
+/// Counts a frame, including its header.
 pub(crate) fn record(direction: Direction, bytes: &[u8]) {
     let Some(message) = frame::message_kind(bytes) else { return };
     let labels = TrafficLabels { message, direction };
@@ -46,14 +45,14 @@
     TRAFFIC.bytes.get_or_create(&labels).inc_by(bytes.len() as u64);
 }
 
-/// Counts a frame that was dropped since too much waits for its connection.
+/// Counts a frame that was dropped because the queue of its connection was full.
 pub(crate) fn record_dropped() {
     TRAFFIC.dropped.inc();
 }
 
 /// Registers the counters of messages between daemons.
 pub fn register(registry: &mut Registry) {
-    // A family without a series is not exported: these stand for a process that has not sent anything yet.
+    // A family without a series is not exported, so these exist even if the process has not sent anything yet.
     let labels = TrafficLabels { message: MessageKind::Rejected, direction: Direction::Sent };
     TRAFFIC.messages.get_or_create(&labels).inc_by(0);
     TRAFFIC.bytes.get_or_create(&labels).inc_by(0);
--- a/protocol/src/traffic_tests.rs
+++ b/protocol/src/traffic_tests.rs
@@ -10,7 +10,7 @@
 use crate::{stored_by_5_tests, stored_by_6_tests, stored_by_7_tests, stored_by_8_tests, stored_by_9_tests};
 
 #[test]
-fn the_kind_of_each_message_is_found_in_its_frame() {
+fn message_kind_finds_every_kind_in_its_frame() {
     let messages = [
         stored_by_5_tests::messages(),
         stored_by_6_tests::messages(),
@@ -23,9 +23,9 @@
         let frame = frame::encode(Kind::Notification, 0, message).expect("it fits into a frame");
         assert_eq!(frame::message_kind(&frame), Some(MessageKind::from(message)));
     }
-    let sampled: Vec<MessageKind> = messages.iter().map(MessageKind::from).collect();
-    let missing: Vec<MessageKind> = MessageKind::iter().filter(|kind| !sampled.contains(kind)).collect();
-    assert!(missing.is_empty(), "no sample of {missing:?}");
+    let covered: Vec<MessageKind> = messages.iter().map(MessageKind::from).collect();
+    let missing: Vec<MessageKind> = MessageKind::iter().filter(|kind| !covered.contains(kind)).collect();
+    assert!(missing.is_empty(), "no message of kinds {missing:?}");
     assert_eq!(frame::message_kind(&[0; frame::HEADER_BYTES]), None);
 }
 
--- a/protocol/src/version_entry.rs
+++ b/protocol/src/version_entry.rs
@@ -1,18 +1,18 @@
 //! Named versions and states that daemons exchange in lists.
 //!
-//! Each type replaced a tuple of the same fields. The order of the fields is part of the protocol: the archived bytes of
-//! such a type are those of the tuple.
+//! Each type replaced a tuple of the same fields and has the same archived bytes, so the order of the fields is part of
+//! the protocol.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The version of one named item that the sender holds: of a zone's endpoint list, or of what a hidden key names.
+/// The sender's version of one named item: a zone's endpoint list, or the item of a hidden key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct VersionEntry {
     /// A zone, or the text of a [`HiddenKey`](crate::hidden_key::HiddenKey).
     pub name: String,
-    /// Rises whenever another sender takes the item over.
+    /// Increases whenever another sender takes over the item.
     pub term: u64,
-    /// Counts the changes under one term.
+    /// Number of changes within the term.
     pub sequence: u64,
 }
 
@@ -23,12 +23,12 @@
     }
 }
 
-/// Whether a zone is evacuated, as of one version of that decision.
+/// Whether a zone is evacuated, as of one version of that state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EvacuationState {
     /// The zone.
     pub zone: String,
-    /// Rises with each change of the zone's state.
+    /// Increases with each change of the zone's state.
     pub version: u64,
     /// Whether the zone is being evacuated; false after the evacuation was withdrawn.
     pub evacuated: bool,
--- a/protocol/src/version_entry_tests.rs
+++ b/protocol/src/version_entry_tests.rs
@@ -8,12 +8,12 @@
 
 use super::{EngineWeights, EvacuationState, VersionEntry};
 
-/// Names shorter and longer than what an archived string holds inline.
+/// Names shorter and longer than an archived string stores inline.
 const NAMES: [&str; 5] = ["", "a", "\0leaving", "12345678", "a-zone-with-a-long-name"];
 
 type Encoder<'a> = HighSerializer<AlignedVec, ArenaHandle<'a>, Error>;
 
-/// A message around a list, as the lists stand in messages.
+/// Encloses a list in other fields, as messages do.
 #[derive(Archive, Serialize)]
 struct Enclosing<T> {
     head: u32,
--- a/protocol/src/version_rollout.rs
+++ b/protocol/src/version_rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts of versions of services: their committed state, and the samples that routers report. Since version 5.
+//! Rollouts of service versions: their committed state, and the samples that routers report. Since version 5.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -9,11 +9,11 @@
 /// The state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// The new version gets a share of the requests, or all of them move to it.
+    /// The new version gets a share of the requests, or all requests are moving to it.
     Active,
     /// All requests have moved to the new version.
     Complete,
-    /// The old version stays.
+    /// The old version stays in use.
     Reverted,
 }
 
@@ -28,29 +28,29 @@
     }
 }
 
-/// The newest rollout of a service. Invariants: `number` rises with each change; a rollout that has ended stays so; `order` rises
-/// with each new one.
+/// The latest rollout of a service. Invariants: `number` increases with each change; a rollout that has ended stays
+/// ended; `order` increases with each new rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct VersionRollout {
     /// The service.
     pub service: String,
-    /// Rises with each change of this record.
+    /// Increases with each change of this record.
     pub number: u64,
-    /// Rises with each rollout that an operator starts.
+    /// Increases with each rollout that an operator starts.
     pub order: u64,
-    /// The version that is rolled out.
+    /// The version that is being rolled out.
     pub target: String,
-    /// Milliseconds within which it is to be complete or reverted.
+    /// Time limit for its completion or reversion, in milliseconds.
     pub duration_ms: u64,
     /// Its state.
     pub state: RolloutState,
-    /// Thousandths of the service's requests that the new version gets.
+    /// Share of the service's requests that the new version gets, in thousandths.
     pub share: u32,
-    /// Milliseconds from its start to when this record was written.
+    /// Time from its start to the writing of this record, in milliseconds.
     pub elapsed_ms: u64,
-    /// The version that the last complete rollout brought in.
+    /// The target of the last completed rollout.
     pub stable: Option<String>,
-    /// Versions that were reverted: nothing goes to them.
+    /// Versions that were reverted; they get no requests.
     pub reverted: Vec<String>,
     /// Why it was reverted.
     pub reason: String,
@@ -79,7 +79,7 @@
         format!("{KEY_PREFIX}{service}")
     }
 
-    /// Returns whether engines of a version may get any of the service's requests.
+    /// Returns whether engines of a version may get any of the service's requests, whatever the share.
     pub fn is_stable(&self, version: &str) -> bool {
         let is_target = version == self.target;
         match (self.state, &self.stable) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns whether engines of a version may get the share of the requests that the rollout gives them.
+    /// Returns whether engines of a version may get the rollout's share of the requests.
     pub fn is_candidate(&self, version: &str) -> bool {
         self.state == RolloutState::Active && version == self.target
     }
@@ -102,30 +102,30 @@
 pub struct RouteSamples {
     /// The route's name.
     pub route: String,
-    /// Of the new version, or else of the old one.
+    /// Whether they are of the new version; otherwise of the old one.
     pub is_candidate: bool,
     /// Requests that succeeded.
     pub good: u64,
-    /// Requests whose engine failed them.
+    /// Requests that the engine failed.
     pub failed: u64,
-    /// Mean times between events of a response in microseconds, and how many responses had them.
+    /// Mean times between the events of a response, in microseconds, each with the number of such responses.
     pub paces: Vec<(u64, u64)>,
 }
 
-/// What routers saw of a rollout since their last report.
+/// Routers' samples of a rollout since their last report.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Samples {
     /// The service.
     pub service: String,
     /// The `order` of the rollout that they belong to.
     pub order: u64,
-    /// By route and version.
+    /// The samples by route and version.
     pub list: Vec<RouteSamples>,
-    /// Whether a controller has passed them on already.
+    /// Whether a controller has already relayed them.
     pub is_relayed: bool,
 }
 
-/// Returns the name under which a zone's engines of versions that are being rolled out are listed.
+/// Returns the list name of a zone's candidates: its engines that run a version being rolled out.
 pub fn candidates_of(zone: &str) -> String {
     HiddenKey::Candidates(zone).into()
 }
--- a/protocol/src/version_rollout_tests.rs
+++ b/protocol/src/version_rollout_tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_version_that_was_reverted_or_replaced_stays_out() {
+fn reverted_and_replaced_versions_get_no_requests() {
     let reverted = VersionRollout { reverted: vec!["v2".into()], target: "v3".into(), ..rollout(RolloutState::Active) };
     assert!(reverted.is_stable("v1") && !reverted.is_stable("v2") && !reverted.is_stable("v3"));
     let replaced = VersionRollout { stable: Some("v2".into()), target: "v3".into(), ..rollout(RolloutState::Active) };
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn records_decode_to_what_was_encoded_and_candidates_have_names_of_their_own() {
-    let one = rollout(RolloutState::Active);
-    assert_eq!(VersionRollout::from_bytes(&one.to_bytes()), Some(one));
+fn rollouts_decode_to_the_encoded_value_and_candidate_lists_have_hidden_keys() {
+    let active = rollout(RolloutState::Active);
+    assert_eq!(VersionRollout::from_bytes(&active.to_bytes()), Some(active));
     assert_eq!(candidate_zone(&candidates_of("hall-a")), Some("hall-a"));
     assert_eq!(candidate_zone("hall-a"), None);
     assert!(message::is_hidden_key(&candidates_of("hall-a")));
--- a/protocol/src/version_samples_tests.rs
+++ b/protocol/src/version_samples_tests.rs
@@ -1,4 +1,4 @@
-//! Samples for and of daemons before version 7.
+//! Conversion of samples to and from daemons before version 7.
 
 use super::{EngineSamples, SampleCounts, SampleKey, SampledInterval};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn older_daemons_get_counts_by_route_and_version() {
+fn samples_for_older_daemons_are_counts_by_route_and_version() {
     let samples = EngineSamples {
         service: "s".into(),
         order: 4,
@@ -22,7 +22,8 @@
     };
     let legacy = samples.to_legacy();
     assert_eq!((legacy.service.as_str(), legacy.order, legacy.is_relayed), ("s", 4, true));
-    let found: Vec<_> = legacy.list.iter().map(|one| (one.is_candidate, one.good, one.failed)).collect();
+    let found: Vec<_> =
+        legacy.list.iter().map(|samples| (samples.is_candidate, samples.good, samples.failed)).collect();
     assert_eq!(found, [(true, 5, 3), (false, 6, 3)]);
     assert_eq!(legacy.list[0].paces, [(7000, 1)]);
     let back = EngineSamples::from_legacy(&legacy);
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn sums_keep_a_bounded_number_of_intervals() {
+fn add_keeps_at_most_max_intervals() {
     let mut sum = counts(1);
     (0..9).for_each(|_| sum.add(counts(2), 4));
     assert_eq!((sum.succeeded, sum.failed, sum.lost, sum.intervals.len()), (19, 10, 20, 4));
