--- a/tally/src/key_index.rs
+++ b/tally/src/key_index.rs
@@ -1,47 +1,50 @@
-//! Where each idempotency key stands in the logs: eight bytes a key, since the digests stand in the logs themselves.
+//! An index from idempotency keys to entries in the logs. It takes eight bytes per key, since it reads the digests from
+//! the logs.
 
 use std::collections::HashMap;
 
 use hashbrown::HashTable;
 use protocol::tally::KeyDigest;
 
-/// The place of an entry, with its origin as an index.
+/// The position of an entry in the logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Position {
+    /// Index of the origin's log.
     pub origin: u32,
+    /// How many entries come before it in that log.
     pub sequence: u32,
 }
 
-/// The first place of each key, and amounts that came later with a key and were smaller.
+/// The position of each key's first entry, and the smallest amount of keys that were repeated with a smaller one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyIndex {
-    places: HashTable<Place>,
-    /// The smallest amount of a key where that is not the one at its first place.
+    positions: HashTable<Position>,
+    /// The smallest amount of each key whose first entry has a larger one.
     smaller_amounts: HashMap<KeyDigest, u64>,
 }
 
-/// A digest is uniformly distributed: a part of it is its hash.
+/// Digests are uniformly distributed, so that the first 8 bytes serve as the hash.
 fn hash(digest: KeyDigest) -> u64 {
-    digest.0.first_chunk::<8>().map_or(0, |part| u64::from_le_bytes(*part))
+    digest.0.first_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes))
 }
 
 impl KeyIndex {
-    /// Returns the first place of a key. `digest_at` reads the logs.
-    pub fn find(&self, digest: KeyDigest, digest_at: impl Fn(Place) -> Option<KeyDigest>) -> Option<Place> {
-        self.places.find(hash(digest), |place| digest_at(*place) == Some(digest)).copied()
+    /// Returns the position of a key's first entry. `digest_at` reads a digest from the logs.
+    pub fn find(&self, digest: KeyDigest, digest_at: impl Fn(Position) -> Option<KeyDigest>) -> Option<Position> {
+        self.positions.find(hash(digest), |position| digest_at(*position) == Some(digest)).copied()
     }
 
-    /// Notes the first place of a key that is not known.
-    pub fn insert(&mut self, digest: KeyDigest, place: Place, digest_at: impl Fn(Place) -> Option<KeyDigest>) {
-        self.places.insert_unique(hash(digest), place, |place| digest_at(*place).map_or(0, hash));
+    /// Inserts the position of the first entry of a key that is not in the index.
+    pub fn insert(&mut self, digest: KeyDigest, position: Position, digest_at: impl Fn(Position) -> Option<KeyDigest>) {
+        self.positions.insert_unique(hash(digest), position, |position| digest_at(*position).map_or(0, hash));
     }
 
-    /// Returns the amount that counts for a key, given the one at its first place.
+    /// Returns the smallest amount recorded for a key, given the amount of its first entry.
     pub fn smallest_amount(&self, digest: KeyDigest, first_amount: u64) -> u64 {
         self.smaller_amounts.get(&digest).copied().unwrap_or(first_amount)
     }
 
-    /// Notes a smaller amount than those that came with a key before.
+    /// Records an amount below all earlier amounts of a key.
     pub fn record_smaller_amount(&mut self, digest: KeyDigest, amount: u64) {
         self.smaller_amounts.insert(digest, amount);
     }
--- a/tally/src/lag_tracker.rs
+++ b/tally/src/lag_tracker.rs
@@ -1,5 +1,5 @@
-//! Which logs of other origins a replica is to be sent: those that it has lacked for some time, since their origin sees to it
-//! first.
+//! Decides which origins' entries to send to another replica. An origin sends its own entries at once; other replicas
+//! forward them only if the replica still lacks them after a delay.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 
 use crate::version_vector::VersionVector;
 
-/// How long a replica may lack entries of an origin before others than that origin send them, in milliseconds.
-pub const FOREIGN_LAG_MS: u64 = 700;
+/// How long a replica must lack entries of an origin before replicas other than that origin send them, in milliseconds.
+pub const FORWARDING_DELAY_MS: u64 = 700;
 
-/// Since when one replica has lacked entries, by origin.
+/// The time since which one replica has lacked entries, by origin, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct LagTracker(BTreeMap<Origin, u64>);
 
 impl LagTracker {
-    /// Notes what the replica lacks of what is here at `now`.
-    pub fn observe(&mut self, known: &VersionVector, here: &VersionVector, now: u64) {
-        for version in here.iter() {
+    /// Compares at `now` the entries that the replica has, `known`, with those of this replica, `local`.
+    pub fn observe(&mut self, known: &VersionVector, local: &VersionVector, now: u64) {
+        for version in local.iter() {
             if known.length(version.origin) < version.length {
                 self.0.entry(version.origin).or_insert(now);
             } else {
@@ -26,9 +26,10 @@
         }
     }
 
-    /// Returns whether entries of an origin are to be sent: the own ones at once, others if they have lacked for long.
+    /// Returns whether to send entries of an origin: always for the own origin, after [`FORWARDING_DELAY_MS`] for
+    /// others.
     pub fn is_wanted(&self, origin: Origin, own: Option<Origin>, now: u64) -> bool {
-        own == Some(origin) || self.0.get(&origin).is_some_and(|since| since + FOREIGN_LAG_MS <= now)
+        own == Some(origin) || self.0.get(&origin).is_some_and(|since| since + FORWARDING_DELAY_MS <= now)
     }
 }
 
--- a/tally/src/lib.rs
+++ b/tally/src/lib.rs
@@ -1,9 +1,9 @@
-//! Tallies: counters that every replica goes on with on both sides of a partition, and that agree once they hear of one
-//! another again.
+//! Tallies: replicated counters that accept additions on every side of a network partition and converge once it heals.
 //!
-//! [`TallyLog`] is the replicated state, a grow-only set of entries in one log for each origin; it does no I/O and knows no
-//! time. Old entries are sealed: digests stand for their keys. [`ReplicaSet`] knows which replicas have what on disk, and decides when an entry may be acknowledged. What is
-//! stored is a [`TallyRecord`]. The design is in `docs/counters.md`.
+//! [`TallyLog`] is the replicated state, a grow-only set of entries in one log per origin; it does no I/O and reads no
+//! clock. Old entries are sealed: digests replace their keys. [`ReplicaSet`] tracks which entries each replica has on
+//! disk, and decides when an entry may be acknowledged. [`TallyRecord`] is the stored form. The design is in
+//! `docs/counters.md`.
 
 #![deny(missing_docs)]
 
@@ -22,7 +22,7 @@
 mod totals;
 mod version_vector;
 
-pub use lag_tracker::{LagTracker, FOREIGN_LAG_MS};
+pub use lag_tracker::{LagTracker, FORWARDING_DELAY_MS};
 pub use limits::{check_entry, Capacity, EntryCounts, InvalidEntry, MAX_AMOUNT, MAX_NAME_BYTES};
 pub use log::{Dot, TallyLog};
 pub use packing_gate::PackingGate;
--- a/tally/src/limits_tests.rs
+++ b/tally/src/limits_tests.rs
@@ -1,4 +1,4 @@
-//! What is taken and what is not.
+//! Validation of entries, and the capacity of a machine.
 
 use protocol::tally::TallyEntry;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn names_keys_and_amounts_have_limits() {
+fn names_keys_and_amounts_outside_the_limits_are_rejected() {
     let longest = "x".repeat(MAX_NAME_BYTES);
     assert_eq!(check_entry(&entry(&longest, &longest, MAX_AMOUNT)), Ok(()));
     assert_eq!(check_entry(&entry("t", "1", 0)), Ok(()));
@@ -21,8 +21,8 @@
     assert_eq!(check_entry(&entry("t", "1", MAX_AMOUNT + 1)), Err(InvalidEntry::Amount(MAX_AMOUNT + 1)));
 }
 
-/// Returns how many entries fill a machine, if all of them are sealed or none is.
-fn bound(memory_mb: u64, disk_mb: u64, is_sealed: bool) -> usize {
+/// Returns the number of entries that fill a machine if all of them are sealed, or if none are.
+fn max_entries(memory_mb: u64, disk_mb: u64, is_sealed: bool) -> usize {
     let capacity = Capacity::of_machine(memory_mb, disk_mb);
     let counts = |entries| match is_sealed {
         true => EntryCounts { sealed: entries, unsealed: 0, tallies: 0 },
@@ -30,29 +30,33 @@
     };
     let (mut fits, mut full) = (0, 100_000_000);
     while fits + 1 < full {
-        let middle = (fits + full) / 2;
-        if capacity.used_share(counts(middle)) < 1.0 {
-            fits = middle;
+        let candidate = (fits + full) / 2;
+        if capacity.used_share(counts(candidate)) < 1.0 {
+            fits = candidate;
         } else {
-            full = middle;
+            full = candidate;
         }
     }
     full
 }
 
 #[test]
-fn the_smaller_of_memory_and_disk_bounds_the_number_of_entries() {
-    assert_eq!(bound(160, 64, true), 1_094_167, "a million keys on the users' machines");
-    assert_eq!(bound(160, 0, true), 1_310_720);
-    assert_eq!(bound(160, 64, false), 251_659);
-    assert_eq!(bound(160, 0, false), 327_680);
-    assert_eq!(bound(16, 6400, false), 32_768);
+fn the_scarcer_of_memory_and_disk_limits_the_number_of_entries() {
+    assert_eq!(
+        max_entries(160, 64, true),
+        1_094_167,
+        "a million keys must fit on a machine with 160 MB of memory and 64 MB of disk"
+    );
+    assert_eq!(max_entries(160, 0, true), 1_310_720);
+    assert_eq!(max_entries(160, 64, false), 251_659);
+    assert_eq!(max_entries(160, 0, false), 327_680);
+    assert_eq!(max_entries(16, 6400, false), 32_768);
 }
 
 #[test]
-fn many_tallies_take_room_too() {
+fn many_tallies_use_capacity_too() {
     let capacity = Capacity::of_machine(160, 0);
-    let with = |tallies| capacity.used_share(EntryCounts { sealed: 1000, unsealed: 0, tallies });
-    assert!(with(300_000) > 0.9, "{}", with(300_000));
-    assert!(with(10) < 0.01);
+    let used_share = |tallies| capacity.used_share(EntryCounts { sealed: 1000, unsealed: 0, tallies });
+    assert!(used_share(300_000) > 0.9, "{}", used_share(300_000));
+    assert!(used_share(10) < 0.01);
 }
--- a/tally/src/log.rs
+++ b/tally/src/log.rs
@@ -1,4 +1,4 @@
-//! The replicated state: logs of entries by origin, and the totals that follow from them.
+//! The replicated state: logs of entries by origin, and the totals computed from them.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use protocol::tally::{KeyDigest, Origin, PackedBatch, TallyBatch, TallyEntry};
 
 use crate::digest;
-use crate::key_index::{KeyIndex, Place};
+use crate::key_index::{KeyIndex, Position};
 use crate::limits::EntryCounts;
 use crate::origin_log::{OriginLog, TailEntry};
 use crate::packed_batch::{self, PackedEntry, PACKED_ENTRY_BYTES};
@@ -15,91 +15,92 @@
 use crate::totals::Totals;
 use crate::version_vector::VersionVector;
 
-/// How many entries a record of a snapshot holds at most.
-const SNAPSHOT_BATCH: u64 = 512;
-/// What an entry takes in a message beside its texts, in bytes.
+/// Maximum number of unsealed entries in one record of a snapshot.
+const SNAPSHOT_BATCH_ENTRIES: u64 = 512;
+/// Size of an entry in a message without its name and key, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// The place of an entry: the log of an origin, and how many entries come before it there.
+/// The position of an entry: its origin, and how many entries come before it in the origin's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Dot {
-    /// Whose log.
+    /// The origin whose log has the entry.
     pub origin: Origin,
-    /// How many entries come before it.
+    /// How many entries come before it in that log.
     pub sequence: u64,
 }
 
-/// The entries that a replica has. Merging two of them is a union: commutative, associative and idempotent.
+/// The entries that a replica has. Merging two logs is a set union: commutative, associative and idempotent.
 ///
-/// Invariants: an entry never changes its place; a log has no gaps; each total is the sum over the distinct keys of a
-/// tally, each with the smallest amount that came with it, whether its entries are sealed or not.
+/// Invariants: an entry never changes its position; a log has no gaps; a tally's total is the sum over its distinct
+/// keys of the smallest amount received with each, whether the entries are sealed or not.
 #[derive(Clone, Debug, Default)]
 pub struct TallyLog {
-    /// The origin of this replica's disk. None before the first record.
+    /// The origin assigned to this replica's disk; `None` before the first record.
     own_origin: Option<Origin>,
-    /// Whether this replica had caught up with the others once.
+    /// Whether this replica has ever caught up with the others.
     had_caught_up: bool,
-    /// Never shrinks: the index of a log is part of the places of its entries.
+    /// Never shrinks: [`KeyIndex`] refers to logs by their index.
     logs: IndexMap<Origin, OriginLog>,
     keys: KeyIndex,
     totals: Totals,
 }
 
 impl TallyLog {
-    /// Returns the origin of this replica's disk.
+    /// Returns the origin assigned to this replica's disk.
     pub fn own_origin(&self) -> Option<Origin> {
         self.own_origin
     }
 
-    /// Returns whether the disk says that this replica had caught up with the others once.
+    /// Returns whether this replica has ever caught up with the others, according to its disk.
     pub fn had_caught_up(&self) -> bool {
         self.had_caught_up
     }
 
-    /// Returns how many entries there are in all logs.
+    /// Returns the number of entries in all logs.
     pub fn entry_count(&self) -> usize {
         self.logs.values().map(|log| log.length() as usize).sum()
     }
 
-    /// Returns how many entries there are, sealed and not, and how many tallies.
+    /// Returns the numbers of sealed entries, unsealed entries and tallies.
     pub fn counts(&self) -> EntryCounts {
         let sealed = self.logs.values().map(OriginLog::sealed_length).sum();
         EntryCounts { sealed, unsealed: self.entry_count() - sealed, tallies: self.totals.len() }
     }
 
-    /// Returns the total of a tally, 0 for one that is not known.
+    /// Returns the total of a tally, 0 if it is unknown.
     pub fn total(&self, tally: &str) -> u128 {
         self.totals.get(tally)
     }
 
-    /// Returns all tallies with their totals, by name.
+    /// Returns all tallies with their totals, sorted by name.
     pub fn totals(&self) -> impl Iterator<Item = (&str, u128)> {
         self.totals.sorted().into_iter()
     }
 
-    /// Returns the place of a key if it is known in this tally.
+    /// Returns the position of the first entry with this key in the tally, if there is one.
     pub fn find(&self, tally: &str, instance_id: &str) -> Option<Dot> {
-        let place = self.keys.find(digest::digest_key(tally, instance_id), |place| digest_at(&self.logs, place))?;
-        let (origin, _) = self.logs.get_index(place.origin as usize)?;
-        Some(Dot { origin: *origin, sequence: u64::from(place.sequence) })
+        let position =
+            self.keys.find(digest::digest_key(tally, instance_id), |position| digest_at(&self.logs, position))?;
+        let (origin, _) = self.logs.get_index(position.origin as usize)?;
+        Some(Dot { origin: *origin, sequence: u64::from(position.sequence) })
     }
 
-    /// Returns whether the entry at this place is sealed.
+    /// Returns whether the entry at this position is sealed.
     pub fn is_sealed(&self, dot: Dot) -> bool {
         self.logs.get(&dot.origin).is_some_and(|log| dot.sequence < log.sealed_length() as u64)
     }
 
-    /// Appends an entry whose key is not known to the log of the own origin, and returns its place.
+    /// Appends an entry whose key is new to the log of the own origin, and returns its position.
     ///
     /// # Panics
     ///
-    /// Panics without an own origin.
+    /// Panics if this replica has no origin yet.
     pub fn append(&mut self, entry: TallyEntry) -> Dot {
-        let origin = self.own_origin.expect("a replica has an origin before it takes entries");
-        self.push_text(origin, entry)
+        let origin = self.own_origin.expect("a replica has an origin before it accepts entries");
+        self.push_entry(origin, entry)
     }
 
-    fn push_text(&mut self, origin: Origin, entry: TallyEntry) -> Dot {
+    fn push_entry(&mut self, origin: Origin, entry: TallyEntry) -> Dot {
         let TallyEntry { tally, instance_id, amount } = entry;
         let tally_id = self.totals.id(&tally);
         let tail = match digest::parse_key(&instance_id) {
@@ -121,16 +122,16 @@
         let slot = self.logs.entry(origin);
         let index = slot.index();
         let sequence = slot.or_default().length();
-        self.count(Place { origin: index as u32, sequence: sequence as u32 }, &entry);
+        self.add_to_totals(Position { origin: index as u32, sequence: sequence as u32 }, &entry);
         self.logs[index].push(entry);
         Dot { origin, sequence }
     }
 
-    fn count(&mut self, place: Place, entry: &TailEntry) {
+    fn add_to_totals(&mut self, position: Position, entry: &TailEntry) {
         let Self { logs, keys, totals, .. } = self;
-        let digest_at = |place| digest_at(logs, place);
+        let digest_at = |position| digest_at(logs, position);
         let Some(first) = keys.find(entry.digest, digest_at) else {
-            keys.insert(entry.digest, place, digest_at);
+            keys.insert(entry.digest, position, digest_at);
             totals.add(entry.tally, entry.amount);
             return;
         };
@@ -143,40 +144,40 @@
         }
     }
 
-    /// Returns how many entries of a batch are known; `None` where entries before the batch are missing, or none of it is new.
-    fn count_known(&self, origin: Origin, start: u64, length: usize) -> Option<usize> {
+    /// Returns how many entries at the start of a batch are already known; `None` if entries before the batch are
+    /// missing, or if the whole batch is known.
+    fn known_prefix_length(&self, origin: Origin, start: u64, length: usize) -> Option<usize> {
         let known = self.logs.get(&origin).map_or(0, OriginLog::length);
-        let skipped = known.checked_sub(start)? as usize;
-        (skipped < length).then_some(skipped)
+        let overlap = known.checked_sub(start)? as usize;
+        (overlap < length).then_some(overlap)
     }
 
-    /// Takes the entries of a batch that follow on what is known, and returns the part of it that was new. `None`: nothing
-    /// was new, or entries before the batch are missing.
+    /// Appends the entries of a batch that are not yet known, and returns them. Returns `None` if none are new, or if
+    /// entries before the batch are missing.
     pub fn apply(&mut self, batch: &TallyBatch) -> Option<TallyBatch> {
-        let skipped = self.count_known(batch.origin, batch.start, batch.entries.len())?;
+        let skipped = self.known_prefix_length(batch.origin, batch.start, batch.entries.len())?;
         let entries = batch.entries[skipped..].to_vec();
         for entry in &entries {
-            self.push_text(batch.origin, entry.clone());
+            self.push_entry(batch.origin, entry.clone());
         }
         Some(TallyBatch { origin: batch.origin, start: batch.start + skipped as u64, entries })
     }
 
-    /// Takes the packed entries of a batch as [`apply`](Self::apply) does. A batch whose columns do not fit together changes
-    /// nothing.
+    /// Does the same as [`apply`](Self::apply) for a packed batch. An inconsistent batch is ignored.
     pub fn apply_packed(&mut self, batch: &PackedBatch) -> Option<PackedBatch> {
         if !packed_batch::is_consistent(batch) {
             return None;
         }
-        let skipped = self.count_known(batch.origin, batch.start, batch.digests.len())?;
-        let new = packed_batch::rest(batch, skipped);
+        let skipped = self.known_prefix_length(batch.origin, batch.start, batch.digests.len())?;
+        let new = packed_batch::skip_entries(batch, skipped);
         for entry in (0..new.digests.len()).map_while(|index| packed_batch::entry(&new, index)) {
             self.push_packed(new.origin, entry);
         }
         Some(new)
     }
 
-    /// Seals whole chunks of entries that `durable` has, `max_chunks` at most, and returns them. Texts of their keys are not
-    /// kept any more.
+    /// Seals up to `max_chunks` chunks whose entries are all within `durable`, and returns them. The text of their keys
+    /// is dropped.
     pub fn seal(&mut self, durable: &VersionVector, max_chunks: usize) -> Vec<Arc<PackedBatch>> {
         let mut sealed = Vec::new();
         for (origin, log) in &mut self.logs {
@@ -188,7 +189,7 @@
         sealed
     }
 
-    /// Returns how many entries of each log there are.
+    /// Returns the length of each origin's log.
     pub fn versions(&self) -> VersionVector {
         let mut versions = VersionVector::default();
         for (origin, log) in &self.logs {
@@ -197,7 +198,8 @@
         versions
     }
 
-    /// Returns the ranges of logs that a replica lacks and that `durable` has, of the origins that `is_wanted` names.
+    /// Returns the ranges of entries within `durable` that a replica lacks, for the origins that `is_wanted` selects.
+    /// `known` are the entries that the replica has.
     fn missing_ranges<'a>(
         &'a self,
         known: &'a VersionVector,
@@ -211,8 +213,8 @@
         })
     }
 
-    /// Returns entries that a replica lacks and that `durable` has, of the origins that `is_wanted` names, in about
-    /// `max_bytes` at most.
+    /// Returns entries within `durable` that a replica lacks, for the origins that `is_wanted` selects, limited to
+    /// about `max_bytes`. `known` are the entries that the replica has.
     pub fn missing_at(
         &self,
         known: &VersionVector,
@@ -221,11 +223,12 @@
         max_bytes: usize,
     ) -> Vec<TallyBatch> {
         let mut batches = Vec::new();
-        let mut left = max_bytes;
+        let mut remaining = max_bytes;
         for (origin, log, range) in self.missing_ranges(known, durable, is_wanted) {
             let start = range.start;
             let texts = range.map_while(|sequence| log.text(sequence, &self.totals));
-            let entries: Vec<TallyEntry> = texts.take_while(|entry| take(&mut left, text_bytes(entry))).collect();
+            let entries: Vec<TallyEntry> =
+                texts.take_while(|entry| consume_budget(&mut remaining, estimate_bytes(entry))).collect();
             if !entries.is_empty() {
                 batches.push(TallyBatch { origin, start, entries });
             }
@@ -233,7 +236,7 @@
         batches
     }
 
-    /// Returns the same entries as [`missing_at`](Self::missing_at), packed.
+    /// Does the same as [`missing_at`](Self::missing_at) with packed entries.
     pub fn missing_packed_at(
         &self,
         known: &VersionVector,
@@ -242,9 +245,10 @@
         max_bytes: usize,
     ) -> Vec<PackedBatch> {
         let mut batches = Vec::new();
-        let mut left = max_bytes;
+        let mut remaining = max_bytes;
         for (origin, log, range) in self.missing_ranges(known, durable, is_wanted) {
-            let fitting = range.clone().take_while(|_| take(&mut left, PACKED_ENTRY_BYTES)).count() as u64;
+            let fitting =
+                range.clone().take_while(|_| consume_budget(&mut remaining, PACKED_ENTRY_BYTES)).count() as u64;
             if fitting > 0 {
                 batches.push(log.pack(origin, range.start..range.start + fitting, &self.totals));
             }
@@ -252,7 +256,7 @@
         batches
     }
 
-    /// Applies a record that was found on disk. Records have to come in the order in which they were written.
+    /// Applies a record read from disk. Records must be replayed in the order in which they were written.
     pub fn replay(&mut self, record: TallyRecord) {
         match record {
             TallyRecord::Origin(origin) => self.own_origin = Some(origin),
@@ -266,13 +270,13 @@
             TallyRecord::Sealed(chunk) => {
                 self.apply_packed(&chunk);
                 if let Some(log) = self.logs.get_mut(&chunk.origin) {
-                    log.adopt(chunk);
+                    log.install_chunk(chunk);
                 }
             }
         }
     }
 
-    /// Returns records that restore this state.
+    /// Returns the records that restore this state when they are replayed.
     pub fn snapshot(&self) -> Vec<TallyRecord> {
         let mut records: Vec<TallyRecord> = self.own_origin.map(TallyRecord::Origin).into_iter().collect();
         records.extend(self.had_caught_up.then_some(TallyRecord::CaughtUp));
@@ -288,7 +292,7 @@
         records
     }
 
-    /// Returns a record of entries that are all with keys or all without.
+    /// Returns a record of unsealed entries, all of which have the text of their key or none of which do.
     fn unsealed_record(&self, origin: Origin, log: &OriginLog, range: Range<u64>) -> TallyRecord {
         if !log.has_key(range.start) {
             return TallyRecord::Packed(Box::new(log.pack(origin, range, &self.totals)));
@@ -299,27 +303,29 @@
     }
 }
 
-fn digest_at(logs: &IndexMap<Origin, OriginLog>, place: Place) -> Option<KeyDigest> {
-    let (_, log) = logs.get_index(place.origin as usize)?;
-    log.digest(u64::from(place.sequence))
+fn digest_at(logs: &IndexMap<Origin, OriginLog>, position: Position) -> Option<KeyDigest> {
+    let (_, log) = logs.get_index(position.origin as usize)?;
+    log.digest(u64::from(position.sequence))
 }
 
-/// Returns where the entries that follow `start` and are like it, with or without the text of the key, end.
+/// Returns the end of the run of entries from `start` that all have the text of their key, or all lack it. A run has
+/// [`SNAPSHOT_BATCH_ENTRIES`] entries at most.
 fn end_of_run(log: &OriginLog, start: u64) -> u64 {
     let has_key = log.has_key(start);
-    let last = log.length().min(start + SNAPSHOT_BATCH);
-    (start..last).find(|sequence| log.has_key(*sequence) != has_key).unwrap_or(last)
+    let limit = log.length().min(start + SNAPSHOT_BATCH_ENTRIES);
+    (start..limit).find(|sequence| log.has_key(*sequence) != has_key).unwrap_or(limit)
 }
 
-fn text_bytes(entry: &TallyEntry) -> usize {
+fn estimate_bytes(entry: &TallyEntry) -> usize {
     ENTRY_OVERHEAD_BYTES + entry.tally.len() + entry.instance_id.len()
 }
 
-/// Takes the bytes of an entry from what is left. Returns false once nothing was left before it.
-fn take(left: &mut usize, bytes: usize) -> bool {
-    let is_room = *left > 0;
-    *left = left.saturating_sub(bytes);
-    is_room
+/// Deducts the size of an entry from the remaining byte budget. Returns `false` if the budget was already used up, so
+/// that the first entry always fits.
+fn consume_budget(remaining: &mut usize, bytes: usize) -> bool {
+    let has_budget = *remaining > 0;
+    *remaining = remaining.saturating_sub(bytes);
+    has_budget
 }
 
 #[cfg(test)]
--- a/tally/src/log_tests.rs
+++ b/tally/src/log_tests.rs
@@ -1,4 +1,4 @@
-//! Merging is a union, whatever the order; a key counts once.
+//! Merging is a union regardless of the order of delivery, and each key counts once.
 
 use proptest::prelude::*;
 use protocol::tally::{Origin, PackedAmounts, PackedBatch, TallyBatch, TallyEntry};
@@ -12,14 +12,14 @@
     TallyEntry { tally: tally.into(), instance_id: instance_id.into(), amount }
 }
 
-/// Logs of some origins in which keys come again and again, also with other amounts.
+/// Logs of a few origins with many repeated keys, also with different amounts.
 fn logs() -> impl Strategy<Value = Vec<Vec<TallyEntry>>> {
     let entry = (0..3_u8, 0..12_u8, 0..5_u64)
         .prop_map(|(tally, key, amount)| entry(&format!("t{tally}"), &format!("k{key}"), amount));
     prop::collection::vec(prop::collection::vec(entry, 0..12), 1..4)
 }
 
-/// A cut of logs into batches that overlap, in any order: what a network with repeats and reordering delivers.
+/// Splits logs into overlapping batches in any order, as a network that duplicates and reorders messages delivers them.
 fn deliveries(logs: &[Vec<TallyEntry>], order: &[prop::sample::Index]) -> Vec<TallyBatch> {
     let mut batches = Vec::new();
     for index in order {
@@ -29,7 +29,7 @@
         let end = (start + 1 + index.index(5)).min(log.len());
         batches.push(batch(origin, log, start, end));
     }
-    // At last everything comes once, as anti-entropy sees to it.
+    // Finally every log is delivered in full, as anti-entropy ensures.
     batches.extend(logs.iter().enumerate().map(|(origin, log)| batch(origin, log, 0, log.len())));
     batches
 }
@@ -44,22 +44,22 @@
 
 proptest! {
     #[test]
-    fn replicas_that_have_the_same_entries_show_the_same_totals(
+    fn replicas_with_the_same_entries_have_the_same_totals(
         logs in logs(),
-        one in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
-        other in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
+        first_order in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
+        second_order in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
     ) {
         let (mut left, mut right) = (TallyLog::default(), TallyLog::default());
-        deliveries(&logs, &one).iter().for_each(|batch| { left.apply(batch); });
-        deliveries(&logs, &other).iter().rev().for_each(|batch| { right.apply(batch); });
-        deliveries(&logs, &other).iter().for_each(|batch| { right.apply(batch); });
+        deliveries(&logs, &first_order).iter().for_each(|batch| { left.apply(batch); });
+        deliveries(&logs, &second_order).iter().rev().for_each(|batch| { right.apply(batch); });
+        deliveries(&logs, &second_order).iter().for_each(|batch| { right.apply(batch); });
         prop_assert_eq!(totals(&left), totals(&right));
         prop_assert_eq!(left.versions(), right.versions());
         prop_assert_eq!(left.entry_count(), logs.iter().map(Vec::len).sum::<usize>());
     }
 
     #[test]
-    fn a_total_is_the_sum_over_distinct_keys_with_their_smallest_amounts(logs in logs()) {
+    fn a_total_is_the_sum_of_the_smallest_amounts_of_distinct_keys(logs in logs()) {
         let mut merged = TallyLog::default();
         deliveries(&logs, &[]).iter().for_each(|batch| { merged.apply(batch); });
         for tally in ["t0", "t1", "t2"] {
@@ -90,19 +90,19 @@
 }
 
 #[test]
-fn a_batch_with_a_gap_before_it_changes_nothing() {
+fn a_batch_after_a_gap_changes_nothing() {
     let mut log = TallyLog::default();
     let entries = vec![entry("t", "a", 1), entry("t", "b", 2)];
     assert_eq!(log.apply(&TallyBatch { origin: Origin(1), start: 1, entries: entries.clone() }), None);
     assert_eq!(log.total("t"), 0);
     let whole = TallyBatch { origin: Origin(1), start: 0, entries };
     assert_eq!(log.apply(&whole), Some(whole.clone()));
-    assert_eq!(log.apply(&whole), None, "nothing of it is new");
+    assert_eq!(log.apply(&whole), None, "no entry is new");
     assert_eq!(log.total("t"), 3);
 }
 
 #[test]
-fn what_is_sent_is_what_lacks_there_and_is_on_disk_here_in_bounded_pieces() {
+fn missing_entries_are_limited_to_durable_ones_and_to_the_byte_budget() {
     let mut log = TallyLog::default();
     log.replay(crate::TallyRecord::Origin(Origin(1)));
     (0..100).for_each(|number| {
@@ -114,13 +114,13 @@
     known.advance(Origin(1), 10);
     let all = log.missing_at(&known, &durable, |_| true, usize::MAX);
     assert_eq!((all.len(), all[0].start, all[0].entries.len()), (1, 10, 50));
-    let some = log.missing_at(&known, &durable, |_| true, 350);
-    assert!((5..15).contains(&some[0].entries.len()), "{}", some[0].entries.len());
+    let limited = log.missing_at(&known, &durable, |_| true, 350);
+    assert!((5..15).contains(&limited[0].entries.len()), "{}", limited[0].entries.len());
     assert!(log.missing_at(&known, &durable, |_| false, usize::MAX).is_empty());
 }
 
 #[test]
-fn a_key_is_found_in_its_own_tally_alone() {
+fn a_key_is_found_only_in_its_own_tally() {
     let mut log = TallyLog::default();
     log.replay(crate::TallyRecord::Origin(Origin(7)));
     let dot = log.append(entry("one", "k", 3));
@@ -129,14 +129,14 @@
     assert_eq!((log.total("one"), log.total("two")), (3, 0));
 }
 
-fn sealed_everywhere(log: &mut TallyLog) -> usize {
+fn seal_all(log: &mut TallyLog) -> usize {
     let versions = log.versions();
     log.seal(&versions, usize::MAX).len()
 }
 
 proptest! {
-    /// Whatever is sealed when, in whatever form entries travel, and wherever a replica restarts, the totals and what is known
-    /// are those of a plain union.
+    /// Totals and known keys equal those of a plain union, regardless of when entries are sealed, in which form they
+    /// are sent and when a replica restarts.
     #[test]
     fn sealing_changes_nothing_that_can_be_read(
         logs in logs(),
@@ -150,7 +150,7 @@
             match action {
                 0 | 1 => { sealing.apply(batch); }
                 2 => { sealing.apply_packed(&packed(batch)); }
-                3 => { sealed_everywhere(&mut sealing); }
+                3 => { seal_all(&mut sealing); }
                 _ => sealing = restored(&sealing),
             }
         }
@@ -158,9 +158,9 @@
             plain.apply(batch);
             sealing.apply(batch);
         });
-        sealed_everywhere(&mut sealing);
-        let again = restored(&sealing);
-        for log in [&sealing, &again] {
+        seal_all(&mut sealing);
+        let restarted = restored(&sealing);
+        for log in [&sealing, &restarted] {
             prop_assert_eq!(totals(log), totals(&plain));
             prop_assert_eq!(log.versions(), plain.versions());
             prop_assert_eq!(log.entry_count(), plain.entry_count());
@@ -171,33 +171,33 @@
         }
     }
 
-    /// A replica without anything catches up from sealed logs, in either form, and so does one that knows keys as text only.
+    /// An empty replica catches up from sealed logs in either form, also one that supports only text keys.
     #[test]
-    fn sealed_entries_are_sent_in_either_form(logs in logs(), bytes in 1..400_usize, is_packed: bool) {
+    fn sealed_entries_are_sent_in_either_form(logs in logs(), bytes in 1..400_usize, sends_packed: bool) {
         let mut full = TallyLog::default();
         deliveries(&logs, &[]).iter().for_each(|batch| { full.apply(batch); });
-        sealed_everywhere(&mut full);
-        let mut behind = TallyLog::default();
-        while behind.versions() != full.versions() {
-            let (known, durable) = (behind.versions(), full.versions());
-            let before = behind.entry_count();
-            if is_packed {
+        seal_all(&mut full);
+        let mut receiver = TallyLog::default();
+        while receiver.versions() != full.versions() {
+            let (known, durable) = (receiver.versions(), full.versions());
+            let before = receiver.entry_count();
+            if sends_packed {
                 let batches = full.missing_packed_at(&known, &durable, |_| true, bytes);
-                batches.iter().for_each(|batch| { behind.apply_packed(batch); });
+                batches.iter().for_each(|batch| { receiver.apply_packed(batch); });
             } else {
                 let batches = full.missing_at(&known, &durable, |_| true, bytes);
-                batches.iter().for_each(|batch| { behind.apply(batch); });
+                batches.iter().for_each(|batch| { receiver.apply(batch); });
             }
-            prop_assert!(behind.entry_count() > before, "each call brings something");
+            prop_assert!(receiver.entry_count() > before, "each call delivers new entries");
         }
-        prop_assert_eq!(totals(&behind), totals(&full));
+        prop_assert_eq!(totals(&receiver), totals(&full));
         for entry in logs.iter().flatten() {
-            prop_assert!(behind.find(&entry.tally, &entry.instance_id).is_some());
+            prop_assert!(receiver.find(&entry.tally, &entry.instance_id).is_some());
         }
     }
 }
 
-/// The same entries packed, as a replica sends them that has no texts.
+/// Packs the entries of a batch, as a replica sends them that no longer has the text of the keys.
 fn packed(batch: &TallyBatch) -> PackedBatch {
     let mut log = TallyLog::default();
     let start = VersionVector::default();
@@ -230,15 +230,15 @@
     (0..CHUNK_ENTRIES).for_each(|number| {
         log.append(entry("t", &format!("k{number}"), 5));
     });
-    assert_eq!(sealed_everywhere(&mut log), 1);
-    assert!(log.is_sealed(log.find("t", "k0").expect("known")));
+    assert_eq!(seal_all(&mut log), 1);
+    assert!(log.is_sealed(log.find("t", "k0").expect("the key was added")));
     log.apply(&TallyBatch { origin: Origin(2), start: 0, entries: vec![entry("t", "k0", 3), entry("t", "k0", 4)] });
     assert_eq!(log.total("t"), 5 * CHUNK_ENTRIES as u128 - 2);
     assert_eq!(restored(&log).total("t"), log.total("t"));
 }
 
 #[test]
-fn only_what_is_on_disk_is_sealed_and_texts_go_with_it() {
+fn sealing_is_limited_to_durable_entries_and_drops_the_text_of_keys() {
     let mut log = TallyLog::default();
     log.replay(crate::TallyRecord::Origin(Origin(1)));
     (0..3 * CHUNK_ENTRIES).for_each(|number| {
@@ -250,16 +250,16 @@
     assert_eq!(log.counts(), EntryCounts { sealed: CHUNK_ENTRIES, unsealed: 2 * CHUNK_ENTRIES, tallies: 1 });
     let all = log.missing_at(&VersionVector::default(), &log.versions(), |_| true, usize::MAX);
     let keys: Vec<&str> = all[0].entries.iter().map(|entry| entry.instance_id.as_str()).collect();
-    assert!(keys[..CHUNK_ENTRIES].iter().all(|key| key.starts_with('/')), "digests in the place of keys");
+    assert!(keys[..CHUNK_ENTRIES].iter().all(|key| key.starts_with('/')), "digests replace the keys of sealed entries");
     assert_eq!(keys[CHUNK_ENTRIES], format!("k{CHUNK_ENTRIES}"));
 }
 
 #[test]
-fn a_batch_whose_columns_do_not_fit_together_changes_nothing() {
+fn an_inconsistent_packed_batch_changes_nothing() {
     let whole = packed(&TallyBatch { origin: Origin(4), start: 0, entries: vec![entry("t", "a", 1)] });
     let mut log = TallyLog::default();
     assert_eq!(log.apply_packed(&PackedBatch { tallies: Vec::new(), ..whole.clone() }), None);
     assert_eq!(log.entry_count(), 0);
     assert_eq!(log.apply_packed(&whole), Some(whole.clone()));
-    assert_eq!(log.apply_packed(&whole), None, "nothing of it is new");
+    assert_eq!(log.apply_packed(&whole), None, "no entry is new");
 }
--- a/tally/src/origin_log.rs
+++ b/tally/src/origin_log.rs
@@ -1,4 +1,4 @@
-//! The log of one origin: sealed chunks without texts of keys, and a tail that still has them.
+//! The log of one origin: sealed chunks without the text of keys, then a tail of unsealed entries.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -9,35 +9,35 @@
 use crate::packed_batch::{self, PackedEntry};
 use crate::totals::{TallyId, Totals};
 
-/// How many entries a sealed chunk has. Small in tests of this crate, so that their runs seal.
+/// Number of entries in a sealed chunk. Small in this crate's tests, so that short runs seal chunks.
 pub(crate) const CHUNK_ENTRIES: usize = if cfg!(test) { 8 } else { 512 };
 
-/// An entry of the tail.
+/// An unsealed entry.
 #[derive(Clone, Debug)]
 pub(crate) struct TailEntry {
     pub tally: TallyId,
     pub digest: KeyDigest,
     pub amount: u64,
-    /// The key, unless the entry came packed.
+    /// The text of the key; `None` if the entry was received packed.
     pub key: Option<Box<str>>,
 }
 
-/// The entries of one origin in their order. Invariants: an entry never changes its place; each sealed chunk has
+/// The entries of one origin, in order. Invariants: an entry never changes its position; each sealed chunk has
 /// [`CHUNK_ENTRIES`] entries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OriginLog {
-    /// Shared with the copy of the state that snapshots are made of.
+    /// Shared with the copy of the state from which snapshots are written.
     sealed: Vec<Arc<PackedBatch>>,
     tail: Vec<TailEntry>,
 }
 
 impl OriginLog {
-    /// Returns how many entries there are.
+    /// Returns the number of entries.
     pub fn length(&self) -> u64 {
         (self.sealed_length() + self.tail.len()) as u64
     }
 
-    /// Returns how many entries are sealed.
+    /// Returns the number of sealed entries.
     pub fn sealed_length(&self) -> usize {
         self.sealed.len() * CHUNK_ENTRIES
     }
@@ -47,7 +47,7 @@
         &self.sealed
     }
 
-    /// Returns the place of a sealed entry: its chunk and its index there; `None` for one of the tail.
+    /// Returns the chunk of a sealed entry and its index in the chunk; `None` for an unsealed entry.
     fn find_sealed(&self, sequence: u64) -> Option<(&PackedBatch, usize)> {
         let sequence = sequence as usize;
         let chunk = self.sealed.get(sequence / CHUNK_ENTRIES)?;
@@ -58,7 +58,7 @@
         self.tail.get((sequence as usize).checked_sub(self.sealed_length())?)
     }
 
-    /// Returns the digest of the key of an entry.
+    /// Returns the digest of an entry's key.
     pub fn digest(&self, sequence: u64) -> Option<KeyDigest> {
         match self.find_sealed(sequence) {
             Some((chunk, index)) => chunk.digests.get(index).copied(),
@@ -75,15 +75,15 @@
         Some(PackedEntry { tally: totals.name(entry.tally), digest: entry.digest, amount: entry.amount })
     }
 
-    /// Returns an entry with its key, or with the digest as its key where the text is not kept.
+    /// Returns an entry with its key, or with the digest as its key if the text was dropped.
     pub fn text(&self, sequence: u64, totals: &Totals) -> Option<TallyEntry> {
         let packed = self.packed(sequence, totals)?;
-        let key = self.tail_entry(sequence).and_then(|entry| entry.key.as_deref());
-        let instance_id = key.map_or_else(|| digest::to_key(packed.digest), String::from);
+        let key_text = self.tail_entry(sequence).and_then(|entry| entry.key.as_deref());
+        let instance_id = key_text.map_or_else(|| digest::to_key(packed.digest), String::from);
         Some(TallyEntry { tally: packed.tally.into(), instance_id, amount: packed.amount })
     }
 
-    /// Returns whether the text of an entry's key is kept.
+    /// Returns whether the log still has the text of an entry's key.
     pub fn has_key(&self, sequence: u64) -> bool {
         self.tail_entry(sequence).is_some_and(|entry| entry.key.is_some())
     }
@@ -99,7 +99,7 @@
         packed_batch::pack(origin, range.start, entries.into_iter())
     }
 
-    /// Seals the next chunk if all of it lies before `end`, and returns it.
+    /// Seals the next chunk if all its entries come before `end`, and returns it.
     pub fn seal_next(&mut self, origin: Origin, end: u64, totals: &Totals) -> Option<Arc<PackedBatch>> {
         let start = self.sealed_length() as u64;
         let chunk_end = start + CHUNK_ENTRIES as u64;
@@ -107,12 +107,13 @@
             return None;
         }
         let chunk = Arc::new(self.pack(origin, start..chunk_end, totals));
-        self.adopt(chunk.clone());
+        self.install_chunk(chunk.clone());
         Some(chunk)
     }
 
-    /// Puts a sealed chunk in the place of the entries that it holds, which the tail begins with. Returns whether it fits there.
-    pub fn adopt(&mut self, chunk: Arc<PackedBatch>) -> bool {
+    /// Replaces the first entries of the tail by the sealed chunk that holds them. Returns `false` and changes nothing
+    /// if the chunk is not the next one.
+    pub fn install_chunk(&mut self, chunk: Arc<PackedBatch>) -> bool {
         let is_next = chunk.start == self.sealed_length() as u64 && chunk.digests.len() == CHUNK_ENTRIES;
         if !is_next || self.tail.len() < CHUNK_ENTRIES {
             return false;
--- a/tally/src/packed_batch.rs
+++ b/tally/src/packed_batch.rs
@@ -1,11 +1,11 @@
-//! Building and reading packed entries.
+//! Encoding and decoding of packed batches, which store entries as columns with digests in place of keys.
 
 use protocol::tally::{KeyDigest, Origin, PackedAmounts, PackedBatch};
 
-/// What a packed entry takes beside the names of tallies, in bytes.
+/// Size of a packed entry without the names of tallies, in bytes.
 pub(crate) const PACKED_ENTRY_BYTES: usize = 22;
 
-/// An entry as it stands in a packed batch.
+/// One entry of a packed batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PackedEntry<'a> {
     pub tally: &'a str,
@@ -13,11 +13,11 @@
     pub amount: u64,
 }
 
-/// Packs entries that follow one another in a log.
+/// Packs consecutive entries of a log, the first of which is at `start`.
 ///
 /// # Panics
 ///
-/// Panics with more than 65,536 different tallies: callers bound their batches.
+/// Panics with more than 65,536 distinct tallies; callers limit the size of batches.
 pub(crate) fn pack<'a>(
     origin: Origin,
     start: u64,
@@ -32,32 +32,33 @@
             tallies.push(entry.tally.into());
             tallies.len() - 1
         });
-        tally_of.push(u16::try_from(index).expect("batches are bounded"));
+        tally_of.push(u16::try_from(index).expect("a batch has at most 65,536 distinct tallies"));
         digests.push(entry.digest);
         amounts.push(entry.amount);
     }
-    PackedBatch { origin, start, tallies, tally_of, digests, amounts: narrow(amounts) }
+    PackedBatch { origin, start, tallies, tally_of, digests, amounts: pack_amounts(amounts) }
 }
 
-fn narrow(amounts: Vec<u64>) -> PackedAmounts {
+/// Stores the amounts in 32 bits each if all of them fit, else in 64 bits.
+fn pack_amounts(amounts: Vec<u64>) -> PackedAmounts {
     let narrow: Result<Vec<u32>, _> = amounts.iter().map(|amount| u32::try_from(*amount)).collect();
     narrow.map_or(PackedAmounts::Wide(amounts), PackedAmounts::Narrow)
 }
 
-fn amount(amounts: &PackedAmounts, index: usize) -> Option<u64> {
+fn amount_at(amounts: &PackedAmounts, index: usize) -> Option<u64> {
     match amounts {
         PackedAmounts::Narrow(amounts) => amounts.get(index).map(|amount| u64::from(*amount)),
         PackedAmounts::Wide(amounts) => amounts.get(index).copied(),
     }
 }
 
-/// Returns an entry of a batch; `None` behind its end, or where its columns do not fit together.
+/// Returns an entry of a batch; `None` past its end, or if its columns are inconsistent.
 pub(crate) fn entry(batch: &PackedBatch, index: usize) -> Option<PackedEntry<'_>> {
     let tally = batch.tallies.get(usize::from(*batch.tally_of.get(index)?))?;
-    Some(PackedEntry { tally, digest: *batch.digests.get(index)?, amount: amount(&batch.amounts, index)? })
+    Some(PackedEntry { tally, digest: *batch.digests.get(index)?, amount: amount_at(&batch.amounts, index)? })
 }
 
-/// Returns whether the columns of a batch fit together.
+/// Returns whether the columns of a batch have the same length and refer only to tallies that it names.
 pub(crate) fn is_consistent(batch: &PackedBatch) -> bool {
     let amounts = match &batch.amounts {
         PackedAmounts::Narrow(amounts) => amounts.len(),
@@ -69,9 +70,10 @@
         && batch.tally_of.iter().all(|index| usize::from(*index) < batch.tallies.len())
 }
 
-/// Returns the entries of a batch from `skipped` on, as a batch.
-pub(crate) fn rest(batch: &PackedBatch, skipped: usize) -> PackedBatch {
-    let entries: Vec<PackedEntry<'_>> = (skipped..batch.digests.len()).filter_map(|at| entry(batch, at)).collect();
+/// Returns a batch without its first `skipped` entries.
+pub(crate) fn skip_entries(batch: &PackedBatch, skipped: usize) -> PackedBatch {
+    let entries: Vec<PackedEntry<'_>> =
+        (skipped..batch.digests.len()).filter_map(|index| entry(batch, index)).collect();
     pack(batch.origin, batch.start + skipped as u64, entries.into_iter())
 }
 
--- a/tally/src/packing_gate_tests.rs
+++ b/tally/src/packing_gate_tests.rs
@@ -1,9 +1,9 @@
-//! When the gate is open.
+//! When the packing gate is open.
 
 use super::PackingGate;
 
 #[test]
-fn it_opens_a_minute_after_the_start_or_after_the_last_older_replica() {
+fn the_gate_opens_a_minute_after_the_start_or_the_last_older_replica() {
     let mut gate = PackingGate::new(1_000);
     assert!(!gate.is_open(1_000));
     assert!(!gate.is_open(60_999));
--- a/tally/src/record.rs
+++ b/tally/src/record.rs
@@ -1,4 +1,4 @@
-//! What a replica stores.
+//! The records that a replica stores.
 
 use std::sync::Arc;
 
@@ -6,20 +6,19 @@
 use protocol::tally::{Origin, PackedBatch, TallyBatch};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// One change of a replica's state, as it is logged. Invariant: variants keep their order; later versions add theirs at
-/// the end.
+/// One change of a replica's state, as written to the log. Invariant: the order of the variants is part of the stored
+/// format; new ones go at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum TallyRecord {
-    /// The origin of this disk: the first record of each store.
+    /// The origin assigned to this disk; the first record of each store.
     Origin(Origin),
-    /// Entries of a log. Where some of them are known already, these are passed over.
+    /// Entries of a log. Those that are already known are skipped.
     Batch(TallyBatch),
-    /// This replica had caught up with the others once.
+    /// This replica has caught up with the others.
     CaughtUp,
-    /// Entries of a log that came packed. Where some of them are known already, these are passed over.
+    /// Entries of a log that were received packed. Those that are already known are skipped.
     Packed(Box<PackedBatch>),
-    /// A chunk of a log from which on texts of keys are not kept. It takes the place of its entries, or adds them where they
-    /// are not known.
+    /// A sealed chunk of a log, without the text of keys. It replaces its entries, or adds those that are not known.
     Sealed(Arc<PackedBatch>),
 }
 
--- a/tally/src/replica_set_tests.rs
+++ b/tally/src/replica_set_tests.rs
@@ -1,4 +1,4 @@
-//! When an entry may be acknowledged, and when a started replica may answer reads.
+//! When an entry may be acknowledged, and when a replica that just started may answer reads.
 
 use protocol::tally::{Origin, OriginVersion};
 
@@ -9,98 +9,100 @@
 const DOT: Dot = Dot { origin: Origin(1), sequence: 4 };
 const REDUNDANCY: Redundancy = Redundancy { replicas: 3, zones: 2 };
 
-fn having(length: u64) -> VersionVector {
+fn durable_up_to(length: u64) -> VersionVector {
     [OriginVersion { origin: Origin(1), length }].into_iter().collect()
 }
 
-/// A replica in zone `a` with its mates: two in each of the zones `a`, `b` and `c`, itself among them.
+/// The set of a replica in zone `a`, with two replicas in each of the zones `a`, `b` and `c`, itself included.
 fn replicas() -> ReplicaSet {
-    let mut set = ReplicaSet::new("a", REDUNDANCY, having(5));
+    let mut set = ReplicaSet::new("a", REDUNDANCY, durable_up_to(5));
     for (ip, zone) in [("a2", "a"), ("b1", "b"), ("b2", "b"), ("c1", "c"), ("c2", "c")] {
         set.discover(ip, zone, 0);
-        set.record_answer(ip, having(4), true, 100);
+        set.record_answer(ip, durable_up_to(4), true, 100);
     }
     set
 }
 
 #[test]
-fn outside_a_partition_three_disks_in_two_zones_are_needed() {
+fn outside_a_partition_an_entry_needs_three_disks_in_two_zones() {
     let mut set = replicas();
     assert!(!set.is_durable(DOT, 100));
-    set.record_answer("a2", having(5), true, 110);
-    assert!(!set.is_durable(DOT, 110), "one zone");
-    set.record_answer("b1", having(5), true, 120);
+    set.record_answer("a2", durable_up_to(5), true, 110);
+    assert!(!set.is_durable(DOT, 110), "both disks are in one zone");
+    set.record_answer("b1", durable_up_to(5), true, 120);
     assert!(set.is_durable(DOT, 120));
 }
 
 #[test]
-fn the_own_disk_is_always_needed() {
-    let mut set = ReplicaSet::new("a", REDUNDANCY, having(4));
+fn an_entry_must_always_be_on_the_own_disk() {
+    let mut set = ReplicaSet::new("a", REDUNDANCY, durable_up_to(4));
     for (ip, zone) in [("b1", "b"), ("b2", "b"), ("c1", "c")] {
         set.discover(ip, zone, 0);
-        set.record_answer(ip, having(9), true, 10);
+        set.record_answer(ip, durable_up_to(9), true, 10);
     }
     assert!(!set.is_durable(DOT, 10));
-    set.record_own(&having(5));
+    set.record_own(&durable_up_to(5));
     assert!(set.is_durable(DOT, 10));
 }
 
 #[test]
 fn in_a_partition_all_in_reach_are_needed_once_the_others_were_silent_for_a_while() {
     let mut set = replicas();
-    set.record_answer("a2", having(5), true, 900);
-    assert!(!set.is_durable(DOT, 900), "the others may only be slow");
-    let later = 100 + REACH_MS;
-    set.record_answer("a2", having(4), true, later);
-    assert!(!set.is_durable(DOT, later), "one in reach lacks it");
-    set.record_answer("a2", having(5), true, later);
-    assert!(set.is_durable(DOT, later));
+    set.record_answer("a2", durable_up_to(5), true, 900);
+    assert!(!set.is_durable(DOT, 900), "the other replicas are still in reach");
+    let after_timeout = 100 + REACH_MS;
+    set.record_answer("a2", durable_up_to(4), true, after_timeout);
+    assert!(!set.is_durable(DOT, after_timeout), "a replica in reach lacks the entry");
+    set.record_answer("a2", durable_up_to(5), true, after_timeout);
+    assert!(set.is_durable(DOT, after_timeout));
 }
 
-// A process that was frozen for two seconds took all others for out of reach, and acknowledged by itself what came first
-// after it: the loss of its disk right then would have lost an acknowledged add. Found by reading, while the reach was made shorter.
+// Guards against acknowledgement by a single replica after a pause: a process frozen for two seconds took all others
+// for out of reach and acknowledged the next add alone. The loss of its disk at that moment would have lost an
+// acknowledged add.
 #[test]
-fn after_standing_still_it_gives_the_others_as_long_again() {
+fn a_pause_of_this_process_extends_the_reach_of_the_others() {
     let mut set = replicas();
     set.observe_time(100);
     set.observe_time(450);
-    let thawed = 450 + 2 * REACH_MS;
-    assert!(set.is_durable(DOT, thawed), "nobody was heard for long");
-    set.observe_time(thawed);
-    assert!(!set.is_durable(DOT, thawed), "nobody could be heard");
-    set.observe_time(thawed + 350);
-    set.observe_time(thawed + 700);
-    assert!(set.is_durable(DOT, thawed + REACH_MS), "they are silent since");
+    let resumed = 450 + 2 * REACH_MS;
+    assert!(set.is_durable(DOT, resumed), "no replica answered within the reach timeout");
+    set.observe_time(resumed);
+    assert!(!set.is_durable(DOT, resumed), "answers could not arrive during the pause");
+    set.observe_time(resumed + 350);
+    set.observe_time(resumed + 700);
+    assert!(set.is_durable(DOT, resumed + REACH_MS), "no replica answered since the pause");
 }
 
-// The first thing that a thawed process sees may be an answer. Its time was moved on by the pause as well, so that a replica which
-// fell silent right after it counted as in reach for seconds, and adds got 504 meanwhile. Found by reading.
+// A resumed process may record an answer before it detects the pause. The time of that answer was moved forward by the
+// pause too, so that a replica that fell silent right after it counted as in reach for seconds, and adds got 504
+// meanwhile.
 #[test]
-fn an_answer_that_comes_before_the_pause_is_noticed_is_not_taken_for_a_later_one() {
+fn an_answer_recorded_before_the_pause_is_detected_is_not_moved_into_the_future() {
     let mut set = replicas();
     set.observe_time(100);
-    let thawed = 100 + 5 * REACH_MS;
+    let resumed = 100 + 5 * REACH_MS;
     for ip in ["a2", "b1", "b2", "c1", "c2"] {
-        set.record_answer(ip, having(4), true, thawed);
+        set.record_answer(ip, durable_up_to(4), true, resumed);
     }
-    set.observe_time(thawed);
-    set.observe_time(thawed + 400);
-    assert!(!set.is_durable(DOT, thawed + REACH_MS - 1), "they answered a moment ago");
-    set.observe_time(thawed + REACH_MS);
-    assert!(set.is_durable(DOT, thawed + REACH_MS), "they are silent since");
+    set.observe_time(resumed);
+    set.observe_time(resumed + 400);
+    assert!(!set.is_durable(DOT, resumed + REACH_MS - 1), "all replicas answered less than the reach timeout ago");
+    set.observe_time(resumed + REACH_MS);
+    assert!(set.is_durable(DOT, resumed + REACH_MS), "no replica answered since the pause");
 }
 
 #[test]
-fn a_replica_that_was_just_discovered_is_waited_for() {
-    let mut set = ReplicaSet::new("a", REDUNDANCY, having(5));
+fn a_newly_discovered_replica_counts_as_in_reach() {
+    let mut set = ReplicaSet::new("a", REDUNDANCY, durable_up_to(5));
     set.discover("b1", "b", 500);
     assert!(!set.is_durable(DOT, 500));
     assert!(set.is_durable(DOT, 500 + REACH_MS));
 }
 
 #[test]
-fn a_controller_that_keeps_no_tallies_is_not_waited_for() {
-    let mut set = ReplicaSet::new("a", REDUNDANCY, having(5));
+fn a_controller_without_tallies_is_forgotten() {
+    let mut set = ReplicaSet::new("a", REDUNDANCY, durable_up_to(5));
     set.discover("b1", "b", 500);
     assert!(!set.is_durable(DOT, 500) && !set.has_caught_up(false, 500));
     set.forget("b1");
@@ -110,35 +112,35 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_no_longer_counts() {
+fn a_replica_that_lost_its_disk_no_longer_counts_as_a_holder() {
     let mut set = replicas();
-    set.record_answer("b1", having(5), true, 110);
-    set.record_answer("c1", having(5), true, 110);
+    set.record_answer("b1", durable_up_to(5), true, 110);
+    set.record_answer("c1", durable_up_to(5), true, 110);
     assert!(set.is_durable(DOT, 110));
     set.record_answer("c1", VersionVector::default(), false, 120);
     assert!(!set.is_durable(DOT, 120));
 }
 
 #[test]
-fn a_started_replica_answers_once_it_has_what_those_in_reach_have() {
+fn a_started_replica_has_caught_up_once_it_has_all_entries_of_those_in_reach() {
     let mut set = ReplicaSet::new("a", REDUNDANCY, VersionVector::default());
     set.discover("b1", "b", 0);
     set.discover("c1", "c", 0);
     assert!(!set.has_caught_up(true, 10));
-    set.record_answer("b1", having(3), true, 10);
-    assert!(!set.has_caught_up(true, 10), "another one has not answered, and this one has more");
-    set.record_own(&having(3));
+    set.record_answer("b1", durable_up_to(3), true, 10);
+    assert!(!set.has_caught_up(true, 10), "c1 has not answered, and b1 has more entries");
+    set.record_own(&durable_up_to(3));
     assert!(!set.has_caught_up(true, 10));
     set.record_answer("c1", VersionVector::default(), false, 20);
     assert!(set.has_caught_up(true, 20));
 }
 
 #[test]
-fn an_empty_disk_is_not_enough_by_itself_nor_with_another_empty_one() {
+fn a_replica_with_an_empty_disk_needs_a_peer_that_has_caught_up() {
     let mut set = ReplicaSet::new("a", REDUNDANCY, VersionVector::default());
     set.discover("b1", "b", 0);
-    assert!(!set.has_caught_up(true, 5000), "nobody in reach knows anything");
+    assert!(!set.has_caught_up(true, 5000), "no replica in reach has caught up");
     set.record_answer("b1", VersionVector::default(), false, 5000);
     assert!(!set.has_caught_up(true, 5000));
-    assert!(set.has_caught_up(false, 5000), "one with a disk of its own goes on alone");
+    assert!(set.has_caught_up(false, 5000), "a replica that has caught up before needs no peer that has");
 }
--- a/tally/src/version_vector.rs
+++ b/tally/src/version_vector.rs
@@ -1,4 +1,4 @@
-//! What a replica has: for each origin, how many entries of its log from the beginning.
+//! Version vectors: which entries a replica has, as the length of each origin's log.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::log::Dot;
 
-/// The lengths of logs by origin. Origins that are not named have length 0.
+/// The lengths of logs by origin. Origins that are absent have length 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionVector(BTreeMap<Origin, u64>);
 
@@ -16,18 +16,18 @@
         self.0.get(&origin).copied().unwrap_or(0)
     }
 
-    /// Sets the length of an origin's log to at least this.
+    /// Raises the length of an origin's log to at least `length`.
     pub fn advance(&mut self, origin: Origin, length: u64) {
-        let known = self.0.entry(origin).or_default();
-        *known = length.max(*known);
+        let current = self.0.entry(origin).or_default();
+        *current = length.max(*current);
     }
 
-    /// Returns whether the entry at this place of a log is among those counted here.
+    /// Returns whether the vector includes the entry at this position.
     pub fn contains(&self, dot: Dot) -> bool {
         dot.sequence < self.length(dot.origin)
     }
 
-    /// Returns whether everything that `other` has is here too.
+    /// Returns whether the vector includes all entries that `other` includes.
     pub fn covers(&self, other: &VersionVector) -> bool {
         other.iter().all(|version| version.length <= self.length(version.origin))
     }
