--- a/tally/src/packed_batch_tests.rs
+++ b/tally/src/packed_batch_tests.rs
@@ -11,7 +11,7 @@
 
 proptest! {
     #[test]
-    fn packed_entries_are_unpacked_unchanged(entries in prop::collection::vec((0..4_u8, any::<u8>(), any::<u64>()), 0..20)) {
+    fn packing_keeps_all_entries(entries in prop::collection::vec((0..4_u8, any::<u8>(), any::<u64>()), 0..20)) {
         let names: Vec<String> = entries.iter().map(|(tally, ..)| format!("t{tally}")).collect();
         let packed = pack(Origin(3), 7, entries.iter().zip(&names).map(|((_, key, amount), tally)| {
             PackedEntry { tally, digest: digest(*key), amount: *amount }
--- a/tally/src/replica_set.rs
+++ b/tally/src/replica_set.rs
@@ -14,7 +14,8 @@
 /// are more frequent than that.
 const PAUSE_THRESHOLD_MS: u64 = 600;
 
-/// How many disks, in how many zones, must have an entry before it is acknowledged while all replicas are in reach.
+/// How many disks, in how many zones, must have an entry before it is acknowledged, unless all replicas in reach have
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Redundancy {
     /// Required number of disks, the own one included.
--- a/tally/src/testing/mod.rs
+++ b/tally/src/testing/mod.rs
@@ -1,4 +1,4 @@
-//! Test support: replicas in virtual time, over links that are cut and disks that are lost.
+//! Test support: a simulation of replicas in virtual time with network partitions, power failures and lost disks.
 
 mod simulation;
 mod simulation_tests;
--- a/tally/src/testing/simulation.rs
+++ b/tally/src/testing/simulation.rs
@@ -1,5 +1,5 @@
-//! Replicas in virtual time. Links between zones are cut, also one way; machines lose power or their disks. The four sentences
-//! of `docs/counters.md` are checked at each step and at the end.
+//! A simulation of replicas in virtual time. Links between zones are cut, also in one direction only; machines lose
+//! power or their disks. The four guarantees of `docs/counters.md` are checked after each round and at the end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,50 +8,53 @@
 
 use crate::{Dot, Redundancy, ReplicaSet, TallyLog, TallyRecord, VersionVector};
 
-/// How many zones there are, and how many replicas in each.
+/// Number of zones.
 pub const ZONES: usize = 3;
-pub const IN_ZONE: usize = 2;
-const REPLICAS: usize = ZONES * IN_ZONE;
-/// Virtual milliseconds from one round of exchanges to the next.
+/// Number of replicas in each zone.
+pub const REPLICAS_PER_ZONE: usize = 2;
+const REPLICAS: usize = ZONES * REPLICAS_PER_ZONE;
+/// Interval between two rounds of exchanges, in virtual milliseconds.
 const ROUND_MS: u64 = 350;
-/// What is to be borne: two disks, or a zone.
+/// Tolerates the loss of two disks or of one zone.
 const REDUNDANCY: Redundancy = Redundancy { replicas: 3, zones: 2 };
-/// What one exchange carries at most, in bytes.
+/// Maximum size of the entries in one exchange, in bytes.
 const EXCHANGE_BYTES: usize = 4000;
+/// Number of tallies.
 const TALLIES: u64 = 3;
-const MAX_AMOUNT: u64 = 9;
+/// Exclusive upper bound of the amount of a call.
+const AMOUNT_BOUND: u64 = 9;
 
-/// Faults that a wrong implementation would have. Each must be found by the checks.
+/// Defects that an implementation could have. The checks must detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// As it is meant to be.
+    /// A correct implementation.
     None,
-    /// Acknowledges as soon as the own disk has an entry.
-    AcknowledgesAlone,
-    /// Takes a key again that it knows, as an entry that counts anew.
+    /// Acknowledges an entry as soon as it is on the own disk.
+    AcknowledgesWithoutReplication,
+    /// Accepts a known key again and counts it twice.
     ForgetsKeys,
-    /// Answers reads at once after a start on an empty disk.
-    AnswersUninformed,
-    /// Sends entries to others before the own disk has them.
+    /// Answers reads immediately after a start with an empty disk.
+    AnswersBeforeCatchingUp,
+    /// Sends entries to other replicas before they are on the own disk.
     SendsBeforeSync,
-    /// Takes a key again whose entry is sealed, as an entry that counts anew.
+    /// Accepts the key of a sealed entry again and counts it twice.
     ForgetsSealedKeys,
     /// Sends the digest of a sealed key as if it were a client's key.
     SendsDigestsAsKeys,
-    /// Restores sealed chunks at a start, and loses the entries behind them.
-    RestoresSealedAlone,
+    /// Restores only sealed chunks at a start, and loses the entries after them.
+    RestoresOnlySealed,
 }
 
-/// Entries on their way, in either form.
-enum Sent {
+/// The entries of one exchange, in either form.
+enum SentEntries {
     Text(Vec<TallyBatch>),
     Packed(Vec<PackedBatch>),
 }
 
-/// One replica: what is on its disk, and what the process knows.
+/// One replica: its disk and its process.
 struct Replica {
     disk: Vec<TallyRecord>,
-    /// None: without power.
+    /// `None` without power.
     process: Option<Process>,
 }
 
@@ -59,15 +62,15 @@
     log: TallyLog,
     set: ReplicaSet,
     caught_up: bool,
-    /// Its disk had nothing when it started.
-    needs_informed: bool,
-    /// What it acknowledged in this life.
+    /// Whether its disk was empty when it started.
+    needs_caught_up_peer: bool,
+    /// The calls that it has acknowledged since it started.
     acknowledged: Vec<Call>,
-    /// Calls that wait for an acknowledgement.
+    /// Calls that are not yet acknowledged, with the positions of their entries.
     waiting: Vec<(Call, Dot)>,
 }
 
-/// One call of a client.
+/// A client's call that adds an amount.
 #[derive(Clone, Debug)]
 pub struct Call {
     tally: String,
@@ -75,39 +78,40 @@
     amount: u64,
 }
 
-/// The world of a run.
-pub struct World {
+/// The state of one simulated run.
+pub struct Simulation {
     rng: Rng,
     now: u64,
     defect: Defect,
     replicas: Vec<Replica>,
-    /// Pairs of zones of which the first does not reach the second.
+    /// Pairs of zones of which the first can't send to the second.
     cuts: BTreeSet<(usize, usize)>,
-    /// Disks lost in the fault that is going on: two at most, and none during a cut.
+    /// Disks lost since power was last restored: at most two, and none while links are cut.
     lost_disks: usize,
+    /// Number of origins assigned so far.
     origins: u64,
     /// The amounts of all calls by tally and key.
-    sent: BTreeMap<String, BTreeMap<String, u64>>,
+    submitted: BTreeMap<String, BTreeMap<String, u64>>,
     acknowledged: Vec<Call>,
-    /// How many of these every replica showed at the last calm time.
-    settled: usize,
-    /// When the last fault ended.
-    calm_since: u64,
+    /// How many of these every replica had counted at the last [`check_converged`](Self::check_converged).
+    converged: usize,
+    /// When links or power were last restored.
+    restored_at: u64,
 }
 
 fn zone_of(replica: usize) -> usize {
-    replica / IN_ZONE
+    replica / REPLICAS_PER_ZONE
 }
 
 fn name(replica: usize) -> String {
     format!("r{replica}")
 }
 
-impl World {
+impl Simulation {
     /// Starts all replicas on empty disks.
-    pub fn new(seed: u64, defect: Defect) -> World {
+    pub fn new(seed: u64, defect: Defect) -> Simulation {
         let replicas = (0..REPLICAS).map(|_| Replica { disk: Vec::new(), process: None }).collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             rng: Rng::new(seed),
             now: 0,
             defect,
@@ -115,26 +119,26 @@
             cuts: BTreeSet::new(),
             lost_disks: 0,
             origins: 0,
-            sent: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             acknowledged: Vec::new(),
-            settled: 0,
-            calm_since: 0,
+            converged: 0,
+            restored_at: 0,
         };
         for replica in 0..REPLICAS {
-            // The whole system starts for the first time: nobody can know anything yet.
-            world.replicas[replica].disk = vec![TallyRecord::CaughtUp];
-            world.start(replica);
+            // No replica of a new system can have entries, so that all of them count as caught up.
+            simulation.replicas[replica].disk = vec![TallyRecord::CaughtUp];
+            simulation.start(replica);
         }
-        world
+        simulation
     }
 
-    fn below(&mut self, limit: u64) -> u64 {
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.rng.next_u64() % limit
     }
 
     fn start(&mut self, replica: usize) {
         let is_empty = self.replicas[replica].disk.is_empty();
-        if self.defect == Defect::RestoresSealedAlone {
+        if self.defect == Defect::RestoresOnlySealed {
             self.drop_unsealed(replica);
         }
         let mut log = TallyLog::default();
@@ -149,13 +153,19 @@
         for other in (0..REPLICAS).filter(|other| *other != replica) {
             set.discover(&name(other), &zone_of(other).to_string(), self.now);
         }
-        let caught_up = self.defect == Defect::AnswersUninformed;
-        let process =
-            Process { log, set, caught_up, needs_informed: is_empty, acknowledged: Vec::new(), waiting: Vec::new() };
+        let caught_up = self.defect == Defect::AnswersBeforeCatchingUp;
+        let process = Process {
+            log,
+            set,
+            caught_up,
+            needs_caught_up_peer: is_empty,
+            acknowledged: Vec::new(),
+            waiting: Vec::new(),
+        };
         self.replicas[replica].process = Some(process);
     }
 
-    /// Leaves only sealed chunks on a disk that has some.
+    /// Removes unsealed entries from a disk that has sealed chunks.
     fn drop_unsealed(&mut self, replica: usize) {
         let disk = &mut self.replicas[replica].disk;
         if disk.iter().any(|record| matches!(record, TallyRecord::Sealed(_))) {
@@ -163,15 +173,15 @@
         }
     }
 
-    /// A replica seals what it can, and rewrites its disk as a snapshot in one of two cases.
+    /// Seals all possible chunks of one replica, and replaces its disk by a snapshot in half of the cases.
     pub fn seal(&mut self) {
-        let replica = self.below(REPLICAS as u64) as usize;
-        let is_rewritten = self.below(2) == 0;
+        let replica = self.random_below(REPLICAS as u64) as usize;
+        let is_compacted = self.random_below(2) == 0;
         let Replica { disk, process } = &mut self.replicas[replica];
         let Some(process) = process else { return };
         let durable = process.set.own_durable().clone();
         disk.extend(process.log.seal(&durable, usize::MAX).into_iter().map(TallyRecord::Sealed));
-        if is_rewritten {
+        if is_compacted {
             *disk = process.log.snapshot();
         }
     }
@@ -180,18 +190,18 @@
         !self.cuts.contains(&(zone_of(from), zone_of(to)))
     }
 
-    /// A client calls a replica; one in three sends a key that was sent before.
-    pub fn call(&mut self) {
-        let replica = self.below(REPLICAS as u64) as usize;
-        let tally = format!("t{}", self.below(TALLIES));
-        let fresh = format!("k{}", self.sent.values().map(BTreeMap::len).sum::<usize>());
-        let known = self.sent.get(&tally).map_or(0, BTreeMap::len) as u64;
-        let is_repeat = known > 0 && self.below(3) == 0;
-        let place = self.below(known.max(1)) as usize;
-        let keys = self.sent.entry(tally.clone()).or_default();
-        let key = if is_repeat { keys.keys().nth(place).cloned().unwrap_or(fresh) } else { fresh };
-        let drawn = self.rng.next_u64() % MAX_AMOUNT;
-        let amount = *keys.entry(key.clone()).or_insert(drawn);
+    /// A client calls a replica; one call in three repeats an earlier key.
+    pub fn submit_call(&mut self) {
+        let replica = self.random_below(REPLICAS as u64) as usize;
+        let tally = format!("t{}", self.random_below(TALLIES));
+        let new_key = format!("k{}", self.submitted.values().map(BTreeMap::len).sum::<usize>());
+        let known = self.submitted.get(&tally).map_or(0, BTreeMap::len) as u64;
+        let is_repeat = known > 0 && self.random_below(3) == 0;
+        let index = self.random_below(known.max(1)) as usize;
+        let keys = self.submitted.entry(tally.clone()).or_default();
+        let key = if is_repeat { keys.keys().nth(index).cloned().unwrap_or(new_key) } else { new_key };
+        let random_amount = self.rng.next_u64() % AMOUNT_BOUND;
+        let amount = *keys.entry(key.clone()).or_insert(random_amount);
         self.add(replica, Call { tally, key, amount });
     }
 
@@ -207,8 +217,8 @@
         let found = process.log.find(&call.tally, &call.key);
         let known = found.filter(|dot| !is_forgotten(dot));
         let dot = known.unwrap_or_else(|| {
-            let counted = if found.is_some() { format!("{}#{}", call.key, disk.len()) } else { call.key.clone() };
-            let entry = TallyEntry { tally: call.tally.clone(), instance_id: counted, amount: call.amount };
+            let key = if found.is_some() { format!("{}#{}", call.key, disk.len()) } else { call.key.clone() };
+            let entry = TallyEntry { tally: call.tally.clone(), instance_id: key, amount: call.amount };
             let dot = process.log.append(entry.clone());
             let batch = TallyBatch { origin: dot.origin, start: dot.sequence, entries: vec![entry] };
             disk.push(TallyRecord::Batch(batch));
@@ -216,11 +226,11 @@
             dot
         });
         process.waiting.push((call, dot));
-        self.settle(replica);
+        self.update_replica(replica);
     }
 
-    /// All replicas call all others once, and acknowledge what may be.
-    pub fn round(&mut self) {
+    /// Every replica exchanges entries with every other one, then acknowledges all calls that it may.
+    pub fn run_round(&mut self) {
         for from in 0..REPLICAS {
             for to in (0..REPLICAS).filter(|to| *to != from) {
                 self.exchange(from, to);
@@ -228,7 +238,7 @@
         }
         self.now += ROUND_MS;
         for replica in 0..REPLICAS {
-            self.settle(replica);
+            self.update_replica(replica);
         }
     }
 
@@ -241,11 +251,11 @@
         let durable = sender.set.own_durable().clone();
         let is_packed = self.rng.next_u64().is_multiple_of(2);
         let sent = match known {
-            None => Sent::Text(Vec::new()),
+            None => SentEntries::Text(Vec::new()),
             Some(known) if is_packed => {
-                Sent::Packed(sender.log.missing_packed_at(&known, &durable, |_| true, EXCHANGE_BYTES))
+                SentEntries::Packed(sender.log.missing_packed_at(&known, &durable, |_| true, EXCHANGE_BYTES))
             }
-            Some(known) => Sent::Text(sender.log.missing_at(&known, &durable, |_| true, EXCHANGE_BYTES)),
+            Some(known) => SentEntries::Text(sender.log.missing_at(&known, &durable, |_| true, EXCHANGE_BYTES)),
         };
         let Some(answer) = self.receive(to, sent) else { return };
         if !self.reaches(to, from) {
@@ -257,18 +267,18 @@
         }
     }
 
-    fn receive(&mut self, to: usize, sent: Sent) -> Option<(VersionVector, bool)> {
+    fn receive(&mut self, to: usize, sent: SentEntries) -> Option<(VersionVector, bool)> {
         let defect = self.defect;
         let Replica { disk, process } = &mut self.replicas[to];
         let process = process.as_mut()?;
         match sent {
-            Sent::Text(mut batches) => {
+            SentEntries::Text(mut batches) => {
                 if defect == Defect::SendsDigestsAsKeys {
-                    strip_digest_marks(&mut batches);
+                    strip_digest_prefixes(&mut batches);
                 }
                 disk.extend(batches.iter().filter_map(|batch| process.log.apply(batch)).map(TallyRecord::Batch));
             }
-            Sent::Packed(batches) => {
+            SentEntries::Packed(batches) => {
                 let new = batches.iter().filter_map(|batch| process.log.apply_packed(batch));
                 disk.extend(new.map(|batch| TallyRecord::Packed(Box::new(batch))));
             }
@@ -277,16 +287,18 @@
         Some((process.set.own_durable().clone(), process.caught_up))
     }
 
-    fn settle(&mut self, replica: usize) {
+    /// Marks a replica as caught up once it is, and acknowledges the calls whose entries are durable.
+    fn update_replica(&mut self, replica: usize) {
         let (now, defect) = (self.now, self.defect);
         let Replica { disk, process } = &mut self.replicas[replica];
         let Some(process) = process else { return };
-        if !process.caught_up && process.set.has_caught_up(process.needs_informed, now) {
+        if !process.caught_up && process.set.has_caught_up(process.needs_caught_up_peer, now) {
             process.caught_up = true;
             disk.push(TallyRecord::CaughtUp);
         }
-        let is_due = |dot: &Dot| process.set.is_durable(*dot, now) || defect == Defect::AcknowledgesAlone;
-        let (done, waiting) = process.waiting.drain(..).partition(|(_, dot)| is_due(dot));
+        let may_acknowledge =
+            |dot: &Dot| process.set.is_durable(*dot, now) || defect == Defect::AcknowledgesWithoutReplication;
+        let (done, waiting) = process.waiting.drain(..).partition(|(_, dot)| may_acknowledge(dot));
         process.waiting = waiting;
         let done: Vec<Call> = Vec::from_iter::<Vec<(Call, Dot)>>(done).into_iter().map(|(call, _)| call).collect();
         process.acknowledged.extend(done.iter().cloned());
@@ -294,18 +306,19 @@
     }
 }
 
-fn strip_digest_marks(batches: &mut [TallyBatch]) {
+fn strip_digest_prefixes(batches: &mut [TallyBatch]) {
     for entry in batches.iter_mut().flat_map(|batch| &mut batch.entries) {
         entry.instance_id = entry.instance_id.trim_start_matches('/').into();
     }
 }
 
 /// Faults.
-impl World {
-    /// Cuts a zone off, or two zones from each other, or one way. Inside a cut further ones may come.
-    pub fn cut(&mut self) {
-        let (one, other) = (self.below(ZONES as u64) as usize, self.below(ZONES as u64) as usize);
-        match self.below(3) {
+impl Simulation {
+    /// Cuts the links of a zone to all others, those between two zones, or those in one direction. Cuts accumulate
+    /// until [`restore_links`](Self::restore_links).
+    pub fn cut_links(&mut self) {
+        let (one, other) = (self.random_below(ZONES as u64) as usize, self.random_below(ZONES as u64) as usize);
+        match self.random_below(3) {
             0 => (0..ZONES).filter(|zone| *zone != one).for_each(|zone| {
                 self.cuts.insert((one, zone));
                 self.cuts.insert((zone, one));
@@ -321,25 +334,26 @@
         }
     }
 
-    /// Heals all cuts.
-    pub fn heal(&mut self) {
+    /// Restores all links.
+    pub fn restore_links(&mut self) {
         self.cuts.clear();
-        self.calm_since = self.now;
+        self.restored_at = self.now;
     }
 
-    /// Power goes at some replicas, and with `lose_disks` two lose their disks, or all of a zone.
-    pub fn lose(&mut self, lose_disks: bool) {
-        let is_zone = self.below(3) == 0;
-        let first = self.below(REPLICAS as u64) as usize;
-        let second = (first + 1 + self.below(REPLICAS as u64 - 1) as usize) % REPLICAS;
-        let is_all = self.below(3) == 0;
+    /// Cuts the power of two replicas, of one zone or of all replicas. With `lose_disks`, the two or those of the zone
+    /// also lose their disks.
+    pub fn fail_power(&mut self, lose_disks: bool) {
+        let is_zone = self.random_below(3) == 0;
+        let first = self.random_below(REPLICAS as u64) as usize;
+        let second = (first + 1 + self.random_below(REPLICAS as u64 - 1) as usize) % REPLICAS;
+        let is_all = self.random_below(3) == 0;
         for replica in 0..REPLICAS {
             let is_hit = if is_zone { zone_of(replica) == zone_of(first) } else { [first, second].contains(&replica) };
             if is_hit || is_all {
                 self.cut_power(replica);
             }
-            // A disk is lost only outside cuts, where nothing acknowledged may go with it.
-            if is_hit && lose_disks && self.cuts.is_empty() && self.is_calm() {
+            // A disk is lost only while all links are up: then every acknowledged entry must survive the loss.
+            if is_hit && lose_disks && self.cuts.is_empty() && self.is_fault_free() {
                 self.replicas[replica].disk.clear();
                 self.lost_disks += 1;
             }
@@ -349,30 +363,30 @@
     fn cut_power(&mut self, replica: usize) {
         let Replica { disk, process } = &mut self.replicas[replica];
         if process.take().is_some() && self.defect == Defect::SendsBeforeSync {
-            // The newest record was not on disk yet, though others have it.
+            // The newest record was not yet on disk, although other replicas have its entries.
             let is_batch = matches!(disk.last(), Some(TallyRecord::Batch(_)));
             disk.truncate(disk.len() - usize::from(is_batch));
         }
     }
 
-    /// Gives all machines power again.
-    pub fn restore(&mut self) {
+    /// Restores the power of all machines.
+    pub fn restore_power(&mut self) {
         for replica in 0..REPLICAS {
             if self.replicas[replica].process.is_none() {
                 self.start(replica);
             }
         }
         self.lost_disks = 0;
-        self.calm_since = self.now;
+        self.restored_at = self.now;
     }
 
-    fn is_calm(&self) -> bool {
-        self.lost_disks == 0 && self.now > self.calm_since + 10 * ROUND_MS
+    fn is_fault_free(&self) -> bool {
+        self.lost_disks == 0 && self.now > self.restored_at + 10 * ROUND_MS
     }
 }
 
 /// Checks.
-impl World {
+impl Simulation {
     fn totals_of(&self, calls: &[Call]) -> BTreeMap<String, u128> {
         let mut keys: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
         for call in calls {
@@ -383,53 +397,61 @@
             .collect()
     }
 
-    /// No read shows more than was sent, or less than what the same process acknowledged or all showed once.
+    /// Checks that no total exceeds the sum of all calls, and that each includes the calls that the same process
+    /// acknowledged and those that all replicas had counted before.
     ///
     /// # Errors
     ///
-    /// What was read and what it had to be.
+    /// The total read and the allowed range.
     pub fn check(&self) -> Result<(), String> {
         for (index, replica) in self.replicas.iter().enumerate() {
             let Some(process) = replica.process.as_ref().filter(|process| process.caught_up) else { continue };
-            let known = [&process.acknowledged, &self.acknowledged[..self.settled]].concat();
-            let own = self.totals_of(&known);
-            for (tally, keys) in &self.sent {
-                let most: u128 = keys.values().map(|amount| u128::from(*amount)).sum();
-                let least = own.get(tally).copied().unwrap_or(0);
+            let required = [&process.acknowledged, &self.acknowledged[..self.converged]].concat();
+            let minimums = self.totals_of(&required);
+            for (tally, keys) in &self.submitted {
+                let maximum: u128 = keys.values().map(|amount| u128::from(*amount)).sum();
+                let minimum = minimums.get(tally).copied().unwrap_or(0);
                 let total = process.log.total(tally);
-                if total > most || total < least {
-                    return Err(format!("{} reads {total} of {tally}, must be {least} to {most}", name(index)));
+                if total > maximum || total < minimum {
+                    return Err(format!(
+                        "{} has total {total} of {tally}, expected {minimum} to {maximum}",
+                        name(index)
+                    ));
                 }
             }
         }
         Ok(())
     }
 
-    /// After calm rounds every replica answers, and shows at least all that was acknowledged anywhere.
+    /// Checks after rounds without faults that every replica answers reads, and that its totals include all
+    /// acknowledged calls.
     ///
     /// # Errors
     ///
-    /// What was read and what it had to be.
-    pub fn check_calm(&mut self) -> Result<(), String> {
+    /// The replica that does not answer, or the total read and its minimum.
+    pub fn check_converged(&mut self) -> Result<(), String> {
         self.check()?;
-        let all = self.totals_of(&self.acknowledged);
+        let minimums = self.totals_of(&self.acknowledged);
         for (index, replica) in self.replicas.iter().enumerate() {
             let Some(process) = &replica.process else { continue };
             if !process.caught_up {
-                return Err(format!("{} does not answer", name(index)));
+                return Err(format!("{} does not answer reads", name(index)));
             }
-            for (tally, least) in &all {
+            for (tally, minimum) in &minimums {
                 let total = process.log.total(tally);
-                if total < *least {
-                    return Err(format!("{} reads {total} of {tally}, {least} were acknowledged", name(index)));
+                if total < *minimum {
+                    return Err(format!(
+                        "{} has total {total} of {tally}, but {minimum} was acknowledged",
+                        name(index)
+                    ));
                 }
             }
         }
-        self.settled = self.acknowledged.len();
+        self.converged = self.acknowledged.len();
         Ok(())
     }
 
-    /// Returns how many calls were acknowledged.
+    /// Returns the number of acknowledged calls.
     pub fn acknowledged(&self) -> usize {
         self.acknowledged.len()
     }
--- a/tally/src/testing/simulation_tests.rs
+++ b/tally/src/testing/simulation_tests.rs
@@ -1,71 +1,72 @@
-//! Long cuts, cuts inside cuts, losses while the sides are apart, lost disks: seeded runs, and defects that they find.
+//! Seeded runs with long and overlapping network partitions, power failures and lost disks, and the defects that they
+//! detect.
 
-use super::simulation::{Defect, World};
+use super::simulation::{Defect, Simulation};
 use kernel::Rng;
 
-/// Rounds without a fault after which everything acknowledged is to be read everywhere: 3.5 s.
-const CALM_ROUNDS: usize = 10;
+/// Rounds without a fault after which every replica must have counted all acknowledged calls: 3.5 s.
+const FAULT_FREE_ROUNDS: usize = 10;
 
-/// One run: phases of faults and calls, each followed by a calm time. Returns how many calls were acknowledged.
+/// Runs phases of faults and calls, each followed by rounds without faults. Returns the number of acknowledged calls.
 fn run(seed: u64, defect: Defect) -> Result<usize, String> {
-    let mut world = World::new(seed, defect);
+    let mut simulation = Simulation::new(seed, defect);
     let mut schedule = Rng::new(seed ^ 0x5eed);
     let mut below = |limit: u64| schedule.next_u64() % limit;
-    (0..CALM_ROUNDS).for_each(|_| world.round());
+    (0..FAULT_FREE_ROUNDS).for_each(|_| simulation.run_round());
     for _ in 0..8 {
         for _ in 0..below(40) {
             match below(12) {
-                0 | 1 => world.cut(),
-                2 => world.heal(),
-                3 => world.lose(false),
-                4 => world.restore(),
-                5 | 6 => world.seal(),
+                0 | 1 => simulation.cut_links(),
+                2 => simulation.restore_links(),
+                3 => simulation.fail_power(false),
+                4 => simulation.restore_power(),
+                5 | 6 => simulation.seal(),
                 _ => {}
             }
-            (0..below(6)).for_each(|_| world.call());
-            world.round();
-            world.check()?;
+            (0..below(6)).for_each(|_| simulation.submit_call());
+            simulation.run_round();
+            simulation.check()?;
         }
-        world.heal();
-        world.restore();
-        (0..4 * CALM_ROUNDS).for_each(|_| world.round());
-        world.check_calm()?;
-        // Outside cuts a loss that is to be borne may come right after an acknowledgement.
-        (0..5).for_each(|_| world.call());
-        (0..below(3)).for_each(|_| world.round());
-        world.lose(true);
-        (0..below(5)).for_each(|_| world.round());
-        world.restore();
-        for _ in 0..CALM_ROUNDS {
-            world.check()?;
-            world.round();
+        simulation.restore_links();
+        simulation.restore_power();
+        (0..4 * FAULT_FREE_ROUNDS).for_each(|_| simulation.run_round());
+        simulation.check_converged()?;
+        // While all links are up, a tolerated loss may follow directly after an acknowledgement.
+        (0..5).for_each(|_| simulation.submit_call());
+        (0..below(3)).for_each(|_| simulation.run_round());
+        simulation.fail_power(true);
+        (0..below(5)).for_each(|_| simulation.run_round());
+        simulation.restore_power();
+        for _ in 0..FAULT_FREE_ROUNDS {
+            simulation.check()?;
+            simulation.run_round();
         }
-        world.check_calm()?;
+        simulation.check_converged()?;
     }
-    Ok(world.acknowledged())
+    Ok(simulation.acknowledged())
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_and_nothing_counts_twice() {
+fn acknowledged_calls_are_never_lost_or_counted_twice() {
     let mut acknowledged = 0;
     for seed in 1..=150 {
         acknowledged += run(seed, Defect::None).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     }
-    assert!(acknowledged > 30_000, "the runs exercise it: {acknowledged}");
+    assert!(acknowledged > 30_000, "too few acknowledged calls to exercise the guarantees: {acknowledged}");
 }
 
 #[test]
-fn each_defect_is_found() {
+fn each_defect_is_detected() {
     for defect in [
-        Defect::AcknowledgesAlone,
+        Defect::AcknowledgesWithoutReplication,
         Defect::ForgetsKeys,
-        Defect::AnswersUninformed,
+        Defect::AnswersBeforeCatchingUp,
         Defect::SendsBeforeSync,
         Defect::ForgetsSealedKeys,
         Defect::SendsDigestsAsKeys,
-        Defect::RestoresSealedAlone,
+        Defect::RestoresOnlySealed,
     ] {
-        let found = (1..=40).filter(|seed| run(*seed, defect).is_err()).count();
-        assert!(found > 0, "{defect:?}");
+        let detecting_seeds = (1..=40).filter(|seed| run(*seed, defect).is_err()).count();
+        assert!(detecting_seeds > 0, "no seed detects {defect:?}");
     }
 }
