--- a/batch/src/job_page.rs
+++ b/batch/src/job_page.rs
@@ -25,7 +25,7 @@
     OutcomeUnknown,
     /// Final: it has no response by the end of its window, or after [`MAX_ATTEMPTS`](crate::MAX_ATTEMPTS) attempts.
     DeadlineMissed,
-    /// Final: the batch was cancelled before it was sent.
+    /// Final: the batch was cancelled before the job was sent.
     Cancelled,
 }
 
--- a/batch/src/record_tests.rs
+++ b/batch/src/record_tests.rs
@@ -7,7 +7,7 @@
     let text = serde_json::json!({"window_s": 60, "jobs": [
         {"name": "a", "hostname": "h", "path": "/x/1", "headers": {"model": "m"}, "body": "1"},
         {"name": "b", "hostname": "h", "path": "/x/2", "body": "2"}]});
-    parse("key-1", &text.to_string(), &|host, _| (host == "h").then_some(true)).expect("valid")
+    parse("key-1", &text.to_string(), &|host, _| (host == "h").then_some(true)).expect("the submission is valid")
 }
 
 #[test]
--- a/batch/src/specification.rs
+++ b/batch/src/specification.rs
@@ -136,23 +136,23 @@
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err(SpecificationError::InvalidIdempotencyKey);
     }
-    let specification: Sent = serde_json::from_str(text)?;
-    let window_s = specification.window_s.unwrap_or(0.0);
+    let submission: Sent = serde_json::from_str(text)?;
+    let window_s = submission.window_s.unwrap_or(0.0);
     if !(window_s > 0.0 && window_s <= MAX_WINDOW_S as f64) {
         return Err(SpecificationError::WindowOutOfRange { found_s: window_s });
     }
-    let jobs = check_jobs(specification.jobs, route)?;
+    let jobs = check_jobs(submission.jobs, route)?;
     let digest = hashing::hash(text.as_bytes());
     Ok(Batch { idempotency_key: key.into(), digest, window_ms: (window_s * MS_PER_S) as u64, jobs, ..Batch::default() })
 }
 
-fn check_jobs(specifications: Vec<SentJob>, route: RouteLookup) -> Result<Vec<Job>, SpecificationError> {
-    if specifications.is_empty() || specifications.len() > MAX_JOBS {
-        return Err(SpecificationError::JobCountOutOfRange { found: specifications.len() });
+fn check_jobs(submitted_jobs: Vec<SentJob>, route: RouteLookup) -> Result<Vec<Job>, SpecificationError> {
+    if submitted_jobs.is_empty() || submitted_jobs.len() > MAX_JOBS {
+        return Err(SpecificationError::JobCountOutOfRange { found: submitted_jobs.len() });
     }
     let mut checker = JobChecker { route, seen_names: HashSet::new(), size_bytes: 0 };
-    let mut jobs = Vec::with_capacity(specifications.len());
-    for (index, job) in specifications.into_iter().enumerate() {
+    let mut jobs = Vec::with_capacity(submitted_jobs.len());
+    for (index, job) in submitted_jobs.into_iter().enumerate() {
         match checker.check(&job) {
             Ok(repeatable) => jobs.push(job.into_job(repeatable)),
             Err(error) => return Err(SpecificationError::InvalidJob { name: job.name, index, error }),
--- a/batch/src/testing/simulation.rs
+++ b/batch/src/testing/simulation.rs
@@ -25,7 +25,8 @@
 
 /// One request that an engine is executing.
 struct Run {
-    ends: u64,
+    /// Time at which the response is complete.
+    ends_at: u64,
     work: Work,
 }
 
--- a/batch/src/testing/simulation/engines.rs
+++ b/batch/src/testing/simulation/engines.rs
@@ -14,7 +14,7 @@
     pub(super) fn end_due_runs(&mut self) {
         let now = self.now;
         for engine in 0..self.engines.len() {
-            while let Some(run) = self.engines[engine].running.iter().position(|run| run.ends <= now) {
+            while let Some(run) = self.engines[engine].running.iter().position(|run| run.ends_at <= now) {
                 let run = self.engines[engine].running.swap_remove(run);
                 self.end_run(run.work, true);
             }
@@ -29,8 +29,8 @@
             self.engines[index].running.iter().filter(|run| matches!(run.work, Work::Interactive { .. })).count();
         let jobs = self.engines[index].running.len() - interactive;
         let slowdown = (interactive as f64 + 0.1 * jobs as f64) / self.plan.slots_per_engine as f64;
-        let ends = self.now + (self.plan.interactive_ms as f64 * (1.0 + slowdown)) as u64;
-        self.engines[index].running.push(Run { ends, work: Work::Interactive { received_at } });
+        let ends_at = self.now + (self.plan.interactive_ms as f64 * (1.0 + slowdown)) as u64;
+        self.engines[index].running.push(Run { ends_at, work: Work::Interactive { received_at } });
     }
 
     pub(super) fn end_run(&mut self, work: Work, is_answered: bool) {
--- a/batch/src/testing/simulation/owner.rs
+++ b/batch/src/testing/simulation/owner.rs
@@ -108,8 +108,8 @@
         self.runs[dispatch.job] += 1;
         self.owners[owner].in_flight.insert(dispatch.job);
         let slowdown = self.engines[engine].running.len() as f64 / self.plan.slots_per_engine as f64;
-        let ends = self.now + (self.plan.job_ms as f64 * (1.0 + slowdown)) as u64;
-        self.engines[engine].running.push(Run { ends, work: Work::Job { job: dispatch.job, owner } });
+        let ends_at = self.now + (self.plan.job_ms as f64 * (1.0 + slowdown)) as u64;
+        self.engines[engine].running.push(Run { ends_at, work: Work::Job { job: dispatch.job, owner } });
     }
 
     pub(super) fn repeatable(&self, job: usize) -> bool {
--- a/tally/src/limits.rs
+++ b/tally/src/limits.rs
@@ -16,8 +16,8 @@
 /// A snapshot and its replacement are on the disk at the same time.
 const SNAPSHOTS_ON_DISK: u64 = 2;
 
-/// The space that an entry takes in memory, including the key index and the copy of the state for snapshots, and in a
-/// snapshot. Measured with names of 16 and keys of 24 bytes (`tests/log_size.rs`), and rounded up.
+/// The space that an entry or a tally takes in memory, including the key index and the copy of the state for snapshots,
+/// and in a snapshot. Measured with names of 16 and keys of 24 bytes (`tests/log_size.rs`), and rounded up.
 struct EntryCost {
     memory_bytes: u64,
     snapshot_bytes: u64,
--- a/tally/src/origin_log.rs
+++ b/tally/src/origin_log.rs
@@ -18,7 +18,7 @@
     pub tally: TallyId,
     pub digest: KeyDigest,
     pub amount: u64,
-    /// The text of the key; `None` if the entry was received packed.
+    /// The text of the key; `None` if only its digest was received.
     pub key: Option<Box<str>>,
 }
 
