--- a/versions/src/baseline.rs
+++ b/versions/src/baseline.rs
@@ -1,42 +1,45 @@
-//! How often the stable version's engines fail: the rate of sound ones, and the share of those that fail by themselves.
+//! Baseline of the stable version: the failure rate of its healthy engines, and the share of its engines that are
+//! failing.
+//!
+//! A failing engine fails requests whatever version it runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::engine_mixture::{failing_probability, Counts};
 
-/// The engine of which samples are not told apart. Where enough samples of others are there, its samples are left out: they hold
-/// engines that fail by themselves.
+/// Stands for all engines whose samples carry no engine id. Its samples are left out once there are enough of
+/// identified engines: they mix healthy and failing engines.
 pub(crate) const UNKNOWN_ENGINE: u64 = 0;
-/// Samples of known engines from which on those of the unknown ones are left out.
+/// Minimum number of samples of identified engines at which those of the unknown engine are left out.
 const MIN_KNOWN_SAMPLES: f64 = 20.0;
 
-/// Lowest rate that is assumed of sound engines.
+/// Lower bound of the estimated failure rate of healthy engines.
 const MIN_RATE: f64 = 0.005;
-/// Weight, in samples, of the rate that is assumed before there are samples.
+/// Weight of the prior rate, in samples.
 const PRIOR_SAMPLES: f64 = 20.0;
-/// Highest rate that is assumed of sound engines: beyond it nothing can be told.
+/// Upper bound of the estimated failure rate of healthy engines: above it, versions can't be told apart.
 const MAX_RATE: f64 = 0.97;
-/// Lowest and highest share of engines that are assumed to fail by themselves.
+/// Lower and upper bound of the estimated share of failing engines.
 pub(crate) const MIN_FAILING_SHARE: f64 = 0.01;
 const MAX_FAILING_SHARE: f64 = 0.5;
-/// The share from which the estimate begins.
-const FIRST_FAILING_SHARE: f64 = 0.1;
-/// Rounds of the estimate: each improves the rate with the share, and the share with the rate.
-const ROUNDS: usize = 4;
-/// The probability from which on an engine is taken for one that fails by itself.
-const FAILING_PROBABILITY: f64 = 0.8;
+/// Share of failing engines at which the estimation starts.
+const INITIAL_FAILING_SHARE: f64 = 0.1;
+/// Iterations of expectation-maximization: each re-estimates the rate from the share and the share from the rate.
+const EM_ITERATIONS: usize = 4;
+/// Probability above which an engine is classified as failing.
+const MIN_FAILING_PROBABILITY: f64 = 0.8;
 
-/// What the stable version's engines do at one time.
+/// Failure rate and failing engines of the stable version over one period.
 #[derive(Clone, Debug)]
 pub(crate) struct Baseline {
-    /// The share of requests that sound engines fail.
+    /// The share of their requests that healthy engines fail.
     pub(crate) rate: f64,
-    /// The share of engines that fail by themselves.
+    /// The share of engines that are failing.
     pub(crate) failing_share: f64,
-    /// The engines that are taken for failing.
+    /// The engines that are classified as failing.
     pub(crate) failing_engines: BTreeSet<u64>,
-    /// Whether it rests on engines that are told apart alone.
-    pub(crate) tells_engines_apart: bool,
+    /// Whether the samples of [`UNKNOWN_ENGINE`] were left out.
+    pub(crate) excludes_unknown_engine: bool,
 }
 
 impl Default for Baseline {
@@ -45,48 +48,49 @@
             rate: MIN_RATE,
             failing_share: MIN_FAILING_SHARE,
             failing_engines: BTreeSet::new(),
-            tells_engines_apart: false,
+            excludes_unknown_engine: false,
         }
     }
 }
 
 impl Baseline {
-    /// Estimates the baseline from the outcomes of the stable version's engines, by expectation and maximization.
+    /// Estimates the baseline from the outcomes of the stable version's engines by expectation-maximization.
     pub(crate) fn estimate(engines: &BTreeMap<u64, Counts>) -> Baseline {
         let known = || engines.iter().filter(|(engine, _)| **engine != UNKNOWN_ENGINE);
         let known_samples: f64 = known().map(|(_, counts)| counts.total()).sum();
-        let tells_engines_apart = known_samples >= MIN_KNOWN_SAMPLES;
-        let counted = || engines.iter().filter(|(engine, _)| **engine != UNKNOWN_ENGINE || !tells_engines_apart);
-        let mut rate = rate_of(counted().map(|(_, counts)| *counts), MIN_RATE);
-        let mut share = FIRST_FAILING_SHARE;
+        let excludes_unknown_engine = known_samples >= MIN_KNOWN_SAMPLES;
+        let counted = || engines.iter().filter(|(engine, _)| **engine != UNKNOWN_ENGINE || !excludes_unknown_engine);
+        let mut rate = smoothed_rate(counted().map(|(_, counts)| *counts), MIN_RATE);
+        let mut share = INITIAL_FAILING_SHARE;
         let count = known().count() as f64;
-        for _ in 0..ROUNDS {
+        for _ in 0..EM_ITERATIONS {
             let probability = |counts: &Counts| failing_probability(*counts, share, rate);
-            let expected: f64 = known().map(|(_, counts)| probability(counts)).sum();
-            let sound = |(engine, counts): (&u64, &Counts)| {
+            let expected_failing: f64 = known().map(|(_, counts)| probability(counts)).sum();
+            let weighted_by_health = |(engine, counts): (&u64, &Counts)| {
                 let mut counts = *counts;
                 counts.scale(if *engine == UNKNOWN_ENGINE { 1.0 } else { 1.0 - probability(&counts) });
                 counts
             };
-            let next_rate = rate_of(counted().map(sound), MIN_RATE);
-            share = ((expected + MIN_FAILING_SHARE) / (count + 1.0)).clamp(MIN_FAILING_SHARE, MAX_FAILING_SHARE);
+            let next_rate = smoothed_rate(counted().map(weighted_by_health), MIN_RATE);
+            share =
+                ((expected_failing + MIN_FAILING_SHARE) / (count + 1.0)).clamp(MIN_FAILING_SHARE, MAX_FAILING_SHARE);
             rate = next_rate;
         }
-        let is_failing = |counts: &Counts| failing_probability(*counts, share, rate) > FAILING_PROBABILITY;
+        let is_failing = |counts: &Counts| failing_probability(*counts, share, rate) > MIN_FAILING_PROBABILITY;
         let failing_engines = known().filter(|(_, counts)| is_failing(counts)).map(|(engine, _)| *engine).collect();
-        Baseline { rate, failing_share: share, failing_engines, tells_engines_apart }
+        Baseline { rate, failing_share: share, failing_engines, excludes_unknown_engine }
     }
 }
 
-/// Returns the rate of outcomes where `prior` is assumed before there are any.
-pub(crate) fn rate_of(counts: impl Iterator<Item = Counts>, prior: f64) -> f64 {
-    weighted_rate_of(counts, prior, PRIOR_SAMPLES)
+/// Returns the rate of bad outcomes, smoothed towards the rate `prior`.
+pub(crate) fn smoothed_rate(counts: impl Iterator<Item = Counts>, prior: f64) -> f64 {
+    smoothed_rate_with_weight(counts, prior, PRIOR_SAMPLES)
 }
 
-/// Returns the rate of outcomes where `prior` has the weight of so many samples.
-pub(crate) fn weighted_rate_of(counts: impl Iterator<Item = Counts>, prior: f64, weight: f64) -> f64 {
+/// Returns the rate of bad outcomes, smoothed towards the rate `prior` with a weight of `weight` samples.
+pub(crate) fn smoothed_rate_with_weight(counts: impl Iterator<Item = Counts>, prior: f64, weight: f64) -> f64 {
     let mut sum = Counts { passed: weight * (1.0 - prior), bad: weight * prior };
-    counts.for_each(|one| sum.add(one));
+    counts.for_each(|counts| sum.add(counts));
     (sum.bad / sum.total()).clamp(MIN_RATE, MAX_RATE)
 }
 
--- a/versions/src/canary_analysis_tests.rs
+++ b/versions/src/canary_analysis_tests.rs
@@ -1,4 +1,4 @@
-//! Seeded experiments: healthy and faulty versions, analysed from batches as routers report them.
+//! Seeded simulations of healthy and faulty versions, analysed from batches as routers report them.
 
 use super::{CanaryAnalysis, Verdict};
 use crate::{EventInterval, LoadClass, SampleBatch, SampleOrigin, Variant};
@@ -6,12 +6,12 @@
 const BATCH_MS: u64 = 250;
 const ROUTES: [&str; 2] = ["long", "short"];
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Engines of each version.
+/// Number of engines of each version.
 const ENGINES: u64 = 24;
-/// Requests that an engine of the stable version runs, about.
+/// Mean number of requests that an engine of the stable version runs.
 const STABLE_RUNNING: f64 = 6.0;
 
-/// A small generator of uniform numbers in 0..1.
+/// A linear congruential generator of uniform numbers in 0..1.
 struct UniformRng(u64);
 
 impl UniformRng {
@@ -21,26 +21,29 @@
     }
 }
 
-/// What each version does to requests of two routes.
+/// Traffic, failures and speed of both versions on two routes.
 #[derive(Clone, Copy)]
 struct Scenario {
     stable_failure_rate: f64,
-    /// By route.
+    /// Failure rate of the faulty candidate, by route.
     candidate_failure_rates: [f64; 2],
+    /// When the candidate becomes faulty.
     faulty_from_ms: u64,
+    /// Factor on the intervals of the faulty candidate.
     slowdown: f64,
+    /// Requests per second that the candidate gets.
     candidate_per_s: f64,
-    /// Requests of the stable version for each one of the candidate.
+    /// Requests of the stable version per request of the candidate.
     stable_ratio: f64,
-    /// Half the width of the noise of the times between events, as a share of them.
+    /// Amplitude of the noise on the intervals, relative to them.
     noise: f64,
-    /// The share of the engines of both versions that fail four tenths of their requests.
+    /// Share of the engines of both versions that fail 40 % of their requests.
     grey_share: f64,
-    /// When one zone loses the requests of its engines of both versions for 1.5 s.
+    /// When one zone starts to lose all responses of both versions, for 1.5 s.
     zone_lost_at: Option<u64>,
-    /// Whether all engines have started a moment ago.
+    /// Whether all engines have just started.
     is_cold: bool,
-    /// Whether a third of all requests fail at both versions from 4 s to 7 s.
+    /// Whether both versions fail a third of all requests from 4 s to 7 s.
     has_outage: bool,
 }
 
@@ -78,14 +81,15 @@
     }
 }
 
-/// Returns an engine's interval, longer by a thirtieth for each request that it runs, as in a batch.
+/// Returns the event interval of an engine, which grows by a thirtieth of its base with each running request, as in a
+/// batch.
 fn interval_us(running: u32, slowdown: f64, noise: f64, rng: &mut UniformRng) -> u64 {
     let batch = 1.0 + f64::from(running) / 30.0;
     (8000.0 * batch * slowdown * (1.0 + noise * (2.0 * rng.next() - 1.0))) as u64
 }
 
-/// Returns what one request adds to its batch.
-fn add_request(
+/// Returns the samples of one request.
+fn sample_request(
     scenario: &Scenario,
     origin: (Variant, usize, u64),
     now: u64,
@@ -99,8 +103,8 @@
         return batch;
     }
     let grey_engine = engine + if variant == Variant::Stable { 1000 } else { 0 };
-    let greyness = if scenario.is_grey(grey_engine, seed) { 0.4 } else { 0.0 };
-    if rng.next() < scenario.failure_rate(variant, route, now).max(greyness) {
+    let grey_failure_rate = if scenario.is_grey(grey_engine, seed) { 0.4 } else { 0.0 };
+    if rng.next() < scenario.failure_rate(variant, route, now).max(grey_failure_rate) {
         batch.failed = 1;
         return batch;
     }
@@ -114,7 +118,7 @@
     batch
 }
 
-/// Returns the verdict after a time, and when the first alarm came.
+/// Returns the verdict after `length_ms` or at the first alarm, and the time of that alarm.
 fn simulate(scenario: &Scenario, seed: u64, length_ms: u64) -> (Verdict, Option<u64>) {
     let mut rng = UniformRng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) + 1);
     let mut analysis = CanaryAnalysis::new();
@@ -130,7 +134,7 @@
                 let count = expected.floor() as u64 + u64::from(rng.next() < expected.fract());
                 for _ in 0..count {
                     let engine = (rng.next() * ENGINES as f64) as u64;
-                    let batch = add_request(scenario, (variant, number, engine), now, seed, &mut rng);
+                    let batch = sample_request(scenario, (variant, number, engine), now, seed, &mut rng);
                     let zone = ZONES[(engine % 3) as usize];
                     let origin = SampleOrigin { route, variant, engine, zone, load: LoadClass::Calm };
                     analysis.record(&origin, &batch, now);
@@ -144,12 +148,13 @@
     (analysis.verdict(), None)
 }
 
+/// Returns the times of the first alarms of all runs that raise one.
 fn alarms(scenario: &Scenario, length_ms: u64, seeds: u64) -> Vec<u64> {
     (0..seeds).filter_map(|seed| simulate(scenario, seed, length_ms).1).collect()
 }
 
 #[test]
-fn a_healthy_version_seldom_raises_an_alarm_and_is_found_healthy() {
+fn a_healthy_version_rarely_raises_an_alarm_and_is_found_healthy() {
     for stable_failure_rate in [0.0, 0.01, 0.05, 0.2] {
         let scenario = Scenario { stable_failure_rate, candidate_failure_rates: [stable_failure_rate; 2], ..HEALTHY };
         let alarms = alarms(&scenario, 15_000, 400).len();
@@ -160,7 +165,7 @@
 }
 
 #[test]
-fn a_version_that_fails_is_found_within_two_seconds() {
+fn a_failing_version_is_found_within_three_seconds() {
     for share in [0.3, 0.5] {
         let scenario = Scenario { candidate_failure_rates: [share; 2], ..HEALTHY };
         let alarm_times = alarms(&scenario, 15_000, 300);
@@ -170,7 +175,7 @@
 }
 
 #[test]
-fn a_version_that_becomes_faulty_late_is_found_as_fast() {
+fn a_version_that_becomes_faulty_late_is_found_within_three_seconds() {
     let scenario = Scenario { candidate_failure_rates: [0.4; 2], faulty_from_ms: 4000, ..HEALTHY };
     let alarm_times = alarms(&scenario, 15_000, 300);
     assert_eq!(alarm_times.len(), 300);
@@ -187,7 +192,7 @@
 }
 
 #[test]
-fn a_version_that_fails_a_tenth_of_its_requests_is_found_within_a_few_hundred_of_them() {
+fn a_version_that_fails_a_tenth_of_its_requests_is_found_within_a_few_hundred_requests() {
     for (share, requests) in [(0.08, 500), (0.1, 375)] {
         let scenario = Scenario { candidate_failure_rates: [share; 2], ..HEALTHY };
         let alarm_times = alarms(&scenario, 30_000, 200);
@@ -205,7 +210,7 @@
 }
 
 #[test]
-fn a_version_that_is_slower_by_half_at_less_load_is_found_where_times_are_steady() {
+fn a_version_that_is_slower_by_half_at_lower_load_is_found_if_intervals_vary_little() {
     let scenario = Scenario { slowdown: 1.5, noise: 0.12, ..HEALTHY };
     let alarm_times = alarms(&scenario, 15_000, 200);
     assert!(alarm_times.len() >= 198, "{}", alarm_times.len());
@@ -215,24 +220,24 @@
 }
 
 #[test]
-fn a_version_that_is_a_tenth_slower_is_not_blamed() {
+fn a_version_that_is_a_tenth_slower_raises_no_alarm() {
     let scenario = Scenario { slowdown: 1.1, noise: 0.06, ..HEALTHY };
     let alarms = alarms(&scenario, 15_000, 200).len();
     assert!(alarms <= 4, "{alarms} of 200");
 }
 
 #[test]
-fn cold_engines_show_that_a_version_is_fast_and_never_that_it_is_slow() {
+fn samples_of_cold_engines_can_show_that_a_version_is_fast_but_not_that_it_is_slow() {
     let record = |is_cold, slowdown: f64| {
         let mut analysis = CanaryAnalysis::new();
         let mut rng = UniformRng(7);
         let origin = |variant, engine| SampleOrigin { route: "r", variant, engine, zone: "a", load: LoadClass::Calm };
         for step in 0..400 {
             let scenario = Scenario { noise: 0.05, slowdown, ..HEALTHY };
-            let stable = add_request(&scenario, (Variant::Stable, 0, 0), step, 1, &mut rng);
+            let stable = sample_request(&scenario, (Variant::Stable, 0, 0), step, 1, &mut rng);
             analysis.record(&origin(Variant::Stable, 0), &stable, step);
             let scenario = Scenario { is_cold, ..scenario };
-            let candidate = add_request(&scenario, (Variant::Candidate, 0, step % 9), step + 1, 1, &mut rng);
+            let candidate = sample_request(&scenario, (Variant::Candidate, 0, step % 9), step + 1, 1, &mut rng);
             analysis.record(&origin(Variant::Candidate, step % 9), &candidate, step);
         }
         analysis.verdict()
@@ -243,23 +248,24 @@
 }
 
 #[test]
-fn failures_that_all_versions_share_are_not_attributed_to_the_candidate() {
+fn failures_of_both_versions_are_not_attributed_to_the_candidate() {
     let scenario = Scenario { stable_failure_rate: 0.3, candidate_failure_rates: [0.3; 2], ..HEALTHY };
     let found = alarms(&scenario, 8000, 200).len();
     assert!(found <= 10, "{found} of 200");
     let found = alarms(&Scenario { has_outage: true, ..HEALTHY }, 15_000, 200).len();
-    assert!(found <= 10, "{found} of 200 in a bad time");
+    assert!(found <= 10, "{found} of 200 with an outage");
 }
 
 #[test]
-fn grey_engines_and_a_lost_zone_are_not_attributed_to_the_version() {
+fn failures_of_grey_engines_and_a_lost_zone_are_not_attributed_to_the_candidate() {
     let found = alarms(&Scenario { grey_share: 0.15, ..HEALTHY }, 15_000, 200).len();
     assert!(found <= 10, "{found} of 200 with grey engines");
     let found = alarms(&Scenario { zone_lost_at: Some(5000), ..HEALTHY }, 15_000, 200).len();
     assert!(found <= 4, "{found} of 200 with a lost zone");
 }
 
-/// Records requests at one engine that is loaded, of which some fail, and returns the verdict.
+/// Returns the verdict on a candidate of which one loaded engine fails half of its requests, after this many failures
+/// without load.
 fn verdict_of_loaded_engine(calm_failures: u64) -> Verdict {
     let mut analysis = CanaryAnalysis::new();
     let origin = |variant, engine, load| SampleOrigin { route: "r", variant, engine, zone: "a", load };
@@ -276,31 +282,31 @@
 }
 
 #[test]
-fn a_version_that_fails_under_load_is_found_at_one_engine_that_was_well_before() {
+fn a_fault_under_load_is_found_at_one_engine_that_was_healthy_without_load() {
     assert_eq!(verdict_of_loaded_engine(0), Verdict::FailingUnderLoad);
-    assert!(!verdict_of_loaded_engine(2).is_alarm(), "the engine failed without load");
+    assert!(!verdict_of_loaded_engine(2).is_alarm(), "the engine also failed without load");
 }
 
 #[test]
-fn a_dozen_requests_are_enough_where_traffic_is_thin_and_a_faulty_version_seldom_passes() {
-    let thin = Scenario { candidate_per_s: 2.0, stable_ratio: 24.0, ..HEALTHY };
+fn a_dozen_requests_are_enough_to_pass_a_healthy_version_and_a_faulty_one_rarely_passes() {
+    let low_traffic = Scenario { candidate_per_s: 2.0, stable_ratio: 24.0, ..HEALTHY };
     let healthy =
         |scenario: &Scenario| (0..400).filter(|seed| simulate(scenario, *seed, 9000).0 == Verdict::Healthy).count();
-    let found = healthy(&thin);
+    let found = healthy(&low_traffic);
     assert!(found >= 340, "{found} of 400");
-    let found = healthy(&Scenario { candidate_failure_rates: [0.3; 2], ..thin });
-    assert!(found <= 40, "{found} of 400 that fail three tenths");
+    let found = healthy(&Scenario { candidate_failure_rates: [0.3; 2], ..low_traffic });
+    assert!(found <= 40, "{found} of 400 that fail 30 % of their requests");
 }
 
 #[test]
-fn without_samples_the_verdict_is_inconclusive() {
+fn the_verdict_without_samples_is_inconclusive() {
     assert_eq!(CanaryAnalysis::new().verdict(), Verdict::Inconclusive);
 }
 
 #[test]
-fn where_many_engines_fail_by_themselves_a_good_version_cannot_be_proved() {
+fn a_healthy_version_is_unprovable_if_many_engines_are_failing() {
     let scenario = Scenario { grey_share: 0.3, ..HEALTHY };
-    // Of the stable version's engines some are grey in each zone, and not so many that it is the zone that fails.
+    // Some of the stable version's engines are grey in each zone, but too few for the zone itself to count as failing.
     let is_spread = |seed: &u64| {
         let in_zone = |zone: u64| (zone..ENGINES).step_by(ZONES.len());
         let grey_in = |zone| in_zone(zone).filter(|engine| scenario.is_grey(engine + 1000, *seed)).count();
@@ -310,8 +316,8 @@
     assert!(seeds.len() >= 60, "{}", seeds.len());
     let verdicts: Vec<Verdict> = seeds.into_iter().map(|seed| simulate(&scenario, seed, 8000).0).collect();
     let count = |is_counted: fn(&Verdict) -> bool| verdicts.iter().filter(|verdict| is_counted(verdict)).count();
-    let proved = count(|verdict| matches!(verdict, Verdict::Healthy | Verdict::HealthyUnderLoad));
-    assert!(proved * 50 <= verdicts.len(), "{proved} of {}: {verdicts:?}", verdicts.len());
+    let found_healthy = count(|verdict| matches!(verdict, Verdict::Healthy | Verdict::HealthyUnderLoad));
+    assert!(found_healthy * 50 <= verdicts.len(), "{found_healthy} of {}: {verdicts:?}", verdicts.len());
     assert!(count(|verdict| *verdict == Verdict::Unprovable) * 10 >= verdicts.len() * 9, "{verdicts:?}");
     assert!(Verdict::Unprovable.is_healthy() && !Verdict::Unprovable.is_alarm());
 }
--- a/versions/src/candidate_outcomes.rs
+++ b/versions/src/candidate_outcomes.rs
@@ -1,12 +1,13 @@
-//! Outcomes of the candidate by engine.
+//! Outcomes of the candidate, by engine.
 
 use std::collections::BTreeMap;
 
 use crate::engine_mixture::Observed;
 
-/// An engine, and the index of its zone.
+/// Identifies an engine and the zone it runs in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EngineKey {
+    /// Index in the list of zones.
     pub(crate) zone: usize,
     pub(crate) engine: u64,
 }
@@ -15,6 +16,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CandidateOutcomes {
     pub(crate) observed: Observed,
+    /// Requests whose response broke off or never came.
     pub(crate) lost: f64,
 }
 
@@ -25,8 +27,8 @@
     }
 }
 
-/// Adds the outcomes of some spans, engine by engine, to a sum.
-pub(crate) fn sum_of<'a>(
+/// Returns `sum` plus the outcomes of `spans`, by engine.
+pub(crate) fn add_spans<'a>(
     mut sum: BTreeMap<EngineKey, CandidateOutcomes>,
     spans: impl Iterator<Item = &'a BTreeMap<EngineKey, CandidateOutcomes>>,
 ) -> BTreeMap<EngineKey, CandidateOutcomes> {
--- a/versions/src/engine_mixture_tests.rs
+++ b/versions/src/engine_mixture_tests.rs
@@ -1,10 +1,10 @@
-//! What the outcomes of one engine say.
+//! Likelihood ratios of the outcomes of one engine.
 
-use super::{either, failing_probability, Counts, EngineHistory, Observed};
+use super::{combined_rate, failing_probability, Counts, EngineHistory, Observed};
 
 const RATE: f64 = 0.01;
-const SELDOM_FAILING: f64 = 0.01;
-const OFTEN_FAILING: f64 = 0.3;
+const FEW_FAILING: f64 = 0.01;
+const MANY_FAILING: f64 = 0.3;
 
 fn observed(passed: u32, bad: u32) -> Observed {
     Observed::new(Counts { passed: passed.into(), bad: bad.into() }, RATE)
@@ -15,44 +15,47 @@
 }
 
 #[test]
-fn a_rate_of_either_of_two_reasons_counts_requests_once() {
-    assert!((either(0.5, 0.5) - 0.75).abs() < 1e-12);
-    assert!((either(0.0, 0.3) - 0.3).abs() < 1e-12);
+fn the_combined_rate_counts_requests_that_fail_for_both_causes_once() {
+    assert!((combined_rate(0.5, 0.5) - 0.75).abs() < 1e-12);
+    assert!((combined_rate(0.0, 0.3) - 0.3).abs() < 1e-12);
 }
 
 #[test]
-fn one_failing_engine_adds_the_less_the_more_engines_fail_by_themselves() {
-    let [seldom, often] = [SELDOM_FAILING, OFTEN_FAILING].map(|share| ratio(50, 50, share));
-    assert!((4.0..7.0).contains(&seldom), "{seldom}");
-    assert!((0.0..2.5).contains(&often), "{often}");
-    assert!((ratio(500, 500, SELDOM_FAILING) - seldom).abs() < 2.0, "however many of its requests fail");
+fn one_failing_engine_is_weaker_evidence_the_larger_the_share_of_failing_engines() {
+    let [few, many] = [FEW_FAILING, MANY_FAILING].map(|share| ratio(50, 50, share));
+    assert!((4.0..7.0).contains(&few), "{few}");
+    assert!((0.0..2.5).contains(&many), "{many}");
+    assert!(
+        (ratio(500, 500, FEW_FAILING) - few).abs() < 2.0,
+        "the evidence of one engine is bounded, however many of its requests fail"
+    );
 }
 
 #[test]
-fn one_sound_engine_is_evidence_against_a_fault_even_where_many_fail_by_themselves() {
-    assert!(ratio(20, 0, SELDOM_FAILING) < -10.0);
-    assert!(ratio(20, 0, OFTEN_FAILING) < -5.0);
-    assert!(ratio(20, 0, OFTEN_FAILING) + 2.0 * ratio(50, 50, OFTEN_FAILING) < 0.0);
+fn one_healthy_engine_is_evidence_against_a_fault_even_if_many_engines_are_failing() {
+    assert!(ratio(20, 0, FEW_FAILING) < -10.0);
+    assert!(ratio(20, 0, MANY_FAILING) < -5.0);
+    assert!(ratio(20, 0, MANY_FAILING) + 2.0 * ratio(50, 50, MANY_FAILING) < 0.0);
 }
 
 #[test]
-fn no_samples_say_nothing() {
-    assert!(ratio(0, 0, OFTEN_FAILING).abs() < 1e-9);
+fn the_ratio_is_zero_without_samples() {
+    assert!(ratio(0, 0, MANY_FAILING).abs() < 1e-9);
     let history = EngineHistory { before: observed(30, 10), ..EngineHistory::default() };
-    assert!(history.log_likelihood_ratio(OFTEN_FAILING, 0.3).abs() < 1e-9);
+    assert!(history.log_likelihood_ratio(MANY_FAILING, 0.3).abs() < 1e-9);
 }
 
 #[test]
-fn an_engine_that_failed_before_says_little_about_what_changed() {
-    let ratio = |before, after| EngineHistory { before, after }.log_likelihood_ratio(SELDOM_FAILING, 0.45);
-    let was_sound = ratio(observed(30, 0), observed(10, 10));
-    let failed_before = ratio(observed(15, 15), observed(10, 10));
-    assert!(was_sound > 5.0, "{was_sound}");
-    assert!(failed_before < 1.0, "{failed_before}");
+fn an_engine_that_failed_before_the_change_is_weak_evidence_of_a_fault() {
+    let ratio = |before, after| EngineHistory { before, after }.log_likelihood_ratio(FEW_FAILING, 0.45);
+    let was_healthy = ratio(observed(30, 0), observed(10, 10));
+    let was_failing = ratio(observed(15, 15), observed(10, 10));
+    assert!(was_healthy > 5.0, "{was_healthy}");
+    assert!(was_failing < 1.0, "{was_failing}");
 }
 
 #[test]
-fn an_engine_is_taken_for_failing_by_its_outcomes() {
+fn the_probability_that_an_engine_is_failing_follows_its_outcomes() {
     let probability =
         |passed: u32, bad: u32| failing_probability(Counts { passed: passed.into(), bad: bad.into() }, 0.1, RATE);
     assert!(probability(20, 0) < 0.02);
--- a/versions/src/lib.rs
+++ b/versions/src/lib.rs
@@ -1,7 +1,7 @@
-//! Staged rollouts of a service's versions: a canary analysis of samples that all routers pool, and the schedule by which the
-//! new version gets its share of the requests.
+//! Staged rollouts of a service's versions: canary analysis of the pooled samples of all routers, and the schedule of
+//! the share of requests that the new version gets.
 //!
-//! The crate does no I/O and reads no clock: time comes in with every call. `docs/version-rollouts.md` compares this with other
+//! The crate does no I/O and reads no clock: callers pass the time. `docs/version-rollouts.md` compares this with other
 //! designs.
 #![deny(missing_docs)]
 
--- a/versions/src/load_evidence.rs
+++ b/versions/src/load_evidence.rs
@@ -1,47 +1,48 @@
-//! The evidence that a candidate fails at engines that are loaded.
+//! Evidence that a candidate fails at loaded engines.
 //!
-//! Each engine is compared with itself before it was loaded, so that one that fails by itself says nothing. One engine that was
-//! sound and fails under load is evidence where engines seldom fail by themselves, and one that does not is evidence that the
-//! version bears load.
+//! Each engine is compared with itself before it was loaded, so that a failing engine is no evidence. An engine that
+//! was healthy and fails under load is evidence against the version if few engines are failing; an engine that stays
+//! healthy is evidence that the version withstands load.
 
 use std::collections::BTreeMap;
 
 use crate::baseline::MIN_FAILING_SHARE;
 use crate::engine_mixture::{EngineHistory, Observed};
 
-/// The further shares of requests that a version which does not bear load may fail under it.
+/// Additional failure rates under load that are tested as the size of a fault.
 const FAULT_RATES: [f64; 4] = [0.3, 0.5, 0.75, 0.95];
-/// Bad outcomes of one engine before it was loaded, from which on its failures under load are taken for its own.
+/// Minimum number of bad outcomes of an engine before it was loaded at which its failures under load are no evidence
+/// against the version.
 const MIN_BAD_BEFORE: f64 = 2.0;
-/// Samples of an engine at which they are halved, so that they follow what is recent.
+/// Number of samples of an engine above which its counts are halved, so that recent samples prevail.
 const MAX_SAMPLES: f64 = 4000.0;
 
-/// The evidence, over all routes.
+/// Evidence of faults under load, over all routes.
 #[derive(Default)]
 pub(crate) struct LoadEvidence {
     engines: BTreeMap<u64, EngineHistory>,
-    /// The largest share of engines that were seen to fail by themselves.
+    /// The largest share of failing engines at the time of any sample under load.
     failing_share: f64,
 }
 
 impl LoadEvidence {
-    /// Adds outcomes of an engine of the candidate. `failing_share` is the share of the stable version's engines that fail by
-    /// themselves now.
+    /// Adds outcomes of an engine of the candidate. `failing_share` is the current share of failing engines among those
+    /// of the stable version.
     pub(crate) fn record(&mut self, engine: u64, is_loaded: bool, outcomes: Observed, failing_share: f64) {
         let history = self.engines.entry(engine).or_default();
-        let part = if is_loaded { &mut history.after } else { &mut history.before };
-        part.add(outcomes);
-        if part.counts.total() > MAX_SAMPLES {
-            part.scale(0.5);
+        let observed = if is_loaded { &mut history.after } else { &mut history.before };
+        observed.add(outcomes);
+        if observed.counts.total() > MAX_SAMPLES {
+            observed.scale(0.5);
         }
         if is_loaded {
             self.failing_share = self.failing_share.max(failing_share);
         }
     }
 
-    /// Returns the largest log likelihood ratio of a fault under load: the lower, the surer that the candidate bears load. 0 without
-    /// samples.
-    pub(crate) fn strongest_ratio(&self) -> f64 {
+    /// Returns the largest log likelihood ratio of a fault under load: the lower, the less likely is such a fault. 0
+    /// without samples under load.
+    pub(crate) fn max_ratio(&self) -> f64 {
         FAULT_RATES.iter().map(|fault_rate| self.log_likelihood_ratio(*fault_rate)).fold(f64::NEG_INFINITY, f64::max)
     }
 
--- a/versions/src/load_model.rs
+++ b/versions/src/load_model.rs
@@ -1,36 +1,37 @@
-//! How long the stable version takes between two events of a response, by how many requests its engine runs.
+//! Model of the stable version's time between two events of a response, by the number of requests that its engine runs.
 //!
-//! Engines decode in batches, and a step takes a fixed time and a time for each request of the batch. So the interval is a linear
-//! function of the requests that run, fitted by least squares; what lies above it is a ratio. Engines that are slow by themselves
-//! are left out: those whose intervals are long beside the others', and then those that lie above the line of the rest.
+//! Engines decode in batches, and a step takes a fixed time plus a time for each request of the batch. So the interval
+//! is modelled as a linear function of the running requests, fitted by least squares, and responses are compared by the
+//! ratio of their interval to the prediction. Slow engines are left out: first those with long intervals compared to
+//! the others, then those above the line fitted to the rest.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::baseline::UNKNOWN_ENGINE;
 
-/// How many samples the line is fitted to.
-const KEPT_SAMPLES: usize = 400;
-/// Samples before the model predicts.
+/// Number of samples that are kept and fitted.
+const MAX_SAMPLES: usize = 400;
+/// Minimum number of samples for a fit.
 const MIN_SAMPLES: usize = 60;
-/// How many samples come between two fits.
+/// Number of samples between two fits.
 const SAMPLES_BETWEEN_FITS: u64 = 8;
-/// The quantile of the stable version's ratios from which the limit is derived.
-const LIMIT_QUANTILE: f64 = 0.75;
-/// How far the limit lies above that quantile.
-const QUANTILE_MARGIN: f64 = 1.06;
-/// The lowest limit: what lies nearer to the prediction is never slow.
-const MIN_LIMIT: f64 = 1.15;
-/// How much higher the limit is above the mean load of the stable version's responses. The requests that an engine runs change
-/// while a response lasts, so that the fitted line rises less than it should.
+/// Quantile of the stable version's ratios from which the threshold is derived.
+const THRESHOLD_QUANTILE: f64 = 0.75;
+/// Factor between that quantile and the threshold.
+const THRESHOLD_MARGIN: f64 = 1.06;
+/// Lower bound of the threshold: responses closer to the prediction are never slow.
+const MIN_SLOW_THRESHOLD: f64 = 1.15;
+/// Factor on the threshold at loads above the mean of the stable version's responses. The number of running requests
+/// changes during a response, so that the fitted slope is too small.
 const HIGHER_LOAD_MARGIN: f64 = 1.1;
-/// How much longer the intervals of an engine are than the median engine's, whatever it runs, where it is slow by itself.
-const SLOW_ENGINE_INTERVAL: f64 = 2.0;
-/// How far an engine's intervals lie above the line of the others where it is slow by itself.
-const SLOW_ENGINE_RATIO: f64 = 1.25;
-/// Responses of an engine before that is told.
+/// Ratio of an engine's median interval to that of the median engine, at any load, above which the engine is slow.
+const SLOW_ENGINE_INTERVAL_RATIO: f64 = 2.0;
+/// Ratio of an engine's intervals to the fitted line, relative to the median engine, above which the engine is slow.
+const SLOW_ENGINE_FIT_RATIO: f64 = 1.25;
+/// Minimum number of responses of an engine for it to be classified as slow.
 const MIN_ENGINE_SAMPLES: usize = 3;
 
-/// One response.
+/// Interval of one response.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     engine: u64,
@@ -38,7 +39,7 @@
     interval_us: f64,
 }
 
-/// The interval as a function of the requests that run.
+/// The interval as a linear function of the running requests.
 #[derive(Clone, Copy, Debug)]
 struct Line {
     mean_running: f64,
@@ -57,32 +58,32 @@
         let mean_interval_us = samples.clone().map(|sample| sample.interval_us).sum::<f64>() / count;
         let (mut variance, mut covariance) = (0.0, 0.0);
         for sample in samples {
-            let distance = sample.running - mean_running;
-            variance += distance * distance;
-            covariance += distance * (sample.interval_us - mean_interval_us);
+            let deviation = sample.running - mean_running;
+            variance += deviation * deviation;
+            covariance += deviation * (sample.interval_us - mean_interval_us);
         }
-        // More requests never make an engine faster: a slope below 0 is noise.
+        // More requests never make an engine faster: a negative slope is noise.
         let slope = if variance > f64::EPSILON { (covariance / variance).max(0.0) } else { 0.0 };
         Some(Line { mean_running, mean_interval_us, slope })
     }
 
-    /// Returns an interval as a multiple of the predicted one.
+    /// Returns the ratio of an interval to the predicted one.
     fn ratio(&self, running: f64, interval_us: f64) -> f64 {
         let predicted = self.mean_interval_us + self.slope * (running - self.mean_running);
-        // Far from what was seen the line says little; it never falls below half of the mean.
+        // Extrapolation is unreliable: the prediction is at least half of the mean.
         interval_us / predicted.max(self.mean_interval_us / 2.0).max(1.0)
     }
 }
 
-/// The line, and how far the stable version's own samples lie from it.
+/// A fitted line and the threshold of slow responses.
 #[derive(Clone, Copy, Debug)]
 struct Fit {
     line: Line,
-    /// The ratio from which on a response is slow.
-    limit: f64,
+    /// The ratio above which a response is slow.
+    slow_threshold: f64,
 }
 
-/// The model.
+/// Model of the stable version's event intervals.
 #[derive(Default)]
 pub(crate) struct LoadModel {
     samples: VecDeque<Sample>,
@@ -91,43 +92,44 @@
 }
 
 impl LoadModel {
-    /// Adds a response of the stable version, and returns whether it was slow by its own version's measure. `None`: too few were
-    /// seen before.
+    /// Adds a response of the stable version, and returns whether it was slow compared to earlier ones. `None` if these
+    /// were too few.
     pub(crate) fn record(&mut self, engine: u64, running: u32, interval_us: f64) -> Option<bool> {
         let is_slow = self.is_slow(running, interval_us);
-        if self.samples.len() == KEPT_SAMPLES {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back(Sample { engine, running: running.into(), interval_us });
         self.recorded += 1;
         if self.samples.len() >= MIN_SAMPLES && self.recorded.is_multiple_of(SAMPLES_BETWEEN_FITS) {
-            self.fit = self.fitted();
+            self.fit = self.compute_fit();
         }
         is_slow
     }
 
-    /// Returns whether a response is slower than nearly all of the stable version's. `None`: too few of these were seen.
+    /// Returns whether a response is slower than nearly all of the stable version's. `None` if these were too few.
     pub(crate) fn is_slow(&self, running: u32, interval_us: f64) -> Option<bool> {
-        let Fit { line, limit } = self.fit?;
+        let Fit { line, slow_threshold } = self.fit?;
         let margin = if f64::from(running) > line.mean_running { HIGHER_LOAD_MARGIN } else { 1.0 };
-        Some(line.ratio(running.into(), interval_us) > limit * margin)
+        Some(line.ratio(running.into(), interval_us) > slow_threshold * margin)
     }
 
-    fn fitted(&self) -> Option<Fit> {
-        let unknown = self.unknown_engine();
-        let slow = self.engines_above(SLOW_ENGINE_INTERVAL, |sample| sample.interval_us);
+    fn compute_fit(&self) -> Option<Fit> {
+        let unknown = self.excluded_unknown_engine();
+        let slow = self.engines_slower_by(SLOW_ENGINE_INTERVAL_RATIO, |sample| sample.interval_us);
         let slow: BTreeSet<u64> = slow.union(&unknown).copied().collect();
         let line = Line::fit(self.samples_without(&slow))?;
-        let slow = self.engines_above(SLOW_ENGINE_RATIO, |sample| line.ratio(sample.running, sample.interval_us));
+        let slow =
+            self.engines_slower_by(SLOW_ENGINE_FIT_RATIO, |sample| line.ratio(sample.running, sample.interval_us));
         let slow: BTreeSet<u64> = slow.union(&unknown).copied().collect();
         let line = Line::fit(self.samples_without(&slow))?;
         let ratios = self.samples_without(&slow).map(|sample| line.ratio(sample.running, sample.interval_us));
-        let limit = quantile(ratios.collect(), LIMIT_QUANTILE) * QUANTILE_MARGIN;
-        Some(Fit { line, limit: limit.max(MIN_LIMIT) })
+        let slow_threshold = quantile(ratios.collect(), THRESHOLD_QUANTILE) * THRESHOLD_MARGIN;
+        Some(Fit { line, slow_threshold: slow_threshold.max(MIN_SLOW_THRESHOLD) })
     }
 
-    /// Returns the engine that stands for all that are not told apart, where there are enough samples of others.
-    fn unknown_engine(&self) -> BTreeSet<u64> {
+    /// Returns [`UNKNOWN_ENGINE`] if there are enough samples of identified engines to leave it out.
+    fn excluded_unknown_engine(&self) -> BTreeSet<u64> {
         let known = self.samples.iter().filter(|sample| sample.engine != UNKNOWN_ENGINE).count();
         if known >= MIN_SAMPLES {
             BTreeSet::from([UNKNOWN_ENGINE])
@@ -140,8 +142,8 @@
         self.samples.iter().filter(|sample| !engines.contains(&sample.engine))
     }
 
-    /// Returns the engines whose median lies more than `times` above the median of all engines' medians.
-    fn engines_above(&self, times: f64, value: impl Fn(&Sample) -> f64) -> BTreeSet<u64> {
+    /// Returns the engines whose median value is more than `factor` times the median of all engines' medians.
+    fn engines_slower_by(&self, factor: f64, value: impl Fn(&Sample) -> f64) -> BTreeSet<u64> {
         let mut by_engine: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
         for sample in self.samples.iter().filter(|sample| sample.engine != UNKNOWN_ENGINE) {
             by_engine.entry(sample.engine).or_default().push(value(sample));
@@ -151,15 +153,15 @@
         if medians.is_empty() {
             return BTreeSet::new();
         }
-        let limit = times * quantile(medians.iter().map(|(_, median)| *median).collect(), 0.5);
+        let limit = factor * quantile(medians.iter().map(|(_, median)| *median).collect(), 0.5);
         medians.into_iter().filter(|(_, median)| *median > limit).map(|(engine, _)| engine).collect()
     }
 }
 
-/// Returns a quantile of values, of which there is one at least.
-fn quantile(mut values: Vec<f64>, part: f64) -> f64 {
-    let at = ((values.len() - 1) as f64 * part) as usize;
-    let (_, quantile, _) = values.select_nth_unstable_by(at, f64::total_cmp);
+/// Returns the value at a quantile, 0 to 1. `values` must not be empty.
+fn quantile(mut values: Vec<f64>, fraction: f64) -> f64 {
+    let index = ((values.len() - 1) as f64 * fraction) as usize;
+    let (_, quantile, _) = values.select_nth_unstable_by(index, f64::total_cmp);
     *quantile
 }
 
--- a/versions/src/outcome_history.rs
+++ b/versions/src/outcome_history.rs
@@ -1,50 +1,51 @@
-//! The outcomes of both versions over time, by engine, and what they say for and against a fault of the candidate.
+//! Outcomes of both versions over time, by engine, and the evidence they give for and against a fault of the candidate.
 //!
-//! Samples are kept in short spans. The candidate's engines are compared with those of the stable version in the same span and, where
-//! that one fails more, in the same zone. Evidence is summed over several windows that end now, so that a version that becomes
-//! faulty late shows as soon as one that is faulty from its start.
+//! Samples are grouped into short spans of time. The candidate's engines are compared with those of the stable version
+//! in the same span, and in the same zone if the stable version fails more there. Evidence is summed over several
+//! windows that end now, so that a version that becomes faulty late is found as soon as one that is faulty from its
+//! start.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::mem;
 use std::ops::Range;
 
-use crate::baseline::{rate_of, Baseline, UNKNOWN_ENGINE};
-use crate::candidate_outcomes::{sum_of, CandidateOutcomes, EngineKey};
-use crate::engine_mixture::{either, Counts, Observed};
-use crate::fault_evidence::{Evidence, Tuning, FAULT_RATE_COUNT};
+use crate::baseline::{smoothed_rate, Baseline, UNKNOWN_ENGINE};
+use crate::candidate_outcomes::{add_spans, CandidateOutcomes, EngineKey};
+use crate::engine_mixture::{combined_rate, Counts, Observed};
+use crate::fault_evidence::{DetectionParams, Evidence, FAULT_RATE_COUNT};
 use crate::zone_outcomes::{SpanRates, ZoneOutcomes};
 
-/// Length of a span.
+/// Length of a span, in milliseconds.
 const SPAN_MS: u64 = 300;
-/// Spans that are kept apart; older ones are summed up.
+/// Number of spans that are kept individually; older ones are summed.
 const KEPT_SPANS: u64 = 16;
-/// The windows, in spans. A further one holds everything.
-const WINDOWS: [u64; 3] = [2, 5, KEPT_SPANS];
-/// Samples of one engine's sum at which it is halved, so that it follows what is recent.
+/// Lengths of the windows, in spans. One more window covers all samples.
+const WINDOW_SPANS: [u64; 3] = [2, 5, KEPT_SPANS];
+/// Number of samples in an engine's sum of old spans above which it is halved, so that recent samples prevail.
 const MAX_SAMPLES: f64 = 4000.0;
-/// Samples of the stable version from which on a baseline is estimated.
+/// Minimum number of samples of the stable version for an estimate of the baseline.
 const MIN_BASELINE_SAMPLES: f64 = 20.0;
-/// The most that the lost responses of one zone add, where there are several.
-const ZONE_CAP: f64 = 4.2;
-/// The share of engines that fail by themselves from which on many do.
+/// Cap on the log likelihood ratio from lost responses of one zone if the candidate runs in several zones.
+const MAX_LOST_RATIO_PER_ZONE: f64 = 4.2;
+/// Share of failing engines at which they count as many.
 const MANY_FAILING_SHARE: f64 = 0.1;
-/// Bad outcomes of an engine that fails by itself, on average, before many are taken for such ones: where traffic is thin one alone
-/// makes an engine look so.
-const MIN_BAD_OF_FAILING: f64 = 2.0;
-/// The rate of sound engines of the stable version from which on a small fault of the candidate may be hidden.
-const HIDING_RATE: f64 = 0.03;
-/// The share of engines that are assumed to fail by themselves where there is one engine only.
-const FAILING_SHARE_OF_ONE: f64 = 1e-4;
+/// Minimum mean number of bad outcomes per failing engine for failing engines to count as many: with little traffic, a
+/// single bad outcome makes an engine look failing.
+const MIN_BAD_PER_FAILING_ENGINE: f64 = 2.0;
+/// Failure rate of the stable version's healthy engines at which it may hide a small fault of the candidate.
+const FAULT_HIDING_RATE: f64 = 0.03;
+/// Assumed share of failing engines if the candidate runs on a single engine.
+const SINGLE_ENGINE_FAILING_SHARE: f64 = 1e-4;
 
-/// Outcomes of requests at one engine.
+/// Outcomes of one engine's requests in one report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineOutcomes<'a> {
     pub(crate) engine: u64,
     pub(crate) zone: &'a str,
     pub(crate) passed: u64,
-    /// Bad outcomes that the engine itself gave.
+    /// Bad outcomes that the engine itself reported.
     pub(crate) failed: u64,
-    /// Bad outcomes that a lost engine, zone or link explains as well.
+    /// Bad outcomes that the loss of an engine, a zone or a link may explain as well.
     pub(crate) lost: u64,
 }
 
@@ -54,35 +55,35 @@
     }
 }
 
-/// What was recorded in one span.
+/// Outcomes recorded in one span.
 #[derive(Default)]
 struct Span {
     index: u64,
     stable: BTreeMap<EngineKey, Counts>,
-    /// What is expected of them is filled in when they are read.
+    /// `expected_bad` stays unset until they are read.
     candidate: BTreeMap<EngineKey, CandidateOutcomes>,
 }
 
-/// The outcomes of both versions.
+/// Outcomes of both versions.
 pub(crate) struct OutcomeHistory {
-    tuning: Tuning,
+    detection: DetectionParams,
     zones: Vec<String>,
     spans: VecDeque<Span>,
-    /// Sums of the spans that are not kept.
-    older: BTreeMap<EngineKey, CandidateOutcomes>,
-    /// The last baseline that rested on enough samples.
+    /// Sum of the expired spans.
+    expired: BTreeMap<EngineKey, CandidateOutcomes>,
+    /// The last baseline estimated from enough samples.
     baseline: Baseline,
     candidate_engines: BTreeSet<u64>,
     candidate_zones: BTreeSet<usize>,
 }
 
 impl OutcomeHistory {
-    pub(crate) fn new(tuning: Tuning) -> OutcomeHistory {
+    pub(crate) fn new(detection: DetectionParams) -> OutcomeHistory {
         OutcomeHistory {
-            tuning,
+            detection,
             zones: Vec::new(),
             spans: VecDeque::new(),
-            older: BTreeMap::new(),
+            expired: BTreeMap::new(),
             baseline: Baseline::default(),
             candidate_engines: BTreeSet::new(),
             candidate_zones: BTreeSet::new(),
@@ -92,7 +93,7 @@
     /// Adds outcomes of the stable version.
     pub(crate) fn record_stable(&mut self, outcomes: &EngineOutcomes, now: u64) {
         let key = self.key(outcomes);
-        self.span(now).stable.entry(key).or_default().add(outcomes.counts());
+        self.current_span(now).stable.entry(key).or_default().add(outcomes.counts());
     }
 
     /// Adds outcomes of the candidate.
@@ -100,76 +101,77 @@
         let key = self.key(outcomes);
         self.candidate_engines.insert(key.engine);
         self.candidate_zones.insert(key.zone);
-        let entry = self.span(now).candidate.entry(key).or_default();
+        let entry = self.current_span(now).candidate.entry(key).or_default();
         entry.observed.counts.add(outcomes.counts());
         entry.lost += outcomes.lost as f64;
     }
 
-    /// Returns how often sound engines of the stable version fail in a zone now, and which share of its engines fails by itself.
-    pub(crate) fn stable_now(&self, zone: &str) -> (f64, f64) {
+    /// Returns the current failure rate of the stable version's healthy engines in a zone, and its share of failing
+    /// engines.
+    pub(crate) fn current_stable_rates(&self, zone: &str) -> (f64, f64) {
         let zone = self.zones.iter().position(|known| known == zone).unwrap_or(usize::MAX);
         let newest = self.spans.len().checked_sub(1);
-        let rate = newest.map_or(self.baseline.rate, |newest| self.rates(newest).of(zone));
+        let rate = newest.map_or(self.baseline.rate, |newest| self.stable_rates(newest).in_zone(zone));
         (rate, self.baseline.failing_share)
     }
 
-    /// Returns what the outcomes say.
+    /// Returns the evidence that the outcomes give.
     pub(crate) fn evidence(&self) -> Evidence {
         let failing_share = self.failing_share();
-        let by_span: Vec<_> = (0..self.spans.len()).map(|at| self.observed(at)).collect();
+        let by_span: Vec<_> = (0..self.spans.len()).map(|span| self.candidate_outcomes(span)).collect();
         let many_engines_fail = self.many_engines_fail();
-        let may_hide_fault = self.baseline.rate >= HIDING_RATE;
+        let may_hide_fault = self.baseline.rate >= FAULT_HIDING_RATE;
         let mut evidence = Evidence { many_engines_fail, may_hide_fault, ..Evidence::default() };
-        for window in WINDOWS {
+        for window in WINDOW_SPANS {
             let is_recent = |span: &Span| self.spans.back().is_some_and(|last| span.index + window > last.index);
             let recent = self.spans.iter().zip(&by_span).filter(|(span, _)| is_recent(span));
-            let sum = sum_of(BTreeMap::new(), recent.map(|(_, observed)| observed));
+            let sum = add_spans(BTreeMap::new(), recent.map(|(_, observed)| observed));
             if sum.values().any(|outcomes| outcomes.observed.counts.bad > 0.0) {
-                let strongest = self.ratios(&sum, failing_share).into_iter().fold(0.0, f64::max);
-                evidence.against = evidence.against.max(strongest);
+                let max_ratio = self.ratios(&sum, failing_share).into_iter().fold(0.0, f64::max);
+                evidence.max_ratio = evidence.max_ratio.max(max_ratio);
             }
         }
-        evidence.lasting = self.ratios(&sum_of(self.older.clone(), by_span.iter()), failing_share);
-        evidence.against = evidence.lasting.into_iter().fold(evidence.against, f64::max);
+        evidence.overall_ratios = self.ratios(&add_spans(self.expired.clone(), by_span.iter()), failing_share);
+        evidence.max_ratio = evidence.overall_ratios.into_iter().fold(evidence.max_ratio, f64::max);
         evidence
     }
 
-    /// Returns the share of engines that fail by themselves, as it is to be assumed of the candidate's.
+    /// Returns the share of failing engines to assume among those of the candidate.
     fn failing_share(&self) -> f64 {
         match self.candidate_engines.len() == 1 && !self.many_engines_fail() {
-            true => FAILING_SHARE_OF_ONE,
+            true => SINGLE_ENGINE_FAILING_SHARE,
             false => self.baseline.failing_share,
         }
     }
 
-    /// Returns whether many engines of the stable version fail by themselves, those of a zone that fails as a whole left out.
+    /// Returns whether many engines of the stable version are failing, leaving out zones that fail as a whole.
     fn many_engines_fail(&self) -> bool {
         let zones = self.zone_outcomes(0..self.spans.len());
-        let in_sound_zones = || zones.values().filter(|zone| !zone.is_failing());
-        let failing: usize = in_sound_zones().map(|zone| zone.failing.engines.len()).sum();
-        let sound: usize = in_sound_zones().map(|zone| zone.sound.engines.len()).sum();
-        let bad: f64 = in_sound_zones().map(|zone| zone.failing.counts.bad).sum();
-        let is_shown = failing > 0 && bad >= MIN_BAD_OF_FAILING * failing as f64;
-        is_shown && failing as f64 >= MANY_FAILING_SHARE * (failing + sound) as f64
+        let in_healthy_zones = || zones.values().filter(|zone| !zone.is_failing());
+        let failing: usize = in_healthy_zones().map(|zone| zone.failing.engines.len()).sum();
+        let healthy: usize = in_healthy_zones().map(|zone| zone.healthy.engines.len()).sum();
+        let bad: f64 = in_healthy_zones().map(|zone| zone.failing.counts.bad).sum();
+        let is_significant = failing > 0 && bad >= MIN_BAD_PER_FAILING_ENGINE * failing as f64;
+        is_significant && failing as f64 >= MANY_FAILING_SHARE * (failing + healthy) as f64
     }
 
-    /// Returns the log likelihood ratio by size of the fault.
+    /// Returns the log likelihood ratio of a fault, by its size.
     fn ratios(&self, engines: &BTreeMap<EngineKey, CandidateOutcomes>, failing_share: f64) -> [f64; FAULT_RATE_COUNT] {
         let mut sums = [0.0; FAULT_RATE_COUNT];
         let mut lost_by_zone: BTreeMap<usize, [f64; FAULT_RATE_COUNT]> = BTreeMap::new();
         for (key, outcomes) in engines {
-            let ratios = outcomes.observed.log_likelihood_ratios(failing_share, &self.tuning.fault_rates);
+            let ratios = outcomes.observed.log_likelihood_ratios(failing_share, &self.detection.fault_rates);
             let is_mostly_lost = outcomes.lost * 2.0 > outcomes.observed.counts.bad;
-            for (at, ratio) in ratios.into_iter().enumerate() {
+            for (size, ratio) in ratios.into_iter().enumerate() {
                 match is_mostly_lost && ratio > 0.0 {
-                    true => lost_by_zone.entry(key.zone).or_default()[at] += ratio,
-                    false => sums[at] += ratio,
+                    true => lost_by_zone.entry(key.zone).or_default()[size] += ratio,
+                    false => sums[size] += ratio,
                 }
             }
         }
-        let cap = if self.candidate_zones.len() > 1 { ZONE_CAP } else { f64::INFINITY };
-        for (at, sum) in sums.iter_mut().enumerate() {
-            *sum += lost_by_zone.values().map(|ratios| ratios[at].min(cap)).sum::<f64>();
+        let cap = if self.candidate_zones.len() > 1 { MAX_LOST_RATIO_PER_ZONE } else { f64::INFINITY };
+        for (size, sum) in sums.iter_mut().enumerate() {
+            *sum += lost_by_zone.values().map(|ratios| ratios[size].min(cap)).sum::<f64>();
         }
         sums
     }
@@ -183,25 +185,25 @@
         EngineKey { zone, engine: outcomes.engine }
     }
 
-    /// Returns the span of a time, which is the newest one.
-    fn span(&mut self, now: u64) -> &mut Span {
+    /// Returns the span that `now` lies in, which becomes the newest one.
+    fn current_span(&mut self, now: u64) -> &mut Span {
         let index = now / SPAN_MS;
         if self.spans.back().is_none_or(|newest| newest.index < index) {
-            self.remove_old_spans(index);
+            self.expire_spans(index);
             self.spans.push_back(Span { index, ..Span::default() });
         }
         let newest = self.spans.len() - 1;
         &mut self.spans[newest]
     }
 
-    /// Sums up the spans that are too old to be kept once there is one with this index.
-    fn remove_old_spans(&mut self, index: u64) {
+    /// Sums the spans that expire once there is a span with this index.
+    fn expire_spans(&mut self, index: u64) {
         self.update_baseline();
-        let is_old = |span: &Span| span.index + KEPT_SPANS <= index;
-        while self.spans.front().is_some_and(is_old) {
-            let observed = self.observed(0);
-            self.older = sum_of(mem::take(&mut self.older), [&observed].into_iter());
-            for outcomes in self.older.values_mut() {
+        let is_expired = |span: &Span| span.index + KEPT_SPANS <= index;
+        while self.spans.front().is_some_and(is_expired) {
+            let oldest = self.candidate_outcomes(0);
+            self.expired = add_spans(mem::take(&mut self.expired), [&oldest].into_iter());
+            for outcomes in self.expired.values_mut() {
                 if outcomes.observed.counts.total() > MAX_SAMPLES {
                     outcomes.observed.scale(0.5);
                     outcomes.lost *= 0.5;
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Estimates the baseline from the kept spans; the last known one stays where these hold too few samples.
+    /// Estimates the baseline from the kept spans, or keeps the previous one if these hold too few samples.
     fn update_baseline(&mut self) {
         let mut engines: BTreeMap<u64, Counts> = BTreeMap::new();
         for (key, counts) in self.spans.iter().flat_map(|span| &span.stable) {
@@ -223,39 +225,43 @@
         }
     }
 
-    /// Returns the candidate's outcomes of a span, beside what the stable version's engines make expected.
-    fn observed(&self, at: usize) -> BTreeMap<EngineKey, CandidateOutcomes> {
-        let span = &self.spans[at];
-        if span.candidate.is_empty() {
+    /// Returns the candidate's outcomes in a span, with the number of bad ones expected from the stable version's
+    /// healthy engines.
+    fn candidate_outcomes(&self, span: usize) -> BTreeMap<EngineKey, CandidateOutcomes> {
+        let recorded = &self.spans[span];
+        if recorded.candidate.is_empty() {
             return BTreeMap::new();
         }
-        let rates = self.rates(at);
+        let rates = self.stable_rates(span);
         let observed = |key: &EngineKey, outcomes: &CandidateOutcomes| CandidateOutcomes {
-            observed: Observed::new(outcomes.observed.counts, either(rates.of(key.zone), self.tuning.allowed_excess)),
+            observed: Observed::new(
+                outcomes.observed.counts,
+                combined_rate(rates.in_zone(key.zone), self.detection.allowed_excess),
+            ),
             ..*outcomes
         };
-        span.candidate.iter().map(|(key, outcomes)| (*key, observed(key, outcomes))).collect()
+        recorded.candidate.iter().map(|(key, outcomes)| (*key, observed(key, outcomes))).collect()
     }
 
-    /// Returns how often sound engines of the stable version failed in a span and the ones beside it, or in the span alone where that
-    /// is more: a bad time may begin or end with it.
-    fn rates(&self, at: usize) -> SpanRates {
-        let beside = at.saturating_sub(1)..(at + 2).min(self.spans.len());
-        let around = self.zone_outcomes(beside);
-        let overall = rate_of(around.values().map(|zone| zone.sound.counts), self.baseline.rate);
+    /// Returns the failure rates of the stable version's healthy engines in a span and its neighbors, or in the span
+    /// alone where that is higher: an outage may begin or end with it.
+    fn stable_rates(&self, span: usize) -> SpanRates {
+        let neighborhood = span.saturating_sub(1)..(span + 2).min(self.spans.len());
+        let around = self.zone_outcomes(neighborhood);
+        let overall = smoothed_rate(around.values().map(|zone| zone.healthy.counts), self.baseline.rate);
         let mut by_zone: BTreeMap<usize, f64> = BTreeMap::new();
-        for (zone, outcomes) in around.iter().chain(&self.zone_outcomes(at..at + 1)) {
+        for (zone, outcomes) in around.iter().chain(&self.zone_outcomes(span..span + 1)) {
             let rate = by_zone.entry(*zone).or_default();
             *rate = rate.max(outcomes.rate(overall));
         }
         SpanRates { overall, by_zone }
     }
 
-    /// Returns the outcomes of the stable version in some spans, by zone.
+    /// Returns the outcomes of the stable version in a range of spans, by zone.
     fn zone_outcomes(&self, spans: Range<usize>) -> BTreeMap<usize, ZoneOutcomes> {
         let mut zones: BTreeMap<usize, ZoneOutcomes> = BTreeMap::new();
-        let is_counted = |key: &EngineKey| key.engine != UNKNOWN_ENGINE || !self.baseline.tells_engines_apart;
-        let outcomes = spans.flat_map(|at| &self.spans[at].stable);
+        let is_counted = |key: &EngineKey| key.engine != UNKNOWN_ENGINE || !self.baseline.excludes_unknown_engine;
+        let outcomes = spans.flat_map(|span| &self.spans[span].stable);
         for (key, counts) in outcomes.filter(|(key, _)| is_counted(key)) {
             let is_failing = self.baseline.failing_engines.contains(&key.engine);
             zones.entry(key.zone).or_default().add(key.engine, *counts, is_failing);
--- a/versions/src/speed_evidence.rs
+++ b/versions/src/speed_evidence.rs
@@ -1,26 +1,28 @@
-//! The evidence of one route that a candidate is slower than the stable version at the same load.
+//! Evidence, on one route, that a candidate is slower than the stable version at the same load.
 //!
-//! What counts is how many of its responses are slower than nearly all of the stable version's, so that a version that is slow
-//! for a part of its requests shows as well as one that is slow for all.
+//! The measure is the share of its responses that are slower than nearly all of the stable version's. So a version that
+//! is slow for some of its requests is found as well as one that is slow for all.
 
-use crate::fault_evidence::{Evidence, Tuning};
+use crate::fault_evidence::{DetectionParams, Evidence};
 use crate::load_model::LoadModel;
 use crate::outcome_history::{EngineOutcomes, OutcomeHistory};
 use crate::{EventInterval, SampleOrigin};
 
-/// A candidate may have slow responses more often by 0.15 of all than the stable version.
-const TUNING: Tuning = Tuning { allowed_excess: 0.15, fault_rates: [0.35, 0.5, 0.65, 0.8, 0.95] };
+/// Parameters for detecting slow candidates. Their share of slow responses may exceed the stable version's by 0.15.
+const SLOWNESS_DETECTION: DetectionParams =
+    DetectionParams { allowed_excess: 0.15, fault_rates: [0.35, 0.5, 0.65, 0.8, 0.95] };
 
-/// The evidence.
+/// Evidence of slow responses on one route.
 pub(crate) struct SpeedEvidence {
     model: LoadModel,
     outcomes: OutcomeHistory,
+    /// Number of the candidate's responses that were compared.
     compared: u64,
 }
 
 impl SpeedEvidence {
     pub(crate) fn new() -> SpeedEvidence {
-        SpeedEvidence { model: LoadModel::default(), outcomes: OutcomeHistory::new(TUNING), compared: 0 }
+        SpeedEvidence { model: LoadModel::default(), outcomes: OutcomeHistory::new(SLOWNESS_DETECTION), compared: 0 }
     }
 
     /// Adds responses of the stable version.
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Adds responses of the candidate. They say nothing until enough of the stable version were seen.
+    /// Adds responses of the candidate. They are ignored until there are enough of the stable version.
     pub(crate) fn record_candidate(&mut self, origin: &SampleOrigin, intervals: &[EventInterval], now: u64) {
         let verdicts: Vec<bool> = intervals.iter().filter_map(|interval| self.is_slow(interval)).collect();
         if verdicts.is_empty() {
@@ -44,14 +46,14 @@
         self.outcomes.record_candidate(&outcomes_of(origin, &verdicts), now);
     }
 
-    /// Returns whether a response is slow. `None`: nothing can be said, since there is nothing to compare with, or the engine is
-    /// slow from its start.
+    /// Returns whether a response is slow. `None` if there is nothing to compare it with, or if its engine may be slow
+    /// only because it has just started.
     fn is_slow(&self, interval: &EventInterval) -> Option<bool> {
         let is_slow = self.model.is_slow(interval.running, interval.interval_us as f64);
         is_slow.filter(|is_slow| !(*is_slow && interval.is_cold))
     }
 
-    /// Returns what the responses say.
+    /// Returns the evidence that the responses give.
     pub(crate) fn evidence(&self) -> Evidence {
         self.outcomes.evidence()
     }
@@ -61,7 +63,7 @@
         self.compared
     }
 
-    /// Returns whether the stable version's responses have several events, so that there is something to compare with.
+    /// Returns whether the stable version had enough responses of several events to compare with.
     pub(crate) fn is_measurable(&self) -> bool {
         self.model.is_slow(0, 0.0).is_some()
     }
