--- a/versions/src/baseline.rs
+++ b/versions/src/baseline.rs
@@ -17,7 +17,7 @@
 const MIN_RATE: f64 = 0.005;
 /// Weight of the prior rate, in samples.
 const PRIOR_SAMPLES: f64 = 20.0;
-/// Upper bound of the estimated failure rate of healthy engines: above it, versions can't be told apart.
+/// Upper bound of the estimated failure rate of healthy engines: above it, a fault of the candidate can't be detected.
 const MAX_RATE: f64 = 0.97;
 /// Lower and upper bound of the estimated share of failing engines.
 pub(crate) const MIN_FAILING_SHARE: f64 = 0.01;
--- a/versions/src/canary_analysis_tests.rs
+++ b/versions/src/canary_analysis_tests.rs
@@ -76,6 +76,7 @@
         zone == 0 && self.zone_lost_at.is_some_and(|at| (at..at + 1500).contains(&now))
     }
 
+    /// Returns whether an engine is grey: it fails a part of its requests, whatever version it runs.
     fn is_grey(&self, engine: u64, seed: u64) -> bool {
         UniformRng(engine.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ seed).next() < self.grey_share
     }
@@ -84,8 +85,8 @@
 /// Returns the event interval of an engine, which grows by a thirtieth of its base with each running request, as in a
 /// batch.
 fn interval_us(running: u32, slowdown: f64, noise: f64, rng: &mut UniformRng) -> u64 {
-    let batch = 1.0 + f64::from(running) / 30.0;
-    (8000.0 * batch * slowdown * (1.0 + noise * (2.0 * rng.next() - 1.0))) as u64
+    let load_factor = 1.0 + f64::from(running) / 30.0;
+    (8000.0 * load_factor * slowdown * (1.0 + noise * (2.0 * rng.next() - 1.0))) as u64
 }
 
 /// Returns the samples of one request.
@@ -264,8 +265,8 @@
     assert!(found <= 4, "{found} of 200 with a lost zone");
 }
 
-/// Returns the verdict on a candidate of which one loaded engine fails half of its requests, after this many failures
-/// without load.
+/// Returns the verdict on a candidate of which one loaded engine fails half of its requests, after `calm_failures`
+/// failures without load.
 fn verdict_of_loaded_engine(calm_failures: u64) -> Verdict {
     let mut analysis = CanaryAnalysis::new();
     let origin = |variant, engine, load| SampleOrigin { route: "r", variant, engine, zone: "a", load };
--- a/versions/src/outcome_history.rs
+++ b/versions/src/outcome_history.rs
@@ -92,13 +92,13 @@
 
     /// Adds outcomes of the stable version.
     pub(crate) fn record_stable(&mut self, outcomes: &EngineOutcomes, now: u64) {
-        let key = self.key(outcomes);
+        let key = self.engine_key(outcomes);
         self.current_span(now).stable.entry(key).or_default().add(outcomes.counts());
     }
 
     /// Adds outcomes of the candidate.
     pub(crate) fn record_candidate(&mut self, outcomes: &EngineOutcomes, now: u64) {
-        let key = self.key(outcomes);
+        let key = self.engine_key(outcomes);
         self.candidate_engines.insert(key.engine);
         self.candidate_zones.insert(key.zone);
         let entry = self.current_span(now).candidate.entry(key).or_default();
@@ -125,13 +125,13 @@
         for window in WINDOW_SPANS {
             let is_recent = |span: &Span| self.spans.back().is_some_and(|last| span.index + window > last.index);
             let recent = self.spans.iter().zip(&by_span).filter(|(span, _)| is_recent(span));
-            let sum = add_spans(BTreeMap::new(), recent.map(|(_, observed)| observed));
+            let sum = add_spans(BTreeMap::new(), recent.map(|(_, outcomes)| outcomes));
             if sum.values().any(|outcomes| outcomes.observed.counts.bad > 0.0) {
-                let max_ratio = self.ratios(&sum, failing_share).into_iter().fold(0.0, f64::max);
+                let max_ratio = self.fault_ratios(&sum, failing_share).into_iter().fold(0.0, f64::max);
                 evidence.max_ratio = evidence.max_ratio.max(max_ratio);
             }
         }
-        evidence.overall_ratios = self.ratios(&add_spans(self.expired.clone(), by_span.iter()), failing_share);
+        evidence.overall_ratios = self.fault_ratios(&add_spans(self.expired.clone(), by_span.iter()), failing_share);
         evidence.max_ratio = evidence.overall_ratios.into_iter().fold(evidence.max_ratio, f64::max);
         evidence
     }
@@ -156,7 +156,11 @@
     }
 
     /// Returns the log likelihood ratio of a fault, by its size.
-    fn ratios(&self, engines: &BTreeMap<EngineKey, CandidateOutcomes>, failing_share: f64) -> [f64; FAULT_RATE_COUNT] {
+    fn fault_ratios(
+        &self,
+        engines: &BTreeMap<EngineKey, CandidateOutcomes>,
+        failing_share: f64,
+    ) -> [f64; FAULT_RATE_COUNT] {
         let mut sums = [0.0; FAULT_RATE_COUNT];
         let mut lost_by_zone: BTreeMap<usize, [f64; FAULT_RATE_COUNT]> = BTreeMap::new();
         for (key, outcomes) in engines {
@@ -176,7 +180,7 @@
         sums
     }
 
-    fn key(&mut self, outcomes: &EngineOutcomes) -> EngineKey {
+    fn engine_key(&mut self, outcomes: &EngineOutcomes) -> EngineKey {
         let known = self.zones.iter().position(|zone| zone == outcomes.zone);
         let zone = known.unwrap_or_else(|| {
             self.zones.push(outcomes.zone.into());
@@ -243,11 +247,11 @@
         recorded.candidate.iter().map(|(key, outcomes)| (*key, observed(key, outcomes))).collect()
     }
 
-    /// Returns the failure rates of the stable version's healthy engines in a span and its neighbors, or in the span
-    /// alone where that is higher: an outage may begin or end with it.
+    /// Returns the failure rates of the stable version's healthy engines in a span and the adjacent ones, or in the
+    /// span alone where that is higher: an outage may begin or end with it.
     fn stable_rates(&self, span: usize) -> SpanRates {
-        let neighborhood = span.saturating_sub(1)..(span + 2).min(self.spans.len());
-        let around = self.zone_outcomes(neighborhood);
+        let adjacent = span.saturating_sub(1)..(span + 2).min(self.spans.len());
+        let around = self.zone_outcomes(adjacent);
         let overall = smoothed_rate(around.values().map(|zone| zone.healthy.counts), self.baseline.rate);
         let mut by_zone: BTreeMap<usize, f64> = BTreeMap::new();
         for (zone, outcomes) in around.iter().chain(&self.zone_outcomes(span..span + 1)) {
--- a/versions/src/sample.rs
+++ b/versions/src/sample.rs
@@ -40,7 +40,7 @@
     pub route: &'a str,
     /// The version.
     pub variant: Variant,
-    /// The engine's id; 0 for all engines whose id is unknown.
+    /// The engine's id. Engines whose id is unknown share the id 0.
     pub engine: u64,
     /// The zone that the engine runs in.
     pub zone: &'a str,
--- a/versions/src/zone_outcomes.rs
+++ b/versions/src/zone_outcomes.rs
@@ -53,8 +53,8 @@
     }
 
     /// Returns the rate of the zone, including its failing engines if nearly all of its engines are failing: then the
-    /// zone is the cause. That is decided by the number of engines and not of outcomes, since an engine that fails at
-    /// once gets more requests than others.
+    /// zone is the cause. That is decided by the number of engines and not of outcomes, since an engine that fails
+    /// requests quickly receives more of them.
     pub(crate) fn rate(&self, overall: f64) -> f64 {
         let failing = if self.is_failing() { self.failing.counts } else { Counts::default() };
         smoothed_rate_with_weight([self.healthy.counts, failing].into_iter(), overall, ZONE_PRIOR_SAMPLES)
