--- a/quota/src/bucket.rs
+++ b/quota/src/bucket.rs
@@ -1,21 +1,22 @@
-//! A token bucket driven by the issue time that its caller passes in.
+//! A token bucket that is refilled by the issue time that its caller passes in.
 
-/// The rate limit of a tenant, or of one shard of it.
+/// The rate limit of a tenant, or of one of its shards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
     /// Requests per second.
     pub rate_per_s: f64,
-    /// Capacity of the bucket: requests that may come at once.
+    /// Capacity of the bucket: the number of requests that may come at once.
     pub burst: f64,
 }
 
 impl Quota {
-    /// Returns a limit, or `None` where the rate is 0, which means no limit.
+    /// Returns a limit, or `None` if the rate is 0, which means no limit.
     pub fn new(rate_per_s: f64, burst: f64) -> Option<Quota> {
         (rate_per_s > 0.0).then_some(Quota { rate_per_s, burst: burst.max(0.0) })
     }
 
-    /// Returns the limit of one of `shards` equal shards. Its burst is at least one token, or it could never issue one.
+    /// Returns the limit of one of `shards` equal shards. Its burst is at least one token, since it could never grant
+    /// one otherwise.
     pub fn shard(&self, shards: usize) -> Quota {
         let shards = shards.max(1) as f64;
         Quota { rate_per_s: self.rate_per_s / shards, burst: (self.burst / shards).max(1.0) }
@@ -25,7 +26,7 @@
 /// Milliseconds in a second.
 pub(crate) const MS_PER_S: f64 = 1000.0;
 
-/// A token bucket. Invariant: it has between 0 and `burst` tokens, by the quota of its last refill.
+/// A token bucket. Invariant: it holds between 0 and `burst` tokens of the quota of its last refill.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -34,7 +35,7 @@
 }
 
 impl TokenBucket {
-    /// Returns an empty bucket that gains tokens from an issue time on, in milliseconds.
+    /// Returns an empty bucket that gains tokens from the issue time `issue_from_ms` on.
     pub fn empty(issue_from_ms: u64) -> TokenBucket {
         TokenBucket { tokens: 0.0, refilled_at: issue_from_ms }
     }
@@ -56,18 +57,18 @@
         is_available
     }
 
-    /// Returns the milliseconds of issue time until there is a token, if no other request takes it.
+    /// Returns the issue time until the next token, in milliseconds, if no other request takes tokens.
     pub fn next_token_ms(&self, quota: &Quota) -> u64 {
         let missing = (1.0 - self.tokens).max(0.0);
         (missing / quota.rate_per_s * MS_PER_S).ceil() as u64
     }
 
-    /// Returns the tokens in the bucket, with fractions.
+    /// Returns the tokens in the bucket, including fractions.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Discards all tokens; new ones are issued from an issue time on, in milliseconds.
+    /// Discards all tokens; new ones are issued from the issue time `issue_now_ms` on.
     pub fn clear(&mut self, issue_now_ms: u64) {
         *self = TokenBucket::empty(issue_now_ms);
     }
--- a/quota/src/issue_clock_tests.rs
+++ b/quota/src/issue_clock_tests.rs
@@ -1,15 +1,15 @@
-//! When the issue clock of a controller runs.
+//! Confirmations that start, stop and delay the issue clock.
 
 use super::{IssueClock, ISSUE_MS, LEASE_MS, OWNER_EXPIRY_MS, REACQUIRE_DELAY_MS};
 
-fn confirm_for_three_seconds(clock: &mut IssueClock) {
+fn confirm_for_3_s(clock: &mut IssueClock) {
     for now in (0..3000).step_by(100) {
         clock.advance(now, Some(now));
     }
 }
 
 #[test]
-fn it_runs_with_time_while_confirmations_come() {
+fn the_clock_runs_while_confirmations_come() {
     let mut clock = IssueClock::default();
     assert!(clock.advance(100, Some(100)), "the first confirmation begins a lease");
     for now in (200..=10_000).step_by(100) {
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn it_stops_when_no_confirmation_comes_and_its_lease_ends_later() {
+fn the_clock_stops_without_confirmations_and_the_lease_ends_later() {
     let mut clock = IssueClock::default();
-    confirm_for_three_seconds(&mut clock);
+    confirm_for_3_s(&mut clock);
     let confirmed_at = 2900;
     clock.advance(60_000, Some(confirmed_at));
     assert_eq!(clock.issue_time_ms(), confirmed_at + ISSUE_MS - REACQUIRE_DELAY_MS);
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn after_a_lease_ended_it_waits_and_reports_that_tokens_are_void() {
+fn after_a_lapsed_lease_tokens_are_void_and_the_clock_waits_for_the_reacquire_delay() {
     let mut clock = IssueClock::default();
-    confirm_for_three_seconds(&mut clock);
+    confirm_for_3_s(&mut clock);
     let before = clock.issue_time_ms() + ISSUE_MS;
-    assert!(clock.advance(9000, Some(9000)), "its lease had lapsed");
+    assert!(clock.advance(9000, Some(9000)), "the lease had lapsed");
     assert!(!clock.has_lease(9000));
     assert!(!clock.advance(9000 + REACQUIRE_DELAY_MS, Some(9000 + REACQUIRE_DELAY_MS)));
     assert_eq!(clock.issue_time_ms(), before);
@@ -41,16 +41,16 @@
 }
 
 #[test]
-fn a_gap_shorter_than_a_lease_keeps_the_lease_but_issues_nothing_for_it() {
+fn a_gap_no_longer_than_a_lease_keeps_the_lease_but_stops_the_clock() {
     let mut clock = IssueClock::default();
-    confirm_for_three_seconds(&mut clock);
+    confirm_for_3_s(&mut clock);
     let before = clock.issue_time_ms();
     assert!(!clock.advance(2900 + LEASE_MS, Some(2900 + LEASE_MS)));
     assert_eq!(clock.issue_time_ms(), before + ISSUE_MS);
 }
 
 #[test]
-fn an_older_confirmation_changes_nothing() {
+fn an_older_confirmation_is_ignored() {
     let mut clock = IssueClock::default();
     clock.advance(5000, Some(5000));
     assert!(!clock.advance(5100, Some(100)));
--- a/quota/src/lib.rs
+++ b/quota/src/lib.rs
@@ -1,11 +1,11 @@
-//! Rate limits of tenants, enforced on the sum over all routers. The crate does no I/O and reads no clock: time comes in with
-//! every call.
+//! Rate limits of tenants, enforced on the sum over all routers. The crate does no I/O and reads no clock: callers pass
+//! the time.
 //!
-//! A tenant's token bucket is split into shards that different controllers own. A router asks an owner for a token before it
-//! sends a request to an engine. No consensus round is needed for a token: that the shards never issue more than the limit
-//! follows from time leases alone. An owner issues tokens only while a quorum confirmed it a moment ago, and another
-//! controller takes its shard over only once the lease must have ended. While no owner answers, routers fall back on
-//! [`Allowances`]. `docs/quotas.md` compares this with other designs and states the bounds.
+//! A tenant's token bucket is split into shards that different controllers own. A router asks an owner for a token
+//! before it sends a request to an engine. A token needs no consensus round: time leases alone ensure that the shards
+//! never issue more than the limit. An owner issues tokens only while its last confirmation by a quorum is recent, and
+//! another controller takes over its shard only once the lease must have ended. While no owner answers, routers fall
+//! back to their [`Allowances`]. `docs/quotas.md` compares this with other designs and states the bounds.
 #![deny(missing_docs)]
 
 mod allowance;
--- a/quota/src/placement_tests.rs
+++ b/quota/src/placement_tests.rs
@@ -1,15 +1,17 @@
-//! Which controllers own shards.
+//! Spread and stability of the shard owners.
 
 use std::collections::HashMap;
 
 use super::{shard_owners, EligibleOwner, SHARDS};
 
 fn controllers(count: usize, zones: usize) -> Vec<EligibleOwner> {
-    (0..count).map(|at| EligibleOwner { ip: format!("10.0.0.{at}"), zone: format!("z{}", at % zones) }).collect()
+    (0..count)
+        .map(|index| EligibleOwner { ip: format!("10.0.0.{index}"), zone: format!("z{}", index % zones) })
+        .collect()
 }
 
 #[test]
-fn shards_are_in_different_zones_where_there_are_enough() {
+fn shard_owners_are_in_different_zones_if_there_are_enough() {
     let eligible = controllers(9, 3);
     for tenant in 0..200 {
         let mut zones: Vec<_> =
@@ -24,19 +26,19 @@
 }
 
 #[test]
-fn tenants_spread_evenly() {
+fn shards_spread_evenly_over_controllers() {
     let eligible = controllers(6, 3);
-    let mut count = HashMap::new();
+    let mut counts = HashMap::new();
     for tenant in 0..3000 {
         for owner in shard_owners(&format!("tenant-{tenant}"), &eligible) {
-            *count.entry(owner.ip.clone()).or_insert(0) += 1;
+            *counts.entry(owner.ip.clone()).or_insert(0) += 1;
         }
     }
-    assert!(count.values().all(|owned| (1350..1650).contains(owned)), "{count:?}");
+    assert!(counts.values().all(|owned| (1350..1650).contains(owned)), "{counts:?}");
 }
 
 #[test]
-fn the_order_of_the_list_does_not_matter_and_one_less_moves_only_its_own() {
+fn owners_do_not_depend_on_the_order_of_the_list_and_a_removal_moves_only_its_own_shards() {
     let eligible = controllers(12, 4);
     let reversed: Vec<EligibleOwner> = eligible.iter().rev().cloned().collect();
     let mut moved = 0;
@@ -44,11 +46,11 @@
         let name = format!("t{tenant}");
         let before = shard_owners(&name, &eligible);
         assert_eq!(before, shard_owners(&name, &reversed));
-        let less: Vec<EligibleOwner> = eligible.iter().filter(|owner| owner.ip != "10.0.0.5").cloned().collect();
-        let after = shard_owners(&name, &less);
+        let remaining: Vec<EligibleOwner> = eligible.iter().filter(|owner| owner.ip != "10.0.0.5").cloned().collect();
+        let after = shard_owners(&name, &remaining);
         let kept = before.iter().filter(|owner| after.contains(owner)).count();
-        let had = before.iter().any(|owner| owner.ip == "10.0.0.5");
-        moved += usize::from(!had && kept < SHARDS);
+        let was_owner = before.iter().any(|owner| owner.ip == "10.0.0.5");
+        moved += usize::from(!was_owner && kept < SHARDS);
     }
     assert_eq!(moved, 0);
 }
--- a/quota/src/shards_tests.rs
+++ b/quota/src/shards_tests.rs
@@ -1,4 +1,4 @@
-//! One controller's shards through leases, their ends and changes of the eligible controllers.
+//! One controller's shards across leases, their ends, and changes of the eligible controllers.
 
 use super::{Shards, TokenDecision};
 use crate::{EligibleOwner, Quota, REACQUIRE_DELAY_MS};
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn a_shard_issues_its_share_once_the_reacquire_delay_is_over() {
+fn a_shard_issues_its_share_of_the_limit_after_the_reacquire_delay() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(100, true);
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
     controller.run(REACQUIRE_DELAY_MS + 500, true);
-    assert_eq!(controller.acquire_all(), 5, "half a second of a third");
+    assert_eq!(controller.acquire_all(), 5, "half a second at a third of the rate");
     controller.run(10_000, true);
     assert_eq!(controller.acquire_all(), 10, "a third of the burst");
 }
 
 #[test]
-fn an_empty_shard_returns_when_its_next_token_comes() {
+fn an_empty_shard_denies_with_the_time_until_its_next_token() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(REACQUIRE_DELAY_MS + 100, true);
     assert_eq!(controller.acquire_all(), 0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn tokens_of_shards_owned_by_others_are_not_granted() {
+fn tokens_are_granted_only_for_owned_shards() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut controller = Controller::start(&names);
     controller.run(3000, true);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn without_a_quorum_it_grants_its_tokens_until_its_lease_ends_and_issues_none() {
+fn without_a_quorum_existing_tokens_are_granted_until_the_lease_ends_and_none_are_issued() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     controller.run(1500, false);
@@ -88,7 +88,7 @@
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::Granted);
-    // The process was frozen and wakes with all its tokens.
+    // The process was frozen and resumes with all its tokens.
     controller.now += 20_000;
     assert_eq!(controller.shards.try_acquire("t", QUOTA, controller.now, None), TokenDecision::NotOwner);
     controller.run(REACQUIRE_DELAY_MS + 200, true);
@@ -96,18 +96,18 @@
 }
 
 #[test]
-fn a_shard_that_is_taken_over_starts_empty_even_if_nobody_asked_before() {
+fn a_shard_that_is_taken_over_starts_empty_without_earlier_requests() {
     let names = ["a", "b", "c", "d"];
     let mut controller = Controller::start(&names);
     controller.run(20_000, true);
     let is_owner = |tenant: &str, eligible: &[EligibleOwner]| {
         crate::shard_owners(tenant, eligible).iter().any(|owner| owner.ip == "a")
     };
-    let less = eligible(&["a", "c", "d"]);
+    let remaining = eligible(&["a", "c", "d"]);
     let tenant = (0..200).map(|number| format!("t{number}")).find(|tenant| !is_owner(tenant, &controller.eligible));
-    let tenant = tenant.expect("one that others hold");
-    assert!(is_owner(&tenant, &less));
-    controller.eligible = less;
+    let tenant = tenant.expect("a tenant whose shards other controllers own");
+    assert!(is_owner(&tenant, &remaining));
+    controller.eligible = remaining;
     controller.run(100, true);
     assert!(matches!(
         controller.shards.try_acquire(&tenant, QUOTA, controller.now, None),
@@ -116,21 +116,21 @@
 }
 
 #[test]
-fn a_share_that_grows_when_owners_are_lost_issues_no_more_for_the_time_before() {
+fn a_larger_share_after_lost_owners_does_not_apply_to_the_time_before() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(REACQUIRE_DELAY_MS + 100, true);
     assert_eq!(controller.acquire_all(), 0);
     controller.run(300, true);
     controller.eligible = eligible(&["a"]);
     controller.run(100, true);
-    assert_eq!(controller.acquire_all(), 4, "0.4 s at a third, and nothing at the whole rate yet");
+    assert_eq!(controller.acquire_all(), 4, "0.4 s at a third of the rate, and nothing at the full rate yet");
 }
 
 #[test]
-fn counters_show_what_was_granted_and_denied() {
+fn counters_count_granted_and_denied_requests() {
     let mut controller = Controller::start(&["a", "b", "c"]);
     controller.run(10_000, true);
     assert_eq!(controller.acquire_all(), 10);
-    let usage = controller.shards.counters();
-    assert_eq!((usage[0].tenant.as_str(), usage[0].granted, usage[0].denied), ("t", 10, 1));
+    let counters = controller.shards.counters();
+    assert_eq!((counters[0].tenant.as_str(), counters[0].granted, counters[0].denied), ("t", 10, 1));
 }
--- a/quota/src/testing/faults.rs
+++ b/quota/src/testing/faults.rs
@@ -1,10 +1,10 @@
-//! Faults: controllers and routers that freeze, lose their connections or restart without their memory.
+//! Injected faults: controllers and routers that freeze, are partitioned or restart without their state.
 
 use super::{new_controller, Controller, Fleet, Router};
 use crate::{shard_owners, EligibleOwner};
 
 impl Fleet {
-    /// Injects a fault on average every second and a half.
+    /// Injects a fault every 1.5 s on average.
     pub(super) fn inject_fault(&mut self) {
         if self.rng.below(150) != 0 {
             return;
@@ -16,7 +16,7 @@
             1 => self.controllers[controller].partitioned_until = until,
             2 => {
                 let other = self.rng.below(self.controllers.len() as u64) as usize;
-                let pair = self.pair(controller, other);
+                let pair = self.pair_index(controller, other);
                 self.pair_partitioned_until[pair] = until;
             }
             3 => self.kill(controller, until.min(self.now + 3000)),
@@ -24,33 +24,38 @@
                 let zone = self.rng.below(self.zones as u64) as usize;
                 self.zone_partitioned_until[zone] = until;
             }
-            5 => self.fault_routers(|router| router.partitioned_until = until),
-            6 => self.fault_routers(|router| router.frozen_until = until),
-            _ => (0..self.controllers.len()).for_each(|at| self.kill(at, self.now + 500)),
+            5 => self.apply_to_routers(|router| router.partitioned_until = until),
+            6 => self.apply_to_routers(|router| router.frozen_until = until),
+            _ => (0..self.controllers.len()).for_each(|index| self.kill(index, self.now + 500)),
         }
     }
 
-    fn fault_routers(&mut self, fault: impl Fn(&mut Router)) {
+    /// Applies a fault to a sixth of the routers, at consecutive indices.
+    fn apply_to_routers(&mut self, fault: impl Fn(&mut Router)) {
         let first = self.rng.below(self.routers.len() as u64) as usize;
         let count = (self.routers.len() / 6).max(1);
         for step in 0..count {
-            let at = (first + step) % self.routers.len();
-            fault(&mut self.routers[at]);
+            let index = (first + step) % self.routers.len();
+            fault(&mut self.routers[index]);
         }
     }
 
-    /// Kills a controller that owns a shard of a tenant; it restarts after a time.
+    /// Kills a controller that owns a shard of a tenant. It restarts after `time_ms`.
     pub fn kill_owner(&mut self, tenant: usize, time_ms: u64) {
         let eligible: Vec<EligibleOwner> =
             self.controllers.iter().map(|controller| controller.identity.clone()).collect();
         let ip = shard_owners(&self.tenants[tenant].name, &eligible)[0].ip.clone();
-        let at = self.controllers.iter().position(|controller| controller.identity.ip == ip).expect("a controller");
-        self.kill(at, self.now + time_ms);
+        let index = self
+            .controllers
+            .iter()
+            .position(|controller| controller.identity.ip == ip)
+            .expect("the owner is one of the controllers");
+        self.kill(index, self.now + time_ms);
     }
 
-    /// Restarts a controller without its memory.
-    fn kill(&mut self, at: usize, until: u64) {
-        let identity = self.controllers[at].identity.clone();
-        self.controllers[at] = Controller { frozen_until: until, ..new_controller(identity, self.variant) };
+    /// Kills a controller, which restarts without its state at `until`.
+    fn kill(&mut self, index: usize, until: u64) {
+        let identity = self.controllers[index].identity.clone();
+        self.controllers[index] = Controller { frozen_until: until, ..new_controller(identity, self.variant) };
     }
 }
--- a/quota/src/testing/measurements.rs
+++ b/quota/src/testing/measurements.rs
@@ -1,21 +1,21 @@
-//! What tenants sent in all, against their limits.
+//! The requests that tenants sent, compared with the bound.
 
 use super::{Fleet, BOUNDS};
 
 /// A window in which a tenant sent more than the bound allows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LimitViolation {
+pub struct BoundViolation {
     pub tenant: String,
-    /// The most requests sent in one window.
+    /// The maximum number of requests sent in one window.
     pub sent: usize,
-    /// What the bound allows in a window.
+    /// The number of requests that the bound allows in one window.
     pub allowed: f64,
 }
 
 impl Fleet {
-    /// Returns the most requests that a tenant sent in any window.
+    /// Returns the maximum number of requests that a tenant sent in any window.
     pub fn max_sent_in_window(&self, tenant: usize) -> usize {
-        let mut times = self.sends[tenant].clone();
+        let mut times = self.send_times[tenant].clone();
         times.sort_unstable();
         let mut end = 0;
         let mut max = 0;
@@ -28,13 +28,13 @@
         max
     }
 
-    /// Returns the first tenant that sent more than the bound in a window.
-    pub fn first_violation(&self) -> Option<LimitViolation> {
-        let usage = self.tenants.iter().enumerate().map(|(at, tenant)| LimitViolation {
+    /// Returns the violation of the first tenant that sent more than the bound allows in a window.
+    pub fn first_violation(&self) -> Option<BoundViolation> {
+        let usage = self.tenants.iter().enumerate().map(|(index, tenant)| BoundViolation {
             tenant: tenant.name.clone(),
-            sent: self.max_sent_in_window(at),
+            sent: self.max_sent_in_window(index),
             allowed: BOUNDS.max_requests(&tenant.quota),
         });
-        usage.into_iter().find(|window| window.sent as f64 > window.allowed)
+        usage.into_iter().find(|usage| usage.sent as f64 > usage.allowed)
     }
 }
--- a/quota/src/testing/mod.rs
+++ b/quota/src/testing/mod.rs
@@ -1,8 +1,9 @@
-//! A simulated fleet in virtual time: controllers confirm themselves at a majority and learn of one another by the product's
-//! own membership view, routers ask the product's shards for tokens. Everything can be partitioned, frozen or restarted.
+//! A simulated fleet in virtual time. Controllers are confirmed by a majority and learn of one another through the
+//! production membership view; routers request tokens from the production shards. All of them can be partitioned or
+//! frozen, and controllers can be restarted.
 //!
-//! `Fleet` advances in steps of fixed length. In each step come first faults, then heartbeats, then what routers learn, then
-//! requests. All draws come from one seeded generator in this order, so that a seed gives the same run again.
+//! `Fleet` advances in steps of fixed length, each with faults, heartbeats, updates of the routers and requests, in
+//! this order. All random numbers come from one seeded generator, so that a seed reproduces a run.
 
 mod faults;
 mod fleet_tests;
@@ -16,30 +17,31 @@
 
 use crate::{Allowances, Bounds, EligibleOwner, Quota, Shards};
 
-pub use measurements::LimitViolation;
+pub use measurements::BoundViolation;
 
-/// Length of one step.
+/// Length of one step, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Between two heartbeats of a controller.
+/// Interval between two heartbeats of a controller, in milliseconds.
 const HEARTBEAT_MS: u64 = 350;
-/// Between two updates of a router's list of eligible owners.
+/// Interval between two updates of a router's list of eligible owners, in milliseconds.
 const SUBSCRIPTION_MS: u64 = 400;
-/// How long a controller counts as confirmed.
+/// Time during which a controller counts as confirmed, in milliseconds.
 const CONFIRMATION_MS: u64 = 1100;
-/// The longest time from a grant to the send.
+/// Upper bound of the delay from a grant to the send, in milliseconds.
 const MAX_SEND_DELAY_MS: u64 = 40;
-/// How long a router denies a tenant without asking after all its shards were empty.
+/// Maximum time for which a router caches the denial of a tenant whose shards are empty, in milliseconds.
 const DENIAL_CACHE_MS: u64 = 30;
 
 /// The bound that all runs are checked against.
 pub const BOUNDS: Bounds = Bounds { window_ms: 5000, overage: 0.1, slack: 20.0 };
 
-/// Which safeguard is missing. Without any one of them the bound must break, or the simulation shows nothing.
+/// The safeguard that is disabled. Without any one of them the bound must break, or the simulation could not detect its
+/// absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// None: the product as it is.
+    /// None: the production code.
     Correct,
-    /// Shards are taken over as soon as a heartbeat of their owner is missing.
+    /// Shards are taken over as soon as a heartbeat of their owner is missed.
     ImmediateTakeover,
     /// A controller issues tokens whether it is confirmed or not.
     NoLease,
@@ -47,7 +49,7 @@
     StartsFull,
 }
 
-/// How large a fleet is.
+/// Size of a fleet.
 pub struct Size {
     pub controllers: usize,
     pub zones: usize,
@@ -70,40 +72,40 @@
     denied_until: Vec<u64>,
     frozen_until: u64,
     partitioned_until: u64,
-    /// Requests that came while it was frozen.
-    waiting: Vec<usize>,
+    /// Tenants of the requests that arrived while it was frozen.
+    queued: Vec<usize>,
 }
 
 /// A tenant and its clients.
 pub struct Tenant {
     pub name: String,
     pub quota: Quota,
-    /// Requests per second that its clients make.
+    /// Requests per second that its clients send.
     pub demand: f64,
-    /// The zone from which most of them come.
+    /// The zone that most requests come from.
     pub zone: usize,
 }
 
-/// What came of a tenant's requests.
+/// Outcomes of a tenant's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
     pub received: usize,
     pub sent: usize,
     /// Denied because the shards were empty.
     pub over_quota: usize,
-    /// Denied because no owner answered and the router's own allowance was used up.
+    /// Denied because no owner answered and the router's allowance was used up.
     pub rejected_without_owner: usize,
 }
 
-/// A fleet and what its tenants sent so far.
+/// A fleet and the requests that its tenants have sent.
 pub struct Fleet {
     pub now: u64,
     pub rng: Rng,
     pub variant: Variant,
     pub tenants: Vec<Tenant>,
     pub counts: Vec<RequestCounts>,
-    /// Times of sends, by tenant.
-    pub sends: Vec<Vec<u64>>,
+    /// Times at which requests were sent, by tenant.
+    pub send_times: Vec<Vec<u64>>,
     zones: usize,
     controllers: Vec<Controller>,
     routers: Vec<Router>,
@@ -113,25 +115,25 @@
 
 impl Fleet {
     pub fn new(size: &Size, tenants: Vec<Tenant>, variant: Variant, seed: u64) -> Fleet {
-        let controller = |at: usize| {
-            let identity = EligibleOwner { ip: format!("10.0.{}.1", at), zone: format!("z{}", at % size.zones) };
+        let controller = |index: usize| {
+            let identity = EligibleOwner { ip: format!("10.0.{}.1", index), zone: format!("z{}", index % size.zones) };
             new_controller(identity, variant)
         };
-        let router = |at: usize| Router {
-            zone: at % size.zones,
+        let router = |index: usize| Router {
+            zone: index % size.zones,
             eligible_owners: Vec::new(),
-            allowances: Allowances::new(BOUNDS, hashing::hash(format!("edge-{at}").as_bytes())),
+            allowances: Allowances::new(BOUNDS, hashing::hash(format!("edge-{index}").as_bytes())),
             denied_until: vec![0; tenants.len()],
             frozen_until: 0,
             partitioned_until: 0,
-            waiting: Vec::new(),
+            queued: Vec::new(),
         };
         Fleet {
             now: 0,
             rng: Rng::new(seed.wrapping_mul(0x9E37_79B9) + 1),
             variant,
             counts: vec![RequestCounts::default(); tenants.len()],
-            sends: vec![Vec::new(); tenants.len()],
+            send_times: vec![Vec::new(); tenants.len()],
             zones: size.zones,
             controllers: (0..size.controllers).map(controller).collect(),
             routers: (0..size.routers).map(router).collect(),
--- a/quota/src/testing/network.rs
+++ b/quota/src/testing/network.rs
@@ -1,37 +1,40 @@
-//! Who reaches whom.
+//! Connectivity between controllers, routers and zones.
 
 use super::Fleet;
 
 impl Fleet {
-    pub(super) fn pair(&self, one: usize, two: usize) -> usize {
-        one.min(two) * self.controllers.len() + one.max(two)
+    /// Returns the index of an unordered pair of controllers in `pair_partitioned_until`.
+    pub(super) fn pair_index(&self, first: usize, second: usize) -> usize {
+        first.min(second) * self.controllers.len() + first.max(second)
     }
 
-    pub(super) fn zone_of(&self, at: usize) -> usize {
-        at % self.zones
+    pub(super) fn zone_of(&self, index: usize) -> usize {
+        index % self.zones
     }
 
-    fn are_zones_linked(&self, one: usize, two: usize) -> bool {
-        one == two || (self.zone_partitioned_until[one] <= self.now && self.zone_partitioned_until[two] <= self.now)
+    fn are_zones_connected(&self, first: usize, second: usize) -> bool {
+        first == second
+            || (self.zone_partitioned_until[first] <= self.now && self.zone_partitioned_until[second] <= self.now)
     }
 
-    pub(super) fn is_up(&self, at: usize) -> bool {
-        self.controllers[at].frozen_until <= self.now
+    pub(super) fn is_up(&self, index: usize) -> bool {
+        self.controllers[index].frozen_until <= self.now
     }
 
-    pub(super) fn are_linked(&self, one: usize, two: usize) -> bool {
-        let reachable = |at: usize| self.is_up(at) && self.controllers[at].partitioned_until <= self.now;
-        reachable(one)
-            && reachable(two)
-            && self.pair_partitioned_until[self.pair(one, two)] <= self.now
-            && self.are_zones_linked(self.zone_of(one), self.zone_of(two))
+    pub(super) fn are_connected(&self, first: usize, second: usize) -> bool {
+        let reachable = |index: usize| self.is_up(index) && self.controllers[index].partitioned_until <= self.now;
+        reachable(first)
+            && reachable(second)
+            && self.pair_partitioned_until[self.pair_index(first, second)] <= self.now
+            && self.are_zones_connected(self.zone_of(first), self.zone_of(second))
     }
 
-    /// A partitioned controller loses the other controllers only; routers reach it while they and the zones are connected.
-    pub(super) fn reaches(&self, router: usize, controller: usize) -> bool {
+    /// Returns whether a router can reach a controller. A partitioned controller is cut off from other controllers
+    /// only; routers reach it while they and the zones are connected.
+    pub(super) fn can_reach(&self, router: usize, controller: usize) -> bool {
         let from = &self.routers[router];
         self.is_up(controller)
             && from.partitioned_until <= self.now
-            && self.are_zones_linked(from.zone, self.zone_of(controller))
+            && self.are_zones_connected(from.zone, self.zone_of(controller))
     }
 }
