--- a/experiment/src/lib.rs
+++ b/experiment/src/lib.rs
@@ -1,7 +1,8 @@
-//! Seeded experiments in virtual time: the real decisions of routers and controllers, on simulated engines and requests.
+//! Seeded experiments in virtual time: the production decision code of routers and controllers runs against simulated
+//! engines and requests.
 //!
-//! The command line and the tests share them. An experiment can be run with a part of the design switched off, to show that it
-//! would notice.
+//! The command line and the tests share them. An ablation runs an experiment with a part of the design switched off, to
+//! show that the experiment detects its absence.
 
 #![deny(missing_docs)]
 
--- a/experiment/src/rollout/scenario.rs
+++ b/experiment/src/rollout/scenario.rs
@@ -1,81 +1,82 @@
-//! What is drawn for a term.
+//! The parameters of a trial.
 
 use serde::Serialize;
 
-/// The version that is rolled out.
+/// The behaviour of the version that is rolled out.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Version {
-    /// As good as the version in place.
+    /// As good as the stable version.
     Good,
     /// Fails a share of its requests.
     Errors(f64),
-    /// Takes as many times as long.
+    /// Takes longer by this factor.
     Slow(f64),
-    /// Fails half of its requests at engines that have half of their slots taken.
+    /// Fails half of its requests at engines with at least half of their slots in use.
     UnderLoad,
-    /// Fails half of the requests of one route.
+    /// Fails half of its requests of one route.
     OneRoute,
-    /// Fails half of its requests from so many milliseconds before the end of the term.
+    /// Fails half of its requests from this many milliseconds before the end of the trial.
     Late(u64),
 }
 
-/// What else goes wrong: at a share of the engines of both versions, drawn anew for each term.
+/// Faults that do not come from the new version. Where they affect a share of the engines, these are drawn from both
+/// versions, anew for each trial.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Disturbance {
-    /// Nothing.
+    /// No fault.
     Nothing,
-    /// A share of the engines fails 0.4 of its requests, from a tenth of the term on.
+    /// A share of the engines fails 40% of their requests once a tenth of the trial is over.
     GreyErrors(f64),
-    /// The same, from the beginning of the load test on.
+    /// The same, from about the start of the load test.
     GreyErrorsAtLoad(f64),
-    /// A share of the engines fails all requests at once.
+    /// A share of the engines fails every request immediately.
     FailAll(f64),
-    /// A share of the engines takes eight times as long.
+    /// A share of the engines takes eight times as long per token.
     GreySlow(f64),
-    /// One of three zones loses its responses for 3 s, from the middle of the term on.
+    /// One of three zones loses its responses for 3 s, from the middle of the trial.
     ZoneLost,
     /// Every engine fails a share of its requests.
     Everywhere(f64),
 }
 
-/// A part of the design that is switched off.
+/// The part of the design that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ablation {
-    /// None.
+    /// None: the complete design.
     Complete,
-    /// Samples of the version in place are not reported.
+    /// Samples of the stable version are not reported.
     NoBaseline,
-    /// Samples do not tell the engines of the candidate apart.
+    /// Samples do not identify the engines of the candidate.
     EnginesNotToldApart,
-    /// Samples do not tell how loaded engines are.
+    /// Samples do not contain the load of engines.
     NoLoad,
 }
 
-/// The size of a fleet.
+/// The size and request rate of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fleet {
-    /// Decode engines of each version.
+    /// The number of decode engines of each version.
     pub engines: usize,
-    /// Slots of an engine.
+    /// The number of slots of an engine.
     pub slots: u32,
-    /// Requests a second.
+    /// Requests per second, over the whole fleet.
     pub requests_per_s: f64,
 }
 
-/// What is drawn for a term.
+/// The parameters of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Scenario {
-    /// The size of the fleet.
+    /// The fleet.
     pub fleet: Fleet,
-    /// The length of the term.
+    /// The duration of the trial, in milliseconds.
     pub duration_ms: u64,
-    /// The version.
+    /// The behaviour of the new version.
     pub version: Version,
-    /// What else goes wrong.
+    /// The other faults.
     pub disturbance: Disturbance,
-    /// What is switched off.
+    /// The part of the design that is switched off.
     pub ablation: Ablation,
 }
--- a/experiment/src/rollout/summary.rs
+++ b/experiment/src/rollout/summary.rs
@@ -1,59 +1,61 @@
-//! Many terms of a scenario, and what came of them.
+//! Runs many trials of a scenario and summarizes their outcomes.
 
 use std::thread;
 
 use protocol::version_rollout::RolloutState;
 use serde::Serialize;
 
-use crate::rollout::{simulate, Ablation, Disturbance, Fleet, Scenario, TermOutcome, Version};
+use crate::rollout::{simulate, Ablation, Disturbance, Fleet, Scenario, TrialOutcome, Version};
 
-/// What came of the terms of one scenario.
+/// The outcomes of the trials of one scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Summary {
     /// The scenario.
     pub scenario: Scenario,
-    /// Terms played.
+    /// The number of trials.
     pub terms: u64,
-    /// Those in which the version became the only one.
+    /// The number of trials in which the rollout completed, so that the candidate replaced the stable version.
     pub complete: u64,
-    /// Those in which it was taken back.
+    /// The number of trials in which the candidate was rolled back.
     pub reverted: u64,
-    /// Those in which it had more requests than a faulty version may have.
+    /// The number of trials in which the candidate got more requests than a faulty version may get.
     pub over_exposed: u64,
-    /// The largest share of a term's requests that it had.
+    /// The candidate's largest share of the requests of a trial.
     pub largest_share: f64,
 }
 
-/// Plays terms of a scenario on all processors. The same seed gives the same summary.
-pub fn run(scenario: &Scenario, terms: u64, seed: u64) -> Summary {
-    let workers = thread::available_parallelism().map_or(1, |count| count.get() as u64).min(terms.max(1));
-    let outcomes: Vec<TermOutcome> = thread::scope(|scope| {
+/// Runs trials of a scenario on all processors. The same seed gives the same summary.
+pub fn run(scenario: &Scenario, trial_count: u64, seed: u64) -> Summary {
+    let workers = thread::available_parallelism().map_or(1, |count| count.get() as u64).min(trial_count.max(1));
+    let outcomes: Vec<TrialOutcome> = thread::scope(|scope| {
         let worker = |first: u64| {
-            move || -> Vec<TermOutcome> {
-                let numbers = (first..terms).step_by(workers as usize);
-                numbers.map(|number| simulate(scenario, seed.wrapping_mul(1_000_003) + number)).collect()
+            move || -> Vec<TrialOutcome> {
+                let trial_numbers = (first..trial_count).step_by(workers as usize);
+                trial_numbers
+                    .map(|trial_number| simulate(scenario, seed.wrapping_mul(1_000_003) + trial_number))
+                    .collect()
             }
         };
         let handles: Vec<_> = (0..workers).map(|first| scope.spawn(worker(first))).collect();
-        handles.into_iter().flat_map(|handle| handle.join().expect("a term does not panic")).collect()
+        handles.into_iter().flat_map(|handle| handle.join().expect("a trial panicked")).collect()
     });
     summarize(scenario, &outcomes)
 }
 
-fn summarize(scenario: &Scenario, outcomes: &[TermOutcome]) -> Summary {
-    let count = |is_counted: fn(&TermOutcome) -> bool| outcomes.iter().filter(|term| is_counted(term)).count() as u64;
-    let share = |term: &TermOutcome| term.candidate_requests as f64 / term.requests.max(1) as f64;
+fn summarize(scenario: &Scenario, outcomes: &[TrialOutcome]) -> Summary {
+    let count = |matches: fn(&TrialOutcome) -> bool| outcomes.iter().filter(|outcome| matches(outcome)).count() as u64;
+    let share = |outcome: &TrialOutcome| outcome.candidate_requests as f64 / outcome.requests.max(1) as f64;
     Summary {
         scenario: *scenario,
         terms: outcomes.len() as u64,
-        complete: count(|term| term.state == RolloutState::Complete),
-        reverted: count(|term| term.state == RolloutState::Reverted),
-        over_exposed: count(TermOutcome::exceeds_exposure),
+        complete: count(|outcome| outcome.state == RolloutState::Complete),
+        reverted: count(|outcome| outcome.state == RolloutState::Reverted),
+        over_exposed: count(TrialOutcome::exceeds_exposure),
         largest_share: outcomes.iter().map(share).fold(0.0, f64::max),
     }
 }
 
-/// Returns the scenarios of the table: each version beside each disturbance.
+/// Returns the standard scenarios: each version combined with each disturbance.
 pub fn standard_scenarios(fleet: Fleet, duration_ms: u64, ablation: Ablation) -> Vec<Scenario> {
     let versions = [
         Version::Good,
--- a/experiment/src/rollout_tests.rs
+++ b/experiment/src/rollout_tests.rs
@@ -1,4 +1,5 @@
-//! A small draw of rollouts, and that parts of the design which are switched off are noticed.
+//! Tests small samples of simulated rollouts, and that the experiment detects parts of the design that are switched
+//! off.
 
 use protocol::version_rollout::RolloutState;
 
@@ -11,22 +12,22 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_term_again() {
+fn same_seed_gives_the_same_outcome() {
     let scenario = scenario(Version::UnderLoad, Disturbance::GreyErrors(0.3));
     assert_eq!(simulate(&scenario, 5), simulate(&scenario, 5));
     assert!((1..6).any(|seed| simulate(&scenario, seed) != simulate(&scenario, 6)));
 }
 
 #[test]
-fn good_versions_become_the_only_one() {
+fn good_versions_complete_without_disturbance_or_with_a_zone_outage() {
     for disturbance in [Disturbance::Nothing, Disturbance::ZoneLost] {
         assert_eq!(run(&scenario(Version::Good, disturbance), 16, 1).complete, 16);
     }
 }
 
 #[test]
-fn where_many_engines_fail_by_themselves_no_version_becomes_the_only_one() {
-    // A good version can't be told from a faulty one for sure there, and a faulty one must not stay.
+fn almost_no_version_completes_while_many_engines_are_grey() {
+    // A good version can't be reliably distinguished from a faulty one then, and a faulty one must not complete.
     for version in [Version::Good, Version::Errors(0.1), Version::UnderLoad] {
         for disturbance in [Disturbance::GreyErrors(0.3), Disturbance::GreySlow(0.3)] {
             let summary = run(&scenario(version, disturbance), 16, 1);
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn faulty_versions_are_taken_back_within_the_exposure_allowed() {
+fn faulty_versions_are_rolled_back_within_the_exposure_limit() {
     let versions = [Version::Errors(0.5), Version::Slow(3.0), Version::UnderLoad, Version::OneRoute];
     for version in versions {
         for disturbance in [Disturbance::Nothing, Disturbance::GreyErrors(0.3), Disturbance::FailAll(0.2)] {
@@ -47,28 +48,29 @@
 }
 
 #[test]
-fn a_judge_that_does_not_know_the_load_lets_a_version_pass_that_does_not_bear_it() {
-    let blind = Scenario { ablation: Ablation::NoLoad, ..scenario(Version::UnderLoad, Disturbance::Nothing) };
-    let summary = run(&blind, 8, 3);
+fn analysis_without_load_misses_a_version_that_fails_under_load() {
+    let without_load = Scenario { ablation: Ablation::NoLoad, ..scenario(Version::UnderLoad, Disturbance::Nothing) };
+    let summary = run(&without_load, 8, 3);
     assert!(summary.complete + summary.over_exposed >= 1, "{summary:?}");
 }
 
 #[test]
-fn a_judge_that_does_not_tell_engines_apart_takes_good_versions_back() {
-    let told_apart = scenario(Version::Good, Disturbance::GreyErrors(0.05));
-    let pooled = Scenario { ablation: Ablation::EnginesNotToldApart, ..told_apart };
-    let [told_apart, pooled] = [told_apart, pooled].map(|scenario| run(&scenario, 32, 4).reverted);
-    assert!(pooled >= told_apart + 6, "{pooled} and {told_apart} of 32");
+fn analysis_without_engine_identity_rolls_back_good_versions() {
+    let by_engine = scenario(Version::Good, Disturbance::GreyErrors(0.05));
+    let pooled = Scenario { ablation: Ablation::EnginesNotToldApart, ..by_engine };
+    let [by_engine, pooled] = [by_engine, pooled].map(|scenario| run(&scenario, 32, 4).reverted);
+    assert!(pooled >= by_engine + 6, "of 32 rolled back: {pooled} pooled, {by_engine} by engine");
 }
 
 #[test]
-fn a_judge_without_the_version_in_place_takes_good_versions_back() {
-    let alone = Scenario { ablation: Ablation::NoBaseline, ..scenario(Version::Good, Disturbance::Everywhere(0.1)) };
-    assert!(run(&alone, 8, 5).reverted >= 6);
+fn analysis_without_a_baseline_rolls_back_good_versions() {
+    let without_baseline =
+        Scenario { ablation: Ablation::NoBaseline, ..scenario(Version::Good, Disturbance::Everywhere(0.1)) };
+    assert!(run(&without_baseline, 8, 5).reverted >= 6);
 }
 
 #[test]
-fn a_term_ends() {
+fn trial_ends_with_a_decided_rollout() {
     let outcome = simulate(&scenario(Version::Good, Disturbance::Nothing), 9);
     assert_ne!(outcome.state, RolloutState::Active);
     assert!(outcome.requests > 3000 && outcome.candidate_requests > 0);
--- a/kernel/src/convergence_tests.rs
+++ b/kernel/src/convergence_tests.rs
@@ -1,24 +1,25 @@
-//! The worst paths of a change, added up from the shares.
+//! Adds up the shares of the budget along the slowest paths of a change.
 
 use super::ConvergenceBudget;
 use crate::settings::Bounds;
 
-/// The values to try; deployments have 2000 to 3000.
+/// Values of `converge_ms` to test; deployments use 2000 to 3000.
 const CONVERGE_MS: [u64; 5] = [1500, 2000, 2500, 3000, 4000];
 
-/// The waits on the way of a change, in milliseconds: those of `ConvergenceBudget`, or others to be checked by the same sums.
+/// The waits along the path of a change, in milliseconds: those of `ConvergenceBudget`, or of another design to
+/// compare.
 struct Waits {
-    /// The greatest age of a controller's confirmation.
+    /// The maximum age of a controller's confirmation.
     confirmation_age: u64,
-    /// A controller's fetch of what it was not pushed.
+    /// The time in which a controller fetches changes that were not pushed to it.
     fetch: u64,
     renewal: u64,
     response: u64,
-    /// From the last proof to the first call to others.
+    /// The time from the last proof to the first hedged call.
     hedge_age: u64,
-    /// How many are called then.
+    /// The number of controllers in the first round of hedged calls.
     hedge_count: u64,
-    /// From there to the next call.
+    /// The interval between later hedged calls.
     hedge_gap: u64,
 }
 
@@ -35,9 +36,9 @@
         }
     }
 
-    /// A router with one home: silent after a heartbeat and two calls of 700 ms; the next home's first response
-    /// has 1,500 ms. Controllers are confirmed for 1,100 ms.
-    fn single_home() -> Waits {
+    /// A design without hedging: the router drops its home after a heartbeat and two unanswered calls of 700 ms, and
+    /// the next home has 1,500 ms for its first response. A confirmation is valid for 1,100 ms.
+    fn without_hedging() -> Waits {
         Waits {
             confirmation_age: 1100,
             fetch: 600,
@@ -49,10 +50,11 @@
         }
     }
 
-    /// From the acknowledgement until in force, if the home and the first `failing` of the others give no proof.
-    fn failing_controllers(&self, failing: u64) -> u64 {
-        let further = (failing + 1).saturating_sub(self.hedge_count);
-        self.hedge_age + further * self.hedge_gap + self.response
+    /// The time from acknowledgement until the change is in force if the home and the first `failing_others` of the
+    /// other controllers give no proof.
+    fn failing_controllers(&self, failing_others: u64) -> u64 {
+        let further_calls = (failing_others + 1).saturating_sub(self.hedge_count);
+        self.hedge_age + further_calls * self.hedge_gap + self.response
     }
 
     /// The push to the router is lost: the next renewal brings the change.
@@ -60,25 +62,25 @@
         self.confirmation_age + self.renewal + self.response
     }
 
-    /// The frame with the change is dropped at the router: the response shows it, and it calls again at once.
+    /// The router drops the frame with the change, learns of it from the response and calls again at once.
     fn dropped_at_router(&self) -> u64 {
         self.lost_push_to_router() + self.response
     }
 
-    /// The push to the controller is lost: its next confirmation finds the change and fetches it.
+    /// The push to the controller is lost: its next confirmation finds that the change is missing and fetches it.
     fn lost_push_to_controller(&self) -> u64 {
         self.fetch + self.lost_push_to_router()
     }
 
-    /// Every path that must be below `converge_ms`, by name.
+    /// Every path that must take less than `converge_ms`, by name.
     fn paths(&self) -> [(&'static str, u64); 6] {
         [
-            ("a failing home", self.failing_controllers(0)),
-            ("two in a row", self.failing_controllers(1)),
-            ("a failing home and three failing candidates, one of them in the core", self.failing_controllers(3)),
-            ("a push to the router lost", self.lost_push_to_router()),
-            ("a frame dropped at the router", self.dropped_at_router()),
-            ("a push to the controller lost", self.lost_push_to_controller()),
+            ("failing home", self.failing_controllers(0)),
+            ("failing home and one failing candidate", self.failing_controllers(1)),
+            ("failing home and three failing candidates, one of them in the core", self.failing_controllers(3)),
+            ("lost push to the router", self.lost_push_to_router()),
+            ("frame dropped at the router", self.dropped_at_router()),
+            ("lost push to the controller", self.lost_push_to_controller()),
         ]
     }
 }
@@ -88,57 +90,57 @@
 }
 
 #[test]
-fn every_path_of_a_change_ends_a_tenth_below_the_bound() {
+fn every_path_of_a_change_takes_at_most_nine_tenths_of_converge_ms() {
     for converge_ms in CONVERGE_MS {
         for (path, sum) in Waits::of(&budget(converge_ms)).paths() {
-            assert!(sum * 10 <= converge_ms * 9, "{path}: {sum} of {converge_ms} ms");
+            assert!(sum * 10 <= converge_ms * 9, "{path}: takes {sum} of {converge_ms} ms");
         }
     }
 }
 
 #[test]
-fn the_waits_of_a_router_with_a_single_home_do_not() {
+fn at_least_two_paths_exceed_that_limit_without_hedging() {
     for converge_ms in CONVERGE_MS {
-        let paths = Waits::single_home().paths();
+        let paths = Waits::without_hedging().paths();
         let late = paths.iter().filter(|(_, sum)| sum * 10 > converge_ms * 9).count();
-        assert!(late >= 2, "{converge_ms}: {paths:?}");
+        assert!(late >= 2, "converge_ms {converge_ms}: {late} late paths in {paths:?}");
     }
 }
 
 #[test]
-fn whoever_is_called_first_knows_what_the_failing_home_did_not_prove() {
+fn hedging_starts_after_the_confirmation_age_of_a_healthy_controller() {
     for converge_ms in CONVERGE_MS {
         let budget = budget(converge_ms);
-        assert!(budget.hedge_age_ms() > budget.confirmation_age_ms(), "{converge_ms}");
+        assert!(budget.hedge_age_ms() > budget.confirmation_age_ms(), "converge_ms {converge_ms}");
     }
 }
 
 #[test]
-fn a_healthy_home_is_not_hedged() {
+fn a_healthy_home_does_not_trigger_hedging() {
     for converge_ms in CONVERGE_MS {
         let budget = budget(converge_ms);
-        // A read takes a small part of what it may take.
+        // A read usually takes a small part of its timeout, so it is left out.
         let usual = budget.confirmation_interval_ms() + budget.renewal_interval_ms() + budget.response_ms() / 2;
-        assert!(usual < budget.hedge_age_ms(), "{converge_ms}: {usual}");
+        assert!(usual < budget.hedge_age_ms(), "converge_ms {converge_ms}: usual age {usual} ms");
     }
 }
 
 #[test]
-fn a_refusal_rests_on_a_proof_well_within_the_bound() {
+fn a_refusal_needs_a_proof_within_converge_ms_and_continues_while_two_controllers_fail() {
     for converge_ms in CONVERGE_MS {
         let budget = budget(converge_ms);
-        assert!(budget.refusal_age_ms() + budget.refusal_wait_ms() <= converge_ms, "{converge_ms}");
-        // While one of two is failing, refusals go on.
-        assert!(Waits::of(&budget).failing_controllers(1) < budget.refusal_age_ms(), "{converge_ms}");
+        assert!(budget.refusal_age_ms() + budget.refusal_wait_ms() <= converge_ms, "converge_ms {converge_ms}");
+        // Requests can still be refused while the home and one other controller fail.
+        assert!(Waits::of(&budget).failing_controllers(1) < budget.refusal_age_ms(), "converge_ms {converge_ms}");
     }
 }
 
 #[test]
-fn two_controllers_are_called_before_contact_ms_is_over() {
+fn two_hedged_calls_at_the_maximum_gap_fit_within_contact_ms() {
     for contact_ms in [2000, 3000, 5000] {
         let bounds = Bounds { contact_ms, ..Default::default() };
         let budget = ConvergenceBudget::new(&bounds);
         let two_calls = 2 * budget.max_hedge_gap_ms() + budget.response_ms();
-        assert!(two_calls * 10 <= contact_ms * 9, "{contact_ms}: {two_calls}");
+        assert!(two_calls * 10 <= contact_ms * 9, "contact_ms {contact_ms}: two calls take {two_calls} ms");
     }
 }
--- a/kernel/src/event_buffer.rs
+++ b/kernel/src/event_buffer.rs
@@ -1,21 +1,21 @@
-//! A bounded in-memory list of numbered events: when it is full, the oldest give way to new ones.
+//! A bounded in-memory buffer of numbered events that evicts the oldest when it is full.
 
 use std::collections::VecDeque;
 
-/// An event as the buffer keeps it.
+/// An event with its number and time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedEvent<E> {
-    /// Counts from 1 and is never used again in this process.
+    /// The sequence number, from 1; never reused by the same buffer.
     pub number: u64,
-    /// When the event was pushed, on the steady clock.
+    /// The time that was given when the event was pushed, in milliseconds of the monotonic clock.
     pub time_ms: u64,
-    /// What was pushed.
+    /// The event itself.
     pub event: E,
 }
 
-/// The newest events.
+/// Keeps the newest events.
 ///
-/// Invariants: it never holds more than `capacity` events; numbers rise by one and are never used again.
+/// Invariants: it never holds more than `capacity` events; numbers increase by one and are never reused.
 pub struct EventBuffer<E> {
     events: VecDeque<NumberedEvent<E>>,
     next_number: u64,
@@ -23,12 +23,12 @@
 }
 
 impl<E> EventBuffer<E> {
-    /// Creates an empty buffer for `capacity` events, at least one.
+    /// Creates an empty buffer for `capacity` events, or for one if `capacity` is zero.
     pub fn new(capacity: usize) -> Self {
         EventBuffer { events: VecDeque::new(), next_number: 1, capacity: capacity.max(1) }
     }
 
-    /// Appends an event, drops the oldest one if the buffer is full, and returns the number of the new one.
+    /// Appends an event, evicting the oldest if the buffer is full, and returns the number of the new event.
     pub fn push(&mut self, time_ms: u64, event: E) -> u64 {
         if self.events.len() == self.capacity {
             self.events.pop_front();
@@ -44,17 +44,17 @@
         self.events.iter().filter(move |event| event.number > number)
     }
 
-    /// Returns how many events the buffer holds.
+    /// Returns the number of events in the buffer.
     pub fn len(&self) -> usize {
         self.events.len()
     }
 
-    /// Returns whether nothing was pushed yet.
+    /// Returns whether no event has been pushed yet.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// Returns the number of the newest event; zero before the first.
+    /// Returns the sequence number of the newest event, or zero before the first.
     pub fn last_number(&self) -> u64 {
         self.next_number - 1
     }
--- a/kernel/src/event_buffer_tests.rs
+++ b/kernel/src/event_buffer_tests.rs
@@ -1,10 +1,10 @@
 use super::EventBuffer;
 
 #[test]
-fn oldest_events_give_way_and_numbers_rise() {
+fn full_buffer_evicts_the_oldest_event_and_numbers_keep_increasing() {
     let mut buffer = EventBuffer::new(2);
-    for word in ["a", "b", "c"] {
-        buffer.push(0, word);
+    for event in ["a", "b", "c"] {
+        buffer.push(0, event);
     }
     let kept: Vec<&str> = buffer.events_since(0).map(|numbered| numbered.event).collect();
     assert_eq!(kept, ["b", "c"]);
--- a/kernel/src/hashing.rs
+++ b/kernel/src/hashing.rs
@@ -1,6 +1,6 @@
-//! Hashes that are the same on every machine and in every version.
+//! Stable hashes: the same on every machine and in every version.
 //!
-//! Daemons compare these hashes with each other's and store them, so they must never change.
+//! Daemons store these hashes and compare them with those of other daemons, so the functions must never change.
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -16,7 +16,7 @@
     finalize(hash)
 }
 
-/// Returns one hash of two; their order matters.
+/// Combines two hashes into one; their order matters.
 pub fn combine(left: u64, right: u64) -> u64 {
     finalize(left.rotate_left(23) ^ right.wrapping_mul(GOLDEN_RATIO))
 }
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both daemons are built on: settings, clock, log, signals, start-up and the plug-in registry.
+//! Shared foundations of both daemons: settings, clock, log, signals, start-up and the plug-in registry.
 #![deny(missing_docs)]
 
 mod archive;
--- a/kernel/src/log.rs
+++ b/kernel/src/log.rs
@@ -1,4 +1,4 @@
-//! Numbered log events over `slog`: one line per event on standard output, the last of them also in memory.
+//! Numbered log events on top of `slog`: one line per event on standard output; the most recent stay in memory too.
 //!
 //! The catalogue of events is `docs/events.md`; a test compares it with the events in the code.
 
@@ -12,40 +12,40 @@
 
 use crate::{clock, EventBuffer, NumberedEvent};
 
-/// How many events stay in memory.
+/// The number of recent events kept in memory.
 const RECENT_EVENT_CAPACITY: usize = 512;
 
-/// The last events of this process, as printed.
+/// The most recent events of this process, as printed.
 static RECENT_EVENTS: Mutex<Option<EventBuffer<String>>> = Mutex::new(None);
 
 static ROOT_LOGGER: OnceLock<Logger> = OnceLock::new();
 
 /// A kind of log event.
 ///
-/// Invariant: `code` is unique over the project and never given to another meaning.
+/// Invariant: `code` is unique in the project and is never reused for another event.
 pub struct Event {
-    /// The number in the catalogue, printed as `E` and four digits.
+    /// The number of the event in the catalogue, printed as `E` and four digits.
     pub code: u16,
-    /// What happened, in a few words.
+    /// A short description of what happened.
     pub text: &'static str,
 }
 
-/// Returns the events in memory with a higher number than `number`, oldest first.
+/// Returns the recent events with a higher number than `number`, oldest first.
 ///
 /// # Panics
 ///
-/// Panics if a thread panicked while it held the lock on these events.
+/// Panics if a thread panicked while it held the lock on the recent events.
 pub fn events_since(number: u64) -> Vec<NumberedEvent<String>> {
-    let recent = RECENT_EVENTS.lock().expect("recent events");
+    let recent = RECENT_EVENTS.lock().expect("the lock on recent events is poisoned");
     recent.as_ref().map_or_else(Vec::new, |buffer| buffer.events_since(number).cloned().collect())
 }
 
-/// Returns the logger of this process. `log_event!` writes to it.
+/// Returns the root logger of this process, to which `log_event!` writes.
 pub fn root() -> &'static Logger {
     ROOT_LOGGER.get_or_init(|| Logger::root(LineDrain, slog::o!()))
 }
 
-/// Writes one line per event: milliseconds of the steady clock, level, code, text, then `key=value` pairs.
+/// Writes one line per event: milliseconds of the monotonic clock, level, code, text, then `key=value` pairs.
 struct LineDrain;
 
 impl Drain for LineDrain {
@@ -55,20 +55,20 @@
     fn log(&self, record: &Record, _: &OwnedKVList) -> Result<(), Never> {
         let mut line = format!("{} {} {}", clock::now(), record.level().as_short_str(), record.msg());
         let _ = record.kv().serialize(record, &mut PairSerializer(&mut line));
-        remember(&line);
+        push_recent_event(&line);
         line.push('\n');
         let _ = io::stdout().write_all(line.as_bytes());
         Ok(())
     }
 }
 
-fn remember(line: &str) {
-    let mut recent = RECENT_EVENTS.lock().expect("recent events");
+fn push_recent_event(line: &str) {
+    let mut recent = RECENT_EVENTS.lock().expect("the lock on recent events is poisoned");
     let buffer = recent.get_or_insert_with(|| EventBuffer::new(RECENT_EVENT_CAPACITY));
     buffer.push(clock::now(), line.to_string());
 }
 
-/// Appends ` key=value` to a line for each pair of an event.
+/// Appends ` key=value` to a line for each key-value pair of an event.
 struct PairSerializer<'a>(&'a mut String);
 
 impl Serializer for PairSerializer<'_> {
@@ -78,9 +78,9 @@
     }
 }
 
-/// Logs one numbered event at the level info: `log_event!(EVENT, "key" => value, ...)`.
+/// Logs a numbered event at level info: `log_event!(EVENT, "key" => value, ...)`.
 ///
-/// `EVENT` is a [`log::Event`](crate::log::Event). Usable as `use kernel::log_event;`.
+/// `EVENT` is a [`log::Event`](crate::log::Event). Import the macro with `use kernel::log_event;`.
 #[macro_export]
 macro_rules! log_event {
     ($event:expr $(, $key:literal => $value:expr)* $(,)?) => {
--- a/kernel/src/rng.rs
+++ b/kernel/src/rng.rs
@@ -2,22 +2,22 @@
 
 /// The multiplier of xorshift64*.
 const OUTPUT_MULTIPLIER: u64 = 0x2545_F491_4F6C_DD1D;
-/// The lowest bits of a product are the least random ones and are dropped.
+/// The number of low bits of the product that are dropped because they are the least random.
 const DROPPED_BITS: u32 = 11;
 
-/// A xorshift generator with a multiplied output, for jitter, weighted picks and simulations; not for secrets.
+/// A xorshift64* generator for jitter, weighted choices and simulations; not for secrets.
 ///
-/// Seeded simulations record its numbers, so they must never change.
+/// Results of seeded simulations are recorded, so the sequence for a seed must never change.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
-    /// Creates a generator that yields the same numbers for the same seed.
+    /// Creates a generator that yields the same sequence for the same seed.
     pub fn new(seed: u64) -> Self {
         Rng(seed | 1)
     }
 
-    /// Returns the next number, below 2^53.
+    /// Returns the next number, which is below 2^53.
     pub fn next_u64(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/kernel/src/settings/error.rs
+++ b/kernel/src/settings/error.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a settings file.
+//! The error of a settings file.
 
 use std::{error, fmt};
 
 use error_stack::Report;
 
-/// A field of the settings that stops the start of a daemon.
+/// An invalid or missing field of the settings, which keeps a daemon from starting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
     /// The path of the field.
     pub field: String,
-    /// What stands there.
+    /// The value found.
     pub found: String,
-    /// What may stand there.
+    /// The values allowed.
     pub allowed: String,
 }
 
--- a/kernel/src/settings/metrics_endpoint.rs
+++ b/kernel/src/settings/metrics_endpoint.rs
@@ -1,21 +1,21 @@
-//! Where a process serves its metrics.
+//! The port and path at which a process serves its metrics.
 
 use std::str::FromStr;
 use std::{error, fmt};
 
 use serde::Deserialize;
 
-/// A port of the own machine and a path on it, written `PORT/PATH`.
+/// A local port and a URL path, written `PORT/PATH`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct MetricsEndpoint {
     /// The port; never zero.
     pub port: u16,
-    /// The path, with a slash at its beginning.
+    /// The path, with a leading slash.
     pub path: String,
 }
 
-/// A metrics endpoint that is not written `PORT/PATH`.
+/// The error for a text that is not of the form `PORT/PATH`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidMetricsEndpoint(String);
 
--- a/kernel/src/settings/mod.rs
+++ b/kernel/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The settings of a daemon, read from one TOML file.
 //!
-//! Unknown fields are passed over, so that one file serves daemons of several versions; a missing or invalid one is named. The
-//! names of fields are published and never change.
+//! Unknown fields are ignored, so that daemons of several versions can read the same file; the error for a missing or
+//! invalid field names it. Field names are public and never change.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -20,69 +20,69 @@
 /// The settings of one daemon.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// The name of the machine, unique in a deployment.
+    /// The name of the machine, unique in the deployment.
     pub node_name: String,
-    /// The role of the machine in the deployment; informative.
+    /// The role of the machine in the deployment; informational.
     #[serde(default)]
     pub role: String,
-    /// What the machine serves; informative.
+    /// What the machine serves; informational.
     #[serde(default)]
     pub serves: Vec<String>,
-    /// The machine's IPv4 address: its identity, and where other daemons reach it.
+    /// The machine's IPv4 address: its identity, and the address at which other daemons reach it.
     pub ip: String,
-    /// The address of the machine at which this daemon listens for other daemons and serves its metrics, where that is not
+    /// The local address at which this daemon listens for other daemons and serves its metrics, if it differs from
     /// `ip`: behind address translation or in a second network.
     #[serde(default)]
     pub listen_ip: Option<String>,
-    /// The address of the machine from which this daemon connects to others; the system chooses if left out.
+    /// The local address from which this daemon connects to others; chosen by the operating system if omitted.
     #[serde(default)]
     pub source_ip: Option<String>,
     /// The zone of the machine; a key of `zones`.
     pub zone: String,
-    /// The region of the machine; informative, as `zones` names it too.
+    /// The region of the machine; informational, because `zones` gives it too.
     #[serde(default)]
     pub region: String,
-    /// The first and the last port that daemons may use among themselves, the same on every machine of a deployment.
+    /// The first and the last port of the range for traffic between daemons, the same on every machine of a deployment.
     pub internal_ports: [u16; 2],
-    /// Addresses, each `IP:PORT`, by which a daemon finds the others at its start.
+    /// Addresses, each `IP:PORT`, that a daemon contacts at start-up to discover the others.
     #[serde(default)]
     pub seed_peers: Vec<String>,
-    /// Whether a controller without stored state may found a new core.
+    /// Whether a controller without stored state may bootstrap a new core.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The parts of the rules that are in force.
+    /// The names of the operating contracts in force.
     #[serde(default)]
     pub contracts: Vec<String>,
     /// Whether a controller may become a voting member of the core.
     #[serde(default)]
     pub quorum_member: bool,
-    /// The folder for state that outlives the process; without it nothing is stored.
+    /// The directory for persistent state; nothing is stored if omitted.
     pub data_dir: Option<String>,
-    /// The deployment's keep-alive interval, in milliseconds. The daemons derive nothing from it.
+    /// The deployment's keep-alive interval, in milliseconds. The daemons do not use it.
     #[serde(default = "default_keepalive_ms")]
     pub keepalive_ms: u64,
-    /// What may be lost at once with all rules kept.
+    /// The simultaneous failures under which all guarantees must hold.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// All zones of the deployment, each with its region.
+    /// The zones of the deployment, each with its region.
     pub zones: BTreeMap<String, String>,
-    /// Where the daemon listens for others than daemons.
+    /// The listen addresses for clients, probes and operators.
     #[serde(default)]
     pub bind_addresses: BindAddresses,
-    /// What the process may use of the machine.
+    /// The resource limits of the process.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// The time limits, rates and tolerances that the deployment guarantees.
     #[serde(default)]
     pub bounds: Bounds,
-    /// The platform's interface.
+    /// The API of the platform.
     pub cloud_api: CloudApi,
-    /// Where the process serves its metrics; nowhere if left out.
+    /// The endpoint at which the process serves its metrics; none are served if omitted.
     #[serde(default)]
     pub metrics: Option<MetricsEndpoint>,
 }
 
 impl Settings {
-    /// Returns the addresses of the controllers that the seeds name: their machines, without the ports.
+    /// Returns the IP addresses of `seed_peers`, without the ports.
     pub fn seed_ips(&self) -> Vec<String> {
         let ips = self.seed_peers.iter().filter_map(|seed| seed.split(':').next());
         ips.map(str::to_string).collect()
@@ -93,49 +93,49 @@
         self.listen_ip.as_deref().unwrap_or(&self.ip)
     }
 
-    /// Returns the address from which this daemon connects to others. `None`: the system chooses.
+    /// Returns the address from which this daemon connects to others; `None` if the operating system chooses it.
     pub fn source_ip(&self) -> Option<Ipv4Addr> {
         self.source_ip.as_ref()?.parse().ok()
     }
 
-    /// Returns the port at which controllers listen for other daemons, the same on every machine of a deployment.
+    /// Returns the port at which controllers listen for other daemons: the first of `internal_ports`.
     pub fn peer_port(&self) -> u16 {
         self.internal_ports[0]
     }
 }
 
-/// Where a daemon listens for others than daemons, each address `IP:PORT`.
+/// The listen addresses for clients, probes and operators, each `IP:PORT`.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct BindAddresses {
-    /// Requests of clients.
+    /// For client requests.
     pub frontend: Option<String>,
-    /// Readiness probes of the platform.
+    /// For the platform's readiness probes.
     pub readiness: Option<String>,
-    /// The operators' interface.
+    /// For the operators' API.
     pub control_plane: Option<String>,
 }
 
-/// What a process may use of its machine.
+/// The resource limits of a process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
     /// Memory, in megabytes.
     pub memory_mb: u64,
-    /// Open file descriptors.
+    /// The number of open file descriptors.
     pub fd_limit: u64,
-    /// Disk space, in megabytes; zero if it is not stated.
+    /// Disk space, in megabytes; zero if not specified.
     #[serde(default)]
     pub disk_mb: u64,
 }
 
-/// What may be lost at once with all rules kept.
+/// The simultaneous failures under which all guarantees must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// How many of the machines that may be voting members.
+    /// The number of machines lost, of those that may be voting members.
     pub machine_loss: u32,
-    /// How many zones.
+    /// The number of zones lost.
     pub zones: u32,
-    /// How many regions. The daemons derive nothing from it.
+    /// The number of regions lost. The daemons do not use it.
     pub region_loss: u32,
 }
 
@@ -145,55 +145,56 @@
     }
 }
 
-/// The figures of the rules; each has its usual value where a deployment leaves it out.
+/// The time limits, rates and tolerances that the deployment guarantees. An omitted field has its usual value.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// How long a router may be out of touch with the controllers, in milliseconds.
+    /// The maximum time that a router may be without contact to the controllers, in milliseconds.
     pub contact_ms: u64,
-    /// Within this an operator's change is acknowledged, in milliseconds.
+    /// The deadline for acknowledging an operator's change, in milliseconds.
     pub ack_ms: u64,
-    /// Within this an engine that leaves the platform's list gets no more requests, in milliseconds.
+    /// The time within which an engine that was removed from the platform's list stops receiving requests, in
+    /// milliseconds.
     pub drain_ms: u64,
-    /// Within this a daemon ends after SIGTERM, in seconds.
+    /// The grace period within which a daemon exits after SIGTERM, in seconds.
     pub grace_s: f64,
-    /// Within this an acknowledged change is in force on every router that reaches the core, in milliseconds.
+    /// The time within which an acknowledged change is in force on every router that reaches the core, in milliseconds.
     pub converge_ms: u64,
-    /// How long a request may rest on a configuration that has been replaced, in milliseconds.
+    /// How long a request may still use a configuration that has been replaced, in milliseconds.
     pub revert_slack_ms: u64,
-    /// A published figure that the daemons derive nothing from, in milliseconds.
+    /// Published for the deployment, in milliseconds. The daemons do not use it.
     pub stretch_max_ms: u64,
-    /// A published figure that the daemons derive nothing from, in milliseconds.
+    /// Published for the deployment, in milliseconds. The daemons do not use it.
     pub revoke_ms: u64,
-    /// How many further sends there may be for each request, over `budget_window_s`.
+    /// The maximum ratio of retries to requests over `budget_window_s`.
     pub retry_budget: f64,
-    /// The window of `retry_budget`, in seconds.
+    /// The time window of `retry_budget`, in seconds.
     pub budget_window_s: f64,
-    /// How many further sends there may be beyond `retry_budget`, over all routers.
+    /// The number of retries allowed beyond `retry_budget`, over all routers.
     pub budget_slack: f64,
-    /// The share of a service's requests that a faulty version under rollout may get.
+    /// The maximum share of a service's requests that a faulty version under rollout may receive.
     pub exposure_share: f64,
-    /// The window over which a tenant's requests are counted, in seconds.
+    /// The time window over which a tenant's requests are counted, in seconds.
     pub quota_window_s: f64,
-    /// By which part a tenant's limit may be exceeded in a window.
+    /// The fraction of a tenant's limit by which it may be exceeded in a window.
     pub quota_overage: f64,
-    /// By how many requests a tenant's limit may be exceeded in a window.
+    /// The number of requests by which a tenant's limit may be exceeded in a window.
     pub quota_slack: f64,
-    /// The factor on the ramp of an engine that starts cold.
+    /// The factor applied to the ramp-up rate of an engine that starts cold.
     pub ramp_overage: f64,
-    /// A published figure that the daemons derive nothing from.
+    /// Published for the deployment. The daemons do not use it.
     pub ramp_slack: f64,
-    /// Within this an evacuated zone gets no more requests, in milliseconds. The daemons derive nothing from it.
+    /// The time within which an evacuated zone stops receiving requests, in milliseconds. The daemons do not use it.
     pub evacuate_ms: u64,
-    /// A published figure that the daemons derive nothing from, in seconds.
+    /// Published for the deployment, in seconds. The daemons do not use it.
     pub reuse_hold_s: f64,
-    /// Whether engines compare epochs and reject orders of an earlier owner of a role.
+    /// Whether engines check fencing epochs and reject orders from a previous owner of a role.
     pub fencing: bool,
-    /// How long the owner of a singleton role keeps it while it is unavailable, in milliseconds.
+    /// The lease of a singleton role: how long an unavailable owner keeps the role, in milliseconds.
     pub lease_ms: u64,
-    /// The length of a window of which requests are counted for the platform, in seconds.
+    /// The length of the windows in which requests are counted for usage reports to the platform, in seconds.
     pub report_window_s: f64,
-    /// How long after its end the counts of a window are due, in seconds.
+    /// The deadline for reporting the counts of a window, in seconds after its end.
     pub usage_delay_s: f64,
 }
 
@@ -227,26 +228,26 @@
     }
 }
 
-/// The platform's interface, from which controllers read the list of engines.
+/// The API of the platform, from which controllers read the list of engines.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudApi {
-    /// Its address, `IP:PORT`.
+    /// The address of the API, `IP:PORT`.
     pub address: String,
-    /// How many calls a second it allows the deployment.
+    /// The rate limit of the API for the whole deployment, in calls per second.
     pub rate_per_s: f64,
-    /// How far its list of engines lags behind, in milliseconds.
+    /// How far the list of engines lags behind the actual state, in milliseconds.
     #[serde(default)]
     pub lag_ms: u64,
-    /// What the platform takes from one daemon at a time.
+    /// The duties that the platform accepts from only one daemon at a time.
     #[serde(default)]
     pub duty_list: Vec<String>,
 }
 
-/// The platform's name for being told how many requests of each tenant began in a window.
+/// The platform's name for the duty of reporting how many requests of each tenant began in a window.
 const USAGE_EXPORT: &str = "usage_export";
 
 impl CloudApi {
-    /// Returns whether the platform is to be told how many requests of each tenant began in a window.
+    /// Returns whether the platform expects reports of how many requests of each tenant began in a window.
     pub fn takes_usage(&self) -> bool {
         self.duty_list.iter().any(|duty| duty == USAGE_EXPORT)
     }
--- a/kernel/src/settings/tests.rs
+++ b/kernel/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Which texts are settings, and which field is named where one is not.
+//! Tests which settings are accepted and which field the error for an invalid text names.
 
 use super::{parse, SettingsError};
 
@@ -23,26 +23,26 @@
 "#;
 
 fn error_of(text: &str) -> SettingsError {
-    let report = parse(text).expect_err("must be rejected");
+    let report = parse(text).expect_err("the settings are invalid");
     let error = report.current_context();
     SettingsError { field: error.field.clone(), found: error.found.clone(), allowed: error.allowed.clone() }
 }
 
 #[test]
-fn unknown_fields_are_passed_over() {
-    let settings = parse(VALID).expect("valid settings");
+fn unknown_fields_are_ignored() {
+    let settings = parse(VALID).expect("the settings are valid");
     assert_eq!(settings.seed_ips(), ["10.1.0.12"]);
     assert_eq!(settings.peer_port(), 7300);
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn error_names_a_missing_field() {
     let error = error_of(&VALID.replace("ip = \"10.1.0.12\"\n", ""));
     assert_eq!(error.field, "ip");
 }
 
 #[test]
-fn invalid_fields_are_named_with_what_is_allowed() {
+fn error_names_an_invalid_field_and_the_allowed_values() {
     let cases = [
         (VALID.replace("[7300,7315]", "[7315,7300]"), "internal_ports"),
         (VALID.replace("zone = \"a\"", "zone = \"b\""), "zone"),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_field_of_the_wrong_type_is_named_by_its_path() {
+fn error_names_the_path_of_a_field_of_the_wrong_type() {
     let cases = [
         (VALID.replace("node_name = \"edge-1\"", "node_name = 3"), "node_name"),
         (VALID.replace("memory_mb = 260", "memory_mb = \"much\""), "limits.memory_mb"),
@@ -73,11 +73,12 @@
 }
 
 #[test]
-fn a_metrics_endpoint_is_a_port_and_a_path() {
+fn metrics_endpoint_must_be_a_port_and_a_path() {
     let with_metrics = |endpoint: &str| VALID.replace("new_field", &format!("metrics = {endpoint:?}\nnew_field"));
-    let metrics = parse(&with_metrics("9464/metrics")).expect("valid settings").metrics.expect("given");
+    let metrics =
+        parse(&with_metrics("9464/metrics")).expect("the settings are valid").metrics.expect("the endpoint is set");
     assert_eq!((metrics.port, metrics.path.as_str()), (9464, "/metrics"));
-    assert_eq!(parse(VALID).expect("valid settings").metrics, None);
+    assert_eq!(parse(VALID).expect("the settings are valid").metrics, None);
     for invalid in ["9464", "metrics", "0/metrics", "70000/metrics", "9464/two words"] {
         let error = error_of(&with_metrics(invalid));
         assert_eq!(error.field, "metrics");
@@ -85,11 +86,11 @@
 }
 
 #[test]
-fn a_daemon_listens_at_its_own_address_and_leaves_the_source_to_the_system_unless_told_otherwise() {
-    let settings = parse(VALID).expect("valid settings");
+fn listen_ip_defaults_to_ip_and_source_ip_to_none() {
+    let settings = parse(VALID).expect("the settings are valid");
     assert_eq!((settings.listen_ip(), settings.source_ip()), ("10.1.0.12", None));
     let text = VALID.replace("new_field", "listen_ip = \"192.168.1.4\"\nsource_ip = \"192.168.1.5\"\nnew_field");
-    let settings = parse(&text).expect("valid settings");
+    let settings = parse(&text).expect("the settings are valid");
     assert_eq!((settings.ip.as_str(), settings.listen_ip()), ("10.1.0.12", "192.168.1.4"));
     assert_eq!(settings.source_ip(), Some([192, 168, 1, 5].into()));
     for field in ["listen_ip", "source_ip"] {
--- a/kernel/src/settings/validation.rs
+++ b/kernel/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of settings whose types are right. The first field that fails is named.
+//! Validates settings after their types have been checked. The error names the first invalid field.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -33,10 +33,14 @@
     let [first_port, last_port] = settings.internal_ports;
     if first_port == 0 || first_port > last_port {
         let found = format!("{:?}", settings.internal_ports);
-        return Err(SettingsError::report("internal_ports", found, "two ports, the first not above the second"));
+        return Err(SettingsError::report(
+            "internal_ports",
+            found,
+            "two ports above 0, the first not above the second",
+        ));
     }
     if !settings.zones.contains_key(&settings.zone) {
-        return Err(SettingsError::report("zone", &settings.zone, "a name listed under zones"));
+        return Err(SettingsError::report("zone", &settings.zone, "a zone listed under `zones`"));
     }
     Ok(())
 }
--- a/kernel/src/signal.rs
+++ b/kernel/src/signal.rs
@@ -1,46 +1,47 @@
-//! Signals as values: a daemon reads the latest one from a watch channel.
+//! Unix signals as values: a daemon reads the latest one from a watch channel.
 
 use tokio::signal::unix::{self, Signal as SignalStream, SignalKind};
 use tokio::sync::watch::{self, Receiver, Sender};
 
-/// The last signal that the process got.
+/// The last signal that the process received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// None yet.
+    /// No signal yet.
     None,
-    /// SIGHUP; the number counts how many came.
+    /// SIGHUP, with the number received so far.
     Reload(u32),
-    /// SIGTERM; no other signal follows.
+    /// SIGTERM; no further signal is reported after it.
     Terminate,
 }
 
-/// Where a daemon reads its signals.
+/// The receiver from which a daemon reads its signals.
 pub type Signals = Receiver<Signal>;
 
-/// Handles SIGTERM and SIGHUP in place of the system, which would end the process on either.
+/// Installs handlers for SIGTERM and SIGHUP, whose default action would terminate the process.
 ///
-/// Call it before anything else is done. If the system refuses a handler, no signal ever comes.
+/// Call it before any other start-up work. If a handler can't be installed, no signal is ever reported.
 ///
 /// # Panics
 ///
-/// Panics outside a runtime.
+/// Panics outside a Tokio runtime.
 pub fn watch() -> Signals {
     let (sender, signals) = watch::channel(Signal::None);
     let terminate = unix::signal(SignalKind::terminate());
     let hang_up = unix::signal(SignalKind::hangup());
     if let (Ok(terminate), Ok(hang_up)) = (terminate, hang_up) {
-        tokio::spawn(forward(terminate, hang_up, sender));
+        tokio::spawn(forward_signals(terminate, hang_up, sender));
     }
     signals
 }
 
-async fn forward(mut terminate: SignalStream, mut hang_up: SignalStream, sender: Sender<Signal>) {
+async fn forward_signals(mut terminate: SignalStream, mut hang_up: SignalStream, sender: Sender<Signal>) {
     let mut reload_count = 0;
     loop {
         tokio::select! {
             _ = terminate.recv() => {
                 let _ = sender.send(Signal::Terminate);
-                // The handlers live as long as this task: a second SIGTERM must not end the process either.
+                // Keeps the handlers installed, which live as long as this task: a second SIGTERM must not end the
+                // process.
                 sender.closed().await;
                 return;
             }
@@ -52,7 +53,7 @@
     }
 }
 
-/// Waits until SIGTERM comes, or no signal can come any more.
+/// Waits until SIGTERM arrives, or until no further signal can arrive.
 pub async fn wait_for_termination(signals: &mut Signals) {
     let _ = signals.wait_for(|signal| *signal == Signal::Terminate).await;
 }
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a daemon's process: settings read and checked, one thread, one runtime.
+//! Start-up of a daemon's process: reads the settings and runs the daemon in a single-threaded runtime.
 
 use std::future::Future;
 use std::process;
@@ -10,23 +10,23 @@
 use crate::settings::{self, MetricsEndpoint, Settings};
 use crate::signal::{self, Signals};
 
-/// Exit status for settings that can't be read or are not valid.
+/// Exit status if the settings can't be read or are invalid.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// Exit status if the system gives no runtime.
+/// Exit status if the async runtime can't be created.
 const EXIT_NO_RUNTIME: u8 = 3;
 
-/// What the command line of a daemon may say.
+/// The command-line flags of a daemon.
 #[derive(Default)]
 pub struct DaemonFlags {
-    /// Only check the settings.
+    /// Check the settings and exit.
     pub check_settings: bool,
-    /// Only print the version.
+    /// Print the version and exit.
     pub print_version: bool,
-    /// Where metrics are served, in place of what the settings say.
+    /// The metrics endpoint that overrides the one of the settings.
     pub metrics: Option<MetricsEndpoint>,
 }
 
-/// Reads the settings and runs the daemon on one thread. Returns its exit status.
+/// Reads the settings, runs the daemon on one thread and returns its exit status.
 pub fn run_daemon<F: Future<Output = process::ExitCode>>(
     name: &str,
     version: &str,
@@ -38,11 +38,11 @@
         return process::ExitCode::SUCCESS;
     }
     let Ok(runtime) = Builder::new_current_thread().enable_all().build() else {
-        eprintln!("{name}: no runtime");
+        eprintln!("{name}: can't create the async runtime");
         return process::ExitCode::from(EXIT_NO_RUNTIME);
     };
     runtime.block_on(async {
-        // First of all: a signal that comes while the daemon starts must not end it.
+        // The handlers come first: a signal that arrives during start-up must not end the daemon.
         let signals = signal::watch();
         let mut settings = match settings::load(&settings::path()) {
             Ok(settings) => settings,
@@ -60,7 +60,7 @@
     })
 }
 
-/// Returns an interval that does not catch up on ticks missed during a pause of the process.
+/// Returns an interval that does not catch up on ticks missed while the process was paused.
 ///
 /// # Panics
 ///
--- a/telemetry/src/endpoint.rs
+++ b/telemetry/src/endpoint.rs
@@ -15,22 +15,22 @@
 use protocol::socket;
 use tokio::net::TcpStream;
 
-/// How many scrapers may be connected at once.
+/// The maximum number of concurrent scraper connections.
 const MAX_SCRAPERS: usize = 8;
-/// How long a scraper may take to send the head of a request.
+/// The timeout for receiving the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 type Body = Full<Bytes>;
 
-/// Serves the text that `render` returns at the port and path of `endpoint` for as long as the process runs; does nothing
-/// without an endpoint.
+/// Serves the text that `render` returns at the port and path of `endpoint` for as long as the process runs; does
+/// nothing without an endpoint.
 ///
-/// Other paths get 404, other methods than GET get 405.
+/// Requests for other paths are answered with 404, and methods other than GET with 405.
 ///
 /// # Panics
 ///
-/// Panics outside a runtime.
+/// Panics outside a Tokio runtime.
 pub fn start(ip: &str, endpoint: Option<&MetricsEndpoint>, render: impl Fn() -> String + Send + Sync + 'static) {
     let Some(endpoint) = endpoint else { return };
     let address = format!("{ip}:{}", endpoint.port);
--- a/telemetry/src/endpoint_tests.rs
+++ b/telemetry/src/endpoint_tests.rs
@@ -1,4 +1,4 @@
-//! The endpoint over a real connection.
+//! Tests the metrics endpoint over TCP connections, and the buckets of the latency histogram.
 
 use std::net::TcpListener;
 
@@ -20,19 +20,19 @@
         }
     };
     let head = format!("{request_line} HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n");
-    stream.write_all(head.as_bytes()).await.expect("written");
+    stream.write_all(head.as_bytes()).await.expect("the request is sent");
     let mut response = String::new();
-    stream.read_to_string(&mut response).await.expect("read");
+    stream.read_to_string(&mut response).await.expect("the response is read");
     response
 }
 
 fn free_port() -> u16 {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("its address").port()
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    listener.local_addr().expect("the listener has an address").port()
 }
 
 #[tokio::test]
-async fn metrics_are_served_at_the_path_and_nowhere_else() {
+async fn metrics_are_served_only_for_get_at_the_configured_path() {
     let counter = Counter::<u64>::default();
     let mut registry = Registry::with_prefix("test");
     registry.register("requests", "Requests", counter.clone());
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_histogram_of_times_covers_a_millisecond_to_sixteen_seconds() {
+fn latency_histogram_covers_1_ms_to_16_s() {
     let histogram = latency_histogram();
     histogram.observe(0.0005);
     histogram.observe(16.0);
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -10,7 +10,7 @@
 use prometheus_client::encoding::text;
 use prometheus_client::registry::Registry;
 
-/// Returns the metrics of a registry as text; empty if a metric can't be encoded.
+/// Encodes the metrics of a registry as text; returns an empty text if one can't be encoded.
 pub fn encode(registry: &Registry) -> String {
     let mut output = String::new();
     if text::encode(&mut output, registry).is_err() {
