--- a/experiment/src/rollout/scenario.rs
+++ b/experiment/src/rollout/scenario.rs
@@ -10,7 +10,7 @@
     Good,
     /// Fails a share of its requests.
     Errors(f64),
-    /// Takes longer by this factor.
+    /// Takes longer per token by this factor.
     Slow(f64),
     /// Fails half of its requests at engines with at least half of their slots in use.
     UnderLoad,
--- a/kernel/src/convergence.rs
+++ b/kernel/src/convergence.rs
@@ -3,8 +3,8 @@
 //!
 //! A change travels from the core to a controller (pushed, or found by the controller's next confirmation) and from
 //! there to its routers (pushed, or with the response to the next renewal). Timeouts detect each failure on the way.
-//! Every timeout and interval is a fixed share of `converge_ms`, so that the slowest path stays below it whatever its
-//! value; `convergence_tests.rs` adds up these paths.
+//! Each of these timeouts and intervals is a named share of `converge_ms`, so that the slowest path stays below it
+//! whatever its value; `convergence_tests.rs` adds up these paths.
 
 use std::ops::RangeInclusive;
 
@@ -47,6 +47,7 @@
         self.converge_ms
     }
 
+    /// Returns a share of `converge_ms`, given in thousandths.
     fn share(&self, thousandths: u64) -> u64 {
         self.converge_ms * thousandths / 1000
     }
@@ -125,7 +126,7 @@
         self.share(125).min(MAX_REFUSAL_WAIT_MS)
     }
 
-    /// Returns the time after which a router must repeat a request's look-up in its table.
+    /// Returns how long a router may use the result of a request's look-up in its table before it must repeat it.
     pub fn lookup_age_ms(&self) -> u64 {
         self.revert_slack_ms / 2
     }
--- a/kernel/src/settings/validation.rs
+++ b/kernel/src/settings/validation.rs
@@ -9,9 +9,9 @@
 const MIN_MEMORY_MB: u64 = 16;
 const MIN_FD_LIMIT: u64 = 64;
 
-type Validation = Result<(), Report<SettingsError>>;
+type ValidationResult = Result<(), Report<SettingsError>>;
 
-pub(super) fn validate(settings: &Settings) -> Validation {
+pub(super) fn validate(settings: &Settings) -> ValidationResult {
     validate_node(settings)?;
     validate_bind_addresses(&settings.bind_addresses)?;
     validate_seed_peers(&settings.seed_peers)?;
@@ -19,7 +19,7 @@
     validate_limits(&settings.limits)
 }
 
-fn validate_node(settings: &Settings) -> Validation {
+fn validate_node(settings: &Settings) -> ValidationResult {
     let own_addresses = [
         ("ip", Some(&settings.ip)),
         ("listen_ip", settings.listen_ip.as_ref()),
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-fn validate_bind_addresses(addresses: &BindAddresses) -> Validation {
+fn validate_bind_addresses(addresses: &BindAddresses) -> ValidationResult {
     let fields = [
         ("bind_addresses.frontend", &addresses.frontend),
         ("bind_addresses.readiness", &addresses.readiness),
@@ -59,11 +59,11 @@
     Ok(())
 }
 
-fn validate_seed_peers(seed_peers: &[String]) -> Validation {
+fn validate_seed_peers(seed_peers: &[String]) -> ValidationResult {
     seed_peers.iter().try_for_each(|seed| validate_address("seed_peers", seed, "a list of IP:PORT"))
 }
 
-fn validate_cloud_api(cloud_api: &CloudApi) -> Validation {
+fn validate_cloud_api(cloud_api: &CloudApi) -> ValidationResult {
     validate_address("cloud_api.address", &cloud_api.address, "IP:PORT")?;
     if cloud_api.rate_per_s <= 0.0 || cloud_api.rate_per_s.is_nan() {
         return Err(SettingsError::report("cloud_api.rate_per_s", cloud_api.rate_per_s, "a number above 0"));
@@ -71,19 +71,19 @@
     Ok(())
 }
 
-fn validate_limits(limits: &Limits) -> Validation {
+fn validate_limits(limits: &Limits) -> ValidationResult {
     validate_minimum("limits.memory_mb", limits.memory_mb, MIN_MEMORY_MB)?;
     validate_minimum("limits.fd_limit", limits.fd_limit, MIN_FD_LIMIT)
 }
 
-fn validate_address(field: &str, address: &str, allowed: &str) -> Validation {
+fn validate_address(field: &str, address: &str, allowed: &str) -> ValidationResult {
     match address.parse::<SocketAddrV4>() {
         Ok(_) => Ok(()),
         Err(_) => Err(SettingsError::report(field, address, allowed)),
     }
 }
 
-fn validate_minimum(field: &str, value: u64, minimum: u64) -> Validation {
+fn validate_minimum(field: &str, value: u64, minimum: u64) -> ValidationResult {
     if value < minimum {
         return Err(SettingsError::report(field, value, &format!("{minimum} or more")));
     }
