--- a/kernel/src/convergence.rs
+++ b/kernel/src/convergence.rs
@@ -52,18 +52,17 @@
         self.converge_ms * thousandths / 1000
     }
 
-    /// Returns the controllers' confirmation interval, from the start of one confirmation to the start of the next.
+    /// Returns the interval budgeted for controllers' confirmations, from the start of one to the start of the next.
     pub fn confirmation_interval_ms(&self) -> u64 {
         self.share(125).clamp(*CONFIRMATION_INTERVAL_MS.start(), *CONFIRMATION_INTERVAL_MS.end())
     }
 
-    /// Returns the controllers' timeout for the read of a confirmation, in which a quorum reports which entries it has.
+    /// Returns the time budgeted for the read of a confirmation, in which a quorum reports which entries it has.
     pub fn confirmation_read_ms(&self) -> u64 {
         self.share(166)
     }
 
-    /// Returns the controllers' timeout for fetching the entries that a confirmation found missing, for all keys
-    /// together.
+    /// Returns the time budgeted for fetching the entries that a confirmation found missing, for all keys together.
     pub fn confirmation_fetch_ms(&self) -> u64 {
         self.share(125)
     }
