--- a/kernel/src/settings/validation.rs
+++ b/kernel/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of settings whose types are right. The first field that fails is named.
+//! Validates settings after their types have been checked. The error names the first invalid field.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -9,9 +9,9 @@
 const MIN_MEMORY_MB: u64 = 16;
 const MIN_FD_LIMIT: u64 = 64;
 
-type Validation = Result<(), Report<SettingsError>>;
+type ValidationResult = Result<(), Report<SettingsError>>;
 
-pub(super) fn validate(settings: &Settings) -> Validation {
+pub(super) fn validate(settings: &Settings) -> ValidationResult {
     validate_node(settings)?;
     validate_bind_addresses(&settings.bind_addresses)?;
     validate_seed_peers(&settings.seed_peers)?;
@@ -19,7 +19,7 @@
     validate_limits(&settings.limits)
 }
 
-fn validate_node(settings: &Settings) -> Validation {
+fn validate_node(settings: &Settings) -> ValidationResult {
     let own_addresses = [
         ("ip", Some(&settings.ip)),
         ("listen_ip", settings.listen_ip.as_ref()),
@@ -33,15 +33,19 @@
     let [first_port, last_port] = settings.internal_ports;
     if first_port == 0 || first_port > last_port {
         let found = format!("{:?}", settings.internal_ports);
-        return Err(SettingsError::report("internal_ports", found, "two ports, the first not above the second"));
+        return Err(SettingsError::report(
+            "internal_ports",
+            found,
+            "two ports above 0, the first not above the second",
+        ));
     }
     if !settings.zones.contains_key(&settings.zone) {
-        return Err(SettingsError::report("zone", &settings.zone, "a name listed under zones"));
+        return Err(SettingsError::report("zone", &settings.zone, "a zone listed under `zones`"));
     }
     Ok(())
 }
 
-fn validate_bind_addresses(addresses: &BindAddresses) -> Validation {
+fn validate_bind_addresses(addresses: &BindAddresses) -> ValidationResult {
     let fields = [
         ("bind_addresses.frontend", &addresses.frontend),
         ("bind_addresses.readiness", &addresses.readiness),
@@ -55,11 +59,11 @@
     Ok(())
 }
 
-fn validate_seed_peers(seed_peers: &[String]) -> Validation {
+fn validate_seed_peers(seed_peers: &[String]) -> ValidationResult {
     seed_peers.iter().try_for_each(|seed| validate_address("seed_peers", seed, "a list of IP:PORT"))
 }
 
-fn validate_cloud_api(cloud_api: &CloudApi) -> Validation {
+fn validate_cloud_api(cloud_api: &CloudApi) -> ValidationResult {
     validate_address("cloud_api.address", &cloud_api.address, "IP:PORT")?;
     if cloud_api.rate_per_s <= 0.0 || cloud_api.rate_per_s.is_nan() {
         return Err(SettingsError::report("cloud_api.rate_per_s", cloud_api.rate_per_s, "a number above 0"));
@@ -67,19 +71,19 @@
     Ok(())
 }
 
-fn validate_limits(limits: &Limits) -> Validation {
+fn validate_limits(limits: &Limits) -> ValidationResult {
     validate_minimum("limits.memory_mb", limits.memory_mb, MIN_MEMORY_MB)?;
     validate_minimum("limits.fd_limit", limits.fd_limit, MIN_FD_LIMIT)
 }
 
-fn validate_address(field: &str, address: &str, allowed: &str) -> Validation {
+fn validate_address(field: &str, address: &str, allowed: &str) -> ValidationResult {
     match address.parse::<SocketAddrV4>() {
         Ok(_) => Ok(()),
         Err(_) => Err(SettingsError::report(field, address, allowed)),
     }
 }
 
-fn validate_minimum(field: &str, value: u64, minimum: u64) -> Validation {
+fn validate_minimum(field: &str, value: u64, minimum: u64) -> ValidationResult {
     if value < minimum {
         return Err(SettingsError::report(field, value, &format!("{minimum} or more")));
     }
