--- a/soak/src/application.rs
+++ b/soak/src/application.rs
@@ -1,4 +1,4 @@
-//! Applications that add to tallies and read them, and a record of everything that may or must be in them.
+//! Applications that add to tallies and read them, and the bounds that the adds place on every total.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,32 +12,34 @@
 
 use crate::fleet::Network;
 use crate::http::{self, HttpMessage};
-use crate::scenario::{below, Scenario};
+use crate::scenario::{random_below, Scenario};
 
-const TALLIES: u64 = 3;
+/// Number of tallies.
+const TALLY_COUNT: u64 = 3;
+/// Exclusive upper bound of the amount of an add.
 const MAX_AMOUNT: u64 = 9;
-/// How long a controller may leave a call unanswered.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// The longest pause between two calls, in milliseconds.
+/// Timeout of a call to a controller.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Exclusive upper bound of the pause between two calls, in milliseconds.
 const MAX_PAUSE_MS: u64 = 60;
-/// How often an add is sent until it is acknowledged.
-const MAX_TRIES: usize = 8;
-/// The pause before a call is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// After the last fault, everything acknowledged must be readable everywhere within this time.
-const MERGE_LIMIT: Duration = Duration::from_secs(5);
-
-/// Amounts by tally and idempotency key.
+/// Maximum number of times that an add is sent.
+const MAX_ATTEMPTS: usize = 8;
+/// Delay before a call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout, after the last fault, for all controllers to return the same totals with every acknowledged add.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Amounts of adds by tally and idempotency key.
 type Amounts = BTreeMap<String, BTreeMap<String, u64>>;
 
-/// What applications have sent, and what was acknowledged.
+/// The adds that applications sent and those that were acknowledged.
 #[derive(Debug, Default)]
 pub struct TallyHistory {
-    /// Keys that may count: they were sent, and not every call of them was promised to have done nothing.
+    /// Adds that may be counted: each was sent at least once, whatever the outcome.
     sent: Amounts,
     acknowledged: Amounts,
-    /// Reads that showed more than was sent.
-    pub faults: Vec<String>,
+    /// Reads whose total was out of bounds, and tallies that did not converge.
+    pub violations: Vec<String>,
 }
 
 fn sum(amounts: &Amounts, tally: &str) -> u128 {
@@ -45,20 +47,22 @@
 }
 
 impl TallyHistory {
-    /// Returns how many adds were acknowledged.
+    /// Returns the number of acknowledged adds.
     pub fn acknowledged(&self) -> usize {
         self.acknowledged.values().map(BTreeMap::len).sum()
     }
 
-    fn check(&mut self, tally: &str, total: u128, least: u128, index: usize) {
-        let most = sum(&self.sent, tally);
-        if total > most || total < least {
-            self.faults.push(format!("controller {index} reads {total} of {tally}, must be {least} to {most}"));
+    /// Records a violation if a total is below `min_total` or above the sum of all adds that were sent.
+    fn check_total(&mut self, tally: &str, total: u128, min_total: u128, index: usize) {
+        let max_total = sum(&self.sent, tally);
+        if total > max_total || total < min_total {
+            self.violations
+                .push(format!("controller {index}: tally {tally} reads {total}, expected {min_total} to {max_total}"));
         }
     }
 }
 
-/// One application.
+/// An application that calls random controllers.
 pub struct Application {
     network: Network,
     controllers: usize,
@@ -68,10 +72,10 @@
 }
 
 impl Application {
-    /// Returns the application at a place of a run.
+    /// Returns the application with this index.
     pub fn new(scenario: &Scenario, index: usize, history: Arc<Mutex<TallyHistory>>) -> Application {
         Application {
-            network: Network::of_seed(scenario.seed),
+            network: Network::from_seed(scenario.seed),
             controllers: scenario.controllers,
             name: format!("{:x}a{index:x}", scenario.seed),
             rng: Rng::new(scenario.seed.wrapping_mul(2003).wrapping_add(index as u64)),
@@ -79,89 +83,92 @@
         }
     }
 
-    /// Adds and reads until told to stop.
+    /// Adds and reads at random until `stop` is set.
     pub async fn run(mut self, stop: Arc<AtomicBool>) {
         for number in 0.. {
             if stop.load(Ordering::Relaxed) {
                 return;
             }
-            let tally = format!("t{}", below(&mut self.rng, TALLIES));
-            match below(&mut self.rng, 3) {
+            let tally = format!("t{}", random_below(&mut self.rng, TALLY_COUNT));
+            match random_below(&mut self.rng, 3) {
                 0 => self.read(&tally).await,
                 _ => self.add(&tally, number).await,
             }
-            let pause_ms = below(&mut self.rng, MAX_PAUSE_MS);
+            let pause_ms = random_below(&mut self.rng, MAX_PAUSE_MS);
             time::sleep(Duration::from_millis(pause_ms)).await;
         }
     }
 
-    /// Adds under a new key or, in one of four cases, under one that was sent before, until it is acknowledged.
+    /// Sends an add until it is acknowledged, at most [`MAX_ATTEMPTS`] times. One add in four repeats an earlier key.
     async fn add(&mut self, tally: &str, number: u64) {
-        let is_repeat = below(&mut self.rng, 4) == 0;
-        let fresh = (format!("{}-{number}", self.name), below(&mut self.rng, MAX_AMOUNT));
+        let is_repeat = random_below(&mut self.rng, 4) == 0;
+        let new_add = (format!("{}-{number}", self.name), random_below(&mut self.rng, MAX_AMOUNT));
         let (key, amount) = {
             let mut history = self.history.lock();
             let keys = history.sent.entry(tally.to_string()).or_default();
-            let index = below(&mut self.rng, keys.len() as u64) as usize;
-            let known = keys.iter().nth(index).map(|(key, amount)| (key.clone(), *amount));
-            let (key, amount) = known.filter(|_| is_repeat).unwrap_or(fresh);
+            let index = random_below(&mut self.rng, keys.len() as u64) as usize;
+            let earlier_add = keys.iter().nth(index).map(|(key, amount)| (key.clone(), *amount));
+            let (key, amount) = earlier_add.filter(|_| is_repeat).unwrap_or(new_add);
             keys.insert(key.clone(), amount);
             (key, amount)
         };
         let body = json!({ "instance_id": key, "actor": amount }).to_string();
-        let text = http::request("POST", &format!("/tallies/{tally}"), "Host: c\r\n", &body);
-        for _ in 0..MAX_TRIES {
-            let index = below(&mut self.rng, self.controllers as u64) as usize;
-            if call(self.network, index, &text).await.is_some_and(|answer| answer.status() == 200) {
+        let request = http::request("POST", &format!("/tallies/{tally}"), "Host: c\r\n", &body);
+        for _ in 0..MAX_ATTEMPTS {
+            let index = random_below(&mut self.rng, self.controllers as u64) as usize;
+            if call(self.network, index, &request).await.is_some_and(|response| response.status() == 200) {
                 let mut history = self.history.lock();
                 history.acknowledged.entry(tally.to_string()).or_default().insert(key, amount);
                 return;
             }
-            time::sleep(RETRY_PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 
     async fn read(&mut self, tally: &str) {
-        let index = below(&mut self.rng, self.controllers as u64) as usize;
+        let index = random_below(&mut self.rng, self.controllers as u64) as usize;
         if let Some(total) = read_total(self.network, index, tally).await {
-            self.history.lock().check(tally, total, 0, index);
+            self.history.lock().check_total(tally, total, 0, index);
         }
     }
 }
 
-async fn call(network: Network, index: usize, text: &str) -> Option<HttpMessage> {
-    time::timeout(CALL_LIMIT, http::call(&network.control(index), text)).await.ok().flatten()
+async fn call(network: Network, index: usize, request: &str) -> Option<HttpMessage> {
+    time::timeout(CALL_TIMEOUT, http::call(&network.control(index), request)).await.ok().flatten()
 }
 
 async fn read_total(network: Network, index: usize, tally: &str) -> Option<u128> {
-    let text = http::request("GET", &format!("/tallies/{tally}"), "Host: c\r\n", "");
-    let answer = call(network, index, &text).await.filter(|answer| answer.status() == 200)?;
-    let value: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-    value["total"].as_u64().map(u128::from)
+    let request = http::request("GET", &format!("/tallies/{tally}"), "Host: c\r\n", "");
+    let response = call(network, index, &request).await.filter(|response| response.status() == 200)?;
+    let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+    body["total"].as_u64().map(u128::from)
 }
 
-/// Reads everything back: each controller must soon show all that was acknowledged, and all of them the same.
-pub async fn read_back(scenario: &Scenario, history: &Mutex<TallyHistory>) {
-    let network = Network::of_seed(scenario.seed);
-    for tally in (0..TALLIES).map(|number| format!("t{number}")) {
-        let least = sum(&history.lock().acknowledged, &tally);
-        let begun = Instant::now();
+/// Checks that all controllers converge to the same totals and that these include every acknowledged add.
+pub async fn verify_totals(scenario: &Scenario, history: &Mutex<TallyHistory>) {
+    let network = Network::from_seed(scenario.seed);
+    for tally in (0..TALLY_COUNT).map(|number| format!("t{number}")) {
+        let min_total = sum(&history.lock().acknowledged, &tally);
+        let started = Instant::now();
         loop {
             let mut totals = Vec::new();
             for index in 0..scenario.controllers {
                 totals.push(read_total(network, index, &tally).await);
             }
-            let is_settled =
-                totals.iter().all(|total| *total == totals[0] && total.is_some_and(|total| total >= least));
-            if is_settled {
-                history.lock().check(&tally, totals[0].unwrap_or(0), least, 0);
+            let has_converged =
+                totals.iter().all(|total| *total == totals[0] && total.is_some_and(|total| total >= min_total));
+            if has_converged {
+                history.lock().check_total(&tally, totals[0].unwrap_or(0), min_total, 0);
                 break;
             }
-            if begun.elapsed() > MERGE_LIMIT {
-                history.lock().faults.push(format!("{tally}: {totals:?} are read, {least} were acknowledged"));
+            if started.elapsed() > CONVERGENCE_TIMEOUT {
+                history
+                    .lock()
+                    .violations
+                    .push(format!("tally {tally}: controllers read {totals:?}, {min_total} acknowledged"));
                 break;
             }
-            time::sleep(RETRY_PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons of a run: their addresses, their settings, and their processes.
+//! The daemons of a run: addresses, settings and processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,27 +7,28 @@
 
 use tokio::task::JoinHandle;
 
-use crate::process::{Daemon, Launch};
-use crate::relay::{self, Partition, Paths};
+use crate::process::{Daemon, LaunchSpec};
+use crate::relay::{self, ActivePartition, Partition};
 use crate::scenario::{Action, Scenario, Target};
 use crate::usage::{LEASE, WINDOW};
 
-/// The zones that daemons and engines are spread over.
+/// Zones of daemons and engines, assigned round robin by index.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// The first of the networks 127.N that runs use; the seed chooses among as many.
+/// Lowest second octet of the loopback networks 127.N.0.0/16 that runs use.
 const FIRST_NETWORK: u64 = 130;
+/// Number of loopback networks; the seed selects one.
 const NETWORKS: u64 = 100;
 
-/// Where controllers listen for other daemons.
+/// Port on which controllers listen for other daemons.
 const PEER_PORT: u16 = 7810;
 
-/// The addresses of a run, all in one network of the loopback interface.
+/// The addresses of a run, all in one loopback network 127.N.0.0/16.
 #[derive(Clone, Copy, Debug)]
 pub struct Network(u64);
 
 impl Network {
-    /// Returns the network of a seed.
-    pub fn of_seed(seed: u64) -> Network {
+    /// Returns the network that a seed selects.
+    pub fn from_seed(seed: u64) -> Network {
         Network(FIRST_NETWORK + seed % NETWORKS)
     }
 
@@ -43,27 +44,27 @@
         self.host(1, index)
     }
 
-    /// Returns where a controller listens for other daemons, behind its relay.
+    /// Returns the IP address on which a controller behind a relay listens for other daemons.
     fn controller_listen_ip(self, index: usize) -> String {
         self.host(4, index)
     }
 
-    /// Returns the index of the zone of the daemon that connects from an address.
+    /// Returns the zone index of the daemon that connects from an address.
     pub fn zone_of(self, from: SocketAddr) -> usize {
         relay::zone_of_address(from, ZONES.len())
     }
 
-    /// Returns where a controller takes operators' requests.
+    /// Returns the address of a controller's operator API.
     pub fn control(self, index: usize) -> String {
         format!("{}:7803", self.controller_ip(index))
     }
 
-    /// Returns where a router takes clients' requests.
+    /// Returns the address on which a router accepts client requests.
     pub fn frontend(self, index: usize) -> String {
         format!("{}:7801", self.router_ip(index))
     }
 
-    /// Returns where a router answers readiness checks.
+    /// Returns the address of a router's readiness endpoint.
     pub fn readiness(self, index: usize) -> String {
         format!("{}:7802", self.router_ip(index))
     }
@@ -73,52 +74,56 @@
         format!("{}:7820", self.host(2, index))
     }
 
-    /// Returns the address of the platform's list.
+    /// Returns the address of the platform API.
     pub fn platform(self) -> String {
         format!("{}:7800", self.host(3, 0))
     }
 }
 
-/// Where the programs of a run come from.
+/// Which executables a run starts.
 #[derive(Clone, Debug)]
 pub enum Programs {
-    /// This program itself, with the name of the daemon as its arguments.
+    /// The soak executable at this path, started as `soak daemon NAME`.
     Own(PathBuf),
-    /// The programs in a folder, for runs of an earlier build.
+    /// The executables `router` and `controller` of another build in this directory.
     Folder(PathBuf),
 }
 
 impl Programs {
-    fn launch(&self, role: &str, dir: &Path, name: &str) -> Launch {
+    fn launch_spec(&self, role: &str, dir: &Path, name: &str) -> LaunchSpec {
         let (program, arguments) = match self {
             Programs::Own(program) => (program.clone(), vec!["daemon".to_string(), role.to_string()]),
             Programs::Folder(folder) => (folder.join(role), Vec::new()),
         };
         let [settings, log] = ["toml", "log"].map(|ending| dir.join(format!("{name}.{ending}")));
-        Launch { program, arguments, settings, log, disk: None }
+        LaunchSpec { program, arguments, settings, log, disk: None }
     }
 }
 
 /// All daemons of a run.
 pub struct Fleet {
-    /// The routers in their order.
+    /// The routers by index.
     pub routers: Vec<Arc<Daemon>>,
-    /// The controllers in their order.
+    /// The controllers by index.
     pub controllers: Vec<Arc<Daemon>>,
-    paths: Paths,
+    active_partition: ActivePartition,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Fleet {
-    /// Writes all settings into `dir` and starts all daemons.
+    /// Writes the settings files to `dir` and starts all daemons.
     ///
     /// # Errors
     ///
-    /// When a file can't be written or an address is taken.
+    /// When a file can't be written or an address is in use.
     pub async fn start(scenario: &Scenario, programs: &Programs, dir: &Path) -> io::Result<Fleet> {
-        let network = Network::of_seed(scenario.seed);
-        let mut fleet =
-            Fleet { routers: Vec::new(), controllers: Vec::new(), paths: Paths::default(), tasks: Vec::new() };
+        let network = Network::from_seed(scenario.seed);
+        let mut fleet = Fleet {
+            routers: Vec::new(),
+            controllers: Vec::new(),
+            active_partition: ActivePartition::default(),
+            tasks: Vec::new(),
+        };
         for index in 0..scenario.controllers {
             let name = format!("controller-{index}");
             let disk = dir.join(&name);
@@ -131,8 +136,8 @@
                 fleet.start_relay(network, index).await?;
             }
             fs::write(dir.join(format!("{name}.toml")), text)?;
-            let launch = Launch { disk: Some(disk), ..programs.launch("controller", dir, &name) };
-            let daemon = fleet.launch(launch);
+            let spec = LaunchSpec { disk: Some(disk), ..programs.launch_spec("controller", dir, &name) };
+            let daemon = fleet.launch(spec);
             fleet.controllers.push(daemon);
         }
         for index in 0..scenario.routers {
@@ -141,33 +146,35 @@
                 format!("frontend = \"{}\"\nreadiness = \"{}\"", network.frontend(index), network.readiness(index));
             let text = settings(scenario, &network.router_ip(index), &name, index, &binds, None);
             fs::write(dir.join(format!("{name}.toml")), text)?;
-            let daemon = fleet.launch(programs.launch("router", dir, &name));
+            let daemon = fleet.launch(programs.launch_spec("router", dir, &name));
             fleet.routers.push(daemon);
         }
         Ok(fleet)
     }
 
-    /// Starts the relay in front of a controller.
+    /// Starts the relay on a controller's advertised address.
     async fn start_relay(&mut self, network: Network, index: usize) -> io::Result<()> {
         let advertised = format!("{}:{PEER_PORT}", network.controller_ip(index));
-        let behind = format!("{}:{PEER_PORT}", network.controller_listen_ip(index));
-        let relay = relay::serve(network, &advertised, behind, index % ZONES.len(), self.paths.clone()).await?;
+        let listen_address = format!("{}:{PEER_PORT}", network.controller_listen_ip(index));
+        let relay =
+            relay::serve(network, &advertised, listen_address, index % ZONES.len(), self.active_partition.clone())
+                .await?;
         self.tasks.push(tokio::spawn(relay));
         Ok(())
     }
 
-    fn launch(&mut self, launch: Launch) -> Arc<Daemon> {
-        let (daemon, task) = Daemon::start(launch);
+    fn launch(&mut self, spec: LaunchSpec) -> Arc<Daemon> {
+        let (daemon, task) = Daemon::start(spec);
         self.tasks.push(task);
         daemon
     }
 
-    /// Lets an action happen to a daemon.
+    /// Applies an action to a daemon or to the network of a zone.
     pub fn apply(&self, target: Target, action: Action) {
         let daemon = match target {
             Target::Router(index) => &self.routers[index],
             Target::Controller(index) => &self.controllers[index],
-            Target::Zone(zone) => return self.apply_to_paths(zone, action),
+            Target::Zone(zone) => return self.apply_to_zone(zone, action),
         };
         match action {
             Action::Terminate => daemon.terminate(),
@@ -180,10 +187,10 @@
         }
     }
 
-    fn apply_to_paths(&self, zone: usize, action: Action) {
+    fn apply_to_zone(&self, zone: usize, action: Action) {
         match action {
-            Action::Partition(kind) => self.paths.partition(Partition { zone, kind }),
-            Action::Heal => self.paths.heal(),
+            Action::Partition(kind) => self.active_partition.set(Partition { zone, kind }),
+            Action::Heal => self.active_partition.heal(),
             _ => {}
         }
     }
@@ -191,13 +198,13 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // The tasks own the child processes, which are killed with them.
+        // The tasks own the child processes, which are killed on drop.
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
 fn settings(scenario: &Scenario, ip: &str, name: &str, index: usize, binds: &str, disk: Option<&Path>) -> String {
-    let network = Network::of_seed(scenario.seed);
+    let network = Network::from_seed(scenario.seed);
     let seeds: Vec<String> = (0..scenario.controllers.min(3)).map(|index| network.control(index)).collect();
     let data = disk.map_or(String::new(), |disk| format!("data_dir = {:?}\n", disk.display().to_string()));
     format!(
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A soak of planned work: real daemons on loopback addresses get signals, restarts and changes of the configuration, in
-//! series that overlap, while clients go on using open connections until the process behind them is gone.
+//! A soak test of planned maintenance: real daemons on loopback addresses receive signals, restarts and configuration
+//! changes in overlapping series, while clients keep using their connections until the process behind them exits.
 //!
-//! One seed gives one schedule. What is judged is only what the stand-in clients, engines and the operator saw on their
-//! sockets: no accepted request is abandoned, none runs twice, no acknowledged change or add to a tally is lost, and each process ends
-//! within its grace period.
+//! A seed determines the schedule. The checks rely on what the clients, the stub engines, the stub platform and the
+//! operator observe on their sockets, and on process exits: no accepted request is abandoned, none runs twice, no
+//! acknowledged configuration change or add to a tally is lost, and each process exits within its grace period.
 
 mod application;
 mod client;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak as a program: runs seeds one after the other, or is one of the daemons of a run.
+//! Command line of the soak test: runs seeds in sequence, or runs one of the daemons.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,34 +13,34 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Soak of planned work over real processes on loopback addresses.
+        /// Soak test of planned maintenance with real processes on loopback addresses.
         cmd soak {
-            /// Runs seeds one after the other and reports each in a line.
+            /// Run seeds in sequence and print one line of results for each.
             cmd run {
-                /// The first seed; 1 unless given.
+                /// First seed (default: 1).
                 optional --seed seed: u64
-                /// How many seeds; 1 unless given.
+                /// Number of consecutive seeds (default: 1).
                 optional --seeds count: u64
-                /// How many routers.
+                /// Number of routers.
                 optional --routers count: usize
-                /// How many controllers.
+                /// Number of controllers.
                 optional --controllers count: usize
-                /// How many engines.
+                /// Number of engines.
                 optional --engines count: usize
-                /// How many clients.
+                /// Number of clients.
                 optional --clients count: usize
-                /// The grace period of processes in seconds.
+                /// Grace period of the daemons, in seconds.
                 optional --grace seconds: f64
-                /// How long signals and changes come, in seconds.
+                /// Duration of the schedule of signals and changes, in seconds.
                 optional --seconds seconds: u64
-                /// Let controllers be killed, stand still and lose their disks, one after the other.
+                /// Kill controllers, freeze them and wipe their disks, one at a time.
                 optional --faults
-                /// Let zones be cut off from the others, one after the other.
+                /// Partition zones from the others, one at a time.
                 optional --partitions
-                /// A folder with the programs `router` and `controller` of another build.
+                /// Directory with the executables `router` and `controller` of another build.
                 optional --programs folder: PathBuf
             }
-            /// Is one of the daemons of a run: `router` or `controller`.
+            /// Run as one of the daemons: `router` or `controller`.
             cmd daemon {
                 required program: String
             }
@@ -50,8 +50,8 @@
 
 use flags::SoakCmd;
 
-/// Most violations of one run that are printed.
-const MAX_PRINTED: usize = 12;
+/// Maximum number of violations printed for one run.
+const MAX_PRINTED_VIOLATIONS: usize = 12;
 
 fn main() -> ExitCode {
     let flags = match flags::Soak::from_env() {
@@ -77,29 +77,29 @@
         "router" => run_daemon("router", version, flags, router::startup::run),
         "controller" => run_daemon("controller", version, flags, controller::startup::run),
         other => {
-            eprintln!("soak: {other}: must be router or controller");
+            eprintln!("soak: unknown daemon {other}: must be router or controller");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Returns the scenario of a seed with the sizes that the command line gives.
+/// Returns the short scenario of a seed, with the overrides from the command line.
 fn scenario(flags: &flags::Run, seed: u64) -> Scenario {
-    let usual = Scenario::short(seed);
+    let defaults = Scenario::short(seed);
     Scenario {
-        routers: flags.routers.unwrap_or(usual.routers),
-        controllers: flags.controllers.unwrap_or(usual.controllers),
-        engines: flags.engines.unwrap_or(usual.engines),
-        clients: flags.clients.unwrap_or(usual.clients),
-        grace_s: flags.grace.unwrap_or(usual.grace_s),
+        routers: flags.routers.unwrap_or(defaults.routers),
+        controllers: flags.controllers.unwrap_or(defaults.controllers),
+        engines: flags.engines.unwrap_or(defaults.engines),
+        clients: flags.clients.unwrap_or(defaults.clients),
+        grace_s: flags.grace.unwrap_or(defaults.grace_s),
         has_faults: flags.faults,
         has_partitions: flags.partitions,
-        duration: flags.seconds.map_or(usual.duration, Duration::from_secs),
-        ..usual
+        duration: flags.seconds.map_or(defaults.duration, Duration::from_secs),
+        ..defaults
     }
 }
 
-/// Returns whether no run showed a violation.
+/// Runs all seeds. Returns whether no run had a violation.
 fn run_seeds(flags: &flags::Run) -> io::Result<bool> {
     let programs = match &flags.programs {
         Some(folder) => Programs::Folder(folder.clone()),
@@ -107,23 +107,23 @@
     };
     let runtime = Builder::new_multi_thread().enable_all().build()?;
     let first = flags.seed.unwrap_or(1);
-    let mut is_clean = true;
+    let mut has_passed = true;
     for seed in first..first + flags.seeds.unwrap_or(1) {
-        let dir = run_folder(seed)?;
+        let dir = create_run_dir(seed)?;
         let report = runtime.block_on(soak::run(&scenario(flags, seed), &programs, &dir))?;
         println!("seed {seed}: {report}");
-        report.violations.iter().take(MAX_PRINTED).for_each(|violation| println!("    {violation:?}"));
+        report.violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("    {violation:?}"));
         if report.violations.is_empty() {
             fs::remove_dir_all(&dir)?;
         } else {
-            is_clean = false;
+            has_passed = false;
             println!("    logs: {}", dir.display());
         }
     }
-    Ok(is_clean)
+    Ok(has_passed)
 }
 
-fn run_folder(seed: u64) -> io::Result<PathBuf> {
+fn create_run_dir(seed: u64) -> io::Result<PathBuf> {
     let dir: &Path = &env::temp_dir().join(format!("tidepoint-soak-{}-{seed}", process::id()));
     fs::create_dir_all(dir)?;
     Ok(dir.into())
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who changes the configuration all the while, and reads it back.
+//! An operator that changes the configuration throughout a run and reads it back.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -9,25 +9,24 @@
 
 use crate::fleet::Network;
 use crate::http::{self, HttpMessage};
-use crate::scenario::{below, Scenario};
+use crate::scenario::{random_below, Scenario};
 
-/// The host of the route that clients use.
+/// Hostname of the route that clients use.
 pub const HOST: &str = "soak.example";
-/// The longest pause between two changes, in milliseconds.
+/// Exclusive upper bound of the pause between two changes, in milliseconds.
 const MAX_PAUSE_MS: u64 = 700;
-/// The pause before a call without a clear outcome is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// How long a controller may leave a call unanswered.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// Delay before a call without a definite outcome is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Timeout of a call to a controller.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the operator saw.
+/// What the operator observed.
 #[derive(Debug, Default)]
 pub struct OperatorLog {
-    /// The newest revision that was acknowledged.
+    /// The latest acknowledged revision.
     pub acknowledged: u64,
-    /// Reads that were answered with something older than what had been acknowledged before they were sent, and refusals
-    /// of changes that were proper.
-    pub faults: Vec<String>,
+    /// Reads that returned a revision older than the one acknowledged before the read, and rejections of valid changes.
+    pub violations: Vec<String>,
 }
 
 /// The operator of a run.
@@ -38,12 +37,12 @@
     log: OperatorLog,
 }
 
-/// How many tenants there are.
-pub const TENANTS: usize = 2;
+/// Number of tenants.
+pub const TENANT_COUNT: usize = 2;
 
-/// Returns the key of a tenant.
+/// Returns the API key of a tenant. Indexes beyond the last tenant wrap around.
 pub fn tenant_key(tenant: usize) -> String {
-    format!("key-{}", tenant % TENANTS)
+    format!("key-{}", tenant % TENANT_COUNT)
 }
 
 fn tenant(number: usize) -> Value {
@@ -63,75 +62,80 @@
 }
 
 impl Operator {
-    /// Returns an operator who has not done anything.
+    /// Returns an operator that has sent no change yet.
     pub fn new(scenario: &Scenario) -> Operator {
         Operator {
-            network: Network::of_seed(scenario.seed),
+            network: Network::from_seed(scenario.seed),
             controllers: scenario.controllers,
             rng: Rng::new(scenario.seed ^ 0x6f70),
             log: OperatorLog::default(),
         }
     }
 
-    async fn call(&mut self, text: &str) -> Option<HttpMessage> {
-        let index = below(&mut self.rng, self.controllers as u64) as usize;
+    async fn call(&mut self, request: &str) -> Option<HttpMessage> {
+        let index = random_below(&mut self.rng, self.controllers as u64) as usize;
         let address = self.network.control(index);
-        time::timeout(CALL_LIMIT, http::call(&address, text)).await.ok().flatten()
+        time::timeout(CALL_TIMEOUT, http::call(&address, request)).await.ok().flatten()
     }
 
-    /// Sends the next change until it is acknowledged. Returns false if that did not come in time.
-    pub async fn change(&mut self, limit: Duration) -> bool {
-        let (base, begun) = (self.log.acknowledged, Instant::now());
+    /// Sends the next change until it is acknowledged. Returns false if that takes longer than `timeout`.
+    pub async fn change(&mut self, timeout: Duration) -> bool {
+        let (base, started) = (self.log.acknowledged, Instant::now());
         let body = configuration(base + 1).to_string();
-        let text = http::request("PUT", "/config", &format!("Host: c\r\nIf-Match: {base}\r\n"), &body);
-        while begun.elapsed() < limit {
-            let status = self.call(&text).await.map_or(0, |answer| answer.status());
+        let request = http::request("PUT", "/config", &format!("Host: c\r\nIf-Match: {base}\r\n"), &body);
+        while started.elapsed() < timeout {
+            let status = self.call(&request).await.map_or(0, |response| response.status());
             match status {
                 200 => {
                     self.log.acknowledged = base + 1;
                     return true;
                 }
-                400..500 => self.log.faults.push(format!("the change to revision {} got {status}", base + 1)),
+                400..500 => self
+                    .log
+                    .violations
+                    .push(format!("valid change to revision {} was rejected with status {status}", base + 1)),
                 _ => {}
             }
-            time::sleep(RETRY_PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
         }
         false
     }
 
-    /// Reads the configuration at any controller. Returns whether one answered.
+    /// Reads the configuration from a random controller. Returns whether the read succeeded.
     async fn read(&mut self) -> bool {
         let acknowledged = self.log.acknowledged;
-        let answer = self.call(&http::request("GET", "/config", "Host: c\r\n", "")).await;
-        let Some(answer) = answer.filter(|answer| answer.status() == 200) else { return false };
-        let found: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let revision = found["revision"].as_u64().unwrap_or(0);
+        let response = self.call(&http::request("GET", "/config", "Host: c\r\n", "")).await;
+        let Some(response) = response.filter(|response| response.status() == 200) else { return false };
+        let config: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+        let revision = config["revision"].as_u64().unwrap_or(0);
         if revision < acknowledged {
-            self.log.faults.push(format!("revision {acknowledged} was acknowledged, {revision} is read"));
+            self.log.violations.push(format!(
+                "read returned revision {revision}, older than the acknowledged revision {acknowledged}"
+            ));
         }
         true
     }
 
-    /// Changes and reads until told to stop.
-    pub async fn run(mut self, stop: &AtomicBool, limit: Duration) -> Operator {
+    /// Changes and reads the configuration until `stop` is set. `timeout` applies to each change.
+    pub async fn run(mut self, stop: &AtomicBool, timeout: Duration) -> Operator {
         while !stop.load(Ordering::Relaxed) {
-            self.change(limit).await;
+            self.change(timeout).await;
             self.read().await;
-            let pause_ms = below(&mut self.rng, MAX_PAUSE_MS);
+            let pause_ms = random_below(&mut self.rng, MAX_PAUSE_MS);
             time::sleep(Duration::from_millis(pause_ms)).await;
         }
         self
     }
 
-    /// Reads back until a controller answers, and returns what was seen in all.
-    pub async fn finish(mut self, limit: Duration) -> OperatorLog {
-        let begun = Instant::now();
+    /// Reads the final configuration, with retries until `timeout`, and returns all observations.
+    pub async fn finish(mut self, timeout: Duration) -> OperatorLog {
+        let started = Instant::now();
         while !self.read().await {
-            if begun.elapsed() > limit {
-                self.log.faults.push("no controller answers a read of the configuration".into());
+            if started.elapsed() > timeout {
+                self.log.violations.push("no controller answered a read of the configuration".into());
                 break;
             }
-            time::sleep(RETRY_PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
         }
         self.log
     }
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process of the system, started again each time after it has ended.
+//! A daemon as an operating system process that is restarted whenever it exits.
 
 use std::fs::{self, File};
 use std::io;
@@ -13,27 +13,27 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
-/// The pause before a process that ended is started again.
-const RESTART_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a process that exited is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// What the log of a process and its settings are called, and how it is started.
+/// How to start a process, and the files that it uses.
 #[derive(Clone, Debug)]
-pub struct Launch {
-    /// The program.
+pub struct LaunchSpec {
+    /// The executable.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// The path of its settings.
+    /// The settings file.
     pub settings: PathBuf,
-    /// Where its output goes.
+    /// The file that receives stdout and stderr.
     pub log: PathBuf,
-    /// Its disk, if it has one.
+    /// The data directory, if the daemon has one.
     pub disk: Option<PathBuf>,
 }
 
-impl Launch {
-    /// Empties the disk. Only the first start of the whole system may call itself one.
-    fn lose_disk(&self) -> io::Result<()> {
+impl LaunchSpec {
+    /// Empties the data directory and turns off `bootstrap`, which is valid only for the first start of the system.
+    fn wipe_disk(&self) -> io::Result<()> {
         let Some(disk) = &self.disk else { return Ok(()) };
         fs::remove_dir_all(disk)?;
         fs::create_dir_all(disk)?;
@@ -42,118 +42,118 @@
     }
 }
 
-/// One incarnation of the process.
+/// One run of the daemon's process, from start to exit.
 #[derive(Clone, Copy, Debug)]
 pub struct Incarnation {
     /// When it was started.
     pub started: Instant,
-    /// When it got its first SIGTERM.
+    /// When it was first sent SIGTERM.
     pub terminated: Option<Instant>,
-    /// When it got its first SIGHUP.
+    /// When it was first sent SIGHUP.
     pub reloaded: Option<Instant>,
-    /// It got SIGKILL.
+    /// Whether it was sent SIGKILL.
     pub killed: bool,
-    /// When it had ended, and whether with success.
-    pub ended: Option<(Instant, bool)>,
+    /// When it exited, and whether with success.
+    pub exited: Option<(Instant, bool)>,
 }
 
-/// A daemon and the incarnations of its process. The last one is the present one.
+/// A daemon and the incarnations of its process, the current one last.
 pub struct Daemon {
     pid: Mutex<Option<u32>>,
     incarnations: Mutex<Vec<Incarnation>>,
-    /// The next process starts on an empty disk.
-    loses_disk: AtomicBool,
+    /// Whether to wipe the disk before the next start.
+    wipes_disk: AtomicBool,
 }
 
 impl Daemon {
-    /// Starts the process and keeps it running until the returned daemon's task is aborted.
-    pub fn start(launch: Launch) -> (Arc<Daemon>, JoinHandle<()>) {
+    /// Starts the process and restarts it whenever it exits, until the returned task is aborted.
+    pub fn start(spec: LaunchSpec) -> (Arc<Daemon>, JoinHandle<()>) {
         let daemon = Arc::new(Daemon {
             pid: Mutex::new(None),
             incarnations: Mutex::default(),
-            loses_disk: AtomicBool::new(false),
+            wipes_disk: AtomicBool::new(false),
         });
-        let task = tokio::spawn(keep_running(daemon.clone(), launch));
+        let task = tokio::spawn(supervise(daemon.clone(), spec));
         (daemon, task)
     }
 
-    /// Returns all incarnations so far.
+    /// Returns all incarnations up to now, the oldest first.
     pub fn incarnations(&self) -> Vec<Incarnation> {
         self.incarnations.lock().clone()
     }
 
-    /// Sends SIGTERM to the present process, if there is one.
+    /// Sends SIGTERM to the current process, if any.
     pub fn terminate(&self) {
         if !self.signal(libc::SIGTERM) {
             return;
         }
-        if let Some(present) = self.incarnations.lock().last_mut() {
-            present.terminated.get_or_insert(Instant::now());
+        if let Some(current) = self.incarnations.lock().last_mut() {
+            current.terminated.get_or_insert(Instant::now());
         }
     }
 
-    /// Sends SIGHUP to the present process, if there is one.
+    /// Sends SIGHUP to the current process, if any.
     pub fn reload(&self) {
         if !self.signal(libc::SIGHUP) {
             return;
         }
-        if let Some(present) = self.incarnations.lock().last_mut() {
-            present.reloaded.get_or_insert(Instant::now());
+        if let Some(current) = self.incarnations.lock().last_mut() {
+            current.reloaded.get_or_insert(Instant::now());
         }
     }
 
-    /// Sends SIGKILL to the present process, if there is one, and empties its disk before the next one.
-    pub fn kill(&self, loses_disk: bool) {
+    /// Sends SIGKILL to the current process, if any. With `wipes_disk`, the next process starts with an empty disk.
+    pub fn kill(&self, wipes_disk: bool) {
         if !self.signal(libc::SIGKILL) {
             return;
         }
-        self.loses_disk.fetch_or(loses_disk, Ordering::Relaxed);
-        if let Some(present) = self.incarnations.lock().last_mut() {
-            present.killed = true;
+        self.wipes_disk.fetch_or(wipes_disk, Ordering::Relaxed);
+        if let Some(current) = self.incarnations.lock().last_mut() {
+            current.killed = true;
         }
     }
 
-    /// Lets the present process stand still, if there is one, until [`thaw`](Self::thaw).
+    /// Stops the current process, if any, with SIGSTOP until [`thaw`](Self::thaw).
     pub fn freeze(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a process that stands still go on.
+    /// Continues a stopped process with SIGCONT.
     pub fn thaw(&self) {
         self.signal(libc::SIGCONT);
     }
 
     fn signal(&self, signal: i32) -> bool {
         let pid = *self.pid.lock();
-        // SAFETY: a signal to a process that this daemon started and has not yet reaped.
+        // SAFETY: `kill` accesses no memory, and the pid is that of a child that has not been reaped yet.
         pid.is_some_and(|pid| unsafe { libc::kill(pid as i32, signal) } == 0)
     }
 
-    fn began(&self, child: &Child) {
+    fn record_start(&self, child: &Child) {
         *self.pid.lock() = child.id();
         let incarnation =
-            Incarnation { started: Instant::now(), terminated: None, reloaded: None, killed: false, ended: None };
+            Incarnation { started: Instant::now(), terminated: None, reloaded: None, killed: false, exited: None };
         self.incarnations.lock().push(incarnation);
     }
 
-    fn ended(&self, status: ExitStatus) {
+    fn record_exit(&self, status: ExitStatus) {
         *self.pid.lock() = None;
-        if let Some(present) = self.incarnations.lock().last_mut() {
-            present.ended = Some((Instant::now(), status.success()));
+        if let Some(current) = self.incarnations.lock().last_mut() {
+            current.exited = Some((Instant::now(), status.success()));
         }
     }
 }
 
-async fn keep_running(daemon: Arc<Daemon>, launch: Launch) {
+async fn supervise(daemon: Arc<Daemon>, spec: LaunchSpec) {
     loop {
-        let mut child = spawn(&launch).expect("the program starts");
-        daemon.began(&child);
-        let status = child.wait().await.expect("a child process");
-        daemon.ended(status);
-        if daemon.loses_disk.swap(false, Ordering::Relaxed) {
-            launch.lose_disk().expect("the disk can be emptied");
+        let mut child = spawn(&spec).expect("failed to start the daemon");
+        daemon.record_start(&child);
+        let status = child.wait().await.expect("failed to wait for the daemon");
+        daemon.record_exit(status);
+        if daemon.wipes_disk.swap(false, Ordering::Relaxed) {
+            spec.wipe_disk().expect("failed to wipe the disk");
         }
-        time::sleep(RESTART_PAUSE).await;
+        time::sleep(RESTART_DELAY).await;
     }
 }
 
@@ -161,11 +161,11 @@
     File::options().create(true).append(true).open(path)
 }
 
-fn spawn(launch: &Launch) -> io::Result<Child> {
-    let log = open_log(&launch.log)?;
-    Command::new(&launch.program)
-        .args(&launch.arguments)
-        .env("TIDEPOINT_CONFIG", &launch.settings)
+fn spawn(spec: &LaunchSpec) -> io::Result<Child> {
+    let log = open_log(&spec.log)?;
+    Command::new(&spec.program)
+        .args(&spec.arguments)
+        .env("TIDEPOINT_CONFIG", &spec.settings)
         .stdin(Stdio::null())
         .stdout(log.try_clone()?)
         .stderr(log)
--- a/soak/src/relay.rs
+++ b/soak/src/relay.rs
@@ -1,7 +1,7 @@
-//! Relays on the advertised addresses of daemons, on which paths between zones can be cut.
+//! TCP relays on the advertised addresses of daemons, which simulate network partitions between zones.
 //!
-//! Each daemon listens at an address of its own behind its relay and connects from its advertised address, so that a relay
-//! knows both ends of a connection.
+//! A daemon behind a relay listens on a separate address. All daemons connect from their advertised addresses, so that
+//! a relay knows the zones of both ends of a connection.
 
 use std::future::Future;
 use std::io;
@@ -15,38 +15,38 @@
 
 use crate::fleet::Network;
 
-/// How much a relay reads at once, in bytes.
+/// Capacity of the buffer for one direction of a connection, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What becomes of connections over a path that is cut.
+/// How a partition affects connections between the zone and the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionKind {
-    /// Bytes of both directions are held up until the path heals.
+    /// Bytes in both directions are delayed until the partition heals.
     Silent,
-    /// Bytes that leave the zone are held up, those that come in pass.
+    /// Bytes that leave the zone are delayed until the partition heals; bytes that enter it pass.
     OneWay,
-    /// Open connections are reset, and so is each new one.
+    /// Open and new connections are reset.
     Reset,
-    /// Open connections go on; each new one is reset.
+    /// Open connections continue; new ones are reset.
     Refused,
 }
 
-/// All kinds, for drawing one.
+/// All kinds, for random selection.
 pub const PARTITION_KINDS: [PartitionKind; 4] =
     [PartitionKind::Silent, PartitionKind::OneWay, PartitionKind::Reset, PartitionKind::Refused];
 
-/// One zone that is cut off from the others.
+/// A zone that is partitioned from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Partition {
     /// The index of the zone.
     pub zone: usize,
-    /// How it is cut off.
+    /// The effect on connections to other zones.
     pub kind: PartitionKind,
 }
 
 impl Partition {
-    /// Returns whether bytes from one zone to another are held up.
-    fn holds_up(self, from: usize, to: usize) -> bool {
+    /// Returns whether bytes from one zone to another are delayed.
+    fn delays(self, from: usize, to: usize) -> bool {
         let crosses = from != to && (from == self.zone || to == self.zone);
         match self.kind {
             PartitionKind::Silent => crosses,
@@ -67,79 +67,85 @@
     }
 }
 
-/// The cut in force, as all relays see it.
+/// The partition in effect, if any, shared by all relays.
 #[derive(Clone)]
-pub struct Paths(Sender<Option<Partition>>);
+pub struct ActivePartition(Sender<Option<Partition>>);
 
-impl Default for Paths {
+impl Default for ActivePartition {
     fn default() -> Self {
-        Paths(watch::channel(None).0)
+        ActivePartition(watch::channel(None).0)
     }
 }
 
-impl Paths {
-    /// Cuts a zone off; another one that was cut off heals.
-    pub fn partition(&self, partition: Partition) {
+impl ActivePartition {
+    /// Starts a partition, which replaces the one in effect.
+    pub fn set(&self, partition: Partition) {
         self.0.send_replace(Some(partition));
     }
 
-    /// Heals all paths.
+    /// Ends the partition.
     pub fn heal(&self) {
         self.0.send_replace(None);
     }
 }
 
-/// Relays connections from `advertised` to `behind`, a daemon in the zone `zone`, until the task is aborted.
+/// Relays connections from `advertised` to `listen_address`, where a daemon in the zone `zone` listens, until the task
+/// is aborted.
 ///
 /// # Errors
 ///
-/// When the advertised address is taken.
+/// When the advertised address is in use.
 pub async fn serve(
     network: Network,
     advertised: &str,
-    behind: String,
+    listen_address: String,
     zone: usize,
-    paths: Paths,
+    active_partition: ActivePartition,
 ) -> io::Result<impl Future<Output = ()> + Send + 'static> {
     let listener = TcpListener::bind(advertised).await?;
     Ok(async move {
         loop {
             let Ok((stream, from)) = listener.accept().await else { continue };
-            let path = PathEnds { dialler: network.zone_of(from), listener: zone };
-            tokio::spawn(relay(stream, behind.clone(), path, paths.0.subscribe()));
+            let zones = ConnectionZones { client: network.zone_of(from), server: zone };
+            tokio::spawn(relay(stream, listen_address.clone(), zones, active_partition.0.subscribe()));
         }
     })
 }
 
-/// The zones at both ends of a connection.
+/// The zones of both ends of a connection.
 #[derive(Clone, Copy, Debug)]
-struct PathEnds {
-    dialler: usize,
-    listener: usize,
+struct ConnectionZones {
+    client: usize,
+    server: usize,
 }
 
-/// Carries one connection until an end closes it or a cut resets it.
-async fn relay(mut stream: TcpStream, behind: String, ends: PathEnds, mut partitions: Receiver<Option<Partition>>) {
-    let PathEnds { dialler, listener } = ends;
-    let is_rejected = partitions.borrow().is_some_and(|partition| partition.rejects(dialler, listener));
+/// Relays one connection until either end closes it or a partition resets it.
+async fn relay(
+    mut stream: TcpStream,
+    listen_address: String,
+    zones: ConnectionZones,
+    mut partitions: Receiver<Option<Partition>>,
+) {
+    let ConnectionZones { client, server } = zones;
+    let is_rejected = partitions.borrow().is_some_and(|partition| partition.rejects(client, server));
     if is_rejected {
         let _ = stream.set_zero_linger();
         return;
     }
-    if until_passable(&mut partitions, dialler, listener).await.is_none() {
+    if wait_until_passable(&mut partitions, client, server).await.is_none() {
         return;
     }
-    let Ok(mut target) = TcpStream::connect(behind).await else { return };
+    let Ok(mut target) = TcpStream::connect(listen_address).await else { return };
     let _ = (stream.set_nodelay(true), target.set_nodelay(true));
     let is_reset = {
-        let (from_dialler, to_dialler) = stream.split();
-        let (from_listener, to_listener) = target.split();
-        let there = Direction { from: dialler, to: listener, partitions: partitions.clone() };
-        let back = Direction { from: listener, to: dialler, partitions: partitions.clone() };
+        let (from_client, to_client) = stream.split();
+        let (from_server, to_server) = target.split();
+        let forward = Direction { from: client, to: server, partitions: partitions.clone() };
+        let backward = Direction { from: server, to: client, partitions: partitions.clone() };
         tokio::select! {
-            () = there.pump(from_dialler, to_listener) => false,
-            () = back.pump(from_listener, to_dialler) => false,
-            _ = partitions.wait_for(|partition| partition.is_some_and(|partition| partition.resets(dialler, listener))) => true,
+            () = forward.pump(from_client, to_server) => false,
+            () = backward.pump(from_server, to_client) => false,
+            _ = partitions.wait_for(|partition| partition.is_some_and(|partition| partition.resets(client, server))) => true,
         }
     };
     if is_reset {
@@ -147,16 +153,16 @@
     }
 }
 
-/// Waits until bytes from one zone to another pass. `None`: the run is over.
-async fn until_passable(partitions: &mut Receiver<Option<Partition>>, from: usize, to: usize) -> Option<()> {
+/// Waits until no partition delays bytes from one zone to another. `None`: the run is over.
+async fn wait_until_passable(partitions: &mut Receiver<Option<Partition>>, from: usize, to: usize) -> Option<()> {
     partitions
-        .wait_for(|partition| !partition.is_some_and(|partition| partition.holds_up(from, to)))
+        .wait_for(|partition| !partition.is_some_and(|partition| partition.delays(from, to)))
         .await
         .ok()
         .map(|_| ())
 }
 
-/// One direction of a connection.
+/// One direction of a relayed connection, from one zone to another.
 struct Direction {
     from: usize,
     to: usize,
@@ -164,7 +170,7 @@
 }
 
 impl Direction {
-    /// Passes bytes on until there are no more.
+    /// Copies bytes until either side closes.
     async fn pump(mut self, mut reader: ReadHalf<'_>, mut writer: WriteHalf<'_>) {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
@@ -172,7 +178,7 @@
                 Ok(count) if count > 0 => count,
                 _ => return,
             };
-            if until_passable(&mut self.partitions, self.from, self.to).await.is_none() {
+            if wait_until_passable(&mut self.partitions, self.from, self.to).await.is_none() {
                 return;
             }
             if writer.write_all(&buffer[..count]).await.is_err() {
@@ -182,7 +188,8 @@
     }
 }
 
-/// Returns the zone of the daemon whose connection comes from an address: daemons are spread over the zones by their place.
+/// Returns the zone index of the daemon that connects from an address. The last octet is the daemon's index plus one,
+/// and zones are assigned round robin by index.
 pub fn zone_of_address(from: SocketAddr, zones: usize) -> usize {
     let index = match from {
         SocketAddr::V4(from) => usize::from(from.ip().octets()[3]).saturating_sub(1),
@@ -191,9 +198,10 @@
     index % zones
 }
 
-/// The time for which a zone is cut off, and the time until the next cut.
-pub const PARTITION_LENGTHS: [Duration; 3] = [Duration::from_secs(8), Duration::from_secs(10), Duration::from_secs(14)];
-/// What was counted or changed on both sides gets so long to be merged before the next cut.
+/// Possible durations of a partition.
+pub const PARTITION_DURATIONS: [Duration; 3] =
+    [Duration::from_secs(8), Duration::from_secs(10), Duration::from_secs(14)];
+/// Minimum time between two partitions, in which both sides merge what they counted and changed.
 pub const PARTITION_GAP: Duration = Duration::from_secs(6);
 
 #[cfg(test)]
--- a/soak/src/relay_tests.rs
+++ b/soak/src/relay_tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections over paths that are cut.
+//! Connections through a relay during each kind of partition.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,17 +8,17 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time;
 
-use super::{serve, Partition, PartitionKind, Paths};
+use super::{serve, ActivePartition, Partition, PartitionKind};
 use crate::fleet::Network;
 
-/// How long a byte that passes may take, and how long one that is held up is waited for.
+/// Timeout for a byte that passes, and the time without one after which it counts as delayed.
 const WAIT: Duration = Duration::from_millis(300);
 const NETWORK_SEED: u64 = 3;
 
-/// A relay before an echo in zone 1, with the paths that can be cut.
-struct Stand {
+/// A relay in front of an echo server in zone 1.
+struct Fixture {
     address: String,
-    paths: Paths,
+    active_partition: ActivePartition,
 }
 
 async fn echo(mut stream: TcpStream) {
@@ -26,35 +26,37 @@
     while stream.read_exact(&mut byte).await.is_ok() && stream.write_all(&byte).await.is_ok() {}
 }
 
-async fn stand() -> Stand {
-    let behind = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = free.local_addr().expect("its address").to_string();
-    drop(free);
-    let paths = Paths::default();
-    let target = behind.local_addr().expect("its address").to_string();
+async fn start_relay() -> Fixture {
+    let echo_listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind");
+    let free_port = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind");
+    let address = free_port.local_addr().expect("failed to read the local address").to_string();
+    drop(free_port);
+    let active_partition = ActivePartition::default();
+    let target = echo_listener.local_addr().expect("failed to read the local address").to_string();
     tokio::spawn(async move {
-        while let Ok((stream, _)) = behind.accept().await {
+        while let Ok((stream, _)) = echo_listener.accept().await {
             tokio::spawn(echo(stream));
         }
     });
-    let relay = serve(Network::of_seed(NETWORK_SEED), &address, target, 1, paths.clone()).await.expect("a relay");
+    let relay = serve(Network::from_seed(NETWORK_SEED), &address, target, 1, active_partition.clone())
+        .await
+        .expect("failed to start the relay");
     tokio::spawn(relay);
-    Stand { address, paths }
+    Fixture { address, active_partition }
 }
 
-impl Stand {
-    /// Connects from a daemon of a zone.
-    async fn dial(&self, zone: u8) -> TcpStream {
-        let socket = TcpSocket::new_v4().expect("a socket");
+impl Fixture {
+    /// Connects from the address of a daemon in a zone.
+    async fn connect(&self, zone: u8) -> TcpStream {
+        let socket = TcpSocket::new_v4().expect("failed to open a socket");
         let source = SocketAddr::from((Ipv4Addr::new(127, 0, 9, zone + 1), 0));
-        socket.bind(source).expect("a loopback address");
-        socket.connect(self.address.parse().expect("an address")).await.expect("connected")
+        socket.bind(source).expect("failed to bind to a loopback address");
+        socket.connect(self.address.parse().expect("invalid address")).await.expect("failed to connect")
     }
 }
 
-/// Sends a byte and returns whether it came back. An error: the connection is gone.
-async fn echoes(stream: &mut TcpStream) -> io::Result<bool> {
+/// Sends a byte and returns whether it is echoed within [`WAIT`]. An error: the connection ended.
+async fn is_echoed(stream: &mut TcpStream) -> io::Result<bool> {
     stream.write_all(b"x").await?;
     let mut byte = [0];
     match time::timeout(WAIT, stream.read_exact(&mut byte)).await {
@@ -64,47 +66,62 @@
 }
 
 #[tokio::test]
-async fn a_silent_cut_holds_bytes_up_until_it_heals_and_leaves_other_zones_alone() {
-    let stand = stand().await;
-    let (mut cut_off, mut same_zone) = (stand.dial(0).await, stand.dial(1).await);
-    assert!(echoes(&mut cut_off).await.expect("open"));
-    stand.paths.partition(Partition { zone: 0, kind: PartitionKind::Silent });
-    assert!(!echoes(&mut cut_off).await.expect("open"), "held up");
-    assert!(echoes(&mut same_zone).await.expect("open"));
-    stand.paths.heal();
+async fn silent_partition_delays_bytes_until_it_heals_and_does_not_affect_other_zones() {
+    let fixture = start_relay().await;
+    let (mut other_zone, mut same_zone) = (fixture.connect(0).await, fixture.connect(1).await);
+    assert!(is_echoed(&mut other_zone).await.expect("the connection ended"));
+    fixture.active_partition.set(Partition { zone: 0, kind: PartitionKind::Silent });
+    assert!(!is_echoed(&mut other_zone).await.expect("the connection ended"), "the byte passed during the partition");
+    assert!(is_echoed(&mut same_zone).await.expect("the connection ended"));
+    fixture.active_partition.heal();
     let mut byte = [0];
-    time::timeout(WAIT, cut_off.read_exact(&mut byte)).await.expect("in time").expect("passed on at last");
+    time::timeout(WAIT, other_zone.read_exact(&mut byte))
+        .await
+        .expect("no byte after healing")
+        .expect("the connection ended");
 }
 
 #[tokio::test]
-async fn a_one_way_cut_holds_up_what_leaves_the_zone_only() {
-    let stand = stand().await;
-    let mut stream = stand.dial(0).await;
-    assert!(echoes(&mut stream).await.expect("open"));
-    stand.paths.partition(Partition { zone: 2, kind: PartitionKind::OneWay });
-    assert!(echoes(&mut stream).await.expect("open"), "another zone's partition");
-    stand.paths.partition(Partition { zone: 1, kind: PartitionKind::OneWay });
-    assert!(!echoes(&mut stream).await.expect("open"), "the answer leaves zone 1");
+async fn one_way_partition_delays_only_bytes_that_leave_the_zone() {
+    let fixture = start_relay().await;
+    let mut stream = fixture.connect(0).await;
+    assert!(is_echoed(&mut stream).await.expect("the connection ended"));
+    fixture.active_partition.set(Partition { zone: 2, kind: PartitionKind::OneWay });
+    assert!(
+        is_echoed(&mut stream).await.expect("the connection ended"),
+        "the partition of another zone delayed a byte"
+    );
+    fixture.active_partition.set(Partition { zone: 1, kind: PartitionKind::OneWay });
+    assert!(!is_echoed(&mut stream).await.expect("the connection ended"), "the echo left zone 1 during the partition");
 }
 
 #[tokio::test]
-async fn a_reset_cut_ends_open_connections_and_new_ones() {
-    let stand = stand().await;
-    let mut open = stand.dial(0).await;
-    assert!(echoes(&mut open).await.expect("open"));
-    stand.paths.partition(Partition { zone: 0, kind: PartitionKind::Reset });
-    assert!(time::timeout(WAIT, open.read(&mut [0])).await.expect("in time").is_err(), "reset");
-    let mut new = stand.dial(0).await;
-    assert!(time::timeout(WAIT, new.read(&mut [0])).await.expect("in time").is_err(), "reset");
+async fn reset_partition_resets_open_and_new_connections() {
+    let fixture = start_relay().await;
+    let mut open = fixture.connect(0).await;
+    assert!(is_echoed(&mut open).await.expect("the connection ended"));
+    fixture.active_partition.set(Partition { zone: 0, kind: PartitionKind::Reset });
+    assert!(
+        time::timeout(WAIT, open.read(&mut [0])).await.expect("not closed in time").is_err(),
+        "the connection was not reset"
+    );
+    let mut new = fixture.connect(0).await;
+    assert!(
+        time::timeout(WAIT, new.read(&mut [0])).await.expect("not closed in time").is_err(),
+        "the connection was not reset"
+    );
 }
 
 #[tokio::test]
-async fn a_refused_cut_leaves_open_connections_and_ends_new_ones() {
-    let stand = stand().await;
-    let mut open = stand.dial(0).await;
-    assert!(echoes(&mut open).await.expect("open"));
-    stand.paths.partition(Partition { zone: 0, kind: PartitionKind::Refused });
-    assert!(echoes(&mut open).await.expect("open"));
-    let mut new = stand.dial(0).await;
-    assert!(time::timeout(WAIT, new.read(&mut [0])).await.expect("in time").is_err(), "reset");
+async fn refused_partition_keeps_open_connections_and_resets_new_ones() {
+    let fixture = start_relay().await;
+    let mut open = fixture.connect(0).await;
+    assert!(is_echoed(&mut open).await.expect("the connection ended"));
+    fixture.active_partition.set(Partition { zone: 0, kind: PartitionKind::Refused });
+    assert!(is_echoed(&mut open).await.expect("the connection ended"));
+    let mut new = fixture.connect(0).await;
+    assert!(
+        time::timeout(WAIT, new.read(&mut [0])).await.expect("not closed in time").is_err(),
+        "the connection was not reset"
+    );
 }
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,186 +1,199 @@
-//! What a run showed, judged by what was seen on sockets and by the ends of processes.
+//! Evaluates a run by what was observed on sockets and by how processes exited.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use crate::application::TallyHistory;
 use crate::client::{Attempt, Outcome};
-use crate::engine::{EngineLog, Sightings};
+use crate::engine::{AttemptRecord, EngineLog};
 use crate::operator::OperatorLog;
 use crate::process::Incarnation;
 use crate::scenario::Target;
 use crate::usage::UsageLog;
 
-/// A request that was not passed on may end without an answer for so long after its last byte.
-const LOSS_SLACK: Duration = Duration::from_millis(200);
-/// What the end of a process may take beyond its grace, where the machine is busy.
-const END_MARGIN: Duration = Duration::from_millis(500);
-/// How long a process may take from its start until it takes signals over: 1 ms is usual, more where the machine is busy.
-const EXEC_TIME: Duration = Duration::from_millis(20);
-/// The share of the grace, from SIGTERM, in which a request may still be sent and then be given up at the end.
-const ACCEPT_SHARE: f64 = 3.0 / 8.0;
-/// The share of the grace at whose end an engine may still be at work.
-const LAST_SHARE: f64 = 5.0 / 6.0;
+/// A request that was not forwarded may end without a response up to this long after its last byte was sent.
+const CLOSE_RACE_MARGIN: Duration = Duration::from_millis(200);
+/// Margin beyond the grace period for the exit of a process on a busy machine.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum time until a new process has installed its signal handlers: usually 1 ms, longer on a busy machine.
+const SIGNAL_SETUP_TIME: Duration = Duration::from_millis(20);
+/// Fraction of the grace period after SIGTERM within which a request must be sent for its abandonment to be excused.
+const ACCEPT_FRACTION: f64 = 3.0 / 8.0;
+/// Fraction of the grace period during which engines may still work on a request; abandoning it later is excused.
+const ABANDON_FRACTION: f64 = 5.0 / 6.0;
 
-/// Something that must not happen.
+/// A violation of a guarantee that the fleet gives.
 #[derive(Clone, Debug)]
 pub enum Violation {
-    /// A request was accepted and ended without a complete answer.
+    /// An accepted request ended without a complete response.
     Lost(String),
     /// A request ran more than once.
     Twice(String),
-    /// An answer belongs to another request.
+    /// A response with status 200 had a wrong body, such as that of another request.
     Mixed(String),
-    /// A process ended otherwise than it should, or not in its grace.
+    /// A process exited unexpectedly, without success or after its grace period.
     End(String),
-    /// An acknowledged change was forgotten, or a proper one refused.
+    /// An acknowledged configuration change was lost, or a valid one rejected.
     Config(String),
-    /// Usage was told with two values, by two holders, or wrong.
+    /// Usage was reported with conflicting values, by conflicting holders, or with wrong counts.
     Usage(String),
-    /// A tally shows more than was sent, or less than was acknowledged.
+    /// A tally total includes more than was sent or less than was acknowledged, or controllers did not converge.
     Tally(String),
 }
 
 /// The result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// What must not happen and did.
+    /// All violations.
     pub violations: Vec<Violation>,
-    /// Tries of clients.
+    /// Number of attempts of clients.
     pub attempts: usize,
-    /// Those that were answered with success.
+    /// Attempts with a complete and correct response.
     pub answered: usize,
-    /// Those that were answered with a refusal (429 or 503).
+    /// Attempts refused with status 429 or 503 without having run.
     pub refused: usize,
-    /// Those that were answered with another status.
+    /// Attempts answered with another status.
     pub failed: usize,
-    /// Those that ended without an answer and were not accepted, or were excused.
+    /// Attempts without a complete response that were not accepted or whose loss is excused.
     pub unanswered: usize,
-    /// Processes that got SIGTERM.
+    /// Number of processes that were sent SIGTERM.
     pub terminations: usize,
-    /// Changes of the configuration that were acknowledged.
+    /// Number of acknowledged configuration changes.
     pub changes: u64,
-    /// Adds to tallies that were acknowledged.
+    /// Number of acknowledged adds to tallies.
     pub adds: usize,
-    /// Windows of usage that were told.
-    pub windows: usize,
+    /// Number of reported usage windows.
+    pub usage_windows: usize,
 }
 
-/// What was seen on sockets.
-pub struct Observed<'a> {
-    /// The tries of all clients.
+/// What clients, stubs, the operator and applications observed.
+pub struct Observations<'a> {
+    /// The attempts of all clients.
     pub attempts: &'a [Attempt],
-    /// What reached engines.
+    /// What the engines received.
     pub engines: &'a EngineLog,
-    /// What the operator saw.
+    /// What the operator observed.
     pub operator: &'a OperatorLog,
-    /// What the platform was told.
+    /// The usage reports that the platform received.
     pub usage: &'a UsageLog,
-    /// What applications saw.
+    /// What the applications sent and observed.
     pub tallies: &'a TallyHistory,
 }
 
 /// A daemon with all incarnations of its process.
-pub struct History {
-    /// Which daemon.
+pub struct DaemonHistory {
+    /// The daemon.
     pub target: Target,
-    /// Its incarnations in their order.
+    /// The incarnations of its process, the oldest first.
     pub incarnations: Vec<Incarnation>,
 }
 
-impl History {
-    /// Returns the incarnation that ran at a moment.
-    fn at(&self, moment: Instant) -> Option<&Incarnation> {
-        let ran = |one: &&Incarnation| one.started <= moment && one.ended.is_none_or(|(end, _)| moment <= end);
-        self.incarnations.iter().rev().find(ran)
+impl DaemonHistory {
+    /// Returns the incarnation that was running at a time.
+    fn at(&self, time: Instant) -> Option<&Incarnation> {
+        let was_running = |incarnation: &&Incarnation| {
+            incarnation.started <= time && incarnation.exited.is_none_or(|(exit, _)| time <= exit)
+        };
+        self.incarnations.iter().rev().find(was_running)
     }
 }
 
 impl Report {
-    /// Judges a run.
-    pub fn judge(grace_s: f64, histories: &[History], observed: &Observed) -> Report {
+    /// Evaluates a run.
+    pub fn evaluate(grace_s: f64, histories: &[DaemonHistory], observations: &Observations) -> Report {
         let grace = Duration::from_secs_f64(grace_s);
-        let Observed { attempts, engines, operator, usage, tallies } = observed;
+        let Observations { attempts, engines, operator, usage, tallies } = observations;
         let (changes, adds) = (operator.acknowledged, tallies.acknowledged());
-        let mut report =
-            Report { attempts: attempts.len(), changes, adds, windows: usage.windows(), ..Report::default() };
+        let mut report = Report {
+            attempts: attempts.len(),
+            changes,
+            adds,
+            usage_windows: usage.window_count(),
+            ..Report::default()
+        };
         for history in histories {
-            report.judge_ends(history, grace);
+            report.check_exits(history, grace);
         }
         for attempt in *attempts {
             let history = histories.iter().find(|history| history.target == Target::Router(attempt.router));
             let incarnation = history.and_then(|history| history.at(attempt.sent)).copied();
-            report.judge_attempt(attempt, &engines.of(&attempt.id), incarnation, grace);
+            report.check_attempt(attempt, &engines.attempt(&attempt.id), incarnation, grace);
         }
-        report.violations.extend(operator.faults.iter().cloned().map(Violation::Config));
-        report.violations.extend(usage.faults(engines).into_iter().map(Violation::Usage));
-        report.violations.extend(tallies.faults.iter().cloned().map(Violation::Tally));
+        report.violations.extend(operator.violations.iter().cloned().map(Violation::Config));
+        report.violations.extend(usage.violations(engines).into_iter().map(Violation::Usage));
+        report.violations.extend(tallies.violations.iter().cloned().map(Violation::Tally));
         report
     }
 
-    fn judge_ends(&mut self, history: &History, grace: Duration) {
-        for one in &history.incarnations {
-            self.terminations += usize::from(one.terminated.is_some());
-            let story = match (one.terminated, one.ended) {
-                (_, Some(_)) if one.killed => continue,
-                // No program can take a signal over before it runs: SIGHUP ends it then.
-                (None, Some((end, _))) if was_reloaded_at_start(one, end) => continue,
-                (None, Some(_)) => "ended by itself".to_string(),
-                (Some(told), Some((end, _))) if end - told > grace + END_MARGIN => {
-                    format!("ended {} ms after SIGTERM", (end - told).as_millis())
+    fn check_exits(&mut self, history: &DaemonHistory, grace: Duration) {
+        for incarnation in &history.incarnations {
+            self.terminations += usize::from(incarnation.terminated.is_some());
+            let problem = match (incarnation.terminated, incarnation.exited) {
+                (_, Some(_)) if incarnation.killed => continue,
+                // SIGHUP before the process has installed its signal handlers ends it.
+                (None, Some((exit, _))) if was_ended_by_early_sighup(incarnation, exit) => continue,
+                (None, Some(_)) => "exited without SIGTERM".to_string(),
+                (Some(sigterm), Some((exit, _))) if exit - sigterm > grace + EXIT_MARGIN => {
+                    format!("exited {} ms after SIGTERM", (exit - sigterm).as_millis())
                 }
-                // SIGTERM before the process could take signals over ends it, as it would any program.
-                (Some(told), Some((_, false))) if told - one.started > Duration::from_secs(1) => {
-                    "ended without success".to_string()
+                // SIGTERM before the process has installed its signal handlers ends it without success.
+                (Some(sigterm), Some((_, false))) if sigterm - incarnation.started > Duration::from_secs(1) => {
+                    "exited without success".to_string()
                 }
                 _ => continue,
             };
-            self.violations.push(Violation::End(format!("{:?} {story}", history.target)));
+            self.violations.push(Violation::End(format!("{:?} {problem}", history.target)));
         }
     }
 
-    fn judge_attempt(&mut self, attempt: &Attempt, seen: &Sightings, by: Option<Incarnation>, grace: Duration) {
-        if seen.runs.len() > 1 {
-            self.violations.push(Violation::Twice(format!("{attempt} ran {} times", seen.runs.len())));
+    fn check_attempt(
+        &mut self,
+        attempt: &Attempt,
+        record: &AttemptRecord,
+        incarnation: Option<Incarnation>,
+        grace: Duration,
+    ) {
+        if record.runs.len() > 1 {
+            self.violations.push(Violation::Twice(format!("{attempt} ran {} times", record.runs.len())));
         }
         match attempt.outcome {
             Outcome::Answered => self.answered += 1,
             Outcome::WrongBody => self.violations.push(Violation::Mixed(attempt.to_string())),
-            Outcome::Status(429 | 503) if !seen.runs.is_empty() => {
-                self.violations.push(Violation::Lost(format!("refused, yet it ran: {attempt}")));
+            Outcome::Status(429 | 503) if !record.runs.is_empty() => {
+                self.violations.push(Violation::Lost(format!("refused although it ran: {attempt}")));
             }
             Outcome::Status(429 | 503) => self.refused += 1,
             Outcome::Status(_) => self.failed += 1,
-            Outcome::Cut | Outcome::Silent if is_lost(attempt, seen, by, grace) => {
-                let since = by.and_then(|by| by.terminated).map(|told| {
-                    let ms = |moment: Instant| moment.saturating_duration_since(told).as_millis();
+            Outcome::Cut | Outcome::Silent if is_lost(attempt, record, incarnation, grace) => {
+                let timing = incarnation.and_then(|incarnation| incarnation.terminated).map(|sigterm| {
+                    let ms = |time: Instant| time.saturating_duration_since(sigterm).as_millis();
                     format!("sent {} ms and ended {} ms after SIGTERM", ms(attempt.sent), ms(attempt.ended))
                 });
-                let story = since.unwrap_or_else(|| "no SIGTERM".into());
-                let Sightings { prefills, runs, .. } = seen;
-                let story = format!("{story}: {attempt}; {prefills} prefills, {} runs", runs.len());
-                self.violations.push(Violation::Lost(story));
+                let timing = timing.unwrap_or_else(|| "no SIGTERM".into());
+                let AttemptRecord { prefills, runs, .. } = record;
+                let description = format!("{timing}: {attempt}; {prefills} prefills, {} runs", runs.len());
+                self.violations.push(Violation::Lost(description));
             }
             Outcome::Cut | Outcome::Silent => self.unanswered += 1,
         }
     }
 }
 
-/// Returns whether a process ended at SIGHUP that came before it can have run.
-fn was_reloaded_at_start(incarnation: &Incarnation, end: Instant) -> bool {
-    let came_at_start = |reloaded: Instant| reloaded.saturating_duration_since(incarnation.started) < EXEC_TIME;
-    incarnation.reloaded.is_some_and(came_at_start) && end - incarnation.started < 2 * EXEC_TIME
+/// Returns whether a process was ended by a SIGHUP that arrived before it could handle signals.
+fn was_ended_by_early_sighup(incarnation: &Incarnation, exit: Instant) -> bool {
+    let is_early = |reloaded: Instant| reloaded.saturating_duration_since(incarnation.started) < SIGNAL_SETUP_TIME;
+    incarnation.reloaded.is_some_and(is_early) && exit - incarnation.started < 2 * SIGNAL_SETUP_TIME
 }
 
-/// Returns whether a request that got no complete answer had been accepted, and its end is not excused.
-fn is_lost(attempt: &Attempt, seen: &Sightings, by: Option<Incarnation>, grace: Duration) -> bool {
-    let was_passed_on = seen.prefills > 0 || !seen.runs.is_empty();
-    if !was_passed_on {
-        return attempt.ended - attempt.sent > LOSS_SLACK;
+/// Returns whether a request without a complete response had been accepted and its loss is not excused.
+fn is_lost(attempt: &Attempt, record: &AttemptRecord, incarnation: Option<Incarnation>, grace: Duration) -> bool {
+    let was_forwarded = record.prefills > 0 || !record.runs.is_empty();
+    if !was_forwarded {
+        return attempt.ended - attempt.sent > CLOSE_RACE_MARGIN;
     }
-    let Some(told) = by.and_then(|by| by.terminated) else { return true };
-    let was_sent_early = attempt.sent.saturating_duration_since(told) <= grace.mul_f64(ACCEPT_SHARE);
-    let ended_late = attempt.ended.saturating_duration_since(told) >= grace.mul_f64(LAST_SHARE);
+    let Some(sigterm) = incarnation.and_then(|incarnation| incarnation.terminated) else { return true };
+    let was_sent_early = attempt.sent.saturating_duration_since(sigterm) <= grace.mul_f64(ACCEPT_FRACTION);
+    let ended_late = attempt.ended.saturating_duration_since(sigterm) >= grace.mul_f64(ABANDON_FRACTION);
     !(was_sent_early && ended_late)
 }
 
@@ -195,13 +208,13 @@
             terminations,
             changes,
             adds,
-            windows,
+            usage_windows,
             violations,
         } = self;
         write!(
             out,
-            "{attempts} tries: {answered} answered, {refused} refused, {failed} failed, {unanswered} not accepted; \
-             {terminations} terminations, {changes} changes, {adds} adds, {windows} windows told; {} violations",
+            "{attempts} attempts: {answered} answered, {refused} refused, {failed} failed, {unanswered} not accepted; \
+             {terminations} terminations, {changes} changes, {adds} adds, {usage_windows} usage windows; {} violations",
             violations.len()
         )
     }
--- a/soak/src/report_tests.rs
+++ b/soak/src/report_tests.rs
@@ -1,55 +1,56 @@
-//! What counts as lost.
+//! Which lost requests and process exits are violations.
 
 use std::time::{Duration, Instant};
 
-use super::{is_lost, Attempt, History, Incarnation, Outcome, Report, Sightings, Target};
+use super::{is_lost, Attempt, AttemptRecord, DaemonHistory, Incarnation, Outcome, Report, Target};
 
 const GRACE: Duration = Duration::from_secs(8);
 
-/// Returns whether a request is lost that is sent and cut so many milliseconds after SIGTERM.
+/// Returns whether a request counts as lost that was sent and cut off at these times, in milliseconds after SIGTERM.
 fn lost(sent_ms: u64, ended_ms: u64, runs: usize) -> bool {
-    let told = Instant::now();
-    let at = |ms| told + Duration::from_millis(ms);
+    let sigterm = Instant::now();
+    let at = |ms| sigterm + Duration::from_millis(ms);
     let attempt = Attempt {
         id: "1".into(),
         router: 0,
         sent: at(sent_ms),
         ended: at(ended_ms),
         outcome: Outcome::Cut,
-        earlier: 0,
+        prior_requests: 0,
     };
-    let seen = Sightings { prefills: 0, runs: vec![told; runs], cut: true };
-    let by = Incarnation { started: told, terminated: Some(told), reloaded: None, killed: false, ended: None };
-    is_lost(&attempt, &seen, Some(by), GRACE)
+    let record = AttemptRecord { prefills: 0, runs: vec![sigterm; runs], cancelled: true };
+    let incarnation =
+        Incarnation { started: sigterm, terminated: Some(sigterm), reloaded: None, killed: false, exited: None };
+    is_lost(&attempt, &record, Some(incarnation), GRACE)
 }
 
 #[test]
-fn a_request_that_was_passed_on_is_lost_unless_it_was_sent_early_and_outlasted_the_grace() {
-    assert!(lost(7100, 7450, 1), "taken long after SIGTERM and given up");
-    assert!(lost(1000, 2000, 1), "there was time to finish it");
-    assert!(!lost(2900, 7700, 1), "it outlasted the grace");
+fn forwarded_request_is_lost_unless_sent_early_and_running_until_the_end_of_the_grace_period() {
+    assert!(lost(7100, 7450, 1), "accepted long after SIGTERM and abandoned");
+    assert!(lost(1000, 2000, 1), "abandoned with time left to finish it");
+    assert!(!lost(2900, 7700, 1), "still running at the end of the grace period");
 }
 
 #[test]
-fn a_process_that_ends_at_sighup_is_a_violation_unless_it_cannot_have_run_yet() {
+fn exit_after_sighup_is_a_violation_unless_the_process_could_not_handle_signals_yet() {
     let started = Instant::now();
     let at = |ms| started + Duration::from_millis(ms);
-    let violations = |reloaded: Option<Instant>, end_ms| {
-        let ended = Some((at(end_ms), false));
-        let one = Incarnation { started, terminated: None, reloaded, killed: false, ended };
-        let history = History { target: Target::Router(0), incarnations: vec![one] };
+    let violations = |reloaded: Option<Instant>, exit_ms| {
+        let exited = Some((at(exit_ms), false));
+        let incarnation = Incarnation { started, terminated: None, reloaded, killed: false, exited };
+        let history = DaemonHistory { target: Target::Router(0), incarnations: vec![incarnation] };
         let mut report = Report::default();
-        report.judge_ends(&history, GRACE);
+        report.check_exits(&history, GRACE);
         report.violations.len()
     };
     assert_eq!(violations(Some(at(1)), 2), 0);
-    assert_eq!(violations(Some(at(30)), 31), 1, "it took signals over by then");
-    assert_eq!(violations(Some(at(1)), 500), 1, "it ended later, of itself");
+    assert_eq!(violations(Some(at(30)), 31), 1, "the process handled signals by then");
+    assert_eq!(violations(Some(at(1)), 500), 1, "the process exited later, not because of SIGHUP");
     assert_eq!(violations(None, 2), 1);
 }
 
 #[test]
-fn a_request_that_was_not_passed_on_is_lost_only_if_its_connection_ended_late() {
-    assert!(!lost(3010, 3050, 0), "it crossed the end of the connection");
-    assert!(lost(3010, 3400, 0), "it was held without an answer");
+fn request_that_was_not_forwarded_is_lost_only_if_its_connection_ended_late() {
+    assert!(!lost(3010, 3050, 0), "sent while the router closed the connection");
+    assert!(lost(3010, 3400, 0), "held without a response");
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts the stand-ins and the daemons, lets the schedule happen, and judges what was seen.
+//! One run: starts the stubs and the daemons, executes the schedule and evaluates the observations.
 
 use std::io;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-use crate::application::{read_back, Application, TallyHistory};
+use crate::application::{verify_totals, Application, TallyHistory};
 use crate::client::{Attempt, Client};
 use crate::engine::{self, EngineLog};
 use crate::fleet::{Fleet, Network, Programs, ZONES};
@@ -20,27 +20,28 @@
 use crate::operator::Operator;
 use crate::platform;
 use crate::process::Daemon;
-use crate::report::{History, Observed, Report};
+use crate::report::{DaemonHistory, Observations, Report};
 use crate::scenario::{Scenario, Target};
 use crate::usage::UsageLog;
 
-/// How long all daemons may take until they serve, and the operator until a change is acknowledged.
-const START_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+/// Timeout for all routers to become ready, for a configuration change to be acknowledged and for the final read.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between readiness checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs a scenario with these programs; settings, logs and disks go to `dir`.
+/// Runs a scenario with these executables; `dir` holds settings, logs and data directories.
 ///
 /// # Errors
 ///
-/// When an address is taken or a file can't be written, or the daemons do not come into service.
+/// When an address is in use, a file can't be written, or a router doesn't become ready in time.
 pub async fn run(scenario: &Scenario, programs: &Programs, dir: &Path) -> io::Result<Report> {
     let engines = Arc::new(EngineLog::default());
     let usage = Arc::new(UsageLog::default());
-    let stand_ins = start_stand_ins(scenario, &engines, &usage).await?;
+    let stubs = start_stubs(scenario, &engines, &usage).await?;
     let fleet = Fleet::start(scenario, programs, dir).await?;
     let mut operator = Operator::new(scenario);
-    operator.change(START_LIMIT).await;
-    await_service(scenario).await?;
+    operator.change(START_TIMEOUT).await;
+    wait_until_ready(scenario).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let mut clients: JoinSet<Vec<Attempt>> = JoinSet::new();
     for index in 0..scenario.clients {
@@ -51,44 +52,46 @@
     for index in 0..scenario.applications {
         applications.spawn(Application::new(scenario, index, tallies.clone()).run(stop.clone()));
     }
-    let (operator, ()) = tokio::join!(operator.run(&stop, START_LIMIT), follow_schedule(scenario, &fleet, &stop));
+    let (operator, ()) = tokio::join!(operator.run(&stop, START_TIMEOUT), run_schedule(scenario, &fleet, &stop));
     let attempts: Vec<Attempt> = clients.join_all().await.into_iter().flatten().collect();
     applications.join_all().await;
-    let operator = operator.finish(START_LIMIT).await;
-    read_back(scenario, &tallies).await;
-    let observed = Observed {
+    let operator = operator.finish(START_TIMEOUT).await;
+    verify_totals(scenario, &tallies).await;
+    let observations = Observations {
         attempts: &attempts,
         engines: &engines,
         operator: &operator,
         tallies: &tallies.lock(),
         usage: &usage,
     };
-    let report = Report::judge(scenario.grace_s, &histories(&fleet), &observed);
-    drop((fleet, stand_ins));
+    let report = Report::evaluate(scenario.grace_s, &histories(&fleet), &observations);
+    drop((fleet, stubs));
     Ok(report)
 }
 
-/// Lets the events happen, waits until the last process that was told to end has ended, and then stops the clients.
-async fn follow_schedule(scenario: &Scenario, fleet: &Fleet, stop: &AtomicBool) {
-    let begun = time::Instant::now();
+/// Applies the scheduled events, waits for one grace period after the schedule, so that terminated processes can exit,
+/// and stops the clients, the applications and the operator.
+async fn run_schedule(scenario: &Scenario, fleet: &Fleet, stop: &AtomicBool) {
+    let started = time::Instant::now();
     for event in scenario.events() {
-        time::sleep_until(begun + event.at).await;
+        time::sleep_until(started + event.at).await;
         fleet.apply(event.target, event.action);
     }
-    time::sleep_until(begun + scenario.duration + Duration::from_secs_f64(scenario.grace_s)).await;
+    time::sleep_until(started + scenario.duration + Duration::from_secs_f64(scenario.grace_s)).await;
     stop.store(true, Ordering::Relaxed);
 }
 
-fn histories(fleet: &Fleet) -> Vec<History> {
+fn histories(fleet: &Fleet) -> Vec<DaemonHistory> {
     let routers = fleet.routers.iter().enumerate().map(|(index, daemon)| (Target::Router(index), daemon));
     let controllers = fleet.controllers.iter().enumerate().map(|(index, daemon)| (Target::Controller(index), daemon));
-    let history = |(target, daemon): (Target, &Arc<Daemon>)| History { target, incarnations: daemon.incarnations() };
+    let history =
+        |(target, daemon): (Target, &Arc<Daemon>)| DaemonHistory { target, incarnations: daemon.incarnations() };
     routers.chain(controllers).map(history).collect()
 }
 
-/// Starts the engines and the platform's list of them.
-async fn start_stand_ins(scenario: &Scenario, log: &Arc<EngineLog>, usage: &Arc<UsageLog>) -> io::Result<JoinSet<()>> {
-    let network = Network::of_seed(scenario.seed);
+/// Starts the stub engines and the stub platform that lists them.
+async fn start_stubs(scenario: &Scenario, log: &Arc<EngineLog>, usage: &Arc<UsageLog>) -> io::Result<JoinSet<()>> {
+    let network = Network::from_seed(scenario.seed);
     let mut tasks = JoinSet::new();
     let mut list: Vec<Value> = Vec::new();
     for index in 0..scenario.engines {
@@ -104,15 +107,15 @@
 }
 
 /// Waits until all routers are ready.
-async fn await_service(scenario: &Scenario) -> io::Result<()> {
-    let network = Network::of_seed(scenario.seed);
-    let begun = Instant::now();
+async fn wait_until_ready(scenario: &Scenario) -> io::Result<()> {
+    let network = Network::from_seed(scenario.seed);
+    let started = Instant::now();
     for index in 0..scenario.routers {
         while !is_ready(&network.readiness(index)).await {
-            if begun.elapsed() > START_LIMIT {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("router {index} is not ready")));
+            if started.elapsed() > START_TIMEOUT {
+                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("router {index} did not become ready")));
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
@@ -122,6 +125,6 @@
     if TcpStream::connect(address).await.is_err() {
         return false;
     }
-    let answer = http::call(address, &http::request("GET", "/ready", "Host: r\r\n", "")).await;
-    answer.is_some_and(|answer| answer.status() == 200)
+    let response = http::call(address, &http::request("GET", "/ready", "Host: r\r\n", "")).await;
+    response.is_some_and(|response| response.status() == 200)
 }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -1,40 +1,41 @@
-//! What happens in a run, drawn from a seed.
+//! The schedule of a run, generated from a seed.
 
 use std::time::Duration;
 
 use kernel::Rng;
 
 use crate::fleet::ZONES;
-use crate::relay::{PartitionKind, PARTITION_GAP, PARTITION_KINDS, PARTITION_LENGTHS};
+use crate::relay::{PartitionKind, PARTITION_DURATIONS, PARTITION_GAP, PARTITION_KINDS};
 
-/// The size of a run and its seed.
+/// The seed and the size of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The same seed gives the same schedule.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// How many controllers there are, all with a disk.
+    /// Number of controllers; each has a disk.
     pub controllers: usize,
-    /// How many engines there are, half of them for prefill.
+    /// Number of engines; those with even indexes serve prefill, the others decode.
     pub engines: usize,
-    /// How many clients send requests, each one after the other.
+    /// Number of clients; each sends one request at a time.
     pub clients: usize,
-    /// How many applications add to tallies and read them.
+    /// Number of applications that add to tallies and read them.
     pub applications: usize,
-    /// The grace period of a process in seconds.
+    /// Grace period of a process, in seconds.
     pub grace_s: f64,
-    /// Whether controllers are killed, frozen and lose their disks, one after the other. Planned work is left to routers then.
+    /// Whether controllers are killed, frozen or lose their disks, one at a time. Only routers get planned maintenance
+    /// then.
     pub has_faults: bool,
-    /// Whether zones are cut off from the others, one after the other. Planned work is left to routers then, as a zone is all
-    /// that may be lost at once.
+    /// Whether zones are partitioned from the others, one at a time. Only routers get planned maintenance then, because
+    /// the fleet tolerates the loss of only one zone at a time.
     pub has_partitions: bool,
-    /// How long signals and changes come, counted from the moment at which all daemons serve.
+    /// Duration of the schedule, from the time at which all routers are ready.
     pub duration: Duration,
 }
 
 impl Scenario {
-    /// Returns a run that takes about a quarter of a minute.
+    /// Returns a scenario with a schedule of 14 seconds.
     pub fn short(seed: u64) -> Scenario {
         Scenario {
             seed,
@@ -50,82 +51,82 @@
         }
     }
 
-    /// Returns a run of the same length in which controllers fail.
+    /// Returns a scenario of the same duration with controller faults.
     pub fn short_with_faults(seed: u64) -> Scenario {
         Scenario { has_faults: true, ..Scenario::short(seed) }
     }
 
-    /// Returns a run of half a minute in which zones are cut off from the others.
+    /// Returns a scenario with a schedule of 30 seconds and network partitions.
     pub fn short_with_partitions(seed: u64) -> Scenario {
         Scenario { has_partitions: true, duration: Duration::from_secs(30), ..Scenario::short(seed) }
     }
 }
 
-/// A daemon by its place among those of its program, or a zone.
+/// A daemon or a zone, by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A router.
     Router(usize),
     /// A controller.
     Controller(usize),
-    /// The paths between a zone and the others.
+    /// The network between a zone and the others.
     Zone(usize),
 }
 
-/// One thing that happens to a daemon or to the paths of a zone.
+/// An action on a daemon or on the network of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// SIGTERM; the process is started again once it has ended.
+    /// SIGTERM; the process is restarted after it exits.
     Terminate,
     /// SIGHUP.
     Reload,
-    /// SIGKILL; the process is started again.
+    /// SIGKILL; the process is restarted.
     Kill,
-    /// SIGKILL; the process is started again on an empty disk.
+    /// SIGKILL; the process is restarted with an empty disk.
     LoseDisk,
     /// SIGSTOP.
     Freeze,
     /// SIGCONT.
     Thaw,
-    /// The zone is cut off.
+    /// The zone is partitioned from the others.
     Partition(PartitionKind),
-    /// All paths are whole again.
+    /// The partition ends.
     Heal,
 }
 
-/// An action with its time from the beginning of the run.
+/// A scheduled action.
 #[derive(Clone, Copy, Debug)]
 pub struct Event {
-    /// When it happens.
+    /// Time from the start of the schedule.
     pub at: Duration,
-    /// To whom.
+    /// The daemon or the zone that it affects.
     pub target: Target,
-    /// What.
+    /// The action.
     pub action: Action,
 }
 
-/// Gaps between two events of a series, in milliseconds.
-const GAPS_MS: [u64; 5] = [50, 200, 600, 1300, 2500];
-/// The mean time between the beginnings of two series, in milliseconds.
-const SERIES_MS: u64 = 1800;
+/// Possible gaps between the steps of a series, in milliseconds.
+const STEP_GAPS_MS: [u64; 5] = [50, 200, 600, 1300, 2500];
+/// Mean interval between the starts of two series, in milliseconds.
+const SERIES_INTERVAL_MS: u64 = 1800;
 
-/// Draws the faults of a run from its seed.
+/// XORed with the seed of a run to seed its faults.
 const FAULT_SEED: u64 = 0xfa17;
-/// Draws the cuts of a run from its seed.
+/// XORed with the seed of a run to seed its partitions.
 const PARTITION_SEED: u64 = 0xc0de;
-/// How long a frozen process stands still, in milliseconds.
-const FREEZES_MS: [u64; 4] = [400, 1200, 2500, 4000];
-/// The time from the end of one fault to the next, in milliseconds: until then what was acknowledged meanwhile stands on as
-/// many disks as a loss requires.
+/// Possible durations of a freeze, in milliseconds.
+const FREEZE_DURATIONS_MS: [u64; 4] = [400, 1200, 2500, 4000];
+/// Minimum time from the end of one fault to the next, in milliseconds, so that writes acknowledged in between are
+/// replicated to enough disks to survive another loss.
 const FAULT_GAP_MS: u64 = 5000;
 
-/// Returns a number below `limit`.
-pub fn below(rng: &mut Rng, limit: u64) -> u64 {
+/// Returns a random number below `limit`, or 0 if `limit` is 0.
+pub fn random_below(rng: &mut Rng, limit: u64) -> u64 {
     rng.next_u64() % limit.max(1)
 }
 
 impl Scenario {
-    /// Draws the events: series over a part of the daemons, at one pace each, which overlap.
+    /// Generates the events: overlapping series over consecutive daemons, each with a fixed gap between its steps.
     pub fn events(&self) -> Vec<Event> {
         let mut rng = Rng::new(self.seed);
         let end_ms = self.duration.as_millis() as u64;
@@ -133,7 +134,7 @@
         let mut start_ms = 200;
         while start_ms < end_ms {
             self.add_series(&mut events, &mut rng, start_ms);
-            start_ms += SERIES_MS / 2 + below(&mut rng, SERIES_MS);
+            start_ms += SERIES_INTERVAL_MS / 2 + random_below(&mut rng, SERIES_INTERVAL_MS);
         }
         if self.has_faults || self.has_partitions {
             events.retain(|event| matches!(event.target, Target::Router(_)));
@@ -144,70 +145,72 @@
         if self.has_partitions {
             self.add_partitions(&mut events);
         }
-        let ends_a_fault = |action| matches!(action, Action::Thaw | Action::Heal);
-        events.retain(|event| event.at <= self.duration || ends_a_fault(event.action));
+        let ends_fault = |action| matches!(action, Action::Thaw | Action::Heal);
+        events.retain(|event| event.at <= self.duration || ends_fault(event.action));
         events.sort_by_key(|event| event.at);
         events
     }
 
-    /// Returns how often a zone is cut off.
+    /// Returns the number of partitions.
     pub fn partition_count(&self) -> usize {
         self.events().iter().filter(|event| matches!(event.action, Action::Partition(_))).count()
     }
 
-    /// Cuts one zone after the other off. Drawn apart from the series, so that these are the same with and without. The last
-    /// cut heals before the end.
+    /// Adds partitions of one zone at a time, all healed before the end. A separate generator keeps the series the same
+    /// with and without partitions.
     fn add_partitions(&self, events: &mut Vec<Event>) {
         let mut rng = Rng::new(self.seed ^ PARTITION_SEED);
-        let mut at = Duration::from_millis(1000 + below(&mut rng, 3000));
+        let mut at = Duration::from_millis(1000 + random_below(&mut rng, 3000));
         loop {
-            let length = PARTITION_LENGTHS[below(&mut rng, PARTITION_LENGTHS.len() as u64) as usize];
-            let kind = PARTITION_KINDS[below(&mut rng, PARTITION_KINDS.len() as u64) as usize];
-            let target = Target::Zone(below(&mut rng, ZONES.len() as u64) as usize);
-            if at + length > self.duration {
+            let duration = PARTITION_DURATIONS[random_below(&mut rng, PARTITION_DURATIONS.len() as u64) as usize];
+            let kind = PARTITION_KINDS[random_below(&mut rng, PARTITION_KINDS.len() as u64) as usize];
+            let target = Target::Zone(random_below(&mut rng, ZONES.len() as u64) as usize);
+            if at + duration > self.duration {
                 return;
             }
             events.push(Event { at, target, action: Action::Partition(kind) });
-            events.push(Event { at: at + length, target, action: Action::Heal });
-            at += length + PARTITION_GAP + Duration::from_millis(below(&mut rng, 2000));
+            events.push(Event { at: at + duration, target, action: Action::Heal });
+            at += duration + PARTITION_GAP + Duration::from_millis(random_below(&mut rng, 2000));
         }
     }
 
-    /// Lets one controller after the other fail. Drawn apart from the series, so that these are the same with and without.
+    /// Adds faults of one controller at a time. A separate generator keeps the series the same with and without faults.
     fn add_faults(&self, events: &mut Vec<Event>, end_ms: u64) {
         let mut rng = Rng::new(self.seed ^ FAULT_SEED);
-        let mut at_ms = 1000 + below(&mut rng, 3000);
+        let mut at_ms = 1000 + random_below(&mut rng, 3000);
         while at_ms < end_ms {
-            let target = Target::Controller(below(&mut rng, self.controllers as u64) as usize);
+            let target = Target::Controller(random_below(&mut rng, self.controllers as u64) as usize);
             let mut event = |at_ms, action| events.push(Event { at: Duration::from_millis(at_ms), target, action });
-            match below(&mut rng, 3) {
+            match random_below(&mut rng, 3) {
                 0 => event(at_ms, Action::Kill),
                 1 => event(at_ms, Action::LoseDisk),
                 _ => {
                     event(at_ms, Action::Freeze);
-                    at_ms += FREEZES_MS[below(&mut rng, FREEZES_MS.len() as u64) as usize];
+                    at_ms += FREEZE_DURATIONS_MS[random_below(&mut rng, FREEZE_DURATIONS_MS.len() as u64) as usize];
                     event(at_ms, Action::Thaw);
                 }
             }
-            at_ms += FAULT_GAP_MS + below(&mut rng, 2000);
+            at_ms += FAULT_GAP_MS + random_below(&mut rng, 2000);
         }
     }
 
+    /// Adds a series that terminates or reloads consecutive routers or controllers, starting at a random one.
     fn add_series(&self, events: &mut Vec<Event>, rng: &mut Rng, start_ms: u64) {
-        let gap_ms = GAPS_MS[below(rng, GAPS_MS.len() as u64) as usize];
-        let length = 1 + below(rng, self.routers as u64);
-        let is_on_controllers = below(rng, 4) == 0;
-        let is_reload = below(rng, 3) == 0;
-        let first = below(rng, (self.routers + self.controllers) as u64) as usize;
+        let gap_ms = STEP_GAPS_MS[random_below(rng, STEP_GAPS_MS.len() as u64) as usize];
+        let length = 1 + random_below(rng, self.routers as u64);
+        let targets_controllers = random_below(rng, 4) == 0;
+        let is_reload = random_below(rng, 3) == 0;
+        let first = random_below(rng, (self.routers + self.controllers) as u64) as usize;
         for step in 0..length {
-            let place = first + step as usize;
-            let target = match is_on_controllers {
-                true => Target::Controller(place % self.controllers),
-                false => Target::Router(place % self.routers),
+            let index = first + step as usize;
+            let target = match targets_controllers {
+                true => Target::Controller(index % self.controllers),
+                false => Target::Router(index % self.routers),
             };
             let at = Duration::from_millis(start_ms + step * gap_ms);
-            // A reload is followed by SIGTERM in half of the cases, and SIGTERM by a second one or a reload in a few.
-            let actions: &[Action] = match (is_reload, below(rng, 8)) {
+            // Half of the reloads are followed by SIGTERM; one SIGTERM in eight is followed by a reload, one by a
+            // second SIGTERM.
+            let actions: &[Action] = match (is_reload, random_below(rng, 8)) {
                 (true, 0..4) => &[Action::Reload, Action::Terminate],
                 (true, _) => &[Action::Reload],
                 (false, 0) => &[Action::Terminate, Action::Reload],
@@ -215,7 +218,7 @@
                 (false, _) => &[Action::Terminate],
             };
             for (index, action) in actions.iter().enumerate() {
-                let at = at + Duration::from_millis(index as u64 * below(rng, 400));
+                let at = at + Duration::from_millis(index as u64 * random_below(rng, 400));
                 events.push(Event { at, target, action: *action });
             }
         }
--- a/soak/src/scenario_tests.rs
+++ b/soak/src/scenario_tests.rs
@@ -1,31 +1,31 @@
-//! Schedules drawn from seeds.
+//! Schedules generated from seeds.
 
 use std::time::Duration;
 
 use super::{Action, Scenario, Target, FAULT_GAP_MS};
 
 #[test]
-fn one_seed_gives_one_schedule_and_another_seed_another() {
-    let draw = |seed| format!("{:?}", Scenario::short(seed).events());
-    assert_eq!(draw(3), draw(3));
-    assert_ne!(draw(3), draw(4));
+fn schedule_is_deterministic_for_a_seed_and_differs_between_seeds() {
+    let schedule = |seed| format!("{:?}", Scenario::short(seed).events());
+    assert_eq!(schedule(3), schedule(3));
+    assert_ne!(schedule(3), schedule(4));
 }
 
 #[test]
-fn over_some_seeds_every_daemon_gets_every_signal() {
+fn every_daemon_is_terminated_and_reloaded_by_some_seed() {
     let scenario = Scenario::short(0);
     let events: Vec<_> = (1..40).flat_map(|seed| Scenario::short(seed).events()).collect();
     let targets = (0..scenario.routers).map(Target::Router).chain((0..scenario.controllers).map(Target::Controller));
     for target in targets {
         for action in [Action::Terminate, Action::Reload] {
-            let is_there = events.iter().any(|event| event.target == target && event.action == action);
-            assert!(is_there, "{target:?} never gets {action:?}");
+            let occurs = events.iter().any(|event| event.target == target && event.action == action);
+            assert!(occurs, "no seed schedules {action:?} for {target:?}");
         }
     }
 }
 
 #[test]
-fn faults_hit_one_controller_at_a_time_and_leave_the_work_at_routers_as_it_was() {
+fn faults_affect_one_controller_at_a_time_and_do_not_change_the_router_schedule() {
     for seed in 1..40 {
         let scenario = Scenario { duration: Duration::from_secs(60), ..Scenario::short_with_faults(seed) };
         let events = scenario.events();
@@ -39,17 +39,17 @@
                 _ => assert!(gap >= Duration::from_millis(FAULT_GAP_MS), "seed {seed}: {pair:?}"),
             }
         }
-        let planned = Scenario { has_faults: false, ..scenario.clone() }.events();
-        let at_routers = |events: &[super::Event]| {
-            let of_router = |event: &&super::Event| matches!(event.target, Target::Router(_));
-            format!("{:?}", events.iter().filter(of_router).collect::<Vec<_>>())
+        let without_faults = Scenario { has_faults: false, ..scenario.clone() }.events();
+        let router_events = |events: &[super::Event]| {
+            let is_for_router = |event: &&super::Event| matches!(event.target, Target::Router(_));
+            format!("{:?}", events.iter().filter(is_for_router).collect::<Vec<_>>())
         };
-        assert_eq!(at_routers(&events), at_routers(&planned));
+        assert_eq!(router_events(&events), router_events(&without_faults));
     }
 }
 
 #[test]
-fn over_some_seeds_every_fault_happens() {
+fn every_kind_of_fault_is_scheduled_by_some_seed() {
     let events: Vec<_> = (1..40).flat_map(|seed| Scenario::short_with_faults(seed).events()).collect();
     for action in [Action::Kill, Action::LoseDisk, Action::Freeze, Action::Thaw] {
         assert!(events.iter().any(|event| event.action == action), "{action:?}");
@@ -57,22 +57,22 @@
 }
 
 #[test]
-fn cuts_follow_one_another_and_heal_before_the_end_beside_planned_work_at_routers_only() {
+fn partitions_do_not_overlap_heal_before_the_end_and_leave_maintenance_to_routers() {
     for seed in 0..200 {
         let scenario = Scenario::short_with_partitions(seed);
         let events = scenario.events();
-        let of_paths = events.iter().filter(|event| matches!(event.target, Target::Zone(_)));
-        let mut is_cut = false;
-        for event in of_paths {
+        let zone_events = events.iter().filter(|event| matches!(event.target, Target::Zone(_)));
+        let mut is_partitioned = false;
+        for event in zone_events {
             match event.action {
-                Action::Partition(_) => assert!(!is_cut, "seed {seed}: one at a time"),
-                Action::Heal => assert!(is_cut, "seed {seed}: only what is partition heals"),
-                other => panic!("seed {seed}: {other:?} happens to no zone"),
+                Action::Partition(_) => assert!(!is_partitioned, "seed {seed}: partitions overlap"),
+                Action::Heal => assert!(is_partitioned, "seed {seed}: healed without a partition"),
+                other => panic!("seed {seed}: unexpected {other:?} for a zone"),
             }
-            is_cut = !is_cut;
+            is_partitioned = !is_partitioned;
             assert!(event.at <= scenario.duration, "seed {seed}: {event:?}");
         }
-        assert!(!is_cut && scenario.partition_count() > 0, "seed {seed}");
+        assert!(!is_partitioned && scenario.partition_count() > 0, "seed {seed}");
         assert!(!events.iter().any(|event| matches!(event.target, Target::Controller(_))), "seed {seed}");
     }
 }
--- a/soak/src/usage.rs
+++ b/soak/src/usage.rs
@@ -1,4 +1,5 @@
-//! What the platform was told of usage, and what had to be told: one value for a window, one holder at a time, the truth.
+//! Records the usage reports that the platform receives and checks them: one value for each window, one holder of the
+//! role at a time, and correct counts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,17 +9,19 @@
 
 use crate::engine::EngineLog;
 
-/// The length of a window in the settings of the daemons.
+/// Length of a usage window in the settings of the daemons.
 pub const WINDOW: Duration = Duration::from_secs(3);
-/// How long holders may not take turns, in the settings of the daemons.
+/// Lease of the usage export role in the settings of the daemons; within it, the role must not move to another holder
+/// and back.
 pub const LEASE: Duration = Duration::from_secs(3);
-/// By how much a count may be off: requests around the ends of a window, and a share of all.
+/// Tolerance of a count, in requests: those that start near the ends of a window may be counted in the adjacent one.
 const TOLERANCE: f64 = 3.0;
-const TOLERANCE_SHARE: f64 = 0.05;
+/// Tolerance of a count as a fraction of the requests; the larger of the two tolerances applies.
+const TOLERANCE_FRACTION: f64 = 0.05;
 
-/// One call that the platform took.
+/// A usage report that the platform received.
 #[derive(Clone, Debug)]
-struct Call {
+struct UsageReport {
     at: Instant,
     holder: String,
     fence: u64,
@@ -26,81 +29,83 @@
     body: String,
 }
 
-/// All calls in the order in which they came.
+/// All usage reports in order of arrival.
 #[derive(Default)]
-pub struct UsageLog(Mutex<Vec<Call>>);
+pub struct UsageLog(Mutex<Vec<UsageReport>>);
 
 impl UsageLog {
-    /// Notes a call.
+    /// Records a usage report.
     pub fn record(&self, holder: &str, fence: &str, body: &[u8]) {
         let body = String::from_utf8_lossy(body).into_owned();
         let value: Value = serde_json::from_str(&body).unwrap_or_default();
         let window = value["window_id"].as_u64().unwrap_or(0);
         let fence = fence.parse().unwrap_or(0);
-        self.0.lock().push(Call { at: Instant::now(), holder: holder.into(), fence, window, body });
+        self.0.lock().push(UsageReport { at: Instant::now(), holder: holder.into(), fence, window, body });
     }
 
-    /// Returns how many windows were told.
-    pub fn windows(&self) -> usize {
-        self.told().len()
+    /// Returns the number of distinct windows that were reported.
+    pub fn window_count(&self) -> usize {
+        self.bodies_by_window().len()
     }
 
-    fn told(&self) -> BTreeMap<u64, String> {
-        self.0.lock().iter().map(|call| (call.window, call.body.clone())).collect()
+    /// Returns the last reported body of each window.
+    fn bodies_by_window(&self) -> BTreeMap<u64, String> {
+        self.0.lock().iter().map(|report| (report.window, report.body.clone())).collect()
     }
 
-    /// Returns what must not be: another value for a window, a fence of two holders or one that falls, holders that take turns
-    /// inside a lease, counts that are off.
-    pub fn faults(&self, engines: &EngineLog) -> Vec<String> {
-        let calls = self.0.lock().clone();
-        let mut faults = Vec::new();
+    /// Returns all violations: two values for a window, a fencing token with two holders or lower than the one before,
+    /// a role that returns to a holder within a lease, and wrong counts.
+    pub fn violations(&self, engines: &EngineLog) -> Vec<String> {
+        let reports = self.0.lock().clone();
+        let mut violations = Vec::new();
         let mut bodies: BTreeMap<u64, &str> = BTreeMap::new();
         let mut holders: BTreeMap<u64, &str> = BTreeMap::new();
-        for call in &calls {
-            if *bodies.entry(call.window).or_insert(&call.body) != call.body {
-                faults.push(format!("window {} was told with two values", call.window));
+        for report in &reports {
+            if *bodies.entry(report.window).or_insert(&report.body) != report.body {
+                violations.push(format!("window {} was reported with two values", report.window));
             }
-            if *holders.entry(call.fence).or_insert(&call.holder) != call.holder {
-                faults.push(format!("fence {} has two holders", call.fence));
+            if *holders.entry(report.fence).or_insert(&report.holder) != report.holder {
+                violations.push(format!("fence {} has two holders", report.fence));
             }
         }
-        let falls = calls.windows(2).filter(|pair| pair[1].fence < pair[0].fence);
-        faults.extend(falls.map(|pair| format!("fence {} after {}", pair[1].fence, pair[0].fence)));
-        faults.extend(turns(&calls));
-        faults.extend(wrong_counts(&self.told(), engines));
-        faults
+        let decreases = reports.windows(2).filter(|pair| pair[1].fence < pair[0].fence);
+        violations.extend(decreases.map(|pair| format!("fence {} after {}", pair[1].fence, pair[0].fence)));
+        violations.extend(returns_within_lease(&reports));
+        violations.extend(wrong_counts(&self.bodies_by_window(), engines));
+        violations
     }
 }
 
-/// Returns where a holder acted again inside a lease after another one had acted.
-fn turns(calls: &[Call]) -> Vec<String> {
-    let mut found = Vec::new();
-    for (index, call) in calls.iter().enumerate() {
-        let earlier = calls[..index].iter().rev().take_while(|earlier| call.at - earlier.at < LEASE);
-        let mut others = earlier.skip_while(|earlier| earlier.holder == call.holder);
-        if others.any(|earlier| earlier.holder == call.holder) {
-            found.push(format!("{} acts again within a lease", call.holder));
+/// Finds the reports of holders that had reported before another holder did, all within one lease.
+fn returns_within_lease(reports: &[UsageReport]) -> Vec<String> {
+    let mut returns = Vec::new();
+    for (index, report) in reports.iter().enumerate() {
+        let earlier = reports[..index].iter().rev().take_while(|earlier| report.at - earlier.at < LEASE);
+        let mut others = earlier.skip_while(|earlier| earlier.holder == report.holder);
+        if others.any(|earlier| earlier.holder == report.holder) {
+            returns.push(format!("{} reports again within a lease", report.holder));
         }
     }
-    found
+    returns
 }
 
-fn wrong_counts(told: &BTreeMap<u64, String>, engines: &EngineLog) -> Vec<String> {
-    let mut truth: BTreeMap<(u64, String), u64> = BTreeMap::new();
-    for (time_ms, tenant) in engines.begun() {
-        *truth.entry((time_ms / WINDOW.as_millis() as u64, tenant)).or_default() += 1;
+/// Compares the reported counts with the runs that the engines saw start.
+fn wrong_counts(bodies: &BTreeMap<u64, String>, engines: &EngineLog) -> Vec<String> {
+    let mut expected: BTreeMap<(u64, String), u64> = BTreeMap::new();
+    for (time_ms, tenant) in engines.run_starts() {
+        *expected.entry((time_ms / WINDOW.as_millis() as u64, tenant)).or_default() += 1;
     }
-    let mut faults = Vec::new();
-    for ((window, tenant), begun) in truth {
-        let Some(body) = told.get(&window) else { continue };
+    let mut violations = Vec::new();
+    for ((window, tenant), started) in expected {
+        let Some(body) = bodies.get(&window) else { continue };
         let value: Value = serde_json::from_str(body).unwrap_or_default();
         let count = value["count_table"][&tenant].as_u64().unwrap_or(0);
-        let allowed = (begun as f64 * TOLERANCE_SHARE).max(TOLERANCE);
-        if count.abs_diff(begun) as f64 > allowed {
-            faults.push(format!("window {window}: {count} requests of {tenant} were told, {begun} began"));
+        let allowed = (started as f64 * TOLERANCE_FRACTION).max(TOLERANCE);
+        if count.abs_diff(started) as f64 > allowed {
+            violations.push(format!("window {window}: {count} requests of {tenant} were reported, {started} started"));
         }
     }
-    faults
+    violations
 }
 
 #[cfg(test)]
