--- a/tidepoint/src/error.rs
+++ b/tidepoint/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the commands.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use reqwest::StatusCode;
 use thiserror::Error;
 
-/// Why a command failed; printed after the program's name.
+/// An error of a command, printed after the program's name.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// The settings file is missing or has an unusable field.
@@ -15,40 +15,40 @@
     /// A file named on the command line can't be read.
     #[error("{path}: {source}")]
     UnreadableFile {
-        /// The path as it was given.
+        /// The path as given on the command line.
         path: String,
-        /// What the system says.
+        /// The error that the operating system returned.
         source: io::Error,
     },
-    /// The runtime for a call could not be started.
+    /// The async runtime could not be started.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// A controller did not answer, or its answer broke off.
+    /// The request to a controller failed, or its response was cut off.
     #[error("{0}")]
-    Call(#[from] reqwest::Error),
-    /// A controller answered with another status than success.
+    Request(#[from] reqwest::Error),
+    /// A controller returned an error status.
     #[error("{status}: {body}")]
     Rejected {
-        /// The status of its answer.
+        /// The HTTP status.
         status: StatusCode,
-        /// The body of its answer: why.
+        /// The response body, which states the reason.
         body: String,
     },
-    /// A controller's answer is not JSON.
+    /// A controller's response is not valid JSON.
     #[error("{0}")]
-    MalformedAnswer(#[from] serde_json::Error),
-    /// Only one of two options was given.
-    #[error("show: --service and --model go together")]
-    IncompleteName,
-    /// A flag has a value that is not allowed.
+    MalformedResponse(#[from] serde_json::Error),
+    /// Only one of `--service` and `--model` was given.
+    #[error("show: --service and --model must be given together")]
+    IncompleteRuleName,
+    /// A flag has an invalid value.
     #[error("{flag}: {allowed}")]
     InvalidFlag {
-        /// The flag.
+        /// The name of the flag.
         flag: &'static str,
-        /// What it takes.
+        /// The values that it accepts.
         allowed: &'static str,
     },
-    /// A simulated batch broke its promise.
+    /// In a simulated batch, some job was not answered exactly once.
     #[error("a job was not answered exactly once")]
     NotExactlyOnce,
 }
--- a/tidepoint/src/experiment.rs
+++ b/tidepoint/src/experiment.rs
@@ -1,22 +1,22 @@
-//! Experiments in virtual time: drawn terms of rollouts, and what came of them.
+//! The `experiment` command: simulates randomly drawn rollouts in virtual time and prints their outcomes.
 
 use experiment::rollout::{run, standard_scenarios, Ablation, Disturbance, Fleet, Scenario, Summary, Version};
 
 use crate::error::CommandError;
 use crate::flags::Experiment;
 
-/// Terms of each scenario where none are named.
+/// Default number of simulated rollout terms per scenario.
 const DEFAULT_TERMS: u64 = 100;
-/// The length of a term, in seconds, where none is named.
+/// Default duration of a rollout term, in seconds.
 const DEFAULT_DURATION_S: f64 = 12.0;
-/// The fleet where none is named: decode engines of each version, slots of an engine, and requests a second.
+/// Default fleet: decode engines per version, slots per engine, and requests per second.
 const DEFAULT_FLEET: Fleet = Fleet { engines: 36, slots: 64, requests_per_s: 310.0 };
 
-/// Runs an experiment and prints its table, or one JSON object a line.
+/// Runs an experiment and prints a table, or one JSON object per line with `--json`.
 ///
 /// # Errors
 ///
-/// Fails if a part that is to be switched off is not known, or a number makes no sense.
+/// Fails if the experiment or the `--without` part is unknown, or if a number is not positive.
 pub fn run_experiment(flags: &Experiment) -> Result<(), CommandError> {
     match flags.subject.as_str() {
         "rollout" => run_rollouts(flags),
@@ -25,11 +25,12 @@
 }
 
 fn run_rollouts(flags: &Experiment) -> Result<(), CommandError> {
-    let duration_ms = (positive("--duration-s", flags.duration_s.unwrap_or(DEFAULT_DURATION_S))? * 1000.0) as u64;
+    let duration_ms =
+        (require_positive("--duration-s", flags.duration_s.unwrap_or(DEFAULT_DURATION_S))? * 1000.0) as u64;
     let fleet = Fleet {
-        engines: positive("--engines", flags.engines.unwrap_or(DEFAULT_FLEET.engines))?,
-        slots: positive("--slots", flags.slots.unwrap_or(DEFAULT_FLEET.slots))?,
-        requests_per_s: positive("--per-s", flags.per_s.unwrap_or(DEFAULT_FLEET.requests_per_s))?,
+        engines: require_positive("--engines", flags.engines.unwrap_or(DEFAULT_FLEET.engines))?,
+        slots: require_positive("--slots", flags.slots.unwrap_or(DEFAULT_FLEET.slots))?,
+        requests_per_s: require_positive("--per-s", flags.per_s.unwrap_or(DEFAULT_FLEET.requests_per_s))?,
     };
     let ablation = parse_ablation(flags.without.as_deref())?;
     let (terms, seed) = (flags.terms.unwrap_or(DEFAULT_TERMS), flags.seed.unwrap_or(1));
@@ -43,13 +44,13 @@
         let summary = run(&scenario, terms, seed);
         match flags.json {
             true => println!("{}", serde_json::to_string(&summary)?),
-            false => println!("{}", row(&summary)),
+            false => println!("{}", format_row(&summary)),
         }
     }
     Ok(())
 }
 
-fn row(summary: &Summary) -> String {
+fn format_row(summary: &Summary) -> String {
     let Scenario { version, disturbance, .. } = summary.scenario;
     format!(
         "{:<14} {:<24} {:>6} {:>9} {:>9} {:>9} {:>8.3}",
@@ -96,7 +97,7 @@
     }
 }
 
-fn positive<T: PartialOrd + Default>(flag: &'static str, value: T) -> Result<T, CommandError> {
+fn require_positive<T: PartialOrd + Default>(flag: &'static str, value: T) -> Result<T, CommandError> {
     if value > T::default() {
         Ok(value)
     } else {
--- a/tidepoint/src/flags.rs
+++ b/tidepoint/src/flags.rs
@@ -1,23 +1,23 @@
-//! What the command line takes.
+//! The command line's subcommands and flags.
 
 xflags::xflags! {
-    /// Checks, traces and batches for a tidepoint fleet.
+    /// Inspect and operate a tidepoint fleet.
     cmd tidepoint {
         /// Print the version.
         optional --version
 
-        /// Check a settings file (TIDEPOINT_CONFIG without a path).
+        /// Check a settings file (default: the file that TIDEPOINT_CONFIG names).
         cmd check {
             optional path: String
         }
 
-        /// Follow one configuration through all daemons, from logs and live controllers.
+        /// Trace one configuration revision through all daemons, from log files and live controllers.
         cmd trace {
-            /// The revision to follow.
+            /// The revision to trace.
             required revision: u64
-            /// Log files, one a daemon; lines may begin with a time and a name.
+            /// Log files, one per daemon; each line may start with a time in seconds and a daemon's name.
             repeated logs: String
-            /// A controller's control address (IP:PORT), to ask it as it runs.
+            /// The control address (IP:PORT) of a live controller to query.
             repeated --at at: String
         }
 
@@ -26,7 +26,7 @@
             required --at at: String
         }
 
-        /// Show what tenants have used of their limits, over all routers: the busiest first.
+        /// Show how much of their limits tenants have used across all routers, busiest first.
         cmd tenants {
             required --at at: String
         }
@@ -38,44 +38,44 @@
             required file: String
         }
 
-        /// Show a batch's state.
+        /// Show the state of a batch.
         cmd status {
             required --at at: String
             required batch: String
         }
 
-        /// Fetch a batch's receipts.
+        /// Fetch the receipts of a batch.
         cmd results {
             required --at at: String
             required batch: String
         }
 
-        /// Cancel what of a batch is not yet sent.
+        /// Cancel the jobs of a batch that are not yet sent.
         cmd cancel {
             required --at at: String
             required batch: String
         }
 
-        /// The limit on how far behind the trainer's latest weights a replica may fall.
+        /// Manage staleness limits: how far a replica's weights may lag behind the trainer's latest version.
         cmd rollout {
-            /// Show one rule and how far it holds, or all rules.
+            /// Show one limit and where it is in force, or all limits.
             cmd show {
                 required --at at: String
                 optional --service service: String
                 optional --model model: String
             }
-            /// Make or replace a rule.
+            /// Create or replace a limit.
             cmd set {
                 required --at at: String
                 required --service service: String
                 required --model model: String
                 /// The trainer's latest version.
                 required --latest latest: u64
-                /// How many versions a replica may be behind it.
+                /// How many versions a replica may lag behind the latest.
                 required --lag lag: u64
-                /// A route that the rule binds.
+                /// A route that the limit applies to.
                 repeated --route route: String
-                /// The version it builds on; 0 for a new rule.
+                /// The current version of the limit that this replaces; 0 for a new limit.
                 optional --base base: u64
             }
             /// Report the trainer's latest version.
@@ -85,7 +85,7 @@
                 required --model model: String
                 required version: u64
             }
-            /// Serve an older version again, and say why.
+            /// Return to an older version, with a reason.
             cmd rollback {
                 required --at at: String
                 required --service service: String
@@ -93,7 +93,7 @@
                 required --reason reason: String
                 required version: u64
             }
-            /// Remove a rule.
+            /// Remove a limit.
             cmd remove {
                 required --at at: String
                 required --service service: String
@@ -102,77 +102,77 @@
             }
         }
 
-        /// Simulate decisions of routers and controllers in virtual time.
+        /// Simulate the decisions of routers and controllers in virtual time.
         cmd experiment {
-            /// What: `rollout`, good and faulty versions beside engines that fail by themselves.
+            /// The experiment: `rollout` simulates good and faulty versions while other engines fail independently.
             required subject: String
-            /// Terms of each scenario (100).
+            /// Number of rollout terms per scenario (default 100).
             optional --terms terms: u64
-            /// The seed of all draws (1).
+            /// Seed of the random number generator (default 1).
             optional --seed seed: u64
-            /// The length of a term (12).
+            /// Duration of a term in seconds (default 12).
             optional --duration-s duration_s: f64
-            /// Decode engines of each version (36).
+            /// Decode engines per version (default 36).
             optional --engines engines: usize
-            /// Slots of an engine (64).
+            /// Slots per engine (default 64).
             optional --slots slots: u32
-            /// Requests a second (310).
+            /// Requests per second (default 310).
             optional --per-s per_s: f64
-            /// A part of the design that is switched off: baseline, engines or load.
+            /// The part of the design to disable: baseline, engines or load.
             optional --without part: String
-            /// Print one JSON object a line.
+            /// Print one JSON object per line.
             optional --json
         }
 
-        /// Bringing in a new version of a service.
+        /// Roll out a new version of a service.
         cmd version {
-            /// Start it: engines of the new version run beside the old ones.
+            /// Start a rollout: engines of the new version run beside the old ones.
             cmd start {
                 required --at at: String
                 required --service service: String
                 required --version version: String
-                /// By then it is to be complete or reverted.
+                /// Seconds within which the rollout must complete or be reverted.
                 required --duration-s duration_s: f64
             }
-            /// Show where it stands.
+            /// Show the state of a rollout.
             cmd state {
                 required --at at: String
                 required --service service: String
             }
         }
 
-        /// Show which windows of usage are agreed on, and which the platform has acknowledged.
+        /// Show which usage windows are agreed on and which the platform has acknowledged.
         cmd usage {
             required --at at: String
         }
 
-        /// Tallies: counters that every controller with a disk goes on with while zones are cut off.
+        /// Manage tallies: counters that every controller with a disk keeps updating while zones are partitioned.
         cmd tally {
-            /// Show one tally's total.
+            /// Show the total of one tally.
             cmd get {
                 required --at at: String
                 required name: String
             }
-            /// Add to a tally, once for each key.
+            /// Add to a tally, at most once per key.
             cmd add {
                 required --at at: String
-                /// The key under which it counts once, however often it is sent.
+                /// Idempotency key: repeated adds with the same key count once.
                 required --key key: String
-                /// A whole number.
+                /// The amount to add, a whole number.
                 required --amount amount: u64
                 required name: String
             }
-            /// Show how much room tallies take at a controller, and how many replicas it reaches.
+            /// Show how much capacity tallies use at a controller, and how many replicas it reaches.
             cmd room {
                 required --at at: String
             }
-            /// Show all tallies with their totals.
+            /// Show the totals of all tallies.
             cmd list {
                 required --at at: String
             }
         }
 
-        /// Play an off-peak run in the simulation: halls leave, the owner crashes and freezes.
+        /// Simulate a batch during which zones are evacuated and the owner crashes and freezes.
         cmd rehearse {
             optional --jobs jobs: usize
             optional --seed seed: u64
--- a/tidepoint/src/http_client.rs
+++ b/tidepoint/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls to a controller's control address.
+//! HTTP requests to a controller's control address.
 
 use std::fs;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::error::CommandError;
 use crate::flags::{Submit, VersionCmd};
 
-/// How long a call may take.
+/// Timeout of one request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Makes one call and returns the body of a successful answer.
+/// Sends one request and returns the response body if the status is a success.
 pub fn send(build: impl FnOnce(Client) -> RequestBuilder) -> Result<String, CommandError> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(CommandError::Runtime)?;
     let client = Client::builder().timeout(CALL_TIMEOUT).no_proxy().build()?;
@@ -27,18 +27,18 @@
     })
 }
 
-/// Returns what a controller answers to a `GET`.
+/// Returns the body of a controller's response to a `GET`.
 pub fn get(controller: &str, path: &str) -> Result<String, CommandError> {
     send(|client| client.get(format!("http://{controller}{path}")))
 }
 
-/// Prints what a controller answers to a `GET`.
-pub fn print(controller: &str, path: &str) -> Result<(), CommandError> {
+/// Prints the body of a controller's response to a `GET`.
+pub fn get_and_print(controller: &str, path: &str) -> Result<(), CommandError> {
     println!("{}", get(controller, path)?);
     Ok(())
 }
 
-/// Submits a batch of jobs from a file and prints the answer.
+/// Submits a batch of jobs from a file and prints the response.
 pub fn submit_batch(flags: &Submit) -> Result<(), CommandError> {
     let unreadable = |source| CommandError::UnreadableFile { path: flags.file.clone(), source };
     let body = fs::read_to_string(&flags.file).map_err(unreadable)?;
@@ -47,16 +47,16 @@
     Ok(())
 }
 
-/// Cancels what of a batch is not yet sent.
+/// Cancels the jobs of a batch that are not yet sent, and prints the response.
 pub fn cancel_batch(controller: &str, batch: &str) -> Result<(), CommandError> {
     println!("{}", send(|client| client.delete(format!("http://{controller}/batches/{batch}")))?);
     Ok(())
 }
 
-/// Starts a version rollout of a service, or shows it.
+/// Starts a version rollout of a service or shows its state.
 pub fn version_rollout(command: &VersionCmd) -> Result<(), CommandError> {
     match command {
-        VersionCmd::State(state) => print(&state.at, &format!("/rollouts/{}", state.service)),
+        VersionCmd::State(state) => get_and_print(&state.at, &format!("/rollouts/{}", state.service)),
         VersionCmd::Start(start) => {
             let body = serde_json::json!({"service": start.service, "target_version": start.version,
                 "duration_s": start.duration_s});
--- a/tidepoint/src/main.rs
+++ b/tidepoint/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line beside the daemons.
+//! The operators' command-line tool.
 
 use std::process;
 
@@ -14,7 +14,7 @@
 mod tally;
 mod trace_change;
 
-/// The exit code of a command that failed; a wrong command line ends with the parser's own.
+/// Exit code of a failed command. Errors in the command line exit with the parser's own code.
 const FAILURE: u8 = 2;
 
 fn main() -> process::ExitCode {
@@ -26,23 +26,27 @@
         println!("tidepoint {}", env!("CARGO_PKG_VERSION"));
         return process::ExitCode::SUCCESS;
     }
-    let done = match flags.subcommand {
+    let result = match flags.subcommand {
         flags::TidepointCmd::Check(check) => check_settings(check.path),
         flags::TidepointCmd::Trace(trace) => trace_change::run(&trace),
-        flags::TidepointCmd::Fleet(fleet) => http_client::print(&fleet.at, "/fleet"),
-        flags::TidepointCmd::Tenants(tenants) => http_client::print(&tenants.at, "/tenants"),
+        flags::TidepointCmd::Fleet(fleet) => http_client::get_and_print(&fleet.at, "/fleet"),
+        flags::TidepointCmd::Tenants(tenants) => http_client::get_and_print(&tenants.at, "/tenants"),
         flags::TidepointCmd::Submit(submit) => http_client::submit_batch(&submit),
-        flags::TidepointCmd::Status(one) => http_client::print(&one.at, &format!("/batches/{}", one.batch)),
-        flags::TidepointCmd::Results(one) => http_client::print(&one.at, &format!("/batches/{}/results", one.batch)),
-        flags::TidepointCmd::Cancel(one) => http_client::cancel_batch(&one.at, &one.batch),
+        flags::TidepointCmd::Status(status) => {
+            http_client::get_and_print(&status.at, &format!("/batches/{}", status.batch))
+        }
+        flags::TidepointCmd::Results(results) => {
+            http_client::get_and_print(&results.at, &format!("/batches/{}/results", results.batch))
+        }
+        flags::TidepointCmd::Cancel(cancel) => http_client::cancel_batch(&cancel.at, &cancel.batch),
         flags::TidepointCmd::Rollout(rollout) => staleness_limit::run(&rollout.subcommand),
         flags::TidepointCmd::Version(version) => http_client::version_rollout(&version.subcommand),
-        flags::TidepointCmd::Usage(usage) => http_client::print(&usage.at, "/usage"),
+        flags::TidepointCmd::Usage(usage) => http_client::get_and_print(&usage.at, "/usage"),
         flags::TidepointCmd::Tally(tally) => tally::run(&tally.subcommand),
-        flags::TidepointCmd::Rehearse(plan) => simulate_batch::run(&plan),
+        flags::TidepointCmd::Rehearse(rehearse) => simulate_batch::run(&rehearse),
         flags::TidepointCmd::Experiment(experiment) => experiment::run_experiment(&experiment),
     };
-    match done {
+    match result {
         Ok(()) => process::ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("tidepoint: {error}");
@@ -51,10 +55,10 @@
     }
 }
 
-/// Checks a settings file; that of the environment where none is named.
+/// Checks a settings file. Without a path it checks the one that the environment names.
 fn check_settings(path: Option<String>) -> Result<(), CommandError> {
     let path = path.unwrap_or_else(settings::path);
     settings::load(&path).map_err(|report| CommandError::InvalidSettings(report.current_context().clone()))?;
-    println!("{path}: settings are good");
+    println!("{path}: settings are valid");
     Ok(())
 }
--- a/tidepoint/src/simulate_batch.rs
+++ b/tidepoint/src/simulate_batch.rs
@@ -1,11 +1,11 @@
-//! An off-peak run in the simulation, at a size of one's own.
+//! The `rehearse` command: simulates a batch with a chosen number of jobs.
 
 use batch::testing::{reference_plan, simulate};
 
 use crate::error::CommandError;
 use crate::flags::Rehearse;
 
-/// Plays the run with and without the batch and prints what came of both.
+/// Runs the simulation with and without the batch and prints both outcomes.
 ///
 /// # Errors
 ///
@@ -14,23 +14,23 @@
     let plan = reference_plan(flags.seed.unwrap_or(1), flags.jobs.unwrap_or(2000));
     let (with, without) = (simulate(&plan, true), simulate(&plan, false));
     println!(
-        "{} jobs, window {} ms, {} halls of {} engines",
+        "{} jobs, window {} ms, {} zones of {} engines",
         plan.jobs, plan.window_ms, plan.zones, plan.engines_per_zone
     );
     println!(
-        "halls leave at {:?}, owner crashes at {:?}, freezes at {:?}",
+        "zones evacuated at {:?}, owner crashes at {:?}, owner freezes at {:?}",
         plan.zone_evacuations, plan.owner_crashes, plan.owner_freezes
     );
     println!(
-        "answered {}, unknown {}, missed {}, open {}",
+        "answered {}, outcome unknown {}, deadline missed {}, unfinished {}",
         with.completed, with.unknown, with.deadline_missed, with.unfinished
     );
     println!(
-        "answered twice {}, run twice {}, invented {}",
+        "answered twice {}, run twice {}, answered without a run {}",
         with.answered_twice, with.run_twice, with.responses_without_run
     );
     println!(
-        "last receipt at {} ms; sends refused for want of room: {}",
+        "last receipt at {} ms; dispatches rejected for lack of capacity: {}",
         with.last_finish_ms, with.rejected_dispatches
     );
     println!(
--- a/tidepoint/src/trace_change.rs
+++ b/tidepoint/src/trace_change.rs
@@ -1,4 +1,5 @@
-//! One change through all daemons: from the operator's call to the first request that saw it.
+//! The `trace` command: follows one configuration change through all daemons, from its commit to the first request
+//! under it.
 
 use std::fs;
 
@@ -8,72 +9,74 @@
 use crate::flags::Trace;
 use crate::http_client;
 
-/// A line of a daemon's log that bears on the change.
+/// A log event of a daemon about the traced change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
-    /// The daemon's name, or the name of the log's file.
+pub struct TraceEvent {
+    /// The daemon's name, or the log file's name or the controller's address if the line has none.
     pub daemon: String,
-    /// Milliseconds, by the clock of the log it stands in.
-    pub time: f64,
-    /// The number of the event, as `E0110`.
+    /// Time in milliseconds, by the clock of the log.
+    pub time_ms: f64,
+    /// The event code, such as `E0110`.
     pub code: String,
-    /// What stands behind the number.
+    /// The rest of the line after the code.
     pub text: String,
 }
 
-/// The events of a change: committed, learned, in force, first request under it.
-const CODES: [&str; 4] = ["E0110", "E0112", "E0210", "E0213"];
+/// Codes of the traced events: committed, learned, in force, first request under it.
+const TRACED_CODES: [&str; 4] = ["E0110", "E0112", "E0210", "E0213"];
 
-/// Reads one line. `[time daemon] ms LEVEL Ennnn words key=value`: what stands before the level is
-/// the writer's own, a collector may put a time in seconds and a name in front.
-pub fn read_line(daemon: &str, line: &str, revision: u64) -> Option<Step> {
-    let words: Vec<&str> = line.split_whitespace().collect();
-    let at = words.iter().position(|word| CODES.contains(word))?;
-    if !words.contains(&format!("revision={revision}").as_str()) || at < 2 {
+/// Parses one line of the form `[time daemon] ms LEVEL Ennnn text key=value`. The optional time in seconds and the
+/// daemon's name are prefixed by a log collector; `ms` is the daemon's own timestamp.
+pub fn parse_line(daemon: &str, line: &str, revision: u64) -> Option<TraceEvent> {
+    let tokens: Vec<&str> = line.split_whitespace().collect();
+    let code_index = tokens.iter().position(|token| TRACED_CODES.contains(token))?;
+    if !tokens.contains(&format!("revision={revision}").as_str()) || code_index < 2 {
         return None;
     }
-    let (daemon, time) = match at {
-        2 => (daemon.to_string(), words[0].parse().ok()?),
-        _ => (words[at - 3].to_string(), words[0].parse::<f64>().ok()? * 1000.0),
+    let (daemon, time_ms) = match code_index {
+        2 => (daemon.to_string(), tokens[0].parse().ok()?),
+        _ => (tokens[code_index - 3].to_string(), tokens[0].parse::<f64>().ok()? * 1000.0),
     };
-    let text = words[at + 1..].join(" ");
-    Some(Step { daemon, time, code: words[at].into(), text })
+    let text = tokens[code_index + 1..].join(" ");
+    Some(TraceEvent { daemon, time_ms, code: tokens[code_index].into(), text })
 }
 
-/// Renders the steps in order of time, with the distance from the first.
-pub fn render(mut steps: Vec<Step>) -> String {
-    steps.sort_by(|one, two| one.time.total_cmp(&two.time));
-    let Some(first) = steps.first().map(|step| step.time) else { return "no daemon tells of this revision\n".into() };
+/// Renders the events in order of time, each with its offset from the first.
+pub fn render_timeline(mut events: Vec<TraceEvent>) -> String {
+    events.sort_by(|left, right| left.time_ms.total_cmp(&right.time_ms));
+    let Some(first) = events.first().map(|event| event.time_ms) else {
+        return "no daemon logged this revision\n".into();
+    };
     let mut text = String::new();
-    for step in &steps {
-        let line = format!("{:>9.1} ms  {:<28} {} {}\n", step.time - first, step.daemon, step.code, step.text);
+    for event in &events {
+        let line = format!("{:>9.1} ms  {:<28} {} {}\n", event.time_ms - first, event.daemon, event.code, event.text);
         text.push_str(&line);
     }
-    let count = |code: &str| steps.iter().filter(|step| step.code == code).count();
-    let forced = format!("in force at {} routers, first requests at {}\n", count("E0210"), count("E0213"));
-    text.push_str(&forced);
+    let count = |code: &str| events.iter().filter(|event| event.code == code).count();
+    let summary = format!("in force at {} routers, first requests at {}\n", count("E0210"), count("E0213"));
+    text.push_str(&summary);
     text
 }
 
-/// Prints how far a change has come, from logs and from controllers that are asked.
+/// Prints how far a change has propagated, from log files and live controllers.
 pub fn run(flags: &Trace) -> Result<(), CommandError> {
-    let mut steps = Vec::new();
+    let mut events = Vec::new();
     for path in &flags.logs {
         let text =
             fs::read_to_string(path).map_err(|source| CommandError::UnreadableFile { path: path.clone(), source })?;
-        steps.extend(text.lines().filter_map(|line| read_line(path, line, flags.revision)));
+        events.extend(text.lines().filter_map(|line| parse_line(path, line, flags.revision)));
     }
     for at in &flags.at {
         let value: Value = serde_json::from_str(&http_client::get(at, "/journal")?)?;
         let lines = value["events"].as_array().cloned().unwrap_or_default();
-        steps.extend(lines.iter().filter_map(|line| read_line(at, line.as_str()?, flags.revision)));
+        events.extend(lines.iter().filter_map(|line| parse_line(at, line.as_str()?, flags.revision)));
         let fleet: Value = serde_json::from_str(&http_client::get(at, "/fleet")?)?;
-        for (node, held) in fleet["routers"].as_object().into_iter().flatten() {
-            let word = if held.as_u64() >= Some(flags.revision) { "has it" } else { "does not have it yet" };
-            println!("{node}: {word} (revision {held}, as {at} sees it)");
+        for (node, revision) in fleet["routers"].as_object().into_iter().flatten() {
+            let state = if revision.as_u64() >= Some(flags.revision) { "up to date" } else { "not yet up to date" };
+            println!("{node}: {state} (revision {revision}, according to {at})");
         }
     }
-    print!("{}", render(steps));
+    print!("{}", render_timeline(events));
     Ok(())
 }
 
