--- a/tidepoint/src/main.rs
+++ b/tidepoint/src/main.rs
@@ -59,6 +59,6 @@
 fn check_settings(path: Option<String>) -> Result<(), CommandError> {
     let path = path.unwrap_or_else(settings::path);
     settings::load(&path).map_err(|report| CommandError::InvalidSettings(report.current_context().clone()))?;
-    println!("{path}: settings are valid");
+    println!("{path}: settings are good");
     Ok(())
 }
--- a/tidepoint/tests/engine_churn.rs
+++ b/tidepoint/tests/engine_churn.rs
@@ -1,5 +1,5 @@
-//! A real controller before 3,000 engines of which some change with each poll of the platform, with subscribers that read
-//! and subscribers that do not: what `docs/incidents/lists-at-size.md` tells of.
+//! A real controller with 3,000 engines, some of which change state with each poll of the platform. Some subscribers
+//! read their updates and others never do. Guards against the incident in `docs/incidents/lists-at-size.md`.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -26,7 +26,7 @@
 use tokio::sync::mpsc;
 use tokio::time;
 
-#[allow(dead_code)] // Each test uses a part of the stand-ins.
+#[allow(dead_code)] // Each test uses only some of the fakes.
 mod stand;
 
 const CONTROL: &str = "127.0.78.1:7803";
@@ -34,12 +34,17 @@
 const PLATFORM: &str = "127.0.78.9:7800";
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const ENGINES_PER_ZONE: u64 = 1000;
-/// Engines of a zone that drain at the same time.
-const DRAINING: u64 = 10;
+/// Engines per zone that drain at the same time.
+const DRAINING_PER_ZONE: u64 = 10;
+/// Number of state changes; each generation drains other engines.
 const GENERATIONS: u64 = 10;
-const GENERATION: Duration = Duration::from_millis(400);
-const READERS: usize = 12;
-const STALLED: usize = 40;
+/// Interval between two generations.
+const GENERATION_INTERVAL: Duration = Duration::from_millis(400);
+/// Subscribers that read their updates.
+const READING_SUBSCRIBERS: usize = 12;
+/// Subscribers that never read.
+const STALLED_SUBSCRIBERS: usize = 40;
+/// Interval between two renewals of a subscription, in milliseconds.
 const RENEWAL_MS: u64 = 400;
 
 fn settings(dir: &str) -> Settings {
@@ -50,15 +55,15 @@
          [limits]\nmemory_mb = 160\nfd_limit = 4000\ndisk_mb = 64\n[bounds]\ndrain_ms = 1500\n\
          [cloud_api]\naddress = \"{PLATFORM}\"\nrate_per_s = 1500.0\n"
     );
-    parse(&text).expect("good settings")
+    parse(&text).expect("valid settings")
 }
 
-/// Whether an engine drains in a generation. Each generation lets others drain.
+/// Returns whether an engine drains in a generation. Each generation drains other engines.
 fn is_draining(number: u64, generation: u64) -> bool {
-    number / DRAINING == generation % (ENGINES_PER_ZONE / DRAINING)
+    number / DRAINING_PER_ZONE == generation % (ENGINES_PER_ZONE / DRAINING_PER_ZONE)
 }
 
-fn listing(zone: &str, generation: u64) -> String {
+fn instance_page(zone: &str, generation: u64) -> String {
     let engine = |number: u64| {
         let state = if is_draining(number, generation) { "draining" } else { "up" };
         serde_json::json!({"instance_id": format!("i-{zone}-{number:06x}"), "service": "huvo11a",
@@ -74,23 +79,23 @@
     let list = endpoint::make_sync(move |request: Request| {
         let query = request.uri().query().unwrap_or("").to_string();
         let zone = ZONES.into_iter().find(|zone| query.contains(&format!("zone={zone}")));
-        zone.map_or(String::new(), |zone| listing(zone, generation.load(Ordering::Relaxed)))
+        zone.map_or(String::new(), |zone| instance_page(zone, generation.load(Ordering::Relaxed)))
     });
-    let listener = socket::listen(PLATFORM).expect("a free address");
+    let listener = socket::listen(PLATFORM).expect("the address is free");
     let acceptor = TcpAcceptor::from_tokio(listener).expect("a listener");
     let _ = Server::new_with_acceptor(acceptor).run(Route::new().at("/instances", list)).await;
 }
 
-/// A subscriber that reads what it gets.
-struct Reader {
+/// A subscriber that reads its updates.
+struct Subscriber {
     name: String,
     protocol_version: u64,
     lists: Mutex<EndpointLists>,
-    /// Bytes of lists and updates of lists.
+    /// Bytes received as lists and list updates.
     received_bytes: AtomicU64,
 }
 
-fn renewal(name: &str, protocol_version: u64, mut list_versions: Vec<VersionEntry>) -> Message {
+fn subscription_renewal(name: &str, protocol_version: u64, mut list_versions: Vec<VersionEntry>) -> Message {
     list_versions.push(VersionEntry::new(HiddenKey::ProtocolVersion, protocol_version, 0));
     Message::SubscriptionRenewal(Box::new(SubscriptionRenewal {
         node: name.into(),
@@ -104,12 +109,12 @@
     }))
 }
 
-impl Reader {
-    fn new(name: String, protocol_version: u64) -> Arc<Reader> {
-        Arc::new(Reader { name, protocol_version, lists: Mutex::default(), received_bytes: AtomicU64::new(0) })
+impl Subscriber {
+    fn new(name: String, protocol_version: u64) -> Arc<Subscriber> {
+        Arc::new(Subscriber { name, protocol_version, lists: Mutex::default(), received_bytes: AtomicU64::new(0) })
     }
 
-    fn take(&self, message: &Message) {
+    fn apply(&self, message: &Message) {
         let bytes = frame::encode(Kind::Notification, 0, message).map_or(0, |frame| frame.len() as u64);
         let mut lists = self.lists.lock().expect("lists");
         match message {
@@ -131,64 +136,69 @@
         let controller = PeerClient::start(Dialer::default(), PEERS.into(), Some(sender));
         loop {
             let versions = self.lists.lock().expect("lists").versions();
-            let response = controller.call(renewal(&self.name, self.protocol_version, versions), 2000).await;
+            let response =
+                controller.call(subscription_renewal(&self.name, self.protocol_version, versions), 2000).await;
             let end = time::Instant::now() + Duration::from_millis(RENEWAL_MS);
             while let Ok(message) = pushed.try_recv() {
-                self.take(&message);
+                self.apply(&message);
             }
-            response.iter().for_each(|message| self.take(message));
+            response.iter().for_each(|message| self.apply(message));
             while let Ok(Some(message)) = time::timeout_at(end, pushed.recv()).await {
-                self.take(&message);
+                self.apply(&message);
             }
         }
     }
 
-    /// Returns whether the lists held are those of a generation, engine by engine.
+    /// Returns whether all engines of the held lists have the state of a generation.
     fn holds(&self, generation: u64) -> bool {
         let lists = self.lists.lock().expect("lists");
         let by_zone: BTreeMap<&str, &EndpointList> = lists.iter().map(|list| (list.zone.as_str(), list)).collect();
-        ZONES.iter().all(|zone| by_zone.get(zone).is_some_and(|list| is_of_generation(list, zone, generation)))
+        ZONES.iter().all(|zone| by_zone.get(zone).is_some_and(|list| matches_generation(list, zone, generation)))
     }
 }
 
-fn is_of_generation(list: &EndpointList, zone: &str, generation: u64) -> bool {
+fn matches_generation(list: &EndpointList, zone: &str, generation: u64) -> bool {
     let up: BTreeMap<&str, bool> = list.engines.iter().map(|engine| (engine.id.as_str(), engine.up)).collect();
-    let is_right =
+    let has_expected_state =
         |number: u64| up.get(format!("i-{zone}-{number:06x}").as_str()) == Some(&!is_draining(number, generation));
-    list.engines.len() as u64 == ENGINES_PER_ZONE && (0..ENGINES_PER_ZONE).all(is_right)
+    list.engines.len() as u64 == ENGINES_PER_ZONE && (0..ENGINES_PER_ZONE).all(has_expected_state)
 }
 
-/// Subscribes as a router of an earlier version, which gets whole lists, and never reads a byte.
-fn stall(at: usize) -> TcpStream {
+/// Subscribes as a router of an earlier version, which gets full lists, and never reads from the connection.
+fn connect_stalled(at: usize) -> TcpStream {
     let mut stream = TcpStream::connect(PEERS).expect("connected");
-    let frame = frame::encode(Kind::Request, 1, &renewal(&format!("stalled-{at}"), ENDPOINT_UPDATES - 1, Vec::new()));
-    stream.write_all(&frame.expect("it fits into a frame")).expect("written");
+    let frame = frame::encode(
+        Kind::Request,
+        1,
+        &subscription_renewal(&format!("stalled-{at}"), ENDPOINT_UPDATES - 1, Vec::new()),
+    );
+    stream.write_all(&frame.expect("the message fits into a frame")).expect("the renewal is sent");
     stream
 }
 
-fn wait_until(what: &str, limit: Duration, is_done: impl Fn() -> bool) -> Duration {
-    let begun = Instant::now();
+fn wait_until(expected: &str, limit: Duration, is_done: impl Fn() -> bool) -> Duration {
+    let started = Instant::now();
     while !is_done() {
-        assert!(begun.elapsed() < limit, "waited for {what}");
+        assert!(started.elapsed() < limit, "timed out waiting for {expected}");
         thread::sleep(Duration::from_millis(5));
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
-fn put_config(base: u64, revision: u64) -> bool {
+fn submit_config(base: u64, revision: u64) -> bool {
     let body = serde_json::json!({"revision": revision, "route_table": [{"name": "r", "hostname": "one.example",
         "path_prefix": "/x/", "route_type": "streaming", "timeout_ms": 3000 + revision, "service": "huvo11a"}],
         "service_table": [{"name": "huvo11a"}]});
     let text = stand::request("PUT", "/config", &format!("Host: c\r\nIf-Match: {base}\r\n"), &body.to_string());
-    stand::call(CONTROL, &text).is_some_and(|head| head.first.contains(" 200"))
+    stand::call(CONTROL, &text).is_some_and(|head| head.start_line.contains(" 200"))
 }
 
 fn start_runtime(threads: usize) -> Runtime {
-    Builder::new_multi_thread().worker_threads(threads).enable_all().build().expect("a runtime")
+    Builder::new_multi_thread().worker_threads(threads).enable_all().build().expect("the runtime starts")
 }
 
 #[test]
-fn a_release_before_thousands_of_engines_reaches_all_that_read_whoever_does_not() {
+fn engine_changes_reach_all_reading_subscribers_while_others_stall() {
     let dir = env::temp_dir().join(format!("tidepoint-churn-{}", process::id()));
     let _ = fs::remove_dir_all(&dir);
     let settings = settings(&dir.to_string_lossy());
@@ -196,47 +206,55 @@
     let generation = Arc::new(AtomicU64::new(0));
     runtime.spawn(serve_platform(generation.clone()));
     thread::spawn(move || {
-        let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = Builder::new_current_thread().enable_all().build().expect("the runtime starts");
         runtime.block_on(async { startup::run(settings, signal::watch()).await });
     });
     let limit = Duration::from_secs(30);
-    wait_until("the first configuration", limit, || put_config(0, 1));
-    let current = Reader::new("reader-0".into(), own_protocol_version().term);
-    let older = Reader::new("older".into(), ENDPOINT_UPDATES - 1);
-    let mut readers: Vec<Arc<Reader>> =
-        (1..READERS).map(|at| Reader::new(format!("reader-{at}"), own_protocol_version().term)).collect();
-    readers.extend([current.clone(), older.clone()]);
-    for reader in &readers {
-        runtime.spawn(reader.clone().run());
+    wait_until("the first configuration", limit, || submit_config(0, 1));
+    let current = Subscriber::new("reader-0".into(), own_protocol_version().term);
+    let older = Subscriber::new("older".into(), ENDPOINT_UPDATES - 1);
+    let mut subscribers: Vec<Arc<Subscriber>> = (1..READING_SUBSCRIBERS)
+        .map(|at| Subscriber::new(format!("reader-{at}"), own_protocol_version().term))
+        .collect();
+    subscribers.extend([current.clone(), older.clone()]);
+    for subscriber in &subscribers {
+        runtime.spawn(subscriber.clone().run());
     }
-    wait_until("the lists", limit, || readers.iter().all(|reader| reader.holds(0)));
-    let stalled: Vec<TcpStream> = (0..STALLED).map(stall).collect();
+    wait_until("the lists", limit, || subscribers.iter().all(|subscriber| subscriber.holds(0)));
+    let stalled: Vec<TcpStream> = (0..STALLED_SUBSCRIBERS).map(connect_stalled).collect();
 
     let received_before = current.received_bytes.load(Ordering::Relaxed);
     let received_before_by_older = older.received_bytes.load(Ordering::Relaxed);
     let mut acknowledged_ms = Vec::new();
     for number in 1..=GENERATIONS {
         generation.store(number, Ordering::Relaxed);
-        let begun = Instant::now();
-        assert!(put_config(number, number + 1), "a change is acknowledged whatever the engines do");
-        acknowledged_ms.push(begun.elapsed().as_millis());
-        thread::sleep(GENERATION.saturating_sub(begun.elapsed()));
+        let started = Instant::now();
+        assert!(submit_config(number, number + 1), "a configuration change was not acknowledged during engine churn");
+        acknowledged_ms.push(started.elapsed().as_millis());
+        thread::sleep(GENERATION_INTERVAL.saturating_sub(started.elapsed()));
     }
-    let reached =
-        wait_until("the last generation at all", limit, || readers.iter().all(|reader| reader.holds(GENERATIONS)));
+    let converged_after = wait_until("the last generation at all subscribers", limit, || {
+        subscribers.iter().all(|subscriber| subscriber.holds(GENERATIONS))
+    });
     let received = current.received_bytes.load(Ordering::Relaxed) - received_before;
     let received_by_older = older.received_bytes.load(Ordering::Relaxed) - received_before_by_older;
     acknowledged_ms.sort_unstable();
     println!(
-        "acknowledged in {} ms (middle), {} ms at most; everywhere {} ms after the last change; {received} B of changes, \
-         {received_by_older} B of whole lists",
+        "acknowledged in {} ms (median), {} ms at most; at all subscribers {} ms after the last change; {received} B \
+         of updates, {received_by_older} B of full lists",
         acknowledged_ms[acknowledged_ms.len() / 2],
         acknowledged_ms[acknowledged_ms.len() - 1],
-        reached.as_millis()
+        converged_after.as_millis()
     );
     drop(stalled);
     let _ = fs::remove_dir_all(&dir);
-    assert!(received * 10 < received_by_older, "changes are {received} B, whole lists {received_by_older} B");
-    assert!(reached < Duration::from_millis(3000), "a draining engine is known everywhere only after {reached:?}");
-    assert!(acknowledged_ms[acknowledged_ms.len() / 2] < 500, "{acknowledged_ms:?}");
+    assert!(received * 10 < received_by_older, "updates are {received} B, full lists {received_by_older} B");
+    assert!(
+        converged_after < Duration::from_millis(3000),
+        "all subscribers learned of a draining engine only after {converged_after:?}"
+    );
+    assert!(
+        acknowledged_ms[acknowledged_ms.len() / 2] < 500,
+        "median time to acknowledge is too long: {acknowledged_ms:?}"
+    );
 }
--- a/tidepoint/tests/mixed_versions.rs
+++ b/tidepoint/tests/mixed_versions.rs
@@ -1,27 +1,27 @@
-//! Daemons of an earlier build and of the present one serve one deployment together.
+//! Daemons of an earlier build and of the present build serve one deployment together.
 //!
 //! Three controllers with disks and two routers are started as processes of the earlier build and get steady load,
-//! unary and streaming, while an operator changes the configuration all the while. Then each daemon is replaced by the
-//! present build, one after another, controllers first: SIGTERM, its end, a start with the same settings and the same
-//! disk. One controller goes back to the earlier build and has to read what the present one wrote. At last all daemons
-//! are killed at once and started again on their disks, all of the present build.
+//! unary and streaming, while an operator changes the configuration continuously. Then each daemon is replaced by the
+//! present build, one after another, controllers first: SIGTERM, exit, start with the same settings and disk. One
+//! controller is downgraded to the earlier build and has to read what the present one wrote. Finally all daemons are
+//! killed at once and restarted on their disks with the present build.
 //!
-//! How to run it: build the earlier commit in a checkout of its own, then the present one, and name the folder of the
-//! earlier programs. Its control plane may be called `controller` or `keeper`.
+//! To run it, build the earlier commit in a separate checkout, then the present one, and name the folder of the earlier
+//! programs. Its control-plane program may be called `controller` or `keeper`.
 //!
 //!     git worktree add ../earlier COMMIT && (cd ../earlier && cargo build --release)
 //!     cargo build --release
 //!     TIDEPOINT_EARLIER_BUILD=$PWD/../earlier/target/release \
 //!         cargo test --release -p tidepoint --test mixed_versions -- --ignored --nocapture
 //!
-//! The earlier build has to know tenants. The present programs are those beside the test (`target/release` above)
-//! unless `TIDEPOINT_PRESENT_BUILD` names another folder. A control run names the same folder twice.
+//! The earlier build must support tenants. The present programs are those of the test's own profile (`target/release`
+//! above) unless `TIDEPOINT_PRESENT_BUILD` names another folder. A control run uses the same folder for both.
 //!
-//! Acknowledgements, and the leases under which controllers give tokens to tenants with a limit, wait for the disk.
-//! Where other work makes its syncs last seconds the test can fail whatever the builds are; the longest sync is
-//! printed. `TMPDIR=/dev/shm` puts the disks into memory, which outlives killed processes.
+//! Acknowledgements, and the leases under which controllers grant tokens to tenants with a limit, wait for disk syncs.
+//! If other work makes syncs take seconds, the test can fail whatever the builds are; the longest sync is printed.
+//! `TMPDIR=/dev/shm` keeps the disks in memory, which outlives killed processes.
 //!
-//! When the test fails it leaves logs and disks in the folder that it names.
+//! A failed test keeps logs and disks in the folder that it prints.
 #[path = "stand/builds.rs"]
 mod builds;
 #[path = "stand/changes.rs"]
@@ -32,14 +32,14 @@
 mod disk_probe;
 #[path = "stand/load.rs"]
 mod load;
-#[allow(dead_code)] // Each test uses a part of what a process can do.
+#[allow(dead_code)] // Each test uses only some of the functions.
 #[path = "stand/proc.rs"]
 mod proc;
-#[allow(dead_code)] // Each test uses a part of the stand-ins.
+#[allow(dead_code)] // Each test uses only some of the fakes.
 mod stand;
 use builds::Build;
-use changes::{assert_in_force, watch, Operator, Sighting, MARGIN};
-use deployment::{Departure, Deployment, Net, Role, CONTROLLERS, CONVERGE_MS, ROUTERS, ZONES};
+use changes::{assert_in_force, watch, Activation, Operator, CONVERGENCE_MARGIN};
+use deployment::{Deployment, Net, Role, Shutdown, CONTROLLERS, CONVERGE_MS, ROUTERS, ZONES};
 use disk_probe::DiskProbe;
 use load::{await_answers, Load, Outcome, Record};
 use std::cmp::Reverse;
@@ -50,41 +50,42 @@
 use std::time::{Duration, Instant};
 
 const NET: Net = Net(86);
-/// A stream of four events takes four times this, so that streams are under way whenever a router leaves.
+/// Delay before each event. A stream has four, so that some are in flight whenever a router shuts down.
 const EVENT_PAUSE_MS: u64 = 60;
-/// So many changes are acknowledged between one replacement and the next.
-const CHANGES_BETWEEN: usize = 5;
-const PROGRESS_LIMIT: Duration = Duration::from_secs(30);
-/// The share of requests of a tenant with a limit that may be refused outside the loss of power: twice the worst of the
-/// control runs, in which both builds were the same (0.7 to 3.1 of a hundred). A controller that has just started tells
-/// its routers that it alone holds tokens until it has heard of the others, so that they find none meanwhile. Once that
-/// is mended, this is 0.
-const MOST_REFUSED_LIMITED: f64 = 0.06;
-/// Only so long after SIGTERM at a controller may that be: its end, its start, and a beat of the others. In the control
-/// runs it was over after 680 ms.
-const REFUSED_AFTER_CONTROLLER: Duration = Duration::from_millis(1500);
-/// From the loss of power until each router answers again.
-const LONGEST_OUTAGE: Duration = Duration::from_secs(5);
+/// Number of changes acknowledged between two replacements.
+const CHANGES_PER_STEP: usize = 5;
+/// Timeout until these changes are acknowledged.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum share of refused requests of tenants with a limit, outside the power failure: twice the worst of the control
+/// runs, in which both builds were the same (0.7% to 3.1%). A controller that has just started tells its routers that
+/// it is the only holder of tokens until it has heard of the others, so routers get none meanwhile. Once that is fixed,
+/// the bound is 0.
+const MAX_REFUSED_SHARE_LIMITED: f64 = 0.06;
+/// Time after SIGTERM at a controller in which requests may be refused: its exit, its start, and a heartbeat of the
+/// others. In the control runs it ended after 680 ms.
+const CONTROLLER_RESTART_WINDOW: Duration = Duration::from_millis(1500);
+/// Maximum time from the power failure until each router answers again.
+const MAX_OUTAGE: Duration = Duration::from_secs(5);
 
-/// The operator at work on a thread of its own.
-struct Session {
+/// The operator, running on its own thread.
+struct OperatorThread {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-impl Session {
-    fn start(operator: &Arc<Operator>) -> Session {
+impl OperatorThread {
+    fn start(operator: &Arc<Operator>) -> OperatorThread {
         let stop = Arc::new(AtomicBool::new(false));
-        let (operator, told) = (operator.clone(), stop.clone());
-        Session { stop, thread: thread::spawn(move || operator.run(&told)) }
+        let (operator, stop_requested) = (operator.clone(), stop.clone());
+        OperatorThread { stop, thread: thread::spawn(move || operator.run(&stop_requested)) }
     }
 
-    /// Waits until some more changes are acknowledged.
-    fn progress(&self, operator: &Operator) {
-        let (begun, from) = (Instant::now(), operator.acknowledged().len());
-        while operator.acknowledged().len() < from + CHANGES_BETWEEN {
-            assert!(!self.thread.is_finished(), "the operator gave up");
-            assert!(begun.elapsed() < PROGRESS_LIMIT, "changes are not acknowledged any more");
+    /// Waits until `CHANGES_PER_STEP` more changes are acknowledged.
+    fn await_changes(&self, operator: &Operator) {
+        let (started, from) = (Instant::now(), operator.acknowledged().len());
+        while operator.acknowledged().len() < from + CHANGES_PER_STEP {
+            assert!(!self.thread.is_finished(), "the operator thread ended early");
+            assert!(started.elapsed() < PROGRESS_TIMEOUT, "changes are no longer acknowledged");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -95,10 +96,10 @@
     }
 }
 
-/// Clients that look when changes are in force, one a router.
+/// Clients that observe when changes are in force, one per router.
 struct Watchers {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Sighting>>>,
+    threads: Vec<JoinHandle<Vec<Activation>>>,
 }
 
 impl Watchers {
@@ -111,18 +112,18 @@
         Watchers { threads: threads.collect(), stop }
     }
 
-    fn finish(self) -> Vec<Sighting> {
+    fn finish(self) -> Vec<Activation> {
         self.stop.store(true, Ordering::Relaxed);
-        self.threads.into_iter().flat_map(|thread| thread.join().expect("a watcher")).collect()
+        self.threads.into_iter().flat_map(|thread| thread.join().expect("the watcher did not panic")).collect()
     }
 }
 
-/// What was seen in a run.
+/// The measurements of a run.
 struct Figures {
     records: Vec<Record>,
-    sightings: Vec<Sighting>,
-    departures: Vec<Departure>,
-    /// From the loss of power until each router answered again.
+    activations: Vec<Activation>,
+    shutdowns: Vec<Shutdown>,
+    /// Start and end of the outage: from the power failure until each router answered again.
     outage: (Instant, Instant),
     longest_sync: Duration,
 }
@@ -132,7 +133,7 @@
         record.sent <= self.outage.1 && record.ended >= self.outage.0
     }
 
-    /// Requests that no loss of power touched.
+    /// Requests that do not overlap the outage.
     fn outside_outage(&self) -> impl Iterator<Item = &Record> {
         self.records.iter().filter(|record| !self.overlaps_outage(record))
     }
@@ -141,82 +142,89 @@
         self.outside_outage().filter(|record| record.outcome == outcome).count()
     }
 
-    /// Refused requests of tenants with or without a limit, and all of theirs.
+    /// Counts the refused requests and all requests of tenants with or without a limit.
     fn refused(&self, limited: bool) -> (usize, usize) {
         let own = || self.outside_outage().filter(|record| record.kind.limited == limited);
         (own().filter(|record| record.outcome == Outcome::Refused).count(), own().count())
     }
 
-    /// The refused requests, each with the SIGTERM before it.
+    /// Describes the refused requests, each with the preceding SIGTERM.
     fn refusals(&self) -> Vec<String> {
         let refused = self.outside_outage().filter(|record| record.outcome == Outcome::Refused);
-        refused.map(|record| format!("{record:?}, {}", self.step_before(record.sent))).collect()
+        refused.map(|record| format!("{record:?}, {}", self.last_shutdown_before(record.sent))).collect()
     }
 
-    /// The last daemon that was told to end, and how long before.
-    fn step_before(&self, time: Instant) -> String {
-        let before = self.departures.iter().rfind(|gone| gone.told <= time);
-        let words =
-            |gone: &Departure| format!("{} ms after SIGTERM at {:?}", (time - gone.told).as_millis(), gone.role);
+    /// Describes the last SIGTERM before a time, and how long before it was.
+    fn last_shutdown_before(&self, time: Instant) -> String {
+        let before = self.shutdowns.iter().rfind(|shutdown| shutdown.signaled_at <= time);
+        let words = |shutdown: &Shutdown| {
+            format!("{} ms after SIGTERM at {:?}", (time - shutdown.signaled_at).as_millis(), shutdown.role)
+        };
         before.map_or("before any SIGTERM".to_string(), words)
     }
 
-    /// Requests at a leaving router: those under way when it was told to end, and those sent to it afterwards.
+    /// Counts the requests at routers that shut down: those in flight at SIGTERM, and those sent after it.
     fn at_leaving_routers(&self) -> (usize, usize) {
-        let of = |test: fn(&Record, &Departure) -> bool| {
+        let of = |test: fn(&Record, &Shutdown) -> bool| {
             let hit = |record: &&Record| {
-                let own = |gone: &&Departure| gone.role == Role::Router(record.router);
-                self.departures.iter().filter(own).any(|gone| test(record, gone))
+                let own = |shutdown: &&Shutdown| shutdown.role == Role::Router(record.router);
+                self.shutdowns.iter().filter(own).any(|shutdown| test(record, shutdown))
             };
             self.records.iter().filter(hit).count()
         };
-        let under_way = of(|record, gone| record.sent < gone.told && record.ended > gone.told);
-        (under_way, of(|record, gone| record.sent >= gone.told && record.sent <= gone.ended))
+        let under_way =
+            of(|record, shutdown| record.sent < shutdown.signaled_at && record.ended > shutdown.signaled_at);
+        (under_way, of(|record, shutdown| record.sent >= shutdown.signaled_at && record.sent <= shutdown.exited_at))
     }
 
-    /// Sightings, the slowest first.
-    fn slowest(&self) -> Vec<Sighting> {
-        let mut list = self.sightings.clone();
-        list.sort_by_key(|sighting| Reverse(sighting.took));
+    /// Returns the activations, slowest first.
+    fn slowest(&self) -> Vec<Activation> {
+        let mut list = self.activations.clone();
+        list.sort_by_key(|activation| Reverse(activation.elapsed));
         list
     }
 }
 
-fn engines() -> Arc<stand::World> {
-    let world = Arc::new(stand::World::default());
-    world.event_pause_ms.store(EVENT_PAUSE_MS, Ordering::Relaxed);
-    stand::platform(world.clone(), &NET.platform());
+fn start_engines() -> Arc<stand::FakeCluster> {
+    let cluster = Arc::new(stand::FakeCluster::default());
+    cluster.event_pause_ms.store(EVENT_PAUSE_MS, Ordering::Relaxed);
+    stand::start_platform(cluster.clone(), &NET.platform());
     for at in 0..2 * ZONES.len() {
         let phase = if at < ZONES.len() { "prefill" } else { "decode" };
         let id: &'static str = Box::leak(format!("i-{at}").into_boxed_str());
         let addr: &'static str = Box::leak(NET.engine(at).into_boxed_str());
-        stand::engine_in(world.clone(), id, addr, phase, ZONES[at % ZONES.len()]);
+        stand::start_engine_in_zone(cluster.clone(), id, addr, phase, ZONES[at % ZONES.len()]);
     }
-    world
+    cluster
 }
 
-/// Replaces all daemons by the present build, and one controller by the earlier one again.
-fn exchange(deployment: &mut Deployment, operator: &Arc<Operator>, earlier: &Build, present: &Build) -> Vec<Departure> {
-    let session = Session::start(operator);
-    session.progress(operator);
+/// Replaces all daemons by the present build, then one controller by the earlier build again.
+fn replace_daemons(
+    deployment: &mut Deployment,
+    operator: &Arc<Operator>,
+    earlier: &Build,
+    present: &Build,
+) -> Vec<Shutdown> {
+    let operator_thread = OperatorThread::start(operator);
+    operator_thread.await_changes(operator);
     let controllers = (0..CONTROLLERS).map(Role::Controller);
     let upgrades = controllers.chain((0..ROUTERS).map(Role::Router)).map(|role| (role, present));
     let steps: Vec<_> = upgrades.chain([(Role::Controller(1), earlier)]).collect();
-    let mut departures = Vec::new();
+    let mut shutdowns = Vec::new();
     for (role, build) in steps {
-        departures.push(deployment.replace(role, build));
-        session.progress(operator);
+        shutdowns.push(deployment.replace(role, build));
+        operator_thread.await_changes(operator);
     }
-    // The power goes right after an acknowledgement.
-    session.finish();
-    departures
+    // The power fails right after an acknowledgement.
+    operator_thread.finish();
+    shutdowns
 }
 
 #[test]
 #[ignore = "needs an earlier build: TIDEPOINT_EARLIER_BUILD names its folder"]
 fn daemons_of_two_builds_serve_one_deployment() {
     let (earlier, present) = (Build::earlier(), Build::present());
-    let world = engines();
+    let cluster = start_engines();
     let mut deployment = Deployment::start(NET, &earlier);
     let operator = Arc::new(Operator::start(NET));
     deployment.await_all();
@@ -224,64 +232,65 @@
     println!("logs and disks                       {}", deployment.folder().display());
     let probe = DiskProbe::start(deployment.folder().join("probe"));
     let (load, watchers) = (Load::start(NET), Watchers::start(&operator, &deployment));
-    let departures = exchange(&mut deployment, &operator, &earlier, &present);
-    let lost = deployment.lose_power(&present);
+    let shutdowns = replace_daemons(&mut deployment, &operator, &earlier, &present);
+    let power_failed_at = deployment.fail_power(&present);
     await_answers(NET);
-    let outage = (lost, Instant::now());
+    let outage = (power_failed_at, Instant::now());
     operator.compare_everywhere();
-    let session = Session::start(&operator);
-    session.progress(&operator);
-    session.finish();
-    let sightings = watchers.finish();
+    let operator_thread = OperatorThread::start(&operator);
+    operator_thread.await_changes(&operator);
+    operator_thread.finish();
+    let activations = watchers.finish();
     let (records, longest_sync) = (load.finish(), probe.finish());
-    let figures = Figures { records, sightings, departures, outage, longest_sync };
-    tell(&figures, &operator);
+    let figures = Figures { records, activations, shutdowns, outage, longest_sync };
+    print_figures(&figures, &operator);
     (0..ROUTERS).for_each(|router| assert_in_force(&operator, router));
     operator.compare_everywhere();
-    deployment.assert_all_run();
+    deployment.assert_all_running();
     assert_requests(&figures);
     assert_refusals(&figures);
-    assert_one_run_each(&figures, &world);
+    assert_one_run_each(&figures, &cluster);
     assert_convergence(&figures, &operator);
-    deployment.clear();
+    deployment.remove_files();
 }
 
-/// Nothing is answered wrongly at any time. Outside the loss of power no request is lost, also at leaving routers,
-/// which finish what they took: the load balancer notices in time that they are not ready.
+/// No response is ever wrong, and outside the power failure no request is lost. Routers that shut down finish the
+/// requests that they accepted, and the load balancer notices in time that they are not ready.
 fn assert_requests(figures: &Figures) {
     let wrong = |record: &&Record| matches!(record.outcome, Outcome::WrongBody | Outcome::Unknown);
     let wrong: Vec<_> = figures.records.iter().filter(wrong).collect();
-    assert!(wrong.is_empty(), "wrong body, or a configured route or key unknown: {wrong:?}");
+    assert!(wrong.is_empty(), "wrong body, or a configured route or key rejected as unknown: {wrong:?}");
     let broken = |record: &&Record| matches!(record.outcome, Outcome::Lost | Outcome::OtherStatus);
     let broken: Vec<_> = figures.outside_outage().filter(broken).collect();
     assert!(broken.is_empty(), "neither answered nor refused: {broken:?}");
-    assert!(figures.outage.1 - figures.outage.0 < LONGEST_OUTAGE, "the outage was too long");
+    assert!(figures.outage.1 - figures.outage.0 < MAX_OUTAGE, "the outage was too long");
     let (_, since) = figures.at_leaving_routers();
-    assert!(since > 0, "no request came to a leaving router: the run shows nothing of it");
+    assert!(since > 0, "no request reached a router after its SIGTERM, so the run does not cover that case");
     let later = figures.records.iter().filter(|record| record.sent > figures.outage.1);
-    assert!(later.count() > 0, "no request came after the loss of power");
+    assert!(later.count() > 0, "no request was sent after the power failure");
 }
 
-/// A tenant without a limit is never refused, one with a limit seldom and only where a controller starts again.
+/// Tenants without a limit are never refused; those with a limit rarely, and only while a controller restarts.
 fn assert_refusals(figures: &Figures) {
     let (refused, _) = figures.refused(false);
     assert_eq!(refused, 0, "refused without a limit: {:#?}", figures.refusals());
     let (refused, all) = figures.refused(true);
     let share = refused as f64 / all as f64;
-    assert!(share <= MOST_REFUSED_LIMITED, "refused with a limit: {refused} of {all}, {:#?}", figures.refusals());
+    assert!(share <= MAX_REFUSED_SHARE_LIMITED, "refused with a limit: {refused} of {all}, {:#?}", figures.refusals());
     let explained = |record: &Record| {
-        let controllers = figures.departures.iter().filter(|gone| matches!(gone.role, Role::Controller(_)));
-        let mut windows = controllers.map(|gone| gone.told..gone.told + REFUSED_AFTER_CONTROLLER);
+        let controllers = figures.shutdowns.iter().filter(|shutdown| matches!(shutdown.role, Role::Controller(_)));
+        let mut windows =
+            controllers.map(|shutdown| shutdown.signaled_at..shutdown.signaled_at + CONTROLLER_RESTART_WINDOW);
         windows.any(|window| window.contains(&record.sent))
     };
     let mut refused = figures.outside_outage().filter(|record| record.outcome == Outcome::Refused);
-    assert!(refused.all(explained), "refused without a reason: {:#?}", figures.refusals());
+    assert!(refused.all(explained), "refused outside the restart of a controller: {:#?}", figures.refusals());
 }
 
-/// Engines never fail here, so that each answered stream was made by one run, and no refused request ran.
-fn assert_one_run_each(figures: &Figures, world: &stand::World) {
+/// Engines never fail here, so each answered request ran exactly once and no refused request ran.
+fn assert_one_run_each(figures: &Figures, cluster: &stand::FakeCluster) {
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for seen in world.seen.lock().expect("seen").iter().filter(|seen| seen.stage == "make") {
+    for seen in cluster.seen.lock().expect("seen").iter().filter(|seen| seen.stage == "decode") {
         *runs.entry(seen.attempt.clone()).or_default() += 1;
     }
     for record in figures.outside_outage() {
@@ -291,22 +300,22 @@
     }
 }
 
-/// Each acknowledged change came to each router in time.
+/// Each acknowledged change was in force at each router in time.
 fn assert_convergence(figures: &Figures, operator: &Operator) {
-    assert_eq!(figures.sightings.len(), operator.acknowledged().len() * ROUTERS);
-    let limit = Duration::from_millis(CONVERGE_MS) + MARGIN;
-    let late: Vec<_> = figures.sightings.iter().filter(|sighting| sighting.took > limit).collect();
+    assert_eq!(figures.activations.len(), operator.acknowledged().len() * ROUTERS);
+    let limit = Duration::from_millis(CONVERGE_MS) + CONVERGENCE_MARGIN;
+    let late: Vec<_> = figures.activations.iter().filter(|activation| activation.elapsed > limit).collect();
     assert!(late.is_empty(), "in force too late: {late:?}");
 }
 
-fn tell(figures: &Figures, operator: &Operator) {
+fn print_figures(figures: &Figures, operator: &Operator) {
     let changes = operator.acknowledged();
     let (under_way, since) = figures.at_leaving_routers();
     let outside = figures.outside_outage().count();
     let during = figures.records.len() - outside;
     let streaming = figures.outside_outage().filter(|record| record.kind.streaming).count();
-    let slowest = changes.iter().max_by_key(|change| change.took).expect("changes were made");
-    println!("requests outside the loss of power   {outside}, {streaming} of them streaming");
+    let slowest = changes.iter().max_by_key(|change| change.elapsed).expect("changes were made");
+    println!("requests outside the power failure   {outside}, {streaming} of them streaming");
     for outcome in [Outcome::Answered, Outcome::Lost, Outcome::OtherStatus] {
         println!("  {:34} {}", format!("{outcome:?}"), figures.count(outcome));
     }
@@ -314,19 +323,23 @@
     println!("  Refused of all, with a limit       {:?}", figures.refused(true));
     let all = |outcome| figures.records.iter().filter(|record| record.outcome == outcome).count();
     println!("wrong body, route or key unknown     {}, {}", all(Outcome::WrongBody), all(Outcome::Unknown));
-    println!("at leaving routers: under way, later {under_way}, {since}");
-    println!("requests during the loss of power    {during}");
-    println!("changes acknowledged, read-backs     {}, {}", changes.len(), operator.compared());
-    let words = figures.step_before(slowest.at - slowest.took);
-    println!("slowest acknowledgement              {} ms, sent {words}", slowest.took.as_millis());
-    println!("  unclear before that                {:?}", slowest.unclear);
-    for sighting in figures.slowest().iter().take(3) {
-        let words = figures.step_before(sighting.seen - sighting.took);
-        println!("slow convergence                     {sighting:?}, from {words}");
+    println!("at SIGTERM: in flight, sent later    {under_way}, {since}");
+    println!("requests during the power failure    {during}");
+    println!("changes acknowledged, read-backs     {}, {}", changes.len(), operator.comparisons());
+    let words = figures.last_shutdown_before(slowest.acknowledged_at - slowest.elapsed);
+    println!("slowest acknowledgement              {} ms, sent {words}", slowest.elapsed.as_millis());
+    println!("  unclear calls before that          {:?}", slowest.unclear_calls);
+    for activation in figures.slowest().iter().take(3) {
+        let words = figures.last_shutdown_before(activation.seen_at - activation.elapsed);
+        println!("slow convergence                     {activation:?}, from {words}");
     }
-    println!("power lost until all is answered     {} ms", (figures.outage.1 - figures.outage.0).as_millis());
+    println!("power failure until all answer       {} ms", (figures.outage.1 - figures.outage.0).as_millis());
     println!("longest sync of the disk             {} ms", figures.longest_sync.as_millis());
-    for gone in &figures.departures {
-        println!("  {:34} ended {} ms after SIGTERM", format!("{:?}", gone.role), (gone.ended - gone.told).as_millis());
+    for shutdown in &figures.shutdowns {
+        println!(
+            "  {:34} exited {} ms after SIGTERM",
+            format!("{:?}", shutdown.role),
+            (shutdown.exited_at - shutdown.signaled_at).as_millis()
+        );
     }
 }
--- a/tidepoint/tests/stand/builds.rs
+++ b/tidepoint/tests/stand/builds.rs
@@ -1,14 +1,14 @@
-//! Folders with built programs: those of an earlier build and those of the present one.
+//! Locates the programs of the earlier and the present build.
 use std::env;
 use std::path::{Path, PathBuf};
 
-/// Names the folder of the earlier build.
-const EARLIER: &str = "TIDEPOINT_EARLIER_BUILD";
-/// Names the folder of the present build; the folder beside the test if it is not set.
-const PRESENT: &str = "TIDEPOINT_PRESENT_BUILD";
-/// Names of the control-plane program, the newest first.
-const CONTROLLERS: [&str; 2] = ["controller", "keeper"];
-const ROUTER: &str = "router";
+/// Environment variable with the folder of the earlier build.
+const EARLIER_BUILD_VAR: &str = "TIDEPOINT_EARLIER_BUILD";
+/// Environment variable with the folder of the present build. Default: the folder of the test's own profile.
+const PRESENT_BUILD_VAR: &str = "TIDEPOINT_PRESENT_BUILD";
+/// Names of the control-plane program over time, newest first.
+const CONTROLLER_PROGRAMS: [&str; 2] = ["controller", "keeper"];
+const ROUTER_PROGRAM: &str = "router";
 
 /// The programs of one build.
 #[derive(Clone, Debug)]
@@ -19,28 +19,29 @@
 
 impl Build {
     pub fn earlier() -> Build {
-        let folder = env::var_os(EARLIER).unwrap_or_else(|| panic!("{EARLIER} is to name a folder of programs"));
+        let folder = env::var_os(EARLIER_BUILD_VAR)
+            .unwrap_or_else(|| panic!("{EARLIER_BUILD_VAR} must name the folder of the earlier build"));
         Build::in_folder(Path::new(&folder))
     }
 
     pub fn present() -> Build {
-        match env::var_os(PRESENT) {
+        match env::var_os(PRESENT_BUILD_VAR) {
             Some(folder) => Build::in_folder(Path::new(&folder)),
-            None => Build::in_folder(&beside_the_test()),
+            None => Build::in_folder(&test_profile_folder()),
         }
     }
 
     fn in_folder(folder: &Path) -> Build {
-        let found = CONTROLLERS.iter().map(|name| folder.join(name)).find(|path| path.is_file());
-        let controller = found.unwrap_or_else(|| panic!("{}: none of {CONTROLLERS:?} is there", folder.display()));
-        let router = folder.join(ROUTER);
-        assert!(router.is_file(), "{}: {ROUTER} is not there", folder.display());
+        let found = CONTROLLER_PROGRAMS.iter().map(|name| folder.join(name)).find(|path| path.is_file());
+        let controller = found.unwrap_or_else(|| panic!("{}: none of {CONTROLLER_PROGRAMS:?} found", folder.display()));
+        let router = folder.join(ROUTER_PROGRAM);
+        assert!(router.is_file(), "{}: {ROUTER_PROGRAM} not found", folder.display());
         Build { controller, router }
     }
 }
 
-/// The folder in which cargo puts programs of the profile with which the test was built.
-fn beside_the_test() -> PathBuf {
-    let own = env::current_exe().expect("a path");
-    own.ancestors().nth(2).expect("the folder of programs").to_path_buf()
+/// Returns the folder in which cargo puts the programs of the profile that the test was built with.
+fn test_profile_folder() -> PathBuf {
+    let own = env::current_exe().expect("the path of the test program");
+    own.ancestors().nth(2).expect("a folder above `deps`").to_path_buf()
 }
--- a/tidepoint/tests/stand/deployment.rs
+++ b/tidepoint/tests/stand/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of three controllers with disks and two routers, each a process whose build can be exchanged.
+//! A deployment of three controllers with disks and two routers. Each is a process whose build can be replaced.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
@@ -9,20 +9,23 @@
 
 use crate::builds::Build;
 use crate::proc::Child;
-use crate::stand::{self, Head};
+use crate::stand::{self, HttpMessage};
 
 pub const CONTROLLERS: usize = 3;
 pub const ROUTERS: usize = 2;
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Both are written into the settings of each daemon.
+/// The setting `converge_ms` of each daemon.
 pub const CONVERGE_MS: u64 = 2000;
+/// Grace period for shutdown, the setting `grace_s` of each daemon, in seconds.
 pub const GRACE_S: u64 = 8;
-/// What the end of a process may take beyond its grace.
-const END_MARGIN: Duration = Duration::from_secs(1);
-const POLL: Duration = Duration::from_millis(20);
-const START_LIMIT: Duration = Duration::from_secs(20);
-
-/// Addresses of a deployment, all in one network of the loopback interface.
+/// Allowance for the exit of a process beyond its grace period.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+/// Interval between two checks whether a daemon is in service.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout until a started daemon is in service.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Addresses of a deployment, all in the loopback network `127.0.N.0/24` with this N.
 #[derive(Clone, Copy, Debug)]
 pub struct Net(pub u8);
 
@@ -71,14 +74,14 @@
     }
 }
 
-/// Is a router in service, and since when? It is out from its SIGTERM until it is ready again.
+/// Whether a router is in service, and since when. It is out of service from SIGTERM until it is ready again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     Out,
     In(Instant),
 }
 
-/// Which routers are in service.
+/// The service state of each router.
 pub struct Services([Mutex<Service>; ROUTERS]);
 
 impl Services {
@@ -93,49 +96,49 @@
     }
 }
 
-/// A daemon that was told to end, and when it had.
+/// The shutdown of a daemon: when it got SIGTERM and when it exited.
 #[derive(Clone, Copy, Debug)]
-pub struct Departure {
+pub struct Shutdown {
     pub role: Role,
-    pub told: Instant,
-    pub ended: Instant,
+    pub signaled_at: Instant,
+    pub exited_at: Instant,
 }
 
-/// Invariant: `slots` holds the controllers in order and then the routers.
+/// A running deployment. Invariant: `daemons` holds the controllers in order, then the routers.
 pub struct Deployment {
     pub net: Net,
     dir: PathBuf,
-    slots: Vec<(Role, Child)>,
+    daemons: Vec<(Role, Child)>,
     pub services: Arc<Services>,
 }
 
 impl Deployment {
-    /// Starts all daemons of one build on empty disks.
+    /// Starts all daemons from one build on empty disks.
     pub fn start(net: Net, build: &Build) -> Deployment {
         let dir = env::temp_dir().join(format!("tidepoint-mixed-{}-{}", net.0, process::id()));
         let _ = fs::remove_dir_all(&dir);
-        fs::create_dir_all(&dir).expect("a folder");
-        let slots = roles().map(|role| (role, launch(net, &dir, role, build))).collect();
+        fs::create_dir_all(&dir).expect("the folder is created");
+        let daemons = roles().map(|role| (role, launch(net, &dir, role, build))).collect();
         let services = Arc::new(Services(array::from_fn(|_| Mutex::new(Service::Out))));
-        Deployment { net, dir, slots, services }
+        Deployment { net, dir, daemons, services }
     }
 
-    /// Where settings, logs and disks of the daemons lie.
+    /// Returns the folder with the settings, logs and disks of the daemons.
     pub fn folder(&self) -> &Path {
         &self.dir
     }
 
-    /// Waits until a daemon answers as one that is in service.
+    /// Waits until a daemon is in service, and records the time for a router.
     pub fn await_service(&self, role: Role) {
-        let begun = Instant::now();
-        while !self.is_in_service(role) {
-            assert!(begun.elapsed() < START_LIMIT, "{role:?} is not in service, see {}", self.dir.display());
-            thread::sleep(POLL);
+        let started = Instant::now();
+        while !self.answers_as_in_service(role) {
+            assert!(started.elapsed() < START_TIMEOUT, "{role:?} is not in service, see {}", self.dir.display());
+            thread::sleep(POLL_INTERVAL);
         }
         self.services.set(role, Service::In(Instant::now()));
     }
 
-    fn is_in_service(&self, role: Role) -> bool {
+    fn answers_as_in_service(&self, role: Role) -> bool {
         match role {
             Role::Controller(at) => {
                 let control = self.net.control(at);
@@ -151,52 +154,52 @@
     }
 }
 
-/// Daemons stopped and started.
+/// Stopping and restarting daemons.
 impl Deployment {
-    /// Ends one daemon by SIGTERM and starts another build of it with the same settings and the same disk.
-    pub fn replace(&mut self, role: Role, build: &Build) -> Departure {
-        self.assert_all_run();
+    /// Stops one daemon by SIGTERM and starts `build` in its place with the same settings and disk.
+    pub fn replace(&mut self, role: Role, build: &Build) -> Shutdown {
+        self.assert_all_running();
         self.services.set(role, Service::Out);
-        let told = Instant::now();
-        let at = self.slots.iter().position(|slot| slot.0 == role).expect("a daemon of this deployment");
-        let child = &mut self.slots[at].1;
+        let signaled_at = Instant::now();
+        let at = self.daemons.iter().position(|daemon| daemon.0 == role).expect("a daemon of this deployment");
+        let child = &mut self.daemons[at].1;
         child.terminate();
-        let status = child.ended_within(Duration::from_secs(GRACE_S) + END_MARGIN);
-        let status = status.unwrap_or_else(|| panic!("{role:?} runs on beyond its grace"));
-        assert!(status.success(), "{role:?} ended with {status}");
-        let ended = Instant::now();
-        self.slots[at].1 = launch(self.net, &self.dir, role, build);
+        let status = child.wait_exit(Duration::from_secs(GRACE_S) + SHUTDOWN_MARGIN);
+        let status = status.unwrap_or_else(|| panic!("{role:?} still runs after its grace period"));
+        assert!(status.success(), "{role:?} exited with {status}");
+        let exited_at = Instant::now();
+        self.daemons[at].1 = launch(self.net, &self.dir, role, build);
         self.await_service(role);
-        Departure { role, told, ended }
+        Shutdown { role, signaled_at, exited_at }
     }
 
-    /// A loss of power: all daemons are killed at once, and then all are started again on their disks. Gives when
-    /// the power went; all daemons are in service again then.
-    pub fn lose_power(&mut self, build: &Build) -> Instant {
-        self.assert_all_run();
-        let lost = Instant::now();
-        self.slots.iter().for_each(|slot| self.services.set(slot.0, Service::Out));
-        self.slots.iter_mut().for_each(|slot| slot.1.kill());
+    /// Simulates a power failure: kills all daemons at once, restarts them on their disks and waits until all are in
+    /// service again. Returns the time of the failure.
+    pub fn fail_power(&mut self, build: &Build) -> Instant {
+        self.assert_all_running();
+        let power_failed_at = Instant::now();
+        self.daemons.iter().for_each(|daemon| self.services.set(daemon.0, Service::Out));
+        self.daemons.iter_mut().for_each(|daemon| daemon.1.kill());
         let limit = Duration::from_secs(5);
-        let ended = self.slots.iter_mut().all(|slot| slot.1.ended_within(limit).is_some());
-        assert!(ended, "a killed process runs on");
-        for slot in &mut self.slots {
-            slot.1 = launch(self.net, &self.dir, slot.0, build);
+        let all_exited = self.daemons.iter_mut().all(|daemon| daemon.1.wait_exit(limit).is_some());
+        assert!(all_exited, "a killed process still runs");
+        for daemon in &mut self.daemons {
+            daemon.1 = launch(self.net, &self.dir, daemon.0, build);
         }
         self.await_all();
-        lost
+        power_failed_at
     }
 
-    /// No daemon ends without being told to.
-    pub fn assert_all_run(&mut self) {
-        for (role, child) in &mut self.slots {
-            assert!(!child.has_ended(), "{role:?} ended by itself, see {}", self.dir.display());
+    /// Asserts that no daemon has exited by itself.
+    pub fn assert_all_running(&mut self) {
+        for (role, child) in &mut self.daemons {
+            assert!(!child.has_exited(), "{role:?} exited by itself, see {}", self.dir.display());
         }
     }
 
-    /// To be called when all went well; else logs and disks are left for a look.
-    pub fn clear(self) {
-        drop(self.slots);
+    /// Kills all daemons and removes logs and disks. Not called after a failure, so that they can be inspected.
+    pub fn remove_files(self) {
+        drop(self.daemons);
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
@@ -210,14 +213,14 @@
     Child::start_logged(role.program(build), &settings, &dir.join(format!("{}.log", role.name())))
 }
 
-/// Writes the settings of a daemon: the same text at each of its starts.
+/// Writes the settings of a daemon, with the same text at each start.
 fn settings(net: Net, dir: &Path, role: Role) -> PathBuf {
     let (name, base) = (role.name(), format!("127.0.{}", net.0));
     let seeds: Vec<String> = (0..CONTROLLERS).map(|at| net.control(at)).collect();
     let (at, ip, binds, data) = match role {
         Role::Controller(at) => {
             let own = dir.join(&name);
-            fs::create_dir_all(&own).expect("a folder");
+            fs::create_dir_all(&own).expect("the folder is created");
             let data = format!("data_dir = {:?}\n", own.display().to_string());
             (at, format!("{base}.{}", at + 1), format!("control_plane = \"{}\"\n", net.control(at)), data)
         }
@@ -237,19 +240,19 @@
         net.platform()
     );
     let path = dir.join(format!("{name}.toml"));
-    fs::write(&path, text).expect("written");
+    fs::write(&path, text).expect("the settings are written");
     path
 }
 
-fn is_settled(head: &Head) -> bool {
+fn is_settled(head: &HttpMessage) -> bool {
     let value: Value = serde_json::from_slice(&head.body).unwrap_or_default();
     value["core_settled"] == true && value["sure"] == true
 }
 
-pub fn get(addr: &str, path: &str) -> Option<Head> {
+pub fn get(addr: &str, path: &str) -> Option<HttpMessage> {
     stand::call(addr, &stand::request("GET", path, "Host: c\r\n", ""))
 }
 
-pub fn status(head: &Head) -> &str {
-    head.first.split(' ').nth(1).unwrap_or("")
+pub fn status(head: &HttpMessage) -> &str {
+    head.start_line.split(' ').nth(1).unwrap_or("")
 }
--- a/tidepoint/tests/stand/proc.rs
+++ b/tidepoint/tests/stand/proc.rs
@@ -1,4 +1,4 @@
-//! A real daemon as a process, and what it costs by its own account of the system.
+//! A real daemon as a child process, with its resource usage as the kernel reports it under `/proc`.
 use std::fs::File;
 use std::path::Path;
 use std::process::{Command, ExitStatus, Stdio};
@@ -7,12 +7,14 @@
 use std::time::{Duration, Instant};
 use std::{fs, process};
 
+/// A child process; it is killed when dropped.
 pub struct Child {
     child: process::Child,
-    from: Mutex<(Instant, Cost)>,
+    /// When measuring started, and the counters at that time.
+    baseline: Mutex<(Instant, Cost)>,
 }
 
-/// Processor ms, bytes written to disk and log, memory held in MB.
+/// CPU time in ms, bytes written to disk and log, and resident memory in MB; totals, or rates per second from `cost`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     cpu_ms: f64,
@@ -21,7 +23,8 @@
 }
 
 impl Cost {
-    pub fn most(self, other: Cost) -> Cost {
+    /// Returns the larger of the two values, field by field.
+    pub fn max(self, other: Cost) -> Cost {
         Cost {
             cpu_ms: self.cpu_ms.max(other.cpu_ms),
             written: self.written.max(other.written),
@@ -29,8 +32,8 @@
         }
     }
 
-    /// A second's worth.
-    pub fn words(&self) -> String {
+    /// Formats rates per second.
+    pub fn describe_rates(&self) -> String {
         format!("{:6.1} ms/s, disk and log {:6.1} KB/s, {:5.1} MB", self.cpu_ms, self.written / 1000.0, self.memory_mb)
     }
 }
@@ -40,10 +43,10 @@
         Child::spawn(program, settings, Stdio::null(), Stdio::null())
     }
 
-    /// Starts a daemon that appends its log and its errors to a file.
+    /// Starts a daemon and appends its standard output and error to a file.
     pub fn start_logged(program: &Path, settings: &Path, log: &Path) -> Child {
-        let file = File::options().create(true).append(true).open(log).expect("a log file");
-        let errors = file.try_clone().expect("a second handle");
+        let file = File::options().create(true).append(true).open(log).expect("the log file opens");
+        let errors = file.try_clone().expect("the log file handle is duplicated");
         Child::spawn(program, settings, file.into(), errors.into())
     }
 
@@ -54,22 +57,22 @@
             .stderr(errors)
             .spawn()
             .unwrap_or_else(|error| panic!("{}: {error}; build the programs first", program.display()));
-        let from = Mutex::new((Instant::now(), Cost::default()));
-        Child { child, from }
+        let baseline = Mutex::new((Instant::now(), Cost::default()));
+        Child { child, baseline }
     }
 
     /// Sends SIGTERM.
     pub fn terminate(&self) {
         let id = self.child.id().to_string();
-        let sent = Command::new("kill").args(["-TERM", &id]).status().expect("the program `kill`");
+        let sent = Command::new("kill").args(["-TERM", &id]).status().expect("the `kill` program runs");
         assert!(sent.success(), "SIGTERM could not be sent to process {id}");
     }
 
-    /// Waits for the end of the process. None: it still runs after `limit`.
-    pub fn ended_within(&mut self, limit: Duration) -> Option<ExitStatus> {
-        let begun = Instant::now();
-        while begun.elapsed() < limit {
-            if let Some(status) = self.child.try_wait().expect("a process of ours") {
+    /// Waits for the process to exit. Returns `None` if it still runs after `limit`.
+    pub fn wait_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
+        let started = Instant::now();
+        while started.elapsed() < limit {
+            if let Some(status) = self.child.try_wait().expect("the process is a child of the test") {
                 return Some(status);
             }
             thread::sleep(Duration::from_millis(10));
@@ -77,43 +80,46 @@
         None
     }
 
-    /// Sends SIGKILL and does not wait.
+    /// Sends SIGKILL without waiting for the exit.
     pub fn kill(&mut self) {
-        self.child.kill().expect("a process of ours");
+        self.child.kill().expect("the process is a child of the test");
     }
 
-    /// Has the process ended by itself?
-    pub fn has_ended(&mut self) -> bool {
-        self.child.try_wait().expect("a process of ours").is_some()
+    /// Returns whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
+        self.child.try_wait().expect("the process is a child of the test").is_some()
     }
 
-    fn field(&self, file: &str, name: &str) -> f64 {
+    /// Reads a numeric field of a file under `/proc`; 0 if it is missing.
+    fn proc_field(&self, file: &str, name: &str) -> f64 {
         let text = fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix(name)).unwrap_or("");
         line.trim_start_matches(':').split_whitespace().next().and_then(|word| word.parse().ok()).unwrap_or(0.0)
     }
 
-    fn now(&self) -> Cost {
+    fn read_cost(&self) -> Cost {
         let text = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let rest = text.rsplit(')').next().unwrap_or("");
-        let tick = |at: usize| rest.split_whitespace().nth(at).and_then(|word| word.parse::<f64>().ok()).unwrap_or(0.0);
+        let ticks =
+            |at: usize| rest.split_whitespace().nth(at).and_then(|word| word.parse::<f64>().ok()).unwrap_or(0.0);
         // User and system time, in hundredths of a second.
-        let cpu_ms = (tick(11) + tick(12)) * 10.0;
-        let written = self.field("io", "wchar");
-        Cost { cpu_ms, written, memory_mb: self.field("status", "VmRSS") / 1000.0 }
+        let cpu_ms = (ticks(11) + ticks(12)) * 10.0;
+        let written = self.proc_field("io", "wchar");
+        Cost { cpu_ms, written, memory_mb: self.proc_field("status", "VmRSS") / 1000.0 }
     }
 
-    /// Counting begins here.
-    pub fn mark(&self) {
-        *self.from.lock().expect("from") = (Instant::now(), self.now());
+    /// Starts the interval that `cost` measures.
+    pub fn start_measuring(&self) {
+        *self.baseline.lock().expect("baseline") = (Instant::now(), self.read_cost());
     }
 
+    /// Returns CPU time and bytes written per second since `start_measuring`, and the current memory.
     pub fn cost(&self) -> Cost {
-        let (from, old) = *self.from.lock().expect("from");
-        let (now, spent) = (self.now(), from.elapsed().as_secs_f64().max(0.001));
+        let (baseline, old) = *self.baseline.lock().expect("baseline");
+        let (now, elapsed_s) = (self.read_cost(), baseline.elapsed().as_secs_f64().max(0.001));
         Cost {
-            cpu_ms: (now.cpu_ms - old.cpu_ms) / spent,
-            written: (now.written - old.written) / spent,
+            cpu_ms: (now.cpu_ms - old.cpu_ms) / elapsed_s,
+            written: (now.written - old.written) / elapsed_s,
             memory_mb: now.memory_mb,
         }
     }
--- a/tidepoint/tests/stand/shape.rs
+++ b/tidepoint/tests/stand/shape.rs
@@ -1,4 +1,4 @@
-//! Engines and routes as the platform and the operator write them.
+//! JSON of engines as the platform lists them, and of routes as operators configure them.
 
 use serde_json::Value;
 
--- a/tidepoint/tests/tallies.rs
+++ b/tidepoint/tests/tallies.rs
@@ -1,4 +1,5 @@
-//! Tallies through real controllers and the command line: one with a disk keeps them, one without sends callers there.
+//! The `tally` command against two real controllers: one with a disk, which stores tallies, and one without, which
+//! redirects callers to the first.
 
 use std::path::Path;
 use std::process::{self, Command, Output};
@@ -13,7 +14,8 @@
 
 const WITH_DISK: &str = "127.0.77.1";
 const WITHOUT_DISK: &str = "127.0.77.2";
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout until the controllers carry out a command.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn control(ip: &str) -> String {
     format!("{ip}:7803")
@@ -30,7 +32,7 @@
         !data.is_empty(),
         control(ip)
     );
-    parse(&text).expect("good settings")
+    parse(&text).expect("valid settings")
 }
 
 fn start(settings: Settings) {
@@ -40,48 +42,48 @@
     });
 }
 
-fn tally(arguments: &[&str], ip: &str) -> Output {
+fn run_tally(arguments: &[&str], ip: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tidepoint"));
     command.arg("tally").args(arguments).args(["--at", &control(ip)]);
-    command.output().expect("the program runs")
+    command.output().expect("the `tidepoint` program runs")
 }
 
-/// Returns what a command printed, once it succeeds.
-fn printed(arguments: &[&str], ip: &str) -> String {
-    let begun = Instant::now();
+/// Repeats a command until it succeeds and returns its output.
+fn run_until_success(arguments: &[&str], ip: &str) -> String {
+    let started = Instant::now();
     loop {
-        let output = tally(arguments, ip);
+        let output = run_tally(arguments, ip);
         if output.status.success() {
             return String::from_utf8_lossy(&output.stdout).trim().to_string();
         }
-        assert!(begun.elapsed() < START_LIMIT, "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
+        assert!(started.elapsed() < START_TIMEOUT, "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
     }
 }
 
 #[test]
-fn adds_count_once_at_either_controller_and_bad_ones_say_why() {
+fn adds_count_once_at_either_controller_and_invalid_ones_are_rejected_with_a_reason() {
     let dir = env::temp_dir().join(format!("tidepoint-tally-{}", process::id()));
     let _ = fs::remove_dir_all(&dir);
     start(settings(WITH_DISK, Some(&dir)));
     start(settings(WITHOUT_DISK, None));
 
-    assert_eq!(printed(&["get", "new"], WITH_DISK), r#"{"total":0}"#);
-    printed(&["add", "jobs", "--key", "a", "--amount", "4"], WITH_DISK);
-    printed(&["add", "jobs", "--key", "a", "--amount", "4"], WITHOUT_DISK);
-    printed(&["add", "jobs", "--key", "b", "--amount", "3"], WITHOUT_DISK);
+    assert_eq!(run_until_success(&["get", "new"], WITH_DISK), r#"{"total":0}"#);
+    run_until_success(&["add", "jobs", "--key", "a", "--amount", "4"], WITH_DISK);
+    run_until_success(&["add", "jobs", "--key", "a", "--amount", "4"], WITHOUT_DISK);
+    run_until_success(&["add", "jobs", "--key", "b", "--amount", "3"], WITHOUT_DISK);
     for ip in [WITH_DISK, WITHOUT_DISK] {
-        assert_eq!(printed(&["get", "jobs"], ip), r#"{"total":7}"#);
-        assert_eq!(printed(&["list"], ip), r#"{"tallies":{"jobs":7}}"#);
+        assert_eq!(run_until_success(&["get", "jobs"], ip), r#"{"total":7}"#);
+        assert_eq!(run_until_success(&["list"], ip), r#"{"tallies":{"jobs":7}}"#);
     }
     for ip in [WITH_DISK, WITHOUT_DISK] {
-        let usage: serde_json::Value = serde_json::from_str(&printed(&["room"], ip)).expect("JSON");
+        let usage: serde_json::Value = serde_json::from_str(&run_until_success(&["room"], ip)).expect("JSON");
         let counts = ["sealed_entries", "unsealed_entries", "tallies", "used_share"].map(|field| usage[field].clone());
         assert_eq!(counts, [json!(0), json!(2), json!(1), json!(0.0)], "{usage}");
     }
-    let refused = tally(&["add", "jobs", "--key", "c", "--amount", "9007199254740992"], WITH_DISK);
+    let refused = run_tally(&["add", "jobs", "--key", "c", "--amount", "9007199254740992"], WITH_DISK);
     assert_eq!(refused.status.code(), Some(2));
     let reason = String::from_utf8_lossy(&refused.stderr).to_string();
     assert!(reason.contains("400") && reason.contains("actor: found 9007199254740992"), "{reason}");
-    assert_eq!(printed(&["get", "jobs"], WITH_DISK), r#"{"total":7}"#);
+    assert_eq!(run_until_success(&["get", "jobs"], WITH_DISK), r#"{"total":7}"#);
     let _ = fs::remove_dir_all(dir);
 }
