--- a/tidepoint/tests/rollout.rs
+++ b/tidepoint/tests/rollout.rs
@@ -114,7 +114,9 @@
     stand::poll_until(&control(0), &put, "the configuration", |head| status(head) == "200");
     for zone in 0..3 {
         let ready = stand::request("GET", "/ready", "Host: r\r\n", "");
-        stand::poll_until(&format!("127.0.{net}.{}:7802", zone + 11), &ready, "a router", |head| status(head) == "200");
+        stand::poll_until(&format!("127.0.{net}.{}:7802", zone + 11), &ready, "the router to be ready", |head| {
+            status(head) == "200"
+        });
     }
     // All engines start with version 3.
     cluster.versions.lock().expect("versions").extend(ENGINES.iter().map(|engine| (engine.0.to_string(), 3)));
@@ -122,7 +124,7 @@
     if has_limit {
         let body = serde_json::json!({"latest": 3, "lag": 0, "routes": ["bound"]}).to_string();
         let put = stand::request("PUT", "/rollouts/s/m", "Host: c\r\nIf-Match: 0\r\n", &body);
-        stand::poll_until(&control(0), &put, "the rule", |head| status(head) == "200");
+        stand::poll_until(&control(0), &put, "the staleness limit", |head| status(head) == "200");
         acknowledgements.push((3, Instant::now()));
     }
     let stop = Arc::new(AtomicBool::new(false));
@@ -268,7 +270,7 @@
     assert!(answered(true) > 100 && answered(false) > 100, "{counts:?}");
     let lost: usize = counts.iter().filter(|((_, status), _)| *status == "none").map(|(_, count)| count).sum();
     assert!(lost <= 2, "lost more than the requests in flight at the killed router: {counts:?}");
-    println!("counts {counts:?}, free runs past the limit {}", run.stale_runs(false));
+    println!("counts {counts:?}, unbound runs past the limit {}", run.stale_runs(false));
 }
 
 #[test]
--- a/tidepoint/tests/tenants.rs
+++ b/tidepoint/tests/tenants.rs
@@ -109,7 +109,7 @@
         [("keyed", "a1", "k1"), ("keyed", "a2", "k2"), ("keyed", "b3", "k3"), ("open", "c4", "")]
     {
         let reply =
-            stand::poll_until(FRONTEND, &request_text(host, attempt, key), "an answer", |head| status(head) == "200");
+            stand::poll_until(FRONTEND, &request_text(host, attempt, key), "a response", |head| status(head) == "200");
         assert_eq!(reply.header("response-seal"), format!("seal-{attempt}"));
     }
 }
@@ -132,14 +132,15 @@
     ];
     let body = serde_json::json!({"window_s": 25, "jobs": jobs}).to_string();
     let submit = stand::request("POST", "/batches", "Host: c\r\nIdempotency-Key: night\r\n", &body);
-    let taken = stand::poll_until(CONTROL, &submit, "the batch to be taken", |head| status(head) == "200");
-    let id = serde_json::from_slice::<Value>(&taken.body).expect("the body is JSON")["batch"].clone();
+    let accepted = stand::poll_until(CONTROL, &submit, "the batch to be accepted", |head| status(head) == "200");
+    let id = serde_json::from_slice::<Value>(&accepted.body).expect("the body is JSON")["batch"].clone();
     let results = format!("/batches/{}/results", id.as_str().expect("the batch has an id"));
-    let ended = |head: &stand::HttpMessage| {
+    let all_receipts_exist = |head: &stand::HttpMessage| {
         let value: Value = serde_json::from_slice(&head.body).unwrap_or_default();
         value["receipts"].as_array().is_some_and(|list| list.len() == 2)
     };
-    let results = stand::poll_until(CONTROL, &stand::request("GET", &results, "Host: c\r\n", ""), "receipts", ended);
+    let results =
+        stand::poll_until(CONTROL, &stand::request("GET", &results, "Host: c\r\n", ""), "receipts", all_receipts_exist);
     let value: Value = serde_json::from_slice(&results.body).expect("the body is JSON");
     let found = |name: &str| value["receipts"].as_array()?.iter().find(|item| item["name"] == name)?["status"].as_u64();
     assert_eq!((found("with"), found("without")), (Some(200), Some(401)), "{value}");
--- a/tidepoint/tests/whole.rs
+++ b/tidepoint/tests/whole.rs
@@ -136,7 +136,7 @@
 
 fn check_kv_transfer(cluster: &stand::FakeCluster) {
     let reply =
-        stand::poll_until(FRONTEND, &request_text("two.example", "a1", ""), "an answer", |head| status(head) == "200");
+        stand::poll_until(FRONTEND, &request_text("two.example", "a1", ""), "a response", |head| status(head) == "200");
     assert_eq!(reply.header("response-seal"), "seal-a1");
     let text = String::from_utf8(reply.body).expect("the body is UTF-8");
     assert_eq!(text.matches("data: hello-").count(), 4);
