--- a/tidepoint/tests/engine_churn.rs
+++ b/tidepoint/tests/engine_churn.rs
@@ -41,9 +41,9 @@
 /// Interval between two generations.
 const GENERATION_INTERVAL: Duration = Duration::from_millis(400);
 /// Subscribers that read their updates.
-const READING_SUBSCRIBERS: usize = 12;
+const READING: usize = 12;
 /// Subscribers that never read.
-const STALLED_SUBSCRIBERS: usize = 40;
+const STALLED: usize = 40;
 /// Interval between two renewals of a subscription, in milliseconds.
 const RENEWAL_MS: u64 = 400;
 
@@ -213,15 +213,14 @@
     wait_until("the first configuration", limit, || submit_config(0, 1));
     let current = Subscriber::new("reader-0".into(), own_protocol_version().term);
     let older = Subscriber::new("older".into(), ENDPOINT_UPDATES - 1);
-    let mut subscribers: Vec<Arc<Subscriber>> = (1..READING_SUBSCRIBERS)
-        .map(|at| Subscriber::new(format!("reader-{at}"), own_protocol_version().term))
-        .collect();
+    let mut subscribers: Vec<Arc<Subscriber>> =
+        (1..READING).map(|at| Subscriber::new(format!("reader-{at}"), own_protocol_version().term)).collect();
     subscribers.extend([current.clone(), older.clone()]);
     for subscriber in &subscribers {
         runtime.spawn(subscriber.clone().run());
     }
     wait_until("the lists", limit, || subscribers.iter().all(|subscriber| subscriber.holds(0)));
-    let stalled: Vec<TcpStream> = (0..STALLED_SUBSCRIBERS).map(connect_stalled).collect();
+    let stalled: Vec<TcpStream> = (0..STALLED).map(connect_stalled).collect();
 
     let received_before = current.received_bytes.load(Ordering::Relaxed);
     let received_before_by_older = older.received_bytes.load(Ordering::Relaxed);
@@ -233,9 +232,7 @@
         acknowledged_ms.push(started.elapsed().as_millis());
         thread::sleep(GENERATION_INTERVAL.saturating_sub(started.elapsed()));
     }
-    let converged_after = wait_until("the last generation at all subscribers", limit, || {
-        subscribers.iter().all(|subscriber| subscriber.holds(GENERATIONS))
-    });
+    let delay = wait_until("the last generation", limit, || subscribers.iter().all(|reader| reader.holds(GENERATIONS)));
     let received = current.received_bytes.load(Ordering::Relaxed) - received_before;
     let received_by_older = older.received_bytes.load(Ordering::Relaxed) - received_before_by_older;
     acknowledged_ms.sort_unstable();
@@ -244,17 +241,11 @@
          of updates, {received_by_older} B of full lists",
         acknowledged_ms[acknowledged_ms.len() / 2],
         acknowledged_ms[acknowledged_ms.len() - 1],
-        converged_after.as_millis()
+        delay.as_millis()
     );
     drop(stalled);
     let _ = fs::remove_dir_all(&dir);
     assert!(received * 10 < received_by_older, "updates are {received} B, full lists {received_by_older} B");
-    assert!(
-        converged_after < Duration::from_millis(3000),
-        "all subscribers learned of a draining engine only after {converged_after:?}"
-    );
-    assert!(
-        acknowledged_ms[acknowledged_ms.len() / 2] < 500,
-        "median time to acknowledge is too long: {acknowledged_ms:?}"
-    );
+    assert!(delay < Duration::from_millis(3000), "the last change arrived only after {delay:?}");
+    assert!(acknowledged_ms[acknowledged_ms.len() / 2] < 500, "the median is too long: {acknowledged_ms:?}");
 }
