--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The control-plane daemon.
+//! The control-plane daemon: parses the command line and runs the controller.
 
 use std::process;
 
@@ -10,9 +10,9 @@
     xflags::xflags! {
         /// Control-plane daemon of tidepoint.
         cmd controller {
-            /// Check the settings, report errors in them, and exit.
+            /// Check the settings, report any errors, and exit.
             optional --check
-            /// Print the version.
+            /// Print the version and exit.
             optional --version
             /// Serve metrics at PORT/PATH instead of the endpoint in the settings.
             optional --metrics endpoint: MetricsEndpoint
