--- a/controller/src/api/batches.rs
+++ b/controller/src/api/batches.rs
@@ -15,7 +15,7 @@
 use crate::api::response::{ApiError, ApiResponse};
 use crate::batches::records;
 use crate::controller::Controller;
-use crate::event::BATCH;
+use crate::event::BATCH_ACCEPTED;
 use crate::replication::committed_state::CommittedState;
 use crate::replication::registers::Decision;
 
@@ -46,7 +46,7 @@
         }
         match commit(controller, &id, &batch).await {
             ApiResponse::Done => {
-                kernel::log_event!(BATCH, "batch" => id.clone(), "jobs" => batch.jobs.len());
+                kernel::log_event!(BATCH_ACCEPTED, "batch" => id.clone(), "jobs" => batch.jobs.len());
                 Ok(ApiResponse::json(&serde_json::json!({ "batch": id, "jobs": batch.jobs.len() })))
             }
             response => Ok(response),
--- a/controller/src/api/operator_requests.rs
+++ b/controller/src/api/operator_requests.rs
@@ -11,7 +11,7 @@
 
 use crate::config::execution;
 use crate::controller::Controller;
-use crate::event::EVACUATION;
+use crate::event::EVACUATION_COMMITTED;
 use crate::replication::committed_state::{EvacuationRecord, CONFIG_KEY, EVACUATION_PREFIX};
 use crate::replication::reconfiguration;
 
@@ -161,7 +161,7 @@
     let result = controller.change(&evacuation_key(zone), timeout_ms, decide).await;
     let response = result.unwrap_or(OperatorResponse::OutcomeUnknown);
     if response == OperatorResponse::Done {
-        kernel::log_event!(EVACUATION, "zone" => zone, "on" => on);
+        kernel::log_event!(EVACUATION_COMMITTED, "zone" => zone, "on" => on);
     }
     response
 }
--- a/controller/src/api/response.rs
+++ b/controller/src/api/response.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::event::{REFUSED, UNCLEAR};
+use crate::event::{REQUEST_OUTCOME_UNKNOWN, REQUEST_REJECTED};
 
 /// The `Retry-After` of a request of unknown outcome, in seconds.
 const OUTCOME_UNKNOWN_RETRY_AFTER_S: &str = "0.3";
@@ -120,7 +120,7 @@
             ApiResponse::Done => json_response(200, b"{}".to_vec()),
             ApiResponse::Json(body) => json_response(200, body),
             ApiResponse::Rejected(error) => {
-                kernel::log_event!(REFUSED, "status" => error.status, "error" => error.message.clone());
+                kernel::log_event!(REQUEST_REJECTED, "status" => error.status, "error" => error.message.clone());
                 error_response(error.status, &error.message)
             }
             ApiResponse::Overloaded { retry_after_ms } => {
@@ -131,7 +131,7 @@
                 with_header(json_response(307, b"{}".to_vec()), LOCATION, &format!("http://{address}{path}"))
             }
             ApiResponse::OutcomeUnknown => {
-                kernel::log_event!(UNCLEAR);
+                kernel::log_event!(REQUEST_OUTCOME_UNKNOWN);
                 let response = error_response(503, "no quorum responded in time");
                 with_header(response, RETRY_AFTER, OUTCOME_UNKNOWN_RETRY_AFTER_S)
             }
--- a/controller/src/batches/job_attempt.rs
+++ b/controller/src/batches/job_attempt.rs
@@ -11,7 +11,7 @@
 use crate::batches::runner::{self, InFlight, JobId, PageChange, SharedInFlight, POLL_INTERVAL_MS};
 use crate::batches::{job_request, records};
 use crate::controller::Controller;
-use crate::event::JOB;
+use crate::event::JOB_FINISHED;
 
 /// Maximum duration of one attempt, in ms, independent of the route's timeout.
 const MAX_ATTEMPT_MS: u64 = 120_000;
@@ -49,7 +49,7 @@
         let outcome = self.send(&batch, job, &router, started).await;
         let state = self.in_flight.lock().record(&self.dispatch, outcome, job.repeatable);
         if state.is_final() {
-            kernel::log_event!(JOB, "batch" => id, "job" => job.name.clone(), "outcome" => state.as_str());
+            kernel::log_event!(JOB_FINISHED, "batch" => id, "job" => job.name.clone(), "outcome" => state.as_str());
         }
         self.write_outcome(&batch, &state).await;
         Some(())
--- a/controller/src/config/execution.rs
+++ b/controller/src/config/execution.rs
@@ -68,7 +68,7 @@
 }
 
 fn log_committed(change: &ConfigChange, revision: u64) {
-    kernel::log_event!(event::CONFIG, "base" => change.base, "revision" => revision);
+    kernel::log_event!(event::CONFIG_COMMITTED, "base" => change.base, "revision" => revision);
 }
 
 fn decide(
--- a/controller/src/event.rs
+++ b/controller/src/event.rs
@@ -1,24 +1,24 @@
-//! The numbered log events of the controller. The catalogue, with the meaning of their fields, is `docs/events.md`; a
-//! test compares the two.
+//! Numbered log events of the controller. `docs/events.md` catalogues them with the meaning of their fields; a test
+//! compares the two.
 
 use kernel::log::Event;
 
-/// A controller process has started.
+/// The controller process has started.
 pub const CONTROLLER_STARTED: Event = Event { code: 101, text: "controller started" };
 /// The data directory cannot be used; the process exits.
 pub const DISK_UNUSABLE: Event = Event { code: 102, text: "data directory unusable" };
 /// A disk operation failed. Writes are retried until they succeed.
 pub const DISK_FAILED: Event = Event { code: 103, text: "disk write failed, retrying" };
 /// A change of the configuration is committed.
-pub const CONFIG: Event = Event { code: 110, text: "configuration committed" };
+pub const CONFIG_COMMITTED: Event = Event { code: 110, text: "configuration committed" };
 /// An evacuation, or its end, is committed.
-pub const EVACUATION: Event = Event { code: 111, text: "evacuation committed" };
+pub const EVACUATION_COMMITTED: Event = Event { code: 111, text: "evacuation committed" };
 /// This controller learned a committed entry.
 pub const ENTRY_LEARNED: Event = Event { code: 112, text: "key learned" };
 /// An operator request was rejected.
-pub const REFUSED: Event = Event { code: 113, text: "operator request rejected" };
+pub const REQUEST_REJECTED: Event = Event { code: 113, text: "operator request rejected" };
 /// The outcome of an operator request is unknown: it may have been executed, or may still be.
-pub const UNCLEAR: Event = Event { code: 114, text: "operator request outcome unknown" };
+pub const REQUEST_OUTCOME_UNKNOWN: Event = Event { code: 114, text: "operator request outcome unknown" };
 /// A committed entry has a format that this version does not support.
 pub const ENTRY_UNREADABLE: Event = Event { code: 115, text: "committed entry cannot be read" };
 /// This controller adopted a newer core membership.
@@ -29,25 +29,25 @@
 pub const VOTING_ENABLED: Event = Event { code: 122, text: "new acceptor may join the core" };
 /// An endpoint list changed.
 pub const ENDPOINT_LIST_CHANGED: Event = Event { code: 130, text: "endpoint list changed" };
-/// A graceful shutdown has begun.
-pub const SHUTDOWN_STARTED: Event = Event { code: 140, text: "shutdown started" };
-/// A graceful shutdown is over; work that is unfinished after the grace period is abandoned.
-pub const SHUTDOWN_FINISHED: Event = Event { code: 141, text: "shutdown finished" };
+/// A graceful shutdown has started.
+pub const SHUTDOWN_STARTED: Event = Event { code: 140, text: "graceful shutdown started" };
+/// A graceful shutdown has finished; work that is unfinished after the grace period is abandoned.
+pub const SHUTDOWN_FINISHED: Event = Event { code: 141, text: "graceful shutdown finished" };
 /// This controller acquired a singleton role.
 pub const ROLE_ACQUIRED: Event = Event { code: 150, text: "singleton role acquired" };
 /// An engine was ordered to switch between prefill and decode.
 pub const PHASE_ORDER: Event = Event { code: 151, text: "engine ordered to switch between prefill and decode" };
 /// A batch was accepted.
-pub const BATCH: Event = Event { code: 160, text: "batch accepted" };
+pub const BATCH_ACCEPTED: Event = Event { code: 160, text: "batch accepted" };
 /// A batch job has a final outcome.
-pub const JOB: Event = Event { code: 161, text: "batch job finished" };
+pub const JOB_FINISHED: Event = Event { code: 161, text: "batch job finished" };
 /// A staleness limit is in force on all routers: none of them can send work past it any more.
-pub const STALENESS_LIMIT_ENFORCED: Event = Event { code: 170, text: "limit on stale weights in force everywhere" };
+pub const STALENESS_LIMIT_ENFORCED: Event = Event { code: 170, text: "staleness limit in force on all routers" };
 /// A router renews its lease without confirming a staleness limit.
 pub const STALENESS_LIMIT_UNCONFIRMED: Event =
-    Event { code: 171, text: "a router renews its lease without confirming a limit" };
+    Event { code: 171, text: "a router renews its lease without confirming a staleness limit" };
 /// The request counts of a metering window are committed.
-pub const USAGE_AGREED: Event = Event { code: 192, text: "usage of a window committed" };
+pub const USAGE_COMMITTED: Event = Event { code: 192, text: "usage of a window committed" };
 /// The platform acknowledged the request counts of a metering window.
 pub const USAGE_ACKNOWLEDGED: Event = Event { code: 193, text: "usage of a window acknowledged" };
 /// The platform did not acknowledge the request counts of a metering window; they are sent again.
--- a/controller/src/metering/exporter.rs
+++ b/controller/src/metering/exporter.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 
 use crate::controller::Controller;
-use crate::event::{USAGE_ACKNOWLEDGED, USAGE_AGREED, USAGE_REFUSED};
+use crate::event::{USAGE_ACKNOWLEDGED, USAGE_COMMITTED, USAGE_REFUSED};
 use crate::metering::completeness::{self, ExpectedController, Reply};
 use crate::metering::platform::{Platform, ReportError, RoleOwner};
 use crate::replication::committed_state::CommittedState;
@@ -125,7 +125,7 @@
             let tenants = counts.len();
             let is_agreed = change(&controller, |state| state.with_agreed(window, counts.clone())).await;
             if is_agreed {
-                log_event!(USAGE_AGREED, "window" => window, "tenants" => tenants, "missing" => collected.missing.controllers,
+                log_event!(USAGE_COMMITTED, "window" => window, "tenants" => tenants, "missing" => collected.missing.controllers,
                     "age_ms" => age_ms);
             }
         }
