--- a/controller/src/metrics.rs
+++ b/controller/src/metrics.rs
@@ -181,47 +181,55 @@
 impl Metrics {
     fn register_operations(&mut self) {
         let registry = &mut self.registry;
-        registry.register("orders", "Operators' calls by what they came to", self.operator_requests.clone());
+        registry.register("orders", "Operator requests by outcome", self.operator_requests.clone());
         let in_flight = self.requests_in_flight.clone();
-        registry.register("orders_under_way", "Operators' calls not answered yet", in_flight);
+        registry.register("orders_under_way", "Operator requests in flight", in_flight);
         let duration = self.request_duration.clone();
-        let help = "Time from the reading of an operator's call to its answer";
+        let help = "Time from reading an operator request to its response";
         registry.register_with_unit("order_duration", help, Unit::Seconds, duration);
-        let help = "Time of a write of records and its sync, with tries again";
+        let help = "Time of a write of records to disk, including its sync and retries";
         registry.register_with_unit("disk_write", help, Unit::Seconds, self.disk_write.clone());
-        registry.register("platform_polls", "Polls of the platform's list", self.platform_polls.clone());
-        let help = "Requests for a token of a tenant's limit";
+        registry.register(
+            "platform_polls",
+            "Polls of the platform's instance list by outcome",
+            self.platform_polls.clone(),
+        );
+        let help = "Requests for a token of a tenant's rate limit by outcome";
         registry.register("quota_answers", help, self.token_responses.clone());
-        registry.register("duties_taken", "Duties taken under a new epoch", self.roles_acquired.clone());
+        registry.register("duties_taken", "Singleton roles acquired under a new epoch", self.roles_acquired.clone());
     }
 
     fn register_state(&mut self) {
         let registry = &mut self.registry;
-        let help = "Version of the configuration known to be committed";
+        let help = "Revision of the configuration known to be committed";
         registry.register("config_revision", help, self.config_revision.clone());
-        let help = "1 while what is known is confirmed by a quorum";
+        let help = "1 while a quorum confirms that the known state is current";
         registry.register("confirmed", help, self.confirmed.clone());
-        let help = "Version of the list of the core's members";
+        let help = "Version of the core membership";
         registry.register("core_version", help, self.core_version.clone());
         registry.register("core_members", "Members of the core", self.core_members.clone());
-        registry.register("core_settled", "1 while the core is not being changed", self.core_stable.clone());
-        registry.register("live_keepers", "Other controllers heard lately", self.live_controllers.clone());
-        let help = "Routers that hold a lease at this controller";
+        registry.register(
+            "core_settled",
+            "1 while no change of the core membership is in progress",
+            self.core_stable.clone(),
+        );
+        registry.register("live_keepers", "Other controllers that are considered live", self.live_controllers.clone());
+        let help = "Routers that hold a subscription lease at this controller";
         registry.register("following_routers", help, self.subscribed_routers.clone());
-        registry.register("batches", "Batches that are kept", self.batches.clone());
-        registry.register("leaving", "1 once SIGTERM came", self.shutting_down.clone());
+        registry.register("batches", "Batches stored", self.batches.clone());
+        registry.register("leaving", "1 after SIGTERM, during the graceful shutdown", self.shutting_down.clone());
     }
 
     fn register_tallies(&mut self) {
         let registry = &mut self.registry;
-        registry.register("tally_adds", "Adds to tallies by what they came to", self.tally_adds.clone());
-        registry.register("tally_entries", "Entries of tallies that are kept here", self.tally_entries.clone());
-        let help = "Entries of tallies that are kept without the texts of their keys";
+        registry.register("tally_adds", "Adds to tallies by outcome", self.tally_adds.clone());
+        registry.register("tally_entries", "Tally entries stored on this replica", self.tally_entries.clone());
+        let help = "Tally entries stored without the texts of their keys";
         registry.register("tally_sealed_entries", help, self.tally_sealed_entries.clone());
-        let help = "What tallies take of what this machine bears: new keys are refused at 1";
+        let help = "Share of the tally capacity of this machine in use; new keys are rejected at 1";
         registry.register("tally_used_share", help, self.tally_used_share.clone());
-        registry.register("tally_replicas", "Other replicas of tallies that are known", self.tally_replicas.clone());
-        let help = "Those of them that answered within the last 0.85 s";
+        registry.register("tally_replicas", "Other known tally replicas", self.tally_replicas.clone());
+        let help = "Other tally replicas that responded within the last 0.85 s";
         registry.register("tally_replicas_in_reach", help, self.tally_replicas_in_reach.clone());
     }
 
--- a/protocol/src/traffic.rs
+++ b/protocol/src/traffic.rs
@@ -58,9 +58,9 @@
     TRAFFIC.bytes.get_or_create(&labels).inc_by(0);
     let help = "Messages exchanged with other daemons";
     registry.register("messages", help, TRAFFIC.messages.clone());
-    let help = "Bytes of messages exchanged with other daemons, with their headers";
+    let help = "Bytes of messages exchanged with other daemons, including headers";
     registry.register("message_bytes", help, TRAFFIC.bytes.clone());
-    let help = "Messages dropped since too much waits for their connection";
+    let help = "Messages dropped because the send queue of their connection was full";
     registry.register("messages_dropped", help, TRAFFIC.dropped.clone());
 }
 
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -208,45 +208,66 @@
     fn register_requests(&mut self) {
         let registry = &mut self.registry;
         let received = self.requests_received.clone();
-        registry.register("requests_received", "Requests whose head was read, by the phase they came in", received);
+        registry.register(
+            "requests_received",
+            "Requests whose head was read, by the router's phase at their arrival",
+            received,
+        );
         let under_way = self.requests_under_way.clone();
-        registry.register("requests_under_way", "Requests not ended yet, by the phase they came in", under_way);
+        registry.register(
+            "requests_under_way",
+            "Requests in flight, by stage and by the router's phase at their arrival",
+            under_way,
+        );
         let ended = self.requests_ended.clone();
-        registry.register("requests_ended", "Requests by how they ended and the phase they came in", ended);
+        registry.register(
+            "requests_ended",
+            "Requests that have ended, by outcome and by the router's phase at their arrival",
+            ended,
+        );
         let duration = self.request_duration.clone();
-        let help = "Time from the head of a request to the end of its answer";
+        let help = "Time from the head of a request to the end of its response";
         registry.register_with_unit("request_duration", help, Unit::Seconds, duration);
         let first_byte = self.first_byte.clone();
-        let help = "Time from the head of a request to the head of its answer";
+        let help = "Time from the head of a request to the head of its response";
         registry.register_with_unit("first_byte", help, Unit::Seconds, first_byte);
         let body_bytes = self.body_bytes.clone();
-        registry.register_with_unit("request_bodies", "Request bodies held", Unit::Bytes, body_bytes);
+        registry.register_with_unit(
+            "request_bodies",
+            "Size of the request bodies held in memory",
+            Unit::Bytes,
+            body_bytes,
+        );
     }
 
     /// Registers the metrics of client connections and of sends to engines.
     fn register_connections(&mut self) {
         let registry = &mut self.registry;
         let accepted = self.connections_accepted.clone();
-        registry.register("connections_accepted", "Clients' connections by the phase they came in", accepted);
-        registry.register("connections_open", "Clients' connections", self.connections_open.clone());
-        registry.register("engine_sends", "Requests sent to engines, by what came of them", self.engine_sends.clone());
+        registry.register(
+            "connections_accepted",
+            "Client connections accepted, by the router's phase at that time",
+            accepted,
+        );
+        registry.register("connections_open", "Open client connections", self.connections_open.clone());
+        registry.register("engine_sends", "Requests sent to engines, by result", self.engine_sends.clone());
         registry.register("engine_connections", "Connections opened to engines", self.engine_connections.clone());
-        let help = "Requests of tenants with a limit";
+        let help = "Quota decisions about requests of tenants with a rate limit";
         registry.register("quota_decisions", help, self.quota_decisions.clone());
         let denied = self.retries_denied.clone();
-        registry.register("retries_denied", "Further sends that the retry budget did not allow", denied);
+        registry.register("retries_denied", "Retries denied by the retry budget", denied);
     }
 
     /// Registers the router state metrics.
     fn register_state(&mut self) {
         let registry = &mut self.registry;
-        registry.register("config_revision", "Version of the configuration in force", self.config_revision.clone());
-        registry.register("ready", "1 while /ready answers 200", self.ready.clone());
+        registry.register("config_revision", "Revision of the configuration in force", self.config_revision.clone());
+        registry.register("ready", "1 while /ready responds with 200", self.ready.clone());
         let failed = self.readiness_checks_failed.clone();
-        registry.register("readiness_checks_failed", "Calls for /ready that were not answered 200", failed);
-        registry.register("engines_known", "Engines in the platform's list", self.engines_known.clone());
+        registry.register("readiness_checks_failed", "Readiness checks that did not get a 200", failed);
+        registry.register("engines_known", "Engines in the endpoint list", self.engines_known.clone());
         registry.register("prefix_lookups", "Prompt prefixes looked up", self.prefix_lookups.clone());
-        registry.register("prefix_hits", "Prompt prefixes whose owner was found", self.prefix_hits.clone());
+        registry.register("prefix_hits", "Prompt prefixes for which an owner was found", self.prefix_hits.clone());
     }
 
     /// Returns the number of requests that arrived in a phase and are in a stage.
