--- a/controller/src/metering/completeness_tests.rs
+++ b/controller/src/metering/completeness_tests.rs
@@ -37,7 +37,7 @@
 }
 
 /// Guards against an incomplete count (soak, seed 401): the owner of the role was started while a zone was partitioned,
-/// had never seen the controller there, and agreed on 52 of 132 requests.
+/// had never seen the controller there, and committed 52 of 132 requests.
 #[test]
 fn a_zone_that_was_partitioned_before_the_start_is_missing() {
     let unseen = (controller("3", None), Reply::None);
--- a/controller/src/metering/exporter.rs
+++ b/controller/src/metering/exporter.rs
@@ -22,7 +22,7 @@
 use crate::replication::committed_state::CommittedState;
 use crate::roles::{self, USAGE};
 
-/// The key of the register that stores the agreed windows.
+/// The key of the register that stores the committed windows.
 pub const EXPORT_KEY: &str = "usage";
 /// Interval at which due windows are checked, in ms.
 const TICK_MS: u64 = 300;
@@ -88,7 +88,7 @@
 }
 
 impl Exporter {
-    /// Commits the counts of due windows and reports the oldest agreed window.
+    /// Commits the counts of due windows and reports the oldest unacknowledged window.
     async fn step(&mut self) {
         let Some(epoch) = self.acting_epoch() else { return };
         if !roles::declare_predecessor_expired(&self.controller, USAGE, epoch).await {
@@ -123,8 +123,8 @@
                 continue;
             }
             let tenants = counts.len();
-            let is_agreed = change(&controller, |state| state.with_agreed(window, counts.clone())).await;
-            if is_agreed {
+            let is_committed = change(&controller, |state| state.with_committed(window, counts.clone())).await;
+            if is_committed {
                 log_event!(USAGE_COMMITTED, "window" => window, "tenants" => tenants, "missing" => collected.missing.controllers,
                     "age_ms" => age_ms);
             }
@@ -133,21 +133,21 @@
         self.empty.retain(|window| *window >= first_collected);
     }
 
-    /// Reports the oldest agreed window to the platform.
+    /// Reports the oldest unacknowledged window to the platform.
     async fn report_oldest(&mut self) {
         let now = clock::now();
         if now < self.backoff.not_before {
             return;
         }
-        let window = self.controller.committed.read(|state| known_state(state)?.next_to_tell().cloned());
+        let window = self.controller.committed.read(|state| known_state(state)?.next_unacknowledged().cloned());
         let Some(window) = window else { return };
-        // Checked again, since the role may have been lost while windows were agreed on.
+        // Checked again, since the role may have been lost while windows were being committed.
         let Some(epoch) = self.acting_epoch() else { return };
         let role_owner = RoleOwner { node: &self.controller.settings.node_name, epoch };
         match self.platform.report(&role_owner, &window).await {
             Ok(()) => {
                 self.backoff = Backoff::default();
-                change(&self.controller, |state| state.with_told(window.window)).await;
+                change(&self.controller, |state| state.with_acknowledged(window.window)).await;
                 log_event!(USAGE_ACKNOWLEDGED, "window" => window.window, "tenants" => window.counts.len(), "epoch" => epoch);
             }
             Err(error) => {
--- a/controller/src/metering/relay_tests.rs
+++ b/controller/src/metering/relay_tests.rs
@@ -8,7 +8,7 @@
 
 // Guards against a window reported with 106 of 122 requests (soak with faults, seed 301, 25 s): a router reported to
 // the owner of the role and stopped, and the owner was killed before another controller had a copy. Four seconds after
-// its restart the owner agreed on the window with `missing=0` in the log.
+// its restart the owner committed the window with `missing=0` in the log.
 #[test]
 fn the_owner_copies_to_the_next_controller() {
     assert_eq!(
--- a/metering/src/export_schedule_tests.rs
+++ b/metering/src/export_schedule_tests.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn committed_and_empty_windows_are_not_due() {
-    let committed = ExportState::default().with_agreed(999, Vec::new()).expect("window 999 is open");
+    let committed = ExportState::default().with_committed(999, Vec::new()).expect("window 999 is open");
     let due_windows = due(&committed, &[998, 996], END + 2500);
     assert_eq!(&due_windows[due_windows.len() - 2..], [995, 997]);
 }
--- a/metering/src/export_state.rs
+++ b/metering/src/export_state.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the state with the counts of a window added, or `None` if the window is not open.
-    pub fn with_agreed(&self, window: WindowId, counts: Vec<TenantCount>) -> Option<ExportState> {
+    pub fn with_committed(&self, window: WindowId, counts: Vec<TenantCount>) -> Option<ExportState> {
         if !self.is_open(window) {
             return None;
         }
@@ -66,7 +66,7 @@
     }
 
     /// Returns the state with a window marked as acknowledged, or `None` if it already is or is not committed.
-    pub fn with_told(&self, window: WindowId) -> Option<ExportState> {
+    pub fn with_acknowledged(&self, window: WindowId) -> Option<ExportState> {
         let position = self.windows.iter().position(|known| known.window == window && !known.told)?;
         let mut next = self.clone();
         next.windows[position] = ExportWindow { window, told: true, counts: Vec::new() };
@@ -83,7 +83,7 @@
     }
 
     /// Returns the oldest committed window that is not acknowledged, which is the next to send to the platform.
-    pub fn next_to_tell(&self) -> Option<&ExportWindow> {
+    pub fn next_unacknowledged(&self) -> Option<&ExportWindow> {
         self.windows.iter().find(|known| !known.told)
     }
 }
--- a/metering/src/export_state_tests.rs
+++ b/metering/src/export_state_tests.rs
@@ -10,12 +10,16 @@
 
 #[test]
 fn a_committed_window_accepts_no_other_counts() {
-    let state = ExportState::default().with_agreed(7, counts(1)).expect("open window");
-    assert_eq!(state.with_agreed(7, counts(2)), None);
-    assert_eq!(state.next_to_tell().expect("committed window").counts, counts(1));
-    let acknowledged = state.with_told(7).expect("committed window");
+    let state = ExportState::default().with_committed(7, counts(1)).expect("open window");
+    assert_eq!(state.with_committed(7, counts(2)), None);
+    assert_eq!(state.next_unacknowledged().expect("committed window").counts, counts(1));
+    let acknowledged = state.with_acknowledged(7).expect("committed window");
     assert_eq!(
-        (acknowledged.with_agreed(7, counts(2)), acknowledged.with_told(7), acknowledged.next_to_tell()),
+        (
+            acknowledged.with_committed(7, counts(2)),
+            acknowledged.with_acknowledged(7),
+            acknowledged.next_unacknowledged()
+        ),
         (None, None, None)
     );
 }
@@ -23,19 +27,26 @@
 #[test]
 fn the_oldest_window_is_sent_first_even_if_committed_last() {
     let state = ExportState::default()
-        .with_agreed(9, counts(1))
+        .with_committed(9, counts(1))
         .expect("open window")
-        .with_agreed(8, counts(2))
+        .with_committed(8, counts(2))
         .expect("open window");
-    assert_eq!(state.next_to_tell().expect("committed window").window, 8);
-    assert_eq!(state.with_told(8).expect("committed window").next_to_tell().expect("committed window").window, 9);
+    assert_eq!(state.next_unacknowledged().expect("committed window").window, 8);
+    assert_eq!(
+        state.with_acknowledged(8).expect("committed window").next_unacknowledged().expect("committed window").window,
+        9
+    );
 }
 
 #[test]
 fn acknowledged_windows_are_removed_and_stay_closed() {
     let mut state = ExportState::default();
     for window in 0..200 {
-        state = state.with_agreed(window, counts(1)).expect("open window").with_told(window).expect("committed window");
+        state = state
+            .with_committed(window, counts(1))
+            .expect("open window")
+            .with_acknowledged(window)
+            .expect("committed window");
     }
     assert_eq!(state.windows.len(), RETAINED_WINDOWS);
     assert!((0..200).all(|window| !state.is_open(window)) && state.is_open(200));
@@ -43,16 +54,20 @@
 
 #[test]
 fn an_unacknowledged_window_is_never_removed() {
-    let mut state = ExportState::default().with_agreed(0, counts(5)).expect("open window");
+    let mut state = ExportState::default().with_committed(0, counts(5)).expect("open window");
     for window in 1..200 {
-        state = state.with_agreed(window, counts(1)).expect("open window").with_told(window).expect("committed window");
+        state = state
+            .with_committed(window, counts(1))
+            .expect("open window")
+            .with_acknowledged(window)
+            .expect("committed window");
     }
-    assert_eq!(state.next_to_tell().expect("unacknowledged window").counts, counts(5));
+    assert_eq!(state.next_unacknowledged().expect("unacknowledged window").counts, counts(5));
 }
 
 #[test]
 fn open_decodes_a_stored_or_empty_body_and_rejects_a_malformed_one() {
-    let state = ExportState::default().with_agreed(7, counts(1)).expect("open window");
+    let state = ExportState::default().with_committed(7, counts(1)).expect("open window");
     assert_eq!(ExportState::open(&state.to_bytes()), Some(state));
     assert_eq!(ExportState::open(&[]), Some(ExportState::default()));
     assert_eq!(ExportState::open(&[1; 5]), None);
