--- a/protocol/src/config/document_tests.rs
+++ b/protocol/src/config/document_tests.rs
@@ -17,9 +17,8 @@
 
 #[test]
 fn an_invalid_configuration_is_rejected_with_the_item_named() {
-    assert!(
-        rejected(|value| value["route_table"][1]["service"] = "gone".into()).contains("`r-2`: unknown service `gone`")
-    );
+    assert!(rejected(|value| value["route_table"][1]["service"] = "gone".into())
+        .contains("`r-2`: unknown service `gone`, it must be in service_table"));
     assert!(rejected(|value| value["route_table"][1]["timeout_ms"] = 0.into()).contains("`r-2`: timeout_ms"));
     let duplicate_match = rejected(|value| {
         value["route_table"][1]["hostname"] = "a.example".into();
@@ -41,7 +40,7 @@
 fn a_configuration_without_the_route_or_service_table_is_rejected() {
     for table in ["route_table", "service_table"] {
         let missing = rejected(|value| drop(value.as_object_mut().expect("an object").remove(table)));
-        assert_eq!(missing, format!("body: {table} missing"));
+        assert_eq!(missing, format!("body: {table} is missing"));
         assert_eq!(rejected(|value| value[table] = Value::Null), missing, "a null table counts as missing");
         assert!(rejected(|value| value[table] = json!({})).starts_with(table));
         assert!(rejected(|value| value[table] = json!([7])).starts_with(&format!("{table}[0]")));
@@ -56,7 +55,7 @@
 #[test]
 fn an_unknown_service_without_traffic_is_rejected() {
     let unused_service = rejected(|value| value["route_table"][0]["service"] = "gone".into());
-    assert_eq!(unused_service, "route `r-1`: unknown service `gone`");
+    assert_eq!(unused_service, "route `r-1`: unknown service `gone`, it must be in service_table");
     let zero_weight = rejected(|value| {
         value["route_table"][0]["traffic_split"] = json!([{"service": "s"}, {"service": "gone", "weight": 0}]);
     });
@@ -64,7 +63,8 @@
     assert!(
         rejected(|value| value["route_table"][0]["traffic_split"] = json!([{"weight": 1}])).contains("unknown service")
     );
-    assert!(rejected(|value| value["route_table"][1]["service"] = "".into()).contains("no service"));
+    assert!(rejected(|value| value["route_table"][1]["service"] = "".into())
+        .contains("no service, set service or traffic_split"));
     accepted(|value| value["route_table"][0]["service"] = "s".into());
     accepted(|value| value["route_table"][0]["service"] = Value::Null);
     accepted(|value| value["route_table"][1]["traffic_split"] = json!([]));
@@ -121,10 +121,10 @@
             copy["api_keys"] = json!([]);
             value[table].as_array_mut().expect("a table").push(copy);
         });
-        assert_eq!(duplicate, format!("{item}: name used twice"));
+        assert_eq!(duplicate, format!("{item}: duplicate name, names must be unique within a table"));
         for name in [Value::Null, "".into()] {
             let nameless = rejected(|value| value[table][0]["name"] = name);
-            assert_eq!(nameless, format!("{table}[0]: name missing"));
+            assert_eq!(nameless, format!("{table}[0]: name is missing"));
         }
     }
 }
@@ -132,10 +132,13 @@
 #[test]
 fn a_shared_or_misplaced_api_key_is_rejected_without_being_shown() {
     let shared = rejected(|value| value["tenant_table"][1]["api_keys"][0] = format!("{KEY}1").into());
-    assert_eq!(shared, "tenant `t-2`: an API key also belongs to tenant `t-1`");
+    assert_eq!(shared, "tenant `t-2`: api_keys contains a key that also belongs to tenant `t-1`");
     accepted(|value| value["tenant_table"][0]["api_keys"][1] = format!("{KEY}1").into());
     accepted(|value| value["tenant_table"][0]["api_keys"] = json!([]));
-    assert_eq!(rejected(|value| value["tenant_table"][0]["api_keys"][1] = "".into()), "tenant `t-1`: empty API key");
+    assert_eq!(
+        rejected(|value| value["tenant_table"][0]["api_keys"][1] = "".into()),
+        "tenant `t-1`: api_keys contains an empty key"
+    );
     // A key in the place of another value.
     let key = || Value::from(format!("{KEY}9"));
     let fields = [("rate_per_s", key()), ("burst_size", key()), ("api_keys", key()), ("priority", key())];
--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -3,7 +3,7 @@
 
 use std::{error, fmt};
 
-use super::bounds::MAX_TEXT_BYTES;
+use super::bounds::{MAX_DEPTH, MAX_TEXT_BYTES, MAX_VALUES};
 
 /// Maximum number of characters of a name in an error message.
 const MAX_NAME_CHARS: usize = 80;
@@ -178,29 +178,39 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ConfigErrorKind::Syntax { syntax, line, column } => write!(out, "{syntax} at line {line}, column {column}"),
-            ConfigErrorKind::TooDeep => out.write_str("nested too deeply"),
-            ConfigErrorKind::TooManyValues => out.write_str("too many values"),
-            ConfigErrorKind::TooLong { bytes } => write!(out, "{bytes} bytes, the maximum is {}", MAX_TEXT_BYTES),
+            ConfigErrorKind::TooDeep => write!(out, "nested too deeply, the maximum depth is {MAX_DEPTH}"),
+            ConfigErrorKind::TooManyValues => write!(out, "too many JSON values, fewer than {MAX_VALUES} are allowed"),
+            ConfigErrorKind::TooLong { bytes } => {
+                write!(out, "too long: {bytes} bytes, the maximum is {MAX_TEXT_BYTES}")
+            }
             ConfigErrorKind::DuplicateField => out.write_str("duplicate field"),
-            ConfigErrorKind::MissingField { field } => write!(out, "{field} missing"),
-            ConfigErrorKind::InvalidField { field, expected } => write!(out, "{field} is not {expected}"),
-            ConfigErrorKind::InvalidItem { expected } => write!(out, "not {expected}"),
-            ConfigErrorKind::DuplicateName => out.write_str("name used twice"),
-            ConfigErrorKind::InvalidPathPrefix => out.write_str("path_prefix does not begin and end with a slash"),
-            ConfigErrorKind::UnknownRouteType => out.write_str("route_type unknown"),
-            ConfigErrorKind::ZeroTimeout => out.write_str("timeout_ms is 0"),
+            ConfigErrorKind::MissingField { field } => write!(out, "{field} is missing"),
+            ConfigErrorKind::InvalidField { field, expected } => write!(out, "{field} must be {expected}"),
+            ConfigErrorKind::InvalidItem { expected } => write!(out, "must be {expected}"),
+            ConfigErrorKind::DuplicateName => out.write_str("duplicate name, names must be unique within a table"),
+            ConfigErrorKind::InvalidPathPrefix => out.write_str("path_prefix must begin and end with `/`"),
+            ConfigErrorKind::UnknownRouteType => {
+                out.write_str("route_type must be `idempotent`, `non_idempotent` or `streaming`")
+            }
+            ConfigErrorKind::ZeroTimeout => out.write_str("timeout_ms is 0, it must be at least 1"),
             ConfigErrorKind::DuplicateMatch { other } => {
                 write!(out, "same hostname and path_prefix as route `{}`", sanitized(other))
             }
-            ConfigErrorKind::MissingService => out.write_str("no service"),
-            ConfigErrorKind::UnknownService { service } => write!(out, "unknown service `{}`", sanitized(service)),
-            ConfigErrorKind::ZeroWeights => out.write_str("weights sum to 0"),
+            ConfigErrorKind::MissingService => out.write_str("no service, set service or traffic_split"),
+            ConfigErrorKind::UnknownService { service } => {
+                write!(out, "unknown service `{}`, it must be in service_table", sanitized(service))
+            }
+            ConfigErrorKind::ZeroWeights => {
+                out.write_str("the weights of traffic_split sum to 0, at least one must be positive")
+            }
             ConfigErrorKind::DuplicateKey { other } => {
-                write!(out, "an API key also belongs to tenant `{}`", sanitized(other))
+                write!(out, "api_keys contains a key that also belongs to tenant `{}`", sanitized(other))
+            }
+            ConfigErrorKind::EmptyKey => out.write_str("api_keys contains an empty key"),
+            ConfigErrorKind::ZeroRevision => out.write_str("missing or 0, must be a positive integer"),
+            ConfigErrorKind::NoBaseConfig => {
+                out.write_str("a patch needs a configuration to apply to, and there is none")
             }
-            ConfigErrorKind::EmptyKey => out.write_str("empty API key"),
-            ConfigErrorKind::ZeroRevision => out.write_str("missing or 0"),
-            ConfigErrorKind::NoBaseConfig => out.write_str("no configuration to patch"),
         }
     }
 }
--- a/protocol/src/config/json_tests.rs
+++ b/protocol/src/config/json_tests.rs
@@ -62,7 +62,8 @@
         }
     }
     for zero in [json!(0), json!(0.0), json!(-0.0), Value::Null] {
-        assert!(rejected(|value| value["route_table"][0]["timeout_ms"] = zero).contains("`r-1`: timeout_ms is 0"));
+        assert!(rejected(|value| value["route_table"][0]["timeout_ms"] = zero)
+            .contains("`r-1`: timeout_ms is 0, it must be at least 1"));
     }
     for (written, decoded) in [(json!(3000.0), 3000), (json!(3e3), 3000), (json!(u64::MAX), MAX_DURATION_MS)] {
         assert_eq!(
--- a/protocol/src/config/patch_tests.rs
+++ b/protocol/src/config/patch_tests.rs
@@ -70,9 +70,10 @@
         "route_type": "idempotent", "timeout_ms": 5, "service": "s"})
     ))
     .contains("route `r-3`: same hostname and path_prefix as route `r-1`"));
-    assert!(rejected(&json!({"revision": 9, "withdraw": {"service_table": ["s"]}})).contains("unknown service `s`"));
+    assert!(rejected(&json!({"revision": 9, "withdraw": {"service_table": ["s"]}}))
+        .contains("unknown service `s`, it must be in service_table"));
     let shared = upsert("tenant_table", json!({"name": "t-3", "api_keys": [format!("{KEY}3")]}));
-    assert!(rejected(&shared).contains("tenant `t-3`: an API key also belongs to tenant `t-2`"));
+    assert!(rejected(&shared).contains("tenant `t-3`: api_keys contains a key that also belongs to tenant `t-2`"));
     // Items that are valid only together with the current configuration or with each other.
     accepted(&json!({"revision": 9, "withdraw": {"tenant_table": ["t-2"]},
         "upsert": {"tenant_table": [{"name": "t-3", "api_keys": [format!("{KEY}3")]}]}}));
@@ -88,7 +89,9 @@
     accepted(&json!({"revision": 9, "upsert": {"route_table": [swapped("r-1", 1), swapped("r-2", 0)]}}));
     let mut no_timeout = route("r-3", "/");
     no_timeout["timeout_ms"] = 0.into();
-    assert!(rejected(&upsert("route_table", no_timeout)).contains("route `r-3`: timeout_ms is 0"));
+    assert!(
+        rejected(&upsert("route_table", no_timeout)).contains("route `r-3`: timeout_ms is 0, it must be at least 1")
+    );
 }
 
 #[test]
@@ -116,11 +119,11 @@
         (json!({"upsert": {"revision": [1]}}), "upsert.revision"),
         (json!({"upsert": {"later": 3}}), "upsert.?"),
         (json!({"upsert": {"route_table": [3]}}), "route_table[0]"),
-        (json!({"upsert": {"route_table": [{"hostname": "x"}]}}), "upsert.route_table[0]: name missing"),
-        (json!({"upsert": {"later": [{"y": 1}]}}), "upsert.?[0]: name missing"),
+        (json!({"upsert": {"route_table": [{"hostname": "x"}]}}), "upsert.route_table[0]: name is missing"),
+        (json!({"upsert": {"later": [{"y": 1}]}}), "upsert.?[0]: name is missing"),
         (
             json!({"upsert": {"route_table": [route("a", "/"), route("a", "/b/")]}}),
-            "upsert.route_table[1]: name used twice",
+            "upsert.route_table[1]: duplicate name, names must be unique within a table",
         ),
         (json!({"upsert": {"route_table": [{"name": "a", "timeout_ms": "x"}]}}), "route `a`: timeout_ms"),
         (json!({"withdraw": {"route_table": "r-1"}}), "withdraw.route_table"),
--- a/protocol/src/testing/corruptions.rs
+++ b/protocol/src/testing/corruptions.rs
@@ -49,7 +49,7 @@
         let mut copy = value["route_table"][0].clone();
         copy["path_prefix"] = "/elsewhere/".into();
         value["route_table"].as_array_mut().expect("a table").push(copy);
-        "route `r0`: name used twice".into()
+        "route `r0`: duplicate name, names must be unique within a table".into()
     },
     |_, value| {
         let keys = json!([format!("{KEY}shared"), format!("{KEY}other")]);
