--- a/router/src/limits/quota_gate_tests.rs
+++ b/router/src/limits/quota_gate_tests.rs
@@ -11,8 +11,8 @@
 use quota::Quota;
 
 use super::{Decision, QuotaGate};
-use crate::testing::engine::{answer, engines, seen, Act};
-use crate::testing::router::{ask, configure, router, status, SETTINGS};
+use crate::testing::engine::{engine_response, engines, received_requests, EngineAction};
+use crate::testing::router::{configure, router, send_request, status, SETTINGS};
 
 /// Starts a controller that responds to every token request with `response`, and returns the count of requests.
 async fn controller(ip: &str, port: u16, response: Option<TokenResponse>) -> Arc<AtomicUsize> {
@@ -93,16 +93,17 @@
 async fn request_of_a_tenant_over_its_limit_gets_429_and_reaches_no_engine() {
     let (ip, port) = ("127.0.84.1", 7300);
     let requests = controller(ip, port, Some(EMPTY)).await;
-    let fleet = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let fleet =
+        engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "hello"))).await;
     let state = router(&fleet);
     state.quota_gate.set_shard_owners(&[ShardOwner { ip: ip.into(), zone: "a".into() }]);
     let tenant = |rate: f64| serde_json::json!({"tenant_table": [{"name": "one", "api_keys": ["k1"], "rate_per_s": rate, "burst_size": 1}]});
     configure(&state, 2, tenant(5.0));
-    let text = ask(&state, "once", "1", API_KEY_HEADER).await;
+    let text = send_request(&state, "once", "1", API_KEY_HEADER).await;
     assert_eq!(status(&text), "429", "{text}");
     assert!(text.to_lowercase().contains("retry-after: 0.500"), "{text}");
-    assert_eq!((seen(&fleet).len(), requests.load(Ordering::Relaxed)), (0, 1));
+    assert_eq!((received_requests(&fleet).len(), requests.load(Ordering::Relaxed)), (0, 1));
     configure(&state, 3, tenant(0.0));
-    assert_eq!(status(&ask(&state, "once", "2", API_KEY_HEADER).await), "200", "a rate of 0 means no limit");
+    assert_eq!(status(&send_request(&state, "once", "2", API_KEY_HEADER).await), "200", "a rate of 0 means no limit");
     assert_eq!(requests.load(Ordering::Relaxed), 1);
 }
--- a/router/src/metering_tests.rs
+++ b/router/src/metering_tests.rs
@@ -4,8 +4,8 @@
 use protocol::metering::{MeteringRequest, RouterCounts};
 
 use super::{Metering, FULL_REPORT_EVERY};
-use crate::testing::engine::{answer, engines, events, Act};
-use crate::testing::router::{ask, router_with, SETTINGS};
+use crate::testing::engine::{engine_response, engines, events, EngineAction};
+use crate::testing::router::{router_with, send_request, SETTINGS};
 
 fn settings(duties: &str) -> Settings {
     let rate = "rate_per_s = 1.0";
@@ -57,11 +57,13 @@
 
 #[tokio::test]
 async fn a_request_is_counted_once_for_its_tenant_if_and_only_if_an_engine_started_it() {
-    let engines = engines("decode", 2, |seen, number| match seen.attempt() {
-        "refused" => {
-            Act::Send(answer(seen, "503 Service Unavailable", "full").replacen("\r\n", "\r\nNot-Executed: 1\r\n", 1))
-        }
-        _ => Act::Send(events(seen, 1, 3, number > 0)),
+    let engines = engines("decode", 2, |request, number| match request.attempt() {
+        "refused" => EngineAction::Send(engine_response(request, "503 Service Unavailable", "full").replacen(
+            "\r\n",
+            "\r\nNot-Executed: 1\r\n",
+            1,
+        )),
+        _ => EngineAction::Send(events(request, 1, 3, number > 0)),
     })
     .await;
     let text = SETTINGS.replace("rate_per_s = 1.0", "rate_per_s = 1.0, duty_list = [\"usage_export\"]");
@@ -69,7 +71,7 @@
     let tenants = serde_json::json!([{"name": "one", "api_keys": ["k1"]}, {"name": "two", "api_keys": ["k2"]}]);
     crate::testing::router::configure(&state, 2, serde_json::json!({ "tenant_table": tenants }));
     for (attempt, key) in [("x", "k1"), ("y", "k1"), ("z", "k2"), ("refused", "k2")] {
-        ask(&state, "stream", attempt, &format!("Authorization: Bearer {key}\r\n")).await;
+        send_request(&state, "stream", attempt, &format!("Authorization: Bearer {key}\r\n")).await;
     }
     request_counts(&state.metering, "10.0.0.1", 1);
     let counts = tenant_counts(state.metering.next_report("10.0.0.1", 9));
--- a/router/src/metrics_tests.rs
+++ b/router/src/metrics_tests.rs
@@ -8,8 +8,8 @@
 use crate::limits::quota_gate::Decision;
 use crate::metrics::{Outcome, OutcomeLabels, QuotaLabels, Stage};
 use crate::state::State;
-use crate::testing::engine::{answer, engines, events, waiting_engine, Act};
-use crate::testing::router::{ask, post, router, Client};
+use crate::testing::engine::{engine_response, engines, events, waiting_engine, EngineAction};
+use crate::testing::router::{post, router, send_request, Client};
 
 /// Returns how many requests that arrived in normal operation ended with `outcome`.
 fn ended_requests(state: &State, outcome: Outcome) -> u64 {
@@ -33,17 +33,17 @@
 
 #[tokio::test]
 async fn each_request_is_counted_once_by_its_outcome() {
-    let engines = engines("decode", 1, |seen, _| match seen.attempt() {
-        "broken" => Act::SendAndClose(events(seen, 1, 3, false)),
-        "failed" => Act::Send(answer(seen, "500 Internal Server Error", "no")),
-        _ => Act::Send(answer(seen, "200 OK", "hello")),
+    let engines = engines("decode", 1, |request, _| match request.attempt() {
+        "broken" => EngineAction::SendAndClose(events(request, 1, 3, false)),
+        "failed" => EngineAction::Send(engine_response(request, "500 Internal Server Error", "no")),
+        _ => EngineAction::Send(engine_response(request, "200 OK", "hello")),
     })
     .await;
     let state = router(&engines);
-    ask(&state, "once", "good", "").await;
-    ask(&state, "once", "failed", "").await;
-    ask(&state, "none", "nowhere", "").await;
-    ask(&state, "stream", "broken", "").await;
+    send_request(&state, "once", "good", "").await;
+    send_request(&state, "once", "failed", "").await;
+    send_request(&state, "none", "nowhere", "").await;
+    send_request(&state, "stream", "broken", "").await;
     wait_until(|| unfinished_requests(&state) == 0).await;
     let outcomes = [Outcome::Success, Outcome::EngineFailure, Outcome::NoRoute, Outcome::Cut, Outcome::Lost];
     assert_eq!(outcomes.map(|outcome| ended_requests(&state, outcome)), [1, 1, 1, 1, 0]);
@@ -64,17 +64,18 @@
     wait_until(|| state.metrics.requests_in_stage(DrainPhase::Serving, Stage::Answering) == 1).await;
     assert_eq!(unfinished_requests(&state), 1);
     resume.notify_one();
-    client.until("0\r\n\r\n").await;
+    client.read_until("0\r\n\r\n").await;
     wait_until(|| unfinished_requests(&state) == 0).await;
     assert_eq!(ended_requests(&state, Outcome::Success), 1);
 }
 
 #[tokio::test]
 async fn the_documentation_lists_exactly_the_exported_metrics() {
-    let engines = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let engines =
+        engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "hello"))).await;
     let state = router(&engines);
     // A family without a series is not exported.
-    ask(&state, "once", "1", "").await;
+    send_request(&state, "once", "1", "").await;
     let decision = Decision::Granted;
     state.metrics.quota_decisions.get_or_create(&QuotaLabels { decision }).inc();
     let page = include_str!("../../docs/metrics.md");
--- a/router/src/rollout_tests.rs
+++ b/router/src/rollout_tests.rs
@@ -10,8 +10,8 @@
     apply, apply_sample_request, RequestProfile, Rollouts, ServedBy, VersionOutcome, CANARY_SAMPLING_INTERVAL,
     SAMPLING_INTERVAL,
 };
-use crate::testing::engine::{answer, engines, events, Act};
-use crate::testing::router::{ask, router};
+use crate::testing::engine::{engine_response, engines, events, EngineAction};
+use crate::testing::router::{router, send_request};
 
 fn rollout(number: u64, state: RolloutState, share: u32) -> VersionRollout {
     VersionRollout {
@@ -189,10 +189,10 @@
 
 #[tokio::test]
 async fn requests_are_served_by_the_version_that_the_rollout_selects() {
-    let old = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "old"))).await;
-    let new = engines("decode", 2, |seen, _| match seen.attempt().starts_with('f') {
-        true => Act::Send(answer(seen, "500 Internal Server Error", "bad")),
-        false => Act::Send(events(seen, 1, 4, true)),
+    let old = engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "old"))).await;
+    let new = engines("decode", 2, |request, _| match request.attempt().starts_with('f') {
+        true => EngineAction::Send(engine_response(request, "500 Internal Server Error", "bad")),
+        false => EngineAction::Send(events(request, 1, 4, true)),
     })
     .await;
     let state = router(&old);
@@ -200,13 +200,13 @@
     let list = list.map(|(index, engine)| Engine { id: format!("new-{index}"), ..engine.entry() }).collect();
     let endpoints = EndpointList { zone: candidates_of("a"), term: 1, sequence: 1, engines: list };
     state.engines().update(&endpoints, clock::now());
-    assert!(ask(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
+    assert!(send_request(&state, "once", "a", "").await.ends_with("old"), "without a rollout");
     // Late enough that all requests have moved.
     apply(&state, VersionRollout { elapsed_ms: 11_800, ..rollout(1, RolloutState::Active, 1000) });
-    assert!(ask(&state, "once", "b", "").await.ends_with("old"), "without a lease");
+    assert!(send_request(&state, "once", "b", "").await.ends_with("old"), "without a lease");
     state.staleness_bounds().renew_lease(clock::now());
-    assert!(ask(&state, "stream", "c", "").await.contains("token-3"));
-    ask(&state, "once", "f", "").await;
+    assert!(send_request(&state, "stream", "c", "").await.contains("token-3"));
+    send_request(&state, "once", "f", "").await;
     let samples = state.rollouts().drain_samples(clock::now());
     let mut counts: Vec<_> = samples[0]
         .list
@@ -220,5 +220,5 @@
         "engines of both versions are sampled individually"
     );
     apply(&state, rollout(2, RolloutState::Reverted, 0));
-    assert!(ask(&state, "once", "d", "").await.ends_with("old"), "reverted");
+    assert!(send_request(&state, "once", "d", "").await.ends_with("old"), "reverted");
 }
--- a/router/src/subscription/driver_tests.rs
+++ b/router/src/subscription/driver_tests.rs
@@ -14,7 +14,7 @@
 use super::run;
 use crate::state::State;
 use crate::testing::controller::{controllers, Controller, ResponseMode};
-use crate::testing::router::{ask, status, SETTINGS};
+use crate::testing::router::{send_request, status, SETTINGS};
 
 /// The convergence bound, in milliseconds: large enough that a proof stays fresh on a busy machine.
 const CONVERGE_MS: u64 = 2000;
@@ -134,7 +134,7 @@
     controllers.iter().for_each(|controller| controller.set_mode(ResponseMode::Older));
     let state = start_router(&controllers, port, CONVERGE_MS);
     wait_until_ready(&state).await;
-    assert_eq!(status(&ask(&state, "nowhere", "1", "Time-Budget: 9000\r\n").await), "404");
+    assert_eq!(status(&send_request(&state, "nowhere", "1", "Time-Budget: 9000\r\n").await), "404");
 }
 
 #[tokio::test]
@@ -142,10 +142,10 @@
     let (controllers, port) = controllers(2, &config(7, &["x"]));
     let state = start_router(&controllers, port, 600);
     wait_until_ready(&state).await;
-    assert_eq!(status(&ask(&state, "nowhere", "1", "Time-Budget: 9000\r\n").await), "404");
+    assert_eq!(status(&send_request(&state, "nowhere", "1", "Time-Budget: 9000\r\n").await), "404");
     controllers.iter().for_each(|controller| controller.set_mode(ResponseMode::Frozen));
     wait_until_unproved(&state).await;
-    let text = ask(&state, "nowhere", "2", "Time-Budget: 9000\r\n").await;
+    let text = send_request(&state, "nowhere", "2", "Time-Budget: 9000\r\n").await;
     assert_eq!(status(&text), "503", "{text}");
     assert!(text.to_lowercase().contains("retry-after: "), "{text}");
 }
@@ -159,7 +159,7 @@
     wait_until_unproved(&state).await;
     let calls: usize = controllers.iter().map(Controller::calls).sum();
     let router = state.clone();
-    let request = tokio::spawn(async move { ask(&router, "y", "1", "Time-Budget: 9000\r\n").await });
+    let request = tokio::spawn(async move { send_request(&router, "y", "1", "Time-Budget: 9000\r\n").await });
     for controller in &controllers {
         controller.commit(&config(8, &["x", "y"]));
         controller.set_mode(ResponseMode::Confirming);
@@ -183,7 +183,7 @@
     for requests in [1, 150] {
         let before = total_calls();
         let names: Vec<String> = (0..requests).map(|number| format!("nowhere-{number}")).collect();
-        let responses = names.iter().map(|name| ask(&state, name, name, "Time-Budget: 9000\r\n"));
+        let responses = names.iter().map(|name| send_request(&state, name, name, "Time-Budget: 9000\r\n"));
         for text in future::join_all(responses).await {
             assert_eq!(status(&text), "503", "{text}");
         }
--- a/router/src/testing/engine.rs
+++ b/router/src/testing/engine.rs
@@ -16,7 +16,7 @@
 
 /// A request as an engine received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Number of the engine's connection on which it arrived, counted from 0.
     pub connection: usize,
     /// The request line and the headers.
@@ -25,7 +25,7 @@
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
@@ -44,7 +44,7 @@
 }
 
 /// What an engine does with a request.
-pub enum Act {
+pub enum EngineAction {
     /// Sends this text and keeps the connection open.
     Send(String),
     /// Sends this text and closes the connection.
@@ -58,20 +58,21 @@
 }
 
 /// Decides what an engine does with each request.
-type Script = Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
+type Script = Arc<dyn Fn(&ReceivedRequest) -> EngineAction + Send + Sync>;
 
 /// Starts engines that share one script, which also gets the number of earlier requests to any of them.
 pub async fn engines(
     phase: &'static str,
     count: usize,
-    script: impl Fn(&Seen, usize) -> Act + Send + Sync + 'static,
+    script: impl Fn(&ReceivedRequest, usize) -> EngineAction + Send + Sync + 'static,
 ) -> Vec<Engine> {
     let script = Arc::new(script);
     let earlier_count = Arc::new(AtomicUsize::new(0));
     let mut list = Vec::new();
     for index in 0..count {
         let (script, earlier_count) = (script.clone(), earlier_count.clone());
-        let engine_script = move |seen: &Seen| script(seen, earlier_count.fetch_add(1, Ordering::Relaxed));
+        let engine_script =
+            move |request: &ReceivedRequest| script(request, earlier_count.fetch_add(1, Ordering::Relaxed));
         list.push(Engine::start(&format!("{phase}-{index}"), phase, engine_script).await);
     }
     list
@@ -81,16 +82,16 @@
 pub async fn waiting_engine() -> (Vec<Engine>, Arc<Notify>) {
     let resume = Arc::new(Notify::new());
     let resumed = resume.clone();
-    let list = engines("decode", 1, move |seen, _| {
-        let (head, rest) = head_and_rest(seen);
-        Act::SendAndLater(head, resumed.clone(), rest)
+    let list = engines("decode", 1, move |request, _| {
+        let (head, rest) = head_and_rest(request);
+        EngineAction::SendAndLater(head, resumed.clone(), rest)
     });
     (list.await, resume)
 }
 
 /// Returns all requests that a list of engines received.
-pub fn seen(engines: &[Engine]) -> Vec<Seen> {
-    engines.iter().flat_map(Engine::seen).collect()
+pub fn received_requests(engines: &[Engine]) -> Vec<ReceivedRequest> {
+    engines.iter().flat_map(Engine::received_requests).collect()
 }
 
 /// The number of probes to which an engine responded.
@@ -104,14 +105,18 @@
     pub addr: String,
     /// The phase that it serves, `prefill` or `decode`.
     pub phase: &'static str,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     probes: Probes,
     ended: Receiver<usize>,
 }
 
 impl Engine {
     /// Starts an engine.
-    pub async fn start(id: &str, phase: &'static str, script: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Engine {
+    pub async fn start(
+        id: &str,
+        phase: &'static str,
+        script: impl Fn(&ReceivedRequest) -> EngineAction + Send + Sync + 'static,
+    ) -> Engine {
         Engine::start_greeting(id, phase, "", script).await
     }
 
@@ -120,25 +125,25 @@
         id: &str,
         phase: &'static str,
         greeting: &str,
-        script: impl Fn(&Seen) -> Act + Send + Sync + 'static,
+        script: impl Fn(&ReceivedRequest) -> EngineAction + Send + Sync + 'static,
     ) -> Engine {
         let greeting = greeting.to_string();
         let listener = socket::listen("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("a local address").to_string();
-        let seen = Arc::new(Mutex::new(Vec::new()));
+        let received = Arc::new(Mutex::new(Vec::new()));
         let (end, ended) = watch::channel(0);
         let probes = Probes::default();
-        let engine = Engine { id: id.into(), addr, phase, seen: seen.clone(), probes: probes.clone(), ended };
+        let engine = Engine { id: id.into(), addr, phase, received: received.clone(), probes: probes.clone(), ended };
         let script: Script = Arc::new(script);
         tokio::spawn(async move {
             let end = Arc::new(end);
             for connection in 0.. {
                 let Ok((mut stream, _)) = listener.accept().await else { return };
                 let _ = stream.write_all(greeting.as_bytes()).await;
-                let (script, seen, end) = (script.clone(), seen.clone(), end.clone());
+                let (script, received, end) = (script.clone(), received.clone(), end.clone());
                 let probes = probes.clone();
                 tokio::spawn(async move {
-                    if serve_connection(stream, connection, script, seen, probes).await {
+                    if serve_connection(stream, connection, script, received, probes).await {
                         end.send_modify(|count| *count += 1);
                     }
                 });
@@ -148,8 +153,8 @@
     }
 
     /// Returns the requests that it received.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().clone()
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().clone()
     }
 
     /// Returns the number of probes to which it responded.
@@ -184,7 +189,7 @@
     mut stream: TcpStream,
     connection: usize,
     script: Script,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     probes: Probes,
 ) -> bool {
     let mut unread = Vec::new();
@@ -194,8 +199,8 @@
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}").await;
             return false;
         }
-        let request = Seen { connection, head, body };
-        seen.lock().push(request.clone());
+        let request = ReceivedRequest { connection, head, body };
+        received.lock().push(request.clone());
         if !perform(&mut stream, script(&request)).await {
             return true;
         }
@@ -204,26 +209,26 @@
 }
 
 /// Performs an action of the script, and returns whether the connection stays open.
-async fn perform(stream: &mut TcpStream, act: Act) -> bool {
+async fn perform(stream: &mut TcpStream, act: EngineAction) -> bool {
     match act {
-        Act::Send(text) => {
+        EngineAction::Send(text) => {
             let _ = stream.write_all(text.as_bytes()).await;
         }
-        Act::SendAndClose(text) => {
+        EngineAction::SendAndClose(text) => {
             let _ = stream.write_all(text.as_bytes()).await;
             return false;
         }
-        Act::SendAndReset(text) => {
+        EngineAction::SendAndReset(text) => {
             let _ = stream.write_all(text.as_bytes()).await;
             let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             return false;
         }
-        Act::SendAndLater(text, notify, rest) => {
+        EngineAction::SendAndLater(text, notify, rest) => {
             let _ = stream.write_all(text.as_bytes()).await;
             notify.notified().await;
             let _ = stream.write_all(rest.as_bytes()).await;
         }
-        Act::Silence => {}
+        EngineAction::Silence => {}
     }
     true
 }
--- a/router/src/testing/router.rs
+++ b/router/src/testing/router.rs
@@ -112,14 +112,14 @@
     }
 
     /// Reads until the router closes the connection.
-    pub async fn rest(&mut self) -> String {
+    pub async fn read_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
         let _ = self.0.read_to_end(&mut bytes).await;
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
     /// Reads until `marker` has been received.
-    pub async fn until(&mut self, marker: &str) -> String {
+    pub async fn read_until(&mut self, marker: &str) -> String {
         let mut bytes = Vec::new();
         while !String::from_utf8_lossy(&bytes).contains(marker) {
             assert_ne!(self.0.read_buf(&mut bytes).await.expect("read from the router"), 0, "closed before {marker:?}");
@@ -136,10 +136,10 @@
 }
 
 /// Sends a request on a new connection, and returns everything received until the connection closes.
-pub async fn ask(state: &Arc<State>, route: &str, attempt: &str, extra_headers: &str) -> String {
+pub async fn send_request(state: &Arc<State>, route: &str, attempt: &str, extra_headers: &str) -> String {
     let mut client = Client::connect(state).await;
     client.write(&post(route, attempt, &format!("Connection: close\r\n{extra_headers}"))).await;
-    client.rest().await
+    client.read_to_end().await
 }
 
 /// Waits until the router has `count` idle connections to engines.
--- a/router/src/tests/early_answer.rs
+++ b/router/src/tests/early_answer.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time;
 
-use crate::testing::engine::{header, sealed};
+use crate::testing::engine::{header, sealed_response};
 use crate::testing::router::{configure, router, Client};
 
 /// Size of a long body in bytes, larger than the buffers of a connection.
@@ -63,7 +63,7 @@
         unread.drain(..end);
         let attempt = header(&head, "attempt-id").unwrap_or("").to_string();
         let length: usize = header(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
-        let text = sealed(&attempt, "200 OK", &format!("for-{attempt}"));
+        let text = sealed_response(&attempt, "200 OK", &format!("for-{attempt}"));
         if stream.write_all(text.as_bytes()).await.is_err() {
             return ConnectionContent::TruncatedBody;
         }
@@ -128,7 +128,7 @@
         let body_bytes = if attempt % 2 == 1 { BODY_BYTES } else { 4 };
         let mut client = Client::connect(&state).await;
         client.write(&request(&attempt.to_string(), body_bytes)).await;
-        let text = client.rest().await;
+        let text = client.read_to_end().await;
         assert!(text.ends_with(&format!("for-{attempt}")), "attempt {attempt}: {text:.200}");
     }
     // Connections that are still open end when the pools of this router are dropped.
--- a/router/src/tests/graceful_shutdown.rs
+++ b/router/src/tests/graceful_shutdown.rs
@@ -18,7 +18,7 @@
 use crate::metrics::Stage;
 use crate::startup;
 use crate::state::State;
-use crate::testing::engine::{self, answer, engines, events, head_and_rest, Act, Engine};
+use crate::testing::engine::{self, engine_response, engines, events, head_and_rest, Engine, EngineAction};
 use crate::testing::router::{post, status, unproved_router_with, SETTINGS};
 
 /// The grace period of these routers, in seconds.
@@ -112,7 +112,7 @@
     if status(&received.text) == "200" {
         return !received.text.ends_with(STREAM_END);
     }
-    engine::seen(engines).iter().any(|seen| seen.attempt() == received.attempt)
+    engine::received_requests(engines).iter().any(|request| request.attempt() == received.attempt)
 }
 
 /// Starts engines whose streams end at the next tick after their head, so that some streams are always in flight.
@@ -126,9 +126,9 @@
             releaser.notify_waiters();
         }
     });
-    engines("decode", 3, move |seen, _| {
-        let (head, rest) = head_and_rest(seen);
-        Act::SendAndLater(head, release.clone(), rest)
+    engines("decode", 3, move |request, _| {
+        let (head, rest) = head_and_rest(request);
+        EngineAction::SendAndLater(head, release.clone(), rest)
     })
     .await
 }
@@ -162,7 +162,8 @@
 
 #[tokio::test]
 async fn a_request_that_waits_for_admission_gets_a_response_before_the_process_ends() {
-    let engines = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let engines =
+        engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "hello"))).await;
     let process = Process::start(&engines, false);
     let mut stream = process.first_connection().await;
     process.terminate.notify_one();
@@ -179,7 +180,7 @@
 
 #[tokio::test]
 async fn during_shutdown_a_request_longer_than_the_remaining_time_is_rejected_before_any_send() {
-    let engines = engines("decode", 1, |seen, _| Act::Send(events(seen, 1, 3, true))).await;
+    let engines = engines("decode", 1, |request, _| EngineAction::Send(events(request, 1, 3, true))).await;
     let process = Process::start(&engines, true);
     drop(process.first_connection().await);
     let durations = process.state.table().route("stream").expect("route exists").durations.clone();
@@ -194,6 +195,6 @@
     (0..1000).for_each(|_| durations.record(50));
     let short = request(process.address.clone(), "short".into()).await;
     assert_eq!(status(&short.text), "200", "{}", short.text);
-    let seen = engine::seen(&engines);
-    assert_eq!(seen.iter().map(|request| request.attempt()).collect::<Vec<_>>(), ["short"]);
+    let requests = engine::received_requests(&engines);
+    assert_eq!(requests.iter().map(|request| request.attempt()).collect::<Vec<_>>(), ["short"]);
 }
--- a/router/src/tests/kept_connections.rs
+++ b/router/src/tests/kept_connections.rs
@@ -5,16 +5,16 @@
 
 use tokio::time;
 
-use crate::testing::engine::{answer, engines, seen, waiting_engine, Act};
+use crate::testing::engine::{engine_response, engines, received_requests, waiting_engine, EngineAction};
 use crate::testing::router::{configure, post, router, status, Client};
 
 #[tokio::test]
 async fn failed_request_gets_a_response_and_keeps_the_client_connection_open() {
-    let fleet = engines("decode", 1, |seen, _| match seen.attempt().chars().next() {
-        Some('r') => Act::SendAndReset(String::new()),
-        Some('c') => Act::SendAndClose(String::new()),
-        Some('f') => Act::SendAndClose("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\n\r\n".into()),
-        _ => Act::Send(answer(seen, "200 OK", "hello")),
+    let fleet = engines("decode", 1, |request, _| match request.attempt().chars().next() {
+        Some('r') => EngineAction::SendAndReset(String::new()),
+        Some('c') => EngineAction::SendAndClose(String::new()),
+        Some('f') => EngineAction::SendAndClose("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\n\r\n".into()),
+        _ => EngineAction::Send(engine_response(request, "200 OK", "hello")),
     })
     .await;
     let state = router(&fleet);
@@ -24,11 +24,11 @@
     {
         client.write(&post("once", attempt, "")).await;
         let end = if expected == "200" { "hello" } else { "\r\n\r\n" };
-        let text = client.until(end).await;
+        let text = client.read_until(end).await;
         assert_eq!(status(&text), expected, "{attempt}: {text}");
         assert!(!text.to_lowercase().contains("connection: close"), "{attempt}: {text}");
     }
-    assert_eq!(seen(&fleet).len(), 6);
+    assert_eq!(received_requests(&fleet).len(), 6);
 }
 
 #[tokio::test]
@@ -37,12 +37,12 @@
     let state = router(&fleet);
     let mut client = Client::connect(&state).await;
     client.write(&post("stream", "1", "")).await;
-    client.until("\r\n\r\n").await;
+    client.read_until("\r\n\r\n").await;
     let limits = serde_json::json!({"max_header_bytes": 4096, "max_body_bytes": 1000, "header_timeout_ms": 1,
         "idle_timeout_ms": 1});
     configure(&state, 2, serde_json::json!({"limits": limits, "route_table": []}));
     time::sleep(Duration::from_millis(50)).await;
     resume.notify_one();
-    let text = client.until("0\r\n\r\n").await;
+    let text = client.read_until("0\r\n\r\n").await;
     assert!(text.contains("token-2"), "{text}");
 }
--- a/router/src/tests/revocation.rs
+++ b/router/src/tests/revocation.rs
@@ -11,7 +11,10 @@
 use crate::frontend::request;
 use crate::proxy::send::{self, SendOutcome};
 use crate::state::State;
-use crate::testing::engine::{answer, engines, events, held, not_executed, sealed, seen, Act, Engine, Seen, PROMPT};
+use crate::testing::engine::{
+    engine_response, engines, events, held, not_executed, received_requests, sealed_response, Engine, EngineAction,
+    ReceivedRequest, PROMPT,
+};
 use crate::testing::router::{configure, post, router, status, Client};
 use crate::upstream::connection_pool::{Endpoint, SendError};
 
@@ -52,15 +55,20 @@
     decode_engines: Vec<Engine>,
 }
 
-async fn run_with_lost_key(loss: KeyLoss, route: &str, extra_headers: &str, first_act: fn(&Seen) -> Act) -> LostKeyRun {
+async fn run_with_lost_key(
+    loss: KeyLoss,
+    route: &str,
+    extra_headers: &str,
+    first_act: fn(&ReceivedRequest) -> EngineAction,
+) -> LostKeyRun {
     let cell = RouterCell::default();
     let script = |cell: RouterCell| {
-        move |seen: &Seen, earlier_requests: usize| {
+        move |request: &ReceivedRequest, earlier_requests: usize| {
             if earlier_requests == 0 {
                 loss.apply(&cell);
-                return first_act(seen);
+                return first_act(request);
             }
-            Act::Send(events(seen, 1, 4, true))
+            EngineAction::Send(events(request, 1, 4, true))
         }
     };
     let mut prefill_engines = Vec::new();
@@ -74,7 +82,7 @@
     assert!(cell.set(state.clone()).is_ok());
     let mut client = Client::connect(&state).await;
     client.write(&post(route, "1", &format!("Connection: close\r\n{KEY_HEADER}{extra_headers}"))).await;
-    let response = client.rest().await;
+    let response = client.read_to_end().await;
     let prefill_engines = list.split_off(2);
     LostKeyRun { response, prefill_engines, decode_engines: list }
 }
@@ -82,41 +90,42 @@
 impl LostKeyRun {
     /// Returns the status of the response, and how many requests the decode engines received.
     fn outcome(&self) -> (&str, usize) {
-        (status(&self.response), seen(&self.decode_engines).len())
+        (status(&self.response), received_requests(&self.decode_engines).len())
     }
 }
 
 #[tokio::test]
 async fn a_revoked_key_is_refused_on_an_open_connection() {
-    let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let list = engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "hello"))).await;
     let state = router(&list);
     set_tenant_keys(&state, &["k1"], &["k2"]);
     let mut client = Client::connect(&state).await;
     client.write(&post("once", "1", KEY_HEADER)).await;
-    assert_eq!(status(&client.until("hello").await), "200");
+    assert_eq!(status(&client.read_until("hello").await), "200");
     set_tenant_keys(&state, &[], &["k2"]);
     client.write(&post("once", "2", KEY_HEADER)).await;
-    assert_eq!(status(&client.until("\r\n\r\n").await), "401");
+    assert_eq!(status(&client.read_until("\r\n\r\n").await), "401");
     client.write(&post("once", "3", "Authorization: Bearer k2\r\n")).await;
-    assert_eq!(status(&client.until("hello").await), "200");
+    assert_eq!(status(&client.read_until("hello").await), "200");
     set_tenant_keys(&state, &["k1"], &["k2"]);
     client.write(&post("once", "4", &format!("Connection: close\r\n{KEY_HEADER}"))).await;
-    assert_eq!(status(&client.rest().await), "200", "the key belongs to the tenant again");
-    let attempts: Vec<_> = seen(&list).iter().map(|seen| seen.attempt().to_string()).collect();
+    assert_eq!(status(&client.read_to_end().await), "200", "the key belongs to the tenant again");
+    let attempts: Vec<_> = received_requests(&list).iter().map(|request| request.attempt().to_string()).collect();
     assert_eq!(attempts, ["1", "3", "4"]);
 }
 
 #[tokio::test]
 async fn the_next_request_with_a_moved_key_is_sent_under_its_new_tenant() {
-    let list = engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await;
+    let list = engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "hello"))).await;
     let state = router(&list);
     let mut client = Client::connect(&state).await;
     for (one, two) in [(&["k1", "k3"][..], &["k2"][..]), (&["k3"], &["k2", "k1"]), (&["k1"], &["k2"])] {
         set_tenant_keys(&state, one, two);
         client.write(&post("once", "1", KEY_HEADER)).await;
-        assert_eq!(status(&client.until("hello").await), "200");
+        assert_eq!(status(&client.read_until("hello").await), "200");
     }
-    let tenants: Vec<_> = seen(&list).iter().map(|seen| seen.header("tenant").unwrap_or("none").to_string()).collect();
+    let tenants: Vec<_> =
+        received_requests(&list).iter().map(|request| request.header("tenant").unwrap_or("none").to_string()).collect();
     assert_eq!(tenants, ["one", "two", "one"]);
 }
 
@@ -124,7 +133,7 @@
 async fn a_request_that_was_not_run_is_refused_and_sent_to_no_other_engine() {
     for loss in KEY_LOSSES {
         for route in ["once", "again", "stream", "resume"] {
-            let run = run_with_lost_key(loss, route, "", |seen| Act::Send(not_executed(seen))).await;
+            let run = run_with_lost_key(loss, route, "", |request| EngineAction::Send(not_executed(request))).await;
             assert_eq!(run.outcome(), ("503", 1), "{loss:?} on {route}: {}", run.response);
             assert!(run.response.to_lowercase().contains("retry-after"), "{}", run.response);
         }
@@ -135,7 +144,7 @@
 async fn a_request_that_may_have_run_is_sent_to_no_other_engine_and_gets_502() {
     for loss in KEY_LOSSES {
         for route in ["again", "resume"] {
-            let run = run_with_lost_key(loss, route, "", |_| Act::SendAndReset(String::new())).await;
+            let run = run_with_lost_key(loss, route, "", |_| EngineAction::SendAndReset(String::new())).await;
             assert_eq!(run.outcome(), ("502", 1), "{loss:?} on {route}: {}", run.response);
         }
     }
@@ -144,7 +153,9 @@
 #[tokio::test]
 async fn an_engine_failure_is_forwarded_if_no_other_engine_may_be_called() {
     for loss in KEY_LOSSES {
-        let failed = |seen: &Seen| Act::Send(sealed(seen.attempt(), "500 Internal Server Error", "why"));
+        let failed = |request: &ReceivedRequest| {
+            EngineAction::Send(sealed_response(request.attempt(), "500 Internal Server Error", "why"))
+        };
         let run = run_with_lost_key(loss, "again", "", failed).await;
         assert_eq!(run.outcome(), ("500", 1), "{loss:?}: {}", run.response);
         assert!(run.response.contains("seal-1") && run.response.ends_with("why"), "{}", run.response);
@@ -154,12 +165,12 @@
 #[tokio::test]
 async fn a_prefilled_prompt_is_sent_to_no_decode_engine_and_its_kv_cache_is_released() {
     for loss in KEY_LOSSES {
-        let run = run_with_lost_key(loss, "stream", PROMPT, |seen| Act::Send(held(seen))).await;
+        let run = run_with_lost_key(loss, "stream", PROMPT, |request| EngineAction::Send(held(request))).await;
         assert_eq!(run.outcome(), ("503", 0), "{loss:?}: {}", run.response);
-        while run.prefill_engines[0].seen().len() < 2 {
+        while run.prefill_engines[0].received_requests().len() < 2 {
             task::yield_now().await;
         }
-        let requests = run.prefill_engines[0].seen();
+        let requests = run.prefill_engines[0].received_requests();
         assert_eq!(requests[0].header("serving-phase"), Some("prefill"));
         assert!(requests[1].head.starts_with("DELETE /kv-handle/h1 "), "{}", requests[1].head);
     }
@@ -168,25 +179,29 @@
 #[tokio::test]
 async fn a_broken_stream_is_not_resumed() {
     for loss in KEY_LOSSES {
-        let first_act = |seen: &Seen| Act::SendAndReset(events(seen, 1, 3, false));
+        let first_act = |request: &ReceivedRequest| EngineAction::SendAndReset(events(request, 1, 3, false));
         let LostKeyRun { response, decode_engines, .. } = run_with_lost_key(loss, "resume", "", first_act).await;
         assert!(response.contains("token-2") && !response.contains("token-3"), "{loss:?}: {response}");
         assert!(!response.ends_with("0\r\n\r\n"), "the response looks complete: {response}");
-        assert_eq!(seen(&decode_engines).len(), 1, "{loss:?}");
+        assert_eq!(received_requests(&decode_engines).len(), 1, "{loss:?}");
     }
 }
 
 #[tokio::test]
 async fn a_stream_in_flight_completes() {
-    let run = run_with_lost_key(KeyLoss::Revoked, "stream", "", |seen| Act::Send(events(seen, 1, 4, true))).await;
+    let run =
+        run_with_lost_key(KeyLoss::Revoked, "stream", "", |request| EngineAction::Send(events(request, 1, 4, true)))
+            .await;
     assert_eq!(run.outcome(), ("200", 1));
     assert!(run.response.ends_with("0\r\n\r\n"), "{}", run.response);
 }
 
 /// Starts two prefill engines and a decode engine that accept any request.
 async fn accepting_engines() -> Vec<Engine> {
-    let mut list = engines("prefill", 2, |seen, _| Act::Send(held(seen))).await;
-    list.extend(engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "hello"))).await);
+    let mut list = engines("prefill", 2, |request, _| EngineAction::Send(held(request))).await;
+    list.extend(
+        engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "hello"))).await,
+    );
     list
 }
 
@@ -209,10 +224,10 @@
             }
             loss.apply(&cell);
             client.write(last_part).await;
-            let response = client.rest().await;
+            let response = client.read_to_end().await;
             // 401 if the body arrived so late that the request was authorized again.
             assert!(["401", "503"].contains(&status(&response)), "{loss:?}: {response}");
-            assert_eq!(seen(&list).len(), 0, "{loss:?}");
+            assert_eq!(received_requests(&list).len(), 0, "{loss:?}");
         }
     }
 }
@@ -241,6 +256,6 @@
         let endpoint = Endpoint { addr: list[2].addr.clone(), engine: list[2].id.clone() };
         let outcome = send::send(&state, &request, 0, &endpoint, 1, &Default::default(), 1000).await;
         assert!(matches!(outcome, SendOutcome::Unsent(SendError::Unauthorized)), "{loss:?}");
-        assert_eq!(seen(&list).len(), 0);
+        assert_eq!(received_requests(&list).len(), 0);
     }
 }
--- a/router/src/upstream/suspicion_tests.rs
+++ b/router/src/upstream/suspicion_tests.rs
@@ -7,12 +7,12 @@
 
 use super::{handle_report, raise};
 use crate::state::State;
-use crate::testing::engine::{answer, engines, Act, Engine};
+use crate::testing::engine::{engine_response, engines, Engine, EngineAction};
 use crate::testing::router::router;
 use crate::upstream::suspicion_report::{ProbeResult, SuspicionReport};
 
 async fn start_engine() -> Vec<Engine> {
-    engines("decode", 1, |seen, _| Act::Send(answer(seen, "200 OK", "{}"))).await
+    engines("decode", 1, |request, _| EngineAction::Send(engine_response(request, "200 OK", "{}"))).await
 }
 
 fn id(engines: &[Engine]) -> String {
