--- a/controller/src/api/tallies.rs
+++ b/controller/src/api/tallies.rs
@@ -34,7 +34,7 @@
 
 /// Redirects to the nearest replica, for a controller that stores no tallies.
 fn redirect_to_replica(controller: &Controller, path: &str) -> ApiResponse {
-    let Tallies::Elsewhere(directory) = &controller.tallies else { return overloaded() };
+    let Tallies::Redirect(directory) = &controller.tallies else { return overloaded() };
     let zone = &controller.settings.zone;
     let is_same_zone = |ip: &str| controller.peers.read(|view| view.zone_of(ip) == zone);
     let own = controller.settings.bind_addresses.control_plane.as_deref();
@@ -144,7 +144,7 @@
         }
         Ok(match &self.0.tallies {
             Tallies::Replica(replica) => replica.totals().map_or_else(overloaded, totals_json),
-            Tallies::Elsewhere(_) => redirect_to_replica(&self.0, request.uri().path()),
+            Tallies::Redirect(_) => redirect_to_replica(&self.0, request.uri().path()),
         })
     }
 }
@@ -158,7 +158,7 @@
         }
         Ok(match &self.0.tallies {
             Tallies::Replica(replica) => usage_json(replica.usage()),
-            Tallies::Elsewhere(_) => redirect_to_replica(&self.0, request.uri().path()),
+            Tallies::Redirect(_) => redirect_to_replica(&self.0, request.uri().path()),
         })
     }
 }
--- a/controller/src/metering/mod.rs
+++ b/controller/src/metering/mod.rs
@@ -98,9 +98,9 @@
         Message::MeteringTables(Box::new(self.select(&query.windows)))
     }
 
-    /// Records copies of reports to another controller. The response tells whether this controller will keep them,
+    /// Records copies of reports to another controller. The response tells whether this controller will store them,
     /// which it does not if it is shutting down.
-    pub fn take_copies(&self, copies: &MeteringTables, is_shutting_down: bool) -> Message {
+    pub fn store_copies(&self, copies: &MeteringTables, is_shutting_down: bool) -> Message {
         self.record_copies(copies);
         Message::MeteringTables(Box::new(MeteringTables { is_complete: !is_shutting_down, routers: Vec::new() }))
     }
--- a/controller/src/peers/dispatch.rs
+++ b/controller/src/peers/dispatch.rs
@@ -48,7 +48,7 @@
         Message::PackedTallySync(packed) => receive_tallies(controller, responder, id, &packed.sync, &packed.packed),
         Message::MeteringQuery(query) => respond(controller.metering.answer(&query)),
         Message::MeteringTables(copies) => {
-            respond(controller.metering.take_copies(&copies, controller.is_shutting_down()))
+            respond(controller.metering.store_copies(&copies, controller.is_shutting_down()))
         }
         Message::UsageRequest(_) => {
             let usage = quota_shards::usage(controller);
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -137,7 +137,7 @@
 
 /// Opens the replica of the tallies if there is a data directory.
 fn open_tallies(settings: &Settings, incarnation: u64, metrics: &Metrics) -> Result<Tallies, StoreError> {
-    let Some(dir) = &settings.data_dir else { return Ok(Tallies::Elsewhere(ReplicaDirectory::default())) };
+    let Some(dir) = &settings.data_dir else { return Ok(Tallies::Redirect(ReplicaDirectory::default())) };
     let replica_id = consensus::replica_id(&settings.ip, incarnation);
     TallyReplica::open(settings, dir, replica_id, metrics.disk_write.clone()).map(Tallies::Replica)
 }
--- a/controller/src/tallies/mod.rs
+++ b/controller/src/tallies/mod.rs
@@ -17,7 +17,7 @@
     /// It has a disk and stores a replica.
     Replica(TallyReplica),
     /// It has no disk and redirects callers to a replica.
-    Elsewhere(ReplicaDirectory),
+    Redirect(ReplicaDirectory),
 }
 
 impl Tallies {
@@ -32,7 +32,7 @@
     ) {
         match self {
             Tallies::Replica(replica) => replica.receive(sync, packed, respond),
-            Tallies::Elsewhere(directory) => {
+            Tallies::Redirect(directory) => {
                 directory.observe(&sync.ip, now);
                 respond(TallySynced::without_disk());
             }
--- a/experiment/src/rollout/fleet.rs
+++ b/experiment/src/rollout/fleet.rs
@@ -75,7 +75,7 @@
         let hit_share = hit_share(scenario.disturbance);
         let mut engines = Vec::new();
         for table_index in 0..engine_table.engines.len() {
-            let is_candidate = engine_table.engines[table_index].candidate;
+            let is_candidate = engine_table.engines[table_index].is_candidate;
             let name = engine_table.zone_name(engine_table.engines[table_index].zone).unwrap_or_default();
             let zone = ZONES.iter().position(|zone| *zone == name).unwrap_or(0);
             let is_hit = uniform(rng) < hit_share;
--- a/load_balancing/src/engine_state.rs
+++ b/load_balancing/src/engine_state.rs
@@ -60,7 +60,7 @@
     /// Whether it is in the newest list of its zone, under an address that has not passed to another engine.
     pub listed: bool,
     /// Whether it runs a version that is being rolled out: it gets only the requests of that rollout.
-    pub candidate: bool,
+    pub is_candidate: bool,
     /// Whether its address now belongs to another engine, whatever the list says.
     pub retired: bool,
     /// The end of its cold period, during which slow start limits the requests sent to it.
@@ -115,7 +115,7 @@
             slots: 1,
             up: false,
             listed: true,
-            candidate: false,
+            is_candidate: false,
             retired: false,
             cold_until: 0,
             slow_start: SlowStart::default(),
@@ -142,7 +142,7 @@
     pub(crate) fn apply_listing(&mut self, listed: &Engine, is_candidate: bool, now: u64) -> bool {
         let starts_draining = self.up && !listed.up;
         self.listed = !self.retired;
-        self.candidate = is_candidate;
+        self.is_candidate = is_candidate;
         self.up = listed.up;
         self.address.clone_from(&listed.addr);
         self.prefill = listed.phase != "decode";
--- a/load_balancing/src/engine_table.rs
+++ b/load_balancing/src/engine_table.rs
@@ -39,7 +39,7 @@
 
 impl MeanLoadKey {
     fn of(engine: &EngineState) -> MeanLoadKey {
-        MeanLoadKey { service: engine.service, prefill: engine.prefill, is_candidate: engine.candidate }
+        MeanLoadKey { service: engine.service, prefill: engine.prefill, is_candidate: engine.is_candidate }
     }
 }
 
@@ -158,7 +158,7 @@
         for id in ids {
             let Some(index) = self.find(id) else { continue };
             let engine = &mut self.engines[index];
-            if engine.listed && engine.candidate == is_candidate {
+            if engine.listed && engine.is_candidate == is_candidate {
                 engine.listed = false;
                 departed.push(engine.id.clone());
             }
@@ -171,7 +171,7 @@
         let named: HashSet<&str> = engines.iter().map(|engine| engine.id.as_str()).collect();
         let is_missing = |engine: &&mut EngineState| {
             engine.zone == zone
-                && engine.candidate == is_candidate
+                && engine.is_candidate == is_candidate
                 && engine.listed
                 && !named.contains(engine.id.as_str())
         };
@@ -241,7 +241,7 @@
             let member = SubsetMember { engine: index, zone: engine.zone, id_hash: engine.id_hash };
             let phases = [(Phase::Prefill, engine.prefill), (Phase::Decode, engine.decode)];
             for (phase, _) in phases.into_iter().filter(|(_, serves)| *serves) {
-                let key = SubsetKey { service: engine.service, phase, is_candidate: engine.candidate };
+                let key = SubsetKey { service: engine.service, phase, is_candidate: engine.is_candidate };
                 members.entry(key).or_default().push(member);
             }
         }
--- a/load_balancing/src/engine_table_tests.rs
+++ b/load_balancing/src/engine_table_tests.rs
@@ -166,5 +166,5 @@
         "the engine has not left"
     );
     assert_eq!(usable(&engine_table).0, ["i-1", "i-2"]);
-    assert!(engine_table.engines.iter().all(|engine| !engine.candidate));
+    assert!(engine_table.engines.iter().all(|engine| !engine.is_candidate));
 }
--- a/load_balancing/src/selection/candidates.rs
+++ b/load_balancing/src/selection/candidates.rs
@@ -84,7 +84,7 @@
         };
         engine.service == self.service
             && serves_phase
-            && engine.candidate == self.arm.is_candidate()
+            && engine.is_candidate == self.arm.is_candidate()
             && engine.up
             && engine.listed
             && engine.reassigning_until <= self.now
--- a/load_balancing/src/selection/packing_tests.rs
+++ b/load_balancing/src/selection/packing_tests.rs
@@ -64,7 +64,7 @@
             arm: Arm::Candidate(placement(draw)),
         };
         let selected = selection.select_decode(100, &[], None, 7).expect("an engine");
-        assert!(engine_table.engines[selected].candidate);
+        assert!(engine_table.engines[selected].is_candidate);
         *counts.entry(selected).or_default() += 1;
         assert!(selection.candidates(Phase::Prefill).is_empty(), "no prefill engine is listed");
     }
