--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -65,7 +65,7 @@
 
 /// One round of a register.
 ///
-/// Invariant: `responders` holds each member of the round's membership at most once per phase, and no one else.
+/// Invariant: `responders` contains only members of the round's membership, each at most once per phase.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     key: String,
--- a/controller/src/api/usage.rs
+++ b/controller/src/api/usage.rs
@@ -1,4 +1,4 @@
-//! The resource of usage: the metering windows whose counts are agreed on, and which of them the platform acknowledged.
+//! The resource of usage: the metering windows whose counts are committed, and which of them the platform acknowledged.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::metering::exporter;
 
-/// The windows whose counts are agreed on.
+/// The windows whose counts are committed.
 pub struct Usage(pub Arc<Controller>);
 
 impl Endpoint for Usage {
--- a/controller/src/config/history.rs
+++ b/controller/src/config/history.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// A change from the revision `from` to the one that followed it here.
+/// A change from the revision `from` to the next one known to this controller.
 struct EncodedChange {
     from: u64,
     /// Whether the configuration after the change may be sent to routers without support for tenants.
--- a/controller/src/delivery/updates.rs
+++ b/controller/src/delivery/updates.rs
@@ -56,7 +56,7 @@
         // A router of the first version holds no such lease: it continues to serve, and no limit is in effect while it
         // is subscribed.
         update.confirmed &= subscriber.protocol_version < STALENESS_LIMITS || self.has_confirmed_limits(&subscriber);
-        // A router that is told that it is current must have been sent all updates.
+        // All updates must have been sent to a router before a response states that it is current.
         update.confirmed &= !subscriber.is_behind;
         if !subscriber.responder.reply(id, &Message::StateUpdate(Box::new(update))) {
             subscriber.sent_controllers = None;
--- a/controller/src/replication/committed_state.rs
+++ b/controller/src/replication/committed_state.rs
@@ -51,7 +51,7 @@
     ($kind:ty) => {
         impl $kind {
             /// Decodes a body. An empty body is the default value. Returns `None` for a body of an unknown format,
-            /// which must not be taken for an empty one.
+            /// which must not be treated as an empty one.
             pub fn open(body: &[u8]) -> Option<Self> {
                 match body.is_empty() {
                     true => Some(Self::default()),
--- a/controller/src/replication/reconfiguration.rs
+++ b/controller/src/replication/reconfiguration.rs
@@ -16,8 +16,8 @@
 use crate::controller::Controller;
 use crate::replication::{committed_state, recovery};
 
-/// The interval between checks of the members, in milliseconds. It is short because a core that has lost a member for
-/// good cannot bear a second loss until the member is replaced.
+/// The interval between checks of the members, in milliseconds. It is short because a core that has lost a member
+/// permanently may not tolerate a second loss until the member is replaced.
 const TICK_MS: u64 = 150;
 /// Timeout of announcing a membership and collecting the keys, in milliseconds.
 const ANNOUNCE_TIMEOUT_MS: u64 = 800;
--- a/controller/src/replication/recovery.rs
+++ b/controller/src/replication/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of an acceptor on an empty disk. Either it was never a member, or it must first read so many other
-//! acceptors that no response that it gave before it lost its disk goes unseen.
+//! Recovery of an acceptor on an empty disk. Either it was never a member, or it must first read enough other
+//! acceptors to learn of every response that it gave before it lost its disk.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/controller/src/roles.rs
+++ b/controller/src/roles.rs
@@ -29,7 +29,7 @@
 
 /// The interval between attempts to acquire a role, in milliseconds.
 const TICK_MS: u64 = 400;
-/// How long a controller waits after its start, to hear the other controllers, before it acquires roles, in
+/// How long a controller waits after its start, to receive heartbeats of the others, before it acquires roles, in
 /// milliseconds.
 const STARTUP_DELAY_MS: u64 = 1200;
 /// Timeout of one change of a role's register, in milliseconds.
@@ -121,8 +121,8 @@
     controller.change(key, COMMIT_TIMEOUT_MS, decide).await.unwrap_or(false)
 }
 
-/// Opens the catalog under the epoch of this controller's tenure, so that it answers under no other. A new epoch starts
-/// with an empty catalog.
+/// Opens the catalog under the epoch of this controller's tenure, so that it serves requests under no other. A new
+/// epoch starts with an empty catalog.
 fn open_catalog(controller: &Controller) {
     let epoch = confirmed_tenure(controller, CATALOG, clock::now()).map_or(0, |tenure| tenure.epoch);
     controller.catalog.open(epoch);
--- a/controller/src/shutdown.rs
+++ b/controller/src/shutdown.rs
@@ -20,12 +20,12 @@
         self.work.spawn(work);
     }
 
-    /// Returns whether new work is refused.
+    /// Returns whether new work is rejected.
     pub fn is_closing(&self) -> bool {
         self.closing.is_cancelled()
     }
 
-    /// Waits until new work is refused.
+    /// Waits until new work is rejected.
     pub async fn closing(&self) {
         self.closing.cancelled().await;
     }
--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -171,7 +171,7 @@
     }))
 }
 
-/// Runs a controller until it is told to terminate and has finished its accepted work, and returns the exit code.
+/// Runs a controller until it receives SIGTERM and has finished its accepted work, and returns the exit code.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
     let incarnation = new_incarnation();
     let assembled = open_acceptor(&settings).and_then(|opened| assemble(settings, opened, incarnation));
--- a/controller/src/tallies/replica/adds.rs
+++ b/controller/src/tallies/replica/adds.rs
@@ -15,7 +15,7 @@
 /// Interval at which a waiting add checks whether a replica has become unreachable.
 const REACH_POLL: Duration = Duration::from_millis(20);
 
-/// Why an add was refused. The entry was not added.
+/// Why an add was rejected. The entry was not added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// This replica was started recently and may lack entries of other replicas.
--- a/controller/src/tallies/replica/catch_up.rs
+++ b/controller/src/tallies/replica/catch_up.rs
@@ -1,4 +1,4 @@
-//! Decides when a started replica has caught up and may answer.
+//! Decides when a started replica has caught up and may serve requests.
 
 use kernel::{clock, log_event};
 use tally::TallyRecord;
--- a/controller/src/tallies/replica/mod.rs
+++ b/controller/src/tallies/replica/mod.rs
@@ -1,7 +1,7 @@
 //! A replica of the tallies: its log in memory and on disk.
 //!
 //! [`adds`] accepts entries and waits until enough disks have them, [`sync`] exchanges them with other replicas,
-//! [`catch_up`] decides when a started replica may answer, [`room`] bounds the size of the log.
+//! [`catch_up`] decides when a started replica may serve requests, [`room`] bounds the size of the log.
 //!
 //! An entry is applied, then synced to the local disk, and only then sent to other replicas (docs/counters.md). After a
 //! power loss the log continues where the disk ends, and no other replica has seen entries beyond that.
@@ -30,7 +30,7 @@
 
 /// The folder of the tallies below the data folder.
 const FOLDER: &str = "tallies";
-/// Time without disk progress after which new entries are refused, in ms.
+/// Time without disk progress after which new entries are rejected, in ms.
 const DISK_STALL_MS: u64 = 400;
 
 impl LoggedState for TallyLog {
@@ -49,8 +49,8 @@
     log: TallyLog,
     replicas: ReplicaSet,
     caught_up: bool,
-    /// Whether a peer that has caught up must respond before this replica may answer. Set if this replica has never
-    /// caught up since its disk was empty.
+    /// Whether a peer that has caught up must respond before this replica may serve requests. Set if this replica has
+    /// never caught up since its disk was empty.
     needs_informed_peer: bool,
     started_at: u64,
     /// The number of writes that the disk has not finished.
--- a/controller/src/tallies/replica/replica_tests.rs
+++ b/controller/src/tallies/replica/replica_tests.rs
@@ -168,7 +168,7 @@
     let _ = fs::remove_dir_all(dir);
 }
 
-/// Adds a key, and retries while a busy disk refuses it. Fails on any other refusal, and if the disk stays stalled.
+/// Adds a key, and retries while a busy disk rejects it. Fails on any other rejection, and if the disk stays stalled.
 async fn add_to_busy_disk(replica: &TallyReplica, key: &str) {
     let started = Instant::now();
     loop {
--- a/controller/src/tallies/replica/room.rs
+++ b/controller/src/tallies/replica/room.rs
@@ -22,7 +22,7 @@
     Normal,
     /// At or above the warning threshold.
     NearlyFull,
-    /// At or above the capacity: new keys are refused.
+    /// At or above the capacity: new keys are rejected.
     Full,
 }
 
@@ -31,11 +31,11 @@
 pub struct TallyUsage {
     /// The numbers of entries and tallies.
     pub counts: EntryCounts,
-    /// The used share of this machine's capacity; from 1 on, new keys are refused.
+    /// The used share of this machine's capacity; from 1 on, new keys are rejected.
     pub used_share: f64,
     /// The number of other known replicas.
     pub known: usize,
-    /// The number of known replicas that answered within the last 0.85 s.
+    /// The number of known replicas that responded within the last 0.85 s.
     pub in_reach: usize,
 }
 
--- a/router/src/proxy/response_head.rs
+++ b/router/src/proxy/response_head.rs
@@ -19,7 +19,7 @@
     NotExecuted,
     /// Not executed: the address belongs to another engine.
     OtherEngine,
-    /// Not executed: the engine's weights have another version, given here if the engine named it.
+    /// Not executed: the engine's weights have another version, included if the engine reported it.
     OtherVersion(Option<u64>),
 }
 
--- a/router/src/proxy/send.rs
+++ b/router/src/proxy/send.rs
@@ -36,7 +36,7 @@
     NotExecuted,
     /// Not executed: the address belongs to another engine.
     OtherEngine,
-    /// Not executed: the engine's weights have another version, given here if the engine named it.
+    /// Not executed: the engine's weights have another version, included if the engine reported it.
     OtherVersion(Option<u64>),
     /// The request may have been executed, and there is no response to forward.
     Lost,
--- a/router/src/subscription/candidates.rs
+++ b/router/src/subscription/candidates.rs
@@ -5,7 +5,7 @@
 use kernel::hashing;
 
 /// Initial backoff of a controller that became unresponsive, in milliseconds: it is called only if all others are in
-/// backoff too. Each repeated failure doubles the backoff, so that a controller that is gone for good costs little.
+/// backoff too. Each repeated failure doubles the backoff, so that a permanently failed controller costs little.
 const UNRESPONSIVE_BACKOFF_MS: u64 = 5000;
 /// Initial backoff of a controller that responded without a fresh proof, in milliseconds.
 const UNPROVED_BACKOFF_MS: u64 = 2500;
--- a/router/src/subscription/scheduler.rs
+++ b/router/src/subscription/scheduler.rs
@@ -150,7 +150,7 @@
         self.soft_timeout_ms = next_soft_timeout(self.soft_timeout_ms, CallOutcome::Responded);
         self.candidates.update(&response.controllers, &response.core_members);
         if self.applied_revision == 0 && response.applied_revision > 0 {
-            // No other controller needs to go on sending the whole configuration.
+            // No other controller needs to continue to send the whole configuration.
             self.open_calls.clear();
         }
         self.applied_revision = response.applied_revision;
--- a/tally/src/replica_set.rs
+++ b/tally/src/replica_set.rs
@@ -54,8 +54,8 @@
         ReplicaSet { own_zone: own_zone.into(), redundancy, own_durable, peers: BTreeMap::new(), observed_at: 0 }
     }
 
-    /// Records that this process is running at `now`. Answers could not arrive while it was paused, so after a pause the
-    /// time at which each peer was last heard moves forward by its length, at most to `now`.
+    /// Records that this process is running at `now`. Responses could not arrive while it was paused, so a pause moves
+    /// the time of the last response of each peer forward by its length, at most to `now`.
     pub fn observe_time(&mut self, now: u64) {
         let gap = now.saturating_sub(self.observed_at);
         if self.observed_at > 0 && gap > PAUSE_THRESHOLD_MS {
