--- a/protocol/src/config/patch.rs
+++ b/protocol/src/config/patch.rs
@@ -60,7 +60,7 @@
                 ROUTES | SERVICES | TENANTS | LIMITS => {
                     return Err(ConfigError::invalid_item(
                         Item::Field(name.to_string()),
-                        "allowed at the top level of a patch",
+                        "inside `upsert` of a patch, not at its top level",
                     ));
                 }
                 _ => {}
--- a/router/src/config/version_bounds.rs
+++ b/router/src/config/version_bounds.rs
@@ -1,4 +1,4 @@
-//! The limits on stale weights: how they apply to a request, and how updates from controllers are applied.
+//! The staleness limits: how they apply to a request, and how updates from controllers are applied.
 
 use std::sync::atomic::Ordering;
 
--- a/router/src/state.rs
+++ b/router/src/state.rs
@@ -163,7 +163,7 @@
         self.retry_budget.lock()
     }
 
-    /// Locks the limits on stale weights. Never held together with another lock.
+    /// Locks the staleness limits. Never held together with another lock.
     pub fn staleness_bounds(&self) -> MutexGuard<'_, StalenessBounds> {
         self.staleness_bounds.lock()
     }
--- a/router/src/subscription/apply_update.rs
+++ b/router/src/subscription/apply_update.rs
@@ -1,5 +1,5 @@
 //! Builds the renewals that a router sends to controllers, and applies the updates that they send. All state is
-//! monotonic: the newest version wins, whichever controller sends it and in whatever order updates arrive.
+//! monotonic: the newest version takes precedence, whichever controller sends it and in whatever order updates arrive.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/router/src/subscription/driver.rs
+++ b/router/src/subscription/driver.rs
@@ -116,7 +116,7 @@
         self.state.subscribed().config_revision
     }
 
-    /// Applies a state update. A confirmed one renews the lease of the limits on stale weights, as of the start of the
+    /// Applies a state update. A confirmed one renews the lease of the staleness limits, as of the start of the
     /// call and not of its response.
     fn apply_state_update(&self, update: StateUpdate, sent_at: u64) {
         if update.confirmed {
