--- a/protocol/src/config/error.rs
+++ b/protocol/src/config/error.rs
@@ -201,7 +201,7 @@
                 write!(out, "unknown service `{}`, it must be in service_table", sanitized(service))
             }
             ConfigErrorKind::ZeroWeights => {
-                out.write_str("the weights of traffic_split sum to 0, at least one must be positive")
+                out.write_str("weights of traffic_split sum to 0, at least one must be positive")
             }
             ConfigErrorKind::DuplicateKey { other } => {
                 write!(out, "api_keys contains a key that also belongs to tenant `{}`", sanitized(other))
