--- a/controller/src/startup.rs
+++ b/controller/src/startup.rs
@@ -137,7 +137,7 @@
 
 /// Opens the replica of the tallies if there is a data directory.
 fn open_tallies(settings: &Settings, incarnation: u64, metrics: &Metrics) -> Result<Tallies, StoreError> {
-    let Some(dir) = &settings.data_dir else { return Ok(Tallies::Elsewhere(ReplicaDirectory::default())) };
+    let Some(dir) = &settings.data_dir else { return Ok(Tallies::Redirect(ReplicaDirectory::default())) };
     let replica_id = consensus::replica_id(&settings.ip, incarnation);
     TallyReplica::open(settings, dir, replica_id, metrics.disk_write.clone()).map(Tallies::Replica)
 }
@@ -171,7 +171,7 @@
     }))
 }
 
-/// Runs a controller until it is told to terminate and has finished its accepted work, and returns the exit code.
+/// Runs a controller until it receives SIGTERM and has finished its accepted work, and returns the exit code.
 pub async fn run(settings: Settings, mut signals: Signals) -> process::ExitCode {
     let incarnation = new_incarnation();
     let assembled = open_acceptor(&settings).and_then(|opened| assemble(settings, opened, incarnation));
